--- a/src/bench/java/larkbank/harbour/NewsDeskBench.java
+++ b/src/bench/java/larkbank/harbour/NewsDeskBench.java
@@ -33,7 +33,7 @@
     private final Map<String, Double> found = new LinkedHashMap<>();
     private final HollowLine.Count count = new HollowLine.Count();
     private long now = 1_000_000_000_000L;
-    private final NewsDesk desk = new NewsDesk(() -> now, 7, "10.1.0.1:21790");
+    private final NewsDesk desk = new NewsDesk(() -> now, 7, "10.1.0.1:21790", () -> 0);
     private final List<Line> lines = new ArrayList<>();
     private final long[] numbers;
     private int version = 1;
--- a/src/bench/java/larkbank/pilot/PilotSizeBench.java
+++ b/src/bench/java/larkbank/pilot/PilotSizeBench.java
@@ -86,7 +86,7 @@
             helm(inner, berth.ship().service());
             if (berth.takes()) {
                 targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Target(Ids.of(berth.ship().id()), berth.name(), berth.address(),
+                        .add(new Target(Ids.of(berth.ship().id()), berth.name(), berth.life(), berth.address(),
                                 berth.ship().id(), berth.zone()));
                 warm.put(berth.ship().id(), berth.ship().warmAt());
             }
