--- /dev/null
+++ b/src/test/java/larkbank/golden/Golden.java
@@ -0,0 +1,37 @@
+package larkbank.golden;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.net.URISyntaxException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+
+/** Reads files under {@code src/test/resources/golden}, which an earlier build wrote. They are never rewritten. */
+public final class Golden {
+
+    private static final String ROOT = "/golden/";
+
+    private Golden() { }
+
+    /** The text of a golden file. */
+    public static String text(String name) {
+        try (InputStream in = Golden.class.getResourceAsStream(ROOT + name)) {
+            if (in == null) {
+                throw new AssertionError("no golden file " + name);
+            }
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** The path of a golden file or folder. */
+    public static Path path(String name) {
+        try {
+            return Path.of(Golden.class.getResource(ROOT + name).toURI());
+        } catch (URISyntaxException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
