--- a/src/test/java/larkbank/golden/Golden.java
+++ b/src/test/java/larkbank/golden/Golden.java
@@ -1,13 +1,16 @@
 package larkbank.golden;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
 import java.net.URISyntaxException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.List;
 
-/** Reads files under {@code src/test/resources/golden}, which an earlier build wrote. They are never rewritten. */
+/** Reads files under {@code src/test/resources/golden}, which an earlier build wrote. */
 public final class Golden {
 
     private static final String ROOT = "/golden/";
@@ -26,6 +29,11 @@
         }
     }
 
+    /** Compares lines with those of a golden file, to the byte. */
+    public static void assertSame(String name, List<String> lines) {
+        assertThat(String.join("\n", lines) + "\n").isEqualTo(text(name));
+    }
+
     /** The path of a golden file or folder. */
     public static Path path(String name) {
         try {
--- a/src/test/java/larkbank/golden/StoredFolderTest.java
+++ b/src/test/java/larkbank/golden/StoredFolderTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An acceptor's folder that an earlier build wrote: its names, keys and values on the disk stay as they are. */
+/** An acceptor's folder that an earlier build wrote: its names, keys and values on the disk stay. */
 class StoredFolderTest {
 
     private static final String STORED_FOLDER = "store/folder";
@@ -40,7 +40,8 @@
     private static final String ENVIRONMENT_FOLDER = "1";
     private static final String WITHDRAWN_CONTENT = "-";
 
-    private static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7/1700000000001");
+    private static final List<String> VOTERS =
+            List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7/1700000000001");
     private static final List<String> LATER_VOTERS = List.of("10.0.0.1:7", "10.0.0.3:7/1700000000001");
     private static final long DISK_NUMBER = 1_700_000_000_001L;
     private static final Ballot ACCEPTED = new Ballot(5, "10.0.0.2:7");
--- /dev/null
+++ b/src/test/java/larkbank/harbour/GoldenControllerMessagesTest.java
@@ -0,0 +1,143 @@
+package larkbank.harbour;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.ByteArrayInputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.zip.InflaterInputStream;
+import larkbank.berth.Berth;
+import larkbank.berth.Ship;
+import larkbank.chart.Bales;
+import larkbank.copies.Ballot;
+import larkbank.copies.Copies;
+import larkbank.copies.CopiesPlan;
+import larkbank.copies.Standing;
+import larkbank.golden.Golden;
+import larkbank.lading.RecordedLine;
+import larkbank.lading.Scribe;
+import larkbank.manifest.Item;
+import larkbank.manifest.Key;
+import larkbank.manifest.Manifest;
+import larkbank.manifest.Table;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** What a controller sends to proxies, and which of their messages it reads. */
+class GoldenControllerMessagesTest {
+
+    private static final long NOW = 5_000_000;
+    private static final long LIFE = 900;
+    private static final long CONFIRMED_AGE = 40;
+    private static final Ballot FIRST = new Ballot(3, "10.0.0.1:7");
+    private static final Ballot SECOND = new Ballot(4, "10.0.0.2:7/42");
+    private static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7/42");
+    private static final List<Item> ITEMS = List.of(
+            new Item(new Key(Table.ROUTES, "orders"), 1, Map.of("prefix", "/orders")),
+            new Item(new Key(Table.TENANTS, "acme"), 1, Map.of("priority", 2L)),
+            new Item(new Key(Table.SERVICES, "till"), 1, Map.of("healthPath", "/healthz")),
+            new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)));
+    private static final Item WITHDRAWN = new Item(new Key(Table.SERVICES, "till"), 2, null);
+    private static final Berth REGISTRATION = new Berth("proxy-1", 2_000, 4, "10.0.0.5:8", "10.0.0.5:9",
+            "zone-b", "till", false, new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, 0));
+    private static final Berth WITHOUT_INSTANCE =
+            new Berth("proxy-2", 2_001, 1, "10.0.0.6:8", "", "zone-a", "", true, null);
+
+    private final RecordedLine recorded = new RecordedLine(NOW);
+    private final List<String> lines = new ArrayList<>();
+    private NewsDesk controller;
+
+    @BeforeEach
+    void start() {
+        controller = new NewsDesk(() -> NOW, LIFE, "10.0.0.1:9", () -> CONFIRMED_AGE);
+    }
+
+    private void receives(String json) {
+        lines.add("< " + json);
+        controller.heard(recorded.line(), RecordedLine.head(json));
+        take();
+    }
+
+    private void take() {
+        recorded.takeMessages().forEach(message -> lines.add("> " + message));
+    }
+
+    private static String registration(Berth berth) {
+        return new String(Scribe.bytes(Scribe.map("t", "berth", "berth", berth.toMap(NOW))),
+                StandardCharsets.UTF_8);
+    }
+
+    @Test
+    void messagesAreTheSame() {
+        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
+        controller.welcome(recorded.line(), "proxy-1");
+        take();
+        receives(registration(REGISTRATION));
+        receives("{\"t\":\"follow\",\"life\":0,\"place\":-1}");
+        receives("{\"t\":\"follow\",\"life\":900,\"place\":0}");
+        receives(registration(WITHOUT_INSTANCE));
+        receives("{\"t\":\"contact\",\"asked\":4000000}");
+        receives("{\"t\":\"tally\",\"asked\":{\"acme\":2.5,\"till\":1.25},\"whole\":true}");
+        receives("{\"t\":\"sums\",\"on\":true}");
+        controller.tellTallies();
+        take();
+        controller.show(SECOND, Manifest.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        take();
+        controller.tick();
+        take();
+        Golden.assertSame("messages/controller-to-proxy.txt", lines);
+    }
+
+    /** The body is compressed: what counts is what it holds. */
+    @Test
+    void itemsAreTheSame() throws Exception {
+        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
+        controller.show(SECOND, Manifest.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        controller.welcome(recorded.line(), "proxy-1");
+        recorded.takeFrames();
+        for (String has : List.of("0@", FIRST.toString())) {
+            controller.heard(recorded.line(), RecordedLine.head("{\"t\":\"want\",\"have\":\"" + has + "\"}"));
+            takeItems();
+        }
+        Golden.assertSame("messages/controller-items.txt", lines);
+    }
+
+    private void takeItems() throws Exception {
+        for (String frame : recorded.takeFrames()) {
+            byte[] bytes = HexFormat.of().parseHex(frame);
+            int headLength = ByteBuffer.wrap(bytes, 4, 4).getInt();
+            lines.add(new String(bytes, 8, headLength, StandardCharsets.UTF_8));
+            byte[] body = Arrays.copyOfRange(bytes, 8 + headLength, bytes.length);
+            lines.add(inflated(body));
+            assertThat(Bales.unpack(body)).isNotEmpty();
+        }
+    }
+
+    private static String inflated(byte[] body) throws Exception {
+        try (var in = new InflaterInputStream(new ByteArrayInputStream(body))) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    /** The answer to the call for the state, which the command line tool reads. */
+    @Test
+    void stateIsTheSame() {
+        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
+        controller.welcome(recorded.line(), "proxy-1");
+        receives(registration(REGISTRATION));
+        receives(registration(WITHOUT_INSTANCE));
+        Standing stored = new Standing(FIRST, FIRST, VOTERS, ITEMS, false, 0);
+        Copies replica = new Copies(CopiesPlan.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE,
+                new SplittableRandom(1), NOW);
+        Map<String, Object> state = HarbourState.of(NOW, "controller-1", "10.0.0.1:9", "10.0.0.1:7", LIFE,
+                List.of(), replica, controller, true);
+        Golden.assertSame("messages/controller-state.txt",
+                List.of(new String(Scribe.bytes(state), StandardCharsets.UTF_8)));
+    }
+}
--- /dev/null
+++ b/src/test/java/larkbank/pilot/GoldenProxyToControllerTest.java
@@ -0,0 +1,147 @@
+package larkbank.pilot;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import larkbank.berth.Berth;
+import larkbank.berth.ServerDirectory;
+import larkbank.berth.Ship;
+import larkbank.chart.Bales;
+import larkbank.copies.Ballot;
+import larkbank.golden.Golden;
+import larkbank.lading.Line;
+import larkbank.lading.RecordedLine;
+import larkbank.lading.Scribe;
+import larkbank.lading.Wharf;
+import larkbank.manifest.Item;
+import larkbank.manifest.Key;
+import larkbank.tally.Quotas;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** What a proxy sends to a controller, over a real connection with a clock that stands still. */
+class GoldenProxyToControllerTest {
+
+    private static final long NOW = 5_000_000;
+    private static final long KEEP_MICROS = 1_000_000;
+    private static final int BOUND_SECONDS = 10;
+    private static final Berth REGISTRATION = new Berth("proxy-1", 2_000, 4, "10.0.0.5:8", "10.0.0.5:9",
+            "zone-b", "till", false,
+            new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, NOW + 1_000));
+    private static final String WELCOME = "{\"t\":\"welcome\",\"life\":900,\"crew\":[],"
+            + "\"control\":\"10.0.0.1:9\",\"stamp\":\"5@10.0.0.2:7\",\"age\":40}";
+    private static final String ITEMS =
+            "{\"t\":\"items\",\"stamp\":\"5@10.0.0.2:7\",\"from\":\"\",\"piece\":0,\"pieces\":1}";
+
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop loop = group.next();
+    private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+    private final List<String> lines = new ArrayList<>();
+    private final Following following = new Following();
+    private final Quotas quotas = new Quotas();
+    private final ServerDirectory directory = new ServerDirectory(KEEP_MICROS);
+    private volatile Line controllerSide;
+    private Lookout proxy;
+    private String address;
+
+    /** The controller's end. */
+    private final class Controller implements Line.Ear {
+        @Override
+        public void opened(Line line) {
+            controllerSide = line;
+        }
+
+        @Override
+        public void heard(Line line, Map<String, Object> head, byte[] body) {
+            received.add(new String(Scribe.bytes(head), StandardCharsets.UTF_8));
+        }
+
+        @Override
+        public void closed(Line line) { }
+    }
+
+    @BeforeEach
+    void start() throws IOException {
+        Wharf wharf = new Wharf(group, () -> NOW);
+        InetSocketAddress at =
+                wharf.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Controller());
+        address = "127.0.0.1:" + at.getPort();
+        proxy = new Lookout(wharf, () -> NOW, "proxy-1", () -> REGISTRATION, directory, following,
+                new Freshness(), quotas, new Aside(Runnable::run, Runnable::run), () -> { });
+    }
+
+    @AfterEach
+    void stop() {
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    }
+
+    private void on(Runnable work) {
+        loop.submit(work).syncUninterruptibly();
+    }
+
+    private void take(int count) throws InterruptedException {
+        for (int i = 0; i < count; i++) {
+            lines.add(received.poll(BOUND_SECONDS, TimeUnit.SECONDS));
+        }
+    }
+
+    private void controllerSends(String json, byte[] body) {
+        on(() -> controllerSide.send(RecordedLine.head(json), body, null));
+    }
+
+    private void askFor(String tenant, int requests) {
+        for (int i = 0; i < requests; i++) {
+            quotas.ask(NOW, tenant, 10, 5);
+        }
+    }
+
+    @Test
+    void messagesAreTheSame() throws InterruptedException {
+        on(() -> proxy.seeds(Set.of(address)));
+        take(3);
+        controllerSends(WELCOME, new byte[0]);
+        take(1);
+        on(() -> {
+            askFor("acme", 3);
+            proxy.tellAsked();
+            proxy.tick();
+        });
+        take(3);
+        readsItems();
+        readsServersAndFollowsOnFromThere();
+        Golden.assertSame("messages/proxy-to-controller.txt", lines);
+    }
+
+    private void readsItems() {
+        controllerSends(ITEMS, Bales.pack(List.of(new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)))).get(0));
+        controllerSends("{\"t\":\"roster\",\"life\":900,\"place\":3,\"whole\":true,\"berths\":["
+                + new String(Scribe.bytes(REGISTRATION.toMap(NOW)), StandardCharsets.UTF_8)
+                + "],\"gone\":[]}", new byte[0]);
+    }
+
+    /** After the connection is lost, the proxy asks for what came after the place that it was told. */
+    private void readsServersAndFollowsOnFromThere() throws InterruptedException {
+        on(() -> controllerSide.close());
+        take(3);
+        on(() -> {
+            assertThat(following.stamp()).isEqualTo(Ballot.of("5@10.0.0.2:7"));
+            assertThat(following.manifest().items()).hasSize(1);
+            assertThat(proxy.control(address)).isEqualTo("10.0.0.1:9");
+        });
+    }
+}
--- a/src/test/java/larkbank/testkit/CopiesWorld.java
+++ b/src/test/java/larkbank/testkit/CopiesWorld.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import larkbank.copies.Change;
 import larkbank.copies.Copies;
 import larkbank.copies.CopiesPlan;
@@ -76,6 +77,8 @@
     private long lives;
     /** How much the clocks of harbours that start from here on are behind. */
     public long behind;
+    /** Hears of each message that is sent, whether it comes or not. */
+    public Consumer<Map<String, Object>> sent = message -> { };
     /** Whom what is sent is weighed for, and how much it was. */
     public String weighed;
     public long bytes;
@@ -250,6 +253,7 @@
         if (!String.valueOf(message.get("t")).startsWith("copies.")) {
             throw new AssertionError(message.toString());
         }
+        sent.accept(send.message());
         if (message.get("t").equals("copies.prepare")) {
             rounds.add(String.valueOf(message.get("b")));
         }
