--- /dev/null
+++ b/src/test/java/larkbank/membership/GoldenRingsTest.java
@@ -0,0 +1,64 @@
+package larkbank.membership;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+import larkbank.golden.Golden;
+import org.junit.jupiter.api.Test;
+
+/** Who watches whom, and the digests of entries: every process has to count them alike. */
+class GoldenRingsTest {
+
+    private static final int MEMBERS = 20;
+    private static final long LIFE = 0x1234_5678_9ABCL;
+    private static final long RELEASE_MICROS = 1_000;
+
+    private static List<String> names(int count) {
+        return IntStream.range(0, count).mapToObj(i -> "proxy-" + i).toList();
+    }
+
+    @Test
+    void watchersAreTheSame() {
+        Rings rings = new Rings(names(MEMBERS));
+        List<String> lines = new ArrayList<>();
+        for (String name : names(MEMBERS + 4)) {
+            lines.add(name + " " + String.join(" ", rings.around(name)));
+        }
+        Golden.assertSame("hashes/watchers.txt", lines);
+    }
+
+    @Test
+    void digestsOfEntriesAreTheSame() {
+        Peer peer = new Peer("proxy-1", LIFE, 0, 3, new InetSocketAddress("10.0.0.1", 1));
+        List<String> digests = Stream.of(Standing.values())
+                .map(standing -> Long.toHexString(new Entry(peer, standing, 5, Map.of(), 0).hash())).toList();
+        Golden.assertSame("hashes/entry-digests.txt", digests);
+        assertThat(Standing.values()).hasSize(digests.size());
+    }
+
+    /** Compared between processes, as a whole and by parts. */
+    @Test
+    void digestsOfARosterAreTheSame() {
+        Roster roster = new Roster();
+        for (String name : names(MEMBERS)) {
+            Peer peer = new Peer(name, LIFE, 0, 1, new InetSocketAddress("10.0.0.1", 1));
+            roster.put(0, new Entry(peer, Standing.MEMBER, 0, Map.of(), 0), true);
+        }
+        Golden.assertSame("hashes/roster-digests.txt", List.of("entries " + Long.toHexString(roster.digest()),
+                "view " + Long.toHexString(roster.fingerprint()), "parts " + roster.buckets()));
+    }
+
+    /** Electors tell it to those whom they count. */
+    @Test
+    void digestOfCountedProcessesIsTheSame() {
+        Elector elector = new Elector(0, RELEASE_MICROS, MEMBERS);
+        elector.ask(RELEASE_MICROS, "proxy-1/1f");
+        Elector.Grant grant = elector.ask(RELEASE_MICROS, "proxy-2/20");
+        Golden.assertSame("hashes/counted-digest.txt", List.of(grant.count() + " " + grant.digest()));
+    }
+}
