--- a/tools/StandIn.java
+++ b/tools/StandIn.java
@@ -12,7 +12,8 @@
 
 /**
  * A stand-in for an application server: java tools/StandIn.java ADDRESS PILOT ID SERVICE. It answers every
- * request on ADDRESS with its ID, and beats to the pilot's controlPlane address PILOT until it is ended.
+ * request on ADDRESS with its ID, prints a line for each, and beats to the pilot's controlPlane address PILOT
+ * until it is ended.
  */
 public final class StandIn {
 
@@ -31,6 +32,7 @@
         server.setExecutor(Executors.newFixedThreadPool(4));
         server.createContext("/", exchange -> {
             exchange.getRequestBody().readAllBytes();
+            System.out.println("served " + exchange.getRequestMethod() + " " + exchange.getRequestURI());
             byte[] body = (args[2] + " has served " + exchange.getRequestMethod() + " "
                     + exchange.getRequestURI() + "\n").getBytes(StandardCharsets.UTF_8);
             // An answer repeats the id of its request, and a good one has a seal: else it may be another's.
