--- a/src/main/java/larkbank/cell/CellsPlan.java
+++ b/src/main/java/larkbank/cell/CellsPlan.java
@@ -17,15 +17,32 @@
  * @param guestWrites whether requests that must never run twice may be guests too
  * @param quarantine null where heavy units stay where they are
  */
-public record CellsPlan(Unit unit, String header, List<Cell> cells, Spread spread, long keepMicros,
-        Map<Long, Integer> assigned, List<MovePlan> moves, long windowMicros, long patienceMicros,
-        double guests, boolean guestWrites, Quarantine quarantine) {
+public record CellsPlan(
+        Unit unit,
+        String header,
+        List<Cell> cells,
+        Spread spread,
+        long keepMicros,
+        Map<Long, Integer> assigned,
+        List<MovePlan> moves,
+        long windowMicros,
+        long patienceMicros,
+        double guests,
+        boolean guestWrites,
+        Quarantine quarantine) {
 
     /** What stays together in one cell. */
-    public enum Unit { TENANT, KEY, HEADER }
+    public enum Unit {
+        TENANT,
+        KEY,
+        HEADER
+    }
 
     /** What is dealt out to the cells. */
-    public enum Spread { SERVER, GROUP }
+    public enum Spread {
+        SERVER,
+        GROUP
+    }
 
     /**
      * When a unit that floods a sick cell is moved away by itself.
@@ -34,18 +51,31 @@
      * @param share of its cell's time in hand from which a unit is heavy; above 0, at most 1
      * @param forMicros how long it stays there at first; doubled each time it comes again, up to eight times
      */
-    public record Quarantine(int cell, double share, long forMicros) { }
+    public record Quarantine(int cell, double share, long forMicros) {}
 
     /** The same with what the classes of the pool's routes say. */
     public CellsPlan with(long window, long patience) {
-        return new CellsPlan(unit, header, cells, spread, keepMicros, assigned, moves, window, patience,
-                guests, guestWrites, quarantine);
+        return new CellsPlan(
+                unit,
+                header,
+                cells,
+                spread,
+                keepMicros,
+                assigned,
+                moves,
+                window,
+                patience,
+                guests,
+                guestWrites,
+                quarantine);
     }
 
     /** A cell's part of what the whole pool may have; 1 at least. */
     public int part(int cell, int all) {
         double sum = cells.stream().mapToDouble(Cell::share).sum();
-        return all == Integer.MAX_VALUE ? all : Math.max(1, (int) (all * cells.get(cell).share() / sum));
+        return all == Integer.MAX_VALUE
+                ? all
+                : Math.max(1, (int) (all * cells.get(cell).share() / sum));
     }
 
     /** The place of a cell, or -1. */
--- a/src/main/java/larkbank/cell/Floods.java
+++ b/src/main/java/larkbank/cell/Floods.java
@@ -11,6 +11,7 @@
 
     /** For how long a cell must be sick before a unit is set apart; units that may be so at once. */
     static final long PATIENCE = 3_000_000;
+
     static final int MOST = 4;
     /** Stays that double the time of the next. */
     private static final int DOUBLINGS = 3;
@@ -47,7 +48,9 @@
         List.copyOf(apart.entrySet()).forEach(e -> comeBack(now, q, e.getKey(), e.getValue()));
         for (int c = 0; c < cells.plan().cells().size(); c++) {
             CellHealth health = cells.state(c).health;
-            if (health.sick() && now - health.sickAt() >= PATIENCE && c != q.cell()
+            if (health.sick()
+                    && now - health.sickAt() >= PATIENCE
+                    && c != q.cell()
                     && apart.values().stream().filter(a -> a.away).count() < MOST) {
                 setApart(now, q, c);
             }
@@ -57,15 +60,18 @@
     private void setApart(long now, Quarantine q, int cell) {
         CellState state = cells.state(cell);
         long unit = state.lately.heaviest();
-        if (unit < 0 || !state.floods(unit, q.share()) || cells.move(unit) != null || cells.home(unit) != cell
-                || cells.plan().assigned().containsKey(unit) || !cells.isOpen(q.cell())) {
+        if (unit < 0
+                || !state.floods(unit, q.share())
+                || cells.move(unit) != null
+                || cells.home(unit) != cell
+                || cells.plan().assigned().containsKey(unit)
+                || !cells.isOpen(q.cell())) {
             return;
         }
         Apart a = apart.computeIfAbsent(unit, u -> new Apart());
         a.away = true;
         a.until = now + (q.forMicros() << Math.min(a.times++, DOUBLINGS));
-        String label = String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit,
-                100 * state.lately.share(unit));
+        String label = String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit, 100 * state.lately.share(unit));
         cells.begin(now, new MovePlan("quarantine", unit, label, q.cell(), now, 0, 0, 0), cell, true);
     }
 
@@ -78,8 +84,19 @@
             }
         } else if (a.away && now >= a.until && m.over()) {
             a.away = false;
-            cells.begin(now, new MovePlan("return", unit, String.format(Locale.ROOT, "unit %x", unit),
-                    cells.home(unit), now, 0, 0, 0), m.home(), true);
+            cells.begin(
+                    now,
+                    new MovePlan(
+                            "return",
+                            unit,
+                            String.format(Locale.ROOT, "unit %x", unit),
+                            cells.home(unit),
+                            now,
+                            0,
+                            0,
+                            0),
+                    m.home(),
+                    true);
         } else if (!a.away && m.over()) {
             cells.settle(unit);
         }
--- a/src/main/java/larkbank/cell/HeavyUnits.java
+++ b/src/main/java/larkbank/cell/HeavyUnits.java
@@ -19,6 +19,7 @@
     private final double[] weights;
     /** What each may have taken over from the one before it in its place. */
     private final double[] errors;
+
     private final double halfLifeMicros;
     private int used;
     private double total;
--- a/src/main/java/larkbank/cell/MovePlan.java
+++ b/src/main/java/larkbank/cell/MovePlan.java
@@ -14,8 +14,15 @@
  * @param freezeMicros for how long, from the end of the ramp on, all sidecars refuse its writes, so that
  *        none is at both cells whoever sent it; 0 for no freeze
  */
-public record MovePlan(String name, long unit, String label, int to, long startMicros, long overMicros,
-        long fenceMicros, long freezeMicros) {
+public record MovePlan(
+        String name,
+        long unit,
+        String label,
+        int to,
+        long startMicros,
+        long overMicros,
+        long fenceMicros,
+        long freezeMicros) {
 
     /** When a freeze begins. */
     long freezeAt() {
--- a/src/main/java/larkbank/cell/Moving.java
+++ b/src/main/java/larkbank/cell/Moving.java
@@ -14,18 +14,28 @@
     /**
      * WAITING for its time; RAMPING safe requests; writes held by a fence or refused by a freeze; repeats.
      */
-    enum State { WAITING, RAMPING, SWITCHING, FROZEN, SETTLING, DONE, GIVEN_UP }
+    enum State {
+        WAITING,
+        RAMPING,
+        SWITCHING,
+        FROZEN,
+        SETTLING,
+        DONE,
+        GIVEN_UP
+    }
 
     /** Steps back, and fences in vain, after which it is given up. */
     static final int TRIES = 6;
     /** First wait before it begins again; doubled each time. */
     static final long BACK_OFF = 5_000_000;
+
     private static final long RAMP_SALT = 0xA3;
 
     final MovePlan plan;
     final int from;
     /** Not ordered by operators: a quarantine, or the way back from it. */
     final boolean automatic;
+
     private final long windowMicros;
     /** Until then writes from before this process may run at the old cell. */
     private final long blindUntil;
@@ -33,6 +43,7 @@
     private final long watchedSince;
     /** When a freeze ends; later where this process learned of it when it had begun. */
     private final long frozenUntil;
+
     private State state = State.WAITING;
     private long beganAt;
     private long fenceUntil;
@@ -83,8 +94,7 @@
     double part(long now) {
         return switch (state) {
             case WAITING, GIVEN_UP -> 0;
-            case RAMPING -> plan.overMicros() == 0 ? 1
-                    : Math.min(1, (now - beganAt) / (double) plan.overMicros());
+            case RAMPING -> plan.overMicros() == 0 ? 1 : Math.min(1, (now - beganAt) / (double) plan.overMicros());
             default -> 1;
         };
     }
@@ -153,7 +163,7 @@
                     state = State.DONE;
                 }
             }
-            default -> { }
+            default -> {}
         }
         return state != before;
     }
--- a/src/main/java/larkbank/cell/Parting.java
+++ b/src/main/java/larkbank/cell/Parting.java
@@ -25,7 +25,7 @@
     private static final long ORDER_SALT = 0x0DE1;
 
     /** A change of the cell of a server that stays. */
-    public record Moved(long server, int from, int to) { }
+    public record Moved(long server, int from, int to) {}
 
     /** What is dealt out as one: a server, or a group of them. */
     private static final class Place {
@@ -35,6 +35,7 @@
         final byte[] ranking;
         /** Servers of it on the list; when the last went, if none is. */
         int servers;
+
         long goneAt;
         int cell = -1;
 
@@ -167,8 +168,7 @@
         if (place == null) {
             place = new Place(key(s), zone(s), ranking(key(s)));
             places.put(place.id, place);
-            zones.computeIfAbsent(place.zone, z -> new TreeMap<>())
-                    .put(new Order(place.order, place.id), place);
+            zones.computeIfAbsent(place.zone, z -> new TreeMap<>()).put(new Order(place.order, place.id), place);
         } else if (place.servers == 0) {
             kept--;
         }
@@ -189,7 +189,8 @@
             return false;
         }
         List<Place> over = places.values().stream()
-                .filter(p -> p.servers == 0 && now - p.goneAt >= keepMicros).toList();
+                .filter(p -> p.servers == 0 && now - p.goneAt >= keepMicros)
+                .toList();
         over.forEach(this::drop);
         return !over.isEmpty();
     }
--- a/src/main/java/larkbank/cell/Repeats.java
+++ b/src/main/java/larkbank/cell/Repeats.java
@@ -11,7 +11,7 @@
  */
 final class Repeats {
 
-    private record Seen(long token, long at) { }
+    private record Seen(long token, long at) {}
 
     private static final class Entry {
         private final int cell;
@@ -27,6 +27,7 @@
     private final Map<Long, Entry> byToken = new HashMap<>();
     /** In the order of use; a token that was used again stands in it more than once. */
     private final ArrayDeque<Seen> order = new ArrayDeque<>();
+
     private long completeSince;
 
     /** @param most tokens that are remembered; the order holds twice as many uses */
--- a/src/main/java/larkbank/chart/Bales.java
+++ b/src/main/java/larkbank/chart/Bales.java
@@ -18,7 +18,7 @@
     private static final int PIECE = 250;
     private static final int MOST = 64 * 1024 * 1024;
 
-    private Bales() { }
+    private Bales() {}
 
     /** One piece at least. */
     public static List<byte[]> pack(List<Item> items) {
--- a/src/main/java/larkbank/chart/Editions.java
+++ b/src/main/java/larkbank/chart/Editions.java
@@ -20,16 +20,17 @@
 
     private static final int MOST = 64;
 
-    private record Step(Ballot from, Collection<Item> changed) { }
+    private record Step(Ballot from, Collection<Item> changed) {}
 
     /** What brings somebody to the newest state: the whole, or what has changed since a stamp. */
-    public record News(boolean whole, List<byte[]> pieces) { }
+    public record News(boolean whole, List<byte[]> pieces) {}
 
     private Ballot stamp = Ballot.ZERO;
     private Manifest manifest = Manifest.EMPTY;
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
     /** Made once for all who stand at the same place. */
     private final Map<Ballot, News> news = new HashMap<>();
+
     private News whole;
 
     public Ballot stamp() {
--- a/src/main/java/larkbank/cli/CheckCommand.java
+++ b/src/main/java/larkbank/cli/CheckCommand.java
@@ -5,8 +5,11 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code check FILE}: says what is wrong with an operators' file. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "check", description = "Check an operators' file: exit status 0, or 2 with all reasons.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "check",
+        description = "Check an operators' file: exit status 0, or 2 with all reasons.")
 final class CheckCommand implements Callable<Integer> {
 
     @Mixin
--- a/src/main/java/larkbank/cli/CommandLineTool.java
+++ b/src/main/java/larkbank/cli/CommandLineTool.java
@@ -5,20 +5,33 @@
 import picocli.CommandLine.HelpCommand;
 
 /** The command line: what takes more than one word. One class a command. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "larkbank", description = "A client-side load balancer.", synopsisSubcommandLabel = "COMMAND",
-        subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, LabCommand.class,
-                PluginCommand.class, MembersCommand.class, LeaseCommand.class,
-                HelpCommand.class})
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "larkbank",
+        description = "A client-side load balancer.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            ServeCommand.class,
+            CheckCommand.class,
+            ExplainCommand.class,
+            LabCommand.class,
+            PluginCommand.class,
+            MembersCommand.class,
+            LeaseCommand.class,
+            HelpCommand.class
+        })
 public final class CommandLineTool {
 
     /** Exit status of a bad file or a bad command line. */
     static final int BAD = 2;
 
-    CommandLineTool() { }
+    CommandLineTool() {}
 
     /** Runs a command; the exit status. */
     public static int run(String[] args) {
-        return new CommandLine(new CommandLineTool()).setExitCodeExceptionMapper(e -> 1).execute(args);
+        return new CommandLine(new CommandLineTool())
+                .setExitCodeExceptionMapper(e -> 1)
+                .execute(args);
     }
 }
--- a/src/main/java/larkbank/cli/DoorCommand.java
+++ b/src/main/java/larkbank/cli/DoorCommand.java
@@ -14,7 +14,10 @@
     @Spec
     private CommandSpec command;
 
-    @Option(names = "--door", paramLabel = "ADDRESS", required = true,
+    @Option(
+            names = "--door",
+            paramLabel = "ADDRESS",
+            required = true,
             description = "the sidecar's operators' door, address:port")
     private String door;
 
--- a/src/main/java/larkbank/cli/ExplainCommand.java
+++ b/src/main/java/larkbank/cli/ExplainCommand.java
@@ -12,8 +12,11 @@
 import picocli.CommandLine.Spec;
 
 /** {@code explain FILE}: what is in force, or what happens to one request. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "explain", description = "Say what is in force and where each value comes from.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "explain",
+        description = "Say what is in force and where each value comes from.")
 final class ExplainCommand implements Callable<Integer> {
 
     @Spec
@@ -22,7 +25,9 @@
     @Mixin
     private Installed installed;
 
-    @Option(names = "--request", paramLabel = "'METHOD TARGET'",
+    @Option(
+            names = "--request",
+            paramLabel = "'METHOD TARGET'",
             description = "the request to explain, such as 'GET http://host/path'")
     private String request;
 
@@ -52,8 +57,11 @@
             return bad(e.getMessage());
         }
         try {
-            out.print(Explain.request(operators, request.trim().substring(0, space),
-                    request.trim().substring(space + 1).trim(), fields));
+            out.print(Explain.request(
+                    operators,
+                    request.trim().substring(0, space),
+                    request.trim().substring(space + 1).trim(),
+                    fields));
             out.flush();
             return 0;
         } catch (BadTarget e) {
--- a/src/main/java/larkbank/cli/HeaderOptions.java
+++ b/src/main/java/larkbank/cli/HeaderOptions.java
@@ -22,12 +22,13 @@
         for (String header : headers) {
             int colon = header.indexOf(':');
             if (colon < 1) {
-                throw new IllegalArgumentException("-H takes a name and a value, such as 'Tenant: acme',"
-                        + " not '"
-                        + header + "'");
+                throw new IllegalArgumentException(
+                        "-H takes a name and a value, such as 'Tenant: acme'," + " not '" + header + "'");
             }
-            fields.merge(header.substring(0, colon).toLowerCase(Locale.ROOT),
-                    header.substring(colon + 1).trim(), (a, b) -> a + ", " + b);
+            fields.merge(
+                    header.substring(0, colon).toLowerCase(Locale.ROOT),
+                    header.substring(colon + 1).trim(),
+                    (a, b) -> a + ", " + b);
         }
         return fields;
     }
--- a/src/main/java/larkbank/cli/Installed.java
+++ b/src/main/java/larkbank/cli/Installed.java
@@ -25,7 +25,9 @@
     @Parameters(paramLabel = "FILE", description = "the operators' file")
     private Path file;
 
-    @Option(names = "--config", paramLabel = "CONFIG",
+    @Option(
+            names = "--config",
+            paramLabel = "CONFIG",
             description = "the sidecar's configuration, whose settings hold (default: LB_CONFIG; without"
                     + " either, what needs no settings is looked at)")
     private Path config;
@@ -34,11 +36,15 @@
         if (!environment.getOrDefault("LB_CONFIG", "").isEmpty()) {
             return Installation.facts(environment);
         }
-        command.commandLine().getErr().println("larkbank: without settings (--config or LB_CONFIG) these"
-                + " were not looked at: " + AssumedFacts.NOT_LOOKED_AT);
+        command.commandLine()
+                .getErr()
+                .println("larkbank: without settings (--config or LB_CONFIG) these" + " were not looked at: "
+                        + AssumedFacts.NOT_LOOKED_AT);
         // What can't be read is said when it is loaded.
-        return AssumedFacts.of(Files.isReadable(file) && !Files.isDirectory(file)
-                ? new String(Files.readAllBytes(file), StandardCharsets.UTF_8) : "");
+        return AssumedFacts.of(
+                Files.isReadable(file) && !Files.isDirectory(file)
+                        ? new String(Files.readAllBytes(file), StandardCharsets.UTF_8)
+                        : "");
     }
 
     /** Reads and checks; says on standard error what is wrong, and then gives null. */
--- a/src/main/java/larkbank/cli/LabCellsCommand.java
+++ b/src/main/java/larkbank/cli/LabCellsCommand.java
@@ -15,9 +15,11 @@
 /**
  * {@code lab cells}: plays a fleet in made-up time, with the real decisions, once for each number of cells.
  */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "cells", description = "Play a fleet that meets harm: how far it reaches with so many"
-        + " cells.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "cells",
+        description = "Play a fleet that meets harm: how far it reaches with so many" + " cells.")
 final class LabCellsCommand implements Callable<Integer> {
 
     @Spec
@@ -29,46 +31,57 @@
     @Option(names = "--sidecars", description = "sidecars (default ${DEFAULT-VALUE})", defaultValue = "6")
     private int sidecars;
 
-    @Option(names = "--units", description = "accounts that ask (default ${DEFAULT-VALUE})",
-            defaultValue = "2000")
+    @Option(names = "--units", description = "accounts that ask (default ${DEFAULT-VALUE})", defaultValue = "2000")
     private int units;
 
-    @Option(names = "--skew", description = "exponent of Zipf's law of what they ask (default"
-            + " ${DEFAULT-VALUE})",
+    @Option(
+            names = "--skew",
+            description = "exponent of Zipf's law of what they ask (default" + " ${DEFAULT-VALUE})",
             defaultValue = "0.6")
     private double skew;
 
-    @Option(names = "--load", description = "part of the cores in use before the harm (default"
-            + " ${DEFAULT-VALUE})",
+    @Option(
+            names = "--load",
+            description = "part of the cores in use before the harm (default" + " ${DEFAULT-VALUE})",
             defaultValue = "0.6")
     private double load;
 
-    @Option(names = "--cells", split = ",", description = "numbers of cells to play; 1 for none (default"
-            + " ${DEFAULT-VALUE})", defaultValue = "1,4,12")
+    @Option(
+            names = "--cells",
+            split = ",",
+            description = "numbers of cells to play; 1 for none (default" + " ${DEFAULT-VALUE})",
+            defaultValue = "1,4,12")
     private List<Integer> cells;
 
-    @Option(names = "--guests", description = "part of a cell for guests (default ${DEFAULT-VALUE})",
+    @Option(
+            names = "--guests",
+            description = "part of a cell for guests (default ${DEFAULT-VALUE})",
             defaultValue = "0")
     private double guests;
 
-    @Option(names = "--quarantine", description = "reserve a twentieth of the servers for units that"
-            + " flood")
+    @Option(names = "--quarantine", description = "reserve a twentieth of the servers for units that" + " flood")
     private boolean quarantine;
 
-    @Option(names = "--harm", description = "${COMPLETION-CANDIDATES} (default ${DEFAULT-VALUE})",
+    @Option(
+            names = "--harm",
+            description = "${COMPLETION-CANDIDATES} (default ${DEFAULT-VALUE})",
             defaultValue = "FLOOD")
     private Harm harm;
 
-    @Option(names = "--size", description = "part of the traffic that floods, or of the servers"
-            + " that turn slow (default ${DEFAULT-VALUE})", defaultValue = "0.24")
+    @Option(
+            names = "--size",
+            description =
+                    "part of the traffic that floods, or of the servers" + " that turn slow (default ${DEFAULT-VALUE})",
+            defaultValue = "0.24")
     private double size;
 
-    @Option(names = "--seconds", description = "of the run; the harm begins after a third (default"
-            + " ${DEFAULT-VALUE})", defaultValue = "60")
+    @Option(
+            names = "--seconds",
+            description = "of the run; the harm begins after a third (default" + " ${DEFAULT-VALUE})",
+            defaultValue = "60")
     private int seconds;
 
-    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})",
-            defaultValue = "1")
+    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})", defaultValue = "1")
     private long seed;
 
     @Override
@@ -79,15 +92,36 @@
         for (int count : cells) {
             Report r;
             try {
-                r = Laboratory.play(new Scenario(servers, sidecars, units, skew, load, count, guests,
-                        quarantine && count > 1, harm, size, seconds, seed));
+                r = Laboratory.play(new Scenario(
+                        servers,
+                        sidecars,
+                        units,
+                        skew,
+                        load,
+                        count,
+                        guests,
+                        quarantine && count > 1,
+                        harm,
+                        size,
+                        seconds,
+                        seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("larkbank: " + e.getMessage());
                 return CommandLineTool.BAD;
             }
-            out.println(String.format(Locale.ROOT, "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d", count,
-                    r.inTimeBefore(), r.inTimeWith(), r.worthBefore(), r.worthWith(), r.noticed(), r.asked(),
-                    r.unanswered(), r.twice(), r.both()));
+            out.println(String.format(
+                    Locale.ROOT,
+                    "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d",
+                    count,
+                    r.inTimeBefore(),
+                    r.inTimeWith(),
+                    r.worthBefore(),
+                    r.worthWith(),
+                    r.noticed(),
+                    r.asked(),
+                    r.unanswered(),
+                    r.twice(),
+                    r.both()));
             out.flush();
         }
         return 0;
--- a/src/main/java/larkbank/cli/LabQuietCommand.java
+++ b/src/main/java/larkbank/cli/LabQuietCommand.java
@@ -11,40 +11,44 @@
 import picocli.CommandLine.Spec;
 
 /** {@code lab quiet}: plays thousands of quiet instances, once with a watch and once at a rate of calls. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "quiet", description = "Play thousands of quiet instances: what they ask of discovery and of"
-        + " a cold server.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "quiet",
+        description = "Play thousands of quiet instances: what they ask of discovery and of" + " a cold server.")
 final class LabQuietCommand implements Callable<Integer> {
 
     @Spec
     private CommandSpec command;
 
-    @Option(names = "--instances", description = "instances (default ${DEFAULT-VALUE})",
-            defaultValue = "3000")
+    @Option(names = "--instances", description = "instances (default ${DEFAULT-VALUE})", defaultValue = "3000")
     private int instances;
 
     @Option(names = "--servers", description = "servers (default ${DEFAULT-VALUE})", defaultValue = "60")
     private int servers;
 
-    @Option(names = "--per-minute", description = "requests of one instance (default ${DEFAULT-VALUE})",
+    @Option(
+            names = "--per-minute",
+            description = "requests of one instance (default ${DEFAULT-VALUE})",
             defaultValue = "6")
     private double perMinute;
 
-    @Option(names = "--list-rate", description = "calls for the list a second by all (default"
-            + " ${DEFAULT-VALUE})",
+    @Option(
+            names = "--list-rate",
+            description = "calls for the list a second by all (default" + " ${DEFAULT-VALUE})",
             defaultValue = "400")
     private double listRate;
 
-    @Option(names = "--changes", description = "changes of the list a minute beside (default"
-            + " ${DEFAULT-VALUE})",
+    @Option(
+            names = "--changes",
+            description = "changes of the list a minute beside (default" + " ${DEFAULT-VALUE})",
             defaultValue = "30")
     private double changes;
 
     @Option(names = "--seconds", description = "of the run (default ${DEFAULT-VALUE})", defaultValue = "90")
     private int seconds;
 
-    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})",
-            defaultValue = "1")
+    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})", defaultValue = "1")
     private long seed;
 
     @Override
@@ -54,16 +58,23 @@
         for (double rate : new double[] {0, listRate}) {
             QuietReport r;
             try {
-                r = QuietLaboratory.play(new QuietScenario(instances, servers, perMinute, rate, changes,
-                        seconds,
-                        seed));
+                r = QuietLaboratory.play(
+                        new QuietScenario(instances, servers, perMinute, rate, changes, seconds, seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("larkbank: " + e.getMessage());
                 return CommandLineTool.BAD;
             }
-            out.println(String.format(Locale.ROOT, "%s\t%d\t%d\t%d\t%.2f\t%d\t%.3f\t%d", rate == 0 ? "watch"
-                    : String.valueOf(rate), r.calls(), r.callsPeak(), r.listed(), r.coldPeak(), r.coldFirst(),
-                    r.inTime(), r.unanswered()));
+            out.println(String.format(
+                    Locale.ROOT,
+                    "%s\t%d\t%d\t%d\t%.2f\t%d\t%.3f\t%d",
+                    rate == 0 ? "watch" : String.valueOf(rate),
+                    r.calls(),
+                    r.callsPeak(),
+                    r.listed(),
+                    r.coldPeak(),
+                    r.coldFirst(),
+                    r.inTime(),
+                    r.unanswered()));
             out.flush();
         }
         return 0;
--- a/src/main/java/larkbank/cli/LeaseCommand.java
+++ b/src/main/java/larkbank/cli/LeaseCommand.java
@@ -4,10 +4,14 @@
 import picocli.CommandLine.HelpCommand;
 
 /** {@code lease}: what is done with leases of the whole fleet. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "lease", description = "Leases for tasks of the whole fleet.",
-        synopsisSubcommandLabel = "COMMAND", subcommands = {LeaseRunCommand.class, HelpCommand.class})
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "lease",
+        description = "Leases for tasks of the whole fleet.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {LeaseRunCommand.class, HelpCommand.class})
 final class LeaseCommand {
 
-    LeaseCommand() { }
+    LeaseCommand() {}
 }
--- a/src/main/java/larkbank/cli/LeaseRunCommand.java
+++ b/src/main/java/larkbank/cli/LeaseRunCommand.java
@@ -10,10 +10,13 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lease run --door ADDRESS NAME -- COMMAND...}: a command that runs only while a lease is held. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "run", description = "Run a command while the sidecar holds a lease, and end it before the"
-        + " lease is over. Exit status: the command's own; 73 where the lease is not held, 74 where it was"
-        + " lost and the command was ended, 1 where the sidecar can't be asked, 2 for a bad command line.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "run",
+        description = "Run a command while the sidecar holds a lease, and end it before the"
+                + " lease is over. Exit status: the command's own; 73 where the lease is not held, 74 where it was"
+                + " lost and the command was ended, 1 where the sidecar can't be asked, 2 for a bad command line.")
 final class LeaseRunCommand extends DoorCommand {
 
     static final int NOT_HELD = 73;
@@ -22,6 +25,7 @@
     private static final int PATIENCE_MILLIS = 500;
     /** From the request to end to the end by force, and from that to the end of what was promised. */
     private static final long STOP_MILLIS = 500;
+
     private static final long SPARE_MILLIS = 200;
 
     @Option(names = "--wait", description = "wait until the lease is held, however long that takes")
@@ -125,10 +129,13 @@
     private Answer ask(InetSocketAddress address) throws IOException {
         long asked = System.nanoTime();
         try {
-            String text = new Door(address, PATIENCE_MILLIS).ask("LEASE " + name).strip();
+            String text =
+                    new Door(address, PATIENCE_MILLIS).ask("LEASE " + name).strip();
             String[] parts = text.split(" ");
             boolean held = parts.length == 3 && parts[0].equals("YES");
-            return new Answer(text, held ? Long.parseLong(parts[1]) : 0,
+            return new Answer(
+                    text,
+                    held ? Long.parseLong(parts[1]) : 0,
                     held ? asked + Long.parseLong(parts[2]) * 1_000_000 : asked);
         } catch (NumberFormatException e) {
             throw new IOException("no answer of a door", e);
--- a/src/main/java/larkbank/cli/MembersCommand.java
+++ b/src/main/java/larkbank/cli/MembersCommand.java
@@ -13,9 +13,12 @@
 import picocli.CommandLine.Option;
 
 /** {@code members --door ADDRESS}: who is there, as one sidecar sees it. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "members", description = "Print the members of a fleet as one sidecar sees them: exit status"
-        + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "members",
+        description = "Print the members of a fleet as one sidecar sees them: exit status"
+                + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
 final class MembersCommand extends DoorCommand {
 
     private static final int PATIENCE_MILLIS = 2_000;
@@ -55,27 +58,42 @@
 
     private void table(Map<?, ?> m) {
         PrintWriter out = commandLine().getOut();
-        out.println("as " + m.get("self") + " sees it, incarnation " + m.get("incarnation") + ": "
-                + m.get("live") + " live");
+        out.println("as " + m.get("self") + " sees it, incarnation " + m.get("incarnation") + ": " + m.get("live")
+                + " live");
         if (m.get("share") instanceof Map<?, ?> share) {
             out.println("it may use " + share.get("part") + " of what all share, "
-                    + (Boolean.TRUE.equals(share.get("claims")) ? "as one of " + share.get("count")
-                    : "the floor: most electors have not counted it for long enough"));
+                    + (Boolean.TRUE.equals(share.get("claims"))
+                            ? "as one of " + share.get("count")
+                            : "the floor: most electors have not counted it for long enough"));
         }
         out.println(row("NAME", "STATE", "INC", "ADDRESS", "FRONT", "SERVES", "LOAD"));
         Map<?, ?> details = Json.object(m, "details");
         for (Map.Entry<?, ?> e : Json.object(m, "members").entrySet()) {
             Map<?, ?> d = Json.object(details, String.valueOf(e.getKey()));
-            out.println(row(e.getKey(), e.getValue(), d.get("incarnation"), d.get("address"), d.get("front"),
-                    d.get("state"), d.get("load")));
+            out.println(row(
+                    e.getKey(),
+                    e.getValue(),
+                    d.get("incarnation"),
+                    d.get("address"),
+                    d.get("front"),
+                    d.get("state"),
+                    d.get("load")));
         }
         out.flush();
     }
 
-    private static String row(Object name, Object state, Object incarnation, Object address, Object front,
-            Object serves, Object load) {
-        return String.format(Locale.ROOT, "%-20s %-11s %4s %-21s %-21s %-9s %s", name, state, incarnation,
-                address, front == null ? "-" : front, serves == null ? "-" : serves,
-                load == null ? "-" : load).stripTrailing();
+    private static String row(
+            Object name, Object state, Object incarnation, Object address, Object front, Object serves, Object load) {
+        return String.format(
+                        Locale.ROOT,
+                        "%-20s %-11s %4s %-21s %-21s %-9s %s",
+                        name,
+                        state,
+                        incarnation,
+                        address,
+                        front == null ? "-" : front,
+                        serves == null ? "-" : serves,
+                        load == null ? "-" : load)
+                .stripTrailing();
     }
 }
--- a/src/main/java/larkbank/cli/PluginCheckCommand.java
+++ b/src/main/java/larkbank/cli/PluginCheckCommand.java
@@ -10,8 +10,11 @@
 import picocli.CommandLine.Mixin;
 
 /** {@code plugin check FILE}: whether a module is a plug-in that this program can run. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "check", description = "Compile and start a module; exit status 0, or 2 with the reason.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "check",
+        description = "Compile and start a module; exit status 0, or 2 with the reason.")
 final class PluginCheckCommand implements Callable<Integer> {
 
     @Mixin
@@ -23,11 +26,11 @@
         if (module == null) {
             return CommandLineTool.BAD;
         }
-        try (PluginHost host = new PluginHost(file.plan(module, new PluginGrant(Set.of(), Set.of(),
-                Set.of(), false),
-                Map.of()), Runnable::run)) {
-            file.out().println(host.plan().name() + ": a plug-in for version 1 of the hook; it may ask for: "
-                    + String.join(" ", host.imports()));
+        try (PluginHost host = new PluginHost(
+                file.plan(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false), Map.of()), Runnable::run)) {
+            file.out()
+                    .println(host.plan().name() + ": a plug-in for version 1 of the hook; it may ask for: "
+                            + String.join(" ", host.imports()));
             return 0;
         } catch (BadPlugin e) {
             return file.bad(e.getMessage());
--- a/src/main/java/larkbank/cli/PluginCommand.java
+++ b/src/main/java/larkbank/cli/PluginCommand.java
@@ -4,7 +4,11 @@
 import picocli.CommandLine.HelpCommand;
 
 /** {@code plugin}: for those who write plug-ins. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "plugin", description = "Check and try plug-ins.", synopsisSubcommandLabel = "COMMAND",
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "plugin",
+        description = "Check and try plug-ins.",
+        synopsisSubcommandLabel = "COMMAND",
         subcommands = {PluginCheckCommand.class, PluginRunCommand.class, HelpCommand.class})
-final class PluginCommand { }
+final class PluginCommand {}
--- a/src/main/java/larkbank/cli/PluginFile.java
+++ b/src/main/java/larkbank/cli/PluginFile.java
@@ -33,8 +33,7 @@
     }
 
     PluginPlan plan(byte[] module, PluginGrant grant, Map<String, String> config) {
-        return new PluginPlan(file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false,
-                grant, config);
+        return new PluginPlan(file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false, grant, config);
     }
 
     PrintWriter out() {
--- a/src/main/java/larkbank/cli/PluginRunCommand.java
+++ b/src/main/java/larkbank/cli/PluginRunCommand.java
@@ -20,8 +20,11 @@
 import picocli.CommandLine.Option;
 
 /** {@code plugin run FILE --request ...}: what a module would change of one request. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "run", description = "Show what a module wishes for one request.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "run",
+        description = "Show what a module wishes for one request.")
 final class PluginRunCommand implements Callable<Integer> {
 
     private static final long PATIENCE_MILLIS = 1_000;
@@ -71,18 +74,23 @@
         PluginGrant grant = new PluginGrant(names, Set.copyOf(classes), Set.of(), refuse);
         CompletableFuture<Wishes> wishes = new CompletableFuture<>();
         try (PluginHost host = new PluginHost(file.plan(module, grant, config), Runnable::run)) {
-            host.ask(new RequestView(request.trim().substring(0, space), request.trim().substring(space + 1)
-                    .trim(), fields, requestClass), new PluginHost.Heard() {
-                @Override
-                public void done(Wishes w) {
-                    wishes.complete(w);
-                }
+            host.ask(
+                    new RequestView(
+                            request.trim().substring(0, space),
+                            request.trim().substring(space + 1).trim(),
+                            fields,
+                            requestClass),
+                    new PluginHost.Heard() {
+                        @Override
+                        public void done(Wishes w) {
+                            wishes.complete(w);
+                        }
 
-                @Override
-                public void failed(String why) {
-                    wishes.completeExceptionally(new IllegalStateException(why));
-                }
-            });
+                        @Override
+                        public void failed(String why) {
+                            wishes.completeExceptionally(new IllegalStateException(why));
+                        }
+                    });
             show(wishes.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             return 0;
         } catch (BadPlugin e) {
@@ -95,14 +103,15 @@
     }
 
     private void show(Wishes w) {
-        w.headers().forEach((name, value) -> file.out().println(value.isEmpty() ? "removes header " + name
-                : "sets header " + name + ": " + value));
+        w.headers().forEach((name, value) -> file.out()
+                .println(value.isEmpty() ? "removes header " + name : "sets header " + name + ": " + value));
         if (w.requestClass() != null) {
             file.out().println("gives class " + w.requestClass());
         }
         if (w.refusal() != null) {
-            file.out().println("refuses: " + w.refusal() + (w.retryAfterMillis() == 0 ? ""
-                    : ", come back after " + w.retryAfterMillis() + " ms"));
+            file.out()
+                    .println("refuses: " + w.refusal()
+                            + (w.retryAfterMillis() == 0 ? "" : ", come back after " + w.retryAfterMillis() + " ms"));
         }
         w.notes().forEach(n -> file.out().println("logs " + n));
         if (w.equals(Wishes.NONE)) {
--- a/src/main/java/larkbank/cli/ServeCommand.java
+++ b/src/main/java/larkbank/cli/ServeCommand.java
@@ -8,8 +8,11 @@
 import picocli.CommandLine.Option;
 
 /** {@code serve --operators FILE}: a sidecar with an operators' file. */
-@Command(mixinStandardHelpOptions = true, versionProvider = Version.class,
-        name = "serve", description = "Run a sidecar; LB_CONFIG names its configuration.")
+@Command(
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        name = "serve",
+        description = "Run a sidecar; LB_CONFIG names its configuration.")
 final class ServeCommand implements Callable<Integer> {
 
     @Option(names = "--operators", paramLabel = "FILE", description = "the operators' file")
--- a/src/main/java/larkbank/copies/Acceptor.java
+++ b/src/main/java/larkbank/copies/Acceptor.java
@@ -20,7 +20,7 @@
     private static final int MOST_WAITING = 256;
 
     /** A write that may be due: the change or null, what comes after it, and what comes if it is lost. */
-    private record Task(Supplier<Change> due, Runnable after, Runnable lost) { }
+    private record Task(Supplier<Change> due, Runnable after, Runnable lost) {}
 
     private final Desk desk;
     private final Deque<Task> waiting = new ArrayDeque<>();
@@ -31,6 +31,7 @@
     private boolean failed;
     /** Whether the disk may hold other items than are known here, after a write that failed. */
     private boolean unsure;
+
     private long retryAt;
 
     private boolean knowing;
@@ -79,55 +80,78 @@
     /** Promises to take nothing below that stamp. */
     void promise(Ballot stamp, Runnable yes, Consumer<Ballot> no, Runnable lost) {
         desk.seen(stamp);
-        enqueue(new Task(() -> {
-            if (promised.above(stamp)) {
-                no.accept(promised);
-                return null;
-            }
-            if (promised.equals(stamp)) {
-                yes.run();
-                return null;
-            }
-            return new Change(stamp, null, null, List.of(), false);
-        }, yes, lost));
+        enqueue(new Task(
+                () -> {
+                    if (promised.above(stamp)) {
+                        no.accept(promised);
+                        return null;
+                    }
+                    if (promised.equals(stamp)) {
+                        yes.run();
+                        return null;
+                    }
+                    return new Change(stamp, null, null, List.of(), false);
+                },
+                yes,
+                lost));
     }
 
     /** Takes a state: the whole of it, or what differs from the base. */
-    void accept(Ballot stamp, Ballot base, boolean whole, List<String> crew, Collection<Item> items,
-            Runnable yes, Consumer<Ballot> no, Runnable mismatch, Runnable lost) {
+    void accept(
+            Ballot stamp,
+            Ballot base,
+            boolean whole,
+            List<String> crew,
+            Collection<Item> items,
+            Runnable yes,
+            Consumer<Ballot> no,
+            Runnable mismatch,
+            Runnable lost) {
         desk.seen(stamp);
-        enqueue(new Task(() -> {
-            if (promised.above(stamp)) {
-                no.accept(promised);
-                return null;
-            }
-            if (state.stamp().equals(stamp)) {
-                yes.run();
-                return null;
-            }
-            if (!whole && !state.stamp().equals(base)) {
-                mismatch.run();
-                return null;
-            }
-            if (!whole && unsure) {
-                return new Change(stamp, stamp, crew, state.manifest().with(items).items(), true);
-            }
-            return new Change(stamp, stamp, crew, List.copyOf(items), whole);
-        }, yes, lost));
+        enqueue(new Task(
+                () -> {
+                    if (promised.above(stamp)) {
+                        no.accept(promised);
+                        return null;
+                    }
+                    if (state.stamp().equals(stamp)) {
+                        yes.run();
+                        return null;
+                    }
+                    if (!whole && !state.stamp().equals(base)) {
+                        mismatch.run();
+                        return null;
+                    }
+                    if (!whole && unsure) {
+                        return new Change(
+                                stamp, stamp, crew, state.manifest().with(items).items(), true);
+                    }
+                    return new Change(stamp, stamp, crew, List.copyOf(items), whole);
+                },
+                yes,
+                lost));
     }
 
     /** Takes a state known decided, where no promise is in the way. */
     void adopt(State decided) {
-        accept(decided.stamp(), decided.stamp(), true, decided.crew(), decided.manifest().items(),
-                () -> { }, higher -> { }, () -> { }, () -> { });
+        accept(
+                decided.stamp(),
+                decided.stamp(),
+                true,
+                decided.crew(),
+                decided.manifest().items(),
+                () -> {},
+                higher -> {},
+                () -> {},
+                () -> {});
     }
 
     /** The first write on an empty disk: a decided state, and the number of the disk. */
     void begin(State first, Runnable after) {
-        Change change = new Change(first.stamp(), first.stamp(), first.crew(), first.manifest().items(), true,
-                desk.disk);
+        Change change = new Change(
+                first.stamp(), first.stamp(), first.crew(), first.manifest().items(), true, desk.disk);
         desk.seen(first.stamp());
-        enqueue(new Task(() -> knowing ? null : change, after, () -> { }));
+        enqueue(new Task(() -> knowing ? null : change, after, () -> {}));
     }
 
     private void enqueue(Task task) {
@@ -183,7 +207,8 @@
         promised = taken.promised();
         if (taken.accepted() != null) {
             hearsay = taken.hearsay();
-            Manifest manifest = taken.whole() ? Manifest.of(taken.items())
+            Manifest manifest = taken.whole()
+                    ? Manifest.of(taken.items())
                     : state.manifest().with(taken.items());
             if (!taken.whole()) {
                 desk.history.step(state.stamp(), taken.accepted(), taken.items());
@@ -201,8 +226,7 @@
             return;
         }
         if (knowing) {
-            write(new Task(() -> null, () -> { }, () -> { }),
-                    new Change(promised, null, null, List.of(), false));
+            write(new Task(() -> null, () -> {}, () -> {}), new Change(promised, null, null, List.of(), false));
         } else {
             failed = false;
         }
--- a/src/main/java/larkbank/copies/Batch.java
+++ b/src/main/java/larkbank/copies/Batch.java
@@ -53,10 +53,15 @@
     void answer(Desk desk, Ballot stamp) {
         for (Proposal ticket : tickets) {
             Refusal refusal = refused.get(ticket);
-            desk.answer(ticket.number(), ticket.order() == null ? new ProposalResult.Read(result)
-                    : refusal == null ? new ProposalResult.Taken(stamp)
-                    : refusal.kind() == Kind.FORGOTTEN ? new ProposalResult.Unavailable(refusal.reason())
-                    : new ProposalResult.Refused(refusal));
+            desk.answer(
+                    ticket.number(),
+                    ticket.order() == null
+                            ? new ProposalResult.Read(result)
+                            : refusal == null
+                                    ? new ProposalResult.Taken(stamp)
+                                    : refusal.kind() == Kind.FORGOTTEN
+                                            ? new ProposalResult.Unavailable(refusal.reason())
+                                            : new ProposalResult.Refused(refusal));
         }
     }
 }
--- a/src/main/java/larkbank/copies/Change.java
+++ b/src/main/java/larkbank/copies/Change.java
@@ -12,8 +12,7 @@
  * What one write changes on the disk, as a whole or not at all. Accepted and crew are null where they stay;
  * whole tells that the items replace all that are there. The number of the disk is set by its first write.
  */
-public record Change(Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean whole,
-        long disk) {
+public record Change(Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean whole, long disk) {
 
     /** The number of the disk stays. */
     private static final long SAME = -1;
@@ -35,18 +34,20 @@
         Map<Key, Item> changed = new HashMap<>();
         items.forEach(item -> changed.put(item.key(), item));
         List<Item> merged = new ArrayList<>(before.size());
-        before.forEach(item -> merged.add(changed.containsKey(item.key())
-                ? changed.remove(item.key()) : item));
+        before.forEach(item -> merged.add(changed.containsKey(item.key()) ? changed.remove(item.key()) : item));
         return changed.isEmpty() ? merged : Manifest.of(before).with(items).items();
     }
 
     /** What stands after it. Before is null on an empty disk. */
     public Standing on(Standing before) {
-        Standing old = before != null ? before
-                : new Standing(Ballot.ZERO, Ballot.ZERO, List.of(), List.of(), false);
+        Standing old = before != null ? before : new Standing(Ballot.ZERO, Ballot.ZERO, List.of(), List.of(), false);
         List<Item> all = whole ? items : items.isEmpty() ? old.items() : merged(old.items());
-        return new Standing(promised, accepted == null ? old.accepted() : accepted,
-                crew == null ? old.crew() : crew, all,
-                accepted == null ? old.hearsay() : hearsay(), setsDisk() ? disk : old.disk());
+        return new Standing(
+                promised,
+                accepted == null ? old.accepted() : accepted,
+                crew == null ? old.crew() : crew,
+                all,
+                accepted == null ? old.hearsay() : hearsay(),
+                setsDisk() ? disk : old.disk());
     }
 }
--- a/src/main/java/larkbank/copies/Contact.java
+++ b/src/main/java/larkbank/copies/Contact.java
@@ -29,13 +29,13 @@
     private static final int KEPT = 64;
 
     /** What a peer has said back: when the number was sent, in which life it spoke, what it had accepted. */
-    private record Proof(long at, long life, Ballot accepted) { }
+    private record Proof(long at, long life, Ballot accepted) {}
 
     /** The last number heard from an address, and in which life. */
-    private record Heard(long life, long number) { }
+    private record Heard(long life, long number) {}
 
     /** A proposal that came while no majority was reached: until when one is looked for. */
-    private record Held(Proposal proposal, long until) { }
+    private record Held(Proposal proposal, long until) {}
 
     private final Desk desk;
     private final long begun;
@@ -114,8 +114,11 @@
         if (crew.isEmpty()) {
             return NEVER;
         }
-        long[] times = crew.stream().mapToLong(member -> member.equals(desk.own) ? own ? desk.now : NEVER
-                : proofs.containsKey(member) ? asOf.applyAsLong(proofs.get(member)) : NEVER).toArray();
+        long[] times = crew.stream()
+                .mapToLong(member -> member.equals(desk.own)
+                        ? own ? desk.now : NEVER
+                        : proofs.containsKey(member) ? asOf.applyAsLong(proofs.get(member)) : NEVER)
+                .toArray();
         Arrays.sort(times);
         return times[times.length - crew.size() / 2 - 1];
     }
@@ -131,8 +134,9 @@
         while (!held.isEmpty() && (!lost || desk.now >= held.peek().until)) {
             Proposal next = held.poll().proposal;
             if (lost) {
-                desk.answer(next.number(), new ProposalResult.Unavailable(
-                        "this harbour is not in contact with most of the crew"));
+                desk.answer(
+                        next.number(),
+                        new ProposalResult.Unavailable("this harbour is not in contact with most of the crew"));
             } else {
                 then.accept(next);
             }
@@ -149,8 +153,8 @@
     }
 
     void prune(Collection<String> crew, Set<String> live) {
-        Set<String> addresses = Stream.concat(crew.stream(), live.stream()).map(Member::address)
-                .collect(Collectors.toSet());
+        Set<String> addresses =
+                Stream.concat(crew.stream(), live.stream()).map(Member::address).collect(Collectors.toSet());
         numbers.keySet().retainAll(addresses);
         proofs.keySet().removeIf(who -> !crew.contains(who) && !live.contains(who));
     }
--- a/src/main/java/larkbank/copies/Copies.java
+++ b/src/main/java/larkbank/copies/Copies.java
@@ -32,17 +32,30 @@
     private boolean leaving;
 
     /** As many voters as there are seeds, three at least. */
-    public Copies(CopiesPlan plan, String address, List<String> seeds, boolean initialStart,
-            Standing loadedOrNull, long life, SplittableRandom random, long now) {
-        this(plan, address, seeds, Math.max(LEAST_VOTERS, seeds.size()), initialStart, loadedOrNull, life,
-                random, now);
+    public Copies(
+            CopiesPlan plan,
+            String address,
+            List<String> seeds,
+            boolean initialStart,
+            Standing loadedOrNull,
+            long life,
+            SplittableRandom random,
+            long now) {
+        this(plan, address, seeds, Math.max(LEAST_VOTERS, seeds.size()), initialStart, loadedOrNull, life, random, now);
     }
 
     /** @param voters how many members a crew should have */
-    public Copies(CopiesPlan plan, String address, List<String> seeds, int voters, boolean initialStart,
-            Standing loadedOrNull, long life, SplittableRandom random, long now) {
-        long disk = loadedOrNull != null ? loadedOrNull.disk()
-                : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER);
+    public Copies(
+            CopiesPlan plan,
+            String address,
+            List<String> seeds,
+            int voters,
+            boolean initialStart,
+            Standing loadedOrNull,
+            long life,
+            SplittableRandom random,
+            long now) {
+        long disk = loadedOrNull != null ? loadedOrNull.disk() : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER);
         desk = new Desk(plan, address, disk, life, random, now);
         copy = new Acceptor(desk, loadedOrNull);
         peers = new Peers(desk);
@@ -106,10 +119,13 @@
     }
 
     private void take(Proposal ticket) {
-        String why = leaving ? "this harbour is leaving"
-                : copy.sick() ? "the disk of this harbour takes no writes"
-                : !copy.knowing() && !learning.initial() ? "this harbour has still to learn what stands"
-                : copy.knowing() && !member() ? "this harbour is not in the crew" : null;
+        String why = leaving
+                ? "this harbour is leaving"
+                : copy.sick()
+                        ? "the disk of this harbour takes no writes"
+                        : !copy.knowing() && !learning.initial()
+                                ? "this harbour has still to learn what stands"
+                                : copy.knowing() && !member() ? "this harbour is not in the crew" : null;
         if (why != null) {
             desk.answer(ticket.number(), new ProposalResult.Unavailable(why));
         } else if (contact.lost(crew())) {
@@ -163,10 +179,10 @@
             return true;
         }
         Set<String> holders = new HashSet<>(others);
-        holders.removeIf(m -> peers.word(m) == null || peers.word(m).blank()
+        holders.removeIf(m -> peers.word(m) == null
+                || peers.word(m).blank()
                 || copy.accepted().above(peers.word(m).accepted()));
-        return State.most(others, holders) && holders.containsAll(peers.near(others))
-                && !wish.waiting(crew());
+        return State.most(others, holders) && holders.containsAll(peers.near(others)) && !wish.waiting(crew());
     }
 
     /** To be called every 50 ms or so. */
@@ -240,7 +256,9 @@
             return learning.seeds();
         }
         State shown = decided.shown();
-        return shown.stamp().above(copy.accepted()) ? shown.crew() : copy.state().crew();
+        return shown.stamp().above(copy.accepted())
+                ? shown.crew()
+                : copy.state().crew();
     }
 
     private boolean member() {
@@ -272,10 +290,30 @@
         if (copy.knowing()) {
             shelf.keep(copy.state());
         }
-        desk.send(to, Words.of(Words.TELL, "life", desk.life, "accepted", copy.accepted(),
-                "decided", decided.stamp(), "crew", copy.knowing() ? copy.state().crew() : List.of(),
-                "forgetful", !copy.knowing(), "hearsay", copy.hearsay(), "number", contact.next(),
-                "probe", probe, "echoLife", contact.echoLife(to), "echo", contact.echo(to)));
+        desk.send(
+                to,
+                Words.of(
+                        Words.TELL,
+                        "life",
+                        desk.life,
+                        "accepted",
+                        copy.accepted(),
+                        "decided",
+                        decided.stamp(),
+                        "crew",
+                        copy.knowing() ? copy.state().crew() : List.of(),
+                        "forgetful",
+                        !copy.knowing(),
+                        "hearsay",
+                        copy.hearsay(),
+                        "number",
+                        contact.next(),
+                        "probe",
+                        probe,
+                        "echoLife",
+                        contact.echoLife(to),
+                        "echo",
+                        contact.echo(to)));
     }
 
     private void receive(String from, String kind, Map<String, Object> message) {
@@ -292,12 +330,14 @@
             }
             case Words.PROMISE -> {
                 holds(from, message);
-                proposer.promised(from, Words.stamp(message, "b"),
-                    Words.stamp(message, "accepted"), Words.crew(message),
-                    Words.flag(message, "hearsay"));
+                proposer.promised(
+                        from,
+                        Words.stamp(message, "b"),
+                        Words.stamp(message, "accepted"),
+                        Words.crew(message),
+                        Words.flag(message, "hearsay"));
             }
-            case Words.NACK -> proposer.nack(from, Words.stamp(message, "b"),
-                    Words.stamp(message, "promised"));
+            case Words.NACK -> proposer.nack(from, Words.stamp(message, "b"), Words.stamp(message, "promised"));
             case Words.ACCEPTED -> proposer.accepted(from, Words.stamp(message, "b"));
             case Words.MISMATCH -> {
                 holds(from, message);
@@ -305,9 +345,12 @@
             }
             case Words.DECIDED -> decided.known(Words.stamp(message, "b"));
             case Words.TELL -> {
-                Peers.Word word = new Peers.Word(Words.number(message, "life"),
-                        Words.stamp(message, "accepted"), Words.stamp(message, "decided"),
-                        Words.crew(message), Words.flag(message, "forgetful"),
+                Peers.Word word = new Peers.Word(
+                        Words.number(message, "life"),
+                        Words.stamp(message, "accepted"),
+                        Words.stamp(message, "decided"),
+                        Words.crew(message),
+                        Words.flag(message, "forgetful"),
                         Words.flag(message, "hearsay"));
                 long number = Words.number(message, "number");
                 long echoLife = Words.number(message, "echoLife");
@@ -328,9 +371,12 @@
                 say(Member.address(from), false);
             }
             case Words.TEACH -> teach(from, Words.number(message, "life"));
-            case Words.TOLD -> learning.told(from, Words.number(message, "life"), new Learning.Told(
-                    Words.stamp(message, "accepted"), Words.stamp(message, "decided"),
-                    Words.crew(message), Words.flag(message, "forgetful")));
+            case Words.TOLD -> learning.told(
+                    from,
+                    Words.number(message, "life"),
+                    new Learning.Told(
+                            Words.stamp(message, "accepted"), Words.stamp(message, "decided"),
+                            Words.crew(message), Words.flag(message, "forgetful")));
             case Words.FETCH -> {
                 keepAll();
                 shelf.asked(from, Words.stamp(message, "b"), message);
@@ -353,7 +399,7 @@
                     proposer.tick(true);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -371,12 +417,27 @@
 
     private void prepare(String from, Ballot stamp) {
         if (copy.knowing() && !copy.sick()) {
-            copy.promise(stamp, () -> {
-                shelf.keep(copy.state());
-                desk.send(from, Words.of(Words.PROMISE, "b", stamp, "accepted", copy.accepted(),
-                        "shown", decided.shown().stamp(), "crew", copy.state().crew(),
-                        "hearsay", copy.hearsay()));
-            }, higher -> nack(from, stamp, higher), () -> { });
+            copy.promise(
+                    stamp,
+                    () -> {
+                        shelf.keep(copy.state());
+                        desk.send(
+                                from,
+                                Words.of(
+                                        Words.PROMISE,
+                                        "b",
+                                        stamp,
+                                        "accepted",
+                                        copy.accepted(),
+                                        "shown",
+                                        decided.shown().stamp(),
+                                        "crew",
+                                        copy.state().crew(),
+                                        "hearsay",
+                                        copy.hearsay()));
+                    },
+                    higher -> nack(from, stamp, higher),
+                    () -> {});
         }
     }
 
@@ -387,24 +448,35 @@
         if (!copy.knowing()) {
             return;
         }
-        List<Item> items = assembly.take(from, stamp, whole ? null : base, Words.number(message, "part"),
-                Words.number(message, "parts"), Words.items(message));
+        List<Item> items = assembly.take(
+                from,
+                stamp,
+                whole ? null : base,
+                Words.number(message, "part"),
+                Words.number(message, "parts"),
+                Words.items(message));
         if (items != null && !copy.sick()) {
             State shown = decided.shown();
             // What was learnt as decided but not accepted, since a promise was in the way, is a base as well.
-            boolean learnt = !whole && base.equals(shown.stamp()) && !base.equals(copy.accepted())
-                    && !base.equals(Ballot.ZERO);
+            boolean learnt =
+                    !whole && base.equals(shown.stamp()) && !base.equals(copy.accepted()) && !base.equals(Ballot.ZERO);
             State before = learnt ? shown : copy.state();
-            if (!whole && base.equals(before.stamp())
+            if (!whole
+                    && base.equals(before.stamp())
                     && before.manifest().with(items).sum() != Words.number(message, "sum")) {
                 mismatch(from, stamp);
                 return;
             }
-            copy.accept(stamp, base, whole || learnt, crew,
+            copy.accept(
+                    stamp,
+                    base,
+                    whole || learnt,
+                    crew,
                     learnt ? shown.manifest().with(items).items() : items,
                     () -> desk.send(from, Words.of(Words.ACCEPTED, "b", stamp)),
                     higher -> nack(from, stamp, higher),
-                    () -> mismatch(from, stamp), () -> { });
+                    () -> mismatch(from, stamp),
+                    () -> {});
         }
     }
 
@@ -413,8 +485,16 @@
     }
 
     private void mismatch(String to, Ballot stamp) {
-        desk.send(to, Words.of(Words.MISMATCH, "b", stamp, "accepted", copy.accepted(),
-                "shown", decided.shown().stamp()));
+        desk.send(
+                to,
+                Words.of(
+                        Words.MISMATCH,
+                        "b",
+                        stamp,
+                        "accepted",
+                        copy.accepted(),
+                        "shown",
+                        decided.shown().stamp()));
     }
 
     private void nack(String to, Ballot stamp, Ballot promised) {
@@ -425,8 +505,19 @@
         if (copy.knowing()) {
             shelf.keep(copy.state());
         }
-        desk.send(from, Words.of(Words.TOLD, "life", life, "accepted", copy.accepted(),
-                "decided", decided.stamp(), "crew", copy.knowing() ? copy.state().crew() : List.of(),
-                "forgetful", !copy.knowing()));
+        desk.send(
+                from,
+                Words.of(
+                        Words.TOLD,
+                        "life",
+                        life,
+                        "accepted",
+                        copy.accepted(),
+                        "decided",
+                        decided.stamp(),
+                        "crew",
+                        copy.knowing() ? copy.state().crew() : List.of(),
+                        "forgetful",
+                        !copy.knowing()));
     }
 }
--- a/src/main/java/larkbank/copies/CrewWatch.java
+++ b/src/main/java/larkbank/copies/CrewWatch.java
@@ -25,7 +25,9 @@
 
     /** Those of them that stay. */
     List<String> staying(List<String> crew) {
-        return live(crew).stream().filter(m -> m.equals(desk.own) || !peers.leaves(m)).toList();
+        return live(crew).stream()
+                .filter(m -> m.equals(desk.own) || !peers.leaves(m))
+                .toList();
     }
 
     /**
@@ -39,13 +41,18 @@
                 return member;
             }
         }
-        List<String> silent = crew.stream().filter(m -> !m.equals(desk.own)
-                && peers.silence(m) >= desk.plan.silentAfter()).toList();
+        List<String> silent = crew.stream()
+                .filter(m -> !m.equals(desk.own) && peers.silence(m) >= desk.plan.silentAfter())
+                .toList();
         boolean shrinks = crew.size() >= LEAST_TO_SHRINK && (crew.size() % 2 == 0 || silent.size() > 1);
         if (!silent.isEmpty() && (standby || shrinks)) {
             return silent.get(0);
         }
-        return !standby ? null : crew.stream().filter(m -> !m.equals(desk.own) && peers.leaves(m))
-                .findFirst().orElse(null);
+        return !standby
+                ? null
+                : crew.stream()
+                        .filter(m -> !m.equals(desk.own) && peers.leaves(m))
+                        .findFirst()
+                        .orElse(null);
     }
 }
--- a/src/main/java/larkbank/copies/CrewWish.java
+++ b/src/main/java/larkbank/copies/CrewWish.java
@@ -15,9 +15,9 @@
  */
 final class CrewWish {
 
-    private record Standby(long askedAt, Ballot accepted) { }
+    private record Standby(long askedAt, Ballot accepted) {}
 
-    private record Noted(long at, Ballot decided) { }
+    private record Noted(long at, Ballot decided) {}
 
     private final Desk desk;
     private final CrewWatch watch;
@@ -86,8 +86,10 @@
     }
 
     private Optional<String> standby(List<String> crew) {
-        return standbys.entrySet().stream().filter(e -> !crew.contains(e.getKey())
-                && !bar.above(e.getValue().accepted)).map(Map.Entry::getKey).findFirst();
+        return standbys.entrySet().stream()
+                .filter(e -> !crew.contains(e.getKey()) && !bar.above(e.getValue().accepted))
+                .map(Map.Entry::getKey)
+                .findFirst();
     }
 
     private List<String> next(List<String> crew) {
@@ -100,6 +102,7 @@
             return crew.stream().filter(m -> !m.equals(gone)).toList();
         }
         return standby.isPresent() && crew.size() < voters
-                ? Stream.concat(crew.stream(), standby.stream()).sorted().toList() : crew;
+                ? Stream.concat(crew.stream(), standby.stream()).sorted().toList()
+                : crew;
     }
 }
--- a/src/main/java/larkbank/copies/Desk.java
+++ b/src/main/java/larkbank/copies/Desk.java
@@ -13,6 +13,7 @@
     final CopiesPlan plan;
     /** Where this harbour is spoken to, the number of its disk, and the member that they are. */
     final String address;
+
     final long disk;
     final String own;
     final long life;
@@ -20,9 +21,11 @@
     long now;
     /** Above all rounds that were seen. */
     long highestRound;
+
     final History history = new History();
     /** States that others hold whole, as each told last. */
     private final Map<String, List<Ballot>> held = new HashMap<>();
+
     private List<Effect> effects = new ArrayList<>();
 
     Desk(CopiesPlan plan, String address, long disk, long life, SplittableRandom random, long now) {
@@ -40,7 +43,9 @@
     }
 
     void holds(String harbour, Ballot... states) {
-        held.put(harbour, Arrays.stream(states).filter(s -> !s.equals(Ballot.ZERO)).toList());
+        held.put(
+                harbour,
+                Arrays.stream(states).filter(s -> !s.equals(Ballot.ZERO)).toList());
     }
 
     List<Ballot> held(String harbour) {
--- a/src/main/java/larkbank/copies/Fetch.java
+++ b/src/main/java/larkbank/copies/Fetch.java
@@ -25,6 +25,7 @@
     private final List<Item> items = new ArrayList<>();
     /** From which state the pieces lead on; empty for the whole. */
     private String from = "";
+
     private long part;
     private long askedAt;
     private int holder;
@@ -62,10 +63,12 @@
         asks++;
         askedAt = desk.now;
         if (!failed()) {
-            List<String> has = part > 0 && from.isEmpty() ? List.of()
+            List<String> has = part > 0 && from.isEmpty()
+                    ? List.of()
                     : held.keySet().stream().map(Ballot::toString).toList();
-            desk.send(holders.get(holder % holders.size()), Words.of(Words.FETCH, "b", stamp, "ask", begin,
-                    "part", part, "has", has));
+            desk.send(
+                    holders.get(holder % holders.size()),
+                    Words.of(Words.FETCH, "b", stamp, "ask", begin, "part", part, "has", has));
         }
     }
 
@@ -102,7 +105,8 @@
         long sum = Words.number(message, "sum");
         List<String> crew = Words.someCrew(message);
         List<Item> its = Words.items(message);
-        if (!(message.get("from") instanceof String base) || Words.number(message, "part") != part
+        if (!(message.get("from") instanceof String base)
+                || Words.number(message, "part") != part
                 || !base.isEmpty() && Words.number(message, "ask") != begin) {
             return null;
         }
@@ -119,7 +123,8 @@
         part++;
         asks = 0;
         if (part >= parts) {
-            Manifest all = before == null ? Manifest.of(items) : before.manifest().with(items);
+            Manifest all =
+                    before == null ? Manifest.of(items) : before.manifest().with(items);
             if (all.sum() == sum) {
                 return new State(stamp, crew, all);
             }
--- a/src/main/java/larkbank/copies/History.java
+++ b/src/main/java/larkbank/copies/History.java
@@ -18,12 +18,13 @@
     private static final int MOST_KEYS = 8_192;
 
     /** A state that another came from, and what differs between them. */
-    record Difference(Ballot from, List<Item> items) { }
+    record Difference(Ballot from, List<Item> items) {}
 
-    private record Step(Ballot from, List<Key> keys) { }
+    private record Step(Ballot from, List<Key> keys) {}
 
     /** By the state that came of it, oldest first. */
     private final Map<Ballot, Step> steps = new LinkedHashMap<>();
+
     private int keys;
 
     /** The state came from that one by these items alone. */
--- a/src/main/java/larkbank/copies/Learning.java
+++ b/src/main/java/larkbank/copies/Learning.java
@@ -17,7 +17,7 @@
 final class Learning {
 
     /** An answer: what a harbour's copy says. */
-    record Told(Ballot accepted, Ballot decided, List<String> crew, boolean blank) { }
+    record Told(Ballot accepted, Ballot decided, List<String> crew, boolean blank) {}
 
     private static final long ASKS_BEFORE = 4;
 
@@ -85,7 +85,7 @@
         if (desk.now - askedAt >= desk.plan.askEvery()) {
             askedAt = desk.now;
             if (initial) {
-                copy.begin(new State(Ballot.ZERO, seeds, Manifest.EMPTY), () -> { });
+                copy.begin(new State(Ballot.ZERO, seeds, Manifest.EMPTY), () -> {});
                 return;
             }
             for (String target : targets(peers.live())) {
@@ -139,7 +139,8 @@
 
     private Set<String> having(Ballot stamp) {
         Set<String> having = knowing();
-        having.removeIf(who -> !told.get(who).decided.equals(stamp) && !told.get(who).accepted.equals(stamp));
+        having.removeIf(who ->
+                !told.get(who).decided.equals(stamp) && !told.get(who).accepted.equals(stamp));
         return having;
     }
 
--- a/src/main/java/larkbank/copies/Member.java
+++ b/src/main/java/larkbank/copies/Member.java
@@ -6,7 +6,7 @@
  */
 public final class Member {
 
-    private Member() { }
+    private Member() {}
 
     static String of(String address, long disk) {
         return disk == 0 ? address : address + "/" + disk;
--- a/src/main/java/larkbank/copies/Peers.java
+++ b/src/main/java/larkbank/copies/Peers.java
@@ -11,8 +11,7 @@
 final class Peers {
 
     /** What a harbour tells of its copy. */
-    record Word(long life, Ballot accepted, Ballot decided, List<String> crew, boolean blank,
-            boolean hearsay) { }
+    record Word(long life, Ballot accepted, Ballot decided, List<String> crew, boolean blank, boolean hearsay) {}
 
     private final Desk desk;
     private final Map<String, Long> heard = new HashMap<>();
@@ -36,8 +35,7 @@
      */
     boolean take(String from, Word word) {
         Word before = words.get(from);
-        if (before != null && before.life > word.life
-                && desk.now - toldAt.get(from) < desk.plan.liveWithin()) {
+        if (before != null && before.life > word.life && desk.now - toldAt.get(from) < desk.plan.liveWithin()) {
             return false;
         }
         if (before != null && before.life == word.life && before.accepted.above(word.accepted)) {
@@ -68,8 +66,10 @@
     /** Whether another disk has spoken at that member's address since it spoke last. */
     boolean replaced(String member) {
         long last = heard.getOrDefault(member, Long.MIN_VALUE);
-        return heard.entrySet().stream().anyMatch(e -> e.getValue() > last && !e.getKey().equals(member)
-                && Member.address(e.getKey()).equals(Member.address(member)));
+        return heard.entrySet().stream()
+                .anyMatch(e -> e.getValue() > last
+                        && !e.getKey().equals(member)
+                        && Member.address(e.getKey()).equals(Member.address(member)));
     }
 
     /** A harbour tells that it leaves, in that life. */
@@ -130,8 +130,8 @@
 
     /** Forgets whoever has been silent for long and does not count. */
     void prune(List<String> crew) {
-        heard.entrySet().removeIf(e -> desk.now - e.getValue() > 20 * desk.plan.silentAfter()
-                && !crew.contains(e.getKey()));
+        heard.entrySet()
+                .removeIf(e -> desk.now - e.getValue() > 20 * desk.plan.silentAfter() && !crew.contains(e.getKey()));
         words.keySet().removeIf(who -> !heard.containsKey(who));
         toldAt.keySet().retainAll(words.keySet());
         leaving.keySet().retainAll(words.keySet());
--- a/src/main/java/larkbank/copies/Promises.java
+++ b/src/main/java/larkbank/copies/Promises.java
@@ -9,7 +9,7 @@
 /** Who has promised in a round, and what each had accepted before. */
 final class Promises {
 
-    private record Promise(Ballot accepted, List<String> crew, boolean hearsay) { }
+    private record Promise(Ballot accepted, List<String> crew, boolean hearsay) {}
 
     private final Map<String, Promise> all = new HashMap<>();
     private Promise highest;
--- a/src/main/java/larkbank/copies/ProposalResult.java
+++ b/src/main/java/larkbank/copies/ProposalResult.java
@@ -7,12 +7,12 @@
 public sealed interface ProposalResult {
 
     /** The order stands in the state of that stamp, now or before. */
-    record Taken(Ballot stamp) implements ProposalResult { }
+    record Taken(Ballot stamp) implements ProposalResult {}
 
-    record Refused(Refusal refusal) implements ProposalResult { }
+    record Refused(Refusal refusal) implements ProposalResult {}
 
     /** Nothing is known to have been agreed: whether it will stand is open. */
-    record Unavailable(String reason) implements ProposalResult { }
+    record Unavailable(String reason) implements ProposalResult {}
 
-    record Read(Manifest manifest) implements ProposalResult { }
+    record Read(Manifest manifest) implements ProposalResult {}
 }
--- a/src/main/java/larkbank/copies/Proposer.java
+++ b/src/main/java/larkbank/copies/Proposer.java
@@ -85,13 +85,15 @@
         }
         boolean settle = decided.settleDue();
         List<String> crew = copy.state().crew();
-        if (round == null && ready() && (settle || !waiting.isEmpty() || !wish.of(crew).equals(crew))) {
+        if (round == null
+                && ready()
+                && (settle || !waiting.isEmpty() || !wish.of(crew).equals(crew))) {
             begin();
         }
     }
 
     private void refuse(String reason) {
-        for (Proposal ticket; (ticket = waiting.poll()) != null;) {
+        for (Proposal ticket; (ticket = waiting.poll()) != null; ) {
             desk.answer(ticket.number(), new ProposalResult.Unavailable(reason));
         }
     }
@@ -122,8 +124,7 @@
             }
         }
         long most = desk.plan.backoffLeast() << Math.min(failures++, MOST_DOUBLINGS);
-        notBefore = desk.now + desk.plan.backoffLeast()
-                + desk.jitter(Math.min(desk.plan.backoffMost(), 2 * most));
+        notBefore = desk.now + desk.plan.backoffLeast() + desk.jitter(Math.min(desk.plan.backoffMost(), 2 * most));
     }
 
     void promised(String from, Ballot of, Ballot accepted, List<String> crew, boolean hearsay) {
--- a/src/main/java/larkbank/copies/Round.java
+++ b/src/main/java/larkbank/copies/Round.java
@@ -25,9 +25,17 @@
 
     /** A whole is large: how soon it is sent again, and how much longer a round takes for each piece. */
     private static final long WHOLE_AGAIN = 300_000;
+
     private static final long WHOLE_PIECE = 10_000;
 
-    private enum Phase { SELF_PROMISE, PREPARE, FETCH, SELF_ACCEPT, ACCEPT, OVER }
+    private enum Phase {
+        SELF_PROMISE,
+        PREPARE,
+        FETCH,
+        SELF_ACCEPT,
+        ACCEPT,
+        OVER
+    }
 
     private final Desk desk;
     private final Acceptor copy;
@@ -45,6 +53,7 @@
     private final Set<String> acks = new HashSet<>();
     /** Who has said that it has another base, and who has said so again. */
     private final Set<String> otherBase = new HashSet<>();
+
     private final Set<String> needWhole = new HashSet<>();
     private final Map<String, Long> wholeSentAt = new HashMap<>();
     private Fetch fetch;
@@ -64,7 +73,10 @@
     }
 
     void begin() {
-        copy.promise(stamp, this::promisedMyself, higher -> fail(true, "another round went first"),
+        copy.promise(
+                stamp,
+                this::promisedMyself,
+                higher -> fail(true, "another round went first"),
                 () -> fail(false, "the disk takes no writes"));
     }
 
@@ -169,9 +181,16 @@
         next = new State(stamp, crew, batch.result());
         phase = Phase.SELF_ACCEPT;
         boolean whole = !copy.accepted().equals(base.stamp());
-        copy.accept(stamp, base.stamp(), whole, crew, whole ? next.manifest().items() : changed,
-                this::acceptedMyself, higher -> fail(true, "another round went first"),
-                () -> fail(true, "the copy has moved on"), () -> fail(false, "the disk takes no writes"));
+        copy.accept(
+                stamp,
+                base.stamp(),
+                whole,
+                crew,
+                whole ? next.manifest().items() : changed,
+                this::acceptedMyself,
+                higher -> fail(true, "another round went first"),
+                () -> fail(true, "the copy has moved on"),
+                () -> fail(false, "the disk takes no writes"));
     }
 
     private void acceptedMyself() {
@@ -217,8 +236,9 @@
         } else if (desk.now - wholeSentAt.getOrDefault(to, -WHOLE_AGAIN) >= WHOLE_AGAIN) {
             List<Item> all = next.manifest().items();
             wholeSentAt.put(to, desk.now);
-            until = Math.max(until, desk.now + desk.plan.roundMost()
-                    + WHOLE_PIECE * Shelf.parts(all.size(), desk.plan.pieceItems()));
+            until = Math.max(
+                    until,
+                    desk.now + desk.plan.roundMost() + WHOLE_PIECE * Shelf.parts(all.size(), desk.plan.pieceItems()));
             send(to, base.stamp(), true, all);
         }
     }
@@ -227,15 +247,35 @@
         int size = desk.plan.pieceItems();
         int parts = Shelf.parts(items.size(), size);
         for (int part = 0; part < parts; part++) {
-            desk.send(to, Words.of(Words.ACCEPT, "to", to, "b", stamp, "base", from, "whole", whole,
-                    "sum", next.manifest().sum(), "crew", next.crew(),
-                    "part", (long) part, "parts", (long) parts, "items",
-                    Words.maps(Shelf.piece(items, part, size))));
+            desk.send(
+                    to,
+                    Words.of(
+                            Words.ACCEPT,
+                            "to",
+                            to,
+                            "b",
+                            stamp,
+                            "base",
+                            from,
+                            "whole",
+                            whole,
+                            "sum",
+                            next.manifest().sum(),
+                            "crew",
+                            next.crew(),
+                            "part",
+                            (long) part,
+                            "parts",
+                            (long) parts,
+                            "items",
+                            Words.maps(Shelf.piece(items, part, size))));
         }
     }
 
     void mismatch(String from, Ballot of) {
-        if (of.equals(stamp) && phase == Phase.ACCEPT && voters().contains(from)
+        if (of.equals(stamp)
+                && phase == Phase.ACCEPT
+                && voters().contains(from)
                 && (otherBase.add(from) || needWhole.add(from))) {
             offer(from);
         }
@@ -274,10 +314,13 @@
     }
 
     private void endLate() {
-        List<Proposal> late = tickets.stream().filter(t -> t.deadline() <= desk.now).toList();
+        List<Proposal> late =
+                tickets.stream().filter(t -> t.deadline() <= desk.now).toList();
         for (Proposal ticket : late) {
-            desk.answer(ticket.number(), new ProposalResult.Unavailable(next != null
-                    ? "not agreed in time, the outcome is open" : "not agreed in time"));
+            desk.answer(
+                    ticket.number(),
+                    new ProposalResult.Unavailable(
+                            next != null ? "not agreed in time, the outcome is open" : "not agreed in time"));
         }
         if (!late.isEmpty()) {
             // What was offered stays as it is; only nobody waits for it any more.
@@ -299,8 +342,7 @@
                 fail(true, "the base is gone");
             }
         } else if (phase == Phase.PREPARE && resendDue()) {
-            asked.stream().sorted().filter(m -> !promises.from().contains(m))
-                    .forEach(this::prepare);
+            asked.stream().sorted().filter(m -> !promises.from().contains(m)).forEach(this::prepare);
         } else if (phase == Phase.ACCEPT && resendDue()) {
             offer();
         }
--- a/src/main/java/larkbank/copies/Shelf.java
+++ b/src/main/java/larkbank/copies/Shelf.java
@@ -60,10 +60,26 @@
         int size = desk.plan.pieceItems();
         int parts = parts(items.size(), size);
         if (part >= 0 && part < parts) {
-            desk.send(from, Words.of(Words.PIECE, "b", stamp, "ask", Words.number(message, "ask"),
-                    "from", since == null ? "" : since.from().toString(),
-                    "sum", found.state.manifest().sum(), "part", part, "parts", (long) parts,
-                    "crew", found.state.crew(), "items", Words.maps(piece(items, (int) part, size))));
+            desk.send(
+                    from,
+                    Words.of(
+                            Words.PIECE,
+                            "b",
+                            stamp,
+                            "ask",
+                            Words.number(message, "ask"),
+                            "from",
+                            since == null ? "" : since.from().toString(),
+                            "sum",
+                            found.state.manifest().sum(),
+                            "part",
+                            part,
+                            "parts",
+                            (long) parts,
+                            "crew",
+                            found.state.crew(),
+                            "items",
+                            Words.maps(piece(items, (int) part, size))));
         }
     }
 
--- a/src/main/java/larkbank/copies/Standing.java
+++ b/src/main/java/larkbank/copies/Standing.java
@@ -8,8 +8,8 @@
  * that had forgotten, below what it may have promised: it is there for whoever looks for the highest state,
  * but is no vote for it. Only builds before wrote that. Disk is the number of the disk, see {@link Member}.
  */
-public record Standing(Ballot promised, Ballot accepted, List<String> crew, List<Item> items,
-        boolean hearsay, long disk) {
+public record Standing(
+        Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean hearsay, long disk) {
 
     public Standing(Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean hearsay) {
         this(promised, accepted, crew, items, hearsay, 0);
--- a/src/main/java/larkbank/copies/Words.java
+++ b/src/main/java/larkbank/copies/Words.java
@@ -27,7 +27,7 @@
 
     private static final int MOST_CREW = 1_000;
 
-    private Words() { }
+    private Words() {}
 
     /** A message of that kind with names and values by turns. */
     static Map<String, Object> of(String kind, Object... fields) {
@@ -69,7 +69,8 @@
     }
 
     static List<String> crew(Map<?, ?> message) {
-        if (!(message.get("crew") instanceof List<?> list) || list.size() > MOST_CREW
+        if (!(message.get("crew") instanceof List<?> list)
+                || list.size() > MOST_CREW
                 || !list.stream().allMatch(String.class::isInstance)) {
             throw new IllegalArgumentException("crew");
         }
--- a/src/main/java/larkbank/daily/ClassPlaces.java
+++ b/src/main/java/larkbank/daily/ClassPlaces.java
@@ -13,7 +13,7 @@
  */
 public final class ClassPlaces {
 
-    private ClassPlaces() { }
+    private ClassPlaces() {}
 
     /**
      * The classes by their numbers; {@link RequestClass#GONE} where there is none.
@@ -22,12 +22,13 @@
      * @param next those that are to hold, each name once
      * @param inUse numbers that requests in hand have
      */
-    public static List<RequestClass> place(List<RequestClass> before, List<RequestClass> next,
-            Set<Integer> inUse) {
+    public static List<RequestClass> place(List<RequestClass> before, List<RequestClass> next, Set<Integer> inUse) {
         List<RequestClass> placed = new ArrayList<>(before.size());
         List<RequestClass> fresh = new ArrayList<>(next);
         for (RequestClass old : before) {
-            RequestClass stays = next.stream().filter(c -> c.name().equals(old.name())).findFirst()
+            RequestClass stays = next.stream()
+                    .filter(c -> c.name().equals(old.name()))
+                    .findFirst()
                     .orElse(RequestClass.GONE);
             fresh.remove(stays);
             placed.add(stays);
@@ -35,8 +36,7 @@
         for (RequestClass c : fresh) {
             int free = 0;
             while (free < placed.size()
-                    && !(isFree(before, free) && placed.get(free) == RequestClass.GONE
-                    && !inUse.contains(free))) {
+                    && !(isFree(before, free) && placed.get(free) == RequestClass.GONE && !inUse.contains(free))) {
                 free++;
             }
             if (free < placed.size()) {
@@ -55,6 +55,10 @@
     /** The first name that stands twice; null where none does. */
     public static String twice(List<RequestClass> classes) {
         Set<String> names = new HashSet<>();
-        return classes.stream().map(RequestClass::name).filter(n -> !names.add(n)).findFirst().orElse(null);
+        return classes.stream()
+                .map(RequestClass::name)
+                .filter(n -> !names.add(n))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/main/java/larkbank/daily/ConfigShape.java
+++ b/src/main/java/larkbank/daily/ConfigShape.java
@@ -49,8 +49,7 @@
         if (wanted instanceof Number) {
             return found instanceof Number ? null : "'" + name + "' is no number";
         }
-        return wanted == null || wanted.getClass() == found.getClass() ? null
-                : "'" + name + "' is of another kind";
+        return wanted == null || wanted.getClass() == found.getClass() ? null : "'" + name + "' is of another kind";
     }
 
     /** Entries may be others and more or fewer; each has what the first one has that holds now. */
--- a/src/main/java/larkbank/daily/Desk.java
+++ b/src/main/java/larkbank/daily/Desk.java
@@ -17,6 +17,7 @@
     private final BooleanSupplier servers;
     /** Null where there is no membership. */
     private Supplier<String> members;
+
     private Supplier<String> leases;
     private UnaryOperator<String> lease;
 
@@ -38,7 +39,8 @@
     /** The answer to one line, without its end. */
     public String answer(String line) {
         if (line.startsWith(LEASE)) {
-            return lease == null ? NO + "leases are off"
+            return lease == null
+                    ? NO + "leases are off"
                     : lease.apply(line.substring(LEASE.length()).strip());
         }
         return switch (line.strip()) {
@@ -48,8 +50,7 @@
             case "UNDRAIN" -> ask(Standing.Event.UNDRAIN);
             case "MEMBERS" -> members == null ? NO + "membership is off" : members.get() + END;
             case "LEASES" -> leases == null ? NO + "leases are off" : leases.get();
-            default -> NO + "unknown call; READY, STATS, DRAIN, UNDRAIN, MEMBERS, LEASES and LEASE NAME are"
-                    + " known";
+            default -> NO + "unknown call; READY, STATS, DRAIN, UNDRAIN, MEMBERS, LEASES and LEASE NAME are" + " known";
         };
     }
 
--- a/src/main/java/larkbank/daily/Figures.java
+++ b/src/main/java/larkbank/daily/Figures.java
@@ -17,7 +17,11 @@
 public final class Figures {
 
     /** How a client's request ended. */
-    public enum Ending { SERVED, REFUSED, FAILED }
+    public enum Ending {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** What is read at the moment of the question. */
     public interface Fleet {
--- a/src/main/java/larkbank/daily/Hangup.java
+++ b/src/main/java/larkbank/daily/Hangup.java
@@ -11,7 +11,7 @@
  */
 public final class Hangup {
 
-    private Hangup() { }
+    private Hangup() {}
 
     /**
      * Whether the signal is thrown away before the program sees it: whoever started it had it ignored, as
@@ -34,7 +34,9 @@
     public static void handle(Runnable task) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        Object onSignal = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
+        Object onSignal = Proxy.newProxyInstance(
+                Hangup.class.getClassLoader(),
+                new Class<?>[] {handler},
                 (self, method, arguments) -> switch (method.getName()) {
                     case "handle" -> {
                         task.run();
--- a/src/main/java/larkbank/daily/Standing.java
+++ b/src/main/java/larkbank/daily/Standing.java
@@ -9,32 +9,51 @@
 public final class Standing {
 
     /** From the start to the end; drained is a drain with no client left. */
-    public enum State { STARTING, STARTING_DRAINED, SERVING, DRAINING, DRAINED, STOPPING }
+    public enum State {
+        STARTING,
+        STARTING_DRAINED,
+        SERVING,
+        DRAINING,
+        DRAINED,
+        STOPPING
+    }
 
     /** What operators ask for, and what is seen of clients and of the process. */
-    public enum Event { OPENED, DRAIN, UNDRAIN, EMPTY, CLIENT, TERMINATE }
+    public enum Event {
+        OPENED,
+        DRAIN,
+        UNDRAIN,
+        EMPTY,
+        CLIENT,
+        TERMINATE
+    }
 
     /** What is not named leaves the state as it is. */
     private static final Map<State, Map<Event, State>> TABLE = Map.of(
-            State.STARTING, Map.of(
-                    Event.OPENED, State.SERVING,
-                    Event.DRAIN, State.STARTING_DRAINED,
-                    Event.TERMINATE, State.STOPPING),
-            State.STARTING_DRAINED, Map.of(
-                    Event.OPENED, State.DRAINING,
-                    Event.UNDRAIN, State.STARTING,
-                    Event.TERMINATE, State.STOPPING),
-            State.SERVING, Map.of(
-                    Event.DRAIN, State.DRAINING,
-                    Event.TERMINATE, State.STOPPING),
-            State.DRAINING, Map.of(
-                    Event.UNDRAIN, State.SERVING,
-                    Event.EMPTY, State.DRAINED,
-                    Event.TERMINATE, State.STOPPING),
-            State.DRAINED, Map.of(
-                    Event.UNDRAIN, State.SERVING,
-                    Event.CLIENT, State.DRAINING,
-                    Event.TERMINATE, State.STOPPING),
+            State.STARTING,
+                    Map.of(
+                            Event.OPENED, State.SERVING,
+                            Event.DRAIN, State.STARTING_DRAINED,
+                            Event.TERMINATE, State.STOPPING),
+            State.STARTING_DRAINED,
+                    Map.of(
+                            Event.OPENED, State.DRAINING,
+                            Event.UNDRAIN, State.STARTING,
+                            Event.TERMINATE, State.STOPPING),
+            State.SERVING,
+                    Map.of(
+                            Event.DRAIN, State.DRAINING,
+                            Event.TERMINATE, State.STOPPING),
+            State.DRAINING,
+                    Map.of(
+                            Event.UNDRAIN, State.SERVING,
+                            Event.EMPTY, State.DRAINED,
+                            Event.TERMINATE, State.STOPPING),
+            State.DRAINED,
+                    Map.of(
+                            Event.UNDRAIN, State.SERVING,
+                            Event.CLIENT, State.DRAINING,
+                            Event.TERMINATE, State.STOPPING),
             State.STOPPING, Map.of());
 
     private State state = State.STARTING;
--- a/src/main/java/larkbank/fleet/Chronicle.java
+++ b/src/main/java/larkbank/fleet/Chronicle.java
@@ -30,7 +30,7 @@
         Configuration.set("autoshutdown", "true");
     }
 
-    private Chronicle() { }
+    private Chronicle() {}
 
     static void note(String event, String about, String text) {
         ThreadContext.put("mono", System.nanoTime() / 1_000);
--- a/src/main/java/larkbank/fleet/FleetSocket.java
+++ b/src/main/java/larkbank/fleet/FleetSocket.java
@@ -54,19 +54,23 @@
     private static final long MEMBERS_MICROS = 500_000;
     /** For how long somebody outside may act by one answer, at most: no lease is handed on meanwhile. */
     private static final long PROMISE_MICROS = 2_000_000;
+
     private static final long AGAIN_MILLIS = 200;
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Opening opening;
     /** As last taken over: its beat is how often the decisions are asked. */
     private MembershipPlan plan;
+
     private final Wire wire;
     private final Membership membership;
     /** Null where nothing follows the living. */
     private Portion portion;
+
     private final Lending lending;
     /** Null where the file names none. */
     private Leases leases;
+
     private long membersAt = Long.MIN_VALUE;
     private boolean seeks;
     private final CompletableFuture<Void> lent = new CompletableFuture<>();
@@ -87,25 +91,49 @@
             Chronicle.open(plan.record(), opening.name());
         }
         long life = ThreadLocalRandom.current().nextLong();
-        membership = new Membership(now(), plan, new Peer(opening.name(), life, System.currentTimeMillis(), 1,
-                plan.advertise()), opening.facts(), life, this);
+        membership = new Membership(
+                now(),
+                plan,
+                new Peer(opening.name(), life, System.currentTimeMillis(), 1, plan.advertise()),
+                opening.facts(),
+                life,
+                this);
         portion = portion();
         lending = new Lending(life, opening.lists().shelf(), this::send, this::borrowed);
         leases = leases(plan.leases());
     }
 
     private Leases leases(LeasePlan of) {
-        return of == null ? null : new Leases(now(), of, plan.advertise(), opening.name(),
-                Long.toHexString(membership.self().life()), System.currentTimeMillis(),
-                ThreadLocalRandom.current().nextLong(), new Tasks());
+        return of == null
+                ? null
+                : new Leases(
+                        now(),
+                        of,
+                        plan.advertise(),
+                        opening.name(),
+                        Long.toHexString(membership.self().life()),
+                        System.currentTimeMillis(),
+                        ThreadLocalRandom.current().nextLong(),
+                        new Tasks());
     }
 
     /** What comes of leases. */
     private final class Tasks implements Leases.Actions {
         @Override
         public void send(InetSocketAddress to, Word word) {
-            FleetSocket.this.send(to, new Message(Message.Kind.LEASE, membership.self(), "", 0, 0, List.of(),
-                    List.of(), List.of(), "", LeaseWire.write(word)));
+            FleetSocket.this.send(
+                    to,
+                    new Message(
+                            Message.Kind.LEASE,
+                            membership.self(),
+                            "",
+                            0,
+                            0,
+                            List.of(),
+                            List.of(),
+                            List.of(),
+                            "",
+                            LeaseWire.write(word)));
         }
 
         @Override
@@ -128,7 +156,8 @@
         }
         membersAt = now() + MEMBERS_MICROS;
         Map<String, InetSocketAddress> living = new HashMap<>();
-        entriesIn().filter(e -> "serving".equals(e.facts().get("state")))
+        entriesIn()
+                .filter(e -> "serving".equals(e.facts().get("state")))
                 .forEach(e -> living.put(e.peer().name(), e.peer().address()));
         living.put(opening.name(), plan.advertise());
         leases.members(living);
@@ -162,18 +191,28 @@
     }
 
     private List<Peer> others() {
-        return entriesIn().map(Entry::peer).filter(p -> !p.name().equals(opening.name())).toList();
+        return entriesIn()
+                .map(Entry::peer)
+                .filter(p -> !p.name().equals(opening.name()))
+                .toList();
     }
 
     /** Those that are in, as far as is known here; itself may be one. */
     private Stream<Entry> entriesIn() {
-        return membership.members().values().stream().map(Membership.Seen::entry)
+        return membership.members().values().stream()
+                .map(Membership.Seen::entry)
                 .filter(e -> e.standing() == Standing.MEMBER);
     }
 
     private Portion portion() {
-        return plan.shares() == null ? null : new Portion(now(), plan.shares(), plan.advertise(),
-                ThreadLocalRandom.current().nextLong(Long.MAX_VALUE / 2), this::send);
+        return plan.shares() == null
+                ? null
+                : new Portion(
+                        now(),
+                        plan.shares(),
+                        plan.advertise(),
+                        ThreadLocalRandom.current().nextLong(Long.MAX_VALUE / 2),
+                        this::send);
     }
 
     /** Opens the socket; where another process has it that is to go, once that one has gone. */
@@ -186,10 +225,14 @@
     }
 
     private void bind(CompletableFuture<Fellowship> open) {
-        new Bootstrap().group(opening.loop()).channel(NioDatagramChannel.class)
+        new Bootstrap()
+                .group(opening.loop())
+                .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, BUFFER)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Wire.MOST + 1))
-                .handler(new Ear()).bind(plan.listen()).addListener(f -> {
+                .handler(new Ear())
+                .bind(plan.listen())
+                .addListener(f -> {
                     if (f.isSuccess()) {
                         channel = ((ChannelFuture) f).channel();
                         note("opened", opening.name(), Addresses.text(plan.advertise()));
@@ -197,17 +240,24 @@
                         open.complete(this);
                     } else if (opening.beside()) {
                         if (open.complete(this)) {
-                            opening.log().accept("membership: waits for " + Addresses.text(plan.listen())
-                                    + ", which another process has");
+                            opening.log()
+                                    .accept("membership: waits for " + Addresses.text(plan.listen())
+                                            + ", which another process has");
                         }
-                        opening.loop().schedule(() -> {
-                            if (!leaving) {
-                                bind(open);
-                            }
-                        }, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+                        opening.loop()
+                                .schedule(
+                                        () -> {
+                                            if (!leaving) {
+                                                bind(open);
+                                            }
+                                        },
+                                        AGAIN_MILLIS,
+                                        TimeUnit.MILLISECONDS);
                     } else {
-                        open.completeExceptionally(new IOException("[membership] can't listen on "
-                                + Addresses.text(plan.listen()) + ": " + f.cause().getMessage(), f.cause()));
+                        open.completeExceptionally(new IOException(
+                                "[membership] can't listen on " + Addresses.text(plan.listen()) + ": "
+                                        + f.cause().getMessage(),
+                                f.cause()));
                     }
                 });
     }
@@ -310,16 +360,16 @@
         if (channel != null && bytes.length <= Wire.MOST) {
             sent++;
             bytesSent += bytes.length;
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to),
-                    channel.voidPromise());
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
         }
     }
 
     @Override
     public void changed(Change change) {
         String what = change.kind().name().toLowerCase(Locale.ROOT);
-        opening.log().accept("membership: " + change.name() + " " + what + " (incarnation "
-                + change.incarnation() + "), " + change.cause() + "; " + change.live() + " live");
+        opening.log()
+                .accept("membership: " + change.name() + " " + what + " (incarnation " + change.incarnation() + "), "
+                        + change.cause() + "; " + change.live() + " live");
         note(what, change.name(), change.incarnation() + " " + change.live() + " " + change.cause());
     }
 
@@ -398,8 +448,9 @@
         if (promised.acting()) {
             return "YES " + promised.token() + ' ' + promised.leftMicros() / 1_000;
         }
-        return status.holder().isEmpty() ? "NO holder is known" : "NO held by " + status.holder() + " for "
-                + status.leftMicros() / 1_000 + " ms at most";
+        return status.holder().isEmpty()
+                ? "NO holder is known"
+                : "NO held by " + status.holder() + " for " + status.leftMicros() / 1_000 + " ms at most";
     }
 
     @Override
@@ -465,7 +516,8 @@
                 out.writeObjectFieldStart(m.getKey());
                 out.writeStringField("address", Addresses.text(peer.address()));
                 out.writeNumberField("incarnation", peer.incarnation());
-                for (Map.Entry<String, String> fact : m.getValue().entry().facts().entrySet()) {
+                for (Map.Entry<String, String> fact :
+                        m.getValue().entry().facts().entrySet()) {
                     out.writeStringField(fact.getKey(), fact.getValue());
                 }
                 out.writeEndObject();
--- a/src/main/java/larkbank/fleet/LeaseWire.java
+++ b/src/main/java/larkbank/fleet/LeaseWire.java
@@ -17,7 +17,7 @@
     private static final int MOST_TEXT = 200;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private LeaseWire() { }
+    private LeaseWire() {}
 
     static byte[] write(Word w) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
--- a/src/main/java/larkbank/fleet/Wire.java
+++ b/src/main/java/larkbank/fleet/Wire.java
@@ -30,6 +30,7 @@
 
     /** Bytes of a datagram, at most. */
     static final int MOST = 1_200;
+
     static final int VERSION = 2;
     private static final String MAGIC = "lbm";
     private static final int MOST_ITEMS = 256;
@@ -38,7 +39,13 @@
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Why a datagram is none of ours. */
-    enum Fault { TOO_LONG, TORN, FOREIGN, NEWER, NONSENSE }
+    enum Fault {
+        TOO_LONG,
+        TORN,
+        FOREIGN,
+        NEWER,
+        NONSENSE
+    }
 
     /** Thrown for what is dropped; without a stack, since anybody may send as many as they like. */
     static final class Dropped extends Exception {
@@ -95,7 +102,10 @@
             throw new UncheckedIOException("memory can't fail", e);
         }
         byte[] body = bytes.toByteArray();
-        return ByteBuffer.allocate(body.length + 4).put(body).putInt(sum(body, body.length)).array();
+        return ByteBuffer.allocate(body.length + 4)
+                .put(body)
+                .putInt(sum(body, body.length))
+                .array();
     }
 
     private static int sum(byte[] bytes, int length) {
--- a/src/main/java/larkbank/footprint/FleetPlan.java
+++ b/src/main/java/larkbank/footprint/FleetPlan.java
@@ -13,8 +13,7 @@
  * @param probeRate probes a second by all of them that one server may see; 0 for no bound
  * @param living whether each one's part follows from who lives, and not from a count for ever
  */
-public record FleetPlan(int instances, int rank, double listRate, int idlePerServer, double probeRate,
-        boolean living) {
+public record FleetPlan(int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean living) {
 
     /** Of a fixed count. */
     public FleetPlan(int instances, int rank, double listRate, int idlePerServer, double probeRate) {
@@ -25,8 +24,7 @@
     private static final double ROUNDING = 1e-9;
 
     public FleetPlan {
-        if (instances < 1 || rank < 0 || rank >= instances || listRate < 0 || idlePerServer < 0
-                || probeRate < 0) {
+        if (instances < 1 || rank < 0 || rank >= instances || listRate < 0 || idlePerServer < 0 || probeRate < 0) {
             throw new IllegalArgumentException("instance " + rank + " of " + instances);
         }
     }
@@ -50,7 +48,8 @@
 
     /** The same with a part of the whole, 0 to 1, rounded down: all parts together keep the bound. */
     public int idle(int servers, double part) {
-        return idlePerServer == Integer.MAX_VALUE ? Integer.MAX_VALUE
+        return idlePerServer == Integer.MAX_VALUE
+                ? Integer.MAX_VALUE
                 : (int) Math.min(Integer.MAX_VALUE, ROUNDING + part * idlePerServer * servers);
     }
 
--- a/src/main/java/larkbank/footprint/PartPacer.java
+++ b/src/main/java/larkbank/footprint/PartPacer.java
@@ -17,6 +17,7 @@
     private long calledAt;
     /** Told and not yet come, or come and used up. */
     private long dueAt = Long.MAX_VALUE;
+
     private double part = 1;
 
     /**
--- a/src/main/java/larkbank/gangway/Answer.java
+++ b/src/main/java/larkbank/gangway/Answer.java
@@ -20,7 +20,9 @@
 
     /** A line of text. */
     public static Answer text(int status, String reason) {
-        return new Answer(status, List.of(Map.entry("Content-Type", "text/plain; charset=utf-8")),
+        return new Answer(
+                status,
+                List.of(Map.entry("Content-Type", "text/plain; charset=utf-8")),
                 (reason + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/larkbank/gangway/Body.java
+++ b/src/main/java/larkbank/gangway/Body.java
@@ -12,6 +12,7 @@
     private final Gangway gangway;
     /** As told, or -1. */
     private final long length;
+
     private byte[] bytes = NOTHING;
     private int size;
 
--- a/src/main/java/larkbank/gangway/Connection.java
+++ b/src/main/java/larkbank/gangway/Connection.java
@@ -21,7 +21,14 @@
     /** Bytes that may wait behind a request in hand. */
     private static final int MOST_WAITING = 64 * 1024;
 
-    private enum Phase { IDLE, HEAD, BODY, CALLED, WRITING, LINGERING }
+    private enum Phase {
+        IDLE,
+        HEAD,
+        BODY,
+        CALLED,
+        WRITING,
+        LINGERING
+    }
 
     private final Gangway gangway;
     private final SocketChannel channel;
@@ -30,12 +37,14 @@
     private Phase phase = Phase.IDLE;
     /** When the phase began, or something last moved on in it. */
     private long since;
+
     private Bounds bounds;
     private Exchange exchange;
     /** The connection ends after the answer that is being written. */
     private boolean last;
     /** A request has begun to come here. */
     private boolean used;
+
     private long unwritten;
 
     Connection(Gangway gangway, SocketChannel channel) {
@@ -227,7 +236,7 @@
                     channel.close();
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/larkbank/gangway/Decoder.java
+++ b/src/main/java/larkbank/gangway/Decoder.java
@@ -23,6 +23,7 @@
     private Head head;
     /** An empty line came before it. */
     private boolean blank;
+
     private boolean inBody;
     /** A request is in hand. */
     private boolean holds;
@@ -30,8 +31,12 @@
     private boolean stopped;
 
     Decoder(Connection connection) {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(LONGEST).setMaxHeaderSize(LONGEST)
-                .setMaxChunkSize(LONGEST).setStrictLineParsing(true).setUseRfc9112TransferEncoding(true));
+        super(new HttpDecoderConfig()
+                .setMaxInitialLineLength(LONGEST)
+                .setMaxHeaderSize(LONGEST)
+                .setMaxChunkSize(LONGEST)
+                .setStrictLineParsing(true)
+                .setUseRfc9112TransferEncoding(true));
         this.connection = connection;
     }
 
@@ -142,5 +147,5 @@
 
     /** A request that breaks off is none. */
     @Override
-    protected void decodeLast(ChannelHandlerContext c, ByteBuf in, List<Object> out) { }
+    protected void decodeLast(ChannelHandlerContext c, ByteBuf in, List<Object> out) {}
 }
--- a/src/main/java/larkbank/gangway/Gangway.java
+++ b/src/main/java/larkbank/gangway/Gangway.java
@@ -32,6 +32,7 @@
     private static final long MOST_BYTES = 24L * 1024 * 1024;
     /** One look at all connections in place of timers; between two of them, at the least and most. */
     private static final long LEAST_SWEEP = 10;
+
     private static final long MOST_SWEEP = 250;
     /** So often a connection is read in one turn of the loop. */
     private static final int READS = 4;
@@ -50,8 +51,8 @@
     private volatile int requestsOpen;
     private volatile int connected;
 
-    private Gangway(EventLoop loop, ServerSocketChannel socket, Supplier<Bounds> bounds, LongSupplier micros,
-            Host host) throws IOException {
+    private Gangway(EventLoop loop, ServerSocketChannel socket, Supplier<Bounds> bounds, LongSupplier micros, Host host)
+            throws IOException {
         this.loop = loop;
         this.bounds = bounds;
         this.micros = micros;
@@ -61,8 +62,9 @@
     }
 
     /** Listens from now on. */
-    public static Gangway open(EventLoopGroup group, InetSocketAddress at, Supplier<Bounds> bounds,
-            LongSupplier micros, Host host) throws IOException {
+    public static Gangway open(
+            EventLoopGroup group, InetSocketAddress at, Supplier<Bounds> bounds, LongSupplier micros, Host host)
+            throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -72,22 +74,25 @@
             return gangway;
         } catch (IOException | RuntimeException e) {
             socket.close();
-            throw new IOException("cannot listen on " + at.getHostString() + ":" + at.getPort() + ": "
-                    + e.getMessage(), e);
+            throw new IOException(
+                    "cannot listen on " + at.getHostString() + ":" + at.getPort() + ": " + e.getMessage(), e);
         }
     }
 
     private void accept() {
-        new ServerBootstrap().group(loop).channelFactory(() -> (NioServerSocketChannel) door)
+        new ServerBootstrap()
+                .group(loop)
+                .channelFactory(() -> (NioServerSocketChannel) door)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         new Connection(Gangway.this, channel).begin();
                     }
-                }).register();
+                })
+                .register();
     }
 
     /** Where it listens, with the port that was chosen for 0. */
--- a/src/main/java/larkbank/gangway/Head.java
+++ b/src/main/java/larkbank/gangway/Head.java
@@ -15,19 +15,20 @@
     static {
         String others = "!#$%&'*+-.^_`|~";
         for (int c = 0; c < TOKEN.length; c++) {
-            TOKEN[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-                    || others.indexOf(c) >= 0;
+            TOKEN[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || others.indexOf(c) >= 0;
         }
     }
 
     /** Bytes looked at, from the start of the head. */
     private int scanned;
+
     private int lineStart;
     private boolean afterReturn;
     private boolean old;
     private String path;
     /** Of a target with scheme and host, else null. */
     private String authority;
+
     private String named;
     private long length = -1;
     private boolean chunked;
@@ -179,7 +180,8 @@
             char c = authority.charAt(i);
             boolean digit = c >= '0' && c <= '9';
             boolean letter = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z';
-            boolean inside = literal ? i == 0 || i == end - 1 || c == ':' || c == '.'
+            boolean inside = literal
+                    ? i == 0 || i == end - 1 || c == ':' || c == '.'
                     : c == '-' || c == '.' || c == '_' || c == '~';
             if (i < end ? !digit && !letter && !inside : i > end && !digit) {
                 return null;
--- a/src/main/java/larkbank/gangway/Headers.java
+++ b/src/main/java/larkbank/gangway/Headers.java
@@ -8,11 +8,21 @@
 public final class Headers {
 
     /** What speaks of one connection, or is set anew by each sender. */
-    private static final String[] HOP = {"Connection", "Keep-Alive", "Proxy-Connection",
-        "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
-        "Content-Length", "Expect"};
+    private static final String[] HOP = {
+        "Connection",
+        "Keep-Alive",
+        "Proxy-Connection",
+        "Proxy-Authenticate",
+        "Proxy-Authorization",
+        "TE",
+        "Trailer",
+        "Transfer-Encoding",
+        "Upgrade",
+        "Content-Length",
+        "Expect"
+    };
 
-    private Headers() { }
+    private Headers() {}
 
     /** What goes on to the next connection: neither hop-by-hop headers nor what Connection lists. */
     public static List<Map.Entry<String, String>> endToEnd(List<Map.Entry<String, String>> headers) {
@@ -43,8 +53,7 @@
     }
 
     /** All others. */
-    public static List<Map.Entry<String, String>> without(List<Map.Entry<String, String>> headers,
-            String... names) {
+    public static List<Map.Entry<String, String>> without(List<Map.Entry<String, String>> headers, String... names) {
         List<Map.Entry<String, String>> kept = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
             if (!isOneOf(header.getKey(), names)) {
--- a/src/main/java/larkbank/gangway/Intake.java
+++ b/src/main/java/larkbank/gangway/Intake.java
@@ -62,8 +62,8 @@
         }
         body = new Body(gangway, head.length());
         if (continues && head.hasBody()) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
--- a/src/main/java/larkbank/gangway/Responses.java
+++ b/src/main/java/larkbank/gangway/Responses.java
@@ -12,7 +12,7 @@
 /** Turns answers into messages of the library, and sees to their framing. */
 final class Responses {
 
-    private Responses() { }
+    private Responses() {}
 
     /** Without bytes of a body where the request was HEAD (bare); an answer that can't be sent is a 500. */
     static FullHttpResponse of(Answer answer, boolean bare) {
@@ -30,21 +30,22 @@
         }
         boolean empty = status == 204 || status == 304;
         ByteBuf content = bare || empty ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(answer.body());
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(status), content);
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
         String told = null;
         for (Map.Entry<String, String> header : answer.headers()) {
             String name = header.getKey();
             if (name.equalsIgnoreCase("Content-Length")) {
                 told = header.getValue();
-            } else if (!name.equalsIgnoreCase("Transfer-Encoding") && !name.equalsIgnoreCase("Connection")
+            } else if (!name.equalsIgnoreCase("Transfer-Encoding")
+                    && !name.equalsIgnoreCase("Connection")
                     && !name.equalsIgnoreCase("Keep-Alive")) {
                 response.headers().add(name, header.getValue());
             }
         }
         // Of a body that is not sent the host may know the length alone.
-        String length = (bare || status == 304) && answer.body().length == 0 ? told
-                : Integer.toString(answer.body().length);
+        String length =
+                (bare || status == 304) && answer.body().length == 0 ? told : Integer.toString(answer.body().length);
         if (status != 204 && length != null) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         }
--- a/src/main/java/larkbank/harbour/Harbour.java
+++ b/src/main/java/larkbank/harbour/Harbour.java
@@ -45,13 +45,13 @@
 public final class Harbour {
 
     private static final Logger LOG = Logger.getLogger("harbour");
-    private static final Moorings.Plan LINES =
-            new Moorings.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
+    private static final Moorings.Plan LINES = new Moorings.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
     private static final Bounds OPERATORS = new Bounds(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
     private static final int TICK_MILLIS = 50;
     private static final int OPEN_EVERY_MILLIS = 500;
     /** A part of the time that there is between the signal and the end. */
     private static final int LEAVE_MILLIS = 1_500;
+
     private static final int LEAST_VOTERS = 3;
     private static final int TICKS_A_TALLY = 4;
     private static final int TICKS_A_LOOK = 20;
@@ -59,8 +59,7 @@
     private final NodePapers papers;
     private final Watched file;
     private final Clock clock = new Clock();
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ExecutorService disk = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "disk");
@@ -77,6 +76,7 @@
     private final Map<Line, String> callers = new HashMap<>();
     /** Where other harbours are asked, as each has said; kept after its line has ended. */
     private final Map<String, String> controls = new HashMap<>();
+
     private List<String> seeds;
     private long ticks;
     /** Why the disk could not be opened, as it was logged last; of the disk's thread. */
@@ -90,33 +90,66 @@
         own = papers.lines(papers.ip());
         news = new NewsDesk(clock, life, papers.control(), this::confirmedAge);
         seeds = List.copyOf(papers.seedLines());
-        others = new Moorings(wharf, clock, LINES,
-                () -> Scribe.map("t", "hello", "kind", "harbour", "address", own,
-                        "member", keeping.copies().own(), "control", papers.control()), new Others());
+        others = new Moorings(
+                wharf,
+                clock,
+                LINES,
+                () -> Scribe.map(
+                        "t",
+                        "hello",
+                        "kind",
+                        "harbour",
+                        "address",
+                        own,
+                        "member",
+                        keeping.copies().own(),
+                        "control",
+                        papers.control()),
+                new Others());
     }
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
         Logs.open(err, false);
-        return Boot.run("harbour", env, err, papers -> Option.when(papers.dataDirectory() == null
-                        || !papers.listen().containsKey("controlPlane"),
-                "localNode.dataDirectory and network.listenAddresses.controlPlane"),
+        return Boot.run(
+                "harbour",
+                env,
+                err,
+                papers -> Option.when(
+                        papers.dataDirectory() == null || !papers.listen().containsKey("controlPlane"),
+                        "localNode.dataDirectory and network.listenAddresses.controlPlane"),
                 (papers, file) -> new Harbour(papers, file).serve());
     }
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
         Boot.onHangup(() -> look(true));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            leave();
-            ended.countDown();
-        }, "end"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            leave();
+                            ended.countDown();
+                        },
+                        "end"));
         disk.execute(this::openStore);
         wharf.listen(Addresses.parse(own), new Lines());
-        Gangway.open(group, Addresses.parse(papers.listen().get("controlPlane")), () -> OPERATORS, clock,
-                new StateDesk(new OperatorDesk(() -> keeping, this::voter, clock), items -> HarbourState.of(
-                        clock.getAsLong(), papers.name(), papers.control(), own, life, harbours(),
-                        keeping == null ? null : keeping.copies(), news, items)));
+        Gangway.open(
+                group,
+                Addresses.parse(papers.listen().get("controlPlane")),
+                () -> OPERATORS,
+                clock,
+                new StateDesk(
+                        new OperatorDesk(() -> keeping, this::voter, clock),
+                        items -> HarbourState.of(
+                                clock.getAsLong(),
+                                papers.name(),
+                                papers.control(),
+                                own,
+                                life,
+                                harbours(),
+                                keeping == null ? null : keeping.copies(),
+                                news,
+                                items)));
         LOG.info("Harbour " + papers.name() + " listens.");
         try {
             ended.await();
@@ -157,17 +190,24 @@
     /** Where operators go on whom this harbour can't serve, since it has no vote: to one that is heard. */
     private Option<String> voter() {
         Copies copies = keeping.copies();
-        List<String> voters = copies.votes() || copies.forgetful() ? List.of() : copies.crew().stream()
-                .map(Member::address).filter(a -> !a.equals(own) && others.isClear(a))
-                .map(controls::get).filter(Objects::nonNull).toList();
+        List<String> voters = copies.votes() || copies.forgetful()
+                ? List.of()
+                : copies.crew().stream()
+                        .map(Member::address)
+                        .filter(a -> !a.equals(own) && others.isClear(a))
+                        .map(controls::get)
+                        .filter(Objects::nonNull)
+                        .toList();
         return voters.isEmpty() ? Option.none() : Option.some(voters.get((int) (ticks % voters.size())));
     }
 
     /** All other harbours that lines are wanted to, and where each has said that it is asked. */
     private List<Object> harbours() {
         List<Object> all = new ArrayList<>();
-        others.addresses().stream().sorted().forEach(address -> all.add(Scribe.map("address", address,
-                "control", controls.get(address), "heard", others.isClear(address))));
+        others.addresses().stream()
+                .sorted()
+                .forEach(address -> all.add(Scribe.map(
+                        "address", address, "control", controls.get(address), "heard", others.isClear(address))));
         return all;
     }
 
@@ -178,8 +218,9 @@
     private void openStore() {
         try {
             XodusStore store = new XodusStore(Path.of(papers.dataDirectory()));
-            store.setAside().ifPresent(why -> LOG.error("The disk was damaged; what it held is set aside. "
-                    + why + ". This harbour has to learn what stands."));
+            store.setAside()
+                    .ifPresent(why -> LOG.error("The disk was damaged; what it held is set aside. " + why
+                            + ". This harbour has to learn what stands."));
             Standing loaded = store.load().orElse(null);
             loop.execute(() -> begin(store, loaded, papers.initialStart() && !store.damaged()));
         } catch (IOException | RuntimeException e) {
@@ -194,19 +235,30 @@
 
     /** Most of them are left when as many machines are lost as may be. */
     private int voters() {
-        return Math.max(LEAST_VOTERS, papers.machineFailures() < 0 ? seeds.size()
-                : 2 * papers.machineFailures() + 1);
+        return Math.max(LEAST_VOTERS, papers.machineFailures() < 0 ? seeds.size() : 2 * papers.machineFailures() + 1);
     }
 
     private void begin(Store store, Standing loaded, boolean initialStart) {
-        Copies copies = new Copies(CopiesPlan.usual(), own, seeds, voters(), initialStart, loaded,
-                life, new SplittableRandom(new SecureRandom().nextLong()), clock.getAsLong());
-        Keeping its = new Keeping(copies, store, disk, loop, clock,
+        Copies copies = new Copies(
+                CopiesPlan.usual(),
+                own,
+                seeds,
+                voters(),
+                initialStart,
+                loaded,
+                life,
+                new SplittableRandom(new SecureRandom().nextLong()),
+                clock.getAsLong());
+        Keeping its = new Keeping(
+                copies,
+                store,
+                disk,
+                loop,
+                clock,
                 (to, message) -> others.send(Member.address(to), message),
                 show -> news.show(show.stamp(), show.manifest(), show.crew()));
         keeping = its;
-        LOG.info("The disk is open. " + (loaded == null ? "It is empty." : "It stands at "
-                + loaded.accepted() + "."));
+        LOG.info("The disk is open. " + (loaded == null ? "It is empty." : "It stands at " + loaded.accepted() + "."));
         wantOthers();
         its.start();
         loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
@@ -233,8 +285,7 @@
 
     /** Reads the settings anew where they are others. */
     private void look(boolean signalled) {
-        disk.execute(() -> file.look(signalled,
-                next -> loop.execute(() -> seeds = List.copyOf(next.seedLines()))));
+        disk.execute(() -> file.look(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedLines()))));
     }
 
     private void wantOthers() {
@@ -248,7 +299,7 @@
     /** Lines that others have opened. */
     private final class Lines implements Line.Ear {
         @Override
-        public void opened(Line line) { }
+        public void opened(Line line) {}
 
         @Override
         public void heard(Line line, Map<String, Object> head, byte[] body) {
@@ -282,15 +333,15 @@
     /** Lines that this harbour has opened to others: it speaks there, and hears on those of theirs. */
     private static final class Others implements Moorings.Owner {
         @Override
-        public void up(String address, Line line) { }
+        public void up(String address, Line line) {}
 
         @Override
-        public void heard(String address, Line line, Map<String, Object> head, byte[] body) { }
+        public void heard(String address, Line line, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void lost(String address, Line line) { }
+        public void lost(String address, Line line) {}
 
         @Override
-        public void refused(String address) { }
+        public void refused(String address) {}
     }
 }
--- a/src/main/java/larkbank/harbour/Keeping.java
+++ b/src/main/java/larkbank/harbour/Keeping.java
@@ -35,8 +35,14 @@
     private final Map<Long, Consumer<ProposalResult>> waiting = new HashMap<>();
     private long tickets;
 
-    Keeping(Copies copies, Store store, ExecutorService disk, Executor loop, LongSupplier micros,
-            BiConsumer<String, Map<String, Object>> send, Consumer<Effect.Show> shown) {
+    Keeping(
+            Copies copies,
+            Store store,
+            ExecutorService disk,
+            Executor loop,
+            LongSupplier micros,
+            BiConsumer<String, Map<String, Object>> send,
+            Consumer<Effect.Show> shown) {
         this.copies = copies;
         this.store = store;
         this.disk = disk;
--- a/src/main/java/larkbank/harbour/NewsDesk.java
+++ b/src/main/java/larkbank/harbour/NewsDesk.java
@@ -98,9 +98,19 @@
     void welcome(Line line, String name) {
         seats.put(line, new Seat(name));
         line.owner(name);
-        line.send(Scribe.map("t", "welcome", "life", life, "crew", crew,
-                "control", control, "stamp", editions.stamp().toString(),
-                "age", confirmedAge.getAsLong()));
+        line.send(Scribe.map(
+                "t",
+                "welcome",
+                "life",
+                life,
+                "crew",
+                crew,
+                "control",
+                control,
+                "stamp",
+                editions.stamp().toString(),
+                "age",
+                confirmedAge.getAsLong()));
     }
 
     void heard(Line line, Map<String, Object> head) {
@@ -124,15 +134,14 @@
             }
             case "contact" -> line.send(contact(Json.whole(head, "asked", 0)));
             case "want" -> tellEdition(line, head);
-            case "tally" -> demands.told(now, seat.name, Json.object(head, "asked"),
-                    Json.flag(head, "whole"));
+            case "tally" -> demands.told(now, seat.name, Json.object(head, "asked"), Json.flag(head, "whole"));
             case "sums" -> {
                 seat.sums = Json.flag(head, "on");
                 if (seat.sums) {
                     line.send(Scribe.map("t", "tallies", "asked", demands.sums(now)));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -149,15 +158,15 @@
         editions.show(stamp, manifest);
         crew = members.stream().map(Member::address).toList();
         for (Line line : List.copyOf(seats.keySet())) {
-            line.send(Scribe.map("t", "stamp", "stamp", editions.stamp().toString(), "crew", crew,
-                    "age", confirmedAge.getAsLong()));
+            line.send(Scribe.map(
+                    "t", "stamp", "stamp", editions.stamp().toString(), "crew", crew, "age", confirmedAge.getAsLong()));
         }
     }
 
     /** As of when what is shown was the newest. @param asked the time of the pilot that asked, or 0 */
     private Map<String, Object> contact(long asked) {
-        return Scribe.map("t", "contact", "asked", asked, "stamp", editions.stamp().toString(),
-                "age", confirmedAge.getAsLong());
+        return Scribe.map(
+                "t", "contact", "asked", asked, "stamp", editions.stamp().toString(), "age", confirmedAge.getAsLong());
     }
 
     /** Contact with a majority is told when it is lost or regained, and to whoever asks. */
@@ -166,8 +175,10 @@
         boolean now = age >= 0 && age <= OUT_OF_CONTACT;
         if (now != inContact) {
             inContact = now;
-            LOG.info(now ? "This harbour is in contact with most of the crew."
-                    : "This harbour is out of contact with most of the crew.");
+            LOG.info(
+                    now
+                            ? "This harbour is in contact with most of the crew."
+                            : "This harbour is out of contact with most of the crew.");
             byte[] told = Scribe.bytes(contact(0));
             seats.keySet().forEach(line -> line.sendText(told));
         }
@@ -219,7 +230,8 @@
             return;
         }
         Collection<Berth> all = register.all();
-        Set<String> told = whole ? new LinkedHashSet<>(all.stream().map(Berth::name).toList()) : names;
+        Set<String> told =
+                whole ? new LinkedHashSet<>(all.stream().map(Berth::name).toList()) : names;
         List<Object> berths = new ArrayList<>();
         List<Object> gone = new ArrayList<>();
         for (String name : told) {
@@ -231,8 +243,8 @@
             }
         }
         seat.place = log.end();
-        line.send(Scribe.map("t", "roster", "life", life, "place", seat.place, "whole", whole,
-                "berths", berths, "gone", gone));
+        line.send(Scribe.map(
+                "t", "roster", "life", life, "place", seat.place, "whole", whole, "berths", berths, "gone", gone));
     }
 
     private void tellEdition(Line line, Map<String, Object> head) {
@@ -243,9 +255,20 @@
         Editions.News news = editions.newsFor(has);
         int pieces = news.pieces().size();
         for (int i = 0; i < pieces; i++) {
-            line.send(Scribe.map("t", "items", "stamp", editions.stamp().toString(),
-                    "from", news.whole() ? "" : has.toString(), "piece", i, "pieces", pieces),
-                    news.pieces().get(i), null);
+            line.send(
+                    Scribe.map(
+                            "t",
+                            "items",
+                            "stamp",
+                            editions.stamp().toString(),
+                            "from",
+                            news.whole() ? "" : has.toString(),
+                            "piece",
+                            i,
+                            "pieces",
+                            pieces),
+                    news.pieces().get(i),
+                    null);
         }
     }
 }
--- a/src/main/java/larkbank/harbour/OperatorDesk.java
+++ b/src/main/java/larkbank/harbour/OperatorDesk.java
@@ -89,18 +89,21 @@
             return;
         }
         String why = keeping.get().beginAlone(abandoned);
-        LOG.warn(why == null ? "An operator's word: this harbour begins with nothing."
-                : "An operator's word to begin is refused: " + why + ".");
+        LOG.warn(
+                why == null
+                        ? "An operator's word: this harbour begins with nothing."
+                        : "An operator's word to begin is refused: " + why + ".");
         call.answer(why == null ? json(200, Map.of()) : fault(Fault.CONFLICT, why));
     }
 
     private void modify(Call call) {
         long begun = micros.getAsLong();
-        Order.read(call.body()).peekLeft(refusal -> call.answer(refused(refusal))).forEach(order ->
-                keeping.get().submit(order, begun + PATIENCE + (long) (PER_BYTE * call.body().length),
-                        verdict -> {
-                            LOG.info("A change of " + call.body().length + " bytes: " + word(verdict)
-                                    + " after " + (micros.getAsLong() - begun) / 1000 + " ms.");
+        Order.read(call.body())
+                .peekLeft(refusal -> call.answer(refused(refusal)))
+                .forEach(order -> keeping.get()
+                        .submit(order, begun + PATIENCE + (long) (PER_BYTE * call.body().length), verdict -> {
+                            LOG.info("A change of " + call.body().length + " bytes: " + word(verdict) + " after "
+                                    + (micros.getAsLong() - begun) / 1000 + " ms.");
                             call.answer(answer(verdict));
                         }));
     }
@@ -109,7 +112,9 @@
         if (verdict instanceof ProposalResult.Taken taken) {
             return "taken at " + taken.stamp();
         }
-        return verdict instanceof ProposalResult.Refused r ? "refused, " + r.refusal().reason() : "open";
+        return verdict instanceof ProposalResult.Refused r
+                ? "refused, " + r.refusal().reason()
+                : "open";
     }
 
     private void read(Call call) {
@@ -124,16 +129,17 @@
         } else if (verdict instanceof ProposalResult.Refused refused) {
             return refused(refused.refusal());
         }
-        return fault(Fault.UNAVAILABLE,
-                verdict instanceof ProposalResult.Unavailable u ? u.reason() : "no answer");
+        return fault(Fault.UNAVAILABLE, verdict instanceof ProposalResult.Unavailable u ? u.reason() : "no answer");
     }
 
     private static Answer refused(Refusal refusal) {
-        return fault(switch (refusal.kind()) {
-            case INVALID -> Fault.INVALID;
-            case CONFLICT -> Fault.CONFLICT;
-            case FORGOTTEN -> Fault.UNAVAILABLE;
-        }, refusal.reason());
+        return fault(
+                switch (refusal.kind()) {
+                    case INVALID -> Fault.INVALID;
+                    case CONFLICT -> Fault.CONFLICT;
+                    case FORGOTTEN -> Fault.UNAVAILABLE;
+                },
+                refusal.reason());
     }
 
     private static Answer json(int status, Map<String, Object> body) {
@@ -141,8 +147,8 @@
     }
 
     private static Answer fault(Fault fault, String reason) {
-        Answer answer = json(fault.status(),
-                Scribe.map("error", fault.name().toLowerCase(Locale.ROOT), "reason", reason));
+        Answer answer =
+                json(fault.status(), Scribe.map("error", fault.name().toLowerCase(Locale.ROOT), "reason", reason));
         return fault.saysWhen() ? answer.withHeader("Retry-After", "0.2") : answer;
     }
 }
--- a/src/main/java/larkbank/hold/Aside.java
+++ b/src/main/java/larkbank/hold/Aside.java
@@ -76,8 +76,10 @@
     }
 
     private Deque<String> kept() throws IOException {
-        return new ArrayDeque<>(Folders.names(folder).stream().filter(n -> n.matches(ASIDE + "\\d{1,9}"))
-                .sorted((a, b) -> Long.compare(number(a), number(b))).toList());
+        return new ArrayDeque<>(Folders.names(folder).stream()
+                .filter(n -> n.matches(ASIDE + "\\d{1,9}"))
+                .sorted((a, b) -> Long.compare(number(a), number(b)))
+                .toList());
     }
 
     private static long number(String name) {
--- a/src/main/java/larkbank/hold/Generation.java
+++ b/src/main/java/larkbank/hold/Generation.java
@@ -20,8 +20,8 @@
 import jetbrains.exodus.env.Environments;
 import jetbrains.exodus.env.StoreConfig;
 import jetbrains.exodus.env.Transaction;
-import larkbank.copies.Change;
 import larkbank.copies.Ballot;
+import larkbank.copies.Change;
 import larkbank.copies.Standing;
 import larkbank.manifest.Item;
 
@@ -86,13 +86,13 @@
 
     /** Whether the disk refused, which tells nothing about what it holds. */
     private static boolean byReading(Throwable e) {
-        return e instanceof ExodusException
-                && (e.getCause() instanceof IOException || byReading(e.getCause()));
+        return e instanceof ExodusException && (e.getCause() instanceof IOException || byReading(e.getCause()));
     }
 
     /** Cuts the last write off a folder that is not open: without its last byte, the one before it counts. */
     static void cut(Path folder) throws IOException {
-        List<String> logs = Folders.names(folder).stream().filter(n -> n.endsWith(".xd")).toList();
+        List<String> logs =
+                Folders.names(folder).stream().filter(n -> n.endsWith(".xd")).toList();
         for (int i = logs.size() - 1; i >= 0; i--) {
             try (FileChannel log = FileChannel.open(folder.resolve(logs.get(i)), StandardOpenOption.WRITE)) {
                 if (log.size() > 0) {
@@ -153,7 +153,8 @@
         }
         List<Item> items = new ArrayList<>();
         long sum = 0;
-        try (Cursor cursor = environment.openStore(ITEMS, StoreConfig.USE_EXISTING, t).openCursor(t)) {
+        try (Cursor cursor =
+                environment.openStore(ITEMS, StoreConfig.USE_EXISTING, t).openCursor(t)) {
             while (cursor.getNext()) {
                 items.add(Item.ofText(text(cursor.getValue())));
                 sum += print(cursor.getKey(), cursor.getValue());
@@ -171,15 +172,21 @@
             seal = found;
         }
         String crew = text(terms.get(t, CREW));
-        return new Standing(Ballot.of(text(promised)), Ballot.of(text(terms.get(t, ACCEPTED))),
-                crew.isEmpty() ? List.of() : List.of(crew.split("\n")), items,
-                Boolean.parseBoolean(text(terms.get(t, HEARSAY))), disk(terms.get(t, DISK)));
+        return new Standing(
+                Ballot.of(text(promised)),
+                Ballot.of(text(terms.get(t, ACCEPTED))),
+                crew.isEmpty() ? List.of() : List.of(crew.split("\n")),
+                items,
+                Boolean.parseBoolean(text(terms.get(t, HEARSAY))),
+                disk(terms.get(t, DISK)));
     }
 
     private static List<String> terms(jetbrains.exodus.env.Store terms, Transaction t) {
         // Builds before wrote no number of the disk.
-        return Stream.of(PROMISED, ACCEPTED, CREW, HEARSAY, DISK).filter(name -> name != DISK
-                || terms.get(t, DISK) != null).map(name -> text(terms.get(t, name))).toList();
+        return Stream.of(PROMISED, ACCEPTED, CREW, HEARSAY, DISK)
+                .filter(name -> name != DISK || terms.get(t, DISK) != null)
+                .map(name -> text(terms.get(t, name)))
+                .toList();
     }
 
     private static long disk(ByteIterable number) {
@@ -193,8 +200,7 @@
     /** Writes all that stands into a folder made anew, after so many writes. */
     void write(Standing all, long number) throws IOException {
         seal = new Seal(number, 0);
-        write(new Change(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()),
-                all.hearsay());
+        write(new Change(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()), all.hearsay());
     }
 
     private void write(Change change, boolean hearsay) throws IOException {
@@ -223,7 +229,8 @@
         var items = environment.openStore(ITEMS, StoreConfig.WITHOUT_DUPLICATES, t);
         var terms = environment.openStore(TERMS, StoreConfig.WITHOUT_DUPLICATES, t);
         for (Item item : change.items()) {
-            ByteIterable key = bytes(item.key().table().wire() + "." + item.key().name());
+            ByteIterable key =
+                    bytes(item.key().table().wire() + "." + item.key().name());
             ByteIterable value = bytes(item.toText());
             ByteIterable before = items.get(t, key);
             sum += print(key, value) - (before == null ? 0 : print(key, before));
@@ -257,7 +264,8 @@
     }
 
     private static long print(ByteIterable key, ByteIterable value) {
-        return Seal.print(Arrays.copyOf(key.getBytesUnsafe(), key.getLength()),
+        return Seal.print(
+                Arrays.copyOf(key.getBytesUnsafe(), key.getLength()),
                 Arrays.copyOf(value.getBytesUnsafe(), value.getLength()));
     }
 
--- a/src/main/java/larkbank/hold/MemoryStore.java
+++ b/src/main/java/larkbank/hold/MemoryStore.java
@@ -20,5 +20,5 @@
     }
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/src/main/java/larkbank/hold/Witness.java
+++ b/src/main/java/larkbank/hold/Witness.java
@@ -20,8 +20,7 @@
     private long number;
 
     Witness(Path file) throws IOException {
-        channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         ByteBuffer bytes = ByteBuffer.allocate(2 * DIGITS);
         channel.read(bytes, 0);
         String text = new String(bytes.array(), 0, bytes.position(), StandardCharsets.ISO_8859_1);
--- a/src/main/java/larkbank/hold/XodusStore.java
+++ b/src/main/java/larkbank/hold/XodusStore.java
@@ -21,10 +21,12 @@
     private static final long LARGE = 12L << 20;
     /** No item is larger than a file may be; a file takes only what is written to it. */
     private static final int FILE_KIB = 64 * 1024;
+
     private static final int LOOK_EVERY = 16;
     private static final int TIMES = 4;
     /** A folder that is larger has been written to. */
     private static final int BEGUN = 64 << 10;
+
     private static final String NAMES = "current";
     private static final String WITNESS = "written";
 
@@ -41,6 +43,7 @@
     private boolean cut;
     /** How many writes have come back, as far as this process knows. */
     private long written;
+
     private Witness witness;
 
     public XodusStore(Path folder) throws IOException {
@@ -105,7 +108,8 @@
             folders.replace(names, "0\n");
         }
         try {
-            number = Long.parseLong(Files.readString(names, StandardCharsets.ISO_8859_1).trim());
+            number = Long.parseLong(
+                    Files.readString(names, StandardCharsets.ISO_8859_1).trim());
         } catch (NumberFormatException e) {
             throw new Damaged(names + " names no folder", e);
         }
@@ -116,8 +120,10 @@
             generation = number == 0 ? first(names) : sealed(folder.resolve(Long.toString(number)));
             number = Math.max(number, 1);
             if (generation.number() < Math.max(written, witness.number())) {
-                throw new Damaged(folder + " has forgotten: it stands after write " + generation.number()
-                        + " of " + Math.max(written, witness.number()), null);
+                throw new Damaged(
+                        folder + " has forgotten: it stands after write " + generation.number() + " of "
+                                + Math.max(written, witness.number()),
+                        null);
             }
             clean(number);
         } catch (IOException e) {
--- a/src/main/java/larkbank/lab/Datagrams.java
+++ b/src/main/java/larkbank/lab/Datagrams.java
@@ -25,8 +25,8 @@
     }
 
     /** What the network does to a datagram: parts of them, 0 to 1, and times in microseconds. */
-    public record Weather(double lost, double doubled, double late, long lateMicros, long leastMicros,
-            long mostMicros) {
+    public record Weather(
+            double lost, double doubled, double late, long lateMicros, long leastMicros, long mostMicros) {
         /** A quiet network of one site. */
         public static final Weather FAIR = new Weather(0, 0, 0, 0, 200, 2_000);
 
@@ -44,6 +44,7 @@
         long beat;
         /** Rises with each start, so that ticks of an earlier process are void. */
         int start;
+
         boolean stopped;
         final List<M> waiting = new ArrayList<>();
         long sent;
--- a/src/main/java/larkbank/lab/Fellows.java
+++ b/src/main/java/larkbank/lab/Fellows.java
@@ -22,7 +22,7 @@
 public final class Fellows {
 
     /** A change that one of them has seen. */
-    public record Seen(long at, int by, Change change) { }
+    public record Seen(long at, int by, Change change) {}
 
     /** One process, or one that was. */
     public static final class Fellow {
@@ -50,6 +50,7 @@
     private static final int FIRST_PORT = 1_000;
     /** Bytes of a message with nothing in it, of an entry and of a report, as they are on the wire. */
     private static final int BARE = 75;
+
     private static final int ENTRY = 75;
     private static final int REPORT = 20;
 
@@ -60,7 +61,7 @@
     private final List<Fellow> fellows = new ArrayList<>();
     private final Map<InetSocketAddress, Integer> places = new HashMap<>();
     private final Rings.Cache rings = new Rings.Cache(512);
-    private Consumer<Seen> listener = seen -> { };
+    private Consumer<Seen> listener = seen -> {};
     private long bytes;
 
     /** @param seeds how many of the first members are seeds */
@@ -70,9 +71,15 @@
         for (int i = 0; i < members; i++) {
             add("n" + i);
         }
-        plan = new MembershipPlan("lab", address(0), address(0),
-                fellows.stream().limit(seeds).map(f -> address(f.place)).toList(), pauseMicros,
-                MembershipPlan.period(pauseMicros), MembershipPlan.MOST, null);
+        plan = new MembershipPlan(
+                "lab",
+                address(0),
+                address(0),
+                fellows.stream().limit(seeds).map(f -> address(f.place)).toList(),
+                pauseMicros,
+                MembershipPlan.period(pauseMicros),
+                MembershipPlan.MOST,
+                null);
     }
 
     /** One more place, with a process that has not started. */
@@ -113,8 +120,14 @@
         Fellow f = fellows.get(i);
         f.refused = null;
         Peer peer = new Peer(f.name, random.nextLong(), net.now() / 1_000 + ++f.lives, 1, address(f.place));
-        f.core = new Membership(net.now(), plan, peer, Map.of("front", "127.0.0.1:" + (9_000 + i)),
-                random.nextLong(), new Acts(f), rings);
+        f.core = new Membership(
+                net.now(),
+                plan,
+                peer,
+                Map.of("front", "127.0.0.1:" + (9_000 + i)),
+                random.nextLong(),
+                new Acts(f),
+                rings);
         net.start(f.place, plan.beatMicros(), new Runs(f.core));
         return f;
     }
@@ -124,8 +137,7 @@
         List<Entry> known = new ArrayList<>();
         for (int i = 0; i < fellows.size(); i++) {
             Fellow f = start(i);
-            known.add(new Entry(f.core.self(), Standing.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000
-                    + i)), 0));
+            known.add(new Entry(f.core.self(), Standing.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
         }
         fellows.forEach(f -> f.core.know(net.now(), known));
     }
@@ -177,7 +189,8 @@
 
         @Override
         public void send(InetSocketAddress to, Message message) {
-            bytes += BARE + (long) ENTRY * message.entries().size()
+            bytes += BARE
+                    + (long) ENTRY * message.entries().size()
                     + (long) REPORT * message.reports().size();
             net.send(fellow.place, places.getOrDefault(to, -1), message);
         }
@@ -196,6 +209,6 @@
         }
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 }
--- a/src/main/java/larkbank/lab/Instance.java
+++ b/src/main/java/larkbank/lab/Instance.java
@@ -32,10 +32,10 @@
     /** Hears how each request ended. */
     interface Account {
         /** It is sent to a server. */
-        default void sent(Asked asked, Machine machine) { }
+        default void sent(Asked asked, Machine machine) {}
 
         /** One sending of it begins or ends to run, in a cell. */
-        default void ran(Asked asked, int cell, boolean begins) { }
+        default void ran(Asked asked, int cell, boolean begins) {}
 
         /** Its one answer; served or not. */
         void answered(Asked asked, boolean served);
@@ -75,10 +75,16 @@
     private final List<Part> parts = new ArrayList<>();
     /** Null where all servers are one pool. */
     private final Cells cells;
+
     private final Map<Ticket, Asked> held = new IdentityHashMap<>();
 
     /** @param plan null for no cells */
-    Instance(Timeline time, Settings settings, CellsPlan plan, List<Server> servers, Account account,
+    Instance(
+            Timeline time,
+            Settings settings,
+            CellsPlan plan,
+            List<Server> servers,
+            Account account,
             LongFunction<Machine> machines) {
         this.time = time;
         this.settings = settings;
@@ -92,8 +98,14 @@
         for (int c = 0; c < count; c++) {
             int cell = c;
             parts.add(new Part(c));
-            parts.get(c).module.servers(time.now(), ListKind.COMPLETE, servers.stream()
-                    .filter(s -> cells == null || cells.cellOf(s.id()) == cell).toList());
+            parts.get(c)
+                    .module
+                    .servers(
+                            time.now(),
+                            ListKind.COMPLETE,
+                            servers.stream()
+                                    .filter(s -> cells == null || cells.cellOf(s.id()) == cell)
+                                    .toList());
         }
     }
 
@@ -110,8 +122,7 @@
         }
         RequestClass c = settings.classes().get(asked.requestClass);
         long hash = Hashes.mix(Ids.of(asked.id), 0);
-        asked.ticket = cells.ask(time.now(), Ids.of("u"
-                + asked.unit), c.effect(), hash, hash, asked.deadline);
+        asked.ticket = cells.ask(time.now(), Ids.of("u" + asked.unit), c.effect(), hash, hash, asked.deadline);
         if (asked.ticket.retryAfterMicros() > 0) {
             asked.over = true;
             asked.answers++;
@@ -201,8 +212,9 @@
                     module.clientLeft(time.now(), asked.id);
                 }
             });
-            module.request(time.now(), new Request(asked.id, asked.requestClass, 0, false, asked.unit,
-                    asked.deadline, 0, false));
+            module.request(
+                    time.now(),
+                    new Request(asked.id, asked.requestClass, 0, false, asked.unit, asked.deadline, 0, false));
         }
 
         void ended(Attempt a, Result result, LoadReport report) {
@@ -215,8 +227,9 @@
             if (result == Result.SERVED && !asked.over) {
                 over(asked, true);
             }
-            module.outcome(time.now(), new Outcome(asked.id, a.number, a.machine.id, result,
-                    time.now() - a.sentAt, asked.over, report));
+            module.outcome(
+                    time.now(),
+                    new Outcome(asked.id, a.number, a.machine.id, result, time.now() - a.sentAt, asked.over, report));
             forget(asked);
         }
 
@@ -225,8 +238,14 @@
             asked.answers++;
             account.answered(asked, served);
             if (asked.ticket != null) {
-                cells.answered(time.now(), asked.ticket, served && time.now() - asked.at
-                        <= settings.classes().get(asked.requestClass).aimMicros());
+                cells.answered(
+                        time.now(),
+                        asked.ticket,
+                        served
+                                && time.now() - asked.at
+                                        <= settings.classes()
+                                                .get(asked.requestClass)
+                                                .aimMicros());
             }
             forget(asked);
         }
@@ -247,8 +266,7 @@
             asked.attempts.add(a);
             account.sent(asked, a.machine);
             asked.out++;
-            long until = timeoutMicros == 0 ? asked.deadline
-                    : Math.min(asked.deadline, time.now() + timeoutMicros);
+            long until = timeoutMicros == 0 ? asked.deadline : Math.min(asked.deadline, time.now() + timeoutMicros);
             time.at(time.now() + WAY, () -> a.machine.arrives(a));
             time.at(until, () -> ended(a, Result.TIMED_OUT, null));
         }
--- a/src/main/java/larkbank/lab/Laboratory.java
+++ b/src/main/java/larkbank/lab/Laboratory.java
@@ -36,8 +36,10 @@
     private static final int ZONES = 3, LEAST_ASKED = 5;
     static final double[] SHARES = {0.35, 0.34, 0.31};
     /** Least and most work, least and most wait, of each class. */
-    private static final long[][] WORK = {{77_000, 140_000, 74_000, 140_000},
-        {110_000, 190_000, 200_000, 380_000}, {110_000, 200_000, 110_000, 200_000}};
+    private static final long[][] WORK = {
+        {77_000, 140_000, 74_000, 140_000}, {110_000, 190_000, 200_000, 380_000}, {110_000, 200_000, 110_000, 200_000}
+    };
+
     private static final List<RequestClass> CLASSES = List.of(
             new RequestClass("search", Effect.SAFE, Group.ALL, 0, 800_000, 0, 1_500_000, 2, LATE, false),
             new RequestClass("book", Effect.UNSAFE, Group.ALL, 0, 1_200_000, 0, 5_000_000, 10, LATE, false),
@@ -58,6 +60,7 @@
     private long both;
     /** Before the harm and with it: worth asked for, worth served; by unit requests, and those in time. */
     private final double[] worth = new double[2];
+
     private final double[] served = new double[2];
     private final int[][] all;
     private final int[][] inTime;
@@ -87,10 +90,11 @@
         }
         CellsPlan plan = scenario.cells() == 1 ? null : plan();
         for (int i = 0; i < scenario.sidecars(); i++) {
-            instances.add(new Instance(time, settings(scenario.seed()
-                    + i, i, scenario.sidecars()), plan, servers, this, machines::get));
+            instances.add(new Instance(
+                    time, settings(scenario.seed() + i, i, scenario.sidecars()), plan, servers, this, machines::get));
         }
-        double capacity = machines.values().stream().mapToDouble(Machine::capacity).sum();
+        double capacity =
+                machines.values().stream().mapToDouble(Machine::capacity).sum();
         double mean = 0;
         for (int c = 0; c < SHARES.length; c++) {
             mean += SHARES[c] * (WORK[c][0] + WORK[c][1]) / 2e6;
@@ -105,11 +109,20 @@
 
     /** What an instance of the model is handed. */
     static Settings settings(long seed, int rank, int instances) {
-        return new Settings(seed, rank, instances, rank % ZONES,
-                List.of("a", "b", "c"), CLASSES, List.of(), 1, 0,
-                new Limits(6, true, false, true, 2_000_000, 10_000_000, 2_000, Integer.MAX_VALUE, true,
-                4_000),
-                new Rules(0.31, 8_800_000, 1_000_000, 10_000_000, 0, 0, 0), ReportSource.ANSWERS, false,
+        return new Settings(
+                seed,
+                rank,
+                instances,
+                rank % ZONES,
+                List.of("a", "b", "c"),
+                CLASSES,
+                List.of(),
+                1,
+                0,
+                new Limits(6, true, false, true, 2_000_000, 10_000_000, 2_000, Integer.MAX_VALUE, true, 4_000),
+                new Rules(0.31, 8_800_000, 1_000_000, 10_000_000, 0, 0, 0),
+                ReportSource.ANSWERS,
+                false,
                 false,
                 1_000);
     }
@@ -131,9 +144,19 @@
             int to = (home(cells) + 1) % scenario.cells();
             moves.add(new MovePlan("move", Ids.of("u0"), "u0", to, harmAt, 5_000_000, fence, freeze));
         }
-        return new CellsPlan(Unit.KEY, null, cells, Spread.SERVER, 60_000_000, Map.of(), moves, WINDOW,
+        return new CellsPlan(
+                Unit.KEY,
+                null,
+                cells,
+                Spread.SERVER,
+                60_000_000,
+                Map.of(),
+                moves,
+                WINDOW,
                 PATIENCE,
-                scenario.guests(), scenario.guests() > 0, quarantine);
+                scenario.guests(),
+                scenario.guests() > 0,
+                quarantine);
     }
 
     private boolean moves() {
@@ -157,7 +180,8 @@
     }
 
     private void ask(int unit) {
-        instances.get(random.nextInt(instances.size()))
+        instances
+                .get(random.nextInt(instances.size()))
                 .take(request("r" + asked++, unit, workload.requestClass(), random, time.now()));
     }
 
@@ -168,8 +192,14 @@
 
     private static Asked request(String id, int unit, int c, SplittableRandom random, long now) {
         long[] w = WORK[c];
-        return new Asked(id, unit, c, now, now + CLASSES.get(c).deadlineMicros() - 20_000,
-                random.nextLong(w[0], w[1]), random.nextLong(w[2], w[3]));
+        return new Asked(
+                id,
+                unit,
+                c,
+                now,
+                now + CLASSES.get(c).deadlineMicros() - 20_000,
+                random.nextLong(w[0], w[1]),
+                random.nextLong(w[2], w[3]));
     }
 
     /** Microseconds within which a request wants its answer. */
@@ -182,11 +212,13 @@
             arrive(rate * scenario.size(), true);
         } else if (scenario.harm() == Harm.RELEASE) {
             // Cell by cell, in the order of the cells; without cells the same number in no order.
-            Parting parting = new Parting(scenario.cells() == 1 ? List.of(new Cell("c0", 1, false))
-                    : plan().cells(), Spread.SERVER, 0);
+            Parting parting = new Parting(
+                    scenario.cells() == 1 ? List.of(new Cell("c0", 1, false)) : plan().cells(), Spread.SERVER, 0);
             parting.listed(time.now(), ListKind.COMPLETE, servers);
-            servers.stream().sorted((a, b) -> parting.cellOf(a.id()) != parting.cellOf(b.id())
-                    ? parting.cellOf(a.id()) - parting.cellOf(b.id()) : Long.compare(a.id(), b.id()))
+            servers.stream()
+                    .sorted((a, b) -> parting.cellOf(a.id()) != parting.cellOf(b.id())
+                            ? parting.cellOf(a.id()) - parting.cellOf(b.id())
+                            : Long.compare(a.id(), b.id()))
                     .limit(Math.round(scenario.size() * servers.size()))
                     .forEach(s -> machines.get(s.id()).slow(SLOW));
         }
@@ -242,9 +274,15 @@
                 noticed += fell >= NOTICED ? 1 : 0;
             }
         }
-        return new Report(good[0] / (double) sum[0], good[1] / (double) sum[1], served[0] / worth[0],
-                served[1] / worth[1], counted == 0 ? 0 : noticed / (double) counted, asked,
-                asked - answered, twice,
+        return new Report(
+                good[0] / (double) sum[0],
+                good[1] / (double) sum[1],
+                served[0] / worth[0],
+                served[1] / worth[1],
+                counted == 0 ? 0 : noticed / (double) counted,
+                asked,
+                asked - answered,
+                twice,
                 both);
     }
 }
--- a/src/main/java/larkbank/lab/Machine.java
+++ b/src/main/java/larkbank/lab/Machine.java
@@ -12,6 +12,7 @@
 
     /** Requests that may wait for each core. */
     private static final int QUEUE = 4;
+
     private static final long REPORT_EVERY = 200_000;
 
     /** One sending of a request, as the server sees it. */
@@ -80,7 +81,7 @@
             count();
             busy--;
             time.at(time.now() + (long) (job.waitMicros() * slow), () -> job.ends(Result.SERVED, report()));
-            for (Job next; busy < cores && (next = queue.poll()) != null;) {
+            for (Job next; busy < cores && (next = queue.poll()) != null; ) {
                 if (!next.abandoned()) {
                     run(next);
                 }
--- a/src/main/java/larkbank/lab/QuietLaboratory.java
+++ b/src/main/java/larkbank/lab/QuietLaboratory.java
@@ -91,6 +91,7 @@
     private final List<Server> changes = new ArrayList<>();
     /** Watches that wait for something new. */
     private List<Runnable> waiting = new ArrayList<>();
+
     private final List<Copy> copies = new ArrayList<>();
     private final int[] calledIn;
     private final long end;
@@ -136,8 +137,13 @@
         for (int n : calledIn) {
             peak = Math.max(peak, n);
         }
-        return new QuietReport(calls, peak, (lastTold - coldAt) / 1_000, coldPeak(),
-                (int) sentToCold.getOrDefault(0L, new double[2])[1], inTime / (double) asked,
+        return new QuietReport(
+                calls,
+                peak,
+                (lastTold - coldAt) / 1_000,
+                coldPeak(),
+                (int) sentToCold.getOrDefault(0L, new double[2])[1],
+                inTime / (double) asked,
                 asked - answered);
     }
 
@@ -192,9 +198,9 @@
         if (time.now() >= end) {
             return;
         }
-        copies.get(random.nextInt(copies.size())).instance.take(Laboratory.request("r"
-                + asked++, workload, random,
-                time.now()));
+        copies.get(random.nextInt(copies.size()))
+                .instance
+                .take(Laboratory.request("r" + asked++, workload, random, time.now()));
         time.at(time.now() + workload.pause(rate), () -> arrive(rate));
     }
 
--- a/src/main/java/larkbank/lab/QuietReport.java
+++ b/src/main/java/larkbank/lab/QuietReport.java
@@ -10,6 +10,5 @@
  * @param inTime part of all requests that were served within their aim
  * @param unanswered requests without their one answer
  */
-public record QuietReport(long calls, int callsPeak, long listed, double coldPeak, int coldFirst,
-        double inTime,
-        long unanswered) { }
+public record QuietReport(
+        long calls, int callsPeak, long listed, double coldPeak, int coldFirst, double inTime, long unanswered) {}
--- a/src/main/java/larkbank/lab/QuietScenario.java
+++ b/src/main/java/larkbank/lab/QuietScenario.java
@@ -11,13 +11,13 @@
  * @param changes of the list a minute beside, as in a release
  * @param seconds of the whole run
  */
-public record QuietScenario(int instances, int servers, double perMinute, double listRate, double changes,
-        int seconds, long seed) {
+public record QuietScenario(
+        int instances, int servers, double perMinute, double listRate, double changes, int seconds, long seed) {
 
     public QuietScenario {
         if (instances < 1 || servers < 2 || !(perMinute > 0) || listRate < 0 || changes < 0 || seconds < 9) {
-            throw new IllegalArgumentException("out of range: " + instances + " instances, " + servers
-                    + " servers, " + perMinute + " requests a minute, " + seconds + " s");
+            throw new IllegalArgumentException("out of range: " + instances + " instances, " + servers + " servers, "
+                    + perMinute + " requests a minute, " + seconds + " s");
         }
     }
 }
--- a/src/main/java/larkbank/lab/Report.java
+++ b/src/main/java/larkbank/lab/Report.java
@@ -11,6 +11,13 @@
  * @param twice requests of unsafe classes that ran more than once
  * @param both times at which a unit that moves had writes running in two cells
  */
-public record Report(double inTimeBefore, double inTimeWith, double worthBefore, double worthWith,
+public record Report(
+        double inTimeBefore,
+        double inTimeWith,
+        double worthBefore,
+        double worthWith,
         double noticed,
-        long asked, long unanswered, long twice, long both) { }
+        long asked,
+        long unanswered,
+        long twice,
+        long both) {}
--- a/src/main/java/larkbank/lab/Scenario.java
+++ b/src/main/java/larkbank/lab/Scenario.java
@@ -15,9 +15,19 @@
  * @param size of the harm: the part of all traffic that one unit adds, or of the servers that turn slow
  * @param seconds of the whole run
  */
-public record Scenario(int servers, int sidecars, int units, double skew, double load, int cells,
+public record Scenario(
+        int servers,
+        int sidecars,
+        int units,
+        double skew,
+        double load,
+        int cells,
         double guests,
-        boolean quarantine, Harm harm, double size, int seconds, long seed) {
+        boolean quarantine,
+        Harm harm,
+        double size,
+        int seconds,
+        long seed) {
 
     /** What happens after a third of the time and lasts. */
     public enum Harm {
@@ -36,8 +46,7 @@
     }
 
     public Scenario {
-        if (servers < 2 || sidecars < 1 || units < 1 || cells < 1 || cells > servers || !(load > 0)
-                || seconds < 3) {
+        if (servers < 2 || sidecars < 1 || units < 1 || cells < 1 || cells > servers || !(load > 0) || seconds < 3) {
             throw new IllegalArgumentException("out of range: " + servers + " servers, " + sidecars
                     + " sidecars, " + units + " units, " + cells + " cells, load " + load + ", "
                     + seconds + " s");
--- a/src/main/java/larkbank/lading/Calls.java
+++ b/src/main/java/larkbank/lading/Calls.java
@@ -40,8 +40,7 @@
         if (!named) {
             return path.equals(before) ? Optional.of("") : Optional.empty();
         }
-        if (!path.startsWith(before) || !path.endsWith(after)
-                || path.length() <= before.length() + after.length()) {
+        if (!path.startsWith(before) || !path.endsWith(after) || path.length() <= before.length() + after.length()) {
             return Optional.empty();
         }
         String name = path.substring(before.length(), path.length() - after.length());
--- a/src/main/java/larkbank/lading/Line.java
+++ b/src/main/java/larkbank/lading/Line.java
@@ -66,7 +66,10 @@
     private void write(byte[] text, byte[] body, Consumer<Boolean> written) {
         sentAt = micros.getAsLong();
         ByteBuf out = Unpooled.buffer(8 + text.length + body.length);
-        out.writeInt(4 + text.length + body.length).writeInt(text.length).writeBytes(text).writeBytes(body);
+        out.writeInt(4 + text.length + body.length)
+                .writeInt(text.length)
+                .writeBytes(text)
+                .writeBytes(body);
         var sent = channel.writeAndFlush(out);
         if (written != null) {
             sent.addListener(f -> written.accept(f.isSuccess()));
@@ -93,7 +96,8 @@
 
     /** Bytes that wait here to be sent. */
     public long waiting() {
-        return channel.unsafe().outboundBuffer() == null ? 0
+        return channel.unsafe().outboundBuffer() == null
+                ? 0
                 : channel.unsafe().outboundBuffer().totalPendingWriteBytes();
     }
 
@@ -159,7 +163,7 @@
         private void heard(Map<String, Object> head, byte[] body) {
             switch (Scribe.text(head, "t")) {
                 case "ping" -> send(PONG);
-                case "pong" -> { }
+                case "pong" -> {}
                 default -> ear.heard(Line.this, head, body);
             }
         }
--- a/src/main/java/larkbank/lading/Logs.java
+++ b/src/main/java/larkbank/lading/Logs.java
@@ -15,7 +15,7 @@
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
 
-    private Logs() { }
+    private Logs() {}
 
     /** To be called once, before the first line is logged. */
     public static void open(PrintStream out, boolean fine) {
@@ -40,11 +40,12 @@
             }
 
             @Override
-            public void close() { }
+            public void close() {}
         });
         root.setLevel(Level.WARNING);
-        for (String part : new String[] {"lading", "papers", "harbour", "copies", "hold", "chart", "berth",
-            "pilot", "helm", "quay", "tally", "watch"}) {
+        for (String part : new String[] {
+            "lading", "papers", "harbour", "copies", "hold", "chart", "berth", "pilot", "helm", "quay", "tally", "watch"
+        }) {
             Logger.getLogger(part).setLevel(fine ? Level.FINE : Level.INFO);
         }
     }
--- a/src/main/java/larkbank/lading/Moorings.java
+++ b/src/main/java/larkbank/lading/Moorings.java
@@ -21,8 +21,8 @@
     private static final int FEW = 12;
 
     /** What holds for all lines here; times in microseconds. */
-    public record Plan(long pingAfter, long silentAfter, long givenUpAfter, long redial, long mostRedial,
-            int connectMillis) { }
+    public record Plan(
+            long pingAfter, long silentAfter, long givenUpAfter, long redial, long mostRedial, int connectMillis) {}
 
     /** What the owner is told beside what the lines say. */
     public interface Owner {
@@ -143,8 +143,7 @@
     private final Map<String, Mooring> moorings = new HashMap<>();
 
     /** @param hello what is said first on each line */
-    public Moorings(Wharf wharf, LongSupplier micros, Plan plan, Supplier<Map<String, Object>> hello,
-            Owner owner) {
+    public Moorings(Wharf wharf, LongSupplier micros, Plan plan, Supplier<Map<String, Object>> hello, Owner owner) {
         this.wharf = wharf;
         this.micros = micros;
         this.plan = plan;
@@ -154,7 +153,7 @@
 
     /** From now on lines to these are kept, and to no others. */
     public void want(Set<String> addresses) {
-        for (Iterator<Mooring> each = moorings.values().iterator(); each.hasNext();) {
+        for (Iterator<Mooring> each = moorings.values().iterator(); each.hasNext(); ) {
             Mooring mooring = each.next();
             if (!addresses.contains(mooring.address)) {
                 each.remove();
--- a/src/main/java/larkbank/lading/Scribe.java
+++ b/src/main/java/larkbank/lading/Scribe.java
@@ -17,10 +17,11 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Scribe() { }
+    private Scribe() {}
 
     public static byte[] bytes(Map<String, ?> object) {
-        try (ByteArrayBuilder out = new ByteArrayBuilder(512); JsonGenerator to = JSON.createGenerator(out)) {
+        try (ByteArrayBuilder out = new ByteArrayBuilder(512);
+                JsonGenerator to = JSON.createGenerator(out)) {
             write(to, object);
             to.flush();
             return out.toByteArray();
--- a/src/main/java/larkbank/lading/Wharf.java
+++ b/src/main/java/larkbank/lading/Wharf.java
@@ -30,10 +30,15 @@
 
     /** Lines that others open are told to this ear. Not for the loop: it waits until the port is taken. */
     public InetSocketAddress listen(InetSocketAddress at, Line.Ear ear) throws IOException {
-        var bound = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 512)
+        var bound = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(lines(ear)).bind(at).awaitUninterruptibly();
+                .childHandler(lines(ear))
+                .bind(at)
+                .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("can't listen on " + at + ": " + bound.cause().getMessage(), bound.cause());
         }
@@ -51,10 +56,14 @@
 
     /** Opens a line; the ear hears of it if it comes up, and the consumer why not if it doesn't. */
     public void dial(InetSocketAddress to, int timeoutMillis, Line.Ear ear, Consumer<Throwable> failed) {
-        new Bootstrap().group(group).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(group)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
-                .handler(lines(ear)).connect(detour.apply(to)).addListener(f -> {
+                .handler(lines(ear))
+                .connect(detour.apply(to))
+                .addListener(f -> {
                     if (!f.isSuccess()) {
                         failed.accept(f.cause());
                     }
--- a/src/main/java/larkbank/lease/Claimant.java
+++ b/src/main/java/larkbank/lease/Claimant.java
@@ -23,6 +23,7 @@
     private static final int MOST_TRIES = 3;
     /** So many rounds in a row without answers of most are more than loss. */
     private static final int DEAF_ROUNDS = 3;
+
     private static final int MOST_BIDS = 3;
     private static final long LEAST_ROUND = 20_000;
     private static final long MOST_ROUND = 500_000;
@@ -74,11 +75,13 @@
     private long number;
     /** The round of a claim that is under way; null for none. */
     private Round claim;
+
     private long token;
     /** When what each keeper has granted last, under this token, was asked. */
     private final Map<InetSocketAddress, Long> grantedAt = new HashMap<>();
     /** Until when it holds; at or before now where it does not. */
     private long until = Long.MIN_VALUE;
+
     private boolean holds;
     private long renewAt;
     private long askAt;
@@ -93,11 +96,11 @@
     private boolean owes;
     /** The highest token that it has heard of. */
     private long seen;
+
     private String other = "";
     private long otherUntil = Long.MIN_VALUE;
 
-    Claimant(long now, String lease, String holder, LeasePlan plan, long firstAskAt, LongUnaryOperator draw,
-            Out out) {
+    Claimant(long now, String lease, String holder, LeasePlan plan, long firstAskAt, LongUnaryOperator draw, Out out) {
         this.lease = lease;
         this.holder = holder;
         this.plan = plan;
@@ -111,8 +114,12 @@
     Claimant copy(LongUnaryOperator draws, Out to) {
         Claimant copy = new Claimant(number, lease, holder, plan, askAt, draws, to);
         rounds.forEach((n, round) -> copy.rounds.put(n, round.copy()));
-        copy.claim = rounds.entrySet().stream().filter(e -> e.getValue() == claim).map(Map.Entry::getKey)
-                .findFirst().map(copy.rounds::get).orElse(null);
+        copy.claim = rounds.entrySet().stream()
+                .filter(e -> e.getValue() == claim)
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .map(copy.rounds::get)
+                .orElse(null);
         copy.token = token;
         copy.grantedAt.putAll(grantedAt);
         copy.until = until;
@@ -134,8 +141,15 @@
      * stand in the text by their places in it. What is about one keeper is told by its address.
      */
     void state(long now, StateText text) {
-        text.add("claimant", holds ? Math.max(0, until - now) : -1, text.after(now, renewAt),
-                text.after(now, askAt), tries, owes ? text.after(now, promisedUntil) : -1, bids, silent,
+        text.add(
+                "claimant",
+                holds ? Math.max(0, until - now) : -1,
+                text.after(now, renewAt),
+                text.after(now, askAt),
+                tries,
+                owes ? text.after(now, promisedUntil) : -1,
+                bids,
+                silent,
                 other.isEmpty() ? 0 : text.after(now, otherUntil));
         text.token(holds || owes ? token : 0);
         text.token(seen);
@@ -144,8 +158,7 @@
             text.add("claim", now - claim.askedAt);
             text.token(claim.token);
             claim.yes.forEach(k -> text.of(k, "yes"));
-            claim.no.forEach((k, who) -> text.of(k, "no " + who + " " + text.after(now,
-                    claim.takenUntil.get(k))));
+            claim.no.forEach((k, who) -> text.of(k, "no " + who + " " + text.after(now, claim.takenUntil.get(k))));
         }
         if (holds) {
             grantedAt.forEach((k, at) -> {
--- a/src/main/java/larkbank/lease/Keeper.java
+++ b/src/main/java/larkbank/lease/Keeper.java
@@ -24,9 +24,11 @@
     private static final int FLOOR_SHIFT = 20;
     /** The beginning of 2026. */
     private static final long EPOCH_MILLIS = 1_767_225_600_000L;
+
     private static final long LEARN_EVERY_MICROS = 200_000;
     /** After so long without the others a clock of the wall is believed, where the plan allows that. */
     private static final int LEARNING_TERMS = 5;
+
     private static final long KNOWN = 1;
     private static final long FORGOTTEN = 0;
 
@@ -35,22 +37,25 @@
      *
      * @param number of the last that its holder asked or gave back, so that what comes late changes nothing
      */
-    private record Grant(String holder, long token, long until, long number) { }
+    private record Grant(String holder, long token, long until, long number) {}
 
     private LeasePlan plan;
     private final InetSocketAddress own;
     /** Below which no token may be that this keeper grants without having learned from others. */
     private final long floor;
+
     private final long silentUntil;
     private final Map<String, Grant> grants = new HashMap<>();
     private final Map<String, Long> tops = new HashMap<>();
     /** Keepers that knew, and those that have forgotten, too. */
     private final Set<InetSocketAddress> learnedFrom = new HashSet<>();
+
     private final Set<InetSocketAddress> forgetful = new HashSet<>();
     /** Pages of what each has told, of the question asked last. */
     private final Map<InetSocketAddress, Set<String>> heard = new HashMap<>();
     /** Whether it may say anything of tokens, and whether it knows them and not only a floor. */
     private boolean knows;
+
     private boolean complete;
     private long learnAt;
     private final long giveUpLearningAt;
@@ -85,7 +90,9 @@
 
     /** All that decides what it does from now on; floors are not, so a walk leaves clocks of the wall out. */
     void state(long now, StateText text) {
-        StringBuilder its = new StringBuilder().append(text.after(now, silentUntil)).append(knows)
+        StringBuilder its = new StringBuilder()
+                .append(text.after(now, silentUntil))
+                .append(knows)
                 .append(complete);
         if (!knows) {
             its.append(text.after(now, learnAt)).append(learnedFrom.size()).append(forgetful.size());
@@ -132,8 +139,7 @@
             Map<String, Long> part = new TreeMap<>();
             all.subList(page * Word.MOST_TOPS, Math.min(all.size(), (page + 1) * Word.MOST_TOPS))
                     .forEach(e -> part.put(e.getKey(), e.getValue()));
-            pages.add(new Word(Kind.LEARNED, "", page + "/" + count, known, question.number(), count,
-                    set, part));
+            pages.add(new Word(Kind.LEARNED, "", page + "/" + count, known, question.number(), count, set, part));
         }
         return pages;
     }
@@ -151,8 +157,8 @@
         // As many as a majority, without itself: each grant of before is known to one of them.
         complete = plan.most(learnedFrom);
         // Where all others have answered, nobody knows more than what has been heard.
-        knows = complete || plan.all().stream().allMatch(k -> k.equals(own) || learnedFrom.contains(k)
-                || forgetful.contains(k));
+        knows = complete
+                || plan.all().stream().allMatch(k -> k.equals(own) || learnedFrom.contains(k) || forgetful.contains(k));
     }
 
     private long top(String lease) {
@@ -167,10 +173,11 @@
         }
         if (now < silentUntil || !knows) {
             // It grants nothing, and says so: who hears no answer at all has to take itself to be cut off.
-            return Word.of(Kind.NO, w.lease(), "", 0, w.number(), Math.max(LEARN_EVERY_MICROS,
-                    silentUntil - now), w.set());
+            return Word.of(
+                    Kind.NO, w.lease(), "", 0, w.number(), Math.max(LEARN_EVERY_MICROS, silentUntil - now), w.set());
         }
-        if (w.micros() <= 0 || w.micros() > plan.mostTermMicros()
+        if (w.micros() <= 0
+                || w.micros() > plan.mostTermMicros()
                 || !tops.containsKey(w.lease()) && tops.size() >= MOST_LEASES) {
             return null;
         }
@@ -186,15 +193,14 @@
             tops.put(w.lease(), w.token());
             return Word.of(Kind.YES, w.lease(), w.holder(), w.token(), w.number(), 0, w.set());
         }
-        return Word.of(Kind.NO, w.lease(), free ? "" : held.holder, top, w.number(),
-                free ? 0 : held.until - now, w.set());
+        return Word.of(
+                Kind.NO, w.lease(), free ? "" : held.holder, top, w.number(), free ? 0 : held.until - now, w.set());
     }
 
     /** A grant is given back; its token stays used. */
     void free(long now, Word w) {
         Grant held = grants.get(w.lease());
-        if (held != null && held.holder.equals(w.holder()) && held.token == w.token()
-                && w.number() > held.number) {
+        if (held != null && held.holder.equals(w.holder()) && held.token == w.token() && w.number() > held.number) {
             grants.put(w.lease(), new Grant(held.holder, held.token, Math.min(now, held.until), w.number()));
         }
     }
--- a/src/main/java/larkbank/lease/LeasePlan.java
+++ b/src/main/java/larkbank/lease/LeasePlan.java
@@ -20,8 +20,13 @@
  *        clocks of the wall have gone on since, so that tokens begin above those of before
  * @param terms of each lease, in microseconds of the holder's clock, by name
  */
-public record LeasePlan(List<InetSocketAddress> keepers, List<InetSocketAddress> before, long mostTermMicros,
-        double drift, boolean wallClock, Map<String, Long> terms) {
+public record LeasePlan(
+        List<InetSocketAddress> keepers,
+        List<InetSocketAddress> before,
+        long mostTermMicros,
+        double drift,
+        boolean wallClock,
+        Map<String, Long> terms) {
 
     /** For how long a keeper grants by its own clock what a holder uses for a term by its own. */
     public long kept(long termMicros) {
@@ -58,9 +63,10 @@
         if (now.before == null && before != null && set(before) == set(now.keepers)) {
             return null;
         }
-        return now.before != null ? "the change of keepers that is under way has to end first"
+        return now.before != null
+                ? "the change of keepers that is under way has to end first"
                 : "most of the new keepers and most of the old ones need not meet: set 'keepers_before' to"
-                + " the old ones first, in all processes, and take it out again when all have it";
+                        + " the old ones first, in all processes, and take it out again when all have it";
     }
 
     /** Whether these answers are most of the keepers, and most of those before, if there are any. */
@@ -74,7 +80,8 @@
 
     /** All that are to be asked. */
     List<InetSocketAddress> all() {
-        return before == null ? keepers : Stream.concat(keepers.stream(), before.stream())
-                .distinct().toList();
+        return before == null
+                ? keepers
+                : Stream.concat(keepers.stream(), before.stream()).distinct().toList();
     }
 }
