--- a/src/main/java/larkbank/lease/Leases.java
+++ b/src/main/java/larkbank/lease/Leases.java
@@ -32,10 +32,10 @@
     }
 
     /** Whether this process may act now, under which token, and for how long it holds yet. */
-    public record Verdict(boolean acting, long token, long leftMicros) { }
+    public record Verdict(boolean acting, long token, long leftMicros) {}
 
     /** How a lease stands as this process knows; the holder is empty for nobody. */
-    public record Status(String holder, boolean held, long token, long leftMicros) { }
+    public record Status(String holder, boolean held, long token, long leftMicros) {}
 
     /** From the first to the second of those that come next, where the first should have asked. */
     private static final long STEP_MICROS = 100_000;
@@ -45,6 +45,7 @@
     private static final int SETTLED_TERMS = 2;
     /** Members that a keeper which has forgotten all asks besides the others. */
     private static final int LEARNED_FROM = 32;
+
     private static final int MOST_DOUBLINGS = 10;
     /** Those told when a holder goes. */
     private static final int HINTED = 2;
@@ -56,16 +57,19 @@
     private final Actions actions;
     /** A number from 0 to below another, drawn. */
     private final LongUnaryOperator draw;
+
     private final long unixMillis;
     private final Map<String, Claimant> claimants = new TreeMap<>();
     /** Null where this process is none. */
     private Keeper keeper;
+
     private Map<String, InetSocketAddress> members = Map.of();
     private Preference preference;
     /** Since when somebody else should have what this process holds. */
     private final Map<String, Long> strangeSince = new TreeMap<>();
     /** To whom each was left the last time, and how often in a row. */
     private final Map<String, String> leftTo = new TreeMap<>();
+
     private final Map<String, Integer> leftTimes = new TreeMap<>();
     private long number;
     private boolean leaving;
@@ -75,14 +79,28 @@
      * @param life tells this life of the process from others of its name
      * @param unixMillis wall clock, of which nothing but a floor for tokens hangs
      */
-    public Leases(long now, LeasePlan plan, InetSocketAddress own, String name, String life, long unixMillis,
-            long seed, Actions actions) {
+    public Leases(
+            long now,
+            LeasePlan plan,
+            InetSocketAddress own,
+            String name,
+            String life,
+            long unixMillis,
+            long seed,
+            Actions actions) {
         this(now, plan, own, name, life, unixMillis, new SplittableRandom(seed)::nextLong, actions);
     }
 
     /** With what is drawn told from outside: a number from 0 to below another. */
-    public Leases(long now, LeasePlan plan, InetSocketAddress own, String name, String life, long unixMillis,
-            LongUnaryOperator draw, Actions actions) {
+    public Leases(
+            long now,
+            LeasePlan plan,
+            InetSocketAddress own,
+            String name,
+            String life,
+            long unixMillis,
+            LongUnaryOperator draw,
+            Actions actions) {
         this.plan = plan;
         this.own = own;
         this.name = name;
@@ -134,8 +152,11 @@
 
     private void claim(long now) {
         claimants.keySet().removeIf(lease -> !plan.terms().containsKey(lease));
-        plan.terms().forEach((lease, term) -> claimants.computeIfAbsent(lease, l -> new Claimant(now, l,
-                holder, plan, now + 1 + draw.applyAsLong(STEP_MICROS), draw, new Turn())));
+        plan.terms()
+                .forEach((lease, term) -> claimants.computeIfAbsent(
+                        lease,
+                        l -> new Claimant(
+                                now, l, holder, plan, now + 1 + draw.applyAsLong(STEP_MICROS), draw, new Turn())));
     }
 
     private final class Turn implements Claimant.Out {
@@ -160,8 +181,8 @@
             long after = 0;
             for (String next : preference.firsts(lease, HINTED + 1)) {
                 if (!next.equals(name) && after < HINTED * STEP_MICROS) {
-                    actions.send(members.get(next), Word.of(Kind.HINT, lease, holder, token, ++number, after,
-                            plan.set()));
+                    actions.send(
+                            members.get(next), Word.of(Kind.HINT, lease, holder, token, ++number, after, plan.set()));
                     after += STEP_MICROS;
                 }
             }
@@ -348,8 +369,13 @@
         Map<String, Status> all = new TreeMap<>();
         claimants.forEach((lease, c) -> {
             String by = c.holder(now);
-            all.put(lease, new Status(by.substring(0, Math.max(0, by.lastIndexOf('/'))), c.holds(now),
-                    c.holds(now) ? c.token() : 0, c.holds(now) ? c.left(now) : c.otherLeft(now)));
+            all.put(
+                    lease,
+                    new Status(
+                            by.substring(0, Math.max(0, by.lastIndexOf('/'))),
+                            c.holds(now),
+                            c.holds(now) ? c.token() : 0,
+                            c.holds(now) ? c.left(now) : c.otherLeft(now)));
         });
         return all;
     }
--- a/src/main/java/larkbank/lease/Preference.java
+++ b/src/main/java/larkbank/lease/Preference.java
@@ -19,7 +19,7 @@
     /** More than an equal part, so that few move when one comes or goes. */
     private static final double SLACK = 1.25;
 
-    private record Place(String first, long[] scores) { }
+    private record Place(String first, long[] scores) {}
 
     private final List<String> members;
     private final Map<String, Place> places = new HashMap<>();
@@ -63,8 +63,11 @@
         int own = members.indexOf(member);
         int before = 1;
         for (int i = 0; i < members.size(); i++) {
-            before += own >= 0 && place.scores[i] > place.scores[own] && !members.get(i).equals(place.first)
-                    ? 1 : 0;
+            before += own >= 0
+                            && place.scores[i] > place.scores[own]
+                            && !members.get(i).equals(place.first)
+                    ? 1
+                    : 0;
         }
         return own < 0 ? members.size() : before;
     }
--- a/src/main/java/larkbank/lease/StateText.java
+++ b/src/main/java/larkbank/lease/StateText.java
@@ -73,7 +73,8 @@
         List<String> each = new ArrayList<>();
         for (InetSocketAddress keeper : keepers.keySet()) {
             StringBuilder its = new StringBuilder(keepers.get(keeper));
-            tokensOf.getOrDefault(keeper, List.of()).forEach(t -> its.append(small.get(t)).append(','));
+            tokensOf.getOrDefault(keeper, List.of())
+                    .forEach(t -> its.append(small.get(t)).append(','));
             each.add(its.toString());
         }
         each.sort(null);
--- a/src/main/java/larkbank/lease/Word.java
+++ b/src/main/java/larkbank/lease/Word.java
@@ -13,7 +13,14 @@
  * @param set of keepers that the asking process goes by
  * @param tops a page of the highest token of each lease, from one keeper to another that has forgotten them
  */
-public record Word(Kind kind, String lease, String holder, long token, long number, long micros, long set,
+public record Word(
+        Kind kind,
+        String lease,
+        String holder,
+        long token,
+        long number,
+        long micros,
+        long set,
         Map<String, Long> tops) {
 
     /** Tokens in one word, so that it fits into a datagram. */
--- a/src/main/java/larkbank/logbook/Listing.java
+++ b/src/main/java/larkbank/logbook/Listing.java
@@ -13,7 +13,7 @@
 /** Items as operators are told of them: names and versions, and where routes lead. Keys are never told. */
 public final class Listing {
 
-    private Listing() { }
+    private Listing() {}
 
     /** All items, withdrawn ones too. */
     public static List<Object> of(Manifest manifest) {
@@ -23,8 +23,15 @@
     }
 
     private static Map<String, Object> line(Item item) {
-        Map<String, Object> line = Scribe.map("table", item.key().table().wire(), "name", item.key().name(),
-                "version", "r" + item.version(), "withdrawn", item.withdrawn());
+        Map<String, Object> line = Scribe.map(
+                "table",
+                item.key().table().wire(),
+                "name",
+                item.key().name(),
+                "version",
+                "r" + item.version(),
+                "withdrawn",
+                item.withdrawn());
         if (item.key().table() == Table.ROUTES && !item.withdrawn()) {
             RouteTerms.of(item).forEach(route -> line.putAll(terms(route)));
         }
@@ -36,9 +43,24 @@
         for (Split split : route.splits()) {
             services.add(Scribe.map("service", split.service(), "weight", split.weight()));
         }
-        return Scribe.map("host", route.host(), "prefix", route.prefix(), "repeatable", route.repeatable(),
-                "open", route.open(), "priority", route.priority(), "attempts", route.maxAttempts(),
-                "aimMs", route.aimMicros() / 1000, "timeoutMs", route.timeoutMicros() / 1000,
-                "services", services);
+        return Scribe.map(
+                "host",
+                route.host(),
+                "prefix",
+                route.prefix(),
+                "repeatable",
+                route.repeatable(),
+                "open",
+                route.open(),
+                "priority",
+                route.priority(),
+                "attempts",
+                route.maxAttempts(),
+                "aimMs",
+                route.aimMicros() / 1000,
+                "timeoutMs",
+                route.timeoutMicros() / 1000,
+                "services",
+                services);
     }
 }
--- a/src/main/java/larkbank/logbook/StateDesk.java
+++ b/src/main/java/larkbank/logbook/StateDesk.java
@@ -38,7 +38,9 @@
 
     @Override
     public void called(Call call) {
-        Calls asked = Calls.of(call.path()).filter(one -> one.method().equals(call.method())).orElse(null);
+        Calls asked = Calls.of(call.path())
+                .filter(one -> one.method().equals(call.method()))
+                .orElse(null);
         if (asked == Calls.STATE) {
             boolean items = call.uri().startsWith(ITEMS, call.path().length());
             call.answer(Answer.json(200, Scribe.bytes(teller.state(items))));
@@ -52,8 +54,10 @@
     private void why(Call call) {
         String id = Calls.WHY.name(call.path()).flatMap(StateDesk::decoded).orElse("");
         Map<String, Object> told = teller.state(false);
-        call.answer(Answer.json(200, Scribe.bytes(Scribe.map("kind", told.get("kind"),
-                "name", told.get("name"), "requests", teller.why(id)))));
+        call.answer(Answer.json(
+                200,
+                Scribe.bytes(
+                        Scribe.map("kind", told.get("kind"), "name", told.get("name"), "requests", teller.why(id)))));
     }
 
     /** Ids are clients' own texts: in a path they are encoded. */
--- a/src/main/java/larkbank/logbook/Wake.java
+++ b/src/main/java/larkbank/logbook/Wake.java
@@ -139,20 +139,46 @@
         List<Object> attempts = new ArrayList<>();
         for (int i = 0; i < Math.min(LEGS, legs[at]); i++) {
             int leg = at * LEGS + i;
-            attempts.add(Scribe.map("server", servers[leg], "pilot", pilots[leg],
-                    "sentMs", millis(sent[leg] - arrived[at]),
-                    "tookMs", outcomes[leg] == null ? null : millis(ended[leg] - sent[leg]),
-                    "outcome", outcomes[leg] == null ? "still out" : outcomes[leg]));
+            attempts.add(Scribe.map(
+                    "server",
+                    servers[leg],
+                    "pilot",
+                    pilots[leg],
+                    "sentMs",
+                    millis(sent[leg] - arrived[at]),
+                    "tookMs",
+                    outcomes[leg] == null ? null : millis(ended[leg] - sent[leg]),
+                    "outcome",
+                    outcomes[leg] == null ? "still out" : outcomes[leg]));
         }
         long age = (micros.getAsLong() - arrived[at]) / 1000;
-        return Scribe.map("id", ids[at], "arrived", Instant.ofEpochMilli(System.currentTimeMillis() - age)
-                        .toString(), "ageMs", age, "host", hosts[at], "path", paths[at],
-                "route", routes[at], "service", services[at], "tenant", tenants[at],
-                "answer", answered[at] == 0 ? "none yet" : statuses[at] == 0 ? "the client left"
-                        : Integer.toString(statuses[at]),
-                "fault", faults[at] == null ? null : faults[at].words(),
-                "answeredMs", answered[at] == 0 ? null : millis(answered[at] - arrived[at]),
-                "attempts", attempts, "more", Math.max(0, legs[at] - LEGS));
+        return Scribe.map(
+                "id",
+                ids[at],
+                "arrived",
+                Instant.ofEpochMilli(System.currentTimeMillis() - age).toString(),
+                "ageMs",
+                age,
+                "host",
+                hosts[at],
+                "path",
+                paths[at],
+                "route",
+                routes[at],
+                "service",
+                services[at],
+                "tenant",
+                tenants[at],
+                "answer",
+                answered[at] == 0 ? "none yet" : statuses[at] == 0 ? "the client left" : Integer.toString(statuses[at]),
+                "fault",
+                faults[at] == null ? null : faults[at].words(),
+                "answeredMs",
+                answered[at] == 0 ? null : millis(answered[at] - arrived[at]),
+                "attempts",
+                attempts,
+                "more",
+                Math.max(0, legs[at] - LEGS));
     }
 
     private static double millis(long micros) {
--- a/src/main/java/larkbank/manifest/Claims.java
+++ b/src/main/java/larkbank/manifest/Claims.java
@@ -28,15 +28,16 @@
         }
         if (item.key().table() == Table.ROUTES) {
             claims.add(place(item));
-        } else if (item.key().table() == Table.TENANTS
-                && item.content().get("apiKeys") instanceof List<?> keys) {
+        } else if (item.key().table() == Table.TENANTS && item.content().get("apiKeys") instanceof List<?> keys) {
             keys.forEach(key -> claims.add(Arrays.asList("key", key)));
         }
         return claims;
     }
 
     static List<String> place(Item route) {
-        return List.of("place", String.valueOf(route.content().get("hostname")).toLowerCase(Locale.ROOT),
+        return List.of(
+                "place",
+                String.valueOf(route.content().get("hostname")).toLowerCase(Locale.ROOT),
                 String.valueOf(route.content().get("pathPrefix")));
     }
 
--- a/src/main/java/larkbank/manifest/ClientLimits.java
+++ b/src/main/java/larkbank/manifest/ClientLimits.java
@@ -3,8 +3,7 @@
 import io.vavr.control.Either;
 
 /** How much a client may send and how long it may take. */
-public record ClientLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros,
-        long idleTimeoutMicros) {
+public record ClientLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros, long idleTimeoutMicros) {
 
     public static final ClientLimits USUAL = new ClientLimits(16_384, 64L << 20, 3_000_000, 15_000_000);
 
--- a/src/main/java/larkbank/manifest/Fields.java
+++ b/src/main/java/larkbank/manifest/Fields.java
@@ -76,8 +76,7 @@
         if (number == null || number.stripTrailingZeros().scale() > 0) {
             throw bad(name, "must be a whole number");
         }
-        if (number.compareTo(BigDecimal.valueOf(least)) < 0
-                || number.compareTo(BigDecimal.valueOf(most)) > 0) {
+        if (number.compareTo(BigDecimal.valueOf(least)) < 0 || number.compareTo(BigDecimal.valueOf(most)) > 0) {
             throw bad(name, "must be from " + least + " to " + most);
         }
         return number.longValue();
--- a/src/main/java/larkbank/manifest/Item.java
+++ b/src/main/java/larkbank/manifest/Item.java
@@ -21,10 +21,16 @@
     static final int MOST_PAST = 256;
     /** What the build kept that wrote no floors. */
     private static final int MOST_PAST_WITHOUT_FLOOR = 8;
+
     private static final String WITHDRAWN = "-";
 
     /** What has become of a version of this item, as far as it is known here. */
-    enum Use { TAKEN, TAKEN_WITH_ANOTHER_CONTENT, UNUSED, FORGOTTEN }
+    enum Use {
+        TAKEN,
+        TAKEN_WITH_ANOTHER_CONTENT,
+        UNUSED,
+        FORGOTTEN
+    }
 
     public Item {
         past = List.copyOf(past);
@@ -75,7 +81,11 @@
         all.add(lower.asPast());
         all.sort(Comparator.comparingLong(Past::version));
         int forgotten = Math.max(0, all.size() - MOST_PAST);
-        return new Item(key, version, content, all.subList(forgotten, all.size()),
+        return new Item(
+                key,
+                version,
+                content,
+                all.subList(forgotten, all.size()),
                 forgotten == 0 ? floor : Math.max(floor, all.get(forgotten - 1).version() + 1));
     }
 
@@ -144,7 +154,8 @@
     /** Reads what {@link #toMap} made; an IllegalArgumentException where it is something else. */
     public static Item of(Map<?, ?> map) {
         Table table = Table.of(map.get("table"));
-        if (table == null || !(map.get("name") instanceof String name)
+        if (table == null
+                || !(map.get("name") instanceof String name)
                 || !(map.get("version") instanceof Number version)) {
             throw new IllegalArgumentException("no item");
         }
@@ -159,9 +170,9 @@
             }
         }
         try {
-            Map<String, Object> content = map.get("content") instanceof String text
-                    ? JsonText.object(text) : null;
-            long floor = map.get("floor") instanceof Number number ? number.longValue()
+            Map<String, Object> content = map.get("content") instanceof String text ? JsonText.object(text) : null;
+            long floor = map.get("floor") instanceof Number number
+                    ? number.longValue()
                     : past.size() < MOST_PAST_WITHOUT_FLOOR ? 0 : past.get(0).version();
             return new Item(new Key(table, name), version.longValue(), content, past, floor);
         } catch (IOException e) {
--- a/src/main/java/larkbank/manifest/JsonText.java
+++ b/src/main/java/larkbank/manifest/JsonText.java
@@ -22,7 +22,7 @@
     private static final int DEEPEST = 40;
     private static final DslJson<Object> DSL = new DslJson<>();
 
-    private JsonText() { }
+    private JsonText() {}
 
     /** The object that the text holds; an exception tells what is wrong and where. */
     static Map<String, Object> object(byte[] text) throws IOException {
--- a/src/main/java/larkbank/manifest/Kind.java
+++ b/src/main/java/larkbank/manifest/Kind.java
@@ -4,4 +4,8 @@
  * Why an order is not taken: for what it says, for what was taken under its version, or, without a word on
  * the order itself, because nothing is known of that version any more.
  */
-public enum Kind { INVALID, CONFLICT, FORGOTTEN }
+public enum Kind {
+    INVALID,
+    CONFLICT,
+    FORGOTTEN
+}
--- a/src/main/java/larkbank/manifest/Manifest.java
+++ b/src/main/java/larkbank/manifest/Manifest.java
@@ -49,7 +49,9 @@
 
     /** Items of a table that are not withdrawn. */
     public List<Item> standing(Table table) {
-        return all.values().filter(i -> i.key().table() == table && !i.withdrawn()).toJavaList();
+        return all.values()
+                .filter(i -> i.key().table() == table && !i.withdrawn())
+                .toJavaList();
     }
 
     /** This with those items in place of what stands under their keys. */
--- a/src/main/java/larkbank/manifest/Order.java
+++ b/src/main/java/larkbank/manifest/Order.java
@@ -16,16 +16,18 @@
 
     private static final Pattern VERSION = Pattern.compile("r\\d{1,18}");
 
-    private record ItemVersion(Key key, long version) { }
+    private record ItemVersion(Key key, long version) {}
 
     /** Of one name the lower versions come first. */
     private final List<Item> items;
 
     private Order(Collection<Item> items) {
         Map<Key, List<Item>> named = new LinkedHashMap<>();
-        items.forEach(i -> named.computeIfAbsent(i.key(), k -> new ArrayList<>()).add(i));
+        items.forEach(
+                i -> named.computeIfAbsent(i.key(), k -> new ArrayList<>()).add(i));
         this.items = named.values().stream()
-                .flatMap(n -> n.stream().sorted(Comparator.comparingLong(Item::version))).toList();
+                .flatMap(n -> n.stream().sorted(Comparator.comparingLong(Item::version)))
+                .toList();
     }
 
     /** The items as ordered, of one name the highest version last. */
@@ -83,8 +85,8 @@
             if (table == null || table == Table.LIMITS) {
                 throw new Fields.Bad(place + " is no table that items are withdrawn from");
             }
-            List<?> list = entry.getValue() == null ? List.of()
-                    : entry.getValue() instanceof List<?> given ? given : null;
+            List<?> list =
+                    entry.getValue() == null ? List.of() : entry.getValue() instanceof List<?> given ? given : null;
             if (list == null) {
                 throw new Fields.Bad(place + " must be a list");
             }
@@ -97,8 +99,9 @@
         }
     }
 
-    private static void put(String place, Key key, Map<String, Object> named, Map<String, Object> content,
-            Map<ItemVersion, Item> items) throws Fields.Bad {
+    private static void put(
+            String place, Key key, Map<String, Object> named, Map<String, Object> content, Map<ItemVersion, Item> items)
+            throws Fields.Bad {
         Fields fields = new Fields(place, named);
         String version = fields.text("configVersion");
         if (!VERSION.matcher(version).matches()) {
@@ -139,19 +142,18 @@
             Item stands = changes.getOrDefault(item.key(), standing.get(item.key()));
             switch (stands == null ? Item.Use.UNUSED : stands.use(item)) {
                 case TAKEN_WITH_ANOTHER_CONTENT -> {
-                    return Either.left(Refusal.conflict(item.key() + " r" + item.version()
-                            + " was taken with another content"));
+                    return Either.left(
+                            Refusal.conflict(item.key() + " r" + item.version() + " was taken with another content"));
                 }
-                case FORGOTTEN -> forgotten = Refusal.forgotten(item.key() + " r" + item.version()
-                        + " is so old that nothing is known of it any more");
+                case FORGOTTEN -> forgotten = Refusal.forgotten(
+                        item.key() + " r" + item.version() + " is so old that nothing is known of it any more");
                 case UNUSED -> {
                     unused.add(item);
                     boolean lower = stands != null && item.version() < stands.version();
-                    changes.put(item.key(), lower ? stands.past(item)
-                            : stands == null ? item : item.after(stands));
+                    changes.put(item.key(), lower ? stands.past(item) : stands == null ? item : item.after(stands));
                     (lower ? passed : highest).put(item.key(), item);
                 }
-                default -> { }
+                default -> {}
             }
         }
         Manifest next = standing.with(changes.values());
--- a/src/main/java/larkbank/manifest/RouteTerms.java
+++ b/src/main/java/larkbank/manifest/RouteTerms.java
@@ -7,8 +7,17 @@
 import java.util.Map;
 
 /** What a route says. */
-public record RouteTerms(String name, String host, String prefix, boolean repeatable, long timeoutMicros,
-        long aimMicros, int priority, List<Split> splits, int maxAttempts, boolean open) {
+public record RouteTerms(
+        String name,
+        String host,
+        String prefix,
+        boolean repeatable,
+        long timeoutMicros,
+        long aimMicros,
+        int priority,
+        List<Split> splits,
+        int maxAttempts,
+        boolean open) {
 
     public static Either<Refusal, RouteTerms> of(Item item) {
         try {
@@ -27,15 +36,23 @@
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             throw fields.bad("pathPrefix", "must begin and end with a slash");
         }
-        boolean repeatable = switch (fields.text("routeType")) {
-            case "idempotent" -> true;
-            case "non_idempotent" -> false;
-            default -> throw fields.bad("routeType", "must be idempotent or non_idempotent");
-        };
-        return new RouteTerms(name, host.toLowerCase(Locale.ROOT), prefix, repeatable, fields.time("timeout"),
+        boolean repeatable =
+                switch (fields.text("routeType")) {
+                    case "idempotent" -> true;
+                    case "non_idempotent" -> false;
+                    default -> throw fields.bad("routeType", "must be idempotent or non_idempotent");
+                };
+        return new RouteTerms(
+                name,
+                host.toLowerCase(Locale.ROOT),
+                prefix,
+                repeatable,
+                fields.time("timeout"),
                 fields.time("targetLatency"),
-                (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE), splits(fields),
-                (int) fields.whole("maxAttempts", 1, Integer.MAX_VALUE), fields.flag("publicAccess", false));
+                (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE),
+                splits(fields),
+                (int) fields.whole("maxAttempts", 1, Integer.MAX_VALUE),
+                fields.flag("publicAccess", false));
     }
 
     private static List<Split> splits(Fields fields) throws Fields.Bad {
--- a/src/main/java/larkbank/manifest/ServiceTerms.java
+++ b/src/main/java/larkbank/manifest/ServiceTerms.java
@@ -16,8 +16,8 @@
                 fields.text("protocol");
             }
             fields.flag("tls", false);
-            return Either.right(new ServiceTerms(item.key().name(), healthPath,
-                    (int) fields.whole("maxConnections", 1, Integer.MAX_VALUE)));
+            return Either.right(new ServiceTerms(
+                    item.key().name(), healthPath, (int) fields.whole("maxConnections", 1, Integer.MAX_VALUE)));
         } catch (Fields.Bad e) {
             return Either.left(Refusal.invalid(e.getMessage()));
         }
--- a/src/main/java/larkbank/manifest/Table.java
+++ b/src/main/java/larkbank/manifest/Table.java
@@ -2,7 +2,10 @@
 
 /** The kinds of items, with their names on the wire. */
 public enum Table {
-    ROUTES("routeTable"), TENANTS("tenantTable"), SERVICES("serviceTable"), LIMITS("limits");
+    ROUTES("routeTable"),
+    TENANTS("tenantTable"),
+    SERVICES("serviceTable"),
+    LIMITS("limits");
 
     private final String wire;
 
--- a/src/main/java/larkbank/manifest/TenantTerms.java
+++ b/src/main/java/larkbank/manifest/TenantTerms.java
@@ -21,8 +21,12 @@
             if (fields.has("priority")) {
                 priority = (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE);
             }
-            return Either.right(new TenantTerms(item.key().name(), List.copyOf(keys), priority,
-                    fields.amount("ratePerS", 0), fields.amount("burstSize", 0)));
+            return Either.right(new TenantTerms(
+                    item.key().name(),
+                    List.copyOf(keys),
+                    priority,
+                    fields.amount("ratePerS", 0),
+                    fields.amount("burstSize", 0)));
         } catch (Fields.Bad e) {
             return Either.left(Refusal.invalid(e.getMessage()));
         }
--- a/src/main/java/larkbank/manifest/Whole.java
+++ b/src/main/java/larkbank/manifest/Whole.java
@@ -7,18 +7,19 @@
 /** Whether a manifest that was valid as a whole still is, after items of it have changed. */
 final class Whole {
 
-    private Whole() { }
+    private Whole() {}
 
     /** The first thing that is wrong with an item by itself, or null. */
     static Refusal wrongAlone(Collection<Item> changed) {
         for (Item item : changed) {
             if (!item.withdrawn()) {
-                Either<Refusal, ?> terms = switch (item.key().table()) {
-                    case ROUTES -> RouteTerms.of(item);
-                    case TENANTS -> TenantTerms.of(item);
-                    case SERVICES -> ServiceTerms.of(item);
-                    case LIMITS -> ClientLimits.of(item);
-                };
+                Either<Refusal, ?> terms =
+                        switch (item.key().table()) {
+                            case ROUTES -> RouteTerms.of(item);
+                            case TENANTS -> TenantTerms.of(item);
+                            case SERVICES -> ServiceTerms.of(item);
+                            case LIMITS -> ClientLimits.of(item);
+                        };
                 if (terms.isLeft()) {
                     return terms.getLeft();
                 }
@@ -33,8 +34,8 @@
      */
     static Refusal wrong(Manifest all, Collection<Item> changed) {
         for (Item item : changed) {
-            Refusal refusal = item.withdrawn() ? unused(all, item) : item.key().table() == Table.ROUTES
-                    ? route(all, item) : null;
+            Refusal refusal =
+                    item.withdrawn() ? unused(all, item) : item.key().table() == Table.ROUTES ? route(all, item) : null;
             if (refusal != null) {
                 return refusal;
             }
@@ -50,15 +51,17 @@
         }
         List<String> place = Claims.place(route);
         Key holder = all.holder(place);
-        return holder.equals(route.key()) ? null : Refusal.invalid(
-                route.key() + " and " + holder + " share " + place.get(1) + place.get(2));
+        return holder.equals(route.key())
+                ? null
+                : Refusal.invalid(route.key() + " and " + holder + " share " + place.get(1) + place.get(2));
     }
 
     /** A service goes only if no route names it. This alone looks at all routes. */
     private static Refusal unused(Manifest all, Item withdrawn) {
         if (withdrawn.key().table() == Table.SERVICES) {
             for (Item route : all.standing(Table.ROUTES)) {
-                if (RouteTerms.services(route.content()).contains(withdrawn.key().name())) {
+                if (RouteTerms.services(route.content())
+                        .contains(withdrawn.key().name())) {
                     return unknown(route, withdrawn.key().name());
                 }
             }
--- a/src/main/java/larkbank/membership/Change.java
+++ b/src/main/java/larkbank/membership/Change.java
@@ -9,5 +9,10 @@
 public record Change(Kind kind, String name, int incarnation, String cause, int live) {
 
     /** What has become of the member. */
-    public enum Kind { JOINED, BACK, OUT, LEFT }
+    public enum Kind {
+        JOINED,
+        BACK,
+        OUT,
+        LEFT
+    }
 }
--- a/src/main/java/larkbank/membership/Claim.java
+++ b/src/main/java/larkbank/membership/Claim.java
@@ -20,6 +20,7 @@
     public static final double CLAIMED = 0.95;
     /** Twice the hold, since the answers of two electors may be a hold apart, and a tenth for clocks. */
     private static final double RELEASE = 2.2;
+
     private static final double CLOCKS = 1.1;
 
     private final long holdMicros;
@@ -66,12 +67,16 @@
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < askedAt.length; i++) {
             if (now - askedAt[i] < holdMicros) {
-                text.append(now - askedAt[i]).append('=').append(grants[i].count()).append('/')
+                text.append(now - askedAt[i])
+                        .append('=')
+                        .append(grants[i].count())
+                        .append('/')
                         .append(grants[i].digest());
             }
             text.append(' ');
         }
-        return text.append(holds(now) ? Math.min(releaseMicros, now - heldSince) : -1).toString();
+        return text.append(holds(now) ? Math.min(releaseMicros, now - heldSince) : -1)
+                .toString();
     }
 
     /** For how long an elector counts a process after its last answer to it. */
--- a/src/main/java/larkbank/membership/Elector.java
+++ b/src/main/java/larkbank/membership/Elector.java
@@ -19,13 +19,14 @@
      * @param count of those that are counted here, the asking one among them
      * @param digest the same wherever the same ones are counted
      */
-    public record Grant(int count, long digest) { }
+    public record Grant(int count, long digest) {}
 
     private final long releaseMicros;
     private final long silentUntil;
     private final int most;
     /** In the order of their last questions, which is that of their ends. */
     private final Map<String, Long> countedUntil = new LinkedHashMap<>();
+
     private long digest;
 
     /**
@@ -71,7 +72,7 @@
     }
 
     private void forget(long now) {
-        for (Iterator<Map.Entry<String, Long>> all = countedUntil.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<String, Long>> all = countedUntil.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<String, Long> first = all.next();
             if (first.getValue() > now) {
                 return;
--- a/src/main/java/larkbank/membership/Entry.java
+++ b/src/main/java/larkbank/membership/Entry.java
@@ -54,8 +54,12 @@
         if (!further && !newer) {
             return this;
         }
-        return new Entry(peer, further ? other.standing : standing, newer ? other.version : version,
-                newer ? other.facts : facts, further ? other.age : age);
+        return new Entry(
+                peer,
+                further ? other.standing : standing,
+                newer ? other.version : version,
+                newer ? other.facts : facts,
+                further ? other.age : age);
     }
 
     /** The same for all who know the same; age and addresses follow from the rest. */
--- a/src/main/java/larkbank/membership/Herald.java
+++ b/src/main/java/larkbank/membership/Herald.java
@@ -122,7 +122,7 @@
         List<Entry> entries = new ArrayList<>();
         List<Report> reports = new ArrayList<>();
         int room = Message.RIDE;
-        for (Iterator<News> i = news.descendingIterator(); i.hasNext();) {
+        for (Iterator<News> i = news.descendingIterator(); i.hasNext(); ) {
             News n = i.next();
             if (!n.old && !n.from.equals(to) && n.size() <= room && now <= n.until) {
                 room -= n.size();
--- a/src/main/java/larkbank/membership/Lending.java
+++ b/src/main/java/larkbank/membership/Lending.java
@@ -40,7 +40,7 @@
     }
 
     /** A list that was borrowed whole. */
-    public record Loan(String from, long revision, long ageMicros, List<byte[]> pages) { }
+    public record Loan(String from, long revision, long ageMicros, List<byte[]> pages) {}
 
     /** Pages of a list, at most; so much memory may a lender cost. */
     static final int MOST_PAGES = 4_096;
@@ -52,6 +52,7 @@
     private static final long GATHER_MICROS = 400_000;
     /** From one round of questions to the next; doubled each time, so that a long silence costs little. */
     private static final long ROUND_MICROS = 1_000_000;
+
     private static final long MOST_ROUND_MICROS = 8_000_000;
     /** A page that has not come by then is asked for again. */
     private static final long AGAIN_MICROS = 200_000;
@@ -61,9 +62,10 @@
     private static final int WINDOW = 8;
     /** Bytes a second that are lent at most. */
     private static final int LENT = 2_000_000;
+
     private static final int HEAD = -1;
 
-    private record Offer(Peer from, long revision, int pages, long age) { }
+    private record Offer(Peer from, long revision, int pages, long age) {}
 
     private final Shelf shelf;
     private final BiConsumer<InetSocketAddress, Message> out;
@@ -73,25 +75,28 @@
     private final Map<String, Offer> offers = new HashMap<>();
     /** Lenders that fell silent, or whose list was none. */
     private final Set<String> poor = new HashSet<>();
+
     private boolean seeking;
     /** Somebody has lent what is newest, or a whole round has found nothing newer. */
     private boolean settled;
+
     private int asked;
     private long knowsSince = Long.MAX_VALUE;
     /** The revision that this process has; only newer ones are of use. */
     private long known;
+
     private long number;
     private long gatherUntil = Long.MAX_VALUE;
     private long roundAt;
     private long pause = ROUND_MICROS;
     /** Whose list comes just now; null for nobody's. */
     private Offer lender;
+
     private byte[][] pages;
     private long[] askedAt;
     private long heardAt;
 
-    public Lending(long seed, Shelf shelf, BiConsumer<InetSocketAddress, Message> out,
-            Consumer<Loan> borrowed) {
+    public Lending(long seed, Shelf shelf, BiConsumer<InetSocketAddress, Message> out, Consumer<Loan> borrowed) {
         this.shelf = shelf;
         this.out = out;
         this.borrowed = borrowed;
@@ -167,9 +172,11 @@
     }
 
     private void choose(long now, Peer self) {
-        lender = offers.values().stream().filter(o -> o.revision > known && !poor.contains(o.from.name()))
-                .max((a, b) -> a.revision != b.revision ? Long.compare(a.revision, b.revision)
-                        : Long.compare(a.age, b.age)).orElse(null);
+        lender = offers.values().stream()
+                .filter(o -> o.revision > known && !poor.contains(o.from.name()))
+                .max((a, b) ->
+                        a.revision != b.revision ? Long.compare(a.revision, b.revision) : Long.compare(a.age, b.age))
+                .orElse(null);
         if (lender == null) {
             // Whoever was silent once may be heard again by the next round.
             poor.clear();
@@ -225,9 +232,20 @@
         boolean wanted = page != HEAD && revision == m.digest();
         byte[] load = wanted ? shelf.page(page) : new byte[0];
         if (lent.spend(now, load.length + 100)) {
-            out.accept(m.from().address(), new Message(Kind.LEND, self, m.from().name(), m.number(), revision,
-                    List.of(), List.of(), List.of(wanted ? page : HEAD, all,
-                    (int) Math.min(Integer.MAX_VALUE, shelf.ageMicros() / 1_000)), "", load));
+            out.accept(
+                    m.from().address(),
+                    new Message(
+                            Kind.LEND,
+                            self,
+                            m.from().name(),
+                            m.number(),
+                            revision,
+                            List.of(),
+                            List.of(),
+                            List.of(wanted ? page : HEAD, all, (int)
+                                    Math.min(Integer.MAX_VALUE, shelf.ageMicros() / 1_000)),
+                            "",
+                            load));
         }
     }
 
@@ -240,15 +258,17 @@
         if (page == HEAD) {
             Offer offer = new Offer(m.from(), m.digest(), all, m.buckets().get(2) * 1_000L);
             offers.put(m.from().name(), offer);
-            if (lender != null && lender.from.name().equals(m.from().name())
-                    && lender.revision != offer.revision) {
+            if (lender != null && lender.from.name().equals(m.from().name()) && lender.revision != offer.revision) {
                 choose(now, self);
             } else if (lender == null && gatherUntil != Long.MAX_VALUE && offers.size() == asked) {
                 gatherUntil = Long.MAX_VALUE;
                 choose(now, self);
             }
-        } else if (lender != null && lender.from.name().equals(m.from().name())
-                && lender.revision == m.digest() && all == pages.length && pages[page] == null) {
+        } else if (lender != null
+                && lender.from.name().equals(m.from().name())
+                && lender.revision == m.digest()
+                && all == pages.length
+                && pages[page] == null) {
             pages[page] = m.load();
             heardAt = now;
             fetch(now, self);
--- a/src/main/java/larkbank/membership/Links.java
+++ b/src/main/java/larkbank/membership/Links.java
@@ -20,10 +20,12 @@
         final String name;
         /** When the last question was asked that was answered; when the next is due. */
         long contactAt;
+
         long dueAt;
         private long askedAt;
         /** What was last said of it to others; null before the first word. */
         boolean lost;
+
         int number;
         long saidAt;
 
@@ -34,13 +36,14 @@
         }
     }
 
-    private record Asked(String name, long at) { }
+    private record Asked(String name, long at) {}
 
     private MembershipPlan plan;
     private final SplittableRandom random;
     private final Map<String, Link> links = new TreeMap<>();
     /** Questions without an answer, by number. */
     private final Map<Long, Asked> asked = new HashMap<>();
+
     private long numbers;
 
     Links(MembershipPlan plan, SplittableRandom random) {
@@ -108,8 +111,7 @@
     /** Something came from it unasked: where its answers stay away, it is asked at once. */
     void heard(long now, String name) {
         Link link = links.get(name);
-        if (link != null && now - link.contactAt > plan.periodMicros() * 2
-                && now - link.askedAt > plan.beatMicros()) {
+        if (link != null && now - link.contactAt > plan.periodMicros() * 2 && now - link.askedAt > plan.beatMicros()) {
             link.dueAt = Math.min(link.dueAt, now);
         }
     }
--- a/src/main/java/larkbank/membership/Membership.java
+++ b/src/main/java/larkbank/membership/Membership.java
@@ -39,10 +39,11 @@
     }
 
     /** A member as it is seen from here. */
-    public record Seen(Entry entry, String state) { }
+    public record Seen(Entry entry, String state) {}
 
     /** Bytes a second, at most: of questions and answers, and of all else. */
     private static final int ASKING = 64_000;
+
     private static final int TELLING = 512_000;
     /** Bytes of a message without anything in it, at most. */
     private static final int BARE = 100;
@@ -70,15 +71,17 @@
     private Peer self;
     /** Some neighbour has talked with this process both ways, ever. */
     private boolean admitted;
+
     private boolean leaving;
     /** Another process has the name; nothing is said or heard any more. */
     private boolean outside;
 
     /** It was put out, or never let in, and nobody has let it in since: it rules over nobody. */
     private boolean adrift;
+
     private long askingSince;
 
-    private record Told(long until, String by) { }
+    private record Told(long until, String by) {}
 
     /** Ends told by others, which hold unless the member itself says otherwise by then. */
     private final Map<String, Told> condemned = new TreeMap<>();
@@ -86,6 +89,7 @@
     private final Map<String, Long> candidates = new TreeMap<>();
     /** Members found while they could not be reached over neighbours, and until when that counts. */
     private final Map<String, Long> found = new HashMap<>();
+
     private Set<String> looked = Set.of();
     private Rings rings;
     private long ringsOf;
@@ -106,14 +110,19 @@
     private int leaves;
     private long dropped;
 
-    public Membership(long now, MembershipPlan plan, Peer self, Map<String, String> facts, long seed,
-            Actions actions) {
+    public Membership(long now, MembershipPlan plan, Peer self, Map<String, String> facts, long seed, Actions actions) {
         this(now, plan, self, facts, seed, actions, new Rings.Cache(2));
     }
 
     /** With rings that other members in the same memory use too. */
-    public Membership(long now, MembershipPlan plan, Peer self, Map<String, String> facts, long seed,
-            Actions actions, Rings.Cache cache) {
+    public Membership(
+            long now,
+            MembershipPlan plan,
+            Peer self,
+            Map<String, String> facts,
+            long seed,
+            Actions actions,
+            Rings.Cache cache) {
         this.plan = plan;
         this.self = self;
         this.actions = actions;
@@ -130,7 +139,8 @@
     /** Begins with members that are known already, as after a start long ago. */
     public void know(long now, Iterable<Entry> members) {
         for (Entry e : members) {
-            roster.put(now, e.name().equals(self.name()) ? roster.get(self.name()).with(e) : e, true);
+            roster.put(
+                    now, e.name().equals(self.name()) ? roster.get(self.name()).with(e) : e, true);
         }
         admitted = true;
         targetsOld = true;
@@ -177,9 +187,9 @@
                 default -> "joining";
             };
         }
-        boolean doubted = condemned.containsKey(e.name()) || looked.contains(e.name())
-                || reports.on(e.name()).stream().anyMatch(r -> r.lost()
-                && r.aboutIncarnation() == e.incarnation());
+        boolean doubted = condemned.containsKey(e.name())
+                || looked.contains(e.name())
+                || reports.on(e.name()).stream().anyMatch(r -> r.lost() && r.aboutIncarnation() == e.incarnation());
         return doubted ? "suspect" : "alive";
     }
 
@@ -285,7 +295,7 @@
                 compareWith(now, m, stranger);
             }
             case COMPARE -> compare(now, m);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -315,8 +325,7 @@
         }
         if (known.peer().life() == from.life()) {
             if (from.incarnation() > known.incarnation()) {
-                learn(now, new Entry(from, Standing.CANDIDATE, known.version(), known.facts(), 0),
-                        from.name());
+                learn(now, new Entry(from, Standing.CANDIDATE, known.version(), known.facts(), 0), from.name());
             }
             if (m.kind() == Kind.ACK && contests.answers(from.name(), m.number())) {
                 Peer newcomer = contests.close(from.name());
@@ -334,8 +343,15 @@
             }
             // It has to begin above the one that had its name before, and hears so.
             if (m.kind() == Kind.PING) {
-                send(now, from.address(), message(Kind.ACK, from.name(), m.number(),
-                        new Load(List.of(roster.told(now, known)), List.of()), ""));
+                send(
+                        now,
+                        from.address(),
+                        message(
+                                Kind.ACK,
+                                from.name(),
+                                m.number(),
+                                new Load(List.of(roster.told(now, known)), List.of()),
+                                ""));
             }
             return false;
         }
@@ -364,9 +380,16 @@
     }
 
     private void refuse(long now, Peer newcomer, Peer holder) {
-        send(now, newcomer.address(), message(Kind.REFUSE, newcomer.name(), newcomer.life(), Load.NONE,
-                "name '" + newcomer.name() + "' is taken by the process at " + text(holder)
-                + ", which answers"));
+        send(
+                now,
+                newcomer.address(),
+                message(
+                        Kind.REFUSE,
+                        newcomer.name(),
+                        newcomer.life(),
+                        Load.NONE,
+                        "name '" + newcomer.name() + "' is taken by the process at " + text(holder)
+                                + ", which answers"));
     }
 
     private void heedRefusal(Message m) {
@@ -380,8 +403,8 @@
     private void hearOfSelf(long now, Entry e) {
         Entry own = roster.get(self.name());
         boolean same = e.peer().life() == self.life();
-        if (e.standing().ended() && e.incarnation() >= self.incarnation() || same
-                && e.incarnation() > self.incarnation()) {
+        if (e.standing().ended() && e.incarnation() >= self.incarnation()
+                || same && e.incarnation() > self.incarnation()) {
             if (!leaving) {
                 rise(now, e.incarnation() + 1);
             }
@@ -440,7 +463,8 @@
             return;
         }
         boolean was = roster.isIn(name);
-        boolean anew = old == null || old.incarnation() != merged.incarnation()
+        boolean anew = old == null
+                || old.incarnation() != merged.incarnation()
                 || old.peer().life() != merged.peer().life();
         Standing standing = merged.standing();
         // Whoever is in stays in while it comes back, and until word of its end has had time to be denied.
@@ -473,8 +497,12 @@
             gone(now, name, "said so", Change.Kind.LEFT);
         } else if (!was && standing == Standing.MEMBER) {
             rulingOld = true;
-            actions.changed(new Change(merged.incarnation() > 1 ? Change.Kind.BACK : Change.Kind.JOINED, name,
-                    merged.incarnation(), "told by " + (from.isEmpty() ? "itself" : from), live()));
+            actions.changed(new Change(
+                    merged.incarnation() > 1 ? Change.Kind.BACK : Change.Kind.JOINED,
+                    name,
+                    merged.incarnation(),
+                    "told by " + (from.isEmpty() ? "itself" : from),
+                    live()));
         }
     }
 
@@ -565,8 +593,9 @@
     private void repeat(long now) {
         for (Link link : links.all()) {
             if (now - link.saidAt > Reports.REPEAT * plan.periodMicros()) {
-                boolean answers = !link.lost && reports.on(link.name).stream()
-                        .anyMatch(r -> r.lost() && !r.reporter().equals(self.name()));
+                boolean answers = !link.lost
+                        && reports.on(link.name).stream()
+                                .anyMatch(r -> r.lost() && !r.reporter().equals(self.name()));
                 if (link.lost || answers && links.inTouch(now, link.name) || found.containsKey(link.name)) {
                     say(now, link.name, link.lost);
                 }
@@ -577,16 +606,21 @@
     private void heed(long now, Report r, String from) {
         Entry about = roster.get(r.about());
         Entry reporter = roster.get(r.reporter());
-        if (about == null || reporter == null || r.reporter().equals(self.name())
-                || about.incarnation() != r.aboutIncarnation() || !roster.isIn(r.about())
-                || reporter.incarnation() != r.reporterIncarnation() || !reports.take(now, r)) {
+        if (about == null
+                || reporter == null
+                || r.reporter().equals(self.name())
+                || about.incarnation() != r.aboutIncarnation()
+                || !roster.isIn(r.about())
+                || reporter.incarnation() != r.reporterIncarnation()
+                || !reports.take(now, r)) {
             return;
         }
         rulingOld = true;
         herald.tell(r, from, now + told());
         Report mine = reports.by(self.name(), r.about());
-        if (r.lost() && links.inTouch(now, r.about()) && (mine == null || mine.lost()
-                || now - links.get(r.about()).saidAt > plan.graceMicros())) {
+        if (r.lost()
+                && links.inTouch(now, r.about())
+                && (mine == null || mine.lost() || now - links.get(r.about()).saidAt > plan.graceMicros())) {
             say(now, r.about(), false);
         }
     }
@@ -600,8 +634,7 @@
         boolean lost = roster.live() > 1 && now - askingSince > plan.silenceMicros();
         if (lost != adrift) {
             adrift = lost;
-            actions.log(lost ? "no member has let this process in; it takes itself to be alone"
-                    : "a member again");
+            actions.log(lost ? "no member has let this process in; it takes itself to be alone" : "a member again");
         }
     }
 
@@ -627,8 +660,7 @@
             List<String> by = new ArrayList<>();
             reports.on(name).stream().filter(Report::lost).forEach(r -> by.add(r.reporter()));
             by.sort(null);
-            end(now, name, by.isEmpty() ? "out of reach" : "lost by " + String.join(", ", by),
-                    Change.Kind.OUT);
+            end(now, name, by.isEmpty() ? "out of reach" : "lost by " + String.join(", ", by), Change.Kind.OUT);
             if (ruling.out().size() <= FEW_ENDS) {
                 herald.tell(roster.get(name), "", now + told());
             }
@@ -638,8 +670,7 @@
     // ---- Questions and answers
 
     private Message message(Kind kind, String to, long number, Load load, String text) {
-        return new Message(kind, self, to, number, roster.digest(), load.entries(), load.reports(), List.of(),
-                text);
+        return new Message(kind, self, to, number, roster.digest(), load.entries(), load.reports(), List.of(), text);
     }
 
     private void send(long now, InetSocketAddress to, Message m) {
@@ -663,8 +694,10 @@
     private void ping(long now, String name) {
         Entry e = roster.get(name);
         if (e != null) {
-            send(now, e.peer().address(), message(Kind.PING, name, links.ask(now, name),
-                    herald.ride(now, roster, name), ""));
+            send(
+                    now,
+                    e.peer().address(),
+                    message(Kind.PING, name, links.ask(now, name), herald.ride(now, roster, name), ""));
         }
     }
 
@@ -696,8 +729,7 @@
     /** Whoever is alone asks all seeds; others ask one now and then that is none of them. */
     private void knockAtSeeds(long now) {
         boolean alone = roster.live() == 1;
-        seedAt = now + (alone ? plan.periodMicros() : 10 * plan.periodMicros())
-                + random.nextLong(plan.periodMicros());
+        seedAt = now + (alone ? plan.periodMicros() : 10 * plan.periodMicros()) + random.nextLong(plan.periodMicros());
         Set<InetSocketAddress> known = new HashSet<>();
         known.add(self.address());
         if (!alone) {
@@ -707,8 +739,8 @@
                 }
             }
         }
-        List<InetSocketAddress> others = plan.seeds().stream().filter(s -> !known.contains(s))
-                .toList();
+        List<InetSocketAddress> others =
+                plan.seeds().stream().filter(s -> !known.contains(s)).toList();
         if (alone) {
             others.forEach(seed -> knock(now, seed));
         } else if (!others.isEmpty()) {
@@ -717,8 +749,10 @@
     }
 
     private void knock(long now, InetSocketAddress to) {
-        send(now, to, message(Kind.PING, "", links.ask(now, ""),
-                new Load(List.of(roster.get(self.name())), List.of()), ""));
+        send(
+                now,
+                to,
+                message(Kind.PING, "", links.ask(now, ""), new Load(List.of(roster.get(self.name())), List.of()), ""));
     }
 
     private void answer(long now, Message m) {
@@ -737,7 +771,8 @@
     private void answered(long now, Message m) {
         String name = m.from().name();
         Entry known = roster.get(name);
-        if (links.answered(m.number(), name) < 0 || known == null
+        if (links.answered(m.number(), name) < 0
+                || known == null
                 || known.incarnation() != m.from().incarnation()) {
             return;
         }
@@ -757,16 +792,30 @@
     private void compareWith(long now, Message m, boolean stranger) {
         if (m.digest() == roster.digest()) {
             agreedAt = now;
-        } else if (now >= compareAt && (stranger || agreedAt == Long.MIN_VALUE
-                || now - changedAt > 2 * plan.periodMicros() || now - agreedAt > 8 * plan.periodMicros())) {
+        } else if (now >= compareAt
+                && (stranger
+                        || agreedAt == Long.MIN_VALUE
+                        || now - changedAt > 2 * plan.periodMicros()
+                        || now - agreedAt > 8 * plan.periodMicros())) {
             compareAt = now + 2 * plan.beatMicros();
             sendParts(now, m.from(), 1);
         }
     }
 
     private void sendParts(long now, Peer to, long number) {
-        send(now, to.address(), new Message(Kind.COMPARE, self, to.name(), number, roster.digest(),
-                List.of(roster.get(self.name())), List.of(), roster.buckets(), ""));
+        send(
+                now,
+                to.address(),
+                new Message(
+                        Kind.COMPARE,
+                        self,
+                        to.name(),
+                        number,
+                        roster.digest(),
+                        List.of(roster.get(self.name())),
+                        List.of(),
+                        roster.buckets(),
+                        ""));
     }
 
     private void compare(long now, Message m) {
@@ -775,8 +824,7 @@
         int pages = 0;
         for (Entry e : roster.beyond(m.buckets(), random.nextInt(Message.PARTS))) {
             if (e.size() > room) {
-                send(now, m.from().address(), message(Kind.NEWS, m.from().name(), 0,
-                        new Load(page, List.of()), ""));
+                send(now, m.from().address(), message(Kind.NEWS, m.from().name(), 0, new Load(page, List.of()), ""));
                 page = new ArrayList<>();
                 room = Message.ROOM;
                 if (++pages == PAGES) {
@@ -787,8 +835,7 @@
             page.add(roster.told(now, e));
         }
         if (!page.isEmpty()) {
-            send(now, m.from().address(), message(Kind.NEWS, m.from().name(), 0, new Load(page, List.of()),
-                    ""));
+            send(now, m.from().address(), message(Kind.NEWS, m.from().name(), 0, new Load(page, List.of()), ""));
         }
         if (m.number() == 1) {
             sendParts(now, m.from(), 0);
--- a/src/main/java/larkbank/membership/MembershipPlan.java
+++ b/src/main/java/larkbank/membership/MembershipPlan.java
@@ -18,30 +18,53 @@
  * @param shares how what all share follows the living; null where it does not
  * @param leases for tasks of the whole fleet; null for none
  */
-public record MembershipPlan(String cluster, InetSocketAddress listen, InetSocketAddress advertise,
-        List<InetSocketAddress> seeds, long pauseMicros, long periodMicros, int most, String record,
-        SharePlan shares, LeasePlan leases) {
+public record MembershipPlan(
+        String cluster,
+        InetSocketAddress listen,
+        InetSocketAddress advertise,
+        List<InetSocketAddress> seeds,
+        long pauseMicros,
+        long periodMicros,
+        int most,
+        String record,
+        SharePlan shares,
+        LeasePlan leases) {
 
     /** Names that are kept where the file does not say. */
     public static final int MOST = 10_000;
 
     /** Without anything that follows the living. */
-    public MembershipPlan(String cluster, InetSocketAddress listen, InetSocketAddress advertise,
-            List<InetSocketAddress> seeds, long pauseMicros, long periodMicros, int most, String record) {
-        this(cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record, null,
-                null);
+    public MembershipPlan(
+            String cluster,
+            InetSocketAddress listen,
+            InetSocketAddress advertise,
+            List<InetSocketAddress> seeds,
+            long pauseMicros,
+            long periodMicros,
+            int most,
+            String record) {
+        this(cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record, null, null);
     }
 
     /** With the seeds as electors; for how long things stay in use at a process that stands still. */
     public MembershipPlan sharing(int mostProcesses, long lingerMicros) {
-        return new MembershipPlan(cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record,
-                new SharePlan(seeds, boundMicros(), lingerMicros, mostProcesses), leases);
+        return new MembershipPlan(
+                cluster,
+                listen,
+                advertise,
+                seeds,
+                pauseMicros,
+                periodMicros,
+                most,
+                record,
+                new SharePlan(seeds, boundMicros(), lingerMicros, mostProcesses),
+                leases);
     }
 
     /** With these leases. */
     public MembershipPlan leasing(LeasePlan next) {
-        return new MembershipPlan(cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record,
-                shares, next);
+        return new MembershipPlan(
+                cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record, shares, next);
     }
 
     /** A period that lets a killed process be known within the pause and two seconds. */
@@ -74,7 +97,16 @@
 
     /** The same with others for what may change while it runs. */
     public MembershipPlan with(MembershipPlan next) {
-        return new MembershipPlan(cluster, listen, advertise, next.seeds, next.pauseMicros,
-                next.periodMicros, next.most, record, next.shares, next.leases);
+        return new MembershipPlan(
+                cluster,
+                listen,
+                advertise,
+                next.seeds,
+                next.pauseMicros,
+                next.periodMicros,
+                next.most,
+                record,
+                next.shares,
+                next.leases);
     }
 }
--- a/src/main/java/larkbank/membership/Message.java
+++ b/src/main/java/larkbank/membership/Message.java
@@ -13,14 +13,31 @@
  * @param text why, in a refusal; empty in all else
  * @param load a page of a list that is lent, or a word about leases; empty in all else
  */
-public record Message(Kind kind, Peer from, String to, long number, long digest, List<Entry> entries,
-        List<Report> reports, List<Integer> buckets, String text, byte[] load) {
+public record Message(
+        Kind kind,
+        Peer from,
+        String to,
+        long number,
+        long digest,
+        List<Entry> entries,
+        List<Report> reports,
+        List<Integer> buckets,
+        String text,
+        byte[] load) {
 
     private static final byte[] NO_LOAD = {};
 
     /** All but a page. */
-    public Message(Kind kind, Peer from, String to, long number, long digest, List<Entry> entries,
-            List<Report> reports, List<Integer> buckets, String text) {
+    public Message(
+            Kind kind,
+            Peer from,
+            String to,
+            long number,
+            long digest,
+            List<Entry> entries,
+            List<Report> reports,
+            List<Integer> buckets,
+            String text) {
         this(kind, from, to, number, digest, entries, reports, buckets, text, NO_LOAD);
     }
 
--- a/src/main/java/larkbank/membership/Portion.java
+++ b/src/main/java/larkbank/membership/Portion.java
@@ -23,6 +23,7 @@
     private final Claim claim;
     /** Null where this process is none. */
     private final Elector elector;
+
     private final BiConsumer<InetSocketAddress, Message> out;
     private final long[] askedAt = new long[ROUNDS];
     private final long firstNumber;
@@ -33,16 +34,15 @@
      * @param own address that others know this process by
      * @param first number of the first question, drawn anew by each life
      */
-    public Portion(long now, SharePlan plan, InetSocketAddress own, long first,
-            BiConsumer<InetSocketAddress, Message> out) {
+    public Portion(
+            long now, SharePlan plan, InetSocketAddress own, long first, BiConsumer<InetSocketAddress, Message> out) {
         this.plan = plan;
         this.own = own;
         this.out = out;
         firstNumber = first;
         askAt = now;
         claim = new Claim(plan.electors().size(), plan.holdMicros(), plan.lingerMicros(), plan.most());
-        elector = plan.electors().contains(own)
-                ? new Elector(now, plan.releaseMicros(), LIVES * plan.most()) : null;
+        elector = plan.electors().contains(own) ? new Elector(now, plan.releaseMicros(), LIVES * plan.most()) : null;
     }
 
     public SharePlan plan() {
@@ -72,8 +72,7 @@
         }
     }
 
-    private static Message message(Kind kind, Peer self, String to, long number, long digest,
-            List<Integer> count) {
+    private static Message message(Kind kind, Peer self, String to, long number, long digest, List<Integer> count) {
         return new Message(kind, self, to, number, digest, List.of(), List.of(), count, "");
     }
 
@@ -87,15 +86,30 @@
         if (m.kind() == Kind.COUNT && elector != null) {
             Grant grant = elector.ask(now, key(m.from()));
             if (grant != null) {
-                out.accept(m.from().address(), message(Kind.COUNTED, self, m.from().name(), m.number(),
-                        grant.digest(), List.of(grant.count())));
+                out.accept(
+                        m.from().address(),
+                        message(
+                                Kind.COUNTED,
+                                self,
+                                m.from().name(),
+                                m.number(),
+                                grant.digest(),
+                                List.of(grant.count())));
             }
-        } else if (m.kind() == Kind.COUNTED && m.to().equals(self.name()) && m.buckets().size() == 1) {
+        } else if (m.kind() == Kind.COUNTED
+                && m.to().equals(self.name())
+                && m.buckets().size() == 1) {
             int from = plan.electors().indexOf(m.from().address());
             long round = m.number() - firstNumber;
-            if (from >= 0 && round >= 0 && round < rounds && round >= rounds - ROUNDS
+            if (from >= 0
+                    && round >= 0
+                    && round < rounds
+                    && round >= rounds - ROUNDS
                     && m.buckets().get(0) > 0) {
-                granted(now, from, askedAt[(int) (round % ROUNDS)],
+                granted(
+                        now,
+                        from,
+                        askedAt[(int) (round % ROUNDS)],
                         new Grant(m.buckets().get(0), m.digest()));
             }
         }
--- a/src/main/java/larkbank/membership/Reports.java
+++ b/src/main/java/larkbank/membership/Reports.java
@@ -11,11 +11,12 @@
 
     /** Said again after so many periods while it holds, and forgotten after so many without a word. */
     static final int REPEAT = 12;
+
     private static final int FADE = 3 * REPEAT;
     /** Reports on one member at most: neighbours, and those that looked for it. */
     private static final int MOST = 64;
 
-    private record Kept(Report report, long at) { }
+    private record Kept(Report report, long at) {}
 
     private final Map<String, Map<String, Kept>> about = new TreeMap<>();
 
@@ -23,10 +24,11 @@
     boolean take(long now, Report report) {
         Map<String, Kept> known = about.computeIfAbsent(report.about(), n -> new HashMap<>());
         Kept before = known.get(report.reporter());
-        boolean later = before == null ? known.size() < MOST
+        boolean later = before == null
+                ? known.size() < MOST
                 : report.reporterIncarnation() > before.report.reporterIncarnation()
-                || report.reporterIncarnation() == before.report.reporterIncarnation()
-                && report.number() > before.report.number();
+                        || report.reporterIncarnation() == before.report.reporterIncarnation()
+                                && report.number() > before.report.number();
         if (later) {
             known.put(report.reporter(), new Kept(report, now));
         }
--- a/src/main/java/larkbank/membership/Rings.java
+++ b/src/main/java/larkbank/membership/Rings.java
@@ -49,6 +49,7 @@
     private final Map<String, Integer> places;
     /** By ring: the hashes in their order, and whose they are. */
     private final long[][] keys = new long[RINGS][];
+
     private final int[][] order = new int[RINGS][];
     private final int[][] near;
 
--- a/src/main/java/larkbank/membership/Roster.java
+++ b/src/main/java/larkbank/membership/Roster.java
@@ -24,6 +24,7 @@
     private final Set<String> held = new HashSet<>();
     /** When those that have ended did so; none of them is in the digests once it is told no more. */
     private final Map<String, Long> endedAt = new HashMap<>();
+
     private final Set<String> muted = new HashSet<>();
     private final int[] buckets = new int[Message.PARTS];
     private long digest;
--- a/src/main/java/larkbank/membership/Verdicts.java
+++ b/src/main/java/larkbank/membership/Verdicts.java
@@ -23,11 +23,12 @@
 final class Verdicts {
 
     /** What follows from the reports as they are. */
-    record Ruling(List<String> out, Set<String> missing) { }
+    record Ruling(List<String> out, Set<String> missing) {}
 
     private long settleMicros;
     /** Since when most of a member's neighbours have lost it; since when it can't be reached. */
     private final Map<String, Long> doubted = new HashMap<>();
+
     private final Map<String, Long> missing = new TreeMap<>();
 
     /** @param settleMicros for which a member is looked for, and others may speak up for it */
@@ -112,6 +113,7 @@
         private final Rings rings;
         /** By member, who has lost it, and who says that it is there. */
         private final int[][] lostBy;
+
         private final int[][] vouchedBy;
         /** Those that are in no view any more, though their neighbours have no others yet. */
         private final boolean[] gone;
@@ -129,8 +131,10 @@
                 Entry entry = roster.get(name);
                 for (Report r : on < 0 ? List.<Report>of() : reports.on(name)) {
                     int by = rings.place(r.reporter());
-                    if (by < 0 || r.aboutIncarnation() != entry.incarnation()
-                            || r.reporterIncarnation() != roster.get(r.reporter()).incarnation()) {
+                    if (by < 0
+                            || r.aboutIncarnation() != entry.incarnation()
+                            || r.reporterIncarnation()
+                                    != roster.get(r.reporter()).incarnation()) {
                         continue;
                     }
                     add(r.lost() ? lostBy : vouchedBy, on, by);
--- a/src/main/java/larkbank/operators/AssumedFacts.java
+++ b/src/main/java/larkbank/operators/AssumedFacts.java
@@ -33,7 +33,7 @@
     private final Set<String> zones = new TreeSet<>();
     private final Set<String> models = new TreeSet<>();
 
-    private AssumedFacts() { }
+    private AssumedFacts() {}
 
     /** The facts that a file takes for granted; of a text that is no TOML, hardly any. */
     public static Facts of(String text) {
@@ -44,12 +44,30 @@
         if (found.classes.isEmpty()) {
             found.classes.add("any");
         }
-        List<RequestClass> made = found.classes.stream().map(n -> new RequestClass(n, Effect.SAFE, Group.ALL,
-                LONGEST, LONGEST, 0, LONGEST, 1, 1, false)).toList();
-        Settings settings = new Settings(0, 0, MANY, 0, List.copyOf(found.zones), made, List.of(), 1, 0,
+        List<RequestClass> made = found.classes.stream()
+                .map(n -> new RequestClass(n, Effect.SAFE, Group.ALL, LONGEST, LONGEST, 0, LONGEST, 1, 1, false))
+                .toList();
+        Settings settings = new Settings(
+                0,
+                0,
+                MANY,
+                0,
+                List.copyOf(found.zones),
+                made,
+                List.of(),
+                1,
+                0,
                 new Limits(100, true, true, true, LONGEST, LONGEST, MANY, MANY, true, MANY),
-                new Rules(1, 0, 0, 0, 0, 0, 0), ReportSource.NONE, false, false, 1_000);
-        return new Facts(settings, List.copyOf(found.zones), List.copyOf(found.models), MANY,
+                new Rules(1, 0, 0, 0, 0, 0, 0),
+                ReportSource.NONE,
+                false,
+                false,
+                1_000);
+        return new Facts(
+                settings,
+                List.copyOf(found.zones),
+                List.copyOf(found.models),
+                MANY,
                 new InetSocketAddress("127.0.0.1", 0));
     }
 
--- a/src/main/java/larkbank/operators/CellsChecks.java
+++ b/src/main/java/larkbank/operators/CellsChecks.java
@@ -39,18 +39,30 @@
 
     /** The classes of the routes that lead to a pool. */
     private static List<RequestClass> classes(PoolSection pool, OperatorsFile file, Facts facts) {
-        return file.routes().stream().filter(r -> r.pool() != null && r.requestClass() != null
-                && r.pool().value().equals(pool.name()))
-                .flatMap(r -> facts.requestClass(r.requestClass().value()).stream()).distinct().toList();
+        return file.routes().stream()
+                .filter(r -> r.pool() != null
+                        && r.requestClass() != null
+                        && r.pool().value().equals(pool.name()))
+                .flatMap(r -> facts.requestClass(r.requestClass().value()).stream())
+                .distinct()
+                .toList();
     }
 
     /** The plan with what the classes of its routes add. */
     static CellsPlan complete(PoolSection pool, OperatorsFile file, Facts facts) {
         List<RequestClass> classes = classes(pool, file, facts);
-        return pool.cells().plan().with(
-                classes.stream().filter(c -> c.effect() == Effect.KEYED)
-                        .mapToLong(RequestClass::dedupWindowMicros).max().orElse(0),
-                classes.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(0));
+        return pool.cells()
+                .plan()
+                .with(
+                        classes.stream()
+                                .filter(c -> c.effect() == Effect.KEYED)
+                                .mapToLong(RequestClass::dedupWindowMicros)
+                                .max()
+                                .orElse(0),
+                        classes.stream()
+                                .mapToLong(RequestClass::deadlineMicros)
+                                .max()
+                                .orElse(0));
     }
 
     void run() {
@@ -65,13 +77,16 @@
         if (pool.servers() == null) {
             return;
         }
-        long parts = plan.spread() == Spread.SERVER ? pool.servers().size()
+        long parts = plan.spread() == Spread.SERVER
+                ? pool.servers().size()
                 : pool.servers().stream().map(StaticServer::cell).distinct().count();
         if (parts < plan.cells().size()) {
-            problems.add(pool.cells().line("names"), "'names' has " + plan.cells().size()
-                    + " cells, and pool '"
-                    + pool.name() + "' has " + parts + (plan.spread() == Spread.SERVER ? " servers"
-                    : " groups of servers") + " to deal out");
+            problems.add(
+                    pool.cells().line("names"),
+                    "'names' has " + plan.cells().size()
+                            + " cells, and pool '"
+                            + pool.name() + "' has " + parts
+                            + (plan.spread() == Spread.SERVER ? " servers" : " groups of servers") + " to deal out");
         }
     }
 
@@ -80,9 +95,11 @@
         int all = set == null ? facts.serverConnections() : set.value().intValue();
         for (int c = 0; c < plan.cells().size(); c++) {
             if (plan.part(c, all) < LEAST_CONNECTIONS) {
-                problems.add(pool.cells().line("names"), "cell '" + plan.cells().get(c).name()
-                        + "' would have " + plan.part(c, all) + " of " + all + " connections to servers; give"
-                        + " the pool more, or have fewer cells");
+                problems.add(
+                        pool.cells().line("names"),
+                        "cell '" + plan.cells().get(c).name()
+                                + "' would have " + plan.part(c, all) + " of " + all + " connections to servers; give"
+                                + " the pool more, or have fewer cells");
                 return;
             }
         }
@@ -91,15 +108,18 @@
     private void groups() {
         for (RequestClass c : classes) {
             if (c.effect() == Effect.KEYED && c.group() == Group.CELL && plan.spread() == Spread.SERVER) {
-                problems.add(pool.cells().line("cells"), "servers drop repeats of class '" + c.name()
-                        + "' within one group, which 'spread = \"server\"' would part; set"
-                        + " 'spread = \"group\"'");
+                problems.add(
+                        pool.cells().line("cells"),
+                        "servers drop repeats of class '" + c.name()
+                                + "' within one group, which 'spread = \"server\"' would part; set"
+                                + " 'spread = \"group\"'");
             }
         }
     }
 
     private void guests() {
-        if (plan.guests() > 0 && plan.cells().stream().filter(c -> !c.reserved()).count() < 2) {
+        if (plan.guests() > 0
+                && plan.cells().stream().filter(c -> !c.reserved()).count() < 2) {
             problems.add(pool.cells().line("cells"), "'guests' needs a second cell that is not reserved");
         }
     }
@@ -110,22 +130,28 @@
         int home = new Placement(plan.cells(), plan.assigned(), all).home(move.unit());
         if (home == move.to()) {
             Cell cell = plan.cells().get(home);
-            problems.add(pool.cells().line("to." + move.name()), "move '" + move.name() + "' does nothing: '"
-                    + move.label() + "' is in cell '" + cell.name() + "' "
-                    + (plan.assigned().containsKey(move.unit()) ? "by 'assign'" : "by its hash"));
+            problems.add(
+                    pool.cells().line("to." + move.name()),
+                    "move '" + move.name() + "' does nothing: '"
+                            + move.label() + "' is in cell '" + cell.name() + "' "
+                            + (plan.assigned().containsKey(move.unit()) ? "by 'assign'" : "by its hash"));
         }
         for (RequestClass c : classes) {
             if (c.effect() != Effect.SAFE && move.fenceMicros() * FENCE_PART > c.deadlineMicros()) {
-                problems.add(pool.cells().line("fence." + move.name()), "'fence' is "
-                        + Duration.text(move.fenceMicros()) + ", more than a quarter of what class '"
-                        + c.name()
-                        + "' has (" + Duration.text(c.deadlineMicros()) + ")");
+                problems.add(
+                        pool.cells().line("fence." + move.name()),
+                        "'fence' is "
+                                + Duration.text(move.fenceMicros()) + ", more than a quarter of what class '"
+                                + c.name()
+                                + "' has (" + Duration.text(c.deadlineMicros()) + ")");
             }
             long least = c.deadlineMicros() + FREEZE_MARGIN;
             if (c.effect() != Effect.SAFE && move.freezeMicros() > 0 && move.freezeMicros() < least) {
-                problems.add(pool.cells().line("freeze." + move.name()), "'freeze' is "
-                        + Duration.text(move.freezeMicros()) + "; a write of class '" + c.name()
-                        + "' may run for longer, so it must be " + Duration.text(least) + " or more");
+                problems.add(
+                        pool.cells().line("freeze." + move.name()),
+                        "'freeze' is "
+                                + Duration.text(move.freezeMicros()) + "; a write of class '" + c.name()
+                                + "' may run for longer, so it must be " + Duration.text(least) + " or more");
             }
         }
     }
--- a/src/main/java/larkbank/operators/CellsReader.java
+++ b/src/main/java/larkbank/operators/CellsReader.java
@@ -43,8 +43,8 @@
         Unit unit = unit(by);
         String spread = section.text("spread");
         if (spread != null && !SPREADS.contains(spread)) {
-            section.problem("spread", "no spread '" + spread + "'; there are server and group"
-                    + Words.hint(spread, SPREADS));
+            section.problem(
+                    "spread", "no spread '" + spread + "'; there are server and group" + Words.hint(spread, SPREADS));
         }
         List<Cell> cells = cells(names);
         Map<Long, Integer> assigned = assigned(names, unit);
@@ -64,9 +64,21 @@
             return null;
         }
         String header = unit == Unit.HEADER ? by.substring(HEADER.length()).toLowerCase(Locale.ROOT) : null;
-        return new CellsSection(new CellsPlan(unit, header, cells,
-                "group".equals(spread) ? Spread.GROUP : Spread.SERVER, keep, assigned, moves, 0, 0,
-                guests == null ? 0 : guests, writes, quarantine), lines);
+        return new CellsSection(
+                new CellsPlan(
+                        unit,
+                        header,
+                        cells,
+                        "group".equals(spread) ? Spread.GROUP : Spread.SERVER,
+                        keep,
+                        assigned,
+                        moves,
+                        0,
+                        0,
+                        guests == null ? 0 : guests,
+                        writes,
+                        quarantine),
+                lines);
     }
 
     private List<String> names() {
@@ -79,14 +91,13 @@
         }
         lines.put("names", section.lineOf("names"));
         if (names.size() < LEAST || names.size() > MOST) {
-            section.problem("names", "'names' has " + names.size() + " cells; it must have " + LEAST + " to "
-                    + MOST);
+            section.problem("names", "'names' has " + names.size() + " cells; it must have " + LEAST + " to " + MOST);
         }
         Set<String> seen = new LinkedHashSet<>();
         for (String name : names) {
             if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                section.problem("names", "'" + name + "' is no name of a cell; use letters, digits, '.', '_'"
-                        + " and '-'");
+                section.problem(
+                        "names", "'" + name + "' is no name of a cell; use letters, digits, '.', '_'" + " and '-'");
             }
             if (!seen.add(name)) {
                 section.problem("names", "there are two cells '" + name + "'");
@@ -104,15 +115,13 @@
             if (name.matches(OperatorsReader.TOKEN)) {
                 return Unit.HEADER;
             }
-            section.problem("by", "there is no header '" + name + "'; a name is one word (RFC 9110, section"
-                    + " 5.1)");
+            section.problem("by", "there is no header '" + name + "'; a name is one word (RFC 9110, section" + " 5.1)");
             return null;
         }
         if (by.equals("tenant") || by.equals("key")) {
             return Unit.valueOf(by.toUpperCase(Locale.ROOT));
         }
-        section.problem("by", "no unit '" + by + "'; there are tenant, key and header:NAME"
-                + Words.hint(by, UNITS));
+        section.problem("by", "no unit '" + by + "'; there are tenant, key and header:NAME" + Words.hint(by, UNITS));
         return null;
     }
 
@@ -131,8 +140,8 @@
             cell(section, "reserved", name, names);
         }
         List<Cell> cells = new ArrayList<>();
-        names.forEach(n -> cells.add(new Cell(n, shares.getOrDefault(n, 1.0),
-                reserved != null && reserved.contains(n))));
+        names.forEach(
+                n -> cells.add(new Cell(n, shares.getOrDefault(n, 1.0), reserved != null && reserved.contains(n))));
         if (!cells.isEmpty() && cells.stream().allMatch(Cell::reserved)) {
             section.problem("reserved", "all cells are reserved, so no unit would have a home");
         }
@@ -148,7 +157,8 @@
     }
 
     private void known(Section where, String key, String unit, Unit kind) {
-        List<String> tenants = facts.settings().tenants().stream().map(Tenant::name).toList();
+        List<String> tenants =
+                facts.settings().tenants().stream().map(Tenant::name).toList();
         if (kind == Unit.TENANT && !tenants.isEmpty() && unit != null && !tenants.contains(unit)) {
             where.problem(key, "the settings have no tenant '" + unit + "'" + Words.hint(unit, tenants));
         }
@@ -188,8 +198,7 @@
             return null;
         }
         if (!cells.get(cell).reserved()) {
-            section.problem("quarantine", "cell '" + name
-                    + "' is home to other units; put it into 'reserved'");
+            section.problem("quarantine", "cell '" + name + "' is home to other units; put it into 'reserved'");
         }
         return new Quarantine(cell, share == null ? 0.3 : share, time == null ? 60_000_000 : time);
     }
--- a/src/main/java/larkbank/operators/Checks.java
+++ b/src/main/java/larkbank/operators/Checks.java
@@ -31,6 +31,7 @@
 
     /** Descriptors that the process keeps for itself leave room for so many. */
     static final int MOST_LISTENERS = 8;
+
     private static final long LONGEST_IDLE_MICROS = 3_600_000_000L;
     private static final PathPattern HEALTH = PathPattern.parse("/healthz");
 
@@ -53,7 +54,8 @@
                 facts.requestClass(route.requestClass().value()).ifPresent(c -> limits(route, c));
             }
         }
-        file.pools().values().stream().filter(p -> p.cells() != null)
+        file.pools().values().stream()
+                .filter(p -> p.cells() != null)
                 .forEach(p -> new CellsChecks(facts, file, p, problems).run());
         file.pools().values().forEach(p -> queue("pool", p.name(), p.limits()));
         file.classes().values().forEach(c -> queue("class", c.name(), c.limits()));
@@ -69,16 +71,17 @@
 
     private void listeners() {
         if (file.listeners().size() > MOST_LISTENERS) {
-            problems.add(file.listeners().get(MOST_LISTENERS).line(), "more than " + MOST_LISTENERS
-                    + " listeners");
+            problems.add(file.listeners().get(MOST_LISTENERS).line(), "more than " + MOST_LISTENERS + " listeners");
         }
         List<ListenerSection> seen = new ArrayList<>();
         for (ListenerSection listener : file.listeners()) {
             for (ListenerSection other : seen) {
                 if (clash(listener.address(), other.address())) {
-                    problems.add(listener.line(), "listener '" + listener.name() + "' clashes with '"
-                            + other.name() + "' (line " + other.line() + "): both take port "
-                            + other.address().getPort());
+                    problems.add(
+                            listener.line(),
+                            "listener '" + listener.name() + "' clashes with '"
+                                    + other.name() + "' (line " + other.line() + "): both take port "
+                                    + other.address().getPort());
                 }
             }
             seen.add(listener);
@@ -86,9 +89,13 @@
     }
 
     private static boolean clash(InetSocketAddress a, InetSocketAddress b) {
-        return a != null && b != null && a.getPort() == b.getPort() && a.getPort() != 0
-                && (a.getAddress().equals(b.getAddress()) || a.getAddress().isAnyLocalAddress()
-                || b.getAddress().isAnyLocalAddress());
+        return a != null
+                && b != null
+                && a.getPort() == b.getPort()
+                && a.getPort() != 0
+                && (a.getAddress().equals(b.getAddress())
+                        || a.getAddress().isAnyLocalAddress()
+                        || b.getAddress().isAnyLocalAddress());
     }
 
     private void names() {
@@ -114,8 +121,9 @@
         }
         for (ClassSection c : file.classes().values()) {
             if (facts.requestClass(c.name()).isEmpty()) {
-                problems.add(c.line(), "the settings have no class '" + c.name() + "'"
-                        + Words.hint(c.name(), facts.classNames()));
+                problems.add(
+                        c.line(),
+                        "the settings have no class '" + c.name() + "'" + Words.hint(c.name(), facts.classNames()));
             } else if (!classes.contains(c.name())) {
                 problems.add(c.line(), "no route has class '" + c.name() + "', so this section does nothing");
             }
@@ -136,8 +144,9 @@
             byName.put(route.name(), route);
             if (route.match() != null) {
                 if (route.match().path().equals(HEALTH)) {
-                    problems.add(route.line(), "route '" + route.name() + "' is hidden: the sidecar itself"
-                            + " answers " + HEALTH);
+                    problems.add(
+                            route.line(),
+                            "route '" + route.name() + "' is hidden: the sidecar itself" + " answers " + HEALTH);
                 }
                 routes.add(new Route<>(route.name(), route.match(), route));
             }
@@ -147,12 +156,14 @@
             RouteSection other = byName.get(pair.other());
             RouteSection later = pair.hidden() || route.line() > other.line() ? route : other;
             RouteSection earlier = later == route ? other : route;
-            problems.add(later.line(), pair.hidden()
-                    ? "route '" + later.name() + "' is hidden: '" + earlier.name() + "' (line "
-                            + earlier.line() + ") goes before it and matches all that it matches"
-                    : "routes '" + later.name() + "' and '" + earlier.name() + "' (line " + earlier.line()
-                            + ") match the same requests and neither is more specific; give one a higher"
-                            + " 'priority'");
+            problems.add(
+                    later.line(),
+                    pair.hidden()
+                            ? "route '" + later.name() + "' is hidden: '" + earlier.name() + "' (line " + earlier.line()
+                                    + ") goes before it and matches all that it matches"
+                            : "routes '" + later.name() + "' and '" + earlier.name() + "' (line " + earlier.line()
+                                    + ") match the same requests and neither is more specific; give one a higher"
+                                    + " 'priority'");
         }
     }
 
@@ -161,7 +172,8 @@
     private void limits(RouteSection route, RequestClass c) {
         ClassSection own = file.classes().get(c.name());
         PoolSection pool = file.pools().get(route.pool().value());
-        RouteLimits limits = RouteLimits.of(route, c, own, pool, facts.settings().limits());
+        RouteLimits limits =
+                RouteLimits.of(route, c, own, pool, facts.settings().limits());
         asked(route, pool);
         attempts(route, c, own, limits);
         times(route, c, own, limits);
@@ -170,11 +182,14 @@
     }
 
     private void resumes(RouteSection route, RequestClass c) {
-        boolean repeats = route.webSocket() != null && route.webSocket().resume() != null
+        boolean repeats = route.webSocket() != null
+                && route.webSocket().resume() != null
                 && route.webSocket().resume().firstMessage();
         if (repeats && c.effect() == Effect.UNSAFE) {
-            problems.add(route.repeatLine(), "class '" + c.name() + "' is unsafe: its first message may have"
-                    + " run at the server before and can't be repeated to another");
+            problems.add(
+                    route.repeatLine(),
+                    "class '" + c.name() + "' is unsafe: its first message may have"
+                            + " run at the server before and can't be repeated to another");
         }
     }
 
@@ -191,9 +206,11 @@
             Setting<Long> mine = route.limits().number(key);
             Setting<Long> bound = pool.limits().number(key);
             if (mine != null && bound != null && mine.value() > bound.value()) {
-                problems.add(mine.line(), "'" + key.key + "' is " + key.text(mine.value()) + ", and pool '"
-                        + pool.name() + "' allows " + key.text(bound.value()) + " (line " + bound.line()
-                        + ")");
+                problems.add(
+                        mine.line(),
+                        "'" + key.key + "' is " + key.text(mine.value()) + ", and pool '"
+                                + pool.name() + "' allows " + key.text(bound.value()) + " (line " + bound.line()
+                                + ")");
             }
         }
     }
@@ -203,8 +220,10 @@
         Setting<Set<Retryable>> bound = pool.limits().outcomes();
         for (Retryable outcome : mine == null || bound == null ? Set.<Retryable>of() : mine.value()) {
             if (!bound.value().contains(outcome)) {
-                problems.add(mine.line(), "'retry_on' has '" + outcome + "', which pool '" + pool.name()
-                        + "' does not allow (line " + bound.line() + ")");
+                problems.add(
+                        mine.line(),
+                        "'retry_on' has '" + outcome + "', which pool '" + pool.name() + "' does not allow (line "
+                                + bound.line() + ")");
             }
         }
     }
@@ -215,26 +234,32 @@
         for (LimitSet set : sets(route, own, pool)) {
             Setting<Long> attempts = set.number(LimitKey.ATTEMPTS);
             if (attempts != null && attempts.value() > cap) {
-                problems.add(attempts.line(), "'attempts' is " + attempts.value() + "; the settings allow "
-                        + cap);
+                problems.add(attempts.line(), "'attempts' is " + attempts.value() + "; the settings allow " + cap);
             }
         }
         // A pool's outcomes only bound what its routes say, so they may name what no class of it allows.
         Setting<Set<Retryable>> retryOn = route.limits().outcomes() != null || own == null
-                ? route.limits().outcomes() : own.limits().outcomes();
+                ? route.limits().outcomes()
+                : own.limits().outcomes();
         for (Retryable outcome : retryOn == null ? Set.<Retryable>of() : retryOn.value()) {
             if (c.effect() == Effect.UNSAFE && outcome.mayHaveRun()) {
-                problems.add(retryOn.line(), "'retry_on' has '" + outcome + "' for class '" + c.name()
-                        + "', which must never run twice: an attempt that ended so may have run");
+                problems.add(
+                        retryOn.line(),
+                        "'retry_on' has '" + outcome + "' for class '" + c.name()
+                                + "', which must never run twice: an attempt that ended so may have run");
             }
         }
-        if (c.effect() == Effect.KEYED && retryOn != null && retryOn.value().contains(Retryable.TIMEOUT)
+        if (c.effect() == Effect.KEYED
+                && retryOn != null
+                && retryOn.value().contains(Retryable.TIMEOUT)
                 && limits.attemptTimeout().inFile()
                 && limits.attemptTimeout().value() >= c.dedupWindowMicros()) {
-            problems.add(limits.attemptTimeout().line(), "'attempt_timeout' is "
-                    + Duration.text(limits.attemptTimeout().value()) + " and servers drop repeats of class '"
-                    + c.name() + "' for " + Duration.text(c.dedupWindowMicros())
-                    + " only: a retry after 'timeout' would come too late");
+            problems.add(
+                    limits.attemptTimeout().line(),
+                    "'attempt_timeout' is "
+                            + Duration.text(limits.attemptTimeout().value()) + " and servers drop repeats of class '"
+                            + c.name() + "' for " + Duration.text(c.dedupWindowMicros())
+                            + " only: a retry after 'timeout' would come too late");
         }
     }
 
@@ -243,8 +268,10 @@
         Setting<Long> queue = limits.number(LimitKey.MAX_QUEUE);
         Setting<Long> all = limits.number(LimitKey.MAX_REQUESTS);
         if (queue != null && all != null && queue.value() > all.value()) {
-            problems.add(queue.line(), "'max_queue' of " + kind + " '" + name + "' is " + queue.value()
-                    + ", and 'max_requests' allows " + all.value() + " in hand (line " + all.line() + ")");
+            problems.add(
+                    queue.line(),
+                    "'max_queue' of " + kind + " '" + name + "' is " + queue.value() + ", and 'max_requests' allows "
+                            + all.value() + " in hand (line " + all.line() + ")");
         }
     }
 
@@ -262,9 +289,11 @@
     private void times(RouteSection route, RequestClass c, ClassSection own, RouteLimits limits) {
         Setting<Long> patience = own == null ? null : own.givesUp();
         if (patience != null && patience.value() > c.deadlineMicros()) {
-            problems.add(patience.line(), "'client_gives_up' is " + Duration.text(patience.value())
-                    + ", beyond the deadline of class '" + c.name() + "' ("
-                    + Duration.text(c.deadlineMicros()) + ")");
+            problems.add(
+                    patience.line(),
+                    "'client_gives_up' is " + Duration.text(patience.value())
+                            + ", beyond the deadline of class '" + c.name() + "' ("
+                            + Duration.text(c.deadlineMicros()) + ")");
         }
         for (Setting<Long> time : List.of(limits.timeout(), limits.attemptTimeout())) {
             String key = time == limits.timeout() ? "timeout" : "attempt_timeout";
@@ -272,13 +301,17 @@
                 continue;
             }
             if (time.value() > c.deadlineMicros()) {
-                problems.add(time.line(), "'" + key + "' is " + Duration.text(time.value())
-                        + ", beyond the deadline of class '" + c.name() + "' ("
-                        + Duration.text(c.deadlineMicros()) + ")");
+                problems.add(
+                        time.line(),
+                        "'" + key + "' is " + Duration.text(time.value())
+                                + ", beyond the deadline of class '" + c.name() + "' ("
+                                + Duration.text(c.deadlineMicros()) + ")");
             } else if (patience != null && time.value() > patience.value()) {
-                problems.add(time.line(), "'" + key + "' is " + Duration.text(time.value())
-                        + ", and clients of class '" + c.name() + "' give up after "
-                        + Duration.text(patience.value()) + " (line " + patience.line() + ")");
+                problems.add(
+                        time.line(),
+                        "'" + key + "' is " + Duration.text(time.value())
+                                + ", and clients of class '" + c.name() + "' give up after "
+                                + Duration.text(patience.value()) + " (line " + patience.line() + ")");
             }
         }
         used(c, limits);
@@ -292,17 +325,25 @@
             return;
         }
         if (one.value() > whole) {
-            problems.add(limits.timeout().inFile() ? limits.timeout().line() : one.line(), "'timeout' is "
-                    + Duration.text(whole) + ", shorter than one attempt's 'attempt_timeout' of "
-                    + Duration.text(one.value()));
+            problems.add(
+                    limits.timeout().inFile() ? limits.timeout().line() : one.line(),
+                    "'timeout' is "
+                            + Duration.text(whole) + ", shorter than one attempt's 'attempt_timeout' of "
+                            + Duration.text(one.value()));
             return;
         }
-        long rounds = -Math.floorDiv(-limits.attempts().value(), 1 + limits.hedges().value());
+        long rounds =
+                -Math.floorDiv(-limits.attempts().value(), 1 + limits.hedges().value());
         if (limits.attempts().inFile() && rounds * one.value() > whole) {
-            int line = limits.timeout().inFile() ? limits.timeout().line() : limits.attempts().line();
-            problems.add(line, "'timeout' is " + Duration.text(whole) + ", and " + limits.attempts().value()
-                    + " attempts of " + Duration.text(one.value()) + " can use "
-                    + Duration.text(rounds * one.value()) + ": the last would be cut short");
+            int line = limits.timeout().inFile()
+                    ? limits.timeout().line()
+                    : limits.attempts().line();
+            problems.add(
+                    line,
+                    "'timeout' is " + Duration.text(whole) + ", and "
+                            + limits.attempts().value()
+                            + " attempts of " + Duration.text(one.value()) + " can use "
+                            + Duration.text(rounds * one.value()) + ": the last would be cut short");
         }
     }
 
@@ -328,15 +369,19 @@
             return;
         }
         if (limits.attempts().value() < 1 + hedges.value()) {
-            problems.add(line, "'hedges' is " + hedges.value() + ", and 'attempts' leaves room for "
-                    + (limits.attempts().value() - 1));
+            problems.add(
+                    line,
+                    "'hedges' is " + hedges.value() + ", and 'attempts' leaves room for "
+                            + (limits.attempts().value() - 1));
         }
         boolean bounded = limits.attemptTimeout().value() > 0
                 && limits.attemptTimeout().value() < limits.timeout().value();
         long ends = bounded ? limits.attemptTimeout().value() : limits.timeout().value();
         if (after.value() >= ends) {
-            problems.add(after.line(), "'hedge_after' is " + Duration.text(after.value())
-                    + ", and an attempt ends after " + Duration.text(ends) + ": no copy would ever go out");
+            problems.add(
+                    after.line(),
+                    "'hedge_after' is " + Duration.text(after.value()) + ", and an attempt ends after "
+                            + Duration.text(ends) + ": no copy would ever go out");
         }
         if (c.effect() == Effect.KEYED) {
             keyedCopies(route, c, pool, limits);
@@ -347,23 +392,28 @@
         Setting<Long> hedges = limits.hedges();
         Setting<Long> after = limits.hedgeAfter();
         if (hedges.value() * after.value() >= c.dedupWindowMicros()) {
-            problems.add(after.line(), "the last copy of class '" + c.name() + "' would go out after "
-                    + Duration.text(hedges.value() * after.value()) + ", and servers drop repeats for "
-                    + Duration.text(c.dedupWindowMicros()) + " only");
+            problems.add(
+                    after.line(),
+                    "the last copy of class '" + c.name() + "' would go out after "
+                            + Duration.text(hedges.value() * after.value()) + ", and servers drop repeats for "
+                            + Duration.text(c.dedupWindowMicros()) + " only");
         }
         if (pool == null || pool.servers() == null || c.group() == Group.ALL) {
             return;
         }
         ToIntFunction<StaticServer> group = c.group() == Group.ZONE
-                ? s -> s.zone() == null ? -1 : facts.zones().indexOf(s.zone()) : StaticServer::cell;
+                ? s -> s.zone() == null ? -1 : facts.zones().indexOf(s.zone())
+                : StaticServer::cell;
         Map<Integer, Integer> sizes = new LinkedHashMap<>();
         pool.servers().forEach(s -> sizes.merge(group.applyAsInt(s), 1, Integer::sum));
         boolean alone = sizes.values().stream().allMatch(n -> n == 1);
         if (alone || c.group() == Group.ZONE && sizes.containsKey(-1)) {
-            problems.add(hedges.line(), "'hedges' for class '" + c.name() + "' of route '" + route.name()
-                    + "': servers drop repeats within one " + (c.group() == Group.ZONE ? "zone" : "cell")
-                    + ", and pool '" + pool.name() + "' " + (alone ? "has no two servers in one"
-                    : "has servers without one"));
+            problems.add(
+                    hedges.line(),
+                    "'hedges' for class '" + c.name() + "' of route '" + route.name()
+                            + "': servers drop repeats within one " + (c.group() == Group.ZONE ? "zone" : "cell")
+                            + ", and pool '" + pool.name() + "' "
+                            + (alone ? "has no two servers in one" : "has servers without one"));
         }
     }
 
@@ -372,36 +422,44 @@
     private void fleet(FleetSection fleet) {
         int rank = facts.settings().rank();
         if (fleet.living() && file.membership() == null) {
-            problems.add(fleet.lines().get("instances"), "'instances' is 'members', and there is no"
-                    + " [membership]: nobody would be counted");
+            problems.add(
+                    fleet.lines().get("instances"),
+                    "'instances' is 'members', and there is no" + " [membership]: nobody would be counted");
         }
-        if (fleet.living() && fleet.idlePerServer() != null
+        if (fleet.living()
+                && fleet.idlePerServer() != null
                 && facts.settings().limits().idleMicros() > LONGEST_IDLE_MICROS) {
-            problems.add(fleet.lines().get("idle_per_server"), "'instances' is 'members', and the settings"
-                    + " say no time, up to an hour, after which servers close idle connections: what a"
-                    + " process that stands still has open would never be anybody else's");
+            problems.add(
+                    fleet.lines().get("idle_per_server"),
+                    "'instances' is 'members', and the settings"
+                            + " say no time, up to an hour, after which servers close idle connections: what a"
+                            + " process that stands still has open would never be anybody else's");
         }
         if (!fleet.living() && rank >= fleet.instances()) {
-            problems.add(fleet.lines().get("instances"), "'instances' is " + fleet.instances()
-                    + ", and the settings say that this is number " + rank + ", counted from 0");
+            problems.add(
+                    fleet.lines().get("instances"),
+                    "'instances' is " + fleet.instances() + ", and the settings say that this is number " + rank
+                            + ", counted from 0");
         }
         long most = facts.settings().rules().askEveryMicros();
-        double every = fleet.listRate() == 0 ? 0 : fleet.instances() / fleet.listRate() * 1e6
-                / (fleet.living() ? Claim.CLAIMED : 1);
+        double every = fleet.listRate() == 0
+                ? 0
+                : fleet.instances() / fleet.listRate() * 1e6 / (fleet.living() ? Claim.CLAIMED : 1);
         if (most > 0 && every > most) {
-            problems.add(fleet.lines().get("list_rate"), "'list_rate' is " + fleet.listRate()
-                    + ", so each of "
-                    + fleet.instances() + " instances would ask every " + Duration.text((long) every)
-                    + "; the settings want it asked every " + Duration.text(most) + ": it must be "
-                    + (long) Math.ceil(fleet.listRate() * every / most) + " or more");
+            problems.add(
+                    fleet.lines().get("list_rate"),
+                    "'list_rate' is " + fleet.listRate()
+                            + ", so each of "
+                            + fleet.instances() + " instances would ask every " + Duration.text((long) every)
+                            + "; the settings want it asked every " + Duration.text(most) + ": it must be "
+                            + (long) Math.ceil(fleet.listRate() * every / most) + " or more");
         }
         if (fleet.listRate() > 0 && file.pools().values().stream().allMatch(p -> p.servers() != null)) {
-            problems.add(fleet.lines().get("list_rate"), "'list_rate' has no effect: no pool has source"
-                    + " 'discovery'");
+            problems.add(
+                    fleet.lines().get("list_rate"), "'list_rate' has no effect: no pool has source" + " 'discovery'");
         }
         if (fleet.probeRate() > 0 && !facts.settings().limits().probing()) {
-            problems.add(fleet.lines().get("probe_rate"), "'probe_rate' is set and the settings allow no"
-                    + " probes");
+            problems.add(fleet.lines().get("probe_rate"), "'probe_rate' is set and the settings allow no" + " probes");
         }
     }
 
@@ -418,9 +476,13 @@
             last = set == null || last != null && last.line() > set.line() ? last : set;
         }
         if (last != null && sum + open > all) {
-            problems.add(last.line(), "'" + key.key + "' of all pools is " + sum
-                    + (open == 0 ? "" : ", and " + open + (open == 1 ? " pool needs" : " pools need")
-                    + " at least 1") + "; there are " + all + " " + what);
+            problems.add(
+                    last.line(),
+                    "'" + key.key + "' of all pools is " + sum
+                            + (open == 0
+                                    ? ""
+                                    : ", and " + open + (open == 1 ? " pool needs" : " pools need") + " at least 1")
+                            + "; there are " + all + " " + what);
         }
     }
 }
--- a/src/main/java/larkbank/operators/Duration.java
+++ b/src/main/java/larkbank/operators/Duration.java
@@ -9,7 +9,7 @@
 
     private static final Pattern FORM = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
 
-    private Duration() { }
+    private Duration() {}
 
     /** Whole microseconds, or -1 where the text is no time. */
     static long micros(String text) {
@@ -17,13 +17,16 @@
         if (!matcher.matches()) {
             return -1;
         }
-        long unit = switch (matcher.group(2)) {
-            case "us" -> 1;
-            case "ms" -> 1_000;
-            case "s" -> 1_000_000;
-            default -> 60_000_000;
-        };
-        return new BigDecimal(matcher.group(1)).multiply(BigDecimal.valueOf(unit)).longValue();
+        long unit =
+                switch (matcher.group(2)) {
+                    case "us" -> 1;
+                    case "ms" -> 1_000;
+                    case "s" -> 1_000_000;
+                    default -> 60_000_000;
+                };
+        return new BigDecimal(matcher.group(1))
+                .multiply(BigDecimal.valueOf(unit))
+                .longValue();
     }
 
     /** The shortest text that {@link #micros} reads back. */
--- a/src/main/java/larkbank/operators/Explain.java
+++ b/src/main/java/larkbank/operators/Explain.java
@@ -45,12 +45,20 @@
         for (Listener listener : operators.plan().listeners()) {
             explain.line("listener %s: %s", listener.name(), Addresses.text(listener.address()));
         }
-        operators.plan().plugins().forEach(p -> explain.line("plug-in %s: %d bytes, %s a call, %d KiB, fails"
-                + " %s; headers %s, classes %s, weakens %s%s", p.name(), p.module().length,
-                time(p.deadlineMicros()),
-                p.memoryPages() * 64, p.failClosed() ? "closed" : "open", new TreeSet<>(p.grant().headers()),
-                new TreeSet<>(p.grant().classes()), new TreeSet<>(p.grant().weaken()),
-                p.grant().refuse() ? ", may refuse" : ""));
+        operators
+                .plan()
+                .plugins()
+                .forEach(p -> explain.line(
+                        "plug-in %s: %d bytes, %s a call, %d KiB, fails" + " %s; headers %s, classes %s, weakens %s%s",
+                        p.name(),
+                        p.module().length,
+                        time(p.deadlineMicros()),
+                        p.memoryPages() * 64,
+                        p.failClosed() ? "closed" : "open",
+                        new TreeSet<>(p.grant().headers()),
+                        new TreeSet<>(p.grant().classes()),
+                        new TreeSet<>(p.grant().weaken()),
+                        p.grant().refuse() ? ", may refuse" : ""));
         explain.fleet(operators.plan().fleet());
         operators.plan().pools().forEach(explain::pool);
         operators.file().routes().forEach(explain::route);
@@ -65,8 +73,8 @@
      * @param headers by name; fields of one name already joined
      * @throws BadTarget where the request would be answered 400
      */
-    public static String request(Operators operators, String method, String target,
-            Map<String, String> headers) throws BadTarget {
+    public static String request(Operators operators, String method, String target, Map<String, String> headers)
+            throws BadTarget {
         Explain explain = new Explain(operators);
         Map<String, String> lower = new LinkedHashMap<>();
         headers.forEach((name, value) -> lower.put(name.toLowerCase(Locale.ROOT), value));
@@ -78,15 +86,18 @@
             explain.line("no route matches: 404");
             return explain.out.toString();
         }
-        explain.line("takes route '%s': of those that match, the first by host, path, priority, method and"
-                + " number of headers", found.name());
-        operators.file().routes().stream().filter(r -> r.name().equals(found.name())).forEach(explain::route);
+        explain.line(
+                "takes route '%s': of those that match, the first by host, path, priority, method and"
+                        + " number of headers",
+                found.name());
+        operators.file().routes().stream()
+                .filter(r -> r.name().equals(found.name()))
+                .forEach(explain::route);
         explain.cell(found.target(), normal.path(), lower);
         return explain.out.toString();
     }
 
-    private record Asked(String method, String host, String path, Map<String, String> headers)
-            implements Routable {
+    private record Asked(String method, String host, String path, Map<String, String> headers) implements Routable {
         @Override
         public String header(String name) {
             return headers.get(name);
@@ -107,14 +118,15 @@
 
     private void pool(PoolPlan pool) {
         OperatorsFile.PoolSection section = operators.file().pools().get(pool.name());
-        line("pool %s: %s", pool.name(), pool.discovered() ? "servers from discovery"
-                : pool.servers().size() + " servers of the file");
+        line(
+                "pool %s: %s",
+                pool.name(),
+                pool.discovered() ? "servers from discovery" : pool.servers().size() + " servers of the file");
         pool(section, LimitKey.MAX_CONNECTIONS, pool.connections());
         pool(section, LimitKey.MAX_REQUESTS, pool.requests());
         pool(section, LimitKey.MAX_QUEUE, pool.queue() == Integer.MAX_VALUE ? "unbounded" : pool.queue());
         section.limits().all().forEach((key, setting) -> {
-            if (LimitKey.OF_ROUTES.contains(key) && key != LimitKey.MAX_REQUESTS
-                    && key != LimitKey.MAX_QUEUE) {
+            if (LimitKey.OF_ROUTES.contains(key) && key != LimitKey.MAX_REQUESTS && key != LimitKey.MAX_QUEUE) {
                 value(key.key + " <=", key.text(setting.value()), setting.origin());
             }
         });
@@ -126,20 +138,34 @@
             return;
         }
         if (fleet.living()) {
-            line("fleet: as many instances as live, %d at most; figures are for all of those",
-                    fleet.instances());
+            line("fleet: as many instances as live, %d at most; figures are for all of those", fleet.instances());
         } else {
             line("fleet: number %d of %d instances", fleet.rank(), fleet.instances());
         }
-        line("  list             %s", fleet.askEveryMicros() == 0 ? "watched"
-                : "asked once in " + Duration.text(fleet.askEveryMicros()) + ", " + fleet.listRate()
-                + " a second by all");
-        line("  idle             %s", fleet.idlePerServer() == Integer.MAX_VALUE ? "no bound"
-                : String.format(Locale.ROOT, "%d connections to a server by all; %d here at 100 servers",
-                fleet.idlePerServer(), fleet.idle(100)));
-        line("  probes           %s", fleet.probeRate() == 0 ? "no bound" : String.format(Locale.ROOT,
-                "%s a second at a server by all; %.3f here at 100 servers", fleet.probeRate(),
-                fleet.probesPerSecond(100)));
+        line(
+                "  list             %s",
+                fleet.askEveryMicros() == 0
+                        ? "watched"
+                        : "asked once in " + Duration.text(fleet.askEveryMicros()) + ", " + fleet.listRate()
+                                + " a second by all");
+        line(
+                "  idle             %s",
+                fleet.idlePerServer() == Integer.MAX_VALUE
+                        ? "no bound"
+                        : String.format(
+                                Locale.ROOT,
+                                "%d connections to a server by all; %d here at 100 servers",
+                                fleet.idlePerServer(),
+                                fleet.idle(100)));
+        line(
+                "  probes           %s",
+                fleet.probeRate() == 0
+                        ? "no bound"
+                        : String.format(
+                                Locale.ROOT,
+                                "%s a second at a server by all; %.3f here at 100 servers",
+                                fleet.probeRate(),
+                                fleet.probesPerSecond(100)));
     }
 
     private void cells(PoolPlan pool) {
@@ -147,53 +173,86 @@
         if (cells == null) {
             return;
         }
-        line("  cells by %s, %ss dealt out, places kept for %s, guests%s up to %s%%",
+        line(
+                "  cells by %s, %ss dealt out, places kept for %s, guests%s up to %s%%",
                 cells.header() == null ? cells.unit().name().toLowerCase(Locale.ROOT) : cells.header(),
-                cells.spread().name().toLowerCase(Locale.ROOT), time(cells.keepMicros()),
-                cells.guestWrites() ? " and their writes" : "", 100 * cells.guests());
+                cells.spread().name().toLowerCase(Locale.ROOT),
+                time(cells.keepMicros()),
+                cells.guestWrites() ? " and their writes" : "",
+                100 * cells.guests());
         Parting parting = new Parting(cells.cells(), cells.spread(), cells.keepMicros());
         List<StaticServer> servers = pool.discovered() ? List.of() : pool.servers();
-        parting.listed(0, ListKind.COMPLETE, servers.stream().map(s -> s.line(operators.facts().zones(),
-                operators.facts().models())).toList());
+        parting.listed(
+                0,
+                ListKind.COMPLETE,
+                servers.stream()
+                        .map(s -> s.line(
+                                operators.facts().zones(), operators.facts().models()))
+                        .toList());
         for (int c = 0; c < cells.cells().size(); c++) {
             int cell = c;
-            String own = servers.stream().filter(s -> parting.cellOf(Ids.of(s.id())) == cell)
-                    .map(StaticServer::id).collect(Collectors.joining(" "));
+            String own = servers.stream()
+                    .filter(s -> parting.cellOf(Ids.of(s.id())) == cell)
+                    .map(StaticServer::id)
+                    .collect(Collectors.joining(" "));
             PoolPlan part = pool.ofCell(c);
-            line("  cell %-11s share %s%s, connections %d, requests %d%s", cells.cells().get(c).name(),
-                    cells.cells().get(c).share(), cells.cells().get(c).reserved() ? ", reserved" : "",
-                    part.connections(), part.requests(), own.isEmpty() ? "" : ": " + own);
+            line(
+                    "  cell %-11s share %s%s, connections %d, requests %d%s",
+                    cells.cells().get(c).name(),
+                    cells.cells().get(c).share(),
+                    cells.cells().get(c).reserved() ? ", reserved" : "",
+                    part.connections(),
+                    part.requests(),
+                    own.isEmpty() ? "" : ": " + own);
         }
-        cells.moves().forEach(m -> line("  move %-11s %s to %s at %s, over %s, fence %s, freeze %s",
-                m.name(), m.label(),
-                cells.cells().get(m.to()).name(), Instant.EPOCH.plus(m.startMicros(), ChronoUnit.MICROS),
-                time(m.overMicros()), time(m.fenceMicros()), time(m.freezeMicros())));
+        cells.moves()
+                .forEach(m -> line(
+                        "  move %-11s %s to %s at %s, over %s, fence %s, freeze %s",
+                        m.name(),
+                        m.label(),
+                        cells.cells().get(m.to()).name(),
+                        Instant.EPOCH.plus(m.startMicros(), ChronoUnit.MICROS),
+                        time(m.overMicros()),
+                        time(m.fenceMicros()),
+                        time(m.freezeMicros())));
         if (cells.quarantine() != null) {
-            line("  quarantine       cell %s, from %.0f%% of a sick cell, for %s",
-                    cells.cells().get(cells.quarantine().cell()).name(), 100 * cells.quarantine().share(),
+            line(
+                    "  quarantine       cell %s, from %.0f%% of a sick cell, for %s",
+                    cells.cells().get(cells.quarantine().cell()).name(),
+                    100 * cells.quarantine().share(),
                     time(cells.quarantine().forMicros()));
         }
     }
 
     /** Where the unit of a request is at home, with servers in all cells and before any move of it. */
     private void cell(Target target, String path, Map<String, String> headers) {
-        CellsPlan cells = operators.plan().pools().stream().filter(p -> p.name().equals(target.pool()))
-                .findFirst().orElseThrow().cells();
+        CellsPlan cells = operators.plan().pools().stream()
+                .filter(p -> p.name().equals(target.pool()))
+                .findFirst()
+                .orElseThrow()
+                .cells();
         if (cells == null) {
             return;
         }
-        String unit = switch (cells.unit()) {
-            case KEY -> path.substring(path.lastIndexOf('/') + 1);
-            case TENANT -> headers.getOrDefault("tenant", "");
-            case HEADER -> headers.getOrDefault(cells.header(), "");
-        };
+        String unit =
+                switch (cells.unit()) {
+                    case KEY -> path.substring(path.lastIndexOf('/') + 1);
+                    case TENANT -> headers.getOrDefault("tenant", "");
+                    case HEADER -> headers.getOrDefault(cells.header(), "");
+                };
         BitSet open = new BitSet();
         open.set(0, cells.cells().size());
         int home = new Placement(cells.cells(), cells.assigned(), open).home(Ids.of(unit));
-        line("unit '%s' is at home in cell '%s' %s", unit, cells.cells().get(home).name(),
+        line(
+                "unit '%s' is at home in cell '%s' %s",
+                unit,
+                cells.cells().get(home).name(),
                 cells.assigned().containsKey(Ids.of(unit)) ? "by 'assign'" : "by its hash");
-        cells.moves().stream().filter(m -> m.unit() == Ids.of(unit)).forEach(m -> line(
-                "and moved to cell '%s' by '%s'", cells.cells().get(m.to()).name(), m.name()));
+        cells.moves().stream()
+                .filter(m -> m.unit() == Ids.of(unit))
+                .forEach(m -> line(
+                        "and moved to cell '%s' by '%s'",
+                        cells.cells().get(m.to()).name(), m.name()));
     }
 
     private void pool(OperatorsFile.PoolSection section, LimitKey key, Object value) {
@@ -207,37 +266,69 @@
 
     private void route(RouteSection route) {
         RouteLimits limits = operators.limits(route.name());
-        RequestClass c = operators.facts().requestClass(route.requestClass().value()).orElseThrow();
+        RequestClass c =
+                operators.facts().requestClass(route.requestClass().value()).orElseThrow();
         line("route %s: %s", route.name(), route.match());
-        value("class", c.name() + " (" + c.effect().name().toLowerCase(Locale.ROOT) + ")",
+        value(
+                "class",
+                c.name() + " (" + c.effect().name().toLowerCase(Locale.ROOT) + ")",
                 route.requestClass().origin());
         value("pool", route.pool().value(), route.pool().origin());
-        value("timeout", Duration.text(limits.timeout().value()), limits.timeout().origin());
-        value("attempt_timeout", limits.attemptTimeout().value() == 0 ? "none"
-                : Duration.text(limits.attemptTimeout().value()), limits.attemptTimeout().origin());
+        value(
+                "timeout",
+                Duration.text(limits.timeout().value()),
+                limits.timeout().origin());
+        value(
+                "attempt_timeout",
+                limits.attemptTimeout().value() == 0
+                        ? "none"
+                        : Duration.text(limits.attemptTimeout().value()),
+                limits.attemptTimeout().origin());
         value("attempts", limits.attempts().value(), limits.attempts().origin());
-        value("retry_on", limits.retryOn().value().stream().map(String::valueOf)
-                .collect(Collectors.joining(" ")), limits.retryOn().origin());
+        value(
+                "retry_on",
+                limits.retryOn().value().stream().map(String::valueOf).collect(Collectors.joining(" ")),
+                limits.retryOn().origin());
         value("hedges", limits.hedges().value(), limits.hedges().origin());
         if (limits.hedges().value() > 0) {
-            value("hedge_after", Duration.text(limits.hedgeAfter().value()), limits.hedgeAfter().origin());
+            value(
+                    "hedge_after",
+                    Duration.text(limits.hedgeAfter().value()),
+                    limits.hedgeAfter().origin());
         }
         if (route.webSocket() != null) {
             WebSocketLimits w = route.webSocket();
-            line("  websocket        frames to %d, messages to %d bytes; idle %s, ping %s, answer %s,"
-                    + " life %s, drain %s, %d back a second",
-                    w.maxFrame(), w.maxMessage(), time(w.idleMicros()), time(w.pingMicros()),
-                    time(w.pongMicros()), time(w.lifeMicros()), time(w.drainMicros()), w.reconnects());
+            line(
+                    "  websocket        frames to %d, messages to %d bytes; idle %s, ping %s, answer %s,"
+                            + " life %s, drain %s, %d back a second",
+                    w.maxFrame(),
+                    w.maxMessage(),
+                    time(w.idleMicros()),
+                    time(w.pingMicros()),
+                    time(w.pongMicros()),
+                    time(w.lifeMicros()),
+                    time(w.drainMicros()),
+                    w.reconnects());
             line("  goes with        %d %s", w.farewell().code(), w.farewell().reason());
-            line("  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
-                    count(w.bounds().most()), count(w.bounds().perTenant()), time(w.bounds().evictMicros()),
-                    w.resume() == null ? "never" : String.join(" ", new TreeSet<>(w.resume().subprotocols()))
-                    + (w.resume().header() == null ? "" : ", with " + w.resume().header())
-                    + (w.resume().firstMessage() ? ", first message repeated" : ""));
+            line(
+                    "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
+                    count(w.bounds().most()),
+                    count(w.bounds().perTenant()),
+                    time(w.bounds().evictMicros()),
+                    w.resume() == null
+                            ? "never"
+                            : String.join(" ", new TreeSet<>(w.resume().subprotocols()))
+                                    + (w.resume().header() == null
+                                            ? ""
+                                            : ", with " + w.resume().header())
+                                    + (w.resume().firstMessage() ? ", first message repeated" : ""));
         }
         for (RouteLimits.Counted counted : limits.counted()) {
             if (counted.requests() != null) {
-                value("max_requests", counted.requests().value(), counted.requests().origin());
+                value(
+                        "max_requests",
+                        counted.requests().value(),
+                        counted.requests().origin());
             }
             if (counted.queue() != null) {
                 value("max_queue", counted.queue().value(), counted.queue().origin());
--- a/src/main/java/larkbank/operators/Facts.java
+++ b/src/main/java/larkbank/operators/Facts.java
@@ -12,8 +12,8 @@
  * @param serverConnections descriptors for connections to servers
  * @param listen where it listens if the file names no listener
  */
-public record Facts(Settings settings, List<String> zones, List<String> models, int serverConnections,
-        InetSocketAddress listen) {
+public record Facts(
+        Settings settings, List<String> zones, List<String> models, int serverConnections, InetSocketAddress listen) {
 
     Optional<RequestClass> requestClass(String name) {
         return settings.classes().stream().filter(c -> c.name().equals(name)).findFirst();
--- a/src/main/java/larkbank/operators/LeasesReader.java
+++ b/src/main/java/larkbank/operators/LeasesReader.java
@@ -64,29 +64,34 @@
         List<InetSocketAddress> before = addresses("before");
         long most = keepers.time("most_term", LEAST_TERM, MOST_TERM, largest);
         if (most < largest) {
-            keepers.problem("most_term", "'most_term' is " + Duration.text(most) + ", and a lease has a term"
-                    + " of " + Duration.text(largest));
+            keepers.problem(
+                    "most_term",
+                    "'most_term' is " + Duration.text(most) + ", and a lease has a term" + " of "
+                            + Duration.text(largest));
         }
         Double drift = keepers.number("drift", LEAST_DRIFT, MOST_DRIFT);
         Boolean wall = keepers.flag("wall_clock");
         keepers.rejectUnknown();
-        return new LeasePlan(addresses, before, most, drift == null ? DRIFT : drift,
-                !Boolean.FALSE.equals(wall), terms);
+        return new LeasePlan(
+                addresses, before, most, drift == null ? DRIFT : drift, !Boolean.FALSE.equals(wall), terms);
     }
 
     /** A pause that membership bears must not cost the lease, nor an act that was begun before it. */
     private long term(Section lease, MembershipPlan membership) {
         String name = lease.title().substring(lease.title().indexOf('.') + 1);
         if (name.length() > MOST_NAME || !name.matches("[A-Za-z0-9_.-]+")) {
-            problems.add(lease.line(), "lease '" + name + "': a name has 1 to " + MOST_NAME
-                    + " letters, digits, '.', '_' or '-'");
+            problems.add(
+                    lease.line(),
+                    "lease '" + name + "': a name has 1 to " + MOST_NAME + " letters, digits, '.', '_' or '-'");
         }
         long act = lease.time("act", 0, MOST_TERM, 0);
         long least = membership == null ? LEAST_TERM : 2 * membership.pauseMicros() + act;
         long term = lease.time("term", LEAST_TERM, MOST_TERM, Math.max(LEAST_TERM, least));
         if (term < least) {
-            lease.problem("term", "'term' of lease '" + name + "' is " + Duration.text(term)
-                    + ", shorter than twice the pause and the act (" + Duration.text(least) + ")");
+            lease.problem(
+                    "term",
+                    "'term' of lease '" + name + "' is " + Duration.text(term)
+                            + ", shorter than twice the pause and the act (" + Duration.text(least) + ")");
         }
         lease.rejectUnknown();
         return term;
@@ -112,8 +117,7 @@
             }
         }
         if (!COUNTS.contains(addresses.size())) {
-            keepers.problem(key, "'" + key + "' names " + addresses.size() + " keepers; it must be"
-                    + " 3, 5 or 7");
+            keepers.problem(key, "'" + key + "' names " + addresses.size() + " keepers; it must be" + " 3, 5 or 7");
         }
         return addresses;
     }
--- a/src/main/java/larkbank/operators/MembershipReader.java
+++ b/src/main/java/larkbank/operators/MembershipReader.java
@@ -15,6 +15,7 @@
     private static final long LEAST_PERIOD = 10_000;
     /** An answer has to come back within the pause, and again where one is lost. */
     private static final int PERIODS_IN_PAUSE = 3;
+
     private static final int MOST_SEEDS = 64;
     private static final int MOST_NAME = 64;
 
@@ -30,29 +31,35 @@
             section.problem("cluster", "'cluster' must have 1 to " + MOST_NAME + " characters");
         }
         InetSocketAddress listen = port("listen", OperatorsReader.address(section, "listen"));
-        InetSocketAddress advertise = section.has("advertise")
-                ? port("advertise", OperatorsReader.address(section, "advertise")) : listen;
+        InetSocketAddress advertise =
+                section.has("advertise") ? port("advertise", OperatorsReader.address(section, "advertise")) : listen;
         boolean beyond = Boolean.TRUE.equals(section.flag("beyond_loopback"));
         if (listen != null && !listen.getAddress().isLoopbackAddress() && !beyond) {
-            section.problem("listen", "'listen' is " + Addresses.text(listen) + ": messages are not"
-                    + " authenticated, so an address that others can reach needs 'beyond_loopback = true'");
+            section.problem(
+                    "listen",
+                    "'listen' is " + Addresses.text(listen) + ": messages are not"
+                            + " authenticated, so an address that others can reach needs 'beyond_loopback = true'");
         }
         if (advertise != null && advertise.getAddress().isAnyLocalAddress()) {
-            section.problem(section.has("advertise") ? "advertise" : "listen", "others can't reach "
-                    + Addresses.text(advertise) + "; set 'advertise' to the address that they use");
+            section.problem(
+                    section.has("advertise") ? "advertise" : "listen",
+                    "others can't reach " + Addresses.text(advertise)
+                            + "; set 'advertise' to the address that they use");
         }
         long pause = section.time("pause", LEAST_PAUSE, MOST_PAUSE, 3_000_000);
         long period = section.time("period", LEAST_PERIOD, MOST_PAUSE, MembershipPlan.period(pause));
         if (section.has("period") && period * PERIODS_IN_PAUSE > pause) {
-            section.problem("period", "'period' is " + Duration.text(period) + ", more than a third of"
-                    + " 'pause' (" + Duration.text(pause) + "): too few answers fit into it");
+            section.problem(
+                    "period",
+                    "'period' is " + Duration.text(period) + ", more than a third of" + " 'pause' ("
+                            + Duration.text(pause) + "): too few answers fit into it");
         }
         int most = (int) section.count("max_members", 2, 100_000, MembershipPlan.MOST);
         String record = section.text("record");
         List<InetSocketAddress> seeds = seeds(advertise);
         section.rejectUnknown();
-        return new MembershipSection(section.line(), new MembershipPlan(cluster, listen, advertise, seeds,
-                pause, period, most, record));
+        return new MembershipSection(
+                section.line(), new MembershipPlan(cluster, listen, advertise, seeds, pause, period, most, record));
     }
 
     private InetSocketAddress port(String key, InetSocketAddress address) {
--- a/src/main/java/larkbank/operators/Operators.java
+++ b/src/main/java/larkbank/operators/Operators.java
@@ -38,17 +38,34 @@
         List<Route<Target>> routes = new ArrayList<>();
         for (RouteSection route : file.routes()) {
             RequestClass c = facts.requestClass(route.requestClass().value()).orElseThrow();
-            RouteLimits own = RouteLimits.of(route, c, file.classes().get(c.name()),
-                    file.pools().get(route.pool().value()), facts.settings().limits());
+            RouteLimits own = RouteLimits.of(
+                    route,
+                    c,
+                    file.classes().get(c.name()),
+                    file.pools().get(route.pool().value()),
+                    facts.settings().limits());
             limits.put(route.name(), own);
-            routes.add(new Route<>(route.name(), route.match(), new Target(route.pool().value(),
-                    facts.settings().classes().indexOf(c), own.timeout().value(), own.terms(),
-                    route.webSocket())));
+            routes.add(new Route<>(
+                    route.name(),
+                    route.match(),
+                    new Target(
+                            route.pool().value(),
+                            facts.settings().classes().indexOf(c),
+                            own.timeout().value(),
+                            own.terms(),
+                            route.webSocket())));
         }
-        plan = new Plan(listeners(), pools(), new Router<>(routes),
+        plan = new Plan(
+                listeners(),
+                pools(),
+                new Router<>(routes),
                 routes.stream().anyMatch(r -> r.target().webSocket() != null),
-                file.plugins().stream().sorted(Comparator.comparingInt(PluginSection::order)
-                        .thenComparing(s -> s.plan().name())).map(PluginSection::plan).toList(), fleet(),
+                file.plugins().stream()
+                        .sorted(Comparator.comparingInt(PluginSection::order)
+                                .thenComparing(s -> s.plan().name()))
+                        .map(PluginSection::plan)
+                        .toList(),
+                fleet(),
                 membership());
     }
 
@@ -117,9 +134,17 @@
 
     private FleetPlan fleet() {
         OperatorsFile.FleetSection f = file.fleet();
-        return f == null ? null : new FleetPlan(f.instances(), f.living() ? 0 : facts.settings().rank(),
-                f.listRate(), f.idlePerServer() == null ? Integer.MAX_VALUE : f.idlePerServer().intValue(),
-                f.probeRate(), f.living());
+        return f == null
+                ? null
+                : new FleetPlan(
+                        f.instances(),
+                        f.living() ? 0 : facts.settings().rank(),
+                        f.listRate(),
+                        f.idlePerServer() == null
+                                ? Integer.MAX_VALUE
+                                : f.idlePerServer().intValue(),
+                        f.probeRate(),
+                        f.living());
     }
 
     /** Servers close what has been idle for the site's time, of which the sidecar uses a part only. */
@@ -128,25 +153,37 @@
             return null;
         }
         MembershipPlan plan = file.membership().plan().leasing(file.leases());
-        return file.fleet() == null || !file.fleet().living() ? plan : plan.sharing(file.fleet().instances(),
-                file.fleet().idlePerServer() == null ? 0 : facts.settings().limits().idleMicros() / 2 * 3);
+        return file.fleet() == null || !file.fleet().living()
+                ? plan
+                : plan.sharing(
+                        file.fleet().instances(),
+                        file.fleet().idlePerServer() == null
+                                ? 0
+                                : facts.settings().limits().idleMicros() / 2 * 3);
     }
 
     private List<Listener> listeners() {
         if (file.listeners().isEmpty()) {
             return List.of(new Listener("LB_LISTEN", facts.listen()));
         }
-        return file.listeners().stream().map(l -> new Listener(l.name(), l.address())).toList();
+        return file.listeners().stream()
+                .map(l -> new Listener(l.name(), l.address()))
+                .toList();
     }
 
     private List<PoolPlan> pools() {
         List<PoolPlan> pools = new ArrayList<>();
         for (PoolSection pool : file.pools().values()) {
-            int requests = share(pool, LimitKey.MAX_REQUESTS, facts.settings().limits().open());
+            int requests =
+                    share(pool, LimitKey.MAX_REQUESTS, facts.settings().limits().open());
             Setting<Long> queue = pool.limits().number(LimitKey.MAX_QUEUE);
-            pools.add(new PoolPlan(pool.name(), pool.servers(),
-                    share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections()), requests,
-                    queue == null ? Integer.MAX_VALUE : queue.value().intValue(), tunnels(pool),
+            pools.add(new PoolPlan(
+                    pool.name(),
+                    pool.servers(),
+                    share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections()),
+                    requests,
+                    queue == null ? Integer.MAX_VALUE : queue.value().intValue(),
+                    tunnels(pool),
                     pool.cells() == null ? null : CellsChecks.complete(pool, file, facts)));
         }
         return pools;
@@ -156,8 +193,10 @@
         // Half of its connections are left to plain requests where the file does not say otherwise.
         int connections = share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections());
         OperatorsFile.TunnelSet set = pool.tunnels();
-        return new Tunnelled(set.most() == null ? Math.max(1, connections / 2) : set.most().intValue(),
-                set.perServer() == null ? Integer.MAX_VALUE : set.perServer().intValue(), (int) set.rate());
+        return new Tunnelled(
+                set.most() == null ? Math.max(1, connections / 2) : set.most().intValue(),
+                set.perServer() == null ? Integer.MAX_VALUE : set.perServer().intValue(),
+                (int) set.rate());
     }
 
     /** What a pool sets, or an equal part of what those that set something leave. */
--- a/src/main/java/larkbank/operators/OperatorsFile.java
+++ b/src/main/java/larkbank/operators/OperatorsFile.java
@@ -12,25 +12,42 @@
 import larkbank.route.WebSocketLimits;
 
 /** A file as it is written: each section with its values and their lines, before anything is compared. */
-record OperatorsFile(List<ListenerSection> listeners, Map<String, PoolSection> pools,
-        Map<String, ClassSection> classes, List<RouteSection> routes, List<PluginSection> plugins,
-        FleetSection fleet, MembershipSection membership, LeasePlan leases) {
+record OperatorsFile(
+        List<ListenerSection> listeners,
+        Map<String, PoolSection> pools,
+        Map<String, ClassSection> classes,
+        List<RouteSection> routes,
+        List<PluginSection> plugins,
+        FleetSection fleet,
+        MembershipSection membership,
+        LeasePlan leases) {
 
     /** Called in the order of these numbers, of equals in that of their names. */
-    record PluginSection(int order, PluginPlan plan) { }
+    record PluginSection(int order, PluginPlan plan) {}
 
     /** What all instances share; null where the file does not say; lines by key. */
-    record FleetSection(int line, int instances, boolean living, double listRate, Long idlePerServer,
-            double probeRate, Map<String, Integer> lines) { }
+    record FleetSection(
+            int line,
+            int instances,
+            boolean living,
+            double listRate,
+            Long idlePerServer,
+            double probeRate,
+            Map<String, Integer> lines) {}
 
     /** How this process takes part among others; null where it does not. */
-    record MembershipSection(int line, MembershipPlan plan) { }
+    record MembershipSection(int line, MembershipPlan plan) {}
 
-    record ListenerSection(String name, int line, InetSocketAddress address) { }
+    record ListenerSection(String name, int line, InetSocketAddress address) {}
 
     /** Servers are null where discovery tells them; groups are the lines of their entries. */
-    record PoolSection(String name, int line, List<StaticServer> servers, LimitSet limits,
-            TunnelSet tunnels, CellsSection cells) { }
+    record PoolSection(
+            String name,
+            int line,
+            List<StaticServer> servers,
+            LimitSet limits,
+            TunnelSet tunnels,
+            CellsSection cells) {}
 
     /** How a pool is parted, without what its routes' classes add; the lines are by key or move. */
     record CellsSection(CellsPlan plan, Map<String, Integer> lines) {
@@ -40,13 +57,20 @@
     }
 
     /** What a pool says of connections that stay; null where it does not. */
-    record TunnelSet(Long most, Long perServer, long rate) { }
+    record TunnelSet(Long most, Long perServer, long rate) {}
 
-    record ClassSection(String name, int line, LimitSet limits, Setting<Long> givesUp) { }
+    record ClassSection(String name, int line, LimitSet limits, Setting<Long> givesUp) {}
 
     /**
      * What could not be read is null; it has been reported. The line says that a first message is repeated.
      */
-    record RouteSection(String name, int line, Match match, Setting<String> requestClass,
-            Setting<String> pool, LimitSet limits, WebSocketLimits webSocket, int repeatLine) { }
+    record RouteSection(
+            String name,
+            int line,
+            Match match,
+            Setting<String> requestClass,
+            Setting<String> pool,
+            LimitSet limits,
+            WebSocketLimits webSocket,
+            int repeatLine) {}
 }
--- a/src/main/java/larkbank/operators/OperatorsReader.java
+++ b/src/main/java/larkbank/operators/OperatorsReader.java
@@ -44,12 +44,14 @@
     private static final long MOST_TUNNELS = 1_000_000;
     /** As many instances as live, by [membership]. */
     private static final String MEMBERS = "members";
+
     private static final long MOST_INSTANCES = 1_000_000;
     /** What fits into a close frame beside its code (RFC 6455, section 5.5). */
     private static final int MOST_REASON = 123;
     /** What the sidecar sets itself. */
     private static final String OWN_HEADERS = "host|connection|upgrade|content-length|transfer-encoding"
             + "|request-id|tenant|request-timeout-ms|idempotency-key";
+
     private static final Set<String> SOURCES = Set.of("discovery", "static");
     private static final Set<String> METHODS = Set.of("GET", "POST");
     static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
@@ -72,8 +74,9 @@
         }
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            toml.errors().forEach(e -> problems.add(e.position().line(),
-                    "not TOML: " + e.getMessage().replaceAll("\\s+", " ")));
+            toml.errors()
+                    .forEach(e -> problems.add(
+                            e.position().line(), "not TOML: " + e.getMessage().replaceAll("\\s+", " ")));
             return null;
         }
         Section top = new Section(toml, "", 1, problems);
@@ -81,8 +84,7 @@
         if (!top.has("version")) {
             problems.add(1, "the file lacks 'version = " + VERSION + "'");
         } else if (version != null && version != VERSION) {
-            top.problem("version", "version " + version + " is not known; this program reads version "
-                    + VERSION);
+            top.problem("version", "version " + version + " is not known; this program reads version " + VERSION);
         }
         List<ListenerSection> listeners = new ArrayList<>();
         top.tables("listeners").forEach(s -> listeners.add(listener(s)));
@@ -103,8 +105,7 @@
         FleetSection shared = fleet == null ? null : fleet(fleet);
         Section membership = top.table("membership");
         MembershipSection others = membership == null ? null : new MembershipReader(membership).read();
-        LeasePlan leases = new LeasesReader(top.table("keepers"), top.tables("leases"), problems)
-                .read(others);
+        LeasePlan leases = new LeasesReader(top.table("keepers"), top.tables("leases"), problems).read(others);
         top.rejectUnknown();
         return new OperatorsFile(listeners, pools, classes, routes, plugins, shared, others, leases);
     }
@@ -113,8 +114,9 @@
         boolean living = section.says("instances", MEMBERS);
         Long most = section.count("most", 1, MOST_INSTANCES);
         if (living && !section.has("most")) {
-            section.problem("instances", "'instances' is '" + MEMBERS + "': 'most' has to say how many"
-                    + " processes may ever run at once");
+            section.problem(
+                    "instances",
+                    "'instances' is '" + MEMBERS + "': 'most' has to say how many" + " processes may ever run at once");
         } else if (!living && section.has("most")) {
             section.problem("most", "'most' has no effect: 'instances' is not '" + MEMBERS + "'");
         }
@@ -123,8 +125,8 @@
             section.text("instances");
             instances = most == null ? 1 : most.intValue();
         } else {
-            instances = (int) section.count("instances", 1, MOST_INSTANCES,
-                    Math.max(1, facts.settings().replicas()));
+            instances = (int) section.count(
+                    "instances", 1, MOST_INSTANCES, Math.max(1, facts.settings().replicas()));
         }
         Double listRate = section.number("list_rate", 0.01, 1_000_000);
         Long idle = section.count("idle_per_server", 0, 1_000_000);
@@ -134,8 +136,14 @@
             lines.put(key, section.has(key) ? section.lineOf(key) : section.line());
         }
         section.rejectUnknown();
-        return new FleetSection(section.line(), instances, living, listRate == null ? 0 : listRate, idle,
-                probeRate == null ? 0 : probeRate, lines);
+        return new FleetSection(
+                section.line(),
+                instances,
+                living,
+                listRate == null ? 0 : listRate,
+                idle,
+                probeRate == null ? 0 : probeRate,
+                lines);
     }
 
     private static String name(Section section) {
@@ -164,8 +172,9 @@
     private PoolSection pool(Section section) {
         String source = section.required("source");
         if (source != null && !SOURCES.contains(source)) {
-            section.problem("source", "no source '" + source + "'; there are discovery and static"
-                    + Words.hint(source, SOURCES));
+            section.problem(
+                    "source",
+                    "no source '" + source + "'; there are discovery and static" + Words.hint(source, SOURCES));
         }
         boolean listed = "static".equals(source);
         List<StaticServer> servers = null;
@@ -176,10 +185,12 @@
         }
         LimitSet limits = section.limits(LimitKey.OF_POOLS);
         if (section.has(LimitKey.HEDGE_AFTER.key)) {
-            section.problem(LimitKey.HEDGE_AFTER.key, "'hedge_after' is set for classes and routes; a pool"
-                    + " only bounds 'hedges'");
+            section.problem(
+                    LimitKey.HEDGE_AFTER.key,
+                    "'hedge_after' is set for classes and routes; a pool" + " only bounds 'hedges'");
         }
-        TunnelSet tunnels = new TunnelSet(section.count("max_tunnels", 1, MOST_TUNNELS),
+        TunnelSet tunnels = new TunnelSet(
+                section.count("max_tunnels", 1, MOST_TUNNELS),
                 section.count("max_tunnels_per_server", 1, MOST_TUNNELS),
                 section.count("upgrade_rate", 1, 100_000, 500));
         Section cells = section.table("cells");
@@ -210,8 +221,8 @@
             duplicate(entry, "id", id, ids);
             duplicate(entry, "endpoint", endpoint, endpoints);
             if (id != null && endpoint != null) {
-                servers.add(new StaticServer(id, endpoint, zone, model, cell == null ? 0 : cell.intValue(),
-                        weight == null ? 1 : weight));
+                servers.add(new StaticServer(
+                        id, endpoint, zone, model, cell == null ? 0 : cell.intValue(), weight == null ? 1 : weight));
             }
         }
         return servers;
@@ -243,7 +254,8 @@
 
     private static void rejectConnections(Section section) {
         if (section.has(LimitKey.MAX_CONNECTIONS.key)) {
-            section.problem(LimitKey.MAX_CONNECTIONS.key,
+            section.problem(
+                    LimitKey.MAX_CONNECTIONS.key,
                     "connections belong to a pool: set 'max_connections' in [pools.NAME]");
         }
     }
@@ -256,9 +268,14 @@
         rejectConnections(section);
         WebSocketLimits webSocket = webSocket(section, match);
         section.rejectUnknown();
-        return new RouteSection(name(section), section.line(), match,
+        return new RouteSection(
+                name(section),
+                section.line(),
+                match,
                 requestClass == null ? null : section.setting("class", requestClass),
-                pool == null ? null : section.setting("pool", pool), limits, webSocket,
+                pool == null ? null : section.setting("pool", pool),
+                limits,
+                webSocket,
                 webSocket == null ? 0 : section.table("websocket").lineOf("resume_first_message"));
     }
 
@@ -268,41 +285,43 @@
             return null;
         }
         if (match != null && !match.methods().isEmpty() && !match.methods().contains("GET")) {
-            section.problems().add(section.line(), "an upgrade is asked for with GET, which this route's"
-                    + " 'methods' does not have");
+            section.problems()
+                    .add(
+                            section.line(),
+                            "an upgrade is asked for with GET, which this route's" + " 'methods' does not have");
         }
         long message = section.count("max_message", 125, MOST_BYTES, 16 << 20);
         long frame = section.count("max_frame", 125, MOST_BYTES, message);
         if (frame > message) {
-            section.problem("max_frame", "'max_frame' is " + frame + ", more than 'max_message' (" + message
-                    + ")");
+            section.problem("max_frame", "'max_frame' is " + frame + ", more than 'max_message' (" + message + ")");
         }
         long idle = section.time("idle_timeout", 1_000_000, 86_400_000_000L, 0);
         long ping = section.time("ping_interval", 100_000, 3_600_000_000L, 30_000_000);
         long pong = section.time("ping_timeout", 100_000, 3_600_000_000L, Math.min(ping, 10_000_000));
         if (pong > ping) {
-            section.problem("ping_timeout", "'ping_timeout' is " + Duration.text(pong)
-                    + ", longer than 'ping_interval' (" + Duration.text(ping) + ")");
+            section.problem(
+                    "ping_timeout",
+                    "'ping_timeout' is " + Duration.text(pong) + ", longer than 'ping_interval' (" + Duration.text(ping)
+                            + ")");
         }
         long life = section.time("max_life", 1_000_000, 604_800_000_000L, 0);
         long drain = section.time("drain_time", 100_000, 600_000_000L, 10_000_000);
         long reconnects = section.count("reconnect_rate", 1, 100_000, 50);
         Resume resume = resume(section);
         Farewell farewell = farewell(section);
-        TunnelBounds bounds = new TunnelBounds(name(route),
+        TunnelBounds bounds = new TunnelBounds(
+                name(route),
                 (int) section.count("max_tunnels", 1, MOST_TUNNELS, Integer.MAX_VALUE),
                 (int) section.count("max_tunnels_per_tenant", 1, MOST_TUNNELS, Integer.MAX_VALUE),
                 section.time("evict_after", 100_000, 86_400_000_000L, 0));
         section.rejectUnknown();
-        return new WebSocketLimits(frame, message, idle, ping, pong, life, drain, reconnects, farewell,
-                bounds, resume);
+        return new WebSocketLimits(frame, message, idle, ping, pong, life, drain, reconnects, farewell, bounds, resume);
     }
 
     private static Farewell farewell(Section section) {
         int code = (int) section.count("drain_code", 1001, 4999, 1001);
         if (code > 1001 && code < 4000 && code != 1012 && code != 1013) {
-            section.problem("drain_code", "'drain_code' is " + code
-                    + "; it must be 1001, 1012, 1013 or 4000 to 4999");
+            section.problem("drain_code", "'drain_code' is " + code + "; it must be 1001, 1012, 1013 or 4000 to 4999");
         }
         String reason = section.text("drain_reason");
         if (reason != null && reason.getBytes(StandardCharsets.UTF_8).length > MOST_REASON) {
@@ -317,7 +336,8 @@
         boolean first = Boolean.TRUE.equals(section.flag("resume_first_message"));
         if (protocols == null || protocols.isEmpty()) {
             if (header != null || first) {
-                section.problem(header != null ? "resume_header" : "resume_first_message",
+                section.problem(
+                        header != null ? "resume_header" : "resume_first_message",
                         "says how to resume, but 'resumable' names no subprotocol");
             }
             return null;
@@ -328,8 +348,7 @@
             }
         }
         if (header == null && !first) {
-            section.problem("resumable", "how to resume is not said: 'resume_header' or"
-                    + " 'resume_first_message'");
+            section.problem("resumable", "how to resume is not said: 'resume_header' or" + " 'resume_first_message'");
         }
         if (header == null) {
             return new Resume(Set.copyOf(protocols), null, null, first);
@@ -364,8 +383,7 @@
         Section headers = section.table("headers");
         List<HeaderTest> tests = headers == null ? List.of() : headers(headers);
         Long priority = section.count("priority", -MOST_PRIORITY, MOST_PRIORITY);
-        return path == null ? null
-                : new Match(host, path, methods, tests, priority == null ? 0 : priority.intValue());
+        return path == null ? null : new Match(host, path, methods, tests, priority == null ? 0 : priority.intValue());
     }
 
     private static Set<String> methods(Section section) {
@@ -376,8 +394,9 @@
         }
         for (String name : names == null ? List.<String>of() : names) {
             if (!METHODS.contains(name)) {
-                section.problem("methods", "no client sends method '" + name + "'; there are GET and POST"
-                        + Words.hint(name, METHODS));
+                section.problem(
+                        "methods",
+                        "no client sends method '" + name + "'; there are GET and POST" + Words.hint(name, METHODS));
             }
             methods.add(name);
         }
@@ -390,8 +409,7 @@
         for (String name : headers.keys()) {
             String lower = name.toLowerCase(Locale.ROOT);
             if (!name.matches(TOKEN)) {
-                headers.problem(name, "there is no header '" + name
-                        + "'; a name is one word (RFC 9110, section 5.1)");
+                headers.problem(name, "there is no header '" + name + "'; a name is one word (RFC 9110, section 5.1)");
             } else if (lower.equals("host")) {
                 headers.problem(name, "the host is matched with 'host', not as a header");
             }
@@ -413,8 +431,8 @@
         }
         String value = headers.text(name);
         if (value != null && (!value.equals(value.trim()) || value.chars().anyMatch(c -> c < ' '))) {
-            headers.problem(name, "no header has a value that begins or ends with a space or has a control"
-                    + " character");
+            headers.problem(
+                    name, "no header has a value that begins or ends with a space or has a control" + " character");
         }
         return new HeaderTest(lower, HeaderTest.Kind.EQUAL, value == null ? "" : value);
     }
--- a/src/main/java/larkbank/operators/PluginsReader.java
+++ b/src/main/java/larkbank/operators/PluginsReader.java
@@ -35,15 +35,21 @@
         long memory = section.count("max_memory", 1, 16, 2);
         String failure = section.text("on_failure");
         if (failure != null && !failure.equals("open") && !failure.equals("closed")) {
-            section.problem("on_failure", "no policy '" + failure + "'; there are open and closed"
-                    + Words.hint(failure, List.of("open", "closed")));
+            section.problem(
+                    "on_failure",
+                    "no policy '" + failure + "'; there are open and closed"
+                            + Words.hint(failure, List.of("open", "closed")));
         }
-        PluginGrant grant = new PluginGrant(headers(section), classes(section), weaken(section),
-                Boolean.TRUE.equals(section.flag("refuse")));
+        PluginGrant grant = new PluginGrant(
+                headers(section), classes(section), weaken(section), Boolean.TRUE.equals(section.flag("refuse")));
         if (failure == null && decides(grant)) {
-            section.problems().add(section.line(), "[" + section.title() + "] may refuse or make a class"
-                    + " stricter and lacks 'on_failure': \"closed\" refuses what it was not asked about,"
-                    + " \"open\" lets it pass");
+            section.problems()
+                    .add(
+                            section.line(),
+                            "[" + section.title() + "] may refuse or make a class"
+                                    + " stricter and lacks 'on_failure': \"closed\" refuses what it was not asked"
+                                    + " about,"
+                                    + " \"open\" lets it pass");
         }
         Map<String, String> config = new HashMap<>();
         Section given = section.table("config");
@@ -52,9 +58,19 @@
         }
         section.rejectUnknown();
         String name = section.title().substring(section.title().indexOf('.') + 1);
-        return module == null ? null : new PluginSection((int) order,
-                new PluginPlan(name, section.lineOf("file"), module, deadline, (int) memory * 16,
-                "closed".equals(failure), grant, config));
+        return module == null
+                ? null
+                : new PluginSection(
+                        (int) order,
+                        new PluginPlan(
+                                name,
+                                section.lineOf("file"),
+                                module,
+                                deadline,
+                                (int) memory * 16,
+                                "closed".equals(failure),
+                                grant,
+                                config));
     }
 
     private byte[] module(Section section) {
@@ -81,12 +97,12 @@
         for (String name : names == null ? List.<String>of() : names) {
             String lower = name.toLowerCase(Locale.ROOT);
             if (!name.matches(OperatorsReader.TOKEN)) {
-                section.problem("headers", "there is no header '" + name
-                        + "'; a name is one word (RFC 9110, section 5.1)");
+                section.problem(
+                        "headers", "there is no header '" + name + "'; a name is one word (RFC 9110, section 5.1)");
             } else if (lower.matches(PluginGrant.OWN_HEADERS)) {
-                section.problem("headers", "'" + name
-                        + "' belongs to the sidecar or to the connection and can't"
-                        + " be granted");
+                section.problem(
+                        "headers",
+                        "'" + name + "' belongs to the sidecar or to the connection and can't" + " be granted");
             }
             headers.add(lower);
         }
@@ -103,14 +119,15 @@
 
     /** Whether a request that it is not asked about may go where it would not have let it. */
     private boolean decides(PluginGrant grant) {
-        return grant.refuse() || grant.classes().stream().flatMap(c -> facts.requestClass(c).stream())
-                .anyMatch(c -> c.effect() != Effect.SAFE);
+        return grant.refuse()
+                || grant.classes().stream()
+                        .flatMap(c -> facts.requestClass(c).stream())
+                        .anyMatch(c -> c.effect() != Effect.SAFE);
     }
 
     private void known(Section section, String key, String name) {
         if (facts.requestClass(name).isEmpty()) {
-            section.problem(key, "the settings have no class '" + name + "'"
-                    + Words.hint(name, facts.classNames()));
+            section.problem(key, "the settings have no class '" + name + "'" + Words.hint(name, facts.classNames()));
         }
     }
 
--- a/src/main/java/larkbank/operators/Problems.java
+++ b/src/main/java/larkbank/operators/Problems.java
@@ -30,7 +30,8 @@
 
     /** In the order of their lines. */
     public List<Problem> sorted() {
-        List<Problem> sorted = found.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
+        List<Problem> sorted =
+                found.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
         if (sorted.size() <= MOST) {
             return sorted;
         }
--- a/src/main/java/larkbank/operators/Retryable.java
+++ b/src/main/java/larkbank/operators/Retryable.java
@@ -35,7 +35,10 @@
     }
 
     static Retryable of(String word) {
-        return Arrays.stream(values()).filter(r -> r.word.equals(word)).findFirst().orElse(null);
+        return Arrays.stream(values())
+                .filter(r -> r.word.equals(word))
+                .findFirst()
+                .orElse(null);
     }
 
     static List<String> words() {
--- a/src/main/java/larkbank/operators/Section.java
+++ b/src/main/java/larkbank/operators/Section.java
@@ -141,13 +141,16 @@
         }
         long micros = Duration.micros(text);
         if (micros < 0) {
-            problem(key, "'" + key + "' is '" + text
-                    + "', which is no time; write a number and us, ms, s or m, such as \"800ms\"");
+            problem(
+                    key,
+                    "'" + key + "' is '" + text
+                            + "', which is no time; write a number and us, ms, s or m, such as \"800ms\"");
             return null;
         }
         if (micros < least || micros > most) {
-            problem(key, "'" + key + "' is " + text + "; it must be " + Duration.text(least) + " to "
-                    + Duration.text(most));
+            problem(
+                    key,
+                    "'" + key + "' is " + text + "; it must be " + Duration.text(least) + " to " + Duration.text(most));
             return null;
         }
         return micros;
@@ -161,8 +164,8 @@
 
     /** A moment with its distance from UTC, in microseconds of Unix time, or null. */
     Long moment(String key) {
-        OffsetDateTime moment = value(key, OffsetDateTime.class,
-                "a moment such as 2026-12-24T18:00:00Z, without quotes");
+        OffsetDateTime moment =
+                value(key, OffsetDateTime.class, "a moment such as 2026-12-24T18:00:00Z, without quotes");
         return moment == null ? null : ChronoUnit.MICROS.between(Instant.EPOCH, moment.toInstant());
     }
 
@@ -196,8 +199,8 @@
             if (all.get(List.of(name)) instanceof TomlTable t) {
                 sections.add(new Section(t, path(key) + "." + name, where, problems));
             } else {
-                problems.add(where, "'" + path(key) + "." + name + "' must be a table ["
-                        + path(key) + "." + name + "]");
+                problems.add(
+                        where, "'" + path(key) + "." + name + "' must be a table [" + path(key) + "." + name + "]");
             }
         }
         return sections;
@@ -216,7 +219,9 @@
         for (int i = 0; array != null && i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable t) {
                 // The position of an entry that is a table is the list's: its first key says where it stands.
-                int where = t.keySet().stream().mapToInt(k -> t.inputPositionOf(List.of(k)).line()).min()
+                int where = t.keySet().stream()
+                        .mapToInt(k -> t.inputPositionOf(List.of(k)).line())
+                        .min()
                         .orElse(array.inputPositionOf(i).line());
                 sections.add(new Section(t, path(key), where, problems));
             } else {
@@ -238,11 +243,12 @@
     LimitSet limits(Set<LimitKey> allowed) {
         LimitSet limits = new LimitSet();
         for (LimitKey key : allowed) {
-            Object value = switch (key.kind) {
-                case TIME -> time(key.key, key.least, key.most);
-                case COUNT -> count(key.key, key.least, key.most);
-                case OUTCOMES -> outcomes(key.key);
-            };
+            Object value =
+                    switch (key.kind) {
+                        case TIME -> time(key.key, key.least, key.most);
+                        case COUNT -> count(key.key, key.least, key.most);
+                        case OUTCOMES -> outcomes(key.key);
+                    };
             if (value != null) {
                 limits.put(key, setting(key.key, value));
             }
@@ -259,8 +265,7 @@
         for (String word : words) {
             Retryable outcome = Retryable.of(word);
             if (outcome == null) {
-                problem(key, "'" + key + "' has no outcome '" + word + "'"
-                        + Words.hint(word, Retryable.words()));
+                problem(key, "'" + key + "' has no outcome '" + word + "'" + Words.hint(word, Retryable.words()));
             } else {
                 outcomes.add(outcome);
             }
--- a/src/main/java/larkbank/operators/Shape.java
+++ b/src/main/java/larkbank/operators/Shape.java
@@ -48,7 +48,7 @@
                 case ']', '}' -> depth = Math.max(0, depth - 1);
                 case '.' -> dots++;
                 case '\n', '=', ',' -> dots = 0;
-                default -> { }
+                default -> {}
             }
             if (depth + dots > MOST_DEPTH) {
                 return line;
@@ -84,8 +84,7 @@
                 }
                 line++;
             }
-            from += c == '\\' && quote == '"' && from + 1 < text.length() && text.charAt(from + 1) != '\n'
-                    ? 2 : 1;
+            from += c == '\\' && quote == '"' && from + 1 < text.length() && text.charAt(from + 1) != '\n' ? 2 : 1;
         }
         at = Math.min(from, text.length()) - 1;
     }
--- a/src/main/java/larkbank/papers/Boot.java
+++ b/src/main/java/larkbank/papers/Boot.java
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger("papers");
     private static final String NAMES_FILE = "CYPRESSWEIR_NODE_FILE";
 
-    private Boot() { }
+    private Boot() {}
 
     /** A program that runs until the process is ended. */
     public interface Program {
@@ -29,8 +29,12 @@
      *
      * @param lacks what the program wants and the settings don't have
      */
-    public static int run(String program, Map<String, String> env, PrintStream err,
-            Function<NodePapers, Option<String>> lacks, Program its) {
+    public static int run(
+            String program,
+            Map<String, String> env,
+            PrintStream err,
+            Function<NodePapers, Option<String>> lacks,
+            Program its) {
         String named = env.get(NAMES_FILE);
         if (named == null) {
             err.println(program + ": " + NAMES_FILE + " is not set");
@@ -38,7 +42,9 @@
         }
         Watched file = new Watched(Path.of(named));
         Either<List<String>, NodePapers> papers = file.first().flatMap(read -> lacks.apply(read)
-                .map(what -> List.of(named + ": a " + program + " wants " + what)).toEither(read).swap());
+                .map(what -> List.of(named + ": a " + program + " wants " + what))
+                .toEither(read)
+                .swap());
         if (papers.isLeft()) {
             papers.getLeft().forEach(err::println);
             return 2;
--- a/src/main/java/larkbank/papers/Duration.java
+++ b/src/main/java/larkbank/papers/Duration.java
@@ -10,7 +10,7 @@
 
     private static final Pattern TIME = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,9})?)(ms|s)");
 
-    private Duration() { }
+    private Duration() {}
 
     /** Whole microseconds of such a text; nothing where it is none. */
     public static Option<Long> micros(String text) {
@@ -19,6 +19,8 @@
             return Option.none();
         }
         long unit = matcher.group(2).equals("s") ? 1_000_000 : 1_000;
-        return Option.some(new BigDecimal(matcher.group(1)).multiply(BigDecimal.valueOf(unit)).longValue());
+        return Option.some(new BigDecimal(matcher.group(1))
+                .multiply(BigDecimal.valueOf(unit))
+                .longValue());
     }
 }
--- a/src/main/java/larkbank/papers/NodePapers.java
+++ b/src/main/java/larkbank/papers/NodePapers.java
@@ -17,10 +17,25 @@
  * @param bounds times in microseconds, figures as they are, flags as 0 or 1
  * @param machineFailures how many machines may be lost at once; below 0 where that is not told
  */
-public record NodePapers(String name, String ip, String zone, String region, boolean initialStart,
-        String dataDirectory, int memoryMb, int descriptors, String application, String service,
-        Map<String, String> listen, int firstPort, int lastPort, List<String> seeds,
-        Map<String, String> zones, long heartbeatMicros, Map<String, Double> bounds, int machineFailures) {
+public record NodePapers(
+        String name,
+        String ip,
+        String zone,
+        String region,
+        boolean initialStart,
+        String dataDirectory,
+        int memoryMb,
+        int descriptors,
+        String application,
+        String service,
+        Map<String, String> listen,
+        int firstPort,
+        int lastPort,
+        List<String> seeds,
+        Map<String, String> zones,
+        long heartbeatMicros,
+        Map<String, Double> bounds,
+        int machineFailures) {
 
     private static final Set<String> EVERYWHERE = Set.of("0.0.0.0", "[::]");
 
@@ -51,13 +66,24 @@
                 root.wrong("termTable.timingBounds." + name + " is no time, number or flag");
             }
         });
-        NodePapers papers = new NodePapers(node.text("nodeName"), node.text("ipAddress"), node.text("zone"),
-                node.maybe("region", ""), node.flag("initialStart"), node.maybe("dataDirectory", null),
-                (int) limits.number("memoryMb", 256), (int) limits.number("fileDescriptors", 1024),
-                node.maybe("application", null), node.maybe("service", null),
-                network.object("listenAddresses").texts(), ports.get(0).intValue(), ports.get(1).intValue(),
-                network.addresses("seedNodes"), network.object("zones").texts(),
-                root.object("platform").time("heartbeat", 1_500_000), bounds,
+        NodePapers papers = new NodePapers(
+                node.text("nodeName"),
+                node.text("ipAddress"),
+                node.text("zone"),
+                node.maybe("region", ""),
+                node.flag("initialStart"),
+                node.maybe("dataDirectory", null),
+                (int) limits.number("memoryMb", 256),
+                (int) limits.number("fileDescriptors", 1024),
+                node.maybe("application", null),
+                node.maybe("service", null),
+                network.object("listenAddresses").texts(),
+                ports.get(0).intValue(),
+                ports.get(1).intValue(),
+                network.addresses("seedNodes"),
+                network.object("zones").texts(),
+                root.object("platform").time("heartbeat", 1_500_000),
+                bounds,
                 (int) root.object("termTable").object("faultTolerance").number("machineFailures", -1));
         return root.problems().isEmpty() ? Either.right(papers) : Either.left(root.problems());
     }
--- a/src/main/java/larkbank/papers/Sheets.java
+++ b/src/main/java/larkbank/papers/Sheets.java
@@ -12,7 +12,7 @@
 
     private static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>());
 
-    private Sheets() { }
+    private Sheets() {}
 
     /** The object, or in one line what is wrong and where. */
     public static Either<String, Map<String, Object>> read(byte[] bytes) {
--- a/src/main/java/larkbank/papers/Watched.java
+++ b/src/main/java/larkbank/papers/Watched.java
@@ -35,7 +35,8 @@
         } catch (IOException e) {
             return Either.left(List.of(file + ": can't be read: " + e.getMessage()));
         }
-        return NodePapers.read(taken).peek(papers -> began = papers)
+        return NodePapers.read(taken)
+                .peek(papers -> began = papers)
                 .mapLeft(lines -> lines.stream().map(l -> file + ": " + l).toList());
     }
 
@@ -58,11 +59,11 @@
             taken = now;
             Either<List<String>, NodePapers> read = NodePapers.read(now);
             if (read.isLeft()) {
-                LOG.warn("The new settings are not taken. " + file + ": "
-                        + String.join("; ", read.getLeft()));
+                LOG.warn("The new settings are not taken. " + file + ": " + String.join("; ", read.getLeft()));
             } else if (!isSameNode(read.get())) {
                 LOG.warn("The new settings are not taken. " + file + ": they are another node's, "
-                        + read.get().name() + " at " + read.get().lines(read.get().ip()));
+                        + read.get().name() + " at "
+                        + read.get().lines(read.get().ip()));
             } else {
                 LOG.info("New settings are taken.");
                 changed.accept(read.get());
--- a/src/main/java/larkbank/pilot/Answers.java
+++ b/src/main/java/larkbank/pilot/Answers.java
@@ -8,7 +8,7 @@
 
     private static final long LEAST = 1_000;
 
-    private Answers() { }
+    private Answers() {}
 
     /** @param againMicros when to come back, where the fault says so */
     static Answer of(Fault fault, long againMicros) {
--- a/src/main/java/larkbank/pilot/Bearings.java
+++ b/src/main/java/larkbank/pilot/Bearings.java
@@ -19,6 +19,7 @@
     private final Manifest manifest;
     /** By host, then by prefix. */
     private final Map<String, Map<String, RouteTerms>> routes = new HashMap<>();
+
     private final Map<String, TenantTerms> keys = new HashMap<>();
     private final Map<String, ServiceTerms> services = new HashMap<>();
     private final Map<Item, Object> terms = new IdentityHashMap<>();
@@ -48,11 +49,12 @@
 
     private static Object terms(Item item) {
         return (switch (item.key().table()) {
-            case ROUTES -> RouteTerms.of(item);
-            case TENANTS -> TenantTerms.of(item);
-            case SERVICES -> ServiceTerms.of(item);
-            case LIMITS -> ClientLimits.of(item);
-        }).fold(refusal -> refusal, its -> its);
+                    case ROUTES -> RouteTerms.of(item);
+                    case TENANTS -> TenantTerms.of(item);
+                    case SERVICES -> ServiceTerms.of(item);
+                    case LIMITS -> ClientLimits.of(item);
+                })
+                .fold(refusal -> refusal, its -> its);
     }
 
     private void add(Object one) {
--- a/src/main/java/larkbank/pilot/Following.java
+++ b/src/main/java/larkbank/pilot/Following.java
@@ -75,7 +75,8 @@
         String best = null;
         for (Map.Entry<String, Ballot> one : shown.entrySet()) {
             boolean newer = one.getValue().compareTo(stamp) > 0;
-            boolean better = best == null || one.getValue().compareTo(shown.get(best)) > 0
+            boolean better = best == null
+                    || one.getValue().compareTo(shown.get(best)) > 0
                     || one.getValue().equals(shown.get(best)) && best.equals(asked);
             if (newer && better) {
                 best = one.getKey();
@@ -92,13 +93,11 @@
     boolean told(long now, String harbour, Map<String, Object> head, List<Item> items) {
         Ballot to = Ballot.of(Scribe.text(head, "stamp"));
         String from = Scribe.text(head, "from");
-        if (to == null || to.compareTo(stamp) <= 0
-                || !from.isEmpty() && !from.equals(stamp.toString())) {
+        if (to == null || to.compareTo(stamp) <= 0 || !from.isEmpty() && !from.equals(stamp.toString())) {
             return false;
         }
         askedAt = now;
-        Map<Integer, List<Item>> pieces =
-                coming.computeIfAbsent(harbour + " " + from + " " + to, k -> new HashMap<>());
+        Map<Integer, List<Item>> pieces = coming.computeIfAbsent(harbour + " " + from + " " + to, k -> new HashMap<>());
         pieces.put((int) Json.whole(head, "piece", 0), items);
         if (pieces.size() < Json.whole(head, "pieces", 1)) {
             return false;
--- a/src/main/java/larkbank/pilot/Freshness.java
+++ b/src/main/java/larkbank/pilot/Freshness.java
@@ -21,7 +21,7 @@
 
     private static final long ASK_EVERY = 200_000;
 
-    private record Confirmed(Ballot stamp, long asOf) { }
+    private record Confirmed(Ballot stamp, long asOf) {}
 
     private final Map<String, Confirmed> confirmed = new HashMap<>();
     private final Set<String> cutOff = new HashSet<>();
@@ -80,8 +80,8 @@
         if (havingSince < 0) {
             havingSince = now;
         }
-        isConfirmed = confirmed.values().stream().anyMatch(one ->
-                now - one.asOf <= MOST_AGE && own.compareTo(one.stamp) >= 0);
+        isConfirmed = confirmed.values().stream()
+                .anyMatch(one -> now - one.asOf <= MOST_AGE && own.compareTo(one.stamp) >= 0);
         begun = isConfirmed || now - havingSince >= patience;
         return begun;
     }
--- a/src/main/java/larkbank/pilot/Front.java
+++ b/src/main/java/larkbank/pilot/Front.java
@@ -30,6 +30,7 @@
     private static final String LEFT = "Cypressweir-Time-Remaining";
     /** The client's time runs from when it sent; this much is kept for the way here and back, at most. */
     private static final long MARGIN = 15_000;
+
     private static final int MARGIN_PART = 12;
     private static final long MOST_LEFT = 3_600_000;
 
@@ -47,8 +48,13 @@
      * @param helms the way to a service, for requests of tenants or for calls without one
      * @param wake where it is kept which way requests went
      */
-    Front(LongSupplier micros, Supplier<Bearings> bearings, Supplier<String> caller, Quotas quotas,
-            BiFunction<String, Boolean, Helm> helms, Wake wake) {
+    Front(
+            LongSupplier micros,
+            Supplier<Bearings> bearings,
+            Supplier<String> caller,
+            Quotas quotas,
+            BiFunction<String, Boolean, Helm> helms,
+            Wake wake) {
         this.micros = micros;
         this.bearings = bearings;
         this.caller = caller;
@@ -102,8 +108,8 @@
             return;
         }
         int rank = tenant != null && tenant.priority() != null ? tenant.priority() : route.priority();
-        List<Map.Entry<String, String>> headers = new ArrayList<>(Headers.without(
-                Headers.endToEnd(call.headers()), KEY, TENANT, CALLER, INSTANCE, LEFT));
+        List<Map.Entry<String, String>> headers =
+                new ArrayList<>(Headers.without(Headers.endToEnd(call.headers()), KEY, TENANT, CALLER, INSTANCE, LEFT));
         String from = caller.get();
         if (from != null) {
             headers.add(Map.entry(CALLER, from));
@@ -111,9 +117,19 @@
         if (tenant != null) {
             headers.add(Map.entry(TENANT, tenant.name()));
         }
-        helm.take(new Passage(Long.toString(++numbers), call, id, route,
-                tenant == null ? null : tenant.name(), rank, tenant == null, arrived, aimAt,
-                deadline, headers, wake));
+        helm.take(new Passage(
+                Long.toString(++numbers),
+                call,
+                id,
+                route,
+                tenant == null ? null : tenant.name(),
+                rank,
+                tenant == null,
+                arrived,
+                aimAt,
+                deadline,
+                headers,
+                wake));
     }
 
     private static long millis(String text) {
@@ -135,7 +151,10 @@
             }
         }
         if (all == 0) {
-            return route.splits().stream().filter(s -> s.weight() > 0).map(Split::service).findFirst()
+            return route.splits().stream()
+                    .filter(s -> s.weight() > 0)
+                    .map(Split::service)
+                    .findFirst()
                     .orElse(null);
         }
         double at = (Ids.of(id) >>> 10 & 0xfffff) / (double) 0x100000 * all;
--- a/src/main/java/larkbank/pilot/Helm.java
+++ b/src/main/java/larkbank/pilot/Helm.java
@@ -54,7 +54,7 @@
     private static final double COPY_AFTER = 0.8;
 
     /** What all classes of one kind have in common. */
-    private record Kind(boolean repeatable, long aim, long deadline, int rank, boolean inner) { }
+    private record Kind(boolean repeatable, long aim, long deadline, int rank, boolean inner) {}
 
     private final String service;
     private final EventLoop loop;
@@ -70,19 +70,38 @@
     private boolean hasServers;
 
     /** @param budget how many further attempts may go to the service's servers */
-    Helm(String service, EventLoop loop, LongSupplier micros, Carrier carrier, String name, int zone,
-            List<String> zones, Rules budget) {
+    Helm(
+            String service,
+            EventLoop loop,
+            LongSupplier micros,
+            Carrier carrier,
+            String name,
+            int zone,
+            List<String> zones,
+            Rules budget) {
         this.service = service;
         this.loop = loop;
         this.micros = micros;
         this.carrier = carrier;
-        RequestClass first = new RequestClass("first", Effect.UNSAFE, Group.ALL, 0, 500_000, 0, 2_000_000, 1,
-                0.2, false);
+        RequestClass first =
+                new RequestClass("first", Effect.UNSAFE, Group.ALL, 0, 500_000, 0, 2_000_000, 1, 0.2, false);
         List<RequestClass> classes = new ArrayList<>(List.of(first));
-        settings = new Settings(Ids.of(name + service), (int) (Ids.of(name) & 0xffff), 1, zone, zones,
-                classes, Collections.nCopies(TENANTS, new Tenant("", 0)), 1, 1,
+        settings = new Settings(
+                Ids.of(name + service),
+                (int) (Ids.of(name) & 0xffff),
+                1,
+                zone,
+                zones,
+                classes,
+                Collections.nCopies(TENANTS, new Tenant("", 0)),
+                1,
+                1,
                 new Limits(4, true, false, true, MOST_ADVICE, Long.MAX_VALUE / 4, 4_000, 2_000, true, 1_000),
-                budget, ReportSource.ANSWERS, false, false, TICK);
+                budget,
+                ReportSource.ANSWERS,
+                false,
+                false,
+                TICK);
         choice = new Choice(settings, this);
     }
 
@@ -99,8 +118,8 @@
             targets.put(target.number(), target);
             long warm = warmAt.getOrDefault(target.instance(), 0L);
             long start = started.computeIfAbsent(target.instance(), i -> warm > now ? warm - COLD : 0);
-            lines.add(new Server(target.number(), zones.indexOf(target.zone()), 0, 0,
-                    larkbank.LoadBalancer.Phase.READY, start, 1));
+            lines.add(new Server(
+                    target.number(), zones.indexOf(target.zone()), 0, 0, larkbank.LoadBalancer.Phase.READY, start, 1));
         }
         started.keySet().retainAll(list.stream().map(Target::instance).toList());
         hasServers = !list.isEmpty();
@@ -141,25 +160,46 @@
             forget(passage);
             return;
         }
-        passage.atDeadline = loop.schedule(() -> deadline(passage), passage.deadline - now,
-                TimeUnit.MICROSECONDS);
+        passage.atDeadline = loop.schedule(() -> deadline(passage), passage.deadline - now, TimeUnit.MICROSECONDS);
         long aim = passage.aimAt - passage.arrivedAt;
-        Terms terms = new Terms(Math.max(1, passage.route.maxAttempts()), 0,
-                Terms.NONE.retryOn(), passage.route.repeatable() && !passage.inner ? 1 : 0,
-                (long) (COPY_AFTER * aim), List.of(), false);
+        Terms terms = new Terms(
+                Math.max(1, passage.route.maxAttempts()),
+                0,
+                Terms.NONE.retryOn(),
+                passage.route.repeatable() && !passage.inner ? 1 : 0,
+                (long) (COPY_AFTER * aim),
+                List.of(),
+                false);
         int tenant = passage.tenant == null ? 0 : (int) (Ids.of(passage.tenant) % TENANTS);
-        choice.request(now, new Request(passage.number, kind(passage), tenant, false, -1, passage.deadline, 0,
-                !passage.route.repeatable(), terms));
+        choice.request(
+                now,
+                new Request(
+                        passage.number,
+                        kind(passage),
+                        tenant,
+                        false,
+                        -1,
+                        passage.deadline,
+                        0,
+                        !passage.route.repeatable(),
+                        terms));
         beImpatient(passage);
     }
 
     private int kind(Passage p) {
-        Kind kind = new Kind(p.route.repeatable(), p.route.aimMicros(), p.route.timeoutMicros(), p.rank,
-                p.inner);
+        Kind kind = new Kind(p.route.repeatable(), p.route.aimMicros(), p.route.timeoutMicros(), p.rank, p.inner);
         return kinds.computeIfAbsent(kind, k -> {
             List<RequestClass> classes = new ArrayList<>(settings.classes());
-            classes.add(new RequestClass("k" + classes.size(), k.repeatable ? Effect.SAFE : Effect.UNSAFE,
-                    Group.ALL, 0, k.aim, 0, k.deadline, k.inner ? 8 : 4.0 / (1 + Math.max(0, k.rank)), 0.2,
+            classes.add(new RequestClass(
+                    "k" + classes.size(),
+                    k.repeatable ? Effect.SAFE : Effect.UNSAFE,
+                    Group.ALL,
+                    0,
+                    k.aim,
+                    0,
+                    k.deadline,
+                    k.inner ? 8 : 4.0 / (1 + Math.max(0, k.rank)),
+                    0.2,
                     false));
             settings = settings.with(classes);
             choice.retune(micros.getAsLong(), settings);
@@ -173,13 +213,16 @@
             return;
         }
         long until = p.arrivedAt + (long) (PATIENCE * (p.aimAt - p.arrivedAt));
-        p.patience = loop.schedule(() -> {
-            p.patience = null;
-            if (!p.account.isClosed() && !p.account.isOut()) {
-                choice.clientLeft(micros.getAsLong(), p.number);
-                refuse(p.number, (p.aimAt - p.arrivedAt) / 4);
-            }
-        }, Math.max(1_000, until - micros.getAsLong()), TimeUnit.MICROSECONDS);
+        p.patience = loop.schedule(
+                () -> {
+                    p.patience = null;
+                    if (!p.account.isClosed() && !p.account.isOut()) {
+                        choice.clientLeft(micros.getAsLong(), p.number);
+                        refuse(p.number, (p.aimAt - p.arrivedAt) / 4);
+                    }
+                },
+                Math.max(1_000, until - micros.getAsLong()),
+                TimeUnit.MICROSECONDS);
     }
 
     private void left(Passage p) {
@@ -203,8 +246,10 @@
             Passage.Try one = p.tries.get(i);
             if (p.account.isOpen(i) && !one.over) {
                 one.over = true;
-                choice.outcome(now, new larkbank.LoadBalancer.Outcome(p.number, i, one.target.number(),
-                        Result.TIMED_OUT, now - one.sentAt, false, null));
+                choice.outcome(
+                        now,
+                        new larkbank.LoadBalancer.Outcome(
+                                p.number, i, one.target.number(), Result.TIMED_OUT, now - one.sentAt, false, null));
                 if (one.ride != null) {
                     one.ride.cancel();
                 }
@@ -229,14 +274,23 @@
         Passage.Try one = new Passage.Try(target, micros.getAsLong());
         p.tries.add(one);
         if (target == null || !p.account.goes(index)) {
-            loop.execute(() -> replied(p, index, one,
-                    new Reply(new Outcome.NotRun(Reason.GONE, 0), null)));
+            loop.execute(() -> replied(p, index, one, new Reply(new Outcome.NotRun(Reason.GONE, 0), null)));
             return;
         }
         List<Map.Entry<String, String>> headers = new ArrayList<>(p.headers);
         headers.add(Map.entry("Cypressweir-Target-Instance", target.instance()));
-        Freight freight = new Freight(p.id, p.call.method(), p.call.uri(), headers, p.call.body(),
-                p.route.repeatable(), p.rank, p.inner, p.aimAt, p.deadline, target.instance());
+        Freight freight = new Freight(
+                p.id,
+                p.call.method(),
+                p.call.uri(),
+                headers,
+                p.call.body(),
+                p.route.repeatable(),
+                p.rank,
+                p.inner,
+                p.aimAt,
+                p.deadline,
+                target.instance());
         boolean[] within = {true};
         one.ride = carrier.send(target, freight, reply -> {
             if (within[0]) {
@@ -263,8 +317,10 @@
         }
         if (!one.over) {
             long number = one.target == null ? 0 : one.target.number();
-            choice.outcome(now, new larkbank.LoadBalancer.Outcome(p.number, index, number, result,
-                    now - one.sentAt, served, report(reply.load())));
+            choice.outcome(
+                    now,
+                    new larkbank.LoadBalancer.Outcome(
+                            p.number, index, number, result, now - one.sentAt, served, report(reply.load())));
         }
         if (!p.account.isClosed()) {
             beImpatient(p);
@@ -275,7 +331,7 @@
     /** Does for the client what its account says. */
     private void give(Passage p, Account.Due due, Outcome outcome, long againMicros) {
         switch (due) {
-            case NOTHING -> { }
+            case NOTHING -> {}
             case THIS_ANSWER -> p.answer(answer(outcome));
             case KEEP -> p.kept = answer(outcome);
             case KEPT_ANSWER -> p.answer(p.kept);
@@ -295,7 +351,7 @@
             return a.status() < 500 ? Result.SERVED : Result.ERROR;
         } else if (outcome instanceof Outcome.NotRun n) {
             return switch (n.reason()) {
-                // The pilot beside the server orders what waits there: its refusal is for this request only.
+                    // The pilot beside the server orders what waits there: its refusal is for this request only.
                 case FULL, LATE, CANCELLED, REFUSED -> Result.NOT_SENT;
                 case GONE, MISDIRECTED, NO_CONNECTION -> Result.NO_CONNECTION;
             };
@@ -352,18 +408,20 @@
 
     @Override
     public void timer(long atMicros, long token) {
-        loop.schedule(() -> choice.timer(micros.getAsLong(), token),
-                Math.max(0, atMicros - micros.getAsLong()), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> choice.timer(micros.getAsLong(), token),
+                Math.max(0, atMicros - micros.getAsLong()),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(long server) { }
+    public void probe(long server) {}
 
     @Override
-    public void closeIdle(long server) { }
+    public void closeIdle(long server) {}
 
     @Override
-    public void subscribe() { }
+    public void subscribe() {}
 
     @Override
     public void log(String line) {
