--- a/src/main/java/larkbank/pilot/Hops.java
+++ b/src/main/java/larkbank/pilot/Hops.java
@@ -29,6 +29,7 @@
 
     /** Bytes that may wait on one line. */
     private static final long MOST_WAITING = 4 * 1024 * 1024;
+
     private static final long SILENCE = 700_000;
     private static final long PING = 250_000;
 
@@ -91,14 +92,13 @@
         }
         Line line = lines.apply(target.address());
         if (line == null || line.waiting() > MOST_WAITING) {
-            end.accept(new Reply(new Outcome.NotRun(line == null ? Reason.NO_CONNECTION : Reason.FULL, 0),
-                    null));
-            return () -> { };
+            end.accept(new Reply(new Outcome.NotRun(line == null ? Reason.NO_CONNECTION : Reason.FULL, 0), null));
+            return () -> {};
         }
         if (line.owner() instanceof Long its && its != target.life()) {
             // The line leads to another life than the one that was chosen: nothing is sent.
             end.accept(new Reply(new Outcome.NotRun(Reason.GONE, 0), null));
-            return () -> { };
+            return () -> {};
         }
         long now = micros.getAsLong();
         long number = ++numbers;
@@ -116,9 +116,33 @@
     }
 
     private static Map<String, Object> head(Freight f, long number, long life, long now) {
-        return Scribe.map("t", "go", "n", number, "life", life, "id", f.id(), "m", f.method(), "u", f.uri(),
-                "h", flat(f.headers()), "rep", f.repeatable(), "rank", f.rank(), "inner", f.inner(),
-                "aim", f.aimAtMicros() - now, "left", f.deadlineMicros() - now, "to", f.instanceId());
+        return Scribe.map(
+                "t",
+                "go",
+                "n",
+                number,
+                "life",
+                life,
+                "id",
+                f.id(),
+                "m",
+                f.method(),
+                "u",
+                f.uri(),
+                "h",
+                flat(f.headers()),
+                "rep",
+                f.repeatable(),
+                "rank",
+                f.rank(),
+                "inner",
+                f.inner(),
+                "aim",
+                f.aimAtMicros() - now,
+                "left",
+                f.deadlineMicros() - now,
+                "to",
+                f.instanceId());
     }
 
     static List<String> flat(List<Map.Entry<String, String>> headers) {
@@ -155,8 +179,10 @@
         Out one = out.get(number);
         if (one == null || one.line != line) {
             // What was over by silence or a lost line may still be told of.
-            old.dropped("end", number, one != null ? "came on another line" : number <= life
-                    ? "is of another life" : "is over");
+            old.dropped(
+                    "end",
+                    number,
+                    one != null ? "came on another line" : number <= life ? "is of another life" : "is over");
             return;
         }
         if (head.containsKey("life")
@@ -165,14 +191,13 @@
             return;
         }
         List<?> load = Json.array(head, "load");
-        Load its = load.size() == 3 ? new Load(whole(load.get(0)), whole(load.get(1)), whole(load.get(2)))
-                : null;
-        Outcome outcome = switch (Scribe.text(head, "o")) {
-            case "answered" -> new Outcome.Answered((int) Json.whole(head, "s", 502), headers(head), body);
-            case "notrun" -> new Outcome.NotRun(reason(Scribe.text(head, "why")), Json.whole(head, "after",
-                    0));
-            default -> new Outcome.MayHaveRun(Scribe.text(head, "why"));
-        };
+        Load its = load.size() == 3 ? new Load(whole(load.get(0)), whole(load.get(1)), whole(load.get(2))) : null;
+        Outcome outcome =
+                switch (Scribe.text(head, "o")) {
+                    case "answered" -> new Outcome.Answered((int) Json.whole(head, "s", 502), headers(head), body);
+                    case "notrun" -> new Outcome.NotRun(reason(Scribe.text(head, "why")), Json.whole(head, "after", 0));
+                    default -> new Outcome.MayHaveRun(Scribe.text(head, "why"));
+                };
         over(number, new Reply(outcome, its));
     }
 
@@ -222,7 +247,9 @@
             long silence = now - Math.max(one.line.heardAt(), one.sentAt);
             if (silence > SILENCE && one.repeatable && !leaving) {
                 over(one.number, new Reply(new Outcome.MayHaveRun("nothing is heard"), null));
-            } else if (ping && now - one.line.heardAt() > PING && now - one.sentAt > PING
+            } else if (ping
+                    && now - one.line.heardAt() > PING
+                    && now - one.sentAt > PING
                     && !asked.contains(one.line)) {
                 asked.add(one.line);
                 one.line.ping();
--- a/src/main/java/larkbank/pilot/Landing.java
+++ b/src/main/java/larkbank/pilot/Landing.java
@@ -29,6 +29,7 @@
     private static final byte[] NOTHING = {};
     /** Lives of a sender that are known. */
     private static final int MOST_LIVES = 8;
+
     private static final int MOST_SENDERS = 8_192;
 
     private final LongSupplier micros;
@@ -71,6 +72,7 @@
         private long last;
         /** Where the numbers of a later line or life begin. */
         private long until;
+
         private final Map<Long, Ticket> open = new HashMap<>();
 
         private Caller(String name, long life, long from) {
@@ -99,7 +101,7 @@
     }
 
     @Override
-    public void opened(Line line) { }
+    public void opened(Line line) {}
 
     @Override
     public void heard(Line line, Map<String, Object> head, byte[] body) {
@@ -113,14 +115,13 @@
                     quay.cancel(ticket);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** A sender's newer line ends the numbers of its older ones; an older one that comes late is closed. */
     private void hello(Line line, Map<String, Object> head) {
-        Caller fresh = new Caller(Scribe.text(head, "name"), Json.whole(head, "life", 0),
-                Json.whole(head, "from", 0));
+        Caller fresh = new Caller(Scribe.text(head, "name"), Json.whole(head, "life", 0), Json.whole(head, "from", 0));
         Caller before = callers.get(line);
         if (before != null) {
             old.dropped("hello", fresh.from, "is a line's second");
@@ -150,15 +151,19 @@
         long own = berth.get().life();
         if (caller != null && Json.whole(head, "life", -1) != own) {
             // It runs here on no line, however often it comes.
-            line.send(Scribe.map("t", "end", "n", number, "life", own, "o", "notrun", "why",
-                    Reason.GONE.name()));
+            line.send(Scribe.map("t", "end", "n", number, "life", own, "o", "notrun", "why", Reason.GONE.name()));
             return;
         }
         if (caller == null || number <= caller.last || caller.until <= number) {
             // No answer: the one that this is a double of may still run.
-            old.dropped("go", number, caller == null ? "came before a hello" : number <= caller.from
-                    ? "is of an earlier line" : number <= caller.last ? "came before"
-                    : "is of a later line");
+            old.dropped(
+                    "go",
+                    number,
+                    caller == null
+                            ? "came before a hello"
+                            : number <= caller.from
+                                    ? "is of an earlier line"
+                                    : number <= caller.last ? "came before" : "is of a later line");
             if (caller != null && number >= caller.until) {
                 // Who still sends here must not wait for what is not taken.
                 line.close();
@@ -166,10 +171,17 @@
             return;
         }
         caller.last = number;
-        Freight freight = new Freight(Scribe.text(head, "id"), Scribe.text(head, "m"),
-                Scribe.text(head, "u"), Hops.headers(head), body, Json.flag(head, "rep"),
-                (int) Json.whole(head, "rank", 9), Json.flag(head, "inner"),
-                now + Json.whole(head, "aim", 0), now + Json.whole(head, "left", 0),
+        Freight freight = new Freight(
+                Scribe.text(head, "id"),
+                Scribe.text(head, "m"),
+                Scribe.text(head, "u"),
+                Hops.headers(head),
+                body,
+                Json.flag(head, "rep"),
+                (int) Json.whole(head, "rank", 9),
+                Json.flag(head, "inner"),
+                now + Json.whole(head, "aim", 0),
+                now + Json.whole(head, "left", 0),
                 Scribe.text(head, "to"));
         boolean[] over = {false};
         Ticket ticket = quay.take(freight, outcome -> {
@@ -189,14 +201,41 @@
         Load load = quay.load();
         List<Integer> its = List.of(load.running(), load.waiting(), load.slots());
         if (outcome instanceof Outcome.Answered a) {
-            line.send(Scribe.map("t", "end", "n", number, "o", "answered", "s", a.status(),
-                    "h", Hops.flat(Headers.endToEnd(a.headers())), "load", its), a.body(), null);
+            line.send(
+                    Scribe.map(
+                            "t",
+                            "end",
+                            "n",
+                            number,
+                            "o",
+                            "answered",
+                            "s",
+                            a.status(),
+                            "h",
+                            Hops.flat(Headers.endToEnd(a.headers())),
+                            "load",
+                            its),
+                    a.body(),
+                    null);
         } else if (outcome instanceof Outcome.NotRun n) {
-            line.send(Scribe.map("t", "end", "n", number, "o", "notrun", "why", n.reason().name(),
-                    "after", n.retryAfterMicros(), "load", its), NOTHING, null);
-        } else if (outcome instanceof Outcome.MayHaveRun m) {
-            line.send(Scribe.map("t", "end", "n", number, "o", "may", "why", m.why(), "load", its), NOTHING,
+            line.send(
+                    Scribe.map(
+                            "t",
+                            "end",
+                            "n",
+                            number,
+                            "o",
+                            "notrun",
+                            "why",
+                            n.reason().name(),
+                            "after",
+                            n.retryAfterMicros(),
+                            "load",
+                            its),
+                    NOTHING,
                     null);
+        } else if (outcome instanceof Outcome.MayHaveRun m) {
+            line.send(Scribe.map("t", "end", "n", number, "o", "may", "why", m.why(), "load", its), NOTHING, null);
         }
     }
 
--- a/src/main/java/larkbank/pilot/Lookout.java
+++ b/src/main/java/larkbank/pilot/Lookout.java
@@ -26,13 +26,12 @@
 final class Lookout implements Moorings.Owner {
 
     private static final Logger LOG = Logger.getLogger("chart");
-    private static final Moorings.Plan LINES =
-            new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
+    private static final Moorings.Plan LINES = new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
     /** In between only what has changed is told. */
     private static final int TELLINGS_A_WHOLE = 10;
 
-    private record Place(long life, long place) { }
+    private record Place(long life, long place) {}
 
     private final LongSupplier micros;
     private final Supplier<Berth> berth;
@@ -51,10 +50,20 @@
     private long tellings;
     /** Who tells what tenants ask in all, and on which line it was asked to. */
     private String teller;
+
     private Line tellersLine;
 
-    Lookout(Wharf wharf, LongSupplier micros, String name, Supplier<Berth> berth, ServerDirectory roster,
-            Following following, Freshness freshness, Quotas quotas, Aside aside, Runnable newBearings) {
+    Lookout(
+            Wharf wharf,
+            LongSupplier micros,
+            String name,
+            Supplier<Berth> berth,
+            ServerDirectory roster,
+            Following following,
+            Freshness freshness,
+            Quotas quotas,
+            Aside aside,
+            Runnable newBearings) {
         this.micros = micros;
         this.name = name;
         this.berth = berth;
@@ -64,8 +73,8 @@
         this.quotas = quotas;
         this.newBearings = newBearings;
         this.aside = aside;
-        moorings = new Moorings(wharf, micros, LINES,
-                () -> Scribe.map("t", "hello", "kind", "pilot", "name", name), this);
+        moorings =
+                new Moorings(wharf, micros, LINES, () -> Scribe.map("t", "hello", "kind", "pilot", "name", name), this);
     }
 
     void seeds(Set<String> addresses) {
@@ -125,7 +134,8 @@
             moorings.send(teller, Scribe.map("t", "sums", "on", false));
             quotas.silent(teller);
         }
-        List<String> all = able.stream().filter(a -> moorings.line(a) != null).sorted().toList();
+        List<String> all =
+                able.stream().filter(a -> moorings.line(a) != null).sorted().toList();
         teller = all.isEmpty() ? null : all.get(Math.floorMod(name.hashCode(), all.size()));
         if (teller != null) {
             tellersLine = moorings.line(teller);
@@ -151,7 +161,8 @@
     private void ask(long now) {
         String whom = following.ask(now);
         if (whom != null) {
-            moorings.send(whom, Scribe.map("t", "want", "have", following.stamp().toString()));
+            moorings.send(
+                    whom, Scribe.map("t", "want", "have", following.stamp().toString()));
         }
     }
 
@@ -183,8 +194,8 @@
     public void up(String address, Line line) {
         tell(line);
         Place place = places.get(address);
-        line.send(Scribe.map("t", "follow", "life", place == null ? 0 : place.life,
-                "place", place == null ? -1 : place.place));
+        line.send(Scribe.map(
+                "t", "follow", "life", place == null ? 0 : place.life, "place", place == null ? -1 : place.place));
     }
 
     @Override
@@ -237,7 +248,7 @@
                 }
             }
             case "tallies" -> quotas.told(now, address, Json.object(head, "asked"));
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/larkbank/pilot/Passage.java
+++ b/src/main/java/larkbank/pilot/Passage.java
@@ -44,8 +44,9 @@
         }
     }
 
-    private static final String[] NOT_RUN = Arrays.stream(Reason.values()).map(reason -> "not run: "
-            + reason.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toArray(String[]::new);
+    private static final String[] NOT_RUN = Arrays.stream(Reason.values())
+            .map(reason -> "not run: " + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+            .toArray(String[]::new);
 
     final String number;
     final Call call;
@@ -65,16 +66,28 @@
     Answer kept;
     /** Where it is kept, once it has ended, which way it went. */
     private final Wake wake;
+
     private long answeredAt;
     private int status;
     /** What the mesh's own answer says; null for a server's. */
     Fault fault;
+
     ScheduledFuture<?> atDeadline;
     ScheduledFuture<?> patience;
 
-    Passage(String number, Call call, String id, RouteTerms route, String tenant, int rank,
-            boolean inner, long arrivedAt, long aimAt, long deadline,
-            List<Map.Entry<String, String>> headers, Wake wake) {
+    Passage(
+            String number,
+            Call call,
+            String id,
+            RouteTerms route,
+            String tenant,
+            int rank,
+            boolean inner,
+            long arrivedAt,
+            long aimAt,
+            long deadline,
+            List<Map.Entry<String, String>> headers,
+            Wake wake) {
         this.number = number;
         this.call = call;
         this.id = id;
@@ -104,8 +117,12 @@
         }
         for (int i = 0; i < tries.size(); i++) {
             Try one = tries.get(i);
-            to.leg(one.target == null ? null : one.target.instance(),
-                    one.target == null ? null : one.target.pilot(), one.sentAt, one.endedAt, one.words());
+            to.leg(
+                    one.target == null ? null : one.target.instance(),
+                    one.target == null ? null : one.target.pilot(),
+                    one.sentAt,
+                    one.endedAt,
+                    one.words());
         }
     }
 
--- a/src/main/java/larkbank/pilot/Pilot.java
+++ b/src/main/java/larkbank/pilot/Pilot.java
@@ -63,18 +63,19 @@
     private static final int OPEN_TOLD = 16;
     /** How long a pilot that starts waits for a confirmed configuration. */
     private static final long UNCONFIRMED = 3_000_000;
+
     private static final long KEEP_VIEW = 3_000_000;
     /** Part of the drain's time after which nothing more is handed to a server that drains. */
     private static final double DRAIN_PART = 0.8;
     /** Of what the terms allow for further attempts, in all and for each request. */
     private static final double SLACK_PART = 0.5;
+
     private static final double RATIO_PART = 0.5;
 
     private NodePapers papers;
     private final Watched file;
     private final Clock clock = new Clock();
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Wharf wharf = new Wharf(group, clock);
     private final String own;
@@ -87,6 +88,7 @@
     private final Map<String, Helm> helms = new HashMap<>();
     /** The ways of servers' own calls: what clients press on must not hold them up. */
     private final Map<String, Helm> inner = new HashMap<>();
+
     private final Set<String> down = new HashSet<>();
     private final ShipDesk ships;
     private final long life = System.currentTimeMillis() * 1000;
@@ -105,6 +107,7 @@
     private Bearings bearings = Bearings.none();
     /** What the worker has made last; of the worker alone. */
     private Bearings newest = bearings;
+
     private boolean listStale = true;
     private boolean leaving;
     private boolean begun;
@@ -117,16 +120,31 @@
         own = papers.lines(papers.ip());
         zones = List.copyOf(papers.zones().keySet());
         ships = new ShipDesk(clock, papers, life, this::shipChanged);
-        quay = new Quay(loop, Addresses.parse(papers.application()), clock, QuayPlan.defaults(),
-                line -> Logger.getLogger("quay").info(line));
+        quay = new Quay(
+                loop, Addresses.parse(papers.application()), clock, QuayPlan.defaults(), line -> Logger.getLogger(
+                                "quay")
+                        .info(line));
         landing = new Landing(clock, quay, ships::berth);
-        peers = new Moorings(wharf, clock, PEERS,
-                this::hello, new Peers());
+        peers = new Moorings(wharf, clock, PEERS, this::hello, new Peers());
         hops = new Hops(clock, own, life, quay, peers::line);
-        lookout = new Lookout(wharf, clock, papers.name(), ships::berth, roster, following, freshness,
-                quotas, aside, this::newBearings);
-        front = new Front(clock, () -> bearings, () -> this.papers.service(), quotas,
-                (service, calls) -> calls ? helm(inner, service) : helm(helms, service), wake);
+        lookout = new Lookout(
+                wharf,
+                clock,
+                papers.name(),
+                ships::berth,
+                roster,
+                following,
+                freshness,
+                quotas,
+                aside,
+                this::newBearings);
+        front = new Front(
+                clock,
+                () -> bearings,
+                () -> this.papers.service(),
+                quotas,
+                (service, calls) -> calls ? helm(inner, service) : helm(helms, service),
+                wake);
     }
 
     private Map<String, Object> hello() {
@@ -153,13 +171,23 @@
         Boot.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(ended), "end"));
         Map<String, String> listen = papers.listen();
-        Gangway.open(group, Addresses.parse(listen.get("controlPlane")), () -> OWN_CALLS, clock,
+        Gangway.open(
+                group,
+                Addresses.parse(listen.get("controlPlane")),
+                () -> OWN_CALLS,
+                clock,
                 new StateDesk(ships, new Told()));
         wharf.listen(Addresses.parse(own), landing);
         loop.execute(() -> lookout.seeds(papers.seedLines()));
-        Gangway.open(group, Addresses.parse(listen.get("readiness")), () -> OWN_CALLS, clock, call ->
-                call.answer(Calls.READINESS.name(call.uri()).isEmpty() ? Answers.of(Fault.NO_CALL)
-                        : isReady() ? Answer.of(200) : Answers.of(Fault.NOT_READY, 500_000)));
+        Gangway.open(
+                group,
+                Addresses.parse(listen.get("readiness")),
+                () -> OWN_CALLS,
+                clock,
+                call -> call.answer(
+                        Calls.READINESS.name(call.uri()).isEmpty()
+                                ? Answers.of(Fault.NO_CALL)
+                                : isReady() ? Answer.of(200) : Answers.of(Fault.NOT_READY, 500_000)));
         outbound = Gangway.open(group, Addresses.parse(listen.get("outbound")), this::bounds, clock, front);
         loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("Pilot " + papers.name() + " listens.");
@@ -172,23 +200,27 @@
 
     private Bounds bounds() {
         ClientLimits limits = bearings.limits();
-        return new Bounds(limits.maxHeaderBytes(), limits.maxBodyBytes(), limits.headerTimeoutMicros() / 1000,
+        return new Bounds(
+                limits.maxHeaderBytes(),
+                limits.maxBodyBytes(),
+                limits.headerTimeoutMicros() / 1000,
                 limits.idleTimeoutMicros() / 1000);
     }
 
     private boolean isReady() {
-        return !leaving && !bearings.manifest().items().isEmpty() && isFresh()
+        return !leaving
+                && !bearings.manifest().items().isEmpty()
+                && isFresh()
                 && helms.values().stream().anyMatch(Helm::hasServers);
     }
 
     /** Whether the configuration is new enough to begin with, or nobody says so. */
     private boolean isFresh() {
         if (!begun) {
-            begun = freshness.begins(clock.getAsLong(), bearings.stamp(),
-                    papers.bound("contact", UNCONFIRMED));
+            begun = freshness.begins(clock.getAsLong(), bearings.stamp(), papers.bound("contact", UNCONFIRMED));
             if (begun && !freshness.isConfirmed()) {
-                LOG.warn("No harbour confirms the configuration at " + bearings.stamp()
-                        + "; the pilot begins with it.");
+                LOG.warn(
+                        "No harbour confirms the configuration at " + bearings.stamp() + "; the pilot begins with it.");
             }
         }
         return begun;
@@ -198,8 +230,17 @@
         return ways.computeIfAbsent(service, s -> {
             listStale = true;
             double slack = SLACK_PART / 2 * papers.figure("retrySlack", 0) / Math.max(1, roster.size());
-            return new Helm(s, loop, clock, hops, papers.name(), Math.max(0, zones.indexOf(papers.zone())),
-                    zones, Helm.budget(papers.bound("retryWindow", 10_000_000), Math.max(1, slack),
+            return new Helm(
+                    s,
+                    loop,
+                    clock,
+                    hops,
+                    papers.name(),
+                    Math.max(0, zones.indexOf(papers.zone())),
+                    zones,
+                    Helm.budget(
+                            papers.bound("retryWindow", 10_000_000),
+                            Math.max(1, slack),
                             RATIO_PART * papers.figure("retryBudgetRatio", 0)));
         });
     }
@@ -221,8 +262,10 @@
     }
 
     private void shipChanged(Ship ship) {
-        quay.life(ship == null ? null : new Life(ship.id(), ship.service(), ship.slots(), ship.draining(),
-                ship.warmAt()));
+        quay.life(
+                ship == null
+                        ? null
+                        : new Life(ship.id(), ship.service(), ship.slots(), ship.draining(), ship.warmAt()));
         boundConnections(ship);
         roster.told(ships.berth());
         landing.tell();
@@ -235,8 +278,7 @@
             ticks++;
             long now = clock.getAsLong();
             ships.tick();
-            if (ships.drainedAt() != 0
-                    && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
+            if (ships.drainedAt() != 0 && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
                 quay.life(null);
             }
             lookout.tick();
@@ -271,8 +313,7 @@
 
     /** Whether this is the own machine, or there is a line to it. */
     private boolean reaches(Berth berth) {
-        return berth.address().equals(own)
-                || peers.line(berth.address()) != null && !down.contains(berth.address());
+        return berth.address().equals(own) || peers.line(berth.address()) != null && !down.contains(berth.address());
     }
 
     /** Another list of servers: each service's way learns of it; peers get their lines. */
@@ -292,15 +333,19 @@
             }
             if (berth.takes() && reaches(berth)) {
                 targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Target(Ids.of(berth.ship().id()), berth.name(), berth.life(),
-                                berth.address(), berth.ship().id(), berth.zone()));
+                        .add(new Target(
+                                Ids.of(berth.ship().id()),
+                                berth.name(),
+                                berth.life(),
+                                berth.address(),
+                                berth.ship().id(),
+                                berth.zone()));
                 warm.put(berth.ship().id(), berth.ship().warmAt());
             }
         }
         peers.want(addresses);
         for (Map<String, Helm> ways : List.of(helms, inner)) {
-            ways.forEach((service, helm) ->
-                    helm.servers(targets.getOrDefault(service, List.of()), zones, warm));
+            ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), zones, warm));
         }
     }
 
@@ -348,18 +393,22 @@
         });
         CountDownLatch done = new CountDownLatch(1);
         long quiet = clock.getAsLong() + Math.min(3_000_000, grace / 2);
-        loop.scheduleAtFixedRate(() -> {
-            long now = clock.getAsLong();
-            if (now > quiet) {
-                // Those who have connected are still answered, each with its connection's last answer.
-                outbound.stopListening();
-                outbound.drain();
-            }
-            boolean idle = outbound.connections() == 0 && quay.idle() && hops.size() == 0;
-            if (now > until || now > quiet && idle) {
-                done.countDown();
-            }
-        }, 20, 20, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> {
+                    long now = clock.getAsLong();
+                    if (now > quiet) {
+                        // Those who have connected are still answered, each with its connection's last answer.
+                        outbound.stopListening();
+                        outbound.drain();
+                    }
+                    boolean idle = outbound.connections() == 0 && quay.idle() && hops.size() == 0;
+                    if (now > until || now > quiet && idle) {
+                        done.countDown();
+                    }
+                },
+                20,
+                20,
+                TimeUnit.MILLISECONDS);
         try {
             done.await(grace, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
--- a/src/main/java/larkbank/pilot/PilotState.java
+++ b/src/main/java/larkbank/pilot/PilotState.java
@@ -29,16 +29,26 @@
     PilotState(long now, String name, String control, String address, Bearings bearings) {
         this.now = now;
         this.bearings = bearings;
-        state = Scribe.map("kind", "pilot", "name", name, "control", control,
-                "address", address, "stamp", bearings.stamp().toString(),
-                "items", bearings.manifest().size());
+        state = Scribe.map(
+                "kind",
+                "pilot",
+                "name",
+                name,
+                "control",
+                control,
+                "address",
+                address,
+                "stamp",
+                bearings.stamp().toString(),
+                "items",
+                bearings.manifest().size());
     }
 
     void harbours(Lookout lookout) {
         List<Object> all = new ArrayList<>();
-        lookout.harbours().forEach((address, heard) ->
-                all.add(Scribe.map("address", address, "control",
-                        lookout.control(address), "heard", heard)));
+        lookout.harbours()
+                .forEach((address, heard) ->
+                        all.add(Scribe.map("address", address, "control", lookout.control(address), "heard", heard)));
         state.put("harbours", all);
     }
 
@@ -47,8 +57,15 @@
         List<Object> all = new ArrayList<>();
         peers.addresses().stream().sorted().forEach(address -> {
             Line line = peers.line(address);
-            all.add(Scribe.map("address", address, "line", line != null, "down", down.contains(address),
-                    "ageMs", line == null ? null : (now - line.heardAt()) / 1000));
+            all.add(Scribe.map(
+                    "address",
+                    address,
+                    "line",
+                    line != null,
+                    "down",
+                    down.contains(address),
+                    "ageMs",
+                    line == null ? null : (now - line.heardAt()) / 1000));
         });
         state.put("peers", all);
     }
@@ -56,8 +73,9 @@
     /** All pilots that are known of, and where each is asked. */
     void pilots(ServerDirectory roster) {
         List<Object> all = new ArrayList<>();
-        roster.all().forEach(berth -> all.add(Scribe.map("name", berth.name(), "address", berth.address(),
-                "control", berth.control())));
+        roster.all()
+                .forEach(berth -> all.add(
+                        Scribe.map("name", berth.name(), "address", berth.address(), "control", berth.control())));
         state.put("pilots", all);
     }
 
@@ -70,11 +88,26 @@
             Ship ship = berth.ship();
             if (ship != null) {
                 boolean reached = reaches.test(berth);
-                services.computeIfAbsent(ship.service(), s -> new ArrayList<>()).add(Scribe.map(
-                        "pilot", berth.name(), "zone", berth.zone(), "server", ship.id(),
-                        "slots", ship.slots(), "draining", ship.draining(), "leaving", berth.leaving(),
-                        "line", reached, "silent", !mine && hops.isSilent(berth.address()),
-                        "chosen", reached && berth.takes()));
+                services.computeIfAbsent(ship.service(), s -> new ArrayList<>())
+                        .add(Scribe.map(
+                                "pilot",
+                                berth.name(),
+                                "zone",
+                                berth.zone(),
+                                "server",
+                                ship.id(),
+                                "slots",
+                                ship.slots(),
+                                "draining",
+                                ship.draining(),
+                                "leaving",
+                                berth.leaving(),
+                                "line",
+                                reached,
+                                "silent",
+                                !mine && hops.isSilent(berth.address()),
+                                "chosen",
+                                reached && berth.takes()));
             }
         }
         state.put("services", services);
@@ -82,10 +115,23 @@
 
     void own(Berth own, Load load) {
         Ship ship = own.ship();
-        state.put("own", Scribe.map("server", ship == null ? null : ship.id(),
-                "service", ship == null ? null : ship.service(),
-                "draining", ship != null && ship.draining(), "leaving", own.leaving(),
-                "running", load.running(), "waiting", load.waiting(), "slots", load.slots()));
+        state.put(
+                "own",
+                Scribe.map(
+                        "server",
+                        ship == null ? null : ship.id(),
+                        "service",
+                        ship == null ? null : ship.service(),
+                        "draining",
+                        ship != null && ship.draining(),
+                        "leaving",
+                        own.leaving(),
+                        "running",
+                        load.running(),
+                        "waiting",
+                        load.waiting(),
+                        "slots",
+                        load.slots()));
     }
 
     /** @param hops attempts that are out at other pilots */
@@ -98,8 +144,8 @@
     /** Answers of the mesh's own since the start, by fault. */
     void refusals(Map<String, Long> front, Map<String, Helm> helms) {
         Map<String, Long> all = new TreeMap<>(front);
-        helms.values().forEach(helm ->
-                helm.counts().forEach((fault, count) -> all.merge(fault.name(), count, Long::sum)));
+        helms.values()
+                .forEach(helm -> helm.counts().forEach((fault, count) -> all.merge(fault.name(), count, Long::sum)));
         state.put("refusals", all);
     }
 
@@ -108,9 +154,16 @@
         Map<String, Double> asked = quotas.asked(now);
         List<Object> all = new ArrayList<>();
         for (Item item : bearings.manifest().standing(Table.TENANTS)) {
-            TenantTerms.of(item).forEach(t -> all.add(Scribe.map("tenant", t.name(),
-                    "asked", asked.getOrDefault(t.name(), 0.0), "rate", t.ratePerS(),
-                    "burst", t.burst())));
+            TenantTerms.of(item)
+                    .forEach(t -> all.add(Scribe.map(
+                            "tenant",
+                            t.name(),
+                            "asked",
+                            asked.getOrDefault(t.name(), 0.0),
+                            "rate",
+                            t.ratePerS(),
+                            "burst",
+                            t.burst())));
         }
         state.put("tenants", all);
     }
--- a/src/main/java/larkbank/pilot/ShipDesk.java
+++ b/src/main/java/larkbank/pilot/ShipDesk.java
@@ -58,8 +58,16 @@
 
     /** What this pilot tells of itself. */
     Berth berth() {
-        return new Berth(papers.name(), life, number, papers.lines(papers.ip()), papers.control(),
-                papers.zone(), papers.service() == null ? "" : papers.service(), leaving, ship);
+        return new Berth(
+                papers.name(),
+                life,
+                number,
+                papers.lines(papers.ip()),
+                papers.control(),
+                papers.zone(),
+                papers.service() == null ? "" : papers.service(),
+                leaving,
+                ship);
     }
 
     Ship ship() {
@@ -111,8 +119,8 @@
         Map<String, Object> node = Scribe.object(read.get(), "nodeInfo");
         Map<String, Object> oper = Scribe.object(read.get(), "operStatus");
         if (Scribe.text(node, "service").isEmpty() || !(oper.get("callSequence") instanceof Number)) {
-            call.answer(Answer.text(Fault.MALFORMED.status(),
-                    "a beat wants nodeInfo.service and operStatus.callSequence"));
+            call.answer(
+                    Answer.text(Fault.MALFORMED.status(), "a beat wants nodeInfo.service and operStatus.callSequence"));
             return;
         }
         call.answer(taken());
@@ -131,8 +139,12 @@
             drainedAt = 0;
         }
         long warm = known ? ship.warmAt() : micros(Scribe.text(oper, "warmupLeft"));
-        Ship next = new Ship(id, Scribe.text(node, "service"), Scribe.text(read.get(), "address"),
-                (int) Math.max(1, Json.whole(node, "capacitySlots", 1)), draining,
+        Ship next = new Ship(
+                id,
+                Scribe.text(node, "service"),
+                Scribe.text(read.get(), "address"),
+                (int) Math.max(1, Json.whole(node, "capacitySlots", 1)),
+                draining,
                 known || warm <= 0 ? known ? warm : 0 : now + warm);
         if (!next.equals(ship)) {
             if (!known) {
--- a/src/main/java/larkbank/plugin/Conduct.java
+++ b/src/main/java/larkbank/plugin/Conduct.java
@@ -8,6 +8,7 @@
 
     /** Failures in a row; first while without it, and its doublings. */
     static final int FAILURES = 5, DOUBLINGS = 6;
+
     static final long FIRST = 1_000_000;
 
     private int failures;
--- a/src/main/java/larkbank/plugin/Guest.java
+++ b/src/main/java/larkbank/plugin/Guest.java
@@ -37,7 +37,7 @@
         int on(Visit visit, Memory memory, long[] given);
     }
 
-    private record Offered(int parameters, Call call) { }
+    private record Offered(int parameters, Call call) {}
 
     private static final Map<String, Offered> OFFERED = offered();
     /** Names of the host's functions. */
@@ -66,24 +66,30 @@
             machines = MachineFactoryCompiler.compile(module);
         } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError | OutOfMemoryError e) {
             // The library says in many ways that bytes are no module.
-            throw new BadPlugin("no WebAssembly that this program can run: "
-                    + String.valueOf(e.getMessage()).replaceAll("\\s+", " "), e);
+            throw new BadPlugin(
+                    "no WebAssembly that this program can run: "
+                            + String.valueOf(e.getMessage()).replaceAll("\\s+", " "),
+                    e);
         }
     }
 
     private static Map<String, Offered> offered() {
         Map<String, Offered> all = new LinkedHashMap<>();
-        all.put("get", new Offered(5, (v, m, a) -> v.get(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3],
-                (int) a[4])));
-        all.put("set_header", new Offered(4, (v, m, a) -> v.setHeader(m, (int) a[0], (int) a[1], (int) a[2],
-                (int) a[3])));
+        all.put(
+                "get",
+                new Offered(5, (v, m, a) -> v.get(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3], (int) a[4])));
+        all.put(
+                "set_header",
+                new Offered(4, (v, m, a) -> v.setHeader(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
         all.put("remove_header", new Offered(2, (v, m, a) -> v.removeHeader(m, (int) a[0], (int) a[1])));
         all.put("set_class", new Offered(2, (v, m, a) -> v.setClass(m, (int) a[0], (int) a[1])));
         all.put("refuse", new Offered(3, (v, m, a) -> v.refuse(m, (int) a[0], (int) a[1], (int) a[2])));
-        all.put("store_get", new Offered(4, (v, m, a) -> v.storeGet(m, (int) a[0], (int) a[1], (int) a[2],
-                (int) a[3])));
-        all.put("store_put", new Offered(4, (v, m, a) -> v.storePut(m, (int) a[0], (int) a[1], (int) a[2],
-                (int) a[3])));
+        all.put(
+                "store_get",
+                new Offered(4, (v, m, a) -> v.storeGet(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
+        all.put(
+                "store_put",
+                new Offered(4, (v, m, a) -> v.storePut(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
         all.put("log", new Offered(2, (v, m, a) -> v.log(m, (int) a[0], (int) a[1])));
         return Collections.unmodifiableMap(all);
     }
@@ -97,8 +103,8 @@
             Import wanted = module.importSection().getImport(i);
             Offered offer = wanted.module().equals(FROM) ? OFFERED.get(wanted.name()) : null;
             if (offer == null || !(wanted instanceof FunctionImport f)) {
-                throw new BadPlugin("it imports " + wanted.module() + "." + wanted.name() + "; there are "
-                        + FROM + "." + String.join(", " + FROM + ".", IMPORTS));
+                throw new BadPlugin("it imports " + wanted.module() + "." + wanted.name() + "; there are " + FROM + "."
+                        + String.join(", " + FROM + ".", IMPORTS));
             }
             if (!module.typeSection().getType(f.typeIndex()).equals(type(offer.parameters))) {
                 throw new BadPlugin("it imports " + FROM + "." + wanted.name()
@@ -111,8 +117,9 @@
         export(HOOK, ExternalType.FUNCTION);
         module.memorySection().ifPresent(m -> {
             if (m.memoryCount() > 0 && m.getMemory(0).limits().initialPages() > spec.memoryPages()) {
-                throw new IllegalArgumentException("it wants " + m.getMemory(0).limits().initialPages()
-                        + " pages of memory from the start, and may have " + spec.memoryPages());
+                throw new IllegalArgumentException(
+                        "it wants " + m.getMemory(0).limits().initialPages()
+                                + " pages of memory from the start, and may have " + spec.memoryPages());
             }
         });
     }
@@ -140,18 +147,20 @@
     void begin() throws BadPlugin {
         instance = null;
         List<HostFunction> functions = new ArrayList<>();
-        OFFERED.forEach((name, offer) -> functions.add(new HostFunction(FROM, name, type(offer.parameters),
-                (i, given) -> {
+        OFFERED.forEach(
+                (name, offer) -> functions.add(new HostFunction(FROM, name, type(offer.parameters), (i, given) -> {
                     if (visit == null) {
                         throw new IllegalStateException("the host is called outside a visit");
                     }
                     visit.called();
                     return new long[] {offer.call.on(visit, i.memory(), given)};
                 })));
-        Instance fresh = Instance.builder(module).withMachineFactory(machines)
+        Instance fresh = Instance.builder(module)
+                .withMachineFactory(machines)
                 .withMemoryLimits(limits())
                 .withImportValues(ImportValues.builder()
-                        .addFunction(functions.toArray(HostFunction[]::new)).build())
+                        .addFunction(functions.toArray(HostFunction[]::new))
+                        .build())
                 .build();
         long abi = fresh.export(ABI_EXPORT).apply()[0];
         if (abi != ABI) {
@@ -162,8 +171,10 @@
     }
 
     private MemoryLimits limits() {
-        int initial = module.memorySection().filter(m -> m.memoryCount() > 0)
-                .map(m -> m.getMemory(0).limits().initialPages()).orElse(0);
+        int initial = module.memorySection()
+                .filter(m -> m.memoryCount() > 0)
+                .map(m -> m.getMemory(0).limits().initialPages())
+                .orElse(0);
         return new MemoryLimits(Math.min(initial, spec.memoryPages()), spec.memoryPages());
     }
 
@@ -178,10 +189,12 @@
 
     /** One line on what went wrong. */
     static String why(Throwable e) {
-        return e instanceof StackOverflowError ? "its calls are nested too deep"
-                : e instanceof OutOfMemoryError ? "out of memory"
-                : e.getClass().getSimpleName() + ": "
-                + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
+        return e instanceof StackOverflowError
+                ? "its calls are nested too deep"
+                : e instanceof OutOfMemoryError
+                        ? "out of memory"
+                        : e.getClass().getSimpleName() + ": "
+                                + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
 
     /** Calls the hook; throws whatever the plug-in's code brings about. */
--- a/src/main/java/larkbank/plugin/PluginHost.java
+++ b/src/main/java/larkbank/plugin/PluginHost.java
@@ -24,9 +24,11 @@
 
     /** Calls that wait for the thread; beyond, one fails at once. */
     static final int WAITING = 256;
+
     private static final long STACK = 512 * 1024, BEGIN_MILLIS = 2_000;
     /** Calls with a made-up request before the first real one, and how long they may take. */
     private static final int WARM_CALLS = 20;
+
     private static final long WARM_MILLIS = 150;
     private static final RequestView MADE_UP = new RequestView("GET", "/", Map.of(), "");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -39,7 +41,12 @@
         void failed(String why);
     }
 
-    private enum State { WAITS, RUNS, OVER, WITHDRAWN }
+    private enum State {
+        WAITS,
+        RUNS,
+        OVER,
+        WITHDRAWN
+    }
 
     /** A call on its way. */
     public final class Call {
@@ -99,7 +106,8 @@
             awaitWarm();
         } catch (ExecutionException e) {
             close();
-            throw e.getCause() instanceof BadPlugin b ? b
+            throw e.getCause() instanceof BadPlugin b
+                    ? b
                     : new BadPlugin("its start failed: " + Guest.why(e.getCause()), e);
         } catch (TimeoutException e) {
             close();
@@ -140,8 +148,7 @@
         Call call = new Call(request, heard);
         if (closed || !calls.offer(call)) {
             call.state.set(State.OVER);
-            answers.execute(() -> heard.failed(closed ? "it is gone" : "more than " + WAITING
-                    + " calls wait"));
+            answers.execute(() -> heard.failed(closed ? "it is gone" : "more than " + WAITING + " calls wait"));
         }
         return call;
     }
@@ -151,7 +158,11 @@
             guest.begin();
             begun.complete(null);
             warmUp();
-        } catch (BadPlugin | RuntimeException | AssertionError | LinkageError | StackOverflowError
+        } catch (BadPlugin
+                | RuntimeException
+                | AssertionError
+                | LinkageError
+                | StackOverflowError
                 | OutOfMemoryError e) {
             begun.completeExceptionally(e);
             return;
@@ -178,8 +189,7 @@
             for (int i = 0; i < WARM_CALLS && System.nanoTime() < end; i++) {
                 guest.onRequest(MADE_UP);
             }
-        } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError
-                | OutOfMemoryError e) {
+        } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError | OutOfMemoryError e) {
             // It may be right to trap at such a request; a real one shows it.
             Thread.interrupted();
         }
@@ -199,8 +209,12 @@
                     guest.begin();
                 }
                 wishes = guest.onRequest(call.request);
-            } catch (BadPlugin | RuntimeException | AssertionError | LinkageError | StackOverflowError
-                | OutOfMemoryError e) {
+            } catch (BadPlugin
+                    | RuntimeException
+                    | AssertionError
+                    | LinkageError
+                    | StackOverflowError
+                    | OutOfMemoryError e) {
                 guest.discard();
                 why = Guest.why(e);
                 if (!(e instanceof ChicoryInterruptedException)) {
@@ -235,7 +249,7 @@
     public void close() {
         closed = true;
         thread.interrupt();
-        for (Call c; (c = calls.poll()) != null;) {
+        for (Call c; (c = calls.poll()) != null; ) {
             if (c.state.compareAndSet(State.WAITS, State.OVER)) {
                 Call over = c;
                 answers.execute(() -> over.heard.failed("it is gone"));
--- a/src/main/java/larkbank/plugin/RequestView.java
+++ b/src/main/java/larkbank/plugin/RequestView.java
@@ -9,4 +9,4 @@
  * @param headers by name in small letters; fields of one name joined by {@code ", "}
  * @param requestClass the class of the route that it would take, as it is by now; empty where it has none
  */
-public record RequestView(String method, String path, Map<String, String> headers, String requestClass) { }
+public record RequestView(String method, String path, Map<String, String> headers, String requestClass) {}
--- a/src/main/java/larkbank/plugin/Visit.java
+++ b/src/main/java/larkbank/plugin/Visit.java
@@ -21,6 +21,7 @@
     static final int DONE = 0, ABSENT = -1, NOT_GRANTED = -2, MALFORMED = -3, TOO_MUCH = -4;
     /** Calls of the host, bytes that it may hand over, and lines for the log, in one visit. */
     static final int MOST_CALLS = 1_000, MOST_BYTES = 16_384, MOST_NOTES = 4;
+
     private static final int MOST_NAME = 128, MOST_VALUE = 4_096;
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
@@ -30,6 +31,7 @@
     private final PluginPlan spec;
     /** To set, or to remove where the value is empty. */
     private final Map<String, String> headers = new LinkedHashMap<>();
+
     private final List<String> notes = new ArrayList<>();
     private String requestClass;
     private String refusal;
@@ -62,14 +64,15 @@
         if (key == null) {
             return MALFORMED;
         }
-        String value = switch (field) {
-            case 0 -> request.method();
-            case 1 -> request.path();
-            case 2 -> header(key.toLowerCase(Locale.ROOT));
-            case 3 -> requestClass != null ? requestClass : request.requestClass();
-            case 4 -> spec.config().get(key);
-            default -> null;
-        };
+        String value =
+                switch (field) {
+                    case 0 -> request.method();
+                    case 1 -> request.path();
+                    case 2 -> header(key.toLowerCase(Locale.ROOT));
+                    case 3 -> requestClass != null ? requestClass : request.requestClass();
+                    case 4 -> spec.config().get(key);
+                    default -> null;
+                };
         if (value == null) {
             return ABSENT;
         }
@@ -97,8 +100,7 @@
 
     int storePut(Memory memory, int key, int keyLength, int value, int valueLength) {
         String name = text(memory, key, keyLength, MOST_NAME);
-        if (name == null || valueLength < 0 || valueLength > MOST_VALUE
-                || !within(memory, value, valueLength)) {
+        if (name == null || valueLength < 0 || valueLength > MOST_VALUE || !within(memory, value, valueLength)) {
             return MALFORMED;
         }
         byte[] before = puts.put(name, memory.readBytes(value, valueLength));
@@ -126,7 +128,11 @@
     int setHeader(Memory memory, int name, int nameLength, int value, int valueLength) {
         String key = text(memory, name, nameLength, MOST_NAME);
         String text = text(memory, value, valueLength, MOST_VALUE);
-        if (key == null || text == null || !key.matches(TOKEN) || text.isBlank() || !text.equals(text.trim())
+        if (key == null
+                || text == null
+                || !key.matches(TOKEN)
+                || text.isBlank()
+                || !text.equals(text.trim())
                 || !text.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
             return MALFORMED;
         }
@@ -193,7 +199,9 @@
             return null;
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(memory.readBytes(at, length)))
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(memory.readBytes(at, length)))
                     .toString();
         } catch (CharacterCodingException e) {
             return null;
--- a/src/main/java/larkbank/plugin/Wishes.java
+++ b/src/main/java/larkbank/plugin/Wishes.java
@@ -12,8 +12,8 @@
  * @param retryAfterMillis when to come back; 0 for no word on that
  * @param notes lines for the log
  */
-public record Wishes(Map<String, String> headers, String requestClass, String refusal, long retryAfterMillis,
-        List<String> notes) {
+public record Wishes(
+        Map<String, String> headers, String requestClass, String refusal, long retryAfterMillis, List<String> notes) {
 
     /** Nothing is asked for. */
     public static final Wishes NONE = new Wishes(Map.of(), null, null, 0, List.of());
--- a/src/main/java/larkbank/quay/Alarm.java
+++ b/src/main/java/larkbank/quay/Alarm.java
@@ -28,8 +28,7 @@
         }
         off();
         setTo = time;
-        timer = loop.schedule(this::rings, Math.max(LEAST_MICROS, time - micros.getAsLong()),
-                TimeUnit.MICROSECONDS);
+        timer = loop.schedule(this::rings, Math.max(LEAST_MICROS, time - micros.getAsLong()), TimeUnit.MICROSECONDS);
     }
 
     private void rings() {
--- a/src/main/java/larkbank/quay/AnswerCollector.java
+++ b/src/main/java/larkbank/quay/AnswerCollector.java
@@ -41,6 +41,7 @@
     private int size;
     /** What the head says of the body, -1 where the body does. */
     private long length;
+
     private boolean dead;
 
     AnswerCollector(AnswerDecoder decoder, int most, Sink sink) {
@@ -82,8 +83,12 @@
         List<String> encodings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = encodings.size() == 1 && encodings.get(0).equalsIgnoreCase("chunked");
         boolean sized = response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        if (!response.decoderResult().isSuccess() || status < 100 || status > 599 || status == 101
-                || !version.protocolName().equals("HTTP") || version.majorVersion() != 1) {
+        if (!response.decoderResult().isSuccess()
+                || status < 100
+                || status > 599
+                || status == 101
+                || !version.protocolName().equals("HTTP")
+                || version.majorVersion() != 1) {
             dead("bytes that form no answer");
         } else if (decoder.bodiless()) {
             length = 0;
@@ -137,12 +142,12 @@
         }
         byte[] bytes = size == body.length ? body : Arrays.copyOf(body, size);
         body = NOTHING;
-        sink.whole(new ServerAnswer(whole.status().code(), headers(whole), bytes,
-                HttpUtil.isKeepAlive(whole)));
+        sink.whole(new ServerAnswer(whole.status().code(), headers(whole), bytes, HttpUtil.isKeepAlive(whole)));
     }
 
     private static List<Map.Entry<String, String>> headers(HttpResponse whole) {
-        List<Map.Entry<String, String>> headers = new ArrayList<>(whole.headers().size());
+        List<Map.Entry<String, String>> headers =
+                new ArrayList<>(whole.headers().size());
         for (Map.Entry<String, String> header : whole.headers()) {
             headers.add(Map.entry(header.getKey(), header.getValue()));
         }
--- a/src/main/java/larkbank/quay/AnswerDecoder.java
+++ b/src/main/java/larkbank/quay/AnswerDecoder.java
@@ -14,8 +14,11 @@
 
     /** Told of an answer's head, the predicate knows whether it answers a HEAD. */
     AnswerDecoder(Predicate<HttpResponse> toHead) {
-        super(new HttpDecoderConfig().setMaxChunkSize(64 * 1024).setMaxHeaderSize(64 * 1024)
-                .setStrictLineParsing(true).setUseRfc9112TransferEncoding(true));
+        super(new HttpDecoderConfig()
+                .setMaxChunkSize(64 * 1024)
+                .setMaxHeaderSize(64 * 1024)
+                .setStrictLineParsing(true)
+                .setUseRfc9112TransferEncoding(true));
         this.toHead = toHead;
     }
 
--- a/src/main/java/larkbank/quay/AnswerVerdict.java
+++ b/src/main/java/larkbank/quay/AnswerVerdict.java
@@ -6,7 +6,13 @@
 record AnswerVerdict(Kind kind, Outcome outcome) {
 
     /** Not run comes with whether the server was full; a broken answer is not the server's. */
-    enum Kind { ANSWERED, FULL, NOT_RUN, FOREIGN, BROKEN }
+    enum Kind {
+        ANSWERED,
+        FULL,
+        NOT_RUN,
+        FOREIGN,
+        BROKEN
+    }
 
     private static final String NOT_EXECUTED = "Cypressweir-Not-Executed";
     private static final String SEAL = "Cypressweir-Server-Seal";
@@ -33,15 +39,15 @@
         if (status >= 200 && status < 300 && !answer.has(SEAL)) {
             return broken("an answer without the server's seal");
         }
-        return new AnswerVerdict(Kind.ANSWERED,
-                new Outcome.Answered(status, answer.headers(), answer.body()));
+        return new AnswerVerdict(Kind.ANSWERED, new Outcome.Answered(status, answer.headers(), answer.body()));
     }
 
     private static AnswerVerdict notRun(int status, boolean late, long retryAfter) {
         return switch (status) {
             case 421 -> new AnswerVerdict(Kind.NOT_RUN, new Outcome.NotRun(Reason.MISDIRECTED, 0));
             case 429 -> new AnswerVerdict(Kind.FULL, new Outcome.NotRun(Reason.FULL, retryAfter));
-            case 503 -> late ? new AnswerVerdict(Kind.NOT_RUN, new Outcome.NotRun(Reason.LATE, 0))
+            case 503 -> late
+                    ? new AnswerVerdict(Kind.NOT_RUN, new Outcome.NotRun(Reason.LATE, 0))
                     : new AnswerVerdict(Kind.FULL, new Outcome.NotRun(Reason.FULL, retryAfter));
             default -> new AnswerVerdict(Kind.NOT_RUN, new Outcome.NotRun(Reason.REFUSED, 0));
         };
--- a/src/main/java/larkbank/quay/Freight.java
+++ b/src/main/java/larkbank/quay/Freight.java
@@ -8,6 +8,15 @@
  * the body are set when it is sent. The id is the one that the answer repeats. Without an instance id it is
  * meant for whatever instance is there.
  */
-public record Freight(String id, String method, String uri, List<Map.Entry<String, String>> headers,
-        byte[] body, boolean repeatable, int rank, boolean inner, long aimAtMicros, long deadlineMicros,
-        String instanceId) { }
+public record Freight(
+        String id,
+        String method,
+        String uri,
+        List<Map.Entry<String, String>> headers,
+        byte[] body,
+        boolean repeatable,
+        int rank,
+        boolean inner,
+        long aimAtMicros,
+        long deadlineMicros,
+        String instanceId) {}
--- a/src/main/java/larkbank/quay/Known.java
+++ b/src/main/java/larkbank/quay/Known.java
@@ -29,7 +29,6 @@
 
     /** What an end that was told says. */
     public static Known of(Outcome outcome) {
-        return outcome instanceof Outcome.NotRun ? UNRUN
-                : outcome instanceof Outcome.Answered ? RAN : MAY_HAVE_RUN;
+        return outcome instanceof Outcome.NotRun ? UNRUN : outcome instanceof Outcome.Answered ? RAN : MAY_HAVE_RUN;
     }
 }
--- a/src/main/java/larkbank/quay/Load.java
+++ b/src/main/java/larkbank/quay/Load.java
@@ -1,4 +1,4 @@
 package larkbank.quay;
 
 /** How busy the server is, as seen from here. */
-public record Load(int running, int waiting, int slots) { }
+public record Load(int running, int waiting, int slots) {}
--- a/src/main/java/larkbank/quay/Lull.java
+++ b/src/main/java/larkbank/quay/Lull.java
@@ -7,6 +7,7 @@
 final class Lull {
     /** Taken until more is known. */
     private static final long FIRST_MICROS = 1_000_000;
+
     private static final long LEAST_MICROS = 10_000;
     private static final long MOST_MICROS = 60_000_000;
     /** In this time the bound that a reset has set doubles. */
--- a/src/main/java/larkbank/quay/Outcome.java
+++ b/src/main/java/larkbank/quay/Outcome.java
@@ -7,11 +7,11 @@
 public sealed interface Outcome {
 
     /** Certain: the server did not run it. */
-    record NotRun(Reason reason, long retryAfterMicros) implements Outcome { }
+    record NotRun(Reason reason, long retryAfterMicros) implements Outcome {}
 
     /** The server's own whole answer, with the headers as they came; a chunked body is put together. */
-    record Answered(int status, List<Map.Entry<String, String>> headers, byte[] body) implements Outcome { }
+    record Answered(int status, List<Map.Entry<String, String>> headers, byte[] body) implements Outcome {}
 
     /** It was handed over at least in part, and nothing certain is known. */
-    record MayHaveRun(String why) implements Outcome { }
+    record MayHaveRun(String why) implements Outcome {}
 }
--- a/src/main/java/larkbank/quay/Pier.java
+++ b/src/main/java/larkbank/quay/Pier.java
@@ -27,11 +27,11 @@
     private final Alarm alarm;
     /** Answers that were told while the read that brought them goes on. */
     private int settling;
+
     private boolean pumping;
     private boolean woken;
 
-    Pier(EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan,
-            Consumer<String> log) {
+    Pier(EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan, Consumer<String> log) {
         this.loop = loop;
         this.micros = micros;
         this.plan = plan;
@@ -70,7 +70,8 @@
                 abandon(berth, Ended.OVERDUE, null);
             }
         } else if (now >= sendBy(berth, shipment)
-                && !unsend(berth, new Outcome.NotRun(Reason.LATE, 0)) && now >= shipment.deadline) {
+                && !unsend(berth, new Outcome.NotRun(Reason.LATE, 0))
+                && now >= shipment.deadline) {
             Outcome outcome = new Outcome.MayHaveRun("deadline");
             if (shipment.repeatable) {
                 abandon(berth, Ended.OVERDUE, outcome);
@@ -149,7 +150,9 @@
             if (berths.someUp()) {
                 return false;
             }
-            end(stevedore.letGo(now, first), Ended.OTHER,
+            end(
+                    stevedore.letGo(now, first),
+                    Ended.OTHER,
                     new Outcome.NotRun(Reason.NO_CONNECTION, berths.failingUntil() - now));
         } else if (berths.room()) {
             berths.connect(stevedore.letGo(now, first));
@@ -217,8 +220,7 @@
             Shipment unsent = berth.drop();
             berths.rest(berth, now, idleUntil(now, ASSUMED_IDLE_SECONDS));
             if (unsent != null) {
-                end(unsent, Ended.OTHER,
-                        new Outcome.NotRun(berth.isDone() ? Reason.GONE : Reason.LATE, 0));
+                end(unsent, Ended.OTHER, new Outcome.NotRun(berth.isDone() ? Reason.GONE : Reason.LATE, 0));
             }
             wake();
         } else {
@@ -246,11 +248,14 @@
     public void ended(ServerConnection berth, Shipment shipment, AnswerVerdict verdict) {
         settling++;
         berths.free(berth);
-        end(shipment, switch (verdict.kind()) {
-            case ANSWERED -> Ended.ANSWERED;
-            case FULL -> Ended.FULL;
-            default -> Ended.OTHER;
-        }, verdict.outcome());
+        end(
+                shipment,
+                switch (verdict.kind()) {
+                    case ANSWERED -> Ended.ANSWERED;
+                    case FULL -> Ended.FULL;
+                    default -> Ended.OTHER;
+                },
+                verdict.outcome());
     }
 
     @Override
@@ -264,8 +269,7 @@
         if (handed) {
             log.accept(shipment.attemptId + " may have run: " + why);
         }
-        end(shipment, Ended.OTHER, handed ? new Outcome.MayHaveRun(why)
-                : new Outcome.NotRun(Reason.NO_CONNECTION, 0));
+        end(shipment, Ended.OTHER, handed ? new Outcome.MayHaveRun(why) : new Outcome.NotRun(Reason.NO_CONNECTION, 0));
     }
 
     @Override
--- a/src/main/java/larkbank/quay/Quay.java
+++ b/src/main/java/larkbank/quay/Quay.java
@@ -23,8 +23,8 @@
     private Life life;
     private boolean leaving;
 
-    public Quay(EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan,
-            Consumer<String> log) {
+    public Quay(
+            EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan, Consumer<String> log) {
         this.loop = loop;
         this.log = log;
         pier = new Pier(loop, application, micros, plan, log);
@@ -37,8 +37,10 @@
         check();
         boolean another = life == null || next == null || !next.instanceId().equals(life.instanceId());
         life = next;
-        stevedore.life(next == null ? 0 : Math.max(1, next.slots()),
-                next == null ? Long.MIN_VALUE : next.warmUntilMicros(), another);
+        stevedore.life(
+                next == null ? 0 : Math.max(1, next.slots()),
+                next == null ? Long.MIN_VALUE : next.warmUntilMicros(),
+                another);
         if (another) {
             pier.another();
             handBack(false);
--- a/src/main/java/larkbank/quay/QuayPlan.java
+++ b/src/main/java/larkbank/quay/QuayPlan.java
@@ -10,8 +10,16 @@
  * @param maxConnections what the server accepts, until that is told
  * @param mostAnswerBytes largest body of an answer
  */
-public record QuayPlan(int extraInFlight, double coldFactor, int minWaiting, int mostWaiting, long meanMicros,
-        long connectMicros, long lingerMicros, int maxConnections, int mostAnswerBytes) {
+public record QuayPlan(
+        int extraInFlight,
+        double coldFactor,
+        int minWaiting,
+        int mostWaiting,
+        long meanMicros,
+        long connectMicros,
+        long lingerMicros,
+        int maxConnections,
+        int mostAnswerBytes) {
 
     public static QuayPlan defaults() {
         return new QuayPlan(1, 1.0, 0, 0, 50_000, 1_000_000, 500_000, 64, 16 * 1024 * 1024);
--- a/src/main/java/larkbank/quay/RequestBytes.java
+++ b/src/main/java/larkbank/quay/RequestBytes.java
@@ -12,12 +12,13 @@
     static final String ATTEMPT_ID = "Cypressweir-Attempt-Id";
     static final String TIME_REMAINING = "Cypressweir-Time-Remaining";
     /** What is set here, or says how a body that has come whole was framed before. */
-    private static final Set<String> OURS = Set.of("content-length", "transfer-encoding",
-            TIME_REMAINING.toLowerCase(Locale.ROOT));
+    private static final Set<String> OURS =
+            Set.of("content-length", "transfer-encoding", TIME_REMAINING.toLowerCase(Locale.ROOT));
+
     private static final Set<String> WITH_BODY = Set.of("POST", "PUT", "PATCH");
     private static final String MARKS = "!#$%&'*+-.^_`|~";
 
-    private RequestBytes() { }
+    private RequestBytes() {}
 
     /** Why it can't be sent as it is, null if it can. */
     static String fault(Freight f) {
@@ -38,8 +39,12 @@
     }
 
     private static boolean isToken(String text) {
-        return !text.isEmpty() && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'z'
-                || c >= 'A' && c <= 'Z' || MARKS.indexOf(c) >= 0);
+        return !text.isEmpty()
+                && text.chars()
+                        .allMatch(c -> c >= '0' && c <= '9'
+                                || c >= 'a' && c <= 'z'
+                                || c >= 'A' && c <= 'Z'
+                                || MARKS.indexOf(c) >= 0);
     }
 
     private static boolean isValue(String text) {
--- a/src/main/java/larkbank/quay/ServerConnection.java
+++ b/src/main/java/larkbank/quay/ServerConnection.java
@@ -40,7 +40,13 @@
         void down(ServerConnection berth, boolean wasUp);
     }
 
-    private enum State { CONNECTING, IDLE, BUSY, SETTLING, CLOSED }
+    private enum State {
+        CONNECTING,
+        IDLE,
+        BUSY,
+        SETTLING,
+        CLOSED
+    }
 
     private final EventLoop loop;
     private final Owner owner;
@@ -51,6 +57,7 @@
     private Shipment shipment;
     /** Takes no further request. */
     private boolean done;
+
     private boolean written;
     private boolean answerBegan;
     private Shipment previous;
@@ -64,16 +71,22 @@
     ServerConnection(EventLoop loop, InetSocketAddress to, QuayPlan plan, Owner owner) {
         this.loop = loop;
         this.owner = owner;
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        ChannelFuture connecting = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, plan.connectMicros() / 1000))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(ServerConnection.this, decoder,
-                                new AnswerCollector(decoder, plan.mostAnswerBytes(), ServerConnection.this));
+                        c.pipeline()
+                                .addLast(
+                                        ServerConnection.this,
+                                        decoder,
+                                        new AnswerCollector(decoder, plan.mostAnswerBytes(), ServerConnection.this));
                     }
-                }).connect(to);
+                })
+                .connect(to);
         channel = connecting.channel();
         connecting.addListener(f -> later(f.isSuccess() ? this::opened : this::down));
         channel.closeFuture().addListener(f -> later(this::down));
@@ -209,8 +222,8 @@
         }
         owner.down(this, wasUp);
         if (shipment != null) {
-            owner.broken(this, drop(), answerBegan ? "an answer that was cut off"
-                    : "the connection ended before an answer");
+            owner.broken(
+                    this, drop(), answerBegan ? "an answer that was cut off" : "the connection ended before an answer");
         }
     }
 
@@ -253,8 +266,7 @@
         }
         previous = drop();
         state = State.SETTLING;
-        done |= verdict.kind() == AnswerVerdict.Kind.BROKEN || !answer.keepAlive() || !written
-                || decoder.hasMore();
+        done |= verdict.kind() == AnswerVerdict.Kind.BROKEN || !answer.keepAlive() || !written || decoder.hasMore();
         if (done) {
             close();
         }
--- a/src/main/java/larkbank/quay/ServerConnections.java
+++ b/src/main/java/larkbank/quay/ServerConnections.java
@@ -12,6 +12,7 @@
 final class ServerConnections {
     /** What the server accepts beyond what is used here. */
     private static final int SPARE = 4;
+
     private static final int FAILURES = 3;
     private static final long FAILING_MICROS = 200_000;
 
@@ -22,6 +23,7 @@
     private final Deque<ServerConnection> idle = new ArrayDeque<>();
     /** Those that hold a request, sent or not yet. */
     private final Set<ServerConnection> busy = new LinkedHashSet<>();
+
     private final Set<ServerConnection> open = new LinkedHashSet<>();
     private int maxConnections;
     private int failures;
--- a/src/main/java/larkbank/quay/Shipment.java
+++ b/src/main/java/larkbank/quay/Shipment.java
@@ -10,11 +10,11 @@
     final String attemptId;
     /** Sent is what the socket took at least a byte of. */
     Known known = Known.NOT_SENT;
+
     private boolean over;
 
     Shipment(Freight freight, Consumer<Outcome> end) {
-        super(freight.inner(), freight.rank(), freight.aimAtMicros(), freight.deadlineMicros(),
-                freight.repeatable());
+        super(freight.inner(), freight.rank(), freight.aimAtMicros(), freight.deadlineMicros(), freight.repeatable());
         this.freight = freight;
         this.end = end;
         attemptId = RequestBytes.attemptId(freight);
--- a/src/main/java/larkbank/quay/Stevedore.java
+++ b/src/main/java/larkbank/quay/Stevedore.java
@@ -13,15 +13,21 @@
 final class Stevedore<C extends Cargo> {
     /** What is left of a deadline for the way. */
     static final long MARGIN_MICROS = 5_000;
+
     private static final long LEAST_RETRY_MICROS = 20_000;
     /** Up to here a request has only just come, and may go however little time is left. */
     private static final long WAITED_MICROS = 1_000;
 
     /** A request that is not held any more; it has not been run. */
-    record Refusal<C>(C cargo, Reason reason, long retryAfterMicros) { }
+    record Refusal<C>(C cargo, Reason reason, long retryAfterMicros) {}
 
     /** How what ran came to an end. */
-    enum Ended { ANSWERED, FULL, OVERDUE, OTHER }
+    enum Ended {
+        ANSWERED,
+        FULL,
+        OVERDUE,
+        OTHER
+    }
 
     private final QuayPlan plan;
     private final ServiceTimes means;
--- a/src/main/java/larkbank/route/Candidates.java
+++ b/src/main/java/larkbank/route/Candidates.java
@@ -22,11 +22,11 @@
     private final List<Route<T>> routes;
     /** The header that parts them; null where they are looked at one by one. */
     private final String header;
+
     private final Map<String, Candidates<T>> byValue;
     private final Candidates<T> others;
 
-    private Candidates(List<Route<T>> routes, String header, Map<String, Candidates<T>> byValue,
-            Candidates<T> others) {
+    private Candidates(List<Route<T>> routes, String header, Map<String, Candidates<T>> byValue, Candidates<T> others) {
         this.routes = routes;
         this.header = header;
         this.byValue = byValue;
@@ -84,8 +84,11 @@
                 }
             }
         }
-        return counts.entrySet().stream().filter(e -> 2 * e.getValue() > routes.size())
-                .max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse(null);
+        return counts.entrySet().stream()
+                .filter(e -> 2 * e.getValue() > routes.size())
+                .max(Map.Entry.comparingByValue())
+                .map(Map.Entry::getKey)
+                .orElse(null);
     }
 
     private static <T> String wanted(Route<T> route, String header) {
--- a/src/main/java/larkbank/route/HeaderTest.java
+++ b/src/main/java/larkbank/route/HeaderTest.java
@@ -13,7 +13,11 @@
 public record HeaderTest(String name, Kind kind, String value) {
 
     /** What is asked. */
-    public enum Kind { PRESENT, ABSENT, EQUAL }
+    public enum Kind {
+        PRESENT,
+        ABSENT,
+        EQUAL
+    }
 
     /** Whether a header of this combined value passes; null where it is absent. */
     boolean matches(String combined) {
@@ -26,8 +30,7 @@
 
     /** Whether every request that passes the other passes this one too. */
     boolean impliedBy(HeaderTest other) {
-        return equals(other)
-                || name.equals(other.name) && kind == Kind.PRESENT && other.kind == Kind.EQUAL;
+        return equals(other) || name.equals(other.name) && kind == Kind.PRESENT && other.kind == Kind.EQUAL;
     }
 
     /** Whether no request passes both. */
--- a/src/main/java/larkbank/route/HostName.java
+++ b/src/main/java/larkbank/route/HostName.java
@@ -11,7 +11,7 @@
 
     private static final int MAX = 253;
 
-    private HostName() { }
+    private HostName() {}
 
     /**
      * The host that a request's {@code Host} fields name; the empty text where there is none, which only
@@ -66,10 +66,18 @@
             return false;
         }
         if (literal) {
-            return host.length() > 2 && host.endsWith("]") && host.substring(1, host.length() - 1).chars()
-                    .allMatch(c -> Character.digit(c, 16) >= 0 && c < 128 || c == ':' || c == '.');
+            return host.length() > 2
+                    && host.endsWith("]")
+                    && host.substring(1, host.length() - 1)
+                            .chars()
+                            .allMatch(c -> Character.digit(c, 16) >= 0 && c < 128 || c == ':' || c == '.');
         }
-        return host.chars().allMatch(c -> c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-                || c == '-' || c == '.' || c == '_');
+        return host.chars()
+                .allMatch(c -> c >= 'a' && c <= 'z'
+                        || c >= 'A' && c <= 'Z'
+                        || c >= '0' && c <= '9'
+                        || c == '-'
+                        || c == '.'
+                        || c == '_');
     }
 }
--- a/src/main/java/larkbank/route/HostPattern.java
+++ b/src/main/java/larkbank/route/HostPattern.java
@@ -29,8 +29,7 @@
             }
             return new HostPattern(normal, suffix);
         } catch (BadTarget e) {
-            throw new IllegalArgumentException("host '" + text
-                    + "' is neither a name nor '*.' and a name nor '*'", e);
+            throw new IllegalArgumentException("host '" + text + "' is neither a name nor '*.' and a name nor '*'", e);
         }
     }
 
--- a/src/main/java/larkbank/route/Overlaps.java
+++ b/src/main/java/larkbank/route/Overlaps.java
@@ -18,9 +18,9 @@
 public final class Overlaps {
 
     /** Two routes of one file, by name. */
-    public record Pair(String route, String other, boolean hidden) { }
+    public record Pair(String route, String other, boolean hidden) {}
 
-    private Overlaps() { }
+    private Overlaps() {}
 
     /** All pairs at fault, a route once at most as the first of a pair. */
     public static <T> List<Pair> of(List<Route<T>> routes) {
@@ -74,12 +74,14 @@
                 if (test.kind() == HeaderTest.Kind.EQUAL) {
                     without.computeIfAbsent(test.name(), n -> new HashSet<>(all));
                     byValue.computeIfAbsent(test.name(), n -> new HashMap<>())
-                            .computeIfAbsent(test.value(), v -> new ArrayList<>()).add(route);
+                            .computeIfAbsent(test.value(), v -> new ArrayList<>())
+                            .add(route);
                 }
             }
             without.forEach((name, routes) -> {
-                if (route.match().headers().stream().noneMatch(t -> t.kind() == HeaderTest.Kind.EQUAL
-                        && t.name().equals(name))) {
+                if (route.match().headers().stream()
+                        .noneMatch(t ->
+                                t.kind() == HeaderTest.Kind.EQUAL && t.name().equals(name))) {
                     routes.add(route);
                 }
             });
--- a/src/main/java/larkbank/route/PathPattern.java
+++ b/src/main/java/larkbank/route/PathPattern.java
@@ -40,8 +40,7 @@
             segments.add(open ? null : segment);
         }
         if (segments.size() > MAX_SEGMENTS) {
-            throw new IllegalArgumentException("path '" + text + "' has more than " + MAX_SEGMENTS
-                    + " segments");
+            throw new IllegalArgumentException("path '" + text + "' has more than " + MAX_SEGMENTS + " segments");
         }
         PathPattern pattern = new PathPattern(segments, prefix);
         pattern.checkNormal(text);
@@ -65,8 +64,7 @@
             throw new IllegalArgumentException("path '" + text + "' has a query or a fragment");
         }
         if (!normal.contentEquals(sample)) {
-            throw new IllegalArgumentException("path '" + text
-                    + "' is not in normal form, so nothing matches it");
+            throw new IllegalArgumentException("path '" + text + "' is not in normal form, so nothing matches it");
         }
     }
 
--- a/src/main/java/larkbank/route/Plan.java
+++ b/src/main/java/larkbank/route/Plan.java
@@ -12,6 +12,11 @@
  * @param fleet what all instances together may ask of what they share; null for no bounds
  * @param membership how this process takes part among others; null where it does not
  */
-public record Plan(List<Listener> listeners, List<PoolPlan> pools, Router<Target> router,
-        boolean webSockets, List<PluginPlan> plugins, FleetPlan fleet,
-        MembershipPlan membership) { }
+public record Plan(
+        List<Listener> listeners,
+        List<PoolPlan> pools,
+        Router<Target> router,
+        boolean webSockets,
+        List<PluginPlan> plugins,
+        FleetPlan fleet,
+        MembershipPlan membership) {}
--- a/src/main/java/larkbank/route/PluginPlan.java
+++ b/src/main/java/larkbank/route/PluginPlan.java
@@ -13,15 +13,26 @@
  * @param failClosed whether a request is refused where the plug-in fails; otherwise it goes on
  * @param config what it may read by name
  */
-public record PluginPlan(String name, int line, byte[] module, long deadlineMicros, int memoryPages,
+public record PluginPlan(
+        String name,
+        int line,
+        byte[] module,
+        long deadlineMicros,
+        int memoryPages,
         boolean failClosed,
-        PluginGrant grant, Map<String, String> config) {
+        PluginGrant grant,
+        Map<String, String> config) {
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof PluginPlan p && name.equals(p.name) && Arrays.equals(module, p.module)
-                && deadlineMicros == p.deadlineMicros && memoryPages == p.memoryPages
-                && failClosed == p.failClosed && grant.equals(p.grant) && config.equals(p.config);
+        return o instanceof PluginPlan p
+                && name.equals(p.name)
+                && Arrays.equals(module, p.module)
+                && deadlineMicros == p.deadlineMicros
+                && memoryPages == p.memoryPages
+                && failClosed == p.failClosed
+                && grant.equals(p.grant)
+                && config.equals(p.config);
     }
 
     @Override
--- a/src/main/java/larkbank/route/PoolPlan.java
+++ b/src/main/java/larkbank/route/PoolPlan.java
@@ -13,8 +13,14 @@
  * @param tunnels connections that have gone over to another protocol
  * @param cells how it is parted into cells, with a module each; null for one module
  */
-public record PoolPlan(String name, List<StaticServer> servers, int connections, int requests, int queue,
-        Tunnelled tunnels, CellsPlan cells) {
+public record PoolPlan(
+        String name,
+        List<StaticServer> servers,
+        int connections,
+        int requests,
+        int queue,
+        Tunnelled tunnels,
+        CellsPlan cells) {
 
     /**
      * What the pool takes of connections that stay.
@@ -23,13 +29,18 @@
      * @param perServer to one of them; {@link Integer#MAX_VALUE} for no bound
      * @param rate new ones a second that each of them takes
      */
-    public record Tunnelled(int most, int perServer, int rate) { }
+    public record Tunnelled(int most, int perServer, int rate) {}
 
     /** What one of the cells has of it. */
     public PoolPlan ofCell(int cell) {
-        return new PoolPlan(name + "/" + cells.cells().get(cell).name(), servers,
-                cells.part(cell, connections), cells.part(cell, requests), cells.part(cell, queue),
-                new Tunnelled(cells.part(cell, tunnels.most()), tunnels.perServer(), tunnels.rate()), null);
+        return new PoolPlan(
+                name + "/" + cells.cells().get(cell).name(),
+                servers,
+                cells.part(cell, connections),
+                cells.part(cell, requests),
+                cells.part(cell, queue),
+                new Tunnelled(cells.part(cell, tunnels.most()), tunnels.perServer(), tunnels.rate()),
+                null);
     }
 
     /** Whether discovery tells its servers. */
--- a/src/main/java/larkbank/route/RequestTarget.java
+++ b/src/main/java/larkbank/route/RequestTarget.java
@@ -76,7 +76,10 @@
     private static boolean isNormal(String path) {
         for (int i = 0; i < path.length(); i++) {
             char c = path.charAt(i);
-            boolean special = c == '%' || c == '\\' || c <= ' ' || c >= 127
+            boolean special = c == '%'
+                    || c == '\\'
+                    || c <= ' '
+                    || c >= 127
                     || i > 0 && path.charAt(i - 1) == '/' && (c == '/' || c == '.');
             if (special) {
                 return false;
@@ -116,8 +119,13 @@
     }
 
     private static boolean isUnreserved(int c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.'
-                || c == '_' || c == '~';
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || c == '-'
+                || c == '.'
+                || c == '_'
+                || c == '~';
     }
 
     /** Resolves dot segments and joins slashes; a directory keeps its slash at the end. */
@@ -135,7 +143,7 @@
             }
         }
         StringBuilder normal = new StringBuilder(path.length());
-        for (Iterator<String> segments = kept.iterator(); segments.hasNext();) {
+        for (Iterator<String> segments = kept.iterator(); segments.hasNext(); ) {
             normal.append('/').append(segments.next());
         }
         boolean directory = last.isEmpty() || last.equals(".") || last.equals("..");
--- a/src/main/java/larkbank/route/Resume.java
+++ b/src/main/java/larkbank/route/Resume.java
@@ -10,4 +10,4 @@
  * @param value of that header
  * @param firstMessage whether the client's first message is repeated to the other server
  */
-public record Resume(Set<String> subprotocols, String header, String value, boolean firstMessage) { }
+public record Resume(Set<String> subprotocols, String header, String value, boolean firstMessage) {}
--- a/src/main/java/larkbank/route/Route.java
+++ b/src/main/java/larkbank/route/Route.java
@@ -6,4 +6,4 @@
  * @param name unique among routes
  * @param <T> what is known of the way from here on
  */
-public record Route<T>(String name, Match match, T target) { }
+public record Route<T>(String name, Match match, T target) {}
--- a/src/main/java/larkbank/route/StaticServer.java
+++ b/src/main/java/larkbank/route/StaticServer.java
@@ -15,12 +15,17 @@
  * @param cell the group that drops repeats together, from 0
  * @param weight its capacity, 1 being usual
  */
-public record StaticServer(String id, InetSocketAddress endpoint, String zone, String model, int cell,
-        double weight) {
+public record StaticServer(String id, InetSocketAddress endpoint, String zone, String model, int cell, double weight) {
 
     /** Its line on a list; zones and models are numbered as in the settings, -1 for none. */
     public Server line(List<String> zones, List<String> models) {
-        return new Server(Ids.of(id), zone == null ? -1 : zones.indexOf(zone),
-                model == null ? -1 : models.indexOf(model), cell, Phase.READY, 0, weight);
+        return new Server(
+                Ids.of(id),
+                zone == null ? -1 : zones.indexOf(zone),
+                model == null ? -1 : models.indexOf(model),
+                cell,
+                Phase.READY,
+                0,
+                weight);
     }
 }
--- a/src/main/java/larkbank/route/Target.java
+++ b/src/main/java/larkbank/route/Target.java
@@ -9,5 +9,4 @@
  * @param timeoutMicros for the whole request; the client's own time holds where it is shorter
  * @param webSocket what holds for its WebSocket connections; null where it has none
  */
-public record Target(String pool, int requestClass, long timeoutMicros, Terms terms,
-        WebSocketLimits webSocket) { }
+public record Target(String pool, int requestClass, long timeoutMicros, Terms terms, WebSocketLimits webSocket) {}
--- a/src/main/java/larkbank/route/TunnelBounds.java
+++ b/src/main/java/larkbank/route/TunnelBounds.java
@@ -8,4 +8,4 @@
  * @param perTenant of one tenant; {@link Integer#MAX_VALUE} for no bound
  * @param evictMicros from how long without data one may be closed for another; 0 for never
  */
-public record TunnelBounds(String route, int most, int perTenant, long evictMicros) { }
+public record TunnelBounds(String route, int most, int perTenant, long evictMicros) {}
--- a/src/main/java/larkbank/route/WebSocketLimits.java
+++ b/src/main/java/larkbank/route/WebSocketLimits.java
@@ -15,6 +15,15 @@
  * @param bounds how many there may be
  * @param resume how one goes on at another server; null where it can't
  */
-public record WebSocketLimits(long maxFrame, long maxMessage, long idleMicros, long pingMicros,
-        long pongMicros, long lifeMicros, long drainMicros, long reconnects,
-        Farewell farewell, TunnelBounds bounds, Resume resume) { }
+public record WebSocketLimits(
+        long maxFrame,
+        long maxMessage,
+        long idleMicros,
+        long pingMicros,
+        long pongMicros,
+        long lifeMicros,
+        long drainMicros,
+        long reconnects,
+        Farewell farewell,
+        TunnelBounds bounds,
+        Resume resume) {}
--- a/src/main/java/larkbank/sidecar/Call.java
+++ b/src/main/java/larkbank/sidecar/Call.java
@@ -29,10 +29,10 @@
         }
 
         /** Answers what is no request and ends the connection. */
-        default void reject(RequestReader.BadRequest why) { }
+        default void reject(RequestReader.BadRequest why) {}
 
         /** What comes behind the request belongs to what it asks to go over to. */
-        default void upgrading() { }
+        default void upgrading() {}
 
         /** Whether nothing has come behind the request. */
         default boolean isAlone() {
@@ -60,13 +60,16 @@
     boolean served;
     /** What it asks to go over to; null for a plain request. */
     final Upgrade upgrade;
+
     final HttpMethod method;
     final String uri;
     /** The longest that it may take, whatever its client says. */
     final long timeoutMicros;
+
     final HttpHeaders headers;
     /** Kept until the request is forgotten. */
     final ByteBuf body;
+
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Attempts that have not ended. */
@@ -77,13 +80,21 @@
     boolean forgotten;
     /** The last answer to an upgrade that was no 101, of a server that may have run it. */
     Declined declined;
+
     Future<?> expiry;
     /** The attempt whose answer is passed on as it comes, and where to; null while there is none. */
     Attempt passed;
+
     Passing passing;
 
-    Call(Request request, Way way, String className, HttpMethod method,
-            HttpHeaders headers, ByteBuf body, Client client) {
+    Call(
+            Request request,
+            Way way,
+            String className,
+            HttpMethod method,
+            HttpHeaders headers,
+            ByteBuf body,
+            Client client) {
         this.request = request;
         this.className = className;
         cluster = way.cluster();
@@ -106,7 +117,7 @@
     }
 
     /** A server's own word on an upgrade. */
-    record Declined(HttpResponseStatus status, HttpHeaders headers, byte[] content) { }
+    record Declined(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 
     /** A server's connection that is to go over to another protocol. */
     interface Switched {
@@ -134,6 +145,7 @@
         long begunAt;
         /** The last byte of the request has left, so from here on it may have run. */
         boolean written;
+
         Result result;
         Future<?> timeout;
         /** The server's connection once it has agreed to go over. */
--- a/src/main/java/larkbank/sidecar/CelledPool.java
+++ b/src/main/java/larkbank/sidecar/CelledPool.java
@@ -27,7 +27,7 @@
 /** Cells with a pool each. Which of them a request or a server belongs to is for {@link Cells} to say. */
 final class CelledPool implements Cluster, Cells.Actions, Call.Watch {
 
-    private record Known(ServerList.Entry entry, int cell) { }
+    private record Known(ServerList.Entry entry, int cell) {}
 
     private final Pool.Shared shared;
     private List<RequestClass> classes;
@@ -41,8 +41,7 @@
     private final Map<Ticket, Call> held = new IdentityHashMap<>();
 
     /** @param maker makes the pool of one cell */
-    CelledPool(Pool.Shared shared, Settings settings, PoolPlan plan,
-            Function<PoolPlan, Pool> maker) {
+    CelledPool(Pool.Shared shared, Settings settings, PoolPlan plan, Function<PoolPlan, Pool> maker) {
         this.shared = shared;
         classes = settings.classes();
         limits = settings.limits();
@@ -50,7 +49,8 @@
         for (int c = 0; c < plan.cells().cells().size(); c++) {
             pools.add(maker.apply(plan.ofCell(c)));
         }
-        cells = new Cells(plan.name(), plan.cells(), plan.requests(), shared.clock().micros(), this);
+        cells = new Cells(
+                plan.name(), plan.cells(), plan.requests(), shared.clock().micros(), this);
     }
 
     @Override
@@ -107,8 +107,13 @@
         long now = shared.clock().micros();
         Effect effect = classes.get(call.request.requestClass()).effect();
         String key = effect == Effect.KEYED ? call.headers.get(Headers.IDEMPOTENCY_KEY) : null;
-        Ticket ticket = cells.ask(now, unit(call), effect, key == null ? 0 : Ids.of(key),
-                Hashes.mix(Ids.of(call.request.id()), 0), call.request.deadlineMicros());
+        Ticket ticket = cells.ask(
+                now,
+                unit(call),
+                effect,
+                key == null ? 0 : Ids.of(key),
+                Hashes.mix(Ids.of(call.request.id()), 0),
+                call.request.deadlineMicros());
         if (ticket.retryAfterMicros() > 0) {
             refuse(call, ticket.retryAfterMicros());
             return;
@@ -129,8 +134,7 @@
         if (call.upgrade != null) {
             call.upgrade.answered(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
-        call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice),
-                Unpooled.EMPTY_BUFFER);
+        call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice), Unpooled.EMPTY_BUFFER);
     }
 
     private void forget(Call call, Ending ending) {
@@ -189,8 +193,7 @@
     public void answered(Call call) {
         long now = shared.clock().micros();
         RequestClass c = classes.get(call.request.requestClass());
-        cells.answered(now, call.ticket, call.served
-                && now - call.ticket.takenAt() <= c.aimMicros());
+        cells.answered(now, call.ticket, call.served && now - call.ticket.takenAt() <= c.aimMicros());
     }
 
     @Override
@@ -200,11 +203,15 @@
 
     @Override
     public void timer(long atMicros) {
-        shared.loop().schedule(() -> {
-            long now = shared.clock().micros();
-            hand(ListKind.CHANGES, new ServerList(0, false, List.of()), cells.sweep(now));
-            cells.timer(now);
-        }, Math.max(0, atMicros - shared.clock().micros()), TimeUnit.MICROSECONDS);
+        shared.loop()
+                .schedule(
+                        () -> {
+                            long now = shared.clock().micros();
+                            hand(ListKind.CHANGES, new ServerList(0, false, List.of()), cells.sweep(now));
+                            cells.timer(now);
+                        },
+                        Math.max(0, atMicros - shared.clock().micros()),
+                        TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -301,7 +308,9 @@
                 added.listed(ListKind.COMPLETE, new ServerList(0, true, List.of()));
             }
         }
-        hand(ListKind.CHANGES, new ServerList(0, false, List.of()),
+        hand(
+                ListKind.CHANGES,
+                new ServerList(0, false, List.of()),
                 cells.plan(shared.clock().micros(), plan.cells(), plan.requests()));
     }
 
--- a/src/main/java/larkbank/sidecar/ClientConnection.java
+++ b/src/main/java/larkbank/sidecar/ClientConnection.java
@@ -56,6 +56,7 @@
      * resets the connection, and the client could lose the answer.
      */
     private static final long LINGER_MILLIS = 5_000;
+
     private static final long LINGER_QUIET_MILLIS = 300;
     /** Bytes that may come behind a request for an upgrade before it is agreed to. */
     private static final int MOST_EARLY = 64 * 1024;
@@ -68,13 +69,16 @@
     private final long openedAt;
     /** Waits for the answer to the request in hand. */
     private Exchange client;
+
     private FullHttpRequest whole;
     private boolean more;
     /** A request is awaited: it is the first, or has begun to come. */
     private boolean awaited = true;
+
     private long awaitedSince;
     /** Reads that brought something, and the time of the last one. */
     private long heard;
+
     private long heardAt;
     private boolean writing;
     private long answeredAt;
@@ -211,8 +215,7 @@
 
     /** Since its last answer, if it waits for nothing and nothing of a request has come; else 0. */
     long idleMillis() {
-        return client != null || writing || deaf || awaited || switched ? 0
-                : server.millisSince(answeredAt);
+        return client != null || writing || deaf || awaited || switched ? 0 : server.millisSince(answeredAt);
     }
 
     void checkTimes() {
@@ -231,8 +234,9 @@
             closeAfter(answeredAt, IDLE_MILLIS);
         } else if (heard == 0) {
             closeAfter(openedAt, REQUEST_MILLIS);
-        } else if (!collector.waits() && server.millisSince(awaitedSince)
-                > REQUEST_MILLIS + collector.size() / LEAST_PACE && !restComes()) {
+        } else if (!collector.waits()
+                && server.millisSince(awaitedSince) > REQUEST_MILLIS + collector.size() / LEAST_PACE
+                && !restComes()) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole in time");
         }
     }
@@ -312,8 +316,9 @@
         awaited = false;
         client = new Exchange(HttpUtil.isKeepAlive(http), http.protocolVersion());
         if (http.decoderResult().isSuccess() && http.uri().equals("/healthz")) {
-            client.answer(server.service().ready() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE, new DefaultHttpHeaders(),
+            client.answer(
+                    server.service().ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
             return;
         }
@@ -339,7 +344,9 @@
         }
         release();
         client = new Exchange(false, HttpVersion.HTTP_1_1);
-        client.answer(status, headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
+        client.answer(
+                status,
+                headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
                 Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8));
     }
 
@@ -358,8 +365,7 @@
             server.log("client connection: " + cause);
             // Closed once the answer is written: closing here could cut it.
             broken = true;
-            client.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(),
-                    Unpooled.EMPTY_BUFFER);
+            client.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         } else {
             reject(HttpResponseStatus.BAD_REQUEST, "not HTTP");
         }
@@ -384,8 +390,7 @@
                 return null;
             }
             boolean chunks = length < 0 && version.equals(HttpVersion.HTTP_1_1);
-            boolean last = !keep || upgrading || broken || server.endsAfterAnswer(door)
-                    || length < 0 && !chunks;
+            boolean last = !keep || upgrading || broken || server.endsAfterAnswer(door) || length < 0 && !chunks;
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers);
             if (length >= 0) {
                 HttpUtil.setContentLength(head, length);
@@ -421,8 +426,8 @@
             }
             client = null;
             deaf = !keep || upgrading || broken || server.endsAfterAnswer(door);
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content,
-                    headers, new DefaultHttpHeaders());
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, content, headers, new DefaultHttpHeaders());
             HttpUtil.setContentLength(response, content.readableBytes());
             if (deaf) {
                 response.headers().set(HttpHeaderNames.CONNECTION, "close");
@@ -457,8 +462,11 @@
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             headers.set(HttpHeaderNames.CONNECTION, "Upgrade")
                     .set(HttpHeaderNames.UPGRADE, answer.headers().get(HttpHeaderNames.UPGRADE));
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.SWITCHING_PROTOCOLS, Unpooled.EMPTY_BUFFER, headers,
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.SWITCHING_PROTOCOLS,
+                    Unpooled.EMPTY_BUFFER,
+                    headers,
                     new DefaultHttpHeaders()));
             // The decoder hands on what it still holds, which comes here as bytes.
             channel.pipeline().remove(decoder);
@@ -495,8 +503,7 @@
 
         @Override
         public boolean more(ByteBuf part) {
-            channel.writeAndFlush(new DefaultHttpContent(part.retain()))
-                    .addListener(f -> progressAt = server.now());
+            channel.writeAndFlush(new DefaultHttpContent(part.retain())).addListener(f -> progressAt = server.now());
             return channel.isWritable();
         }
 
@@ -537,6 +544,7 @@
         private boolean begun;
         /** The message at hand asks to go over to another protocol; it has come whole. */
         private boolean asks;
+
         private boolean switching;
 
         Decoder(BooleanSupplier upgrades) {
@@ -546,8 +554,7 @@
 
         /** What is behind a request for an upgrade is none of HTTP. */
         @Override
-        protected void decode(ChannelHandlerContext context, ByteBuf bytes, List<Object> out)
-                throws Exception {
+        protected void decode(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
             if (switching) {
                 out.add(bytes.readRetainedSlice(bytes.readableBytes()));
                 return;
--- a/src/main/java/larkbank/sidecar/ClientServer.java
+++ b/src/main/java/larkbank/sidecar/ClientServer.java
@@ -48,7 +48,7 @@
         void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest;
 
         /** So many clients are connected, while those that are there are to go. */
-        default void clients(int count) { }
+        default void clients(int count) {}
 
         /** The client of this request has closed its connection. */
         void left(Call.Client client);
@@ -65,6 +65,7 @@
     static final long QUIET_MILLIS = 100;
     /** How long a door that closes waits for room for those that have connected and not been accepted. */
     private static final long FULL_MILLIS = 2_000;
+
     private static final long SWEEP_MILLIS = 25;
     /** In a drain, how long a connection may go without having said anything. */
     private static final long DISMISS_MILLIS = 1_500;
@@ -82,6 +83,7 @@
     private final Set<ClientConnection> switched = new HashSet<>();
     /** How many connections are accepted in one turn of the loop. */
     private final ServerChannelRecvByteBufAllocator accepts = new ServerChannelRecvByteBufAllocator();
+
     private final List<Door> doors = new ArrayList<>();
     private final Uploads uploads;
     /** Listens already, at the address of the first door; null where none was inherited or it is taken. */
@@ -96,6 +98,7 @@
         private boolean closing;
         /** Other processes listen on the same socket. */
         private final boolean shared;
+
         private long closingSince;
         private long acceptedAt;
 
@@ -162,9 +165,10 @@
         Door[] door = new Door[1];
         ServerSocketChannel listening = inherited;
         inherited = null;
-        ServerBootstrap bootstrap = new ServerBootstrap().group(loop, loop)
-                .channelFactory(() -> listening == null ? new NioServerSocketChannel()
-                        : new NioServerSocketChannel(listening))
+        ServerBootstrap bootstrap = new ServerBootstrap()
+                .group(loop, loop)
+                .channelFactory(
+                        () -> listening == null ? new NioServerSocketChannel() : new NioServerSocketChannel(listening))
                 .option(ChannelOption.RECVBUF_ALLOCATOR, accepts)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
@@ -173,9 +177,12 @@
                         new ClientConnection(ClientServer.this, door[0], c).begin();
                     }
                 });
-        ChannelFuture bound = listening != null ? bootstrap.register()
-                : bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG)
-                        .option(ChannelOption.SO_REUSEADDR, true).bind(address);
+        ChannelFuture bound = listening != null
+                ? bootstrap.register()
+                : bootstrap
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .bind(address);
         door[0] = new Door(bound.channel(), listening != null, now());
         bound.addListener(f -> {
             if (f.isSuccess()) {
@@ -238,15 +245,20 @@
             endQuietly(door, ended);
             return;
         }
-        loop.schedule(() -> {
-            door.closing = true;
-            door.closingSince = now();
-            endQuietly(door, ended);
-        }, ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    door.closing = true;
+                    door.closingSince = now();
+                    endQuietly(door, ended);
+                },
+                ACCEPT_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     void endQuietly(Door door, Runnable ended) {
-        connections.stream().filter(c -> c.door() == door && c.quiet(QUIET_MILLIS)).toList()
+        connections.stream()
+                .filter(c -> c.door() == door && c.quiet(QUIET_MILLIS))
+                .toList()
                 .forEach(ClientConnection::closeIfSilent);
         if (door.channel.isOpen() && mayShut(door)) {
             // Those that have connected since the loop looked last would be reset.
@@ -255,8 +267,8 @@
                 door.channel.close();
             }
         }
-        if (!door.channel.isOpen() && Stream.concat(connections.stream(), switched.stream())
-                .noneMatch(c -> c.door() == door)) {
+        if (!door.channel.isOpen()
+                && Stream.concat(connections.stream(), switched.stream()).noneMatch(c -> c.door() == door)) {
             doors.remove(door);
             ended.run();
         } else {
@@ -289,7 +301,9 @@
     private void dismissIdle() {
         if (dismisses()) {
             boolean last = millisSince(drainingSince) > DISMISS_MILLIS;
-            connections.stream().filter(c -> c.quiet(QUIET_MILLIS) && (last || c.hasAsked())).toList()
+            connections.stream()
+                    .filter(c -> c.quiet(QUIET_MILLIS) && (last || c.hasAsked()))
+                    .toList()
                     .forEach(ClientConnection::closeIfSilent);
         }
         if (draining) {
@@ -298,8 +312,7 @@
     }
 
     private boolean mayShut(Door door) {
-        boolean allIn = door.channel.config().isAutoRead()
-                || millisSince(door.closingSince) > FULL_MILLIS;
+        boolean allIn = door.channel.config().isAutoRead() || millisSince(door.closingSince) > FULL_MILLIS;
         return millisSince(door.acceptedAt) > QUIET_MILLIS && allIn;
     }
 
@@ -335,7 +348,8 @@
 
     long waitingBytes() {
         return Stream.concat(connections.stream(), switched.stream())
-                .mapToLong(ClientConnection::waitingBytes).sum();
+                .mapToLong(ClientConnection::waitingBytes)
+                .sum();
     }
 
     Uploads uploads() {
@@ -378,9 +392,13 @@
     private void closeSurplus() {
         int surplus = size() - most / 2;
         if (surplus > 0) {
-            connections.stream().filter(c -> c.idleMillis() > SURPLUS_MILLIS)
-                    .sorted(Comparator.comparingLong(ClientConnection::idleMillis).reversed()).limit(surplus)
-                    .toList().forEach(ClientConnection::closeIfSilent);
+            connections.stream()
+                    .filter(c -> c.idleMillis() > SURPLUS_MILLIS)
+                    .sorted(Comparator.comparingLong(ClientConnection::idleMillis)
+                            .reversed())
+                    .limit(surplus)
+                    .toList()
+                    .forEach(ClientConnection::closeIfSilent);
         }
     }
 
--- a/src/main/java/larkbank/sidecar/Clock.java
+++ b/src/main/java/larkbank/sidecar/Clock.java
@@ -9,8 +9,7 @@
  */
 final class Clock {
 
-    private final long offsetNanos =
-            ChronoUnit.NANOS.between(Instant.EPOCH, Instant.now()) - System.nanoTime();
+    private final long offsetNanos = ChronoUnit.NANOS.between(Instant.EPOCH, Instant.now()) - System.nanoTime();
 
     long micros() {
         return (offsetNanos + System.nanoTime()) / 1000;
--- a/src/main/java/larkbank/sidecar/Config.java
+++ b/src/main/java/larkbank/sidecar/Config.java
@@ -22,10 +22,18 @@
 import larkbank.operators.Facts;
 
 /** What one sidecar is told at its start. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery,
-        InetSocketAddress operator, int sockets,
-        Settings settings, long connectMicros, long drainGraceMicros, ServerList known,
-        ServerList.Reader lists, ConfigShape shape) {
+record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress operator,
+        int sockets,
+        Settings settings,
+        long connectMicros,
+        long drainGraceMicros,
+        ServerList known,
+        ServerList.Reader lists,
+        ConfigShape shape) {
 
     /**
      * Descriptors beside the clients' and servers' connections: the runtime, its files and the event loop
@@ -36,6 +44,7 @@
     private static final int REHEARSAL_DESCRIPTORS = 48;
     /** Of the requests that clients can have in hand, the part that is kept free. */
     private static final int FREE_PART = 32;
+
     private static final int LEAST_DESCRIPTORS = 128;
 
     /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
@@ -44,8 +53,7 @@
     }
 
     /** It has to have all that this one has; null for no such demand. */
-    private static Config read(Map<String, String> environment, ConfigShape demanded)
-            throws IOException {
+    private static Config read(Map<String, String> environment, ConfigShape demanded) throws IOException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IOException("LB_CONFIG names no file");
@@ -72,24 +80,57 @@
 
     /** The same with other servers, which nothing has to be asked for, and within other descriptors. */
     Config with(int otherSockets, ServerList servers) {
-        return new Config(name, listen, discovery, null, otherSockets,
-                settings.with(settings.limits(), false), connectMicros, drainGraceMicros, servers, lists,
+        return new Config(
+                name,
+                listen,
+                discovery,
+                null,
+                otherSockets,
+                settings.with(settings.limits(), false),
+                connectMicros,
+                drainGraceMicros,
+                servers,
+                lists,
                 shape);
     }
 
     /** The same within three quarters of its descriptors, while another process still has some. */
     Config beside() {
         int part = Math.max(LEAST_DESCRIPTORS, sockets / 4 * 3);
-        return new Config(name, listen, discovery, operator, part, settings.with(settings.limits()
-                .with(Math.min(settings.limits().open(), serverConnections(part)), settings.limits().held(),
-                        serverConnections(part)),
-                settings.discoveryOnAsk()), connectMicros, drainGraceMicros, known, lists, shape);
+        return new Config(
+                name,
+                listen,
+                discovery,
+                operator,
+                part,
+                settings.with(
+                        settings.limits()
+                                .with(
+                                        Math.min(settings.limits().open(), serverConnections(part)),
+                                        settings.limits().held(),
+                                        serverConnections(part)),
+                        settings.discoveryOnAsk()),
+                connectMicros,
+                drainGraceMicros,
+                known,
+                lists,
+                shape);
     }
 
     /** The same with its classes at these numbers. */
     Config with(List<RequestClass> placed) {
-        return new Config(name, listen, discovery, operator, sockets, settings.with(placed), connectMicros,
-                drainGraceMicros, known, lists, shape);
+        return new Config(
+                name,
+                listen,
+                discovery,
+                operator,
+                sockets,
+                settings.with(placed),
+                connectMicros,
+                drainGraceMicros,
+                known,
+                lists,
+                shape);
     }
 
     /** What an operators' file is checked against. */
@@ -97,8 +138,7 @@
         return new Facts(settings, lists.zones(), lists.models(), serverConnections(), listen);
     }
 
-    private static Config of(Map<?, ?> c, Map<String, String> environment, ConfigShape demanded)
-            throws IOException {
+    private static Config of(Map<?, ?> c, Map<String, String> environment, ConfigShape demanded) throws IOException {
         if (!(c.get("settings") instanceof Map<?, ?> facts)) {
             throw new IOException("'settings' is missing");
         }
@@ -107,10 +147,9 @@
             throw new IOException(fault);
         }
         Map<?, ?> limits = Json.object(facts, "policy_limits");
-        ServerList.Reader lists = new ServerList.Reader(SettingsReader.names(facts, "zones"),
-                SettingsReader.names(facts, "models"));
-        ServerList known = c.get("known") instanceof Map<?, ?> m ? lists.read(m)
-                : new ServerList(0, true, List.of());
+        ServerList.Reader lists =
+                new ServerList.Reader(SettingsReader.names(facts, "zones"), SettingsReader.names(facts, "models"));
+        ServerList known = c.get("known") instanceof Map<?, ?> m ? lists.read(m) : new ServerList(0, true, List.of());
         int sockets = (int) Math.min(65_536, Json.whole(Json.object(c, "limits"), "sockets", 1024));
         if (sockets < LEAST_DESCRIPTORS) {
             throw new IOException("'sockets' must be " + LEAST_DESCRIPTORS + " or more");
@@ -120,20 +159,27 @@
         int told = sockets;
         sockets -= operator == null ? 0 : OperatorsDoor.CALLERS + 1;
         sockets -= InheritedSocket.promised(environment.get("LB_SOCKET_FD")) ? REHEARSAL_DESCRIPTORS : 0;
-        return new Config(text(c, "name", environment.get("LB_NAME")),
+        return new Config(
+                text(c, "name", environment.get("LB_NAME")),
                 Addresses.parse(text(c, "listen", environment.get("LB_LISTEN"))),
-                Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY"))), operator, sockets,
+                Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY"))),
+                operator,
+                sockets,
                 within(checked(SettingsReader.read(seed(c), facts)), told, sockets),
                 Json.whole(limits, "connect_timeout_us", 250_000),
-                Json.whole(Json.object(facts, "rules"), "drain_grace_us", 0), known, lists,
+                Json.whole(Json.object(facts, "rules"), "drain_grace_us", 0),
+                known,
+                lists,
                 new ConfigShape(c));
     }
 
     private static Settings checked(Settings s) {
         String twice = ClassPlaces.twice(s.classes());
         require(twice == null, "class '" + twice + "' stands twice");
-        s.classes().forEach(c -> require(c.deadlineMicros() > 0 && !c.name().isEmpty(),
-                "'deadline_us' of class '" + c.name() + "' must be above 0"));
+        s.classes()
+                .forEach(c -> require(
+                        c.deadlineMicros() > 0 && !c.name().isEmpty(),
+                        "'deadline_us' of class '" + c.name() + "' must be above 0"));
         require(s.limits().attempts() > 0, "'attempts_cap' must be above 0");
         return s;
     }
@@ -154,9 +200,17 @@
      */
     private static Settings within(Settings s, int told, int sockets) {
         Limits l = s.limits();
-        Limits kept = new Limits(l.attempts(), l.cancelling(), l.probing(), l.retryAdvice(),
-                l.maxRetryAdviceMicros(), l.idleMicros() / 3 * 2,
-                open(l, told, sockets), l.held(), l.secondCopies(), serverConnections(sockets));
+        Limits kept = new Limits(
+                l.attempts(),
+                l.cancelling(),
+                l.probing(),
+                l.retryAdvice(),
+                l.maxRetryAdviceMicros(),
+                l.idleMicros() / 3 * 2,
+                open(l, told, sockets),
+                l.held(),
+                l.secondCopies(),
+                serverConnections(sockets));
         return s.with(kept, s.discoveryOnAsk());
     }
 
--- a/src/main/java/larkbank/sidecar/Discovery.java
+++ b/src/main/java/larkbank/sidecar/Discovery.java
@@ -43,6 +43,7 @@
     private static final long HOLD_MILLIS = 20_000;
     /** Silence beyond the hold is a dead peer; less than the 2 s after which word counts as told. */
     private static final long SILENCE_MILLIS = 1_000;
+
     private static final String PATH = "/v1/servers";
     private static final long CONNECT_MICROS = 1_000_000;
     /** Largest list: some ten thousand servers. */
@@ -62,11 +63,13 @@
     private Peer peer;
     /** The peer whose list is being read on the other thread. */
     private Peer reading;
+
     private ExecutorService readers;
     private boolean watching;
     private boolean closed;
     /** The next answer must be the whole list: the revision of another service says nothing. */
     private boolean whole;
+
     private long revision;
     private long askedAt;
     private Clock clock;
@@ -74,14 +77,25 @@
     private Future<?> silence;
     private Future<?> pause;
 
-    Discovery(EventLoop loop, InetSocketAddress address, ServerList.Reader reader, long revision,
-            Listener listener, Consumer<String> log) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            ServerList.Reader reader,
+            long revision,
+            Listener listener,
+            Consumer<String> log) {
         this(loop, address, reader, revision, listener, log, HOLD_MILLIS);
     }
 
     /** For tests: with another hold. */
-    Discovery(EventLoop loop, InetSocketAddress address, ServerList.Reader reader, long revision,
-            Listener listener, Consumer<String> log, long holdMillis) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            ServerList.Reader reader,
+            long revision,
+            Listener listener,
+            Consumer<String> log,
+            long holdMillis) {
         this.loop = loop;
         this.address = address;
         this.reader = reader;
@@ -231,8 +245,8 @@
             listener.listed(list);
             return;
         }
-        boolean early = list.entries().isEmpty()
-                && System.nanoTime() - askedAt < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
+        boolean early =
+                list.entries().isEmpty() && System.nanoTime() - askedAt < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
         if (early) {
             pause = loop.schedule(this::ask, EARLY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
@@ -269,7 +283,9 @@
         private boolean up;
 
         private void send() {
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+            FullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.GET,
                     whole ? PATH : PATH + "?from=" + revision + "&hold_ms=" + (pace == null ? holdMillis : 0),
                     Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
@@ -285,7 +301,7 @@
         }
 
         @Override
-        public void written() { }
+        public void written() {}
 
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
--- a/src/main/java/larkbank/sidecar/Fellowship.java
+++ b/src/main/java/larkbank/sidecar/Fellowship.java
@@ -24,9 +24,16 @@
      * @param portioned run when the part of what all share is another
      * @param lists that it lends and borrows
      */
-    record Opening(EventLoop loop, String name, MembershipPlan plan, boolean beside,
-            Map<String, String> facts, Consumer<String> log, Consumer<String> refused,
-            Runnable portioned, Lists lists) { }
+    record Opening(
+            EventLoop loop,
+            String name,
+            MembershipPlan plan,
+            boolean beside,
+            Map<String, String> facts,
+            Consumer<String> log,
+            Consumer<String> refused,
+            Runnable portioned,
+            Lists lists) {}
 
     /** Lists of servers that processes lend each other. */
     interface Lists {
--- a/src/main/java/larkbank/sidecar/Headers.java
+++ b/src/main/java/larkbank/sidecar/Headers.java
@@ -17,12 +17,18 @@
     static final String LOAD = "Server-Load";
     static final String NOT_STARTED = "Not-Started";
 
-    private static final List<CharSequence> ONE_HOP = List.of(HttpHeaderNames.CONNECTION,
-            "Keep-Alive", HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION,
-            HttpHeaderNames.TE, HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING,
-            HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
+    private static final List<CharSequence> ONE_HOP = List.of(
+            HttpHeaderNames.CONNECTION,
+            "Keep-Alive",
+            HttpHeaderNames.PROXY_AUTHENTICATE,
+            HttpHeaderNames.PROXY_AUTHORIZATION,
+            HttpHeaderNames.TE,
+            HttpHeaderNames.TRAILER,
+            HttpHeaderNames.TRANSFER_ENCODING,
+            HttpHeaderNames.UPGRADE,
+            HttpHeaderNames.EXPECT);
 
-    private Headers() { }
+    private Headers() {}
 
     /** A copy without what concerns one connection only. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
--- a/src/main/java/larkbank/sidecar/InheritedSocket.java
+++ b/src/main/java/larkbank/sidecar/InheritedSocket.java
@@ -13,7 +13,7 @@
  */
 final class InheritedSocket {
 
-    private InheritedSocket() { }
+    private InheritedSocket() {}
 
     /** Whether the platform promises one. */
     static boolean promised(String descriptor) {
@@ -28,8 +28,7 @@
         try {
             return new PrintStream(new FileOutputStream("/proc/self/fd/2", true), true);
         } catch (IOException e) {
-            log.println("larkbank: the log ends here, standard error can't be opened again: "
-                    + e.getMessage());
+            log.println("larkbank: the log ends here, standard error can't be opened again: " + e.getMessage());
             return log;
         }
     }
--- a/src/main/java/larkbank/sidecar/Installation.java
+++ b/src/main/java/larkbank/sidecar/Installation.java
@@ -7,7 +7,7 @@
 /** What an operators' file is checked against, for the command line. */
 public final class Installation {
 
-    private Installation() { }
+    private Installation() {}
 
     /**
      * Reads the configuration that {@code LB_CONFIG} names.
--- a/src/main/java/larkbank/sidecar/Layout.java
+++ b/src/main/java/larkbank/sidecar/Layout.java
@@ -17,8 +17,14 @@
 interface Layout {
 
     /** What a layout is made with; the pace is how discovery is asked from then on, null for a watch. */
-    record Parts(Config config, Pool.Shared shared, BiFunction<Settings, Actions, LoadBalancer> modules,
-            RequestReader reader, ClientServer clients, Consumer<Discovery.Pace> pace, Portion portion) { }
+    record Parts(
+            Config config,
+            Pool.Shared shared,
+            BiFunction<Settings, Actions, LoadBalancer> modules,
+            RequestReader reader,
+            ClientServer clients,
+            Consumer<Discovery.Pace> pace,
+            Portion portion) {}
 
     /** What this process may use of what all share, where that follows the living. */
     interface Portion {
@@ -68,7 +74,7 @@
     long waitingBytes();
 
     /** The process is to end: what has gone over to another protocol ends in order. */
-    default void stopping() { }
+    default void stopping() {}
 
     /** Whether a request would find a server in some pool. */
     boolean ready();
@@ -83,10 +89,10 @@
     Change reread(Config next) throws IOException;
 
     /** This process's part of what all share is another. */
-    default void portioned() { }
+    default void portioned() {}
 
     /** There are more descriptors now than it was made with. */
-    default void widen(Config wider) { }
+    default void widen(Config wider) {}
 
     void close();
 }
--- a/src/main/java/larkbank/sidecar/Link.java
+++ b/src/main/java/larkbank/sidecar/Link.java
@@ -78,7 +78,7 @@
         }
 
         /** The answer that was passed on has come whole; see {@link #answered}. */
-        default void passed(boolean clean, boolean keepAlive) { }
+        default void passed(boolean clean, boolean keepAlive) {}
 
         /** Never came up, broke, or was closed by either side. */
         void closed();
@@ -91,13 +91,16 @@
     private boolean asked;
     /** That request asks to go over to another protocol. */
     private boolean upgrading;
+
     private final Early early = new Early();
     private boolean down;
     /** It was broken by the other side, or given up by this one: what came is not known to be whole. */
     private boolean broken;
+
     private Feed feed;
     /** An answer that was passed on has come whole in this read. */
     private boolean passedWhole;
+
     private boolean passedKeepAlive;
     private String failure = "connection lost";
 
@@ -136,17 +139,25 @@
 
     Link(EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
         this.owner = owner;
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        ChannelFuture connecting = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectMicros / 1000))
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(256, 2_048, CHUNK))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Gate(), decoder, new HttpRequestEncoder(),
-                                new Collector(maxBody), new Answers());
+                        c.pipeline()
+                                .addLast(
+                                        new Gate(),
+                                        decoder,
+                                        new HttpRequestEncoder(),
+                                        new Collector(maxBody),
+                                        new Answers());
                     }
-                }).connect(to);
+                })
+                .connect(to);
         channel = connecting.channel();
         // Without a free descriptor there is no channel at all, and the failure comes on another thread. The
         // end is told by a task of its own, so never inside a call that asked for the link or closed it.
@@ -218,8 +229,8 @@
 
         Feed(FullHttpRequest request) {
             rest = request.content();
-            channel.write(new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(),
-                    request.headers()));
+            channel.write(new DefaultHttpRequest(
+                    request.protocolVersion(), request.method(), request.uri(), request.headers()));
         }
 
         void goOn() {
@@ -362,16 +373,16 @@
                 passOn(context, content);
             } else if (head != null) {
                 body.writeBytes(content.content());
-                if (content instanceof LastHttpContent || content.decoderResult().isFailure()) {
-                    hand(context, content.decoderResult().isFailure() ? content.decoderResult()
-                            : head.decoderResult());
+                if (content instanceof LastHttpContent
+                        || content.decoderResult().isFailure()) {
+                    hand(context, content.decoderResult().isFailure() ? content.decoderResult() : head.decoderResult());
                 }
             }
         }
 
         private void hand(ChannelHandlerContext context, DecoderResult result) {
-            FullHttpResponse whole = new DefaultFullHttpResponse(head.protocolVersion(), head.status(), body,
-                    head.headers(), EmptyHttpHeaders.INSTANCE);
+            FullHttpResponse whole = new DefaultFullHttpResponse(
+                    head.protocolVersion(), head.status(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
             boolean unbounded = unbounded(head);
             whole.setDecoderResult(unbounded && broken ? DecoderResult.UNFINISHED : result);
             HttpUtil.setTransferEncodingChunked(whole, false);
@@ -381,7 +392,8 @@
         }
 
         private void passOn(ChannelHandlerContext context) {
-            passing = HttpUtil.getContentLength(head, 0L) > MOST_PASSED || !asked ? null
+            passing = HttpUtil.getContentLength(head, 0L) > MOST_PASSED || !asked
+                    ? null
                     : owner.passes(head, () -> context.channel().config().setAutoRead(true));
             if (passing == null) {
                 failure = "an answer that is too large: more than " + most + " bytes";
@@ -425,6 +437,7 @@
     private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
         /** Whole, and told once all is read that came with it. */
         private FullHttpResponse whole;
+
         private boolean more;
 
         @Override
@@ -442,7 +455,8 @@
             decoder.ended();
             if (whole != null) {
                 more = true;
-            } else if (upgrading && answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
+            } else if (upgrading
+                    && answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     && answer.decoderResult().isSuccess()) {
                 whole = answer.retain();
             } else if (answer.status().codeClass() == HttpStatusClass.INFORMATIONAL
--- a/src/main/java/larkbank/sidecar/ListFeed.java
+++ b/src/main/java/larkbank/sidecar/ListFeed.java
@@ -79,11 +79,15 @@
         List<ServerList.Entry> ordered = new ArrayList<>();
         Set<Long> named = new HashSet<>();
         Runnable name = () -> list.entries().forEach(e -> named.add(e.server().id()));
-        Runnable compare = () -> layout.discovered().stream().findFirst()
-                .ifPresent(pool -> ordered.addAll(absent(pool.list(), named)));
+        Runnable compare = () ->
+                layout.discovered().stream().findFirst().ifPresent(pool -> ordered.addAll(absent(pool.list(), named)));
         Runnable cut = () -> {
-            list.entries().stream().filter(e -> e.server().phase() != Phase.READY).forEach(ordered::add);
-            list.entries().stream().filter(e -> e.server().phase() == Phase.READY).forEach(ordered::add);
+            list.entries().stream()
+                    .filter(e -> e.server().phase() != Phase.READY)
+                    .forEach(ordered::add);
+            list.entries().stream()
+                    .filter(e -> e.server().phase() == Phase.READY)
+                    .forEach(ordered::add);
             first(cut(list.revision(), ordered));
         };
         first(list.complete() ? List.of(name, compare, cut) : List.of(cut));
--- a/src/main/java/larkbank/sidecar/ListShelf.java
+++ b/src/main/java/larkbank/sidecar/ListShelf.java
@@ -26,6 +26,7 @@
 
     /** Bytes of a page, under those of a datagram by what else is in it. */
     private static final int PAGE = 900;
+
     private static final CBORFactory CBOR = new CBORFactory();
 
     private final Clock clock;
@@ -41,8 +42,7 @@
      * @param list as told last
      * @param whole whether nothing of it is still on its way to the pools
      */
-    ListShelf(Clock clock, ServerList.Reader names, long revision, Supplier<ServerList> list,
-            BooleanSupplier whole) {
+    ListShelf(Clock clock, ServerList.Reader names, long revision, Supplier<ServerList> list, BooleanSupplier whole) {
         this.clock = clock;
         this.names = names;
         this.revision = revision;
@@ -151,8 +151,8 @@
         InetAddress address = InetAddress.getByAddress(in.getBinaryValue());
         int port = in.nextIntValue(0);
         need(port > 0 && port < 65_536 && weight >= 0 && in.nextToken() == JsonToken.END_ARRAY);
-        return new ServerList.Entry(new Server(id, zone, kind, cell, Phase.READY, start, weight),
-                new InetSocketAddress(address, port));
+        return new ServerList.Entry(
+                new Server(id, zone, kind, cell, Phase.READY, start, weight), new InetSocketAddress(address, port));
     }
 
     private static void need(boolean holds) throws IOException {
--- a/src/main/java/larkbank/sidecar/OneAtATime.java
+++ b/src/main/java/larkbank/sidecar/OneAtATime.java
@@ -23,8 +23,8 @@
             return null;
         }
         try {
-            return new OneAtATime(FileChannel.open(Path.of(folder, "larkbank.lock"),
-                    StandardOpenOption.CREATE, StandardOpenOption.WRITE));
+            return new OneAtATime(FileChannel.open(
+                    Path.of(folder, "larkbank.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE));
         } catch (IOException e) {
             return null;
         }
@@ -41,15 +41,17 @@
 
     /** Runs this, on a thread of its own, once the one that had it has ended. */
     void whenAlone(Runnable task) {
-        Thread waiting = new Thread(() -> {
-            try {
-                file.lock();
-                task.run();
-            } catch (IOException e) {
-                // The bounds of a process beside another are safe bounds, too.
-                return;
-            }
-        }, "beside");
+        Thread waiting = new Thread(
+                () -> {
+                    try {
+                        file.lock();
+                        task.run();
+                    } catch (IOException e) {
+                        // The bounds of a process beside another are safe bounds, too.
+                        return;
+                    }
+                },
+                "beside");
         waiting.setDaemon(true);
         waiting.start();
     }
--- a/src/main/java/larkbank/sidecar/OperatorsDoor.java
+++ b/src/main/java/larkbank/sidecar/OperatorsDoor.java
@@ -27,6 +27,7 @@
 
     /** Callers at once; the door's own descriptor comes on top. */
     static final int CALLERS = 15;
+
     private static final int LONGEST_LINE = 256;
     /** A caller that has said nothing whole for so long, or does not take its answer, is let go. */
     private static final long PATIENCE_MILLIS = 10_000;
@@ -60,14 +61,17 @@
     /** Opens; done once operators can connect. */
     CompletableFuture<InetSocketAddress> listen(InetSocketAddress address) {
         CompletableFuture<InetSocketAddress> open = new CompletableFuture<>();
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
                         c.pipeline().addLast(new Caller());
                     }
-                }).bind(address);
+                })
+                .bind(address);
         listening = bound.channel();
         bound.addListener(f -> {
             if (f.isSuccess()) {
@@ -92,11 +96,14 @@
             Channel channel = context.channel();
             callers.addLast(channel);
             channel.closeFuture().addListener(f -> callers.remove(channel));
-            loop.schedule(() -> {
-                if (callers.contains(channel)) {
-                    channel.close();
-                }
-            }, PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (callers.contains(channel)) {
+                            channel.close();
+                        }
+                    },
+                    PATIENCE_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -123,8 +130,8 @@
 
         /** No call of operators begins with a method and a path. */
         private static boolean speaksHttp(ByteBuf bytes) {
-            String head = bytes.toString(bytes.readerIndex(), Math.min(6, bytes.readableBytes()),
-                    StandardCharsets.US_ASCII);
+            String head =
+                    bytes.toString(bytes.readerIndex(), Math.min(6, bytes.readableBytes()), StandardCharsets.US_ASCII);
             return head.startsWith("GET /") || head.startsWith("POST /");
         }
 
--- a/src/main/java/larkbank/sidecar/OperatorsLayout.java
+++ b/src/main/java/larkbank/sidecar/OperatorsLayout.java
@@ -45,6 +45,7 @@
     private final Set<Cluster> going = new HashSet<>();
     /** By the address as the file has it, whose port may be 0. */
     private final Map<InetSocketAddress, ClientServer.Door> doors = new LinkedHashMap<>();
+
     private Plan plan;
     /** The classes and limits that hold now. */
     private Config config;
@@ -52,11 +53,12 @@
     private FleetPlan paced;
     /** Processes that share, as the modules were told; 0 for not yet. */
     private int counted;
+
     private OperatorsRouting routing;
     /** Made once a route has WebSockets, and kept from then on. */
     private WebSocketUpgrades upgrades;
 
-    private record Member(Cluster cluster, boolean discovered) { }
+    private record Member(Cluster cluster, boolean discovered) {}
 
     /** Null where there are none. */
     private PluginChain plugins;
@@ -106,7 +108,8 @@
     }
 
     private Discovery.Pace livingPace(FleetPlan fleet) {
-        PartPacer pacer = new PartPacer(fleet.listRate(), ThreadLocalRandom.current().nextDouble());
+        PartPacer pacer =
+                new PartPacer(fleet.listRate(), ThreadLocalRandom.current().nextDouble());
         Portion portion = parts.portion();
         return new Discovery.Pace() {
             @Override
@@ -158,8 +161,7 @@
 
         @Override
         public boolean probe(long nowMicros, int servers) {
-            return fleet.living() ? probes.spend(nowMicros, servers, portion.part())
-                    : probes.spend(nowMicros, servers);
+            return fleet.living() ? probes.spend(nowMicros, servers, portion.part()) : probes.spend(nowMicros, servers);
         }
     }
 
@@ -167,8 +169,10 @@
     static Sidecar.Arrangement of(Path file, Config config) throws IOException {
         Plan plan = read(file, config);
         PluginChain plugins = chain(file, plan, null);
-        return new Sidecar.Arrangement(parts -> new OperatorsLayout(parts, file, plan, plugins),
-                plan.listeners().get(0).address(), plan.membership());
+        return new Sidecar.Arrangement(
+                parts -> new OperatorsLayout(parts, file, plan, plugins),
+                plan.listeners().get(0).address(),
+                plan.membership());
     }
 
     private static Plan read(Path file, Config config) throws IOException {
@@ -180,8 +184,7 @@
     }
 
     private Member create(PoolPlan p) {
-        Cluster made = p.cells() == null ? pool(p) : new CelledPool(parts.shared(),
-                config.settings(), p, this::pool);
+        Cluster made = p.cells() == null ? pool(p) : new CelledPool(parts.shared(), config.settings(), p, this::pool);
         return new Member(made, p.discovered());
     }
 
@@ -198,8 +201,11 @@
         Map<String, Cluster> byName = new LinkedHashMap<>();
         pools.forEach((name, member) -> byName.put(name, member.cluster()));
         if (next.webSockets() && upgrades == null) {
-            upgrades = new WebSocketUpgrades(parts.shared().loop(), parts.shared().clock(),
-                    parts.config().settings().seed(), parts.config().clientConnections() / 2);
+            upgrades = new WebSocketUpgrades(
+                    parts.shared().loop(),
+                    parts.shared().clock(),
+                    parts.config().settings().seed(),
+                    parts.config().clientConnections() / 2);
         }
         return new OperatorsRouting(next.router(), byName, next.webSockets() ? upgrades : null);
     }
@@ -247,7 +253,9 @@
 
     @Override
     public void open() {
-        plan.pools().forEach(p -> begin(p, pools.get(p.name()).cluster(), parts.config().known()));
+        plan.pools()
+                .forEach(p ->
+                        begin(p, pools.get(p.name()).cluster(), parts.config().known()));
     }
 
     private void begin(PoolPlan p, Cluster pool, ServerList known) {
@@ -280,19 +288,21 @@
     private CompletableFuture<Map<InetSocketAddress, ClientServer.Door>> doors(List<Listener> listeners) {
         Map<InetSocketAddress, CompletableFuture<ClientServer.Door>> opening = new LinkedHashMap<>();
         listeners.forEach(l -> opening.put(l.address(), parts.clients().listen(l.address())));
-        return CompletableFuture.allOf(opening.values().toArray(CompletableFuture[]::new)).handle((v, e) -> {
-            Map<InetSocketAddress, ClientServer.Door> opened = new LinkedHashMap<>();
-            opening.forEach((address, door) -> {
-                if (!door.isCompletedExceptionally()) {
-                    opened.put(address, door.join());
-                }
-            });
-            if (e != null) {
-                opened.values().forEach(door -> parts.clients().end(door, () -> { }));
-                throw new IllegalStateException("can't listen: " + e.getCause().getMessage(), e);
-            }
-            return opened;
-        });
+        return CompletableFuture.allOf(opening.values().toArray(CompletableFuture[]::new))
+                .handle((v, e) -> {
+                    Map<InetSocketAddress, ClientServer.Door> opened = new LinkedHashMap<>();
+                    opening.forEach((address, door) -> {
+                        if (!door.isCompletedExceptionally()) {
+                            opened.put(address, door.join());
+                        }
+                    });
+                    if (e != null) {
+                        opened.values().forEach(door -> parts.clients().end(door, () -> {}));
+                        throw new IllegalStateException(
+                                "can't listen: " + e.getCause().getMessage(), e);
+                    }
+                    return opened;
+                });
     }
 
     @Override
@@ -307,12 +317,17 @@
 
     @Override
     public long waitingBytes() {
-        return pools.values().stream().mapToLong(m -> m.cluster().waitingBytes()).sum();
+        return pools.values().stream()
+                .mapToLong(m -> m.cluster().waitingBytes())
+                .sum();
     }
 
     @Override
     public Collection<Cluster> discovered() {
-        return pools.values().stream().filter(Member::discovered).map(Member::cluster).toList();
+        return pools.values().stream()
+                .filter(Member::discovered)
+                .map(Member::cluster)
+                .toList();
     }
 
     @Override
@@ -323,7 +338,9 @@
         return new Change() {
             @Override
             public CompletableFuture<Void> take() {
-                return OperatorsLayout.this.take(next, nextConfig).thenRun(() -> swap(before, chain))
+                return OperatorsLayout.this
+                        .take(next, nextConfig)
+                        .thenRun(() -> swap(before, chain))
                         .whenComplete((v, e) -> {
                             if (e != null && chain != null) {
                                 chain.closeAllBut(before);
@@ -341,7 +358,8 @@
     /** The doors first, since only they can fail; the rest is taken over in one turn of the loop. */
     private CompletableFuture<Void> take(Plan next, Config nextConfig) {
         List<Listener> missing = next.listeners().stream()
-                .filter(l -> !doors.containsKey(l.address())).toList();
+                .filter(l -> !doors.containsKey(l.address()))
+                .toList();
         return doors(missing).thenAccept(opened -> {
             doors.putAll(opened);
             swap(next, nextConfig);
@@ -350,14 +368,18 @@
 
     private void swap(Plan next, Config nextConfig) {
         config = nextConfig;
-        ServerList known = discovered().stream().findFirst().map(Cluster::list)
+        ServerList known = discovered().stream()
+                .findFirst()
+                .map(Cluster::list)
                 .orElse(parts.config().known());
         Map<String, Member> before = new LinkedHashMap<>(pools);
         plan = next;
         pools.clear();
         for (PoolPlan p : next.pools()) {
             Member member = before.get(p.name());
-            if (member != null && member.discovered() == p.discovered() && member.cluster().fits(p)) {
+            if (member != null
+                    && member.discovered() == p.discovered()
+                    && member.cluster().fits(p)) {
                 before.remove(p.name());
                 pools.put(p.name(), member);
                 member.cluster().retune(config.settings());
@@ -378,7 +400,7 @@
         next.listeners().forEach(l -> kept.add(l.address()));
         for (InetSocketAddress address : List.copyOf(doors.keySet())) {
             if (!kept.contains(address)) {
-                parts.clients().end(doors.remove(address), () -> { });
+                parts.clients().end(doors.remove(address), () -> {});
             }
         }
     }
@@ -390,16 +412,17 @@
             chain.attach(parts.shared());
         }
         if (before != null) {
-            parts.shared().loop().schedule(() -> before.closeAllBut(chain), PLUGIN_GRACE_MICROS,
-                    TimeUnit.MICROSECONDS);
+            parts.shared().loop().schedule(() -> before.closeAllBut(chain), PLUGIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
     /** Requests that it has taken may still go out within the grace that a drain gives. */
     private void retire(Cluster pool) {
         going.add(pool);
-        parts.shared().loop().schedule(() -> pool.retire(() -> going.remove(pool)),
-                config.drainGraceMicros(), TimeUnit.MICROSECONDS);
+        parts.shared()
+                .loop()
+                .schedule(
+                        () -> pool.retire(() -> going.remove(pool)), config.drainGraceMicros(), TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/larkbank/sidecar/OperatorsRouting.java
+++ b/src/main/java/larkbank/sidecar/OperatorsRouting.java
@@ -37,15 +37,20 @@
     Way way(FullHttpRequest http) throws RequestReader.BadRequest {
         try {
             RequestTarget target = RequestTarget.parse(http.uri());
-            Route<Target> route = router.find(new Asked(http.method().name(), host(http, target),
-                    target.path(), http.headers()));
+            Route<Target> route =
+                    router.find(new Asked(http.method().name(), host(http, target), target.path(), http.headers()));
             if (route == null) {
                 throw new RequestReader.BadRequest(HttpResponseStatus.NOT_FOUND, "no route");
             }
             Target to = route.target();
             boolean asked = upgrades != null && to.webSocket() != null && Handshake.isAsked(http.headers());
-            return new Way(pools.get(to.pool()), to.requestClass(), target.text(), target.host(),
-                    to.timeoutMicros(), asked ? to.terms().forOneThatStays() : to.terms(),
+            return new Way(
+                    pools.get(to.pool()),
+                    to.requestClass(),
+                    target.text(),
+                    target.host(),
+                    to.timeoutMicros(),
+                    asked ? to.terms().forOneThatStays() : to.terms(),
                     asked ? upgrades.ask(http, to.webSocket()) : null);
         } catch (BadTarget e) {
             throw new RequestReader.BadRequest(e.getMessage());
@@ -62,15 +67,21 @@
             for (String name : http.headers().names()) {
                 headers.put(name.toLowerCase(Locale.ROOT), asked.header(name));
             }
-            return new RequestView(asked.method(), asked.path(), headers,
-                    route == null ? "" : classes.get(route.target().requestClass()).name());
+            return new RequestView(
+                    asked.method(),
+                    asked.path(),
+                    headers,
+                    route == null
+                            ? ""
+                            : classes.get(route.target().requestClass()).name());
         } catch (BadTarget e) {
             throw new RequestReader.BadRequest(e.getMessage());
         }
     }
 
     private static String host(FullHttpRequest http, RequestTarget target) throws BadTarget {
-        String host = HostName.of(http.headers().getAll(HttpHeaderNames.HOST),
+        String host = HostName.of(
+                http.headers().getAll(HttpHeaderNames.HOST),
                 http.protocolVersion().equals(HttpVersion.HTTP_1_1));
         return target.host() == null ? host : target.host();
     }
--- a/src/main/java/larkbank/sidecar/PlainLayout.java
+++ b/src/main/java/larkbank/sidecar/PlainLayout.java
@@ -16,8 +16,7 @@
     PlainLayout(Parts parts) {
         this.parts = parts;
         Config config = parts.config();
-        pool = new Pool(parts.shared(), config, config.settings(), config.serverConnections(), null,
-                parts.modules());
+        pool = new Pool(parts.shared(), config, config.settings(), config.serverConnections(), null, parts.modules());
     }
 
     @Override
--- a/src/main/java/larkbank/sidecar/PluginChain.java
+++ b/src/main/java/larkbank/sidecar/PluginChain.java
@@ -24,8 +24,12 @@
 final class PluginChain {
 
     /** What came of all of them. */
-    record Result(Map<String, String> headers, String requestClass, String classFrom, String refusal,
-            long retryAfterMillis) { }
+    record Result(
+            Map<String, String> headers,
+            String requestClass,
+            String classFrom,
+            String refusal,
+            long retryAfterMillis) {}
 
     private static final class Member {
         final PluginHost host;
@@ -43,10 +47,11 @@
     private final List<Member> members = new ArrayList<>();
     /** Set once, before anything is asked. */
     private volatile EventLoop loop;
+
     private Clock clock;
     private Consumer<String> log;
 
-    private PluginChain() { }
+    private PluginChain() {}
 
     /** Where it is asked and heard of from now on. */
     void attach(Pool.Shared shared) {
@@ -64,8 +69,8 @@
      */
     static PluginChain of(List<PluginPlan> plans, PluginChain before) throws BadPlugin {
         PluginChain chain = new PluginChain();
-        Map<PluginPlan, Member> known = before == null ? Map.of() : before.members.stream()
-                .collect(Collectors.toMap(Member::plan, m -> m));
+        Map<PluginPlan, Member> known =
+                before == null ? Map.of() : before.members.stream().collect(Collectors.toMap(Member::plan, m -> m));
         try {
             for (PluginPlan plan : plans) {
                 Member kept = known.get(plan);
@@ -88,7 +93,8 @@
 
     /** Ends those that another chain does not have. */
     void closeAllBut(PluginChain other) {
-        members.stream().filter(m -> other == null || !other.members.contains(m))
+        members.stream()
+                .filter(m -> other == null || !other.members.contains(m))
                 .forEach(m -> m.host.close());
     }
 
@@ -170,8 +176,7 @@
         private void take(Member member, Wishes wishes) {
             wishes.notes().forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
             if (wishes.refusal() != null) {
-                heard.accept(new Result(changed, requestClass, classFrom, wishes.refusal(),
-                        wishes.retryAfterMillis()));
+                heard.accept(new Result(changed, requestClass, classFrom, wishes.refusal(), wishes.retryAfterMillis()));
                 return;
             }
             Map<String, String> headers = new LinkedHashMap<>(request.headers());
@@ -187,7 +192,10 @@
                 requestClass = wishes.requestClass();
                 classFrom = member.plan().name();
             }
-            request = new RequestView(request.method(), request.path(), headers,
+            request = new RequestView(
+                    request.method(),
+                    request.path(),
+                    headers,
                     requestClass == null ? request.requestClass() : requestClass);
             next();
         }
@@ -203,9 +211,8 @@
 
         private void without(Member member) {
             if (member.plan().failClosed()) {
-                loop.execute(() -> heard.accept(new Result(Map.of(), null, null,
-                        "a plug-in that must be asked"
-                        + " has failed", 1_000)));
+                loop.execute(() -> heard.accept(
+                        new Result(Map.of(), null, null, "a plug-in that must be asked" + " has failed", 1_000)));
             } else {
                 next();
             }
@@ -214,7 +221,10 @@
 
     /** What was granted to a plug-in of this chain. */
     PluginPlan plan(String name) {
-        return members.stream().map(Member::plan).filter(p -> p.name().equals(name)).findFirst()
+        return members.stream()
+                .map(Member::plan)
+                .filter(p -> p.name().equals(name))
+                .findFirst()
                 .orElseThrow();
     }
 }
--- a/src/main/java/larkbank/sidecar/Pool.java
+++ b/src/main/java/larkbank/sidecar/Pool.java
@@ -49,6 +49,7 @@
     private final long connectMicros;
     /** Null where nothing says how much may be probed. */
     private Prober prober;
+
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean inModule;
     /** Requests that have not been forgotten. */
@@ -57,17 +58,22 @@
     private Runnable emptied;
 
     /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(Call about, Told told) { }
+    private record Event(Call about, Told told) {}
 
     private interface Told {
         void tell(long nowMicros);
     }
 
     /** What a pool shares with the rest of the process. */
-    record Shared(EventLoop loop, Clock clock, InHand inHand, Runnable subscribe, Consumer<String> log) { }
+    record Shared(EventLoop loop, Clock clock, InHand inHand, Runnable subscribe, Consumer<String> log) {}
 
     /** Tunnels are null where nothing goes over to another protocol. */
-    Pool(Shared shared, Config config, Settings settings, int connections, PoolPlan.Tunnelled tunnels,
+    Pool(
+            Shared shared,
+            Config config,
+            Settings settings,
+            int connections,
+            PoolPlan.Tunnelled tunnels,
             BiFunction<Settings, Actions, LoadBalancer> modules) {
         loop = shared.loop();
         clock = shared.clock();
@@ -118,8 +124,10 @@
         call.pool = this;
         calls++;
         long now = clock.micros();
-        call.expiry = loop.schedule(() -> abort(call, HttpResponseStatus.GATEWAY_TIMEOUT),
-                call.request.deadlineMicros() - now + OVERDUE_MICROS, TimeUnit.MICROSECONDS);
+        call.expiry = loop.schedule(
+                () -> abort(call, HttpResponseStatus.GATEWAY_TIMEOUT),
+                call.request.deadlineMicros() - now + OVERDUE_MICROS,
+                TimeUnit.MICROSECONDS);
         long retry = call.upgrade == null ? -1 : call.upgrade.admit(servers);
         if (retry >= 0) {
             refuse(call.request.id(), retryAdvice ? within(longestAdvice, retry) : 0);
@@ -140,12 +148,24 @@
      */
     void takeAgain(Call first, String id, Upgrade upgrade, HttpHeaders headers, Call.Client client) {
         Request r = first.request;
-        long timeout = Math.min(first.timeoutMicros,
-                Long.parseLong(headers.get(Headers.TIMEOUT)) * 1000);
-        Call call = new Call(new Request(id, r.requestClass(), r.tenant(), false, r.key(),
-                clock.micros() + timeout, 0, r.write(), r.terms()),
+        long timeout = Math.min(first.timeoutMicros, Long.parseLong(headers.get(Headers.TIMEOUT)) * 1000);
+        Call call = new Call(
+                new Request(
+                        id,
+                        r.requestClass(),
+                        r.tenant(),
+                        false,
+                        r.key(),
+                        clock.micros() + timeout,
+                        0,
+                        r.write(),
+                        r.terms()),
                 new Way(this, r.requestClass(), first.uri, null, timeout, r.terms(), upgrade),
-                first.className, first.method, headers, Unpooled.EMPTY_BUFFER, client);
+                first.className,
+                first.method,
+                headers,
+                Unpooled.EMPTY_BUFFER,
+                client);
         if (inHand.add(call)) {
             upgrade.taken(call);
             take(call);
@@ -187,8 +207,8 @@
 
     /** Other bounds on what it has in hand and open. */
     void bound(Limits wider) {
-        settings = settings.with(settings.limits().with(wider.open(), wider.held(), wider.connections()),
-                settings.discoveryOnAsk());
+        settings = settings.with(
+                settings.limits().with(wider.open(), wider.held(), wider.connections()), settings.discoveryOnAsk());
         servers.limit(wider.connections(), null);
         tell(null, now -> module.limits(now, wider.open(), wider.held(), wider.connections()));
     }
@@ -225,9 +245,15 @@
     @Override
     public void share(Shares shares) {
         servers.keep(shares == null ? null : shares::idle);
-        prober = shares == null || !probing ? null : new Prober(loop, clock, connectMicros,
-                () -> shares.probe(clock.micros(), servers.size()), (server, result, elapsed, report) ->
-                tell(null, now -> module.probed(now, server, result, elapsed, report)));
+        prober = shares == null || !probing
+                ? null
+                : new Prober(
+                        loop,
+                        clock,
+                        connectMicros,
+                        () -> shares.probe(clock.micros(), servers.size()),
+                        (server, result, elapsed, report) ->
+                                tell(null, now -> module.probed(now, server, result, elapsed, report)));
     }
 
     @Override
@@ -259,7 +285,7 @@
         }
         inModule = true;
         try {
-            for (Event e; (e = events.pollFirst()) != null;) {
+            for (Event e; (e = events.pollFirst()) != null; ) {
                 tell(e);
             }
         } finally {
@@ -296,8 +322,18 @@
             over(call, Ending.SERVED);
             client.answer(HttpResponseStatus.OK, headers, answer.content().retain());
         }
-        tell(call, now -> module.outcome(now, new Outcome(call.request.id(), attempt.number, attempt.server,
-                result, (attempt.begunAt == 0 ? now : attempt.begunAt) - attempt.sentAt, call.over, report)));
+        tell(
+                call,
+                now -> module.outcome(
+                        now,
+                        new Outcome(
+                                call.request.id(),
+                                attempt.number,
+                                attempt.server,
+                                result,
+                                (attempt.begunAt == 0 ? now : attempt.begunAt) - attempt.sentAt,
+                                call.over,
+                                report)));
         forget(call);
     }
 
@@ -323,10 +359,11 @@
         call.expiry.cancel(false);
         attempt.timeout.cancel(false);
         attempt.begunAt = clock.micros();
-        tell(call, now -> module.streamBegan(now, call.request.id(), attempt.number, attempt.server,
-                attempt.begunAt - attempt.sentAt));
-        List.copyOf(call.attempts).stream().filter(a -> a != attempt)
-                .forEach(a -> stopWaiting(a, Result.CANCELLED));
+        tell(
+                call,
+                now -> module.streamBegan(
+                        now, call.request.id(), attempt.number, attempt.server, attempt.begunAt - attempt.sentAt));
+        List.copyOf(call.attempts).stream().filter(a -> a != attempt).forEach(a -> stopWaiting(a, Result.CANCELLED));
         return call.passing;
     }
 
@@ -358,8 +395,8 @@
             attempt.switched.close();
             return;
         }
-        attempt.switched.joined(call.upgrade.join(answer, clientEnd, attempt.switched.goOver(),
-                attempt.switched.host()));
+        attempt.switched.joined(
+                call.upgrade.join(answer, clientEnd, attempt.switched.goOver(), attempt.switched.host()));
     }
 
     @Override
@@ -386,8 +423,8 @@
         Attempt attempt = new Attempt(call, server, now, giveUpAt);
         call.attempts.add(attempt);
         call.out++;
-        attempt.timeout = loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT), giveUpAt - now,
-                TimeUnit.MICROSECONDS);
+        attempt.timeout =
+                loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT), giveUpAt - now, TimeUnit.MICROSECONDS);
         servers.start(attempt);
     }
 
@@ -425,14 +462,18 @@
     public void fail(String requestId) {
         Call call = inHand.get(requestId);
         boolean late = call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
-        answer(call, late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+        answer(
+                call,
+                late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
                 new DefaultHttpHeaders());
     }
 
     @Override
     public void timer(long atMicros, long token) {
-        loop.schedule(() -> tell(null, now -> module.timer(now, token)),
-                Math.max(0, atMicros - clock.micros()), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> tell(null, now -> module.timer(now, token)),
+                Math.max(0, atMicros - clock.micros()),
+                TimeUnit.MICROSECONDS);
     }
 
     /** The module only asks where the settings allow it; what is beyond the bounds is not sent. */
@@ -480,8 +521,8 @@
         } else {
             // A server's own word says more than that no server agreed; it is never a refusal.
             call.upgrade.answered(call.declined.status());
-            call.client.answer(call.declined.status(), call.declined.headers(),
-                    Unpooled.wrappedBuffer(call.declined.content()));
+            call.client.answer(
+                    call.declined.status(), call.declined.headers(), Unpooled.wrappedBuffer(call.declined.content()));
         }
     }
 
--- a/src/main/java/larkbank/sidecar/Prober.java
+++ b/src/main/java/larkbank/sidecar/Prober.java
@@ -74,8 +74,7 @@
             this.server = server;
             this.address = address;
             link = new Link(loop, address, MAX_REPORT, Math.min(connectMicros, PATIENCE_MICROS), this);
-            patience = loop.schedule(() -> end(Result.TIMED_OUT, null), PATIENCE_MICROS,
-                    TimeUnit.MICROSECONDS);
+            patience = loop.schedule(() -> end(Result.TIMED_OUT, null), PATIENCE_MICROS, TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -83,9 +82,8 @@
             if (over) {
                 return;
             }
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    "/load",
-                    Unpooled.EMPTY_BUFFER);
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/load", Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
             request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             link.send(request);
@@ -99,11 +97,15 @@
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
             boolean well = answer.status().equals(HttpResponseStatus.OK);
-            Result otherwise = answer.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Result.FULL
-                    : Result.ERROR;
-            end(well ? Result.SERVED : otherwise, well
-                    ? LoadReports.parse(List.of(answer.content().toString(StandardCharsets.US_ASCII).trim()))
-                    : null);
+            Result otherwise =
+                    answer.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Result.FULL : Result.ERROR;
+            end(
+                    well ? Result.SERVED : otherwise,
+                    well
+                            ? LoadReports.parse(List.of(answer.content()
+                                    .toString(StandardCharsets.US_ASCII)
+                                    .trim()))
+                            : null);
         }
 
         @Override
--- a/src/main/java/larkbank/sidecar/Rehearsal.java
+++ b/src/main/java/larkbank/sidecar/Rehearsal.java
@@ -50,15 +50,16 @@
     private static final int BODY = 256;
     /** Each so many requests there is one that is refused, since its time is up. */
     private static final int REFUSED = 8;
+
     private static final long TURN_MILLIS = 1;
-    private static final HttpHeaders LOAD = new DefaultHttpHeaders()
-            .set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
+    private static final HttpHeaders LOAD = new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
 
     private final EventLoop loop;
     private final Config config;
     private final String prefix;
     /** Ids that the sidecar has been asked for: what comes again under one of them comes from the sidecar. */
     private final Set<String> asked = new HashSet<>();
+
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Stage place;
     private final int requests;
@@ -74,7 +75,7 @@
         CompletableFuture<InetSocketAddress> open(ClientServer to);
 
         /** Nothing comes by this way any more. */
-        default void close() { }
+        default void close() {}
     }
 
     private Rehearsal(EventLoop loop, Config config, Stage place, int requests) {
@@ -83,14 +84,12 @@
         this.place = place;
         this.requests = requests;
         prefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
-        stage = new ClientServer(loop, this, SOCKETS, line -> { });
+        stage = new ClientServer(loop, this, SOCKETS, line -> {});
     }
 
     /** Goes through so many requests, or as many as there is time for; how many were answered. */
-    static int run(Config config, InetSocketAddress where, int requests, long millis)
-            throws InterruptedException {
-        return run(config, stage -> stage.listen(where).thenApply(ClientServer.Door::address), requests,
-                millis);
+    static int run(Config config, InetSocketAddress where, int requests, long millis) throws InterruptedException {
+        return run(config, stage -> stage.listen(where).thenApply(ClientServer.Door::address), requests, millis);
     }
 
     /** The same on another stage than an address of its own. */
@@ -111,13 +110,16 @@
     }
 
     private void open() {
-        place.open(stage).whenCompleteAsync((address, failure) -> {
-            if (failure == null) {
-                begin(address);
-            } else {
-                ended.countDown();
-            }
-        }, loop);
+        place.open(stage)
+                .whenCompleteAsync(
+                        (address, failure) -> {
+                            if (failure == null) {
+                                begin(address);
+                            } else {
+                                ended.countDown();
+                            }
+                        },
+                        loop);
     }
 
     /**
@@ -173,15 +175,20 @@
         RequestClass c = settings.classes().get(number % settings.classes().size());
         boolean safe = c.effect() == Effect.SAFE;
         ByteBuf body = Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]);
-        FullHttpRequest next = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/" + c.name() + "/" + number, body);
+        FullHttpRequest next = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST, "/" + c.name() + "/" + number, body);
         long millis = number % REFUSED == REFUSED - 1 ? 1 : c.deadlineMicros() / 1000;
-        next.headers().set(HttpHeaderNames.HOST, "rehearsal")
+        next.headers()
+                .set(HttpHeaderNames.HOST, "rehearsal")
                 .set(Headers.REQUEST_ID, prefix + number)
                 .set(Headers.TIMEOUT, Math.max(1, millis));
         if (!settings.tenants().isEmpty()) {
-            next.headers().set(Headers.TENANT,
-                    settings.tenants().get(number % settings.tenants().size()).name());
+            next.headers()
+                    .set(
+                            Headers.TENANT,
+                            settings.tenants()
+                                    .get(number % settings.tenants().size())
+                                    .name());
         }
         if (c.effect() == Effect.KEYED) {
             next.headers().set(Headers.IDEMPOTENCY_KEY, prefix + number);
@@ -208,7 +215,7 @@
         }
 
         @Override
-        public void written() { }
+        public void written() {}
 
         @Override
         public void answered(FullHttpResponse answer, boolean clean) {
@@ -221,6 +228,6 @@
         }
 
         @Override
-        public void closed() { }
+        public void closed() {}
     }
 }
--- a/src/main/java/larkbank/sidecar/RequestCollector.java
+++ b/src/main/java/larkbank/sidecar/RequestCollector.java
@@ -34,6 +34,7 @@
 
     /** So much is asked for at a time: a slow client that tells a great length holds no room in advance. */
     private static final int STEP = 128 * 1024;
+
     private static final int PIECE = 32 * 1024;
 
     /** Who hears that what comes is no request. */
@@ -49,6 +50,7 @@
     private int size;
     /** Null while it is small. */
     private Share share;
+
     private boolean waits;
 
     RequestCollector(Uploads uploads, Judge judge) {
@@ -102,8 +104,8 @@
         } else if (HttpUtil.getContentLength(request, -1L) > Uploads.MOST) {
             rejectTooLarge();
         } else if (HttpUtil.is100ContinueExpected(request)) {
-            context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            context.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -163,10 +165,16 @@
 
     /** Hands the request on; it is none where the result is a failure. */
     private void hand(DecoderResult result) {
-        ByteBuf content = share != null ? uploads.whole(pieces, share) : pieces.size() == 1 ? pieces.get(0)
-                : Unpooled.wrappedBuffer(pieces.toArray(ByteBuf[]::new));
-        FullHttpRequest whole = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
-                content, new DefaultHttpHeaders().set(head.headers()), EmptyHttpHeaders.INSTANCE);
+        ByteBuf content = share != null
+                ? uploads.whole(pieces, share)
+                : pieces.size() == 1 ? pieces.get(0) : Unpooled.wrappedBuffer(pieces.toArray(ByteBuf[]::new));
+        FullHttpRequest whole = new DefaultFullHttpRequest(
+                head.protocolVersion(),
+                head.method(),
+                head.uri(),
+                content,
+                new DefaultHttpHeaders().set(head.headers()),
+                EmptyHttpHeaders.INSTANCE);
         HttpUtil.setTransferEncodingChunked(whole, false);
         whole.headers().remove(HttpHeaderNames.EXPECT);
         whole.setDecoderResult(result);
--- a/src/main/java/larkbank/sidecar/RequestReader.java
+++ b/src/main/java/larkbank/sidecar/RequestReader.java
@@ -53,6 +53,7 @@
 
     /** The client's time runs from when it sent; this much is kept for the way here and back, at most. */
     private static final long MARGIN_MICROS = 20_000;
+
     private static final int MARGIN_PART = 10;
     private static final int MAX_ID = 128;
     private static final long MAX_NUMBER = 1_000_000_000;
@@ -111,26 +112,29 @@
             throw new BadRequest("no " + Headers.REQUEST_ID);
         }
         long timeout = number(headers, Headers.TIMEOUT, 1) * 1000;
-        long deadline = now + Math.min(way.timeoutMicros(),
-                timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART));
+        long deadline = now + Math.min(way.timeoutMicros(), timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART));
         long hint = headers.contains(Headers.HINT) ? number(headers, Headers.HINT, 0) : 0;
-        long key = slash < 0 || slash == path.length() - 1 ? -1
-                : Ids.of(path.substring(path.lastIndexOf('/') + 1));
+        long key = slash < 0 || slash == path.length() - 1 ? -1 : Ids.of(path.substring(path.lastIndexOf('/') + 1));
         boolean repeat = headers.contains(Headers.RETRY, "1", false);
-        Request request = new Request(id, requestClass, tenant(headers), repeat, key, deadline, hint, write,
-                way.terms());
+        Request request =
+                new Request(id, requestClass, tenant(headers), repeat, key, deadline, hint, write, way.terms());
         if (way.host() != null) {
             headers.set(HttpHeaderNames.HOST, way.host());
         }
-        return new Call(request, way, settings.classes().get(requestClass).name(), http.method(), headers,
-                http.content().retain(), client);
+        return new Call(
+                request,
+                way,
+                settings.classes().get(requestClass).name(),
+                http.method(),
+                headers,
+                http.content().retain(),
+                client);
     }
 
     /** The decoder refuses lengths that are odd, repeated or beside a coding; other codings it lets pass. */
     private static void checkFraming(FullHttpRequest http) throws BadRequest {
         List<String> codings = http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = codings.size() == 1
-                && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
+        boolean chunked = codings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
         if (!codings.isEmpty() && !chunked) {
             throw new BadRequest("unknown " + HttpHeaderNames.TRANSFER_ENCODING);
         }
@@ -147,8 +151,7 @@
     }
 
     /** The method and the key say what the client takes the class for; it must be what the settings say. */
-    private static void checkMethod(FullHttpRequest http, Effect effect, boolean upgrade)
-            throws BadRequest {
+    private static void checkMethod(FullHttpRequest http, Effect effect, boolean upgrade) throws BadRequest {
         List<String> keys = http.headers().getAll(Headers.IDEMPOTENCY_KEY);
         HttpMethod wanted = effect == Effect.SAFE || upgrade ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(wanted)) {
--- a/src/main/java/larkbank/sidecar/ServerList.java
+++ b/src/main/java/larkbank/sidecar/ServerList.java
@@ -19,9 +19,16 @@
     record Entry(Server server, InetSocketAddress address) {
         /** The same server as gone. */
         Entry gone() {
-            return new Entry(new Server(server.id(), server.zone(), server.kind(), server.cell(),
-                    Phase.REMOVED,
-                    server.startMicros(), server.weight()), address);
+            return new Entry(
+                    new Server(
+                            server.id(),
+                            server.zone(),
+                            server.kind(),
+                            server.cell(),
+                            Phase.REMOVED,
+                            server.startMicros(),
+                            server.weight()),
+                    address);
         }
     }
 
@@ -42,7 +49,8 @@
 
         /** All or nothing: a list that is wrong in one place is not trusted in another. */
         ServerList read(Map<?, ?> m) throws IOException {
-            if (!(m.get("rev") instanceof Long revision) || !(m.get("all") instanceof Boolean complete)
+            if (!(m.get("rev") instanceof Long revision)
+                    || !(m.get("all") instanceof Boolean complete)
                     || !(m.get("targets") instanceof List<?> targets)) {
                 throw new IOException("a list without 'rev', 'all' or 'targets'");
             }
@@ -54,19 +62,26 @@
         }
 
         private Entry entry(Object target) throws IOException {
-            if (!(target instanceof Map<?, ?> m) || !(m.get("uid") instanceof String uid)
+            if (!(target instanceof Map<?, ?> m)
+                    || !(m.get("uid") instanceof String uid)
                     || !(m.get("endpoint") instanceof String endpoint)) {
                 throw new IOException("a target without 'uid' or 'endpoint'");
             }
-            Phase phase = switch (String.valueOf(m.get("state"))) {
-                case "in_service" -> Phase.READY;
-                case "terminating" -> Phase.DRAINING;
-                case "terminated" -> Phase.REMOVED;
-                default -> throw new IOException("unknown state '" + m.get("state") + "'");
-            };
-            Server server = new Server(Ids.of(uid), zones.indexOf(m.get("az")),
-                    models.indexOf(m.get("model")), (int) Json.whole(m, "pod_group", 0), phase,
-                    Json.whole(m, "boot_ms", 0) * 1000, Json.real(m, "capacity_hint", 1));
+            Phase phase =
+                    switch (String.valueOf(m.get("state"))) {
+                        case "in_service" -> Phase.READY;
+                        case "terminating" -> Phase.DRAINING;
+                        case "terminated" -> Phase.REMOVED;
+                        default -> throw new IOException("unknown state '" + m.get("state") + "'");
+                    };
+            Server server = new Server(
+                    Ids.of(uid),
+                    zones.indexOf(m.get("az")),
+                    models.indexOf(m.get("model")),
+                    (int) Json.whole(m, "pod_group", 0),
+                    phase,
+                    Json.whole(m, "boot_ms", 0) * 1000,
+                    Json.real(m, "capacity_hint", 1));
             try {
                 return new Entry(server, Addresses.parse(endpoint));
             } catch (IllegalArgumentException e) {
--- a/src/main/java/larkbank/sidecar/ServerPool.java
+++ b/src/main/java/larkbank/sidecar/ServerPool.java
@@ -50,10 +50,10 @@
         }
 
         /** The last byte of an attempt has been handed to the network. */
-        default void written() { }
+        default void written() {}
 
         /** What a server carries beside requests, in requests in flight. */
-        default void carries(long server, double requests, boolean full) { }
+        default void carries(long server, double requests, boolean full) {}
     }
 
     /** A second copy of an answer may come this much later, so for as long a connection is not used again. */
@@ -72,11 +72,13 @@
     private final Map<Attempt, Connection> busy = new HashMap<>();
     /** All idle connections, the longest idle first: to find it costs the same in a fleet of any size. */
     private final Set<Connection> idleOrder = new LinkedHashSet<>();
+
     private int open;
     /** Idle connections that it may keep, by the servers that it knows; null for no other bound. */
     private IntUnaryOperator mostIdle;
     /** Null where nothing goes over to another protocol. */
     private PoolPlan.Tunnelled tunnels;
+
     private final Rules rules;
     private final Remeasured warm = new Remeasured(WARM_MICROS);
 
@@ -94,6 +96,7 @@
         int connections;
         /** Its own word on its use and its requests in flight, and when it said so; 0 for never. */
         double use;
+
         double inFlight;
         long toldAt;
         /** The most recently used last. */
@@ -145,8 +148,7 @@
         }
     }
 
-    ServerPool(EventLoop loop, Clock clock, Config config, int most, PoolPlan.Tunnelled tunnels,
-            Listener listener) {
+    ServerPool(EventLoop loop, Clock clock, Config config, int most, PoolPlan.Tunnelled tunnels, Listener listener) {
         this.tunnels = tunnels;
         rules = config.settings().rules();
         this.loop = loop;
@@ -197,8 +199,7 @@
             }
             nodes.values().removeIf(n -> n.gone && n.connections == 0);
         } else {
-            named.forEach(id -> nodes.computeIfPresent(id, (i, n) -> n.gone && n.connections == 0 ? null
-                    : n));
+            named.forEach(id -> nodes.computeIfPresent(id, (i, n) -> n.gone && n.connections == 0 ? null : n));
         }
     }
 
@@ -240,8 +241,10 @@
 
     /** Bytes that wait to be written on connections that have gone over to another protocol. */
     long waitingBytes() {
-        return nodes.values().stream().flatMap(n -> n.switched.stream())
-                .mapToLong(c -> c.link.waitingBytes()).sum();
+        return nodes.values().stream()
+                .flatMap(n -> n.switched.stream())
+                .mapToLong(c -> c.link.waitingBytes())
+                .sum();
     }
 
     int size() {
@@ -255,21 +258,30 @@
 
     /** Servers on the list that are not in service. */
     int leaving() {
-        return (int) nodes.values().stream().filter(n -> !n.gone && n.leavingSince != 0).count();
+        return (int) nodes.values().stream()
+                .filter(n -> !n.gone && n.leavingSince != 0)
+                .count();
     }
 
     /** The servers as last told, those that are not gone. */
     ServerList list() {
-        return new ServerList(0, true, nodes.values().stream().filter(n -> !n.gone)
-                .map(n -> new ServerList.Entry(n.line, n.address)).toList());
+        return new ServerList(
+                0,
+                true,
+                nodes.values().stream()
+                        .filter(n -> !n.gone)
+                        .map(n -> new ServerList.Entry(n.line, n.address))
+                        .toList());
     }
 
     /** Looked at anew after a while only, since it walks the fleet. */
     @Override
     public double warmServers() {
         long now = clock.micros();
-        return warm.at(now, () -> nodes.values().stream().filter(n -> n.leavingSince == 0)
-                .mapToDouble(n -> rules.coldShare(now, n.line.startMicros())).sum());
+        return warm.at(now, () -> nodes.values().stream()
+                .filter(n -> n.leavingSince == 0)
+                .mapToDouble(n -> rules.coldShare(now, n.line.startMicros()))
+                .sum());
     }
 
     @Override
@@ -320,7 +332,7 @@
     /** The connection used last of those that have been quiet for long enough, if it is still clean. */
     private Connection pollSettled(Node node) {
         long now = clock.micros();
-        for (var latest = node.idle.descendingIterator(); latest.hasNext();) {
+        for (var latest = node.idle.descendingIterator(); latest.hasNext(); ) {
             Connection c = latest.next();
             if (now - c.idleSince >= SETTLE_MICROS) {
                 latest.remove();
@@ -355,7 +367,7 @@
     }
 
     private void closeIdle(Node node) {
-        for (Connection c; (c = node.idle.poll()) != null;) {
+        for (Connection c; (c = node.idle.poll()) != null; ) {
             idleOrder.remove(c);
             c.link.close();
         }
@@ -414,8 +426,7 @@
          */
         void write() {
             long now = clock.micros();
-            boolean late = node.gone
-                    || node.leavingSince != 0 && now - node.leavingSince >= drainGraceMicros;
+            boolean late = node.gone || node.leavingSince != 0 && now - node.leavingSince >= drainGraceMicros;
             if (attempt.call.over || now >= attempt.giveUpAt || late) {
                 Attempt unsent = attempt;
                 rest();
@@ -431,15 +442,25 @@
             headers.set(Headers.TIMEOUT, Math.max(1, (a.giveUpAt - now) / 1000));
             if (call.upgrade != null) {
                 call.upgrade.ask(headers);
-                return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method, call.uri,
-                        Unpooled.EMPTY_BUFFER, headers, new DefaultHttpHeaders());
+                return new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        call.method,
+                        call.uri,
+                        Unpooled.EMPTY_BUFFER,
+                        headers,
+                        new DefaultHttpHeaders());
             }
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             if (call.body.isReadable() || !call.method.equals(HttpMethod.GET)) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, call.body.readableBytes());
             }
-            return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method, call.uri,
-                    call.body.retainedDuplicate(), headers, new DefaultHttpHeaders());
+            return new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    call.method,
+                    call.uri,
+                    call.body.retainedDuplicate(),
+                    headers,
+                    new DefaultHttpHeaders());
         }
 
         /** Becomes idle, or closes where it will not be used again. */
@@ -516,8 +537,9 @@
                 node.told(report);
             }
             Result result = result(head);
-            Passing to = result == Result.SERVED ? listener.passes(attempt, head.headers(),
-                    HttpUtil.getContentLength(head, -1L), resume) : null;
+            Passing to = result == Result.SERVED
+                    ? listener.passes(attempt, head.headers(), HttpUtil.getContentLength(head, -1L), resume)
+                    : null;
             if (to == null) {
                 Attempt done = attempt;
                 attempt = null;
@@ -555,8 +577,7 @@
             if (result != Result.FULL && !refusal) {
                 HttpHeaders headers = Headers.endToEnd(answer.headers());
                 headers.remove(Headers.LOAD);
-                call.declined = new Call.Declined(answer.status(), headers,
-                        ByteBufUtil.getBytes(answer.content()));
+                call.declined = new Call.Declined(answer.status(), headers, ByteBufUtil.getBytes(answer.content()));
             }
             return result == Result.SERVED ? Result.ERROR : result;
         }
