--- a/src/main/java/larkbank/sidecar/Sidecar.java
+++ b/src/main/java/larkbank/sidecar/Sidecar.java
@@ -32,10 +32,10 @@
 import java.util.stream.IntStream;
 import larkbank.Addresses;
 import larkbank.Choice;
+import larkbank.LoadBalancer;
 import larkbank.LoadBalancer.Actions;
 import larkbank.LoadBalancer.RequestClass;
 import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer;
 import larkbank.daily.ClassPlaces;
 import larkbank.daily.Desk;
 import larkbank.daily.Figures;
@@ -54,6 +54,7 @@
 
     /** Requests of the rehearsal, and its longest time. */
     private static final int REHEARSED = 250;
+
     private static final long REHEARSAL_MILLIS = 1_500;
     /** A change that is not done by then no longer holds up those behind it. */
     /** For which files that are read again are waited for. */
@@ -67,18 +68,21 @@
     private final Clock clock = new Clock();
     /** Requests that plug-ins are asked about. */
     private final Map<Call.Client, FullHttpRequest> asked = new HashMap<>();
+
     private final InHand inHand = new InHand();
     private final RequestReader reader;
     private final Discovery discovery;
     private final ClientServer clients;
     /** As last taken over; written on the loop. */
     private volatile Config config;
+
     private final Layout layout;
     private final ListFeed feed;
     private final Standing standing = new Standing();
     private final Desk desk;
     /** Null where it takes no part among others. */
     private Fellowship fellowship;
+
     private Lists lending;
     private final Layout.Portion portion = new Layout.Portion() {
         @Override
@@ -100,31 +104,34 @@
     }
 
     /** How to make the layout, an address at which it will listen, and its part among others or null. */
-    record Arrangement(Layouts layouts, InetSocketAddress stage, MembershipPlan membership) { }
+    record Arrangement(Layouts layouts, InetSocketAddress stage, MembershipPlan membership) {}
 
     Sidecar(EventLoop loop, Config config, PrintStream log) {
         this(loop, config, log, Choice::new);
     }
 
     /** With another module. */
-    Sidecar(EventLoop loop, Config config, PrintStream log,
-            BiFunction<Settings, Actions, LoadBalancer> modules) {
+    Sidecar(EventLoop loop, Config config, PrintStream log, BiFunction<Settings, Actions, LoadBalancer> modules) {
         this(loop, config, log, modules, PlainLayout::new);
     }
 
     /** With another layout. */
-    Sidecar(EventLoop loop, Config config, PrintStream log,
-            BiFunction<Settings, Actions, LoadBalancer> modules, Layouts layouts) {
+    Sidecar(
+            EventLoop loop,
+            Config config,
+            PrintStream log,
+            BiFunction<Settings, Actions, LoadBalancer> modules,
+            Layouts layouts) {
         this.loop = loop;
         this.config = config;
         this.log = log;
         reader = new RequestReader(config.settings());
-        discovery = new Discovery(loop, config.discovery(), config.lists(), config.known().revision(), this,
-                this::log);
+        discovery = new Discovery(
+                loop, config.discovery(), config.lists(), config.known().revision(), this, this::log);
         clients = new ClientServer(loop, this, config.clientConnections(), this::log);
         var shared = new Pool.Shared(loop, clock, inHand, discovery::subscribe, this::log);
-        layout = layouts.of(new Layout.Parts(config, shared, modules, reader, clients,
-                pace -> discovery.pace(clock, pace), portion));
+        layout = layouts.of(new Layout.Parts(
+                config, shared, modules, reader, clients, pace -> discovery.pace(clock, pace), portion));
         feed = new ListFeed(loop, layout);
         inHand.figures().show(names(config));
         desk = new Desk(standing, inHand.figures(), new Fleet(), layout::ready);
@@ -149,8 +156,8 @@
     }
 
     /** The same with an operators' file and how to take part among others; null for none. */
-    public static int serve(Map<String, String> environment, Path operators, PrintStream errors,
-            Fellowship.Maker fellows) {
+    public static int serve(
+            Map<String, String> environment, Path operators, PrintStream errors, Fellowship.Maker fellows) {
         Config config;
         Arrangement arrangement;
         String descriptor = environment.get("LB_SOCKET_FD");
@@ -158,7 +165,8 @@
         ServerSocketChannel inherited = null;
         try {
             config = Config.read(environment);
-            arrangement = operators == null ? new Arrangement(PlainLayout::new, config.listen(), null)
+            arrangement = operators == null
+                    ? new Arrangement(PlainLayout::new, config.listen(), null)
                     : OperatorsLayout.of(operators, config);
             if (InheritedSocket.promised(descriptor)) {
                 inherited = InheritedSocket.take(descriptor);
@@ -174,14 +182,13 @@
         Config within = alone ? config : config.beside();
         CountDownLatch ended = new CountDownLatch(1);
         try {
-            Sidecar sidecar = loop.submit(
-                    () -> new Sidecar(loop, within, log, Choice::new, arrangement.layouts())).get();
+            Sidecar sidecar = loop.submit(() -> new Sidecar(loop, within, log, Choice::new, arrangement.layouts()))
+                    .get();
             if (!alone) {
                 others.whenAlone(() -> loop.execute(() -> sidecar.widen(config)));
             }
             // One after the other, so that the last file read is the last one taken over.
-            ExecutorService reading = Executors.newSingleThreadExecutor(
-                    new DefaultThreadFactory("reading", true));
+            ExecutorService reading = Executors.newSingleThreadExecutor(new DefaultThreadFactory("reading", true));
             Hangup.handle(() -> reading.execute(() -> sidecar.readAgain(environment)));
             if (Hangup.isIgnored()) {
                 log.println("larkbank: SIGHUP is ignored by what started this process, and so by it: files"
@@ -199,16 +206,19 @@
             if (arrangement.membership() != null) {
                 try {
                     loop.submit(() -> sidecar.join(fellows, arrangement.membership(), promised, why -> {
-                        refused.set(true);
-                        log.println("larkbank: " + why);
-                        sidecar.stop(ended::countDown);
-                    })).get().get();
+                                refused.set(true);
+                                log.println("larkbank: " + why);
+                                sidecar.stop(ended::countDown);
+                            }))
+                            .get()
+                            .get();
                 } catch (ExecutionException e) {
                     Runtime.getRuntime().removeShutdownHook(end);
                     throw e;
                 }
             }
-            OperatorsDoor door = config.operator() == null ? null
+            OperatorsDoor door = config.operator() == null
+                    ? null
                     : sidecar.openToOperators(config.operator()).get();
             sidecar.rehearse(config, arrangement.stage(), inherited, door);
             try {
@@ -233,7 +243,8 @@
 
     /** One line, but for the reasons of an operators' file, which have a line each. */
     private static String plain(Exception e) {
-        return e instanceof OperatorsRejected ? e.getMessage()
+        return e instanceof OperatorsRejected
+                ? e.getMessage()
                 : "larkbank: " + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
 
@@ -258,15 +269,19 @@
     CompletableFuture<Void> reload(Map<String, String> environment) {
         try {
             Config read = Config.reread(environment, config);
-            Config next = read.with(CompletableFuture.supplyAsync(() -> ClassPlaces.place(
-                    config.settings().classes(), read.settings().classes(), inHand.classes()), loop).join());
+            Config next = read.with(CompletableFuture.supplyAsync(
+                            () -> ClassPlaces.place(
+                                    config.settings().classes(), read.settings().classes(), inHand.classes()),
+                            loop)
+                    .join());
             Layout.Change change = layout.reread(next);
             // All in one turn of the loop: no request finds one part of it as it was and another anew. It is
             // a later turn than the one that numbered the classes, which holds for what has come since.
             return CompletableFuture.supplyAsync(() -> change.take().thenRun(() -> adopt(next, change)), loop)
                     .thenCompose(taken -> taken)
                     .exceptionally(e -> {
-                        turnDown("larkbank: " + (e.getCause() == null ? e : e.getCause().getMessage()));
+                        turnDown("larkbank: "
+                                + (e.getCause() == null ? e : e.getCause().getMessage()));
                         return null;
                     });
         } catch (IOException | RuntimeException e) {
@@ -292,8 +307,10 @@
     }
 
     private static List<String> names(Config config) {
-        return config.settings().classes().stream().filter(c -> c != RequestClass.GONE)
-                .map(RequestClass::name).toList();
+        return config.settings().classes().stream()
+                .filter(c -> c != RequestClass.GONE)
+                .map(RequestClass::name)
+                .toList();
     }
 
     private static void awaitQuietly(CountDownLatch latch) {
@@ -305,16 +322,17 @@
     }
 
     /** Takes part among others from now on. */
-    private CompletableFuture<Void> join(Fellowship.Maker fellows, MembershipPlan plan, boolean beside,
-            Consumer<String> refused) {
+    private CompletableFuture<Void> join(
+            Fellowship.Maker fellows, MembershipPlan plan, boolean beside, Consumer<String> refused) {
         front = config.listen();
         lending = new Lists();
-        return fellows.open(new Fellowship.Opening(loop, config.name(), plan, beside, facts(), this::log,
-                refused, this::portioned, lending)).thenAccept(joined -> {
+        return fellows.open(new Fellowship.Opening(
+                        loop, config.name(), plan, beside, facts(), this::log, refused, this::portioned, lending))
+                .thenAccept(joined -> {
                     fellowship = joined;
                     portioned();
-                    loop.scheduleWithFixedDelay(() -> joined.facts(facts()), LOAD_SECONDS, LOAD_SECONDS,
-                            TimeUnit.SECONDS);
+                    loop.scheduleWithFixedDelay(
+                            () -> joined.facts(facts()), LOAD_SECONDS, LOAD_SECONDS, TimeUnit.SECONDS);
                     desk.tell(joined::members, joined::leases, joined::lease);
                 });
     }
@@ -325,11 +343,18 @@
         private boolean told;
         /** Has come before the modules had any list. */
         private ServerList waiting;
+
         private boolean open;
 
         Lists() {
-            shelf = new ListShelf(clock, config.lists(), config.known().revision(), () -> layout.discovered()
-                    .stream().findFirst().map(Cluster::list).orElse(config.known()),
+            shelf = new ListShelf(
+                    clock,
+                    config.lists(),
+                    config.known().revision(),
+                    () -> layout.discovered().stream()
+                            .findFirst()
+                            .map(Cluster::list)
+                            .orElse(config.known()),
                     () -> open && feed.settled());
         }
 
@@ -360,8 +385,12 @@
         public boolean borrowed(Lending.Loan loan) {
             try {
                 ServerList list = shelf.read(loan);
-                log(String.format(Locale.ROOT, "discovery is silent: list of revision %d from %s, %.1f s old,"
-                        + " %d servers", loan.revision(), loan.from(), loan.ageMicros() / 1e6,
+                log(String.format(
+                        Locale.ROOT,
+                        "discovery is silent: list of revision %d from %s, %.1f s old," + " %d servers",
+                        loan.revision(),
+                        loan.from(),
+                        loan.ageMicros() / 1e6,
                         list.entries().size()));
                 shelf.told(loan.revision(), loan.ageMicros());
                 discovery.distrust();
@@ -390,8 +419,11 @@
         facts.put("state", standing.state().name().toLowerCase(Locale.ROOT));
         facts.put("start", String.valueOf(startedMillis));
         // In quarters and seldom: each change is news to the whole fleet.
-        int quarters = Math.min(LOAD_PARTS, LOAD_PARTS * inHand.count()
-                / Math.max(1, config.settings().limits().open()));
+        int quarters = Math.min(
+                LOAD_PARTS,
+                LOAD_PARTS
+                        * inHand.count()
+                        / Math.max(1, config.settings().limits().open()));
         facts.put("load", quarters * 100 / LOAD_PARTS + "%");
         return facts;
     }
@@ -406,18 +438,21 @@
 
     /** Opens the operators' door, which tells how things stand also while nothing else is open. */
     CompletableFuture<OperatorsDoor> openToOperators(InetSocketAddress address) {
-        return CompletableFuture.supplyAsync(() -> {
-            OperatorsDoor door = new OperatorsDoor(loop, this::asked);
-            return door.listen(address).thenApply(open -> door);
-        }, loop).thenCompose(open -> open);
+        return CompletableFuture.supplyAsync(
+                        () -> {
+                            OperatorsDoor door = new OperatorsDoor(loop, this::asked);
+                            return door.listen(address).thenApply(open -> door);
+                        },
+                        loop)
+                .thenCompose(open -> open);
     }
 
     /**
      * Rehearses at an address that it listens on. Where others listen on the clients' socket too, a rehearsal
      * there would meet them, and take clients that it can't serve; then the operators' door lends its own.
      */
-    private void rehearse(Config at, InetSocketAddress stage, ServerSocketChannel inherited,
-            OperatorsDoor door) throws InterruptedException {
+    private void rehearse(Config at, InetSocketAddress stage, ServerSocketChannel inherited, OperatorsDoor door)
+            throws InterruptedException {
         if (inherited == null) {
             Rehearsal.run(at, stage, REHEARSED, REHEARSAL_MILLIS);
             return;
@@ -432,10 +467,12 @@
     private record LentStage(EventLoop loop, OperatorsDoor door) implements Rehearsal.Stage {
         @Override
         public CompletableFuture<InetSocketAddress> open(ClientServer to) {
-            return CompletableFuture.supplyAsync(() -> {
-                door.lend(to::adopt);
-                return door.address();
-            }, loop);
+            return CompletableFuture.supplyAsync(
+                    () -> {
+                        door.lend(to::adopt);
+                        return door.address();
+                    },
+                    loop);
         }
 
         @Override
@@ -465,21 +502,29 @@
     /** Hands out the first lists and opens the doors; gives an address once clients can connect. */
     CompletableFuture<InetSocketAddress> start() {
         // Nothing goes by an old list to a server that others know is gone.
-        CompletableFuture<Void> lists = fellowship == null ? CompletableFuture.completedFuture(null)
-                : fellowship.lent();
-        return lists.thenApplyAsync(v -> {
-            open();
-            if (!config.settings().discoveryOnAsk() && !layout.discovered().isEmpty()) {
-                // Pushed lists wait at an agent, which answers a watch; the module asks for nothing then.
-                discovery.subscribe();
-            }
-            return layout.listen();
-        }, loop).thenCompose(address -> address).thenApplyAsync(address -> {
-            standing.on(Standing.Event.OPENED);
-            front = address;
-            followStanding();
-            return address;
-        }, loop);
+        CompletableFuture<Void> lists =
+                fellowship == null ? CompletableFuture.completedFuture(null) : fellowship.lent();
+        return lists.thenApplyAsync(
+                        v -> {
+                            open();
+                            if (!config.settings().discoveryOnAsk()
+                                    && !layout.discovered().isEmpty()) {
+                                // Pushed lists wait at an agent, which answers a watch; the module asks for nothing
+                                // then.
+                                discovery.subscribe();
+                            }
+                            return layout.listen();
+                        },
+                        loop)
+                .thenCompose(address -> address)
+                .thenApplyAsync(
+                        address -> {
+                            standing.on(Standing.Event.OPENED);
+                            front = address;
+                            followStanding();
+                            return address;
+                        },
+                        loop);
     }
 
     /** The process that ran beside this one has ended. */
@@ -491,7 +536,10 @@
 
     /** Servers that some pool with discovery knows. */
     int knownServers() {
-        return layout.discovered().stream().mapToInt(Cluster::knownServers).max().orElse(0);
+        return layout.discovered().stream()
+                .mapToInt(Cluster::knownServers)
+                .max()
+                .orElse(0);
     }
 
     /** Bytes that wait to be written to clients and servers. */
@@ -567,8 +615,8 @@
     }
 
     /** Plug-ins have been asked about a request that came then; its time runs from there. */
-    private void heard(long since, PluginChain chain, PluginChain.Result result, FullHttpRequest http,
-            Call.Client client) {
+    private void heard(
+            long since, PluginChain chain, PluginChain.Result result, FullHttpRequest http, Call.Client client) {
         if (!asked.remove(client, http)) {
             // It has left, which has been seen to.
             return;
@@ -576,10 +624,11 @@
         try {
             if (result.refusal() != null) {
                 long advice = config.settings().limits().retryAdvice()
-                        ? Math.min(result.retryAfterMillis() * 1_000,
-                        config.settings().limits().maxRetryAdviceMicros()) : 0;
-                client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice),
-                        Unpooled.EMPTY_BUFFER);
+                        ? Math.min(
+                                result.retryAfterMillis() * 1_000,
+                                config.settings().limits().maxRetryAdviceMicros())
+                        : 0;
+                client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice), Unpooled.EMPTY_BUFFER);
                 return;
             }
             result.headers().forEach((name, value) -> {
@@ -604,27 +653,29 @@
         List<RequestClass> classes = config.settings().classes();
         RequestClass own = classes.get(way.requestClass());
         int other = IntStream.range(0, classes.size())
-                .filter(i -> classes.get(i).name().equals(result.requestClass())).findFirst().orElse(-1);
+                .filter(i -> classes.get(i).name().equals(result.requestClass()))
+                .findFirst()
+                .orElse(-1);
         if (other < 0) {
-            log("plug-in " + result.classFrom() + " names class " + result.requestClass()
-                    + ", which was dropped");
+            log("plug-in " + result.classFrom() + " names class " + result.requestClass() + ", which was dropped");
             return way;
         }
         boolean weaker = classes.get(other).effect().ordinal() < own.effect().ordinal();
         String pair = own.name() + ">" + result.requestClass();
         if (weaker && !chain.plan(result.classFrom()).grant().weaken().contains(pair)) {
-            log("plug-in " + result.classFrom() + " may not make class " + own.name() + " "
-                    + result.requestClass() + ": it is less strict");
+            log("plug-in " + result.classFrom() + " may not make class " + own.name() + " " + result.requestClass()
+                    + ": it is less strict");
             return way;
         }
         return way.ofClass(other);
     }
 
-    private void admit(long now, FullHttpRequest http, Call.Client client, Way way)
-            throws RequestReader.BadRequest {
+    private void admit(long now, FullHttpRequest http, Call.Client client, Way way) throws RequestReader.BadRequest {
         if (way.upgrade() != null && !standing.serves()) {
-            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    new DefaultHttpHeaders().set(HttpHeaderNames.RETRY_AFTER, "1"), Unpooled.EMPTY_BUFFER);
+            client.answer(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    new DefaultHttpHeaders().set(HttpHeaderNames.RETRY_AFTER, "1"),
+                    Unpooled.EMPTY_BUFFER);
             return;
         }
         Call call = reader.read(now, http, way, client);
--- a/src/main/java/larkbank/sidecar/Upgrade.java
+++ b/src/main/java/larkbank/sidecar/Upgrade.java
@@ -16,7 +16,7 @@
 interface Upgrade {
 
     /** A connection that has gone over; its HTTP handlers are gone, and nothing is read from it. */
-    record End(Channel channel, ByteBuf early) { }
+    record End(Channel channel, ByteBuf early) {}
 
     /** The servers of a pool. */
     interface Fleet {
--- a/src/main/java/larkbank/sidecar/Uploads.java
+++ b/src/main/java/larkbank/sidecar/Uploads.java
@@ -63,8 +63,7 @@
         private final Share share;
 
         Whole(List<ByteBuf> pieces, Share share) {
-            super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE,
-                    pieces);
+            super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE, pieces);
             this.share = share;
         }
 
--- a/src/main/java/larkbank/sidecar/Way.java
+++ b/src/main/java/larkbank/sidecar/Way.java
@@ -11,8 +11,8 @@
  * @param timeoutMicros the longest that it may take, whatever its client says
  * @param upgrade the upgrade that it asks for; null for a plain request
  */
-record Way(Cluster cluster, int requestClass, String uri, String host, long timeoutMicros, Terms terms,
-        Upgrade upgrade) {
+record Way(
+        Cluster cluster, int requestClass, String uri, String host, long timeoutMicros, Terms terms, Upgrade upgrade) {
 
     /** The same for a request of another class. */
     Way ofClass(int other) {
--- a/src/main/java/larkbank/sidecar/WebSocketUpgrades.java
+++ b/src/main/java/larkbank/sidecar/WebSocketUpgrades.java
@@ -54,7 +54,8 @@
     Upgrade ask(FullHttpRequest http, WebSocketLimits limits) throws RequestReader.BadRequest {
         try {
             Handshake handshake = Handshake.read(http);
-            boolean resumable = limits.resume() != null && handshake.offers(limits.resume().subprotocols());
+            boolean resumable =
+                    limits.resume() != null && handshake.offers(limits.resume().subprotocols());
             return new Asked(resumable ? handshake.plain() : handshake, limits);
         } catch (Handshake.Refused e) {
             HttpHeaders headers = new DefaultHttpHeaders();
@@ -84,7 +85,8 @@
 
         @Override
         public Intake.Rule rule() {
-            return new Intake.Rule(fleet.tunnels().rate(), fleet.rules(), fleet.tunnels().perServer());
+            return new Intake.Rule(
+                    fleet.tunnels().rate(), fleet.rules(), fleet.tunnels().perServer());
         }
     }
 
@@ -203,14 +205,26 @@
         @Override
         public Joined join(FullHttpResponse answer, End client, End server, Host host) {
             account.on(Event.OPEN);
-            Tunnel tunnel = new Tunnel(limits, Handshake.isCompressed(answer), client.channel(),
-                    server.channel(), clock::micros, random, account, tunnels::remove);
+            Tunnel tunnel = new Tunnel(
+                    limits,
+                    Handshake.isCompressed(answer),
+                    client.channel(),
+                    server.channel(),
+                    clock::micros,
+                    random,
+                    account,
+                    tunnels::remove);
             Server at = Server.of(host);
             String protocol = Handshake.protocol(answer);
-            boolean resumable = limits.resume() != null && protocol != null
+            boolean resumable = limits.resume() != null
+                    && protocol != null
                     && limits.resume().subprotocols().contains(protocol);
-            tunnels.add(tunnel, limits, ticket, at, resumable
-                    ? new Resumer(tunnel, call, handshake, protocol, limits.resume())::move : null);
+            tunnels.add(
+                    tunnel,
+                    limits,
+                    ticket,
+                    at,
+                    resumable ? new Resumer(tunnel, call, handshake, protocol, limits.resume())::move : null);
             // What it needs no more would stay as long as the tunnel.
             call = null;
             tunnel.begin(client.early(), server.early());
@@ -261,7 +275,7 @@
         }
 
         @Override
-        public void taken(Call call) { }
+        public void taken(Call call) {}
 
         /** Its tunnel counts already; the other server must have room for one more all the same. */
         @Override
@@ -282,12 +296,11 @@
         @Override
         public String fault(FullHttpResponse answer) {
             String fault = handshake.fault(answer);
-            return fault != null ? fault
-                    : protocol.equals(Handshake.protocol(answer)) ? null : "another subprotocol";
+            return fault != null ? fault : protocol.equals(Handshake.protocol(answer)) ? null : "another subprotocol";
         }
 
         @Override
-        public void answered(HttpResponseStatus status) { }
+        public void answered(HttpResponseStatus status) {}
 
         @Override
         public void left() {
--- a/src/main/java/larkbank/simhost/Fields.java
+++ b/src/main/java/larkbank/simhost/Fields.java
@@ -84,14 +84,26 @@
     }
 
     Request request() throws WireException {
-        return new Request(text("ticket"), (int) number("type"), (int) number("client_group", 0),
-                flag("repeat"), number("target_key", -1), number("drop_dead_us"), number("expected_us", 0),
+        return new Request(
+                text("ticket"),
+                (int) number("type"),
+                (int) number("client_group", 0),
+                flag("repeat"),
+                number("target_key", -1),
+                number("drop_dead_us"),
+                number("expected_us", 0),
                 flag("mutates"));
     }
 
     Outcome outcome() throws WireException {
-        return new Outcome(text("ticket"), (int) number("go"), number("server"), result(),
-                number("cost_time_us"), flag("terminal"), report());
+        return new Outcome(
+                text("ticket"),
+                (int) number("go"),
+                number("server"),
+                result(),
+                number("cost_time_us"),
+                flag("terminal"),
+                report());
     }
 
     LoadReport report() {
@@ -110,15 +122,21 @@
             if (!(row instanceof Map<?, ?> m) || !(m.get("server") instanceof Long id)) {
                 throw new WireException("Pool: an entry without a 'server'");
             }
-            Phase phase = switch (String.valueOf(m.get("status"))) {
-                case "SERVING" -> Phase.READY;
-                case "DRAINING" -> Phase.DRAINING;
-                case "DELETED" -> Phase.REMOVED;
-                default -> throw new WireException("Pool: unknown status '" + m.get("status") + "'");
-            };
-            servers.add(new Server(id, (int) Json.whole(m, "failure_domain", 0),
-                    (int) Json.whole(m, "sku", 0), (int) Json.whole(m, "group", 0), phase,
-                    Json.whole(m, "start_time_us", 0), Json.real(m, "share", 1)));
+            Phase phase =
+                    switch (String.valueOf(m.get("status"))) {
+                        case "SERVING" -> Phase.READY;
+                        case "DRAINING" -> Phase.DRAINING;
+                        case "DELETED" -> Phase.REMOVED;
+                        default -> throw new WireException("Pool: unknown status '" + m.get("status") + "'");
+                    };
+            servers.add(new Server(
+                    id,
+                    (int) Json.whole(m, "failure_domain", 0),
+                    (int) Json.whole(m, "sku", 0),
+                    (int) Json.whole(m, "group", 0),
+                    phase,
+                    Json.whole(m, "start_time_us", 0),
+                    Json.real(m, "share", 1)));
         }
         return servers;
     }
--- a/src/main/java/larkbank/simhost/SimHost.java
+++ b/src/main/java/larkbank/simhost/SimHost.java
@@ -174,14 +174,18 @@
                 balancer.servers(now, kind, list);
             }
             case "Call" -> balancer.request(now, fields.request());
-            case "Established" -> balancer.streamBegan(now, fields.text("ticket"), (int) fields.number("go"),
-                    fields.number("server"), fields.number("cost_time_us"));
+            case "Established" -> balancer.streamBegan(
+                    now,
+                    fields.text("ticket"),
+                    (int) fields.number("go"),
+                    fields.number("server"),
+                    fields.number("cost_time_us"));
             case "Response" -> balancer.outcome(now, fields.outcome());
             case "ClientLeft" -> balancer.clientLeft(now, fields.text("ticket"));
             case "DeadlineHit" -> balancer.timer(now, fields.number("handle"));
-            case "CheckResult" -> balancer.probed(now, fields.number("server"), fields.result(),
-                    fields.number("cost_time_us"), fields.report());
-            case "Peer" -> { }
+            case "CheckResult" -> balancer.probed(
+                    now, fields.number("server"), fields.result(), fields.number("cost_time_us"), fields.report());
+            case "Peer" -> {}
             default -> throw new WireException("unknown op '" + op + "'");
         }
     }
--- a/src/main/java/larkbank/tally/Demands.java
+++ b/src/main/java/larkbank/tally/Demands.java
@@ -13,10 +13,12 @@
 
     /** For which a silent pilot counts. */
     private static final long SILENT = 8_000_000;
+
     private static final long ENDED = 500_000;
 
     /** A sum is told again once it has changed by so much, and by this part of it. */
     private static final double NOTED = 0.5;
+
     private static final double NOTED_PART = 0.05;
 
     private static final class Told {
@@ -59,7 +61,7 @@
     /** By tenant, how many a second are asked in all. */
     public Map<String, Double> sums(long now) {
         Map<String, Double> sums = new TreeMap<>();
-        for (Iterator<Told> each = pilots.values().iterator(); each.hasNext();) {
+        for (Iterator<Told> each = pilots.values().iterator(); each.hasNext(); ) {
             Told told = each.next();
             if (told.until < now) {
                 each.remove();
--- a/src/main/java/larkbank/tally/Quotas.java
+++ b/src/main/java/larkbank/tally/Quotas.java
@@ -15,16 +15,19 @@
     private static final double SPAN = 1_000_000;
     /** Of the rate's part, for what others leave; of the burst. */
     private static final double SPARE = 1.4;
+
     private static final double BURST = 0.8;
     private static final double SCARCE = 0.9;
     private static final double OTHERS = 1.1;
     /** Below this nothing is asked. */
     private static final double LEAST = 0.05;
+
     private static final long STALE = 3_000_000;
     private static final long FORGOTTEN = 8_000_000;
 
     /** What is asked is told again once it has changed by this part of it, or of a pilot's part. */
     private static final double NOTED_PART = 0.15;
+
     private static final double NOTED_SHARE = 0.2;
 
     private static final class Account {
@@ -37,6 +40,7 @@
         private double all;
         /** What this pilot had told when it was told of all: both are of one time. */
         private double told;
+
         private double ownThen;
         /** All together ask for about as much as there is, or more. */
         private boolean scarce;
@@ -115,8 +119,8 @@
         double rate = account.rate;
         double own = asked(account, now) / SPAN * 1e6;
         double part = part(now, account, own);
-        double fill = Math.max(part * rate, Math.min(rate - OTHERS * Math.max(0, account.all - own),
-                SPARE * part * rate + 1));
+        double fill = Math.max(
+                part * rate, Math.min(rate - OTHERS * Math.max(0, account.all - own), SPARE * part * rate + 1));
         double its = part * account.burst * BURST;
         boolean scarce = account.isScarceNow();
         if (account.filledAt < 0) {
@@ -139,11 +143,11 @@
         // Where more is asked than there is, parts have to be of one time, or they are more than all.
         boolean scarce = account.isScarceNow();
         double its = scarce ? account.ownThen : Math.min(own, 1.25 * account.ownThen + 2);
-        double part = account.all <= 0 ? fair : Math.min(1, Math.max(its / Math.max(its, account.all),
-                fair / (scarce ? 16 : 4)));
+        double part = account.all <= 0
+                ? fair
+                : Math.min(1, Math.max(its / Math.max(its, account.all), fair / (scarce ? 16 : 4)));
         long silence = now - newsAt;
-        return silence < STALE ? part : silence < FORGOTTEN ? Math.min(part, fair) * 0.7
-                : Math.min(part, fair) * 0.5;
+        return silence < STALE ? part : silence < FORGOTTEN ? Math.min(part, fair) * 0.7 : Math.min(part, fair) * 0.5;
     }
 
     private static double asked(Account account, long now) {
--- a/src/main/java/larkbank/websocket/Census.java
+++ b/src/main/java/larkbank/websocket/Census.java
@@ -23,7 +23,7 @@
      *
      * @param name what is counted: equal names are counted together
      */
-    public record Bound(Object name, int most) { }
+    public record Bound(Object name, int most) {}
 
     /** One that counts until it has left. */
     public final class Place {
@@ -32,7 +32,8 @@
 
         private Place(List<Bound> bounds) {
             this.bounds = bounds;
-            bounds.forEach(b -> counted.computeIfAbsent(b.name(), n -> new LinkedHashSet<>()).add(this));
+            bounds.forEach(b -> counted.computeIfAbsent(b.name(), n -> new LinkedHashSet<>())
+                    .add(this));
         }
 
         /** The handshake is over: this is open now. */
@@ -57,7 +58,7 @@
      * @param place null where it is refused; then nobody is evicted
      * @param evicted those that count no longer and are to be closed
      */
-    public record Entry<T extends DrainOrder.Leaver>(Census<T>.Place place, List<T> evicted) { }
+    public record Entry<T extends DrainOrder.Leaver>(Census<T>.Place place, List<T> evicted) {}
 
     /**
      * Asks for one more under these bounds.
@@ -90,7 +91,9 @@
     private Place longestQuiet(Bound bound, List<Place> but) {
         Place longest = null;
         for (Place p : counted.getOrDefault(bound.name(), Set.of())) {
-            if (p.holder != null && !p.holder.inMessage() && !but.contains(p)
+            if (p.holder != null
+                    && !p.holder.inMessage()
+                    && !but.contains(p)
                     && (longest == null || p.holder.dataAt() < longest.holder.dataAt())) {
                 longest = p;
             }
--- a/src/main/java/larkbank/websocket/FrameReader.java
+++ b/src/main/java/larkbank/websocket/FrameReader.java
@@ -41,6 +41,7 @@
 
     /** Of the frame at hand: its head, as far as it has come. */
     private final ByteBuf head = Unpooled.buffer(14, 14);
+
     private boolean inPayload;
     private boolean last;
     private int opcode;
@@ -51,6 +52,7 @@
     private ByteBuf control;
     /** Of the message at hand: its opcode, 0 for none; whether a piece has been handed on; its bytes. */
     private int message;
+
     private boolean begun;
     private long messageBytes;
     private Utf8 text;
@@ -127,15 +129,15 @@
         compressed = (first & 0x40) != 0;
         opcode = first & 0x0f;
         check((first & 0x30) == 0, "reserved bit");
-        check(!compressed || compression && (opcode == Frames.TEXT || opcode == Frames.BINARY),
-                "reserved bit");
+        check(!compressed || compression && (opcode == Frames.TEXT || opcode == Frames.BINARY), "reserved bit");
         check(opcode <= Frames.BINARY || opcode >= Frames.CLOSE && opcode <= Frames.PONG, "unknown opcode");
         check((head.getByte(1) & 0x80) != 0 == fromClient, fromClient ? "not masked" : "masked");
         if (opcode >= Frames.CLOSE) {
             check(last, "fragmented control frame");
             check(small <= Frames.MAX_CONTROL, "long control frame");
         } else {
-            check(opcode == Frames.CONTINUATION == (message != 0),
+            check(
+                    opcode == Frames.CONTINUATION == (message != 0),
                     message != 0 ? "message within a message" : "nothing to continue");
         }
     }
@@ -149,7 +151,8 @@
     private void begin() throws Violation {
         int small = head.getByte(1) & 0x7f;
         length = small == 126 ? head.getUnsignedShort(2) : small == 127 ? head.getLong(2) : small;
-        check(length >= 0 && (small != 126 || length > 125) && (small != 127 || length > 65_535),
+        check(
+                length >= 0 && (small != 126 || length > 125) && (small != 127 || length > 65_535),
                 "length not in its shortest form");
         if (fromClient) {
             head.getBytes(head.writerIndex() - 4, mask);
@@ -167,8 +170,7 @@
             }
             messageBytes += length;
             if (length > maxFrame || messageBytes > maxMessage || messageBytes < 0) {
-                throw new Violation(Frames.TOO_LARGE, length > maxFrame ? "frame too large"
-                        : "message too large");
+                throw new Violation(Frames.TOO_LARGE, length > maxFrame ? "frame too large" : "message too large");
             }
         }
         inPayload = true;
--- a/src/main/java/larkbank/websocket/Frames.java
+++ b/src/main/java/larkbank/websocket/Frames.java
@@ -24,7 +24,7 @@
     /** A control frame's payload has at most so many bytes. */
     public static final int MAX_CONTROL = 125;
 
-    private Frames() { }
+    private Frames() {}
 
     /** Whether a peer may send this code in a close frame (section 7.4; the registry's 1012 to 1014 too). */
     static boolean isCode(int code) {
--- a/src/main/java/larkbank/websocket/Handshake.java
+++ b/src/main/java/larkbank/websocket/Handshake.java
@@ -79,9 +79,12 @@
         HttpHeaders headers = http.headers();
         require(http.method().equals(HttpMethod.GET), "an upgrade is asked for with GET");
         require(http.protocolVersion().equals(HttpVersion.HTTP_1_1), "an upgrade is asked for in HTTP/1.1");
-        require(!headers.contains(HttpHeaderNames.TRANSFER_ENCODING) && !http.content().isReadable()
-                && (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-                || headers.get(HttpHeaderNames.CONTENT_LENGTH).equals("0")), "an upgrade has no body");
+        require(
+                !headers.contains(HttpHeaderNames.TRANSFER_ENCODING)
+                        && !http.content().isReadable()
+                        && (!headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                                || headers.get(HttpHeaderNames.CONTENT_LENGTH).equals("0")),
+                "an upgrade has no body");
         require(tokens(headers, HttpHeaderNames.UPGRADE).size() == 1, "more than one protocol to go over to");
         List<String> versions = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_VERSION);
         if (versions.size() != 1 || !versions.get(0).trim().equals(VERSION)) {
@@ -90,10 +93,13 @@
         List<String> keys = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_KEY);
         require(keys.size() == 1 && isKey(keys.get(0).trim()), "a key of 16 bytes is missing");
         List<String> protocols = tokens(headers, HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
-        require(protocols.stream().allMatch(p -> p.matches(TOKEN))
-                && protocols.stream().distinct().count() == protocols.size(), "bad subprotocols");
+        require(
+                protocols.stream().allMatch(p -> p.matches(TOKEN))
+                        && protocols.stream().distinct().count() == protocols.size(),
+                "bad subprotocols");
         List<String> extensions = tokens(headers, HttpHeaderNames.SEC_WEBSOCKET_EXTENSIONS).stream()
-                .filter(e -> name(e).equals(DEFLATE)).toList();
+                .filter(e -> name(e).equals(DEFLATE))
+                .toList();
         return new Handshake(keys.get(0).trim(), protocols, extensions);
     }
 
@@ -154,18 +160,21 @@
         List<String> chosen = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
         List<String> agreed = tokens(headers, HttpHeaderNames.SEC_WEBSOCKET_EXTENSIONS);
         List<String> accepts = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_ACCEPT);
-        if (upgrade.size() != 1 || !upgrade.get(0).equalsIgnoreCase("websocket")
+        if (upgrade.size() != 1
+                || !upgrade.get(0).equalsIgnoreCase("websocket")
                 || !hasToken(headers, HttpHeaderNames.CONNECTION, "upgrade")) {
             return "101 for something else";
         }
         if (accepts.size() != 1 || !accepts.get(0).trim().equals(accept)) {
             return "a wrong accept key";
         }
-        if (chosen.size() > 1 || chosen.size() == 1 && !protocols.contains(chosen.get(0).trim())) {
+        if (chosen.size() > 1
+                || chosen.size() == 1 && !protocols.contains(chosen.get(0).trim())) {
             return "a subprotocol that was not offered";
         }
-        if (agreed.size() > 1 || agreed.size() == 1 && (extensions.isEmpty()
-                || !name(agreed.get(0)).equals(DEFLATE))) {
+        if (agreed.size() > 1
+                || agreed.size() == 1
+                        && (extensions.isEmpty() || !name(agreed.get(0)).equals(DEFLATE))) {
             return "an extension that was not offered";
         }
         return null;
@@ -184,8 +193,7 @@
     /** The value that proves that a server has read this key (section 4.2.2). */
     public static String accept(String key) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-1")
-                    .digest((key + GUID).getBytes(StandardCharsets.US_ASCII));
+            byte[] hash = MessageDigest.getInstance("SHA-1").digest((key + GUID).getBytes(StandardCharsets.US_ASCII));
             return Base64.getEncoder().encodeToString(hash);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every runtime has SHA-1", e);
--- a/src/main/java/larkbank/websocket/Intake.java
+++ b/src/main/java/larkbank/websocket/Intake.java
@@ -22,6 +22,7 @@
 
     /** How long a part that was not used is saved up: by all together and warm servers, by a cold one. */
     private static final double SAVED_SECONDS = 1;
+
     private static final double COLD_SAVED_SECONDS = 0.1;
     /** Nobody is asked to stay away for longer. */
     static final long LONGEST_MICROS = 30_000_000;
@@ -30,6 +31,7 @@
     private final Map<S, Account> servers = new HashMap<>();
     /** Those that were told to be full. */
     private final Set<S> full = new LinkedHashSet<>();
+
     private double saved = Double.NaN;
     private long at;
     private long nextReturn;
@@ -41,7 +43,7 @@
      * @param cold what a cold one takes of that
      * @param most open connections at most
      */
-    public record Rule(double rate, Rules cold, int most) { }
+    public record Rule(double rate, Rules cold, int most) {}
 
     private static final class Account {
         private final long startMicros;
@@ -145,8 +147,10 @@
 
     /** Forgets servers of which nothing is open and that have saved up all they can. */
     public void forget(long now) {
-        servers.entrySet().removeIf(e -> e.getValue().open <= 0 && !full.contains(e.getKey())
-                && refill(now, e.getValue()).saved >= most(now, e.getValue()));
+        servers.entrySet()
+                .removeIf(e -> e.getValue().open <= 0
+                        && !full.contains(e.getKey())
+                        && refill(now, e.getValue()).saved >= most(now, e.getValue()));
     }
 
     private Account account(long now, S server, long startMicros) {
@@ -164,8 +168,7 @@
 
     private Account refill(long now, Account account) {
         // The share of the beginning holds for the whole time: the bound is kept, never exceeded.
-        double gained = rule.rate() * rule.cold().coldShare(account.at, account.startMicros)
-                * (now - account.at) / 1e6;
+        double gained = rule.rate() * rule.cold().coldShare(account.at, account.startMicros) * (now - account.at) / 1e6;
         account.saved = Math.min(most(now, account), account.saved + gained);
         account.at = now;
         return account;
--- a/src/main/java/larkbank/websocket/Move.java
+++ b/src/main/java/larkbank/websocket/Move.java
@@ -23,7 +23,8 @@
     enum Event {
         ASK,
         /** The other server agreed, the client being between two messages or within one. */
-        AGREED_BETWEEN, AGREED_WITHIN,
+        AGREED_BETWEEN,
+        AGREED_WITHIN,
         /** No server agreed. */
         REFUSED,
         /** The client's message has ended. */
@@ -36,7 +37,7 @@
         CALLED_OFF
     }
 
-    private Move() { }
+    private Move() {}
 
     /** What means nothing in a state leaves it as it is. */
     static State next(State state, Event event) {
--- a/src/main/java/larkbank/websocket/Tunnel.java
+++ b/src/main/java/larkbank/websocket/Tunnel.java
@@ -45,6 +45,7 @@
     static final double OPEN_WEIGHT = 0.02;
     /** For how long a message, and a byte, is taken to keep a server busy, as a request would. */
     private static final double MESSAGE_SECONDS = 0.005;
+
     private static final double BYTE_SECONDS = 1e-7;
     /** Weight of what was last seen in what is known. */
     private static final double WEIGH_PART = 0.5;
@@ -77,14 +78,15 @@
     private final ArrayDeque<Held> held = new ArrayDeque<>(0);
     /** The client's first message, as far as it has come; null where none is to be repeated. */
     private ByteBuf first;
+
     private int firstOpcode;
     private boolean firstEnded;
 
     /** The connection that takes the place of the server's. */
-    private record Next(Channel channel, ByteBuf early, Moved moved) { }
+    private record Next(Channel channel, ByteBuf early, Moved moved) {}
 
     /** A frame that waits for the other server. */
-    private record Held(int opcode, boolean last, ByteBuf payload) { }
+    private record Held(int opcode, boolean last, ByteBuf payload) {}
 
     /** What becomes of a move whose other server had agreed; told once, on the event loop. */
     public interface Moved {
@@ -93,8 +95,15 @@
     }
 
     /** Between two connections whose pipelines have nothing left that reads; it takes over both. */
-    public Tunnel(WebSocketLimits limits, boolean compressed, Channel client, Channel server,
-            LongSupplier clock, SplittableRandom random, UpgradeAccount account, Listener listener) {
+    public Tunnel(
+            WebSocketLimits limits,
+            boolean compressed,
+            Channel client,
+            Channel server,
+            LongSupplier clock,
+            SplittableRandom random,
+            UpgradeAccount account,
+            Listener listener) {
         this.limits = limits;
         this.clock = clock;
         this.account = account;
@@ -200,8 +209,7 @@
             callOff();
             return;
         }
-        move = Move.next(move, client.reader.inMessage() ? Move.Event.AGREED_WITHIN
-                : Move.Event.AGREED_BETWEEN);
+        move = Move.next(move, client.reader.inMessage() ? Move.Event.AGREED_WITHIN : Move.Event.AGREED_BETWEEN);
         beginSwitch();
     }
 
@@ -230,7 +238,7 @@
         if (first != null && first.isReadable()) {
             server.send(firstOpcode, true, false, first.copy());
         }
-        for (Held h; (h = held.poll()) != null;) {
+        for (Held h; (h = held.poll()) != null; ) {
             if (h.opcode() == Frames.CLOSE) {
                 byte[] payload = ByteBufUtil.getBytes(h.payload());
                 h.payload().release();
@@ -254,8 +262,13 @@
             Next unused = next;
             next = null;
             unused.early().release();
-            unused.channel().writeAndFlush(Frames.frame(Frames.CLOSE, true, false, Unpooled.wrappedBuffer(
-                    Frames.closing(Frames.GOING_AWAY, "not needed")), mask()))
+            unused.channel()
+                    .writeAndFlush(Frames.frame(
+                            Frames.CLOSE,
+                            true,
+                            false,
+                            Unpooled.wrappedBuffer(Frames.closing(Frames.GOING_AWAY, "not needed")),
+                            mask()))
                     .addListener(f -> unused.channel().close());
             unused.moved().over(false);
         }
@@ -334,6 +347,7 @@
         private long dataAt;
         /** The tunnel goes on without it. */
         private boolean detached;
+
         private boolean closeSent;
         private boolean closeGot;
         private boolean down;
@@ -430,8 +444,11 @@
         public void control(int opcode, byte[] payload) {
             if (isClient && move == Move.State.SWITCHING) {
                 held.add(new Held(opcode, true, Unpooled.wrappedBuffer(payload)));
-            } else if (opcode == Frames.CLOSE && !isClient && move == Move.State.SWITCHING
-                    && !reader.inMessage() && (payload.length == 0 || IN_ORDER.contains(code(payload)))) {
+            } else if (opcode == Frames.CLOSE
+                    && !isClient
+                    && move == Move.State.SWITCHING
+                    && !reader.inMessage()
+                    && (payload.length == 0 || IN_ORDER.contains(code(payload)))) {
                 goOver();
             } else if (opcode == Frames.CLOSE) {
                 closeGot(payload);
@@ -467,7 +484,8 @@
             account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
             closing(now());
             sendClose(Frames.closing(violation.code(), violation.getMessage()));
-            other.sendClose(Frames.closing(isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
+            other.sendClose(Frames.closing(
+                    isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
                     isClient ? "the client broke the protocol" : "the server broke the protocol"));
             // What it still sends can't be read any more; it has the rest of the time to hear why.
             closeGot = true;
@@ -484,7 +502,8 @@
                 account.on(Event.BREAK);
                 closing(now());
             }
-            other.sendClose(Frames.closing(isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
+            other.sendClose(Frames.closing(
+                    isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
                     isClient ? "the client is gone" : "the server is gone"));
             other.channel.flush();
             other.channel.config().setAutoRead(true);
--- a/src/main/java/larkbank/websocket/Tunnels.java
+++ b/src/main/java/larkbank/websocket/Tunnels.java
@@ -101,9 +101,9 @@
         }
     }
 
-    private record Drain(Pool pool, WebSocketLimits limits) { }
+    private record Drain(Pool pool, WebSocketLimits limits) {}
 
-    private record Leaving(Drain drain, long toldAt) { }
+    private record Leaving(Drain drain, long toldAt) {}
 
     private static final class Member {
         private final WebSocketLimits limits;
@@ -151,13 +151,18 @@
         if (retry >= 0) {
             return new Ticket(null, retry);
         }
-        Census.Entry<Tunnel> entry = census.enter(List.of(new Bound("all", most),
-                new Bound(pool, pool.most()), new Bound("route " + bounds.route(), bounds.most()),
-                new Bound("route " + bounds.route() + " tenant " + tenant, bounds.perTenant())), now,
+        Census.Entry<Tunnel> entry = census.enter(
+                List.of(
+                        new Bound("all", most),
+                        new Bound(pool, pool.most()),
+                        new Bound("route " + bounds.route(), bounds.most()),
+                        new Bound("route " + bounds.route() + " tenant " + tenant, bounds.perTenant())),
+                now,
                 bounds.evictMicros());
         entry.evicted().forEach(this::close);
-        return new Ticket(entry.place(), entry.place() != null ? 0 : 1 + random.nextLong(
-                Math.max(1_000_000, bounds.evictMicros())));
+        return new Ticket(
+                entry.place(),
+                entry.place() != null ? 0 : 1 + random.nextLong(Math.max(1_000_000, bounds.evictMicros())));
     }
 
     /** A move needs no room but at the other server. */
@@ -224,7 +229,8 @@
     }
 
     private void tell(Fleet fleet, Host host, long now) {
-        host.carries(Math.max(0, fleet.carried.getOrDefault(host, 0.0)) * fleet.fit.factor(),
+        host.carries(
+                Math.max(0, fleet.carried.getOrDefault(host, 0.0)) * fleet.fit.factor(),
                 fleet.intake.isFull(now, host));
     }
 
@@ -247,10 +253,13 @@
     private void sweep() {
         long now = clock.getAsLong();
         List.copyOf(open.keySet()).forEach(tunnel -> tunnel.check(now));
-        drains.forEach((drain, order) -> order.due(now, drain.pool().warmServers())
-                .forEach(tunnel -> leave(tunnel, now)));
-        drains.entrySet().removeIf(e -> e.getValue().size() == 0 && open.values().stream()
-                .noneMatch(m -> m.leaving != null && m.leaving.drain().equals(e.getKey())));
+        drains.forEach(
+                (drain, order) -> order.due(now, drain.pool().warmServers()).forEach(tunnel -> leave(tunnel, now)));
+        drains.entrySet()
+                .removeIf(e -> e.getValue().size() == 0
+                        && open.values().stream()
+                                .noneMatch(m ->
+                                        m.leaving != null && m.leaving.drain().equals(e.getKey())));
         fleets.keySet().forEach(pool -> free(pool, now));
         if (now - weighedAt >= WEIGH_MICROS) {
             weighedAt = now;
@@ -285,8 +294,7 @@
         ordered.sort(Comparator.comparing(Tunnel::inMessage).thenComparingLong(Tunnel::dataAt));
         for (int i = 0; i < ordered.size(); i++) {
             Tunnel tunnel = ordered.get(i);
-            loop.schedule(() -> close(tunnel), spreadMicros * (i + 1) / ordered.size(),
-                    TimeUnit.MICROSECONDS);
+            loop.schedule(() -> close(tunnel), spreadMicros * (i + 1) / ordered.size(), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -305,8 +313,8 @@
 
     private void queue(Tunnel tunnel, Leaving leaving) {
         WebSocketLimits limits = leaving.drain().limits();
-        drains.computeIfAbsent(leaving.drain(), d -> new DrainOrder<>(limits.drainMicros(),
-                limits.reconnects())).leaves(tunnel, leaving.toldAt());
+        drains.computeIfAbsent(leaving.drain(), d -> new DrainOrder<>(limits.drainMicros(), limits.reconnects()))
+                .leaves(tunnel, leaving.toldAt());
     }
 
     /** Its server stays after all. */
--- a/src/main/java/larkbank/websocket/UpgradeAccount.java
+++ b/src/main/java/larkbank/websocket/UpgradeAccount.java
@@ -12,9 +12,19 @@
 
     /** Where an upgrade stands. */
     public enum State {
-        ASKED(false), TRIED(false), REFUSED(true), FAILED(true), GONE(true), OPEN(false),
-        CLOSING_BY_CLIENT(false), CLOSING_BY_SERVER(false), CLOSING_BY_SIDECAR(false),
-        CLOSED_BY_CLIENT(true), CLOSED_BY_SERVER(true), CLOSED_BY_SIDECAR(true), BROKEN(true);
+        ASKED(false),
+        TRIED(false),
+        REFUSED(true),
+        FAILED(true),
+        GONE(true),
+        OPEN(false),
+        CLOSING_BY_CLIENT(false),
+        CLOSING_BY_SERVER(false),
+        CLOSING_BY_SIDECAR(false),
+        CLOSED_BY_CLIENT(true),
+        CLOSED_BY_SERVER(true),
+        CLOSED_BY_SIDECAR(true),
+        BROKEN(true);
 
         private final boolean last;
 
@@ -41,7 +51,9 @@
         /** A server has said 101, and the client is told so. */
         OPEN,
         /** A close frame from the client, from the server, or from the sidecar itself. */
-        CLIENT_CLOSES, SERVER_CLOSES, SIDECAR_CLOSES,
+        CLIENT_CLOSES,
+        SERVER_CLOSES,
+        SIDECAR_CLOSES,
         /** A side has ended without a close frame. */
         BREAK,
         /** Both sides are down. */
@@ -71,8 +83,7 @@
 
         /** Whether everything adds up: what was asked for, and what was opened, is somewhere exactly once. */
         public boolean addUp() {
-            long before = in(State.ASKED) + in(State.TRIED) + in(State.REFUSED) + in(State.FAILED)
-                    + in(State.GONE);
+            long before = in(State.ASKED) + in(State.TRIED) + in(State.REFUSED) + in(State.FAILED) + in(State.GONE);
             long after = 0;
             for (State state : State.values()) {
                 after += state.ordinal() >= State.OPEN.ordinal() ? in(state) : 0;
@@ -124,7 +135,7 @@
                 case BREAK, END -> State.BROKEN;
                 default -> state;
             };
-            // Once somebody has said good-bye, how the connection ends no longer matters.
+                // Once somebody has said good-bye, how the connection ends no longer matters.
             case CLOSING_BY_CLIENT -> event == Event.END ? State.CLOSED_BY_CLIENT : state;
             case CLOSING_BY_SERVER -> event == Event.END ? State.CLOSED_BY_SERVER : state;
             case CLOSING_BY_SIDECAR -> event == Event.END ? State.CLOSED_BY_SIDECAR : state;
--- a/src/main/java/larkbank/websocket/Utf8.java
+++ b/src/main/java/larkbank/websocket/Utf8.java
@@ -11,6 +11,7 @@
 
     /** Continuation bytes that are still to come, and the range of the next of them. */
     private int missing;
+
     private int low;
     private int high;
 
--- a/src/main/java/larkbank/websocket/WeightFit.java
+++ b/src/main/java/larkbank/websocket/WeightFit.java
@@ -15,6 +15,7 @@
     private static final double LEAST_EFFECT = 1e-4;
     /** However wrong the stated weights, they are corrected by so much at most. */
     static final double MOST = 5;
+
     private static final int TERMS = 3;
 
     private final double[] known = new double[TERMS];
@@ -54,8 +55,8 @@
         for (int i = 0; i < TERMS; i++) {
             for (int j = 0; j < TERMS; j++) {
                 // What is never seen to change is forgotten without end; that must not run away.
-                spread[i][j] = Math.max(-UNKNOWN, Math.min(UNKNOWN,
-                        (spread[i][j] - gain[i] * gain[j] / scale) / FORGET));
+                spread[i][j] =
+                        Math.max(-UNKNOWN, Math.min(UNKNOWN, (spread[i][j] - gain[i] * gain[j] / scale) / FORGET));
             }
         }
         samples++;
--- a/src/prove/java/larkbank/pilot/Replays.java
+++ b/src/prove/java/larkbank/pilot/Replays.java
@@ -38,9 +38,9 @@
     private static final long LEFT = 2_000_000;
 
     /** A parcel as it was sent, and where. */
-    private record Parcel(Link link, boolean out, byte[] bytes) { }
+    private record Parcel(Link link, boolean out, byte[] bytes) {}
 
-    private record Task(long at, long number, Runnable work) { }
+    private record Task(long at, long number, Runnable work) {}
 
     private static final class Caller {
         private final String id;
@@ -70,8 +70,12 @@
         private void begin() {
             links.stream().filter(l -> l.sender == this).forEach(l -> l.near.close());
             newest.clear();
-            hops = new Hops(() -> now, "own", ++life * 1_000, null, to -> newest.containsKey(to)
-                    && newest.get(to).nearLine.isOpen() ? newest.get(to).nearLine : null);
+            hops = new Hops(
+                    () -> now,
+                    "own",
+                    ++life * 1_000,
+                    null,
+                    to -> newest.containsKey(to) && newest.get(to).nearLine.isOpen() ? newest.get(to).nearLine : null);
         }
     }
 
@@ -100,8 +104,8 @@
                 }
             });
             long own = its;
-            landing = new Landing(() -> now, quay, () -> new Berth(address, own, 1, address, "", "z", "s",
-                    false, null));
+            landing =
+                    new Landing(() -> now, quay, () -> new Berth(address, own, 1, address, "", "z", "s", false, null));
         }
     }
 
@@ -123,24 +127,26 @@
             Landing landing = receiver.landing;
             links.add(this);
             DryLine.on(far, () -> now, landing);
-            nearLine = replayed ? null : DryLine.on(near, () -> now, new Line.Ear() {
-                @Override
-                public void opened(Line line) { }
-
-                @Override
-                public void heard(Line line, Map<String, Object> head, byte[] body) {
-                    if (Scribe.text(head, "t").equals("end")) {
-                        hops.heard(line, head, body);
-                    } else {
-                        hops.greeted(line, Json.whole(Scribe.object(head, "berth"), "life", -1));
-                    }
-                }
-
-                @Override
-                public void closed(Line line) {
-                    hops.lost(line);
-                }
-            });
+            nearLine = replayed
+                    ? null
+                    : DryLine.on(near, () -> now, new Line.Ear() {
+                        @Override
+                        public void opened(Line line) {}
+
+                        @Override
+                        public void heard(Line line, Map<String, Object> head, byte[] body) {
+                            if (Scribe.text(head, "t").equals("end")) {
+                                hops.heard(line, head, body);
+                            } else {
+                                hops.greeted(line, Json.whole(Scribe.object(head, "berth"), "life", -1));
+                            }
+                        }
+
+                        @Override
+                        public void closed(Line line) {
+                            hops.lost(line);
+                        }
+                    });
             if (!replayed) {
                 nearLine.send(hops.hello(sender.name));
                 sender.newest.put(receiver.address, this);
@@ -167,7 +173,8 @@
          */
         private boolean takesAgain(Parcel parcel) {
             boolean came = read.contains(parcel);
-            return parcel.out ? came && sender == parcel.link.sender && receiver == parcel.link.receiver
+            return parcel.out
+                    ? came && sender == parcel.link.sender && receiver == parcel.link.receiver
                     : came || this != parcel.link;
         }
 
@@ -192,14 +199,16 @@
     private final List<Parcel> sent = new ArrayList<>();
     /** What has come on its own line. */
     private final Set<Parcel> read = new HashSet<>();
+
     private final Map<String, Caller> callers = new HashMap<>();
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private long now = 1_000_000_000;
     private long life = 1_000;
     private long numbers;
     /** The line on which a parcel comes for the first time; null at all other times. */
     private Link coming;
+
     private String breach;
     private int answered;
 
@@ -232,8 +241,7 @@
             broken("REFUSED", caller.id + " runs and was told not to");
         }
         if (random.nextInt(20) > 0) {
-            later(random.nextInt(40_000), () -> visit.answers(200, caller.id, "ran " + caller.id,
-                    Map.of(SEAL, "s")));
+            later(random.nextInt(40_000), () -> visit.answers(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
         }
     }
 
@@ -246,10 +254,22 @@
         }
         Caller caller = new Caller("c" + ++numbers, sender.newest.get(receiver.address));
         callers.put(caller.id, caller);
-        Freight freight = new Freight(caller.id, "POST", "/x", List.of(), new byte[0], random.nextInt(3) == 0,
-                1, false, now + LEFT / 2, now + LEFT, null);
-        Carrier.Ride ride = sender.hops.send(new Target(to, receiver.address, sender.lives[to],
-                receiver.address, "i", "z"), freight, reply -> told(caller, reply.outcome()));
+        Freight freight = new Freight(
+                caller.id,
+                "POST",
+                "/x",
+                List.of(),
+                new byte[0],
+                random.nextInt(3) == 0,
+                1,
+                false,
+                now + LEFT / 2,
+                now + LEFT,
+                null);
+        Carrier.Ride ride = sender.hops.send(
+                new Target(to, receiver.address, sender.lives[to], receiver.address, "i", "z"),
+                freight,
+                reply -> told(caller, reply.outcome()));
         caller.sent = true;
         if (random.nextInt(10) == 0) {
             later(random.nextInt(20_000), ride::cancel);
@@ -295,8 +315,8 @@
             }
         } else if (fate < 90 && !sent.isEmpty() && !links.isEmpty()) {
             // Lately sent ones as well: they may be in hand, or still on their way.
-            Parcel parcel = sent.get(sent.size() - 1 - random.nextInt(Math.min(sent.size(),
-                    random.nextBoolean() ? 20 : sent.size())));
+            Parcel parcel = sent.get(
+                    sent.size() - 1 - random.nextInt(Math.min(sent.size(), random.nextBoolean() ? 20 : sent.size())));
             Link link = any(links);
             if (link.takesAgain(parcel)) {
                 link.comes(parcel, false);
@@ -319,7 +339,9 @@
     /** All that was ever sent on a line comes as a line of its own. */
     private void again(Link link) {
         Link replay = new Link(link.sender, link.receiver, true);
-        sent.stream().filter(p -> p.link == link && p.out && read.contains(p)).toList()
+        sent.stream()
+                .filter(p -> p.link == link && p.out && read.contains(p))
+                .toList()
                 .forEach(p -> replay.comes(p, false));
     }
 
--- a/src/prove/java/larkbank/pilot/SilenceTest.java
+++ b/src/prove/java/larkbank/pilot/SilenceTest.java
@@ -25,18 +25,18 @@
     void whoLeavesBreaksNothingOff(boolean repeatable, boolean leaving, boolean givenUp) {
         Line line = DryLine.on(new EmbeddedChannel(), () -> now, new Line.Ear() {
             @Override
-            public void opened(Line its) { }
+            public void opened(Line its) {}
 
             @Override
-            public void heard(Line its, Map<String, Object> head, byte[] body) { }
+            public void heard(Line its, Map<String, Object> head, byte[] body) {}
 
             @Override
-            public void closed(Line its) { }
+            public void closed(Line its) {}
         });
         Hops hops = new Hops(() -> now, "own", 1, null, to -> line);
         List<Outcome> ends = new ArrayList<>();
-        Freight freight = new Freight("id", "GET", "/", List.of(), new byte[0], repeatable, 1, false,
-                now + SECOND, now + 6 * SECOND, "i");
+        Freight freight = new Freight(
+                "id", "GET", "/", List.of(), new byte[0], repeatable, 1, false, now + SECOND, now + 6 * SECOND, "i");
         hops.send(new Target(1, "p1", 1, "far", "i", "z"), freight, reply -> ends.add(reply.outcome()));
         if (leaving) {
             hops.leave();
--- a/src/prove/java/larkbank/pilot/Voyages.java
+++ b/src/prove/java/larkbank/pilot/Voyages.java
@@ -92,12 +92,15 @@
             hull.later(random.nextInt(2_000), () -> sent.ends(new Outcome.NotRun(Reason.NO_CONNECTION, 0)));
             return;
         }
-        hull.later(random.nextInt(2_000), () -> ticket[0] = quay.take(sent.freight, outcome ->
-                hull.later(random.nextInt(2_000), () -> {
-                    if (!lost.get()) {
-                        sent.ends(outcome);
-                    }
-                })));
+        hull.later(
+                random.nextInt(2_000),
+                () -> ticket[0] = quay.take(
+                        sent.freight,
+                        outcome -> hull.later(random.nextInt(2_000), () -> {
+                            if (!lost.get()) {
+                                sent.ends(outcome);
+                            }
+                        })));
         sent.whenCancelled = () -> hull.later(2_000, () -> quay.cancel(ticket[0]));
         if (fate == 1) {
             hull.later(2_000 + random.nextInt(60_000), () -> {
@@ -114,7 +117,8 @@
     private void serve(DryQuay.Visit visit) {
         String id = header(visit.head, "Cypressweir-Attempt-Id: ");
         Voyager asked = voyagers.get(id);
-        if (asked == null || !visit.head.startsWith(asked.method() + " " + asked.uri() + " HTTP/1.1\r\n")
+        if (asked == null
+                || !visit.head.startsWith(asked.method() + " " + asked.uri() + " HTTP/1.1\r\n")
                 || !visit.body.equals(new String(asked.body, StandardCharsets.ISO_8859_1))) {
             broken("UNASKED", visit.head + visit.body);
             return;
@@ -153,7 +157,7 @@
         String text = "ran " + asked.id;
         switch (fate) {
             case 13, 14, 15 -> visit.breaks();
-            case 16, 17 -> { }
+            case 16, 17 -> {}
             case 18 -> visit.answers(200, asked.id, text, Map.of());
             case 19 -> visit.answers(200, asked.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
             case 20 -> visit.answers(200, asked.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
@@ -213,8 +217,8 @@
             return;
         }
         Answer answer = v.answers.get(0);
-        String text = Headers.first(answer.headers(), SEAL) + " "
-                + new String(answer.body(), StandardCharsets.ISO_8859_1);
+        String text =
+                Headers.first(answer.headers(), SEAL) + " " + new String(answer.body(), StandardCharsets.ISO_8859_1);
         if (v.answers.size() > 1 || answer.status() / 100 == 2 && !v.answered.contains(text)) {
             broken("MIXED", v.id + " got " + v.answers);
         }
--- a/src/prove/java/larkbank/prove/CopiesWalk.java
+++ b/src/prove/java/larkbank/prove/CopiesWalk.java
@@ -19,8 +19,8 @@
 import larkbank.copies.Copies;
 import larkbank.copies.CopiesPlan;
 import larkbank.copies.Effect;
-import larkbank.copies.Standing;
 import larkbank.copies.ProposalResult;
+import larkbank.copies.Standing;
 import larkbank.manifest.Order;
 import larkbank.testkit.CopiesChecks;
 import larkbank.testkit.Plain;
@@ -50,19 +50,21 @@
     private static final int MOST_HARBOURS = 5;
     /** How many of those that wait may come first. */
     private static final int REACH = 4;
+
     private static final int WINDOW = 70;
     private static final int END = 6_000;
     private static final int HELD_TICKS = 8;
     /** Until it is known that somebody waits to be let in. */
     private static final int TICKS_TO_WAIT = 24;
+
     private static final long TICK = 50_000;
     private static final long SYNC_TIME = 4_000_000;
     private static final long PATIENCE = 3_000_000;
 
-    private CopiesWalk() { }
+    private CopiesWalk() {}
 
     /** How many ways were walked over how many states, whether all, and the first breach or null. */
-    public record Result(long ways, long states, boolean whole, long taken, String breach) { }
+    public record Result(long ways, long states, boolean whole, long taken, String breach) {}
 
     /** What is going on as the orders come: so many machines, and which of them take an order. */
     private enum Scene {
@@ -88,14 +90,24 @@
         }
     }
 
-    private record Stray(int step, int option) { }
-
-    private enum Kind { FIRST, HELD, LOST, TWICE, POWER, POWER_AFTER_WRITE, DISK, MACHINE, RETURN, END }
+    private record Stray(int step, int option) {}
+
+    private enum Kind {
+        FIRST,
+        HELD,
+        LOST,
+        TWICE,
+        POWER,
+        POWER_AFTER_WRITE,
+        DISK,
+        MACHINE,
+        RETURN,
+        END
+    }
 
-    private record Option(Kind kind, int which) { }
+    private record Option(Kind kind, int which) {}
 
-    private record Act(int to, long life, long write, String from, Map<String, Object> message,
-            long print) { }
+    private record Act(int to, long life, long write, String from, Map<String, Object> message, long print) {}
 
     private static long mix(long a, long b) {
         long mixed = (a ^ Long.rotateLeft(b, 31)) * 0x9E3779B97F4A7C15L;
@@ -124,6 +136,7 @@
         int ticks;
         /** A print of all that has come to each harbour, in order. */
         final long[] past = new long[MOST_HARBOURS];
+
         boolean powerLost;
         boolean diskLost;
         /** Whether the second has told that it leaves, and was not started again since. */
@@ -131,7 +144,9 @@
         /** One that said so and was started again counts as lost for as long as users count it so. */
         long countsFrom;
         /** The crew of the highest state that was shown by any. */
-        List<String> decided = IntStream.range(0, SEEDS).mapToObj(World::address).toList();
+        List<String> decided =
+                IntStream.range(0, SEEDS).mapToObj(World::address).toList();
+
         Ballot top = Ballot.ZERO;
 
         World(Scene scene) {
@@ -158,7 +173,7 @@
                     leaving = true;
                     act(1, copies[1].leave(now));
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -203,9 +218,15 @@
 
         void start(int i, boolean initial) {
             lives[i]++;
-            copies[i] = new Copies(CopiesPlan.usual(), address(i),
-                    IntStream.range(0, SEEDS).mapToObj(World::address).toList(), initial, disks[i],
-                    lives[i], new SplittableRandom(i + 31 * lives[i]), now);
+            copies[i] = new Copies(
+                    CopiesPlan.usual(),
+                    address(i),
+                    IntStream.range(0, SEEDS).mapToObj(World::address).toList(),
+                    initial,
+                    disks[i],
+                    lives[i],
+                    new SplittableRandom(i + 31 * lives[i]),
+                    now);
             checks.started(address(i));
             act(i, copies[i].start(now));
         }
@@ -214,12 +235,17 @@
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
                     int to = send.to().charAt(1) - '1';
-                    waiting.add(new Act(to, 0, 0, copies[i].own(), Plain.map(send.message()),
+                    waiting.add(new Act(
+                            to,
+                            0,
+                            0,
+                            copies[i].own(),
+                            Plain.map(send.message()),
                             mix(to * 8L + i, CopiesWalk.print(send.message().toString()))));
                 } else if (effect instanceof Effect.Write write) {
                     writing[i] = write;
-                    waiting.add(new Act(i, lives[i], write.number(), null, null,
-                            mix(mix(~i, lives[i]), write.number())));
+                    waiting.add(
+                            new Act(i, lives[i], write.number(), null, null, mix(mix(~i, lives[i]), write.number())));
                 } else if (effect instanceof Effect.Answer answer) {
                     verdicts.put(answer.ticket(), answer.verdict());
                     checks.answered(answer.ticket(), answer.verdict());
@@ -334,8 +360,7 @@
             }
             writing[i] = null;
             if (scene.takers.contains(i)) {
-                verdicts.putIfAbsent(1L + scene.takers.indexOf(i),
-                        new ProposalResult.Unavailable("lost power"));
+                verdicts.putIfAbsent(1L + scene.takers.indexOf(i), new ProposalResult.Unavailable("lost power"));
             }
             if (kind == Kind.MACHINE) {
                 copies[i] = null;
@@ -350,8 +375,11 @@
 
         @Override
         public String toString() {
-            return Arrays.stream(copies).filter(Objects::nonNull).map(c -> c.own() + " has "
-                    + c.shown().stamp() + " crew " + c.crew()).toList().toString();
+            return Arrays.stream(copies)
+                    .filter(Objects::nonNull)
+                    .map(c -> c.own() + " has " + c.shown().stamp() + " crew " + c.crew())
+                    .toList()
+                    .toString();
         }
 
         /** Whether a crew of three is known to be decided, and all of it runs and stays. */
@@ -365,17 +393,20 @@
         }
 
         void submit(int i, long ticket, String key) {
-            Order order = key == null ? null : Order.read((
-                    "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\""
-                    + key + "\"],\"configVersion\":\"r1\"}}}}").getBytes(StandardCharsets.UTF_8)).get();
+            Order order = key == null
+                    ? null
+                    : Order.read(("{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
+                                            + "\"],\"configVersion\":\"r1\"}}}}")
+                                    .getBytes(StandardCharsets.UTF_8))
+                            .get();
             checks.sent(ticket, order);
             act(i, copies[i].submit(now, ticket, order, now + PATIENCE));
         }
     }
 
     /** Plays one way; tells for each step how many options there were. */
-    private static int[] play(Scene scene, List<Stray> strays, Set<Long> seen,
-            AtomicReference<String> breach, AtomicLong taken) {
+    private static int[] play(
+            Scene scene, List<Stray> strays, Set<Long> seen, AtomicReference<String> breach, AtomicLong taken) {
         World world = new World(scene);
         world.submit(scene.takers.get(0), 1, "a");
         world.submit(scene.takers.get(1), 2, "b");
@@ -436,8 +467,12 @@
         Result all = new Result(0, 0, true, 0, null);
         for (Scene scene : Scene.values()) {
             Result one = walk(scene, strays, most);
-            all = new Result(all.ways + one.ways, all.states + one.states, all.whole && one.whole,
-                    all.taken + one.taken, one.breach);
+            all = new Result(
+                    all.ways + one.ways,
+                    all.states + one.states,
+                    all.whole && one.whole,
+                    all.taken + one.taken,
+                    one.breach);
             if (one.breach != null) {
                 return all;
             }
@@ -464,8 +499,12 @@
             }
             walked += ways.size();
             List<List<Stray>> next = new ArrayList<>();
-            ways.stream().parallel().map(way -> breach.get() != null ? List.<List<Stray>>of()
-                    : further(way, play(scene, way, seen, breach, taken), last)).forEachOrdered(next::addAll);
+            ways.stream()
+                    .parallel()
+                    .map(way -> breach.get() != null
+                            ? List.<List<Stray>>of()
+                            : further(way, play(scene, way, seen, breach, taken), last))
+                    .forEachOrdered(next::addAll);
             if (breach.get() != null || last || cut) {
                 return new Result(walked, seen.size(), last && !cut, taken.get(), breach.get());
             }
--- a/src/prove/java/larkbank/prove/CopiesWalkTest.java
+++ b/src/prove/java/larkbank/prove/CopiesWalkTest.java
@@ -31,23 +31,28 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "one promise is enough ~ Round.java ~ if (!State.most(crew, promises.from())) { ~ if (false) {",
-        "any state will do as a base ~ Promises.java ~ accepted.above(highest.accepted) ~ false",
-        "a blank disk is the member that its address was ~ Copies.java "
-            + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
-        "a crew changes on what one has voted for ~ Round.java "
-            + "~ boolean settled = State.most(base.crew(), promises.voted(base.stamp())); "
-            + "~ boolean settled = true;",
-        "a word of another disk is one of this member ~ Member.java "
-            + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "one promise is enough ~ Round.java ~ if (!State.most(crew, promises.from())) { ~ if (false) {",
+                "any state will do as a base ~ Promises.java ~ accepted.above(highest.accepted) ~ false",
+                "a blank disk is the member that its address was ~ Copies.java "
+                        + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
+                "a crew changes on what one has voted for ~ Round.java "
+                        + "~ boolean settled = State.most(base.crew(), promises.voted(base.stamp())); "
+                        + "~ boolean settled = true;",
+                "a word of another disk is one of this member ~ Member.java "
+                        + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
+            })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/copies"), file, text,
-                instead, name -> name.startsWith("larkbank.prove.Copies")
-                || name.startsWith("larkbank.testkit.Copies"));
-        Method broken = planted.loadClass("larkbank.prove.CopiesWalk").getMethod("broken", int.class,
-                long.class);
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/copies"),
+                file,
+                text,
+                instead,
+                name -> name.startsWith("larkbank.prove.Copies") || name.startsWith("larkbank.testkit.Copies"));
+        Method broken = planted.loadClass("larkbank.prove.CopiesWalk").getMethod("broken", int.class, long.class);
         assertThat(broken.invoke(null, STRAYS, SOME)).as(fault).isNotNull();
     }
 }
--- a/src/prove/java/larkbank/prove/LeaseWalk.java
+++ b/src/prove/java/larkbank/prove/LeaseWalk.java
@@ -37,6 +37,7 @@
     private static final int DRIFT = 5;
     /** Fates for any number of keepers. */
     private static final int ALL_AT_ONCE = 0x2AAA;
+
     private static final int MOST_TURNS = 200;
     private static final String LEASE = "l";
 
@@ -48,13 +49,12 @@
      * @param restarts of keepers in all
      * @param together whether all keepers start anew at once, where tokens rest on more than keepers
      */
-    public record Shape(int keepers, int claimants, boolean late, int pauses, int restarts,
-            boolean together) { }
+    public record Shape(int keepers, int claimants, boolean late, int pauses, int restarts, boolean together) {}
 
     /** How far a walk came: states, steps between them, and the first breach's history or null. */
-    public record Result(long states, long steps, boolean whole, long held, String breach) { }
+    public record Result(long states, long steps, boolean whole, long held, String breach) {}
 
-    private record Late(int keeper, Word word) { }
+    private record Late(int keeper, Word word) {}
 
     /** What was done, and before that. */
     private record Step(String what, Step before) {
@@ -63,7 +63,7 @@
         }
     }
 
-    private record Sent(InetSocketAddress to, Word word) { }
+    private record Sent(InetSocketAddress to, Word word) {}
 
     /** Collects what one process says within a call. */
     private static final class Mouth implements Leases.Actions {
@@ -75,10 +75,10 @@
         }
 
         @Override
-        public void began(String lease, long token) { }
+        public void began(String lease, long token) {}
 
         @Override
-        public void ended(String lease, long token, String why) { }
+        public void ended(String lease, long token, String why) {}
     }
 
     private static InetSocketAddress address(int place) {
@@ -103,8 +103,15 @@
             this.shape = shape;
             pauses = shape.pauses;
             restarts = shape.restarts;
-            plan = new LeasePlan(IntStream.range(0, shape.keepers).mapToObj(LeaseWalk::address).toList(),
-                    null, TERM, DRIFT / 100.0, false, Map.of(LEASE, TERM));
+            plan = new LeasePlan(
+                    IntStream.range(0, shape.keepers)
+                            .mapToObj(LeaseWalk::address)
+                            .toList(),
+                    null,
+                    TERM,
+                    DRIFT / 100.0,
+                    false,
+                    Map.of(LEASE, TERM));
             all = new Leases[shape.keepers + shape.claimants];
             mouths = new Mouth[all.length];
             Map<String, InetSocketAddress> members = new LinkedHashMap<>();
@@ -140,8 +147,15 @@
 
         private void start(int i) {
             mouths[i] = new Mouth();
-            all[i] = new Leases(clock(i, now), plan, address(i), (i < shape.keepers ? "k" : "c") + i, "1", 0,
-                    bound -> 0, mouths[i]);
+            all[i] = new Leases(
+                    clock(i, now),
+                    plan,
+                    address(i),
+                    (i < shape.keepers ? "k" : "c") + i,
+                    "1",
+                    0,
+                    bound -> 0,
+                    mouths[i]);
             if (i < shape.keepers) {
                 all[i].leave(clock(i, now), "it only keeps");
             }
@@ -172,7 +186,7 @@
                     all[c].receive(clock(c, now), address(l.keeper), l.word);
                 }
                 all[c].tick(clock(c, now));
-                for (Sent s; (s = mouths[c].said.poll()) != null;) {
+                for (Sent s; (s = mouths[c].said.poll()) != null; ) {
                     int to = s.to.getPort() - 1_000;
                     if (to >= shape.keepers) {
                         all[to].receive(clock(to, now), address(c), s.word);
@@ -191,7 +205,7 @@
                 return;
             }
             all[keeper].receive(clock(keeper, now), address(c), word);
-            for (Sent answer; (answer = mouths[keeper].said.poll()) != null;) {
+            for (Sent answer; (answer = mouths[keeper].said.poll()) != null; ) {
                 if (fate == 2) {
                     all[c].receive(clock(c, now), address(keeper), answer.word);
                 } else if (fate == 3) {
@@ -204,10 +218,10 @@
             for (int k = 0; k < shape.keepers; k++) {
                 all[k].tick(clock(k, now));
             }
-            for (boolean more = true; more;) {
+            for (boolean more = true; more; ) {
                 more = false;
                 for (int k = 0; k < shape.keepers; k++) {
-                    for (Sent s; (s = mouths[k].said.poll()) != null;) {
+                    for (Sent s; (s = mouths[k].said.poll()) != null; ) {
                         int to = s.to.getPort() - 1_000;
                         if (to < shape.keepers) {
                             all[to].receive(clock(to, now), address(k), s.word);
@@ -233,8 +247,7 @@
                 acts = name;
                 boolean rises = name.equals(lastHolder) ? v.token() >= lastToken : v.token() > lastToken;
                 if (!shape.together && !rises) {
-                    return name + " has token " + v.token() + " at " + at + " after " + lastToken + " of "
-                            + lastHolder;
+                    return name + " has token " + v.token() + " at " + at + " after " + lastToken + " of " + lastHolder;
                 }
                 lastHolder = name;
                 lastToken = v.token();
@@ -243,8 +256,8 @@
         }
 
         boolean held() {
-            return IntStream.range(shape.keepers, all.length).anyMatch(c -> all[c].acting(clock(c, now),
-                    LEASE, 0).acting());
+            return IntStream.range(shape.keepers, all.length)
+                    .anyMatch(c -> all[c].acting(clock(c, now), LEASE, 0).acting());
         }
 
         long key() {
@@ -258,8 +271,7 @@
             for (int c = 0; c < late.size(); c++) {
                 for (Late l : late.get(c)) {
                     int claimant = shape.keepers + c;
-                    text.of(address(l.keeper), "late " + c + l.word.kind() + l.word.holder()
-                            + l.word.micros());
+                    text.of(address(l.keeper), "late " + c + l.word.kind() + l.word.holder() + l.word.micros());
                     text.tokenOf(address(l.keeper), l.word.token());
                     all[claimant].state(clock(claimant, now), LEASE, l.word.number(), text);
                 }
@@ -281,7 +293,7 @@
         return List.of(new World(shape), held);
     }
 
-    private LeaseWalk() { }
+    private LeaseWalk() {}
 
     /** Walks breadth first, so that the first breach is a shortest one; at most so many states. */
     public static Result walk(Shape shape, long most) {
@@ -301,15 +313,16 @@
                     World next = new World(world);
                     next.play(Math.max(0, f), f < 0, restart);
                     steps++;
-                    next.step = new Step(next.now + " c" + (shape.keepers + world.turn)
-                            + (f < 0 ? " stands still" : " " + Integer.toString(f, 4))
-                            + (restart < 0 ? "" : " anew " + restart), world.step);
+                    next.step = new Step(
+                            next.now + " c" + (shape.keepers + world.turn)
+                                    + (f < 0 ? " stands still" : " " + Integer.toString(f, 4))
+                                    + (restart < 0 ? "" : " anew " + restart),
+                            world.step);
                     String wrong = next.wrong(next.now);
                     next.now += TURN;
                     wrong = wrong != null ? wrong : next.wrong(next.now - 100);
                     if (wrong != null) {
-                        return new Result(known.size(), steps, false, held,
-                                next.step.history() + "\n" + wrong);
+                        return new Result(known.size(), steps, false, held, next.step.history() + "\n" + wrong);
                     }
                     if (known.add(next.key())) {
                         held += next.held() ? 1 : 0;
@@ -331,9 +344,15 @@
         for (String world : args[0].split(",")) {
             String[] p = world.split(":");
             long begun = System.nanoTime();
-            Result r = walk(new Shape(Integer.parseInt(p[0]), Integer.parseInt(p[1]),
-                    Boolean.parseBoolean(p[2]), Integer.parseInt(p[3]), Integer.parseInt(p[4]),
-                    Boolean.parseBoolean(p[5])), Long.parseLong(p[6]));
+            Result r = walk(
+                    new Shape(
+                            Integer.parseInt(p[0]),
+                            Integer.parseInt(p[1]),
+                            Boolean.parseBoolean(p[2]),
+                            Integer.parseInt(p[3]),
+                            Integer.parseInt(p[4]),
+                            Boolean.parseBoolean(p[5])),
+                    Long.parseLong(p[6]));
             System.out.println(world + ": " + r.states + " states, " + r.steps + " steps, "
                     + (r.whole ? "all" : "cut off") + ", the lease is held in " + r.held + ", "
                     + (System.nanoTime() - begun) / 1_000_000 + " ms"
--- a/src/prove/java/larkbank/prove/LeaseWalkTest.java
+++ b/src/prove/java/larkbank/prove/LeaseWalkTest.java
@@ -22,28 +22,34 @@
     @ParameterizedTest
     @CsvSource({"0,0,false", "2,0,false", "0,1,false", "1,1,true"})
     void noOrderOfEventsLetsTwoAct(int pauses, int restarts, boolean together) {
-        LeaseWalk.Result r = LeaseWalk.walk(new LeaseWalk.Shape(3, 2, false, pauses, restarts, together),
-                STATES);
+        LeaseWalk.Result r = LeaseWalk.walk(new LeaseWalk.Shape(3, 2, false, pauses, restarts, together), STATES);
         assertNull(r.breach());
         assertTrue(r.held() > 1_000, r.toString());
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "a keeper does not wait after its start ~ 0 ~ 1 ~ Keeper.java "
-                + "~ silentUntil = now + plan.kept(plan.mostTermMicros()); ~ silentUntil = now;",
-        "one keeper is enough ~ 0 ~ 0 ~ Claimant.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
-        "a keeper lets go early ~ 0 ~ 0 ~ Keeper.java ~ held.until <= now || held.holder "
-                + "~ held.until <= now + 300_000 || held.holder",
-        "drift is taken the wrong way ~ 0 ~ 0 ~ LeasePlan.java ~ (1 + drift) / (1 - drift) "
-                + "~ (1 - 2 * drift) / (1 + 2 * drift)",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "a keeper does not wait after its start ~ 0 ~ 1 ~ Keeper.java "
+                        + "~ silentUntil = now + plan.kept(plan.mostTermMicros()); ~ silentUntil = now;",
+                "one keeper is enough ~ 0 ~ 0 ~ Claimant.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
+                "a keeper lets go early ~ 0 ~ 0 ~ Keeper.java ~ held.until <= now || held.holder "
+                        + "~ held.until <= now + 300_000 || held.holder",
+                "drift is taken the wrong way ~ 0 ~ 0 ~ LeasePlan.java ~ (1 + drift) / (1 - drift) "
+                        + "~ (1 - 2 * drift) / (1 + 2 * drift)",
+            })
     void eachFaultIsFound(String fault, int pauses, int restarts, String file, String text, String instead)
             throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/lease"), file, text,
-                instead, name -> name.startsWith("larkbank.prove."));
-        Method broken = planted.loadClass("larkbank.prove.LeaseWalk").getMethod("broken", int.class,
-                int.class, boolean.class, long.class);
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/lease"),
+                file,
+                text,
+                instead,
+                name -> name.startsWith("larkbank.prove."));
+        Method broken = planted.loadClass("larkbank.prove.LeaseWalk")
+                .getMethod("broken", int.class, int.class, boolean.class, long.class);
         assertNotNull(broken.invoke(null, pauses, restarts, false, STATES), "not found: " + fault);
     }
 }
--- a/src/prove/java/larkbank/prove/OrderChecks.java
+++ b/src/prove/java/larkbank/prove/OrderChecks.java
@@ -28,9 +28,13 @@
 final class OrderChecks {
 
     /** What can be said of an order by itself. */
-    enum Validity { ALWAYS, NEVER, DEPENDS }
+    enum Validity {
+        ALWAYS,
+        NEVER,
+        DEPENDS
+    }
 
-    private record Version(Key key, long number) { }
+    private record Version(Key key, long number) {}
 
     private static final class Sent {
         private final List<Item> items;
@@ -74,20 +78,26 @@
         orders.put(body, sent);
         for (Item item : sent.items) {
             contents.computeIfAbsent(new Version(item.key(), item.version()), v -> new HashMap<>())
-                    .computeIfAbsent(content(item), c -> new ArrayList<>()).add(sent);
+                    .computeIfAbsent(content(item), c -> new ArrayList<>())
+                    .add(sent);
             versions.computeIfAbsent(item.key(), k -> new TreeMap<>()).put(item.version(), true);
         }
     }
 
     /** Orders that were told 200. */
     List<String> acknowledged() {
-        return orders.keySet().stream().filter(b -> orders.get(b).taken).sorted().toList();
+        return orders.keySet().stream()
+                .filter(b -> orders.get(b).taken)
+                .sorted()
+                .toList();
     }
 
     /** How many versions above an order's were sent, of the item of it that has most. */
     int passedBy(String body) {
-        return orders.get(body).items.stream().mapToInt(i -> versions.get(i.key())
-                .tailMap(i.version(), false).size()).max().orElse(0);
+        return orders.get(body).items.stream()
+                .mapToInt(i -> versions.get(i.key()).tailMap(i.version(), false).size())
+                .max()
+                .orElse(0);
     }
 
     /** Whether an order was told 200, for a call that begins now. */
@@ -117,8 +127,9 @@
             }
             if (status == 409) {
                 sent.conflict = true;
-                if (sent.items.stream().allMatch(i -> contents.get(new Version(i.key(), i.version()))
-                        .size() == 1)) {
+                if (sent.items.stream()
+                        .allMatch(i ->
+                                contents.get(new Version(i.key(), i.version())).size() == 1)) {
                     breach("409, and nothing else has that version: " + body);
                 }
             }
@@ -146,8 +157,7 @@
         });
         for (Item item : manifest.items()) {
             one(item);
-            Map<Object, List<Sent>> sent = contents.getOrDefault(new Version(item.key(), item.version()),
-                    Map.of());
+            Map<Object, List<Sent>> sent = contents.getOrDefault(new Version(item.key(), item.version()), Map.of());
             Set<Sent> may = new HashSet<>(sent.getOrDefault(content(item), List.of()));
             may.removeIf(s -> s.conflict || s.validity == Validity.NEVER);
             if (may.isEmpty()) {
--- a/src/prove/java/larkbank/prove/OrderDraw.java
+++ b/src/prove/java/larkbank/prove/OrderDraw.java
@@ -15,7 +15,7 @@
     private static final int SERVICES = 2;
 
     /** An order's body and what can be said of it by itself. */
-    record Drawn(String body, OrderChecks.Validity validity) { }
+    record Drawn(String body, OrderChecks.Validity validity) {}
 
     private final SplittableRandom random;
     private final List<Drawn> drawn = new ArrayList<>();
@@ -37,9 +37,9 @@
 
     private long version(int name) {
         long top = tops.getOrDefault(name, 0L);
-        long version = top == 0 || random.nextInt(5) < 3 ? top + 1 + random.nextInt(3)
-                : random.nextInt(8) == 0 ? 1 + random.nextLong(top)
-                : Math.max(1, top - random.nextInt(6));
+        long version = top == 0 || random.nextInt(5) < 3
+                ? top + 1 + random.nextInt(3)
+                : random.nextInt(8) == 0 ? 1 + random.nextLong(top) : Math.max(1, top - random.nextInt(6));
         tops.put(name, Math.max(top, version));
         return version;
     }
@@ -57,19 +57,21 @@
                 validity = OrderChecks.Validity.DEPENDS;
             }
             if (random.nextInt(6) == 0) {
-                withdraw.computeIfAbsent(table, t -> new ArrayList<>())
-                        .add("{\"name\":\"n" + name + "\"" + version);
+                withdraw.computeIfAbsent(table, t -> new ArrayList<>()).add("{\"name\":\"n" + name + "\"" + version);
                 continue;
             }
             boolean wrong = random.nextInt(16) == 0;
             validity = wrong ? OrderChecks.Validity.NEVER : validity;
-            upsert.computeIfAbsent(table, t -> new TreeMap<>()).put("n" + name, content(table, name, wrong)
-                    + version);
+            upsert.computeIfAbsent(table, t -> new TreeMap<>()).put("n" + name, content(table, name, wrong) + version);
         }
-        List<String> tables = upsert.entrySet().stream().map(t -> "\"" + t.getKey() + "\":" + object(
-                t.getValue().entrySet().stream().map(n -> "\"" + n.getKey() + "\":" + n.getValue()).toList()))
+        List<String> tables = upsert.entrySet().stream()
+                .map(t -> "\"" + t.getKey() + "\":"
+                        + object(t.getValue().entrySet().stream()
+                                .map(n -> "\"" + n.getKey() + "\":" + n.getValue())
+                                .toList()))
                 .toList();
-        List<String> lists = withdraw.entrySet().stream().map(t -> "\"" + t.getKey() + "\":" + t.getValue())
+        List<String> lists = withdraw.entrySet().stream()
+                .map(t -> "\"" + t.getKey() + "\":" + t.getValue())
                 .toList();
         return new Drawn("{\"upsert\":" + object(tables) + ",\"withdraw\":" + object(lists) + "}", validity);
     }
@@ -81,10 +83,8 @@
     private String content(String table, int name, boolean wrong) {
         int which = random.nextInt(3);
         return switch (table) {
-            case "tenantTable" -> "{\"apiKeys\":[\"" + name + "-" + which + "\"],\"ratePerS\":"
-                    + (wrong ? -1 : which);
-            case "serviceTable" -> "{\"healthPath\":\"" + (wrong ? "h" : "/h") + "\",\"maxConnections\":"
-                    + (1 + which);
+            case "tenantTable" -> "{\"apiKeys\":[\"" + name + "-" + which + "\"],\"ratePerS\":" + (wrong ? -1 : which);
+            case "serviceTable" -> "{\"healthPath\":\"" + (wrong ? "h" : "/h") + "\",\"maxConnections\":" + (1 + which);
             default -> "{\"hostname\":\"h\",\"pathPrefix\":\"/" + (which == 0 ? "x" : "n" + name)
                     + "/\",\"routeType\":\"idempotent\",\"timeout\":\"" + (wrong ? 700 : 2)
                     + "s\",\"targetLatency\":\"1s\",\"priority\":1,\"maxAttempts\":1,\"publicAccess\":true,"
--- a/src/prove/java/larkbank/prove/OrderHistory.java
+++ b/src/prove/java/larkbank/prove/OrderHistory.java
@@ -23,11 +23,12 @@
 
     /** As many lower versions of an item are remembered at least; the page says so. */
     private static final int REMEMBERED = 256;
+
     private static final int LONG = 4_000;
     private static final int MOST_AT_ONCE = 8;
     private static final int ENOUGH_AGAIN = 25;
 
-    private record Open(String body, boolean taken, Map<Key, Long> least) { }
+    private record Open(String body, boolean taken, Map<Key, Long> least) {}
 
     private final OrderChecks checks = new OrderChecks();
     private final SplittableRandom random;
@@ -70,8 +71,9 @@
     }
 
     private static int status(Refusal refusal) {
-        return refusal == null ? 200 : refusal.kind() == Kind.INVALID ? 400
-                : refusal.kind() == Kind.CONFLICT ? 409 : 503;
+        return refusal == null
+                ? 200
+                : refusal.kind() == Kind.INVALID ? 400 : refusal.kind() == Kind.CONFLICT ? 409 : 503;
     }
 
     @Override
@@ -103,8 +105,12 @@
                 checks.read(open.remove(ticket).least, read.manifest());
             } else if (result != null && open.get(ticket).body != null) {
                 Open call = open.remove(ticket);
-                checks.told(call.body, result instanceof ProposalResult.Taken ? 200
-                        : result instanceof ProposalResult.Refused r ? status(r.refusal()) : 503, call.taken);
+                checks.told(
+                        call.body,
+                        result instanceof ProposalResult.Taken
+                                ? 200
+                                : result instanceof ProposalResult.Refused r ? status(r.refusal()) : 503,
+                        call.taken);
             }
         }
     }
@@ -144,7 +150,9 @@
             }
             checks.told(drawn.body(), status, checks.taken(drawn.body()));
             if (random.nextInt(20) == 0) {
-                standing = Manifest.of(standing.items().stream().map(e -> Item.ofText(e.toText())).toList());
+                standing = Manifest.of(standing.items().stream()
+                        .map(e -> Item.ofText(e.toText()))
+                        .toList());
                 checks.read(checks.floor(), standing);
             }
         }
@@ -155,7 +163,7 @@
     public static void main(String[] args) {
         String[] given = String.join(" ", args).split(" ");
         String breach = broken(Integer.parseInt(given[0]), Integer.parseInt(given[1]));
-        System.out.println(breach == null ? "no breach in " + given[0] + " days and "
-                + given[1] + " histories" : breach);
+        System.out.println(
+                breach == null ? "no breach in " + given[0] + " days and " + given[1] + " histories" : breach);
     }
 }
--- a/src/prove/java/larkbank/prove/OrderHistoryTest.java
+++ b/src/prove/java/larkbank/prove/OrderHistoryTest.java
@@ -36,33 +36,44 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "the last eight are kept, and no floor ~ Item.java ~ MOST_PAST = 256; ~ MOST_PAST = 8;",
-        "what is forgotten is taken as never used ~ Item.java ~ other.version < floor ? Use.FORGOTTEN ~ "
-            + "false ? Use.FORGOTTEN",
-        "what is forgotten is refused ~ Order.java ~ forgotten = Refusal.forgotten( ~ "
-            + "forgotten = Refusal.conflict(",
-        "contents of the past are not compared ~ Item.java ~ each.equals(other.asPast()) ~ true",
-        "what is passed is not remembered ~ Order.java ~ lower ? stands.past(item) ~ lower ? stands",
-        "what is passed comes into force ~ Order.java ~ lower ? stands.past(item) ~ "
-            + "lower ? item.after(stands)",
-        "what is passed is not checked ~ Order.java ~ Whole.wrongAlone(unused) ~ "
-            + "Whole.wrongAlone(highest.values())",
-        "the past is not written ~ Item.java ~ if (!past.isEmpty()) { ~ if (false) {",
-        "the floor is not written ~ Item.java ~ if (floor > 0 || past.size() >= MOST_PAST_WITHOUT_FLOOR) { ~ "
-            + "if (false) {",
-        "the past is lost with the next version ~ Item.java ~ content, before.past, before.floor) ~ "
-            + "content, List.of(), 0)",
-        "an old one is refused where others are new ~ Order.java "
-            + "~ Refusal refusal = Whole.wrongAlone(unused); "
-            + "~ Refusal refusal = unused.size() < items.size() ? Refusal.conflict(\"\") : null;",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "the last eight are kept, and no floor ~ Item.java ~ MOST_PAST = 256; ~ MOST_PAST = 8;",
+                "what is forgotten is taken as never used ~ Item.java ~ other.version < floor ? Use.FORGOTTEN ~ "
+                        + "false ? Use.FORGOTTEN",
+                "what is forgotten is refused ~ Order.java ~ forgotten = Refusal.forgotten( ~ "
+                        + "forgotten = Refusal.conflict(",
+                "contents of the past are not compared ~ Item.java ~ each.equals(other.asPast()) ~ true",
+                "what is passed is not remembered ~ Order.java ~ lower ? stands.past(item) ~ lower ? stands",
+                "what is passed comes into force ~ Order.java ~ lower ? stands.past(item) ~ "
+                        + "lower ? item.after(stands)",
+                "what is passed is not checked ~ Order.java ~ Whole.wrongAlone(unused) ~ "
+                        + "Whole.wrongAlone(highest.values())",
+                "the past is not written ~ Item.java ~ if (!past.isEmpty()) { ~ if (false) {",
+                "the floor is not written ~ Item.java ~ if (floor > 0 || past.size() >= MOST_PAST_WITHOUT_FLOOR) { ~ "
+                        + "if (false) {",
+                "the past is lost with the next version ~ Item.java ~ content, before.past, before.floor) ~ "
+                        + "content, List.of(), 0)",
+                "an old one is refused where others are new ~ Order.java "
+                        + "~ Refusal refusal = Whole.wrongAlone(unused); "
+                        + "~ Refusal refusal = unused.size() < items.size() ? Refusal.conflict(\"\") : null;",
+            })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/manifest"), file, text,
-                instead, name -> name.startsWith("larkbank.testkit.Copies")
-                || name.startsWith("larkbank.copies.")
-                || name.startsWith("larkbank.testkit.Plain") || name.startsWith("larkbank.prove.Order"));
-        assertThat(planted.loadClass("larkbank.prove.OrderHistory").getMethod("broken", int.class, int.class)
-                .invoke(null, 2 * DAYS, HISTORIES)).as(fault).isNotNull();
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/manifest"),
+                file,
+                text,
+                instead,
+                name -> name.startsWith("larkbank.testkit.Copies")
+                        || name.startsWith("larkbank.copies.")
+                        || name.startsWith("larkbank.testkit.Plain")
+                        || name.startsWith("larkbank.prove.Order"));
+        assertThat(planted.loadClass("larkbank.prove.OrderHistory")
+                        .getMethod("broken", int.class, int.class)
+                        .invoke(null, 2 * DAYS, HISTORIES))
+                .as(fault)
+                .isNotNull();
     }
 }
--- a/src/prove/java/larkbank/quay/DryQuay.java
+++ b/src/prove/java/larkbank/quay/DryQuay.java
@@ -36,11 +36,16 @@
             }
             List<Map.Entry<String, String>> all = new ArrayList<>(headers.entrySet());
             all.add(Map.entry(RequestBytes.ATTEMPT_ID, id));
-            AnswerVerdict verdict = AnswerVerdict.of(new ServerAnswer(status, all, answer.getBytes(
-                    StandardCharsets.ISO_8859_1), true), shipment, micros.getAsLong(), 1_000);
+            AnswerVerdict verdict = AnswerVerdict.of(
+                    new ServerAnswer(status, all, answer.getBytes(StandardCharsets.ISO_8859_1), true),
+                    shipment,
+                    micros.getAsLong(),
+                    1_000);
             if (verdict.kind() != AnswerVerdict.Kind.FOREIGN) {
-                end(verdict.kind() == AnswerVerdict.Kind.ANSWERED ? Ended.ANSWERED
-                        : verdict.kind() == AnswerVerdict.Kind.FULL ? Ended.FULL : Ended.OTHER,
+                end(
+                        verdict.kind() == AnswerVerdict.Kind.ANSWERED
+                                ? Ended.ANSWERED
+                                : verdict.kind() == AnswerVerdict.Kind.FULL ? Ended.FULL : Ended.OTHER,
                         verdict.outcome());
             }
         }
@@ -84,7 +89,8 @@
     }
 
     private static Outcome lost(Shipment shipment) {
-        return shipment.known.lost() == Known.UNRUN ? new Outcome.NotRun(Reason.NO_CONNECTION, 0)
+        return shipment.known.lost() == Known.UNRUN
+                ? new Outcome.NotRun(Reason.NO_CONNECTION, 0)
                 : new Outcome.MayHaveRun("lost");
     }
 
--- a/src/test/java/larkbank/FleetTest.java
+++ b/src/test/java/larkbank/FleetTest.java
@@ -27,8 +27,22 @@
 
     private static Settings fleet(int rank, int replicas, Rules rules, boolean warmKeys) {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        return new Settings(1000 + rank, rank, replicas, 0, s.zones(), s.classes(), s.tenants(),
-                s.overShareWorth(), 0, s.limits(), rules, s.reports(), false, warmKeys, 1000);
+        return new Settings(
+                1000 + rank,
+                rank,
+                replicas,
+                0,
+                s.zones(),
+                s.classes(),
+                s.tenants(),
+                s.overShareWorth(),
+                0,
+                s.limits(),
+                rules,
+                s.reports(),
+                false,
+                warmKeys,
+                1000);
     }
 
     private static Rules plain() {
@@ -66,8 +80,10 @@
         }
         assertTrue(extras.size() > 20, "only " + extras.size() + " further attempts");
         for (long from : extras) {
-            long tries = extras.stream().filter(t -> t >= from && t < from + SPAN).count();
-            long taken = arrivals.stream().filter(t -> t >= from && t < from + SPAN).count();
+            long tries =
+                    extras.stream().filter(t -> t >= from && t < from + SPAN).count();
+            long taken =
+                    arrivals.stream().filter(t -> t >= from && t < from + SPAN).count();
             assertTrue(tries <= 2 + 0.03 * taken, tries + " further attempts and " + taken + " requests");
         }
     }
@@ -109,7 +125,10 @@
                 int before = r.sent.size();
                 r.now += 900_000;
                 r.request("cold" + second);
-                cold += r.sent.stream().skip(before).filter(s -> s.server() == 1).count();
+                cold += r.sent.stream()
+                        .skip(before)
+                        .filter(s -> s.server() == 1)
+                        .count();
                 r.answer(0, Result.SERVED, 10_000, true);
             }
             // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of it and up.
@@ -161,7 +180,8 @@
             r.request("r" + i);
             int last = r.sent.size();
             r.answer(0, Result.NO_CONNECTION, 1000, false);
-            assertTrue(r.sent.size() == last || r.sent.get(last).server() != r.sent.get(last - 1).server());
+            assertTrue(r.sent.size() == last
+                    || r.sent.get(last).server() != r.sent.get(last - 1).server());
         }
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
@@ -195,8 +215,7 @@
         Recorder r = new Recorder(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100 + round;
-            r.choice.servers(r.now, ListKind.COMPLETE,
-                    List.of(Recorder.server(id, 0, 0), Recorder.server(1, 0, 0)));
+            r.choice.servers(r.now, ListKind.COMPLETE, List.of(Recorder.server(id, 0, 0), Recorder.server(1, 0, 0)));
             r.request("r" + round);
             assertTrue(Set.of(id, 1L).contains(r.sent.get(r.sent.size() - 1).server()));
             r.answer(0, Result.SERVED, 1000, true);
--- a/src/test/java/larkbank/GoldenChoiceTest.java
+++ b/src/test/java/larkbank/GoldenChoiceTest.java
@@ -27,13 +27,13 @@
         List<String> lines = new ArrayList<>();
         TEXTS.forEach(text -> lines.add("id " + text + " " + Ids.of(text)));
         for (long id : NUMBERS) {
-            lines.add("mix " + id + " " + Hashes.mix(id, 0) + " " + Hashes.mix(id, -1) + " "
-                    + Hashes.mix(id, 1L << 50));
+            lines.add(
+                    "mix " + id + " " + Hashes.mix(id, 0) + " " + Hashes.mix(id, -1) + " " + Hashes.mix(id, 1L << 50));
             lines.add("uniform " + id + " " + Hashes.uniform(id, 0) + " " + Hashes.uniform(id, 9));
             lines.add("ranked " + id + " "
                     + Arrays.toString(Hashes.ranked(id, IntStream.range(0, 12).toArray())));
-            lines.add("jump " + id + " " + Hashes.jump(id, 1) + " " + Hashes.jump(id, 10) + " "
-                    + Hashes.jump(id, 1_000));
+            lines.add(
+                    "jump " + id + " " + Hashes.jump(id, 1) + " " + Hashes.jump(id, 10) + " " + Hashes.jump(id, 1_000));
         }
         Golden.assertSame("hashes/functions.txt", lines);
     }
@@ -56,9 +56,22 @@
         List<String> lines = new ArrayList<>();
         for (int rank : new int[] {0, 1, 39}) {
             Settings one = Recorder.settings(Effect.KEYED, Group.CELL);
-            Settings many = new Settings(one.seed(), rank, 40, 0, one.zones(), one.classes(), one.tenants(),
-                    one.overShareWorth(), one.probePrice(), one.limits(), one.rules(), one.reports(),
-                    one.discoveryOnAsk(), true, one.tickMicros());
+            Settings many = new Settings(
+                    one.seed(),
+                    rank,
+                    40,
+                    0,
+                    one.zones(),
+                    one.classes(),
+                    one.tenants(),
+                    one.overShareWorth(),
+                    one.probePrice(),
+                    one.limits(),
+                    one.rules(),
+                    one.reports(),
+                    one.discoveryOnAsk(),
+                    true,
+                    one.tickMicros());
             lines.add(rank + " " + chosen(recorder(many, LARGE_FLEET)));
         }
         Golden.assertSame("hashes/chosen-servers-large.txt", lines);
@@ -70,8 +83,9 @@
 
     private static List<Long> chosen(Recorder recorder) {
         for (int i = 0; i < REQUESTS; i++) {
-            recorder.choice.request(recorder.now, new Request("r" + i, 0, i % 2, false,
-                    Ids.of("key-" + i % 20), recorder.now + TIME_LEFT, 0, false));
+            recorder.choice.request(
+                    recorder.now,
+                    new Request("r" + i, 0, i % 2, false, Ids.of("key-" + i % 20), recorder.now + TIME_LEFT, 0, false));
             recorder.answer(0, Result.SERVED, 2_000, true);
         }
         return recorder.sent.stream().map(Recorder.Sent::server).toList();
--- a/src/test/java/larkbank/HeldQueueTest.java
+++ b/src/test/java/larkbank/HeldQueueTest.java
@@ -40,12 +40,17 @@
             Waiting newest = null;
             for (int kind = 2; kind >= 0; kind--) {
                 int k = kind;
-                newest = plain.stream().filter(w -> w.wanted % 3 == k).reduce((x, y) -> y).orElse(newest);
+                newest = plain.stream()
+                        .filter(w -> w.wanted % 3 == k)
+                        .reduce((x, y) -> y)
+                        .orElse(newest);
             }
             assertEquals(newest, queue.newest(), title);
             int lot = random.nextInt(6);
-            assertEquals(plain.stream().filter(w -> w.wanted == lot).findFirst().orElse(null),
-                    queue.oldest(lot, w -> true), title);
+            assertEquals(
+                    plain.stream().filter(w -> w.wanted == lot).findFirst().orElse(null),
+                    queue.oldest(lot, w -> true),
+                    title);
         }
         queue.forEach(queue::remove);
         assertEquals(0, queue.size());
@@ -67,7 +72,8 @@
                 earned += random.nextInt(3);
                 long at = now;
                 long had = earned;
-                List<long[]> within = spent.stream().filter(s -> at - s[0] <= 1_000).toList();
+                List<long[]> within =
+                        spent.stream().filter(s -> at - s[0] <= 1_000).toList();
                 boolean allowed = 1 <= floor;
                 for (int from = 0; from < within.size(); from++) {
                     allowed &= within.size() - from + 1 <= floor + part * (had - within.get(from)[1]);
--- a/src/test/java/larkbank/LargeFleetTest.java
+++ b/src/test/java/larkbank/LargeFleetTest.java
@@ -31,13 +31,27 @@
     private static final long COLD = 10_000_000;
     /** Ten zones and all servers in one that is not the own: the first node on a path holds some forty. */
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
+
     private static final int ELSEWHERE = 5;
 
     private static Settings settings(boolean warmKeys) {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        return new Settings(11, 0, 3, 0, ZONES, s.classes(), List.of(), 1, 0, s.limits().with(20_000, 20_000,
-                400),
-                s.rules(), s.reports(), false, warmKeys, 1_000);
+        return new Settings(
+                11,
+                0,
+                3,
+                0,
+                ZONES,
+                s.classes(),
+                List.of(),
+                1,
+                0,
+                s.limits().with(20_000, 20_000, 400),
+                s.rules(),
+                s.reports(),
+                false,
+                warmKeys,
+                1_000);
     }
 
     private static Server server(long id, Phase phase, long start) {
@@ -84,16 +98,19 @@
         // A cell is drawn evenly, and within a cell its servers: so within each cell counts differ by chance.
         Map<Integer, List<Integer>> cells = new HashMap<>();
         int count = (int) (0.5 + 1_000 / 40.0);
-        counts.forEach((id, n) -> cells.computeIfAbsent(Hashes.jump(Hashes.mix(id, 0), count),
-                c -> new ArrayList<>()).add(n));
+        counts.forEach((id, n) -> cells.computeIfAbsent(Hashes.jump(Hashes.mix(id, 0), count), c -> new ArrayList<>())
+                .add(n));
         double chiSquared = 0;
         int freedom = 0;
         for (List<Integer> cell : cells.values()) {
             double mean = cell.stream().mapToInt(n -> n).average().orElseThrow();
-            chiSquared += cell.stream().mapToDouble(n -> (n - mean) * (n - mean) / mean).sum();
+            chiSquared += cell.stream()
+                    .mapToDouble(n -> (n - mean) * (n - mean) / mean)
+                    .sum();
             freedom += cell.size() - 1;
         }
-        assertTrue(Math.abs(chiSquared - freedom) < 4 * Math.sqrt(2.0 * freedom),
+        assertTrue(
+                Math.abs(chiSquared - freedom) < 4 * Math.sqrt(2.0 * freedom),
                 "chi-squared " + chiSquared + " at " + freedom + " degrees");
     }
 
@@ -113,9 +130,7 @@
         }
         for (Recorder.Sent sent : List.copyOf(r.sent)) {
             if (sent.server() % 20 == 0) {
-                r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.CANCELLED, 0,
-                        true,
-                        null));
+                r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.CANCELLED, 0, true, null));
             }
         }
         int missed = 0;
@@ -169,7 +184,8 @@
         }
         double share = requests * 0.2 * colds / 20;
         // The first that a request's luck lets in has it, so several that it lets in count as one.
-        assertTrue(toCold > 0.8 * more * share && toCold < 1.05 * more * share,
+        assertTrue(
+                toCold > 0.8 * more * share && toCold < 1.05 * more * share,
                 toCold + " to the cold, by share " + share);
     }
 
@@ -200,19 +216,19 @@
             if (r.sent.size() > before && r.sent.get(before).server() <= 120) {
                 silent.add(r.sent.get(before));
             } else if (r.sent.size() > before) {
-                r.choice.outcome(r.now, new Outcome("e" + i, 0, r.sent.get(before).server(), Result.SERVED,
-                        2_000,
-                        true, null));
+                r.choice.outcome(
+                        r.now, new Outcome("e" + i, 0, r.sent.get(before).server(), Result.SERVED, 2_000, true, null));
             }
         }
         r.now += 3_000_000;
         r.request("last");
         Set<Long> ejected = new HashSet<>();
-        r.actions.stream().filter(a -> a.contains(" ejected: "))
+        r.actions.stream()
+                .filter(a -> a.contains(" ejected: "))
                 .forEach(a -> ejected.add(Long.parseLong(a.split(" ")[2])));
         assertTrue(ejected.size() >= 80, "ejected " + ejected.size());
-        silent.forEach(s -> r.choice.outcome(r.now, new Outcome(s.request(), 0, s.server(), Result.TIMED_OUT,
-                1_000_000, false, null)));
+        silent.forEach(s -> r.choice.outcome(
+                r.now, new Outcome(s.request(), 0, s.server(), Result.TIMED_OUT, 1_000_000, false, null)));
         r.choice.clientLeft(r.now, "last");
         int back = 0;
         for (int i = 0; i < 200_000; i++) {
@@ -220,9 +236,8 @@
             r.now += 200;
             r.request("b" + i);
             if (r.sent.size() > before) {
-                r.choice.outcome(r.now, new Outcome("b" + i, 0, r.sent.get(before).server(), Result.SERVED,
-                        2_000,
-                        true, null));
+                r.choice.outcome(
+                        r.now, new Outcome("b" + i, 0, r.sent.get(before).server(), Result.SERVED, 2_000, true, null));
             }
         }
         for (long id : ejected) {
@@ -337,8 +352,7 @@
             // A change may find attempts out at its server; they end later.
             if (out.size() > 40) {
                 String id = out.keySet().iterator().next();
-                r.choice.outcome(r.now, new Outcome(id, 0, out.remove(id), Result.SERVED, 20_000, true,
-                        null));
+                r.choice.outcome(r.now, new Outcome(id, 0, out.remove(id), Result.SERVED, 20_000, true, null));
             }
         }
         assertTrue(r.sent.size() > 20_000, "sent " + r.sent.size());
@@ -365,7 +379,11 @@
     @Test
     void oneIdTwiceInAListIsOneServer() {
         Recorder r = fleet(0, false);
-        change(r, server(1, Phase.READY, 0), server(1, Phase.READY, 0), server(2, Phase.DRAINING, 0),
+        change(
+                r,
+                server(1, Phase.READY, 0),
+                server(1, Phase.READY, 0),
+                server(2, Phase.DRAINING, 0),
                 server(2, Phase.READY, 0));
         Set<Long> seen = new HashSet<>();
         for (int i = 0; i < 50; i++) {
@@ -382,9 +400,24 @@
         Set<Long> all = new HashSet<>();
         for (int rank = 0; rank < 6; rank++) {
             Settings s = settings(false);
-            Recorder r = new Recorder(new Settings(rank, rank, 6, ELSEWHERE, ZONES, s.classes(), List.of(),
-                    1, 0,
-                    s.limits(), s.rules(), s.reports(), false, false, 1_000), 0);
+            Recorder r = new Recorder(
+                    new Settings(
+                            rank,
+                            rank,
+                            6,
+                            ELSEWHERE,
+                            ZONES,
+                            s.classes(),
+                            List.of(),
+                            1,
+                            0,
+                            s.limits(),
+                            s.rules(),
+                            s.reports(),
+                            false,
+                            false,
+                            1_000),
+                    0);
             List<Server> list = new ArrayList<>();
             for (long id = 1; id <= 8_000; id++) {
                 list.add(new Server(id, (int) (id % 10), 0, 0, Phase.READY, 0, 1));
--- a/src/test/java/larkbank/Recorder.java
+++ b/src/test/java/larkbank/Recorder.java
@@ -29,7 +29,7 @@
     final Choice choice;
     long now = 1_000_000;
 
-    record Sent(String request, long server, long at) { }
+    record Sent(String request, long server, long at) {}
 
     Recorder(Settings settings, int servers) {
         choice = new Choice(settings, this);
@@ -45,11 +45,21 @@
     }
 
     static Settings settings(Effect effect, Group group) {
-        return new Settings(7, 0, 3, 0, List.of("a", "b"),
+        return new Settings(
+                7,
+                0,
+                3,
+                0,
+                List.of("a", "b"),
                 List.of(new RequestClass("c", effect, group, 500_000, 200_000, 0, 1_000_000, 1, 0, false)),
-                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)), 0.2, 0,
+                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)),
+                0.2,
+                0,
                 new Limits(4, true, false, true, 1_000_000, 60_000_000, 100, 100, true, 400),
-                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, 0, 0, 0), ReportSource.NONE, false, false,
+                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, 0, 0, 0),
+                ReportSource.NONE,
+                false,
+                false,
                 1000);
     }
 
--- a/src/test/java/larkbank/RulesTest.java
+++ b/src/test/java/larkbank/RulesTest.java
@@ -76,8 +76,22 @@
     @Test
     void pastTheMostInHandTheOldestHeldIsRefused() {
         Settings one = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Settings alike = new Settings(one.seed(), 0, 3, 0, one.zones(), one.classes(), List.of(), 1, 0,
-                one.limits(), one.rules(), one.reports(), false, false, 1000);
+        Settings alike = new Settings(
+                one.seed(),
+                0,
+                3,
+                0,
+                one.zones(),
+                one.classes(),
+                List.of(),
+                1,
+                0,
+                one.limits(),
+                one.rules(),
+                one.reports(),
+                false,
+                false,
+                1000);
         Recorder r = new Recorder(alike, 0);
         for (int i = 0; i < 103; i++) {
             r.request("x" + i);
@@ -191,14 +205,14 @@
             }
             r.now += 90_000;
             for (Recorder.Sent s : List.copyOf(r.sent.subList(first, r.sent.size()))) {
-                r.choice.outcome(r.now, new Outcome(s.request(), 0, s.server(), Result.SERVED, 90_000, true,
-                        null));
+                r.choice.outcome(r.now, new Outcome(s.request(), 0, s.server(), Result.SERVED, 90_000, true, null));
             }
         }
         r.choice.servers(r.now, ListKind.COMPLETE, List.of());
         r.timers.clear();
         r.request("held");
-        double usual = r.now + 200_000 - r.timers.stream().mapToLong(t -> t[0]).max().orElseThrow();
+        double usual =
+                r.now + 200_000 - r.timers.stream().mapToLong(t -> t[0]).max().orElseThrow();
         assertEquals(90_000, usual, 10_000);
     }
 
@@ -206,11 +220,25 @@
     @Test
     void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r = new Recorder(new Settings(s.seed(), s.rank(), s.replicas(), s.zone(), s.zones(),
-                List.of(new RequestClass("c", Effect.UNSAFE, Group.ALL, 0, 200_000, 0, 1_000_000, 1, 0.5,
-                        false)),
-                s.tenants(), s.overShareWorth(), s.probePrice(), s.limits(), s.rules(), s.reports(),
-                s.discoveryOnAsk(), s.warmKeys(), s.tickMicros()), 4);
+        Recorder r = new Recorder(
+                new Settings(
+                        s.seed(),
+                        s.rank(),
+                        s.replicas(),
+                        s.zone(),
+                        s.zones(),
+                        List.of(new RequestClass(
+                                "c", Effect.UNSAFE, Group.ALL, 0, 200_000, 0, 1_000_000, 1, 0.5, false)),
+                        s.tenants(),
+                        s.overShareWorth(),
+                        s.probePrice(),
+                        s.limits(),
+                        s.rules(),
+                        s.reports(),
+                        s.discoveryOnAsk(),
+                        s.warmKeys(),
+                        s.tickMicros()),
+                4);
         long arrived = r.now;
         for (int i = 0; i < 100; i++) {
             r.request("r" + i);
@@ -248,8 +276,8 @@
             r.request("a" + i);
             Recorder.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += 150_000;
-            r.choice.outcome(r.now, new Outcome(last.request(), 0, last.server(), Result.SERVED, 150_000,
-                    true, report));
+            r.choice.outcome(
+                    r.now, new Outcome(last.request(), 0, last.server(), Result.SERVED, 150_000, true, report));
         }
         int before = r.sent.size();
         for (int i = 0; i < 100; i++) {
@@ -276,8 +304,8 @@
             // What was held goes out as others are answered, and is answered too.
             for (int i = first; i < r.sent.size(); i++) {
                 Recorder.Sent sent = r.sent.get(i);
-                r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 50_000,
-                        true, use(use)));
+                r.choice.outcome(
+                        r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 50_000, true, use(use)));
             }
         }
         int before = r.sent.size();
@@ -291,9 +319,24 @@
     /** A sidecar of a fleet whose answers tell the load. */
     private static Recorder reporting(int sidecars, int servers) {
         Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        return new Recorder(new Settings(s.seed(), s.rank(), sidecars, s.zone(), s.zones(), s.classes(),
-                s.tenants(), s.overShareWorth(), s.probePrice(), s.limits(), s.rules(), ReportSource.ANSWERS,
-                s.discoveryOnAsk(), s.warmKeys(), s.tickMicros()), servers);
+        return new Recorder(
+                new Settings(
+                        s.seed(),
+                        s.rank(),
+                        sidecars,
+                        s.zone(),
+                        s.zones(),
+                        s.classes(),
+                        s.tenants(),
+                        s.overShareWorth(),
+                        s.probePrice(),
+                        s.limits(),
+                        s.rules(),
+                        ReportSource.ANSWERS,
+                        s.discoveryOnAsk(),
+                        s.warmKeys(),
+                        s.tickMicros()),
+                servers);
     }
 
     private static LoadReport use(double use) {
@@ -351,9 +394,25 @@
     @Test
     void impossibleSettingsAreNamed() {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        String message = assertThrows(IllegalArgumentException.class,
-                () -> new Settings(s.seed(), 0, 1, 0, s.zones(), List.of(), s.tenants(), 1, 0, s.limits(),
-                        s.rules(), s.reports(), false, false, 1000)).getMessage();
+        String message = assertThrows(
+                        IllegalArgumentException.class,
+                        () -> new Settings(
+                                s.seed(),
+                                0,
+                                1,
+                                0,
+                                s.zones(),
+                                List.of(),
+                                s.tenants(),
+                                1,
+                                0,
+                                s.limits(),
+                                s.rules(),
+                                s.reports(),
+                                false,
+                                false,
+                                1000))
+                .getMessage();
         assertTrue(message.contains("classes"), message);
     }
 
@@ -369,7 +428,7 @@
         Map<Long, Boolean> draining = new HashMap<>();
         int seen = 0;
         Result[] results = Result.values();
-        record Out(String request, int attempt, long server, long at) { }
+        record Out(String request, int attempt, long server, long at) {}
         List<Out> out = new java.util.ArrayList<>();
         for (int step = 0; step < 6000; step++) {
             r.now += random.nextInt(4000);
@@ -386,15 +445,17 @@
                     mayHaveRun.put(o.request, true);
                 }
                 over.put(o.request, closed);
-                r.choice.outcome(r.now, new Outcome(o.request, o.attempt, o.server, result, r.now - o.at,
-                        closed,
-                        null));
+                r.choice.outcome(
+                        r.now, new Outcome(o.request, o.attempt, o.server, result, r.now - o.at, closed, null));
             } else if (random.nextInt(40) == 0) {
                 long id = 1 + random.nextInt(7);
                 boolean drain = random.nextBoolean();
                 draining.put(id, drain);
-                r.choice.servers(r.now, ListKind.CHANGES, List.of(new Server(id, (int) (id - 1) % 2, 0,
-                        (int) id % 3, drain ? Phase.DRAINING : Phase.READY, 0, 1)));
+                r.choice.servers(
+                        r.now,
+                        ListKind.CHANGES,
+                        List.of(new Server(
+                                id, (int) (id - 1) % 2, 0, (int) id % 3, drain ? Phase.DRAINING : Phase.READY, 0, 1)));
             }
             for (long[] t : List.copyOf(r.timers)) {
                 if (t[0] <= r.now) {
@@ -406,18 +467,17 @@
                 String[] a = r.actions.get(seen).split(" ");
                 if (a[0].equals("send")) {
                     assertFalse(over.get(a[1]), "sent after the end");
-                    assertFalse(draining.getOrDefault(Long.parseLong(a[2]), false),
-                            "sent to a draining server");
-                    assertTrue(effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false),
-                            "sent twice");
+                    assertFalse(draining.getOrDefault(Long.parseLong(a[2]), false), "sent to a draining server");
+                    assertTrue(effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false), "sent twice");
                     int n = attempts.merge(a[1], 1, Integer::sum) - 1;
                     assertTrue(n < 4);
                     assertTrue(effect == Effect.SAFE || out.stream().noneMatch(o -> o.request.equals(a[1])));
                     out.add(new Out(a[1], n, Long.parseLong(a[2]), r.now));
                 } else if (a[0].equals("refuse") || a[0].equals("fail")) {
                     assertFalse(over.put(a[1], true), "a second final answer");
-                    assertTrue(a[0].equals("fail") || effect == Effect.SAFE
-                            || !mayHaveRun.getOrDefault(a[1], false), "refused what may have run");
+                    assertTrue(
+                            a[0].equals("fail") || effect == Effect.SAFE || !mayHaveRun.getOrDefault(a[1], false),
+                            "refused what may have run");
                 }
             }
         }
@@ -430,8 +490,7 @@
         Recorder b = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
         for (int i = 0; i < 200; i++) {
             for (Recorder r : List.of(a, b)) {
-                r.choice.request(r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, 0,
-                        false));
+                r.choice.request(r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, 0, false));
                 r.answer(0, i % 9 == 0 ? Result.FULL : Result.SERVED, 3000 + i, i % 9 != 0);
             }
         }
--- a/src/test/java/larkbank/berth/ServerDirectoryTest.java
+++ b/src/test/java/larkbank/berth/ServerDirectoryTest.java
@@ -65,7 +65,15 @@
 
     @Test
     void aBerthIsToldWithWhatIsLeftOfItsTimes() throws java.io.IOException {
-        Berth berth = new Berth("n", 7, 8, "10.0.0.1:7000", "10.0.0.1:7500", "z", "s", true,
+        Berth berth = new Berth(
+                "n",
+                7,
+                8,
+                "10.0.0.1:7000",
+                "10.0.0.1:7500",
+                "z",
+                "s",
+                true,
                 new Ship("i", "s", "10.0.0.1:80", 4, true, 5_000));
         byte[] bytes = Scribe.bytes(berth.toMap(2_000));
         Berth told = Berth.of(Scribe.read(bytes, 0, bytes.length), 100_000);
@@ -74,6 +82,7 @@
         assertThat(told.takes()).isFalse();
         assertThat(Berths.of("a", 1, 1).takes()).isTrue();
         assertThat(Berth.of(Map.of("name", "n"), 0)).isNull();
-        assertThat(Berth.of(Map.of("name", "n", "address", "10.0.0.1:7000"), 0).control()).isEmpty();
+        assertThat(Berth.of(Map.of("name", "n", "address", "10.0.0.1:7000"), 0).control())
+                .isEmpty();
     }
 }
--- a/src/test/java/larkbank/bridge/CheckCommandTest.java
+++ b/src/test/java/larkbank/bridge/CheckCommandTest.java
@@ -13,20 +13,24 @@
 
 class CheckCommandTest {
 
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"localNode": {"nodeName": "p1", "ipAddress": "127.0.2.1", "zone": "a"},
              "network": {"internalPortRange": [7400, 7409], "zones": {"a": "r"},
               "listenAddresses": {"controlPlane": "127.0.2.1:7500"}, "seedNodes": ["127.0.1.1:7400"]}}
             """;
-    private static final String ROUTE = """
+    private static final String ROUTE =
+            """
             {"hostname": "%s", "pathPrefix": "/", "routeType": "idempotent", "timeout": "%s",
              "targetLatency": "50ms", "priority": 1, "service": "%s", "maxAttempts": 2, "configVersion": "r1"}
             """;
-    private static final String SERVICE = """
+    private static final String SERVICE =
+            """
             {"healthPath": "/", "maxConnections": 8, "configVersion": "r1"}""";
 
     @TempDir
     Path folder;
+
     private Path file;
     private int status;
 
@@ -49,12 +53,15 @@
         assertThat(status).isZero();
         assertThat(check("settings", GOOD, "--for", "harbour"))
                 .containsExactly("localNode.dataDirectory: is missing, and a harbour wants it");
-        assertThat(check("settings", "{\"localNode\": {\"zone\": 3}}")).contains(
-                "network.internalPortRange: wants two ports", "localNode.nodeName: is missing",
-                "localNode.zone: is no text");
+        assertThat(check("settings", "{\"localNode\": {\"zone\": 3}}"))
+                .contains(
+                        "network.internalPortRange: wants two ports",
+                        "localNode.nodeName: is missing",
+                        "localNode.zone: is no text");
         assertThat(check("settings", GOOD.replace(":7500", "").replace("\"zone\": \"a\"", "\"zone\": \"b\"")))
-                .containsExactly("network.listenAddresses.controlPlane: '127.0.2.1' is not an address and a "
-                        + "port", "localNode.zone: b is none of network.zones");
+                .containsExactly(
+                        "network.listenAddresses.controlPlane: '127.0.2.1' is not an address and a " + "port",
+                        "localNode.zone: b is none of network.zones");
         assertThat(status).isEqualTo(2);
         assertThat(check("settings", "{")).singleElement().asString().startsWith("the file: ");
     }
@@ -70,14 +77,15 @@
                 + ", \"c\": " + ROUTE.formatted("same", "1s", "s")
                 + "}, \"serviceTable\": {\"s\": " + SERVICE.replace("8", "0").replace("\"/\"", "\"x\"")
                 + "}}, \"withdraw\": {\"tenantTable\": [{}]}}";
-        assertThat(check("config", bad)).containsExactlyInAnyOrder(
-                "routeTable.b.configVersion: must be a text",
-                "withdraw.tenantTable[0].name: is missing",
-                "routeTable.a.timeout: must be a time such as 1500ms or 2.5s",
-                "routeTable.a: names service none, which is unknown",
-                "serviceTable.s.healthPath: must begin with a slash",
-                "serviceTable.s.maxConnections: must be from 1 to 2147483647",
-                "routeTable.c: and routeTable.b share same/");
+        assertThat(check("config", bad))
+                .containsExactlyInAnyOrder(
+                        "routeTable.b.configVersion: must be a text",
+                        "withdraw.tenantTable[0].name: is missing",
+                        "routeTable.a.timeout: must be a time such as 1500ms or 2.5s",
+                        "routeTable.a: names service none, which is unknown",
+                        "serviceTable.s.healthPath: must begin with a slash",
+                        "serviceTable.s.maxConnections: must be from 1 to 2147483647",
+                        "routeTable.c: and routeTable.b share same/");
         assertThat(status).isEqualTo(2);
     }
 
@@ -86,8 +94,7 @@
         Path base = folder.resolve("base.json");
         Files.writeString(base, "{\"serviceTable\": {\"s\": " + SERVICE + "}, \"limits\": {}}");
         String change = "{\"upsert\": {\"routeTable\": {\"r\": " + ROUTE.formatted("h", "1s", "s") + "}}}";
-        assertThat(check("config", change)).containsExactly(
-                "routeTable.r: names service s, which is unknown");
+        assertThat(check("config", change)).containsExactly("routeTable.r: names service s, which is unknown");
         assertThat(check("config", change, "--on", base.toString())).isEmpty();
     }
 
@@ -95,7 +102,12 @@
     void whatCantBeReadIsNoBadFile() throws IOException {
         check("config", "{}");
         Files.delete(file);
-        assertThat(Bridge.run(new PrintWriter(new StringWriter()), new PrintWriter(new StringWriter()),
-                "check", "config", file.toString())).isEqualTo(1);
+        assertThat(Bridge.run(
+                        new PrintWriter(new StringWriter()),
+                        new PrintWriter(new StringWriter()),
+                        "check",
+                        "config",
+                        file.toString()))
+                .isEqualTo(1);
     }
 }
--- a/src/test/java/larkbank/bridge/FleetQueryTest.java
+++ b/src/test/java/larkbank/bridge/FleetQueryTest.java
@@ -27,7 +27,7 @@
             + "'pathPrefix':'/','routeType':'idempotent','timeout':'4s','targetLatency':'3s','priority':1,"
             + "'service':'orders','maxAttempts':3,'configVersion':'r1'}}}}";
 
-    private record Told(int status, String out, String err) { }
+    private record Told(int status, String out, String err) {}
 
     @TempDir
     Path folder;
@@ -48,8 +48,9 @@
         for (String question : questions) {
             List<String> args = new ArrayList<>(List.of(question.split(" ")));
             args.addAll(List.of(more));
-            asked.put(question.split(" ")[0], CompletableFuture.supplyAsync(
-                    () -> ask(args.toArray(String[]::new)), threads));
+            asked.put(
+                    question.split(" ")[0],
+                    CompletableFuture.supplyAsync(() -> ask(args.toArray(String[]::new)), threads));
         }
         Map<String, Told> told = new LinkedHashMap<>();
         asked.forEach((question, answer) -> told.put(question, answer.join()));
@@ -67,7 +68,8 @@
                 Told told = ask("copies", "--at", rig.control("p2"), "--json", "--where", "items=2");
                 return told.status == 0 && told.out.split("\"at\"").length == 9;
             });
-            assertThat(rig.request("p1", "orders.mesh", "/x", null, "a/1 b").status()).isEqualTo(200);
+            assertThat(rig.request("p1", "orders.mesh", "/x", null, "a/1 b").status())
+                    .isEqualTo(200);
             assertThat(rig.request("p2", "nowhere", "/", null, "a2").status()).isEqualTo(404);
             Told why = ask("why", "a/1 b", "--at", h1, "--columns", "name,route,service,try,pilot,outcome");
             assertThat(why.status).isZero();
@@ -79,24 +81,39 @@
             rig.kill("p5");
             rig.freeze("h3");
             rig.await("p5 is missed", () -> ask("state", "--at", h1).out.contains("missed[0].name"));
-            rig.await("h3 is silent to both", () ->
-                    ask("copies", "--at", rig.control("p1"), "--only").out.contains(" 2/3")
-                    && ask("copies", "--at", h1, "--only").out.contains(" 1/2"));
-            Map<String, Told> told = askAll(List.of("fleet --all", "items --all",
-                    "route orders.mesh / --all", "copies", "shown", "sights", "tallies", "refusals", "why a2",
-                    "state --all"), "--at", h1);
+            rig.await(
+                    "h3 is silent to both",
+                    () -> ask("copies", "--at", rig.control("p1"), "--only").out.contains(" 2/3")
+                            && ask("copies", "--at", h1, "--only").out.contains(" 1/2"));
+            Map<String, Told> told = askAll(
+                    List.of(
+                            "fleet --all",
+                            "items --all",
+                            "route orders.mesh / --all",
+                            "copies",
+                            "shown",
+                            "sights",
+                            "tallies",
+                            "refusals",
+                            "why a2",
+                            "state --all"),
+                    "--at",
+                    h1);
             told.forEach((question, answer) -> {
                 assertThat(answer.status).as(question).isEqualTo(3);
-                assertThat(answer.err.lines()).as(question).containsExactlyInAnyOrder(
-                        "cypressweir: " + rig.control("p5") + ": nobody listens (p5)",
-                        "cypressweir: " + rig.control("h3") + ": no answer in 5000 ms (a harbour)");
+                assertThat(answer.err.lines())
+                        .as(question)
+                        .containsExactlyInAnyOrder(
+                                "cypressweir: " + rig.control("p5") + ": nobody listens (p5)",
+                                "cypressweir: " + rig.control("h3") + ": no answer in 5000 ms (a harbour)");
             });
             assertThat(told.get("fleet").out).contains("orders-p1", "gate-p4");
             assertThat(told.get("items").out).contains("routeTable");
             assertThat(told.get("route").out).contains("orders.mesh");
             assertThat(told.get("copies").out).containsPattern("p1 .*2/3");
             assertThat(told.get("shown").out).containsPattern("all +r1 +false +6 +h1,");
-            assertThat(told.get("sights").out).containsPattern("h1 +harbour +pilot p5 .* gone ")
+            assertThat(told.get("sights").out)
+                    .containsPattern("h1 +harbour +pilot p5 .* gone ")
                     .containsPattern("p1 +pilot +harbour .* silent");
             assertThat(told.get("refusals").out).containsPattern("p2 +no route +1 ");
             assertThat(told.get("why").out).contains("404");
--- a/src/test/java/larkbank/bridge/GoldenProgramsTest.java
+++ b/src/test/java/larkbank/bridge/GoldenProgramsTest.java
@@ -10,7 +10,6 @@
 
     @Test
     void namesOnTheCommandLine() {
-        assertThat(Stream.of(SettingsCheck.Program.values()).map(Enum::name))
-                .containsExactly("pilot", "harbour");
+        assertThat(Stream.of(SettingsCheck.Program.values()).map(Enum::name)).containsExactly("pilot", "harbour");
     }
 }
--- a/src/test/java/larkbank/bridge/QueryTest.java
+++ b/src/test/java/larkbank/bridge/QueryTest.java
@@ -52,13 +52,20 @@
 
     @BeforeAll
     static void listen() throws IOException {
-        Gangway gangway = Gangway.open(GROUP, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> new Bounds(16_384, 65_536, 5_000, 60_000), new Clock(),
+        Gangway gangway = Gangway.open(
+                GROUP,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                () -> new Bounds(16_384, 65_536, 5_000, 60_000),
+                new Clock(),
                 new StateDesk(call -> call.answer(Answer.of(418)), QueryTest::state));
         at = Addresses.text(gangway.address());
-        other = Addresses.text(Gangway.open(GROUP, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> new Bounds(16_384, 65_536, 5_000, 60_000), new Clock(),
-                new StateDesk(call -> call.answer(Answer.of(418)), QueryTest::other)).address());
+        other = Addresses.text(Gangway.open(
+                        GROUP,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        () -> new Bounds(16_384, 65_536, 5_000, 60_000),
+                        new Clock(),
+                        new StateDesk(call -> call.answer(Answer.of(418)), QueryTest::other))
+                .address());
         silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     }
 
@@ -70,15 +77,36 @@
 
     private static Map<String, Object> other(boolean items) {
         Map<String, Object> state = state(false);
-        state.putAll(Scribe.map("name", "h2", "control", "", "stamp", "2@h1", "crew", List.of("b", "a"),
-                "berths", List.of(Scribe.map("name", "p2", "server", "s2", "service", "s", "slots", 8))));
+        state.putAll(Scribe.map(
+                "name",
+                "h2",
+                "control",
+                "",
+                "stamp",
+                "2@h1",
+                "crew",
+                List.of("b", "a"),
+                "berths",
+                List.of(Scribe.map("name", "p2", "server", "s2", "service", "s", "slots", 8))));
         return state;
     }
 
     private static Map<String, Object> state(boolean items) {
-        Map<String, Object> state = Scribe.map("kind", "harbour", "name", "h1", "stamp", "3@h1", "open", true,
-                "crew", List.of("a", "b"), "tallies", Map.of("t", 2.5), "berths", List.of(
-                Scribe.map("name", "p2", "server", "s2", "slots", 4), Scribe.map("name", "p1", "slots", 12)));
+        Map<String, Object> state = Scribe.map(
+                "kind",
+                "harbour",
+                "name",
+                "h1",
+                "stamp",
+                "3@h1",
+                "open",
+                true,
+                "crew",
+                List.of("a", "b"),
+                "tallies",
+                Map.of("t", 2.5),
+                "berths",
+                List.of(Scribe.map("name", "p2", "server", "s2", "slots", 4), Scribe.map("name", "p1", "slots", 12)));
         if (items) {
             state.put("list", Listing.of(manifest()));
         }
@@ -92,7 +120,8 @@
         String change = "{\"upsert\":{\"routeTable\":{\"all\":" + route.formatted("/") + ",\"cart\":"
                 + route.formatted("/cart/") + "},\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + SECRET
                 + "\"],\"configVersion\":\"r1\"}}}}";
-        return Manifest.of(Order.read(change.getBytes(StandardCharsets.UTF_8)).get().items());
+        return Manifest.of(
+                Order.read(change.getBytes(StandardCharsets.UTF_8)).get().items());
     }
 
     /** Waits for so long that a busy machine changes nothing. */
@@ -108,9 +137,10 @@
 
     @Test
     void theFleetComesAsATable() {
-        assertThat(ask("fleet", "--at", at, "--columns", "pilot,server,slots", "--sort", "slots")).isZero();
-        assertThat(out.toString().lines()).containsExactly("pilot  server  slots", "p2     s2          4",
-                "p1                12");
+        assertThat(ask("fleet", "--at", at, "--columns", "pilot,server,slots", "--sort", "slots"))
+                .isZero();
+        assertThat(out.toString().lines())
+                .containsExactly("pilot  server  slots", "p2     s2          4", "p1                12");
         assertThat(err.toString()).isEmpty();
     }
 
@@ -126,18 +156,27 @@
     @Test
     void whatTwoSeeDifferentlyIsTold() {
         assertThat(ask("diff", at, other)).isEqualTo(5);
-        assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|"))).containsExactly(
-                "what|a|b", "item routeTable.all|r7", "item routeTable.cart|r7", "item tenantTable.t|r1",
-                "pilot p1", "server s2|at p2, 4 slots|s at p2, 8 slots", "stamp|3@h1|2@h1");
+        assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|")))
+                .containsExactly(
+                        "what|a|b",
+                        "item routeTable.all|r7",
+                        "item routeTable.cart|r7",
+                        "item tenantTable.t|r1",
+                        "pilot p1",
+                        "server s2|at p2, 4 slots|s at p2, 8 slots",
+                        "stamp|3@h1|2@h1");
         assertThat(ask("diff", at, at)).isZero();
     }
 
     @Test
     void linesOfAFileAreRunOneAfterAnother() throws IOException {
         Shell shell = new Shell(List.of());
-        assertThat(shell.run(new BufferedReader(new StringReader("# whom\nat " + at + "\n\nat\n"
-                + "fleet --columns \"pilot,slots\" --timeout 30000\nroute other / --timeout 30000\n"
-                + "at here\npilot\nquit\nat")), new PrintWriter(out, true), new PrintWriter(err, true)))
+        assertThat(shell.run(
+                        new BufferedReader(new StringReader("# whom\nat " + at + "\n\nat\n"
+                                + "fleet --columns \"pilot,slots\" --timeout 30000\nroute other / --timeout 30000\n"
+                                + "at here\npilot\nquit\nat")),
+                        new PrintWriter(out, true),
+                        new PrintWriter(err, true)))
                 .isEqualTo(4);
         assertThat(out.toString()).startsWith(at).contains("p2         4").endsWith("-\n");
         assertThat(err.toString().lines()).hasSize(2);
@@ -148,13 +187,16 @@
         Path history = folder.resolve("history");
         String typed = "ref\t--he\t\rfleet --at " + at + " --timeout 30000 --columns sl\t\rexit\r";
         ByteArrayOutputStream shown = new ByteArrayOutputStream();
-        try (Terminal terminal = new ExternalTerminal("test", "xterm",
-                new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)), shown,
+        try (Terminal terminal = new ExternalTerminal(
+                "test",
+                "xterm",
+                new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)),
+                shown,
                 StandardCharsets.UTF_8)) {
             Helmsman.run(new Shell(List.of()), terminal, history, new Paint(true));
         }
-        assertThat(shown.toString(StandardCharsets.UTF_8)).contains("Answers of the mesh's own",
-                "\u001b[1mslots\u001b[0m");
+        assertThat(shown.toString(StandardCharsets.UTF_8))
+                .contains("Answers of the mesh's own", "\u001b[1mslots\u001b[0m");
         assertThat(Files.readString(history)).contains("refusals --help", "--columns slots", "exit");
     }
 
@@ -167,8 +209,10 @@
         assertThat(out.toString()).contains("3@h1");
         String mute = Addresses.text((InetSocketAddress) silent.getLocalSocketAddress());
         assertThat(run("tallies", "--at", mute, "--timeout", "100")).isEqualTo(1);
-        assertThat(err.toString().lines()).containsExactly("cypressweir: " + nobody + ": nobody listens",
-                "cypressweir: " + mute + ": no answer in 100 ms");
+        assertThat(err.toString().lines())
+                .containsExactly(
+                        "cypressweir: " + nobody + ": nobody listens",
+                        "cypressweir: " + mute + ": no answer in 100 ms");
     }
 
     @Test
--- a/src/test/java/larkbank/bridge/SheetTest.java
+++ b/src/test/java/larkbank/bridge/SheetTest.java
@@ -8,9 +8,11 @@
 
 class SheetTest {
 
-    private final Sheet sheet = new Sheet(List.of("name", "slots", "crew"), List.of(
-            Map.of("name", "b", "slots", 10L, "crew", List.of("x", "y")),
-            Map.of("name", "a\u001b", "slots", 9L)));
+    private final Sheet sheet = new Sheet(
+            List.of("name", "slots", "crew"),
+            List.of(
+                    Map.of("name", "b", "slots", 10L, "crew", List.of("x", "y")),
+                    Map.of("name", "a\u001b", "slots", 9L)));
 
     @Test
     void columnsLineUpAndNumbersGoRight() {
@@ -19,8 +21,7 @@
 
     @Test
     void rowsAreChosenSortedAndCut() {
-        assertThat(sheet.sorted("slots").cut(List.of("slots")).lines()).containsExactly("slots", "    9",
-                "   10");
+        assertThat(sheet.sorted("slots").cut(List.of("slots")).lines()).containsExactly("slots", "    9", "   10");
         assertThat(sheet.where("crew", "x,y").rows()).hasSize(1);
     }
 }
--- a/src/test/java/larkbank/bulk/BodyBudgetTest.java
+++ b/src/test/java/larkbank/bulk/BodyBudgetTest.java
@@ -18,7 +18,7 @@
     private final BodyBudget budget = new BodyBudget(100);
 
     private Share share() {
-        return budget.share(() -> { }, () -> { });
+        return budget.share(() -> {}, () -> {});
     }
 
     @Test
@@ -82,7 +82,8 @@
         Map<Share, Long> has = new HashMap<>();
         List<Share> waits = new ArrayList<>();
         for (int i = 0; i < 20_000; i++) {
-            List<Share> free = has.keySet().stream().filter(s -> !waits.contains(s)).toList();
+            List<Share> free =
+                    has.keySet().stream().filter(s -> !waits.contains(s)).toList();
             if (!free.isEmpty() && random.nextInt(3) == 0) {
                 Share gone = free.get(random.nextInt(free.size()));
                 has.remove(gone);
--- a/src/test/java/larkbank/cell/CellsRandomWalkTest.java
+++ b/src/test/java/larkbank/cell/CellsRandomWalkTest.java
@@ -28,7 +28,7 @@
     private static final long START = 50_000_000;
     private static final int UNITS = 12, STEPS = 30_000;
 
-    private record Out(String unit, Effect effect, long token, Ticket ticket) { }
+    private record Out(String unit, Effect effect, long token, Ticket ticket) {}
 
     private static final class Walk {
         final SplittableRandom random;
@@ -37,6 +37,7 @@
         final Map<Ticket, Out> held = new HashMap<>();
         /** Where a keyed request was, and when last. */
         final Map<Long, long[]> keyed = new HashMap<>();
+
         final List<Long> tokens = new ArrayList<>();
         final Set<Integer> slow = new HashSet<>();
         final boolean fenced;
@@ -55,12 +56,19 @@
             for (int u = 0; u < UNITS; u++) {
                 if (random.nextInt(3) == 0) {
                     long now = rig == null ? START : rig.now;
-                    moves.add(CellPlans.move("u" + u, random.nextInt(4), now + random.nextInt(20_000_000),
-                            random.nextInt(2) * 10_000_000L, fenced ? 300_000 : 0));
+                    moves.add(CellPlans.move(
+                            "u" + u,
+                            random.nextInt(4),
+                            now + random.nextInt(20_000_000),
+                            random.nextInt(2) * 10_000_000L,
+                            fenced ? 300_000 : 0));
                 }
             }
-            return CellPlans.plan(CellPlans.cellsAndReserve(3), 0.05, random.nextInt(2) == 0 ? null
-                    : new Quarantine(3, 0.2, 5_000_000), moves.toArray(MovePlan[]::new));
+            return CellPlans.plan(
+                    CellPlans.cellsAndReserve(3),
+                    0.05,
+                    random.nextInt(2) == 0 ? null : new Quarantine(3, 0.2, 5_000_000),
+                    moves.toArray(MovePlan[]::new));
         }
 
         void step(int n) {
@@ -74,8 +82,11 @@
                 rig.done(o.ticket, !slow.contains(o.ticket.cell()));
             } else if (what < 990) {
                 long id = 1 + random.nextInt(24);
-                rig.cells.listed(rig.now, ListKind.CHANGES, List.of(CellPlans.server(id, (int) id % 2,
-                        random.nextInt(2) == 0 ? Phase.REMOVED : Phase.READY)));
+                rig.cells.listed(
+                        rig.now,
+                        ListKind.CHANGES,
+                        List.of(CellPlans.server(
+                                id, (int) id % 2, random.nextInt(2) == 0 ? Phase.REMOVED : Phase.READY)));
             } else if (what < 995) {
                 int cell = random.nextInt(4);
                 if (!slow.remove(cell)) {
@@ -129,8 +140,10 @@
             if (o.effect == Effect.KEYED) {
                 long[] before = keyed.get(o.token);
                 if (before != null && rig.now - before[1] < CellPlans.WINDOW) {
-                    assertEquals(before[0], o.ticket.cell(), "a repeat of " + o.token + " of " + o.unit
-                            + " went elsewhere: " + rig.log);
+                    assertEquals(
+                            before[0],
+                            o.ticket.cell(),
+                            "a repeat of " + o.token + " of " + o.unit + " went elsewhere: " + rig.log);
                 }
                 keyed.put(o.token, new long[] {o.ticket.cell(), rig.now});
             }
@@ -139,8 +152,8 @@
         private void check(int n) {
             for (int c = 0; c < 4; c++) {
                 int cell = c;
-                assertEquals(out.stream().filter(o -> o.ticket.cell() == cell).count(), rig.cells.inHand(c),
-                        "step " + n);
+                assertEquals(
+                        out.stream().filter(o -> o.ticket.cell() == cell).count(), rig.cells.inHand(c), "step " + n);
                 assertTrue(rig.cells.guests(c) <= 0.05 * CellsRig.REQUESTS, "step " + n);
             }
             assertEquals(held.size(), rig.cells.held(), "step " + n);
@@ -181,8 +194,8 @@
         open.set(0, 3);
         int from = new Placement(cells, Map.of(), open).home(Ids.of("acme"));
         int to = (from + 1) % 3;
-        CellsRig rig = new CellsRig(CellPlans.plan(cells, 0, null,
-                CellPlans.move("acme", to, START + 6_000_000, 0, 400_000)), START, 24);
+        CellsRig rig = new CellsRig(
+                CellPlans.plan(cells, 0, null, CellPlans.move("acme", to, START + 6_000_000, 0, 400_000)), START, 24);
         List<Ticket> out = new ArrayList<>();
         Set<Ticket> held = new HashSet<>();
         int atNew = 0;
--- a/src/test/java/larkbank/cell/CellsTest.java
+++ b/src/test/java/larkbank/cell/CellsTest.java
@@ -36,7 +36,7 @@
 
     /** A unit that is at home in a given cell. */
     private static String unitOf(int cell, List<Cell> cells, int skip) {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             if (home("u" + i, cells) == cell && skip-- == 0) {
                 return "u" + i;
             }
@@ -82,8 +82,8 @@
     void safeRequestsGoOverBitByBitAndWritesAtOnce() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 10 * SECOND, 20 * SECOND, 0)));
+        CellsRig rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 20 * SECOND, 0)));
         List<Integer> parts = new ArrayList<>();
         for (int s = 0; s < 40; s++) {
             rig.to(START + s * SECOND);
@@ -133,8 +133,7 @@
     void repeatsGoWhereTheFirstWas() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START
-                + 10 * SECOND, 0, 0)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 0)));
         rig.to(START + 9 * SECOND);
         assertEquals(from, rig.ask("acme", Effect.KEYED, 77).cell());
         rig.to(START + 11 * SECOND);
@@ -153,8 +152,7 @@
     void theFenceWaitsForWritesAtTheOldCell() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         Ticket old = rig.ask("acme", Effect.UNSAFE);
         assertEquals(from, old.cell());
@@ -175,8 +173,7 @@
     void whatIsHeldGoesOverWithTheLastOldWrite() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         Ticket old = rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
@@ -197,8 +194,7 @@
     void aFenceInVainSendsBackTriesAgainAndGivesUp() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 10 * SECOND, 0, 200_000)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 200_000)));
         rig.to(START + 9 * SECOND);
         rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
@@ -224,8 +220,7 @@
     void aFenceIsBlindAtFirstAfterARestart() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START - 60 * SECOND, 0, 200_000)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START - 60 * SECOND, 0, 200_000)));
         rig.to(START + CellPlans.PATIENCE - 1_000);
         Ticket early = rig.ask("acme", Effect.UNSAFE);
         assertEquals(from, early.cell());
@@ -241,8 +236,7 @@
     void aFreezeRefusesWritesAtOnce() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsPlan plan = CellPlans.plan(THREE, 0, null,
-                CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
+        CellsPlan plan = CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
         CellsRig rig = rig(plan);
         rig.to(START + 10 * SECOND - 1);
         Ticket before = rig.ask("acme", Effect.UNSAFE);
@@ -269,8 +263,8 @@
     void aFreezeDoesNotStepBack() {
         int to = (home("acme", THREE) + 1) % 3;
         String there = unitOf(to, THREE, 0);
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND)));
+        CellsRig rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND)));
         for (int s = 0; s < 20; s++) {
             rig.second(there, Effect.UNSAFE, 50, false);
         }
@@ -283,8 +277,8 @@
     void aFreezeKeepsRepeatsTogether() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.frozen("acme", to, START + 10 * SECOND, 1 * SECOND)));
+        CellsRig rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 1 * SECOND)));
         rig.to(START + 9 * SECOND);
         assertEquals(from, rig.ask("acme", Effect.KEYED, 70_000).cell());
         rig.to(START + 10 * SECOND + 500_000);
@@ -303,8 +297,8 @@
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
         String there = unitOf(to, THREE, 0);
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 5 * SECOND, 60 * SECOND, 0)));
+        CellsRig rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 5 * SECOND, 60 * SECOND, 0)));
         for (int s = 0; s < 20; s++) {
             rig.second(there, Effect.UNSAFE, 50, s < 12);
         }
@@ -419,8 +413,11 @@
     @Test
     void aUnitThatFloodsASickCellIsSetApartAndComesBack() {
         CellsRig rig = rig(CellPlans.plan(AND_RESERVE, 0, new Quarantine(3, 0.3, 30 * SECOND)));
-        List<String> others = List.of(unitOf(0, AND_RESERVE, 0), unitOf(0, AND_RESERVE, 1),
-                unitOf(0, AND_RESERVE, 2), unitOf(0, AND_RESERVE, 3));
+        List<String> others = List.of(
+                unitOf(0, AND_RESERVE, 0),
+                unitOf(0, AND_RESERVE, 1),
+                unitOf(0, AND_RESERVE, 2),
+                unitOf(0, AND_RESERVE, 3));
         String flooder = unitOf(0, AND_RESERVE, 4);
         for (int s = 0; s < 60; s++) {
             busy(rig, others, flooder, s % 10 == 0 ? 1 : 0, true);
@@ -465,8 +462,15 @@
         assertEquals(to, rig.ask("acme", Effect.KEYED).cell());
         rig.to(START + 20 * SECOND);
         assertEquals(List.of("m-acme DONE c" + to + " 100%"), rig.cells.moves(rig.now));
-        rig.cells.plan(rig.now, CellPlans.plan(THREE, 0, null, move,
-                CellPlans.move("other", (home("other", THREE) + 1) % 3, rig.now + 5 * SECOND, 0, 0)), 1_000);
+        rig.cells.plan(
+                rig.now,
+                CellPlans.plan(
+                        THREE,
+                        0,
+                        null,
+                        move,
+                        CellPlans.move("other", (home("other", THREE) + 1) % 3, rig.now + 5 * SECOND, 0, 0)),
+                1_000);
         assertEquals("m-acme DONE c" + to + " 100%", rig.cells.moves(rig.now).get(0));
         // The move is taken out and its end written down: nothing changes for anyone.
         rig.cells.plan(rig.now, CellPlans.plan(THREE, Map.of(Ids.of("acme"), to), 0, null), 1_000);
@@ -497,8 +501,7 @@
         CellsRig rig = rig(CellPlans.plan(THREE, 0, null));
         assertTrue(rig.cells.fits(CellPlans.plan(CellPlans.cells(4), 0, null)));
         assertFalse(rig.cells.fits(CellPlans.plan(CellPlans.cells(2), 0, null)));
-        List<Parting.Moved> moved = rig.cells.plan(rig.now, CellPlans.plan(CellPlans.cells(4), 0, null),
-                1_000);
+        List<Parting.Moved> moved = rig.cells.plan(rig.now, CellPlans.plan(CellPlans.cells(4), 0, null), 1_000);
         assertTrue(moved.stream().filter(m -> m.to() == 3).count() >= 7);
         for (int i = 0; i < 200; i++) {
             int before = home("u" + i, THREE);
@@ -510,8 +513,7 @@
     @Test
     void closingHoldsNothingBack() {
         int to = (home("acme", THREE) + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null,
-                CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
--- a/src/test/java/larkbank/cell/GoldenPlacementTest.java
+++ b/src/test/java/larkbank/cell/GoldenPlacementTest.java
@@ -18,8 +18,11 @@
 /** Which cell a unit and a server fall to. */
 class GoldenPlacementTest {
 
-    private static final List<Cell> CELLS = List.of(new Cell("red", 2, false), new Cell("green", 1, false),
-            new Cell("blue", 1, false), new Cell("spare", 0.5, true));
+    private static final List<Cell> CELLS = List.of(
+            new Cell("red", 2, false),
+            new Cell("green", 1, false),
+            new Cell("blue", 1, false),
+            new Cell("spare", 0.5, true));
     private static final int UNITS = 60;
     private static final int SERVERS = 24;
     private static final int ZONES = 3;
@@ -48,21 +51,23 @@
         for (CellsPlan.Spread spread : CellsPlan.Spread.values()) {
             Parting parting = new Parting(CELLS, spread, 0);
             parting.listed(0, ListKind.COMPLETE, servers());
-            servers().forEach(server -> lines.add(spread.ordinal() + " " + server.id() + " "
-                    + parting.cellOf(server.id())));
+            servers()
+                    .forEach(server ->
+                            lines.add(spread.ordinal() + " " + server.id() + " " + parting.cellOf(server.id())));
         }
         Golden.assertSame("hashes/server-cells.txt", lines);
     }
 
     private static List<Server> servers() {
-        return IntStream.range(0, SERVERS).mapToObj(i -> new Server(Ids.of("server-" + i), i % ZONES, 0,
-                i % 8, Phase.READY, 0, 1)).toList();
+        return IntStream.range(0, SERVERS)
+                .mapToObj(i -> new Server(Ids.of("server-" + i), i % ZONES, 0, i % 8, Phase.READY, 0, 1))
+                .toList();
     }
 
     /** The state of a move is part of the answer about cells. */
     @Test
     void statesOfMovesAreTheSame() {
-        assertThat(Stream.of(Moving.State.values()).map(String::valueOf)).containsExactly("WAITING",
-                "RAMPING", "SWITCHING", "FROZEN", "SETTLING", "DONE", "GIVEN_UP");
+        assertThat(Stream.of(Moving.State.values()).map(String::valueOf))
+                .containsExactly("WAITING", "RAMPING", "SWITCHING", "FROZEN", "SETTLING", "DONE", "GIVEN_UP");
     }
 }
--- a/src/test/java/larkbank/cell/PartingTest.java
+++ b/src/test/java/larkbank/cell/PartingTest.java
@@ -52,8 +52,7 @@
         parting.listed(1, ListKind.COMPLETE, servers);
         int[] sizes = sizes(parting, servers, cells);
         for (int size : sizes) {
-            assertTrue(size >= count / cells - 1 && size <= count / cells + 2, "sizes "
-                    + Arrays.toString(sizes));
+            assertTrue(size >= count / cells - 1 && size <= count / cells + 2, "sizes " + Arrays.toString(sizes));
         }
         for (int zone = 0; zone < zones; zone++) {
             int z = zone;
@@ -71,7 +70,9 @@
         Parting parting = new Parting(cells, Spread.SERVER, KEEP);
         List<Server> servers = CellPlans.servers(50, 1);
         parting.listed(1, ListKind.COMPLETE, servers);
-        assertEquals(List.of(30, 10, 10), Arrays.stream(sizes(parting, servers, 3)).boxed().toList());
+        assertEquals(
+                List.of(30, 10, 10),
+                Arrays.stream(sizes(parting, servers, 3)).boxed().toList());
     }
 
     /** Sidecars share nothing: whatever order they heard of servers in, they must agree. */
@@ -85,8 +86,7 @@
         List<Server> mixed = new ArrayList<>(servers);
         Collections.shuffle(mixed, random);
         Parting grown = new Parting(CellPlans.cells(5), Spread.SERVER, 0);
-        List<Server> others = List.of(CellPlans.server(900, 0, Phase.READY), CellPlans.server(901, 1,
-                Phase.READY));
+        List<Server> others = List.of(CellPlans.server(900, 0, Phase.READY), CellPlans.server(901, 1, Phase.READY));
         grown.listed(1, ListKind.CHANGES, others);
         mixed.forEach(s -> grown.listed(2, ListKind.CHANGES, List.of(s)));
         grown.listed(3, ListKind.COMPLETE, mixed);
@@ -107,8 +107,10 @@
             assertEquals(List.of(), parting.listed(now += 1_000_000, ListKind.CHANGES, List.of(gone)));
             assertEquals(-1, parting.cellOf(gone.id()));
             assertTrue(parting.keeps());
-            assertEquals(List.of(), parting.listed(now += 20_000_000, ListKind.CHANGES,
-                    List.of(CellPlans.server(i, i % 3, Phase.READY))));
+            assertEquals(
+                    List.of(),
+                    parting.listed(
+                            now += 20_000_000, ListKind.CHANGES, List.of(CellPlans.server(i, i % 3, Phase.READY))));
             assertFalse(parting.keeps());
         }
         assertEquals(before, cells(parting, servers));
@@ -121,7 +123,8 @@
         parting.listed(1, ListKind.COMPLETE, servers);
         int cell = parting.cellOf(servers.get(0).id());
         List<Server> others = servers.subList(1, 9);
-        List<Server> twice = others.stream().filter(s -> parting.cellOf(s.id()) == cell).toList();
+        List<Server> twice =
+                others.stream().filter(s -> parting.cellOf(s.id()) == cell).toList();
         parting.listed(2, ListKind.COMPLETE, others);
         List<Server> left = others.stream().filter(s -> s != twice.get(0)).toList();
         parting.listed(3, ListKind.COMPLETE, left);
@@ -139,8 +142,9 @@
         Parting parting = parting(3, Spread.GROUP);
         List<Server> servers = CellPlans.servers(70, 3);
         parting.listed(1, ListKind.COMPLETE, servers);
-        Map<Integer, Set<Integer>> cells = servers.stream().collect(Collectors.groupingBy(Server::cell,
-                Collectors.mapping(s -> parting.cellOf(s.id()), Collectors.toSet())));
+        Map<Integer, Set<Integer>> cells = servers.stream()
+                .collect(Collectors.groupingBy(
+                        Server::cell, Collectors.mapping(s -> parting.cellOf(s.id()), Collectors.toSet())));
         assertEquals(7, cells.size());
         cells.values().forEach(c -> assertEquals(1, c.size()));
         assertEquals(3, cells.values().stream().flatMap(Set::stream).distinct().count());
@@ -152,8 +156,7 @@
         List<Server> servers = CellPlans.servers(9, 1);
         parting.listed(1, ListKind.COMPLETE, servers);
         int cell = parting.cellOf(servers.get(4).id());
-        assertEquals(List.of(), parting.listed(2, ListKind.CHANGES,
-                List.of(CellPlans.server(5, 0, Phase.DRAINING))));
+        assertEquals(List.of(), parting.listed(2, ListKind.CHANGES, List.of(CellPlans.server(5, 0, Phase.DRAINING))));
         assertEquals(cell, parting.cellOf(servers.get(4).id()));
     }
 
@@ -173,8 +176,8 @@
         Parting parting = parting(10, Spread.SERVER);
         parting.listed(1, ListKind.COMPLETE, CellPlans.servers(500, 5));
         for (int i = 501; i <= 600; i++) {
-            moved += parting.listed(i, ListKind.CHANGES, List.of(CellPlans.server(i, i % 5,
-                    Phase.READY))).size();
+            moved += parting.listed(i, ListKind.CHANGES, List.of(CellPlans.server(i, i % 5, Phase.READY)))
+                    .size();
         }
         assertTrue(moved / 100.0 < 12, "moved " + moved / 100.0 + " for each that came");
     }
--- a/src/test/java/larkbank/cell/PlacementTest.java
+++ b/src/test/java/larkbank/cell/PlacementTest.java
@@ -36,8 +36,8 @@
 
     @Test
     void homesFollowShares() {
-        List<Cell> cells = List.of(new Cell("a", 2, false), new Cell("b", 1, false), new Cell("c", 1, false),
-                new Cell("q", 5, true));
+        List<Cell> cells = List.of(
+                new Cell("a", 2, false), new Cell("b", 1, false), new Cell("c", 1, false), new Cell("q", 5, true));
         int[] counts = counts(new Placement(cells, Map.of(), open(0, 1, 2, 3)), 4);
         assertEquals(20_000, counts[0], 1_500);
         assertEquals(10_000, counts[1], 1_500);
@@ -80,8 +80,8 @@
 
     @Test
     void whatIsAssignedGoesBeforeTheHash() {
-        Placement placement = new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2, unit(2), 1),
-                open(0, 1, 2));
+        Placement placement =
+                new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2, unit(2), 1), open(0, 1, 2));
         assertEquals(2, placement.home(unit(1)));
         assertEquals(1, placement.home(unit(2)));
         // A cell without servers is nobody's home, whatever is assigned.
--- a/src/test/java/larkbank/cell/RepeatsTest.java
+++ b/src/test/java/larkbank/cell/RepeatsTest.java
@@ -50,7 +50,8 @@
         for (int i = 0; i < 50_000; i++) {
             now += random.nextInt(20);
             long token = !tokens.isEmpty() && random.nextInt(3) == 0
-                    ? tokens.get(tokens.size() - 1 - random.nextInt(Math.min(tokens.size(), 60))) : i;
+                    ? tokens.get(tokens.size() - 1 - random.nextInt(Math.min(tokens.size(), 60)))
+                    : i;
             tokens.add(token);
             long[] known = plain.get(token);
             int expected = known == null || now - known[1] >= WINDOW ? -1 : (int) known[0];
--- a/src/test/java/larkbank/chart/EditionsTest.java
+++ b/src/test/java/larkbank/chart/EditionsTest.java
@@ -33,8 +33,7 @@
         editions.show(stamp(4), second);
         editions.show(stamp(6), third);
         assertThat(editions.since(Ballot.ZERO)).containsExactlyInAnyOrderElementsOf(third.items());
-        assertThat(editions.since(stamp(1))).containsExactlyInAnyOrder(item("b", 2, true),
-                item("c", 2, false));
+        assertThat(editions.since(stamp(1))).containsExactlyInAnyOrder(item("b", 2, true), item("c", 2, false));
         assertThat(first.with(editions.since(stamp(1)))).isEqualTo(third);
         assertThat(editions.since(stamp(4))).containsExactly(item("c", 2, false));
         assertThat(editions.since(stamp(6))).isEmpty();
--- a/src/test/java/larkbank/cli/CommandLineToolTest.java
+++ b/src/test/java/larkbank/cli/CommandLineToolTest.java
@@ -31,6 +31,7 @@
 
     @TempDir
     Path folder;
+
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
     private Path file;
@@ -45,8 +46,10 @@
     private int run(String... args) {
         List<String> all = new ArrayList<>(List.of(args));
         all.addAll(List.of("--config", folder.resolve("config.json").toString()));
-        return new CommandLine(new CommandLineTool()).setOut(new PrintWriter(out, true))
-                .setErr(new PrintWriter(err, true)).execute(all.toArray(String[]::new));
+        return new CommandLine(new CommandLineTool())
+                .setOut(new PrintWriter(out, true))
+                .setErr(new PrintWriter(err, true))
+                .execute(all.toArray(String[]::new));
     }
 
     @Test
@@ -59,8 +62,10 @@
     void aBadFileIsAllItsReasons() throws Exception {
         Files.writeString(file, FILE + "attempts = 7\nhegdes = 1\n");
         assertEquals(2, run("check", file.toString()));
-        assertEquals(file + ":11: 'attempts' is 7; the settings allow 6\n" + file
-                + ":12: unknown key 'hegdes' in [routes.s]; did you mean 'hedges'?\n", err.toString());
+        assertEquals(
+                file + ":11: 'attempts' is 7; the settings allow 6\n" + file
+                        + ":12: unknown key 'hegdes' in [routes.s]; did you mean 'hedges'?\n",
+                err.toString());
         assertEquals("", out.toString());
     }
 
@@ -74,19 +79,28 @@
 
     @Test
     void explainARequest() {
-        assertEquals(0, run("explain", file.toString(), "--request", "GET http://API.example.org/search/%41",
-                "-H", "X-Tier: gold"));
+        assertEquals(
+                0,
+                run(
+                        "explain",
+                        file.toString(),
+                        "--request",
+                        "GET http://API.example.org/search/%41",
+                        "-H",
+                        "X-Tier: gold"));
         assertTrue(out.toString().contains("takes route 's'"), out.toString());
         assertEquals(0, run("explain", file.toString(), "--request", "GET /search/1", "-H", "Host: b"));
         assertTrue(out.toString().contains("no route matches: 404"), out.toString());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "GET | Host: a | --request takes a method and a target",
-        "GET /a%2Fb | Host: a | the request would be answered 400: the path has an escaped slash",
-        "GET /a | Host | -H takes a name and a value",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET | Host: a | --request takes a method and a target",
+                "GET /a%2Fb | Host: a | the request would be answered 400: the path has an escaped slash",
+                "GET /a | Host | -H takes a name and a value",
+            })
     void whatCanNotBeExplained(String request, String header, String why) {
         assertEquals(2, run("explain", file.toString(), "--request", request, "-H", header));
         assertTrue(err.toString().contains(why), err.toString());
@@ -103,10 +117,14 @@
     @ParameterizedTest
     @CsvSource({"deploy/operators.example.toml, true", "deploy/operators.example.toml, false"})
     void theExampleIsRight(String example, boolean assumed) {
-        var line = new CommandLine(new CommandLineTool()).setOut(new PrintWriter(out, true))
+        var line = new CommandLine(new CommandLineTool())
+                .setOut(new PrintWriter(out, true))
                 .setErr(new PrintWriter(err, true));
-        assertEquals(0, assumed ? line.execute("check", example)
-                : line.execute("check", example, "--config", "deploy/operators.example.json"));
+        assertEquals(
+                0,
+                assumed
+                        ? line.execute("check", example)
+                        : line.execute("check", example, "--config", "deploy/operators.example.json"));
         assertEquals(assumed ? 1 : 0, err.toString().lines().count(), err.toString());
         assertEquals(assumed, err.toString().contains("without settings"));
     }
@@ -115,23 +133,42 @@
     @Test
     void aBadFileIsBadWithoutSettings() throws Exception {
         Files.writeString(file, FILE + "hegdes = 1\n");
-        assertEquals(2, new CommandLine(new CommandLineTool()).setErr(new PrintWriter(err, true))
-                .execute("check", file.toString()));
+        assertEquals(
+                2,
+                new CommandLine(new CommandLineTool())
+                        .setErr(new PrintWriter(err, true))
+                        .execute("check", file.toString()));
         assertTrue(err.toString().contains(":11: unknown key 'hegdes' in [routes.s]"), err.toString());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "serve", "check", "explain", "lab", "lab cells", "lab quiet", "plugin",
-        "plugin check", "plugin run"})
+    @ValueSource(
+            strings = {
+                "",
+                "serve",
+                "check",
+                "explain",
+                "lab",
+                "lab cells",
+                "lab quiet",
+                "plugin",
+                "plugin check",
+                "plugin run"
+            })
     void everyCommandHasHelpAndVersion(String command) {
         for (String option : List.of("--help", "--version")) {
             List<String> words = new ArrayList<>(command.isEmpty() ? List.of() : List.of(command.split(" ")));
             words.add(option);
             StringWriter said = new StringWriter();
-            assertEquals(0, new CommandLine(new CommandLineTool()).setOut(new PrintWriter(said, true))
-                    .setErr(new PrintWriter(err, true)).execute(words.toArray(String[]::new)));
-            assertTrue(said.toString().contains(option.equals("--help") ? "Usage: larkbank"
-                    : "larkbank ("), said.toString());
+            assertEquals(
+                    0,
+                    new CommandLine(new CommandLineTool())
+                            .setOut(new PrintWriter(said, true))
+                            .setErr(new PrintWriter(err, true))
+                            .execute(words.toArray(String[]::new)));
+            assertTrue(
+                    said.toString().contains(option.equals("--help") ? "Usage: larkbank" : "larkbank ("),
+                    said.toString());
         }
         assertEquals("", err.toString());
     }
