--- a/src/test/java/larkbank/copies/CatchUpTest.java
+++ b/src/test/java/larkbank/copies/CatchUpTest.java
@@ -63,8 +63,8 @@
     static String broken() {
         for (String how : new String[] {"down", "wiped"}) {
             try {
-                new CatchUpTest().isUpToDateWithinABoundOfTimeAndBytes(how, false, 2_000,
-                        how.equals("wiped") ? 4_000 : 1_500);
+                new CatchUpTest()
+                        .isUpToDateWithinABoundOfTimeAndBytes(how, false, 2_000, how.equals("wiped") ? 4_000 : 1_500);
             } catch (AssertionError | RuntimeException e) {
                 return String.valueOf(e);
             }
@@ -78,12 +78,17 @@
     }
 
     private static Manifest tenants(int to, int version) {
-        return Manifest.EMPTY.with(Order.read(OneChangeTest.tenants(0, to, version)
-                .getBytes(StandardCharsets.UTF_8)).get().against(Manifest.EMPTY).get());
+        return Manifest.EMPTY.with(
+                Order.read(OneChangeTest.tenants(0, to, version).getBytes(StandardCharsets.UTF_8))
+                        .get()
+                        .against(Manifest.EMPTY)
+                        .get());
     }
 
     private static Effect.Write write(List<Effect> effects) {
-        return (Effect.Write) effects.stream().filter(Effect.Write.class::isInstance).findFirst()
+        return (Effect.Write) effects.stream()
+                .filter(Effect.Write.class::isInstance)
+                .findFirst()
                 .orElse(null);
     }
 
@@ -92,21 +97,87 @@
         List<String> crew = List.of("a", "b", "c");
         Ballot decided = new Ballot(5, "a");
         Ballot promised = new Ballot(9, "a");
-        Copies copies = new Copies(CopiesPlan.usual(), "c", crew, false, new Standing(promised,
-                new Ballot(1, "a"), crew, List.of(), false), 1, new SplittableRandom(1), 0);
-        copies.received(0, "a", Words.of(Words.TELL, "life", 1L, "accepted", decided, "decided", decided,
-                "crew", crew, "forgetful", false, "hearsay", false, "number", 1L, "probe", false,
-                "echoLife", 0L, "echo", 0L));
+        Copies copies = new Copies(
+                CopiesPlan.usual(),
+                "c",
+                crew,
+                false,
+                new Standing(promised, new Ballot(1, "a"), crew, List.of(), false),
+                1,
+                new SplittableRandom(1),
+                0);
+        copies.received(
+                0,
+                "a",
+                Words.of(
+                        Words.TELL,
+                        "life",
+                        1L,
+                        "accepted",
+                        decided,
+                        "decided",
+                        decided,
+                        "crew",
+                        crew,
+                        "forgetful",
+                        false,
+                        "hearsay",
+                        false,
+                        "number",
+                        1L,
+                        "probe",
+                        false,
+                        "echoLife",
+                        0L,
+                        "echo",
+                        0L));
         copies.tick(0);
         copies.tick(100_000);
         Manifest state = tenants(3, 1);
-        assertThat(copies.received(100_000, "a", Words.of(Words.PIECE, "b", decided, "ask", 0L, "from", "",
-                "sum", state.sum(), "part", 0L, "parts", 1L, "crew", crew, "items",
-                Words.maps(state.items())))).anyMatch(Effect.Show.class::isInstance);
+        assertThat(copies.received(
+                        100_000,
+                        "a",
+                        Words.of(
+                                Words.PIECE,
+                                "b",
+                                decided,
+                                "ask",
+                                0L,
+                                "from",
+                                "",
+                                "sum",
+                                state.sum(),
+                                "part",
+                                0L,
+                                "parts",
+                                1L,
+                                "crew",
+                                crew,
+                                "items",
+                                Words.maps(state.items()))))
+                .anyMatch(Effect.Show.class::isInstance);
         List<Item> changed = tenants(2, 7).items();
-        Map<String, Object> accept = Words.of(Words.ACCEPT, "b", promised, "base", decided, "whole", false,
-                "sum", 1L, "crew", crew, "part", 0L, "parts", 1L, "items", Words.maps(changed));
-        assertThat(write(copies.received(100_000, "a", accept))).as("another sum").isNull();
+        Map<String, Object> accept = Words.of(
+                Words.ACCEPT,
+                "b",
+                promised,
+                "base",
+                decided,
+                "whole",
+                false,
+                "sum",
+                1L,
+                "crew",
+                crew,
+                "part",
+                0L,
+                "parts",
+                1L,
+                "items",
+                Words.maps(changed));
+        assertThat(write(copies.received(100_000, "a", accept)))
+                .as("another sum")
+                .isNull();
         accept.put("sum", state.with(changed).sum());
         Change change = write(copies.received(100_000, "a", accept)).change();
         assertThat(change.whole()).isTrue();
@@ -115,15 +186,20 @@
 
     @ParameterizedTest
     @CsvSource({
-        "down, false, 2000, 1500", "cut, false, 2000, 1500", "frozen, false, 2000, 1500",
-        "wiped, false, 2000, 4000", "down, true, 2000, 4000",
-        "down, false, 30000, 3000", "wiped, false, 30000, 12000", "down, true, 30000, 12000",
+        "down, false, 2000, 1500",
+        "cut, false, 2000, 1500",
+        "frozen, false, 2000, 1500",
+        "wiped, false, 2000, 4000",
+        "down, true, 2000, 4000",
+        "down, false, 30000, 3000",
+        "wiped, false, 30000, 12000",
+        "down, true, 30000, 12000",
     })
     void isUpToDateWithinABoundOfTimeAndBytes(String how, boolean othersStartAnew, long delay, long millis) {
         world = new CopiesWorld(11, 3);
         world.run(500_000);
-        assertThat(world.await(world.submit(world.harbour(1), OneChangeTest.tenants(0, ITEMS, 1),
-                10 * PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
+        assertThat(world.await(world.submit(world.harbour(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
+                .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
         world.mostDelay = delay;
         leave(how);
@@ -153,7 +229,8 @@
             change();
         }
         boolean whole = how.equals("wiped") || othersStartAnew;
-        System.out.printf("%s%s, messages up to %d us: shown after %d ms and %d bytes, %d bytes 2 s later%n",
+        System.out.printf(
+                "%s%s, messages up to %d us: shown after %d ms and %d bytes, %d bytes 2 s later%n",
                 how, othersStartAnew ? ", others anew" : "", delay, took, shown, world.bytes);
         assertThat(took).as("ms").isLessThan(millis);
         assertThat(world.bytes).as("bytes").isLessThan(whole ? WHOLE : DIFFERENCES);
@@ -162,8 +239,8 @@
         assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        assertThat(back.copies().shown().manifest().sum()).isEqualTo(
-                world.harbour(2).copies().shown().manifest().sum());
+        assertThat(back.copies().shown().manifest().sum())
+                .isEqualTo(world.harbour(2).copies().shown().manifest().sum());
         assertThat(world.checks().breach()).isNull();
     }
 }
--- a/src/test/java/larkbank/copies/ContactTest.java
+++ b/src/test/java/larkbank/copies/ContactTest.java
@@ -18,7 +18,11 @@
     private static final long CUT = 20_000_000;
     private static final long PRESENT = 1_000_000;
 
-    private enum Cut { BOTH, HEARS_NOBODY, NOBODY_HEARS_IT }
+    private enum Cut {
+        BOTH,
+        HEARS_NOBODY,
+        NOBODY_HEARS_IT
+    }
 
     private static void cut(CopiesWorld world, int off, Cut how) {
         for (int other = 1; other <= 3; other++) {
@@ -32,8 +36,8 @@
     }
 
     private static String order(long version) {
-        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k" + version
-                + "\"],\"configVersion\":\"r" + version + "\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k" + version + "\"],\"configVersion\":\"r" + version
+                + "\"}}}}";
     }
 
     private static void refusedWithin(long most, CopiesWorld world, long ticket) {
@@ -52,8 +56,7 @@
         CopiesWorld world = new CopiesWorld(how.ordinal(), 3);
         world.run(1_000_000);
         Harbour off = world.harbour(3);
-        assertThat(world.await(world.submit(off, order(1), PATIENCE)))
-                .isInstanceOf(ProposalResult.Taken.class);
+        assertThat(world.await(world.submit(off, order(1), PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
         assertThat(age(world, off)).isBetween(0L, PRESENT);
         cut(world, 3, how);
@@ -66,14 +69,13 @@
             assertThat(age(world, off)).isGreaterThanOrEqualTo(world.now() - cut);
             refusedWithin(210_000, world, world.submit(off, order(version), PATIENCE));
             refusedWithin(210_000, world, world.read(off, PATIENCE));
-            assertThat(world.await(world.submit(world.harbour(1 + (int) version % 2), order(100 + version),
-                    PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
+            assertThat(world.await(world.submit(world.harbour(1 + (int) version % 2), order(100 + version), PATIENCE)))
+                    .isInstanceOf(ProposalResult.Taken.class);
             world.run(500_000);
         }
         world.heal();
         // The first order after the join is taken: nobody need have told it before that it is back.
-        assertThat(world.await(world.submit(off, order(1_000), PATIENCE)))
-                .isInstanceOf(ProposalResult.Taken.class);
+        assertThat(world.await(world.submit(off, order(1_000), PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
         world.run(PRESENT);
         assertThat(off.copies().inContact(world.now())).isTrue();
         assertThat(age(world, off)).isBetween(0L, PRESENT);
--- a/src/test/java/larkbank/copies/CopiesCutsTest.java
+++ b/src/test/java/larkbank/copies/CopiesCutsTest.java
@@ -12,6 +12,7 @@
     private static final long CUT = 20_000_000;
     /** Under half of the shortest time in which an order is to be acknowledged. */
     private static final long WORST = 2_000_000;
+
     private static final double ROUNDS = 1.5;
 
     @ParameterizedTest
--- a/src/test/java/larkbank/copies/CopiesTest.java
+++ b/src/test/java/larkbank/copies/CopiesTest.java
@@ -27,8 +27,8 @@
     private static final long PATIENCE = 3_000_000;
 
     private static String order(String tenant, long version, String key) {
-        return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key
-                + "\"],\"configVersion\":\"r" + version + "\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
+                + version + "\"}}}}";
     }
 
     private static Object key(Manifest manifest, String tenant) {
@@ -62,10 +62,10 @@
         settled(world);
         boolean wins = first instanceof ProposalResult.Taken;
         assertThat(wins ? first : second).isInstanceOf(ProposalResult.Taken.class);
-        assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class,
-                r -> assertThat(r.refusal().kind()).isEqualTo(Kind.CONFLICT));
-        assertThat(key(world.harbour(3).copies().shown().manifest(), "t"))
-                .isEqualTo(List.of(wins ? "a" : "b"));
+        assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class, r -> assertThat(
+                        r.refusal().kind())
+                .isEqualTo(Kind.CONFLICT));
+        assertThat(key(world.harbour(3).copies().shown().manifest(), "t")).isEqualTo(List.of(wins ? "a" : "b"));
         // A duplicate of what stands, and of what stood.
         taken(world, world.harbour(3), order("t", 1, wins ? "a" : "b"));
         taken(world, world.harbour(3), order("t", 2, "c"));
@@ -78,23 +78,47 @@
     @Test
     void whatIsLateIsNotOffered() {
         List<String> crew = List.of("a", "b", "c");
-        Copies copies = new Copies(CopiesPlan.usual(), "a", crew, false,
-                new Standing(Ballot.ZERO, Ballot.ZERO, crew, List.of(), false), 1,
-                new SplittableRandom(1), 0);
+        Copies copies = new Copies(
+                CopiesPlan.usual(),
+                "a",
+                crew,
+                false,
+                new Standing(Ballot.ZERO, Ballot.ZERO, crew, List.of(), false),
+                1,
+                new SplittableRandom(1),
+                0);
         copies.start(0);
-        List<Effect> asked = copies.submit(1, 7, Order.read(order("t", 1, "k")
-                .getBytes(StandardCharsets.UTF_8)).get(), 850_000);
-        Effect.Write write = (Effect.Write) asked.stream().filter(Effect.Write.class::isInstance).findAny()
-                .orElseThrow();
+        List<Effect> asked = copies.submit(
+                1,
+                7,
+                Order.read(order("t", 1, "k").getBytes(StandardCharsets.UTF_8)).get(),
+                850_000);
+        Effect.Write write = (Effect.Write)
+                asked.stream().filter(Effect.Write.class::isInstance).findAny().orElseThrow();
         Effect.Send prepare = (Effect.Send) copies.written(2, write.number(), true).stream()
                 .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals(Words.PREPARE))
-                .findAny().orElseThrow();
-        List<Effect> late = copies.received(20_000_000, "b", Words.of(Words.PROMISE, "b",
-                prepare.message().get("b"), "accepted", Ballot.ZERO, "crew", crew, "hearsay", false,
-                "shown", Ballot.ZERO));
-        assertThat(late).anyMatch(e -> e instanceof Effect.Answer a
-                && a.verdict() instanceof ProposalResult.Unavailable);
-        assertThat(late).noneMatch(e -> e instanceof Effect.Write w && !w.change().items().isEmpty());
+                .findAny()
+                .orElseThrow();
+        List<Effect> late = copies.received(
+                20_000_000,
+                "b",
+                Words.of(
+                        Words.PROMISE,
+                        "b",
+                        prepare.message().get("b"),
+                        "accepted",
+                        Ballot.ZERO,
+                        "crew",
+                        crew,
+                        "hearsay",
+                        false,
+                        "shown",
+                        Ballot.ZERO));
+        assertThat(late)
+                .anyMatch(e -> e instanceof Effect.Answer a && a.verdict() instanceof ProposalResult.Unavailable);
+        assertThat(late)
+                .noneMatch(
+                        e -> e instanceof Effect.Write w && !w.change().items().isEmpty());
     }
 
     @Test
@@ -147,7 +171,8 @@
             all.forEach(h -> world.start(h.address(), false));
             world.run(4_000_000);
             settled(world);
-            assertThat(key(world.harbour(lost).copies().shown().manifest(), "t")).isEqualTo(List.of("a"));
+            assertThat(key(world.harbour(lost).copies().shown().manifest(), "t"))
+                    .isEqualTo(List.of("a"));
             taken(world, world.harbour(lost), order("t", 2, "b"));
         }
     }
@@ -163,7 +188,9 @@
             world.wipe(world.harbour(gone));
             Harbour fresh = world.start(7 - gone);
             world.run(12_000_000);
-            assertThat(fresh.copies().crew()).hasSize(3).contains(fresh.copies().own())
+            assertThat(fresh.copies().crew())
+                    .hasSize(3)
+                    .contains(fresh.copies().own())
                     .doesNotContain(world.harbour(gone).address());
             settled(world);
             taken(world, fresh, order("t", 10 - gone, "b" + gone));
@@ -226,8 +253,8 @@
         world.run(500_000);
         StringBuilder body = new StringBuilder("{\"upsert\":{\"tenantTable\":{");
         for (int i = 0; i < 1_000; i++) {
-            body.append(i == 0 ? "" : ",").append("\"n" + i + "\":{\"apiKeys\":[\"k" + i
-                    + "\"],\"configVersion\":\"r1\"}");
+            body.append(i == 0 ? "" : ",")
+                    .append("\"n" + i + "\":{\"apiKeys\":[\"k" + i + "\"],\"configVersion\":\"r1\"}");
         }
         taken(world, world.harbour(1), body.append("}}}").toString());
         world.wipe(world.harbour(3));
@@ -287,7 +314,9 @@
         assertThat(world.begin(world.harbour(1), Set.of(fourth))).isNull();
         world.run(10_000_000);
         for (Harbour harbour : world.up()) {
-            assertThat(harbour.copies().crew()).hasSize(4).contains(harbour.copies().own());
+            assertThat(harbour.copies().crew())
+                    .hasSize(4)
+                    .contains(harbour.copies().own());
             assertThat(harbour.copies().shown().manifest().size()).isZero();
         }
         taken(world, world.harbour(4), order("u", 1, "b"));
@@ -301,8 +330,7 @@
     /** What a write that failed left on the disk must not get under what is written next. */
     @Test
     void afterAFailedWriteTheWholeIsWritten() {
-        Copies copies = new Copies(CopiesPlan.usual(), "a", List.of("a"), true, null, 1,
-                new SplittableRandom(1), 0);
+        Copies copies = new Copies(CopiesPlan.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
         written(copies, copies.start(0), 0, true);
         List<Effect> first = copies.submit(0, 1, parsed(order("t", 1, "x")), PATIENCE);
         List<Effect> accept = written(copies, first, 0, true);
@@ -319,7 +347,9 @@
     }
 
     private static Effect.Write write(List<Effect> effects) {
-        return (Effect.Write) effects.stream().filter(Effect.Write.class::isInstance).findFirst()
+        return (Effect.Write) effects.stream()
+                .filter(Effect.Write.class::isInstance)
+                .findFirst()
                 .orElseThrow();
     }
 
@@ -333,13 +363,55 @@
         world.run(500_000);
         SplittableRandom random = new SplittableRandom(1);
         Copies copies = world.harbour(1).copies();
-        String[] kinds = {"prepare", "promise", "nack", "accept", "accepted", "mismatch", "decided", "tell",
-            "teach", "told", "fetch", "piece", "gone", "admit", "forgetful", "other"};
-        String[] names = {"b", "base", "whole", "crew", "part", "parts", "items", "life", "accepted",
-            "promised", "decided", "forgetful", "hearsay"};
-        Object[] values = {"x", "0@", "-1@a", 1L, -1L, 1e300, true, List.of(), List.of("a"), List.of(1L),
-            Map.of(), List.of(Map.of()), List.of(Map.of("table", "limits", "name", "", "version", 1L,
-                "content", "{")), "9999999999999999999@a"};
+        String[] kinds = {
+            "prepare",
+            "promise",
+            "nack",
+            "accept",
+            "accepted",
+            "mismatch",
+            "decided",
+            "tell",
+            "teach",
+            "told",
+            "fetch",
+            "piece",
+            "gone",
+            "admit",
+            "forgetful",
+            "other"
+        };
+        String[] names = {
+            "b",
+            "base",
+            "whole",
+            "crew",
+            "part",
+            "parts",
+            "items",
+            "life",
+            "accepted",
+            "promised",
+            "decided",
+            "forgetful",
+            "hearsay"
+        };
+        Object[] values = {
+            "x",
+            "0@",
+            "-1@a",
+            1L,
+            -1L,
+            1e300,
+            true,
+            List.of(),
+            List.of("a"),
+            List.of(1L),
+            Map.of(),
+            List.of(Map.of()),
+            List.of(Map.of("table", "limits", "name", "", "version", 1L, "content", "{")),
+            "9999999999999999999@a"
+        };
         for (int i = 0; i < 20_000; i++) {
             Map<String, Object> message = new HashMap<>();
             message.put("t", "copies." + kinds[random.nextInt(kinds.length)]);
--- a/src/test/java/larkbank/copies/LossesTest.java
+++ b/src/test/java/larkbank/copies/LossesTest.java
@@ -16,7 +16,9 @@
     @CsvSource({"3, 0", "3, 1", "3, 2", "4, 0", "5, 0", "5, 2"})
     void aSecondLossLeavesAMajority(int count, int standbys) {
         for (long seed = 0; seed < DAYS; seed++) {
-            assertThat(new Losses(seed, count, standbys).secondLoss()).as("seed " + seed).isNull();
+            assertThat(new Losses(seed, count, standbys).secondLoss())
+                    .as("seed " + seed)
+                    .isNull();
         }
     }
 
@@ -24,8 +26,10 @@
     @ParameterizedTest
     @CsvSource({"1, false, 4000", "0, true, 1500"})
     void threeVoteAgainSoon(int standbys, boolean returnsBlank, long mostMillis) {
-        long[] millis = LongStream.range(0, DAYS).map(seed ->
-                new Losses(seed, 3, standbys).untilThreeVote(returnsBlank) / 1000).sorted().toArray();
+        long[] millis = LongStream.range(0, DAYS)
+                .map(seed -> new Losses(seed, 3, standbys).untilThreeVote(returnsBlank) / 1000)
+                .sorted()
+                .toArray();
         assertThat(millis[0]).isPositive();
         assertThat(millis[DAYS - 1]).as("median " + millis[DAYS / 2]).isLessThanOrEqualTo(mostMillis);
     }
--- a/src/test/java/larkbank/copies/OneChangeTest.java
+++ b/src/test/java/larkbank/copies/OneChangeTest.java
@@ -14,9 +14,13 @@
 class OneChangeTest {
 
     static String tenants(int from, int to, int version) {
-        return "{\"upsert\":{\"tenantTable\":{" + IntStream.range(from, to).mapToObj(i -> "\"t" + i
-                + "\":{\"apiKeys\":[\"key-" + i + "-" + version + "\"],\"configVersion\":\"r" + version
-                + "\"}").collect(Collectors.joining(",")) + "}}}";
+        return "{\"upsert\":{\"tenantTable\":{"
+                + IntStream.range(from, to)
+                        .mapToObj(i -> "\"t" + i
+                                + "\":{\"apiKeys\":[\"key-" + i + "-" + version + "\"],\"configVersion\":\"r" + version
+                                + "\"}")
+                        .collect(Collectors.joining(","))
+                + "}}}";
     }
 
     private static long sentForOne(int items) {
@@ -29,7 +33,6 @@
 
     @Test
     void whateverTheWholeWeighs() {
-        assertThat(sentForOne(5_000)).isCloseTo(sentForOne(10),
-                Percentage.withPercentage(10));
+        assertThat(sentForOne(5_000)).isCloseTo(sentForOne(10), Percentage.withPercentage(10));
     }
 }
--- a/src/test/java/larkbank/copies/PlantedCopiesFaultsTest.java
+++ b/src/test/java/larkbank/copies/PlantedCopiesFaultsTest.java
@@ -19,74 +19,83 @@
     Path folder;
 
     private ClassLoader planted(String file, String text, String instead) throws Exception {
-        return new Planted(folder, Path.of("src/main/java/larkbank/copies"), file, text, instead,
+        return new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/copies"),
+                file,
+                text,
+                instead,
                 name -> name.startsWith("larkbank.testkit.Copies")
-                || name.startsWith("larkbank.testkit.Losses")
-                || name.startsWith("larkbank.testkit.Plain"));
+                        || name.startsWith("larkbank.testkit.Losses")
+                        || name.startsWith("larkbank.testkit.Plain"));
     }
 
     /** Faults that lose nothing, but leave no majority. */
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "nobody goes while two are silent ~ CrewWatch.java "
-            + "~ if (!silent.isEmpty() && (standby || shrinks)) { "
-            + "~ if (silent.size() == 1 && (standby || shrinks)) {",
-        "who is silent stays ~ CrewWatch.java ~ peers.silence(m) >= desk.plan.silentAfter()).toList(); "
-            + "~ false).toList();",
-        "a lost disk stays until it has been silent ~ CrewWatch.java ~ if (peers.replaced(member)) { "
-            + "~ if (false) {",
-        "whoever waits is not let in ~ CrewWish.java ~ return standby.isPresent() && crew.size() < voters "
-            + "~ return false",
-        "one comes in while one goes out ~ CrewWish.java "
-            + "~ return crew.stream().filter(m -> !m.equals(gone)).toList(); "
-            + "~ return Stream.concat(crew.stream().filter(m -> !m.equals(gone)), standby.stream())"
-            + ".sorted().toList();",
-    })
-    void eachFaultOfReplacementIsFound(String fault, String file, String text, String instead)
-            throws Exception {
-        Method losses = planted(file, text, instead).loadClass("larkbank.testkit.Losses")
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "nobody goes while two are silent ~ CrewWatch.java "
+                        + "~ if (!silent.isEmpty() && (standby || shrinks)) { "
+                        + "~ if (silent.size() == 1 && (standby || shrinks)) {",
+                "who is silent stays ~ CrewWatch.java ~ peers.silence(m) >= desk.plan.silentAfter()).toList(); "
+                        + "~ false).toList();",
+                "a lost disk stays until it has been silent ~ CrewWatch.java ~ if (peers.replaced(member)) { "
+                        + "~ if (false) {",
+                "whoever waits is not let in ~ CrewWish.java ~ return standby.isPresent() && crew.size() < voters "
+                        + "~ return false",
+                "one comes in while one goes out ~ CrewWish.java "
+                        + "~ return crew.stream().filter(m -> !m.equals(gone)).toList(); "
+                        + "~ return Stream.concat(crew.stream().filter(m -> !m.equals(gone)), standby.stream())"
+                        + ".sorted().toList();",
+            })
+    void eachFaultOfReplacementIsFound(String fault, String file, String text, String instead) throws Exception {
+        Method losses = planted(file, text, instead)
+                .loadClass("larkbank.testkit.Losses")
                 .getMethod("broken", int.class);
         assertThat(losses.invoke(null, LOSSES)).as(fault).isNotNull();
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "answers go out before the write is synced ~ Acceptor.java "
-            + "~ desk.add(new Effect.Write(++number, due)); ~ desk.add(new Effect.Write(++number, due)); "
-            + "take(due); task.after.run(); writing = new Task(() -> null, () -> { }, () -> { });",
-        "a blank disk is the member that its address was ~ Copies.java "
-            + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
-        "a word for another disk is answered ~ Copies.java "
-            + "~ return desk.own.equals(message.getOrDefault(\"to\", desk.address)); ~ return true;",
-        "any state will do as a base ~ Promises.java ~ accepted.above(highest.accepted) ~ false",
-        "one promise is enough ~ Round.java ~ if (!State.most(crew, promises.from())) { ~ if (false) {",
-        "what one holds is decided ~ Round.java "
-            + "~ boolean settled = State.most(base.crew(), promises.voted(base.stamp())); "
-            + "~ boolean settled = true;",
-        "a difference goes on any base ~ Acceptor.java ~ if (!whole && !state.stamp().equals(base)) { "
-            + "~ if (false) {",
-        "one yes is enough ~ Round.java "
-            + "~ if (State.most(base.crew(), acks) && State.most(next.crew(), acks)) { "
-            + "~ if (true) {",
-        "what was learnt counts as a vote ~ Promises.java "
-            + "~ voted.removeIf(who -> all.get(who).hearsay); ~ ;",
-        "whoever was taken out goes on by itself ~ Promises.java ~ return highest.crew; "
-            + "~ return all.values().iterator().next().crew;",
-        "what was learnt is told as a vote ~ Peers.java "
-            + "~ voters.removeIf(who -> words.get(who).hearsay); ~ ;",
-        "a promise is not kept ~ Acceptor.java ~ promised = taken.promised(); ~ ;",
-        "what one other holds is shown ~ Decided.java ~ if (State.most(word.crew(), voters)) { ~ if (true) {",
-        "what is not decided is shown ~ Decided.java ~ if (copy.accepted().equals(stamp)) { ~ if (true) {",
-        "an echo counts as of when it comes ~ Contact.java "
-            + "~ long at = sentAt[(int) (echo % KEPT)]; ~ long at = desk.now;",
-        "what a peer has accepted is not looked at ~ Contact.java "
-            + "~ proof.accepted.above(shown.stamp()) ? NEVER : proof.at ~ proof.at",
-        "contact with one is enough ~ Contact.java ~ times[times.length - crew.size() / 2 - 1] "
-            + "~ times[times.length - 1]",
-        "a harbour that has accepted more counts itself ~ Contact.java "
-            + "~ boolean own = !accepted.above(shown.stamp()); ~ boolean own = true;",
-        "contact that is lost is never regained ~ Contact.java ~ Math.max(begun, reachedAt(crew)) ~ begun",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "answers go out before the write is synced ~ Acceptor.java "
+                        + "~ desk.add(new Effect.Write(++number, due)); ~ desk.add(new Effect.Write(++number, due)); "
+                        + "take(due); task.after.run(); writing = new Task(() -> null, () -> { }, () -> { });",
+                "a blank disk is the member that its address was ~ Copies.java "
+                        + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
+                "a word for another disk is answered ~ Copies.java "
+                        + "~ return desk.own.equals(message.getOrDefault(\"to\", desk.address)); ~ return true;",
+                "any state will do as a base ~ Promises.java ~ accepted.above(highest.accepted) ~ false",
+                "one promise is enough ~ Round.java ~ if (!State.most(crew, promises.from())) { ~ if (false) {",
+                "what one holds is decided ~ Round.java "
+                        + "~ boolean settled = State.most(base.crew(), promises.voted(base.stamp())); "
+                        + "~ boolean settled = true;",
+                "a difference goes on any base ~ Acceptor.java ~ if (!whole && !state.stamp().equals(base)) { "
+                        + "~ if (false) {",
+                "one yes is enough ~ Round.java "
+                        + "~ if (State.most(base.crew(), acks) && State.most(next.crew(), acks)) { "
+                        + "~ if (true) {",
+                "what was learnt counts as a vote ~ Promises.java "
+                        + "~ voted.removeIf(who -> all.get(who).hearsay); ~ ;",
+                "whoever was taken out goes on by itself ~ Promises.java ~ return highest.crew; "
+                        + "~ return all.values().iterator().next().crew;",
+                "what was learnt is told as a vote ~ Peers.java "
+                        + "~ voters.removeIf(who -> words.get(who).hearsay); ~ ;",
+                "a promise is not kept ~ Acceptor.java ~ promised = taken.promised(); ~ ;",
+                "what one other holds is shown ~ Decided.java ~ if (State.most(word.crew(), voters)) { ~ if (true) {",
+                "what is not decided is shown ~ Decided.java ~ if (copy.accepted().equals(stamp)) { ~ if (true) {",
+                "an echo counts as of when it comes ~ Contact.java "
+                        + "~ long at = sentAt[(int) (echo % KEPT)]; ~ long at = desk.now;",
+                "what a peer has accepted is not looked at ~ Contact.java "
+                        + "~ proof.accepted.above(shown.stamp()) ? NEVER : proof.at ~ proof.at",
+                "contact with one is enough ~ Contact.java ~ times[times.length - crew.size() / 2 - 1] "
+                        + "~ times[times.length - 1]",
+                "a harbour that has accepted more counts itself ~ Contact.java "
+                        + "~ boolean own = !accepted.above(shown.stamp()); ~ boolean own = true;",
+                "contact that is lost is never regained ~ Contact.java ~ Math.max(begun, reachedAt(crew)) ~ begun",
+            })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = planted(file, text, instead);
         Method corners = planted.loadClass("larkbank.testkit.CopiesCorners").getMethod("broken");
@@ -96,19 +105,27 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "differences are not known ~ History.java ~ steps.put(to, new Step( ~ new Step(from, List.of()); "
-            + "Map.of(to, new Step(",
-        "a difference lacks what changed first ~ History.java ~ changed.addAll(step.keys); "
-            + "~ changed.addAll(step.keys); changed.remove(step.keys.get(0));",
-        "what was learnt is no base ~ Copies.java ~ boolean learnt = !whole && ~ boolean learnt = false &&",
-        "a difference is not compared ~ Copies.java ~ if (!whole && base.equals(before.stamp()) "
-            + "~ if (false",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "differences are not known ~ History.java ~ steps.put(to, new Step( ~ new Step(from, List.of()); "
+                        + "Map.of(to, new Step(",
+                "a difference lacks what changed first ~ History.java ~ changed.addAll(step.keys); "
+                        + "~ changed.addAll(step.keys); changed.remove(step.keys.get(0));",
+                "what was learnt is no base ~ Copies.java ~ boolean learnt = !whole && ~ boolean learnt = false &&",
+                "a difference is not compared ~ Copies.java ~ if (!whole && base.equals(before.stamp()) "
+                        + "~ if (false",
+            })
     void whoLagsLongerIsFound(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/copies"), file, text,
-                instead, name -> name.startsWith("larkbank.testkit.Copies")
-                || name.startsWith("larkbank.testkit.Plain") || name.startsWith("larkbank.copies."));
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/copies"),
+                file,
+                text,
+                instead,
+                name -> name.startsWith("larkbank.testkit.Copies")
+                        || name.startsWith("larkbank.testkit.Plain")
+                        || name.startsWith("larkbank.copies."));
         Method broken = planted.loadClass("larkbank.copies.CatchUpTest").getDeclaredMethod("broken");
         broken.setAccessible(true);
         assertThat(broken.invoke(null)).as(fault).isNotNull();
--- a/src/test/java/larkbank/daily/ClassPlacesTest.java
+++ b/src/test/java/larkbank/daily/ClassPlacesTest.java
@@ -32,8 +32,8 @@
     void thoseThatStayKeepTheirNumbersAndDroppedOnesWaitForTheirRequests() {
         List<RequestClass> placed = ClassPlaces.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
         assertEquals(List.of("a", "", "c", "d"), names(placed));
-        assertEquals(List.of("a", "e", "c", "d"), names(ClassPlaces.place(placed, of("a", "c", "d", "e"),
-                Set.of(0, 3))));
+        assertEquals(
+                List.of("a", "e", "c", "d"), names(ClassPlaces.place(placed, of("a", "c", "d", "e"), Set.of(0, 3))));
     }
 
     /** A request that came under a class is of that class or of none, whenever the change is taken over. */
@@ -57,14 +57,19 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> now = of("k0", "k1");
         for (int round = 0; round < 500; round++) {
-            String[] names = IntStream.range(0, 12).filter(i -> random.nextBoolean()).mapToObj(i -> "k" + i)
+            String[] names = IntStream.range(0, 12)
+                    .filter(i -> random.nextBoolean())
+                    .mapToObj(i -> "k" + i)
                     .toArray(String[]::new);
-            Set<Integer> inUse = Set.copyOf(random.ints(3, 0, now.size()).boxed().toList());
+            Set<Integer> inUse =
+                    Set.copyOf(random.ints(3, 0, now.size()).boxed().toList());
             List<RequestClass> next = ClassPlaces.place(now, of(names), inUse);
             for (String name : names) {
                 assertEquals(1, names(next).stream().filter(name::equals).count(), "seed " + seed);
                 int before = names(now).indexOf(name);
-                assertEquals(before < 0 ? names(next).indexOf(name) : before, names(next).indexOf(name),
+                assertEquals(
+                        before < 0 ? names(next).indexOf(name) : before,
+                        names(next).indexOf(name),
                         "seed " + seed);
             }
             for (int i : inUse) {
@@ -85,16 +90,37 @@
 
     @Test
     void aFileThatLacksSomethingIsNotTaken() {
-        ConfigShape shape = new ConfigShape(Map.of("known", Map.of("rev", 1L), "discovery", "a",
-                "settings", Map.of("tick_us", 5L, "classes", List.of(Map.of("name", "a", "aim_us", 1L)))));
-        Map<String, Object> good = Map.of("discovery", "b", "settings", Map.of("tick_us", 6L, "classes",
-                List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b", "aim_us", 2L, "more", true))));
+        ConfigShape shape = new ConfigShape(Map.of(
+                "known",
+                Map.of("rev", 1L),
+                "discovery",
+                "a",
+                "settings",
+                Map.of("tick_us", 5L, "classes", List.of(Map.of("name", "a", "aim_us", 1L)))));
+        Map<String, Object> good = Map.of(
+                "discovery",
+                "b",
+                "settings",
+                Map.of(
+                        "tick_us",
+                        6L,
+                        "classes",
+                        List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b", "aim_us", 2L, "more", true))));
         assertNull(shape.fault(good));
         assertEquals("'settings' is missing", shape.fault(Map.of("discovery", "b")));
-        assertEquals("'settings.classes[1].aim_us' is missing", shape.fault(Map.of("discovery", "b",
-                "settings", Map.of("tick_us", 6L, "classes",
-                List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b"))))));
-        assertEquals("'settings.tick_us' is no number", shape.fault(Map.of("discovery", "b", "settings",
-                Map.of("tick_us", "x", "classes", List.of()))));
+        assertEquals(
+                "'settings.classes[1].aim_us' is missing",
+                shape.fault(Map.of(
+                        "discovery",
+                        "b",
+                        "settings",
+                        Map.of(
+                                "tick_us",
+                                6L,
+                                "classes",
+                                List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b"))))));
+        assertEquals(
+                "'settings.tick_us' is no number",
+                shape.fault(Map.of("discovery", "b", "settings", Map.of("tick_us", "x", "classes", List.of()))));
     }
 }
--- a/src/test/java/larkbank/daily/StandingTest.java
+++ b/src/test/java/larkbank/daily/StandingTest.java
@@ -16,12 +16,18 @@
 class StandingTest {
 
     private static final Map<State, Event[]> WAYS = new EnumMap<>(Map.of(
-            State.STARTING, new Event[] {},
-            State.STARTING_DRAINED, new Event[] {Event.DRAIN},
-            State.SERVING, new Event[] {Event.OPENED},
-            State.DRAINING, new Event[] {Event.OPENED, Event.DRAIN},
-            State.DRAINED, new Event[] {Event.OPENED, Event.DRAIN, Event.EMPTY},
-            State.STOPPING, new Event[] {Event.OPENED, Event.TERMINATE}));
+            State.STARTING,
+            new Event[] {},
+            State.STARTING_DRAINED,
+            new Event[] {Event.DRAIN},
+            State.SERVING,
+            new Event[] {Event.OPENED},
+            State.DRAINING,
+            new Event[] {Event.OPENED, Event.DRAIN},
+            State.DRAINED,
+            new Event[] {Event.OPENED, Event.DRAIN, Event.EMPTY},
+            State.STOPPING,
+            new Event[] {Event.OPENED, Event.TERMINATE}));
 
     private static Standing at(State state) {
         Standing standing = new Standing();
@@ -40,9 +46,10 @@
         "SERVING,SERVING,DRAINING,SERVING,SERVING,SERVING,STOPPING",
         "DRAINING,DRAINING,DRAINING,SERVING,DRAINED,DRAINING,STOPPING",
         "DRAINED,DRAINED,DRAINED,SERVING,DRAINED,DRAINING,STOPPING",
-        "STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING"})
-    void eachEventLeadsWhereTheTableSays(State from, State opened, State drain, State undrain, State empty,
-            State client, State terminate) {
+        "STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING"
+    })
+    void eachEventLeadsWhereTheTableSays(
+            State from, State opened, State drain, State undrain, State empty, State client, State terminate) {
         State[] wanted = {opened, drain, undrain, empty, client, terminate};
         for (Event e : Event.values()) {
             Standing standing = at(from);
@@ -55,7 +62,8 @@
     void onlyAServingOneTakesClientsAndOnlyADrainSendsThemAway() {
         for (State state : State.values()) {
             assertEquals(state == State.SERVING, at(state).serves());
-            assertEquals(state == State.DRAINING || state == State.DRAINED, at(state).drains());
+            assertEquals(
+                    state == State.DRAINING || state == State.DRAINED, at(state).drains());
         }
     }
 
@@ -64,17 +72,21 @@
     }
 
     private static Desk desk(Standing standing, Figures figures, boolean servers) {
-        return new Desk(standing, figures, new Figures.Fleet() {
-            @Override
-            public int listed() {
-                return 3;
-            }
+        return new Desk(
+                standing,
+                figures,
+                new Figures.Fleet() {
+                    @Override
+                    public int listed() {
+                        return 3;
+                    }
 
-            @Override
-            public int avoided() {
-                return 1;
-            }
-        }, () -> servers);
+                    @Override
+                    public int avoided() {
+                        return 1;
+                    }
+                },
+                () -> servers);
     }
 
     @Test
@@ -99,10 +111,11 @@
         figures.attempted();
         figures.reconfigured(false);
         Desk desk = desk(at(State.SERVING), figures, true);
-        assertEquals("{\"success\":{\"search\":0,\"book\":0},\"busy\":{\"search\":0,\"book\":1},"
-                + "\"failure\":{\"search\":0,\"book\":0},"
-                + "\"backend_calls\":1,\"inflight\":1,"
-                + "\"hosts_listed\":3,\"hosts_down\":1,\"reconfig_ok\":0,\"reconfig_failed\":1}\nEND",
+        assertEquals(
+                "{\"success\":{\"search\":0,\"book\":0},\"busy\":{\"search\":0,\"book\":1},"
+                        + "\"failure\":{\"search\":0,\"book\":0},"
+                        + "\"backend_calls\":1,\"inflight\":1,"
+                        + "\"hosts_listed\":3,\"hosts_down\":1,\"reconfig_ok\":0,\"reconfig_failed\":1}\nEND",
                 desk.answer("STATS"));
     }
 }
--- a/src/test/java/larkbank/fleet/CrewTest.java
+++ b/src/test/java/larkbank/fleet/CrewTest.java
@@ -44,6 +44,7 @@
     private static final long PAUSE = 1_000;
     /** Silence of a member that counts, and what a word takes to all: told in the program's own times. */
     private static final long KNOWN = 2 * PAUSE + 1_000;
+
     private static final int BATCH = 50;
 
     private void crew(int members) throws Exception {
@@ -60,8 +61,11 @@
     /** What these processes saw of any member's end since then. */
     private List<Crew.Event> ends(long since, Integer... by) throws Exception {
         Set<String> names = Set.copyOf(Stream.of(by).map(Crew::name).toList());
-        return crew.history().stream().filter(e -> e.mono() > since && names.contains(e.process())
-                && (e.event().equals("out") || e.event().equals("left"))).toList();
+        return crew.history().stream()
+                .filter(e -> e.mono() > since
+                        && names.contains(e.process())
+                        && (e.event().equals("out") || e.event().equals("left")))
+                .toList();
     }
 
     private static long mono() {
@@ -84,14 +88,15 @@
         crew.within(STARTED, "ready", () -> crew.ask(1, "READY").equals("YES\n"));
         String table = members("--door", "127.0.0.1:" + crew.door(1));
         assertTrue(table.startsWith("as n1 sees it, incarnation 1: 2 live\n"), table);
-        assertTrue(table.contains("\nn0                   alive          1 127.0.0.1:" + crew.relay.port(0)),
-                table);
+        assertTrue(table.contains("\nn0                   alive          1 127.0.0.1:" + crew.relay.port(0)), table);
         crew.process(1).destroy();
         crew.within(PAUSE, "a word of leaving", () -> crew.see(1, 0));
         assertTrue(crew.process(1).waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, crew.process(1).exitValue());
-        List<String> seen = crew.history().stream().filter(e -> e.process().equals("n0")
-                && e.about().equals("n1")).map(Crew.Event::event).toList();
+        List<String> seen = crew.history().stream()
+                .filter(e -> e.process().equals("n0") && e.about().equals("n1"))
+                .map(Crew.Event::event)
+                .toList();
         assertEquals(List.of("joined", "left"), seen);
     }
 
@@ -131,8 +136,12 @@
         crew.within(KNOWN, "a long pause", () -> crew.see(4, 0, 1, 2, 3));
         crew.signal(4, "CONT");
         crew.within(KNOWN, "it comes back by itself", () -> crew.see(5, 0, 1, 2, 3, 4));
-        assertEquals(Set.of("n4"), Set.copyOf(ends(stopped, 0, 1, 2, 3, 4).stream().map(Crew.Event::about)
-                .toList()), "it accuses nobody when it wakes");
+        assertEquals(
+                Set.of("n4"),
+                Set.copyOf(ends(stopped, 0, 1, 2, 3, 4).stream()
+                        .map(Crew.Event::about)
+                        .toList()),
+                "it accuses nobody when it wakes");
 
         long cut = mono();
         crew.relay.cut((from, to) -> !(from == 0 && to == 1) && !(from == 3 && to == 2));
@@ -216,18 +225,23 @@
             crew.start(1);
             long first = crew.startOn(platform, 2);
             crew.within(STARTED, "all see all", () -> crew.see(3, 0, 1, 2));
-            crew.within(STARTED, "the first is ready", () -> crew.ask(2, "READY").equals("YES\n"));
+            crew.within(
+                    STARTED, "the first is ready", () -> crew.ask(2, "READY").equals("YES\n"));
             int before = crew.door(2);
             long second = crew.startOn(platform, 2);
             assertTrue(crew.door(2) != before);
-            crew.within(STARTED, "the second is ready", () -> crew.ask(2, "READY").equals("YES\n"));
+            crew.within(
+                    STARTED, "the second is ready", () -> crew.ask(2, "READY").equals("YES\n"));
             assertTrue(crew.see(3, 0, 1), "both run, and one has the name");
             long begun = mono();
             new ProcessBuilder("kill", "-TERM", String.valueOf(first)).start().waitFor();
             assertEquals(0, platform.awaitEnd(first));
             crew.within(KNOWN, "the second has its place", () -> crew.see(3, 0, 1, 2));
-            assertEquals(Set.of("n2 left"), Set.copyOf(ends(begun, 0, 1).stream().map(e -> e.about() + " "
-                    + e.event()).toList()));
+            assertEquals(
+                    Set.of("n2 left"),
+                    Set.copyOf(ends(begun, 0, 1).stream()
+                            .map(e -> e.about() + " " + e.event())
+                            .toList()));
             new ProcessBuilder("kill", "-TERM", String.valueOf(second)).start().waitFor();
             assertEquals(0, platform.awaitEnd(second));
         }
@@ -242,19 +256,23 @@
         Process second = crew.start(2, "n1");
         assertTrue(second.waitFor(30, TimeUnit.SECONDS), "it lives on");
         assertEquals(2, second.exitValue());
-        String last = Files.readAllLines(crew.log(2)).stream().filter(l -> l.contains("is taken")).findFirst()
+        String last = Files.readAllLines(crew.log(2)).stream()
+                .filter(l -> l.contains("is taken"))
+                .findFirst()
                 .orElse("");
-        assertTrue(last.startsWith("larkbank: name 'n1' is taken by the process at 127.0.0.1:"),
+        assertTrue(
+                last.startsWith("larkbank: name 'n1' is taken by the process at 127.0.0.1:"),
                 Files.readString(crew.log(2)));
         assertTrue(crew.see(2, 0, 1));
         assertEquals(List.of(), ends(begun, 0, 1));
-        crew.operators(text -> text.replaceFirst("listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:"
-                + crew.socket(0) + "\""));
+        crew.operators(
+                text -> text.replaceFirst("listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:" + crew.socket(0) + "\""));
         Process taken = crew.start(2);
         assertTrue(taken.waitFor(30, TimeUnit.SECONDS), "it lives on without a socket");
         assertEquals(1, taken.exitValue());
-        assertTrue(Files.readString(crew.log(2)).contains("[membership] can't listen on 127.0.0.1:"
-                + crew.socket(0)), Files.readString(crew.log(2)));
+        assertTrue(
+                Files.readString(crew.log(2)).contains("[membership] can't listen on 127.0.0.1:" + crew.socket(0)),
+                Files.readString(crew.log(2)));
     }
 
     /** The rig itself, and what goes with membership: servers shared, discovery dead, some stand still. */
@@ -278,14 +296,19 @@
             answers.add(CompletableFuture.supplyAsync(() -> {
                 int served = 0;
                 while (System.nanoTime() - begun < 2 * PAUSE * 1_000_000) {
-                    HttpRequest book = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                                    + crew.front(who).getPort() + "/book/k"))
+                    HttpRequest book = HttpRequest.newBuilder(URI.create(
+                                    "http://127.0.0.1:" + crew.front(who).getPort() + "/book/k"))
                             .header("Request-Id", String.format("%016x", ids.incrementAndGet()))
-                            .header("Tenant", "acme").header("Request-Timeout-Ms", "20000")
-                            .POST(HttpRequest.BodyPublishers.ofString("x")).build();
+                            .header("Tenant", "acme")
+                            .header("Request-Timeout-Ms", "20000")
+                            .POST(HttpRequest.BodyPublishers.ofString("x"))
+                            .build();
                     try {
-                        served += client.send(book, HttpResponse.BodyHandlers.ofString()).statusCode() == 200
-                                ? 1 : 0;
+                        served += client.send(book, HttpResponse.BodyHandlers.ofString())
+                                                .statusCode()
+                                        == 200
+                                ? 1
+                                : 0;
                     } catch (IOException | InterruptedException e) {
                         throw new AssertionError(e);
                     }
@@ -311,7 +334,8 @@
 
     private long dropped(String why) {
         return crew.members(0).get("dropped") instanceof Map<?, ?> all && all.get(why) instanceof Long count
-                ? count : 0;
+                ? count
+                : 0;
     }
 
     /** Datagrams that are none, or that were one once, change nothing and are counted. */
@@ -321,10 +345,19 @@
         long begun = mono();
         SplittableRandom random = new SplittableRandom(7);
         Peer peer = new Peer("n1", 1, 1, 99, new InetSocketAddress("127.0.0.1", 9));
-        byte[] good = new Wire("mu").write(new Message(Message.Kind.NEWS, peer, "n0", 1, 2,
-                List.of(new Entry(peer, Standing.LEFT, 3, Map.of("a", "b"), 0)), List.of(), List.of(), ""));
-        byte[] foreign = new Wire("other").write(new Message(Message.Kind.NEWS, peer, "n0", 1, 2, List.of(),
-                List.of(), List.of(), ""));
+        byte[] good = new Wire("mu")
+                .write(new Message(
+                        Message.Kind.NEWS,
+                        peer,
+                        "n0",
+                        1,
+                        2,
+                        List.of(new Entry(peer, Standing.LEFT, 3, Map.of("a", "b"), 0)),
+                        List.of(),
+                        List.of(),
+                        ""));
+        byte[] foreign = new Wire("other")
+                .write(new Message(Message.Kind.NEWS, peer, "n0", 1, 2, List.of(), List.of(), List.of(), ""));
         for (int sent = 1; sent <= 3_000; sent++) {
             byte[] bytes = Arrays.copyOf(good, 1 + random.nextInt(2 * good.length));
             for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
--- a/src/test/java/larkbank/fleet/GoldenDatagramsTest.java
+++ b/src/test/java/larkbank/fleet/GoldenDatagramsTest.java
@@ -30,7 +30,11 @@
 
     private static Peer peer(String name, int lastByte) throws UnknownHostException {
         byte[] address = {10, 0, 0, (byte) lastByte};
-        return new Peer(name, -0x123456789ABCDEFL, 1_700_000_000_000L, lastByte,
+        return new Peer(
+                name,
+                -0x123456789ABCDEFL,
+                1_700_000_000_000L,
+                lastByte,
                 new InetSocketAddress(InetAddress.getByAddress(address), 7_946));
     }
 
@@ -46,9 +50,17 @@
     }
 
     private static Message message(Message.Kind kind) throws UnknownHostException {
-        return new Message(kind, peer("sender", 1), "receiver", 1L << 40, -5, entries(),
+        return new Message(
+                kind,
+                peer("sender", 1),
+                "receiver",
+                1L << 40,
+                -5,
+                entries(),
                 List.of(new Report("r", 1, "m", 2, 3, true), new Report("r", 1, "n", 2, 4, false)),
-                List.of(0, -1, 1 << 30), "why", new byte[] {0, 1, -1});
+                List.of(0, -1, 1 << 30),
+                "why",
+                new byte[] {0, 1, -1});
     }
 
     private static Word word(Word.Kind kind) {
@@ -79,8 +91,11 @@
 
     @Test
     void leaseMessagesAreTheSame() {
-        Golden.assertSame(LEASES, Stream.of(Word.Kind.values())
-                .map(kind -> kind.ordinal() + " " + HEX.formatHex(LeaseWire.write(word(kind)))).toList());
+        Golden.assertSame(
+                LEASES,
+                Stream.of(Word.Kind.values())
+                        .map(kind -> kind.ordinal() + " " + HEX.formatHex(LeaseWire.write(word(kind))))
+                        .toList());
     }
 
     @Test
--- a/src/test/java/larkbank/fleet/LeaseCrewTest.java
+++ b/src/test/java/larkbank/fleet/LeaseCrewTest.java
@@ -28,18 +28,20 @@
     private static final long KEEPERS = 2 * TERM;
 
     private static String file(Crew crew, String text, int... keepers) {
-        return text + "[keepers]\naddresses = [" + addresses(crew, keepers) + "]\n[leases.job]\nterm = \""
-                + TERM + "ms\"\n";
+        return text + "[keepers]\naddresses = [" + addresses(crew, keepers) + "]\n[leases.job]\nterm = \"" + TERM
+                + "ms\"\n";
     }
 
     private static String addresses(Crew crew, int... places) {
-        return IntStream.of(places).mapToObj(k -> {
-            try {
-                return "\"127.0.0.1:" + crew.relay.port(k) + "\"";
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        }).collect(Collectors.joining(", "));
+        return IntStream.of(places)
+                .mapToObj(k -> {
+                    try {
+                        return "\"127.0.0.1:" + crew.relay.port(k) + "\"";
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                })
+                .collect(Collectors.joining(", "));
     }
 
     private void crew(int members) throws Exception {
@@ -59,20 +61,22 @@
             int who = i;
             crew.within(STARTED, "ready", () -> crew.ask(who, "READY").equals("YES\n"));
         }
-        crew.within(STARTED, "all see all", () -> crew.see(crew.size(), IntStream.range(0, crew.size())
-                .toArray()));
+        crew.within(
+                STARTED,
+                "all see all",
+                () -> crew.see(crew.size(), IntStream.range(0, crew.size()).toArray()));
         TimeUnit.MILLISECONDS.sleep(KEEPERS);
     }
 
     private int holder(Actors actors, String when) throws Exception {
-        crew.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder().isEmpty());
+        crew.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder()
+                .isEmpty());
         return Integer.parseInt(actors.holder().substring(1));
     }
 
     /** Somebody else acts by then. */
     private long another(Actors actors, int than, String when, long millis) throws Exception {
-        long took = crew.within(millis, when + ": somebody else holds",
-                () -> actors.actsBesides(Crew.name(than)));
+        long took = crew.within(millis, when + ": somebody else holds", () -> actors.actsBesides(Crew.name(than)));
         System.out.println(when + ": " + took + " ms");
         assertEquals(List.of(), actors.wrong(), when);
         return took;
@@ -118,11 +122,13 @@
             for (int keeper = 0; keeper < 3; keeper++) {
                 crew.kill(keeper);
             }
-            crew.within(2 * TERM, "nobody holds without keepers", () -> actors.holder().isEmpty());
+            crew.within(2 * TERM, "nobody holds without keepers", () -> actors.holder()
+                    .isEmpty());
             for (int keeper = 0; keeper < 3; keeper++) {
                 crew.start(keeper);
             }
-            crew.within(STARTED + KEEPERS, "all keepers have forgotten", () -> !actors.holder().isEmpty());
+            crew.within(STARTED + KEEPERS, "all keepers have forgotten", () -> !actors.holder()
+                    .isEmpty());
             assertEquals(List.of(), actors.wrong());
 
             settled();
@@ -163,19 +169,20 @@
             holder(actors, "the first keepers");
             crew.operators(text -> file(crew, text, 0, 3, 4));
             reread("one step");
-            assertEquals(5, crew.logs().split("stay as they were: most of the new", -1).length - 1,
-                    crew.logs());
+            assertEquals(5, crew.logs().split("stay as they were: most of the new", -1).length - 1, crew.logs());
             holder(actors, "the first keepers still");
-            crew.operators(text -> file(crew, text, 0, 3, 4).replace("[leases.job]", "before = ["
-                    + addresses(crew, 0, 1, 2) + "]\n[leases.job]"));
+            crew.operators(text -> file(crew, text, 0, 3, 4)
+                    .replace("[leases.job]", "before = [" + addresses(crew, 0, 1, 2) + "]\n[leases.job]"));
             reread("both sets");
             TimeUnit.MILLISECONDS.sleep(KEEPERS);
             crew.operators(text -> file(crew, text, 0, 3, 4));
             reread("the new set");
             crew.kill(1);
             crew.kill(2);
-            crew.within(KEEPERS + 2 * TERM, "the new keepers grant", () -> !actors.holder().isEmpty()
-                    && !Set.of("n1", "n2").contains(actors.holder()));
+            crew.within(
+                    KEEPERS + 2 * TERM,
+                    "the new keepers grant",
+                    () -> !actors.holder().isEmpty() && !Set.of("n1", "n2").contains(actors.holder()));
             TimeUnit.MILLISECONDS.sleep(TERM);
             holder(actors, "and go on granting");
             assertEquals(List.of(), actors.wrong());
@@ -217,8 +224,8 @@
         assertEquals(73, refused.exitValue());
         // It does not end when it is asked to, and is ended.
         Path beats = folder.resolve("beats");
-        Process lost = run(holder, out, "sh", "-c", "trap '' TERM; while true; do date +%s%N >> " + beats
-                + "; sleep 0.02; done");
+        Process lost = run(
+                holder, out, "sh", "-c", "trap '' TERM; while true; do date +%s%N >> " + beats + "; sleep 0.02; done");
         crew.within(STARTED, "it runs", () -> Files.exists(beats));
         crew.ask(holder, "DRAIN");
         crew.within(STARTED, "another holds", () -> {
@@ -236,11 +243,22 @@
     }
 
     private Process run(int i, Path out, String... words) throws Exception {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
-                "java").toString(), "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "larkbank.Main", "lease", "run", "--door", "127.0.0.1:" + crew.door(i), "job", "--"));
+        List<String> line = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "larkbank.Main",
+                "lease",
+                "run",
+                "--door",
+                "127.0.0.1:" + crew.door(i),
+                "job",
+                "--"));
         line.addAll(List.of(words));
-        return new ProcessBuilder(line).redirectErrorStream(true).redirectOutput(
-                ProcessBuilder.Redirect.appendTo(out.toFile())).start();
+        return new ProcessBuilder(line)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(out.toFile()))
+                .start();
     }
 }
--- a/src/test/java/larkbank/fleet/LentListTest.java
+++ b/src/test/java/larkbank/fleet/LentListTest.java
@@ -26,9 +26,14 @@
     private int ids;
 
     private int ask(Crew crew, int i) throws Exception {
-        return client.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + crew.front(i).getPort()
-                + "/search/k")).header("Tenant", "acme").header("Request-Id", String.format("%016x", ++ids))
-                .header("Request-Timeout-Ms", "3000").build(), HttpResponse.BodyHandlers.ofString())
+        return client.send(
+                        HttpRequest.newBuilder(URI.create(
+                                        "http://127.0.0.1:" + crew.front(i).getPort() + "/search/k"))
+                                .header("Tenant", "acme")
+                                .header("Request-Id", String.format("%016x", ++ids))
+                                .header("Request-Timeout-Ms", "3000")
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString())
                 .statusCode();
     }
 
@@ -39,13 +44,16 @@
     /** Its own configuration names servers that are long gone, or drain; others know the one that serves. */
     @Test
     void whoeverStartsWhileDiscoveryIsDeadTakesTheNewestListOfTheOthers() throws Exception {
-        try (Stub gone = new Stub(Stub.serves("gone")); Stub drains = new Stub(Stub.serves("drains"));
+        try (Stub gone = new Stub(Stub.serves("gone"));
+                Stub drains = new Stub(Stub.serves("drains"));
                 Stub serves = new Stub(Stub.serves("serves"));
                 Crew crew = new Crew(folder, 1, 3, 1_000, gone, drains)) {
             String old = Configs.json(Configs.list(4, true, "in_service", gone, drains));
-            String list = Configs.json(Configs.list(7, true, "in_service", serves).replace("'targets':[",
-                    "'targets':[{'uid':'s-" + drains.port() + "','endpoint':'127.0.0.1:" + drains.port()
-                    + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0},"));
+            String list = Configs.json(Configs.list(7, true, "in_service", serves)
+                    .replace(
+                            "'targets':[",
+                            "'targets':[{'uid':'s-" + drains.port() + "','endpoint':'127.0.0.1:" + drains.port()
+                                    + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0},"));
             String[] told = {old};
             crew.discovery.script(seen -> {
                 String now = told[0];
@@ -79,8 +87,10 @@
             }
             assertEquals(before, gone.seen.size() + drains.seen.size(), "of those that it must not use");
             assertEquals(served + 50, serves.seen.size());
-            Crew.Event loan = crew.history().stream().filter(e -> e.process().equals("n2")
-                    && e.event().equals("borrowed")).findFirst().orElseThrow();
+            Crew.Event loan = crew.history().stream()
+                    .filter(e -> e.process().equals("n2") && e.event().equals("borrowed"))
+                    .findFirst()
+                    .orElseThrow();
             assertEquals("n1", loan.about());
             assertTrue(loan.text().startsWith("7 "), loan.text());
             assertTrue(crew.logs().contains("discovery is silent: list of revision 7 from n1"), crew.logs());
--- a/src/test/java/larkbank/fleet/SharesTest.java
+++ b/src/test/java/larkbank/fleet/SharesTest.java
@@ -36,6 +36,7 @@
     private static final int CONN_IDLE_MILLIS = 2_000;
     /** The program's own times for a pause of one second: hold 1.9 s, release 2.2 holds, 1.1 idle times. */
     private static final long HOLD = 1_934;
+
     private static final long RELEASE = HOLD * 22 / 10 + CONN_IDLE_MILLIS * 11 / 10;
     /** A round of requests, what is closed behind it, and a look. */
     private static final long ROUND = 1_500;
@@ -90,10 +91,9 @@
             seen.reply("200 OK", "", list);
         });
         crew.seeds(3);
-        crew.configs(text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":"
-                + CONN_IDLE_MILLIS * 1_000));
-        crew.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS
-                + "\nidle_per_server = " + PER_SERVER + "\nlist_rate = " + LIST_RATE + "\n");
+        crew.configs(text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":" + CONN_IDLE_MILLIS * 1_000));
+        crew.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS + "\nidle_per_server = "
+                + PER_SERVER + "\nlist_rate = " + LIST_RATE + "\n");
         for (int i = 0; i < MEMBERS; i++) {
             start(i);
             asked.add(i);
@@ -108,10 +108,14 @@
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i : asked) {
             for (int k = 0; k < BOUND / 2; k++) {
-                answers.add(client.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                        + crew.front(i).getPort() + "/search/k")).header("Tenant", "acme")
-                        .header("Request-Id", String.format("%016x", ++ids))
-                        .header("Request-Timeout-Ms", "3000").build(), HttpResponse.BodyHandlers.ofString()));
+                answers.add(client.sendAsync(
+                        HttpRequest.newBuilder(URI.create(
+                                        "http://127.0.0.1:" + crew.front(i).getPort() + "/search/k"))
+                                .header("Tenant", "acme")
+                                .header("Request-Id", String.format("%016x", ++ids))
+                                .header("Request-Timeout-Ms", "3000")
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString()));
             }
         }
         for (CompletableFuture<HttpResponse<String>> answer : answers) {
@@ -127,20 +131,23 @@
     private String parts() {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < MEMBERS; i++) {
-            all.append(Crew.name(i)).append(' ').append(crew.members(i).get("share")).append('\n');
+            all.append(Crew.name(i))
+                    .append(' ')
+                    .append(crew.members(i).get("share"))
+                    .append('\n');
         }
         return all.append(crew.logs()).toString();
     }
 
     /** Rounds until so many are in use, within so many milliseconds. */
     private void use(int connections, String when, long millis) throws Exception {
-        long took = crew.within(millis + 3 * ROUND, when + ": all together use " + connections,
-                () -> round() >= connections);
+        long took = crew.within(
+                millis + 3 * ROUND, when + ": all together use " + connections, () -> round() >= connections);
         System.out.println(when + ": " + connections + " of " + BOUND + " used after " + took + " ms");
     }
 
     private void rounds(long millis) throws Exception {
-        for (long until = System.nanoTime() + millis * 1_000_000; System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + millis * 1_000_000; System.nanoTime() < until; ) {
             round();
         }
     }
@@ -165,7 +172,8 @@
 
     private boolean claims(int i, boolean which) {
         return crew.members(i).get("share") instanceof Map<?, ?> share
-                && share.get("claims") instanceof Boolean b && b == which;
+                && share.get("claims") instanceof Boolean b
+                && b == which;
     }
 
     @Test
@@ -200,16 +208,18 @@
         start(4);
         rounds(HOLD);
         asked.addAll(Set.of(3, 4));
-        crew.within(15_000, "ready", () -> crew.ask(3, "READY").equals("YES\n")
-                && crew.ask(4, "READY").equals("YES\n"));
+        crew.within(
+                15_000,
+                "ready",
+                () -> crew.ask(3, "READY").equals("YES\n")
+                        && crew.ask(4, "READY").equals("YES\n"));
         use(MEMBERS * 11, "started anew", RELEASE);
 
         // Two electors of three: nobody is counted by most of them any more.
         asked.removeAll(Set.of(0, 1));
         crew.kill(0);
         crew.kill(1);
-        crew.within(HOLD + ROUND, "all fall back", () -> claims(2, false) && claims(3, false)
-                && claims(4, false));
+        crew.within(HOLD + ROUND, "all fall back", () -> claims(2, false) && claims(3, false) && claims(4, false));
         rounds(ROUND);
         callsKeepTheRate();
         System.out.println("at most " + worst + " of " + BOUND + " were open, " + calls.size() + " calls");
--- a/src/test/java/larkbank/footprint/FootprintTest.java
+++ b/src/test/java/larkbank/footprint/FootprintTest.java
@@ -74,8 +74,7 @@
                 calls.add(next);
                 last = next;
                 // The call is answered, fails at once, or takes long; sometimes the clock steps back.
-                now = Math.max(0, next + random.nextLong(12 * SECOND) - (random.nextInt(10) == 0
-                ? 5 * SECOND : 0));
+                now = Math.max(0, next + random.nextLong(12 * SECOND) - (random.nextInt(10) == 0 ? 5 * SECOND : 0));
                 if (random.nextInt(4) == 0 && now > last) {
                     pacer = new AskPacer(plan(instances, rank, rate));
                 }
--- a/src/test/java/larkbank/gangway/GangwayTest.java
+++ b/src/test/java/larkbank/gangway/GangwayTest.java
@@ -27,9 +27,10 @@
         String all = GET + CHUNKS + "\r\n"
                 + "POST http://B/p?q HTTP/1.1\r\nHost: c\r\nContent-Length: 3\r\n\r\nGET"
                 + "OPTIONS * HTTP/1.1\r\nHost: [::1]:80\r\n\r\n" + GET;
-        List<String> answers = List.of("GET a /x ", "PUT a /y abc", "POST b /p?q GET", "OPTIONS [::1] * ",
-                "GET a /x ");
-        try (Rig rig = new Rig(Rig.WIDE); Client whole = rig.client(); Client bytes = rig.client()) {
+        List<String> answers = List.of("GET a /x ", "PUT a /y abc", "POST b /p?q GET", "OPTIONS [::1] * ", "GET a /x ");
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client whole = rig.client();
+                Client bytes = rig.client()) {
             whole.send(all);
             for (char c : all.toCharArray()) {
                 bytes.send(String.valueOf(c));
@@ -43,14 +44,16 @@
 
     @Test
     void nextWaitsForTheAnswerBefore() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE); Client client = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client client = rig.client()) {
             client.send(HOLD + HOLD + "POST /z HTTP/1.1\r\nHost: a\r\nContent-Length: 90000\r\n\r\n");
             client.send("z".repeat(90_000));
             Call first = rig.next();
             rig.run(() -> {
                 assertThat(rig.held).isEmpty();
                 assertThat(rig.gangway.requestsOpen()).isEqualTo(1);
-                assertThat(first.answer(Answer.text(404, "no").withHeader("X", "y"))).isTrue();
+                assertThat(first.answer(Answer.text(404, "no").withHeader("X", "y")))
+                        .isTrue();
                 assertThat(first.answer(Answer.of(200))).isFalse();
             });
             assertThat(client.head()).startsWith("HTTP/1.1 404 Not Found\r\n").contains("X: y\r\n");
@@ -65,16 +68,20 @@
 
     @Test
     void headContinueOldClientsAndFailures() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE); Client client = rig.client(); Client old = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client client = rig.client();
+                Client old = rig.client()) {
             client.send("HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
             assertThat(client.head()).containsIgnoringCase("content-length: 10\r\n");
             client.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-Continue\r\n\r\n");
             assertThat(client.head()).isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
             assertThat(client.send("ok").answer()).isEqualTo("POST a /x ok");
-            assertThat(client.send("GET /fail HTTP/1.1\r\nHost: a\r\n\r\n").head()).contains(" 500 ");
+            assertThat(client.send("GET /fail HTTP/1.1\r\nHost: a\r\n\r\n").head())
+                    .contains(" 500 ");
             assertThat(client.socket.getInputStream().readNBytes(7)).asString().isEqualTo("failed\n");
             client.send("GET /x HTTP/1.1\r\nHost: a\r\nConnection: x, Close\r\n\r\n");
-            assertThat(client.rest()).containsIgnoringCase("connection: close\r\n")
+            assertThat(client.rest())
+                    .containsIgnoringCase("connection: close\r\n")
                     .endsWith("\r\n\r\nGET a /x ");
             old.send("GET /x HTTP/1.0\r\nHost: a\r\nConnection: Keep-Alive\r\n\r\n");
             assertThat(old.head()).containsIgnoringCase("connection: keep-alive\r\n");
@@ -85,9 +92,9 @@
 
     @Test
     void hostCannotBreakTheFraming() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE); Client client = rig.client()) {
-            Answer odd = Answer.of(200).withHeader("Content-Length", "7")
-                    .withHeader("Transfer-Encoding", "chunked");
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client client = rig.client()) {
+            Answer odd = Answer.of(200).withHeader("Content-Length", "7").withHeader("Transfer-Encoding", "chunked");
             client.send(HOLD);
             Call call = rig.next();
             rig.run(() -> call.answer(odd.withHeader("Connection", "close")));
@@ -101,19 +108,22 @@
 
     @Test
     void timesEndConnections() throws IOException {
-        try (Rig rig = new Rig(new Bounds(2_000, 1_000, 40, 20_000)); Client head = rig.client();
-                Client body = rig.client(); Client chunk = rig.client()) {
+        try (Rig rig = new Rig(new Bounds(2_000, 1_000, 40, 20_000));
+                Client head = rig.client();
+                Client body = rig.client();
+                Client chunk = rig.client()) {
             head.send("GET / HT");
             body.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabc");
             chunk.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab");
             for (Client client : List.of(head, body, chunk)) {
-                assertThat(client.rest()).startsWith("HTTP/1.1 408 ")
-                        .containsIgnoringCase("connection: close");
+                assertThat(client.rest()).startsWith("HTTP/1.1 408 ").containsIgnoringCase("connection: close");
             }
             assertThat(rig.seen).isEmpty();
         }
-        try (Rig rig = new Rig(Rig.WIDE); Client silent = rig.client();
-                Client kept = rig.client(); Client busy = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client silent = rig.client();
+                Client kept = rig.client();
+                Client busy = rig.client()) {
             busy.send(HOLD);
             assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
             rig.bounds = new Bounds(2_000, 1_000, 20_000, 40);
@@ -125,7 +135,9 @@
 
     @Test
     void answerThatNobodyTakesAndLingeringEnd() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE); Client deaf = rig.client(); Client bad = rig.client();
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client deaf = rig.client();
+                Client bad = rig.client();
                 Client good = rig.client()) {
             deaf.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n");
             assertThat(deaf.head()).startsWith("HTTP/1.1 200 ");
@@ -160,8 +172,11 @@
 
     @Test
     void drainEndsEachConnectionAfterItsAnswer() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE); Client silent = rig.client(); Client kept = rig.client();
-                Client busy = rig.client(); Client begun = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client silent = rig.client();
+                Client kept = rig.client();
+                Client busy = rig.client();
+                Client begun = rig.client()) {
             begun.send("GET /x HTTP/1.1\r\n");
             assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
             busy.send(HOLD);
@@ -173,10 +188,12 @@
             assertThat(busy.rest()).startsWith("HTTP/1.1 200 OK").containsIgnoringCase("connection: close");
             assertThat(begun.send("Host: a\r\n\r\n").rest()).containsIgnoringCase("connection: close");
             try (Client late = rig.client()) {
-                assertThat(late.send(GET).rest()).containsIgnoringCase("connection: close").endsWith("/x ");
+                assertThat(late.send(GET).rest())
+                        .containsIgnoringCase("connection: close")
+                        .endsWith("/x ");
             }
             rig.gangway.stopListening();
-            rig.run(() -> { });
+            rig.run(() -> {});
             assertThatThrownBy(rig::client).isInstanceOf(IOException.class);
         }
     }
@@ -184,8 +201,12 @@
     @Test
     void slowClientsAndFullRoomHarmNobodyElse() throws Exception {
         Bounds large = new Bounds(2_000, 32 << 20, 20_000, 20_000);
-        try (Rig rig = new Rig(large); Client deaf = rig.client(); Client half = rig.client();
-                Client full = rig.client(); Client chunked = rig.client(); Client good = rig.client()) {
+        try (Rig rig = new Rig(large);
+                Client deaf = rig.client();
+                Client half = rig.client();
+                Client full = rig.client();
+                Client chunked = rig.client();
+                Client good = rig.client()) {
             deaf.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n" + GET);
             half.send("POST /hold HTTP/1.1\r\nHost: a\r\nContent-Length: 20000000\r\n\r\n");
             half.send("x".repeat(20_000_000));
@@ -199,8 +220,7 @@
                 assertThat(good.send(GET).answer()).isEqualTo("GET a /x ");
             }
             half.socket.close();
-            String again = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\n"
-                    + "y".repeat(10_000_000);
+            String again = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\n" + "y".repeat(10_000_000);
             while (rig.gangway.requestsOpen() > 0) {
                 Thread.onSpinWait();
             }
@@ -213,10 +233,9 @@
     @Test
     void takenPortIsToldInOneLine() throws Exception {
         try (Rig rig = new Rig(Rig.WIDE)) {
-            MultiThreadIoEventLoopGroup group =
-                    new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            assertThatThrownBy(() -> Gangway.open(group, rig.gangway.address(), () -> Rig.WIDE,
-                    () -> 0, c -> { })).isInstanceOf(IOException.class)
+            MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+            assertThatThrownBy(() -> Gangway.open(group, rig.gangway.address(), () -> Rig.WIDE, () -> 0, c -> {}))
+                    .isInstanceOf(IOException.class)
                     .hasMessageMatching("cannot listen on \\S+:\\d+: .*in use");
             group.shutdownGracefully(0, 5, TimeUnit.SECONDS);
         }
@@ -224,12 +243,16 @@
 
     @Test
     void endToEndHeaders() {
-        List<Map.Entry<String, String>> all = List.of(Map.entry("A", "1"),
+        List<Map.Entry<String, String>> all = List.of(
+                Map.entry("A", "1"),
                 Map.entry("connection", "close , b"),
-                Map.entry("B", "2"), Map.entry("TE", "x"), Map.entry("a", "3"),
+                Map.entry("B", "2"),
+                Map.entry("TE", "x"),
+                Map.entry("a", "3"),
                 Map.entry("content-length", "4"));
         assertThat(Headers.endToEnd(all)).containsExactly(Map.entry("A", "1"), Map.entry("a", "3"));
-        assertThat(Headers.without(all, "CONNECTION", "a", "te")).extracting(Map.Entry::getValue)
+        assertThat(Headers.without(all, "CONNECTION", "a", "te"))
+                .extracting(Map.Entry::getValue)
                 .containsExactly("2", "4");
         assertThat(Headers.first(all, "b")).isEqualTo("2");
         assertThat(Headers.first(all, "c")).isNull();
--- a/src/test/java/larkbank/gangway/Rig.java
+++ b/src/test/java/larkbank/gangway/Rig.java
@@ -22,26 +22,31 @@
 
     static final Bounds WIDE = new Bounds(2_000, 100_000, 20_000, 20_000);
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final BlockingQueue<Call> held = new LinkedBlockingQueue<>();
     /** What was called, by the client's port. */
     final Map<Integer, List<String>> seen = new ConcurrentHashMap<>();
     /** Microseconds by which the clock goes ahead. */
     final AtomicLong ahead = new AtomicLong();
+
     volatile Bounds bounds;
     final Gangway gangway;
 
     Rig(Bounds bounds) throws IOException {
         this.bounds = bounds;
-        gangway = Gangway.open(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> this.bounds, () -> System.nanoTime() / 1000 + ahead.get(), this::called);
+        gangway = Gangway.open(
+                group,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                () -> this.bounds,
+                () -> System.nanoTime() / 1000 + ahead.get(),
+                this::called);
     }
 
     private void called(Call call) {
         String said = call.method() + " " + call.host() + " " + call.uri() + " "
                 + new String(call.body(), StandardCharsets.ISO_8859_1);
-        seen.computeIfAbsent(call.remote().getPort(), p -> new CopyOnWriteArrayList<>()).add(said);
+        seen.computeIfAbsent(call.remote().getPort(), p -> new CopyOnWriteArrayList<>())
+                .add(said);
         if (call.uri().equals("/hold")) {
             held.add(call);
         } else if (call.uri().equals("/fail")) {
--- a/src/test/java/larkbank/gangway/StrictnessTest.java
+++ b/src/test/java/larkbank/gangway/StrictnessTest.java
@@ -19,68 +19,98 @@
 class StrictnessTest {
 
     @ParameterizedTest
-    @CsvSource(delimiter = '!', ignoreLeadingAndTrailingWhitespace = false, value = {
-        "400!GET / HTTP/1.1_Host: a__", "400!GET / HTTP/1.1~Host: a_~", "400!GET / HTTP/1.1~Host: a~_",
-        "400!GET / HTTP/1.1^Host: a~~", "400!GET / HTTP/1.1~Host: a^b~~", "400!^GET / HTTP/1.1~Host: a~~",
-        "400!GET / HTTP/1.1~Host : a~~", "400!GET / HTTP/1.1~Host: a~X : b~~",
-        "400!GET / HTTP/1.1~Host: a~X: b~ c~~", "400!GET / HTTP/1.1~Host: a~X: b~\tc~~",
-        "400!GET / HTTP/1.1~ Host: a~~", "400!GET / HTTP/1.1~Host: a~X: \u0001~~",
-        "400!GET / HTTP/1.1~Host: a~X: \u007f~~", "400!GET / HTTP/1.1~Host: a~X\u00e4: b~~",
-        "400!GET / HTTP/1.1~Host: a~X: b\u0000c~~", "400!GET / HTTP/1.1~Host: a~: b~~",
-        "400!GET / HTTP/1.1~Host: a~Xb~~", "400!GET / HTTP/1.1~~", "400!GET / HTTP/1.1~Host: a~Host: a~~",
-        "400!GET / HTTP/1.1~Host: ~~", "400!GET / HTTP/1.1~Host: a b~~", "400!GET / HTTP/1.1~Host: a/b~~",
-        "400!GET / HTTP/1.1~Host: a:b~~", "400!GET / HTTP/1.1~Host: u@a~~", "400!GET / HTTP/1.1~Host: [::~~",
-        "400!GET / HTTP/1.1~Host: a, b~~", "400!GET / HTTP/2.0~Host: a~~", "400!GET / HTTP/1.2~Host: a~~",
-        "400!GET / HTTP/0.9~Host: a~~",
-        "400!GET / http/1.1~Host: a~~",
-        "400!GET /~~",
-        "400!GET  / HTTP/1.1~~",
-        "400!GET / HTTP/1.1 ~Host: a~~", "400!GET /a b HTTP/1.1~Host: a~~", "400!GET a HTTP/1.1~Host: a~~",
-        "400!GET /\u0000 HTTP/1.1~Host: a~~", "400!GET /\u00e4 HTTP/1.1~Host: a~~",
-        "400!GET /#f HTTP/1.1~Host: a~~", "400!GET http:///p HTTP/1.1~Host: a~~",
-        "400!GET http://u@b/p HTTP/1.1~Host: a~~", "400!CONNECT a:80 HTTP/1.1~Host: a~~",
-        "400!GET * HTTP/1.1~Host: a~~", "400!G(T / HTTP/1.1~Host: a~~", "400! GET / HTTP/1.1~Host: a~~",
-        "400!GET\t/ HTTP/1.1~Host: a~~", "400!~~GET / HTTP/1.1~Host: a~~",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: +1~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 0x1~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 1 1~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: ~~",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: -1~~",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 1,1~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 1~Content-Length: 2~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 9999999999999999999~~x",
-        "400!POST / HTTP/1.1~Host: a~Content-Length: 1~Transfer-Encoding: chunked~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~Content-Length: 0~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: gzip, chunked~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked, chunked~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: identity~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~Transfer-Encoding: chunked~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: \u000bchunked~~0~~",
-        "400!POST / HTTP/1.0~Host: a~Transfer-Encoding: chunked~~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~+1~x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0x1~x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1 ~x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1_x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~xy~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~x_0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~~x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~100000001~x~0~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~X : y~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~X: y~ z~~",
-        "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~Trailer: y^z~~",
-        "413!POST / HTTP/1.1~Host: a~Content-Length: 100001~~x",
-        "413!POST / HTTP/1.1~Host: a~Expect: 100-continue~Content-Length: 100001~~",
-        "413!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~186a1~",
-        "417!POST / HTTP/1.1~Host: a~Expect: wonders~Content-Length: 1~~x",
-    })
+    @CsvSource(
+            delimiter = '!',
+            ignoreLeadingAndTrailingWhitespace = false,
+            value = {
+                "400!GET / HTTP/1.1_Host: a__",
+                "400!GET / HTTP/1.1~Host: a_~",
+                "400!GET / HTTP/1.1~Host: a~_",
+                "400!GET / HTTP/1.1^Host: a~~",
+                "400!GET / HTTP/1.1~Host: a^b~~",
+                "400!^GET / HTTP/1.1~Host: a~~",
+                "400!GET / HTTP/1.1~Host : a~~",
+                "400!GET / HTTP/1.1~Host: a~X : b~~",
+                "400!GET / HTTP/1.1~Host: a~X: b~ c~~",
+                "400!GET / HTTP/1.1~Host: a~X: b~\tc~~",
+                "400!GET / HTTP/1.1~ Host: a~~",
+                "400!GET / HTTP/1.1~Host: a~X: \u0001~~",
+                "400!GET / HTTP/1.1~Host: a~X: \u007f~~",
+                "400!GET / HTTP/1.1~Host: a~X\u00e4: b~~",
+                "400!GET / HTTP/1.1~Host: a~X: b\u0000c~~",
+                "400!GET / HTTP/1.1~Host: a~: b~~",
+                "400!GET / HTTP/1.1~Host: a~Xb~~",
+                "400!GET / HTTP/1.1~~",
+                "400!GET / HTTP/1.1~Host: a~Host: a~~",
+                "400!GET / HTTP/1.1~Host: ~~",
+                "400!GET / HTTP/1.1~Host: a b~~",
+                "400!GET / HTTP/1.1~Host: a/b~~",
+                "400!GET / HTTP/1.1~Host: a:b~~",
+                "400!GET / HTTP/1.1~Host: u@a~~",
+                "400!GET / HTTP/1.1~Host: [::~~",
+                "400!GET / HTTP/1.1~Host: a, b~~",
+                "400!GET / HTTP/2.0~Host: a~~",
+                "400!GET / HTTP/1.2~Host: a~~",
+                "400!GET / HTTP/0.9~Host: a~~",
+                "400!GET / http/1.1~Host: a~~",
+                "400!GET /~~",
+                "400!GET  / HTTP/1.1~~",
+                "400!GET / HTTP/1.1 ~Host: a~~",
+                "400!GET /a b HTTP/1.1~Host: a~~",
+                "400!GET a HTTP/1.1~Host: a~~",
+                "400!GET /\u0000 HTTP/1.1~Host: a~~",
+                "400!GET /\u00e4 HTTP/1.1~Host: a~~",
+                "400!GET /#f HTTP/1.1~Host: a~~",
+                "400!GET http:///p HTTP/1.1~Host: a~~",
+                "400!GET http://u@b/p HTTP/1.1~Host: a~~",
+                "400!CONNECT a:80 HTTP/1.1~Host: a~~",
+                "400!GET * HTTP/1.1~Host: a~~",
+                "400!G(T / HTTP/1.1~Host: a~~",
+                "400! GET / HTTP/1.1~Host: a~~",
+                "400!GET\t/ HTTP/1.1~Host: a~~",
+                "400!~~GET / HTTP/1.1~Host: a~~",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: +1~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 0x1~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 1 1~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: ~~",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: -1~~",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 1,1~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 1~Content-Length: 2~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 9999999999999999999~~x",
+                "400!POST / HTTP/1.1~Host: a~Content-Length: 1~Transfer-Encoding: chunked~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~Content-Length: 0~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: gzip, chunked~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked, chunked~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: identity~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~Transfer-Encoding: chunked~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: \u000bchunked~~0~~",
+                "400!POST / HTTP/1.0~Host: a~Transfer-Encoding: chunked~~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~+1~x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0x1~x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1 ~x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1_x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~xy~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~x_0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~~x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~100000001~x~0~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~X : y~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~X: y~ z~~",
+                "400!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~Trailer: y^z~~",
+                "413!POST / HTTP/1.1~Host: a~Content-Length: 100001~~x",
+                "413!POST / HTTP/1.1~Host: a~Expect: 100-continue~Content-Length: 100001~~",
+                "413!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~186a1~",
+                "417!POST / HTTP/1.1~Host: a~Expect: wonders~Content-Length: 1~~x",
+            })
     void isRefused(int status, String request) throws IOException {
         String bytes = request.replace("~", "\r\n").replace('^', '\r').replace('_', '\n');
         // The body of a chunk that is too large has to come for it to be so.
         bytes += bytes.endsWith("186a1\r\n") ? "x".repeat(100_001) : "";
-        try (Rig rig = new Rig(Rig.WIDE); Client client = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client client = rig.client()) {
             client.send(bytes);
-            assertThat(client.head()).startsWith("HTTP/1.1 " + status + " ").containsIgnoringCase(
-                    "connection: close\r\n");
+            assertThat(client.head())
+                    .startsWith("HTTP/1.1 " + status + " ")
+                    .containsIgnoringCase("connection: close\r\n");
             client.rest();
             assertThat(rig.seen).isEmpty();
         }
@@ -89,7 +119,9 @@
     @Test
     void largeHeadIsRefusedAndTheBoundMayChange() throws IOException {
         String head = "GET / HTTP/1.1\r\nHost: a\r\nX: ";
-        try (Rig rig = new Rig(Rig.WIDE); Client kept = rig.client(); Client client = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client kept = rig.client();
+                Client client = rig.client()) {
             String most = head + "x".repeat(2_000 - head.length() - 4) + "\r\n\r\n";
             assertThat(kept.send(most).answer()).isEqualTo("GET a / ");
             assertThat(client.send(head + "x".repeat(2_000)).head()).startsWith("HTTP/1.1 431 ");
@@ -101,17 +133,15 @@
     private static final String[] GOOD = {
         "POST /a?b=c HTTP/1.1\r\nHost: Ab.c:80\r\nContent-Length: 12\r\n\r\nGET / HTTP/1",
         "PUT /d HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n1a;f=g\r\n"
-            + "abcdefghijklmnopqrstuvwxyz\r\n0\r\nTrailer: h\r\n\r\n",
-        "GET http://i/j HTTP/1.1\r\nHost: k\r\nX-Long: l\r\nConnection: keep-alive\r\n\r\n"};
+                + "abcdefghijklmnopqrstuvwxyz\r\n0\r\nTrailer: h\r\n\r\n",
+        "GET http://i/j HTTP/1.1\r\nHost: k\r\nX-Long: l\r\nConnection: keep-alive\r\n\r\n"
+    };
     private static final String PARTS = "\r\n \t:;,0123456789abcdefgxABC/+-\0\u00ff";
     private static final Pattern HEAD = Pattern.compile("\\G(?:\r\n)?([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) "
             + "HTTP/1\\.[01]\r\n((?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\t -~\u0080-\u00ff]*\r\n)*)\r\n");
-    private static final Pattern LENGTH =
-            Pattern.compile("(?imd)^content-length:[ \t]*([0-9]+)[ \t]*\r$");
-    private static final Pattern CHUNKED =
-            Pattern.compile("(?imd)^transfer-encoding:[ \t]*chunked[ \t]*\r$");
-    private static final Pattern CHUNK =
-            Pattern.compile("\\G0*([0-9a-fA-F]{1,6})(?:;[\t -~\u0080-\u00ff]*)?\r\n");
+    private static final Pattern LENGTH = Pattern.compile("(?imd)^content-length:[ \t]*([0-9]+)[ \t]*\r$");
+    private static final Pattern CHUNKED = Pattern.compile("(?imd)^transfer-encoding:[ \t]*chunked[ \t]*\r$");
+    private static final Pattern CHUNK = Pattern.compile("\\G0*([0-9a-fA-F]{1,6})(?:;[\t -~\u0080-\u00ff]*)?\r\n");
     private static final Pattern TRAILER = Pattern.compile("\\G([^\r\n]+\r\n)*\r\n");
 
     /** The requests in some bytes by the rules of framing, as far as they are sound: the first such. */
@@ -162,7 +192,8 @@
     void changedRequestsHarmNobody() throws IOException {
         Random random = new Random(7);
         int whole = 0;
-        try (Rig rig = new Rig(Rig.WIDE); Client good = rig.client()) {
+        try (Rig rig = new Rig(Rig.WIDE);
+                Client good = rig.client()) {
             for (int i = 0; i < 2_000; i++) {
                 StringBuilder bytes = new StringBuilder();
                 for (int k = 0; k < 3; k++) {
@@ -178,8 +209,11 @@
                 try (Client client = rig.client()) {
                     port = client.socket.getLocalPort();
                     client.send(bytes.toString());
-                    assertThat(good.send(GOOD[i % 2]).answer()).isEqualTo(i % 2 == 0
-                            ? "POST ab.c /a?b=c GET / HTTP/1" : "PUT e /d abcdabcdefghijklmnopqrstuvwxyz");
+                    assertThat(good.send(GOOD[i % 2]).answer())
+                            .isEqualTo(
+                                    i % 2 == 0
+                                            ? "POST ab.c /a?b=c GET / HTTP/1"
+                                            : "PUT e /d abcdabcdefghijklmnopqrstuvwxyz");
                     client.socket.shutdownOutput();
                     client.rest();
                 }
--- a/src/test/java/larkbank/golden/ConsensusMessagesTest.java
+++ b/src/test/java/larkbank/golden/ConsensusMessagesTest.java
@@ -30,9 +30,21 @@
 
     private static final String REPLIES = "messages/consensus-replies.txt";
     private static final String EXCHANGE = "messages/consensus-exchange.txt";
-    private static final Set<String> KINDS = Set.of("copies.prepare", "copies.promise", "copies.nack",
-            "copies.accept", "copies.accepted", "copies.mismatch", "copies.decided", "copies.tell",
-            "copies.teach", "copies.told", "copies.fetch", "copies.piece", "copies.gone", "copies.admit",
+    private static final Set<String> KINDS = Set.of(
+            "copies.prepare",
+            "copies.promise",
+            "copies.nack",
+            "copies.accept",
+            "copies.accepted",
+            "copies.mismatch",
+            "copies.decided",
+            "copies.tell",
+            "copies.teach",
+            "copies.told",
+            "copies.fetch",
+            "copies.piece",
+            "copies.gone",
+            "copies.admit",
             "copies.leave");
 
     private static final String OWN = "10.0.0.1:7";
@@ -45,13 +57,16 @@
     private static final long SECOND = 1_000_000;
 
     private static final List<Item> ITEMS = List.of(
-            new Item(new Key(Table.ROUTES, "orders"), 3, Map.of("prefix", "/orders"),
+            new Item(
+                    new Key(Table.ROUTES, "orders"),
+                    3,
+                    Map.of("prefix", "/orders"),
                     List.of(new Past(1, "0123456789abcdef"), new Past(2, "-"))),
             new Item(new Key(Table.TENANTS, "acme"), 1, Map.of("priority", 2L)),
             new Item(new Key(Table.SERVICES, "till"), 2, null, List.of(new Past(1, "fedcba9876543210"))),
             new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)));
-    private static final Item CHANGED = new Item(new Key(Table.TENANTS, "acme"), 2, Map.of("priority", 3L),
-            List.of(new Past(1, "0011223344556677")));
+    private static final Item CHANGED = new Item(
+            new Key(Table.TENANTS, "acme"), 2, Map.of("priority", 3L), List.of(new Past(1, "0011223344556677")));
 
     /** One replica whose writes come back at once. */
     private static final class Replica {
@@ -59,10 +74,8 @@
         private final List<String> lines = new ArrayList<>();
 
         Replica(boolean knowsState) {
-            Standing stored = knowsState
-                    ? new Standing(ACCEPTED, ACCEPTED, VOTERS, ITEMS, false, 0) : null;
-            copies = new Copies(CopiesPlan.usual(), OWN, VOTERS, false, stored, LIFE,
-                    new SplittableRandom(SEED), NOW);
+            Standing stored = knowsState ? new Standing(ACCEPTED, ACCEPTED, VOTERS, ITEMS, false, 0) : null;
+            copies = new Copies(CopiesPlan.usual(), OWN, VOTERS, false, stored, LIFE, new SplittableRandom(SEED), NOW);
         }
 
         void receives(Map<String, Object> message) {
@@ -91,9 +104,27 @@
     }
 
     private static Map<String, Object> accept(String ballot, Ballot base, long sum) {
-        return Scribe.map("t", "copies.accept", "to", OWN, "b", ballot, "base", base.toString(),
-                "whole", false, "sum", sum, "crew", VOTERS, "part", 0L, "parts", 1L,
-                "items", List.of(CHANGED.toMap()));
+        return Scribe.map(
+                "t",
+                "copies.accept",
+                "to",
+                OWN,
+                "b",
+                ballot,
+                "base",
+                base.toString(),
+                "whole",
+                false,
+                "sum",
+                sum,
+                "crew",
+                VOTERS,
+                "part",
+                0L,
+                "parts",
+                1L,
+                "items",
+                List.of(CHANGED.toMap()));
     }
 
     private static List<String> repliesOfAcceptor() {
@@ -103,17 +134,36 @@
         replica.receives(Scribe.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
         replica.receives(accept("10@" + PEER, ACCEPTED, sum + 1));
         replica.receives(accept("10@" + PEER, new Ballot(8, PEER), sum));
-        replica.receives(Scribe.map("t", "copies.fetch", "b", ACCEPTED.toString(), "ask", 5L, "part", 0L,
-                "has", List.of("0@")));
+        replica.receives(
+                Scribe.map("t", "copies.fetch", "b", ACCEPTED.toString(), "ask", 5L, "part", 0L, "has", List.of("0@")));
         replica.receives(accept("10@" + PEER, ACCEPTED, sum));
-        replica.receives(Scribe.map("t", "copies.fetch", "b", "10@" + PEER, "ask", 6L, "part", 0L,
-                "has", List.of(ACCEPTED.toString())));
-        replica.receives(Scribe.map("t", "copies.fetch", "b", "4@" + PEER, "ask", 7L, "part", 0L,
-                "has", List.of()));
+        replica.receives(Scribe.map(
+                "t", "copies.fetch", "b", "10@" + PEER, "ask", 6L, "part", 0L, "has", List.of(ACCEPTED.toString())));
+        replica.receives(Scribe.map("t", "copies.fetch", "b", "4@" + PEER, "ask", 7L, "part", 0L, "has", List.of()));
         replica.receives(Scribe.map("t", "copies.teach", "life", 5L));
-        replica.receives(Scribe.map("t", "copies.tell", "life", 4L, "accepted", "10@" + PEER,
-                "decided", ACCEPTED.toString(), "crew", VOTERS, "forgetful", false, "hearsay", false,
-                "number", 3L, "probe", true, "echoLife", LIFE, "echo", 1L));
+        replica.receives(Scribe.map(
+                "t",
+                "copies.tell",
+                "life",
+                4L,
+                "accepted",
+                "10@" + PEER,
+                "decided",
+                ACCEPTED.toString(),
+                "crew",
+                VOTERS,
+                "forgetful",
+                false,
+                "hearsay",
+                false,
+                "number",
+                3L,
+                "probe",
+                true,
+                "echoLife",
+                LIFE,
+                "echo",
+                1L));
         replica.receives(Scribe.map("t", "copies.leave", "life", 4L));
         replica.leaves();
         return replica.lines;
@@ -123,9 +173,29 @@
         Replica replica = new Replica(false);
         replica.receives(Scribe.map("t", "copies.teach", "life", 5L));
         replica.receives(Scribe.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
-        replica.receives(Scribe.map("t", "copies.tell", "life", 4L, "accepted", "10@" + PEER,
-                "decided", "10@" + PEER, "crew", VOTERS, "forgetful", false, "hearsay", false,
-                "number", 3L, "probe", true, "echoLife", 0L, "echo", 0L));
+        replica.receives(Scribe.map(
+                "t",
+                "copies.tell",
+                "life",
+                4L,
+                "accepted",
+                "10@" + PEER,
+                "decided",
+                "10@" + PEER,
+                "crew",
+                VOTERS,
+                "forgetful",
+                false,
+                "hearsay",
+                false,
+                "number",
+                3L,
+                "probe",
+                true,
+                "echoLife",
+                0L,
+                "echo",
+                0L));
         return replica.lines;
     }
 
@@ -150,14 +220,16 @@
     }
 
     private static String tenant(String name, int version) {
-        return "{\"upsert\":{\"tenantTable\":{\"" + name + "\":{\"apiKeys\":[\"" + name
-                + "\"],\"configVersion\":\"r" + version + "\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"" + name + "\":{\"apiKeys\":[\"" + name + "\"],\"configVersion\":\"r"
+                + version + "\"}}}}";
     }
 
     @Test
     void repliesAreTheSame() {
-        Golden.assertSame(REPLIES, Stream.concat(repliesOfAcceptor().stream(),
-                repliesOfEmptyReplica().stream()).toList());
+        Golden.assertSame(
+                REPLIES,
+                Stream.concat(repliesOfAcceptor().stream(), repliesOfEmptyReplica().stream())
+                        .toList());
     }
 
     @Test
--- a/src/test/java/larkbank/golden/EnumTextsTest.java
+++ b/src/test/java/larkbank/golden/EnumTextsTest.java
@@ -39,28 +39,30 @@
     /** The answers' "error" (lower case), the counts in the state (as they are), and words for people. */
     @Test
     void kindsOfErrors() {
-        assertThat(texts(Fault.values(), fault -> fault.name() + ", " + fault.words() + ", " + fault.status()
-                + ", " + fault.saysWhen())).containsExactly(
-                "NO_ROUTE, no route, 404, false",
-                "NO_KEY, no key, 401, false",
-                "OVER_QUOTA, over quota, 429, true",
-                "NO_ROOM, no room, 503, true",
-                "NOT_READY, not ready, 503, true",
-                "BROKEN, broken, 502, false",
-                "TIMED_OUT, timed out, 504, false",
-                "MALFORMED, malformed, 400, false",
-                "INVALID, invalid, 400, false",
-                "CONFLICT, conflict, 409, false",
-                "UNAVAILABLE, unavailable, 503, true",
-                "NO_CALL, no call, 404, false",
-                "NO_METHOD, no method, 405, false");
+        assertThat(texts(
+                        Fault.values(),
+                        fault -> fault.name() + ", " + fault.words() + ", " + fault.status() + ", " + fault.saysWhen()))
+                .containsExactly(
+                        "NO_ROUTE, no route, 404, false",
+                        "NO_KEY, no key, 401, false",
+                        "OVER_QUOTA, over quota, 429, true",
+                        "NO_ROOM, no room, 503, true",
+                        "NOT_READY, not ready, 503, true",
+                        "BROKEN, broken, 502, false",
+                        "TIMED_OUT, timed out, 504, false",
+                        "MALFORMED, malformed, 400, false",
+                        "INVALID, invalid, 400, false",
+                        "CONFLICT, conflict, 409, false",
+                        "UNAVAILABLE, unavailable, 503, true",
+                        "NO_CALL, no call, 404, false",
+                        "NO_METHOD, no method, 405, false");
     }
 
     /** The field "why" between proxies, as they are; in traces of requests lower case, with blanks. */
     @Test
     void reasonsWhyARequestHasNotRun() {
-        assertThat(texts(Reason.values(), Reason::name)).containsExactly("FULL", "LATE", "GONE",
-                "MISDIRECTED", "NO_CONNECTION", "CANCELLED", "REFUSED");
+        assertThat(texts(Reason.values(), Reason::name))
+                .containsExactly("FULL", "LATE", "GONE", "MISDIRECTED", "NO_CONNECTION", "CANCELLED", "REFUSED");
     }
 
     /** On the wire and in keys on the disk. */
@@ -76,10 +78,16 @@
         for (Calls call : Calls.values()) {
             calls.add(call.method() + " " + call.path());
         }
-        assertThat(calls).containsExactly("GET /cypressweir/readiness", "POST /cypressweir/instances/",
-                "POST /cypressweir/instances/", "POST /cypressweir/config/modify",
-                "GET /cypressweir/config/read", "POST /cypressweir/copies/begin", "GET /cypressweir/state",
-                "GET /cypressweir/why/");
+        assertThat(calls)
+                .containsExactly(
+                        "GET /cypressweir/readiness",
+                        "POST /cypressweir/instances/",
+                        "POST /cypressweir/instances/",
+                        "POST /cypressweir/config/modify",
+                        "GET /cypressweir/config/read",
+                        "POST /cypressweir/copies/begin",
+                        "GET /cypressweir/state",
+                        "GET /cypressweir/why/");
         assertThat(Calls.HEARTBEAT.name("/cypressweir/instances/a/heartbeat")).contains("a");
         assertThat(Calls.DEREGISTER.name("/cypressweir/instances/a/deregister")).contains("a");
     }
@@ -87,8 +95,9 @@
     /** Sent by their number in datagrams. */
     @Test
     void orderOfWhatIsSentByNumber() {
-        assertThat(texts(Message.Kind.values(), Enum::name)).containsExactly("PING", "ACK", "NEWS", "COMPARE",
-                "REFUSE", "COUNT", "COUNTED", "BORROW", "LEND", "LEASE");
+        assertThat(texts(Message.Kind.values(), Enum::name))
+                .containsExactly(
+                        "PING", "ACK", "NEWS", "COMPARE", "REFUSE", "COUNT", "COUNTED", "BORROW", "LEND", "LEASE");
         assertThat(texts(larkbank.membership.Standing.values(), Enum::name))
                 .containsExactly("CANDIDATE", "MEMBER", "OUT", "LEFT");
         assertThat(texts(Word.Kind.values(), Enum::name))
@@ -98,44 +107,63 @@
     /** In the log and in the record of a member's life, lower case. */
     @Test
     void changesOfMembership() {
-        assertThat(texts(Change.Kind.values(), EnumTextsTest::lower))
-                .containsExactly("joined", "back", "out", "left");
+        assertThat(texts(Change.Kind.values(), EnumTextsTest::lower)).containsExactly("joined", "back", "out", "left");
     }
 
     /** A fact that a member tells of itself, lower case. */
     @Test
     void statesOfTheSidecar() {
-        assertThat(texts(Standing.State.values(), EnumTextsTest::lower)).containsExactly("starting",
-                "starting_drained", "serving", "draining", "drained", "stopping");
+        assertThat(texts(Standing.State.values(), EnumTextsTest::lower))
+                .containsExactly("starting", "starting_drained", "serving", "draining", "drained", "stopping");
     }
 
     /** The operators' file, and what is explained of it. */
     @Test
     void wordsOfTheOperatorsFile() {
-        assertThat(texts(CellsPlan.Unit.values(), EnumTextsTest::lower))
-                .containsExactly("tenant", "key", "header");
+        assertThat(texts(CellsPlan.Unit.values(), EnumTextsTest::lower)).containsExactly("tenant", "key", "header");
         assertThat(texts(CellsPlan.Spread.values(), EnumTextsTest::lower)).containsExactly("server", "group");
         assertThat(texts(LoadBalancer.Effect.values(), EnumTextsTest::lower))
                 .containsExactly("safe", "keyed", "unsafe");
-        assertThat(texts(Retryable.values(), Retryable::toString)).containsExactly("turned-away",
-                "no-connection", "error", "reset", "timeout");
-        assertThat(texts(LimitKey.values(), LimitKey::key)).containsExactly("timeout", "attempt_timeout",
-                "attempts", "retry_on", "hedges", "hedge_after", "max_requests", "max_queue",
-                "max_connections");
+        assertThat(texts(Retryable.values(), Retryable::toString))
+                .containsExactly("turned-away", "no-connection", "error", "reset", "timeout");
+        assertThat(texts(LimitKey.values(), LimitKey::key))
+                .containsExactly(
+                        "timeout",
+                        "attempt_timeout",
+                        "attempts",
+                        "retry_on",
+                        "hedges",
+                        "hedge_after",
+                        "max_requests",
+                        "max_queue",
+                        "max_connections");
     }
 
     /** In the log of ejected servers. */
     @Test
     void resultsOfAttempts() {
-        assertThat(texts(LoadBalancer.Result.values(), LoadBalancer.Result::toString)).containsExactly(
-                "SERVED", "ERROR", "FULL", "TIMED_OUT", "NO_CONNECTION", "BROKEN", "CANCELLED", "NOT_SENT");
+        assertThat(texts(LoadBalancer.Result.values(), LoadBalancer.Result::toString))
+                .containsExactly(
+                        "SERVED", "ERROR", "FULL", "TIMED_OUT", "NO_CONNECTION", "BROKEN", "CANCELLED", "NOT_SENT");
     }
 
     /** In the account of upgrades, and those from OPEN on count as opened. */
     @Test
     void statesOfUpgrades() {
-        assertThat(texts(UpgradeAccount.State.values(), Enum::toString)).containsExactly("ASKED", "TRIED",
-                "REFUSED", "FAILED", "GONE", "OPEN", "CLOSING_BY_CLIENT", "CLOSING_BY_SERVER",
-                "CLOSING_BY_SIDECAR", "CLOSED_BY_CLIENT", "CLOSED_BY_SERVER", "CLOSED_BY_SIDECAR", "BROKEN");
+        assertThat(texts(UpgradeAccount.State.values(), Enum::toString))
+                .containsExactly(
+                        "ASKED",
+                        "TRIED",
+                        "REFUSED",
+                        "FAILED",
+                        "GONE",
+                        "OPEN",
+                        "CLOSING_BY_CLIENT",
+                        "CLOSING_BY_SERVER",
+                        "CLOSING_BY_SIDECAR",
+                        "CLOSED_BY_CLIENT",
+                        "CLOSED_BY_SERVER",
+                        "CLOSED_BY_SIDECAR",
+                        "BROKEN");
     }
 }
--- a/src/test/java/larkbank/golden/Golden.java
+++ b/src/test/java/larkbank/golden/Golden.java
@@ -15,7 +15,7 @@
 
     private static final String ROOT = "/golden/";
 
-    private Golden() { }
+    private Golden() {}
 
     /** The text of a golden file. */
     public static String text(String name) {
--- a/src/test/java/larkbank/golden/StoredFolderTest.java
+++ b/src/test/java/larkbank/golden/StoredFolderTest.java
@@ -40,28 +40,30 @@
     private static final String ENVIRONMENT_FOLDER = "1";
     private static final String WITHDRAWN_CONTENT = "-";
 
-    private static final List<String> VOTERS =
-            List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7/1700000000001");
+    private static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7/1700000000001");
     private static final List<String> LATER_VOTERS = List.of("10.0.0.1:7", "10.0.0.3:7/1700000000001");
     private static final long DISK_NUMBER = 1_700_000_000_001L;
     private static final Ballot ACCEPTED = new Ballot(5, "10.0.0.2:7");
     private static final Ballot PROMISED = new Ballot(7, "10.0.0.3:7/1700000000001");
     private static final Ballot LATER = new Ballot(1L << 40, "10.0.0.1:7");
 
-    private static final Item ROUTE = new Item(new Key(Table.ROUTES, "orders"), 3,
+    private static final Item ROUTE = new Item(
+            new Key(Table.ROUTES, "orders"),
+            3,
             Scribe.map("prefix", "/orders", "services", List.of("till", "till-2")),
             List.of(new Past(1, "0123456789abcdef0123456789abcdef"), new Past(2, WITHDRAWN_CONTENT)));
-    private static final Item TENANT = new Item(new Key(Table.TENANTS, "Ünïcode \"quoted\""), 9,
-            Map.of("priority", 2L), versions(9), 4);
-    private static final Item SERVICE = new Item(new Key(Table.SERVICES, "till"), 1L << 50,
-            Map.of("healthPath", "/healthz"));
-    private static final Item WITHDRAWN_SERVICE = new Item(new Key(Table.SERVICES, "till-2"), 2, null,
-            List.of(new Past(1, "fedcba9876543210fedcba9876543210")));
+    private static final Item TENANT =
+            new Item(new Key(Table.TENANTS, "Ünïcode \"quoted\""), 9, Map.of("priority", 2L), versions(9), 4);
+    private static final Item SERVICE =
+            new Item(new Key(Table.SERVICES, "till"), 1L << 50, Map.of("healthPath", "/healthz"));
+    private static final Item WITHDRAWN_SERVICE = new Item(
+            new Key(Table.SERVICES, "till-2"), 2, null, List.of(new Past(1, "fedcba9876543210fedcba9876543210")));
     private static final Item LIMITS = new Item(Key.LIMITS, 1, Map.of("perProxy", 100L));
     private static final Item LATER_LIMITS = new Item(Key.LIMITS, 2, Map.of("perProxy", 200L));
 
     @TempDir
     Path temporary;
+
     private Path folder;
 
     @BeforeEach
@@ -76,13 +78,20 @@
     }
 
     private static List<Past> versions(int count) {
-        return IntStream.rangeClosed(1, count).filter(version -> version < count)
-                .mapToObj(version -> new Past(version, "%016x".formatted(version))).toList();
+        return IntStream.rangeClosed(1, count)
+                .filter(version -> version < count)
+                .mapToObj(version -> new Past(version, "%016x".formatted(version)))
+                .toList();
     }
 
     private static Change firstChange() {
-        return new Change(new Ballot(4, "10.0.0.1:7"), new Ballot(4, "10.0.0.1:7"), VOTERS,
-                List.of(ROUTE, TENANT, LIMITS), true, DISK_NUMBER);
+        return new Change(
+                new Ballot(4, "10.0.0.1:7"),
+                new Ballot(4, "10.0.0.1:7"),
+                VOTERS,
+                List.of(ROUTE, TENANT, LIMITS),
+                true,
+                DISK_NUMBER);
     }
 
     private static Change secondChange() {
@@ -113,9 +122,11 @@
 
     private static void assertItems(Standing state, Item... items) {
         assertThat(state.items().stream().map(Item::toText))
-                .containsExactlyInAnyOrderElementsOf(Stream.of(items).map(Item::toText).toList());
+                .containsExactlyInAnyOrderElementsOf(
+                        Stream.of(items).map(Item::toText).toList());
         assertThat(state.items().stream().map(Item::key))
-                .containsExactlyInAnyOrderElementsOf(Stream.of(items).map(Item::key).toList());
+                .containsExactlyInAnyOrderElementsOf(
+                        Stream.of(items).map(Item::key).toList());
     }
 
     @Test
@@ -152,46 +163,55 @@
     private static String records(Path folder) throws IOException {
         StringBuilder text = new StringBuilder();
         for (String name : List.of("current", "written")) {
-            text.append("file ").append(name).append(" = ")
-                    .append(Files.readString(folder.resolve(name)).trim()).append('\n');
+            text.append("file ")
+                    .append(name)
+                    .append(" = ")
+                    .append(Files.readString(folder.resolve(name)).trim())
+                    .append('\n');
         }
         text.append("files ").append(names(folder)).append('\n');
-        text.append("environment ").append(names(folder.resolve(ENVIRONMENT_FOLDER))).append('\n');
+        text.append("environment ")
+                .append(names(folder.resolve(ENVIRONMENT_FOLDER)))
+                .append('\n');
         EnvironmentConfig config = new EnvironmentConfig();
         config.setManagementEnabled(false);
         config.setGcEnabled(false);
         config.setLogCacheUseNio(false);
         config.setLogCachePageSize(16 * 1024);
-        try (Environment environment = Environments.newInstance(
-                folder.resolve(ENVIRONMENT_FOLDER).toFile(), config)) {
-            environment.executeInReadonlyTransaction(transaction -> environment
-                    .getAllStoreNames(transaction).stream().sorted()
+        try (Environment environment =
+                Environments.newInstance(folder.resolve(ENVIRONMENT_FOLDER).toFile(), config)) {
+            environment.executeInReadonlyTransaction(transaction -> environment.getAllStoreNames(transaction).stream()
+                    .sorted()
                     .forEach(store -> appendStore(text, environment, transaction, store)));
         }
         return text.toString();
     }
 
-    private static void appendStore(StringBuilder text, Environment environment, Transaction transaction,
-            String name) {
+    private static void appendStore(StringBuilder text, Environment environment, Transaction transaction, String name) {
         var store = environment.openStore(name, StoreConfig.USE_EXISTING, transaction);
         try (Cursor cursor = store.openCursor(transaction)) {
             while (cursor.getNext()) {
-                text.append(name).append(" | ").append(text(cursor.getKey())).append(" | ")
-                        .append(text(cursor.getValue())).append('\n');
+                text.append(name)
+                        .append(" | ")
+                        .append(text(cursor.getKey()))
+                        .append(" | ")
+                        .append(text(cursor.getValue()))
+                        .append('\n');
             }
         }
     }
 
     private static String text(ByteIterable bytes) {
-        return new String(bytes.getBytesUnsafe(), 0, bytes.getLength(), StandardCharsets.UTF_8)
-                .replace("\n", "\\n");
+        return new String(bytes.getBytesUnsafe(), 0, bytes.getLength(), StandardCharsets.UTF_8).replace("\n", "\\n");
     }
 
     private static List<String> names(Path folder) throws IOException {
         List<String> names = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            files.map(file -> file.getFileName().toString()).filter(name -> !name.equals("xd.lck"))
-                    .sorted().forEach(names::add);
+            files.map(file -> file.getFileName().toString())
+                    .filter(name -> !name.equals("xd.lck"))
+                    .sorted()
+                    .forEach(names::add);
         }
         return names;
     }
--- a/src/test/java/larkbank/harbour/GoldenControllerMessagesTest.java
+++ b/src/test/java/larkbank/harbour/GoldenControllerMessagesTest.java
@@ -44,8 +44,16 @@
             new Item(new Key(Table.SERVICES, "till"), 1, Map.of("healthPath", "/healthz")),
             new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)));
     private static final Item WITHDRAWN = new Item(new Key(Table.SERVICES, "till"), 2, null);
-    private static final Berth REGISTRATION = new Berth("proxy-1", 2_000, 4, "10.0.0.5:8", "10.0.0.5:9",
-            "zone-b", "till", false, new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, 0));
+    private static final Berth REGISTRATION = new Berth(
+            "proxy-1",
+            2_000,
+            4,
+            "10.0.0.5:8",
+            "10.0.0.5:9",
+            "zone-b",
+            "till",
+            false,
+            new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, 0));
     private static final Berth WITHOUT_INSTANCE =
             new Berth("proxy-2", 2_001, 1, "10.0.0.6:8", "", "zone-a", "", true, null);
 
@@ -69,8 +77,7 @@
     }
 
     private static String registration(Berth berth) {
-        return new String(Scribe.bytes(Scribe.map("t", "berth", "berth", berth.toMap(NOW))),
-                StandardCharsets.UTF_8);
+        return new String(Scribe.bytes(Scribe.map("t", "berth", "berth", berth.toMap(NOW))), StandardCharsets.UTF_8);
     }
 
     @Test
@@ -133,11 +140,11 @@
         receives(registration(REGISTRATION));
         receives(registration(WITHOUT_INSTANCE));
         Standing stored = new Standing(FIRST, FIRST, VOTERS, ITEMS, false, 0);
-        Copies replica = new Copies(CopiesPlan.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE,
-                new SplittableRandom(1), NOW);
-        Map<String, Object> state = HarbourState.of(NOW, "controller-1", "10.0.0.1:9", "10.0.0.1:7", LIFE,
-                List.of(), replica, controller, true);
-        Golden.assertSame("messages/controller-state.txt",
-                List.of(new String(Scribe.bytes(state), StandardCharsets.UTF_8)));
+        Copies replica = new Copies(
+                CopiesPlan.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE, new SplittableRandom(1), NOW);
+        Map<String, Object> state = HarbourState.of(
+                NOW, "controller-1", "10.0.0.1:9", "10.0.0.1:7", LIFE, List.of(), replica, controller, true);
+        Golden.assertSame(
+                "messages/controller-state.txt", List.of(new String(Scribe.bytes(state), StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/larkbank/harbour/GoldenOperatorAnswersTest.java
+++ b/src/test/java/larkbank/harbour/GoldenOperatorAnswersTest.java
@@ -26,8 +26,7 @@
 
     private static String line(ProposalResult result) {
         Answer answer = OperatorDesk.answer(result);
-        return answer.status() + " " + answer.headers() + " "
-                + new String(answer.body(), StandardCharsets.UTF_8);
+        return answer.status() + " " + answer.headers() + " " + new String(answer.body(), StandardCharsets.UTF_8);
     }
 
     @Test
--- a/src/test/java/larkbank/harbour/HarbourDayTest.java
+++ b/src/test/java/larkbank/harbour/HarbourDayTest.java
@@ -30,8 +30,8 @@
                 String breach = day.run(FAULTS);
                 assertThat(breach).as("seed %s: %s", seed, day).isNull();
                 if (DAYS > 1) {
-                    System.out.println("seed " + seed + ", " + (System.nanoTime() - begun) / 1_000_000_000
-                            + " s: " + day);
+                    System.out.println(
+                            "seed " + seed + ", " + (System.nanoTime() - begun) / 1_000_000_000 + " s: " + day);
                 }
             }
         }
--- a/src/test/java/larkbank/harbour/LeaveTest.java
+++ b/src/test/java/larkbank/harbour/LeaveTest.java
@@ -25,17 +25,19 @@
             rig.join("h4");
             sendsOn(rig, "h4", List.of("h1", "h2", "h3"));
             for (String harbour : List.of("h1", "h2", "h3")) {
-                rig.await(harbour + " knows that h4 waits", () -> rig.state(harbour).body()
-                        .contains("\"standbys\":[\"" + rig.lines("h4")));
+                rig.await(
+                        harbour + " knows that h4 waits",
+                        () -> rig.state(harbour).body().contains("\"standbys\":[\"" + rig.lines("h4")));
             }
             rig.term("h2");
             rig.gone("h2");
             // It has ended after that was agreed, long before the others could take it to be silent.
-            assertThat(List.of(crew(rig, "h1"), crew(rig, "h3")))
-                    .anyMatch(crew -> !crew.contains(rig.lines("h2")));
+            assertThat(List.of(crew(rig, "h1"), crew(rig, "h3"))).anyMatch(crew -> !crew.contains(rig.lines("h2")));
             for (String harbour : List.of("h1", "h3", "h4")) {
-                rig.await(harbour + " counts h4", () -> crew(rig, harbour).contains(rig.lines("h4"))
-                        && !crew(rig, harbour).contains(rig.lines("h2")));
+                rig.await(
+                        harbour + " counts h4",
+                        () -> crew(rig, harbour).contains(rig.lines("h4"))
+                                && !crew(rig, harbour).contains(rig.lines("h2")));
             }
             rig.order("h4", OperatorChecks.order("t0", "k01", 2));
             rig.restart("h2");
@@ -56,8 +58,9 @@
     private static void sendsOn(MeshRig rig, String harbour, List<String> voters) throws Exception {
         rig.await(harbour + " sends on", () -> {
             Http.Message answer = rig.firstAnswer(harbour);
-            return answer.status() == 307 && voters.stream().anyMatch(v -> ("http://" + rig.control(v)
-                    + "/cypressweir/config/read").equals(answer.headers().get("Location")));
+            return answer.status() == 307
+                    && voters.stream().anyMatch(v -> ("http://" + rig.control(v) + "/cypressweir/config/read")
+                            .equals(answer.headers().get("Location")));
         });
     }
 }
--- a/src/test/java/larkbank/harbour/OrderTableTest.java
+++ b/src/test/java/larkbank/harbour/OrderTableTest.java
@@ -36,9 +36,15 @@
 
     /** What a call says of one item. */
     private enum Part {
-        NEW(10, 10, true), NEW_AND_INVALID(10, 10, false), STANDS(9, 9, true), STANDS_OTHERWISE(9, 1, true),
-        SUPERSEDED(5, 5, true), SUPERSEDED_OTHERWISE(5, 1, true), PASSED(7, 7, true),
-        PASSED_AND_INVALID(7, 7, false), FORGOTTEN(2, 2, true);
+        NEW(10, 10, true),
+        NEW_AND_INVALID(10, 10, false),
+        STANDS(9, 9, true),
+        STANDS_OTHERWISE(9, 1, true),
+        SUPERSEDED(5, 5, true),
+        SUPERSEDED_OTHERWISE(5, 1, true),
+        PASSED(7, 7, true),
+        PASSED_AND_INVALID(7, 7, false),
+        FORGOTTEN(2, 2, true);
 
         private final long version;
         private final int which;
@@ -51,8 +57,8 @@
         }
 
         private String of(String tenant) {
-            return "\"" + tenant + "\":{\"apiKeys\":[\"" + tenant + which + "\"],\"ratePerS\":"
-                    + (valid ? 1 : -1) + ",\"configVersion\":\"r" + version + "\"}";
+            return "\"" + tenant + "\":{\"apiKeys\":[\"" + tenant + which + "\"],\"ratePerS\":" + (valid ? 1 : -1)
+                    + ",\"configVersion\":\"r" + version + "\"}";
         }
 
         private String title() {
@@ -66,10 +72,9 @@
         private ProposalResult result;
 
         private Alone() {
-            Standing before = new Standing(new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"),
-                    List.of(item("a"), item("b")), false);
-            copies = new Copies(CopiesPlan.usual(), "h", List.of("h"), false, before, 1,
-                    new SplittableRandom(1), 0);
+            Standing before = new Standing(
+                    new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"), List.of(item("a"), item("b")), false);
+            copies = new Copies(CopiesPlan.usual(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
             act(copies.start(0));
             send(null);
         }
@@ -77,9 +82,15 @@
         private static Item item(String tenant) {
             Item first = order(Part.SUPERSEDED.of(tenant)).items().get(0);
             Item five = new Item(first.key(), first.version(), first.content(), List.of(), FLOOR);
-            Copies one = new Copies(CopiesPlan.usual(), "h", List.of("h"), false, new Standing(
-                    new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"), List.of(five), false), 1,
-                    new SplittableRandom(1), 0);
+            Copies one = new Copies(
+                    CopiesPlan.usual(),
+                    "h",
+                    List.of("h"),
+                    false,
+                    new Standing(new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"), List.of(five), false),
+                    1,
+                    new SplittableRandom(1),
+                    0);
             act(one, one.start(0));
             act(one, one.submit(0, 1, order(Part.STANDS.of(tenant)), PATIENCE));
             return one.shown().manifest().get(first.key());
@@ -102,7 +113,7 @@
         private static ProposalResult act(Copies copies, List<Effect> effects) {
             Deque<Effect> due = new ArrayDeque<>(effects);
             ProposalResult result = null;
-            for (Effect effect; (effect = due.poll()) != null;) {
+            for (Effect effect; (effect = due.poll()) != null; ) {
                 if (effect instanceof Effect.Write write) {
                     due.addAll(copies.written(0, write.number(), true));
                 } else if (effect instanceof Effect.Answer answer) {
@@ -115,7 +126,8 @@
 
     private static Order order(String... parts) {
         return Order.read(("{\"upsert\":{\"tenantTable\":{" + String.join(",", parts) + "}}}")
-                .getBytes(StandardCharsets.UTF_8)).get();
+                        .getBytes(StandardCharsets.UTF_8))
+                .get();
     }
 
     /** The answer, in bold where something comes into force. Sent again at once it is the same. */
@@ -136,10 +148,15 @@
         }
         table.append("\n|").append(" --- |".repeat(2 + Part.values().length)).append('\n');
         for (Part first : Part.values()) {
-            table.append("| ").append(first.title()).append(" | ").append(answer(first.of("a"))).append(" |");
+            table.append("| ")
+                    .append(first.title())
+                    .append(" | ")
+                    .append(answer(first.of("a")))
+                    .append(" |");
             for (Part second : Part.values()) {
                 String answer = answer(first.of("a"), second.of("b"));
-                assertThat(answer).isEqualTo(answer(first.of("b"), second.of("a")))
+                assertThat(answer)
+                        .isEqualTo(answer(first.of("b"), second.of("a")))
                         .isEqualTo(answer(second.of("a"), first.of("b")));
                 table.append(' ').append(answer).append(" |");
             }
@@ -167,8 +184,8 @@
     }
 
     private static String tenant(long version, String key) {
-        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
-                + "\"],\"configVersion\":\"r" + version + "\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r" + version
+                + "\"}}}}";
     }
 
     private static void until(CopiesWorld world, BooleanSupplier holds) {
@@ -230,8 +247,13 @@
         world.run(8_000_000);
         List<Object> stands = new ArrayList<>();
         for (int harbour = 1; harbour <= 3; harbour++) {
-            stands.add(world.harbour(harbour).copies().shown().manifest().get(new Key(Table.TENANTS, "t"))
-                    .content().get("apiKeys"));
+            stands.add(world.harbour(harbour)
+                    .copies()
+                    .shown()
+                    .manifest()
+                    .get(new Key(Table.TENANTS, "t"))
+                    .content()
+                    .get("apiKeys"));
             long third = world.submit(world.harbour(harbour), tenant(5, "it"), PATIENCE);
             assertThat(OperatorDesk.answer(world.await(third)).status()).isEqualTo(status);
         }
@@ -242,10 +264,13 @@
 
     private static String lost() {
         StringBuilder table = new StringBuilder(
-                "| the answer was lost, and | sent again elsewhere | what stands then |\n"
-                + "| --- | --- | --- |\n");
+                "| the answer was lost, and | sent again elsewhere | what stands then |\n" + "| --- | --- | --- |\n");
         for (Lost lost : Lost.values()) {
-            table.append("| ").append(lost.title).append(" | ").append(again(lost)).append(" |\n");
+            table.append("| ")
+                    .append(lost.title)
+                    .append(" | ")
+                    .append(again(lost))
+                    .append(" |\n");
         }
         return table.toString();
     }
--- a/src/test/java/larkbank/harbour/WorstDaysTest.java
+++ b/src/test/java/larkbank/harbour/WorstDaysTest.java
@@ -43,19 +43,23 @@
     private static final boolean CONFIRMED = Boolean.getBoolean("harbour.confirmed");
     /** Whether a majority stands, as soon as a successor has had its time, without whom it replaced. */
     private static final boolean REPLACED = Boolean.getBoolean("harbour.replaced");
+
     private static final int CUT_SECONDS = FULL ? 20 : 3;
     /** Over each time-out of the lines. */
     private static final int SILENCE_SECONDS = FULL ? 10 : 5;
+
     private static final int SYNC_SECONDS = 4;
     private static final int CHANGES = FULL ? 1_000 : 60;
     private static final int ROUNDS = REPEATS ? 40 : 6;
     /** Who was away is up to date within this, its own start among it. */
     private static final int CAUGHT_UP_MILLIS = 5_000;
+
     private static final int CALLERS = 24;
     private static final List<String> HARBOURS = List.of("h1", "h2", "h3");
 
     @TempDir
     private Path folder;
+
     private MeshRig rig;
     private final OperatorChecks checks = new OperatorChecks();
     private final AtomicLong versions = new AtomicLong();
@@ -89,13 +93,15 @@
     }
 
     private static Thread side(Step step, Queue<Throwable> failed) {
-        Thread thread = new Thread(() -> {
-            try {
-                step.run();
-            } catch (Exception | AssertionError e) {
-                failed.add(e);
-            }
-        }, "side");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        step.run();
+                    } catch (Exception | AssertionError e) {
+                        failed.add(e);
+                    }
+                },
+                "side");
         thread.start();
         return thread;
     }
@@ -158,26 +164,35 @@
                     side(() -> there.set(operate(List.of("h1"), until)), failed),
                     side(() -> here.set(operate(List.of("h2", "h3"), until)), failed),
                     side(() -> old.set(asked("p2", until)), failed));
-            rig.await("the change is at p1", () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
+            rig.await(
+                    "the change is at p1",
+                    () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
             for (Thread side : sides) {
                 side.join();
             }
             assertThat(failed).isEmpty();
-            assertThat(there).as("orders acknowledged by a harbour that is cut off").hasValue(0);
+            assertThat(there)
+                    .as("orders acknowledged by a harbour that is cut off")
+                    .hasValue(0);
             assertThat(here.get()).as("orders acknowledged by the others").isPositive();
             if (CONFIRMED) {
-                assertThat(old).as("served by a pilot that has heard nobody but a harbour that is cut off")
+                assertThat(old)
+                        .as("served by a pilot that has heard nobody but a harbour that is cut off")
                         .hasValue(0);
             }
             System.out.println(way + ": " + here + " acknowledged, " + old + " requests served by what stood "
                     + "before, at the pilot that reaches only the harbour that is cut off");
             relay.join();
             allRead();
-            rig.await("the change is at p2", () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
+            rig.await(
+                    "the change is at p2",
+                    () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
             assertThat(rig.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
             rig.order("h1", setup("old.mesh", route + 1));
-            rig.await("p1 and p2 follow", () -> rig.request("p1", "old.mesh", "/", null).status() == 200
-                    && rig.request("p2", "old.mesh", "/", null).status() == 200);
+            rig.await(
+                    "p1 and p2 follow",
+                    () -> rig.request("p1", "old.mesh", "/", null).status() == 200
+                            && rig.request("p2", "old.mesh", "/", null).status() == 200);
         }
     }
 
@@ -200,26 +215,32 @@
         List<String> winners = new ArrayList<>();
         List<String> losers = new ArrayList<>();
         for (int n = 1; n <= ROUNDS; n++) {
-            List<String> both = List.of(OperatorChecks.order("t", "a" + n, n),
-                    OperatorChecks.order("t", "b" + n, n));
+            List<String> both = List.of(OperatorChecks.order("t", "a" + n, n), OperatorChecks.order("t", "b" + n, n));
             List<String> at = List.of(HARBOURS.get(n % 3), HARBOURS.get((n + 1) % 3));
             if (n % 3 == 0) {
                 rig.relay().cut(at.get(0), List.of(at.get(1)), Way.RESET, Way.RESET);
             }
             Queue<Throwable> failed = new ConcurrentLinkedQueue<>();
             boolean lost = n % 2 == 0;
-            List<Thread> operators = IntStream.range(0, 2).mapToObj(i -> side(() -> {
-                try {
-                    if (lost) {
-                        rig.sendAndLeave(at.get(i), both.get(i));
-                    } else {
-                        checks.modified(both.get(i), rig.modify(at.get(i), both.get(i)).status());
-                    }
-                } catch (ConnectException e) {
-                    // It starts again just now: what is sent everywhere decides.
-                    return;
-                }
-            }, failed)).toList();
+            List<Thread> operators = IntStream.range(0, 2)
+                    .mapToObj(i -> side(
+                            () -> {
+                                try {
+                                    if (lost) {
+                                        rig.sendAndLeave(at.get(i), both.get(i));
+                                    } else {
+                                        checks.modified(
+                                                both.get(i),
+                                                rig.modify(at.get(i), both.get(i))
+                                                        .status());
+                                    }
+                                } catch (ConnectException e) {
+                                    // It starts again just now: what is sent everywhere decides.
+                                    return;
+                                }
+                            },
+                            failed))
+                    .toList();
             for (Thread operator : operators) {
                 operator.join();
             }
@@ -264,7 +285,8 @@
         begin(List.of(), 3);
         for (String wiped : FULL ? List.of("h1", "h2", "h3", "h1") : List.of("h1", "h2")) {
             rig.wipe(wiped);
-            List<String> others = HARBOURS.stream().filter(h -> !h.equals(wiped)).toList();
+            List<String> others =
+                    HARBOURS.stream().filter(h -> !h.equals(wiped)).toList();
             othersGoOn(others, wiped);
         }
         allRead();
@@ -302,11 +324,12 @@
     /** Until a harbour with an empty disk has had its time, and answers. */
     private void othersGoOn(List<String> others, String fresh) throws InterruptedException {
         long since = System.nanoTime();
-        assertThat(operate(others, in(SYNC_SECONDS))).as(() -> "acknowledged by " + others + rig.said())
+        assertThat(operate(others, in(SYNC_SECONDS)))
+                .as(() -> "acknowledged by " + others + rig.said())
                 .isPositive();
         rig.await(fresh + " reads", () -> read(fresh));
-        System.out.println(fresh + " began with an empty disk and reads after "
-                + (System.nanoTime() - since) / 1_000_000 + " ms");
+        System.out.println(
+                fresh + " began with an empty disk and reads after " + (System.nanoTime() - since) / 1_000_000 + " ms");
     }
 
     @Test
@@ -336,14 +359,19 @@
         int target = CHANGES;
         AtomicInteger taken = new AtomicInteger();
         Queue<Throwable> failed = new ConcurrentLinkedQueue<>();
-        List<Thread> operators = IntStream.range(0, 8).mapToObj(i -> side(() -> {
-            while (taken.get() < target) {
-                String order = OperatorChecks.order("t" + i, "k" + i, versions.incrementAndGet());
-                int status = rig.modify(i % 2 == 0 ? "h1" : "h2", order).status();
-                checks.modified(order, status);
-                taken.addAndGet(status == 200 ? 1 : 0);
-            }
-        }, failed)).toList();
+        List<Thread> operators = IntStream.range(0, 8)
+                .mapToObj(i -> side(
+                        () -> {
+                            while (taken.get() < target) {
+                                String order = OperatorChecks.order("t" + i, "k" + i, versions.incrementAndGet());
+                                int status = rig.modify(i % 2 == 0 ? "h1" : "h2", order)
+                                        .status();
+                                checks.modified(order, status);
+                                taken.addAndGet(status == 200 ? 1 : 0);
+                            }
+                        },
+                        failed))
+                .toList();
         for (Thread operator : operators) {
             operator.join();
         }
@@ -355,8 +383,7 @@
         Map<String, Long> newest = checks.floor();
         rig.await("h3 reads", () -> read("h3"));
         long millis = (System.nanoTime() - since) / 1_000_000;
-        System.out.println("h3 was " + what + " through " + CHANGES + " changes: up to date after " + millis
-                + " ms");
+        System.out.println("h3 was " + what + " through " + CHANGES + " changes: up to date after " + millis + " ms");
         assertThat(millis).isLessThan(CAUGHT_UP_MILLIS);
         rig.kill(ends);
         rig.order("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
@@ -374,32 +401,37 @@
     @Test
     void aCallThatMayNotBeRepeatedRunsOnce() throws Exception {
         begin(List.of("gate", "orders", "orders", "orders", "orders", "orders"), 1);
-        List<Ships> servers = IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
+        List<Ships> servers =
+                IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
         servers.forEach(server -> server.takes(150));
         Queue<String> ids = new ConcurrentLinkedQueue<>();
         Queue<Throwable> failed = new ConcurrentLinkedQueue<>();
         AtomicInteger served = new AtomicInteger();
         AtomicInteger other = new AtomicInteger();
         long[] until = {Long.MAX_VALUE};
-        List<Thread> callers = IntStream.range(0, CALLERS).mapToObj(i -> side(() -> {
-            while (System.nanoTime() - until[0] < 0) {
-                String id = rig.id();
-                ids.add(id);
-                try {
-                    Http.Message answer = rig.request("p1", "old.mesh", "/", null, id);
-                    if (answer.status() == 200) {
-                        assertThat(answer.body()).isEqualTo("ran of " + id);
-                        assertThat(answer.headers()).containsEntry(Ships.ID, id);
-                        assertThat(runs(servers, id)).isEqualTo(1);
-                        served.incrementAndGet();
-                    } else {
-                        other.incrementAndGet();
-                    }
-                } catch (IOException e) {
-                    other.incrementAndGet();
-                }
-            }
-        }, failed)).toList();
+        List<Thread> callers = IntStream.range(0, CALLERS)
+                .mapToObj(i -> side(
+                        () -> {
+                            while (System.nanoTime() - until[0] < 0) {
+                                String id = rig.id();
+                                ids.add(id);
+                                try {
+                                    Http.Message answer = rig.request("p1", "old.mesh", "/", null, id);
+                                    if (answer.status() == 200) {
+                                        assertThat(answer.body()).isEqualTo("ran of " + id);
+                                        assertThat(answer.headers()).containsEntry(Ships.ID, id);
+                                        assertThat(runs(servers, id)).isEqualTo(1);
+                                        served.incrementAndGet();
+                                    } else {
+                                        other.incrementAndGet();
+                                    }
+                                } catch (IOException e) {
+                                    other.incrementAndGet();
+                                }
+                            }
+                        },
+                        failed))
+                .toList();
         for (Ships server : servers) {
             rig.await(server.instance() + " serves", () -> server.runs() > 5);
         }
@@ -438,12 +470,12 @@
             int runs = server.runs();
             relay.cut("p1", List.of("p6"), Way.RESET, Way.RESET);
             relay.cut("p1", List.of("p6"), Way.PASS, Way.PASS);
-            rig.await("p6 serves again, or all callers wait for others", () -> server.runs() > runs + 3
-                    || System.nanoTime() >= until);
+            rig.await(
+                    "p6 serves again, or all callers wait for others",
+                    () -> server.runs() > runs + 3 || System.nanoTime() >= until);
         }
     }
 
-
     private static int runs(List<Ships> servers, String id) {
         return servers.stream().mapToInt(server -> server.runs(id)).sum();
     }
--- a/src/test/java/larkbank/hold/LongDayTest.java
+++ b/src/test/java/larkbank/hold/LongDayTest.java
@@ -25,7 +25,9 @@
 
     private long size() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            return files.filter(Files::isRegularFile).mapToLong(f -> f.toFile().length()).sum();
+            return files.filter(Files::isRegularFile)
+                    .mapToLong(f -> f.toFile().length())
+                    .sum();
         }
     }
 
@@ -33,12 +35,19 @@
     void takesNoMoreThanStatedWhateverItsLength() throws IOException {
         long most = 0;
         try (Store store = new XodusStore(folder.resolve("copy"))) {
-            store.write(StoreContract.whole(1, IntStream.range(0, ITEMS)
-                    .mapToObj(i -> StoreContract.item("t" + i, 1, 20)).toArray(Item[]::new)));
+            store.write(StoreContract.whole(
+                    1,
+                    IntStream.range(0, ITEMS)
+                            .mapToObj(i -> StoreContract.item("t" + i, 1, 20))
+                            .toArray(Item[]::new)));
             for (int i = 1; i <= CHANGES; i++) {
                 store.write(new Change(StoreContract.stamp(2 * i), null, null, List.of(), false));
-                store.write(new Change(StoreContract.stamp(2 * i), StoreContract.stamp(2 * i), null,
-                        List.of(StoreContract.item("t" + i * 7 % ITEMS, i + 1, 20)), false));
+                store.write(new Change(
+                        StoreContract.stamp(2 * i),
+                        StoreContract.stamp(2 * i),
+                        null,
+                        List.of(StoreContract.item("t" + i * 7 % ITEMS, i + 1, 20)),
+                        false));
                 most = Math.max(most, size());
             }
         }
--- a/src/test/java/larkbank/hold/LostNamesTest.java
+++ b/src/test/java/larkbank/hold/LostNamesTest.java
@@ -46,6 +46,7 @@
     private final class Watched extends Folders {
         /** What each name may be since its folder's last sync: contents, or null where it is not there. */
         private final Map<String, List<byte[]>> choices = new TreeMap<>();
+
         private final Set<String> forced = new HashSet<>();
         private final Set<String> moved = new HashSet<>();
 
@@ -94,7 +95,8 @@
             if (Files.exists(copy)) {
                 try (Stream<Path> all = Files.walk(copy)) {
                     for (Path file : all.filter(f -> !f.equals(copy)).toList()) {
-                        tree.put(copy.relativize(file).toString(),
+                        tree.put(
+                                copy.relativize(file).toString(),
                                 Files.isDirectory(file) ? DIRECTORY : Files.readAllBytes(file));
                     }
                 }
@@ -107,8 +109,7 @@
             Map<String, byte[]> now = tree();
             new TreeSet<>(choices.keySet()).forEach(name -> now.putIfAbsent(name, null));
             now.forEach((name, content) -> {
-                List<byte[]> its = choices.computeIfAbsent(name, n -> new ArrayList<>(Arrays.asList(
-                        (byte[]) null)));
+                List<byte[]> its = choices.computeIfAbsent(name, n -> new ArrayList<>(Arrays.asList((byte[]) null)));
                 boolean made = its.contains(null);
                 if (its.get(0) != null && content != null && its.size() == 1 && !moved.contains(name)) {
                     // Its name stands; what its own sync covers is the matter of TornFilesTest.
@@ -116,7 +117,10 @@
                 } else if (its.stream().noneMatch(c -> Arrays.equals(c, content))) {
                     its.add(content);
                 }
-                if (made && content != null && content != DIRECTORY && !forced.contains(name)
+                if (made
+                        && content != null
+                        && content != DIRECTORY
+                        && !forced.contains(name)
                         && its.stream().noneMatch(c -> c != null && c.length == 0)) {
                     its.add(EMPTY);
                     if (acknowledged == null) {
@@ -141,7 +145,8 @@
 
     private void opens(Map<String, byte[]> left) throws IOException {
         StringBuilder names = new StringBuilder();
-        left.forEach((name, content) -> names.append(content == null ? " -" : " ").append(name));
+        left.forEach(
+                (name, content) -> names.append(content == null ? " -" : " ").append(name));
         if (!seen.add(names + " " + Objects.hash(acknowledged, underWay)
                 + left.values().stream().map(Arrays::hashCode).toList())) {
             return;
@@ -178,8 +183,8 @@
             LostNamesTest test = new LostNamesTest();
             test.folder = Files.createDirectory(folder.resolve("names" + way));
             try {
-                test.everySubsetOfNamesOpensWithWhatWasAcknowledged(way == 0 ? 1 << 20 : 16 << 10,
-                        way == 0 ? 32 : 1024, way == 0 ? 14 : 6, 2 - way);
+                test.everySubsetOfNamesOpensWithWhatWasAcknowledged(
+                        way == 0 ? 1 << 20 : 16 << 10, way == 0 ? 32 : 1024, way == 0 ? 14 : 6, 2 - way);
             } catch (AssertionError | IOException e) {
                 return String.valueOf(e);
             }
@@ -204,9 +209,16 @@
         try (XodusStore store = new XodusStore(copy, large, kib, watched)) {
             watched.crash();
             for (int i = 1; i < writes; i++) {
-                write(store, i % 4 == 1 ? StoreContract.whole(i, StoreContract.item("a", i, 9_000))
-                        : new Change(StoreContract.stamp(i), StoreContract.stamp(i), null,
-                        List.of(StoreContract.item("b" + i % 2, i, 2_000)), false));
+                write(
+                        store,
+                        i % 4 == 1
+                                ? StoreContract.whole(i, StoreContract.item("a", i, 9_000))
+                                : new Change(
+                                        StoreContract.stamp(i),
+                                        StoreContract.stamp(i),
+                                        null,
+                                        List.of(StoreContract.item("b" + i % 2, i, 2_000)),
+                                        false));
                 watched.crash();
             }
         }
--- a/src/test/java/larkbank/hold/StoreContract.java
+++ b/src/test/java/larkbank/hold/StoreContract.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import larkbank.copies.Change;
 import larkbank.copies.Ballot;
+import larkbank.copies.Change;
 import larkbank.copies.Standing;
 import larkbank.manifest.Item;
 import larkbank.manifest.Key;
@@ -30,7 +30,10 @@
     }
 
     static Item item(String name, long version, int length) {
-        return new Item(new Key(Table.TENANTS, name), version, Map.of("apiKeys", List.of("k".repeat(length))),
+        return new Item(
+                new Key(Table.TENANTS, name),
+                version,
+                Map.of("apiKeys", List.of("k".repeat(length))),
                 List.of(new Past(version - 1, "p")));
     }
 
@@ -46,15 +49,14 @@
         store.write(whole(1, item("a", 1, 3), gone));
         store.write(new Change(stamp(5), null, null, List.of(), false));
         store.write(new Change(stamp(6), stamp(6), null, List.of(item("a", 2, 4), item("b", 1, 1)), false));
-        Standing expected = new Standing(stamp(6), stamp(6), CREW,
-                List.of(gone, item("a", 2, 4), item("b", 1, 1)), false);
+        Standing expected =
+                new Standing(stamp(6), stamp(6), CREW, List.of(gone, item("a", 2, 4), item("b", 1, 1)), false);
         assertThat(store.load()).contains(expected);
         store = again(store);
         assertThat(store.load()).contains(expected);
         store.write(whole(9, item("c", 1, 1)));
         store = again(store);
-        assertThat(store.load()).contains(
-                new Standing(stamp(9), stamp(9), CREW, List.of(item("c", 1, 1)), false));
+        assertThat(store.load()).contains(new Standing(stamp(9), stamp(9), CREW, List.of(item("c", 1, 1)), false));
         store.write(new Change(stamp(12), null, null, List.of(), false));
         assertThat(store.load().orElseThrow().accepted()).isEqualTo(stamp(9));
         assertThat(store.load().orElseThrow().hearsay()).isFalse();
@@ -68,8 +70,12 @@
     @Test
     void takesManyWrites() throws IOException {
         Store store = open();
-        store.write(new Change(stamp(1), stamp(1), CREW,
-                IntStream.range(0, 300).mapToObj(i -> item("t" + i, 1, 200)).toList(), true));
+        store.write(new Change(
+                stamp(1),
+                stamp(1),
+                CREW,
+                IntStream.range(0, 300).mapToObj(i -> item("t" + i, 1, 200)).toList(),
+                true));
         for (int i = 2; i < 900; i++) {
             store.write(new Change(stamp(i), stamp(i), null, List.of(item("t" + i % 300, i, 3_000)), false));
             look(i);
@@ -82,5 +88,5 @@
     }
 
     /** Looks at what is there after that many writes. */
-    void look(int writes) throws IOException { }
+    void look(int writes) throws IOException {}
 }
--- a/src/test/java/larkbank/hold/TornFilesTest.java
+++ b/src/test/java/larkbank/hold/TornFilesTest.java
@@ -27,7 +27,7 @@
     private static final String WITNESS = "written";
 
     /** The files after a write has come back, and what stands then. */
-    private record Moment(Map<String, byte[]> files, Standing standing) { }
+    private record Moment(Map<String, byte[]> files, Standing standing) {}
 
     private final Moment[] moments = new Moment[7];
 
@@ -38,11 +38,22 @@
     void history() throws IOException {
         Path copy = folder.resolve("copy");
         List<Change> changes = List.of(
-                StoreContract.whole(1, StoreContract.item("a", 1, 3)), promise(2),
-                new Change(StoreContract.stamp(2), StoreContract.stamp(2), null,
-                        List.of(StoreContract.item("b", 1, 2_600), StoreContract.item("c", 1, 5)), false),
-                promise(4), new Change(StoreContract.stamp(4), StoreContract.stamp(4), StoreContract.CREW,
-                        List.of(StoreContract.item("b", 2, 700)), false), promise(5),
+                StoreContract.whole(1, StoreContract.item("a", 1, 3)),
+                promise(2),
+                new Change(
+                        StoreContract.stamp(2),
+                        StoreContract.stamp(2),
+                        null,
+                        List.of(StoreContract.item("b", 1, 2_600), StoreContract.item("c", 1, 5)),
+                        false),
+                promise(4),
+                new Change(
+                        StoreContract.stamp(4),
+                        StoreContract.stamp(4),
+                        StoreContract.CREW,
+                        List.of(StoreContract.item("b", 2, 700)),
+                        false),
+                promise(5),
                 StoreContract.whole(7, StoreContract.item("c", 2, 900)));
         try (Store store = new XodusStore(copy)) {
             for (int i = 0; i < moments.length; i++) {
@@ -93,7 +104,9 @@
             if (store.damaged()) {
                 assertThat(store.setAside()).isPresent();
                 assertThat(store.load()).isEmpty();
-                assertThat(files(copy.resolve("aside-1"))).as("kept for an operator").isNotEmpty();
+                assertThat(files(copy.resolve("aside-1")))
+                        .as("kept for an operator")
+                        .isNotEmpty();
                 return null;
             }
             found = store.load().orElseThrow();
@@ -129,12 +142,15 @@
     void aWriteThatPowerTookLeavesTheStateBeforeOrAfterIt() throws IOException {
         for (int i = 1; i < moments.length; i++) {
             byte[][] logs = {moments[i - 1].files.get(LOG), moments[i].files.get(LOG)};
-            assertThat(Arrays.mismatch(logs[0], logs[1])).as("Xodus only appends").isEqualTo(logs[0].length);
+            assertThat(Arrays.mismatch(logs[0], logs[1]))
+                    .as("Xodus only appends")
+                    .isEqualTo(logs[0].length);
             Map<String, byte[]> files = new TreeMap<>(moments[i - 1].files);
             for (int at = logs[0].length / SECTOR * SECTOR; at < logs[1].length; at += SECTOR) {
                 for (int way = 0; way < LEFT.size(); way++) {
                     files.put(LOG, LEFT.get(way).apply(logs, at));
-                    assertThat(opened(files, way == 1)).as("write %s, sector at %s, way %s", i, at, way)
+                    assertThat(opened(files, way == 1))
+                            .as("write %s, sector at %s, way %s", i, at, way)
                             .isIn(moments[i - 1].standing, moments[i].standing);
                 }
             }
@@ -150,8 +166,7 @@
         for (int at = 0; at < log.length; at += SECTOR) {
             byte[] flipped = log.clone();
             flipped[at + (log.length - at) % SECTOR / 2] ^= 4;
-            for (byte[] damaged : List.of(flipped, Arrays.copyOf(log, at),
-                    mixed(log, new byte[0], at, at + SECTOR))) {
+            for (byte[] damaged : List.of(flipped, Arrays.copyOf(log, at), mixed(log, new byte[0], at, at + SECTOR))) {
                 files.put(LOG, damaged);
                 Standing found = opened(files, false);
                 assertThat(found).as("sector at %s", at).isIn(null, last.standing);
--- a/src/test/java/larkbank/hold/WitnessTest.java
+++ b/src/test/java/larkbank/hold/WitnessTest.java
@@ -34,7 +34,9 @@
                 Files.write(torn, mixed);
                 try (Witness witness = new Witness(torn)) {
                     long right = Arrays.equals(mixed, after) ? 100 : Arrays.equals(mixed, before) ? 99 : 0;
-                    assertThat(witness.number()).as("new from %d to %d", first, last).isEqualTo(right);
+                    assertThat(witness.number())
+                            .as("new from %d to %d", first, last)
+                            .isEqualTo(right);
                 }
             }
         }
--- a/src/test/java/larkbank/hold/XodusStoreTest.java
+++ b/src/test/java/larkbank/hold/XodusStoreTest.java
@@ -75,9 +75,11 @@
                 assertThat(store.setAside()).isEmpty();
             }
             assertThat(Folders.names(folder.resolve("copy")).stream().filter(n -> n.startsWith("aside")))
-                    .hasSize(Math.min(i, 2)).contains("aside-" + i);
+                    .hasSize(Math.min(i, 2))
+                    .contains("aside-" + i);
         }
-        assertThat(Files.exists(folder.resolve("copy/aside-4/1/00000000000.xd"))).isTrue();
+        assertThat(Files.exists(folder.resolve("copy/aside-4/1/00000000000.xd")))
+                .isTrue();
     }
 
     /** A disk that is full or refuses reads is not judged: all is there once it is free again. */
@@ -109,8 +111,7 @@
         Path current = folder.resolve("copy/1");
         Path away = folder.resolve("away");
         Files.move(current, away);
-        assertThatThrownBy(() -> store.write(whole(2, item("a", 2, 2_000_000))))
-                .isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> store.write(whole(2, item("a", 2, 2_000_000)))).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> store.write(whole(3))).isInstanceOf(IOException.class);
         Files.move(away, current);
         store.write(whole(4, item("a", 4, 10)));
--- a/src/test/java/larkbank/lab/ClaimChecks.java
+++ b/src/test/java/larkbank/lab/ClaimChecks.java
@@ -15,6 +15,7 @@
     static final long HOLD = 1_000_000;
     /** For which what is in use stays so at a process that stands still, where it does. */
     private static final long LINGER = 3 * HOLD;
+
     private static final int MOST = 40;
     private static final long BEAT = 20_000;
 
@@ -46,7 +47,7 @@
 
         /** Plays on, and adds up what all that run may use, at each moment. */
         void run(long micros) {
-            for (long until = net.now() + micros; net.now() < until;) {
+            for (long until = net.now() + micros; net.now() < until; ) {
                 net.run(net.now() + BEAT / 4);
                 double sum = 0;
                 for (One one : all) {
@@ -74,6 +75,7 @@
         final Portion portion;
         /** What it has open while it stands still, until its other ends close it; 0 for never. */
         double left;
+
         long leftUntil;
 
         One(World world, int place, double rate, long origin) {
@@ -83,10 +85,20 @@
             this.origin = origin;
             InetSocketAddress own = Fellows.address(place);
             self = new Peer("p" + place, world.random.nextLong(), 1, 1, own);
-            SharePlan plan = new SharePlan(IntStream.range(0, world.electors).mapToObj(Fellows::address)
-                    .toList(), HOLD, world.linger, MOST);
-            portion = new Portion(clock(), plan, own, world.random.nextLong(1L << 40), (to, m) ->
-                    world.net.send(place, to.getPort() - Fellows.address(0).getPort(), m));
+            SharePlan plan = new SharePlan(
+                    IntStream.range(0, world.electors)
+                            .mapToObj(Fellows::address)
+                            .toList(),
+                    HOLD,
+                    world.linger,
+                    MOST);
+            portion = new Portion(
+                    clock(),
+                    plan,
+                    own,
+                    world.random.nextLong(1L << 40),
+                    (to, m) -> world.net.send(
+                            place, to.getPort() - Fellows.address(0).getPort(), m));
         }
 
         long clock() {
@@ -121,7 +133,7 @@
         }
     }
 
-    private ClaimChecks() { }
+    private ClaimChecks() {}
 
     private static void hold(boolean holds, String what, long seed) {
         if (!holds) {
@@ -149,8 +161,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < 25; run++) {
             int members = 3 + random.nextInt(6);
-            World w = new World(seed * 100 + run, members, random.nextBoolean() ? 3 : 1, 0.04,
-                    random.nextBoolean() ? LINGER : 0);
+            World w = new World(
+                    seed * 100 + run, members, random.nextBoolean() ? 3 : 1, 0.04, random.nextBoolean() ? LINGER : 0);
             for (int step = 0; step < 14; step++) {
                 fault(w, random, members);
                 w.run(random.nextLong(4 * HOLD + w.linger));
--- a/src/test/java/larkbank/lab/ClaimTest.java
+++ b/src/test/java/larkbank/lab/ClaimTest.java
@@ -38,7 +38,8 @@
         assertEquals(1, elector.ask(1_100, "a").count());
         assertEquals(2, elector.ask(1_200, "b").count());
         assertNull(elector.ask(1_300, "c"), "more than it keeps");
-        assertNotEquals(elector.ask(1_400, "a").digest(), elector.ask(2_210, "a").digest());
+        assertNotEquals(
+                elector.ask(1_400, "a").digest(), elector.ask(2_210, "a").digest());
         assertEquals(1, elector.ask(2_300, "a").count(), "b has been silent for the release");
     }
 
--- a/src/test/java/larkbank/lab/ClaimWalk.java
+++ b/src/test/java/larkbank/lab/ClaimWalk.java
@@ -24,15 +24,16 @@
 
     /** Ticks of the walk; the release is 2.2 holds. */
     private static final long HOLD = 120;
+
     private static final long TURN = HOLD / 2;
 
     /** What there is, and what may happen. */
-    record Shape(int processes, int electors, boolean late, int restarts) { }
+    record Shape(int processes, int electors, boolean late, int restarts) {}
 
     /** How far a walk came: states, steps between them, and the first breach's history or null. */
-    record Result(long states, long steps, boolean whole, double most, String breach) { }
+    record Result(long states, long steps, boolean whole, double most, String breach) {}
 
-    private record Answer(int elector, long asked, Grant grant) { }
+    private record Answer(int elector, long asked, Grant grant) {}
 
     private static final class World {
         final Shape shape;
@@ -84,8 +85,7 @@
         /** What comes of one turn: a fate for each elector in base four, and who starts anew, or -1. */
         World next(int fates, int restart) {
             World next = new World(this);
-            next.step = "p" + turn + " " + Integer.toString(fates, 4)
-                    + (restart < 0 ? "" : " anew " + restart);
+            next.step = "p" + turn + " " + Integer.toString(fates, 4) + (restart < 0 ? "" : " anew " + restart);
             next.play(fates, restart);
             return next;
         }
@@ -148,8 +148,11 @@
                 parts[e] = part.toString();
             }
             Arrays.sort(parts);
-            StringBuilder all = new StringBuilder().append(turn).append(restarts)
-                    .append(Arrays.toString(lives)).append(Arrays.toString(parts));
+            StringBuilder all = new StringBuilder()
+                    .append(turn)
+                    .append(restarts)
+                    .append(Arrays.toString(lives))
+                    .append(Arrays.toString(parts));
             for (Claim c : claims) {
                 String state = c.state(now);
                 all.append(state, state.lastIndexOf(' '), state.length());
@@ -162,7 +165,7 @@
         }
     }
 
-    private ClaimWalk() { }
+    private ClaimWalk() {}
 
     /** Walks breadth first, so that the first breach is a shortest one; at most so many states. */
     static Result walk(Shape shape, long most) {
@@ -208,8 +211,13 @@
         for (String world : args[0].split(",")) {
             String[] parts = world.split(":");
             long begun = System.nanoTime();
-            Result r = walk(new Shape(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]),
-                    Boolean.parseBoolean(parts[2]), Integer.parseInt(parts[3])), Long.parseLong(parts[4]));
+            Result r = walk(
+                    new Shape(
+                            Integer.parseInt(parts[0]),
+                            Integer.parseInt(parts[1]),
+                            Boolean.parseBoolean(parts[2]),
+                            Integer.parseInt(parts[3])),
+                    Long.parseLong(parts[4]));
             System.out.println(world + ": " + r.states + " states, " + r.steps + " steps, "
                     + (r.whole ? "all" : "cut off") + ", at most " + r.most + " in use, "
                     + (System.nanoTime() - begun) / 1_000_000 + " ms"
--- a/src/test/java/larkbank/lab/FellowsChecks.java
+++ b/src/test/java/larkbank/lab/FellowsChecks.java
@@ -29,7 +29,7 @@
         void run(long seed);
     }
 
-    private FellowsChecks() { }
+    private FellowsChecks() {}
 
     static Map<String, Check> all() {
         Map<String, Check> all = new LinkedHashMap<>();
@@ -92,8 +92,11 @@
         hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
         for (Fellow x : f.all()) {
             for (Map.Entry<String, Membership.Seen> m : x.core().members().entrySet()) {
-                hold(m.getValue().state().equals("alive"), what + ": " + x.name + " still sees " + m.getKey()
-                        + " " + m.getValue().state(), f);
+                hold(
+                        m.getValue().state().equals("alive"),
+                        what + ": " + x.name + " still sees " + m.getKey() + " "
+                                + m.getValue().state(),
+                        f);
             }
         }
         f.changes.clear();
@@ -106,7 +109,9 @@
     }
 
     private static long outs(Fellows f) {
-        return f.changes.stream().filter(s -> s.change().kind() == Change.Kind.OUT).count();
+        return f.changes.stream()
+                .filter(s -> s.change().kind() == Change.Kind.OUT)
+                .count();
     }
 
     static void killedIsKnownWithinTheBound(long seed) {
@@ -130,8 +135,11 @@
             IntStream.range(0, 18).forEach(f.net::kill);
             List<Fellow> rest = range(f, 18, 30);
             hold(f.await(f.plan().boundMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
-            hold(f.changes.stream().allMatch(s -> Integer.parseInt(s.change().name().substring(1)) < 18),
-                    "a survivor was put out", f);
+            hold(
+                    f.changes.stream()
+                            .allMatch(s -> Integer.parseInt(s.change().name().substring(1)) < 18),
+                    "a survivor was put out",
+                    f);
         }
     }
 
@@ -172,8 +180,13 @@
         Datagrams.Cut mute = (from, to) -> from != 0;
         for (Datagrams.Cut cut : List.of(deaf, mute)) {
             f.net.cut(cut);
-            hold(f.await(f.plan().boundMicros() + PAUSE, () -> f.agree(rest, rest)
-                    && f.get(0).core().live() == 1) >= 0, "cut one way, it is not out", f);
+            hold(
+                    f.await(
+                                    f.plan().boundMicros() + PAUSE,
+                                    () -> f.agree(rest, rest) && f.get(0).core().live() == 1)
+                            >= 0,
+                    "cut one way, it is not out",
+                    f);
             stays(f, "a cut of one way");
             heals(f, "a cut of one way");
         }
@@ -184,13 +197,23 @@
         f.net.cut((from, to) -> from != 5 || to % 2 == 0);
         f.run(4 * PAUSE);
         boolean in = f.get(0).core().isIn("n5");
-        hold(f.all().stream().filter(x -> x.place != 5).allMatch(x -> x.core().isIn("n5") == in),
-                "one that half can hear is in for some only", f);
+        hold(
+                f.all().stream()
+                        .filter(x -> x.place != 5)
+                        .allMatch(x -> x.core().isIn("n5") == in),
+                "one that half can hear is in for some only",
+                f);
         stays(f, "one that half can hear");
         heals(f, "one that half can hear");
         f.net.cut((from, to) -> !(from < 5 && to >= 5));
-        hold(f.await(4 * PAUSE, () -> f.agree(range(f, 0, 5), range(f, 0, 5))
-                && f.agree(range(f, 5, 12), range(f, 5, 12))) >= 0, "two groups cut one way", f);
+        hold(
+                f.await(
+                                4 * PAUSE,
+                                () -> f.agree(range(f, 0, 5), range(f, 0, 5))
+                                        && f.agree(range(f, 5, 12), range(f, 5, 12)))
+                        >= 0,
+                "two groups cut one way",
+                f);
         stays(f, "two groups cut one way");
         heals(f, "two groups cut one way");
     }
@@ -208,9 +231,15 @@
     static void splitsHealWithoutLoss(long seed) {
         Fellows f = together(seed, 14);
         f.net.cut((from, to) -> part(from) == part(to));
-        hold(f.await(4 * PAUSE, () -> f.agree(range(f, 0, 2), range(f, 0, 2))
-                && f.agree(range(f, 2, 6), range(f, 2, 6))
-                && f.agree(range(f, 6, 14), range(f, 6, 14))) >= 0, "three parts", f);
+        hold(
+                f.await(
+                                4 * PAUSE,
+                                () -> f.agree(range(f, 0, 2), range(f, 0, 2))
+                                        && f.agree(range(f, 2, 6), range(f, 2, 6))
+                                        && f.agree(range(f, 6, 14), range(f, 6, 14)))
+                        >= 0,
+                "three parts",
+                f);
         stays(f, "a split");
         f.net.cut((from, to) -> true);
         hold(f.await(3 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "a split does not heal", f);
@@ -229,8 +258,11 @@
         f.net.kill(3);
         List<Fellow> rest = some(f, 0, 1, 2, 4, 5, 6, 7, 8);
         hold(f.agree(rest, rest), "leaving is not known", f);
-        hold(f.changes.size() == 8 && f.changes.stream().allMatch(s -> s.change().kind()
-                == Change.Kind.LEFT), "it was not taken for leaving", f);
+        hold(
+                f.changes.size() == 8
+                        && f.changes.stream().allMatch(s -> s.change().kind() == Change.Kind.LEFT),
+                "it was not taken for leaving",
+                f);
         f.run(4 * PAUSE);
         hold(f.agree(rest, rest) && f.changes.size() == 8, "it was put out besides", f);
     }
@@ -264,8 +296,11 @@
             int who = i;
             f.net.at(f.net.now() + 80_000L * i, () -> f.start(who));
         }
-        hold(f.await(2 * PAUSE, () -> f.all().stream().allMatch(x -> x.core() != null)
-                && f.agree(f.all(), f.all())) >= 0, "a start within a second", f);
+        hold(
+                f.await(2 * PAUSE, () -> f.all().stream().allMatch(x -> x.core() != null) && f.agree(f.all(), f.all()))
+                        >= 0,
+                "a start within a second",
+                f);
         heals(f, "a start");
         IntStream.range(0, 12).forEach(f.net::kill);
         f.run(2 * PAUSE);
@@ -294,8 +329,7 @@
         say(f, 0, first, early);
         f.run(3 * PAUSE);
         hold(f.changes.isEmpty() && f.agree(f.all(), f.all()), "an early word changed something", f);
-        hold(!"old".equals(f.get(2).core().members().get("n5").entry().facts().get("front")),
-                "early facts hold", f);
+        hold(!"old".equals(f.get(2).core().members().get("n5").entry().facts().get("front")), "early facts hold", f);
         f.net.kill(5);
         f.run(2 * PAUSE);
         f.changes.clear();
@@ -306,8 +340,12 @@
     }
 
     private static void say(Fellows f, int to, Peer from, Entry... entries) {
-        f.get(to).core().receive(f.net.now(), new Message(Message.Kind.NEWS, from, "n" + to, 0, 0,
-                List.of(entries), List.of(), List.of(), ""));
+        f.get(to)
+                .core()
+                .receive(
+                        f.net.now(),
+                        new Message(
+                                Message.Kind.NEWS, from, "n" + to, 0, 0, List.of(entries), List.of(), List.of(), ""));
     }
 
     static void theNewestFactsHold(long seed) {
@@ -330,8 +368,8 @@
         List<Entry> page = new ArrayList<>();
         Peer liar = f.get(1).core().self();
         for (int i = 0; i < 100_000; i++) {
-            page.add(new Entry(new Peer("x" + i, i, 1, 1, new InetSocketAddress("127.0.0.1", 7)),
-                    Standing.OUT, 0, Map.of(), 0));
+            page.add(new Entry(
+                    new Peer("x" + i, i, 1, 1, new InetSocketAddress("127.0.0.1", 7)), Standing.OUT, 0, Map.of(), 0));
             if (page.size() == 10) {
                 say(f, 0, liar, page.toArray(new Entry[0]));
                 page.clear();
@@ -364,8 +402,10 @@
                         f.start(i);
                     }
                 });
-                hold(f.await(4 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "world " + world + " step "
-                        + step + " of seed " + seed + " does not come together", f);
+                hold(
+                        f.await(4 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0,
+                        "world " + world + " step " + step + " of seed " + seed + " does not come together",
+                        f);
             }
         }
     }
--- a/src/test/java/larkbank/lab/LaboratoryTest.java
+++ b/src/test/java/larkbank/lab/LaboratoryTest.java
@@ -57,8 +57,8 @@
 
     @Test
     void whatCantBeIsSaid() {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> new Scenario(4, 1, 10, 0, 0.5, 9, 0, false, Harm.NONE, 0, 30, 1));
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> new Scenario(4, 1, 10, 0, 0.5, 9, 0, false, Harm.NONE, 0, 30, 1));
         assertTrue(e.getMessage().contains("9 cells"));
     }
 }
--- a/src/test/java/larkbank/lab/LeaseChecks.java
+++ b/src/test/java/larkbank/lab/LeaseChecks.java
@@ -15,7 +15,7 @@
     /** Until keepers that have just started grant anything: they wait, and then learn that nobody knows. */
     static final long STARTED = 5 * TERM / 2;
 
-    private LeaseChecks() { }
+    private LeaseChecks() {}
 
     private static void hold(boolean holds, String what, long seed) {
         if (!holds) {
@@ -54,8 +54,8 @@
         for (int run = 0; run < 8; run++) {
             int processes = 4 + random.nextInt(4);
             int keepers = random.nextBoolean() ? 3 : 5;
-            LeaseWorld w = new LeaseWorld(seed * 100 + run, processes, processes < 6 ? 3 : keepers, 2,
-                    realDrift, anyWallClock);
+            LeaseWorld w = new LeaseWorld(
+                    seed * 100 + run, processes, processes < 6 ? 3 : keepers, 2, realDrift, anyWallClock);
             w.run(STARTED);
             for (int step = 0; step < 16; step++) {
                 fault(w, random, processes, anyWallClock);
@@ -221,10 +221,9 @@
         w.run(STARTED + TERM);
         LeasePlan old = w.plan;
         List<InetSocketAddress> next = List.of(Fellows.address(0), Fellows.address(3), Fellows.address(4));
-        LeasePlan both = new LeasePlan(next, old.keepers(), old.mostTermMicros(), old.drift(),
-                old.wallClock(), old.terms());
-        LeasePlan alone = new LeasePlan(next, null, old.mostTermMicros(), old.drift(), old.wallClock(),
-                old.terms());
+        LeasePlan both =
+                new LeasePlan(next, old.keepers(), old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
+        LeasePlan alone = new LeasePlan(next, null, old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
         hold(w.all[5].leases.retune(w.all[5].clock(), alone) != null, "majorities that need not meet", seed);
         for (LeasePlan plan : List.of(both, alone)) {
             for (int i : random.ints(0, 7).distinct().limit(7).toArray()) {
@@ -247,8 +246,7 @@
     }
 
     private static Word hint() {
-        return new Word(Word.Kind.HINT, "task0", "", 0, 0, 0, 0,
-                Map.of());
+        return new Word(Word.Kind.HINT, "task0", "", 0, 0, 0, 0, Map.of());
     }
 
     /** A holder is killed; another has it within a term and a second. */
@@ -265,8 +263,7 @@
             // Membership knows it later than the lease runs out.
             while (w.holder("task0") < 0) {
                 w.run(LeaseWorld.BEAT);
-                hold(w.net.now() - begun <= TERM + 1_000_000, "nobody has it after a term and a second",
-                        seed);
+                hold(w.net.now() - begun <= TERM + 1_000_000, "nobody has it after a term and a second", seed);
             }
             w.members();
             w.run(2 * TERM);
@@ -289,7 +286,8 @@
         int most = 0;
         for (int i = 0; i < 9; i++) {
             int place = i;
-            most = Math.max(most, (int) w.plan.terms().keySet().stream().filter(l -> w.holder(l) == place)
+            most = Math.max(most, (int) w.plan.terms().keySet().stream()
+                    .filter(l -> w.holder(l) == place)
                     .count());
         }
         hold(most <= Math.ceil(1.25 * leases / 9), "one has " + most, seed);
@@ -300,13 +298,18 @@
         w.run(8 * TERM);
         hold(w.allHeld(), "all are held again", seed);
         Map<String, Integer> after = holders(w);
-        long moved = after.keySet().stream().filter(l -> !after.get(l).equals(before.get(l))).count();
+        long moved = after.keySet().stream()
+                .filter(l -> !after.get(l).equals(before.get(l)))
+                .count();
         // Its own part of two or three, and what the bound on the others' parts pushes on.
-        hold(moved <= leases / 3 && w.changes.size() <= moved + 2, "one has come, and " + moved + " moved in "
-                + w.changes.size() + " steps", seed);
+        hold(
+                moved <= leases / 3 && w.changes.size() <= moved + 2,
+                "one has come, and " + moved + " moved in " + w.changes.size() + " steps",
+                seed);
         for (int i = 3; i < 10; i++) {
             LeaseWorld.One one = w.all[i];
-            List<String> its = w.plan.terms().keySet().stream().filter(l -> w.holder(l) == one.place)
+            List<String> its = w.plan.terms().keySet().stream()
+                    .filter(l -> w.holder(l) == one.place)
                     .toList();
             one.leases.leave(one.clock(), "told to");
             long begun = w.net.now();
--- a/src/test/java/larkbank/lab/LeaseTest.java
+++ b/src/test/java/larkbank/lab/LeaseTest.java
@@ -15,8 +15,19 @@
 class LeaseTest {
 
     @ParameterizedTest
-    @ValueSource(strings = {"faults", "wall clocks", "progress", "takeover", "handover", "one way", "quiet",
-        "forgetful", "keepers", "late answers"})
+    @ValueSource(
+            strings = {
+                "faults",
+                "wall clocks",
+                "progress",
+                "takeover",
+                "handover",
+                "one way",
+                "quiet",
+                "forgetful",
+                "keepers",
+                "late answers"
+            })
     void itHoldsForDrawnSeeds(String check) {
         LongStream.concat(LongStream.rangeClosed(1, 20), LongStream.of(System.nanoTime() & 0xFFFFF))
                 .forEach(seed -> assertNull(LeaseChecks.broken(check, seed)));
--- a/src/test/java/larkbank/lab/LeaseWorld.java
+++ b/src/test/java/larkbank/lab/LeaseWorld.java
@@ -21,7 +21,7 @@
     static final double DRIFT = 0.05;
     static final long BEAT = 20_000;
 
-    record Said(InetSocketAddress from, Word word) { }
+    record Said(InetSocketAddress from, Word word) {}
 
     final Datagrams<Said> net;
     final SplittableRandom random;
@@ -34,6 +34,7 @@
     long lookMicros = BEAT / 4;
     /** Words that each place was sent. */
     final long[] heard;
+
     private final Map<String, Long> withoutSince = new HashMap<>();
     final List<Long> gaps = new ArrayList<>();
     private final double realDrift;
@@ -52,8 +53,13 @@
         for (int i = 0; i < leases; i++) {
             terms.put("task" + i, TERM);
         }
-        plan = new LeasePlan(IntStream.range(0, keepers).mapToObj(Fellows::address).toList(), null, TERM,
-                DRIFT, !anyWallClock, terms);
+        plan = new LeasePlan(
+                IntStream.range(0, keepers).mapToObj(Fellows::address).toList(),
+                null,
+                TERM,
+                DRIFT,
+                !anyWallClock,
+                terms);
         all = new One[processes];
         heard = new long[processes];
         for (int i = 0; i < processes; i++) {
@@ -65,8 +71,7 @@
     void start(int i) {
         double rate = 1 + (random.nextInt(3) - 1) * realDrift;
         // Going on with time; or set to anything.
-        long wall = anyWallClock ? random.nextLong(4_000_000_000_000L) : 1_800_000_000_000L
-                + net.now() / 1_000;
+        long wall = anyWallClock ? random.nextLong(4_000_000_000_000L) : 1_800_000_000_000L + net.now() / 1_000;
         all[i] = new One(i, rate, random.nextLong(1_000_000_000), wall);
         net.start(i, BEAT, all[i]);
     }
@@ -84,8 +89,8 @@
             this.rate = rate;
             this.origin = origin;
             life = Long.toHexString(random.nextLong());
-            leases = new Leases(clock(), plan, Fellows.address(place), "n" + place, life, unixMillis,
-                    random.nextLong(), this);
+            leases = new Leases(
+                    clock(), plan, Fellows.address(place), "n" + place, life, unixMillis, random.nextLong(), this);
         }
 
         long clock() {
@@ -94,8 +99,7 @@
 
         @Override
         public void send(InetSocketAddress to, Word word) {
-            net.send(place, to.getPort() - Fellows.address(0).getPort(), new Said(Fellows.address(place),
-                    word));
+            net.send(place, to.getPort() - Fellows.address(0).getPort(), new Said(Fellows.address(place), word));
         }
 
         @Override
@@ -104,7 +108,7 @@
         }
 
         @Override
-        public void ended(String lease, long token, String why) { }
+        public void ended(String lease, long token, String why) {}
 
         @Override
         public void tick(long now) {
@@ -147,7 +151,7 @@
 
     /** Plays on; each process acts at each look if it may, whatever it is called for next. */
     void run(long micros) {
-        for (long until = net.now() + micros; net.now() < until;) {
+        for (long until = net.now() + micros; net.now() < until; ) {
             net.run(net.now() + lookMicros);
             look();
         }
@@ -183,7 +187,9 @@
 
     int holder(String lease) {
         for (One one : all) {
-            if (net.runs(one.place) && !one.stands && one.leases.acting(one.clock(), lease, 0).acting()) {
+            if (net.runs(one.place)
+                    && !one.stands
+                    && one.leases.acting(one.clock(), lease, 0).acting()) {
                 return one.place;
             }
         }
--- a/src/test/java/larkbank/lab/LendingTest.java
+++ b/src/test/java/larkbank/lab/LendingTest.java
@@ -25,11 +25,14 @@
         final List<Lending.Loan> loans = new ArrayList<>();
         final int place = net.place();
         final Peer self = new Peer("n" + place, place, 1, 1, Fellows.address(place));
-        final Lending lending = new Lending(place, this, (to, m) -> net.send(place, to.getPort()
-                - Fellows.address(0).getPort(), m), loan -> {
-            loans.add(loan);
-            take(loan);
-        });
+        final Lending lending = new Lending(
+                place,
+                this,
+                (to, m) -> net.send(place, to.getPort() - Fellows.address(0).getPort(), m),
+                loan -> {
+                    loans.add(loan);
+                    take(loan);
+                });
         long revision;
         long toldAt;
         int pages = PAGES;
@@ -46,7 +49,10 @@
 
         @Override
         public void tick(long now) {
-            lending.tick(now, self, () -> all.stream().filter(o -> o != this).map(o -> o.self).toList());
+            lending.tick(
+                    now,
+                    self,
+                    () -> all.stream().filter(o -> o != this).map(o -> o.self).toList());
         }
 
         @Override
@@ -147,7 +153,7 @@
     /** Until the second list is half here. */
     private boolean awaitPages(One starter) {
         long sent = net.sent(starter.place);
-        for (long until = net.now() + 30 * SECOND; net.now() < until;) {
+        for (long until = net.now() + 30 * SECOND; net.now() < until; ) {
             run(10_000);
             if (net.sent(starter.place) > sent + 40) {
                 return starter.loans.size() == 1;
