--- a/src/test/java/larkbank/lab/PlantedFaultsTest.java
+++ b/src/test/java/larkbank/lab/PlantedFaultsTest.java
@@ -22,66 +22,81 @@
     Path folder;
 
     private String found(String check, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/membership"), file, text,
-                instead, name -> name.startsWith("larkbank.lab."));
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/membership"),
+                file,
+                text,
+                instead,
+                name -> name.startsWith("larkbank.lab."));
         return (String) planted.loadClass("larkbank.lab.FellowsChecks")
-                .getMethod("broken", String.class, long.class).invoke(null, check, SEED);
+                .getMethod("broken", String.class, long.class)
+                .invoke(null, check, SEED);
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "a suspicion never ends ~ one way ~ Links.java ~ if (lost != link.lost) { "
-                + "~ if (lost && !link.lost) {",
-        "a lower incarnation wins ~ long pause ~ Entry.java ~ other.incarnation() > peer.incarnation() "
-                + "~ other.incarnation() < peer.incarnation()",
-        "silence leaves out the pause ~ sleepers ~ MembershipPlan.java "
-                + "~ return periodMicros + pauseMicros + ~ return periodMicros + ",
-        "a sleeper counts its sleep against others ~ long pause ~ Membership.java "
-                + "~ links.slept(now, late); ~ ",
-        "the last answer counts from when the next was asked ~ killed ~ Links.java "
-                + "~ link.contactAt = Math.max(link.contactAt, question.at); ~ link.contactAt = 0;",
-        "one neighbour's word is enough ~ one way ~ Verdicts.java "
-                + "~ if (2 * lost <= rings.near(i).length || vouched) { ~ if (lost == 0) {",
-        "nobody compares what it knows ~ starts ~ Membership.java ~ now >= compareAt && (stranger "
-                + "~ now < 0 && (stranger",
-        "it comes back as the one that was put out ~ long pause ~ Membership.java "
-                + "~ rise(now, e.incarnation() + 1); ~ rise(now, e.incarnation());",
-        "leaving is told as an end ~ leaves ~ Membership.java ~ .standing(Standing.LEFT)); "
-                + "~ .standing(Standing.OUT));",
-        "an end is taken back by an earlier word ~ late words ~ Entry.java "
-                + "~ other.standing.compareTo(standing) > 0; ~ other.standing != standing;",
-        "older facts win ~ facts ~ Entry.java ~ other.version > version; ~ other.version < version;",
-        "the first of two with one name is not asked ~ one name ~ Membership.java "
-                + "~ } else if (contests.open(now, from, plan.periodMicros())) { ~ } else if (false) {",
-        "names without a bound ~ made-up names ~ Membership.java ~ roster.size() >= plan.most() "
-                + "~ roster.size() < 0",
-        "whoever talks with a candidate admits it ~ one friend ~ Membership.java "
-                + "~ Standing.CANDIDATE && links.get(name) != null) { ~ Standing.CANDIDATE) {",
-        "unreachable ones are not looked for ~ many killed ~ Membership.java "
-                + "~ if (!looked.isEmpty() && now >= lookAt) { ~ if (false) {",
-        "a newcomer is refused by its own answer ~ walk ~ Membership.java "
-                + "~ if (newcomer.life() != from.life()) { ~ if (true) {",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "a suspicion never ends ~ one way ~ Links.java ~ if (lost != link.lost) { "
+                        + "~ if (lost && !link.lost) {",
+                "a lower incarnation wins ~ long pause ~ Entry.java ~ other.incarnation() > peer.incarnation() "
+                        + "~ other.incarnation() < peer.incarnation()",
+                "silence leaves out the pause ~ sleepers ~ MembershipPlan.java "
+                        + "~ return periodMicros + pauseMicros + ~ return periodMicros + ",
+                "a sleeper counts its sleep against others ~ long pause ~ Membership.java "
+                        + "~ links.slept(now, late); ~ ",
+                "the last answer counts from when the next was asked ~ killed ~ Links.java "
+                        + "~ link.contactAt = Math.max(link.contactAt, question.at); ~ link.contactAt = 0;",
+                "one neighbour's word is enough ~ one way ~ Verdicts.java "
+                        + "~ if (2 * lost <= rings.near(i).length || vouched) { ~ if (lost == 0) {",
+                "nobody compares what it knows ~ starts ~ Membership.java ~ now >= compareAt && (stranger "
+                        + "~ now < 0 && (stranger",
+                "it comes back as the one that was put out ~ long pause ~ Membership.java "
+                        + "~ rise(now, e.incarnation() + 1); ~ rise(now, e.incarnation());",
+                "leaving is told as an end ~ leaves ~ Membership.java ~ .standing(Standing.LEFT)); "
+                        + "~ .standing(Standing.OUT));",
+                "an end is taken back by an earlier word ~ late words ~ Entry.java "
+                        + "~ other.standing.compareTo(standing) > 0; ~ other.standing != standing;",
+                "older facts win ~ facts ~ Entry.java ~ other.version > version; ~ other.version < version;",
+                "the first of two with one name is not asked ~ one name ~ Membership.java "
+                        + "~ } else if (contests.open(now, from, plan.periodMicros())) { ~ } else if (false) {",
+                "names without a bound ~ made-up names ~ Membership.java ~ roster.size() >= plan.most() "
+                        + "~ roster.size() < 0",
+                "whoever talks with a candidate admits it ~ one friend ~ Membership.java "
+                        + "~ Standing.CANDIDATE && links.get(name) != null) { ~ Standing.CANDIDATE) {",
+                "unreachable ones are not looked for ~ many killed ~ Membership.java "
+                        + "~ if (!looked.isEmpty() && now >= lookAt) { ~ if (false) {",
+                "a newcomer is refused by its own answer ~ walk ~ Membership.java "
+                        + "~ if (newcomer.life() != from.life()) { ~ if (true) {",
+            })
     void eachIsFound(String fault, String check, String file, String text, String instead) throws Exception {
         assertNotNull(found(check, file, text, instead == null ? "" : instead), "not found: " + fault);
     }
 
     /** Faults in how parts of what all share are worked out; each lets all use more than the whole. */
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "a part grows at once ~ Claim.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
-        "electors let go too early ~ Claim.java ~ RELEASE = 2.2; ~ RELEASE = 0.7;",
-        "an elector does not wait after its start ~ Elector.java ~ if (now < silentUntil || ~ if (",
-        "a grant counts for longer than the hold ~ Claim.java ~ now - asked < holdMicros "
-                + "~ now - asked < 3 * holdMicros",
-        "what a stopped process has open is forgotten ~ Claim.java ~ + CLOCKS * lingerMicros ~ + 0",
-        "a minority is enough ~ Claim.java ~ 2 * fresh(now) > askedAt.length ~ fresh(now) > 0",
-        "what electors count differently is taken for the same ~ Claim.java ~ alike ? largest : sum "
-                + "~ largest",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "a part grows at once ~ Claim.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
+                "electors let go too early ~ Claim.java ~ RELEASE = 2.2; ~ RELEASE = 0.7;",
+                "an elector does not wait after its start ~ Elector.java ~ if (now < silentUntil || ~ if (",
+                "a grant counts for longer than the hold ~ Claim.java ~ now - asked < holdMicros "
+                        + "~ now - asked < 3 * holdMicros",
+                "what a stopped process has open is forgotten ~ Claim.java ~ + CLOCKS * lingerMicros ~ + 0",
+                "a minority is enough ~ Claim.java ~ 2 * fresh(now) > askedAt.length ~ fresh(now) > 0",
+                "what electors count differently is taken for the same ~ Claim.java ~ alike ? largest : sum "
+                        + "~ largest",
+            })
     void eachIsFoundInParts(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/membership"), file, text,
-                instead == null ? "" : instead, name -> name.startsWith("larkbank.lab."));
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/membership"),
+                file,
+                text,
+                instead == null ? "" : instead,
+                name -> name.startsWith("larkbank.lab."));
         Method broken = planted.loadClass("larkbank.lab.ClaimChecks").getMethod("broken", long.class);
         String found = null;
         for (long seed = 1; seed <= 40 && found == null; seed++) {
@@ -93,7 +108,6 @@
     /** The same way without a fault finds none. */
     @Test
     void noneIsFoundWhereThereIsNone() throws Exception {
-        assertEquals(null, found("facts", "Entry.java", "other.version > version;",
-                "version < other.version;"));
+        assertEquals(null, found("facts", "Entry.java", "other.version > version;", "version < other.version;"));
     }
 }
--- a/src/test/java/larkbank/lading/CallsTest.java
+++ b/src/test/java/larkbank/lading/CallsTest.java
@@ -16,16 +16,27 @@
         assertThat(Calls.of("/cypressweir/config/read")).contains(Calls.READ);
         assertThat(Calls.of("/cypressweir/instances/a-1.b/heartbeat")).contains(Calls.HEARTBEAT);
         assertThat(Calls.of("/cypressweir/instances/heartbeat/deregister")).contains(Calls.DEREGISTER);
-        assertThat(Calls.HEARTBEAT.name("/cypressweir/instances/a-1.b/heartbeat")).contains("a-1.b");
+        assertThat(Calls.HEARTBEAT.name("/cypressweir/instances/a-1.b/heartbeat"))
+                .contains("a-1.b");
         assertThat(Calls.READ.name("/cypressweir/config/read")).contains("");
         assertThat(Calls.READ.name("/cypressweir/config/modify")).isEmpty();
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "/", "/cypressweir", "/cypressweir/readiness/", "/cypressweir/readines",
-        "/cypressweir/instances//heartbeat", "/cypressweir/instances/heartbeat",
-        "/cypressweir/instances/a/b/heartbeat", "/cypressweir/instances/a/heartbeats",
-        "/cypressweir/instances/a", "/x/cypressweir/readiness"})
+    @ValueSource(
+            strings = {
+                "",
+                "/",
+                "/cypressweir",
+                "/cypressweir/readiness/",
+                "/cypressweir/readines",
+                "/cypressweir/instances//heartbeat",
+                "/cypressweir/instances/heartbeat",
+                "/cypressweir/instances/a/b/heartbeat",
+                "/cypressweir/instances/a/heartbeats",
+                "/cypressweir/instances/a",
+                "/x/cypressweir/readiness"
+            })
     void nothingElseIsACall(String path) {
         assertThat(Calls.of(path)).isEmpty();
     }
--- a/src/test/java/larkbank/lading/GoldenFramesTest.java
+++ b/src/test/java/larkbank/lading/GoldenFramesTest.java
@@ -22,7 +22,7 @@
         private final List<String> messages = new ArrayList<>();
 
         @Override
-        public void opened(Line line) { }
+        public void opened(Line line) {}
 
         @Override
         public void heard(Line line, Map<String, Object> head, byte[] body) {
@@ -30,13 +30,31 @@
         }
 
         @Override
-        public void closed(Line line) { }
+        public void closed(Line line) {}
     }
 
     private static Map<String, Object> everyKindOfValue() {
-        return Scribe.map("t", "any", "text", "\u00e9\"\\\n/", "whole", 7, "long", 1L << 60, "real", 0.25,
-                "decimal", new BigDecimal("1.50"), "flag", true, "list", List.of("a", List.of()),
-                "object", Map.of("k", "v"), "left out", null);
+        return Scribe.map(
+                "t",
+                "any",
+                "text",
+                "\u00e9\"\\\n/",
+                "whole",
+                7,
+                "long",
+                1L << 60,
+                "real",
+                0.25,
+                "decimal",
+                new BigDecimal("1.50"),
+                "flag",
+                true,
+                "list",
+                List.of("a", List.of()),
+                "object",
+                Map.of("k", "v"),
+                "left out",
+                null);
     }
 
     @Test
@@ -56,10 +74,12 @@
         for (String frame : Golden.text(FRAMES).split("\n")) {
             recorded.receives(HexFormat.of().parseHex(frame));
         }
-        assertThat(received.messages).containsExactly("{t=any} + ",
-                "{t=any, text=\u00e9\"\\\n/, whole=7, long=1152921504606846976, real=0.25, decimal=1.5, "
-                        + "flag=true, list=[a, []], object={k=v}} + body \u00e9",
-                "{t=text} + ");
+        assertThat(received.messages)
+                .containsExactly(
+                        "{t=any} + ",
+                        "{t=any, text=\u00e9\"\\\n/, whole=7, long=1152921504606846976, real=0.25, decimal=1.5, "
+                                + "flag=true, list=[a, []], object={k=v}} + body \u00e9",
+                        "{t=text} + ");
         assertThat(recorded.takeMessages()).containsExactly("{\"t\":\"pong\"}");
     }
 }
--- a/src/test/java/larkbank/lading/RecordedLine.java
+++ b/src/test/java/larkbank/lading/RecordedLine.java
@@ -26,13 +26,13 @@
     public RecordedLine(long nowMicros) {
         this(nowMicros, new Line.Ear() {
             @Override
-            public void opened(Line opened) { }
+            public void opened(Line opened) {}
 
             @Override
-            public void heard(Line from, Map<String, Object> head, byte[] body) { }
+            public void heard(Line from, Map<String, Object> head, byte[] body) {}
 
             @Override
-            public void closed(Line closed) { }
+            public void closed(Line closed) {}
         });
     }
 
@@ -61,7 +61,8 @@
         for (String frame : takeFrames()) {
             ByteBuf bytes = Unpooled.wrappedBuffer(ByteBufUtil.decodeHexDump(frame));
             bytes.readInt();
-            String head = bytes.readCharSequence(bytes.readInt(), StandardCharsets.UTF_8).toString();
+            String head = bytes.readCharSequence(bytes.readInt(), StandardCharsets.UTF_8)
+                    .toString();
             String body = bytes.toString(StandardCharsets.UTF_8);
             messages.add(body.isEmpty() ? head : head + " + " + body);
         }
--- a/src/test/java/larkbank/lading/RigProcess.java
+++ b/src/test/java/larkbank/lading/RigProcess.java
@@ -12,7 +12,7 @@
     /** Names the detours: {@code to=by}, with a comma between. */
     public static final String DETOURS = "rig.detours";
 
-    private RigProcess() { }
+    private RigProcess() {}
 
     public static void main(String[] args) {
         Map<InetSocketAddress, InetSocketAddress> detours = new HashMap<>();
--- a/src/test/java/larkbank/lading/ScribeTest.java
+++ b/src/test/java/larkbank/lading/ScribeTest.java
@@ -16,10 +16,23 @@
 
     @Test
     void whatIsWrittenIsReadBack() throws IOException {
-        Map<String, Object> object = Scribe.map("text", "\u20ac \"\\\n\u0000", "whole", 1L << 60, "least",
-                Long.MIN_VALUE, "real", 0.1, "yes", true, "list",
-                Arrays.asList(1L, null, "a", List.of(), Map.of("deep", Map.of())), "empty", Map.of(),
-                "left out", null);
+        Map<String, Object> object = Scribe.map(
+                "text",
+                "\u20ac \"\\\n\u0000",
+                "whole",
+                1L << 60,
+                "least",
+                Long.MIN_VALUE,
+                "real",
+                0.1,
+                "yes",
+                true,
+                "list",
+                Arrays.asList(1L, null, "a", List.of(), Map.of("deep", Map.of())),
+                "empty",
+                Map.of(),
+                "left out",
+                null);
         assertThat(object.keySet()).containsExactly("text", "whole", "least", "real", "yes", "list", "empty");
         byte[] bytes = Scribe.bytes(object);
         assertThat(Scribe.read(bytes, 0, bytes.length)).isEqualTo(object);
@@ -44,7 +57,8 @@
     void whatIsNoObjectIsRefused() {
         for (String text : List.of("", "[]", "1", "{", "{\"a\":1}x", "{\"a\":1,}")) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            assertThatThrownBy(() -> Scribe.read(bytes, 0, bytes.length)).as(text)
+            assertThatThrownBy(() -> Scribe.read(bytes, 0, bytes.length))
+                    .as(text)
                     .isInstanceOf(IOException.class);
         }
     }
--- a/src/test/java/larkbank/lease/GoldenPreferenceTest.java
+++ b/src/test/java/larkbank/lease/GoldenPreferenceTest.java
@@ -27,8 +27,11 @@
     void preferredHoldersAreTheSame() {
         List<String> leases = names("lease-", 12);
         Preference preference = new Preference(leases, names("proxy-", 7));
-        Golden.assertSame("hashes/lease-preferences.txt", leases.stream()
-                .map(lease -> lease + " " + String.join(" ", preference.firsts(lease, NEXT))).toList());
+        Golden.assertSame(
+                "hashes/lease-preferences.txt",
+                leases.stream()
+                        .map(lease -> lease + " " + String.join(" ", preference.firsts(lease, NEXT)))
+                        .toList());
     }
 
     @Test
--- a/src/test/java/larkbank/manifest/ManifestTest.java
+++ b/src/test/java/larkbank/manifest/ManifestTest.java
@@ -30,19 +30,37 @@
         for (Item item : manifest.with(OrderTest.full().items()).items()) {
             Item past = item.after(new Item(item.key(), 1, null)).after(item);
             String text = JsonText.of(past.toMap());
-            assertThat(Item.of(Json.document(new JsonFactory().createParser(text)))).isEqualTo(past);
+            assertThat(Item.of(Json.document(new JsonFactory().createParser(text))))
+                    .isEqualTo(past);
             assertThat(Item.ofText(past.toText())).isEqualTo(past);
         }
-        assertThat(manifest.layout()).isEqualTo(Map.of("routeTable", Map.of(),
-                "tenantTable", Map.of("t", content), "serviceTable", Map.of(), "limits", Map.of()));
+        assertThat(manifest.layout())
+                .isEqualTo(Map.of(
+                        "routeTable",
+                        Map.of(),
+                        "tenantTable",
+                        Map.of("t", content),
+                        "serviceTable",
+                        Map.of(),
+                        "limits",
+                        Map.of()));
     }
 
     @Test
     void termsAreRead() {
         Manifest full = OrderTest.full();
-        assertThat(RouteTerms.of(full.get(new Key(Table.ROUTES, "r1"))).get()).isEqualTo(new RouteTerms("r1",
-                "a.example", "/p/", true, 2_500_000, 400_000, 2,
-                List.of(new Split("s", 90), new Split("s2", 0.5)), 2, false));
+        assertThat(RouteTerms.of(full.get(new Key(Table.ROUTES, "r1"))).get())
+                .isEqualTo(new RouteTerms(
+                        "r1",
+                        "a.example",
+                        "/p/",
+                        true,
+                        2_500_000,
+                        400_000,
+                        2,
+                        List.of(new Split("s", 90), new Split("s2", 0.5)),
+                        2,
+                        false));
         assertThat(RouteTerms.of(full.get(new Key(Table.ROUTES, "r2"))).get().splits())
                 .containsExactly(new Split("s", 1));
         assertThat(TenantTerms.of(full.get(new Key(Table.TENANTS, "t"))).get())
@@ -53,7 +71,8 @@
                 .isEqualTo(new ServiceTerms("s", "/health", 120));
         assertThat(ClientLimits.of(full.get(Key.LIMITS)).get()).isEqualTo(ClientLimits.USUAL);
         assertThat(ClientLimits.of(null).get().maxBodyBytes()).isEqualTo(64L << 20);
-        assertThat(full.standing(Table.LIMITS).get(0).content().get("maxHeaderBytes")).isEqualTo(16_384L);
+        assertThat(full.standing(Table.LIMITS).get(0).content().get("maxHeaderBytes"))
+                .isEqualTo(16_384L);
         assertThat(full.get(new Key(Table.TENANTS, "t")).content().get("burstSize"))
                 .isInstanceOfAny(BigDecimal.class, Double.class);
     }
--- a/src/test/java/larkbank/manifest/OrderTest.java
+++ b/src/test/java/larkbank/manifest/OrderTest.java
@@ -23,10 +23,10 @@
     static final String OTHER = "{'hostname':'a.example','pathPrefix':'/q/','routeType':'non_idempotent',"
             + "'timeout':'3s','targetLatency':'500ms','priority':1,'service':'s','maxAttempts':1,"
             + "'publicAccess':true,'configVersion':'r7'}";
-    static final String SERVICE = "{'healthPath':'/health','maxConnections':120,'protocol':'h1','tls':false,"
-            + "'configVersion':'r7'}";
-    static final String TENANT = "{'apiKeys':['k1','k2'],'priority':1,'ratePerS':62,'burstSize':62.5,"
-            + "'configVersion':'r7'}";
+    static final String SERVICE =
+            "{'healthPath':'/health','maxConnections':120,'protocol':'h1','tls':false," + "'configVersion':'r7'}";
+    static final String TENANT =
+            "{'apiKeys':['k1','k2'],'priority':1,'ratePerS':62,'burstSize':62.5," + "'configVersion':'r7'}";
     static final String LIMITS = "{'maxHeaderBytes':16384,'maxBodyBytes':67108864,'headerTimeout':'3000ms',"
             + "'idleTimeout':'15000ms','configVersion':'r7'}";
     static final String FULL = "{'upsert':{'routeTable':{'r1':" + ROUTE + ",'r2':" + OTHER
@@ -71,21 +71,38 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[]", "null", "{'upsert':{}", "{'upsert':{}}x",
-        "{'upsert':{}} {}", "{'upsert':[]}",
-        "{'upsert':{'routeTable':[]}}", "{'upsert':{'other':{}}}", "{'more':{}}",
-        "{'upsert':{'tenantTable':{'t':1}}}",
-        "{'upsert':{'tenantTable':{'t':{'apiKeys':[]}}}}", "{'withdraw':{'limits':[]}}",
-        "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':7}}}}",
-        "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':'7'}}}}",
-        "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':'r-7'}}}}",
-        "{'upsert':{'tenantTable':{'':{'apiKeys':[],'configVersion':'r7'}}}}",
-        "{'upsert':{'tenantTable':{'t':{'configVersion':'r1'},'t':{'configVersion':'r2'}}}}",
-        "{'withdraw':{'routeTable':{'name':'a'}}}", "{'withdraw':{'routeTable':['a']}}",
-        "{'withdraw':{'routeTable':[{'name':'a'}]}}", "{'withdraw':{'routeTable':[{'configVersion':'r1'}]}}",
-        "{'upsert':{'serviceTable':{'a':{'configVersion':'r1'}}},"
-            + "'withdraw':{'serviceTable':[{'name':'a','configVersion':'r1'}]}}",
-        "{'upsert':{'a':tru}}", "{'upsert':{'a':'\\u00'}}", "{'upsert' {}}", "{'upsert':{},}"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[]",
+                "null",
+                "{'upsert':{}",
+                "{'upsert':{}}x",
+                "{'upsert':{}} {}",
+                "{'upsert':[]}",
+                "{'upsert':{'routeTable':[]}}",
+                "{'upsert':{'other':{}}}",
+                "{'more':{}}",
+                "{'upsert':{'tenantTable':{'t':1}}}",
+                "{'upsert':{'tenantTable':{'t':{'apiKeys':[]}}}}",
+                "{'withdraw':{'limits':[]}}",
+                "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':7}}}}",
+                "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':'7'}}}}",
+                "{'upsert':{'tenantTable':{'t':{'apiKeys':[],'configVersion':'r-7'}}}}",
+                "{'upsert':{'tenantTable':{'':{'apiKeys':[],'configVersion':'r7'}}}}",
+                "{'upsert':{'tenantTable':{'t':{'configVersion':'r1'},'t':{'configVersion':'r2'}}}}",
+                "{'withdraw':{'routeTable':{'name':'a'}}}",
+                "{'withdraw':{'routeTable':['a']}}",
+                "{'withdraw':{'routeTable':[{'name':'a'}]}}",
+                "{'withdraw':{'routeTable':[{'configVersion':'r1'}]}}",
+                "{'upsert':{'serviceTable':{'a':{'configVersion':'r1'}}},"
+                        + "'withdraw':{'serviceTable':[{'name':'a','configVersion':'r1'}]}}",
+                "{'upsert':{'a':tru}}",
+                "{'upsert':{'a':'\\u00'}}",
+                "{'upsert' {}}",
+                "{'upsert':{},}"
+            })
     void whatIsNoOrderIsInvalid(String body) {
         Refusal refusal = Order.read(bytes(body)).getLeft();
         assertThat(refusal.kind()).isEqualTo(Kind.INVALID);
@@ -95,8 +112,10 @@
     /** Operators' own calls withdraw a name twice now and then. */
     @Test
     void ofANameTwiceInOneCallTheHighestVersionHolds() {
-        Manifest standing = taken(full(), "{'withdraw':{'routeTable':[{'name':'r-1','configVersion':'r8'},"
-                + "{'name':'r-1','configVersion':'r9'},{'name':'r-1','configVersion':'r9'}]}}");
+        Manifest standing = taken(
+                full(),
+                "{'withdraw':{'routeTable':[{'name':'r-1','configVersion':'r8'},"
+                        + "{'name':'r-1','configVersion':'r9'},{'name':'r-1','configVersion':'r9'}]}}");
         assertThat(standing.get(new Key(Table.ROUTES, "r-1")).version()).isEqualTo(9);
     }
 
@@ -106,30 +125,58 @@
         for (int length = 0; length < whole.length; length++) {
             assertThat(Order.read(Arrays.copyOf(whole, length)).isLeft()).isTrue();
         }
-        assertThat(Order.read(bytes("{'upsert':" + "[".repeat(100_000))).isLeft()).isTrue();
+        assertThat(Order.read(bytes("{'upsert':" + "[".repeat(100_000))).isLeft())
+                .isTrue();
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '~', quoteCharacter = '`', value = {
-        "'pathPrefix':'/p/' ~ 'pathPrefix':'p/'", "'pathPrefix':'/p/' ~ 'pathPrefix':'/p'",
-        "'pathPrefix':'/p/' ~ 'pathPrefix':'/q/'", "'hostname':'A.example', ~ ",
-        "'hostname':'A.example' ~ 'hostname':3",
-        "'idempotent' ~ 'sometimes'", "'2500ms' ~ '0ms'", "'2500ms' ~ '600.001s'", "'2500ms' ~ '2500'",
-        "'2500ms' ~ 2500", "'0.4s' ~ '-1s'", "'0.4s' ~ 'soon'", "'priority':2 ~ 'priority':2.5",
-        "'priority':2 ~ 'priority':'2'", "'weight':90 ~ 'weight':-1", "'weight':90 ~ 'weight':'1'",
-        "'weight':90},{'service':'s2','weight':0.5} ~ 'weight':0}",
-        "'weight':90},{'service':'s2','weight':0.5} ~ ",
-        "'service':'s2' ~ 'service':'s3'", "'service':'s2', ~ ", "'maxAttempts':2 ~ 'maxAttempts':0",
-        "'publicAccess':false ~ 'publicAccess':'no'", "'apiKeys':['k1','k2'] ~ 'apiKeys':['k1','k3']",
-        "'apiKeys':['k1','k2'] ~ 'apiKeys':'k1'",
-        "'apiKeys':['k1','k2'], ~ ", "'ratePerS':62 ~ 'ratePerS':-1",
-        "'burstSize':62.5 ~ 'burstSize':-0.1", "'healthPath':'/health' ~ 'healthPath':'health'",
-        "'maxConnections':120 ~ 'maxConnections':0", "'tls':false ~ 'tls':0", "16384 ~ 1", "16384 ~ 16384.5",
-        "67108864 ~ -1", "'3000ms' ~ '11m'", "'15000ms' ~ '700s'", "'priority':2, ~ ", "'maxAttempts':2, ~ "})
+    @CsvSource(
+            delimiter = '~',
+            quoteCharacter = '`',
+            value = {
+                "'pathPrefix':'/p/' ~ 'pathPrefix':'p/'",
+                "'pathPrefix':'/p/' ~ 'pathPrefix':'/p'",
+                "'pathPrefix':'/p/' ~ 'pathPrefix':'/q/'",
+                "'hostname':'A.example', ~ ",
+                "'hostname':'A.example' ~ 'hostname':3",
+                "'idempotent' ~ 'sometimes'",
+                "'2500ms' ~ '0ms'",
+                "'2500ms' ~ '600.001s'",
+                "'2500ms' ~ '2500'",
+                "'2500ms' ~ 2500",
+                "'0.4s' ~ '-1s'",
+                "'0.4s' ~ 'soon'",
+                "'priority':2 ~ 'priority':2.5",
+                "'priority':2 ~ 'priority':'2'",
+                "'weight':90 ~ 'weight':-1",
+                "'weight':90 ~ 'weight':'1'",
+                "'weight':90},{'service':'s2','weight':0.5} ~ 'weight':0}",
+                "'weight':90},{'service':'s2','weight':0.5} ~ ",
+                "'service':'s2' ~ 'service':'s3'",
+                "'service':'s2', ~ ",
+                "'maxAttempts':2 ~ 'maxAttempts':0",
+                "'publicAccess':false ~ 'publicAccess':'no'",
+                "'apiKeys':['k1','k2'] ~ 'apiKeys':['k1','k3']",
+                "'apiKeys':['k1','k2'] ~ 'apiKeys':'k1'",
+                "'apiKeys':['k1','k2'], ~ ",
+                "'ratePerS':62 ~ 'ratePerS':-1",
+                "'burstSize':62.5 ~ 'burstSize':-0.1",
+                "'healthPath':'/health' ~ 'healthPath':'health'",
+                "'maxConnections':120 ~ 'maxConnections':0",
+                "'tls':false ~ 'tls':0",
+                "16384 ~ 1",
+                "16384 ~ 16384.5",
+                "67108864 ~ -1",
+                "'3000ms' ~ '11m'",
+                "'15000ms' ~ '700s'",
+                "'priority':2, ~ ",
+                "'maxAttempts':2, ~ "
+            })
     void whatIsNoValidWholeIsInvalid(String text, String instead) {
         String body = FULL.replace(text, instead == null ? "" : instead);
         assertThat(body).isNotEqualTo(FULL);
-        Refusal refusal = Order.read(bytes(body)).flatMap(o -> o.against(Manifest.EMPTY)).getLeft();
+        Refusal refusal =
+                Order.read(bytes(body)).flatMap(o -> o.against(Manifest.EMPTY)).getLeft();
         assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(Kind.INVALID);
     }
 
@@ -137,20 +184,22 @@
     void versionsDecide() {
         Manifest one = taken(Manifest.EMPTY, service("s", 5, 1));
         nothing(one, service("s", 5, 1));
-        nothing(one, "{'upsert':{'serviceTable':{'s':{'configVersion':'r5','maxConnections':1.0,"
-                + "'healthPath':'/h'}}}}");
+        nothing(
+                one,
+                "{'upsert':{'serviceTable':{'s':{'configVersion':'r5','maxConnections':1.0," + "'healthPath':'/h'}}}}");
         conflict(one, service("s", 5, 2), "r5 was taken with another content");
         conflict(one, withdraw("serviceTable", "s", 5), "r5 was taken with another content");
         Manifest two = taken(one, service("s", 7, 2));
         nothing(two, service("s", 5, 1));
         conflict(two, service("s", 5, 2), "r5 was taken with another content");
         // A call that brings a new item does not bring an older version of another one back.
-        String both = service("s", 5, 1).replace("}}}}", "}"
-                + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}");
-        assertThat(taken(two, both).get(new Key(Table.SERVICES, "s")))
-                .isEqualTo(two.get(new Key(Table.SERVICES, "s")));
-        conflict(two, both.replace("'maxConnections':1,'configVersion':'r5'",
-                "'maxConnections':3,'configVersion':'r5'"), "r5 was taken");
+        String both = service("s", 5, 1)
+                .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}");
+        assertThat(taken(two, both).get(new Key(Table.SERVICES, "s"))).isEqualTo(two.get(new Key(Table.SERVICES, "s")));
+        conflict(
+                two,
+                both.replace("'maxConnections':1,'configVersion':'r5'", "'maxConnections':3,'configVersion':'r5'"),
+                "r5 was taken");
         Manifest gone = taken(two, withdraw("serviceTable", "s", 8));
         assertThat(gone.standing(Table.SERVICES)).isEmpty();
         nothing(gone, withdraw("serviceTable", "s", 8));
@@ -158,8 +207,11 @@
         conflict(gone, service("s", 8, 2), "r8 was taken");
         Manifest back = taken(gone, service("s", 9, 3));
         nothing(back, withdraw("serviceTable", "s", 8));
-        assertThat(Manifest.of(back.items().stream().map(i -> Item.of(i.toMap())).toList())).isEqualTo(back);
-        assertThat(taken(Manifest.EMPTY, withdraw("routeTable", "never", 9)).items()).hasSize(1);
+        assertThat(Manifest.of(
+                        back.items().stream().map(i -> Item.of(i.toMap())).toList()))
+                .isEqualTo(back);
+        assertThat(taken(Manifest.EMPTY, withdraw("routeTable", "never", 9)).items())
+                .hasSize(1);
         nothing(Manifest.EMPTY, "{'upsert':{'limits':{},'routeTable':{}},'withdraw':{'routeTable':[]}}");
         nothing(Manifest.EMPTY, "{}");
     }
@@ -175,7 +227,8 @@
                 nothing(standing, service("s", 2 * old, old));
             }
         }
-        Manifest read = Manifest.of(standing.items().stream().map(i -> Item.ofText(i.toText())).toList());
+        Manifest read = Manifest.of(
+                standing.items().stream().map(i -> Item.ofText(i.toText())).toList());
         assertThat(read).isEqualTo(standing);
         for (int version = 1; version <= most; version++) {
             boolean known = version >= most - Item.MOST_PAST;
@@ -187,8 +240,10 @@
                 forgotten(read, service("s", 2 * version, version + 1));
             }
         }
-        forgotten(read, service("s", 1, 1).replace("}}}}", "}"
-                + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
+        forgotten(
+                read,
+                service("s", 1, 1)
+                        .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
     }
 
     private static void forgotten(Manifest on, String body) {
@@ -205,19 +260,27 @@
         conflict(both, service("s", 6, 7), "r6 was taken with another content");
         nothing(both, service("s", 3, 3));
         // In whatever order they come, the same is remembered.
-        Item six = taken(taken(taken(Manifest.EMPTY, service("s", 3, 3)), service("s", 6, 6)),
-                service("s", 9, 9)).get(new Key(Table.SERVICES, "s"));
+        Item six = taken(taken(taken(Manifest.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
+                .get(new Key(Table.SERVICES, "s"));
         assertThat(both.get(six.key())).isEqualTo(six);
-        Manifest twice = taken(Manifest.EMPTY, "{'withdraw':{'serviceTable':["
-                + "{'name':'s','configVersion':'r9'},{'name':'s','configVersion':'r8'}]}}");
+        Manifest twice = taken(
+                Manifest.EMPTY,
+                "{'withdraw':{'serviceTable':["
+                        + "{'name':'s','configVersion':'r9'},{'name':'s','configVersion':'r8'}]}}");
         nothing(twice, withdraw("serviceTable", "s", 8));
         conflict(twice, service("s", 8, 1), "r8 was taken");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '~', quoteCharacter = '`', value = {
-        "'2500ms' ~ '700s'", "'service':'s2' ~ 'service':'s3'", "'pathPrefix':'/p/' ~ 'pathPrefix':'/q/'",
-        "'weight':90 ~ 'weight':-1"})
+    @CsvSource(
+            delimiter = '~',
+            quoteCharacter = '`',
+            value = {
+                "'2500ms' ~ '700s'",
+                "'service':'s2' ~ 'service':'s3'",
+                "'pathPrefix':'/p/' ~ 'pathPrefix':'/q/'",
+                "'weight':90 ~ 'weight':-1"
+            })
     void whatIsPassedMustBeValid(String text, String instead) {
         String route = "{'upsert':{'routeTable':{'r1':" + ROUTE + "}}}";
         Manifest later = taken(full(), route.replace("'r7'", "'r9'"));
@@ -239,8 +302,8 @@
             past.add(version + ":" + item.print());
             assertThat(item.print()).hasSize(32);
         }
-        Map<String, Object> map = new LinkedHashMap<>(taken(standing, service("s", 30, 30)).items()
-                .get(0).toMap());
+        Map<String, Object> map = new LinkedHashMap<>(
+                taken(standing, service("s", 30, 30)).items().get(0).toMap());
         map.put("past", past);
         map.remove("floor");
         Manifest read = Manifest.of(List.of(Item.of(map)));
@@ -257,24 +320,33 @@
     @Test
     void theWholeMustBeValidAfterEveryCall() {
         Manifest all = full();
-        assertThat(order(withdraw("serviceTable", "s2", 8)).against(all).getLeft().reason())
-                .contains("routeTable.r1").contains("s2");
+        assertThat(order(withdraw("serviceTable", "s2", 8))
+                        .against(all)
+                        .getLeft()
+                        .reason())
+                .contains("routeTable.r1")
+                .contains("s2");
         // Together with the route that names it, it may go.
         String both = "{'withdraw':{'serviceTable':[{'name':'s2','configVersion':'r8'}],"
                 + "'routeTable':[{'name':'r1','configVersion':'r8'}]}}";
         assertThat(taken(all, both).standing(Table.ROUTES)).hasSize(1);
         String twin = "{'upsert':{'routeTable':{'r3':" + OTHER.replace("a.ex", "A.Ex") + "}}}";
         assertThat(order(twin).against(all).getLeft().kind()).isEqualTo(Kind.INVALID);
-        assertThat(order(twin.replace("}}}",
-                "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}").replace("/q/", "/x/"))
-                .against(all).getLeft().reason()).contains("apiKey");
+        assertThat(order(twin.replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
+                                .replace("/q/", "/x/"))
+                        .against(all)
+                        .getLeft()
+                        .reason())
+                .contains("apiKey");
         assertThat(Map.copyOf(all.layout())).isEqualTo(Map.copyOf(full().layout()));
     }
 
     @Test
     void keysGoFromOneTenantToAnother() {
-        Manifest all = taken(full(), "{'upsert':{'tenantTable':{'t':{'apiKeys':['k3'],'configVersion':'r8'},"
-                + "'t2':{'apiKeys':['k1'],'configVersion':'r8'}}}}");
+        Manifest all = taken(
+                full(),
+                "{'upsert':{'tenantTable':{'t':{'apiKeys':['k3'],'configVersion':'r8'},"
+                        + "'t2':{'apiKeys':['k1'],'configVersion':'r8'}}}}");
         String third = "{'upsert':{'tenantTable':{'t3':{'apiKeys':['KEY'],'configVersion':'r1'}}}}";
         assertThat(order(third.replace("KEY", "k1")).against(all).isLeft()).isTrue();
         assertThat(order(third.replace("KEY", "k3")).against(all).isLeft()).isTrue();
--- a/src/test/java/larkbank/membership/GoldenRingsTest.java
+++ b/src/test/java/larkbank/membership/GoldenRingsTest.java
@@ -36,7 +36,8 @@
     void digestsOfEntriesAreTheSame() {
         Peer peer = new Peer("proxy-1", LIFE, 0, 3, new InetSocketAddress("10.0.0.1", 1));
         List<String> digests = Stream.of(Standing.values())
-                .map(standing -> Long.toHexString(new Entry(peer, standing, 5, Map.of(), 0).hash())).toList();
+                .map(standing -> Long.toHexString(new Entry(peer, standing, 5, Map.of(), 0).hash()))
+                .toList();
         Golden.assertSame("hashes/entry-digests.txt", digests);
         assertThat(Standing.values()).hasSize(digests.size());
     }
@@ -49,8 +50,12 @@
             Peer peer = new Peer(name, LIFE, 0, 1, new InetSocketAddress("10.0.0.1", 1));
             roster.put(0, new Entry(peer, Standing.MEMBER, 0, Map.of(), 0), true);
         }
-        Golden.assertSame("hashes/roster-digests.txt", List.of("entries " + Long.toHexString(roster.digest()),
-                "view " + Long.toHexString(roster.fingerprint()), "parts " + roster.buckets()));
+        Golden.assertSame(
+                "hashes/roster-digests.txt",
+                List.of(
+                        "entries " + Long.toHexString(roster.digest()),
+                        "view " + Long.toHexString(roster.fingerprint()),
+                        "parts " + roster.buckets()));
     }
 
     /** Electors tell it to those whom they count. */
--- a/src/test/java/larkbank/operators/BadFilesTest.java
+++ b/src/test/java/larkbank/operators/BadFilesTest.java
@@ -32,8 +32,9 @@
     @MethodSource("files")
     void eachReasonWithItsLine(Path file) throws IOException {
         Path expected = Path.of(file.toString().replace(".toml", ".expected"));
-        BadFile refused = assertThrows(BadFile.class, () -> Operators.load(file.getFileName().toString(),
-                Files.readString(file), Installations.facts()));
+        BadFile refused = assertThrows(
+                BadFile.class,
+                () -> Operators.load(file.getFileName().toString(), Files.readString(file), Installations.facts()));
         assertEquals(Files.readString(expected).strip(), refused.getMessage());
     }
 
--- a/src/test/java/larkbank/operators/LimitsPropertyTest.java
+++ b/src/test/java/larkbank/operators/LimitsPropertyTest.java
@@ -50,8 +50,11 @@
         maybe(random, 30, text, "max_requests = " + (1 + random.nextInt(40)));
         maybe(random, 30, text, "max_queue = " + random.nextInt(10));
         if (random.nextInt(3) == 0) {
-            text.append("hedges = ").append(1 + random.nextInt(2)).append("\nhedge_after = ")
-                    .append(time(random, 200)).append('\n');
+            text.append("hedges = ")
+                    .append(1 + random.nextInt(2))
+                    .append("\nhedge_after = ")
+                    .append(time(random, 200))
+                    .append('\n');
         }
     }
 
@@ -65,9 +68,13 @@
                 text.append("[classes.").append(name).append("]\n");
                 limits(random, text);
             }
-            text.append("[routes.").append(name).append("]\npath = \"/").append(name)
+            text.append("[routes.")
+                    .append(name)
+                    .append("]\npath = \"/")
+                    .append(name)
                     .append("/*\"\nclass = \"")
-                    .append(name).append("\"\npool = \"p\"\n");
+                    .append(name)
+                    .append("\"\npool = \"p\"\n");
             limits(random, text);
         }
         return text.toString();
@@ -92,16 +99,22 @@
             valid++;
             PoolPlan pool = operators.plan().pools().get(0);
             Settings base = Installations.settings(seed + i);
-            Settings settings = base.with(base.limits().with(pool.requests(), pool.queue(),
-                    pool.connections()), false);
-            ModuleRig rig = new ModuleRig("seed " + (seed + i) + "\n" + text, settings, seed + i,
-                    2 + random.nextInt(8), Choice::new);
+            Settings settings = base.with(base.limits().with(pool.requests(), pool.queue(), pool.connections()), false);
+            ModuleRig rig = new ModuleRig(
+                    "seed " + (seed + i) + "\n" + text, settings, seed + i, 2 + random.nextInt(8), Choice::new);
             for (int n = 0; n < 400; n++) {
                 String name = CLASSES.get(random.nextInt(CLASSES.size()));
-                Target target = operators.plan().router().find(new Asked("/" + name + "/1")).target();
-                rig.ask(random.nextLong(3_000_000), "q" + n, target.requestClass(),
+                Target target = operators
+                        .plan()
+                        .router()
+                        .find(new Asked("/" + name + "/1"))
+                        .target();
+                rig.ask(
+                        random.nextLong(3_000_000),
+                        "q" + n,
+                        target.requestClass(),
                         Math.min(target.timeoutMicros(), 50_000 + random.nextLong(2_000_000)),
-                                target.terms());
+                        target.terms());
             }
             if (random.nextInt(4) == 0) {
                 rig.after(2_000_000, () -> rig.module().closing(rig.now()));
@@ -111,8 +124,10 @@
             copies += rig.copies();
             answered += rig.ended("served");
         }
-        assertTrue(retries > 1_000 && copies > 200 && answered > 10_000, "looked at too little: " + retries
-                + " further attempts, " + copies + " copies, " + answered + " served");
+        assertTrue(
+                retries > 1_000 && copies > 200 && answered > 10_000,
+                "looked at too little: " + retries + " further attempts, " + copies + " copies, " + answered
+                        + " served");
     }
 
     private record Asked(String path) implements Routable {
--- a/src/test/java/larkbank/operators/OperatorsTest.java
+++ b/src/test/java/larkbank/operators/OperatorsTest.java
@@ -29,12 +29,17 @@
     }
 
     private static String route(String name, String requestClass, String more) {
-        return "[routes." + name + "]\npath = \"/" + name + "/*\"\nclass = \"" + requestClass
-                + "\"\npool = \"p\"\n" + more;
+        return "[routes." + name + "]\npath = \"/" + name + "/*\"\nclass = \"" + requestClass + "\"\npool = \"p\"\n"
+                + more;
     }
 
     private static Terms terms(Operators operators, String path) throws Exception {
-        return operators.plan().router().find(new Plain("GET", "h", path)).target().terms();
+        return operators
+                .plan()
+                .router()
+                .find(new Plain("GET", "h", path))
+                .target()
+                .terms();
     }
 
     private record Plain(String method, String host, String path) implements Routable {
@@ -52,7 +57,8 @@
         assertEquals(0, safe.attemptMicros());
         assertEquals(0, safe.copies());
         assertTrue(safe.retryOn().containsAll(Set.of(Result.ERROR, Result.TIMED_OUT, Result.FULL)));
-        assertEquals(Set.of(Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT),
+        assertEquals(
+                Set.of(Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT),
                 terms(operators, "/b/1").retryOn());
         PoolPlan pool = operators.plan().pools().get(0);
         assertEquals(444, pool.connections());
@@ -79,10 +85,12 @@
                 + "[pools.q]\nsource = \"discovery\"\n[pools.r]\nsource = \"discovery\"\nmax_requests = 100\n"
                 + route("s", "search", "") + route("t", "search", "").replace("\"p\"", "\"q\"")
                 + route("u", "search", "").replace("\"p\"", "\"r\""));
-        assertEquals(List.of(144, 150, 150), operators.plan().pools().stream().map(PoolPlan::connections)
-                .toList());
-        assertEquals(List.of(100, 100, 100), operators.plan().pools().stream().map(PoolPlan::requests)
-                .toList());
+        assertEquals(
+                List.of(144, 150, 150),
+                operators.plan().pools().stream().map(PoolPlan::connections).toList());
+        assertEquals(
+                List.of(100, 100, 100),
+                operators.plan().pools().stream().map(PoolPlan::requests).toList());
     }
 
     @Test
@@ -91,11 +99,10 @@
                 + route("s", "search", "timeout = \"900ms\"\nheaders = { X-Tier = \"gold\" }\n"));
         String all = Explain.all(operators);
         assertTrue(all.lines().anyMatch(l -> l.matches("  timeout +900ms +# \\[routes.s\\], line 10")), all);
-        assertTrue(all.lines().anyMatch(l -> l.matches("  attempts +2 +# \\[classes.search\\], line 5")),
-                all);
+        assertTrue(all.lines().anyMatch(l -> l.matches("  attempts +2 +# \\[classes.search\\], line 5")), all);
         assertTrue(all.lines().anyMatch(l -> l.matches("  hedges +0 +# default")), all);
-        String one = Explain.request(operators, "GET", "http://API.example.org:80/s/../s//%41", Map.of(
-                "x-tier", "gold"));
+        String one =
+                Explain.request(operators, "GET", "http://API.example.org:80/s/../s//%41", Map.of("x-tier", "gold"));
         assertTrue(one.contains("host 'api.example.org', path '/s/A'"), one);
         assertTrue(one.contains("takes route 's'"), one);
         assertFalse(Explain.request(operators, "GET", "/s/1", Map.of()).contains("takes route"));
@@ -110,14 +117,41 @@
             assertTrue(page.contains("| `" + key.key() + "` |"), key.key());
             assertTrue(page.contains(key.range()), key.key() + ": " + key.range());
         }
-        for (String key : List.of("version", "address", "source", "servers", "id", "endpoint", "zone",
+        for (String key : List.of(
+                "version",
+                "address",
+                "source",
+                "servers",
+                "id",
+                "endpoint",
+                "zone",
                 "model",
-                "cell", "weight", "host", "path", "methods", "headers", "priority", "class", "pool",
-                "client_gives_up", "max_message", "max_frame", "idle_timeout", "ping_interval",
-                        "ping_timeout",
-                "max_life", "drain_time", "reconnect_rate", "max_tunnels", "max_tunnels_per_tenant",
-                "evict_after", "resumable", "resume_header", "resume_first_message",
-                "drain_code", "drain_reason")) {
+                "cell",
+                "weight",
+                "host",
+                "path",
+                "methods",
+                "headers",
+                "priority",
+                "class",
+                "pool",
+                "client_gives_up",
+                "max_message",
+                "max_frame",
+                "idle_timeout",
+                "ping_interval",
+                "ping_timeout",
+                "max_life",
+                "drain_time",
+                "reconnect_rate",
+                "max_tunnels",
+                "max_tunnels_per_tenant",
+                "evict_after",
+                "resumable",
+                "resume_header",
+                "resume_first_message",
+                "drain_code",
+                "drain_reason")) {
             assertTrue(page.contains("| `" + key + "` |"), key);
         }
         String example = Files.readString(Path.of("deploy/operators.example.toml"));
--- a/src/test/java/larkbank/operators/ShapeTest.java
+++ b/src/test/java/larkbank/operators/ShapeTest.java
@@ -22,28 +22,32 @@
 
     /** What stands between 'x = ' and the end, and the line that is too deep; 0 for none. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "[ * 200000 | 1",
-        "{a= * 200000 | 1",
-        "[[]] * 100000 | 0",
-        "[\\n * 40 | 33",
-        "a. * 200000 | 1",
-        "'[' * 100 | 0",
-        "\"[\" * 100 | 0",
-        "\"\\\\\"[\" * 100 | 0",
-        "'''[\\n''' * 100 | 0",
-        "\"\"\"[\\\"\"\"\"\\n * 100 | 0",
-        "#[[[[[\\n * 100 | 0",
-        "'[\\n * 100 | 0",
-        "\\n[a.b] * 100 | 0",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "[ * 200000 | 1",
+                "{a= * 200000 | 1",
+                "[[]] * 100000 | 0",
+                "[\\n * 40 | 33",
+                "a. * 200000 | 1",
+                "'[' * 100 | 0",
+                "\"[\" * 100 | 0",
+                "\"\\\\\"[\" * 100 | 0",
+                "'''[\\n''' * 100 | 0",
+                "\"\"\"[\\\"\"\"\"\\n * 100 | 0",
+                "#[[[[[\\n * 100 | 0",
+                "'[\\n * 100 | 0",
+                "\\n[a.b] * 100 | 0",
+            })
     void table(String piece, int line) {
         String[] parts = piece.split(" \\* ");
-        String text = "x = " + parts[0].replace("\\\\", "\\").replace("\\n", "\n")
-                .repeat(Integer.parseInt(parts[1].trim()));
+        String text =
+                "x = " + parts[0].replace("\\\\", "\\").replace("\\n", "\n").repeat(Integer.parseInt(parts[1].trim()));
         Problems problems = new Problems("f");
         assertEquals(line == 0, Shape.fits(text, problems));
-        assertEquals(line == 0 ? "[]" : "[f:" + line + ": lists, tables or keys nested more than 32 deep]",
+        assertEquals(
+                line == 0 ? "[]" : "[f:" + line + ": lists, tables or keys nested more than 32 deep]",
                 problems.sorted().toString());
     }
 
@@ -57,11 +61,13 @@
     private static void takenOrRefused(Path file, String about) {
         for (boolean assumed : new boolean[] {false, true}) {
             try {
-                Operators.load(file, assumed ? AssumedFacts.of(Files.readString(file,
-                        StandardCharsets.ISO_8859_1)) : Installations.stationFinder());
+                Operators.load(
+                        file,
+                        assumed
+                                ? AssumedFacts.of(Files.readString(file, StandardCharsets.ISO_8859_1))
+                                : Installations.stationFinder());
             } catch (BadFile e) {
-                e.getMessage().lines().forEach(l -> assertTrue(l.matches(".*f\\.toml:\\d+: .+"),
-                        about + ": " + l));
+                e.getMessage().lines().forEach(l -> assertTrue(l.matches(".*f\\.toml:\\d+: .+"), about + ": " + l));
                 assertEquals(e.problems().size(), e.getMessage().lines().count(), about);
                 assertTrue(e.problems().size() <= Problems.MOST + 1, about);
             } catch (Exception | Error e) {
--- a/src/test/java/larkbank/papers/NodePapersTest.java
+++ b/src/test/java/larkbank/papers/NodePapersTest.java
@@ -29,10 +29,26 @@
     @Test
     void allFieldsAreReadAndUnknownOnesLetBe() {
         NodePapers papers = read(FILE).get();
-        assertThat(papers).isEqualTo(new NodePapers("n1", "10.0.0.1", "z1", "r1", true, "/d", 300, 2000,
-                "10.0.0.1:80", "s", Map.of("outbound", "10.0.0.1:81"), 7000, 7009,
-                List.of("10.0.0.1:7000", "10.0.0.2:7000"), Map.of("z1", "r1", "z2", "r1"), 500_000,
-                Map.of("drain", 2_500_000.0, "ratio", 0.25, "slack", 200.0, "strict", 1.0), 2));
+        assertThat(papers)
+                .isEqualTo(new NodePapers(
+                        "n1",
+                        "10.0.0.1",
+                        "z1",
+                        "r1",
+                        true,
+                        "/d",
+                        300,
+                        2000,
+                        "10.0.0.1:80",
+                        "s",
+                        Map.of("outbound", "10.0.0.1:81"),
+                        7000,
+                        7009,
+                        List.of("10.0.0.1:7000", "10.0.0.2:7000"),
+                        Map.of("z1", "r1", "z2", "r1"),
+                        500_000,
+                        Map.of("drain", 2_500_000.0, "ratio", 0.25, "slack", 200.0, "strict", 1.0),
+                        2));
         assertThat(papers.zones().keySet()).containsExactly("z2", "z1");
         assertThat(papers.bound("drain", 1)).isEqualTo(2_500_000);
         assertThat(papers.bound("grace", 7)).isEqualTo(7);
@@ -44,7 +60,8 @@
     @Test
     void whatMayLackHasItsUsualValue() {
         NodePapers papers = read("{'localNode':{'nodeName':'n','ipAddress':'10.0.0.1','zone':'z'},"
-                + "'network':{'internalPortRange':[1,1]}}").get();
+                        + "'network':{'internalPortRange':[1,1]}}")
+                .get();
         assertThat(papers.initialStart()).isFalse();
         assertThat(papers.dataDirectory()).isNull();
         assertThat(papers.application()).isNull();
@@ -54,34 +71,41 @@
     }
 
     @ParameterizedTest
-    @CsvSource(quoteCharacter = '`', delimiter = ';', value = {
-        "'nodeName':'n1',; `` ; localNode.nodeName",
-        "'nodeName':'n1'; 'nodeName':7 ; localNode.nodeName",
-        "'ipAddress':'10.0.0.1',; `` ; localNode.ipAddress",
-        "'ipAddress':'10.0.0.1'; 'ipAddress':[] ; localNode.ipAddress",
-        "'zone':'z1',; `` ; localNode.zone",
-        "'zone':'z1'; 'zone':{} ; localNode.zone",
-        "'region':'r1'; 'region':1 ; localNode.region",
-        "'dataDirectory':'/d'; 'dataDirectory':false ; localNode.dataDirectory",
-        "'application':'10.0.0.1:80'; 'application':80 ; localNode.application",
-        "'internalPortRange':[7000,7009],; `` ; network.internalPortRange",
-        "[7000,7009]; [7009,7000] ; network.internalPortRange",
-        "[7000,7009]; ['a','b'] ; network.internalPortRange",
-        "{'outbound':'10.0.0.1:81'}; 'x' ; network.listenAddresses",
-        "{'z2':'r1','z1':'r1'}; 3 ; network.zones",
-        "'2.5s'; '2.5m' ; termTable.timingBounds.drain",
-        "'machineFailures':2; 'machineFailures':'two' ; termTable.faultTolerance.machineFailures",
-        "'500ms'; 'soon' ; platform.heartbeat",
-        "'500ms'; 500 ; platform.heartbeat",
-        "'initialStart':true; 'initialStart':'yes' ; localNode.initialStart",
-        "'memoryMb':300; 'memoryMb':'much' ; localNode.limits.memoryMb",
-        "['10.0.0.1:7000','10.0.0.2:7000']; 'x' ; network.seedNodes",
-        "['10.0.0.1:7000','10.0.0.2:7000']; ['10.0.0.1'] ; network.seedNodes",
-        "['10.0.0.1:7000','10.0.0.2:7000']; [1] ; network.seedNodes",
-        "'2.5s'; [] ; termTable.timingBounds.drain"})
+    @CsvSource(
+            quoteCharacter = '`',
+            delimiter = ';',
+            value = {
+                "'nodeName':'n1',; `` ; localNode.nodeName",
+                "'nodeName':'n1'; 'nodeName':7 ; localNode.nodeName",
+                "'ipAddress':'10.0.0.1',; `` ; localNode.ipAddress",
+                "'ipAddress':'10.0.0.1'; 'ipAddress':[] ; localNode.ipAddress",
+                "'zone':'z1',; `` ; localNode.zone",
+                "'zone':'z1'; 'zone':{} ; localNode.zone",
+                "'region':'r1'; 'region':1 ; localNode.region",
+                "'dataDirectory':'/d'; 'dataDirectory':false ; localNode.dataDirectory",
+                "'application':'10.0.0.1:80'; 'application':80 ; localNode.application",
+                "'internalPortRange':[7000,7009],; `` ; network.internalPortRange",
+                "[7000,7009]; [7009,7000] ; network.internalPortRange",
+                "[7000,7009]; ['a','b'] ; network.internalPortRange",
+                "{'outbound':'10.0.0.1:81'}; 'x' ; network.listenAddresses",
+                "{'z2':'r1','z1':'r1'}; 3 ; network.zones",
+                "'2.5s'; '2.5m' ; termTable.timingBounds.drain",
+                "'machineFailures':2; 'machineFailures':'two' ; termTable.faultTolerance.machineFailures",
+                "'500ms'; 'soon' ; platform.heartbeat",
+                "'500ms'; 500 ; platform.heartbeat",
+                "'initialStart':true; 'initialStart':'yes' ; localNode.initialStart",
+                "'memoryMb':300; 'memoryMb':'much' ; localNode.limits.memoryMb",
+                "['10.0.0.1:7000','10.0.0.2:7000']; 'x' ; network.seedNodes",
+                "['10.0.0.1:7000','10.0.0.2:7000']; ['10.0.0.1'] ; network.seedNodes",
+                "['10.0.0.1:7000','10.0.0.2:7000']; [1] ; network.seedNodes",
+                "'2.5s'; [] ; termTable.timingBounds.drain"
+            })
     void whatIsWrongIsSaidInOneLineWithItsPlace(String part, String instead, String place) {
         assertThat(FILE).contains(part);
-        assertThat(read(FILE.replace(part, instead)).getLeft()).singleElement().asString().contains(place);
+        assertThat(read(FILE.replace(part, instead)).getLeft())
+                .singleElement()
+                .asString()
+                .contains(place);
     }
 
     @Test
@@ -100,8 +124,8 @@
         assertThat(Duration.micros("1500ms").get()).isEqualTo(1_500_000);
         assertThat(Duration.micros("2.5s").get()).isEqualTo(2_500_000);
         assertThat(Duration.micros("0ms").get()).isZero();
-        for (String none : List.of("", "s", "ms", "5", "5m", "5 s x", "x5s", "NaNs", "Infinitys", "5ds",
-                "0x1p3s", "-1s")) {
+        for (String none :
+                List.of("", "s", "ms", "5", "5m", "5 s x", "x5s", "NaNs", "Infinitys", "5ds", "0x1p3s", "-1s")) {
             assertThat(Duration.micros(none).isEmpty()).as(none).isTrue();
         }
     }
--- a/src/test/java/larkbank/papers/WatchedTest.java
+++ b/src/test/java/larkbank/papers/WatchedTest.java
@@ -21,6 +21,7 @@
 
     @TempDir
     Path folder;
+
     private final List<Long> told = new ArrayList<>();
     private Path file;
     private long writes;
@@ -32,8 +33,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"n1, n2, false", "10.0.0.1, 10.0.0.2, false", "'[7000,', '[7001,', false", "}}, }, false",
-        "500ms, soon, false", "z1, z2, true", "500ms, 700ms, true"})
+    @CsvSource({
+        "n1, n2, false",
+        "10.0.0.1, 10.0.0.2, false",
+        "'[7000,', '[7001,', false",
+        "}}, }, false",
+        "500ms, soon, false",
+        "z1, z2, true",
+        "500ms, 700ms, true"
+    })
     void onlyItsOwnAndWholeOnesAreTaken(String text, String instead, boolean taken) throws IOException {
         for (boolean signalled : List.of(true, false)) {
             told.clear();
--- a/src/test/java/larkbank/pilot/BreaksTest.java
+++ b/src/test/java/larkbank/pilot/BreaksTest.java
@@ -27,8 +27,18 @@
     private static final int STRIDE = Integer.getInteger("breaks", 37);
 
     private static final int MUTANTS = Integer.getInteger("mutants", 400);
-    private static final List<String> SCRAPS = List.of("\r\n", "\n", "\r", " ", "\0", ":", "0", "\r\n\r\n",
-            "\r\n ", "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n");
+    private static final List<String> SCRAPS = List.of(
+            "\r\n",
+            "\n",
+            "\r",
+            " ",
+            "\0",
+            ":",
+            "0",
+            "\r\n\r\n",
+            "\r\n ",
+            "Content-Length: 1\r\n",
+            "Transfer-Encoding: chunked\r\n");
 
     private HopRig rig;
     private int ids;
@@ -49,7 +59,8 @@
         "request to the server, 502, 0",
         "answer of the server, 502, 1",
         "request on the hop, 502, 0",
-        "answer on the hop, 502, 1"})
+        "answer on the hop, 502, 1"
+    })
     void aBreakHasOneOutcome(String where, int status, int runs) throws Exception {
         for (int kind = 0; kind < 8; kind++) {
             boolean often = kind % 2 == 1;
@@ -57,17 +68,22 @@
             boolean keeps = kind / 4 == 1;
             rig.answer = "HTTP/1.1 200 OK\r\n" + HopRig.ID + ": ID\r\nCypressweir-Server-Seal: s\r\n"
                     + (keeps ? "" : "Connection: close\r\n")
-                    + (chunked ? "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"
+                    + (chunked
+                            ? "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"
                             : "Content-Length: 4\r\n\r\nfine");
             rig.next(HopRig.Break.none(), false);
-            assertThat(rig.ask(request(nextId(), false, chunked, keeps)).status()).isEqualTo(200);
+            assertThat(rig.ask(request(nextId(), false, chunked, keeps)).status())
+                    .isEqualTo(200);
             int bytes = where.equals("answer of the server") ? rig.answer.length() : rig.bytes(where);
             assertThat(bytes).isGreaterThan(90);
             for (int at = 1; at < bytes; at += kind == 0 ? 1 : STRIDE) {
-                rig.next(new HopRig.Break(where.equals("request to the server") ? at : -1,
-                        where.equals("answer of the server") ? at : -1,
-                        where.equals("request on the hop") ? at : -1,
-                        where.equals("answer on the hop") ? at : -1), often);
+                rig.next(
+                        new HopRig.Break(
+                                where.equals("request to the server") ? at : -1,
+                                where.equals("answer of the server") ? at : -1,
+                                where.equals("request on the hop") ? at : -1,
+                                where.equals("answer on the hop") ? at : -1),
+                        often);
                 String id = nextId();
                 Http.Message got = rig.ask(request(id, often, chunked, keeps));
                 assertThat(got).isNotNull();
@@ -88,7 +104,8 @@
     private static String request(String id, boolean often, boolean chunked, boolean keeps) {
         return "POST " + (often ? "/often" : "/once") + " HTTP/1.1\r\nHost: a\r\n" + HopRig.ID + ": " + id
                 + "\r\n" + (keeps ? "" : "Connection: close\r\n")
-                + (chunked ? "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
+                + (chunked
+                        ? "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
                         : "Content-Length: 5\r\n\r\nhello");
     }
 
@@ -97,7 +114,8 @@
         rig.next(HopRig.Break.NONE, false);
         for (int kind = 0; kind < 8; kind++) {
             String id = "c" + ++ids;
-            assertThat(rig.ask(request(id, kind % 2 == 1, kind / 2 % 2 == 1, kind / 4 == 1)).status())
+            assertThat(rig.ask(request(id, kind % 2 == 1, kind / 2 % 2 == 1, kind / 4 == 1))
+                            .status())
                     .isEqualTo(200);
             assertThat(rig.runs(id)).isEqualTo(1);
         }
@@ -105,19 +123,27 @@
 
     /** Two lengths, a length and chunks, folded lines, bare line feeds: nothing is read that is not plain. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
-        "Content-Length: 5, 5\r\n\r\nhello", "Content-Length: +5\r\n\r\nhello",
-        "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: xchunked\r\n\r\n", "X: a\r\n b\r\nContent-Length: 0\r\n\r\n",
-        "X: a\nContent-Length: 0\r\n\r\n", "Content-Length: 0\n\n", "X: a\rb\r\nContent-Length: 0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\n5\nhello\n0\n\n"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
+                "Content-Length: 5, 5\r\n\r\nhello",
+                "Content-Length: +5\r\n\r\nhello",
+                "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: xchunked\r\n\r\n",
+                "X: a\r\n b\r\nContent-Length: 0\r\n\r\n",
+                "X: a\nContent-Length: 0\r\n\r\n",
+                "Content-Length: 0\n\n",
+                "X: a\rb\r\nContent-Length: 0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\n5\nhello\n0\n\n"
+            })
     void whatIsNotPlainIsRefused(String rest) throws Exception {
         rig.next(HopRig.Break.NONE, false);
         String smuggled = request("inside", false, false, true);
-        Http.Message got = rig.ask("POST /once HTTP/1.1\r\nHost: a\r\n" + HopRig.ID + ": outside\r\n" + rest
-                + smuggled);
+        Http.Message got =
+                rig.ask("POST /once HTTP/1.1\r\nHost: a\r\n" + HopRig.ID + ": outside\r\n" + rest + smuggled);
         assertThat(got.status()).isEqualTo(400);
         assertThat(rig.runs()).isEmpty();
     }
--- a/src/test/java/larkbank/pilot/FreshnessTest.java
+++ b/src/test/java/larkbank/pilot/FreshnessTest.java
@@ -25,23 +25,33 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '~', value = {
-        "any age will do ~ now - one.asOf <= MOST_AGE && own ~ own",
-        "an answer counts as of when it comes ~ new Confirmed(stamp, asked - age) "
-            + "~ new Confirmed(stamp, now - age)",
-        "what it has need not be what is confirmed ~ && own.compareTo(one.stamp) >= 0 ~ ",
-        "a harbour that knows nothing confirms ~ stamp != null && age >= 0 && asked <= now "
-            + "~ stamp != null",
-        "it doesn't wait for a confirmation ~ begun = isConfirmed || now - havingSince >= patience; "
-            + "~ begun = true;",
-        "it waits for a confirmation for ever ~ begun = isConfirmed || now - havingSince >= patience; "
-            + "~ begun = isConfirmed;",
-    })
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "any age will do ~ now - one.asOf <= MOST_AGE && own ~ own",
+                "an answer counts as of when it comes ~ new Confirmed(stamp, asked - age) "
+                        + "~ new Confirmed(stamp, now - age)",
+                "what it has need not be what is confirmed ~ && own.compareTo(one.stamp) >= 0 ~ ",
+                "a harbour that knows nothing confirms ~ stamp != null && age >= 0 && asked <= now "
+                        + "~ stamp != null",
+                "it doesn't wait for a confirmation ~ begun = isConfirmed || now - havingSince >= patience; "
+                        + "~ begun = true;",
+                "it waits for a confirmation for ever ~ begun = isConfirmed || now - havingSince >= patience; "
+                        + "~ begun = isConfirmed;",
+            })
     void eachFaultIsFound(String fault, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(folder, Path.of("src/main/java/larkbank/pilot"), "Freshness.java",
-                text, instead == null ? "" : instead, name -> name.startsWith("larkbank.pilot.PilotStarts"));
-        assertThat(planted.loadClass("larkbank.pilot.PilotStarts").getMethod("broken", int.class)
-                .invoke(null, STARTS)).as(fault).isNotNull();
+        ClassLoader planted = new Planted(
+                folder,
+                Path.of("src/main/java/larkbank/pilot"),
+                "Freshness.java",
+                text,
+                instead == null ? "" : instead,
+                name -> name.startsWith("larkbank.pilot.PilotStarts"));
+        assertThat(planted.loadClass("larkbank.pilot.PilotStarts")
+                        .getMethod("broken", int.class)
+                        .invoke(null, STARTS))
+                .as(fault)
+                .isNotNull();
     }
 
     @Test
--- a/src/test/java/larkbank/pilot/GoldenAnswersTest.java
+++ b/src/test/java/larkbank/pilot/GoldenAnswersTest.java
@@ -14,13 +14,13 @@
 
     private static String line(Fault fault) {
         Answer answer = Answers.of(fault, RETRY_AFTER);
-        return answer.status() + " " + answer.headers() + " "
-                + new String(answer.body(), StandardCharsets.UTF_8);
+        return answer.status() + " " + answer.headers() + " " + new String(answer.body(), StandardCharsets.UTF_8);
     }
 
     @Test
     void answersAreTheSame() {
-        Golden.assertSame("messages/proxy-error-answers.txt",
+        Golden.assertSame(
+                "messages/proxy-error-answers.txt",
                 Stream.of(Fault.values()).map(GoldenAnswersTest::line).toList());
     }
 }
--- a/src/test/java/larkbank/pilot/GoldenProxyMessagesTest.java
+++ b/src/test/java/larkbank/pilot/GoldenProxyMessagesTest.java
@@ -33,14 +33,22 @@
     private static final byte[] ANSWER = "answer body".getBytes(StandardCharsets.UTF_8);
     private static final List<Map.Entry<String, String>> HEADERS =
             List.of(Map.entry("Accept", "*/*"), Map.entry("X-\u00e9", "1"));
-    private static final Target TARGET =
-            new Target(7, "proxy-2", SERVER_LIFE, "10.0.0.2:8", "instance-2", "zone-b");
-    private static final Freight REQUEST = new Freight("attempt-1", "POST", "/orders?x=1", HEADERS, BODY,
-            true, 3, true, NOW + 400_000, NOW + 900_000, "instance-2");
-    private static final Ship INSTANCE =
-            new Ship("instance-2", "till", "127.0.0.1:9000", 8, false, NOW + 60_000_000);
-    private static final Berth REGISTRATION = new Berth("proxy-2", SERVER_LIFE, 4, "10.0.0.2:8",
-            "10.0.0.2:9", "zone-b", "till", false, INSTANCE);
+    private static final Target TARGET = new Target(7, "proxy-2", SERVER_LIFE, "10.0.0.2:8", "instance-2", "zone-b");
+    private static final Freight REQUEST = new Freight(
+            "attempt-1",
+            "POST",
+            "/orders?x=1",
+            HEADERS,
+            BODY,
+            true,
+            3,
+            true,
+            NOW + 400_000,
+            NOW + 900_000,
+            "instance-2");
+    private static final Ship INSTANCE = new Ship("instance-2", "till", "127.0.0.1:9000", 8, false, NOW + 60_000_000);
+    private static final Berth REGISTRATION =
+            new Berth("proxy-2", SERVER_LIFE, 4, "10.0.0.2:8", "10.0.0.2:9", "zone-b", "till", false, INSTANCE);
 
     /** Keeps what it is given; the test tells the outcome. */
     private static final class KeepingDispatcher implements Dispatcher {
@@ -55,7 +63,7 @@
         }
 
         @Override
-        public void cancel(Ticket ticket) { }
+        public void cancel(Ticket ticket) {}
 
         @Override
         public Load load() {
@@ -67,8 +75,7 @@
     private final List<Reply> replies = new ArrayList<>();
 
     private Hops caller() {
-        return new Hops(() -> NOW, "10.0.0.1:8", CALLER_LIFE, new KeepingDispatcher(),
-                address -> recorded.line());
+        return new Hops(() -> NOW, "10.0.0.1:8", CALLER_LIFE, new KeepingDispatcher(), address -> recorded.line());
     }
 
     private static List<String> responses() {
@@ -98,7 +105,9 @@
     void requestsAreRead() {
         KeepingDispatcher dispatcher = new KeepingDispatcher();
         serverSide(dispatcher);
-        assertThat(dispatcher.taken).usingRecursiveFieldByFieldElementComparator().containsExactly(REQUEST);
+        assertThat(dispatcher.taken)
+                .usingRecursiveFieldByFieldElementComparator()
+                .containsExactly(REQUEST);
     }
 
     @Test
@@ -137,8 +146,7 @@
         Load load = new Load(2, 1, 8);
         expected.add(new Reply(new Outcome.Answered(201, HEADERS, ANSWER), load));
         expected.add(new Reply(new Outcome.MayHaveRun("the connection broke"), load));
-        Stream.of(Reason.values())
-                .forEach(reason -> expected.add(new Reply(new Outcome.NotRun(reason, 30_000), load)));
+        Stream.of(Reason.values()).forEach(reason -> expected.add(new Reply(new Outcome.NotRun(reason, 30_000), load)));
         expected.add(new Reply(new Outcome.NotRun(Reason.GONE, 0), null));
         assertThat(replies).usingRecursiveFieldByFieldElementComparator().containsExactlyElementsOf(expected);
     }
--- a/src/test/java/larkbank/pilot/GoldenProxyToControllerTest.java
+++ b/src/test/java/larkbank/pilot/GoldenProxyToControllerTest.java
@@ -40,8 +40,15 @@
     private static final long NOW = 5_000_000;
     private static final long KEEP_MICROS = 1_000_000;
     private static final int BOUND_SECONDS = 10;
-    private static final Berth REGISTRATION = new Berth("proxy-1", 2_000, 4, "10.0.0.5:8", "10.0.0.5:9",
-            "zone-b", "till", false,
+    private static final Berth REGISTRATION = new Berth(
+            "proxy-1",
+            2_000,
+            4,
+            "10.0.0.5:8",
+            "10.0.0.5:9",
+            "zone-b",
+            "till",
+            false,
             new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, NOW + 1_000));
     private static final String WELCOME = "{\"t\":\"welcome\",\"life\":900,\"crew\":[],"
             + "\"control\":\"10.0.0.1:9\",\"stamp\":\"5@10.0.0.2:7\",\"age\":40}";
@@ -72,7 +79,7 @@
         }
 
         @Override
-        public void closed(Line line) { }
+        public void closed(Line line) {}
     }
 
     @BeforeEach
@@ -81,8 +88,17 @@
         InetSocketAddress at =
                 wharf.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Controller());
         address = "127.0.0.1:" + at.getPort();
-        proxy = new Lookout(wharf, () -> NOW, "proxy-1", () -> REGISTRATION, directory, following,
-                new Freshness(), quotas, new Aside(Runnable::run, Runnable::run), () -> { });
+        proxy = new Lookout(
+                wharf,
+                () -> NOW,
+                "proxy-1",
+                () -> REGISTRATION,
+                directory,
+                following,
+                new Freshness(),
+                quotas,
+                new Aside(Runnable::run, Runnable::run),
+                () -> {});
     }
 
     @AfterEach
@@ -128,10 +144,15 @@
     }
 
     private void readsItems() {
-        controllerSends(ITEMS, Bales.pack(List.of(new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)))).get(0));
-        controllerSends("{\"t\":\"roster\",\"life\":900,\"place\":3,\"whole\":true,\"berths\":["
-                + new String(Scribe.bytes(REGISTRATION.toMap(NOW)), StandardCharsets.UTF_8)
-                + "],\"gone\":[]}", new byte[0]);
+        controllerSends(
+                ITEMS,
+                Bales.pack(List.of(new Item(Key.LIMITS, 1, Map.of("perProxy", 100L))))
+                        .get(0));
+        controllerSends(
+                "{\"t\":\"roster\",\"life\":900,\"place\":3,\"whole\":true,\"berths\":["
+                        + new String(Scribe.bytes(REGISTRATION.toMap(NOW)), StandardCharsets.UTF_8)
+                        + "],\"gone\":[]}",
+                new byte[0]);
     }
 
     /** After the connection is lost, the proxy asks for what came after the place that it was told. */
--- a/src/test/java/larkbank/pilot/HelmTest.java
+++ b/src/test/java/larkbank/pilot/HelmTest.java
@@ -26,8 +26,8 @@
     void picksFollowWhatIsMeasured() {
         Hull hull = new Hull(4);
         SplittableRandom random = new SplittableRandom(3);
-        hull.server = s -> hull.later((s.target.instance().equals("i0") ? 80_000 : 8_000)
-                + random.nextInt(2_000), () -> s.answers(200));
+        hull.server = s -> hull.later(
+                (s.target.instance().equals("i0") ? 80_000 : 8_000) + random.nextInt(2_000), () -> s.answers(200));
         List<Hull.Client> clients = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
             clients.add(hull.ask(i % 2 == 0));
@@ -36,7 +36,8 @@
         hull.advance(1_000_000);
         assertThat(clients).allMatch(c -> c.answers.size() == 1 && c.status() == 200);
         List<String> late = hull.sent.subList(hull.sent.size() / 2, hull.sent.size()).stream()
-                .map(s -> s.target.instance()).toList();
+                .map(s -> s.target.instance())
+                .toList();
         assertThat(late.stream().filter("i0"::equals).count()).isBetween(1L, late.size() / 12L);
         for (String fast : List.of("i1", "i2", "i3")) {
             assertThat(late.stream().filter(fast::equals).count()).isGreaterThan(late.size() / 6L);
@@ -74,7 +75,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Reason.class, names = {"FULL", "GONE", "NO_CONNECTION", "MISDIRECTED"})
+    @EnumSource(
+            value = Reason.class,
+            names = {"FULL", "GONE", "NO_CONNECTION", "MISDIRECTED"})
     void whatHasNotRunGoesToAnother(Reason reason) {
         Hull hull = new Hull(3);
         Hull.Client client = hull.ask(false);
@@ -82,8 +85,10 @@
         hull.advance(100_000);
         assertThat(hull.sent).hasSize(2);
         assertThat(hull.sent.get(1).target).isNotEqualTo(hull.sent.get(0).target);
-        assertThat(hull.sent.get(1).freight.instanceId()).isEqualTo(hull.sent.get(1).target.instance());
-        assertThat(hull.sent.get(1).freight.id()).isEqualTo(hull.sent.get(0).freight.id());
+        assertThat(hull.sent.get(1).freight.instanceId())
+                .isEqualTo(hull.sent.get(1).target.instance());
+        assertThat(hull.sent.get(1).freight.id())
+                .isEqualTo(hull.sent.get(0).freight.id());
         hull.sent.get(1).answers(201);
         hull.advance(0);
         assertThat(client.status()).isEqualTo(201);
@@ -102,16 +107,21 @@
         hull.sent.get(1).answers(201);
         hull.advance(0);
         String told = hull.wake.of("id1").get(1).toString();
-        assertThat(told).contains("route=r", "service=s", "tenant=t", "answer=201", "sentMs=0.0, tookMs=2.0, "
-                + "outcome=not run: full", "outcome=answered", "server=" + hull.sent.get(1).target.instance())
+        assertThat(told)
+                .contains(
+                        "route=r",
+                        "service=s",
+                        "tenant=t",
+                        "answer=201",
+                        "sentMs=0.0, tookMs=2.0, " + "outcome=not run: full",
+                        "outcome=answered",
+                        "server=" + hull.sent.get(1).target.instance())
                 .doesNotContain("fault");
-        assertThat(told.indexOf(hull.sent.get(0).target.pilot()))
-                .isLessThan(told.indexOf("outcome=answered"));
+        assertThat(told.indexOf(hull.sent.get(0).target.pilot())).isLessThan(told.indexOf("outcome=answered"));
         hull.ask(false);
         hull.sent.get(2).ends(LOST);
         hull.advance(0);
-        assertThat(hull.wake.of("id2")).singleElement().asString().contains("answer=502, fault=broken",
-                "outcome=lost");
+        assertThat(hull.wake.of("id2")).singleElement().asString().contains("answer=502, fault=broken", "outcome=lost");
         for (int i = 0; i < 4; i++) {
             hull.ask(true);
             hull.sent.get(3 + i).answers(200);
@@ -238,9 +248,15 @@
         List<Reason> reasons = List.copyOf(EnumSet.allOf(Reason.class));
         hull.server = s -> {
             int fate = random.nextInt(10);
-            Runnable end = fate < 5 ? () -> s.answers(200) : fate == 5 ? () -> s.answers(500)
-                    : fate == 6 ? () -> s.ends(LOST) : fate == 7 ? () -> { }
-                    : () -> s.ends(notRun(reasons.get(random.nextInt(reasons.size()))));
+            Runnable end = fate < 5
+                    ? () -> s.answers(200)
+                    : fate == 5
+                            ? () -> s.answers(500)
+                            : fate == 6
+                                    ? () -> s.ends(LOST)
+                                    : fate == 7
+                                            ? () -> {}
+                                            : () -> s.ends(notRun(reasons.get(random.nextInt(reasons.size()))));
             if (random.nextInt(3) == 0) {
                 end.run();
             } else {
@@ -266,8 +282,8 @@
             if (refused) {
                 assertThat(tries).allMatch(Hull.Sent::hasNotRun);
             } else if (client.status() < 502) {
-                assertThat(tries).anyMatch(s -> s.outcome instanceof Outcome.Answered a
-                        && a.status() == client.status());
+                assertThat(tries)
+                        .anyMatch(s -> s.outcome instanceof Outcome.Answered a && a.status() == client.status());
             } else {
                 assertThat(client.status()).isIn(502, 504);
                 assertThat(tries).anyMatch(s -> !s.hasNotRun());
--- a/src/test/java/larkbank/pilot/HopRig.java
+++ b/src/test/java/larkbank/pilot/HopRig.java
@@ -53,8 +53,7 @@
     private static final long LIFE = 1_000_000;
     private static final int BOUND = 10_000;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ServerSocket server = open();
     private final ServerSocket relay = open();
@@ -68,18 +67,21 @@
     private volatile Break now = Break.NONE;
     /** What has passed the relay in either way since the last break was set. */
     private volatile int passedOut;
+
     private volatile int passedBack;
     /** What the server was sent last, in bytes. */
     private volatile int asked;
     /** How the server writes its answer; the id stands for itself in it. */
-    volatile String answer = "HTTP/1.1 200 OK\r\n" + ID + ": ID\r\nCypressweir-Server-Seal: s\r\n"
-            + "Content-Length: 4\r\n\r\nfine";
+    volatile String answer =
+            "HTTP/1.1 200 OK\r\n" + ID + ": ID\r\nCypressweir-Server-Seal: s\r\n" + "Content-Length: 4\r\n\r\nfine";
     /** The id whose answers are changed, and how; its connection ends behind them. */
     volatile String mutant = "";
+
     volatile UnaryOperator<String> change = text -> text;
     private Helm helm;
     /** The line on which the other pilot has told of itself. */
     private Line greeted;
+
     private long numbers;
 
     HopRig() throws Exception {
@@ -87,11 +89,15 @@
         Quay near = quay(to, "i0");
         Quay beyond = quay(to, "i1");
         Wharf wharf = new Wharf(group, HopRig::micros);
-        far = wharf.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Landing(
-                HopRig::micros, beyond, () -> new Berth("p1", 1, 1, "far", "", "z", "s", false,
-                        null)));
-        moorings = new Moorings(wharf, HopRig::micros, new Moorings.Plan(3_000_000, 6_000_000, 12_000_000,
-                10_000, 10_000, 700), () -> hops().hello("p0"), new Ear());
+        far = wharf.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                new Landing(HopRig::micros, beyond, () -> new Berth("p1", 1, 1, "far", "", "z", "s", false, null)));
+        moorings = new Moorings(
+                wharf,
+                HopRig::micros,
+                new Moorings.Plan(3_000_000, 6_000_000, 12_000_000, 10_000, 10_000, 700),
+                () -> hops().hello("p0"),
+                new Ear());
         hops = new Hops(HopRig::micros, "own", LIFE, near, moorings::line);
         daemon(() -> accept(server, this::serve));
         daemon(() -> accept(relay, this::pass));
@@ -99,8 +105,12 @@
             moorings.want(Set.of(farAddress()));
             return null;
         });
-        gangway = Gangway.open(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> new Bounds(16_384, 65_536, 1_000, 5_000), HopRig::micros, this::called);
+        gangway = Gangway.open(
+                group,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                () -> new Bounds(16_384, 65_536, 1_000, 5_000),
+                HopRig::micros,
+                this::called);
     }
 
     private Hops hops() {
@@ -121,7 +131,7 @@
 
     private Quay quay(InetSocketAddress to, String instance) throws Exception {
         return on(() -> {
-            Quay quay = new Quay(loop, to, HopRig::micros, QuayPlan.defaults(), line -> { });
+            Quay quay = new Quay(loop, to, HopRig::micros, QuayPlan.defaults(), line -> {});
             quay.life(new Life(instance, "s", 8, false, 0));
             return quay;
         });
@@ -133,7 +143,7 @@
 
     private final class Ear implements Moorings.Owner {
         @Override
-        public void up(String address, Line line) { }
+        public void up(String address, Line line) {}
 
         @Override
         public void heard(String address, Line line, Map<String, Object> head, byte[] body) {
@@ -151,18 +161,28 @@
         }
 
         @Override
-        public void refused(String address) { }
+        public void refused(String address) {}
     }
 
     private void called(Call call) {
         boolean repeatable = call.path().startsWith("/often");
-        RouteTerms route = new RouteTerms("r", "a", "/", repeatable, 4_000_000, 2_000_000, 1,
-                List.of(new Split("s", 1)), 3, false);
+        RouteTerms route = new RouteTerms(
+                "r", "a", "/", repeatable, 4_000_000, 2_000_000, 1, List.of(new Split("s", 1)), 3, false);
         long at = micros();
         String id = call.header(ID);
-        helm.take(new Passage(Long.toString(++numbers), call, id == null ? "none" : id, route, null, 1, true,
-                at, at + 2_000_000, at + 4_000_000, call.headers(),
-                    new Wake(HopRig::micros, 4)));
+        helm.take(new Passage(
+                Long.toString(++numbers),
+                call,
+                id == null ? "none" : id,
+                route,
+                null,
+                1,
+                true,
+                at,
+                at + 2_000_000,
+                at + 4_000_000,
+                call.headers(),
+                new Wake(HopRig::micros, 4)));
     }
 
     /** From now on the first to come is broken there; what can't be repeated goes over the hop. */
@@ -171,8 +191,7 @@
             Thread.onSpinWait();
         }
         on(() -> {
-            helm = new Helm("s", loop, HopRig::micros, hops, "p0", 0, List.of("z"),
-                    Helm.budget(10_000_000, 50, 1));
+            helm = new Helm("s", loop, HopRig::micros, hops, "p0", 0, List.of("z"), Helm.budget(10_000_000, 50, 1));
             Target other = new Target(101, "p1", 1, farAddress(), "i1", "z");
             Target near = new Target(100, "p0", 1, "own", "i0", "z");
             helm.servers(both ? List.of(near, other) : List.of(other), List.of("z"), Map.of());
@@ -184,7 +203,8 @@
 
     /** How many bytes a request takes on each part of its way: to the server, on the hop, and back on it. */
     int bytes(String where) {
-        return where.equals("request to the server") ? asked
+        return where.equals("request to the server")
+                ? asked
                 : where.equals("request on the hop") ? passedOut : passedBack;
     }
 
@@ -197,7 +217,8 @@
     }
 
     Socket client() throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), gangway.address().getPort());
+        Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), gangway.address().getPort());
         socket.setSoTimeout(BOUND);
         socket.setTcpNoDelay(true);
         return socket;
@@ -241,7 +262,7 @@
         int size = 0;
         int end = Integer.MAX_VALUE;
         Break its = Break.NONE;
-        for (int b; (b = in.read()) >= 0;) {
+        for (int b; (b = in.read()) >= 0; ) {
             its = size == 0 ? taken(now.request > 0 || now.answer >= 0) : its;
             head.append((char) b);
             if (++size == its.request) {
@@ -304,8 +325,9 @@
         byte[] bytes = new byte[65_536];
         Break its = Break.NONE;
         int passed = 0;
-        try (from; to) {
-            for (int size; (size = from.getInputStream().read(bytes)) >= 0;) {
+        try (from;
+                to) {
+            for (int size; (size = from.getInputStream().read(bytes)) >= 0; ) {
                 if (its != now) {
                     its = now;
                     passed = 0;
--- a/src/test/java/larkbank/pilot/Hull.java
+++ b/src/test/java/larkbank/pilot/Hull.java
@@ -29,9 +29,10 @@
         private final Consumer<Reply> end;
         /** As far as it is known. */
         Outcome outcome;
+
         boolean cancelled;
         /** Hears of it when it is cancelled. */
-        Runnable whenCancelled = () -> { };
+        Runnable whenCancelled = () -> {};
 
         Sent(Target target, Freight freight, Consumer<Reply> end) {
             this.target = target;
@@ -124,9 +125,10 @@
 
     final List<Sent> sent = new ArrayList<>();
     /** Does what the test wants with each attempt as it is sent. */
-    Consumer<Sent> server = s -> { };
+    Consumer<Sent> server = s -> {};
     /** Whether it is an error to send again what may have run and can't be repeated. */
     boolean strict = true;
+
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Helm helm;
     long now = 1_000_000_000L;
@@ -135,8 +137,8 @@
 
     Hull(int servers) {
         channel.freezeTime();
-        helm = new Helm("s", channel.eventLoop(), () -> now, this, "p1", 0, List.of("z"),
-                Helm.budget(10_000_000, 50, 0.25));
+        helm = new Helm(
+                "s", channel.eventLoop(), () -> now, this, "p1", 0, List.of("z"), Helm.budget(10_000_000, 50, 0.25));
         servers(servers);
     }
 
@@ -177,11 +179,11 @@
     }
 
     Client ask(boolean repeatable, Client client) {
-        RouteTerms route = new RouteTerms("r", "a", "/", repeatable, LEFT, AIM, 1,
-                List.of(new Split("s", 1)), 3, false);
+        RouteTerms route =
+                new RouteTerms("r", "a", "/", repeatable, LEFT, AIM, 1, List.of(new Split("s", 1)), 3, false);
         String number = Long.toString(++numbers);
-        helm.take(new Passage(number, client, "id" + number, route, "t", 1, false, now, now + AIM,
-                now + LEFT, List.of(), wake));
+        helm.take(new Passage(
+                number, client, "id" + number, route, "t", 1, false, now, now + AIM, now + LEFT, List.of(), wake));
         advance(0);
         return client;
     }
--- a/src/test/java/larkbank/pilot/MeshTest.java
+++ b/src/test/java/larkbank/pilot/MeshTest.java
@@ -42,6 +42,7 @@
 
     @TempDir
     static Path folder;
+
     private static MeshRig rig;
 
     private static String service(int version) {
@@ -71,7 +72,9 @@
             rig.await(pilot + " serves by all", () -> {
                 List<String> by = new ArrayList<>();
                 for (int n = 0; n < 9; n++) {
-                    by.add(rig.request(pilot, HOST, "/safe/x", "k-free").headers().get("Instance"));
+                    by.add(rig.request(pilot, HOST, "/safe/x", "k-free")
+                            .headers()
+                            .get("Instance"));
                 }
                 return by.containsAll(List.of("orders-p1", "orders-p2", "orders-p3"));
             });
@@ -99,13 +102,17 @@
         assertThat(answer.headers()).containsEntry(Ships.ID, id);
         String instance = answer.headers().get("Instance");
         Ships ship = rig.ship(instance.substring("orders-".length()));
-        Http.Message seen = ship.seen.stream().filter(m -> id.equals(m.headers().get(Ships.ID))).findFirst()
+        Http.Message seen = ship.seen.stream()
+                .filter(m -> id.equals(m.headers().get(Ships.ID)))
+                .findFirst()
                 .orElseThrow();
         assertThat(seen.first()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
-        assertThat(seen.headers()).containsEntry("Cypressweir-Caller-Service", "gate")
+        assertThat(seen.headers())
+                .containsEntry("Cypressweir-Caller-Service", "gate")
                 .containsEntry("Cypressweir-Tenant-Name", "free")
                 .containsEntry("Cypressweir-Target-Instance", instance)
-                .containsKey("Cypressweir-Time-Remaining").doesNotContainKey("Cypressweir-Key");
+                .containsKey("Cypressweir-Time-Remaining")
+                .doesNotContainKey("Cypressweir-Key");
         assertThat(ship.runs(id)).isEqualTo(1);
     }
 
@@ -115,7 +122,8 @@
         assertThat(status("p1", "/", null)).isEqualTo(401);
         assertThat(status("p2", "/", "k-none")).isEqualTo(401);
         assertThat(rig.request("p3", "other.mesh", "/", "k-free").status()).isEqualTo(404);
-        int before = rig.ship("p1").runs() + rig.ship("p2").runs() + rig.ship("p3").runs();
+        int before =
+                rig.ship("p1").runs() + rig.ship("p2").runs() + rig.ship("p3").runs();
         int served = 0;
         Http.Message refused = null;
         for (int i = 0; i < 30 && refused == null; i++) {
@@ -125,13 +133,21 @@
         }
         assertThat(refused).isNotNull();
         assertThat(Double.parseDouble(refused.headers().get("Retry-After"))).isPositive();
-        assertThat(rig.ship("p1").runs() + rig.ship("p2").runs() + rig.ship("p3").runs() - before)
+        assertThat(rig.ship("p1").runs()
+                        + rig.ship("p2").runs()
+                        + rig.ship("p3").runs()
+                        - before)
                 .isEqualTo(served);
 
         assertThat(rig.modify("h2", "{'upsert':{'routeTable':{'x':{'hostname':'x','configVersion':'r1'}}}}")
-                .status()).isEqualTo(400);
-        assertThat(rig.modify("h3", "{'upsert':{'serviceTable':{'gate':{'healthPath':'/other',"
-                + "'maxConnections':1,'configVersion':'r1'}}}}").status()).isEqualTo(409);
+                        .status())
+                .isEqualTo(400);
+        assertThat(rig.modify(
+                                "h3",
+                                "{'upsert':{'serviceTable':{'gate':{'healthPath':'/other',"
+                                        + "'maxConnections':1,'configVersion':'r1'}}}}")
+                        .status())
+                .isEqualTo(409);
         assertThat(rig.modify("h3", SETUP).status()).isEqualTo(200);
     }
 
@@ -139,10 +155,13 @@
     @Order(3)
     void withoutOneHarbourAndOnePilotAllGoesOn() throws Exception {
         rig.kill("h1");
-        rig.order("h2", "{'upsert':{'routeTable':{'late':" + route("/late/", "idempotent").replace(HOST,
-                "late.mesh") + "}}}");
+        rig.order(
+                "h2",
+                "{'upsert':{'routeTable':{'late':"
+                        + route("/late/", "idempotent").replace(HOST, "late.mesh") + "}}}");
         assertThat(rig.read("h3").body()).contains("late.mesh");
-        rig.await("the new route is at p5",
+        rig.await(
+                "the new route is at p5",
                 () -> rig.request("p5", "late.mesh", "/late/", "k-free").status() == 200);
 
         rig.kill("p1");
@@ -205,13 +224,18 @@
         for (int i = 0; i < 10; i++) {
             String id = "kept" + i;
             String pilot = pilots.get(i % 5);
-            asked.put(id, CompletableFuture.supplyAsync(() -> {
-                try {
-                    return rig.request(pilot, HOST, "/", "k-free", id).status();
-                } catch (IOException e) {
-                    return 0;
-                }
-            }, task -> new Thread(task, "client").start()));
+            asked.put(
+                    id,
+                    CompletableFuture.supplyAsync(
+                            () -> {
+                                try {
+                                    return rig.request(pilot, HOST, "/", "k-free", id)
+                                            .status();
+                                } catch (IOException e) {
+                                    return 0;
+                                }
+                            },
+                            task -> new Thread(task, "client").start()));
         }
         Map<String, Integer> before = new TreeMap<>();
         for (String pilot : pilots) {
@@ -229,7 +253,9 @@
         }
         ships.forEach(s -> s.takes(0));
         for (Map.Entry<String, CompletableFuture<Integer>> one : asked.entrySet()) {
-            assertThat(one.getValue().get(10, TimeUnit.SECONDS)).as(one.getKey()).isEqualTo(200);
+            assertThat(one.getValue().get(10, TimeUnit.SECONDS))
+                    .as(one.getKey())
+                    .isEqualTo(200);
             assertThat(ships.stream().mapToInt(s -> s.runs(one.getKey())).sum()).isEqualTo(1);
         }
     }
--- a/src/test/java/larkbank/pilot/PilotStarts.java
+++ b/src/test/java/larkbank/pilot/PilotStarts.java
@@ -18,7 +18,7 @@
     private static final long TOLD = 600_000;
     private static final int ALL = 4;
 
-    private record Word(long at, Runnable comes) { }
+    private record Word(long at, Runnable comes) {}
 
     private final SplittableRandom random;
     private final CopiesWorld world;
@@ -46,14 +46,17 @@
             }
             confirmed += one.freshness.isConfirmed() ? 1 : 0;
         }
-        return confirmed * 4 > starts && confirmed < starts ? null
+        return confirmed * 4 > starts && confirmed < starts
+                ? null
                 : confirmed + " of " + starts + " begin with what is confirmed";
     }
 
     private void order() {
         Harbour at = world.harbour(1 + random.nextInt(3));
-        world.submit(at, "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k\"],\"configVersion\":\"r"
-                + ++version + "\"}}}}", 850_000);
+        world.submit(
+                at,
+                "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k\"],\"configVersion\":\"r" + ++version + "\"}}}}",
+                850_000);
     }
 
     /** All three hear each other, or one of them is cut off. */
--- a/src/test/java/larkbank/plugin/PluginHostTest.java
+++ b/src/test/java/larkbank/plugin/PluginHostTest.java
@@ -27,10 +27,10 @@
 @Timeout(60)
 class PluginHostTest {
 
-    private static final RequestView REQUEST = new RequestView("GET", "/pay/7",
-            Map.of("user-agent", "trip planner", "x-old", "1"), "search");
-    private static final PluginGrant ALL = new PluginGrant(Set.of("x-log", "x-log-client", "x-old"),
-            Set.of("pay", "search"), Set.of(), true);
+    private static final RequestView REQUEST =
+            new RequestView("GET", "/pay/7", Map.of("user-agent", "trip planner", "x-old", "1"), "search");
+    private static final PluginGrant ALL =
+            new PluginGrant(Set.of("x-log", "x-log-client", "x-old"), Set.of("pay", "search"), Set.of(), true);
 
     private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
     private PluginHost host;
@@ -42,8 +42,7 @@
         }
     }
 
-    private PluginHost.Call ask(String module, PluginGrant grant, Map<String,
-            String> config) throws Exception {
+    private PluginHost.Call ask(String module, PluginGrant grant, Map<String, String> config) throws Exception {
         if (host == null) {
             host = new PluginHost(Modules.plan(module, grant, config), Runnable::run);
         }
@@ -86,7 +85,9 @@
 
     @Test
     void setsAHeaderFromAnother() throws Exception {
-        assertEquals(Map.of("x-log-client", "trip planner"), wishes("log-header", ALL).headers());
+        assertEquals(
+                Map.of("x-log-client", "trip planner"),
+                wishes("log-header", ALL).headers());
     }
 
     @Test
@@ -110,8 +111,9 @@
         host.close();
         host = null;
         for (int i = 0; i < 20_000; i++) {
-            assertEquals(Map.of("x-log-client", "search: trip planner"), wishes("as-log-header",
-                    ALL).headers());
+            assertEquals(
+                    Map.of("x-log-client", "search: trip planner"),
+                    wishes("as-log-header", ALL).headers());
         }
     }
 
@@ -141,8 +143,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"pointers", "injection"})
     void hostileArgumentsAreTurnedDown(String module) throws Exception {
-        PluginGrant all = new PluginGrant(Set.of("x-log", "host", "content-length", "request-id",
-                "transfer-encoding", "idempotency-key"), Set.of("pay"), Set.of(), true);
+        PluginGrant all = new PluginGrant(
+                Set.of("x-log", "host", "content-length", "request-id", "transfer-encoding", "idempotency-key"),
+                Set.of("pay"),
+                Set.of(),
+                true);
         assertEquals(Wishes.NONE, wishes(module, all));
     }
 
@@ -222,16 +227,18 @@
     // ---- What is no plug-in
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "foreign-import | it imports lb.send; there are lb.get, lb.set_header",
-        "old-abi | it speaks version 7 of the hook; this program speaks 1",
-        "no-hook | it lacks the export 'on_request'",
-        "many-pages | it wants 4000 pages of memory from the start, and may have 32",
-        "start-loop | its start took more than",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "foreign-import | it imports lb.send; there are lb.get, lb.set_header",
+                "old-abi | it speaks version 7 of the hook; this program speaks 1",
+                "no-hook | it lacks the export 'on_request'",
+                "many-pages | it wants 4000 pages of memory from the start, and may have 32",
+                "start-loop | its start took more than",
+            })
     void whatIsNoPluginIsSaid(String module, String why) throws Exception {
-        BadPlugin e = assertThrows(BadPlugin.class,
-                () -> new PluginHost(Modules.plan(module, ALL, Map.of()), Runnable::run));
+        BadPlugin e =
+                assertThrows(BadPlugin.class, () -> new PluginHost(Modules.plan(module, ALL, Map.of()), Runnable::run));
         assertTrue(e.getMessage().contains(why), e.getMessage());
     }
 
--- a/src/test/java/larkbank/quay/AccountTableTest.java
+++ b/src/test/java/larkbank/quay/AccountTableTest.java
@@ -24,14 +24,36 @@
     private static final int DEPTH = 6;
 
     private enum Event {
-        SENT, NOT_RUN, MAY_HAVE_RUN, ANSWERED, PROMISED, FAILED, LAST, DEADLINE, CLIENT_LEFT
+        SENT,
+        NOT_RUN,
+        MAY_HAVE_RUN,
+        ANSWERED,
+        PROMISED,
+        FAILED,
+        LAST,
+        DEADLINE,
+        CLIENT_LEFT
     }
 
-    private static final Map<Event, String> TITLES = new EnumMap<>(Map.of(Event.SENT, "an attempt goes",
-            Event.NOT_RUN, "one has not run", Event.MAY_HAVE_RUN, "one may have run",
-            Event.ANSWERED, "answered, below 500", Event.PROMISED, "answered 408, 421, 429, 503",
-            Event.FAILED, "answered, 500 and above", Event.LAST, "no further attempt, none waited for",
-            Event.DEADLINE, "its deadline", Event.CLIENT_LEFT, "the client leaves"));
+    private static final Map<Event, String> TITLES = new EnumMap<>(Map.of(
+            Event.SENT,
+            "an attempt goes",
+            Event.NOT_RUN,
+            "one has not run",
+            Event.MAY_HAVE_RUN,
+            "one may have run",
+            Event.ANSWERED,
+            "answered, below 500",
+            Event.PROMISED,
+            "answered 408, 421, 429, 503",
+            Event.FAILED,
+            "answered, 500 and above",
+            Event.LAST,
+            "no further attempt, none waited for",
+            Event.DEADLINE,
+            "its deadline",
+            Event.CLIENT_LEFT,
+            "the client leaves"));
 
     /** An account with what has happened to it. */
     private static final class Run {
@@ -101,8 +123,7 @@
     private static String table(boolean repeatable) {
         Map<Account.State, Map<Event, Set<String>>> cells = new EnumMap<>(Account.State.class);
         explore(repeatable, new ArrayList<>(), cells);
-        StringBuilder table = new StringBuilder(repeatable ? "May be repeated:\n\n"
-                : "Can't be repeated:\n\n");
+        StringBuilder table = new StringBuilder(repeatable ? "May be repeated:\n\n" : "Can't be repeated:\n\n");
         table.append("| state |");
         for (Event event : Event.values()) {
             table.append(' ').append(TITLES.get(event)).append(" |");
@@ -112,15 +133,17 @@
             table.append("| ").append(small(state)).append(" |");
             for (Event event : Event.values()) {
                 Set<String> cell = row.getOrDefault(event, Set.of());
-                table.append(' ').append(cell.isEmpty() ? "-" : String.join(", or ", cell)).append(" |");
+                table.append(' ')
+                        .append(cell.isEmpty() ? "-" : String.join(", or ", cell))
+                        .append(" |");
             }
             table.append('\n');
         });
         return table.toString();
     }
 
-    private static void explore(boolean repeatable, List<Event> history,
-            Map<Account.State, Map<Event, Set<String>>> cells) {
+    private static void explore(
+            boolean repeatable, List<Event> history, Map<Account.State, Map<Event, Set<String>>> cells) {
         Account.State from = new Run(repeatable, history).account.state();
         Map<Event, Set<String>> row = cells.computeIfAbsent(from, s -> new EnumMap<>(Event.class));
         for (Event event : Event.values()) {
@@ -131,8 +154,8 @@
             }
             Account.State to = run.account.state();
             String next = to == from ? "the same" : small(to);
-            row.computeIfAbsent(event, e -> new TreeSet<>()).add(due == Account.Due.NOTHING ? next
-                    : next + ": **" + small(due) + "**");
+            row.computeIfAbsent(event, e -> new TreeSet<>())
+                    .add(due == Account.Due.NOTHING ? next : next + ": **" + small(due) + "**");
             if (history.size() < DEPTH) {
                 List<Event> longer = new ArrayList<>(history);
                 longer.add(event);
@@ -151,14 +174,24 @@
         for (boolean repeatable : new boolean[] {false, true}) {
             Map<Account.State, Map<Event, Set<String>>> cells = new EnumMap<>(Account.State.class);
             explore(repeatable, new ArrayList<>(), cells);
-            assertThat(cells.keySet().stream().filter(s -> cells.get(s).values().stream()
-                    .anyMatch(c -> c.stream().anyMatch(t -> t.contains("refusal"))))
-                    .collect(Collectors.toSet()))
+            assertThat(cells.keySet().stream()
+                            .filter(s -> cells.get(s).values().stream()
+                                    .anyMatch(c -> c.stream().anyMatch(t -> t.contains("refusal"))))
+                            .collect(Collectors.toSet()))
                     .containsExactly(Account.State.HELD);
-            assertThat(cells.keySet().stream().filter(s -> cells.get(s).containsKey(Event.SENT)).toList())
-                    .containsExactlyElementsOf(repeatable ? List.of(Account.State.HELD, Account.State.OUT,
-                            Account.State.IN_DOUBT, Account.State.OUT_IN_DOUBT, Account.State.KEPT,
-                            Account.State.OUT_KEPT) : List.of(Account.State.HELD));
+            assertThat(cells.keySet().stream()
+                            .filter(s -> cells.get(s).containsKey(Event.SENT))
+                            .toList())
+                    .containsExactlyElementsOf(
+                            repeatable
+                                    ? List.of(
+                                            Account.State.HELD,
+                                            Account.State.OUT,
+                                            Account.State.IN_DOUBT,
+                                            Account.State.OUT_IN_DOUBT,
+                                            Account.State.KEPT,
+                                            Account.State.OUT_KEPT)
+                                    : List.of(Account.State.HELD));
         }
     }
 }
--- a/src/test/java/larkbank/quay/AnswersTest.java
+++ b/src/test/java/larkbank/quay/AnswersTest.java
@@ -79,9 +79,13 @@
 
     @Test
     void whatIsNotTheServersAnswerMayHaveRun() throws Exception {
-        List<String> bad = new ArrayList<>(List.of("junk\r\n\r\n", "\u0000\u0001\u0002 nothing\r\n\r\n",
-                "HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n",
-                answer("200 OK", "ID", "", "no seal"), answer("201 Created", "ID", "", ""),
+        List<String> bad = new ArrayList<>(List.of(
+                "junk\r\n\r\n",
+                "\u0000\u0001\u0002 nothing\r\n\r\n",
+                "HTTP/1.1 2x0 OK\r\n\r\n",
+                "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n",
+                answer("200 OK", "ID", "", "no seal"),
+                answer("201 Created", "ID", "", ""),
                 answer("200 OK", "ID", SEAL + "Content-Encoding: gzip\r\n", "zip"),
                 answer("500 Oops", "ID", "Content-Encoding: gzip\r\n", "zip"),
                 answer("200 OK", "ID", SEAL + NOT_EXECUTED, ""),
@@ -131,8 +135,7 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"x", "\r\n",
-        "HTTP/1.1 200 OK\r\nCypressweir-Attempt-Id: a-1\r\nContent-Length: 0\r\n\r\n"})
+    @ValueSource(strings = {"x", "\r\n", "HTTP/1.1 200 OK\r\nCypressweir-Attempt-Id: a-1\r\nContent-Length: 0\r\n\r\n"})
     void bytesBehindAWholeAnswerCloseTheConnection(String surplus) throws Exception {
         Asked atOnce = wharf.get();
         Wire wire = wharf.accept();
--- a/src/test/java/larkbank/quay/QuayTest.java
+++ b/src/test/java/larkbank/quay/QuayTest.java
@@ -39,7 +39,8 @@
         Asked first = wharf.post();
         Wire wire = wharf.accept();
         String head = wire.head();
-        assertThat(head).startsWith("POST /x?y=%20 HTTP/1.1\r\nHost: shop\r\n")
+        assertThat(head)
+                .startsWith("POST /x?y=%20 HTTP/1.1\r\nHost: shop\r\n")
                 .contains("\r\nCypressweir-Attempt-Id: a-1\r\n")
                 .containsPattern("Cypressweir-Time-Remaining: 899\\d\\d\r\n")
                 .contains("Content-Length: 5\r\n");
@@ -48,17 +49,21 @@
         wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
         wire.write(answer(first.id, "fine"));
         assertThat(first.answered()).isEqualTo("200 fine");
-        for (String answer : new String[] {answer("500 Oops", "a-2", "", "bad"),
-                head("200 OK", "a-3", CHUNKED) + "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: t\r\n\r\n",
-                head("204 No Content", "a-4", SEAL) + "\r\n"}) {
+        for (String answer : new String[] {
+            answer("500 Oops", "a-2", "", "bad"),
+            head("200 OK", "a-3", CHUNKED) + "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: t\r\n\r\n",
+            head("204 No Content", "a-4", SEAL) + "\r\n"
+        }) {
             Asked next = wharf.get();
             assertThat(wire.head()).doesNotContain("Content-Length");
             wire.write(answer);
-            assertThat(next.answered()).isEqualTo(switch (next.id) {
-                case "a-2" -> "500 bad";
-                case "a-3" -> "200 abcde";
-                default -> "204 ";
-            });
+            assertThat(next.answered())
+                    .isEqualTo(
+                            switch (next.id) {
+                                case "a-2" -> "500 bad";
+                                case "a-3" -> "200 abcde";
+                                default -> "204 ";
+                            });
         }
         Asked probe = wharf.ask("HEAD", true, "one", null);
         wire.head();
@@ -67,8 +72,7 @@
         // A late second answer to a HEAD has no body either, whatever is asked next.
         Asked after = wharf.get();
         wire.head();
-        wire.write(head("200 OK", probe.id, SEAL) + "Content-Length: 70000\r\n\r\n"
-                + answer(after.id, "own"));
+        wire.write(head("200 OK", probe.id, SEAL) + "Content-Length: 70000\r\n\r\n" + answer(after.id, "own"));
         assertThat(after.answered()).isEqualTo("200 own");
         assertThat(wire.ended()).isTrue();
     }
@@ -104,8 +108,7 @@
     void oldConnectionsAreNotUsed() throws Exception {
         Wire wire = null;
         String seal = "Cypressweir-Server-Seal: s\r\n";
-        for (String told : new String[] {"Keep-Alive: timeout=5, max=9\r\n",
-            "Keep-Alive: max=3, timeout=20\r\n", ""}) {
+        for (String told : new String[] {"Keep-Alive: timeout=5, max=9\r\n", "Keep-Alive: max=3, timeout=20\r\n", ""}) {
             Asked asked = wharf.get();
             wire = wire == null ? wharf.accept() : wire;
             wire.head();
@@ -182,7 +185,7 @@
         wire.write(answer(asked.id, "ok"));
         assertThat(asked.answered()).isEqualTo("200 ok");
         // The read that brought it is over.
-        wharf.run(() -> { });
+        wharf.run(() -> {});
         return wire;
     }
 
@@ -337,8 +340,8 @@
             fast.add(List.copyOf(ends));
         }));
         assertThat(fast.poll(20, TimeUnit.SECONDS)).hasSize(2).allSatisfy(end -> assertThat(end)
-                .isInstanceOfSatisfying(Outcome.NotRun.class,
-                        o -> assertThat(o.reason()).isEqualTo(Reason.NO_CONNECTION)));
+                .isInstanceOfSatisfying(
+                        Outcome.NotRun.class, o -> assertThat(o.reason()).isEqualTo(Reason.NO_CONNECTION)));
         List<Outcome> ends = new ArrayList<>();
         wharf.run(() -> wharf.quay.take(freight(List.of(Map.entry("X", "a\r\nY: b"))), ends::add));
         assertThat(ends).containsExactly(new Outcome.NotRun(Reason.REFUSED, 0));
--- a/src/test/java/larkbank/quay/StevedoreTest.java
+++ b/src/test/java/larkbank/quay/StevedoreTest.java
@@ -47,10 +47,14 @@
     @Test
     void innerThenRankThenTheEarliestAimThatCanBeMet() {
         fill(8, 0);
-        List<Cargo> wanted = List.of(cargo(true, 2, 900 * MS, true), cargo(false, 0, 400 * MS, true),
-                cargo(false, 1, 300 * MS, true), cargo(false, 1, 600 * MS, true),
+        List<Cargo> wanted = List.of(
+                cargo(true, 2, 900 * MS, true),
+                cargo(false, 0, 400 * MS, true),
+                cargo(false, 1, 300 * MS, true),
+                cargo(false, 1, 600 * MS, true),
                 // Neither can be in time: the newer first.
-                cargo(false, 1, 45 * MS, true), cargo(false, 1, 40 * MS, true),
+                cargo(false, 1, 45 * MS, true),
+                cargo(false, 1, 40 * MS, true),
                 cargo(false, 2, 200 * MS, true));
         for (int i : new int[] {6, 5, 3, 4, 2, 1, 0}) {
             stevedore.waiting().clear();
@@ -58,8 +62,16 @@
             wanted.get(i).sequence = i == 4 ? 9 : i == 5 ? 8 : i;
         }
         stevedore.waiting().clear();
-        stevedore.waiting().addAll(List.of(wanted.get(3), wanted.get(5), wanted.get(0), wanted.get(6),
-                wanted.get(1), wanted.get(4), wanted.get(2)));
+        stevedore
+                .waiting()
+                .addAll(List.of(
+                        wanted.get(3),
+                        wanted.get(5),
+                        wanted.get(0),
+                        wanted.get(6),
+                        wanted.get(1),
+                        wanted.get(4),
+                        wanted.get(2)));
         stevedore.life(16, 0, true);
         assertThat(go(0)).containsExactlyElementsOf(wanted);
     }
@@ -74,7 +86,10 @@
         assertThat(refused.get(0).reason()).isEqualTo(Reason.FULL);
         assertThat(refused.get(0).retryAfterMicros()).isGreaterThanOrEqualTo(20 * MS);
         assertThat(stevedore.arrive(0, plain(400 * MS))).isEmpty();
-        assertThat(stevedore.arrive(0, new Cargo(false, 0, 4 * MS, 4 * MS, true)).get(0).reason())
+        assertThat(stevedore
+                        .arrive(0, new Cargo(false, 0, 4 * MS, 4 * MS, true))
+                        .get(0)
+                        .reason())
                 .isEqualTo(Reason.LATE);
     }
 
@@ -183,10 +198,15 @@
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
                     long aim = now + random.nextInt(400_000) - 10_000;
-                    Cargo c = new Cargo(random.nextInt(4) == 0, random.nextInt(3), aim,
-                            aim + random.nextInt(100_000), random.nextBoolean());
+                    Cargo c = new Cargo(
+                            random.nextInt(4) == 0,
+                            random.nextInt(3),
+                            aim,
+                            aim + random.nextInt(100_000),
+                            random.nextBoolean());
                     open.add(c);
-                    s.arrive(now, c).forEach(r -> end(ended, r.cargo(), r.reason().name()));
+                    s.arrive(now, c)
+                            .forEach(r -> end(ended, r.cargo(), r.reason().name()));
                 }
                 case 3 -> {
                     if (!running.isEmpty()) {
--- a/src/test/java/larkbank/quay/Wharf.java
+++ b/src/test/java/larkbank/quay/Wharf.java
@@ -24,6 +24,7 @@
 final class Wharf {
     /** What the server signs, and that it keeps connections for longer than a test waits for their end. */
     static final String SEAL = "Cypressweir-Server-Seal: s\r\nKeep-Alive: timeout=600\r\n";
+
     private static final int BOUND_MILLIS = 20_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -57,8 +58,7 @@
     }
 
     <T> T on(Callable<T> task) throws Exception {
-        return loop.inEventLoop() ? task.call()
-                : loop.submit(task).get(BOUND_MILLIS, TimeUnit.MILLISECONDS);
+        return loop.inEventLoop() ? task.call() : loop.submit(task).get(BOUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     void run(Runnable task) throws Exception {
@@ -113,10 +113,18 @@
     Asked ask(String method, boolean repeatable, String instance, String body) throws Exception {
         Asked asked = new Asked();
         long now = micros();
-        Freight freight = new Freight(asked.id, method, "/x?y=%20", List.of(Map.entry("Host", "shop"),
-                Map.entry(RequestBytes.ATTEMPT_ID, asked.id)), body == null ? null
-                : body.getBytes(StandardCharsets.ISO_8859_1), repeatable, 1, false, now + 60_000_000,
-                now + 90_000_000, instance);
+        Freight freight = new Freight(
+                asked.id,
+                method,
+                "/x?y=%20",
+                List.of(Map.entry("Host", "shop"), Map.entry(RequestBytes.ATTEMPT_ID, asked.id)),
+                body == null ? null : body.getBytes(StandardCharsets.ISO_8859_1),
+                repeatable,
+                1,
+                false,
+                now + 60_000_000,
+                now + 90_000_000,
+                instance);
         asked.ticket = on(() -> quay.take(freight, asked.ends::add));
         return asked;
     }
--- a/src/test/java/larkbank/rooms/RoomsTest.java
+++ b/src/test/java/larkbank/rooms/RoomsTest.java
@@ -47,8 +47,10 @@
         Map<String, Set<String>> rooms = new LinkedHashMap<>();
         for (String room : ROOMS) {
             String[] parts = room.split(":");
-            Set<String> named = new TreeSet<>(parts.length < 2 ? List.of()
-                    : Arrays.asList(parts[1].strip().split(" ")));
+            Set<String> named = new TreeSet<>(
+                    parts.length < 2
+                            ? List.of()
+                            : Arrays.asList(parts[1].strip().split(" ")));
             assertThat(rooms.keySet()).as("above " + parts[0]).containsAll(named);
             rooms.put(parts[0], named);
         }
@@ -64,7 +66,10 @@
             String to = room(arrow.getTargetClass().getBaseComponentType().getPackageName(), root);
             boolean meshes = rooms.containsKey(from) || rooms.containsKey(to);
             boolean isShared = to != null && (to.equals("larkbank") || to.equals("daily"));
-            if (from != null && to != null && !from.equals(to) && meshes
+            if (from != null
+                    && to != null
+                    && !from.equals(to)
+                    && meshes
                     && !ABOVE_ALL.contains(arrow.getOriginClass().getName())
                     && !(rooms.containsKey(from) ? rooms.get(from).contains(to) : isShared)) {
                 wrong.add(from + " -> " + to + ": " + arrow.getOriginClass().getSimpleName() + " names "
@@ -89,7 +94,8 @@
 
     @Test
     void everyArrowIsInTheList() {
-        JavaClasses classes = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+        JavaClasses classes = new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("larkbank");
         assertThat(classes.size()).isGreaterThan(300);
         assertThat(wrong(classes, "larkbank")).isEmpty();
@@ -98,8 +104,10 @@
     @Test
     void arrowsThatAreTurnedRoundAreFound() {
         String planted = RoomsTest.class.getPackageName() + ".planted";
-        assertThat(wrong(new ClassFileImporter().importPackages(planted), planted)).containsExactly(
-                "cargo -> lading: Crate names Parcel", "lading -> pilot: Parcel names Deck",
-                "pilot -> harbour: Deck names Pier");
+        assertThat(wrong(new ClassFileImporter().importPackages(planted), planted))
+                .containsExactly(
+                        "cargo -> lading: Crate names Parcel",
+                        "lading -> pilot: Parcel names Deck",
+                        "pilot -> harbour: Deck names Pier");
     }
 }
--- a/src/test/java/larkbank/rooms/planted/harbour/Pier.java
+++ b/src/test/java/larkbank/rooms/planted/harbour/Pier.java
@@ -1,4 +1,4 @@
 package larkbank.rooms.planted.harbour;
 
 /** What the data plane must not name. */
-public final class Pier { }
+public final class Pier {}
--- a/src/test/java/larkbank/route/RequestTargetTest.java
+++ b/src/test/java/larkbank/route/RequestTargetTest.java
@@ -15,10 +15,27 @@
 
     @ParameterizedTest
     @CsvSource({
-        "/, /", "/a/b, /a/b", "//a///b, /a/b", "/a/./b, /a/b", "/a/../b, /b", "/search/../pay/7, /pay/7",
-        "/a/b/.., /a/", "/a/., /a/", "/a/b/../../c, /c", "/%61/b, /a/b", "/%7e, /~", "/a%3ab, /a%3Ab",
-        "/a/%2e%2E/b, /b", "/a/%2e, /a/", "/a/b/, /a/b/", "/.a/..b, /.a/..b", "/a?x=/../%2F, /a?x=/../%2F",
-        "/a//?x, /a/?x", "http://h/a/../b?c, /b?c", "http://h, /", "HTTP://h?x=1, /?x=1",
+        "/, /",
+        "/a/b, /a/b",
+        "//a///b, /a/b",
+        "/a/./b, /a/b",
+        "/a/../b, /b",
+        "/search/../pay/7, /pay/7",
+        "/a/b/.., /a/",
+        "/a/., /a/",
+        "/a/b/../../c, /c",
+        "/%61/b, /a/b",
+        "/%7e, /~",
+        "/a%3ab, /a%3Ab",
+        "/a/%2e%2E/b, /b",
+        "/a/%2e, /a/",
+        "/a/b/, /a/b/",
+        "/.a/..b, /.a/..b",
+        "/a?x=/../%2F, /a?x=/../%2F",
+        "/a//?x, /a/?x",
+        "http://h/a/../b?c, /b?c",
+        "http://h, /",
+        "HTTP://h?x=1, /?x=1",
         "/%25%32%46, /%252F"
     })
     void normalForm(String text, String normal) throws BadTarget {
@@ -26,16 +43,44 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "a", "*", "/a/%2Fb", "/a%2fb", "/a%5Cb", "/a\\b", "/%00", "/..", "/a/../../b",
-        "/%2e%2e/a", "/a%", "/a%4", "/a%zz", "/a b", "/\u00e9", "/a#b", "ftp://h/a", "http:///a",
-        "http://h:x/a", "http://h:70000/a", "http://a b/c"})
+    @ValueSource(
+            strings = {
+                "",
+                "a",
+                "*",
+                "/a/%2Fb",
+                "/a%2fb",
+                "/a%5Cb",
+                "/a\\b",
+                "/%00",
+                "/..",
+                "/a/../../b",
+                "/%2e%2e/a",
+                "/a%",
+                "/a%4",
+                "/a%zz",
+                "/a b",
+                "/\u00e9",
+                "/a#b",
+                "ftp://h/a",
+                "http:///a",
+                "http://h:x/a",
+                "http://h:70000/a",
+                "http://a b/c"
+            })
     void noNormalForm(String text) {
         assertThrows(BadTarget.class, () -> RequestTarget.parse(text));
     }
 
     @ParameterizedTest
-    @CsvSource({"API.Example.ORG, api.example.org", "api.example.org., api.example.org",
-        "api.example.org:8443, api.example.org", "[::1]:80, [::1]", "127.0.0.1, 127.0.0.1", "a:, a"})
+    @CsvSource({
+        "API.Example.ORG, api.example.org",
+        "api.example.org., api.example.org",
+        "api.example.org:8443, api.example.org",
+        "[::1]:80, [::1]",
+        "127.0.0.1, 127.0.0.1",
+        "a:, a"
+    })
     void oneHost(String field, String normal) throws BadTarget {
         assertEquals(normal, HostName.of(List.of(field), true));
     }
@@ -68,7 +113,9 @@
             } catch (BadTarget e) {
                 continue;
             }
-            assertEquals(false, (normal + "/").matches(".*(//|/\\./|/\\.\\./).*") && !normal.endsWith("/"),
+            assertEquals(
+                    false,
+                    (normal + "/").matches(".*(//|/\\./|/\\.\\./).*") && !normal.endsWith("/"),
                     "seed " + seed + ": " + text + " gave " + normal);
         }
     }
--- a/src/test/java/larkbank/route/RouterTest.java
+++ b/src/test/java/larkbank/route/RouterTest.java
@@ -20,8 +20,7 @@
 /** The compiled router against the documented order, which a scan of all routes follows word by word. */
 class RouterTest {
 
-    private record Request(String method, String host, String path, Map<String, String> headers)
-            implements Routable {
+    private record Request(String method, String host, String path, Map<String, String> headers) implements Routable {
         @Override
         public String header(String name) {
             return headers.get(name);
@@ -29,9 +28,8 @@
     }
 
     private static Route<String> route(String name, String host, String path) {
-        return new Route<>(name, new Match(HostPattern.parse(host), PathPattern.parse(path), Set.of(),
-                List.of(),
-                0), name);
+        return new Route<>(
+                name, new Match(HostPattern.parse(host), PathPattern.parse(path), Set.of(), List.of(), 0), name);
     }
 
     private static String find(Router<String> router, String host, String path) {
@@ -41,9 +39,14 @@
 
     @Test
     void theMostSpecificWins() {
-        Router<String> router = new Router<>(List.of(route("all", "*", "/*"), route("host", "a.org", "/x/*"),
-                route("below", "*.a.org", "/x/y"), route("deep", "*.b.a.org", "/x/y"),
-                route("exact", "*", "/x/y"), route("open", "*", "/x/{id}"), route("long", "*", "/x/y/*"),
+        Router<String> router = new Router<>(List.of(
+                route("all", "*", "/*"),
+                route("host", "a.org", "/x/*"),
+                route("below", "*.a.org", "/x/y"),
+                route("deep", "*.b.a.org", "/x/y"),
+                route("exact", "*", "/x/y"),
+                route("open", "*", "/x/{id}"),
+                route("long", "*", "/x/y/*"),
                 route("mixed", "*", "/{v}/y")));
         assertEquals("host", find(router, "a.org", "/x/y"));
         assertEquals("all", find(router, "a.org", "/z"));
@@ -65,8 +68,7 @@
         assertNull(find(router, "h", "/payment"));
     }
 
-    private static final List<String> HOSTS = List.of("*", "a.org", "*.a.org", "*.x.a.org", "x.a.org",
-            "b.org");
+    private static final List<String> HOSTS = List.of("*", "a.org", "*.a.org", "*.x.a.org", "x.a.org", "b.org");
     private static final List<String> NAMES = List.of("a.org", "x.a.org", "y.x.a.org", "b.org", "");
     private static final List<String> SEGMENTS = List.of("a", "b", "{i}");
     private static final List<String> HEADERS = List.of("h1", "h2");
@@ -89,11 +91,15 @@
                 case 0 -> tests.add(new HeaderTest(header, Kind.PRESENT, null));
                 case 1 -> tests.add(new HeaderTest(header, Kind.ABSENT, null));
                 case 2, 3 -> tests.add(new HeaderTest(header, Kind.EQUAL, "v" + random.nextInt(4)));
-                default -> { }
+                default -> {}
             }
         }
-        return new Match(HostPattern.parse(HOSTS.get(random.nextInt(HOSTS.size()))),
-                PathPattern.parse(path.toString()), methods, tests, random.nextInt(3));
+        return new Match(
+                HostPattern.parse(HOSTS.get(random.nextInt(HOSTS.size()))),
+                PathPattern.parse(path.toString()),
+                methods,
+                tests,
+                random.nextInt(3));
     }
 
     private static Request randomRequest(SplittableRandom random) {
@@ -107,27 +113,35 @@
                 headers.put(header, "v" + random.nextInt(5));
             }
         }
-        return new Request(random.nextBoolean() ? "GET" : "POST", NAMES.get(random.nextInt(NAMES.size())),
-                path.toString(), headers);
+        return new Request(
+                random.nextBoolean() ? "GET" : "POST",
+                NAMES.get(random.nextInt(NAMES.size())),
+                path.toString(),
+                headers);
     }
 
     private static boolean matches(Match m, Request r) {
         String host = m.host().toString();
-        boolean named = host.equals("*") || host.equals(r.host())
+        boolean named = host.equals("*")
+                || host.equals(r.host())
                 || host.startsWith("*.") && r.host().endsWith(host.substring(1));
         String open = m.path().toString().replace("{}", "[^/]+");
         boolean prefix = open.endsWith("/*");
         String form = prefix ? open.substring(0, open.length() - 2) + "(/.*)?" : open;
-        return named && r.path().matches(form) && (m.methods().isEmpty() || m.methods().contains(r.method()))
+        return named
+                && r.path().matches(form)
+                && (m.methods().isEmpty() || m.methods().contains(r.method()))
                 && m.headers().stream().allMatch(t -> t.matches(r.header(t.name())));
     }
 
     /** The words of {@link Match}, one after the other. */
-    private static final Comparator<Match> DOCUMENTED = Comparator
-            .<Match>comparingInt(m -> m.host().name() == null ? 2 : m.host().suffix() ? 1 : 0)
+    private static final Comparator<Match> DOCUMENTED = Comparator.<Match>comparingInt(
+                    m -> m.host().name() == null ? 2 : m.host().suffix() ? 1 : 0)
             .thenComparing(m -> m.host().name() == null ? 0 : -m.host().name().length())
-            .thenComparing(Match::path).thenComparing(m -> -m.priority())
-            .thenComparing(m -> m.methods().isEmpty() ? 1 : 0).thenComparing(m -> -m.headers().size());
+            .thenComparing(Match::path)
+            .thenComparing(m -> -m.priority())
+            .thenComparing(m -> m.methods().isEmpty() ? 1 : 0)
+            .thenComparing(m -> -m.headers().size());
 
     @Test
     void agreesWithAScanInTheDocumentedOrder() {
@@ -145,8 +159,10 @@
             Router<String> router = new Router<>(routes);
             for (int i = 0; i < 100; i++) {
                 Request request = randomRequest(random);
-                Route<String> expected = routes.stream().filter(r -> matches(r.match(), request))
-                        .min(Comparator.comparing(Route::match, DOCUMENTED)).orElse(null);
+                Route<String> expected = routes.stream()
+                        .filter(r -> matches(r.match(), request))
+                        .min(Comparator.comparing(Route::match, DOCUMENTED))
+                        .orElse(null);
                 Route<String> actual = router.find(request);
                 found += actual == null ? 0 : 1;
                 assertEquals(expected, actual, "seed " + seed + ", round " + round + ": " + request);
@@ -169,11 +185,17 @@
             Overlaps.of(routes).forEach(pair -> faulty.add(pair.route()));
             for (int i = 0; i < 200; i++) {
                 Request request = randomRequest(random);
-                List<Route<String>> first = routes.stream().filter(r -> !faulty.contains(r.name()))
+                List<Route<String>> first = routes.stream()
+                        .filter(r -> !faulty.contains(r.name()))
                         .filter(r -> matches(r.match(), request))
-                        .sorted(Comparator.comparing(Route::match, DOCUMENTED)).limit(2).toList();
+                        .sorted(Comparator.comparing(Route::match, DOCUMENTED))
+                        .limit(2)
+                        .toList();
                 if (first.size() == 2) {
-                    assertFalse(DOCUMENTED.compare(first.get(0).match(), first.get(1).match()) == 0,
+                    assertFalse(
+                            DOCUMENTED.compare(
+                                            first.get(0).match(), first.get(1).match())
+                                    == 0,
                             "seed " + seed + ": " + first + " for " + request);
                 }
             }
@@ -186,8 +208,15 @@
         List<Route<String>> routes = new ArrayList<>();
         int[] looked = {0};
         for (int i = 0; i < 1_000; i++) {
-            routes.add(new Route<>("t" + i, new Match(HostPattern.ANY, PathPattern.parse("/a/*"), Set.of(),
-                    List.of(new HeaderTest("tenant", Kind.EQUAL, "t" + i)), 0), "t" + i));
+            routes.add(new Route<>(
+                    "t" + i,
+                    new Match(
+                            HostPattern.ANY,
+                            PathPattern.parse("/a/*"),
+                            Set.of(),
+                            List.of(new HeaderTest("tenant", Kind.EQUAL, "t" + i)),
+                            0),
+                    "t" + i));
         }
         routes.add(route("rest", "*", "/a/*"));
         assertEquals(List.of(), Overlaps.of(routes));
--- a/src/test/java/larkbank/sidecar/CellsLoopbackTest.java
+++ b/src/test/java/larkbank/sidecar/CellsLoopbackTest.java
@@ -62,7 +62,7 @@
         BitSet open = new BitSet();
         open.set(0, 3);
         Placement placement = new Placement(CELLS, Map.of(), open);
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             if (placement.home(Ids.of("a" + i)) == cell && skip-- == 0) {
                 return "a" + i;
             }
@@ -74,22 +74,36 @@
         Parting parting = new Parting(CELLS, Spread.SERVER, 0);
         Map<Long, Stub> byId = new HashMap<>();
         servers.forEach(s -> byId.put(Ids.of("s-" + s.port()), s));
-        parting.listed(0, ListKind.COMPLETE, byId.keySet().stream()
-                .map(id -> new Server(id, 0, 0, 0, Phase.READY, 0, 1)).toList());
-        return byId.entrySet().stream().filter(e -> parting.cellOf(e.getKey()) == cell)
-                .map(Map.Entry::getValue).toList();
+        parting.listed(
+                0,
+                ListKind.COMPLETE,
+                byId.keySet().stream()
+                        .map(id -> new Server(id, 0, 0, 0, Phase.READY, 0, 1))
+                        .toList());
+        return byId.entrySet().stream()
+                .filter(e -> parting.cellOf(e.getKey()) == cell)
+                .map(Map.Entry::getValue)
+                .toList();
     }
 
     private String file(String cells) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
         for (Stub s : servers) {
-            text.append("  { id = \"s-").append(s.port()).append("\", endpoint = \"127.0.0.1:")
-                    .append(s.port()).append("\", zone = \"a\" },\n");
+            text.append("  { id = \"s-")
+                    .append(s.port())
+                    .append("\", endpoint = \"127.0.0.1:")
+                    .append(s.port())
+                    .append("\", zone = \"a\" },\n");
         }
         text.append("]\n[pools.p.cells]\n").append(NAMES).append(cells);
         for (String c : List.of("search", "hold", "book")) {
-            text.append("[routes.").append(c).append("]\npath = \"/").append(c).append("/*\"\nclass = \"")
-                    .append(c).append("\"\npool = \"p\"\n");
+            text.append("[routes.")
+                    .append(c)
+                    .append("]\npath = \"/")
+                    .append(c)
+                    .append("/*\"\nclass = \"")
+                    .append(c)
+                    .append("\"\npool = \"p\"\n");
         }
         return text.toString();
     }
@@ -108,8 +122,7 @@
     }
 
     private static String book(String account, String body) {
-        return Harness.Client.head("POST", "/book/k1", 3_000, "X-Account: " + account + "\r\n", body.length())
-                + body;
+        return Harness.Client.head("POST", "/book/k1", 3_000, "X-Account: " + account + "\r\n", body.length()) + body;
     }
 
     private static String move(String account, int to, String more) {
@@ -130,7 +143,8 @@
             for (int i = 0; i < 12; i++) {
                 String account = accountOf(cell, i % 4);
                 assertEquals(200, harness.client().raw(search(account)).answer().status());
-                assertEquals(200, harness.client().raw(book(account, "x")).answer().status());
+                assertEquals(
+                        200, harness.client().raw(book(account, "x")).answer().status());
             }
         }
         Map<Stub, Integer> cellOf = new HashMap<>();
@@ -143,8 +157,12 @@
         for (Stub s : servers) {
             for (Stub.Seen request : s.seen) {
                 String account = request.request().headers().get("X-Account");
-                assertTrue(List.of(accountOf(cellOf.get(s), 0), accountOf(cellOf.get(s), 1),
-                        accountOf(cellOf.get(s), 2), accountOf(cellOf.get(s), 3)).contains(account));
+                assertTrue(List.of(
+                                accountOf(cellOf.get(s), 0),
+                                accountOf(cellOf.get(s), 1),
+                                accountOf(cellOf.get(s), 2),
+                                accountOf(cellOf.get(s), 3))
+                        .contains(account));
                 seen++;
             }
         }
@@ -174,7 +192,8 @@
         for (int i = 0; i < 200; i++) {
             long began = System.nanoTime();
             String account = accountOf(1 + i % 2, i % 5);
-            Http.Message answer = harness.client().raw(i % 3 == 0 ? book(account, "b" + i) : search(account))
+            Http.Message answer = harness.client()
+                    .raw(i % 3 == 0 ? book(account, "b" + i) : search(account))
                     .answer();
             assertEquals(200, answer.status());
             assertEquals("ok", answer.body());
@@ -191,7 +210,8 @@
         assertTrue(served > 0);
         for (int cell = 1; cell < 3; cell++) {
             for (Stub s : ofCell(cell)) {
-                assertTrue(s.seen.stream().noneMatch(r -> r.request().body().startsWith("h")),
+                assertTrue(
+                        s.seen.stream().noneMatch(r -> r.request().body().startsWith("h")),
                         "harm reached another cell");
             }
         }
@@ -230,23 +250,26 @@
         for (int t = 0; t < 8; t++) {
             int thread = t;
             Callable<Integer> client = () -> {
-                HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+                HttpClient http = HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .build();
                 int answered = 0;
                 while (!stop.get()) {
                     String body = "w" + thread + "-" + answered;
                     String account = thread < 6 ? heavy : accountOf(1 + thread % 2, 0);
                     boolean keyed = answered % 3 == 1;
                     HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                            + harness.address.getPort() + (keyed ? "/hold/k1" : "/book/k1")))
-                            .header("Request-Id", Harness.Client.id()).header("Tenant", "acme")
-                            .header("Request-Timeout-Ms", "3000").header("X-Account", account)
+                                    + harness.address.getPort() + (keyed ? "/hold/k1" : "/book/k1")))
+                            .header("Request-Id", Harness.Client.id())
+                            .header("Tenant", "acme")
+                            .header("Request-Timeout-Ms", "3000")
+                            .header("X-Account", account)
                             .POST(HttpRequest.BodyPublishers.ofString(body));
                     if (keyed) {
                         request.header("Idempotency-Key", body);
                     }
                     asked.incrementAndGet();
-                    HttpResponse<String> answer = http.send(request.build(),
-                            HttpResponse.BodyHandlers.ofString());
+                    HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
                     assertEquals(200, answer.statusCode());
                     assertEquals(body, answer.body());
                     answered++;
@@ -277,7 +300,7 @@
     private void awaitSeen(int cell, String account) throws InterruptedException {
         List<Integer> ports = ofCell(cell).stream().map(Stub::port).toList();
         arrived.clear();
-        for (Stub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null;) {
+        for (Stub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (ports.contains(seen.socket().getLocalPort())
                     && account.equals(seen.request().headers().get("X-Account"))) {
                 return;
@@ -301,11 +324,13 @@
         for (Stub s : ofCell(1)) {
             s.script(Stub.serves("new"));
         }
-        assertEquals("old", harness.client().raw(book(account, "second")).answer().body());
+        assertEquals(
+                "old", harness.client().raw(book(account, "second")).answer().body());
         running.reply("200 OK", "", "first");
         assertEquals("first", first.answer().body());
         harness.log.await("writes go to cell c1 from now on");
-        assertEquals("new", harness.client().raw(book(account, "third")).answer().body());
+        assertEquals(
+                "new", harness.client().raw(book(account, "third")).answer().body());
         assertEquals("new", harness.client().raw(search(account)).answer().body());
     }
 
@@ -344,7 +369,12 @@
         servers.add(server(Stub.serves("ok")));
         harness.reload(file("keep_places = \"0ms\"\n"));
         for (int i = 0; i < 60; i++) {
-            assertEquals(200, harness.client().raw(book(accountOf(i % 3, i % 7), "x" + i)).answer().status());
+            assertEquals(
+                    200,
+                    harness.client()
+                            .raw(book(accountOf(i % 3, i % 7), "x" + i))
+                            .answer()
+                            .status());
         }
         assertTrue(gone.seen.isEmpty());
         assertFalse(ofCell(0).equals(before));
@@ -355,8 +385,10 @@
                 for (Stub.Seen seen : s.seen) {
                     String account = seen.request().headers().get("X-Account");
                     int cell = c;
-                    assertTrue(IntStream.range(0, 7).anyMatch(k -> accountOf(cell, k)
-                            .equals(account)), account + " at cell " + c);
+                    assertTrue(
+                            IntStream.range(0, 7)
+                                    .anyMatch(k -> accountOf(cell, k).equals(account)),
+                            account + " at cell " + c);
                 }
             }
         }
@@ -399,10 +431,11 @@
 
     /** Tells the sidecar a change and waits until it has taken it over and watches again. */
     private void tell(int revision, String state, Stub... changed) throws Exception {
-        harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(revision, false, state,
-                changed)));
+        harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(revision, false, state, changed)));
         Stub.Seen again = harness.discovery.take();
-        assertTrue(again.request().first().contains("from=" + revision), again.request().first());
+        assertTrue(
+                again.request().first().contains("from=" + revision),
+                again.request().first());
         harness.discovery.seen.add(again);
     }
 
@@ -415,7 +448,8 @@
         String account = accountOf(0, 0);
         tell(2, "terminating", own.get(0));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, harness.client().raw(book(account, "d" + i)).answer().status());
+            assertEquals(
+                    200, harness.client().raw(book(account, "d" + i)).answer().status());
         }
         assertTrue(own.get(0).seen.isEmpty(), "a draining server was sent something");
         assertEquals(20, own.get(1).seen.size());
@@ -423,10 +457,12 @@
         int status = harness.client().raw(book(account, "none")).answer().status();
         assertTrue(status == 503 || status == 502 || status == 504, "status " + status);
         for (int cell = 1; cell < 3; cell++) {
-            assertEquals(200, harness.client().raw(book(accountOf(cell, 0), "o")).answer().status());
+            assertEquals(
+                    200,
+                    harness.client().raw(book(accountOf(cell, 0), "o")).answer().status());
             for (Stub s : ofCell(cell)) {
-                assertTrue(s.seen.stream().noneMatch(r -> account
-                        .equals(r.request().headers().get("X-Account"))));
+                assertTrue(s.seen.stream()
+                        .noneMatch(r -> account.equals(r.request().headers().get("X-Account"))));
             }
         }
         tell(4, "in_service", own.get(0), own.get(1));
@@ -449,13 +485,16 @@
         for (Stub restarted : servers) {
             tell(revision++, "terminated", restarted);
             for (int c = 0; c < 3; c++) {
-                assertEquals(200, harness.client().raw(search(accountOf(c, 1))).answer().status());
+                assertEquals(
+                        200,
+                        harness.client().raw(search(accountOf(c, 1))).answer().status());
             }
             tell(revision++, "in_service", restarted);
         }
         for (Stub s : servers) {
             for (Stub.Seen seen : s.seen) {
-                assertEquals(accountOf(cellOf.get(s), 1), seen.request().headers().get("X-Account"));
+                assertEquals(
+                        accountOf(cellOf.get(s), 1), seen.request().headers().get("X-Account"));
             }
         }
     }
@@ -474,9 +513,13 @@
                 + "pool = \"p\"\n"
                 + "[routes.live.websocket]\n");
         for (int cell = 0; cell < 3; cell++) {
-            Harness.Client client = harness.client().raw(Harness.Client.head("GET", "/search/live/1", 2_000,
-                    TunnelLoopback.UPGRADE + TunnelLoopback.CHAT + "X-Account: " + accountOf(cell, 0)
-                    + "\r\n", 0));
+            Harness.Client client = harness.client()
+                    .raw(Harness.Client.head(
+                            "GET",
+                            "/search/live/1",
+                            2_000,
+                            TunnelLoopback.UPGRADE + TunnelLoopback.CHAT + "X-Account: " + accountOf(cell, 0) + "\r\n",
+                            0));
             assertEquals(101, client.answer().status());
             Ws ws = new Ws(client.socket, true);
             ws.send(1, true, ("to " + cell).getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/larkbank/sidecar/ClassListTest.java
+++ b/src/test/java/larkbank/sidecar/ClassListTest.java
@@ -19,8 +19,10 @@
     private static boolean exists(String owner, String method) {
         try {
             Class<?> c = Class.forName(owner.replace('/', '.'), false, ClassListTest.class.getClassLoader());
-            return method == null || method.equals("<init>")
-                    || Arrays.stream(c.getDeclaredMethods()).anyMatch(m -> m.getName().equals(method))
+            return method == null
+                    || method.equals("<init>")
+                    || Arrays.stream(c.getDeclaredMethods())
+                            .anyMatch(m -> m.getName().equals(method))
                     || Arrays.stream(c.getMethods()).anyMatch(m -> m.getName().equals(method));
         } catch (ClassNotFoundException e) {
             return false;
@@ -39,8 +41,7 @@
             String[] words = line.split(" ");
             if (line.startsWith("@lambda-proxy larkbank/")) {
                 lambdas++;
-                if (!exists(words[1], null) || words[6].startsWith("larkbank/")
-                        && !exists(words[6], words[7])) {
+                if (!exists(words[1], null) || words[6].startsWith("larkbank/") && !exists(words[6], words[7])) {
                     stale.add(line);
                 }
             }
--- a/src/test/java/larkbank/sidecar/ClosingTest.java
+++ b/src/test/java/larkbank/sidecar/ClosingTest.java
@@ -34,8 +34,7 @@
 
     private static final int MOST = 8;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final AtomicLong nanos = new AtomicLong(TimeUnit.SECONDS.toNanos(100));
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -47,12 +46,18 @@
     private Runnable meanwhile;
 
     /** What the loop does in the same turn, after it has read what it knew of. */
-    private enum Look { SWEEP, END, ALL }
+    private enum Look {
+        SWEEP,
+        END,
+        ALL
+    }
 
     @BeforeEach
     void listen() throws Exception {
-        server = loop.submit(() -> new ClientServer(loop, this, MOST, line -> { }, nanos::get)).get();
-        door = loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0))).get()
+        server = loop.submit(() -> new ClientServer(loop, this, MOST, line -> {}, nanos::get))
+                .get();
+        door = loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
+                .get()
                 .get(10, TimeUnit.SECONDS);
     }
 
@@ -82,7 +87,7 @@
     }
 
     @Override
-    public void left(Call.Client client) { }
+    public void left(Call.Client client) {}
 
     private static void awaitQuietly(CountDownLatch latch) {
         try {
@@ -186,7 +191,9 @@
 
     /** Those that wait to be accepted when the door shuts would be reset with what they have written. */
     @ParameterizedTest
-    @EnumSource(value = Look.class, names = {"END", "ALL"})
+    @EnumSource(
+            value = Look.class,
+            names = {"END", "ALL"})
     void thoseThatHaveConnectedAreAcceptedBeforeTheDoorShuts(Look how) throws Exception {
         Harness.Client holder = asked();
         pass(150);
@@ -223,8 +230,11 @@
         pass(150);
         kept.assertClosed();
         for (Harness.Client client : silent) {
-            assertEquals(200, client.raw(Harness.Client.head("GET", "/search/k", 1_000, "", 0)).answer()
-                    .status());
+            assertEquals(
+                    200,
+                    client.raw(Harness.Client.head("GET", "/search/k", 1_000, "", 0))
+                            .answer()
+                            .status());
         }
     }
 
--- a/src/test/java/larkbank/sidecar/DailyTest.java
+++ b/src/test/java/larkbank/sidecar/DailyTest.java
@@ -31,6 +31,7 @@
 
     @TempDir
     Path folder;
+
     private Stub server;
     private Harness harness;
     private InetSocketAddress door;
@@ -39,7 +40,10 @@
     void start() throws Exception {
         server = new Stub(Stub.serves("ok"));
         harness = new Harness(folder, server).start();
-        door = harness.sidecar.openToOperators(new InetSocketAddress("127.0.0.1", 0)).get().address();
+        door = harness.sidecar
+                .openToOperators(new InetSocketAddress("127.0.0.1", 0))
+                .get()
+                .address();
     }
 
     @AfterEach
@@ -65,7 +69,9 @@
 
     private int health() throws IOException {
         try (Harness.Client client = new Harness.Client(harness.address)) {
-            return client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status();
+            return client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .answer()
+                    .status();
         }
     }
 
@@ -96,9 +102,10 @@
         server.script(Stub.SILENT);
         harness.client().search(5_000);
         String told = figures("\"inflight\":1");
-        assertTrue(told.startsWith("{\"success\":{\"search\":1,\"hold\":0,\"book\":1},"
-                + "\"busy\":{\"search\":0,\"hold\":0,\"book\":0},"
-                + "\"failure\":{\"search\":0,\"hold\":0,\"book\":1}"),
+        assertTrue(
+                told.startsWith("{\"success\":{\"search\":1,\"hold\":0,\"book\":1},"
+                        + "\"busy\":{\"search\":0,\"hold\":0,\"book\":0},"
+                        + "\"failure\":{\"search\":0,\"hold\":0,\"book\":1}"),
                 told);
         assertTrue(told.contains("\"hosts_listed\":1,\"hosts_down\":0"), told);
         assertTrue(told.endsWith("}\nEND\n"), told);
@@ -150,22 +157,34 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "half", "-settings", "-deadline", "deadline 0", "deadline text", "twice",
-        "attempts 0", "attempts -1"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "half",
+                "-settings",
+                "-deadline",
+                "deadline 0",
+                "deadline text",
+                "twice",
+                "attempts 0",
+                "attempts -1"
+            })
     void aBrokenFileChangesNothing(String fault) throws Exception {
         String good = Files.readString(harness.file);
         String renamed = good.replace("\"name\":\"search\"", "\"name\":\"find\"");
-        reload(switch (fault) {
-            case "half" -> renamed.substring(0, renamed.length() / 2);
-            case "-settings" -> renamed.replace("\"settings\"", "\"sets\"");
-            case "-deadline" -> renamed.replaceFirst("\"deadline_us\":3000000,", "");
-            case "deadline 0" -> renamed.replaceFirst("\"deadline_us\":3000000", "\"deadline_us\":0");
-            case "deadline text" -> renamed.replaceFirst("\"deadline_us\":3000000", "\"deadline_us\":\"x\"");
-            case "twice" -> renamed.replace("\"name\":\"hold\"", "\"name\":\"find\"");
-            case "attempts 0" -> renamed.replace("\"attempts_cap\":4", "\"attempts_cap\":0");
-            case "attempts -1" -> renamed.replace("\"attempts_cap\":4", "\"attempts_cap\":-1");
-            default -> fault;
-        });
+        reload(
+                switch (fault) {
+                    case "half" -> renamed.substring(0, renamed.length() / 2);
+                    case "-settings" -> renamed.replace("\"settings\"", "\"sets\"");
+                    case "-deadline" -> renamed.replaceFirst("\"deadline_us\":3000000,", "");
+                    case "deadline 0" -> renamed.replaceFirst("\"deadline_us\":3000000", "\"deadline_us\":0");
+                    case "deadline text" -> renamed.replaceFirst("\"deadline_us\":3000000", "\"deadline_us\":\"x\"");
+                    case "twice" -> renamed.replace("\"name\":\"hold\"", "\"name\":\"find\"");
+                    case "attempts 0" -> renamed.replace("\"attempts_cap\":4", "\"attempts_cap\":0");
+                    case "attempts -1" -> renamed.replace("\"attempts_cap\":4", "\"attempts_cap\":-1");
+                    default -> fault;
+                });
         harness.log.await("the old configuration stays");
         assertEquals(200, harness.client().search(5_000).answer().status());
         figures("\"reconfig_ok\":0,\"reconfig_failed\":1");
@@ -178,8 +197,7 @@
         Harness.Client old = harness.client().search(20_000);
         Stub.Seen first = server.take();
         // What was safe to repeat is now not, under another name; and nothing may be tried twice.
-        reload(good.replace("\"name\":\"search\",\"effect\":\"pure\"",
-                "\"name\":\"find\",\"effect\":\"side_effect\"")
+        reload(good.replace("\"name\":\"search\",\"effect\":\"pure\"", "\"name\":\"find\",\"effect\":\"side_effect\"")
                 .replace("\"attempts_cap\":4", "\"attempts_cap\":1"));
         figures("\"reconfig_ok\":1,\"reconfig_failed\":0");
         assertEquals(400, harness.client().search(5_000).answer().status());
--- a/src/test/java/larkbank/sidecar/FleetShareTest.java
+++ b/src/test/java/larkbank/sidecar/FleetShareTest.java
@@ -39,7 +39,9 @@
         for (int i = 0; i < 6; i++) {
             Stub.Seen call = harness.discovery.take();
             at.add(System.nanoTime());
-            assertTrue(call.request().first().endsWith("&hold_ms=0 HTTP/1.1"), call.request().first());
+            assertTrue(
+                    call.request().first().endsWith("&hold_ms=0 HTTP/1.1"),
+                    call.request().first());
             harness.discovery.awaitEnd();
         }
         // Slots of 400 ms: six calls take five of them, though each may be late on a slow machine.
@@ -64,8 +66,8 @@
             harness.discovery.take();
         }
         assertTrue((System.nanoTime() - began) / 1_000_000 > 350, "four failures in less than two rounds");
-        harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(
-                Harness.list(2, true, "in_service", two))));
+        harness.discovery.script(
+                seen -> seen.reply("200 OK", "", Harness.json(Harness.list(2, true, "in_service", two))));
         two.script(Stub.serves("two"));
         for (int i = 0; i < 3; i++) {
             harness.discovery.take();
@@ -79,18 +81,22 @@
         Stub one = server(Stub.serves("one"));
         sidecar("", one);
         Stub.Seen watch = harness.discovery.take();
-        assertTrue(watch.request().first().contains("hold_ms=20000"), watch.request().first());
+        assertTrue(
+                watch.request().first().contains("hold_ms=20000"),
+                watch.request().first());
         harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
         harness.reload("version = 1\n[fleet]\ninstances = 2\nlist_rate = 20\n" + ROUTES);
         harness.discovery.awaitEnd();
         assertTrue(harness.discovery.take().request().first().contains("hold_ms=0"));
-        harness.discovery.script(seen -> { });
+        harness.discovery.script(seen -> {});
         harness.reload("version = 1\n" + ROUTES);
         Stub.Seen again = harness.discovery.take();
         while (again.request().first().contains("hold_ms=0")) {
             again = harness.discovery.take();
         }
-        assertTrue(again.request().first().contains("hold_ms=20000"), again.request().first());
+        assertTrue(
+                again.request().first().contains("hold_ms=20000"),
+                again.request().first());
     }
 
     /** With no part of the idle connections each answer ends its connection; without a bound it is kept. */
@@ -129,9 +135,10 @@
         harness = new Harness(folder, one, two);
         open.add(harness);
         String text = Files.readString(harness.file);
-        Files.writeString(harness.file, text.replace("\"cancelling\":true",
-                "\"cancelling\":true,\"probing\":true")
-                .replace("\"source\":\"answers\"", "\"source\":\"probe\""));
+        Files.writeString(
+                harness.file,
+                text.replace("\"cancelling\":true", "\"cancelling\":true,\"probing\":true")
+                        .replace("\"source\":\"answers\"", "\"source\":\"probe\""));
         harness.startWith("version = 1\n[fleet]\ninstances = 1\nprobe_rate = 1\n" + ROUTES);
         long began = System.nanoTime();
         // The bucket begins empty, so the first probe goes out once it has filled up a little.
@@ -149,6 +156,8 @@
     }
 
     private static long probes(Stub server) {
-        return server.seen.stream().filter(s -> s.request().first().startsWith("GET /load ")).count();
+        return server.seen.stream()
+                .filter(s -> s.request().first().startsWith("GET /load "))
+                .count();
     }
 }
--- a/src/test/java/larkbank/sidecar/GoldenSharedFilesTest.java
+++ b/src/test/java/larkbank/sidecar/GoldenSharedFilesTest.java
@@ -30,7 +30,8 @@
     Path folder;
 
     private static ServerList.Entry entry(long id, int zone, int model) throws UnknownHostException {
-        return new ServerList.Entry(new Server(id, zone, model, 3, Phase.READY, 1_700_000_000_000_000L, 0.75),
+        return new ServerList.Entry(
+                new Server(id, zone, model, 3, Phase.READY, 1_700_000_000_000_000L, 0.75),
                 new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) id}), 8_080));
     }
 
--- a/src/test/java/larkbank/sidecar/Harness.java
+++ b/src/test/java/larkbank/sidecar/Harness.java
@@ -35,8 +35,7 @@
 
     final Stub discovery;
     final EventLoop loop;
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Client> clients = new ArrayList<>();
     final Log log = new Log();
     final Path file;
@@ -51,12 +50,13 @@
 
     Harness(Path folder, long connectMicros, int sockets, Stub... servers) throws Exception {
         // The first answer says what is known already; the watch that goes on then hears nothing.
-        discovery = new Stub(seen -> { });
+        discovery = new Stub(seen -> {});
         loop = group.next();
         this.folder = folder;
         file = folder.resolve("config.json");
-        Files.writeString(file, Configs.of("n0", 0, discovery.port(), sockets, connectMicros,
-                list(1, true, "in_service", servers)));
+        Files.writeString(
+                file,
+                Configs.of("n0", 0, discovery.port(), sockets, connectMicros, list(1, true, "in_service", servers)));
     }
 
     static String json(String quoted) {
@@ -77,7 +77,8 @@
 
     Harness start(BiFunction<Settings, Actions, LoadBalancer> modules) throws Exception {
         Config config = config();
-        sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules)).get();
+        sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules))
+                .get();
         address = sidecar.start().get(10, TimeUnit.SECONDS);
         return this;
     }
@@ -87,8 +88,7 @@
         return startWith(operators, Choice::new);
     }
 
-    Harness startWith(String operators, BiFunction<Settings, Actions, LoadBalancer> modules)
-            throws Exception {
+    Harness startWith(String operators, BiFunction<Settings, Actions, LoadBalancer> modules) throws Exception {
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, operators);
         Config config = config();
@@ -97,8 +97,8 @@
             layout = (OperatorsLayout) made.of(parts);
             return layout;
         };
-        sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules,
-                layouts)).get();
+        sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules, layouts))
+                .get();
         address = sidecar.start().get(10, TimeUnit.SECONDS);
         return this;
     }
@@ -143,7 +143,7 @@
     CountDownLatch begunStop() throws Exception {
         CountDownLatch ended = stop();
         // The loop takes its tasks in turn: this one runs behind the stop.
-        loop.submit(() -> { }).get(10, TimeUnit.SECONDS);
+        loop.submit(() -> {}).get(10, TimeUnit.SECONDS);
         return ended;
     }
 
--- a/src/test/java/larkbank/sidecar/LargeListTest.java
+++ b/src/test/java/larkbank/sidecar/LargeListTest.java
@@ -30,7 +30,7 @@
     @TempDir
     Path folder;
 
-    private record Told(ListKind kind, List<Server> list) { }
+    private record Told(ListKind kind, List<Server> list) {}
 
     /** Records what it is told of servers, and watches. */
     private static final class Listening extends QuietModule {
@@ -63,9 +63,7 @@
         for (int i = from; i < to; i++) {
             targets.add(entry(i, "in_service"));
         }
-        return Harness.json("{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",",
-                targets)
-                + "]}");
+        return Harness.json("{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",", targets) + "]}");
     }
 
     private static Listening start(Harness harness) throws Exception {
@@ -80,19 +78,26 @@
 
     @Test
     void aWholeListComesInSlicesWithWhatLeavesFirst() throws Exception {
-        try (Stub known = new Stub(Stub.SILENT); Harness harness = new Harness(folder, known)) {
+        try (Stub known = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, known)) {
             Listening module = start(harness);
             // Drains, though it stands last on the list.
-            harness.discovery.take().reply("200 OK", "", list(7, true, 0, MANY).replace("]}",
-                    "," + Harness.json(entry(MANY, "terminating")) + "]}"));
-            harness.discovery.take().reply("200 OK", "", Harness.json(list(8, false, 0, 0,
-                    entry(5, "terminating"))));
+            harness.discovery
+                    .take()
+                    .reply(
+                            "200 OK",
+                            "",
+                            list(7, true, 0, MANY)
+                                    .replace("]}", "," + Harness.json(entry(MANY, "terminating")) + "]}"));
+            harness.discovery.take().reply("200 OK", "", Harness.json(list(8, false, 0, 0, entry(5, "terminating"))));
             Set<Long> seen = new HashSet<>();
             int slices = 0;
             while (seen.size() < MANY + 2) {
                 Told told = module.take();
                 assertEquals(ListKind.CHANGES, told.kind());
-                assertTrue(told.list().size() <= ListFeed.SLICE, "a slice of " + told.list().size());
+                assertTrue(
+                        told.list().size() <= ListFeed.SLICE,
+                        "a slice of " + told.list().size());
                 if (slices++ == 0) {
                     assertEquals(Ids.of("s-" + known.port()), told.list().get(0).id());
                     assertEquals(Phase.REMOVED, told.list().get(0).phase());
@@ -103,19 +108,21 @@
             assertEquals(1 + (MANY + 1) / ListFeed.SLICE, slices);
             // What was told later comes later, however long the slices took.
             Told last = module.take();
-            assertEquals(List.of(Ids.of("u5")), last.list().stream().map(Server::id).toList());
+            assertEquals(
+                    List.of(Ids.of("u5")), last.list().stream().map(Server::id).toList());
         }
     }
 
     @Test
     void aListThatIsTooLargeIsSaidSoAndTheOldOneStays() throws Exception {
-        try (Stub known = new Stub(Stub.serves("ok")); Harness harness = new Harness(folder, known).start()) {
+        try (Stub known = new Stub(Stub.serves("ok"));
+                Harness harness = new Harness(folder, known).start()) {
             Stub.Seen asked = harness.discovery.take();
             asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (Discovery.MAX_LIST + 1) + "\r\n\r\n{");
             harness.discovery.awaitEnd();
             assertEquals(200, harness.client().search(2_000).answer().status());
-            assertTrue(harness.log.toString().contains("discovery: an answer that is too large"),
-                    harness.log.toString());
+            assertTrue(
+                    harness.log.toString().contains("discovery: an answer that is too large"), harness.log.toString());
             // It asks again, and a list that fits is taken.
             harness.discovery.take();
         }
@@ -123,12 +130,12 @@
 
     @Test
     void aMalformedLargeListChangesNothing() throws Exception {
-        try (Stub known = new Stub(Stub.serves("ok")); Harness harness = new Harness(folder, known).start()) {
+        try (Stub known = new Stub(Stub.serves("ok"));
+                Harness harness = new Harness(folder, known).start()) {
             String broken = list(7, true, 0, MANY).replace("'u2999'".replace('\'', '"'), "7");
             harness.discovery.take().reply("200 OK", "Connection: close\r\n", broken);
             harness.discovery.take();
-            assertTrue(harness.log.toString().contains("a malformed list: a target without"),
-                    harness.log.toString());
+            assertTrue(harness.log.toString().contains("a malformed list: a target without"), harness.log.toString());
             assertEquals(200, harness.client().search(2_000).answer().status());
         }
     }
--- a/src/test/java/larkbank/sidecar/LargeMessagesTest.java
+++ b/src/test/java/larkbank/sidecar/LargeMessagesTest.java
@@ -44,10 +44,12 @@
 
     @TempDir
     Path folder;
+
     private Stub server;
     private Stub other;
     private Harness harness;
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     @BeforeEach
     void start() throws Exception {
@@ -71,8 +73,10 @@
 
     private HttpRequest.Builder ask(String path) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + harness.address.getPort() + path))
-                .header("Request-Id", Harness.Client.id()).header("Tenant", "acme")
-                .header("Request-Timeout-Ms", "20000").timeout(Duration.ofSeconds(30));
+                .header("Request-Id", Harness.Client.id())
+                .header("Tenant", "acme")
+                .header("Request-Timeout-Ms", "20000")
+                .timeout(Duration.ofSeconds(30));
     }
 
     private static String head(String more) {
@@ -82,12 +86,13 @@
     /** An answer in one of the ways that bound it, in parts of odd lengths. */
     private static void answer(Stub.Seen seen, String how, byte[] body, int count) throws IOException {
         OutputStream out = seen.socket().getOutputStream();
-        seen.raw(head(switch (how) {
-            case "length" -> "Content-Length: " + body.length + "\r\n";
-            case "chunked" -> "Transfer-Encoding: chunked\r\n";
-            default -> "Connection: close\r\n";
-        }));
-        for (int at = 0; at < count;) {
+        seen.raw(head(
+                switch (how) {
+                    case "length" -> "Content-Length: " + body.length + "\r\n";
+                    case "chunked" -> "Transfer-Encoding: chunked\r\n";
+                    default -> "Connection: close\r\n";
+                }));
+        for (int at = 0; at < count; ) {
             int part = Math.min(count - at, 40_009);
             if (how.equals("chunked")) {
                 seen.raw(Integer.toHexString(part) + ";of=it\r\n");
@@ -115,8 +120,7 @@
         byte[] body = bytes(LARGE);
         server.script(seen -> answer(seen, how, body, body.length));
         for (int i = 0; i < 2; i++) {
-            HttpResponse<byte[]> got = client.send(ask("/search/k1").build(),
-                    HttpResponse.BodyHandlers.ofByteArray());
+            HttpResponse<byte[]> got = client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray());
             assertEquals(200, got.statusCode());
             assertArrayEquals(body, got.body());
             assertTrue(got.headers().firstValue("Server-Load").isEmpty());
@@ -128,8 +132,8 @@
     void anOlderClientSeesTheEndOfTheConnection(String how) throws Exception {
         byte[] body = bytes(LARGE);
         server.script(seen -> answer(seen, how, body, body.length));
-        Harness.Client old = harness.client().raw(Harness.Client.head("GET", "/search/k", 20_000, "", 0)
-                .replace("HTTP/1.1", "HTTP/1.0"));
+        Harness.Client old = harness.client()
+                .raw(Harness.Client.head("GET", "/search/k", 20_000, "", 0).replace("HTTP/1.1", "HTTP/1.0"));
         byte[] all = old.socket.getInputStream().readAllBytes();
         String head = new String(all, 0, 200, StandardCharsets.ISO_8859_1);
         assertTrue(head.startsWith("HTTP/1.1 200") && !head.contains("chunked"), head);
@@ -141,22 +145,33 @@
     void anAnswerThatBreaksOffIsNotTakenForWhole(String how) throws Exception {
         byte[] body = bytes(LARGE);
         server.script(seen -> answer(seen, how, body, LARGE / 2));
-        assertThrows(IOException.class, () -> client.send(ask("/search/k1").build(),
-                HttpResponse.BodyHandlers.ofByteArray()));
+        assertThrows(
+                IOException.class,
+                () -> client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray()));
         server.script(Stub.serves("next"));
-        assertEquals("next", client.send(ask("/search/k1").build(),
-                HttpResponse.BodyHandlers.ofString()).body());
+        assertEquals(
+                "next",
+                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofString())
+                        .body());
     }
 
     /** Small ones are kept until they are whole, and may be cut short without the end of a connection. */
     @Test
     void aSmallAnswerWithoutBoundsIsWholeOnlyWithAnOrderlyEnd() throws Exception {
         server.script(seen -> answer(seen, "close", bytes(100), 100));
-        assertArrayEquals(bytes(100), client.send(ask("/search/k1").build(),
-                HttpResponse.BodyHandlers.ofByteArray()).body());
+        assertArrayEquals(
+                bytes(100),
+                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray())
+                        .body());
         server.script(seen -> answer(seen, "close", bytes(100), 50));
-        assertEquals(502, client.send(ask("/book/k1").POST(HttpRequest.BodyPublishers.ofString("x")).build(),
-                HttpResponse.BodyHandlers.ofString()).statusCode());
+        assertEquals(
+                502,
+                client.send(
+                                ask("/book/k1")
+                                        .POST(HttpRequest.BodyPublishers.ofString("x"))
+                                        .build(),
+                                HttpResponse.BodyHandlers.ofString())
+                        .statusCode());
     }
 
     /** The first bytes are there while the server still gives the rest. */
@@ -174,8 +189,8 @@
             }
             s.socket().getOutputStream().write(body, 1_000, LARGE - 1_000);
         });
-        HttpResponse<InputStream> got = client.send(ask("/search/k1").build(),
-                HttpResponse.BodyHandlers.ofInputStream());
+        HttpResponse<InputStream> got =
+                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofInputStream());
         assertArrayEquals(Arrays.copyOf(body, 1_000), got.body().readNBytes(1_000));
         seen.countDown();
         assertArrayEquals(Arrays.copyOfRange(body, 1_000, LARGE), got.body().readAllBytes());
@@ -191,8 +206,9 @@
             readers.add(harness.client().search(20_000));
         }
         for (Harness.Client reader : readers) {
-            assertEquals("HTTP/1.1 200 OK", new String(reader.socket.getInputStream().readNBytes(15),
-                    StandardCharsets.US_ASCII));
+            assertEquals(
+                    "HTTP/1.1 200 OK",
+                    new String(reader.socket.getInputStream().readNBytes(15), StandardCharsets.US_ASCII));
         }
         long waiting = harness.loop.submit(() -> harness.sidecar.waitingBytes()).get();
         assertTrue(waiting < 24 * 64 * 1024, waiting + " bytes wait");
@@ -214,13 +230,13 @@
         byte[] body = bytes(LARGE);
         harness.loop.submit(() -> harness.sidecar.listed(list())).get();
         AtomicBoolean turnedAway = new AtomicBoolean();
-        Stub.Script once = seen -> seen.reply(turnedAway.getAndSet(true) ? "200 OK" : "503 Full",
-                "Not-Started: 1\r\n", "");
+        Stub.Script once =
+                seen -> seen.reply(turnedAway.getAndSet(true) ? "200 OK" : "503 Full", "Not-Started: 1\r\n", "");
         server.script(once);
         other.script(once);
         HttpRequest.BodyPublisher publisher = HttpRequest.BodyPublishers.ofByteArray(body);
-        HttpRequest.Builder ask = ask("/book/k1").POST(how.equals("chunked")
-                ? HttpRequest.BodyPublishers.fromPublisher(publisher) : publisher);
+        HttpRequest.Builder ask = ask("/book/k1")
+                .POST(how.equals("chunked") ? HttpRequest.BodyPublishers.fromPublisher(publisher) : publisher);
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
                 how.equals("expect") ? ask.expectContinue(true).build() : ask.build(),
                 HttpResponse.BodyHandlers.ofString());
@@ -236,9 +252,8 @@
     }
 
     private static ServerList.Entry entry(Stub stub) {
-        return new ServerList.Entry(new Server(stub.port(), 0, 0, 0,
-                Phase.READY, 0, 1),
-                new InetSocketAddress("127.0.0.1", stub.port()));
+        return new ServerList.Entry(
+                new Server(stub.port(), 0, 0, 0, Phase.READY, 0, 1), new InetSocketAddress("127.0.0.1", stub.port()));
     }
 
     /** More than there is room for at once: some are refused, which is true, and the others served. */
@@ -248,8 +263,11 @@
         byte[] body = bytes(20 * 1024 * 1024);
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            answers.add(client.sendAsync(ask("/book/k1").POST(HttpRequest.BodyPublishers.ofByteArray(body))
-                    .build(), HttpResponse.BodyHandlers.ofString()));
+            answers.add(client.sendAsync(
+                    ask("/book/k1")
+                            .POST(HttpRequest.BodyPublishers.ofByteArray(body))
+                            .build(),
+                    HttpResponse.BodyHandlers.ofString()));
         }
         int served = 0;
         for (var answer : answers) {
@@ -267,8 +285,8 @@
 
     @Test
     void whatLeavesBeforeItIsWholeGivesItsRoomBack() throws Exception {
-        Harness.Client half = harness.client().raw(Harness.Client.head("POST", "/book/k", 5_000, "",
-                20 * 1024 * 1024) + "x".repeat(100_000));
+        Harness.Client half = harness.client()
+                .raw(Harness.Client.head("POST", "/book/k", 5_000, "", 20 * 1024 * 1024) + "x".repeat(100_000));
         while (harness.loop.submit(() -> harness.sidecar.keptBytes()).get() == 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/larkbank/sidecar/Loopback.java
+++ b/src/test/java/larkbank/sidecar/Loopback.java
@@ -13,6 +13,7 @@
 
     @TempDir
     Path folder;
+
     final List<AutoCloseable> open = new ArrayList<>();
 
     @AfterEach
--- a/src/test/java/larkbank/sidecar/OperatorsLayoutTest.java
+++ b/src/test/java/larkbank/sidecar/OperatorsLayoutTest.java
@@ -46,11 +46,13 @@
     }
 
     private static String pool(String name, String more, Stub... servers) {
-        StringBuilder text = new StringBuilder("[pools." + name + "]\nsource = \"static\"\n" + more
-                + "servers = [\n");
+        StringBuilder text = new StringBuilder("[pools." + name + "]\nsource = \"static\"\n" + more + "servers = [\n");
         for (Stub server : servers) {
-            text.append("  { id = \"s-").append(server.port()).append("\", endpoint = \"127.0.0.1:")
-                    .append(server.port()).append("\", zone = \"a\" },\n");
+            text.append("  { id = \"s-")
+                    .append(server.port())
+                    .append("\", endpoint = \"127.0.0.1:")
+                    .append(server.port())
+                    .append("\", zone = \"a\" },\n");
         }
         return text.append("]\n").toString();
     }
@@ -78,7 +80,8 @@
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "") + route("book", "q", ""));
         assertEquals("one", harness.client().search(2_000).answer().body());
         assertEquals("two", harness.client().book("x", 2_000).answer().body());
-        Http.Message none = harness.client().raw(search("/other/1", "Host: a\r\n")).answer();
+        Http.Message none =
+                harness.client().raw(search("/other/1", "Host: a\r\n")).answer();
         assertEquals(404, none.status());
         assertEquals("no route\n", none.body());
     }
@@ -86,8 +89,11 @@
     /** However a path is spelled, the server gets what was matched. */
     @ParameterizedTest
     @CsvSource({
-        "/search/../book/7, /book/7", "//book//7?x=%2F, /book/7?x=%2F", "/%62ook/7, /book/7",
-        "/search/%2e%2E/book/./7, /book/7", "http://A.example.org:81/book/7, /book/7"
+        "/search/../book/7, /book/7",
+        "//book//7?x=%2F, /book/7?x=%2F",
+        "/%62ook/7, /book/7",
+        "/search/%2e%2E/book/./7, /book/7",
+        "http://A.example.org:81/book/7, /book/7"
     })
     void noSpellingSlipsPastARoute(String target, String sent) throws Exception {
         Stub one = server(Stub.serves("one"));
@@ -98,21 +104,27 @@
         assertEquals("two", harness.client().raw(head).answer().body());
         Http.Message seen = two.take().request();
         assertEquals("POST " + sent + " HTTP/1.1", seen.first());
-        assertEquals(target.startsWith("http") ? "a.example.org" : "other", seen.headers().get("Host"));
+        assertEquals(
+                target.startsWith("http") ? "a.example.org" : "other",
+                seen.headers().get("Host"));
         assertTrue(one.seen.isEmpty());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "/search%2F1 | Host: a", "/search/%5C | Host: a", "/../search/1 | Host: a", "/search/%zz | Host: a",
-        "search | Host: a", "/search/1 | X: a", "/search/1 | Host: a\\r\\nHost: a", "/search/1 | Host: a/b",
-        "http:///search/1 | Host: a",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "/search%2F1 | Host: a", "/search/%5C | Host: a", "/../search/1 | Host: a", "/search/%zz | Host: a",
+                "search | Host: a", "/search/1 | X: a", "/search/1 | Host: a\\r\\nHost: a", "/search/1 | Host: a/b",
+                "http:///search/1 | Host: a",
+            })
     void whatHasNoOneMeaningIsRejected(String target, String host) throws Exception {
         Stub one = server(Stub.serves("one"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         String fields = host.strip().replace("\\r", "\r").replace("\\n", "\n") + "\r\n";
-        assertEquals(400, harness.client().raw(search(target.strip(), fields)).answer().status());
+        assertEquals(
+                400,
+                harness.client().raw(search(target.strip(), fields)).answer().status());
         assertTrue(one.seen.isEmpty());
     }
 
@@ -124,13 +136,26 @@
                 + "[routes.gold]\nhost = \"*.example.org\"\npath = \"/search/*\"\nclass = \"search\"\n"
                 + "pool = \"q\"\nheaders = { X-Tier = \"gold\" }\n");
         String host = "Host: API.Example.org:8443\r\n";
-        assertEquals("one", harness.client().raw(search("/search/1", host)).answer().body());
-        assertEquals("two", harness.client().raw(search("/search/1", host + "x-tier: gold\r\n")).answer()
-                .body());
-        assertEquals("one", harness.client().raw(search("/search/1", host
-                + "X-Tier: gold\r\nX-Tier: gold\r\n")).answer().body());
-        assertEquals(404, harness.client().raw(search("/search/1",
-                "Host: example.org\r\n")).answer().status());
+        assertEquals(
+                "one", harness.client().raw(search("/search/1", host)).answer().body());
+        assertEquals(
+                "two",
+                harness.client()
+                        .raw(search("/search/1", host + "x-tier: gold\r\n"))
+                        .answer()
+                        .body());
+        assertEquals(
+                "one",
+                harness.client()
+                        .raw(search("/search/1", host + "X-Tier: gold\r\nX-Tier: gold\r\n"))
+                        .answer()
+                        .body());
+        assertEquals(
+                404,
+                harness.client()
+                        .raw(search("/search/1", "Host: example.org\r\n"))
+                        .answer()
+                        .status());
     }
 
     // ---- Limits
@@ -139,8 +164,7 @@
     void aCopyGoesOutAndItsLoserIsCalledOff() throws Exception {
         Stub one = server(Stub.SILENT);
         Stub two = server(Stub.SILENT);
-        sidecar(pool("p", "", one, two)
-                + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"50ms\"\n"));
+        sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"50ms\"\n"));
         Harness.Client client = harness.client().search(2_000);
         // Each has a copy before either has answered.
         Stub.Seen slow = one.take();
@@ -179,8 +203,7 @@
         };
         one.script(secondServes);
         two.script(secondServes);
-        sidecar(pool("p", "", one, two) + route("search", "p",
-                "attempts = 2\nattempt_timeout = \"120ms\"\n"));
+        sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nattempt_timeout = \"120ms\"\n"));
         assertEquals("second", harness.client().search(2_000).answer().body());
         for (Stub server : List.of(one, two)) {
             long told = Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
@@ -210,8 +233,10 @@
     void aPoolAtItsLimitDoesNotStarveItsNeighbour() throws Exception {
         Stub silent = server(Stub.SILENT);
         Stub sound = server(Stub.serves("ok"));
-        sidecar(pool("p", "max_requests = 4\nmax_queue = 1\n", silent) + pool("q", "", sound)
-                + route("book", "p", "") + route("search", "q", ""));
+        sidecar(pool("p", "max_requests = 4\nmax_queue = 1\n", silent)
+                + pool("q", "", sound)
+                + route("book", "p", "")
+                + route("search", "q", ""));
         List<Harness.Client> stuck = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             stuck.add(harness.client().book("x", 3_000));
@@ -332,9 +357,8 @@
         sidecar(pool("p", "", old) + route("book", "p", ""));
         String whole = Harness.Client.head("POST", "/book/1", 2_000, "", 4) + "body";
         for (int at : new int[] {1, whole.indexOf("Tenant"), whole.length() - 1}) {
-            Harness.Client client = harness.client().raw(whole.substring(0,
-                    at).replaceFirst("Request-Id: \\w+",
-                    "Request-Id: half" + at));
+            Harness.Client client = harness.client()
+                    .raw(whole.substring(0, at).replaceFirst("Request-Id: \\w+", "Request-Id: half" + at));
             reload(pool("q", "", next) + route("book", "q", ""));
             client.raw(whole.substring(at).replaceFirst("Request-Id: \\w+", "Request-Id: half" + at));
             assertEquals("next", client.answer().body());
@@ -398,8 +422,11 @@
         int port = freePort();
         sidecar(listener("a", port) + pool("p", "", one) + route("search", "p", ""));
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            reload(listener("a", port) + listener("b", taken.getLocalPort())
-                    + pool("q", "", one) + route("search", "q", "") + route("book", "q", ""));
+            reload(listener("a", port)
+                    + listener("b", taken.getLocalPort())
+                    + pool("q", "", one)
+                    + route("search", "q", "")
+                    + route("book", "q", ""));
         }
         assertTrue(harness.log.toString().contains("can't listen"), harness.log.toString());
         assertEquals("one", harness.client().search(2_000).answer().body());
@@ -420,25 +447,31 @@
         Stub three = server(counts);
         List<String> files = List.of(
                 pool("p", "", one, two) + route("search", "p", "") + route("book", "p", ""),
-                pool("p", "max_requests = 50\n", one, two) + pool("q", "", three)
-                        + route("search", "p", "attempts = 2\n") + route("book", "q", ""),
+                pool("p", "max_requests = 50\n", one, two)
+                        + pool("q", "", three)
+                        + route("search", "p", "attempts = 2\n")
+                        + route("book", "q", ""),
                 pool("q", "", three, two) + route("search", "q", "") + route("book", "q", ""));
         sidecar(files.get(0));
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+        HttpClient client =
+                HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         ExecutorService senders = Executors.newFixedThreadPool(6);
         AtomicInteger left = new AtomicInteger(3_000);
         Callable<Map<Integer, Integer>> sender = () -> {
             Map<Integer, Integer> statuses = new ConcurrentHashMap<>();
             while (left.getAndDecrement() > 0) {
                 boolean book = left.get() % 2 == 0;
-                HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                        + harness.address.getPort() + (book ? "/book/1" : "/search/1")))
-                        .header("Request-Id", Harness.Client.id()).header("Tenant", "acme")
+                HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(
+                                "http://127.0.0.1:" + harness.address.getPort() + (book ? "/book/1" : "/search/1")))
+                        .header("Request-Id", Harness.Client.id())
+                        .header("Tenant", "acme")
                         .header("Request-Timeout-Ms", "3000");
                 request = book ? request.POST(HttpRequest.BodyPublishers.ofString("x")) : request.GET();
-                statuses.merge(client.send(request.build(),
-                        HttpResponse.BodyHandlers.ofString()).statusCode(),
-                        1, Integer::sum);
+                statuses.merge(
+                        client.send(request.build(), HttpResponse.BodyHandlers.ofString())
+                                .statusCode(),
+                        1,
+                        Integer::sum);
             }
             return statuses;
         };
@@ -468,8 +501,8 @@
     void aBadFileEndsTheStartWithAllReasons() throws Exception {
         harness = new Harness(folder);
         open.add(harness);
-        IOException refused = assertThrows(IOException.class,
-                () -> harness.startWith("version = 1\n" + route("search", "p", "attempts = 9\n")));
+        IOException refused = assertThrows(
+                IOException.class, () -> harness.startWith("version = 1\n" + route("search", "p", "attempts = 9\n")));
         assertEquals(2, refused.getMessage().lines().count(), refused.getMessage());
     }
 }
