--- a/src/test/java/larkbank/sidecar/PluginLoopbackTest.java
+++ b/src/test/java/larkbank/sidecar/PluginLoopbackTest.java
@@ -38,17 +38,24 @@
     private Harness harness;
 
     private String file(String plugins, Stub... servers) {
-        StringBuilder text = new StringBuilder("version = 1\n" + plugins
-                + "[pools.p]\nsource = \"static\"\nservers = [\n");
+        StringBuilder text =
+                new StringBuilder("version = 1\n" + plugins + "[pools.p]\nsource = \"static\"\nservers = [\n");
         for (Stub s : servers) {
-            text.append("  { id = \"s-").append(s.port()).append("\", endpoint = \"127.0.0.1:")
+            text.append("  { id = \"s-")
+                    .append(s.port())
+                    .append("\", endpoint = \"127.0.0.1:")
                     .append(s.port())
                     .append("\", zone = \"a\" },\n");
         }
         text.append("]\n");
         for (String c : List.of("search", "book")) {
-            text.append("[routes.").append(c).append("]\npath = \"/").append(c).append("/*\"\nclass = \"")
-                    .append(c).append("\"\npool = \"p\"\n");
+            text.append("[routes.")
+                    .append(c)
+                    .append("]\npath = \"/")
+                    .append(c)
+                    .append("/*\"\nclass = \"")
+                    .append(c)
+                    .append("\"\npool = \"p\"\n");
         }
         return text + "[routes.pay]\npath = \"/pay/*\"\nclass = \"search\"\npool = \"p\"\n";
     }
@@ -71,8 +78,12 @@
         Stub two = server(Stub.HANG_UP);
         String book = "config = { class = \"book\" }\ndeadline = \"1s\"\n";
         sidecar(plugin("mark-pay", book + "classes = [\"book\"]\non_failure = \"closed\"\n"), one, two);
-        assertEquals(400, harness.client().raw(Harness.Client.head("GET", "/pay/7", 2_000, "",
-                0)).answer().status());
+        assertEquals(
+                400,
+                harness.client()
+                        .raw(Harness.Client.head("GET", "/pay/7", 2_000, "", 0))
+                        .answer()
+                        .status());
         assertEquals(0, one.seen.size() + two.seen.size());
         String post = Harness.Client.head("POST", "/pay/7", 2_000, "", 1) + "x";
         assertEquals(502, harness.client().raw(post).answer().status());
@@ -119,8 +130,7 @@
 
     /** Under steady load with each of them: one answer each, in time, and no book runs twice. */
     @ParameterizedTest
-    @ValueSource(strings = {"loop", "grow", "recurse", "trap-second", "chatter", "pointers", "injection",
-            "weaken"})
+    @ValueSource(strings = {"loop", "grow", "recurse", "trap-second", "chatter", "pointers", "injection", "weaken"})
     void aHostilePluginBreaksNoRule(String module) throws Exception {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
         Stub.Script script = seen -> {
@@ -129,8 +139,12 @@
         };
         Stub one = server(script);
         Stub two = server(script);
-        sidecar(plugin(module, "headers = [\"x-log\"]\nclasses = [\"search\"]\nrefuse = true\n"
-                + "on_failure = \"open\"\n"), one, two);
+        sidecar(
+                plugin(
+                        module,
+                        "headers = [\"x-log\"]\nclasses = [\"search\"]\nrefuse = true\n" + "on_failure = \"open\"\n"),
+                one,
+                two);
         ExecutorService pool = Executors.newFixedThreadPool(4);
         open.add(pool::shutdownNow);
         List<Future<Integer>> clients = new ArrayList<>();
@@ -197,14 +211,18 @@
         ExecutorService pool = Executors.newFixedThreadPool(3);
         open.add(pool::shutdownNow);
         Callable<Integer> client = () -> {
-            HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+            HttpClient http =
+                    HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             int answered = 0;
             while (!stop.get()) {
-                HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                        + harness.address.getPort() + "/book/k1")).header("Request-Id", Harness.Client.id())
-                        .header("Tenant", "acme").header("Request-Timeout-Ms", "2000").header("User-Agent",
-                        "u")
-                        .POST(HttpRequest.BodyPublishers.ofString("x")).build(),
+                HttpResponse<String> answer = http.send(
+                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + harness.address.getPort() + "/book/k1"))
+                                .header("Request-Id", Harness.Client.id())
+                                .header("Tenant", "acme")
+                                .header("Request-Timeout-Ms", "2000")
+                                .header("User-Agent", "u")
+                                .POST(HttpRequest.BodyPublishers.ofString("x"))
+                                .build(),
                         HttpResponse.BodyHandlers.ofString());
                 assertEquals(200, answer.statusCode());
                 answered++;
@@ -225,7 +243,8 @@
         }
         assertTrue(answered > 0);
         assertEquals(answered, one.seen.size());
-        assertTrue(one.seen.stream().allMatch(s -> "u".equals(s.request().headers().get("X-Log-Client"))));
+        assertTrue(
+                one.seen.stream().allMatch(s -> "u".equals(s.request().headers().get("X-Log-Client"))));
     }
 
     /** No way round a plug-in: an upgrade is asked about like any request, and what comes behind it waits. */
@@ -238,12 +257,12 @@
         harness = new Harness(folder);
         open.add(harness);
         harness.startWith(file(plugin("refuse", REFUSES), one) + socket);
-        Http.Message refused = harness.client().raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0))
+        Http.Message refused = harness.client()
+                .raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0))
                 .answer();
         assertEquals(503, refused.status());
         assertEquals(0, tunnels.get());
-        harness.reload(file(plugin("log-header", "headers = [\"X-Log-Client\"]\ndeadline = \"1s\"\n"), one)
-                + socket);
+        harness.reload(file(plugin("log-header", "headers = [\"X-Log-Client\"]\ndeadline = \"1s\"\n"), one) + socket);
         Harness.Client client = harness.client().raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0));
         assertEquals(101, client.answer().status());
         Ws ws = new Ws(client.socket, true);
--- a/src/test/java/larkbank/sidecar/ProcessTest.java
+++ b/src/test/java/larkbank/sidecar/ProcessTest.java
@@ -32,9 +32,13 @@
 
     private static ProcessBuilder program(Path config, String listen, String... more) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder(java,
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "larkbank.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                java,
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "larkbank.Main",
+                "serve");
         builder.command().addAll(List.of(more));
         builder.environment().put("LB_CONFIG", config.toString());
         builder.environment().put("LB_LISTEN", listen);
@@ -47,7 +51,10 @@
         while (true) {
             try {
                 Harness.Client client = new Harness.Client(address);
-                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status() == 200) {
+                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+                                .answer()
+                                .status()
+                        == 200) {
                     return client;
                 }
                 client.close();
@@ -62,8 +69,10 @@
     @Test
     void terminationAnswersWhatIsInHandAndExitsWithZero() throws Exception {
         InetSocketAddress address = free();
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
-            Process process = program(harness.file, "127.0.0.1:" + address.getPort()).start();
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
+            Process process =
+                    program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try (Harness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
                 Stub.Seen held = server.take();
@@ -85,7 +94,8 @@
     void whatIsOffIsNotLoaded() throws Exception {
         InetSocketAddress address = free();
         Path loaded = folder.resolve("loaded.txt");
-        try (Stub server = new Stub(Stub.serves("ok")); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.serves("ok"));
+                Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.command().add(1, "-Xlog:class+load:file=" + loaded);
             Process process = program.start();
@@ -98,12 +108,28 @@
                 process.destroyForcibly();
             }
         }
-        List<String> own = Files.readAllLines(loaded).stream().filter(l -> l.contains(" larkbank.")).toList();
+        List<String> own = Files.readAllLines(loaded).stream()
+                .filter(l -> l.contains(" larkbank."))
+                .toList();
         assertTrue(own.stream().anyMatch(l -> l.contains("larkbank.Choice ")), "the log is not what it was");
-        for (String off : List.of("cell", "footprint", "plugin", "lab", "cli", "operators", "route",
-                "websocket", "membership", "fleet", "lease")) {
-            assertEquals(List.of(), own.stream().filter(l -> l.contains(" larkbank." + off + "."))
-                    .map(l -> l.replaceAll("^\\S*\\s*", "")).toList());
+        for (String off : List.of(
+                "cell",
+                "footprint",
+                "plugin",
+                "lab",
+                "cli",
+                "operators",
+                "route",
+                "websocket",
+                "membership",
+                "fleet",
+                "lease")) {
+            assertEquals(
+                    List.of(),
+                    own.stream()
+                            .filter(l -> l.contains(" larkbank." + off + "."))
+                            .map(l -> l.replaceAll("^\\S*\\s*", ""))
+                            .toList());
         }
     }
 
@@ -114,19 +140,26 @@
 
     private static void assertGoesOn(Process process, long end, String missing) {
         assertTrue(process.isAlive(), "the program ended");
-        assertTrue(System.nanoTime() < end, () -> missing + " was not taken over after SIGHUP"
-                + (Hangup.isIgnored() ? ", which is ignored here and by what is started here" : ""));
+        assertTrue(
+                System.nanoTime() < end,
+                () -> missing + " was not taken over after SIGHUP"
+                        + (Hangup.isIgnored() ? ", which is ignored here and by what is started here" : ""));
     }
 
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid())
+                        .start()
+                        .waitFor());
     }
 
     /** SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing. */
     @Test
     void hangupGoesOverToTheNewDiscovery() throws Exception {
         InetSocketAddress address = free();
-        try (Stub server = new Stub(Stub.serves("ok")); Stub next = new Stub(Stub.SILENT);
+        try (Stub server = new Stub(Stub.serves("ok"));
+                Stub next = new Stub(Stub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.environment().put("LB_DISCOVERY", "127.0.0.1:" + harness.discovery.port());
@@ -137,8 +170,7 @@
                 Files.writeString(harness.file, text.substring(0, text.length() / 2));
                 hangUp(process);
                 assertEquals(200, client.search(2_000).answer().status());
-                Files.writeString(harness.file,
-                        text.replace(":" + harness.discovery.port(), ":" + next.port()));
+                Files.writeString(harness.file, text.replace(":" + harness.discovery.port(), ":" + next.port()));
                 hangUp(process);
                 Stub.Seen asked = next.take();
                 assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
@@ -151,7 +183,9 @@
                 // And back again.
                 Files.writeString(harness.file, text);
                 hangUp(process);
-                assertEquals("GET /v1/servers HTTP/1.1", harness.discovery.take().request().first());
+                assertEquals(
+                        "GET /v1/servers HTTP/1.1",
+                        harness.discovery.take().request().first());
             } finally {
                 process.destroyForcibly();
             }
@@ -167,7 +201,8 @@
     void anIgnoredHangupIsTakenBackOrTold(boolean takenBack) throws Exception {
         InetSocketAddress address = free();
         Path log = folder.resolve("log");
-        try (Stub server = new Stub(Stub.serves("ok")); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.serves("ok"));
+                Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.redirectOutput(log.toFile());
             program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
@@ -182,8 +217,10 @@
                 if (takenBack) {
                     Harness.Client asking = client;
                     long end = untilReloaded(1);
-                    while (asking.raw(Harness.Client.head("GET", "/look/k1", 2_000, "", 0)).answer()
-                            .status() != 200) {
+                    while (asking.raw(Harness.Client.head("GET", "/look/k1", 2_000, "", 0))
+                                    .answer()
+                                    .status()
+                            != 200) {
                         assertGoesOn(process, end, "the settings' new class");
                         asking = new Harness.Client(address);
                     }
@@ -206,12 +243,13 @@
     @Test
     void hangupTakesOverTheOperatorsFile() throws Exception {
         InetSocketAddress address = free();
-        try (Stub one = new Stub(Stub.serves("one")); Stub two = new Stub(Stub.serves("two"));
+        try (Stub one = new Stub(Stub.serves("one"));
+                Stub two = new Stub(Stub.serves("two"));
                 Harness harness = new Harness(folder)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, operators(one, ""));
-            Process process = program(harness.file, "127.0.0.1:" + address.getPort(), "--operators",
-                    file.toString()).start();
+            Process process = program(harness.file, "127.0.0.1:" + address.getPort(), "--operators", file.toString())
+                    .start();
             try (Harness.Client client = connect(address, process)) {
                 assertEquals("one", client.search(2_000).answer().body());
                 Files.writeString(file, operators(two, "attempts = 99\n"));
@@ -220,7 +258,7 @@
                 Files.writeString(file, operators(two, ""));
                 hangUp(process);
                 long end = untilReloaded(2);
-                for (String body = ""; !body.equals("two");) {
+                for (String body = ""; !body.equals("two"); ) {
                     body = client.search(2_000).answer().body();
                     assertGoesOn(process, end, "the operators' file with the second server");
                 }
@@ -241,32 +279,38 @@
 
     @Test
     void aBadOperatorsFileEndsTheStart() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, operators(server, "attempts = 99\nhegdes = 1\n"));
             ByteArrayOutputStream errors = new ByteArrayOutputStream();
-            assertEquals(2, Sidecar.serve(Map.of("LB_CONFIG", harness.file.toString()), file,
-                    new PrintStream(errors, true), null));
-            assertEquals(file + ":9: 'attempts' is 99; the settings allow 4\n" + file
-                    + ":10: unknown key 'hegdes' in [routes.search]; did you mean 'hedges'?\n",
+            assertEquals(
+                    2,
+                    Sidecar.serve(
+                            Map.of("LB_CONFIG", harness.file.toString()), file, new PrintStream(errors, true), null));
+            assertEquals(
+                    file + ":9: 'attempts' is 99; the settings allow 4\n" + file
+                            + ":10: unknown key 'hegdes' in [routes.search]; did you mean 'hedges'?\n",
                     errors.toString(StandardCharsets.UTF_8));
         }
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "'' | not a JSON object",
-        "[] | not a JSON object",
-        "{'a': | not JSON",
-        "{'seed':'1'} | 'settings' is missing",
-        "{'name':'n','seed':'1','listen':'localhost:80','settings':{}} | not an address",
-        "{'name':'n','seed':'x','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | 'seed'",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | classes",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','limits':{'sockets':9},"
-                + "'settings':{}} | 'sockets'",
-        "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','known':{'rev':1},"
-                + "'settings':{}} | a list without",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "'' | not a JSON object",
+                "[] | not a JSON object",
+                "{'a': | not JSON",
+                "{'seed':'1'} | 'settings' is missing",
+                "{'name':'n','seed':'1','listen':'localhost:80','settings':{}} | not an address",
+                "{'name':'n','seed':'x','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | 'seed'",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','settings':{}} | classes",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','limits':{'sockets':9},"
+                        + "'settings':{}} | 'sockets'",
+                "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','known':{'rev':1},"
+                        + "'settings':{}} | a list without",
+            })
     void badConfigurationIsOnePlainLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(file, Harness.json(text.equals("''") ? "" : text));
--- a/src/test/java/larkbank/sidecar/QuietFleet.java
+++ b/src/test/java/larkbank/sidecar/QuietFleet.java
@@ -34,6 +34,7 @@
     private final Stub discovery;
     /** When each call for the list came, in nanoseconds. */
     private final ConcurrentLinkedQueue<Long> calls = new ConcurrentLinkedQueue<>();
+
     private final Path folder;
     private final int instances;
     private final String fleet;
@@ -44,13 +45,15 @@
         this.instances = instances;
         this.fleet = fleet;
         group = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
-        discovery = new Stub(seen -> {
-            calls.add(System.nanoTime());
-            // A watch waits for news, of which there is none; a call is answered.
-            if (!seen.request().first().contains("hold_ms=20000")) {
-                seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
-            }
-        }, BACKLOG);
+        discovery = new Stub(
+                seen -> {
+                    calls.add(System.nanoTime());
+                    // A watch waits for news, of which there is none; a call is answered.
+                    if (!seen.request().first().contains("hold_ms=20000")) {
+                        seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+                    }
+                },
+                BACKLOG);
         for (int i = 0; i < serverCount; i++) {
             servers.add(new Stub(Stub.serves("ok"), BACKLOG));
         }
@@ -59,29 +62,33 @@
     /** Starts all instances at once, each with the list that it had last; returns once all listen. */
     void start() throws Exception {
         Path operators = folder.resolve("operators.toml");
-        Files.writeString(operators, "version = 1\n" + fleet + "[pools.p]\nsource = \"discovery\"\n"
-                + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n");
+        Files.writeString(
+                operators,
+                "version = 1\n" + fleet + "[pools.p]\nsource = \"discovery\"\n"
+                        + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n");
         Path template;
         try (Harness harness = new Harness(folder, servers.toArray(Stub[]::new))) {
             template = harness.file;
             String text = Files.readString(template);
-            Files.writeString(template, text.replace(":" + harness.discovery.port() + "\"",
-                    ":" + discovery.port() + "\"").replace("\"ask_every_us\":800000",
-                    "\"ask_every_us\":10000000"));
+            Files.writeString(
+                    template,
+                    text.replace(":" + harness.discovery.port() + "\"", ":" + discovery.port() + "\"")
+                            .replace("\"ask_every_us\":800000", "\"ask_every_us\":10000000"));
         }
         String text = Files.readString(template);
         List<CompletableFuture<InetSocketAddress>> starting = new ArrayList<>();
         PrintStream log = new PrintStream(OutputStream.nullOutputStream());
         for (int i = 0; i < instances; i++) {
             Path file = folder.resolve("config-" + i + ".json");
-            Files.writeString(file, text.replace("\"zone\":0", "\"rank\":" + i + ",\"replicas_of_me\":"
-                    + instances
-                    + ",\"zone\":0"));
+            Files.writeString(
+                    file,
+                    text.replace("\"zone\":0", "\"rank\":" + i + ",\"replicas_of_me\":" + instances + ",\"zone\":0"));
             Config config = Config.read(Map.of("LB_CONFIG", file.toString()));
             Sidecar.Layouts layouts = OperatorsLayout.of(operators, config).layouts();
             EventLoop loop = group.next();
             loops.add(loop);
-            sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, Choice::new, layouts)).get());
+            sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, Choice::new, layouts))
+                    .get());
         }
         sidecars.forEach(s -> starting.add(s.start()));
         for (CompletableFuture<InetSocketAddress> s : starting) {
@@ -123,7 +130,10 @@
 
     /** The most that are open at one server. */
     int connectionsPeak() {
-        return servers.stream().mapToInt(s -> s.accepted.get() - s.ended.size()).max().orElse(0);
+        return servers.stream()
+                .mapToInt(s -> s.accepted.get() - s.ended.size())
+                .max()
+                .orElse(0);
     }
 
     /** Connections that are open at discovery. */
--- a/src/test/java/larkbank/sidecar/QuietFleetTest.java
+++ b/src/test/java/larkbank/sidecar/QuietFleetTest.java
@@ -21,9 +21,12 @@
     void aCrowdKeepsItsBounds() throws Exception {
         int rate = 40;
         int idle = 10;
-        try (QuietFleet fleet = new QuietFleet(folder, INSTANCES, SERVERS, 2, "[fleet]\ninstances = "
-                + INSTANCES
-                + "\nlist_rate = " + rate + "\nidle_per_server = " + idle + "\n")) {
+        try (QuietFleet fleet = new QuietFleet(
+                folder,
+                INSTANCES,
+                SERVERS,
+                2,
+                "[fleet]\ninstances = " + INSTANCES + "\nlist_rate = " + rate + "\nidle_per_server = " + idle + "\n")) {
             fleet.start();
             // Two rounds of four seconds, whatever instances did meanwhile.
             assertTrue(fleet.awaitCalls(2 * INSTANCES, 30_000), "only " + fleet.calls() + " calls");
@@ -33,8 +36,7 @@
                 assertEquals(INSTANCES, fleet.askAll(8));
             }
             // A server closes its end once it has seen that of the sidecar; a few are still on the way.
-            assertTrue(fleet.connections() <= SERVERS * idle + 40, "open connections: "
-            + fleet.connections());
+            assertTrue(fleet.connections() <= SERVERS * idle + 40, "open connections: " + fleet.connections());
             assertTrue(fleet.watches() <= rate, "open at discovery: " + fleet.watches());
         }
     }
--- a/src/test/java/larkbank/sidecar/QuietModule.java
+++ b/src/test/java/larkbank/sidecar/QuietModule.java
@@ -6,24 +6,23 @@
 /** A module that does nothing; tests override what they want to see. */
 class QuietModule implements LoadBalancer {
     @Override
-    public void servers(long nowMicros, ListKind kind, List<Server> list) { }
+    public void servers(long nowMicros, ListKind kind, List<Server> list) {}
 
     @Override
-    public void request(long nowMicros, Request request) { }
+    public void request(long nowMicros, Request request) {}
 
     @Override
-    public void streamBegan(long nowMicros, String requestId, int attempt, long server,
-            long elapsedMicros) { }
+    public void streamBegan(long nowMicros, String requestId, int attempt, long server, long elapsedMicros) {}
 
     @Override
-    public void outcome(long nowMicros, Outcome outcome) { }
+    public void outcome(long nowMicros, Outcome outcome) {}
 
     @Override
-    public void clientLeft(long nowMicros, String requestId) { }
+    public void clientLeft(long nowMicros, String requestId) {}
 
     @Override
-    public void timer(long nowMicros, long token) { }
+    public void timer(long nowMicros, long token) {}
 
     @Override
-    public void probed(long nowMicros, long server, Result result, long elapsedMicros, LoadReport report) { }
+    public void probed(long nowMicros, long server, Result result, long elapsedMicros, LoadReport report) {}
 }
--- a/src/test/java/larkbank/sidecar/RehearsalTest.java
+++ b/src/test/java/larkbank/sidecar/RehearsalTest.java
@@ -36,7 +36,8 @@
     /** Again and again: the address was still in use at times when the rehearsal had ended. */
     @Test
     void allIsAnsweredAndNothingLeavesTheProcess() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Config config = at(harness, freePort());
             for (int i = 0; i < 5; i++) {
                 assertTrue(Rehearsal.run(config, config.listen(), REQUESTS, 20_000) >= REQUESTS);
@@ -50,7 +51,8 @@
 
     @Test
     void itEndsByTheClockToo() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             long since = System.nanoTime();
             Config config = at(harness, freePort());
             Rehearsal.run(config, config.listen(), Integer.MAX_VALUE, 100);
@@ -61,7 +63,8 @@
     /** Its own servers' answers are nothing that a client could have asked for. */
     @Test
     void clientsAreNotServedByIt() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             Config config = at(harness, freePort());
             var running = CompletableFuture.supplyAsync(() -> {
                 try {
--- a/src/test/java/larkbank/sidecar/RoughTest.java
+++ b/src/test/java/larkbank/sidecar/RoughTest.java
@@ -22,7 +22,6 @@
 
     private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-
     private Harness sidecar(Stub... servers) throws Exception {
         Harness harness = new Harness(folder, servers);
         open.add(harness);
@@ -100,21 +99,22 @@
 
     /** Nothing of these reaches a server: the end of such a request is not where it says. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 1\r\n\r\nxx",
-        "Content-Length: 1\r\n\r\nxPOST /book/k HTTP/1.1\r\n",
-        "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
-        "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
-        "Content-Length: 1, 1\r\n\r\nx",
-        "Content-Length: -1\r\n\r\n",
-        "Content-Length: +1\r\n\r\nx",
-        "Content-Length: 99999999999999999999\r\n\r\n",
-        "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /book/k HTTP/1.1\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
-        "Transfer-Encoding: identity\r\n\r\n",
-        "no colon\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "Content-Length: 1\r\n\r\nxx",
+                "Content-Length: 1\r\n\r\nxPOST /book/k HTTP/1.1\r\n",
+                "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
+                "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+                "Content-Length: 1, 1\r\n\r\nx",
+                "Content-Length: -1\r\n\r\n",
+                "Content-Length: +1\r\n\r\nx",
+                "Content-Length: 99999999999999999999\r\n\r\n",
+                "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /book/k HTTP/1.1\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+                "Transfer-Encoding: identity\r\n\r\n",
+                "no colon\r\n\r\n",
+            })
     void requestWithoutAClearEndIsRejected(String rest) throws Exception {
         Stub server = server(Stub.serves("ok"));
         Harness.Client client = sidecar(server).client();
@@ -138,8 +138,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /search/k HTTP/1.1\r\nHost: a\r\n",
-        "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "",
+                "GET /search/k HTTP/1.1\r\nHost: a\r\n",
+                "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
+            })
     void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
         Harness.Client client = sidecar(server(Stub.SILENT)).client().raw(part);
         long since = System.nanoTime();
@@ -193,10 +197,14 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            harness.loop.scheduleWithFixedDelay(() -> {
-                turns.incrementAndGet();
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
-            }, 0, 1, TimeUnit.NANOSECONDS);
+            harness.loop.scheduleWithFixedDelay(
+                    () -> {
+                        turns.incrementAndGet();
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
+                    },
+                    0,
+                    1,
+                    TimeUnit.NANOSECONDS);
         });
         List<Harness.Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/larkbank/sidecar/ServerPoolTest.java
+++ b/src/test/java/larkbank/sidecar/ServerPoolTest.java
@@ -46,8 +46,10 @@
         harness = new Harness(folder, CONNECT_MICROS, sockets, servers);
         open.add(harness);
         Config config = harness.config();
-        pool = harness.loop.submit(() -> new ServerPool(harness.loop, clock, config,
-                config.serverConnections(), null, this::ended)).get();
+        pool = harness.loop
+                .submit(() ->
+                        new ServerPool(harness.loop, clock, config, config.serverConnections(), null, this::ended))
+                .get();
         update(Harness.list(1, true, "in_service", servers));
     }
 
@@ -59,18 +61,25 @@
 
     private void update(String list) throws Exception {
         Config config = harness.config();
-        harness.loop.submit(() -> {
-            pool.update(config.lists().read(Harness.json(list).getBytes()));
-            return null;
-        }).get();
+        harness.loop
+                .submit(() -> {
+                    pool.update(config.lists().read(Harness.json(list).getBytes()));
+                    return null;
+                })
+                .get();
     }
 
     private Attempt send(int port) throws Exception {
         long now = clock.micros();
         Request request = new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, 0, false);
-        Call call = new Call(request, new Way(null, 0, "/search", null, Long.MAX_VALUE, Terms.NONE, null),
-                "search", HttpMethod.GET, new DefaultHttpHeaders(),
-                Unpooled.EMPTY_BUFFER, null);
+        Call call = new Call(
+                request,
+                new Way(null, 0, "/search", null, Long.MAX_VALUE, Terms.NONE, null),
+                "search",
+                HttpMethod.GET,
+                new DefaultHttpHeaders(),
+                Unpooled.EMPTY_BUFFER,
+                null);
         Attempt attempt = new Attempt(call, Ids.of("s-" + port), now, request.deadlineMicros());
         harness.loop.submit(() -> pool.start(attempt)).get();
         return attempt;
@@ -118,8 +127,7 @@
 
     @Test
     void outcomesAreToldApart() throws Exception {
-        Stub server = server(Stub.answers("200 OK",
-                "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
+        Stub server = server(Stub.answers("200 OK", "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
         start(1024, server);
         send(server.port());
         assertEquals(Result.SERVED, result());
@@ -205,8 +213,11 @@
     }
 
     private String jammedList(int revision, String state, Jammed jammed) {
-        return Harness.list(revision, true, state).replace("[]", "[{'uid':'s-" + jammed.socket.getLocalPort()
-                + "','endpoint':'127.0.0.1:" + jammed.socket.getLocalPort() + "','state':'" + state + "'}]");
+        return Harness.list(revision, true, state)
+                .replace(
+                        "[]",
+                        "[{'uid':'s-" + jammed.socket.getLocalPort() + "','endpoint':'127.0.0.1:"
+                                + jammed.socket.getLocalPort() + "','state':'" + state + "'}]");
     }
 
     /** A connection that comes up after the drain grace: the decision to use it is out of date. */
--- a/src/test/java/larkbank/sidecar/SidecarTest.java
+++ b/src/test/java/larkbank/sidecar/SidecarTest.java
@@ -33,8 +33,8 @@
 
     @Test
     void answerIsPassedOnUnchanged() throws Exception {
-        Stub server = server(Stub.answers("200 OK",
-                "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
+        Stub server =
+                server(Stub.answers("200 OK", "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
         Http.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
         assertEquals(200, answer.status());
         assertEquals("\u00ff\0b", answer.body());
@@ -58,25 +58,27 @@
 
     /** Each of these may have run, so an unsafe request fails and is never sent again, by anyone. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "HTTP/1.1 500 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
-        "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
-        "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\nNot-Started: 1\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nshort | true",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nshort\\r\\n | true",
-        "HTTP/1.1 200 OK\\r\\n\\r\\nends with the connection | true",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 67108865\\r\\n\\r\\n | false",
-        "no HTTP at all\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nno colon\\r\\nContent-Length: 2\\r\\n\\r\\nok | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\nContent-Length: 3\\r\\n\\r\\nok | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n0\\r\\n"
-                + "\\r\\n | false",
-        "HTTP/1.1 101 Other\\r\\nUpgrade: x\\r\\n\\r\\nHTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n"
-                + "\\r\\n | false",
-        "'' | true",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "HTTP/1.1 500 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
+                "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | false",
+                "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\nNot-Started: 1\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nshort | true",
+                "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nshort\\r\\n | true",
+                "HTTP/1.1 200 OK\\r\\n\\r\\nends with the connection | true",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 67108865\\r\\n\\r\\n | false",
+                "no HTTP at all\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nno colon\\r\\nContent-Length: 2\\r\\n\\r\\nok | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\nContent-Length: 3\\r\\n\\r\\nok | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: -1\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\n | false",
+                "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\nContent-Length: 2\\r\\n\\r\\n0\\r\\n"
+                        + "\\r\\n | false",
+                "HTTP/1.1 101 Other\\r\\nUpgrade: x\\r\\n\\r\\nHTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n"
+                        + "\\r\\n | false",
+                "'' | true",
+            })
     void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
         Stub.Script script = seen -> {
             seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
@@ -103,7 +105,9 @@
             };
             one.script(once);
             two.script(once);
-            assertEquals("second", sidecar(one, two).client().book("x", 2_000).answer().body());
+            assertEquals(
+                    "second",
+                    sidecar(one, two).client().book("x", 2_000).answer().body());
             String id = one.take().request().headers().get("Request-Id");
             assertEquals(id, two.take().request().headers().get("Request-Id"));
         }
@@ -202,21 +206,23 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "nonsense | 400",
-        "GET /nosuch/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: x;Request-Timeout-Ms: 9 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: -5 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 1e3 | 400",
-        "GET /search/k HTTP/1.1;Request-Id: a;Request-Id: b;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "GET /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
-        "POST /hold/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 0 | 400",
-        "POST /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 33554433"
-                + " | 413",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "nonsense | 400",
+                "GET /nosuch/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: x;Request-Timeout-Ms: 9 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: -5 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 1e3 | 400",
+                "GET /search/k HTTP/1.1;Request-Id: a;Request-Id: b;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "GET /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9 | 400",
+                "POST /hold/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 0 | 400",
+                "POST /book/k HTTP/1.1;Request-Id: a;Tenant: acme;Request-Timeout-Ms: 9;Content-Length: 33554433"
+                        + " | 413",
+            })
     void badRequestReachesNoServer(String text, int status) throws Exception {
         Stub server = server(Stub.serves("ok"));
         Harness harness = sidecar(server);
@@ -373,8 +379,7 @@
         Stub leaving = server(Stub.serves("leaving"));
         Stub staying = server(Stub.serves("staying"));
         Harness harness = sidecar(leaving, staying);
-        harness.discovery.take().reply("200 OK", "",
-                Harness.json(Harness.list(2, false, "terminating", leaving)));
+        harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, false, "terminating", leaving)));
         String next = harness.discovery.take().request().first();
         assertTrue(next.startsWith("GET /v1/servers?from=2&hold_ms="), next);
         for (int i = 0; i < 20; i++) {
@@ -388,8 +393,7 @@
         Stub gone = server(Stub.serves("gone"));
         Stub staying = server(Stub.serves("staying"));
         Harness harness = sidecar(gone, staying);
-        harness.discovery.take().reply("200 OK", "",
-                Harness.json(Harness.list(2, true, "in_service", staying)));
+        harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, true, "in_service", staying)));
         harness.discovery.take();
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
@@ -422,7 +426,7 @@
         var failures = new LinkedBlockingQueue<String>();
         Discovery.Listener listener = new Discovery.Listener() {
             @Override
-            public void listed(ServerList list) { }
+            public void listed(ServerList list) {}
 
             @Override
             public void failed(String why) {
@@ -430,8 +434,8 @@
             }
         };
         Config config = harness.config();
-        harness.loop.execute(() -> new Discovery(harness.loop, address, config.lists(), 1, listener,
-                line -> { }, 50).subscribe());
+        harness.loop.execute(
+                () -> new Discovery(harness.loop, address, config.lists(), 1, listener, line -> {}, 50).subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitEnd();
     }
--- a/src/test/java/larkbank/sidecar/SlowSpellTest.java
+++ b/src/test/java/larkbank/sidecar/SlowSpellTest.java
@@ -30,13 +30,14 @@
             }
             seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
         };
-        try (Stub one = new Stub(slow); Stub two = new Stub(slow); Stub next = new Stub(Stub.serves("ok"));
+        try (Stub one = new Stub(slow);
+                Stub two = new Stub(slow);
+                Stub next = new Stub(Stub.serves("ok"));
                 Harness harness = new Harness(folder, one, two).start()) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, harness.client().search(3_000).answer().status());
             }
-            harness.discovery.take().reply("200 OK", "",
-                    Harness.json(Harness.list(2, true, "in_service", next)));
+            harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, true, "in_service", next)));
             harness.discovery.take();
             assertEquals(200, harness.client().search(3_000).answer().status());
         }
@@ -45,7 +46,8 @@
     /** All of a dead peer's traffic came at once, and was refused beside servers with free cores. */
     @Test
     void limitGrowsFastWhileCoresAreFree() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server).start()) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server).start()) {
             for (int i = 0; i < 40; i++) {
                 harness.client().search(20_000);
             }
@@ -61,13 +63,14 @@
     /** A connection that fell silent kept its server out until the deadline of what was on it. */
     @Test
     void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server).start()) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server).start()) {
             harness.client().search(20_000);
             server.take();
-            harness.loop.schedule(() -> { }, 200, TimeUnit.MILLISECONDS).get();
+            harness.loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).get();
             Harness.Client other = harness.client().search(20_000);
             Stub.Seen answering = server.take();
-            harness.loop.schedule(() -> { }, 400, TimeUnit.MILLISECONDS).get();
+            harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
             Harness.Client next = harness.client().search(20_000);
             // Taken by now, since requests on it and on this one are read in turn.
             assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
--- a/src/test/java/larkbank/sidecar/TunnelDrainTest.java
+++ b/src/test/java/larkbank/sidecar/TunnelDrainTest.java
@@ -77,7 +77,7 @@
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         Stub one = server(seen -> {
             Ws ws = Ws.agree(seen, "");
-            for (Ws.Frame f; (f = ws.message()) != null;) {
+            for (Ws.Frame f; (f = ws.message()) != null; ) {
                 heard.add(f.opcode() == 8 ? "close " + f.code() : f.text());
                 if (f.opcode() == 8) {
                     ws.close(f.code());
@@ -197,8 +197,8 @@
     void theProcessEndsDuringADrain() throws Exception {
         Stub one = server(Ws.echo());
         Stub two = server(Ws.echo());
-        String slow = "reconnect_rate = 1\ndrain_time = \"60s\"\ndrain_code = 4001\n"
-                + "drain_reason = \"come back\"\n";
+        String slow =
+                "reconnect_rate = 1\ndrain_time = \"60s\"\ndrain_code = 4001\n" + "drain_reason = \"come back\"\n";
         sidecar(file(slow, one));
         List<Ws> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -213,7 +213,11 @@
             ws.close(4001);
         }
         assertTrue(ended.await(10, TimeUnit.SECONDS));
-        assertEquals(30, harness.loop.submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR)).get());
+        assertEquals(
+                30,
+                harness.loop
+                        .submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR))
+                        .get());
     }
 
     /** Tunnels stay where they are, so new ones and requests go where fewer are. */
--- a/src/test/java/larkbank/sidecar/TunnelLimitsTest.java
+++ b/src/test/java/larkbank/sidecar/TunnelLimitsTest.java
@@ -39,14 +39,19 @@
         assertEquals(200, harness.client().search(2_000).answer().status());
         ws.close(1000);
         ws.message();
-        while (harness.loop.submit(() -> harness.counters().in(State.CLOSED_BY_CLIENT)).get() < 1) {
+        while (harness.loop
+                        .submit(() -> harness.counters().in(State.CLOSED_BY_CLIENT))
+                        .get()
+                < 1) {
             Thread.onSpinWait();
         }
         open(CHAT);
         harness.reload(file("max_tunnels = 3\n", "", one));
         open(CHAT);
         refused(CHAT);
-        assertEquals(2, harness.loop.submit(() -> harness.counters().in(State.REFUSED)).get());
+        assertEquals(
+                2,
+                harness.loop.submit(() -> harness.counters().in(State.REFUSED)).get());
     }
 
     /**
@@ -124,9 +129,8 @@
         harness = new Harness(folder, one);
         open.add(harness);
         // Its pool hears from discovery, which says when a server was started.
-        harness.startWith(file("resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n"
-                + "reconnect_rate = 1000\n").replaceFirst("(?s)source = \"static\".*?\\]\n",
-                "source = \"discovery\"\nupgrade_rate = 100\n"));
+        harness.startWith(file("resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n")
+                .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\nupgrade_rate = 100\n"));
         Stub.Seen watch = harness.discovery.take();
         List<Ws> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -137,8 +141,7 @@
                 + "','az':'a','model':'m','pod_group':0,'state':'in_service','boot_ms':" + start + "}";
         String gone = "'uid':'s-" + one.port() + "','endpoint':'127.0.0.1:" + one.port()
                 + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0}";
-        watch.reply("200 OK", "", Harness.json("{'rev':9,'all':false,'targets':[{" + cold + ",{" + gone
-                + "]}"));
+        watch.reply("200 OK", "", Harness.json("{'rev':9,'all':false,'targets':[{" + cold + ",{" + gone + "]}"));
         for (Ws ws : all) {
             assertEquals("here", ws.text("here").message().text());
         }
--- a/src/test/java/larkbank/sidecar/TunnelLoopback.java
+++ b/src/test/java/larkbank/sidecar/TunnelLoopback.java
@@ -22,14 +22,19 @@
     }
 
     static String file(String pool, String limits, Stub... servers) {
-        StringBuilder text = new StringBuilder("version = 1\n[pools.p]\n" + pool + "source = \"static\"\n"
-                + "servers = [\n");
+        StringBuilder text =
+                new StringBuilder("version = 1\n[pools.p]\n" + pool + "source = \"static\"\n" + "servers = [\n");
         for (Stub server : servers) {
-            text.append("  { id = \"s-").append(server.port()).append("\", endpoint = \"127.0.0.1:")
-                    .append(server.port()).append("\", zone = \"a\" },\n");
+            text.append("  { id = \"s-")
+                    .append(server.port())
+                    .append("\", endpoint = \"127.0.0.1:")
+                    .append(server.port())
+                    .append("\", zone = \"a\" },\n");
         }
         return text.append("]\n[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
-                + "[routes.search.websocket]\n").append(limits).toString();
+                        + "[routes.search.websocket]\n")
+                .append(limits)
+                .toString();
     }
 
     void sidecar(String file) throws Exception {
@@ -65,7 +70,7 @@
             }
             tunnels.incrementAndGet();
             Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null;) {
+            for (Ws.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
                     return;
--- a/src/test/java/larkbank/sidecar/TunnelMoveTest.java
+++ b/src/test/java/larkbank/sidecar/TunnelMoveTest.java
@@ -27,8 +27,8 @@
 @Timeout(120)
 class TunnelMoveTest extends TunnelLoopback {
 
-    private static final String RESUME = "resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n"
-            + "reconnect_rate = 1000\n";
+    private static final String RESUME =
+            "resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n";
     private static final int TUNNELS = 10;
     private static final int EACH = 10_000;
 
@@ -43,7 +43,8 @@
 
     private void awaitMoved(long count) throws Exception {
         while (harness.loop.submit(() -> harness.moved()).get() < count) {
-            long left = harness.loop.submit(() -> harness.counters().in(State.OPEN)).get();
+            long left =
+                    harness.loop.submit(() -> harness.counters().in(State.OPEN)).get();
             assertTrue(left > 0, "all have ended");
         }
     }
@@ -56,10 +57,10 @@
     void noMessageIsLostDoubledOrReordered() throws Exception {
         Map<String, List<Integer>> heard = new ConcurrentHashMap<>();
         Stub.Script counting = seen -> {
-            List<Integer> mine = heard.computeIfAbsent(seen.request().headers().get("Session"),
-                    k -> Collections.synchronizedList(new ArrayList<>()));
+            List<Integer> mine = heard.computeIfAbsent(
+                    seen.request().headers().get("Session"), k -> Collections.synchronizedList(new ArrayList<>()));
             Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null;) {
+            for (Ws.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
                     return;
@@ -96,7 +97,8 @@
                 assertEquals(i, list.get(i));
             }
         }
-        assertEquals(TUNNELS, harness.loop.submit(() -> harness.counters().opened()).get());
+        assertEquals(
+                TUNNELS, harness.loop.submit(() -> harness.counters().opened()).get());
         assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
     }
 
@@ -152,7 +154,7 @@
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         Stub.Script noting = seen -> {
             Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8;) {
+            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 heard.add(f.text());
             }
             ws.close(1001);
@@ -179,7 +181,7 @@
         BlockingQueue<String> old = new LinkedBlockingQueue<>();
         Stub one = server(seen -> {
             Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8;) {
+            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 old.add(f.text());
                 // A message of the server's own, which it ends when it hears the client's next one.
                 boolean begins = f.text().equals("begin");
@@ -256,7 +258,7 @@
         CountDownLatch told = new CountDownLatch(1);
         Stub one = server(seen -> {
             Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.read()) != null;) {
+            for (Ws.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 8) {
                     told.countDown();
                 }
@@ -322,7 +324,11 @@
         assertEquals(1001, ws.message().code());
         ws.close(1001);
         assertTrue(ended.await(10, TimeUnit.SECONDS));
-        assertEquals(1, harness.loop.submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR)).get());
+        assertEquals(
+                1,
+                harness.loop
+                        .submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR))
+                        .get());
     }
 
     /** A client that leaves while its tunnel moves ends it once, and the other server is let go. */
--- a/src/test/java/larkbank/sidecar/UpgradeTest.java
+++ b/src/test/java/larkbank/sidecar/UpgradeTest.java
@@ -27,6 +27,7 @@
 
     @TempDir
     Path folder;
+
     private Stub server;
     private Harness harness;
     private Platform platform;
@@ -53,11 +54,20 @@
     }
 
     private long run(InetSocketAddress door) throws Exception {
-        return platform.start(Path.of(System.getProperty("java.home"), "bin", "java")
-                + " -XX:TieredStopAtLevel=1 -cp " + System.getProperty("java.class.path")
-                + " larkbank.Main serve", Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN",
-                "127.0.0.1:" + platform.address.getPort(), "LB_OPERATOR", "127.0.0.1:" + door.getPort(),
-                "TMPDIR", folder.toString()), folder.resolve("log"));
+        return platform.start(
+                Path.of(System.getProperty("java.home"), "bin", "java")
+                        + " -XX:TieredStopAtLevel=1 -cp " + System.getProperty("java.class.path")
+                        + " larkbank.Main serve",
+                Map.of(
+                        "LB_CONFIG",
+                        harness.file.toString(),
+                        "LB_LISTEN",
+                        "127.0.0.1:" + platform.address.getPort(),
+                        "LB_OPERATOR",
+                        "127.0.0.1:" + door.getPort(),
+                        "TMPDIR",
+                        folder.toString()),
+                folder.resolve("log"));
     }
 
     private void awaitReady(InetSocketAddress door) throws Exception {
@@ -75,7 +85,11 @@
     }
 
     private static void signal(String name, long pid) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(pid)).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(pid))
+                        .start()
+                        .waitFor());
     }
 
     private static String answer(Harness.Client client) throws IOException {
@@ -113,8 +127,7 @@
             });
             assertTrue(Harness.call(first, "READY").startsWith("YES"));
             awaitReady(second);
-            assertTrue(Harness.call(second, "STATS")
-                    .contains("\"failure\":{\"search\":0,\"hold\":0,\"book\":0}"));
+            assertTrue(Harness.call(second, "STATS").contains("\"failure\":{\"search\":0,\"hold\":0,\"book\":0}"));
             signal("TERM", old);
             while (!Harness.call(first, "READY").equals("NO stopping\n")) {
                 Thread.onSpinWait();
@@ -133,7 +146,8 @@
             assertEquals(0, platform.awaitEnd(next));
         }
         // The runtime leads its own streams away when it takes the socket over; the log must stay.
-        assertTrue(Files.readString(folder.resolve("log")).contains("n0 alone now"),
+        assertTrue(
+                Files.readString(folder.resolve("log")).contains("n0 alone now"),
                 Files.readString(folder.resolve("log")));
     }
 
@@ -141,9 +155,10 @@
     @Test
     void clientsMayAskAsMuchWithADoorAndASuccessorToCome() throws Exception {
         Config plain = harness.config();
-        Config service = Config.read(Map.of("LB_CONFIG", harness.file.toString(),
-                "LB_OPERATOR", "127.0.0.1:9", "LB_SOCKET_FD", "0"));
-        assertEquals(plain.settings().limits().open(), service.settings().limits().open());
+        Config service = Config.read(
+                Map.of("LB_CONFIG", harness.file.toString(), "LB_OPERATOR", "127.0.0.1:9", "LB_SOCKET_FD", "0"));
+        assertEquals(
+                plain.settings().limits().open(), service.settings().limits().open());
         assertTrue(service.clientConnections() + service.serverConnections()
                 < plain.clientConnections() + plain.serverConnections());
         Config beside = service.beside();
@@ -169,13 +184,17 @@
 
     @Test
     void aPromisedSocketThatIsNoneIsOneLineAndTwo() throws Exception {
-        long pid = platform.start("env LB_SOCKET_FD=7 "
-                + Path.of(System.getProperty("java.home"), "bin", "java") + " -cp "
-                + System.getProperty("java.class.path") + " larkbank.Main serve",
-                Map.of("LB_CONFIG", harness.file.toString()), folder.resolve("log"));
+        long pid = platform.start(
+                "env LB_SOCKET_FD=7 "
+                        + Path.of(System.getProperty("java.home"), "bin", "java") + " -cp "
+                        + System.getProperty("java.class.path") + " larkbank.Main serve",
+                Map.of("LB_CONFIG", harness.file.toString()),
+                folder.resolve("log"));
         assertEquals(2, platform.awaitEnd(pid));
-        assertEquals(List.of("LB_SOCKET_FD: only descriptor 0 can be inherited, not 7"),
+        assertEquals(
+                List.of("LB_SOCKET_FD: only descriptor 0 can be inherited, not 7"),
                 Files.readAllLines(folder.resolve("log")).stream()
-                        .map(l -> l.replaceFirst("larkbank: ", "")).toList());
+                        .map(l -> l.replaceFirst("larkbank: ", ""))
+                        .toList());
     }
 }
--- a/src/test/java/larkbank/sidecar/WebSocketTest.java
+++ b/src/test/java/larkbank/sidecar/WebSocketTest.java
@@ -50,14 +50,23 @@
     private static String file(String limits, Stub... servers) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
         for (Stub server : servers) {
-            text.append("  { id = \"s-").append(server.port()).append("\", endpoint = \"127.0.0.1:")
-                    .append(server.port()).append("\", zone = \"a\" },\n");
+            text.append("  { id = \"s-")
+                    .append(server.port())
+                    .append("\", endpoint = \"127.0.0.1:")
+                    .append(server.port())
+                    .append("\", zone = \"a\" },\n");
         }
         text.append("]\n");
         for (String name : List.of("search", "book")) {
-            text.append("[routes.").append(name).append("]\npath = \"/").append(name)
+            text.append("[routes.")
+                    .append(name)
+                    .append("]\npath = \"/")
+                    .append(name)
                     .append("/*\"\nclass = \"")
-                    .append(name).append("\"\npool = \"p\"\n[routes.").append(name).append(".websocket]\n")
+                    .append(name)
+                    .append("\"\npool = \"p\"\n[routes.")
+                    .append(name)
+                    .append(".websocket]\n")
                     .append(limits);
         }
         return text.toString();
@@ -88,13 +97,15 @@
     /** Waits until every upgrade has come to an end, and demands that all adds up. */
     private void assertEnded(long asked) throws Exception {
         Counters counters = counters();
-        while (harness.loop.submit(() -> {
-            long last = 0;
-            for (State state : State.values()) {
-                last += state.isLast() ? counters.in(state) : 0;
-            }
-            return last < counters.asked() || counters.asked() < asked;
-        }).get()) {
+        while (harness.loop
+                .submit(() -> {
+                    long last = 0;
+                    for (State state : State.values()) {
+                        last += state.isLast() ? counters.in(state) : 0;
+                    }
+                    return last < counters.asked() || counters.asked() < asked;
+                })
+                .get()) {
             Thread.onSpinWait();
         }
         assertTrue(harness.loop.submit(counters::addUp).get(), counters.toString());
@@ -107,9 +118,12 @@
     void theHandshakeGoesOnAndTheAnswerComesBack() throws Exception {
         Stub server = server(seen -> Ws.agree(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
         sidecar("", server);
-        Harness.Client client = harness.client().raw(ask("/search/1?x=2", MORE
-                + "Sec-WebSocket-Protocol: a, b\r\nSec-WebSocket-Protocol: c\r\n"
-                + "Sec-WebSocket-Extensions: x-odd, permessage-deflate; client_max_window_bits\r\n"));
+        Harness.Client client = harness.client()
+                .raw(ask(
+                        "/search/1?x=2",
+                        MORE
+                                + "Sec-WebSocket-Protocol: a, b\r\nSec-WebSocket-Protocol: c\r\n"
+                                + "Sec-WebSocket-Extensions: x-odd, permessage-deflate; client_max_window_bits\r\n"));
         Http.Message answer = client.answer();
         assertEquals(101, answer.status());
         assertEquals("b", answer.headers().get("Sec-WebSocket-Protocol"));
@@ -121,29 +135,31 @@
         assertEquals("websocket", seen.headers().get("Upgrade"));
         assertEquals("Upgrade", seen.headers().get("Connection"));
         assertEquals(Ws.KEY, seen.headers().get("Sec-WebSocket-Key"));
-        assertEquals("permessage-deflate; client_max_window_bits",
-                seen.headers().get("Sec-WebSocket-Extensions"));
+        assertEquals(
+                "permessage-deflate; client_max_window_bits", seen.headers().get("Sec-WebSocket-Extensions"));
         assertNotNull(seen.headers().get("Request-Id"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 8 | 426",
-        "Sec-WebSocket-Version: 13 | X: y | 426",
-        "dGhlIHNhbXBsZSBub25jZQ== | short | 400",
-        "Sec-WebSocket-Key | X-Key | 400",
-        "Upgrade: websocket | Upgrade: websocket, h2c | 400",
-        "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nContent-Length: 3 | 400",
-        "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nTransfer-Encoding: chunked | 400",
-        "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nSec-WebSocket-Protocol: a, a | 400",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 8 | 426",
+                "Sec-WebSocket-Version: 13 | X: y | 426",
+                "dGhlIHNhbXBsZSBub25jZQ== | short | 400",
+                "Sec-WebSocket-Key | X-Key | 400",
+                "Upgrade: websocket | Upgrade: websocket, h2c | 400",
+                "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nContent-Length: 3 | 400",
+                "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nTransfer-Encoding: chunked | 400",
+                "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nSec-WebSocket-Protocol: a, a | 400",
+            })
     void badHandshakesAreRejected(String from, String to, int status) throws Exception {
         Stub server = server(Ws.echo());
         sidecar("", server);
         String more = MORE.replace(from.strip(), to.strip().replace("\\r", "\r").replace("\\n", "\n"));
-        String body = more.contains("chunked") ? "1\r\na\r\n0\r\n\r\n" : more.contains("Length: 3") ? "abc"
-                : "";
-        Http.Message answer = harness.client().raw(ask("/search/1", more) + body).answer();
+        String body = more.contains("chunked") ? "1\r\na\r\n0\r\n\r\n" : more.contains("Length: 3") ? "abc" : "";
+        Http.Message answer =
+                harness.client().raw(ask("/search/1", more) + body).answer();
         assertEquals(status, answer.status());
         assertEquals(status == 426 ? "13" : null, answer.headers().get("Sec-WebSocket-Version"));
         assertTrue(server.seen.isEmpty());
@@ -157,8 +173,10 @@
         sidecar("", server);
         Harness.Client client = harness.client();
         for (int i = 0; i < 3; i++) {
-            client.raw(ask("/search/1", "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n"
-                    + "HTTP2-Settings: AAMAAABkAAQAAP__\r\n"));
+            client.raw(ask(
+                    "/search/1",
+                    "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n"
+                            + "HTTP2-Settings: AAMAAABkAAQAAP__\r\n"));
             assertEquals("plain", client.answer().body());
             assertNull(server.take().request().headers().get("Upgrade"));
             assertEquals(200, client.search(2_000).answer().status());
@@ -172,27 +190,34 @@
 
     /** Each of these may have run, so an unsafe class's upgrade is never tried again. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\n"
-                + "Sec-WebSocket-Accept: no\\r\\n\\r\\n | 502",
-        "HTTP/1.1 101 OK\\r\\nUpgrade: h2c\\r\\nConnection: Upgrade\\r\\n"
-                + "Sec-WebSocket-Accept: OK\\r\\n\\r\\n | 502",
-        "HTTP/1.1 101 OK\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n\\r\\n | 502",
-        "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n"
-                + "Sec-WebSocket-Protocol: odd\\r\\n\\r\\n | 502",
-        "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n"
-                + "Sec-WebSocket-Extensions: permessage-deflate\\r\\n\\r\\n | 502",
-        "HTTP/1.1 404 No\\r\\nContent-Length: 2\\r\\nX-Why: no\\r\\n\\r\\nno | 404",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nok | 200",
-        "HTTP/1.1 302 Go\\r\\nLocation: /b\\r\\nContent-Length: 0\\r\\n\\r\\n | 302",
-        "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | 502",
-        "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\n\\r\\n | 502",
-        "HTTP/1.1 10 | 502", "HTTP/1.1 101 OK\\r\\nUpg | 502", "'' | 502",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\n"
+                        + "Sec-WebSocket-Accept: no\\r\\n\\r\\n | 502",
+                "HTTP/1.1 101 OK\\r\\nUpgrade: h2c\\r\\nConnection: Upgrade\\r\\n"
+                        + "Sec-WebSocket-Accept: OK\\r\\n\\r\\n | 502",
+                "HTTP/1.1 101 OK\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n\\r\\n | 502",
+                "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n"
+                        + "Sec-WebSocket-Protocol: odd\\r\\n\\r\\n | 502",
+                "HTTP/1.1 101 OK\\r\\nUpgrade: websocket\\r\\nConnection: Upgrade\\r\\nSec-WebSocket-Accept: OK\\r\\n"
+                        + "Sec-WebSocket-Extensions: permessage-deflate\\r\\n\\r\\n | 502",
+                "HTTP/1.1 404 No\\r\\nContent-Length: 2\\r\\nX-Why: no\\r\\n\\r\\nno | 404",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nok | 200",
+                "HTTP/1.1 302 Go\\r\\nLocation: /b\\r\\nContent-Length: 0\\r\\n\\r\\n | 302",
+                "HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n | 502",
+                "HTTP/1.1 429 No\\r\\nContent-Length: 0\\r\\n\\r\\n | 502",
+                "HTTP/1.1 10 | 502",
+                "HTTP/1.1 101 OK\\r\\nUpg | 502",
+                "'' | 502",
+            })
     void aRefusedHandshakeIsOneAnswer(String text, int status) throws Exception {
         Stub.Script script = seen -> {
-            seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n").replace("OK\r\n\r\n",
-                    "OK\r\n\r\n").replace("Accept: OK", "Accept: " + Ws.accept(Ws.KEY)));
+            seen.raw(text.strip()
+                    .replace("\\r", "\r")
+                    .replace("\\n", "\n")
+                    .replace("OK\r\n\r\n", "OK\r\n\r\n")
+                    .replace("Accept: OK", "Accept: " + Ws.accept(Ws.KEY)));
             seen.socket().close();
         };
         Stub one = server(script);
@@ -278,7 +303,7 @@
             }
             seen.socket().getOutputStream().write(both.toByteArray());
             Ws ws = new Ws(seen.socket(), false);
-            for (Ws.Frame f; (f = ws.read()) != null;) {
+            for (Ws.Frame f; (f = ws.read()) != null; ) {
                 ws.send(f.opcode(), f.last(), f.payload());
             }
         });
@@ -343,7 +368,8 @@
         Stub server = server(Ws.echo());
         sidecar("", server);
         Ws ws = open(harness.client());
-        ws.send(1, false, "a".getBytes(StandardCharsets.US_ASCII)).send(9, true, new byte[] {7})
+        ws.send(1, false, "a".getBytes(StandardCharsets.US_ASCII))
+                .send(9, true, new byte[] {7})
                 .send(0, true, "b".getBytes(StandardCharsets.US_ASCII));
         List<Integer> opcodes = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -356,7 +382,8 @@
     @CsvSource({"c10141, 1002", "830141, 1002", "0900, 1002", "818100000000ff, 1007", "888100000000ff, 1002"})
     void aClientsWrongFramesEndBothSides(String hex, int code) throws Exception {
         BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> serverHeard.add(Ws.agree(seen, "").message().code()));
+        Stub server =
+                server(seen -> serverHeard.add(Ws.agree(seen, "").message().code()));
         sidecar("", server);
         Ws ws = open(harness.client());
         byte[] wrong = io.netty.buffer.ByteBufUtil.decodeHexDump(hex);
@@ -407,7 +434,7 @@
         Ws ws = open(harness.client());
         int bytes = 0;
         Ws.Frame last = null;
-        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8;) {
+        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
             bytes += f.payload().length;
             assertTrue(!f.last(), "a message that did not end was ended");
             last = f;
@@ -501,7 +528,8 @@
     }
 
     private int plain() throws Exception {
-        Http.Message answer = harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer();
+        Http.Message answer =
+                harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer();
         return answer.status();
     }
 
@@ -519,7 +547,7 @@
         sidecar("ping_interval = \"200ms\"\nping_timeout = \"100ms\"\n", server);
         Ws ws = open(harness.client());
         // The client answers its pings; the server's script has ended with its socket, or says nothing.
-        for (Ws.Frame f; (f = ws.read()).opcode() != 8;) {
+        for (Ws.Frame f; (f = ws.read()).opcode() != 8; ) {
             assertEquals(9, f.opcode());
             ws.send(10, true, f.payload());
         }
@@ -532,7 +560,7 @@
         BlockingQueue<Ws.Frame> came = new LinkedBlockingQueue<>();
         Stub server = server(seen -> {
             Ws ws = Ws.agree(seen, "");
-            for (Ws.Frame f; (f = ws.read()) != null;) {
+            for (Ws.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
                 } else {
@@ -542,7 +570,7 @@
         });
         sidecar("ping_interval = \"100ms\"\nping_timeout = \"100ms\"\n", server);
         Ws ws = open(harness.client());
-        for (int pings = 0; pings < 4;) {
+        for (int pings = 0; pings < 4; ) {
             Ws.Frame f = ws.read();
             if (f.opcode() == 9) {
                 pings++;
@@ -670,9 +698,9 @@
                     Ws ws = new Ws(client.socket, true);
                     Ws.Frame f = ws.read();
                     for (; f.opcode() != 8; f = ws.read()) {
-                        assertEquals("abc".substring(0, Math.min(3, f.payload().length)), f.text().isEmpty()
-                                ? ""
-                                : "abc".substring(0, f.payload().length));
+                        assertEquals(
+                                "abc".substring(0, Math.min(3, f.payload().length)),
+                                f.text().isEmpty() ? "" : "abc".substring(0, f.payload().length));
                     }
                     assertEquals(1011, f.code());
                 }
@@ -737,8 +765,11 @@
     }
 
     private WebSocket.Builder builder() {
-        return HttpClient.newHttpClient().newWebSocketBuilder().header("Request-Id", Harness.Client.id())
-                .header("Tenant", "acme").header("Request-Timeout-Ms", "3000");
+        return HttpClient.newHttpClient()
+                .newWebSocketBuilder()
+                .header("Request-Id", Harness.Client.id())
+                .header("Tenant", "acme")
+                .header("Request-Timeout-Ms", "3000");
     }
 
     private URI uri() {
@@ -775,8 +806,8 @@
         });
         sidecar("", server);
         Listening heard = new Listening();
-        WebSocket socket = builder().subprotocols("v2", "v1").buildAsync(uri(), heard).get(10,
-                TimeUnit.SECONDS);
+        WebSocket socket =
+                builder().subprotocols("v2", "v1").buildAsync(uri(), heard).get(10, TimeUnit.SECONDS);
         assertEquals("v1", socket.getSubprotocol());
         assertEquals("close 1000 ", heard.events.take());
     }
@@ -785,7 +816,8 @@
     void aServersNoIsAPlainAnswerToIt() throws Exception {
         Stub server = server(Stub.answers("403 No", "", "not you"));
         sidecar("", server);
-        CompletionException failed = assertThrows(CompletionException.class,
+        CompletionException failed = assertThrows(
+                CompletionException.class,
                 () -> builder().buildAsync(uri(), new Listening()).join());
         WebSocketHandshakeException refused = (WebSocketHandshakeException) failed.getCause();
         assertEquals(403, refused.getResponse().statusCode());
--- a/src/test/java/larkbank/simhost/SimHostTest.java
+++ b/src/test/java/larkbank/simhost/SimHostTest.java
@@ -41,18 +41,22 @@
 
     @Test
     void oneReplyForEachBatch() {
-        assertEquals("{'groups':[]}\n{'groups':[]}\n", run("{'at_time_us':1,'groups':[]}\n"
-                + "{'at_time_us':2,'groups':[]}\n"));
+        assertEquals(
+                "{'groups':[]}\n{'groups':[]}\n",
+                run("{'at_time_us':1,'groups':[]}\n" + "{'at_time_us':2,'groups':[]}\n"));
         assertEquals(0, status);
     }
 
     @Test
     void requestIsPlacedAndAnswered() {
-        String out = run(START + batch(20, "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}")
-                + batch(30, "{'op':'Response','ticket':'ab','server':9,'go':0,"
-            + "'cost_time_us':10,'verdict':'OK',"
-                        + "'terminal':true},{'op':'ClientLeft','ticket':'ab'},{'op':'Peer',"
-            + "'by':1,'octets':''}"));
+        String out = run(START
+                + batch(20, "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}")
+                + batch(
+                        30,
+                        "{'op':'Response','ticket':'ab','server':9,'go':0,"
+                                + "'cost_time_us':10,'verdict':'OK',"
+                                + "'terminal':true},{'op':'ClientLeft','ticket':'ab'},{'op':'Peer',"
+                                + "'by':1,'octets':''}"));
         String[] lines = out.split("\n");
         assertEquals(3, lines.length);
         assertTrue(lines[1].contains("{'op':'Place','ticket':'ab','server':9"), lines[1]);
@@ -61,30 +65,39 @@
 
     @Test
     void poolNumbersAreReplacedWithinABatch() {
-        String out = run(START + batch(20, "{'op':'Pool','table':3,'rows':[{'server':7,'status':'SERVING'}]},"
-                + "{'op':'Endpoints','how':'snapshot','epoch':2,'table':3},"
-                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
+        String out = run(START
+                + batch(
+                        20,
+                        "{'op':'Pool','table':3,'rows':[{'server':7,'status':'SERVING'}]},"
+                                + "{'op':'Endpoints','how':'snapshot','epoch':2,'table':3},"
+                                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
         assertTrue(out.contains("'server':7"), out);
     }
 
     @Test
     void instanceMayRestartInOneBatch() {
-        run(START + batch(20, "{'op':'PowerOff'},{'op':'Start','salt':6,'facts':" + FACTS + "},"
-                + "{'op':'Endpoints','how':'disk','epoch':1,'table':3},"
-                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
+        run(START
+                + batch(
+                        20,
+                        "{'op':'PowerOff'},{'op':'Start','salt':6,'facts':" + FACTS + "},"
+                                + "{'op':'Endpoints','how':'disk','epoch':1,'table':3},"
+                                + "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}"));
         assertEquals(0, status, errors);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "nonsense | not JSON",
-        "[] | a batch must be a JSON object",
-        "{'groups':[]} | at_time_us",
-        "{'at_time_us':5} | groups",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'PowerOff'}]}]} | unknown instance",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1}]}]} | 'facts' is missing",
-        "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1,'facts':{}}]}]} | classes",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "nonsense | not JSON",
+                "[] | a batch must be a JSON object",
+                "{'groups':[]} | at_time_us",
+                "{'at_time_us':5} | groups",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'PowerOff'}]}]} | unknown instance",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1}]}]} | 'facts' is missing",
+                "{'at_time_us':5,'groups':[{'who':'s','msgs':[{'op':'Start','salt':1,'facts':{}}]}]} | classes",
+            })
     void badInputEndsWithOneClearLine(String input, String message) {
         String out = run(input);
         assertEquals(1, status);
--- a/src/test/java/larkbank/tally/QuotasTest.java
+++ b/src/test/java/larkbank/tally/QuotasTest.java
@@ -88,12 +88,20 @@
     }
 
     private static int[] parts(String text) {
-        return java.util.Arrays.stream(text.split(" ")).mapToInt(Integer::parseInt).toArray();
+        return java.util.Arrays.stream(text.split(" "))
+                .mapToInt(Integer::parseInt)
+                .toArray();
     }
 
     @ParameterizedTest
-    @CsvSource({"1000 0 0 0 0, 60, 60", "200 200 200 200 200, 60, 60", "700 200 50 30 20, 60, 60",
-        "1000 0 0 0 0, 400, 200", "200 200 200 200 200, 400, 200", "900 25 25 25 25, 400, 200"})
+    @CsvSource({
+        "1000 0 0 0 0, 60, 60",
+        "200 200 200 200 200, 60, 60",
+        "700 200 50 30 20, 60, 60",
+        "1000 0 0 0 0, 400, 200",
+        "200 200 200 200 200, 400, 200",
+        "900 25 25 25 25, 400, 200"
+    })
     void aHotTenantGetsItsRateAndNoMore(String parts, double rate, double burst) {
         begin();
         run(0, 3_000_000, 3 * rate, rate, burst, parts(parts));
--- a/src/test/java/larkbank/testkit/Actors.java
+++ b/src/test/java/larkbank/testkit/Actors.java
@@ -23,11 +23,13 @@
         this.lease = lease;
         for (int i = 0; i < crew.size(); i++) {
             int who = i;
-            Thread thread = new Thread(() -> {
-                while (!over) {
-                    ask(who);
-                }
-            }, "actor " + i);
+            Thread thread = new Thread(
+                    () -> {
+                        while (!over) {
+                            ask(who);
+                        }
+                    },
+                    "actor " + i);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
--- a/src/test/java/larkbank/testkit/Acts.java
+++ b/src/test/java/larkbank/testkit/Acts.java
@@ -11,7 +11,7 @@
  */
 public final class Acts {
 
-    private record Last(String process, long at, long token) { }
+    private record Last(String process, long at, long token) {}
 
     private final Map<String, Last> last = new HashMap<>();
     private final Map<String, Map<String, Long>> ended = new HashMap<>();
@@ -38,8 +38,8 @@
             wrong.add(lease + ": " + process + " and " + before.process + " act at once, at " + at);
         }
         if (token <= before.token) {
-            wrong.add(lease + ": " + process + " has token " + token + " at " + at + ", and " + before.process
-                    + " had " + before.token + " before");
+            wrong.add(lease + ": " + process + " has token " + token + " at " + at + ", and " + before.process + " had "
+                    + before.token + " before");
         }
         // Whoever was followed by another must not be back under the token that it had.
         Map<String, Long> over = ended.computeIfAbsent(lease, l -> new HashMap<>());
--- a/src/test/java/larkbank/testkit/CellPlans.java
+++ b/src/test/java/larkbank/testkit/CellPlans.java
@@ -19,7 +19,7 @@
     /** Servers drop repeats for so long; no request is in hand for longer than patience. */
     public static final long WINDOW = 3_000_000, PATIENCE = 5_000_000;
 
-    private CellPlans() { }
+    private CellPlans() {}
 
     /** So many cells of equal share, c0 and on. */
     public static List<Cell> cells(int count) {
@@ -41,17 +41,38 @@
         return plan(cells, Map.of(), guests, quarantine, moves);
     }
 
-    public static CellsPlan plan(List<Cell> cells, Map<Long, Integer> assigned, double guests,
-            Quarantine quarantine, MovePlan... moves) {
-        return new CellsPlan(Unit.TENANT, null, cells, Spread.SERVER, 60_000_000, assigned, List.of(moves),
-                WINDOW, PATIENCE, guests, false, quarantine);
+    public static CellsPlan plan(
+            List<Cell> cells, Map<Long, Integer> assigned, double guests, Quarantine quarantine, MovePlan... moves) {
+        return new CellsPlan(
+                Unit.TENANT,
+                null,
+                cells,
+                Spread.SERVER,
+                60_000_000,
+                assigned,
+                List.of(moves),
+                WINDOW,
+                PATIENCE,
+                guests,
+                false,
+                quarantine);
     }
 
     /** The same with writes that may be guests too. */
     public static CellsPlan withGuestWrites(CellsPlan p) {
-        return new CellsPlan(p.unit(), p.header(), p.cells(), p.spread(), p.keepMicros(), p.assigned(),
+        return new CellsPlan(
+                p.unit(),
+                p.header(),
+                p.cells(),
+                p.spread(),
+                p.keepMicros(),
+                p.assigned(),
                 p.moves(),
-                p.windowMicros(), p.patienceMicros(), p.guests(), true, p.quarantine());
+                p.windowMicros(),
+                p.patienceMicros(),
+                p.guests(),
+                true,
+                p.quarantine());
     }
 
     /** A move with a freeze. */
--- a/src/test/java/larkbank/testkit/Configs.java
+++ b/src/test/java/larkbank/testkit/Configs.java
@@ -21,18 +21,17 @@
             + "'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,'cold_us':1000000,"
             + "'fall_us':1000000},'tick_us':1000}";
 
-    private Configs() { }
+    private Configs() {}
 
     public static String json(String quoted) {
         return quoted.replace('\'', '"');
     }
 
     /** A configuration; a port of 0 is any. */
-    public static String of(String name, int port, int discovery, int sockets, long connectMicros,
-            String known) {
+    public static String of(String name, int port, int discovery, int sockets, long connectMicros, String known) {
         return json(("{'name':'" + name + "','listen':'127.0.0.1:" + port + "','discovery':'127.0.0.1:"
-                + discovery + "','seed':'8c1f30d27a5be964','limits':{'sockets':" + sockets
-                + "},'known':" + known + ",'settings':" + SETTINGS + "}")
+                        + discovery + "','seed':'8c1f30d27a5be964','limits':{'sockets':" + sockets
+                        + "},'known':" + known + ",'settings':" + SETTINGS + "}")
                 .replace("CONNECT", String.valueOf(connectMicros)));
     }
 
--- a/src/test/java/larkbank/testkit/CopiesChaos.java
+++ b/src/test/java/larkbank/testkit/CopiesChaos.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.copies.State;
 import larkbank.copies.ProposalResult;
+import larkbank.copies.State;
 import larkbank.testkit.CopiesWorld.Harbour;
 
 /**
@@ -84,20 +84,24 @@
             }
             String tenant = "t" + random.nextInt(3);
             versions += random.nextInt(2);
-            world.submit(any(), random.nextInt(6) == 0
-                    ? "{\"withdraw\":{\"tenantTable\":[{\"name\":\"" + tenant + "\",\"configVersion\":\"r"
-                    + versions + "\"}]}}"
-                    : "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + tenant
-                    + random.nextInt(100) + "\"],\"configVersion\":\"r" + versions + "\"}}}}",
+            world.submit(
+                    any(),
+                    random.nextInt(6) == 0
+                            ? "{\"withdraw\":{\"tenantTable\":[{\"name\":\"" + tenant + "\",\"configVersion\":\"r"
+                                    + versions + "\"}]}}"
+                            : "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + tenant
+                                    + random.nextInt(100) + "\"],\"configVersion\":\"r" + versions + "\"}}}}",
                     100_000 + random.nextLong(2_000_000));
         }
     }
 
     /** Whether all are up and have a disk that counts. */
     private boolean whole() {
-        return world.up().size() == count && world.up().stream().noneMatch(h -> h.copies().forgetful())
-                && world.up().stream().allMatch(h -> h.copies().crew().size() == count
-                && h.copies().crew().contains(h.copies().own()));
+        return world.up().size() == count
+                && world.up().stream().noneMatch(h -> h.copies().forgetful())
+                && world.up().stream()
+                        .allMatch(h -> h.copies().crew().size() == count
+                                && h.copies().crew().contains(h.copies().own()));
     }
 
     private void fault() {
@@ -149,7 +153,7 @@
                     all.forEach(h -> world.start(h.address(), false));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/test/java/larkbank/testkit/CopiesChecks.java
+++ b/src/test/java/larkbank/testkit/CopiesChecks.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import larkbank.copies.Effect;
 import larkbank.copies.Ballot;
+import larkbank.copies.Effect;
 import larkbank.copies.ProposalResult;
 import larkbank.manifest.Item;
 import larkbank.manifest.Key;
@@ -18,17 +18,19 @@
 /** Judges by what was sent, answered and shown alone. The first breach is kept. */
 public final class CopiesChecks {
 
-    private record Call(Order order, Map<Key, Item> floor) { }
+    private record Call(Order order, Map<Key, Item> floor) {}
 
     private final Map<Long, Call> calls = new HashMap<>();
     /** What whoever asks from now on must find, or something newer. */
     private Map<Key, Item> floor = Map.of();
+
     private final Map<Key, Map<Long, Object>> contents = new HashMap<>();
     private final Map<Ballot, Effect.Show> states = new HashMap<>();
     private final Map<String, Ballot> last = new HashMap<>();
     private final List<String> breaches = new ArrayList<>();
     /** By the time from which each holds. */
     private final TreeMap<Long, Map<Key, Item>> floors = new TreeMap<>();
+
     private int taken;
     private int read;
     private int confirmed;
@@ -130,8 +132,8 @@
 
     private void one(Item item) {
         Object content = item.withdrawn() ? "-" : item.content();
-        Object before = contents.computeIfAbsent(item.key(), k -> new HashMap<>())
-                .putIfAbsent(item.version(), content);
+        Object before =
+                contents.computeIfAbsent(item.key(), k -> new HashMap<>()).putIfAbsent(item.version(), content);
         if (before != null && !before.equals(content)) {
             breaches.add(item.key() + " r" + item.version() + " is " + before + " and " + content);
         }
--- a/src/test/java/larkbank/testkit/CopiesCorners.java
+++ b/src/test/java/larkbank/testkit/CopiesCorners.java
@@ -11,7 +11,7 @@
 /** Corners where a copy forgets at the worst moment, seldom met by drawn days. */
 public final class CopiesCorners {
 
-    private CopiesCorners() { }
+    private CopiesCorners() {}
 
     /** The first breach, or null. */
     public static String broken() {
@@ -28,8 +28,7 @@
     }
 
     private static String order(String key) {
-        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
-                + "\"],\"configVersion\":\"r1\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r1\"}}}}";
     }
 
     private static void until(CopiesWorld world, BooleanSupplier holds) {
@@ -63,7 +62,9 @@
         world.run(500_000);
         Harbour second = world.harbour(2);
         long ticket = world.submit(second, order("b"), 3_000_000);
-        until(world, () -> world.writing(second) != null && world.writing(second).accepted() != null);
+        until(
+                world,
+                () -> world.writing(second) != null && world.writing(second).accepted() != null);
         world.cut(second.address(), world.harbour(1).address());
         world.stall(second, 300_000);
         world.run(15_000);
@@ -96,10 +97,27 @@
         List<Map<String, Object>> words = List.of(
                 Map.of("t", "copies.prepare", "to", old, "b", "99@x"),
                 Map.of("t", "copies.prepare", "b", "99@x"),
-                Map.of("t", "copies.accept", "to", old, "b", "99@x", "base", "0@", "whole", true,
-                        "crew", List.of(old, "x"), "part", 0L, "parts", 1L, "items", List.of()));
-        boolean answered = words.stream().anyMatch(word -> third.copies().received(world.now(), "x", word)
-                .stream().anyMatch(Effect.Write.class::isInstance));
+                Map.of(
+                        "t",
+                        "copies.accept",
+                        "to",
+                        old,
+                        "b",
+                        "99@x",
+                        "base",
+                        "0@",
+                        "whole",
+                        true,
+                        "crew",
+                        List.of(old, "x"),
+                        "part",
+                        0L,
+                        "parts",
+                        1L,
+                        "items",
+                        List.of()));
+        boolean answered = words.stream().anyMatch(word -> third.copies().received(world.now(), "x", word).stream()
+                .anyMatch(Effect.Write.class::isInstance));
         return answered ? "the new disk takes what was meant for the old one" : null;
     }
 
@@ -120,15 +138,19 @@
             if (i == 200) {
                 world.start(2, new Standing(before, before, crew, List.of(), false));
             }
-            shown |= world.up().stream().anyMatch(h -> h.copies().shown().stamp().equals(voted));
+            shown |=
+                    world.up().stream().anyMatch(h -> h.copies().shown().stamp().equals(voted));
         }
         return shown ? "what one has voted for is shown" : end(world);
     }
 
     private static String end(CopiesWorld world) {
         if (world.checks().breach() == null) {
-            world.checks().above(world.checks().floor(),
-                    world.harbour(1).copies().shown().manifest(), "shown");
+            world.checks()
+                    .above(
+                            world.checks().floor(),
+                            world.harbour(1).copies().shown().manifest(),
+                            "shown");
         }
         return world.checks().breach();
     }
--- a/src/test/java/larkbank/testkit/CopiesCuts.java
+++ b/src/test/java/larkbank/testkit/CopiesCuts.java
@@ -17,7 +17,9 @@
 
     /** Who is cut off, and what else happens. */
     public enum Kind {
-        BOTH_WAYS, HEARS_NOBODY, NOBODY_HEARS_IT,
+        BOTH_WAYS,
+        HEARS_NOBODY,
+        NOBODY_HEARS_IT,
         /** The harbour that acknowledged an order last. */
         ACTED_LAST,
         /** Two cuts of the same harbour, three seconds apart. */
@@ -27,7 +29,11 @@
     }
 
     /** When an order was sent first. */
-    public enum Phase { BEFORE, IN, AFTER }
+    public enum Phase {
+        BEFORE,
+        IN,
+        AFTER
+    }
 
     /** What was measured of a phase. */
     public static final class Figures {
@@ -60,9 +66,9 @@
 
         @Override
         public String toString() {
-            return String.format("%d orders, median %d ms, 99%% %d ms, worst %d ms, %.2f rounds an order",
-                    micros.size(), at(0.5) / 1_000, at(0.99) / 1_000, worst() / 1_000,
-                    roundsAnOrder());
+            return String.format(
+                    "%d orders, median %d ms, 99%% %d ms, worst %d ms, %.2f rounds an order",
+                    micros.size(), at(0.5) / 1_000, at(0.99) / 1_000, worst() / 1_000, roundsAnOrder());
         }
     }
 
@@ -106,7 +112,8 @@
                 send();
                 return;
             }
-            ProposalResult result = ticket < 0 ? new ProposalResult.Unavailable("nobody is there")
+            ProposalResult result = ticket < 0
+                    ? new ProposalResult.Unavailable("nobody is there")
                     : ticket == 0 ? null : world.verdict(ticket);
             if (result instanceof ProposalResult.Taken) {
                 figures.get(its).micros.add(now - begun);
@@ -125,9 +132,12 @@
 
         private void send() {
             triedAt = world.now();
-            ticket = world.submit(world.harbour(at), "{\"upsert\":{\"tenantTable\":{\"" + tenant
-                    + "\":{\"apiKeys\":[\"" + tenant + "-" + version + "\"],\"configVersion\":\"r" + version
-                    + "\"}}}}", PATIENCE);
+            ticket = world.submit(
+                    world.harbour(at),
+                    "{\"upsert\":{\"tenantTable\":{\"" + tenant
+                            + "\":{\"apiKeys\":[\"" + tenant + "-" + version + "\"],\"configVersion\":\"r" + version
+                            + "\"}}}}",
+                    PATIENCE);
         }
     }
 
@@ -162,7 +172,8 @@
         for (int seed = 0; seed < days; seed++) {
             CopiesCuts day = new CopiesCuts(seed * 31L + kind.ordinal(), kind, cut, mostDelay);
             day.run();
-            day.figures.forEach((p, its) -> all.computeIfAbsent(p, k -> new Figures()).add(its));
+            day.figures.forEach(
+                    (p, its) -> all.computeIfAbsent(p, k -> new Figures()).add(its));
         }
         return all;
     }
@@ -219,7 +230,7 @@
     }
 
     private void operate(long micros) {
-        for (long until = world.now() + micros; world.now() < until;) {
+        for (long until = world.now() + micros; world.now() < until; ) {
             operators.forEach(Operator::step);
             world.run(STEP);
         }
--- a/src/test/java/larkbank/testkit/CopiesWorld.java
+++ b/src/test/java/larkbank/testkit/CopiesWorld.java
@@ -16,8 +16,8 @@
 import larkbank.copies.CopiesPlan;
 import larkbank.copies.Effect;
 import larkbank.copies.Member;
-import larkbank.copies.Standing;
 import larkbank.copies.ProposalResult;
+import larkbank.copies.Standing;
 import larkbank.lading.Scribe;
 import larkbank.manifest.Order;
 
@@ -36,6 +36,7 @@
         private Effect.Write writing;
         /** Until when writes do not come back. */
         long stalledUntil;
+
         boolean full;
 
         Harbour(String address) {
@@ -59,14 +60,15 @@
         }
     }
 
-    private record Event(long at, long number, Runnable work) { }
+    private record Event(long at, long number, Runnable work) {}
 
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final Map<String, Harbour> harbours = new TreeMap<>();
     /** What harbours that start from here on are told. */
     public List<String> seeds;
+
     private final Set<List<String>> cuts = new HashSet<>();
     private final CopiesChecks checks = new CopiesChecks();
     private final Map<Long, ProposalResult> verdicts = new LinkedHashMap<>();
@@ -78,9 +80,10 @@
     /** How much the clocks of harbours that start from here on are behind. */
     public long behind;
     /** Hears of each message that is sent, whether it comes or not. */
-    public Consumer<Map<String, Object>> sent = message -> { };
+    public Consumer<Map<String, Object>> sent = message -> {};
     /** Whom what is sent is weighed for, and how much it was. */
     public String weighed;
+
     public long bytes;
     public double loss;
     public double doubled;
@@ -131,8 +134,8 @@
         Harbour harbour = harbours.computeIfAbsent(address, Harbour::new);
         harbour.life = ++lives - behind;
         harbour.initial = initial;
-        harbour.copies = new Copies(CopiesPlan.usual(), address, seeds, initial, harbour.disk, harbour.life,
-                random.split(), now);
+        harbour.copies = new Copies(
+                CopiesPlan.usual(), address, seeds, initial, harbour.disk, harbour.life, random.split(), now);
         checks.started(address);
         act(harbour, harbour.copies.start(now));
         long life = harbour.life;
@@ -202,7 +205,8 @@
             act(harbour, harbour.copies.tick(now));
             long age = harbour.copies.confirmedAge(now);
             if (age >= 0) {
-                checks.confirmed(harbour.address, now - age, harbour.copies.shown().manifest());
+                checks.confirmed(
+                        harbour.address, now - age, harbour.copies.shown().manifest());
             }
             after(TICK, () -> tick(harbour, life));
         }
--- a/src/test/java/larkbank/testkit/Crew.java
+++ b/src/test/java/larkbank/testkit/Crew.java
@@ -31,7 +31,7 @@
 public final class Crew implements AutoCloseable {
 
     /** Something that a process has seen. */
-    public record Event(String process, long mono, String event, String about, String text) { }
+    public record Event(String process, long mono, String event, String about, String text) {}
 
     /** Looked at again after so long. */
     private static final long LOOK_MILLIS = 20;
@@ -144,8 +144,7 @@
         Hand hand = hands.get(i);
         ProcessBuilder builder = new ProcessBuilder(command(write(i, name)));
         builder.environment().putAll(environment(i));
-        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(
-                log(i).toFile()));
+        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log(i).toFile()));
         hand.process = builder.start();
         hand.pid = hand.process.pid();
         return hand.process;
@@ -166,14 +165,24 @@
     }
 
     private static List<String> command(Path operators) {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx80m", "-cp",
-                System.getProperty("java.class.path"), "larkbank.Main", "serve", "--operators",
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx80m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "larkbank.Main",
+                "serve",
+                "--operators",
                 operators.toString());
     }
 
     private Map<String, String> environment(int i) {
-        return Map.of("LB_CONFIG", folder.resolve("config" + i + ".json").toString(), "LB_OPERATOR",
+        return Map.of(
+                "LB_CONFIG",
+                folder.resolve("config" + i + ".json").toString(),
+                "LB_OPERATOR",
                 "127.0.0.1:" + hands.get(i).door);
     }
 
@@ -185,26 +194,38 @@
     private Path write(int i, String name) throws IOException {
         Hand hand = hands.get(i);
         Path config = folder.resolve("config" + i + ".json");
-        Files.writeString(config, configs.apply(Configs.of(name, hand.front, discovery.port(), 1024, 250_000,
-                Configs.list(1, true, "in_service", servers))));
+        Files.writeString(
+                config,
+                configs.apply(Configs.of(
+                        name,
+                        hand.front,
+                        discovery.port(),
+                        1024,
+                        250_000,
+                        Configs.list(1, true, "in_service", servers))));
         Path file = folder.resolve("operators" + i + ".toml");
         List<String> seeds = new ArrayList<>();
         for (int s = 0; s < Math.min(this.seeds, hands.size()); s++) {
             seeds.add("\"127.0.0.1:" + relay.port(s) + "\"");
         }
-        Files.writeString(file, operators.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
-                + "[routes.all]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
-                + "[routes.book]\npath = \"/book/*\"\nclass = \"book\"\npool = \"p\"\n"
-                + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + hand.udp + "\"\nadvertise = "
-                + "\"127.0.0.1:" + relay.port(i) + "\"\nseeds = [" + String.join(", ", seeds)
-                + "]\npause = \""
-                + pauseMillis + "ms\"\nrecord = \"" + folder.resolve("record" + i + ".json") + "\"\n"));
+        Files.writeString(
+                file,
+                operators.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
+                        + "[routes.all]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
+                        + "[routes.book]\npath = \"/book/*\"\nclass = \"book\"\npool = \"p\"\n"
+                        + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + hand.udp + "\"\nadvertise = "
+                        + "\"127.0.0.1:" + relay.port(i) + "\"\nseeds = [" + String.join(", ", seeds)
+                        + "]\npause = \""
+                        + pauseMillis + "ms\"\nrecord = \"" + folder.resolve("record" + i + ".json") + "\"\n"));
         return file;
     }
 
     public void signal(int i, String signal) throws IOException, InterruptedException {
-        Assertions.assertEquals(0, new ProcessBuilder("kill", "-" + signal,
-                String.valueOf(hands.get(i).pid)).start().waitFor());
+        Assertions.assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + signal, String.valueOf(hands.get(i).pid))
+                        .start()
+                        .waitFor());
     }
 
     public void kill(int i) throws InterruptedException {
@@ -268,8 +289,8 @@
         long late = pace.lateNanos();
         while (!condition.holds()) {
             long took = System.nanoTime() - begun - 3 * (pace.lateNanos() - late);
-            Assertions.assertTrue(took < millis * 1_000_000, () -> "not within " + millis + " ms: " + what
-                    + "\n" + logs());
+            Assertions.assertTrue(
+                    took < millis * 1_000_000, () -> "not within " + millis + " ms: " + what + "\n" + logs());
             TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
         }
         return (System.nanoTime() - begun) / 1_000_000;
@@ -296,9 +317,12 @@
             for (String line : Files.exists(record) ? Files.readAllLines(record) : List.<String>of()) {
                 if (line.endsWith("}")) {
                     Map<?, ?> e = parse(line);
-                    history.add(new Event(String.valueOf(e.get("process")),
-                            Long.parseLong(String.valueOf(e.get("mono"))), String.valueOf(e.get("event")),
-                            String.valueOf(e.get("about")), String.valueOf(e.get("text"))));
+                    history.add(new Event(
+                            String.valueOf(e.get("process")),
+                            Long.parseLong(String.valueOf(e.get("mono"))),
+                            String.valueOf(e.get("event")),
+                            String.valueOf(e.get("about")),
+                            String.valueOf(e.get("text"))));
                 }
             }
         }
@@ -325,17 +349,19 @@
         private volatile boolean over;
 
         Pace() {
-            Thread thread = new Thread(() -> {
-                while (!over) {
-                    long before = System.nanoTime();
-                    try {
-                        TimeUnit.MILLISECONDS.sleep(NAP_MILLIS);
-                    } catch (InterruptedException e) {
-                        return;
-                    }
-                    late += Math.max(0, System.nanoTime() - before - 2 * NAP_MILLIS * 1_000_000);
-                }
-            }, "pace");
+            Thread thread = new Thread(
+                    () -> {
+                        while (!over) {
+                            long before = System.nanoTime();
+                            try {
+                                TimeUnit.MILLISECONDS.sleep(NAP_MILLIS);
+                            } catch (InterruptedException e) {
+                                return;
+                            }
+                            late += Math.max(0, System.nanoTime() - before - 2 * NAP_MILLIS * 1_000_000);
+                        }
+                    },
+                    "pace");
             thread.setDaemon(true);
             thread.start();
         }
--- a/src/test/java/larkbank/testkit/FaultPlan.java
+++ b/src/test/java/larkbank/testkit/FaultPlan.java
@@ -18,7 +18,15 @@
 
     /** What is done, to whom. */
     public enum Kind {
-        SHORT_STOP, LONG_STOP, KILL, ONE_WAY, PAIR, MUTE, DEAF, SPLIT, LOSS
+        SHORT_STOP,
+        LONG_STOP,
+        KILL,
+        ONE_WAY,
+        PAIR,
+        MUTE,
+        DEAF,
+        SPLIT,
+        LOSS
     }
 
     /**
@@ -29,7 +37,7 @@
      * @param groups in which part of a split each is
      * @param millis for which it lasts, where it is not over by itself
      */
-    public record Step(Kind kind, int one, int other, List<Integer> groups, long millis) { }
+    public record Step(Kind kind, int one, int other, List<Integer> groups, long millis) {}
 
     private static final long STARTED = 20_000;
 
@@ -57,8 +65,7 @@
                 // A part without a seed is found again by the others' knocking: that is wanted too.
                 groups.add(m < parts ? m : random.nextInt(parts));
             }
-            long millis = kind == Kind.SHORT_STOP ? 100 + random.nextLong(pauseMillis * 6 / 10)
-                    : 2 * pauseMillis;
+            long millis = kind == Kind.SHORT_STOP ? 100 + random.nextLong(pauseMillis * 6 / 10) : 2 * pauseMillis;
             plan.add(new Step(kind, one, other, List.copyOf(groups), millis));
         }
         return plan;
@@ -74,7 +81,10 @@
     }
 
     private void agree(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
-        crew.within(millis, what, () -> crew.see(on.size(), among.stream().mapToInt(i -> i).toArray()));
+        crew.within(
+                millis,
+                what,
+                () -> crew.see(on.size(), among.stream().mapToInt(i -> i).toArray()));
     }
 
     private static Set<Integer> without(Set<Integer> all, int one) {
@@ -89,9 +99,12 @@
 
     /** Ends that any process has seen since then, but for those of these. */
     private void nobodyEnded(long since, String what, Set<String> but) throws Exception {
-        List<Crew.Event> ends = crew.history().stream().filter(e -> e.mono() > since
-                && (e.event().equals("out") || e.event().equals("left")) && !but.contains(e.about())
-                && !but.contains(e.process())).toList();
+        List<Crew.Event> ends = crew.history().stream()
+                .filter(e -> e.mono() > since
+                        && (e.event().equals("out") || e.event().equals("left"))
+                        && !but.contains(e.about())
+                        && !but.contains(e.process()))
+                .toList();
         Assertions.assertEquals(List.of(), ends, () -> what + "\n" + crew.logs());
     }
 
@@ -126,8 +139,8 @@
             }
             case ONE_WAY, PAIR -> {
                 boolean both = step.kind == Kind.PAIR;
-                crew.relay.cut((from, to) -> !(from == step.one && to == step.other)
-                        && !(both && from == step.other && to == step.one));
+                crew.relay.cut((from, to) ->
+                        !(from == step.one && to == step.other) && !(both && from == step.other && to == step.one));
                 last(step);
                 crew.relay.cut((from, to) -> true);
                 nobodyEnded(begun, what, none);
@@ -143,8 +156,8 @@
             case SPLIT -> {
                 crew.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
                 for (int part : Set.copyOf(step.groups)) {
-                    Set<Integer> side = all.stream().filter(i -> step.groups.get(i) == part)
-                            .collect(Collectors.toSet());
+                    Set<Integer> side =
+                            all.stream().filter(i -> step.groups.get(i) == part).collect(Collectors.toSet());
                     agree(side, side, what, known() + pause);
                 }
                 long healed = System.nanoTime() / 1_000;
--- a/src/test/java/larkbank/testkit/HarbourDay.java
+++ b/src/test/java/larkbank/testkit/HarbourDay.java
@@ -108,8 +108,9 @@
         }
         rig.order(harbours.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
         for (String pilot : PILOTS) {
-            rig.await(pilot + " has the last change", () ->
-                    rig.request(pilot, "last.mesh", "/", null).status() == 200);
+            rig.await(
+                    pilot + " has the last change",
+                    () -> rig.request(pilot, "last.mesh", "/", null).status() == 200);
         }
         for (String id : ids) {
             ranOnce(id);
@@ -135,8 +136,7 @@
             String id = rig.id();
             ids.add(id);
             try {
-                Http.Message answer = rig.request(PILOTS.get(own.nextInt(PILOTS.size())), "day.mesh", "/",
-                        null, id);
+                Http.Message answer = rig.request(PILOTS.get(own.nextInt(PILOTS.size())), "day.mesh", "/", null, id);
                 if (answer.status() == 200) {
                     served.incrementAndGet();
                     if (ranOnce(id) != 1 || !answer.body().equals("ran of " + id)) {
@@ -168,9 +168,12 @@
             LineRelay.Way way = LineRelay.Way.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
             int millis = random.nextInt(4) > 0 ? 0 : MOST_CUT / (1 + 3 * random.nextInt(2));
-            faults.add("cut " + one + " " + way + " " + "<>=".charAt(direction) + " " + everybody.size() + " "
-                    + millis);
-            relay.cut(one, everybody, direction == 0 ? LineRelay.Way.PASS : way,
+            faults.add(
+                    "cut " + one + " " + way + " " + "<>=".charAt(direction) + " " + everybody.size() + " " + millis);
+            relay.cut(
+                    one,
+                    everybody,
+                    direction == 0 ? LineRelay.Way.PASS : way,
                     direction == 1 ? LineRelay.Way.PASS : way);
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
             do {
@@ -306,8 +309,8 @@
 
     @Override
     public String toString() {
-        return checks + ", " + served + " of " + ids.size() + " calls served, "
-                + rig.relay().resets + " resets, faults " + faults;
+        return checks + ", " + served + " of " + ids.size() + " calls served, " + rig.relay().resets
+                + " resets, faults " + faults;
     }
 
     @Override
--- a/src/test/java/larkbank/testkit/HarbourDays.java
+++ b/src/test/java/larkbank/testkit/HarbourDays.java
@@ -10,7 +10,7 @@
 /** Plays drawn days one after the other, some at once, and goes on after a breach: a line each. */
 public final class HarbourDays {
 
-    private HarbourDays() { }
+    private HarbourDays() {}
 
     /** @param args a folder, the first seed, how many days, faults a day, how many days at once */
     public static void main(String[] args) throws InterruptedException {
@@ -22,11 +22,13 @@
         AtomicInteger wrong = new AtomicInteger();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < Integer.parseInt(args[4]); i++) {
-            Thread thread = new Thread(() -> {
-                for (int seed; (seed = seeds.getAndIncrement()) < first + count;) {
-                    wrong.addAndGet(play(folder, seed, faults) ? 0 : 1);
-                }
-            }, "days");
+            Thread thread = new Thread(
+                    () -> {
+                        for (int seed; (seed = seeds.getAndIncrement()) < first + count; ) {
+                            wrong.addAndGet(play(folder, seed, faults) ? 0 : 1);
+                        }
+                    },
+                    "days");
             threads.add(thread);
             thread.start();
         }
--- a/src/test/java/larkbank/testkit/Http.java
+++ b/src/test/java/larkbank/testkit/Http.java
@@ -10,7 +10,7 @@
 /** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
 public final class Http {
 
-    private Http() { }
+    private Http() {}
 
     public record Message(String first, Map<String, String> headers, String body) {
         public int status() {
@@ -25,7 +25,7 @@
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = String.valueOf(line(in))).isEmpty();) {
+        for (String line; !(line = String.valueOf(line(in))).isEmpty(); ) {
             int colon = line.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("ended within the head");
@@ -42,7 +42,7 @@
 
     private static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c; (c = in.read()) != '\n';) {
+        for (int c; (c = in.read()) != '\n'; ) {
             if (c < 0) {
                 return null;
             }
--- a/src/test/java/larkbank/testkit/LineRelay.java
+++ b/src/test/java/larkbank/testkit/LineRelay.java
@@ -44,9 +44,9 @@
         }
     }
 
-    private record Pair(String from, String to) { }
+    private record Pair(String from, String to) {}
 
-    private record Held(long at, ByteBuffer bytes) { }
+    private record Held(long at, ByteBuffer bytes) {}
 
     private static final int MOST_HELD = 256 * 1024;
     private static final int FIRST_PORT = 30_000;
@@ -155,6 +155,7 @@
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     /** Connections that were reset. */
     public final AtomicLong resets = new AtomicLong();
+
     private final Thread thread;
     private long lookedAt;
     private volatile IOException failed;
@@ -221,7 +222,7 @@
     private void run() {
         try {
             while (!over) {
-                for (Runnable task; (task = tasks.poll()) != null;) {
+                for (Runnable task; (task = tasks.poll()) != null; ) {
                     task.run();
                 }
                 long now = System.nanoTime();
@@ -282,7 +283,8 @@
     private void doors() throws IOException {
         for (Pair pair : doors.keySet()) {
             boolean refuses = down.contains(pair.to) || way(pair) == Way.REFUSE;
-            boolean silent = way(pair).isSilent() || way(new Pair(pair.to, pair.from)).isSilent();
+            boolean silent =
+                    way(pair).isSilent() || way(new Pair(pair.to, pair.from)).isSilent();
             ServerSocketChannel door = open.get(pair);
             if (refuses && door != null) {
                 free(pair);
--- a/src/test/java/larkbank/testkit/LineRelayTest.java
+++ b/src/test/java/larkbank/testkit/LineRelayTest.java
@@ -35,8 +35,8 @@
         SecureRandom random = new SecureRandom();
         String net = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
         target = new ServerSocket(0, 50, InetAddress.getByName(net + 1));
-        relay = new LineRelay(net + 250, Map.of("a", new InetSocketAddress(net + 2, 9),
-                "b", (InetSocketAddress) target.getLocalSocketAddress()));
+        relay = new LineRelay(net + 250, Map.of("a", new InetSocketAddress(net + 2, 9), "b", (InetSocketAddress)
+                target.getLocalSocketAddress()));
         target.accept().close();
         while (near == null) {
             try {
@@ -108,11 +108,13 @@
         assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> far.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> {
-            try (Socket again = dial()) {
-                again.setSoTimeout(5_000);
-                again.getInputStream().read();
-            }
-        }).isInstanceOf(SocketException.class).hasMessageContaining("reset");
+                    try (Socket again = dial()) {
+                        again.setSoTimeout(5_000);
+                        again.getInputStream().read();
+                    }
+                })
+                .isInstanceOf(SocketException.class)
+                .hasMessageContaining("reset");
         relay.set("a", "b", LineRelay.Way.REFUSE);
         assertThatThrownBy(this::dial).isInstanceOf(ConnectException.class);
         relay.join();
--- a/src/test/java/larkbank/testkit/Losses.java
+++ b/src/test/java/larkbank/testkit/Losses.java
@@ -53,7 +53,7 @@
     }
 
     private void pass(long micros) {
-        for (long until = world.now() + micros; world.now() < until;) {
+        for (long until = world.now() + micros; world.now() < until; ) {
             step();
         }
     }
@@ -124,8 +124,11 @@
             step();
             for (Harbour one : world.up()) {
                 List<String> crew = one.copies().shown().crew();
-                long voting = world.up().stream().filter(h -> crew.contains(h.copies().own())
-                        && h.disk() != null && h.disk().crew().equals(crew)).count();
+                long voting = world.up().stream()
+                        .filter(h -> crew.contains(h.copies().own())
+                                && h.disk() != null
+                                && h.disk().crew().equals(crew))
+                        .count();
                 if (voting == count && !crew.contains(lost.address())) {
                     return world.checks().leaps() ? -1 : world.now() - at;
                 }
--- a/src/test/java/larkbank/testkit/MeshRig.java
+++ b/src/test/java/larkbank/testkit/MeshRig.java
@@ -112,9 +112,15 @@
             String name = pilots.get(i);
             settings(name, services.get(i), "");
             start(name);
-            ships.put(name, new Ships(Ships.at(ips.get(name), APPLICATION),
-                    Ships.at(ips.get(name), CONTROL), services.get(i) + "-" + name, services.get(i), "z1",
-                    8));
+            ships.put(
+                    name,
+                    new Ships(
+                            Ships.at(ips.get(name), APPLICATION),
+                            Ships.at(ips.get(name), CONTROL),
+                            services.get(i) + "-" + name,
+                            services.get(i),
+                            "z1",
+                            8));
         }
     }
 
@@ -163,11 +169,16 @@
     /** Writes the settings of a process; more terms as the inside of an object, each behind a comma. */
     public void settings(String name, String service, String moreTerms) throws IOException {
         String ip = ips.get(name);
-        List<String> seeds = harbours.stream().map(h -> "\"" + ips.get(h) + ":" + LINES + "\"").toList();
-        String listen = "\"controlPlane\":\"" + ip + ":" + CONTROL + "\"" + (service == null ? ""
-                : ",\"outbound\":\"" + ip + ":" + OUTBOUND + "\",\"readiness\":\"" + ip + ":" + READINESS
-                + "\"");
-        String own = service == null ? ",\"dataDirectory\":\"" + folder.resolve(name) + "\""
+        List<String> seeds = harbours.stream()
+                .map(h -> "\"" + ips.get(h) + ":" + LINES + "\"")
+                .toList();
+        String listen = "\"controlPlane\":\"" + ip + ":" + CONTROL + "\""
+                + (service == null
+                        ? ""
+                        : ",\"outbound\":\"" + ip + ":" + OUTBOUND + "\",\"readiness\":\"" + ip + ":" + READINESS
+                                + "\"");
+        String own = service == null
+                ? ",\"dataDirectory\":\"" + folder.resolve(name) + "\""
                 : ",\"application\":\"" + ip + ":" + APPLICATION + "\",\"service\":\"" + service + "\"";
         String text = "{\"localNode\":{\"nodeName\":\"" + name + "\",\"ipAddress\":\"" + ip
                 + "\",\"zone\":\"z1\",\"region\":\"r1\",\"initialStart\":" + initial + own
@@ -182,21 +193,30 @@
     private void start(String name) throws IOException {
         List<String> command = List.of(
                 System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-cp", classPath(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx96m",
+                "-cp",
+                classPath(),
                 "-D" + RigProcess.DETOURS + "=" + detours(name),
                 (relay == null ? Main.class : RigProcess.class).getName(),
                 pilots.contains(name) ? "pilot" : "harbour");
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
-        builder.environment().put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve(name + ".log").toFile()));
+        builder.environment()
+                .put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
         processes.put(name, builder.start());
     }
 
     private String detours(String from) {
-        return relay == null ? "" : ips.keySet().stream().filter(to -> !to.equals(from))
-                .map(to -> ips.get(to) + ":" + LINES + "=" + Addresses.text(relay.door(from, to)))
-                .collect(Collectors.joining(","));
+        return relay == null
+                ? ""
+                : ips.keySet().stream()
+                        .filter(to -> !to.equals(from))
+                        .map(to -> ips.get(to) + ":" + LINES + "=" + Addresses.text(relay.door(from, to)))
+                        .collect(Collectors.joining(","));
     }
 
     /** What stands in all lines. */
@@ -265,7 +285,9 @@
     }
 
     public void signal(String name, String which) throws IOException, InterruptedException {
-        Process kill = new ProcessBuilder("kill", which, Long.toString(processes.get(name).pid())).start();
+        Process kill = new ProcessBuilder(
+                        "kill", which, Long.toString(processes.get(name).pid()))
+                .start();
         if (kill.waitFor() != 0) {
             throw new IOException("no signal was sent to " + name);
         }
@@ -290,7 +312,8 @@
 
     /** What all have logged so far. */
     public String said() {
-        return processes.keySet().stream().map(name -> "\n--- " + name + "\n" + log(name))
+        return processes.keySet().stream()
+                .map(name -> "\n--- " + name + "\n" + log(name))
                 .collect(Collectors.joining());
     }
 
@@ -315,15 +338,19 @@
     private void look(int patienceMillis, Callable<Boolean> holds)
             throws InterruptedException, TimeoutException, ExecutionException {
         CompletableFuture<Void> held = new CompletableFuture<>();
-        ScheduledFuture<?> looking = looks.scheduleWithFixedDelay(() -> {
-            try {
-                if (holds.call()) {
-                    held.complete(null);
-                }
-            } catch (Exception e) {
-                // Not yet.
-            }
-        }, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        ScheduledFuture<?> looking = looks.scheduleWithFixedDelay(
+                () -> {
+                    try {
+                        if (holds.call()) {
+                            held.complete(null);
+                        }
+                    } catch (Exception e) {
+                        // Not yet.
+                    }
+                },
+                0,
+                LOOK_MILLIS,
+                TimeUnit.MILLISECONDS);
         try {
             held.get(patienceMillis, TimeUnit.MILLISECONDS);
         } finally {
@@ -333,8 +360,11 @@
 
     /** Waits until the pilot says that it is ready. */
     public void ready(String pilot) throws InterruptedException {
-        await(pilot + " is ready", () -> call(pilot, READINESS, "GET", "/cypressweir/readiness", "", "")
-                .status() == 200);
+        await(
+                pilot + " is ready",
+                () -> call(pilot, READINESS, "GET", "/cypressweir/readiness", "", "")
+                                .status()
+                        == 200);
     }
 
     /** Orders there; who is sent elsewhere goes there, as operators do. */
@@ -347,9 +377,10 @@
         String body = json.replace('\'', '"');
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(ips.get(harbour), CONTROL), callMillis);
-            socket.getOutputStream().write(("POST /cypressweir/config/modify HTTP/1.1\r\nHost: " + harbour
-                    + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(("POST /cypressweir/config/modify HTTP/1.1\r\nHost: " + harbour + "\r\nContent-Length: "
+                                    + body.length() + "\r\n\r\n" + body)
+                            .getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
@@ -357,8 +388,7 @@
         Http.Message answer = call(harbour, CONTROL, method, path, "", body);
         for (int i = 0; i < REDIRECTS && answer.status() == 307; i++) {
             URI to = URI.create(answer.headers().get("Location"));
-            answer = call(harbour, new InetSocketAddress(to.getHost(), to.getPort()), method, to.getPath(),
-                    "", body);
+            answer = call(harbour, new InetSocketAddress(to.getHost(), to.getPort()), method, to.getPath(), "", body);
         }
         return answer;
     }
@@ -391,10 +421,15 @@
         return request(pilot, host, path, key, id());
     }
 
-    public Http.Message request(String pilot, String host, String path, String key, String id)
-            throws IOException {
-        return call(pilot, OUTBOUND, "POST", path, "Host: " + host + "\r\n" + Ships.ID + ": " + id + "\r\n"
-                + (key == null ? "" : "Cypressweir-Key: " + key + "\r\n"), "of " + id);
+    public Http.Message request(String pilot, String host, String path, String key, String id) throws IOException {
+        return call(
+                pilot,
+                OUTBOUND,
+                "POST",
+                path,
+                "Host: " + host + "\r\n" + Ships.ID + ": " + id + "\r\n"
+                        + (key == null ? "" : "Cypressweir-Key: " + key + "\r\n"),
+                "of " + id);
     }
 
     /** @throws ConnectException where nobody listens: nothing was sent */
@@ -403,16 +438,18 @@
         return call(name, new InetSocketAddress(ips.get(name), port), method, path, headers, body);
     }
 
-    private Http.Message call(String name, InetSocketAddress to, String method, String path, String headers,
-            String body) throws IOException {
+    private Http.Message call(
+            String name, InetSocketAddress to, String method, String path, String headers, String body)
+            throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(to, callMillis);
             socket.setSoTimeout(callMillis);
             String host = headers.startsWith("Host:") ? "" : "Host: " + name + "\r\n";
             try {
-                socket.getOutputStream().write((method + " " + path + " HTTP/1.1\r\n" + host + headers
-                        + "Connection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write((method + " " + path + " HTTP/1.1\r\n" + host + headers
+                                        + "Connection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 Http.Message answer = Http.read(socket.getInputStream());
                 if (answer == null) {
                     throw new IOException("closed");
--- a/src/test/java/larkbank/testkit/ModuleRig.java
+++ b/src/test/java/larkbank/testkit/ModuleRig.java
@@ -39,6 +39,7 @@
     private long sequence;
     /** Attempts beyond the first, and copies of what was still out: that the test has looked at something. */
     private int retries;
+
     private int copies;
 
     private record Event(long at, long sequence, Runnable task) implements Comparable<Event> {
@@ -79,7 +80,11 @@
         }
     }
 
-    public ModuleRig(String title, Settings settings, long seed, int count,
+    public ModuleRig(
+            String title,
+            Settings settings,
+            long seed,
+            int count,
             BiFunction<Settings, Actions, LoadBalancer> modules) {
         this.title = title;
         this.settings = settings;
@@ -110,9 +115,8 @@
     /** Has a request come so much later. */
     public void ask(long afterMicros, String id, int requestClass, long timeoutMicros, Terms terms) {
         at(now + afterMicros, () -> {
-            Request request = new Request(id, requestClass, 0, false, random.nextInt(50), now
-                    + timeoutMicros, 0,
-                    false, terms);
+            Request request =
+                    new Request(id, requestClass, 0, false, random.nextInt(50), now + timeoutMicros, 0, false, terms);
             asked.put(id, new Asked(request, now));
             module.request(now, request);
         });
@@ -125,7 +129,7 @@
 
     /** Runs until nothing is left to happen, then demands that each request has had its answer. */
     public void run() {
-        for (Event event; (event = events.poll()) != null;) {
+        for (Event event; (event = events.poll()) != null; ) {
             now = Math.max(now, event.at);
             event.task.run();
         }
@@ -169,12 +173,17 @@
         if (first != null && c.effect() != Effect.SAFE) {
             check(a, c.effect() == Effect.KEYED, "an unsafe one goes out again that may have run");
             check(a, now - first.at < c.dedupWindowMicros(), "a keyed one goes out past its memory");
-            check(a, c.group() != Group.ZONE
-                    || servers.get(first.server).zone() == servers.get(server).zone(),
+            check(
+                    a,
+                    c.group() != Group.ZONE
+                            || servers.get(first.server).zone()
+                                    == servers.get(server).zone(),
                     "a keyed one leaves its group");
         }
         if (a.out() == 0) {
-            check(a, a.sent.stream().allMatch(s -> terms.retryOn().contains(s.result)),
+            check(
+                    a,
+                    a.sent.stream().allMatch(s -> terms.retryOn().contains(s.result)),
                     "sent again after an outcome that is not to be retried");
         }
         if (!a.sent.isEmpty()) {
@@ -184,19 +193,19 @@
         Sent sent = new Sent(server, now);
         a.sent.add(sent);
         int number = a.sent.size() - 1;
-        long limit = timeoutMicros == 0 ? r.deadlineMicros() : Math.min(r.deadlineMicros(), now
-                + timeoutMicros);
+        long limit = timeoutMicros == 0 ? r.deadlineMicros() : Math.min(r.deadlineMicros(), now + timeoutMicros);
         long took = 1_000 + random.nextLong(random.nextInt(4) == 0 ? 1_200_000 : 150_000);
         if (now + took >= limit) {
             at(limit, () -> end(a, number, sent, Result.TIMED_OUT));
         } else {
-            Result result = switch (random.nextInt(10)) {
-                case 0 -> Result.ERROR;
-                case 1 -> Result.BROKEN;
-                case 2 -> Result.FULL;
-                case 3 -> Result.NO_CONNECTION;
-                default -> Result.SERVED;
-            };
+            Result result =
+                    switch (random.nextInt(10)) {
+                        case 0 -> Result.ERROR;
+                        case 1 -> Result.BROKEN;
+                        case 2 -> Result.FULL;
+                        case 3 -> Result.NO_CONNECTION;
+                        default -> Result.SERVED;
+                    };
             at(now + took, () -> end(a, number, sent, result));
         }
     }
@@ -210,8 +219,8 @@
         if (result == Result.SERVED && a.answer == null) {
             a.answer = "served";
         }
-        module.outcome(now, new Outcome(a.request.id(), number, sent.server, result, now - sent.at,
-                a.answer != null, null));
+        module.outcome(
+                now, new Outcome(a.request.id(), number, sent.server, result, now - sent.at, a.answer != null, null));
     }
 
     private void answer(String requestId, String how) {
@@ -252,11 +261,11 @@
     }
 
     @Override
-    public void closeIdle(long server) { }
+    public void closeIdle(long server) {}
 
     @Override
-    public void subscribe() { }
+    public void subscribe() {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/test/java/larkbank/testkit/Modules.java
+++ b/src/test/java/larkbank/testkit/Modules.java
@@ -11,7 +11,7 @@
  */
 public final class Modules {
 
-    private Modules() { }
+    private Modules() {}
 
     public static byte[] bytes(String name) throws IOException {
         try (InputStream in = Modules.class.getResourceAsStream("/plugins/" + name + ".wasm")) {
@@ -20,8 +20,7 @@
     }
 
     /** With 5 ms a call and 2 MiB. */
-    public static PluginPlan plan(String name, PluginGrant grant, Map<String,
-            String> config) throws IOException {
+    public static PluginPlan plan(String name, PluginGrant grant, Map<String, String> config) throws IOException {
         return new PluginPlan(name, 1, bytes(name), 5_000, 32, false, grant, config);
     }
 }
--- a/src/test/java/larkbank/testkit/OperatorChecks.java
+++ b/src/test/java/larkbank/testkit/OperatorChecks.java
@@ -14,11 +14,12 @@
  */
 public final class OperatorChecks {
 
-    private static final Pattern TENANT = Pattern.compile(
-            "\"(t\\d+)\":\\{\"apiKeys\":\\[\"(k\\d+)\"],\"configVersion\":\"r(\\d+)\"}");
+    private static final Pattern TENANT =
+            Pattern.compile("\"(t\\d+)\":\\{\"apiKeys\":\\[\"(k\\d+)\"],\"configVersion\":\"r(\\d+)\"}");
 
     /** The highest version that whoever asks from now on must find, by name. */
     private final Map<String, Long> floor = new TreeMap<>();
+
     private final Map<String, String> contents = new HashMap<>();
     private final List<String> acknowledged = new ArrayList<>();
     private String breach;
@@ -34,8 +35,8 @@
     }
 
     public static String order(String tenant, String key, long version) {
-        return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key
-                + "\"],\"configVersion\":\"r" + version + "\"}}}}";
+        return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
+                + version + "\"}}}}";
     }
 
     /** What must be found by a call that begins now. */
@@ -83,7 +84,7 @@
 
     private Map<String, Long> found(String text) {
         Map<String, Long> found = new TreeMap<>();
-        for (Matcher each = TENANT.matcher(text); each.find();) {
+        for (Matcher each = TENANT.matcher(text); each.find(); ) {
             long version = Long.parseLong(each.group(3));
             found.put(each.group(1), version);
             floor.merge(each.group(1), version, Math::max);
@@ -101,7 +102,7 @@
 
     @Override
     public synchronized String toString() {
-        return taken + " taken, " + refused + " refused, " + open + " open, " + reads + " reads, "
-                + again + " sent again";
+        return taken + " taken, " + refused + " refused, " + open + " open, " + reads + " reads, " + again
+                + " sent again";
     }
 }
--- a/src/test/java/larkbank/testkit/Plain.java
+++ b/src/test/java/larkbank/testkit/Plain.java
@@ -8,7 +8,7 @@
 /** Copies a message as JSON would, and fails on what JSON has not. */
 public final class Plain {
 
-    private Plain() { }
+    private Plain() {}
 
     public static Map<String, Object> map(Map<?, ?> map) {
         Map<String, Object> copy = new LinkedHashMap<>();
@@ -25,8 +25,7 @@
             list.forEach(each -> copy.add(value(each)));
             return copy;
         }
-        if (value instanceof String || value instanceof Long || value instanceof Double
-                || value instanceof Boolean) {
+        if (value instanceof String || value instanceof Long || value instanceof Double || value instanceof Boolean) {
             return value;
         }
         throw new AssertionError("not for JSON: " + value);
--- a/src/test/java/larkbank/testkit/Planted.java
+++ b/src/test/java/larkbank/testkit/Planted.java
@@ -24,26 +24,23 @@
 
     /**
      * @param sources the folder of the package's sources
-     * @param file the one that is changed; the text must be in it, once
+     * @param file the one that is changed; the text must be in it, once; white space does not count
      * @param anew which further classes are loaded anew, so that they use the changed ones
      */
-    public Planted(Path folder, Path sources, String file, String text, String instead,
-            Predicate<String> anew) throws IOException {
+    public Planted(Path folder, Path sources, String file, String text, String instead, Predicate<String> anew)
+            throws IOException {
         super(Planted.class.getClassLoader());
         this.anew = anew;
         classes = folder.resolve("classes");
         Path copies = Files.createDirectories(folder.resolve("sources"));
         Files.createDirectories(classes);
-        List<String> arguments = new ArrayList<>(List.of("-d", classes.toString(), "-nowarn", "-proc:none",
-                "-cp", System.getProperty("java.class.path")));
+        List<String> arguments = new ArrayList<>(List.of(
+                "-d", classes.toString(), "-nowarn", "-proc:none", "-cp", System.getProperty("java.class.path")));
         try (Stream<Path> files = Files.list(sources)) {
             for (Path source : files.toList()) {
                 String code = Files.readString(source);
                 if (source.getFileName().toString().equals(file)) {
-                    int at = code.indexOf(text);
-                    Assertions.assertTrue(at >= 0 && code.indexOf(text, at + 1) < 0,
-                            "not once in " + file + ": " + text);
-                    code = code.replace(text, instead);
+                    code = replaceOnce(code, text, instead, file);
                 }
                 Path copy = copies.resolve(source.getFileName());
                 Files.writeString(copy, code);
@@ -51,8 +48,28 @@
             }
         }
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        Assertions.assertEquals(0, compiler.run(new ByteArrayInputStream(new byte[0]), null, null,
-                arguments.toArray(new String[0])), "does not compile: " + instead);
+        Assertions.assertEquals(
+                0,
+                compiler.run(new ByteArrayInputStream(new byte[0]), null, null, arguments.toArray(new String[0])),
+                "does not compile: " + instead);
+    }
+
+    /** Replaces the one place whose characters other than white space are those of the text. */
+    private static String replaceOnce(String code, String text, String instead, String file) {
+        StringBuilder dense = new StringBuilder();
+        List<Integer> places = new ArrayList<>();
+        for (int i = 0; i < code.length(); i++) {
+            if (!Character.isWhitespace(code.charAt(i))) {
+                dense.append(code.charAt(i));
+                places.add(i);
+            }
+        }
+        String wanted = text.replaceAll("\\s+", "");
+        int at = dense.indexOf(wanted);
+        Assertions.assertTrue(
+                !wanted.isEmpty() && at >= 0 && dense.indexOf(wanted, at + 1) < 0, "not once in " + file + ": " + text);
+        int end = places.get(at + wanted.length() - 1) + 1;
+        return code.substring(0, places.get(at)) + instead + code.substring(end);
     }
 
     @Override
@@ -61,7 +78,8 @@
             Class<?> loaded = findLoadedClass(name);
             Path changed = classes.resolve(name.replace('.', '/') + ".class");
             if (loaded == null && (Files.exists(changed) || anew.test(name))) {
-                try (InputStream in = Files.exists(changed) ? Files.newInputStream(changed)
+                try (InputStream in = Files.exists(changed)
+                        ? Files.newInputStream(changed)
                         : getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
                     byte[] bytes = in.readAllBytes();
                     loaded = defineClass(name, bytes, 0, bytes.length);
--- a/src/test/java/larkbank/testkit/Platform.java
+++ b/src/test/java/larkbank/testkit/Platform.java
@@ -19,7 +19,8 @@
  */
 public final class Platform implements AutoCloseable {
 
-    private static final String HOLDER = String.join("\n",
+    private static final String HOLDER = String.join(
+            "\n",
             "use strict; use Socket; use POSIX qw(:sys_wait_h dup2 dup); $| = 1;",
             "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; $^F = 20;",
             "bind($s, sockaddr_in(0, inet_aton('127.0.0.1'))) or die; listen($s, 128) or die;",
@@ -46,14 +47,15 @@
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
 
     public Platform() throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT)
+        holder = new ProcessBuilder("perl", "-e", HOLDER)
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         commands = holder.outputWriter(StandardCharsets.UTF_8);
-        var words = new BufferedReader(new InputStreamReader(holder.getInputStream(),
-                StandardCharsets.UTF_8));
-        address = new InetSocketAddress("127.0.0.1", Integer.parseInt(words.readLine().split(" ")[1]));
-        Thread reader = new Thread(() -> words.lines().forEach(
-                w -> (w.startsWith("started") ? started : ended).add(w.substring(w.indexOf(' ') + 1))));
+        var words = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
+        address = new InetSocketAddress(
+                "127.0.0.1", Integer.parseInt(words.readLine().split(" ")[1]));
+        Thread reader = new Thread(() -> words.lines()
+                .forEach(w -> (w.startsWith("started") ? started : ended).add(w.substring(w.indexOf(' ') + 1))));
         reader.setDaemon(true);
         reader.start();
     }
@@ -61,7 +63,8 @@
     /** Starts a program with these variables and this file for what it says; its process id. */
     public long start(String command, Map<String, String> environment, Path log) throws Exception {
         StringBuilder line = new StringBuilder("LB_SOCKET_FD=0 ");
-        environment.forEach((name, value) -> line.append(name).append("='").append(value).append("' "));
+        environment.forEach(
+                (name, value) -> line.append(name).append("='").append(value).append("' "));
         commands.write(line + "exec " + command + " >>" + log + " 2>&1\n");
         commands.flush();
         String pid = started.poll(10, TimeUnit.SECONDS);
--- a/src/test/java/larkbank/testkit/Relay.java
+++ b/src/test/java/larkbank/testkit/Relay.java
@@ -31,7 +31,7 @@
         public static final Weather FAIR = new Weather(0, 0, 0, 0, 0);
     }
 
-    private record Due(long at, int to, byte[] bytes) { }
+    private record Due(long at, int to, byte[] bytes) {}
 
     private final Selector selector = Selector.open();
     private final List<DatagramChannel> doors = new ArrayList<>();
@@ -79,8 +79,7 @@
         ByteBuffer buffer = ByteBuffer.allocate(65_536);
         try {
             while (!over) {
-                long wait = late.isEmpty() ? 50 : Math.max(1, (late.peek().at - System.nanoTime())
-                        / 1_000_000);
+                long wait = late.isEmpty() ? 50 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
                 selector.select(Math.min(50, wait));
                 for (SelectionKey key : selector.selectedKeys()) {
                     read((int) key.attachment(), buffer);
--- a/src/test/java/larkbank/testkit/Ships.java
+++ b/src/test/java/larkbank/testkit/Ships.java
@@ -42,6 +42,7 @@
     public final BlockingQueue<Http.Message> seen = new LinkedBlockingQueue<>();
     /** What was refused because the server drains. */
     public final AtomicInteger refused = new AtomicInteger();
+
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -62,8 +63,9 @@
     private long sequence;
 
     /** @param pilot where the pilot of this machine takes beats */
-    public Ships(InetSocketAddress own, InetSocketAddress pilot, String instance, String service, String zone,
-            int slots) throws IOException {
+    public Ships(
+            InetSocketAddress own, InetSocketAddress pilot, String instance, String service, String zone, int slots)
+            throws IOException {
         this.pilot = pilot;
         this.instance = instance;
         this.service = service;
@@ -127,20 +129,24 @@
     }
 
     private synchronized void beat() throws IOException {
-        call("heartbeat", "{\"address\":\"" + listening.getInetAddress().getHostAddress() + ":"
-                + listening.getLocalPort() + "\",\"nodeInfo\":{\"service\":\"" + service
-                + "\",\"configVersion\":\"r1\",\"zone\":\"" + zone + "\",\"capacitySlots\":" + slots
-                + "},\"operStatus\":{\"operState\":\"" + (draining ? "draining" : "serving")
-                + "\",\"callSequence\":" + ++sequence + ",\"warmupLeft\":\"0ms\"}}");
+        call(
+                "heartbeat",
+                "{\"address\":\"" + listening.getInetAddress().getHostAddress() + ":"
+                        + listening.getLocalPort() + "\",\"nodeInfo\":{\"service\":\"" + service
+                        + "\",\"configVersion\":\"r1\",\"zone\":\"" + zone + "\",\"capacitySlots\":" + slots
+                        + "},\"operStatus\":{\"operState\":\"" + (draining ? "draining" : "serving")
+                        + "\",\"callSequence\":" + ++sequence + ",\"warmupLeft\":\"0ms\"}}");
     }
 
     private void call(String what, String body) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(pilot, CALL_MILLIS);
             socket.setSoTimeout(CALL_MILLIS);
-            write(socket, "POST /cypressweir/instances/" + instance + "/" + what + " HTTP/1.1\r\n"
-                    + "Host: pilot\r\nConnection: close\r\nContent-Length: " + body.length()
-                    + "\r\n\r\n" + body);
+            write(
+                    socket,
+                    "POST /cypressweir/instances/" + instance + "/" + what + " HTTP/1.1\r\n"
+                            + "Host: pilot\r\nConnection: close\r\nContent-Length: " + body.length()
+                            + "\r\n\r\n" + body);
             Http.Message answer = Http.read(socket.getInputStream());
             if (answer == null || answer.status() != 200) {
                 throw new IOException("not acknowledged: " + answer);
@@ -164,7 +170,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null;) {
+            for (Http.Message m; (m = Http.read(in)) != null; ) {
                 seen.add(m);
                 if (!answer(socket, m)) {
                     return;
@@ -191,7 +197,7 @@
         }
         runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
         switch (manner) {
-            case LOSES -> { }
+            case LOSES -> {}
             case CUTS_OFF -> {
                 write(socket, "HTTP/1.1 200 OK\r\n" + ID + ": " + id + "\r\nContent-Length: 10\r\n\r\nab");
                 return false;
@@ -208,16 +214,20 @@
             reply(socket, id, "200 OK", extra, "ran " + m.body());
             return;
         }
-        later.schedule(() -> {
-            reply(socket, id, "200 OK", extra, "ran " + m.body());
-            return null;
-        }, millis, TimeUnit.MILLISECONDS);
+        later.schedule(
+                () -> {
+                    reply(socket, id, "200 OK", extra, "ran " + m.body());
+                    return null;
+                },
+                millis,
+                TimeUnit.MILLISECONDS);
     }
 
-    private static void reply(Socket socket, String id, String status, String headers, String body)
-            throws IOException {
-        write(socket, "HTTP/1.1 " + status + "\r\n" + ID + ": " + id + "\r\n" + headers + "Content-Length: "
-                + body.length() + "\r\n\r\n" + body);
+    private static void reply(Socket socket, String id, String status, String headers, String body) throws IOException {
+        write(
+                socket,
+                "HTTP/1.1 " + status + "\r\n" + ID + ": " + id + "\r\n" + headers + "Content-Length: " + body.length()
+                        + "\r\n\r\n" + body);
     }
 
     private static void write(Socket socket, String text) throws IOException {
--- a/src/test/java/larkbank/testkit/Stub.java
+++ b/src/test/java/larkbank/testkit/Stub.java
@@ -21,8 +21,7 @@
     /** A request as it came, and the connection that it came on. */
     public record Seen(Http.Message request, Socket socket) {
         public void reply(String status, String headers, String body) throws IOException {
-            raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-                    + body);
+            raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         public void raw(String text) throws IOException {
@@ -36,12 +35,13 @@
         void on(Seen seen) throws IOException;
     }
 
-    public static final Script SILENT = seen -> { };
+    public static final Script SILENT = seen -> {};
     public static final Script HANG_UP = seen -> seen.socket().close();
 
     public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
     /** One entry for each connection that has ended. */
     public final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+
     public final AtomicInteger accepted = new AtomicInteger();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket listening;
@@ -120,7 +120,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null;) {
+            for (Http.Message m; (m = Http.read(in)) != null; ) {
                 Seen next = new Seen(m, socket);
                 seen.add(next);
                 script.on(next);
--- a/src/test/java/larkbank/testkit/ThreeCopies.java
+++ b/src/test/java/larkbank/testkit/ThreeCopies.java
@@ -37,8 +37,8 @@
         this.stores = stores;
         List<String> all = List.of("h1", "h2", "h3");
         for (int i = 0; i < COUNT; i++) {
-            copies[i] = new Copies(CopiesPlan.usual(), all.get(i), all, true, null, i + 1,
-                    new SplittableRandom(i), now);
+            copies[i] =
+                    new Copies(CopiesPlan.usual(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
             act(i, copies[i].start(now));
         }
         settle();
@@ -62,7 +62,9 @@
     /** A change, or a read for null, at the first copy. */
     public ProposalResult submit(String body) {
         long ticket = ++tickets;
-        Order order = body == null ? null : Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
+        Order order = body == null
+                ? null
+                : Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
         act(0, copies[0].submit(now, ticket, order, now + PATIENCE));
         settle();
         for (int i = 0; i < 200 && !verdicts.containsKey(ticket); i++) {
--- a/src/test/java/larkbank/testkit/Ws.java
+++ b/src/test/java/larkbank/testkit/Ws.java
@@ -42,8 +42,10 @@
 
     public static String accept(String key) {
         try {
-            return Base64.getEncoder().encodeToString(MessageDigest.getInstance("SHA-1").digest(
-                    (key + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11").getBytes(StandardCharsets.US_ASCII)));
+            return Base64.getEncoder()
+                    .encodeToString(MessageDigest.getInstance("SHA-1")
+                            .digest((key + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11")
+                                    .getBytes(StandardCharsets.US_ASCII)));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
@@ -65,7 +67,7 @@
     public static Stub.Script echo() {
         return seen -> {
             Ws ws = agree(seen, "");
-            for (Frame f; (f = ws.read()) != null;) {
+            for (Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
                 } else if (f.opcode() != 10) {
@@ -168,7 +170,7 @@
     public Frame message() throws IOException {
         ByteArrayOutputStream whole = new ByteArrayOutputStream();
         int opcode = 0;
-        for (Frame f; (f = read()) != null;) {
+        for (Frame f; (f = read()) != null; ) {
             if (f.opcode() == 8) {
                 return f;
             }
--- a/src/test/java/larkbank/websocket/CensusTest.java
+++ b/src/test/java/larkbank/websocket/CensusTest.java
@@ -18,7 +18,7 @@
 /** Bounds on open connections, and who makes room. */
 class CensusTest {
 
-    private record One(int number, long dataAt, boolean inMessage) implements DrainOrder.Leaver { }
+    private record One(int number, long dataAt, boolean inMessage) implements DrainOrder.Leaver {}
 
     private static final List<Bound> TWO = List.of(new Bound("all", 3), new Bound("route", 2));
 
@@ -59,7 +59,9 @@
         Map<One, Census<One>.Place> open = new HashMap<>();
         int evictions = 0;
         for (int i = 0; i < 5_000; i++) {
-            List<Bound> bounds = List.of(new Bound("all", 40), new Bound("r" + random.nextInt(3), 20),
+            List<Bound> bounds = List.of(
+                    new Bound("all", 40),
+                    new Bound("r" + random.nextInt(3), 20),
                     new Bound("t" + random.nextInt(8), 9));
             if (random.nextInt(3) > 0) {
                 Census.Entry<One> entry = census.enter(bounds, i, random.nextInt(2) * 200);
@@ -83,8 +85,9 @@
                 open.values().remove(leaving);
             }
             for (Bound b : bounds) {
-                long count = in.values().stream().filter(l -> l.stream()
-                        .anyMatch(o -> o.name().equals(b.name()))).count();
+                long count = in.values().stream()
+                        .filter(l -> l.stream().anyMatch(o -> o.name().equals(b.name())))
+                        .count();
                 assertEquals(count, census.count(b.name()), "seed " + seed + ", round " + i);
                 assertTrue(count <= b.most(), "seed " + seed + ", round " + i);
             }
--- a/src/test/java/larkbank/websocket/DrainOrderTest.java
+++ b/src/test/java/larkbank/websocket/DrainOrderTest.java
@@ -135,8 +135,8 @@
                     assertEquals(null, closed.put(fake, now), title + ": twice");
                     boolean last = now - told.get(fake) >= drain;
                     early += last ? 0 : 1;
-                    assertTrue(!fake.inMessage || now - told.get(fake) >= drain
-                            + DrainOrder.LONGEST_MESSAGE_MICROS,
+                    assertTrue(
+                            !fake.inMessage || now - told.get(fake) >= drain + DrainOrder.LONGEST_MESSAGE_MICROS,
                             title + ": within a message");
                 }
                 assertTrue(early <= most, "seed " + seed + ": " + early + " at once, at most " + most);
--- a/src/test/java/larkbank/websocket/FrameReaderTest.java
+++ b/src/test/java/larkbank/websocket/FrameReaderTest.java
@@ -59,25 +59,30 @@
 
     private static int violation(boolean masked, byte[] frames) {
         Collected out = new Collected();
-        return assertThrows(Violation.class,
-                () -> reader(masked, false, out).read(Unpooled.wrappedBuffer(frames))).code();
+        return assertThrows(Violation.class, () -> reader(masked, false, out).read(Unpooled.wrappedBuffer(frames)))
+                .code();
     }
 
     /** The examples of section 5.7. */
     @ParameterizedTest
     @CsvSource({
-        "false, 810548656c6c6f, text:Hello", "true, 818537fa213d7f9f4d5158, text:Hello",
-        "false, 010348656c80026c6f, text:Hello", "false, 890548656c6c6f, 9:Hello",
-        "true, 8a8537fa213d7f9f4d5158, 10:Hello", "false, 8200, binary:", "false, 010080 00, text:",
-        "false, 0103e282ac8000, 'text:\u00e2\u0082\u00ac'", "false, 8800, 8:",
-        "false, 880203e8, '8:\u0003\u00e8'", "false, 01014189018b80 0142, ''",
+        "false, 810548656c6c6f, text:Hello",
+        "true, 818537fa213d7f9f4d5158, text:Hello",
+        "false, 010348656c80026c6f, text:Hello",
+        "false, 890548656c6c6f, 9:Hello",
+        "true, 8a8537fa213d7f9f4d5158, 10:Hello",
+        "false, 8200, binary:",
+        "false, 010080 00, text:",
+        "false, 0103e282ac8000, 'text:\u00e2\u0082\u00ac'",
+        "false, 8800, 8:",
+        "false, 880203e8, '8:\u0003\u00e8'",
+        "false, 01014189018b80 0142, ''",
     })
     void examples(boolean masked, String hex, String expected) throws Violation {
         Collected out = new Collected();
         if (expected.isEmpty()) {
             // A control frame within a fragmented message is handed on at once.
-            reader(masked, false, out).read(Unpooled.wrappedBuffer(bytes(hex.replace("018b80 ",
-                    "0178 80 "))));
+            reader(masked, false, out).read(Unpooled.wrappedBuffer(bytes(hex.replace("018b80 ", "0178 80 "))));
             assertEquals(List.of("9:x", "text:AB"), out.all);
             return;
         }
@@ -90,13 +95,47 @@
      * 5.5).
      */
     @ParameterizedTest
-    @ValueSource(strings = {"c10141", "a10141", "910141", "830141", "840141", "850141", "860141", "870141",
-            "8b00",
-        "8c00", "8d00", "8e00", "8f00", "0900", "0800", "897e0080", "88 7e 0080", "800141", "000141",
-        "010141 810142", "010141 020142", "817e0005", "817e007d", "817f000000000000ffff",
-        "817fffffffffffffffff", "818537fa213d7f9f4d5158", "8801ff", "880203e7", "880203ec", "880203ed",
+    @ValueSource(
+            strings = {
+                "c10141",
+                "a10141",
+                "910141",
+                "830141",
+                "840141",
+                "850141",
+                "860141",
+                "870141",
+                "8b00",
+                "8c00",
+                "8d00",
+                "8e00",
+                "8f00",
+                "0900",
+                "0800",
+                "897e0080",
+                "88 7e 0080",
+                "800141",
+                "000141",
+                "010141 810142",
+                "010141 020142",
+                "817e0005",
+                "817e007d",
+                "817f000000000000ffff",
+                "817fffffffffffffffff",
+                "818537fa213d7f9f4d5158",
+                "8801ff",
+                "880203e7",
+                "880203ec",
+                "880203ed",
                 "880203ee",
-        "880203f7", "88020bb7", "88021388", "8802ffff", "88020000", "c90141", "010141 c00142"})
+                "880203f7",
+                "88020bb7",
+                "88021388",
+                "8802ffff",
+                "88020000",
+                "c90141",
+                "010141 c00142"
+            })
     void protocolErrors(String hex) {
         assertEquals(Frames.PROTOCOL_ERROR, violation(false, bytes(hex)), hex);
     }
@@ -119,9 +158,19 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"880203e8", "880203e9", "880203ea", "880203eb", "880203ef", "880203f3",
-            "880203f6",
-        "88020bb8", "88021387", "880703e968656c6c6f"})
+    @ValueSource(
+            strings = {
+                "880203e8",
+                "880203e9",
+                "880203ea",
+                "880203eb",
+                "880203ef",
+                "880203f3",
+                "880203f6",
+                "88020bb8",
+                "88021387",
+                "880703e968656c6c6f"
+            })
     void goodCloses(String hex) throws Violation {
         Collected out = new Collected();
         FrameReader reader = reader(false, false, out);
@@ -133,24 +182,53 @@
 
     /** Overlong forms, surrogates, past the end, cut short; also where a piece ends within a character. */
     @ParameterizedTest
-    @ValueSource(strings = {"c0af", "e080af", "f08080af", "eda080", "edbfbf", "f4908080", "f5808080", "80",
-            "bf", "fe",
-        "ff", "e2 82", "cebae1bdb9cf83cebcceb5eda080656469746564", "f7bfbfbf", "c1bf", "e0 9f bf"})
+    @ValueSource(
+            strings = {
+                "c0af",
+                "e080af",
+                "f08080af",
+                "eda080",
+                "edbfbf",
+                "f4908080",
+                "f5808080",
+                "80",
+                "bf",
+                "fe",
+                "ff",
+                "e2 82",
+                "cebae1bdb9cf83cebcceb5eda080656469746564",
+                "f7bfbfbf",
+                "c1bf",
+                "e0 9f bf"
+            })
     void notUtf8(String hex) {
         byte[] text = bytes(hex);
         assertEquals(Frames.INVALID_PAYLOAD, violation(false, Ws.frame(false, 0x81, text)), hex);
         ByteArrayOutputStream pieces = new ByteArrayOutputStream();
         for (int i = 0; i < text.length; i++) {
-            pieces.writeBytes(Ws.frame(true, (i == text.length - 1 ? 0x80 : 0) | (i == 0 ? 1 : 0),
-                    new byte[] {text[i]}));
+            pieces.writeBytes(
+                    Ws.frame(true, (i == text.length - 1 ? 0x80 : 0) | (i == 0 ? 1 : 0), new byte[] {text[i]}));
         }
         assertEquals(Frames.INVALID_PAYLOAD, violation(true, pieces.toByteArray()), hex);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "41", "c280", "dfbf", "e0a080", "ed9fbf", "ee8080", "efbfbf", "f0908080",
-            "f48fbfbf",
-        "cebae1bdb9cf83cebcceb5", "00", "7f"})
+    @ValueSource(
+            strings = {
+                "",
+                "41",
+                "c280",
+                "dfbf",
+                "e0a080",
+                "ed9fbf",
+                "ee8080",
+                "efbfbf",
+                "f0908080",
+                "f48fbfbf",
+                "cebae1bdb9cf83cebcceb5",
+                "00",
+                "7f"
+            })
     void utf8(String hex) throws Violation {
         Collected out = new Collected();
         reader(false, false, out).read(Unpooled.wrappedBuffer(Ws.frame(false, 0x81, bytes(hex))));
@@ -169,22 +247,29 @@
         FrameReader reader = reader(false, true, out);
         reader.read(Unpooled.wrappedBuffer(bytes("c10141 4101ff 8001c3 8101 42".replace(" ", ""))));
         assertEquals(List.of("text*:A", "text*:\u00ff\u00c3", "text:B"), out.all);
-        assertEquals(Frames.PROTOCOL_ERROR, assertThrows(Violation.class,
-                () -> reader(false, true, out).read(Unpooled.wrappedBuffer(bytes("4101ffc00142")))).code());
+        assertEquals(
+                Frames.PROTOCOL_ERROR,
+                assertThrows(Violation.class, () -> reader(false, true, out)
+                                .read(Unpooled.wrappedBuffer(bytes("4101ffc00142"))))
+                        .code());
     }
 
     @Test
     void limitsHoldBeforeThePayloadHasCome() {
         Collected out = new Collected();
         FrameReader small = new FrameReader(false, false, 10, 15, out);
-        assertEquals(Frames.TOO_LARGE, assertThrows(Violation.class,
-                () -> small.read(Unpooled.wrappedBuffer(bytes("820b")))).code());
+        assertEquals(
+                Frames.TOO_LARGE,
+                assertThrows(Violation.class, () -> small.read(Unpooled.wrappedBuffer(bytes("820b"))))
+                        .code());
         FrameReader message = new FrameReader(false, false, 10, 15, out);
         ByteArrayOutputStream two = new ByteArrayOutputStream();
         two.writeBytes(Ws.frame(false, 0x02, new byte[8]));
         two.writeBytes(Ws.frame(false, 0x80, new byte[8]));
-        assertEquals(Frames.TOO_LARGE, assertThrows(Violation.class,
-                () -> message.read(Unpooled.wrappedBuffer(two.toByteArray()))).code());
+        assertEquals(
+                Frames.TOO_LARGE,
+                assertThrows(Violation.class, () -> message.read(Unpooled.wrappedBuffer(two.toByteArray())))
+                        .code());
     }
 
     /** Random frames, cut at random: what comes out is what went in, whatever the pieces. */
@@ -215,7 +300,7 @@
             Collected out = new Collected();
             FrameReader reader = reader(masked, false, out);
             byte[] all = sent.toByteArray();
-            for (int at = 0; at < all.length;) {
+            for (int at = 0; at < all.length; ) {
                 int cut = Math.min(all.length - at, 1 + random.nextInt(random.nextBoolean() ? 5 : 5_000));
                 reader.read(Unpooled.copiedBuffer(all, at, cut));
                 at += cut;
@@ -255,7 +340,11 @@
         byte[] payload = new byte[length];
         new SplittableRandom(length).nextBytes(payload);
         for (boolean masked : new boolean[] {true, false}) {
-            ByteBuf frame = Frames.frame(Frames.BINARY, true, false, Unpooled.copiedBuffer(payload),
+            ByteBuf frame = Frames.frame(
+                    Frames.BINARY,
+                    true,
+                    false,
+                    Unpooled.copiedBuffer(payload),
                     masked ? new byte[] {1, 2, 3, 4} : null);
             byte[] plain = ByteBufUtil.getBytes(frame);
             if (!masked) {
--- a/src/test/java/larkbank/websocket/MoveTest.java
+++ b/src/test/java/larkbank/websocket/MoveTest.java
@@ -38,10 +38,8 @@
                 walk.add(event);
                 State next = Move.next(state, event);
                 boolean agrees = event == Event.AGREED_BETWEEN || event == Event.AGREED_WITHIN;
-                agreed = next != State.NONE && next != State.ASKING
-                        && (agreed || state == State.ASKING && agrees);
-                assertEquals(next == State.WAITING || next == State.SWITCHING, agreed,
-                        "seed " + seed + ": " + walk);
+                agreed = next != State.NONE && next != State.ASKING && (agreed || state == State.ASKING && agrees);
+                assertEquals(next == State.WAITING || next == State.SWITCHING, agreed, "seed " + seed + ": " + walk);
                 if (event == Event.CALLED_OFF) {
                     assertEquals(State.NONE, next);
                 }
