--- a/src/main/java/larkbank/copies/Copies.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
@@ -1,43 +1,43 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.manifest.Item;
-import larkbank.manifest.Order;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
 
 /**
  * One harbour's part in keeping the manifest. Inputs are called from one thread with a clock that does not go
  * back; each returns what is to be done, in order.
  */
-public final class Copies {
+public final class ConsensusReplica {
 
     private static final int LEAST_VOTERS = 3;
     private static final long MOST_NUMBER = 1L << 50;
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Acceptor copy;
-    private final Peers peers;
-    private final Shelf shelf;
-    private final Assembly assembly = new Assembly();
-    private final Learning learning;
+    private final PeerTable peers;
+    private final SnapshotCache shelf;
+    private final ChunkAssembler assembly = new ChunkAssembler();
+    private final Learner learning;
     private final Proposer proposer;
-    private final Decided decided;
-    private final CrewWish wish;
-    private final Contact contact;
+    private final CommittedState decided;
+    private final VoterChangePlanner wish;
+    private final QuorumContact contact;
     private long toldAt;
     private long askedAt;
     private boolean leaving;
 
     /** As many voters as there are seeds, three at least. */
-    public Copies(
-            CopiesPlan plan,
+    public ConsensusReplica(
+            ConsensusOptions plan,
             String address,
             List<String> seeds,
             boolean initialStart,
-            Standing loadedOrNull,
+            PersistentState loadedOrNull,
             long life,
             SplittableRandom random,
             long now) {
@@ -45,25 +45,25 @@
     }
 
     /** @param voters how many members a crew should have */
-    public Copies(
-            CopiesPlan plan,
+    public ConsensusReplica(
+            ConsensusOptions plan,
             String address,
             List<String> seeds,
             int voters,
             boolean initialStart,
-            Standing loadedOrNull,
+            PersistentState loadedOrNull,
             long life,
             SplittableRandom random,
             long now) {
         long disk = loadedOrNull != null ? loadedOrNull.disk() : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER);
-        desk = new Desk(plan, address, disk, life, random, now);
+        desk = new ReplicaContext(plan, address, disk, life, random, now);
         copy = new Acceptor(desk, loadedOrNull);
-        peers = new Peers(desk);
-        contact = new Contact(desk);
-        shelf = new Shelf(desk);
-        wish = new CrewWish(desk, new CrewWatch(desk, peers), voters);
-        learning = new Learning(desk, copy, seeds, initialStart);
-        decided = new Decided(desk, copy, peers);
+        peers = new PeerTable(desk);
+        contact = new QuorumContact(desk);
+        shelf = new SnapshotCache(desk);
+        wish = new VoterChangePlanner(desk, new VoterMonitor(desk, peers), voters);
+        learning = new Learner(desk, copy, seeds, initialStart);
+        decided = new CommittedState(desk, copy, peers);
         proposer = new Proposer(desk, copy, decided, wish);
         toldAt = now - plan.tellEvery();
         askedAt = now - plan.askEvery();
@@ -86,7 +86,7 @@
                 receive(from, kind, message);
                 if (peers.isBack(from) && !Boolean.TRUE.equals(message.get("probe"))) {
                     // After a silence each tells the other at once that it is heard.
-                    say(Member.address(from), false);
+                    say(ReplicaKey.address(from), false);
                 }
                 peers.heard(from);
                 release();
@@ -108,7 +108,7 @@
         return desk.take();
     }
 
-    public List<Effect> submit(long now, long ticket, Order order, long deadline) {
+    public List<Effect> submit(long now, long ticket, ConfigurationChange order, long deadline) {
         desk.now = now;
         take(new Proposal(ticket, order, deadline));
         return desk.take();
@@ -182,7 +182,9 @@
         holders.removeIf(m -> peers.word(m) == null
                 || peers.word(m).blank()
                 || copy.accepted().above(peers.word(m).accepted()));
-        return State.most(others, holders) && holders.containsAll(peers.near(others)) && !wish.waiting(crew());
+        return ReplicatedState.most(others, holders)
+                && holders.containsAll(peers.near(others))
+                && !wish.waiting(crew());
     }
 
     /** To be called every 50 ms or so. */
@@ -202,8 +204,9 @@
             if (!member() && !leaving && now - askedAt >= desk.plan.askEvery()) {
                 askedAt = now;
                 Set<String> targets = learning.targets(peers.live());
-                crew().forEach(m -> targets.add(Member.address(m)));
-                targets.forEach(t -> desk.send(t, Words.of(Words.ADMIT, "accepted", copy.accepted())));
+                crew().forEach(m -> targets.add(ReplicaKey.address(m)));
+                targets.forEach(
+                        t -> desk.send(t, ConsensusMessages.of(ConsensusMessages.ADMIT, "accepted", copy.accepted())));
             }
         }
         decided.tick();
@@ -212,15 +215,15 @@
         return desk.take();
     }
 
-    /** The last state that was shown; before the first one, an empty manifest under {@link Ballot#ZERO}. */
-    public State shown() {
+    /** The last state that was shown; before the first one, an empty manifest under {@link ProposalNumber#ZERO}. */
+    public ReplicatedState shown() {
         return decided.shown();
     }
 
     /** How long ago what is shown was known to be the newest; below 0 where it never was. */
     public long confirmedAge(long now) {
         long at = contact.confirmedAt();
-        return at == Contact.NEVER ? -1 : Math.max(0, now - at);
+        return at == QuorumContact.NEVER ? -1 : Math.max(0, now - at);
     }
 
     /** Whether this harbour has heard most of the crew answer it not long ago. */
@@ -255,7 +258,7 @@
         if (!copy.knowing()) {
             return learning.seeds();
         }
-        State shown = decided.shown();
+        ReplicatedState shown = decided.shown();
         return shown.stamp().above(copy.accepted())
                 ? shown.crew()
                 : copy.state().crew();
@@ -269,9 +272,9 @@
         Set<String> to = learning.targets(peers.live());
         if (copy.knowing()) {
             Set<String> live = new HashSet<>();
-            peers.live().forEach(m -> live.add(Member.address(m)));
+            peers.live().forEach(m -> live.add(ReplicaKey.address(m)));
             to.retainAll(live);
-            crew().forEach(m -> to.add(Member.address(m)));
+            crew().forEach(m -> to.add(ReplicaKey.address(m)));
         }
         return to;
     }
@@ -280,7 +283,7 @@
         to.forEach(t -> {
             say(t, false);
             if (leaving) {
-                desk.send(t, Words.of(Words.LEAVE, "life", desk.life));
+                desk.send(t, ConsensusMessages.of(ConsensusMessages.LEAVE, "life", desk.life));
             }
         });
     }
@@ -292,8 +295,8 @@
         }
         desk.send(
                 to,
-                Words.of(
-                        Words.TELL,
+                ConsensusMessages.of(
+                        ConsensusMessages.TELL,
                         "life",
                         desk.life,
                         "accepted",
@@ -318,84 +321,85 @@
 
     private void receive(String from, String kind, Map<String, Object> message) {
         switch (kind) {
-            case Words.PREPARE -> {
+            case ConsensusMessages.PREPARE -> {
                 if (forThisDisk(message)) {
-                    prepare(from, Words.stamp(message, "b"));
+                    prepare(from, ConsensusMessages.stamp(message, "b"));
                 }
             }
-            case Words.ACCEPT -> {
+            case ConsensusMessages.ACCEPT -> {
                 if (forThisDisk(message)) {
-                    accept(from, Words.stamp(message, "b"), message);
+                    accept(from, ConsensusMessages.stamp(message, "b"), message);
                 }
             }
-            case Words.PROMISE -> {
+            case ConsensusMessages.PROMISE -> {
                 holds(from, message);
                 proposer.promised(
                         from,
-                        Words.stamp(message, "b"),
-                        Words.stamp(message, "accepted"),
-                        Words.crew(message),
-                        Words.flag(message, "hearsay"));
+                        ConsensusMessages.stamp(message, "b"),
+                        ConsensusMessages.stamp(message, "accepted"),
+                        ConsensusMessages.crew(message),
+                        ConsensusMessages.flag(message, "hearsay"));
             }
-            case Words.NACK -> proposer.nack(from, Words.stamp(message, "b"), Words.stamp(message, "promised"));
-            case Words.ACCEPTED -> proposer.accepted(from, Words.stamp(message, "b"));
-            case Words.MISMATCH -> {
+            case ConsensusMessages.NACK -> proposer.nack(
+                    from, ConsensusMessages.stamp(message, "b"), ConsensusMessages.stamp(message, "promised"));
+            case ConsensusMessages.ACCEPTED -> proposer.accepted(from, ConsensusMessages.stamp(message, "b"));
+            case ConsensusMessages.MISMATCH -> {
                 holds(from, message);
-                proposer.mismatch(from, Words.stamp(message, "b"));
+                proposer.mismatch(from, ConsensusMessages.stamp(message, "b"));
             }
-            case Words.DECIDED -> decided.known(Words.stamp(message, "b"));
-            case Words.TELL -> {
-                Peers.Word word = new Peers.Word(
-                        Words.number(message, "life"),
-                        Words.stamp(message, "accepted"),
-                        Words.stamp(message, "decided"),
-                        Words.crew(message),
-                        Words.flag(message, "forgetful"),
-                        Words.flag(message, "hearsay"));
-                long number = Words.number(message, "number");
-                long echoLife = Words.number(message, "echoLife");
-                long echo = Words.number(message, "echo");
+            case ConsensusMessages.DECIDED -> decided.known(ConsensusMessages.stamp(message, "b"));
+            case ConsensusMessages.TELL -> {
+                PeerTable.Word word = new PeerTable.Word(
+                        ConsensusMessages.number(message, "life"),
+                        ConsensusMessages.stamp(message, "accepted"),
+                        ConsensusMessages.stamp(message, "decided"),
+                        ConsensusMessages.crew(message),
+                        ConsensusMessages.flag(message, "forgetful"),
+                        ConsensusMessages.flag(message, "hearsay"));
+                long number = ConsensusMessages.number(message, "number");
+                long echoLife = ConsensusMessages.number(message, "echoLife");
+                long echo = ConsensusMessages.number(message, "echo");
                 desk.seen(word.accepted());
                 if (peers.take(from, word)) {
                     contact.told(from, word, number, echoLife, echo);
                     decided.told(word, member());
                 }
-                if (Words.flag(message, "probe")) {
-                    say(Member.address(from), false);
+                if (ConsensusMessages.flag(message, "probe")) {
+                    say(ReplicaKey.address(from), false);
                 }
             }
-            case Words.LEAVE -> {
-                peers.leaves(from, Words.number(message, "life"));
+            case ConsensusMessages.LEAVE -> {
+                peers.leaves(from, ConsensusMessages.number(message, "life"));
                 wish.withdraws(from);
                 // It waits to hear what stands here.
-                say(Member.address(from), false);
+                say(ReplicaKey.address(from), false);
             }
-            case Words.TEACH -> teach(from, Words.number(message, "life"));
-            case Words.TOLD -> learning.told(
+            case ConsensusMessages.TEACH -> teach(from, ConsensusMessages.number(message, "life"));
+            case ConsensusMessages.TOLD -> learning.told(
                     from,
-                    Words.number(message, "life"),
-                    new Learning.Told(
-                            Words.stamp(message, "accepted"), Words.stamp(message, "decided"),
-                            Words.crew(message), Words.flag(message, "forgetful")));
-            case Words.FETCH -> {
+                    ConsensusMessages.number(message, "life"),
+                    new Learner.Told(
+                            ConsensusMessages.stamp(message, "accepted"), ConsensusMessages.stamp(message, "decided"),
+                            ConsensusMessages.crew(message), ConsensusMessages.flag(message, "forgetful")));
+            case ConsensusMessages.FETCH -> {
                 keepAll();
-                shelf.asked(from, Words.stamp(message, "b"), message);
+                shelf.asked(from, ConsensusMessages.stamp(message, "b"), message);
             }
-            case Words.PIECE -> {
-                Ballot stamp = Words.stamp(message, "b");
+            case ConsensusMessages.PIECE -> {
+                ProposalNumber stamp = ConsensusMessages.stamp(message, "b");
                 learning.piece(stamp, message);
                 decided.piece(stamp, message);
                 proposer.piece(stamp, message);
             }
-            case Words.GONE -> {
-                Ballot stamp = Words.stamp(message, "b");
+            case ConsensusMessages.GONE -> {
+                ProposalNumber stamp = ConsensusMessages.stamp(message, "b");
                 learning.gone(from, stamp);
                 decided.gone(from, stamp);
                 proposer.gone(from, stamp);
             }
-            case Words.ADMIT -> {
+            case ConsensusMessages.ADMIT -> {
                 if (member() && !crew().contains(from)) {
-                    wish.asks(from, Words.stamp(message, "accepted"));
+                    wish.asks(from, ConsensusMessages.stamp(message, "accepted"));
                     proposer.tick(true);
                 }
             }
@@ -415,7 +419,7 @@
         }
     }
 
-    private void prepare(String from, Ballot stamp) {
+    private void prepare(String from, ProposalNumber stamp) {
         if (copy.knowing() && !copy.sick()) {
             copy.promise(
                     stamp,
@@ -423,8 +427,8 @@
                         shelf.keep(copy.state());
                         desk.send(
                                 from,
-                                Words.of(
-                                        Words.PROMISE,
+                                ConsensusMessages.of(
+                                        ConsensusMessages.PROMISE,
                                         "b",
                                         stamp,
                                         "accepted",
@@ -441,10 +445,10 @@
         }
     }
 
-    private void accept(String from, Ballot stamp, Map<String, Object> message) {
-        Ballot base = Words.stamp(message, "base");
-        boolean whole = Words.flag(message, "whole");
-        List<String> crew = Words.someCrew(message);
+    private void accept(String from, ProposalNumber stamp, Map<String, Object> message) {
+        ProposalNumber base = ConsensusMessages.stamp(message, "base");
+        boolean whole = ConsensusMessages.flag(message, "whole");
+        List<String> crew = ConsensusMessages.someCrew(message);
         if (!copy.knowing()) {
             return;
         }
@@ -452,18 +456,20 @@
                 from,
                 stamp,
                 whole ? null : base,
-                Words.number(message, "part"),
-                Words.number(message, "parts"),
-                Words.items(message));
+                ConsensusMessages.number(message, "part"),
+                ConsensusMessages.number(message, "parts"),
+                ConsensusMessages.items(message));
         if (items != null && !copy.sick()) {
-            State shown = decided.shown();
+            ReplicatedState shown = decided.shown();
             // What was learnt as decided but not accepted, since a promise was in the way, is a base as well.
-            boolean learnt =
-                    !whole && base.equals(shown.stamp()) && !base.equals(copy.accepted()) && !base.equals(Ballot.ZERO);
-            State before = learnt ? shown : copy.state();
+            boolean learnt = !whole
+                    && base.equals(shown.stamp())
+                    && !base.equals(copy.accepted())
+                    && !base.equals(ProposalNumber.ZERO);
+            ReplicatedState before = learnt ? shown : copy.state();
             if (!whole
                     && base.equals(before.stamp())
-                    && before.manifest().with(items).sum() != Words.number(message, "sum")) {
+                    && before.manifest().with(items).sum() != ConsensusMessages.number(message, "sum")) {
                 mismatch(from, stamp);
                 return;
             }
@@ -473,7 +479,7 @@
                     whole || learnt,
                     crew,
                     learnt ? shown.manifest().with(items).items() : items,
-                    () -> desk.send(from, Words.of(Words.ACCEPTED, "b", stamp)),
+                    () -> desk.send(from, ConsensusMessages.of(ConsensusMessages.ACCEPTED, "b", stamp)),
                     higher -> nack(from, stamp, higher),
                     () -> mismatch(from, stamp),
                     () -> {});
@@ -481,14 +487,14 @@
     }
 
     private void holds(String from, Map<String, Object> message) {
-        desk.holds(from, Words.stamp(message, "accepted"), Words.stamp(message, "shown"));
+        desk.holds(from, ConsensusMessages.stamp(message, "accepted"), ConsensusMessages.stamp(message, "shown"));
     }
 
-    private void mismatch(String to, Ballot stamp) {
+    private void mismatch(String to, ProposalNumber stamp) {
         desk.send(
                 to,
-                Words.of(
-                        Words.MISMATCH,
+                ConsensusMessages.of(
+                        ConsensusMessages.MISMATCH,
                         "b",
                         stamp,
                         "accepted",
@@ -497,8 +503,8 @@
                         decided.shown().stamp()));
     }
 
-    private void nack(String to, Ballot stamp, Ballot promised) {
-        desk.send(to, Words.of(Words.NACK, "b", stamp, "promised", promised));
+    private void nack(String to, ProposalNumber stamp, ProposalNumber promised) {
+        desk.send(to, ConsensusMessages.of(ConsensusMessages.NACK, "b", stamp, "promised", promised));
     }
 
     private void teach(String from, long life) {
@@ -507,8 +513,8 @@
         }
         desk.send(
                 from,
-                Words.of(
-                        Words.TOLD,
+                ConsensusMessages.of(
+                        ConsensusMessages.TOLD,
                         "life",
                         life,
                         "accepted",
--- a/src/main/java/larkbank/copies/Learning.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Learner.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -7,30 +7,30 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
  * How a harbour with an empty disk comes to know what stands. Its disk is no member of any crew, whatever
  * stood at its address before: it takes a decided state, once most of that state's crew have spoken, and may
  * then ask to be let in. Only a system that starts for the first time begins with nothing.
  */
-final class Learning {
+final class Learner {
 
     /** An answer: what a harbour's copy says. */
-    record Told(Ballot accepted, Ballot decided, List<String> crew, boolean blank) {}
+    record Told(ProposalNumber accepted, ProposalNumber decided, List<String> crew, boolean blank) {}
 
     private static final long ASKS_BEFORE = 4;
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Acceptor copy;
     private final List<String> seeds;
     private final boolean initial;
     private final Map<String, Told> told = new HashMap<>();
     private long askedAt;
     private final long begun;
-    private Fetch fetch;
+    private StateTransfer fetch;
 
-    Learning(Desk desk, Acceptor copy, List<String> seeds, boolean initial) {
+    Learner(ReplicaContext desk, Acceptor copy, List<String> seeds, boolean initial) {
         this.desk = desk;
         this.copy = copy;
         this.seeds = seeds.stream().distinct().sorted().toList();
@@ -48,7 +48,7 @@
             return "this harbour still asks who holds something";
         }
         Set<String> holders = new TreeSet<>();
-        knowing().forEach(m -> holders.add(Member.address(m)));
+        knowing().forEach(m -> holders.add(ReplicaKey.address(m)));
         holders.removeAll(abandoned);
         return holders.isEmpty() ? null : "held by " + String.join(", ", holders);
     }
@@ -58,7 +58,9 @@
      * stood before can't be taken to know better.
      */
     void beginAlone(long round) {
-        copy.begin(new State(new Ballot(round, desk.own), List.of(desk.own), Manifest.EMPTY), told::clear);
+        copy.begin(
+                new ReplicatedState(new ProposalNumber(round, desk.own), List.of(desk.own), Configuration.EMPTY),
+                told::clear);
     }
 
     boolean initial() {
@@ -72,24 +74,24 @@
     /** Addresses of harbours that may know something. */
     Set<String> targets(Collection<String> heard) {
         Set<String> targets = new TreeSet<>(seeds);
-        told.values().forEach(t -> t.crew.forEach(m -> targets.add(Member.address(m))));
-        heard.forEach(m -> targets.add(Member.address(m)));
+        told.values().forEach(t -> t.crew.forEach(m -> targets.add(ReplicaKey.address(m))));
+        heard.forEach(m -> targets.add(ReplicaKey.address(m)));
         targets.remove(desk.address);
         return targets;
     }
 
-    void tick(Peers peers) {
+    void tick(PeerTable peers) {
         if (copy.knowing()) {
             return;
         }
         if (desk.now - askedAt >= desk.plan.askEvery()) {
             askedAt = desk.now;
             if (initial) {
-                copy.begin(new State(Ballot.ZERO, seeds, Manifest.EMPTY), () -> {});
+                copy.begin(new ReplicatedState(ProposalNumber.ZERO, seeds, Configuration.EMPTY), () -> {});
                 return;
             }
             for (String target : targets(peers.live())) {
-                desk.send(target, Words.of(Words.TEACH, "life", desk.life));
+                desk.send(target, ConsensusMessages.of(ConsensusMessages.TEACH, "life", desk.life));
             }
             weigh();
         }
@@ -115,19 +117,19 @@
         }
         Set<String> knowing = knowing();
         Told top = null;
-        Ballot decided = Ballot.ZERO;
+        ProposalNumber decided = ProposalNumber.ZERO;
         for (String each : knowing) {
             Told word = told.get(each);
             top = top == null || word.accepted.above(top.accepted) ? word : top;
-            decided = Ballot.higher(decided, word.decided);
+            decided = ProposalNumber.higher(decided, word.decided);
         }
-        if (top == null || !State.most(top.crew, knowing)) {
+        if (top == null || !ReplicatedState.most(top.crew, knowing)) {
             return;
         }
-        if (top.accepted.equals(Ballot.ZERO)) {
-            learnt(new State(Ballot.ZERO, top.crew, Manifest.EMPTY));
-        } else if (decided.above(Ballot.ZERO)) {
-            fetch = new Fetch(desk, decided, having(decided));
+        if (top.accepted.equals(ProposalNumber.ZERO)) {
+            learnt(new ReplicatedState(ProposalNumber.ZERO, top.crew, Configuration.EMPTY));
+        } else if (decided.above(ProposalNumber.ZERO)) {
+            fetch = new StateTransfer(desk, decided, having(decided));
         }
     }
 
@@ -137,31 +139,31 @@
         return knowing;
     }
 
-    private Set<String> having(Ballot stamp) {
+    private Set<String> having(ProposalNumber stamp) {
         Set<String> having = knowing();
         having.removeIf(who ->
                 !told.get(who).decided.equals(stamp) && !told.get(who).accepted.equals(stamp));
         return having;
     }
 
-    void piece(Ballot of, Map<?, ?> message) {
+    void piece(ProposalNumber of, Map<?, ?> message) {
         if (fetch != null && fetch.stamp().equals(of)) {
-            State whole = fetch.piece(message);
+            ReplicatedState whole = fetch.piece(message);
             if (whole != null) {
                 learnt(whole);
             }
         }
     }
 
-    void gone(String from, Ballot of) {
+    void gone(String from, ProposalNumber of) {
         if (fetch != null && fetch.stamp().equals(of)) {
             fetch.gone(from);
         }
     }
 
-    private void learnt(State state) {
+    private void learnt(ReplicatedState state) {
         fetch = null;
-        if (State.most(state.crew(), knowing())) {
+        if (ReplicatedState.most(state.crew(), knowing())) {
             copy.begin(state, told::clear);
         }
     }
--- a/src/main/java/larkbank/copies/Peers.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PeerTable.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -8,12 +8,18 @@
 import java.util.Set;
 
 /** What other harbours told of themselves last, and when each was heard. */
-final class Peers {
+final class PeerTable {
 
     /** What a harbour tells of its copy. */
-    record Word(long life, Ballot accepted, Ballot decided, List<String> crew, boolean blank, boolean hearsay) {}
-
-    private final Desk desk;
+    record Word(
+            long life,
+            ProposalNumber accepted,
+            ProposalNumber decided,
+            List<String> crew,
+            boolean blank,
+            boolean hearsay) {}
+
+    private final ReplicaContext desk;
     private final Map<String, Long> heard = new HashMap<>();
     private final Map<String, Long> met = new HashMap<>();
     private final Map<String, Word> words = new HashMap<>();
@@ -21,7 +27,7 @@
     /** Who leaves, with the life that it said so in. */
     private final Map<String, Long> leaving = new HashMap<>();
 
-    Peers(Desk desk) {
+    PeerTable(ReplicaContext desk) {
         this.desk = desk;
     }
 
@@ -69,7 +75,7 @@
         return heard.entrySet().stream()
                 .anyMatch(e -> e.getValue() > last
                         && !e.getKey().equals(member)
-                        && Member.address(e.getKey()).equals(Member.address(member)));
+                        && ReplicaKey.address(e.getKey()).equals(ReplicaKey.address(member)));
     }
 
     /** A harbour tells that it leaves, in that life. */
@@ -100,7 +106,7 @@
     }
 
     /** Who said that it accepted that stamp. */
-    Set<String> holders(Ballot stamp) {
+    Set<String> holders(ProposalNumber stamp) {
         Set<String> holders = new HashSet<>();
         words.forEach((who, word) -> {
             if (!word.blank && word.accepted.equals(stamp)) {
@@ -111,14 +117,14 @@
     }
 
     /** Those of them that voted for it. */
-    Set<String> voters(Ballot stamp) {
+    Set<String> voters(ProposalNumber stamp) {
         Set<String> voters = holders(stamp);
         voters.removeIf(who -> words.get(who).hearsay);
         return voters;
     }
 
     /** Who may have a decided state at hand: those who know it decided. */
-    Set<String> knowers(Ballot stamp) {
+    Set<String> knowers(ProposalNumber stamp) {
         Set<String> knowers = new HashSet<>(holders(stamp));
         words.forEach((who, word) -> {
             if (word.decided.equals(stamp)) {
--- a/src/main/java/larkbank/copies/Promises.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PrepareQuorum.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,15 +7,15 @@
 import java.util.Set;
 
 /** Who has promised in a round, and what each had accepted before. */
-final class Promises {
+final class PrepareQuorum {
 
-    private record Promise(Ballot accepted, List<String> crew, boolean hearsay) {}
+    private record Promise(ProposalNumber accepted, List<String> crew, boolean hearsay) {}
 
     private final Map<String, Promise> all = new HashMap<>();
     private Promise highest;
 
     /** Takes a promise; of the same harbour the first counts. */
-    void add(String from, Ballot accepted, List<String> crew, boolean hearsay) {
+    void add(String from, ProposalNumber accepted, List<String> crew, boolean hearsay) {
         Promise promise = new Promise(accepted, crew, hearsay);
         if (all.putIfAbsent(from, promise) == null && (highest == null || accepted.above(highest.accepted))) {
             highest = promise;
@@ -27,7 +27,7 @@
     }
 
     /** The highest state that one of them had accepted. */
-    Ballot top() {
+    ProposalNumber top() {
         return highest.accepted;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Who has that state. */
-    Set<String> having(Ballot accepted) {
+    Set<String> having(ProposalNumber accepted) {
         Set<String> having = new HashSet<>();
         all.forEach((who, promise) -> {
             if (promise.accepted.equals(accepted)) {
@@ -52,14 +52,14 @@
     }
 
     /** Who has voted for that state, and not only learnt it. */
-    Set<String> voted(Ballot accepted) {
+    Set<String> voted(ProposalNumber accepted) {
         Set<String> voted = having(accepted);
         voted.removeIf(who -> all.get(who).hearsay);
         return voted;
     }
 
     /** Whether that harbour has that state, as far as is known. */
-    boolean mayHave(String harbour, Ballot accepted) {
+    boolean mayHave(String harbour, ProposalNumber accepted) {
         Promise promise = all.get(harbour);
         return promise == null || promise.accepted.equals(accepted);
     }
--- a/src/main/java/larkbank/copies/Batch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
@@ -1,32 +1,32 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Kind;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Refusal;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.Rejection;
+import org.cypressweir.controlplane.configuration.RejectionKind;
 
 /** Tickets applied to a base one after the other. Each has its own verdict, and a refused one no effect. */
-final class Batch {
+final class ProposalBatch {
 
     private final List<Proposal> tickets;
-    private final Map<Proposal, Refusal> refused = new LinkedHashMap<>();
-    private final Map<Key, Item> changed = new LinkedHashMap<>();
-    private Manifest result;
+    private final Map<Proposal, Rejection> refused = new LinkedHashMap<>();
+    private final Map<ItemKey, Item> changed = new LinkedHashMap<>();
+    private Configuration result;
 
-    Batch(List<Proposal> tickets, Manifest base) {
+    ProposalBatch(List<Proposal> tickets, Configuration base) {
         this.tickets = new ArrayList<>(tickets);
         result = base;
         for (Proposal ticket : tickets) {
             if (ticket.order() == null) {
                 continue;
             }
-            Either<Refusal, List<Item>> outcome = ticket.order().against(result);
+            Either<Rejection, List<Item>> outcome = ticket.order().against(result);
             if (outcome.isLeft()) {
                 refused.put(ticket, outcome.getLeft());
             } else {
@@ -36,7 +36,7 @@
         }
     }
 
-    Manifest result() {
+    Configuration result() {
         return result;
     }
 
@@ -50,16 +50,16 @@
     }
 
     /** Answers all tickets, once the result is decided under that stamp. */
-    void answer(Desk desk, Ballot stamp) {
+    void answer(ReplicaContext desk, ProposalNumber stamp) {
         for (Proposal ticket : tickets) {
-            Refusal refusal = refused.get(ticket);
+            Rejection refusal = refused.get(ticket);
             desk.answer(
                     ticket.number(),
                     ticket.order() == null
                             ? new ProposalResult.Read(result)
                             : refusal == null
                                     ? new ProposalResult.Taken(stamp)
-                                    : refusal.kind() == Kind.FORGOTTEN
+                                    : refusal.kind() == RejectionKind.FORGOTTEN
                                             ? new ProposalResult.Unavailable(refusal.reason())
                                             : new ProposalResult.Refused(refusal));
         }
--- a/src/main/java/larkbank/copies/Round.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
 
 /**
  * One ballot: promises are asked for, tickets applied to the highest accepted state found, and the result is
@@ -14,11 +14,11 @@
  *
  * <p>This harbour promises and accepts itself, durably, before it asks any other to.
  */
-final class Round {
+final class ProposalRound {
 
     /** How a round ends: decided with a state, or not; then when another may begin. */
     interface End {
-        void decided(State state);
+        void decided(ReplicatedState state);
 
         void failed(List<Proposal> tickets, boolean again, String reason);
     }
@@ -37,18 +37,18 @@
         OVER
     }
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Acceptor copy;
-    private final CrewWish wish;
-    private final Ballot stamp;
+    private final VoterChangePlanner wish;
+    private final ProposalNumber stamp;
     private final End end;
-    private final State shown;
+    private final ReplicatedState shown;
     private List<Proposal> tickets;
     private Phase phase = Phase.SELF_PROMISE;
     private long until;
     private long sentAt;
     private final Set<String> asked = new HashSet<>();
-    private final Promises promises = new Promises();
+    private final PrepareQuorum promises = new PrepareQuorum();
     private final Set<String> nacks = new HashSet<>();
     private final Set<String> acks = new HashSet<>();
     /** Who has said that it has another base, and who has said so again. */
@@ -56,19 +56,25 @@
 
     private final Set<String> needWhole = new HashSet<>();
     private final Map<String, Long> wholeSentAt = new HashMap<>();
-    private Fetch fetch;
-    private State base;
-    private State next;
-    private Batch batch;
-
-    Round(Desk desk, Acceptor copy, State shown, CrewWish wish, List<Proposal> tickets, End end) {
+    private StateTransfer fetch;
+    private ReplicatedState base;
+    private ReplicatedState next;
+    private ProposalBatch batch;
+
+    ProposalRound(
+            ReplicaContext desk,
+            Acceptor copy,
+            ReplicatedState shown,
+            VoterChangePlanner wish,
+            List<Proposal> tickets,
+            End end) {
         this.desk = desk;
         this.copy = copy;
         this.shown = shown;
         this.wish = wish;
         this.tickets = tickets;
         this.end = end;
-        stamp = new Ballot(desk.highestRound + 1, desk.own);
+        stamp = new ProposalNumber(desk.highestRound + 1, desk.own);
         until = desk.now + desk.plan.roundMost();
     }
 
@@ -111,10 +117,10 @@
 
     /** For that disk alone: another one at its address has not promised what this one has. */
     private void prepare(String member) {
-        desk.send(member, Words.of(Words.PREPARE, "to", member, "b", stamp));
+        desk.send(member, ConsensusMessages.of(ConsensusMessages.PREPARE, "to", member, "b", stamp));
     }
 
-    void promised(String from, Ballot of, Ballot accepted, List<String> crew, boolean hearsay) {
+    void promised(String from, ProposalNumber of, ProposalNumber accepted, List<String> crew, boolean hearsay) {
         if (!of.equals(stamp) || phase == Phase.OVER || !asked.contains(from)) {
             return;
         }
@@ -125,11 +131,11 @@
     }
 
     private void weigh() {
-        Ballot top = promises.top();
+        ProposalNumber top = promises.top();
         List<String> crew = promises.crew();
         // One that was let in may have its promise in the way of the state that says so: others tell.
         ask(crew);
-        if (!State.most(crew, promises.from())) {
+        if (!ReplicatedState.most(crew, promises.from())) {
             return;
         }
         if (!crew.contains(desk.own)) {
@@ -143,42 +149,42 @@
         } else {
             phase = Phase.FETCH;
             until = desk.now + 2 * desk.plan.roundMost();
-            fetch = new Fetch(desk, top, promises.having(top), shown, copy.state());
+            fetch = new StateTransfer(desk, top, promises.having(top), shown, copy.state());
         }
     }
 
     /** Takes a piece of the base. */
-    void piece(Ballot of, Map<?, ?> message) {
+    void piece(ProposalNumber of, Map<?, ?> message) {
         if (phase == Phase.FETCH && fetch.stamp().equals(of)) {
             until = Math.max(until, desk.now + desk.plan.roundMost());
-            State whole = fetch.piece(message);
+            ReplicatedState whole = fetch.piece(message);
             if (whole != null) {
                 apply(whole);
             }
         }
     }
 
-    void gone(String from, Ballot of) {
+    void gone(String from, ProposalNumber of) {
         if (phase == Phase.FETCH && fetch.stamp().equals(of)) {
             fetch.gone(from);
         }
     }
 
-    private void apply(State found) {
+    private void apply(ReplicatedState found) {
         // After a stop of this process a promise may come before the clock does: their callers are elsewhere.
         endLate();
         base = found;
         base.manifest().sum(); // Known here, it is kept up with what changes.
-        batch = new Batch(tickets, base.manifest());
+        batch = new ProposalBatch(tickets, base.manifest());
         // A crew may change only where the one before it is known to be agreed, or two crews could part.
-        boolean settled = State.most(base.crew(), promises.voted(base.stamp()));
+        boolean settled = ReplicatedState.most(base.crew(), promises.voted(base.stamp()));
         List<String> crew = settled ? wish.of(base.crew()) : base.crew();
         List<Item> changed = batch.changed();
         if (settled && changed.isEmpty() && crew.equals(base.crew())) {
             decided(base);
             return;
         }
-        next = new State(stamp, crew, batch.result());
+        next = new ReplicatedState(stamp, crew, batch.result());
         phase = Phase.SELF_ACCEPT;
         boolean whole = !copy.accepted().equals(base.stamp());
         copy.accept(
@@ -225,7 +231,7 @@
 
     /** Who has another state than the base gets what changed since a state that it holds, or the whole. */
     private void offer(String to) {
-        History.Difference difference = new History.Difference(base.stamp(), batch.changed());
+        ChangeHistory.Difference difference = new ChangeHistory.Difference(base.stamp(), batch.changed());
         if (needWhole.contains(to)) {
             difference = null;
         } else if (otherBase.contains(to) || !promises.mayHave(to, base.stamp())) {
@@ -238,19 +244,21 @@
             wholeSentAt.put(to, desk.now);
             until = Math.max(
                     until,
-                    desk.now + desk.plan.roundMost() + WHOLE_PIECE * Shelf.parts(all.size(), desk.plan.pieceItems()));
+                    desk.now
+                            + desk.plan.roundMost()
+                            + WHOLE_PIECE * SnapshotCache.parts(all.size(), desk.plan.pieceItems()));
             send(to, base.stamp(), true, all);
         }
     }
 
-    private void send(String to, Ballot from, boolean whole, List<Item> items) {
+    private void send(String to, ProposalNumber from, boolean whole, List<Item> items) {
         int size = desk.plan.pieceItems();
-        int parts = Shelf.parts(items.size(), size);
+        int parts = SnapshotCache.parts(items.size(), size);
         for (int part = 0; part < parts; part++) {
             desk.send(
                     to,
-                    Words.of(
-                            Words.ACCEPT,
+                    ConsensusMessages.of(
+                            ConsensusMessages.ACCEPT,
                             "to",
                             to,
                             "b",
@@ -268,11 +276,11 @@
                             "parts",
                             (long) parts,
                             "items",
-                            Words.maps(Shelf.piece(items, part, size))));
+                            ConsensusMessages.maps(SnapshotCache.piece(items, part, size))));
         }
     }
 
-    void mismatch(String from, Ballot of) {
+    void mismatch(String from, ProposalNumber of) {
         if (of.equals(stamp)
                 && phase == Phase.ACCEPT
                 && voters().contains(from)
@@ -281,26 +289,26 @@
         }
     }
 
-    void accepted(String from, Ballot of) {
+    void accepted(String from, ProposalNumber of) {
         if (of.equals(stamp) && phase == Phase.ACCEPT && acks.add(from)) {
             count();
         }
     }
 
     private void count() {
-        if (State.most(base.crew(), acks) && State.most(next.crew(), acks)) {
+        if (ReplicatedState.most(base.crew(), acks) && ReplicatedState.most(next.crew(), acks)) {
             decided(next);
         }
     }
 
-    private void decided(State state) {
+    private void decided(ReplicatedState state) {
         phase = Phase.OVER;
         batch.answer(desk, state.stamp());
         end.decided(state);
     }
 
     /** Somebody has promised higher. If the others are too few or too slow, this round is given up. */
-    void nack(String from, Ballot of) {
+    void nack(String from, ProposalNumber of) {
         if (!of.equals(stamp) || phase != Phase.PREPARE && phase != Phase.ACCEPT) {
             return;
         }
--- a/src/main/java/larkbank/copies/Proposer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Proposer.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,20 +8,20 @@
 import java.util.TreeSet;
 
 /** Runs rounds, one at a time: for tickets that wait, to settle what is open, and to change the crew. */
-final class Proposer implements Round.End {
+final class Proposer implements ProposalRound.End {
 
     private static final int MOST_DOUBLINGS = 5;
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Acceptor copy;
-    private final Decided decided;
-    private final CrewWish wish;
+    private final CommittedState decided;
+    private final VoterChangePlanner wish;
     private final Deque<Proposal> waiting = new ArrayDeque<>();
-    private Round round;
+    private ProposalRound round;
     private long notBefore;
     private int failures;
 
-    Proposer(Desk desk, Acceptor copy, Decided decided, CrewWish wish) {
+    Proposer(ReplicaContext desk, Acceptor copy, CommittedState decided, VoterChangePlanner wish) {
         this.desk = desk;
         this.copy = copy;
         this.decided = decided;
@@ -55,7 +55,7 @@
     private void begin() {
         List<Proposal> tickets = new ArrayList<>(waiting);
         waiting.clear();
-        round = new Round(desk, copy, decided.shown(), wish, tickets, this);
+        round = new ProposalRound(desk, copy, decided.shown(), wish, tickets, this);
         round.begin();
     }
 
@@ -99,15 +99,15 @@
     }
 
     @Override
-    public void decided(State state) {
-        Round done = round;
+    public void decided(ReplicatedState state) {
+        ProposalRound done = round;
         round = null;
         failures = 0;
         if (state.stamp().above(decided.stamp())) {
             TreeSet<String> others = new TreeSet<>(state.crew());
             others.addAll(copy.state().crew());
             others.addAll(done.voters());
-            others.forEach(o -> desk.send(o, Words.of(Words.DECIDED, "b", state.stamp())));
+            others.forEach(o -> desk.send(o, ConsensusMessages.of(ConsensusMessages.DECIDED, "b", state.stamp())));
         }
         decided.show(state);
         next();
@@ -127,38 +127,38 @@
         notBefore = desk.now + desk.plan.backoffLeast() + desk.jitter(Math.min(desk.plan.backoffMost(), 2 * most));
     }
 
-    void promised(String from, Ballot of, Ballot accepted, List<String> crew, boolean hearsay) {
+    void promised(String from, ProposalNumber of, ProposalNumber accepted, List<String> crew, boolean hearsay) {
         if (round != null) {
             round.promised(from, of, accepted, crew, hearsay);
         }
     }
 
-    void nack(String from, Ballot of, Ballot promised) {
+    void nack(String from, ProposalNumber of, ProposalNumber promised) {
         desk.seen(promised);
         if (round != null) {
             round.nack(from, of);
         }
     }
 
-    void accepted(String from, Ballot of) {
+    void accepted(String from, ProposalNumber of) {
         if (round != null) {
             round.accepted(from, of);
         }
     }
 
-    void mismatch(String from, Ballot of) {
+    void mismatch(String from, ProposalNumber of) {
         if (round != null) {
             round.mismatch(from, of);
         }
     }
 
-    void piece(Ballot of, Map<?, ?> message) {
+    void piece(ProposalNumber of, Map<?, ?> message) {
         if (round != null) {
             round.piece(of, message);
         }
     }
 
-    void gone(String from, Ballot of) {
+    void gone(String from, ProposalNumber of) {
         if (round != null) {
             round.gone(from, of);
         }
--- a/src/main/java/larkbank/copies/Contact.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/QuorumContact.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -22,14 +22,14 @@
  * <p>What is shown is the newest as of a moment if a majority of its crew, asked at that moment or later, had
  * accepted nothing above it: a state agreed before would have been accepted by one of them.
  */
-final class Contact {
+final class QuorumContact {
 
     static final long NEVER = Long.MIN_VALUE;
 
     private static final int KEPT = 64;
 
     /** What a peer has said back: when the number was sent, in which life it spoke, what it had accepted. */
-    private record Proof(long at, long life, Ballot accepted) {}
+    private record Proof(long at, long life, ProposalNumber accepted) {}
 
     /** The last number heard from an address, and in which life. */
     private record Heard(long life, long number) {}
@@ -37,7 +37,7 @@
     /** A proposal that came while no majority was reached: until when one is looked for. */
     private record Held(Proposal proposal, long until) {}
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final long begun;
     private final long[] sentAt = new long[KEPT];
     private final Map<String, Proof> proofs = new HashMap<>();
@@ -47,7 +47,7 @@
     private long confirmedAt = NEVER;
     private long probedAt = NEVER;
 
-    Contact(Desk desk) {
+    QuorumContact(ReplicaContext desk) {
         this.desk = desk;
         begun = desk.now;
     }
@@ -68,8 +68,8 @@
     }
 
     /** A peer tells of itself, and says back what it has heard of a life of this harbour. */
-    void told(String from, Peers.Word word, long its, long echoLife, long echo) {
-        String address = Member.address(from);
+    void told(String from, PeerTable.Word word, long its, long echoLife, long echo) {
+        String address = ReplicaKey.address(from);
         Heard before = numbers.get(address);
         if (before == null || before.life != word.life() || before.number < its) {
             numbers.put(address, new Heard(word.life(), its));
@@ -98,7 +98,7 @@
     }
 
     /** What is shown may have come to be known as the newest. */
-    void look(State shown, Ballot accepted, List<String> crew) {
+    void look(ReplicatedState shown, ProposalNumber accepted, List<String> crew) {
         boolean own = !accepted.above(shown.stamp());
         ToLongFunction<Proof> asOf = proof -> proof.accepted.above(shown.stamp()) ? NEVER : proof.at;
         List<String> its = shown.crew().isEmpty() ? crew : shown.crew();
@@ -153,8 +153,9 @@
     }
 
     void prune(Collection<String> crew, Set<String> live) {
-        Set<String> addresses =
-                Stream.concat(crew.stream(), live.stream()).map(Member::address).collect(Collectors.toSet());
+        Set<String> addresses = Stream.concat(crew.stream(), live.stream())
+                .map(ReplicaKey::address)
+                .collect(Collectors.toSet());
         numbers.keySet().retainAll(addresses);
         proofs.keySet().removeIf(who -> !crew.contains(who) && !live.contains(who));
     }
--- a/src/main/java/larkbank/copies/Desk.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicaContext.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,9 +8,9 @@
 import java.util.SplittableRandom;
 
 /** What all parts of one harbour share: its name, the time of the input being worked on, and what to do. */
-final class Desk {
+final class ReplicaContext {
 
-    final CopiesPlan plan;
+    final ConsensusOptions plan;
     /** Where this harbour is spoken to, the number of its disk, and the member that they are. */
     final String address;
 
@@ -22,17 +22,17 @@
     /** Above all rounds that were seen. */
     long highestRound;
 
-    final History history = new History();
+    final ChangeHistory history = new ChangeHistory();
     /** States that others hold whole, as each told last. */
-    private final Map<String, List<Ballot>> held = new HashMap<>();
+    private final Map<String, List<ProposalNumber>> held = new HashMap<>();
 
     private List<Effect> effects = new ArrayList<>();
 
-    Desk(CopiesPlan plan, String address, long disk, long life, SplittableRandom random, long now) {
+    ReplicaContext(ConsensusOptions plan, String address, long disk, long life, SplittableRandom random, long now) {
         this.plan = plan;
         this.address = address;
         this.disk = disk;
-        own = Member.of(address, disk);
+        own = ReplicaKey.of(address, disk);
         this.life = life;
         this.random = random;
         this.now = now;
@@ -42,18 +42,20 @@
         effects.add(effect);
     }
 
-    void holds(String harbour, Ballot... states) {
+    void holds(String harbour, ProposalNumber... states) {
         held.put(
                 harbour,
-                Arrays.stream(states).filter(s -> !s.equals(Ballot.ZERO)).toList());
+                Arrays.stream(states)
+                        .filter(s -> !s.equals(ProposalNumber.ZERO))
+                        .toList());
     }
 
-    List<Ballot> held(String harbour) {
+    List<ProposalNumber> held(String harbour) {
         return held.getOrDefault(harbour, List.of());
     }
 
     void send(String to, Map<String, Object> message) {
-        if (!Member.address(to).equals(address)) {
+        if (!ReplicaKey.address(to).equals(address)) {
             effects.add(new Effect.Send(to, message));
         }
     }
@@ -62,7 +64,7 @@
         effects.add(new Effect.Answer(ticket, verdict));
     }
 
-    void seen(Ballot stamp) {
+    void seen(ProposalNumber stamp) {
         highestRound = Math.max(highestRound, stamp.round());
     }
 
--- a/src/main/java/larkbank/copies/State.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicatedState.java
@@ -1,11 +1,11 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Collection;
 import java.util.List;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
 
 /** The whole agreed state under the stamp that names it. */
-public record State(Ballot stamp, List<String> crew, Manifest manifest) {
+public record ReplicatedState(ProposalNumber stamp, List<String> crew, Configuration manifest) {
 
     static boolean most(List<String> crew, Collection<String> of) {
         return 2 * crew.stream().filter(of::contains).count() > crew.size();
--- a/src/main/java/larkbank/copies/Shelf.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
@@ -1,39 +1,39 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
 
 /**
  * States that others may fetch in pieces. One that was told or asked for stays at hand for a time, so that
  * whoever fetches it is not outrun by writes. Neighbouring states share most of what they hold.
  */
-final class Shelf {
+final class SnapshotCache {
 
     private static final int MOST = 64;
     private static final int LEAST = 8;
     private static final long KEPT_FOR = 3_000_000;
 
     private static final class Kept {
-        final State state;
+        final ReplicatedState state;
         List<Item> items;
         long usedAt;
 
-        Kept(State state) {
+        Kept(ReplicatedState state) {
             this.state = state;
         }
     }
 
-    private final Desk desk;
-    private final Map<Ballot, Kept> kept = new LinkedHashMap<>(16, 0.75f, true);
+    private final ReplicaContext desk;
+    private final Map<ProposalNumber, Kept> kept = new LinkedHashMap<>(16, 0.75f, true);
 
-    Shelf(Desk desk) {
+    SnapshotCache(ReplicaContext desk) {
         this.desk = desk;
     }
 
-    void keep(State state) {
+    void keep(ReplicatedState state) {
         kept.computeIfAbsent(state.stamp(), s -> new Kept(state)).usedAt = desk.now;
         Iterator<Kept> oldest = kept.values().iterator();
         while (kept.size() > LEAST) {
@@ -44,15 +44,15 @@
         }
     }
 
-    void asked(String from, Ballot stamp, Map<String, Object> message) {
-        long part = Words.number(message, "part");
+    void asked(String from, ProposalNumber stamp, Map<String, Object> message) {
+        long part = ConsensusMessages.number(message, "part");
         Kept found = kept.get(stamp);
         if (found == null) {
-            desk.send(from, Words.of(Words.GONE, "b", stamp));
+            desk.send(from, ConsensusMessages.of(ConsensusMessages.GONE, "b", stamp));
             return;
         }
         found.usedAt = desk.now;
-        History.Difference since = desk.history.since(Words.stamps(message, "has"), found.state);
+        ChangeHistory.Difference since = desk.history.since(ConsensusMessages.stamps(message, "has"), found.state);
         if (since == null && found.items == null) {
             found.items = found.state.manifest().items();
         }
@@ -62,12 +62,12 @@
         if (part >= 0 && part < parts) {
             desk.send(
                     from,
-                    Words.of(
-                            Words.PIECE,
+                    ConsensusMessages.of(
+                            ConsensusMessages.PIECE,
                             "b",
                             stamp,
                             "ask",
-                            Words.number(message, "ask"),
+                            ConsensusMessages.number(message, "ask"),
                             "from",
                             since == null ? "" : since.from().toString(),
                             "sum",
@@ -79,7 +79,7 @@
                             "crew",
                             found.state.crew(),
                             "items",
-                            Words.maps(piece(items, (int) part, size))));
+                            ConsensusMessages.maps(piece(items, (int) part, size))));
         }
     }
 
--- a/src/main/java/larkbank/copies/Fetch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
@@ -1,27 +1,27 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
 
 /**
  * Fetches a state piece by piece: what changed since one that is held here, where the holder knows that, else
  * the whole. Any holder will do for any piece of the whole: equal ballots are equal states. What comes out is
  * compared with the holder's sum over all items.
  */
-final class Fetch {
+final class StateTransfer {
 
     private static final int MOST_ASKS = 6;
     private static final int MOST_BEGINS = 4;
 
-    private final Desk desk;
-    private final Ballot stamp;
+    private final ReplicaContext desk;
+    private final ProposalNumber stamp;
     private final List<String> holders;
-    private final Map<Ballot, State> held = new LinkedHashMap<>();
+    private final Map<ProposalNumber, ReplicatedState> held = new LinkedHashMap<>();
     private final List<Item> items = new ArrayList<>();
     /** From which state the pieces lead on; empty for the whole. */
     private String from = "";
@@ -34,13 +34,13 @@
     private long begin;
 
     /** @param held states that are whole here */
-    Fetch(Desk desk, Ballot stamp, Collection<String> holders, State... held) {
+    StateTransfer(ReplicaContext desk, ProposalNumber stamp, Collection<String> holders, ReplicatedState... held) {
         this.desk = desk;
         this.stamp = stamp;
-        for (State state : held) {
+        for (ReplicatedState state : held) {
             this.held.put(state.stamp(), state);
         }
-        this.held.remove(Ballot.ZERO);
+        this.held.remove(ProposalNumber.ZERO);
         this.holders = new ArrayList<>(holders);
         this.holders.remove(desk.own);
         this.holders.sort(null);
@@ -50,7 +50,7 @@
         ask();
     }
 
-    Ballot stamp() {
+    ProposalNumber stamp() {
         return stamp;
     }
 
@@ -65,10 +65,10 @@
         if (!failed()) {
             List<String> has = part > 0 && from.isEmpty()
                     ? List.of()
-                    : held.keySet().stream().map(Ballot::toString).toList();
+                    : held.keySet().stream().map(ProposalNumber::toString).toList();
             desk.send(
                     holders.get(holder % holders.size()),
-                    Words.of(Words.FETCH, "b", stamp, "ask", begin, "part", part, "has", has));
+                    ConsensusMessages.of(ConsensusMessages.FETCH, "b", stamp, "ask", begin, "part", part, "has", has));
         }
     }
 
@@ -100,20 +100,20 @@
     }
 
     /** The whole state once its last piece is here, else null. */
-    State piece(Map<?, ?> message) {
-        long parts = Words.number(message, "parts");
-        long sum = Words.number(message, "sum");
-        List<String> crew = Words.someCrew(message);
-        List<Item> its = Words.items(message);
+    ReplicatedState piece(Map<?, ?> message) {
+        long parts = ConsensusMessages.number(message, "parts");
+        long sum = ConsensusMessages.number(message, "sum");
+        List<String> crew = ConsensusMessages.someCrew(message);
+        List<Item> its = ConsensusMessages.items(message);
         if (!(message.get("from") instanceof String base)
-                || Words.number(message, "part") != part
-                || !base.isEmpty() && Words.number(message, "ask") != begin) {
+                || ConsensusMessages.number(message, "part") != part
+                || !base.isEmpty() && ConsensusMessages.number(message, "ask") != begin) {
             return null;
         }
         if (part == 0) {
             from = base;
         }
-        State before = base.isEmpty() ? null : held.get(Ballot.of(base));
+        ReplicatedState before = base.isEmpty() ? null : held.get(ProposalNumber.of(base));
         if (!base.equals(from) || before == null && !base.isEmpty()) {
             beginAnew();
             ask();
@@ -123,10 +123,10 @@
         part++;
         asks = 0;
         if (part >= parts) {
-            Manifest all =
-                    before == null ? Manifest.of(items) : before.manifest().with(items);
+            Configuration all =
+                    before == null ? Configuration.of(items) : before.manifest().with(items);
             if (all.sum() == sum) {
-                return new State(stamp, crew, all);
+                return new ReplicatedState(stamp, crew, all);
             }
             held.clear();
             beginAnew();
--- a/src/main/java/larkbank/copies/Change.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
@@ -1,23 +1,30 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
  * What one write changes on the disk, as a whole or not at all. Accepted and crew are null where they stay;
  * whole tells that the items replace all that are there. The number of the disk is set by its first write.
  */
-public record Change(Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean whole, long disk) {
+public record StorageUpdate(
+        ProposalNumber promised,
+        ProposalNumber accepted,
+        List<String> crew,
+        List<Item> items,
+        boolean whole,
+        long disk) {
 
     /** The number of the disk stays. */
     private static final long SAME = -1;
 
-    public Change(Ballot promised, Ballot accepted, List<String> crew, List<Item> items, boolean whole) {
+    public StorageUpdate(
+            ProposalNumber promised, ProposalNumber accepted, List<String> crew, List<Item> items, boolean whole) {
         this(promised, accepted, crew, items, whole, SAME);
     }
 
@@ -31,18 +38,20 @@
     }
 
     private List<Item> merged(List<Item> before) {
-        Map<Key, Item> changed = new HashMap<>();
+        Map<ItemKey, Item> changed = new HashMap<>();
         items.forEach(item -> changed.put(item.key(), item));
         List<Item> merged = new ArrayList<>(before.size());
         before.forEach(item -> merged.add(changed.containsKey(item.key()) ? changed.remove(item.key()) : item));
-        return changed.isEmpty() ? merged : Manifest.of(before).with(items).items();
+        return changed.isEmpty() ? merged : Configuration.of(before).with(items).items();
     }
 
     /** What stands after it. Before is null on an empty disk. */
-    public Standing on(Standing before) {
-        Standing old = before != null ? before : new Standing(Ballot.ZERO, Ballot.ZERO, List.of(), List.of(), false);
+    public PersistentState on(PersistentState before) {
+        PersistentState old = before != null
+                ? before
+                : new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, List.of(), List.of(), false);
         List<Item> all = whole ? items : items.isEmpty() ? old.items() : merged(old.items());
-        return new Standing(
+        return new PersistentState(
                 promised,
                 accepted == null ? old.accepted() : accepted,
                 crew == null ? old.crew() : crew,
--- a/src/main/java/larkbank/copies/CrewWish.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterChangePlanner.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -13,31 +13,31 @@
  * before shares a member with any after. Who is gone goes out before another comes in: a crew never grows
  * over the wanted number.
  */
-final class CrewWish {
+final class VoterChangePlanner {
 
-    private record Standby(long askedAt, Ballot accepted) {}
+    private record Standby(long askedAt, ProposalNumber accepted) {}
 
-    private record Noted(long at, Ballot decided) {}
+    private record Noted(long at, ProposalNumber decided) {}
 
-    private final Desk desk;
-    private final CrewWatch watch;
+    private final ReplicaContext desk;
+    private final VoterMonitor watch;
     private final int voters;
     private final Map<String, Standby> standbys = new TreeMap<>();
     private final Deque<Noted> noted = new ArrayDeque<>();
-    private Ballot bar = Ballot.ZERO;
+    private ProposalNumber bar = ProposalNumber.ZERO;
     private List<String> wanted = List.of();
     private long since;
     private boolean resting;
 
-    CrewWish(Desk desk, CrewWatch watch, int voters) {
+    VoterChangePlanner(ReplicaContext desk, VoterMonitor watch, int voters) {
         this.desk = desk;
         this.watch = watch;
         this.voters = voters;
     }
 
     /** Somebody asks to be let in, with what stands on its disk; that holds for a while. */
-    void asks(String harbour, Ballot accepted) {
-        standbys.keySet().removeIf(other -> Member.address(other).equals(Member.address(harbour)));
+    void asks(String harbour, ProposalNumber accepted) {
+        standbys.keySet().removeIf(other -> ReplicaKey.address(other).equals(ReplicaKey.address(harbour)));
         standbys.put(harbour, new Standby(desk.now, accepted));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** To be called often, with the highest state known decided: who lags far behind it is not let in. */
-    void note(Ballot decided) {
+    void note(ProposalNumber decided) {
         standbys.values().removeIf(s -> desk.now - s.askedAt > 2 * desk.plan.askEvery());
         if (noted.isEmpty() || decided.above(noted.peekLast().decided)) {
             noted.add(new Noted(desk.now, decided));
--- a/src/main/java/larkbank/copies/CrewWatch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterMonitor.java
@@ -1,18 +1,18 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.List;
 import java.util.Set;
 
 /** Sees which members of a crew are there, and who is gone. */
-final class CrewWatch {
+final class VoterMonitor {
 
     /** From here on a crew is better off without a member that is silent, also where nobody waits. */
     private static final int LEAST_TO_SHRINK = 4;
 
-    private final Desk desk;
-    private final Peers peers;
+    private final ReplicaContext desk;
+    private final PeerTable peers;
 
-    CrewWatch(Desk desk, Peers peers) {
+    VoterMonitor(ReplicaContext desk, PeerTable peers) {
         this.desk = desk;
         this.peers = peers;
     }
--- a/src/main/java/larkbank/harbour/Harbour.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -20,33 +20,34 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import larkbank.Addresses;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Member;
-import larkbank.copies.Standing;
-import larkbank.gangway.Bounds;
-import larkbank.gangway.Gangway;
-import larkbank.hold.Store;
-import larkbank.hold.XodusStore;
-import larkbank.lading.Clock;
-import larkbank.lading.Line;
-import larkbank.lading.Logs;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.logbook.StateDesk;
-import larkbank.papers.Boot;
-import larkbank.papers.NodePapers;
-import larkbank.papers.Watched;
+import org.cypressweir.common.diagnostics.StateEndpoint;
+import org.cypressweir.common.settings.NodeSettings;
+import org.cypressweir.common.settings.SettingsLoader;
+import org.cypressweir.common.settings.SettingsWatcher;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.LogConfiguration;
+import org.cypressweir.common.transport.MonotonicClock;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ReplicaKey;
+import org.cypressweir.controlplane.storage.Store;
+import org.cypressweir.controlplane.storage.XodusStore;
+import org.cypressweir.dataplane.http.server.HttpListener;
+import org.cypressweir.dataplane.http.server.RequestLimits;
 import org.jboss.logging.Logger;
 
 /** The harbour: puts the control plane together on a core machine. */
-public final class Harbour {
+public final class Controller {
 
-    private static final Logger LOG = Logger.getLogger("harbour");
-    private static final Moorings.Plan LINES = new Moorings.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
-    private static final Bounds OPERATORS = new Bounds(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
+    private static final Logger LOG = Logger.getLogger(Controller.class);
+    private static final PeerConnectionPool.Plan LINES =
+            new PeerConnectionPool.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
+    private static final RequestLimits OPERATORS = new RequestLimits(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
     private static final int TICK_MILLIS = 50;
     private static final int OPEN_EVERY_MILLIS = 500;
     /** A part of the time that there is between the signal and the end. */
@@ -56,9 +57,9 @@
     private static final int TICKS_A_TALLY = 4;
     private static final int TICKS_A_LOOK = 20;
 
-    private final NodePapers papers;
-    private final Watched file;
-    private final Clock clock = new Clock();
+    private final NodeSettings papers;
+    private final SettingsWatcher file;
+    private final MonotonicClock clock = new MonotonicClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ExecutorService disk = Executors.newSingleThreadExecutor(task -> {
@@ -66,14 +67,14 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final Wharf wharf = new Wharf(group, clock);
+    private final PeerTransport wharf = new PeerTransport(group, clock);
     private final String own;
     private final long life = System.currentTimeMillis() * 1000;
-    private final NewsDesk news;
-    private final Moorings others;
-    private volatile Keeping keeping;
+    private final UpdatePublisher news;
+    private final PeerConnectionPool others;
+    private volatile ReplicaDriver keeping;
     /** Harbours that have a line here, whoever they are: one that asks to be let in is told the answer. */
-    private final Map<Line, String> callers = new HashMap<>();
+    private final Map<PeerConnection, String> callers = new HashMap<>();
     /** Where other harbours are asked, as each has said; kept after its line has ended. */
     private final Map<String, String> controls = new HashMap<>();
 
@@ -84,17 +85,17 @@
     /** To be told that all is handed over; null as long as this harbour does not leave. */
     private CountDownLatch handedOver;
 
-    private Harbour(NodePapers papers, Watched file) {
+    private Controller(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
         own = papers.lines(papers.ip());
-        news = new NewsDesk(clock, life, papers.control(), this::confirmedAge);
+        news = new UpdatePublisher(clock, life, papers.control(), this::confirmedAge);
         seeds = List.copyOf(papers.seedLines());
-        others = new Moorings(
+        others = new PeerConnectionPool(
                 wharf,
                 clock,
                 LINES,
-                () -> Scribe.map(
+                () -> JsonCodec.map(
                         "t",
                         "hello",
                         "kind",
@@ -110,20 +111,20 @@
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
-        Logs.open(err, false);
-        return Boot.run(
+        LogConfiguration.open(err, false);
+        return SettingsLoader.run(
                 "harbour",
                 env,
                 err,
                 papers -> Option.when(
                         papers.dataDirectory() == null || !papers.listen().containsKey("controlPlane"),
                         "localNode.dataDirectory and network.listenAddresses.controlPlane"),
-                (papers, file) -> new Harbour(papers, file).serve());
+                (papers, file) -> new Controller(papers, file).serve());
     }
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        Boot.onHangup(() -> look(true));
+        SettingsLoader.onHangup(() -> look(true));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -133,14 +134,14 @@
                         "end"));
         disk.execute(this::openStore);
         wharf.listen(Addresses.parse(own), new Lines());
-        Gangway.open(
+        HttpListener.open(
                 group,
                 Addresses.parse(papers.listen().get("controlPlane")),
                 () -> OPERATORS,
                 clock,
-                new StateDesk(
-                        new OperatorDesk(() -> keeping, this::voter, clock),
-                        items -> HarbourState.of(
+                new StateEndpoint(
+                        new OperatorApiHandler(() -> keeping, this::voter, clock),
+                        items -> ControllerStatus.of(
                                 clock.getAsLong(),
                                 papers.name(),
                                 papers.control(),
@@ -189,11 +190,11 @@
 
     /** Where operators go on whom this harbour can't serve, since it has no vote: to one that is heard. */
     private Option<String> voter() {
-        Copies copies = keeping.copies();
+        ConsensusReplica copies = keeping.copies();
         List<String> voters = copies.votes() || copies.forgetful()
                 ? List.of()
                 : copies.crew().stream()
-                        .map(Member::address)
+                        .map(ReplicaKey::address)
                         .filter(a -> !a.equals(own) && others.isClear(a))
                         .map(controls::get)
                         .filter(Objects::nonNull)
@@ -206,7 +207,7 @@
         List<Object> all = new ArrayList<>();
         others.addresses().stream()
                 .sorted()
-                .forEach(address -> all.add(Scribe.map(
+                .forEach(address -> all.add(JsonCodec.map(
                         "address", address, "control", controls.get(address), "heard", others.isClear(address))));
         return all;
     }
@@ -221,7 +222,7 @@
             store.setAside()
                     .ifPresent(why -> LOG.error("The disk was damaged; what it held is set aside. " + why
                             + ". This harbour has to learn what stands."));
-            Standing loaded = store.load().orElse(null);
+            PersistentState loaded = store.load().orElse(null);
             loop.execute(() -> begin(store, loaded, papers.initialStart() && !store.damaged()));
         } catch (IOException | RuntimeException e) {
             // Full, out of reach or stalled: it is there again once the disk is.
@@ -238,9 +239,9 @@
         return Math.max(LEAST_VOTERS, papers.machineFailures() < 0 ? seeds.size() : 2 * papers.machineFailures() + 1);
     }
 
-    private void begin(Store store, Standing loaded, boolean initialStart) {
-        Copies copies = new Copies(
-                CopiesPlan.usual(),
+    private void begin(Store store, PersistentState loaded, boolean initialStart) {
+        ConsensusReplica copies = new ConsensusReplica(
+                ConsensusOptions.usual(),
                 own,
                 seeds,
                 voters(),
@@ -249,13 +250,13 @@
                 life,
                 new SplittableRandom(new SecureRandom().nextLong()),
                 clock.getAsLong());
-        Keeping its = new Keeping(
+        ReplicaDriver its = new ReplicaDriver(
                 copies,
                 store,
                 disk,
                 loop,
                 clock,
-                (to, message) -> others.send(Member.address(to), message),
+                (to, message) -> others.send(ReplicaKey.address(to), message),
                 show -> news.show(show.stamp(), show.manifest(), show.crew()));
         keeping = its;
         LOG.info("The disk is open. " + (loaded == null ? "It is empty." : "It stands at " + loaded.accepted() + "."));
@@ -290,28 +291,28 @@
 
     private void wantOthers() {
         Set<String> wanted = new HashSet<>(seeds);
-        keeping.copies().crew().forEach(member -> wanted.add(Member.address(member)));
-        callers.values().forEach(member -> wanted.add(Member.address(member)));
+        keeping.copies().crew().forEach(member -> wanted.add(ReplicaKey.address(member)));
+        callers.values().forEach(member -> wanted.add(ReplicaKey.address(member)));
         wanted.remove(own);
         others.want(wanted);
     }
 
     /** Lines that others have opened. */
-    private final class Lines implements Line.Ear {
+    private final class Lines implements PeerConnection.Ear {
         @Override
-        public void opened(Line line) {}
+        public void opened(PeerConnection line) {}
 
         @Override
-        public void heard(Line line, Map<String, Object> head, byte[] body) {
-            String type = Scribe.text(head, "t");
+        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+            String type = JsonCodec.text(head, "t");
             if (type.equals("hello")) {
-                if (Scribe.text(head, "kind").equals("harbour")) {
-                    String member = Scribe.text(head, head.containsKey("member") ? "member" : "address");
+                if (JsonCodec.text(head, "kind").equals("harbour")) {
+                    String member = JsonCodec.text(head, head.containsKey("member") ? "member" : "address");
                     line.owner(member);
                     callers.put(line, member);
-                    controls.put(Scribe.text(head, "address"), Scribe.text(head, "control"));
+                    controls.put(JsonCodec.text(head, "address"), JsonCodec.text(head, "control"));
                 } else {
-                    news.welcome(line, Scribe.text(head, "name"));
+                    news.welcome(line, JsonCodec.text(head, "name"));
                 }
             } else if (type.startsWith("copies.")) {
                 if (keeping != null && line.owner() instanceof String from) {
@@ -324,22 +325,22 @@
         }
 
         @Override
-        public void closed(Line line) {
+        public void closed(PeerConnection line) {
             callers.remove(line);
             news.lost(line);
         }
     }
 
     /** Lines that this harbour has opened to others: it speaks there, and hears on those of theirs. */
-    private static final class Others implements Moorings.Owner {
+    private static final class Others implements PeerConnectionPool.Owner {
         @Override
-        public void up(String address, Line line) {}
+        public void up(String address, PeerConnection line) {}
 
         @Override
-        public void heard(String address, Line line, Map<String, Object> head, byte[] body) {}
+        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void lost(String address, Line line) {}
+        public void lost(String address, PeerConnection line) {}
 
         @Override
         public void refused(String address) {}
--- a/src/main/java/larkbank/harbour/HarbourState.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -1,20 +1,20 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.berth.Berth;
-import larkbank.berth.Ship;
-import larkbank.copies.Copies;
-import larkbank.copies.Member;
-import larkbank.lading.Scribe;
-import larkbank.logbook.Listing;
-import larkbank.manifest.Manifest;
+import org.cypressweir.common.diagnostics.ItemListing;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.ReplicaKey;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
 
 /** What operators are told of a harbour. */
-final class HarbourState {
+final class ControllerStatus {
 
-    private HarbourState() {}
+    private ControllerStatus() {}
 
     /**
      * @param control where this harbour is asked
@@ -29,11 +29,11 @@
             String address,
             long life,
             List<Object> harbours,
-            Copies copies,
-            NewsDesk news,
+            ConsensusReplica copies,
+            UpdatePublisher news,
             boolean items) {
-        Manifest manifest = news.editions().manifest();
-        Map<String, Object> state = Scribe.map(
+        Configuration manifest = news.editions().manifest();
+        Map<String, Object> state = JsonCodec.map(
                 "kind",
                 "harbour",
                 "name",
@@ -52,10 +52,11 @@
                 copies != null);
         if (copies != null) {
             state.put("member", copies.own());
-            state.put("crew", copies.crew().stream().map(Member::address).toList());
+            state.put("crew", copies.crew().stream().map(ReplicaKey::address).toList());
             state.put("members", copies.crew());
             state.put(
-                    "standbys", copies.standbys().stream().map(Member::address).toList());
+                    "standbys",
+                    copies.standbys().stream().map(ReplicaKey::address).toList());
             state.put("forgetful", copies.forgetful());
             state.put("sick", copies.sick(now));
             long age = copies.confirmedAge(now);
@@ -69,7 +70,7 @@
         List<Object> missed = new ArrayList<>();
         news.register()
                 .missed()
-                .forEach(one -> missed.add(Scribe.map(
+                .forEach(one -> missed.add(JsonCodec.map(
                         "name",
                         one.berth().name(),
                         "control",
@@ -81,14 +82,14 @@
         state.put("missed", missed);
         state.put("tallies", news.asked());
         if (items) {
-            state.put("list", Listing.of(manifest));
+            state.put("list", ItemListing.of(manifest));
         }
         return state;
     }
 
-    private static Map<String, Object> line(Berth berth, long silence) {
-        Ship ship = berth.ship();
-        return Scribe.map(
+    private static Map<String, Object> line(ProxyRegistration berth, long silence) {
+        ApplicationInstance ship = berth.ship();
+        return JsonCodec.map(
                 "name",
                 berth.name(),
                 "address",
--- a/src/main/java/larkbank/harbour/Keeping.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -10,22 +10,22 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import larkbank.copies.Copies;
-import larkbank.copies.Effect;
-import larkbank.copies.ProposalResult;
-import larkbank.hold.Store;
-import larkbank.manifest.Order;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.controlplane.storage.Store;
 import org.jboss.logging.Logger;
 
 /**
  * Drives the copy of this harbour: what the core wants written goes to the disk's thread, what it wants sent
  * to the lines, verdicts to who waits for them. The core itself runs on the loop.
  */
-final class Keeping {
+final class ReplicaDriver {
 
-    private static final Logger LOG = Logger.getLogger("copies");
+    private static final Logger LOG = Logger.getLogger(ReplicaDriver.class);
 
-    private final Copies copies;
+    private final ConsensusReplica copies;
     private final Store store;
     private final ExecutorService disk;
     private final Executor loop;
@@ -35,8 +35,8 @@
     private final Map<Long, Consumer<ProposalResult>> waiting = new HashMap<>();
     private long tickets;
 
-    Keeping(
-            Copies copies,
+    ReplicaDriver(
+            ConsensusReplica copies,
             Store store,
             ExecutorService disk,
             Executor loop,
@@ -52,7 +52,7 @@
         this.shown = shown;
     }
 
-    Copies copies() {
+    ConsensusReplica copies() {
         return copies;
     }
 
@@ -81,7 +81,7 @@
         act(copies.received(micros.getAsLong(), from, message));
     }
 
-    void submit(Order order, long deadline, Consumer<ProposalResult> then) {
+    void submit(ConfigurationChange order, long deadline, Consumer<ProposalResult> then) {
         waiting.put(++tickets, then);
         act(copies.submit(micros.getAsLong(), tickets, order, deadline));
     }
--- a/src/main/java/larkbank/harbour/NewsDesk.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,23 +8,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.berth.Register;
-import larkbank.chart.Editions;
-import larkbank.chart.RosterLog;
-import larkbank.copies.Ballot;
-import larkbank.copies.Member;
-import larkbank.lading.Line;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Manifest;
-import larkbank.tally.Demands;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.ReplicaKey;
+import org.cypressweir.controlplane.distribution.EndpointChangeLog;
+import org.cypressweir.controlplane.distribution.VersionLog;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.controlplane.registry.ProxyRegistry;
+import org.cypressweir.dataplane.quota.DemandAggregator;
 import org.jboss.logging.Logger;
 
 /** Hears pilots and tells them the news: who is there, which configuration holds, what tenants ask in all. */
-final class NewsDesk {
+final class UpdatePublisher {
 
-    private static final Logger LOG = Logger.getLogger("berth");
+    private static final Logger LOG = Logger.getLogger(UpdatePublisher.class);
     private static final long GRACE = 300_000;
     private static final long SILENT = 2_000_000;
     /** Without a majority for so long, pilots are told. */
@@ -48,11 +48,11 @@
     private final LongSupplier micros;
     private final long life;
     private final String control;
-    private final Register register = new Register(GRACE);
-    private final RosterLog log = new RosterLog();
-    private final Editions editions = new Editions();
-    private final Demands demands = new Demands();
-    private final Map<Line, Seat> seats = new LinkedHashMap<>();
+    private final ProxyRegistry register = new ProxyRegistry(GRACE);
+    private final EndpointChangeLog log = new EndpointChangeLog();
+    private final VersionLog editions = new VersionLog();
+    private final DemandAggregator demands = new DemandAggregator();
+    private final Map<PeerConnection, Seat> seats = new LinkedHashMap<>();
     private List<String> crew = List.of();
     private final LongSupplier confirmedAge;
     private long tellings;
@@ -62,18 +62,18 @@
      * @param control where this harbour is asked by operators
      * @param confirmedAge how long ago what is shown was known to be the newest; below 0: never
      */
-    NewsDesk(LongSupplier micros, long life, String control, LongSupplier confirmedAge) {
+    UpdatePublisher(LongSupplier micros, long life, String control, LongSupplier confirmedAge) {
         this.confirmedAge = confirmedAge;
         this.control = control;
         this.micros = micros;
         this.life = life;
     }
 
-    Register register() {
+    ProxyRegistry register() {
         return register;
     }
 
-    Editions editions() {
+    VersionLog editions() {
         return editions;
     }
 
@@ -85,7 +85,7 @@
     /** How long nothing has come from a pilot; below 0 where it has no line here. */
     long silence(String name) {
         long silence = -1;
-        for (Map.Entry<Line, Seat> one : seats.entrySet()) {
+        for (Map.Entry<PeerConnection, Seat> one : seats.entrySet()) {
             long its = micros.getAsLong() - one.getKey().heardAt();
             if (one.getValue().name.equals(name) && (silence < 0 || its < silence)) {
                 silence = its;
@@ -95,10 +95,10 @@
     }
 
     /** A pilot is on this line. */
-    void welcome(Line line, String name) {
+    void welcome(PeerConnection line, String name) {
         seats.put(line, new Seat(name));
         line.owner(name);
-        line.send(Scribe.map(
+        line.send(JsonCodec.map(
                 "t",
                 "welcome",
                 "life",
@@ -113,16 +113,16 @@
                 confirmedAge.getAsLong()));
     }
 
-    void heard(Line line, Map<String, Object> head) {
+    void heard(PeerConnection line, Map<String, Object> head) {
         long now = micros.getAsLong();
         Seat seat = seats.get(line);
         if (seat == null) {
             return;
         }
         register.heard(line);
-        switch (Scribe.text(head, "t")) {
+        switch (JsonCodec.text(head, "t")) {
             case "berth" -> {
-                Berth berth = Berth.of(Json.object(head, "berth"), now);
+                ProxyRegistration berth = ProxyRegistration.of(Json.object(head, "berth"), now);
                 if (berth != null && register.told(line, berth)) {
                     log.changed(berth.name());
                     tellAll();
@@ -138,14 +138,14 @@
             case "sums" -> {
                 seat.sums = Json.flag(head, "on");
                 if (seat.sums) {
-                    line.send(Scribe.map("t", "tallies", "asked", demands.sums(now)));
+                    line.send(JsonCodec.map("t", "tallies", "asked", demands.sums(now)));
                 }
             }
             default -> {}
         }
     }
 
-    void lost(Line line) {
+    void lost(PeerConnection line) {
         Seat seat = seats.remove(line);
         if (seat != null) {
             register.lost(micros.getAsLong(), line);
@@ -154,18 +154,18 @@
     }
 
     /** A state of the configuration that may be shown. */
-    void show(Ballot stamp, Manifest manifest, List<String> members) {
+    void show(ProposalNumber stamp, Configuration manifest, List<String> members) {
         editions.show(stamp, manifest);
-        crew = members.stream().map(Member::address).toList();
-        for (Line line : List.copyOf(seats.keySet())) {
-            line.send(Scribe.map(
+        crew = members.stream().map(ReplicaKey::address).toList();
+        for (PeerConnection line : List.copyOf(seats.keySet())) {
+            line.send(JsonCodec.map(
                     "t", "stamp", "stamp", editions.stamp().toString(), "crew", crew, "age", confirmedAge.getAsLong()));
         }
     }
 
     /** As of when what is shown was the newest. @param asked the time of the pilot that asked, or 0 */
     private Map<String, Object> contact(long asked) {
-        return Scribe.map(
+        return JsonCodec.map(
                 "t", "contact", "asked", asked, "stamp", editions.stamp().toString(), "age", confirmedAge.getAsLong());
     }
 
@@ -179,7 +179,7 @@
                     now
                             ? "This harbour is in contact with most of the crew."
                             : "This harbour is out of contact with most of the crew.");
-            byte[] told = Scribe.bytes(contact(0));
+            byte[] told = JsonCodec.bytes(contact(0));
             seats.keySet().forEach(line -> line.sendText(told));
         }
     }
@@ -188,7 +188,7 @@
     void tick() {
         tellContact();
         long now = micros.getAsLong();
-        for (Line line : seats.keySet()) {
+        for (PeerConnection line : seats.keySet()) {
             if (now - line.heardAt() > SILENT) {
                 register.lost(now, line);
             }
@@ -210,7 +210,7 @@
         if (sums.isEmpty()) {
             return;
         }
-        byte[] told = Scribe.bytes(Scribe.map("t", "tallies", "asked", sums));
+        byte[] told = JsonCodec.bytes(JsonCodec.map("t", "tallies", "asked", sums));
         seats.forEach((line, seat) -> {
             if (seat.sums) {
                 line.sendText(told);
@@ -222,20 +222,21 @@
         seats.forEach(this::tell);
     }
 
-    private void tell(Line line, Seat seat) {
+    private void tell(PeerConnection line, Seat seat) {
         long now = micros.getAsLong();
         Set<String> names = seat.place < 0 ? null : log.since(seat.place);
         boolean whole = names == null;
         if (!whole && names.isEmpty()) {
             return;
         }
-        Collection<Berth> all = register.all();
-        Set<String> told =
-                whole ? new LinkedHashSet<>(all.stream().map(Berth::name).toList()) : names;
+        Collection<ProxyRegistration> all = register.all();
+        Set<String> told = whole
+                ? new LinkedHashSet<>(all.stream().map(ProxyRegistration::name).toList())
+                : names;
         List<Object> berths = new ArrayList<>();
         List<Object> gone = new ArrayList<>();
         for (String name : told) {
-            Berth berth = register.get(name);
+            ProxyRegistration berth = register.get(name);
             if (berth == null) {
                 gone.add(name);
             } else {
@@ -243,20 +244,20 @@
             }
         }
         seat.place = log.end();
-        line.send(Scribe.map(
+        line.send(JsonCodec.map(
                 "t", "roster", "life", life, "place", seat.place, "whole", whole, "berths", berths, "gone", gone));
     }
 
-    private void tellEdition(Line line, Map<String, Object> head) {
-        Ballot has = Ballot.of(Scribe.text(head, "have"));
+    private void tellEdition(PeerConnection line, Map<String, Object> head) {
+        ProposalNumber has = ProposalNumber.of(JsonCodec.text(head, "have"));
         if (has == null || editions.stamp().compareTo(has) <= 0) {
             return;
         }
-        Editions.News news = editions.newsFor(has);
+        VersionLog.News news = editions.newsFor(has);
         int pieces = news.pieces().size();
         for (int i = 0; i < pieces; i++) {
             line.send(
-                    Scribe.map(
+                    JsonCodec.map(
                             "t",
                             "items",
                             "stamp",
--- a/src/main/java/larkbank/harbour/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/package-info.java
@@ -1,2 +1,2 @@
 /** The program on core machines: it keeps the configuration with its like, and tells pilots the news. */
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
--- a/src/main/java/larkbank/chart/RosterLog.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/EndpointChangeLog.java
@@ -1,11 +1,11 @@
-package larkbank.chart;
+package org.cypressweir.controlplane.distribution;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** Names of what has changed, by place: who stands at a place is told the names from there on, once each. */
-public final class RosterLog {
+public final class EndpointChangeLog {
 
     private static final int MOST = 4_096;
 
--- a/src/main/java/larkbank/chart/Bales.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
@@ -1,4 +1,4 @@
-package larkbank.chart;
+package org.cypressweir.controlplane.distribution;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,17 +8,17 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import larkbank.Json;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.Item;
 
 /** Items on their way: in pieces, each a JSON text pressed small, since pilots' links are narrow. */
-public final class Bales {
+public final class ItemChunks {
 
     private static final int PIECE = 250;
     private static final int MOST = 64 * 1024 * 1024;
 
-    private Bales() {}
+    private ItemChunks() {}
 
     /** One piece at least. */
     public static List<byte[]> pack(List<Item> items) {
@@ -27,7 +27,7 @@
             List<Object> part = new ArrayList<>();
             items.subList(i, Math.min(items.size(), i + PIECE))
                     .forEach(item -> part.add(item.bare().toMap()));
-            pieces.add(press(Scribe.bytes(Map.of("items", part))));
+            pieces.add(press(JsonCodec.bytes(Map.of("items", part))));
         }
         return pieces;
     }
@@ -37,7 +37,7 @@
         byte[] text = spread(piece);
         List<Item> items = new ArrayList<>();
         try {
-            for (Object one : Json.array(Scribe.read(text, 0, text.length), "items")) {
+            for (Object one : Json.array(JsonCodec.read(text, 0, text.length), "items")) {
                 if (one instanceof Map<?, ?> map) {
                     items.add(Item.of(map));
                 }
--- a/src/main/java/larkbank/chart/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/package-info.java
@@ -1,2 +1,2 @@
 /** News on the way to the data plane: a log of changes from a place on, and snapshots to start from. */
-package larkbank.chart;
+package org.cypressweir.controlplane.distribution;
--- a/src/main/java/larkbank/berth/Ship.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
@@ -1,19 +1,19 @@
-package larkbank.berth;
+package org.cypressweir.controlplane.registry;
 
 import java.util.Map;
-import larkbank.Json;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
 
 /**
  * One life of an application server.
  *
  * @param warmAt when it will be as fast as it gets, by the clock of who holds this; 0: long since
  */
-public record Ship(String id, String service, String address, int slots, boolean draining, long warmAt) {
+public record ApplicationInstance(String id, String service, String address, int slots, boolean draining, long warmAt) {
 
     /** What another process is told; times are told as what is left of them. */
     public Map<String, Object> toMap(long now) {
-        return Scribe.map(
+        return JsonCodec.map(
                 "id",
                 id,
                 "service",
@@ -28,14 +28,14 @@
                 Math.max(0, warmAt - now));
     }
 
-    static Ship of(Map<?, ?> map, long now) {
+    static ApplicationInstance of(Map<?, ?> map, long now) {
         long warm = Json.whole(map, "warm", 0);
-        return Scribe.text(map, "id").isEmpty()
+        return JsonCodec.text(map, "id").isEmpty()
                 ? null
-                : new Ship(
-                        Scribe.text(map, "id"),
-                        Scribe.text(map, "service"),
-                        Scribe.text(map, "address"),
+                : new ApplicationInstance(
+                        JsonCodec.text(map, "id"),
+                        JsonCodec.text(map, "service"),
+                        JsonCodec.text(map, "address"),
                         (int) Json.whole(map, "slots", 1),
                         Json.flag(map, "draining"),
                         warm == 0 ? 0 : now + warm);
--- a/src/main/java/larkbank/berth/ServerDirectory.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/EndpointDirectory.java
@@ -1,4 +1,4 @@
-package larkbank.berth;
+package org.cypressweir.controlplane.registry;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -11,30 +11,30 @@
  * directly. Who is in any view that is heard is there. A view that is not heard any more counts on for a
  * while, and as long as none is heard: a silent core takes nobody off.
  */
-public final class ServerDirectory {
+public final class EndpointDirectory {
 
     private static final class View {
-        private final Map<String, Berth> berths = new HashMap<>();
+        private final Map<String, ProxyRegistration> berths = new HashMap<>();
         private boolean heard;
         private long lostAt;
     }
 
     private final long keep;
     private final Map<String, View> views = new HashMap<>();
-    private final Map<String, Berth> direct = new HashMap<>();
-    private Map<String, Berth> merged = Map.of();
+    private final Map<String, ProxyRegistration> direct = new HashMap<>();
+    private Map<String, ProxyRegistration> merged = Map.of();
     /** Something was told since the last merge. */
     private boolean stale = true;
     /** When a silent view stops counting; nothing changes by itself before. */
     private long nextEnd = Long.MAX_VALUE;
 
     /** @param keepMicros for which the view of a harbour that is silent counts beside others' */
-    public ServerDirectory(long keepMicros) {
+    public EndpointDirectory(long keepMicros) {
         keep = keepMicros;
     }
 
     /** A harbour tells its whole view, or what has changed in it. */
-    public void told(String harbour, boolean whole, Collection<Berth> berths, Collection<String> gone) {
+    public void told(String harbour, boolean whole, Collection<ProxyRegistration> berths, Collection<String> gone) {
         View view = views.computeIfAbsent(harbour, h -> new View());
         if (whole) {
             view.berths.clear();
@@ -49,7 +49,7 @@
     }
 
     /** A pilot tells of itself. */
-    public void told(Berth berth) {
+    public void told(ProxyRegistration berth) {
         if (berth.isNewer(direct.get(berth.name()))) {
             direct.put(berth.name(), berth);
             stale = true;
@@ -82,7 +82,7 @@
         stale = false;
         nextEnd = Long.MAX_VALUE;
         boolean any = views.values().stream().anyMatch(v -> v.heard);
-        Map<String, Berth> next = new LinkedHashMap<>();
+        Map<String, ProxyRegistration> next = new LinkedHashMap<>();
         for (View view : views.values()) {
             if (!view.heard && any && now - view.lostAt < keep) {
                 nextEnd = Math.min(nextEnd, view.lostAt + keep);
@@ -102,11 +102,11 @@
         return changed;
     }
 
-    public Collection<Berth> all() {
+    public Collection<ProxyRegistration> all() {
         return List.copyOf(merged.values());
     }
 
-    public Berth get(String name) {
+    public ProxyRegistration get(String name) {
         return merged.get(name);
     }
 
--- a/src/main/java/larkbank/berth/Berth.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
@@ -1,8 +1,8 @@
-package larkbank.berth;
+package org.cypressweir.controlplane.registry;
 
 import java.util.Map;
-import larkbank.Json;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
 
 /**
  * A pilot and the server beside it, as the pilot tells it. A later life goes before an earlier one, and
@@ -13,7 +13,7 @@
  * @param leaving whether it ends soon and takes nothing new
  * @param ship null where no server is known
  */
-public record Berth(
+public record ProxyRegistration(
         String name,
         long life,
         long number,
@@ -22,10 +22,10 @@
         String zone,
         String service,
         boolean leaving,
-        Ship ship) {
+        ApplicationInstance ship) {
 
     public Map<String, Object> toMap(long now) {
-        return Scribe.map(
+        return JsonCodec.map(
                 "name",
                 name,
                 "life",
@@ -47,24 +47,25 @@
     }
 
     /** What was told; null where it is no berth. */
-    public static Berth of(Map<?, ?> map, long now) {
-        if (Scribe.text(map, "name").isEmpty() || Scribe.text(map, "address").isEmpty()) {
+    public static ProxyRegistration of(Map<?, ?> map, long now) {
+        if (JsonCodec.text(map, "name").isEmpty()
+                || JsonCodec.text(map, "address").isEmpty()) {
             return null;
         }
-        return new Berth(
-                Scribe.text(map, "name"),
+        return new ProxyRegistration(
+                JsonCodec.text(map, "name"),
                 Json.whole(map, "life", 0),
                 Json.whole(map, "number", 0),
-                Scribe.text(map, "address"),
-                Scribe.text(map, "control"),
-                Scribe.text(map, "zone"),
-                Scribe.text(map, "service"),
+                JsonCodec.text(map, "address"),
+                JsonCodec.text(map, "control"),
+                JsonCodec.text(map, "zone"),
+                JsonCodec.text(map, "service"),
                 Json.flag(map, "leaving"),
-                Ship.of(Json.object(map, "ship"), now));
+                ApplicationInstance.of(Json.object(map, "ship"), now));
     }
 
     /** Whether this tells more than the other, which may be null. */
-    public boolean isNewer(Berth other) {
+    public boolean isNewer(ProxyRegistration other) {
         return other == null || life > other.life || life == other.life && number > other.number;
     }
 
--- a/src/main/java/larkbank/berth/Register.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
@@ -1,4 +1,4 @@
-package larkbank.berth;
+package org.cypressweir.controlplane.registry;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,16 +10,16 @@
  * What one harbour knows of pilots: what each told on the line that it keeps. A pilot whose line has gone, or
  * on whose line nothing is heard, is taken out after a while; whoever is lost with a harbour tells the next.
  */
-public final class Register {
+public final class ProxyRegistry {
 
     /** Who was taken out without having said that it leaves. */
-    public record Missed(Berth berth, long since) {}
+    public record Missed(ProxyRegistration berth, long since) {}
 
     private static final int MOST_MISSED = 256;
     private static final long KEEP_MISSED = 3_600_000_000L;
 
     private static final class Entry {
-        private Berth berth;
+        private ProxyRegistration berth;
         private Object line;
         private long lostAt;
     }
@@ -36,14 +36,14 @@
     };
 
     /** @param graceMicros for which a pilot whose line has gone is still told of */
-    public Register(long graceMicros) {
+    public ProxyRegistry(long graceMicros) {
         grace = graceMicros;
     }
 
     /** A pilot tells of itself on this line; whether that is news. */
-    public boolean told(Object line, Berth berth) {
+    public boolean told(Object line, ProxyRegistration berth) {
         Entry entry = entries.computeIfAbsent(berth.name(), n -> new Entry());
-        Berth before = entry.berth;
+        ProxyRegistration before = entry.berth;
         if (before != null && before.isNewer(berth)) {
             return false;
         }
@@ -87,7 +87,7 @@
     }
 
     private void remove(long now, String name) {
-        Berth berth = entries.remove(name).berth;
+        ProxyRegistration berth = entries.remove(name).berth;
         if (!berth.leaving()) {
             missed.put(name, new Missed(berth, now));
         }
@@ -98,12 +98,12 @@
         return List.copyOf(missed.values());
     }
 
-    public Berth get(String name) {
+    public ProxyRegistration get(String name) {
         Entry entry = entries.get(name);
         return entry == null ? null : entry.berth;
     }
 
-    public Collection<Berth> all() {
+    public Collection<ProxyRegistration> all() {
         return entries.values().stream().map(e -> e.berth).toList();
     }
 
--- a/src/main/java/larkbank/berth/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/package-info.java
@@ -1,2 +1,2 @@
 /** Which pilots and servers there are: each tells it itself; kept in memory, told anew after a loss. */
-package larkbank.berth;
+package org.cypressweir.controlplane.registry;
--- a/src/main/java/larkbank/hold/Damaged.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
@@ -1,13 +1,13 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 
 /** The disk reads and yet does not hold what was written: it has lost or changed something. */
-class Damaged extends IOException {
+class CorruptStoreException extends IOException {
 
     private static final long serialVersionUID = 1;
 
-    Damaged(String message, Throwable cause) {
+    CorruptStoreException(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/src/main/java/larkbank/hold/Folders.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/DurableDirectories.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 
 /** What a folder needs so that its files outlast a loss of power. */
-class Folders {
+class DurableDirectories {
 
     /** Makes the folder's entries durable: a file lasts only once its entry does. */
     void sync(Path folder) throws IOException {
--- a/src/main/java/larkbank/hold/Aside.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -13,7 +13,7 @@
  * Where a damaged folder's files go, within the folder itself, for an operator to look at. A few are kept
  * as long as they are small; a mark that there was one stays.
  */
-final class Aside {
+final class Quarantine {
 
     private static final String MARK = "damaged";
     private static final String ASIDE = "aside-";
@@ -21,9 +21,9 @@
     private static final long MOST_BYTES = 64L << 20;
 
     private final Path folder;
-    private final Folders folders;
+    private final DurableDirectories folders;
 
-    Aside(Path folder, Folders folders) {
+    Quarantine(Path folder, DurableDirectories folders) {
         this.folder = folder;
         this.folders = folders;
     }
@@ -52,7 +52,7 @@
         Path next = folder.resolve(ASIDE + (before.isEmpty() ? 1 : number(before.getLast()) + 1));
         Files.createDirectory(next);
         folders.sync(folder);
-        for (String name : Folders.names(folder)) {
+        for (String name : DurableDirectories.names(folder)) {
             if (!name.equals(MARK) && !name.startsWith(ASIDE)) {
                 folders.move(folder.resolve(name), next.resolve(name));
             }
@@ -76,7 +76,7 @@
     }
 
     private Deque<String> kept() throws IOException {
-        return new ArrayDeque<>(Folders.names(folder).stream()
+        return new ArrayDeque<>(DurableDirectories.names(folder).stream()
                 .filter(n -> n.matches(ASIDE + "\\d{1,9}"))
                 .sorted((a, b) -> Long.compare(number(a), number(b)))
                 .toList());
--- a/src/main/java/larkbank/hold/Store.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Store.java
@@ -1,18 +1,18 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.util.Optional;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /** Where a copy is kept. Used by one thread. After a write that failed the next may succeed. */
 public interface Store extends AutoCloseable {
 
     /** What stands, or nothing where nothing was ever written. */
-    Optional<Standing> load() throws IOException;
+    Optional<PersistentState> load() throws IOException;
 
     /** Writes a change as a whole or not at all, and returns once it would outlast a loss of power. */
-    void write(Change change) throws IOException;
+    void write(StorageUpdate change) throws IOException;
 
     @Override
     void close() throws IOException;
--- a/src/main/java/larkbank/hold/Generation.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -20,13 +20,13 @@
 import jetbrains.exodus.env.Environments;
 import jetbrains.exodus.env.StoreConfig;
 import jetbrains.exodus.env.Transaction;
-import larkbank.copies.Ballot;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /** One folder with a Xodus environment. A write is one transaction, and sealed. */
-final class Generation implements AutoCloseable {
+final class StoreEnvironment implements AutoCloseable {
 
     private static final String ITEMS = "items";
     private static final String TERMS = "terms";
@@ -38,19 +38,19 @@
     private static final ByteIterable SEAL = bytes("seal");
 
     private final Path folder;
-    private final Folders folders;
+    private final DurableDirectories folders;
     private final Environment environment;
     private Set<String> files;
     private long written;
-    private Seal seal = Seal.NONE;
+    private WriteChecksum seal = WriteChecksum.NONE;
 
     /**
      * Opens the folder, made anew where it is not there.
      *
-     * @throws Torn where it can be opened, but does not hold what was written last
-     * @throws Damaged where it can be read, but not opened
+     * @throws TornWriteException where it can be opened, but does not hold what was written last
+     * @throws CorruptStoreException where it can be read, but not opened
      */
-    Generation(Path folder, int fileKib, Folders folders) throws IOException {
+    StoreEnvironment(Path folder, int fileKib, DurableDirectories folders) throws IOException {
         this.folder = folder;
         this.folders = folders;
         Files.createDirectories(folder);
@@ -72,13 +72,13 @@
             environment = Environments.newInstance(folder.toFile(), config);
         } catch (RuntimeException | Error e) {
             String why = "cannot open " + folder + ": " + e.getMessage();
-            throw e instanceof Error || byReading(e) ? new IOException(why, e) : new Damaged(why, e);
+            throw e instanceof Error || byReading(e) ? new IOException(why, e) : new CorruptStoreException(why, e);
         }
         folders.sync(folder);
-        files = Folders.names(folder);
+        files = DurableDirectories.names(folder);
         try {
             load();
-        } catch (Torn e) {
+        } catch (TornWriteException e) {
             close();
             throw e;
         }
@@ -91,8 +91,9 @@
 
     /** Cuts the last write off a folder that is not open: without its last byte, the one before it counts. */
     static void cut(Path folder) throws IOException {
-        List<String> logs =
-                Folders.names(folder).stream().filter(n -> n.endsWith(".xd")).toList();
+        List<String> logs = DurableDirectories.names(folder).stream()
+                .filter(n -> n.endsWith(".xd"))
+                .toList();
         for (int i = logs.size() - 1; i >= 0; i--) {
             try (FileChannel log = FileChannel.open(folder.resolve(logs.get(i)), StandardOpenOption.WRITE)) {
                 if (log.size() > 0) {
@@ -116,7 +117,7 @@
     /** How many bytes its files take. */
     static long size(Path folder) throws IOException {
         long size = 0;
-        for (String name : Folders.names(folder)) {
+        for (String name : DurableDirectories.names(folder)) {
             size += Files.size(folder.resolve(name));
         }
         return size;
@@ -127,22 +128,22 @@
         return written;
     }
 
-    Standing load() throws IOException {
-        Standing[] found = new Standing[1];
+    PersistentState load() throws IOException {
+        PersistentState[] found = new PersistentState[1];
         try {
             environment.executeInReadonlyTransaction(t -> found[0] = load(t));
         } catch (RuntimeException e) {
             if (byReading(e)) {
                 throw new IOException(e.getMessage(), e);
             }
-            throw new Torn(folder + " does not hold what was written: " + e.getMessage(), e);
+            throw new TornWriteException(folder + " does not hold what was written: " + e.getMessage(), e);
         } catch (Error e) {
             throw new IOException(e.getMessage(), e);
         }
         return found[0];
     }
 
-    private Standing load(Transaction t) {
+    private PersistentState load(Transaction t) {
         if (!environment.storeExists(TERMS, t)) {
             return null;
         }
@@ -163,18 +164,18 @@
         ByteIterable sealed = terms.get(t, SEAL);
         if (sealed == null) {
             // Written by a build without seals: the next write sets one.
-            seal = new Seal(seal.number(), sum);
+            seal = new WriteChecksum(seal.number(), sum);
         } else {
-            Seal found = Seal.of(text(sealed), terms(terms, t));
+            WriteChecksum found = WriteChecksum.of(text(sealed), terms(terms, t));
             if (found.sum() != sum) {
                 throw new IllegalArgumentException("the items are not those that were sealed");
             }
             seal = found;
         }
         String crew = text(terms.get(t, CREW));
-        return new Standing(
-                Ballot.of(text(promised)),
-                Ballot.of(text(terms.get(t, ACCEPTED))),
+        return new PersistentState(
+                ProposalNumber.of(text(promised)),
+                ProposalNumber.of(text(terms.get(t, ACCEPTED))),
                 crew.isEmpty() ? List.of() : List.of(crew.split("\n")),
                 items,
                 Boolean.parseBoolean(text(terms.get(t, HEARSAY))),
@@ -193,22 +194,24 @@
         return number == null ? 0 : Long.parseLong(text(number));
     }
 
-    void write(Change change) throws IOException {
+    void write(StorageUpdate change) throws IOException {
         write(change, change.hearsay());
     }
 
     /** Writes all that stands into a folder made anew, after so many writes. */
-    void write(Standing all, long number) throws IOException {
-        seal = new Seal(number, 0);
-        write(new Change(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()), all.hearsay());
+    void write(PersistentState all, long number) throws IOException {
+        seal = new WriteChecksum(number, 0);
+        write(
+                new StorageUpdate(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()),
+                all.hearsay());
     }
 
-    private void write(Change change, boolean hearsay) throws IOException {
-        Seal[] next = new Seal[1];
+    private void write(StorageUpdate change, boolean hearsay) throws IOException {
+        WriteChecksum[] next = new WriteChecksum[1];
         guarded(() -> environment.executeInExclusiveTransaction(t -> next[0] = write(change, hearsay, t)));
         written++;
         seal = next[0];
-        Set<String> now = Folders.names(folder);
+        Set<String> now = DurableDirectories.names(folder);
         if (!now.containsAll(files)) {
             throw new IOException("files of " + folder + " are gone");
         }
@@ -218,7 +221,7 @@
         files = now;
     }
 
-    private Seal write(Change change, boolean hearsay, Transaction t) {
+    private WriteChecksum write(StorageUpdate change, boolean hearsay, Transaction t) {
         long sum = seal.sum();
         if (change.whole()) {
             sum = 0;
@@ -238,7 +241,7 @@
         }
         terms.put(t, PROMISED, bytes(change.promised().toString()));
         if (change.accepted() != null || terms.get(t, ACCEPTED) == null) {
-            Ballot accepted = change.accepted() == null ? Ballot.ZERO : change.accepted();
+            ProposalNumber accepted = change.accepted() == null ? ProposalNumber.ZERO : change.accepted();
             terms.put(t, ACCEPTED, bytes(accepted.toString()));
         }
         if (change.accepted() != null || terms.get(t, HEARSAY) == null) {
@@ -250,7 +253,7 @@
         if (change.setsDisk()) {
             terms.put(t, DISK, bytes(Long.toString(change.disk())));
         }
-        Seal next = new Seal(seal.number() + 1, sum);
+        WriteChecksum next = new WriteChecksum(seal.number() + 1, sum);
         terms.put(t, SEAL, bytes(next.over(terms(terms, t))));
         return next;
     }
@@ -264,7 +267,7 @@
     }
 
     private static long print(ByteIterable key, ByteIterable value) {
-        return Seal.print(
+        return WriteChecksum.print(
                 Arrays.copyOf(key.getBytesUnsafe(), key.getLength()),
                 Arrays.copyOf(value.getBytesUnsafe(), value.getLength()));
     }
--- a/src/main/java/larkbank/hold/Torn.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/TornWriteException.java
@@ -1,11 +1,11 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 /** What was read is not what was written: the last write is torn, or the disk has lost something. */
-final class Torn extends Damaged {
+final class TornWriteException extends CorruptStoreException {
 
     private static final long serialVersionUID = 1;
 
-    Torn(String message, Throwable cause) {
+    TornWriteException(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/src/main/java/larkbank/hold/Seal.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteChecksum.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -9,9 +9,9 @@
  * writes there have been, the sum of all items' prints, and a print of these and the terms. What a loss of
  * power leaves of a write that was not synced may look whole to Xodus, with a sector missing in its middle.
  */
-record Seal(long number, long sum) {
+record WriteChecksum(long number, long sum) {
 
-    static final Seal NONE = new Seal(0, 0);
+    static final WriteChecksum NONE = new WriteChecksum(0, 0);
 
     /** The print of an item as it is written. The sum of prints tells items apart in whatever order. */
     static long print(byte[] key, byte[] value) {
@@ -28,12 +28,12 @@
     }
 
     /** Reads the text; an IllegalArgumentException where it is none or the terms are others. */
-    static Seal of(String text, List<String> terms) {
+    static WriteChecksum of(String text, List<String> terms) {
         String[] parts = text.split(" ");
         if (parts.length != 3) {
             throw new IllegalArgumentException("no seal");
         }
-        Seal seal = new Seal(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+        WriteChecksum seal = new WriteChecksum(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
         if (Long.parseLong(parts[2]) != seal.check(terms)) {
             throw new IllegalArgumentException("the seal is of other terms");
         }
--- a/src/main/java/larkbank/hold/Witness.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteCounterFile.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,14 +12,14 @@
  * costs nothing: a loss of power may leave an older number or a torn one, which is known by its two halves,
  * never a higher one. What stands at a lower number has lost writes that were told to be there.
  */
-final class Witness implements AutoCloseable {
+final class WriteCounterFile implements AutoCloseable {
 
     private static final int DIGITS = 19;
 
     private final FileChannel channel;
     private long number;
 
-    Witness(Path file) throws IOException {
+    WriteCounterFile(Path file) throws IOException {
         channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         ByteBuffer bytes = ByteBuffer.allocate(2 * DIGITS);
         channel.read(bytes, 0);
--- a/src/main/java/larkbank/hold/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -1,12 +1,12 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Optional;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /**
  * Keeps a copy in a folder. Xodus only ever appends; so where its files have grown large, what stands is
@@ -31,33 +31,33 @@
     private static final String WITNESS = "written";
 
     private final Path folder;
-    private final Folders folders;
+    private final DurableDirectories folders;
     private final long large;
     private final int fileKib;
     private long number;
     private long most;
-    private final Aside aside;
+    private final Quarantine aside;
     private final Optional<String> reason;
-    private Generation generation;
+    private StoreEnvironment generation;
     /** Whether a write has been cut off: one is under way at a time. */
     private boolean cut;
     /** How many writes have come back, as far as this process knows. */
     private long written;
 
-    private Witness witness;
+    private WriteCounterFile witness;
 
     public XodusStore(Path folder) throws IOException {
         this(folder, LARGE);
     }
 
     XodusStore(Path folder, long large) throws IOException {
-        this(folder, large, FILE_KIB, new Folders());
+        this(folder, large, FILE_KIB, new DurableDirectories());
     }
 
-    XodusStore(Path folder, long large, int fileKib, Folders folders) throws IOException {
+    XodusStore(Path folder, long large, int fileKib, DurableDirectories folders) throws IOException {
         this.folder = folder;
         this.folders = folders;
-        aside = new Aside(folder, folders);
+        aside = new Quarantine(folder, folders);
         this.large = large;
         this.fileKib = fileKib;
         most = large;
@@ -69,7 +69,7 @@
         Optional<String> why = Optional.empty();
         try {
             open();
-        } catch (Damaged first) {
+        } catch (CorruptStoreException first) {
             aside.prove();
             why = again();
         }
@@ -82,7 +82,7 @@
         try {
             open();
             return Optional.empty();
-        } catch (Damaged second) {
+        } catch (CorruptStoreException second) {
             aside.take(second.getMessage());
             open();
             return Optional.of(second.getMessage());
@@ -102,8 +102,8 @@
     private void open() throws IOException {
         Path names = folder.resolve(NAMES);
         if (!Files.exists(names)) {
-            if (written > 0 || Folders.names(folder).stream().anyMatch(n -> n.matches("\\d+"))) {
-                throw new Damaged(names + " is gone", null);
+            if (written > 0 || DurableDirectories.names(folder).stream().anyMatch(n -> n.matches("\\d+"))) {
+                throw new CorruptStoreException(names + " is gone", null);
             }
             folders.replace(names, "0\n");
         }
@@ -111,16 +111,16 @@
             number = Long.parseLong(
                     Files.readString(names, StandardCharsets.ISO_8859_1).trim());
         } catch (NumberFormatException e) {
-            throw new Damaged(names + " names no folder", e);
+            throw new CorruptStoreException(names + " names no folder", e);
         }
-        witness = new Witness(folder.resolve(WITNESS));
+        witness = new WriteCounterFile(folder.resolve(WITNESS));
         // A name that was put there right before this process ended may not have been durable.
         folders.sync(folder);
         try {
             generation = number == 0 ? first(names) : sealed(folder.resolve(Long.toString(number)));
             number = Math.max(number, 1);
             if (generation.number() < Math.max(written, witness.number())) {
-                throw new Damaged(
+                throw new CorruptStoreException(
                         folder + " has forgotten: it stands after write " + generation.number() + " of "
                                 + Math.max(written, witness.number()),
                         null);
@@ -133,46 +133,46 @@
     }
 
     /** Begun, but never come to its first folder: there can be nothing in it yet. */
-    private Generation first(Path names) throws IOException {
+    private StoreEnvironment first(Path names) throws IOException {
         Path one = folder.resolve("1");
-        Generation first;
+        StoreEnvironment first;
         try {
-            first = new Generation(one, fileKib, folders);
-        } catch (Damaged e) {
-            if (witness.number() > 0 || Generation.size(one) > BEGUN) {
+            first = new StoreEnvironment(one, fileKib, folders);
+        } catch (CorruptStoreException e) {
+            if (witness.number() > 0 || StoreEnvironment.size(one) > BEGUN) {
                 throw e;
             }
             // Power was lost while it was made: nothing was ever written to it.
             folders.delete(one);
-            first = new Generation(one, fileKib, folders);
+            first = new StoreEnvironment(one, fileKib, folders);
         }
         if (first.load() != null) {
             first.close();
-            throw new Damaged(names + " names no folder, but there is one", null);
+            throw new CorruptStoreException(names + " names no folder, but there is one", null);
         }
         folders.sync(folder); // Before its name.
         folders.replace(names, "1\n");
         return first;
     }
 
-    private Generation sealed(Path named) throws IOException {
+    private StoreEnvironment sealed(Path named) throws IOException {
         if (!Files.isDirectory(named)) {
-            throw new Damaged(named + " is not there", null);
+            throw new CorruptStoreException(named + " is not there", null);
         }
         try {
-            return new Generation(named, fileKib, folders);
-        } catch (Torn e) {
+            return new StoreEnvironment(named, fileKib, folders);
+        } catch (TornWriteException e) {
             if (cut) {
                 throw e;
             }
             cut = true;
-            Generation.cut(named);
-            return new Generation(named, fileKib, folders);
+            StoreEnvironment.cut(named);
+            return new StoreEnvironment(named, fileKib, folders);
         }
     }
 
     private void clean(long kept) throws IOException {
-        for (String name : Folders.names(folder)) {
+        for (String name : DurableDirectories.names(folder)) {
             if (name.matches("\\d+") && !name.equals(Long.toString(kept))) {
                 folders.delete(folder.resolve(name));
             }
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public Optional<Standing> load() throws IOException {
+    public Optional<PersistentState> load() throws IOException {
         if (generation == null) {
             open();
         }
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void write(Change change) throws IOException {
+    public void write(StorageUpdate change) throws IOException {
         try {
             if (generation == null) {
                 open();
@@ -209,12 +209,12 @@
     }
 
     /** Writes all that stands after the change into the next folder, and makes that the one that counts. */
-    private void begin(Change change) throws IOException {
-        Standing all = change.on(generation.load());
+    private void begin(StorageUpdate change) throws IOException {
+        PersistentState all = change.on(generation.load());
         long following = number + 1;
         Path next = folder.resolve(Long.toString(following));
         folders.delete(next);
-        Generation fresh = new Generation(next, fileKib, folders);
+        StoreEnvironment fresh = new StoreEnvironment(next, fileKib, folders);
         try {
             fresh.write(all, generation.number());
             folders.sync(folder);
@@ -227,7 +227,7 @@
             }
             throw e;
         }
-        Generation old = generation;
+        StoreEnvironment old = generation;
         generation = fresh;
         number = following;
         most = Math.max(large, TIMES * fresh.size());
@@ -257,7 +257,7 @@
             witness = null;
         }
         if (generation != null) {
-            Generation open = generation;
+            StoreEnvironment open = generation;
             generation = null;
             open.close();
         }
--- a/src/main/java/larkbank/hold/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/package-info.java
@@ -1,2 +1,2 @@
 /** Keeps a copy on a disk. Blocking: each store is used by one thread of its own. */
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
--- a/src/main/java/larkbank/gangway/BadRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/BadRequestException.java
@@ -1,13 +1,13 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 /** What came is no request that is taken; the status says why, and the connection ends. */
-final class BadRequest extends Exception {
+final class BadRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    BadRequest(int status, String why) {
+    BadRequestException(int status, String why) {
         super(why, null, false, false);
         this.status = status;
     }
--- a/src/main/java/larkbank/gangway/Exchange.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Exchange.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpUtil;
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /** One request and its answer; only the first answer counts. */
-final class Exchange implements Call {
+final class Exchange implements ServerRequest {
 
-    private final Connection connection;
+    private final HttpConnection connection;
     private final String method;
     private final String uri;
     private final String host;
     private final boolean old;
     private final boolean keeps;
     private final List<Map.Entry<String, String>> headers = new ArrayList<>();
-    private final Body body;
+    private final RequestBody body;
     private final byte[] bytes;
     private final long arrived;
     private final InetSocketAddress remote;
@@ -26,7 +26,7 @@
     private boolean gone;
     private Runnable whenGone;
 
-    Exchange(Connection connection, HttpRequest request, Head head, Body body, long arrived) {
+    Exchange(HttpConnection connection, HttpRequest request, RequestHeadScanner head, RequestBody body, long arrived) {
         this.connection = connection;
         this.body = body;
         this.arrived = arrived;
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public boolean answer(Answer answer) {
+    public boolean answer(ServerResponse answer) {
         boolean first = open && connection.answer(this, answer);
         open = false;
         return first;
@@ -111,7 +111,7 @@
         }
     }
 
-    Body held() {
+    RequestBody held() {
         return body;
     }
 
--- a/src/main/java/larkbank/gangway/Headers.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Headers.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/larkbank/gangway/Connection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpConnection.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -13,7 +13,7 @@
 import java.net.InetSocketAddress;
 
 /** A client's connection: it collects one request at a time, hands it to the host and writes its answer. */
-final class Connection extends ChannelInboundHandlerAdapter {
+final class HttpConnection extends ChannelInboundHandlerAdapter {
 
     private static final long WRITE_MICROS = 5_000_000;
     private static final long FRESH_MICROS = 500_000;
@@ -30,15 +30,15 @@
         LINGERING
     }
 
-    private final Gangway gangway;
+    private final HttpListener gangway;
     private final SocketChannel channel;
-    private final Decoder decoder;
-    private final Intake intake;
+    private final RequestDecoder decoder;
+    private final RequestAssembler intake;
     private Phase phase = Phase.IDLE;
     /** When the phase began, or something last moved on in it. */
     private long since;
 
-    private Bounds bounds;
+    private RequestLimits bounds;
     private Exchange exchange;
     /** The connection ends after the answer that is being written. */
     private boolean last;
@@ -47,20 +47,20 @@
 
     private long unwritten;
 
-    Connection(Gangway gangway, SocketChannel channel) {
+    HttpConnection(HttpListener gangway, SocketChannel channel) {
         this.gangway = gangway;
         this.channel = channel;
         since = gangway.now();
         bounds = gangway.bounds();
-        decoder = new Decoder(this);
-        intake = new Intake(gangway, channel);
+        decoder = new RequestDecoder(this);
+        intake = new RequestAssembler(gangway, channel);
     }
 
     void begin() {
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), this);
     }
 
-    Bounds bounds() {
+    RequestLimits bounds() {
         return bounds;
     }
 
@@ -110,7 +110,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            if (message instanceof BadRequest bad) {
+            if (message instanceof BadRequestException bad) {
                 reject(bad.status(), bad.getMessage());
             } else if (message instanceof HttpObject part && isReading()) {
                 read(part);
@@ -133,7 +133,7 @@
                 phase = Phase.CALLED;
                 gangway.call(exchange);
             }
-        } catch (BadRequest e) {
+        } catch (BadRequestException e) {
             reject(e.status(), e.getMessage());
         }
     }
@@ -142,12 +142,12 @@
     private void reject(int status, String why) {
         boolean bare = intake.isBare();
         intake.drop();
-        Answer answer = Answer.text(status, why);
+        ServerResponse answer = ServerResponse.text(status, why);
         write(status == 503 ? answer.withHeader("Retry-After", "0.2") : answer, bare, true, false);
     }
 
     /** Whether the answer goes out. */
-    boolean answer(Exchange which, Answer answer) {
+    boolean answer(Exchange which, ServerResponse answer) {
         if (exchange != which || !channel.isActive()) {
             return false;
         }
@@ -158,14 +158,14 @@
         return true;
     }
 
-    private void write(Answer answer, boolean bare, boolean ends, boolean old) {
+    private void write(ServerResponse answer, boolean bare, boolean ends, boolean old) {
         last = ends;
         enter(Phase.WRITING);
         if (last) {
             decoder.stop();
             channel.config().setAutoRead(true);
         }
-        FullHttpResponse response = Responses.of(answer, bare);
+        FullHttpResponse response = ResponseEncoder.of(answer, bare);
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
         } else if (old) {
--- a/src/main/java/larkbank/gangway/Gangway.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpListener.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -25,7 +25,7 @@
  * Listens on one address and gives each request exactly one answer. All that it does runs on one loop; it
  * may be told to end from any thread.
  */
-public final class Gangway {
+public final class HttpListener {
 
     private static final int BACKLOG = 1024;
     /** Bodies of all requests that are read or in hand. */
@@ -38,12 +38,12 @@
     private static final int READS = 4;
 
     private final EventLoop loop;
-    private final Supplier<Bounds> bounds;
+    private final Supplier<RequestLimits> bounds;
     private final LongSupplier micros;
-    private final Host host;
+    private final RequestHandler host;
     private final InetSocketAddress address;
     private final Channel door;
-    private final Set<Connection> connections = new LinkedHashSet<>();
+    private final Set<HttpConnection> connections = new LinkedHashSet<>();
     private long held;
     private boolean sweeping;
     private boolean closed;
@@ -51,7 +51,12 @@
     private volatile int requestsOpen;
     private volatile int connected;
 
-    private Gangway(EventLoop loop, ServerSocketChannel socket, Supplier<Bounds> bounds, LongSupplier micros, Host host)
+    private HttpListener(
+            EventLoop loop,
+            ServerSocketChannel socket,
+            Supplier<RequestLimits> bounds,
+            LongSupplier micros,
+            RequestHandler host)
             throws IOException {
         this.loop = loop;
         this.bounds = bounds;
@@ -62,14 +67,18 @@
     }
 
     /** Listens from now on. */
-    public static Gangway open(
-            EventLoopGroup group, InetSocketAddress at, Supplier<Bounds> bounds, LongSupplier micros, Host host)
+    public static HttpListener open(
+            EventLoopGroup group,
+            InetSocketAddress at,
+            Supplier<RequestLimits> bounds,
+            LongSupplier micros,
+            RequestHandler host)
             throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             socket.bind(at, BACKLOG);
-            Gangway gangway = new Gangway(group.next(), socket, bounds, micros, host);
+            HttpListener gangway = new HttpListener(group.next(), socket, bounds, micros, host);
             gangway.accept();
             return gangway;
         } catch (IOException | RuntimeException e) {
@@ -89,7 +98,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        new Connection(Gangway.this, channel).begin();
+                        new HttpConnection(HttpListener.this, channel).begin();
                     }
                 })
                 .register();
@@ -112,7 +121,7 @@
     /** From now on each answer is the last of its connection; those without a request are closed. */
     public void drain() {
         draining = true;
-        onLoop(() -> List.copyOf(connections).forEach(Connection::closeIfIdle));
+        onLoop(() -> List.copyOf(connections).forEach(HttpConnection::closeIfIdle));
     }
 
     /** Nobody new is let in; those that have connected before are. */
@@ -133,7 +142,7 @@
         onLoop(() -> {
             closed = true;
             door.close();
-            List.copyOf(connections).forEach(Connection::close);
+            List.copyOf(connections).forEach(HttpConnection::close);
         });
     }
 
@@ -149,7 +158,7 @@
         return micros.getAsLong();
     }
 
-    Bounds bounds() {
+    RequestLimits bounds() {
         return bounds.get();
     }
 
@@ -168,7 +177,7 @@
         return fits;
     }
 
-    void opened(Connection connection) {
+    void opened(HttpConnection connection) {
         if (closed) {
             connection.close();
             return;
@@ -181,7 +190,7 @@
         }
     }
 
-    void closed(Connection connection) {
+    void closed(HttpConnection connection) {
         connections.remove(connection);
         connected = connections.size();
     }
@@ -191,7 +200,7 @@
         try {
             host.called(exchange);
         } catch (RuntimeException | Error e) {
-            exchange.answer(Answer.text(500, "failed"));
+            exchange.answer(ServerResponse.text(500, "failed"));
         }
     }
 
@@ -200,7 +209,7 @@
     }
 
     private void later() {
-        Bounds now = bounds();
+        RequestLimits now = bounds();
         long wait = Math.min(now.headerMillis(), now.idleMillis()) / 4;
         loop.schedule(this::sweep, Math.max(LEAST_SWEEP, Math.min(MOST_SWEEP, wait)), TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/larkbank/gangway/Intake.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestAssembler.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -13,26 +13,26 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
 /** Puts the parts of a request together; it refuses what is too large before all of it has come. */
-final class Intake {
+final class RequestAssembler {
 
-    private final Gangway gangway;
+    private final HttpListener gangway;
     private final Channel channel;
     private HttpRequest request;
-    private Head head;
-    private Body body;
+    private RequestHeadScanner head;
+    private RequestBody body;
 
-    Intake(Gangway gangway, Channel channel) {
+    RequestAssembler(HttpListener gangway, Channel channel) {
         this.gangway = gangway;
         this.channel = channel;
     }
 
     /** Whether the request is whole now. */
-    boolean add(HttpObject part, Head of, Bounds bounds) throws BadRequest {
+    boolean add(HttpObject part, RequestHeadScanner of, RequestLimits bounds) throws BadRequestException {
         Throwable cause = part.decoderResult().cause();
         if (cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException) {
-            throw new BadRequest(431, "the head is too large");
+            throw new BadRequestException(431, "the head is too large");
         } else if (cause != null) {
-            throw new BadRequest(400, "not HTTP");
+            throw new BadRequestException(400, "not HTTP");
         }
         if (part instanceof HttpRequest begun) {
             request = begun;
@@ -51,28 +51,28 @@
         return false;
     }
 
-    private void begin(Bounds bounds) throws BadRequest {
+    private void begin(RequestLimits bounds) throws BadRequestException {
         boolean continues = "100-continue".equalsIgnoreCase(head.expectation());
         if (head.expectation() != null && !continues) {
-            throw new BadRequest(417, "unknown expectation");
+            throw new BadRequestException(417, "unknown expectation");
         } else if (head.length() > bounds.maxBodyBytes()) {
             throw tooLarge();
         } else if (!gangway.hasRoom(head.length())) {
             throw noRoom();
         }
-        body = new Body(gangway, head.length());
+        body = new RequestBody(gangway, head.length());
         if (continues && head.hasBody()) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private static BadRequest tooLarge() {
-        return new BadRequest(413, "the body is too large");
+    private static BadRequestException tooLarge() {
+        return new BadRequestException(413, "the body is too large");
     }
 
-    private static BadRequest noRoom() {
-        return new BadRequest(503, "no room for the body");
+    private static BadRequestException noRoom() {
+        return new BadRequestException(503, "no room for the body");
     }
 
     /** Whether an answer to what has come so far must be without a body. */
@@ -81,7 +81,7 @@
     }
 
     /** Hands out what is whole; the body counts until it is freed. */
-    Exchange take(Connection connection, long now) {
+    Exchange take(HttpConnection connection, long now) {
         Exchange whole = new Exchange(connection, request, head, body, now);
         forget();
         return whole;
--- a/src/main/java/larkbank/gangway/Body.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestBody.java
@@ -1,22 +1,22 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 
 /** The bytes of one body as they come. What they take is counted with the gangway until they are freed. */
-final class Body {
+final class RequestBody {
 
     private static final byte[] NOTHING = new byte[0];
     private static final int FIRST = 16 * 1024;
 
-    private final Gangway gangway;
+    private final HttpListener gangway;
     /** As told, or -1. */
     private final long length;
 
     private byte[] bytes = NOTHING;
     private int size;
 
-    Body(Gangway gangway, long length) {
+    RequestBody(HttpListener gangway, long length) {
         this.gangway = gangway;
         this.length = length;
     }
--- a/src/main/java/larkbank/gangway/Decoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestDecoder.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -13,14 +13,14 @@
  * Decodes one request at a time: a head goes to the library's decoder once it was found to be sound, and
  * what comes behind a request stays here until that one was answered.
  */
-final class Decoder extends HttpRequestDecoder {
+final class RequestDecoder extends HttpRequestDecoder {
 
     /** Most that a trailer or the line of a chunk takes. */
     private static final int LONGEST = 64 * 1024;
 
-    private final Connection connection;
+    private final HttpConnection connection;
     private ChannelHandlerContext context;
-    private Head head;
+    private RequestHeadScanner head;
     /** An empty line came before it. */
     private boolean blank;
 
@@ -30,7 +30,7 @@
     /** Nothing that comes counts any more. */
     private boolean stopped;
 
-    Decoder(Connection connection) {
+    RequestDecoder(HttpConnection connection) {
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(LONGEST)
                 .setMaxHeaderSize(LONGEST)
@@ -70,7 +70,7 @@
     }
 
     /** The head of the request that is being read. */
-    Head head() {
+    RequestHeadScanner head() {
         return head;
     }
 
@@ -85,7 +85,7 @@
                 } else {
                     decodeHead(c, in, out);
                 }
-            } catch (BadRequest e) {
+            } catch (BadRequestException e) {
                 stopped = true;
                 in.skipBytes(in.readableBytes());
                 out.forEach(ReferenceCountUtil::release);
@@ -100,7 +100,7 @@
             if (!blank && in.getByte(in.readerIndex()) == '\r' && skipBlank(in)) {
                 return;
             }
-            head = new Head();
+            head = new RequestHeadScanner();
             connection.begins();
         }
         int size = head.scan(in, connection.bounds().maxHeaderBytes());
@@ -109,7 +109,7 @@
             inBody = true;
             decodeSome(c, whole, out);
             if (whole.isReadable()) {
-                throw new BadRequest(400, "bad head");
+                throw new BadRequestException(400, "bad head");
             }
         }
     }
@@ -119,7 +119,7 @@
         int from = in.readerIndex();
         decodeSome(c, in, out);
         if (head.isChunked() && (out.isEmpty() || !inBody)) {
-            Head.checkLines(in, from, in.readerIndex());
+            RequestHeadScanner.checkLines(in, from, in.readerIndex());
         }
     }
 
--- a/src/main/java/larkbank/gangway/Host.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestHandler.java
@@ -1,7 +1,7 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 /** Who answers the requests of a gangway. */
-public interface Host {
+public interface RequestHandler {
     /** A whole request, on the loop; it is to be answered now or later. */
-    void called(Call call);
+    void called(ServerRequest call);
 }
--- a/src/main/java/larkbank/gangway/Head.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestHeadScanner.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
@@ -7,7 +7,7 @@
  * Looks at the bytes of a request's head as they come, before any decoder. It refuses what has more than one
  * meaning, and it knows the target, the host and the framing of what it lets pass.
  */
-final class Head {
+final class RequestHeadScanner {
 
     private static final boolean[] TOKEN = new boolean[128];
     private static final int LONGEST_LENGTH = 18;
@@ -35,12 +35,12 @@
     private String expectation;
 
     /** The size of the head once it is whole, or -1; bytes that were looked at must not move. */
-    int scan(ByteBuf in, int most) throws BadRequest {
+    int scan(ByteBuf in, int most) throws BadRequestException {
         int base = in.readerIndex();
         int size = in.readableBytes();
         while (scanned < size) {
             if (scanned >= most) {
-                throw new BadRequest(431, "the head is too large");
+                throw new BadRequestException(431, "the head is too large");
             }
             int b = in.getByte(base + scanned++);
             if (afterReturn) {
@@ -54,14 +54,14 @@
             } else if (b == '\r') {
                 afterReturn = true;
             } else if (b >= 0 && b < ' ' && b != '\t' || b == 0x7f) {
-                throw new BadRequest(400, b == '\n' ? "bare LF" : "control character");
+                throw new BadRequestException(400, b == '\n' ? "bare LF" : "control character");
             }
         }
         return -1;
     }
 
     /** Refuses what is not whole lines, none of which goes on in the next. */
-    static void checkLines(ByteBuf in, int from, int to) throws BadRequest {
+    static void checkLines(ByteBuf in, int from, int to) throws BadRequestException {
         byte before = '\n';
         for (int i = from; i < to; i++) {
             byte b = in.getByte(i);
@@ -74,7 +74,7 @@
     }
 
     /** Whether the head ends with this line. */
-    private boolean lineEnds(ByteBuf in, int from, int to) throws BadRequest {
+    private boolean lineEnds(ByteBuf in, int from, int to) throws BadRequestException {
         if (path == null) {
             requestLine(in.toString(from, to - from, StandardCharsets.ISO_8859_1));
         } else if (from < to) {
@@ -85,7 +85,7 @@
         return false;
     }
 
-    private void requestLine(String line) throws BadRequest {
+    private void requestLine(String line) throws BadRequestException {
         int first = line.indexOf(' ');
         int last = line.lastIndexOf(' ');
         require(first > 0 && last > first + 1, "bad request line");
@@ -110,7 +110,7 @@
         }
     }
 
-    private void absolute(String target) throws BadRequest {
+    private void absolute(String target) throws BadRequestException {
         int end = 7;
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
             end++;
@@ -121,7 +121,7 @@
         path = rest.startsWith("/") ? rest : "/" + rest;
     }
 
-    private void field(ByteBuf in, int from, int to) throws BadRequest {
+    private void field(ByteBuf in, int from, int to) throws BadRequestException {
         int colon = from;
         while (colon < to && in.getByte(colon) != ':') {
             require(isToken(in.getByte(colon++)), "bad header name");
@@ -135,7 +135,7 @@
         }
     }
 
-    private void framing(String name, String value) throws BadRequest {
+    private void framing(String name, String value) throws BadRequestException {
         if (name.equalsIgnoreCase("Host")) {
             require(named == null, "more than one Host");
             require(host(value) != null, "bad Host");
@@ -151,12 +151,12 @@
         }
     }
 
-    private void finish() throws BadRequest {
+    private void finish() throws BadRequestException {
         require(!chunked || length < 0 && !old, "more than one framing");
         require(named != null || old, "no Host");
     }
 
-    private static long number(String digits) throws BadRequest {
+    private static long number(String digits) throws BadRequestException {
         require(!digits.isEmpty(), "bad Content-Length");
         long value = 0;
         for (int i = 0; i < digits.length(); i++) {
@@ -213,9 +213,9 @@
         return c >= 0 && c < TOKEN.length && TOKEN[c];
     }
 
-    private static void require(boolean holds, String why) throws BadRequest {
+    private static void require(boolean holds, String why) throws BadRequestException {
         if (!holds) {
-            throw new BadRequest(400, why);
+            throw new BadRequestException(400, why);
         }
     }
 
--- a/src/main/java/larkbank/gangway/Responses.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ResponseEncoder.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,20 +10,20 @@
 import java.util.Map;
 
 /** Turns answers into messages of the library, and sees to their framing. */
-final class Responses {
+final class ResponseEncoder {
 
-    private Responses() {}
+    private ResponseEncoder() {}
 
     /** Without bytes of a body where the request was HEAD (bare); an answer that can't be sent is a 500. */
-    static FullHttpResponse of(Answer answer, boolean bare) {
+    static FullHttpResponse of(ServerResponse answer, boolean bare) {
         try {
             return build(answer, bare);
         } catch (IllegalArgumentException e) {
-            return build(Answer.text(500, "the answer is no HTTP"), bare);
+            return build(ServerResponse.text(500, "the answer is no HTTP"), bare);
         }
     }
 
-    private static FullHttpResponse build(Answer answer, boolean bare) {
+    private static FullHttpResponse build(ServerResponse answer, boolean bare) {
         int status = answer.status();
         if (status < 200 || status > 999) {
             throw new IllegalArgumentException("status");
--- a/src/main/java/larkbank/gangway/Call.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerRequest.java
@@ -1,11 +1,11 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
 
 /** A whole request that waits for its one answer. All of it is for the loop's thread only. */
-public interface Call {
+public interface ServerRequest {
     /** A token, as received. */
     String method();
 
@@ -39,7 +39,7 @@
     InetSocketAddress remote();
 
     /** Whether the answer goes out: false where it was answered before, or the client is gone. */
-    boolean answer(Answer answer);
+    boolean answer(ServerResponse answer);
 
     /** Runs once if the client goes before the answer was given; at once where it has gone already. */
     void whenGone(Runnable task);
--- a/src/main/java/larkbank/gangway/package-info.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/package-info.java
@@ -2,4 +2,4 @@
  * The server side of HTTP/1.1: whole requests come in over TCP, and each gets exactly one answer. It knows
  * nothing of where requests go.
  */
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
--- a/src/main/java/larkbank/quay/RunLimit.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ConcurrencyLimit.java
@@ -1,19 +1,19 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /**
  * How many requests may run at once: the slots and a few more, less after the server said that it is full,
  * growing back by one over itself an answer.
  */
-final class RunLimit {
+final class ConcurrencyLimit {
     private static final double CUT = 0.8;
 
-    private final QuayPlan plan;
+    private final UpstreamOptions plan;
     private int slots;
     private long warmUntil = Long.MIN_VALUE;
     private double limit;
     private long cutAt = Long.MIN_VALUE;
 
-    RunLimit(QuayPlan plan) {
+    ConcurrencyLimit(UpstreamOptions plan) {
         this.plan = plan;
     }
 
--- a/src/main/java/larkbank/quay/Alarm.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/DeadlineTimer.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 
 /** Rings once at the earliest time it was set to, or a little later. Who hears it sets it anew. */
-final class Alarm {
+final class DeadlineTimer {
     /** The shortest time that is waited for, so that a clock that lags behind the loop's costs little. */
     private static final long LEAST_MICROS = 500;
 
@@ -16,7 +16,7 @@
     private long setTo = Long.MAX_VALUE;
     private Future<?> timer;
 
-    Alarm(EventLoop loop, LongSupplier micros, Runnable hears) {
+    DeadlineTimer(EventLoop loop, LongSupplier micros, Runnable hears) {
         this.loop = loop;
         this.micros = micros;
         this.hears = hears;
--- a/src/main/java/larkbank/quay/Known.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ExecutionKnowledge.java
@@ -1,7 +1,7 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /** What is known of one attempt, wherever it is looked at from. */
-public enum Known {
+public enum ExecutionKnowledge {
     /** No byte of it has gone to where it could run. */
     NOT_SENT,
     /** It is out, and may be at work. */
@@ -23,12 +23,14 @@
     }
 
     /** What it is once the way that it went, or should have gone, is lost. */
-    public Known lost() {
+    public ExecutionKnowledge lost() {
         return this == NOT_SENT ? UNRUN : this == SENT ? MAY_HAVE_RUN : this;
     }
 
     /** What an end that was told says. */
-    public static Known of(Outcome outcome) {
-        return outcome instanceof Outcome.NotRun ? UNRUN : outcome instanceof Outcome.Answered ? RAN : MAY_HAVE_RUN;
+    public static ExecutionKnowledge of(RequestOutcome outcome) {
+        return outcome instanceof RequestOutcome.NotRun
+                ? UNRUN
+                : outcome instanceof RequestOutcome.Answered ? RAN : MAY_HAVE_RUN;
     }
 }
--- a/src/main/java/larkbank/quay/Lull.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/IdleConnectionAge.java
@@ -1,10 +1,10 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /**
  * How long a connection may have been idle so that what can't be repeated still goes out on it. A server may
  * forget a connection silently: what is sent on it then is reset, and nobody knows whether it has run.
  */
-final class Lull {
+final class IdleConnectionAge {
     /** Taken until more is known. */
     private static final long FIRST_MICROS = 1_000_000;
 
--- a/src/main/java/larkbank/quay/Shipment.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/InFlightRequest.java
@@ -1,27 +1,27 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.function.Consumer;
 
 /** A request that was taken, with whom to tell of its end. The end is told once, whatever comes after. */
-final class Shipment extends Cargo implements Ticket {
-    private final Freight freight;
-    private final Consumer<Outcome> end;
+final class InFlightRequest extends SchedulableRequest implements RequestHandle {
+    private final UpstreamRequest freight;
+    private final Consumer<RequestOutcome> end;
     /** The id that is sent, and that its answer repeats. */
     final String attemptId;
     /** Sent is what the socket took at least a byte of. */
-    Known known = Known.NOT_SENT;
+    ExecutionKnowledge known = ExecutionKnowledge.NOT_SENT;
 
     private boolean over;
 
-    Shipment(Freight freight, Consumer<Outcome> end) {
+    InFlightRequest(UpstreamRequest freight, Consumer<RequestOutcome> end) {
         super(freight.inner(), freight.rank(), freight.aimAtMicros(), freight.deadlineMicros(), freight.repeatable());
         this.freight = freight;
         this.end = end;
-        attemptId = RequestBytes.attemptId(freight);
+        attemptId = RequestEncoder.attemptId(freight);
     }
 
     @Override
-    public Freight freight() {
+    public UpstreamRequest freight() {
         return freight;
     }
 
@@ -34,7 +34,7 @@
         return freight.method().equals("HEAD");
     }
 
-    void tell(Outcome outcome) {
+    void tell(RequestOutcome outcome) {
         if (!over) {
             over = true;
             end.accept(outcome);
--- a/src/main/java/larkbank/quay/Reason.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RejectionReason.java
@@ -1,7 +1,7 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /** Why a request was not run. */
-public enum Reason {
+public enum RejectionReason {
     FULL,
     LATE,
     GONE,
--- a/src/main/java/larkbank/quay/Dispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestDispatcher.java
@@ -1,15 +1,15 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.function.Consumer;
 
 /** Takes requests for the one server beside this process, and tells one outcome of each. */
-public interface Dispatcher {
+public interface RequestDispatcher {
 
     /** Takes a request; its end is told exactly once. */
-    Ticket take(Freight freight, Consumer<Outcome> end);
+    RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end);
 
     /** Nobody waits for it any more. What runs and must not be repeated goes on to its end. */
-    void cancel(Ticket ticket);
+    void cancel(RequestHandle ticket);
 
-    Load load();
+    UpstreamLoad load();
 }
--- a/src/main/java/larkbank/quay/RequestBytes.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestEncoder.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** Writes a request as bytes, unchanged but for the time that remains and the length of its body. */
-final class RequestBytes {
+final class RequestEncoder {
     static final String ATTEMPT_ID = "Cypressweir-Attempt-Id";
     static final String TIME_REMAINING = "Cypressweir-Time-Remaining";
     /** What is set here, or says how a body that has come whole was framed before. */
@@ -18,10 +18,10 @@
     private static final Set<String> WITH_BODY = Set.of("POST", "PUT", "PATCH");
     private static final String MARKS = "!#$%&'*+-.^_`|~";
 
-    private RequestBytes() {}
+    private RequestEncoder() {}
 
     /** Why it can't be sent as it is, null if it can. */
-    static String fault(Freight f) {
+    static String fault(UpstreamRequest f) {
         if (!isToken(f.method())) {
             return "method";
         }
@@ -52,7 +52,7 @@
     }
 
     /** The id that stands in the headers; without one the request's own. */
-    static String attemptId(Freight f) {
+    static String attemptId(UpstreamRequest f) {
         for (Map.Entry<String, String> header : f.headers()) {
             if (header.getKey().equalsIgnoreCase(ATTEMPT_ID)) {
                 return header.getValue().strip();
@@ -61,7 +61,7 @@
         return f.id();
     }
 
-    static ByteBuf of(Freight f, long now) {
+    static ByteBuf of(UpstreamRequest f, long now) {
         StringBuilder head = new StringBuilder(512);
         head.append(f.method()).append(' ').append(f.uri()).append(" HTTP/1.1\r\n");
         boolean told = false;
@@ -74,7 +74,7 @@
         if (!told) {
             line(head, ATTEMPT_ID, f.id());
         }
-        long left = (f.deadlineMicros() - now - Stevedore.MARGIN_MICROS) / 1000;
+        long left = (f.deadlineMicros() - now - RequestScheduler.MARGIN_MICROS) / 1000;
         line(head, TIME_REMAINING, Long.toString(Math.max(1, left)));
         int length = f.body() == null ? 0 : f.body().length;
         if (length > 0 || WITH_BODY.contains(f.method())) {
--- a/src/main/java/larkbank/quay/QueueOrder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestPriority.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.Comparator;
 
@@ -7,19 +7,19 @@
  * often comes before all, then inner ones, then by rank. Within a rank the earliest aim that can still be met
  * comes first, and what can't be in time any more comes last, the newest of it first.
  */
-final class QueueOrder implements Comparator<Cargo> {
-    private final ServiceTimes means;
+final class RequestPriority implements Comparator<SchedulableRequest> {
+    private final ServiceTimeStatistics means;
     private final long now;
     private final int mostPassed;
 
-    QueueOrder(ServiceTimes means, long now, int mostPassed) {
+    RequestPriority(ServiceTimeStatistics means, long now, int mostPassed) {
         this.means = means;
         this.now = now;
         this.mostPassed = mostPassed;
     }
 
     @Override
-    public int compare(Cargo a, Cargo b) {
+    public int compare(SchedulableRequest a, SchedulableRequest b) {
         int by = Boolean.compare(passedTooOften(b), passedTooOften(a));
         if (by == 0) {
             by = Boolean.compare(b.inner, a.inner);
@@ -39,11 +39,11 @@
         return by == 0 ? Long.compare(a.sequence, b.sequence) : by;
     }
 
-    private boolean passedTooOften(Cargo c) {
+    private boolean passedTooOften(SchedulableRequest c) {
         return !c.repeatable && c.passed >= mostPassed;
     }
 
-    private boolean tooLate(Cargo c) {
+    private boolean tooLate(SchedulableRequest c) {
         return now + means.of(c) > c.aimAt;
     }
 }
--- a/src/main/java/larkbank/quay/Stevedore.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestScheduler.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,7 +10,7 @@
  * Decides which request goes to the server next, and which is refused. It is told what happens with the time
  * of it, and holds nothing that can't be answered in time.
  */
-final class Stevedore<C extends Cargo> {
+final class RequestScheduler<C extends SchedulableRequest> {
     /** What is left of a deadline for the way. */
     static final long MARGIN_MICROS = 5_000;
 
@@ -19,7 +19,7 @@
     private static final long WAITED_MICROS = 1_000;
 
     /** A request that is not held any more; it has not been run. */
-    record Refusal<C>(C cargo, Reason reason, long retryAfterMicros) {}
+    record Refusal<C>(C cargo, RejectionReason reason, long retryAfterMicros) {}
 
     /** How what ran came to an end. */
     enum Ended {
@@ -29,17 +29,17 @@
         OTHER
     }
 
-    private final QuayPlan plan;
-    private final ServiceTimes means;
-    private final RunLimit limit;
+    private final UpstreamOptions plan;
+    private final ServiceTimeStatistics means;
+    private final ConcurrencyLimit limit;
     private final List<C> waiting = new ArrayList<>();
     private final Collection<C> running = new LinkedHashSet<>();
     private long sequence;
 
-    Stevedore(QuayPlan plan) {
+    RequestScheduler(UpstreamOptions plan) {
         this.plan = plan;
-        means = new ServiceTimes(plan.meanMicros());
-        limit = new RunLimit(plan);
+        means = new ServiceTimeStatistics(plan.meanMicros());
+        limit = new ConcurrencyLimit(plan);
     }
 
     /** Slots as told, zero without a server. */
@@ -64,9 +64,9 @@
         cargo.arrivedAt = now;
         cargo.sequence = ++sequence;
         if (now + MARGIN_MICROS > cargo.deadline) {
-            return List.of(new Refusal<>(cargo, Reason.LATE, 0));
+            return List.of(new Refusal<>(cargo, RejectionReason.LATE, 0));
         }
-        QueueOrder order = order(now);
+        RequestPriority order = order(now);
         int ahead = ahead(order, cargo);
         boolean goes = ahead < limit.at(now) - running.size();
         boolean mayWait = waiting.size() < plan.minWaiting(slots()) && now < cargo.aimAt;
@@ -85,10 +85,10 @@
     /** What can't be answered in time any more; to be asked before each {@link #next}. */
     List<Refusal<C>> due(long now) {
         List<Refusal<C>> refused = new ArrayList<>();
-        QueueOrder order = order(now);
+        RequestPriority order = order(now);
         for (C c : List.copyOf(waiting)) {
             if (now + MARGIN_MICROS > c.deadline) {
-                refused.add(new Refusal<>(c, Reason.LATE, 0));
+                refused.add(new Refusal<>(c, RejectionReason.LATE, 0));
                 waiting.remove(c);
             } else if (now - c.arrivedAt > WAITED_MICROS && now + means.of(c) > c.aimAt
                     || !c.reviewed && now >= reviewAt(c) && foreseen(now, order, c)) {
@@ -99,7 +99,7 @@
         return refused;
     }
 
-    private boolean foreseen(long now, QueueOrder order, C c) {
+    private boolean foreseen(long now, RequestPriority order, C c) {
         c.reviewed = true;
         return ahead(order, c) >= plan.minWaiting(slots()) && shortage(now, order, c) > 0;
     }
@@ -115,7 +115,7 @@
         return next;
     }
 
-    private static long reviewAt(Cargo c) {
+    private static long reviewAt(SchedulableRequest c) {
         return c.arrivedAt + Math.max(0, c.aimAt - c.arrivedAt) / 4;
     }
 
@@ -179,11 +179,11 @@
         return Math.max(LEAST_RETRY_MICROS, means.of(cargo) / Math.max(1, slots()));
     }
 
-    private QueueOrder order(long now) {
-        return new QueueOrder(means, now, Math.max(4, 4 * slots()));
+    private RequestPriority order(long now) {
+        return new RequestPriority(means, now, Math.max(4, 4 * slots()));
     }
 
-    private int ahead(QueueOrder order, C cargo) {
+    private int ahead(RequestPriority order, C cargo) {
         int ahead = 0;
         for (C c : waiting) {
             ahead += c != cargo && order.compare(c, cargo) < 0 ? 1 : 0;
@@ -192,7 +192,7 @@
     }
 
     /** By how much it would miss its aim, if all ahead of it take their mean time. */
-    private long shortage(long now, QueueOrder order, C cargo) {
+    private long shortage(long now, RequestPriority order, C cargo) {
         long ahead = 0;
         for (C c : waiting) {
             ahead += c != cargo && order.compare(c, cargo) < 0 ? means.of(c) : 0;
@@ -200,8 +200,8 @@
         return now + ahead / limit.parallel(now) + means.mostly(cargo) - cargo.aimAt;
     }
 
-    private Refusal<C> full(long now, QueueOrder order, C cargo) {
+    private Refusal<C> full(long now, RequestPriority order, C cargo) {
         long room = Math.max(shortage(now, order, cargo), means.of(cargo) / limit.parallel(now));
-        return new Refusal<>(cargo, Reason.FULL, Math.max(LEAST_RETRY_MICROS, room));
+        return new Refusal<>(cargo, RejectionReason.FULL, Math.max(LEAST_RETRY_MICROS, room));
     }
 }
--- a/src/main/java/larkbank/quay/Account.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestState.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.Arrays;
 
@@ -6,7 +6,7 @@
  * What is known of one request and of all attempts at it. From this alone follows what may still be sent and
  * what may be answered: nothing is sent or answered that it does not allow. No clock, no I/O.
  */
-public final class Account {
+public final class RequestState {
 
     /** From taken to answered. */
     public enum State {
@@ -49,13 +49,13 @@
     private static final int FAILURE = 500;
 
     private final boolean repeatable;
-    private Known[] attempts = new Known[2];
+    private ExecutionKnowledge[] attempts = new ExecutionKnowledge[2];
     private int size;
     private boolean kept;
     private boolean answered;
     private boolean left;
 
-    public Account(boolean repeatable) {
+    public RequestState(boolean repeatable) {
         this.repeatable = repeatable;
     }
 
@@ -63,17 +63,17 @@
         if (answered || left) {
             return answered ? State.ANSWERED : State.LEFT;
         }
-        boolean out = any(Known.SENT);
+        boolean out = any(ExecutionKnowledge.SENT);
         if (kept) {
             return out ? State.OUT_KEPT : State.KEPT;
         }
-        if (any(Known.MAY_HAVE_RUN) || any(Known.RAN)) {
+        if (any(ExecutionKnowledge.MAY_HAVE_RUN) || any(ExecutionKnowledge.RAN)) {
             return out ? State.OUT_IN_DOUBT : State.IN_DOUBT;
         }
         return out ? State.OUT : State.HELD;
     }
 
-    private boolean any(Known what) {
+    private boolean any(ExecutionKnowledge what) {
         for (int i = 0; i < size; i++) {
             if (attempts[i] == what) {
                 return true;
@@ -104,7 +104,7 @@
 
     /** Whether the end of any attempt is still to come. */
     public boolean isOut() {
-        return any(Known.SENT) || any(Known.NOT_SENT);
+        return any(ExecutionKnowledge.SENT) || any(ExecutionKnowledge.NOT_SENT);
     }
 
     public boolean isOpen(int attempt) {
@@ -116,26 +116,26 @@
         if (size == attempts.length) {
             attempts = Arrays.copyOf(attempts, 2 * size);
         }
-        attempts[size] = Known.NOT_SENT;
+        attempts[size] = ExecutionKnowledge.NOT_SENT;
         return size++;
     }
 
     /** Whether it may go, and then it counts as out. */
     public boolean goes(int attempt) {
-        if (attempts[attempt] != Known.NOT_SENT || !maySend()) {
+        if (attempts[attempt] != ExecutionKnowledge.NOT_SENT || !maySend()) {
             return false;
         }
-        attempts[attempt] = Known.SENT;
+        attempts[attempt] = ExecutionKnowledge.SENT;
         return true;
     }
 
     /** The end of an attempt, and what is due for it. Only the first end counts. */
-    public Due ended(int attempt, Outcome outcome) {
+    public Due ended(int attempt, RequestOutcome outcome) {
         if (!isOpen(attempt)) {
             return Due.NOTHING;
         }
-        attempts[attempt] = Known.of(outcome);
-        if (isClosed() || !(outcome instanceof Outcome.Answered answer)) {
+        attempts[attempt] = ExecutionKnowledge.of(outcome);
+        if (isClosed() || !(outcome instanceof RequestOutcome.Answered answer)) {
             return Due.NOTHING;
         }
         if (!repeatable && promises(answer.status())) {
--- a/src/main/java/larkbank/quay/AnswerCollector.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseAssembler.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -17,11 +17,11 @@
 import java.util.Map;
 
 /** Puts whole answers together. What can't be known to be one whole answer is told as broken, once. */
-final class AnswerCollector extends ChannelInboundHandlerAdapter {
+final class ResponseAssembler extends ChannelInboundHandlerAdapter {
 
     /** Who is told. */
     interface Sink {
-        void whole(ServerAnswer answer);
+        void whole(UpstreamResponse answer);
 
         void broken(String why);
 
@@ -33,7 +33,7 @@
     /** Up to here a told length is believed before so much has come. */
     private static final int EXACT = 64 * 1024;
 
-    private final AnswerDecoder decoder;
+    private final ResponseDecoder decoder;
     private final int most;
     private final Sink sink;
     private HttpResponse head;
@@ -44,7 +44,7 @@
 
     private boolean dead;
 
-    AnswerCollector(AnswerDecoder decoder, int most, Sink sink) {
+    ResponseAssembler(ResponseDecoder decoder, int most, Sink sink) {
         this.decoder = decoder;
         this.most = most;
         this.sink = sink;
@@ -142,7 +142,7 @@
         }
         byte[] bytes = size == body.length ? body : Arrays.copyOf(body, size);
         body = NOTHING;
-        sink.whole(new ServerAnswer(whole.status().code(), headers(whole), bytes, HttpUtil.isKeepAlive(whole)));
+        sink.whole(new UpstreamResponse(whole.status().code(), headers(whole), bytes, HttpUtil.isKeepAlive(whole)));
     }
 
     private static List<Map.Entry<String, String>> headers(HttpResponse whole) {
--- a/src/main/java/larkbank/quay/AnswerDecoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
@@ -8,12 +8,12 @@
 import java.util.function.Predicate;
 
 /** Takes no answer whose bounds are in doubt, and knows of each whether it has a body at all. */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     private final Predicate<HttpResponse> toHead;
     private boolean bodiless;
 
     /** Told of an answer's head, the predicate knows whether it answers a HEAD. */
-    AnswerDecoder(Predicate<HttpResponse> toHead) {
+    ResponseDecoder(Predicate<HttpResponse> toHead) {
         super(new HttpDecoderConfig()
                 .setMaxChunkSize(64 * 1024)
                 .setMaxHeaderSize(64 * 1024)
--- a/src/main/java/larkbank/quay/Cargo.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/SchedulableRequest.java
@@ -1,7 +1,7 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /** What the order of requests needs to know of one, and what it notes on it. */
-class Cargo {
+class SchedulableRequest {
     final boolean inner;
     final int rank;
     final long aimAt;
@@ -16,7 +16,7 @@
     /** Whether its chance was looked at once more, a quarter into its time. */
     boolean reviewed;
 
-    Cargo(boolean inner, int rank, long aimAt, long deadline, boolean repeatable) {
+    SchedulableRequest(boolean inner, int rank, long aimAt, long deadline, boolean repeatable) {
         this.inner = inner;
         this.rank = rank;
         this.aimAt = Math.min(aimAt, deadline);
--- a/src/main/java/larkbank/quay/ServiceTimes.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ServiceTimeStatistics.java
@@ -1,10 +1,10 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /**
  * Service times, learned apart for inner requests and others: their mean, and how far they spread. Time is
  * kept for both: of requests let in with the mean alone to spare half would be late.
  */
-final class ServiceTimes {
+final class ServiceTimeStatistics {
     private static final double SHARE = 0.05;
 
     private double inner;
@@ -12,21 +12,21 @@
     private double innerSpread;
     private double outerSpread;
 
-    ServiceTimes(long first) {
+    ServiceTimeStatistics(long first) {
         inner = first;
         outer = first;
     }
 
     /** The time that most of its like keep to. */
-    long mostly(Cargo cargo) {
+    long mostly(SchedulableRequest cargo) {
         return (long) (cargo.inner ? inner + innerSpread : outer + outerSpread);
     }
 
-    long of(Cargo cargo) {
+    long of(SchedulableRequest cargo) {
         return (long) (cargo.inner ? inner : outer);
     }
 
-    void saw(Cargo cargo, long micros) {
+    void saw(SchedulableRequest cargo, long micros) {
         if (cargo.inner) {
             innerSpread += SHARE * (Math.abs(micros - inner) - innerSpread);
             inner += SHARE * (micros - inner);
@@ -37,7 +37,7 @@
     }
 
     /** It took at least this long, and nobody knows how much longer. */
-    void sawAtLeast(Cargo cargo, long micros) {
+    void sawAtLeast(SchedulableRequest cargo, long micros) {
         saw(cargo, Math.max(micros, of(cargo)));
     }
 }
--- a/src/main/java/larkbank/quay/ServerConnection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -18,26 +18,26 @@
 import java.net.InetSocketAddress;
 
 /** One connection to the server, with at most one request on it. It tells of each step, on the loop. */
-final class ServerConnection extends ChannelInboundHandlerAdapter implements AnswerCollector.Sink {
+final class UpstreamConnection extends ChannelInboundHandlerAdapter implements ResponseAssembler.Sink {
 
     /** Whom it tells. */
     interface Owner {
-        void opened(ServerConnection berth);
+        void opened(UpstreamConnection berth);
 
         /** A whole answer while a request is in flight. */
-        AnswerVerdict answered(ServerConnection berth, Shipment shipment, ServerAnswer answer);
+        ResponseVerdict answered(UpstreamConnection berth, InFlightRequest shipment, UpstreamResponse answer);
 
         /** A whole answer has told what became of the request. */
-        void ended(ServerConnection berth, Shipment shipment, AnswerVerdict verdict);
+        void ended(UpstreamConnection berth, InFlightRequest shipment, ResponseVerdict verdict);
 
         /** Its connection ended, or what came on it can't be believed. */
-        void broken(ServerConnection berth, Shipment shipment, String why);
+        void broken(UpstreamConnection berth, InFlightRequest shipment, String why);
 
         /** The read that brought the answer is over; it is idle if it still is of use. */
-        void settled(ServerConnection berth, boolean usable);
+        void settled(UpstreamConnection berth, boolean usable);
 
         /** It is down. What was in flight is told after this. */
-        void down(ServerConnection berth, boolean wasUp);
+        void down(UpstreamConnection berth, boolean wasUp);
     }
 
     private enum State {
@@ -50,17 +50,17 @@
 
     private final EventLoop loop;
     private final Owner owner;
-    private final AnswerDecoder decoder = new AnswerDecoder(this::toHead);
+    private final ResponseDecoder decoder = new ResponseDecoder(this::toHead);
     private final Channel channel;
     private State state = State.CONNECTING;
     private boolean wasUp;
-    private Shipment shipment;
+    private InFlightRequest shipment;
     /** Takes no further request. */
     private boolean done;
 
     private boolean written;
     private boolean answerBegan;
-    private Shipment previous;
+    private InFlightRequest previous;
     /** When it is too old to be used, while it is idle. */
     long idleUntil;
     /** Since when it is idle. */
@@ -68,7 +68,7 @@
     /** How long it was idle before its last request, zero for its first. */
     private long wasIdle;
 
-    ServerConnection(EventLoop loop, InetSocketAddress to, QuayPlan plan, Owner owner) {
+    UpstreamConnection(EventLoop loop, InetSocketAddress to, UpstreamOptions plan, Owner owner) {
         this.loop = loop;
         this.owner = owner;
         ChannelFuture connecting = new Bootstrap()
@@ -81,9 +81,10 @@
                     protected void initChannel(Channel c) {
                         c.pipeline()
                                 .addLast(
-                                        ServerConnection.this,
+                                        UpstreamConnection.this,
                                         decoder,
-                                        new AnswerCollector(decoder, plan.mostAnswerBytes(), ServerConnection.this));
+                                        new ResponseAssembler(
+                                                decoder, plan.mostAnswerBytes(), UpstreamConnection.this));
                     }
                 })
                 .connect(to);
@@ -107,7 +108,7 @@
         }
     }
 
-    Shipment shipment() {
+    InFlightRequest shipment() {
         return shipment;
     }
 
@@ -116,7 +117,7 @@
     }
 
     boolean isHanded() {
-        return shipment != null && shipment.known == Known.SENT;
+        return shipment != null && shipment.known == ExecutionKnowledge.SENT;
     }
 
     boolean isDone() {
@@ -138,13 +139,13 @@
     }
 
     /** Keeps a request until the connection is up. */
-    void reserve(Shipment next) {
+    void reserve(InFlightRequest next) {
         shipment = next;
     }
 
     /** Gives back a request that was not sent. */
-    Shipment drop() {
-        Shipment unsent = shipment;
+    InFlightRequest drop() {
+        InFlightRequest unsent = shipment;
         shipment = null;
         return unsent;
     }
@@ -160,7 +161,7 @@
         return state == State.IDLE && !done && channel.isActive();
     }
 
-    void send(Shipment next, long now) {
+    void send(InFlightRequest next, long now) {
         shipment = next;
         state = State.BUSY;
         written = false;
@@ -169,21 +170,21 @@
         next.sentAt = now;
         ChannelProgressivePromise promise = channel.newProgressivePromise();
         promise.addListener(new Progress(next));
-        channel.writeAndFlush(RequestBytes.of(next.freight(), now), promise);
+        channel.writeAndFlush(RequestEncoder.of(next.freight(), now), promise);
     }
 
     /** Notes the first byte that the socket took, and the last. */
     private final class Progress implements ChannelProgressiveFutureListener {
-        private final Shipment sent;
+        private final InFlightRequest sent;
 
-        Progress(Shipment sent) {
+        Progress(InFlightRequest sent) {
             this.sent = sent;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
             if (sent == shipment && progress > 0) {
-                sent.known = Known.SENT;
+                sent.known = ExecutionKnowledge.SENT;
             }
         }
 
@@ -192,7 +193,7 @@
             if (!future.isSuccess()) {
                 close();
             } else if (sent == shipment) {
-                sent.known = Known.SENT;
+                sent.known = ExecutionKnowledge.SENT;
                 written = true;
             }
         }
@@ -205,8 +206,8 @@
     }
 
     /** Lets go of the request in flight and ends the connection. */
-    Shipment abandon() {
-        Shipment left = drop();
+    InFlightRequest abandon() {
+        InFlightRequest left = drop();
         close();
         return left;
     }
@@ -245,7 +246,7 @@
     }
 
     private boolean toHead(HttpResponse answer) {
-        String id = answer.headers().get(RequestBytes.ATTEMPT_ID);
+        String id = answer.headers().get(RequestEncoder.ATTEMPT_ID);
         if (shipment != null && (id == null || id.strip().equals(shipment.attemptId))) {
             return shipment.isHead();
         }
@@ -253,20 +254,20 @@
     }
 
     @Override
-    public void whole(ServerAnswer answer) {
+    public void whole(UpstreamResponse answer) {
         if (state != State.BUSY || shipment == null) {
             close();
             return;
         }
-        AnswerVerdict verdict = owner.answered(this, shipment, answer);
-        if (verdict.kind() == AnswerVerdict.Kind.FOREIGN) {
+        ResponseVerdict verdict = owner.answered(this, shipment, answer);
+        if (verdict.kind() == ResponseVerdict.Kind.FOREIGN) {
             done = true;
             answerBegan = decoder.hasMore();
             return;
         }
         previous = drop();
         state = State.SETTLING;
-        done |= verdict.kind() == AnswerVerdict.Kind.BROKEN || !answer.keepAlive() || !written || decoder.hasMore();
+        done |= verdict.kind() == ResponseVerdict.Kind.BROKEN || !answer.keepAlive() || !written || decoder.hasMore();
         if (done) {
             close();
         }
@@ -275,7 +276,7 @@
 
     @Override
     public void broken(String why) {
-        Shipment lost = abandon();
+        InFlightRequest lost = abandon();
         if (lost != null) {
             owner.broken(this, lost, why);
         }
