--- a/src/main/java/larkbank/quay/Pier.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnectionManager.java
@@ -1,47 +1,52 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import larkbank.quay.Stevedore.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
 
 /**
  * Brings what is let go onto connections, and what these tell to the end of each request. Nothing new is sent
  * on a connection before the read that brought its last answer is over.
  */
-final class Pier implements ServerConnection.Owner {
+final class UpstreamConnectionManager implements UpstreamConnection.Owner {
     /** After how long the server closes an idle connection, where it does not say. */
     private static final long ASSUMED_IDLE_SECONDS = 8;
     /** Share of that time for which a connection is kept. */
     private static final double IDLE_SHARE = 0.6;
 
-    final Stevedore<Shipment> stevedore;
-    final ServerConnections berths;
-    private final Lull lull = new Lull();
+    final RequestScheduler<InFlightRequest> stevedore;
+    final UpstreamConnections berths;
+    private final IdleConnectionAge lull = new IdleConnectionAge();
     private final EventLoop loop;
     private final LongSupplier micros;
-    private final QuayPlan plan;
+    private final UpstreamOptions plan;
     private final Consumer<String> log;
-    private final Alarm alarm;
+    private final DeadlineTimer alarm;
     /** Answers that were told while the read that brought them goes on. */
     private int settling;
 
     private boolean pumping;
     private boolean woken;
 
-    Pier(EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan, Consumer<String> log) {
+    UpstreamConnectionManager(
+            EventLoop loop,
+            InetSocketAddress application,
+            LongSupplier micros,
+            UpstreamOptions plan,
+            Consumer<String> log) {
         this.loop = loop;
         this.micros = micros;
         this.plan = plan;
         this.log = log;
-        stevedore = new Stevedore<>(plan);
-        berths = new ServerConnections(loop, application, plan, this);
-        alarm = new Alarm(loop, micros, this::tick);
+        stevedore = new RequestScheduler<>(plan);
+        berths = new UpstreamConnections(loop, application, plan, this);
+        alarm = new DeadlineTimer(loop, micros, this::tick);
     }
 
-    void arrive(Shipment shipment) {
+    void arrive(InFlightRequest shipment) {
         refuse(stevedore.arrive(micros.getAsLong(), shipment));
         if (settling > 0) {
             wake();
@@ -54,13 +59,13 @@
     void tick() {
         long now = micros.getAsLong();
         berths.closeOld(now);
-        for (ServerConnection berth : berths.busy()) {
+        for (UpstreamConnection berth : berths.busy()) {
             overdue(berth, berth.shipment(), now);
         }
         pump();
     }
 
-    private void overdue(ServerConnection berth, Shipment shipment, long now) {
+    private void overdue(UpstreamConnection berth, InFlightRequest shipment, long now) {
         if (shipment == null) {
             // What was told of another request has ended this one.
             return;
@@ -70,9 +75,9 @@
                 abandon(berth, Ended.OVERDUE, null);
             }
         } else if (now >= sendBy(berth, shipment)
-                && !unsend(berth, new Outcome.NotRun(Reason.LATE, 0))
+                && !unsend(berth, new RequestOutcome.NotRun(RejectionReason.LATE, 0))
                 && now >= shipment.deadline) {
-            Outcome outcome = new Outcome.MayHaveRun("deadline");
+            RequestOutcome outcome = new RequestOutcome.MayHaveRun("deadline");
             if (shipment.repeatable) {
                 abandon(berth, Ended.OVERDUE, outcome);
             } else {
@@ -81,23 +86,23 @@
         }
     }
 
-    private static long sendBy(ServerConnection berth, Shipment shipment) {
-        return berth.isConnecting() ? shipment.deadline - Stevedore.MARGIN_MICROS + 1 : shipment.deadline;
+    private static long sendBy(UpstreamConnection berth, InFlightRequest shipment) {
+        return berth.isConnecting() ? shipment.deadline - RequestScheduler.MARGIN_MICROS + 1 : shipment.deadline;
     }
 
-    private long nextTime(ServerConnection berth) {
-        Shipment shipment = berth.shipment();
+    private long nextTime(UpstreamConnection berth) {
+        InFlightRequest shipment = berth.shipment();
         return shipment.isOver() ? shipment.deadline + plan.lingerMicros() : sendBy(berth, shipment);
     }
 
     /** Ends a request that was sent, and its connection. */
-    void abandon(ServerConnection berth, Ended how, Outcome outcome) {
+    void abandon(UpstreamConnection berth, Ended how, RequestOutcome outcome) {
         berths.free(berth);
         end(berth.abandon(), how, outcome);
     }
 
     /** Takes a request back of which nothing was sent; false if it may have run. */
-    boolean unsend(ServerConnection berth, Outcome.NotRun outcome) {
+    boolean unsend(UpstreamConnection berth, RequestOutcome.NotRun outcome) {
         if (berth.shipment() == null || !berth.isConnecting() && berth.isHanded()) {
             return false;
         }
@@ -126,8 +131,8 @@
 
     /** What waits for a connection to come up takes one that has become idle. */
     private void spareConnecting(long now) {
-        for (ServerConnection berth : berths.busy()) {
-            ServerConnection idle = berth.isConnecting() ? pollIdle(now, berth.shipment()) : null;
+        for (UpstreamConnection berth : berths.busy()) {
+            UpstreamConnection idle = berth.isConnecting() ? pollIdle(now, berth.shipment()) : null;
             if (idle != null) {
                 berths.free(berth);
                 berths.send(idle, berth.drop(), now);
@@ -136,14 +141,14 @@
     }
 
     /** What can't be repeated takes none that was idle for long while new ones are to be had. */
-    private ServerConnection pollIdle(long now, Shipment shipment) {
+    private UpstreamConnection pollIdle(long now, InFlightRequest shipment) {
         boolean any = shipment.repeatable || berths.failing(now);
         return berths.pollIdle(now, any ? Long.MAX_VALUE : lull.at(now));
     }
 
     private boolean letGo(long now) {
-        Shipment first = stevedore.first(now);
-        ServerConnection idle = pollIdle(now, first);
+        InFlightRequest first = stevedore.first(now);
+        UpstreamConnection idle = pollIdle(now, first);
         if (idle != null) {
             berths.send(idle, stevedore.letGo(now, first), now);
         } else if (berths.failing(now)) {
@@ -153,7 +158,7 @@
             end(
                     stevedore.letGo(now, first),
                     Ended.OTHER,
-                    new Outcome.NotRun(Reason.NO_CONNECTION, berths.failingUntil() - now));
+                    new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, berths.failingUntil() - now));
         } else if (berths.room()) {
             berths.connect(stevedore.letGo(now, first));
         } else {
@@ -170,19 +175,19 @@
         berths.retire();
     }
 
-    void refuse(List<Stevedore.Refusal<Shipment>> refusals) {
-        for (Stevedore.Refusal<Shipment> r : refusals) {
-            tell(r.cargo(), new Outcome.NotRun(r.reason(), r.retryAfterMicros()));
+    void refuse(List<RequestScheduler.Refusal<InFlightRequest>> refusals) {
+        for (RequestScheduler.Refusal<InFlightRequest> r : refusals) {
+            tell(r.cargo(), new RequestOutcome.NotRun(r.reason(), r.retryAfterMicros()));
         }
     }
 
-    void end(Shipment shipment, Ended how, Outcome outcome) {
+    void end(InFlightRequest shipment, Ended how, RequestOutcome outcome) {
         stevedore.ended(micros.getAsLong(), shipment, how);
         tell(shipment, outcome);
         wake();
     }
 
-    void tell(Shipment shipment, Outcome outcome) {
+    void tell(InFlightRequest shipment, RequestOutcome outcome) {
         try {
             shipment.tell(outcome);
         } catch (RuntimeException e) {
@@ -202,7 +207,7 @@
 
     private void arm() {
         long next = Math.min(stevedore.nextTime(), berths.nextOld());
-        for (ServerConnection berth : berths.busy()) {
+        for (UpstreamConnection berth : berths.busy()) {
             next = Math.min(next, nextTime(berth));
         }
         if (!stevedore.waiting().isEmpty() && berths.failing(micros.getAsLong())) {
@@ -212,15 +217,18 @@
     }
 
     @Override
-    public void opened(ServerConnection berth) {
+    public void opened(UpstreamConnection berth) {
         berths.opened();
         long now = micros.getAsLong();
-        Shipment shipment = berth.shipment();
-        if (shipment == null || berth.isDone() || now + Stevedore.MARGIN_MICROS > shipment.deadline) {
-            Shipment unsent = berth.drop();
+        InFlightRequest shipment = berth.shipment();
+        if (shipment == null || berth.isDone() || now + RequestScheduler.MARGIN_MICROS > shipment.deadline) {
+            InFlightRequest unsent = berth.drop();
             berths.rest(berth, now, idleUntil(now, ASSUMED_IDLE_SECONDS));
             if (unsent != null) {
-                end(unsent, Ended.OTHER, new Outcome.NotRun(berth.isDone() ? Reason.GONE : Reason.LATE, 0));
+                end(
+                        unsent,
+                        Ended.OTHER,
+                        new RequestOutcome.NotRun(berth.isDone() ? RejectionReason.GONE : RejectionReason.LATE, 0));
             }
             wake();
         } else {
@@ -233,19 +241,19 @@
     }
 
     @Override
-    public AnswerVerdict answered(ServerConnection berth, Shipment shipment, ServerAnswer answer) {
+    public ResponseVerdict answered(UpstreamConnection berth, InFlightRequest shipment, UpstreamResponse answer) {
         long now = micros.getAsLong();
         berth.idleUntil = idleUntil(now, answer.idleSeconds(ASSUMED_IDLE_SECONDS));
         lull.held(berth.wasIdle());
-        AnswerVerdict verdict = AnswerVerdict.of(answer, shipment, now, stevedore.retryAfter(shipment));
-        if (verdict.kind() == AnswerVerdict.Kind.FOREIGN) {
+        ResponseVerdict verdict = ResponseVerdict.of(answer, shipment, now, stevedore.retryAfter(shipment));
+        if (verdict.kind() == ResponseVerdict.Kind.FOREIGN) {
             log.accept("an answer to another request came in place of that to " + shipment.attemptId);
         }
         return verdict;
     }
 
     @Override
-    public void ended(ServerConnection berth, Shipment shipment, AnswerVerdict verdict) {
+    public void ended(UpstreamConnection berth, InFlightRequest shipment, ResponseVerdict verdict) {
         settling++;
         berths.free(berth);
         end(
@@ -259,21 +267,26 @@
     }
 
     @Override
-    public void broken(ServerConnection berth, Shipment shipment, String why) {
+    public void broken(UpstreamConnection berth, InFlightRequest shipment, String why) {
         berths.free(berth);
         long now = micros.getAsLong();
-        boolean handed = shipment.known.lost() == Known.MAY_HAVE_RUN;
-        if (handed && berth.isSilent() && now - shipment.sentAt < Lull.AT_ONCE_MICROS) {
+        boolean handed = shipment.known.lost() == ExecutionKnowledge.MAY_HAVE_RUN;
+        if (handed && berth.isSilent() && now - shipment.sentAt < IdleConnectionAge.AT_ONCE_MICROS) {
             lull.dropped(now, berth.wasIdle());
         }
         if (handed) {
             log.accept(shipment.attemptId + " may have run: " + why);
         }
-        end(shipment, Ended.OTHER, handed ? new Outcome.MayHaveRun(why) : new Outcome.NotRun(Reason.NO_CONNECTION, 0));
+        end(
+                shipment,
+                Ended.OTHER,
+                handed
+                        ? new RequestOutcome.MayHaveRun(why)
+                        : new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0));
     }
 
     @Override
-    public void settled(ServerConnection berth, boolean usable) {
+    public void settled(UpstreamConnection berth, boolean usable) {
         settling--;
         if (usable) {
             berths.rest(berth, micros.getAsLong(), berth.idleUntil);
@@ -282,7 +295,7 @@
     }
 
     @Override
-    public void down(ServerConnection berth, boolean wasUp) {
+    public void down(UpstreamConnection berth, boolean wasUp) {
         long now = micros.getAsLong();
         boolean failed = berths.failing(now);
         berths.down(berth, wasUp, now);
--- a/src/main/java/larkbank/quay/ServerConnections.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnections.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** The connections to the server: as few as will do, the one used last first, none that is too old. */
-final class ServerConnections {
+final class UpstreamConnections {
     /** What the server accepts beyond what is used here. */
     private static final int SPARE = 4;
 
@@ -18,18 +18,18 @@
 
     private final EventLoop loop;
     private final InetSocketAddress to;
-    private final QuayPlan plan;
-    private final ServerConnection.Owner owner;
-    private final Deque<ServerConnection> idle = new ArrayDeque<>();
+    private final UpstreamOptions plan;
+    private final UpstreamConnection.Owner owner;
+    private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
     /** Those that hold a request, sent or not yet. */
-    private final Set<ServerConnection> busy = new LinkedHashSet<>();
+    private final Set<UpstreamConnection> busy = new LinkedHashSet<>();
 
-    private final Set<ServerConnection> open = new LinkedHashSet<>();
+    private final Set<UpstreamConnection> open = new LinkedHashSet<>();
     private int maxConnections;
     private int failures;
     private long failingUntil = Long.MIN_VALUE;
 
-    ServerConnections(EventLoop loop, InetSocketAddress to, QuayPlan plan, ServerConnection.Owner owner) {
+    UpstreamConnections(EventLoop loop, InetSocketAddress to, UpstreamOptions plan, UpstreamConnection.Owner owner) {
         this.loop = loop;
         this.to = to;
         this.plan = plan;
@@ -45,14 +45,14 @@
     }
 
     private long closing() {
-        return open.stream().filter(ServerConnection::isDone).count();
+        return open.stream().filter(UpstreamConnection::isDone).count();
     }
 
     private int bound() {
         return Math.max(1, maxConnections - SPARE);
     }
 
-    List<ServerConnection> busy() {
+    List<UpstreamConnection> busy() {
         return List.copyOf(busy);
     }
 
@@ -81,9 +81,9 @@
      * An idle one that is clean, not too old and not idle for longer than so, null for none. It is to be used
      * or put back.
      */
-    ServerConnection pollIdle(long now, long longest) {
+    UpstreamConnection pollIdle(long now, long longest) {
         while (!idle.isEmpty() && now - idle.peekLast().idleSince <= longest) {
-            ServerConnection last = idle.pollLast();
+            UpstreamConnection last = idle.pollLast();
             if (now < last.idleUntil && last.usable()) {
                 return last;
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    void rest(ServerConnection berth, long now, long until) {
+    void rest(UpstreamConnection berth, long now, long until) {
         busy.remove(berth);
         berth.idleSince = now;
         berth.idleUntil = until;
@@ -115,23 +115,23 @@
         failingUntil = Long.MIN_VALUE;
     }
 
-    void connect(Shipment shipment) {
-        ServerConnection berth = new ServerConnection(loop, to, plan, owner);
+    void connect(InFlightRequest shipment) {
+        UpstreamConnection berth = new UpstreamConnection(loop, to, plan, owner);
         open.add(berth);
         busy.add(berth);
         berth.reserve(shipment);
     }
 
-    void send(ServerConnection berth, Shipment shipment, long now) {
+    void send(UpstreamConnection berth, InFlightRequest shipment, long now) {
         busy.add(berth);
         berth.send(shipment, now);
     }
 
-    void free(ServerConnection berth) {
+    void free(UpstreamConnection berth) {
         busy.remove(berth);
     }
 
-    void down(ServerConnection berth, boolean wasUp, long now) {
+    void down(UpstreamConnection berth, boolean wasUp, long now) {
         busy.remove(berth);
         idle.remove(berth);
         open.remove(berth);
@@ -143,7 +143,7 @@
     /** None of the present ones takes a further request; those in use end with what they carry. */
     void retire() {
         opened();
-        open.forEach(ServerConnection::retire);
+        open.forEach(UpstreamConnection::retire);
         closeIdle();
     }
 
--- a/src/main/java/larkbank/quay/Quay.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
@@ -1,39 +1,43 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import larkbank.quay.Stevedore.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
 
 /**
  * Hands requests to the one server beside this process and tells the one outcome of each. All calls are made
  * on the loop, and all outcomes are told on it, some from inside the call.
  */
-public final class Quay implements Dispatcher {
-    private static final Outcome.NotRun GONE = new Outcome.NotRun(Reason.GONE, 0);
-    private static final Outcome.NotRun CANCELLED = new Outcome.NotRun(Reason.CANCELLED, 0);
+public final class UpstreamDispatcher implements RequestDispatcher {
+    private static final RequestOutcome.NotRun GONE = new RequestOutcome.NotRun(RejectionReason.GONE, 0);
+    private static final RequestOutcome.NotRun CANCELLED = new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0);
 
     private final EventLoop loop;
     private final Consumer<String> log;
-    private final Pier pier;
-    private final Stevedore<Shipment> stevedore;
-    private final ServerConnections berths;
-    private Life life;
+    private final UpstreamConnectionManager pier;
+    private final RequestScheduler<InFlightRequest> stevedore;
+    private final UpstreamConnections berths;
+    private InstanceIncarnation life;
     private boolean leaving;
 
-    public Quay(
-            EventLoop loop, InetSocketAddress application, LongSupplier micros, QuayPlan plan, Consumer<String> log) {
+    public UpstreamDispatcher(
+            EventLoop loop,
+            InetSocketAddress application,
+            LongSupplier micros,
+            UpstreamOptions plan,
+            Consumer<String> log) {
         this.loop = loop;
         this.log = log;
-        pier = new Pier(loop, application, micros, plan, log);
+        pier = new UpstreamConnectionManager(loop, application, micros, plan, log);
         stevedore = pier.stevedore;
         berths = pier.berths;
     }
 
     /** Who has the address now, null for nobody. */
-    public void life(Life next) {
+    public void life(InstanceIncarnation next) {
         check();
         boolean another = life == null || next == null || !next.instanceId().equals(life.instanceId());
         life = next;
@@ -56,13 +60,13 @@
     }
 
     @Override
-    public Ticket take(Freight freight, Consumer<Outcome> end) {
+    public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
         check();
-        Shipment shipment = new Shipment(freight, end);
-        String fault = RequestBytes.fault(freight);
+        InFlightRequest shipment = new InFlightRequest(freight, end);
+        String fault = RequestEncoder.fault(freight);
         if (fault != null) {
             log.accept("refused " + freight.id() + ": its " + fault + " can't be sent");
-            pier.tell(shipment, new Outcome.NotRun(Reason.REFUSED, 0));
+            pier.tell(shipment, new RequestOutcome.NotRun(RejectionReason.REFUSED, 0));
         } else if (leaving || !isNamed(shipment)) {
             pier.tell(shipment, GONE);
         } else {
@@ -72,9 +76,9 @@
     }
 
     @Override
-    public void cancel(Ticket ticket) {
+    public void cancel(RequestHandle ticket) {
         check();
-        Shipment shipment = (Shipment) ticket;
+        InFlightRequest shipment = (InFlightRequest) ticket;
         if (shipment.isOver()) {
             return;
         }
@@ -82,16 +86,16 @@
             pier.tell(shipment, CANCELLED);
             return;
         }
-        for (ServerConnection berth : berths.busy()) {
+        for (UpstreamConnection berth : berths.busy()) {
             if (berth.shipment() == shipment && !pier.unsend(berth, CANCELLED) && shipment.repeatable) {
-                pier.abandon(berth, Ended.OTHER, new Outcome.MayHaveRun("cancelled"));
+                pier.abandon(berth, Ended.OTHER, new RequestOutcome.MayHaveRun("cancelled"));
             }
         }
     }
 
     @Override
-    public Load load() {
-        return new Load(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
+    public UpstreamLoad load() {
+        return new UpstreamLoad(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
     }
 
     /** This process ends: nothing more goes to the server, what runs goes on. */
@@ -110,9 +114,9 @@
     public void close() {
         leave();
         berths.retire();
-        for (ServerConnection berth : berths.busy()) {
+        for (UpstreamConnection berth : berths.busy()) {
             if (berth.shipment() != null && !pier.unsend(berth, GONE)) {
-                pier.abandon(berth, Ended.OTHER, new Outcome.MayHaveRun("closed"));
+                pier.abandon(berth, Ended.OTHER, new RequestOutcome.MayHaveRun("closed"));
             }
         }
         pier.close();
@@ -127,19 +131,19 @@
         pier.tick();
     }
 
-    private boolean isNamed(Shipment shipment) {
+    private boolean isNamed(InFlightRequest shipment) {
         String instance = shipment.freight().instanceId();
         return life != null && (instance == null || instance.equals(life.instanceId()));
     }
 
     /** Hands back what is not sent: all of it, or what is for another life of the server. */
     private void handBack(boolean all) {
-        for (Shipment shipment : List.copyOf(stevedore.waiting())) {
+        for (InFlightRequest shipment : List.copyOf(stevedore.waiting())) {
             if ((all || !isNamed(shipment)) && stevedore.cancel(shipment)) {
                 pier.tell(shipment, GONE);
             }
         }
-        for (ServerConnection berth : berths.busy()) {
+        for (UpstreamConnection berth : berths.busy()) {
             // One that comes up now leads to who knows which life.
             if (berth.isConnecting()) {
                 pier.unsend(berth, GONE);
--- a/src/main/java/larkbank/quay/QuayPlan.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 /**
  * What can be set. Zero for the two bounds of waiting stands for half and for four times the slots.
@@ -10,7 +10,7 @@
  * @param maxConnections what the server accepts, until that is told
  * @param mostAnswerBytes largest body of an answer
  */
-public record QuayPlan(
+public record UpstreamOptions(
         int extraInFlight,
         double coldFactor,
         int minWaiting,
@@ -21,8 +21,8 @@
         int maxConnections,
         int mostAnswerBytes) {
 
-    public static QuayPlan defaults() {
-        return new QuayPlan(1, 1.0, 0, 0, 50_000, 1_000_000, 500_000, 64, 16 * 1024 * 1024);
+    public static UpstreamOptions defaults() {
+        return new UpstreamOptions(1, 1.0, 0, 0, 50_000, 1_000_000, 500_000, 64, 16 * 1024 * 1024);
     }
 
     int minWaiting(int slots) {
--- a/src/main/java/larkbank/quay/Freight.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamRequest.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.List;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * the body are set when it is sent. The id is the one that the answer repeats. Without an instance id it is
  * meant for whatever instance is there.
  */
-public record Freight(
+public record UpstreamRequest(
         String id,
         String method,
         String uri,
--- a/src/main/java/larkbank/quay/ServerAnswer.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamResponse.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** A whole, well-formed answer, whoever it is for. */
-record ServerAnswer(int status, List<Map.Entry<String, String>> headers, byte[] body, boolean keepAlive) {
+record UpstreamResponse(int status, List<Map.Entry<String, String>> headers, byte[] body, boolean keepAlive) {
     private static final String TIMEOUT = "timeout=";
 
     List<String> all(String name) {
--- a/src/main/java/larkbank/pilot/ShipDesk.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.vavr.control.Either;
 import java.util.LinkedHashSet;
@@ -6,59 +6,59 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.berth.Ship;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Call;
-import larkbank.gangway.Host;
-import larkbank.lading.Calls;
-import larkbank.lading.Fault;
-import larkbank.lading.Scribe;
-import larkbank.papers.Duration;
-import larkbank.papers.NodePapers;
-import larkbank.papers.Sheets;
+import org.cypressweir.common.settings.DurationText;
+import org.cypressweir.common.settings.JsonDocuments;
+import org.cypressweir.common.settings.NodeSettings;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.server.RequestHandler;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.jboss.logging.Logger;
 
 /** Answers the server on this machine: its beats, its drain and its end are what this pilot tells of it. */
-final class ShipDesk implements Host {
+final class ApplicationLifecycleHandler implements RequestHandler {
 
-    private static final Logger LOG = Logger.getLogger("berth");
+    private static final Logger LOG = Logger.getLogger(ApplicationLifecycleHandler.class);
     private static final int REMEMBERED = 16;
     /** Beats that may be missing in a row. */
     private static final int MISSED = 3;
 
     /** What changes with a server. */
     interface Changed {
-        void changed(Ship ship);
+        void changed(ApplicationInstance ship);
     }
 
     private final LongSupplier micros;
     private final Changed changed;
-    private NodePapers papers;
+    private NodeSettings papers;
     private final long life;
     private long number;
-    private Ship ship;
+    private ApplicationInstance ship;
     private long sequence;
     private long heardAt;
     private long drainedAt;
     private boolean leaving;
     private final Set<String> ended = new LinkedHashSet<>();
 
-    ShipDesk(LongSupplier micros, NodePapers papers, long life, Changed changed) {
+    ApplicationLifecycleHandler(LongSupplier micros, NodeSettings papers, long life, Changed changed) {
         this.micros = micros;
         this.papers = papers;
         this.life = life;
         this.changed = changed;
     }
 
-    void papers(NodePapers next) {
+    void papers(NodeSettings next) {
         papers = next;
     }
 
     /** What this pilot tells of itself. */
-    Berth berth() {
-        return new Berth(
+    ProxyRegistration berth() {
+        return new ProxyRegistration(
                 papers.name(),
                 life,
                 number,
@@ -70,7 +70,7 @@
                 ship);
     }
 
-    Ship ship() {
+    ApplicationInstance ship() {
         return ship;
     }
 
@@ -87,12 +87,12 @@
     }
 
     @Override
-    public void called(Call call) {
-        Optional<Calls> known = Calls.of(call.path());
+    public void called(ServerRequest call) {
+        Optional<ApiCall> known = ApiCall.of(call.path());
         if (known.isEmpty()) {
-            call.answer(Answers.of(Fault.NO_CALL));
+            call.answer(LocalResponses.of(ErrorKind.NO_CALL));
         } else if (!known.get().method().equals(call.method())) {
-            call.answer(Answers.of(Fault.NO_METHOD));
+            call.answer(LocalResponses.of(ErrorKind.NO_METHOD));
         } else {
             String id = known.get().name(call.path()).orElse("");
             switch (known.get()) {
@@ -101,26 +101,26 @@
                     gone(id, "has ended");
                     call.answer(taken());
                 }
-                default -> call.answer(Answers.of(Fault.NO_CALL));
+                default -> call.answer(LocalResponses.of(ErrorKind.NO_CALL));
             }
         }
     }
 
-    private static Answer taken() {
-        return Answer.json(200, new byte[] {'{', '}'});
+    private static ServerResponse taken() {
+        return ServerResponse.json(200, new byte[] {'{', '}'});
     }
 
-    private void beat(Call call, String id) {
-        Either<String, Map<String, Object>> read = Sheets.read(call.body());
+    private void beat(ServerRequest call, String id) {
+        Either<String, Map<String, Object>> read = JsonDocuments.read(call.body());
         if (read.isLeft()) {
-            call.answer(Answer.text(Fault.MALFORMED.status(), read.getLeft()));
+            call.answer(ServerResponse.text(ErrorKind.MALFORMED.status(), read.getLeft()));
             return;
         }
-        Map<String, Object> node = Scribe.object(read.get(), "nodeInfo");
-        Map<String, Object> oper = Scribe.object(read.get(), "operStatus");
-        if (Scribe.text(node, "service").isEmpty() || !(oper.get("callSequence") instanceof Number)) {
-            call.answer(
-                    Answer.text(Fault.MALFORMED.status(), "a beat wants nodeInfo.service and operStatus.callSequence"));
+        Map<String, Object> node = JsonCodec.object(read.get(), "nodeInfo");
+        Map<String, Object> oper = JsonCodec.object(read.get(), "operStatus");
+        if (JsonCodec.text(node, "service").isEmpty() || !(oper.get("callSequence") instanceof Number)) {
+            call.answer(ServerResponse.text(
+                    ErrorKind.MALFORMED.status(), "a beat wants nodeInfo.service and operStatus.callSequence"));
             return;
         }
         call.answer(taken());
@@ -132,17 +132,17 @@
         long now = micros.getAsLong();
         sequence = its;
         heardAt = now;
-        boolean draining = Scribe.text(oper, "operState").equals("draining") || known && ship.draining();
+        boolean draining = JsonCodec.text(oper, "operState").equals("draining") || known && ship.draining();
         if (draining && !(known && ship.draining())) {
             drainedAt = now;
         } else if (!draining) {
             drainedAt = 0;
         }
-        long warm = known ? ship.warmAt() : micros(Scribe.text(oper, "warmupLeft"));
-        Ship next = new Ship(
+        long warm = known ? ship.warmAt() : micros(JsonCodec.text(oper, "warmupLeft"));
+        ApplicationInstance next = new ApplicationInstance(
                 id,
-                Scribe.text(node, "service"),
-                Scribe.text(read.get(), "address"),
+                JsonCodec.text(node, "service"),
+                JsonCodec.text(read.get(), "address"),
                 (int) Math.max(1, Json.whole(node, "capacitySlots", 1)),
                 draining,
                 known || warm <= 0 ? known ? warm : 0 : now + warm);
@@ -159,7 +159,7 @@
     }
 
     private static long micros(String time) {
-        return Duration.micros(time).getOrElse(0L);
+        return DurationText.micros(time).getOrElse(0L);
     }
 
     private void gone(String id, String why) {
--- a/src/main/java/larkbank/pilot/Carrier.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
@@ -1,10 +1,10 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.function.Consumer;
-import larkbank.quay.Freight;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /** Takes an attempt to the server that it is for, and its reply back: exactly one, on the loop. */
-interface Carrier {
+interface AttemptTransport {
 
     /** What can still be done with an attempt that is out. */
     interface Ride {
@@ -12,5 +12,5 @@
         void cancel();
     }
 
-    Ride send(Target target, Freight freight, Consumer<Reply> end);
+    Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end);
 }
--- a/src/main/java/larkbank/pilot/Aside.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/BackgroundTask.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executor;
@@ -9,15 +9,15 @@
  * Work that would hold the loop up, such as reading a thousand routes: it is done beside the loop, one piece
  * after the other, and what came of it is told on the loop in the same order.
  */
-final class Aside {
+final class BackgroundTask {
 
-    private static final Logger LOG = Logger.getLogger("chart");
+    private static final Logger LOG = Logger.getLogger(BackgroundTask.class);
 
     private final Executor worker;
     private final Executor loop;
 
     /** @param worker one thread, so that the order holds */
-    Aside(Executor worker, Executor loop) {
+    BackgroundTask(Executor worker, Executor loop) {
         this.worker = worker;
         this.loop = loop;
     }
--- a/src/main/java/larkbank/pilot/Following.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
@@ -1,44 +1,44 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larkbank.Json;
-import larkbank.copies.Ballot;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
  * Follows the configuration: hears which stamps harbours show, asks one of them for what it lacks, and puts
  * the pieces together. It never goes back: stamps of states that were shown have one order everywhere.
  */
-final class Following {
+final class ConfigurationSubscriber {
 
     /** After so long without a further piece another harbour is asked. */
     private static final long PATIENCE = 600_000;
 
-    private Ballot stamp = Ballot.ZERO;
-    private Manifest manifest = Manifest.EMPTY;
-    private final Map<String, Ballot> shown = new HashMap<>();
+    private ProposalNumber stamp = ProposalNumber.ZERO;
+    private Configuration manifest = Configuration.EMPTY;
+    private final Map<String, ProposalNumber> shown = new HashMap<>();
     private final Map<String, Map<Integer, List<Item>>> coming = new HashMap<>();
     private String asked;
     private long askedAt;
-    private Ballot crewStamp = Ballot.ZERO;
+    private ProposalNumber crewStamp = ProposalNumber.ZERO;
     private Set<String> crew = Set.of();
 
-    Ballot stamp() {
+    ProposalNumber stamp() {
         return stamp;
     }
 
-    Manifest manifest() {
+    Configuration manifest() {
         return manifest;
     }
 
     /** A harbour shows this stamp. */
-    void shows(String harbour, Ballot its) {
+    void shows(String harbour, ProposalNumber its) {
         if (its != null) {
             shown.put(harbour, its);
         }
@@ -48,7 +48,7 @@
      * A harbour that shows this stamp says who is in the crew. One that was cut off tells an old crew, in
      * which newer members are missing: only what comes with the newest stamp counts.
      */
-    void crew(Ballot its, Set<String> told) {
+    void crew(ProposalNumber its, Set<String> told) {
         if (its != null && !told.isEmpty() && its.compareTo(crewStamp) >= 0) {
             crewStamp = its;
             crew = told;
@@ -73,7 +73,7 @@
             return null;
         }
         String best = null;
-        for (Map.Entry<String, Ballot> one : shown.entrySet()) {
+        for (Map.Entry<String, ProposalNumber> one : shown.entrySet()) {
             boolean newer = one.getValue().compareTo(stamp) > 0;
             boolean better = best == null
                     || one.getValue().compareTo(shown.get(best)) > 0
@@ -91,8 +91,8 @@
 
     /** A piece of what a harbour tells; whether a newer state is whole now. */
     boolean told(long now, String harbour, Map<String, Object> head, List<Item> items) {
-        Ballot to = Ballot.of(Scribe.text(head, "stamp"));
-        String from = Scribe.text(head, "from");
+        ProposalNumber to = ProposalNumber.of(JsonCodec.text(head, "stamp"));
+        String from = JsonCodec.text(head, "from");
         if (to == null || to.compareTo(stamp) <= 0 || !from.isEmpty() && !from.equals(stamp.toString())) {
             return false;
         }
@@ -104,7 +104,7 @@
         }
         List<Item> all = new ArrayList<>();
         pieces.values().forEach(all::addAll);
-        manifest = (from.isEmpty() ? Manifest.EMPTY : manifest).with(all);
+        manifest = (from.isEmpty() ? Configuration.EMPTY : manifest).with(all);
         stamp = to;
         coming.clear();
         asked = null;
--- a/src/main/java/larkbank/pilot/Lookout.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,23 +10,24 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.berth.ServerDirectory;
-import larkbank.chart.Bales;
-import larkbank.copies.Ballot;
-import larkbank.lading.Line;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.distribution.ItemChunks;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.quota.QuotaShares;
 import org.jboss.logging.Logger;
 
 /** Looks to the harbours: tells them of this pilot, and hears the news of all of them. */
-final class Lookout implements Moorings.Owner {
+final class ControllerClient implements PeerConnectionPool.Owner {
 
-    private static final Logger LOG = Logger.getLogger("chart");
-    private static final Moorings.Plan LINES = new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
+    private static final Logger LOG = Logger.getLogger(ControllerClient.class);
+    private static final PeerConnectionPool.Plan LINES =
+            new PeerConnectionPool.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
     /** In between only what has changed is told. */
     private static final int TELLINGS_A_WHOLE = 10;
@@ -34,14 +35,14 @@
     private record Place(long life, long place) {}
 
     private final LongSupplier micros;
-    private final Supplier<Berth> berth;
-    private final ServerDirectory roster;
-    private final Following following;
-    private final Freshness freshness;
-    private final Quotas quotas;
+    private final Supplier<ProxyRegistration> berth;
+    private final EndpointDirectory roster;
+    private final ConfigurationSubscriber following;
+    private final ReadinessGate freshness;
+    private final QuotaShares quotas;
     private final Runnable newBearings;
-    private final Aside aside;
-    private final Moorings moorings;
+    private final BackgroundTask aside;
+    private final PeerConnectionPool moorings;
     private final Map<String, Place> places = new HashMap<>();
     private final Map<String, String> controls = new HashMap<>();
     private final Set<String> heard = new HashSet<>();
@@ -51,18 +52,18 @@
     /** Who tells what tenants ask in all, and on which line it was asked to. */
     private String teller;
 
-    private Line tellersLine;
+    private PeerConnection tellersLine;
 
-    Lookout(
-            Wharf wharf,
+    ControllerClient(
+            PeerTransport wharf,
             LongSupplier micros,
             String name,
-            Supplier<Berth> berth,
-            ServerDirectory roster,
-            Following following,
-            Freshness freshness,
-            Quotas quotas,
-            Aside aside,
+            Supplier<ProxyRegistration> berth,
+            EndpointDirectory roster,
+            ConfigurationSubscriber following,
+            ReadinessGate freshness,
+            QuotaShares quotas,
+            BackgroundTask aside,
             Runnable newBearings) {
         this.micros = micros;
         this.name = name;
@@ -73,8 +74,8 @@
         this.quotas = quotas;
         this.newBearings = newBearings;
         this.aside = aside;
-        moorings =
-                new Moorings(wharf, micros, LINES, () -> Scribe.map("t", "hello", "kind", "pilot", "name", name), this);
+        moorings = new PeerConnectionPool(
+                wharf, micros, LINES, () -> JsonCodec.map("t", "hello", "kind", "pilot", "name", name), this);
     }
 
     void seeds(Set<String> addresses) {
@@ -100,17 +101,17 @@
         eachLine(this::tell);
     }
 
-    private void eachLine(Consumer<Line> what) {
+    private void eachLine(Consumer<PeerConnection> what) {
         for (String address : moorings.addresses()) {
-            Line line = moorings.line(address);
+            PeerConnection line = moorings.line(address);
             if (line != null) {
                 what.accept(line);
             }
         }
     }
 
-    private void tell(Line line) {
-        line.send(Scribe.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
+    private void tell(PeerConnection line) {
+        line.send(JsonCodec.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
     }
 
     /** Tells what tenants ask here, as far as that has changed. */
@@ -118,7 +119,7 @@
         boolean all = ++tellings % TELLINGS_A_WHOLE == 0;
         Map<String, Double> asked = quotas.news(micros.getAsLong(), all);
         if (!asked.isEmpty()) {
-            byte[] told = Scribe.bytes(Scribe.map("t", "tally", "asked", asked, "whole", all));
+            byte[] told = JsonCodec.bytes(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
             eachLine(line -> line.sendText(told));
         }
         chooseTeller();
@@ -131,7 +132,7 @@
             return;
         }
         if (teller != null) {
-            moorings.send(teller, Scribe.map("t", "sums", "on", false));
+            moorings.send(teller, JsonCodec.map("t", "sums", "on", false));
             quotas.silent(teller);
         }
         List<String> all =
@@ -139,7 +140,7 @@
         teller = all.isEmpty() ? null : all.get(Math.floorMod(name.hashCode(), all.size()));
         if (teller != null) {
             tellersLine = moorings.line(teller);
-            tellersLine.send(Scribe.map("t", "sums", "on", true));
+            tellersLine.send(JsonCodec.map("t", "sums", "on", true));
         }
     }
 
@@ -154,7 +155,7 @@
         }
         ask(now);
         if (freshness.asks(now)) {
-            eachLine(line -> line.send(Scribe.map("t", "contact", "asked", now)));
+            eachLine(line -> line.send(JsonCodec.map("t", "contact", "asked", now)));
         }
     }
 
@@ -162,7 +163,7 @@
         String whom = following.ask(now);
         if (whom != null) {
             moorings.send(
-                    whom, Scribe.map("t", "want", "have", following.stamp().toString()));
+                    whom, JsonCodec.map("t", "want", "have", following.stamp().toString()));
         }
     }
 
@@ -191,23 +192,23 @@
     }
 
     @Override
-    public void up(String address, Line line) {
+    public void up(String address, PeerConnection line) {
         tell(line);
         Place place = places.get(address);
-        line.send(Scribe.map(
+        line.send(JsonCodec.map(
                 "t", "follow", "life", place == null ? 0 : place.life, "place", place == null ? -1 : place.place));
     }
 
     @Override
-    public void heard(String address, Line line, Map<String, Object> head, byte[] body) {
+    public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
         long now = micros.getAsLong();
         heard.add(address);
-        switch (Scribe.text(head, "t")) {
+        switch (JsonCodec.text(head, "t")) {
             case "welcome", "stamp" -> {
                 if (head.containsKey("control")) {
-                    controls.put(address, Scribe.text(head, "control"));
+                    controls.put(address, JsonCodec.text(head, "control"));
                 }
-                Ballot stamp = Ballot.of(Scribe.text(head, "stamp"));
+                ProposalNumber stamp = ProposalNumber.of(JsonCodec.text(head, "stamp"));
                 following.shows(address, stamp);
                 freshness.told(address, Json.whole(head, "age", -1));
                 Set<String> told = new HashSet<>();
@@ -220,9 +221,9 @@
                 ask(now);
             }
             case "roster" -> {
-                List<Berth> berths = new ArrayList<>();
+                List<ProxyRegistration> berths = new ArrayList<>();
                 for (Object one : Json.array(head, "berths")) {
-                    Berth its = one instanceof Map<?, ?> map ? Berth.of(map, now) : null;
+                    ProxyRegistration its = one instanceof Map<?, ?> map ? ProxyRegistration.of(map, now) : null;
                     if (its != null) {
                         berths.add(its);
                     }
@@ -232,7 +233,7 @@
                 roster.told(address, Json.flag(head, "whole"), berths, gone);
                 places.put(address, new Place(Json.whole(head, "life", 0), Json.whole(head, "place", -1)));
             }
-            case "items" -> aside.run(() -> Bales.unpack(body), items -> {
+            case "items" -> aside.run(() -> ItemChunks.unpack(body), items -> {
                 if (following.told(micros.getAsLong(), address, head, items)) {
                     LOG.info("The configuration stands at " + following.stamp() + ".");
                     newBearings.run();
@@ -244,7 +245,7 @@
                 if (asked == 0) {
                     freshness.told(address, age);
                 } else {
-                    freshness.answered(now, address, asked, Ballot.of(Scribe.text(head, "stamp")), age);
+                    freshness.answered(now, address, asked, ProposalNumber.of(JsonCodec.text(head, "stamp")), age);
                 }
             }
             case "tallies" -> quotas.told(now, address, Json.object(head, "asked"));
@@ -253,7 +254,7 @@
     }
 
     @Override
-    public void lost(String address, Line line) {
+    public void lost(String address, PeerConnection line) {
         if (moorings.line(address) == null) {
             silent(address);
         }
--- a/src/main/java/larkbank/pilot/Answers.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/LocalResponses.java
@@ -1,22 +1,22 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
-import larkbank.gangway.Answer;
-import larkbank.lading.Fault;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.dataplane.http.server.ServerResponse;
 
 /** Answers of the mesh's own, each by its fault. */
-final class Answers {
+final class LocalResponses {
 
     private static final long LEAST = 1_000;
 
-    private Answers() {}
+    private LocalResponses() {}
 
     /** @param againMicros when to come back, where the fault says so */
-    static Answer of(Fault fault, long againMicros) {
-        Answer answer = Answer.text(fault.status(), fault.words());
+    static ServerResponse of(ErrorKind fault, long againMicros) {
+        ServerResponse answer = ServerResponse.text(fault.status(), fault.words());
         return fault.saysWhen() ? answer.withHeader("Retry-After", seconds(againMicros)) : answer;
     }
 
-    static Answer of(Fault fault) {
+    static ServerResponse of(ErrorKind fault) {
         return of(fault, 0);
     }
 
--- a/src/main/java/larkbank/pilot/Front.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,20 +7,20 @@
 import java.util.function.BiFunction;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import larkbank.Ids;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Call;
-import larkbank.gangway.Headers;
-import larkbank.gangway.Host;
-import larkbank.lading.Fault;
-import larkbank.logbook.Wake;
-import larkbank.manifest.RouteTerms;
-import larkbank.manifest.Split;
-import larkbank.manifest.TenantTerms;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.controlplane.configuration.TenantConfiguration;
+import org.cypressweir.controlplane.configuration.WeightedDestination;
+import org.cypressweir.dataplane.http.server.Headers;
+import org.cypressweir.dataplane.http.server.RequestHandler;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.quota.QuotaShares;
 
 /** Takes requests of clients and of the server on this machine: finds route, tenant and service of each. */
-final class Front implements Host {
+final class OutboundListener implements RequestHandler {
 
     private static final String ID = "Cypressweir-Attempt-Id";
     private static final String KEY = "Cypressweir-Key";
@@ -35,11 +35,11 @@
     private static final long MOST_LEFT = 3_600_000;
 
     private final LongSupplier micros;
-    private final Supplier<Bearings> bearings;
+    private final Supplier<RoutingTable> bearings;
     private final Supplier<String> caller;
-    private final Quotas quotas;
-    private final BiFunction<String, Boolean, Helm> helms;
-    private final Wake wake;
+    private final QuotaShares quotas;
+    private final BiFunction<String, Boolean, ServiceRequestHandler> helms;
+    private final RequestTrace wake;
     private final Map<String, Long> counts = new HashMap<>();
     private long numbers;
 
@@ -48,13 +48,13 @@
      * @param helms the way to a service, for requests of tenants or for calls without one
      * @param wake where it is kept which way requests went
      */
-    Front(
+    OutboundListener(
             LongSupplier micros,
-            Supplier<Bearings> bearings,
+            Supplier<RoutingTable> bearings,
             Supplier<String> caller,
-            Quotas quotas,
-            BiFunction<String, Boolean, Helm> helms,
-            Wake wake) {
+            QuotaShares quotas,
+            BiFunction<String, Boolean, ServiceRequestHandler> helms,
+            RequestTrace wake) {
         this.micros = micros;
         this.bearings = bearings;
         this.caller = caller;
@@ -64,47 +64,47 @@
     }
 
     @Override
-    public void called(Call call) {
-        Bearings now = bearings.get();
+    public void called(ServerRequest call) {
+        RoutingTable now = bearings.get();
         if (now.manifest().items().isEmpty()) {
-            refuse(call, Fault.NOT_READY, 300_000);
+            refuse(call, ErrorKind.NOT_READY, 300_000);
             return;
         }
-        RouteTerms route = now.route(call.host(), call.path());
+        RouteConfiguration route = now.route(call.host(), call.path());
         if (route == null) {
-            refuse(call, Fault.NO_ROUTE, 0);
+            refuse(call, ErrorKind.NO_ROUTE, 0);
             return;
         }
         String id = call.header(ID);
         if (id == null || id.isEmpty()) {
-            refuse(call, Fault.MALFORMED, 0);
+            refuse(call, ErrorKind.MALFORMED, 0);
             return;
         }
-        TenantTerms tenant = null;
+        TenantConfiguration tenant = null;
         if (now.keyed() && !route.open()) {
             tenant = now.tenant(call.header(KEY));
             if (tenant == null) {
-                refuse(call, Fault.NO_KEY, 0);
+                refuse(call, ErrorKind.NO_KEY, 0);
                 return;
             }
             long wait = quotas.ask(micros.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
             if (wait > 0) {
-                refuse(call, Fault.OVER_QUOTA, wait);
+                refuse(call, ErrorKind.OVER_QUOTA, wait);
                 return;
             }
         }
         go(call, id, route, tenant);
     }
 
-    private void go(Call call, String id, RouteTerms route, TenantTerms tenant) {
+    private void go(ServerRequest call, String id, RouteConfiguration route, TenantConfiguration tenant) {
         long arrived = call.arrivedMicros();
         long left = Math.min(millis(call.header(LEFT)) * 1000, route.timeoutMicros());
         long deadline = arrived + left - Math.min(MARGIN, left / MARGIN_PART);
         long aimAt = Math.min(deadline, arrived + route.aimMicros());
         String service = service(route, id);
-        Helm helm = service == null ? null : helms.apply(service, tenant == null);
+        ServiceRequestHandler helm = service == null ? null : helms.apply(service, tenant == null);
         if (helm == null) {
-            refuse(call, Fault.NOT_READY, 200_000);
+            refuse(call, ErrorKind.NOT_READY, 200_000);
             return;
         }
         int rank = tenant != null && tenant.priority() != null ? tenant.priority() : route.priority();
@@ -117,7 +117,7 @@
         if (tenant != null) {
             headers.add(Map.entry(TENANT, tenant.name()));
         }
-        helm.take(new Passage(
+        helm.take(new ProxiedRequest(
                 Long.toString(++numbers),
                 call,
                 id,
@@ -141,10 +141,10 @@
     }
 
     /** One of the route's services, by their weights; of those that have servers while any has. */
-    private String service(RouteTerms route, String id) {
+    private String service(RouteConfiguration route, String id) {
         String only = null;
         double all = 0;
-        for (Split split : route.splits()) {
+        for (WeightedDestination split : route.splits()) {
             if (split.weight() > 0 && has(split)) {
                 all += split.weight();
                 only = split.service();
@@ -153,12 +153,12 @@
         if (all == 0) {
             return route.splits().stream()
                     .filter(s -> s.weight() > 0)
-                    .map(Split::service)
+                    .map(WeightedDestination::service)
                     .findFirst()
                     .orElse(null);
         }
         double at = (Ids.of(id) >>> 10 & 0xfffff) / (double) 0x100000 * all;
-        for (Split split : route.splits()) {
+        for (WeightedDestination split : route.splits()) {
             if (split.weight() > 0 && has(split)) {
                 at -= split.weight();
                 if (at < 0) {
@@ -169,14 +169,14 @@
         return only;
     }
 
-    private boolean has(Split split) {
-        Helm helm = helms.apply(split.service(), false);
+    private boolean has(WeightedDestination split) {
+        ServiceRequestHandler helm = helms.apply(split.service(), false);
         return helm != null && helm.hasServers();
     }
 
-    private void refuse(Call call, Fault fault, long againMicros) {
+    private void refuse(ServerRequest call, ErrorKind fault, long againMicros) {
         counts.merge(fault.name(), 1L, Long::sum);
-        Answer answer = Answers.of(fault, againMicros);
+        ServerResponse answer = LocalResponses.of(fault, againMicros);
         wake.request(call.header(ID), call.host(), call.path(), call.arrivedMicros());
         wake.answer(micros.getAsLong(), answer.status(), fault);
         call.answer(answer);
--- a/src/main/java/larkbank/pilot/Hops.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,15 +7,15 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import larkbank.Json;
-import larkbank.lading.Line;
-import larkbank.lading.Scribe;
-import larkbank.quay.Dispatcher;
-import larkbank.quay.Freight;
-import larkbank.quay.Load;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
-import larkbank.quay.Ticket;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
+import org.cypressweir.dataplane.http.upstream.RequestHandle;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
  * The hop, as the first pilot sees it: attempts go to the pilot beside the server, or straight to the quay
@@ -25,7 +25,7 @@
  * <p>Numbers begin at this process's life and only grow, over all lines: one names the life and the request,
  * and each line's begin behind its hello's. The line on which a parcel comes is proven by the connection.
  */
-final class Hops implements Carrier {
+final class PeerForwarder implements AttemptTransport {
 
     /** Bytes that may wait on one line. */
     private static final long MOST_WAITING = 4 * 1024 * 1024;
@@ -35,12 +35,12 @@
 
     private static final class Out {
         private final long number;
-        private final Line line;
+        private final PeerConnection line;
         private final boolean repeatable;
         private final long sentAt;
-        private final Consumer<Reply> end;
+        private final Consumer<AttemptResult> end;
 
-        private Out(long number, Line line, boolean repeatable, long sentAt, Consumer<Reply> end) {
+        private Out(long number, PeerConnection line, boolean repeatable, long sentAt, Consumer<AttemptResult> end) {
             this.number = number;
             this.line = line;
             this.repeatable = repeatable;
@@ -51,9 +51,9 @@
 
     private final LongSupplier micros;
     private final String own;
-    private final Dispatcher quay;
-    private final Function<String, Line> lines;
-    private final OldParcels old;
+    private final RequestDispatcher quay;
+    private final Function<String, PeerConnection> lines;
+    private final StaleMessageFilter old;
     private final Map<Long, Out> out = new HashMap<>();
     private final long life;
     private long numbers;
@@ -64,19 +64,24 @@
      * @param life when this process began, in microseconds: later than any number of an earlier one
      * @param lines the line to an address that is to be used now; null for none
      */
-    Hops(LongSupplier micros, String own, long life, Dispatcher quay, Function<String, Line> lines) {
+    PeerForwarder(
+            LongSupplier micros,
+            String own,
+            long life,
+            RequestDispatcher quay,
+            Function<String, PeerConnection> lines) {
         this.micros = micros;
         this.own = own;
         this.quay = quay;
         this.lines = lines;
         this.life = life;
         numbers = life;
-        old = new OldParcels(micros);
+        old = new StaleMessageFilter(micros);
     }
 
     /** What is said first on a line: who begins it, and from which number on its requests count. */
     Map<String, Object> hello(String name) {
-        return Scribe.map("t", "hello", "kind", "pilot", "name", name, "life", life, "from", ++numbers);
+        return JsonCodec.map("t", "hello", "kind", "pilot", "name", name, "life", life, "from", ++numbers);
     }
 
     /** How many parcels were known as old. */
@@ -85,19 +90,21 @@
     }
 
     @Override
-    public Ride send(Target target, Freight freight, Consumer<Reply> end) {
+    public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
         if (target.address().equals(own)) {
-            Ticket ticket = quay.take(freight, outcome -> end.accept(new Reply(outcome, quay.load())));
+            RequestHandle ticket = quay.take(freight, outcome -> end.accept(new AttemptResult(outcome, quay.load())));
             return () -> quay.cancel(ticket);
         }
-        Line line = lines.apply(target.address());
+        PeerConnection line = lines.apply(target.address());
         if (line == null || line.waiting() > MOST_WAITING) {
-            end.accept(new Reply(new Outcome.NotRun(line == null ? Reason.NO_CONNECTION : Reason.FULL, 0), null));
+            end.accept(new AttemptResult(
+                    new RequestOutcome.NotRun(line == null ? RejectionReason.NO_CONNECTION : RejectionReason.FULL, 0),
+                    null));
             return () -> {};
         }
         if (line.owner() instanceof Long its && its != target.life()) {
             // The line leads to another life than the one that was chosen: nothing is sent.
-            end.accept(new Reply(new Outcome.NotRun(Reason.GONE, 0), null));
+            end.accept(new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null));
             return () -> {};
         }
         long now = micros.getAsLong();
@@ -105,18 +112,18 @@
         out.put(number, new Out(number, line, freight.repeatable(), now, end));
         line.send(head(freight, number, target.life(), now), freight.body(), whole -> {
             if (!whole) {
-                over(number, new Reply(new Outcome.NotRun(Reason.NO_CONNECTION, 0), null));
+                over(number, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0), null));
             }
         });
         return () -> {
             if (out.containsKey(number)) {
-                line.send(Scribe.map("t", "stop", "n", number));
+                line.send(JsonCodec.map("t", "stop", "n", number));
             }
         };
     }
 
-    private static Map<String, Object> head(Freight f, long number, long life, long now) {
-        return Scribe.map(
+    private static Map<String, Object> head(UpstreamRequest f, long number, long life, long now) {
+        return JsonCodec.map(
                 "t",
                 "go",
                 "n",
@@ -164,7 +171,7 @@
     }
 
     /** The process at the other end of a line has told its life; a line with two can't be believed. */
-    void greeted(Line line, long its) {
+    void greeted(PeerConnection line, long its) {
         if (line.owner() == null) {
             line.owner(its);
         } else if (!line.owner().equals(its)) {
@@ -174,7 +181,7 @@
     }
 
     /** What the other pilot says that became of an attempt: on the line on which that went, or not at all. */
-    void heard(Line line, Map<String, Object> head, byte[] body) {
+    void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
         long number = Json.whole(head, "n", -1);
         Out one = out.get(number);
         if (one == null || one.line != line) {
@@ -191,30 +198,33 @@
             return;
         }
         List<?> load = Json.array(head, "load");
-        Load its = load.size() == 3 ? new Load(whole(load.get(0)), whole(load.get(1)), whole(load.get(2))) : null;
-        Outcome outcome =
-                switch (Scribe.text(head, "o")) {
-                    case "answered" -> new Outcome.Answered((int) Json.whole(head, "s", 502), headers(head), body);
-                    case "notrun" -> new Outcome.NotRun(reason(Scribe.text(head, "why")), Json.whole(head, "after", 0));
-                    default -> new Outcome.MayHaveRun(Scribe.text(head, "why"));
+        UpstreamLoad its =
+                load.size() == 3 ? new UpstreamLoad(whole(load.get(0)), whole(load.get(1)), whole(load.get(2))) : null;
+        RequestOutcome outcome =
+                switch (JsonCodec.text(head, "o")) {
+                    case "answered" -> new RequestOutcome.Answered(
+                            (int) Json.whole(head, "s", 502), headers(head), body);
+                    case "notrun" -> new RequestOutcome.NotRun(
+                            reason(JsonCodec.text(head, "why")), Json.whole(head, "after", 0));
+                    default -> new RequestOutcome.MayHaveRun(JsonCodec.text(head, "why"));
                 };
-        over(number, new Reply(outcome, its));
+        over(number, new AttemptResult(outcome, its));
     }
 
     private static int whole(Object number) {
         return number instanceof Number n ? n.intValue() : 0;
     }
 
-    private static Reason reason(String text) {
-        for (Reason reason : Reason.values()) {
+    private static RejectionReason reason(String text) {
+        for (RejectionReason reason : RejectionReason.values()) {
             if (reason.name().equals(text)) {
                 return reason;
             }
         }
-        return Reason.REFUSED;
+        return RejectionReason.REFUSED;
     }
 
-    private void over(long number, Reply reply) {
+    private void over(long number, AttemptResult reply) {
         Out one = out.remove(number);
         if (one != null) {
             one.end.accept(reply);
@@ -222,10 +232,10 @@
     }
 
     /** A line is gone: its attempts may have run. */
-    void lost(Line line) {
+    void lost(PeerConnection line) {
         for (Out one : List.copyOf(out.values())) {
             if (one.line == line) {
-                over(one.number, new Reply(new Outcome.MayHaveRun("the line was lost"), null));
+                over(one.number, new AttemptResult(new RequestOutcome.MayHaveRun("the line was lost"), null));
             }
         }
     }
@@ -242,11 +252,11 @@
     void tick() {
         long now = micros.getAsLong();
         boolean ping = now - pingedAt > PING;
-        List<Line> asked = new ArrayList<>();
+        List<PeerConnection> asked = new ArrayList<>();
         for (Out one : List.copyOf(out.values())) {
             long silence = now - Math.max(one.line.heardAt(), one.sentAt);
             if (silence > SILENCE && one.repeatable && !leaving) {
-                over(one.number, new Reply(new Outcome.MayHaveRun("nothing is heard"), null));
+                over(one.number, new AttemptResult(new RequestOutcome.MayHaveRun("nothing is heard"), null));
             } else if (ping
                     && now - one.line.heardAt() > PING
                     && now - one.sentAt > PING
@@ -262,7 +272,7 @@
 
     /** Whether a line has answers to give and says nothing. */
     boolean isSilent(String address) {
-        Line line = lines.apply(address);
+        PeerConnection line = lines.apply(address);
         if (line == null) {
             return true;
         }
--- a/src/main/java/larkbank/pilot/Landing.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -7,24 +7,24 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.gangway.Headers;
-import larkbank.lading.Line;
-import larkbank.lading.Scribe;
-import larkbank.quay.Dispatcher;
-import larkbank.quay.Freight;
-import larkbank.quay.Load;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
-import larkbank.quay.Ticket;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.server.Headers;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
+import org.cypressweir.dataplane.http.upstream.RequestHandle;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
  * The hop, as the pilot beside the server sees it: what comes is handed to the quay, and its end told, on the
  * line on which it came. Each line takes the numbers from its hello's on, each once, and none that the
  * sender's next line has begun with.
  */
-final class Landing implements Line.Ear {
+final class PeerRequestReceiver implements PeerConnection.Ear {
 
     private static final byte[] NOTHING = {};
     /** Lives of a sender that are known. */
@@ -33,10 +33,10 @@
     private static final int MOST_SENDERS = 8_192;
 
     private final LongSupplier micros;
-    private final Dispatcher quay;
-    private final Supplier<Berth> berth;
-    private final OldParcels old;
-    private final Map<Line, Caller> callers = new LinkedHashMap<>();
+    private final RequestDispatcher quay;
+    private final Supplier<ProxyRegistration> berth;
+    private final StaleMessageFilter old;
+    private final Map<PeerConnection, Caller> callers = new LinkedHashMap<>();
     private final Map<String, Lives> lives = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Lives> eldest) {
@@ -73,7 +73,7 @@
         /** Where the numbers of a later line or life begin. */
         private long until;
 
-        private final Map<Long, Ticket> open = new HashMap<>();
+        private final Map<Long, RequestHandle> open = new HashMap<>();
 
         private Caller(String name, long life, long from) {
             this.name = name;
@@ -84,11 +84,11 @@
     }
 
     /** @param berth what this pilot tells of itself */
-    Landing(LongSupplier micros, Dispatcher quay, Supplier<Berth> berth) {
+    PeerRequestReceiver(LongSupplier micros, RequestDispatcher quay, Supplier<ProxyRegistration> berth) {
         this.micros = micros;
         this.quay = quay;
         this.berth = berth;
-        old = new OldParcels(micros);
+        old = new StaleMessageFilter(micros);
     }
 
     /** Tells all who have a line here what has changed. */
@@ -96,21 +96,21 @@
         callers.keySet().forEach(this::tell);
     }
 
-    private void tell(Line line) {
-        line.send(Scribe.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
+    private void tell(PeerConnection line) {
+        line.send(JsonCodec.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
     }
 
     @Override
-    public void opened(Line line) {}
+    public void opened(PeerConnection line) {}
 
     @Override
-    public void heard(Line line, Map<String, Object> head, byte[] body) {
-        switch (Scribe.text(head, "t")) {
+    public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+        switch (JsonCodec.text(head, "t")) {
             case "hello" -> hello(line, head);
             case "go" -> go(line, callers.get(line), head, body);
             case "stop" -> {
                 Caller caller = callers.get(line);
-                Ticket ticket = caller == null ? null : caller.open.get(Json.whole(head, "n", -1));
+                RequestHandle ticket = caller == null ? null : caller.open.get(Json.whole(head, "n", -1));
                 if (ticket != null) {
                     quay.cancel(ticket);
                 }
@@ -120,8 +120,9 @@
     }
 
     /** A sender's newer line ends the numbers of its older ones; an older one that comes late is closed. */
-    private void hello(Line line, Map<String, Object> head) {
-        Caller fresh = new Caller(Scribe.text(head, "name"), Json.whole(head, "life", 0), Json.whole(head, "from", 0));
+    private void hello(PeerConnection line, Map<String, Object> head) {
+        Caller fresh =
+                new Caller(JsonCodec.text(head, "name"), Json.whole(head, "life", 0), Json.whole(head, "from", 0));
         Caller before = callers.get(line);
         if (before != null) {
             old.dropped("hello", fresh.from, "is a line's second");
@@ -145,13 +146,14 @@
         tell(line);
     }
 
-    private void go(Line line, Caller caller, Map<String, Object> head, byte[] body) {
+    private void go(PeerConnection line, Caller caller, Map<String, Object> head, byte[] body) {
         long now = micros.getAsLong();
         long number = Json.whole(head, "n", -1);
         long own = berth.get().life();
         if (caller != null && Json.whole(head, "life", -1) != own) {
             // It runs here on no line, however often it comes.
-            line.send(Scribe.map("t", "end", "n", number, "life", own, "o", "notrun", "why", Reason.GONE.name()));
+            line.send(JsonCodec.map(
+                    "t", "end", "n", number, "life", own, "o", "notrun", "why", RejectionReason.GONE.name()));
             return;
         }
         if (caller == null || number <= caller.last || caller.until <= number) {
@@ -171,20 +173,20 @@
             return;
         }
         caller.last = number;
-        Freight freight = new Freight(
-                Scribe.text(head, "id"),
-                Scribe.text(head, "m"),
-                Scribe.text(head, "u"),
-                Hops.headers(head),
+        UpstreamRequest freight = new UpstreamRequest(
+                JsonCodec.text(head, "id"),
+                JsonCodec.text(head, "m"),
+                JsonCodec.text(head, "u"),
+                PeerForwarder.headers(head),
                 body,
                 Json.flag(head, "rep"),
                 (int) Json.whole(head, "rank", 9),
                 Json.flag(head, "inner"),
                 now + Json.whole(head, "aim", 0),
                 now + Json.whole(head, "left", 0),
-                Scribe.text(head, "to"));
+                JsonCodec.text(head, "to"));
         boolean[] over = {false};
-        Ticket ticket = quay.take(freight, outcome -> {
+        RequestHandle ticket = quay.take(freight, outcome -> {
             over[0] = true;
             caller.open.remove(number);
             end(line, number, outcome);
@@ -194,15 +196,15 @@
         }
     }
 
-    private void end(Line line, long number, Outcome outcome) {
+    private void end(PeerConnection line, long number, RequestOutcome outcome) {
         if (!line.isOpen()) {
             return;
         }
-        Load load = quay.load();
+        UpstreamLoad load = quay.load();
         List<Integer> its = List.of(load.running(), load.waiting(), load.slots());
-        if (outcome instanceof Outcome.Answered a) {
+        if (outcome instanceof RequestOutcome.Answered a) {
             line.send(
-                    Scribe.map(
+                    JsonCodec.map(
                             "t",
                             "end",
                             "n",
@@ -212,14 +214,14 @@
                             "s",
                             a.status(),
                             "h",
-                            Hops.flat(Headers.endToEnd(a.headers())),
+                            PeerForwarder.flat(Headers.endToEnd(a.headers())),
                             "load",
                             its),
                     a.body(),
                     null);
-        } else if (outcome instanceof Outcome.NotRun n) {
+        } else if (outcome instanceof RequestOutcome.NotRun n) {
             line.send(
-                    Scribe.map(
+                    JsonCodec.map(
                             "t",
                             "end",
                             "n",
@@ -234,14 +236,14 @@
                             its),
                     NOTHING,
                     null);
-        } else if (outcome instanceof Outcome.MayHaveRun m) {
-            line.send(Scribe.map("t", "end", "n", number, "o", "may", "why", m.why(), "load", its), NOTHING, null);
+        } else if (outcome instanceof RequestOutcome.MayHaveRun m) {
+            line.send(JsonCodec.map("t", "end", "n", number, "o", "may", "why", m.why(), "load", its), NOTHING, null);
         }
     }
 
     /** Who sent them waits no more; what can't be repeated goes on all the same. */
     @Override
-    public void closed(Line line) {
+    public void closed(PeerConnection line) {
         Caller caller = callers.remove(line);
         if (caller != null) {
             List.copyOf(caller.open.values()).forEach(quay::cancel);
--- a/src/main/java/larkbank/pilot/Passage.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,52 +6,52 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ScheduledFuture;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Call;
-import larkbank.lading.Fault;
-import larkbank.logbook.Wake;
-import larkbank.manifest.RouteTerms;
-import larkbank.quay.Account;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.RequestState;
 
 /** One request of a client, from its arrival to its one answer, and all attempts at it. */
-final class Passage {
+final class ProxiedRequest {
 
     /** One attempt. */
     static final class Try {
-        final Target target;
+        final Endpoint target;
         final long sentAt;
-        Carrier.Ride ride;
-        Outcome outcome;
+        AttemptTransport.Ride ride;
+        RequestOutcome outcome;
         long endedAt;
         /** Its deadline came while it was out. */
         boolean over;
 
-        Try(Target target, long sentAt) {
+        Try(Endpoint target, long sentAt) {
             this.target = target;
             this.sentAt = sentAt;
         }
 
         /** In words; null while it is out. */
         private String words() {
-            if (outcome instanceof Outcome.Answered a) {
+            if (outcome instanceof RequestOutcome.Answered a) {
                 return over ? "answered late" : a.status() < 500 ? "answered" : "answered an error";
-            } else if (outcome instanceof Outcome.NotRun n) {
+            } else if (outcome instanceof RequestOutcome.NotRun n) {
                 return NOT_RUN[n.reason().ordinal()];
             }
-            return outcome instanceof Outcome.MayHaveRun m ? m.why() : null;
+            return outcome instanceof RequestOutcome.MayHaveRun m ? m.why() : null;
         }
     }
 
-    private static final String[] NOT_RUN = Arrays.stream(Reason.values())
+    private static final String[] NOT_RUN = Arrays.stream(RejectionReason.values())
             .map(reason -> "not run: " + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '))
             .toArray(String[]::new);
 
     final String number;
-    final Call call;
+    final ServerRequest call;
     final String id;
-    final RouteTerms route;
+    final RouteConfiguration route;
     final String tenant;
     final int rank;
     final boolean inner;
@@ -61,25 +61,25 @@
     final List<Map.Entry<String, String>> headers;
     final List<Try> tries = new ArrayList<>(2);
     /** What may still be sent and answered. */
-    final Account account;
+    final RequestState account;
     /** The server's own answer that is no success, kept in case that no other comes. */
-    Answer kept;
+    ServerResponse kept;
     /** Where it is kept, once it has ended, which way it went. */
-    private final Wake wake;
+    private final RequestTrace wake;
 
     private long answeredAt;
     private int status;
     /** What the mesh's own answer says; null for a server's. */
-    Fault fault;
+    ErrorKind fault;
 
     ScheduledFuture<?> atDeadline;
     ScheduledFuture<?> patience;
 
-    Passage(
+    ProxiedRequest(
             String number,
-            Call call,
+            ServerRequest call,
             String id,
-            RouteTerms route,
+            RouteConfiguration route,
             String tenant,
             int rank,
             boolean inner,
@@ -87,12 +87,12 @@
             long aimAt,
             long deadline,
             List<Map.Entry<String, String>> headers,
-            Wake wake) {
+            RequestTrace wake) {
         this.number = number;
         this.call = call;
         this.id = id;
         this.route = route;
-        account = new Account(route.repeatable());
+        account = new RequestState(route.repeatable());
         this.tenant = tenant;
         this.rank = rank;
         this.inner = inner;
@@ -109,7 +109,7 @@
     }
 
     /** Tells which way it went, so far. */
-    void tell(String service, Wake to) {
+    void tell(String service, RequestTrace to) {
         to.request(id, call.host(), call.path(), arrivedAt);
         to.way(route.name(), service, tenant);
         if (account.isClosed()) {
@@ -127,7 +127,7 @@
     }
 
     /** Answers the client, once. */
-    void answer(Answer answer) {
+    void answer(ServerResponse answer) {
         if (account.answer()) {
             end();
             status = answer.status();
--- a/src/main/java/larkbank/pilot/Pilot.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -16,44 +16,44 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import larkbank.Addresses;
-import larkbank.Ids;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.berth.ServerDirectory;
-import larkbank.berth.Ship;
-import larkbank.copies.Ballot;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Bounds;
-import larkbank.gangway.Gangway;
-import larkbank.lading.Calls;
-import larkbank.lading.Clock;
-import larkbank.lading.Fault;
-import larkbank.lading.Line;
-import larkbank.lading.Logs;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.logbook.StateDesk;
-import larkbank.logbook.Wake;
-import larkbank.manifest.ClientLimits;
-import larkbank.manifest.Manifest;
-import larkbank.papers.Boot;
-import larkbank.papers.NodePapers;
-import larkbank.papers.Watched;
-import larkbank.quay.Life;
-import larkbank.quay.Quay;
-import larkbank.quay.QuayPlan;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.common.diagnostics.StateEndpoint;
+import org.cypressweir.common.settings.NodeSettings;
+import org.cypressweir.common.settings.SettingsLoader;
+import org.cypressweir.common.settings.SettingsWatcher;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.LogConfiguration;
+import org.cypressweir.common.transport.MonotonicClock;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.ClientLimits;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.server.HttpListener;
+import org.cypressweir.dataplane.http.server.RequestLimits;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.http.upstream.InstanceIncarnation;
+import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
+import org.cypressweir.dataplane.http.upstream.UpstreamOptions;
+import org.cypressweir.dataplane.quota.QuotaShares;
 import org.jboss.logging.Logger;
 
 /** The pilot: puts the data plane together beside one application server. */
-public final class Pilot {
+public final class Proxy {
 
-    private static final Logger LOG = Logger.getLogger("pilot");
-    private static final Moorings.Plan PEERS =
-            new Moorings.Plan(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
-    private static final Bounds OWN_CALLS = new Bounds(16 * 1024, 64 * 1024, 5_000, 60_000);
+    private static final Logger LOG = Logger.getLogger(Proxy.class);
+    private static final PeerConnectionPool.Plan PEERS =
+            new PeerConnectionPool.Plan(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
+    private static final RequestLimits OWN_CALLS = new RequestLimits(16 * 1024, 64 * 1024, 5_000, 60_000);
     private static final int TICK_MILLIS = 50;
     private static final int TICKS_A_TALLY = 4;
     private static final int TICKS_A_LOOK = 20;
@@ -72,62 +72,64 @@
 
     private static final double RATIO_PART = 0.5;
 
-    private NodePapers papers;
-    private final Watched file;
-    private final Clock clock = new Clock();
+    private NodeSettings papers;
+    private final SettingsWatcher file;
+    private final MonotonicClock clock = new MonotonicClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Wharf wharf = new Wharf(group, clock);
+    private final PeerTransport wharf = new PeerTransport(group, clock);
     private final String own;
     private final List<String> zones;
-    private final ServerDirectory roster = new ServerDirectory(KEEP_VIEW);
-    private final Following following = new Following();
-    private final Freshness freshness = new Freshness();
-    private final Quotas quotas = new Quotas();
-    private final Wake wake = new Wake(clock, Wake.USUAL);
-    private final Map<String, Helm> helms = new HashMap<>();
+    private final EndpointDirectory roster = new EndpointDirectory(KEEP_VIEW);
+    private final ConfigurationSubscriber following = new ConfigurationSubscriber();
+    private final ReadinessGate freshness = new ReadinessGate();
+    private final QuotaShares quotas = new QuotaShares();
+    private final RequestTrace wake = new RequestTrace(clock, RequestTrace.USUAL);
+    private final Map<String, ServiceRequestHandler> helms = new HashMap<>();
     /** The ways of servers' own calls: what clients press on must not hold them up. */
-    private final Map<String, Helm> inner = new HashMap<>();
+    private final Map<String, ServiceRequestHandler> inner = new HashMap<>();
 
     private final Set<String> down = new HashSet<>();
-    private final ShipDesk ships;
+    private final ApplicationLifecycleHandler ships;
     private final long life = System.currentTimeMillis() * 1000;
-    private final Quay quay;
-    private final Landing landing;
-    private final Moorings peers;
-    private final Hops hops;
-    private final Lookout lookout;
-    private final Front front;
+    private final UpstreamDispatcher quay;
+    private final PeerRequestReceiver landing;
+    private final PeerConnectionPool peers;
+    private final PeerForwarder hops;
+    private final ControllerClient lookout;
+    private final OutboundListener front;
     private final ExecutorService worker = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "aside");
         thread.setDaemon(true);
         return thread;
     });
-    private final Aside aside = new Aside(worker, loop);
-    private Bearings bearings = Bearings.none();
+    private final BackgroundTask aside = new BackgroundTask(worker, loop);
+    private RoutingTable bearings = RoutingTable.none();
     /** What the worker has made last; of the worker alone. */
-    private Bearings newest = bearings;
+    private RoutingTable newest = bearings;
 
     private boolean listStale = true;
     private boolean leaving;
     private boolean begun;
     private long ticks;
-    private Gangway outbound;
+    private HttpListener outbound;
 
-    private Pilot(NodePapers papers, Watched file) {
+    private Proxy(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
         own = papers.lines(papers.ip());
         zones = List.copyOf(papers.zones().keySet());
-        ships = new ShipDesk(clock, papers, life, this::shipChanged);
-        quay = new Quay(
-                loop, Addresses.parse(papers.application()), clock, QuayPlan.defaults(), line -> Logger.getLogger(
-                                "quay")
-                        .info(line));
-        landing = new Landing(clock, quay, ships::berth);
-        peers = new Moorings(wharf, clock, PEERS, this::hello, new Peers());
-        hops = new Hops(clock, own, life, quay, peers::line);
-        lookout = new Lookout(
+        ships = new ApplicationLifecycleHandler(clock, papers, life, this::shipChanged);
+        quay = new UpstreamDispatcher(
+                loop,
+                Addresses.parse(papers.application()),
+                clock,
+                UpstreamOptions.defaults(),
+                line -> Logger.getLogger(Proxy.class).info(line));
+        landing = new PeerRequestReceiver(clock, quay, ships::berth);
+        peers = new PeerConnectionPool(wharf, clock, PEERS, this::hello, new Peers());
+        hops = new PeerForwarder(clock, own, life, quay, peers::line);
+        lookout = new ControllerClient(
                 wharf,
                 clock,
                 papers.name(),
@@ -138,7 +140,7 @@
                 quotas,
                 aside,
                 this::newBearings);
-        front = new Front(
+        front = new OutboundListener(
                 clock,
                 () -> bearings,
                 () -> this.papers.service(),
@@ -153,11 +155,11 @@
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
-        Logs.open(err, false);
-        return Boot.run("pilot", env, err, Pilot::lacks, (papers, file) -> new Pilot(papers, file).serve());
+        LogConfiguration.open(err, false);
+        return SettingsLoader.run("pilot", env, err, Proxy::lacks, (papers, file) -> new Proxy(papers, file).serve());
     }
 
-    private static Option<String> lacks(NodePapers papers) {
+    private static Option<String> lacks(NodeSettings papers) {
         for (String listen : List.of("outbound", "readiness", "controlPlane")) {
             if (!papers.listen().containsKey(listen) || papers.application() == null) {
                 return Option.some("localNode.application and network.listenAddresses." + listen);
@@ -168,27 +170,29 @@
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        Boot.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
+        SettingsLoader.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(ended), "end"));
         Map<String, String> listen = papers.listen();
-        Gangway.open(
+        HttpListener.open(
                 group,
                 Addresses.parse(listen.get("controlPlane")),
                 () -> OWN_CALLS,
                 clock,
-                new StateDesk(ships, new Told()));
+                new StateEndpoint(ships, new Told()));
         wharf.listen(Addresses.parse(own), landing);
         loop.execute(() -> lookout.seeds(papers.seedLines()));
-        Gangway.open(
+        HttpListener.open(
                 group,
                 Addresses.parse(listen.get("readiness")),
                 () -> OWN_CALLS,
                 clock,
                 call -> call.answer(
-                        Calls.READINESS.name(call.uri()).isEmpty()
-                                ? Answers.of(Fault.NO_CALL)
-                                : isReady() ? Answer.of(200) : Answers.of(Fault.NOT_READY, 500_000)));
-        outbound = Gangway.open(group, Addresses.parse(listen.get("outbound")), this::bounds, clock, front);
+                        ApiCall.READINESS.name(call.uri()).isEmpty()
+                                ? LocalResponses.of(ErrorKind.NO_CALL)
+                                : isReady()
+                                        ? ServerResponse.of(200)
+                                        : LocalResponses.of(ErrorKind.NOT_READY, 500_000)));
+        outbound = HttpListener.open(group, Addresses.parse(listen.get("outbound")), this::bounds, clock, front);
         loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("Pilot " + papers.name() + " listens.");
         try {
@@ -198,9 +202,9 @@
         }
     }
 
-    private Bounds bounds() {
+    private RequestLimits bounds() {
         ClientLimits limits = bearings.limits();
-        return new Bounds(
+        return new RequestLimits(
                 limits.maxHeaderBytes(),
                 limits.maxBodyBytes(),
                 limits.headerTimeoutMicros() / 1000,
@@ -211,7 +215,7 @@
         return !leaving
                 && !bearings.manifest().items().isEmpty()
                 && isFresh()
-                && helms.values().stream().anyMatch(Helm::hasServers);
+                && helms.values().stream().anyMatch(ServiceRequestHandler::hasServers);
     }
 
     /** Whether the configuration is new enough to begin with, or nobody says so. */
@@ -226,11 +230,11 @@
         return begun;
     }
 
-    private Helm helm(Map<String, Helm> ways, String service) {
+    private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
         return ways.computeIfAbsent(service, s -> {
             listStale = true;
             double slack = SLACK_PART / 2 * papers.figure("retrySlack", 0) / Math.max(1, roster.size());
-            return new Helm(
+            return new ServiceRequestHandler(
                     s,
                     loop,
                     clock,
@@ -238,7 +242,7 @@
                     papers.name(),
                     Math.max(0, zones.indexOf(papers.zone())),
                     zones,
-                    Helm.budget(
+                    ServiceRequestHandler.budget(
                             papers.bound("retryWindow", 10_000_000),
                             Math.max(1, slack),
                             RATIO_PART * papers.figure("retryBudgetRatio", 0)));
@@ -247,25 +251,26 @@
 
     /** The configuration is made ready beside the loop; requests go by the one before until then. */
     private void newBearings() {
-        Ballot stamp = following.stamp();
-        Manifest manifest = following.manifest();
+        ProposalNumber stamp = following.stamp();
+        Configuration manifest = following.manifest();
         aside.run(() -> newest = newest.next(stamp, manifest), next -> {
             bearings = next;
             boundConnections(ships.ship());
         });
     }
 
-    private void boundConnections(Ship ship) {
+    private void boundConnections(ApplicationInstance ship) {
         if (ship != null && bearings.connections(ship.service()) > 0) {
             quay.maxConnections(bearings.connections(ship.service()));
         }
     }
 
-    private void shipChanged(Ship ship) {
+    private void shipChanged(ApplicationInstance ship) {
         quay.life(
                 ship == null
                         ? null
-                        : new Life(ship.id(), ship.service(), ship.slots(), ship.draining(), ship.warmAt()));
+                        : new InstanceIncarnation(
+                                ship.id(), ship.service(), ship.slots(), ship.draining(), ship.warmAt()));
         boundConnections(ship);
         roster.told(ships.berth());
         landing.tell();
@@ -304,7 +309,7 @@
         }
     }
 
-    private void newPapers(NodePapers next) {
+    private void newPapers(NodeSettings next) {
         papers = next;
         ships.papers(next);
         lookout.seeds(next.seedLines());
@@ -312,18 +317,18 @@
     }
 
     /** Whether this is the own machine, or there is a line to it. */
-    private boolean reaches(Berth berth) {
+    private boolean reaches(ProxyRegistration berth) {
         return berth.address().equals(own) || peers.line(berth.address()) != null && !down.contains(berth.address());
     }
 
     /** Another list of servers: each service's way learns of it; peers get their lines. */
     private void newList() {
         Set<String> addresses = new HashSet<>();
-        Map<String, List<Target>> targets = new HashMap<>();
+        Map<String, List<Endpoint>> targets = new HashMap<>();
         Map<String, Long> warm = new HashMap<>();
-        for (Berth told : roster.all()) {
+        for (ProxyRegistration told : roster.all()) {
             boolean mine = told.name().equals(papers.name());
-            Berth berth = mine ? ships.berth() : told;
+            ProxyRegistration berth = mine ? ships.berth() : told;
             if (!mine) {
                 addresses.add(berth.address());
             }
@@ -333,7 +338,7 @@
             }
             if (berth.takes() && reaches(berth)) {
                 targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Target(
+                        .add(new Endpoint(
                                 Ids.of(berth.ship().id()),
                                 berth.name(),
                                 berth.life(),
@@ -344,22 +349,22 @@
             }
         }
         peers.want(addresses);
-        for (Map<String, Helm> ways : List.of(helms, inner)) {
+        for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
             ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), zones, warm));
         }
     }
 
     /** What operators are told of this pilot. */
-    private final class Told implements StateDesk.Teller {
+    private final class Told implements StateEndpoint.Teller {
         @Override
         public Map<String, Object> state(boolean items) {
-            return Pilot.this.state(items);
+            return Proxy.this.state(items);
         }
 
         @Override
         public List<Object> why(String id) {
             List<Object> all = new ArrayList<>(wake.of(id));
-            Wake open = new Wake(clock, OPEN_TOLD);
+            RequestTrace open = new RequestTrace(clock, OPEN_TOLD);
             helms.values().forEach(helm -> helm.tell(id, open));
             inner.values().forEach(helm -> helm.tell(id, open));
             all.addAll(open.of(id));
@@ -368,7 +373,7 @@
     }
 
     private Map<String, Object> state(boolean items) {
-        PilotState its = new PilotState(clock.getAsLong(), papers.name(), papers.control(), own, bearings);
+        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.control(), own, bearings);
         its.harbours(lookout);
         its.pilots(roster);
         its.peers(peers, down);
@@ -418,19 +423,19 @@
     }
 
     /** Lines to other pilots. */
-    private final class Peers implements Moorings.Owner {
+    private final class Peers implements PeerConnectionPool.Owner {
         @Override
-        public void up(String address, Line line) {
+        public void up(String address, PeerConnection line) {
             down.remove(address);
             listStale = true;
         }
 
         @Override
-        public void heard(String address, Line line, Map<String, Object> head, byte[] body) {
-            if (Scribe.text(head, "t").equals("end")) {
+        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
+            if (JsonCodec.text(head, "t").equals("end")) {
                 hops.heard(line, head, body);
-            } else if (Scribe.text(head, "t").equals("berth")) {
-                Berth berth = Berth.of(Json.object(head, "berth"), clock.getAsLong());
+            } else if (JsonCodec.text(head, "t").equals("berth")) {
+                ProxyRegistration berth = ProxyRegistration.of(Json.object(head, "berth"), clock.getAsLong());
                 if (berth != null) {
                     hops.greeted(line, berth.life());
                     roster.told(berth);
@@ -439,7 +444,7 @@
         }
 
         @Override
-        public void lost(String address, Line line) {
+        public void lost(String address, PeerConnection line) {
             hops.lost(line);
             if (peers.line(address) == null) {
                 down.add(address);
--- a/src/main/java/larkbank/pilot/PilotState.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,30 +6,30 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import larkbank.berth.Berth;
-import larkbank.berth.ServerDirectory;
-import larkbank.berth.Ship;
-import larkbank.lading.Line;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.logbook.Listing;
-import larkbank.manifest.Item;
-import larkbank.manifest.Table;
-import larkbank.manifest.TenantTerms;
-import larkbank.quay.Load;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.diagnostics.ItemListing;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.TenantConfiguration;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.quota.QuotaShares;
 
 /** What operators are told of a pilot. */
-final class PilotState {
+final class ProxyStatus {
 
     private final long now;
-    private final Bearings bearings;
+    private final RoutingTable bearings;
     private final Map<String, Object> state;
 
-    PilotState(long now, String name, String control, String address, Bearings bearings) {
+    ProxyStatus(long now, String name, String control, String address, RoutingTable bearings) {
         this.now = now;
         this.bearings = bearings;
-        state = Scribe.map(
+        state = JsonCodec.map(
                 "kind",
                 "pilot",
                 "name",
@@ -44,20 +44,20 @@
                 bearings.manifest().size());
     }
 
-    void harbours(Lookout lookout) {
+    void harbours(ControllerClient lookout) {
         List<Object> all = new ArrayList<>();
         lookout.harbours()
-                .forEach((address, heard) ->
-                        all.add(Scribe.map("address", address, "control", lookout.control(address), "heard", heard)));
+                .forEach((address, heard) -> all.add(
+                        JsonCodec.map("address", address, "control", lookout.control(address), "heard", heard)));
         state.put("harbours", all);
     }
 
     /** Other pilots that a line is wanted to; down: refused or lost since the last line. */
-    void peers(Moorings peers, Set<String> down) {
+    void peers(PeerConnectionPool peers, Set<String> down) {
         List<Object> all = new ArrayList<>();
         peers.addresses().stream().sorted().forEach(address -> {
-            Line line = peers.line(address);
-            all.add(Scribe.map(
+            PeerConnection line = peers.line(address);
+            all.add(JsonCodec.map(
                     "address",
                     address,
                     "line",
@@ -71,25 +71,26 @@
     }
 
     /** All pilots that are known of, and where each is asked. */
-    void pilots(ServerDirectory roster) {
+    void pilots(EndpointDirectory roster) {
         List<Object> all = new ArrayList<>();
         roster.all()
                 .forEach(berth -> all.add(
-                        Scribe.map("name", berth.name(), "address", berth.address(), "control", berth.control())));
+                        JsonCodec.map("name", berth.name(), "address", berth.address(), "control", berth.control())));
         state.put("pilots", all);
     }
 
     /** Every server that is known of, with whether it is in the choice. */
-    void servers(ServerDirectory roster, Berth own, Predicate<Berth> reaches, Hops hops) {
+    void servers(
+            EndpointDirectory roster, ProxyRegistration own, Predicate<ProxyRegistration> reaches, PeerForwarder hops) {
         Map<String, List<Object>> services = new TreeMap<>();
-        for (Berth told : roster.all()) {
+        for (ProxyRegistration told : roster.all()) {
             boolean mine = told.name().equals(own.name());
-            Berth berth = mine ? own : told;
-            Ship ship = berth.ship();
+            ProxyRegistration berth = mine ? own : told;
+            ApplicationInstance ship = berth.ship();
             if (ship != null) {
                 boolean reached = reaches.test(berth);
                 services.computeIfAbsent(ship.service(), s -> new ArrayList<>())
-                        .add(Scribe.map(
+                        .add(JsonCodec.map(
                                 "pilot",
                                 berth.name(),
                                 "zone",
@@ -113,11 +114,11 @@
         state.put("services", services);
     }
 
-    void own(Berth own, Load load) {
-        Ship ship = own.ship();
+    void own(ProxyRegistration own, UpstreamLoad load) {
+        ApplicationInstance ship = own.ship();
         state.put(
                 "own",
-                Scribe.map(
+                JsonCodec.map(
                         "server",
                         ship == null ? null : ship.id(),
                         "service",
@@ -135,14 +136,14 @@
     }
 
     /** @param hops attempts that are out at other pilots */
-    void requests(int open, int hops, Map<String, Helm> helms) {
+    void requests(int open, int hops, Map<String, ServiceRequestHandler> helms) {
         Map<String, Object> byService = new TreeMap<>();
         helms.forEach((service, helm) -> byService.put(service, helm.open()));
-        state.put("requests", Scribe.map("open", open, "hops", hops, "services", byService));
+        state.put("requests", JsonCodec.map("open", open, "hops", hops, "services", byService));
     }
 
     /** Answers of the mesh's own since the start, by fault. */
-    void refusals(Map<String, Long> front, Map<String, Helm> helms) {
+    void refusals(Map<String, Long> front, Map<String, ServiceRequestHandler> helms) {
         Map<String, Long> all = new TreeMap<>(front);
         helms.values()
                 .forEach(helm -> helm.counts().forEach((fault, count) -> all.merge(fault.name(), count, Long::sum)));
@@ -150,12 +151,12 @@
     }
 
     /** Tenants with what they may and what they ask here, a second. */
-    void tenants(Quotas quotas) {
+    void tenants(QuotaShares quotas) {
         Map<String, Double> asked = quotas.asked(now);
         List<Object> all = new ArrayList<>();
-        for (Item item : bearings.manifest().standing(Table.TENANTS)) {
-            TenantTerms.of(item)
-                    .forEach(t -> all.add(Scribe.map(
+        for (Item item : bearings.manifest().standing(ItemType.TENANTS)) {
+            TenantConfiguration.of(item)
+                    .forEach(t -> all.add(JsonCodec.map(
                             "tenant",
                             t.name(),
                             "asked",
@@ -170,7 +171,7 @@
 
     Map<String, Object> map(boolean items) {
         if (items) {
-            state.put("list", Listing.of(bearings.manifest()));
+            state.put("list", ItemListing.of(bearings.manifest()));
         }
         return state;
     }
--- a/src/main/java/larkbank/pilot/Freshness.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ReadinessGate.java
@@ -1,10 +1,10 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import larkbank.copies.Ballot;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
  * Whether a pilot that starts may begin with the configuration that it has: a harbour has to confirm that
@@ -14,14 +14,14 @@
  * <p>Each question carries this pilot's own time, which the answer repeats, so that an answer that was held
  * up counts as of the question.
  */
-final class Freshness {
+final class ReadinessGate {
 
     /** A harbour whose confirmation is older is taken for cut off. */
     static final long MOST_AGE = 2_000_000;
 
     private static final long ASK_EVERY = 200_000;
 
-    private record Confirmed(Ballot stamp, long asOf) {}
+    private record Confirmed(ProposalNumber stamp, long asOf) {}
 
     private final Map<String, Confirmed> confirmed = new HashMap<>();
     private final Set<String> cutOff = new HashSet<>();
@@ -40,7 +40,7 @@
     }
 
     /** A harbour answers what was asked at that time. An age below 0 says that it can confirm nothing. */
-    void answered(long now, String harbour, long asked, Ballot stamp, long age) {
+    void answered(long now, String harbour, long asked, ProposalNumber stamp, long age) {
         if (stamp != null && age >= 0 && asked <= now) {
             confirmed.put(harbour, new Confirmed(stamp, asked - age));
         }
@@ -73,8 +73,8 @@
      *
      * @param patience how long it waits for a confirmation once it has a configuration
      */
-    boolean begins(long now, Ballot own, long patience) {
-        if (begun || own.equals(Ballot.ZERO)) {
+    boolean begins(long now, ProposalNumber own, long patience) {
+        if (begun || own.equals(ProposalNumber.ZERO)) {
             return begun;
         }
         if (havingSince < 0) {
--- a/src/main/java/larkbank/pilot/Bearings.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
@@ -1,33 +1,33 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import larkbank.copies.Ballot;
-import larkbank.manifest.ClientLimits;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.RouteTerms;
-import larkbank.manifest.ServiceTerms;
-import larkbank.manifest.Table;
-import larkbank.manifest.TenantTerms;
+import org.cypressweir.controlplane.configuration.ClientLimits;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.controlplane.configuration.ServiceConfiguration;
+import org.cypressweir.controlplane.configuration.TenantConfiguration;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /** The configuration in force at one pilot, made for look-ups; another one takes its place as a whole. */
-final class Bearings {
+final class RoutingTable {
 
-    private final Ballot stamp;
-    private final Manifest manifest;
+    private final ProposalNumber stamp;
+    private final Configuration manifest;
     /** By host, then by prefix. */
-    private final Map<String, Map<String, RouteTerms>> routes = new HashMap<>();
+    private final Map<String, Map<String, RouteConfiguration>> routes = new HashMap<>();
 
-    private final Map<String, TenantTerms> keys = new HashMap<>();
-    private final Map<String, ServiceTerms> services = new HashMap<>();
+    private final Map<String, TenantConfiguration> keys = new HashMap<>();
+    private final Map<String, ServiceConfiguration> services = new HashMap<>();
     private final Map<Item, Object> terms = new IdentityHashMap<>();
     private final ClientLimits limits;
     private final boolean keyed;
 
     /** What is the same item as before is not read again. */
-    private Bearings(Ballot stamp, Manifest manifest, Map<Item, Object> read) {
+    private RoutingTable(ProposalNumber stamp, Configuration manifest, Map<Item, Object> read) {
         this.stamp = stamp;
         this.manifest = manifest;
         ClientLimits its = ClientLimits.USUAL;
@@ -44,54 +44,54 @@
             }
         }
         limits = its;
-        keyed = terms.keySet().stream().anyMatch(item -> item.key().table() == Table.TENANTS);
+        keyed = terms.keySet().stream().anyMatch(item -> item.key().table() == ItemType.TENANTS);
     }
 
     private static Object terms(Item item) {
         return (switch (item.key().table()) {
-                    case ROUTES -> RouteTerms.of(item);
-                    case TENANTS -> TenantTerms.of(item);
-                    case SERVICES -> ServiceTerms.of(item);
+                    case ROUTES -> RouteConfiguration.of(item);
+                    case TENANTS -> TenantConfiguration.of(item);
+                    case SERVICES -> ServiceConfiguration.of(item);
                     case LIMITS -> ClientLimits.of(item);
                 })
                 .fold(refusal -> refusal, its -> its);
     }
 
     private void add(Object one) {
-        if (one instanceof RouteTerms route) {
+        if (one instanceof RouteConfiguration route) {
             routes.computeIfAbsent(route.host(), h -> new HashMap<>()).put(route.prefix(), route);
-        } else if (one instanceof TenantTerms tenant) {
+        } else if (one instanceof TenantConfiguration tenant) {
             tenant.keys().forEach(key -> keys.put(key, tenant));
-        } else if (one instanceof ServiceTerms service) {
+        } else if (one instanceof ServiceConfiguration service) {
             services.put(service.name(), service);
         }
     }
 
     /** Those of a later state. */
-    Bearings next(Ballot its, Manifest items) {
-        return new Bearings(its, items, terms);
+    RoutingTable next(ProposalNumber its, Configuration items) {
+        return new RoutingTable(its, items, terms);
     }
 
-    static Bearings none() {
-        return new Bearings(Ballot.ZERO, Manifest.EMPTY, Map.of());
+    static RoutingTable none() {
+        return new RoutingTable(ProposalNumber.ZERO, Configuration.EMPTY, Map.of());
     }
 
-    Ballot stamp() {
+    ProposalNumber stamp() {
         return stamp;
     }
 
-    Manifest manifest() {
+    Configuration manifest() {
         return manifest;
     }
 
     /** The route with the longest prefix that begins the path; null for none. */
-    RouteTerms route(String host, String path) {
-        Map<String, RouteTerms> its = routes.get(host);
+    RouteConfiguration route(String host, String path) {
+        Map<String, RouteConfiguration> its = routes.get(host);
         if (its == null) {
             return null;
         }
         for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
-            RouteTerms route = its.get(path.substring(0, slash + 1));
+            RouteConfiguration route = its.get(path.substring(0, slash + 1));
             if (route != null) {
                 return route;
             }
@@ -104,12 +104,12 @@
         return keyed;
     }
 
-    TenantTerms tenant(String key) {
+    TenantConfiguration tenant(String key) {
         return key == null ? null : keys.get(key);
     }
 
     int connections(String service) {
-        ServiceTerms terms = services.get(service);
+        ServiceConfiguration terms = services.get(service);
         return terms == null ? 0 : terms.maxConnections();
     }
 
--- a/src/main/java/larkbank/pilot/Helm.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -9,41 +9,41 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import larkbank.Choice;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Tenant;
-import larkbank.LoadBalancer.Terms;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Headers;
-import larkbank.lading.Fault;
-import larkbank.logbook.Wake;
-import larkbank.quay.Account;
-import larkbank.quay.Freight;
-import larkbank.quay.Load;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.dataplane.http.server.Headers;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.RequestState;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 import org.jboss.logging.Logger;
 
 /**
  * The way of requests to one service: the design's module decides, this carries out. Every answer of the
  * mesh's own to a request that was taken is given here, from the account of its attempts.
  */
-final class Helm implements Actions {
+final class ServiceRequestHandler implements Actions {
 
-    private static final Logger LOG = Logger.getLogger("helm");
+    private static final Logger LOG = Logger.getLogger(ServiceRequestHandler.class);
     private static final int TENANTS = 256;
     private static final long COLD = 4_000_000;
     private static final long TICK = 1_000;
@@ -59,22 +59,22 @@
     private final String service;
     private final EventLoop loop;
     private final LongSupplier micros;
-    private final Carrier carrier;
-    private final Choice choice;
+    private final AttemptTransport carrier;
+    private final SubsetLoadBalancer choice;
     private Settings settings;
     private final Map<Kind, Integer> kinds = new HashMap<>();
-    private final Map<String, Passage> open = new HashMap<>();
-    private final Map<Long, Target> targets = new HashMap<>();
+    private final Map<String, ProxiedRequest> open = new HashMap<>();
+    private final Map<Long, Endpoint> targets = new HashMap<>();
     private final Map<String, Long> started = new HashMap<>();
-    private final Map<Fault, Long> counts = new EnumMap<>(Fault.class);
+    private final Map<ErrorKind, Long> counts = new EnumMap<>(ErrorKind.class);
     private boolean hasServers;
 
     /** @param budget how many further attempts may go to the service's servers */
-    Helm(
+    ServiceRequestHandler(
             String service,
             EventLoop loop,
             LongSupplier micros,
-            Carrier carrier,
+            AttemptTransport carrier,
             String name,
             int zone,
             List<String> zones,
@@ -102,7 +102,7 @@
                 false,
                 false,
                 TICK);
-        choice = new Choice(settings, this);
+        choice = new SubsetLoadBalancer(settings, this);
     }
 
     static Rules budget(long window, double floor, double perRequest) {
@@ -110,18 +110,24 @@
     }
 
     /** What may be sent to from now on. */
-    void servers(List<Target> list, List<String> zones, Map<String, Long> warmAt) {
+    void servers(List<Endpoint> list, List<String> zones, Map<String, Long> warmAt) {
         long now = micros.getAsLong();
         targets.clear();
         List<Server> lines = new ArrayList<>();
-        for (Target target : list) {
+        for (Endpoint target : list) {
             targets.put(target.number(), target);
             long warm = warmAt.getOrDefault(target.instance(), 0L);
             long start = started.computeIfAbsent(target.instance(), i -> warm > now ? warm - COLD : 0);
             lines.add(new Server(
-                    target.number(), zones.indexOf(target.zone()), 0, 0, larkbank.LoadBalancer.Phase.READY, start, 1));
+                    target.number(),
+                    zones.indexOf(target.zone()),
+                    0,
+                    0,
+                    org.cypressweir.loadbalancing.LoadBalancer.Phase.READY,
+                    start,
+                    1));
         }
-        started.keySet().retainAll(list.stream().map(Target::instance).toList());
+        started.keySet().retainAll(list.stream().map(Endpoint::instance).toList());
         hasServers = !list.isEmpty();
         choice.servers(now, ListKind.COMPLETE, lines);
     }
@@ -135,28 +141,28 @@
     }
 
     /** Tells of requests with that id which are still in hand. */
-    void tell(String id, Wake to) {
+    void tell(String id, RequestTrace to) {
         open.values().stream().filter(p -> p.id.equals(id)).forEach(p -> p.tell(service, to));
     }
 
     /** Refusals and failures of the mesh's own here, by kind. */
-    Map<Fault, Long> counts() {
+    Map<ErrorKind, Long> counts() {
         return counts;
     }
 
-    private Answer own(Passage p, Fault fault, long againMicros) {
+    private ServerResponse own(ProxiedRequest p, ErrorKind fault, long againMicros) {
         p.fault = fault;
         counts.merge(fault, 1L, Long::sum);
-        return Answers.of(fault, againMicros);
+        return LocalResponses.of(fault, againMicros);
     }
 
     /** Takes a request; from now on it gets its answer here. */
-    void take(Passage passage) {
+    void take(ProxiedRequest passage) {
         long now = micros.getAsLong();
         open.put(passage.number, passage);
         passage.call.whenGone(() -> left(passage));
         if (!hasServers) {
-            passage.answer(own(passage, Fault.NOT_READY, 200_000));
+            passage.answer(own(passage, ErrorKind.NOT_READY, 200_000));
             forget(passage);
             return;
         }
@@ -186,7 +192,7 @@
         beImpatient(passage);
     }
 
-    private int kind(Passage p) {
+    private int kind(ProxiedRequest p) {
         Kind kind = new Kind(p.route.repeatable(), p.route.aimMicros(), p.route.timeoutMicros(), p.rank, p.inner);
         return kinds.computeIfAbsent(kind, k -> {
             List<RequestClass> classes = new ArrayList<>(settings.classes());
@@ -208,7 +214,7 @@
     }
 
     /** A request that no server has room for is refused early, so that its client may come back in time. */
-    private void beImpatient(Passage p) {
+    private void beImpatient(ProxiedRequest p) {
         if (p.account.isClosed() || p.account.isOut() || p.patience != null) {
             return;
         }
@@ -225,7 +231,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    private void left(Passage p) {
+    private void left(ProxiedRequest p) {
         if (!p.account.isClosed()) {
             p.left();
             choice.clientLeft(micros.getAsLong(), p.number);
@@ -234,21 +240,21 @@
     }
 
     /** A passage is kept until the last of its attempts has ended. */
-    private void forget(Passage p) {
+    private void forget(ProxiedRequest p) {
         if (p.account.isClosed() && !p.account.isOut() && open.remove(p.number) != null) {
             p.ended(service);
         }
     }
 
-    private void deadline(Passage p) {
+    private void deadline(ProxiedRequest p) {
         long now = micros.getAsLong();
         for (int i = 0; i < p.tries.size() && !p.account.isClosed(); i++) {
-            Passage.Try one = p.tries.get(i);
+            ProxiedRequest.Try one = p.tries.get(i);
             if (p.account.isOpen(i) && !one.over) {
                 one.over = true;
                 choice.outcome(
                         now,
-                        new larkbank.LoadBalancer.Outcome(
+                        new org.cypressweir.loadbalancing.LoadBalancer.Outcome(
                                 p.number, i, one.target.number(), Result.TIMED_OUT, now - one.sentAt, false, null));
                 if (one.ride != null) {
                     one.ride.cancel();
@@ -265,21 +271,22 @@
 
     @Override
     public void send(String number, long server, long timeoutMicros) {
-        Passage p = open.get(number);
-        Target target = targets.get(server);
+        ProxiedRequest p = open.get(number);
+        Endpoint target = targets.get(server);
         if (p == null) {
             return;
         }
         int index = p.account.begin();
-        Passage.Try one = new Passage.Try(target, micros.getAsLong());
+        ProxiedRequest.Try one = new ProxiedRequest.Try(target, micros.getAsLong());
         p.tries.add(one);
         if (target == null || !p.account.goes(index)) {
-            loop.execute(() -> replied(p, index, one, new Reply(new Outcome.NotRun(Reason.GONE, 0), null)));
+            loop.execute(() -> replied(
+                    p, index, one, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null)));
             return;
         }
         List<Map.Entry<String, String>> headers = new ArrayList<>(p.headers);
         headers.add(Map.entry("Cypressweir-Target-Instance", target.instance()));
-        Freight freight = new Freight(
+        UpstreamRequest freight = new UpstreamRequest(
                 p.id,
                 p.call.method(),
                 p.call.uri(),
@@ -302,7 +309,7 @@
         within[0] = false;
     }
 
-    private void replied(Passage p, int index, Passage.Try one, Reply reply) {
+    private void replied(ProxiedRequest p, int index, ProxiedRequest.Try one, AttemptResult reply) {
         if (!p.account.isOpen(index)) {
             return;
         }
@@ -311,15 +318,15 @@
         one.endedAt = now;
         Result result = result(reply.outcome());
         boolean served = result == Result.SERVED;
-        Account.Due due = p.account.ended(index, reply.outcome());
-        if (due != Account.Due.NOTHING) {
+        RequestState.Due due = p.account.ended(index, reply.outcome());
+        if (due != RequestState.Due.NOTHING) {
             give(p, due, reply.outcome(), 0);
         }
         if (!one.over) {
             long number = one.target == null ? 0 : one.target.number();
             choice.outcome(
                     now,
-                    new larkbank.LoadBalancer.Outcome(
+                    new org.cypressweir.loadbalancing.LoadBalancer.Outcome(
                             p.number, index, number, result, now - one.sentAt, served, report(reply.load())));
         }
         if (!p.account.isClosed()) {
@@ -329,27 +336,27 @@
     }
 
     /** Does for the client what its account says. */
-    private void give(Passage p, Account.Due due, Outcome outcome, long againMicros) {
+    private void give(ProxiedRequest p, RequestState.Due due, RequestOutcome outcome, long againMicros) {
         switch (due) {
             case NOTHING -> {}
             case THIS_ANSWER -> p.answer(answer(outcome));
             case KEEP -> p.kept = answer(outcome);
             case KEPT_ANSWER -> p.answer(p.kept);
-            case REFUSAL -> p.answer(own(p, Fault.NO_ROOM, againMicros));
-            case BROKEN -> p.answer(own(p, Fault.BROKEN, 0));
-            case TIMED_OUT -> p.answer(own(p, Fault.TIMED_OUT, 0));
+            case REFUSAL -> p.answer(own(p, ErrorKind.NO_ROOM, againMicros));
+            case BROKEN -> p.answer(own(p, ErrorKind.BROKEN, 0));
+            case TIMED_OUT -> p.answer(own(p, ErrorKind.TIMED_OUT, 0));
         }
     }
 
-    private static Answer answer(Outcome outcome) {
-        Outcome.Answered its = (Outcome.Answered) outcome;
-        return new Answer(its.status(), Headers.endToEnd(its.headers()), its.body());
+    private static ServerResponse answer(RequestOutcome outcome) {
+        RequestOutcome.Answered its = (RequestOutcome.Answered) outcome;
+        return new ServerResponse(its.status(), Headers.endToEnd(its.headers()), its.body());
     }
 
-    private static Result result(Outcome outcome) {
-        if (outcome instanceof Outcome.Answered a) {
+    private static Result result(RequestOutcome outcome) {
+        if (outcome instanceof RequestOutcome.Answered a) {
             return a.status() < 500 ? Result.SERVED : Result.ERROR;
-        } else if (outcome instanceof Outcome.NotRun n) {
+        } else if (outcome instanceof RequestOutcome.NotRun n) {
             return switch (n.reason()) {
                     // The pilot beside the server orders what waits there: its refusal is for this request only.
                 case FULL, LATE, CANCELLED, REFUSED -> Result.NOT_SENT;
@@ -364,7 +371,7 @@
      * limits must not hold back here what would go first there, so a server is never told to be more than
      * half used.
      */
-    private static LoadReport report(Load load) {
+    private static LoadReport report(UpstreamLoad load) {
         if (load == null || load.slots() <= 0) {
             return null;
         }
@@ -375,7 +382,7 @@
 
     @Override
     public void refuse(String number, long retryAfterMicros) {
-        Passage p = open.get(number);
+        ProxiedRequest p = open.get(number);
         if (p != null) {
             end(p, retryAfterMicros);
         }
@@ -383,23 +390,23 @@
 
     @Override
     public void fail(String number) {
-        Passage p = open.get(number);
+        ProxiedRequest p = open.get(number);
         if (p != null) {
             end(p, 100_000);
         }
     }
 
     /** No further attempt is made, and none that is out is waited for. */
-    private void end(Passage p, long againMicros) {
+    private void end(ProxiedRequest p, long againMicros) {
         give(p, p.account.last(micros.getAsLong() >= p.deadline - TICK), null, againMicros);
         forget(p);
     }
 
     @Override
     public void cancel(String number, int attempt) {
-        Passage p = open.get(number);
+        ProxiedRequest p = open.get(number);
         if (p != null && attempt < p.tries.size()) {
-            Passage.Try one = p.tries.get(attempt);
+            ProxiedRequest.Try one = p.tries.get(attempt);
             if (p.account.isOpen(attempt) && one.ride != null) {
                 one.ride.cancel();
             }
--- a/src/main/java/larkbank/pilot/OldParcels.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
@@ -1,12 +1,12 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.function.LongSupplier;
 import org.jboss.logging.Logger;
 
 /** Parcels that belong to another line, another life or a request that is over: counted, told, dropped. */
-final class OldParcels {
+final class StaleMessageFilter {
 
-    private static final Logger LOG = Logger.getLogger("hop");
+    private static final Logger LOG = Logger.getLogger(StaleMessageFilter.class);
     private static final long BETWEEN = 1_000_000;
 
     private final LongSupplier micros;
@@ -14,7 +14,7 @@
     private long untold;
     private long tellAt = Long.MIN_VALUE;
 
-    OldParcels(LongSupplier micros) {
+    StaleMessageFilter(LongSupplier micros) {
         this.micros = micros;
     }
 
--- a/src/main/java/larkbank/pilot/package-info.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/package-info.java
@@ -1,2 +1,2 @@
 /** The program beside every application server: requests come in here, and go on to the right server. */
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
--- a/src/main/java/larkbank/tally/Demands.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/DemandAggregator.java
@@ -1,4 +1,4 @@
-package larkbank.tally;
+package org.cypressweir.dataplane.quota;
 
 import java.util.HashMap;
 import java.util.Iterator;
@@ -9,7 +9,7 @@
  * What tenants ask at each pilot, as the pilots tell it, summed by a harbour. A pilot that is silent counts
  * on for a time with what it told last: it may still let in by it. One whose line was ended does not.
  */
-public final class Demands {
+public final class DemandAggregator {
 
     /** For which a silent pilot counts. */
     private static final long SILENT = 8_000_000;
--- a/src/main/java/larkbank/tally/Quotas.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/QuotaShares.java
@@ -1,4 +1,4 @@
-package larkbank.tally;
+package org.cypressweir.dataplane.quota;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * and a little of what nobody asks for; its bucket holds the same part of the burst. Without news for a time
  * it keeps to a smaller part: what others count it for ends, too.
  */
-public final class Quotas {
+public final class QuotaShares {
 
     /** Time over which what is asked is counted. */
     private static final double SPAN = 1_000_000;
--- a/src/main/java/larkbank/tally/package-info.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/package-info.java
@@ -1,2 +1,2 @@
 /** What tenants may ask of the whole fleet, parted by what each pilot is asked. */
-package larkbank.tally;
+package org.cypressweir.dataplane.quota;
--- a/src/main/java/larkbank/sidecar/Fellowship.java
+++ b/src/main/java/org/cypressweir/fleet/FleetCoordination.java
@@ -1,19 +1,19 @@
-package larkbank.sidecar;
+package org.cypressweir.fleet;
 
 import io.netty.channel.EventLoop;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import larkbank.membership.Lending;
-import larkbank.membership.MembershipPlan;
+import org.cypressweir.fleet.membership.Lending;
+import org.cypressweir.fleet.membership.MembershipOptions;
 
 /** What a sidecar has to do with others of its kind, where the operators' file says so; all on the loop. */
-public interface Fellowship {
+public interface FleetCoordination {
 
     /** Where a process begins to take part. */
     interface Maker {
         /** Done once its socket is open; it fails where that can't be. */
-        CompletableFuture<Fellowship> open(Opening opening);
+        CompletableFuture<FleetCoordination> open(Opening opening);
     }
 
     /**
@@ -27,7 +27,7 @@
     record Opening(
             EventLoop loop,
             String name,
-            MembershipPlan plan,
+            MembershipOptions plan,
             boolean beside,
             Map<String, String> facts,
             Consumer<String> log,
@@ -68,7 +68,7 @@
     int count();
 
     /** Other seeds and times hold from now on. */
-    void retune(MembershipPlan next);
+    void retune(MembershipOptions next);
 
     /** Says that it goes, and closes its socket. */
     void leave();
--- a/src/main/java/larkbank/lease/Claimant.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongUnaryOperator;
-import larkbank.lease.Word.Kind;
+import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
  * One process and one lease. It holds the lease once most keepers have granted what it asked, for a term that
  * counts from before it asked; it asks again well before the end, and stops by itself where most did not
  * answer.
  */
-final class Claimant {
+final class LeaseClient {
 
     /** Questions whose answers may still come. */
     private static final int ROUNDS = 8;
@@ -55,7 +55,7 @@
     /** What one turn asks of the process. */
     interface Out {
         /** To every keeper. */
-        void tell(Word word);
+        void tell(LeaseMessage word);
 
         void began(String lease, long token);
 
@@ -69,7 +69,7 @@
     private final String holder;
     private final LongUnaryOperator draw;
     private final Out out;
-    private LeasePlan plan;
+    private LeaseOptions plan;
     private final Map<Long, Round> rounds = new HashMap<>();
     /** The number of the last question; rises within a life. */
     private long number;
@@ -100,7 +100,14 @@
     private String other = "";
     private long otherUntil = Long.MIN_VALUE;
 
-    Claimant(long now, String lease, String holder, LeasePlan plan, long firstAskAt, LongUnaryOperator draw, Out out) {
+    LeaseClient(
+            long now,
+            String lease,
+            String holder,
+            LeaseOptions plan,
+            long firstAskAt,
+            LongUnaryOperator draw,
+            Out out) {
         this.lease = lease;
         this.holder = holder;
         this.plan = plan;
@@ -111,8 +118,8 @@
     }
 
     /** The same in all that it knows, for walks over all that may come next. */
-    Claimant copy(LongUnaryOperator draws, Out to) {
-        Claimant copy = new Claimant(number, lease, holder, plan, askAt, draws, to);
+    LeaseClient copy(LongUnaryOperator draws, Out to) {
+        LeaseClient copy = new LeaseClient(number, lease, holder, plan, askAt, draws, to);
         rounds.forEach((n, round) -> copy.rounds.put(n, round.copy()));
         copy.claim = rounds.entrySet().stream()
                 .filter(e -> e.getValue() == claim)
@@ -185,7 +192,7 @@
         return Math.max(LEAST_ROUND, Math.min(MOST_ROUND, term() / 16));
     }
 
-    void retune(LeasePlan next) {
+    void retune(LeaseOptions next) {
         plan = next;
     }
 
@@ -261,12 +268,12 @@
         Round round = new Round(now, wanted);
         rounds.put(++number, round);
         rounds.remove(number - ROUNDS);
-        out.tell(Word.of(Kind.ASK, lease, holder, wanted, number, term(), plan.set()));
+        out.tell(LeaseMessage.of(Kind.ASK, lease, holder, wanted, number, term(), plan.set()));
         return round;
     }
 
     /** An answer of a keeper. */
-    void answer(long now, InetSocketAddress keeper, Word w, long delay) {
+    void answer(long now, InetSocketAddress keeper, LeaseMessage w, long delay) {
         if (!w.holder().equals(holder) && w.kind() == Kind.YES) {
             return;
         }
@@ -398,7 +405,7 @@
     }
 
     private void free(long which) {
-        out.tell(Word.of(Kind.FREE, lease, holder, which, ++number, 0, plan.set()));
+        out.tell(LeaseMessage.of(Kind.FREE, lease, holder, which, ++number, 0, plan.set()));
     }
 
     private void end(long now, String why) {
--- a/src/main/java/larkbank/lease/Keeper.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseGrantor.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import larkbank.lease.Word.Kind;
+import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
  * One keeper's grants. It grants a lease to one holder at a time, and each new grant has a higher token than
@@ -16,7 +16,7 @@
  * may be used, and then learns from most of the others how high tokens were. Any two majorities have a keeper
  * in common, so at any moment one process has grants of most, and tokens only rise.
  */
-final class Keeper {
+final class LeaseGrantor {
 
     /** Leases that are kept, at most; so much memory may others cost. */
     static final int MOST_LEASES = 1_000;
@@ -39,7 +39,7 @@
      */
     private record Grant(String holder, long token, long until, long number) {}
 
-    private LeasePlan plan;
+    private LeaseOptions plan;
     private final InetSocketAddress own;
     /** Below which no token may be that this keeper grants without having learned from others. */
     private final long floor;
@@ -61,7 +61,7 @@
     private final long giveUpLearningAt;
 
     /** @param unixMillis wall clock at the start, a floor for tokens where nobody is left who knows them */
-    Keeper(long now, LeasePlan plan, InetSocketAddress own, long unixMillis) {
+    LeaseGrantor(long now, LeaseOptions plan, InetSocketAddress own, long unixMillis) {
         this.plan = plan;
         this.own = own;
         floor = Math.max(0, unixMillis - EPOCH_MILLIS) << FLOOR_SHIFT;
@@ -70,13 +70,13 @@
         giveUpLearningAt = silentUntil + LEARNING_TERMS * plan.mostTermMicros();
     }
 
-    void retune(LeasePlan next) {
+    void retune(LeaseOptions next) {
         plan = next;
     }
 
     /** The same in all that it knows, for walks over all that may come next. */
-    Keeper copy() {
-        Keeper copy = new Keeper(silentUntil - plan.kept(plan.mostTermMicros()), plan, own, 0);
+    LeaseGrantor copy() {
+        LeaseGrantor copy = new LeaseGrantor(silentUntil - plan.kept(plan.mostTermMicros()), plan, own, 0);
         copy.grants.putAll(grants);
         copy.tops.putAll(tops);
         copy.learnedFrom.addAll(learnedFrom);
@@ -126,25 +126,26 @@
     }
 
     /** What this one knows of tokens, and whether that is all. */
-    List<Word> teach(Word question) {
+    List<LeaseMessage> teach(LeaseMessage question) {
         return pages(knows ? KNOWN : FORGOTTEN, question, plan.set(), tops);
     }
 
     /** Tokens by pages, each of which says how many there are. */
-    static List<Word> pages(long known, Word question, long set, Map<String, Long> tops) {
-        List<Word> pages = new ArrayList<>();
+    static List<LeaseMessage> pages(long known, LeaseMessage question, long set, Map<String, Long> tops) {
+        List<LeaseMessage> pages = new ArrayList<>();
         List<Map.Entry<String, Long>> all = List.copyOf(new TreeMap<>(tops).entrySet());
-        int count = Math.max(1, (all.size() + Word.MOST_TOPS - 1) / Word.MOST_TOPS);
+        int count = Math.max(1, (all.size() + LeaseMessage.MOST_TOPS - 1) / LeaseMessage.MOST_TOPS);
         for (int page = 0; page < count; page++) {
             Map<String, Long> part = new TreeMap<>();
-            all.subList(page * Word.MOST_TOPS, Math.min(all.size(), (page + 1) * Word.MOST_TOPS))
+            all.subList(page * LeaseMessage.MOST_TOPS, Math.min(all.size(), (page + 1) * LeaseMessage.MOST_TOPS))
                     .forEach(e -> part.put(e.getKey(), e.getValue()));
-            pages.add(new Word(Kind.LEARNED, "", page + "/" + count, known, question.number(), count, set, part));
+            pages.add(
+                    new LeaseMessage(Kind.LEARNED, "", page + "/" + count, known, question.number(), count, set, part));
         }
         return pages;
     }
 
-    void learn(InetSocketAddress from, Word answer) {
+    void learn(InetSocketAddress from, LeaseMessage answer) {
         if (knows || answer.set() != plan.set()) {
             return;
         }
@@ -167,13 +168,13 @@
     }
 
     /** A question for a grant; null for no answer. */
-    Word ask(long now, Word w) {
+    LeaseMessage ask(long now, LeaseMessage w) {
         if (!plan.knows(w.set())) {
             return null;
         }
         if (now < silentUntil || !knows) {
             // It grants nothing, and says so: who hears no answer at all has to take itself to be cut off.
-            return Word.of(
+            return LeaseMessage.of(
                     Kind.NO, w.lease(), "", 0, w.number(), Math.max(LEARN_EVERY_MICROS, silentUntil - now), w.set());
         }
         if (w.micros() <= 0
@@ -191,14 +192,14 @@
         if (its && w.token() == top || free && w.token() > top) {
             grants.put(w.lease(), new Grant(w.holder(), w.token(), now + plan.kept(w.micros()), w.number()));
             tops.put(w.lease(), w.token());
-            return Word.of(Kind.YES, w.lease(), w.holder(), w.token(), w.number(), 0, w.set());
+            return LeaseMessage.of(Kind.YES, w.lease(), w.holder(), w.token(), w.number(), 0, w.set());
         }
-        return Word.of(
+        return LeaseMessage.of(
                 Kind.NO, w.lease(), free ? "" : held.holder, top, w.number(), free ? 0 : held.until - now, w.set());
     }
 
     /** A grant is given back; its token stays used. */
-    void free(long now, Word w) {
+    void free(long now, LeaseMessage w) {
         Grant held = grants.get(w.lease());
         if (held != null && held.holder.equals(w.holder()) && held.token == w.token() && w.number() > held.number) {
             grants.put(w.lease(), new Grant(held.holder, held.token, Math.min(now, held.until), w.number()));
--- a/src/main/java/larkbank/lease/Word.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseMessage.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.util.Map;
 
@@ -13,7 +13,7 @@
  * @param set of keepers that the asking process goes by
  * @param tops a page of the highest token of each lease, from one keeper to another that has forgotten them
  */
-public record Word(
+public record LeaseMessage(
         Kind kind,
         String lease,
         String holder,
@@ -41,7 +41,7 @@
         LEARNED
     }
 
-    static Word of(Kind kind, String lease, String holder, long token, long number, long micros, long set) {
-        return new Word(kind, lease, holder, token, number, micros, set, Map.of());
+    static LeaseMessage of(Kind kind, String lease, String holder, long token, long number, long micros, long set) {
+        return new LeaseMessage(kind, lease, holder, token, number, micros, set, Map.of());
     }
 }
--- a/src/main/java/larkbank/lease/LeasePlan.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseOptions.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * What leases there are and who keeps them.
@@ -20,7 +20,7 @@
  *        clocks of the wall have gone on since, so that tokens begin above those of before
  * @param terms of each lease, in microseconds of the holder's clock, by name
  */
-public record LeasePlan(
+public record LeaseOptions(
         List<InetSocketAddress> keepers,
         List<InetSocketAddress> before,
         long mostTermMicros,
@@ -46,7 +46,7 @@
 
     /** The same keepers alone, or before them. */
     private long setOf(List<InetSocketAddress> alone) {
-        return new LeasePlan(alone, null, mostTermMicros, drift, wallClock, terms).set();
+        return new LeaseOptions(alone, null, mostTermMicros, drift, wallClock, terms).set();
     }
 
     /** Whether a question by that set may be answered: it is the same, or one that this one replaces. */
@@ -55,7 +55,7 @@
     }
 
     /** Why this one can't take the place of that one while others still go by it; null where it can. */
-    public String unsafeAfter(LeasePlan now) {
+    public String unsafeAfter(LeaseOptions now) {
         boolean same = set(keepers) == set(now.keepers);
         if (same && (before == null || now.before != null && set(before) == set(now.before))) {
             return null;
--- a/src/main/java/larkbank/lease/Leases.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Leases.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.LongUnaryOperator;
-import larkbank.lease.Word.Kind;
+import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
  * The leases of one process: what it holds, what it asks for, and what it keeps for others where it is a
@@ -22,7 +22,7 @@
 
     /** What the process does; none of it reaches back into this object within the call. */
     public interface Actions {
-        void send(InetSocketAddress to, Word word);
+        void send(InetSocketAddress to, LeaseMessage word);
 
         /** This process holds a lease from now on. */
         void began(String lease, long token);
@@ -50,7 +50,7 @@
     /** Those told when a holder goes. */
     private static final int HINTED = 2;
 
-    private LeasePlan plan;
+    private LeaseOptions plan;
     private final InetSocketAddress own;
     private final String name;
     private final String holder;
@@ -59,9 +59,9 @@
     private final LongUnaryOperator draw;
 
     private final long unixMillis;
-    private final Map<String, Claimant> claimants = new TreeMap<>();
+    private final Map<String, LeaseClient> claimants = new TreeMap<>();
     /** Null where this process is none. */
-    private Keeper keeper;
+    private LeaseGrantor keeper;
 
     private Map<String, InetSocketAddress> members = Map.of();
     private Preference preference;
@@ -81,7 +81,7 @@
      */
     public Leases(
             long now,
-            LeasePlan plan,
+            LeaseOptions plan,
             InetSocketAddress own,
             String name,
             String life,
@@ -94,7 +94,7 @@
     /** With what is drawn told from outside: a number from 0 to below another. */
     public Leases(
             long now,
-            LeasePlan plan,
+            LeaseOptions plan,
             InetSocketAddress own,
             String name,
             String life,
@@ -110,7 +110,7 @@
         holder = name + '/' + life;
         number = now;
         lastTickAt = now;
-        keeper = plan.all().contains(own) ? new Keeper(now, plan, own, unixMillis) : null;
+        keeper = plan.all().contains(own) ? new LeaseGrantor(now, plan, own, unixMillis) : null;
         claim(now);
         members(Map.of(name, own));
     }
@@ -155,13 +155,13 @@
         plan.terms()
                 .forEach((lease, term) -> claimants.computeIfAbsent(
                         lease,
-                        l -> new Claimant(
+                        l -> new LeaseClient(
                                 now, l, holder, plan, now + 1 + draw.applyAsLong(STEP_MICROS), draw, new Turn())));
     }
 
-    private final class Turn implements Claimant.Out {
+    private final class Turn implements LeaseClient.Out {
         @Override
-        public void tell(Word word) {
+        public void tell(LeaseMessage word) {
             plan.all().forEach(k -> actions.send(k, word));
         }
 
@@ -182,7 +182,8 @@
             for (String next : preference.firsts(lease, HINTED + 1)) {
                 if (!next.equals(name) && after < HINTED * STEP_MICROS) {
                     actions.send(
-                            members.get(next), Word.of(Kind.HINT, lease, holder, token, ++number, after, plan.set()));
+                            members.get(next),
+                            LeaseMessage.of(Kind.HINT, lease, holder, token, ++number, after, plan.set()));
                     after += STEP_MICROS;
                 }
             }
@@ -201,12 +202,12 @@
      * Other keepers or leases hold from now on; the reason where that can't be, and nothing has changed then.
      * What is held of a lease that is gone is given up.
      */
-    public String retune(long now, LeasePlan next) {
+    public String retune(long now, LeaseOptions next) {
         String why = next.unsafeAfter(plan);
         if (why != null) {
             return why;
         }
-        for (Map.Entry<String, Claimant> c : claimants.entrySet()) {
+        for (Map.Entry<String, LeaseClient> c : claimants.entrySet()) {
             Long term = next.terms().get(c.getKey());
             if (term == null || !term.equals(plan.terms().get(c.getKey()))) {
                 c.getValue().giveUp(now, "its settings have changed");
@@ -216,7 +217,7 @@
         if (!plan.all().contains(own)) {
             keeper = null;
         } else if (keeper == null) {
-            keeper = new Keeper(now, plan, own, unixMillis);
+            keeper = new LeaseGrantor(now, plan, own, unixMillis);
         } else {
             keeper.retune(plan);
         }
@@ -231,7 +232,7 @@
         long late = now - lastTickAt;
         lastTickAt = now;
         if (keeper != null && keeper.asksOthers(now)) {
-            Word learn = Word.of(Kind.LEARN, "", holder, 0, ++number, 0, plan.set());
+            LeaseMessage learn = LeaseMessage.of(Kind.LEARN, "", holder, 0, ++number, 0, plan.set());
             Set<InetSocketAddress> asked = new LinkedHashSet<>(plan.all());
             // Whoever has held a lease, or asked for it, knows a token too; most keepers are what counts.
             members.values().stream().limit(LEARNED_FROM).forEach(asked::add);
@@ -239,9 +240,9 @@
             asked.forEach(k -> actions.send(k, learn));
         }
         int held = (int) claimants.values().stream().filter(c -> c.holds(now)).count();
-        for (Map.Entry<String, Claimant> entry : claimants.entrySet()) {
+        for (Map.Entry<String, LeaseClient> entry : claimants.entrySet()) {
             String lease = entry.getKey();
-            Claimant c = entry.getValue();
+            LeaseClient c = entry.getValue();
             if (late > plan.terms().get(lease) / 2) {
                 // It slept: others may have been given what it held, and do not have to wait for the rest.
                 c.giveUp(now, "this process stood still for " + late / 1_000 + " ms");
@@ -262,7 +263,7 @@
     }
 
     /** Leaves a lease to whoever should have it, once that one has been there for a while. */
-    private void wander(long now, String lease, Claimant c) {
+    private void wander(long now, String lease, LeaseClient c) {
         String first = preference.first(lease);
         if (first.equals(name) || first.isEmpty()) {
             strangeSince.remove(lease);
@@ -287,7 +288,7 @@
 
     /** Whether all that was given up is free for others. */
     public boolean quiet() {
-        return claimants.values().stream().noneMatch(Claimant::owes);
+        return claimants.values().stream().noneMatch(LeaseClient::owes);
     }
 
     /** Takes part again after a leave that was called off. */
@@ -296,10 +297,10 @@
     }
 
     /** A word of another process, whose address it has said itself. */
-    public void receive(long now, InetSocketAddress from, Word w) {
+    public void receive(long now, InetSocketAddress from, LeaseMessage w) {
         switch (w.kind()) {
             case ASK -> {
-                Word answer = keeper == null ? null : keeper.ask(now, w);
+                LeaseMessage answer = keeper == null ? null : keeper.ask(now, w);
                 if (answer != null) {
                     actions.send(from, answer);
                 }
@@ -310,7 +311,7 @@
                 }
             }
             case LEARN -> {
-                List<Word> answers = keeper == null ? seen(w) : keeper.teach(w);
+                List<LeaseMessage> answers = keeper == null ? seen(w) : keeper.teach(w);
                 answers.forEach(a -> actions.send(from, a));
             }
             case LEARNED -> {
@@ -319,7 +320,7 @@
                 }
             }
             default -> {
-                Claimant c = claimants.get(w.lease());
+                LeaseClient c = claimants.get(w.lease());
                 if (c == null) {
                     return;
                 }
@@ -333,15 +334,15 @@
     }
 
     /** What a process that is no keeper knows of tokens. */
-    private List<Word> seen(Word question) {
+    private List<LeaseMessage> seen(LeaseMessage question) {
         Map<String, Long> tops = new TreeMap<>();
         claimants.forEach((lease, c) -> tops.put(lease, c.seen()));
-        return Keeper.pages(0, question, plan.set(), tops);
+        return LeaseGrantor.pages(0, question, plan.set(), tops);
     }
 
     /** To be asked before every act, with the longest time that the act takes. */
     public Verdict acting(long now, String lease, long actMicros) {
-        Claimant c = claimants.get(lease);
+        LeaseClient c = claimants.get(lease);
         long left = c == null ? 0 : c.left(now);
         return new Verdict(left > actMicros, left > 0 ? c.token() : 0, left);
     }
@@ -351,14 +352,14 @@
      * again: until then the lease is not handed on.
      */
     public Verdict promise(long now, String lease, long mostMicros) {
-        Claimant c = claimants.get(lease);
+        LeaseClient c = claimants.get(lease);
         long left = c == null ? 0 : c.promise(now, mostMicros);
         return new Verdict(left > 0, left > 0 ? c.token() : 0, left);
     }
 
     /** Something that was acted upon has seen a higher token: the next grant has to be above it. */
     public void refusedBelow(String lease, long token) {
-        Claimant c = claimants.get(lease);
+        LeaseClient c = claimants.get(lease);
         if (c != null) {
             c.heardOf(token);
         }
--- a/src/main/java/larkbank/lease/Preference.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Preference.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * Which process comes first for which lease: rendezvous hashing with bounded loads (Mirrokni, Thorup and
--- a/src/main/java/larkbank/lease/StateText.java
+++ b/src/main/java/org/cypressweir/fleet/lease/StateText.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/larkbank/lease/package-info.java
+++ b/src/main/java/org/cypressweir/fleet/lease/package-info.java
@@ -1,2 +1,2 @@
 /** Leases for tasks of the whole fleet, by grace of most keepers. Decisions only: no I/O, no clock. */
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
--- a/src/main/java/larkbank/membership/Allowance.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Allowance.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 /** Bytes that may be sent, whatever others want to hear: a token bucket. */
 final class Allowance {
--- a/src/main/java/larkbank/membership/Change.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Change.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 /**
  * The view of a process has changed.
--- a/src/main/java/larkbank/membership/Report.java
+++ b/src/main/java/org/cypressweir/fleet/membership/FailureReport.java
@@ -1,10 +1,10 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 /**
  * One process on its contact with another: lost, or there after all. It holds for just these incarnations,
  * and of two by the same process that with the higher number.
  */
-public record Report(
+public record FailureReport(
         String reporter, int reporterIncarnation, String about, int aboutIncarnation, int number, boolean lost) {
 
     int size() {
--- a/src/main/java/larkbank/membership/Reports.java
+++ b/src/main/java/org/cypressweir/fleet/membership/FailureReports.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /** What processes say of their contact with others. Words that are not repeated fade. */
-final class Reports {
+final class FailureReports {
 
     /** Said again after so many periods while it holds, and forgotten after so many without a word. */
     static final int REPEAT = 12;
@@ -16,12 +16,12 @@
     /** Reports on one member at most: neighbours, and those that looked for it. */
     private static final int MOST = 64;
 
-    private record Kept(Report report, long at) {}
+    private record Kept(FailureReport report, long at) {}
 
     private final Map<String, Map<String, Kept>> about = new TreeMap<>();
 
     /** Takes a report that is newer than the one by the same process; whether it is. */
-    boolean take(long now, Report report) {
+    boolean take(long now, FailureReport report) {
         Map<String, Kept> known = about.computeIfAbsent(report.about(), n -> new HashMap<>());
         Kept before = known.get(report.reporter());
         boolean later = before == null
@@ -44,14 +44,14 @@
         return new ArrayList<>(about.keySet());
     }
 
-    List<Report> on(String name) {
-        List<Report> list = new ArrayList<>();
+    List<FailureReport> on(String name) {
+        List<FailureReport> list = new ArrayList<>();
         about.getOrDefault(name, Map.of()).values().forEach(k -> list.add(k.report));
         return list;
     }
 
     /** The last word of one process on another; null for none. */
-    Report by(String reporter, String name) {
+    FailureReport by(String reporter, String name) {
         Kept kept = about.getOrDefault(name, Map.of()).get(reporter);
         return kept == null ? null : kept.report;
     }
--- a/src/main/java/larkbank/membership/Lending.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Lending.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import larkbank.membership.Message.Kind;
+import org.cypressweir.fleet.membership.MembershipMessage.Kind;
 
 /**
  * Lists of servers from one process to another. Whoever starts while discovery is silent asks some members
@@ -68,7 +68,7 @@
     private record Offer(Peer from, long revision, int pages, long age) {}
 
     private final Shelf shelf;
-    private final BiConsumer<InetSocketAddress, Message> out;
+    private final BiConsumer<InetSocketAddress, MembershipMessage> out;
     private final Consumer<Loan> borrowed;
     private final SplittableRandom random;
     private final Allowance lent = new Allowance(LENT);
@@ -96,7 +96,8 @@
     private long[] askedAt;
     private long heardAt;
 
-    public Lending(long seed, Shelf shelf, BiConsumer<InetSocketAddress, Message> out, Consumer<Loan> borrowed) {
+    public Lending(
+            long seed, Shelf shelf, BiConsumer<InetSocketAddress, MembershipMessage> out, Consumer<Loan> borrowed) {
         this.shelf = shelf;
         this.out = out;
         this.borrowed = borrowed;
@@ -167,8 +168,8 @@
         }
     }
 
-    private Message question(Peer self, String to, long revision, int page) {
-        return new Message(Kind.BORROW, self, to, number, revision, List.of(), List.of(), List.of(page), "");
+    private MembershipMessage question(Peer self, String to, long revision, int page) {
+        return new MembershipMessage(Kind.BORROW, self, to, number, revision, List.of(), List.of(), List.of(page), "");
     }
 
     private void choose(long now, Peer self) {
@@ -210,7 +211,7 @@
     }
 
     /** A question or an answer about lists. */
-    public void receive(long now, Message m, Peer self) {
+    public void receive(long now, MembershipMessage m, Peer self) {
         if (!m.to().equals(self.name()) || m.buckets().isEmpty()) {
             return;
         }
@@ -221,7 +222,7 @@
         }
     }
 
-    private void lend(long now, Message m, Peer self) {
+    private void lend(long now, MembershipMessage m, Peer self) {
         long revision = shelf.revision();
         int page = m.buckets().get(0);
         int all = revision < 0 ? 0 : shelf.pages();
@@ -234,7 +235,7 @@
         if (lent.spend(now, load.length + 100)) {
             out.accept(
                     m.from().address(),
-                    new Message(
+                    new MembershipMessage(
                             Kind.LEND,
                             self,
                             m.from().name(),
@@ -249,7 +250,7 @@
         }
     }
 
-    private void take(long now, Message m, Peer self) {
+    private void take(long now, MembershipMessage m, Peer self) {
         int page = m.buckets().get(0);
         int all = m.buckets().get(1);
         if (all < 0 || all > MOST_PAGES || page >= all) {
--- a/src/main/java/larkbank/membership/Entry.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberRecord.java
@@ -1,8 +1,8 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.Map;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * What is known of one name. Of any two entries for a name all processes keep the same one, or the same mix
@@ -12,7 +12,7 @@
  * @param facts what the member says of itself, such as where clients reach it
  * @param age seconds since it ended, as the sender counts; 0 for one that has not
  */
-public record Entry(Peer peer, Standing standing, int version, Map<String, String> facts, int age) {
+public record MemberRecord(Peer peer, MemberStatus standing, int version, Map<String, String> facts, int age) {
 
     String name() {
         return peer.name();
@@ -22,12 +22,12 @@
         return peer.incarnation();
     }
 
-    Entry standing(Standing next) {
-        return new Entry(peer, next, version, facts, 0);
+    MemberRecord standing(MemberStatus next) {
+        return new MemberRecord(peer, next, version, facts, 0);
     }
 
-    Entry aged(int seconds) {
-        return new Entry(peer, standing, version, facts, seconds);
+    MemberRecord aged(int seconds) {
+        return new MemberRecord(peer, standing, version, facts, seconds);
     }
 
     /** Whether another says more of who has the name: a later incarnation, or the elder of two lives. */
@@ -42,7 +42,7 @@
     }
 
     /** This one with what another knows besides; itself where that is nothing. */
-    Entry with(Entry other) {
+    MemberRecord with(MemberRecord other) {
         if (yieldsTo(other.peer)) {
             return other;
         }
@@ -54,7 +54,7 @@
         if (!further && !newer) {
             return this;
         }
-        return new Entry(
+        return new MemberRecord(
                 peer,
                 further ? other.standing : standing,
                 newer ? other.version : version,
--- a/src/main/java/larkbank/membership/Standing.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberStatus.java
@@ -1,7 +1,7 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 /** How far a member is in one incarnation; it only goes forward. */
-public enum Standing {
+public enum MemberStatus {
     /** It has said that it is there; no neighbour has talked with it both ways yet. */
     CANDIDATE,
     MEMBER,
--- a/src/main/java/larkbank/membership/Roster.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,35 +7,35 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * The entries that a process knows, a name each, and which of them are in its view. An entry says what is
  * known of a member everywhere; the view says with whom this process takes it that all who can talk do talk.
  * The two differ while a member comes back, or while its end is not certain yet: then it is held in the view.
  */
-final class Roster {
+final class MemberTable {
 
     /** What has ended is told on for so long, and remembered for twice that: late words find it ended. */
     static final long TOLD_MICROS = 300_000_000;
 
-    private final Map<String, Entry> entries = new HashMap<>();
+    private final Map<String, MemberRecord> entries = new HashMap<>();
     private final Set<String> held = new HashSet<>();
     /** When those that have ended did so; none of them is in the digests once it is told no more. */
     private final Map<String, Long> endedAt = new HashMap<>();
 
     private final Set<String> muted = new HashSet<>();
-    private final int[] buckets = new int[Message.PARTS];
+    private final int[] buckets = new int[MembershipMessage.PARTS];
     private long digest;
     private long fingerprint;
     private int live;
 
-    Entry get(String name) {
+    MemberRecord get(String name) {
         return entries.get(name);
     }
 
-    Collection<Entry> all() {
+    Collection<MemberRecord> all() {
         return entries.values();
     }
 
@@ -58,8 +58,8 @@
     }
 
     boolean isIn(String name) {
-        Entry e = entries.get(name);
-        return e != null && (e.standing() == Standing.MEMBER || held.contains(name));
+        MemberRecord e = entries.get(name);
+        return e != null && (e.standing() == MemberStatus.MEMBER || held.contains(name));
     }
 
     /** Names in the view. */
@@ -74,10 +74,10 @@
     }
 
     /** Those that have ended without a word, and may be there all the same. */
-    List<Entry> lost() {
-        List<Entry> lost = new ArrayList<>();
+    List<MemberRecord> lost() {
+        List<MemberRecord> lost = new ArrayList<>();
         for (String name : endedAt.keySet()) {
-            if (entries.get(name).standing() == Standing.OUT && !held.contains(name)) {
+            if (entries.get(name).standing() == MemberStatus.OUT && !held.contains(name)) {
                 lost.add(entries.get(name));
             }
         }
@@ -85,10 +85,10 @@
     }
 
     /** Takes an entry in the place of the one of its name; whether it is in the view stays as it is. */
-    void put(long now, Entry entry, boolean in) {
+    void put(long now, MemberRecord entry, boolean in) {
         String name = entry.name();
         boolean was = isIn(name);
-        Entry old = entries.put(name, entry);
+        MemberRecord old = entries.put(name, entry);
         if (old != null && !muted.remove(name)) {
             turn(old);
         }
@@ -98,7 +98,7 @@
         } else {
             endedAt.remove(name);
         }
-        if (in && entry.standing() != Standing.MEMBER) {
+        if (in && entry.standing() != MemberStatus.MEMBER) {
             held.add(name);
         } else {
             held.remove(name);
@@ -122,14 +122,14 @@
 
     private static final long RING_SALT = 77;
 
-    private void turn(Entry entry) {
+    private void turn(MemberRecord entry) {
         long hash = entry.hash();
         digest ^= hash;
         buckets[bucket(entry.name())] ^= (int) hash;
     }
 
     private static int bucket(String name) {
-        return (int) Long.remainderUnsigned(Hashes.mix(Ids.of(name), ~RING_SALT), Message.PARTS);
+        return (int) Long.remainderUnsigned(Hashes.mix(Ids.of(name), ~RING_SALT), MembershipMessage.PARTS);
     }
 
     /** Ends of long ago are told no more, and then forgotten. */
@@ -152,12 +152,12 @@
     }
 
     /** Whether it is too late to tell anybody of this end. */
-    static boolean isStale(Entry entry) {
+    static boolean isStale(MemberRecord entry) {
         return entry.standing().ended() && entry.age() * 1_000_000L > TOLD_MICROS;
     }
 
     /** The entry as it is told now. */
-    Entry told(long now, Entry entry) {
+    MemberRecord told(long now, MemberRecord entry) {
         Long ended = endedAt.get(entry.name());
         return ended == null ? entry : entry.aged((int) ((now - ended) / 1_000_000));
     }
@@ -171,20 +171,20 @@
     }
 
     /** What somebody with these digests may lack, whole parts one after the other from this one on. */
-    List<Entry> beyond(List<Integer> others, int first) {
-        List<List<Entry>> parts = new ArrayList<>();
+    List<MemberRecord> beyond(List<Integer> others, int first) {
+        List<List<MemberRecord>> parts = new ArrayList<>();
         for (int i = 0; i < buckets.length; i++) {
             parts.add(i < others.size() && others.get(i) != buckets[i] ? new ArrayList<>() : null);
         }
-        for (Entry e : entries.values()) {
-            List<Entry> part = parts.get(bucket(e.name()));
+        for (MemberRecord e : entries.values()) {
+            List<MemberRecord> part = parts.get(bucket(e.name()));
             if (part != null && !muted.contains(e.name())) {
                 part.add(e);
             }
         }
-        List<Entry> found = new ArrayList<>();
+        List<MemberRecord> found = new ArrayList<>();
         for (int i = 0; i < buckets.length; i++) {
-            List<Entry> part = parts.get((first + i) % buckets.length);
+            List<MemberRecord> part = parts.get((first + i) % buckets.length);
             if (part != null) {
                 found.addAll(part);
             }
--- a/src/main/java/larkbank/membership/Message.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipMessage.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.List;
 
@@ -13,14 +13,14 @@
  * @param text why, in a refusal; empty in all else
  * @param load a page of a list that is lent, or a word about leases; empty in all else
  */
-public record Message(
+public record MembershipMessage(
         Kind kind,
         Peer from,
         String to,
         long number,
         long digest,
-        List<Entry> entries,
-        List<Report> reports,
+        List<MemberRecord> entries,
+        List<FailureReport> reports,
         List<Integer> buckets,
         String text,
         byte[] load) {
@@ -28,14 +28,14 @@
     private static final byte[] NO_LOAD = {};
 
     /** All but a page. */
-    public Message(
+    public MembershipMessage(
             Kind kind,
             Peer from,
             String to,
             long number,
             long digest,
-            List<Entry> entries,
-            List<Report> reports,
+            List<MemberRecord> entries,
+            List<FailureReport> reports,
             List<Integer> buckets,
             String text) {
         this(kind, from, to, number, digest, entries, reports, buckets, text, NO_LOAD);
@@ -75,8 +75,8 @@
     }
 
     /** The same without news. */
-    Message bare() {
-        return new Message(kind, from, to, number, digest, List.of(), List.of(), buckets, text);
+    MembershipMessage bare() {
+        return new MembershipMessage(kind, from, to, number, digest, List.of(), List.of(), buckets, text);
     }
 
     /** Bytes of entries and reports that fit beside everything else of a message. */
--- a/src/main/java/larkbank/membership/MembershipPlan.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipOptions.java
@@ -1,8 +1,8 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import larkbank.lease.LeasePlan;
+import org.cypressweir.fleet.lease.LeaseOptions;
 
 /**
  * How a process takes part.
@@ -18,7 +18,7 @@
  * @param shares how what all share follows the living; null where it does not
  * @param leases for tasks of the whole fleet; null for none
  */
-public record MembershipPlan(
+public record MembershipOptions(
         String cluster,
         InetSocketAddress listen,
         InetSocketAddress advertise,
@@ -27,14 +27,14 @@
         long periodMicros,
         int most,
         String record,
-        SharePlan shares,
-        LeasePlan leases) {
+        ShareOptions shares,
+        LeaseOptions leases) {
 
     /** Names that are kept where the file does not say. */
     public static final int MOST = 10_000;
 
     /** Without anything that follows the living. */
-    public MembershipPlan(
+    public MembershipOptions(
             String cluster,
             InetSocketAddress listen,
             InetSocketAddress advertise,
@@ -47,8 +47,8 @@
     }
 
     /** With the seeds as electors; for how long things stay in use at a process that stands still. */
-    public MembershipPlan sharing(int mostProcesses, long lingerMicros) {
-        return new MembershipPlan(
+    public MembershipOptions sharing(int mostProcesses, long lingerMicros) {
+        return new MembershipOptions(
                 cluster,
                 listen,
                 advertise,
@@ -57,13 +57,13 @@
                 periodMicros,
                 most,
                 record,
-                new SharePlan(seeds, boundMicros(), lingerMicros, mostProcesses),
+                new ShareOptions(seeds, boundMicros(), lingerMicros, mostProcesses),
                 leases);
     }
 
     /** With these leases. */
-    public MembershipPlan leasing(LeasePlan next) {
-        return new MembershipPlan(
+    public MembershipOptions leasing(LeaseOptions next) {
+        return new MembershipOptions(
                 cluster, listen, advertise, seeds, pauseMicros, periodMicros, most, record, shares, next);
     }
 
@@ -96,8 +96,8 @@
     }
 
     /** The same with others for what may change while it runs. */
-    public MembershipPlan with(MembershipPlan next) {
-        return new MembershipPlan(
+    public MembershipOptions with(MembershipOptions next) {
+        return new MembershipOptions(
                 cluster,
                 listen,
                 advertise,
