--- a/src/main/java/larkbank/membership/Membership.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -10,24 +10,25 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import larkbank.membership.Herald.Load;
-import larkbank.membership.Links.Link;
-import larkbank.membership.Message.Kind;
-import larkbank.membership.Verdicts.Ruling;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.membership.MembershipMessage.Kind;
+import org.cypressweir.fleet.membership.MonitoredPeers.Link;
+import org.cypressweir.fleet.membership.SuspicionTable.Ruling;
+import org.cypressweir.fleet.membership.UpdateDisseminator.Load;
 
 /**
  * One process's part in the membership of a fleet. It is told the time with every event, is called at least
  * once a beat, and acts through {@link Actions} alone.
  *
  * <p>Each member asks its neighbours in three rings and tells all when it has lost touch with one, or found
- * it again; {@link Verdicts} says what follows. Whoever hears that it was put out comes back under a higher
+ * it again; {@link SuspicionTable} says what follows. Whoever hears that it was put out comes back under a higher
  * incarnation, and is in again once a neighbour has talked with it both ways.
  */
-public final class Membership {
+public final class MembershipProtocol {
 
     /** What the process does; none of it reaches back into this object within the call. */
     public interface Actions {
-        void send(InetSocketAddress to, Message message);
+        void send(InetSocketAddress to, MembershipMessage message);
 
         /** The view is another. */
         void changed(Change change);
@@ -39,7 +40,7 @@
     }
 
     /** A member as it is seen from here. */
-    public record Seen(Entry entry, String state) {}
+    public record Seen(MemberRecord entry, String state) {}
 
     /** Bytes a second, at most: of questions and answers, and of all else. */
     private static final int ASKING = 64_000;
@@ -56,16 +57,16 @@
     /** Members that ask for one that was lost, each second. */
     private static final double KNOCKS = 3;
 
-    private MembershipPlan plan;
+    private MembershipOptions plan;
     private final Actions actions;
     private final SplittableRandom random;
-    private final Rings.Cache cache;
-    private final Roster roster = new Roster();
-    private final Reports reports = new Reports();
-    private final Herald herald = new Herald();
-    private final Contests contests = new Contests();
-    private final Links links;
-    private final Verdicts verdicts;
+    private final MonitoringRings.Cache cache;
+    private final MemberTable roster = new MemberTable();
+    private final FailureReports reports = new FailureReports();
+    private final UpdateDisseminator herald = new UpdateDisseminator();
+    private final NameConflicts contests = new NameConflicts();
+    private final MonitoredPeers links;
+    private final SuspicionTable verdicts;
     private final Allowance asking = new Allowance(ASKING);
     private final Allowance telling = new Allowance(TELLING);
     private Peer self;
@@ -91,7 +92,7 @@
     private final Map<String, Long> found = new HashMap<>();
 
     private Set<String> looked = Set.of();
-    private Rings rings;
+    private MonitoringRings rings;
     private long ringsOf;
     private boolean targetsOld = true;
     private boolean rulingOld;
@@ -110,35 +111,36 @@
     private int leaves;
     private long dropped;
 
-    public Membership(long now, MembershipPlan plan, Peer self, Map<String, String> facts, long seed, Actions actions) {
-        this(now, plan, self, facts, seed, actions, new Rings.Cache(2));
+    public MembershipProtocol(
+            long now, MembershipOptions plan, Peer self, Map<String, String> facts, long seed, Actions actions) {
+        this(now, plan, self, facts, seed, actions, new MonitoringRings.Cache(2));
     }
 
     /** With rings that other members in the same memory use too. */
-    public Membership(
+    public MembershipProtocol(
             long now,
-            MembershipPlan plan,
+            MembershipOptions plan,
             Peer self,
             Map<String, String> facts,
             long seed,
             Actions actions,
-            Rings.Cache cache) {
+            MonitoringRings.Cache cache) {
         this.plan = plan;
         this.self = self;
         this.actions = actions;
         this.cache = cache;
         random = new SplittableRandom(seed);
-        links = new Links(plan, random.split());
-        verdicts = new Verdicts(plan.graceMicros());
-        roster.put(now, new Entry(self, Standing.CANDIDATE, 1, facts, 0), true);
+        links = new MonitoredPeers(plan, random.split());
+        verdicts = new SuspicionTable(plan.graceMicros());
+        roster.put(now, new MemberRecord(self, MemberStatus.CANDIDATE, 1, facts, 0), true);
         lastEventAt = now;
         changedAt = now;
         askingSince = now;
     }
 
     /** Begins with members that are known already, as after a start long ago. */
-    public void know(long now, Iterable<Entry> members) {
-        for (Entry e : members) {
+    public void know(long now, Iterable<MemberRecord> members) {
+        for (MemberRecord e : members) {
             roster.put(
                     now, e.name().equals(self.name()) ? roster.get(self.name()).with(e) : e, true);
         }
@@ -170,13 +172,13 @@
     /** Everybody that is known, by name. */
     public Map<String, Seen> members() {
         Map<String, Seen> seen = new TreeMap<>();
-        for (Entry e : roster.all()) {
+        for (MemberRecord e : roster.all()) {
             seen.put(e.name(), new Seen(e, state(e)));
         }
         return seen;
     }
 
-    private String state(Entry e) {
+    private String state(MemberRecord e) {
         if ((outside || adrift) && !e.name().equals(self.name())) {
             return "unreachable";
         }
@@ -196,7 +198,7 @@
     // ---- Events
 
     /** Other seeds and times hold from now on. */
-    public void retune(MembershipPlan next) {
+    public void retune(MembershipOptions next) {
         plan = next;
         links.retune(next);
         verdicts.retune(next.graceMicros());
@@ -204,9 +206,9 @@
 
     /** What this process says of itself; the newest holds everywhere. */
     public void facts(long now, Map<String, String> facts) {
-        Entry own = roster.get(self.name());
+        MemberRecord own = roster.get(self.name());
         if (!own.facts().equals(facts)) {
-            speakOfSelf(now, new Entry(self, own.standing(), own.version() + 1, facts, 0));
+            speakOfSelf(now, new MemberRecord(self, own.standing(), own.version() + 1, facts, 0));
         }
     }
 
@@ -214,7 +216,7 @@
     public void leave(long now) {
         if (!leaving && !outside) {
             leaving = true;
-            speakOfSelf(now, roster.get(self.name()).standing(Standing.LEFT));
+            speakOfSelf(now, roster.get(self.name()).standing(MemberStatus.LEFT));
             tick(now);
         }
     }
@@ -238,7 +240,7 @@
                 continue;
             }
             String by = condemned.get(name).by;
-            if (roster.get(name).standing() == Standing.CANDIDATE) {
+            if (roster.get(name).standing() == MemberStatus.CANDIDATE) {
                 // What others know of it stays: it may yet be let in.
                 roster.release(name);
                 gone(now, name, "nobody has let it in again", Change.Kind.OUT);
@@ -265,7 +267,7 @@
         }
     }
 
-    public void receive(long now, Message m) {
+    public void receive(long now, MembershipMessage m) {
         awake(now);
         Peer from = m.from();
         if (outside) {
@@ -316,16 +318,19 @@
     // ---- Who is who
 
     /** What a sender says of itself; whether it is the one that has its name. */
-    private boolean meet(long now, Message m) {
+    private boolean meet(long now, MembershipMessage m) {
         Peer from = m.from();
-        Entry known = roster.get(from.name());
+        MemberRecord known = roster.get(from.name());
         if (known == null) {
-            learn(now, new Entry(from, Standing.CANDIDATE, 0, Map.of(), 0), from.name());
+            learn(now, new MemberRecord(from, MemberStatus.CANDIDATE, 0, Map.of(), 0), from.name());
             return roster.get(from.name()) != null;
         }
         if (known.peer().life() == from.life()) {
             if (from.incarnation() > known.incarnation()) {
-                learn(now, new Entry(from, Standing.CANDIDATE, known.version(), known.facts(), 0), from.name());
+                learn(
+                        now,
+                        new MemberRecord(from, MemberStatus.CANDIDATE, known.version(), known.facts(), 0),
+                        from.name());
             }
             if (m.kind() == Kind.ACK && contests.answers(from.name(), m.number())) {
                 Peer newcomer = contests.close(from.name());
@@ -338,7 +343,7 @@
         }
         if (known.standing().ended() && !roster.isIn(from.name())) {
             if (from.incarnation() > known.incarnation()) {
-                learn(now, new Entry(from, Standing.CANDIDATE, 0, Map.of(), 0), from.name());
+                learn(now, new MemberRecord(from, MemberStatus.CANDIDATE, 0, Map.of(), 0), from.name());
                 return true;
             }
             // It has to begin above the one that had its name before, and hears so.
@@ -368,12 +373,12 @@
     }
 
     private static String text(Peer peer) {
-        return larkbank.Addresses.text(peer.address());
+        return Addresses.text(peer.address());
     }
 
     /** A process of the own name has written here. */
     private void rival(long now, Peer other) {
-        Entry own = roster.get(self.name());
+        MemberRecord own = roster.get(self.name());
         if (admitted || other.incarnation() == self.incarnation() && !own.yieldsTo(other)) {
             refuse(now, other, self);
         }
@@ -392,7 +397,7 @@
                                 + ", which answers"));
     }
 
-    private void heedRefusal(Message m) {
+    private void heedRefusal(MembershipMessage m) {
         if (m.number() == self.life() && !admitted) {
             outside = true;
             actions.refused(m.text());
@@ -400,8 +405,8 @@
     }
 
     /** What others think of this process. */
-    private void hearOfSelf(long now, Entry e) {
-        Entry own = roster.get(self.name());
+    private void hearOfSelf(long now, MemberRecord e) {
+        MemberRecord own = roster.get(self.name());
         boolean same = e.peer().life() == self.life();
         if (e.standing().ended() && e.incarnation() >= self.incarnation()
                 || same && e.incarnation() > self.incarnation()) {
@@ -409,9 +414,9 @@
                 rise(now, e.incarnation() + 1);
             }
         } else if (same) {
-            Entry merged = own.with(e);
+            MemberRecord merged = own.with(e);
             if (merged != own && !leaving) {
-                admitted |= merged.standing() == Standing.MEMBER;
+                admitted |= merged.standing() == MemberStatus.MEMBER;
                 roster.put(now, merged, true);
                 herald.tell(merged, "", now + told());
             }
@@ -429,13 +434,13 @@
     /** Comes back under a higher incarnation. */
     private void rise(long now, int incarnation) {
         self = self.again(incarnation);
-        Entry own = roster.get(self.name());
+        MemberRecord own = roster.get(self.name());
         links.all().forEach(link -> link.saidAt = 0);
-        speakOfSelf(now, new Entry(self, Standing.CANDIDATE, own.version(), own.facts(), 0));
+        speakOfSelf(now, new MemberRecord(self, MemberStatus.CANDIDATE, own.version(), own.facts(), 0));
         actions.log("was put out, and comes back as incarnation " + incarnation);
     }
 
-    private void speakOfSelf(long now, Entry own) {
+    private void speakOfSelf(long now, MemberRecord own) {
         roster.put(now, own, true);
         changedAt = now;
         herald.tell(own, "", now + told());
@@ -448,17 +453,17 @@
         return 2 * plan.graceMicros();
     }
 
-    private void learn(long now, Entry e, String from) {
+    private void learn(long now, MemberRecord e, String from) {
         String name = e.name();
         if (name.equals(self.name())) {
             hearOfSelf(now, e);
             return;
         }
-        Entry old = roster.get(name);
-        if (old == null && (roster.size() >= plan.most() || Roster.isStale(e))) {
+        MemberRecord old = roster.get(name);
+        if (old == null && (roster.size() >= plan.most() || MemberTable.isStale(e))) {
             return;
         }
-        Entry merged = old == null ? e : old.with(e);
+        MemberRecord merged = old == null ? e : old.with(e);
         if (merged == old) {
             return;
         }
@@ -466,10 +471,10 @@
         boolean anew = old == null
                 || old.incarnation() != merged.incarnation()
                 || old.peer().life() != merged.peer().life();
-        Standing standing = merged.standing();
+        MemberStatus standing = merged.standing();
         // Whoever is in stays in while it comes back, and until word of its end has had time to be denied.
-        boolean held = was && standing != Standing.LEFT;
-        roster.put(now, merged, held || standing == Standing.MEMBER);
+        boolean held = was && standing != MemberStatus.LEFT;
+        roster.put(now, merged, held || standing == MemberStatus.MEMBER);
         changedAt = now;
         herald.tell(merged, from, now + told());
         if (anew) {
@@ -479,7 +484,7 @@
             condemned.remove(name);
             rulingOld = true;
         }
-        if (standing == Standing.CANDIDATE) {
+        if (standing == MemberStatus.CANDIDATE) {
             candidates.putIfAbsent(name, now);
             if (was) {
                 condemned.put(name, new Told(now + plan.silenceMicros(), from));
@@ -487,15 +492,15 @@
         } else {
             candidates.remove(name);
         }
-        if (standing == Standing.MEMBER) {
+        if (standing == MemberStatus.MEMBER) {
             condemned.remove(name);
         }
-        targetsOld |= was != roster.isIn(name) || standing == Standing.CANDIDATE;
-        if (standing == Standing.OUT && was) {
+        targetsOld |= was != roster.isIn(name) || standing == MemberStatus.CANDIDATE;
+        if (standing == MemberStatus.OUT && was) {
             condemned.putIfAbsent(name, new Told(now + plan.graceMicros(), from));
-        } else if (standing == Standing.LEFT && was) {
+        } else if (standing == MemberStatus.LEFT && was) {
             gone(now, name, "said so", Change.Kind.LEFT);
-        } else if (!was && standing == Standing.MEMBER) {
+        } else if (!was && standing == MemberStatus.MEMBER) {
             rulingOld = true;
             actions.changed(new Change(
                     merged.incarnation() > 1 ? Change.Kind.BACK : Change.Kind.JOINED,
@@ -508,9 +513,9 @@
 
     /** By the verdict of this process, or one that it takes over. */
     private void end(long now, String name, String cause, Change.Kind kind) {
-        Entry e = roster.get(name);
+        MemberRecord e = roster.get(name);
         if (!e.standing().ended()) {
-            e = e.standing(Standing.OUT);
+            e = e.standing(MemberStatus.OUT);
         }
         boolean was = roster.isIn(name);
         roster.put(now, e, false);
@@ -535,7 +540,7 @@
      * Who watches whom. While members are being put out that stays as it was: new neighbours would be taken
      * to be in touch until they have been silent for long, so that a cut would be seen part by part.
      */
-    private Rings rings(long now) {
+    private MonitoringRings rings(long now) {
         boolean old = rings == null || ringsOf != roster.fingerprint();
         if (old && (rings == null || now >= calmAt || now >= frozenUntil)) {
             ringsOf = roster.fingerprint();
@@ -555,7 +560,7 @@
 
     /** Whom this process watches: its neighbours, those that would be, and those found otherwise. */
     private void targets(long now) {
-        Rings around = rings(now);
+        MonitoringRings around = rings(now);
         if (!targetsOld) {
             return;
         }
@@ -575,11 +580,12 @@
     // ---- Reports and verdicts
 
     private void say(long now, String name, boolean lost) {
-        Entry e = roster.get(name);
+        MemberRecord e = roster.get(name);
         if (e == null || !roster.isIn(name)) {
             return;
         }
-        Report report = new Report(self.name(), self.incarnation(), name, e.incarnation(), ++sayings, lost);
+        FailureReport report =
+                new FailureReport(self.name(), self.incarnation(), name, e.incarnation(), ++sayings, lost);
         Link link = links.get(name);
         if (link != null) {
             link.saidAt = now;
@@ -592,7 +598,7 @@
     /** What holds on is said again, so that nobody forgets it. */
     private void repeat(long now) {
         for (Link link : links.all()) {
-            if (now - link.saidAt > Reports.REPEAT * plan.periodMicros()) {
+            if (now - link.saidAt > FailureReports.REPEAT * plan.periodMicros()) {
                 boolean answers = !link.lost
                         && reports.on(link.name).stream()
                                 .anyMatch(r -> r.lost() && !r.reporter().equals(self.name()));
@@ -603,9 +609,9 @@
         }
     }
 
-    private void heed(long now, Report r, String from) {
-        Entry about = roster.get(r.about());
-        Entry reporter = roster.get(r.reporter());
+    private void heed(long now, FailureReport r, String from) {
+        MemberRecord about = roster.get(r.about());
+        MemberRecord reporter = roster.get(r.reporter());
         if (about == null
                 || reporter == null
                 || r.reporter().equals(self.name())
@@ -617,7 +623,7 @@
         }
         rulingOld = true;
         herald.tell(r, from, now + told());
-        Report mine = reports.by(self.name(), r.about());
+        FailureReport mine = reports.by(self.name(), r.about());
         if (r.lost()
                 && links.inTouch(now, r.about())
                 && (mine == null || mine.lost() || now - links.get(r.about()).saidAt > plan.graceMicros())) {
@@ -627,7 +633,7 @@
 
     /** Whoever was put out has no say on others, lest its loss of touch become theirs through a friend. */
     private void drift(long now) {
-        boolean asks = roster.get(self.name()).standing() == Standing.CANDIDATE;
+        boolean asks = roster.get(self.name()).standing() == MemberStatus.CANDIDATE;
         if (!asks) {
             askingSince = now;
         }
@@ -640,7 +646,7 @@
 
     private void rule(long now) {
         rulingOld = false;
-        if (roster.get(self.name()).standing() == Standing.CANDIDATE) {
+        if (roster.get(self.name()).standing() == MemberStatus.CANDIDATE) {
             looked = Set.of();
             verdicts.clear();
             return;
@@ -658,7 +664,7 @@
         }
         for (String name : ruling.out()) {
             List<String> by = new ArrayList<>();
-            reports.on(name).stream().filter(Report::lost).forEach(r -> by.add(r.reporter()));
+            reports.on(name).stream().filter(FailureReport::lost).forEach(r -> by.add(r.reporter()));
             by.sort(null);
             end(now, name, by.isEmpty() ? "out of reach" : "lost by " + String.join(", ", by), Change.Kind.OUT);
             if (ruling.out().size() <= FEW_ENDS) {
@@ -669,17 +675,18 @@
 
     // ---- Questions and answers
 
-    private Message message(Kind kind, String to, long number, Load load, String text) {
-        return new Message(kind, self, to, number, roster.digest(), load.entries(), load.reports(), List.of(), text);
+    private MembershipMessage message(Kind kind, String to, long number, Load load, String text) {
+        return new MembershipMessage(
+                kind, self, to, number, roster.digest(), load.entries(), load.reports(), List.of(), text);
     }
 
-    private void send(long now, InetSocketAddress to, Message m) {
+    private void send(long now, InetSocketAddress to, MembershipMessage m) {
         int bare = BARE + 3 * m.text().length() + 6 * m.buckets().size();
         int load = 0;
-        for (Entry e : m.entries()) {
+        for (MemberRecord e : m.entries()) {
             load += e.size();
         }
-        for (Report r : m.reports()) {
+        for (FailureReport r : m.reports()) {
             load += r.size();
         }
         boolean asks = m.kind() == Kind.PING || m.kind() == Kind.ACK;
@@ -692,7 +699,7 @@
     }
 
     private void ping(long now, String name) {
-        Entry e = roster.get(name);
+        MemberRecord e = roster.get(name);
         if (e != null) {
             send(
                     now,
@@ -719,7 +726,7 @@
         }
         if (now >= knockAt) {
             knockAt = now + 2 * plan.periodMicros() + random.nextLong(plan.periodMicros());
-            List<Entry> lost = roster.lost();
+            List<MemberRecord> lost = roster.lost();
             if (!lost.isEmpty() && random.nextDouble() < KNOCKS / live()) {
                 knock(now, lost.get(random.nextInt(lost.size())).peer().address());
             }
@@ -733,7 +740,7 @@
         Set<InetSocketAddress> known = new HashSet<>();
         known.add(self.address());
         if (!alone) {
-            for (Entry e : roster.all()) {
+            for (MemberRecord e : roster.all()) {
                 if (roster.isIn(e.name())) {
                     known.add(e.peer().address());
                 }
@@ -755,32 +762,32 @@
                 message(Kind.PING, "", links.ask(now, ""), new Load(List.of(roster.get(self.name())), List.of()), ""));
     }
 
-    private void answer(long now, Message m) {
+    private void answer(long now, MembershipMessage m) {
         Peer from = m.from();
-        Entry known = roster.get(from.name());
+        MemberRecord known = roster.get(from.name());
         Load load = herald.ride(now, roster, from.name());
         if (known != null && known.standing().ended() && known.incarnation() >= from.incarnation()) {
             // It may not know that it was put out.
-            List<Entry> first = new ArrayList<>(List.of(roster.told(now, known)));
+            List<MemberRecord> first = new ArrayList<>(List.of(roster.told(now, known)));
             load.entries().stream().limit(4).forEach(first::add);
             load = new Load(first, List.of());
         }
         send(now, from.address(), message(Kind.ACK, from.name(), m.number(), load, ""));
     }
 
-    private void answered(long now, Message m) {
+    private void answered(long now, MembershipMessage m) {
         String name = m.from().name();
-        Entry known = roster.get(name);
+        MemberRecord known = roster.get(name);
         if (links.answered(m.number(), name) < 0
                 || known == null
                 || known.incarnation() != m.from().incarnation()) {
             return;
         }
-        if (known.standing() == Standing.CANDIDATE && links.get(name) != null) {
-            learn(now, known.standing(Standing.MEMBER), "");
+        if (known.standing() == MemberStatus.CANDIDATE && links.get(name) != null) {
+            learn(now, known.standing(MemberStatus.MEMBER), "");
         }
         if (looked.contains(name) && roster.isIn(name)) {
-            found.put(name, now + Reports.REPEAT * plan.periodMicros());
+            found.put(name, now + FailureReports.REPEAT * plan.periodMicros());
             targetsOld = true;
             targets(now);
             say(now, name, false);
@@ -789,7 +796,7 @@
 
     // ---- What others know besides
 
-    private void compareWith(long now, Message m, boolean stranger) {
+    private void compareWith(long now, MembershipMessage m, boolean stranger) {
         if (m.digest() == roster.digest()) {
             agreedAt = now;
         } else if (now >= compareAt
@@ -806,7 +813,7 @@
         send(
                 now,
                 to.address(),
-                new Message(
+                new MembershipMessage(
                         Kind.COMPARE,
                         self,
                         to.name(),
@@ -818,15 +825,15 @@
                         ""));
     }
 
-    private void compare(long now, Message m) {
-        List<Entry> page = new ArrayList<>();
-        int room = Message.ROOM;
+    private void compare(long now, MembershipMessage m) {
+        List<MemberRecord> page = new ArrayList<>();
+        int room = MembershipMessage.ROOM;
         int pages = 0;
-        for (Entry e : roster.beyond(m.buckets(), random.nextInt(Message.PARTS))) {
+        for (MemberRecord e : roster.beyond(m.buckets(), random.nextInt(MembershipMessage.PARTS))) {
             if (e.size() > room) {
                 send(now, m.from().address(), message(Kind.NEWS, m.from().name(), 0, new Load(page, List.of()), ""));
                 page = new ArrayList<>();
-                room = Message.ROOM;
+                room = MembershipMessage.ROOM;
                 if (++pages == PAGES) {
                     break;
                 }
@@ -844,7 +851,7 @@
 
     private void push(long now) {
         for (Link link : links.all()) {
-            Entry to = roster.get(link.name);
+            MemberRecord to = roster.get(link.name);
             for (Load load : herald.push(now, roster, link.name)) {
                 send(now, to.peer().address(), message(Kind.NEWS, link.name, 0, load, ""));
             }
@@ -873,7 +880,7 @@
             targetsOld = true;
         }
         for (Map.Entry<String, Long> asking : Map.copyOf(candidates).entrySet()) {
-            if (now - asking.getValue() > Roster.TOLD_MICROS) {
+            if (now - asking.getValue() > MemberTable.TOLD_MICROS) {
                 end(now, asking.getKey(), "nobody has let it in", Change.Kind.OUT);
             }
         }
--- a/src/main/java/larkbank/membership/Links.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoredPeers.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,7 +13,7 @@
  * The contact of this process with those that it watches. Contact is an answer to its own question, and
  * counts from when that was asked; what was heard unasked is none, for the way there may be cut.
  */
-final class Links {
+final class MonitoredPeers {
 
     /** One that is watched. */
     static final class Link {
@@ -38,7 +38,7 @@
 
     private record Asked(String name, long at) {}
 
-    private MembershipPlan plan;
+    private MembershipOptions plan;
     private final SplittableRandom random;
     private final Map<String, Link> links = new TreeMap<>();
     /** Questions without an answer, by number. */
@@ -46,12 +46,12 @@
 
     private long numbers;
 
-    Links(MembershipPlan plan, SplittableRandom random) {
+    MonitoredPeers(MembershipOptions plan, SplittableRandom random) {
         this.plan = plan;
         this.random = random;
     }
 
-    void retune(MembershipPlan next) {
+    void retune(MembershipOptions next) {
         plan = next;
     }
 
--- a/src/main/java/larkbank/membership/Rings.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoringRings.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.Arrays;
 import java.util.Collection;
@@ -8,37 +8,37 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * Who watches whom: the members in three orders by hash, each watched by those before and behind it in every
  * one. Such a graph has short ways and no thin place, whatever the names; up to seven members all watch all.
  */
-public final class Rings {
+public final class MonitoringRings {
 
     static final int RINGS = 3;
     private static final int FEW = 2 * RINGS + 1;
 
     /** Rings that were made last, by what a view's fingerprint says: processes in one memory share them. */
     public static final class Cache {
-        private final Map<Long, Rings> made;
+        private final Map<Long, MonitoringRings> made;
 
         public Cache(int size) {
             made = new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<Long, Rings> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<Long, MonitoringRings> eldest) {
                     return size() > size;
                 }
             };
         }
 
-        Rings of(long fingerprint, Supplier<Collection<String>> names) {
-            Rings rings = made.get(fingerprint);
+        MonitoringRings of(long fingerprint, Supplier<Collection<String>> names) {
+            MonitoringRings rings = made.get(fingerprint);
             if (rings == null) {
-                rings = new Rings(names.get());
+                rings = new MonitoringRings(names.get());
                 made.put(fingerprint, rings);
             }
             return rings;
@@ -53,7 +53,7 @@
     private final int[][] order = new int[RINGS][];
     private final int[][] near;
 
-    Rings(Collection<String> members) {
+    MonitoringRings(Collection<String> members) {
         names = new TreeSet<>(members).toArray(new String[0]);
         places = new HashMap<>(names.length * 2);
         for (int i = 0; i < names.length; i++) {
--- a/src/main/java/larkbank/membership/Contests.java
+++ b/src/main/java/org/cypressweir/fleet/membership/NameConflicts.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * Names that a second process asks for while another has them. The one that has it is asked at its address:
  * its answer refuses the newcomer, the newcomer's own answer from there shows that the other is gone.
  */
-final class Contests {
+final class NameConflicts {
 
     /** Names at most that are contested at the same time. */
     private static final int MOST = 64;
--- a/src/main/java/larkbank/membership/Peer.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Peer.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 
--- a/src/main/java/larkbank/membership/SharePlan.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareOptions.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -11,10 +11,10 @@
  * @param lingerMicros for which what was in use stays so at a process that stands still
  * @param most processes that may ever run at once
  */
-public record SharePlan(List<InetSocketAddress> electors, long holdMicros, long lingerMicros, int most) {
+public record ShareOptions(List<InetSocketAddress> electors, long holdMicros, long lingerMicros, int most) {
 
     /** By then a process that has gone is counted by nobody, and another that has come may claim a part. */
     public long releaseMicros() {
-        return Claim.release(holdMicros, lingerMicros);
+        return ShareRequest.release(holdMicros, lingerMicros);
     }
 }
--- a/src/main/java/larkbank/membership/Claim.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequest.java
@@ -1,7 +1,7 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.Arrays;
-import larkbank.membership.Elector.Grant;
+import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
  * The part of what all share that one process may use, worked out by itself from the word of most electors.
@@ -14,7 +14,7 @@
  * that moment. What stays open at a process that stands still, as a connection does, is bounded as far as
  * its other end closes it within the linger.
  */
-public final class Claim {
+public final class ShareRequest {
 
     /** What claims share; the rest is for all that may be at the floor. */
     public static final double CLAIMED = 0.95;
@@ -36,7 +36,7 @@
      * @param lingerMicros for which what was in use stays so at a process that stands still
      * @param most processes that may ever run at once
      */
-    public Claim(int electors, long holdMicros, long lingerMicros, int most) {
+    public ShareRequest(int electors, long holdMicros, long lingerMicros, int most) {
         this.holdMicros = holdMicros;
         this.most = most;
         releaseMicros = release(holdMicros, lingerMicros);
@@ -46,15 +46,15 @@
     }
 
     /** The same in all that it has heard, for walks over all that may come next. */
-    public Claim copy() {
-        Claim copy = new Claim(this);
+    public ShareRequest copy() {
+        ShareRequest copy = new ShareRequest(this);
         System.arraycopy(askedAt, 0, copy.askedAt, 0, askedAt.length);
         System.arraycopy(grants, 0, copy.grants, 0, grants.length);
         copy.heldSince = heldSince;
         return copy;
     }
 
-    private Claim(Claim other) {
+    private ShareRequest(ShareRequest other) {
         holdMicros = other.holdMicros;
         releaseMicros = other.releaseMicros;
         most = other.most;
--- a/src/main/java/larkbank/membership/Portion.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
@@ -1,30 +1,30 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.BiConsumer;
-import larkbank.membership.Elector.Grant;
-import larkbank.membership.Message.Kind;
+import org.cypressweir.fleet.membership.MembershipMessage.Kind;
+import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
  * One process's part of what all share, by messages: it asks all electors again and again, and answers where
  * it is one of them itself. Answers to an earlier life of this process, and to what was asked long ago, say
  * nothing here: each question has a number, whose beginning is drawn anew by each life.
  */
-public final class Portion {
+public final class ShareRequester {
 
     /** Questions whose answers may still come; an older one has no hold left. */
     private static final int ROUNDS = 8;
     /** Lives that an elector counts for each process that may run: restarts in a row are counted apart. */
     private static final int LIVES = 4;
 
-    private final SharePlan plan;
+    private final ShareOptions plan;
     private final InetSocketAddress own;
-    private final Claim claim;
+    private final ShareRequest claim;
     /** Null where this process is none. */
-    private final Elector elector;
+    private final ShareVoter elector;
 
-    private final BiConsumer<InetSocketAddress, Message> out;
+    private final BiConsumer<InetSocketAddress, MembershipMessage> out;
     private final long[] askedAt = new long[ROUNDS];
     private final long firstNumber;
     private long rounds;
@@ -34,18 +34,22 @@
      * @param own address that others know this process by
      * @param first number of the first question, drawn anew by each life
      */
-    public Portion(
-            long now, SharePlan plan, InetSocketAddress own, long first, BiConsumer<InetSocketAddress, Message> out) {
+    public ShareRequester(
+            long now,
+            ShareOptions plan,
+            InetSocketAddress own,
+            long first,
+            BiConsumer<InetSocketAddress, MembershipMessage> out) {
         this.plan = plan;
         this.own = own;
         this.out = out;
         firstNumber = first;
         askAt = now;
-        claim = new Claim(plan.electors().size(), plan.holdMicros(), plan.lingerMicros(), plan.most());
-        elector = plan.electors().contains(own) ? new Elector(now, plan.releaseMicros(), LIVES * plan.most()) : null;
+        claim = new ShareRequest(plan.electors().size(), plan.holdMicros(), plan.lingerMicros(), plan.most());
+        elector = plan.electors().contains(own) ? new ShareVoter(now, plan.releaseMicros(), LIVES * plan.most()) : null;
     }
 
-    public SharePlan plan() {
+    public ShareOptions plan() {
         return plan;
     }
 
@@ -72,8 +76,9 @@
         }
     }
 
-    private static Message message(Kind kind, Peer self, String to, long number, long digest, List<Integer> count) {
-        return new Message(kind, self, to, number, digest, List.of(), List.of(), count, "");
+    private static MembershipMessage message(
+            Kind kind, Peer self, String to, long number, long digest, List<Integer> count) {
+        return new MembershipMessage(kind, self, to, number, digest, List.of(), List.of(), count, "");
     }
 
     /** Two lives of one name are two: what the one had open may still be. */
@@ -82,7 +87,7 @@
     }
 
     /** A question or an answer about parts. */
-    public void receive(long now, Message m, Peer self) {
+    public void receive(long now, MembershipMessage m, Peer self) {
         if (m.kind() == Kind.COUNT && elector != null) {
             Grant grant = elector.ask(now, key(m.from()));
             if (grant != null) {
--- a/src/main/java/larkbank/membership/Elector.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareVoter.java
@@ -1,17 +1,17 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * Counts who may use a part of what all share. Whoever asked is counted for a stated time after the answer,
  * so that it is counted for as long as it may rely on that. Kept in memory: one that starts anew has
  * forgotten whom it counted, and says nothing until nobody can rely on its word of before.
  */
-public final class Elector {
+public final class ShareVoter {
 
     /**
      * What a process is told.
@@ -30,18 +30,18 @@
     private long digest;
 
     /**
-     * @param releaseMicros see {@link Claim#release}
+     * @param releaseMicros see {@link ShareRequest#release}
      * @param most processes that are counted; further ones are told nothing
      */
-    public Elector(long now, long releaseMicros, int most) {
+    public ShareVoter(long now, long releaseMicros, int most) {
         this.releaseMicros = releaseMicros;
         this.most = most;
         silentUntil = now + releaseMicros;
     }
 
     /** The same in all that it has heard, for walks over all that may come next. */
-    public Elector copy() {
-        Elector copy = new Elector(silentUntil - releaseMicros, releaseMicros, most);
+    public ShareVoter copy() {
+        ShareVoter copy = new ShareVoter(silentUntil - releaseMicros, releaseMicros, most);
         copy.countedUntil.putAll(countedUntil);
         copy.digest = digest;
         return copy;
--- a/src/main/java/larkbank/membership/Verdicts.java
+++ b/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * reach because those around it are gone is looked for first. And where most have lost it and the others say
  * nothing, which they would if they were awake, it is out after the time that a word takes.
  */
-final class Verdicts {
+final class SuspicionTable {
 
     /** What follows from the reports as they are. */
     record Ruling(List<String> out, Set<String> missing) {}
@@ -32,7 +32,7 @@
     private final Map<String, Long> missing = new TreeMap<>();
 
     /** @param settleMicros for which a member is looked for, and others may speak up for it */
-    Verdicts(long settleMicros) {
+    SuspicionTable(long settleMicros) {
         this.settleMicros = settleMicros;
     }
 
@@ -58,7 +58,7 @@
         missing.replaceAll((name, since) -> since + micros);
     }
 
-    Ruling rule(long now, Rings rings, String self, Roster roster, Reports reports) {
+    Ruling rule(long now, MonitoringRings rings, String self, MemberTable roster, FailureReports reports) {
         Graph graph = new Graph(rings, roster, reports);
         boolean[] reached = graph.from(rings.place(self));
         List<String> out = new ArrayList<>();
@@ -110,7 +110,7 @@
     private static final class Graph {
         private static final int[] NOBODY = {};
 
-        private final Rings rings;
+        private final MonitoringRings rings;
         /** By member, who has lost it, and who says that it is there. */
         private final int[][] lostBy;
 
@@ -118,7 +118,7 @@
         /** Those that are in no view any more, though their neighbours have no others yet. */
         private final boolean[] gone;
 
-        Graph(Rings rings, Roster roster, Reports reports) {
+        Graph(MonitoringRings rings, MemberTable roster, FailureReports reports) {
             this.rings = rings;
             lostBy = new int[rings.size()][];
             vouchedBy = new int[rings.size()][];
@@ -128,8 +128,8 @@
             }
             for (String name : reports.subjects()) {
                 int on = rings.place(name);
-                Entry entry = roster.get(name);
-                for (Report r : on < 0 ? List.<Report>of() : reports.on(name)) {
+                MemberRecord entry = roster.get(name);
+                for (FailureReport r : on < 0 ? List.<FailureReport>of() : reports.on(name)) {
                     int by = rings.place(r.reporter());
                     if (by < 0
                             || r.aboutIncarnation() != entry.incarnation()
--- a/src/main/java/larkbank/membership/Herald.java
+++ b/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,19 +11,19 @@
  * Spreads news: each goes once to all neighbours, but for the one that it came from, and rides on whatever
  * else is sent for a while, since either may be lost.
  */
-final class Herald {
+final class UpdateDisseminator {
 
     /** An entry or a report, and who told it; empty for this process itself. */
     private static final class News {
-        final Entry entry;
-        final Report report;
+        final MemberRecord entry;
+        final FailureReport report;
         final String from;
         final long until;
         boolean pushed;
         /** Something newer on the same has come. */
         boolean old;
 
-        News(Entry entry, Report report, String from, long until) {
+        News(MemberRecord entry, FailureReport report, String from, long until) {
             this.entry = entry;
             this.report = report;
             this.from = from;
@@ -36,7 +36,7 @@
     }
 
     /** What goes into one message. */
-    record Load(List<Entry> entries, List<Report> reports) {
+    record Load(List<MemberRecord> entries, List<FailureReport> reports) {
         static final Load NONE = new Load(List.of(), List.of());
 
         boolean isEmpty() {
@@ -51,11 +51,11 @@
     private final Map<String, News> latest = new HashMap<>();
     private boolean fresh;
 
-    void tell(Entry entry, String from, long until) {
+    void tell(MemberRecord entry, String from, long until) {
         add(entry.name(), new News(entry, null, from, until));
     }
 
-    void tell(Report report, String from, long until) {
+    void tell(FailureReport report, String from, long until) {
         add(report.reporter() + ' ' + report.about(), new News(null, report, from, until));
     }
 
@@ -77,11 +77,11 @@
     }
 
     /** What has not been pushed to this neighbour, in as many loads as it takes. */
-    List<Load> push(long now, Roster roster, String to) {
+    List<Load> push(long now, MemberTable roster, String to) {
         List<Load> loads = new ArrayList<>();
-        List<Entry> entries = new ArrayList<>();
-        List<Report> reports = new ArrayList<>();
-        int room = Message.ROOM;
+        List<MemberRecord> entries = new ArrayList<>();
+        List<FailureReport> reports = new ArrayList<>();
+        int room = MembershipMessage.ROOM;
         for (News n : news) {
             if (n.pushed || n.old || n.from.equals(to)) {
                 continue;
@@ -90,7 +90,7 @@
                 loads.add(new Load(entries, reports));
                 entries = new ArrayList<>();
                 reports = new ArrayList<>();
-                room = Message.ROOM;
+                room = MembershipMessage.ROOM;
             }
             room -= n.size();
             add(now, roster, n, entries, reports);
@@ -115,13 +115,13 @@
     }
 
     /** The newest of what is still fresh, as much as fits. */
-    Load ride(long now, Roster roster, String to) {
+    Load ride(long now, MemberTable roster, String to) {
         if (news.isEmpty()) {
             return Load.NONE;
         }
-        List<Entry> entries = new ArrayList<>();
-        List<Report> reports = new ArrayList<>();
-        int room = Message.RIDE;
+        List<MemberRecord> entries = new ArrayList<>();
+        List<FailureReport> reports = new ArrayList<>();
+        int room = MembershipMessage.RIDE;
         for (Iterator<News> i = news.descendingIterator(); i.hasNext(); ) {
             News n = i.next();
             if (!n.old && !n.from.equals(to) && n.size() <= room && now <= n.until) {
@@ -132,7 +132,8 @@
         return new Load(entries, reports);
     }
 
-    private static void add(long now, Roster roster, News n, List<Entry> entries, List<Report> reports) {
+    private static void add(
+            long now, MemberTable roster, News n, List<MemberRecord> entries, List<FailureReport> reports) {
         if (n.entry != null) {
             entries.add(roster.told(now, n.entry));
         } else {
--- a/src/main/java/larkbank/fleet/Chronicle.java
+++ b/src/main/java/org/cypressweir/fleet/transport/EventRecorder.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * What a process saw, a line of JSON for each event, with the time of its wall clock and of its monotonic
  * one: records of several processes on one machine can be merged by the second. A thread of its own writes.
  */
-final class Chronicle {
+final class EventRecorder {
 
     /** Set once for the process, before the first event. */
     static void open(String file, String process) {
@@ -30,7 +30,7 @@
         Configuration.set("autoshutdown", "true");
     }
 
-    private Chronicle() {}
+    private EventRecorder() {}
 
     static void note(String event, String about, String text) {
         ThreadContext.put("mono", System.nanoTime() / 1_000);
--- a/src/main/java/larkbank/fleet/FleetSocket.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -27,24 +27,24 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import larkbank.Addresses;
-import larkbank.lease.LeasePlan;
-import larkbank.lease.Leases;
-import larkbank.lease.Word;
-import larkbank.membership.Change;
-import larkbank.membership.Entry;
-import larkbank.membership.Lending;
-import larkbank.membership.Membership;
-import larkbank.membership.MembershipPlan;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Portion;
-import larkbank.membership.SharePlan;
-import larkbank.membership.Standing;
-import larkbank.sidecar.Fellowship;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.FleetCoordination;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.fleet.lease.Leases;
+import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.Lending;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.fleet.membership.MembershipProtocol;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.fleet.membership.ShareOptions;
+import org.cypressweir.fleet.membership.ShareRequester;
 
 /** The membership of one process on its socket: it brings time and datagrams in and takes them out. */
-public final class FleetSocket implements Fellowship, Membership.Actions {
+public final class FleetSocket implements FleetCoordination, MembershipProtocol.Actions {
 
     /** What the kernel keeps while the loop is busy or the process stands still. */
     private static final int BUFFER = 512 << 10;
@@ -60,12 +60,12 @@
 
     private final Opening opening;
     /** As last taken over: its beat is how often the decisions are asked. */
-    private MembershipPlan plan;
+    private MembershipOptions plan;
 
-    private final Wire wire;
-    private final Membership membership;
+    private final MembershipMessageCodec wire;
+    private final MembershipProtocol membership;
     /** Null where nothing follows the living. */
-    private Portion portion;
+    private ShareRequester portion;
 
     private final Lending lending;
     /** Null where the file names none. */
@@ -76,7 +76,7 @@
     private final CompletableFuture<Void> lent = new CompletableFuture<>();
     private double toldPart;
     private int toldCount;
-    private final Map<Wire.Fault, Long> dropped = new EnumMap<>(Wire.Fault.class);
+    private final Map<MembershipMessageCodec.Fault, Long> dropped = new EnumMap<>(MembershipMessageCodec.Fault.class);
     private Channel channel;
     private long sent;
     private long received;
@@ -86,12 +86,12 @@
     private FleetSocket(Opening opening) {
         this.opening = opening;
         plan = opening.plan();
-        wire = new Wire(plan.cluster());
+        wire = new MembershipMessageCodec(plan.cluster());
         if (plan.record() != null) {
-            Chronicle.open(plan.record(), opening.name());
+            EventRecorder.open(plan.record(), opening.name());
         }
         long life = ThreadLocalRandom.current().nextLong();
-        membership = new Membership(
+        membership = new MembershipProtocol(
                 now(),
                 plan,
                 new Peer(opening.name(), life, System.currentTimeMillis(), 1, plan.advertise()),
@@ -103,7 +103,7 @@
         leases = leases(plan.leases());
     }
 
-    private Leases leases(LeasePlan of) {
+    private Leases leases(LeaseOptions of) {
         return of == null
                 ? null
                 : new Leases(
@@ -120,11 +120,11 @@
     /** What comes of leases. */
     private final class Tasks implements Leases.Actions {
         @Override
-        public void send(InetSocketAddress to, Word word) {
+        public void send(InetSocketAddress to, LeaseMessage word) {
             FleetSocket.this.send(
                     to,
-                    new Message(
-                            Message.Kind.LEASE,
+                    new MembershipMessage(
+                            MembershipMessage.Kind.LEASE,
                             membership.self(),
                             "",
                             0,
@@ -133,7 +133,7 @@
                             List.of(),
                             List.of(),
                             "",
-                            LeaseWire.write(word)));
+                            LeaseMessageCodec.write(word)));
         }
 
         @Override
@@ -192,22 +192,22 @@
 
     private List<Peer> others() {
         return entriesIn()
-                .map(Entry::peer)
+                .map(MemberRecord::peer)
                 .filter(p -> !p.name().equals(opening.name()))
                 .toList();
     }
 
     /** Those that are in, as far as is known here; itself may be one. */
-    private Stream<Entry> entriesIn() {
+    private Stream<MemberRecord> entriesIn() {
         return membership.members().values().stream()
-                .map(Membership.Seen::entry)
-                .filter(e -> e.standing() == Standing.MEMBER);
+                .map(MembershipProtocol.Seen::entry)
+                .filter(e -> e.standing() == MemberStatus.MEMBER);
     }
 
-    private Portion portion() {
+    private ShareRequester portion() {
         return plan.shares() == null
                 ? null
-                : new Portion(
+                : new ShareRequester(
                         now(),
                         plan.shares(),
                         plan.advertise(),
@@ -216,20 +216,20 @@
     }
 
     /** Opens the socket; where another process has it that is to go, once that one has gone. */
-    public static CompletableFuture<Fellowship> open(Opening opening) {
-        CompletableFuture<Fellowship> open = new CompletableFuture<>();
+    public static CompletableFuture<FleetCoordination> open(Opening opening) {
+        CompletableFuture<FleetCoordination> open = new CompletableFuture<>();
         FleetSocket socket = new FleetSocket(opening);
         socket.bind(open);
         opening.loop().schedule(() -> socket.lent.complete(null), LENT_MILLIS, TimeUnit.MILLISECONDS);
         return open;
     }
 
-    private void bind(CompletableFuture<Fellowship> open) {
+    private void bind(CompletableFuture<FleetCoordination> open) {
         new Bootstrap()
                 .group(opening.loop())
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, BUFFER)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Wire.MOST + 1))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MembershipMessageCodec.MOST + 1))
                 .handler(new Ear())
                 .bind(plan.listen())
                 .addListener(f -> {
@@ -319,10 +319,10 @@
         return portion == null ? 1 : portion.count(now());
     }
 
-    private void hear(Message message) throws Wire.Dropped {
-        if (message.kind() == Message.Kind.LEASE) {
+    private void hear(MembershipMessage message) throws MembershipMessageCodec.Dropped {
+        if (message.kind() == MembershipMessage.Kind.LEASE) {
             if (leases != null) {
-                leases.receive(now(), message.from().address(), LeaseWire.read(message.load()));
+                leases.receive(now(), message.from().address(), LeaseMessageCodec.read(message.load()));
             }
         } else if (message.kind().ofLists()) {
             lending.receive(now(), message, membership.self());
@@ -338,9 +338,9 @@
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             received++;
             try {
-                Message message = wire.read(ByteBufUtil.getBytes(packet.content()));
+                MembershipMessage message = wire.read(ByteBufUtil.getBytes(packet.content()));
                 hear(message);
-            } catch (Wire.Dropped e) {
+            } catch (MembershipMessageCodec.Dropped e) {
                 dropped.merge(e.fault(), 1L, Long::sum);
             }
         }
@@ -355,9 +355,9 @@
     }
 
     @Override
-    public void send(InetSocketAddress to, Message message) {
+    public void send(InetSocketAddress to, MembershipMessage message) {
         byte[] bytes = wire.write(message);
-        if (channel != null && bytes.length <= Wire.MOST) {
+        if (channel != null && bytes.length <= MembershipMessageCodec.MOST) {
             sent++;
             bytesSent += bytes.length;
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
@@ -387,7 +387,7 @@
 
     private void note(String event, String about, String text) {
         if (plan.record() != null) {
-            Chronicle.note(event, about, text);
+            EventRecorder.note(event, about, text);
         }
     }
 
@@ -406,8 +406,8 @@
     }
 
     @Override
-    public void retune(MembershipPlan next) {
-        SharePlan before = plan.shares();
+    public void retune(MembershipOptions next) {
+        ShareOptions before = plan.shares();
         retuneLeases(next.leases());
         plan = plan.with(next.leasing(plan.leases()));
         membership.retune(plan);
@@ -418,7 +418,7 @@
     }
 
     /** Keepers that can't follow the ones that hold are refused, and all else of the file is taken over. */
-    private void retuneLeases(LeasePlan next) {
+    private void retuneLeases(LeaseOptions next) {
         if (next == null || leases == null) {
             if (leases != null) {
                 leases.leave(now(), "the file has no leases any more");
@@ -505,13 +505,13 @@
                 out.writeEndObject();
             }
             out.writeObjectFieldStart("members");
-            Map<String, Membership.Seen> members = membership.members();
-            for (Map.Entry<String, Membership.Seen> m : members.entrySet()) {
+            Map<String, MembershipProtocol.Seen> members = membership.members();
+            for (Map.Entry<String, MembershipProtocol.Seen> m : members.entrySet()) {
                 out.writeStringField(m.getKey(), m.getValue().state());
             }
             out.writeEndObject();
             out.writeObjectFieldStart("details");
-            for (Map.Entry<String, Membership.Seen> m : members.entrySet()) {
+            for (Map.Entry<String, MembershipProtocol.Seen> m : members.entrySet()) {
                 Peer peer = m.getValue().entry().peer();
                 out.writeObjectFieldStart(m.getKey());
                 out.writeStringField("address", Addresses.text(peer.address()));
@@ -527,7 +527,7 @@
             out.writeNumberField("bytes_sent", bytesSent);
             out.writeNumberField("datagrams_received", received);
             out.writeObjectFieldStart("dropped");
-            for (Map.Entry<Wire.Fault, Long> d : dropped.entrySet()) {
+            for (Map.Entry<MembershipMessageCodec.Fault, Long> d : dropped.entrySet()) {
                 out.writeNumberField(d.getKey().name().toLowerCase(Locale.ROOT), d.getValue());
             }
             out.writeNumberField("over_allowance", membership.dropped());
--- a/src/main/java/larkbank/fleet/LeaseWire.java
+++ b/src/main/java/org/cypressweir/fleet/transport/LeaseMessageCodec.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,17 +9,17 @@
 import java.io.UncheckedIOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larkbank.lease.Word;
+import org.cypressweir.fleet.lease.LeaseMessage;
 
 /** Words about leases as the load of a datagram: one CBOR array each. */
-final class LeaseWire {
+final class LeaseMessageCodec {
 
     private static final int MOST_TEXT = 200;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private LeaseWire() {}
+    private LeaseMessageCodec() {}
 
-    static byte[] write(Word w) {
+    static byte[] write(LeaseMessage w) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
@@ -41,11 +41,11 @@
         return bytes.toByteArray();
     }
 
-    static Word read(byte[] load) throws Wire.Dropped {
+    static LeaseMessage read(byte[] load) throws MembershipMessageCodec.Dropped {
         try (JsonParser in = CBOR.createParser(load)) {
             need(in.nextToken() == JsonToken.START_ARRAY);
             long kind = number(in);
-            need(kind >= 0 && kind < Word.Kind.values().length);
+            need(kind >= 0 && kind < LeaseMessage.Kind.values().length);
             String lease = text(in);
             String holder = text(in);
             long token = number(in);
@@ -55,28 +55,29 @@
             need(token >= 0 && micros >= 0);
             Map<String, Long> tops = new LinkedHashMap<>();
             while (in.nextToken() == JsonToken.VALUE_STRING) {
-                need(tops.size() < Word.MOST_TOPS && in.getText().length() <= MOST_TEXT);
+                need(tops.size() < LeaseMessage.MOST_TOPS && in.getText().length() <= MOST_TEXT);
                 tops.put(in.getText(), number(in));
             }
             need(in.currentToken() == JsonToken.END_ARRAY);
-            return new Word(Word.Kind.values()[(int) kind], lease, holder, token, asked, micros, set, tops);
+            return new LeaseMessage(
+                    LeaseMessage.Kind.values()[(int) kind], lease, holder, token, asked, micros, set, tops);
         } catch (IOException e) {
-            throw new Wire.Dropped(Wire.Fault.NONSENSE);
+            throw new MembershipMessageCodec.Dropped(MembershipMessageCodec.Fault.NONSENSE);
         }
     }
 
-    private static void need(boolean holds) throws Wire.Dropped {
+    private static void need(boolean holds) throws MembershipMessageCodec.Dropped {
         if (!holds) {
-            throw new Wire.Dropped(Wire.Fault.NONSENSE);
+            throw new MembershipMessageCodec.Dropped(MembershipMessageCodec.Fault.NONSENSE);
         }
     }
 
-    private static long number(JsonParser in) throws IOException, Wire.Dropped {
+    private static long number(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
         need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
-    private static String text(JsonParser in) throws IOException, Wire.Dropped {
+    private static String text(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
         need(in.nextToken() == JsonToken.VALUE_STRING && in.getText().length() <= MOST_TEXT);
         return in.getText();
     }
--- a/src/main/java/larkbank/fleet/Wire.java
+++ b/src/main/java/org/cypressweir/fleet/transport/MembershipMessageCodec.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,18 +15,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import larkbank.membership.Entry;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Report;
-import larkbank.membership.Standing;
+import org.cypressweir.fleet.membership.FailureReport;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
 
 /**
  * Messages as datagrams: one CBOR array (RFC 8949), behind it its CRC-32C (RFC 3720, appendix B.4) in four
  * bytes, since one flipped bit may otherwise read as another incarnation. What is not of this cluster and
  * version, whole and within all bounds is no message.
  */
-final class Wire {
+final class MembershipMessageCodec {
 
     /** Bytes of a datagram, at most. */
     static final int MOST = 1_200;
@@ -64,11 +64,11 @@
 
     private final String cluster;
 
-    Wire(String cluster) {
+    MembershipMessageCodec(String cluster) {
         this.cluster = cluster;
     }
 
-    byte[] write(Message m) {
+    byte[] write(MembershipMessage m) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
@@ -81,12 +81,12 @@
             out.writeNumber(m.number());
             out.writeNumber(m.digest());
             out.writeStartArray();
-            for (Entry e : m.entries()) {
+            for (MemberRecord e : m.entries()) {
                 entry(out, e);
             }
             out.writeEndArray();
             out.writeStartArray();
-            for (Report r : m.reports()) {
+            for (FailureReport r : m.reports()) {
                 report(out, r);
             }
             out.writeEndArray();
@@ -125,7 +125,7 @@
         out.writeEndArray();
     }
 
-    private static void entry(JsonGenerator out, Entry e) throws IOException {
+    private static void entry(JsonGenerator out, MemberRecord e) throws IOException {
         out.writeStartArray();
         peer(out, e.peer());
         out.writeNumber(e.standing().ordinal());
@@ -140,7 +140,7 @@
         out.writeEndArray();
     }
 
-    private static void report(JsonGenerator out, Report r) throws IOException {
+    private static void report(JsonGenerator out, FailureReport r) throws IOException {
         out.writeStartArray();
         out.writeString(r.reporter());
         out.writeNumber(r.reporterIncarnation());
@@ -151,7 +151,7 @@
         out.writeEndArray();
     }
 
-    Message read(byte[] bytes) throws Dropped {
+    MembershipMessage read(byte[] bytes) throws Dropped {
         if (bytes.length > MOST) {
             throw new Dropped(Fault.TOO_LONG);
         }
@@ -160,7 +160,7 @@
             throw new Dropped(Fault.TORN);
         }
         try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
-            Message m = new Reader(in, cluster).message();
+            MembershipMessage m = new Reader(in, cluster).message();
             if (in.nextToken() != null) {
                 throw new Dropped(Fault.NONSENSE);
             }
@@ -180,7 +180,7 @@
             this.cluster = cluster;
         }
 
-        Message message() throws IOException, Dropped {
+        MembershipMessage message() throws IOException, Dropped {
             begin();
             if (!MAGIC.equals(text())) {
                 throw new Dropped(Fault.FOREIGN);
@@ -191,18 +191,18 @@
             if (!cluster.equals(text())) {
                 throw new Dropped(Fault.FOREIGN);
             }
-            Message.Kind kind = one(Message.Kind.values());
+            MembershipMessage.Kind kind = one(MembershipMessage.Kind.values());
             begin();
             Peer from = peer();
             String to = text();
             long number = number();
             long digest = number();
-            List<Entry> entries = new ArrayList<>();
+            List<MemberRecord> entries = new ArrayList<>();
             begin();
             while (begins(entries.size())) {
                 entries.add(entry());
             }
-            List<Report> reports = new ArrayList<>();
+            List<FailureReport> reports = new ArrayList<>();
             begin();
             while (begins(reports.size())) {
                 reports.add(report());
@@ -217,7 +217,7 @@
             need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             byte[] load = in.getBinaryValue();
             end();
-            return new Message(kind, from, to, number, digest, entries, reports, buckets, text, load);
+            return new MembershipMessage(kind, from, to, number, digest, entries, reports, buckets, text, load);
         }
 
         private Peer peer() throws IOException, Dropped {
@@ -234,10 +234,10 @@
         }
 
         /** Its list has begun already. */
-        private Entry entry() throws IOException, Dropped {
+        private MemberRecord entry() throws IOException, Dropped {
             begin();
             Peer peer = peer();
-            Standing standing = one(Standing.values());
+            MemberStatus standing = one(MemberStatus.values());
             int version = whole();
             int age = whole();
             begin();
@@ -248,10 +248,10 @@
             }
             end();
             need(version >= 0 && age >= 0);
-            return new Entry(peer, standing, version, facts, age);
+            return new MemberRecord(peer, standing, version, facts, age);
         }
 
-        private Report report() throws IOException, Dropped {
+        private FailureReport report() throws IOException, Dropped {
             String reporter = text();
             int own = whole();
             String about = text();
@@ -260,7 +260,7 @@
             JsonToken lost = in.nextToken();
             need(lost == JsonToken.VALUE_TRUE || lost == JsonToken.VALUE_FALSE);
             end();
-            return new Report(reporter, own, about, its, number, lost == JsonToken.VALUE_TRUE);
+            return new FailureReport(reporter, own, about, its, number, lost == JsonToken.VALUE_TRUE);
         }
 
         private static void need(boolean holds) throws Dropped {
--- a/src/main/java/larkbank/fleet/package-info.java
+++ b/src/main/java/org/cypressweir/fleet/transport/package-info.java
@@ -1,2 +1,2 @@
 /** The one socket over which sidecars speak to each other, and what stands round the decisions on it. */
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
--- a/src/main/java/larkbank/Remeasured.java
+++ b/src/main/java/org/cypressweir/loadbalancing/CachedMeasurement.java
@@ -1,15 +1,15 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.function.DoubleSupplier;
 
 /** A figure that is dear to measure, and so measured anew after a while only. */
-public final class Remeasured {
+public final class CachedMeasurement {
 
     private final long everyMicros;
     private double figure;
     private long measuredAt = -1;
 
-    public Remeasured(long everyMicros) {
+    public CachedMeasurement(long everyMicros) {
         this.everyMicros = everyMicros;
     }
 
--- a/src/main/java/larkbank/Tally.java
+++ b/src/main/java/org/cypressweir/loadbalancing/CounterMap.java
@@ -1,10 +1,10 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Counts by name; what is at 0 takes no room. */
-final class Tally {
+final class CounterMap {
 
     private final Map<String, Integer> counts = new HashMap<>();
 
--- a/src/main/java/larkbank/Fading.java
+++ b/src/main/java/org/cypressweir/loadbalancing/DecayingMean.java
@@ -1,7 +1,7 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 /** A mean that fades to 0 while nothing is added, and a rate that does. */
-final class Fading {
+final class DecayingMean {
 
     private final double span;
     private final double weight;
@@ -9,7 +9,7 @@
     private long at;
 
     /** Fades with this time constant, in microseconds; one more value of a mean has this weight. */
-    Fading(double span, double weight) {
+    DecayingMean(double span, double weight) {
         this.span = span;
         this.weight = weight;
     }
--- a/src/main/java/larkbank/Means.java
+++ b/src/main/java/org/cypressweir/loadbalancing/EwmaTable.java
@@ -1,16 +1,16 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.Arrays;
 
 /** Exponentially weighted means by number, each of which begins with the same value. */
-final class Means {
+final class EwmaTable {
 
     private final double first;
     private final double weight;
     private double[] means = {};
 
     /** With what each begins with, and the weight, 0 to 1, of one more value. */
-    Means(double first, double weight) {
+    EwmaTable(double first, double weight) {
         this.first = first;
         this.weight = weight;
     }
--- a/src/main/java/larkbank/Faults.java
+++ b/src/main/java/org/cypressweir/loadbalancing/FailureRates.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.Arrays;
 
@@ -7,7 +7,7 @@
  * what is so everywhere. A class that is turned away or fails while others are served must not look fast or
  * idle. Room for further classes comes with the first word on them.
  */
-final class Faults {
+final class FailureRates {
 
     /** What one server leaves unanswered. */
     final class Of {
@@ -48,7 +48,7 @@
     private double[] all = {};
 
     /** Fades with this time constant, in microseconds; one more word has this weight everywhere. */
-    Faults(double span, double weight) {
+    FailureRates(double span, double weight) {
         this.span = span;
         this.weight = weight;
     }
--- a/src/main/java/larkbank/Roster.java
+++ b/src/main/java/org/cypressweir/loadbalancing/IndexedMembers.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,7 +10,7 @@
  * number,
  * so that a draw costs the same however many there are; a ring walk begins at any place. Some may be marked.
  */
-final class Roster<M extends Roster.Member> {
+final class IndexedMembers<M extends IndexedMembers.Member> {
 
     private static final Comparator<Member> ORDER =
             Comparator.<Member>comparingLong(m -> m.place).thenComparingInt(m -> m.slot);
@@ -28,7 +28,7 @@
     private int turn;
 
     /** Of these, in any order; the array is taken over. */
-    Roster(Member[] unordered) {
+    IndexedMembers(Member[] unordered) {
         members = unordered;
         Arrays.sort(members, ORDER);
         size = members.length;
--- a/src/main/java/larkbank/LoadBalancer.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.EnumSet;
 import java.util.List;
--- a/src/main/java/larkbank/LoadReports.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadReports.java
@@ -1,10 +1,11 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import larkbank.LoadBalancer.LoadReport;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
 
 /** A server's word on its load, in the settings' names: as an object, or as the header of an answer. */
 public final class LoadReports {
--- a/src/main/java/larkbank/HeldQueue.java
+++ b/src/main/java/org/cypressweir/loadbalancing/PendingRequestQueue.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.Arrays;
 import java.util.function.Consumer;
@@ -9,7 +9,7 @@
  * such as inside a tenant's share): the newest of a kind and the oldest of a lot are at hand whatever their
  * number.
  */
-final class HeldQueue<T extends HeldQueue.Item> {
+final class PendingRequestQueue<T extends PendingRequestQueue.Item> {
 
     /** What can wait; in one queue at most. */
     abstract static class Item {
@@ -30,7 +30,7 @@
     private int size;
 
     /** So many kinds of lots; lots of one kind are that many apart; further ones come with use. */
-    HeldQueue(int kinds) {
+    PendingRequestQueue(int kinds) {
         this.kinds = kinds;
     }
 
--- a/src/main/java/larkbank/SettingsReader.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SettingsReader.java
@@ -1,16 +1,17 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Tenant;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 
 /** The settings as the simulator and the sidecar's configuration both spell them. */
 public final class SettingsReader {
--- a/src/main/java/larkbank/WindowBudget.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SlidingWindowBudget.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayDeque;
 
@@ -9,7 +9,7 @@
  * all after them (a monotonic queue, as for sliding minima), so an answer costs the same however much is
  * spent.
  */
-final class WindowBudget {
+final class SlidingWindowBudget {
 
     private final long length;
     private final double floor;
@@ -20,7 +20,7 @@
     private long spent;
 
     /** Windows of so many microseconds; in each at most the floor and a part, 0 to 1, of what was earned. */
-    WindowBudget(long length, double floor, double perEarned) {
+    SlidingWindowBudget(long length, double floor, double perEarned) {
         this.length = length;
         this.floor = floor;
         this.perEarned = perEarned;
--- a/src/main/java/larkbank/Choice.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SubsetLoadBalancer.java
@@ -1,9 +1,9 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
-import static larkbank.Hashes.jump;
-import static larkbank.Hashes.mix;
-import static larkbank.Hashes.ranked;
-import static larkbank.Hashes.uniform;
+import static org.cypressweir.common.util.Hashes.jump;
+import static org.cypressweir.common.util.Hashes.mix;
+import static org.cypressweir.common.util.Hashes.ranked;
+import static org.cypressweir.common.util.Hashes.uniform;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * <p>Ordinary path: a request walks from the node {its zone, its tenant's cell} and takes the cheaper of
  * two ready servers by peak-EWMA latency x (1 + in-flight). Each exception says when it acts.
  */
-public final class Choice implements LoadBalancer {
+public final class SubsetLoadBalancer implements LoadBalancer {
 
     /** Servers that a cell is meant to hold in each zone, and how far a tenant's cells exceed its share. */
     private static final double CELL_PER_ZONE = 4, OPEN_CELLS = 3;
@@ -92,36 +92,36 @@
 
     private final Map<Long, Backend> backends = new LinkedHashMap<>();
     /** The subset tree of the ready servers, by zone and cell. */
-    private final Subsets<Backend> tree = new Subsets<>(2);
+    private final SubsetTree<Backend> tree = new SubsetTree<>(2);
     private final int zones;
     /** Servers that the count of cells may move and that are still in their old cell. */
     private final ArrayDeque<Backend> unsettled = new ArrayDeque<>();
     /** The nodes that a request of a cell walks, until the tree or the zone used is another. */
-    private final Map<Integer, List<Roster<Backend>>> paths = new HashMap<>();
+    private final Map<Integer, List<IndexedMembers<Backend>>> paths = new HashMap<>();
 
     private int[][] tenantCells = new int[0][], ownCells = new int[0][];
     /** Many quiet sidecars for few servers: own in-flight and samples say little, connections cost much. */
     private boolean sparse;
     private final Map<String, Pending> requests = new HashMap<>();
     private final Map<Long, Pending> timers = new HashMap<>();
-    private final HeldQueue<Pending> held = new HeldQueue<>(LOTS);
+    private final PendingRequestQueue<Pending> held = new PendingRequestQueue<>(LOTS);
     private boolean looking;
     /** Requests in hand and held under each of the operators' bounds. */
-    private final Tally inHand = new Tally(), waiting = new Tally();
+    private final CounterMap inHand = new CounterMap(), waiting = new CounterMap();
     private long lastToken;
 
-    private final Faults faults;
+    private final FailureRates faults;
     private double[] usualMicros = {};
     private final int tenants;
-    private final Shares shares;
-    private final Fading rate, setup;
-    private final Remeasured warmth = new Remeasured(50_000);
+    private final WeightedAccounts shares;
+    private final DecayingMean rate, setup;
+    private final CachedMeasurement warmth = new CachedMeasurement(50_000);
 
-    private final Means kindPace = new Means(1, POOL_WEIGHT), zonePace = new Means(1, POOL_WEIGHT);
+    private final EwmaTable kindPace = new EwmaTable(1, POOL_WEIGHT), zonePace = new EwmaTable(1, POOL_WEIGHT);
     private double aimMicros, usualHint, retryTokens = RETRY_SAVED / 2;
     private long taken;
     /** Further attempts against the requests taken, where the site sets a budget. */
-    private final WindowBudget extras;
+    private final SlidingWindowBudget extras;
     /** Attempts as sent, and the slow ones among them by when they hang; those that have ended are passed
      * over. */
     private final Set<Attempt> outstanding = new LinkedHashSet<>();
@@ -133,7 +133,7 @@
     private int cells, home, ejected, askFailures;
 
     /** A server and all that this instance knows of it; kept by id when the tree is rebuilt. */
-    private static final class Backend extends Subsets.Member {
+    private static final class Backend extends SubsetTree.Member {
         final long id;
         Server line;
         boolean usable, listed;
@@ -153,9 +153,9 @@
         long usedAt, connectAt, returnedAt;
         int connectFailures;
         boolean opened, maybeDead, full;
-        final Faults.Of faults;
+        final FailureRates.Of faults;
 
-        Backend(long id, int rank, Faults.Of faults) {
+        Backend(long id, int rank, FailureRates.Of faults) {
             this.id = id;
             order = mix(id, rank);
             this.faults = faults;
@@ -189,7 +189,7 @@
     }
 
     /** A request from its arrival until the last of its attempts has ended. */
-    private static final class Pending extends HeldQueue.Item {
+    private static final class Pending extends PendingRequestQueue.Item {
         Request request;
         RequestClass rules;
         long arrivedAt, aimAt, luck;
@@ -199,22 +199,22 @@
         final List<Attempt> attempts = new ArrayList<>(2);
     }
 
-    public Choice(Settings settings, Actions actions) {
+    public SubsetLoadBalancer(Settings settings, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         limits = settings.limits();
         Rules rules = settings.rules();
         extras = rules.lookBackMicros() == 0 ? null
-                : new WindowBudget(rules.lookBackMicros(), rules.extraFloor(), rules.extraPerRequest());
+                : new SlidingWindowBudget(rules.lookBackMicros(), rules.extraFloor(), rules.extraPerRequest());
         random = new SplittableRandom(settings.seed());
         zones = Math.max(1, settings.zones().size());
         classes(List.of());
-        faults = new Faults(FAULT_MEMORY * aimMicros, POOL_WEIGHT);
-        shares = new Shares(settings.tenants().stream().map(Tenant::share).toList(), SHARE_SLACK);
+        faults = new FailureRates(FAULT_MEMORY * aimMicros, POOL_WEIGHT);
+        shares = new WeightedAccounts(settings.tenants().stream().map(Tenant::share).toList(), SHARE_SLACK);
         tenants = Math.max(1, settings.tenants().size());
         rateSpan = 2.0 * Math.max(1, rules.fallMicros());
-        rate = new Fading(rateSpan, 0);
-        setup = new Fading(FAULT_MEMORY * aimMicros, SETUP_WEIGHT);
+        rate = new DecayingMean(rateSpan, 0);
+        setup = new DecayingMean(FAULT_MEMORY * aimMicros, SETUP_WEIGHT);
         boolean probing = limits.probing() && settings.reports() != ReportSource.NONE;
         probesPerRequest = !probing ? 0 : Math.min(4, PROBE_SPEND / Math.max(settings.probePrice(), 1e-6));
     }
@@ -309,7 +309,7 @@
     private void place(Backend b) {
         if (b.isIn()) tree.remove(b);
         if (!b.usable) return;
-        int zone = b.line.zone() < zones ? Math.max(Subsets.ANY, b.line.zone()) : Subsets.ANY;
+        int zone = b.line.zone() < zones ? Math.max(SubsetTree.ANY, b.line.zone()) : SubsetTree.ANY;
         tree.add(b, sparse ? b.order : mix(b.id, -1), zone, cell(b));
     }
 
@@ -395,7 +395,7 @@
     }
 
     private int zoneSize(int zone) {
-        return tree.node(zone, Subsets.ANY).size();
+        return tree.node(zone, SubsetTree.ANY).size();
     }
 
     // ---- Requests
@@ -498,7 +498,7 @@
         if (probesPerRequest == 0 || tree.size() == 0) return false;
         if (p.looks++ == 0) probeTokens = Math.min(4 * probesPerRequest, probeTokens + probesPerRequest);
         int asked = 0;
-        for (Roster<Backend> node : path(p)) {
+        for (IndexedMembers<Backend> node : path(p)) {
             for (int i = 0; i < Math.min(DRAWS, node.size()); i++) {
                 if (asked >= LOOK_WIDTH || probeTokens < 1) break;
                 Backend b = node.get(node.size() <= DRAWS ? i : random.nextInt(node.size()));
@@ -514,10 +514,10 @@
         return asked > 0;
     }
 
-    private List<Roster<Backend>> path(Pending p) {
+    private List<IndexedMembers<Backend>> path(Pending p) {
         int cell = p.cell % cells;
-        return paths.computeIfAbsent(cell, c -> List.of(tree.node(home, c), tree.node(Subsets.ANY, c),
-                tree.node(home, Subsets.ANY), tree.node(Subsets.ANY, Subsets.ANY)));
+        return paths.computeIfAbsent(cell, c -> List.of(tree.node(home, c), tree.node(SubsetTree.ANY, c),
+                tree.node(home, SubsetTree.ANY), tree.node(SubsetTree.ANY, SubsetTree.ANY)));
     }
 
     /** Sends the request, or holds it in the queue. */
@@ -598,7 +598,7 @@
         // While idle connections die, fewer servers keep each connection in use.
         int keep = (trust(now) == Long.MAX_VALUE ? KEEP : 0) + (int) Math.ceil(rate(now) * usual(p));
         if (!sparse) keep = Integer.MAX_VALUE;
-        for (Roster<Backend> node : path(p)) {
+        for (IndexedMembers<Backend> node : path(p)) {
             Backend pick = node.size() > WALK && (!sparse || byKey(p)) ? draw(now, p, node, best != null)
                     : pick(now, p, node, keep, best != null);
             if (pick == null || pick == best) continue;
@@ -616,7 +616,7 @@
      * hash where servers remember keys, the first unless much dearer; in a wider node the cheapest. One of
      * many sidecars looks at the first of its own order only (deterministic subsetting), so that it keeps few
      * connections; the next ones step in for the sick and full. Harm: fewer servers to choose from. */
-    private Backend pick(long now, Pending p, Roster<Backend> node, int keep, boolean cheapest) {
+    private Backend pick(long now, Pending p, IndexedMembers<Backend> node, int keep, boolean cheapest) {
         boolean keyed = !cheapest && byKey(p);
         int count = 0, most = keyed ? node.size() : Math.min(keep, node.size());
         Backend first = null, second = null;
@@ -650,7 +650,7 @@
      * bounded number of times; by key along the ring of the members from the key's hash. The ejected, which
      * no draw takes, have their trials in turn. One member, drawn once for each request, has the chance of a
      * cold one: a share of its fair part, as if all were walked. */
-    private Backend draw(long now, Pending p, Roster<Backend> node, boolean cheapest) {
+    private Backend draw(long now, Pending p, IndexedMembers<Backend> node, boolean cheapest) {
         int size = node.size();
         for (int i = 0; !cheapest && i < Math.min(TRIALS, node.marked()); i++) {
             Backend b = node.nextMarked();
--- a/src/main/java/larkbank/Subsets.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SubsetTree.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -9,14 +9,14 @@
  * when it is first asked for and patched from then on. A member is in the tree once. Members of a node have
  * an order, by their place and then by when they came, so that a ring walk and a subset of one's own are
  * cheap. */
-final class Subsets<M extends Subsets.Member> {
+final class SubsetTree<M extends SubsetTree.Member> {
 
     /** Stands for any value of a key; as a label, for none. */
     static final int ANY = -1;
     private static final int INSERT = 0, REMOVE = 1, MARK = 2;
 
     /** What can be in the tree; its labels and place hold from when it is added until it is removed. */
-    abstract static class Member extends Roster.Member {
+    abstract static class Member extends IndexedMembers.Member {
         int[] labels;
 
         final boolean isIn() {
@@ -27,7 +27,7 @@
     private static final class Branch<M extends Member> {
         /** By value, the first for any. */
         private final List<Branch<M>> next = new ArrayList<>(1);
-        private Roster<M> node;
+        private IndexedMembers<M> node;
 
         private Branch<M> at(int value) {
             return value + 1 < next.size() ? next.get(value + 1) : null;
@@ -48,7 +48,7 @@
     private Branch<M> root = new Branch<>();
 
     /** A tree over so many label keys. */
-    Subsets(int keys) {
+    SubsetTree(int keys) {
         for (int k = 0; k < keys; k++) index.add(new ArrayList<>());
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** The node of these values, one for each key. */
-    Roster<M> node(int... values) {
+    IndexedMembers<M> node(int... values) {
         Branch<M> at = root;
         for (int value : values) at = at.make(value);
         if (at.node == null) at.node = build(values);
@@ -111,14 +111,14 @@
         return values.get(value);
     }
 
-    private Roster<M> build(int[] values) {
+    private IndexedMembers<M> build(int[] values) {
         all.clear();
         all.or(taken);
         for (int k = 0; k < values.length; k++) if (values[k] >= 0) all.and(bits(k, values[k]));
         Member[] found = new Member[all.cardinality()];
         int count = 0;
         for (int i = all.nextSetBit(0); i >= 0; i = all.nextSetBit(i + 1)) found[count++] = members.get(i);
-        return new Roster<>(found);
+        return new IndexedMembers<>(found);
     }
 
     /** Visits the nodes that exist and that the member belongs to: two ways at each key. */
--- a/src/main/java/larkbank/Shares.java
+++ b/src/main/java/org/cypressweir/loadbalancing/WeightedAccounts.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.Arrays;
 import java.util.List;
@@ -8,7 +8,7 @@
  * known.
  * An account is brought up to date when it is spent from, which costs the same however many there are.
  */
-final class Shares {
+final class WeightedAccounts {
 
     private final double[] shares;
     private final double[] credit;
@@ -20,7 +20,7 @@
     private long spent;
 
     /** With shares of any sum; an account may be ahead or behind by the slack. */
-    Shares(List<Double> shares, double slack) {
+    WeightedAccounts(List<Double> shares, double slack) {
         double sum = shares.stream().mapToDouble(s -> s).sum();
         this.shares = shares.stream().mapToDouble(s -> sum <= 0 ? 0 : s / sum).toArray();
         this.slack = slack;
--- a/src/main/java/larkbank/bridge/Paint.java
+++ b/src/main/java/org/cypressweir/meshctl/AnsiStyle.java
@@ -1,14 +1,14 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 /** Colour, where a terminal shows it. */
-record Paint(boolean on) {
+record AnsiStyle(boolean on) {
 
-    static final Paint OFF = new Paint(false);
+    static final AnsiStyle OFF = new AnsiStyle(false);
 
     /** On where both ends are a terminal and nobody has said that no colour is wanted. */
-    static Paint usual() {
+    static AnsiStyle usual() {
         String term = System.getenv("TERM");
-        return new Paint(
+        return new AnsiStyle(
                 System.console() != null && System.getenv("NO_COLOR") == null && term != null && !term.equals("dumb"));
     }
 
--- a/src/main/java/larkbank/bridge/BeginCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/BootstrapCommand.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -10,8 +10,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.Callable;
-import larkbank.lading.Calls;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -27,7 +27,7 @@
         description = "Tells one blank harbour to begin with an empty configuration, alone. All that was "
                 + "ever acknowledged is given up: only for a system whose disks are lost.",
         footer = "Exit status: 5 where the harbour refuses.")
-final class BeginCommand implements Callable<Integer> {
+final class BootstrapCommand implements Callable<Integer> {
 
     private static final Duration PATIENCE = Duration.ofSeconds(5);
 
@@ -59,18 +59,18 @@
                 .connectTimeout(PATIENCE)
                 .build()
                 .send(
-                        HttpRequest.newBuilder(URI.create("http://" + harbour + Calls.BEGIN.path()))
+                        HttpRequest.newBuilder(URI.create("http://" + harbour + ApiCall.BEGIN.path()))
                                 .timeout(PATIENCE)
                                 .POST(HttpRequest.BodyPublishers.ofByteArray(
-                                        Scribe.bytes(Scribe.map("confirm", true, "abandon", abandon))))
+                                        JsonCodec.bytes(JsonCodec.map("confirm", true, "abandon", abandon))))
                                 .build(),
                         HttpResponse.BodyHandlers.ofByteArray());
         if (answer.statusCode() == 200) {
             spec.commandLine().getOut().println(harbour + " begins with nothing.");
-            return Bridge.DONE;
+            return MeshCtl.DONE;
         }
         err.println(
                 "cypressweir: " + harbour + " refuses: " + new String(answer.body(), StandardCharsets.UTF_8).strip());
-        return Bridge.DIFFERENT;
+        return MeshCtl.DIFFERENT;
     }
 }
--- a/src/main/java/larkbank/bridge/Mending.java
+++ b/src/main/java/org/cypressweir/meshctl/ChangeRepairer.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
  * A change whose faults are mended one after the other, so that the next can be found. What it becomes is
  * good for nothing else.
  */
-final class Mending {
+final class ChangeRepairer {
 
     private static final String STUB = "a service that stands in for others";
     /** Values that are good in any item; null: the field goes. */
@@ -19,7 +19,7 @@
     private int mended;
 
     @SuppressWarnings("unchecked")
-    Mending(Map<String, Object> order) {
+    ChangeRepairer(Map<String, Object> order) {
         this.order = (Map<String, Object>) copy(order);
     }
 
@@ -52,9 +52,9 @@
     }
 
     /** Mends the fault that a harbour's reason tells of; null where that can't be. */
-    Flaw mend(String reason) {
+    ValidationError mend(String reason) {
         if (reason.endsWith("\" is unknown") && order.keySet().removeIf(k -> reason.startsWith("\"" + k + "\""))) {
-            return Flaw.of(reason);
+            return ValidationError.of(reason);
         } else if (reason.startsWith("withdraw.")) {
             return withdrawn(reason);
         }
@@ -77,13 +77,13 @@
             }
             // The table itself is none.
             tables.remove(table);
-            return new Flaw(table, text.substring(table.length()).trim());
+            return new ValidationError(table, text.substring(table.length()).trim());
         }
         return null;
     }
 
     /** An entry of the withdrawn goes, or all of its table. */
-    private Flaw withdrawn(String reason) {
+    private ValidationError withdrawn(String reason) {
         String place = reason.split(" ", 2)[0];
         String table = place.split("[\\[.]", 3)[1];
         Map<String, Object> tables = object(order, "withdraw");
@@ -94,7 +94,7 @@
         } else {
             tables.remove(table);
         }
-        return Flaw.of(reason);
+        return ValidationError.of(reason);
     }
 
     /** The longest name of an item that the text goes on with. */
@@ -111,7 +111,7 @@
         return best;
     }
 
-    private Flaw item(Map<String, Object> items, String table, String name, String rest) {
+    private ValidationError item(Map<String, Object> items, String table, String name, String rest) {
         String place = table + "." + name;
         if (rest.startsWith(".") && items.get(name) instanceof Map<?, ?>) {
             return field(object(items, name), place, rest.substring(1));
@@ -121,13 +121,13 @@
             String service =
                     rest.trim().substring(unknown.length(), rest.trim().length() - ", which is unknown".length());
             swap(object(items, name), service);
-            return new Flaw(place, rest.trim());
+            return new ValidationError(place, rest.trim());
         }
         items.remove(name);
-        return new Flaw(place, rest.trim());
+        return new ValidationError(place, rest.trim());
     }
 
-    private Flaw field(Map<String, Object> item, String place, String rest) {
+    private ValidationError field(Map<String, Object> item, String place, String rest) {
         int end = rest.indexOf(' ');
         String path = end < 0 ? rest : rest.substring(0, end);
         String field = path.split("[\\[.]", 2)[0];
@@ -147,7 +147,7 @@
             item.put(field, value);
         }
         stub();
-        return new Flaw(place + "." + path, end < 0 ? "is wrong" : rest.substring(end + 1));
+        return new ValidationError(place + "." + path, end < 0 ? "is wrong" : rest.substring(end + 1));
     }
 
     /** The stub in place of a service that is not there. */
--- a/src/main/java/larkbank/bridge/CheckCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/CheckCommand.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -33,16 +33,16 @@
     }
 
     /** Checks a file; its faults go to standard output, since they are what was asked for. */
-    private static int check(Path file, CommandSpec spec, Function<byte[], List<Flaw>> check) {
+    private static int check(Path file, CommandSpec spec, Function<byte[], List<ValidationError>> check) {
         PrintWriter out = spec.commandLine().getOut();
         byte[] bytes = read(file, spec);
         if (bytes == null) {
-            return Bridge.NOBODY;
+            return MeshCtl.NOBODY;
         }
-        List<Flaw> flaws = check.apply(bytes);
+        List<ValidationError> flaws = check.apply(bytes);
         flaws.forEach(flaw -> out.println(file + ": " + flaw));
         out.flush();
-        return flaws.isEmpty() ? Bridge.DONE : Bridge.BAD;
+        return flaws.isEmpty() ? MeshCtl.DONE : MeshCtl.BAD;
     }
 
     private static byte[] read(Path file, CommandSpec spec) {
@@ -99,13 +99,13 @@
         public Integer call() {
             byte[] on = base == null ? null : read(base, spec);
             if (base != null && on == null) {
-                return Bridge.NOBODY;
+                return MeshCtl.NOBODY;
             }
-            List<Flaw> wrong = on == null ? List.of() : ConfigCheck.flaws(on, null);
+            List<ValidationError> wrong = on == null ? List.of() : ConfigurationCheck.flaws(on, null);
             if (!wrong.isEmpty()) {
                 return check(base, spec, bytes -> wrong);
             }
-            return check(file, spec, bytes -> ConfigCheck.flaws(bytes, on));
+            return check(file, spec, bytes -> ConfigurationCheck.flaws(bytes, on));
         }
     }
 }
--- a/src/main/java/larkbank/bridge/Completing.java
+++ b/src/main/java/org/cypressweir/meshctl/CommandCompleter.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.List;
 import java.util.Set;
@@ -11,14 +11,14 @@
 import picocli.shell.jline3.PicocliJLineCompleter;
 
 /** What may come next in a line: commands, options, and after some options the columns of the command. */
-final class Completing implements Completer {
+final class CommandCompleter implements Completer {
 
     private static final Set<String> TAKE_COLUMNS = Set.of("--columns", "--sort", "--where");
 
     private final CommandSpec spec;
     private final Completer commands;
 
-    Completing(CommandSpec spec) {
+    CommandCompleter(CommandSpec spec) {
         this.spec = spec;
         commands = new PicocliJLineCompleter(spec);
     }
--- a/src/main/java/larkbank/bridge/ShownCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/ConfigStatusCommand.java
@@ -1,11 +1,11 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -16,7 +16,7 @@
         versionProvider = Version.class,
         description = "Versions of items, with how many and who shows each; two lines of one item are two "
                 + "versions. A dash: those don't show the item at all.")
-final class ShownCommand extends Query {
+final class ConfigStatusCommand extends Query {
 
     @Parameters(arity = "0..1", paramLabel = "NAME", description = "Only items of that name.")
     private String wanted;
@@ -47,13 +47,13 @@
     }
 
     @Override
-    List<Map<String, Object>> table(List<Said> heard) {
+    List<Map<String, Object>> table(List<NodeResponse> heard) {
         Map<String, Map<String, Map<String, Object>>> items = new TreeMap<>();
         Map<String, List<String>> holders = new LinkedHashMap<>();
-        for (Said one : heard) {
+        for (NodeResponse one : heard) {
             for (Map<String, Object> item : rows(one.state())) {
                 if (wanted == null || wanted.equals(item.get("name"))) {
-                    Map<String, Object> row = Scribe.map(
+                    Map<String, Object> row = JsonCodec.map(
                             "table",
                             item.get("table"),
                             "name",
@@ -74,7 +74,8 @@
         items.forEach((key, versions) -> {
             rows.addAll(versions.values());
             Map<String, Object> any = versions.values().iterator().next();
-            Map<String, Object> none = Scribe.map("table", any.get("table"), "name", any.get("name"), "version", "-");
+            Map<String, Object> none =
+                    JsonCodec.map("table", any.get("table"), "name", any.get("name"), "version", "-");
             heard.stream().filter(one -> !holders.get(key).contains(one.at())).forEach(one -> add(none, one));
             if (none.containsKey("who")) {
                 rows.add(none);
@@ -83,7 +84,7 @@
         return rows;
     }
 
-    private static void add(Map<String, Object> row, Said said) {
+    private static void add(Map<String, Object> row, NodeResponse said) {
         row.merge("count", 1L, (a, b) -> (Long) a + (Long) b);
         row.merge("who", said.name().isEmpty() ? said.at() : said.name(), (a, b) -> a + "," + b);
     }
--- a/src/main/java/larkbank/bridge/SightsCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/ConnectivityCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code sights}: who hears whom, and whom somebody misses. */
@@ -13,7 +13,7 @@
         versionProvider = Version.class,
         description = "Who watches whom, and how it is seen: heard, silent, down (refused or lost), gone "
                 + "(taken out without a word).")
-final class SightsCommand extends Query {
+final class ConnectivityCommand extends Query {
 
     /** A pilot's line to a pilot is silent for operators after so long. */
     private static final long SILENT_MS = 6_000;
@@ -59,7 +59,7 @@
 
     private static Map<String, Object> row(
             Map<String, Object> state, String sees, Map<String, Object> one, String as, Object age) {
-        return Scribe.map(
+        return JsonCodec.map(
                 "name",
                 state.get("name"),
                 "kind",
--- a/src/main/java/larkbank/bridge/DiffCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/DiffCommand.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    List<Map<String, Object>> table(List<Said> heard) {
+    List<Map<String, Object>> table(List<NodeResponse> heard) {
         List<Map<String, Object>> rows = new ArrayList<>();
         if (heard.size() < 2) {
             return rows;
@@ -67,7 +67,7 @@
         all.addAll(right.keySet());
         for (String what : all) {
             if (!Objects.equals(left.get(what), right.get(what))) {
-                rows.add(Scribe.map("what", what, "a", left.get(what), "b", right.get(what)));
+                rows.add(JsonCodec.map("what", what, "a", left.get(what), "b", right.get(what)));
             }
         }
         return rows;
@@ -76,29 +76,33 @@
     /** @param alike whether both are of one kind: then also what only that kind knows */
     private static Map<String, String> facts(Map<String, Object> state, boolean alike) {
         Map<String, String> facts = new TreeMap<>();
-        facts.put("stamp", Sheet.text(state.get("stamp")));
+        facts.put("stamp", TablePrinter.text(state.get("stamp")));
         for (Map<String, Object> item : objects(state, "list")) {
             facts.put(
                     "item " + item.get("table") + "." + item.get("name"),
-                    Sheet.text(item.get("version")) + (Boolean.TRUE.equals(item.get("withdrawn")) ? " withdrawn" : ""));
+                    TablePrinter.text(item.get("version"))
+                            + (Boolean.TRUE.equals(item.get("withdrawn")) ? " withdrawn" : ""));
         }
         objects(state, "berths").forEach(one -> {
-            facts.put("pilot " + one.get("name"), Sheet.text(one.get("address")));
-            server(one, Sheet.text(one.get("name")), Sheet.text(one.get("service")), facts);
+            facts.put("pilot " + one.get("name"), TablePrinter.text(one.get("address")));
+            server(one, TablePrinter.text(one.get("name")), TablePrinter.text(one.get("service")), facts);
         });
-        objects(state, "pilots").forEach(one -> facts.put("pilot " + one.get("name"), Sheet.text(one.get("address"))));
-        Scribe.object(state, "services").forEach((service, list) -> objects(Scribe.object(state, "services"), service)
-                .forEach(one -> {
-                    server(one, Sheet.text(one.get("pilot")), service, facts);
-                    if (alike) {
-                        facts.put("chosen " + one.get("server"), Sheet.text(one.get("chosen")));
-                    }
-                }));
+        objects(state, "pilots")
+                .forEach(one -> facts.put("pilot " + one.get("name"), TablePrinter.text(one.get("address"))));
+        JsonCodec.object(state, "services")
+                .forEach((service, list) -> objects(JsonCodec.object(state, "services"), service)
+                        .forEach(one -> {
+                            server(one, TablePrinter.text(one.get("pilot")), service, facts);
+                            if (alike) {
+                                facts.put("chosen " + one.get("server"), TablePrinter.text(one.get("chosen")));
+                            }
+                        }));
         if (alike) {
             facts.put("crew", String.join(",", new TreeSet<>(crew(state))));
             if (state.get("kind").equals("pilot")) {
                 objects(state, "harbours")
-                        .forEach(one -> facts.put("heard harbour " + one.get("address"), Sheet.text(one.get("heard"))));
+                        .forEach(one ->
+                                facts.put("heard harbour " + one.get("address"), TablePrinter.text(one.get("heard"))));
             }
         }
         return facts;
@@ -106,23 +110,23 @@
 
     private static List<String> crew(Map<String, Object> state) {
         return state.get("crew") instanceof List<?> list
-                ? list.stream().map(Sheet::text).toList()
+                ? list.stream().map(TablePrinter::text).toList()
                 : List.of();
     }
 
     private static void server(Map<String, Object> one, String pilot, String service, Map<String, String> facts) {
-        String id = Sheet.text(one.get("server"));
+        String id = TablePrinter.text(one.get("server"));
         if (!id.isEmpty()) {
             facts.put(
                     "server " + id,
-                    service + " at " + pilot + ", " + Sheet.text(one.get("slots"))
+                    service + " at " + pilot + ", " + TablePrinter.text(one.get("slots"))
                             + " slots" + (Boolean.TRUE.equals(one.get("draining")) ? ", drains" : "")
                             + (Boolean.TRUE.equals(one.get("leaving")) ? ", leaves" : ""));
         }
     }
 
     @Override
-    int status(Sheet sheet) {
-        return sheet.rows().isEmpty() ? Bridge.DONE : Bridge.DIFFERENT;
+    int status(TablePrinter sheet) {
+        return sheet.rows().isEmpty() ? MeshCtl.DONE : MeshCtl.DIFFERENT;
     }
 }
--- a/src/main/java/larkbank/bridge/Asker.java
+++ b/src/main/java/org/cypressweir/meshctl/FanOutClient.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.IOException;
 import java.net.ConnectException;
@@ -14,15 +14,15 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 
 /** Makes a call to all addresses at once; each has the same time to answer. */
-final class Asker {
+final class FanOutClient {
 
     private final HttpClient client;
     private final Duration patience;
 
-    Asker(long patienceMillis) {
+    FanOutClient(long patienceMillis) {
         patience = Duration.ofMillis(patienceMillis);
         client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
@@ -31,31 +31,31 @@
     }
 
     /** One answer for each address, in their order. */
-    List<Said> ask(List<String> addresses, String path) {
-        List<CompletableFuture<Said>> asked =
+    List<NodeResponse> ask(List<String> addresses, String path) {
+        List<CompletableFuture<NodeResponse>> asked =
                 addresses.stream().map(at -> ask(at, path)).toList();
         return asked.stream().map(CompletableFuture::join).toList();
     }
 
-    private CompletableFuture<Said> ask(String at, String path) {
+    private CompletableFuture<NodeResponse> ask(String at, String path) {
         URI uri = URI.create("http://" + at + path);
         HttpRequest request =
                 HttpRequest.newBuilder(uri).timeout(patience).GET().build();
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray())
                 .orTimeout(patience.toMillis(), TimeUnit.MILLISECONDS)
                 .thenApply(answer -> said(at, answer))
-                .exceptionally(e -> new Said(at, "", null, why(e)));
+                .exceptionally(e -> new NodeResponse(at, "", null, why(e)));
     }
 
-    private static Said said(String at, HttpResponse<byte[]> answer) {
+    private static NodeResponse said(String at, HttpResponse<byte[]> answer) {
         if (answer.statusCode() != 200) {
-            return new Said(at, "", null, "answers " + answer.statusCode());
+            return new NodeResponse(at, "", null, "answers " + answer.statusCode());
         }
         try {
-            Map<String, Object> state = Scribe.read(answer.body(), 0, answer.body().length);
-            return new Said(at, Scribe.text(state, "name"), state, null);
+            Map<String, Object> state = JsonCodec.read(answer.body(), 0, answer.body().length);
+            return new NodeResponse(at, JsonCodec.text(state, "name"), state, null);
         } catch (IOException e) {
-            return new Said(at, "", null, "answers what is no JSON");
+            return new NodeResponse(at, "", null, "answers what is no JSON");
         }
     }
 
--- a/src/main/java/larkbank/bridge/FleetCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/FleetCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code fleet}: pilots and servers, as a harbour or a pilot knows them. */
@@ -35,13 +35,13 @@
     List<Map<String, Object>> rows(Map<String, Object> state) {
         List<Map<String, Object>> rows = new ArrayList<>();
         for (Map<String, Object> berth : objects(state, "berths")) {
-            Map<String, Object> row = Scribe.map("pilot", berth.get("name"));
+            Map<String, Object> row = JsonCodec.map("pilot", berth.get("name"));
             row.putAll(berth);
             rows.add(row);
         }
-        Map<String, Object> services = Scribe.object(state, "services");
+        Map<String, Object> services = JsonCodec.object(state, "services");
         services.keySet().forEach(service -> objects(services, service).forEach(server -> {
-            Map<String, Object> row = Scribe.map("service", service);
+            Map<String, Object> row = JsonCodec.map("service", service);
             row.putAll(server);
             rows.add(row);
         }));
--- a/src/main/java/larkbank/bridge/Muster.java
+++ b/src/main/java/org/cypressweir/meshctl/FleetDiscovery.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 
 /**
  * Asks whoever is given, then all that those tell of, until nobody new is told of. Each process is in the
  * list once, with its answer or why there is none: nobody who is told of is left out.
  */
-final class Muster {
+final class FleetDiscovery {
 
-    private final Function<List<String>, List<Said>> ask;
-    private final Map<String, Said> answers = new LinkedHashMap<>();
+    private final Function<List<String>, List<NodeResponse>> ask;
+    private final Map<String, NodeResponse> answers = new LinkedHashMap<>();
     private final Set<String> identities = new HashSet<>();
     /** Names that are told of addresses to ask at. */
     private final Map<String, String> names = new HashMap<>();
@@ -28,15 +28,15 @@
     private final Set<String> known = new HashSet<>();
 
     /** @param ask for the states of some addresses, at once */
-    Muster(Function<List<String>, List<Said>> ask) {
+    FleetDiscovery(Function<List<String>, List<NodeResponse>> ask) {
         this.ask = ask;
     }
 
-    List<Said> of(List<String> given) {
+    List<NodeResponse> of(List<String> given) {
         Set<String> next = new LinkedHashSet<>(given);
         while (!next.isEmpty()) {
             Set<String> told = new LinkedHashSet<>();
-            for (Said said : ask.apply(List.copyOf(next))) {
+            for (NodeResponse said : ask.apply(List.copyOf(next))) {
                 answers.put(said.at(), said);
                 if (!said.silent() && !isTwice(said)) {
                     told.addAll(told(said.state()));
@@ -45,26 +45,26 @@
             told.removeAll(answers.keySet());
             next = told;
         }
-        List<Said> all = new ArrayList<>();
+        List<NodeResponse> all = new ArrayList<>();
         answers.values()
                 .forEach(said -> all.add(
                         said.silent()
-                                ? new Said(said.at(), names.getOrDefault(said.at(), ""), null, said.why())
+                                ? new NodeResponse(said.at(), names.getOrDefault(said.at(), ""), null, said.why())
                                 : said));
         unknown.forEach((address, name) -> {
             if (!known.contains(address)) {
-                all.add(new Said(address, name, null, "nobody asked knows where it is asked"));
+                all.add(new NodeResponse(address, name, null, "nobody asked knows where it is asked"));
             }
         });
         return all;
     }
 
     /** Whether it has answered at another of its addresses already; then that answer is dropped. */
-    private boolean isTwice(Said said) {
-        known.add(Scribe.text(said.state(), "address"));
+    private boolean isTwice(NodeResponse said) {
+        known.add(JsonCodec.text(said.state(), "address"));
         boolean twice = !said.name().isEmpty()
-                && !identities.add(Scribe.text(said.state(), "kind") + " " + said.name() + " "
-                        + Scribe.text(said.state(), "control"));
+                && !identities.add(JsonCodec.text(said.state(), "kind") + " " + said.name() + " "
+                        + JsonCodec.text(said.state(), "control"));
         if (twice) {
             answers.remove(said.at());
         }
@@ -75,12 +75,12 @@
         List<String> told = new ArrayList<>();
         for (String kind : List.of("harbours", "berths", "pilots", "missed")) {
             for (Map<String, Object> one : Query.objects(state, kind)) {
-                String control = Scribe.text(one, "control");
-                String name = kind.equals("harbours") ? "a harbour" : Scribe.text(one, "name");
+                String control = JsonCodec.text(one, "control");
+                String name = kind.equals("harbours") ? "a harbour" : JsonCodec.text(one, "name");
                 if (control.isEmpty()) {
-                    unknown.putIfAbsent(Scribe.text(one, "address"), name);
+                    unknown.putIfAbsent(JsonCodec.text(one, "address"), name);
                 } else {
-                    known.add(Scribe.text(one, "address"));
+                    known.add(JsonCodec.text(one, "address"));
                     names.put(control, name);
                     told.add(control);
                 }
--- a/src/main/java/larkbank/bridge/Helmsman.java
+++ b/src/main/java/org/cypressweir/meshctl/InteractiveTerminal.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -11,26 +11,26 @@
 import org.jline.terminal.TerminalBuilder;
 
 /** Somebody at a terminal: lines are edited, kept and completed. The interrupt key ends a command only. */
-final class Helmsman {
+final class InteractiveTerminal {
 
     private static final int KEPT = 1_000;
 
-    private Helmsman() {}
+    private InteractiveTerminal() {}
 
     static int run(Shell shell, Path history) throws IOException {
         try (Terminal terminal =
                 TerminalBuilder.builder().system(true).dumb(true).build()) {
-            run(shell, terminal, history, Paint.usual());
+            run(shell, terminal, history, AnsiStyle.usual());
         }
-        return Bridge.DONE;
+        return MeshCtl.DONE;
     }
 
-    static void run(Shell shell, Terminal terminal, Path history, Paint paint) {
+    static void run(Shell shell, Terminal terminal, Path history, AnsiStyle paint) {
         PrintWriter out = terminal.writer();
         LineReader reader = LineReaderBuilder.builder()
                 .appName("bridge")
                 .terminal(terminal)
-                .completer(new Completing(shell.line(out, out, paint).getCommandSpec()))
+                .completer(new CommandCompleter(shell.line(out, out, paint).getCommandSpec()))
                 .variable(LineReader.HISTORY_FILE, history)
                 .variable(LineReader.HISTORY_SIZE, KEPT)
                 .variable(LineReader.HISTORY_FILE_SIZE, KEPT)
--- a/src/main/java/larkbank/bridge/ItemsCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/ItemsCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code items}: the configuration as it is shown where one asks. */
@@ -28,7 +28,7 @@
     List<Map<String, Object>> rows(Map<String, Object> state) {
         List<Map<String, Object>> rows = new ArrayList<>();
         for (Map<String, Object> item : objects(state, "list")) {
-            Map<String, Object> row = Scribe.map("stamp", state.get("stamp"));
+            Map<String, Object> row = JsonCodec.map("stamp", state.get("stamp"));
             row.putAll(item);
             row.put("to", to(item));
             row.keySet().retainAll(columns());
@@ -41,11 +41,12 @@
     static String to(Map<String, Object> item) {
         List<Map<String, Object>> services = objects(item, "services");
         return services.size() == 1
-                ? Sheet.text(services.get(0).get("service"))
+                ? TablePrinter.text(services.get(0).get("service"))
                 : String.join(
                         ",",
                         services.stream()
-                                .map(s -> Sheet.text(s.get("service")) + "=" + Sheet.text(s.get("weight")))
+                                .map(s ->
+                                        TablePrinter.text(s.get("service")) + "=" + TablePrinter.text(s.get("weight")))
                                 .toList());
     }
 }
--- a/src/main/java/larkbank/bridge/Bridge.java
+++ b/src/main/java/org/cypressweir/meshctl/MeshCtl.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.PrintWriter;
 import java.util.List;
@@ -31,18 +31,18 @@
             FleetCommand.class,
             ItemsCommand.class,
             RouteCommand.class,
-            CopiesCommand.class,
-            ShownCommand.class,
-            SightsCommand.class,
-            TalliesCommand.class,
-            RefusalsCommand.class,
+            ReplicasCommand.class,
+            ConfigStatusCommand.class,
+            ConnectivityCommand.class,
+            QuotasCommand.class,
+            RejectionsCommand.class,
             WhyCommand.class,
             DiffCommand.class,
             StateCommand.class,
-            BeginCommand.class,
+            BootstrapCommand.class,
             HelpCommand.class
         })
-final class Bridge implements Runnable {
+public final class MeshCtl implements Runnable {
 
     static final int DONE = 0;
     /** Nobody answers, or a file can't be read. */
@@ -56,13 +56,13 @@
     static final int DIFFERENT = 5;
 
     private final List<String> usual;
-    private final Paint paint;
+    private final AnsiStyle paint;
 
     @Spec
     private CommandSpec spec;
 
     /** @param usual whom questions ask that name nobody */
-    Bridge(List<String> usual, Paint paint) {
+    MeshCtl(List<String> usual, AnsiStyle paint) {
         this.usual = usual;
         this.paint = paint;
     }
@@ -71,19 +71,19 @@
         return usual;
     }
 
-    Paint paint() {
+    AnsiStyle paint() {
         return paint;
     }
 
     /** Runs a command; the exit status. */
-    static int run(String... args) {
-        return new Bridge(List.of(), Paint.usual())
+    public static int run(String... args) {
+        return new MeshCtl(List.of(), AnsiStyle.usual())
                 .line(new PrintWriter(System.out, true), new PrintWriter(System.err, true))
                 .execute(args);
     }
 
-    static int run(PrintWriter out, PrintWriter err, String... args) {
-        return new Bridge(List.of(), Paint.OFF).line(out, err).execute(args);
+    public static int run(PrintWriter out, PrintWriter err, String... args) {
+        return new MeshCtl(List.of(), AnsiStyle.OFF).line(out, err).execute(args);
     }
 
     /** All commands and some more, ready to be run once. */
--- a/src/main/java/larkbank/bridge/Said.java
+++ b/src/main/java/org/cypressweir/meshctl/NodeResponse.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.Map;
 
@@ -7,7 +7,7 @@
  *
  * @param name as others tell of it, or it itself; empty where nobody has
  */
-record Said(String at, String name, Map<String, Object> state, String why) {
+record NodeResponse(String at, String name, Map<String, Object> state, String why) {
 
     boolean silent() {
         return state == null;
--- a/src/main/java/larkbank/bridge/Query.java
+++ b/src/main/java/org/cypressweir/meshctl/Query.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import larkbank.Addresses;
-import larkbank.lading.Calls;
-import larkbank.lading.Scribe;
-import larkbank.papers.NodePapers;
+import org.cypressweir.common.settings.NodeSettings;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Addresses;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
@@ -69,11 +69,11 @@
     abstract List<Map<String, Object>> rows(Map<String, Object> state);
 
     /** Rows of all answers. */
-    List<Map<String, Object>> table(List<Said> heard) {
+    List<Map<String, Object>> table(List<NodeResponse> heard) {
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Said one : heard) {
+        for (NodeResponse one : heard) {
             for (Map<String, Object> row : rows(one.state())) {
-                Map<String, Object> whole = Scribe.map("at", one.at());
+                Map<String, Object> whole = JsonCodec.map("at", one.at());
                 whole.putAll(row);
                 rows.add(whole);
             }
@@ -92,10 +92,10 @@
     }
 
     /** Asks; who doesn't answer is among what comes back. */
-    List<Said> ask(Asker asker, List<String> addresses) {
-        String path = Calls.STATE.path() + (items() ? "?items" : "");
+    List<NodeResponse> ask(FanOutClient asker, List<String> addresses) {
+        String path = ApiCall.STATE.path() + (items() ? "?items" : "");
         return all || wide() && !only && addresses.size() == 1
-                ? new Muster(some -> asker.ask(some, path)).of(addresses)
+                ? new FleetDiscovery(some -> asker.ask(some, path)).of(addresses)
                 : asker.ask(addresses, path);
     }
 
@@ -111,8 +111,8 @@
     }
 
     /** The status where all have answered. */
-    int status(Sheet sheet) {
-        return Bridge.DONE;
+    int status(TablePrinter sheet) {
+        return MeshCtl.DONE;
     }
 
     final PrintWriter err() {
@@ -142,7 +142,7 @@
         if (timeout < 1 || watch < 0) {
             throw wrong("times are above 0");
         }
-        Asker asker = new Asker(timeout);
+        FanOutClient asker = new FanOutClient(timeout);
         while (true) {
             int status = once(asker, addresses, names);
             if (watch == 0) {
@@ -159,27 +159,27 @@
         }
     }
 
-    private int once(Asker asker, List<String> addresses, List<String> names) {
-        List<Said> said = ask(asker, addresses);
-        Sheet sheet = new Sheet(
+    private int once(FanOutClient asker, List<String> addresses, List<String> names) {
+        List<NodeResponse> said = ask(asker, addresses);
+        TablePrinter sheet = new TablePrinter(
                 names, table(said.stream().filter(one -> !one.silent()).toList()));
         for (String one : where) {
             int equals = one.indexOf('=');
             sheet = sheet.where(one.substring(0, equals), one.substring(equals + 1));
         }
         sheet = sort == null ? sheet : sheet.sorted(sort);
-        Sheet last = shown.isEmpty() ? sheet : sheet.cut(shown);
-        List<Said> silent = said.stream().filter(Said::silent).toList();
+        TablePrinter last = shown.isEmpty() ? sheet : sheet.cut(shown);
+        List<NodeResponse> silent = said.stream().filter(NodeResponse::silent).toList();
         show(last, silent, silent.size() == said.size());
-        return silent.size() == said.size() ? Bridge.NOBODY : !silent.isEmpty() ? Bridge.SOME_SILENT : status(sheet);
+        return silent.size() == said.size() ? MeshCtl.NOBODY : !silent.isEmpty() ? MeshCtl.SOME_SILENT : status(sheet);
     }
 
-    private void show(Sheet sheet, List<Said> silent, boolean nobody) {
+    private void show(TablePrinter sheet, List<NodeResponse> silent, boolean nobody) {
         if (json) {
             List<Object> names = new ArrayList<>();
-            silent.forEach(s -> names.add(Scribe.map("at", s.at(), "name", s.name(), "why", s.why())));
+            silent.forEach(s -> names.add(JsonCodec.map("at", s.at(), "name", s.name(), "why", s.why())));
             out().println(new String(
-                    Scribe.bytes(Scribe.map("rows", sheet.rows(), "silent", names)), StandardCharsets.UTF_8));
+                    JsonCodec.bytes(JsonCodec.map("rows", sheet.rows(), "silent", names)), StandardCharsets.UTF_8));
         } else if (!nobody) {
             List<String> lines = sheet.lines();
             out().println(bridge().paint().head(lines.get(0)));
@@ -190,8 +190,8 @@
         err().flush();
     }
 
-    private Bridge bridge() {
-        return (Bridge) spec.root().userObject();
+    private MeshCtl bridge() {
+        return (MeshCtl) spec.root().userObject();
     }
 
     private void checked(String address) {
@@ -207,7 +207,7 @@
         try {
             String address = file == null
                     ? null
-                    : NodePapers.read(Files.readAllBytes(Path.of(file)))
+                    : NodeSettings.read(Files.readAllBytes(Path.of(file)))
                             .map(papers -> papers.listen().get("controlPlane"))
                             .getOrNull();
             if (address != null) {
--- a/src/main/java/larkbank/bridge/TalliesCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/QuotasCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code tallies}: what tenants ask. */
@@ -13,7 +13,7 @@
         versionProvider = Version.class,
         description = "Requests a second that tenants ask for: at a harbour of the whole fleet, at a pilot "
                 + "there, with the tenant's rate and burst.")
-final class TalliesCommand extends Query {
+final class QuotasCommand extends Query {
 
     @Override
     boolean wide() {
@@ -28,11 +28,11 @@
     @Override
     List<Map<String, Object>> rows(Map<String, Object> state) {
         List<Map<String, Object>> rows = new ArrayList<>();
-        Scribe.object(state, "tallies")
+        JsonCodec.object(state, "tallies")
                 .forEach((tenant, asked) ->
-                        rows.add(Scribe.map("kind", state.get("kind"), "tenant", tenant, "asked", asked)));
+                        rows.add(JsonCodec.map("kind", state.get("kind"), "tenant", tenant, "asked", asked)));
         for (Map<String, Object> tenant : objects(state, "tenants")) {
-            Map<String, Object> row = Scribe.map("kind", state.get("kind"));
+            Map<String, Object> row = JsonCodec.map("kind", state.get("kind"));
             row.putAll(tenant);
             rows.add(row);
         }
--- a/src/main/java/larkbank/bridge/RefusalsCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/RejectionsCommand.java
@@ -1,10 +1,10 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code refusals}: answers of the mesh's own, by fault. */
@@ -14,7 +14,7 @@
         versionProvider = Version.class,
         description = "Answers of the mesh's own since a pilot's start, by fault; and its server: what runs, "
                 + "what waits, and its slots. A pilot that has refused nothing has one line without a fault.")
-final class RefusalsCommand extends Query {
+final class RejectionsCommand extends Query {
 
     @Override
     boolean wide() {
@@ -32,8 +32,8 @@
         if (!"pilot".equals(state.get("kind"))) {
             return rows;
         }
-        Scribe.object(state, "refusals")
-                .forEach((fault, count) -> rows.add(Scribe.map(
+        JsonCodec.object(state, "refusals")
+                .forEach((fault, count) -> rows.add(JsonCodec.map(
                         "name",
                         state.get("name"),
                         "fault",
@@ -41,9 +41,9 @@
                         "count",
                         count)));
         if (rows.isEmpty()) {
-            rows.add(Scribe.map("name", state.get("name"), "count", 0));
+            rows.add(JsonCodec.map("name", state.get("name"), "count", 0));
         }
-        Map<String, Object> own = Scribe.object(state, "own");
+        Map<String, Object> own = JsonCodec.object(state, "own");
         rows.forEach(row -> List.of("running", "waiting", "slots").forEach(figure -> row.put(figure, own.get(figure))));
         return rows;
     }
--- a/src/main/java/larkbank/bridge/CopiesCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/ReplicasCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.List;
 import java.util.Map;
-import larkbank.Json;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
 import picocli.CommandLine.Command;
 
 /** {@code copies}: which configuration stands where, and how copies are. */
@@ -13,7 +13,7 @@
         versionProvider = Version.class,
         description = "The configuration's stamp where one asks; of harbours their copies, and how many "
                 + "other harbours are heard.")
-final class CopiesCommand extends Query {
+final class ReplicasCommand extends Query {
 
     @Override
     boolean wide() {
@@ -38,7 +38,7 @@
 
     @Override
     List<Map<String, Object>> rows(Map<String, Object> state) {
-        Map<String, Object> row = Scribe.map();
+        Map<String, Object> row = JsonCodec.map();
         columns().forEach(column -> {
             if (state.get(column) != null) {
                 row.put(column, state.get(column));
--- a/src/main/java/larkbank/bridge/RouteCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/RouteCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -48,16 +48,16 @@
         String bare = path.split("\\?", 2)[0];
         Map<String, Object> best = null;
         for (Map<String, Object> item : objects(state, "list")) {
-            String prefix = Scribe.text(item, "prefix");
+            String prefix = JsonCodec.text(item, "prefix");
             if (!prefix.isEmpty()
-                    && Scribe.text(item, "host").equals(host.toLowerCase(Locale.ROOT))
+                    && JsonCodec.text(item, "host").equals(host.toLowerCase(Locale.ROOT))
                     && bare.startsWith(prefix)
                     && (best == null
-                            || prefix.length() > Scribe.text(best, "prefix").length())) {
+                            || prefix.length() > JsonCodec.text(best, "prefix").length())) {
                 best = item;
             }
         }
-        Map<String, Object> row = Scribe.map("stamp", state.get("stamp"), "route", "-");
+        Map<String, Object> row = JsonCodec.map("stamp", state.get("stamp"), "route", "-");
         if (best != null) {
             row.putAll(best);
             row.put("route", best.get("name"));
@@ -68,7 +68,7 @@
     }
 
     @Override
-    int status(Sheet sheet) {
-        return sheet.rows().stream().anyMatch(row -> "-".equals(row.get("route"))) ? Bridge.NO_ROUTE : Bridge.DONE;
+    int status(TablePrinter sheet) {
+        return sheet.rows().stream().anyMatch(row -> "-".equals(row.get("route"))) ? MeshCtl.NO_ROUTE : MeshCtl.DONE;
     }
 }
--- a/src/main/java/larkbank/bridge/SettingsCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/SettingsCheck.java
@@ -1,10 +1,10 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.Addresses;
-import larkbank.papers.NodePapers;
+import org.cypressweir.common.settings.NodeSettings;
+import org.cypressweir.common.util.Addresses;
 
 /** All that is wrong with a settings file: what the programs' own reader finds, and what they need beside. */
 final class SettingsCheck {
@@ -18,13 +18,13 @@
     private SettingsCheck() {}
 
     /** @param program null for neither */
-    static List<Flaw> flaws(byte[] file, Program program) {
-        Either<List<String>, NodePapers> read = NodePapers.read(file);
+    static List<ValidationError> flaws(byte[] file, Program program) {
+        Either<List<String>, NodeSettings> read = NodeSettings.read(file);
         if (read.isLeft()) {
-            return read.getLeft().stream().map(Flaw::of).toList();
+            return read.getLeft().stream().map(ValidationError::of).toList();
         }
-        NodePapers papers = read.get();
-        List<Flaw> flaws = new ArrayList<>();
+        NodeSettings papers = read.get();
+        List<ValidationError> flaws = new ArrayList<>();
         papers.listen().forEach((name, text) -> address("network.listenAddresses." + name, text, flaws));
         for (int i = 0; i < papers.seeds().size(); i++) {
             address("network.seedNodes[" + i + "]", papers.seeds().get(i), flaws);
@@ -34,7 +34,7 @@
             address("localNode.application", papers.application(), flaws);
         }
         if (!papers.zones().isEmpty() && !papers.zones().containsKey(papers.zone())) {
-            flaws.add(new Flaw("localNode.zone", papers.zone() + " is none of network.zones"));
+            flaws.add(new ValidationError("localNode.zone", papers.zone() + " is none of network.zones"));
         }
         if (program == Program.harbour) {
             wanted(papers.dataDirectory() != null, "localNode.dataDirectory", program, flaws);
@@ -51,17 +51,17 @@
         return flaws;
     }
 
-    private static void wanted(boolean there, String place, Program program, List<Flaw> flaws) {
+    private static void wanted(boolean there, String place, Program program, List<ValidationError> flaws) {
         if (!there) {
-            flaws.add(new Flaw(place, "is missing, and a " + program + " wants it"));
+            flaws.add(new ValidationError(place, "is missing, and a " + program + " wants it"));
         }
     }
 
-    private static void address(String place, String text, List<Flaw> flaws) {
+    private static void address(String place, String text, List<ValidationError> flaws) {
         try {
             Addresses.parse(text);
         } catch (IllegalArgumentException e) {
-            flaws.add(new Flaw(place, e.getMessage()));
+            flaws.add(new ValidationError(place, e.getMessage()));
         }
     }
 }
--- a/src/main/java/larkbank/bridge/Shell.java
+++ b/src/main/java/org/cypressweir/meshctl/Shell.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import larkbank.Addresses;
+import org.cypressweir.common.util.Addresses;
 import org.jline.reader.impl.DefaultParser;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -34,17 +34,17 @@
     }
 
     /** All commands, ready to be run once: none keeps what another line has set. */
-    CommandLine line(PrintWriter out, PrintWriter err, Paint paint) {
-        CommandLine line = new Bridge(usual, paint).line(out, err, new At(), new Exit());
+    CommandLine line(PrintWriter out, PrintWriter err, AnsiStyle paint) {
+        CommandLine line = new MeshCtl(usual, paint).line(out, err, new At(), new Exit());
         List.of("pilot", "harbour", "bridge").forEach(line.getCommandSpec()::removeSubcommand);
         return line;
     }
 
     /** Runs one line; its status. */
-    int run(String text, PrintWriter out, PrintWriter err, Paint paint) {
+    int run(String text, PrintWriter out, PrintWriter err, AnsiStyle paint) {
         String bare = text.strip();
         if (bare.isEmpty() || bare.startsWith("#")) {
-            return Bridge.DONE;
+            return MeshCtl.DONE;
         }
         List<String> words = new DefaultParser().parse(bare, bare.length()).words();
         return line(out, err, paint)
@@ -53,9 +53,9 @@
 
     /** Runs lines until they end; the highest status. */
     int run(BufferedReader lines, PrintWriter out, PrintWriter err) throws IOException {
-        int status = Bridge.DONE;
+        int status = MeshCtl.DONE;
         for (String text = lines.readLine(); text != null && !ended; text = lines.readLine()) {
-            status = Math.max(status, run(text, out, err, Paint.OFF));
+            status = Math.max(status, run(text, out, err, AnsiStyle.OFF));
         }
         return status;
     }
@@ -85,7 +85,7 @@
             } else {
                 usual = List.copyOf(given);
             }
-            return Bridge.DONE;
+            return MeshCtl.DONE;
         }
     }
 
--- a/src/main/java/larkbank/bridge/ShellCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/ShellCommand.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -42,7 +42,7 @@
     public Integer call() throws IOException {
         Shell shell = new Shell(at);
         if (System.console() != null) {
-            return Helmsman.run(shell, history);
+            return InteractiveTerminal.run(shell, history);
         }
         return shell.run(
                 new BufferedReader(new InputStreamReader(System.in, Charset.defaultCharset())),
--- a/src/main/java/larkbank/bridge/StateCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/StateCommand.java
@@ -1,9 +1,9 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 
 /** {@code state}: all of the state call's answer, a line a value. */
@@ -35,7 +35,7 @@
                 add(place + "[" + i + "]", list.get(i), rows);
             }
         } else {
-            rows.add(Scribe.map("place", place, "value", value));
+            rows.add(JsonCodec.map("place", place, "value", value));
         }
     }
 }
--- a/src/main/java/larkbank/bridge/Sheet.java
+++ b/src/main/java/org/cypressweir/meshctl/TablePrinter.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,30 +7,30 @@
 import java.util.Map;
 
 /** A table of answers: rows may be chosen, sorted and cut to columns. What a row lacks is empty. */
-record Sheet(List<String> columns, List<Map<String, Object>> rows) {
+record TablePrinter(List<String> columns, List<Map<String, Object>> rows) {
 
     /** Rows whose column reads so. */
-    Sheet where(String column, String value) {
-        return new Sheet(
+    TablePrinter where(String column, String value) {
+        return new TablePrinter(
                 columns,
                 rows.stream().filter(row -> text(row.get(column)).equals(value)).toList());
     }
 
     /** Numbers by size, all else as texts; rows that are alike keep their order. */
-    Sheet sorted(String column) {
+    TablePrinter sorted(String column) {
         List<Map<String, Object>> sorted = new ArrayList<>(rows);
         sorted.sort((a, b) -> compare(a.get(column), b.get(column)));
-        return new Sheet(columns, sorted);
+        return new TablePrinter(columns, sorted);
     }
 
-    Sheet cut(List<String> kept) {
+    TablePrinter cut(List<String> kept) {
         List<Map<String, Object>> cut = new ArrayList<>();
         for (Map<String, Object> row : rows) {
             Map<String, Object> less = new LinkedHashMap<>();
             kept.forEach(column -> less.put(column, row.get(column)));
             cut.add(less);
         }
-        return new Sheet(kept, cut);
+        return new TablePrinter(kept, cut);
     }
 
     private static int compare(Object a, Object b) {
@@ -68,7 +68,7 @@
 
     static String text(Object value) {
         if (value instanceof Collection<?> list) {
-            return String.join(",", list.stream().map(Sheet::text).toList());
+            return String.join(",", list.stream().map(TablePrinter::text).toList());
         } else if (value instanceof Double number && number == Math.rint(number)) {
             return Long.toString(number.longValue());
         }
--- a/src/main/java/larkbank/bridge/Flaw.java
+++ b/src/main/java/org/cypressweir/meshctl/ValidationError.java
@@ -1,16 +1,16 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 /** One thing that is wrong with a file: where, and what. */
-record Flaw(String place, String reason) {
+record ValidationError(String place, String reason) {
 
     static final String WHOLE = "the file";
 
     /** Of a line that begins with a place in dots; what has none is about the whole file. */
-    static Flaw of(String line) {
+    static ValidationError of(String line) {
         int space = line.indexOf(' ');
         return space > 0 && line.substring(0, space).indexOf('.') > 0 && !line.startsWith("\"")
-                ? new Flaw(line.substring(0, space), line.substring(space + 1))
-                : new Flaw(WHOLE, line);
+                ? new ValidationError(line.substring(0, space), line.substring(space + 1))
+                : new ValidationError(WHOLE, line);
     }
 
     @Override
--- a/src/main/java/larkbank/bridge/WhyCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/WhyCommand.java
@@ -1,12 +1,12 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Calls;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.JsonCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -51,12 +51,12 @@
 
     /** First who is there, then all of those for the request; who falls silent in between is silent. */
     @Override
-    List<Said> ask(Asker asker, List<String> addresses) {
-        List<Said> all = new ArrayList<>(super.ask(asker, addresses));
+    List<NodeResponse> ask(FanOutClient asker, List<String> addresses) {
+        List<NodeResponse> all = new ArrayList<>(super.ask(asker, addresses));
         List<String> there =
-                all.stream().filter(one -> !one.silent()).map(Said::at).toList();
+                all.stream().filter(one -> !one.silent()).map(NodeResponse::at).toList();
         all.removeIf(one -> !one.silent());
-        all.addAll(asker.ask(there, Calls.WHY.path() + URLEncoder.encode(id, StandardCharsets.UTF_8)));
+        all.addAll(asker.ask(there, ApiCall.WHY.path() + URLEncoder.encode(id, StandardCharsets.UTF_8)));
         return all;
     }
 
@@ -66,7 +66,7 @@
         for (Map<String, Object> request : objects(state, "requests")) {
             List<Map<String, Object>> attempts = objects(request, "attempts");
             for (int i = 0; i < Math.max(1, attempts.size()); i++) {
-                Map<String, Object> row = Scribe.map("name", state.get("name"));
+                Map<String, Object> row = JsonCodec.map("name", state.get("name"));
                 row.putAll(request);
                 if (i < attempts.size()) {
                     row.putAll(attempts.get(i));
@@ -80,7 +80,7 @@
     }
 
     @Override
-    int status(Sheet sheet) {
-        return sheet.rows().isEmpty() ? Bridge.NO_ROUTE : Bridge.DONE;
+    int status(TablePrinter sheet) {
+        return sheet.rows().isEmpty() ? MeshCtl.NO_ROUTE : MeshCtl.DONE;
     }
 }
--- a/src/main/java/larkbank/bridge/package-info.java
+++ b/src/main/java/org/cypressweir/meshctl/package-info.java
@@ -1,2 +1,2 @@
 /** The command line of the mesh: it starts the programs, checks files, and asks running processes. */
-package larkbank.bridge;
+package org.cypressweir.meshctl;
--- a/src/main/java/larkbank/sidecar/OperatorsDoor.java
+++ b/src/main/java/org/cypressweir/sidecar/AdminListener.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -23,7 +23,7 @@
  * Where operators connect: one line a connection, and its answer. Callers that hold a connection and ask
  * nothing cost a descriptor each, so only so many are kept; the one that came first goes first.
  */
-final class OperatorsDoor {
+final class AdminListener {
 
     /** Callers at once; the door's own descriptor comes on top. */
     static final int CALLERS = 15;
@@ -38,7 +38,7 @@
     private Lending lending;
     private final ArrayDeque<Channel> callers = new ArrayDeque<>();
 
-    OperatorsDoor(EventLoop loop, UnaryOperator<String> desk) {
+    AdminListener(EventLoop loop, UnaryOperator<String> desk) {
         this.loop = loop;
         this.desk = desk;
     }
--- a/src/main/java/larkbank/sidecar/CelledPool.java
+++ b/src/main/java/org/cypressweir/sidecar/CelledPool.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -10,22 +10,22 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Settings;
-import larkbank.cell.Cells;
-import larkbank.cell.Cells.Ticket;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.Parting.Moved;
-import larkbank.daily.Figures.Ending;
-import larkbank.route.PoolPlan;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.admin.SidecarMetrics.Ending;
+import org.cypressweir.sidecar.cell.CellAssignment.Moved;
+import org.cypressweir.sidecar.cell.Cells;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /** Cells with a pool each. Which of them a request or a server belongs to is for {@link Cells} to say. */
-final class CelledPool implements Cluster, Cells.Actions, Call.Watch {
+final class CelledPool implements Cluster, Cells.Actions, ClientRequest.Watch {
 
     private record Known(ServerList.Entry entry, int cell) {}
 
@@ -33,15 +33,15 @@
     private List<RequestClass> classes;
     private Limits limits;
     private Shares shares;
-    private final Function<PoolPlan, Pool> maker;
+    private final Function<PoolConfiguration, Pool> maker;
     private final List<Pool> pools = new ArrayList<>();
     private final Cells cells;
     private final Map<Long, Known> known = new HashMap<>();
     /** By ticket, until a pool has them. */
-    private final Map<Ticket, Call> held = new IdentityHashMap<>();
+    private final Map<Ticket, ClientRequest> held = new IdentityHashMap<>();
 
     /** @param maker makes the pool of one cell */
-    CelledPool(Pool.Shared shared, Settings settings, PoolPlan plan, Function<PoolPlan, Pool> maker) {
+    CelledPool(Pool.Shared shared, Settings settings, PoolConfiguration plan, Function<PoolConfiguration, Pool> maker) {
         this.shared = shared;
         classes = settings.classes();
         limits = settings.limits();
@@ -103,7 +103,7 @@
     // ---- Requests
 
     @Override
-    public void take(Call call) {
+    public void take(ClientRequest call) {
         long now = shared.clock().micros();
         Effect effect = classes.get(call.request.requestClass()).effect();
         String key = effect == Effect.KEYED ? call.headers.get(Headers.IDEMPOTENCY_KEY) : null;
@@ -128,7 +128,7 @@
     }
 
     /** At once: it has been nowhere, so to come back does no harm. */
-    private void refuse(Call call, long retryAfterMicros) {
+    private void refuse(ClientRequest call, long retryAfterMicros) {
         long advice = limits.retryAdvice() ? Pool.within(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
         forget(call, Ending.REFUSED);
         if (call.upgrade != null) {
@@ -137,7 +137,7 @@
         call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice), Unpooled.EMPTY_BUFFER);
     }
 
-    private void forget(Call call, Ending ending) {
+    private void forget(ClientRequest call, Ending ending) {
         call.over = true;
         call.forgotten = true;
         shared.inHand().over(call, ending);
@@ -145,8 +145,8 @@
     }
 
     /** What stays together; requests that have none of it are one unit. */
-    private long unit(Call call) {
-        CellsPlan plan = cells.plan();
+    private long unit(ClientRequest call) {
+        CellsConfiguration plan = cells.plan();
         return switch (plan.unit()) {
             case KEY -> call.request.key();
             case TENANT -> text(call.headers, Headers.TENANT);
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void left(Call call) {
+    public void left(ClientRequest call) {
         if (call.pool != null) {
             call.pool.left(call);
             return;
@@ -182,7 +182,7 @@
     @Override
     public void release(Ticket ticket) {
         shared.loop().execute(() -> {
-            Call call = held.remove(ticket);
+            ClientRequest call = held.remove(ticket);
             if (call != null) {
                 pools.get(ticket.cell()).take(call);
             }
@@ -190,14 +190,14 @@
     }
 
     @Override
-    public void answered(Call call) {
+    public void answered(ClientRequest call) {
         long now = shared.clock().micros();
         RequestClass c = classes.get(call.request.requestClass());
         cells.answered(now, call.ticket, call.served && now - call.ticket.takenAt() <= c.aimMicros());
     }
 
     @Override
-    public void ended(Call call) {
+    public void ended(ClientRequest call) {
         cells.ended(shared.clock().micros(), call.ticket);
     }
 
@@ -292,12 +292,12 @@
     // ---- Other plans
 
     @Override
-    public boolean fits(PoolPlan plan) {
+    public boolean fits(PoolConfiguration plan) {
         return plan.cells() != null && cells.fits(plan.cells());
     }
 
     @Override
-    public void limit(PoolPlan plan) {
+    public void limit(PoolConfiguration plan) {
         for (int c = 0; c < plan.cells().cells().size(); c++) {
             if (c < pools.size()) {
                 pools.get(c).limit(plan.ofCell(c));
--- a/src/main/java/larkbank/sidecar/ClientConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientConnection.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -61,8 +61,8 @@
     /** Bytes that may come behind a request for an upgrade before it is agreed to. */
     private static final int MOST_EARLY = 64 * 1024;
 
-    private final ClientServer server;
-    private final ClientServer.Door door;
+    private final ClientListener server;
+    private final ClientListener.Door door;
     private final Channel channel;
     private final Decoder decoder;
     private final RequestCollector collector;
@@ -89,11 +89,11 @@
     /** Something failed while a request was dealt with. */
     private boolean broken;
     /** What came behind a request for an upgrade. */
-    private final Link.Early early = new Link.Early();
+    private final ServerConnection.Early early = new ServerConnection.Early();
     /** The connection has gone over to another protocol, and nothing of it is dealt with here. */
     private boolean switched;
 
-    ClientConnection(ClientServer server, ClientServer.Door door, Channel channel) {
+    ClientConnection(ClientListener server, ClientListener.Door door, Channel channel) {
         this.server = server;
         this.door = door;
         this.channel = channel;
@@ -109,7 +109,7 @@
         channel.config().setWriteBufferWaterMark(WAITING);
     }
 
-    ClientServer.Door door() {
+    ClientListener.Door door() {
         return door;
     }
 
@@ -118,7 +118,7 @@
     }
 
     void readNow() {
-        Link.readNow(channel);
+        ServerConnection.readNow(channel);
     }
 
     /**
@@ -143,7 +143,7 @@
     }
 
     long waitingBytes() {
-        return Link.waitingBytes(channel);
+        return ServerConnection.waitingBytes(channel);
     }
 
     /** Whether nothing is owed on it, no request has come in part, and it is older than that. */
@@ -255,7 +255,7 @@
 
     /** How well this connection can be spared, by its kind and then by time; 0 where it can't. */
     double spare() {
-        if (owed() || switched || coming() || age() <= ClientServer.QUIET_MILLIS) {
+        if (owed() || switched || coming() || age() <= ClientListener.QUIET_MILLIS) {
             return 0;
         }
         // A client that is late itself brings the first request of a connection late, and it has no second
@@ -372,7 +372,7 @@
     }
 
     /** One request in hand and its answer; only the first answer counts. */
-    private final class Exchange implements Call.Client {
+    private final class Exchange implements ClientRequest.Client {
         private final boolean keep;
         private final HttpVersion version;
         private boolean upgrading;
@@ -385,7 +385,7 @@
         }
 
         @Override
-        public Passing pass(HttpHeaders headers, long length, Runnable resume) {
+        public StreamedResponse pass(HttpHeaders headers, long length, Runnable resume) {
             if (client != this || !channel.isActive() || passing != null) {
                 return null;
             }
@@ -490,7 +490,7 @@
      * An answer as it comes. Where it breaks off the connection is reset, which no client takes for an
      * end.
      */
-    private final class Passed implements Passing {
+    private final class Passed implements StreamedResponse {
         private final Exchange exchange;
         private final Runnable resume;
         private final boolean last;
@@ -548,7 +548,7 @@
         private boolean switching;
 
         Decoder(BooleanSupplier upgrades) {
-            super(new HttpDecoderConfig().setMaxChunkSize(Link.CHUNK));
+            super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.CHUNK));
             this.upgrades = upgrades;
         }
 
--- a/src/main/java/larkbank/sidecar/ClientServer.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -32,7 +32,7 @@
  * the loop can be long. So nothing that a client might still be answered on is closed by what the last turn
  * saw: what the kernel holds is read first, of connections as of the listening socket.
  */
-final class ClientServer {
+final class ClientListener {
 
     /** What stands behind the connections. */
     interface Service {
@@ -45,13 +45,13 @@
         }
 
         /** A request to be answered through its client, by an exception at the latest. */
-        void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest;
+        void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest;
 
         /** So many clients are connected, while those that are there are to go. */
         default void clients(int count) {}
 
         /** The client of this request has closed its connection. */
-        void left(Call.Client client);
+        void left(ClientRequest.Client client);
     }
 
     private static final int BACKLOG = 512;
@@ -85,7 +85,7 @@
     private final ServerChannelRecvByteBufAllocator accepts = new ServerChannelRecvByteBufAllocator();
 
     private final List<Door> doors = new ArrayList<>();
-    private final Uploads uploads;
+    private final LargeRequests uploads;
     /** Listens already, at the address of the first door; null where none was inherited or it is taken. */
     private ServerSocketChannel inherited;
     /** Whose connections come by way of another door, which lends them; null for none. */
@@ -114,14 +114,14 @@
         }
     }
 
-    ClientServer(EventLoop loop, Service service, int most, Consumer<String> log) {
+    ClientListener(EventLoop loop, Service service, int most, Consumer<String> log) {
         this(loop, service, most, log, System::nanoTime);
     }
 
     /** With another clock, in nanoseconds from any origin. */
-    ClientServer(EventLoop loop, Service service, int most, Consumer<String> log, LongSupplier nanos) {
+    ClientListener(EventLoop loop, Service service, int most, Consumer<String> log, LongSupplier nanos) {
         this.loop = loop;
-        uploads = new Uploads(loop);
+        uploads = new LargeRequests(loop);
         this.nanos = nanos;
         this.service = service;
         this.most = most;
@@ -174,7 +174,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        new ClientConnection(ClientServer.this, door[0], c).begin();
+                        new ClientConnection(ClientListener.this, door[0], c).begin();
                     }
                 });
         ChannelFuture bound = listening != null
@@ -204,7 +204,7 @@
      * to the service before, which may answer it at once.
      */
     Future<Void> close() {
-        doors.stream().filter(door -> !door.shared).forEach(door -> Link.readNow(door.channel));
+        doors.stream().filter(door -> !door.shared).forEach(door -> ServerConnection.readNow(door.channel));
         List.copyOf(connections).forEach(ClientConnection::readNow);
         List.copyOf(connections).forEach(ClientConnection::close);
         List.copyOf(switched).forEach(ClientConnection::close);
@@ -262,7 +262,7 @@
                 .forEach(ClientConnection::closeIfSilent);
         if (door.channel.isOpen() && mayShut(door)) {
             // Those that have connected since the loop looked last would be reset.
-            Link.readNow(door.channel);
+            ServerConnection.readNow(door.channel);
             if (mayShut(door)) {
                 door.channel.close();
             }
@@ -352,7 +352,7 @@
                 .sum();
     }
 
-    Uploads uploads() {
+    LargeRequests uploads() {
         return uploads;
     }
 
--- a/src/main/java/larkbank/sidecar/Call.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -8,12 +8,12 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.cell.Cells;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.sidecar.cell.Cells;
 
 /** A client's request, from its last byte until it is answered and its attempts have ended. */
-final class Call {
+final class ClientRequest {
 
     /** The connection that waits for the answer. */
     interface Client {
@@ -24,7 +24,7 @@
          * Passes an answer on as it comes; null where the client is gone. The length is below 0 where it is
          * not known. The task is run once more may be passed after there was too much.
          */
-        default Passing pass(HttpHeaders headers, long length, Runnable resume) {
+        default StreamedResponse pass(HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
@@ -85,11 +85,11 @@
     /** The attempt whose answer is passed on as it comes, and where to; null while there is none. */
     Attempt passed;
 
-    Passing passing;
+    StreamedResponse passing;
 
-    Call(
+    ClientRequest(
             Request request,
-            Way way,
+            RouteDecision way,
             String className,
             HttpMethod method,
             HttpHeaders headers,
@@ -110,10 +110,10 @@
     /** Wants to know how requests end. */
     interface Watch {
         /** Its client has its answer, or has left. */
-        void answered(Call call);
+        void answered(ClientRequest call);
 
         /** Nothing of it is out any more. */
-        void ended(Call call);
+        void ended(ClientRequest call);
     }
 
     /** A server's own word on an upgrade. */
@@ -136,7 +136,7 @@
 
     /** One sending of a request to a server. */
     static final class Attempt {
-        final Call call;
+        final ClientRequest call;
         final int number;
         final long server;
         final long sentAt;
@@ -151,7 +151,7 @@
         /** The server's connection once it has agreed to go over. */
         Switched switched;
 
-        Attempt(Call call, long server, long sentAt, long giveUpAt) {
+        Attempt(ClientRequest call, long server, long sentAt, long giveUpAt) {
             this.call = call;
             this.server = server;
             this.sentAt = sentAt;
--- a/src/main/java/larkbank/sidecar/Cluster.java
+++ b/src/main/java/org/cypressweir/sidecar/Cluster.java
@@ -1,8 +1,8 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Settings;
-import larkbank.route.PoolPlan;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /** The servers of some routes: a pool, or cells with a pool each. */
 interface Cluster {
@@ -25,10 +25,10 @@
     ServerList list();
 
     /** Takes a request that is in hand from now on. */
-    void take(Call call);
+    void take(ClientRequest call);
 
     /** The client of a request has left. */
-    void left(Call call);
+    void left(ClientRequest call);
 
     void listed(ListKind kind, ServerList list);
 
@@ -36,10 +36,10 @@
     void failed();
 
     /** Whether another plan can be taken over with what has been learned. */
-    boolean fits(PoolPlan plan);
+    boolean fits(PoolConfiguration plan);
 
     /** Other limits hold from now on; what is in hand or open stays. */
-    void limit(PoolPlan plan);
+    void limit(PoolConfiguration plan);
 
     /** Other classes and attempts hold for requests that come from now on. */
     void retune(Settings next);
--- a/src/main/java/larkbank/sidecar/Discovery.java
+++ b/src/main/java/org/cypressweir/sidecar/Discovery.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -19,7 +19,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import larkbank.Addresses;
+import org.cypressweir.common.util.Addresses;
 
 /**
  * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and it is the
@@ -72,7 +72,7 @@
 
     private long revision;
     private long askedAt;
-    private Clock clock;
+    private SidecarClock clock;
     private Pace pace;
     private Future<?> silence;
     private Future<?> pause;
@@ -115,7 +115,7 @@
     }
 
     /** Asks at this pace from now on, and holds nothing open in between; null to watch. */
-    void pace(Clock clock, Pace other) {
+    void pace(SidecarClock clock, Pace other) {
         boolean was = pace != null;
         pace = other;
         this.clock = clock;
@@ -278,8 +278,8 @@
     }
 
     /** A connection to discovery; once it is dropped, nothing that it still tells counts. */
-    private final class Peer implements Link.Owner {
-        private final Link link = new Link(loop, address, MAX_LIST, CONNECT_MICROS, this);
+    private final class Peer implements ServerConnection.Owner {
+        private final ServerConnection link = new ServerConnection(loop, address, MAX_LIST, CONNECT_MICROS, this);
         private boolean up;
 
         private void send() {
--- a/src/main/java/larkbank/sidecar/ListShelf.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,23 +13,23 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.membership.Lending;
+import org.cypressweir.fleet.membership.Lending;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
  * The newest list of this process as pages that others may borrow: servers in service only. Whoever borrows
  * sends nothing to those that drain, since when its lender was told of that has no say any more. Zones and
  * models go by name.
  */
-final class ListShelf implements Lending.Shelf {
+final class EndpointListCache implements Lending.Shelf {
 
     /** Bytes of a page, under those of a datagram by what else is in it. */
     private static final int PAGE = 900;
 
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private final Clock clock;
+    private final SidecarClock clock;
     private final ServerList.Reader names;
     private final Supplier<ServerList> list;
     private final BooleanSupplier whole;
@@ -42,7 +42,12 @@
      * @param list as told last
      * @param whole whether nothing of it is still on its way to the pools
      */
-    ListShelf(Clock clock, ServerList.Reader names, long revision, Supplier<ServerList> list, BooleanSupplier whole) {
+    EndpointListCache(
+            SidecarClock clock,
+            ServerList.Reader names,
+            long revision,
+            Supplier<ServerList> list,
+            BooleanSupplier whole) {
         this.clock = clock;
         this.names = names;
         this.revision = revision;
--- a/src/main/java/larkbank/sidecar/ListFeed.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
@@ -6,8 +6,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 
 /**
  * Hands what discovery tells to the pools. A large list goes in slices, a turn of the loop each, as changes
@@ -15,7 +15,7 @@
  * is
  * taken over in the order in which it was told.
  */
-final class ListFeed {
+final class EndpointListFeed {
 
     /** Entries in one turn of the loop. */
     static final int SLICE = 128;
@@ -24,7 +24,7 @@
     private final Layout layout;
     private final ArrayDeque<Runnable> steps = new ArrayDeque<>();
 
-    ListFeed(EventLoop loop, Layout layout) {
+    EndpointListFeed(EventLoop loop, Layout layout) {
         this.loop = loop;
         this.layout = layout;
     }
--- a/src/main/java/larkbank/sidecar/Headers.java
+++ b/src/main/java/org/cypressweir/sidecar/Headers.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
--- a/src/main/java/larkbank/sidecar/Prober.java
+++ b/src/main/java/org/cypressweir/sidecar/HealthProber.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -18,16 +18,16 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import larkbank.Addresses;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadReports;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadReports;
 
 /**
  * Probes of servers ({@code GET /load}), where an installation permits them: a connection each, one at a
  * time to a server, and no more than this instance's part of what all may send.
  */
-final class Prober {
+final class HealthProber {
 
     /** Hears what came of a probe. */
     interface Listener {
@@ -38,14 +38,14 @@
     private static final int MAX_REPORT = 4096;
 
     private final EventLoop loop;
-    private final Clock clock;
+    private final SidecarClock clock;
     private final long connectMicros;
     private final BooleanSupplier budget;
     private final Listener listener;
     private final Set<Long> probing = new HashSet<>();
 
     /** @param budget whether a probe may go out now; spends it */
-    Prober(EventLoop loop, Clock clock, long connectMicros, BooleanSupplier budget, Listener listener) {
+    HealthProber(EventLoop loop, SidecarClock clock, long connectMicros, BooleanSupplier budget, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.connectMicros = connectMicros;
@@ -61,11 +61,11 @@
         }
     }
 
-    private final class Probe implements Link.Owner {
+    private final class Probe implements ServerConnection.Owner {
         private final long server;
         private final InetSocketAddress address;
         private final long sentAt = clock.micros();
-        private final Link link;
+        private final ServerConnection link;
         private final Future<?> patience;
         private boolean written;
         private boolean over;
@@ -73,7 +73,7 @@
         Probe(long server, InetSocketAddress address) {
             this.server = server;
             this.address = address;
-            link = new Link(loop, address, MAX_REPORT, Math.min(connectMicros, PATIENCE_MICROS), this);
+            link = new ServerConnection(loop, address, MAX_REPORT, Math.min(connectMicros, PATIENCE_MICROS), this);
             patience = loop.schedule(() -> end(Result.TIMED_OUT, null), PATIENCE_MICROS, TimeUnit.MICROSECONDS);
         }
 
--- a/src/main/java/larkbank/sidecar/InHand.java
+++ b/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
@@ -1,27 +1,27 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import larkbank.daily.Figures;
+import org.cypressweir.sidecar.admin.SidecarMetrics;
 
 /**
  * The requests of the process, whatever pool has them: an id is in hand once at most. Each is counted here as
  * it comes and as it ends, so no front and no pool can leave one out.
  */
-final class InHand {
+final class InFlightRequests {
 
-    private final Figures figures = new Figures();
-    private final Map<String, Call> calls = new HashMap<>();
-    private final Map<Call.Client, Call> waiting = new HashMap<>();
+    private final SidecarMetrics figures = new SidecarMetrics();
+    private final Map<String, ClientRequest> calls = new HashMap<>();
+    private final Map<ClientRequest.Client, ClientRequest> waiting = new HashMap<>();
 
-    Figures figures() {
+    SidecarMetrics figures() {
         return figures;
     }
 
     /** Takes a request; false where its id is in hand already. */
-    boolean add(Call call) {
+    boolean add(ClientRequest call) {
         if (calls.putIfAbsent(call.request.id(), call) != null) {
             return false;
         }
@@ -34,7 +34,7 @@
         return calls.size();
     }
 
-    Call get(String id) {
+    ClientRequest get(String id) {
         return calls.get(id);
     }
 
@@ -44,12 +44,12 @@
     }
 
     /** The request that this client waits for, if any. */
-    Call of(Call.Client client) {
+    ClientRequest of(ClientRequest.Client client) {
         return waiting.get(client);
     }
 
     /** Nothing is owed to its client any more; the ending is null where the client has left. */
-    void over(Call call, Figures.Ending ending) {
+    void over(ClientRequest call, SidecarMetrics.Ending ending) {
         waiting.remove(call.client);
         if (ending == null) {
             figures.left();
@@ -59,7 +59,7 @@
     }
 
     /** Its attempts have ended too; nothing of it is kept. */
-    void remove(Call call) {
+    void remove(ClientRequest call) {
         calls.remove(call.request.id(), call);
         call.body.release();
     }
--- a/src/main/java/larkbank/sidecar/InheritedSocket.java
+++ b/src/main/java/org/cypressweir/sidecar/InheritedSocket.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -28,7 +28,8 @@
         try {
             return new PrintStream(new FileOutputStream("/proc/self/fd/2", true), true);
         } catch (IOException e) {
-            log.println("larkbank: the log ends here, standard error can't be opened again: " + e.getMessage());
+            log.println(
+                    "cypressweir-sidecar: the log ends here, standard error can't be opened again: " + e.getMessage());
             return log;
         }
     }
--- a/src/main/java/larkbank/sidecar/Installation.java
+++ b/src/main/java/org/cypressweir/sidecar/Installation.java
@@ -1,8 +1,8 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.util.Map;
-import larkbank.operators.Facts;
+import org.cypressweir.sidecar.operatorconfig.Facts;
 
 /** What an operators' file is checked against, for the command line. */
 public final class Installation {
@@ -15,6 +15,6 @@
      * @throws IOException with one line on what is wrong with it
      */
     public static Facts facts(Map<String, String> environment) throws IOException {
-        return Config.read(environment).facts();
+        return SidecarConfiguration.read(environment).facts();
     }
 }
--- a/src/main/java/larkbank/sidecar/Uploads.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequests.java
@@ -1,18 +1,18 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.EventLoop;
 import java.util.List;
-import larkbank.bulk.BodyBudget;
-import larkbank.bulk.BodyBudget.Share;
+import org.cypressweir.sidecar.buffering.BodyBudget;
+import org.cypressweir.sidecar.buffering.BodyBudget.Share;
 
 /**
  * The large requests of a process and the room that they share; whoever may go on is told by a later
  * task.
  */
-final class Uploads {
+final class LargeRequests {
 
     /** Largest request that is taken. */
     static final int MOST = 32 * 1024 * 1024;
@@ -22,7 +22,7 @@
     private final EventLoop loop;
     private final BodyBudget budget = new BodyBudget(TOTAL);
 
-    Uploads(EventLoop loop) {
+    LargeRequests(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/larkbank/sidecar/Layout.java
+++ b/src/main/java/org/cypressweir/sidecar/Layout.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.io.IOException;
@@ -7,22 +7,22 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Settings;
-import larkbank.membership.MembershipPlan;
-import larkbank.plugin.RequestView;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.plugin.RequestView;
 
 /** The addresses, routes and pools of a sidecar; what an operators' file may change. */
 interface Layout {
 
     /** What a layout is made with; the pace is how discovery is asked from then on, null for a watch. */
     record Parts(
-            Config config,
+            SidecarConfiguration config,
             Pool.Shared shared,
             BiFunction<Settings, Actions, LoadBalancer> modules,
             RequestReader reader,
-            ClientServer clients,
+            ClientListener clients,
             Consumer<Discovery.Pace> pace,
             Portion portion) {}
 
@@ -41,7 +41,7 @@
         CompletableFuture<Void> take();
 
         /** How this process takes part among others from then on; null where that is not said. */
-        default MembershipPlan membership() {
+        default MembershipOptions membership() {
             return null;
         }
     }
@@ -53,7 +53,7 @@
     CompletableFuture<InetSocketAddress> listen();
 
     /** The way of a request, or why it has none. */
-    Way way(FullHttpRequest http) throws RequestReader.BadRequest;
+    RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest;
 
     /** What is asked before a request finds its way; null for nothing. */
     default PluginChain plugins() {
@@ -86,13 +86,13 @@
      * Reads again what it was made of, to hold with this configuration's classes and limits; to be called off
      * the loop.
      */
-    Change reread(Config next) throws IOException;
+    Change reread(SidecarConfiguration next) throws IOException;
 
     /** This process's part of what all share is another. */
     default void portioned() {}
 
     /** There are more descriptors now than it was made with. */
-    default void widen(Config wider) {}
+    default void widen(SidecarConfiguration wider) {}
 
     void close();
 }
--- a/src/main/java/larkbank/Main.java
+++ b/src/main/java/org/cypressweir/sidecar/Main.java
@@ -1,8 +1,7 @@
-package larkbank;
+package org.cypressweir.sidecar;
 
-import larkbank.cli.CommandLineTool;
-import larkbank.sidecar.Sidecar;
-import larkbank.simhost.SimHost;
+import org.cypressweir.sidecar.cli.CommandLineTool;
+import org.cypressweir.sidecar.simhost.SimHost;
 
 /** Chooses the host of the decision module: the sidecar, the simulator's adapter, or a command. */
 public final class Main {
@@ -21,8 +20,8 @@
     }
 
     private static int usage() {
-        System.err.println(
-                "usage: java -jar larkbank.jar serve|simhost|check|explain|lab|plugin|members|help [--help]");
+        System.err.println("usage: java -jar cypressweir-sidecar.jar"
+                + " serve|simhost|check|explain|lab|plugin|members|help [--help]");
         return 2;
     }
 }
--- a/src/main/java/larkbank/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.io.IOException;
@@ -14,23 +14,23 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.footprint.AskPacer;
-import larkbank.footprint.FleetPlan;
-import larkbank.footprint.PartPacer;
-import larkbank.footprint.ProbeBudget;
-import larkbank.membership.MembershipPlan;
-import larkbank.operators.BadFile;
-import larkbank.operators.Operators;
-import larkbank.plugin.BadPlugin;
-import larkbank.plugin.RequestView;
-import larkbank.route.Listener;
-import larkbank.route.Plan;
-import larkbank.route.PoolPlan;
-import larkbank.route.StaticServer;
-import larkbank.websocket.UpgradeAccount;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.fleetlimits.FleetLimits;
+import org.cypressweir.sidecar.fleetlimits.ProbeBudget;
+import org.cypressweir.sidecar.fleetlimits.SharedPollPacer;
+import org.cypressweir.sidecar.fleetlimits.SlottedPollPacer;
+import org.cypressweir.sidecar.operatorconfig.InvalidFileException;
+import org.cypressweir.sidecar.operatorconfig.Operators;
+import org.cypressweir.sidecar.plugin.InvalidPluginException;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.route.Listener;
+import org.cypressweir.sidecar.route.PoolConfiguration;
+import org.cypressweir.sidecar.route.RoutingConfiguration;
+import org.cypressweir.sidecar.route.StaticServer;
+import org.cypressweir.sidecar.websocket.UpgradeAccount;
 
 /** What an operators' file says: its addresses, its routes, and a pool with a module of its own for each. */
 final class OperatorsLayout implements Layout {
@@ -44,13 +44,13 @@
     /** Pools of an earlier file whose last requests are still in hand. */
     private final Set<Cluster> going = new HashSet<>();
     /** By the address as the file has it, whose port may be 0. */
-    private final Map<InetSocketAddress, ClientServer.Door> doors = new LinkedHashMap<>();
+    private final Map<InetSocketAddress, ClientListener.Door> doors = new LinkedHashMap<>();
 
-    private Plan plan;
+    private RoutingConfiguration plan;
     /** The classes and limits that hold now. */
-    private Config config;
+    private SidecarConfiguration config;
     /** At whose pace discovery is asked; null for a watch. */
-    private FleetPlan paced;
+    private FleetLimits paced;
     /** Processes that share, as the modules were told; 0 for not yet. */
     private int counted;
 
@@ -63,7 +63,7 @@
     /** Null where there are none. */
     private PluginChain plugins;
 
-    private OperatorsLayout(Parts parts, Path file, Plan plan, PluginChain plugins) {
+    private OperatorsLayout(Parts parts, Path file, RoutingConfiguration plan, PluginChain plugins) {
         this.parts = parts;
         config = parts.config();
         this.plugins = plugins;
@@ -78,7 +78,7 @@
     }
 
     /** What all instances share; a pace that stays the same keeps its place. */
-    private void share(FleetPlan fleet) {
+    private void share(FleetLimits fleet) {
         Cluster.Shares shares = fleet == null ? null : new Part(fleet, parts.portion());
         pools.values().forEach(m -> m.cluster().share(shares));
         if (fleet == null || fleet.askEveryMicros() == 0) {
@@ -92,8 +92,8 @@
         }
     }
 
-    private static Discovery.Pace fixedPace(FleetPlan fleet) {
-        AskPacer pacer = new AskPacer(fleet);
+    private static Discovery.Pace fixedPace(FleetLimits fleet) {
+        SlottedPollPacer pacer = new SlottedPollPacer(fleet);
         return new Discovery.Pace() {
             @Override
             public long next(long nowMicros) {
@@ -107,9 +107,9 @@
         };
     }
 
-    private Discovery.Pace livingPace(FleetPlan fleet) {
-        PartPacer pacer =
-                new PartPacer(fleet.listRate(), ThreadLocalRandom.current().nextDouble());
+    private Discovery.Pace livingPace(FleetLimits fleet) {
+        SharedPollPacer pacer = new SharedPollPacer(
+                fleet.listRate(), ThreadLocalRandom.current().nextDouble());
         Portion portion = parts.portion();
         return new Discovery.Pace() {
             @Override
@@ -137,18 +137,18 @@
         }
     }
 
-    private int instances(FleetPlan fleet) {
+    private int instances(FleetLimits fleet) {
         return fleet.living() && counted > 0 ? counted : fleet.instances();
     }
 
     /** This instance's part of what all may do. */
     private static final class Part implements Cluster.Shares {
-        private final FleetPlan fleet;
+        private final FleetLimits fleet;
         private final ProbeBudget probes;
 
         private final Portion portion;
 
-        Part(FleetPlan fleet, Portion portion) {
+        Part(FleetLimits fleet, Portion portion) {
             this.fleet = fleet;
             this.portion = portion;
             probes = new ProbeBudget(fleet);
@@ -166,8 +166,8 @@
     }
 
     /** Reads the file; the layout is made later, on the loop. */
-    static Sidecar.Arrangement of(Path file, Config config) throws IOException {
-        Plan plan = read(file, config);
+    static Sidecar.Arrangement of(Path file, SidecarConfiguration config) throws IOException {
+        RoutingConfiguration plan = read(file, config);
         PluginChain plugins = chain(file, plan, null);
         return new Sidecar.Arrangement(
                 parts -> new OperatorsLayout(parts, file, plan, plugins),
@@ -175,21 +175,21 @@
                 plan.membership());
     }
 
-    private static Plan read(Path file, Config config) throws IOException {
+    private static RoutingConfiguration read(Path file, SidecarConfiguration config) throws IOException {
         try {
             return Operators.load(file, config.facts()).plan();
-        } catch (BadFile e) {
+        } catch (InvalidFileException e) {
             throw new OperatorsRejected(e);
         }
     }
 
-    private Member create(PoolPlan p) {
+    private Member create(PoolConfiguration p) {
         Cluster made = p.cells() == null ? pool(p) : new CelledPool(parts.shared(), config.settings(), p, this::pool);
         return new Member(made, p.discovered());
     }
 
-    private Pool pool(PoolPlan p) {
-        FleetPlan fleet = plan.fleet();
+    private Pool pool(PoolConfiguration p) {
+        FleetLimits fleet = plan.fleet();
         Settings known = fleet == null ? config.settings() : config.settings().among(instances(fleet));
         Settings settings = known.with(
                 config.settings().limits().with(p.requests(), p.queue(), p.connections()),
@@ -197,7 +197,7 @@
         return new Pool(parts.shared(), config, settings, p.connections(), p.tunnels(), parts.modules());
     }
 
-    private OperatorsRouting route(Plan next) {
+    private OperatorsRouting route(RoutingConfiguration next) {
         Map<String, Cluster> byName = new LinkedHashMap<>();
         pools.forEach((name, member) -> byName.put(name, member.cluster()));
         if (next.webSockets() && upgrades == null) {
@@ -211,10 +211,10 @@
     }
 
     /** Starts what is new; null for no plug-ins. */
-    private static PluginChain chain(Path file, Plan next, PluginChain before) throws IOException {
+    private static PluginChain chain(Path file, RoutingConfiguration next, PluginChain before) throws IOException {
         try {
             return next.plugins().isEmpty() ? null : PluginChain.of(next.plugins(), before);
-        } catch (BadPlugin e) {
+        } catch (InvalidPluginException e) {
             throw new OperatorsRejected(new IOException(file + ":" + e.getMessage(), e));
         }
     }
@@ -258,7 +258,7 @@
                         begin(p, pools.get(p.name()).cluster(), parts.config().known()));
     }
 
-    private void begin(PoolPlan p, Cluster pool, ServerList known) {
+    private void begin(PoolConfiguration p, Cluster pool, ServerList known) {
         if (p.discovered()) {
             pool.listed(ListKind.CACHED, known);
         } else {
@@ -266,7 +266,7 @@
         }
     }
 
-    private ServerList list(PoolPlan p) {
+    private ServerList list(PoolConfiguration p) {
         ServerList.Reader lists = parts.config().lists();
         List<ServerList.Entry> entries = new ArrayList<>();
         for (StaticServer s : p.servers()) {
@@ -285,12 +285,12 @@
     }
 
     /** Opens all of these doors or none. */
-    private CompletableFuture<Map<InetSocketAddress, ClientServer.Door>> doors(List<Listener> listeners) {
-        Map<InetSocketAddress, CompletableFuture<ClientServer.Door>> opening = new LinkedHashMap<>();
+    private CompletableFuture<Map<InetSocketAddress, ClientListener.Door>> doors(List<Listener> listeners) {
+        Map<InetSocketAddress, CompletableFuture<ClientListener.Door>> opening = new LinkedHashMap<>();
         listeners.forEach(l -> opening.put(l.address(), parts.clients().listen(l.address())));
         return CompletableFuture.allOf(opening.values().toArray(CompletableFuture[]::new))
                 .handle((v, e) -> {
-                    Map<InetSocketAddress, ClientServer.Door> opened = new LinkedHashMap<>();
+                    Map<InetSocketAddress, ClientListener.Door> opened = new LinkedHashMap<>();
                     opening.forEach((address, door) -> {
                         if (!door.isCompletedExceptionally()) {
                             opened.put(address, door.join());
@@ -306,7 +306,7 @@
     }
 
     @Override
-    public Way way(FullHttpRequest http) throws RequestReader.BadRequest {
+    public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
         return routing.way(http);
     }
 
@@ -331,8 +331,8 @@
     }
 
     @Override
-    public Change reread(Config nextConfig) throws IOException {
-        Plan next = read(file, nextConfig);
+    public Change reread(SidecarConfiguration nextConfig) throws IOException {
+        RoutingConfiguration next = read(file, nextConfig);
         PluginChain before = plugins;
         PluginChain chain = chain(file, next, before);
         return new Change() {
@@ -349,14 +349,14 @@
             }
 
             @Override
-            public MembershipPlan membership() {
+            public MembershipOptions membership() {
                 return next.membership();
             }
         };
     }
 
     /** The doors first, since only they can fail; the rest is taken over in one turn of the loop. */
-    private CompletableFuture<Void> take(Plan next, Config nextConfig) {
+    private CompletableFuture<Void> take(RoutingConfiguration next, SidecarConfiguration nextConfig) {
         List<Listener> missing = next.listeners().stream()
                 .filter(l -> !doors.containsKey(l.address()))
                 .toList();
@@ -366,7 +366,7 @@
         });
     }
 
-    private void swap(Plan next, Config nextConfig) {
+    private void swap(RoutingConfiguration next, SidecarConfiguration nextConfig) {
         config = nextConfig;
         ServerList known = discovered().stream()
                 .findFirst()
@@ -375,7 +375,7 @@
         Map<String, Member> before = new LinkedHashMap<>(pools);
         plan = next;
         pools.clear();
-        for (PoolPlan p : next.pools()) {
+        for (PoolConfiguration p : next.pools()) {
             Member member = before.get(p.name());
             if (member != null
                     && member.discovered() == p.discovered()
