--- a/src/main/java/larkbank/sidecar/OperatorsRouting.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsRouting.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.plugin.RequestView;
-import larkbank.route.BadTarget;
-import larkbank.route.HostName;
-import larkbank.route.RequestTarget;
-import larkbank.route.Routable;
-import larkbank.route.Route;
-import larkbank.route.Router;
-import larkbank.route.Target;
-import larkbank.websocket.Handshake;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.route.HostName;
+import org.cypressweir.sidecar.route.InvalidTargetException;
+import org.cypressweir.sidecar.route.RequestTarget;
+import org.cypressweir.sidecar.route.Routable;
+import org.cypressweir.sidecar.route.Route;
+import org.cypressweir.sidecar.route.Router;
+import org.cypressweir.sidecar.route.Target;
+import org.cypressweir.sidecar.websocket.Handshake;
 
 /** Finds the way of a request by its route. What goes on is the normal form that was matched. */
 final class OperatorsRouting {
@@ -34,7 +34,7 @@
         this.pools = pools;
     }
 
-    Way way(FullHttpRequest http) throws RequestReader.BadRequest {
+    RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
         try {
             RequestTarget target = RequestTarget.parse(http.uri());
             Route<Target> route =
@@ -44,7 +44,7 @@
             }
             Target to = route.target();
             boolean asked = upgrades != null && to.webSocket() != null && Handshake.isAsked(http.headers());
-            return new Way(
+            return new RouteDecision(
                     pools.get(to.pool()),
                     to.requestClass(),
                     target.text(),
@@ -52,7 +52,7 @@
                     to.timeoutMicros(),
                     asked ? to.terms().forOneThatStays() : to.terms(),
                     asked ? upgrades.ask(http, to.webSocket()) : null);
-        } catch (BadTarget e) {
+        } catch (InvalidTargetException e) {
             throw new RequestReader.BadRequest(e.getMessage());
         }
     }
@@ -74,12 +74,12 @@
                     route == null
                             ? ""
                             : classes.get(route.target().requestClass()).name());
-        } catch (BadTarget e) {
+        } catch (InvalidTargetException e) {
             throw new RequestReader.BadRequest(e.getMessage());
         }
     }
 
-    private static String host(FullHttpRequest http, RequestTarget target) throws BadTarget {
+    private static String host(FullHttpRequest http, RequestTarget target) throws InvalidTargetException {
         String host = HostName.of(
                 http.headers().getAll(HttpHeaderNames.HOST),
                 http.protocolVersion().equals(HttpVersion.HTTP_1_1));
--- a/src/main/java/larkbank/sidecar/PlainLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/PlainLayout.java
@@ -1,11 +1,11 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import larkbank.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 
 /** Without an operators' file: one address, one pool, and classes by the first part of the path. */
 final class PlainLayout implements Layout {
@@ -15,7 +15,7 @@
 
     PlainLayout(Parts parts) {
         this.parts = parts;
-        Config config = parts.config();
+        SidecarConfiguration config = parts.config();
         pool = new Pool(parts.shared(), config, config.settings(), config.serverConnections(), null, parts.modules());
     }
 
@@ -26,11 +26,11 @@
 
     @Override
     public CompletableFuture<InetSocketAddress> listen() {
-        return parts.clients().listen(parts.config().listen()).thenApply(ClientServer.Door::address);
+        return parts.clients().listen(parts.config().listen()).thenApply(ClientListener.Door::address);
     }
 
     @Override
-    public Way way(FullHttpRequest http) throws RequestReader.BadRequest {
+    public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
         return parts.reader().way(http, pool);
     }
 
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Change reread(Config next) {
+    public Change reread(SidecarConfiguration next) {
         return () -> {
             pool.retune(next.settings());
             return CompletableFuture.completedFuture(null);
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void widen(Config wider) {
+    public void widen(SidecarConfiguration wider) {
         pool.bound(wider.settings().limits());
     }
 
--- a/src/main/java/larkbank/sidecar/PluginChain.java
+++ b/src/main/java/org/cypressweir/sidecar/PluginChain.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -9,13 +9,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import larkbank.plugin.BadPlugin;
-import larkbank.plugin.Conduct;
-import larkbank.plugin.Patience;
-import larkbank.plugin.PluginHost;
-import larkbank.plugin.RequestView;
-import larkbank.plugin.Wishes;
-import larkbank.route.PluginPlan;
+import org.cypressweir.sidecar.plugin.InvalidPluginException;
+import org.cypressweir.sidecar.plugin.InvocationDeadline;
+import org.cypressweir.sidecar.plugin.PluginHealth;
+import org.cypressweir.sidecar.plugin.PluginHost;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.plugin.RequestedChanges;
+import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
  * Plug-ins in their order, each of which sees what those before it have changed. The event loop never waits:
@@ -33,13 +33,13 @@
 
     private static final class Member {
         final PluginHost host;
-        final Conduct conduct = new Conduct();
+        final PluginHealth conduct = new PluginHealth();
 
         Member(PluginHost host) {
             this.host = host;
         }
 
-        PluginPlan plan() {
+        PluginConfiguration plan() {
             return host.plan();
         }
     }
@@ -48,7 +48,7 @@
     /** Set once, before anything is asked. */
     private volatile EventLoop loop;
 
-    private Clock clock;
+    private SidecarClock clock;
     private Consumer<String> log;
 
     private PluginChain() {}
@@ -65,29 +65,29 @@
      * the loop.
      *
      * @param before null for none
-     * @throws BadPlugin where one can't be started; then nothing of the new ones is left running
+     * @throws InvalidPluginException where one can't be started; then nothing of the new ones is left running
      */
-    static PluginChain of(List<PluginPlan> plans, PluginChain before) throws BadPlugin {
+    static PluginChain of(List<PluginConfiguration> plans, PluginChain before) throws InvalidPluginException {
         PluginChain chain = new PluginChain();
-        Map<PluginPlan, Member> known =
+        Map<PluginConfiguration, Member> known =
                 before == null ? Map.of() : before.members.stream().collect(Collectors.toMap(Member::plan, m -> m));
         try {
-            for (PluginPlan plan : plans) {
+            for (PluginConfiguration plan : plans) {
                 Member kept = known.get(plan);
                 chain.members.add(kept != null ? kept : chain.begin(plan));
             }
             return chain;
-        } catch (BadPlugin e) {
+        } catch (InvalidPluginException e) {
             chain.closeAllBut(before);
             throw e;
         }
     }
 
-    private Member begin(PluginPlan plan) throws BadPlugin {
+    private Member begin(PluginConfiguration plan) throws InvalidPluginException {
         try {
             return new Member(new PluginHost(plan, task -> loop.execute(task)));
-        } catch (BadPlugin e) {
-            throw new BadPlugin(plan.line() + ": plug-in '" + plan.name() + "': " + e.getMessage(), e);
+        } catch (InvalidPluginException e) {
+            throw new InvalidPluginException(plan.line() + ": plug-in '" + plan.name() + "': " + e.getMessage(), e);
         }
     }
 
@@ -133,7 +133,7 @@
             Future<?>[] patience = new Future<?>[1];
             PluginHost.Call call = member.host.ask(request, new PluginHost.Heard() {
                 @Override
-                public void done(Wishes wishes) {
+                public void done(RequestedChanges wishes) {
                     patience[0].cancel(false);
                     member.conduct.well();
                     take(member, wishes);
@@ -153,14 +153,14 @@
             private final Member member;
             private final PluginHost.Call call;
             private final Future<?>[] next;
-            private final Patience patience;
+            private final InvocationDeadline patience;
             private final long since = clock.micros();
 
             Wait(Member member, PluginHost.Call call, Future<?>[] next) {
                 this.member = member;
                 this.call = call;
                 this.next = next;
-                patience = new Patience(member.plan().deadlineMicros());
+                patience = new InvocationDeadline(member.plan().deadlineMicros());
             }
 
             void look() {
@@ -173,7 +173,7 @@
             }
         }
 
-        private void take(Member member, Wishes wishes) {
+        private void take(Member member, RequestedChanges wishes) {
             wishes.notes().forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
             if (wishes.refusal() != null) {
                 heard.accept(new Result(changed, requestClass, classFrom, wishes.refusal(), wishes.retryAfterMillis()));
@@ -220,7 +220,7 @@
     }
 
     /** What was granted to a plug-in of this chain. */
-    PluginPlan plan(String name) {
+    PluginConfiguration plan(String name) {
         return members.stream()
                 .map(Member::plan)
                 .filter(p -> p.name().equals(name))
--- a/src/main/java/larkbank/sidecar/Pool.java
+++ b/src/main/java/org/cypressweir/sidecar/Pool.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Settings;
-import larkbank.daily.Figures.Ending;
-import larkbank.route.PoolPlan;
-import larkbank.sidecar.Call.Attempt;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.ClientRequest.Attempt;
+import org.cypressweir.sidecar.admin.SidecarMetrics.Ending;
+import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
  * One decision module with its servers. It turns what happens to requests into the module's events and the
@@ -36,8 +36,8 @@
     private static final long OVERDUE_MICROS = 5_000;
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final InHand inHand;
+    private final SidecarClock clock;
+    private final InFlightRequests inHand;
     private final Runnable subscribe;
     private final Consumer<String> log;
     private final LoadBalancer module;
@@ -48,7 +48,7 @@
     private final boolean probing;
     private final long connectMicros;
     /** Null where nothing says how much may be probed. */
-    private Prober prober;
+    private HealthProber prober;
 
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean inModule;
@@ -58,22 +58,23 @@
     private Runnable emptied;
 
     /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(Call about, Told told) {}
+    private record Event(ClientRequest about, Told told) {}
 
     private interface Told {
         void tell(long nowMicros);
     }
 
     /** What a pool shares with the rest of the process. */
-    record Shared(EventLoop loop, Clock clock, InHand inHand, Runnable subscribe, Consumer<String> log) {}
+    record Shared(
+            EventLoop loop, SidecarClock clock, InFlightRequests inHand, Runnable subscribe, Consumer<String> log) {}
 
     /** Tunnels are null where nothing goes over to another protocol. */
     Pool(
             Shared shared,
-            Config config,
+            SidecarConfiguration config,
             Settings settings,
             int connections,
-            PoolPlan.Tunnelled tunnels,
+            PoolConfiguration.Tunnelled tunnels,
             BiFunction<Settings, Actions, LoadBalancer> modules) {
         loop = shared.loop();
         clock = shared.clock();
@@ -120,7 +121,7 @@
     }
 
     @Override
-    public void take(Call call) {
+    public void take(ClientRequest call) {
         call.pool = this;
         calls++;
         long now = clock.micros();
@@ -146,10 +147,10 @@
      *
      * @param id of the request, in hand nowhere
      */
-    void takeAgain(Call first, String id, Upgrade upgrade, HttpHeaders headers, Call.Client client) {
+    void takeAgain(ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
         Request r = first.request;
         long timeout = Math.min(first.timeoutMicros, Long.parseLong(headers.get(Headers.TIMEOUT)) * 1000);
-        Call call = new Call(
+        ClientRequest call = new ClientRequest(
                 new Request(
                         id,
                         r.requestClass(),
@@ -160,7 +161,7 @@
                         0,
                         r.write(),
                         r.terms()),
-                new Way(this, r.requestClass(), first.uri, null, timeout, r.terms(), upgrade),
+                new RouteDecision(this, r.requestClass(), first.uri, null, timeout, r.terms(), upgrade),
                 first.className,
                 first.method,
                 headers,
@@ -175,7 +176,7 @@
     }
 
     @Override
-    public void left(Call call) {
+    public void left(ClientRequest call) {
         if (call.upgrade != null) {
             call.upgrade.left();
         }
@@ -195,12 +196,12 @@
     }
 
     @Override
-    public boolean fits(PoolPlan plan) {
+    public boolean fits(PoolConfiguration plan) {
         return plan.cells() == null;
     }
 
     @Override
-    public void limit(PoolPlan plan) {
+    public void limit(PoolConfiguration plan) {
         servers.limit(plan.connections(), plan.tunnels());
         tell(null, now -> module.limits(now, plan.requests(), plan.queue(), plan.connections()));
     }
@@ -247,7 +248,7 @@
         servers.keep(shares == null ? null : shares::idle);
         prober = shares == null || !probing
                 ? null
-                : new Prober(
+                : new HealthProber(
                         loop,
                         clock,
                         connectMicros,
@@ -278,7 +279,7 @@
      * Tells the module, now or right after what it is being told: what an action brings about at once must
      * not reach the module inside the very call that asked for it. An exception costs its own request only.
      */
-    private void tell(Call about, Told told) {
+    private void tell(ClientRequest about, Told told) {
         events.addLast(new Event(about, told));
         if (inModule) {
             return;
@@ -306,7 +307,7 @@
 
     @Override
     public void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
-        Call call = attempt.call;
+        ClientRequest call = attempt.call;
         attempt.result = result;
         attempt.timeout.cancel(false);
         call.out--;
@@ -317,7 +318,7 @@
         } else if (result == Result.SERVED && !call.over && call.passed == null && answer != null) {
             HttpHeaders headers = Headers.endToEnd(answer.headers());
             headers.remove(Headers.LOAD);
-            Call.Client client = call.client;
+            ClientRequest.Client client = call.client;
             call.served = true;
             over(call, Ending.SERVED);
             client.answer(HttpResponseStatus.OK, headers, answer.content().retain());
@@ -342,8 +343,8 @@
      * is tried beside it, and it takes the time that server and client take.
      */
     @Override
-    public Passing passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
-        Call call = attempt.call;
+    public StreamedResponse passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+        ClientRequest call = attempt.call;
         if (call.over || call.passed != null || call.upgrade != null) {
             return null;
         }
@@ -367,11 +368,11 @@
         return call.passing;
     }
 
-    private void endPassing(Call call, boolean whole) {
+    private void endPassing(ClientRequest call, boolean whole) {
         if (call.over) {
             return;
         }
-        Passing passing = call.passing;
+        StreamedResponse passing = call.passing;
         over(call, whole ? Ending.SERVED : Ending.FAILED);
         if (whole) {
             passing.end();
@@ -381,12 +382,12 @@
     }
 
     /** A server has said 101: its client hears so now, and the two connections are joined. */
-    private void goOver(Call call, Attempt attempt, FullHttpResponse answer) {
+    private void goOver(ClientRequest call, Attempt attempt, FullHttpResponse answer) {
         if (call.over) {
             attempt.switched.close();
             return;
         }
-        Call.Client client = call.client;
+        ClientRequest.Client client = call.client;
         call.served = true;
         over(call, Ending.SERVED);
         Upgrade.End clientEnd = client.goOver(answer);
@@ -413,7 +414,7 @@
 
     @Override
     public void send(String requestId, long server, long timeoutMicros) {
-        Call call = inHand.get(requestId);
+        ClientRequest call = inHand.get(requestId);
         if (call == null) {
             return;
         }
@@ -438,7 +439,7 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Call call = inHand.get(requestId);
+        ClientRequest call = inHand.get(requestId);
         if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
             stopWaiting(call.attempts.get(attempt), Result.CANCELLED);
         }
@@ -460,7 +461,7 @@
 
     @Override
     public void fail(String requestId) {
-        Call call = inHand.get(requestId);
+        ClientRequest call = inHand.get(requestId);
         boolean late = call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
         answer(
                 call,
@@ -502,7 +503,7 @@
 
     // ---- The one answer
 
-    private void answer(Call call, HttpResponseStatus status, HttpHeaders headers) {
+    private void answer(ClientRequest call, HttpResponseStatus status, HttpHeaders headers) {
         if (call == null || call.over) {
             return;
         }
@@ -527,7 +528,7 @@
     }
 
     /** An answer that the module did not give: its request must have one all the same. */
-    private void abort(Call call, HttpResponseStatus status) {
+    private void abort(ClientRequest call, HttpResponseStatus status) {
         if (!call.over) {
             answer(call, status, new DefaultHttpHeaders());
             tell(null, now -> module.clientLeft(now, call.request.id()));
@@ -540,7 +541,7 @@
     }
 
     /** The ending is null where the client has left. */
-    private void over(Call call, Ending ending) {
+    private void over(ClientRequest call, Ending ending) {
         call.over = true;
         call.expiry.cancel(false);
         inHand.over(call, ending);
@@ -550,7 +551,7 @@
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(ClientRequest call) {
         if (call.over && call.out == 0 && !call.forgotten) {
             call.forgotten = true;
             inHand.remove(call);
--- a/src/main/java/larkbank/sidecar/OneAtATime.java
+++ b/src/main/java/org/cypressweir/sidecar/ProcessLock.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -9,22 +9,25 @@
  * Tells a process whether another runs beside it, by a lock on a file in the folder that both have: the
  * kernel lets go of it when its holder ends, in whatever way.
  */
-final class OneAtATime {
+final class ProcessLock {
+
+    /** The name is fixed: processes of earlier builds lock the same file. */
+    private static final String LOCK_FILE = "larkbank.lock";
 
     private final FileChannel file;
 
-    private OneAtATime(FileChannel file) {
+    private ProcessLock(FileChannel file) {
         this.file = file;
     }
 
     /** In this folder; null where there is none that can be written to, and nobody can tell. */
-    static OneAtATime in(String folder) {
+    static ProcessLock in(String folder) {
         if (folder == null || folder.isEmpty()) {
             return null;
         }
         try {
-            return new OneAtATime(FileChannel.open(
-                    Path.of(folder, "larkbank.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE));
+            return new ProcessLock(
+                    FileChannel.open(Path.of(folder, LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE));
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/larkbank/sidecar/RequestCollector.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestCollector.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -23,8 +23,8 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.bulk.BodyBudget.Share;
-import larkbank.bulk.BodyBudget.Word;
+import org.cypressweir.sidecar.buffering.BodyBudget.Share;
+import org.cypressweir.sidecar.buffering.BodyBudget.Word;
 
 /**
  * Collects whole requests. Small ones are always taken; what a larger one needs is asked for before it is
@@ -42,7 +42,7 @@
         void rejected(HttpResponseStatus status, String why);
     }
 
-    private final Uploads uploads;
+    private final LargeRequests uploads;
     private final Judge judge;
     private ChannelHandlerContext context;
     private HttpRequest head;
@@ -53,7 +53,7 @@
 
     private boolean waits;
 
-    RequestCollector(Uploads uploads, Judge judge) {
+    RequestCollector(LargeRequests uploads, Judge judge) {
         this.uploads = uploads;
         this.judge = judge;
     }
@@ -101,7 +101,7 @@
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
         if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
             reject(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
-        } else if (HttpUtil.getContentLength(request, -1L) > Uploads.MOST) {
+        } else if (HttpUtil.getContentLength(request, -1L) > LargeRequests.MOST) {
             rejectTooLarge();
         } else if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(new DefaultFullHttpResponse(
@@ -156,9 +156,9 @@
             }
             last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
         }
-        if (size > Uploads.MOST) {
+        if (size > LargeRequests.MOST) {
             rejectTooLarge();
-        } else if (size > Link.MAX_BODY && !waits && (share == null || size > share.has())) {
+        } else if (size > ServerConnection.MAX_BODY && !waits && (share == null || size > share.has())) {
             ask(Math.max(STEP, size - (share == null ? 0 : share.has())));
         }
     }
--- a/src/main/java/larkbank/sidecar/RequestReader.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestReader.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -11,12 +11,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Terms;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /** Turns a client's message into a request, or says why it is none. */
 final class RequestReader {
@@ -81,14 +81,14 @@
     }
 
     /** The way of a request by the first part of its path, which names its class, to the only pool. */
-    Way way(FullHttpRequest http, Pool pool) throws BadRequest {
+    RouteDecision way(FullHttpRequest http, Pool pool) throws BadRequest {
         String path = path(http.uri());
         int slash = path.indexOf('/');
         Integer requestClass = classes.get(slash < 0 ? path : path.substring(0, slash));
         if (requestClass == null) {
             throw new BadRequest("no such class");
         }
-        return new Way(pool, requestClass, http.uri(), null, Long.MAX_VALUE, Terms.NONE, null);
+        return new RouteDecision(pool, requestClass, http.uri(), null, Long.MAX_VALUE, Terms.NONE, null);
     }
 
     /** Refuses what is not HTTP or is framed in a way that has more than one meaning. */
@@ -100,7 +100,8 @@
     }
 
     /** Reads a request whose way is known; its body is held from then on. */
-    Call read(long now, FullHttpRequest http, Way way, Call.Client client) throws BadRequest {
+    ClientRequest read(long now, FullHttpRequest http, RouteDecision way, ClientRequest.Client client)
+            throws BadRequest {
         HttpHeaders headers = http.headers();
         String path = path(way.uri());
         int slash = path.indexOf('/');
@@ -121,7 +122,7 @@
         if (way.host() != null) {
             headers.set(HttpHeaderNames.HOST, way.host());
         }
-        return new Call(
+        return new ClientRequest(
                 request,
                 way,
                 settings.classes().get(requestClass).name(),
--- a/src/main/java/larkbank/sidecar/Way.java
+++ b/src/main/java/org/cypressweir/sidecar/RouteDecision.java
@@ -1,6 +1,6 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
-import larkbank.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
  * Where a request goes, and what holds for it on the way.
@@ -11,11 +11,11 @@
  * @param timeoutMicros the longest that it may take, whatever its client says
  * @param upgrade the upgrade that it asks for; null for a plain request
  */
-record Way(
+record RouteDecision(
         Cluster cluster, int requestClass, String uri, String host, long timeoutMicros, Terms terms, Upgrade upgrade) {
 
     /** The same for a request of another class. */
-    Way ofClass(int other) {
-        return new Way(cluster, other, uri, host, timeoutMicros, terms, upgrade);
+    RouteDecision ofClass(int other) {
+        return new RouteDecision(cluster, other, uri, host, timeoutMicros, terms, upgrade);
     }
 }
--- a/src/main/java/larkbank/sidecar/Link.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerConnection.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -47,7 +47,7 @@
  * answer is told when all that came with it has been read, with word on whether anything was left over; and a
  * byte that nobody asked for ends the connection.
  */
-final class Link {
+final class ServerConnection {
 
     /** Largest body that is collected before it goes on. */
     static final int MAX_BODY = 64 * 1024;
@@ -73,7 +73,7 @@
          * An answer is too large to be collected. It goes on to what this gives, null for nowhere, and the
          * link ends; the task is to be run once more may come after there was too much.
          */
-        default Passing passes(HttpResponse head, Runnable resume) {
+        default StreamedResponse passes(HttpResponse head, Runnable resume) {
             return null;
         }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    Link(EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
+    ServerConnection(EventLoop loop, InetSocketAddress to, int maxBody, long connectMicros, Owner owner) {
         this.owner = owner;
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
@@ -240,7 +240,7 @@
                     channel.write(new DefaultHttpContent(part));
                 } else {
                     end();
-                    channel.write(new DefaultLastHttpContent(part)).addListener(Link.this::sent);
+                    channel.write(new DefaultLastHttpContent(part)).addListener(ServerConnection.this::sent);
                 }
             }
             channel.flush();
@@ -335,7 +335,7 @@
         private final int most;
         private HttpResponse head;
         private ByteBuf body;
-        private Passing passing;
+        private StreamedResponse passing;
 
         Collector(int most) {
             this.most = most;
--- a/src/main/java/larkbank/sidecar/ServerList.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerList.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.Addresses;
-import larkbank.Ids;
-import larkbank.Json;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /** Servers in discovery's form: the whole list, or what has changed. */
 record ServerList(long revision, boolean complete, List<Entry> entries) {
--- a/src/main/java/larkbank/sidecar/ServerPool.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerPool.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -24,15 +24,15 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadReports;
-import larkbank.Remeasured;
-import larkbank.route.PoolPlan;
-import larkbank.sidecar.Call.Attempt;
+import org.cypressweir.loadbalancing.CachedMeasurement;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadReports;
+import org.cypressweir.sidecar.ClientRequest.Attempt;
+import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
  * Connections to the servers and the attempts on them. A connection carries one attempt at a time; nothing is
@@ -45,7 +45,7 @@
         void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer);
 
         /** A 200 is too large to be kept; where it goes on to, null for nowhere. */
-        default Passing passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+        default StreamedResponse passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
@@ -62,7 +62,7 @@
     private static final long WARM_MICROS = 20_000;
 
     private final EventLoop loop;
-    private final Clock clock;
+    private final SidecarClock clock;
     private final Listener listener;
     private int most;
     private final long connectMicros;
@@ -77,10 +77,10 @@
     /** Idle connections that it may keep, by the servers that it knows; null for no other bound. */
     private IntUnaryOperator mostIdle;
     /** Null where nothing goes over to another protocol. */
-    private PoolPlan.Tunnelled tunnels;
+    private PoolConfiguration.Tunnelled tunnels;
 
     private final Rules rules;
-    private final Remeasured warm = new Remeasured(WARM_MICROS);
+    private final CachedMeasurement warm = new CachedMeasurement(WARM_MICROS);
 
     /** One process at one address; after a restart or a move the same server is another node. */
     private final class Node implements Upgrade.Host {
@@ -148,7 +148,13 @@
         }
     }
 
-    ServerPool(EventLoop loop, Clock clock, Config config, int most, PoolPlan.Tunnelled tunnels, Listener listener) {
+    ServerPool(
+            EventLoop loop,
+            SidecarClock clock,
+            SidecarConfiguration config,
+            int most,
+            PoolConfiguration.Tunnelled tunnels,
+            Listener listener) {
         this.tunnels = tunnels;
         rules = config.settings().rules();
         this.loop = loop;
@@ -212,7 +218,7 @@
     }
 
     /** Other bounds on connections; those above it end as they become idle, those that stay do so. */
-    void limit(int connections, PoolPlan.Tunnelled others) {
+    void limit(int connections, PoolConfiguration.Tunnelled others) {
         tunnels = others;
         most = connections;
         int surplus = open - most;
@@ -285,7 +291,7 @@
     }
 
     @Override
-    public PoolPlan.Tunnelled tunnels() {
+    public PoolConfiguration.Tunnelled tunnels() {
         return tunnels;
     }
 
@@ -399,10 +405,10 @@
     }
 
     /** A connection to a server: coming up, carrying an attempt, or idle. */
-    private final class Connection implements Link.Owner, Call.Switched {
+    private final class Connection implements ServerConnection.Owner, ClientRequest.Switched {
         private final Node node;
         private Upgrade.Joined joined;
-        private final Link link;
+        private final ServerConnection link;
         private Attempt attempt;
         private long idleSince;
         /** What came with the answer that is passed on. */
@@ -412,7 +418,7 @@
             this.node = node;
             open++;
             node.connections++;
-            link = new Link(loop, node.address, Link.MAX_BODY, connectMicros, this);
+            link = new ServerConnection(loop, node.address, ServerConnection.MAX_BODY, connectMicros, this);
         }
 
         void take(Attempt next) {
@@ -437,7 +443,7 @@
         }
 
         private FullHttpRequest request(Attempt a, long now) {
-            Call call = a.call;
+            ClientRequest call = a.call;
             HttpHeaders headers = Headers.endToEnd(call.headers);
             headers.set(Headers.TIMEOUT, Math.max(1, (a.giveUpAt - now) / 1000));
             if (call.upgrade != null) {
@@ -528,7 +534,7 @@
 
         /** Only what its client gets is read on; the outcome of any other large answer is its status. */
         @Override
-        public Passing passes(HttpResponse head, Runnable resume) {
+        public StreamedResponse passes(HttpResponse head, Runnable resume) {
             if (attempt == null || !attempt.written) {
                 return null;
             }
@@ -537,7 +543,7 @@
                 node.told(report);
             }
             Result result = result(head);
-            Passing to = result == Result.SERVED
+            StreamedResponse to = result == Result.SERVED
                     ? listener.passes(attempt, head.headers(), HttpUtil.getContentLength(head, -1L), resume)
                     : null;
             if (to == null) {
@@ -567,7 +573,7 @@
         }
 
         /** Only a 101 that answers what was asked serves; what else a server says is kept for the client. */
-        private static Result upgraded(Call call, FullHttpResponse answer) {
+        private static Result upgraded(ClientRequest call, FullHttpResponse answer) {
             boolean switching = answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
             if (switching) {
                 return call.upgrade.fault(answer) == null ? Result.SERVED : Result.ERROR;
@@ -577,7 +583,8 @@
             if (result != Result.FULL && !refusal) {
                 HttpHeaders headers = Headers.endToEnd(answer.headers());
                 headers.remove(Headers.LOAD);
-                call.declined = new Call.Declined(answer.status(), headers, ByteBufUtil.getBytes(answer.content()));
+                call.declined =
+                        new ClientRequest.Declined(answer.status(), headers, ByteBufUtil.getBytes(answer.content()));
             }
             return result == Result.SERVED ? Result.ERROR : result;
         }
--- a/src/main/java/larkbank/sidecar/Sidecar.java
+++ b/src/main/java/org/cypressweir/sidecar/Sidecar.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -30,27 +30,28 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import larkbank.Addresses;
-import larkbank.Choice;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Settings;
-import larkbank.daily.ClassPlaces;
-import larkbank.daily.Desk;
-import larkbank.daily.Figures;
-import larkbank.daily.Hangup;
-import larkbank.daily.Standing;
-import larkbank.membership.Lending;
-import larkbank.membership.MembershipPlan;
-import larkbank.plugin.RequestView;
-import larkbank.websocket.Handshake;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.common.util.ReloadSignal;
+import org.cypressweir.fleet.FleetCoordination;
+import org.cypressweir.fleet.membership.Lending;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.sidecar.admin.AdminCommandHandler;
+import org.cypressweir.sidecar.admin.RequestClassSlots;
+import org.cypressweir.sidecar.admin.SidecarLifecycle;
+import org.cypressweir.sidecar.admin.SidecarMetrics;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.websocket.Handshake;
 
 /**
  * The real host of the module: fronts, pools and discovery, put together by a layout. All of it runs on one
  * event loop.
  */
-public final class Sidecar implements ClientServer.Service, Discovery.Listener {
+public final class Sidecar implements ClientListener.Service, Discovery.Listener {
 
     /** Requests of the rehearsal, and its longest time. */
     private static final int REHEARSED = 250;
@@ -65,23 +66,23 @@
     private static final int LOAD_SECONDS = 10;
 
     private final PrintStream log;
-    private final Clock clock = new Clock();
+    private final SidecarClock clock = new SidecarClock();
     /** Requests that plug-ins are asked about. */
-    private final Map<Call.Client, FullHttpRequest> asked = new HashMap<>();
+    private final Map<ClientRequest.Client, FullHttpRequest> asked = new HashMap<>();
 
-    private final InHand inHand = new InHand();
+    private final InFlightRequests inHand = new InFlightRequests();
     private final RequestReader reader;
     private final Discovery discovery;
-    private final ClientServer clients;
+    private final ClientListener clients;
     /** As last taken over; written on the loop. */
-    private volatile Config config;
+    private volatile SidecarConfiguration config;
 
     private final Layout layout;
-    private final ListFeed feed;
-    private final Standing standing = new Standing();
-    private final Desk desk;
+    private final EndpointListFeed feed;
+    private final SidecarLifecycle standing = new SidecarLifecycle();
+    private final AdminCommandHandler desk;
     /** Null where it takes no part among others. */
-    private Fellowship fellowship;
+    private FleetCoordination fellowship;
 
     private Lists lending;
     private final Layout.Portion portion = new Layout.Portion() {
@@ -104,21 +105,25 @@
     }
 
     /** How to make the layout, an address at which it will listen, and its part among others or null. */
-    record Arrangement(Layouts layouts, InetSocketAddress stage, MembershipPlan membership) {}
+    record Arrangement(Layouts layouts, InetSocketAddress stage, MembershipOptions membership) {}
 
-    Sidecar(EventLoop loop, Config config, PrintStream log) {
-        this(loop, config, log, Choice::new);
+    Sidecar(EventLoop loop, SidecarConfiguration config, PrintStream log) {
+        this(loop, config, log, SubsetLoadBalancer::new);
     }
 
     /** With another module. */
-    Sidecar(EventLoop loop, Config config, PrintStream log, BiFunction<Settings, Actions, LoadBalancer> modules) {
+    Sidecar(
+            EventLoop loop,
+            SidecarConfiguration config,
+            PrintStream log,
+            BiFunction<Settings, Actions, LoadBalancer> modules) {
         this(loop, config, log, modules, PlainLayout::new);
     }
 
     /** With another layout. */
     Sidecar(
             EventLoop loop,
-            Config config,
+            SidecarConfiguration config,
             PrintStream log,
             BiFunction<Settings, Actions, LoadBalancer> modules,
             Layouts layouts) {
@@ -128,17 +133,17 @@
         reader = new RequestReader(config.settings());
         discovery = new Discovery(
                 loop, config.discovery(), config.lists(), config.known().revision(), this, this::log);
-        clients = new ClientServer(loop, this, config.clientConnections(), this::log);
+        clients = new ClientListener(loop, this, config.clientConnections(), this::log);
         var shared = new Pool.Shared(loop, clock, inHand, discovery::subscribe, this::log);
         layout = layouts.of(new Layout.Parts(
                 config, shared, modules, reader, clients, pace -> discovery.pace(clock, pace), portion));
-        feed = new ListFeed(loop, layout);
+        feed = new EndpointListFeed(loop, layout);
         inHand.figures().show(names(config));
-        desk = new Desk(standing, inHand.figures(), new Fleet(), layout::ready);
+        desk = new AdminCommandHandler(standing, inHand.figures(), new Fleet(), layout::ready);
     }
 
     /** Pools with discovery know the same servers, so one of them tells for all. */
-    private final class Fleet implements Figures.Fleet {
+    private final class Fleet implements SidecarMetrics.Fleet {
         @Override
         public int listed() {
             return layout.discovered().stream().mapToInt(Cluster::listed).max().orElse(0);
@@ -157,14 +162,14 @@
 
     /** The same with an operators' file and how to take part among others; null for none. */
     public static int serve(
-            Map<String, String> environment, Path operators, PrintStream errors, Fellowship.Maker fellows) {
-        Config config;
+            Map<String, String> environment, Path operators, PrintStream errors, FleetCoordination.Maker fellows) {
+        SidecarConfiguration config;
         Arrangement arrangement;
         String descriptor = environment.get("LB_SOCKET_FD");
         PrintStream log = InheritedSocket.promised(descriptor) ? InheritedSocket.keep(errors) : errors;
         ServerSocketChannel inherited = null;
         try {
-            config = Config.read(environment);
+            config = SidecarConfiguration.read(environment);
             arrangement = operators == null
                     ? new Arrangement(PlainLayout::new, config.listen(), null)
                     : OperatorsLayout.of(operators, config);
@@ -177,21 +182,22 @@
         }
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        OneAtATime others = inherited == null ? null : OneAtATime.in(environment.get("TMPDIR"));
+        ProcessLock others = inherited == null ? null : ProcessLock.in(environment.get("TMPDIR"));
         boolean alone = others == null || others.alone();
-        Config within = alone ? config : config.beside();
+        SidecarConfiguration within = alone ? config : config.beside();
         CountDownLatch ended = new CountDownLatch(1);
         try {
-            Sidecar sidecar = loop.submit(() -> new Sidecar(loop, within, log, Choice::new, arrangement.layouts()))
+            Sidecar sidecar = loop.submit(
+                            () -> new Sidecar(loop, within, log, SubsetLoadBalancer::new, arrangement.layouts()))
                     .get();
             if (!alone) {
                 others.whenAlone(() -> loop.execute(() -> sidecar.widen(config)));
             }
             // One after the other, so that the last file read is the last one taken over.
             ExecutorService reading = Executors.newSingleThreadExecutor(new DefaultThreadFactory("reading", true));
-            Hangup.handle(() -> reading.execute(() -> sidecar.readAgain(environment)));
-            if (Hangup.isIgnored()) {
-                log.println("larkbank: SIGHUP is ignored by what started this process, and so by it: files"
+            ReloadSignal.handle(() -> reading.execute(() -> sidecar.readAgain(environment)));
+            if (ReloadSignal.isIgnored()) {
+                log.println("cypressweir-sidecar: SIGHUP is ignored by what started this process, and so by it: files"
                         + " are not read again; 'env --default-signal=HUP COMMAND' undoes that");
             }
             boolean promised = inherited != null;
@@ -207,7 +213,7 @@
                 try {
                     loop.submit(() -> sidecar.join(fellows, arrangement.membership(), promised, why -> {
                                 refused.set(true);
-                                log.println("larkbank: " + why);
+                                log.println("cypressweir-sidecar: " + why);
                                 sidecar.stop(ended::countDown);
                             }))
                             .get()
@@ -217,7 +223,7 @@
                     throw e;
                 }
             }
-            OperatorsDoor door = config.operator() == null
+            AdminListener door = config.operator() == null
                     ? null
                     : sidecar.openToOperators(config.operator()).get();
             sidecar.rehearse(config, arrangement.stage(), inherited, door);
@@ -236,7 +242,7 @@
         } catch (InterruptedException e) {
             return 1;
         } catch (ExecutionException | ReflectiveOperationException e) {
-            log.println("larkbank: cannot start: " + e.getCause());
+            log.println("cypressweir-sidecar: cannot start: " + e.getCause());
             return 1;
         }
     }
@@ -245,7 +251,7 @@
     private static String plain(Exception e) {
         return e instanceof OperatorsRejected
                 ? e.getMessage()
-                : "larkbank: " + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
+                : "cypressweir-sidecar: " + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
 
     /** Whatever goes wrong with one change is told, and the next one is read all the same. */
@@ -255,7 +261,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException | RuntimeException e) {
-            turnDown("larkbank: the files were not taken over: " + e);
+            turnDown("cypressweir-sidecar: the files were not taken over: " + e);
         }
     }
 
@@ -268,9 +274,9 @@
      */
     CompletableFuture<Void> reload(Map<String, String> environment) {
         try {
-            Config read = Config.reread(environment, config);
-            Config next = read.with(CompletableFuture.supplyAsync(
-                            () -> ClassPlaces.place(
+            SidecarConfiguration read = SidecarConfiguration.reread(environment, config);
+            SidecarConfiguration next = read.with(CompletableFuture.supplyAsync(
+                            () -> RequestClassSlots.place(
                                     config.settings().classes(), read.settings().classes(), inHand.classes()),
                             loop)
                     .join());
@@ -280,7 +286,7 @@
             return CompletableFuture.supplyAsync(() -> change.take().thenRun(() -> adopt(next, change)), loop)
                     .thenCompose(taken -> taken)
                     .exceptionally(e -> {
-                        turnDown("larkbank: "
+                        turnDown("cypressweir-sidecar: "
                                 + (e.getCause() == null ? e : e.getCause().getMessage()));
                         return null;
                     });
@@ -290,7 +296,7 @@
         }
     }
 
-    private void adopt(Config next, Layout.Change change) {
+    private void adopt(SidecarConfiguration next, Layout.Change change) {
         if (fellowship != null && change.membership() != null) {
             fellowship.retune(change.membership());
         }
@@ -306,7 +312,7 @@
         loop.execute(() -> inHand.figures().reconfigured(false));
     }
 
-    private static List<String> names(Config config) {
+    private static List<String> names(SidecarConfiguration config) {
         return config.settings().classes().stream()
                 .filter(c -> c != RequestClass.GONE)
                 .map(RequestClass::name)
@@ -323,10 +329,10 @@
 
     /** Takes part among others from now on. */
     private CompletableFuture<Void> join(
-            Fellowship.Maker fellows, MembershipPlan plan, boolean beside, Consumer<String> refused) {
+            FleetCoordination.Maker fellows, MembershipOptions plan, boolean beside, Consumer<String> refused) {
         front = config.listen();
         lending = new Lists();
-        return fellows.open(new Fellowship.Opening(
+        return fellows.open(new FleetCoordination.Opening(
                         loop, config.name(), plan, beside, facts(), this::log, refused, this::portioned, lending))
                 .thenAccept(joined -> {
                     fellowship = joined;
@@ -338,8 +344,8 @@
     }
 
     /** Lists of other sidecars: in place of discovery until that has told this one something itself. */
-    private final class Lists implements Fellowship.Lists {
-        private final ListShelf shelf;
+    private final class Lists implements FleetCoordination.Lists {
+        private final EndpointListCache shelf;
         private boolean told;
         /** Has come before the modules had any list. */
         private ServerList waiting;
@@ -347,7 +353,7 @@
         private boolean open;
 
         Lists() {
-            shelf = new ListShelf(
+            shelf = new EndpointListCache(
                     clock,
                     config.lists(),
                     config.known().revision(),
@@ -437,10 +443,10 @@
     }
 
     /** Opens the operators' door, which tells how things stand also while nothing else is open. */
-    CompletableFuture<OperatorsDoor> openToOperators(InetSocketAddress address) {
+    CompletableFuture<AdminListener> openToOperators(InetSocketAddress address) {
         return CompletableFuture.supplyAsync(
                         () -> {
-                            OperatorsDoor door = new OperatorsDoor(loop, this::asked);
+                            AdminListener door = new AdminListener(loop, this::asked);
                             return door.listen(address).thenApply(open -> door);
                         },
                         loop)
@@ -451,22 +457,23 @@
      * Rehearses at an address that it listens on. Where others listen on the clients' socket too, a rehearsal
      * there would meet them, and take clients that it can't serve; then the operators' door lends its own.
      */
-    private void rehearse(Config at, InetSocketAddress stage, ServerSocketChannel inherited, OperatorsDoor door)
+    private void rehearse(
+            SidecarConfiguration at, InetSocketAddress stage, ServerSocketChannel inherited, AdminListener door)
             throws InterruptedException {
         if (inherited == null) {
-            Rehearsal.run(at, stage, REHEARSED, REHEARSAL_MILLIS);
+            WarmUp.run(at, stage, REHEARSED, REHEARSAL_MILLIS);
             return;
         }
         loop.execute(() -> clients.inherit(inherited));
         if (door != null) {
-            Rehearsal.run(at, new LentStage(loop, door), REHEARSED, REHEARSAL_MILLIS);
+            WarmUp.run(at, new LentStage(loop, door), REHEARSED, REHEARSAL_MILLIS);
         }
     }
 
     /** A rehearsal by way of the operators' door. */
-    private record LentStage(EventLoop loop, OperatorsDoor door) implements Rehearsal.Stage {
+    private record LentStage(EventLoop loop, AdminListener door) implements WarmUp.Stage {
         @Override
-        public CompletableFuture<InetSocketAddress> open(ClientServer to) {
+        public CompletableFuture<InetSocketAddress> open(ClientListener to) {
             return CompletableFuture.supplyAsync(
                     () -> {
                         door.lend(to::adopt);
@@ -519,7 +526,7 @@
                 .thenCompose(address -> address)
                 .thenApplyAsync(
                         address -> {
-                            standing.on(Standing.Event.OPENED);
+                            standing.on(SidecarLifecycle.Event.OPENED);
                             front = address;
                             followStanding();
                             return address;
@@ -528,7 +535,7 @@
     }
 
     /** The process that ran beside this one has ended. */
-    private void widen(Config wider) {
+    private void widen(SidecarConfiguration wider) {
         log("alone now, with " + wider.clientConnections() + " connections of clients");
         clients.bound(wider.clientConnections());
         layout.widen(wider);
@@ -554,7 +561,7 @@
 
     /** Answers all in hand, then ends. */
     void stop(Runnable ended) {
-        if (!standing.on(Standing.Event.TERMINATE)) {
+        if (!standing.on(SidecarLifecycle.Event.TERMINATE)) {
             return;
         }
         if (fellowship != null) {
@@ -570,7 +577,7 @@
 
     @Override
     public void clients(int count) {
-        standing.on(count == 0 ? Standing.Event.EMPTY : Standing.Event.CLIENT);
+        standing.on(count == 0 ? SidecarLifecycle.Event.EMPTY : SidecarLifecycle.Event.CLIENT);
     }
 
     @Override
@@ -597,7 +604,7 @@
     }
 
     @Override
-    public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
+    public void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest {
         RequestReader.check(http);
         PluginChain chain = layout.plugins();
         if (chain == null) {
@@ -616,7 +623,11 @@
 
     /** Plug-ins have been asked about a request that came then; its time runs from there. */
     private void heard(
-            long since, PluginChain chain, PluginChain.Result result, FullHttpRequest http, Call.Client client) {
+            long since,
+            PluginChain chain,
+            PluginChain.Result result,
+            FullHttpRequest http,
+            ClientRequest.Client client) {
         if (!asked.remove(client, http)) {
             // It has left, which has been seen to.
             return;
@@ -646,7 +657,7 @@
     }
 
     /** Stricter is always allowed; less strict only where it was granted for just these two. */
-    private Way classed(PluginChain chain, PluginChain.Result result, Way way) {
+    private RouteDecision classed(PluginChain chain, PluginChain.Result result, RouteDecision way) {
         if (result.requestClass() == null) {
             return way;
         }
@@ -670,7 +681,8 @@
         return way.ofClass(other);
     }
 
-    private void admit(long now, FullHttpRequest http, Call.Client client, Way way) throws RequestReader.BadRequest {
+    private void admit(long now, FullHttpRequest http, ClientRequest.Client client, RouteDecision way)
+            throws RequestReader.BadRequest {
         if (way.upgrade() != null && !standing.serves()) {
             client.answer(
                     HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -678,7 +690,7 @@
                     Unpooled.EMPTY_BUFFER);
             return;
         }
-        Call call = reader.read(now, http, way, client);
+        ClientRequest call = reader.read(now, http, way, client);
         if (call.upgrade == null && !client.isAlone()) {
             call.body.release();
             throw new RequestReader.BadRequest("more than one request");
@@ -695,13 +707,13 @@
     }
 
     @Override
-    public void left(Call.Client client) {
+    public void left(ClientRequest.Client client) {
         FullHttpRequest waits = asked.remove(client);
         if (waits != null) {
             waits.release();
             return;
         }
-        Call call = inHand.of(client);
+        ClientRequest call = inHand.of(client);
         if (call != null) {
             call.cluster.left(call);
         }
--- a/src/main/java/larkbank/sidecar/Config.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,18 +11,18 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.Addresses;
-import larkbank.Json;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Settings;
-import larkbank.SettingsReader;
-import larkbank.daily.ClassPlaces;
-import larkbank.daily.ConfigShape;
-import larkbank.operators.Facts;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SettingsReader;
+import org.cypressweir.sidecar.admin.ConfigurationCompleteness;
+import org.cypressweir.sidecar.admin.RequestClassSlots;
+import org.cypressweir.sidecar.operatorconfig.Facts;
 
 /** What one sidecar is told at its start. */
-record Config(
+record SidecarConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -33,7 +33,7 @@
         long drainGraceMicros,
         ServerList known,
         ServerList.Reader lists,
-        ConfigShape shape) {
+        ConfigurationCompleteness shape) {
 
     /**
      * Descriptors beside the clients' and servers' connections: the runtime, its files and the event loop
@@ -48,12 +48,13 @@
     private static final int LEAST_DESCRIPTORS = 128;
 
     /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
-    static Config read(Map<String, String> environment) throws IOException {
+    static SidecarConfiguration read(Map<String, String> environment) throws IOException {
         return read(environment, null);
     }
 
     /** It has to have all that this one has; null for no such demand. */
-    private static Config read(Map<String, String> environment, ConfigShape demanded) throws IOException {
+    private static SidecarConfiguration read(Map<String, String> environment, ConfigurationCompleteness demanded)
+            throws IOException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IOException("LB_CONFIG names no file");
@@ -72,15 +73,16 @@
     }
 
     /** Reads the file of a running sidecar, which is newer than what the environment says of discovery. */
-    static Config reread(Map<String, String> environment, Config inForce) throws IOException {
+    static SidecarConfiguration reread(Map<String, String> environment, SidecarConfiguration inForce)
+            throws IOException {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("LB_DISCOVERY");
         return read(others, inForce.shape);
     }
 
     /** The same with other servers, which nothing has to be asked for, and within other descriptors. */
-    Config with(int otherSockets, ServerList servers) {
-        return new Config(
+    SidecarConfiguration with(int otherSockets, ServerList servers) {
+        return new SidecarConfiguration(
                 name,
                 listen,
                 discovery,
@@ -95,9 +97,9 @@
     }
 
     /** The same within three quarters of its descriptors, while another process still has some. */
-    Config beside() {
+    SidecarConfiguration beside() {
         int part = Math.max(LEAST_DESCRIPTORS, sockets / 4 * 3);
-        return new Config(
+        return new SidecarConfiguration(
                 name,
                 listen,
                 discovery,
@@ -118,8 +120,8 @@
     }
 
     /** The same with its classes at these numbers. */
-    Config with(List<RequestClass> placed) {
-        return new Config(
+    SidecarConfiguration with(List<RequestClass> placed) {
+        return new SidecarConfiguration(
                 name,
                 listen,
                 discovery,
@@ -138,7 +140,8 @@
         return new Facts(settings, lists.zones(), lists.models(), serverConnections(), listen);
     }
 
-    private static Config of(Map<?, ?> c, Map<String, String> environment, ConfigShape demanded) throws IOException {
+    private static SidecarConfiguration of(
+            Map<?, ?> c, Map<String, String> environment, ConfigurationCompleteness demanded) throws IOException {
         if (!(c.get("settings") instanceof Map<?, ?> facts)) {
             throw new IOException("'settings' is missing");
         }
@@ -157,9 +160,9 @@
         InetSocketAddress operator = operator(c, environment.get("LB_OPERATOR"));
         // The operators' door takes its part before clients and servers share the rest.
         int told = sockets;
-        sockets -= operator == null ? 0 : OperatorsDoor.CALLERS + 1;
+        sockets -= operator == null ? 0 : AdminListener.CALLERS + 1;
         sockets -= InheritedSocket.promised(environment.get("LB_SOCKET_FD")) ? REHEARSAL_DESCRIPTORS : 0;
-        return new Config(
+        return new SidecarConfiguration(
                 text(c, "name", environment.get("LB_NAME")),
                 Addresses.parse(text(c, "listen", environment.get("LB_LISTEN"))),
                 Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY"))),
@@ -170,11 +173,11 @@
                 Json.whole(Json.object(facts, "rules"), "drain_grace_us", 0),
                 known,
                 lists,
-                new ConfigShape(c));
+                new ConfigurationCompleteness(c));
     }
 
     private static Settings checked(Settings s) {
-        String twice = ClassPlaces.twice(s.classes());
+        String twice = RequestClassSlots.twice(s.classes());
         require(twice == null, "class '" + twice + "' stands twice");
         s.classes()
                 .forEach(c -> require(
--- a/src/main/java/larkbank/sidecar/Passing.java
+++ b/src/main/java/org/cypressweir/sidecar/StreamedResponse.java
@@ -1,9 +1,9 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 
 /** A client's end of an answer that is passed on as it comes. */
-interface Passing {
+interface StreamedResponse {
 
     /**
      * Passes a part on; the caller keeps its reference. False where the client should be given time
--- a/src/main/java/larkbank/sidecar/Upgrade.java
+++ b/src/main/java/org/cypressweir/sidecar/Upgrade.java
@@ -1,12 +1,12 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import larkbank.LoadBalancer.Rules;
-import larkbank.route.PoolPlan;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
  * A request to go over to another protocol on its connection. It is a request like any other until a server
@@ -24,7 +24,7 @@
         double warmServers();
 
         /** How many connections that stay it takes, in all and each server, and how many a second. */
-        PoolPlan.Tunnelled tunnels();
+        PoolConfiguration.Tunnelled tunnels();
 
         /** Those that say what a cold server takes. */
         Rules rules();
@@ -58,7 +58,7 @@
     }
 
     /** It has been taken, as this call. */
-    void taken(Call call);
+    void taken(ClientRequest call);
 
     /**
      * Whether there is room for one more connection that stays.
--- a/src/main/java/larkbank/sidecar/Rehearsal.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,11 +25,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
  * Made-up requests before the first real one: a sidecar of its own, whose only servers are this very class
@@ -42,7 +42,7 @@
  * a core or a busy neighbour. Harm: the time that it takes is added to the time that a restart takes, so it
  * has an end by the clock as well as by count; meanwhile {@code /healthz} answers 503.
  */
-final class Rehearsal implements ClientServer.Service {
+final class WarmUp implements ClientListener.Service {
 
     private static final int SERVERS = 8;
     private static final int CLIENTS = 4;
@@ -55,7 +55,7 @@
     private static final HttpHeaders LOAD = new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
 
     private final EventLoop loop;
-    private final Config config;
+    private final SidecarConfiguration config;
     private final String prefix;
     /** Ids that the sidecar has been asked for: what comes again under one of them comes from the sidecar. */
     private final Set<String> asked = new HashSet<>();
@@ -63,7 +63,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Stage place;
     private final int requests;
-    private final ClientServer stage;
+    private final ClientListener stage;
     private Sidecar sidecar;
     private int sent;
     private int answered;
@@ -72,31 +72,32 @@
     /** Where it is played: clients connect there, and it has what they say. */
     interface Stage {
         /** Opens for it; the address is there once clients can connect. */
-        CompletableFuture<InetSocketAddress> open(ClientServer to);
+        CompletableFuture<InetSocketAddress> open(ClientListener to);
 
         /** Nothing comes by this way any more. */
         default void close() {}
     }
 
-    private Rehearsal(EventLoop loop, Config config, Stage place, int requests) {
+    private WarmUp(EventLoop loop, SidecarConfiguration config, Stage place, int requests) {
         this.loop = loop;
         this.config = config;
         this.place = place;
         this.requests = requests;
         prefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
-        stage = new ClientServer(loop, this, SOCKETS, line -> {});
+        stage = new ClientListener(loop, this, SOCKETS, line -> {});
     }
 
     /** Goes through so many requests, or as many as there is time for; how many were answered. */
-    static int run(Config config, InetSocketAddress where, int requests, long millis) throws InterruptedException {
-        return run(config, stage -> stage.listen(where).thenApply(ClientServer.Door::address), requests, millis);
+    static int run(SidecarConfiguration config, InetSocketAddress where, int requests, long millis)
+            throws InterruptedException {
+        return run(config, stage -> stage.listen(where).thenApply(ClientListener.Door::address), requests, millis);
     }
 
     /** The same on another stage than an address of its own. */
-    static int run(Config config, Stage place, int requests, long millis) throws InterruptedException {
+    static int run(SidecarConfiguration config, Stage place, int requests, long millis) throws InterruptedException {
         // A loop of its own: with it go all connections and timers of the rehearsal.
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Rehearsal rehearsal = new Rehearsal(group.next(), config, place, requests);
+        WarmUp rehearsal = new WarmUp(group.next(), config, place, requests);
         try {
             rehearsal.loop.execute(rehearsal::open);
             rehearsal.ended.await(millis, TimeUnit.MILLISECONDS);
@@ -138,7 +139,7 @@
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new ServerList.Entry(new Server(i, i % zones, 0, 0, Phase.READY, 0, 1), address));
         }
-        Config own = config.with(SOCKETS, new ServerList(0, true, servers));
+        SidecarConfiguration own = config.with(SOCKETS, new ServerList(0, true, servers));
         sidecar = new Sidecar(loop, own, new PrintStream(OutputStream.nullOutputStream()));
         sidecar.open();
         for (int i = 0; i < CLIENTS; i++) {
@@ -152,7 +153,7 @@
     }
 
     @Override
-    public void take(FullHttpRequest http, Call.Client client) throws RequestReader.BadRequest {
+    public void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest {
         String id = String.valueOf(http.headers().get(Headers.REQUEST_ID));
         if (!id.startsWith(prefix)) {
             // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on a retry.
@@ -165,7 +166,7 @@
     }
 
     @Override
-    public void left(Call.Client client) {
+    public void left(ClientRequest.Client client) {
         sidecar.left(client);
     }
 
@@ -200,11 +201,11 @@
     }
 
     /** Asks again as soon as it has an answer. */
-    private final class Client implements Link.Owner {
-        private final Link link;
+    private final class Client implements ServerConnection.Owner {
+        private final ServerConnection link;
 
         Client(InetSocketAddress address) {
-            link = new Link(loop, address, Link.MAX_BODY, config.connectMicros(), this);
+            link = new ServerConnection(loop, address, ServerConnection.MAX_BODY, config.connectMicros(), this);
         }
 
         @Override
--- a/src/main/java/larkbank/sidecar/WebSocketUpgrades.java
+++ b/src/main/java/org/cypressweir/sidecar/WebSocketUpgrades.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,14 +10,14 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.SplittableRandom;
-import larkbank.route.Resume;
-import larkbank.route.WebSocketLimits;
-import larkbank.websocket.Handshake;
-import larkbank.websocket.Intake;
-import larkbank.websocket.Tunnel;
-import larkbank.websocket.Tunnels;
-import larkbank.websocket.UpgradeAccount;
-import larkbank.websocket.UpgradeAccount.Event;
+import org.cypressweir.sidecar.route.Resume;
+import org.cypressweir.sidecar.route.WebSocketLimits;
+import org.cypressweir.sidecar.websocket.Handshake;
+import org.cypressweir.sidecar.websocket.Tunnel;
+import org.cypressweir.sidecar.websocket.TunnelAdmission;
+import org.cypressweir.sidecar.websocket.Tunnels;
+import org.cypressweir.sidecar.websocket.UpgradeAccount;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Event;
 
 /** Upgrades to WebSocket, and the tunnels that come of them. */
 final class WebSocketUpgrades {
@@ -25,7 +25,7 @@
     /** Open tunnels end over this time where the process does. */
     private static final long SPREAD_MICROS = 1_000_000;
 
-    private final Clock clock;
+    private final SidecarClock clock;
     private final SplittableRandom random;
     private final int most;
     private final Tunnels tunnels;
@@ -34,7 +34,7 @@
     private final UpgradeAccount.Counters counters = new UpgradeAccount.Counters();
 
     /** With so many tunnels in all, at most. */
-    WebSocketUpgrades(EventLoop loop, Clock clock, long seed, int most) {
+    WebSocketUpgrades(EventLoop loop, SidecarClock clock, long seed, int most) {
         this.clock = clock;
         this.most = most;
         random = new SplittableRandom(seed);
@@ -84,8 +84,8 @@
         }
 
         @Override
-        public Intake.Rule rule() {
-            return new Intake.Rule(
+        public TunnelAdmission.Rule rule() {
+            return new TunnelAdmission.Rule(
                     fleet.tunnels().rate(), fleet.rules(), fleet.tunnels().perServer());
         }
     }
@@ -147,7 +147,7 @@
         private final Handshake handshake;
         private final WebSocketLimits limits;
         private UpgradeAccount account;
-        private Call call;
+        private ClientRequest call;
         private Tunnels.Ticket ticket;
 
         Asked(Handshake handshake, WebSocketLimits limits) {
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void taken(Call as) {
+        public void taken(ClientRequest as) {
             call = as;
             account = new UpgradeAccount(counters);
         }
@@ -235,12 +235,12 @@
     /** Asks for other servers for one tunnel. */
     private final class Resumer {
         private final Tunnel tunnel;
-        private final Call first;
+        private final ClientRequest first;
         private final Handshake handshake;
         private final String protocol;
         private final Resume resume;
 
-        private Resumer(Tunnel tunnel, Call first, Handshake handshake, String protocol, Resume resume) {
+        private Resumer(Tunnel tunnel, ClientRequest first, Handshake handshake, String protocol, Resume resume) {
             this.tunnel = tunnel;
             this.first = first;
             this.handshake = handshake;
@@ -263,7 +263,7 @@
     }
 
     /** The handshake of a tunnel that is to go on at another server; its client hears nothing of it. */
-    private final class Moving implements Upgrade, Call.Client {
+    private final class Moving implements Upgrade, ClientRequest.Client {
         private final Tunnel tunnel;
         private final Handshake handshake;
         private final String protocol;
@@ -275,7 +275,7 @@
         }
 
         @Override
-        public void taken(Call call) {}
+        public void taken(ClientRequest call) {}
 
         /** Its tunnel counts already; the other server must have room for one more all the same. */
         @Override
--- a/src/main/java/larkbank/daily/Desk.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/AdminCommandHandler.java
@@ -1,19 +1,19 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
 /** What operators may ask on their door, and what they hear; it acts on the standing alone. */
-public final class Desk {
+public final class AdminCommandHandler {
 
     private static final String NO = "NO ";
     private static final String LEASE = "LEASE ";
     private static final String END = "\nEND";
 
-    private final Standing standing;
-    private final Figures figures;
-    private final Figures.Fleet fleet;
+    private final SidecarLifecycle standing;
+    private final SidecarMetrics figures;
+    private final SidecarMetrics.Fleet fleet;
     private final BooleanSupplier servers;
     /** Null where there is no membership. */
     private Supplier<String> members;
@@ -22,7 +22,8 @@
     private UnaryOperator<String> lease;
 
     /** @param servers whether a request would find one */
-    public Desk(Standing standing, Figures figures, Figures.Fleet fleet, BooleanSupplier servers) {
+    public AdminCommandHandler(
+            SidecarLifecycle standing, SidecarMetrics figures, SidecarMetrics.Fleet fleet, BooleanSupplier servers) {
         this.standing = standing;
         this.figures = figures;
         this.fleet = fleet;
@@ -46,8 +47,8 @@
         return switch (line.strip()) {
             case "READY" -> ready();
             case "STATS" -> figures.json(fleet) + END;
-            case "DRAIN" -> ask(Standing.Event.DRAIN);
-            case "UNDRAIN" -> ask(Standing.Event.UNDRAIN);
+            case "DRAIN" -> ask(SidecarLifecycle.Event.DRAIN);
+            case "UNDRAIN" -> ask(SidecarLifecycle.Event.UNDRAIN);
             case "MEMBERS" -> members == null ? NO + "membership is off" : members.get() + END;
             case "LEASES" -> leases == null ? NO + "leases are off" : leases.get();
             default -> NO + "unknown call; READY, STATS, DRAIN, UNDRAIN, MEMBERS, LEASES and LEASE NAME are" + " known";
@@ -62,9 +63,9 @@
     }
 
     /** Asked twice is as good as once; only an end can't be taken back. */
-    private String ask(Standing.Event event) {
+    private String ask(SidecarLifecycle.Event event) {
         standing.on(event);
-        return (standing.state() == Standing.State.STOPPING ? NO : "YES ") + name();
+        return (standing.state() == SidecarLifecycle.State.STOPPING ? NO : "YES ") + name();
     }
 
     private String name() {
--- a/src/main/java/larkbank/daily/ConfigShape.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/ConfigurationCompleteness.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -9,14 +9,14 @@
  * Whether a configuration that was read again is whole: it has all that the one in force has, each of its
  * kind. A file that is being written, or that lost a key, would be taken for one with other defaults.
  */
-public final class ConfigShape {
+public final class ConfigurationCompleteness {
 
     /** May come and go: a list of servers, a seed and an address that hold from the start to the end. */
     private static final Set<String> FREE = Set.of("known", "seed", "operator");
 
     private final Map<?, ?> inForce;
 
-    public ConfigShape(Map<?, ?> document) {
+    public ConfigurationCompleteness(Map<?, ?> document) {
         Map<Object, Object> kept = new LinkedHashMap<>(document);
         kept.keySet().removeAll(FREE);
         inForce = kept;
--- a/src/main/java/larkbank/daily/ClassPlaces.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/RequestClassSlots.java
@@ -1,19 +1,19 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import larkbank.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 
 /**
  * The numbers of classes when others come to hold. What is learned and what is in hand goes by number, so a
  * class that stays keeps its own, and that of a dropped one is free once no request is left under it. That is
  * never so in the change that drops it: until the change is taken over, requests still come under it.
  */
-public final class ClassPlaces {
+public final class RequestClassSlots {
 
-    private ClassPlaces() {}
+    private RequestClassSlots() {}
 
     /**
      * The classes by their numbers; {@link RequestClass#GONE} where there is none.
--- a/src/main/java/larkbank/daily/Standing.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarLifecycle.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import java.util.Map;
 
@@ -6,7 +6,7 @@
  * Where a sidecar stands between its start and its end, as operators and the front see it. It knows of no
  * socket and no clock: what happens is told, and what is to be done is read from the state.
  */
-public final class Standing {
+public final class SidecarLifecycle {
 
     /** From the start to the end; drained is a drain with no client left. */
     public enum State {
--- a/src/main/java/larkbank/daily/Figures.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarMetrics.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -14,7 +14,7 @@
  * and each attempt once when its last byte has been handed over, by whichever front took it; rehearsals have
  * figures of their own, which nobody reads.
  */
-public final class Figures {
+public final class SidecarMetrics {
 
     /** How a client's request ended. */
     public enum Ending {
--- a/src/main/java/larkbank/bulk/BodyBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
@@ -1,4 +1,4 @@
-package larkbank.bulk;
+package org.cypressweir.sidecar.buffering;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/larkbank/cell/Cell.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/Cell.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 /**
  * One part of a pool's servers, with a decision module of its own.
--- a/src/main/java/larkbank/cell/Parting.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellAssignment.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
  * Which servers belong to which cell. Bounded rendezvous hashing (Thaler and Ravishankar, 1998, with the
@@ -20,7 +20,7 @@
  * nothing agree, and so does one that has restarted. A server that is gone keeps its place for a while, so
  * that a release that restarts servers one by one moves none of the others.
  */
-public final class Parting {
+public final class CellAssignment {
 
     private static final long ORDER_SALT = 0x0DE1;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    private final CellsPlan.Spread spread;
+    private final CellsConfiguration.Spread spread;
     private final long keepMicros;
     private final double[] shares;
     private final long[] seeds;
@@ -64,7 +64,7 @@
     private final BitSet open = new BitSet();
     private int kept;
 
-    public Parting(List<Cell> cells, CellsPlan.Spread spread, long keepMicros) {
+    public CellAssignment(List<Cell> cells, CellsConfiguration.Spread spread, long keepMicros) {
         this.spread = spread;
         this.keepMicros = keepMicros;
         double sum = cells.stream().mapToDouble(Cell::share).sum();
@@ -132,7 +132,7 @@
     }
 
     /** Takes over all servers and kept places of another; what lies in another cell than there. */
-    List<Moved> instead(long now, Parting other) {
+    List<Moved> instead(long now, CellAssignment other) {
         listed(now, ListKind.COMPLETE, List.copyOf(other.servers.values()));
         List<Moved> moved = new ArrayList<>();
         for (long id : servers.keySet()) {
@@ -149,12 +149,12 @@
     }
 
     private long key(Server s) {
-        return spread == CellsPlan.Spread.SERVER ? s.id() : Hashes.mix(s.cell(), 1) >>> 1;
+        return spread == CellsConfiguration.Spread.SERVER ? s.id() : Hashes.mix(s.cell(), 1) >>> 1;
     }
 
     /** Groups may span zones; they are dealt out as if there were one. */
     private int zone(Server s) {
-        return spread == CellsPlan.Spread.SERVER ? s.zone() : -1;
+        return spread == CellsConfiguration.Spread.SERVER ? s.zone() : -1;
     }
 
     private void add(Server s) {
--- a/src/main/java/larkbank/cell/CellHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellHealth.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.Arrays;
 
--- a/src/main/java/larkbank/cell/CellState.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellState.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 /** What is known of one cell: its health, what its units take of it, and what is in hand there. */
 final class CellState {
--- a/src/main/java/larkbank/cell/Cells.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/Cells.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,10 +11,10 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.stream.IntStream;
-import larkbank.Hashes;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Server;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
  * Decides which cell a request goes to, and nothing about what happens there: each cell has a module of its
@@ -46,9 +46,9 @@
         private boolean guest;
         private long retryAfter;
         /** The move that counts it as a write at the old cell. */
-        private Moving counted;
+        private UnitMigration counted;
 
-        private Moving heldBy;
+        private UnitMigration heldBy;
 
         private Ticket(long unit, Effect effect, long token, long takenAt) {
             this.unit = unit;
@@ -95,19 +95,19 @@
 
     private final String pool;
     private final Actions actions;
-    private final Repeats repeats = new Repeats(REMEMBERED);
+    private final IdempotencyKeys repeats = new IdempotencyKeys(REMEMBERED);
     /** By unit: the order or the quarantine that holds for it. */
-    private final Map<Long, Moving> moves = new LinkedHashMap<>();
+    private final Map<Long, UnitMigration> moves = new LinkedHashMap<>();
 
-    private final Map<Moving, Set<Ticket>> held = new HashMap<>();
-    private final Floods floods;
-    private CellsPlan plan;
+    private final Map<UnitMigration, Set<Ticket>> held = new HashMap<>();
+    private final FloodIsolation floods;
+    private CellsConfiguration plan;
     private int requests;
     private CellState[] parts = {};
     /** Places of the sick cells. */
     private final BitSet sick = new BitSet();
 
-    private Parting parting;
+    private CellAssignment parting;
     private Placement placement;
     /** Homes before they last changed, for keyed requests that may be repeated; null once that is over. */
     private Placement earlier;
@@ -121,15 +121,15 @@
      * @param pool its name, for the log
      * @param requests that the pool may have in hand; guests have a part of each cell's part
      */
-    public Cells(String pool, CellsPlan plan, int requests, long now, Actions actions) {
+    public Cells(String pool, CellsConfiguration plan, int requests, long now, Actions actions) {
         this.pool = pool;
         this.actions = actions;
-        floods = new Floods(this);
+        floods = new FloodIsolation(this);
         repeats.begin(now);
         this.plan = plan;
         this.requests = requests;
         grow();
-        parting = new Parting(plan.cells(), plan.spread(), plan.keepMicros());
+        parting = new CellAssignment(plan.cells(), plan.spread(), plan.keepMicros());
         placement = new Placement(plan.cells(), plan.assigned(), parting.open());
         order(now);
     }
@@ -144,7 +144,7 @@
     }
 
     /** The plan that holds. */
-    public CellsPlan plan() {
+    public CellsConfiguration plan() {
         return plan;
     }
 
@@ -161,16 +161,16 @@
     // ---- Servers and orders
 
     /** Takes over a list; the servers that stay and whose cell has changed. */
-    public List<Parting.Moved> listed(long now, ListKind kind, List<Server> lines) {
-        List<Parting.Moved> moved = parting.listed(now, kind, lines);
+    public List<CellAssignment.Moved> listed(long now, ListKind kind, List<Server> lines) {
+        List<CellAssignment.Moved> moved = parting.listed(now, kind, lines);
         reopen(now);
         arm(now);
         return moved;
     }
 
     /** Gives up places that were kept for too long; the servers whose cell has changed by that. */
-    public List<Parting.Moved> sweep(long now) {
-        List<Parting.Moved> moved = parting.sweep(now);
+    public List<CellAssignment.Moved> sweep(long now) {
+        List<CellAssignment.Moved> moved = parting.sweep(now);
         reopen(now);
         return moved;
     }
@@ -204,23 +204,23 @@
      * @param bound on requests of the pool
      * @return servers whose cell has changed
      */
-    public List<Parting.Moved> plan(long now, CellsPlan next, int bound) {
+    public List<CellAssignment.Moved> plan(long now, CellsConfiguration next, int bound) {
         requests = bound;
-        CellsPlan before = plan;
+        CellsConfiguration before = plan;
         plan = next;
         grow();
-        List<Parting.Moved> moved = List.of();
+        List<CellAssignment.Moved> moved = List.of();
         if (!before.cells().equals(next.cells())
                 || before.spread() != next.spread()
                 || before.keepMicros() != next.keepMicros()) {
-            Parting old = parting;
-            parting = new Parting(next.cells(), next.spread(), next.keepMicros());
+            CellAssignment old = parting;
+            parting = new CellAssignment(next.cells(), next.spread(), next.keepMicros());
             moved = parting.instead(now, old);
         }
         Map<Long, Integer> homes = new HashMap<>();
         moves.forEach((unit, m) -> homes.put(unit, m.home()));
         rehome(now, new Placement(next.cells(), next.assigned(), parting.open()), true);
-        for (Moving m : List.copyOf(moves.values())) {
+        for (UnitMigration m : List.copyOf(moves.values())) {
             boolean stays = m.automatic
                     ? next.quarantine() != null
                             && next.quarantine().equals(before.quarantine())
@@ -232,8 +232,8 @@
                 floods.forget(m.plan.unit());
             }
         }
-        for (MovePlan order : next.moves()) {
-            Moving m = moves.get(order.unit());
+        for (MoveConfiguration order : next.moves()) {
+            UnitMigration m = moves.get(order.unit());
             if (m == null || m.automatic) {
                 if (m != null) {
                     free(now, m);
@@ -247,7 +247,7 @@
     }
 
     /** Whether another plan can be taken over: its cells are those that there are, and perhaps more. */
-    public boolean fits(CellsPlan next) {
+    public boolean fits(CellsConfiguration next) {
         return next.unit() == plan.unit()
                 && Objects.equals(next.header(), plan.header())
                 && next.cells().size() >= plan.cells().size()
@@ -269,15 +269,15 @@
         arm(now);
     }
 
-    void begin(long now, MovePlan order, int from, boolean automatic) {
+    void begin(long now, MoveConfiguration order, int from, boolean automatic) {
         // What this process has not seen from its start on may be repeated, or still run.
-        Moving m = new Moving(order, from, automatic, now, plan.windowMicros(), plan.patienceMicros());
+        UnitMigration m = new UnitMigration(order, from, automatic, now, plan.windowMicros(), plan.patienceMicros());
         moves.put(order.unit(), m);
         step(now, m);
     }
 
     /** What a move holds goes where its unit is at home. */
-    private void free(long now, Moving m) {
+    private void free(long now, UnitMigration m) {
         Set<Ticket> waiting = held.remove(m);
         for (Ticket t : waiting == null ? Set.<Ticket>of() : waiting) {
             t.heldBy = null;
@@ -291,7 +291,7 @@
     /**
      * A request asks where to go.
      *
-     * @param unit {@link larkbank.Ids} of its tenant, key or header value
+     * @param unit {@link org.cypressweir.common.util.Ids} of its tenant, key or header value
      * @param token of its idempotency key; only looked at for keyed ones
      * @param hash of the request, from which its place in a move's growing part follows
      * @param deadlineMicros when it must have its answer
@@ -299,7 +299,7 @@
     public Ticket ask(long now, long unit, Effect effect, long token, long hash, long deadlineMicros) {
         Ticket t = new Ticket(unit, effect, token, now);
         inHand++;
-        Moving m = moves.get(unit);
+        UnitMigration m = moves.get(unit);
         if (m != null) {
             step(now, m);
             boolean fresh = effect != Effect.SAFE && known(now, t) < 0;
@@ -335,7 +335,7 @@
         return t;
     }
 
-    private int heldBy(Moving m) {
+    private int heldBy(UnitMigration m) {
         Set<Ticket> waiting = held.get(m);
         return waiting == null ? 0 : waiting.size();
     }
@@ -345,7 +345,7 @@
         return t.effect == Effect.KEYED ? repeats.cellOf(now, plan.windowMicros(), t.token) : -1;
     }
 
-    private void send(long now, Ticket t, int home, Moving m) {
+    private void send(long now, Ticket t, int home, UnitMigration m) {
         int cell = home;
         boolean moving = m != null && !m.over();
         if (t.effect == Effect.KEYED && plan.windowMicros() > 0) {
@@ -424,10 +424,10 @@
             parts[t.cell].guests--;
         }
         if (t.counted != null) {
-            Moving m = t.counted;
+            UnitMigration m = t.counted;
             t.counted = null;
             m.writeEnded();
-            if (m.state() == Moving.State.SWITCHING && m.writesOut() == 0) {
+            if (m.state() == UnitMigration.State.SWITCHING && m.writesOut() == 0) {
                 step(now, m);
             }
         }
@@ -474,18 +474,18 @@
         arm(now);
     }
 
-    private void step(long now, Moving m) {
+    private void step(long now, UnitMigration m) {
         int to = m.plan.to();
         boolean toSick = parts[to].health.sick() || !placement.isOpen(to);
         for (int i = 0; i < 3 && m.step(now, toSick, m.knownSince(repeats.completeSince())); i++) {
             say(m);
-            if (m.state() != Moving.State.SWITCHING) {
+            if (m.state() != UnitMigration.State.SWITCHING) {
                 free(now, m);
             }
         }
     }
 
-    private void say(Moving m) {
+    private void say(UnitMigration m) {
         String what =
                 switch (m.state()) {
                     case WAITING -> "goes back: cell " + name(m.plan.to()) + " is sick (" + m.tries() + ")";
@@ -509,7 +509,7 @@
     // ---- For what sets units apart
 
     /** The order or quarantine that holds for a unit; null for none. */
-    Moving move(long unit) {
+    UnitMigration move(long unit) {
         return moves.get(unit);
     }
 
@@ -537,7 +537,7 @@
         }
         boolean busy = inHand > 0 || parting.keeps() || earlier != null || floods.any();
         long at = Long.MAX_VALUE;
-        for (Moving m : moves.values()) {
+        for (UnitMigration m : moves.values()) {
             if (!m.over()) {
                 at = Math.min(at, Math.max(now + 1_000, m.wakeAt() == 0 ? now + TICK : m.wakeAt()));
             }
--- a/src/main/java/larkbank/cell/CellsPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellsConfiguration.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.List;
 import java.util.Map;
@@ -10,21 +10,21 @@
  * @param header the header whose value is the unit, in small letters; null for other units
  * @param spread what is dealt out to cells: servers, or whole groups that drop repeats together
  * @param keepMicros how long the place of a server that is gone stays kept for its return
- * @param assigned cells of units by {@link larkbank.Ids}, which go before the hash
+ * @param assigned cells of units by {@link org.cypressweir.common.util.Ids}, which go before the hash
  * @param windowMicros longest time for which servers drop repeats of keyed requests; 0 without any such class
  * @param patienceMicros longest that a request may be in hand
  * @param guests part of a cell's bound on requests that guests of sick cells may take; 0 for no guests
  * @param guestWrites whether requests that must never run twice may be guests too
  * @param quarantine null where heavy units stay where they are
  */
-public record CellsPlan(
+public record CellsConfiguration(
         Unit unit,
         String header,
         List<Cell> cells,
         Spread spread,
         long keepMicros,
         Map<Long, Integer> assigned,
-        List<MovePlan> moves,
+        List<MoveConfiguration> moves,
         long windowMicros,
         long patienceMicros,
         double guests,
@@ -54,8 +54,8 @@
     public record Quarantine(int cell, double share, long forMicros) {}
 
     /** The same with what the classes of the pool's routes say. */
-    public CellsPlan with(long window, long patience) {
-        return new CellsPlan(
+    public CellsConfiguration with(long window, long patience) {
+        return new CellsConfiguration(
                 unit,
                 header,
                 cells,
--- a/src/main/java/larkbank/cell/Floods.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/FloodIsolation.java
@@ -1,13 +1,13 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larkbank.cell.CellsPlan.Quarantine;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
 
 /** Sets units apart that flood a sick cell, and takes them back. */
-final class Floods {
+final class FloodIsolation {
 
     /** For how long a cell must be sick before a unit is set apart; units that may be so at once. */
     static final long PATIENCE = 3_000_000;
@@ -25,7 +25,7 @@
     private final Cells cells;
     private final Map<Long, Apart> apart = new HashMap<>();
 
-    Floods(Cells cells) {
+    FloodIsolation(Cells cells) {
         this.cells = cells;
     }
 
@@ -72,11 +72,11 @@
         a.away = true;
         a.until = now + (q.forMicros() << Math.min(a.times++, DOUBLINGS));
         String label = String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit, 100 * state.lately.share(unit));
-        cells.begin(now, new MovePlan("quarantine", unit, label, q.cell(), now, 0, 0, 0), cell, true);
+        cells.begin(now, new MoveConfiguration("quarantine", unit, label, q.cell(), now, 0, 0, 0), cell, true);
     }
 
     private void comeBack(long now, Quarantine q, long unit, Apart a) {
-        Moving m = cells.move(unit);
+        UnitMigration m = cells.move(unit);
         if (m == null || !m.automatic) {
             // Forgiven once it has been quiet for as long as the longest stay.
             if (now - a.until > q.forMicros() << DOUBLINGS) {
@@ -86,7 +86,7 @@
             a.away = false;
             cells.begin(
                     now,
-                    new MovePlan(
+                    new MoveConfiguration(
                             "return",
                             unit,
                             String.format(Locale.ROOT, "unit %x", unit),
--- a/src/main/java/larkbank/cell/Repeats.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/IdempotencyKeys.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
  * must go to the cell that knows the first. Bounded: the oldest is forgotten where it is full, and from then
  * on {@link #completeSince} says that what is older may be unknown.
  */
-final class Repeats {
+final class IdempotencyKeys {
 
     private record Seen(long token, long at) {}
 
@@ -31,7 +31,7 @@
     private long completeSince;
 
     /** @param most tokens that are remembered; the order holds twice as many uses */
-    Repeats(int most) {
+    IdempotencyKeys(int most) {
         this.most = most;
     }
 
--- a/src/main/java/larkbank/cell/MovePlan.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/MoveConfiguration.java
@@ -1,10 +1,10 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 /**
  * A unit that operators want in another cell.
  *
  * @param name of the move, unique in its pool
- * @param unit {@link larkbank.Ids} of the tenant, key or header value
+ * @param unit {@link org.cypressweir.common.util.Ids} of the tenant, key or header value
  * @param label the unit as operators wrote it
  * @param to place of the cell among those of the plan
  * @param startMicros Unix time; the same at every sidecar, so that all go in step
@@ -14,7 +14,7 @@
  * @param freezeMicros for how long, from the end of the ramp on, all sidecars refuse its writes, so that
  *        none is at both cells whoever sent it; 0 for no freeze
  */
-public record MovePlan(
+public record MoveConfiguration(
         String name,
         long unit,
         String label,
--- a/src/main/java/larkbank/cell/Placement.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/Placement.java
@@ -1,11 +1,11 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import larkbank.Hashes;
-import larkbank.Ids;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
 
 /**
  * Which cell is a unit's home: the one it is assigned to, or that of its slot. Slots are dealt to the cells
--- a/src/main/java/larkbank/cell/Moving.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/UnitMigration.java
@@ -1,6 +1,6 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
-import larkbank.Hashes;
+import org.cypressweir.common.util.Hashes;
 
 /**
  * One move, as one sidecar carries it out. Safe requests go over bit by bit; while the new cell is sick they
@@ -9,7 +9,7 @@
  * From then on there is no way back; repeats of what the old cell had still go there for as long as it
  * remembers them.
  */
-final class Moving {
+final class UnitMigration {
 
     /**
      * WAITING for its time; RAMPING safe requests; writes held by a fence or refused by a freeze; repeats.
@@ -31,7 +31,7 @@
 
     private static final long RAMP_SALT = 0xA3;
 
-    final MovePlan plan;
+    final MoveConfiguration plan;
     final int from;
     /** Not ordered by operators: a quarantine, or the way back from it. */
     final boolean automatic;
@@ -53,7 +53,7 @@
     private int writesOut;
 
     /** @param blindMicros from now on, for which earlier writes may run unknown to this process */
-    Moving(MovePlan plan, int from, boolean automatic, long now, long windowMicros, long blindMicros) {
+    UnitMigration(MoveConfiguration plan, int from, boolean automatic, long now, long windowMicros, long blindMicros) {
         this.plan = plan;
         this.from = from;
         this.automatic = automatic;
--- a/src/main/java/larkbank/cli/Door.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminClient.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A sidecar's operators' door, asked one line a connection. */
-record Door(InetSocketAddress address, int patienceMillis) {
+record AdminClient(InetSocketAddress address, int patienceMillis) {
 
     /** All that it says to a line. */
     String ask(String line) throws IOException {
--- a/src/main/java/larkbank/cli/DoorCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
@@ -1,15 +1,15 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.net.InetSocketAddress;
 import java.util.concurrent.Callable;
-import larkbank.Addresses;
+import org.cypressweir.common.util.Addresses;
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
 /** A command that asks a sidecar at its operators' door. */
-abstract class DoorCommand implements Callable<Integer> {
+abstract class AdminCommand implements Callable<Integer> {
 
     @Spec
     private CommandSpec command;
@@ -45,7 +45,7 @@
 
     /** Says in a line why it ends, or goes on; hands the status back. */
     final int say(String why, int status) {
-        commandLine().getErr().println("larkbank: " + why);
+        commandLine().getErr().println("cypressweir-sidecar: " + why);
         return status;
     }
 }
--- a/src/main/java/larkbank/cli/CheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
--- a/src/main/java/larkbank/cli/CommandLineTool.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CommandLineTool.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -8,7 +8,7 @@
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
-        name = "larkbank",
+        name = "cypressweir-sidecar",
         description = "A client-side load balancer.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
--- a/src/main/java/larkbank/cli/ExplainCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ExplainCommand.java
@@ -1,10 +1,10 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.Map;
 import java.util.concurrent.Callable;
-import larkbank.operators.Explain;
-import larkbank.operators.Operators;
-import larkbank.route.BadTarget;
+import org.cypressweir.sidecar.operatorconfig.Explain;
+import org.cypressweir.sidecar.operatorconfig.Operators;
+import org.cypressweir.sidecar.route.InvalidTargetException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -64,13 +64,13 @@
                     fields));
             out.flush();
             return 0;
-        } catch (BadTarget e) {
+        } catch (InvalidTargetException e) {
             return bad("the request would be answered 400: " + e.getMessage());
         }
     }
 
     private int bad(String why) {
-        command.commandLine().getErr().println("larkbank: " + why);
+        command.commandLine().getErr().println("cypressweir-sidecar: " + why);
         return CommandLineTool.BAD;
     }
 }
--- a/src/main/java/larkbank/cli/HeaderOptions.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/HeaderOptions.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/larkbank/cli/Installed.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/Installed.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import larkbank.operators.AssumedFacts;
-import larkbank.operators.BadFile;
-import larkbank.operators.Facts;
-import larkbank.operators.Operators;
-import larkbank.sidecar.Installation;
+import org.cypressweir.sidecar.Installation;
+import org.cypressweir.sidecar.operatorconfig.AssumedFacts;
+import org.cypressweir.sidecar.operatorconfig.Facts;
+import org.cypressweir.sidecar.operatorconfig.InvalidFileException;
+import org.cypressweir.sidecar.operatorconfig.Operators;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -38,7 +38,7 @@
         }
         command.commandLine()
                 .getErr()
-                .println("larkbank: without settings (--config or LB_CONFIG) these" + " were not looked at: "
+                .println("cypressweir-sidecar: without settings (--config or LB_CONFIG) these" + " were not looked at: "
                         + AssumedFacts.NOT_LOOKED_AT);
         // What can't be read is said when it is loaded.
         return AssumedFacts.of(
@@ -55,10 +55,10 @@
         }
         try {
             return Operators.load(file, facts(environment));
-        } catch (BadFile e) {
+        } catch (InvalidFileException e) {
             command.commandLine().getErr().println(e.getMessage());
         } catch (IOException e) {
-            command.commandLine().getErr().println("larkbank: " + e.getMessage());
+            command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
         }
         return null;
     }
--- a/src/main/java/larkbank/cli/LabCellsCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
@@ -1,12 +1,12 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import larkbank.lab.Laboratory;
-import larkbank.lab.Report;
-import larkbank.lab.Scenario;
-import larkbank.lab.Scenario.Harm;
+import org.cypressweir.simulation.CellsSimulation;
+import org.cypressweir.simulation.Report;
+import org.cypressweir.simulation.Scenario;
+import org.cypressweir.simulation.Scenario.Harm;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -92,7 +92,7 @@
         for (int count : cells) {
             Report r;
             try {
-                r = Laboratory.play(new Scenario(
+                r = CellsSimulation.play(new Scenario(
                         servers,
                         sidecars,
                         units,
@@ -106,7 +106,7 @@
                         seconds,
                         seed));
             } catch (IllegalArgumentException e) {
-                command.commandLine().getErr().println("larkbank: " + e.getMessage());
+                command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
                 return CommandLineTool.BAD;
             }
             out.println(String.format(
--- a/src/main/java/larkbank/cli/LabQuietCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
@@ -1,10 +1,10 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import larkbank.lab.QuietLaboratory;
-import larkbank.lab.QuietReport;
-import larkbank.lab.QuietScenario;
+import org.cypressweir.simulation.QuietFleetSimulation;
+import org.cypressweir.simulation.QuietReport;
+import org.cypressweir.simulation.QuietScenario;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -58,10 +58,10 @@
         for (double rate : new double[] {0, listRate}) {
             QuietReport r;
             try {
-                r = QuietLaboratory.play(
+                r = QuietFleetSimulation.play(
                         new QuietScenario(instances, servers, perMinute, rate, changes, seconds, seed));
             } catch (IllegalArgumentException e) {
-                command.commandLine().getErr().println("larkbank: " + e.getMessage());
+                command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
                 return CommandLineTool.BAD;
             }
             out.println(String.format(
--- a/src/main/java/larkbank/cli/LeaseRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -17,7 +17,7 @@
         description = "Run a command while the sidecar holds a lease, and end it before the"
                 + " lease is over. Exit status: the command's own; 73 where the lease is not held, 74 where it was"
                 + " lost and the command was ended, 1 where the sidecar can't be asked, 2 for a bad command line.")
-final class LeaseRunCommand extends DoorCommand {
+final class LeaseRunCommand extends AdminCommand {
 
     static final int NOT_HELD = 73;
     static final int LOST = 74;
@@ -129,8 +129,9 @@
     private Answer ask(InetSocketAddress address) throws IOException {
         long asked = System.nanoTime();
         try {
-            String text =
-                    new Door(address, PATIENCE_MILLIS).ask("LEASE " + name).strip();
+            String text = new AdminClient(address, PATIENCE_MILLIS)
+                    .ask("LEASE " + name)
+                    .strip();
             String[] parts = text.split(" ");
             boolean held = parts.length == 3 && parts[0].equals("YES");
             return new Answer(
--- a/src/main/java/larkbank/cli/MembersCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import larkbank.Json;
+import org.cypressweir.common.util.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -19,7 +19,7 @@
         name = "members",
         description = "Print the members of a fleet as one sidecar sees them: exit status"
                 + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
-final class MembersCommand extends DoorCommand {
+final class MembersCommand extends AdminCommand {
 
     private static final int PATIENCE_MILLIS = 2_000;
 
@@ -39,7 +39,7 @@
     private int print(InetSocketAddress address) {
         String said;
         try {
-            said = new Door(address, PATIENCE_MILLIS).ask("MEMBERS");
+            said = new AdminClient(address, PATIENCE_MILLIS).ask("MEMBERS");
         } catch (IOException e) {
             return say("the door at " + door() + " can't be asked: " + e.getMessage(), 1);
         }
--- a/src/main/java/larkbank/cli/PluginCheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
@@ -1,11 +1,11 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import larkbank.plugin.BadPlugin;
-import larkbank.plugin.PluginHost;
-import larkbank.route.PluginGrant;
+import org.cypressweir.sidecar.plugin.InvalidPluginException;
+import org.cypressweir.sidecar.plugin.PluginHost;
+import org.cypressweir.sidecar.route.PluginGrant;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
@@ -32,7 +32,7 @@
                     .println(host.plan().name() + ": a plug-in for version 1 of the hook; it may ask for: "
                             + String.join(" ", host.imports()));
             return 0;
-        } catch (BadPlugin e) {
+        } catch (InvalidPluginException e) {
             return file.bad(e.getMessage());
         }
     }
--- a/src/main/java/larkbank/cli/PluginCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCommand.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
--- a/src/main/java/larkbank/cli/PluginFile.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
@@ -1,12 +1,12 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import larkbank.route.PluginGrant;
-import larkbank.route.PluginPlan;
+import org.cypressweir.sidecar.route.PluginConfiguration;
+import org.cypressweir.sidecar.route.PluginGrant;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
@@ -32,8 +32,9 @@
         }
     }
 
-    PluginPlan plan(byte[] module, PluginGrant grant, Map<String, String> config) {
-        return new PluginPlan(file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false, grant, config);
+    PluginConfiguration plan(byte[] module, PluginGrant grant, Map<String, String> config) {
+        return new PluginConfiguration(
+                file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false, grant, config);
     }
 
     PrintWriter out() {
--- a/src/main/java/larkbank/cli/PluginRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.util.HashSet;
 import java.util.List;
@@ -10,11 +10,11 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import larkbank.plugin.BadPlugin;
-import larkbank.plugin.PluginHost;
-import larkbank.plugin.RequestView;
-import larkbank.plugin.Wishes;
-import larkbank.route.PluginGrant;
+import org.cypressweir.sidecar.plugin.InvalidPluginException;
+import org.cypressweir.sidecar.plugin.PluginHost;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.plugin.RequestedChanges;
+import org.cypressweir.sidecar.route.PluginGrant;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -72,7 +72,7 @@
         Set<String> names = new HashSet<>();
         granted.forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
         PluginGrant grant = new PluginGrant(names, Set.copyOf(classes), Set.of(), refuse);
-        CompletableFuture<Wishes> wishes = new CompletableFuture<>();
+        CompletableFuture<RequestedChanges> wishes = new CompletableFuture<>();
         try (PluginHost host = new PluginHost(file.plan(module, grant, config), Runnable::run)) {
             host.ask(
                     new RequestView(
@@ -82,7 +82,7 @@
                             requestClass),
                     new PluginHost.Heard() {
                         @Override
-                        public void done(Wishes w) {
+                        public void done(RequestedChanges w) {
                             wishes.complete(w);
                         }
 
@@ -93,7 +93,7 @@
                     });
             show(wishes.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
             return 0;
-        } catch (BadPlugin e) {
+        } catch (InvalidPluginException e) {
             return file.bad(e.getMessage());
         } catch (ExecutionException e) {
             return file.bad("it failed: " + e.getCause().getMessage());
@@ -102,7 +102,7 @@
         }
     }
 
-    private void show(Wishes w) {
+    private void show(RequestedChanges w) {
         w.headers().forEach((name, value) -> file.out()
                 .println(value.isEmpty() ? "removes header " + name : "sets header " + name + ": " + value));
         if (w.requestClass() != null) {
@@ -114,7 +114,7 @@
                             + (w.retryAfterMillis() == 0 ? "" : ", come back after " + w.retryAfterMillis() + " ms"));
         }
         w.notes().forEach(n -> file.out().println("logs " + n));
-        if (w.equals(Wishes.NONE)) {
+        if (w.equals(RequestedChanges.NONE)) {
             file.out().println("wishes nothing");
         }
     }
--- a/src/main/java/larkbank/cli/ServeCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ServeCommand.java
@@ -1,9 +1,9 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import larkbank.fleet.FleetSocket;
-import larkbank.sidecar.Sidecar;
+import org.cypressweir.fleet.transport.FleetSocket;
+import org.cypressweir.sidecar.Sidecar;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/main/java/larkbank/cli/Version.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/Version.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import picocli.CommandLine.IVersionProvider;
 
@@ -8,6 +8,6 @@
     @Override
     public String[] getVersion() {
         String version = Version.class.getPackage().getImplementationVersion();
-        return new String[] {"larkbank " + (version == null ? "(not packaged)" : version)};
+        return new String[] {"cypressweir-sidecar " + (version == null ? "(not packaged)" : version)};
     }
 }
--- a/src/main/java/larkbank/footprint/FleetPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/FleetLimits.java
@@ -1,4 +1,4 @@
-package larkbank.footprint;
+package org.cypressweir.sidecar.fleetlimits;
 
 /**
  * What all instances of a sidecar together may ask of what they share; each takes its own part, so that
@@ -13,17 +13,18 @@
  * @param probeRate probes a second by all of them that one server may see; 0 for no bound
  * @param living whether each one's part follows from who lives, and not from a count for ever
  */
-public record FleetPlan(int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean living) {
+public record FleetLimits(
+        int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean living) {
 
     /** Of a fixed count. */
-    public FleetPlan(int instances, int rank, double listRate, int idlePerServer, double probeRate) {
+    public FleetLimits(int instances, int rank, double listRate, int idlePerServer, double probeRate) {
         this(instances, rank, listRate, idlePerServer, probeRate, false);
     }
 
     /** So that a part of a whole number is not rounded down by what binary fractions can not say. */
     private static final double ROUNDING = 1e-9;
 
-    public FleetPlan {
+    public FleetLimits {
         if (instances < 1 || rank < 0 || rank >= instances || listRate < 0 || idlePerServer < 0 || probeRate < 0) {
             throw new IllegalArgumentException("instance " + rank + " of " + instances);
         }
--- a/src/main/java/larkbank/footprint/ProbeBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/ProbeBudget.java
@@ -1,4 +1,4 @@
-package larkbank.footprint;
+package org.cypressweir.sidecar.fleetlimits;
 
 /** A token bucket for this instance's part of the probes that servers allow. */
 public final class ProbeBudget {
@@ -6,12 +6,12 @@
     /** Probes that are saved at most: what one decision may want at once. */
     static final double SAVED = 3;
 
-    private final FleetPlan plan;
+    private final FleetLimits plan;
     private double tokens;
     private double lastRate = Double.POSITIVE_INFINITY;
     private long filledAt = Long.MIN_VALUE;
 
-    public ProbeBudget(FleetPlan plan) {
+    public ProbeBudget(FleetLimits plan) {
         this.plan = plan;
     }
 
--- a/src/main/java/larkbank/footprint/PartPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SharedPollPacer.java
@@ -1,4 +1,4 @@
-package larkbank.footprint;
+package org.cypressweir.sidecar.fleetlimits;
 
 /**
  * When this instance may ask for the list while its part of all calls follows the living: no sooner after its
@@ -6,7 +6,7 @@
  * rate says and once each at most. Without fixed numbers there are no slots; the first call comes at a time
  * drawn from the first round, and so calls stay spread.
  */
-public final class PartPacer {
+public final class SharedPollPacer {
 
     private static final long LEAST_PATIENCE = 1_000_000;
     private static final long MOST_PATIENCE = 5_000_000;
@@ -24,7 +24,7 @@
      * @param listRate calls a second by all, above 0
      * @param phase 0 to 1, drawn anew by each instance
      */
-    public PartPacer(double listRate, double phase) {
+    public SharedPollPacer(double listRate, double phase) {
         this.listRate = listRate;
         this.phase = phase;
     }
--- a/src/main/java/larkbank/footprint/AskPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SlottedPollPacer.java
@@ -1,4 +1,4 @@
-package larkbank.footprint;
+package org.cypressweir.sidecar.fleetlimits;
 
 /**
  * When this instance may ask for the list: once in its own slot of each round. A round is as long as all
@@ -7,13 +7,13 @@
  * not ask together, and in no stretch of time do they ask oftener than the rate says, but for the
  * differences of their clocks.
  */
-public final class AskPacer {
+public final class SlottedPollPacer {
 
-    private final FleetPlan plan;
+    private final FleetLimits plan;
     private long lastRound = -1;
 
     /** @param plan with a rate of calls above 0 */
-    public AskPacer(FleetPlan plan) {
+    public SlottedPollPacer(FleetLimits plan) {
         if (plan.askEveryMicros() == 0) {
             throw new IllegalArgumentException("there is no rate to keep");
         }
--- a/src/main/java/larkbank/operators/AssumedFacts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
@@ -1,16 +1,16 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
--- a/src/main/java/larkbank/operators/CellsChecks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
@@ -1,17 +1,17 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.BitSet;
 import java.util.List;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.cell.Cell;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.cell.MovePlan;
-import larkbank.cell.Placement;
-import larkbank.operators.OperatorsFile.PoolSection;
-import larkbank.route.StaticServer;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.cell.Cell;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.sidecar.cell.MoveConfiguration;
+import org.cypressweir.sidecar.cell.Placement;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
+import org.cypressweir.sidecar.route.StaticServer;
 
 /** What the cells of a pool mean, held against its routes, servers and limits. */
 final class CellsChecks {
@@ -25,7 +25,7 @@
 
     private final Facts facts;
     private final PoolSection pool;
-    private final CellsPlan plan;
+    private final CellsConfiguration plan;
     private final Problems problems;
     private final List<RequestClass> classes;
 
@@ -49,7 +49,7 @@
     }
 
     /** The plan with what the classes of its routes add. */
-    static CellsPlan complete(PoolSection pool, OperatorsFile file, Facts facts) {
+    static CellsConfiguration complete(PoolSection pool, OperatorsFile file, Facts facts) {
         List<RequestClass> classes = classes(pool, file, facts);
         return pool.cells()
                 .plan()
@@ -124,7 +124,7 @@
         }
     }
 
-    private void move(MovePlan move) {
+    private void move(MoveConfiguration move) {
         BitSet all = new BitSet();
         all.set(0, plan.cells().size());
         int home = new Placement(plan.cells(), plan.assigned(), all).home(move.unit());
@@ -141,17 +141,17 @@
                 problems.add(
                         pool.cells().line("fence." + move.name()),
                         "'fence' is "
-                                + Duration.text(move.fenceMicros()) + ", more than a quarter of what class '"
+                                + DurationText.text(move.fenceMicros()) + ", more than a quarter of what class '"
                                 + c.name()
-                                + "' has (" + Duration.text(c.deadlineMicros()) + ")");
+                                + "' has (" + DurationText.text(c.deadlineMicros()) + ")");
             }
             long least = c.deadlineMicros() + FREEZE_MARGIN;
             if (c.effect() != Effect.SAFE && move.freezeMicros() > 0 && move.freezeMicros() < least) {
                 problems.add(
                         pool.cells().line("freeze." + move.name()),
                         "'freeze' is "
-                                + Duration.text(move.freezeMicros()) + "; a write of class '" + c.name()
-                                + "' may run for longer, so it must be " + Duration.text(least) + " or more");
+                                + DurationText.text(move.freezeMicros()) + "; a write of class '" + c.name()
+                                + "' may run for longer, so it must be " + DurationText.text(least) + " or more");
             }
         }
     }
--- a/src/main/java/larkbank/operators/CellsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,15 +8,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Tenant;
-import larkbank.cell.Cell;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.CellsPlan.Quarantine;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.cell.CellsPlan.Unit;
-import larkbank.cell.MovePlan;
-import larkbank.operators.OperatorsFile.CellsSection;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
+import org.cypressweir.sidecar.cell.Cell;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Unit;
+import org.cypressweir.sidecar.cell.MoveConfiguration;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.CellsSection;
 
 /** Reads the form of {@code [pools.NAME.cells]}: keys, types, ranges, and names of cells and units. */
 final class CellsReader {
@@ -44,7 +44,7 @@
         String spread = section.text("spread");
         if (spread != null && !SPREADS.contains(spread)) {
             section.problem(
-                    "spread", "no spread '" + spread + "'; there are server and group" + Words.hint(spread, SPREADS));
+                    "spread", "no spread '" + spread + "'; there are server and group" + Wording.hint(spread, SPREADS));
         }
         List<Cell> cells = cells(names);
         Map<Long, Integer> assigned = assigned(names, unit);
@@ -55,7 +55,7 @@
             section.problem("guest_writes", "'guest_writes' without 'guests' has no effect");
         }
         Quarantine quarantine = quarantine(names, cells);
-        List<MovePlan> moves = new ArrayList<>();
+        List<MoveConfiguration> moves = new ArrayList<>();
         for (Section move : section.tables("moves")) {
             move(move, names, unit, moves);
         }
@@ -65,7 +65,7 @@
         }
         String header = unit == Unit.HEADER ? by.substring(HEADER.length()).toLowerCase(Locale.ROOT) : null;
         return new CellsSection(
-                new CellsPlan(
+                new CellsConfiguration(
                         unit,
                         header,
                         cells,
@@ -121,7 +121,7 @@
         if (by.equals("tenant") || by.equals("key")) {
             return Unit.valueOf(by.toUpperCase(Locale.ROOT));
         }
-        section.problem("by", "no unit '" + by + "'; there are tenant, key and header:NAME" + Words.hint(by, UNITS));
+        section.problem("by", "no unit '" + by + "'; there are tenant, key and header:NAME" + Wording.hint(by, UNITS));
         return null;
     }
 
@@ -151,7 +151,7 @@
     /** The place of a cell that is named; -1 where there is none, which is reported. */
     private static int cell(Section where, String key, String name, List<String> names) {
         if (name != null && !names.contains(name)) {
-            where.problem(key, "there is no cell '" + name + "'" + Words.hint(name, names));
+            where.problem(key, "there is no cell '" + name + "'" + Wording.hint(name, names));
         }
         return names.indexOf(name);
     }
@@ -160,7 +160,7 @@
         List<String> tenants =
                 facts.settings().tenants().stream().map(Tenant::name).toList();
         if (kind == Unit.TENANT && !tenants.isEmpty() && unit != null && !tenants.contains(unit)) {
-            where.problem(key, "the settings have no tenant '" + unit + "'" + Words.hint(unit, tenants));
+            where.problem(key, "the settings have no tenant '" + unit + "'" + Wording.hint(unit, tenants));
         }
     }
 
@@ -203,7 +203,7 @@
         return new Quarantine(cell, share == null ? 0.3 : share, time == null ? 60_000_000 : time);
     }
 
-    private void move(Section move, List<String> names, Unit kind, List<MovePlan> moves) {
+    private void move(Section move, List<String> names, Unit kind, List<MoveConfiguration> moves) {
         String name = move.title().substring(move.title().lastIndexOf('.') + 1);
         String unit = move.required("unit");
         known(move, "unit", unit, kind);
@@ -225,11 +225,11 @@
         if (unit == null || to < 0 || start == null) {
             return;
         }
-        for (MovePlan other : moves) {
+        for (MoveConfiguration other : moves) {
             if (other.unit() == Ids.of(unit)) {
                 move.problem("unit", "'" + unit + "' is moved by '" + other.name() + "' already");
             }
         }
-        moves.add(new MovePlan(name, Ids.of(unit), unit, to, start, over, fence, freeze));
+        moves.add(new MoveConfiguration(name, Ids.of(unit), unit, to, start, over, fence, freeze));
     }
 }
--- a/src/main/java/larkbank/operators/Checks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.membership.Claim;
-import larkbank.operators.OperatorsFile.ClassSection;
-import larkbank.operators.OperatorsFile.FleetSection;
-import larkbank.operators.OperatorsFile.ListenerSection;
-import larkbank.operators.OperatorsFile.PoolSection;
-import larkbank.operators.OperatorsFile.RouteSection;
-import larkbank.route.Overlaps;
-import larkbank.route.PathPattern;
-import larkbank.route.Route;
-import larkbank.route.StaticServer;
+import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ClassSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.FleetSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ListenerSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
+import org.cypressweir.sidecar.route.Overlaps;
+import org.cypressweir.sidecar.route.PathPattern;
+import org.cypressweir.sidecar.route.Route;
+import org.cypressweir.sidecar.route.StaticServer;
 
 /**
  * What a file means, held against the settings and itself: names that exist, routes that have an order, and
@@ -123,7 +123,7 @@
             if (facts.requestClass(c.name()).isEmpty()) {
                 problems.add(
                         c.line(),
-                        "the settings have no class '" + c.name() + "'" + Words.hint(c.name(), facts.classNames()));
+                        "the settings have no class '" + c.name() + "'" + Wording.hint(c.name(), facts.classNames()));
             } else if (!classes.contains(c.name())) {
                 problems.add(c.line(), "no route has class '" + c.name() + "', so this section does nothing");
             }
@@ -133,7 +133,7 @@
     private void exists(String kind, Setting<String> name, Set<String> known) {
         if (!known.contains(name.value())) {
             String where = kind.equals("class") ? "the settings have no class '" : "there is no pool '";
-            problems.add(name.line(), where + name.value() + "'" + Words.hint(name.value(), known));
+            problems.add(name.line(), where + name.value() + "'" + Wording.hint(name.value(), known));
         }
     }
 
@@ -257,8 +257,9 @@
             problems.add(
                     limits.attemptTimeout().line(),
                     "'attempt_timeout' is "
-                            + Duration.text(limits.attemptTimeout().value()) + " and servers drop repeats of class '"
-                            + c.name() + "' for " + Duration.text(c.dedupWindowMicros())
+                            + DurationText.text(limits.attemptTimeout().value())
+                            + " and servers drop repeats of class '"
+                            + c.name() + "' for " + DurationText.text(c.dedupWindowMicros())
                             + " only: a retry after 'timeout' would come too late");
         }
     }
@@ -291,9 +292,9 @@
         if (patience != null && patience.value() > c.deadlineMicros()) {
             problems.add(
                     patience.line(),
-                    "'client_gives_up' is " + Duration.text(patience.value())
+                    "'client_gives_up' is " + DurationText.text(patience.value())
                             + ", beyond the deadline of class '" + c.name() + "' ("
-                            + Duration.text(c.deadlineMicros()) + ")");
+                            + DurationText.text(c.deadlineMicros()) + ")");
         }
         for (Setting<Long> time : List.of(limits.timeout(), limits.attemptTimeout())) {
             String key = time == limits.timeout() ? "timeout" : "attempt_timeout";
@@ -303,15 +304,15 @@
             if (time.value() > c.deadlineMicros()) {
                 problems.add(
                         time.line(),
-                        "'" + key + "' is " + Duration.text(time.value())
+                        "'" + key + "' is " + DurationText.text(time.value())
                                 + ", beyond the deadline of class '" + c.name() + "' ("
-                                + Duration.text(c.deadlineMicros()) + ")");
+                                + DurationText.text(c.deadlineMicros()) + ")");
             } else if (patience != null && time.value() > patience.value()) {
                 problems.add(
                         time.line(),
-                        "'" + key + "' is " + Duration.text(time.value())
+                        "'" + key + "' is " + DurationText.text(time.value())
                                 + ", and clients of class '" + c.name() + "' give up after "
-                                + Duration.text(patience.value()) + " (line " + patience.line() + ")");
+                                + DurationText.text(patience.value()) + " (line " + patience.line() + ")");
             }
         }
         used(c, limits);
@@ -328,8 +329,8 @@
             problems.add(
                     limits.timeout().inFile() ? limits.timeout().line() : one.line(),
                     "'timeout' is "
-                            + Duration.text(whole) + ", shorter than one attempt's 'attempt_timeout' of "
-                            + Duration.text(one.value()));
+                            + DurationText.text(whole) + ", shorter than one attempt's 'attempt_timeout' of "
+                            + DurationText.text(one.value()));
             return;
         }
         long rounds =
@@ -340,10 +341,10 @@
                     : limits.attempts().line();
             problems.add(
                     line,
-                    "'timeout' is " + Duration.text(whole) + ", and "
+                    "'timeout' is " + DurationText.text(whole) + ", and "
                             + limits.attempts().value()
-                            + " attempts of " + Duration.text(one.value()) + " can use "
-                            + Duration.text(rounds * one.value()) + ": the last would be cut short");
+                            + " attempts of " + DurationText.text(one.value()) + " can use "
+                            + DurationText.text(rounds * one.value()) + ": the last would be cut short");
         }
     }
 
@@ -380,8 +381,8 @@
         if (after.value() >= ends) {
             problems.add(
                     after.line(),
-                    "'hedge_after' is " + Duration.text(after.value()) + ", and an attempt ends after "
-                            + Duration.text(ends) + ": no copy would ever go out");
+                    "'hedge_after' is " + DurationText.text(after.value()) + ", and an attempt ends after "
+                            + DurationText.text(ends) + ": no copy would ever go out");
         }
         if (c.effect() == Effect.KEYED) {
             keyedCopies(route, c, pool, limits);
@@ -395,8 +396,8 @@
             problems.add(
                     after.line(),
                     "the last copy of class '" + c.name() + "' would go out after "
-                            + Duration.text(hedges.value() * after.value()) + ", and servers drop repeats for "
-                            + Duration.text(c.dedupWindowMicros()) + " only");
+                            + DurationText.text(hedges.value() * after.value()) + ", and servers drop repeats for "
+                            + DurationText.text(c.dedupWindowMicros()) + " only");
         }
         if (pool == null || pool.servers() == null || c.group() == Group.ALL) {
             return;
@@ -444,14 +445,14 @@
         long most = facts.settings().rules().askEveryMicros();
         double every = fleet.listRate() == 0
                 ? 0
-                : fleet.instances() / fleet.listRate() * 1e6 / (fleet.living() ? Claim.CLAIMED : 1);
+                : fleet.instances() / fleet.listRate() * 1e6 / (fleet.living() ? ShareRequest.CLAIMED : 1);
         if (most > 0 && every > most) {
             problems.add(
                     fleet.lines().get("list_rate"),
                     "'list_rate' is " + fleet.listRate()
                             + ", so each of "
-                            + fleet.instances() + " instances would ask every " + Duration.text((long) every)
-                            + "; the settings want it asked every " + Duration.text(most) + ": it must be "
+                            + fleet.instances() + " instances would ask every " + DurationText.text((long) every)
+                            + "; the settings want it asked every " + DurationText.text(most) + ": it must be "
                             + (long) Math.ceil(fleet.listRate() * every / most) + " or more");
         }
         if (fleet.listRate() > 0 && file.pools().values().stream().allMatch(p -> p.servers() != null)) {
--- a/src/main/java/larkbank/operators/Duration.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
@@ -1,15 +1,15 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.math.BigDecimal;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /** Times as operators write them: a number and {@code us}, {@code ms}, {@code s} or {@code m}. */
-final class Duration {
+final class DurationText {
 
     private static final Pattern FORM = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
 
-    private Duration() {}
+    private DurationText() {}
 
     /** Whole microseconds, or -1 where the text is no time. */
     static long micros(String text) {
--- a/src/main/java/larkbank/operators/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -9,25 +9,25 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import larkbank.Addresses;
-import larkbank.Ids;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.Parting;
-import larkbank.cell.Placement;
-import larkbank.footprint.FleetPlan;
-import larkbank.operators.OperatorsFile.RouteSection;
-import larkbank.route.BadTarget;
-import larkbank.route.HostName;
-import larkbank.route.Listener;
-import larkbank.route.PoolPlan;
-import larkbank.route.RequestTarget;
-import larkbank.route.Routable;
-import larkbank.route.Route;
-import larkbank.route.StaticServer;
-import larkbank.route.Target;
-import larkbank.route.WebSocketLimits;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.cell.CellAssignment;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.cell.Placement;
+import org.cypressweir.sidecar.fleetlimits.FleetLimits;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
+import org.cypressweir.sidecar.route.HostName;
+import org.cypressweir.sidecar.route.InvalidTargetException;
+import org.cypressweir.sidecar.route.Listener;
+import org.cypressweir.sidecar.route.PoolConfiguration;
+import org.cypressweir.sidecar.route.RequestTarget;
+import org.cypressweir.sidecar.route.Routable;
+import org.cypressweir.sidecar.route.Route;
+import org.cypressweir.sidecar.route.StaticServer;
+import org.cypressweir.sidecar.route.Target;
+import org.cypressweir.sidecar.route.WebSocketLimits;
 
 /** Says what is in force and where each value came from, one value a line. */
 public final class Explain {
@@ -71,10 +71,10 @@
      * @param method in capitals
      * @param target in origin or in absolute form
      * @param headers by name; fields of one name already joined
-     * @throws BadTarget where the request would be answered 400
+     * @throws InvalidTargetException where the request would be answered 400
      */
     public static String request(Operators operators, String method, String target, Map<String, String> headers)
-            throws BadTarget {
+            throws InvalidTargetException {
         Explain explain = new Explain(operators);
         Map<String, String> lower = new LinkedHashMap<>();
         headers.forEach((name, value) -> lower.put(name.toLowerCase(Locale.ROOT), value));
@@ -105,7 +105,7 @@
     }
 
     private static String time(long micros) {
-        return micros == 0 ? "none" : Duration.text(micros);
+        return micros == 0 ? "none" : DurationText.text(micros);
     }
 
     private void line(String form, Object... values) {
@@ -116,7 +116,7 @@
         line("  %-16s %-28s # %s", name, value, origin);
     }
 
-    private void pool(PoolPlan pool) {
+    private void pool(PoolConfiguration pool) {
         OperatorsFile.PoolSection section = operators.file().pools().get(pool.name());
         line(
                 "pool %s: %s",
@@ -133,7 +133,7 @@
         cells(pool);
     }
 
-    private void fleet(FleetPlan fleet) {
+    private void fleet(FleetLimits fleet) {
         if (fleet == null) {
             return;
         }
@@ -146,7 +146,7 @@
                 "  list             %s",
                 fleet.askEveryMicros() == 0
                         ? "watched"
-                        : "asked once in " + Duration.text(fleet.askEveryMicros()) + ", " + fleet.listRate()
+                        : "asked once in " + DurationText.text(fleet.askEveryMicros()) + ", " + fleet.listRate()
                                 + " a second by all");
         line(
                 "  idle             %s",
@@ -168,8 +168,8 @@
                                 fleet.probesPerSecond(100)));
     }
 
-    private void cells(PoolPlan pool) {
-        CellsPlan cells = pool.cells();
+    private void cells(PoolConfiguration pool) {
+        CellsConfiguration cells = pool.cells();
         if (cells == null) {
             return;
         }
@@ -180,7 +180,7 @@
                 time(cells.keepMicros()),
                 cells.guestWrites() ? " and their writes" : "",
                 100 * cells.guests());
-        Parting parting = new Parting(cells.cells(), cells.spread(), cells.keepMicros());
+        CellAssignment parting = new CellAssignment(cells.cells(), cells.spread(), cells.keepMicros());
         List<StaticServer> servers = pool.discovered() ? List.of() : pool.servers();
         parting.listed(
                 0,
@@ -195,7 +195,7 @@
                     .filter(s -> parting.cellOf(Ids.of(s.id())) == cell)
                     .map(StaticServer::id)
                     .collect(Collectors.joining(" "));
-            PoolPlan part = pool.ofCell(c);
+            PoolConfiguration part = pool.ofCell(c);
             line(
                     "  cell %-11s share %s%s, connections %d, requests %d%s",
                     cells.cells().get(c).name(),
@@ -226,7 +226,7 @@
 
     /** Where the unit of a request is at home, with servers in all cells and before any move of it. */
     private void cell(Target target, String path, Map<String, String> headers) {
-        CellsPlan cells = operators.plan().pools().stream()
+        CellsConfiguration cells = operators.plan().pools().stream()
                 .filter(p -> p.name().equals(target.pool()))
                 .findFirst()
                 .orElseThrow()
@@ -276,13 +276,13 @@
         value("pool", route.pool().value(), route.pool().origin());
         value(
                 "timeout",
-                Duration.text(limits.timeout().value()),
+                DurationText.text(limits.timeout().value()),
                 limits.timeout().origin());
         value(
                 "attempt_timeout",
                 limits.attemptTimeout().value() == 0
                         ? "none"
-                        : Duration.text(limits.attemptTimeout().value()),
+                        : DurationText.text(limits.attemptTimeout().value()),
                 limits.attemptTimeout().origin());
         value("attempts", limits.attempts().value(), limits.attempts().origin());
         value(
@@ -293,7 +293,7 @@
         if (limits.hedges().value() > 0) {
             value(
                     "hedge_after",
-                    Duration.text(limits.hedgeAfter().value()),
+                    DurationText.text(limits.hedgeAfter().value()),
                     limits.hedgeAfter().origin());
         }
         if (route.webSocket() != null) {
--- a/src/main/java/larkbank/operators/Facts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Facts.java
@@ -1,10 +1,10 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Optional;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
  * What a file is checked against: the installation's settings and the process's limits.
--- a/src/main/java/larkbank/operators/LeasesReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LeasesReader.java
@@ -1,14 +1,14 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larkbank.Addresses;
-import larkbank.lease.LeasePlan;
-import larkbank.membership.MembershipPlan;
-import larkbank.operators.OperatorsFile.MembershipSection;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.MembershipSection;
 
 /** Reads {@code [keepers]} and {@code [leases.NAME]}, and refuses what can't work. */
 final class LeasesReader {
@@ -33,7 +33,7 @@
     }
 
     /** Null where the file has no leases, or none that can work. */
-    LeasePlan read(MembershipSection membership) {
+    LeaseOptions read(MembershipSection membership) {
         if (keepers == null && leases.isEmpty()) {
             return null;
         }
@@ -55,7 +55,7 @@
         return plan(terms, most);
     }
 
-    private LeasePlan plan(Map<String, Long> terms, long largest) {
+    private LeaseOptions plan(Map<String, Long> terms, long largest) {
         List<InetSocketAddress> addresses = addresses("addresses");
         if (addresses == null) {
             keepers.problem("addresses", "[keepers] lacks 'addresses'");
@@ -66,18 +66,18 @@
         if (most < largest) {
             keepers.problem(
                     "most_term",
-                    "'most_term' is " + Duration.text(most) + ", and a lease has a term" + " of "
-                            + Duration.text(largest));
+                    "'most_term' is " + DurationText.text(most) + ", and a lease has a term" + " of "
+                            + DurationText.text(largest));
         }
         Double drift = keepers.number("drift", LEAST_DRIFT, MOST_DRIFT);
         Boolean wall = keepers.flag("wall_clock");
         keepers.rejectUnknown();
-        return new LeasePlan(
+        return new LeaseOptions(
                 addresses, before, most, drift == null ? DRIFT : drift, !Boolean.FALSE.equals(wall), terms);
     }
 
     /** A pause that membership bears must not cost the lease, nor an act that was begun before it. */
-    private long term(Section lease, MembershipPlan membership) {
+    private long term(Section lease, MembershipOptions membership) {
         String name = lease.title().substring(lease.title().indexOf('.') + 1);
         if (name.length() > MOST_NAME || !name.matches("[A-Za-z0-9_.-]+")) {
             problems.add(
@@ -90,8 +90,8 @@
         if (term < least) {
             lease.problem(
                     "term",
-                    "'term' of lease '" + name + "' is " + Duration.text(term)
-                            + ", shorter than twice the pause and the act (" + Duration.text(least) + ")");
+                    "'term' of lease '" + name + "' is " + DurationText.text(term)
+                            + ", shorter than twice the pause and the act (" + DurationText.text(least) + ")");
         }
         lease.rejectUnknown();
         return term;
--- a/src/main/java/larkbank/operators/LimitKey.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.EnumSet;
 import java.util.Set;
@@ -56,13 +56,13 @@
     /** The range, for people. */
     public String range() {
         return switch (kind) {
-            case TIME -> Duration.text(least) + " to " + Duration.text(most);
+            case TIME -> DurationText.text(least) + " to " + DurationText.text(most);
             case COUNT -> least + " to " + most;
             case OUTCOMES -> "of " + String.join(", ", Retryable.words());
         };
     }
 
     String text(Object value) {
-        return kind == Kind.TIME ? Duration.text((Long) value) : String.valueOf(value);
+        return kind == Kind.TIME ? DurationText.text((Long) value) : String.valueOf(value);
     }
 }
--- a/src/main/java/larkbank/operators/LimitSet.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitSet.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/larkbank/operators/MembershipReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/MembershipReader.java
@@ -1,11 +1,11 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.Addresses;
-import larkbank.membership.MembershipPlan;
-import larkbank.operators.OperatorsFile.MembershipSection;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.MembershipSection;
 
 /** Reads {@code [membership]}, and refuses what can't work. */
 final class MembershipReader {
@@ -47,19 +47,19 @@
                             + "; set 'advertise' to the address that they use");
         }
         long pause = section.time("pause", LEAST_PAUSE, MOST_PAUSE, 3_000_000);
-        long period = section.time("period", LEAST_PERIOD, MOST_PAUSE, MembershipPlan.period(pause));
+        long period = section.time("period", LEAST_PERIOD, MOST_PAUSE, MembershipOptions.period(pause));
         if (section.has("period") && period * PERIODS_IN_PAUSE > pause) {
             section.problem(
                     "period",
-                    "'period' is " + Duration.text(period) + ", more than a third of" + " 'pause' ("
-                            + Duration.text(pause) + "): too few answers fit into it");
+                    "'period' is " + DurationText.text(period) + ", more than a third of" + " 'pause' ("
+                            + DurationText.text(pause) + "): too few answers fit into it");
         }
-        int most = (int) section.count("max_members", 2, 100_000, MembershipPlan.MOST);
+        int most = (int) section.count("max_members", 2, 100_000, MembershipOptions.MOST);
         String record = section.text("record");
         List<InetSocketAddress> seeds = seeds(advertise);
         section.rejectUnknown();
         return new MembershipSection(
-                section.line(), new MembershipPlan(cluster, listen, advertise, seeds, pause, period, most, record));
+                section.line(), new MembershipOptions(cluster, listen, advertise, seeds, pause, period, most, record));
     }
 
     private InetSocketAddress port(String key, InetSocketAddress address) {
--- a/src/main/java/larkbank/operators/Operators.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
@@ -10,19 +10,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.footprint.FleetPlan;
-import larkbank.membership.MembershipPlan;
-import larkbank.operators.OperatorsFile.PluginSection;
-import larkbank.operators.OperatorsFile.PoolSection;
-import larkbank.operators.OperatorsFile.RouteSection;
-import larkbank.route.Listener;
-import larkbank.route.Plan;
-import larkbank.route.PoolPlan;
-import larkbank.route.PoolPlan.Tunnelled;
-import larkbank.route.Route;
-import larkbank.route.Router;
-import larkbank.route.Target;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.fleetlimits.FleetLimits;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PluginSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
+import org.cypressweir.sidecar.route.Listener;
+import org.cypressweir.sidecar.route.PoolConfiguration;
+import org.cypressweir.sidecar.route.PoolConfiguration.Tunnelled;
+import org.cypressweir.sidecar.route.Route;
+import org.cypressweir.sidecar.route.Router;
+import org.cypressweir.sidecar.route.RoutingConfiguration;
+import org.cypressweir.sidecar.route.Target;
 
 /** An operators' file that was read and checked: what is in force, and where each value came from. */
 public final class Operators {
@@ -30,7 +30,7 @@
     private final Facts facts;
     private final OperatorsFile file;
     private final Map<String, RouteLimits> limits = new LinkedHashMap<>();
-    private final Plan plan;
+    private final RoutingConfiguration plan;
 
     private Operators(Facts facts, OperatorsFile file) {
         this.facts = facts;
@@ -55,7 +55,7 @@
                             own.terms(),
                             route.webSocket())));
         }
-        plan = new Plan(
+        plan = new RoutingConfiguration(
                 listeners(),
                 pools(),
                 new Router<>(routes),
@@ -72,32 +72,32 @@
     /**
      * Reads and checks a file, all of it even where something is wrong.
      *
-     * @throws BadFile with every reason, in the order of the lines
+     * @throws InvalidFileException with every reason, in the order of the lines
      */
-    public static Operators load(Path path, Facts facts) throws BadFile {
+    public static Operators load(Path path, Facts facts) throws InvalidFileException {
         Problems problems = new Problems(path.toString());
         String text;
         try {
             text = Files.readString(path);
         } catch (CharacterCodingException e) {
             problems.add(1, "not UTF-8");
-            throw new BadFile(problems.sorted());
+            throw new InvalidFileException(problems.sorted());
         } catch (FileSystemException e) {
             problems.add(1, "can't be read");
-            throw new BadFile(problems.sorted());
+            throw new InvalidFileException(problems.sorted());
         } catch (IOException e) {
             problems.add(1, "can't be read: " + e.getMessage());
-            throw new BadFile(problems.sorted());
+            throw new InvalidFileException(problems.sorted());
         }
         return load(path.toString(), path.toAbsolutePath().getParent(), text, facts);
     }
 
     /** The same with the text at hand. */
-    public static Operators load(String name, String text, Facts facts) throws BadFile {
+    public static Operators load(String name, String text, Facts facts) throws InvalidFileException {
         return load(name, null, text, facts);
     }
 
-    private static Operators load(String name, Path folder, String text, Facts facts) throws BadFile {
+    private static Operators load(String name, Path folder, String text, Facts facts) throws InvalidFileException {
         Problems problems = new Problems(name);
         OperatorsFile file = null;
         try {
@@ -110,13 +110,13 @@
             problems.add(1, "nested too deep");
         }
         if (!problems.none()) {
-            throw new BadFile(problems.sorted());
+            throw new InvalidFileException(problems.sorted());
         }
         return new Operators(facts, file);
     }
 
     /** What the sidecar takes over. */
-    public Plan plan() {
+    public RoutingConfiguration plan() {
         return plan;
     }
 
@@ -132,11 +132,11 @@
         return limits.get(route);
     }
 
-    private FleetPlan fleet() {
+    private FleetLimits fleet() {
         OperatorsFile.FleetSection f = file.fleet();
         return f == null
                 ? null
-                : new FleetPlan(
+                : new FleetLimits(
                         f.instances(),
                         f.living() ? 0 : facts.settings().rank(),
                         f.listRate(),
@@ -148,11 +148,11 @@
     }
 
     /** Servers close what has been idle for the site's time, of which the sidecar uses a part only. */
-    private MembershipPlan membership() {
+    private MembershipOptions membership() {
         if (file.membership() == null) {
             return null;
         }
-        MembershipPlan plan = file.membership().plan().leasing(file.leases());
+        MembershipOptions plan = file.membership().plan().leasing(file.leases());
         return file.fleet() == null || !file.fleet().living()
                 ? plan
                 : plan.sharing(
@@ -171,13 +171,13 @@
                 .toList();
     }
 
-    private List<PoolPlan> pools() {
-        List<PoolPlan> pools = new ArrayList<>();
+    private List<PoolConfiguration> pools() {
+        List<PoolConfiguration> pools = new ArrayList<>();
         for (PoolSection pool : file.pools().values()) {
             int requests =
                     share(pool, LimitKey.MAX_REQUESTS, facts.settings().limits().open());
             Setting<Long> queue = pool.limits().number(LimitKey.MAX_QUEUE);
-            pools.add(new PoolPlan(
+            pools.add(new PoolConfiguration(
                     pool.name(),
                     pool.servers(),
                     share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections()),
--- a/src/main/java/larkbank/operators/OperatorsFile.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsFile.java
@@ -1,15 +1,15 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import larkbank.cell.CellsPlan;
-import larkbank.lease.LeasePlan;
-import larkbank.membership.MembershipPlan;
-import larkbank.route.Match;
-import larkbank.route.PluginPlan;
-import larkbank.route.StaticServer;
-import larkbank.route.WebSocketLimits;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.route.Match;
+import org.cypressweir.sidecar.route.PluginConfiguration;
+import org.cypressweir.sidecar.route.StaticServer;
+import org.cypressweir.sidecar.route.WebSocketLimits;
 
 /** A file as it is written: each section with its values and their lines, before anything is compared. */
 record OperatorsFile(
@@ -20,10 +20,10 @@
         List<PluginSection> plugins,
         FleetSection fleet,
         MembershipSection membership,
-        LeasePlan leases) {
+        LeaseOptions leases) {
 
     /** Called in the order of these numbers, of equals in that of their names. */
-    record PluginSection(int order, PluginPlan plan) {}
+    record PluginSection(int order, PluginConfiguration plan) {}
 
     /** What all instances share; null where the file does not say; lines by key. */
     record FleetSection(
@@ -36,7 +36,7 @@
             Map<String, Integer> lines) {}
 
     /** How this process takes part among others; null where it does not. */
-    record MembershipSection(int line, MembershipPlan plan) {}
+    record MembershipSection(int line, MembershipOptions plan) {}
 
     record ListenerSection(String name, int line, InetSocketAddress address) {}
 
@@ -50,7 +50,7 @@
             CellsSection cells) {}
 
     /** How a pool is parted, without what its routes' classes add; the lines are by key or move. */
-    record CellsSection(CellsPlan plan, Map<String, Integer> lines) {
+    record CellsSection(CellsConfiguration plan, Map<String, Integer> lines) {
         int line(String of) {
             return lines.get(of);
         }
--- a/src/main/java/larkbank/operators/OperatorsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -11,26 +11,26 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import larkbank.Addresses;
-import larkbank.lease.LeasePlan;
-import larkbank.operators.OperatorsFile.CellsSection;
-import larkbank.operators.OperatorsFile.ClassSection;
-import larkbank.operators.OperatorsFile.FleetSection;
-import larkbank.operators.OperatorsFile.ListenerSection;
-import larkbank.operators.OperatorsFile.MembershipSection;
-import larkbank.operators.OperatorsFile.PluginSection;
-import larkbank.operators.OperatorsFile.PoolSection;
-import larkbank.operators.OperatorsFile.RouteSection;
-import larkbank.operators.OperatorsFile.TunnelSet;
-import larkbank.route.Farewell;
-import larkbank.route.HeaderTest;
-import larkbank.route.HostPattern;
-import larkbank.route.Match;
-import larkbank.route.PathPattern;
-import larkbank.route.Resume;
-import larkbank.route.StaticServer;
-import larkbank.route.TunnelBounds;
-import larkbank.route.WebSocketLimits;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.CellsSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ClassSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.FleetSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ListenerSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.MembershipSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PluginSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.TunnelSet;
+import org.cypressweir.sidecar.route.HeaderTest;
+import org.cypressweir.sidecar.route.HostPattern;
+import org.cypressweir.sidecar.route.Match;
+import org.cypressweir.sidecar.route.PathPattern;
+import org.cypressweir.sidecar.route.Resume;
+import org.cypressweir.sidecar.route.StaticServer;
+import org.cypressweir.sidecar.route.TunnelBounds;
+import org.cypressweir.sidecar.route.TunnelCloseNotice;
+import org.cypressweir.sidecar.route.WebSocketLimits;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
@@ -105,7 +105,7 @@
         FleetSection shared = fleet == null ? null : fleet(fleet);
         Section membership = top.table("membership");
         MembershipSection others = membership == null ? null : new MembershipReader(membership).read();
-        LeasePlan leases = new LeasesReader(top.table("keepers"), top.tables("leases"), problems).read(others);
+        LeaseOptions leases = new LeasesReader(top.table("keepers"), top.tables("leases"), problems).read(others);
         top.rejectUnknown();
         return new OperatorsFile(listeners, pools, classes, routes, plugins, shared, others, leases);
     }
@@ -174,7 +174,7 @@
         if (source != null && !SOURCES.contains(source)) {
             section.problem(
                     "source",
-                    "no source '" + source + "'; there are discovery and static" + Words.hint(source, SOURCES));
+                    "no source '" + source + "'; there are discovery and static" + Wording.hint(source, SOURCES));
         }
         boolean listed = "static".equals(source);
         List<StaticServer> servers = null;
@@ -238,7 +238,7 @@
     private static String known(Section entry, String key, List<String> names) {
         String name = entry.text(key);
         if (name != null && !names.contains(name)) {
-            entry.problem(key, "the settings have no " + key + " '" + name + "'" + Words.hint(name, names));
+            entry.problem(key, "the settings have no " + key + " '" + name + "'" + Wording.hint(name, names));
         }
         return name;
     }
@@ -301,14 +301,14 @@
         if (pong > ping) {
             section.problem(
                     "ping_timeout",
-                    "'ping_timeout' is " + Duration.text(pong) + ", longer than 'ping_interval' (" + Duration.text(ping)
-                            + ")");
+                    "'ping_timeout' is " + DurationText.text(pong) + ", longer than 'ping_interval' ("
+                            + DurationText.text(ping) + ")");
         }
         long life = section.time("max_life", 1_000_000, 604_800_000_000L, 0);
         long drain = section.time("drain_time", 100_000, 600_000_000L, 10_000_000);
         long reconnects = section.count("reconnect_rate", 1, 100_000, 50);
         Resume resume = resume(section);
-        Farewell farewell = farewell(section);
+        TunnelCloseNotice farewell = farewell(section);
         TunnelBounds bounds = new TunnelBounds(
                 name(route),
                 (int) section.count("max_tunnels", 1, MOST_TUNNELS, Integer.MAX_VALUE),
@@ -318,7 +318,7 @@
         return new WebSocketLimits(frame, message, idle, ping, pong, life, drain, reconnects, farewell, bounds, resume);
     }
 
-    private static Farewell farewell(Section section) {
+    private static TunnelCloseNotice farewell(Section section) {
         int code = (int) section.count("drain_code", 1001, 4999, 1001);
         if (code > 1001 && code < 4000 && code != 1012 && code != 1013) {
             section.problem("drain_code", "'drain_code' is " + code + "; it must be 1001, 1012, 1013 or 4000 to 4999");
@@ -327,7 +327,7 @@
         if (reason != null && reason.getBytes(StandardCharsets.UTF_8).length > MOST_REASON) {
             section.problem("drain_reason", "'drain_reason' is longer than " + MOST_REASON + " bytes");
         }
-        return new Farewell(code, reason == null ? "going away" : reason);
+        return new TunnelCloseNotice(code, reason == null ? "going away" : reason);
     }
 
     private static Resume resume(Section section) {
@@ -396,7 +396,7 @@
             if (!METHODS.contains(name)) {
                 section.problem(
                         "methods",
-                        "no client sends method '" + name + "'; there are GET and POST" + Words.hint(name, METHODS));
+                        "no client sends method '" + name + "'; there are GET and POST" + Wording.hint(name, METHODS));
             }
             methods.add(name);
         }
--- a/src/main/java/larkbank/operators/PluginsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,10 +9,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import larkbank.LoadBalancer.Effect;
-import larkbank.operators.OperatorsFile.PluginSection;
-import larkbank.route.PluginGrant;
-import larkbank.route.PluginPlan;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PluginSection;
+import org.cypressweir.sidecar.route.PluginConfiguration;
+import org.cypressweir.sidecar.route.PluginGrant;
 
 /** Reads {@code [plugins.NAME]}: the module's bytes, its bounds, and what it is granted. */
 final class PluginsReader {
@@ -38,7 +38,7 @@
             section.problem(
                     "on_failure",
                     "no policy '" + failure + "'; there are open and closed"
-                            + Words.hint(failure, List.of("open", "closed")));
+                            + Wording.hint(failure, List.of("open", "closed")));
         }
         PluginGrant grant = new PluginGrant(
                 headers(section), classes(section), weaken(section), Boolean.TRUE.equals(section.flag("refuse")));
@@ -62,7 +62,7 @@
                 ? null
                 : new PluginSection(
                         (int) order,
-                        new PluginPlan(
+                        new PluginConfiguration(
                                 name,
                                 section.lineOf("file"),
                                 module,
@@ -127,7 +127,7 @@
 
     private void known(Section section, String key, String name) {
         if (facts.requestClass(name).isEmpty()) {
-            section.problem(key, "the settings have no class '" + name + "'" + Words.hint(name, facts.classNames()));
+            section.problem(key, "the settings have no class '" + name + "'" + Wording.hint(name, facts.classNames()));
         }
     }
 
--- a/src/main/java/larkbank/operators/Problem.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Problem.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 /** One thing that is wrong with an operators' file, in the form {@code file:line: reason}. */
 public record Problem(String file, int line, String reason) {
--- a/src/main/java/larkbank/operators/Problems.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Problems.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/larkbank/operators/Retryable.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Retryable.java
@@ -1,12 +1,12 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.Arrays;
 import java.util.Collection;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
 /** Outcomes of an attempt after which another may be made, in the words of the operators' file. */
 public enum Retryable {
--- a/src/main/java/larkbank/operators/RouteLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
@@ -1,16 +1,16 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import larkbank.LoadBalancer.Bound;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Terms;
-import larkbank.operators.OperatorsFile.ClassSection;
-import larkbank.operators.OperatorsFile.PoolSection;
-import larkbank.operators.OperatorsFile.RouteSection;
+import org.cypressweir.loadbalancing.LoadBalancer.Bound;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ClassSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
 
 /**
  * The limits in force for a route, each with where it came from: the route's own, else its class's, else what
--- a/src/main/java/larkbank/operators/Section.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.time.Instant;
 import java.time.OffsetDateTime;
@@ -139,7 +139,7 @@
         if (text == null) {
             return null;
         }
-        long micros = Duration.micros(text);
+        long micros = DurationText.micros(text);
         if (micros < 0) {
             problem(
                     key,
@@ -150,7 +150,8 @@
         if (micros < least || micros > most) {
             problem(
                     key,
-                    "'" + key + "' is " + text + "; it must be " + Duration.text(least) + " to " + Duration.text(most));
+                    "'" + key + "' is " + text + "; it must be " + DurationText.text(least) + " to "
+                            + DurationText.text(most));
             return null;
         }
         return micros;
@@ -265,7 +266,7 @@
         for (String word : words) {
             Retryable outcome = Retryable.of(word);
             if (outcome == null) {
-                problem(key, "'" + key + "' has no outcome '" + word + "'" + Words.hint(word, Retryable.words()));
+                problem(key, "'" + key + "' has no outcome '" + word + "'" + Wording.hint(word, Retryable.words()));
             } else {
                 outcomes.add(outcome);
             }
@@ -278,7 +279,7 @@
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
                 String where = title.isEmpty() ? "" : " in [" + title + "]";
-                problem(key, "unknown key '" + key + "'" + where + Words.hint(key, known));
+                problem(key, "unknown key '" + key + "'" + where + Wording.hint(key, known));
             }
         }
     }
--- a/src/main/java/larkbank/operators/Setting.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Setting.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 /**
  * A value and where it came from.
--- a/src/main/java/larkbank/operators/Shape.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Shape.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 /**
  * Bounds on the text itself, before a parser that follows every bracket by a call of its own sees it: size,
--- a/src/main/java/larkbank/operators/Words.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Wording.java
@@ -1,12 +1,12 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import java.util.Collection;
 import java.util.Comparator;
 
 /** The word that an operator may have meant. */
-final class Words {
+final class Wording {
 
-    private Words() {}
+    private Wording() {}
 
     /** {@code "; did you mean 'x'?"}, or nothing where no known word is near. */
     static String hint(String word, Collection<String> known) {
--- a/src/main/java/larkbank/plugin/Patience.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
@@ -1,11 +1,11 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 /**
  * How long a call is waited for. The deadline counts what the plug-in's thread had of a processor since it
  * was asked, since a thread that got none has not been slow; by the clock there is a bound as well, since the
  * request's own time runs. No clock: the caller brings both times.
  */
-public final class Patience {
+public final class InvocationDeadline {
 
     /** What a deadline may be passed by, by the clock: 9 times itself, and so many microseconds at most. */
     static final long MOST_EXTRA = 50_000, EXTRA_SHARE = 9;
@@ -16,7 +16,7 @@
     private final long endMicros;
 
     /** @param deadlineMicros of processor time, above 0 */
-    public Patience(long deadlineMicros) {
+    public InvocationDeadline(long deadlineMicros) {
         this.deadlineMicros = deadlineMicros;
         endMicros = deadlineMicros + Math.min(MOST_EXTRA, EXTRA_SHARE * deadlineMicros);
     }
--- a/src/main/java/larkbank/plugin/Conduct.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
@@ -1,10 +1,10 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 /**
  * Whether a plug-in is called at all: after some failures in a row it is left out for a while, and the while
  * doubles each time it fails at once after that. No clock: calls bring the time.
  */
-public final class Conduct {
+public final class PluginHealth {
 
     /** Failures in a row; first while without it, and its doublings. */
     static final int FAILURES = 5, DOUBLINGS = 6;
--- a/src/main/java/larkbank/plugin/PluginHost.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import com.dylibso.chicory.runtime.ChicoryInterruptedException;
 import java.lang.management.ManagementFactory;
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicReference;
-import larkbank.route.PluginPlan;
+import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
  * One plug-in on a thread of its own. The one who asks never waits: it hears of what the plug-in wishes
@@ -35,7 +35,7 @@
 
     /** What is heard of a call, once, unless it is withdrawn. */
     public interface Heard {
-        void done(Wishes wishes);
+        void done(RequestedChanges wishes);
 
         /** It trapped, passed a bound, or could not be called. */
         void failed(String why);
@@ -79,9 +79,9 @@
         }
     }
 
-    private final PluginPlan spec;
+    private final PluginConfiguration spec;
     private final Executor answers;
-    private final Guest guest;
+    private final PluginModule guest;
     private final BlockingQueue<Call> calls = new ArrayBlockingQueue<>(WAITING);
     private final Thread thread;
     private final CompletableFuture<Void> begun = new CompletableFuture<>();
@@ -92,12 +92,12 @@
      * Compiles a module and starts it.
      *
      * @param answers where calls are heard of
-     * @throws BadPlugin where it is no plug-in, or its start fails or takes more than 2 s
+     * @throws InvalidPluginException where it is no plug-in, or its start fails or takes more than 2 s
      */
-    public PluginHost(PluginPlan spec, Executor answers) throws BadPlugin {
+    public PluginHost(PluginConfiguration spec, Executor answers) throws InvalidPluginException {
         this.spec = spec;
         this.answers = answers;
-        guest = new Guest(spec);
+        guest = new PluginModule(spec);
         thread = new Thread(null, this::run, "plug-in " + spec.name(), STACK);
         thread.setDaemon(true);
         thread.start();
@@ -106,16 +106,16 @@
             awaitWarm();
         } catch (ExecutionException e) {
             close();
-            throw e.getCause() instanceof BadPlugin b
+            throw e.getCause() instanceof InvalidPluginException b
                     ? b
-                    : new BadPlugin("its start failed: " + Guest.why(e.getCause()), e);
+                    : new InvalidPluginException("its start failed: " + PluginModule.why(e.getCause()), e);
         } catch (TimeoutException e) {
             close();
-            throw new BadPlugin("its start took more than " + BEGIN_MILLIS + " ms", e);
+            throw new InvalidPluginException("its start took more than " + BEGIN_MILLIS + " ms", e);
         } catch (InterruptedException e) {
             close();
             Thread.currentThread().interrupt();
-            throw new BadPlugin("interrupted", e);
+            throw new InvalidPluginException("interrupted", e);
         }
     }
 
@@ -134,7 +134,7 @@
     }
 
     /** The plug-in that it runs. */
-    public PluginPlan plan() {
+    public PluginConfiguration plan() {
         return spec;
     }
 
@@ -158,7 +158,7 @@
             guest.begin();
             begun.complete(null);
             warmUp();
-        } catch (BadPlugin
+        } catch (InvalidPluginException
                 | RuntimeException
                 | AssertionError
                 | LinkageError
@@ -200,7 +200,7 @@
         if (!call.state.compareAndSet(State.WAITS, State.RUNS)) {
             return;
         }
-        Wishes wishes = null;
+        RequestedChanges wishes = null;
         String why = null;
         // An interrupt may come late, for the call before: then this one failed through no fault of its own.
         for (int tries = 0; tries < 2 && wishes == null && call.state.get() == State.RUNS; tries++) {
@@ -209,14 +209,14 @@
                     guest.begin();
                 }
                 wishes = guest.onRequest(call.request);
-            } catch (BadPlugin
+            } catch (InvalidPluginException
                     | RuntimeException
                     | AssertionError
                     | LinkageError
                     | StackOverflowError
                     | OutOfMemoryError e) {
                 guest.discard();
-                why = Guest.why(e);
+                why = PluginModule.why(e);
                 if (!(e instanceof ChicoryInterruptedException)) {
                     break;
                 }
@@ -233,7 +233,7 @@
         if (wishes != null) {
             guest.keep();
         }
-        Wishes result = wishes;
+        RequestedChanges result = wishes;
         String reason = why;
         answers.execute(() -> {
             if (result != null) {
--- a/src/main/java/larkbank/plugin/Visit.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginInvocation.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import com.dylibso.chicory.runtime.Memory;
 import java.nio.ByteBuffer;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larkbank.route.PluginPlan;
+import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
  * One call of a plug-in: what it may read, what it has asked for, and how much of its bounds it has used.
  * Pointers and lengths come from the plug-in and are taken for hostile.
  */
-final class Visit {
+final class PluginInvocation {
 
     /** Results of host functions that are no lengths. */
     static final int DONE = 0, ABSENT = -1, NOT_GRANTED = -2, MALFORMED = -3, TOO_MUCH = -4;
@@ -26,9 +26,9 @@
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
     private final RequestView request;
-    private final Store store;
+    private final PluginStore store;
     private final Map<String, byte[]> puts = new LinkedHashMap<>();
-    private final PluginPlan spec;
+    private final PluginConfiguration spec;
     /** To set, or to remove where the value is empty. */
     private final Map<String, String> headers = new LinkedHashMap<>();
 
@@ -39,14 +39,14 @@
     private int calls;
     private int bytes;
 
-    Visit(RequestView request, PluginPlan spec, Store store) {
+    PluginInvocation(RequestView request, PluginConfiguration spec, PluginStore store) {
         this.store = store;
         this.request = request;
         this.spec = spec;
     }
 
-    Wishes wishes() {
-        return new Wishes(Map.copyOf(headers), requestClass, refusal, retryAfterMillis, List.copyOf(notes));
+    RequestedChanges wishes() {
+        return new RequestedChanges(Map.copyOf(headers), requestClass, refusal, retryAfterMillis, List.copyOf(notes));
     }
 
     /** Counts a call of the host; past the bound the visit ends in a trap. */
