--- a/src/main/java/larkbank/plugin/Guest.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginModule.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import com.dylibso.chicory.compiler.MachineFactoryCompiler;
 import com.dylibso.chicory.runtime.ExportFunction;
@@ -21,20 +21,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import larkbank.route.PluginPlan;
+import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
  * A compiled module and its instance. The hook's interface, version 1: the module exports a memory,
  * {@code lb_abi() -> i32} that gives 1, and {@code on_request()}; it may import what {@link #IMPORTS} names
  * from {@code lb}, and nothing else. Used by one thread.
  */
-final class Guest {
+final class PluginModule {
 
     static final int ABI = 1;
     private static final String ABI_EXPORT = "lb_abi", HOOK = "on_request", MEMORY = "memory", FROM = "lb";
 
     private interface Call {
-        int on(Visit visit, Memory memory, long[] given);
+        int on(PluginInvocation visit, Memory memory, long[] given);
     }
 
     private record Offered(int parameters, Call call) {}
@@ -43,22 +43,22 @@
     /** Names of the host's functions. */
     static final List<String> IMPORTS = List.copyOf(OFFERED.keySet());
 
-    private final PluginPlan spec;
+    private final PluginConfiguration spec;
     private final WasmModule module;
     private final Function<Instance, Machine> machines;
     private Instance instance;
     private ExportFunction hook;
-    private Visit visit;
-    private final Store store = new Store();
+    private PluginInvocation visit;
+    private final PluginStore store = new PluginStore();
     /** The call that has ended last. */
-    private Visit last;
+    private PluginInvocation last;
 
     /**
      * Parses, checks and compiles a module; no code of it runs yet.
      *
-     * @throws BadPlugin with what is wrong with it
+     * @throws InvalidPluginException with what is wrong with it
      */
-    Guest(PluginPlan spec) throws BadPlugin {
+    PluginModule(PluginConfiguration spec) throws InvalidPluginException {
         this.spec = spec;
         try {
             module = Parser.parse(spec.module());
@@ -66,7 +66,7 @@
             machines = MachineFactoryCompiler.compile(module);
         } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError | OutOfMemoryError e) {
             // The library says in many ways that bytes are no module.
-            throw new BadPlugin(
+            throw new InvalidPluginException(
                     "no WebAssembly that this program can run: "
                             + String.valueOf(e.getMessage()).replaceAll("\\s+", " "),
                     e);
@@ -98,16 +98,16 @@
         return FunctionType.of(Collections.nCopies(parameters, ValType.I32), List.of(ValType.I32));
     }
 
-    private void check() throws BadPlugin {
+    private void check() throws InvalidPluginException {
         for (int i = 0; i < module.importSection().importCount(); i++) {
             Import wanted = module.importSection().getImport(i);
             Offered offer = wanted.module().equals(FROM) ? OFFERED.get(wanted.name()) : null;
             if (offer == null || !(wanted instanceof FunctionImport f)) {
-                throw new BadPlugin("it imports " + wanted.module() + "." + wanted.name() + "; there are " + FROM + "."
-                        + String.join(", " + FROM + ".", IMPORTS));
+                throw new InvalidPluginException("it imports " + wanted.module() + "." + wanted.name() + "; there are "
+                        + FROM + "." + String.join(", " + FROM + ".", IMPORTS));
             }
             if (!module.typeSection().getType(f.typeIndex()).equals(type(offer.parameters))) {
-                throw new BadPlugin("it imports " + FROM + "." + wanted.name()
+                throw new InvalidPluginException("it imports " + FROM + "." + wanted.name()
                         + " with another type; it takes "
                         + offer.parameters + " i32 and gives one");
             }
@@ -124,14 +124,14 @@
         });
     }
 
-    private void export(String name, ExternalType type) throws BadPlugin {
+    private void export(String name, ExternalType type) throws InvalidPluginException {
         for (int i = 0; i < module.exportSection().exportCount(); i++) {
             if (module.exportSection().getExport(i).name().equals(name)
                     && module.exportSection().getExport(i).exportType() == type) {
                 return;
             }
         }
-        throw new BadPlugin("it lacks the export '" + name + "'");
+        throw new InvalidPluginException("it lacks the export '" + name + "'");
     }
 
     /** What it imports of what there is. */
@@ -144,7 +144,7 @@
     }
 
     /** Makes a fresh instance, whose start function runs; on the thread that may be interrupted. */
-    void begin() throws BadPlugin {
+    void begin() throws InvalidPluginException {
         instance = null;
         List<HostFunction> functions = new ArrayList<>();
         OFFERED.forEach(
@@ -164,7 +164,7 @@
                 .build();
         long abi = fresh.export(ABI_EXPORT).apply()[0];
         if (abi != ABI) {
-            throw new BadPlugin("it speaks version " + abi + " of the hook; this program speaks " + ABI);
+            throw new InvalidPluginException("it speaks version " + abi + " of the hook; this program speaks " + ABI);
         }
         hook = fresh.export(HOOK);
         instance = fresh;
@@ -198,8 +198,8 @@
     }
 
     /** Calls the hook; throws whatever the plug-in's code brings about. */
-    Wishes onRequest(RequestView request) {
-        visit = new Visit(request, spec, store);
+    RequestedChanges onRequest(RequestView request) {
+        visit = new PluginInvocation(request, spec, store);
         last = visit;
         try {
             hook.apply();
--- a/src/main/java/larkbank/plugin/Store.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginStore.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * gone with the plug-in; bounded in keys and bytes. What a call puts is taken over once the call has ended
  * well, all of it or nothing.
  */
-final class Store {
+final class PluginStore {
 
     static final int MOST_KEYS = 256, MOST_BYTES = 65_536;
 
--- a/src/main/java/larkbank/plugin/RequestView.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/RequestView.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import java.util.Map;
 
--- a/src/main/java/larkbank/plugin/Wishes.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/RequestedChanges.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import java.util.List;
 import java.util.Map;
@@ -12,9 +12,9 @@
  * @param retryAfterMillis when to come back; 0 for no word on that
  * @param notes lines for the log
  */
-public record Wishes(
+public record RequestedChanges(
         Map<String, String> headers, String requestClass, String refusal, long retryAfterMillis, List<String> notes) {
 
     /** Nothing is asked for. */
-    public static final Wishes NONE = new Wishes(Map.of(), null, null, 0, List.of());
+    public static final RequestedChanges NONE = new RequestedChanges(Map.of(), null, null, 0, List.of());
 }
--- a/src/main/java/larkbank/route/HostName.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostName.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.List;
 import java.util.Locale;
@@ -19,15 +19,15 @@
      *
      * @param fields the values of all {@code Host} fields of the request
      * @param required whether one has to be there (RFC 9112, section 3.2)
-     * @throws BadTarget where one lacks, where there are two, or where its text is no host
+     * @throws InvalidTargetException where one lacks, where there are two, or where its text is no host
      */
-    public static String of(List<String> fields, boolean required) throws BadTarget {
+    public static String of(List<String> fields, boolean required) throws InvalidTargetException {
         if (fields.size() > 1) {
-            throw new BadTarget("more than one Host");
+            throw new InvalidTargetException("more than one Host");
         }
         if (fields.isEmpty()) {
             if (required) {
-                throw new BadTarget("no Host");
+                throw new InvalidTargetException("no Host");
             }
             return "";
         }
@@ -35,7 +35,7 @@
     }
 
     /** The normal form of {@code host} or {@code host:port}; the empty text stays empty. */
-    public static String normal(String authority) throws BadTarget {
+    public static String normal(String authority) throws InvalidTargetException {
         if (authority.isEmpty()) {
             return "";
         }
@@ -43,13 +43,13 @@
         int colon = authority.indexOf(':', Math.max(0, close));
         String host = colon < 0 ? authority : authority.substring(0, colon);
         if (colon >= 0 && !isPort(authority.substring(colon + 1))) {
-            throw new BadTarget("the Host has a bad port");
+            throw new InvalidTargetException("the Host has a bad port");
         }
         if (host.endsWith(".")) {
             host = host.substring(0, host.length() - 1);
         }
         if (!isHost(host, close >= 0)) {
-            throw new BadTarget("the Host is no host");
+            throw new InvalidTargetException("the Host is no host");
         }
         return host.toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/larkbank/route/HostPattern.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostPattern.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 /**
  * A host as a route names it: exact, every name below a suffix ({@code *.example.org}, which does not match
@@ -28,7 +28,7 @@
                 throw new IllegalArgumentException("host '" + text + "' must be a name without a port");
             }
             return new HostPattern(normal, suffix);
-        } catch (BadTarget e) {
+        } catch (InvalidTargetException e) {
             throw new IllegalArgumentException("host '" + text + "' is neither a name nor '*.' and a name nor '*'", e);
         }
     }
--- a/src/main/java/larkbank/route/Overlaps.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Overlaps.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/larkbank/route/PathPattern.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PathPattern.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -57,7 +57,7 @@
         String normal;
         try {
             normal = RequestTarget.normalPath(sample.toString());
-        } catch (BadTarget e) {
+        } catch (InvalidTargetException e) {
             throw new IllegalArgumentException("path '" + text + "': " + e.getMessage(), e);
         }
         if (sample.indexOf("?") >= 0 || sample.indexOf("#") >= 0) {
--- a/src/main/java/larkbank/route/PluginPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PluginConfiguration.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.Arrays;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * @param failClosed whether a request is refused where the plug-in fails; otherwise it goes on
  * @param config what it may read by name
  */
-public record PluginPlan(
+public record PluginConfiguration(
         String name,
         int line,
         byte[] module,
@@ -25,7 +25,7 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof PluginPlan p
+        return o instanceof PluginConfiguration p
                 && name.equals(p.name)
                 && Arrays.equals(module, p.module)
                 && deadlineMicros == p.deadlineMicros
--- a/src/main/java/larkbank/route/PoolPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PoolConfiguration.java
@@ -1,7 +1,7 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.List;
-import larkbank.cell.CellsPlan;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
 
 /**
  * What a pool is made of: one decision module and its connections.
@@ -13,14 +13,14 @@
  * @param tunnels connections that have gone over to another protocol
  * @param cells how it is parted into cells, with a module each; null for one module
  */
-public record PoolPlan(
+public record PoolConfiguration(
         String name,
         List<StaticServer> servers,
         int connections,
         int requests,
         int queue,
         Tunnelled tunnels,
-        CellsPlan cells) {
+        CellsConfiguration cells) {
 
     /**
      * What the pool takes of connections that stay.
@@ -32,8 +32,8 @@
     public record Tunnelled(int most, int perServer, int rate) {}
 
     /** What one of the cells has of it. */
-    public PoolPlan ofCell(int cell) {
-        return new PoolPlan(
+    public PoolConfiguration ofCell(int cell) {
+        return new PoolConfiguration(
                 name + "/" + cells.cells().get(cell).name(),
                 servers,
                 cells.part(cell, connections),
--- a/src/main/java/larkbank/route/RequestTarget.java
+++ b/src/main/java/org/cypressweir/sidecar/route/RequestTarget.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -28,11 +28,11 @@
     /**
      * Reads the target of a request line.
      *
-     * @throws BadTarget where it is neither in origin nor in absolute form, or has no normal form
+     * @throws InvalidTargetException where it is neither in origin nor in absolute form, or has no normal form
      */
-    public static RequestTarget parse(String target) throws BadTarget {
+    public static RequestTarget parse(String target) throws InvalidTargetException {
         if (target.indexOf('#') >= 0) {
-            throw new BadTarget("the target has a fragment");
+            throw new InvalidTargetException("the target has a fragment");
         }
         String host = null;
         String rest = target;
@@ -40,13 +40,13 @@
             int scheme = target.indexOf("://");
             String name = scheme < 0 ? "" : target.substring(0, scheme).toLowerCase(Locale.ROOT);
             if (!name.equals("http") && !name.equals("https")) {
-                throw new BadTarget("the target is neither a path nor an http URI");
+                throw new InvalidTargetException("the target is neither a path nor an http URI");
             }
             rest = target.substring(scheme + 3);
             int end = firstOf(rest, '/', '?');
             host = HostName.normal(rest.substring(0, end));
             if (host.isEmpty()) {
-                throw new BadTarget("the target has no host");
+                throw new InvalidTargetException("the target has no host");
             }
             rest = rest.substring(end);
             rest = rest.startsWith("/") ? rest : "/" + rest;
@@ -65,7 +65,7 @@
     }
 
     /** The normal form of a path that begins with a slash. */
-    static String normalPath(String path) throws BadTarget {
+    static String normalPath(String path) throws InvalidTargetException {
         if (isNormal(path)) {
             return path;
         }
@@ -88,13 +88,13 @@
         return true;
     }
 
-    private static String unescaped(String path) throws BadTarget {
+    private static String unescaped(String path) throws InvalidTargetException {
         StringBuilder plain = new StringBuilder(path.length());
         for (int i = 0; i < path.length(); i++) {
             char c = path.charAt(i);
             if (c != '%') {
                 if (c == '\\' || c <= ' ' || c >= 127) {
-                    throw new BadTarget("the path has a character that must be escaped");
+                    throw new InvalidTargetException("the path has a character that must be escaped");
                 }
                 plain.append(c);
                 continue;
@@ -102,11 +102,11 @@
             int high = i + 2 < path.length() ? Character.digit(path.charAt(i + 1), 16) : -1;
             int low = i + 2 < path.length() ? Character.digit(path.charAt(i + 2), 16) : -1;
             if (high < 0 || low < 0) {
-                throw new BadTarget("the path has a broken escape");
+                throw new InvalidTargetException("the path has a broken escape");
             }
             int code = high * 16 + low;
             if (code == '/' || code == '\\' || code == 0) {
-                throw new BadTarget("the path has an escaped slash, backslash or NUL");
+                throw new InvalidTargetException("the path has an escaped slash, backslash or NUL");
             }
             if (isUnreserved(code)) {
                 plain.append((char) code);
@@ -129,14 +129,14 @@
     }
 
     /** Resolves dot segments and joins slashes; a directory keeps its slash at the end. */
-    private static String withoutDots(String path) throws BadTarget {
+    private static String withoutDots(String path) throws InvalidTargetException {
         Deque<String> kept = new ArrayDeque<>();
         String last = "";
         for (String segment : path.split("/", -1)) {
             last = segment;
             if (segment.equals("..")) {
                 if (kept.pollLast() == null) {
-                    throw new BadTarget("the path climbs above its root");
+                    throw new InvalidTargetException("the path climbs above its root");
                 }
             } else if (!segment.isEmpty() && !segment.equals(".")) {
                 kept.addLast(segment);
--- a/src/main/java/larkbank/route/Routable.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Routable.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 /** What a router looks at in a request. */
 public interface Routable {
--- a/src/main/java/larkbank/route/Route.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Route.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 /**
  * A route: what it matches, and where its requests go.
--- a/src/main/java/larkbank/route/Plan.java
+++ b/src/main/java/org/cypressweir/sidecar/route/RoutingConfiguration.java
@@ -1,8 +1,8 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.List;
-import larkbank.footprint.FleetPlan;
-import larkbank.membership.MembershipPlan;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.sidecar.fleetlimits.FleetLimits;
 
 /**
  * All that an operators' file says, checked and compiled; taken over whole or not at all.
@@ -12,11 +12,11 @@
  * @param fleet what all instances together may ask of what they share; null for no bounds
  * @param membership how this process takes part among others; null where it does not
  */
-public record Plan(
+public record RoutingConfiguration(
         List<Listener> listeners,
-        List<PoolPlan> pools,
+        List<PoolConfiguration> pools,
         Router<Target> router,
         boolean webSockets,
-        List<PluginPlan> plugins,
-        FleetPlan fleet,
-        MembershipPlan membership) {}
+        List<PluginConfiguration> plugins,
+        FleetLimits fleet,
+        MembershipOptions membership) {}
--- a/src/main/java/larkbank/route/StaticServer.java
+++ b/src/main/java/org/cypressweir/sidecar/route/StaticServer.java
@@ -1,10 +1,10 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
  * A server that the file names.
--- a/src/main/java/larkbank/route/Target.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Target.java
@@ -1,6 +1,6 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
-import larkbank.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
  * Where a route's requests go, and under which terms.
--- a/src/main/java/larkbank/route/TunnelBounds.java
+++ b/src/main/java/org/cypressweir/sidecar/route/TunnelBounds.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 /**
  * How many WebSocket connections a route may have open.
--- a/src/main/java/larkbank/route/WebSocketLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 /**
  * What holds for the WebSocket connections of a route; times in microseconds, 0 for none.
@@ -24,6 +24,6 @@
         long lifeMicros,
         long drainMicros,
         long reconnects,
-        Farewell farewell,
+        TunnelCloseNotice farewell,
         TunnelBounds bounds,
         Resume resume) {}
--- a/src/main/java/larkbank/simhost/Fields.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
@@ -1,4 +1,4 @@
-package larkbank.simhost;
+package org.cypressweir.sidecar.simhost;
 
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -6,20 +6,20 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.Json;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadReports;
-import larkbank.SettingsReader;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadReports;
+import org.cypressweir.loadbalancing.SettingsReader;
 
 /** The fields of one message, read in one pass and turned into the library's types. */
-final class Fields {
+final class MessageFields {
 
     private final Map<String, Object> values = new LinkedHashMap<>();
 
--- a/src/main/java/larkbank/simhost/Replies.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/Replies.java
@@ -1,9 +1,9 @@
-package larkbank.simhost;
+package org.cypressweir.sidecar.simhost;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import larkbank.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
 
 /** Writes the actions of a batch as they come; a group is opened only once it holds something. */
 final class Replies implements Actions {
--- a/src/main/java/larkbank/simhost/SimHost.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
@@ -1,4 +1,4 @@
-package larkbank.simhost;
+package org.cypressweir.sidecar.simhost;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -13,13 +13,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.Choice;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 
 /**
- * Hosts one {@link Choice} for each sidecar and speaks the simulator's wire. It translates and never decides.
+ * Hosts one {@link SubsetLoadBalancer} for each sidecar and speaks the simulator's wire. It translates and never
+ * decides.
  */
 public final class SimHost {
 
@@ -28,7 +29,7 @@
     private final JsonFactory json = new JsonFactory();
     private final Map<String, Hosted> instances = new HashMap<>();
     private final List<List<Server>> lists = new ArrayList<>();
-    private final Fields fields = new Fields();
+    private final MessageFields fields = new MessageFields();
 
     /** An instance of the module and where its actions of this batch go. */
     private static final class Hosted {
@@ -64,13 +65,13 @@
             }
             return 0;
         } catch (WireException e) {
-            errors.println("larkbank: " + e.getMessage());
+            errors.println("cypressweir-sidecar: " + e.getMessage());
         } catch (JsonParseException e) {
-            errors.println("larkbank: not JSON: " + oneLine(e.getOriginalMessage()));
+            errors.println("cypressweir-sidecar: not JSON: " + oneLine(e.getOriginalMessage()));
         } catch (IOException e) {
-            errors.println("larkbank: " + oneLine(String.valueOf(e.getMessage())));
+            errors.println("cypressweir-sidecar: " + oneLine(String.valueOf(e.getMessage())));
         } catch (IllegalArgumentException e) {
-            errors.println("larkbank: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
+            errors.println("cypressweir-sidecar: bad settings or event: " + oneLine(String.valueOf(e.getMessage())));
         }
         errors.flush();
         return 1;
@@ -154,7 +155,7 @@
         }
         if (op.equals("Start")) {
             Hosted hosted = new Hosted();
-            hosted.balancer = new Choice(fields.settings(), replies);
+            hosted.balancer = new SubsetLoadBalancer(fields.settings(), replies);
             instances.put(who, hosted);
             return;
         }
--- a/src/main/java/larkbank/simhost/WireException.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/WireException.java
@@ -1,4 +1,4 @@
-package larkbank.simhost;
+package org.cypressweir.sidecar.simhost;
 
 /** Input that breaks the wire's rules; its message is the one line that the user sees. */
 final class WireException extends Exception {
--- a/src/main/java/larkbank/websocket/DrainOrder.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/DrainOrder.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/larkbank/websocket/FrameReader.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/FrameReader.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -85,9 +85,9 @@
      * any
      * more.
      *
-     * @throws Violation at the first byte that is wrong; what came before it has been handed on
+     * @throws ProtocolViolationException at the first byte that is wrong; what came before it has been handed on
      */
-    public void read(ByteBuf in) throws Violation {
+    public void read(ByteBuf in) throws ProtocolViolationException {
         try {
             while (in.isReadable() && !closed) {
                 if (inPayload) {
@@ -96,7 +96,7 @@
                     begin();
                 }
             }
-        } catch (Violation e) {
+        } catch (ProtocolViolationException e) {
             // Where the next frame begins is not known any more.
             closed = true;
             throw e;
@@ -104,7 +104,7 @@
     }
 
     /** Whether the head is whole. */
-    private boolean head(ByteBuf in) throws Violation {
+    private boolean head(ByteBuf in) throws ProtocolViolationException {
         while (in.isReadable()) {
             head.writeByte(in.readByte());
             if (head.writerIndex() == 2) {
@@ -122,7 +122,7 @@
         return 2 + (small == 126 ? 2 : small == 127 ? 8 : 0) + (fromClient ? 4 : 0);
     }
 
-    private void checkStart() throws Violation {
+    private void checkStart() throws ProtocolViolationException {
         int first = head.getByte(0);
         int small = head.getByte(1) & 0x7f;
         last = (first & 0x80) != 0;
@@ -142,13 +142,13 @@
         }
     }
 
-    private static void check(boolean holds, String otherwise) throws Violation {
+    private static void check(boolean holds, String otherwise) throws ProtocolViolationException {
         if (!holds) {
-            throw new Violation(Frames.PROTOCOL_ERROR, otherwise);
+            throw new ProtocolViolationException(Frames.PROTOCOL_ERROR, otherwise);
         }
     }
 
-    private void begin() throws Violation {
+    private void begin() throws ProtocolViolationException {
         int small = head.getByte(1) & 0x7f;
         length = small == 126 ? head.getUnsignedShort(2) : small == 127 ? head.getLong(2) : small;
         check(
@@ -170,7 +170,8 @@
             }
             messageBytes += length;
             if (length > maxFrame || messageBytes > maxMessage || messageBytes < 0) {
-                throw new Violation(Frames.TOO_LARGE, length > maxFrame ? "frame too large" : "message too large");
+                throw new ProtocolViolationException(
+                        Frames.TOO_LARGE, length > maxFrame ? "frame too large" : "message too large");
             }
         }
         inPayload = true;
@@ -179,7 +180,7 @@
         }
     }
 
-    private void payload(ByteBuf in) throws Violation {
+    private void payload(ByteBuf in) throws ProtocolViolationException {
         int count = (int) Math.min(in.readableBytes(), length - passed);
         ByteBuf piece = in.readRetainedSlice(count);
         if (fromClient) {
@@ -198,11 +199,11 @@
         }
     }
 
-    private void data(ByteBuf piece) throws Violation {
+    private void data(ByteBuf piece) throws ProtocolViolationException {
         boolean ends = last && !inPayload;
         if (text != null && (!text.accept(piece) || ends && !text.isWhole())) {
             piece.release();
-            throw new Violation(Frames.INVALID_PAYLOAD, "not UTF-8");
+            throw new ProtocolViolationException(Frames.INVALID_PAYLOAD, "not UTF-8");
         }
         int as = begun ? Frames.CONTINUATION : message;
         boolean flag = !begun && compressed;
@@ -213,7 +214,7 @@
         sink.data(as, flag, piece, ends);
     }
 
-    private void control() throws Violation {
+    private void control() throws ProtocolViolationException {
         byte[] payload = new byte[control.readableBytes()];
         control.readBytes(payload);
         if (opcode == Frames.CLOSE) {
@@ -223,7 +224,7 @@
         sink.control(opcode, payload);
     }
 
-    private static void checkClose(byte[] payload) throws Violation {
+    private static void checkClose(byte[] payload) throws ProtocolViolationException {
         if (payload.length == 0) {
             return;
         }
@@ -232,7 +233,7 @@
         try {
             StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(payload, 2, payload.length - 2));
         } catch (CharacterCodingException e) {
-            throw new Violation(Frames.INVALID_PAYLOAD, "close reason is not UTF-8");
+            throw new ProtocolViolationException(Frames.INVALID_PAYLOAD, "close reason is not UTF-8");
         }
     }
 }
--- a/src/main/java/larkbank/websocket/Handshake.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Handshake.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
--- a/src/main/java/larkbank/websocket/Census.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/OpenTunnelLimits.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  *
  * @param <T> an open connection
  */
-public final class Census<T extends DrainOrder.Leaver> {
+public final class OpenTunnelLimits<T extends DrainOrder.Leaver> {
 
     private final Map<Object, Set<Place>> counted = new HashMap<>();
 
@@ -58,7 +58,7 @@
      * @param place null where it is refused; then nobody is evicted
      * @param evicted those that count no longer and are to be closed
      */
-    public record Entry<T extends DrainOrder.Leaver>(Census<T>.Place place, List<T> evicted) {}
+    public record Entry<T extends DrainOrder.Leaver>(OpenTunnelLimits<T>.Place place, List<T> evicted) {}
 
     /**
      * Asks for one more under these bounds.
--- a/src/main/java/larkbank/websocket/Tunnel.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
-import larkbank.route.WebSocketLimits;
-import larkbank.websocket.UpgradeAccount.Event;
+import org.cypressweir.sidecar.route.WebSocketLimits;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Event;
 
 /**
  * A client's and a server's connection that carry frames for each other. Each piece that comes on one side
@@ -71,7 +71,7 @@
     private double carried = START_WEIGHT;
     private long closingAt;
     private boolean ended;
-    private Move.State move = Move.State.NONE;
+    private TunnelMigration.State move = TunnelMigration.State.NONE;
     private Next next;
     private long switchingAt;
     /** What the client has sent since the old server was told to close. */
@@ -189,32 +189,34 @@
     /** Whether it may begin to move to another server. */
     public boolean canMove() {
         boolean repeatable = first == null || first.readableBytes() <= MOST_REPEATED;
-        return closingAt == 0 && move == Move.State.NONE && repeatable;
+        return closingAt == 0 && move == TunnelMigration.State.NONE && repeatable;
     }
 
     /** Another server is asked for; {@link #moveTo} or {@link #notMoved} follows. */
     public void moving() {
-        move = Move.next(move, Move.Event.ASK);
+        move = TunnelMigration.next(move, TunnelMigration.Event.ASK);
     }
 
     /** No other server agreed. */
     public void notMoved() {
-        move = Move.next(move, Move.Event.REFUSED);
+        move = TunnelMigration.next(move, TunnelMigration.Event.REFUSED);
     }
 
     /** Another server has agreed: goes over as soon as that is in order. The connection is taken over. */
     public void moveTo(Channel channel, ByteBuf early, Moved moved) {
         next = new Next(channel, early, moved);
-        if (move != Move.State.ASKING || closingAt != 0) {
+        if (move != TunnelMigration.State.ASKING || closingAt != 0) {
             callOff();
             return;
         }
-        move = Move.next(move, client.reader.inMessage() ? Move.Event.AGREED_WITHIN : Move.Event.AGREED_BETWEEN);
+        move = TunnelMigration.next(
+                move,
+                client.reader.inMessage() ? TunnelMigration.Event.AGREED_WITHIN : TunnelMigration.Event.AGREED_BETWEEN);
         beginSwitch();
     }
 
     private void beginSwitch() {
-        if (move == Move.State.SWITCHING) {
+        if (move == TunnelMigration.State.SWITCHING) {
             switchingAt = now();
             client.channel.config().setAutoRead(false);
             server.channel.config().setAutoRead(client.channel.isWritable());
@@ -225,7 +227,7 @@
 
     /** The old server has said all that it had to say, and has read all that it was sent. */
     private void goOver() {
-        move = Move.next(move, Move.Event.OLD_CLOSED);
+        move = TunnelMigration.next(move, TunnelMigration.Event.OLD_CLOSED);
         Side old = server;
         old.detached = true;
         old.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> old.channel.close());
@@ -255,7 +257,7 @@
 
     /** Stays as it is or ends as a whole: the other server is not needed. */
     private void callOff() {
-        move = Move.next(move, Move.Event.CALLED_OFF);
+        move = TunnelMigration.next(move, TunnelMigration.Event.CALLED_OFF);
         held.forEach(h -> h.payload().release());
         held.clear();
         if (next != null) {
@@ -286,7 +288,7 @@
             if (now - closingAt > CLOSE_MICROS) {
                 abort();
             }
-        } else if (move == Move.State.SWITCHING) {
+        } else if (move == TunnelMigration.State.SWITCHING) {
             boolean silent = now - Math.max(switchingAt, server.dataAt) > CLOSE_MICROS;
             if (silent || now - switchingAt > LONGEST_SWITCH_MICROS) {
                 // What it has read of what it was sent can't be known, so nobody may be sent it again.
@@ -305,7 +307,7 @@
     private void closing(long now) {
         if (closingAt == 0) {
             closingAt = Math.max(1, now);
-            boolean heldBack = move == Move.State.SWITCHING;
+            boolean heldBack = move == TunnelMigration.State.SWITCHING;
             callOff();
             if (heldBack) {
                 // Its server is sent nothing more, so what it says costs nothing, and its close is heard.
@@ -375,7 +377,7 @@
         private void read(ByteBuf bytes) {
             try {
                 reader.read(bytes);
-            } catch (Violation e) {
+            } catch (ProtocolViolationException e) {
                 violated(e);
             } finally {
                 bytes.release();
@@ -390,7 +392,7 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            boolean heldBack = !isClient && move == Move.State.SWITCHING;
+            boolean heldBack = !isClient && move == TunnelMigration.State.SWITCHING;
             if (!detached && !heldBack) {
                 other.channel.config().setAutoRead(channel.isWritable());
             }
@@ -418,13 +420,13 @@
             if (isClient) {
                 remember(opcode, payload);
             }
-            if (isClient && move == Move.State.SWITCHING) {
+            if (isClient && move == TunnelMigration.State.SWITCHING) {
                 held.add(new Held(opcode, last, payload));
                 return;
             }
             other.send(opcode, last, compressed, payload);
-            if (isClient && last && move == Move.State.WAITING) {
-                move = Move.next(move, Move.Event.MESSAGE_ENDS);
+            if (isClient && last && move == TunnelMigration.State.WAITING) {
+                move = TunnelMigration.next(move, TunnelMigration.Event.MESSAGE_ENDS);
                 beginSwitch();
             }
         }
@@ -442,11 +444,11 @@
 
         @Override
         public void control(int opcode, byte[] payload) {
-            if (isClient && move == Move.State.SWITCHING) {
+            if (isClient && move == TunnelMigration.State.SWITCHING) {
                 held.add(new Held(opcode, true, Unpooled.wrappedBuffer(payload)));
             } else if (opcode == Frames.CLOSE
                     && !isClient
-                    && move == Move.State.SWITCHING
+                    && move == TunnelMigration.State.SWITCHING
                     && !reader.inMessage()
                     && (payload.length == 0 || IN_ORDER.contains(code(payload)))) {
                 goOver();
@@ -480,7 +482,7 @@
             }
         }
 
-        private void violated(Violation violation) {
+        private void violated(ProtocolViolationException violation) {
             account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
             closing(now());
             sendClose(Frames.closing(violation.code(), violation.getMessage()));
--- a/src/main/java/larkbank/websocket/Intake.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/TunnelAdmission.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 
 /**
  * What the servers of a pool can take of new connections that stay. Each takes so many a second, a cold one
@@ -18,7 +18,7 @@
  *
  * @param <S> a server, by identity
  */
-public final class Intake<S> {
+public final class TunnelAdmission<S> {
 
     /** How long a part that was not used is saved up: by all together and warm servers, by a cold one. */
     private static final double SAVED_SECONDS = 1;
@@ -57,7 +57,7 @@
         }
     }
 
-    public Intake(Rule rule) {
+    public TunnelAdmission(Rule rule) {
         this.rule = rule;
     }
 
--- a/src/main/java/larkbank/websocket/Move.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/TunnelMigration.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 /**
  * How an open connection goes over to another server between two messages, so that none is lost, doubled or
@@ -7,7 +7,7 @@
  * only then does what was held back go on. Nothing is ever sent to both. Whatever goes wrong before the last
  * step leaves the other server out of it; there is exactly one way out of each state for each event.
  */
-final class Move {
+final class TunnelMigration {
 
     enum State {
         /** No move. */
@@ -37,7 +37,7 @@
         CALLED_OFF
     }
 
-    private Move() {}
+    private TunnelMigration() {}
 
     /** What means nothing in a state leaves it as it is. */
     static State next(State state, Event event) {
--- a/src/main/java/larkbank/websocket/Tunnels.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnels.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import larkbank.route.TunnelBounds;
-import larkbank.route.WebSocketLimits;
-import larkbank.websocket.Census.Bound;
+import org.cypressweir.sidecar.route.TunnelBounds;
+import org.cypressweir.sidecar.route.WebSocketLimits;
+import org.cypressweir.sidecar.websocket.OpenTunnelLimits.Bound;
 
 /**
  * The open tunnels of a process: one look at all of them in place of timers for each, how many there may be,
@@ -32,7 +32,7 @@
     private final SplittableRandom random;
     private final Map<Tunnel, Member> open = new LinkedHashMap<>();
     private final Map<Pool, Fleet> fleets = new HashMap<>();
-    private final Census<Tunnel> census = new Census<>();
+    private final OpenTunnelLimits<Tunnel> census = new OpenTunnelLimits<>();
     private final Map<Drain, DrainOrder<Tunnel>> drains = new LinkedHashMap<>();
     private boolean sweeping;
     private long weighedAt;
@@ -45,7 +45,7 @@
         /** Tunnels to all of them, at most. */
         int most();
 
-        Intake.Rule rule();
+        TunnelAdmission.Rule rule();
     }
 
     /** The server of a tunnel; equal for all of its tunnels. */
@@ -75,10 +75,10 @@
 
     /** One that has been let in and counts, from its handshake to its end. */
     public static final class Ticket {
-        private final Census<Tunnel>.Place place;
+        private final OpenTunnelLimits<Tunnel>.Place place;
         private final long retryMicros;
 
-        private Ticket(Census<Tunnel>.Place place, long retryMicros) {
+        private Ticket(OpenTunnelLimits<Tunnel>.Place place, long retryMicros) {
             this.place = place;
             this.retryMicros = retryMicros;
         }
@@ -122,13 +122,13 @@
     }
 
     private static final class Fleet {
-        private final Intake<Host> intake;
+        private final TunnelAdmission<Host> intake;
         private final WeightFit fit = new WeightFit();
         /** What the tunnels of each server weigh. */
         private final Map<Host, Double> carried = new HashMap<>();
 
-        private Fleet(Intake.Rule rule) {
-            intake = new Intake<>(rule);
+        private Fleet(TunnelAdmission.Rule rule) {
+            intake = new TunnelAdmission<>(rule);
         }
     }
 
@@ -145,13 +145,13 @@
     public Ticket ask(Pool pool, int tenant, WebSocketLimits limits, int most) {
         long now = clock.getAsLong();
         TunnelBounds bounds = limits.bounds();
-        Intake<Host> intake = fleet(pool).intake;
+        TunnelAdmission<Host> intake = fleet(pool).intake;
         free(pool, now);
         long retry = intake.ask(now, pool.warmServers(), random);
         if (retry >= 0) {
             return new Ticket(null, retry);
         }
-        Census.Entry<Tunnel> entry = census.enter(
+        OpenTunnelLimits.Entry<Tunnel> entry = census.enter(
                 List.of(
                         new Bound("all", most),
                         new Bound(pool, pool.most()),
--- a/src/main/java/larkbank/websocket/WeightFit.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/WeightFit.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 /**
  * Learns what open connections cost a server against what requests do: use = a + b x requests in flight
--- a/src/main/java/larkbank/lab/Laboratory.java
+++ b/src/main/java/org/cypressweir/simulation/CellsSimulation.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -6,30 +6,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.cell.Cell;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.CellsPlan.Quarantine;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.cell.CellsPlan.Unit;
-import larkbank.cell.MovePlan;
-import larkbank.cell.Parting;
-import larkbank.cell.Placement;
-import larkbank.lab.Instance.Asked;
-import larkbank.lab.Scenario.Harm;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.cell.Cell;
+import org.cypressweir.sidecar.cell.CellAssignment;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Unit;
+import org.cypressweir.sidecar.cell.MoveConfiguration;
+import org.cypressweir.sidecar.cell.Placement;
+import org.cypressweir.simulation.Scenario.Harm;
+import org.cypressweir.simulation.SimulatedSidecar.Asked;
 
 /** Plays a scenario with the real decisions on made-up time, at sizes that sockets don't reach. */
-public final class Laboratory implements Instance.Account {
+public final class CellsSimulation implements SimulatedSidecar.Account {
 
     private static final long BEGIN = 1_000_000_000, WINDOW = 3_000_000, PATIENCE = 5_000_000;
     private static final double LATE = 0.3, SLOW = 8, NOTICED = 0.2, RESERVE = 0.05;
@@ -47,10 +47,10 @@
 
     private final Scenario scenario;
     private final SplittableRandom random;
-    private final Timeline time = new Timeline(BEGIN);
-    private final Map<Long, Machine> machines = new HashMap<>();
+    private final EventTimeline time = new EventTimeline(BEGIN);
+    private final Map<Long, SimulatedServer> machines = new HashMap<>();
     private final List<Server> servers = new ArrayList<>();
-    private final List<Instance> instances = new ArrayList<>();
+    private final List<SimulatedSidecar> instances = new ArrayList<>();
     private final Workload workload;
     private final long harmAt;
     private final long end;
@@ -67,7 +67,7 @@
     /** Writes of the moved unit that run, by cell. */
     private final Map<Integer, Integer> running = new HashMap<>();
 
-    private Laboratory(Scenario scenario) {
+    private CellsSimulation(Scenario scenario) {
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed());
         workload = new Workload(random, scenario.units(), scenario.skew(), SHARES);
@@ -79,22 +79,23 @@
 
     /** Plays it; the same scenario gives the same report. */
     public static Report play(Scenario scenario) {
-        return new Laboratory(scenario).play();
+        return new CellsSimulation(scenario).play();
     }
 
     private Report play() {
         for (int i = 0; i < scenario.servers(); i++) {
             long id = Ids.of("s" + i);
-            machines.put(id, new Machine(id, 3 + i % 2, 0.7 + 0.6 * random.nextDouble(), time));
+            machines.put(id, new SimulatedServer(id, 3 + i % 2, 0.7 + 0.6 * random.nextDouble(), time));
             servers.add(new Server(id, i % ZONES, 0, i % 5, Phase.READY, 0, 1));
         }
-        CellsPlan plan = scenario.cells() == 1 ? null : plan();
+        CellsConfiguration plan = scenario.cells() == 1 ? null : plan();
         for (int i = 0; i < scenario.sidecars(); i++) {
-            instances.add(new Instance(
+            instances.add(new SimulatedSidecar(
                     time, settings(scenario.seed() + i, i, scenario.sidecars()), plan, servers, this, machines::get));
         }
-        double capacity =
-                machines.values().stream().mapToDouble(Machine::capacity).sum();
+        double capacity = machines.values().stream()
+                .mapToDouble(SimulatedServer::capacity)
+                .sum();
         double mean = 0;
         for (int c = 0; c < SHARES.length; c++) {
             mean += SHARES[c] * (WORK[c][0] + WORK[c][1]) / 2e6;
@@ -127,7 +128,7 @@
                 1_000);
     }
 
-    private CellsPlan plan() {
+    private CellsConfiguration plan() {
         List<Cell> cells = new ArrayList<>();
         for (int c = 0; c < scenario.cells(); c++) {
             cells.add(new Cell("c" + c, 1, false));
@@ -137,14 +138,14 @@
             cells.add(new Cell("apart", RESERVE * scenario.cells() / (1 - RESERVE), true));
             quarantine = new Quarantine(scenario.cells(), 0.3, 600_000_000);
         }
-        List<MovePlan> moves = new ArrayList<>();
+        List<MoveConfiguration> moves = new ArrayList<>();
         if (moves()) {
             long fence = scenario.harm() == Harm.FENCED_MOVE ? 1_000_000 : 0;
             long freeze = scenario.harm() == Harm.FROZEN_MOVE ? PATIENCE + 100_000 : 0;
             int to = (home(cells) + 1) % scenario.cells();
-            moves.add(new MovePlan("move", Ids.of("u0"), "u0", to, harmAt, 5_000_000, fence, freeze));
+            moves.add(new MoveConfiguration("move", Ids.of("u0"), "u0", to, harmAt, 5_000_000, fence, freeze));
         }
-        return new CellsPlan(
+        return new CellsConfiguration(
                 Unit.KEY,
                 null,
                 cells,
@@ -212,7 +213,7 @@
             arrive(rate * scenario.size(), true);
         } else if (scenario.harm() == Harm.RELEASE) {
             // Cell by cell, in the order of the cells; without cells the same number in no order.
-            Parting parting = new Parting(
+            CellAssignment parting = new CellAssignment(
                     scenario.cells() == 1 ? List.of(new Cell("c0", 1, false)) : plan().cells(), Spread.SERVER, 0);
             parting.listed(time.now(), ListKind.COMPLETE, servers);
             servers.stream()
--- a/src/main/java/larkbank/lab/Timeline.java
+++ b/src/main/java/org/cypressweir/simulation/EventTimeline.java
@@ -1,9 +1,9 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.PriorityQueue;
 
 /** Made-up time: one event after another, of equal times the one that was asked for first. */
-final class Timeline {
+final class EventTimeline {
 
     private record Event(long at, long order, Runnable task) implements Comparable<Event> {
         @Override
@@ -16,7 +16,7 @@
     private long now;
     private long orders;
 
-    Timeline(long now) {
+    EventTimeline(long now) {
         this.now = now;
     }
 
--- a/src/main/java/larkbank/lab/Fellows.java
+++ b/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -9,17 +9,17 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import larkbank.membership.Change;
-import larkbank.membership.Entry;
-import larkbank.membership.Membership;
-import larkbank.membership.MembershipPlan;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Rings;
-import larkbank.membership.Standing;
+import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.fleet.membership.MembershipProtocol;
+import org.cypressweir.fleet.membership.MonitoringRings;
+import org.cypressweir.fleet.membership.Peer;
 
 /** A fleet of the program's own memberships in made-up time. */
-public final class Fellows {
+public final class MembershipSimulation {
 
     /** A change that one of them has seen. */
     public record Seen(long at, int by, Change change) {}
@@ -29,7 +29,7 @@
         public final int place;
         public final String name;
         private long lives;
-        private Membership core;
+        private MembershipProtocol core;
         /** Why it was refused; null while it was not. */
         private String refused;
 
@@ -38,7 +38,7 @@
             this.name = name;
         }
 
-        public Membership core() {
+        public MembershipProtocol core() {
             return core;
         }
 
@@ -54,31 +54,31 @@
     private static final int ENTRY = 75;
     private static final int REPORT = 20;
 
-    public final Datagrams<Message> net;
+    public final SimulatedNetwork<MembershipMessage> net;
     public final List<Seen> changes = new ArrayList<>();
-    private final MembershipPlan plan;
+    private final MembershipOptions plan;
     private final SplittableRandom random;
     private final List<Fellow> fellows = new ArrayList<>();
     private final Map<InetSocketAddress, Integer> places = new HashMap<>();
-    private final Rings.Cache rings = new Rings.Cache(512);
+    private final MonitoringRings.Cache rings = new MonitoringRings.Cache(512);
     private Consumer<Seen> listener = seen -> {};
     private long bytes;
 
     /** @param seeds how many of the first members are seeds */
-    public Fellows(long seed, int members, int seeds, long pauseMicros) {
-        net = new Datagrams<>(seed);
+    public MembershipSimulation(long seed, int members, int seeds, long pauseMicros) {
+        net = new SimulatedNetwork<>(seed);
         random = new SplittableRandom(~seed);
         for (int i = 0; i < members; i++) {
             add("n" + i);
         }
-        plan = new MembershipPlan(
+        plan = new MembershipOptions(
                 "lab",
                 address(0),
                 address(0),
                 fellows.stream().limit(seeds).map(f -> address(f.place)).toList(),
                 pauseMicros,
-                MembershipPlan.period(pauseMicros),
-                MembershipPlan.MOST,
+                MembershipOptions.period(pauseMicros),
+                MembershipOptions.MOST,
                 null);
     }
 
@@ -94,7 +94,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + place);
     }
 
-    public MembershipPlan plan() {
+    public MembershipOptions plan() {
         return plan;
     }
 
@@ -120,7 +120,7 @@
         Fellow f = fellows.get(i);
         f.refused = null;
         Peer peer = new Peer(f.name, random.nextLong(), net.now() / 1_000 + ++f.lives, 1, address(f.place));
-        f.core = new Membership(
+        f.core = new MembershipProtocol(
                 net.now(),
                 plan,
                 peer,
@@ -134,10 +134,11 @@
 
     /** Starts all as if they had known each other for long. */
     public void startTogether() {
-        List<Entry> known = new ArrayList<>();
+        List<MemberRecord> known = new ArrayList<>();
         for (int i = 0; i < fellows.size(); i++) {
             Fellow f = start(i);
-            known.add(new Entry(f.core.self(), Standing.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
+            known.add(new MemberRecord(
+                    f.core.self(), MemberStatus.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
         }
         fellows.forEach(f -> f.core.know(net.now(), known));
     }
@@ -168,19 +169,19 @@
         return true;
     }
 
-    private record Runs(Membership core) implements Datagrams.Process<Message> {
+    private record Runs(MembershipProtocol core) implements SimulatedNetwork.Process<MembershipMessage> {
         @Override
         public void tick(long now) {
             core.tick(now);
         }
 
         @Override
-        public void receive(long now, Message message) {
+        public void receive(long now, MembershipMessage message) {
             core.receive(now, message);
         }
     }
 
-    private final class Acts implements Membership.Actions {
+    private final class Acts implements MembershipProtocol.Actions {
         private final Fellow fellow;
 
         Acts(Fellow fellow) {
@@ -188,7 +189,7 @@
         }
 
         @Override
-        public void send(InetSocketAddress to, Message message) {
+        public void send(InetSocketAddress to, MembershipMessage message) {
             bytes += BARE
                     + (long) ENTRY * message.entries().size()
                     + (long) REPORT * message.reports().size();
--- a/src/main/java/larkbank/lab/QuietLaboratory.java
+++ b/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
@@ -1,22 +1,22 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.Ids;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.footprint.AskPacer;
-import larkbank.footprint.FleetPlan;
-import larkbank.lab.Instance.Asked;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.fleetlimits.FleetLimits;
+import org.cypressweir.sidecar.fleetlimits.SlottedPollPacer;
+import org.cypressweir.simulation.SimulatedSidecar.Asked;
 
 /** Plays thousands of quiet instances: what they ask of discovery, and of a server that has just started. */
-public final class QuietLaboratory implements Instance.Account {
+public final class QuietFleetSimulation implements SimulatedSidecar.Account {
 
     private static final long BEGIN = 1_000_000_000, SECOND = 1_000_000;
     private static final int ZONES = 3;
@@ -26,9 +26,9 @@
     /** One instance and what it knows of the list. */
     private final class Copy {
         final int rank;
-        Instance instance;
+        SimulatedSidecar instance;
         long revision;
-        AskPacer pacer;
+        SlottedPollPacer pacer;
 
         Copy(int rank) {
             this.rank = rank;
@@ -38,24 +38,25 @@
         /** As after a restart: with the list that it had last. */
         void start() {
             List<Server> known = servers(revision);
-            instance = new Instance(time, settings(rank), null, known, QuietLaboratory.this, machines::get);
+            instance =
+                    new SimulatedSidecar(time, settings(rank), null, known, QuietFleetSimulation.this, machines::get);
             if (scenario.listRate() > 0) {
-                pacer = new AskPacer(new FleetPlan(scenario.instances(), rank, scenario.listRate(), 1, 0));
-                Instance mine = instance;
+                pacer = new SlottedPollPacer(new FleetLimits(scenario.instances(), rank, scenario.listRate(), 1, 0));
+                SimulatedSidecar mine = instance;
                 time.at(pacer.next(time.now()), () -> poll(mine));
             } else {
                 call(instance);
             }
         }
 
-        private void poll(Instance mine) {
+        private void poll(SimulatedSidecar mine) {
             if (mine == instance) {
                 call(mine);
                 time.at(pacer.next(time.now() + 1), () -> poll(mine));
             }
         }
 
-        private void call(Instance mine) {
+        private void call(SimulatedSidecar mine) {
             if (mine == instance) {
                 calls++;
                 calledIn[(int) ((time.now() - BEGIN) / SECOND)]++;
@@ -63,7 +64,7 @@
             }
         }
 
-        private void told(Instance mine) {
+        private void told(SimulatedSidecar mine) {
             if (mine != instance) {
                 return;
             }
@@ -83,9 +84,9 @@
 
     private final QuietScenario scenario;
     private final SplittableRandom random;
-    private final Timeline time = new Timeline(BEGIN);
+    private final EventTimeline time = new EventTimeline(BEGIN);
     private final Workload workload;
-    private final Map<Long, Machine> machines = new HashMap<>();
+    private final Map<Long, SimulatedServer> machines = new HashMap<>();
     private final List<Server> first = new ArrayList<>();
     /** What the list has told since, in order; its size is the revision. */
     private final List<Server> changes = new ArrayList<>();
@@ -105,17 +106,17 @@
     private long lastTold;
     private final Map<Long, double[]> sentToCold = new HashMap<>();
 
-    private QuietLaboratory(QuietScenario scenario) {
+    private QuietFleetSimulation(QuietScenario scenario) {
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed());
-        workload = new Workload(random, 20_000, 0.6, Laboratory.SHARES);
+        workload = new Workload(random, 20_000, 0.6, CellsSimulation.SHARES);
         end = BEGIN + scenario.seconds() * SECOND;
         calledIn = new int[scenario.seconds() + 20];
     }
 
     /** Plays it; the same scenario gives the same report. */
     public static QuietReport play(QuietScenario scenario) {
-        return new QuietLaboratory(scenario).play();
+        return new QuietFleetSimulation(scenario).play();
     }
 
     private QuietReport play() {
@@ -148,12 +149,12 @@
     }
 
     private Settings settings(int rank) {
-        return Laboratory.settings(scenario.seed() + rank, rank, scenario.instances());
+        return CellsSimulation.settings(scenario.seed() + rank, rank, scenario.instances());
     }
 
     private Server add(int number, long startMicros) {
         long id = Ids.of("s" + number);
-        machines.put(id, new Machine(id, 3 + number % 2, 0.7 + 0.6 * random.nextDouble(), time));
+        machines.put(id, new SimulatedServer(id, 3 + number % 2, 0.7 + 0.6 * random.nextDouble(), time));
         return new Server(id, number % ZONES, 0, number % 5, Phase.READY, startMicros, 1);
     }
 
@@ -200,14 +201,14 @@
         }
         copies.get(random.nextInt(copies.size()))
                 .instance
-                .take(Laboratory.request("r" + asked++, workload, random, time.now()));
+                .take(CellsSimulation.request("r" + asked++, workload, random, time.now()));
         time.at(time.now() + workload.pause(rate), () -> arrive(rate));
     }
 
     /** Work sent in each second against what a server that warms up can do in it. */
     private double coldPeak() {
         double peak = 0;
-        Machine machine = machines.get(coldId);
+        SimulatedServer machine = machines.get(coldId);
         Rules rules = settings(0).rules();
         for (Map.Entry<Long, double[]> e : sentToCold.entrySet()) {
             double part = rules.coldShare(coldAt + e.getKey() * SECOND, coldAt);
@@ -217,7 +218,7 @@
     }
 
     @Override
-    public void sent(Asked request, Machine machine) {
+    public void sent(Asked request, SimulatedServer machine) {
         if (coldAt > 0 && machine.id == coldId) {
             double[] sum = sentToCold.computeIfAbsent((time.now() - coldAt) / SECOND, s -> new double[2]);
             sum[0] += request.work;
@@ -228,6 +229,6 @@
     @Override
     public void answered(Asked request, boolean served) {
         answered++;
-        inTime += served && time.now() - request.at <= Laboratory.aim(request) ? 1 : 0;
+        inTime += served && time.now() - request.at <= CellsSimulation.aim(request) ? 1 : 0;
     }
 }
--- a/src/main/java/larkbank/lab/QuietReport.java
+++ b/src/main/java/org/cypressweir/simulation/QuietReport.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 /**
  * @param calls for the list in the whole run
--- a/src/main/java/larkbank/lab/QuietScenario.java
+++ b/src/main/java/org/cypressweir/simulation/QuietScenario.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 /**
  * Many instances with little traffic each; after a third all restart at once, after two thirds a server of
--- a/src/main/java/larkbank/lab/Report.java
+++ b/src/main/java/org/cypressweir/simulation/Report.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 /**
  * What a run came to, before the harm and with it; of a unit that floods, only what it asked for beside.
--- a/src/main/java/larkbank/lab/Scenario.java
+++ b/src/main/java/org/cypressweir/simulation/Scenario.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 /**
  * One run of the model.
--- a/src/main/java/larkbank/lab/Datagrams.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * out of order, pairs are cut in one direction or both, and processes stand still, die and start anew. What a
  * process is sent while it stands still waits for it, as in a socket's buffer.
  */
-public final class Datagrams<M> {
+public final class SimulatedNetwork<M> {
 
     /** A process; it is called at least once a beat while it runs. */
     public interface Process<M> {
@@ -67,7 +67,7 @@
     private long numbers;
     private long sent;
 
-    public Datagrams(long seed) {
+    public SimulatedNetwork(long seed) {
         random = new SplittableRandom(seed);
     }
 
--- a/src/main/java/larkbank/lab/Machine.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedServer.java
@@ -1,14 +1,14 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayDeque;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
 /**
  * A server: some cores, a queue in the order of arrival, work on a core and then a wait on others without
  * one. It turns away what finds its queue full, and drops what waits and was given up.
  */
-final class Machine {
+final class SimulatedServer {
 
     /** Requests that may wait for each core. */
     private static final int QUEUE = 4;
@@ -32,7 +32,7 @@
     final long id;
     final int cores;
     private final double speed;
-    private final Timeline time;
+    private final EventTimeline time;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private double slow = 1;
     private int busy;
@@ -41,7 +41,7 @@
     private long reportedAt;
     private double use;
 
-    Machine(long id, int cores, double speed, Timeline time) {
+    SimulatedServer(long id, int cores, double speed, EventTimeline time) {
         this.id = id;
         this.cores = cores;
         this.speed = speed;
--- a/src/main/java/larkbank/lab/Instance.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedSidecar.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongFunction;
-import larkbank.Choice;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.cell.Cells;
-import larkbank.cell.Cells.Ticket;
-import larkbank.cell.CellsPlan;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.sidecar.cell.Cells;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
 
 /** A sidecar of the model: the real decisions about cells and servers, on made-up time. */
-final class Instance implements Cells.Actions {
+final class SimulatedSidecar implements Cells.Actions {
 
     /** Microseconds from a sidecar to a server or back. */
     private static final long WAY = 5_000;
@@ -32,7 +32,7 @@
     /** Hears how each request ended. */
     interface Account {
         /** It is sent to a server. */
-        default void sent(Asked asked, Machine machine) {}
+        default void sent(Asked asked, SimulatedServer machine) {}
 
         /** One sending of it begins or ends to run, in a cell. */
         default void ran(Asked asked, int cell, boolean begins) {}
@@ -68,10 +68,10 @@
         }
     }
 
-    private final Timeline time;
+    private final EventTimeline time;
     private final Settings settings;
     private final Account account;
-    private final LongFunction<Machine> machines;
+    private final LongFunction<SimulatedServer> machines;
     private final List<Part> parts = new ArrayList<>();
     /** Null where all servers are one pool. */
     private final Cells cells;
@@ -79,13 +79,13 @@
     private final Map<Ticket, Asked> held = new IdentityHashMap<>();
 
     /** @param plan null for no cells */
-    Instance(
-            Timeline time,
+    SimulatedSidecar(
+            EventTimeline time,
             Settings settings,
-            CellsPlan plan,
+            CellsConfiguration plan,
             List<Server> servers,
             Account account,
-            LongFunction<Machine> machines) {
+            LongFunction<SimulatedServer> machines) {
         this.time = time;
         this.settings = settings;
         this.account = account;
@@ -149,15 +149,15 @@
         // The model counts what happens; it has no operators.
     }
 
-    private final class Attempt implements Machine.Job {
+    private final class Attempt implements SimulatedServer.Job {
         final Part part;
         final Asked asked;
         final int number;
-        final Machine machine;
+        final SimulatedServer machine;
         final long sentAt = time.now();
         private Result result;
 
-        Attempt(Part part, Asked asked, Machine machine) {
+        Attempt(Part part, Asked asked, SimulatedServer machine) {
             this.part = part;
             this.asked = asked;
             this.machine = machine;
@@ -196,7 +196,7 @@
 
     /** One module with its requests. */
     private final class Part implements Actions {
-        private final LoadBalancer module = new Choice(settings, this);
+        private final LoadBalancer module = new SubsetLoadBalancer(settings, this);
         private final Map<String, Asked> inHand = new HashMap<>();
         private final int cell;
 
--- a/src/main/java/larkbank/lab/Workload.java
+++ b/src/main/java/org/cypressweir/simulation/Workload.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
--- a/src/prove/java/larkbank/quay/DryQuay.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/http/upstream/SimulatedUpstream.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
@@ -10,19 +10,19 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import larkbank.quay.Stevedore.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
 
 /** The quay's cores with made-up time, and a server in place of its connections. */
-public final class DryQuay implements Dispatcher {
+public final class SimulatedUpstream implements RequestDispatcher {
 
     /** A request as the server reads it. */
     public final class Visit {
         public final String head;
         public final String body;
-        private final Shipment shipment;
+        private final InFlightRequest shipment;
         private boolean over;
 
-        private Visit(Shipment shipment, String bytes) {
+        private Visit(InFlightRequest shipment, String bytes) {
             this.shipment = shipment;
             int end = bytes.indexOf("\r\n\r\n") + 4;
             head = bytes.substring(0, end);
@@ -35,17 +35,17 @@
                 return;
             }
             List<Map.Entry<String, String>> all = new ArrayList<>(headers.entrySet());
-            all.add(Map.entry(RequestBytes.ATTEMPT_ID, id));
-            AnswerVerdict verdict = AnswerVerdict.of(
-                    new ServerAnswer(status, all, answer.getBytes(StandardCharsets.ISO_8859_1), true),
+            all.add(Map.entry(RequestEncoder.ATTEMPT_ID, id));
+            ResponseVerdict verdict = ResponseVerdict.of(
+                    new UpstreamResponse(status, all, answer.getBytes(StandardCharsets.ISO_8859_1), true),
                     shipment,
                     micros.getAsLong(),
                     1_000);
-            if (verdict.kind() != AnswerVerdict.Kind.FOREIGN) {
+            if (verdict.kind() != ResponseVerdict.Kind.FOREIGN) {
                 end(
-                        verdict.kind() == AnswerVerdict.Kind.ANSWERED
+                        verdict.kind() == ResponseVerdict.Kind.ANSWERED
                                 ? Ended.ANSWERED
-                                : verdict.kind() == AnswerVerdict.Kind.FULL ? Ended.FULL : Ended.OTHER,
+                                : verdict.kind() == ResponseVerdict.Kind.FULL ? Ended.FULL : Ended.OTHER,
                         verdict.outcome());
             }
         }
@@ -57,12 +57,12 @@
             }
         }
 
-        private void end(Ended how, Outcome outcome) {
+        private void end(Ended how, RequestOutcome outcome) {
             over = true;
             visits.remove(this);
             stevedore.ended(micros.getAsLong(), shipment, how);
             shipment.tell(outcome);
-            later.accept(0L, DryQuay.this::pump);
+            later.accept(0L, SimulatedUpstream.this::pump);
         }
     }
 
@@ -77,48 +77,48 @@
     private final LongSupplier micros;
     private final BiConsumer<Long, Runnable> later;
     private final Server server;
-    private final Stevedore<Shipment> stevedore = new Stevedore<>(QuayPlan.defaults());
+    private final RequestScheduler<InFlightRequest> stevedore = new RequestScheduler<>(UpstreamOptions.defaults());
     private final Collection<Visit> visits = new LinkedHashSet<>();
     private long tickAt = Long.MAX_VALUE;
 
-    public DryQuay(LongSupplier micros, BiConsumer<Long, Runnable> later, int slots, Server server) {
+    public SimulatedUpstream(LongSupplier micros, BiConsumer<Long, Runnable> later, int slots, Server server) {
         this.micros = micros;
         this.later = later;
         this.server = server;
         stevedore.life(slots, Long.MIN_VALUE, true);
     }
 
-    private static Outcome lost(Shipment shipment) {
-        return shipment.known.lost() == Known.UNRUN
-                ? new Outcome.NotRun(Reason.NO_CONNECTION, 0)
-                : new Outcome.MayHaveRun("lost");
+    private static RequestOutcome lost(InFlightRequest shipment) {
+        return shipment.known.lost() == ExecutionKnowledge.UNRUN
+                ? new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0)
+                : new RequestOutcome.MayHaveRun("lost");
     }
 
     @Override
-    public Ticket take(Freight freight, Consumer<Outcome> end) {
-        Shipment shipment = new Shipment(freight, end);
+    public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
+        InFlightRequest shipment = new InFlightRequest(freight, end);
         refuse(stevedore.arrive(micros.getAsLong(), shipment));
         pump();
         return shipment;
     }
 
     @Override
-    public void cancel(Ticket ticket) {
-        Shipment shipment = (Shipment) ticket;
+    public void cancel(RequestHandle ticket) {
+        InFlightRequest shipment = (InFlightRequest) ticket;
         if (stevedore.cancel(shipment)) {
-            shipment.tell(new Outcome.NotRun(Reason.CANCELLED, 0));
+            shipment.tell(new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0));
         } else if (shipment.repeatable) {
             List.copyOf(visits).stream().filter(v -> v.shipment == shipment).forEach(Visit::breaks);
         }
     }
 
     @Override
-    public Load load() {
-        return new Load(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
+    public UpstreamLoad load() {
+        return new UpstreamLoad(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
     }
 
-    private void refuse(List<Stevedore.Refusal<Shipment>> refusals) {
-        refusals.forEach(r -> r.cargo().tell(new Outcome.NotRun(r.reason(), r.retryAfterMicros())));
+    private void refuse(List<RequestScheduler.Refusal<InFlightRequest>> refusals) {
+        refusals.forEach(r -> r.cargo().tell(new RequestOutcome.NotRun(r.reason(), r.retryAfterMicros())));
     }
 
     private void pump() {
@@ -130,14 +130,14 @@
             }
         }
         while (stevedore.ready(now)) {
-            Shipment next = stevedore.next(now);
+            InFlightRequest next = stevedore.next(now);
             if (!server.accepts()) {
                 stevedore.ended(now, next, Ended.OTHER);
                 next.tell(lost(next));
                 continue;
             }
-            next.known = Known.SENT;
-            ByteBuf bytes = RequestBytes.of(next.freight(), now);
+            next.known = ExecutionKnowledge.SENT;
+            ByteBuf bytes = RequestEncoder.of(next.freight(), now);
             Visit visit = new Visit(next, bytes.toString(StandardCharsets.ISO_8859_1));
             visits.add(visit);
             server.visited(visit);
--- a/src/prove/java/larkbank/pilot/Replays.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -15,14 +15,14 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.lading.DryLine;
-import larkbank.lading.Line;
-import larkbank.lading.Scribe;
-import larkbank.quay.DryQuay;
-import larkbank.quay.Freight;
-import larkbank.quay.Outcome;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.SimulatedPeerConnection;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.SimulatedUpstream;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
  * Drawn histories of the hop with made-up time, in which every parcel that was ever sent may come again: on
@@ -31,7 +31,7 @@
  * once, so it runs once at most, and only the first coming of a parcel on its own line may tell its caller
  * anything.
  */
-public final class Replays {
+public final class MessageReplay {
 
     private static final String SEAL = "Cypressweir-Server-Seal";
     private static final int EACH = 2;
@@ -46,7 +46,7 @@
         private final String id;
         private final Link link;
         private int runs;
-        private Outcome told;
+        private RequestOutcome told;
         /** Whether the call that sends it has returned: what is told within it was not sent. */
         private boolean sent;
 
@@ -59,7 +59,7 @@
     /** A first pilot; it knows of each of the others which life it has now, or had. */
     private final class Sender {
         private final String name;
-        private Hops hops;
+        private PeerForwarder hops;
         private final Map<String, Link> newest = new HashMap<>();
         private final long[] lives = new long[EACH];
 
@@ -70,7 +70,7 @@
         private void begin() {
             links.stream().filter(l -> l.sender == this).forEach(l -> l.near.close());
             newest.clear();
-            hops = new Hops(
+            hops = new PeerForwarder(
                     () -> now,
                     "own",
                     ++life * 1_000,
@@ -83,7 +83,7 @@
     private final class Receiver {
         private final String address;
         private long its;
-        private Landing landing;
+        private PeerRequestReceiver landing;
 
         private Receiver(String address) {
             this.address = address;
@@ -92,20 +92,21 @@
         private void begin() {
             links.stream().filter(l -> l.receiver == this).forEach(l -> l.far.close());
             its = ++life;
-            DryQuay quay = new DryQuay(() -> now, Replays.this::later, 4, new DryQuay.Server() {
-                @Override
-                public boolean accepts() {
-                    return random.nextInt(20) > 0;
-                }
+            SimulatedUpstream quay =
+                    new SimulatedUpstream(() -> now, MessageReplay.this::later, 4, new SimulatedUpstream.Server() {
+                        @Override
+                        public boolean accepts() {
+                            return random.nextInt(20) > 0;
+                        }
 
-                @Override
-                public void visited(DryQuay.Visit visit) {
-                    serve(visit);
-                }
-            });
+                        @Override
+                        public void visited(SimulatedUpstream.Visit visit) {
+                            serve(visit);
+                        }
+                    });
             long own = its;
-            landing =
-                    new Landing(() -> now, quay, () -> new Berth(address, own, 1, address, "", "z", "s", false, null));
+            landing = new PeerRequestReceiver(
+                    () -> now, quay, () -> new ProxyRegistration(address, own, 1, address, "", "z", "s", false, null));
         }
     }
 
@@ -117,33 +118,33 @@
         private final EmbeddedChannel far = new EmbeddedChannel();
         private final Deque<Parcel> out = new ArrayDeque<>();
         private final Deque<Parcel> back = new ArrayDeque<>();
-        private final Line nearLine;
+        private final PeerConnection nearLine;
 
         /** @param replayed whether nobody is at its near end */
         private Link(Sender sender, Receiver receiver, boolean replayed) {
             this.sender = sender;
             this.receiver = receiver;
-            Hops hops = sender.hops;
-            Landing landing = receiver.landing;
+            PeerForwarder hops = sender.hops;
+            PeerRequestReceiver landing = receiver.landing;
             links.add(this);
-            DryLine.on(far, () -> now, landing);
+            SimulatedPeerConnection.on(far, () -> now, landing);
             nearLine = replayed
                     ? null
-                    : DryLine.on(near, () -> now, new Line.Ear() {
+                    : SimulatedPeerConnection.on(near, () -> now, new PeerConnection.Ear() {
                         @Override
-                        public void opened(Line line) {}
+                        public void opened(PeerConnection line) {}
 
                         @Override
-                        public void heard(Line line, Map<String, Object> head, byte[] body) {
-                            if (Scribe.text(head, "t").equals("end")) {
+                        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+                            if (JsonCodec.text(head, "t").equals("end")) {
                                 hops.heard(line, head, body);
                             } else {
-                                hops.greeted(line, Json.whole(Scribe.object(head, "berth"), "life", -1));
+                                hops.greeted(line, Json.whole(JsonCodec.object(head, "berth"), "life", -1));
                             }
                         }
 
                         @Override
-                        public void closed(Line line) {
+                        public void closed(PeerConnection line) {
                             hops.lost(line);
                         }
                     });
@@ -212,7 +213,7 @@
     private String breach;
     private int answered;
 
-    private Replays(long seed) {
+    private MessageReplay(long seed) {
         random = new SplittableRandom(seed);
         for (int i = 0; i < EACH; i++) {
             receivers.add(new Receiver("a" + i));
@@ -230,14 +231,14 @@
         tasks.add(new Task(now + micros, ++numbers, work));
     }
 
-    private void serve(DryQuay.Visit visit) {
+    private void serve(SimulatedUpstream.Visit visit) {
         String name = "Cypressweir-Attempt-Id: ";
         int at = visit.head.indexOf(name) + name.length();
         Caller caller = callers.get(visit.head.substring(at, visit.head.indexOf("\r\n", at)));
         if (++caller.runs > 1) {
             broken("TWICE", caller.id);
         }
-        if (caller.told instanceof Outcome.NotRun) {
+        if (caller.told instanceof RequestOutcome.NotRun) {
             broken("REFUSED", caller.id + " runs and was told not to");
         }
         if (random.nextInt(20) > 0) {
@@ -254,7 +255,7 @@
         }
         Caller caller = new Caller("c" + ++numbers, sender.newest.get(receiver.address));
         callers.put(caller.id, caller);
-        Freight freight = new Freight(
+        UpstreamRequest freight = new UpstreamRequest(
                 caller.id,
                 "POST",
                 "/x",
@@ -266,8 +267,8 @@
                 now + LEFT / 2,
                 now + LEFT,
                 null);
-        Carrier.Ride ride = sender.hops.send(
-                new Target(to, receiver.address, sender.lives[to], receiver.address, "i", "z"),
+        AttemptTransport.Ride ride = sender.hops.send(
+                new Endpoint(to, receiver.address, sender.lives[to], receiver.address, "i", "z"),
                 freight,
                 reply -> told(caller, reply.outcome()));
         caller.sent = true;
@@ -276,23 +277,23 @@
         }
     }
 
-    private void told(Caller caller, Outcome outcome) {
+    private void told(Caller caller, RequestOutcome outcome) {
         if (caller.told != null) {
             broken("TOLD TWICE", caller.id);
         }
         caller.told = outcome;
-        if (outcome instanceof Outcome.Answered a) {
+        if (outcome instanceof RequestOutcome.Answered a) {
             answered++;
             String text = new String(a.body(), StandardCharsets.ISO_8859_1);
             if (!text.equals("ran " + caller.id)) {
                 broken("MIXED", caller.id + " got " + text);
             }
         }
-        boolean own = !(outcome instanceof Outcome.MayHaveRun) && caller.sent;
+        boolean own = !(outcome instanceof RequestOutcome.MayHaveRun) && caller.sent;
         if (own && coming != caller.link) {
             broken("OLD", caller.id + " was told " + outcome + " by what is not its own");
         }
-        if (outcome instanceof Outcome.NotRun && caller.runs > 0) {
+        if (outcome instanceof RequestOutcome.NotRun && caller.runs > 0) {
             broken("REFUSED", caller.id + " has run");
         }
     }
@@ -390,7 +391,7 @@
     public static String broken(int histories, int steps) {
         String breach = null;
         for (int seed = 1; seed <= histories && breach == null; seed++) {
-            breach = new Replays(seed).run(steps);
+            breach = new MessageReplay(seed).run(steps);
             breach = breach == null ? null : "history " + seed + ": " + breach;
         }
         return breach;
--- a/src/prove/java/larkbank/pilot/SilenceTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,15 +6,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.DryLine;
-import larkbank.lading.Line;
-import larkbank.quay.Freight;
-import larkbank.quay.Outcome;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.SimulatedPeerConnection;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Whether a request that nothing is heard of is given up, or waited for until its line is lost. */
-class SilenceTest {
+class PeerTimeoutTest {
 
     private static final long SECOND = 1_000_000;
 
@@ -23,21 +23,21 @@
     @ParameterizedTest
     @CsvSource({"true, false, true", "true, true, false", "false, false, false", "false, true, false"})
     void whoLeavesBreaksNothingOff(boolean repeatable, boolean leaving, boolean givenUp) {
-        Line line = DryLine.on(new EmbeddedChannel(), () -> now, new Line.Ear() {
+        PeerConnection line = SimulatedPeerConnection.on(new EmbeddedChannel(), () -> now, new PeerConnection.Ear() {
             @Override
-            public void opened(Line its) {}
+            public void opened(PeerConnection its) {}
 
             @Override
-            public void heard(Line its, Map<String, Object> head, byte[] body) {}
+            public void heard(PeerConnection its, Map<String, Object> head, byte[] body) {}
 
             @Override
-            public void closed(Line its) {}
+            public void closed(PeerConnection its) {}
         });
-        Hops hops = new Hops(() -> now, "own", 1, null, to -> line);
-        List<Outcome> ends = new ArrayList<>();
-        Freight freight = new Freight(
+        PeerForwarder hops = new PeerForwarder(() -> now, "own", 1, null, to -> line);
+        List<RequestOutcome> ends = new ArrayList<>();
+        UpstreamRequest freight = new UpstreamRequest(
                 "id", "GET", "/", List.of(), new byte[0], repeatable, 1, false, now + SECOND, now + 6 * SECOND, "i");
-        hops.send(new Target(1, "p1", 1, "far", "i", "z"), freight, reply -> ends.add(reply.outcome()));
+        hops.send(new Endpoint(1, "p1", 1, "far", "i", "z"), freight, reply -> ends.add(reply.outcome()));
         if (leaving) {
             hops.leave();
         }
@@ -45,6 +45,6 @@
         hops.tick();
         assertThat(ends).hasSize(givenUp ? 1 : 0);
         hops.lost(line);
-        assertThat(ends).singleElement().isInstanceOf(Outcome.MayHaveRun.class);
+        assertThat(ends).singleElement().isInstanceOf(RequestOutcome.MayHaveRun.class);
     }
 }
--- a/src/prove/java/larkbank/pilot/Voyages.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicBoolean;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Headers;
-import larkbank.quay.DryQuay;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
-import larkbank.quay.Ticket;
+import org.cypressweir.dataplane.http.server.Headers;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestHandle;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.SimulatedUpstream;
 
 /**
  * Drawn histories in made-up time: clients, the choice, the helm and the account, a hop that loses its line,
  * the order beside the server, and servers that do all that servers may. What really ran is known here, and
  * each answer is held against it.
  */
-public final class Voyages {
+public final class RequestHistories {
 
     private static final String SEAL = "Cypressweir-Server-Seal";
     private static final String NOT_RUN = "Cypressweir-Not-Executed";
@@ -27,7 +27,7 @@
     private static final int SLOTS = 3;
 
     /** A client, what it asked, and what really became of that. */
-    private static final class Voyager extends Hull.Client {
+    private static final class Voyager extends ProxyFixture.Client {
         private final String id;
         private final boolean repeatable;
         private final byte[] body;
@@ -53,25 +53,25 @@
     }
 
     private final SplittableRandom random;
-    private final Hull hull = new Hull(SERVERS);
-    private final List<DryQuay> quays = new ArrayList<>();
+    private final ProxyFixture hull = new ProxyFixture(SERVERS);
+    private final List<SimulatedUpstream> quays = new ArrayList<>();
     private final Map<String, Voyager> voyagers = new HashMap<>();
     private String breach;
     private String lastId = "none";
 
-    private Voyages(long seed) {
+    private RequestHistories(long seed) {
         random = new SplittableRandom(seed);
         hull.strict = false;
         hull.server = this::hop;
         for (int i = 0; i < SERVERS; i++) {
-            quays.add(new DryQuay(() -> hull.now, hull::later, SLOTS, new DryQuay.Server() {
+            quays.add(new SimulatedUpstream(() -> hull.now, hull::later, SLOTS, new SimulatedUpstream.Server() {
                 @Override
                 public boolean accepts() {
                     return random.nextInt(30) > 0;
                 }
 
                 @Override
-                public void visited(DryQuay.Visit visit) {
+                public void visited(SimulatedUpstream.Visit visit) {
                     serve(visit);
                 }
             }));
@@ -83,13 +83,15 @@
     }
 
     /** The way to the pilot beside the server, and back. */
-    private void hop(Hull.Sent sent) {
-        DryQuay quay = quays.get((int) (sent.target.number() - 100));
+    private void hop(ProxyFixture.Sent sent) {
+        SimulatedUpstream quay = quays.get((int) (sent.target.number() - 100));
         AtomicBoolean lost = new AtomicBoolean();
-        Ticket[] ticket = {null};
+        RequestHandle[] ticket = {null};
         int fate = random.nextInt(40);
         if (fate == 0) {
-            hull.later(random.nextInt(2_000), () -> sent.ends(new Outcome.NotRun(Reason.NO_CONNECTION, 0)));
+            hull.later(
+                    random.nextInt(2_000),
+                    () -> sent.ends(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0)));
             return;
         }
         hull.later(
@@ -107,14 +109,14 @@
                 if (sent.outcome == null) {
                     lost.set(true);
                     quay.cancel(ticket[0]);
-                    sent.ends(new Outcome.MayHaveRun("line"));
+                    sent.ends(new RequestOutcome.MayHaveRun("line"));
                 }
             });
         }
     }
 
     /** What the server does: before each answer stands what it really did. */
-    private void serve(DryQuay.Visit visit) {
+    private void serve(SimulatedUpstream.Visit visit) {
         String id = header(visit.head, "Cypressweir-Attempt-Id: ");
         Voyager asked = voyagers.get(id);
         if (asked == null
@@ -142,7 +144,7 @@
         hull.later(micros, () -> answer(visit, asked, fate, foreign));
     }
 
-    private void refuse(DryQuay.Visit visit, String id, int fate) {
+    private void refuse(SimulatedUpstream.Visit visit, String id, int fate) {
         Map<String, String> marked = Map.of(NOT_RUN, "true");
         switch (fate % 4) {
             case 0 -> visit.answers(429, id, "", marked);
@@ -152,7 +154,7 @@
         }
     }
 
-    private void answer(DryQuay.Visit visit, Voyager asked, int fate, String foreign) {
+    private void answer(SimulatedUpstream.Visit visit, Voyager asked, int fate, String foreign) {
         String seal = "seal " + asked.id + " " + asked.runs;
         String text = "ran " + asked.id;
         switch (fate) {
@@ -172,7 +174,7 @@
         }
     }
 
-    private void good(DryQuay.Visit visit, Voyager asked, String seal, String text) {
+    private void good(SimulatedUpstream.Visit visit, Voyager asked, String seal, String text) {
         asked.answered.add(seal + " " + text);
         visit.answers(200, asked.id, text, Map.of(SEAL, seal));
     }
@@ -200,7 +202,7 @@
                 hull.servers(1 + random.nextInt(SERVERS));
             }
         }
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         voyagers.values().forEach(this::judge);
         if (hull.helm().open() > 0) {
             broken("LOST", hull.helm().open() + " requests are kept for ever");
@@ -216,7 +218,7 @@
             broken("LOST", v.id);
             return;
         }
-        Answer answer = v.answers.get(0);
+        ServerResponse answer = v.answers.get(0);
         String text =
                 Headers.first(answer.headers(), SEAL) + " " + new String(answer.body(), StandardCharsets.ISO_8859_1);
         if (v.answers.size() > 1 || answer.status() / 100 == 2 && !v.answered.contains(text)) {
@@ -232,7 +234,7 @@
     public static String broken(int histories, int requests) {
         String breach = null;
         for (int seed = 1; seed <= histories && breach == null; seed++) {
-            breach = new Voyages(seed).run(requests);
+            breach = new RequestHistories(seed).run(requests);
             breach = breach == null ? null : "history " + seed + ": " + breach;
         }
         return breach;
--- /dev/null
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
@@ -0,0 +1,85 @@
+package org.cypressweir.dataplane.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.lang.reflect.Method;
+import java.nio.file.Path;
+import org.cypressweir.testkit.PlantedFault;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Drawn histories break no rule, and break one where a fault is planted. */
+class RequestHistoriesTest {
+
+    private static final int HISTORIES = Integer.getInteger("voyages", 8);
+    private static final int REQUESTS = 1_500;
+
+    @TempDir
+    Path folder;
+
+    @Test
+    void noRuleIsBroken() {
+        assertThat(RequestHistories.broken(HISTORIES, REQUESTS)).isNull();
+    }
+
+    @ParameterizedTest(name = "{1}")
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "REFUSED ~ what may have run is refused ~ dataplane/http/upstream/RequestState.java "
+                        + "~ if (!mayHaveRun()) { ~ if (true) {",
+                "REFUSED ~ a promise that was not made is handed on ~ dataplane/http/upstream/RequestState.java "
+                        + "~ if (!repeatable && promises(answer.status())) { ~ if (false) {",
+                "REFUSED ~ all counts as repeatable ~ dataplane/http/upstream/RequestState.java "
+                        + "~ this.repeatable = repeatable; "
+                        + "~ this.repeatable = true;",
+                "REFUSED ~ what is out has not run ~ dataplane/http/upstream/ExecutionKnowledge.java "
+                        + "~ return this == SENT || this == RAN "
+                        + "~ return this == RAN",
+                "REFUSED ~ what may have run has not ~ dataplane/http/upstream/ExecutionKnowledge.java "
+                        + "~ ? RAN : MAY_HAVE_RUN ~ ? RAN : UNRUN",
+                "TWICE ~ a lost way says that nothing ran ~ dataplane/http/upstream/ExecutionKnowledge.java "
+                        + "~ this == SENT ? MAY_HAVE_RUN "
+                        + "~ this == SENT ? UNRUN",
+                "MIXED ~ ids are not compared ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ !ids.get(0).strip().equals(shipment.attemptId) ~ false",
+                "MIXED ~ the seal is not asked for ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ && !answer.has(SEAL) ~ && false",
+                "MIXED ~ an encoded body is taken ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ answer.has(\"Content-Encoding\") ~ false",
+                "TWICE ~ a contradiction is believed ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ if (notExecuted && status < 400) { "
+                        + "~ if (false) {",
+                "TWICE ~ a bare 503 says not run ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ if (notExecuted || status == 421) "
+                        + "~ if (notExecuted || status == 421 || status == 503)",
+                "TWICE ~ a broken answer says not run ~ dataplane/http/upstream/ResponseVerdict.java "
+                        + "~ new RequestOutcome.MayHaveRun(why) "
+                        + "~ new RequestOutcome.NotRun(RejectionReason.REFUSED, 0)",
+                "TWICE ~ what is refused still waits ~ dataplane/http/upstream/RequestScheduler.java "
+                        + "~ waiting.remove(last); ~ ",
+                "UNASKED ~ the query is left out ~ dataplane/http/upstream/RequestEncoder.java ~ append(f.uri()) "
+                        + "~ append(f.uri().split(\"[?]\")[0])",
+                "UNASKED ~ the body is cut ~ dataplane/http/upstream/RequestEncoder.java "
+                        + "~ Unpooled.wrappedBuffer(f.body()) "
+                        + "~ Unpooled.wrappedBuffer(f.body(), 0, 4)",
+                "LOST ~ a refusal is not told ~ dataplane/proxy/ServiceRequestHandler.java "
+                        + "~ end(p, retryAfterMicros); ~ open.remove(number);",
+            })
+    void eachFaultIsFound(String rule, String fault, String file, String text, String instead) throws Exception {
+        Path sources = Path.of("src/main/java/org/cypressweir").resolve(file);
+        ClassLoader planted = new PlantedFault(
+                folder,
+                sources.getParent(),
+                sources.getFileName().toString(),
+                text,
+                instead == null ? "" : instead,
+                name -> name.startsWith("org.cypressweir.dataplane.http.upstream.")
+                        || name.startsWith("org.cypressweir.dataplane.proxy."));
+        Method broken = planted.loadClass("org.cypressweir.dataplane.proxy.RequestHistories")
+                .getMethod("broken", int.class, int.class);
+        assertThat((String) broken.invoke(null, HISTORIES, REQUESTS)).as(fault).contains(": " + rule + ": ");
+    }
+}
--- a/src/prove/java/larkbank/prove/OrderHistory.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import io.vavr.control.Either;
 import java.nio.charset.StandardCharsets;
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.copies.ProposalResult;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Kind;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
-import larkbank.manifest.Refusal;
-import larkbank.testkit.CopiesChaos;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.Rejection;
+import org.cypressweir.controlplane.configuration.RejectionKind;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.testkit.ConsensusFaults;
 
 /**
- * Days of {@link CopiesChaos} with drawn orders, each sent again at any harbour and time: after lost answers,
+ * Days of {@link ConsensusFaults} with drawn orders, each sent again at any harbour and time: after lost answers,
  * crashes, wiped disks and replaced machines. And long histories at one manifest, past the floor.
  */
-public class OrderHistory extends CopiesChaos {
+public class ChangeHistories extends ConsensusFaults {
 
     /** As many lower versions of an item are remembered at least; the page says so. */
     private static final int REMEMBERED = 256;
@@ -28,18 +28,18 @@
     private static final int MOST_AT_ONCE = 8;
     private static final int ENOUGH_AGAIN = 25;
 
-    private record Open(String body, boolean taken, Map<Key, Long> least) {}
+    private record Open(String body, boolean taken, Map<ItemKey, Long> least) {}
 
-    private final OrderChecks checks = new OrderChecks();
+    private final ChangeHistoryChecks checks = new ChangeHistoryChecks();
     private final SplittableRandom random;
-    private final OrderDraw draw;
+    private final RandomChanges draw;
     private final Map<Long, Open> open = new HashMap<>();
     private String unhealed;
 
-    public OrderHistory(long seed) {
+    public ChangeHistories(long seed) {
         super(seed);
         random = new SplittableRandom(seed + 1_000_003);
-        draw = new OrderDraw(random.split());
+        draw = new RandomChanges(random.split());
     }
 
     /** The first breach in so many days and long histories, or null. */
@@ -48,7 +48,7 @@
         for (long seed = 0; seed < Math.max(days, histories) && breach == null; seed++) {
             try {
                 breach = seed < histories ? longHistory(seed).breach() : null;
-                breach = breach == null && seed < days ? new OrderHistory(seed).run() : breach;
+                breach = breach == null && seed < days ? new ChangeHistories(seed).run() : breach;
             } catch (RuntimeException | AssertionError e) {
                 breach = e.toString();
             }
@@ -66,14 +66,14 @@
         return checks.told();
     }
 
-    private static Order order(String body) {
-        return Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
+    private static ConfigurationChange order(String body) {
+        return ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
     }
 
-    private static int status(Refusal refusal) {
+    private static int status(Rejection refusal) {
         return refusal == null
                 ? 200
-                : refusal.kind() == Kind.INVALID ? 400 : refusal.kind() == Kind.CONFLICT ? 409 : 503;
+                : refusal.kind() == RejectionKind.INVALID ? 400 : refusal.kind() == RejectionKind.CONFLICT ? 409 : 503;
     }
 
     @Override
@@ -83,7 +83,7 @@
             if (random.nextInt(5) == 0) {
                 wait(world().read(any(), patience()), null);
             } else {
-                OrderDraw.Drawn drawn = draw.next();
+                RandomChanges.Drawn drawn = draw.next();
                 checks.sent(drawn.body(), order(drawn.body()), drawn.validity());
                 wait(world().submit(any(), drawn.body(), patience()), drawn.body());
             }
@@ -133,16 +133,16 @@
     }
 
     /** One order after the other on one manifest, which is written and read anew now and then. */
-    static OrderChecks longHistory(long seed) {
-        OrderChecks checks = new OrderChecks();
+    static ChangeHistoryChecks longHistory(long seed) {
+        ChangeHistoryChecks checks = new ChangeHistoryChecks();
         SplittableRandom random = new SplittableRandom(seed);
-        OrderDraw draw = new OrderDraw(random.split());
-        Manifest standing = Manifest.EMPTY;
+        RandomChanges draw = new RandomChanges(random.split());
+        Configuration standing = Configuration.EMPTY;
         for (int i = 0; i < LONG && checks.breach() == null; i++) {
-            OrderDraw.Drawn drawn = draw.next();
-            Order order = order(drawn.body());
+            RandomChanges.Drawn drawn = draw.next();
+            ConfigurationChange order = order(drawn.body());
             checks.sent(drawn.body(), order, drawn.validity());
-            Either<Refusal, List<Item>> result = order.against(standing);
+            Either<Rejection, List<Item>> result = order.against(standing);
             standing = standing.with(result.getOrElse(List.of()));
             int status = status(result.isLeft() ? result.getLeft() : null);
             if (status == 503 && checks.passedBy(drawn.body()) < REMEMBERED) {
@@ -150,7 +150,7 @@
             }
             checks.told(drawn.body(), status, checks.taken(drawn.body()));
             if (random.nextInt(20) == 0) {
-                standing = Manifest.of(standing.items().stream()
+                standing = Configuration.of(standing.items().stream()
                         .map(e -> Item.ofText(e.toText()))
                         .toList());
                 checks.read(checks.floor(), standing);
--- a/src/prove/java/larkbank/prove/OrderChecks.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoryChecks.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
  * Judges the answers to orders, each of which may be sent many times, by what was sent and told alone:
@@ -25,7 +25,7 @@
  * Told 400 first and 200 later is no breach: an order is valid or not together with what stands. So is 400
  * for a call that was on its way beside the one that was told 200: it may have been judged before.
  */
-final class OrderChecks {
+final class ChangeHistoryChecks {
 
     /** What can be said of an order by itself. */
     enum Validity {
@@ -34,7 +34,7 @@
         DEPENDS
     }
 
-    private record Version(Key key, long number) {}
+    private record Version(ItemKey key, long number) {}
 
     private static final class Sent {
         private final List<Item> items;
@@ -50,9 +50,9 @@
 
     private final Map<String, Sent> orders = new HashMap<>();
     private final Map<Version, Map<Object, List<Sent>>> contents = new HashMap<>();
-    private final Map<Key, TreeMap<Long, Boolean>> versions = new HashMap<>();
+    private final Map<ItemKey, TreeMap<Long, Boolean>> versions = new HashMap<>();
     private final Map<Version, Object> taken = new HashMap<>();
-    private final Map<Key, Long> floor = new HashMap<>();
+    private final Map<ItemKey, Long> floor = new HashMap<>();
     private final Map<Integer, Integer> told = new TreeMap<>();
     private String breach;
 
@@ -70,7 +70,7 @@
         return item.withdrawn() ? "-" : item.content();
     }
 
-    void sent(String body, Order order, Validity validity) {
+    void sent(String body, ConfigurationChange order, Validity validity) {
         if (orders.containsKey(body)) {
             return;
         }
@@ -143,12 +143,12 @@
         }
     }
 
-    Map<Key, Long> floor() {
+    Map<ItemKey, Long> floor() {
         return Map.copyOf(floor);
     }
 
     /** What was read by a call that began when these versions had been told 200. */
-    void read(Map<Key, Long> least, Manifest manifest) {
+    void read(Map<ItemKey, Long> least, Configuration manifest) {
         least.forEach((key, version) -> {
             Item found = manifest.get(key);
             if (found == null || found.version() < version) {
--- a/src/prove/java/larkbank/prove/CopiesWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -15,15 +15,15 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
-import larkbank.copies.Ballot;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Effect;
-import larkbank.copies.ProposalResult;
-import larkbank.copies.Standing;
-import larkbank.manifest.Order;
-import larkbank.testkit.CopiesChecks;
-import larkbank.testkit.Plain;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.testkit.ConsensusChecks;
+import org.cypressweir.testkit.JsonCopy;
 
 /**
  * Walks through what may happen to three or four copies while two harbours take different contents for one
@@ -43,7 +43,7 @@
  * lost after a write is another way only where there is a write. A copy is a function of what came to it: two
  * ways after which all that had come to each harbour, and all that waits, are the same are one from there on.
  */
-public final class CopiesWalk {
+public final class ConsensusWalk {
 
     private static final int SEEDS = 3;
     /** With one that waits, and who takes the place of a machine that is lost. */
@@ -61,7 +61,7 @@
     private static final long SYNC_TIME = 4_000_000;
     private static final long PATIENCE = 3_000_000;
 
-    private CopiesWalk() {}
+    private ConsensusWalk() {}
 
     /** How many ways were walked over how many states, whether all, and the first breach or null. */
     public record Result(long ways, long states, boolean whole, long taken, String breach) {}
@@ -124,13 +124,13 @@
 
     private static final class World {
         final Scene scene;
-        final Copies[] copies = new Copies[MOST_HARBOURS];
-        final Standing[] disks = new Standing[MOST_HARBOURS];
+        final ConsensusReplica[] copies = new ConsensusReplica[MOST_HARBOURS];
+        final PersistentState[] disks = new PersistentState[MOST_HARBOURS];
         final Effect.Write[] writing = new Effect.Write[MOST_HARBOURS];
         final long[] lives = new long[MOST_HARBOURS];
         final List<Act> waiting = new ArrayList<>();
         final List<Act> held = new ArrayList<>();
-        final CopiesChecks checks = new CopiesChecks();
+        final ConsensusChecks checks = new ConsensusChecks();
         final Map<Long, ProposalResult> verdicts = new HashMap<>();
         long now = 1_000_000;
         int ticks;
@@ -147,7 +147,7 @@
         List<String> decided =
                 IntStream.range(0, SEEDS).mapToObj(World::address).toList();
 
-        Ballot top = Ballot.ZERO;
+        ProposalNumber top = ProposalNumber.ZERO;
 
         World(Scene scene) {
             this.scene = scene;
@@ -218,8 +218,8 @@
 
         void start(int i, boolean initial) {
             lives[i]++;
-            copies[i] = new Copies(
-                    CopiesPlan.usual(),
+            copies[i] = new ConsensusReplica(
+                    ConsensusOptions.usual(),
                     address(i),
                     IntStream.range(0, SEEDS).mapToObj(World::address).toList(),
                     initial,
@@ -240,8 +240,8 @@
                             0,
                             0,
                             copies[i].own(),
-                            Plain.map(send.message()),
-                            mix(to * 8L + i, CopiesWalk.print(send.message().toString()))));
+                            JsonCopy.map(send.message()),
+                            mix(to * 8L + i, ConsensusWalk.print(send.message().toString()))));
                 } else if (effect instanceof Effect.Write write) {
                     writing[i] = write;
                     waiting.add(
@@ -393,9 +393,9 @@
         }
 
         void submit(int i, long ticket, String key) {
-            Order order = key == null
+            ConfigurationChange order = key == null
                     ? null
-                    : Order.read(("{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
+                    : ConfigurationChange.read(("{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
                                             + "\"],\"configVersion\":\"r1\"}}}}")
                                     .getBytes(StandardCharsets.UTF_8))
                             .get();
--- a/src/prove/java/larkbank/prove/CopiesWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
@@ -1,17 +1,17 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.lang.reflect.Method;
 import java.nio.file.Path;
-import larkbank.testkit.Planted;
+import org.cypressweir.testkit.PlantedFault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A walk that fits into a run of the tests, and faults that it finds. */
-class CopiesWalkTest {
+class ConsensusWalkTest {
 
     private static final int STRAYS = 2;
     /** In each of seven scenes; the main method walks all. */
@@ -22,10 +22,10 @@
 
     @Test
     void noOrderOfEventsPartsCopies() {
-        CopiesWalk.Result once = CopiesWalk.walk(1, SOME);
+        ConsensusWalk.Result once = ConsensusWalk.walk(1, SOME);
         assertThat(once.breach()).isNull();
         assertThat(once.whole()).isTrue();
-        CopiesWalk.Result r = CopiesWalk.walk(STRAYS, SOME);
+        ConsensusWalk.Result r = ConsensusWalk.walk(STRAYS, SOME);
         assertThat(r.breach()).isNull();
         assertThat(r.taken()).isGreaterThan(r.ways() / 2);
     }
@@ -34,25 +34,29 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "one promise is enough ~ Round.java ~ if (!State.most(crew, promises.from())) { ~ if (false) {",
-                "any state will do as a base ~ Promises.java ~ accepted.above(highest.accepted) ~ false",
-                "a blank disk is the member that its address was ~ Copies.java "
+                "one promise is enough ~ ProposalRound.java "
+                        + "~ if (!ReplicatedState.most(crew, promises.from())) { ~ if (false) {",
+                "any state will do as a base ~ PrepareQuorum.java ~ accepted.above(highest.accepted) ~ false",
+                "a blank disk is the member that its address was ~ ConsensusReplica.java "
                         + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
-                "a crew changes on what one has voted for ~ Round.java "
-                        + "~ boolean settled = State.most(base.crew(), promises.voted(base.stamp())); "
+                "a crew changes on what one has voted for ~ ProposalRound.java "
+                        + "~ boolean settled = ReplicatedState.most(base.crew(), promises.voted(base.stamp())); "
                         + "~ boolean settled = true;",
-                "a word of another disk is one of this member ~ Member.java "
+                "a word of another disk is one of this member ~ ReplicaKey.java "
                         + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
             })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(
+        ClassLoader planted = new PlantedFault(
                 folder,
-                Path.of("src/main/java/larkbank/copies"),
+                Path.of("src/main/java/org/cypressweir/controlplane/consensus"),
                 file,
                 text,
                 instead,
-                name -> name.startsWith("larkbank.prove.Copies") || name.startsWith("larkbank.testkit.Copies"));
-        Method broken = planted.loadClass("larkbank.prove.CopiesWalk").getMethod("broken", int.class, long.class);
+                name -> name.startsWith("org.cypressweir.modelcheck.Consensus")
+                        || name.startsWith("org.cypressweir.testkit.Consensus")
+                        || name.startsWith("org.cypressweir.testkit.SimulatedReplicas"));
+        Method broken = planted.loadClass("org.cypressweir.modelcheck.ConsensusWalk")
+                .getMethod("broken", int.class, long.class);
         assertThat(broken.invoke(null, STRAYS, SOME)).as(fault).isNotNull();
     }
 }
--- a/src/prove/java/larkbank/prove/LeaseWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalk.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.lease.LeasePlan;
-import larkbank.lease.Leases;
-import larkbank.lease.StateText;
-import larkbank.lease.Word;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.fleet.lease.Leases;
+import org.cypressweir.fleet.lease.StateText;
 
 /**
  * Walks through everything that may happen in a small world of keepers and claimants of one lease, with the
@@ -54,7 +54,7 @@
     /** How far a walk came: states, steps between them, and the first breach's history or null. */
     public record Result(long states, long steps, boolean whole, long held, String breach) {}
 
-    private record Late(int keeper, Word word) {}
+    private record Late(int keeper, LeaseMessage word) {}
 
     /** What was done, and before that. */
     private record Step(String what, Step before) {
@@ -63,14 +63,14 @@
         }
     }
 
-    private record Sent(InetSocketAddress to, Word word) {}
+    private record Sent(InetSocketAddress to, LeaseMessage word) {}
 
     /** Collects what one process says within a call. */
     private static final class Mouth implements Leases.Actions {
         final ArrayDeque<Sent> said = new ArrayDeque<>();
 
         @Override
-        public void send(InetSocketAddress to, Word word) {
+        public void send(InetSocketAddress to, LeaseMessage word) {
             said.add(new Sent(to, word));
         }
 
@@ -87,7 +87,7 @@
 
     private static final class World {
         final Shape shape;
-        final LeasePlan plan;
+        final LeaseOptions plan;
         long now;
         int turn;
         int pauses;
@@ -103,7 +103,7 @@
             this.shape = shape;
             pauses = shape.pauses;
             restarts = shape.restarts;
-            plan = new LeasePlan(
+            plan = new LeaseOptions(
                     IntStream.range(0, shape.keepers)
                             .mapToObj(LeaseWalk::address)
                             .toList(),
@@ -199,7 +199,7 @@
             turn = (turn + 1) % shape.claimants;
         }
 
-        private void toKeeper(int c, int keeper, Word word, int fate, List<Late> later) {
+        private void toKeeper(int c, int keeper, LeaseMessage word, int fate, List<Late> later) {
             // 0 lost, 1 the answers are lost, 2 at once, 3 late
             if (fate == 0) {
                 return;
--- a/src/prove/java/larkbank/prove/LeaseWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,7 +6,7 @@
 
 import java.lang.reflect.Method;
 import java.nio.file.Path;
-import larkbank.testkit.Planted;
+import org.cypressweir.testkit.PlantedFault;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -31,24 +31,24 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a keeper does not wait after its start ~ 0 ~ 1 ~ Keeper.java "
+                "a keeper does not wait after its start ~ 0 ~ 1 ~ LeaseGrantor.java "
                         + "~ silentUntil = now + plan.kept(plan.mostTermMicros()); ~ silentUntil = now;",
-                "one keeper is enough ~ 0 ~ 0 ~ Claimant.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
-                "a keeper lets go early ~ 0 ~ 0 ~ Keeper.java ~ held.until <= now || held.holder "
+                "one keeper is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
+                "a keeper lets go early ~ 0 ~ 0 ~ LeaseGrantor.java ~ held.until <= now || held.holder "
                         + "~ held.until <= now + 300_000 || held.holder",
-                "drift is taken the wrong way ~ 0 ~ 0 ~ LeasePlan.java ~ (1 + drift) / (1 - drift) "
+                "drift is taken the wrong way ~ 0 ~ 0 ~ LeaseOptions.java ~ (1 + drift) / (1 - drift) "
                         + "~ (1 - 2 * drift) / (1 + 2 * drift)",
             })
     void eachFaultIsFound(String fault, int pauses, int restarts, String file, String text, String instead)
             throws Exception {
-        ClassLoader planted = new Planted(
+        ClassLoader planted = new PlantedFault(
                 folder,
-                Path.of("src/main/java/larkbank/lease"),
+                Path.of("src/main/java/org/cypressweir/fleet/lease"),
                 file,
                 text,
                 instead,
-                name -> name.startsWith("larkbank.prove."));
-        Method broken = planted.loadClass("larkbank.prove.LeaseWalk")
+                name -> name.startsWith("org.cypressweir.modelcheck."));
+        Method broken = planted.loadClass("org.cypressweir.modelcheck.LeaseWalk")
                 .getMethod("broken", int.class, int.class, boolean.class, long.class);
         assertNotNull(broken.invoke(null, pauses, restarts, false, STATES), "not found: " + fault);
     }
--- a/src/prove/java/larkbank/prove/OrderDraw.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/RandomChanges.java
@@ -1,4 +1,4 @@
-package larkbank.prove;
+package org.cypressweir.modelcheck;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,20 +8,20 @@
 import java.util.TreeMap;
 
 /** Draws orders: new ones, lower ones, others under the same version, invalid ones, and any before again. */
-final class OrderDraw {
+final class RandomChanges {
 
     private static final int NAMES = 7;
     private static final int MOST_ITEMS = 3;
     private static final int SERVICES = 2;
 
     /** An order's body and what can be said of it by itself. */
-    record Drawn(String body, OrderChecks.Validity validity) {}
+    record Drawn(String body, ChangeHistoryChecks.Validity validity) {}
 
     private final SplittableRandom random;
     private final List<Drawn> drawn = new ArrayList<>();
     private final Map<Integer, Long> tops = new HashMap<>();
 
-    OrderDraw(SplittableRandom random) {
+    RandomChanges(SplittableRandom random) {
         this.random = random;
     }
 
@@ -47,21 +47,21 @@
     private Drawn make() {
         Map<String, Map<String, String>> upsert = new TreeMap<>();
         Map<String, List<String>> withdraw = new TreeMap<>();
-        OrderChecks.Validity validity = OrderChecks.Validity.ALWAYS;
+        ChangeHistoryChecks.Validity validity = ChangeHistoryChecks.Validity.ALWAYS;
         int first = random.nextInt(NAMES);
         for (int i = random.nextInt(MOST_ITEMS); i >= 0; i--) {
             int name = (first + i) % NAMES;
             String table = name < 3 ? "tenantTable" : name < 3 + SERVICES ? "serviceTable" : "routeTable";
             String version = ",\"configVersion\":\"r" + version(name) + "\"}";
-            if (name >= 3 && validity == OrderChecks.Validity.ALWAYS) {
-                validity = OrderChecks.Validity.DEPENDS;
+            if (name >= 3 && validity == ChangeHistoryChecks.Validity.ALWAYS) {
+                validity = ChangeHistoryChecks.Validity.DEPENDS;
             }
             if (random.nextInt(6) == 0) {
                 withdraw.computeIfAbsent(table, t -> new ArrayList<>()).add("{\"name\":\"n" + name + "\"" + version);
                 continue;
             }
             boolean wrong = random.nextInt(16) == 0;
-            validity = wrong ? OrderChecks.Validity.NEVER : validity;
+            validity = wrong ? ChangeHistoryChecks.Validity.NEVER : validity;
             upsert.computeIfAbsent(table, t -> new TreeMap<>()).put("n" + name, content(table, name, wrong) + version);
         }
         List<String> tables = upsert.entrySet().stream()
--- a/src/test/java/larkbank/papers/NodePapersTest.java
+++ b/src/test/java/org/cypressweir/common/settings/NodeSettingsTest.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a settings file says, and in one line each what is wrong with it. */
-class NodePapersTest {
+class NodeSettingsTest {
 
     private static final String FILE = "{'localNode':{'nodeName':'n1','ipAddress':'10.0.0.1','zone':'z1',"
             + "'region':'r1','initialStart':true,'dataDirectory':'/d','limits':{'memoryMb':300,"
@@ -22,15 +22,15 @@
             + "'slack':200,'strict':true},'later':'x',"
             + "'faultTolerance':{'machineFailures':2,'zones':0}},'unknown':{'deep':[true,null,1e3]}}";
 
-    private static io.vavr.control.Either<List<String>, NodePapers> read(String text) {
-        return NodePapers.read(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private static io.vavr.control.Either<List<String>, NodeSettings> read(String text) {
+        return NodeSettings.read(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void allFieldsAreReadAndUnknownOnesLetBe() {
-        NodePapers papers = read(FILE).get();
+        NodeSettings papers = read(FILE).get();
         assertThat(papers)
-                .isEqualTo(new NodePapers(
+                .isEqualTo(new NodeSettings(
                         "n1",
                         "10.0.0.1",
                         "z1",
@@ -59,7 +59,7 @@
 
     @Test
     void whatMayLackHasItsUsualValue() {
-        NodePapers papers = read("{'localNode':{'nodeName':'n','ipAddress':'10.0.0.1','zone':'z'},"
+        NodeSettings papers = read("{'localNode':{'nodeName':'n','ipAddress':'10.0.0.1','zone':'z'},"
                         + "'network':{'internalPortRange':[1,1]}}")
                 .get();
         assertThat(papers.initialStart()).isFalse();
@@ -121,12 +121,12 @@
 
     @Test
     void timesAreANumberAndItsUnit() {
-        assertThat(Duration.micros("1500ms").get()).isEqualTo(1_500_000);
-        assertThat(Duration.micros("2.5s").get()).isEqualTo(2_500_000);
-        assertThat(Duration.micros("0ms").get()).isZero();
+        assertThat(DurationText.micros("1500ms").get()).isEqualTo(1_500_000);
+        assertThat(DurationText.micros("2.5s").get()).isEqualTo(2_500_000);
+        assertThat(DurationText.micros("0ms").get()).isZero();
         for (String none :
                 List.of("", "s", "ms", "5", "5m", "5 s x", "x5s", "NaNs", "Infinitys", "5ds", "0x1p3s", "-1s")) {
-            assertThat(Duration.micros(none).isEmpty()).as(none).isTrue();
+            assertThat(DurationText.micros(none).isEmpty()).as(none).isTrue();
         }
     }
 }
--- a/src/test/java/larkbank/papers/WatchedTest.java
+++ b/src/test/java/org/cypressweir/common/settings/SettingsWatcherTest.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which settings a running process takes. */
-class WatchedTest {
+class SettingsWatcherTest {
 
     private static final String FILE = "{'localNode':{'nodeName':'n1','ipAddress':'10.0.0.1','zone':'z1'},"
             + "'network':{'internalPortRange':[7000,7009]},'platform':{'heartbeat':'500ms'}}";
@@ -46,7 +46,7 @@
         for (boolean signalled : List.of(true, false)) {
             told.clear();
             write(FILE);
-            Watched watched = new Watched(file);
+            SettingsWatcher watched = new SettingsWatcher(file);
             assertThat(watched.first().isRight()).isTrue();
             write(FILE.replace(text, instead));
             watched.look(signalled, next -> told.add(next.heartbeatMicros()));
@@ -60,7 +60,7 @@
     @Test
     void withoutASignalOnlyAnotherTimeIsLookedAt() throws IOException {
         write(FILE);
-        Watched watched = new Watched(file);
+        SettingsWatcher watched = new SettingsWatcher(file);
         watched.first();
         watched.look(false, next -> told.add(0L));
         watched.look(true, next -> told.add(0L));
--- a/src/test/java/larkbank/lading/CallsTest.java
+++ b/src/test/java/org/cypressweir/common/transport/ApiCallTest.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,19 +7,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Each call is found by its path, and nothing else is a call. */
-class CallsTest {
+class ApiCallTest {
 
     @Test
     void callsAreFoundByTheirPaths() {
-        assertThat(Calls.of("/cypressweir/readiness")).contains(Calls.READINESS);
-        assertThat(Calls.of("/cypressweir/config/modify")).contains(Calls.MODIFY);
-        assertThat(Calls.of("/cypressweir/config/read")).contains(Calls.READ);
-        assertThat(Calls.of("/cypressweir/instances/a-1.b/heartbeat")).contains(Calls.HEARTBEAT);
-        assertThat(Calls.of("/cypressweir/instances/heartbeat/deregister")).contains(Calls.DEREGISTER);
-        assertThat(Calls.HEARTBEAT.name("/cypressweir/instances/a-1.b/heartbeat"))
+        assertThat(ApiCall.of("/cypressweir/readiness")).contains(ApiCall.READINESS);
+        assertThat(ApiCall.of("/cypressweir/config/modify")).contains(ApiCall.MODIFY);
+        assertThat(ApiCall.of("/cypressweir/config/read")).contains(ApiCall.READ);
+        assertThat(ApiCall.of("/cypressweir/instances/a-1.b/heartbeat")).contains(ApiCall.HEARTBEAT);
+        assertThat(ApiCall.of("/cypressweir/instances/heartbeat/deregister")).contains(ApiCall.DEREGISTER);
+        assertThat(ApiCall.HEARTBEAT.name("/cypressweir/instances/a-1.b/heartbeat"))
                 .contains("a-1.b");
-        assertThat(Calls.READ.name("/cypressweir/config/read")).contains("");
-        assertThat(Calls.READ.name("/cypressweir/config/modify")).isEmpty();
+        assertThat(ApiCall.READ.name("/cypressweir/config/read")).contains("");
+        assertThat(ApiCall.READ.name("/cypressweir/config/modify")).isEmpty();
     }
 
     @ParameterizedTest
@@ -38,6 +38,6 @@
                 "/x/cypressweir/readiness"
             })
     void nothingElseIsACall(String path) {
-        assertThat(Calls.of(path)).isEmpty();
+        assertThat(ApiCall.of(path)).isEmpty();
     }
 }
--- a/src/test/java/larkbank/lading/RigProcess.java
+++ b/src/test/java/org/cypressweir/common/transport/FixtureProcess.java
@@ -1,18 +1,18 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import larkbank.Addresses;
-import larkbank.bridge.Main;
+import org.cypressweir.Main;
+import org.cypressweir.common.util.Addresses;
 
 /** A program of the mesh whose lines go by the rig's relay; all addresses that it knows stay as they are. */
-public final class RigProcess {
+public final class FixtureProcess {
 
     /** Names the detours: {@code to=by}, with a comma between. */
     public static final String DETOURS = "rig.detours";
 
-    private RigProcess() {}
+    private FixtureProcess() {}
 
     public static void main(String[] args) {
         Map<InetSocketAddress, InetSocketAddress> detours = new HashMap<>();
@@ -22,7 +22,7 @@
                 detours.put(Addresses.parse(ends[0]), Addresses.parse(ends[1]));
             }
         }
-        Wharf.detour = to -> detours.getOrDefault(to, to);
+        PeerTransport.detour = to -> detours.getOrDefault(to, to);
         Main.main(args);
     }
 }
--- a/src/test/java/larkbank/lading/GoldenFramesTest.java
+++ b/src/test/java/org/cypressweir/common/transport/GoldenFramesTest.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import larkbank.golden.Golden;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.Test;
 
 /** The frame around each message between processes of the mesh, and how its values become JSON. */
@@ -18,23 +18,23 @@
     private static final long NOW = 1_000_000;
     private static final byte[] BODY = "body \u00e9".getBytes(StandardCharsets.UTF_8);
 
-    private static final class Received implements Line.Ear {
+    private static final class Received implements PeerConnection.Ear {
         private final List<String> messages = new ArrayList<>();
 
         @Override
-        public void opened(Line line) {}
+        public void opened(PeerConnection line) {}
 
         @Override
-        public void heard(Line line, Map<String, Object> head, byte[] body) {
+        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
             messages.add(head + " + " + new String(body, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void closed(Line line) {}
+        public void closed(PeerConnection line) {}
     }
 
     private static Map<String, Object> everyKindOfValue() {
-        return Scribe.map(
+        return JsonCodec.map(
                 "t",
                 "any",
                 "text",
@@ -59,9 +59,9 @@
 
     @Test
     void framesAreTheSame() {
-        RecordedLine recorded = new RecordedLine(NOW);
+        RecordedPeerConnection recorded = new RecordedPeerConnection(NOW);
         recorded.line().ping();
-        recorded.line().send(Scribe.map("t", "any"));
+        recorded.line().send(JsonCodec.map("t", "any"));
         recorded.line().send(everyKindOfValue(), BODY, null);
         recorded.line().sendText("{\"t\":\"text\"}".getBytes(StandardCharsets.UTF_8));
         Golden.assertSame(FRAMES, recorded.takeFrames());
@@ -70,7 +70,7 @@
     @Test
     void framesAreRead() {
         Received received = new Received();
-        RecordedLine recorded = new RecordedLine(NOW, received);
+        RecordedPeerConnection recorded = new RecordedPeerConnection(NOW, received);
         for (String frame : Golden.text(FRAMES).split("\n")) {
             recorded.receives(HexFormat.of().parseHex(frame));
         }
--- a/src/test/java/larkbank/lading/ScribeTest.java
+++ b/src/test/java/org/cypressweir/common/transport/JsonCodecTest.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What is written is read back as it was. */
-class ScribeTest {
+class JsonCodecTest {
 
     @Test
     void whatIsWrittenIsReadBack() throws IOException {
-        Map<String, Object> object = Scribe.map(
+        Map<String, Object> object = JsonCodec.map(
                 "text",
                 "\u20ac \"\\\n\u0000",
                 "whole",
@@ -34,30 +34,30 @@
                 "left out",
                 null);
         assertThat(object.keySet()).containsExactly("text", "whole", "least", "real", "yes", "list", "empty");
-        byte[] bytes = Scribe.bytes(object);
-        assertThat(Scribe.read(bytes, 0, bytes.length)).isEqualTo(object);
+        byte[] bytes = JsonCodec.bytes(object);
+        assertThat(JsonCodec.read(bytes, 0, bytes.length)).isEqualTo(object);
 
         byte[] padded = new byte[bytes.length + 7];
         System.arraycopy(bytes, 0, padded, 3, bytes.length);
-        assertThat(Scribe.read(padded, 3, bytes.length)).isEqualTo(object);
-        assertThat(new String(Scribe.bytes(Map.of("a", new BigDecimal("1.50"))), StandardCharsets.UTF_8))
+        assertThat(JsonCodec.read(padded, 3, bytes.length)).isEqualTo(object);
+        assertThat(new String(JsonCodec.bytes(Map.of("a", new BigDecimal("1.50"))), StandardCharsets.UTF_8))
                 .isEqualTo("{\"a\":1.50}");
     }
 
     @Test
     void lookUpsFallBack() {
-        Map<String, Object> map = Scribe.map("t", "x", "n", 1, "o", Map.of("a", 1));
-        assertThat(Scribe.text(map, "t")).isEqualTo("x");
-        assertThat(Scribe.text(map, "n")).isEmpty();
-        assertThat(Scribe.object(map, "o")).isEqualTo(Map.of("a", 1));
-        assertThat(Scribe.object(map, "t")).isEmpty();
+        Map<String, Object> map = JsonCodec.map("t", "x", "n", 1, "o", Map.of("a", 1));
+        assertThat(JsonCodec.text(map, "t")).isEqualTo("x");
+        assertThat(JsonCodec.text(map, "n")).isEmpty();
+        assertThat(JsonCodec.object(map, "o")).isEqualTo(Map.of("a", 1));
+        assertThat(JsonCodec.object(map, "t")).isEmpty();
     }
 
     @Test
     void whatIsNoObjectIsRefused() {
         for (String text : List.of("", "[]", "1", "{", "{\"a\":1}x", "{\"a\":1,}")) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            assertThatThrownBy(() -> Scribe.read(bytes, 0, bytes.length))
+            assertThatThrownBy(() -> JsonCodec.read(bytes, 0, bytes.length))
                     .as(text)
                     .isInstanceOf(IOException.class);
         }
--- a/src/test/java/larkbank/lading/RecordedLine.java
+++ b/src/test/java/org/cypressweir/common/transport/RecordedPeerConnection.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -12,31 +12,31 @@
 import java.util.Map;
 
 /** A line without a network, at a fixed time: what is sent on it is kept. For one thread. */
-public final class RecordedLine {
+public final class RecordedPeerConnection {
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Line line;
+    private final PeerConnection line;
 
-    public RecordedLine(long nowMicros, Line.Ear ear) {
-        line = new Line(channel, () -> nowMicros, ear);
+    public RecordedPeerConnection(long nowMicros, PeerConnection.Ear ear) {
+        line = new PeerConnection(channel, () -> nowMicros, ear);
         line.take();
     }
 
     /** A line whose owner is told nothing. */
-    public RecordedLine(long nowMicros) {
-        this(nowMicros, new Line.Ear() {
+    public RecordedPeerConnection(long nowMicros) {
+        this(nowMicros, new PeerConnection.Ear() {
             @Override
-            public void opened(Line opened) {}
+            public void opened(PeerConnection opened) {}
 
             @Override
-            public void heard(Line from, Map<String, Object> head, byte[] body) {}
+            public void heard(PeerConnection from, Map<String, Object> head, byte[] body) {}
 
             @Override
-            public void closed(Line closed) {}
+            public void closed(PeerConnection closed) {}
         });
     }
 
-    public Line line() {
+    public PeerConnection line() {
         return line;
     }
 
@@ -73,7 +73,7 @@
     public static Map<String, Object> head(String json) {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         try {
-            return Scribe.read(bytes, 0, bytes.length);
+            return JsonCodec.read(bytes, 0, bytes.length);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/larkbank/manifest/OrderTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Which orders are taken on top of what stands, and why others are not. */
-class OrderTest {
+class ConfigurationChangeTest {
 
     static final String ROUTE = "{'hostname':'A.example','pathPrefix':'/p/','routeType':'idempotent',"
             + "'timeout':'2500ms','targetLatency':'0.4s','priority':2,"
@@ -37,12 +37,12 @@
         return body.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    static Order order(String body) {
-        return Order.read(bytes(body)).get();
+    static ConfigurationChange order(String body) {
+        return ConfigurationChange.read(bytes(body)).get();
     }
 
-    static Manifest full() {
-        return Manifest.EMPTY.with(order(FULL).against(Manifest.EMPTY).get());
+    static Configuration full() {
+        return Configuration.EMPTY.with(order(FULL).against(Configuration.EMPTY).get());
     }
 
     private static String withdraw(String table, String name, int version) {
@@ -54,19 +54,19 @@
                 + ",'configVersion':'r" + version + "'}}}}";
     }
 
-    private static void conflict(Manifest on, String body, String reason) {
-        Refusal refusal = order(body).against(on).getLeft();
-        assertThat(refusal.kind()).isEqualTo(Kind.CONFLICT);
+    private static void conflict(Configuration on, String body, String reason) {
+        Rejection refusal = order(body).against(on).getLeft();
+        assertThat(refusal.kind()).isEqualTo(RejectionKind.CONFLICT);
         assertThat(refusal.reason()).contains(reason);
     }
 
-    private static Manifest taken(Manifest on, String body) {
+    private static Configuration taken(Configuration on, String body) {
         List<Item> changes = order(body).against(on).get();
         assertThat(changes).isNotEmpty();
         return on.with(changes);
     }
 
-    private static void nothing(Manifest on, String body) {
+    private static void nothing(Configuration on, String body) {
         assertThat(order(body).against(on).get()).isEmpty();
     }
 
@@ -104,28 +104,30 @@
                 "{'upsert':{},}"
             })
     void whatIsNoOrderIsInvalid(String body) {
-        Refusal refusal = Order.read(bytes(body)).getLeft();
-        assertThat(refusal.kind()).isEqualTo(Kind.INVALID);
+        Rejection refusal = ConfigurationChange.read(bytes(body)).getLeft();
+        assertThat(refusal.kind()).isEqualTo(RejectionKind.INVALID);
         assertThat(refusal.reason()).isNotBlank();
     }
 
     /** Operators' own calls withdraw a name twice now and then. */
     @Test
     void ofANameTwiceInOneCallTheHighestVersionHolds() {
-        Manifest standing = taken(
+        Configuration standing = taken(
                 full(),
                 "{'withdraw':{'routeTable':[{'name':'r-1','configVersion':'r8'},"
                         + "{'name':'r-1','configVersion':'r9'},{'name':'r-1','configVersion':'r9'}]}}");
-        assertThat(standing.get(new Key(Table.ROUTES, "r-1")).version()).isEqualTo(9);
+        assertThat(standing.get(new ItemKey(ItemType.ROUTES, "r-1")).version()).isEqualTo(9);
     }
 
     @Test
     void whatIsCutShortIsInvalid() {
         byte[] whole = bytes(FULL);
         for (int length = 0; length < whole.length; length++) {
-            assertThat(Order.read(Arrays.copyOf(whole, length)).isLeft()).isTrue();
+            assertThat(ConfigurationChange.read(Arrays.copyOf(whole, length)).isLeft())
+                    .isTrue();
         }
-        assertThat(Order.read(bytes("{'upsert':" + "[".repeat(100_000))).isLeft())
+        assertThat(ConfigurationChange.read(bytes("{'upsert':" + "[".repeat(100_000)))
+                        .isLeft())
                 .isTrue();
     }
 
@@ -175,51 +177,54 @@
     void whatIsNoValidWholeIsInvalid(String text, String instead) {
         String body = FULL.replace(text, instead == null ? "" : instead);
         assertThat(body).isNotEqualTo(FULL);
-        Refusal refusal =
-                Order.read(bytes(body)).flatMap(o -> o.against(Manifest.EMPTY)).getLeft();
-        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(Kind.INVALID);
+        Rejection refusal = ConfigurationChange.read(bytes(body))
+                .flatMap(o -> o.against(Configuration.EMPTY))
+                .getLeft();
+        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(RejectionKind.INVALID);
     }
 
     @Test
     void versionsDecide() {
-        Manifest one = taken(Manifest.EMPTY, service("s", 5, 1));
+        Configuration one = taken(Configuration.EMPTY, service("s", 5, 1));
         nothing(one, service("s", 5, 1));
         nothing(
                 one,
                 "{'upsert':{'serviceTable':{'s':{'configVersion':'r5','maxConnections':1.0," + "'healthPath':'/h'}}}}");
         conflict(one, service("s", 5, 2), "r5 was taken with another content");
         conflict(one, withdraw("serviceTable", "s", 5), "r5 was taken with another content");
-        Manifest two = taken(one, service("s", 7, 2));
+        Configuration two = taken(one, service("s", 7, 2));
         nothing(two, service("s", 5, 1));
         conflict(two, service("s", 5, 2), "r5 was taken with another content");
         // A call that brings a new item does not bring an older version of another one back.
         String both = service("s", 5, 1)
                 .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}");
-        assertThat(taken(two, both).get(new Key(Table.SERVICES, "s"))).isEqualTo(two.get(new Key(Table.SERVICES, "s")));
+        assertThat(taken(two, both).get(new ItemKey(ItemType.SERVICES, "s")))
+                .isEqualTo(two.get(new ItemKey(ItemType.SERVICES, "s")));
         conflict(
                 two,
                 both.replace("'maxConnections':1,'configVersion':'r5'", "'maxConnections':3,'configVersion':'r5'"),
                 "r5 was taken");
-        Manifest gone = taken(two, withdraw("serviceTable", "s", 8));
-        assertThat(gone.standing(Table.SERVICES)).isEmpty();
+        Configuration gone = taken(two, withdraw("serviceTable", "s", 8));
+        assertThat(gone.standing(ItemType.SERVICES)).isEmpty();
         nothing(gone, withdraw("serviceTable", "s", 8));
         nothing(gone, service("s", 7, 2));
         conflict(gone, service("s", 8, 2), "r8 was taken");
-        Manifest back = taken(gone, service("s", 9, 3));
+        Configuration back = taken(gone, service("s", 9, 3));
         nothing(back, withdraw("serviceTable", "s", 8));
-        assertThat(Manifest.of(
+        assertThat(Configuration.of(
                         back.items().stream().map(i -> Item.of(i.toMap())).toList()))
                 .isEqualTo(back);
-        assertThat(taken(Manifest.EMPTY, withdraw("routeTable", "never", 9)).items())
+        assertThat(taken(Configuration.EMPTY, withdraw("routeTable", "never", 9))
+                        .items())
                 .hasSize(1);
-        nothing(Manifest.EMPTY, "{'upsert':{'limits':{},'routeTable':{}},'withdraw':{'routeTable':[]}}");
-        nothing(Manifest.EMPTY, "{}");
+        nothing(Configuration.EMPTY, "{'upsert':{'limits':{},'routeTable':{}},'withdraw':{'routeTable':[]}}");
+        nothing(Configuration.EMPTY, "{}");
     }
 
     /** What was taken is acknowledged again, or without a clear answer where too much has been since. */
     @Test
     void whatWasTakenIsNeverRefused() {
-        Manifest standing = Manifest.EMPTY;
+        Configuration standing = Configuration.EMPTY;
         int most = Item.MOST_PAST + 50;
         for (int version = 1; version <= most; version++) {
             standing = taken(standing, service("s", 2 * version, version));
@@ -227,7 +232,7 @@
                 nothing(standing, service("s", 2 * old, old));
             }
         }
-        Manifest read = Manifest.of(
+        Configuration read = Configuration.of(
                 standing.items().stream().map(i -> Item.ofText(i.toText())).toList());
         assertThat(read).isEqualTo(standing);
         for (int version = 1; version <= most; version++) {
@@ -246,25 +251,25 @@
                         .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
     }
 
-    private static void forgotten(Manifest on, String body) {
-        assertThat(order(body).against(on).getLeft().kind()).as(body).isEqualTo(Kind.FORGOTTEN);
+    private static void forgotten(Configuration on, String body) {
+        assertThat(order(body).against(on).getLeft().kind()).as(body).isEqualTo(RejectionKind.FORGOTTEN);
     }
 
     /** A version that was never used and that a higher one has passed comes into force nowhere. */
     @Test
     void whatIsPassedIsTakenAndSupersededInOneStep() {
-        Manifest nine = taken(taken(Manifest.EMPTY, service("s", 3, 3)), service("s", 9, 9));
-        Manifest both = taken(nine, service("s", 6, 6));
+        Configuration nine = taken(taken(Configuration.EMPTY, service("s", 3, 3)), service("s", 9, 9));
+        Configuration both = taken(nine, service("s", 6, 6));
         assertThat(both.layout()).isEqualTo(nine.layout());
         nothing(both, service("s", 6, 6));
         conflict(both, service("s", 6, 7), "r6 was taken with another content");
         nothing(both, service("s", 3, 3));
         // In whatever order they come, the same is remembered.
-        Item six = taken(taken(taken(Manifest.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
-                .get(new Key(Table.SERVICES, "s"));
+        Item six = taken(taken(taken(Configuration.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
+                .get(new ItemKey(ItemType.SERVICES, "s"));
         assertThat(both.get(six.key())).isEqualTo(six);
-        Manifest twice = taken(
-                Manifest.EMPTY,
+        Configuration twice = taken(
+                Configuration.EMPTY,
                 "{'withdraw':{'serviceTable':["
                         + "{'name':'s','configVersion':'r9'},{'name':'s','configVersion':'r8'}]}}");
         nothing(twice, withdraw("serviceTable", "s", 8));
@@ -283,22 +288,22 @@
             })
     void whatIsPassedMustBeValid(String text, String instead) {
         String route = "{'upsert':{'routeTable':{'r1':" + ROUTE + "}}}";
-        Manifest later = taken(full(), route.replace("'r7'", "'r9'"));
+        Configuration later = taken(full(), route.replace("'r7'", "'r9'"));
         String passed = route.replace("'r7'", "'r8'");
         assertThat(taken(later, passed).layout()).isEqualTo(later.layout());
-        Refusal refusal = order(passed.replace(text, instead)).against(later).getLeft();
-        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(Kind.INVALID);
+        Rejection refusal = order(passed.replace(text, instead)).against(later).getLeft();
+        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(RejectionKind.INVALID);
     }
 
     /** What the build before wrote: the last eight, prints twice as long, and no floor. */
     @ParameterizedTest
     @ValueSource(ints = {7, 8})
     void itemsOfTheBuildBeforeAreRead(int kept) {
-        Manifest standing = Manifest.EMPTY;
+        Configuration standing = Configuration.EMPTY;
         List<Object> past = new ArrayList<>();
         for (int version = 2; version < 2 + kept; version++) {
             standing = taken(standing, service("s", version, version));
-            Item item = standing.get(new Key(Table.SERVICES, "s"));
+            Item item = standing.get(new ItemKey(ItemType.SERVICES, "s"));
             past.add(version + ":" + item.print());
             assertThat(item.print()).hasSize(32);
         }
@@ -306,7 +311,7 @@
                 taken(standing, service("s", 30, 30)).items().get(0).toMap());
         map.put("past", past);
         map.remove("floor");
-        Manifest read = Manifest.of(List.of(Item.of(map)));
+        Configuration read = Configuration.of(List.of(Item.of(map)));
         nothing(read, service("s", 2, 2));
         conflict(read, service("s", 3, 2), "was taken with another content");
         taken(read, service("s", 20, 2));
@@ -319,7 +324,7 @@
 
     @Test
     void theWholeMustBeValidAfterEveryCall() {
-        Manifest all = full();
+        Configuration all = full();
         assertThat(order(withdraw("serviceTable", "s2", 8))
                         .against(all)
                         .getLeft()
@@ -329,9 +334,9 @@
         // Together with the route that names it, it may go.
         String both = "{'withdraw':{'serviceTable':[{'name':'s2','configVersion':'r8'}],"
                 + "'routeTable':[{'name':'r1','configVersion':'r8'}]}}";
-        assertThat(taken(all, both).standing(Table.ROUTES)).hasSize(1);
+        assertThat(taken(all, both).standing(ItemType.ROUTES)).hasSize(1);
         String twin = "{'upsert':{'routeTable':{'r3':" + OTHER.replace("a.ex", "A.Ex") + "}}}";
-        assertThat(order(twin).against(all).getLeft().kind()).isEqualTo(Kind.INVALID);
+        assertThat(order(twin).against(all).getLeft().kind()).isEqualTo(RejectionKind.INVALID);
         assertThat(order(twin.replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
                                 .replace("/q/", "/x/"))
                         .against(all)
@@ -343,7 +348,7 @@
 
     @Test
     void keysGoFromOneTenantToAnother() {
-        Manifest all = taken(
+        Configuration all = taken(
                 full(),
                 "{'upsert':{'tenantTable':{'t':{'apiKeys':['k3'],'configVersion':'r8'},"
                         + "'t2':{'apiKeys':['k1'],'configVersion':'r8'}}}}");
--- a/src/test/java/larkbank/copies/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
-import larkbank.testkit.CopiesWorld;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.testkit.SimulatedReplicas;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -28,7 +28,7 @@
     private static final long EVERY = 100_000;
     private static final long PATIENCE = 3_000_000;
 
-    private CopiesWorld world;
+    private SimulatedReplicas world;
     private int made;
 
     /** The next change, at one of both that stay. */
@@ -77,11 +77,11 @@
         return null;
     }
 
-    private static Manifest tenants(int to, int version) {
-        return Manifest.EMPTY.with(
-                Order.read(OneChangeTest.tenants(0, to, version).getBytes(StandardCharsets.UTF_8))
+    private static Configuration tenants(int to, int version) {
+        return Configuration.EMPTY.with(
+                ConfigurationChange.read(OneChangeTest.tenants(0, to, version).getBytes(StandardCharsets.UTF_8))
                         .get()
-                        .against(Manifest.EMPTY)
+                        .against(Configuration.EMPTY)
                         .get());
     }
 
@@ -95,22 +95,22 @@
     @Test
     void whatWasLearntWhileAPromiseStoodIsABase() {
         List<String> crew = List.of("a", "b", "c");
-        Ballot decided = new Ballot(5, "a");
-        Ballot promised = new Ballot(9, "a");
-        Copies copies = new Copies(
-                CopiesPlan.usual(),
+        ProposalNumber decided = new ProposalNumber(5, "a");
+        ProposalNumber promised = new ProposalNumber(9, "a");
+        ConsensusReplica copies = new ConsensusReplica(
+                ConsensusOptions.usual(),
                 "c",
                 crew,
                 false,
-                new Standing(promised, new Ballot(1, "a"), crew, List.of(), false),
+                new PersistentState(promised, new ProposalNumber(1, "a"), crew, List.of(), false),
                 1,
                 new SplittableRandom(1),
                 0);
         copies.received(
                 0,
                 "a",
-                Words.of(
-                        Words.TELL,
+                ConsensusMessages.of(
+                        ConsensusMessages.TELL,
                         "life",
                         1L,
                         "accepted",
@@ -133,12 +133,12 @@
                         0L));
         copies.tick(0);
         copies.tick(100_000);
-        Manifest state = tenants(3, 1);
+        Configuration state = tenants(3, 1);
         assertThat(copies.received(
                         100_000,
                         "a",
-                        Words.of(
-                                Words.PIECE,
+                        ConsensusMessages.of(
+                                ConsensusMessages.PIECE,
                                 "b",
                                 decided,
                                 "ask",
@@ -154,11 +154,11 @@
                                 "crew",
                                 crew,
                                 "items",
-                                Words.maps(state.items()))))
+                                ConsensusMessages.maps(state.items()))))
                 .anyMatch(Effect.Show.class::isInstance);
         List<Item> changed = tenants(2, 7).items();
-        Map<String, Object> accept = Words.of(
-                Words.ACCEPT,
+        Map<String, Object> accept = ConsensusMessages.of(
+                ConsensusMessages.ACCEPT,
                 "b",
                 promised,
                 "base",
@@ -174,14 +174,14 @@
                 "parts",
                 1L,
                 "items",
-                Words.maps(changed));
+                ConsensusMessages.maps(changed));
         assertThat(write(copies.received(100_000, "a", accept)))
                 .as("another sum")
                 .isNull();
         accept.put("sum", state.with(changed).sum());
-        Change change = write(copies.received(100_000, "a", accept)).change();
+        StorageUpdate change = write(copies.received(100_000, "a", accept)).change();
         assertThat(change.whole()).isTrue();
-        assertThat(Manifest.of(change.items())).isEqualTo(state.with(changed));
+        assertThat(Configuration.of(change.items())).isEqualTo(state.with(changed));
     }
 
     @ParameterizedTest
@@ -196,7 +196,7 @@
         "down, true, 30000, 12000",
     })
     void isUpToDateWithinABoundOfTimeAndBytes(String how, boolean othersStartAnew, long delay, long millis) {
-        world = new CopiesWorld(11, 3);
+        world = new SimulatedReplicas(11, 3);
         world.run(500_000);
         assertThat(world.await(world.submit(world.harbour(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
--- a/src/test/java/larkbank/copies/CopiesChaosTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusFaultTest.java
@@ -1,12 +1,12 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import larkbank.testkit.CopiesChaos;
+import org.cypressweir.testkit.ConsensusFaults;
 import org.junit.jupiter.api.Test;
 
 /** Many drawn days of faults, judged by what was sent and answered. */
-class CopiesChaosTest {
+class ConsensusFaultTest {
 
     private static final int DAYS = 160;
 
@@ -14,7 +14,7 @@
     void nothingAcknowledgedIsLost() {
         int taken = 0;
         for (long seed = 0; seed < DAYS; seed++) {
-            CopiesChaos day = new CopiesChaos(seed);
+            ConsensusFaults day = new ConsensusFaults(seed);
             assertThat(day.run()).as("seed " + seed).isNull();
             taken += day.taken();
         }
--- a/src/test/java/larkbank/copies/CopiesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.manifest.Key;
-import larkbank.manifest.Kind;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
-import larkbank.manifest.Table;
-import larkbank.testkit.CopiesCorners;
-import larkbank.testkit.CopiesWorld;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.RejectionKind;
+import org.cypressweir.testkit.ConsensusCornerCases;
+import org.cypressweir.testkit.SimulatedReplicas;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Harbours agree, whatever becomes of messages, processes and disks. */
-class CopiesTest {
+class ConsensusReplicaTest {
 
     private static final long PATIENCE = 3_000_000;
 
@@ -31,13 +31,13 @@
                 + version + "\"}}}}";
     }
 
-    private static Object key(Manifest manifest, String tenant) {
-        return manifest.get(new Key(Table.TENANTS, tenant)).content().get("apiKeys");
+    private static Object key(Configuration manifest, String tenant) {
+        return manifest.get(new ItemKey(ItemType.TENANTS, tenant)).content().get("apiKeys");
     }
 
-    private static void settled(CopiesWorld world) {
+    private static void settled(SimulatedReplicas world) {
         assertThat(world.checks().breach()).isNull();
-        State first = world.up().get(0).copies().shown();
+        ReplicatedState first = world.up().get(0).copies().shown();
         for (Harbour harbour : world.up()) {
             assertThat(harbour.copies().shown()).as(harbour.address()).isEqualTo(first);
             assertThat(harbour.copies().forgetful()).isFalse();
@@ -46,13 +46,13 @@
         assertThat(world.checks().breach()).isNull();
     }
 
-    private static void taken(CopiesWorld world, Harbour at, String body) {
+    private static void taken(SimulatedReplicas world, Harbour at, String body) {
         assertThat(world.await(world.submit(at, body, PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
     }
 
     @Test
     void oneOfTwoWins() {
-        CopiesWorld world = new CopiesWorld(1, 3);
+        SimulatedReplicas world = new SimulatedReplicas(1, 3);
         world.run(500_000);
         long one = world.submit(world.harbour(1), order("t", 1, "a"), PATIENCE);
         long two = world.submit(world.harbour(2), order("t", 1, "b"), PATIENCE);
@@ -64,7 +64,7 @@
         assertThat(wins ? first : second).isInstanceOf(ProposalResult.Taken.class);
         assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class, r -> assertThat(
                         r.refusal().kind())
-                .isEqualTo(Kind.CONFLICT));
+                .isEqualTo(RejectionKind.CONFLICT));
         assertThat(key(world.harbour(3).copies().shown().manifest(), "t")).isEqualTo(List.of(wins ? "a" : "b"));
         // A duplicate of what stands, and of what stood.
         taken(world, world.harbour(3), order("t", 1, wins ? "a" : "b"));
@@ -78,12 +78,12 @@
     @Test
     void whatIsLateIsNotOffered() {
         List<String> crew = List.of("a", "b", "c");
-        Copies copies = new Copies(
-                CopiesPlan.usual(),
+        ConsensusReplica copies = new ConsensusReplica(
+                ConsensusOptions.usual(),
                 "a",
                 crew,
                 false,
-                new Standing(Ballot.ZERO, Ballot.ZERO, crew, List.of(), false),
+                new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, crew, List.of(), false),
                 1,
                 new SplittableRandom(1),
                 0);
@@ -91,29 +91,30 @@
         List<Effect> asked = copies.submit(
                 1,
                 7,
-                Order.read(order("t", 1, "k").getBytes(StandardCharsets.UTF_8)).get(),
+                ConfigurationChange.read(order("t", 1, "k").getBytes(StandardCharsets.UTF_8))
+                        .get(),
                 850_000);
         Effect.Write write = (Effect.Write)
                 asked.stream().filter(Effect.Write.class::isInstance).findAny().orElseThrow();
         Effect.Send prepare = (Effect.Send) copies.written(2, write.number(), true).stream()
-                .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals(Words.PREPARE))
+                .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals(ConsensusMessages.PREPARE))
                 .findAny()
                 .orElseThrow();
         List<Effect> late = copies.received(
                 20_000_000,
                 "b",
-                Words.of(
-                        Words.PROMISE,
+                ConsensusMessages.of(
+                        ConsensusMessages.PROMISE,
                         "b",
                         prepare.message().get("b"),
                         "accepted",
-                        Ballot.ZERO,
+                        ProposalNumber.ZERO,
                         "crew",
                         crew,
                         "hearsay",
                         false,
                         "shown",
-                        Ballot.ZERO));
+                        ProposalNumber.ZERO));
         assertThat(late)
                 .anyMatch(e -> e instanceof Effect.Answer a && a.verdict() instanceof ProposalResult.Unavailable);
         assertThat(late)
@@ -123,7 +124,7 @@
 
     @Test
     void outlastsLossOfPowerEverywhere() {
-        CopiesWorld world = new CopiesWorld(2, 3);
+        SimulatedReplicas world = new SimulatedReplicas(2, 3);
         world.run(500_000);
         taken(world, world.harbour(1), order("t", 1, "a"));
         List<Harbour> all = world.up();
@@ -136,7 +137,7 @@
 
     @Test
     void whoStartsWithAClockSetBackIsHeard() {
-        CopiesWorld world = new CopiesWorld(3, 3);
+        SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
         world.crash(world.harbour(3));
         world.behind = 1_000_000;
@@ -157,7 +158,7 @@
     @ValueSource(ints = {1, 2, 3})
     void outlastsOneDiskWhileOthersLosePower(int lost) {
         for (int seed = 0; seed < 40; seed++) {
-            CopiesWorld world = new CopiesWorld(seed, 3);
+            SimulatedReplicas world = new SimulatedReplicas(seed, 3);
             world.run(500_000);
             taken(world, world.harbour(1), order("t", 1, "a"));
             List<Harbour> all = world.up();
@@ -179,10 +180,10 @@
 
     @Test
     void machinesAreReplacedOneAfterTheOther() {
-        CopiesWorld world = new CopiesWorld(3, 3);
+        SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
         taken(world, world.harbour(3), order("t", 1, "a"));
-        Standing crashed = null;
+        PersistentState crashed = null;
         for (int gone = 3; gone > 1; gone--) {
             crashed = world.harbour(gone).disk();
             world.wipe(world.harbour(gone));
@@ -217,7 +218,7 @@
 
     @Test
     void aDiskThatStallsOrIsFullIsToldAndOthersGoOn() {
-        CopiesWorld world = new CopiesWorld(4, 3);
+        SimulatedReplicas world = new SimulatedReplicas(4, 3);
         world.run(500_000);
         Harbour slow = world.harbour(1);
         world.stall(slow, 5_000_000);
@@ -249,7 +250,7 @@
 
     @Test
     void manyItemsGoInPieces() {
-        CopiesWorld world = new CopiesWorld(5, 3);
+        SimulatedReplicas world = new SimulatedReplicas(5, 3);
         world.run(500_000);
         StringBuilder body = new StringBuilder("{\"upsert\":{\"tenantTable\":{");
         for (int i = 0; i < 1_000; i++) {
@@ -270,7 +271,7 @@
     @ParameterizedTest
     @CsvSource({"3, 3, false", "4, 3, true", "5, 4, true", "3, 2, true", "3, 1, true"})
     void nothingBeginsFromNothing(int count, int blank, boolean lastReturns) {
-        CopiesWorld world = new CopiesWorld(6, count);
+        SimulatedReplicas world = new SimulatedReplicas(6, count);
         world.run(500_000);
         taken(world, world.harbour(1), order("t", 1, "a"));
         world.run(1_000_000);
@@ -296,7 +297,7 @@
     /** Who holds something is named before it is given up, and does not bring it back. */
     @Test
     void anOperatorsWordBeginsWithNothing() {
-        CopiesWorld world = new CopiesWorld(8, 4);
+        SimulatedReplicas world = new SimulatedReplicas(8, 4);
         world.run(500_000);
         taken(world, world.harbour(1), order("t", 1, "a"));
         world.run(1_000_000);
@@ -324,26 +325,28 @@
 
     @Test
     void whatIsForgottenIsFoundAmongTheOthers() {
-        assertThat(CopiesCorners.broken()).isNull();
+        assertThat(ConsensusCornerCases.broken()).isNull();
     }
 
     /** What a write that failed left on the disk must not get under what is written next. */
     @Test
     void afterAFailedWriteTheWholeIsWritten() {
-        Copies copies = new Copies(CopiesPlan.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
+        ConsensusReplica copies = new ConsensusReplica(
+                ConsensusOptions.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
         written(copies, copies.start(0), 0, true);
         List<Effect> first = copies.submit(0, 1, parsed(order("t", 1, "x")), PATIENCE);
         List<Effect> accept = written(copies, first, 0, true);
         written(copies, accept, 0, false);
         written(copies, copies.tick(600_000), 600_000, true);
         List<Effect> promise = copies.submit(700_000, 2, parsed(order("u", 1, "y")), PATIENCE);
-        Change change = write(written(copies, promise, 700_000, true)).change();
+        StorageUpdate change = write(written(copies, promise, 700_000, true)).change();
         assertThat(change.whole()).isTrue();
-        assertThat(Manifest.of(change.items()).get(new Key(Table.TENANTS, "u"))).isNotNull();
+        assertThat(Configuration.of(change.items()).get(new ItemKey(ItemType.TENANTS, "u")))
+                .isNotNull();
     }
 
-    private static Order parsed(String body) {
-        return Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
+    private static ConfigurationChange parsed(String body) {
+        return ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
     }
 
     private static Effect.Write write(List<Effect> effects) {
@@ -353,16 +356,16 @@
                 .orElseThrow();
     }
 
-    private static List<Effect> written(Copies copies, List<Effect> effects, long now, boolean ok) {
+    private static List<Effect> written(ConsensusReplica copies, List<Effect> effects, long now, boolean ok) {
         return copies.written(now, write(effects).number(), ok);
     }
 
     @Test
     void strangeMessagesAreIgnored() {
-        CopiesWorld world = new CopiesWorld(7, 3);
+        SimulatedReplicas world = new SimulatedReplicas(7, 3);
         world.run(500_000);
         SplittableRandom random = new SplittableRandom(1);
-        Copies copies = world.harbour(1).copies();
+        ConsensusReplica copies = world.harbour(1).copies();
         String[] kinds = {
             "prepare",
             "promise",
--- a/src/test/java/larkbank/copies/LossesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/MachineLossTest.java
@@ -1,14 +1,14 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.stream.LongStream;
-import larkbank.testkit.Losses;
+import org.cypressweir.testkit.MachineLosses;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** As many as may be lost are lost, and as many again once their successors have had their time. */
-class LossesTest {
+class MachineLossTest {
 
     private static final int DAYS = 60;
 
@@ -16,7 +16,7 @@
     @CsvSource({"3, 0", "3, 1", "3, 2", "4, 0", "5, 0", "5, 2"})
     void aSecondLossLeavesAMajority(int count, int standbys) {
         for (long seed = 0; seed < DAYS; seed++) {
-            assertThat(new Losses(seed, count, standbys).secondLoss())
+            assertThat(new MachineLosses(seed, count, standbys).secondLoss())
                     .as("seed " + seed)
                     .isNull();
         }
@@ -27,7 +27,7 @@
     @CsvSource({"1, false, 4000", "0, true, 1500"})
     void threeVoteAgainSoon(int standbys, boolean returnsBlank, long mostMillis) {
         long[] millis = LongStream.range(0, DAYS)
-                .map(seed -> new Losses(seed, 3, standbys).untilThreeVote(returnsBlank) / 1000)
+                .map(seed -> new MachineLosses(seed, 3, standbys).untilThreeVote(returnsBlank) / 1000)
                 .sorted()
                 .toArray();
         assertThat(millis[0]).isPositive();
--- a/src/test/java/larkbank/copies/OneChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
@@ -1,13 +1,13 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import larkbank.hold.MemoryStore;
-import larkbank.testkit.ThreeCopies;
 import org.assertj.core.data.Percentage;
+import org.cypressweir.controlplane.storage.InMemoryStore;
+import org.cypressweir.testkit.ThreeReplicas;
 import org.junit.jupiter.api.Test;
 
 /** One change costs its own size, whatever the whole weighs. */
@@ -24,7 +24,7 @@
     }
 
     private static long sentForOne(int items) {
-        ThreeCopies three = new ThreeCopies(List.of(new MemoryStore(), new MemoryStore(), new MemoryStore()));
+        ThreeReplicas three = new ThreeReplicas(List.of(new InMemoryStore(), new InMemoryStore(), new InMemoryStore()));
         assertThat(three.submit(tenants(0, items, 1))).isInstanceOf(ProposalResult.Taken.class);
         long before = three.sentBytes();
         assertThat(three.submit(tenants(5, 6, 2))).isInstanceOf(ProposalResult.Taken.class);
--- a/src/test/java/larkbank/copies/ContactTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
@@ -1,18 +1,18 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.manifest.Manifest;
-import larkbank.testkit.CopiesWorld;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.testkit.SimulatedReplicas;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A harbour that is cut off knows it, says so, answers nobody 200, and goes on at once when it is back. */
-class ContactTest {
+class QuorumContactTest {
 
     private static final long PATIENCE = 850_000;
     private static final long CUT = 20_000_000;
@@ -24,7 +24,7 @@
         NOBODY_HEARS_IT
     }
 
-    private static void cut(CopiesWorld world, int off, Cut how) {
+    private static void cut(SimulatedReplicas world, int off, Cut how) {
         for (int other = 1; other <= 3; other++) {
             if (other != off && how != Cut.NOBODY_HEARS_IT) {
                 world.cut(world.harbour(other).address(), world.harbour(off).address());
@@ -40,20 +40,20 @@
                 + "\"}}}}";
     }
 
-    private static void refusedWithin(long most, CopiesWorld world, long ticket) {
+    private static void refusedWithin(long most, SimulatedReplicas world, long ticket) {
         long begun = world.now();
         assertThat(world.await(ticket)).isInstanceOf(ProposalResult.Unavailable.class);
         assertThat(world.now() - begun).isLessThanOrEqualTo(most);
     }
 
-    private static long age(CopiesWorld world, Harbour harbour) {
+    private static long age(SimulatedReplicas world, Harbour harbour) {
         return harbour.copies().confirmedAge(world.now());
     }
 
     @ParameterizedTest
     @EnumSource(Cut.class)
     void cutOffForTwentySeconds(Cut how) {
-        CopiesWorld world = new CopiesWorld(how.ordinal(), 3);
+        SimulatedReplicas world = new SimulatedReplicas(how.ordinal(), 3);
         world.run(1_000_000);
         Harbour off = world.harbour(3);
         assertThat(world.await(world.submit(off, order(1), PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
@@ -86,14 +86,14 @@
     @Test
     void whatComesLateProvesNothingNew() {
         List<String> crew = List.of("a", "b", "c");
-        Desk desk = new Desk(CopiesPlan.usual(), "a", 0, 5, new SplittableRandom(1), 0);
-        Contact contact = new Contact(desk);
-        Peers.Word word = new Peers.Word(1, Ballot.ZERO, Ballot.ZERO, crew, false, false);
+        ReplicaContext desk = new ReplicaContext(ConsensusOptions.usual(), "a", 0, 5, new SplittableRandom(1), 0);
+        QuorumContact contact = new QuorumContact(desk);
+        PeerTable.Word word = new PeerTable.Word(1, ProposalNumber.ZERO, ProposalNumber.ZERO, crew, false, false);
         long first = contact.next();
         desk.now = CUT;
         long second = contact.next();
         contact.told("b", word, 1, 4, second);
-        assertThat(contact.reachedAt(crew)).isEqualTo(Contact.NEVER);
+        assertThat(contact.reachedAt(crew)).isEqualTo(QuorumContact.NEVER);
         contact.told("b", word, 2, 5, first);
         assertThat(contact.reachedAt(crew)).isZero();
         assertThat(contact.lost(crew)).isTrue();
@@ -101,13 +101,13 @@
         assertThat(contact.lost(crew)).isTrue();
         contact.told("c", word, 2, 5, second);
         assertThat(contact.lost(crew)).isFalse();
-        contact.look(new State(Ballot.ZERO, crew, Manifest.EMPTY), Ballot.ZERO, crew);
+        contact.look(new ReplicatedState(ProposalNumber.ZERO, crew, Configuration.EMPTY), ProposalNumber.ZERO, crew);
         assertThat(contact.confirmedAt()).isEqualTo(CUT);
     }
 
     @Test
     void aHarbourOfOneIsAlwaysInContact() {
-        CopiesWorld world = new CopiesWorld(1, 1);
+        SimulatedReplicas world = new SimulatedReplicas(1, 1);
         world.run(5_000_000);
         assertThat(age(world, world.harbour(1))).isLessThan(60_000);
         assertThat(world.await(world.submit(world.harbour(1), order(1), PATIENCE)))
--- a/src/test/java/larkbank/harbour/OrderTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,21 +14,21 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import larkbank.copies.Ballot;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Effect;
-import larkbank.copies.ProposalResult;
-import larkbank.copies.Standing;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Order;
-import larkbank.manifest.Table;
-import larkbank.testkit.CopiesWorld;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.testkit.SimulatedReplicas;
 import org.junit.jupiter.api.Test;
 
 /** The page's tables of orders are what the code does; -Dorders.table=write puts them there anew. */
-class OrderTableTest {
+class ConfigurationChangeTableTest {
 
     private static final Path PAGE = Path.of("docs/design/orders.md");
     private static final long PATIENCE = 3_000_000;
@@ -68,13 +68,18 @@
 
     /** One harbour, the whole crew; r9 of two tenants stands after r5, and r3 is the floor. */
     private static final class Alone {
-        private final Copies copies;
+        private final ConsensusReplica copies;
         private ProposalResult result;
 
         private Alone() {
-            Standing before = new Standing(
-                    new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"), List.of(item("a"), item("b")), false);
-            copies = new Copies(CopiesPlan.usual(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
+            PersistentState before = new PersistentState(
+                    new ProposalNumber(1, "h"),
+                    new ProposalNumber(1, "h"),
+                    List.of("h"),
+                    List.of(item("a"), item("b")),
+                    false);
+            copies = new ConsensusReplica(
+                    ConsensusOptions.usual(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
             act(copies.start(0));
             send(null);
         }
@@ -82,12 +87,13 @@
         private static Item item(String tenant) {
             Item first = order(Part.SUPERSEDED.of(tenant)).items().get(0);
             Item five = new Item(first.key(), first.version(), first.content(), List.of(), FLOOR);
-            Copies one = new Copies(
-                    CopiesPlan.usual(),
+            ConsensusReplica one = new ConsensusReplica(
+                    ConsensusOptions.usual(),
                     "h",
                     List.of("h"),
                     false,
-                    new Standing(new Ballot(1, "h"), new Ballot(1, "h"), List.of("h"), List.of(five), false),
+                    new PersistentState(
+                            new ProposalNumber(1, "h"), new ProposalNumber(1, "h"), List.of("h"), List.of(five), false),
                     1,
                     new SplittableRandom(1),
                     0);
@@ -96,9 +102,9 @@
             return one.shown().manifest().get(first.key());
         }
 
-        private int send(Order order) {
+        private int send(ConfigurationChange order) {
             act(copies.submit(0, 1, order, PATIENCE));
-            return OperatorDesk.answer(result).status();
+            return OperatorApiHandler.answer(result).status();
         }
 
         private Map<String, Object> layout() {
@@ -110,7 +116,7 @@
             result = given == null ? result : given;
         }
 
-        private static ProposalResult act(Copies copies, List<Effect> effects) {
+        private static ProposalResult act(ConsensusReplica copies, List<Effect> effects) {
             Deque<Effect> due = new ArrayDeque<>(effects);
             ProposalResult result = null;
             for (Effect effect; (effect = due.poll()) != null; ) {
@@ -124,8 +130,8 @@
         }
     }
 
-    private static Order order(String... parts) {
-        return Order.read(("{\"upsert\":{\"tenantTable\":{" + String.join(",", parts) + "}}}")
+    private static ConfigurationChange order(String... parts) {
+        return ConfigurationChange.read(("{\"upsert\":{\"tenantTable\":{" + String.join(",", parts) + "}}}")
                         .getBytes(StandardCharsets.UTF_8))
                 .get();
     }
@@ -188,19 +194,19 @@
                 + "\"}}}}";
     }
 
-    private static void until(CopiesWorld world, BooleanSupplier holds) {
+    private static void until(SimulatedReplicas world, BooleanSupplier holds) {
         for (int i = 0; i < 10_000 && !holds.getAsBoolean(); i++) {
             world.run(100);
         }
         assertThat(holds.getAsBoolean()).isTrue();
     }
 
-    private static boolean writesIt(CopiesWorld world, int harbour) {
+    private static boolean writesIt(SimulatedReplicas world, int harbour) {
         return world.writing(world.harbour(harbour)) != null
                 && world.writing(world.harbour(harbour)).items().stream().anyMatch(i -> i.version() == 5);
     }
 
-    private static void cutOff(CopiesWorld world) {
+    private static void cutOff(SimulatedReplicas world) {
         for (int other = 2; other <= 3; other++) {
             world.cut(world.harbour(1).address(), world.harbour(other).address());
             world.cut(world.harbour(other).address(), world.harbour(1).address());
@@ -208,7 +214,7 @@
     }
 
     private static String again(Lost lost) {
-        CopiesWorld world = new CopiesWorld(lost.ordinal(), 3);
+        SimulatedReplicas world = new SimulatedReplicas(lost.ordinal(), 3);
         world.run(500_000);
         assertThat(world.await(world.submit(world.harbour(3), tenant(4, "first"), PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
@@ -239,7 +245,7 @@
                     .isInstanceOf(ProposalResult.Taken.class);
         }
         long second = world.submit(world.harbour(2), tenant(5, "it"), PATIENCE);
-        int status = OperatorDesk.answer(world.await(second)).status();
+        int status = OperatorApiHandler.answer(world.await(second)).status();
         world.heal();
         if (!world.harbour(1).up()) {
             world.start(1);
@@ -251,11 +257,11 @@
                     .copies()
                     .shown()
                     .manifest()
-                    .get(new Key(Table.TENANTS, "t"))
+                    .get(new ItemKey(ItemType.TENANTS, "t"))
                     .content()
                     .get("apiKeys"));
             long third = world.submit(world.harbour(harbour), tenant(5, "it"), PATIENCE);
-            assertThat(OperatorDesk.answer(world.await(third)).status()).isEqualTo(status);
+            assertThat(OperatorApiHandler.answer(world.await(third)).status()).isEqualTo(status);
         }
         assertThat(world.checks().breach()).isNull();
         assertThat(stands.stream().distinct()).hasSize(1);
--- a/src/test/java/larkbank/harbour/LeaveTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
@@ -1,25 +1,25 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import larkbank.testkit.Http;
-import larkbank.testkit.MeshRig;
-import larkbank.testkit.OperatorChecks;
+import org.cypressweir.testkit.MeshFixture;
+import org.cypressweir.testkit.OperatorChecks;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Harbours as processes: who waits sends operators on, and takes the place of one that leaves. */
-class LeaveTest {
+class ControllerShutdownTest {
 
     @TempDir
     private Path folder;
 
     @Test
     void whoWaitsTakesThePlaceOfOneThatLeaves() throws Exception {
-        try (MeshRig rig = new MeshRig(folder, 3, List.of())) {
+        try (MeshFixture rig = new MeshFixture(folder, 3, List.of())) {
             rig.order("h1", OperatorChecks.order("t0", "k00", 1));
             rig.begun();
             rig.join("h4");
@@ -49,15 +49,15 @@
         }
     }
 
-    private static String crew(MeshRig rig, String harbour) throws IOException {
+    private static String crew(MeshFixture rig, String harbour) throws IOException {
         String state = rig.state(harbour).body();
         return state.substring(state.indexOf("\"crew\""), state.indexOf("\"members\""));
     }
 
     /** Sooner or later, whatever it answers until it knows. */
-    private static void sendsOn(MeshRig rig, String harbour, List<String> voters) throws Exception {
+    private static void sendsOn(MeshFixture rig, String harbour, List<String> voters) throws Exception {
         rig.await(harbour + " sends on", () -> {
-            Http.Message answer = rig.firstAnswer(harbour);
+            RawHttpClient.Message answer = rig.firstAnswer(harbour);
             return answer.status() == 307
                     && voters.stream().anyMatch(v -> ("http://" + rig.control(v) + "/cypressweir/config/read")
                             .equals(answer.headers().get("Location")));
