--- a/src/test/java/larkbank/harbour/GoldenControllerMessagesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/GoldenControllerMessagesTest.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,20 +12,20 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.zip.InflaterInputStream;
-import larkbank.berth.Berth;
-import larkbank.berth.Ship;
-import larkbank.chart.Bales;
-import larkbank.copies.Ballot;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Standing;
-import larkbank.golden.Golden;
-import larkbank.lading.RecordedLine;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Table;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.RecordedPeerConnection;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.distribution.ItemChunks;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -35,16 +35,16 @@
     private static final long NOW = 5_000_000;
     private static final long LIFE = 900;
     private static final long CONFIRMED_AGE = 40;
-    private static final Ballot FIRST = new Ballot(3, "10.0.0.1:7");
-    private static final Ballot SECOND = new Ballot(4, "10.0.0.2:7/42");
+    private static final ProposalNumber FIRST = new ProposalNumber(3, "10.0.0.1:7");
+    private static final ProposalNumber SECOND = new ProposalNumber(4, "10.0.0.2:7/42");
     private static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7/42");
     private static final List<Item> ITEMS = List.of(
-            new Item(new Key(Table.ROUTES, "orders"), 1, Map.of("prefix", "/orders")),
-            new Item(new Key(Table.TENANTS, "acme"), 1, Map.of("priority", 2L)),
-            new Item(new Key(Table.SERVICES, "till"), 1, Map.of("healthPath", "/healthz")),
-            new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)));
-    private static final Item WITHDRAWN = new Item(new Key(Table.SERVICES, "till"), 2, null);
-    private static final Berth REGISTRATION = new Berth(
+            new Item(new ItemKey(ItemType.ROUTES, "orders"), 1, Map.of("prefix", "/orders")),
+            new Item(new ItemKey(ItemType.TENANTS, "acme"), 1, Map.of("priority", 2L)),
+            new Item(new ItemKey(ItemType.SERVICES, "till"), 1, Map.of("healthPath", "/healthz")),
+            new Item(ItemKey.LIMITS, 1, Map.of("perProxy", 100L)));
+    private static final Item WITHDRAWN = new Item(new ItemKey(ItemType.SERVICES, "till"), 2, null);
+    private static final ProxyRegistration REGISTRATION = new ProxyRegistration(
             "proxy-1",
             2_000,
             4,
@@ -53,22 +53,22 @@
             "zone-b",
             "till",
             false,
-            new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, 0));
-    private static final Berth WITHOUT_INSTANCE =
-            new Berth("proxy-2", 2_001, 1, "10.0.0.6:8", "", "zone-a", "", true, null);
+            new ApplicationInstance("instance-1", "till", "127.0.0.1:9000", 8, true, 0));
+    private static final ProxyRegistration WITHOUT_INSTANCE =
+            new ProxyRegistration("proxy-2", 2_001, 1, "10.0.0.6:8", "", "zone-a", "", true, null);
 
-    private final RecordedLine recorded = new RecordedLine(NOW);
+    private final RecordedPeerConnection recorded = new RecordedPeerConnection(NOW);
     private final List<String> lines = new ArrayList<>();
-    private NewsDesk controller;
+    private UpdatePublisher controller;
 
     @BeforeEach
     void start() {
-        controller = new NewsDesk(() -> NOW, LIFE, "10.0.0.1:9", () -> CONFIRMED_AGE);
+        controller = new UpdatePublisher(() -> NOW, LIFE, "10.0.0.1:9", () -> CONFIRMED_AGE);
     }
 
     private void receives(String json) {
         lines.add("< " + json);
-        controller.heard(recorded.line(), RecordedLine.head(json));
+        controller.heard(recorded.line(), RecordedPeerConnection.head(json));
         take();
     }
 
@@ -76,13 +76,14 @@
         recorded.takeMessages().forEach(message -> lines.add("> " + message));
     }
 
-    private static String registration(Berth berth) {
-        return new String(Scribe.bytes(Scribe.map("t", "berth", "berth", berth.toMap(NOW))), StandardCharsets.UTF_8);
+    private static String registration(ProxyRegistration berth) {
+        return new String(
+                JsonCodec.bytes(JsonCodec.map("t", "berth", "berth", berth.toMap(NOW))), StandardCharsets.UTF_8);
     }
 
     @Test
     void messagesAreTheSame() {
-        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
+        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
         controller.welcome(recorded.line(), "proxy-1");
         take();
         receives(registration(REGISTRATION));
@@ -94,7 +95,7 @@
         receives("{\"t\":\"sums\",\"on\":true}");
         controller.tellTallies();
         take();
-        controller.show(SECOND, Manifest.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        controller.show(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
         take();
         controller.tick();
         take();
@@ -104,12 +105,12 @@
     /** The body is compressed: what counts is what it holds. */
     @Test
     void itemsAreTheSame() throws Exception {
-        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
-        controller.show(SECOND, Manifest.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
+        controller.show(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
         controller.welcome(recorded.line(), "proxy-1");
         recorded.takeFrames();
         for (String has : List.of("0@", FIRST.toString())) {
-            controller.heard(recorded.line(), RecordedLine.head("{\"t\":\"want\",\"have\":\"" + has + "\"}"));
+            controller.heard(recorded.line(), RecordedPeerConnection.head("{\"t\":\"want\",\"have\":\"" + has + "\"}"));
             takeItems();
         }
         Golden.assertSame("messages/controller-items.txt", lines);
@@ -122,7 +123,7 @@
             lines.add(new String(bytes, 8, headLength, StandardCharsets.UTF_8));
             byte[] body = Arrays.copyOfRange(bytes, 8 + headLength, bytes.length);
             lines.add(inflated(body));
-            assertThat(Bales.unpack(body)).isNotEmpty();
+            assertThat(ItemChunks.unpack(body)).isNotEmpty();
         }
     }
 
@@ -135,16 +136,16 @@
     /** The answer to the call for the state, which the command line tool reads. */
     @Test
     void stateIsTheSame() {
-        controller.show(FIRST, Manifest.of(ITEMS), VOTERS);
+        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
         controller.welcome(recorded.line(), "proxy-1");
         receives(registration(REGISTRATION));
         receives(registration(WITHOUT_INSTANCE));
-        Standing stored = new Standing(FIRST, FIRST, VOTERS, ITEMS, false, 0);
-        Copies replica = new Copies(
-                CopiesPlan.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE, new SplittableRandom(1), NOW);
-        Map<String, Object> state = HarbourState.of(
+        PersistentState stored = new PersistentState(FIRST, FIRST, VOTERS, ITEMS, false, 0);
+        ConsensusReplica replica = new ConsensusReplica(
+                ConsensusOptions.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE, new SplittableRandom(1), NOW);
+        Map<String, Object> state = ControllerStatus.of(
                 NOW, "controller-1", "10.0.0.1:9", "10.0.0.1:7", LIFE, List.of(), replica, controller, true);
         Golden.assertSame(
-                "messages/controller-state.txt", List.of(new String(Scribe.bytes(state), StandardCharsets.UTF_8)));
+                "messages/controller-state.txt", List.of(new String(JsonCodec.bytes(state), StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/larkbank/harbour/WorstDaysTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/WorstDaysTest.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,12 +17,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import larkbank.testkit.Http;
-import larkbank.testkit.LineRelay;
-import larkbank.testkit.LineRelay.Way;
-import larkbank.testkit.MeshRig;
-import larkbank.testkit.OperatorChecks;
-import larkbank.testkit.Ships;
+import org.cypressweir.testkit.ApplicationStubs;
+import org.cypressweir.testkit.ConnectionRelay;
+import org.cypressweir.testkit.ConnectionRelay.Way;
+import org.cypressweir.testkit.MeshFixture;
+import org.cypressweir.testkit.OperatorChecks;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -60,12 +60,12 @@
     @TempDir
     private Path folder;
 
-    private MeshRig rig;
+    private MeshFixture rig;
     private final OperatorChecks checks = new OperatorChecks();
     private final AtomicLong versions = new AtomicLong();
 
     private void begin(List<String> services, int harbours) throws Exception {
-        rig = MeshRig.withCuts(folder, harbours, services);
+        rig = MeshFixture.withCuts(folder, harbours, services);
         rig.order("h1", setup("old.mesh", 1));
         rig.begun();
         for (int i = 1; i <= services.size(); i++) {
@@ -130,7 +130,7 @@
 
     private boolean read(String harbour) throws IOException {
         Map<String, Long> least = checks.floor();
-        Http.Message answer = rig.firstAnswer(harbour);
+        RawHttpClient.Message answer = rig.firstAnswer(harbour);
         if (answer.status() == 200) {
             checks.read(least, answer.body());
         }
@@ -147,7 +147,7 @@
     @Test
     void oneHarbourIsCutOff() throws Exception {
         begin(List.of("orders", "orders"), 3);
-        LineRelay relay = rig.relay();
+        ConnectionRelay relay = rig.relay();
         for (Way way : FULL ? List.of(Way.HOLD, Way.LOSE, Way.RESET, Way.REFUSE) : List.of(Way.HOLD)) {
             int route = way.ordinal() * 2;
             rig.kill("p2");
@@ -304,13 +304,13 @@
         assertThat(operate(HARBOURS, in(1))).isPositive();
         rig.kill("h1");
         rig.replacement();
-        List<String> left = List.of("h2", "h3", MeshRig.SPARE);
+        List<String> left = List.of("h2", "h3", MeshFixture.SPARE);
         if (REPLACED) {
             assertThat(operate(List.of("h2", "h3"), in(SYNC_SECONDS))).isPositive();
             rig.kill("h2");
-            left = List.of("h3", MeshRig.SPARE);
+            left = List.of("h3", MeshFixture.SPARE);
         } else {
-            othersGoOn(List.of("h2", "h3"), MeshRig.SPARE);
+            othersGoOn(List.of("h2", "h3"), MeshFixture.SPARE);
         }
         for (String harbour : left) {
             rig.order(harbour, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
@@ -388,7 +388,7 @@
         rig.kill(ends);
         rig.order("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
         rig.await("h3 reads", () -> {
-            Http.Message answer = rig.firstAnswer("h3");
+            RawHttpClient.Message answer = rig.firstAnswer("h3");
             if (answer.status() == 200) {
                 checks.read(newest, answer.body());
             }
@@ -401,7 +401,7 @@
     @Test
     void aCallThatMayNotBeRepeatedRunsOnce() throws Exception {
         begin(List.of("gate", "orders", "orders", "orders", "orders", "orders"), 1);
-        List<Ships> servers =
+        List<ApplicationStubs> servers =
                 IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
         servers.forEach(server -> server.takes(150));
         Queue<String> ids = new ConcurrentLinkedQueue<>();
@@ -416,10 +416,10 @@
                                 String id = rig.id();
                                 ids.add(id);
                                 try {
-                                    Http.Message answer = rig.request("p1", "old.mesh", "/", null, id);
+                                    RawHttpClient.Message answer = rig.request("p1", "old.mesh", "/", null, id);
                                     if (answer.status() == 200) {
                                         assertThat(answer.body()).isEqualTo("ran of " + id);
-                                        assertThat(answer.headers()).containsEntry(Ships.ID, id);
+                                        assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
                                         assertThat(runs(servers, id)).isEqualTo(1);
                                         served.incrementAndGet();
                                     } else {
@@ -432,10 +432,10 @@
                         },
                         failed))
                 .toList();
-        for (Ships server : servers) {
+        for (ApplicationStubs server : servers) {
             rig.await(server.instance() + " serves", () -> server.runs() > 5);
         }
-        LineRelay relay = rig.relay();
+        ConnectionRelay relay = rig.relay();
         relay.set("p1", "p2", Way.HOLD);
         relay.set("p3", "p1", Way.HOLD);
         relay.cut("p1", List.of("p4"), Way.LOSE, Way.LOSE);
@@ -464,8 +464,8 @@
     }
 
     /** Resets the lines to one pilot again and again, each time after some of its server's runs. */
-    private void resets(LineRelay relay, long until) throws InterruptedException {
-        Ships server = rig.ship("p6");
+    private void resets(ConnectionRelay relay, long until) throws InterruptedException {
+        ApplicationStubs server = rig.ship("p6");
         while (System.nanoTime() < until) {
             int runs = server.runs();
             relay.cut("p1", List.of("p6"), Way.RESET, Way.RESET);
@@ -476,7 +476,7 @@
         }
     }
 
-    private static int runs(List<Ships> servers, String id) {
+    private static int runs(List<ApplicationStubs> servers, String id) {
         return servers.stream().mapToInt(server -> server.runs(id)).sum();
     }
 }
--- a/src/test/java/larkbank/chart/RosterLogTest.java
+++ b/src/test/java/org/cypressweir/controlplane/distribution/EndpointChangeLogTest.java
@@ -1,13 +1,13 @@
-package larkbank.chart;
+package org.cypressweir.controlplane.distribution;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
 /** Who stands at a place is told the names from there on, once each. */
-class RosterLogTest {
+class EndpointChangeLogTest {
 
-    private final RosterLog log = new RosterLog();
+    private final EndpointChangeLog log = new EndpointChangeLog();
 
     @Test
     void namesAreToldFromAPlaceOn() {
--- /dev/null
+++ b/src/test/java/org/cypressweir/controlplane/storage/InMemoryStoreTest.java
@@ -0,0 +1,14 @@
+package org.cypressweir.controlplane.storage;
+
+class InMemoryStoreTest extends StoreContract {
+
+    @Override
+    Store open() {
+        return new InMemoryStore();
+    }
+
+    @Override
+    Store again(Store before) {
+        return before;
+    }
+}
--- a/src/test/java/larkbank/hold/LostNamesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,8 +17,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -27,7 +27,7 @@
  * Power is lost at each step. Of the names that were made, renamed or removed since their folder's last sync
  * each is kept or lost by itself, and a file made since then may be empty: every such subset.
  */
-class LostNamesTest {
+class LostDirectoryEntriesTest {
 
     private static final int MOST = 1 << 12;
     private static final byte[] DIRECTORY = {'d'};
@@ -38,12 +38,12 @@
 
     private Path copy;
     private int kib;
-    private Standing acknowledged;
-    private Standing underWay;
+    private PersistentState acknowledged;
+    private PersistentState underWay;
     private final Set<String> seen = new HashSet<>();
 
     /** Looks at what is there before and after each step that a loss of power may come between. */
-    private final class Watched extends Folders {
+    private final class Watched extends DurableDirectories {
         /** What each name may be since its folder's last sync: contents, or null where it is not there. */
         private final Map<String, List<byte[]>> choices = new TreeMap<>();
 
@@ -152,7 +152,7 @@
             return;
         }
         Path other = folder.resolve("left");
-        new Folders().delete(other);
+        new DurableDirectories().delete(other);
         Files.createDirectories(other);
         for (Map.Entry<String, byte[]> each : left.entrySet()) {
             Path path = other.resolve(each.getKey());
@@ -162,9 +162,9 @@
                 Files.write(path, each.getValue());
             }
         }
-        Change more = new Change(StoreContract.stamp(90), null, null, List.of(), false);
-        Optional<Standing> found;
-        try (XodusStore store = new XodusStore(other, 1 << 20, kib, new Folders())) {
+        StorageUpdate more = new StorageUpdate(StoreContract.stamp(90), null, null, List.of(), false);
+        Optional<PersistentState> found;
+        try (XodusStore store = new XodusStore(other, 1 << 20, kib, new DurableDirectories())) {
             assertThat(store.damaged()).as(names.toString()).isFalse();
             found = store.load();
             assertThat(found.orElse(null)).as(names.toString()).isIn(acknowledged, underWay);
@@ -172,7 +172,7 @@
         } catch (IOException e) {
             throw new IOException("refused: " + names, e);
         }
-        try (Store store = new XodusStore(other, 1 << 20, kib, new Folders())) {
+        try (Store store = new XodusStore(other, 1 << 20, kib, new DurableDirectories())) {
             assertThat(store.load()).contains(more.on(found.orElse(null)));
         }
     }
@@ -180,7 +180,7 @@
     /** What the tests find, or null. */
     static String broken(Path folder, String any) throws IOException {
         for (int way = 0; way < 2; way++) {
-            LostNamesTest test = new LostNamesTest();
+            LostDirectoryEntriesTest test = new LostDirectoryEntriesTest();
             test.folder = Files.createDirectory(folder.resolve("names" + way));
             try {
                 test.everySubsetOfNamesOpensWithWhatWasAcknowledged(
@@ -192,7 +192,7 @@
         return null;
     }
 
-    private void write(XodusStore store, Change change) throws IOException {
+    private void write(XodusStore store, StorageUpdate change) throws IOException {
         underWay = change.on(acknowledged);
         store.write(change);
         acknowledged = underWay;
@@ -213,7 +213,7 @@
                         store,
                         i % 4 == 1
                                 ? StoreContract.whole(i, StoreContract.item("a", i, 9_000))
-                                : new Change(
+                                : new StorageUpdate(
                                         StoreContract.stamp(i),
                                         StoreContract.stamp(i),
                                         null,
--- a/src/test/java/larkbank/hold/LongDayTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreEnduranceTest.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.copies.Change;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A disk through a long day; with {@code -Dlongday.changes=10000} at the size that is promised. */
-class LongDayTest {
+class StoreEnduranceTest {
 
     private static final int ITEMS = 20_000;
     private static final int CHANGES = Integer.getInteger("longday.changes", 400);
@@ -41,8 +41,8 @@
                             .mapToObj(i -> StoreContract.item("t" + i, 1, 20))
                             .toArray(Item[]::new)));
             for (int i = 1; i <= CHANGES; i++) {
-                store.write(new Change(StoreContract.stamp(2 * i), null, null, List.of(), false));
-                store.write(new Change(
+                store.write(new StorageUpdate(StoreContract.stamp(2 * i), null, null, List.of(), false));
+                store.write(new StorageUpdate(
                         StoreContract.stamp(2 * i),
                         StoreContract.stamp(2 * i),
                         null,
--- a/src/test/java/larkbank/hold/TornFilesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -13,21 +13,21 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.stream.Stream;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A small history, with every sector of each write missing, late, cut off or flipped. */
-class TornFilesTest {
+class TornWritesTest {
 
     private static final int SECTOR = 512;
     private static final String LOG = "1/00000000000.xd";
     private static final String WITNESS = "written";
 
     /** The files after a write has come back, and what stands then. */
-    private record Moment(Map<String, byte[]> files, Standing standing) {}
+    private record Moment(Map<String, byte[]> files, PersistentState standing) {}
 
     private final Moment[] moments = new Moment[7];
 
@@ -37,17 +37,17 @@
     @BeforeEach
     void history() throws IOException {
         Path copy = folder.resolve("copy");
-        List<Change> changes = List.of(
+        List<StorageUpdate> changes = List.of(
                 StoreContract.whole(1, StoreContract.item("a", 1, 3)),
                 promise(2),
-                new Change(
+                new StorageUpdate(
                         StoreContract.stamp(2),
                         StoreContract.stamp(2),
                         null,
                         List.of(StoreContract.item("b", 1, 2_600), StoreContract.item("c", 1, 5)),
                         false),
                 promise(4),
-                new Change(
+                new StorageUpdate(
                         StoreContract.stamp(4),
                         StoreContract.stamp(4),
                         StoreContract.CREW,
@@ -65,19 +65,19 @@
 
     /** What the test of that name finds, or null. */
     static String broken(Path folder, String test) throws IOException, ReflectiveOperationException {
-        TornFilesTest torn = new TornFilesTest();
+        TornWritesTest torn = new TornWritesTest();
         torn.folder = Files.createDirectory(folder.resolve("files"));
         torn.history();
         try {
-            TornFilesTest.class.getDeclaredMethod(test).invoke(torn);
+            TornWritesTest.class.getDeclaredMethod(test).invoke(torn);
             return null;
         } catch (InvocationTargetException e) {
             return String.valueOf(e.getCause());
         }
     }
 
-    private static Change promise(int round) {
-        return new Change(StoreContract.stamp(round), null, null, List.of(), false);
+    private static StorageUpdate promise(int round) {
+        return new StorageUpdate(StoreContract.stamp(round), null, null, List.of(), false);
     }
 
     private static Map<String, byte[]> files(Path copy) throws IOException {
@@ -91,15 +91,15 @@
     }
 
     /** What a store that is opened on these files gives, or null where it says that they are damaged. */
-    private Standing opened(Map<String, byte[]> files, boolean goesOn) throws IOException {
+    private PersistentState opened(Map<String, byte[]> files, boolean goesOn) throws IOException {
         Path copy = folder.resolve("tried");
-        new Folders().delete(copy);
+        new DurableDirectories().delete(copy);
         for (Map.Entry<String, byte[]> file : files.entrySet()) {
             Path path = copy.resolve(file.getKey());
             Files.createDirectories(path.getParent());
             Files.write(path, file.getValue());
         }
-        Standing found;
+        PersistentState found;
         try (XodusStore store = new XodusStore(copy)) {
             if (store.damaged()) {
                 assertThat(store.setAside()).isPresent();
@@ -168,7 +168,7 @@
             flipped[at + (log.length - at) % SECTOR / 2] ^= 4;
             for (byte[] damaged : List.of(flipped, Arrays.copyOf(log, at), mixed(log, new byte[0], at, at + SECTOR))) {
                 files.put(LOG, damaged);
-                Standing found = opened(files, false);
+                PersistentState found = opened(files, false);
                 assertThat(found).as("sector at %s", at).isIn(null, last.standing);
                 forgotten += found == null ? 1 : 0;
             }
@@ -199,11 +199,11 @@
         if (Files.exists(maps)) {
             assertThat(Files.readAllLines(maps)).noneMatch(line -> line.contains(copy.toString()));
         }
-        for (String name : Folders.names(copy)) {
-            new Folders().delete(copy.resolve(name));
+        for (String name : DurableDirectories.names(copy)) {
+            new DurableDirectories().delete(copy.resolve(name));
         }
         for (int i = 3; i < 6; i++) {
-            Change change = promise(i);
+            StorageUpdate change = promise(i);
             assertThatThrownBy(() -> store.write(change)).isInstanceOf(IOException.class);
         }
         store.close();
@@ -217,7 +217,7 @@
         Path copy = folder.resolve("emptied");
         try (Store store = new XodusStore(copy)) {
             store.write(StoreContract.whole(1, StoreContract.item("a", 1, 3)));
-            for (String name : Folders.names(copy.resolve("1"))) {
+            for (String name : DurableDirectories.names(copy.resolve("1"))) {
                 Files.delete(copy.resolve("1").resolve(name));
             }
             assertThatThrownBy(() -> store.write(promise(2))).isInstanceOf(IOException.class);
--- a/src/test/java/larkbank/hold/WitnessTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A witness that a loss of power has torn tells nothing, and never a number that was not written. */
-class WitnessTest {
+class WriteCounterFileTest {
 
     @TempDir
     Path folder;
 
     private byte[] at(long number) throws Exception {
         Path file = folder.resolve("w" + number);
-        try (Witness witness = new Witness(file)) {
+        try (WriteCounterFile witness = new WriteCounterFile(file)) {
             witness.saw(number);
         }
         return Files.readAllBytes(file);
@@ -32,7 +32,7 @@
                 byte[] mixed = before.clone();
                 System.arraycopy(after, first, mixed, first, last - first);
                 Files.write(torn, mixed);
-                try (Witness witness = new Witness(torn)) {
+                try (WriteCounterFile witness = new WriteCounterFile(torn)) {
                     long right = Arrays.equals(mixed, after) ? 100 : Arrays.equals(mixed, before) ? 99 : 0;
                     assertThat(witness.number())
                             .as("new from %d to %d", first, last)
--- a/src/test/java/larkbank/hold/XodusStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
@@ -1,4 +1,4 @@
-package larkbank.hold;
+package org.cypressweir.controlplane.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -74,7 +74,7 @@
             try (XodusStore store = open()) {
                 assertThat(store.setAside()).isEmpty();
             }
-            assertThat(Folders.names(folder.resolve("copy")).stream().filter(n -> n.startsWith("aside")))
+            assertThat(DurableDirectories.names(folder.resolve("copy")).stream().filter(n -> n.startsWith("aside")))
                     .hasSize(Math.min(i, 2))
                     .contains("aside-" + i);
         }
@@ -89,7 +89,7 @@
             store.write(whole(1, item("a", 1, 3)));
         }
         Files.writeString(file("copy/current"), "q\n");
-        Folders refuses = new Folders() {
+        DurableDirectories refuses = new DurableDirectories() {
             @Override
             void replace(Path file, String text) throws IOException {
                 throw new IOException("No space left on device");
--- a/src/test/java/larkbank/gangway/Rig.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -18,23 +18,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A gangway whose host says what it was asked, or keeps the call where the path is /hold; raw clients. */
-final class Rig implements AutoCloseable {
+final class HttpListenerFixture implements AutoCloseable {
 
-    static final Bounds WIDE = new Bounds(2_000, 100_000, 20_000, 20_000);
+    static final RequestLimits WIDE = new RequestLimits(2_000, 100_000, 20_000, 20_000);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    final BlockingQueue<Call> held = new LinkedBlockingQueue<>();
+    final BlockingQueue<ServerRequest> held = new LinkedBlockingQueue<>();
     /** What was called, by the client's port. */
     final Map<Integer, List<String>> seen = new ConcurrentHashMap<>();
     /** Microseconds by which the clock goes ahead. */
     final AtomicLong ahead = new AtomicLong();
 
-    volatile Bounds bounds;
-    final Gangway gangway;
+    volatile RequestLimits bounds;
+    final HttpListener gangway;
 
-    Rig(Bounds bounds) throws IOException {
+    HttpListenerFixture(RequestLimits bounds) throws IOException {
         this.bounds = bounds;
-        gangway = Gangway.open(
+        gangway = HttpListener.open(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 () -> this.bounds,
@@ -42,7 +42,7 @@
                 this::called);
     }
 
-    private void called(Call call) {
+    private void called(ServerRequest call) {
         String said = call.method() + " " + call.host() + " " + call.uri() + " "
                 + new String(call.body(), StandardCharsets.ISO_8859_1);
         seen.computeIfAbsent(call.remote().getPort(), p -> new CopyOnWriteArrayList<>())
@@ -52,14 +52,14 @@
         } else if (call.uri().equals("/fail")) {
             throw new IllegalStateException();
         } else if (call.uri().equals("/large")) {
-            call.answer(new Answer(200, List.of(), new byte[16 << 20]));
+            call.answer(new ServerResponse(200, List.of(), new byte[16 << 20]));
         } else {
-            call.answer(new Answer(200, List.of(), said.getBytes(StandardCharsets.ISO_8859_1)));
+            call.answer(new ServerResponse(200, List.of(), said.getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 
-    Call next() throws InterruptedException {
-        Call call = held.poll(20, TimeUnit.SECONDS);
+    ServerRequest next() throws InterruptedException {
+        ServerRequest call = held.poll(20, TimeUnit.SECONDS);
         if (call == null) {
             throw new AssertionError("no call");
         }
--- a/src/test/java/larkbank/gangway/GangwayTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerTest.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import larkbank.gangway.Rig.Client;
+import org.cypressweir.dataplane.http.server.HttpListenerFixture.Client;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class GangwayTest {
+class HttpListenerTest {
 
     private static final String GET = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
     private static final String HOLD = "GET /hold HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -28,7 +28,7 @@
                 + "POST http://B/p?q HTTP/1.1\r\nHost: c\r\nContent-Length: 3\r\n\r\nGET"
                 + "OPTIONS * HTTP/1.1\r\nHost: [::1]:80\r\n\r\n" + GET;
         List<String> answers = List.of("GET a /x ", "PUT a /y abc", "POST b /p?q GET", "OPTIONS [::1] * ", "GET a /x ");
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client whole = rig.client();
                 Client bytes = rig.client()) {
             whole.send(all);
@@ -44,23 +44,23 @@
 
     @Test
     void nextWaitsForTheAnswerBefore() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client client = rig.client()) {
             client.send(HOLD + HOLD + "POST /z HTTP/1.1\r\nHost: a\r\nContent-Length: 90000\r\n\r\n");
             client.send("z".repeat(90_000));
-            Call first = rig.next();
+            ServerRequest first = rig.next();
             rig.run(() -> {
                 assertThat(rig.held).isEmpty();
                 assertThat(rig.gangway.requestsOpen()).isEqualTo(1);
-                assertThat(first.answer(Answer.text(404, "no").withHeader("X", "y")))
+                assertThat(first.answer(ServerResponse.text(404, "no").withHeader("X", "y")))
                         .isTrue();
-                assertThat(first.answer(Answer.of(200))).isFalse();
+                assertThat(first.answer(ServerResponse.of(200))).isFalse();
             });
             assertThat(client.head()).startsWith("HTTP/1.1 404 Not Found\r\n").contains("X: y\r\n");
             assertThat(client.socket.getInputStream().readNBytes(3)).asString().isEqualTo("no\n");
-            Call second = rig.next();
+            ServerRequest second = rig.next();
             assertThat(second.headers()).containsExactly(Map.entry("Host", "a"));
-            rig.run(() -> second.answer(Answer.of(204)));
+            rig.run(() -> second.answer(ServerResponse.of(204)));
             assertThat(client.head()).isEqualToIgnoringCase("HTTP/1.1 204 No Content\r\n\r\n");
             assertThat(client.answer()).isEqualTo("POST a /z " + "z".repeat(90_000));
         }
@@ -68,7 +68,7 @@
 
     @Test
     void headContinueOldClientsAndFailures() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client client = rig.client();
                 Client old = rig.client()) {
             client.send("HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -92,15 +92,16 @@
 
     @Test
     void hostCannotBreakTheFraming() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client client = rig.client()) {
-            Answer odd = Answer.of(200).withHeader("Content-Length", "7").withHeader("Transfer-Encoding", "chunked");
+            ServerResponse odd =
+                    ServerResponse.of(200).withHeader("Content-Length", "7").withHeader("Transfer-Encoding", "chunked");
             client.send(HOLD);
-            Call call = rig.next();
+            ServerRequest call = rig.next();
             rig.run(() -> call.answer(odd.withHeader("Connection", "close")));
             assertThat(client.head()).isEqualToIgnoringCase("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
             client.send(HOLD);
-            Call other = rig.next();
+            ServerRequest other = rig.next();
             rig.run(() -> other.answer(odd.withHeader("X", "a\r\nY: b")));
             assertThat(client.head()).startsWith("HTTP/1.1 500 ").doesNotContain("Y");
         }
@@ -108,7 +109,7 @@
 
     @Test
     void timesEndConnections() throws IOException {
-        try (Rig rig = new Rig(new Bounds(2_000, 1_000, 40, 20_000));
+        try (HttpListenerFixture rig = new HttpListenerFixture(new RequestLimits(2_000, 1_000, 40, 20_000));
                 Client head = rig.client();
                 Client body = rig.client();
                 Client chunk = rig.client()) {
@@ -120,13 +121,13 @@
             }
             assertThat(rig.seen).isEmpty();
         }
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client silent = rig.client();
                 Client kept = rig.client();
                 Client busy = rig.client()) {
             busy.send(HOLD);
             assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
-            rig.bounds = new Bounds(2_000, 1_000, 20_000, 40);
+            rig.bounds = new RequestLimits(2_000, 1_000, 20_000, 40);
             assertThat(silent.rest()).isEmpty();
             assertThat(kept.rest()).isEmpty();
             assertThat(rig.gangway.requestsOpen()).isEqualTo(1);
@@ -135,7 +136,7 @@
 
     @Test
     void answerThatNobodyTakesAndLingeringEnd() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client deaf = rig.client();
                 Client bad = rig.client();
                 Client good = rig.client()) {
@@ -151,8 +152,8 @@
 
     @Test
     void clientThatGoesIsTold() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE)) {
-            Call call;
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE)) {
+            ServerRequest call;
             CompletableFuture<Void> told = new CompletableFuture<>();
             try (Client client = rig.client()) {
                 client.send(HOLD + GET);
@@ -163,7 +164,7 @@
             told.get(20, TimeUnit.SECONDS);
             rig.run(() -> {
                 assertThat(call.isOpen()).isFalse();
-                assertThat(call.answer(Answer.of(200))).isFalse();
+                assertThat(call.answer(ServerResponse.of(200))).isFalse();
             });
             assertThat(rig.gangway.requestsOpen()).isZero();
             assertThat(rig.gangway.connections()).isZero();
@@ -172,7 +173,7 @@
 
     @Test
     void drainEndsEachConnectionAfterItsAnswer() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client silent = rig.client();
                 Client kept = rig.client();
                 Client busy = rig.client();
@@ -180,11 +181,11 @@
             begun.send("GET /x HTTP/1.1\r\n");
             assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
             busy.send(HOLD);
-            Call call = rig.next();
+            ServerRequest call = rig.next();
             rig.gangway.drain();
             assertThat(silent.rest()).isEmpty();
             assertThat(kept.rest()).isEmpty();
-            rig.run(() -> call.answer(Answer.of(200)));
+            rig.run(() -> call.answer(ServerResponse.of(200)));
             assertThat(busy.rest()).startsWith("HTTP/1.1 200 OK").containsIgnoringCase("connection: close");
             assertThat(begun.send("Host: a\r\n\r\n").rest()).containsIgnoringCase("connection: close");
             try (Client late = rig.client()) {
@@ -200,8 +201,8 @@
 
     @Test
     void slowClientsAndFullRoomHarmNobodyElse() throws Exception {
-        Bounds large = new Bounds(2_000, 32 << 20, 20_000, 20_000);
-        try (Rig rig = new Rig(large);
+        RequestLimits large = new RequestLimits(2_000, 32 << 20, 20_000, 20_000);
+        try (HttpListenerFixture rig = new HttpListenerFixture(large);
                 Client deaf = rig.client();
                 Client half = rig.client();
                 Client full = rig.client();
@@ -232,9 +233,10 @@
 
     @Test
     void takenPortIsToldInOneLine() throws Exception {
-        try (Rig rig = new Rig(Rig.WIDE)) {
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE)) {
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            assertThatThrownBy(() -> Gangway.open(group, rig.gangway.address(), () -> Rig.WIDE, () -> 0, c -> {}))
+            assertThatThrownBy(() -> HttpListener.open(
+                            group, rig.gangway.address(), () -> HttpListenerFixture.WIDE, () -> 0, c -> {}))
                     .isInstanceOf(IOException.class)
                     .hasMessageMatching("cannot listen on \\S+:\\d+: .*in use");
             group.shutdownGracefully(0, 5, TimeUnit.SECONDS);
--- a/src/test/java/larkbank/gangway/StrictnessTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/RequestStrictnessTest.java
@@ -1,4 +1,4 @@
-package larkbank.gangway;
+package org.cypressweir.dataplane.http.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import larkbank.gangway.Rig.Client;
+import org.cypressweir.dataplane.http.server.HttpListenerFixture.Client;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,7 +16,7 @@
 
 /** What is refused and how; {@code ~} stands for CR LF, {@code ^} for CR, {@code _} for LF. */
 @Timeout(60)
-class StrictnessTest {
+class RequestStrictnessTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -105,7 +105,7 @@
         String bytes = request.replace("~", "\r\n").replace('^', '\r').replace('_', '\n');
         // The body of a chunk that is too large has to come for it to be so.
         bytes += bytes.endsWith("186a1\r\n") ? "x".repeat(100_001) : "";
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client client = rig.client()) {
             client.send(bytes);
             assertThat(client.head())
@@ -119,13 +119,13 @@
     @Test
     void largeHeadIsRefusedAndTheBoundMayChange() throws IOException {
         String head = "GET / HTTP/1.1\r\nHost: a\r\nX: ";
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client kept = rig.client();
                 Client client = rig.client()) {
             String most = head + "x".repeat(2_000 - head.length() - 4) + "\r\n\r\n";
             assertThat(kept.send(most).answer()).isEqualTo("GET a / ");
             assertThat(client.send(head + "x".repeat(2_000)).head()).startsWith("HTTP/1.1 431 ");
-            rig.bounds = new Bounds(1_999, 10, 20_000, 20_000);
+            rig.bounds = new RequestLimits(1_999, 10, 20_000, 20_000);
             assertThat(kept.send(most).head()).startsWith("HTTP/1.1 431 ");
         }
     }
@@ -192,7 +192,7 @@
     void changedRequestsHarmNobody() throws IOException {
         Random random = new Random(7);
         int whole = 0;
-        try (Rig rig = new Rig(Rig.WIDE);
+        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
                 Client good = rig.client()) {
             for (int i = 0; i < 2_000; i++) {
                 StringBuilder bytes = new StringBuilder();
--- a/src/test/java/larkbank/quay/StevedoreTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestSchedulerTest.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,34 +9,34 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.quay.Stevedore.Ended;
-import larkbank.quay.Stevedore.Refusal;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Refusal;
 import org.junit.jupiter.api.Test;
 
-class StevedoreTest {
+class RequestSchedulerTest {
     private static final long MS = 1000;
 
-    private final QuayPlan plan = QuayPlan.defaults();
-    private final Stevedore<Cargo> stevedore = new Stevedore<>(plan);
+    private final UpstreamOptions plan = UpstreamOptions.defaults();
+    private final RequestScheduler<SchedulableRequest> stevedore = new RequestScheduler<>(plan);
 
-    private static Cargo cargo(boolean inner, int rank, long aim, boolean repeatable) {
-        return new Cargo(inner, rank, aim, aim + 500 * MS, repeatable);
+    private static SchedulableRequest cargo(boolean inner, int rank, long aim, boolean repeatable) {
+        return new SchedulableRequest(inner, rank, aim, aim + 500 * MS, repeatable);
     }
 
-    private static Cargo plain(long aim) {
+    private static SchedulableRequest plain(long aim) {
         return cargo(false, 1, aim, true);
     }
 
     /** Lets as many run as may. */
-    private List<Cargo> go(long now) {
-        List<Cargo> gone = new ArrayList<>();
+    private List<SchedulableRequest> go(long now) {
+        List<SchedulableRequest> gone = new ArrayList<>();
         while (stevedore.ready(now)) {
             gone.add(stevedore.next(now));
         }
         return gone;
     }
 
-    private List<Cargo> fill(int slots, long now) {
+    private List<SchedulableRequest> fill(int slots, long now) {
         stevedore.life(slots, 0, true);
         for (int i = 0; i <= slots; i++) {
             assertThat(stevedore.arrive(now, plain(now + 1000 * MS))).isEmpty();
@@ -47,7 +47,7 @@
     @Test
     void innerThenRankThenTheEarliestAimThatCanBeMet() {
         fill(8, 0);
-        List<Cargo> wanted = List.of(
+        List<SchedulableRequest> wanted = List.of(
                 cargo(true, 2, 900 * MS, true),
                 cargo(false, 0, 400 * MS, true),
                 cargo(false, 1, 300 * MS, true),
@@ -81,22 +81,22 @@
         fill(4, 0);
         assertThat(stevedore.arrive(0, plain(20 * MS))).isEmpty();
         assertThat(stevedore.arrive(0, plain(30 * MS))).isEmpty();
-        List<Refusal<Cargo>> refused = stevedore.arrive(0, plain(40 * MS));
+        List<Refusal<SchedulableRequest>> refused = stevedore.arrive(0, plain(40 * MS));
         assertThat(refused).hasSize(1);
-        assertThat(refused.get(0).reason()).isEqualTo(Reason.FULL);
+        assertThat(refused.get(0).reason()).isEqualTo(RejectionReason.FULL);
         assertThat(refused.get(0).retryAfterMicros()).isGreaterThanOrEqualTo(20 * MS);
         assertThat(stevedore.arrive(0, plain(400 * MS))).isEmpty();
         assertThat(stevedore
-                        .arrive(0, new Cargo(false, 0, 4 * MS, 4 * MS, true))
+                        .arrive(0, new SchedulableRequest(false, 0, 4 * MS, 4 * MS, true))
                         .get(0)
                         .reason())
-                .isEqualTo(Reason.LATE);
+                .isEqualTo(RejectionReason.LATE);
     }
 
     @Test
     void withAFreeSlotOneGoesHoweverLittleTimeIsLeft() {
         stevedore.life(1, 0, true);
-        Cargo late = plain(10 * MS);
+        SchedulableRequest late = plain(10 * MS);
         assertThat(stevedore.arrive(11 * MS, late)).isEmpty();
         assertThat(stevedore.due(11 * MS)).isEmpty();
         assertThat(go(11 * MS)).containsExactly(late);
@@ -105,27 +105,27 @@
     @Test
     void aHigherOrderPutsTheLastOut() {
         fill(2, 0);
-        List<Cargo> low = new ArrayList<>();
+        List<SchedulableRequest> low = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             low.add(plain(9_000 * MS + i));
             assertThat(stevedore.arrive(0, low.get(i))).isEmpty();
         }
-        List<Refusal<Cargo>> refused = stevedore.arrive(0, cargo(false, 0, 9_000 * MS, true));
+        List<Refusal<SchedulableRequest>> refused = stevedore.arrive(0, cargo(false, 0, 9_000 * MS, true));
         assertThat(refused).extracting(Refusal::cargo).containsExactly(low.get(7));
     }
 
     @Test
     void aQuarterIntoItsTimeWhatCannotBeServedIsGivenBack() {
         fill(2, 0);
-        Cargo first = plain(200 * MS);
-        Cargo last = cargo(false, 2, 400 * MS, true);
+        SchedulableRequest first = plain(200 * MS);
+        SchedulableRequest last = cargo(false, 2, 400 * MS, true);
         stevedore.arrive(0, last);
         stevedore.arrive(0, first);
         for (int i = 0; i < 5; i++) {
             stevedore.arrive(0, cargo(false, 0, 900 * MS, true));
         }
         assertThat(stevedore.due(49 * MS)).isEmpty();
-        List<Cargo> given = new ArrayList<>();
+        List<SchedulableRequest> given = new ArrayList<>();
         stevedore.due(50 * MS).forEach(r -> given.add(r.cargo()));
         assertThat(given).containsExactly(first);
         stevedore.due(100 * MS).forEach(r -> given.add(r.cargo()));
@@ -137,8 +137,8 @@
         stevedore.life(1, 0, true);
         stevedore.arrive(0, plain(9_000 * MS));
         stevedore.arrive(0, plain(9_000 * MS));
-        List<Cargo> running = new ArrayList<>(go(0));
-        Cargo once = cargo(false, 2, 90_000 * MS, false);
+        List<SchedulableRequest> running = new ArrayList<>(go(0));
+        SchedulableRequest once = cargo(false, 2, 90_000 * MS, false);
         stevedore.arrive(0, once);
         int passed = 0;
         while (!running.contains(once)) {
@@ -151,12 +151,12 @@
 
     @Test
     void aFullServerCutsTheLimitOnceForAllThatWasSentBefore() {
-        List<Cargo> running = fill(10, 0);
+        List<SchedulableRequest> running = fill(10, 0);
         assertThat(running).hasSize(11);
         running.subList(0, 5).forEach(c -> stevedore.ended(10 * MS, c, Ended.FULL));
         assertThat(limit(10 * MS)).isEqualTo(8);
         for (int i = 0; i < 40; i++) {
-            Cargo c = plain(1000 * MS);
+            SchedulableRequest c = plain(1000 * MS);
             stevedore.arrive(10 * MS, c);
             stevedore.next(10 * MS);
             stevedore.ended(10 * MS, c, Ended.ANSWERED);
@@ -166,7 +166,7 @@
 
     private int limit(long now) {
         int room = 0;
-        for (Cargo c; stevedore.running() < 100; room++) {
+        for (SchedulableRequest c; stevedore.running() < 100; room++) {
             c = plain(now + 9_000 * MS);
             stevedore.arrive(now, c);
             if (!stevedore.ready(now)) {
@@ -183,22 +183,22 @@
     @Test
     void nothingIsLostOrHeldTooLongInARandomWalk() {
         for (int seed = 0; seed < 10; seed++) {
-            walk(new SplittableRandom(seed), new Stevedore<>(plan));
+            walk(new SplittableRandom(seed), new RequestScheduler<>(plan));
         }
     }
 
-    private static void walk(SplittableRandom random, Stevedore<Cargo> s) {
+    private static void walk(SplittableRandom random, RequestScheduler<SchedulableRequest> s) {
         int slots = 1 + random.nextInt(12);
         s.life(slots, 0, true);
-        Set<Cargo> open = new HashSet<>();
-        Map<Cargo, String> ended = new HashMap<>();
-        List<Cargo> running = new ArrayList<>();
+        Set<SchedulableRequest> open = new HashSet<>();
+        Map<SchedulableRequest, String> ended = new HashMap<>();
+        List<SchedulableRequest> running = new ArrayList<>();
         long now = 0;
         for (int step = 0; step < 10_000; step++) {
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
                     long aim = now + random.nextInt(400_000) - 10_000;
-                    Cargo c = new Cargo(
+                    SchedulableRequest c = new SchedulableRequest(
                             random.nextInt(4) == 0,
                             random.nextInt(3),
                             aim,
@@ -210,14 +210,15 @@
                 }
                 case 3 -> {
                     if (!running.isEmpty()) {
-                        Cargo c = running.remove(random.nextInt(running.size()));
+                        SchedulableRequest c = running.remove(random.nextInt(running.size()));
                         s.ended(now, c, Ended.values()[Math.max(0, random.nextInt(20) - 16)]);
                         end(ended, c, "ran");
                     }
                 }
                 case 4 -> {
                     if (!s.waiting().isEmpty()) {
-                        Cargo c = s.waiting().get(random.nextInt(s.waiting().size()));
+                        SchedulableRequest c =
+                                s.waiting().get(random.nextInt(s.waiting().size()));
                         assertThat(s.cancel(c)).isTrue();
                         end(ended, c, "cancelled");
                     }
@@ -230,9 +231,9 @@
             }
             assertThat(s.running()).isEqualTo(running.size()).isLessThanOrEqualTo(slots + 1);
             assertThat(s.waiting().size()).isLessThanOrEqualTo(4 * Math.max(slots, 1));
-            for (Cargo c : s.waiting()) {
+            for (SchedulableRequest c : s.waiting()) {
                 assertThat(now).isLessThanOrEqualTo(Math.max(c.aimAt, c.arrivedAt + 1000));
-                assertThat(now + Stevedore.MARGIN_MICROS).isLessThanOrEqualTo(c.deadline);
+                assertThat(now + RequestScheduler.MARGIN_MICROS).isLessThanOrEqualTo(c.deadline);
             }
             assertThat(s.nextTime()).isGreaterThan(now);
         }
@@ -242,7 +243,7 @@
         assertThat(new HashSet<>(ended.values())).contains("ran", "FULL", "LATE", "cancelled");
     }
 
-    private static void end(Map<Cargo, String> ended, Cargo cargo, String how) {
+    private static void end(Map<SchedulableRequest, String> ended, SchedulableRequest cargo, String how) {
         assertThat(ended.put(cargo, how)).isNull();
     }
 }
--- a/src/test/java/larkbank/quay/AccountTableTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The page's table of the account is what the code does; -Dquay.table=write puts it there anew. */
-class AccountTableTest {
+class RequestStateTableTest {
 
     private static final Path PAGE = Path.of("docs/design/quay.md");
     private static final String BEGIN = "<!-- account: begin -->\n";
@@ -57,40 +57,40 @@
 
     /** An account with what has happened to it. */
     private static final class Run {
-        private final Account account;
+        private final RequestState account;
         private int size;
 
         private Run(boolean repeatable, List<Event> events) {
-            account = new Account(repeatable);
+            account = new RequestState(repeatable);
             events.forEach(this::apply);
         }
 
         /** What is due, null where it can't happen. */
-        private Account.Due apply(Event event) {
+        private RequestState.Due apply(Event event) {
             return switch (event) {
                 case SENT -> {
                     int attempt = account.begin();
                     size++;
                     if (!account.goes(attempt)) {
-                        account.ended(attempt, new Outcome.NotRun(Reason.GONE, 0));
+                        account.ended(attempt, new RequestOutcome.NotRun(RejectionReason.GONE, 0));
                         yield null;
                     }
-                    yield Account.Due.NOTHING;
+                    yield RequestState.Due.NOTHING;
                 }
-                case NOT_RUN -> end(new Outcome.NotRun(Reason.FULL, 0));
-                case MAY_HAVE_RUN -> end(new Outcome.MayHaveRun(""));
-                case ANSWERED -> end(new Outcome.Answered(200, List.of(), null));
-                case PROMISED -> end(new Outcome.Answered(429, List.of(), null));
-                case FAILED -> end(new Outcome.Answered(500, List.of(), null));
+                case NOT_RUN -> end(new RequestOutcome.NotRun(RejectionReason.FULL, 0));
+                case MAY_HAVE_RUN -> end(new RequestOutcome.MayHaveRun(""));
+                case ANSWERED -> end(new RequestOutcome.Answered(200, List.of(), null));
+                case PROMISED -> end(new RequestOutcome.Answered(429, List.of(), null));
+                case FAILED -> end(new RequestOutcome.Answered(500, List.of(), null));
                 case LAST, DEADLINE -> given(account.last(event == Event.DEADLINE));
                 case CLIENT_LEFT -> {
                     account.leave();
-                    yield Account.Due.NOTHING;
+                    yield RequestState.Due.NOTHING;
                 }
             };
         }
 
-        private Account.Due end(Outcome outcome) {
+        private RequestState.Due end(RequestOutcome outcome) {
             for (int i = 0; i < size; i++) {
                 if (account.isOpen(i)) {
                     return given(account.ended(i, outcome));
@@ -99,8 +99,8 @@
             return null;
         }
 
-        private Account.Due given(Account.Due due) {
-            if (due != Account.Due.NOTHING && due != Account.Due.KEEP) {
+        private RequestState.Due given(RequestState.Due due) {
+            if (due != RequestState.Due.NOTHING && due != RequestState.Due.KEEP) {
                 account.answer();
             }
             return due;
@@ -121,7 +121,7 @@
     }
 
     private static String table(boolean repeatable) {
-        Map<Account.State, Map<Event, Set<String>>> cells = new EnumMap<>(Account.State.class);
+        Map<RequestState.State, Map<Event, Set<String>>> cells = new EnumMap<>(RequestState.State.class);
         explore(repeatable, new ArrayList<>(), cells);
         StringBuilder table = new StringBuilder(repeatable ? "May be repeated:\n\n" : "Can't be repeated:\n\n");
         table.append("| state |");
@@ -143,19 +143,19 @@
     }
 
     private static void explore(
-            boolean repeatable, List<Event> history, Map<Account.State, Map<Event, Set<String>>> cells) {
-        Account.State from = new Run(repeatable, history).account.state();
+            boolean repeatable, List<Event> history, Map<RequestState.State, Map<Event, Set<String>>> cells) {
+        RequestState.State from = new Run(repeatable, history).account.state();
         Map<Event, Set<String>> row = cells.computeIfAbsent(from, s -> new EnumMap<>(Event.class));
         for (Event event : Event.values()) {
             Run run = new Run(repeatable, history);
-            Account.Due due = run.apply(event);
+            RequestState.Due due = run.apply(event);
             if (due == null) {
                 continue;
             }
-            Account.State to = run.account.state();
+            RequestState.State to = run.account.state();
             String next = to == from ? "the same" : small(to);
             row.computeIfAbsent(event, e -> new TreeSet<>())
-                    .add(due == Account.Due.NOTHING ? next : next + ": **" + small(due) + "**");
+                    .add(due == RequestState.Due.NOTHING ? next : next + ": **" + small(due) + "**");
             if (history.size() < DEPTH) {
                 List<Event> longer = new ArrayList<>(history);
                 longer.add(event);
@@ -172,26 +172,26 @@
     @Test
     void noHistoryBreaksAPromise() {
         for (boolean repeatable : new boolean[] {false, true}) {
-            Map<Account.State, Map<Event, Set<String>>> cells = new EnumMap<>(Account.State.class);
+            Map<RequestState.State, Map<Event, Set<String>>> cells = new EnumMap<>(RequestState.State.class);
             explore(repeatable, new ArrayList<>(), cells);
             assertThat(cells.keySet().stream()
                             .filter(s -> cells.get(s).values().stream()
                                     .anyMatch(c -> c.stream().anyMatch(t -> t.contains("refusal"))))
                             .collect(Collectors.toSet()))
-                    .containsExactly(Account.State.HELD);
+                    .containsExactly(RequestState.State.HELD);
             assertThat(cells.keySet().stream()
                             .filter(s -> cells.get(s).containsKey(Event.SENT))
                             .toList())
                     .containsExactlyElementsOf(
                             repeatable
                                     ? List.of(
-                                            Account.State.HELD,
-                                            Account.State.OUT,
-                                            Account.State.IN_DOUBT,
-                                            Account.State.OUT_IN_DOUBT,
-                                            Account.State.KEPT,
-                                            Account.State.OUT_KEPT)
-                                    : List.of(Account.State.HELD));
+                                            RequestState.State.HELD,
+                                            RequestState.State.OUT,
+                                            RequestState.State.IN_DOUBT,
+                                            RequestState.State.OUT_IN_DOUBT,
+                                            RequestState.State.KEPT,
+                                            RequestState.State.OUT_KEPT)
+                                    : List.of(RequestState.State.HELD));
         }
     }
 }
--- a/src/test/java/larkbank/quay/AnswersTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/ResponseAssemblerTest.java
@@ -1,14 +1,14 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
-import static larkbank.quay.Wharf.SEAL;
-import static larkbank.quay.Wharf.answer;
-import static larkbank.quay.Wharf.head;
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.SEAL;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.answer;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.head;
 
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.quay.Wharf.Asked;
-import larkbank.quay.Wharf.Wire;
+import org.cypressweir.dataplane.http.upstream.UpstreamFixture.Asked;
+import org.cypressweir.dataplane.http.upstream.UpstreamFixture.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class AnswersTest {
+class ResponseAssemblerTest {
     private static final String NOT_EXECUTED = "Cypressweir-Not-Executed: 1\r\n";
     private static final String CHUNKED = SEAL + "Transfer-Encoding: chunked\r\n\r\n";
 
-    private Wharf wharf;
+    private UpstreamFixture wharf;
 
     @BeforeEach
     void open() throws Exception {
-        wharf = new Wharf(4);
+        wharf = new UpstreamFixture(4);
     }
 
     @AfterEach
@@ -47,7 +47,7 @@
                 cut = Math.min(cut, bytes.length());
                 wire.write(bytes.substring(0, cut));
                 boolean whole = cut == bytes.length() && !kind.equals("unbounded");
-                Outcome early = whole ? asked.end() : null;
+                RequestOutcome early = whole ? asked.end() : null;
                 if (reset) {
                     wire.reset();
                 } else {
@@ -56,7 +56,7 @@
                 if (!whole) {
                     assertThat(asked.mayHaveRun()).as("%s cut at %d", kind, cut).isNotEmpty();
                 } else {
-                    assertThat(early).isNotInstanceOf(Outcome.MayHaveRun.class);
+                    assertThat(early).isNotInstanceOf(RequestOutcome.MayHaveRun.class);
                     length = 0;
                 }
                 assertThat(asked.ends).isEmpty();
@@ -92,7 +92,7 @@
                 answer("200 OK", "ID", SEAL + "no colon\r\n", ""),
                 answer("200 OK", "ID", SEAL + "Content-Length: 7\r\n", "abc"),
                 answer("200 OK", "ID", SEAL + "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"),
-                answer("200 OK", "ID", SEAL + RequestBytes.ATTEMPT_ID + ": other\r\n", ""),
+                answer("200 OK", "ID", SEAL + RequestEncoder.ATTEMPT_ID + ": other\r\n", ""),
                 "HTTP/1.1 200 OK\r\n" + SEAL + "Content-Length: 0\r\n\r\n",
                 head("200 OK", "ID", SEAL) + "Content-Length: -1\r\n\r\n",
                 head("200 OK", "ID", SEAL) + "Content-Length: 16777217\r\n\r\n",
@@ -106,7 +106,7 @@
             Wire wire = wharf.accept();
             wire.head();
             wire.write(bytes.replace("ID", asked.id));
-            assertThat(asked.end()).as(bytes).isInstanceOf(Outcome.MayHaveRun.class);
+            assertThat(asked.end()).as(bytes).isInstanceOf(RequestOutcome.MayHaveRun.class);
             assertThat(wire.ended()).as(bytes).isTrue();
         }
     }
@@ -158,13 +158,13 @@
         Wire wire = wharf.accept();
         assertThat(wire.head()).contains("Content-Length: 16000000");
         wire.write(answer("503 Full", asked.id, NOT_EXECUTED + SEAL, ""));
-        assertThat(asked.notRun()).isEqualTo(Reason.FULL);
+        assertThat(asked.notRun()).isEqualTo(RejectionReason.FULL);
         assertThat(wire.body(16_000_000).length()).isLessThan(16_000_000);
     }
 
     @ParameterizedTest
     @CsvSource({"503,1,FULL", "429,1,FULL", "421,1,MISDIRECTED", "421,0,MISDIRECTED", "400,1,REFUSED"})
-    void theServerSaysThatItDidNotRun(int status, int marked, Reason reason) throws Exception {
+    void theServerSaysThatItDidNotRun(int status, int marked, RejectionReason reason) throws Exception {
         Asked asked = wharf.post();
         Wire wire = wharf.accept();
         wire.head();
--- a/src/test/java/larkbank/quay/QuayTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcherTest.java
@@ -1,9 +1,9 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
-import static larkbank.quay.Wharf.SEAL;
-import static larkbank.quay.Wharf.answer;
-import static larkbank.quay.Wharf.head;
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.SEAL;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.answer;
+import static org.cypressweir.dataplane.http.upstream.UpstreamFixture.head;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,22 +11,22 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.quay.Wharf.Asked;
-import larkbank.quay.Wharf.Wire;
+import org.cypressweir.dataplane.http.upstream.UpstreamFixture.Asked;
+import org.cypressweir.dataplane.http.upstream.UpstreamFixture.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class QuayTest {
+class UpstreamDispatcherTest {
     private static final String CHUNKED = SEAL + "Transfer-Encoding: chunked\r\n\r\n";
 
-    private Wharf wharf;
+    private UpstreamFixture wharf;
 
     @BeforeEach
     void open() throws Exception {
-        wharf = new Wharf(4);
+        wharf = new UpstreamFixture(4);
     }
 
     @AfterEach
@@ -45,7 +45,7 @@
                 .containsPattern("Cypressweir-Time-Remaining: 899\\d\\d\r\n")
                 .contains("Content-Length: 5\r\n");
         assertThat(wire.body(5)).isEqualTo("hello");
-        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new Load(1, 0, 4));
+        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new UpstreamLoad(1, 0, 4));
         wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
         wire.write(answer(first.id, "fine"));
         assertThat(first.answered()).isEqualTo("200 fine");
@@ -200,9 +200,9 @@
         Wire second = wharf.accept();
         second.head();
         Asked waits = wharf.get();
-        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new Load(2, 1, 1));
+        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new UpstreamLoad(2, 1, 1));
         waits.cancel();
-        assertThat(waits.notRun()).isEqualTo(Reason.CANCELLED);
+        assertThat(waits.notRun()).isEqualTo(RejectionReason.CANCELLED);
         often.cancel();
         assertThat(often.mayHaveRun()).isEqualTo("cancelled");
         assertThat(second.ended()).isTrue();
@@ -244,7 +244,7 @@
         wharf.later(59_000_000);
         assertThat(waits.ends).isEmpty();
         wharf.later(1_000_000);
-        assertThat(waits.notRun()).isEqualTo(Reason.FULL);
+        assertThat(waits.notRun()).isEqualTo(RejectionReason.FULL);
     }
 
     @Test
@@ -258,8 +258,8 @@
         wharf.accept().head();
         Asked old = wharf.post();
         wharf.life("two", 1);
-        assertThat(old.notRun()).isEqualTo(Reason.GONE);
-        assertThat(wharf.post().notRun()).isEqualTo(Reason.GONE);
+        assertThat(old.notRun()).isEqualTo(RejectionReason.GONE);
+        assertThat(wharf.post().notRun()).isEqualTo(RejectionReason.GONE);
         wire.write(answer(runs.id, "still"));
         assertThat(runs.answered()).isEqualTo("200 still");
         assertThat(wire.ended()).isTrue();
@@ -268,12 +268,12 @@
         wire.head();
         Asked waits = wharf.ask("GET", true, "two", null);
         wharf.run(wharf.quay::leave);
-        assertThat(waits.notRun()).isEqualTo(Reason.GONE);
-        assertThat(wharf.get().notRun()).isEqualTo(Reason.GONE);
+        assertThat(waits.notRun()).isEqualTo(RejectionReason.GONE);
+        assertThat(wharf.get().notRun()).isEqualTo(RejectionReason.GONE);
         wire.write(answer(anew.id, "end"));
         assertThat(anew.answered()).isEqualTo("200 end");
         wharf.life(null, 0);
-        assertThat(wharf.get().notRun()).isEqualTo(Reason.GONE);
+        assertThat(wharf.get().notRun()).isEqualTo(RejectionReason.GONE);
     }
 
     @Test
@@ -288,15 +288,15 @@
         first.answered();
         two.write(answer(second.id, ""));
         second.answered();
-        BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
-        Freight third = freight(List.of());
+        BlockingQueue<RequestOutcome> ends = new LinkedBlockingQueue<>();
+        UpstreamRequest third = freight(List.of());
         // The end of one request brings the next, while the read that brought that end goes on.
         wharf.run(() -> wharf.quay.take(third, o -> wharf.quay.take(third, ends::add)));
         for (int i = 0; i < 2; i++) {
             two.head();
             two.write(answer("x", ""));
         }
-        assertThat(ends.poll(20, TimeUnit.SECONDS)).isInstanceOf(Outcome.Answered.class);
+        assertThat(ends.poll(20, TimeUnit.SECONDS)).isInstanceOf(RequestOutcome.Answered.class);
         assertThat(wharf.on(wharf.quay::connections)).isEqualTo(2);
     }
 
@@ -312,7 +312,7 @@
             wire.head();
         }
         assertThat(wharf.on(wharf.quay::connections)).isEqualTo(2);
-        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new Load(2, 3, 4));
+        assertThat(wharf.on(wharf.quay::load)).isEqualTo(new UpstreamLoad(2, 3, 4));
         for (int i = 0; i < 3; i++) {
             wires.get(0).write(answer(asked.get(i == 0 ? 0 : i + 1).id, ""));
             wires.get(0).head();
@@ -327,28 +327,28 @@
     @Test
     void whatIsNeverConnectedIsNotRun() throws Exception {
         wharf.server.close();
-        assertThat(wharf.post().notRun()).isEqualTo(Reason.NO_CONNECTION);
-        assertThat(wharf.post().notRun()).isEqualTo(Reason.NO_CONNECTION);
-        BlockingQueue<List<Outcome>> fast = new LinkedBlockingQueue<>();
-        Freight good = freight(List.of());
+        assertThat(wharf.post().notRun()).isEqualTo(RejectionReason.NO_CONNECTION);
+        assertThat(wharf.post().notRun()).isEqualTo(RejectionReason.NO_CONNECTION);
+        BlockingQueue<List<RequestOutcome>> fast = new LinkedBlockingQueue<>();
+        UpstreamRequest good = freight(List.of());
         wharf.run(() -> wharf.quay.take(good, third -> {
             // Told from inside the call, so no connection was tried.
-            List<Outcome> ends = new ArrayList<>(List.of(third));
+            List<RequestOutcome> ends = new ArrayList<>(List.of(third));
             wharf.quay.take(good, ends::add);
             wharf.ahead.addAndGet(200_000);
             wharf.quay.take(good, ends::add);
             fast.add(List.copyOf(ends));
         }));
         assertThat(fast.poll(20, TimeUnit.SECONDS)).hasSize(2).allSatisfy(end -> assertThat(end)
-                .isInstanceOfSatisfying(
-                        Outcome.NotRun.class, o -> assertThat(o.reason()).isEqualTo(Reason.NO_CONNECTION)));
-        List<Outcome> ends = new ArrayList<>();
+                .isInstanceOfSatisfying(RequestOutcome.NotRun.class, o -> assertThat(o.reason())
+                        .isEqualTo(RejectionReason.NO_CONNECTION)));
+        List<RequestOutcome> ends = new ArrayList<>();
         wharf.run(() -> wharf.quay.take(freight(List.of(Map.entry("X", "a\r\nY: b"))), ends::add));
-        assertThat(ends).containsExactly(new Outcome.NotRun(Reason.REFUSED, 0));
+        assertThat(ends).containsExactly(new RequestOutcome.NotRun(RejectionReason.REFUSED, 0));
     }
 
-    private Freight freight(List<Map.Entry<String, String>> headers) {
+    private UpstreamRequest freight(List<Map.Entry<String, String>> headers) {
         long until = wharf.micros() + 90_000_000;
-        return new Freight("x", "GET", "/", headers, null, true, 0, false, until, until, null);
+        return new UpstreamRequest("x", "GET", "/", headers, null, true, 0, false, until, until, null);
     }
 }
--- a/src/test/java/larkbank/quay/Wharf.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamFixture.java
@@ -1,4 +1,4 @@
-package larkbank.quay;
+package org.cypressweir.dataplane.http.upstream;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -21,7 +21,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A quay with a server whose every byte the test writes, and a clock that the test can move on. */
-final class Wharf {
+final class UpstreamFixture {
     /** What the server signs, and that it keeps connections for longer than a test waits for their end. */
     static final String SEAL = "Cypressweir-Server-Seal: s\r\nKeep-Alive: timeout=600\r\n";
 
@@ -32,19 +32,19 @@
     final ServerSocket server;
     final AtomicLong ahead = new AtomicLong();
     final List<String> log = new CopyOnWriteArrayList<>();
-    final Quay quay;
+    final UpstreamDispatcher quay;
     private volatile long stopped;
     private int ids;
 
-    Wharf(int slots) throws Exception {
-        this(slots, QuayPlan.defaults());
+    UpstreamFixture(int slots) throws Exception {
+        this(slots, UpstreamOptions.defaults());
     }
 
-    Wharf(int slots, QuayPlan plan) throws Exception {
+    UpstreamFixture(int slots, UpstreamOptions plan) throws Exception {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(BOUND_MILLIS);
         InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        quay = new Quay(loop, to, this::micros, plan, log::add);
+        quay = new UpstreamDispatcher(loop, to, this::micros, plan, log::add);
         life("one", slots);
     }
 
@@ -66,7 +66,7 @@
     }
 
     void life(String instance, int slots) throws Exception {
-        run(() -> quay.life(instance == null ? null : new Life(instance, "shop", slots, false, 0)));
+        run(() -> quay.life(instance == null ? null : new InstanceIncarnation(instance, "shop", slots, false, 0)));
     }
 
     /** Moves the clock on and does what is due. */
@@ -78,28 +78,28 @@
     /** A request with plenty of time, and its end. */
     final class Asked {
         final String id = "a-" + ++ids;
-        final BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
-        Ticket ticket;
+        final BlockingQueue<RequestOutcome> ends = new LinkedBlockingQueue<>();
+        RequestHandle ticket;
 
-        Outcome end() throws InterruptedException {
-            Outcome outcome = ends.poll(BOUND_MILLIS, TimeUnit.MILLISECONDS);
+        RequestOutcome end() throws InterruptedException {
+            RequestOutcome outcome = ends.poll(BOUND_MILLIS, TimeUnit.MILLISECONDS);
             if (outcome == null) {
                 throw new AssertionError("no end of " + id);
             }
             return outcome;
         }
 
-        Reason notRun() throws InterruptedException {
-            return ((Outcome.NotRun) end()).reason();
+        RejectionReason notRun() throws InterruptedException {
+            return ((RequestOutcome.NotRun) end()).reason();
         }
 
         String mayHaveRun() throws InterruptedException {
-            return ((Outcome.MayHaveRun) end()).why();
+            return ((RequestOutcome.MayHaveRun) end()).why();
         }
 
         String answered() throws InterruptedException {
-            Outcome outcome = end();
-            if (outcome instanceof Outcome.Answered a) {
+            RequestOutcome outcome = end();
+            if (outcome instanceof RequestOutcome.Answered a) {
                 return a.status() + " " + new String(a.body(), StandardCharsets.ISO_8859_1);
             }
             throw new AssertionError(outcome + ", " + log);
@@ -113,11 +113,11 @@
     Asked ask(String method, boolean repeatable, String instance, String body) throws Exception {
         Asked asked = new Asked();
         long now = micros();
-        Freight freight = new Freight(
+        UpstreamRequest freight = new UpstreamRequest(
                 asked.id,
                 method,
                 "/x?y=%20",
-                List.of(Map.entry("Host", "shop"), Map.entry(RequestBytes.ATTEMPT_ID, asked.id)),
+                List.of(Map.entry("Host", "shop"), Map.entry(RequestEncoder.ATTEMPT_ID, asked.id)),
                 body == null ? null : body.getBytes(StandardCharsets.ISO_8859_1),
                 repeatable,
                 1,
@@ -202,6 +202,6 @@
     }
 
     static String head(String status, String id, String headers) {
-        return "HTTP/1.1 " + status + "\r\n" + RequestBytes.ATTEMPT_ID + ": " + id + "\r\n" + headers;
+        return "HTTP/1.1 " + status + "\r\n" + RequestEncoder.ATTEMPT_ID + ": " + id + "\r\n" + headers;
     }
 }
--- a/src/test/java/larkbank/pilot/BreaksTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ConnectionBreakTest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.testkit.Http;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
  * way of writing it; the others at some, with -Dbreaks=1 at each.
  */
 @Timeout(600)
-class BreaksTest {
+class ConnectionBreakTest {
 
     private static final int STRIDE = Integer.getInteger("breaks", 37);
 
@@ -40,12 +40,12 @@
             "Content-Length: 1\r\n",
             "Transfer-Encoding: chunked\r\n");
 
-    private HopRig rig;
+    private PeerForwardingFixture rig;
     private int ids;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new HopRig();
+        rig = new PeerForwardingFixture();
     }
 
     @AfterEach
@@ -66,26 +66,26 @@
             boolean often = kind % 2 == 1;
             boolean chunked = kind / 2 % 2 == 1;
             boolean keeps = kind / 4 == 1;
-            rig.answer = "HTTP/1.1 200 OK\r\n" + HopRig.ID + ": ID\r\nCypressweir-Server-Seal: s\r\n"
+            rig.answer = "HTTP/1.1 200 OK\r\n" + PeerForwardingFixture.ID + ": ID\r\nCypressweir-Server-Seal: s\r\n"
                     + (keeps ? "" : "Connection: close\r\n")
                     + (chunked
                             ? "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"
                             : "Content-Length: 4\r\n\r\nfine");
-            rig.next(HopRig.Break.none(), false);
+            rig.next(PeerForwardingFixture.Break.none(), false);
             assertThat(rig.ask(request(nextId(), false, chunked, keeps)).status())
                     .isEqualTo(200);
             int bytes = where.equals("answer of the server") ? rig.answer.length() : rig.bytes(where);
             assertThat(bytes).isGreaterThan(90);
             for (int at = 1; at < bytes; at += kind == 0 ? 1 : STRIDE) {
                 rig.next(
-                        new HopRig.Break(
+                        new PeerForwardingFixture.Break(
                                 where.equals("request to the server") ? at : -1,
                                 where.equals("answer of the server") ? at : -1,
                                 where.equals("request on the hop") ? at : -1,
                                 where.equals("answer on the hop") ? at : -1),
                         often);
                 String id = nextId();
-                Http.Message got = rig.ask(request(id, often, chunked, keeps));
+                RawHttpClient.Message got = rig.ask(request(id, often, chunked, keeps));
                 assertThat(got).isNotNull();
                 assertThat(got.status() + " " + (often ? "" : rig.runs(id)))
                         .as("%s, %d, kind %d", where, at, kind)
@@ -102,7 +102,8 @@
     }
 
     private static String request(String id, boolean often, boolean chunked, boolean keeps) {
-        return "POST " + (often ? "/often" : "/once") + " HTTP/1.1\r\nHost: a\r\n" + HopRig.ID + ": " + id
+        return "POST " + (often ? "/often" : "/once") + " HTTP/1.1\r\nHost: a\r\n" + PeerForwardingFixture.ID + ": "
+                + id
                 + "\r\n" + (keeps ? "" : "Connection: close\r\n")
                 + (chunked
                         ? "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
@@ -111,7 +112,7 @@
 
     @Test
     void withoutABreakItRunsOnce() throws Exception {
-        rig.next(HopRig.Break.NONE, false);
+        rig.next(PeerForwardingFixture.Break.NONE, false);
         for (int kind = 0; kind < 8; kind++) {
             String id = "c" + ++ids;
             assertThat(rig.ask(request(id, kind % 2 == 1, kind / 2 % 2 == 1, kind / 4 == 1))
@@ -140,10 +141,10 @@
                 "Transfer-Encoding: chunked\r\n\r\n5\nhello\n0\n\n"
             })
     void whatIsNotPlainIsRefused(String rest) throws Exception {
-        rig.next(HopRig.Break.NONE, false);
+        rig.next(PeerForwardingFixture.Break.NONE, false);
         String smuggled = request("inside", false, false, true);
-        Http.Message got =
-                rig.ask("POST /once HTTP/1.1\r\nHost: a\r\n" + HopRig.ID + ": outside\r\n" + rest + smuggled);
+        RawHttpClient.Message got = rig.ask(
+                "POST /once HTTP/1.1\r\nHost: a\r\n" + PeerForwardingFixture.ID + ": outside\r\n" + rest + smuggled);
         assertThat(got.status()).isEqualTo(400);
         assertThat(rig.runs()).isEmpty();
     }
@@ -151,7 +152,7 @@
     /** Requests and answers with bytes changed, beside a good client; -Dmutants=N for more. */
     @Test
     void changedBytesHarmNobodyElse() throws Exception {
-        rig.next(HopRig.Break.NONE, false);
+        rig.next(PeerForwardingFixture.Break.NONE, false);
         Set<String> once = new HashSet<>();
         for (int seed = 0; seed < MUTANTS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -169,9 +170,9 @@
                 socket.shutdownOutput();
                 if (seed % 4 == 0) {
                     // Anew: a choice that has seen only broken answers of its one server spares it.
-                    rig.next(HopRig.Break.NONE, false);
+                    rig.next(PeerForwardingFixture.Break.NONE, false);
                     String good = "g" + seed;
-                    Http.Message got = rig.ask(request(good, false, seed % 8 == 0, false));
+                    RawHttpClient.Message got = rig.ask(request(good, false, seed % 8 == 0, false));
                     assertThat(got.status() + got.body()).as("seed %d", seed).isEqualTo("200fine");
                     assertThat(rig.runs(good)).isEqualTo(1);
                 }
--- /dev/null
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyMessagesTest.java
@@ -0,0 +1,157 @@
+package org.cypressweir.dataplane.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.stream.Stream;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.RecordedPeerConnection;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
+import org.cypressweir.dataplane.http.upstream.RequestHandle;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
+import org.cypressweir.golden.Golden;
+import org.junit.jupiter.api.Test;
+
+/** The messages between two proxies: requests that are forwarded, and what became of them. */
+class GoldenProxyMessagesTest {
+
+    private static final String SENT_BY_CALLER = "messages/proxy-requests.txt";
+    private static final String SENT_BY_SERVER_SIDE = "messages/proxy-responses.txt";
+    private static final long NOW = 5_000_000;
+    private static final long CALLER_LIFE = 1_000;
+    private static final long SERVER_LIFE = 2_000;
+    private static final byte[] BODY = "request body".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] ANSWER = "answer body".getBytes(StandardCharsets.UTF_8);
+    private static final List<Map.Entry<String, String>> HEADERS =
+            List.of(Map.entry("Accept", "*/*"), Map.entry("X-\u00e9", "1"));
+    private static final Endpoint TARGET =
+            new Endpoint(7, "proxy-2", SERVER_LIFE, "10.0.0.2:8", "instance-2", "zone-b");
+    private static final UpstreamRequest REQUEST = new UpstreamRequest(
+            "attempt-1",
+            "POST",
+            "/orders?x=1",
+            HEADERS,
+            BODY,
+            true,
+            3,
+            true,
+            NOW + 400_000,
+            NOW + 900_000,
+            "instance-2");
+    private static final ApplicationInstance INSTANCE =
+            new ApplicationInstance("instance-2", "till", "127.0.0.1:9000", 8, false, NOW + 60_000_000);
+    private static final ProxyRegistration REGISTRATION = new ProxyRegistration(
+            "proxy-2", SERVER_LIFE, 4, "10.0.0.2:8", "10.0.0.2:9", "zone-b", "till", false, INSTANCE);
+
+    /** Keeps what it is given; the test tells the outcome. */
+    private static final class KeepingDispatcher implements RequestDispatcher {
+        private final List<UpstreamRequest> taken = new ArrayList<>();
+        private final List<Consumer<RequestOutcome>> ends = new ArrayList<>();
+
+        @Override
+        public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
+            taken.add(freight);
+            ends.add(end);
+            return null;
+        }
+
+        @Override
+        public void cancel(RequestHandle ticket) {}
+
+        @Override
+        public UpstreamLoad load() {
+            return new UpstreamLoad(2, 1, 8);
+        }
+    }
+
+    private final RecordedPeerConnection recorded = new RecordedPeerConnection(NOW);
+    private final List<AttemptResult> replies = new ArrayList<>();
+
+    private PeerForwarder caller() {
+        return new PeerForwarder(
+                () -> NOW, "10.0.0.1:8", CALLER_LIFE, new KeepingDispatcher(), address -> recorded.line());
+    }
+
+    private static List<String> responses() {
+        return Golden.text(SENT_BY_SERVER_SIDE).lines().toList();
+    }
+
+    @Test
+    void requestsAreTheSame() {
+        PeerForwarder caller = caller();
+        recorded.line().send(caller.hello("proxy-1"));
+        AttemptTransport.Ride attempt = caller.send(TARGET, REQUEST, replies::add);
+        attempt.cancel();
+        Golden.assertSame(SENT_BY_CALLER, recorded.takeMessages());
+    }
+
+    private PeerRequestReceiver serverSide(KeepingDispatcher dispatcher) {
+        PeerRequestReceiver landing = new PeerRequestReceiver(() -> NOW, dispatcher, () -> REGISTRATION);
+        for (String message : Golden.text(SENT_BY_CALLER).split("\n")) {
+            String[] parts = message.split(" \\+ ");
+            byte[] body = parts.length == 1 ? new byte[0] : parts[1].getBytes(StandardCharsets.UTF_8);
+            landing.heard(recorded.line(), RecordedPeerConnection.head(parts[0]), body);
+        }
+        return landing;
+    }
+
+    @Test
+    void requestsAreRead() {
+        KeepingDispatcher dispatcher = new KeepingDispatcher();
+        serverSide(dispatcher);
+        assertThat(dispatcher.taken)
+                .usingRecursiveFieldByFieldElementComparator()
+                .containsExactly(REQUEST);
+    }
+
+    @Test
+    void responsesAreTheSame() {
+        KeepingDispatcher dispatcher = new KeepingDispatcher();
+        PeerRequestReceiver landing = serverSide(dispatcher);
+        dispatcher.ends.get(0).accept(new RequestOutcome.Answered(201, HEADERS, ANSWER));
+        dispatcher.ends.get(0).accept(new RequestOutcome.MayHaveRun("the connection broke"));
+        for (RejectionReason reason : RejectionReason.values()) {
+            dispatcher.ends.get(0).accept(new RequestOutcome.NotRun(reason, 30_000));
+        }
+        landing.heard(recorded.line(), JsonCodec.map("t", "go", "n", 5_000, "life", SERVER_LIFE + 1), ANSWER);
+        Golden.assertSame(SENT_BY_SERVER_SIDE, recorded.takeMessages());
+    }
+
+    @Test
+    void registrationIsRead() {
+        Map<String, Object> message = RecordedPeerConnection.head(responses().get(0));
+        assertThat(message.get("t")).isEqualTo("berth");
+        assertThat(ProxyRegistration.of((Map<?, ?>) message.get("berth"), NOW)).isEqualTo(REGISTRATION);
+    }
+
+    @Test
+    void responsesAreRead() {
+        for (String response : responses().subList(1, responses().size())) {
+            PeerForwarder caller = caller();
+            caller.hello("proxy-1");
+            caller.send(TARGET, REQUEST, replies::add);
+            caller.greeted(recorded.line(), SERVER_LIFE);
+            String[] parts = response.split(" \\+ ");
+            Map<String, Object> message = RecordedPeerConnection.head(parts[0]);
+            message.put("n", CALLER_LIFE + 2);
+            caller.heard(recorded.line(), message, ANSWER);
+        }
+        List<AttemptResult> expected = new ArrayList<>();
+        UpstreamLoad load = new UpstreamLoad(2, 1, 8);
+        expected.add(new AttemptResult(new RequestOutcome.Answered(201, HEADERS, ANSWER), load));
+        expected.add(new AttemptResult(new RequestOutcome.MayHaveRun("the connection broke"), load));
+        Stream.of(RejectionReason.values())
+                .forEach(reason -> expected.add(new AttemptResult(new RequestOutcome.NotRun(reason, 30_000), load)));
+        expected.add(new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null));
+        assertThat(replies).usingRecursiveFieldByFieldElementComparator().containsExactlyElementsOf(expected);
+    }
+}
--- a/src/test/java/larkbank/pilot/GoldenProxyToControllerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyToControllerTest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,19 +17,19 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.berth.Berth;
-import larkbank.berth.ServerDirectory;
-import larkbank.berth.Ship;
-import larkbank.chart.Bales;
-import larkbank.copies.Ballot;
-import larkbank.golden.Golden;
-import larkbank.lading.Line;
-import larkbank.lading.RecordedLine;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.common.transport.RecordedPeerConnection;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.distribution.ItemChunks;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.quota.QuotaShares;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
     private static final long NOW = 5_000_000;
     private static final long KEEP_MICROS = 1_000_000;
     private static final int BOUND_SECONDS = 10;
-    private static final Berth REGISTRATION = new Berth(
+    private static final ProxyRegistration REGISTRATION = new ProxyRegistration(
             "proxy-1",
             2_000,
             4,
@@ -49,7 +49,7 @@
             "zone-b",
             "till",
             false,
-            new Ship("instance-1", "till", "127.0.0.1:9000", 8, true, NOW + 1_000));
+            new ApplicationInstance("instance-1", "till", "127.0.0.1:9000", 8, true, NOW + 1_000));
     private static final String WELCOME = "{\"t\":\"welcome\",\"life\":900,\"crew\":[],"
             + "\"control\":\"10.0.0.1:9\",\"stamp\":\"5@10.0.0.2:7\",\"age\":40}";
     private static final String ITEMS =
@@ -59,45 +59,45 @@
     private final EventLoop loop = group.next();
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
     private final List<String> lines = new ArrayList<>();
-    private final Following following = new Following();
-    private final Quotas quotas = new Quotas();
-    private final ServerDirectory directory = new ServerDirectory(KEEP_MICROS);
-    private volatile Line controllerSide;
-    private Lookout proxy;
+    private final ConfigurationSubscriber following = new ConfigurationSubscriber();
+    private final QuotaShares quotas = new QuotaShares();
+    private final EndpointDirectory directory = new EndpointDirectory(KEEP_MICROS);
+    private volatile PeerConnection controllerSide;
+    private ControllerClient proxy;
     private String address;
 
     /** The controller's end. */
-    private final class Controller implements Line.Ear {
+    private final class Controller implements PeerConnection.Ear {
         @Override
-        public void opened(Line line) {
+        public void opened(PeerConnection line) {
             controllerSide = line;
         }
 
         @Override
-        public void heard(Line line, Map<String, Object> head, byte[] body) {
-            received.add(new String(Scribe.bytes(head), StandardCharsets.UTF_8));
+        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+            received.add(new String(JsonCodec.bytes(head), StandardCharsets.UTF_8));
         }
 
         @Override
-        public void closed(Line line) {}
+        public void closed(PeerConnection line) {}
     }
 
     @BeforeEach
     void start() throws IOException {
-        Wharf wharf = new Wharf(group, () -> NOW);
+        PeerTransport wharf = new PeerTransport(group, () -> NOW);
         InetSocketAddress at =
                 wharf.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Controller());
         address = "127.0.0.1:" + at.getPort();
-        proxy = new Lookout(
+        proxy = new ControllerClient(
                 wharf,
                 () -> NOW,
                 "proxy-1",
                 () -> REGISTRATION,
                 directory,
                 following,
-                new Freshness(),
+                new ReadinessGate(),
                 quotas,
-                new Aside(Runnable::run, Runnable::run),
+                new BackgroundTask(Runnable::run, Runnable::run),
                 () -> {});
     }
 
@@ -117,7 +117,7 @@
     }
 
     private void controllerSends(String json, byte[] body) {
-        on(() -> controllerSide.send(RecordedLine.head(json), body, null));
+        on(() -> controllerSide.send(RecordedPeerConnection.head(json), body, null));
     }
 
     private void askFor(String tenant, int requests) {
@@ -146,11 +146,11 @@
     private void readsItems() {
         controllerSends(
                 ITEMS,
-                Bales.pack(List.of(new Item(Key.LIMITS, 1, Map.of("perProxy", 100L))))
+                ItemChunks.pack(List.of(new Item(ItemKey.LIMITS, 1, Map.of("perProxy", 100L))))
                         .get(0));
         controllerSends(
                 "{\"t\":\"roster\",\"life\":900,\"place\":3,\"whole\":true,\"berths\":["
-                        + new String(Scribe.bytes(REGISTRATION.toMap(NOW)), StandardCharsets.UTF_8)
+                        + new String(JsonCodec.bytes(REGISTRATION.toMap(NOW)), StandardCharsets.UTF_8)
                         + "],\"gone\":[]}",
                 new byte[0]);
     }
@@ -160,7 +160,7 @@
         on(() -> controllerSide.close());
         take(3);
         on(() -> {
-            assertThat(following.stamp()).isEqualTo(Ballot.of("5@10.0.0.2:7"));
+            assertThat(following.stamp()).isEqualTo(ProposalNumber.of("5@10.0.0.2:7"));
             assertThat(following.manifest().items()).hasSize(1);
             assertThat(proxy.control(address)).isEqualTo("10.0.0.1:9");
         });
--- a/src/test/java/larkbank/pilot/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import larkbank.testkit.Http;
-import larkbank.testkit.MeshRig;
-import larkbank.testkit.Ships;
+import org.cypressweir.testkit.ApplicationStubs;
+import org.cypressweir.testkit.MeshFixture;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.MethodOrderer;
@@ -43,7 +43,7 @@
     @TempDir
     static Path folder;
 
-    private static MeshRig rig;
+    private static MeshFixture rig;
 
     private static String service(int version) {
         return "{'healthPath':'/health','maxConnections':32,'configVersion':'r" + version + "'}";
@@ -57,7 +57,7 @@
 
     @BeforeAll
     static void start() throws IOException, InterruptedException {
-        rig = new MeshRig(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"));
+        rig = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"));
         rig.order("h1", SETUP);
         for (int i = 1; i <= 5; i++) {
             rig.ready("p" + i);
@@ -96,14 +96,14 @@
     @Order(1)
     void aRequestIsServedOverTheHop() throws Exception {
         String id = rig.id();
-        Http.Message answer = rig.request("p4", HOST, "/deep/er?q=1", "k-free", id);
+        RawHttpClient.Message answer = rig.request("p4", HOST, "/deep/er?q=1", "k-free", id);
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.body()).isEqualTo("ran of " + id);
-        assertThat(answer.headers()).containsEntry(Ships.ID, id);
+        assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
         String instance = answer.headers().get("Instance");
-        Ships ship = rig.ship(instance.substring("orders-".length()));
-        Http.Message seen = ship.seen.stream()
-                .filter(m -> id.equals(m.headers().get(Ships.ID)))
+        ApplicationStubs ship = rig.ship(instance.substring("orders-".length()));
+        RawHttpClient.Message seen = ship.seen.stream()
+                .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
                 .orElseThrow();
         assertThat(seen.first()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
@@ -125,9 +125,9 @@
         int before =
                 rig.ship("p1").runs() + rig.ship("p2").runs() + rig.ship("p3").runs();
         int served = 0;
-        Http.Message refused = null;
+        RawHttpClient.Message refused = null;
         for (int i = 0; i < 30 && refused == null; i++) {
-            Http.Message answer = rig.request("p5", HOST, "/", "k-thin");
+            RawHttpClient.Message answer = rig.request("p5", HOST, "/", "k-thin");
             refused = answer.status() == 429 ? answer : null;
             served += answer.status() == 200 ? 1 : 0;
         }
@@ -218,7 +218,8 @@
     @Order(5)
     void otherSettingsLoseNothingInHand() throws Exception {
         List<String> pilots = List.of("p1", "p2", "p3", "p4", "p5");
-        List<Ships> ships = Stream.of("p1", "p2", "p3").map(rig::ship).toList();
+        List<ApplicationStubs> ships =
+                Stream.of("p1", "p2", "p3").map(rig::ship).toList();
         ships.forEach(s -> s.takes(2_000));
         Map<String, CompletableFuture<Integer>> asked = new TreeMap<>();
         for (int i = 0; i < 10; i++) {
@@ -267,7 +268,7 @@
     @Test
     @Order(6)
     void aServerThatDrainsIsLeftAlone() throws Exception {
-        Ships ship = rig.ship("p3");
+        ApplicationStubs ship = rig.ship("p3");
         ship.drain();
         rig.await("it has refused one, or nobody sends it any", () -> {
             int before = ship.seen.size();
@@ -321,7 +322,7 @@
         rig.kill("h2");
         rig.kill("h3");
         rig.await("h1 knows that it is alone", () -> rig.log("h1").contains("out of contact with most"));
-        Http.Message refused = rig.read("h1");
+        RawHttpClient.Message refused = rig.read("h1");
         assertThat(refused.status()).isEqualTo(503);
         assertThat(refused.headers()).containsKey("Retry-After");
         rig.kill("p3");
@@ -344,7 +345,7 @@
         rig.kill("h1");
         rig.kill("h2");
         List<String> pilots = List.of("p1", "p3", "p4", "p5");
-        Ships ship = rig.ship("p1");
+        ApplicationStubs ship = rig.ship("p1");
         ship.drain();
         rig.await("nobody sends it any", () -> {
             int before = ship.seen.size();
--- a/src/test/java/larkbank/pilot/HopRig.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -20,24 +20,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.UnaryOperator;
-import larkbank.berth.Berth;
-import larkbank.gangway.Bounds;
-import larkbank.gangway.Call;
-import larkbank.gangway.Gangway;
-import larkbank.lading.Line;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.logbook.Wake;
-import larkbank.manifest.RouteTerms;
-import larkbank.manifest.Split;
-import larkbank.quay.Life;
-import larkbank.quay.Quay;
-import larkbank.quay.QuayPlan;
-import larkbank.testkit.Http;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.controlplane.configuration.WeightedDestination;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.http.server.HttpListener;
+import org.cypressweir.dataplane.http.server.RequestLimits;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.upstream.InstanceIncarnation;
+import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
+import org.cypressweir.dataplane.http.upstream.UpstreamOptions;
+import org.cypressweir.testkit.RawHttpClient;
 
 /** Two pilots' cores on loopback, a relay between them and a server that break where the test says. */
-final class HopRig {
+final class PeerForwardingFixture {
 
     /** Where the first to come is broken; below zero for nowhere. Bytes count from one. */
     record Break(int request, int answer, int hopOut, int hopBack) {
@@ -58,9 +58,9 @@
     private final ServerSocket server = open();
     private final ServerSocket relay = open();
     private final InetSocketAddress far;
-    private final Moorings moorings;
-    private final Hops hops;
-    private final Gangway gangway;
+    private final PeerConnectionPool moorings;
+    private final PeerForwarder hops;
+    private final HttpListener gangway;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final AtomicInteger left = new AtomicInteger();
@@ -78,42 +78,45 @@
     volatile String mutant = "";
 
     volatile UnaryOperator<String> change = text -> text;
-    private Helm helm;
+    private ServiceRequestHandler helm;
     /** The line on which the other pilot has told of itself. */
-    private Line greeted;
+    private PeerConnection greeted;
 
     private long numbers;
 
-    HopRig() throws Exception {
+    PeerForwardingFixture() throws Exception {
         InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        Quay near = quay(to, "i0");
-        Quay beyond = quay(to, "i1");
-        Wharf wharf = new Wharf(group, HopRig::micros);
+        UpstreamDispatcher near = quay(to, "i0");
+        UpstreamDispatcher beyond = quay(to, "i1");
+        PeerTransport wharf = new PeerTransport(group, PeerForwardingFixture::micros);
         far = wharf.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                new Landing(HopRig::micros, beyond, () -> new Berth("p1", 1, 1, "far", "", "z", "s", false, null)));
-        moorings = new Moorings(
+                new PeerRequestReceiver(
+                        PeerForwardingFixture::micros,
+                        beyond,
+                        () -> new ProxyRegistration("p1", 1, 1, "far", "", "z", "s", false, null)));
+        moorings = new PeerConnectionPool(
                 wharf,
-                HopRig::micros,
-                new Moorings.Plan(3_000_000, 6_000_000, 12_000_000, 10_000, 10_000, 700),
+                PeerForwardingFixture::micros,
+                new PeerConnectionPool.Plan(3_000_000, 6_000_000, 12_000_000, 10_000, 10_000, 700),
                 () -> hops().hello("p0"),
                 new Ear());
-        hops = new Hops(HopRig::micros, "own", LIFE, near, moorings::line);
+        hops = new PeerForwarder(PeerForwardingFixture::micros, "own", LIFE, near, moorings::line);
         daemon(() -> accept(server, this::serve));
         daemon(() -> accept(relay, this::pass));
         on(() -> {
             moorings.want(Set.of(farAddress()));
             return null;
         });
-        gangway = Gangway.open(
+        gangway = HttpListener.open(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> new Bounds(16_384, 65_536, 1_000, 5_000),
-                HopRig::micros,
+                () -> new RequestLimits(16_384, 65_536, 1_000, 5_000),
+                PeerForwardingFixture::micros,
                 this::called);
     }
 
-    private Hops hops() {
+    private PeerForwarder hops() {
         return hops;
     }
 
@@ -129,10 +132,11 @@
         return System.nanoTime() / 1000;
     }
 
-    private Quay quay(InetSocketAddress to, String instance) throws Exception {
+    private UpstreamDispatcher quay(InetSocketAddress to, String instance) throws Exception {
         return on(() -> {
-            Quay quay = new Quay(loop, to, HopRig::micros, QuayPlan.defaults(), line -> {});
-            quay.life(new Life(instance, "s", 8, false, 0));
+            UpstreamDispatcher quay = new UpstreamDispatcher(
+                    loop, to, PeerForwardingFixture::micros, UpstreamOptions.defaults(), line -> {});
+            quay.life(new InstanceIncarnation(instance, "s", 8, false, 0));
             return quay;
         });
     }
@@ -141,13 +145,13 @@
         return loop.submit(task).get(BOUND, TimeUnit.MILLISECONDS);
     }
 
-    private final class Ear implements Moorings.Owner {
+    private final class Ear implements PeerConnectionPool.Owner {
         @Override
-        public void up(String address, Line line) {}
+        public void up(String address, PeerConnection line) {}
 
         @Override
-        public void heard(String address, Line line, Map<String, Object> head, byte[] body) {
-            if (Scribe.text(head, "t").equals("end")) {
+        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
+            if (JsonCodec.text(head, "t").equals("end")) {
                 hops.heard(line, head, body);
             } else {
                 hops.greeted(line, 1);
@@ -156,7 +160,7 @@
         }
 
         @Override
-        public void lost(String address, Line line) {
+        public void lost(String address, PeerConnection line) {
             hops.lost(line);
         }
 
@@ -164,13 +168,13 @@
         public void refused(String address) {}
     }
 
-    private void called(Call call) {
+    private void called(ServerRequest call) {
         boolean repeatable = call.path().startsWith("/often");
-        RouteTerms route = new RouteTerms(
-                "r", "a", "/", repeatable, 4_000_000, 2_000_000, 1, List.of(new Split("s", 1)), 3, false);
+        RouteConfiguration route = new RouteConfiguration(
+                "r", "a", "/", repeatable, 4_000_000, 2_000_000, 1, List.of(new WeightedDestination("s", 1)), 3, false);
         long at = micros();
         String id = call.header(ID);
-        helm.take(new Passage(
+        helm.take(new ProxiedRequest(
                 Long.toString(++numbers),
                 call,
                 id == null ? "none" : id,
@@ -182,7 +186,7 @@
                 at + 2_000_000,
                 at + 4_000_000,
                 call.headers(),
-                new Wake(HopRig::micros, 4)));
+                new RequestTrace(PeerForwardingFixture::micros, 4)));
     }
 
     /** From now on the first to come is broken there; what can't be repeated goes over the hop. */
@@ -191,9 +195,17 @@
             Thread.onSpinWait();
         }
         on(() -> {
-            helm = new Helm("s", loop, HopRig::micros, hops, "p0", 0, List.of("z"), Helm.budget(10_000_000, 50, 1));
-            Target other = new Target(101, "p1", 1, farAddress(), "i1", "z");
-            Target near = new Target(100, "p0", 1, "own", "i0", "z");
+            helm = new ServiceRequestHandler(
+                    "s",
+                    loop,
+                    PeerForwardingFixture::micros,
+                    hops,
+                    "p0",
+                    0,
+                    List.of("z"),
+                    ServiceRequestHandler.budget(10_000_000, 50, 1));
+            Endpoint other = new Endpoint(101, "p1", 1, farAddress(), "i1", "z");
+            Endpoint near = new Endpoint(100, "p0", 1, "own", "i0", "z");
             helm.servers(both ? List.of(near, other) : List.of(other), List.of("z"), Map.of());
             return null;
         });
@@ -225,10 +237,10 @@
     }
 
     /** What a client gets that sends this; null for nothing. */
-    Http.Message ask(String bytes) throws IOException {
+    RawHttpClient.Message ask(String bytes) throws IOException {
         try (Socket socket = client()) {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-            return Http.read(socket.getInputStream());
+            return RawHttpClient.read(socket.getInputStream());
         }
     }
 
--- a/src/test/java/larkbank/pilot/Hull.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.net.InetSocketAddress;
@@ -7,56 +7,56 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Call;
-import larkbank.logbook.Wake;
-import larkbank.manifest.RouteTerms;
-import larkbank.manifest.Split;
-import larkbank.quay.Freight;
-import larkbank.quay.Load;
-import larkbank.quay.Outcome;
+import org.cypressweir.common.diagnostics.RequestTrace;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.controlplane.configuration.WeightedDestination;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /** A helm with made-up time, clients and servers: the test says what becomes of each attempt, and when. */
-final class Hull implements Carrier {
+final class ProxyFixture implements AttemptTransport {
 
     static final long AIM = 500_000;
     static final long LEFT = 2_000_000;
 
     /** One attempt that was handed to the carrier. */
     static final class Sent {
-        final Target target;
-        final Freight freight;
-        private final Consumer<Reply> end;
+        final Endpoint target;
+        final UpstreamRequest freight;
+        private final Consumer<AttemptResult> end;
         /** As far as it is known. */
-        Outcome outcome;
+        RequestOutcome outcome;
 
         boolean cancelled;
         /** Hears of it when it is cancelled. */
         Runnable whenCancelled = () -> {};
 
-        Sent(Target target, Freight freight, Consumer<Reply> end) {
+        Sent(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
             this.target = target;
             this.freight = freight;
             this.end = end;
         }
 
-        void ends(Outcome its) {
+        void ends(RequestOutcome its) {
             outcome = its;
-            end.accept(new Reply(its, new Load(1, 0, 8)));
+            end.accept(new AttemptResult(its, new UpstreamLoad(1, 0, 8)));
         }
 
         boolean hasNotRun() {
-            return outcome instanceof Outcome.NotRun;
+            return outcome instanceof RequestOutcome.NotRun;
         }
 
         void answers(int status) {
-            ends(new Outcome.Answered(status, List.of(Map.entry("By", target.instance())), new byte[0]));
+            ends(new RequestOutcome.Answered(status, List.of(Map.entry("By", target.instance())), new byte[0]));
         }
     }
 
     /** A client that waits for an answer. */
-    static class Client implements Call {
-        final List<Answer> answers = new ArrayList<>();
+    static class Client implements ServerRequest {
+        final List<ServerResponse> answers = new ArrayList<>();
         private Runnable gone;
 
         int status() {
@@ -64,7 +64,8 @@
         }
 
         String retryAfter() {
-            return larkbank.gangway.Headers.first(answers.get(0).headers(), "Retry-After");
+            return org.cypressweir.dataplane.http.server.Headers.first(
+                    answers.get(0).headers(), "Retry-After");
         }
 
         void leaves() {
@@ -107,7 +108,7 @@
         }
 
         @Override
-        public boolean answer(Answer answer) {
+        public boolean answer(ServerResponse answer) {
             answers.add(answer);
             return true;
         }
@@ -130,27 +131,34 @@
     boolean strict = true;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Helm helm;
+    private final ServiceRequestHandler helm;
     long now = 1_000_000_000L;
-    final Wake wake = new Wake(() -> now, 4);
+    final RequestTrace wake = new RequestTrace(() -> now, 4);
     private long numbers;
 
-    Hull(int servers) {
+    ProxyFixture(int servers) {
         channel.freezeTime();
-        helm = new Helm(
-                "s", channel.eventLoop(), () -> now, this, "p1", 0, List.of("z"), Helm.budget(10_000_000, 50, 0.25));
+        helm = new ServiceRequestHandler(
+                "s",
+                channel.eventLoop(),
+                () -> now,
+                this,
+                "p1",
+                0,
+                List.of("z"),
+                ServiceRequestHandler.budget(10_000_000, 50, 0.25));
         servers(servers);
     }
 
-    Helm helm() {
+    ServiceRequestHandler helm() {
         return helm;
     }
 
     /** From now on there are so many servers. */
     void servers(int count) {
-        List<Target> targets = new ArrayList<>();
+        List<Endpoint> targets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            targets.add(new Target(100 + i, "p" + i, 1, "10.0.0." + i + ":7000", "i" + i, "z"));
+            targets.add(new Endpoint(100 + i, "p" + i, 1, "10.0.0." + i + ":7000", "i" + i, "z"));
         }
         helm.servers(targets, List.of("z"), Map.of());
         advance(0);
@@ -161,7 +169,7 @@
     }
 
     @Override
-    public Ride send(Target target, Freight freight, Consumer<Reply> end) {
+    public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
         if (strict && !freight.repeatable() && !attempts(freight.id()).stream().allMatch(Sent::hasNotRun)) {
             throw new AssertionError("sent again: " + freight.id());
         }
@@ -179,10 +187,10 @@
     }
 
     Client ask(boolean repeatable, Client client) {
-        RouteTerms route =
-                new RouteTerms("r", "a", "/", repeatable, LEFT, AIM, 1, List.of(new Split("s", 1)), 3, false);
+        RouteConfiguration route = new RouteConfiguration(
+                "r", "a", "/", repeatable, LEFT, AIM, 1, List.of(new WeightedDestination("s", 1)), 3, false);
         String number = Long.toString(++numbers);
-        helm.take(new Passage(
+        helm.take(new ProxiedRequest(
                 number, client, "id" + number, route, "t", 1, false, now, now + AIM, now + LEFT, List.of(), wake));
         advance(0);
         return client;
--- a/src/test/java/larkbank/pilot/PilotStarts.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -1,17 +1,17 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.copies.State;
-import larkbank.testkit.CopiesWorld;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.consensus.ReplicatedState;
+import org.cypressweir.testkit.SimulatedReplicas;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /**
  * A pilot starts in the middle of drawn cuts, in made-up time: it is told states and asks who confirms them,
  * over paths that hold words up. What it begins with as confirmed must have all that was answered 200 before.
  */
-public final class PilotStarts {
+public final class ProxyStartScenario {
 
     private static final long STEP = 10_000;
     private static final long PATIENCE = 3_000_000;
@@ -21,17 +21,17 @@
     private record Word(long at, Runnable comes) {}
 
     private final SplittableRandom random;
-    private final CopiesWorld world;
-    private final Freshness freshness = new Freshness();
+    private final SimulatedReplicas world;
+    private final ReadinessGate freshness = new ReadinessGate();
     private final List<Word> words = new ArrayList<>();
     private final List<Integer> reached = new ArrayList<>();
     private final long holdsUp;
-    private State own;
+    private ReplicatedState own;
     private long version;
 
-    private PilotStarts(long seed) {
+    private ProxyStartScenario(long seed) {
         random = new SplittableRandom(seed);
-        world = new CopiesWorld(seed, 3);
+        world = new SimulatedReplicas(seed, 3);
         holdsUp = random.nextBoolean() ? random.nextLong(2_000_000) : 0;
     }
 
@@ -39,7 +39,7 @@
     public static String broken(int starts) {
         int confirmed = 0;
         for (long seed = 0; seed < starts; seed++) {
-            PilotStarts one = new PilotStarts(seed);
+            ProxyStartScenario one = new ProxyStartScenario(seed);
             String breach = one.run();
             if (breach != null) {
                 return "seed " + seed + ": " + breach;
@@ -94,7 +94,7 @@
     private void ask(int harbour, long asked) {
         later(() -> {
             Harbour its = world.harbour(harbour);
-            State shown = its.copies().shown();
+            ReplicatedState shown = its.copies().shown();
             long age = its.copies().confirmedAge(world.now());
             later(() -> {
                 // The state comes with the answer, later, or not at all for now.
@@ -155,7 +155,7 @@
 
     private String begun(long now, long had, long began, int off) {
         if (freshness.isConfirmed()) {
-            world.checks().confirmed("the pilot", now - Freshness.MOST_AGE, own.manifest());
+            world.checks().confirmed("the pilot", now - ReadinessGate.MOST_AGE, own.manifest());
         } else if (now < had + PATIENCE) {
             return "begins after " + (now - had) + " us with what nobody confirms";
         } else if (holdsUp == 0 && off != ALL && reached.stream().anyMatch(harbour -> harbour != off)) {
--- a/src/test/java/larkbank/pilot/FreshnessTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
@@ -1,18 +1,18 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.file.Path;
 import java.util.Set;
-import larkbank.copies.Ballot;
-import larkbank.testkit.Planted;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.testkit.PlantedFault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A pilot begins with what a majority confirms, or after a while with what it has, and never goes back. */
-class FreshnessTest {
+class ReadinessGateTest {
 
     private static final int STARTS = 300;
 
@@ -21,7 +21,7 @@
 
     @Test
     void whatIsConfirmedHasAllThatWasAnswered() {
-        assertThat(PilotStarts.broken(STARTS)).isNull();
+        assertThat(ProxyStartScenario.broken(STARTS)).isNull();
     }
 
     @ParameterizedTest(name = "{0}")
@@ -40,14 +40,14 @@
                         + "~ begun = isConfirmed;",
             })
     void eachFaultIsFound(String fault, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(
+        ClassLoader planted = new PlantedFault(
                 folder,
-                Path.of("src/main/java/larkbank/pilot"),
-                "Freshness.java",
+                Path.of("src/main/java/org/cypressweir/dataplane/proxy"),
+                "ReadinessGate.java",
                 text,
                 instead == null ? "" : instead,
-                name -> name.startsWith("larkbank.pilot.PilotStarts"));
-        assertThat(planted.loadClass("larkbank.pilot.PilotStarts")
+                name -> name.startsWith("org.cypressweir.dataplane.proxy.ProxyStartScenario"));
+        assertThat(planted.loadClass("org.cypressweir.dataplane.proxy.ProxyStartScenario")
                         .getMethod("broken", int.class)
                         .invoke(null, STARTS))
                 .as(fault)
@@ -56,10 +56,10 @@
 
     @Test
     void whoIsCutOffIsNotPreferred() {
-        Freshness freshness = new Freshness();
+        ReadinessGate freshness = new ReadinessGate();
         freshness.told("a", -1);
-        freshness.told("b", Freshness.MOST_AGE);
-        freshness.told("c", Freshness.MOST_AGE + 1);
+        freshness.told("b", ReadinessGate.MOST_AGE);
+        freshness.told("c", ReadinessGate.MOST_AGE + 1);
         assertThat(freshness.inContact(Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("b", "d");
         assertThat(freshness.inContact(Set.of("a", "c"))).containsExactlyInAnyOrder("a", "c");
         freshness.told("c", 0);
@@ -69,12 +69,12 @@
     /** A harbour that was cut off tells an old crew: it doesn't take newer members' lines away. */
     @Test
     void anOldCrewIsNotTakenOver() {
-        Following following = new Following();
-        following.crew(Ballot.of("5@a"), Set.of("a", "b", "d"));
-        following.crew(Ballot.of("3@a"), Set.of("a", "b", "c"));
+        ConfigurationSubscriber following = new ConfigurationSubscriber();
+        following.crew(ProposalNumber.of("5@a"), Set.of("a", "b", "d"));
+        following.crew(ProposalNumber.of("3@a"), Set.of("a", "b", "c"));
         assertThat(following.crew()).containsExactlyInAnyOrder("a", "b", "d");
-        following.crew(Ballot.of("6@a"), Set.of());
-        following.crew(Ballot.of("5@b"), Set.of("b", "d", "e"));
+        following.crew(ProposalNumber.of("6@a"), Set.of());
+        following.crew(ProposalNumber.of("5@b"), Set.of("b", "d", "e"));
         assertThat(following.crew()).containsExactlyInAnyOrder("b", "d", "e");
     }
 }
--- a/src/test/java/larkbank/pilot/HelmTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,29 +6,29 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.quay.Outcome;
-import larkbank.quay.Reason;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Where requests go, and what their clients are told, whatever becomes of their attempts. */
-class HelmTest {
+class ServiceRequestHandlerTest {
 
-    private static final Outcome LOST = new Outcome.MayHaveRun("lost");
+    private static final RequestOutcome LOST = new RequestOutcome.MayHaveRun("lost");
 
-    private static Outcome notRun(Reason reason) {
-        return new Outcome.NotRun(reason, 0);
+    private static RequestOutcome notRun(RejectionReason reason) {
+        return new RequestOutcome.NotRun(reason, 0);
     }
 
     @Test
     void picksFollowWhatIsMeasured() {
-        Hull hull = new Hull(4);
+        ProxyFixture hull = new ProxyFixture(4);
         SplittableRandom random = new SplittableRandom(3);
         hull.server = s -> hull.later(
                 (s.target.instance().equals("i0") ? 80_000 : 8_000) + random.nextInt(2_000), () -> s.answers(200));
-        List<Hull.Client> clients = new ArrayList<>();
+        List<ProxyFixture.Client> clients = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
             clients.add(hull.ask(i % 2 == 0));
             hull.advance(1 + random.nextInt(5_000));
@@ -47,11 +47,11 @@
 
     @Test
     void whatMayHaveRunAndCanNotBeRepeatedIsNeverSentAgain() {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(false);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(false);
         hull.advance(5_000);
         hull.sent.get(0).ends(LOST);
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(hull.sent).hasSize(1);
         assertThat(client.answers).hasSize(1);
         assertThat(client.status()).isEqualTo(502);
@@ -61,9 +61,9 @@
 
     @Test
     void whatIsSilentAndCanNotBeRepeatedIsTimedOut() {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(false);
-        hull.advance(Hull.LEFT - 10_000);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(false);
+        hull.advance(ProxyFixture.LEFT - 10_000);
         assertThat(client.answers).isEmpty();
         hull.advance(20_000);
         assertThat(client.status()).isEqualTo(504);
@@ -76,11 +76,11 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Reason.class,
+            value = RejectionReason.class,
             names = {"FULL", "GONE", "NO_CONNECTION", "MISDIRECTED"})
-    void whatHasNotRunGoesToAnother(Reason reason) {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(false);
+    void whatHasNotRunGoesToAnother(RejectionReason reason) {
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(false);
         hull.sent.get(0).ends(notRun(reason));
         hull.advance(100_000);
         assertThat(hull.sent).hasSize(2);
@@ -96,13 +96,13 @@
 
     @Test
     void whichWayARequestWentIsKept() {
-        Hull hull = new Hull(3);
+        ProxyFixture hull = new ProxyFixture(3);
         hull.ask(false);
         hull.advance(2_000);
         assertThat(hull.wake.of("id1")).isEmpty();
         hull.helm().tell("id1", hull.wake);
         assertThat(hull.wake.of("id1")).singleElement().asString().contains("answer=none yet", "still out");
-        hull.sent.get(0).ends(notRun(Reason.FULL));
+        hull.sent.get(0).ends(notRun(RejectionReason.FULL));
         hull.advance(100_000);
         hull.sent.get(1).answers(201);
         hull.advance(0);
@@ -133,8 +133,8 @@
 
     @Test
     void whatCanBeRepeatedIs() {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(true);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(true);
         hull.sent.get(0).ends(LOST);
         hull.advance(100_000);
         assertThat(hull.sent).hasSize(2);
@@ -146,9 +146,9 @@
 
     @Test
     void whatCanBeRepeatedAndIsSilentIsCopiedInTime() {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(true);
-        hull.advance(Hull.AIM - 10_000);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(true);
+        hull.advance(ProxyFixture.AIM - 10_000);
         assertThat(hull.sent).hasSize(2);
         hull.sent.get(1).answers(200);
         hull.advance(0);
@@ -159,13 +159,13 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whatNobodyHasRoomForIsRefusedInTime(boolean repeatable) {
-        Hull hull = new Hull(3);
-        hull.server = s -> s.ends(notRun(Reason.FULL));
-        Hull.Client client = hull.ask(repeatable);
-        hull.advance(Hull.AIM / 2);
+        ProxyFixture hull = new ProxyFixture(3);
+        hull.server = s -> s.ends(notRun(RejectionReason.FULL));
+        ProxyFixture.Client client = hull.ask(repeatable);
+        hull.advance(ProxyFixture.AIM / 2);
         assertThat(client.status()).isEqualTo(503);
         assertThat(Double.parseDouble(client.retryAfter())).isPositive();
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(client.answers).hasSize(1);
         assertThat(hull.helm().open()).isZero();
     }
@@ -173,10 +173,10 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whatMayHaveRunIsNeverRefused(boolean repeatable) {
-        Hull hull = new Hull(3);
-        hull.server = s -> s.ends(hull.sent.size() == (repeatable ? 1 : 2) ? LOST : notRun(Reason.FULL));
-        Hull.Client client = hull.ask(repeatable);
-        hull.advance(3 * Hull.LEFT);
+        ProxyFixture hull = new ProxyFixture(3);
+        hull.server = s -> s.ends(hull.sent.size() == (repeatable ? 1 : 2) ? LOST : notRun(RejectionReason.FULL));
+        ProxyFixture.Client client = hull.ask(repeatable);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(hull.sent).hasSizeGreaterThan(1);
         assertThat(client.answers).hasSize(1);
         assertThat(client.status()).isIn(502, 504);
@@ -186,8 +186,8 @@
 
     @Test
     void withoutServersItIsRefusedAtOnce() {
-        Hull hull = new Hull(0);
-        Hull.Client client = hull.ask(false);
+        ProxyFixture hull = new ProxyFixture(0);
+        ProxyFixture.Client client = hull.ask(false);
         assertThat(client.status()).isEqualTo(503);
         assertThat(client.retryAfter()).isNotNull();
         hull.servers(1);
@@ -198,10 +198,10 @@
     @ParameterizedTest
     @ValueSource(ints = {404, 409, 500, 504})
     void whatTheServerSaysItselfIsHandedOn(int status) {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(false);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(false);
         hull.sent.get(0).answers(status);
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(hull.sent).hasSize(1);
         assertThat(client.status()).isEqualTo(status);
     }
@@ -210,30 +210,30 @@
     @ParameterizedTest
     @ValueSource(ints = {408, 429, 503})
     void aPromiseThatTheServerDidNotMakeIsNotHandedOn(int status) {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(false);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(false);
         hull.sent.get(0).answers(status);
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(hull.sent).hasSize(1);
         assertThat(client.status()).isEqualTo(502);
-        Hull.Client other = hull.ask(true);
+        ProxyFixture.Client other = hull.ask(true);
         hull.server = s -> s.answers(status);
         hull.sent.get(1).answers(status);
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(other.status()).isEqualTo(status);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whoHasLeftIsAnsweredNoMore(boolean repeatable) {
-        Hull hull = new Hull(3);
-        Hull.Client client = hull.ask(repeatable);
+        ProxyFixture hull = new ProxyFixture(3);
+        ProxyFixture.Client client = hull.ask(repeatable);
         hull.advance(10_000);
         client.leaves();
         hull.advance(0);
         assertThat(hull.sent.get(0).cancelled).isTrue();
-        hull.sent.get(0).ends(repeatable ? notRun(Reason.CANCELLED) : LOST);
-        hull.advance(3 * Hull.LEFT);
+        hull.sent.get(0).ends(repeatable ? notRun(RejectionReason.CANCELLED) : LOST);
+        hull.advance(3 * ProxyFixture.LEFT);
         assertThat(hull.sent).hasSize(1);
         assertThat(client.answers).isEmpty();
         assertThat(hull.helm().open()).isZero();
@@ -243,9 +243,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void eachRequestHasOneTrueAnswer(long seed) {
-        Hull hull = new Hull(3);
+        ProxyFixture hull = new ProxyFixture(3);
         SplittableRandom random = new SplittableRandom(seed);
-        List<Reason> reasons = List.copyOf(EnumSet.allOf(Reason.class));
+        List<RejectionReason> reasons = List.copyOf(EnumSet.allOf(RejectionReason.class));
         hull.server = s -> {
             int fate = random.nextInt(10);
             Runnable end = fate < 5
@@ -263,7 +263,7 @@
                 hull.later(random.nextInt(300_000), end);
             }
         };
-        List<Hull.Client> clients = new ArrayList<>();
+        List<ProxyFixture.Client> clients = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             clients.add(hull.ask(i % 2 == 0));
             hull.advance(random.nextInt(10_000));
@@ -271,19 +271,19 @@
                 hull.servers(random.nextInt(5));
             }
         }
-        hull.advance(3 * Hull.LEFT);
+        hull.advance(3 * ProxyFixture.LEFT);
         for (int i = 0; i < clients.size(); i++) {
-            Hull.Client client = clients.get(i);
-            List<Hull.Sent> tries = hull.attempts("id" + (i + 1));
+            ProxyFixture.Client client = clients.get(i);
+            List<ProxyFixture.Sent> tries = hull.attempts("id" + (i + 1));
             assertThat(client.answers).hasSize(1);
             assertThat(tries).hasSizeLessThanOrEqualTo(i % 2 == 0 ? 4 : 3);
             boolean refused = client.retryAfter() != null;
             assertThat(refused).isEqualTo(client.status() == 503);
             if (refused) {
-                assertThat(tries).allMatch(Hull.Sent::hasNotRun);
+                assertThat(tries).allMatch(ProxyFixture.Sent::hasNotRun);
             } else if (client.status() < 502) {
                 assertThat(tries)
-                        .anyMatch(s -> s.outcome instanceof Outcome.Answered a && a.status() == client.status());
+                        .anyMatch(s -> s.outcome instanceof RequestOutcome.Answered a && a.status() == client.status());
             } else {
                 assertThat(client.status()).isIn(502, 504);
                 assertThat(tries).anyMatch(s -> !s.hasNotRun());
--- a/src/test/java/larkbank/tally/QuotasTest.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/QuotaSharesTest.java
@@ -1,4 +1,4 @@
-package larkbank.tally;
+package org.cypressweir.dataplane.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What tenants get of the whole fleet, in made-up time: pilots and a harbour tell each other sums. */
-class QuotasTest {
+class QuotaSharesTest {
 
     private int fleet = 5;
     private static final long TELL = 200_000;
     private static final long STEP = 500;
 
     private final SplittableRandom random = new SplittableRandom(7);
-    private final List<Quotas> pilots = new ArrayList<>();
-    private final Demands demands = new Demands();
+    private final List<QuotaShares> pilots = new ArrayList<>();
+    private final DemandAggregator demands = new DemandAggregator();
     private final List<Long> served = new ArrayList<>();
     private int asked;
     private int servedOf;
@@ -70,7 +70,7 @@
 
     private void begin() {
         for (int i = 0; i < fleet; i++) {
-            pilots.add(new Quotas());
+            pilots.add(new QuotaShares());
             pilots.get(i).pilots(fleet);
         }
     }
--- a/src/test/java/larkbank/lease/GoldenPreferenceTest.java
+++ b/src/test/java/org/cypressweir/fleet/lease/GoldenPreferenceTest.java
@@ -1,4 +1,4 @@
-package larkbank.lease;
+package org.cypressweir.fleet.lease;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import larkbank.golden.Golden;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.Test;
 
 /** Which process comes first for which lease, and the number of a set of lease keepers. */
@@ -39,8 +39,8 @@
         List<InetSocketAddress> three = List.of(address(1), address(2), address(3));
         List<InetSocketAddress> others = List.of(address(3), address(4), address(5));
         List<String> lines = new ArrayList<>();
-        lines.add(Long.toHexString(new LeasePlan(three, null, 1, 0.01, false, Map.of()).set()));
-        lines.add(Long.toHexString(new LeasePlan(others, three, 1, 0.01, false, Map.of()).set()));
+        lines.add(Long.toHexString(new LeaseOptions(three, null, 1, 0.01, false, Map.of()).set()));
+        lines.add(Long.toHexString(new LeaseOptions(others, three, 1, 0.01, false, Map.of()).set()));
         Golden.assertSame("hashes/keeper-sets.txt", lines);
     }
 }
--- a/src/test/java/larkbank/membership/GoldenRingsTest.java
+++ b/src/test/java/org/cypressweir/fleet/membership/GoldenRingsTest.java
@@ -1,4 +1,4 @@
-package larkbank.membership;
+package org.cypressweir.fleet.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.golden.Golden;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.Test;
 
 /** Who watches whom, and the digests of entries: every process has to count them alike. */
@@ -24,7 +24,7 @@
 
     @Test
     void watchersAreTheSame() {
-        Rings rings = new Rings(names(MEMBERS));
+        MonitoringRings rings = new MonitoringRings(names(MEMBERS));
         List<String> lines = new ArrayList<>();
         for (String name : names(MEMBERS + 4)) {
             lines.add(name + " " + String.join(" ", rings.around(name)));
@@ -35,20 +35,20 @@
     @Test
     void digestsOfEntriesAreTheSame() {
         Peer peer = new Peer("proxy-1", LIFE, 0, 3, new InetSocketAddress("10.0.0.1", 1));
-        List<String> digests = Stream.of(Standing.values())
-                .map(standing -> Long.toHexString(new Entry(peer, standing, 5, Map.of(), 0).hash()))
+        List<String> digests = Stream.of(MemberStatus.values())
+                .map(standing -> Long.toHexString(new MemberRecord(peer, standing, 5, Map.of(), 0).hash()))
                 .toList();
         Golden.assertSame("hashes/entry-digests.txt", digests);
-        assertThat(Standing.values()).hasSize(digests.size());
+        assertThat(MemberStatus.values()).hasSize(digests.size());
     }
 
     /** Compared between processes, as a whole and by parts. */
     @Test
     void digestsOfARosterAreTheSame() {
-        Roster roster = new Roster();
+        MemberTable roster = new MemberTable();
         for (String name : names(MEMBERS)) {
             Peer peer = new Peer(name, LIFE, 0, 1, new InetSocketAddress("10.0.0.1", 1));
-            roster.put(0, new Entry(peer, Standing.MEMBER, 0, Map.of(), 0), true);
+            roster.put(0, new MemberRecord(peer, MemberStatus.MEMBER, 0, Map.of(), 0), true);
         }
         Golden.assertSame(
                 "hashes/roster-digests.txt",
@@ -61,9 +61,9 @@
     /** Electors tell it to those whom they count. */
     @Test
     void digestOfCountedProcessesIsTheSame() {
-        Elector elector = new Elector(0, RELEASE_MICROS, MEMBERS);
+        ShareVoter elector = new ShareVoter(0, RELEASE_MICROS, MEMBERS);
         elector.ask(RELEASE_MICROS, "proxy-1/1f");
-        Elector.Grant grant = elector.ask(RELEASE_MICROS, "proxy-2/20");
+        ShareVoter.Grant grant = elector.ask(RELEASE_MICROS, "proxy-2/20");
         Golden.assertSame("hashes/counted-digest.txt", List.of(grant.count() + " " + grant.digest()));
     }
 }
--- a/src/test/java/larkbank/fleet/LentListTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,16 +8,16 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
-import larkbank.testkit.Configs;
-import larkbank.testkit.Crew;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.Configs;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process that starts while discovery is dead. */
 @Timeout(120)
-class LentListTest {
+class BorrowedEndpointListTest {
 
     @TempDir
     Path folder;
@@ -25,7 +25,7 @@
     private final HttpClient client = HttpClient.newHttpClient();
     private int ids;
 
-    private int ask(Crew crew, int i) throws Exception {
+    private int ask(SidecarProcesses crew, int i) throws Exception {
         return client.send(
                         HttpRequest.newBuilder(URI.create(
                                         "http://127.0.0.1:" + crew.front(i).getPort() + "/search/k"))
@@ -37,17 +37,17 @@
                 .statusCode();
     }
 
-    private static void ready(Crew crew, int i) throws Exception {
+    private static void ready(SidecarProcesses crew, int i) throws Exception {
         crew.within(15_000, "ready", () -> crew.ask(i, "READY").equals("YES\n"));
     }
 
     /** Its own configuration names servers that are long gone, or drain; others know the one that serves. */
     @Test
     void whoeverStartsWhileDiscoveryIsDeadTakesTheNewestListOfTheOthers() throws Exception {
-        try (Stub gone = new Stub(Stub.serves("gone"));
-                Stub drains = new Stub(Stub.serves("drains"));
-                Stub serves = new Stub(Stub.serves("serves"));
-                Crew crew = new Crew(folder, 1, 3, 1_000, gone, drains)) {
+        try (PeerStub gone = new PeerStub(PeerStub.serves("gone"));
+                PeerStub drains = new PeerStub(PeerStub.serves("drains"));
+                PeerStub serves = new PeerStub(PeerStub.serves("serves"));
+                SidecarProcesses crew = new SidecarProcesses(folder, 1, 3, 1_000, gone, drains)) {
             String old = Configs.json(Configs.list(4, true, "in_service", gone, drains));
             String list = Configs.json(Configs.list(7, true, "in_service", serves)
                     .replace(
@@ -67,7 +67,7 @@
             ready(crew, 0);
             crew.within(5_000, "the older list", () -> crew.discovery.seen.size() >= 2);
             crew.signal(0, "STOP");
-            for (Stub.Seen seen : crew.discovery.seen) {
+            for (PeerStub.Seen seen : crew.discovery.seen) {
                 seen.socket().close();
             }
             told[0] = list;
@@ -87,7 +87,7 @@
             }
             assertEquals(before, gone.seen.size() + drains.seen.size(), "of those that it must not use");
             assertEquals(served + 50, serves.seen.size());
-            Crew.Event loan = crew.history().stream()
+            SidecarProcesses.Event loan = crew.history().stream()
                     .filter(e -> e.process().equals("n2") && e.event().equals("borrowed"))
                     .findFirst()
                     .orElseThrow();
--- a/src/test/java/larkbank/fleet/GoldenDatagramsTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/GoldenDatagramsTest.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import larkbank.golden.Golden;
-import larkbank.lease.Word;
-import larkbank.membership.Entry;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Report;
-import larkbank.membership.Standing;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.membership.FailureReport;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.golden.Golden;
 import org.junit.jupiter.api.Test;
 
 /** The datagrams of membership and of leases, one of each kind, to the byte. */
@@ -38,43 +38,43 @@
                 new InetSocketAddress(InetAddress.getByAddress(address), 7_946));
     }
 
-    private static List<Entry> entries() throws UnknownHostException {
+    private static List<MemberRecord> entries() throws UnknownHostException {
         Map<String, String> facts = new LinkedHashMap<>();
         facts.put("address", "10.0.0.1:80");
         facts.put("zone", "\u00e9");
-        List<Entry> entries = new ArrayList<>();
-        for (Standing standing : Standing.values()) {
-            entries.add(new Entry(peer("m" + standing.ordinal(), 2), standing, 3, facts, 4));
+        List<MemberRecord> entries = new ArrayList<>();
+        for (MemberStatus standing : MemberStatus.values()) {
+            entries.add(new MemberRecord(peer("m" + standing.ordinal(), 2), standing, 3, facts, 4));
         }
         return entries;
     }
 
-    private static Message message(Message.Kind kind) throws UnknownHostException {
-        return new Message(
+    private static MembershipMessage message(MembershipMessage.Kind kind) throws UnknownHostException {
+        return new MembershipMessage(
                 kind,
                 peer("sender", 1),
                 "receiver",
                 1L << 40,
                 -5,
                 entries(),
-                List.of(new Report("r", 1, "m", 2, 3, true), new Report("r", 1, "n", 2, 4, false)),
+                List.of(new FailureReport("r", 1, "m", 2, 3, true), new FailureReport("r", 1, "n", 2, 4, false)),
                 List.of(0, -1, 1 << 30),
                 "why",
                 new byte[] {0, 1, -1});
     }
 
-    private static Word word(Word.Kind kind) {
+    private static LeaseMessage word(LeaseMessage.Kind kind) {
         Map<String, Long> tops = new LinkedHashMap<>();
         tops.put("lease-a", 8L);
         tops.put("lease-b", 1L << 40);
-        return new Word(kind, "lease-a", "holder/1f", 7, 6, 5_000_000, -9, tops);
+        return new LeaseMessage(kind, "lease-a", "holder/1f", 7, 6, 5_000_000, -9, tops);
     }
 
     @Test
     void datagramsAreTheSame() throws UnknownHostException {
         List<String> lines = new ArrayList<>();
-        for (Message.Kind kind : Message.Kind.values()) {
-            lines.add(kind.ordinal() + " " + HEX.formatHex(new Wire(CLUSTER).write(message(kind))));
+        for (MembershipMessage.Kind kind : MembershipMessage.Kind.values()) {
+            lines.add(kind.ordinal() + " " + HEX.formatHex(new MembershipMessageCodec(CLUSTER).write(message(kind))));
         }
         Golden.assertSame(MEMBERSHIP, lines);
     }
@@ -83,8 +83,8 @@
     void datagramsAreRead() throws Exception {
         for (String line : Golden.text(MEMBERSHIP).split("\n")) {
             String[] parts = line.split(" ");
-            Message read = new Wire(CLUSTER).read(HEX.parseHex(parts[1]));
-            Message expected = message(Message.Kind.values()[Integer.parseInt(parts[0])]);
+            MembershipMessage read = new MembershipMessageCodec(CLUSTER).read(HEX.parseHex(parts[1]));
+            MembershipMessage expected = message(MembershipMessage.Kind.values()[Integer.parseInt(parts[0])]);
             assertThat(read).usingRecursiveComparison().isEqualTo(expected);
         }
     }
@@ -93,24 +93,24 @@
     void leaseMessagesAreTheSame() {
         Golden.assertSame(
                 LEASES,
-                Stream.of(Word.Kind.values())
-                        .map(kind -> kind.ordinal() + " " + HEX.formatHex(LeaseWire.write(word(kind))))
+                Stream.of(LeaseMessage.Kind.values())
+                        .map(kind -> kind.ordinal() + " " + HEX.formatHex(LeaseMessageCodec.write(word(kind))))
                         .toList());
     }
 
     @Test
-    void leaseMessagesAreRead() throws Wire.Dropped {
+    void leaseMessagesAreRead() throws MembershipMessageCodec.Dropped {
         for (String line : Golden.text(LEASES).split("\n")) {
             String[] parts = line.split(" ");
-            assertThat(LeaseWire.read(HEX.parseHex(parts[1])))
-                    .isEqualTo(word(Word.Kind.values()[Integer.parseInt(parts[0])]));
+            assertThat(LeaseMessageCodec.read(HEX.parseHex(parts[1])))
+                    .isEqualTo(word(LeaseMessage.Kind.values()[Integer.parseInt(parts[0])]));
         }
     }
 
     /** The names under which dropped datagrams are counted in the answer about members. */
     @Test
     void causesOfDroppedDatagrams() {
-        assertThat(Stream.of(Wire.Fault.values()).map(Enum::name))
+        assertThat(Stream.of(MembershipMessageCodec.Fault.values()).map(Enum::name))
                 .containsExactly("TOO_LONG", "TORN", "FOREIGN", "NEWER", "NONSENSE");
     }
 }
--- a/src/test/java/larkbank/fleet/LeaseCrewTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,27 +12,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import larkbank.testkit.Actors;
-import larkbank.testkit.Crew;
-import larkbank.testkit.Relay;
+import org.cypressweir.testkit.DatagramRelay;
+import org.cypressweir.testkit.LeaseHolders;
+import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Leases among processes of the program, with faults between them: two holders never act at once. */
 @Timeout(120)
-class LeaseCrewTest extends CrewCase {
+class LeaseProcessTest extends SidecarProcessTestCase {
 
     private static final long PAUSE = 500;
     private static final long TERM = 1_200;
     /** A keeper that has just started says nothing for a term, and then asks the others. */
     private static final long KEEPERS = 2 * TERM;
 
-    private static String file(Crew crew, String text, int... keepers) {
+    private static String file(SidecarProcesses crew, String text, int... keepers) {
         return text + "[keepers]\naddresses = [" + addresses(crew, keepers) + "]\n[leases.job]\nterm = \"" + TERM
                 + "ms\"\n";
     }
 
-    private static String addresses(Crew crew, int... places) {
+    private static String addresses(SidecarProcesses crew, int... places) {
         return IntStream.of(places)
                 .mapToObj(k -> {
                     try {
@@ -47,7 +47,7 @@
     private void crew(int members) throws Exception {
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new Crew(folder, seed, members, PAUSE, server);
+        crew = new SidecarProcesses(folder, seed, members, PAUSE, server);
         crew.seeds(3);
         crew.operators(text -> file(crew, text, 0, 1, 2));
         for (int i = 0; i < members; i++) {
@@ -68,15 +68,16 @@
         TimeUnit.MILLISECONDS.sleep(KEEPERS);
     }
 
-    private int holder(Actors actors, String when) throws Exception {
+    private int holder(LeaseHolders actors, String when) throws Exception {
         crew.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder()
                 .isEmpty());
         return Integer.parseInt(actors.holder().substring(1));
     }
 
     /** Somebody else acts by then. */
-    private long another(Actors actors, int than, String when, long millis) throws Exception {
-        long took = crew.within(millis, when + ": somebody else holds", () -> actors.actsBesides(Crew.name(than)));
+    private long another(LeaseHolders actors, int than, String when, long millis) throws Exception {
+        long took = crew.within(
+                millis, when + ": somebody else holds", () -> actors.actsBesides(SidecarProcesses.name(than)));
         System.out.println(when + ": " + took + " ms");
         assertEquals(List.of(), actors.wrong(), when);
         return took;
@@ -86,7 +87,7 @@
     void twoHoldersNeverActAtOnceWhateverFails() throws Exception {
         crew(5);
         settled();
-        try (Actors actors = new Actors(crew, "job")) {
+        try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
             int holder = holder(actors, "the beginning");
             crew.signal(holder, "STOP");
             another(actors, holder, "stopped for longer than the term", TERM + 1_000);
@@ -115,9 +116,9 @@
             another(actors, small, "cut off alone", TERM + 1_000);
             crew.relay.cut((from, to) -> true);
 
-            crew.relay.weather(new Relay.Weather(0.2, 0.1, 0.1, TERM, 0.02));
+            crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM, 0.02));
             TimeUnit.MILLISECONDS.sleep(2 * TERM);
-            crew.relay.weather(Relay.Weather.FAIR);
+            crew.relay.weather(DatagramRelay.Weather.FAIR);
             crew.within(STARTED, "all see all", () -> crew.see(5, 0, 1, 2, 3, 4));
             for (int keeper = 0; keeper < 3; keeper++) {
                 crew.kill(keeper);
@@ -165,7 +166,7 @@
     void keepersAreReplacedAtSighupInTwoStepsOnly() throws Exception {
         crew(5);
         settled();
-        try (Actors actors = new Actors(crew, "job")) {
+        try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
             holder(actors, "the first keepers");
             crew.operators(text -> file(crew, text, 0, 3, 4));
             reread("one step");
@@ -248,7 +249,7 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "larkbank.Main",
+                "org.cypressweir.sidecar.Main",
                 "lease",
                 "run",
                 "--door",
--- a/src/test/java/larkbank/fleet/CrewTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/MembershipProcessTest.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,21 +25,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.cli.CommandLineTool;
-import larkbank.membership.Entry;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Standing;
-import larkbank.testkit.Crew;
-import larkbank.testkit.FaultPlan;
-import larkbank.testkit.Platform;
-import larkbank.testkit.Relay;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.sidecar.cli.CommandLineTool;
+import org.cypressweir.testkit.DatagramRelay;
+import org.cypressweir.testkit.FaultSchedule;
+import org.cypressweir.testkit.Platform;
+import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Processes of the program among each other, with faults between them. */
 @Timeout(120)
-class CrewTest extends CrewCase {
+class MembershipProcessTest extends SidecarProcessTestCase {
 
     private static final long PAUSE = 1_000;
     /** Silence of a member that counts, and what a word takes to all: told in the program's own times. */
@@ -50,7 +50,7 @@
     private void crew(int members) throws Exception {
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new Crew(folder, seed, members, PAUSE, server);
+        crew = new SidecarProcesses(folder, seed, members, PAUSE, server);
         int[] all = IntStream.range(0, members).toArray();
         for (int i : all) {
             crew.start(i);
@@ -59,8 +59,8 @@
     }
 
     /** What these processes saw of any member's end since then. */
-    private List<Crew.Event> ends(long since, Integer... by) throws Exception {
-        Set<String> names = Set.copyOf(Stream.of(by).map(Crew::name).toList());
+    private List<SidecarProcesses.Event> ends(long since, Integer... by) throws Exception {
+        Set<String> names = Set.copyOf(Stream.of(by).map(SidecarProcesses::name).toList());
         return crew.history().stream()
                 .filter(e -> e.mono() > since
                         && names.contains(e.process())
@@ -95,7 +95,7 @@
         assertEquals(0, crew.process(1).exitValue());
         List<String> seen = crew.history().stream()
                 .filter(e -> e.process().equals("n0") && e.about().equals("n1"))
-                .map(Crew.Event::event)
+                .map(SidecarProcesses.Event::event)
                 .toList();
         assertEquals(List.of("joined", "left"), seen);
     }
@@ -121,9 +121,9 @@
         crew.signal(2, "STOP");
         TimeUnit.MILLISECONDS.sleep(PAUSE * 7 / 10);
         crew.signal(2, "CONT");
-        crew.relay.weather(new Relay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+        crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
         still();
-        crew.relay.weather(Relay.Weather.FAIR);
+        crew.relay.weather(DatagramRelay.Weather.FAIR);
         assertEquals(List.of(), ends(begun, 0, 1, 2, 3, 4), "a short pause, and loss");
 
         crew.kill(3);
@@ -139,7 +139,7 @@
         assertEquals(
                 Set.of("n4"),
                 Set.copyOf(ends(stopped, 0, 1, 2, 3, 4).stream()
-                        .map(Crew.Event::about)
+                        .map(SidecarProcesses.Event::about)
                         .toList()),
                 "it accuses nobody when it wakes");
 
@@ -185,8 +185,8 @@
         crew(5);
         long seed = System.nanoTime();
         System.out.println("fault plan seed " + seed);
-        FaultPlan plan = new FaultPlan(crew, PAUSE);
-        for (FaultPlan.Step step : FaultPlan.draw(seed, 5, 4, PAUSE)) {
+        FaultSchedule plan = new FaultSchedule(crew, PAUSE);
+        for (FaultSchedule.Step step : FaultSchedule.draw(seed, 5, 4, PAUSE)) {
             plan.play(step);
         }
     }
@@ -219,7 +219,7 @@
     /** A process that takes the clients' socket over from another of its name is the same member. */
     @Test
     void oneThatFollowsAnotherOnItsSocketTakesItsPlaceAmongTheMembers() throws Exception {
-        crew = new Crew(folder, System.nanoTime(), 3, PAUSE, server);
+        crew = new SidecarProcesses(folder, System.nanoTime(), 3, PAUSE, server);
         try (Platform platform = new Platform()) {
             crew.start(0);
             crew.start(1);
@@ -261,7 +261,7 @@
                 .findFirst()
                 .orElse("");
         assertTrue(
-                last.startsWith("larkbank: name 'n1' is taken by the process at 127.0.0.1:"),
+                last.startsWith("cypressweir-sidecar: name 'n1' is taken by the process at 127.0.0.1:"),
                 Files.readString(crew.log(2)));
         assertTrue(crew.see(2, 0, 1));
         assertEquals(List.of(), ends(begun, 0, 1));
@@ -345,19 +345,20 @@
         long begun = mono();
         SplittableRandom random = new SplittableRandom(7);
         Peer peer = new Peer("n1", 1, 1, 99, new InetSocketAddress("127.0.0.1", 9));
-        byte[] good = new Wire("mu")
-                .write(new Message(
-                        Message.Kind.NEWS,
+        byte[] good = new MembershipMessageCodec("mu")
+                .write(new MembershipMessage(
+                        MembershipMessage.Kind.NEWS,
                         peer,
                         "n0",
                         1,
                         2,
-                        List.of(new Entry(peer, Standing.LEFT, 3, Map.of("a", "b"), 0)),
+                        List.of(new MemberRecord(peer, MemberStatus.LEFT, 3, Map.of("a", "b"), 0)),
                         List.of(),
                         List.of(),
                         ""));
-        byte[] foreign = new Wire("other")
-                .write(new Message(Message.Kind.NEWS, peer, "n0", 1, 2, List.of(), List.of(), List.of(), ""));
+        byte[] foreign = new MembershipMessageCodec("other")
+                .write(new MembershipMessage(
+                        MembershipMessage.Kind.NEWS, peer, "n0", 1, 2, List.of(), List.of(), List.of(), ""));
         for (int sent = 1; sent <= 3_000; sent++) {
             byte[] bytes = Arrays.copyOf(good, 1 + random.nextInt(2 * good.length));
             for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
--- a/src/test/java/larkbank/fleet/SharesTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,9 +16,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.ConcurrentSkipListSet;
 import java.util.concurrent.TimeUnit;
-import larkbank.testkit.Configs;
-import larkbank.testkit.Crew;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.Configs;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -46,11 +46,11 @@
     @TempDir
     Path folder;
 
-    private final List<Stub> servers = new ArrayList<>();
+    private final List<PeerStub> servers = new ArrayList<>();
     private final Queue<Long> calls = new ConcurrentLinkedQueue<>();
     private final Set<Integer> asked = new ConcurrentSkipListSet<>();
     private final HttpClient client = HttpClient.newHttpClient();
-    private Crew crew;
+    private SidecarProcesses crew;
     private int starts;
     private int ids;
     private int worst;
@@ -58,7 +58,7 @@
     @AfterEach
     void close() throws Exception {
         crew.close();
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             server.close();
         }
     }
@@ -70,7 +70,7 @@
 
     private void crew() throws Exception {
         for (int i = 0; i < SERVERS; i++) {
-            Stub server = new Stub(seen -> {
+            PeerStub server = new PeerStub(seen -> {
                 // So that requests of one round are out together and each has a connection of its own.
                 try {
                     TimeUnit.MILLISECONDS.sleep(40);
@@ -84,8 +84,8 @@
         }
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new Crew(folder, seed, MEMBERS, 1_000, servers.toArray(Stub[]::new));
-        String list = Configs.json(Configs.list(2, true, "in_service", servers.toArray(Stub[]::new)));
+        crew = new SidecarProcesses(folder, seed, MEMBERS, 1_000, servers.toArray(PeerStub[]::new));
+        String list = Configs.json(Configs.list(2, true, "in_service", servers.toArray(PeerStub[]::new)));
         crew.discovery.script(seen -> {
             calls.add(System.nanoTime());
             seen.reply("200 OK", "", list);
@@ -122,7 +122,7 @@
             answer.get(30, TimeUnit.SECONDS);
         }
         TimeUnit.MILLISECONDS.sleep(SETTLED);
-        int open = servers.stream().mapToInt(Stub::open).sum();
+        int open = servers.stream().mapToInt(PeerStub::open).sum();
         worst = Math.max(worst, open);
         assertTrue(open <= BOUND, () -> open + " connections are open, of " + BOUND + " by all\n" + parts());
         return open;
@@ -131,7 +131,7 @@
     private String parts() {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < MEMBERS; i++) {
-            all.append(Crew.name(i))
+            all.append(SidecarProcesses.name(i))
                     .append(' ')
                     .append(crew.members(i).get("share"))
                     .append('\n');
--- a/src/test/java/larkbank/fleet/CrewCase.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SidecarProcessTestCase.java
@@ -1,14 +1,14 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import java.nio.file.Path;
-import larkbank.testkit.Crew;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A folder, a server that answers and a crew of processes, which are ended with each test. */
-abstract class CrewCase {
+abstract class SidecarProcessTestCase {
 
     /** Until a process has started and found the others. */
     static final long STARTED = 15_000;
@@ -16,12 +16,12 @@
     @TempDir
     Path folder;
 
-    Stub server;
-    Crew crew;
+    PeerStub server;
+    SidecarProcesses crew;
 
     @BeforeEach
     void open() throws Exception {
-        server = new Stub(Stub.serves("ok"));
+        server = new PeerStub(PeerStub.serves("ok"));
     }
 
     @AfterEach
--- a/src/test/java/larkbank/golden/ConsensusMessagesTest.java
+++ b/src/test/java/org/cypressweir/golden/ConsensusMessagesTest.java
@@ -1,4 +1,4 @@
-package larkbank.golden;
+package org.cypressweir.golden;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,19 +10,19 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larkbank.copies.Ballot;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Effect;
-import larkbank.copies.Standing;
-import larkbank.lading.RecordedLine;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Past;
-import larkbank.manifest.Table;
-import larkbank.testkit.CopiesWorld;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.RecordedPeerConnection;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.SupersededVersion;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.testkit.SimulatedReplicas;
 import org.junit.jupiter.api.Test;
 
 /** The messages of consensus: what one replica answers to fixed ones, and what three send of themselves. */
@@ -50,7 +50,7 @@
     private static final String OWN = "10.0.0.1:7";
     private static final String PEER = "10.0.0.2:7/42";
     private static final List<String> VOTERS = List.of(OWN, PEER, "10.0.0.3:7");
-    private static final Ballot ACCEPTED = new Ballot(9, PEER);
+    private static final ProposalNumber ACCEPTED = new ProposalNumber(9, PEER);
     private static final long NOW = 1_000_000;
     private static final long LIFE = 77;
     private static final long SEED = 11;
@@ -58,30 +58,39 @@
 
     private static final List<Item> ITEMS = List.of(
             new Item(
-                    new Key(Table.ROUTES, "orders"),
+                    new ItemKey(ItemType.ROUTES, "orders"),
                     3,
                     Map.of("prefix", "/orders"),
-                    List.of(new Past(1, "0123456789abcdef"), new Past(2, "-"))),
-            new Item(new Key(Table.TENANTS, "acme"), 1, Map.of("priority", 2L)),
-            new Item(new Key(Table.SERVICES, "till"), 2, null, List.of(new Past(1, "fedcba9876543210"))),
-            new Item(Key.LIMITS, 1, Map.of("perProxy", 100L)));
+                    List.of(new SupersededVersion(1, "0123456789abcdef"), new SupersededVersion(2, "-"))),
+            new Item(new ItemKey(ItemType.TENANTS, "acme"), 1, Map.of("priority", 2L)),
+            new Item(
+                    new ItemKey(ItemType.SERVICES, "till"),
+                    2,
+                    null,
+                    List.of(new SupersededVersion(1, "fedcba9876543210"))),
+            new Item(ItemKey.LIMITS, 1, Map.of("perProxy", 100L)));
     private static final Item CHANGED = new Item(
-            new Key(Table.TENANTS, "acme"), 2, Map.of("priority", 3L), List.of(new Past(1, "0011223344556677")));
+            new ItemKey(ItemType.TENANTS, "acme"),
+            2,
+            Map.of("priority", 3L),
+            List.of(new SupersededVersion(1, "0011223344556677")));
 
     /** One replica whose writes come back at once. */
     private static final class Replica {
-        private final Copies copies;
+        private final ConsensusReplica copies;
         private final List<String> lines = new ArrayList<>();
 
         Replica(boolean knowsState) {
-            Standing stored = knowsState ? new Standing(ACCEPTED, ACCEPTED, VOTERS, ITEMS, false, 0) : null;
-            copies = new Copies(CopiesPlan.usual(), OWN, VOTERS, false, stored, LIFE, new SplittableRandom(SEED), NOW);
+            PersistentState stored =
+                    knowsState ? new PersistentState(ACCEPTED, ACCEPTED, VOTERS, ITEMS, false, 0) : null;
+            copies = new ConsensusReplica(
+                    ConsensusOptions.usual(), OWN, VOTERS, false, stored, LIFE, new SplittableRandom(SEED), NOW);
         }
 
         void receives(Map<String, Object> message) {
             String json = json(message);
             lines.add("< " + json);
-            act(copies.received(NOW, PEER, RecordedLine.head(json)));
+            act(copies.received(NOW, PEER, RecordedPeerConnection.head(json)));
         }
 
         void leaves() {
@@ -100,11 +109,11 @@
     }
 
     private static String json(Map<String, ?> message) {
-        return new String(Scribe.bytes(message), StandardCharsets.UTF_8);
+        return new String(JsonCodec.bytes(message), StandardCharsets.UTF_8);
     }
 
-    private static Map<String, Object> accept(String ballot, Ballot base, long sum) {
-        return Scribe.map(
+    private static Map<String, Object> accept(String ballot, ProposalNumber base, long sum) {
+        return JsonCodec.map(
                 "t",
                 "copies.accept",
                 "to",
@@ -128,20 +137,20 @@
     }
 
     private static List<String> repliesOfAcceptor() {
-        long sum = Manifest.of(ITEMS).with(List.of(CHANGED)).sum();
+        long sum = Configuration.of(ITEMS).with(List.of(CHANGED)).sum();
         Replica replica = new Replica(true);
-        replica.receives(Scribe.map("t", "copies.prepare", "to", OWN, "b", "3@" + PEER));
-        replica.receives(Scribe.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
+        replica.receives(JsonCodec.map("t", "copies.prepare", "to", OWN, "b", "3@" + PEER));
+        replica.receives(JsonCodec.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
         replica.receives(accept("10@" + PEER, ACCEPTED, sum + 1));
-        replica.receives(accept("10@" + PEER, new Ballot(8, PEER), sum));
-        replica.receives(
-                Scribe.map("t", "copies.fetch", "b", ACCEPTED.toString(), "ask", 5L, "part", 0L, "has", List.of("0@")));
+        replica.receives(accept("10@" + PEER, new ProposalNumber(8, PEER), sum));
+        replica.receives(JsonCodec.map(
+                "t", "copies.fetch", "b", ACCEPTED.toString(), "ask", 5L, "part", 0L, "has", List.of("0@")));
         replica.receives(accept("10@" + PEER, ACCEPTED, sum));
-        replica.receives(Scribe.map(
+        replica.receives(JsonCodec.map(
                 "t", "copies.fetch", "b", "10@" + PEER, "ask", 6L, "part", 0L, "has", List.of(ACCEPTED.toString())));
-        replica.receives(Scribe.map("t", "copies.fetch", "b", "4@" + PEER, "ask", 7L, "part", 0L, "has", List.of()));
-        replica.receives(Scribe.map("t", "copies.teach", "life", 5L));
-        replica.receives(Scribe.map(
+        replica.receives(JsonCodec.map("t", "copies.fetch", "b", "4@" + PEER, "ask", 7L, "part", 0L, "has", List.of()));
+        replica.receives(JsonCodec.map("t", "copies.teach", "life", 5L));
+        replica.receives(JsonCodec.map(
                 "t",
                 "copies.tell",
                 "life",
@@ -164,16 +173,16 @@
                 LIFE,
                 "echo",
                 1L));
-        replica.receives(Scribe.map("t", "copies.leave", "life", 4L));
+        replica.receives(JsonCodec.map("t", "copies.leave", "life", 4L));
         replica.leaves();
         return replica.lines;
     }
 
     private static List<String> repliesOfEmptyReplica() {
         Replica replica = new Replica(false);
-        replica.receives(Scribe.map("t", "copies.teach", "life", 5L));
-        replica.receives(Scribe.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
-        replica.receives(Scribe.map(
+        replica.receives(JsonCodec.map("t", "copies.teach", "life", 5L));
+        replica.receives(JsonCodec.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
+        replica.receives(JsonCodec.map(
                 "t",
                 "copies.tell",
                 "life",
@@ -202,7 +211,7 @@
     /** By kind, the first message that is sent in a run of three, of whom one is replaced. */
     private static Map<String, String> firstOfEachKind() {
         Map<String, String> first = new TreeMap<>();
-        CopiesWorld world = new CopiesWorld(SEED, 3);
+        SimulatedReplicas world = new SimulatedReplicas(SEED, 3);
         world.sent = message -> first.putIfAbsent(String.valueOf(message.get("t")), json(message));
         world.run(SECOND);
         world.await(world.submit(world.harbour(1), tenant("acme", 1), SECOND));
--- a/src/test/java/larkbank/golden/EnumTextsTest.java
+++ b/src/test/java/org/cypressweir/golden/EnumTextsTest.java
@@ -1,4 +1,4 @@
-package larkbank.golden;
+package org.cypressweir.golden;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,19 +7,19 @@
 import java.util.Locale;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import larkbank.LoadBalancer;
-import larkbank.cell.CellsPlan;
-import larkbank.daily.Standing;
-import larkbank.lading.Calls;
-import larkbank.lading.Fault;
-import larkbank.lease.Word;
-import larkbank.manifest.Table;
-import larkbank.membership.Change;
-import larkbank.membership.Message;
-import larkbank.operators.LimitKey;
-import larkbank.operators.Retryable;
-import larkbank.quay.Reason;
-import larkbank.websocket.UpgradeAccount;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.sidecar.admin.SidecarLifecycle;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.operatorconfig.LimitKey;
+import org.cypressweir.sidecar.operatorconfig.Retryable;
+import org.cypressweir.sidecar.websocket.UpgradeAccount;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -40,7 +40,7 @@
     @Test
     void kindsOfErrors() {
         assertThat(texts(
-                        Fault.values(),
+                        ErrorKind.values(),
                         fault -> fault.name() + ", " + fault.words() + ", " + fault.status() + ", " + fault.saysWhen()))
                 .containsExactly(
                         "NO_ROUTE, no route, 404, false",
@@ -61,21 +61,21 @@
     /** The field "why" between proxies, as they are; in traces of requests lower case, with blanks. */
     @Test
     void reasonsWhyARequestHasNotRun() {
-        assertThat(texts(Reason.values(), Reason::name))
+        assertThat(texts(RejectionReason.values(), RejectionReason::name))
                 .containsExactly("FULL", "LATE", "GONE", "MISDIRECTED", "NO_CONNECTION", "CANCELLED", "REFUSED");
     }
 
     /** On the wire and in keys on the disk. */
     @Test
     void tables() {
-        assertThat(texts(Table.values(), Table::wire))
+        assertThat(texts(ItemType.values(), ItemType::wire))
                 .containsExactly("routeTable", "tenantTable", "serviceTable", "limits");
     }
 
     @Test
     void calls() {
         List<String> calls = new ArrayList<>();
-        for (Calls call : Calls.values()) {
+        for (ApiCall call : ApiCall.values()) {
             calls.add(call.method() + " " + call.path());
         }
         assertThat(calls)
@@ -88,19 +88,20 @@
                         "POST /cypressweir/copies/begin",
                         "GET /cypressweir/state",
                         "GET /cypressweir/why/");
-        assertThat(Calls.HEARTBEAT.name("/cypressweir/instances/a/heartbeat")).contains("a");
-        assertThat(Calls.DEREGISTER.name("/cypressweir/instances/a/deregister")).contains("a");
+        assertThat(ApiCall.HEARTBEAT.name("/cypressweir/instances/a/heartbeat")).contains("a");
+        assertThat(ApiCall.DEREGISTER.name("/cypressweir/instances/a/deregister"))
+                .contains("a");
     }
 
     /** Sent by their number in datagrams. */
     @Test
     void orderOfWhatIsSentByNumber() {
-        assertThat(texts(Message.Kind.values(), Enum::name))
+        assertThat(texts(MembershipMessage.Kind.values(), Enum::name))
                 .containsExactly(
                         "PING", "ACK", "NEWS", "COMPARE", "REFUSE", "COUNT", "COUNTED", "BORROW", "LEND", "LEASE");
-        assertThat(texts(larkbank.membership.Standing.values(), Enum::name))
+        assertThat(texts(org.cypressweir.fleet.membership.MemberStatus.values(), Enum::name))
                 .containsExactly("CANDIDATE", "MEMBER", "OUT", "LEFT");
-        assertThat(texts(Word.Kind.values(), Enum::name))
+        assertThat(texts(LeaseMessage.Kind.values(), Enum::name))
                 .containsExactly("ASK", "YES", "NO", "FREE", "HINT", "LEARN", "LEARNED");
     }
 
@@ -113,15 +114,17 @@
     /** A fact that a member tells of itself, lower case. */
     @Test
     void statesOfTheSidecar() {
-        assertThat(texts(Standing.State.values(), EnumTextsTest::lower))
+        assertThat(texts(SidecarLifecycle.State.values(), EnumTextsTest::lower))
                 .containsExactly("starting", "starting_drained", "serving", "draining", "drained", "stopping");
     }
 
     /** The operators' file, and what is explained of it. */
     @Test
     void wordsOfTheOperatorsFile() {
-        assertThat(texts(CellsPlan.Unit.values(), EnumTextsTest::lower)).containsExactly("tenant", "key", "header");
-        assertThat(texts(CellsPlan.Spread.values(), EnumTextsTest::lower)).containsExactly("server", "group");
+        assertThat(texts(CellsConfiguration.Unit.values(), EnumTextsTest::lower))
+                .containsExactly("tenant", "key", "header");
+        assertThat(texts(CellsConfiguration.Spread.values(), EnumTextsTest::lower))
+                .containsExactly("server", "group");
         assertThat(texts(LoadBalancer.Effect.values(), EnumTextsTest::lower))
                 .containsExactly("safe", "keyed", "unsafe");
         assertThat(texts(Retryable.values(), Retryable::toString))
--- a/src/test/java/larkbank/golden/Golden.java
+++ b/src/test/java/org/cypressweir/golden/Golden.java
@@ -1,4 +1,4 @@
-package larkbank.golden;
+package org.cypressweir.golden;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/larkbank/golden/StoredFolderTest.java
+++ b/src/test/java/org/cypressweir/golden/StoredFolderTest.java
@@ -1,4 +1,4 @@
-package larkbank.golden;
+package org.cypressweir.golden;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,15 +18,15 @@
 import jetbrains.exodus.env.Environments;
 import jetbrains.exodus.env.StoreConfig;
 import jetbrains.exodus.env.Transaction;
-import larkbank.copies.Ballot;
-import larkbank.copies.Change;
-import larkbank.copies.Standing;
-import larkbank.hold.XodusStore;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Past;
-import larkbank.manifest.Table;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.SupersededVersion;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
+import org.cypressweir.controlplane.storage.XodusStore;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -43,23 +43,28 @@
     private static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7/1700000000001");
     private static final List<String> LATER_VOTERS = List.of("10.0.0.1:7", "10.0.0.3:7/1700000000001");
     private static final long DISK_NUMBER = 1_700_000_000_001L;
-    private static final Ballot ACCEPTED = new Ballot(5, "10.0.0.2:7");
-    private static final Ballot PROMISED = new Ballot(7, "10.0.0.3:7/1700000000001");
-    private static final Ballot LATER = new Ballot(1L << 40, "10.0.0.1:7");
+    private static final ProposalNumber ACCEPTED = new ProposalNumber(5, "10.0.0.2:7");
+    private static final ProposalNumber PROMISED = new ProposalNumber(7, "10.0.0.3:7/1700000000001");
+    private static final ProposalNumber LATER = new ProposalNumber(1L << 40, "10.0.0.1:7");
 
     private static final Item ROUTE = new Item(
-            new Key(Table.ROUTES, "orders"),
+            new ItemKey(ItemType.ROUTES, "orders"),
             3,
-            Scribe.map("prefix", "/orders", "services", List.of("till", "till-2")),
-            List.of(new Past(1, "0123456789abcdef0123456789abcdef"), new Past(2, WITHDRAWN_CONTENT)));
+            JsonCodec.map("prefix", "/orders", "services", List.of("till", "till-2")),
+            List.of(
+                    new SupersededVersion(1, "0123456789abcdef0123456789abcdef"),
+                    new SupersededVersion(2, WITHDRAWN_CONTENT)));
     private static final Item TENANT =
-            new Item(new Key(Table.TENANTS, "Ünïcode \"quoted\""), 9, Map.of("priority", 2L), versions(9), 4);
+            new Item(new ItemKey(ItemType.TENANTS, "Ünïcode \"quoted\""), 9, Map.of("priority", 2L), versions(9), 4);
     private static final Item SERVICE =
-            new Item(new Key(Table.SERVICES, "till"), 1L << 50, Map.of("healthPath", "/healthz"));
+            new Item(new ItemKey(ItemType.SERVICES, "till"), 1L << 50, Map.of("healthPath", "/healthz"));
     private static final Item WITHDRAWN_SERVICE = new Item(
-            new Key(Table.SERVICES, "till-2"), 2, null, List.of(new Past(1, "fedcba9876543210fedcba9876543210")));
-    private static final Item LIMITS = new Item(Key.LIMITS, 1, Map.of("perProxy", 100L));
-    private static final Item LATER_LIMITS = new Item(Key.LIMITS, 2, Map.of("perProxy", 200L));
+            new ItemKey(ItemType.SERVICES, "till-2"),
+            2,
+            null,
+            List.of(new SupersededVersion(1, "fedcba9876543210fedcba9876543210")));
+    private static final Item LIMITS = new Item(ItemKey.LIMITS, 1, Map.of("perProxy", 100L));
+    private static final Item LATER_LIMITS = new Item(ItemKey.LIMITS, 2, Map.of("perProxy", 200L));
 
     @TempDir
     Path temporary;
@@ -77,32 +82,32 @@
         }
     }
 
-    private static List<Past> versions(int count) {
+    private static List<SupersededVersion> versions(int count) {
         return IntStream.rangeClosed(1, count)
                 .filter(version -> version < count)
-                .mapToObj(version -> new Past(version, "%016x".formatted(version)))
+                .mapToObj(version -> new SupersededVersion(version, "%016x".formatted(version)))
                 .toList();
     }
 
-    private static Change firstChange() {
-        return new Change(
-                new Ballot(4, "10.0.0.1:7"),
-                new Ballot(4, "10.0.0.1:7"),
+    private static StorageUpdate firstChange() {
+        return new StorageUpdate(
+                new ProposalNumber(4, "10.0.0.1:7"),
+                new ProposalNumber(4, "10.0.0.1:7"),
                 VOTERS,
                 List.of(ROUTE, TENANT, LIMITS),
                 true,
                 DISK_NUMBER);
     }
 
-    private static Change secondChange() {
-        return new Change(PROMISED, ACCEPTED, null, List.of(SERVICE, WITHDRAWN_SERVICE), false);
+    private static StorageUpdate secondChange() {
+        return new StorageUpdate(PROMISED, ACCEPTED, null, List.of(SERVICE, WITHDRAWN_SERVICE), false);
     }
 
-    private static Change furtherChange() {
-        return new Change(LATER, LATER, LATER_VOTERS, List.of(LATER_LIMITS), false);
+    private static StorageUpdate furtherChange() {
+        return new StorageUpdate(LATER, LATER, LATER_VOTERS, List.of(LATER_LIMITS), false);
     }
 
-    private static void assertBeforeFurtherChange(Standing state) {
+    private static void assertBeforeFurtherChange(PersistentState state) {
         assertThat(state.promised()).isEqualTo(PROMISED);
         assertThat(state.accepted()).isEqualTo(ACCEPTED);
         assertThat(state.crew()).isEqualTo(VOTERS);
@@ -111,7 +116,7 @@
         assertItems(state, ROUTE, TENANT, SERVICE, WITHDRAWN_SERVICE, LIMITS);
     }
 
-    private static void assertAfterFurtherChange(Standing state) {
+    private static void assertAfterFurtherChange(PersistentState state) {
         assertThat(state.promised()).isEqualTo(LATER);
         assertThat(state.accepted()).isEqualTo(LATER);
         assertThat(state.crew()).isEqualTo(LATER_VOTERS);
@@ -120,7 +125,7 @@
         assertItems(state, ROUTE, TENANT, SERVICE, WITHDRAWN_SERVICE, LATER_LIMITS);
     }
 
-    private static void assertItems(Standing state, Item... items) {
+    private static void assertItems(PersistentState state, Item... items) {
         assertThat(state.items().stream().map(Item::toText))
                 .containsExactlyInAnyOrderElementsOf(
                         Stream.of(items).map(Item::toText).toList());
