--- a/src/test/java/larkbank/FleetTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/FleetTest.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -26,7 +26,7 @@
     private static final long SPAN = 5_000_000;
 
     private static Settings fleet(int rank, int replicas, Rules rules, boolean warmKeys) {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
+        Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
         return new Settings(
                 1000 + rank,
                 rank,
@@ -58,7 +58,7 @@
     @ValueSource(longs = {3, 4, 5, 6})
     void retryBudgetHoldsInEveryWindow(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Recorder r = new Recorder(fleet(0, 3, budget(2, 0.03), false), 8);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, budget(2, 0.03), false), 8);
         List<Long> arrivals = new ArrayList<>();
         List<Long> extras = new ArrayList<>();
         Set<String> seen = new HashSet<>();
@@ -91,7 +91,7 @@
     @Test
     void quietSidecarHasTheFloorAndAFloorUnderOneAllowsNothing() {
         for (double floor : new double[] {2, 0.9}) {
-            Recorder r = new Recorder(fleet(0, 3, budget(floor, 0.03), false), 8);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, budget(floor, 0.03), false), 8);
             r.request("x");
             r.answer(0, Result.FULL, 1000, false);
             assertEquals(floor >= 1 ? 2 : 1, r.sent.size());
@@ -108,20 +108,20 @@
     /** 400 instances with a request each second: what all send a cold server is its share, in any second. */
     @Test
     void manyQuietInstancesDoNotBurstAColdServer() {
-        List<Recorder> all = new ArrayList<>();
+        List<LoadBalancerRecorder> all = new ArrayList<>();
         for (int rank = 0; rank < 400; rank++) {
-            Recorder r = new Recorder(fleet(rank, 400, plain(), false), 20);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, plain(), false), 20);
             all.add(r);
             for (int i = 0; i < 5; i++) {
                 r.request("warm" + i);
                 r.answer(0, Result.SERVED, 10_000, true);
             }
-            r.choice.servers(r.now, ListKind.CHANGES, List.of(Recorder.server(1, 0, r.now)));
+            r.choice.servers(r.now, ListKind.CHANGES, List.of(LoadBalancerRecorder.server(1, 0, r.now)));
         }
         int total = 0;
         for (int second = 0; second < 5; second++) {
             int cold = 0;
-            for (Recorder r : all) {
+            for (LoadBalancerRecorder r : all) {
                 int before = r.sent.size();
                 r.now += 900_000;
                 r.request("cold" + second);
@@ -141,20 +141,23 @@
     /** Full connection tables cost the grown sites most: one of many sidecars keeps few servers. */
     @Test
     void oneOfManyKeepsFewServers() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 60);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 60);
         for (int i = 0; i < 300; i++) {
             r.now += 800_000;
             r.request("r" + i);
             r.answer(0, Result.SERVED, 20_000, true);
         }
-        long servers = r.sent.stream().map(Recorder.Sent::server).distinct().count();
+        long servers = r.sent.stream()
+                .map(LoadBalancerRecorder.Sent::server)
+                .distinct()
+                .count();
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
     /** Dead idle connections: silence after an idle spell closes the connection, and long spells end. */
     @Test
     void silenceAfterAnIdleSpellIsADeadConnection() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 40; i++) {
             r.request("warm" + i);
             r.answer(0, Result.SERVED, 20_000, true);
@@ -175,7 +178,7 @@
     /** A server that refuses new connections is not sick: no ejection, and it is left alone for a while. */
     @Test
     void refusedConnectionIsNotAnOutlier() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 6; i++) {
             r.request("r" + i);
             int last = r.sent.size();
@@ -189,7 +192,7 @@
     /** Retry abuse on lakes-later: time-outs set by impatient clients got good servers ejected. */
     @Test
     void impatientClientsDoNotEjectServers() {
-        Recorder r = new Recorder(fleet(3, 400, plain(), false), 20);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
         for (int i = 0; i < 30; i++) {
             r.request("r" + i);
             r.answer(0, Result.TIMED_OUT, 20_000, false);
@@ -202,7 +205,7 @@
     void keysMeetTheSameServer() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
-            Recorder r = new Recorder(fleet(rank, 400, plain(), true), 60);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, plain(), true), 60);
             r.choice.request(r.now, new Request("x", 0, 0, false, 77, r.now + 1_000_000, 0, false));
             servers.add(r.sent.get(0).server());
         }
@@ -212,10 +215,13 @@
     /** What left the list is used no longer, however often the list changes. */
     @Test
     void whatLeftTheListIsNotUsed() {
-        Recorder r = new Recorder(fleet(0, 3, plain(), false), 6);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, plain(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100 + round;
-            r.choice.servers(r.now, ListKind.COMPLETE, List.of(Recorder.server(id, 0, 0), Recorder.server(1, 0, 0)));
+            r.choice.servers(
+                    r.now,
+                    ListKind.COMPLETE,
+                    List.of(LoadBalancerRecorder.server(id, 0, 0), LoadBalancerRecorder.server(1, 0, 0)));
             r.request("r" + round);
             assertTrue(Set.of(id, 1L).contains(r.sent.get(r.sent.size() - 1).server()));
             r.answer(0, Result.SERVED, 1000, true);
--- a/src/test/java/larkbank/GoldenChoiceTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/GoldenSubsetLoadBalancerTest.java
@@ -1,19 +1,21 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Settings;
-import larkbank.golden.Golden;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.golden.Golden;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Hashes that are the same in every process, and the servers that requests are sent to by them. */
-class GoldenChoiceTest {
+class GoldenSubsetLoadBalancerTest {
 
     private static final List<String> TEXTS = List.of("", "a", "proxy-1", "\u00e9\u4e2d", "s-10.0.0.1:80");
     private static final long[] NUMBERS = {0, 1, -1, 77, Long.MAX_VALUE, Long.MIN_VALUE, 0x123456789ABCDEFL};
@@ -43,7 +45,7 @@
         List<String> lines = new ArrayList<>();
         for (Effect effect : Effect.values()) {
             for (Group group : Group.values()) {
-                Recorder recorder = recorder(Recorder.settings(effect, group), SERVERS);
+                LoadBalancerRecorder recorder = recorder(LoadBalancerRecorder.settings(effect, group), SERVERS);
                 lines.add(effect.ordinal() + " " + group.ordinal() + " " + chosen(recorder));
             }
         }
@@ -55,7 +57,7 @@
     void chosenServersOfALargeFleetAreTheSame() {
         List<String> lines = new ArrayList<>();
         for (int rank : new int[] {0, 1, 39}) {
-            Settings one = Recorder.settings(Effect.KEYED, Group.CELL);
+            Settings one = LoadBalancerRecorder.settings(Effect.KEYED, Group.CELL);
             Settings many = new Settings(
                     one.seed(),
                     rank,
@@ -77,17 +79,17 @@
         Golden.assertSame("hashes/chosen-servers-large.txt", lines);
     }
 
-    private static Recorder recorder(Settings settings, int servers) {
-        return new Recorder(settings, servers);
+    private static LoadBalancerRecorder recorder(Settings settings, int servers) {
+        return new LoadBalancerRecorder(settings, servers);
     }
 
-    private static List<Long> chosen(Recorder recorder) {
+    private static List<Long> chosen(LoadBalancerRecorder recorder) {
         for (int i = 0; i < REQUESTS; i++) {
             recorder.choice.request(
                     recorder.now,
                     new Request("r" + i, 0, i % 2, false, Ids.of("key-" + i % 20), recorder.now + TIME_LEFT, 0, false));
             recorder.answer(0, Result.SERVED, 2_000, true);
         }
-        return recorder.sent.stream().map(Recorder.Sent::server).toList();
+        return recorder.sent.stream().map(LoadBalancerRecorder.Sent::server).toList();
     }
 }
--- a/src/test/java/larkbank/LargeFleetTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,15 +11,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,7 +36,7 @@
     private static final int ELSEWHERE = 5;
 
     private static Settings settings(boolean warmKeys) {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
+        Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
         return new Settings(
                 11,
                 0,
@@ -58,8 +59,8 @@
         return new Server(id, ELSEWHERE, 0, 0, phase, start, 1);
     }
 
-    private static Recorder fleet(int size, boolean warmKeys) {
-        Recorder r = new Recorder(settings(warmKeys), 0);
+    private static LoadBalancerRecorder fleet(int size, boolean warmKeys) {
+        LoadBalancerRecorder r = new LoadBalancerRecorder(settings(warmKeys), 0);
         List<Server> list = new ArrayList<>();
         for (long id = 1; id <= size; id++) {
             list.add(server(id, Phase.READY, 0));
@@ -68,12 +69,12 @@
         return r;
     }
 
-    private static void change(Recorder r, Server... changed) {
+    private static void change(LoadBalancerRecorder r, Server... changed) {
         r.choice.servers(r.now, ListKind.CHANGES, List.of(changed));
     }
 
     /** Sends a request that its client leaves, which teaches the module nothing; where it went, or -1. */
-    private static long probe(Recorder r, String id, long key) {
+    private static long probe(LoadBalancerRecorder r, String id, long key) {
         int before = r.sent.size();
         r.choice.request(r.now, new Request(id, 0, 0, false, key, r.now + 1_000_000, 0, false));
         r.choice.clientLeft(r.now, id);
@@ -88,7 +89,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void drawsAreUniform(long salt) {
-        Recorder r = fleet(1_000, false);
+        LoadBalancerRecorder r = fleet(1_000, false);
         Map<Long, Integer> counts = new HashMap<>();
         int requests = 100_000;
         for (int i = 0; i < requests; i++) {
@@ -117,7 +118,7 @@
     /** 95% have as many requests out as they may; each further request still finds one of the others. */
     @Test
     void oneWithRoomIsFoundAmongNineteenThatHaveNone() {
-        Recorder r = fleet(2_000, false);
+        LoadBalancerRecorder r = fleet(2_000, false);
         int requests = 0;
         for (int idle = 0; idle < 200; requests++) {
             int before = r.sent.size();
@@ -128,7 +129,7 @@
         for (int i = 0; i < requests; i++) {
             r.choice.clientLeft(r.now, "f" + i);
         }
-        for (Recorder.Sent sent : List.copyOf(r.sent)) {
+        for (LoadBalancerRecorder.Sent sent : List.copyOf(r.sent)) {
             if (sent.server() % 20 == 0) {
                 r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.CANCELLED, 0, true, null));
             }
@@ -145,7 +146,7 @@
     /** The sum over all requests is the share that a walk over all members would give. */
     @Test
     void coldServersGetTheirShareAndNoMore() {
-        Recorder r = fleet(1_000, false);
+        LoadBalancerRecorder r = fleet(1_000, false);
         r.now = 50_000_000;
         List<Server> cold = new ArrayList<>();
         for (long id = 1; id <= 200; id++) {
@@ -169,7 +170,7 @@
     @ParameterizedTest
     @CsvSource({"6, 1.32", "12, 1.4", "18, 1.4"})
     void aFleetThatIsMostlyColdSendsByWhatEachCanDo(int colds, double more) {
-        Recorder r = fleet(20, false);
+        LoadBalancerRecorder r = fleet(20, false);
         r.now = 50_000_000;
         List<Server> cold = new ArrayList<>();
         for (long id = 1; id <= colds; id++) {
@@ -191,7 +192,7 @@
 
     @Test
     void allColdIsServedByTheirShare() {
-        Recorder r = fleet(1_000, false);
+        LoadBalancerRecorder r = fleet(1_000, false);
         r.now = 50_000_000;
         List<Server> cold = new ArrayList<>();
         for (long id = 1; id <= 1_000; id++) {
@@ -208,8 +209,8 @@
     /** Ejected servers are no candidates of a draw, but each has its trials and comes back. */
     @Test
     void theEjectedComeBack() {
-        Recorder r = fleet(400, false);
-        List<Recorder.Sent> silent = new ArrayList<>();
+        LoadBalancerRecorder r = fleet(400, false);
+        List<LoadBalancerRecorder.Sent> silent = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
             int before = r.sent.size();
             r.request("e" + i);
@@ -249,7 +250,7 @@
     /** A key keeps its server while others come, go and flap about a boundary of the count of cells. */
     @Test
     void aKeyKeepsItsServer() {
-        Recorder r = fleet(1_000, true);
+        LoadBalancerRecorder r = fleet(1_000, true);
         Map<Long, Long> homes = new HashMap<>();
         for (long key = 0; key < 500; key++) {
             homes.put(key, probe(r, "k" + key, key));
@@ -278,7 +279,7 @@
     /** The count of cells hangs at its boundary: a fleet does not move for it. */
     @Test
     void aFlappingCountOfCellsMovesNobody() {
-        Recorder r = fleet(1_019, true);
+        LoadBalancerRecorder r = fleet(1_019, true);
         List<Long> before = new ArrayList<>();
         for (long key = 0; key < 300; key++) {
             before.add(probe(r, "a" + key, key));
@@ -297,7 +298,7 @@
      */
     @Test
     void anotherCountOfCellsIsTakenOverInTurns() {
-        Recorder grown = fleet(1_000, true);
+        LoadBalancerRecorder grown = fleet(1_000, true);
         grown.fireTimers();
         List<Server> all = new ArrayList<>();
         for (long id = 1; id <= 8_000; id++) {
@@ -312,7 +313,7 @@
             grown.fireTimers();
         }
         assertTrue(turns >= 40, "all in " + turns + " turns");
-        Recorder fresh = fleet(8_000, true);
+        LoadBalancerRecorder fresh = fleet(8_000, true);
         for (long id = 1; id <= turns; id++) {
             change(fresh, server(id, Phase.DRAINING, 0));
         }
@@ -331,7 +332,7 @@
     @ValueSource(longs = {21, 22})
     void whoDrainsGetsNothingMore(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Recorder r = fleet(600, false);
+        LoadBalancerRecorder r = fleet(600, false);
         Map<Long, Phase> phases = new HashMap<>();
         Map<String, Long> out = new HashMap<>();
         for (int i = 0; i < 30_000; i++) {
@@ -361,7 +362,7 @@
     /** All of a cell's servers go while a request is held: it goes to another cell. */
     @Test
     void aCellThatEmptiesIsLeft() {
-        Recorder r = fleet(1_000, true);
+        LoadBalancerRecorder r = fleet(1_000, true);
         int count = (int) (0.5 + 1_000 / 40.0);
         long home = probe(r, "x", 77);
         int cell = Hashes.jump(Hashes.mix(home, 0), count);
@@ -378,7 +379,7 @@
 
     @Test
     void oneIdTwiceInAListIsOneServer() {
-        Recorder r = fleet(0, false);
+        LoadBalancerRecorder r = fleet(0, false);
         change(
                 r,
                 server(1, Phase.READY, 0),
@@ -400,7 +401,7 @@
         Set<Long> all = new HashSet<>();
         for (int rank = 0; rank < 6; rank++) {
             Settings s = settings(false);
-            Recorder r = new Recorder(
+            LoadBalancerRecorder r = new LoadBalancerRecorder(
                     new Settings(
                             rank,
                             rank,
@@ -436,7 +437,7 @@
     /** A queue of thousands: each answer serves the newest, whatever else waits. */
     @Test
     void thousandsHeldAreServedNewestFirst() {
-        Recorder r = new Recorder(settings(false), 0);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(settings(false), 0);
         for (int i = 0; i < 5_000; i++) {
             r.request("h" + i);
         }
@@ -445,7 +446,7 @@
         assertEquals("h4999", r.sent.get(0).request());
         int served = r.sent.size();
         for (int i = 0; i < 100; i++) {
-            Recorder.Sent oldest = r.sent.get(i);
+            LoadBalancerRecorder.Sent oldest = r.sent.get(i);
             r.choice.outcome(r.now, new Outcome(oldest.request(), 0, 1, Result.SERVED, 1_000, true, null));
         }
         assertTrue(r.sent.size() >= served + 100);
--- a/src/test/java/larkbank/Recorder.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LoadBalancerRecorder.java
@@ -1,38 +1,38 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Tenant;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 
 /** Records what an instance does; it has no model of servers, tests say what comes back. */
-final class Recorder implements Actions {
+final class LoadBalancerRecorder implements Actions {
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
     final List<Long> probes = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
-    final Choice choice;
+    final SubsetLoadBalancer choice;
     long now = 1_000_000;
 
     record Sent(String request, long server, long at) {}
 
-    Recorder(Settings settings, int servers) {
-        choice = new Choice(settings, this);
+    LoadBalancerRecorder(Settings settings, int servers) {
+        choice = new SubsetLoadBalancer(settings, this);
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(server(i + 1, i % 2, 0));
--- a/src/test/java/larkbank/HeldQueueTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/PendingRequestQueueTest.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Queue, budget, tally and shares against what they stand for, word by word. */
-class HeldQueueTest {
+class PendingRequestQueueTest {
 
-    private static final class Waiting extends HeldQueue.Item {
+    private static final class Waiting extends PendingRequestQueue.Item {
         private final int wanted;
 
         Waiting(int wanted) {
@@ -23,7 +23,7 @@
     void newestAndOldestAreThoseOfAPlainList() {
         long seed = 5;
         SplittableRandom random = new SplittableRandom(seed);
-        HeldQueue<Waiting> queue = new HeldQueue<>(3);
+        PendingRequestQueue<Waiting> queue = new PendingRequestQueue<>(3);
         List<Waiting> plain = new ArrayList<>();
         for (int round = 0; round < 20_000; round++) {
             if (plain.isEmpty() || random.nextInt(100) < 52) {
@@ -63,7 +63,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             double floor = 1 + random.nextInt(4);
             double part = random.nextDouble() / 5;
-            WindowBudget budget = new WindowBudget(1_000, floor, part);
+            SlidingWindowBudget budget = new SlidingWindowBudget(1_000, floor, part);
             List<long[]> spent = new ArrayList<>();
             long earned = 0;
             long now = 0;
@@ -89,7 +89,7 @@
 
     @Test
     void tallyCountsByName() {
-        Tally tally = new Tally();
+        CounterMap tally = new CounterMap();
         assertEquals(1, tally.add("a", 1));
         assertEquals(2, tally.add("a", 1));
         assertEquals(0, tally.of("b"));
@@ -99,7 +99,7 @@
 
     @Test
     void whoeverSpendsMoreThanItsShareIsBeyond() {
-        Shares shares = new Shares(List.of(3.0, 1.0), 5);
+        WeightedAccounts shares = new WeightedAccounts(List.of(3.0, 1.0), 5);
         int beyond = 0;
         for (int i = 0; i < 1_000; i++) {
             beyond += shares.spend(i % 4 == 0 ? 1 : 0) ? 1 : 0;
@@ -111,6 +111,6 @@
         // All but what it was ahead: who goes on past its share falls ever further behind.
         assertTrue(beyond > 985 && beyond < 1_000, "beyond " + beyond);
         assertEquals(false, shares.spend(0));
-        assertEquals(false, new Shares(List.of(), 5).spend(0));
+        assertEquals(false, new WeightedAccounts(List.of(), 5).spend(0));
     }
 }
--- a/src/test/java/larkbank/RulesTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,30 +10,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RulesTest {
+class SubsetLoadBalancerTest {
 
     @ParameterizedTest
     @EnumSource(value = Result.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
     void unsafeGoesOutAgainOnlyAfterProof(Result result) {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 6);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 6);
         r.request("x");
         r.answer(0, result, 1000, false);
         if (result.provesNotRun) {
@@ -49,7 +49,8 @@
     @Test
     void keyedStaysInItsGroupAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
-            Recorder r = new Recorder(Recorder.settings(Effect.KEYED, Group.ZONE), 8);
+            LoadBalancerRecorder r =
+                    new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.KEYED, Group.ZONE), 8);
             r.request("x" + seed);
             r.answer(0, Result.ERROR, 1000 + seed, false);
             assertEquals(2, r.sent.size());
@@ -62,7 +63,7 @@
 
     @Test
     void nothingNewToADrainingServer() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         Server drained = new Server(1, 0, 0, 0, Phase.DRAINING, 0, 1);
         r.choice.servers(r.now, ListKind.CHANGES, List.of(drained));
         for (int i = 0; i < 200; i++) {
@@ -75,7 +76,7 @@
 
     @Test
     void pastTheMostInHandTheOldestHeldIsRefused() {
-        Settings one = Recorder.settings(Effect.UNSAFE, Group.ALL);
+        Settings one = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
         Settings alike = new Settings(
                 one.seed(),
                 0,
@@ -92,7 +93,7 @@
                 false,
                 false,
                 1000);
-        Recorder r = new Recorder(alike, 0);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(alike, 0);
         for (int i = 0; i < 103; i++) {
             r.request("x" + i);
         }
@@ -102,7 +103,7 @@
 
     @Test
     void heldRequestIsRefusedBeforeTheClientGivesUp() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 0);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 0);
         r.request("x");
         while (r.refused.isEmpty()) {
             r.fireTimers();
@@ -117,7 +118,7 @@
     /** Incident i0f9bed: an arrival whose time is already up was held for a probe and got no answer. */
     @Test
     void arrivalAtItsDeadlineIsAnsweredAtOnce() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         r.choice.request(r.now, new Request("x", 0, 0, false, -1, r.now, 0, false));
         assertEquals(List.of("x"), r.refused);
         assertTrue(r.sent.isEmpty());
@@ -126,7 +127,7 @@
     /** What a server carries beside requests counts as requests in flight do. */
     @Test
     void aBurdenedServerIsSentLess() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 2);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 2);
         r.choice.burden(r.now, 1, 5, false);
         for (int i = 0; i < 200; i++) {
             r.request("r" + i);
@@ -145,7 +146,7 @@
     /** Incidents i6f3083 and i5bba91: deep queues from the first second turned the servers slow for good. */
     @Test
     void unansweredServersAreNotFilled() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
         for (int i = 0; i < 100; i++) {
             r.request("r" + i);
         }
@@ -155,7 +156,7 @@
     /** Incident i80c828: one request from each of many sidecars kept crowded servers slow for good. */
     @Test
     void crowdedServersAreLeftAloneForAWhile() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 3);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 3);
         int sent = 0;
         r.request("slow0");
         while (r.sent.size() > sent && sent < 40) {
@@ -171,15 +172,15 @@
 
     @Test
     void coldServerGetsItsColdShareOfWhatAWarmOneIsSent() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         long warm = sentToFirst(r, "warm", 200);
-        r.choice.servers(r.now, ListKind.CHANGES, List.of(Recorder.server(1, 0, r.now)));
+        r.choice.servers(r.now, ListKind.CHANGES, List.of(LoadBalancerRecorder.server(1, 0, r.now)));
         long cold = sentToFirst(r, "cold", 200);
         // It starts at a fifth and has grown to a third by the end of these 2 s.
         assertTrue(cold > 0 && cold <= 0.45 * warm, cold + " while cold, " + warm + " while warm");
     }
 
-    private static long sentToFirst(Recorder r, String name, int requests) {
+    private static long sentToFirst(LoadBalancerRecorder r, String name, int requests) {
         int before = r.sent.size();
         for (int i = 0; i < requests; i++) {
             r.request(name + i);
@@ -197,14 +198,14 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 64})
     void whatIsUsualIsLearnedAlikeHoweverManyAreInFlight(int flight) {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 120);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 120);
         for (int wave = 0; wave < 1 + 400 / flight; wave++) {
             int first = r.sent.size();
             for (int i = 0; i < flight; i++) {
                 r.request("u" + wave + "-" + i);
             }
             r.now += 90_000;
-            for (Recorder.Sent s : List.copyOf(r.sent.subList(first, r.sent.size()))) {
+            for (LoadBalancerRecorder.Sent s : List.copyOf(r.sent.subList(first, r.sent.size()))) {
                 r.choice.outcome(r.now, new Outcome(s.request(), 0, s.server(), Result.SERVED, 90_000, true, null));
             }
         }
@@ -219,8 +220,8 @@
     /** Held to their end, requests kept the connections that clients needed for those still in time. */
     @Test
     void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        Recorder r = new Recorder(
+        Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(
                 new Settings(
                         s.seed(),
                         s.rank(),
@@ -252,7 +253,7 @@
     /** A spoilt answer or a reset now and then made every server look as if it had just started. */
     @Test
     void oneBrokenConnectionIsNoRestart() {
-        Recorder r = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         long before = sentToFirst(r, "before", 200);
         boolean broke = false;
         for (int i = 0; i < 100 && !broke; i++) {
@@ -270,11 +271,11 @@
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
     void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
-        Recorder r = reporting(3, 4);
+        LoadBalancerRecorder r = reporting(3, 4);
         LoadReport report = use(use);
         for (int i = 0; i < 40; i++) {
             r.request("a" + i);
-            Recorder.Sent last = r.sent.get(r.sent.size() - 1);
+            LoadBalancerRecorder.Sent last = r.sent.get(r.sent.size() - 1);
             r.now += 150_000;
             r.choice.outcome(
                     r.now, new Outcome(last.request(), 0, last.server(), Result.SERVED, 150_000, true, report));
@@ -294,7 +295,7 @@
     @ParameterizedTest
     @CsvSource({"14, 0.7, true", "14, 0.97, false", "3, 0.97, true"})
     void limitsOfManyGrowOnlyWhileServersHaveSomethingLeft(int sidecars, double use, boolean grows) {
-        Recorder r = reporting(sidecars, 16);
+        LoadBalancerRecorder r = reporting(sidecars, 16);
         for (int wave = 0; wave < 30; wave++) {
             int first = r.sent.size();
             for (int i = 0; i < 40; i++) {
@@ -303,7 +304,7 @@
             r.now += 50_000;
             // What was held goes out as others are answered, and is answered too.
             for (int i = first; i < r.sent.size(); i++) {
-                Recorder.Sent sent = r.sent.get(i);
+                LoadBalancerRecorder.Sent sent = r.sent.get(i);
                 r.choice.outcome(
                         r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 50_000, true, use(use)));
             }
@@ -317,9 +318,9 @@
     }
 
     /** A sidecar of a fleet whose answers tell the load. */
-    private static Recorder reporting(int sidecars, int servers) {
-        Settings s = Recorder.settings(Effect.UNSAFE, Group.ALL);
-        return new Recorder(
+    private static LoadBalancerRecorder reporting(int sidecars, int servers) {
+        Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
+        return new LoadBalancerRecorder(
                 new Settings(
                         s.seed(),
                         s.rank(),
@@ -345,7 +346,7 @@
 
     @Test
     void hangingServerLosesItsTraffic() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
         int hung = 0;
         for (int i = 0; i < 300; i++) {
             r.request("r" + i);
@@ -361,7 +362,7 @@
 
     @Test
     void fastFailuresDoNotAttractTraffic() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 4);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
         int failing = sentToOneThatErrs(r, 300, 0, 500, 0);
         assertTrue(failing > 0 && failing <= 20, "sent " + failing + " to a server that only fails");
     }
@@ -372,14 +373,14 @@
      */
     @Test
     void errorsAfterIdleSpellsCount() {
-        Recorder r = new Recorder(Recorder.settings(Effect.UNSAFE, Group.ALL), 6);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 6);
         int failing = sentToOneThatErrs(r, 600, 60, 20_000, 60_000);
         assertTrue(r.actions.contains("log server 3 ejected: ERROR"), failing + " sent to it: " + r.actions);
         assertTrue(failing <= 25, "sent " + failing + " to a server that only fails");
     }
 
     /** Requests one after the other, with pauses; from one of them on a server answers with errors alone. */
-    private static int sentToOneThatErrs(Recorder r, int requests, int from, long errorMicros, long pause) {
+    private static int sentToOneThatErrs(LoadBalancerRecorder r, int requests, int from, long errorMicros, long pause) {
         int failing = 0;
         for (int i = 0; i < requests; i++) {
             r.request("r" + i);
@@ -393,7 +394,7 @@
 
     @Test
     void impossibleSettingsAreNamed() {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
+        Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
         String message = assertThrows(
                         IllegalArgumentException.class,
                         () -> new Settings(
@@ -421,7 +422,7 @@
     @EnumSource(Effect.class)
     void randomEventsKeepTheRules(Effect effect) {
         SplittableRandom random = new SplittableRandom(11);
-        Recorder r = new Recorder(Recorder.settings(effect, Group.ZONE), 7);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(effect, Group.ZONE), 7);
         Map<String, Integer> attempts = new HashMap<>();
         Map<String, Boolean> mayHaveRun = new HashMap<>();
         Map<String, Boolean> over = new HashMap<>();
@@ -486,10 +487,10 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        Recorder a = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
-        Recorder b = new Recorder(Recorder.settings(Effect.SAFE, Group.ALL), 6);
+        LoadBalancerRecorder a = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 6);
+        LoadBalancerRecorder b = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 6);
         for (int i = 0; i < 200; i++) {
-            for (Recorder r : List.of(a, b)) {
+            for (LoadBalancerRecorder r : List.of(a, b)) {
                 r.choice.request(r.now, new Request("r" + i, 0, i % 2, false, -1, r.now + 1_000_000, 0, false));
                 r.answer(0, i % 9 == 0 ? Result.FULL : Result.SERVED, 3000 + i, i % 9 != 0);
             }
--- a/src/test/java/larkbank/SubsetsTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetTreeTest.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,14 +8,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.cypressweir.common.util.Hashes;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The subset tree against plain matching: whatever changes, a node has who carries its labels. */
-class SubsetsTest {
+class SubsetTreeTest {
 
-    private static final class Host extends Subsets.Member {
+    private static final class Host extends SubsetTree.Member {
         private final int[] wanted;
         private boolean in;
         private boolean sick;
@@ -26,7 +27,7 @@
 
         boolean carries(int[] values) {
             for (int k = 0; k < values.length; k++) {
-                if (values[k] != Subsets.ANY && values[k] != wanted[k]) {
+                if (values[k] != SubsetTree.ANY && values[k] != wanted[k]) {
                     return false;
                 }
             }
@@ -35,7 +36,7 @@
     }
 
     private static int[] labels(SplittableRandom random, int keys, int values) {
-        return random.ints(keys, Subsets.ANY, values).toArray();
+        return random.ints(keys, SubsetTree.ANY, values).toArray();
     }
 
     @ParameterizedTest
@@ -43,7 +44,7 @@
     void sameMembersAsPlainMatchingAfterAnyChanges(int keys) {
         long seed = 90 + keys;
         SplittableRandom random = new SplittableRandom(seed);
-        Subsets<Host> tree = new Subsets<>(keys);
+        SubsetTree<Host> tree = new SubsetTree<>(keys);
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             hosts.add(new Host(labels(random, keys, 3)));
@@ -66,7 +67,7 @@
                 host.in = true;
             }
             int[] values = labels(random, keys, 4);
-            Roster<Host> node = tree.node(values);
+            IndexedMembers<Host> node = tree.node(values);
             Set<Host> actual = new HashSet<>();
             for (int i = 0; i < node.size(); i++) {
                 assertTrue(actual.add(node.get(i)), "seed " + seed + ": twice in a node");
@@ -82,14 +83,14 @@
 
     @Test
     void markedOnesComeInTurn() {
-        Subsets<Host> tree = new Subsets<>(1);
+        SubsetTree<Host> tree = new SubsetTree<>(1);
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             hosts.add(new Host(new int[] {0}));
             tree.add(hosts.get(i), i, 0);
             tree.mark(hosts.get(i), i % 3 == 0);
         }
-        Roster<Host> node = tree.node(0);
+        IndexedMembers<Host> node = tree.node(0);
         Set<Host> seen = new HashSet<>();
         for (int i = 0; i < 3; i++) {
             seen.add(node.nextMarked());
@@ -99,11 +100,11 @@
 
     @Test
     void theRingBeginsAtAnyPlace() {
-        Subsets<Host> tree = new Subsets<>(1);
+        SubsetTree<Host> tree = new SubsetTree<>(1);
         for (int i = 0; i < 5; i++) {
             tree.add(new Host(new int[] {0}), 10 * i, 0);
         }
-        Roster<Host> node = tree.node(Subsets.ANY);
+        IndexedMembers<Host> node = tree.node(SubsetTree.ANY);
         assertEquals(0, node.from(-1));
         assertEquals(2, node.from(11));
         assertEquals(2, node.from(20));
--- a/src/test/java/larkbank/bridge/BeginCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,13 +6,13 @@
 import java.io.StringWriter;
 import java.nio.file.Path;
 import java.util.List;
-import larkbank.testkit.MeshRig;
-import larkbank.testkit.OperatorChecks;
+import org.cypressweir.testkit.MeshFixture;
+import org.cypressweir.testkit.OperatorChecks;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** With all disks lost nothing begins but by an operator's word, to one harbour that is blank. */
-class BeginCommandTest {
+class BootstrapCommandTest {
 
     @TempDir
     private Path folder;
@@ -20,12 +20,12 @@
     @Test
     void aSystemWithoutDisksBeginsByAnOperatorsWord() throws Exception {
         List<String> harbours = List.of("h1", "h2", "h3");
-        try (MeshRig rig = new MeshRig(folder, 3, List.of())) {
+        try (MeshFixture rig = new MeshFixture(folder, 3, List.of())) {
             rig.order("h1", OperatorChecks.order("t0", "k00", 1));
             rig.begun();
             StringWriter said = new StringWriter();
-            assertThat(begin(said, rig.control("h1"))).isEqualTo(Bridge.BAD);
-            assertThat(begin(said, rig.control("h1"), "--confirm")).isEqualTo(Bridge.DIFFERENT);
+            assertThat(begin(said, rig.control("h1"))).isEqualTo(MeshCtl.BAD);
+            assertThat(begin(said, rig.control("h1"), "--confirm")).isEqualTo(MeshCtl.DIFFERENT);
             assertThat(said.toString()).contains("--confirm").contains("not blank");
             for (String harbour : harbours) {
                 rig.kill(harbour);
@@ -39,7 +39,7 @@
             for (String harbour : harbours) {
                 assertThat(rig.read(harbour).status()).isEqualTo(503);
             }
-            rig.await("h1 begins", () -> begin(said, rig.control("h1"), "--confirm") == Bridge.DONE);
+            rig.await("h1 begins", () -> begin(said, rig.control("h1"), "--confirm") == MeshCtl.DONE);
             rig.order("h1", OperatorChecks.order("t0", "k01", 1));
             for (String harbour : harbours) {
                 rig.await(harbour + " reads", () -> rig.read(harbour).body().contains("k01"));
@@ -52,6 +52,6 @@
         line[0] = "begin";
         System.arraycopy(args, 0, line, 1, args.length);
         PrintWriter out = new PrintWriter(said, true);
-        return Bridge.run(out, out, line);
+        return MeshCtl.run(out, out, line);
     }
 }
--- a/src/test/java/larkbank/bridge/CheckCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -43,7 +43,7 @@
         args[2] = file.toString();
         System.arraycopy(more, 0, args, 3, more.length);
         StringWriter out = new StringWriter();
-        status = Bridge.run(new PrintWriter(out), new PrintWriter(out), args);
+        status = MeshCtl.run(new PrintWriter(out), new PrintWriter(out), args);
         return out.toString().lines().map(line -> line.replace(file + ": ", "")).toList();
     }
 
@@ -102,7 +102,7 @@
     void whatCantBeReadIsNoBadFile() throws IOException {
         check("config", "{}");
         Files.delete(file);
-        assertThat(Bridge.run(
+        assertThat(MeshCtl.run(
                         new PrintWriter(new StringWriter()),
                         new PrintWriter(new StringWriter()),
                         "check",
--- a/src/test/java/larkbank/bridge/FleetQueryTest.java
+++ b/src/test/java/org/cypressweir/meshctl/FleetQueryTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import larkbank.testkit.MeshRig;
+import org.cypressweir.testkit.MeshFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -37,7 +37,7 @@
         StringWriter err = new StringWriter();
         List<String> all = new ArrayList<>(List.of(args));
         all.addAll(List.of("--timeout", "5000"));
-        int status = Bridge.run(new PrintWriter(out), new PrintWriter(err), all.toArray(String[]::new));
+        int status = MeshCtl.run(new PrintWriter(out), new PrintWriter(err), all.toArray(String[]::new));
         return new Told(status, out.toString(), err.toString());
     }
 
@@ -60,7 +60,7 @@
 
     @Test
     void whoDoesNotAnswerIsNamedByEveryQuestion() throws IOException, InterruptedException {
-        try (MeshRig rig = new MeshRig(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"))) {
+        try (MeshFixture rig = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"))) {
             rig.order("h1", SETUP);
             rig.ready("p1");
             String h1 = rig.control("h1");
--- a/src/test/java/larkbank/bridge/GoldenProgramsTest.java
+++ b/src/test/java/org/cypressweir/meshctl/GoldenProgramsTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/larkbank/bridge/QueryTest.java
+++ b/src/test/java/org/cypressweir/meshctl/QueryTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -21,16 +21,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import larkbank.Addresses;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Bounds;
-import larkbank.gangway.Gangway;
-import larkbank.lading.Clock;
-import larkbank.lading.Scribe;
-import larkbank.logbook.Listing;
-import larkbank.logbook.StateDesk;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
+import org.cypressweir.common.diagnostics.ItemListing;
+import org.cypressweir.common.diagnostics.StateEndpoint;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.MonotonicClock;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.dataplane.http.server.HttpListener;
+import org.cypressweir.dataplane.http.server.RequestLimits;
+import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.jline.terminal.Terminal;
 import org.jline.terminal.impl.ExternalTerminal;
 import org.junit.jupiter.api.AfterAll;
@@ -52,19 +52,19 @@
 
     @BeforeAll
     static void listen() throws IOException {
-        Gangway gangway = Gangway.open(
+        HttpListener gangway = HttpListener.open(
                 GROUP,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> new Bounds(16_384, 65_536, 5_000, 60_000),
-                new Clock(),
-                new StateDesk(call -> call.answer(Answer.of(418)), QueryTest::state));
+                () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
+                new MonotonicClock(),
+                new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryTest::state));
         at = Addresses.text(gangway.address());
-        other = Addresses.text(Gangway.open(
+        other = Addresses.text(HttpListener.open(
                         GROUP,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        () -> new Bounds(16_384, 65_536, 5_000, 60_000),
-                        new Clock(),
-                        new StateDesk(call -> call.answer(Answer.of(418)), QueryTest::other))
+                        () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
+                        new MonotonicClock(),
+                        new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryTest::other))
                 .address());
         silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     }
@@ -77,7 +77,7 @@
 
     private static Map<String, Object> other(boolean items) {
         Map<String, Object> state = state(false);
-        state.putAll(Scribe.map(
+        state.putAll(JsonCodec.map(
                 "name",
                 "h2",
                 "control",
@@ -87,12 +87,12 @@
                 "crew",
                 List.of("b", "a"),
                 "berths",
-                List.of(Scribe.map("name", "p2", "server", "s2", "service", "s", "slots", 8))));
+                List.of(JsonCodec.map("name", "p2", "server", "s2", "service", "s", "slots", 8))));
         return state;
     }
 
     private static Map<String, Object> state(boolean items) {
-        Map<String, Object> state = Scribe.map(
+        Map<String, Object> state = JsonCodec.map(
                 "kind",
                 "harbour",
                 "name",
@@ -106,22 +106,25 @@
                 "tallies",
                 Map.of("t", 2.5),
                 "berths",
-                List.of(Scribe.map("name", "p2", "server", "s2", "slots", 4), Scribe.map("name", "p1", "slots", 12)));
+                List.of(
+                        JsonCodec.map("name", "p2", "server", "s2", "slots", 4),
+                        JsonCodec.map("name", "p1", "slots", 12)));
         if (items) {
-            state.put("list", Listing.of(manifest()));
+            state.put("list", ItemListing.of(manifest()));
         }
         return state;
     }
 
-    private static Manifest manifest() {
+    private static Configuration manifest() {
         String route = "{\"hostname\":\"Shop\",\"pathPrefix\":\"%s\",\"routeType\":\"idempotent\","
                 + "\"timeout\":\"1s\",\"targetLatency\":\"50ms\",\"priority\":1,\"service\":\"s\","
                 + "\"maxAttempts\":2,\"configVersion\":\"r7\"}";
         String change = "{\"upsert\":{\"routeTable\":{\"all\":" + route.formatted("/") + ",\"cart\":"
                 + route.formatted("/cart/") + "},\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + SECRET
                 + "\"],\"configVersion\":\"r1\"}}}}";
-        return Manifest.of(
-                Order.read(change.getBytes(StandardCharsets.UTF_8)).get().items());
+        return Configuration.of(ConfigurationChange.read(change.getBytes(StandardCharsets.UTF_8))
+                .get()
+                .items());
     }
 
     /** Waits for so long that a busy machine changes nothing. */
@@ -132,7 +135,7 @@
     }
 
     private int run(String... args) {
-        return Bridge.run(new PrintWriter(out, true), new PrintWriter(err, true), args);
+        return MeshCtl.run(new PrintWriter(out, true), new PrintWriter(err, true), args);
     }
 
     @Test
@@ -193,7 +196,7 @@
                 new ByteArrayInputStream(typed.getBytes(StandardCharsets.UTF_8)),
                 shown,
                 StandardCharsets.UTF_8)) {
-            Helmsman.run(new Shell(List.of()), terminal, history, new Paint(true));
+            InteractiveTerminal.run(new Shell(List.of()), terminal, history, new AnsiStyle(true));
         }
         assertThat(shown.toString(StandardCharsets.UTF_8))
                 .contains("Answers of the mesh's own", "\u001b[1mslots\u001b[0m");
--- a/src/test/java/larkbank/bridge/SheetTest.java
+++ b/src/test/java/org/cypressweir/meshctl/TablePrinterTest.java
@@ -1,4 +1,4 @@
-package larkbank.bridge;
+package org.cypressweir.meshctl;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,9 +6,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class SheetTest {
+class TablePrinterTest {
 
-    private final Sheet sheet = new Sheet(
+    private final TablePrinter sheet = new TablePrinter(
             List.of("name", "slots", "crew"),
             List.of(
                     Map.of("name", "b", "slots", 10L, "crew", List.of("x", "y")),
--- a/src/test/java/larkbank/sidecar/CellsLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/CellsLoopbackTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,18 +31,18 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import larkbank.Ids;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.cell.Cell;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.cell.Parting;
-import larkbank.cell.Placement;
-import larkbank.testkit.CellPlans;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.sidecar.cell.Cell;
+import org.cypressweir.sidecar.cell.CellAssignment;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.sidecar.cell.Placement;
+import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -54,9 +54,9 @@
     private static final String NAMES = "names = [\"c0\", \"c1\", \"c2\"]\nby = \"header:X-Account\"\n";
 
     private Harness harness;
-    private final List<Stub> servers = new ArrayList<>();
+    private final List<PeerStub> servers = new ArrayList<>();
     /** What the servers of some tests have been sent. */
-    private final BlockingQueue<Stub.Seen> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PeerStub.Seen> arrived = new LinkedBlockingQueue<>();
 
     private static String accountOf(int cell, int skip) {
         BitSet open = new BitSet();
@@ -70,9 +70,9 @@
     }
 
     /** The servers of a cell, by the same deal as the sidecar's. */
-    private List<Stub> ofCell(int cell) {
-        Parting parting = new Parting(CELLS, Spread.SERVER, 0);
-        Map<Long, Stub> byId = new HashMap<>();
+    private List<PeerStub> ofCell(int cell) {
+        CellAssignment parting = new CellAssignment(CELLS, Spread.SERVER, 0);
+        Map<Long, PeerStub> byId = new HashMap<>();
         servers.forEach(s -> byId.put(Ids.of("s-" + s.port()), s));
         parting.listed(
                 0,
@@ -88,7 +88,7 @@
 
     private String file(String cells) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
-        for (Stub s : servers) {
+        for (PeerStub s : servers) {
             text.append("  { id = \"s-")
                     .append(s.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -108,7 +108,7 @@
         return text.toString();
     }
 
-    private void sidecar(int count, Stub.Script script, String cells) throws Exception {
+    private void sidecar(int count, PeerStub.Script script, String cells) throws Exception {
         for (int i = 0; i < count; i++) {
             servers.add(server(script));
         }
@@ -130,15 +130,15 @@
                 + Instant.now().minusSeconds(1) + "\n" + more;
     }
 
-    private Stub.Seen first() throws InterruptedException {
-        Stub.Seen seen = arrived.poll(10, TimeUnit.SECONDS);
+    private PeerStub.Seen first() throws InterruptedException {
+        PeerStub.Seen seen = arrived.poll(10, TimeUnit.SECONDS);
         assertTrue(seen != null, "no request came");
         return seen;
     }
 
     @Test
     void eachUnitMeetsOnlyTheServersOfItsCell() throws Exception {
-        sidecar(9, Stub.serves("ok"), "");
+        sidecar(9, PeerStub.serves("ok"), "");
         for (int cell = 0; cell < 3; cell++) {
             for (int i = 0; i < 12; i++) {
                 String account = accountOf(cell, i % 4);
@@ -147,15 +147,15 @@
                         200, harness.client().raw(book(account, "x")).answer().status());
             }
         }
-        Map<Stub, Integer> cellOf = new HashMap<>();
+        Map<PeerStub, Integer> cellOf = new HashMap<>();
         for (int cell = 0; cell < 3; cell++) {
             int c = cell;
             assertEquals(3, ofCell(cell).size());
             ofCell(cell).forEach(s -> cellOf.put(s, c));
         }
         int seen = 0;
-        for (Stub s : servers) {
-            for (Stub.Seen request : s.seen) {
+        for (PeerStub s : servers) {
+            for (PeerStub.Seen request : s.seen) {
                 String account = request.request().headers().get("X-Account");
                 assertTrue(List.of(
                                 accountOf(cellOf.get(s), 0),
@@ -172,9 +172,9 @@
     /** All servers of one cell hang: the others serve as if nothing were, and nothing of it reaches them. */
     @Test
     void aCellWhoseServersAllHangHarmsNoOther() throws Exception {
-        sidecar(9, Stub.serves("ok"), "");
+        sidecar(9, PeerStub.serves("ok"), "");
         CountDownLatch release = new CountDownLatch(1);
-        for (Stub s : ofCell(0)) {
+        for (PeerStub s : ofCell(0)) {
             s.script(seen -> {
                 await(release);
                 seen.reply("200 OK", "", "late");
@@ -185,14 +185,14 @@
         for (int i = 0; i < 60; i++) {
             waiting.add(harness.client().raw(book(accountOf(0, i % 3), "h" + i)));
         }
-        for (Stub s : ofCell(0)) {
+        for (PeerStub s : ofCell(0)) {
             s.take();
         }
         long worst = 0;
         for (int i = 0; i < 200; i++) {
             long began = System.nanoTime();
             String account = accountOf(1 + i % 2, i % 5);
-            Http.Message answer = harness.client()
+            RawHttpClient.Message answer = harness.client()
                     .raw(i % 3 == 0 ? book(account, "b" + i) : search(account))
                     .answer();
             assertEquals(200, answer.status());
@@ -209,7 +209,7 @@
         }
         assertTrue(served > 0);
         for (int cell = 1; cell < 3; cell++) {
-            for (Stub s : ofCell(cell)) {
+            for (PeerStub s : ofCell(cell)) {
                 assertTrue(
                         s.seen.stream().noneMatch(r -> r.request().body().startsWith("h")),
                         "harm reached another cell");
@@ -235,7 +235,7 @@
     @Test
     void theHeaviestAccountMovesUnderLoad() throws Exception {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
-        Stub.Script script = seen -> {
+        PeerStub.Script script = seen -> {
             arrived.add(seen);
             runs.merge(seen.request().body(), 1, Integer::sum);
             seen.reply("200 OK", "", seen.request().body());
@@ -298,9 +298,9 @@
 
     /** Waits until a server of the cell has met the account, in a request that came after this call. */
     private void awaitSeen(int cell, String account) throws InterruptedException {
-        List<Integer> ports = ofCell(cell).stream().map(Stub::port).toList();
+        List<Integer> ports = ofCell(cell).stream().map(PeerStub::port).toList();
         arrived.clear();
-        for (Stub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
+        for (PeerStub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (ports.contains(seen.socket().getLocalPort())
                     && account.equals(seen.request().headers().get("X-Account"))) {
                 return;
@@ -315,14 +315,14 @@
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         Harness.Client first = harness.client().raw(book(account, "first"));
-        Stub.Seen running = first();
+        PeerStub.Seen running = first();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
         // The process can't know of writes before the move was ordered until they must have ended.
-        for (Stub s : ofCell(0)) {
-            s.script(Stub.serves("old"));
+        for (PeerStub s : ofCell(0)) {
+            s.script(PeerStub.serves("old"));
         }
-        for (Stub s : ofCell(1)) {
-            s.script(Stub.serves("new"));
+        for (PeerStub s : ofCell(1)) {
+            s.script(PeerStub.serves("new"));
         }
         assertEquals(
                 "old", harness.client().raw(book(account, "second")).answer().body());
@@ -338,12 +338,12 @@
     @Test
     void aFreezeIsHeardAtOnce() throws Exception {
         String account = accountOf(0, 0);
-        sidecar(6, Stub.serves("ok"), "");
+        sidecar(6, PeerStub.serves("ok"), "");
         harness.reload(file(move(account, 1, "freeze = \"10s\"\n")));
         harness.log.await("refuses writes");
         Harness.Client client = harness.client();
         long began = System.nanoTime();
-        Http.Message refused = client.raw(book(account, "x")).answer();
+        RawHttpClient.Message refused = client.raw(book(account, "x")).answer();
         assertEquals(503, refused.status());
         double after = Double.parseDouble(refused.headers().get("Retry-After"));
         assertTrue(after > 0 && after <= 2, "Retry-After " + after);
@@ -351,7 +351,7 @@
         // The connection is as good as before, and the id free again.
         assertEquals(200, client.raw(search(account)).answer().status());
         assertEquals(200, client.raw(book(accountOf(2, 0), "x")).answer().status());
-        for (Stub s : ofCell(0)) {
+        for (PeerStub s : ofCell(0)) {
             assertTrue(s.seen.isEmpty());
         }
     }
@@ -359,14 +359,14 @@
     /** A server that leaves keeps its place; past that time others fill the hole, and nothing is lost. */
     @Test
     void serversThatChangeCellsServeOn() throws Exception {
-        sidecar(9, Stub.serves("ok"), "keep_places = \"0ms\"\n");
-        Stub gone = ofCell(0).get(0);
-        List<Stub> before = ofCell(0);
+        sidecar(9, PeerStub.serves("ok"), "keep_places = \"0ms\"\n");
+        PeerStub gone = ofCell(0).get(0);
+        List<PeerStub> before = ofCell(0);
         servers.remove(gone);
         harness.reload(file("keep_places = \"0ms\"\n"));
-        servers.add(server(Stub.serves("ok")));
-        servers.add(server(Stub.serves("ok")));
-        servers.add(server(Stub.serves("ok")));
+        servers.add(server(PeerStub.serves("ok")));
+        servers.add(server(PeerStub.serves("ok")));
+        servers.add(server(PeerStub.serves("ok")));
         harness.reload(file("keep_places = \"0ms\"\n"));
         for (int i = 0; i < 60; i++) {
             assertEquals(
@@ -378,11 +378,11 @@
         }
         assertTrue(gone.seen.isEmpty());
         assertFalse(ofCell(0).equals(before));
-        Set<Stub> all = new HashSet<>();
+        Set<PeerStub> all = new HashSet<>();
         for (int c = 0; c < 3; c++) {
-            for (Stub s : ofCell(c)) {
+            for (PeerStub s : ofCell(c)) {
                 assertTrue(all.add(s));
-                for (Stub.Seen seen : s.seen) {
+                for (PeerStub.Seen seen : s.seen) {
                     String account = seen.request().headers().get("X-Account");
                     int cell = c;
                     assertTrue(
@@ -400,11 +400,11 @@
     void cellsComeAndGoUnderARequest() throws Exception {
         sidecar(8, arrived::add, "");
         Harness.Client client = harness.client().raw(book(accountOf(2, 0), "kept"));
-        Stub.Seen running = first();
+        PeerStub.Seen running = first();
         harness.reload(file("").replace("\"c2\"]", "\"c2\", \"c3\"]"));
         harness.reload(file("").replace("[\"c0\", ", "["));
         harness.reload(file("").replace("[pools.p.cells]\n" + NAMES, ""));
-        servers.forEach(s -> s.script(Stub.serves("plain")));
+        servers.forEach(s -> s.script(PeerStub.serves("plain")));
         assertEquals("plain", harness.client().raw(search("any")).answer().body());
         running.reply("200 OK", "", "kept");
         assertEquals("kept", client.answer().body());
@@ -412,7 +412,7 @@
 
     @Test
     void aBadReloadLeavesCellsAlone() throws Exception {
-        sidecar(6, Stub.serves("ok"), "");
+        sidecar(6, PeerStub.serves("ok"), "");
         harness.reload(file("guests = 0.9\n"));
         assertTrue(harness.log.toString().contains("'guests' must be a number from 0.0 to 0.5"));
         assertEquals(200, harness.client().raw(search(accountOf(1, 0))).answer().status());
@@ -420,9 +420,9 @@
 
     private void discovered() throws Exception {
         for (int i = 0; i < 6; i++) {
-            servers.add(server(Stub.serves("ok")));
+            servers.add(server(PeerStub.serves("ok")));
         }
-        harness = new Harness(folder, servers.toArray(Stub[]::new));
+        harness = new Harness(folder, servers.toArray(PeerStub[]::new));
         open.add(harness);
         harness.startWith("version = 1\n[pools.p]\nsource = \"discovery\"\n[pools.p.cells]\n" + NAMES
                 + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
@@ -430,9 +430,9 @@
     }
 
     /** Tells the sidecar a change and waits until it has taken it over and watches again. */
-    private void tell(int revision, String state, Stub... changed) throws Exception {
+    private void tell(int revision, String state, PeerStub... changed) throws Exception {
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(revision, false, state, changed)));
-        Stub.Seen again = harness.discovery.take();
+        PeerStub.Seen again = harness.discovery.take();
         assertTrue(
                 again.request().first().contains("from=" + revision),
                 again.request().first());
@@ -443,7 +443,7 @@
     @Test
     void drainsStayWithinTheirCell() throws Exception {
         discovered();
-        List<Stub> own = ofCell(0);
+        List<PeerStub> own = ofCell(0);
         assertEquals(2, own.size());
         String account = accountOf(0, 0);
         tell(2, "terminating", own.get(0));
@@ -460,7 +460,7 @@
             assertEquals(
                     200,
                     harness.client().raw(book(accountOf(cell, 0), "o")).answer().status());
-            for (Stub s : ofCell(cell)) {
+            for (PeerStub s : ofCell(cell)) {
                 assertTrue(s.seen.stream()
                         .noneMatch(r -> account.equals(r.request().headers().get("X-Account"))));
             }
@@ -476,13 +476,13 @@
     @Test
     void aReleaseMovesNobody() throws Exception {
         discovered();
-        Map<Stub, Integer> cellOf = new HashMap<>();
+        Map<PeerStub, Integer> cellOf = new HashMap<>();
         for (int c = 0; c < 3; c++) {
             int cell = c;
             ofCell(c).forEach(s -> cellOf.put(s, cell));
         }
         int revision = 2;
-        for (Stub restarted : servers) {
+        for (PeerStub restarted : servers) {
             tell(revision++, "terminated", restarted);
             for (int c = 0; c < 3; c++) {
                 assertEquals(
@@ -491,8 +491,8 @@
             }
             tell(revision++, "in_service", restarted);
         }
-        for (Stub s : servers) {
-            for (Stub.Seen seen : s.seen) {
+        for (PeerStub s : servers) {
+            for (PeerStub.Seen seen : s.seen) {
                 assertEquals(
                         accountOf(cellOf.get(s), 1), seen.request().headers().get("X-Account"));
             }
@@ -521,11 +521,11 @@
                             TunnelLoopback.UPGRADE + TunnelLoopback.CHAT + "X-Account: " + accountOf(cell, 0) + "\r\n",
                             0));
             assertEquals(101, client.answer().status());
-            Ws ws = new Ws(client.socket, true);
+            WebSocketClient ws = new WebSocketClient(client.socket, true);
             ws.send(1, true, ("to " + cell).getBytes(StandardCharsets.US_ASCII));
             assertEquals("to " + cell, ws.message().text());
             int open = 0;
-            for (Stub s : ofCell(cell)) {
+            for (PeerStub s : ofCell(cell)) {
                 open += tunnels[servers.indexOf(s)].get();
             }
             assertEquals(1, open);
@@ -538,12 +538,12 @@
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         harness.client().raw(book(account, "running"));
-        Stub.Seen running = first();
+        PeerStub.Seen running = first();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
         Harness.Client second = harness.client().raw(book(account, "second"));
         CountDownLatch ended = harness.stop();
-        servers.forEach(s -> s.script(Stub.serves("ok")));
-        for (Stub s : servers) {
+        servers.forEach(s -> s.script(PeerStub.serves("ok")));
+        for (PeerStub s : servers) {
             s.seen.forEach(seen -> {
                 if (seen.request().body().equals("second")) {
                     reply(seen);
@@ -556,7 +556,7 @@
         assertTrue(ended.await(10, TimeUnit.SECONDS));
     }
 
-    private static void reply(Stub.Seen seen) {
+    private static void reply(PeerStub.Seen seen) {
         try {
             seen.reply("200 OK", "", "ok");
         } catch (IOException e) {
--- a/src/test/java/larkbank/sidecar/ClassListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClassListTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -34,14 +34,14 @@
         List<String> stale = new ArrayList<>();
         int lambdas = 0;
         for (String line : Files.readAllLines(Path.of("deploy/classes.lst"))) {
-            if (line.startsWith("larkbank/") && !exists(line.split(" ")[0], null)) {
+            if (line.startsWith("org/cypressweir/") && !exists(line.split(" ")[0], null)) {
                 stale.add(line);
             }
             // @lambda-proxy CALLER NAME FACTORY TYPE KIND OWNER METHOD ...
             String[] words = line.split(" ");
-            if (line.startsWith("@lambda-proxy larkbank/")) {
+            if (line.startsWith("@lambda-proxy org/cypressweir/")) {
                 lambdas++;
-                if (!exists(words[1], null) || words[6].startsWith("larkbank/") && !exists(words[6], words[7])) {
+                if (!exists(words[1], null) || words[6].startsWith("org/cypressweir/") && !exists(words[6], words[7])) {
                     stale.add(line);
                 }
             }
--- a/src/test/java/larkbank/sidecar/ClosingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClosingTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,7 +30,7 @@
  * the kernel holds was read first. Time is made up; the turn is held by the service itself.
  */
 @Timeout(60)
-class ClosingTest implements ClientServer.Service {
+class ClosingTest implements ClientListener.Service {
 
     private static final int MOST = 8;
 
@@ -39,8 +39,8 @@
     private final AtomicLong nanos = new AtomicLong(TimeUnit.SECONDS.toNanos(100));
     private final CountDownLatch ended = new CountDownLatch(1);
     private final List<Harness.Client> clients = new ArrayList<>();
-    private ClientServer server;
-    private ClientServer.Door door;
+    private ClientListener server;
+    private ClientListener.Door door;
     private CountDownLatch held;
     private CountDownLatch go;
     private Runnable meanwhile;
@@ -54,7 +54,7 @@
 
     @BeforeEach
     void listen() throws Exception {
-        server = loop.submit(() -> new ClientServer(loop, this, MOST, line -> {}, nanos::get))
+        server = loop.submit(() -> new ClientListener(loop, this, MOST, line -> {}, nanos::get))
                 .get();
         door = loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
                 .get()
@@ -77,7 +77,7 @@
 
     /** The request of /hold keeps the loop in its turn; what it queues runs in that turn's end. */
     @Override
-    public void take(FullHttpRequest http, Call.Client client) {
+    public void take(FullHttpRequest http, ClientRequest.Client client) {
         if (http.uri().startsWith("/hold")) {
             held.countDown();
             awaitQuietly(go);
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void left(Call.Client client) {}
+    public void left(ClientRequest.Client client) {}
 
     private static void awaitQuietly(CountDownLatch latch) {
         try {
--- a/src/test/java/larkbank/sidecar/DailyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/DailyTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -32,13 +32,13 @@
     @TempDir
     Path folder;
 
-    private Stub server;
+    private PeerStub server;
     private Harness harness;
     private InetSocketAddress door;
 
     @BeforeEach
     void start() throws Exception {
-        server = new Stub(Stub.serves("ok"));
+        server = new PeerStub(PeerStub.serves("ok"));
         harness = new Harness(folder, server).start();
         door = harness.sidecar
                 .openToOperators(new InetSocketAddress("127.0.0.1", 0))
@@ -79,7 +79,7 @@
     void callersThatSayNothingWholeKeepNobodyOut() throws Exception {
         List<Socket> held = new ArrayList<>();
         try {
-            for (int i = 0; i < 3 * OperatorsDoor.CALLERS; i++) {
+            for (int i = 0; i < 3 * AdminListener.CALLERS; i++) {
                 Socket socket = new Socket(door.getAddress(), door.getPort());
                 held.add(socket);
                 socket.getOutputStream().write((i % 2 == 0 ? "REA" : "").getBytes(StandardCharsets.US_ASCII));
@@ -97,9 +97,9 @@
     void whatClientsAndServersSawIsWhatIsTold() throws Exception {
         assertEquals(200, harness.client().search(5_000).answer().status());
         assertEquals(200, harness.client().book("x", 5_000).answer().status());
-        server.script(Stub.answers("500 Oops", "", ""));
+        server.script(PeerStub.answers("500 Oops", "", ""));
         assertEquals(502, harness.client().book("x", 5_000).answer().status());
-        server.script(Stub.SILENT);
+        server.script(PeerStub.SILENT);
         harness.client().search(5_000);
         String told = figures("\"inflight\":1");
         assertTrue(
@@ -116,11 +116,11 @@
     void aDrainAnswersAllAndLeavesNobodyAndCanBeTakenBack() throws Exception {
         Harness.Client idle = harness.client();
         assertEquals(200, idle.search(5_000).answer().status());
-        server.script(Stub.SILENT);
+        server.script(PeerStub.SILENT);
         Harness.Client busy = harness.client().book("x", 20_000);
         Harness.Client silent = harness.client();
         server.take();
-        Stub.Seen held = server.take();
+        PeerStub.Seen held = server.take();
         assertEquals("YES draining\n", ask("DRAIN"));
         assertEquals("YES draining\n", ask("DRAIN"));
         assertEquals(503, health());
@@ -138,7 +138,7 @@
         }
         assertEquals("YES serving\n", ask("UNDRAIN"));
         assertEquals(200, health());
-        server.script(Stub.serves("again"));
+        server.script(PeerStub.serves("again"));
         Harness.Client next = harness.client().search(5_000);
         assertEquals("again", next.answer().body());
         assertEquals("again", next.search(5_000).answer().body());
@@ -193,15 +193,15 @@
     @Test
     void otherClassesHoldForNewRequestsAndTheOldRulesForOldOnes() throws Exception {
         String good = Files.readString(harness.file);
-        server.script(Stub.SILENT);
+        server.script(PeerStub.SILENT);
         Harness.Client old = harness.client().search(20_000);
-        Stub.Seen first = server.take();
+        PeerStub.Seen first = server.take();
         // What was safe to repeat is now not, under another name; and nothing may be tried twice.
         reload(good.replace("\"name\":\"search\",\"effect\":\"pure\"", "\"name\":\"find\",\"effect\":\"side_effect\"")
                 .replace("\"attempts_cap\":4", "\"attempts_cap\":1"));
         figures("\"reconfig_ok\":1,\"reconfig_failed\":0");
         assertEquals(400, harness.client().search(5_000).answer().status());
-        server.script(Stub.answers("503 Full", "Not-Started: 1\r\n", ""));
+        server.script(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         String head = Harness.Client.head("POST", "/find/k1", 5_000, "", 1) + "x";
         assertEquals(503, harness.client().raw(head).answer().status());
         server.take();
--- a/src/test/java/larkbank/sidecar/FleetShareTest.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetShareTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -21,7 +21,7 @@
 
     private Harness harness;
 
-    private Harness sidecar(String fleet, Stub... servers) throws Exception {
+    private Harness sidecar(String fleet, PeerStub... servers) throws Exception {
         harness = new Harness(folder, servers);
         open.add(harness);
         return harness.startWith("version = 1\n" + fleet + ROUTES);
@@ -30,14 +30,14 @@
     /** Calls have their times and hold nothing open: each asks for changes, waits for nothing and closes. */
     @Test
     void theListIsAskedAtItsPace() throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         harness = new Harness(folder, one);
         open.add(harness);
         harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
         harness.startWith("version = 1\n[fleet]\ninstances = 4\nlist_rate = 10\n" + ROUTES);
         List<Long> at = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            Stub.Seen call = harness.discovery.take();
+            PeerStub.Seen call = harness.discovery.take();
             at.add(System.nanoTime());
             assertTrue(
                     call.request().first().endsWith("&hold_ms=0 HTTP/1.1"),
@@ -55,11 +55,11 @@
      */
     @Test
     void failuresKeepThePace() throws Exception {
-        Stub one = server(Stub.serves("one"));
-        Stub two = server(Stub.serves("two"));
+        PeerStub one = server(PeerStub.serves("one"));
+        PeerStub two = server(PeerStub.serves("two"));
         harness = new Harness(folder, one);
         open.add(harness);
-        harness.discovery.script(Stub.answers("503 Service Unavailable", "", ""));
+        harness.discovery.script(PeerStub.answers("503 Service Unavailable", "", ""));
         harness.startWith("version = 1\n[fleet]\ninstances = 2\nlist_rate = 10\n" + ROUTES);
         long began = System.nanoTime();
         for (int i = 0; i < 4; i++) {
@@ -68,7 +68,7 @@
         assertTrue((System.nanoTime() - began) / 1_000_000 > 350, "four failures in less than two rounds");
         harness.discovery.script(
                 seen -> seen.reply("200 OK", "", Harness.json(Harness.list(2, true, "in_service", two))));
-        two.script(Stub.serves("two"));
+        two.script(PeerStub.serves("two"));
         for (int i = 0; i < 3; i++) {
             harness.discovery.take();
         }
@@ -78,9 +78,9 @@
     /** Word of a drain that comes with a paced call is kept as ever. */
     @Test
     void aReloadChangesThePace() throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         sidecar("", one);
-        Stub.Seen watch = harness.discovery.take();
+        PeerStub.Seen watch = harness.discovery.take();
         assertTrue(
                 watch.request().first().contains("hold_ms=20000"),
                 watch.request().first());
@@ -90,7 +90,7 @@
         assertTrue(harness.discovery.take().request().first().contains("hold_ms=0"));
         harness.discovery.script(seen -> {});
         harness.reload("version = 1\n" + ROUTES);
-        Stub.Seen again = harness.discovery.take();
+        PeerStub.Seen again = harness.discovery.take();
         while (again.request().first().contains("hold_ms=0")) {
             again = harness.discovery.take();
         }
@@ -102,7 +102,7 @@
     /** With no part of the idle connections each answer ends its connection; without a bound it is kept. */
     @Test
     void idleConnectionsKeepTheBound() throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         sidecar("[fleet]\ninstances = 3000\nidle_per_server = 0\n", one);
         for (int i = 0; i < 3; i++) {
             assertEquals(200, harness.client().search(2_000).answer().status());
@@ -123,15 +123,15 @@
     /** Where the settings allow probes they go out within the bound, and what they tell is used. */
     @Test
     void probesKeepTheBound() throws Exception {
-        Stub.Script script = seen -> {
+        PeerStub.Script script = seen -> {
             if (seen.request().first().startsWith("GET /load ")) {
                 seen.reply("200 OK", "", "TEXT active=3, cpu=0.2");
             } else {
                 seen.reply("200 OK", "", "ok");
             }
         };
-        Stub one = server(script);
-        Stub two = server(script);
+        PeerStub one = server(script);
+        PeerStub two = server(script);
         harness = new Harness(folder, one, two);
         open.add(harness);
         String text = Files.readString(harness.file);
@@ -155,7 +155,7 @@
         assertTrue(probes <= 2 * seconds + 4, probes + " probes in " + seconds + " s");
     }
 
-    private static long probes(Stub server) {
+    private static long probes(PeerStub server) {
         return server.seen.stream()
                 .filter(s -> s.request().first().startsWith("GET /load "))
                 .count();
--- a/src/test/java/larkbank/sidecar/GoldenSharedFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/GoldenSharedFilesTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import java.util.HexFormat;
 import java.util.List;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.golden.Golden;
-import larkbank.membership.Lending.Loan;
+import org.cypressweir.fleet.membership.Lending.Loan;
+import org.cypressweir.golden.Golden;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -42,14 +42,14 @@
     @Test
     void pagesOfServersAreTheSame() throws IOException {
         ServerList list = list();
-        ListShelf shelf = new ListShelf(new Clock(), NAMES, REVISION, () -> list, () -> true);
+        EndpointListCache shelf = new EndpointListCache(new SidecarClock(), NAMES, REVISION, () -> list, () -> true);
         assertThat(shelf.pages()).isEqualTo(1);
         Golden.assertSame(PAGE, List.of(HexFormat.of().formatHex(shelf.page(0))));
     }
 
     @Test
     void pagesOfServersAreRead() throws IOException {
-        ListShelf shelf = new ListShelf(new Clock(), NAMES, 0, () -> null, () -> true);
+        EndpointListCache shelf = new EndpointListCache(new SidecarClock(), NAMES, 0, () -> null, () -> true);
         byte[] page = HexFormat.of().parseHex(Golden.text(PAGE).trim());
         assertThat(shelf.read(new Loan("lender", REVISION, 0, List.of(page)))).isEqualTo(list());
     }
@@ -57,7 +57,7 @@
     /** Two builds on one machine have to know of each other. */
     @Test
     void nameOfTheLockFile() throws IOException {
-        assertThat(OneAtATime.in(folder.toString()).alone()).isTrue();
+        assertThat(ProcessLock.in(folder.toString()).alone()).isTrue();
         try (var files = Files.list(folder)) {
             assertThat(files.map(file -> file.getFileName().toString())).containsExactly(LOCK_FILE);
         }
--- a/src/test/java/larkbank/sidecar/Harness.java
+++ b/src/test/java/org/cypressweir/sidecar/Harness.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -18,14 +18,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
-import larkbank.Choice;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Settings;
-import larkbank.testkit.Configs;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.websocket.UpgradeAccount.Counters;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Counters;
+import org.cypressweir.testkit.Configs;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.Assertions;
 
 /** A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients. */
@@ -33,7 +33,7 @@
 
     static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
 
-    final Stub discovery;
+    final PeerStub discovery;
     final EventLoop loop;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Client> clients = new ArrayList<>();
@@ -44,13 +44,13 @@
     private OperatorsLayout layout;
     InetSocketAddress address;
 
-    Harness(Path folder, Stub... servers) throws Exception {
+    Harness(Path folder, PeerStub... servers) throws Exception {
         this(folder, 250_000, 1024, servers);
     }
 
-    Harness(Path folder, long connectMicros, int sockets, Stub... servers) throws Exception {
+    Harness(Path folder, long connectMicros, int sockets, PeerStub... servers) throws Exception {
         // The first answer says what is known already; the watch that goes on then hears nothing.
-        discovery = new Stub(seen -> {});
+        discovery = new PeerStub(seen -> {});
         loop = group.next();
         this.folder = folder;
         file = folder.resolve("config.json");
@@ -63,20 +63,20 @@
         return Configs.json(quoted);
     }
 
-    static String list(int revision, boolean all, String state, Stub... servers) {
+    static String list(int revision, boolean all, String state, PeerStub... servers) {
         return Configs.list(revision, all, state, servers);
     }
 
-    Config config() throws IOException {
-        return Config.read(Map.of("LB_CONFIG", file.toString()));
+    SidecarConfiguration config() throws IOException {
+        return SidecarConfiguration.read(Map.of("LB_CONFIG", file.toString()));
     }
 
     Harness start() throws Exception {
-        return start(Choice::new);
+        return start(SubsetLoadBalancer::new);
     }
 
     Harness start(BiFunction<Settings, Actions, LoadBalancer> modules) throws Exception {
-        Config config = config();
+        SidecarConfiguration config = config();
         sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules))
                 .get();
         address = sidecar.start().get(10, TimeUnit.SECONDS);
@@ -85,13 +85,13 @@
 
     /** With an operators' file. */
     Harness startWith(String operators) throws Exception {
-        return startWith(operators, Choice::new);
+        return startWith(operators, SubsetLoadBalancer::new);
     }
 
     Harness startWith(String operators, BiFunction<Settings, Actions, LoadBalancer> modules) throws Exception {
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, operators);
-        Config config = config();
+        SidecarConfiguration config = config();
         Sidecar.Layouts made = OperatorsLayout.of(file, config).layouts();
         Sidecar.Layouts layouts = parts -> {
             layout = (OperatorsLayout) made.of(parts);
@@ -208,8 +208,8 @@
             return raw(head("POST", "/book/k1?x=1", timeoutMillis, "", body.length()) + body);
         }
 
-        Http.Message answer() throws IOException {
-            Http.Message answer = Http.read(socket.getInputStream());
+        RawHttpClient.Message answer() throws IOException {
+            RawHttpClient.Message answer = RawHttpClient.read(socket.getInputStream());
             Assertions.assertNotNull(answer, "closed without an answer");
             return answer;
         }
--- a/src/test/java/larkbank/sidecar/LargeListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,19 +11,19 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.testkit.Stub;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Lists of thousands: read beside the loop, taken over in slices, in the order in which they were told. */
 @Timeout(60)
-class LargeListTest {
+class LargeEndpointListTest {
 
     private static final int MANY = 3_000;
 
@@ -78,7 +78,7 @@
 
     @Test
     void aWholeListComesInSlicesWithWhatLeavesFirst() throws Exception {
-        try (Stub known = new Stub(Stub.SILENT);
+        try (PeerStub known = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, known)) {
             Listening module = start(harness);
             // Drains, though it stands last on the list.
@@ -96,7 +96,7 @@
                 Told told = module.take();
                 assertEquals(ListKind.CHANGES, told.kind());
                 assertTrue(
-                        told.list().size() <= ListFeed.SLICE,
+                        told.list().size() <= EndpointListFeed.SLICE,
                         "a slice of " + told.list().size());
                 if (slices++ == 0) {
                     assertEquals(Ids.of("s-" + known.port()), told.list().get(0).id());
@@ -105,7 +105,7 @@
                 }
                 told.list().forEach(s -> seen.add(s.id()));
             }
-            assertEquals(1 + (MANY + 1) / ListFeed.SLICE, slices);
+            assertEquals(1 + (MANY + 1) / EndpointListFeed.SLICE, slices);
             // What was told later comes later, however long the slices took.
             Told last = module.take();
             assertEquals(
@@ -115,9 +115,9 @@
 
     @Test
     void aListThatIsTooLargeIsSaidSoAndTheOldOneStays() throws Exception {
-        try (Stub known = new Stub(Stub.serves("ok"));
+        try (PeerStub known = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, known).start()) {
-            Stub.Seen asked = harness.discovery.take();
+            PeerStub.Seen asked = harness.discovery.take();
             asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (Discovery.MAX_LIST + 1) + "\r\n\r\n{");
             harness.discovery.awaitEnd();
             assertEquals(200, harness.client().search(2_000).answer().status());
@@ -130,7 +130,7 @@
 
     @Test
     void aMalformedLargeListChangesNothing() throws Exception {
-        try (Stub known = new Stub(Stub.serves("ok"));
+        try (PeerStub known = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, known).start()) {
             String broken = list(7, true, 0, MANY).replace("'u2999'".replace('\'', '"'), "7");
             harness.discovery.take().reply("200 OK", "Connection: close\r\n", broken);
@@ -145,7 +145,7 @@
     void aLargeListBeforeAClosedConnectionCounts() throws Exception {
         try (Harness harness = new Harness(folder)) {
             Listening module = start(harness);
-            Stub.Seen asked = harness.discovery.take();
+            PeerStub.Seen asked = harness.discovery.take();
             asked.reply("200 OK", "Connection: close\r\n", list(7, true, 0, MANY));
             asked.socket().close();
             int told = 0;
--- a/src/test/java/larkbank/sidecar/LargeMessagesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeMessagesTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,10 +24,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -45,16 +45,16 @@
     @TempDir
     Path folder;
 
-    private Stub server;
-    private Stub other;
+    private PeerStub server;
+    private PeerStub other;
     private Harness harness;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     @BeforeEach
     void start() throws Exception {
-        server = new Stub(Stub.SILENT);
-        other = new Stub(Stub.SILENT);
+        server = new PeerStub(PeerStub.SILENT);
+        other = new PeerStub(PeerStub.SILENT);
         harness = new Harness(folder, server).start();
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** An answer in one of the ways that bound it, in parts of odd lengths. */
-    private static void answer(Stub.Seen seen, String how, byte[] body, int count) throws IOException {
+    private static void answer(PeerStub.Seen seen, String how, byte[] body, int count) throws IOException {
         OutputStream out = seen.socket().getOutputStream();
         seen.raw(head(
                 switch (how) {
@@ -148,7 +148,7 @@
         assertThrows(
                 IOException.class,
                 () -> client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray()));
-        server.script(Stub.serves("next"));
+        server.script(PeerStub.serves("next"));
         assertEquals(
                 "next",
                 client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofString())
@@ -220,7 +220,7 @@
         assertEquals(body.length, rest.length);
     }
 
-    private byte[] received(Http.Message message) {
+    private byte[] received(RawHttpClient.Message message) {
         return message.body().getBytes(StandardCharsets.ISO_8859_1);
     }
 
@@ -230,7 +230,7 @@
         byte[] body = bytes(LARGE);
         harness.loop.submit(() -> harness.sidecar.listed(list())).get();
         AtomicBoolean turnedAway = new AtomicBoolean();
-        Stub.Script once =
+        PeerStub.Script once =
                 seen -> seen.reply(turnedAway.getAndSet(true) ? "200 OK" : "503 Full", "Not-Started: 1\r\n", "");
         server.script(once);
         other.script(once);
@@ -251,7 +251,7 @@
         return new ServerList(2, true, List.of(first, entry(other)));
     }
 
-    private static ServerList.Entry entry(Stub stub) {
+    private static ServerList.Entry entry(PeerStub stub) {
         return new ServerList.Entry(
                 new Server(stub.port(), 0, 0, 0, Phase.READY, 0, 1), new InetSocketAddress("127.0.0.1", stub.port()));
     }
@@ -259,7 +259,7 @@
     /** More than there is room for at once: some are refused, which is true, and the others served. */
     @Test
     void largeRequestsShareTheRoom() throws Exception {
-        server.script(Stub.serves("ok"));
+        server.script(PeerStub.serves("ok"));
         byte[] body = bytes(20 * 1024 * 1024);
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/larkbank/sidecar/Loopback.java
+++ b/src/test/java/org/cypressweir/sidecar/Loopback.java
@@ -1,10 +1,10 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -23,8 +23,8 @@
         }
     }
 
-    Stub server(Stub.Script script) throws IOException {
-        Stub stub = new Stub(script);
+    PeerStub server(PeerStub.Script script) throws IOException {
+        PeerStub stub = new PeerStub(script);
         open.add(stub);
         return stub;
     }
--- a/src/test/java/larkbank/sidecar/OperatorsLayoutTest.java
+++ b/src/test/java/org/cypressweir/sidecar/OperatorsLayoutTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,8 +26,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -45,9 +45,9 @@
         return harness.startWith("version = 1\n" + operators);
     }
 
-    private static String pool(String name, String more, Stub... servers) {
+    private static String pool(String name, String more, PeerStub... servers) {
         StringBuilder text = new StringBuilder("[pools." + name + "]\nsource = \"static\"\n" + more + "servers = [\n");
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             text.append("  { id = \"s-")
                     .append(server.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -75,12 +75,12 @@
 
     @Test
     void eachRouteLeadsToItsPool() throws Exception {
-        Stub one = server(Stub.serves("one"));
-        Stub two = server(Stub.serves("two"));
+        PeerStub one = server(PeerStub.serves("one"));
+        PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "") + route("book", "q", ""));
         assertEquals("one", harness.client().search(2_000).answer().body());
         assertEquals("two", harness.client().book("x", 2_000).answer().body());
-        Http.Message none =
+        RawHttpClient.Message none =
                 harness.client().raw(search("/other/1", "Host: a\r\n")).answer();
         assertEquals(404, none.status());
         assertEquals("no route\n", none.body());
@@ -96,13 +96,13 @@
         "http://A.example.org:81/book/7, /book/7"
     })
     void noSpellingSlipsPastARoute(String target, String sent) throws Exception {
-        Stub one = server(Stub.serves("one"));
-        Stub two = server(Stub.serves("two"));
+        PeerStub one = server(PeerStub.serves("one"));
+        PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "") + route("book", "q", ""));
         String head = "POST " + target + " HTTP/1.1\r\nHost: other\r\nRequest-Id: " + Harness.Client.id()
                 + "\r\nTenant: acme\r\nRequest-Timeout-Ms: 2000\r\nContent-Length: 1\r\n\r\nx";
         assertEquals("two", harness.client().raw(head).answer().body());
-        Http.Message seen = two.take().request();
+        RawHttpClient.Message seen = two.take().request();
         assertEquals("POST " + sent + " HTTP/1.1", seen.first());
         assertEquals(
                 target.startsWith("http") ? "a.example.org" : "other",
@@ -119,7 +119,7 @@
                 "http:///search/1 | Host: a",
             })
     void whatHasNoOneMeaningIsRejected(String target, String host) throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         String fields = host.strip().replace("\\r", "\r").replace("\\n", "\n") + "\r\n";
         assertEquals(
@@ -130,8 +130,8 @@
 
     @Test
     void hostAndHeadersTellRoutesApart() throws Exception {
-        Stub one = server(Stub.serves("one"));
-        Stub two = server(Stub.serves("two"));
+        PeerStub one = server(PeerStub.serves("one"));
+        PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "host = \"*.example.org\"\n")
                 + "[routes.gold]\nhost = \"*.example.org\"\npath = \"/search/*\"\nclass = \"search\"\n"
                 + "pool = \"q\"\nheaders = { X-Tier = \"gold\" }\n");
@@ -162,27 +162,27 @@
 
     @Test
     void aCopyGoesOutAndItsLoserIsCalledOff() throws Exception {
-        Stub one = server(Stub.SILENT);
-        Stub two = server(Stub.SILENT);
+        PeerStub one = server(PeerStub.SILENT);
+        PeerStub two = server(PeerStub.SILENT);
         sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"50ms\"\n"));
         Harness.Client client = harness.client().search(2_000);
         // Each has a copy before either has answered.
-        Stub.Seen slow = one.take();
+        PeerStub.Seen slow = one.take();
         two.take().reply("200 OK", "", "copy");
         assertEquals("copy", client.answer().body());
         one.awaitEnd();
         assertEquals("GET /search/k1 HTTP/1.1", slow.request().first());
         assertEquals(2, one.accepted.get() + two.accepted.get());
-        one.script(Stub.serves("next"));
-        two.script(Stub.serves("next"));
+        one.script(PeerStub.serves("next"));
+        two.script(PeerStub.serves("next"));
         // The client's next answer belongs to its next request: the one before had no second.
         assertEquals("next", client.search(2_000).answer().body());
     }
 
     @Test
     void anUnsafeRequestHasNoCopy() throws Exception {
-        Stub one = server(Stub.SILENT);
-        Stub two = server(Stub.SILENT);
+        PeerStub one = server(PeerStub.SILENT);
+        PeerStub two = server(PeerStub.SILENT);
         sidecar(pool("p", "hedges = 2\n", one, two)
                 + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"20ms\"\n")
                 + route("book", "p", ""));
@@ -193,10 +193,10 @@
 
     @Test
     void anAttemptHasItsOwnTime() throws Exception {
-        Stub one = server(Stub.SILENT);
-        Stub two = server(Stub.SILENT);
+        PeerStub one = server(PeerStub.SILENT);
+        PeerStub two = server(PeerStub.SILENT);
         AtomicInteger came = new AtomicInteger();
-        Stub.Script secondServes = seen -> {
+        PeerStub.Script secondServes = seen -> {
             if (came.incrementAndGet() == 2) {
                 seen.reply("200 OK", "", "second");
             }
@@ -205,7 +205,7 @@
         two.script(secondServes);
         sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nattempt_timeout = \"120ms\"\n"));
         assertEquals("second", harness.client().search(2_000).answer().body());
-        for (Stub server : List.of(one, two)) {
+        for (PeerStub server : List.of(one, two)) {
             long told = Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
             assertTrue(told <= 120, "told the server " + told);
         }
@@ -213,8 +213,8 @@
 
     @Test
     void whatIsNotToBeRetriedIsNot() throws Exception {
-        Stub one = server(Stub.answers("500 No", "", ""));
-        Stub two = server(Stub.answers("500 No", "", ""));
+        PeerStub one = server(PeerStub.answers("500 No", "", ""));
+        PeerStub two = server(PeerStub.answers("500 No", "", ""));
         sidecar(pool("p", "", one, two) + route("search", "p", "retry_on = [\"turned-away\"]\n"));
         assertNotEquals(200, harness.client().search(2_000).answer().status());
         assertEquals(1, one.seen.size() + two.seen.size());
@@ -222,7 +222,7 @@
 
     @Test
     void theRoutesTimeEndsARequestBeforeItsClients() throws Exception {
-        Stub silent = server(Stub.SILENT);
+        PeerStub silent = server(PeerStub.SILENT);
         sidecar(pool("p", "", silent) + route("book", "p", "timeout = \"200ms\"\n"));
         long since = System.nanoTime();
         assertEquals(504, harness.client().book("x", 3_000).answer().status());
@@ -231,8 +231,8 @@
 
     @Test
     void aPoolAtItsLimitDoesNotStarveItsNeighbour() throws Exception {
-        Stub silent = server(Stub.SILENT);
-        Stub sound = server(Stub.serves("ok"));
+        PeerStub silent = server(PeerStub.SILENT);
+        PeerStub sound = server(PeerStub.serves("ok"));
         sidecar(pool("p", "max_requests = 4\nmax_queue = 1\n", silent)
                 + pool("q", "", sound)
                 + route("book", "p", "")
@@ -248,7 +248,7 @@
             assertEquals(200, harness.client().search(2_000).answer().status());
         }
         for (Harness.Client client : stuck) {
-            Http.Message answer = client.answer();
+            RawHttpClient.Message answer = client.answer();
             refused += answer.status() == 503 ? 1 : 0;
         }
         assertTrue(refused >= 36, "refused " + refused);
@@ -257,7 +257,7 @@
 
     @Test
     void connectionsKeepTheirBound() throws Exception {
-        Stub silent = server(Stub.SILENT);
+        PeerStub silent = server(PeerStub.SILENT);
         sidecar(pool("p", "max_connections = 2\n", silent) + route("search", "p", "timeout = \"500ms\"\n"));
         List<Harness.Client> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -274,7 +274,7 @@
 
     @Test
     void aBadFileChangesNothing() throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         reload(pool("p", "", one) + route("search", "p", "attempts = 9\n") + "[routes.x]\n");
         assertEquals("one", harness.client().search(2_000).answer().body());
@@ -291,11 +291,11 @@
     /** The unsafe request that is out stays where it went; the next one goes the new way. */
     @Test
     void aRouteMovesWhileItsUnsafeRequestIsOut() throws Exception {
-        Stub old = server(Stub.SILENT);
-        Stub next = server(Stub.serves("next"));
+        PeerStub old = server(PeerStub.SILENT);
+        PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", old) + route("book", "p", ""));
         Harness.Client client = harness.client().book("x", 3_000);
-        Stub.Seen held = old.take();
+        PeerStub.Seen held = old.take();
         reload(pool("q", "", next) + route("book", "q", ""));
         assertEquals("next", harness.client().book("y", 2_000).answer().body());
         held.reply("200 OK", "", "old");
@@ -309,8 +309,8 @@
     /** What waits in a pool that goes is given up at once when no server can come any more. */
     @Test
     void whatIsHeldInAPoolThatGoesIsAnswered() throws Exception {
-        Stub one = server(Stub.answers("503 Full", "Not-Started: 1\r\n", ""));
-        Stub next = server(Stub.serves("next"));
+        PeerStub one = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
+        PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", one) + route("book", "p", ""));
         Harness.Client client = harness.client().book("x", 20_000);
         one.take();
@@ -323,8 +323,8 @@
 
     @Test
     void aPoolThatStaysTakesOverItsNewServersAndLimits() throws Exception {
-        Stub one = server(Stub.serves("one"));
-        Stub two = server(Stub.serves("two"));
+        PeerStub one = server(PeerStub.serves("one"));
+        PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         assertEquals("one", harness.client().search(2_000).answer().body());
         reload(pool("p", "max_connections = 5\n", two) + route("search", "p", ""));
@@ -336,14 +336,14 @@
     /** The hedged request and its copy end under the file that they came with. */
     @Test
     void aHedgedRequestOutlivesAReload() throws Exception {
-        Stub one = server(Stub.SILENT);
-        Stub two = server(Stub.SILENT);
+        PeerStub one = server(PeerStub.SILENT);
+        PeerStub two = server(PeerStub.SILENT);
         String hedged = route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"300ms\"\n");
         sidecar(pool("p", "", one, two) + hedged);
         Harness.Client client = harness.client().search(2_500);
-        Stub.Seen first = one.seen.poll(200, TimeUnit.MILLISECONDS);
+        PeerStub.Seen first = one.seen.poll(200, TimeUnit.MILLISECONDS);
         reload(pool("p", "", one, two) + route("search", "p", "attempts = 1\n"));
-        Stub.Seen copy = first == null ? one.take() : two.take();
+        PeerStub.Seen copy = first == null ? one.take() : two.take();
         copy.reply("200 OK", "", "copy");
         assertEquals("copy", client.answer().body());
         assertEquals(2, one.accepted.get() + two.accepted.get());
@@ -352,8 +352,8 @@
     /** Half of a request has come when the file changes: it goes by the file that holds when it is whole. */
     @Test
     void aHalfSentRequestGoesByTheNewFile() throws Exception {
-        Stub old = server(Stub.serves("old"));
-        Stub next = server(Stub.serves("next"));
+        PeerStub old = server(PeerStub.serves("old"));
+        PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", old) + route("book", "p", ""));
         String whole = Harness.Client.head("POST", "/book/1", 2_000, "", 4) + "body";
         for (int at : new int[] {1, whole.indexOf("Tenant"), whole.length() - 1}) {
@@ -380,17 +380,17 @@
 
     @Test
     void listenersOpenAndCloseWithoutLosingAConnection() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         int first = freePort();
         int second = freePort();
         String rest = pool("p", "", server) + route("book", "p", "");
         sidecar(listener("a", first) + rest);
         Harness.Client inHand = harness.client().book("x", 5_000);
         Harness.Client idle = harness.client();
-        Stub.Seen held = server.take();
+        PeerStub.Seen held = server.take();
         reload(listener("b", second) + rest);
         // Accepted before the door closes: its request is still taken, and its connection then ended.
-        server.script(Stub.serves("late"));
+        server.script(PeerStub.serves("late"));
         idle.book("y", 5_000);
         assertEquals("late", idle.answer().body());
         try (Harness.Client other = new Harness.Client(new InetSocketAddress("127.0.0.1", second))) {
@@ -418,7 +418,7 @@
 
     @Test
     void anAddressThatIsTakenChangesNothing() throws Exception {
-        Stub one = server(Stub.serves("one"));
+        PeerStub one = server(PeerStub.serves("one"));
         int port = freePort();
         sidecar(listener("a", port) + pool("p", "", one) + route("search", "p", ""));
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -437,14 +437,14 @@
     @Test
     void reloadUnderLoadAnswersEachRequestOnce() throws Exception {
         Map<String, AtomicInteger> ran = new ConcurrentHashMap<>();
-        Stub.Script counts = seen -> {
+        PeerStub.Script counts = seen -> {
             ran.computeIfAbsent(seen.request().headers().get("Request-Id"), id -> new AtomicInteger())
                     .incrementAndGet();
             seen.reply("200 OK", "", "ok");
         };
-        Stub one = server(counts);
-        Stub two = server(counts);
-        Stub three = server(counts);
+        PeerStub one = server(counts);
+        PeerStub two = server(counts);
+        PeerStub three = server(counts);
         List<String> files = List.of(
                 pool("p", "", one, two) + route("search", "p", "") + route("book", "p", ""),
                 pool("p", "max_requests = 50\n", one, two)
--- a/src/test/java/larkbank/sidecar/PluginLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/PluginLoopbackTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Modules;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.PluginModules;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,10 +37,10 @@
 
     private Harness harness;
 
-    private String file(String plugins, Stub... servers) {
+    private String file(String plugins, PeerStub... servers) {
         StringBuilder text =
                 new StringBuilder("version = 1\n" + plugins + "[pools.p]\nsource = \"static\"\nservers = [\n");
-        for (Stub s : servers) {
+        for (PeerStub s : servers) {
             text.append("  { id = \"s-")
                     .append(s.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -61,11 +61,11 @@
     }
 
     private String plugin(String module, String more) throws Exception {
-        Files.write(folder.resolve(module + ".wasm"), Modules.bytes(module));
+        Files.write(folder.resolve(module + ".wasm"), PluginModules.bytes(module));
         return "[plugins." + module + "]\nfile = \"" + module + ".wasm\"\n" + more;
     }
 
-    private void sidecar(String plugins, Stub... servers) throws Exception {
+    private void sidecar(String plugins, PeerStub... servers) throws Exception {
         harness = new Harness(folder);
         open.add(harness);
         harness.startWith(file(plugins, servers));
@@ -74,8 +74,8 @@
     /** A class that is made stricter holds for all: method, key, and that nothing is sent again. */
     @Test
     void aRequestIsMarkedFromItsPath() throws Exception {
-        Stub one = server(Stub.HANG_UP);
-        Stub two = server(Stub.HANG_UP);
+        PeerStub one = server(PeerStub.HANG_UP);
+        PeerStub two = server(PeerStub.HANG_UP);
         String book = "config = { class = \"book\" }\ndeadline = \"1s\"\n";
         sidecar(plugin("mark-pay", book + "classes = [\"book\"]\non_failure = \"closed\"\n"), one, two);
         assertEquals(
@@ -96,7 +96,7 @@
 
     @Test
     void aHeaderIsAddedForTheServersLog() throws Exception {
-        Stub one = server(Stub.serves("ok"));
+        PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("log-header", "headers = [\"X-Log-Client\"]\n"), one);
         String get = Harness.Client.head("GET", "/search/7", 2_000, "User-Agent: planner 3\r\n", 0);
         assertEquals(200, harness.client().raw(get).answer().status());
@@ -105,11 +105,11 @@
 
     @Test
     void aRefusalIsHeardAtOnce() throws Exception {
-        Stub one = server(Stub.serves("ok"));
+        PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("refuse", REFUSES), one);
         Harness.Client client = harness.client();
         for (int i = 0; i < 3; i++) {
-            Http.Message answer = client.search(2_000).answer();
+            RawHttpClient.Message answer = client.search(2_000).answer();
             assertEquals(503, answer.status());
             assertEquals("1.5", answer.headers().get("Retry-After"));
         }
@@ -119,10 +119,10 @@
     /** The way round the rule that there might be: a book that is taken for a search could be sent twice. */
     @Test
     void aBookStaysABook() throws Exception {
-        Stub one = server(Stub.HANG_UP);
-        Stub two = server(Stub.HANG_UP);
+        PeerStub one = server(PeerStub.HANG_UP);
+        PeerStub two = server(PeerStub.HANG_UP);
         sidecar(plugin("weaken", "classes = [\"search\"]\n"), one, two);
-        Http.Message answer = harness.client().book("x", 2_000).answer();
+        RawHttpClient.Message answer = harness.client().book("x", 2_000).answer();
         assertTrue(answer.status() == 502 || answer.status() == 504, "status " + answer.status());
         assertEquals(1, one.seen.size() + two.seen.size(), "it was sent again");
         harness.log.await("may not make");
@@ -133,12 +133,12 @@
     @ValueSource(strings = {"loop", "grow", "recurse", "trap-second", "chatter", "pointers", "injection", "weaken"})
     void aHostilePluginBreaksNoRule(String module) throws Exception {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
-        Stub.Script script = seen -> {
+        PeerStub.Script script = seen -> {
             runs.merge(seen.request().headers().get("Request-Id"), 1, Integer::sum);
             seen.reply("200 OK", "", seen.request().body());
         };
-        Stub one = server(script);
-        Stub two = server(script);
+        PeerStub one = server(script);
+        PeerStub two = server(script);
         sidecar(
                 plugin(
                         module,
@@ -154,7 +154,7 @@
             clients.add(pool.submit(() -> {
                 for (int i = 0; i < 60; i++) {
                     String body = "b" + thread + "-" + i;
-                    Http.Message answer = client.book(body, 2_000).answer();
+                    RawHttpClient.Message answer = client.book(body, 2_000).answer();
                     assertEquals(200, answer.status());
                     assertEquals(body, answer.body());
                 }
@@ -173,7 +173,7 @@
 
     @Test
     void failClosedRefusesAndFailOpenGoesOn() throws Exception {
-        Stub one = server(Stub.serves("ok"));
+        PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("loop", "on_failure = \"closed\"\ndeadline = \"20ms\"\n"), one);
         for (int i = 0; i < 8; i++) {
             long began = System.nanoTime();
@@ -188,12 +188,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"start-loop", "foreign-import", "old-abi", "no-hook", "many-pages"})
     void aBadReloadLeavesTheOldInPlace(String module) throws Exception {
-        Stub one = server(Stub.serves("ok"));
+        PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("refuse", REFUSES), one);
         harness.reload(file(plugin(module, ""), one));
         harness.log.await("plug-in '" + module + "'");
         harness.log.await("the old configuration stays");
-        Http.Message answer = harness.client().search(2_000).answer();
+        RawHttpClient.Message answer = harness.client().search(2_000).answer();
         assertEquals(503, answer.status());
         // The plug-in's own advice, not that of one that could not be asked.
         assertEquals("1.5", answer.headers().get("Retry-After"));
@@ -202,7 +202,7 @@
     /** A reload every so often under load: nothing is lost, and each request meets the old or the new. */
     @Test
     void reloadsLoseNothing() throws Exception {
-        Stub one = server(seen -> seen.reply("200 OK", "", seen.request().body()));
+        PeerStub one = server(seen -> seen.reply("200 OK", "", seen.request().body()));
         String grant = "headers = [\"X-Log-Client\"]\ndeadline = \"1s\"\n";
         String first = file(plugin("log-header", grant), one);
         String second = file(plugin("log-header", grant + "config = { a = \"b\" }\n"), one);
@@ -251,13 +251,13 @@
     @Test
     void upgradesAreAskedAboutToo() throws Exception {
         AtomicInteger tunnels = new AtomicInteger();
-        Stub one = server(TunnelLoopback.chat(tunnels));
+        PeerStub one = server(TunnelLoopback.chat(tunnels));
         String socket = "[routes.search.websocket]\n";
         String head = TunnelLoopback.UPGRADE + TunnelLoopback.CHAT + "User-Agent: planner\r\n";
         harness = new Harness(folder);
         open.add(harness);
         harness.startWith(file(plugin("refuse", REFUSES), one) + socket);
-        Http.Message refused = harness.client()
+        RawHttpClient.Message refused = harness.client()
                 .raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0))
                 .answer();
         assertEquals(503, refused.status());
@@ -265,7 +265,7 @@
         harness.reload(file(plugin("log-header", "headers = [\"X-Log-Client\"]\ndeadline = \"1s\"\n"), one) + socket);
         Harness.Client client = harness.client().raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0));
         assertEquals(101, client.answer().status());
-        Ws ws = new Ws(client.socket, true);
+        WebSocketClient ws = new WebSocketClient(client.socket, true);
         assertEquals("hello", ws.text("hello").message().text());
         assertEquals("planner", one.take().request().headers().get("X-Log-Client"));
         // A route without WebSocket answers it as a plain request.
@@ -276,7 +276,7 @@
     /** A client that leaves and a SIGTERM while a plug-in still has the request. */
     @Test
     void leavingAndEndingWhileAPluginIsAsked() throws Exception {
-        Stub one = server(Stub.serves("ok"));
+        PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("loop", "deadline = \"300ms\"\n"), one);
         Harness.Client gone = harness.client().book("gone", 2_000);
         gone.close();
--- a/src/test/java/larkbank/sidecar/ProcessTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ProcessTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import larkbank.daily.Hangup;
-import larkbank.testkit.Stub;
+import org.cypressweir.common.util.ReloadSignal;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -37,7 +37,7 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "larkbank.Main",
+                "org.cypressweir.sidecar.Main",
                 "serve");
         builder.command().addAll(List.of(more));
         builder.environment().put("LB_CONFIG", config.toString());
@@ -69,13 +69,13 @@
     @Test
     void terminationAnswersWhatIsInHandAndExitsWithZero() throws Exception {
         InetSocketAddress address = free();
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             Process process =
                     program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try (Harness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
-                Stub.Seen held = server.take();
+                PeerStub.Seen held = server.take();
                 process.destroy();
                 assertTrue(!process.waitFor(600, TimeUnit.MILLISECONDS), "ended with a request in hand");
                 held.reply("200 OK", "", "done");
@@ -94,7 +94,7 @@
     void whatIsOffIsNotLoaded() throws Exception {
         InetSocketAddress address = free();
         Path loaded = folder.resolve("loaded.txt");
-        try (Stub server = new Stub(Stub.serves("ok"));
+        try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.command().add(1, "-Xlog:class+load:file=" + loaded);
@@ -109,25 +109,29 @@
             }
         }
         List<String> own = Files.readAllLines(loaded).stream()
-                .filter(l -> l.contains(" larkbank."))
+                .filter(l -> l.contains(" org.cypressweir."))
                 .toList();
-        assertTrue(own.stream().anyMatch(l -> l.contains("larkbank.Choice ")), "the log is not what it was");
+        assertTrue(
+                own.stream().anyMatch(l -> l.contains("org.cypressweir.loadbalancing.SubsetLoadBalancer ")),
+                "the log is not what it was");
         for (String off : List.of(
-                "cell",
-                "footprint",
-                "plugin",
-                "lab",
-                "cli",
-                "operators",
-                "route",
-                "websocket",
-                "membership",
-                "fleet",
-                "lease")) {
+                "sidecar.cell",
+                "sidecar.fleetlimits",
+                "sidecar.plugin",
+                "simulation",
+                "sidecar.cli",
+                "sidecar.operatorconfig",
+                "sidecar.route",
+                "sidecar.websocket",
+                "fleet.membership",
+                "fleet.transport",
+                "fleet.lease")) {
+            String name = "org.cypressweir." + off;
+            assertTrue(Files.isDirectory(Path.of("src/main/java", name.split("\\."))), name);
             assertEquals(
                     List.of(),
                     own.stream()
-                            .filter(l -> l.contains(" larkbank." + off + "."))
+                            .filter(l -> l.contains(" " + name + "."))
                             .map(l -> l.replaceAll("^\\S*\\s*", ""))
                             .toList());
         }
@@ -143,7 +147,7 @@
         assertTrue(
                 System.nanoTime() < end,
                 () -> missing + " was not taken over after SIGHUP"
-                        + (Hangup.isIgnored() ? ", which is ignored here and by what is started here" : ""));
+                        + (ReloadSignal.isIgnored() ? ", which is ignored here and by what is started here" : ""));
     }
 
     private static void hangUp(Process process) throws Exception {
@@ -158,8 +162,8 @@
     @Test
     void hangupGoesOverToTheNewDiscovery() throws Exception {
         InetSocketAddress address = free();
-        try (Stub server = new Stub(Stub.serves("ok"));
-                Stub next = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
+                PeerStub next = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.environment().put("LB_DISCOVERY", "127.0.0.1:" + harness.discovery.port());
@@ -172,7 +176,7 @@
                 assertEquals(200, client.search(2_000).answer().status());
                 Files.writeString(harness.file, text.replace(":" + harness.discovery.port(), ":" + next.port()));
                 hangUp(process);
-                Stub.Seen asked = next.take();
+                PeerStub.Seen asked = next.take();
                 assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
                 harness.discovery.awaitEnd();
                 // Until the new one has spoken the old list holds.
@@ -201,7 +205,7 @@
     void anIgnoredHangupIsTakenBackOrTold(boolean takenBack) throws Exception {
         InetSocketAddress address = free();
         Path log = folder.resolve("log");
-        try (Stub server = new Stub(Stub.serves("ok"));
+        try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.redirectOutput(log.toFile());
@@ -243,8 +247,8 @@
     @Test
     void hangupTakesOverTheOperatorsFile() throws Exception {
         InetSocketAddress address = free();
-        try (Stub one = new Stub(Stub.serves("one"));
-                Stub two = new Stub(Stub.serves("two"));
+        try (PeerStub one = new PeerStub(PeerStub.serves("one"));
+                PeerStub two = new PeerStub(PeerStub.serves("two"));
                 Harness harness = new Harness(folder)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, operators(one, ""));
@@ -271,7 +275,7 @@
         }
     }
 
-    private static String operators(Stub server, String more) {
+    private static String operators(PeerStub server, String more) {
         return "version = 1\n[pools.p]\nsource = \"static\"\nservers = [{ id = \"a\", endpoint = \"127.0.0.1:"
                 + server.port() + "\" }]\n[routes.search]\npath = \"/search/*\"\nclass = \"search\"\n"
                 + "pool = \"p\"\n" + more;
@@ -279,7 +283,7 @@
 
     @Test
     void aBadOperatorsFileEndsTheStart() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, operators(server, "attempts = 99\nhegdes = 1\n"));
--- a/src/test/java/larkbank/sidecar/QuietFleet.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietFleet.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -16,9 +16,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import larkbank.Choice;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 
 /** Many real sidecars in one process, on loopback, that share servers and a discovery. */
 final class QuietFleet implements AutoCloseable {
@@ -26,12 +26,12 @@
     /** All may come at once, which is the matter here. */
     private static final int BACKLOG = 4_000;
 
-    private final List<Stub> servers = new ArrayList<>();
+    private final List<PeerStub> servers = new ArrayList<>();
     private final MultiThreadIoEventLoopGroup group;
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<Sidecar> sidecars = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final Stub discovery;
+    private final PeerStub discovery;
     /** When each call for the list came, in nanoseconds. */
     private final ConcurrentLinkedQueue<Long> calls = new ConcurrentLinkedQueue<>();
 
@@ -45,7 +45,7 @@
         this.instances = instances;
         this.fleet = fleet;
         group = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
-        discovery = new Stub(
+        discovery = new PeerStub(
                 seen -> {
                     calls.add(System.nanoTime());
                     // A watch waits for news, of which there is none; a call is answered.
@@ -55,7 +55,7 @@
                 },
                 BACKLOG);
         for (int i = 0; i < serverCount; i++) {
-            servers.add(new Stub(Stub.serves("ok"), BACKLOG));
+            servers.add(new PeerStub(PeerStub.serves("ok"), BACKLOG));
         }
     }
 
@@ -67,7 +67,7 @@
                 "version = 1\n" + fleet + "[pools.p]\nsource = \"discovery\"\n"
                         + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n");
         Path template;
-        try (Harness harness = new Harness(folder, servers.toArray(Stub[]::new))) {
+        try (Harness harness = new Harness(folder, servers.toArray(PeerStub[]::new))) {
             template = harness.file;
             String text = Files.readString(template);
             Files.writeString(
@@ -83,11 +83,11 @@
             Files.writeString(
                     file,
                     text.replace("\"zone\":0", "\"rank\":" + i + ",\"replicas_of_me\":" + instances + ",\"zone\":0"));
-            Config config = Config.read(Map.of("LB_CONFIG", file.toString()));
+            SidecarConfiguration config = SidecarConfiguration.read(Map.of("LB_CONFIG", file.toString()));
             Sidecar.Layouts layouts = OperatorsLayout.of(operators, config).layouts();
             EventLoop loop = group.next();
             loops.add(loop);
-            sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, Choice::new, layouts))
+            sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, SubsetLoadBalancer::new, layouts))
                     .get());
         }
         sidecars.forEach(s -> starting.add(s.start()));
@@ -105,7 +105,7 @@
             Thread thread = new Thread(() -> {
                 for (int i = first; i < instances; i += clients) {
                     try (Harness.Client client = new Harness.Client(addresses.get(i))) {
-                        Http.Message answer = client.search(2_500).answer();
+                        RawHttpClient.Message answer = client.search(2_500).answer();
                         if (answer.status() == 200) {
                             served.add(i);
                         }
@@ -183,7 +183,7 @@
         }
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly(10, TimeUnit.SECONDS);
         discovery.close();
-        for (Stub s : servers) {
+        for (PeerStub s : servers) {
             s.close();
         }
     }
--- a/src/test/java/larkbank/sidecar/QuietFleetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietFleetTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/larkbank/sidecar/QuietModule.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietModule.java
@@ -1,7 +1,7 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.util.List;
-import larkbank.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer;
 
 /** A module that does nothing; tests override what they want to see. */
 class QuietModule implements LoadBalancer {
--- a/src/test/java/larkbank/sidecar/RoughTest.java
+++ b/src/test/java/org/cypressweir/sidecar/RoughClientTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
-import larkbank.LoadBalancer;
-import larkbank.testkit.Stub;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,11 +18,11 @@
 
 /** Servers that say more than was asked, and clients that say what can't be meant. */
 @Timeout(60)
-class RoughTest extends Loopback {
+class RoughClientTest extends Loopback {
 
     private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-    private Harness sidecar(Stub... servers) throws Exception {
+    private Harness sidecar(PeerStub... servers) throws Exception {
         Harness harness = new Harness(folder, servers);
         open.add(harness);
         return harness.start();
@@ -65,12 +65,12 @@
     @ParameterizedTest
     @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
     void whatComesBehindAnAnswerIsNoAnswer(String behind) throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         Harness harness = new Harness(folder, server);
         open.add(harness);
         harness.start((settings, actions) -> new Chaining(actions));
         Harness.Client first = harness.client().search(5_000);
-        Stub.Seen one = server.take();
+        PeerStub.Seen one = server.take();
         Harness.Client second = harness.client().search(5_000);
         // Rejected once the one before it has been taken, since they are read in turn.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
@@ -82,7 +82,7 @@
 
     @Test
     void byteOnAnIdleConnectionEndsIt() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         assertEquals(200, sidecar(server).client().search(2_000).answer().status());
         server.take().raw("x");
         server.awaitEnd();
@@ -90,7 +90,7 @@
 
     @Test
     void answersAheadAreNotTheAnswer() throws Exception {
-        Stub server = server(seen -> {
+        PeerStub server = server(seen -> {
             seen.raw("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 102 On it\r\n\r\n");
             seen.reply("200 OK", "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n", "ok");
         });
@@ -116,7 +116,7 @@
                 "no colon\r\n\r\n",
             })
     void requestWithoutAClearEndIsRejected(String rest) throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness.Client client = sidecar(server).client();
         String head = Harness.Client.head("POST", "/book/k1", 2_000, "", 0);
         client.raw(head.substring(0, head.length() - 2) + rest);
@@ -128,7 +128,7 @@
     /** The same for what comes while the request is in hand: its server is told to stop. */
     @Test
     void bytesBehindARequestInHandRejectIt() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         Harness.Client client = sidecar(server).client().search(2_000);
         server.take();
         client.search(2_000);
@@ -145,7 +145,7 @@
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
     void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
-        Harness.Client client = sidecar(server(Stub.SILENT)).client().raw(part);
+        Harness.Client client = sidecar(server(PeerStub.SILENT)).client().raw(part);
         long since = System.nanoTime();
         if (!part.isEmpty()) {
             assertEquals(408, client.answer().status());
@@ -157,7 +157,7 @@
     /** The answer was lost to a reset where the connection was closed with bytes of the body unread. */
     @Test
     void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
-        Harness.Client client = sidecar(server(Stub.SILENT)).client();
+        Harness.Client client = sidecar(server(PeerStub.SILENT)).client();
         client.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024 + 1));
         byte[] some = new byte[1024 * 1024];
         for (int i = 0; i < 32; i++) {
@@ -170,7 +170,7 @@
     /** Silent clients filled the bound, and nothing made room until one of them left by itself. */
     @Test
     void silentClientsDoNotShutOutOthers() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, 250_000, 128, server);
         open.add(harness);
         harness.start();
@@ -188,7 +188,7 @@
      */
     @Test
     void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
-        Harness harness = sidecar(server(Stub.serves("ok")));
+        Harness harness = sidecar(server(PeerStub.serves("ok")));
         AtomicInteger turns = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
         harness.loop.execute(() -> {
@@ -220,7 +220,7 @@
     /** Clients that ask once and stay used up what clients may hold, until the usual idle time was over. */
     @Test
     void idleClientsPastHalfOfTheBoundAreClosedSoon() throws Exception {
-        Harness harness = new Harness(folder, 250_000, 128, server(Stub.serves("ok")));
+        Harness harness = new Harness(folder, 250_000, 128, server(PeerStub.serves("ok")));
         open.add(harness);
         harness.start();
         int half = harness.config().clientConnections() / 2;
@@ -255,15 +255,15 @@
 
     @Test
     void longListIsTaken() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder);
         open.add(harness);
-        List<Stub> many = new ArrayList<>();
+        List<PeerStub> many = new ArrayList<>();
         for (int i = 0; i < 900; i++) {
             many.add(server);
         }
-        String list = Harness.json(Harness.list(2, true, "in_service", many.toArray(new Stub[0])));
-        assertTrue(list.length() > Link.MAX_BODY);
+        String list = Harness.json(Harness.list(2, true, "in_service", many.toArray(new PeerStub[0])));
+        assertTrue(list.length() > ServerConnection.MAX_BODY);
         harness.discovery.script(seen -> {
             if (seen.request().first().contains("from=1&")) {
                 seen.reply("200 OK", "", list);
--- a/src/test/java/larkbank/sidecar/ServerPoolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ServerPoolTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,13 +20,13 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.Ids;
-import larkbank.LoadBalancer.LoadReport;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Terms;
-import larkbank.sidecar.Call.Attempt;
-import larkbank.testkit.Stub;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.sidecar.ClientRequest.Attempt;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -37,15 +37,15 @@
     private static final long CONNECT_MICROS = 20_000_000;
 
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
-    private final Clock clock = new Clock();
+    private final SidecarClock clock = new SidecarClock();
     private LoadReport lastReport;
     private Harness harness;
     private ServerPool pool;
 
-    private void start(int sockets, Stub... servers) throws Exception {
+    private void start(int sockets, PeerStub... servers) throws Exception {
         harness = new Harness(folder, CONNECT_MICROS, sockets, servers);
         open.add(harness);
-        Config config = harness.config();
+        SidecarConfiguration config = harness.config();
         pool = harness.loop
                 .submit(() ->
                         new ServerPool(harness.loop, clock, config, config.serverConnections(), null, this::ended))
@@ -60,7 +60,7 @@
     }
 
     private void update(String list) throws Exception {
-        Config config = harness.config();
+        SidecarConfiguration config = harness.config();
         harness.loop
                 .submit(() -> {
                     pool.update(config.lists().read(Harness.json(list).getBytes()));
@@ -72,9 +72,9 @@
     private Attempt send(int port) throws Exception {
         long now = clock.micros();
         Request request = new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, 0, false);
-        Call call = new Call(
+        ClientRequest call = new ClientRequest(
                 request,
-                new Way(null, 0, "/search", null, Long.MAX_VALUE, Terms.NONE, null),
+                new RouteDecision(null, 0, "/search", null, Long.MAX_VALUE, Terms.NONE, null),
                 "search",
                 HttpMethod.GET,
                 new DefaultHttpHeaders(),
@@ -98,7 +98,7 @@
 
     @Test
     void pastTheBoundThereIsNoConnection() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         start(128, server);
         int bound = harness.config().serverConnections();
         for (int i = 0; i < bound; i++) {
@@ -112,8 +112,8 @@
 
     @Test
     void idleConnectionsMakeRoom() throws Exception {
-        Stub first = server(Stub.serves("ok"));
-        Stub second = server(Stub.SILENT);
+        PeerStub first = server(PeerStub.serves("ok"));
+        PeerStub second = server(PeerStub.SILENT);
         start(128, first, second);
         send(first.port());
         assertEquals(Result.SERVED, result());
@@ -127,20 +127,21 @@
 
     @Test
     void outcomesAreToldApart() throws Exception {
-        Stub server = server(Stub.answers("200 OK", "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
+        PeerStub server =
+                server(PeerStub.answers("200 OK", "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
         start(1024, server);
         send(server.port());
         assertEquals(Result.SERVED, result());
         assertEquals(0.5, lastReport.utilization());
         assertTrue(Double.isNaN(lastReport.rate()) && Double.isNaN(lastReport.errorRate()));
-        server.script(Stub.answers("500 No", "", ""));
+        server.script(PeerStub.answers("500 No", "", ""));
         send(server.port());
         assertEquals(Result.ERROR, result());
         assertNull(lastReport);
-        server.script(Stub.answers("504 Over", "Not-Started: 1\r\n", ""));
+        server.script(PeerStub.answers("504 Over", "Not-Started: 1\r\n", ""));
         send(server.port());
         assertEquals(Result.FULL, result());
-        server.script(Stub.HANG_UP);
+        server.script(PeerStub.HANG_UP);
         send(server.port());
         assertEquals(Result.BROKEN, result());
         server.close();
@@ -150,12 +151,12 @@
 
     @Test
     void mostRecentConnectionIsUsedFirst() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         start(1024, server);
         send(server.port());
-        Stub.Seen first = server.take();
+        PeerStub.Seen first = server.take();
         send(server.port());
-        Stub.Seen second = server.take();
+        PeerStub.Seen second = server.take();
         second.reply("200 OK", "", "");
         assertEquals(Result.SERVED, result());
         first.reply("200 OK", "", "");
@@ -167,7 +168,7 @@
 
     @Test
     void answerThatEndsTheConnectionIsNotFollowed() throws Exception {
-        Stub server = server(Stub.answers("200 OK", "Connection: close\r\n", "ok"));
+        PeerStub server = server(PeerStub.answers("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
         send(server.port());
         assertEquals(Result.SERVED, result());
@@ -239,7 +240,7 @@
     /** The same within the grace: what was decided before may still be sent. */
     @Test
     void withinTheDrainGraceADecisionHolds() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         start(1024, server);
         update(Harness.list(2, true, "terminating", server));
         send(server.port());
--- a/src/test/java/larkbank/sidecar/ConfigTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarConfigurationTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What the limits that a sidecar is told turn into. */
-class ConfigTest {
+class SidecarConfigurationTest {
 
     @TempDir
     Path folder;
@@ -18,7 +18,7 @@
     @ValueSource(ints = {128, 256, 384, 1024})
     void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
         try (Harness harness = new Harness(folder, 250_000, sockets)) {
-            Config config = harness.config();
+            SidecarConfiguration config = harness.config();
             assertTrue(config.serverConnections() >= sockets / 3, "servers");
             assertTrue(config.clientConnections() >= sockets / 3, "clients");
             int open = config.settings().limits().open();
--- a/src/test/java/larkbank/sidecar/SidecarTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.concurrent.locks.LockSupport;
-import larkbank.Addresses;
-import larkbank.LoadBalancer;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,7 +25,7 @@
 @Timeout(60)
 class SidecarTest extends Loopback {
 
-    private Harness sidecar(Stub... servers) throws Exception {
+    private Harness sidecar(PeerStub... servers) throws Exception {
         Harness harness = new Harness(folder, servers);
         open.add(harness);
         return harness.start();
@@ -33,14 +33,15 @@
 
     @Test
     void answerIsPassedOnUnchanged() throws Exception {
-        Stub server =
-                server(Stub.answers("200 OK", "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
-        Http.Message answer = sidecar(server).client().book("slot=7", 2_000).answer();
+        PeerStub server = server(
+                PeerStub.answers("200 OK", "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
+        RawHttpClient.Message answer =
+                sidecar(server).client().book("slot=7", 2_000).answer();
         assertEquals(200, answer.status());
         assertEquals("\u00ff\0b", answer.body());
         assertEquals("text/x", answer.headers().get("Content-Type"));
         assertNull(answer.headers().get("Server-Load"));
-        Http.Message sent = server.take().request();
+        RawHttpClient.Message sent = server.take().request();
         assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.first());
         assertEquals("slot=7", sent.body());
         assertEquals(16, sent.headers().get("Request-Id").length());
@@ -50,7 +51,7 @@
 
     @Test
     void idempotencyKeyGoesOn() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         String head = Harness.Client.head("POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
         assertEquals(200, sidecar(server).client().raw(head + "{}").answer().status());
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
@@ -80,15 +81,16 @@
                 "'' | true",
             })
     void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
-        Stub.Script script = seen -> {
+        PeerStub.Script script = seen -> {
             seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
             if (hangUp) {
                 seen.socket().close();
             }
         };
-        Stub one = server(script);
-        Stub two = server(script);
-        Http.Message answer = sidecar(one, two).client().book("x", 1_000).answer();
+        PeerStub one = server(script);
+        PeerStub two = server(script);
+        RawHttpClient.Message answer =
+                sidecar(one, two).client().book("x", 1_000).answer();
         assertEquals(502, answer.status());
         assertEquals(1, one.seen.size() + two.seen.size());
     }
@@ -96,11 +98,11 @@
     @Test
     void unsafeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
-            Stub one = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
-            Stub two = server(Stub.answers(status, "Not-Started: 1\r\n", ""));
-            Stub.Script once = seen -> {
-                one.script(Stub.serves("second"));
-                two.script(Stub.serves("second"));
+            PeerStub one = server(PeerStub.answers(status, "Not-Started: 1\r\n", ""));
+            PeerStub two = server(PeerStub.answers(status, "Not-Started: 1\r\n", ""));
+            PeerStub.Script once = seen -> {
+                one.script(PeerStub.serves("second"));
+                two.script(PeerStub.serves("second"));
                 seen.reply(status, "Not-Started: 1\r\n", "");
             };
             one.script(once);
@@ -115,9 +117,9 @@
 
     @Test
     void refusedConnectionProvesThatNothingRan() throws Exception {
-        Stub gone = server(Stub.SILENT);
+        PeerStub gone = server(PeerStub.SILENT);
         gone.close();
-        Stub here = server(Stub.serves("here"));
+        PeerStub here = server(PeerStub.serves("here"));
         Harness harness = sidecar(gone, here);
         for (int i = 0; i < 8; i++) {
             assertEquals("here", harness.client().book("x", 2_000).answer().body());
@@ -126,18 +128,18 @@
 
     @Test
     void allServersGoneIsARefusalWithAdvice() throws Exception {
-        Stub gone = server(Stub.SILENT);
+        PeerStub gone = server(PeerStub.SILENT);
         gone.close();
-        Http.Message answer = sidecar(gone).client().book("x", 300).answer();
+        RawHttpClient.Message answer = sidecar(gone).client().book("x", 300).answer();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
     }
 
     @Test
     void silenceIsAFailureInTime() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         long start = System.nanoTime();
-        Http.Message answer = sidecar(server).client().book("x", 400).answer();
+        RawHttpClient.Message answer = sidecar(server).client().book("x", 400).answer();
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertEquals(504, answer.status());
         assertTrue(millis < 2_000, "answered after " + millis + " ms");
@@ -148,7 +150,7 @@
     /** Answers that meet the deadline from both sides: one answer each, and always to its own request. */
     @Test
     void oneAnswerWhenOutcomesRace() throws Exception {
-        Stub server = server(seen -> {
+        PeerStub server = server(seen -> {
             int late = seen.request().headers().get("Request-Id").hashCode() % 12;
             seen.socket().setTcpNoDelay(true);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(85 + late));
@@ -159,7 +161,7 @@
         for (int i = 0; i < 30; i++) {
             String head = Harness.Client.head("GET", "/search/k", 100, "", 0);
             String id = head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
-            Http.Message answer = client.raw(head).answer();
+            RawHttpClient.Message answer = client.raw(head).answer();
             if (answer.status() == 200) {
                 assertEquals(id, answer.body());
             } else {
@@ -173,7 +175,7 @@
 
     @Test
     void connectionIsUsedAgain() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness.Client client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).answer().status());
@@ -185,7 +187,7 @@
     /** A server may end an idle connection at any time; what is written to it afterwards would be lost. */
     @Test
     void idleConnectionThatEndedIsNotUsed() throws Exception {
-        Stub server = server(seen -> seen.reply("200 OK", "", "ok"));
+        PeerStub server = server(seen -> seen.reply("200 OK", "", "ok"));
         Harness.Client client = sidecar(server).client();
         assertEquals(200, client.book("x", 2_000).answer().status());
         server.take().socket().close();
@@ -196,7 +198,7 @@
 
     @Test
     void clientThatLeavesStopsItsAttempt() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         Harness.Client client = harness.client().book("x", 30_000);
         Socket carrying = server.take().socket();
@@ -224,7 +226,7 @@
                         + " | 413",
             })
     void badRequestReachesNoServer(String text, int status) throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = sidecar(server);
         Harness.Client client = harness.client().raw(text.replace(";", "\r\n") + "\r\n\r\n");
         assertEquals(status, client.answer().status());
@@ -235,7 +237,7 @@
 
     @Test
     void requestIdInHandIsRejected() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         String head = Harness.Client.head("GET", "/search/k", 5_000, "", 0);
         harness.client().raw(head);
@@ -248,7 +250,7 @@
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         Harness harness = sidecar();
         assertEquals(503, harness.client().raw(health).answer().status());
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         String list = Harness.json(Harness.list(2, true, "in_service", server));
         harness.discovery.take().reply("200 OK", "", list);
         harness.discovery.take();
@@ -258,7 +260,7 @@
     /** An exception costs one request its result, never its answer, and no other request anything. */
     @Test
     void exceptionInTheModuleIsAnsweredAndLogged() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, server);
         open.add(harness);
         harness.start((settings, actions) -> new QuietModule() {
@@ -306,7 +308,7 @@
     /** Past the bound a client takes the place of an idle one; descriptors never run out. */
     @Test
     void clientsPastTheBoundReplaceIdleOnes() throws Exception {
-        Stub server = server(Stub.serves("ok"));
+        PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, 250_000, 128, server);
         open.add(harness);
         harness.start();
@@ -376,8 +378,8 @@
 
     @Test
     void drainedServerIsSentNothing() throws Exception {
-        Stub leaving = server(Stub.serves("leaving"));
-        Stub staying = server(Stub.serves("staying"));
+        PeerStub leaving = server(PeerStub.serves("leaving"));
+        PeerStub staying = server(PeerStub.serves("staying"));
         Harness harness = sidecar(leaving, staying);
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, false, "terminating", leaving)));
         String next = harness.discovery.take().request().first();
@@ -390,8 +392,8 @@
 
     @Test
     void absenceFromAWholeListIsTheEnd() throws Exception {
-        Stub gone = server(Stub.serves("gone"));
-        Stub staying = server(Stub.serves("staying"));
+        PeerStub gone = server(PeerStub.serves("gone"));
+        PeerStub staying = server(PeerStub.serves("staying"));
         Harness harness = sidecar(gone, staying);
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, true, "in_service", staying)));
         harness.discovery.take();
@@ -403,13 +405,13 @@
     /** A watch that fails in any way keeps the old list, and is asked for again until it answers. */
     @Test
     void watchIsRestored() throws Exception {
-        Stub old = server(Stub.serves("old"));
-        Stub fresh = server(Stub.serves("fresh"));
+        PeerStub old = server(PeerStub.serves("old"));
+        PeerStub fresh = server(PeerStub.serves("fresh"));
         Harness harness = sidecar(old);
         harness.discovery.take().socket().close();
         harness.discovery.take().reply("503 Busy", "", "");
         harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-        Stub.Seen again = harness.discovery.take();
+        PeerStub.Seen again = harness.discovery.take();
         assertTrue(again.request().first().contains("from=1&"), again.request().first());
         assertEquals("old", harness.client().search(2_000).answer().body());
         again.reply("200 OK", "", Harness.json(Harness.list(3, true, "in_service", fresh)));
@@ -419,7 +421,7 @@
 
     @Test
     void silentDiscoveryIsGivenUp() throws Exception {
-        Stub silent = server(Stub.SILENT);
+        PeerStub silent = server(PeerStub.SILENT);
         Harness harness = new Harness(folder);
         open.add(harness);
         var address = Addresses.parse("127.0.0.1:" + silent.port());
@@ -433,7 +435,7 @@
                 failures.add(why);
             }
         };
-        Config config = harness.config();
+        SidecarConfiguration config = harness.config();
         harness.loop.execute(
                 () -> new Discovery(harness.loop, address, config.lists(), 1, listener, line -> {}, 50).subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
@@ -444,21 +446,21 @@
 
     @Test
     void workInHandIsAnsweredAtTheEnd() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         Harness.Client busy = harness.client().book("x", 30_000);
         Harness.Client idle = harness.client();
-        Stub.Seen held = server.take();
+        PeerStub.Seen held = server.take();
         var ended = harness.stop();
         Harness.Client late = harness.client();
         late.raw("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(503, late.answer().status());
-        server.script(Stub.serves("late"));
+        server.script(PeerStub.serves("late"));
         assertEquals("late", harness.client().search(5_000).answer().body());
         idle.assertClosed();
         assertNotEquals(0, ended.getCount());
         held.reply("200 OK", "", "held");
-        Http.Message answer = busy.answer();
+        RawHttpClient.Message answer = busy.answer();
         assertEquals("held", answer.body());
         assertEquals("close", answer.headers().get("Connection"));
         busy.assertClosed();
--- a/src/test/java/larkbank/sidecar/SlowSpellTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SlowPeriodTest.java
@@ -1,17 +1,17 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a slow spell of the process or of the network leaves behind must not outlast it. */
 @Timeout(60)
-class SlowSpellTest {
+class SlowPeriodTest {
 
     @TempDir
     Path folder;
@@ -22,7 +22,7 @@
      */
     @Test
     void slowSetUpsDoNotForbidTheNextOne() throws Exception {
-        Stub.Script slow = seen -> {
+        PeerStub.Script slow = seen -> {
             try {
                 Thread.sleep(800);
             } catch (InterruptedException e) {
@@ -30,9 +30,9 @@
             }
             seen.reply("200 OK", "Server-Load: TEXT cpu=0.1\r\n", "ok");
         };
-        try (Stub one = new Stub(slow);
-                Stub two = new Stub(slow);
-                Stub next = new Stub(Stub.serves("ok"));
+        try (PeerStub one = new PeerStub(slow);
+                PeerStub two = new PeerStub(slow);
+                PeerStub next = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, one, two).start()) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, harness.client().search(3_000).answer().status());
@@ -46,7 +46,7 @@
     /** All of a dead peer's traffic came at once, and was refused beside servers with free cores. */
     @Test
     void limitGrowsFastWhileCoresAreFree() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server).start()) {
             for (int i = 0; i < 40; i++) {
                 harness.client().search(20_000);
@@ -63,13 +63,13 @@
     /** A connection that fell silent kept its server out until the deadline of what was on it. */
     @Test
     void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server).start()) {
             harness.client().search(20_000);
             server.take();
             harness.loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).get();
             Harness.Client other = harness.client().search(20_000);
-            Stub.Seen answering = server.take();
+            PeerStub.Seen answering = server.take();
             harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
             Harness.Client next = harness.client().search(20_000);
             // Taken by now, since requests on it and on this one are read in turn.
--- a/src/test/java/larkbank/sidecar/TunnelDrainTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelDrainTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,9 +14,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
-import larkbank.websocket.UpgradeAccount.State;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -27,23 +27,23 @@
     /** Twenty that have said nothing go before five that have just spoken, and nobody later than said. */
     @Test
     void theIdleGoFirst() throws Exception {
-        Stub one = server(Ws.echo());
-        Stub two = server(Ws.echo());
+        PeerStub one = server(WebSocketClient.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar(file("reconnect_rate = 40\ndrain_time = \"5s\"\n", one));
-        List<Ws> idle = new ArrayList<>();
-        List<Ws> busy = new ArrayList<>();
+        List<WebSocketClient> idle = new ArrayList<>();
+        List<WebSocketClient> busy = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             idle.add(open());
         }
         for (int i = 0; i < 5; i++) {
-            Ws ws = open();
+            WebSocketClient ws = open();
             assertEquals("x", ws.text("x").message().text());
             busy.add(ws);
         }
         List<String> ended = Collections.synchronizedList(new ArrayList<>());
         List<Thread> readers = new ArrayList<>();
-        for (List<Ws> kind : List.of(idle, busy)) {
-            for (Ws ws : kind) {
+        for (List<WebSocketClient> kind : List.of(idle, busy)) {
+            for (WebSocketClient ws : kind) {
                 Thread reader = new Thread(() -> {
                     try {
                         if (ws.message().code() == 1001) {
@@ -75,9 +75,9 @@
     @Test
     void noMessageIsCutShort() throws Exception {
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
-            for (Ws.Frame f; (f = ws.message()) != null; ) {
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 heard.add(f.opcode() == 8 ? "close " + f.code() : f.text());
                 if (f.opcode() == 8) {
                     ws.close(f.code());
@@ -85,11 +85,11 @@
                 }
             }
         });
-        Stub two = server(Ws.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar(file("drain_time = \"300ms\"\n", one));
-        Ws ws = open();
+        WebSocketClient ws = open();
         ws.send(1, false, "half ".getBytes(StandardCharsets.US_ASCII));
-        Ws other = open();
+        WebSocketClient other = open();
         harness.reload(file("drain_time = \"300ms\"\n", two));
         assertEquals(1001, other.message().code());
         assertEquals("close 1001", heard.take());
@@ -103,11 +103,11 @@
 
     @Test
     void aDrainThatIsTakenBackKeepsItsTunnels() throws Exception {
-        Stub one = server(Ws.echo());
-        Stub two = server(Ws.echo());
+        PeerStub one = server(WebSocketClient.echo());
+        PeerStub two = server(WebSocketClient.echo());
         String slow = "reconnect_rate = 1\ndrain_time = \"2s\"\n";
         sidecar(file(slow, one));
-        List<Ws> all = new ArrayList<>();
+        List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             all.add(open());
         }
@@ -116,8 +116,8 @@
         // The one that was let go at once may be gone; that the rest stays is what the order itself is
         // tested for.
         int kept = 0;
-        for (Ws ws : all) {
-            Ws.Frame f = ws.text("still").message();
+        for (WebSocketClient ws : all) {
+            WebSocketClient.Frame f = ws.text("still").message();
             kept += f != null && f.opcode() == 1 ? 1 : 0;
         }
         assertTrue(kept >= 8, "kept " + kept);
@@ -134,23 +134,23 @@
     @Test
     void aDrainWhileTheHandshakeIsOut() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        Stub one = server(seen -> {
+        PeerStub one = server(seen -> {
             try {
                 told.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            Ws ws = Ws.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
             ws.close(ws.message().code());
         });
-        Stub two = server(Ws.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar(file("drain_time = \"300ms\"\n", one));
         Harness.Client client = ask("");
         one.take();
         harness.reload(file("drain_time = \"300ms\"\n", two));
         told.countDown();
         assertEquals(101, client.answer().status());
-        Ws ws = new Ws(client.socket, true);
+        WebSocketClient ws = new WebSocketClient(client.socket, true);
         assertEquals(1001, ws.message().code());
         ws.close(1001);
         await(State.CLOSED_BY_SIDECAR);
@@ -159,13 +159,13 @@
     /** Discovery says that a server drains and is gone itself: the drain goes on as told. */
     @Test
     void discoveryIsDownInTheMiddle() throws Exception {
-        Stub one = server(Ws.echo());
+        PeerStub one = server(WebSocketClient.echo());
         harness = new Harness(folder, one);
         open.add(harness);
         harness.startWith(file("drain_time = \"300ms\"\n")
                 .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\n"));
-        Stub.Seen watch = harness.discovery.take();
-        Ws ws = open();
+        PeerStub.Seen watch = harness.discovery.take();
+        WebSocketClient ws = open();
         watch.reply("200 OK", "", Harness.json(Harness.list(9, false, "terminating", one)));
         harness.discovery.take();
         harness.discovery.close();
@@ -177,14 +177,14 @@
     /** A client that never reads is closed with its tunnel in the time that a close has, and counted once. */
     @Test
     void aClientThatNeverReadsIsEnded() throws Exception {
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
             byte[] much = new byte[100_000];
             while (true) {
                 ws.send(2, true, much);
             }
         });
-        Stub two = server(Ws.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar(file("drain_time = \"300ms\"\n", one));
         open();
         harness.reload(file("drain_time = \"300ms\"\n", two));
@@ -195,19 +195,19 @@
     /** The process ends while a server drains: the rest is closed in that time, each once. */
     @Test
     void theProcessEndsDuringADrain() throws Exception {
-        Stub one = server(Ws.echo());
-        Stub two = server(Ws.echo());
+        PeerStub one = server(WebSocketClient.echo());
+        PeerStub two = server(WebSocketClient.echo());
         String slow =
                 "reconnect_rate = 1\ndrain_time = \"60s\"\ndrain_code = 4001\n" + "drain_reason = \"come back\"\n";
         sidecar(file(slow, one));
-        List<Ws> all = new ArrayList<>();
+        List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             all.add(open());
         }
         harness.reload(file(slow, two));
         CountDownLatch ended = harness.stop();
-        for (Ws ws : all) {
-            Ws.Frame last = ws.message();
+        for (WebSocketClient ws : all) {
+            WebSocketClient.Frame last = ws.message();
             assertEquals(4001, last.code());
             assertEquals("come back", last.text().substring(2));
             ws.close(4001);
@@ -224,12 +224,12 @@
     @Test
     void tunnelsWeighInTheChoiceOfAServer() throws Exception {
         AtomicInteger[] counts = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
-        Stub[] servers = new Stub[3];
+        PeerStub[] servers = new PeerStub[3];
         for (int i = 0; i < 3; i++) {
             AtomicInteger count = counts[i];
             servers[i] = server(seen -> {
                 count.incrementAndGet();
-                Ws ws = Ws.agree(seen, "");
+                WebSocketClient ws = WebSocketClient.agree(seen, "");
                 while (ws.read() != null) {
                     // Open, and silent.
                     Thread.onSpinWait();
--- a/src/test/java/larkbank/sidecar/TunnelLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLimitsTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
-import larkbank.websocket.UpgradeAccount.State;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -23,16 +23,16 @@
     private final AtomicInteger second = new AtomicInteger();
 
     private void refused(String more) throws Exception {
-        Http.Message answer = ask(more).answer();
+        RawHttpClient.Message answer = ask(more).answer();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
     }
 
     @Test
     void aRouteAndAPoolHaveTheirBounds() throws Exception {
-        Stub one = server(chat(first));
+        PeerStub one = server(chat(first));
         sidecar(file("max_tunnels = 3\n", "max_tunnels = 2\n", one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         open(CHAT);
         refused(CHAT);
         // Plain requests are not meant.
@@ -59,15 +59,15 @@
      */
     @Test
     void theLongestQuietMakesRoom() throws Exception {
-        Stub one = server(chat(first));
+        PeerStub one = server(chat(first));
         sidecar(file("max_tunnels = 2\nevict_after = \"1s\"\n", one));
-        Ws quiet = open(CHAT);
-        Ws busy = open(CHAT);
+        WebSocketClient quiet = open(CHAT);
+        WebSocketClient busy = open(CHAT);
         long since = System.nanoTime();
         while (System.nanoTime() - since < 1_100_000_000) {
             assertEquals("x", busy.text("x").message().text());
         }
-        Ws third = open(CHAT);
+        WebSocketClient third = open(CHAT);
         assertEquals(1001, quiet.message().code());
         assertEquals("y", busy.text("y").message().text());
         assertEquals("z", third.text("z").message().text());
@@ -92,7 +92,7 @@
     /** A wave past what the servers take is refused at once, each told another time; requests go on. */
     @Test
     void aWaveIsSpread() throws Exception {
-        Stub one = server(chat(first));
+        PeerStub one = server(chat(first));
         sidecar(file("upgrade_rate = 20\n", "", one));
         List<Harness.Client> wave = new ArrayList<>();
         long since = System.nanoTime();
@@ -103,7 +103,7 @@
         TreeSet<Double> told = new TreeSet<>();
         int agreed = 0;
         for (Harness.Client client : wave) {
-            Http.Message answer = client.answer();
+            RawHttpClient.Message answer = client.answer();
             if (answer.status() == 101) {
                 agreed++;
             } else {
@@ -121,8 +121,8 @@
     @Test
     void aColdServerIsSpared() throws Exception {
         ConcurrentLinkedQueue<Long> arrivals = new ConcurrentLinkedQueue<>();
-        Stub one = server(chat(first));
-        Stub two = server(seen -> {
+        PeerStub one = server(chat(first));
+        PeerStub two = server(seen -> {
             arrivals.add(System.currentTimeMillis());
             chat(second).on(seen);
         });
@@ -131,8 +131,8 @@
         // Its pool hears from discovery, which says when a server was started.
         harness.startWith(file("resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n")
                 .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\nupgrade_rate = 100\n"));
-        Stub.Seen watch = harness.discovery.take();
-        List<Ws> all = new ArrayList<>();
+        PeerStub.Seen watch = harness.discovery.take();
+        List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(open(CHAT));
         }
@@ -142,7 +142,7 @@
         String gone = "'uid':'s-" + one.port() + "','endpoint':'127.0.0.1:" + one.port()
                 + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0}";
         watch.reply("200 OK", "", Harness.json("{'rev':9,'all':false,'targets':[{" + cold + ",{" + gone + "]}"));
-        for (Ws ws : all) {
+        for (WebSocketClient ws : all) {
             assertEquals("here", ws.text("here").message().text());
         }
         while (harness.loop.submit(() -> harness.moved()).get() < 60) {
--- a/src/test/java/larkbank/sidecar/TunnelLoopback.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLoopback.java
@@ -1,30 +1,30 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Assertions;
 
 /** A sidecar whose operators' file has one route with WebSockets to some of the servers. */
 abstract class TunnelLoopback extends Loopback {
 
     static final String UPGRADE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
-            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + Ws.KEY + "\r\n";
+            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + WebSocketClient.KEY + "\r\n";
     /** A subprotocol that can be resumed. */
     static final String CHAT = "Sec-WebSocket-Protocol: chat\r\n";
 
     Harness harness;
 
     /** A file with these keys in the route's table and these servers in its pool. */
-    static String file(String limits, Stub... servers) {
+    static String file(String limits, PeerStub... servers) {
         return file("", limits, servers);
     }
 
-    static String file(String pool, String limits, Stub... servers) {
+    static String file(String pool, String limits, PeerStub... servers) {
         StringBuilder text =
                 new StringBuilder("version = 1\n[pools.p]\n" + pool + "source = \"static\"\n" + "servers = [\n");
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             text.append("  { id = \"s-")
                     .append(server.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -48,29 +48,29 @@
         return harness.client().raw(Harness.Client.head("GET", "/search/1", 2_000, UPGRADE + more, 0));
     }
 
-    Ws open(String more) throws Exception {
+    WebSocketClient open(String more) throws Exception {
         Harness.Client client = ask(more);
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         Assertions.assertEquals(101, answer.status());
-        return new Ws(client.socket, true);
+        return new WebSocketClient(client.socket, true);
     }
 
-    Ws open() throws Exception {
+    WebSocketClient open() throws Exception {
         return open("");
     }
 
     /**
      * A server that agrees to chat, counts its tunnels and sends each message back; it serves requests too.
      */
-    static Stub.Script chat(AtomicInteger tunnels) {
+    static PeerStub.Script chat(AtomicInteger tunnels) {
         return seen -> {
             if (!seen.request().headers().containsKey("Upgrade")) {
                 seen.reply("200 OK", "", "ok");
                 return;
             }
             tunnels.incrementAndGet();
-            Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null; ) {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
                     return;
