--- a/src/test/java/larkbank/sidecar/TunnelMoveTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelMoveTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,10 +16,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
-import larkbank.websocket.UpgradeAccount.State;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -56,11 +56,11 @@
     @Test
     void noMessageIsLostDoubledOrReordered() throws Exception {
         Map<String, List<Integer>> heard = new ConcurrentHashMap<>();
-        Stub.Script counting = seen -> {
+        PeerStub.Script counting = seen -> {
             List<Integer> mine = heard.computeIfAbsent(
                     seen.request().headers().get("Session"), k -> Collections.synchronizedList(new ArrayList<>()));
-            Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null; ) {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
                     return;
@@ -69,12 +69,12 @@
                 ws.text(f.text());
             }
         };
-        Stub[] servers = {server(counting), server(counting), server(counting), server(counting)};
+        PeerStub[] servers = {server(counting), server(counting), server(counting), server(counting)};
         sidecar(file(RESUME, servers));
         List<String> faults = Collections.synchronizedList(new ArrayList<>());
         List<Thread> threads = new ArrayList<>();
         for (int t = 0; t < TUNNELS; t++) {
-            Ws ws = open(CHAT + "Session: " + t + "\r\n");
+            WebSocketClient ws = open(CHAT + "Session: " + t + "\r\n");
             // Large in flight, so that there is always something on its way when a move begins.
             threads.add(new Thread(() -> send(ws, faults)));
             threads.add(new Thread(() -> hear(ws, faults)));
@@ -102,7 +102,7 @@
         assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
     }
 
-    private static void send(Ws ws, List<String> faults) {
+    private static void send(WebSocketClient ws, List<String> faults) {
         try {
             for (int i = 0; i < EACH; i++) {
                 ws.text(String.valueOf(i));
@@ -112,10 +112,10 @@
         }
     }
 
-    private static void hear(Ws ws, List<String> faults) {
+    private static void hear(WebSocketClient ws, List<String> faults) {
         try {
             for (int i = 0; i < EACH; i++) {
-                Ws.Frame f = ws.message();
+                WebSocketClient.Frame f = ws.message();
                 if (f == null || f.opcode() != 1 || Integer.parseInt(f.text()) != i) {
                     faults.add("at " + i + ": " + (f == null ? "the end" : f.opcode() + " " + f.text()));
                     return;
@@ -129,11 +129,12 @@
     /** The other handshake has the first one's headers, its own id and key, and the operators' header. */
     @Test
     void theHandshakeSaysThatItResumes() throws Exception {
-        Stub one = server(chat(some));
-        Stub two = server(chat(some));
+        PeerStub one = server(chat(some));
+        PeerStub two = server(chat(some));
         sidecar(file(RESUME, one));
-        Ws ws = open("Sec-WebSocket-Protocol: other, chat\r\nSec-WebSocket-Extensions: permessage-deflate\r\n"
-                + "Cookie: me\r\n");
+        WebSocketClient ws =
+                open("Sec-WebSocket-Protocol: other, chat\r\nSec-WebSocket-Extensions: permessage-deflate\r\n"
+                        + "Cookie: me\r\n");
         Map<String, String> first = one.take().request().headers();
         harness.reload(file(RESUME, two));
         awaitMoved(1);
@@ -152,18 +153,18 @@
     @Test
     void theFirstMessageIsRepeated() throws Exception {
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Stub.Script noting = seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
+        PeerStub.Script noting = seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 heard.add(f.text());
             }
             ws.close(1001);
         };
-        Stub one = server(noting);
-        Stub two = server(noting);
+        PeerStub one = server(noting);
+        PeerStub two = server(noting);
         String limits = "resumable = [\"chat\"]\nresume_first_message = true\n";
         sidecar(file(limits, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         ws.send(1, false, "subscribe ".getBytes(StandardCharsets.US_ASCII));
         ws.send(0, true, "b4".getBytes(StandardCharsets.US_ASCII));
         ws.text("more");
@@ -179,9 +180,9 @@
     @Test
     void nobodyMovesWithinAMessage() throws Exception {
         BlockingQueue<String> old = new LinkedBlockingQueue<>();
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 old.add(f.text());
                 // A message of the server's own, which it ends when it hears the client's next one.
                 boolean begins = f.text().equals("begin");
@@ -190,9 +191,9 @@
             old.add("closed");
             ws.close(1000);
         });
-        Stub two = server(chat(some));
+        PeerStub two = server(chat(some));
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         ws.text("begin");
         assertEquals("begin", old.take());
         ws.send(1, false, "half ".getBytes(StandardCharsets.US_ASCII));
@@ -209,15 +210,15 @@
     /** Where no other server agrees it stays until the last moment, and then goes as any other. */
     @Test
     void whoIsNotTakenIsClosedAtTheLastMoment() throws Exception {
-        Stub one = server(chat(some));
+        PeerStub one = server(chat(some));
         AtomicInteger refusals = new AtomicInteger();
-        Stub two = server(seen -> {
+        PeerStub two = server(seen -> {
             refusals.incrementAndGet();
             seen.reply("503 Service Unavailable", "Not-Started: 1\r\n", "");
         });
         String limits = RESUME + "drain_time = \"800ms\"\n";
         sidecar(file(limits, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(limits, two));
         assertEquals("still", ws.text("still").message().text());
         assertEquals(1001, ws.message().code());
@@ -230,21 +231,21 @@
     /** The old server breaks when it is told to close: what it has read is not known, so nothing goes on. */
     @Test
     void aServerThatBreaksInTheMiddleEndsIt() throws Exception {
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             while (ws.read().opcode() != 8) {
                 Thread.onSpinWait();
             }
             seen.socket().close();
         });
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-        Stub two = server(seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
-            Ws.Frame f = ws.message();
+        PeerStub two = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient.Frame f = ws.message();
             codes.add(f.opcode() == 8 ? f.code() : -1);
         });
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         assertEquals(1011, ws.message().code());
         assertEquals(1001, codes.take());
@@ -256,18 +257,19 @@
     @Test
     void aServerThatDoesNotCloseEndsIt() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
-            for (Ws.Frame f; (f = ws.read()) != null; ) {
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 8) {
                     told.countDown();
                 }
             }
         });
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-        Stub two = server(seen -> codes.add(Ws.agree(seen, CHAT).message().code()));
+        PeerStub two = server(
+                seen -> codes.add(WebSocketClient.agree(seen, CHAT).message().code()));
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         assertTrue(told.await(10, TimeUnit.SECONDS));
         // It is held back, and goes to nobody.
@@ -281,14 +283,14 @@
     /** A server that ends the session in its own words while it is told to close is heard. */
     @Test
     void aServersOwnLastWordGoesToTheClient() throws Exception {
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, CHAT);
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             ws.message();
             ws.close(4001);
         });
-        Stub two = server(chat(some));
+        PeerStub two = server(chat(some));
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         assertEquals(4001, ws.message().code());
         ws.close(4001);
@@ -298,13 +300,13 @@
     /** A subprotocol that was not agreed on, or that is not resumable, is closed as ever. */
     @Test
     void othersAreClosed() throws Exception {
-        Stub one = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
+        PeerStub one = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
             ws.close(ws.message().code());
         });
-        Stub two = server(chat(some));
+        PeerStub two = server(chat(some));
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         assertEquals(1001, ws.message().code());
         assertEquals(0, some.get());
@@ -313,11 +315,11 @@
     /** The process ends while a move is on its way: one close, one outcome, and the process does end. */
     @Test
     void theProcessEndsInTheMiddle() throws Exception {
-        Stub one = server(chat(some));
-        BlockingQueue<Stub.Seen> asked = new LinkedBlockingQueue<>();
-        Stub two = server(asked::add);
+        PeerStub one = server(chat(some));
+        BlockingQueue<PeerStub.Seen> asked = new LinkedBlockingQueue<>();
+        PeerStub two = server(asked::add);
         sidecar(file(RESUME, one));
-        Ws ws = open(CHAT);
+        WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         asked.take();
         CountDownLatch ended = harness.stop();
@@ -334,22 +336,22 @@
     /** A client that leaves while its tunnel moves ends it once, and the other server is let go. */
     @Test
     void theClientLeavesInTheMiddle() throws Exception {
-        Stub one = server(chat(some));
+        PeerStub one = server(chat(some));
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-        Stub two = server(seen -> {
+        PeerStub two = server(seen -> {
             asked.countDown();
             try {
                 gone.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            codes.add(Ws.agree(seen, CHAT).message().code());
+            codes.add(WebSocketClient.agree(seen, CHAT).message().code());
         });
         sidecar(file(RESUME, one));
         Harness.Client client = ask(CHAT);
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         assertEquals(101, answer.status());
         harness.reload(file(RESUME, two));
         asked.await();
--- a/src/test/java/larkbank/sidecar/UpgradeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/UpgradeTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
-import larkbank.testkit.Platform;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.Platform;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,13 +28,13 @@
     @TempDir
     Path folder;
 
-    private Stub server;
+    private PeerStub server;
     private Harness harness;
     private Platform platform;
 
     @BeforeEach
     void start() throws Exception {
-        server = new Stub(Stub.serves("ok"));
+        server = new PeerStub(PeerStub.serves("ok"));
         harness = new Harness(folder, server);
         platform = new Platform();
         Files.createFile(folder.resolve("log"));
@@ -57,7 +57,7 @@
         return platform.start(
                 Path.of(System.getProperty("java.home"), "bin", "java")
                         + " -XX:TieredStopAtLevel=1 -cp " + System.getProperty("java.class.path")
-                        + " larkbank.Main serve",
+                        + " org.cypressweir.sidecar.Main serve",
                 Map.of(
                         "LB_CONFIG",
                         harness.file.toString(),
@@ -102,12 +102,12 @@
         InetSocketAddress second = free();
         long old = run(first);
         awaitReady(first);
-        server.script(Stub.SILENT);
+        server.script(PeerStub.SILENT);
         try (Harness.Client held = new Harness.Client(platform.address);
                 Harness.Client kept = new Harness.Client(platform.address)) {
             held.book("x", 20_000);
-            Stub.Seen waits = server.take();
-            server.script(Stub.serves("ok"));
+            PeerStub.Seen waits = server.take();
+            server.script(PeerStub.serves("ok"));
             assertEquals("ok", answer(kept.search(5_000)));
             long next = run(second);
             AtomicBoolean over = new AtomicBoolean();
@@ -154,14 +154,14 @@
     /** What is kept for the door and for a process beside this one is no room that clients ask on. */
     @Test
     void clientsMayAskAsMuchWithADoorAndASuccessorToCome() throws Exception {
-        Config plain = harness.config();
-        Config service = Config.read(
+        SidecarConfiguration plain = harness.config();
+        SidecarConfiguration service = SidecarConfiguration.read(
                 Map.of("LB_CONFIG", harness.file.toString(), "LB_OPERATOR", "127.0.0.1:9", "LB_SOCKET_FD", "0"));
         assertEquals(
                 plain.settings().limits().open(), service.settings().limits().open());
         assertTrue(service.clientConnections() + service.serverConnections()
                 < plain.clientConnections() + plain.serverConnections());
-        Config beside = service.beside();
+        SidecarConfiguration beside = service.beside();
         assertEquals(beside.serverConnections(), beside.settings().limits().connections());
         assertTrue(beside.settings().limits().open() <= beside.serverConnections());
     }
@@ -187,14 +187,14 @@
         long pid = platform.start(
                 "env LB_SOCKET_FD=7 "
                         + Path.of(System.getProperty("java.home"), "bin", "java") + " -cp "
-                        + System.getProperty("java.class.path") + " larkbank.Main serve",
+                        + System.getProperty("java.class.path") + " org.cypressweir.sidecar.Main serve",
                 Map.of("LB_CONFIG", harness.file.toString()),
                 folder.resolve("log"));
         assertEquals(2, platform.awaitEnd(pid));
         assertEquals(
                 List.of("LB_SOCKET_FD: only descriptor 0 can be inherited, not 7"),
                 Files.readAllLines(folder.resolve("log")).stream()
-                        .map(l -> l.replaceFirst("larkbank: ", ""))
+                        .map(l -> l.replaceFirst("cypressweir-sidecar: ", ""))
                         .toList());
     }
 }
--- a/src/test/java/larkbank/sidecar/RehearsalTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WarmUpTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,22 +9,23 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The rehearsal goes through the whole sidecar, and is seen by nobody. */
 @Timeout(60)
-class RehearsalTest {
+class WarmUpTest {
 
     private static final int REQUESTS = 50;
 
     @TempDir
     Path folder;
 
-    private static Config at(Harness harness, int port) throws IOException {
-        return Config.read(Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
+    private static SidecarConfiguration at(Harness harness, int port) throws IOException {
+        return SidecarConfiguration.read(
+                Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
     }
 
     private static int freePort() throws IOException {
@@ -36,11 +37,11 @@
     /** Again and again: the address was still in use at times when the rehearsal had ended. */
     @Test
     void allIsAnsweredAndNothingLeavesTheProcess() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
-            Config config = at(harness, freePort());
+            SidecarConfiguration config = at(harness, freePort());
             for (int i = 0; i < 5; i++) {
-                assertTrue(Rehearsal.run(config, config.listen(), REQUESTS, 20_000) >= REQUESTS);
+                assertTrue(WarmUp.run(config, config.listen(), REQUESTS, 20_000) >= REQUESTS);
                 new ServerSocket(config.listen().getPort()).close();
             }
             assertTrue(server.seen.isEmpty());
@@ -51,11 +52,11 @@
 
     @Test
     void itEndsByTheClockToo() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             long since = System.nanoTime();
-            Config config = at(harness, freePort());
-            Rehearsal.run(config, config.listen(), Integer.MAX_VALUE, 100);
+            SidecarConfiguration config = at(harness, freePort());
+            WarmUp.run(config, config.listen(), Integer.MAX_VALUE, 100);
             assertTrue(System.nanoTime() - since < 5_000_000_000L);
         }
     }
@@ -63,12 +64,12 @@
     /** Its own servers' answers are nothing that a client could have asked for. */
     @Test
     void clientsAreNotServedByIt() throws Exception {
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
-            Config config = at(harness, freePort());
+            SidecarConfiguration config = at(harness, freePort());
             var running = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Rehearsal.run(config, config.listen(), Integer.MAX_VALUE, 2_000);
+                    return WarmUp.run(config, config.listen(), Integer.MAX_VALUE, 2_000);
                 } catch (InterruptedException e) {
                     return -1;
                 }
--- a/src/test/java/larkbank/sidecar/WebSocketTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -27,11 +27,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
-import larkbank.websocket.UpgradeAccount.Counters;
-import larkbank.websocket.UpgradeAccount.State;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Counters;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -43,13 +43,13 @@
 class WebSocketTest extends Loopback {
 
     private static final String MORE = "Connection: keep-alive, Upgrade\r\nUpgrade: websocket\r\n"
-            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + Ws.KEY + "\r\n";
+            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + WebSocketClient.KEY + "\r\n";
 
     private Harness harness;
 
-    private static String file(String limits, Stub... servers) {
+    private static String file(String limits, PeerStub... servers) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             text.append("  { id = \"s-")
                     .append(server.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -72,7 +72,7 @@
         return text.toString();
     }
 
-    private void sidecar(String limits, Stub... servers) throws Exception {
+    private void sidecar(String limits, PeerStub... servers) throws Exception {
         harness = new Harness(folder);
         open.add(harness);
         harness.startWith(file(limits, servers));
@@ -86,12 +86,13 @@
         return Harness.Client.head("GET", path, 2_000, more, 0);
     }
 
-    private Ws open(Harness.Client client) throws IOException {
+    private WebSocketClient open(Harness.Client client) throws IOException {
         client.raw(ask("/search/1", MORE));
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         assertEquals(101, answer.status());
-        assertEquals(Ws.accept(Ws.KEY), answer.headers().get("Sec-WebSocket-Accept"));
-        return new Ws(client.socket, true);
+        assertEquals(
+                WebSocketClient.accept(WebSocketClient.KEY), answer.headers().get("Sec-WebSocket-Accept"));
+        return new WebSocketClient(client.socket, true);
     }
 
     /** Waits until every upgrade has come to an end, and demands that all adds up. */
@@ -116,7 +117,7 @@
 
     @Test
     void theHandshakeGoesOnAndTheAnswerComesBack() throws Exception {
-        Stub server = server(seen -> Ws.agree(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
+        PeerStub server = server(seen -> WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
         sidecar("", server);
         Harness.Client client = harness.client()
                 .raw(ask(
@@ -124,17 +125,17 @@
                         MORE
                                 + "Sec-WebSocket-Protocol: a, b\r\nSec-WebSocket-Protocol: c\r\n"
                                 + "Sec-WebSocket-Extensions: x-odd, permessage-deflate; client_max_window_bits\r\n"));
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         assertEquals(101, answer.status());
         assertEquals("b", answer.headers().get("Sec-WebSocket-Protocol"));
         assertEquals("1", answer.headers().get("X-More"));
         assertEquals("Upgrade", answer.headers().get("Connection"));
         assertNull(answer.headers().get("Content-Length"));
-        Http.Message seen = server.take().request();
+        RawHttpClient.Message seen = server.take().request();
         assertEquals("GET /search/1?x=2 HTTP/1.1", seen.first());
         assertEquals("websocket", seen.headers().get("Upgrade"));
         assertEquals("Upgrade", seen.headers().get("Connection"));
-        assertEquals(Ws.KEY, seen.headers().get("Sec-WebSocket-Key"));
+        assertEquals(WebSocketClient.KEY, seen.headers().get("Sec-WebSocket-Key"));
         assertEquals(
                 "permessage-deflate; client_max_window_bits", seen.headers().get("Sec-WebSocket-Extensions"));
         assertNotNull(seen.headers().get("Request-Id"));
@@ -154,11 +155,11 @@
                 "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nSec-WebSocket-Protocol: a, a | 400",
             })
     void badHandshakesAreRejected(String from, String to, int status) throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
         String more = MORE.replace(from.strip(), to.strip().replace("\\r", "\r").replace("\\n", "\n"));
         String body = more.contains("chunked") ? "1\r\na\r\n0\r\n\r\n" : more.contains("Length: 3") ? "abc" : "";
-        Http.Message answer =
+        RawHttpClient.Message answer =
                 harness.client().raw(ask("/search/1", more) + body).answer();
         assertEquals(status, answer.status());
         assertEquals(status == 426 ? "13" : null, answer.headers().get("Sec-WebSocket-Version"));
@@ -169,7 +170,7 @@
     /** h2c, and an upgrade where a route has none, are plain requests; their connection goes on. */
     @Test
     void otherUpgradesArePlainRequests() throws Exception {
-        Stub server = server(Stub.serves("plain"));
+        PeerStub server = server(PeerStub.serves("plain"));
         sidecar("", server);
         Harness.Client client = harness.client();
         for (int i = 0; i < 3; i++) {
@@ -212,19 +213,19 @@
                 "'' | 502",
             })
     void aRefusedHandshakeIsOneAnswer(String text, int status) throws Exception {
-        Stub.Script script = seen -> {
+        PeerStub.Script script = seen -> {
             seen.raw(text.strip()
                     .replace("\\r", "\r")
                     .replace("\\n", "\n")
                     .replace("OK\r\n\r\n", "OK\r\n\r\n")
-                    .replace("Accept: OK", "Accept: " + Ws.accept(Ws.KEY)));
+                    .replace("Accept: OK", "Accept: " + WebSocketClient.accept(WebSocketClient.KEY)));
             seen.socket().close();
         };
-        Stub one = server(script);
-        Stub two = server(script);
+        PeerStub one = server(script);
+        PeerStub two = server(script);
         sidecar("", one, two);
         Harness.Client client = harness.client().raw(ask("/book/1", MORE));
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         assertEquals(status, answer.status());
         if (status == 404) {
             assertEquals("no", answer.body());
@@ -238,11 +239,11 @@
 
     @Test
     void anUpgradeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
-        Stub one = server(Stub.answers("503 Full", "Not-Started: 1\r\n", ""));
-        Stub two = server(Stub.answers("503 Full", "Not-Started: 1\r\n", ""));
-        Stub.Script once = seen -> {
-            one.script(Ws.echo());
-            two.script(Ws.echo());
+        PeerStub one = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
+        PeerStub two = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
+        PeerStub.Script once = seen -> {
+            one.script(WebSocketClient.echo());
+            two.script(WebSocketClient.echo());
             seen.reply("503 Full", "Not-Started: 1\r\n", "");
         };
         one.script(once);
@@ -250,16 +251,17 @@
         sidecar("", one, two);
         Harness.Client client = harness.client().raw(ask("/book/1", MORE));
         assertEquals(101, client.answer().status());
-        Ws ws = new Ws(client.socket, true).text("hello");
+        WebSocketClient ws = new WebSocketClient(client.socket, true).text("hello");
         assertEquals("hello", ws.message().text());
         assertEquals(2, one.seen.size() + two.seen.size());
     }
 
     @Test
     void whereNoServerIsTheRefusalSaysWhenToComeBack() throws Exception {
-        Stub full = server(Stub.answers("503 Full", "Not-Started: 1\r\n", ""));
+        PeerStub full = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         sidecar("", full);
-        Http.Message answer = harness.client().raw(ask("/search/1", MORE)).answer();
+        RawHttpClient.Message answer =
+                harness.client().raw(ask("/search/1", MORE)).answer();
         assertEquals(503, answer.status());
         assertNotNull(answer.headers().get("Retry-After"));
         assertEnded(1);
@@ -268,22 +270,22 @@
 
     @Test
     void aServerThatSays101ToAPlainRequestHasFailed() throws Exception {
-        Stub server = server(seen -> seen.raw(Ws.agreed(Ws.KEY, "")));
+        PeerStub server = server(seen -> seen.raw(WebSocketClient.agreed(WebSocketClient.KEY, "")));
         sidecar("", server);
         assertEquals(502, harness.client().book("x", 1_000).answer().status());
     }
 
     @Test
     void aClientThatLeavesBeforeThe101IsGone() throws Exception {
-        Stub server = server(Stub.SILENT);
+        PeerStub server = server(PeerStub.SILENT);
         sidecar("", server);
         Harness.Client client = harness.client().raw(ask("/search/1", MORE));
-        Stub.Seen held = server.take();
+        PeerStub.Seen held = server.take();
         client.close();
         server.awaitEnd();
         assertThrows(IOException.class, () -> {
             while (true) {
-                held.raw(Ws.agreed(Ws.KEY, ""));
+                held.raw(WebSocketClient.agreed(WebSocketClient.KEY, ""));
             }
         });
         assertEnded(1);
@@ -295,15 +297,15 @@
     /** First frames in one packet with the handshake, on both sides. */
     @Test
     void whatComesRightBehindTheHandshakeIsKept() throws Exception {
-        Stub server = server(seen -> {
+        PeerStub server = server(seen -> {
             ByteArrayOutputStream both = new ByteArrayOutputStream();
-            both.writeBytes(Ws.agreed(Ws.KEY, "").getBytes(StandardCharsets.US_ASCII));
+            both.writeBytes(WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII));
             for (int i = 0; i < 10; i++) {
-                both.writeBytes(Ws.frame(false, 0x81, ("s" + i).getBytes(StandardCharsets.US_ASCII)));
+                both.writeBytes(WebSocketClient.frame(false, 0x81, ("s" + i).getBytes(StandardCharsets.US_ASCII)));
             }
             seen.socket().getOutputStream().write(both.toByteArray());
-            Ws ws = new Ws(seen.socket(), false);
-            for (Ws.Frame f; (f = ws.read()) != null; ) {
+            WebSocketClient ws = new WebSocketClient(seen.socket(), false);
+            for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 ws.send(f.opcode(), f.last(), f.payload());
             }
         });
@@ -312,11 +314,11 @@
         ByteArrayOutputStream both = new ByteArrayOutputStream();
         both.writeBytes(ask("/search/1", MORE).getBytes(StandardCharsets.US_ASCII));
         for (int i = 0; i < 10; i++) {
-            both.writeBytes(Ws.frame(true, 0x81, ("c" + i).getBytes(StandardCharsets.US_ASCII)));
+            both.writeBytes(WebSocketClient.frame(true, 0x81, ("c" + i).getBytes(StandardCharsets.US_ASCII)));
         }
         client.socket.getOutputStream().write(both.toByteArray());
         assertEquals(101, client.answer().status());
-        Ws ws = new Ws(client.socket, true);
+        WebSocketClient ws = new WebSocketClient(client.socket, true);
         List<String> got = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             got.add(ws.message().text());
@@ -331,19 +333,19 @@
     void framesBeforeThe101AreKeptUpToABound() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
+        PeerStub server = server(seen -> {
             awaitQuietly(go);
-            Ws.Frame first = Ws.agree(seen, "").message();
+            WebSocketClient.Frame first = WebSocketClient.agree(seen, "").message();
             heard.add(first == null ? "nothing" : first.text());
         });
         sidecar("", server);
         Harness.Client client = harness.client().raw(ask("/search/1", MORE));
         server.take();
-        Ws ws = new Ws(client.socket, true);
+        WebSocketClient ws = new WebSocketClient(client.socket, true);
         ws.text("early");
         Harness.Client greedy = harness.client().raw(ask("/search/1", MORE));
         server.take();
-        greedy.socket.getOutputStream().write(Ws.frame(true, 0x82, new byte[100_000]));
+        greedy.socket.getOutputStream().write(WebSocketClient.frame(true, 0x82, new byte[100_000]));
         assertEquals(400, greedy.answer().status());
         go.countDown();
         while (!heard.take().equals("early")) {
@@ -365,9 +367,9 @@
 
     @Test
     void controlFramesPassBetweenFragments() throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         ws.send(1, false, "a".getBytes(StandardCharsets.US_ASCII))
                 .send(9, true, new byte[] {7})
                 .send(0, true, "b".getBytes(StandardCharsets.US_ASCII));
@@ -382,10 +384,10 @@
     @CsvSource({"c10141, 1002", "830141, 1002", "0900, 1002", "818100000000ff, 1007", "888100000000ff, 1002"})
     void aClientsWrongFramesEndBothSides(String hex, int code) throws Exception {
         BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
-        Stub server =
-                server(seen -> serverHeard.add(Ws.agree(seen, "").message().code()));
+        PeerStub server = server(seen ->
+                serverHeard.add(WebSocketClient.agree(seen, "").message().code()));
         sidecar("", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         byte[] wrong = io.netty.buffer.ByteBufUtil.decodeHexDump(hex);
         if ((wrong[1] & 0x80) == 0) {
             wrong[1] |= (byte) 0x80;
@@ -401,22 +403,22 @@
     @Test
     void aServersWrongFramesEndBothSides() throws Exception {
         BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
+        PeerStub server = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
             ws.raw(new byte[] {(byte) 0x83, 0});
             serverHeard.add(ws.message().code());
         });
         sidecar("", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         assertEquals(1011, ws.message().code());
         assertEquals(1002, serverHeard.take());
     }
 
     @Test
     void tooLargeIsSaidBeforeItHasCome() throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("max_message = 1000\nmax_frame = 600\n", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         ws.raw(new byte[] {(byte) 0x82, (byte) 0xfe, 2, (byte) 0x59, 0, 0, 0, 0});
         assertEquals(1009, ws.message().code());
     }
@@ -424,17 +426,17 @@
     /** A server that goes in the middle of a frame: its client gets whole frames and a close. */
     @Test
     void aBrokenServerTearsNoFrame() throws Exception {
-        Stub server = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
-            byte[] frame = Ws.frame(false, 0x82, new byte[50_000]);
+        PeerStub server = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            byte[] frame = WebSocketClient.frame(false, 0x82, new byte[50_000]);
             ws.raw(Arrays.copyOf(frame, 20_000));
             seen.socket().close();
         });
         sidecar("", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         int bytes = 0;
-        Ws.Frame last = null;
-        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
+        WebSocketClient.Frame last = null;
+        for (WebSocketClient.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
             bytes += f.payload().length;
             assertTrue(!f.last(), "a message that did not end was ended");
             last = f;
@@ -448,13 +450,14 @@
     @Test
     void aBrokenServerGivesItsClient1011AndABrokenClientItsServer1001() throws Exception {
         BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
-            Ws.agree(seen, "");
+        PeerStub server = server(seen -> {
+            WebSocketClient.agree(seen, "");
             seen.socket().close();
         });
         sidecar("", server);
         assertEquals(1011, open(harness.client()).message().code());
-        server.script(seen -> serverHeard.add(Ws.agree(seen, "").message().code()));
+        server.script(seen ->
+                serverHeard.add(WebSocketClient.agree(seen, "").message().code()));
         Harness.Client client = harness.client();
         open(client);
         client.close();
@@ -465,18 +468,18 @@
 
     @Test
     void closesGoThroughWithTheirCodes() throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
         for (int code : new int[] {1000, 1001, 1003, 1008, 3000, 4999}) {
-            Ws ws = open(harness.client()).close(code);
+            WebSocketClient ws = open(harness.client()).close(code);
             assertEquals(code, ws.message().code());
             assertNull(ws.read());
         }
         server.script(seen -> {
-            Ws ws = Ws.agree(seen, "").close(4321);
+            WebSocketClient ws = WebSocketClient.agree(seen, "").close(4321);
             ws.message();
         });
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         assertEquals(4321, ws.message().code());
         ws.close(4321);
         assertNull(ws.read());
@@ -493,8 +496,8 @@
         int pieces = 4_000;
         byte[] piece = new byte[10_000];
         BlockingQueue<Integer> counted = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
+        PeerStub server = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
             if (serverReads) {
                 awaitQuietly(go);
                 counted.add(count(ws, pieces));
@@ -505,7 +508,7 @@
         });
         sidecar("", server);
         Harness.Client client = harness.client();
-        Ws ws = open(client);
+        WebSocketClient ws = open(client);
         Thread sending = new Thread(() -> {
             try {
                 for (int i = 0; serverReads && i < pieces; i++) {
@@ -528,12 +531,12 @@
     }
 
     private int plain() throws Exception {
-        Http.Message answer =
+        RawHttpClient.Message answer =
                 harness.client().raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer();
         return answer.status();
     }
 
-    private static int count(Ws ws, int most) throws IOException {
+    private static int count(WebSocketClient ws, int most) throws IOException {
         int count = 0;
         while (count < most && ws.message() != null) {
             count++;
@@ -543,11 +546,11 @@
 
     @Test
     void aSilentSideIsFoundByItsPings() throws Exception {
-        Stub server = server(seen -> Ws.agree(seen, ""));
+        PeerStub server = server(seen -> WebSocketClient.agree(seen, ""));
         sidecar("ping_interval = \"200ms\"\nping_timeout = \"100ms\"\n", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         // The client answers its pings; the server's script has ended with its socket, or says nothing.
-        for (Ws.Frame f; (f = ws.read()).opcode() != 8; ) {
+        for (WebSocketClient.Frame f; (f = ws.read()).opcode() != 8; ) {
             assertEquals(9, f.opcode());
             ws.send(10, true, f.payload());
         }
@@ -557,10 +560,10 @@
 
     @Test
     void pongsToTheSidecarsPingsStayHere() throws Exception {
-        BlockingQueue<Ws.Frame> came = new LinkedBlockingQueue<>();
-        Stub server = server(seen -> {
-            Ws ws = Ws.agree(seen, "");
-            for (Ws.Frame f; (f = ws.read()) != null; ) {
+        BlockingQueue<WebSocketClient.Frame> came = new LinkedBlockingQueue<>();
+        PeerStub server = server(seen -> {
+            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
                 } else {
@@ -569,16 +572,16 @@
             }
         });
         sidecar("ping_interval = \"100ms\"\nping_timeout = \"100ms\"\n", server);
-        Ws ws = open(harness.client());
+        WebSocketClient ws = open(harness.client());
         for (int pings = 0; pings < 4; ) {
-            Ws.Frame f = ws.read();
+            WebSocketClient.Frame f = ws.read();
             if (f.opcode() == 9) {
                 pings++;
                 ws.send(10, true, f.payload());
             }
         }
         ws.send(10, true, new byte[] {1});
-        Ws.Frame first = came.take();
+        WebSocketClient.Frame first = came.take();
         assertEquals(10, first.opcode());
         assertArrayEquals(new byte[] {1}, first.payload());
     }
@@ -586,10 +589,10 @@
     @ParameterizedTest
     @CsvSource({"idle_timeout, idle", "max_life, longest life"})
     void timesEndATunnelInOrder(String key, String reason) throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar(key + " = \"1s\"\n", server);
-        Ws ws = open(harness.client());
-        Ws.Frame close = ws.message();
+        WebSocketClient ws = open(harness.client());
+        WebSocketClient.Frame close = ws.message();
         assertEquals(1001, close.code());
         assertEquals(reason, close.text().substring(2));
         ws.close(1001);
@@ -602,15 +605,15 @@
 
     @Test
     void aServerThatLeavesHasItsTunnelsClosedWithinTheGrace() throws Exception {
-        Stub one = server(Ws.echo());
-        Stub two = server(Ws.echo());
+        PeerStub one = server(WebSocketClient.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar("", one);
-        List<Ws> all = new ArrayList<>();
+        List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             all.add(open(harness.client()));
         }
         harness.reload(file("", two));
-        for (Ws ws : all) {
+        for (WebSocketClient ws : all) {
             assertEquals(1001, ws.message().code());
             ws.close(1001);
         }
@@ -625,11 +628,11 @@
     void aServerThatDrainsDuringTheHandshake() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
-        Stub one = server(seen -> {
+        PeerStub one = server(seen -> {
             awaitQuietly(go);
-            heard.add(Ws.agree(seen, "").message().code());
+            heard.add(WebSocketClient.agree(seen, "").message().code());
         });
-        Stub two = server(Ws.echo());
+        PeerStub two = server(WebSocketClient.echo());
         sidecar("", one);
         Harness.Client client = harness.client().raw(ask("/search/1", MORE));
         one.take();
@@ -637,23 +640,23 @@
         go.countDown();
         assertEquals(101, client.answer().status());
         assertEquals(1001, heard.take());
-        assertEquals(1001, new Ws(client.socket, true).message().code());
+        assertEquals(1001, new WebSocketClient(client.socket, true).message().code());
     }
 
     @Test
     void theEndClosesAllTunnelsInOrder() throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
-        List<Ws> all = new ArrayList<>();
+        List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             all.add(open(harness.client()));
         }
         Harness.Client late = harness.client();
         CountDownLatch ended = harness.begunStop();
-        Http.Message refused = late.raw(ask("/search/1", MORE)).answer();
+        RawHttpClient.Message refused = late.raw(ask("/search/1", MORE)).answer();
         assertEquals(503, refused.status());
         assertEquals("1", refused.headers().get("Retry-After"));
-        for (Ws ws : all) {
+        for (WebSocketClient ws : all) {
             assertEquals(1001, ws.message().code());
             ws.close(1001);
             assertNull(ws.read());
@@ -668,12 +671,12 @@
     /** Either side hangs up after each byte of its part of the handshake; all adds up, and no one hangs. */
     @Test
     void faultsAtEveryByteOfBothHandshakesAreEachCountedOnce() throws Exception {
-        Stub server = server(Ws.echo());
-        Stub other = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
+        PeerStub other = server(WebSocketClient.echo());
         sidecar("", server, other);
         String request = ask("/book/1", MORE);
-        byte[] answer = Ws.agreed(Ws.KEY, "").getBytes(StandardCharsets.US_ASCII);
-        byte[] frame = Ws.frame(false, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
+        byte[] answer = WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII);
+        byte[] frame = WebSocketClient.frame(false, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
         byte[] whole = Arrays.copyOf(answer, answer.length + frame.length);
         System.arraycopy(frame, 0, whole, answer.length, frame.length);
         int asked = 0;
@@ -681,7 +684,7 @@
         for (int round = 0; round < 12; round++) {
             for (int at = 0; at <= whole.length; at++) {
                 byte[] part = Arrays.copyOf(whole, at);
-                Stub.Script script = seen -> {
+                PeerStub.Script script = seen -> {
                     seen.socket().getOutputStream().write(part);
                     seen.socket().close();
                 };
@@ -695,8 +698,8 @@
                 } else {
                     assertEquals(101, status, "cut at " + at);
                     agreed++;
-                    Ws ws = new Ws(client.socket, true);
-                    Ws.Frame f = ws.read();
+                    WebSocketClient ws = new WebSocketClient(client.socket, true);
+                    WebSocketClient.Frame f = ws.read();
                     for (; f.opcode() != 8; f = ws.read()) {
                         assertEquals(
                                 "abc".substring(0, Math.min(3, f.payload().length)),
@@ -707,8 +710,8 @@
                 client.close();
             }
         }
-        server.script(Stub.SILENT);
-        other.script(Stub.SILENT);
+        server.script(PeerStub.SILENT);
+        other.script(PeerStub.SILENT);
         for (int at = 0; at < request.length(); at++) {
             harness.client().raw(request.substring(0, at)).close();
         }
@@ -778,7 +781,7 @@
 
     @Test
     void theRuntimesOwnClientIsContent() throws Exception {
-        Stub server = server(Ws.echo());
+        PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
         Listening heard = new Listening();
         WebSocket socket = builder().buildAsync(uri(), heard).get(10, TimeUnit.SECONDS);
@@ -800,9 +803,9 @@
 
     @Test
     void itsSubprotocolsAreAgreedOn() throws Exception {
-        Stub server = server(seen -> {
+        PeerStub server = server(seen -> {
             assertEquals("v2, v1", seen.request().headers().get("Sec-WebSocket-Protocol"));
-            Ws.agree(seen, "Sec-WebSocket-Protocol: v1\r\n").close(1000);
+            WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: v1\r\n").close(1000);
         });
         sidecar("", server);
         Listening heard = new Listening();
@@ -814,7 +817,7 @@
 
     @Test
     void aServersNoIsAPlainAnswerToIt() throws Exception {
-        Stub server = server(Stub.answers("403 No", "", "not you"));
+        PeerStub server = server(PeerStub.answers("403 No", "", "not you"));
         sidecar("", server);
         CompletionException failed = assertThrows(
                 CompletionException.class,
--- a/src/test/java/larkbank/daily/ClassPlacesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/RequestClassSlotsTest.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 import org.junit.jupiter.api.Test;
 
-class ClassPlacesTest {
+class RequestClassSlotsTest {
 
     private static RequestClass of(String name, Effect effect) {
         return new RequestClass(name, effect, Group.ALL, 0, 1, 0, 2, 1, 0, false);
@@ -30,24 +30,25 @@
 
     @Test
     void thoseThatStayKeepTheirNumbersAndDroppedOnesWaitForTheirRequests() {
-        List<RequestClass> placed = ClassPlaces.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
+        List<RequestClass> placed = RequestClassSlots.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
         assertEquals(List.of("a", "", "c", "d"), names(placed));
         assertEquals(
-                List.of("a", "e", "c", "d"), names(ClassPlaces.place(placed, of("a", "c", "d", "e"), Set.of(0, 3))));
+                List.of("a", "e", "c", "d"),
+                names(RequestClassSlots.place(placed, of("a", "c", "d", "e"), Set.of(0, 3))));
     }
 
     /** A request that came under a class is of that class or of none, whenever the change is taken over. */
     @Test
     void whatIsDroppedNowIsNotGivenAwayNow() {
-        List<RequestClass> placed = ClassPlaces.place(of("a", "b"), of("a", "c"), Set.of());
+        List<RequestClass> placed = RequestClassSlots.place(of("a", "b"), of("a", "c"), Set.of());
         assertEquals(List.of("a", "", "c"), names(placed));
-        assertEquals(List.of("a", "d", "c"), names(ClassPlaces.place(placed, of("a", "c", "d"), Set.of())));
+        assertEquals(List.of("a", "d", "c"), names(RequestClassSlots.place(placed, of("a", "c", "d"), Set.of())));
     }
 
     @Test
     void aClassOfTheSameNameHasItsNewRules() {
         List<RequestClass> next = List.of(of("a", Effect.UNSAFE));
-        assertEquals(next, ClassPlaces.place(of("a"), next, Set.of(0)));
+        assertEquals(next, RequestClassSlots.place(of("a"), next, Set.of(0)));
     }
 
     /** Whatever comes and goes: each name once, at the place it had, and no place in use is given away. */
@@ -63,7 +64,7 @@
                     .toArray(String[]::new);
             Set<Integer> inUse =
                     Set.copyOf(random.ints(3, 0, now.size()).boxed().toList());
-            List<RequestClass> next = ClassPlaces.place(now, of(names), inUse);
+            List<RequestClass> next = RequestClassSlots.place(now, of(names), inUse);
             for (String name : names) {
                 assertEquals(1, names(next).stream().filter(name::equals).count(), "seed " + seed);
                 int before = names(now).indexOf(name);
@@ -90,7 +91,7 @@
 
     @Test
     void aFileThatLacksSomethingIsNotTaken() {
-        ConfigShape shape = new ConfigShape(Map.of(
+        ConfigurationCompleteness shape = new ConfigurationCompleteness(Map.of(
                 "known",
                 Map.of("rev", 1L),
                 "discovery",
--- a/src/test/java/larkbank/daily/StandingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/SidecarLifecycleTest.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.sidecar.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,13 +7,13 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.daily.Standing.Event;
-import larkbank.daily.Standing.State;
+import org.cypressweir.sidecar.admin.SidecarLifecycle.Event;
+import org.cypressweir.sidecar.admin.SidecarLifecycle.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class StandingTest {
+class SidecarLifecycleTest {
 
     private static final Map<State, Event[]> WAYS = new EnumMap<>(Map.of(
             State.STARTING,
@@ -29,8 +29,8 @@
             State.STOPPING,
             new Event[] {Event.OPENED, Event.TERMINATE}));
 
-    private static Standing at(State state) {
-        Standing standing = new Standing();
+    private static SidecarLifecycle at(State state) {
+        SidecarLifecycle standing = new SidecarLifecycle();
         for (Event e : WAYS.get(state)) {
             assertTrue(standing.on(e));
         }
@@ -52,7 +52,7 @@
             State from, State opened, State drain, State undrain, State empty, State client, State terminate) {
         State[] wanted = {opened, drain, undrain, empty, client, terminate};
         for (Event e : Event.values()) {
-            Standing standing = at(from);
+            SidecarLifecycle standing = at(from);
             assertEquals(wanted[e.ordinal()] != from, standing.on(e));
             assertEquals(wanted[e.ordinal()], standing.state(), from + " and " + e);
         }
@@ -67,15 +67,15 @@
         }
     }
 
-    private static Desk desk(Standing standing, boolean servers) {
-        return desk(standing, new Figures(), servers);
+    private static AdminCommandHandler desk(SidecarLifecycle standing, boolean servers) {
+        return desk(standing, new SidecarMetrics(), servers);
     }
 
-    private static Desk desk(Standing standing, Figures figures, boolean servers) {
-        return new Desk(
+    private static AdminCommandHandler desk(SidecarLifecycle standing, SidecarMetrics figures, boolean servers) {
+        return new AdminCommandHandler(
                 standing,
                 figures,
-                new Figures.Fleet() {
+                new SidecarMetrics.Fleet() {
                     @Override
                     public int listed() {
                         return 3;
@@ -103,14 +103,14 @@
 
     @Test
     void theFiguresAreOneLineAndItsEnd() {
-        Figures figures = new Figures();
+        SidecarMetrics figures = new SidecarMetrics();
         figures.show(List.of("search"));
         figures.taken();
         figures.taken();
-        figures.ended("book", Figures.Ending.REFUSED);
+        figures.ended("book", SidecarMetrics.Ending.REFUSED);
         figures.attempted();
         figures.reconfigured(false);
-        Desk desk = desk(at(State.SERVING), figures, true);
+        AdminCommandHandler desk = desk(at(State.SERVING), figures, true);
         assertEquals(
                 "{\"success\":{\"search\":0,\"book\":0},\"busy\":{\"search\":0,\"book\":1},"
                         + "\"failure\":{\"search\":0,\"book\":0},"
--- a/src/test/java/larkbank/bulk/BodyBudgetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
@@ -1,4 +1,4 @@
-package larkbank.bulk;
+package org.cypressweir.sidecar.buffering;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.bulk.BodyBudget.News;
-import larkbank.bulk.BodyBudget.Share;
-import larkbank.bulk.BodyBudget.Word;
+import org.cypressweir.sidecar.buffering.BodyBudget.News;
+import org.cypressweir.sidecar.buffering.BodyBudget.Share;
+import org.cypressweir.sidecar.buffering.BodyBudget.Word;
 import org.junit.jupiter.api.Test;
 
 class BodyBudgetTest {
--- a/src/test/java/larkbank/cell/PartingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellAssignmentTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,32 +13,32 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Collectors;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.testkit.CellPlans;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.testkit.CellPlans;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Which servers belong to which cell. */
-class PartingTest {
+class CellAssignmentTest {
 
     private static final long KEEP = 60_000_000;
 
-    private static Parting parting(int cells, Spread spread) {
-        return new Parting(CellPlans.cells(cells), spread, KEEP);
+    private static CellAssignment parting(int cells, Spread spread) {
+        return new CellAssignment(CellPlans.cells(cells), spread, KEEP);
     }
 
-    private static Map<Long, Integer> cells(Parting parting, List<Server> servers) {
+    private static Map<Long, Integer> cells(CellAssignment parting, List<Server> servers) {
         Map<Long, Integer> cells = new HashMap<>();
         servers.forEach(s -> cells.put(s.id(), parting.cellOf(s.id())));
         return cells;
     }
 
-    private static int[] sizes(Parting parting, List<Server> servers, int count) {
+    private static int[] sizes(CellAssignment parting, List<Server> servers, int count) {
         int[] sizes = new int[count];
         servers.forEach(s -> sizes[parting.cellOf(s.id())]++);
         return sizes;
@@ -47,7 +47,7 @@
     @ParameterizedTest
     @CsvSource({"15, 3, 5", "22, 4, 5", "100, 7, 3", "1000, 16, 5", "8000, 64, 4", "9, 4, 1"})
     void cellsAreAsEvenAsWholeServersAllow(int count, int cells, int zones) {
-        Parting parting = parting(cells, Spread.SERVER);
+        CellAssignment parting = parting(cells, Spread.SERVER);
         List<Server> servers = CellPlans.servers(count, zones);
         parting.listed(1, ListKind.COMPLETE, servers);
         int[] sizes = sizes(parting, servers, cells);
@@ -67,7 +67,7 @@
     @Test
     void sharesSayHowManyServersACellHas() {
         List<Cell> cells = List.of(new Cell("a", 3, false), new Cell("b", 1, false), new Cell("q", 1, true));
-        Parting parting = new Parting(cells, Spread.SERVER, KEEP);
+        CellAssignment parting = new CellAssignment(cells, Spread.SERVER, KEEP);
         List<Server> servers = CellPlans.servers(50, 1);
         parting.listed(1, ListKind.COMPLETE, servers);
         assertEquals(
@@ -81,11 +81,11 @@
     void whatComesOutHangsOnTheListAlone(long seed) {
         Random random = new Random(seed);
         List<Server> servers = CellPlans.servers(40 + random.nextInt(60), 1 + random.nextInt(5));
-        Parting whole = parting(5, Spread.SERVER);
+        CellAssignment whole = parting(5, Spread.SERVER);
         whole.listed(1, ListKind.COMPLETE, servers);
         List<Server> mixed = new ArrayList<>(servers);
         Collections.shuffle(mixed, random);
-        Parting grown = new Parting(CellPlans.cells(5), Spread.SERVER, 0);
+        CellAssignment grown = new CellAssignment(CellPlans.cells(5), Spread.SERVER, 0);
         List<Server> others = List.of(CellPlans.server(900, 0, Phase.READY), CellPlans.server(901, 1, Phase.READY));
         grown.listed(1, ListKind.CHANGES, others);
         mixed.forEach(s -> grown.listed(2, ListKind.CHANGES, List.of(s)));
@@ -97,7 +97,7 @@
     /** A release restarts servers one by one: none of the others may change its cell meanwhile. */
     @Test
     void aServerThatReturnsFindsItsPlace() {
-        Parting parting = parting(4, Spread.SERVER);
+        CellAssignment parting = parting(4, Spread.SERVER);
         List<Server> servers = CellPlans.servers(30, 3);
         parting.listed(1, ListKind.COMPLETE, servers);
         Map<Long, Integer> before = cells(parting, servers);
@@ -118,7 +118,7 @@
 
     @Test
     void aPlaceIsGivenUpInTime() {
-        Parting parting = parting(3, Spread.SERVER);
+        CellAssignment parting = parting(3, Spread.SERVER);
         List<Server> servers = CellPlans.servers(9, 1);
         parting.listed(1, ListKind.COMPLETE, servers);
         int cell = parting.cellOf(servers.get(0).id());
@@ -130,7 +130,7 @@
         parting.listed(3, ListKind.COMPLETE, left);
         assertEquals(1, sizes(parting, left, 3)[cell]);
         assertEquals(List.of(), parting.sweep(KEEP + 1));
-        List<Parting.Moved> moved = parting.sweep(KEEP + 3);
+        List<CellAssignment.Moved> moved = parting.sweep(KEEP + 3);
         assertTrue(moved.stream().anyMatch(m -> m.to() == cell), "nobody fills the hole");
         moved.forEach(m -> assertEquals(m.to(), parting.cellOf(m.server())));
         assertTrue(sizes(parting, left, 3)[cell] >= 2);
@@ -139,7 +139,7 @@
     /** Servers that drop each other's repeats stay together. */
     @Test
     void groupsAreDealtOutWhole() {
-        Parting parting = parting(3, Spread.GROUP);
+        CellAssignment parting = parting(3, Spread.GROUP);
         List<Server> servers = CellPlans.servers(70, 3);
         parting.listed(1, ListKind.COMPLETE, servers);
         Map<Integer, Set<Integer>> cells = servers.stream()
@@ -152,7 +152,7 @@
 
     @Test
     void drainingServersKeepTheirCell() {
-        Parting parting = parting(3, Spread.SERVER);
+        CellAssignment parting = parting(3, Spread.SERVER);
         List<Server> servers = CellPlans.servers(9, 1);
         parting.listed(1, ListKind.COMPLETE, servers);
         int cell = parting.cellOf(servers.get(4).id());
@@ -162,7 +162,7 @@
 
     @Test
     void fewServersLeaveCellsShut() {
-        Parting parting = parting(4, Spread.SERVER);
+        CellAssignment parting = parting(4, Spread.SERVER);
         parting.listed(1, ListKind.COMPLETE, CellPlans.servers(2, 1));
         assertEquals(2, parting.open().cardinality());
         parting.listed(2, ListKind.COMPLETE, CellPlans.servers(8, 1));
@@ -173,7 +173,7 @@
     @Test
     void oneServerMoreMovesFew() {
         int moved = 0;
-        Parting parting = parting(10, Spread.SERVER);
+        CellAssignment parting = parting(10, Spread.SERVER);
         parting.listed(1, ListKind.COMPLETE, CellPlans.servers(500, 5));
         for (int i = 501; i <= 600; i++) {
             moved += parting.listed(i, ListKind.CHANGES, List.of(CellPlans.server(i, i % 5, Phase.READY)))
--- a/src/test/java/larkbank/cell/CellsRandomWalkTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.cell.Cells.Ticket;
-import larkbank.cell.CellsPlan.Quarantine;
-import larkbank.testkit.CellPlans;
-import larkbank.testkit.CellsRig;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
+import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellsFixture;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -32,7 +32,7 @@
 
     private static final class Walk {
         final SplittableRandom random;
-        final CellsRig rig;
+        final CellsFixture rig;
         final List<Out> out = new ArrayList<>();
         final Map<Ticket, Out> held = new HashMap<>();
         /** Where a keyed request was, and when last. */
@@ -48,11 +48,11 @@
         Walk(long seed) {
             random = new SplittableRandom(seed);
             fenced = seed % 2 == 0;
-            rig = new CellsRig(plan(), START, 24);
+            rig = new CellsFixture(plan(), START, 24);
         }
 
-        private CellsPlan plan() {
-            List<MovePlan> moves = new ArrayList<>();
+        private CellsConfiguration plan() {
+            List<MoveConfiguration> moves = new ArrayList<>();
             for (int u = 0; u < UNITS; u++) {
                 if (random.nextInt(3) == 0) {
                     long now = rig == null ? START : rig.now;
@@ -68,7 +68,7 @@
                     CellPlans.cellsAndReserve(3),
                     0.05,
                     random.nextInt(2) == 0 ? null : new Quarantine(3, 0.2, 5_000_000),
-                    moves.toArray(MovePlan[]::new));
+                    moves.toArray(MoveConfiguration[]::new));
         }
 
         void step(int n) {
@@ -93,7 +93,7 @@
                     slow.add(cell);
                 }
             } else if (what < 996 && random.nextInt(8) == 0) {
-                rig.cells.plan(rig.now, plan(), CellsRig.REQUESTS);
+                rig.cells.plan(rig.now, plan(), CellsFixture.REQUESTS);
             } else if (!held.isEmpty()) {
                 Ticket leaves = held.keySet().iterator().next();
                 rig.cells.left(rig.now, leaves);
@@ -154,7 +154,7 @@
                 int cell = c;
                 assertEquals(
                         out.stream().filter(o -> o.ticket.cell() == cell).count(), rig.cells.inHand(c), "step " + n);
-                assertTrue(rig.cells.guests(c) <= 0.05 * CellsRig.REQUESTS, "step " + n);
+                assertTrue(rig.cells.guests(c) <= 0.05 * CellsFixture.REQUESTS, "step " + n);
             }
             assertEquals(held.size(), rig.cells.held(), "step " + n);
         }
@@ -194,7 +194,7 @@
         open.set(0, 3);
         int from = new Placement(cells, Map.of(), open).home(Ids.of("acme"));
         int to = (from + 1) % 3;
-        CellsRig rig = new CellsRig(
+        CellsFixture rig = new CellsFixture(
                 CellPlans.plan(cells, 0, null, CellPlans.move("acme", to, START + 6_000_000, 0, 400_000)), START, 24);
         List<Ticket> out = new ArrayList<>();
         Set<Ticket> held = new HashSet<>();
--- a/src/test/java/larkbank/cell/CellsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,13 +9,13 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.cell.Cells.Ticket;
-import larkbank.cell.CellsPlan.Quarantine;
-import larkbank.testkit.CellPlans;
-import larkbank.testkit.CellsRig;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
+import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellsFixture;
 import org.junit.jupiter.api.Test;
 
 /** Where requests go while units stay, move, flood, and cells fall sick. */
@@ -24,8 +24,8 @@
     private static final long START = 100_000_000, SECOND = 1_000_000;
     private static final List<Cell> THREE = CellPlans.cells(3), AND_RESERVE = CellPlans.cellsAndReserve(3);
 
-    private static CellsRig rig(CellsPlan plan) {
-        return new CellsRig(plan, START, 30);
+    private static CellsFixture rig(CellsConfiguration plan) {
+        return new CellsFixture(plan, START, 30);
     }
 
     private static int home(String unit, List<Cell> cells) {
@@ -47,7 +47,7 @@
 
     @Test
     void aUnitStaysInItsCell() {
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null));
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null));
         for (int i = 0; i < 200; i++) {
             String unit = "u" + i % 20;
             for (Effect effect : Effect.values()) {
@@ -64,7 +64,7 @@
 
     @Test
     void aCellWithoutServersIsNobodysHome() {
-        CellsRig rig = new CellsRig(CellPlans.plan(THREE, Map.of(Ids.of("vip"), 1), 0, null), START, 30);
+        CellsFixture rig = new CellsFixture(CellPlans.plan(THREE, Map.of(Ids.of("vip"), 1), 0, null), START, 30);
         assertEquals(1, rig.ask("vip", Effect.UNSAFE).cell());
         rig.cells.listed(START + 1, ListKind.COMPLETE, CellPlans.servers(1, 1));
         // Places are kept: a list that is short for a moment moves nobody.
@@ -82,7 +82,7 @@
     void safeRequestsGoOverBitByBitAndWritesAtOnce() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig =
+        CellsFixture rig =
                 rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 20 * SECOND, 0)));
         List<Integer> parts = new ArrayList<>();
         for (int s = 0; s < 40; s++) {
@@ -113,8 +113,8 @@
     void aRestartCatchesUp() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        MovePlan move = CellPlans.move("acme", to, START, 100 * SECOND, 0);
-        CellsRig restarted = new CellsRig(CellPlans.plan(THREE, 0, null, move), START + 70 * SECOND, 30);
+        MoveConfiguration move = CellPlans.move("acme", to, START, 100 * SECOND, 0);
+        CellsFixture restarted = new CellsFixture(CellPlans.plan(THREE, 0, null, move), START + 70 * SECOND, 30);
         int over = 0;
         for (int i = 0; i < 1_000; i++) {
             over += restarted.ask("acme", Effect.SAFE).cell() == to ? 1 : 0;
@@ -122,7 +122,7 @@
         assertEquals(700, over, 60);
         assertEquals(from, restarted.ask("acme", Effect.UNSAFE).cell());
         // Long after the move keyed requests may still be repeats of what this process never saw.
-        CellsRig late = new CellsRig(CellPlans.plan(THREE, 0, null, move), START + 500 * SECOND, 30);
+        CellsFixture late = new CellsFixture(CellPlans.plan(THREE, 0, null, move), START + 500 * SECOND, 30);
         assertEquals(to, late.ask("acme", Effect.SAFE).cell());
         assertEquals(from, late.ask("acme", Effect.KEYED).cell());
         late.to(late.now + CellPlans.WINDOW + SECOND);
@@ -133,7 +133,7 @@
     void repeatsGoWhereTheFirstWas() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 0)));
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 0)));
         rig.to(START + 9 * SECOND);
         assertEquals(from, rig.ask("acme", Effect.KEYED, 77).cell());
         rig.to(START + 11 * SECOND);
@@ -152,7 +152,8 @@
     void theFenceWaitsForWritesAtTheOldCell() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsFixture rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         Ticket old = rig.ask("acme", Effect.UNSAFE);
         assertEquals(from, old.cell());
@@ -173,7 +174,8 @@
     void whatIsHeldGoesOverWithTheLastOldWrite() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsFixture rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         Ticket old = rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
@@ -194,7 +196,8 @@
     void aFenceInVainSendsBackTriesAgainAndGivesUp() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 200_000)));
+        CellsFixture rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 200_000)));
         rig.to(START + 9 * SECOND);
         rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
@@ -210,7 +213,7 @@
             rig.to(rig.now + 300_000);
             assertEquals(from, t.cell());
         }
-        assertTrue(holds <= Moving.TRIES + 1, "held " + holds + " times");
+        assertTrue(holds <= UnitMigration.TRIES + 1, "held " + holds + " times");
         assertTrue(rig.logged("given up after 6 tries"));
         assertEquals(from, rig.ask("acme", Effect.SAFE).cell());
     }
@@ -220,7 +223,8 @@
     void aFenceIsBlindAtFirstAfterARestart() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START - 60 * SECOND, 0, 200_000)));
+        CellsFixture rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START - 60 * SECOND, 0, 200_000)));
         rig.to(START + CellPlans.PATIENCE - 1_000);
         Ticket early = rig.ask("acme", Effect.UNSAFE);
         assertEquals(from, early.cell());
@@ -236,8 +240,9 @@
     void aFreezeRefusesWritesAtOnce() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsPlan plan = CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
-        CellsRig rig = rig(plan);
+        CellsConfiguration plan =
+                CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
+        CellsFixture rig = rig(plan);
         rig.to(START + 10 * SECOND - 1);
         Ticket before = rig.ask("acme", Effect.UNSAFE);
         assertEquals(from, before.cell());
@@ -252,7 +257,7 @@
         assertEquals(to, rig.ask("acme", Effect.UNSAFE).cell());
         assertEquals(to, rig.ask("acme", Effect.KEYED).cell());
         // One that learns of it late can't know what it has sent itself, and refuses for the whole time.
-        CellsRig late = new CellsRig(plan, START + 40 * SECOND, 30);
+        CellsFixture late = new CellsFixture(plan, START + 40 * SECOND, 30);
         assertEquals(6 * SECOND, late.ask("acme", Effect.UNSAFE).retryAfterMicros());
         late.to(START + 46 * SECOND);
         assertEquals(to, late.ask("acme", Effect.UNSAFE).cell());
@@ -263,7 +268,7 @@
     void aFreezeDoesNotStepBack() {
         int to = (home("acme", THREE) + 1) % 3;
         String there = unitOf(to, THREE, 0);
-        CellsRig rig =
+        CellsFixture rig =
                 rig(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND)));
         for (int s = 0; s < 20; s++) {
             rig.second(there, Effect.UNSAFE, 50, false);
@@ -277,7 +282,7 @@
     void aFreezeKeepsRepeatsTogether() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig =
+        CellsFixture rig =
                 rig(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 1 * SECOND)));
         rig.to(START + 9 * SECOND);
         assertEquals(from, rig.ask("acme", Effect.KEYED, 70_000).cell());
@@ -297,7 +302,7 @@
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
         String there = unitOf(to, THREE, 0);
-        CellsRig rig =
+        CellsFixture rig =
                 rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 5 * SECOND, 60 * SECOND, 0)));
         for (int s = 0; s < 20; s++) {
             rig.second(there, Effect.UNSAFE, 50, s < 12);
@@ -318,7 +323,7 @@
 
     @Test
     void guestsOfASickCellAreSafeAndFew() {
-        CellsRig rig = rig(CellPlans.plan(AND_RESERVE, 0.1, null));
+        CellsFixture rig = rig(CellPlans.plan(AND_RESERVE, 0.1, null));
         String unit = unitOf(0, AND_RESERVE, 0);
         for (int s = 0; s < 5; s++) {
             rig.second(unit, Effect.UNSAFE, 50, false);
@@ -326,7 +331,7 @@
         assertTrue(rig.cells.sick(0));
         assertTrue(rig.logged("cell c0 of pool p is sick"));
         // A seventh of what the pool may have is a cell's part here, and a tenth of that for guests.
-        int bound = (int) Math.ceil(CellsRig.REQUESTS / 3.5 / 10);
+        int bound = (int) Math.ceil(CellsFixture.REQUESTS / 3.5 / 10);
         int guests = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(0, rig.ask(unit, Effect.UNSAFE).cell());
@@ -342,7 +347,7 @@
     /** Of what may be a guest a part stays, so that the cell shows when it is well; keyed requests all do. */
     @Test
     void writesMayBeGuestsToo() {
-        CellsRig rig = rig(CellPlans.withGuestWrites(CellPlans.plan(AND_RESERVE, 0.5, null)));
+        CellsFixture rig = rig(CellPlans.withGuestWrites(CellPlans.plan(AND_RESERVE, 0.5, null)));
         String unit = unitOf(0, AND_RESERVE, 0);
         for (int s = 0; s < 5 && !rig.cells.sick(0); s++) {
             rig.second(unit, Effect.UNSAFE, 50, false);
@@ -363,7 +368,7 @@
     /** What made the cell sick is not carried to the next. */
     @Test
     void aUnitThatFloodsIsNoGuest() {
-        CellsRig rig = rig(CellPlans.plan(AND_RESERVE, 0.5, null));
+        CellsFixture rig = rig(CellPlans.plan(AND_RESERVE, 0.5, null));
         List<String> others = List.of(unitOf(0, AND_RESERVE, 0), unitOf(0, AND_RESERVE, 1));
         String flooder = unitOf(0, AND_RESERVE, 2);
         for (int s = 0; s < 60; s++) {
@@ -387,7 +392,7 @@
 
     @Test
     void withoutGuestsHarmStays() {
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null));
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null));
         String unit = unitOf(0, THREE, 0);
         for (int s = 0; s < 5; s++) {
             rig.second(unit, Effect.UNSAFE, 50, false);
@@ -398,7 +403,7 @@
 
     // ---- Quarantine
 
-    private static void busy(CellsRig rig, List<String> others, String flooder, int flood, boolean inTime) {
+    private static void busy(CellsFixture rig, List<String> others, String flooder, int flood, boolean inTime) {
         long end = rig.now + SECOND;
         for (int i = 0; i < 60; i++) {
             rig.to(rig.now + 10_000);
@@ -412,7 +417,7 @@
 
     @Test
     void aUnitThatFloodsASickCellIsSetApartAndComesBack() {
-        CellsRig rig = rig(CellPlans.plan(AND_RESERVE, 0, new Quarantine(3, 0.3, 30 * SECOND)));
+        CellsFixture rig = rig(CellPlans.plan(AND_RESERVE, 0, new Quarantine(3, 0.3, 30 * SECOND)));
         List<String> others = List.of(
                 unitOf(0, AND_RESERVE, 0),
                 unitOf(0, AND_RESERVE, 1),
@@ -440,7 +445,7 @@
     /** A bad release makes a cell sick with all units as they always were: nobody is to be blamed. */
     @Test
     void aCellThatIsSickByItselfSetsNobodyApart() {
-        CellsRig rig = rig(CellPlans.plan(AND_RESERVE, 0, new Quarantine(3, 0.3, 30 * SECOND)));
+        CellsFixture rig = rig(CellPlans.plan(AND_RESERVE, 0, new Quarantine(3, 0.3, 30 * SECOND)));
         List<String> others = List.of(unitOf(0, AND_RESERVE, 0));
         String large = unitOf(0, AND_RESERVE, 4);
         for (int s = 0; s < 60; s++) {
@@ -456,8 +461,8 @@
     void aNewOrderBeginsAndAMoveThatStaysGoesOn() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        MovePlan move = CellPlans.move("acme", to, START, 0, 0);
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, move));
+        MoveConfiguration move = CellPlans.move("acme", to, START, 0, 0);
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null, move));
         rig.to(START + 10 * SECOND);
         assertEquals(to, rig.ask("acme", Effect.KEYED).cell());
         rig.to(START + 20 * SECOND);
@@ -483,7 +488,7 @@
     void anOrderThatIsTakenBackKeepsRepeatsTogether() {
         int from = home("acme", THREE);
         int to = (from + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START, 0, 0)));
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START, 0, 0)));
         rig.to(START + 20 * SECOND);
         assertEquals(to, rig.ask("acme", Effect.KEYED, 9_000).cell());
         rig.cells.plan(rig.now, CellPlans.plan(THREE, 0, null), 1_000);
@@ -498,10 +503,10 @@
 
     @Test
     void aCellMoreTakesServersAndUnitsOfItsOwnOnly() {
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null));
+        CellsFixture rig = rig(CellPlans.plan(THREE, 0, null));
         assertTrue(rig.cells.fits(CellPlans.plan(CellPlans.cells(4), 0, null)));
         assertFalse(rig.cells.fits(CellPlans.plan(CellPlans.cells(2), 0, null)));
-        List<Parting.Moved> moved = rig.cells.plan(rig.now, CellPlans.plan(CellPlans.cells(4), 0, null), 1_000);
+        List<CellAssignment.Moved> moved = rig.cells.plan(rig.now, CellPlans.plan(CellPlans.cells(4), 0, null), 1_000);
         assertTrue(moved.stream().filter(m -> m.to() == 3).count() >= 7);
         for (int i = 0; i < 200; i++) {
             int before = home("u" + i, THREE);
@@ -513,7 +518,8 @@
     @Test
     void closingHoldsNothingBack() {
         int to = (home("acme", THREE) + 1) % 3;
-        CellsRig rig = rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        CellsFixture rig =
+                rig(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
         rig.to(START + 9 * SECOND);
         rig.ask("acme", Effect.UNSAFE);
         rig.to(START + 10 * SECOND);
--- a/src/test/java/larkbank/cell/GoldenPlacementTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/GoldenPlacementTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.Ids;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.golden.Golden;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.golden.Golden;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
 import org.junit.jupiter.api.Test;
 
 /** Which cell a unit and a server fall to. */
@@ -48,8 +48,8 @@
     @Test
     void cellsOfServersAreTheSame() {
         List<String> lines = new ArrayList<>();
-        for (CellsPlan.Spread spread : CellsPlan.Spread.values()) {
-            Parting parting = new Parting(CELLS, spread, 0);
+        for (CellsConfiguration.Spread spread : CellsConfiguration.Spread.values()) {
+            CellAssignment parting = new CellAssignment(CELLS, spread, 0);
             parting.listed(0, ListKind.COMPLETE, servers());
             servers()
                     .forEach(server ->
@@ -67,7 +67,7 @@
     /** The state of a move is part of the answer about cells. */
     @Test
     void statesOfMovesAreTheSame() {
-        assertThat(Stream.of(Moving.State.values()).map(String::valueOf))
+        assertThat(Stream.of(UnitMigration.State.values()).map(String::valueOf))
                 .containsExactly("WAITING", "RAMPING", "SWITCHING", "FROZEN", "SETTLING", "DONE", "GIVEN_UP");
     }
 }
--- a/src/test/java/larkbank/cell/HeavyUnitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/HeavyUnitsTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/larkbank/cell/RepeatsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/IdempotencyKeysTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Which cell knows a keyed request. */
-class RepeatsTest {
+class IdempotencyKeysTest {
 
     private static final long WINDOW = 1_000;
 
     @Test
     void aRepeatKeepsTheCellOfTheFirst() {
-        Repeats repeats = new Repeats(10);
+        IdempotencyKeys repeats = new IdempotencyKeys(10);
         repeats.used(0, WINDOW, 7, 2);
         repeats.used(900, WINDOW, 7, 5);
         assertEquals(2, repeats.cellOf(1_800, WINDOW, 7));
@@ -27,7 +27,7 @@
 
     @Test
     void whatIsForgottenTooEarlyIsSaid() {
-        Repeats repeats = new Repeats(3);
+        IdempotencyKeys repeats = new IdempotencyKeys(3);
         for (int i = 0; i < 3; i++) {
             repeats.used(i, WINDOW, i, 0);
         }
@@ -43,7 +43,7 @@
     void likeAMapThatForgetsNothing() {
         long seed = 41;
         SplittableRandom random = new SplittableRandom(seed);
-        Repeats repeats = new Repeats(200);
+        IdempotencyKeys repeats = new IdempotencyKeys(200);
         Map<Long, long[]> plain = new HashMap<>();
         List<Long> tokens = new ArrayList<>();
         long now = 0;
--- a/src/test/java/larkbank/cell/PlacementTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/PlacementTest.java
@@ -1,4 +1,4 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -7,8 +7,8 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import larkbank.Ids;
-import larkbank.testkit.CellPlans;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.testkit.CellPlans;
 import org.junit.jupiter.api.Test;
 
 /** Where units are at home. */
--- a/src/test/java/larkbank/cli/CommandLineToolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cli/CommandLineToolTest.java
@@ -1,4 +1,4 @@
-package larkbank.cli;
+package org.cypressweir.sidecar.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -167,7 +167,8 @@
                             .setErr(new PrintWriter(err, true))
                             .execute(words.toArray(String[]::new)));
             assertTrue(
-                    said.toString().contains(option.equals("--help") ? "Usage: larkbank" : "larkbank ("),
+                    said.toString()
+                            .contains(option.equals("--help") ? "Usage: cypressweir-sidecar" : "cypressweir-sidecar ("),
                     said.toString());
         }
         assertEquals("", err.toString());
--- a/src/test/java/larkbank/footprint/FootprintTest.java
+++ b/src/test/java/org/cypressweir/sidecar/fleetlimits/FleetLimitsTest.java
@@ -1,4 +1,4 @@
-package larkbank.footprint;
+package org.cypressweir.sidecar.fleetlimits;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What one of many instances may ask, and that all together keep the bounds. */
-class FootprintTest {
+class FleetLimitsTest {
 
     private static final long SECOND = 1_000_000;
 
-    private static FleetPlan plan(int instances, int rank, double rate) {
-        return new FleetPlan(instances, rank, rate, 64, 2);
+    private static FleetLimits plan(int instances, int rank, double rate) {
+        return new FleetLimits(instances, rank, rate, 64, 2);
     }
 
     /** The most calls of all in any stretch of a second. */
@@ -42,7 +42,7 @@
     void allThatStartTogetherAskEvenly(int instances, double rate) {
         List<Long> calls = new ArrayList<>();
         for (int rank = 0; rank < instances; rank++) {
-            AskPacer pacer = new AskPacer(plan(instances, rank, rate));
+            SlottedPollPacer pacer = new SlottedPollPacer(plan(instances, rank, rate));
             long now = 1_700_000_000L * SECOND;
             for (int round = 0; round < 3; round++) {
                 long next = pacer.next(now);
@@ -65,7 +65,7 @@
         double rate = 50;
         List<Long> calls = new ArrayList<>();
         for (int rank = 0; rank < instances; rank++) {
-            AskPacer pacer = new AskPacer(plan(instances, rank, rate));
+            SlottedPollPacer pacer = new SlottedPollPacer(plan(instances, rank, rate));
             long now = 900 * SECOND + random.nextLong(3 * SECOND);
             long last = -1;
             for (int i = 0; i < 12; i++) {
@@ -76,7 +76,7 @@
                 // The call is answered, fails at once, or takes long; sometimes the clock steps back.
                 now = Math.max(0, next + random.nextLong(12 * SECOND) - (random.nextInt(10) == 0 ? 5 * SECOND : 0));
                 if (random.nextInt(4) == 0 && now > last) {
-                    pacer = new AskPacer(plan(instances, rank, rate));
+                    pacer = new SlottedPollPacer(plan(instances, rank, rate));
                 }
             }
         }
@@ -86,11 +86,11 @@
     @Test
     void aRoundIsAsLongAsAllNeed() {
         assertEquals(7_500_000, plan(3_000, 0, 400).askEveryMicros());
-        assertEquals(0, new FleetPlan(5, 0, 0, 1, 0).askEveryMicros());
-        assertThrows(IllegalArgumentException.class, () -> new AskPacer(new FleetPlan(5, 0, 0, 1, 0)));
-        assertThrows(IllegalArgumentException.class, () -> new FleetPlan(5, 5, 0, 1, 0));
-        assertEquals(3_750_000, new AskPacer(plan(3_000, 0, 400)).patienceMicros());
-        assertEquals(1_000_000, new AskPacer(plan(10, 0, 400)).patienceMicros());
+        assertEquals(0, new FleetLimits(5, 0, 0, 1, 0).askEveryMicros());
+        assertThrows(IllegalArgumentException.class, () -> new SlottedPollPacer(new FleetLimits(5, 0, 0, 1, 0)));
+        assertThrows(IllegalArgumentException.class, () -> new FleetLimits(5, 5, 0, 1, 0));
+        assertEquals(3_750_000, new SlottedPollPacer(plan(3_000, 0, 400)).patienceMicros());
+        assertEquals(1_000_000, new SlottedPollPacer(plan(10, 0, 400)).patienceMicros());
     }
 
     /** What does not divide evenly is kept by some, so that all together use the whole and no more. */
@@ -101,14 +101,14 @@
         int least = Integer.MAX_VALUE;
         int most = 0;
         for (int rank = 0; rank < instances; rank++) {
-            int idle = new FleetPlan(instances, rank, 0, perServer, 0).idle(servers);
+            int idle = new FleetLimits(instances, rank, 0, perServer, 0).idle(servers);
             all += idle;
             least = Math.min(least, idle);
             most = Math.max(most, idle);
         }
         assertEquals((long) servers * perServer, all);
         assertTrue(most - least <= 1);
-        assertEquals(Integer.MAX_VALUE, new FleetPlan(3, 0, 0, Integer.MAX_VALUE, 0).idle(servers));
+        assertEquals(Integer.MAX_VALUE, new FleetLimits(3, 0, 0, Integer.MAX_VALUE, 0).idle(servers));
     }
 
     @Test
@@ -130,7 +130,7 @@
         // Two a second at each of 30 servers: 60 a second for 100 seconds, less what has not filled up yet.
         assertTrue(sent <= 6_000 && sent > 5_500, "sent " + sent);
         assertTrue(inFirst <= 60, "all that begin together sent " + inFirst);
-        assertTrue(new ProbeBudget(new FleetPlan(5, 0, 0, 1, 0)).spend(0, 1));
+        assertTrue(new ProbeBudget(new FleetLimits(5, 0, 0, 1, 0)).spend(0, 1));
     }
 
     @Test
@@ -151,7 +151,7 @@
         double rate = 20;
         List<Long> calls = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            PartPacer pacer = new PartPacer(rate, random.nextDouble());
+            SharedPollPacer pacer = new SharedPollPacer(rate, random.nextDouble());
             long due = pacer.next(0, 1.0 / instances);
             // The part shrinks and grows back again and again, for all at once, and each is told anew.
             for (long now = 0; now < 200 * SECOND; now += 10_000) {
@@ -175,11 +175,11 @@
 
     @Test
     void partsOfIdleConnectionsAndProbesAreRoundedDownAndNotSavedUp() {
-        FleetPlan plan = new FleetPlan(5, 0, 0, 15, 2, true);
+        FleetLimits plan = new FleetLimits(5, 0, 0, 15, 2, true);
         assertEquals(19, plan.idle(4, 0.95 / 3));
         assertEquals(57, plan.idle(4, 0.95));
         assertEquals(0, plan.idle(4, 0.01));
-        assertEquals(Integer.MAX_VALUE, new FleetPlan(5, 0, 0, Integer.MAX_VALUE, 0, true).idle(4, 0.01));
+        assertEquals(Integer.MAX_VALUE, new FleetLimits(5, 0, 0, Integer.MAX_VALUE, 0, true).idle(4, 0.01));
         ProbeBudget budget = new ProbeBudget(plan);
         budget.spend(0, 4, 0.001);
         assertFalse(budget.spend(10 * SECOND, 4, 1), "ten seconds at the floor are none at the whole rate");
--- a/src/test/java/larkbank/operators/BadFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import larkbank.testkit.Installations;
+import org.cypressweir.testkit.Installations;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -32,8 +32,8 @@
     @MethodSource("files")
     void eachReasonWithItsLine(Path file) throws IOException {
         Path expected = Path.of(file.toString().replace(".toml", ".expected"));
-        BadFile refused = assertThrows(
-                BadFile.class,
+        InvalidFileException refused = assertThrows(
+                InvalidFileException.class,
                 () -> Operators.load(file.getFileName().toString(), Files.readString(file), Installations.facts()));
         assertEquals(Files.readString(expected).strip(), refused.getMessage());
     }
--- a/src/test/java/larkbank/operators/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -1,17 +1,17 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.Choice;
-import larkbank.LoadBalancer.Settings;
-import larkbank.route.PoolPlan;
-import larkbank.route.Routable;
-import larkbank.route.Target;
-import larkbank.testkit.Installations;
-import larkbank.testkit.ModuleRig;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.sidecar.route.PoolConfiguration;
+import org.cypressweir.sidecar.route.Routable;
+import org.cypressweir.sidecar.route.Target;
+import org.cypressweir.testkit.Installations;
+import org.cypressweir.testkit.LoadBalancerFixture;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -93,15 +93,19 @@
             Operators operators;
             try {
                 operators = Operators.load("random.toml", text, Installations.facts());
-            } catch (BadFile e) {
+            } catch (InvalidFileException e) {
                 continue;
             }
             valid++;
-            PoolPlan pool = operators.plan().pools().get(0);
+            PoolConfiguration pool = operators.plan().pools().get(0);
             Settings base = Installations.settings(seed + i);
             Settings settings = base.with(base.limits().with(pool.requests(), pool.queue(), pool.connections()), false);
-            ModuleRig rig = new ModuleRig(
-                    "seed " + (seed + i) + "\n" + text, settings, seed + i, 2 + random.nextInt(8), Choice::new);
+            LoadBalancerFixture rig = new LoadBalancerFixture(
+                    "seed " + (seed + i) + "\n" + text,
+                    settings,
+                    seed + i,
+                    2 + random.nextInt(8),
+                    SubsetLoadBalancer::new);
             for (int n = 0; n < 400; n++) {
                 String name = CLASSES.get(random.nextInt(CLASSES.size()));
                 Target target = operators
--- a/src/test/java/larkbank/operators/OperatorsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Terms;
-import larkbank.route.BadTarget;
-import larkbank.route.PoolPlan;
-import larkbank.route.Routable;
-import larkbank.testkit.Installations;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.sidecar.route.InvalidTargetException;
+import org.cypressweir.sidecar.route.PoolConfiguration;
+import org.cypressweir.sidecar.route.Routable;
+import org.cypressweir.testkit.Installations;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -24,7 +24,7 @@
 
     private static final String POOL = "version = 1\n[pools.p]\nsource = \"discovery\"\n";
 
-    private static Operators load(String text) throws BadFile {
+    private static Operators load(String text) throws InvalidFileException {
         return Operators.load("f.toml", text, Installations.facts());
     }
 
@@ -60,7 +60,7 @@
         assertEquals(
                 Set.of(Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT),
                 terms(operators, "/b/1").retryOn());
-        PoolPlan pool = operators.plan().pools().get(0);
+        PoolConfiguration pool = operators.plan().pools().get(0);
         assertEquals(444, pool.connections());
         assertEquals(300, pool.requests());
         assertEquals(8443, operators.plan().listeners().get(0).address().getPort());
@@ -87,10 +87,14 @@
                 + route("u", "search", "").replace("\"p\"", "\"r\""));
         assertEquals(
                 List.of(144, 150, 150),
-                operators.plan().pools().stream().map(PoolPlan::connections).toList());
+                operators.plan().pools().stream()
+                        .map(PoolConfiguration::connections)
+                        .toList());
         assertEquals(
                 List.of(100, 100, 100),
-                operators.plan().pools().stream().map(PoolPlan::requests).toList());
+                operators.plan().pools().stream()
+                        .map(PoolConfiguration::requests)
+                        .toList());
     }
 
     @Test
@@ -106,7 +110,7 @@
         assertTrue(one.contains("host 'api.example.org', path '/s/A'"), one);
         assertTrue(one.contains("takes route 's'"), one);
         assertFalse(Explain.request(operators, "GET", "/s/1", Map.of()).contains("takes route"));
-        assertThrows(BadTarget.class, () -> Explain.request(operators, "GET", "/s/%2F", Map.of()));
+        assertThrows(InvalidTargetException.class, () -> Explain.request(operators, "GET", "/s/%2F", Map.of()));
     }
 
     /** The page for operators names each key, and the example is a good file. */
@@ -163,7 +167,8 @@
         Path binary = folder.resolve("b.toml");
         Files.write(binary, new byte[] {(byte) 0xff, (byte) 0xfe});
         for (Path file : List.of(folder.resolve("none.toml"), folder, binary)) {
-            BadFile refused = assertThrows(BadFile.class, () -> Operators.load(file, Installations.facts()));
+            InvalidFileException refused =
+                    assertThrows(InvalidFileException.class, () -> Operators.load(file, Installations.facts()));
             assertEquals(1, refused.problems().size());
             assertTrue(refused.getMessage().startsWith(file + ":1: "), refused.getMessage());
         }
--- a/src/test/java/larkbank/operators/ShapeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/ShapeTest.java
@@ -1,4 +1,4 @@
-package larkbank.operators;
+package org.cypressweir.sidecar.operatorconfig;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
-import larkbank.testkit.Installations;
+import org.cypressweir.testkit.Installations;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -66,7 +66,7 @@
                         assumed
                                 ? AssumedFacts.of(Files.readString(file, StandardCharsets.ISO_8859_1))
                                 : Installations.stationFinder());
-            } catch (BadFile e) {
+            } catch (InvalidFileException e) {
                 e.getMessage().lines().forEach(l -> assertTrue(l.matches(".*f\\.toml:\\d+: .+"), about + ": " + l));
                 assertEquals(e.problems().size(), e.getMessage().lines().count(), about);
                 assertTrue(e.problems().size() <= Problems.MOST + 1, about);
--- a/src/test/java/larkbank/plugin/PatienceTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/InvocationDeadlineTest.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What counts against a plug-in's deadline: its thread's processor time, within a bound by the clock. */
-class PatienceTest {
+class InvocationDeadlineTest {
 
     @ParameterizedTest
     @CsvSource({
@@ -31,7 +31,7 @@
         "100, 900, 0, 100",
     })
     void table(long deadline, long waited, long used, long more) {
-        assertEquals(more, new Patience(deadline).more(waited, used));
+        assertEquals(more, new InvocationDeadline(deadline).more(waited, used));
     }
 
     /** However the processor is given out, a call ends within the bound, and never before its deadline. */
@@ -39,7 +39,7 @@
     void endsWithinItsBounds(RepetitionInfo run) {
         SplittableRandom random = new SplittableRandom(run.getCurrentRepetition());
         long deadline = random.nextLong(100, 1_000_001);
-        Patience patience = new Patience(deadline);
+        InvocationDeadline patience = new InvocationDeadline(deadline);
         long waited = 0;
         long used = 0;
         int looks = 0;
@@ -48,7 +48,8 @@
             used += (long) (more * random.nextDouble());
         }
         assertTrue(waited >= deadline, "after " + waited + " of " + deadline);
-        assertTrue(waited <= deadline + Math.min(Patience.MOST_EXTRA, Patience.EXTRA_SHARE * deadline));
+        assertTrue(waited
+                <= deadline + Math.min(InvocationDeadline.MOST_EXTRA, InvocationDeadline.EXTRA_SHARE * deadline));
         assertTrue(looks <= 10_000, looks + " looks");
     }
 }
--- a/src/test/java/larkbank/plugin/PluginHostTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/PluginHostTest.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,9 +13,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import larkbank.route.PluginGrant;
-import larkbank.route.PluginPlan;
-import larkbank.testkit.Modules;
+import org.cypressweir.sidecar.route.PluginConfiguration;
+import org.cypressweir.sidecar.route.PluginGrant;
+import org.cypressweir.testkit.PluginModules;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -44,11 +44,11 @@
 
     private PluginHost.Call ask(String module, PluginGrant grant, Map<String, String> config) throws Exception {
         if (host == null) {
-            host = new PluginHost(Modules.plan(module, grant, config), Runnable::run);
+            host = new PluginHost(PluginModules.plan(module, grant, config), Runnable::run);
         }
         return host.ask(REQUEST, new PluginHost.Heard() {
             @Override
-            public void done(Wishes wishes) {
+            public void done(RequestedChanges wishes) {
                 heard.add(wishes);
             }
 
@@ -65,9 +65,9 @@
         return next;
     }
 
-    private Wishes wishes(String module, PluginGrant grant) throws Exception {
+    private RequestedChanges wishes(String module, PluginGrant grant) throws Exception {
         ask(module, grant, Map.of());
-        return (Wishes) heard();
+        return (RequestedChanges) heard();
     }
 
     // ---- What it is for
@@ -80,7 +80,7 @@
     @Test
     void readsItsConfiguration() throws Exception {
         ask("mark-pay", ALL, Map.of("prefix", "/other/"));
-        assertEquals(Wishes.NONE, heard());
+        assertEquals(RequestedChanges.NONE, heard());
     }
 
     @Test
@@ -92,7 +92,7 @@
 
     @Test
     void refusesWithAReason() throws Exception {
-        Wishes w = wishes("refuse", ALL);
+        RequestedChanges w = wishes("refuse", ALL);
         assertEquals("not today", w.refusal());
         assertEquals(1_500, w.retryAfterMillis());
     }
@@ -101,7 +101,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"mark-pay", "log-header", "refuse", "weaken"})
     void whatIsNotGrantedIsNoWish(String module) throws Exception {
-        assertEquals(Wishes.NONE, wishes(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false)));
+        assertEquals(RequestedChanges.NONE, wishes(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false)));
     }
 
     /** The two that are compiled from AssemblyScript do the same, and give back what each request took. */
@@ -125,7 +125,7 @@
         List<String> counts = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             ask("keeper", ALL, Map.of());
-            counts.add(heard() instanceof Wishes w ? w.headers().get("x-log") : "trap");
+            counts.add(heard() instanceof RequestedChanges w ? w.headers().get("x-log") : "trap");
         }
         assertEquals(List.of("1", "2", "3", "4", "5", "6", "trap", "7", "8", "9", "1", "2"), counts);
     }
@@ -133,7 +133,7 @@
     @Test
     void theStoreIsBounded() throws Exception {
         for (int i = 0; i < 3; i++) {
-            assertEquals(Wishes.NONE, wishes("hoarder", ALL));
+            assertEquals(RequestedChanges.NONE, wishes("hoarder", ALL));
         }
     }
 
@@ -148,7 +148,7 @@
                 Set.of("pay"),
                 Set.of(),
                 true);
-        assertEquals(Wishes.NONE, wishes(module, all));
+        assertEquals(RequestedChanges.NONE, wishes(module, all));
     }
 
     /** Stopped at its bounds or by its caller; the next call meets a fresh instance. */
@@ -208,7 +208,7 @@
             ask("log-header", ALL, Map.of());
             for (; due >= 0; due--) {
                 Object result = heard();
-                assertTrue(result instanceof Wishes, "seed " + seed + ": hit by another's end: " + result);
+                assertTrue(result instanceof RequestedChanges, "seed " + seed + ": hit by another's end: " + result);
             }
         }
         assertNull(heard.poll(50, TimeUnit.MILLISECONDS));
@@ -237,8 +237,9 @@
                 "start-loop | its start took more than",
             })
     void whatIsNoPluginIsSaid(String module, String why) throws Exception {
-        BadPlugin e =
-                assertThrows(BadPlugin.class, () -> new PluginHost(Modules.plan(module, ALL, Map.of()), Runnable::run));
+        InvalidPluginException e = assertThrows(
+                InvalidPluginException.class,
+                () -> new PluginHost(PluginModules.plan(module, ALL, Map.of()), Runnable::run));
         assertTrue(e.getMessage().contains(why), e.getMessage());
     }
 
@@ -249,19 +250,19 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void changedBytesDoNoHarm(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
-        byte[] good = Modules.bytes("mark-pay");
+        byte[] good = PluginModules.bytes("mark-pay");
         int refused = 0;
         for (int i = 0; i < 60; i++) {
             byte[] bad = good.clone();
             for (int n = 1 + random.nextInt(3); n > 0; n--) {
                 bad[8 + random.nextInt(bad.length - 8)] = (byte) random.nextInt(256);
             }
-            PluginPlan plan = new PluginPlan("m", 1, bad, 5_000, 32, false, ALL, Map.of());
+            PluginConfiguration plan = new PluginConfiguration("m", 1, bad, 5_000, 32, false, ALL, Map.of());
             try (PluginHost mutant = new PluginHost(plan, Runnable::run)) {
                 BlockingQueue<Object> result = new LinkedBlockingQueue<>();
                 PluginHost.Call call = mutant.ask(REQUEST, new PluginHost.Heard() {
                     @Override
-                    public void done(Wishes wishes) {
+                    public void done(RequestedChanges wishes) {
                         result.add(wishes);
                     }
 
@@ -273,10 +274,10 @@
                 Object first = result.poll(100, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     assertTrue(call.withdraw() || result.poll(5, TimeUnit.SECONDS) != null, "seed " + seed);
-                } else if (first instanceof Wishes w) {
+                } else if (first instanceof RequestedChanges w) {
                     assertTrue(w.requestClass() == null || ALL.classes().contains(w.requestClass()));
                 }
-            } catch (BadPlugin e) {
+            } catch (InvalidPluginException e) {
                 refused++;
                 assertEquals(1, e.getMessage().lines().count(), "seed " + seed);
             }
@@ -288,22 +289,22 @@
 
     @Test
     void failuresInARowLeaveItOutForLongerAndLonger() {
-        Conduct conduct = new Conduct();
+        PluginHealth conduct = new PluginHealth();
         long now = 1_000_000;
-        for (int i = 1; i < Conduct.FAILURES; i++) {
+        for (int i = 1; i < PluginHealth.FAILURES; i++) {
             assertTrue(!conduct.failed(now));
         }
         assertTrue(conduct.failed(now));
-        assertTrue(!conduct.mayCall(now + Conduct.FIRST - 1));
-        assertTrue(conduct.mayCall(now + Conduct.FIRST));
-        now += Conduct.FIRST;
+        assertTrue(!conduct.mayCall(now + PluginHealth.FIRST - 1));
+        assertTrue(conduct.mayCall(now + PluginHealth.FIRST));
+        now += PluginHealth.FIRST;
         assertTrue(conduct.failed(now), "one failure at once after it is enough");
-        assertEquals(now + 2 * Conduct.FIRST, conduct.outUntil());
+        assertEquals(now + 2 * PluginHealth.FIRST, conduct.outUntil());
         for (int i = 0; i < 20; i++) {
             now = conduct.outUntil();
             conduct.failed(now);
         }
-        assertEquals(Conduct.FIRST << Conduct.DOUBLINGS, conduct.outUntil() - now);
+        assertEquals(PluginHealth.FIRST << PluginHealth.DOUBLINGS, conduct.outUntil() - now);
         conduct.well();
         assertTrue(!conduct.failed(now));
     }
--- a/src/test/java/larkbank/route/RequestTargetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/route/RequestTargetTest.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -38,7 +38,7 @@
         "HTTP://h?x=1, /?x=1",
         "/%25%32%46, /%252F"
     })
-    void normalForm(String text, String normal) throws BadTarget {
+    void normalForm(String text, String normal) throws InvalidTargetException {
         assertEquals(normal, RequestTarget.parse(text).text());
     }
 
@@ -69,7 +69,7 @@
                 "http://a b/c"
             })
     void noNormalForm(String text) {
-        assertThrows(BadTarget.class, () -> RequestTarget.parse(text));
+        assertThrows(InvalidTargetException.class, () -> RequestTarget.parse(text));
     }
 
     @ParameterizedTest
@@ -81,17 +81,17 @@
         "127.0.0.1, 127.0.0.1",
         "a:, a"
     })
-    void oneHost(String field, String normal) throws BadTarget {
+    void oneHost(String field, String normal) throws InvalidTargetException {
         assertEquals(normal, HostName.of(List.of(field), true));
     }
 
     @Test
-    void hostMissingOrDoubled() throws BadTarget {
-        assertThrows(BadTarget.class, () -> HostName.of(List.of(), true));
-        assertThrows(BadTarget.class, () -> HostName.of(List.of("a", "a"), false));
+    void hostMissingOrDoubled() throws InvalidTargetException {
+        assertThrows(InvalidTargetException.class, () -> HostName.of(List.of(), true));
+        assertThrows(InvalidTargetException.class, () -> HostName.of(List.of("a", "a"), false));
         assertEquals("", HostName.of(List.of(), false));
         for (String bad : List.of("a/b", "a b", ".a", "a..b", "[::1", "a:b:c", "a@b", "a:999999")) {
-            assertThrows(BadTarget.class, () -> HostName.of(List.of(bad), true), bad);
+            assertThrows(InvalidTargetException.class, () -> HostName.of(List.of(bad), true), bad);
         }
     }
 
@@ -110,7 +110,7 @@
             try {
                 normal = RequestTarget.parse(text.toString()).path();
                 assertEquals(normal, RequestTarget.parse(normal).path(), "seed " + seed + ": " + text);
-            } catch (BadTarget e) {
+            } catch (InvalidTargetException e) {
                 continue;
             }
             assertEquals(
--- a/src/test/java/larkbank/route/RouterTest.java
+++ b/src/test/java/org/cypressweir/sidecar/route/RouterTest.java
@@ -1,4 +1,4 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import larkbank.route.HeaderTest.Kind;
+import org.cypressweir.sidecar.route.HeaderTest.Kind;
 import org.junit.jupiter.api.Test;
 
 /** The compiled router against the documented order, which a scan of all routes follows word by word. */
--- a/src/test/java/larkbank/simhost/SimHostTest.java
+++ b/src/test/java/org/cypressweir/sidecar/simhost/SimHostTest.java
@@ -1,4 +1,4 @@
-package larkbank.simhost;
+package org.cypressweir.sidecar.simhost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/larkbank/websocket/FrameReaderTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/FrameReaderTest.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.testkit.Ws;
+import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -59,7 +59,8 @@
 
     private static int violation(boolean masked, byte[] frames) {
         Collected out = new Collected();
-        return assertThrows(Violation.class, () -> reader(masked, false, out).read(Unpooled.wrappedBuffer(frames)))
+        return assertThrows(ProtocolViolationException.class, () -> reader(masked, false, out)
+                        .read(Unpooled.wrappedBuffer(frames)))
                 .code();
     }
 
@@ -78,7 +79,7 @@
         "false, 880203e8, '8:\u0003\u00e8'",
         "false, 01014189018b80 0142, ''",
     })
-    void examples(boolean masked, String hex, String expected) throws Violation {
+    void examples(boolean masked, String hex, String expected) throws ProtocolViolationException {
         Collected out = new Collected();
         if (expected.isEmpty()) {
             // A control frame within a fragmented message is handed on at once.
@@ -142,10 +143,10 @@
 
     /** What an offender goes on to send is thrown away, and nothing else happens. */
     @Test
-    void nothingCountsAfterAViolation() throws Violation {
+    void nothingCountsAfterAViolation() throws ProtocolViolationException {
         Collected out = new Collected();
         FrameReader reader = reader(false, false, out);
-        assertThrows(Violation.class, () -> reader.read(Unpooled.wrappedBuffer(bytes("8300"))));
+        assertThrows(ProtocolViolationException.class, () -> reader.read(Unpooled.wrappedBuffer(bytes("8300"))));
         for (int i = 0; i < 100; i++) {
             reader.read(Unpooled.wrappedBuffer(bytes("810548656c6c6f")));
         }
@@ -171,7 +172,7 @@
                 "88021387",
                 "880703e968656c6c6f"
             })
-    void goodCloses(String hex) throws Violation {
+    void goodCloses(String hex) throws ProtocolViolationException {
         Collected out = new Collected();
         FrameReader reader = reader(false, false, out);
         reader.read(Unpooled.wrappedBuffer(bytes(hex)));
@@ -203,11 +204,11 @@
             })
     void notUtf8(String hex) {
         byte[] text = bytes(hex);
-        assertEquals(Frames.INVALID_PAYLOAD, violation(false, Ws.frame(false, 0x81, text)), hex);
+        assertEquals(Frames.INVALID_PAYLOAD, violation(false, WebSocketClient.frame(false, 0x81, text)), hex);
         ByteArrayOutputStream pieces = new ByteArrayOutputStream();
         for (int i = 0; i < text.length; i++) {
-            pieces.writeBytes(
-                    Ws.frame(true, (i == text.length - 1 ? 0x80 : 0) | (i == 0 ? 1 : 0), new byte[] {text[i]}));
+            pieces.writeBytes(WebSocketClient.frame(
+                    true, (i == text.length - 1 ? 0x80 : 0) | (i == 0 ? 1 : 0), new byte[] {text[i]}));
         }
         assertEquals(Frames.INVALID_PAYLOAD, violation(true, pieces.toByteArray()), hex);
     }
@@ -229,9 +230,9 @@
                 "00",
                 "7f"
             })
-    void utf8(String hex) throws Violation {
+    void utf8(String hex) throws ProtocolViolationException {
         Collected out = new Collected();
-        reader(false, false, out).read(Unpooled.wrappedBuffer(Ws.frame(false, 0x81, bytes(hex))));
+        reader(false, false, out).read(Unpooled.wrappedBuffer(WebSocketClient.frame(false, 0x81, bytes(hex))));
         assertEquals(1, out.all.size());
     }
 
@@ -242,14 +243,14 @@
 
     /** With permessage-deflate the first bit says so on a first frame, and text is not text yet. */
     @Test
-    void compressedMessagesPass() throws Violation {
+    void compressedMessagesPass() throws ProtocolViolationException {
         Collected out = new Collected();
         FrameReader reader = reader(false, true, out);
         reader.read(Unpooled.wrappedBuffer(bytes("c10141 4101ff 8001c3 8101 42".replace(" ", ""))));
         assertEquals(List.of("text*:A", "text*:\u00ff\u00c3", "text:B"), out.all);
         assertEquals(
                 Frames.PROTOCOL_ERROR,
-                assertThrows(Violation.class, () -> reader(false, true, out)
+                assertThrows(ProtocolViolationException.class, () -> reader(false, true, out)
                                 .read(Unpooled.wrappedBuffer(bytes("4101ffc00142"))))
                         .code());
     }
@@ -260,21 +261,23 @@
         FrameReader small = new FrameReader(false, false, 10, 15, out);
         assertEquals(
                 Frames.TOO_LARGE,
-                assertThrows(Violation.class, () -> small.read(Unpooled.wrappedBuffer(bytes("820b"))))
+                assertThrows(ProtocolViolationException.class, () -> small.read(Unpooled.wrappedBuffer(bytes("820b"))))
                         .code());
         FrameReader message = new FrameReader(false, false, 10, 15, out);
         ByteArrayOutputStream two = new ByteArrayOutputStream();
-        two.writeBytes(Ws.frame(false, 0x02, new byte[8]));
-        two.writeBytes(Ws.frame(false, 0x80, new byte[8]));
+        two.writeBytes(WebSocketClient.frame(false, 0x02, new byte[8]));
+        two.writeBytes(WebSocketClient.frame(false, 0x80, new byte[8]));
         assertEquals(
                 Frames.TOO_LARGE,
-                assertThrows(Violation.class, () -> message.read(Unpooled.wrappedBuffer(two.toByteArray())))
+                assertThrows(
+                                ProtocolViolationException.class,
+                                () -> message.read(Unpooled.wrappedBuffer(two.toByteArray())))
                         .code());
     }
 
     /** Random frames, cut at random: what comes out is what went in, whatever the pieces. */
     @Test
-    void anyCutOfAnyFramesIsTheSame() throws Violation {
+    void anyCutOfAnyFramesIsTheSame() throws ProtocolViolationException {
         long seed = 6455;
         SplittableRandom random = new SplittableRandom(seed);
         for (int round = 0; round < 3_000; round++) {
@@ -287,13 +290,14 @@
                 for (int p = 0; p < pieces; p++) {
                     if (p > 0 && random.nextInt(3) == 0) {
                         byte[] ping = new byte[random.nextInt(126)];
-                        sent.writeBytes(Ws.frame(masked, 0x89, ping));
+                        sent.writeBytes(WebSocketClient.frame(masked, 0x89, ping));
                         expected.add("9:" + new String(ping, StandardCharsets.ISO_8859_1));
                     }
                     byte[] part = new byte[random.nextInt(random.nextInt(8) == 0 ? 70_000 : 300)];
                     random.nextBytes(part);
                     whole.writeBytes(part);
-                    sent.writeBytes(Ws.frame(masked, (p == pieces - 1 ? 0x80 : 0) | (p == 0 ? 2 : 0), part));
+                    sent.writeBytes(
+                            WebSocketClient.frame(masked, (p == pieces - 1 ? 0x80 : 0) | (p == 0 ? 2 : 0), part));
                 }
                 expected.add("binary:" + whole.toString(StandardCharsets.ISO_8859_1));
             }
@@ -319,13 +323,13 @@
             byte[] nonsense = new byte[1 + random.nextInt(60)];
             random.nextBytes(nonsense);
             if (random.nextInt(3) > 0) {
-                byte[] good = Ws.frame(true, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
+                byte[] good = WebSocketClient.frame(true, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
                 System.arraycopy(good, 0, nonsense, 0, Math.min(good.length, nonsense.length));
                 nonsense[random.nextInt(nonsense.length)] ^= (byte) (1 << random.nextInt(8));
             }
             try {
                 reader(true, random.nextBoolean(), new Collected()).read(Unpooled.wrappedBuffer(nonsense));
-            } catch (Violation e) {
+            } catch (ProtocolViolationException e) {
                 violations++;
                 assertTrue(Frames.isCode(e.code()), "seed " + seed);
             }
@@ -336,7 +340,7 @@
     /** What is written is what the reader reads, masked or not, whatever its length. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 125, 126, 127, 65_535, 65_536, 100_000})
-    void writtenFramesAreRead(int length) throws Violation {
+    void writtenFramesAreRead(int length) throws ProtocolViolationException {
         byte[] payload = new byte[length];
         new SplittableRandom(length).nextBytes(payload);
         for (boolean masked : new boolean[] {true, false}) {
@@ -348,7 +352,7 @@
                     masked ? new byte[] {1, 2, 3, 4} : null);
             byte[] plain = ByteBufUtil.getBytes(frame);
             if (!masked) {
-                assertArrayEquals(Ws.frame(false, 0x82, payload), plain);
+                assertArrayEquals(WebSocketClient.frame(false, 0x82, payload), plain);
             }
             Collected out = new Collected();
             reader(masked, false, out).read(frame);
--- a/src/test/java/larkbank/websocket/CensusTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/OpenTunnelLimitsTest.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.websocket.Census.Bound;
+import org.cypressweir.sidecar.websocket.OpenTunnelLimits.Bound;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bounds on open connections, and who makes room. */
-class CensusTest {
+class OpenTunnelLimitsTest {
 
     private record One(int number, long dataAt, boolean inMessage) implements DrainOrder.Leaver {}
 
@@ -24,11 +24,11 @@
 
     @Test
     void theLongestQuietMakesRoom() {
-        Census<One> census = new Census<>();
+        OpenTunnelLimits<One> census = new OpenTunnelLimits<>();
         census.enter(TWO, 100, 10).place().holds(new One(1, 50, true));
         census.enter(TWO, 100, 10).place().holds(new One(2, 80, false));
         // The first is within a message, however long.
-        Census.Entry<One> entry = census.enter(TWO, 100, 10);
+        OpenTunnelLimits.Entry<One> entry = census.enter(TWO, 100, 10);
         assertEquals(List.of(new One(2, 80, false)), entry.evicted());
         assertNotNull(entry.place());
         assertEquals(2, census.count("route"));
@@ -41,7 +41,7 @@
 
     @Test
     void whoHasJustSpokenStays() {
-        Census<One> census = new Census<>();
+        OpenTunnelLimits<One> census = new OpenTunnelLimits<>();
         census.enter(TWO, 100, 10).place().holds(new One(1, 95, false));
         census.enter(TWO, 100, 10).place().holds(new One(2, 96, false));
         assertNull(census.enter(TWO, 100, 10).place());
@@ -54,9 +54,9 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void randomWalkAgainstAList(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Census<One> census = new Census<>();
-        Map<Census<One>.Place, List<Bound>> in = new HashMap<>();
-        Map<One, Census<One>.Place> open = new HashMap<>();
+        OpenTunnelLimits<One> census = new OpenTunnelLimits<>();
+        Map<OpenTunnelLimits<One>.Place, List<Bound>> in = new HashMap<>();
+        Map<One, OpenTunnelLimits<One>.Place> open = new HashMap<>();
         int evictions = 0;
         for (int i = 0; i < 5_000; i++) {
             List<Bound> bounds = List.of(
@@ -64,7 +64,7 @@
                     new Bound("r" + random.nextInt(3), 20),
                     new Bound("t" + random.nextInt(8), 9));
             if (random.nextInt(3) > 0) {
-                Census.Entry<One> entry = census.enter(bounds, i, random.nextInt(2) * 200);
+                OpenTunnelLimits.Entry<One> entry = census.enter(bounds, i, random.nextInt(2) * 200);
                 for (One gone : entry.evicted()) {
                     assertTrue(!gone.inMessage() && i - gone.dataAt() >= 200, "seed " + seed);
                     in.remove(open.remove(gone));
@@ -79,7 +79,7 @@
                     }
                 }
             } else if (!in.isEmpty()) {
-                Census<One>.Place leaving = new ArrayList<>(in.keySet()).get(random.nextInt(in.size()));
+                OpenTunnelLimits<One>.Place leaving = new ArrayList<>(in.keySet()).get(random.nextInt(in.size()));
                 leaving.leave();
                 in.remove(leaving);
                 open.values().remove(leaving);
--- a/src/test/java/larkbank/websocket/IntakeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/TunnelAdmissionTest.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import larkbank.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What servers can take of new connections, in made-up time. */
-class IntakeTest {
+class TunnelAdmissionTest {
 
     private static final int ANY = Integer.MAX_VALUE;
     private static final long SECOND = 1_000_000;
@@ -27,7 +27,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aWaveComesBackAsAStream(long seed) {
-        Intake<String> intake = new Intake<>(new Intake.Rule(100, cold(0.4, SECOND), ANY));
+        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(0.4, SECOND), ANY));
         SplittableRandom random = new SplittableRandom(seed);
         PriorityQueue<Long> coming = new PriorityQueue<>();
         for (int i = 0; i < 5_000; i++) {
@@ -41,7 +41,7 @@
             if (retry < 0) {
                 taken.add(now);
             } else {
-                assertTrue(retry > 0 && retry <= Intake.LONGEST_MICROS, "told " + retry);
+                assertTrue(retry > 0 && retry <= TunnelAdmission.LONGEST_MICROS, "told " + retry);
                 coming.add(now + retry);
                 returns.add(now + retry);
             }
@@ -65,7 +65,7 @@
     /** A cold server is full once it has its cold share, however many ask, and takes more as it warms up. */
     @Test
     void aColdServerKeepsToItsShare() {
-        Intake<String> intake = new Intake<>(new Intake.Rule(200, cold(0.4, SECOND), ANY));
+        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(200, cold(0.4, SECOND), ANY));
         long start = 5 * SECOND;
         int before = 0;
         int after = 0;
@@ -86,7 +86,7 @@
 
     @Test
     void whoIsFullIsToldOnceWhenThatIsOver() {
-        Intake<String> intake = new Intake<>(new Intake.Rule(100, cold(1, 0), 2));
+        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), 2));
         intake.opened(SECOND, "a", 0);
         assertFalse(intake.isFull(SECOND, "a"));
         intake.opened(SECOND, "a", 0);
@@ -101,11 +101,11 @@
 
     @Test
     void withoutServersNobodyIsTaken() {
-        Intake<String> intake = new Intake<>(new Intake.Rule(100, cold(1, 0), ANY));
+        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), ANY));
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 100; i++) {
             long retry = intake.ask(SECOND, 0, random);
-            assertTrue(retry > 0 && retry <= Intake.LONGEST_MICROS, "told " + retry);
+            assertTrue(retry > 0 && retry <= TunnelAdmission.LONGEST_MICROS, "told " + retry);
         }
     }
 }
--- a/src/test/java/larkbank/websocket/MoveTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/TunnelMigrationTest.java
@@ -1,28 +1,28 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.websocket.Move.Event;
-import larkbank.websocket.Move.State;
+import org.cypressweir.sidecar.websocket.TunnelMigration.Event;
+import org.cypressweir.sidecar.websocket.TunnelMigration.State;
 import org.junit.jupiter.api.Test;
 
 /** A move has one way out of each state for each event. */
-class MoveTest {
+class TunnelMigrationTest {
 
     @Test
     void inOrder() {
-        State s = Move.next(State.NONE, Event.ASK);
+        State s = TunnelMigration.next(State.NONE, Event.ASK);
         assertEquals(State.ASKING, s);
-        assertEquals(State.NONE, Move.next(s, Event.REFUSED));
-        assertEquals(State.SWITCHING, Move.next(s, Event.AGREED_BETWEEN));
-        s = Move.next(s, Event.AGREED_WITHIN);
+        assertEquals(State.NONE, TunnelMigration.next(s, Event.REFUSED));
+        assertEquals(State.SWITCHING, TunnelMigration.next(s, Event.AGREED_BETWEEN));
+        s = TunnelMigration.next(s, Event.AGREED_WITHIN);
         assertEquals(State.WAITING, s);
-        s = Move.next(s, Event.MESSAGE_ENDS);
+        s = TunnelMigration.next(s, Event.MESSAGE_ENDS);
         assertEquals(State.SWITCHING, s);
-        assertEquals(State.NONE, Move.next(s, Event.OLD_CLOSED));
+        assertEquals(State.NONE, TunnelMigration.next(s, Event.OLD_CLOSED));
     }
 
     /** The old server is told to close only once another agreed, and nothing is held back before. */
@@ -36,7 +36,7 @@
             for (int i = 0; i < 60; i++) {
                 Event event = Event.values()[random.nextInt(Event.values().length)];
                 walk.add(event);
-                State next = Move.next(state, event);
+                State next = TunnelMigration.next(state, event);
                 boolean agrees = event == Event.AGREED_BETWEEN || event == Event.AGREED_WITHIN;
                 agreed = next != State.NONE && next != State.ASKING && (agreed || state == State.ASKING && agrees);
                 assertEquals(next == State.WAITING || next == State.SWITCHING, agreed, "seed " + seed + ": " + walk);
--- a/src/test/java/larkbank/websocket/UpgradeAccountTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/UpgradeAccountTest.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,9 +6,9 @@
 import java.util.EnumSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import larkbank.websocket.UpgradeAccount.Counters;
-import larkbank.websocket.UpgradeAccount.Event;
-import larkbank.websocket.UpgradeAccount.State;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Counters;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.Event;
+import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
 import org.junit.jupiter.api.Test;
 
 /** Each state has one way out for each event, and everything adds up whatever happens in whatever order. */
--- a/src/test/java/larkbank/websocket/WeightFitTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/WeightFitTest.java
@@ -1,4 +1,4 @@
-package larkbank.websocket;
+package org.cypressweir.sidecar.websocket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/larkbank/lab/LeaseChecks.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseChecks.java
@@ -1,12 +1,12 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import larkbank.lease.LeasePlan;
-import larkbank.lease.Word;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.lease.LeaseOptions;
 
 /** Promises of leases, each played in worlds with faults drawn from a seed. */
 public final class LeaseChecks {
@@ -80,8 +80,8 @@
             case 3 -> w.net.cut((from, to) -> from <= one == to <= one);
             case 4 -> w.net.cut((from, to) -> from != one || to == other);
             case 5 -> w.net.cut((from, to) -> to != one || from == other);
-            case 6 -> w.net.weather(Datagrams.Weather.losing(0.3));
-            case 7 -> w.net.weather(new Datagrams.Weather(0.1, 0.3, 0.5, 2 * TERM, 200, 50_000));
+            case 6 -> w.net.weather(SimulatedNetwork.Weather.losing(0.3));
+            case 7 -> w.net.weather(new SimulatedNetwork.Weather(0.1, 0.3, 0.5, 2 * TERM, 200, 50_000));
             case 8 -> w.start(mostKeepersLive ? 0 : random.nextInt(keepers));
             case 9 -> {
                 for (int k = 0; k < (mostKeepersLive ? 1 : keepers); k++) {
@@ -96,7 +96,7 @@
             }
             default -> {
                 w.net.cut((from, to) -> true);
-                w.net.weather(Datagrams.Weather.FAIR);
+                w.net.weather(SimulatedNetwork.Weather.FAIR);
                 for (int i = 0; i < processes; i++) {
                     if (w.all[i].stands) {
                         w.go(i);
@@ -120,7 +120,7 @@
             w.run(LeaseWorld.BEAT);
             for (LeaseWorld.One one : w.all) {
                 one.leases.stay();
-                one.leases.receive(one.clock(), Fellows.address(0), hint());
+                one.leases.receive(one.clock(), MembershipSimulation.address(0), hint());
             }
             long begun = w.net.now();
             while (!w.allHeld()) {
@@ -163,7 +163,7 @@
         w.changes.clear();
         w.run(20 * TERM);
         hold(w.changes.isEmpty(), "moved without a reason: " + w.changes, seed);
-        w.net.weather(Datagrams.Weather.losing(0.2));
+        w.net.weather(SimulatedNetwork.Weather.losing(0.2));
         w.run(20 * TERM);
         hold(w.changes.size() <= 24, "moved at loss: " + w.changes, seed);
     }
@@ -175,11 +175,11 @@
         w.run(STARTED + TERM);
         int holder = w.holder("task0");
         hold(holder >= 0, "somebody holds it", seed);
-        w.net.weather(new Datagrams.Weather(0, 0, 0, 0, TERM / 6, TERM / 5));
+        w.net.weather(new SimulatedNetwork.Weather(0, 0, 0, 0, TERM / 6, TERM / 5));
         w.run(3 * TERM / 2);
         hold(w.holder("task0") == holder, "slow answers are enough to go on holding", seed);
         w.net.cut((from, to) -> from != holder && to != holder);
-        w.net.weather(Datagrams.Weather.FAIR);
+        w.net.weather(SimulatedNetwork.Weather.FAIR);
         w.run(3 * TERM);
         hold(w.holder("task0") >= 0 && w.holder("task0") != holder, "another has it", seed);
         hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
@@ -219,13 +219,15 @@
         LeaseWorld w = new LeaseWorld(seed, 7, 3, 2, LeaseWorld.DRIFT, false);
         w.members();
         w.run(STARTED + TERM);
-        LeasePlan old = w.plan;
-        List<InetSocketAddress> next = List.of(Fellows.address(0), Fellows.address(3), Fellows.address(4));
-        LeasePlan both =
-                new LeasePlan(next, old.keepers(), old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
-        LeasePlan alone = new LeasePlan(next, null, old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
+        LeaseOptions old = w.plan;
+        List<InetSocketAddress> next = List.of(
+                MembershipSimulation.address(0), MembershipSimulation.address(3), MembershipSimulation.address(4));
+        LeaseOptions both =
+                new LeaseOptions(next, old.keepers(), old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
+        LeaseOptions alone =
+                new LeaseOptions(next, null, old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
         hold(w.all[5].leases.retune(w.all[5].clock(), alone) != null, "majorities that need not meet", seed);
-        for (LeasePlan plan : List.of(both, alone)) {
+        for (LeaseOptions plan : List.of(both, alone)) {
             for (int i : random.ints(0, 7).distinct().limit(7).toArray()) {
                 int split = random.nextInt(7);
                 w.net.cut((from, to) -> from < split == to < split);
@@ -245,8 +247,8 @@
         return holders;
     }
 
-    private static Word hint() {
-        return new Word(Word.Kind.HINT, "task0", "", 0, 0, 0, 0, Map.of());
+    private static LeaseMessage hint() {
+        return new LeaseMessage(LeaseMessage.Kind.HINT, "task0", "", 0, 0, 0, 0, Map.of());
     }
 
     /** A holder is killed; another has it within a term and a second. */
--- a/src/test/java/larkbank/lab/LeaseTest.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseTest.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import java.util.stream.LongStream;
-import larkbank.testkit.Acts;
+import org.cypressweir.testkit.LeaseHistory;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -49,20 +49,20 @@
 
     @Test
     void wrongHistoriesAreFound() {
-        Acts overlap = new Acts();
+        LeaseHistory overlap = new LeaseHistory();
         overlap.act("l", "a", 10, 1);
         overlap.act("l", "b", 10, 2);
         assertEquals(1, overlap.wrong().size());
-        Acts falling = new Acts();
+        LeaseHistory falling = new LeaseHistory();
         falling.act("l", "a", 10, 5);
         falling.act("l", "b", 11, 5);
         assertEquals(1, falling.wrong().size());
-        Acts back = new Acts();
+        LeaseHistory back = new LeaseHistory();
         back.act("l", "a", 10, 5);
         back.act("l", "b", 11, 6);
         back.act("l", "a", 12, 5);
         assertEquals(2, back.wrong().size());
-        Acts right = new Acts();
+        LeaseHistory right = new LeaseHistory();
         right.act("l", "a", 10, 5);
         right.act("m", "b", 10, 5);
         right.act("l", "a", 11, 5);
--- a/src/test/java/larkbank/lab/LeaseWorld.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseWorld.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import larkbank.lease.LeasePlan;
-import larkbank.lease.Leases;
-import larkbank.lease.Word;
-import larkbank.testkit.Acts;
+import org.cypressweir.fleet.lease.LeaseMessage;
+import org.cypressweir.fleet.lease.LeaseOptions;
+import org.cypressweir.fleet.lease.Leases;
+import org.cypressweir.testkit.LeaseHistory;
 
 /** Processes with leases in made-up time, each with a clock of its own origin and rate. */
 final class LeaseWorld {
@@ -21,13 +21,13 @@
     static final double DRIFT = 0.05;
     static final long BEAT = 20_000;
 
-    record Said(InetSocketAddress from, Word word) {}
+    record Said(InetSocketAddress from, LeaseMessage word) {}
 
-    final Datagrams<Said> net;
+    final SimulatedNetwork<Said> net;
     final SplittableRandom random;
-    final LeasePlan plan;
+    final LeaseOptions plan;
     final One[] all;
-    final Acts acts = new Acts();
+    final LeaseHistory acts = new LeaseHistory();
     /** By process: when it began to hold, by lease; for what it moves. */
     final List<String> changes = new ArrayList<>();
     /** How often all processes act that may. */
@@ -46,15 +46,17 @@
      */
     LeaseWorld(long seed, int processes, int keepers, int leases, double realDrift, boolean anyWallClock) {
         this.anyWallClock = anyWallClock;
-        net = new Datagrams<>(seed);
+        net = new SimulatedNetwork<>(seed);
         random = new SplittableRandom(~seed);
         this.realDrift = realDrift;
         Map<String, Long> terms = new TreeMap<>();
         for (int i = 0; i < leases; i++) {
             terms.put("task" + i, TERM);
         }
-        plan = new LeasePlan(
-                IntStream.range(0, keepers).mapToObj(Fellows::address).toList(),
+        plan = new LeaseOptions(
+                IntStream.range(0, keepers)
+                        .mapToObj(MembershipSimulation::address)
+                        .toList(),
                 null,
                 TERM,
                 DRIFT,
@@ -76,7 +78,7 @@
         net.start(i, BEAT, all[i]);
     }
 
-    final class One implements Datagrams.Process<Said>, Leases.Actions {
+    final class One implements SimulatedNetwork.Process<Said>, Leases.Actions {
         final int place;
         final double rate;
         final long origin;
@@ -90,7 +92,14 @@
             this.origin = origin;
             life = Long.toHexString(random.nextLong());
             leases = new Leases(
-                    clock(), plan, Fellows.address(place), "n" + place, life, unixMillis, random.nextLong(), this);
+                    clock(),
+                    plan,
+                    MembershipSimulation.address(place),
+                    "n" + place,
+                    life,
+                    unixMillis,
+                    random.nextLong(),
+                    this);
         }
 
         long clock() {
@@ -98,8 +107,11 @@
         }
 
         @Override
-        public void send(InetSocketAddress to, Word word) {
-            net.send(place, to.getPort() - Fellows.address(0).getPort(), new Said(Fellows.address(place), word));
+        public void send(InetSocketAddress to, LeaseMessage word) {
+            net.send(
+                    place,
+                    to.getPort() - MembershipSimulation.address(0).getPort(),
+                    new Said(MembershipSimulation.address(place), word));
         }
 
         @Override
@@ -139,7 +151,7 @@
         Map<String, InetSocketAddress> living = new LinkedHashMap<>();
         for (One one : all) {
             if (net.runs(one.place) && !one.stands) {
-                living.put("n" + one.place, Fellows.address(one.place));
+                living.put("n" + one.place, MembershipSimulation.address(one.place));
             }
         }
         for (One one : all) {
--- a/src/test/java/larkbank/lab/LendingTest.java
+++ b/src/test/java/org/cypressweir/simulation/LendingTest.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.membership.Lending;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
+import org.cypressweir.fleet.membership.Lending;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
 import org.junit.jupiter.api.Test;
 
 /** Lists that members lend to one that has just started, in made-up time. */
@@ -18,17 +18,18 @@
     private static final int PAGES = 40;
 
     private final List<One> all = new ArrayList<>();
-    private Datagrams<Message> net;
+    private SimulatedNetwork<MembershipMessage> net;
 
     /** A process with a list whose pages say which revision and place they are of. */
-    private final class One implements Datagrams.Process<Message>, Lending.Shelf {
+    private final class One implements SimulatedNetwork.Process<MembershipMessage>, Lending.Shelf {
         final List<Lending.Loan> loans = new ArrayList<>();
         final int place = net.place();
-        final Peer self = new Peer("n" + place, place, 1, 1, Fellows.address(place));
+        final Peer self = new Peer("n" + place, place, 1, 1, MembershipSimulation.address(place));
         final Lending lending = new Lending(
                 place,
                 this,
-                (to, m) -> net.send(place, to.getPort() - Fellows.address(0).getPort(), m),
+                (to, m) -> net.send(
+                        place, to.getPort() - MembershipSimulation.address(0).getPort(), m),
                 loan -> {
                     loans.add(loan);
                     take(loan);
@@ -56,7 +57,7 @@
         }
 
         @Override
-        public void receive(long now, Message m) {
+        public void receive(long now, MembershipMessage m) {
             lending.receive(now, m, self);
         }
 
@@ -110,7 +111,7 @@
         long drawn = System.nanoTime() & 0xFFFFF;
         for (long seed : new long[] {1, 2, 3, 4, 5, drawn}) {
             all.clear();
-            net = new Datagrams<>(seed);
+            net = new SimulatedNetwork<>(seed);
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < 9; i++) {
                 new One(3 + random.nextInt(4));
@@ -118,7 +119,7 @@
             new One(8);
             run(5 * SECOND);
             One starter = starter(2);
-            net.weather(Datagrams.Weather.losing(0.2));
+            net.weather(SimulatedNetwork.Weather.losing(0.2));
             run(20 * SECOND);
             assertTrue(!starter.loans.isEmpty(), "nothing came, seed " + seed);
             whole(starter.loans.get(starter.loans.size() - 1), 8, PAGES);
@@ -128,7 +129,7 @@
 
     @Test
     void aLenderThatDiesOrMovesOnHalfwayIsReplacedAndPagesAreNotMixed() {
-        net = new Datagrams<>(1);
+        net = new SimulatedNetwork<>(1);
         One best = new One(9);
         best.pages = 4_000;
         One next = new One(7);
@@ -142,7 +143,7 @@
         // The lender hears of a newer one while its pages are on their way: all of them are the newer one's.
         next.pages = 100;
         next.revision = 20;
-        net.weather(new Datagrams.Weather(0, 0, 0, 0, 50_000, 100_000));
+        net.weather(new SimulatedNetwork.Weather(0, 0, 0, 0, 50_000, 100_000));
         assertTrue(awaitPages(starter), "a second list began");
         next.revision = 21;
         run(20 * SECOND);
@@ -164,7 +165,7 @@
 
     @Test
     void whoeverHeardFromDiscoveryAsksNoMoreAndOlderListsAreOfNoUse() {
-        net = new Datagrams<>(1);
+        net = new SimulatedNetwork<>(1);
         new One(4);
         One starter = starter(4);
         run(5 * SECOND);
@@ -178,7 +179,7 @@
 
     @Test
     void aListOfNoServersIsOneTooAndOneThatIsTooLargeIsNot() {
-        net = new Datagrams<>(1);
+        net = new SimulatedNetwork<>(1);
         One empty = new One(5);
         empty.pages = 0;
         One huge = new One(6);
--- a/src/test/java/larkbank/lab/FellowsChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -7,20 +7,20 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import larkbank.lab.Fellows.Fellow;
-import larkbank.lab.Fellows.Seen;
-import larkbank.membership.Change;
-import larkbank.membership.Entry;
-import larkbank.membership.Membership;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Standing;
+import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MemberRecord;
+import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.MembershipProtocol;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.simulation.MembershipSimulation.Fellow;
+import org.cypressweir.simulation.MembershipSimulation.Seen;
 
 /**
  * What membership promises, each played in made-up time. They use nothing of the test library, so they can
  * also judge a core that a fault was planted in.
  */
-public final class FellowsChecks {
+public final class MembershipChecks {
 
     static final long PAUSE = 3_000_000;
 
@@ -29,24 +29,24 @@
         void run(long seed);
     }
 
-    private FellowsChecks() {}
+    private MembershipChecks() {}
 
     static Map<String, Check> all() {
         Map<String, Check> all = new LinkedHashMap<>();
-        all.put("killed", FellowsChecks::killedIsKnownWithinTheBound);
-        all.put("many killed", FellowsChecks::survivorsFindEachOther);
-        all.put("sleepers", FellowsChecks::sleepersAndLossPutNobodyOut);
-        all.put("long pause", FellowsChecks::aLongPauseEndsOnce);
-        all.put("one way", FellowsChecks::oneWayCutsHaveOneAnswer);
-        all.put("one friend", FellowsChecks::oneThatFewCanReachDoesNotComeAndGo);
-        all.put("split", FellowsChecks::splitsHealWithoutLoss);
-        all.put("leaves", FellowsChecks::leavingIsKnownAtOnce);
-        all.put("one name", FellowsChecks::theFirstOfTwoKeepsTheName);
-        all.put("starts", FellowsChecks::allStartInWhateverWay);
-        all.put("late words", FellowsChecks::wordsOfAnEarlierIncarnationAreVoid);
-        all.put("facts", FellowsChecks::theNewestFactsHold);
-        all.put("made-up names", FellowsChecks::madeUpNamesCostWhatIsStated);
-        all.put("walk", FellowsChecks::aWalkEndsInOneView);
+        all.put("killed", MembershipChecks::killedIsKnownWithinTheBound);
+        all.put("many killed", MembershipChecks::survivorsFindEachOther);
+        all.put("sleepers", MembershipChecks::sleepersAndLossPutNobodyOut);
+        all.put("long pause", MembershipChecks::aLongPauseEndsOnce);
+        all.put("one way", MembershipChecks::oneWayCutsHaveOneAnswer);
+        all.put("one friend", MembershipChecks::oneThatFewCanReachDoesNotComeAndGo);
+        all.put("split", MembershipChecks::splitsHealWithoutLoss);
+        all.put("leaves", MembershipChecks::leavingIsKnownAtOnce);
+        all.put("one name", MembershipChecks::theFirstOfTwoKeepsTheName);
+        all.put("starts", MembershipChecks::allStartInWhateverWay);
+        all.put("late words", MembershipChecks::wordsOfAnEarlierIncarnationAreVoid);
+        all.put("facts", MembershipChecks::theNewestFactsHold);
+        all.put("made-up names", MembershipChecks::madeUpNamesCostWhatIsStated);
+        all.put("walk", MembershipChecks::aWalkEndsInOneView);
         return all;
     }
 
@@ -60,38 +60,39 @@
         }
     }
 
-    private static void hold(boolean holds, String what, Fellows f) {
+    private static void hold(boolean holds, String what, MembershipSimulation f) {
         if (!holds) {
             List<Seen> last = f.changes.subList(Math.max(0, f.changes.size() - 8), f.changes.size());
             throw new AssertionError(what + " at " + f.net.now() + "; last changes " + last);
         }
     }
 
-    private static Fellows together(long seed, int members) {
-        Fellows f = new Fellows(seed, members, Math.min(3, members), PAUSE);
+    private static MembershipSimulation together(long seed, int members) {
+        MembershipSimulation f = new MembershipSimulation(seed, members, Math.min(3, members), PAUSE);
         f.startTogether();
         f.run(2_000_000);
         hold(f.changes.isEmpty(), "a quiet fleet changes", f);
         return f;
     }
 
-    private static List<Fellow> some(Fellows f, int... who) {
+    private static List<Fellow> some(MembershipSimulation f, int... who) {
         return IntStream.of(who).mapToObj(f::get).toList();
     }
 
-    private static List<Fellow> range(Fellows f, int from, int to) {
+    private static List<Fellow> range(MembershipSimulation f, int from, int to) {
         return f.all().subList(from, to);
     }
 
     /** Healed, everybody is in everybody's view soon, and nobody is doubted in the end. */
-    private static void heals(Fellows f, String what) {
+    private static void heals(MembershipSimulation f, String what) {
         f.net.cut((from, to) -> true);
-        f.net.weather(Datagrams.Weather.FAIR);
+        f.net.weather(SimulatedNetwork.Weather.FAIR);
         hold(f.await(3 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, what + " does not heal", f);
         f.run(8 * PAUSE);
         hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
         for (Fellow x : f.all()) {
-            for (Map.Entry<String, Membership.Seen> m : x.core().members().entrySet()) {
+            for (Map.Entry<String, MembershipProtocol.Seen> m :
+                    x.core().members().entrySet()) {
                 hold(
                         m.getValue().state().equals("alive"),
                         what + ": " + x.name + " still sees " + m.getKey() + " "
@@ -102,13 +103,13 @@
         f.changes.clear();
     }
 
-    private static void stays(Fellows f, String what) {
+    private static void stays(MembershipSimulation f, String what) {
         f.changes.clear();
         f.run(10 * PAUSE);
         hold(f.changes.isEmpty(), what + " goes on changing", f);
     }
 
-    private static long outs(Fellows f) {
+    private static long outs(MembershipSimulation f) {
         return f.changes.stream()
                 .filter(s -> s.change().kind() == Change.Kind.OUT)
                 .count();
@@ -116,7 +117,7 @@
 
     static void killedIsKnownWithinTheBound(long seed) {
         for (int members : new int[] {2, 5, 24}) {
-            Fellows f = together(seed, members);
+            MembershipSimulation f = together(seed, members);
             f.net.kill(members - 1);
             List<Fellow> rest = range(f, 0, members - 1);
             long took = f.await(f.plan().boundMicros(), () -> f.agree(rest, rest));
@@ -131,7 +132,7 @@
     /** Some lose all their neighbours at once, and are neither put out nor alone. */
     static void survivorsFindEachOther(long seed) {
         for (int world = 0; world < 6; world++) {
-            Fellows f = together(seed + world, 30);
+            MembershipSimulation f = together(seed + world, 30);
             IntStream.range(0, 18).forEach(f.net::kill);
             List<Fellow> rest = range(f, 18, 30);
             hold(f.await(f.plan().boundMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
@@ -144,9 +145,9 @@
     }
 
     static void sleepersAndLossPutNobodyOut(long seed) {
-        Fellows f = together(seed, 24);
+        MembershipSimulation f = together(seed, 24);
         SplittableRandom random = new SplittableRandom(seed);
-        f.net.weather(Datagrams.Weather.losing(0.2));
+        f.net.weather(SimulatedNetwork.Weather.losing(0.2));
         for (int second = 0; second < 120; second++) {
             int sleeper = random.nextInt(24);
             f.net.stop(sleeper);
@@ -159,7 +160,7 @@
 
     static void aLongPauseEndsOnce(long seed) {
         for (int members : new int[] {2, 9}) {
-            Fellows f = together(seed, members);
+            MembershipSimulation f = together(seed, members);
             f.net.stop(1);
             f.run(4 * PAUSE);
             List<Fellow> rest = f.all().stream().filter(x -> x.place != 1).toList();
@@ -174,11 +175,11 @@
     }
 
     static void oneWayCutsHaveOneAnswer(long seed) {
-        Fellows f = together(seed, 12);
+        MembershipSimulation f = together(seed, 12);
         List<Fellow> rest = range(f, 1, 12);
-        Datagrams.Cut deaf = (from, to) -> to != 0;
-        Datagrams.Cut mute = (from, to) -> from != 0;
-        for (Datagrams.Cut cut : List.of(deaf, mute)) {
+        SimulatedNetwork.Cut deaf = (from, to) -> to != 0;
+        SimulatedNetwork.Cut mute = (from, to) -> from != 0;
+        for (SimulatedNetwork.Cut cut : List.of(deaf, mute)) {
             f.net.cut(cut);
             hold(
                     f.await(
@@ -220,7 +221,7 @@
 
     static void oneThatFewCanReachDoesNotComeAndGo(long seed) {
         for (int friend : new int[] {7, 13, 22}) {
-            Fellows f = together(seed + friend, 30);
+            MembershipSimulation f = together(seed + friend, 30);
             f.net.cut((from, to) -> from != 0 && to != 0 || from == friend || to == friend);
             f.run(4 * PAUSE);
             stays(f, "one that few can reach");
@@ -229,7 +230,7 @@
     }
 
     static void splitsHealWithoutLoss(long seed) {
-        Fellows f = together(seed, 14);
+        MembershipSimulation f = together(seed, 14);
         f.net.cut((from, to) -> part(from) == part(to));
         hold(
                 f.await(
@@ -252,7 +253,7 @@
     }
 
     static void leavingIsKnownAtOnce(long seed) {
-        Fellows f = together(seed, 9);
+        MembershipSimulation f = together(seed, 9);
         f.get(3).core().leave(f.net.now());
         f.run(400_000);
         f.net.kill(3);
@@ -268,7 +269,7 @@
     }
 
     static void theFirstOfTwoKeepsTheName(long seed) {
-        Fellows f = together(seed, 5);
+        MembershipSimulation f = together(seed, 5);
         Fellow second = f.add("n2");
         f.start(second.place);
         f.run(PAUSE);
@@ -291,7 +292,7 @@
     }
 
     static void allStartInWhateverWay(long seed) {
-        Fellows f = new Fellows(seed, 12, 3, PAUSE);
+        MembershipSimulation f = new MembershipSimulation(seed, 12, 3, PAUSE);
         for (int i = 0; i < 12; i++) {
             int who = i;
             f.net.at(f.net.now() + 80_000L * i, () -> f.start(who));
@@ -318,9 +319,9 @@
     }
 
     static void wordsOfAnEarlierIncarnationAreVoid(long seed) {
-        Fellows f = together(seed, 6);
+        MembershipSimulation f = together(seed, 6);
         Peer first = f.get(5).core().self();
-        Entry early = new Entry(first, Standing.MEMBER, 7, Map.of("front", "old"), 0);
+        MemberRecord early = new MemberRecord(first, MemberStatus.MEMBER, 7, Map.of("front", "old"), 0);
         f.net.kill(5);
         f.run(3 * PAUSE);
         f.start(5);
@@ -334,23 +335,35 @@
         f.run(2 * PAUSE);
         f.changes.clear();
         f.run(240_000_000);
-        say(f, 0, f.get(5).core().self(), new Entry(f.get(5).core().self(), Standing.MEMBER, 9, Map.of(), 0));
+        say(
+                f,
+                0,
+                f.get(5).core().self(),
+                new MemberRecord(f.get(5).core().self(), MemberStatus.MEMBER, 9, Map.of(), 0));
         f.run(3 * PAUSE);
         hold(f.changes.isEmpty(), "one that is gone came back by a word four minutes late", f);
     }
 
-    private static void say(Fellows f, int to, Peer from, Entry... entries) {
+    private static void say(MembershipSimulation f, int to, Peer from, MemberRecord... entries) {
         f.get(to)
                 .core()
                 .receive(
                         f.net.now(),
-                        new Message(
-                                Message.Kind.NEWS, from, "n" + to, 0, 0, List.of(entries), List.of(), List.of(), ""));
+                        new MembershipMessage(
+                                MembershipMessage.Kind.NEWS,
+                                from,
+                                "n" + to,
+                                0,
+                                0,
+                                List.of(entries),
+                                List.of(),
+                                List.of(),
+                                ""));
     }
 
     static void theNewestFactsHold(long seed) {
-        Fellows f = together(seed, 9);
-        f.net.weather(Datagrams.Weather.losing(0.2));
+        MembershipSimulation f = together(seed, 9);
+        f.net.weather(SimulatedNetwork.Weather.losing(0.2));
         for (int i = 0; i < 6; i++) {
             f.get(2).core().facts(f.net.now(), Map.of("state", "step " + i));
             f.run(130_000);
@@ -363,15 +376,19 @@
     }
 
     static void madeUpNamesCostWhatIsStated(long seed) {
-        Fellows f = together(seed, 5);
+        MembershipSimulation f = together(seed, 5);
         long before = f.net.sent();
-        List<Entry> page = new ArrayList<>();
+        List<MemberRecord> page = new ArrayList<>();
         Peer liar = f.get(1).core().self();
         for (int i = 0; i < 100_000; i++) {
-            page.add(new Entry(
-                    new Peer("x" + i, i, 1, 1, new InetSocketAddress("127.0.0.1", 7)), Standing.OUT, 0, Map.of(), 0));
+            page.add(new MemberRecord(
+                    new Peer("x" + i, i, 1, 1, new InetSocketAddress("127.0.0.1", 7)),
+                    MemberStatus.OUT,
+                    0,
+                    Map.of(),
+                    0));
             if (page.size() == 10) {
-                say(f, 0, liar, page.toArray(new Entry[0]));
+                say(f, 0, liar, page.toArray(new MemberRecord[0]));
                 page.clear();
             }
         }
@@ -389,12 +406,12 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (int world = 0; world < 12; world++) {
             int members = 3 + random.nextInt(5);
-            Fellows f = together(seed + world, members);
+            MembershipSimulation f = together(seed + world, members);
             for (int step = 0; step < 5; step++) {
                 f.changes.clear();
                 fault(f, members, random);
                 f.net.cut((from, to) -> true);
-                f.net.weather(Datagrams.Weather.FAIR);
+                f.net.weather(SimulatedNetwork.Weather.FAIR);
                 IntStream.range(0, members).forEach(i -> {
                     if (f.net.runs(i)) {
                         f.net.go(i);
@@ -410,7 +427,7 @@
         }
     }
 
-    private static void fault(Fellows f, int members, SplittableRandom random) {
+    private static void fault(MembershipSimulation f, int members, SplittableRandom random) {
         int one = random.nextInt(members);
         int other = (one + 1 + random.nextInt(members - 1)) % members;
         long time = random.nextLong(4 * PAUSE);
@@ -426,7 +443,7 @@
             }
         }
         if (random.nextBoolean()) {
-            f.net.weather(Datagrams.Weather.losing(0.2));
+            f.net.weather(SimulatedNetwork.Weather.losing(0.2));
         }
         f.run(time);
     }
--- a/src/test/java/larkbank/lab/FellowsTest.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipSimulationTest.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import static org.junit.jupiter.api.Assertions.fail;
 
@@ -10,10 +10,10 @@
 
 /** The promises of membership in made-up time, each with a seed that has been played before and a new one. */
 @Timeout(60)
-class FellowsTest {
+class MembershipSimulationTest {
 
     static Set<String> checks() {
-        return FellowsChecks.all().keySet();
+        return MembershipChecks.all().keySet();
     }
 
     @ParameterizedTest
@@ -21,7 +21,7 @@
     void holds(String check) {
         Stream.of(1L, System.nanoTime() & 0xFFFF).forEach(seed -> {
             try {
-                FellowsChecks.all().get(check).run(seed);
+                MembershipChecks.all().get(check).run(seed);
             } catch (AssertionError e) {
                 fail("seed " + seed + ": " + e.getMessage(), e);
             }
--- a/src/test/java/larkbank/lab/PlantedFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
@@ -1,11 +1,11 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.lang.reflect.Method;
 import java.nio.file.Path;
-import larkbank.testkit.Planted;
+import org.cypressweir.testkit.PlantedFault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -22,14 +22,14 @@
     Path folder;
 
     private String found(String check, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(
+        ClassLoader planted = new PlantedFault(
                 folder,
-                Path.of("src/main/java/larkbank/membership"),
+                Path.of("src/main/java/org/cypressweir/fleet/membership"),
                 file,
                 text,
                 instead,
-                name -> name.startsWith("larkbank.lab."));
-        return (String) planted.loadClass("larkbank.lab.FellowsChecks")
+                name -> name.startsWith("org.cypressweir.simulation."));
+        return (String) planted.loadClass("org.cypressweir.simulation.MembershipChecks")
                 .getMethod("broken", String.class, long.class)
                 .invoke(null, check, SEED);
     }
@@ -38,36 +38,36 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a suspicion never ends ~ one way ~ Links.java ~ if (lost != link.lost) { "
+                "a suspicion never ends ~ one way ~ MonitoredPeers.java ~ if (lost != link.lost) { "
                         + "~ if (lost && !link.lost) {",
-                "a lower incarnation wins ~ long pause ~ Entry.java ~ other.incarnation() > peer.incarnation() "
+                "a lower incarnation wins ~ long pause ~ MemberRecord.java ~ other.incarnation() > peer.incarnation() "
                         + "~ other.incarnation() < peer.incarnation()",
-                "silence leaves out the pause ~ sleepers ~ MembershipPlan.java "
+                "silence leaves out the pause ~ sleepers ~ MembershipOptions.java "
                         + "~ return periodMicros + pauseMicros + ~ return periodMicros + ",
-                "a sleeper counts its sleep against others ~ long pause ~ Membership.java "
+                "a sleeper counts its sleep against others ~ long pause ~ MembershipProtocol.java "
                         + "~ links.slept(now, late); ~ ",
-                "the last answer counts from when the next was asked ~ killed ~ Links.java "
+                "the last answer counts from when the next was asked ~ killed ~ MonitoredPeers.java "
                         + "~ link.contactAt = Math.max(link.contactAt, question.at); ~ link.contactAt = 0;",
-                "one neighbour's word is enough ~ one way ~ Verdicts.java "
+                "one neighbour's word is enough ~ one way ~ SuspicionTable.java "
                         + "~ if (2 * lost <= rings.near(i).length || vouched) { ~ if (lost == 0) {",
-                "nobody compares what it knows ~ starts ~ Membership.java ~ now >= compareAt && (stranger "
+                "nobody compares what it knows ~ starts ~ MembershipProtocol.java ~ now >= compareAt && (stranger "
                         + "~ now < 0 && (stranger",
-                "it comes back as the one that was put out ~ long pause ~ Membership.java "
+                "it comes back as the one that was put out ~ long pause ~ MembershipProtocol.java "
                         + "~ rise(now, e.incarnation() + 1); ~ rise(now, e.incarnation());",
-                "leaving is told as an end ~ leaves ~ Membership.java ~ .standing(Standing.LEFT)); "
-                        + "~ .standing(Standing.OUT));",
-                "an end is taken back by an earlier word ~ late words ~ Entry.java "
+                "leaving is told as an end ~ leaves ~ MembershipProtocol.java ~ .standing(MemberStatus.LEFT)); "
+                        + "~ .standing(MemberStatus.OUT));",
+                "an end is taken back by an earlier word ~ late words ~ MemberRecord.java "
                         + "~ other.standing.compareTo(standing) > 0; ~ other.standing != standing;",
-                "older facts win ~ facts ~ Entry.java ~ other.version > version; ~ other.version < version;",
-                "the first of two with one name is not asked ~ one name ~ Membership.java "
+                "older facts win ~ facts ~ MemberRecord.java ~ other.version > version; ~ other.version < version;",
+                "the first of two with one name is not asked ~ one name ~ MembershipProtocol.java "
                         + "~ } else if (contests.open(now, from, plan.periodMicros())) { ~ } else if (false) {",
-                "names without a bound ~ made-up names ~ Membership.java ~ roster.size() >= plan.most() "
+                "names without a bound ~ made-up names ~ MembershipProtocol.java ~ roster.size() >= plan.most() "
                         + "~ roster.size() < 0",
-                "whoever talks with a candidate admits it ~ one friend ~ Membership.java "
-                        + "~ Standing.CANDIDATE && links.get(name) != null) { ~ Standing.CANDIDATE) {",
-                "unreachable ones are not looked for ~ many killed ~ Membership.java "
+                "whoever talks with a candidate admits it ~ one friend ~ MembershipProtocol.java "
+                        + "~ MemberStatus.CANDIDATE && links.get(name) != null) { ~ MemberStatus.CANDIDATE) {",
+                "unreachable ones are not looked for ~ many killed ~ MembershipProtocol.java "
                         + "~ if (!looked.isEmpty() && now >= lookAt) { ~ if (false) {",
-                "a newcomer is refused by its own answer ~ walk ~ Membership.java "
+                "a newcomer is refused by its own answer ~ walk ~ MembershipProtocol.java "
                         + "~ if (newcomer.life() != from.life()) { ~ if (true) {",
             })
     void eachIsFound(String fault, String check, String file, String text, String instead) throws Exception {
@@ -79,25 +79,26 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a part grows at once ~ Claim.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
-                "electors let go too early ~ Claim.java ~ RELEASE = 2.2; ~ RELEASE = 0.7;",
-                "an elector does not wait after its start ~ Elector.java ~ if (now < silentUntil || ~ if (",
-                "a grant counts for longer than the hold ~ Claim.java ~ now - asked < holdMicros "
+                "a part grows at once ~ ShareRequest.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
+                "electors let go too early ~ ShareRequest.java ~ RELEASE = 2.2; ~ RELEASE = 0.7;",
+                "an elector does not wait after its start ~ ShareVoter.java ~ if (now < silentUntil || ~ if (",
+                "a grant counts for longer than the hold ~ ShareRequest.java ~ now - asked < holdMicros "
                         + "~ now - asked < 3 * holdMicros",
-                "what a stopped process has open is forgotten ~ Claim.java ~ + CLOCKS * lingerMicros ~ + 0",
-                "a minority is enough ~ Claim.java ~ 2 * fresh(now) > askedAt.length ~ fresh(now) > 0",
-                "what electors count differently is taken for the same ~ Claim.java ~ alike ? largest : sum "
+                "what a stopped process has open is forgotten ~ ShareRequest.java ~ + CLOCKS * lingerMicros ~ + 0",
+                "a minority is enough ~ ShareRequest.java ~ 2 * fresh(now) > askedAt.length ~ fresh(now) > 0",
+                "what electors count differently is taken for the same ~ ShareRequest.java ~ alike ? largest : sum "
                         + "~ largest",
             })
     void eachIsFoundInParts(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new Planted(
+        ClassLoader planted = new PlantedFault(
                 folder,
-                Path.of("src/main/java/larkbank/membership"),
+                Path.of("src/main/java/org/cypressweir/fleet/membership"),
                 file,
                 text,
                 instead == null ? "" : instead,
-                name -> name.startsWith("larkbank.lab."));
-        Method broken = planted.loadClass("larkbank.lab.ClaimChecks").getMethod("broken", long.class);
+                name -> name.startsWith("org.cypressweir.simulation."));
+        Method broken =
+                planted.loadClass("org.cypressweir.simulation.ShareChecks").getMethod("broken", long.class);
         String found = null;
         for (long seed = 1; seed <= 40 && found == null; seed++) {
             found = (String) broken.invoke(null, seed);
@@ -108,6 +109,6 @@
     /** The same way without a fault finds none. */
     @Test
     void noneIsFoundWhereThereIsNone() throws Exception {
-        assertEquals(null, found("facts", "Entry.java", "other.version > version;", "version < other.version;"));
+        assertEquals(null, found("facts", "MemberRecord.java", "other.version > version;", "version < other.version;"));
     }
 }
--- a/src/test/java/larkbank/lab/ClaimChecks.java
+++ b/src/test/java/org/cypressweir/simulation/ShareChecks.java
@@ -1,16 +1,16 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import larkbank.membership.Claim;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Portion;
-import larkbank.membership.SharePlan;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.fleet.membership.ShareOptions;
+import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareRequester;
 
 /** Parts of a whole in small worlds of processes, some of them electors, with faults and uneven clocks. */
-public final class ClaimChecks {
+public final class ShareChecks {
 
     static final long HOLD = 1_000_000;
     /** For which what is in use stays so at a process that stands still, where it does. */
@@ -20,7 +20,7 @@
     private static final long BEAT = 20_000;
 
     private static final class World {
-        final Datagrams<Message> net;
+        final SimulatedNetwork<MembershipMessage> net;
         final SplittableRandom random;
         final int electors;
         final long linger;
@@ -29,7 +29,7 @@
 
         World(long seed, int members, int electors, double drift, long linger) {
             this.linger = linger;
-            net = new Datagrams<>(seed);
+            net = new SimulatedNetwork<>(seed);
             random = new SplittableRandom(~seed);
             this.electors = electors;
             all = new One[members];
@@ -66,13 +66,13 @@
         }
     }
 
-    private static final class One implements Datagrams.Process<Message> {
+    private static final class One implements SimulatedNetwork.Process<MembershipMessage> {
         final World world;
         final int place;
         final double rate;
         final long origin;
         final Peer self;
-        final Portion portion;
+        final ShareRequester portion;
         /** What it has open while it stands still, until its other ends close it; 0 for never. */
         double left;
 
@@ -83,22 +83,24 @@
             this.place = place;
             this.rate = rate;
             this.origin = origin;
-            InetSocketAddress own = Fellows.address(place);
+            InetSocketAddress own = MembershipSimulation.address(place);
             self = new Peer("p" + place, world.random.nextLong(), 1, 1, own);
-            SharePlan plan = new SharePlan(
+            ShareOptions plan = new ShareOptions(
                     IntStream.range(0, world.electors)
-                            .mapToObj(Fellows::address)
+                            .mapToObj(MembershipSimulation::address)
                             .toList(),
                     HOLD,
                     world.linger,
                     MOST);
-            portion = new Portion(
+            portion = new ShareRequester(
                     clock(),
                     plan,
                     own,
                     world.random.nextLong(1L << 40),
                     (to, m) -> world.net.send(
-                            place, to.getPort() - Fellows.address(0).getPort(), m));
+                            place,
+                            to.getPort() - MembershipSimulation.address(0).getPort(),
+                            m));
         }
 
         long clock() {
@@ -128,12 +130,12 @@
         }
 
         @Override
-        public void receive(long now, Message m) {
+        public void receive(long now, MembershipMessage m) {
             portion.receive(clock(), m, self);
         }
     }
 
-    private ClaimChecks() {}
+    private ShareChecks() {}
 
     private static void hold(boolean holds, String what, long seed) {
         if (!holds) {
@@ -180,7 +182,7 @@
             case 2 -> w.net.cut((from, to) -> from <= one == to <= one);
             case 3 -> w.net.cut((from, to) -> from != one || to == other);
             case 4 -> w.net.cut((from, to) -> to != one || from == other);
-            case 5 -> w.net.weather(Datagrams.Weather.losing(0.3));
+            case 5 -> w.net.weather(SimulatedNetwork.Weather.losing(0.3));
             case 7, 8 -> {
                 // Each is cut off from one elector, and not all from the same one.
                 int[] from = random.ints(members, 0, w.electors).toArray();
@@ -192,10 +194,10 @@
                 w.start(elector, w.all[elector].rate);
                 w.net.cut((a, b) -> a != one || b != elector);
             }
-            case 6 -> w.net.weather(new Datagrams.Weather(0.1, 0.3, 0.5, 3 * HOLD, 200, 50_000));
+            case 6 -> w.net.weather(new SimulatedNetwork.Weather(0.1, 0.3, 0.5, 3 * HOLD, 200, 50_000));
             default -> {
                 w.net.cut((from, to) -> true);
-                w.net.weather(Datagrams.Weather.FAIR);
+                w.net.weather(SimulatedNetwork.Weather.FAIR);
                 for (int i = 0; i < members; i++) {
                     w.all[i].leftUntil = 0;
                     if (!w.net.runs(i)) {
@@ -211,13 +213,13 @@
     /** With all in touch each has its equal part; after half has gone the rest has all, within the time. */
     private static void whatIsLeftIsUsed(long seed) {
         World w = new World(seed, 8, 3, 0, 0);
-        w.run(3 * Claim.release(HOLD, 0));
-        hold(Math.abs(w.least() - Claim.CLAIMED / 8) < 1e-9, "a part of " + w.least() + " of eight", seed);
+        w.run(3 * ShareRequest.release(HOLD, 0));
+        hold(Math.abs(w.least() - ShareRequest.CLAIMED / 8) < 1e-9, "a part of " + w.least() + " of eight", seed);
         for (int i = 4; i < 8; i++) {
             w.net.kill(i);
         }
-        w.run(Claim.release(HOLD, 0) + HOLD / 2);
-        hold(Math.abs(w.least() - Claim.CLAIMED / 4) < 1e-9, "a part of " + w.least() + " of four", seed);
+        w.run(ShareRequest.release(HOLD, 0) + HOLD / 2);
+        hold(Math.abs(w.least() - ShareRequest.CLAIMED / 4) < 1e-9, "a part of " + w.least() + " of four", seed);
         w.net.kill(0);
         w.net.kill(1);
         w.run(HOLD + BEAT);
--- a/src/test/java/larkbank/lab/ClaimTest.java
+++ b/src/test/java/org/cypressweir/simulation/ShareTest.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,34 +6,34 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.stream.LongStream;
-import larkbank.membership.Claim;
-import larkbank.membership.Elector;
+import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareVoter;
 import org.junit.jupiter.api.Test;
 
-class ClaimTest {
+class ShareTest {
 
     /** Over all schedules that the seeds draw, no moment has more in use than there is. */
     @Test
     void allTogetherNeverTakeMoreThanTheWhole() {
         LongStream.concat(LongStream.rangeClosed(1, 20), LongStream.of(System.nanoTime() & 0xFFFFF))
-                .forEach(seed -> assertNull(ClaimChecks.broken(seed)));
+                .forEach(seed -> assertNull(ShareChecks.broken(seed)));
     }
 
     /** Every order of losses and restarts in a small world, and the beginning of a larger one. */
     @Test
     void noScheduleOfASmallWorldBreaksTheBound() {
-        ClaimWalk.Result one = ClaimWalk.walk(new ClaimWalk.Shape(2, 1, true, 1), 20_000);
+        ShareWalk.Result one = ShareWalk.walk(new ShareWalk.Shape(2, 1, true, 1), 20_000);
         assertNull(one.breach());
         assertTrue(one.whole() && one.states() > 5_000, one.toString());
         assertTrue(one.most() > 0.9, "somebody claims: " + one);
-        ClaimWalk.Result three = ClaimWalk.walk(new ClaimWalk.Shape(2, 3, false, 0), 40_000);
+        ShareWalk.Result three = ShareWalk.walk(new ShareWalk.Shape(2, 3, false, 0), 40_000);
         assertNull(three.breach());
         assertTrue(three.states() >= 40_000, three.toString());
     }
 
     @Test
     void anElectorThatForgotSaysNothingUntilNobodyReliesOnIt() {
-        Elector elector = new Elector(100, 1_000, 2);
+        ShareVoter elector = new ShareVoter(100, 1_000, 2);
         assertNull(elector.ask(1_099, "a"));
         assertEquals(1, elector.ask(1_100, "a").count());
         assertEquals(2, elector.ask(1_200, "b").count());
@@ -45,13 +45,13 @@
 
     @Test
     void whatElectorsCountDifferentlyIsAddedUp() {
-        Claim claim = new Claim(3, 1_000, 0, 10);
+        ShareRequest claim = new ShareRequest(3, 1_000, 0, 10);
         for (long at = 0; at <= 4_000; at += 500) {
-            claim.granted(at, 0, at, new Elector.Grant(4, 77));
-            claim.granted(at, 1, at, new Elector.Grant(4, at < 4_000 ? 77 : 78));
+            claim.granted(at, 0, at, new ShareVoter.Grant(4, 77));
+            claim.granted(at, 1, at, new ShareVoter.Grant(4, at < 4_000 ? 77 : 78));
         }
         assertEquals(8, claim.count(4_000));
-        assertEquals(Claim.CLAIMED / 8, claim.part(4_000));
+        assertEquals(ShareRequest.CLAIMED / 8, claim.part(4_000));
         assertEquals(0.005, claim.part(5_000), 1e-9, "the floor, once most electors are silent");
     }
 }
--- a/src/test/java/larkbank/lab/ClaimWalk.java
+++ b/src/test/java/org/cypressweir/simulation/ShareWalk.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,11 +6,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.membership.Claim;
-import larkbank.membership.Elector;
-import larkbank.membership.Elector.Grant;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareVoter;
+import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
  * Walks through everything that may happen in a small world of processes that claim parts and their electors.
@@ -20,7 +20,7 @@
  * life, as often as the world allows. After each turn, and right before the next, all parts are added up.
  * Worlds that differ by the order of electors only are one.
  */
-public final class ClaimWalk {
+public final class ShareWalk {
 
     /** Ticks of the walk; the release is 2.2 holds. */
     private static final long HOLD = 120;
@@ -41,8 +41,8 @@
         int turn;
         int restarts;
         final int[] lives;
-        final Claim[] claims;
-        final Elector[] electors;
+        final ShareRequest[] claims;
+        final ShareVoter[] electors;
         final List<List<Answer>> late = new ArrayList<>();
         World before;
         String step = "start";
@@ -51,8 +51,8 @@
             this.shape = shape;
             restarts = shape.restarts;
             lives = new int[shape.processes];
-            claims = new Claim[shape.processes];
-            electors = new Elector[shape.electors];
+            claims = new ShareRequest[shape.processes];
+            electors = new ShareVoter[shape.electors];
             for (int p = 0; p < claims.length; p++) {
                 claims[p] = claim();
                 late.add(List.of());
@@ -68,18 +68,18 @@
             turn = other.turn;
             restarts = other.restarts;
             lives = other.lives.clone();
-            claims = Arrays.stream(other.claims).map(Claim::copy).toArray(Claim[]::new);
-            electors = Arrays.stream(other.electors).map(Elector::copy).toArray(Elector[]::new);
+            claims = Arrays.stream(other.claims).map(ShareRequest::copy).toArray(ShareRequest[]::new);
+            electors = Arrays.stream(other.electors).map(ShareVoter::copy).toArray(ShareVoter[]::new);
             late.addAll(other.late);
             before = other;
         }
 
-        Claim claim() {
-            return new Claim(shape.electors, HOLD, 0, 10);
+        ShareRequest claim() {
+            return new ShareRequest(shape.electors, HOLD, 0, 10);
         }
 
-        static Elector elector(long now) {
-            return new Elector(now, Claim.release(HOLD, 0), 100);
+        static ShareVoter elector(long now) {
+            return new ShareVoter(now, ShareRequest.release(HOLD, 0), 100);
         }
 
         /** What comes of one turn: a fate for each elector in base four, and who starts anew, or -1. */
@@ -102,7 +102,7 @@
                     late.set(p, List.of());
                 }
             }
-            Claim claim = claims[turn];
+            ShareRequest claim = claims[turn];
             for (Answer a : late.get(turn)) {
                 claim.granted(now, a.elector, a.asked, a.grant);
             }
@@ -122,7 +122,7 @@
 
         double sum(long at) {
             double sum = 0;
-            for (Claim c : claims) {
+            for (ShareRequest c : claims) {
                 sum += c.copy().part(at);
             }
             return sum;
@@ -153,7 +153,7 @@
                     .append(restarts)
                     .append(Arrays.toString(lives))
                     .append(Arrays.toString(parts));
-            for (Claim c : claims) {
+            for (ShareRequest c : claims) {
                 String state = c.state(now);
                 all.append(state, state.lastIndexOf(' '), state.length());
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    private ClaimWalk() {}
+    private ShareWalk() {}
 
     /** Walks breadth first, so that the first breach is a shortest one; at most so many states. */
     static Result walk(Shape shape, long most) {
--- a/src/test/java/larkbank/testkit/Ships.java
+++ b/src/test/java/org/cypressweir/testkit/ApplicationStubs.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A stand-in for the application server of one machine: it beats, and answers as the test says. */
-public final class Ships implements AutoCloseable {
+public final class ApplicationStubs implements AutoCloseable {
 
     /** What it does with a request. */
     public enum Manner {
@@ -39,7 +39,7 @@
     private static final int CALL_MILLIS = 2_000;
 
     /** Requests as they came, whatever was done with them. */
-    public final BlockingQueue<Http.Message> seen = new LinkedBlockingQueue<>();
+    public final BlockingQueue<RawHttpClient.Message> seen = new LinkedBlockingQueue<>();
     /** What was refused because the server drains. */
     public final AtomicInteger refused = new AtomicInteger();
 
@@ -63,7 +63,7 @@
     private long sequence;
 
     /** @param pilot where the pilot of this machine takes beats */
-    public Ships(
+    public ApplicationStubs(
             InetSocketAddress own, InetSocketAddress pilot, String instance, String service, String zone, int slots)
             throws IOException {
         this.pilot = pilot;
@@ -147,7 +147,7 @@
                     "POST /cypressweir/instances/" + instance + "/" + what + " HTTP/1.1\r\n"
                             + "Host: pilot\r\nConnection: close\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
-            Http.Message answer = Http.read(socket.getInputStream());
+            RawHttpClient.Message answer = RawHttpClient.read(socket.getInputStream());
             if (answer == null || answer.status() != 200) {
                 throw new IOException("not acknowledged: " + answer);
             }
@@ -170,7 +170,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null; ) {
+            for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
                 seen.add(m);
                 if (!answer(socket, m)) {
                     return;
@@ -183,7 +183,7 @@
         }
     }
 
-    private boolean answer(Socket socket, Http.Message m) throws IOException {
+    private boolean answer(Socket socket, RawHttpClient.Message m) throws IOException {
         String id = m.headers().getOrDefault(ID, "");
         String wanted = m.headers().get("Cypressweir-Target-Instance");
         if (wanted != null && !wanted.equals(instance)) {
@@ -207,7 +207,7 @@
         return true;
     }
 
-    private void serve(Socket socket, Http.Message m, String id) throws IOException {
+    private void serve(Socket socket, RawHttpClient.Message m, String id) throws IOException {
         int millis = answerMillis;
         String extra = "Cypressweir-Server-Seal: sealed-" + id + "\r\nInstance: " + instance + "\r\n";
         if (millis == 0) {
