--- a/src/test/java/larkbank/testkit/CellPlans.java
+++ b/src/test/java/org/cypressweir/testkit/CellPlans.java
@@ -1,17 +1,17 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.cell.Cell;
-import larkbank.cell.CellsPlan;
-import larkbank.cell.CellsPlan.Quarantine;
-import larkbank.cell.CellsPlan.Spread;
-import larkbank.cell.CellsPlan.Unit;
-import larkbank.cell.MovePlan;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.sidecar.cell.Cell;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
+import org.cypressweir.sidecar.cell.CellsConfiguration.Unit;
+import org.cypressweir.sidecar.cell.MoveConfiguration;
 
 /** Plans of cells and lists of servers, as tests and measurements need them. */
 public final class CellPlans {
@@ -37,13 +37,18 @@
         return cells;
     }
 
-    public static CellsPlan plan(List<Cell> cells, double guests, Quarantine quarantine, MovePlan... moves) {
+    public static CellsConfiguration plan(
+            List<Cell> cells, double guests, Quarantine quarantine, MoveConfiguration... moves) {
         return plan(cells, Map.of(), guests, quarantine, moves);
     }
 
-    public static CellsPlan plan(
-            List<Cell> cells, Map<Long, Integer> assigned, double guests, Quarantine quarantine, MovePlan... moves) {
-        return new CellsPlan(
+    public static CellsConfiguration plan(
+            List<Cell> cells,
+            Map<Long, Integer> assigned,
+            double guests,
+            Quarantine quarantine,
+            MoveConfiguration... moves) {
+        return new CellsConfiguration(
                 Unit.TENANT,
                 null,
                 cells,
@@ -59,8 +64,8 @@
     }
 
     /** The same with writes that may be guests too. */
-    public static CellsPlan withGuestWrites(CellsPlan p) {
-        return new CellsPlan(
+    public static CellsConfiguration withGuestWrites(CellsConfiguration p) {
+        return new CellsConfiguration(
                 p.unit(),
                 p.header(),
                 p.cells(),
@@ -76,12 +81,12 @@
     }
 
     /** A move with a freeze. */
-    public static MovePlan frozen(String unit, int to, long start, long freeze) {
-        return new MovePlan("m-" + unit, Ids.of(unit), unit, to, start, 0, 0, freeze);
+    public static MoveConfiguration frozen(String unit, int to, long start, long freeze) {
+        return new MoveConfiguration("m-" + unit, Ids.of(unit), unit, to, start, 0, 0, freeze);
     }
 
-    public static MovePlan move(String unit, int to, long start, long over, long fence) {
-        return new MovePlan("m-" + unit, Ids.of(unit), unit, to, start, over, fence, 0);
+    public static MoveConfiguration move(String unit, int to, long start, long over, long fence) {
+        return new MoveConfiguration("m-" + unit, Ids.of(unit), unit, to, start, over, fence, 0);
     }
 
     /** Ready servers 1 to count, dealt to zones in turn. */
--- a/src/test/java/larkbank/testkit/CellsRig.java
+++ b/src/test/java/org/cypressweir/testkit/CellsFixture.java
@@ -1,17 +1,17 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.cell.Cells;
-import larkbank.cell.Cells.Ticket;
-import larkbank.cell.CellsPlan;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.sidecar.cell.Cells;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellsConfiguration;
 
 /** Drives the decisions about cells by hand, in time that a test makes up. */
-public final class CellsRig implements Cells.Actions {
+public final class CellsFixture implements Cells.Actions {
 
     public static final int REQUESTS = 1_000;
 
@@ -22,7 +22,7 @@
     private long timerAt;
     private int asked;
 
-    public CellsRig(CellsPlan plan, long now, int servers) {
+    public CellsFixture(CellsConfiguration plan, long now, int servers) {
         this.now = now;
         cells = new Cells("p", plan, REQUESTS, now, this);
         cells.listed(now, ListKind.COMPLETE, CellPlans.servers(servers, 2));
--- a/src/test/java/larkbank/testkit/Configs.java
+++ b/src/test/java/org/cypressweir/testkit/Configs.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -36,9 +36,9 @@
     }
 
     /** A list of these servers in one state. */
-    public static String list(int revision, boolean all, String state, Stub... servers) {
+    public static String list(int revision, boolean all, String state, PeerStub... servers) {
         List<String> targets = new ArrayList<>();
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             targets.add("{'uid':'s-" + server.port() + "','endpoint':'127.0.0.1:" + server.port()
                     + "','az':'a','model':'m','pod_group':0,'state':'" + state + "','boot_ms':0}");
         }
--- a/src/test/java/larkbank/testkit/LineRelay.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
  * Stands in each connection between processes. What goes from one to another has a fate of its own, whoever
  * has dialled. A cut is as on a network: a dial into silence hangs, an end is not heard before the join.
  */
-public final class LineRelay implements AutoCloseable {
+public final class ConnectionRelay implements AutoCloseable {
 
     /** The fate of what one process sends to another. */
     public enum Way {
@@ -162,7 +162,7 @@
     private volatile boolean over;
 
     /** @param ip where the relay listens for all of them */
-    public LineRelay(String ip, Map<String, InetSocketAddress> processes) throws IOException {
+    public ConnectionRelay(String ip, Map<String, InetSocketAddress> processes) throws IOException {
         targets.putAll(processes);
         for (String from : targets.keySet()) {
             for (String to : targets.keySet()) {
--- a/src/test/java/larkbank/testkit/LineRelayTest.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -21,12 +21,12 @@
 
 /** The rig's own cuts do what they say. */
 @Timeout(20)
-class LineRelayTest {
+class ConnectionRelayTest {
 
     private static final int SHORT = 150;
 
     private ServerSocket target;
-    private LineRelay relay;
+    private ConnectionRelay relay;
     private Socket near;
     private Socket far;
 
@@ -35,7 +35,7 @@
         SecureRandom random = new SecureRandom();
         String net = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
         target = new ServerSocket(0, 50, InetAddress.getByName(net + 1));
-        relay = new LineRelay(net + 250, Map.of("a", new InetSocketAddress(net + 2, 9), "b", (InetSocketAddress)
+        relay = new ConnectionRelay(net + 250, Map.of("a", new InetSocketAddress(net + 2, 9), "b", (InetSocketAddress)
                 target.getLocalSocketAddress()));
         target.accept().close();
         while (near == null) {
@@ -79,7 +79,7 @@
 
     @Test
     void whatIsHeldComesAtTheJoinAndTheOtherDirectionPasses() throws IOException {
-        relay.set("a", "b", LineRelay.Way.HOLD);
+        relay.set("a", "b", ConnectionRelay.Way.HOLD);
         send(near, "held");
         silent(far);
         send(far, "y");
@@ -94,7 +94,7 @@
 
     @Test
     void whereSomethingWasLostTheJoinResets() throws IOException {
-        relay.set("b", "a", LineRelay.Way.LOSE);
+        relay.set("b", "a", ConnectionRelay.Way.LOSE);
         send(far, "lost");
         silent(near);
         assertThatThrownBy(this::dial).isInstanceOf(SocketTimeoutException.class);
@@ -104,7 +104,7 @@
 
     @Test
     void resetsAndRefusals() throws IOException {
-        relay.set("a", "b", LineRelay.Way.RESET);
+        relay.set("a", "b", ConnectionRelay.Way.RESET);
         assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> far.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> {
@@ -115,7 +115,7 @@
                 })
                 .isInstanceOf(SocketException.class)
                 .hasMessageContaining("reset");
-        relay.set("a", "b", LineRelay.Way.REFUSE);
+        relay.set("a", "b", ConnectionRelay.Way.REFUSE);
         assertThatThrownBy(this::dial).isInstanceOf(ConnectException.class);
         relay.join();
         dial().close();
--- a/src/test/java/larkbank/testkit/CopiesChecks.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,29 +7,29 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import larkbank.copies.Ballot;
-import larkbank.copies.Effect;
-import larkbank.copies.ProposalResult;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.consensus.ProposalResult;
 
 /** Judges by what was sent, answered and shown alone. The first breach is kept. */
-public final class CopiesChecks {
+public final class ConsensusChecks {
 
-    private record Call(Order order, Map<Key, Item> floor) {}
+    private record Call(ConfigurationChange order, Map<ItemKey, Item> floor) {}
 
     private final Map<Long, Call> calls = new HashMap<>();
     /** What whoever asks from now on must find, or something newer. */
-    private Map<Key, Item> floor = Map.of();
+    private Map<ItemKey, Item> floor = Map.of();
 
-    private final Map<Key, Map<Long, Object>> contents = new HashMap<>();
-    private final Map<Ballot, Effect.Show> states = new HashMap<>();
-    private final Map<String, Ballot> last = new HashMap<>();
+    private final Map<ItemKey, Map<Long, Object>> contents = new HashMap<>();
+    private final Map<ProposalNumber, Effect.Show> states = new HashMap<>();
+    private final Map<String, ProposalNumber> last = new HashMap<>();
     private final List<String> breaches = new ArrayList<>();
     /** By the time from which each holds. */
-    private final TreeMap<Long, Map<Key, Item>> floors = new TreeMap<>();
+    private final TreeMap<Long, Map<ItemKey, Item>> floors = new TreeMap<>();
 
     private int taken;
     private int read;
@@ -54,9 +54,9 @@
     }
 
     /** A harbour says that what it shows was the newest as of a moment: all answered before is there. */
-    public void confirmed(String harbour, long asOf, Manifest shown) {
+    public void confirmed(String harbour, long asOf, Configuration shown) {
         confirmed++;
-        Map.Entry<Long, Map<Key, Item>> before = floors.lowerEntry(asOf);
+        Map.Entry<Long, Map<ItemKey, Item>> before = floors.lowerEntry(asOf);
         if (before != null) {
             above(before.getValue(), shown, harbour + ", confirmed as of " + asOf + ",");
         }
@@ -67,7 +67,7 @@
         return breaches.isEmpty() ? null : breaches.get(0);
     }
 
-    public Map<Key, Item> floor() {
+    public Map<ItemKey, Item> floor() {
         return floor;
     }
 
@@ -94,7 +94,7 @@
         last.remove(harbour);
     }
 
-    public void sent(long ticket, Order order) {
+    public void sent(long ticket, ConfigurationChange order) {
         calls.put(ticket, new Call(order, floor));
     }
 
@@ -102,7 +102,7 @@
         Call call = calls.remove(ticket);
         if (verdict instanceof ProposalResult.Taken) {
             taken++;
-            Map<Key, Item> raised = new HashMap<>(floor);
+            Map<ItemKey, Item> raised = new HashMap<>(floor);
             for (Item item : call.order.items()) {
                 one(item);
                 raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
@@ -111,7 +111,7 @@
         } else if (verdict instanceof ProposalResult.Read answer) {
             read++;
             above(call.floor, answer.manifest(), "read");
-            Map<Key, Item> raised = new HashMap<>(floor);
+            Map<ItemKey, Item> raised = new HashMap<>(floor);
             for (Item item : answer.manifest().items()) {
                 one(item);
                 raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
@@ -121,7 +121,7 @@
     }
 
     /** Whether a manifest has all that it must, in versions as high. */
-    public void above(Map<Key, Item> least, Manifest manifest, String what) {
+    public void above(Map<ItemKey, Item> least, Configuration manifest, String what) {
         least.forEach((key, item) -> {
             Item found = manifest.get(key);
             if (found == null || found.version() < item.version()) {
@@ -140,7 +140,7 @@
     }
 
     public void shown(String harbour, Effect.Show show) {
-        Ballot before = last.put(harbour, show.stamp());
+        ProposalNumber before = last.put(harbour, show.stamp());
         if (before != null && before.compareTo(show.stamp()) >= 0) {
             breaches.add(harbour + " shows " + show.stamp() + " after " + before);
         }
--- a/src/test/java/larkbank/testkit/CopiesCorners.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
@@ -1,17 +1,17 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import larkbank.copies.Ballot;
-import larkbank.copies.Effect;
-import larkbank.copies.Standing;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /** Corners where a copy forgets at the worst moment, seldom met by drawn days. */
-public final class CopiesCorners {
+public final class ConsensusCornerCases {
 
-    private CopiesCorners() {}
+    private ConsensusCornerCases() {}
 
     /** The first breach, or null. */
     public static String broken() {
@@ -31,7 +31,7 @@
         return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r1\"}}}}";
     }
 
-    private static void until(CopiesWorld world, BooleanSupplier holds) {
+    private static void until(SimulatedReplicas world, BooleanSupplier holds) {
         for (int i = 0; i < 300 && !holds.getAsBoolean(); i++) {
             world.run(100);
         }
@@ -39,7 +39,7 @@
 
     /** The second asks while its disk is slow; the third promises, forgets, and helps the first. */
     private static String promiseForgotten(long seed) {
-        CopiesWorld world = new CopiesWorld(seed, 3);
+        SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         Harbour second = world.harbour(2);
         world.cut(second.address(), world.harbour(1).address());
@@ -58,7 +58,7 @@
 
     /** The second offers while its disk is slow; the third accepts, and forgets. */
     private static String acceptanceForgotten(long seed) {
-        CopiesWorld world = new CopiesWorld(seed, 3);
+        SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         Harbour second = world.harbour(2);
         long ticket = world.submit(second, order("b"), 3_000_000);
@@ -88,7 +88,7 @@
 
     /** What was meant for a disk that is lost is not for the one that is there now. */
     private static String wordsForTheOldDisk(long seed) {
-        CopiesWorld world = new CopiesWorld(seed, 3);
+        SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         world.wipe(world.harbour(3));
         Harbour third = world.start(3);
@@ -123,20 +123,20 @@
 
     /** A build before has let a copy learn a state that only one has voted for. */
     private static String learntByABuildBefore(long seed) {
-        CopiesWorld world = new CopiesWorld(seed, 3);
+        SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         List<Harbour> all = world.up();
         all.forEach(world::crash);
         List<String> crew = all.stream().map(Harbour::address).toList();
-        Ballot voted = new Ballot(50, crew.get(0));
-        Ballot before = new Ballot(40, crew.get(1));
-        world.start(1, new Standing(voted, voted, crew, List.of(), false));
-        world.start(3, new Standing(new Ballot(60, crew.get(1)), voted, crew, List.of(), true));
+        ProposalNumber voted = new ProposalNumber(50, crew.get(0));
+        ProposalNumber before = new ProposalNumber(40, crew.get(1));
+        world.start(1, new PersistentState(voted, voted, crew, List.of(), false));
+        world.start(3, new PersistentState(new ProposalNumber(60, crew.get(1)), voted, crew, List.of(), true));
         boolean shown = false;
         for (int i = 0; i < 400; i++) {
             world.run(10_000);
             if (i == 200) {
-                world.start(2, new Standing(before, before, crew, List.of(), false));
+                world.start(2, new PersistentState(before, before, crew, List.of(), false));
             }
             shown |=
                     world.up().stream().anyMatch(h -> h.copies().shown().stamp().equals(voted));
@@ -144,7 +144,7 @@
         return shown ? "what one has voted for is shown" : end(world);
     }
 
-    private static String end(CopiesWorld world) {
+    private static String end(SimulatedReplicas world) {
         if (world.checks().breach() == null) {
             world.checks()
                     .above(
--- a/src/test/java/larkbank/testkit/CopiesChaos.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -1,33 +1,33 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.copies.ProposalResult;
-import larkbank.copies.State;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.controlplane.consensus.ReplicatedState;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /**
  * A day of writers and readers at three or five harbours, with lossy networks, crashes, lost disks, stalled
  * and full ones, cuts, and replaced machines. Of a crew no more than a minority is without its disk or down
  * at a time, and a lost disk is made good before the next is lost.
  */
-public class CopiesChaos {
+public class ConsensusFaults {
 
     private static final int STEPS = 60;
     private static final long STEP = 150_000;
     private static final long HEALED = 15_000_000;
 
-    private final CopiesWorld world;
+    private final SimulatedReplicas world;
     private final SplittableRandom random;
     private final int count;
     private int machines;
     private long versions;
 
-    public CopiesChaos(long seed) {
+    public ConsensusFaults(long seed) {
         random = new SplittableRandom(seed * 31 + 7);
         count = seed % 3 == 0 ? 5 : 3;
         machines = count;
-        world = new CopiesWorld(seed, count);
+        world = new SimulatedReplicas(seed, count);
         world.mostDelay = random.nextBoolean() ? 2_000 : 60_000;
         world.loss = random.nextInt(3) * 0.1;
         world.doubled = random.nextInt(2) * 0.2;
@@ -38,7 +38,7 @@
         for (long seed = 0; seed < days; seed++) {
             String breach;
             try {
-                breach = new CopiesChaos(seed).run();
+                breach = new ConsensusFaults(seed).run();
             } catch (RuntimeException | AssertionError e) {
                 breach = e.toString();
             }
@@ -67,7 +67,7 @@
         return healed();
     }
 
-    protected CopiesWorld world() {
+    protected SimulatedReplicas world() {
         return world;
     }
 
@@ -165,7 +165,7 @@
             return "no read after all is well: " + world.verdict(read);
         }
         world.run(2_000_000);
-        State first = world.up().get(0).copies().shown();
+        ReplicatedState first = world.up().get(0).copies().shown();
         for (Harbour harbour : world.up()) {
             if (!harbour.copies().shown().equals(first)) {
                 return harbour.address() + " shows " + harbour.copies().shown() + " and not " + first;
--- a/src/test/java/larkbank/testkit/CopiesCuts.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.copies.ProposalResult;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /**
  * Eight operators with an order each at a time, at three harbours, before, in and after cuts, in made-up
  * time: how long each order takes until it is acknowledged, with all its tries, and how many rounds begin.
  */
-public final class CopiesCuts {
+public final class ConsensusPartitions {
 
     /** Who is cut off, and what else happens. */
     public enum Kind {
@@ -142,7 +142,7 @@
     }
 
     private final SplittableRandom random;
-    private final CopiesWorld world;
+    private final SimulatedReplicas world;
     private final Kind kind;
     private final long cut;
     private final Map<Phase, Figures> figures = new EnumMap<>(Phase.class);
@@ -152,9 +152,9 @@
     private int last = 1;
     private int rounds;
 
-    private CopiesCuts(long seed, Kind kind, long cut, long mostDelay) {
+    private ConsensusPartitions(long seed, Kind kind, long cut, long mostDelay) {
         random = new SplittableRandom(seed);
-        world = new CopiesWorld(seed, 3);
+        world = new SimulatedReplicas(seed, 3);
         world.mostDelay = mostDelay;
         this.kind = kind;
         this.cut = cut;
@@ -170,7 +170,7 @@
     public static Map<Phase, Figures> measure(Kind kind, long cut, long mostDelay, int days) {
         Map<Phase, Figures> all = new EnumMap<>(Phase.class);
         for (int seed = 0; seed < days; seed++) {
-            CopiesCuts day = new CopiesCuts(seed * 31L + kind.ordinal(), kind, cut, mostDelay);
+            ConsensusPartitions day = new ConsensusPartitions(seed * 31L + kind.ordinal(), kind, cut, mostDelay);
             day.run();
             day.figures.forEach(
                     (p, its) -> all.computeIfAbsent(p, k -> new Figures()).add(its));
--- a/src/test/java/larkbank/testkit/HarbourDay.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
  * its end, all killed at once, and in between cuts of its lines, one way or both, with another loss at the
  * join. Faults are paced by the calls that are answered, and a disk is lost only while all harbours count.
  */
-public final class HarbourDay implements AutoCloseable {
+public final class ControllerFaultScenario implements AutoCloseable {
 
     private static final int OPERATORS = 4;
     private static final int CALL_MILLIS = 2_500;
@@ -35,7 +35,7 @@
     private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
 
     private final SplittableRandom random;
-    private final MeshRig rig;
+    private final MeshFixture rig;
     private final List<String> harbours;
     private final OperatorChecks checks = new OperatorChecks();
     private final AtomicInteger ended = new AtomicInteger();
@@ -48,10 +48,11 @@
     private volatile String lastActed = "h1";
     private volatile boolean over;
 
-    public HarbourDay(Path folder, int count, long seed) throws IOException, InterruptedException {
+    public ControllerFaultScenario(Path folder, int count, long seed) throws IOException, InterruptedException {
         random = new SplittableRandom(seed);
         harbours = IntStream.rangeClosed(1, count).mapToObj(i -> "h" + i).toList();
-        rig = MeshRig.withCuts(folder, count, PILOTS.stream().map(p -> "orders").toList());
+        rig = MeshFixture.withCuts(
+                folder, count, PILOTS.stream().map(p -> "orders").toList());
         try {
             rig.order("h1", SETUP);
             rig.order("h1", OperatorChecks.order("t0", "k00", 1));
@@ -99,7 +100,7 @@
         for (String harbour : harbours) {
             Map<String, Long> least = checks.floor();
             rig.await(harbour + " reads", () -> {
-                Http.Message answer = rig.read(harbour);
+                RawHttpClient.Message answer = rig.read(harbour);
                 if (answer.status() == 200) {
                     checks.read(least, answer.body());
                 }
@@ -136,7 +137,8 @@
             String id = rig.id();
             ids.add(id);
             try {
-                Http.Message answer = rig.request(PILOTS.get(own.nextInt(PILOTS.size())), "day.mesh", "/", null, id);
+                RawHttpClient.Message answer =
+                        rig.request(PILOTS.get(own.nextInt(PILOTS.size())), "day.mesh", "/", null, id);
                 if (answer.status() == 200) {
                     served.incrementAndGet();
                     if (ranOnce(id) != 1 || !answer.body().equals("ran of " + id)) {
@@ -152,7 +154,7 @@
 
     /** Cuts, one or two in a row, and at times another loss at the join. */
     private void cuts(String harbour) throws IOException, InterruptedException {
-        LineRelay relay = rig.relay();
+        ConnectionRelay relay = rig.relay();
         String one = harbour;
         for (int i = random.nextInt(2); i >= 0; i--) {
             List<String> everybody = new ArrayList<>(harbours);
@@ -165,7 +167,7 @@
             if (random.nextBoolean()) {
                 everybody.addAll(PILOTS);
             }
-            LineRelay.Way way = LineRelay.Way.values()[1 + random.nextInt(4)];
+            ConnectionRelay.Way way = ConnectionRelay.Way.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
             int millis = random.nextInt(4) > 0 ? 0 : MOST_CUT / (1 + 3 * random.nextInt(2));
             faults.add(
@@ -173,8 +175,8 @@
             relay.cut(
                     one,
                     everybody,
-                    direction == 0 ? LineRelay.Way.PASS : way,
-                    direction == 1 ? LineRelay.Way.PASS : way);
+                    direction == 0 ? ConnectionRelay.Way.PASS : way,
+                    direction == 1 ? ConnectionRelay.Way.PASS : way);
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
             do {
                 pace();
@@ -272,7 +274,7 @@
             try {
                 if (own.nextInt(3) == 0) {
                     Map<String, Long> least = checks.floor();
-                    Http.Message answer = rig.read(harbour);
+                    RawHttpClient.Message answer = rig.read(harbour);
                     if (answer.status() == 200) {
                         checks.read(least, answer.body());
                     }
--- a/src/test/java/larkbank/testkit/HarbourDays.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenarios.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Plays drawn days one after the other, some at once, and goes on after a breach: a line each. */
-public final class HarbourDays {
+public final class ControllerFaultScenarios {
 
-    private HarbourDays() {}
+    private ControllerFaultScenarios() {}
 
     /** @param args a folder, the first seed, how many days, faults a day, how many days at once */
     public static void main(String[] args) throws InterruptedException {
@@ -45,7 +45,7 @@
         String told = "";
         try {
             Path own = Files.createDirectories(folder.resolve("day" + seed));
-            try (HarbourDay day = new HarbourDay(own, seed % 2 == 0 ? 3 : 5, seed)) {
+            try (ControllerFaultScenario day = new ControllerFaultScenario(own, seed % 2 == 0 ? 3 : 5, seed)) {
                 try {
                     breach = day.run(faults);
                 } catch (AssertionError e) {
--- a/src/test/java/larkbank/testkit/Relay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -19,7 +19,7 @@
  * Stands between processes that send each other datagrams: each is reached at an address of the relay's own,
  * and who sent is told by the port that it sends from, so each pair and direction can have its own fate.
  */
-public final class Relay implements AutoCloseable {
+public final class DatagramRelay implements AutoCloseable {
 
     /** Whether what one sends to another arrives; by place. */
     public interface Cut {
@@ -46,7 +46,7 @@
     private volatile boolean over;
 
     /** Between processes that listen on these ports. */
-    public Relay(long seed, List<Integer> ports) throws IOException {
+    public DatagramRelay(long seed, List<Integer> ports) throws IOException {
         random = new SplittableRandom(seed);
         for (int port : ports) {
             DatagramChannel door = DatagramChannel.open();
--- a/src/test/java/larkbank/testkit/FaultPlan.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  * Faults between the processes of a crew, drawn from a seed and played one after the other; behind each all
  * must see all again. What must not change anybody's view is held to that by the processes' own records.
  */
-public final class FaultPlan {
+public final class FaultSchedule {
 
     /** What is done, to whom. */
     public enum Kind {
@@ -41,11 +41,11 @@
 
     private static final long STARTED = 20_000;
 
-    private final Crew crew;
+    private final SidecarProcesses crew;
     private final long pause;
     private final Set<Integer> all;
 
-    public FaultPlan(Crew crew, long pauseMillis) {
+    public FaultSchedule(SidecarProcesses crew, long pauseMillis) {
         this.crew = crew;
         pause = pauseMillis;
         all = IntStream.range(0, crew.size()).boxed().collect(Collectors.toSet());
@@ -99,7 +99,7 @@
 
     /** Ends that any process has seen since then, but for those of these. */
     private void nobodyEnded(long since, String what, Set<String> but) throws Exception {
-        List<Crew.Event> ends = crew.history().stream()
+        List<SidecarProcesses.Event> ends = crew.history().stream()
                 .filter(e -> e.mono() > since
                         && (e.event().equals("out") || e.event().equals("left"))
                         && !but.contains(e.about())
@@ -114,7 +114,7 @@
         String what = step.toString();
         Set<Integer> rest = without(all, step.one);
         Set<String> none = Set.of();
-        Set<String> its = Set.of(Crew.name(step.one));
+        Set<String> its = Set.of(SidecarProcesses.name(step.one));
         switch (step.kind) {
             case SHORT_STOP -> {
                 crew.signal(step.one, "STOP");
@@ -166,9 +166,9 @@
                 nobodyEnded(healed, what, none);
             }
             case LOSS -> {
-                crew.relay.weather(new Relay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+                crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
                 last(step);
-                crew.relay.weather(Relay.Weather.FAIR);
+                crew.relay.weather(DatagramRelay.Weather.FAIR);
                 nobodyEnded(begun, what, none);
             }
             default -> throw new IllegalStateException(what);
--- a/src/test/java/larkbank/testkit/Installations.java
+++ b/src/test/java/org/cypressweir/testkit/Installations.java
@@ -1,15 +1,15 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.Limits;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Settings;
-import larkbank.operators.Facts;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.sidecar.operatorconfig.Facts;
 
 /** The installation that operators' files of the tests are held against. */
 public final class Installations {
--- a/src/test/java/larkbank/testkit/Plain.java
+++ b/src/test/java/org/cypressweir/testkit/JsonCopy.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /** Copies a message as JSON would, and fails on what JSON has not. */
-public final class Plain {
+public final class JsonCopy {
 
-    private Plain() {}
+    private JsonCopy() {}
 
     public static Map<String, Object> map(Map<?, ?> map) {
         Map<String, Object> copy = new LinkedHashMap<>();
--- a/src/test/java/larkbank/testkit/Acts.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHistory.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
  * A history of acts under leases on one clock: of each lease the stretches in which processes acted must be
  * apart, and tokens must rise from one process to the next. Acts are told in the order of that clock.
  */
-public final class Acts {
+public final class LeaseHistory {
 
     private record Last(String process, long at, long token) {}
 
--- a/src/test/java/larkbank/testkit/Actors.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,17 +8,17 @@
  * Somebody beside each process of a crew who asks at its door whether it holds a lease, and acts as long as
  * the answer says. What all do is one history, on the machine's one clock.
  */
-public final class Actors implements AutoCloseable {
+public final class LeaseHolders implements AutoCloseable {
 
-    private final Crew crew;
+    private final SidecarProcesses crew;
     private final String lease;
-    private final Acts acts = new Acts();
+    private final LeaseHistory acts = new LeaseHistory();
     private final List<Thread> threads = new ArrayList<>();
     private String last = "";
     private long lastAt;
     private volatile boolean over;
 
-    public Actors(Crew crew, String lease) {
+    public LeaseHolders(SidecarProcesses crew, String lease) {
         this.crew = crew;
         this.lease = lease;
         for (int i = 0; i < crew.size(); i++) {
@@ -45,8 +45,8 @@
                 long now = System.nanoTime();
                 if (now < until) {
                     // Two lives of one name are two holders: the token tells them apart.
-                    acts.act(lease, Crew.name(who), now, Long.parseLong(said[1]));
-                    last = Crew.name(who);
+                    acts.act(lease, SidecarProcesses.name(who), now, Long.parseLong(said[1]));
+                    last = SidecarProcesses.name(who);
                     lastAt = now;
                 }
             }
--- a/src/test/java/larkbank/testkit/ModuleRig.java
+++ b/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,25 +7,25 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
  * Drives a module by hand, in time that it makes up, with outcomes at random, and holds each action against
  * the rules and the terms of its request. A broken one is an {@link AssertionError} at once.
  */
-public final class ModuleRig implements Actions {
+public final class LoadBalancerFixture implements Actions {
 
     private final Settings settings;
     private final SplittableRandom random;
@@ -80,7 +80,7 @@
         }
     }
 
-    public ModuleRig(
+    public LoadBalancerFixture(
             String title,
             Settings settings,
             long seed,
--- a/src/test/java/larkbank/testkit/Losses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -1,16 +1,16 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import larkbank.copies.ProposalResult;
-import larkbank.testkit.CopiesWorld.Harbour;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /**
  * Harbours under orders: as many machines as may be lost are lost at once, successors with empty disks start,
  * and at some moment after the time that users give them as many others are lost for good.
  */
-public final class Losses {
+public final class MachineLosses {
 
     private static final long SYNC_TIME = 4_000_000;
     private static final long MOST_AFTER_RETURN = 1_500_000;
@@ -19,18 +19,18 @@
     private static final long PATIENCE = 3_000_000;
 
     private final SplittableRandom random;
-    private final CopiesWorld world;
+    private final SimulatedReplicas world;
     private final int count;
     private final int standbys;
     private long orders;
     private long orderAt;
 
     /** @param standbys how many more machines wait to be let in from the beginning */
-    public Losses(long seed, int count, int standbys) {
+    public MachineLosses(long seed, int count, int standbys) {
         random = new SplittableRandom(seed * 31 + count);
         this.count = count;
         this.standbys = standbys;
-        world = new CopiesWorld(seed, count);
+        world = new SimulatedReplicas(seed, count);
         world.mostDelay = 1 + random.nextLong(30_000);
         world.mostWrite = 1 + random.nextLong(20_000);
         for (int i = 1; i <= standbys; i++) {
@@ -42,9 +42,9 @@
     /** The first breach in so many days of five and three, or null. */
     public static String broken(int days) {
         for (long seed = 0; seed < days; seed++) {
-            String of5 = new Losses(seed, 5, 0).secondLoss();
-            String breach = of5 != null ? of5 : new Losses(seed, 3, 1).secondLoss();
-            long until = new Losses(seed, 3, 0).untilThreeVote(true);
+            String of5 = new MachineLosses(seed, 5, 0).secondLoss();
+            String breach = of5 != null ? of5 : new MachineLosses(seed, 3, 1).secondLoss();
+            long until = new MachineLosses(seed, 3, 0).untilThreeVote(true);
             if (breach != null || until < 0 || until > MOST_AFTER_RETURN) {
                 return "seed " + seed + ": " + breach + ", three vote after " + until;
             }
--- a/src/test/java/larkbank/testkit/MeshRig.java
+++ b/src/test/java/org/cypressweir/testkit/MeshFixture.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.File;
 import java.io.IOException;
@@ -29,15 +29,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import larkbank.Addresses;
-import larkbank.bridge.Main;
-import larkbank.lading.RigProcess;
+import org.cypressweir.Main;
+import org.cypressweir.common.transport.FixtureProcess;
+import org.cypressweir.common.util.Addresses;
 
 /**
  * Harbours and pilots as real processes, each on a loopback address of its own, and a server beside each
  * pilot. It ends what it has started, and nothing else.
  */
-public final class MeshRig implements AutoCloseable {
+public final class MeshFixture implements AutoCloseable {
 
     /** A request that was sent whole and got no answer. */
     public static final class NoAnswer extends IOException {
@@ -64,12 +64,12 @@
     private final String net;
     private final Map<String, String> ips = new LinkedHashMap<>();
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    private final Map<String, Ships> ships = new LinkedHashMap<>();
+    private final Map<String, ApplicationStubs> ships = new LinkedHashMap<>();
     private final List<String> harbours = new ArrayList<>();
     private final List<String> pilots = new ArrayList<>();
     private final List<String> joined = new ArrayList<>();
     private final AtomicLong ids = new AtomicLong();
-    private final LineRelay relay;
+    private final ConnectionRelay relay;
     private boolean initial = true;
     private volatile int callMillis = PATIENCE_MILLIS;
     private final ScheduledExecutorService looks = Executors.newScheduledThreadPool(4, task -> {
@@ -79,16 +79,16 @@
     });
 
     /** @param services the service of each pilot's machine; the pilots are named p1, p2, ... */
-    public MeshRig(Path folder, int harbourCount, List<String> services) throws IOException {
+    public MeshFixture(Path folder, int harbourCount, List<String> services) throws IOException {
         this(folder, harbourCount, services, false);
     }
 
     /** Harbours and pilots whose lines all go by a relay, which can cut them. */
-    public static MeshRig withCuts(Path folder, int harbourCount, List<String> services) throws IOException {
-        return new MeshRig(folder, harbourCount, services, true);
+    public static MeshFixture withCuts(Path folder, int harbourCount, List<String> services) throws IOException {
+        return new MeshFixture(folder, harbourCount, services, true);
     }
 
-    private MeshRig(Path folder, int harbourCount, List<String> services, boolean cuts) throws IOException {
+    private MeshFixture(Path folder, int harbourCount, List<String> services, boolean cuts) throws IOException {
         this.folder = folder;
         SecureRandom random = new SecureRandom();
         net = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
@@ -103,7 +103,7 @@
         ips.put(SPARE, net + 99);
         Map<String, InetSocketAddress> lines = new LinkedHashMap<>();
         ips.forEach((name, ip) -> lines.put(name, new InetSocketAddress(ip, LINES)));
-        relay = cuts ? new LineRelay(net + 250, lines) : null;
+        relay = cuts ? new ConnectionRelay(net + 250, lines) : null;
         for (String harbour : harbours) {
             settings(harbour, null, "");
             start(harbour);
@@ -114,9 +114,9 @@
             start(name);
             ships.put(
                     name,
-                    new Ships(
-                            Ships.at(ips.get(name), APPLICATION),
-                            Ships.at(ips.get(name), CONTROL),
+                    new ApplicationStubs(
+                            ApplicationStubs.at(ips.get(name), APPLICATION),
+                            ApplicationStubs.at(ips.get(name), CONTROL),
                             services.get(i) + "-" + name,
                             services.get(i),
                             "z1",
@@ -162,7 +162,7 @@
         }
     }
 
-    public Ships ship(String pilot) {
+    public ApplicationStubs ship(String pilot) {
         return ships.get(pilot);
     }
 
@@ -198,8 +198,8 @@
                 "-Xmx96m",
                 "-cp",
                 classPath(),
-                "-D" + RigProcess.DETOURS + "=" + detours(name),
-                (relay == null ? Main.class : RigProcess.class).getName(),
+                "-D" + FixtureProcess.DETOURS + "=" + detours(name),
+                (relay == null ? Main.class : FixtureProcess.class).getName(),
                 pilots.contains(name) ? "pilot" : "harbour");
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -220,7 +220,7 @@
     }
 
     /** What stands in all lines. */
-    public LineRelay relay() {
+    public ConnectionRelay relay() {
         return relay;
     }
 
@@ -368,7 +368,7 @@
     }
 
     /** Orders there; who is sent elsewhere goes there, as operators do. */
-    public Http.Message modify(String harbour, String json) throws IOException {
+    public RawHttpClient.Message modify(String harbour, String json) throws IOException {
         return operate(harbour, "POST", "/cypressweir/config/modify", json.replace('\'', '"'));
     }
 
@@ -384,8 +384,8 @@
         }
     }
 
-    private Http.Message operate(String harbour, String method, String path, String body) throws IOException {
-        Http.Message answer = call(harbour, CONTROL, method, path, "", body);
+    private RawHttpClient.Message operate(String harbour, String method, String path, String body) throws IOException {
+        RawHttpClient.Message answer = call(harbour, CONTROL, method, path, "", body);
         for (int i = 0; i < REDIRECTS && answer.status() == 307; i++) {
             URI to = URI.create(answer.headers().get("Location"));
             answer = call(harbour, new InetSocketAddress(to.getHost(), to.getPort()), method, to.getPath(), "", body);
@@ -398,17 +398,17 @@
         await(harbour + " takes " + json, () -> modify(harbour, json).status() == 200);
     }
 
-    public Http.Message read(String harbour) throws IOException {
+    public RawHttpClient.Message read(String harbour) throws IOException {
         return operate(harbour, "GET", "/cypressweir/config/read", "");
     }
 
     /** What that harbour itself answers, also where it sends on. */
-    public Http.Message firstAnswer(String harbour) throws IOException {
+    public RawHttpClient.Message firstAnswer(String harbour) throws IOException {
         return call(harbour, CONTROL, "GET", "/cypressweir/config/read", "", "");
     }
 
     /** What a process tells of itself. */
-    public Http.Message state(String name) throws IOException {
+    public RawHttpClient.Message state(String name) throws IOException {
         return call(name, CONTROL, "GET", "/cypressweir/state", "", "");
     }
 
@@ -417,28 +417,29 @@
     }
 
     /** One request of a client on a connection of its own; without a key for null. */
-    public Http.Message request(String pilot, String host, String path, String key) throws IOException {
+    public RawHttpClient.Message request(String pilot, String host, String path, String key) throws IOException {
         return request(pilot, host, path, key, id());
     }
 
-    public Http.Message request(String pilot, String host, String path, String key, String id) throws IOException {
+    public RawHttpClient.Message request(String pilot, String host, String path, String key, String id)
+            throws IOException {
         return call(
                 pilot,
                 OUTBOUND,
                 "POST",
                 path,
-                "Host: " + host + "\r\n" + Ships.ID + ": " + id + "\r\n"
+                "Host: " + host + "\r\n" + ApplicationStubs.ID + ": " + id + "\r\n"
                         + (key == null ? "" : "Cypressweir-Key: " + key + "\r\n"),
                 "of " + id);
     }
 
     /** @throws ConnectException where nobody listens: nothing was sent */
-    private Http.Message call(String name, int port, String method, String path, String headers, String body)
+    private RawHttpClient.Message call(String name, int port, String method, String path, String headers, String body)
             throws IOException {
         return call(name, new InetSocketAddress(ips.get(name), port), method, path, headers, body);
     }
 
-    private Http.Message call(
+    private RawHttpClient.Message call(
             String name, InetSocketAddress to, String method, String path, String headers, String body)
             throws IOException {
         try (Socket socket = new Socket()) {
@@ -450,7 +451,7 @@
                         .write((method + " " + path + " HTTP/1.1\r\n" + host + headers
                                         + "Connection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                Http.Message answer = Http.read(socket.getInputStream());
+                RawHttpClient.Message answer = RawHttpClient.read(socket.getInputStream());
                 if (answer == null) {
                     throw new IOException("closed");
                 }
@@ -464,7 +465,7 @@
     @Override
     public void close() throws IOException {
         looks.shutdownNow();
-        for (Ships ship : ships.values()) {
+        for (ApplicationStubs ship : ships.values()) {
             ship.close();
         }
         processes.values().forEach(Process::destroyForcibly);
--- a/src/test/java/larkbank/testkit/OperatorChecks.java
+++ b/src/test/java/org/cypressweir/testkit/OperatorChecks.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/larkbank/testkit/Stub.java
+++ b/src/test/java/org/cypressweir/testkit/PeerStub.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Assertions;
 
 /** A scripted peer on a free loopback port: each test says what it does with a request. */
-public final class Stub implements AutoCloseable {
+public final class PeerStub implements AutoCloseable {
 
     /** A request as it came, and the connection that it came on. */
-    public record Seen(Http.Message request, Socket socket) {
+    public record Seen(RawHttpClient.Message request, Socket socket) {
         public void reply(String status, String headers, String body) throws IOException {
             raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
@@ -49,12 +49,12 @@
     private volatile Script script;
     private volatile int idleMillis;
 
-    public Stub(Script script) throws IOException {
+    public PeerStub(Script script) throws IOException {
         this(script, 50);
     }
 
     /** With room for so many connections that have come up and not been accepted. */
-    public Stub(Script script, int backlog) throws IOException {
+    public PeerStub(Script script, int backlog) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
         accepting = daemon(this::accept);
@@ -120,7 +120,7 @@
     private void talk(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (Http.Message m; (m = Http.read(in)) != null; ) {
+            for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
                 Seen next = new Seen(m, socket);
                 seen.add(next);
                 script.on(next);
--- a/src/test/java/larkbank/testkit/Planted.java
+++ b/src/test/java/org/cypressweir/testkit/PlantedFault.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -17,7 +17,7 @@
  * A package of the program with a fault planted in it: its sources are copied, one text is replaced, and what
  * is compiled of them goes before the program's own classes.
  */
-public final class Planted extends ClassLoader {
+public final class PlantedFault extends ClassLoader {
 
     private final Path classes;
     private final Predicate<String> anew;
@@ -27,9 +27,9 @@
      * @param file the one that is changed; the text must be in it, once; white space does not count
      * @param anew which further classes are loaded anew, so that they use the changed ones
      */
-    public Planted(Path folder, Path sources, String file, String text, String instead, Predicate<String> anew)
+    public PlantedFault(Path folder, Path sources, String file, String text, String instead, Predicate<String> anew)
             throws IOException {
-        super(Planted.class.getClassLoader());
+        super(PlantedFault.class.getClassLoader());
         this.anew = anew;
         classes = folder.resolve("classes");
         Path copies = Files.createDirectories(folder.resolve("sources"));
--- a/src/test/java/larkbank/testkit/Http.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
-public final class Http {
+public final class RawHttpClient {
 
-    private Http() {}
+    private RawHttpClient() {}
 
     public record Message(String first, Map<String, String> headers, String body) {
         public int status() {
--- a/src/test/java/larkbank/testkit/Crew.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -21,14 +21,14 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import larkbank.Json;
+import org.cypressweir.common.util.Json;
 import org.junit.jupiter.api.Assertions;
 
 /**
  * Several processes of the program, each as {@code serve} runs it, with a relay between what they send each
  * other, servers and a discovery that they share. Each keeps a record of what it sees.
  */
-public final class Crew implements AutoCloseable {
+public final class SidecarProcesses implements AutoCloseable {
 
     /** Something that a process has seen. */
     public record Event(String process, long mono, String event, String about, String text) {}
@@ -48,22 +48,23 @@
         long pid;
     }
 
-    public final Relay relay;
-    public final Stub discovery;
+    public final DatagramRelay relay;
+    public final PeerStub discovery;
     private final Path folder;
     private final long pauseMillis;
     private final List<Hand> hands = new ArrayList<>();
-    private final Stub[] servers;
+    private final PeerStub[] servers;
     private final Pace pace = new Pace();
     private UnaryOperator<String> operators = text -> text;
     private UnaryOperator<String> configs = text -> text;
     private int seeds = 2;
 
-    public Crew(Path folder, long seed, int members, long pauseMillis, Stub... servers) throws IOException {
+    public SidecarProcesses(Path folder, long seed, int members, long pauseMillis, PeerStub... servers)
+            throws IOException {
         this.folder = folder;
         this.pauseMillis = pauseMillis;
         this.servers = servers;
-        discovery = new Stub(Stub.SILENT);
+        discovery = new PeerStub(PeerStub.SILENT);
         for (int i = 0; i < members; i++) {
             Hand hand = new Hand();
             hand.front = freePort();
@@ -71,7 +72,7 @@
             hand.udp = freePort();
             hands.add(hand);
         }
-        relay = new Relay(seed, hands.stream().map(h -> h.udp).toList());
+        relay = new DatagramRelay(seed, hands.stream().map(h -> h.udp).toList());
     }
 
     /** One that the system gives to nobody else meanwhile: below those that it hands out for connections. */
@@ -172,7 +173,7 @@
                 "-Xmx80m",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "larkbank.Main",
+                "org.cypressweir.sidecar.Main",
                 "serve",
                 "--operators",
                 operators.toString());
--- a/src/test/java/larkbank/testkit/CopiesWorld.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -11,26 +11,26 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import larkbank.copies.Change;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Effect;
-import larkbank.copies.Member;
-import larkbank.copies.ProposalResult;
-import larkbank.copies.Standing;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Order;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.PersistentState;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.controlplane.consensus.ReplicaKey;
+import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /** Harbours with disks and a network in made-up time, all drawn from one number. */
-public final class CopiesWorld {
+public final class SimulatedReplicas {
 
     private static final long TICK = 50_000;
 
     /** A harbour's process and disk. */
     public final class Harbour {
         final String address;
-        Copies copies;
-        Standing disk;
+        ConsensusReplica copies;
+        PersistentState disk;
         long life;
         boolean initial;
         private Effect.Write writing;
@@ -43,7 +43,7 @@
             this.address = address;
         }
 
-        public Copies copies() {
+        public ConsensusReplica copies() {
             return copies;
         }
 
@@ -51,7 +51,7 @@
             return address;
         }
 
-        public Standing disk() {
+        public PersistentState disk() {
             return disk;
         }
 
@@ -70,7 +70,7 @@
     public List<String> seeds;
 
     private final Set<List<String>> cuts = new HashSet<>();
-    private final CopiesChecks checks = new CopiesChecks();
+    private final ConsensusChecks checks = new ConsensusChecks();
     private final Map<Long, ProposalResult> verdicts = new LinkedHashMap<>();
     private final Set<String> rounds = new HashSet<>();
     private long now = 1_000_000_000;
@@ -90,7 +90,7 @@
     public long mostDelay = 2_000;
     public long mostWrite = 4_000;
 
-    public CopiesWorld(long seed, int count) {
+    public SimulatedReplicas(long seed, int count) {
         random = new SplittableRandom(seed);
         List<String> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
@@ -108,7 +108,7 @@
         return now;
     }
 
-    public CopiesChecks checks() {
+    public ConsensusChecks checks() {
         return checks;
     }
 
@@ -134,8 +134,8 @@
         Harbour harbour = harbours.computeIfAbsent(address, Harbour::new);
         harbour.life = ++lives - behind;
         harbour.initial = initial;
-        harbour.copies = new Copies(
-                CopiesPlan.usual(), address, seeds, initial, harbour.disk, harbour.life, random.split(), now);
+        harbour.copies = new ConsensusReplica(
+                ConsensusOptions.usual(), address, seeds, initial, harbour.disk, harbour.life, random.split(), now);
         checks.started(address);
         act(harbour, harbour.copies.start(now));
         long life = harbour.life;
@@ -148,7 +148,7 @@
     }
 
     /** A process starts with a disk that it had before. */
-    public Harbour start(int i, Standing disk) {
+    public Harbour start(int i, PersistentState disk) {
         harbour(i).disk = disk;
         return start(i);
     }
@@ -182,7 +182,7 @@
     }
 
     /** What the harbour's disk is about to write, or null. */
-    public Change writing(Harbour harbour) {
+    public StorageUpdate writing(Harbour harbour) {
         return harbour.writing == null ? null : harbour.writing.change();
     }
 
@@ -253,7 +253,7 @@
     }
 
     private void send(Harbour from, Effect.Send send) {
-        Map<String, Object> message = Plain.map(send.message());
+        Map<String, Object> message = JsonCopy.map(send.message());
         if (!String.valueOf(message.get("t")).startsWith("copies.")) {
             throw new AssertionError(message.toString());
         }
@@ -262,9 +262,9 @@
             rounds.add(String.valueOf(message.get("b")));
         }
         String member = from.copies.own();
-        String address = Member.address(send.to());
+        String address = ReplicaKey.address(send.to());
         if (address.equals(weighed)) {
-            bytes += Scribe.bytes(send.message()).length;
+            bytes += JsonCodec.bytes(send.message()).length;
         }
         int times = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
         for (int i = 0; i < times; i++) {
@@ -282,7 +282,8 @@
         if (!harbour.up()) {
             return -1;
         }
-        Order order = Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
+        ConfigurationChange order =
+                ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
         long ticket = ++tickets;
         checks.sent(ticket, order);
         act(harbour, harbour.copies.submit(now, ticket, order, now + patience));
--- a/src/test/java/larkbank/testkit/ThreeCopies.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -8,22 +8,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.copies.Copies;
-import larkbank.copies.CopiesPlan;
-import larkbank.copies.Effect;
-import larkbank.copies.ProposalResult;
-import larkbank.hold.Store;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Order;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.consensus.ConsensusOptions;
+import org.cypressweir.controlplane.consensus.ConsensusReplica;
+import org.cypressweir.controlplane.consensus.Effect;
+import org.cypressweir.controlplane.consensus.ProposalResult;
+import org.cypressweir.controlplane.storage.Store;
 
 /** Three copies with stores, where all comes at once and in order. Counts what is sent and written. */
-public final class ThreeCopies {
+public final class ThreeReplicas {
 
     private static final int COUNT = 3;
     private static final long TICK = 50_000;
     private static final long PATIENCE = 60_000_000;
 
-    private final Copies[] copies = new Copies[COUNT];
+    private final ConsensusReplica[] copies = new ConsensusReplica[COUNT];
     private final List<Store> stores;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private final Map<Long, ProposalResult> verdicts = new HashMap<>();
@@ -33,12 +33,12 @@
     private long messages;
     private long writes;
 
-    public ThreeCopies(List<Store> stores) {
+    public ThreeReplicas(List<Store> stores) {
         this.stores = stores;
         List<String> all = List.of("h1", "h2", "h3");
         for (int i = 0; i < COUNT; i++) {
-            copies[i] =
-                    new Copies(CopiesPlan.usual(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
+            copies[i] = new ConsensusReplica(
+                    ConsensusOptions.usual(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
             act(i, copies[i].start(now));
         }
         settle();
@@ -62,9 +62,10 @@
     /** A change, or a read for null, at the first copy. */
     public ProposalResult submit(String body) {
         long ticket = ++tickets;
-        Order order = body == null
+        ConfigurationChange order = body == null
                 ? null
-                : Order.read(body.getBytes(StandardCharsets.UTF_8)).get();
+                : ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8))
+                        .get();
         act(0, copies[0].submit(now, ticket, order, now + PATIENCE));
         settle();
         for (int i = 0; i < 200 && !verdicts.containsKey(ticket); i++) {
@@ -78,8 +79,8 @@
             if (effect instanceof Effect.Send send) {
                 int to = send.to().charAt(1) - '1';
                 messages++;
-                sentBytes += Scribe.bytes(send.message()).length;
-                Map<String, Object> message = Plain.map(send.message());
+                sentBytes += JsonCodec.bytes(send.message()).length;
+                Map<String, Object> message = JsonCopy.map(send.message());
                 waiting.add(() -> act(to, copies[to].received(now, "h" + (i + 1), message)));
             } else if (effect instanceof Effect.Write write) {
                 writes++;
--- a/src/test/java/larkbank/testkit/Ws.java
+++ b/src/test/java/org/cypressweir/testkit/WebSocketClient.java
@@ -1,4 +1,4 @@
-package larkbank.testkit;
+package org.cypressweir.testkit;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -12,7 +12,7 @@
 import java.util.Base64;
 
 /** One end of a WebSocket, byte by byte, so that a test can do what no library would. */
-public final class Ws {
+public final class WebSocketClient {
 
     /** The key that RFC 6455 uses in its example, section 1.2. */
     public static final String KEY = "dGhlIHNhbXBsZSBub25jZQ==";
@@ -34,7 +34,7 @@
         }
     }
 
-    public Ws(Socket socket, boolean isClient) throws IOException {
+    public WebSocketClient(Socket socket, boolean isClient) throws IOException {
         this.socket = socket;
         this.isClient = isClient;
         in = new DataInputStream(socket.getInputStream());
@@ -58,15 +58,15 @@
     }
 
     /** Takes a request for an upgrade and goes over. */
-    public static Ws agree(Stub.Seen seen, String more) throws IOException {
+    public static WebSocketClient agree(PeerStub.Seen seen, String more) throws IOException {
         seen.raw(agreed(seen.request().headers().get("Sec-WebSocket-Key"), more));
-        return new Ws(seen.socket(), false);
+        return new WebSocketClient(seen.socket(), false);
     }
 
     /** A server that sends each message back and answers pings and closes. */
-    public static Stub.Script echo() {
+    public static PeerStub.Script echo() {
         return seen -> {
-            Ws ws = agree(seen, "");
+            WebSocketClient ws = agree(seen, "");
             for (Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
@@ -115,21 +115,21 @@
         return payload;
     }
 
-    public Ws raw(byte[] bytes) throws IOException {
+    public WebSocketClient raw(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         socket.getOutputStream().flush();
         return this;
     }
 
-    public Ws send(int opcode, boolean last, byte[] payload) throws IOException {
+    public WebSocketClient send(int opcode, boolean last, byte[] payload) throws IOException {
         return raw(frame(isClient, (last ? 0x80 : 0) | opcode, payload));
     }
 
-    public Ws text(String text) throws IOException {
+    public WebSocketClient text(String text) throws IOException {
         return send(1, true, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    public Ws close(int code) throws IOException {
+    public WebSocketClient close(int code) throws IOException {
         return send(8, true, closing(code, ""));
     }
 
