--- a/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
@@ -32,21 +32,22 @@
         Histogram gaps = new Histogram(600_000, 3);
         long acts = 0;
         for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
-            Path folder = Files.createTempDirectory("crew");
+            Path folder = Files.createTempDirectory("processes");
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                    SidecarProcesses crew = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
-                crew.seeds(3);
-                String keepers =
-                        IntStream.range(0, 3).mapToObj(k -> address(crew, k)).collect(Collectors.joining(", "));
-                crew.operators(text ->
+                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
+                processes.seeds(3);
+                String keepers = IntStream.range(0, 3)
+                        .mapToObj(k -> address(processes, k))
+                        .collect(Collectors.joining(", "));
+                processes.operators(text ->
                         text + "[keepers]\naddresses = [" + keepers + "]\n[leases.job]\nterm = \"" + TERM + "ms\"\n");
                 for (int i = 0; i < members; i++) {
-                    crew.start(i);
+                    processes.start(i);
                 }
-                try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
+                try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
                     SplittableRandom random = new SplittableRandom(seed);
                     for (int fault = 0; fault < Integer.parseInt(parts[1]); fault++) {
-                        fault(crew, actors, random, gaps);
+                        fault(processes, actors, random, gaps);
                     }
                     acts += actors.count();
                 }
@@ -66,54 +67,54 @@
                 gaps.getMaxValue()));
     }
 
-    private static String address(SidecarProcesses crew, int place) {
+    private static String address(SidecarProcesses processes, int place) {
         try {
-            return "\"127.0.0.1:" + crew.relay.port(place) + "\"";
+            return "\"127.0.0.1:" + processes.relay.port(place) + "\"";
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void fault(SidecarProcesses crew, LeaseHolders actors, SplittableRandom random, Histogram gaps)
+    private static void fault(SidecarProcesses processes, LeaseHolders actors, SplittableRandom random, Histogram gaps)
             throws Exception {
-        for (int i = 0; i < crew.size(); i++) {
+        for (int i = 0; i < processes.size(); i++) {
             int who = i;
-            crew.within(STARTED, "ready", () -> crew.ask(who, "READY").startsWith("YES"));
+            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").startsWith("YES"));
         }
         // Whoever started anew may be a keeper, and has to wait and to learn.
         TimeUnit.MILLISECONDS.sleep(2 * TERM);
-        crew.within(STARTED, "held", () -> !actors.holder().isEmpty());
+        processes.within(STARTED, "held", () -> !actors.holder().isEmpty());
         int holder = Integer.parseInt(actors.holder().substring(1));
         int kind = random.nextInt(7);
         if (random.nextInt(3) == 0) {
-            crew.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM, 0));
+            processes.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM, 0));
         }
         switch (kind) {
-            case 0 -> crew.signal(holder, "STOP");
-            case 1 -> crew.kill(holder);
-            case 2 -> crew.relay.cut((from, to) -> to != holder);
-            case 3 -> crew.relay.cut((from, to) -> from != holder);
-            case 4 -> crew.relay.cut((from, to) -> (from == holder) == (to == holder));
-            case 5 -> crew.ask(holder, "DRAIN");
-            default -> crew.process(holder).destroy();
+            case 0 -> processes.signal(holder, "STOP");
+            case 1 -> processes.kill(holder);
+            case 2 -> processes.relay.cut((from, to) -> to != holder);
+            case 3 -> processes.relay.cut((from, to) -> from != holder);
+            case 4 -> processes.relay.cut((from, to) -> (from == holder) == (to == holder));
+            case 5 -> processes.ask(holder, "DRAIN");
+            default -> processes.process(holder).destroy();
         }
-        long took = crew.within(
+        long took = processes.within(
                 10 * TERM, "another holds, fault " + kind, () -> actors.actsBesides(SidecarProcesses.name(holder)));
         gaps.recordValue(took);
         TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM));
-        crew.relay.weather(DatagramRelay.Weather.FAIR);
+        processes.relay.weather(DatagramRelay.Weather.FAIR);
         switch (kind) {
-            case 0 -> crew.signal(holder, "CONT");
-            case 1 -> crew.start(holder);
-            case 5 -> crew.ask(holder, "UNDRAIN");
+            case 0 -> processes.signal(holder, "CONT");
+            case 1 -> processes.start(holder);
+            case 5 -> processes.ask(holder, "UNDRAIN");
             case 6 -> {
-                crew.process(holder).waitFor();
-                crew.start(holder);
+                processes.process(holder).waitFor();
+                processes.start(holder);
             }
-            default -> crew.relay.cut((from, to) -> true);
+            default -> processes.relay.cut((from, to) -> true);
         }
         if (!actors.wrong().isEmpty()) {
-            throw new AssertionError(actors.wrong() + "\n" + crew.logs());
+            throw new AssertionError(actors.wrong() + "\n" + processes.logs());
         }
     }
 }
--- a/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
@@ -38,12 +38,12 @@
         }
         for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
             long begun = System.nanoTime();
-            Path folder = Files.createTempDirectory("crew");
+            Path folder = Files.createTempDirectory("processes");
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                    SidecarProcesses crew = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
-                int[] all = start(crew, members);
-                crew.within(120_000, "all see all", () -> crew.see(members, all));
-                FaultSchedule plan = new FaultSchedule(crew, PAUSE);
+                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
+                int[] all = start(processes, members);
+                processes.within(120_000, "all see all", () -> processes.see(members, all));
+                FaultSchedule plan = new FaultSchedule(processes, PAUSE);
                 for (FaultSchedule.Step step : FaultSchedule.draw(seed, members, steps, PAUSE)) {
                     plan.play(step);
                 }
@@ -55,40 +55,41 @@
         }
     }
 
-    private static int[] start(SidecarProcesses crew, int members) throws Exception {
+    private static int[] start(SidecarProcesses processes, int members) throws Exception {
         int[] all = IntStream.range(0, members).toArray();
         for (int i : all) {
-            crew.start(i);
+            processes.start(i);
         }
         return all;
     }
 
     /** Processor and memory of a process that has nothing else to do. */
     private static void cost(int members, boolean on) throws Exception {
-        Path folder = Files.createTempDirectory("crew");
+        Path folder = Files.createTempDirectory("processes");
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                SidecarProcesses crew = new SidecarProcesses(folder, 1, members, 3 * PAUSE, server)) {
+                SidecarProcesses processes = new SidecarProcesses(folder, 1, members, 3 * PAUSE, server)) {
             if (!on) {
-                crew.operators(text -> text.substring(0, text.indexOf("[membership]")));
+                processes.operators(text -> text.substring(0, text.indexOf("[membership]")));
             }
-            int[] all = start(crew, members);
+            int[] all = start(processes, members);
             for (int i : all) {
-                crew.within(120_000, "ready", () -> crew.ask(i, "READY").equals("YES\n"));
+                processes.within(
+                        120_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
             }
             if (on) {
-                crew.within(60_000, "all see all", () -> crew.see(members, all));
+                processes.within(60_000, "all see all", () -> processes.see(members, all));
             }
             TimeUnit.SECONDS.sleep(COST_SECONDS);
-            long[] before = IntStream.of(all).mapToLong(i -> cpu(crew, i)).toArray();
+            long[] before = IntStream.of(all).mapToLong(i -> cpu(processes, i)).toArray();
             TimeUnit.SECONDS.sleep(COST_SECONDS);
             double[] cpu = IntStream.of(all)
-                    .mapToDouble(i -> (cpu(crew, i) - before[i]) / 1e7 / COST_SECONDS)
+                    .mapToDouble(i -> (cpu(processes, i) - before[i]) / 1e7 / COST_SECONDS)
                     .sorted()
                     .toArray();
             long[] heap = new long[members];
             long[] memory = new long[members];
             for (int i : all) {
-                long pid = crew.process(i).pid();
+                long pid = processes.process(i).pid();
                 memory[i] = sum("VmRSS:\\s+(\\d+)", Files.readString(Path.of("/proc/" + pid + "/status")));
                 // What lives on after a full collection is what it keeps.
                 jcmd(pid, "GC.run");
@@ -131,8 +132,8 @@
                 .sum();
     }
 
-    private static long cpu(SidecarProcesses crew, int i) {
-        return crew.process(i).info().totalCpuDuration().orElseThrow().toNanos();
+    private static long cpu(SidecarProcesses processes, int i) {
+        return processes.process(i).info().totalCpuDuration().orElseThrow().toNanos();
     }
 
     static void delete(Path folder) throws IOException {
--- a/src/bench/java/org/cypressweir/simulation/MembershipBench.java
+++ b/src/bench/java/org/cypressweir/simulation/MembershipBench.java
@@ -180,7 +180,7 @@
     }
 
     private static Fleet swim(int n, long seed) {
-        SimulatedNetwork<PlainSwim.Said> net = new SimulatedNetwork<>(seed);
+        SimulatedNetwork<PlainSwim.SwimMessage> net = new SimulatedNetwork<>(seed);
         PlainSwim.Verdict[] ear = {(by, member, out) -> {}};
         PlainSwim[] all = new PlainSwim[n];
         for (int i = 0; i < n; i++) {
--- a/src/bench/java/org/cypressweir/simulation/PlainSwim.java
+++ b/src/bench/java/org/cypressweir/simulation/PlainSwim.java
@@ -13,10 +13,10 @@
  * shuffled order, by way of three others if it does not answer, and put out a fixed time after it was
  * suspected. A sleeper does not know that it slept, and one accuser is enough.
  */
-final class PlainSwim implements SimulatedNetwork.Process<PlainSwim.Said> {
+final class PlainSwim implements SimulatedNetwork.Process<PlainSwim.SwimMessage> {
 
     /** A message: what it is, its question, whom it is about, and news as member, state and incarnation. */
-    record Said(int kind, int from, long number, int target, List<int[]> news) {}
+    record SwimMessage(int kind, int from, long number, int target, List<int[]> news) {}
 
     /** Hears of verdicts. */
     interface Verdict {
@@ -32,7 +32,7 @@
     private static final int HELPERS = 3;
     private static final int RIDERS = 8;
 
-    private final SimulatedNetwork<Said> net;
+    private final SimulatedNetwork<SwimMessage> net;
     private final int self;
     private final long period;
     private final long suspicion;
@@ -56,7 +56,7 @@
     private long bytes;
 
     PlainSwim(
-            SimulatedNetwork<Said> net,
+            SimulatedNetwork<SwimMessage> net,
             int self,
             int members,
             long period,
@@ -96,7 +96,7 @@
             }
         }
         bytes += 75 + 20L * news.size();
-        net.send(self, to, new Said(kind, self, number, target, news));
+        net.send(self, to, new SwimMessage(kind, self, number, target, news));
     }
 
     private void tell(int member, int what, int inc) {
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void receive(long now, Said m) {
+    public void receive(long now, SwimMessage m) {
         m.news().forEach(n -> set(now, n[0], n[1], n[2]));
         if (state[m.from()] == DEAD) {
             tell(m.from(), DEAD, incarnation[m.from()]);
--- a/src/bench/java/org/cypressweir/simulation/SharesBench.java
+++ b/src/bench/java/org/cypressweir/simulation/SharesBench.java
@@ -26,7 +26,7 @@
     private static final String[] WAYS = {"count for ever", "own view", "most electors"};
 
     private final int n;
-    private final MembershipSimulation fellows;
+    private final MembershipSimulation simulation;
     private final SimulatedNetwork<MembershipMessage> net;
     private final ShareRequester[] portions;
     private final IntToDoubleFunction[] parts;
@@ -37,13 +37,13 @@
 
     private SharesBench(int n, long seed) {
         this.n = n;
-        fellows = new MembershipSimulation(seed, n, 5, PAUSE);
-        fellows.startTogether();
+        simulation = new MembershipSimulation(seed, n, 5, PAUSE);
+        simulation.startTogether();
         net = new SimulatedNetwork<>(seed);
         portions = new ShareRequester[n];
         left = new double[n][WAYS.length];
         stoppedAt = new long[n];
-        ShareOptions plan = fellows.plan().sharing(2 * n, LINGER).shares();
+        ShareOptions plan = simulation.plan().sharing(2 * n, LINGER).shares();
         for (int i = 0; i < n; i++) {
             int place = net.place();
             InetSocketAddress own = MembershipSimulation.address(place);
@@ -71,14 +71,14 @@
             });
         }
         parts = new IntToDoubleFunction[] {
-            i -> 1.0 / n, i -> 1.0 / fellows.get(i).core().live(), i -> portions[i].part(net.now())
+            i -> 1.0 / n, i -> 1.0 / simulation.get(i).core().live(), i -> portions[i].part(net.now())
         };
     }
 
     private void run(long micros) {
         for (long until = net.now() + micros; net.now() < until; ) {
             net.run(net.now() + LOOK);
-            fellows.run(LOOK);
+            simulation.run(LOOK);
             now = new double[WAYS.length];
             for (int i = 0; i < n; i++) {
                 for (int way = 0; way < WAYS.length && net.runs(i); way++) {
@@ -93,9 +93,9 @@
         }
     }
 
-    private void cut(SimulatedNetwork.Cut cut) {
+    private void cut(SimulatedNetwork.Partition cut) {
         net.cut(cut);
-        fellows.net.cut(cut);
+        simulation.net.cut(cut);
     }
 
     private void stand(int i) {
@@ -104,13 +104,13 @@
         }
         stoppedAt[i] = net.now();
         net.stop(i);
-        fellows.net.stop(i);
+        simulation.net.stop(i);
     }
 
     private void go(int i) {
         stoppedAt[i] = 0;
         net.go(i);
-        fellows.net.go(i);
+        simulation.net.go(i);
     }
 
     /** What each fault brings at most, and what is used at its end, by way. */
@@ -134,7 +134,7 @@
         spells.add(spell(40 * SECOND));
         for (int i = n / 2; i < n; i++) {
             net.kill(i);
-            fellows.net.kill(i);
+            simulation.net.kill(i);
         }
         spells.add(spell(40 * SECOND));
         return spells;
--- a/src/main/java/org/cypressweir/fleet/FleetCoordination.java
+++ b/src/main/java/org/cypressweir/fleet/FleetCoordination.java
@@ -37,7 +37,7 @@
 
     /** Lists of servers that processes lend each other. */
     interface Lists {
-        Lending.Shelf shelf();
+        Lending.EndpointListSource shelf();
 
         /** Whether discovery has told this process anything; until then it borrows. */
         boolean told();
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
@@ -29,7 +29,7 @@
     private static final long MOST_ROUND = 500_000;
 
     /** A question of one round and who has said yes and no to it. */
-    private static final class Round {
+    private static final class AcquisitionAttempt {
         final long askedAt;
         final long token;
         final Set<InetSocketAddress> yes = new HashSet<>();
@@ -38,13 +38,13 @@
         /** Until when those that refused grant it to another. */
         final Map<InetSocketAddress, Long> takenUntil = new HashMap<>();
 
-        Round(long askedAt, long token) {
+        AcquisitionAttempt(long askedAt, long token) {
             this.askedAt = askedAt;
             this.token = token;
         }
 
-        Round copy() {
-            Round copy = new Round(askedAt, token);
+        AcquisitionAttempt copy() {
+            AcquisitionAttempt copy = new AcquisitionAttempt(askedAt, token);
             copy.yes.addAll(yes);
             copy.no.putAll(no);
             copy.takenUntil.putAll(takenUntil);
@@ -70,11 +70,11 @@
     private final LongUnaryOperator draw;
     private final Out out;
     private LeaseOptions plan;
-    private final Map<Long, Round> rounds = new HashMap<>();
+    private final Map<Long, AcquisitionAttempt> rounds = new HashMap<>();
     /** The number of the last question; rises within a life. */
     private long number;
     /** The round of a claim that is under way; null for none. */
-    private Round claim;
+    private AcquisitionAttempt claim;
 
     private long token;
     /** When what each keeper has granted last, under this token, was asked. */
@@ -178,7 +178,7 @@
 
     /** What an answer to that question would be taken for. */
     void state(long now, long question, StateText text) {
-        Round round = rounds.get(question);
+        AcquisitionAttempt round = rounds.get(question);
         text.add("late", round == null ? -1 : now - round.askedAt, round == claim ? 1 : 0);
         text.token(round == null ? 0 : round.token);
     }
@@ -264,8 +264,8 @@
         }
     }
 
-    private Round ask(long now, long wanted) {
-        Round round = new Round(now, wanted);
+    private AcquisitionAttempt ask(long now, long wanted) {
+        AcquisitionAttempt round = new AcquisitionAttempt(now, wanted);
         rounds.put(++number, round);
         rounds.remove(number - ROUNDS);
         out.tell(LeaseMessage.of(Kind.ASK, lease, holder, wanted, number, term(), plan.set()));
@@ -277,7 +277,7 @@
         if (!w.holder().equals(holder) && w.kind() == Kind.YES) {
             return;
         }
-        Round round = rounds.get(w.number());
+        AcquisitionAttempt round = rounds.get(w.number());
         if (round == null) {
             return;
         }
@@ -307,7 +307,7 @@
         }
     }
 
-    private void granted(long now, InetSocketAddress keeper, Round round) {
+    private void granted(long now, InetSocketAddress keeper, AcquisitionAttempt round) {
         round.yes.add(keeper);
         if (round == claim) {
             if (plan.most(round.yes) && now < round.askedAt + term()) {
@@ -344,7 +344,7 @@
     }
 
     /** Whether most keepers say that this one holds: a grant of one or two may be given back any moment. */
-    private boolean named(Round round, String who) {
+    private boolean named(AcquisitionAttempt round, String who) {
         Set<InetSocketAddress> by = new HashSet<>();
         round.no.forEach((keeper, named) -> {
             if (named.equals(who)) {
@@ -355,7 +355,7 @@
     }
 
     /** When most keepers will be free, as those that answered say; long past where they are. */
-    private long mostFreeAt(Round round) {
+    private long mostFreeAt(AcquisitionAttempt round) {
         long best = Long.MAX_VALUE;
         for (long at : round.takenUntil.values()) {
             Set<InetSocketAddress> by = new HashSet<>(round.yes);
@@ -370,14 +370,14 @@
     }
 
     /** Whether most can't say yes any more. */
-    private boolean refused(Round round) {
+    private boolean refused(AcquisitionAttempt round) {
         Set<InetSocketAddress> left = new HashSet<>(plan.all());
         left.removeAll(round.no.keySet());
         return !plan.most(left);
     }
 
     /** Whether answers of most have come, whatever they say. */
-    private boolean answered(Round round) {
+    private boolean answered(AcquisitionAttempt round) {
         Set<InetSocketAddress> all = new HashSet<>(round.yes);
         all.addAll(round.no.keySet());
         return plan.most(all);
--- a/src/main/java/org/cypressweir/fleet/membership/Lending.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Lending.java
@@ -24,7 +24,7 @@
 public final class Lending {
 
     /** What this process can lend. */
-    public interface Shelf {
+    public interface EndpointListSource {
         /** Of its newest list; below 0 while it has none whole. */
         long revision();
 
@@ -67,7 +67,7 @@
 
     private record Offer(Peer from, long revision, int pages, long age) {}
 
-    private final Shelf shelf;
+    private final EndpointListSource shelf;
     private final BiConsumer<InetSocketAddress, MembershipMessage> out;
     private final Consumer<Loan> borrowed;
     private final SplittableRandom random;
@@ -97,7 +97,10 @@
     private long heardAt;
 
     public Lending(
-            long seed, Shelf shelf, BiConsumer<InetSocketAddress, MembershipMessage> out, Consumer<Loan> borrowed) {
+            long seed,
+            EndpointListSource shelf,
+            BiConsumer<InetSocketAddress, MembershipMessage> out,
+            Consumer<Loan> borrowed) {
         this.shelf = shelf;
         this.out = out;
         this.borrowed = borrowed;
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
@@ -63,7 +63,7 @@
     private final MonitoringRings.Cache cache;
     private final MemberTable roster = new MemberTable();
     private final FailureReports reports = new FailureReports();
-    private final UpdateDisseminator herald = new UpdateDisseminator();
+    private final UpdateDisseminator disseminator = new UpdateDisseminator();
     private final NameConflicts contests = new NameConflicts();
     private final MonitoredPeers links;
     private final SuspicionTable verdicts;
@@ -82,10 +82,10 @@
 
     private long askingSince;
 
-    private record Told(long until, String by) {}
+    private record RemovalNotice(long until, String by) {}
 
     /** Ends told by others, which hold unless the member itself says otherwise by then. */
-    private final Map<String, Told> condemned = new TreeMap<>();
+    private final Map<String, RemovalNotice> condemned = new TreeMap<>();
     /** Those that ask to be let in, and since when. */
     private final Map<String, Long> candidates = new TreeMap<>();
     /** Members found while they could not be reached over neighbours, and until when that counts. */
@@ -259,7 +259,7 @@
         }
         targets(now);
         ask(now);
-        if (herald.hasFresh()) {
+        if (disseminator.hasFresh()) {
             push(now);
         }
         if (now >= sweepAt) {
@@ -308,7 +308,7 @@
         if (late > plan.periodMicros() / 2) {
             links.slept(now, late);
             verdicts.slept(late);
-            condemned.replaceAll((name, told) -> new Told(told.until + late, told.by));
+            condemned.replaceAll((name, told) -> new RemovalNotice(told.until + late, told.by));
             if (late > plan.graceMicros()) {
                 actions.log("stood still for " + late / 1_000 + " ms");
             }
@@ -363,7 +363,7 @@
         if (m.kind() == Kind.ACK && contests.answers(from.name(), m.number())) {
             contests.close(from.name());
             end(now, from.name(), "another process answers at its address", Change.Kind.OUT);
-            herald.tell(roster.get(from.name()), "", now + told());
+            disseminator.tell(roster.get(from.name()), "", now + told());
         } else if (contests.open(now, from, plan.periodMicros())) {
             long number = links.ask(now, from.name());
             contests.asked(now, from.name(), number);
@@ -418,7 +418,7 @@
             if (merged != own && !leaving) {
                 admitted |= merged.standing() == MemberStatus.MEMBER;
                 roster.put(now, merged, true);
-                herald.tell(merged, "", now + told());
+                disseminator.tell(merged, "", now + told());
             }
         } else if (own.yieldsTo(e.peer())) {
             if (admitted && e.peer().born() > self.born()) {
@@ -427,7 +427,7 @@
                         + " while this one could not be reached; it takes no part any more");
             }
         } else {
-            herald.tell(own, "", now + told());
+            disseminator.tell(own, "", now + told());
         }
     }
 
@@ -443,7 +443,7 @@
     private void speakOfSelf(long now, MemberRecord own) {
         roster.put(now, own, true);
         changedAt = now;
-        herald.tell(own, "", now + told());
+        disseminator.tell(own, "", now + told());
     }
 
     // ---- Entries and the view
@@ -476,7 +476,7 @@
         boolean held = was && standing != MemberStatus.LEFT;
         roster.put(now, merged, held || standing == MemberStatus.MEMBER);
         changedAt = now;
-        herald.tell(merged, from, now + told());
+        disseminator.tell(merged, from, now + told());
         if (anew) {
             reports.forget(name);
             verdicts.forget(name);
@@ -487,7 +487,7 @@
         if (standing == MemberStatus.CANDIDATE) {
             candidates.putIfAbsent(name, now);
             if (was) {
-                condemned.put(name, new Told(now + plan.silenceMicros(), from));
+                condemned.put(name, new RemovalNotice(now + plan.silenceMicros(), from));
             }
         } else {
             candidates.remove(name);
@@ -497,7 +497,7 @@
         }
         targetsOld |= was != roster.isIn(name) || standing == MemberStatus.CANDIDATE;
         if (standing == MemberStatus.OUT && was) {
-            condemned.putIfAbsent(name, new Told(now + plan.graceMicros(), from));
+            condemned.putIfAbsent(name, new RemovalNotice(now + plan.graceMicros(), from));
         } else if (standing == MemberStatus.LEFT && was) {
             gone(now, name, "said so", Change.Kind.LEFT);
         } else if (!was && standing == MemberStatus.MEMBER) {
@@ -591,7 +591,7 @@
             link.saidAt = now;
         }
         reports.take(now, report);
-        herald.tell(report, "", now + told());
+        disseminator.tell(report, "", now + told());
         rulingOld = true;
     }
 
@@ -622,7 +622,7 @@
             return;
         }
         rulingOld = true;
-        herald.tell(r, from, now + told());
+        disseminator.tell(r, from, now + told());
         FailureReport mine = reports.by(self.name(), r.about());
         if (r.lost()
                 && links.inTouch(now, r.about())
@@ -668,7 +668,7 @@
             by.sort(null);
             end(now, name, by.isEmpty() ? "out of reach" : "lost by " + String.join(", ", by), Change.Kind.OUT);
             if (ruling.out().size() <= FEW_ENDS) {
-                herald.tell(roster.get(name), "", now + told());
+                disseminator.tell(roster.get(name), "", now + told());
             }
         }
     }
@@ -704,7 +704,7 @@
             send(
                     now,
                     e.peer().address(),
-                    message(Kind.PING, name, links.ask(now, name), herald.ride(now, roster, name), ""));
+                    message(Kind.PING, name, links.ask(now, name), disseminator.ride(now, roster, name), ""));
         }
     }
 
@@ -765,7 +765,7 @@
     private void answer(long now, MembershipMessage m) {
         Peer from = m.from();
         MemberRecord known = roster.get(from.name());
-        Load load = herald.ride(now, roster, from.name());
+        Load load = disseminator.ride(now, roster, from.name());
         if (known != null && known.standing().ended() && known.incarnation() >= from.incarnation()) {
             // It may not know that it was put out.
             List<MemberRecord> first = new ArrayList<>(List.of(roster.told(now, known)));
@@ -852,11 +852,11 @@
     private void push(long now) {
         for (Link link : links.all()) {
             MemberRecord to = roster.get(link.name);
-            for (Load load : herald.push(now, roster, link.name)) {
+            for (Load load : disseminator.push(now, roster, link.name)) {
                 send(now, to.peer().address(), message(Kind.NEWS, link.name, 0, load, ""));
             }
         }
-        herald.pushed(now);
+        disseminator.pushed(now);
     }
 
     private void sayGoodbye(long now) {
@@ -872,7 +872,7 @@
     private void sweep(long now) {
         sweepAt = now + 2 * plan.periodMicros();
         rulingOld |= reports.fade(now, plan.periodMicros());
-        herald.expire(now);
+        disseminator.expire(now);
         links.expire(now);
         roster.expire(now);
         contests.expire(now, 4 * plan.silenceMicros());
--- a/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
+++ b/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
@@ -14,7 +14,7 @@
 final class UpdateDisseminator {
 
     /** An entry or a report, and who told it; empty for this process itself. */
-    private static final class News {
+    private static final class PendingUpdate {
         final MemberRecord entry;
         final FailureReport report;
         final String from;
@@ -23,7 +23,7 @@
         /** Something newer on the same has come. */
         boolean old;
 
-        News(MemberRecord entry, FailureReport report, String from, long until) {
+        PendingUpdate(MemberRecord entry, FailureReport report, String from, long until) {
             this.entry = entry;
             this.report = report;
             this.from = from;
@@ -47,20 +47,20 @@
     /** Kept at most; past it the oldest are left to comparisons. */
     private static final int MOST = 4_096;
 
-    private final ArrayDeque<News> news = new ArrayDeque<>();
-    private final Map<String, News> latest = new HashMap<>();
+    private final ArrayDeque<PendingUpdate> news = new ArrayDeque<>();
+    private final Map<String, PendingUpdate> latest = new HashMap<>();
     private boolean fresh;
 
     void tell(MemberRecord entry, String from, long until) {
-        add(entry.name(), new News(entry, null, from, until));
+        add(entry.name(), new PendingUpdate(entry, null, from, until));
     }
 
     void tell(FailureReport report, String from, long until) {
-        add(report.reporter() + ' ' + report.about(), new News(null, report, from, until));
+        add(report.reporter() + ' ' + report.about(), new PendingUpdate(null, report, from, until));
     }
 
-    private void add(String on, News one) {
-        News before = latest.put(on, one);
+    private void add(String on, PendingUpdate one) {
+        PendingUpdate before = latest.put(on, one);
         if (before != null) {
             before.old = true;
         }
@@ -82,7 +82,7 @@
         List<MemberRecord> entries = new ArrayList<>();
         List<FailureReport> reports = new ArrayList<>();
         int room = MembershipMessage.ROOM;
-        for (News n : news) {
+        for (PendingUpdate n : news) {
             if (n.pushed || n.old || n.from.equals(to)) {
                 continue;
             }
@@ -122,8 +122,8 @@
         List<MemberRecord> entries = new ArrayList<>();
         List<FailureReport> reports = new ArrayList<>();
         int room = MembershipMessage.RIDE;
-        for (Iterator<News> i = news.descendingIterator(); i.hasNext(); ) {
-            News n = i.next();
+        for (Iterator<PendingUpdate> i = news.descendingIterator(); i.hasNext(); ) {
+            PendingUpdate n = i.next();
             if (!n.old && !n.from.equals(to) && n.size() <= room && now <= n.until) {
                 room -= n.size();
                 add(now, roster, n, entries, reports);
@@ -133,7 +133,7 @@
     }
 
     private static void add(
-            long now, MemberTable roster, News n, List<MemberRecord> entries, List<FailureReport> reports) {
+            long now, MemberTable roster, PendingUpdate n, List<MemberRecord> entries, List<FailureReport> reports) {
         if (n.entry != null) {
             entries.add(roster.told(now, n.entry));
         } else {
--- a/src/main/java/org/cypressweir/sidecar/ClientConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientConnection.java
@@ -62,7 +62,7 @@
     private static final int MOST_EARLY = 64 * 1024;
 
     private final ClientListener server;
-    private final ClientListener.Door door;
+    private final ClientListener.ListeningSocket door;
     private final Channel channel;
     private final Decoder decoder;
     private final RequestCollector collector;
@@ -93,7 +93,7 @@
     /** The connection has gone over to another protocol, and nothing of it is dealt with here. */
     private boolean switched;
 
-    ClientConnection(ClientListener server, ClientListener.Door door, Channel channel) {
+    ClientConnection(ClientListener server, ClientListener.ListeningSocket door, Channel channel) {
         this.server = server;
         this.door = door;
         this.channel = channel;
@@ -109,7 +109,7 @@
         channel.config().setWriteBufferWaterMark(WAITING);
     }
 
-    ClientListener.Door door() {
+    ClientListener.ListeningSocket door() {
         return door;
     }
 
--- a/src/main/java/org/cypressweir/sidecar/ClientListener.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -84,15 +84,15 @@
     /** How many connections are accepted in one turn of the loop. */
     private final ServerChannelRecvByteBufAllocator accepts = new ServerChannelRecvByteBufAllocator();
 
-    private final List<Door> doors = new ArrayList<>();
+    private final List<ListeningSocket> doors = new ArrayList<>();
     private final LargeRequests uploads;
     /** Listens already, at the address of the first door; null where none was inherited or it is taken. */
     private ServerSocketChannel inherited;
     /** Whose connections come by way of another door, which lends them; null for none. */
-    private Door lent;
+    private ListeningSocket lent;
 
     /** An address that is listened on. */
-    static final class Door {
+    static final class ListeningSocket {
         private final Channel channel;
         /** It goes: its connections end after their answers. */
         private boolean closing;
@@ -102,7 +102,7 @@
         private long closingSince;
         private long acceptedAt;
 
-        private Door(Channel channel, boolean shared, long now) {
+        private ListeningSocket(Channel channel, boolean shared, long now) {
             this.channel = channel;
             this.shared = shared;
             acceptedAt = now;
@@ -150,7 +150,7 @@
                 connection.close();
                 return;
             }
-            lent = lent == null ? new Door(listening, false, now()) : lent;
+            lent = lent == null ? new ListeningSocket(listening, false, now()) : lent;
             new ClientConnection(this, lent, connection).begin();
             connection.pipeline().fireChannelActive();
             connection.pipeline().fireChannelRead(first);
@@ -160,9 +160,9 @@
     }
 
     /** Opens a door; the future is done once clients can connect to it. */
-    CompletableFuture<Door> listen(InetSocketAddress address) {
-        CompletableFuture<Door> open = new CompletableFuture<>();
-        Door[] door = new Door[1];
+    CompletableFuture<ListeningSocket> listen(InetSocketAddress address) {
+        CompletableFuture<ListeningSocket> open = new CompletableFuture<>();
+        ListeningSocket[] door = new ListeningSocket[1];
         ServerSocketChannel listening = inherited;
         inherited = null;
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -183,7 +183,7 @@
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .bind(address);
-        door[0] = new Door(bound.channel(), listening != null, now());
+        door[0] = new ListeningSocket(bound.channel(), listening != null, now());
         bound.addListener(f -> {
             if (f.isSuccess()) {
                 doors.add(door[0]);
@@ -209,20 +209,20 @@
         List.copyOf(connections).forEach(ClientConnection::close);
         List.copyOf(switched).forEach(ClientConnection::close);
         Future<Void> last = loop.newSucceededFuture(null);
-        for (Door door : doors) {
+        for (ListeningSocket door : doors) {
             last = door.channel.close();
         }
         return last;
     }
 
-    /** Ends all doors; see {@link #end(Door, Runnable)}. */
+    /** Ends all doors; see {@link #end(ListeningSocket, Runnable)}. */
     void end(Runnable ended) {
         if (doors.isEmpty()) {
             ended.run();
             return;
         }
         int[] left = {doors.size()};
-        for (Door door : List.copyOf(doors)) {
+        for (ListeningSocket door : List.copyOf(doors)) {
             end(door, () -> {
                 if (--left[0] == 0) {
                     ended.run();
@@ -237,7 +237,7 @@
      * socket stays for a while where some may wait to be accepted, for its end would reset them; but one that
      * other processes listen on too is theirs from now on, with all that waits in its queue.
      */
-    void end(Door door, Runnable ended) {
+    void end(ListeningSocket door, Runnable ended) {
         if (door.shared) {
             door.closing = true;
             door.closingSince = now();
@@ -255,7 +255,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    void endQuietly(Door door, Runnable ended) {
+    void endQuietly(ListeningSocket door, Runnable ended) {
         connections.stream()
                 .filter(c -> c.door() == door && c.quiet(QUIET_MILLIS))
                 .toList()
@@ -311,7 +311,7 @@
         }
     }
 
-    private boolean mayShut(Door door) {
+    private boolean mayShut(ListeningSocket door) {
         boolean allIn = door.channel.config().isAutoRead() || millisSince(door.closingSince) > FULL_MILLIS;
         return millisSince(door.acceptedAt) > QUIET_MILLIS && allIn;
     }
@@ -342,7 +342,7 @@
      * Whether a connection ends after its answer: while others wait to be accepted, one that stays open and
      * idle shuts them out.
      */
-    boolean endsAfterAnswer(Door door) {
+    boolean endsAfterAnswer(ListeningSocket door) {
         return door.closing || dismisses() || !door.channel.config().isAutoRead();
     }
 
@@ -417,7 +417,7 @@
         boolean made = size() >= most && spareOne();
         accepts.maxMessagesPerRead(Math.max(1, Math.min(ACCEPTS, most - size())));
         boolean room = made || size() < most;
-        for (Door door : doors) {
+        for (ListeningSocket door : doors) {
             door.channel.config().setAutoRead(room);
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
@@ -22,7 +22,7 @@
  * sends nothing to those that drain, since when its lender was told of that has no say any more. Zones and
  * models go by name.
  */
-final class EndpointListCache implements Lending.Shelf {
+final class EndpointListCache implements Lending.EndpointListSource {
 
     /** Bytes of a page, under those of a datagram by what else is in it. */
     private static final int PAGE = 900;
--- a/src/main/java/org/cypressweir/sidecar/LargeRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequests.java
@@ -47,22 +47,22 @@
         return budget.used();
     }
 
-    private void tell(BodyBudget.News news) {
+    private void tell(BodyBudget.GrantDecisions news) {
         news.granted().forEach(s -> loop.execute(s.granted()));
         news.refused().forEach(s -> loop.execute(s.refused()));
     }
 
     /** One body out of its pieces, whose room is free once nobody holds it any more. */
     ByteBuf whole(List<ByteBuf> pieces, Share share) {
-        Whole whole = new Whole(pieces, share);
+        CompleteBody whole = new CompleteBody(pieces, share);
         tell(budget.whole(share, whole.readableBytes()));
         return whole;
     }
 
-    private final class Whole extends CompositeByteBuf {
+    private final class CompleteBody extends CompositeByteBuf {
         private final Share share;
 
-        Whole(List<ByteBuf> pieces, Share share) {
+        CompleteBody(List<ByteBuf> pieces, Share share) {
             super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE, pieces);
             this.share = share;
         }
--- a/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
@@ -44,7 +44,7 @@
     /** Pools of an earlier file whose last requests are still in hand. */
     private final Set<Cluster> going = new HashSet<>();
     /** By the address as the file has it, whose port may be 0. */
-    private final Map<InetSocketAddress, ClientListener.Door> doors = new LinkedHashMap<>();
+    private final Map<InetSocketAddress, ClientListener.ListeningSocket> doors = new LinkedHashMap<>();
 
     private RoutingConfiguration plan;
     /** The classes and limits that hold now. */
@@ -285,12 +285,12 @@
     }
 
     /** Opens all of these doors or none. */
-    private CompletableFuture<Map<InetSocketAddress, ClientListener.Door>> doors(List<Listener> listeners) {
-        Map<InetSocketAddress, CompletableFuture<ClientListener.Door>> opening = new LinkedHashMap<>();
+    private CompletableFuture<Map<InetSocketAddress, ClientListener.ListeningSocket>> doors(List<Listener> listeners) {
+        Map<InetSocketAddress, CompletableFuture<ClientListener.ListeningSocket>> opening = new LinkedHashMap<>();
         listeners.forEach(l -> opening.put(l.address(), parts.clients().listen(l.address())));
         return CompletableFuture.allOf(opening.values().toArray(CompletableFuture[]::new))
                 .handle((v, e) -> {
-                    Map<InetSocketAddress, ClientListener.Door> opened = new LinkedHashMap<>();
+                    Map<InetSocketAddress, ClientListener.ListeningSocket> opened = new LinkedHashMap<>();
                     opening.forEach((address, door) -> {
                         if (!door.isCompletedExceptionally()) {
                             opened.put(address, door.join());
--- a/src/main/java/org/cypressweir/sidecar/PlainLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/PlainLayout.java
@@ -26,7 +26,7 @@
 
     @Override
     public CompletableFuture<InetSocketAddress> listen() {
-        return parts.clients().listen(parts.config().listen()).thenApply(ClientListener.Door::address);
+        return parts.clients().listen(parts.config().listen()).thenApply(ClientListener.ListeningSocket::address);
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/Pool.java
+++ b/src/main/java/org/cypressweir/sidecar/Pool.java
@@ -58,9 +58,9 @@
     private Runnable emptied;
 
     /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(ClientRequest about, Told told) {}
+    private record Event(ClientRequest about, Notification told) {}
 
-    private interface Told {
+    private interface Notification {
         void tell(long nowMicros);
     }
 
@@ -279,7 +279,7 @@
      * Tells the module, now or right after what it is being told: what an action brings about at once must
      * not reach the module inside the very call that asked for it. An exception costs its own request only.
      */
-    private void tell(ClientRequest about, Told told) {
+    private void tell(ClientRequest about, Notification told) {
         events.addLast(new Event(about, told));
         if (inModule) {
             return;
--- a/src/main/java/org/cypressweir/sidecar/Sidecar.java
+++ b/src/main/java/org/cypressweir/sidecar/Sidecar.java
@@ -82,18 +82,18 @@
     private final SidecarLifecycle standing = new SidecarLifecycle();
     private final AdminCommandHandler desk;
     /** Null where it takes no part among others. */
-    private FleetCoordination fellowship;
+    private FleetCoordination coordination;
 
     private Lists lending;
     private final Layout.Portion portion = new Layout.Portion() {
         @Override
         public double part() {
-            return fellowship == null ? 0 : fellowship.part();
+            return coordination == null ? 0 : coordination.part();
         }
 
         @Override
         public int count() {
-            return fellowship == null ? 1 : fellowship.count();
+            return coordination == null ? 1 : coordination.count();
         }
     };
     private InetSocketAddress front;
@@ -162,7 +162,10 @@
 
     /** The same with an operators' file and how to take part among others; null for none. */
     public static int serve(
-            Map<String, String> environment, Path operators, PrintStream errors, FleetCoordination.Maker fellows) {
+            Map<String, String> environment,
+            Path operators,
+            PrintStream errors,
+            FleetCoordination.Maker coordinationMaker) {
         SidecarConfiguration config;
         Arrangement arrangement;
         String descriptor = environment.get("LB_SOCKET_FD");
@@ -211,7 +214,7 @@
             AtomicBoolean refused = new AtomicBoolean();
             if (arrangement.membership() != null) {
                 try {
-                    loop.submit(() -> sidecar.join(fellows, arrangement.membership(), promised, why -> {
+                    loop.submit(() -> sidecar.join(coordinationMaker, arrangement.membership(), promised, why -> {
                                 refused.set(true);
                                 log.println("cypressweir-sidecar: " + why);
                                 sidecar.stop(ended::countDown);
@@ -297,8 +300,8 @@
     }
 
     private void adopt(SidecarConfiguration next, Layout.Change change) {
-        if (fellowship != null && change.membership() != null) {
-            fellowship.retune(change.membership());
+        if (coordination != null && change.membership() != null) {
+            coordination.retune(change.membership());
         }
         config = next;
         reader.retune(next.settings());
@@ -329,13 +332,17 @@
 
     /** Takes part among others from now on. */
     private CompletableFuture<Void> join(
-            FleetCoordination.Maker fellows, MembershipOptions plan, boolean beside, Consumer<String> refused) {
+            FleetCoordination.Maker coordinationMaker,
+            MembershipOptions plan,
+            boolean beside,
+            Consumer<String> refused) {
         front = config.listen();
         lending = new Lists();
-        return fellows.open(new FleetCoordination.Opening(
+        return coordinationMaker
+                .open(new FleetCoordination.Opening(
                         loop, config.name(), plan, beside, facts(), this::log, refused, this::portioned, lending))
                 .thenAccept(joined -> {
-                    fellowship = joined;
+                    coordination = joined;
                     portioned();
                     loop.scheduleWithFixedDelay(
                             () -> joined.facts(facts()), LOAD_SECONDS, LOAD_SECONDS, TimeUnit.SECONDS);
@@ -378,7 +385,7 @@
         }
 
         @Override
-        public Lending.Shelf shelf() {
+        public Lending.EndpointListSource shelf() {
             return shelf;
         }
 
@@ -501,8 +508,8 @@
         } else {
             clients.undrain();
         }
-        if (fellowship != null) {
-            fellowship.facts(facts());
+        if (coordination != null) {
+            coordination.facts(facts());
         }
     }
 
@@ -510,7 +517,7 @@
     CompletableFuture<InetSocketAddress> start() {
         // Nothing goes by an old list to a server that others know is gone.
         CompletableFuture<Void> lists =
-                fellowship == null ? CompletableFuture.completedFuture(null) : fellowship.lent();
+                coordination == null ? CompletableFuture.completedFuture(null) : coordination.lent();
         return lists.thenApplyAsync(
                         v -> {
                             open();
@@ -564,8 +571,8 @@
         if (!standing.on(SidecarLifecycle.Event.TERMINATE)) {
             return;
         }
-        if (fellowship != null) {
-            fellowship.leave();
+        if (coordination != null) {
+            coordination.leave();
         }
         layout.stopping();
         clients.end(() -> {
--- a/src/main/java/org/cypressweir/sidecar/WarmUp.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -90,7 +90,11 @@
     /** Goes through so many requests, or as many as there is time for; how many were answered. */
     static int run(SidecarConfiguration config, InetSocketAddress where, int requests, long millis)
             throws InterruptedException {
-        return run(config, stage -> stage.listen(where).thenApply(ClientListener.Door::address), requests, millis);
+        return run(
+                config,
+                stage -> stage.listen(where).thenApply(ClientListener.ListeningSocket::address),
+                requests,
+                millis);
     }
 
     /** The same on another stage than an address of its own. */
--- a/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
@@ -54,7 +54,7 @@
     }
 
     /** Whom the host has to tell. */
-    public record News(List<Share> granted, List<Share> refused) {}
+    public record GrantDecisions(List<Share> granted, List<Share> refused) {}
 
     private final long total;
     private final Set<Share> holders = new LinkedHashSet<>();
@@ -94,7 +94,7 @@
     }
 
     /** A share is over, whatever it had or waited for. */
-    public News free(Share share) {
+    public GrantDecisions free(Share share) {
         takeBack(share);
         return settle();
     }
@@ -103,7 +103,7 @@
      * A share has come whole: it has this much, which may be a last read more than it was granted, and wishes
      * for nothing more.
      */
-    public News whole(Share share, long bytes) {
+    public GrantDecisions whole(Share share, long bytes) {
         waiting.remove(share);
         holders.add(share);
         used += bytes - share.has;
@@ -112,7 +112,7 @@
     }
 
     /** What follows from the wishes as they stand; to be called after one had to wait, too. */
-    public News settle() {
+    public GrantDecisions settle() {
         List<Share> granted = new ArrayList<>();
         List<Share> refused = new ArrayList<>();
         while (true) {
@@ -126,7 +126,7 @@
                 takeBack(last);
                 refused.add(last);
             } else {
-                return new News(granted, refused);
+                return new GrantDecisions(granted, refused);
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/cell/CellHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellHealth.java
@@ -13,12 +13,16 @@
 
     private static final long SLOT = 1_000_000;
     /** Part in time below which it is sick, and from which it may be well. */
-    private static final double SICK = 0.5, WELL = 0.8;
+    private static final double SICK = 0.5;
+
+    private static final double WELL = 0.8;
     /**
      * Fewer answers don't make it sick; most of what is asked of a sick one goes elsewhere, so fewer keep
      * it.
      */
-    private static final int LEAST = 20, LEAST_SICK = 3;
+    private static final int LEAST = 20;
+
+    private static final int LEAST_SICK = 3;
     /** How long it must look well; a look that has nothing to go by counts as well. */
     static final long WELL_MICROS = 10_000_000;
 
--- a/src/main/java/org/cypressweir/sidecar/cell/CellState.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellState.java
@@ -7,7 +7,8 @@
     static final double SURGE = 1.5;
 
     private static final int COUNTERS = 64;
-    private static final long SHORT = 5_000_000, LONG = 300_000_000;
+    private static final long SHORT = 5_000_000;
+    private static final long LONG = 300_000_000;
     /** What was taken counts as usual only this much later, if the cell was not sick by then. */
     private static final long USUAL_LAG = 10_000_000;
 
--- a/src/main/java/org/cypressweir/sidecar/cell/Placement.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/Placement.java
@@ -17,7 +17,8 @@
     /** Units of one slot have one home; many more slots than cells keep the parts of the cells even. */
     static final int SLOTS = 4096;
 
-    private static final long SLOT_SALT = 0x51, CELL_SALT = 0x9F;
+    private static final long SLOT_SALT = 0x51;
+    private static final long CELL_SALT = 0x9F;
     private static final byte UNKNOWN = -1;
     private static final BitSet NONE = new BitSet();
 
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
@@ -14,7 +14,8 @@
 /** The module that a command is about. */
 final class PluginFile {
 
-    private static final int DEADLINE_MICROS = 100_000, PAGES = 32;
+    private static final int DEADLINE_MICROS = 100_000;
+    private static final int PAGES = 32;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
@@ -21,7 +21,8 @@
 /** Reads the form of {@code [pools.NAME.cells]}: keys, types, ranges, and names of cells and units. */
 final class CellsReader {
 
-    private static final int LEAST = 2, MOST = 64;
+    private static final int LEAST = 2;
+    private static final int MOST = 64;
     private static final Set<String> SPREADS = Set.of("server", "group");
     private static final Set<String> UNITS = Set.of("tenant", "key", "header:NAME");
     private static final String HEADER = "header:";
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -309,7 +309,9 @@
                     time(w.lifeMicros()),
                     time(w.drainMicros()),
                     w.reconnects());
-            line("  goes with        %d %s", w.farewell().code(), w.farewell().reason());
+            line(
+                    "  goes with        %d %s",
+                    w.closeNotice().code(), w.closeNotice().reason());
             line(
                     "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
                     count(w.bounds().most()),
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
@@ -308,17 +308,18 @@
         long drain = section.time("drain_time", 100_000, 600_000_000L, 10_000_000);
         long reconnects = section.count("reconnect_rate", 1, 100_000, 50);
         Resume resume = resume(section);
-        TunnelCloseNotice farewell = farewell(section);
+        TunnelCloseNotice closeNotice = closeNotice(section);
         TunnelBounds bounds = new TunnelBounds(
                 name(route),
                 (int) section.count("max_tunnels", 1, MOST_TUNNELS, Integer.MAX_VALUE),
                 (int) section.count("max_tunnels_per_tenant", 1, MOST_TUNNELS, Integer.MAX_VALUE),
                 section.time("evict_after", 100_000, 86_400_000_000L, 0));
         section.rejectUnknown();
-        return new WebSocketLimits(frame, message, idle, ping, pong, life, drain, reconnects, farewell, bounds, resume);
+        return new WebSocketLimits(
+                frame, message, idle, ping, pong, life, drain, reconnects, closeNotice, bounds, resume);
     }
 
-    private static TunnelCloseNotice farewell(Section section) {
+    private static TunnelCloseNotice closeNotice(Section section) {
         int code = (int) section.count("drain_code", 1001, 4999, 1001);
         if (code > 1001 && code < 4000 && code != 1012 && code != 1013) {
             section.problem("drain_code", "'drain_code' is " + code + "; it must be 1001, 1012, 1013 or 4000 to 4999");
--- a/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
@@ -8,7 +8,9 @@
 public final class InvocationDeadline {
 
     /** What a deadline may be passed by, by the clock: 9 times itself, and so many microseconds at most. */
-    static final long MOST_EXTRA = 50_000, EXTRA_SHARE = 9;
+    static final long MOST_EXTRA = 50_000;
+
+    static final long EXTRA_SHARE = 9;
     /** The shortest wait until the next look, in microseconds. */
     static final long LEAST_WAIT = 200;
 
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
@@ -7,7 +7,9 @@
 public final class PluginHealth {
 
     /** Failures in a row; first while without it, and its doublings. */
-    static final int FAILURES = 5, DOUBLINGS = 6;
+    static final int FAILURES = 5;
+
+    static final int DOUBLINGS = 6;
 
     static final long FIRST = 1_000_000;
 
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
@@ -25,7 +25,8 @@
     /** Calls that wait for the thread; beyond, one fails at once. */
     static final int WAITING = 256;
 
-    private static final long STACK = 512 * 1024, BEGIN_MILLIS = 2_000;
+    private static final long STACK = 512 * 1024;
+    private static final long BEGIN_MILLIS = 2_000;
     /** Calls with a made-up request before the first real one, and how long they may take. */
     private static final int WARM_CALLS = 20;
 
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginInvocation.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginInvocation.java
@@ -18,11 +18,20 @@
 final class PluginInvocation {
 
     /** Results of host functions that are no lengths. */
-    static final int DONE = 0, ABSENT = -1, NOT_GRANTED = -2, MALFORMED = -3, TOO_MUCH = -4;
+    static final int DONE = 0;
+
+    static final int ABSENT = -1;
+    static final int NOT_GRANTED = -2;
+    static final int MALFORMED = -3;
+    static final int TOO_MUCH = -4;
     /** Calls of the host, bytes that it may hand over, and lines for the log, in one visit. */
-    static final int MOST_CALLS = 1_000, MOST_BYTES = 16_384, MOST_NOTES = 4;
+    static final int MOST_CALLS = 1_000;
+
+    static final int MOST_BYTES = 16_384;
+    static final int MOST_NOTES = 4;
 
-    private static final int MOST_NAME = 128, MOST_VALUE = 4_096;
+    private static final int MOST_NAME = 128;
+    private static final int MOST_VALUE = 4_096;
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
     private final RequestView request;
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginModule.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginModule.java
@@ -31,7 +31,10 @@
 final class PluginModule {
 
     static final int ABI = 1;
-    private static final String ABI_EXPORT = "lb_abi", HOOK = "on_request", MEMORY = "memory", FROM = "lb";
+    private static final String ABI_EXPORT = "lb_abi";
+    private static final String HOOK = "on_request";
+    private static final String MEMORY = "memory";
+    private static final String FROM = "lb";
 
     private interface Call {
         int on(PluginInvocation visit, Memory memory, long[] given);
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginStore.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginStore.java
@@ -10,7 +10,8 @@
  */
 final class PluginStore {
 
-    static final int MOST_KEYS = 256, MOST_BYTES = 65_536;
+    static final int MOST_KEYS = 256;
+    static final int MOST_BYTES = 65_536;
 
     private final Map<String, byte[]> values = new HashMap<>();
     private int bytes;
--- a/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
@@ -11,7 +11,7 @@
  * @param lifeMicros longest life
  * @param drainMicros from when a server is told to leave to the last moment of its connections
  * @param reconnects connections a second that a server can take from others that leave
- * @param farewell how one is closed whose server or sidecar goes
+ * @param closeNotice how one is closed whose server or sidecar goes
  * @param bounds how many there may be
  * @param resume how one goes on at another server; null where it can't
  */
@@ -24,6 +24,6 @@
         long lifeMicros,
         long drainMicros,
         long reconnects,
-        TunnelCloseNotice farewell,
+        TunnelCloseNotice closeNotice,
         TunnelBounds bounds,
         Resume resume) {}
--- a/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
@@ -75,7 +75,7 @@
     private Next next;
     private long switchingAt;
     /** What the client has sent since the old server was told to close. */
-    private final ArrayDeque<Held> held = new ArrayDeque<>(0);
+    private final ArrayDeque<PendingFrame> held = new ArrayDeque<>(0);
     /** The client's first message, as far as it has come; null where none is to be repeated. */
     private ByteBuf first;
 
@@ -86,7 +86,7 @@
     private record Next(Channel channel, ByteBuf early, Moved moved) {}
 
     /** A frame that waits for the other server. */
-    private record Held(int opcode, boolean last, ByteBuf payload) {}
+    private record PendingFrame(int opcode, boolean last, ByteBuf payload) {}
 
     /** What becomes of a move whose other server had agreed; told once, on the event loop. */
     public interface Moved {
@@ -183,7 +183,7 @@
 
     /** Ends it in order, since its server or this process goes. */
     public void goAway(long nowMicros) {
-        close(limits.farewell().code(), limits.farewell().reason(), nowMicros);
+        close(limits.closeNotice().code(), limits.closeNotice().reason(), nowMicros);
     }
 
     /** Whether it may begin to move to another server. */
@@ -240,7 +240,7 @@
         if (first != null && first.isReadable()) {
             server.send(firstOpcode, true, false, first.copy());
         }
-        for (Held h; (h = held.poll()) != null; ) {
+        for (PendingFrame h; (h = held.poll()) != null; ) {
             if (h.opcode() == Frames.CLOSE) {
                 byte[] payload = ByteBufUtil.getBytes(h.payload());
                 h.payload().release();
@@ -421,7 +421,7 @@
                 remember(opcode, payload);
             }
             if (isClient && move == TunnelMigration.State.SWITCHING) {
-                held.add(new Held(opcode, last, payload));
+                held.add(new PendingFrame(opcode, last, payload));
                 return;
             }
             other.send(opcode, last, compressed, payload);
@@ -445,7 +445,7 @@
         @Override
         public void control(int opcode, byte[] payload) {
             if (isClient && move == TunnelMigration.State.SWITCHING) {
-                held.add(new Held(opcode, true, Unpooled.wrappedBuffer(payload)));
+                held.add(new PendingFrame(opcode, true, Unpooled.wrappedBuffer(payload)));
             } else if (opcode == Frames.CLOSE
                     && !isClient
                     && move == TunnelMigration.State.SWITCHING
--- a/src/main/java/org/cypressweir/simulation/CellsSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/CellsSimulation.java
@@ -31,9 +31,15 @@
 /** Plays a scenario with the real decisions on made-up time, at sizes that sockets don't reach. */
 public final class CellsSimulation implements SimulatedSidecar.Account {
 
-    private static final long BEGIN = 1_000_000_000, WINDOW = 3_000_000, PATIENCE = 5_000_000;
-    private static final double LATE = 0.3, SLOW = 8, NOTICED = 0.2, RESERVE = 0.05;
-    private static final int ZONES = 3, LEAST_ASKED = 5;
+    private static final long BEGIN = 1_000_000_000;
+    private static final long WINDOW = 3_000_000;
+    private static final long PATIENCE = 5_000_000;
+    private static final double LATE = 0.3;
+    private static final double SLOW = 8;
+    private static final double NOTICED = 0.2;
+    private static final double RESERVE = 0.05;
+    private static final int ZONES = 3;
+    private static final int LEAST_ASKED = 5;
     static final double[] SHARES = {0.35, 0.34, 0.31};
     /** Least and most work, least and most wait, of each class. */
     private static final long[][] WORK = {
--- a/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
@@ -25,7 +25,7 @@
     public record Seen(long at, int by, Change change) {}
 
     /** One process, or one that was. */
-    public static final class Fellow {
+    public static final class SimulatedMember {
         public final int place;
         public final String name;
         private long lives;
@@ -33,7 +33,7 @@
         /** Why it was refused; null while it was not. */
         private String refused;
 
-        Fellow(int place, String name) {
+        SimulatedMember(int place, String name) {
             this.place = place;
             this.name = name;
         }
@@ -58,7 +58,7 @@
     public final List<Seen> changes = new ArrayList<>();
     private final MembershipOptions plan;
     private final SplittableRandom random;
-    private final List<Fellow> fellows = new ArrayList<>();
+    private final List<SimulatedMember> members = new ArrayList<>();
     private final Map<InetSocketAddress, Integer> places = new HashMap<>();
     private final MonitoringRings.Cache rings = new MonitoringRings.Cache(512);
     private Consumer<Seen> listener = seen -> {};
@@ -75,7 +75,7 @@
                 "lab",
                 address(0),
                 address(0),
-                fellows.stream().limit(seeds).map(f -> address(f.place)).toList(),
+                this.members.stream().limit(seeds).map(f -> address(f.place)).toList(),
                 pauseMicros,
                 MembershipOptions.period(pauseMicros),
                 MembershipOptions.MOST,
@@ -83,11 +83,11 @@
     }
 
     /** One more place, with a process that has not started. */
-    public Fellow add(String name) {
-        Fellow fellow = new Fellow(net.place(), name);
-        fellows.add(fellow);
-        places.put(address(fellow.place), fellow.place);
-        return fellow;
+    public SimulatedMember add(String name) {
+        SimulatedMember member = new SimulatedMember(net.place(), name);
+        members.add(member);
+        places.put(address(member.place), member.place);
+        return member;
     }
 
     public static InetSocketAddress address(int place) {
@@ -98,12 +98,12 @@
         return plan;
     }
 
-    public List<Fellow> all() {
-        return fellows;
+    public List<SimulatedMember> all() {
+        return members;
     }
 
-    public Fellow get(int i) {
-        return fellows.get(i);
+    public SimulatedMember get(int i) {
+        return members.get(i);
     }
 
     public void onChange(Consumer<Seen> next) {
@@ -116,8 +116,8 @@
     }
 
     /** Starts a process that knows nothing but the seeds. */
-    public Fellow start(int i) {
-        Fellow f = fellows.get(i);
+    public SimulatedMember start(int i) {
+        SimulatedMember f = members.get(i);
         f.refused = null;
         Peer peer = new Peer(f.name, random.nextLong(), net.now() / 1_000 + ++f.lives, 1, address(f.place));
         f.core = new MembershipProtocol(
@@ -135,12 +135,12 @@
     /** Starts all as if they had known each other for long. */
     public void startTogether() {
         List<MemberRecord> known = new ArrayList<>();
-        for (int i = 0; i < fellows.size(); i++) {
-            Fellow f = start(i);
+        for (int i = 0; i < members.size(); i++) {
+            SimulatedMember f = start(i);
             known.add(new MemberRecord(
                     f.core.self(), MemberStatus.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
         }
-        fellows.forEach(f -> f.core.know(net.now(), known));
+        members.forEach(f -> f.core.know(net.now(), known));
     }
 
     public void run(long micros) {
@@ -160,8 +160,8 @@
     }
 
     /** Whether each of these has just these in its view. */
-    public boolean agree(List<Fellow> among, List<Fellow> on) {
-        for (Fellow f : among) {
+    public boolean agree(List<SimulatedMember> among, List<SimulatedMember> on) {
+        for (SimulatedMember f : among) {
             if (f.core.live() != on.size() || !on.stream().allMatch(o -> f.core.isIn(o.name))) {
                 return false;
             }
@@ -182,10 +182,10 @@
     }
 
     private final class Acts implements MembershipProtocol.Actions {
-        private final Fellow fellow;
+        private final SimulatedMember member;
 
-        Acts(Fellow fellow) {
-            this.fellow = fellow;
+        Acts(SimulatedMember member) {
+            this.member = member;
         }
 
         @Override
@@ -193,20 +193,20 @@
             bytes += BARE
                     + (long) ENTRY * message.entries().size()
                     + (long) REPORT * message.reports().size();
-            net.send(fellow.place, places.getOrDefault(to, -1), message);
+            net.send(member.place, places.getOrDefault(to, -1), message);
         }
 
         @Override
         public void changed(Change change) {
-            Seen seen = new Seen(net.now(), fellow.place, change);
+            Seen seen = new Seen(net.now(), member.place, change);
             changes.add(seen);
             listener.accept(seen);
         }
 
         @Override
         public void refused(String why) {
-            fellow.refused = why;
-            net.kill(fellow.place);
+            member.refused = why;
+            net.kill(member.place);
         }
 
         @Override
--- a/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
@@ -18,7 +18,8 @@
 /** Plays thousands of quiet instances: what they ask of discovery, and of a server that has just started. */
 public final class QuietFleetSimulation implements SimulatedSidecar.Account {
 
-    private static final long BEGIN = 1_000_000_000, SECOND = 1_000_000;
+    private static final long BEGIN = 1_000_000_000;
+    private static final long SECOND = 1_000_000;
     private static final int ZONES = 3;
     /** A call for the list takes so long; without a pace an instance that restarts asks at once. */
     private static final long CALL = 20_000;
--- a/src/main/java/org/cypressweir/simulation/SimulatedNetwork.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedNetwork.java
@@ -20,7 +20,7 @@
     }
 
     /** Whether what one sends to another arrives. */
-    public interface Cut {
+    public interface Partition {
         boolean lets(int from, int to);
     }
 
@@ -62,7 +62,7 @@
     private final List<Place<M>> places = new ArrayList<>();
     private final SplittableRandom random;
     private Weather weather = Weather.FAIR;
-    private Cut cut = (from, to) -> true;
+    private Partition cut = (from, to) -> true;
     private long now = 1_000_000;
     private long numbers;
     private long sent;
@@ -88,7 +88,7 @@
         weather = next;
     }
 
-    public void cut(Cut next) {
+    public void cut(Partition next) {
         cut = next;
     }
 
--- a/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
@@ -25,10 +25,10 @@
     private final HttpClient client = HttpClient.newHttpClient();
     private int ids;
 
-    private int ask(SidecarProcesses crew, int i) throws Exception {
+    private int ask(SidecarProcesses processes, int i) throws Exception {
         return client.send(
                         HttpRequest.newBuilder(URI.create(
-                                        "http://127.0.0.1:" + crew.front(i).getPort() + "/search/k"))
+                                        "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
                                 .header("Request-Id", String.format("%016x", ++ids))
                                 .header("Request-Timeout-Ms", "3000")
@@ -37,8 +37,8 @@
                 .statusCode();
     }
 
-    private static void ready(SidecarProcesses crew, int i) throws Exception {
-        crew.within(15_000, "ready", () -> crew.ask(i, "READY").equals("YES\n"));
+    private static void ready(SidecarProcesses processes, int i) throws Exception {
+        processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
     }
 
     /** Its own configuration names servers that are long gone, or drain; others know the one that serves. */
@@ -47,7 +47,7 @@
         try (PeerStub gone = new PeerStub(PeerStub.serves("gone"));
                 PeerStub drains = new PeerStub(PeerStub.serves("drains"));
                 PeerStub serves = new PeerStub(PeerStub.serves("serves"));
-                SidecarProcesses crew = new SidecarProcesses(folder, 1, 3, 1_000, gone, drains)) {
+                SidecarProcesses processes = new SidecarProcesses(folder, 1, 3, 1_000, gone, drains)) {
             String old = Configs.json(Configs.list(4, true, "in_service", gone, drains));
             String list = Configs.json(Configs.list(7, true, "in_service", serves)
                     .replace(
@@ -55,7 +55,7 @@
                             "'targets':[{'uid':'s-" + drains.port() + "','endpoint':'127.0.0.1:" + drains.port()
                                     + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0},"));
             String[] told = {old};
-            crew.discovery.script(seen -> {
+            processes.discovery.script(seen -> {
                 String now = told[0];
                 if (!now.equals(old) && seen.request().first().contains("from=7")) {
                     return;
@@ -63,37 +63,37 @@
                 seen.reply("200 OK", "", now);
             });
             // The first hears of the older list only, the second of the newer one, too.
-            crew.start(0);
-            ready(crew, 0);
-            crew.within(5_000, "the older list", () -> crew.discovery.seen.size() >= 2);
-            crew.signal(0, "STOP");
-            for (PeerStub.Seen seen : crew.discovery.seen) {
+            processes.start(0);
+            ready(processes, 0);
+            processes.within(5_000, "the older list", () -> processes.discovery.seen.size() >= 2);
+            processes.signal(0, "STOP");
+            for (PeerStub.Seen seen : processes.discovery.seen) {
                 seen.socket().close();
             }
             told[0] = list;
-            crew.start(1);
-            ready(crew, 1);
-            crew.within(5_000, "the newer list", () -> ask(crew, 1) == 200 && !serves.seen.isEmpty());
-            crew.discovery.close();
-            crew.signal(0, "CONT");
-            crew.within(5_000, "both are there", () -> crew.see(2, 0, 1));
+            processes.start(1);
+            ready(processes, 1);
+            processes.within(5_000, "the newer list", () -> ask(processes, 1) == 200 && !serves.seen.isEmpty());
+            processes.discovery.close();
+            processes.signal(0, "CONT");
+            processes.within(5_000, "both are there", () -> processes.see(2, 0, 1));
             int before = gone.seen.size() + drains.seen.size();
             int served = serves.seen.size();
 
-            crew.start(2);
-            ready(crew, 2);
+            processes.start(2);
+            ready(processes, 2);
             for (int i = 0; i < 50; i++) {
-                assertEquals(200, ask(crew, 2));
+                assertEquals(200, ask(processes, 2));
             }
             assertEquals(before, gone.seen.size() + drains.seen.size(), "of those that it must not use");
             assertEquals(served + 50, serves.seen.size());
-            SidecarProcesses.Event loan = crew.history().stream()
+            SidecarProcesses.Event loan = processes.history().stream()
                     .filter(e -> e.process().equals("n2") && e.event().equals("borrowed"))
                     .findFirst()
                     .orElseThrow();
             assertEquals("n1", loan.about());
             assertTrue(loan.text().startsWith("7 "), loan.text());
-            assertTrue(crew.logs().contains("discovery is silent: list of revision 7 from n1"), crew.logs());
+            assertTrue(processes.logs().contains("discovery is silent: list of revision 7 from n1"), processes.logs());
         }
     }
 }
--- a/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
@@ -27,16 +27,16 @@
     /** A keeper that has just started says nothing for a term, and then asks the others. */
     private static final long KEEPERS = 2 * TERM;
 
-    private static String file(SidecarProcesses crew, String text, int... keepers) {
-        return text + "[keepers]\naddresses = [" + addresses(crew, keepers) + "]\n[leases.job]\nterm = \"" + TERM
+    private static String file(SidecarProcesses processes, String text, int... keepers) {
+        return text + "[keepers]\naddresses = [" + addresses(processes, keepers) + "]\n[leases.job]\nterm = \"" + TERM
                 + "ms\"\n";
     }
 
-    private static String addresses(SidecarProcesses crew, int... places) {
+    private static String addresses(SidecarProcesses processes, int... places) {
         return IntStream.of(places)
                 .mapToObj(k -> {
                     try {
-                        return "\"127.0.0.1:" + crew.relay.port(k) + "\"";
+                        return "\"127.0.0.1:" + processes.relay.port(k) + "\"";
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
@@ -44,39 +44,40 @@
                 .collect(Collectors.joining(", "));
     }
 
-    private void crew(int members) throws Exception {
+    private void processes(int members) throws Exception {
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new SidecarProcesses(folder, seed, members, PAUSE, server);
-        crew.seeds(3);
-        crew.operators(text -> file(crew, text, 0, 1, 2));
+        processes = new SidecarProcesses(folder, seed, members, PAUSE, server);
+        processes.seeds(3);
+        processes.operators(text -> file(processes, text, 0, 1, 2));
         for (int i = 0; i < members; i++) {
-            crew.start(i);
+            processes.start(i);
         }
     }
 
     /** All are up, and keepers among them have waited and learned: the next fault may meet another keeper. */
     private void settled() throws Exception {
-        for (int i = 0; i < crew.size(); i++) {
+        for (int i = 0; i < processes.size(); i++) {
             int who = i;
-            crew.within(STARTED, "ready", () -> crew.ask(who, "READY").equals("YES\n"));
+            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").equals("YES\n"));
         }
-        crew.within(
+        processes.within(
                 STARTED,
                 "all see all",
-                () -> crew.see(crew.size(), IntStream.range(0, crew.size()).toArray()));
+                () -> processes.see(
+                        processes.size(), IntStream.range(0, processes.size()).toArray()));
         TimeUnit.MILLISECONDS.sleep(KEEPERS);
     }
 
     private int holder(LeaseHolders actors, String when) throws Exception {
-        crew.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder()
+        processes.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder()
                 .isEmpty());
         return Integer.parseInt(actors.holder().substring(1));
     }
 
     /** Somebody else acts by then. */
     private long another(LeaseHolders actors, int than, String when, long millis) throws Exception {
-        long took = crew.within(
+        long took = processes.within(
                 millis, when + ": somebody else holds", () -> actors.actsBesides(SidecarProcesses.name(than)));
         System.out.println(when + ": " + took + " ms");
         assertEquals(List.of(), actors.wrong(), when);
@@ -85,74 +86,75 @@
 
     @Test
     void twoHoldersNeverActAtOnceWhateverFails() throws Exception {
-        crew(5);
+        processes(5);
         settled();
-        try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
+        try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
             int holder = holder(actors, "the beginning");
-            crew.signal(holder, "STOP");
+            processes.signal(holder, "STOP");
             another(actors, holder, "stopped for longer than the term", TERM + 1_000);
-            crew.signal(holder, "CONT");
+            processes.signal(holder, "CONT");
             TimeUnit.MILLISECONDS.sleep(TERM);
             assertEquals(List.of(), actors.wrong(), "it wakes");
 
             int deaf = holder(actors, "it goes on");
-            crew.relay.cut((from, to) -> to != deaf);
+            processes.relay.cut((from, to) -> to != deaf);
             another(actors, deaf, "can send and not receive", TERM + 1_000);
-            crew.relay.cut((from, to) -> true);
+            processes.relay.cut((from, to) -> true);
 
             int mute = holder(actors, "healed");
-            crew.relay.cut((from, to) -> from != mute);
+            processes.relay.cut((from, to) -> from != mute);
             another(actors, mute, "can receive and not send", TERM + 1_000);
-            crew.relay.cut((from, to) -> true);
+            processes.relay.cut((from, to) -> true);
 
             int killed = holder(actors, "healed again");
-            crew.kill(killed);
+            processes.kill(killed);
             another(actors, killed, "killed", TERM + 1_000);
-            crew.start(killed);
+            processes.start(killed);
             settled();
 
             int small = holder(actors, "started anew");
-            crew.relay.cut((from, to) -> (from == small) == (to == small));
+            processes.relay.cut((from, to) -> (from == small) == (to == small));
             another(actors, small, "cut off alone", TERM + 1_000);
-            crew.relay.cut((from, to) -> true);
+            processes.relay.cut((from, to) -> true);
 
-            crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM, 0.02));
+            processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM, 0.02));
             TimeUnit.MILLISECONDS.sleep(2 * TERM);
-            crew.relay.weather(DatagramRelay.Weather.FAIR);
-            crew.within(STARTED, "all see all", () -> crew.see(5, 0, 1, 2, 3, 4));
+            processes.relay.weather(DatagramRelay.Weather.FAIR);
+            processes.within(STARTED, "all see all", () -> processes.see(5, 0, 1, 2, 3, 4));
             for (int keeper = 0; keeper < 3; keeper++) {
-                crew.kill(keeper);
+                processes.kill(keeper);
             }
-            crew.within(2 * TERM, "nobody holds without keepers", () -> actors.holder()
+            processes.within(2 * TERM, "nobody holds without keepers", () -> actors.holder()
                     .isEmpty());
             for (int keeper = 0; keeper < 3; keeper++) {
-                crew.start(keeper);
+                processes.start(keeper);
             }
-            crew.within(STARTED + KEEPERS, "all keepers have forgotten", () -> !actors.holder()
+            processes.within(STARTED + KEEPERS, "all keepers have forgotten", () -> !actors.holder()
                     .isEmpty());
             assertEquals(List.of(), actors.wrong());
 
             settled();
             int drained = holder(actors, "keepers are back");
-            assertTrue(crew.ask(drained, "DRAIN").startsWith("YES"));
+            assertTrue(processes.ask(drained, "DRAIN").startsWith("YES"));
             another(actors, drained, "drained", 2 * TERM);
-            crew.ask(drained, "UNDRAIN");
+            processes.ask(drained, "UNDRAIN");
             int last = holder(actors, "at last");
-            crew.process(last).destroy();
+            processes.process(last).destroy();
             another(actors, last, "told to end", 2 * TERM);
-            assertTrue(crew.process(last).waitFor(20, TimeUnit.SECONDS));
-            assertEquals(0, crew.process(last).exitValue());
+            assertTrue(processes.process(last).waitFor(20, TimeUnit.SECONDS));
+            assertEquals(0, processes.process(last).exitValue());
             assertTrue(actors.count() > 100, "acts: " + actors.count());
         }
     }
 
     private void reread(String what) throws Exception {
-        for (int i = 0; i < crew.size(); i++) {
+        for (int i = 0; i < processes.size(); i++) {
             int who = i;
-            String before = crew.ask(i, "STATS");
-            crew.rewrite(i);
-            crew.signal(i, "HUP");
-            crew.within(STARTED, what, () -> !count(crew.ask(who, "STATS")).equals(count(before)));
+            String before = processes.ask(i, "STATS");
+            processes.rewrite(i);
+            processes.signal(i, "HUP");
+            processes.within(
+                    STARTED, what, () -> !count(processes.ask(who, "STATS")).equals(count(before)));
         }
     }
 
@@ -164,23 +166,24 @@
     /** Two keepers of three give way to others, by way of both sets; nothing else is taken over. */
     @Test
     void keepersAreReplacedAtSighupInTwoStepsOnly() throws Exception {
-        crew(5);
+        processes(5);
         settled();
-        try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
+        try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
             holder(actors, "the first keepers");
-            crew.operators(text -> file(crew, text, 0, 3, 4));
+            processes.operators(text -> file(processes, text, 0, 3, 4));
             reread("one step");
-            assertEquals(5, crew.logs().split("stay as they were: most of the new", -1).length - 1, crew.logs());
+            assertEquals(
+                    5, processes.logs().split("stay as they were: most of the new", -1).length - 1, processes.logs());
             holder(actors, "the first keepers still");
-            crew.operators(text -> file(crew, text, 0, 3, 4)
-                    .replace("[leases.job]", "before = [" + addresses(crew, 0, 1, 2) + "]\n[leases.job]"));
+            processes.operators(text -> file(processes, text, 0, 3, 4)
+                    .replace("[leases.job]", "before = [" + addresses(processes, 0, 1, 2) + "]\n[leases.job]"));
             reread("both sets");
             TimeUnit.MILLISECONDS.sleep(KEEPERS);
-            crew.operators(text -> file(crew, text, 0, 3, 4));
+            processes.operators(text -> file(processes, text, 0, 3, 4));
             reread("the new set");
-            crew.kill(1);
-            crew.kill(2);
-            crew.within(
+            processes.kill(1);
+            processes.kill(2);
+            processes.within(
                     KEEPERS + 2 * TERM,
                     "the new keepers grant",
                     () -> !actors.holder().isEmpty() && !Set.of("n1", "n2").contains(actors.holder()));
@@ -193,13 +196,13 @@
     /** The runner's command is gone before anybody else can hold the lease. */
     @Test
     void aCommandRunsOnlyWhileTheLeaseIsHeld() throws Exception {
-        crew(3);
-        crew.within(STARTED, "all see all", () -> crew.see(3, 0, 1, 2));
+        processes(3);
+        processes.within(STARTED, "all see all", () -> processes.see(3, 0, 1, 2));
         String[] held = new String[1];
         int[] who = new int[1];
-        crew.within(STARTED, "one holds", () -> {
+        processes.within(STARTED, "one holds", () -> {
             for (int i = 0; i < 3; i++) {
-                String said = crew.ask(i, "LEASES");
+                String said = processes.ask(i, "LEASES");
                 if (said.contains("\"holder\":\"n" + i + "\",\"held\":true")) {
                     who[0] = i;
                     held[0] = said;
@@ -211,14 +214,15 @@
         assertTrue(held[0].endsWith("\nEND\n"), held[0]);
         int holder = who[0];
         int other = (holder + 1) % 3;
-        crew.within(STARTED, "others know it", () -> crew.ask(other, "LEASE job")
+        processes.within(STARTED, "others know it", () -> processes
+                .ask(other, "LEASE job")
                 .startsWith("NO held by n" + holder + " for "));
-        assertEquals("NO lease 'x' is not in the file\n", crew.ask(other, "LEASE x"));
+        assertEquals("NO lease 'x' is not in the file\n", processes.ask(other, "LEASE x"));
         Path out = folder.resolve("out");
         Process done = run(holder, out, "sh", "-c", "echo token $LB_LEASE_TOKEN; exit 7");
         assertTrue(done.waitFor(20, TimeUnit.SECONDS));
         assertEquals(7, done.exitValue());
-        String token = crew.ask(holder, "LEASE job").split(" ")[1];
+        String token = processes.ask(holder, "LEASE job").split(" ")[1];
         assertTrue(Files.readString(out).contains("token " + token + "\n"), Files.readString(out));
         Process refused = run(other, out, "echo", "never");
         assertTrue(refused.waitFor(20, TimeUnit.SECONDS));
@@ -227,11 +231,11 @@
         Path beats = folder.resolve("beats");
         Process lost = run(
                 holder, out, "sh", "-c", "trap '' TERM; while true; do date +%s%N >> " + beats + "; sleep 0.02; done");
-        crew.within(STARTED, "it runs", () -> Files.exists(beats));
-        crew.ask(holder, "DRAIN");
-        crew.within(STARTED, "another holds", () -> {
+        processes.within(STARTED, "it runs", () -> Files.exists(beats));
+        processes.ask(holder, "DRAIN");
+        processes.within(STARTED, "another holds", () -> {
             for (int i = 0; i < 3; i++) {
-                if (i != holder && crew.ask(i, "LEASE job").startsWith("YES ")) {
+                if (i != holder && processes.ask(i, "LEASE job").startsWith("YES ")) {
                     return true;
                 }
             }
@@ -253,7 +257,7 @@
                 "lease",
                 "run",
                 "--door",
-                "127.0.0.1:" + crew.door(i),
+                "127.0.0.1:" + processes.door(i),
                 "job",
                 "--"));
         line.addAll(List.of(words));
--- a/src/test/java/org/cypressweir/fleet/transport/MembershipProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/MembershipProcessTest.java
@@ -47,21 +47,21 @@
 
     private static final int BATCH = 50;
 
-    private void crew(int members) throws Exception {
+    private void processes(int members) throws Exception {
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new SidecarProcesses(folder, seed, members, PAUSE, server);
+        processes = new SidecarProcesses(folder, seed, members, PAUSE, server);
         int[] all = IntStream.range(0, members).toArray();
         for (int i : all) {
-            crew.start(i);
+            processes.start(i);
         }
-        crew.within(STARTED, "all see all", () -> crew.see(members, all));
+        processes.within(STARTED, "all see all", () -> processes.see(members, all));
     }
 
     /** What these processes saw of any member's end since then. */
     private List<SidecarProcesses.Event> ends(long since, Integer... by) throws Exception {
         Set<String> names = Set.copyOf(Stream.of(by).map(SidecarProcesses::name).toList());
-        return crew.history().stream()
+        return processes.history().stream()
                 .filter(e -> e.mono() > since
                         && names.contains(e.process())
                         && (e.event().equals("out") || e.event().equals("left")))
@@ -82,18 +82,19 @@
 
     @Test
     void twoFindEachOtherAndOneThatLeavesIsGoneAtOnce() throws Exception {
-        crew(2);
-        assertEquals("{n0=alive, n1=alive}", crew.members(0).get("members").toString());
-        assertTrue(crew.relay.passed.get() > 0, "they spoke past the relay");
-        crew.within(STARTED, "ready", () -> crew.ask(1, "READY").equals("YES\n"));
-        String table = members("--door", "127.0.0.1:" + crew.door(1));
+        processes(2);
+        assertEquals("{n0=alive, n1=alive}", processes.members(0).get("members").toString());
+        assertTrue(processes.relay.passed.get() > 0, "they spoke past the relay");
+        processes.within(STARTED, "ready", () -> processes.ask(1, "READY").equals("YES\n"));
+        String table = members("--door", "127.0.0.1:" + processes.door(1));
         assertTrue(table.startsWith("as n1 sees it, incarnation 1: 2 live\n"), table);
-        assertTrue(table.contains("\nn0                   alive          1 127.0.0.1:" + crew.relay.port(0)), table);
-        crew.process(1).destroy();
-        crew.within(PAUSE, "a word of leaving", () -> crew.see(1, 0));
-        assertTrue(crew.process(1).waitFor(20, TimeUnit.SECONDS));
-        assertEquals(0, crew.process(1).exitValue());
-        List<String> seen = crew.history().stream()
+        assertTrue(
+                table.contains("\nn0                   alive          1 127.0.0.1:" + processes.relay.port(0)), table);
+        processes.process(1).destroy();
+        processes.within(PAUSE, "a word of leaving", () -> processes.see(1, 0));
+        assertTrue(processes.process(1).waitFor(20, TimeUnit.SECONDS));
+        assertEquals(0, processes.process(1).exitValue());
+        List<String> seen = processes.history().stream()
                 .filter(e -> e.process().equals("n0") && e.about().equals("n1"))
                 .map(SidecarProcesses.Event::event)
                 .toList();
@@ -116,26 +117,26 @@
     /** One after the other, on the same five processes: each ends in a view that all who can talk share. */
     @Test
     void fiveThroughPausesKillsCutsAndLoss() throws Exception {
-        crew(5);
+        processes(5);
         long begun = mono();
-        crew.signal(2, "STOP");
+        processes.signal(2, "STOP");
         TimeUnit.MILLISECONDS.sleep(PAUSE * 7 / 10);
-        crew.signal(2, "CONT");
-        crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+        processes.signal(2, "CONT");
+        processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
         still();
-        crew.relay.weather(DatagramRelay.Weather.FAIR);
+        processes.relay.weather(DatagramRelay.Weather.FAIR);
         assertEquals(List.of(), ends(begun, 0, 1, 2, 3, 4), "a short pause, and loss");
 
-        crew.kill(3);
-        crew.within(KNOWN, "a kill", () -> crew.see(4, 0, 1, 2, 4));
-        crew.start(3);
-        crew.within(STARTED, "the killed one is back", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.kill(3);
+        processes.within(KNOWN, "a kill", () -> processes.see(4, 0, 1, 2, 4));
+        processes.start(3);
+        processes.within(STARTED, "the killed one is back", () -> processes.see(5, 0, 1, 2, 3, 4));
 
         long stopped = mono();
-        crew.signal(4, "STOP");
-        crew.within(KNOWN, "a long pause", () -> crew.see(4, 0, 1, 2, 3));
-        crew.signal(4, "CONT");
-        crew.within(KNOWN, "it comes back by itself", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.signal(4, "STOP");
+        processes.within(KNOWN, "a long pause", () -> processes.see(4, 0, 1, 2, 3));
+        processes.signal(4, "CONT");
+        processes.within(KNOWN, "it comes back by itself", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(
                 Set.of("n4"),
                 Set.copyOf(ends(stopped, 0, 1, 2, 3, 4).stream()
@@ -144,48 +145,50 @@
                 "it accuses nobody when it wakes");
 
         long cut = mono();
-        crew.relay.cut((from, to) -> !(from == 0 && to == 1) && !(from == 3 && to == 2));
+        processes.relay.cut((from, to) -> !(from == 0 && to == 1) && !(from == 3 && to == 2));
         still();
         assertEquals(List.of(), ends(cut, 0, 1, 2, 3, 4), "pairs that one way is cut for");
 
-        crew.relay.cut((from, to) -> to != 2);
-        crew.within(KNOWN + PAUSE, "one that hears nobody", () -> crew.see(4, 0, 1, 3, 4) && crew.see(1, 2));
+        processes.relay.cut((from, to) -> to != 2);
+        processes.within(
+                KNOWN + PAUSE, "one that hears nobody", () -> processes.see(4, 0, 1, 3, 4) && processes.see(1, 2));
         long stays = mono();
         still();
         assertEquals(List.of(), ends(stays, 0, 1, 2, 3, 4), "the view stays while the cut lasts");
-        crew.relay.cut((from, to) -> true);
-        crew.within(KNOWN, "it is healed", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.relay.cut((from, to) -> true);
+        processes.within(KNOWN, "it is healed", () -> processes.see(5, 0, 1, 2, 3, 4));
 
-        crew.relay.cut((from, to) -> from != 1);
-        crew.within(KNOWN + PAUSE, "one that nobody hears", () -> crew.see(4, 0, 2, 3, 4) && crew.see(1, 1));
-        crew.relay.cut((from, to) -> true);
-        crew.within(KNOWN, "that is healed, too", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.relay.cut((from, to) -> from != 1);
+        processes.within(
+                KNOWN + PAUSE, "one that nobody hears", () -> processes.see(4, 0, 2, 3, 4) && processes.see(1, 1));
+        processes.relay.cut((from, to) -> true);
+        processes.within(KNOWN, "that is healed, too", () -> processes.see(5, 0, 1, 2, 3, 4));
 
-        crew.relay.cut((from, to) -> from < 2 == to < 2);
-        crew.within(KNOWN + PAUSE, "two parts", () -> crew.see(2, 0, 1) && crew.see(3, 2, 3, 4));
+        processes.relay.cut((from, to) -> from < 2 == to < 2);
+        processes.within(KNOWN + PAUSE, "two parts", () -> processes.see(2, 0, 1) && processes.see(3, 2, 3, 4));
         stays = mono();
         still();
         assertEquals(List.of(), ends(stays, 0, 1, 2, 3, 4), "the parts stay");
         long healed = mono();
-        crew.relay.cut((from, to) -> true);
-        crew.within(KNOWN, "one whole again", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.relay.cut((from, to) -> true);
+        processes.within(KNOWN, "one whole again", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(List.of(), ends(healed, 0, 1, 2, 3, 4), "nobody is lost by healing");
 
-        crew.relay.cut((from, to) -> from / 2 == to / 2);
-        crew.within(KNOWN + PAUSE, "three parts", () -> crew.see(2, 0, 1, 2, 3) && crew.see(1, 4));
+        processes.relay.cut((from, to) -> from / 2 == to / 2);
+        processes.within(KNOWN + PAUSE, "three parts", () -> processes.see(2, 0, 1, 2, 3) && processes.see(1, 4));
         healed = mono();
-        crew.relay.cut((from, to) -> true);
-        crew.within(KNOWN, "one whole once more", () -> crew.see(5, 0, 1, 2, 3, 4));
+        processes.relay.cut((from, to) -> true);
+        processes.within(KNOWN, "one whole once more", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(List.of(), ends(healed, 0, 1, 2, 3, 4), "nobody is lost by healing");
     }
 
     /** Faults that nobody has chosen; the seed that they are drawn from is printed. */
     @Test
     void faultsDrawnFromASeedEndInOneView() throws Exception {
-        crew(5);
+        processes(5);
         long seed = System.nanoTime();
         System.out.println("fault plan seed " + seed);
-        FaultSchedule plan = new FaultSchedule(crew, PAUSE);
+        FaultSchedule plan = new FaultSchedule(processes, PAUSE);
         for (FaultSchedule.Step step : FaultSchedule.draw(seed, 5, 4, PAUSE)) {
             plan.play(step);
         }
@@ -194,49 +197,52 @@
     /** Another pause holds from SIGHUP on, also for how late a verdict comes. */
     @Test
     void anotherPauseIsTakenOverWithoutLeaving() throws Exception {
-        crew(3);
-        crew.operators(text -> text.replace("pause = \"" + PAUSE, "pause = \"" + 4 * PAUSE));
+        processes(3);
+        processes.operators(text -> text.replace("pause = \"" + PAUSE, "pause = \"" + 4 * PAUSE));
         for (int i = 0; i < 3; i++) {
             int who = i;
-            crew.within(STARTED, "ready", () -> crew.ask(who, "READY").equals("YES\n"));
-            crew.rewrite(i);
-            crew.signal(i, "HUP");
-            crew.within(STARTED, "read again", () -> crew.ask(who, "STATS").contains("\"reconfig_ok\":1"));
+            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").equals("YES\n"));
+            processes.rewrite(i);
+            processes.signal(i, "HUP");
+            processes.within(
+                    STARTED, "read again", () -> processes.ask(who, "STATS").contains("\"reconfig_ok\":1"));
         }
         long begun = mono();
-        crew.signal(2, "STOP");
+        processes.signal(2, "STOP");
         // Every bound of the old pause is over by then, and the new pause is not.
         TimeUnit.MILLISECONDS.sleep(PAUSE * 3);
-        crew.signal(2, "CONT");
+        processes.signal(2, "CONT");
         still();
         assertEquals(List.of(), ends(begun, 0, 1, 2));
-        assertTrue(crew.see(3, 0, 1, 2));
-        crew.kill(2);
-        long took = crew.within(4 * KNOWN, "a kill", () -> crew.see(2, 0, 1));
+        assertTrue(processes.see(3, 0, 1, 2));
+        processes.kill(2);
+        long took = processes.within(4 * KNOWN, "a kill", () -> processes.see(2, 0, 1));
         assertTrue(took > 3 * PAUSE, "known after " + took + " ms, within the new pause");
     }
 
     /** A process that takes the clients' socket over from another of its name is the same member. */
     @Test
     void oneThatFollowsAnotherOnItsSocketTakesItsPlaceAmongTheMembers() throws Exception {
-        crew = new SidecarProcesses(folder, System.nanoTime(), 3, PAUSE, server);
+        processes = new SidecarProcesses(folder, System.nanoTime(), 3, PAUSE, server);
         try (Platform platform = new Platform()) {
-            crew.start(0);
-            crew.start(1);
-            long first = crew.startOn(platform, 2);
-            crew.within(STARTED, "all see all", () -> crew.see(3, 0, 1, 2));
-            crew.within(
-                    STARTED, "the first is ready", () -> crew.ask(2, "READY").equals("YES\n"));
-            int before = crew.door(2);
-            long second = crew.startOn(platform, 2);
-            assertTrue(crew.door(2) != before);
-            crew.within(
-                    STARTED, "the second is ready", () -> crew.ask(2, "READY").equals("YES\n"));
-            assertTrue(crew.see(3, 0, 1), "both run, and one has the name");
+            processes.start(0);
+            processes.start(1);
+            long first = processes.startOn(platform, 2);
+            processes.within(STARTED, "all see all", () -> processes.see(3, 0, 1, 2));
+            processes.within(STARTED, "the first is ready", () -> processes
+                    .ask(2, "READY")
+                    .equals("YES\n"));
+            int before = processes.door(2);
+            long second = processes.startOn(platform, 2);
+            assertTrue(processes.door(2) != before);
+            processes.within(STARTED, "the second is ready", () -> processes
+                    .ask(2, "READY")
+                    .equals("YES\n"));
+            assertTrue(processes.see(3, 0, 1), "both run, and one has the name");
             long begun = mono();
             new ProcessBuilder("kill", "-TERM", String.valueOf(first)).start().waitFor();
             assertEquals(0, platform.awaitEnd(first));
-            crew.within(KNOWN, "the second has its place", () -> crew.see(3, 0, 1, 2));
+            processes.within(KNOWN, "the second has its place", () -> processes.see(3, 0, 1, 2));
             assertEquals(
                     Set.of("n2 left"),
                     Set.copyOf(ends(begun, 0, 1).stream()
@@ -249,47 +255,48 @@
 
     @Test
     void theLaterOfTwoWithOneNameIsRefusedAndTheFirstLivesOn() throws Exception {
-        crew(3);
-        crew.kill(2);
-        crew.within(KNOWN, "a kill", () -> crew.see(2, 0, 1));
+        processes(3);
+        processes.kill(2);
+        processes.within(KNOWN, "a kill", () -> processes.see(2, 0, 1));
         long begun = mono();
-        Process second = crew.start(2, "n1");
+        Process second = processes.start(2, "n1");
         assertTrue(second.waitFor(30, TimeUnit.SECONDS), "it lives on");
         assertEquals(2, second.exitValue());
-        String last = Files.readAllLines(crew.log(2)).stream()
+        String last = Files.readAllLines(processes.log(2)).stream()
                 .filter(l -> l.contains("is taken"))
                 .findFirst()
                 .orElse("");
         assertTrue(
                 last.startsWith("cypressweir-sidecar: name 'n1' is taken by the process at 127.0.0.1:"),
-                Files.readString(crew.log(2)));
-        assertTrue(crew.see(2, 0, 1));
+                Files.readString(processes.log(2)));
+        assertTrue(processes.see(2, 0, 1));
         assertEquals(List.of(), ends(begun, 0, 1));
-        crew.operators(
-                text -> text.replaceFirst("listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:" + crew.socket(0) + "\""));
-        Process taken = crew.start(2);
+        processes.operators(text ->
+                text.replaceFirst("listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:" + processes.socket(0) + "\""));
+        Process taken = processes.start(2);
         assertTrue(taken.waitFor(30, TimeUnit.SECONDS), "it lives on without a socket");
         assertEquals(1, taken.exitValue());
         assertTrue(
-                Files.readString(crew.log(2)).contains("[membership] can't listen on 127.0.0.1:" + crew.socket(0)),
-                Files.readString(crew.log(2)));
+                Files.readString(processes.log(2))
+                        .contains("[membership] can't listen on 127.0.0.1:" + processes.socket(0)),
+                Files.readString(processes.log(2)));
     }
 
     /** The rig itself, and what goes with membership: servers shared, discovery dead, some stand still. */
     @Test
     void requestsAreAnsweredOnceWhileDiscoveryDiesAndHalfStandsStill() throws Exception {
-        crew(4);
+        processes(4);
         for (int i = 0; i < 4; i++) {
             int who = i;
-            crew.within(STARTED, "ready", () -> crew.ask(who, "READY").equals("YES\n"));
+            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").equals("YES\n"));
         }
-        crew.discovery.close();
+        processes.discovery.close();
         HttpClient client = HttpClient.newHttpClient();
         AtomicInteger ids = new AtomicInteger();
         List<CompletableFuture<Integer>> answers = new ArrayList<>();
         long begun = System.nanoTime();
-        crew.signal(0, "STOP");
-        crew.signal(1, "STOP");
+        processes.signal(0, "STOP");
+        processes.signal(1, "STOP");
         // One after the other at each, as clients do; those that stand still answer when they go on.
         for (int i = 0; i < 4; i++) {
             int who = i;
@@ -297,7 +304,7 @@
                 int served = 0;
                 while (System.nanoTime() - begun < 2 * PAUSE * 1_000_000) {
                     HttpRequest book = HttpRequest.newBuilder(URI.create(
-                                    "http://127.0.0.1:" + crew.front(who).getPort() + "/book/k"))
+                                    "http://127.0.0.1:" + processes.front(who).getPort() + "/book/k"))
                             .header("Request-Id", String.format("%016x", ids.incrementAndGet()))
                             .header("Tenant", "acme")
                             .header("Request-Timeout-Ms", "20000")
@@ -317,8 +324,8 @@
             }));
         }
         TimeUnit.MILLISECONDS.sleep(PAUSE * 7 / 10);
-        crew.signal(0, "CONT");
-        crew.signal(1, "CONT");
+        processes.signal(0, "CONT");
+        processes.signal(1, "CONT");
         int served = 0;
         for (CompletableFuture<Integer> a : answers) {
             int own = a.get(60, TimeUnit.SECONDS);
@@ -329,11 +336,11 @@
         server.seen.forEach(s -> ran.merge(s.request().headers().get("Request-Id"), 1, Integer::sum));
         assertEquals(ids.get(), served, "each booking has the answer of a server");
         assertEquals(Set.of(1), Set.copyOf(ran.values()), "and ran once");
-        assertTrue(crew.see(4, 0, 1, 2, 3));
+        assertTrue(processes.see(4, 0, 1, 2, 3));
     }
 
     private long dropped(String why) {
-        return crew.members(0).get("dropped") instanceof Map<?, ?> all && all.get(why) instanceof Long count
+        return processes.members(0).get("dropped") instanceof Map<?, ?> all && all.get(why) instanceof Long count
                 ? count
                 : 0;
     }
@@ -341,7 +348,7 @@
     /** Datagrams that are none, or that were one once, change nothing and are counted. */
     @Test
     void mutatedDatagramsChangeNothing() throws Exception {
-        crew(2);
+        processes(2);
         long begun = mono();
         SplittableRandom random = new SplittableRandom(7);
         Peer peer = new Peer("n1", 1, 1, 99, new InetSocketAddress("127.0.0.1", 9));
@@ -364,15 +371,15 @@
             for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
-            crew.relay.inject(0, sent % 3 == 0 || Arrays.equals(bytes, good) ? foreign : bytes);
+            processes.relay.inject(0, sent % 3 == 0 || Arrays.equals(bytes, good) ? foreign : bytes);
             if (sent % BATCH == 0) {
                 // No more than any socket's buffer keeps for a process that is not let run for a while.
                 int all = sent;
-                crew.within(STARTED, all + " are counted", () -> dropped("foreign") + dropped("torn") == all);
+                processes.within(STARTED, all + " are counted", () -> dropped("foreign") + dropped("torn") == all);
             }
         }
         assertTrue(dropped("foreign") >= 1_000, () -> "foreign: " + dropped("foreign"));
-        assertTrue(crew.see(2, 0, 1));
+        assertTrue(processes.see(2, 0, 1));
         assertEquals(List.of(), ends(begun, 0, 1));
     }
 }
--- a/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
@@ -50,25 +50,25 @@
     private final Queue<Long> calls = new ConcurrentLinkedQueue<>();
     private final Set<Integer> asked = new ConcurrentSkipListSet<>();
     private final HttpClient client = HttpClient.newHttpClient();
-    private SidecarProcesses crew;
+    private SidecarProcesses processes;
     private int starts;
     private int ids;
     private int worst;
 
     @AfterEach
     void close() throws Exception {
-        crew.close();
+        processes.close();
         for (PeerStub server : servers) {
             server.close();
         }
     }
 
     private void start(int i) throws Exception {
-        crew.start(i);
+        processes.start(i);
         starts++;
     }
 
-    private void crew() throws Exception {
+    private void processes() throws Exception {
         for (int i = 0; i < SERVERS; i++) {
             PeerStub server = new PeerStub(seen -> {
                 // So that requests of one round are out together and each has a connection of its own.
@@ -84,22 +84,23 @@
         }
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        crew = new SidecarProcesses(folder, seed, MEMBERS, 1_000, servers.toArray(PeerStub[]::new));
+        processes = new SidecarProcesses(folder, seed, MEMBERS, 1_000, servers.toArray(PeerStub[]::new));
         String list = Configs.json(Configs.list(2, true, "in_service", servers.toArray(PeerStub[]::new)));
-        crew.discovery.script(seen -> {
+        processes.discovery.script(seen -> {
             calls.add(System.nanoTime());
             seen.reply("200 OK", "", list);
         });
-        crew.seeds(3);
-        crew.configs(text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":" + CONN_IDLE_MILLIS * 1_000));
-        crew.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS + "\nidle_per_server = "
-                + PER_SERVER + "\nlist_rate = " + LIST_RATE + "\n");
+        processes.seeds(3);
+        processes.configs(
+                text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":" + CONN_IDLE_MILLIS * 1_000));
+        processes.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS
+                + "\nidle_per_server = " + PER_SERVER + "\nlist_rate = " + LIST_RATE + "\n");
         for (int i = 0; i < MEMBERS; i++) {
             start(i);
             asked.add(i);
         }
         for (int i : asked) {
-            crew.within(15_000, "ready", () -> crew.ask(i, "READY").equals("YES\n"));
+            processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
         }
     }
 
@@ -110,7 +111,7 @@
             for (int k = 0; k < BOUND / 2; k++) {
                 answers.add(client.sendAsync(
                         HttpRequest.newBuilder(URI.create(
-                                        "http://127.0.0.1:" + crew.front(i).getPort() + "/search/k"))
+                                        "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
                                 .header("Request-Id", String.format("%016x", ++ids))
                                 .header("Request-Timeout-Ms", "3000")
@@ -133,15 +134,15 @@
         for (int i = 0; i < MEMBERS; i++) {
             all.append(SidecarProcesses.name(i))
                     .append(' ')
-                    .append(crew.members(i).get("share"))
+                    .append(processes.members(i).get("share"))
                     .append('\n');
         }
-        return all.append(crew.logs()).toString();
+        return all.append(processes.logs()).toString();
     }
 
     /** Rounds until so many are in use, within so many milliseconds. */
     private void use(int connections, String when, long millis) throws Exception {
-        long took = crew.within(
+        long took = processes.within(
                 millis + 3 * ROUND, when + ": all together use " + connections, () -> round() >= connections);
         System.out.println(when + ": " + connections + " of " + BOUND + " used after " + took + " ms");
     }
@@ -171,36 +172,36 @@
     }
 
     private boolean claims(int i, boolean which) {
-        return crew.members(i).get("share") instanceof Map<?, ?> share
+        return processes.members(i).get("share") instanceof Map<?, ?> share
                 && share.get("claims") instanceof Boolean b
                 && b == which;
     }
 
     @Test
     void allTogetherKeepTheBoundWhileTheFleetIsSplitPausedAndKilled() throws Exception {
-        crew();
+        processes();
         use(MEMBERS * 11, "all started at once", 2 * RELEASE);
 
-        crew.relay.cut((from, to) -> from < 3 == to < 3);
-        crew.within(HOLD + ROUND, "the smaller side falls back", () -> claims(3, false) && claims(4, false));
+        processes.relay.cut((from, to) -> from < 3 == to < 3);
+        processes.within(HOLD + ROUND, "the smaller side falls back", () -> claims(3, false) && claims(4, false));
         use(57, "split, the larger side", RELEASE);
-        crew.relay.cut((from, to) -> true);
+        processes.relay.cut((from, to) -> true);
         use(MEMBERS * 11, "healed", RELEASE);
 
         // Two stand still with all that they have open, an elector among them.
         asked.removeAll(Set.of(2, 4));
-        crew.signal(2, "STOP");
-        crew.signal(4, "STOP");
+        processes.signal(2, "STOP");
+        processes.signal(4, "STOP");
         use(57, "two stand still", RELEASE + HOLD);
-        crew.signal(2, "CONT");
-        crew.signal(4, "CONT");
+        processes.signal(2, "CONT");
+        processes.signal(4, "CONT");
         asked.addAll(Set.of(2, 4));
         rounds(ROUND);
         use(MEMBERS * 11, "they go on", RELEASE);
 
         asked.removeAll(Set.of(3, 4));
-        crew.kill(3);
-        crew.kill(4);
+        processes.kill(3);
+        processes.kill(4);
         use(57, "two killed for good", RELEASE);
         long perSecond = callsIn(3_000);
         assertTrue(perSecond >= 0.8 * LIST_RATE, () -> perSecond + " calls a second");
@@ -208,18 +209,18 @@
         start(4);
         rounds(HOLD);
         asked.addAll(Set.of(3, 4));
-        crew.within(
+        processes.within(
                 15_000,
                 "ready",
-                () -> crew.ask(3, "READY").equals("YES\n")
-                        && crew.ask(4, "READY").equals("YES\n"));
+                () -> processes.ask(3, "READY").equals("YES\n")
+                        && processes.ask(4, "READY").equals("YES\n"));
         use(MEMBERS * 11, "started anew", RELEASE);
 
         // Two electors of three: nobody is counted by most of them any more.
         asked.removeAll(Set.of(0, 1));
-        crew.kill(0);
-        crew.kill(1);
-        crew.within(HOLD + ROUND, "all fall back", () -> claims(2, false) && claims(3, false) && claims(4, false));
+        processes.kill(0);
+        processes.kill(1);
+        processes.within(HOLD + ROUND, "all fall back", () -> claims(2, false) && claims(3, false) && claims(4, false));
         rounds(ROUND);
         callsKeepTheRate();
         System.out.println("at most " + worst + " of " + BOUND + " were open, " + calls.size() + " calls");
--- a/src/test/java/org/cypressweir/fleet/transport/SidecarProcessTestCase.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SidecarProcessTestCase.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A folder, a server that answers and a crew of processes, which are ended with each test. */
+/** A folder, a server that answers and a processes of processes, which are ended with each test. */
 abstract class SidecarProcessTestCase {
 
     /** Until a process has started and found the others. */
@@ -17,7 +17,7 @@
     Path folder;
 
     PeerStub server;
-    SidecarProcesses crew;
+    SidecarProcesses processes;
 
     @BeforeEach
     void open() throws Exception {
@@ -26,7 +26,7 @@
 
     @AfterEach
     void close() throws Exception {
-        crew.close();
+        processes.close();
         server.close();
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/ClosingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClosingTest.java
@@ -40,7 +40,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final List<Harness.Client> clients = new ArrayList<>();
     private ClientListener server;
-    private ClientListener.Door door;
+    private ClientListener.ListeningSocket door;
     private CountDownLatch held;
     private CountDownLatch go;
     private Runnable meanwhile;
--- a/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
@@ -30,23 +30,23 @@
     @TempDir
     Path folder;
 
-    private record Told(ListKind kind, List<Server> list) {}
+    private record Reading(ListKind kind, List<Server> list) {}
 
     /** Records what it is told of servers, and watches. */
     private static final class Listening extends QuietModule {
-        private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Reading> told = new LinkedBlockingQueue<>();
         private Actions actions;
 
         @Override
         public void servers(long nowMicros, ListKind kind, List<Server> list) {
-            told.add(new Told(kind, list));
+            told.add(new Reading(kind, list));
             if (kind == ListKind.CACHED) {
                 actions.subscribe();
             }
         }
 
-        Told take() throws InterruptedException {
-            Told next = told.poll(20, TimeUnit.SECONDS);
+        Reading take() throws InterruptedException {
+            Reading next = told.poll(20, TimeUnit.SECONDS);
             assertTrue(next != null, "nothing was told");
             return next;
         }
@@ -93,7 +93,7 @@
             Set<Long> seen = new HashSet<>();
             int slices = 0;
             while (seen.size() < MANY + 2) {
-                Told told = module.take();
+                Reading told = module.take();
                 assertEquals(ListKind.CHANGES, told.kind());
                 assertTrue(
                         told.list().size() <= EndpointListFeed.SLICE,
@@ -107,7 +107,7 @@
             }
             assertEquals(1 + (MANY + 1) / EndpointListFeed.SLICE, slices);
             // What was told later comes later, however long the slices took.
-            Told last = module.take();
+            Reading last = module.take();
             assertEquals(
                     List.of(Ids.of("u5")), last.list().stream().map(Server::id).toList());
         }
@@ -150,7 +150,7 @@
             asked.socket().close();
             int told = 0;
             while (told < MANY) {
-                Told next = module.take();
+                Reading next = module.take();
                 assertEquals(ListKind.CHANGES, next.kind());
                 told += next.list().size();
             }
--- a/src/test/java/org/cypressweir/sidecar/QuietFleetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietFleetTest.java
@@ -12,7 +12,8 @@
 @Timeout(120)
 class QuietFleetTest {
 
-    private static final int INSTANCES = 160, SERVERS = 8;
+    private static final int INSTANCES = 160;
+    private static final int SERVERS = 8;
 
     @TempDir
     Path folder;
--- a/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
@@ -550,7 +550,7 @@
         sidecar("ping_interval = \"200ms\"\nping_timeout = \"100ms\"\n", server);
         WebSocketClient ws = open(harness.client());
         // The client answers its pings; the server's script has ended with its socket, or says nothing.
-        for (WebSocketClient.Frame f; (f = ws.read()).opcode() != 8; ) {
+        for (WebSocketClient.Frame f = ws.read(); f.opcode() != 8; f = ws.read()) {
             assertEquals(9, f.opcode());
             ws.send(10, true, f.payload());
         }
--- a/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.cypressweir.sidecar.buffering.BodyBudget.News;
+import org.cypressweir.sidecar.buffering.BodyBudget.GrantDecisions;
 import org.cypressweir.sidecar.buffering.BodyBudget.Share;
 import org.cypressweir.sidecar.buffering.BodyBudget.Word;
 import org.junit.jupiter.api.Test;
@@ -30,7 +30,7 @@
         assertEquals(Word.WAITS, budget.ask(b, 30));
         // It would fit, but b was there first.
         assertEquals(Word.WAITS, budget.ask(c, 10));
-        assertEquals(new News(List.of(), List.of()), budget.settle());
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.settle());
         assertEquals(List.of(b, c), budget.free(a).granted());
         assertEquals(40, budget.used());
     }
@@ -52,7 +52,7 @@
         assertEquals(Word.WAITS, budget.ask(b, 10));
         assertEquals(List.of(), budget.settle().refused());
         assertEquals(Word.WAITS, budget.ask(a, 10));
-        News news = budget.settle();
+        GrantDecisions news = budget.settle();
         assertEquals(List.of(b), news.refused());
         assertEquals(List.of(a), news.granted());
         assertEquals(60, budget.used());
@@ -66,10 +66,10 @@
         assertEquals(Word.GRANTED, budget.ask(a, 50));
         assertEquals(Word.GRANTED, budget.ask(b, 50));
         assertEquals(Word.WAITS, budget.ask(b, 10));
-        assertEquals(new News(List.of(), List.of()), budget.whole(b, 52));
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.whole(b, 52));
         assertEquals(102, budget.used());
         assertEquals(Word.WAITS, budget.ask(a, 10));
-        assertEquals(new News(List.of(), List.of()), budget.settle());
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.settle());
         assertEquals(List.of(a), budget.free(b).granted());
         assertEquals(60, budget.used());
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    private static void hear(News news, Map<Share, Long> has, List<Share> waits) {
+    private static void hear(GrantDecisions news, Map<Share, Long> has, List<Share> waits) {
         waits.removeAll(news.granted());
         waits.removeAll(news.refused());
         news.refused().forEach(has::remove);
--- a/src/test/java/org/cypressweir/sidecar/cell/CellAssignmentTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellAssignmentTest.java
@@ -104,13 +104,13 @@
         long now = 10;
         for (int i = 1; i <= 30; i++) {
             Server gone = CellPlans.server(i, i % 3, Phase.REMOVED);
-            assertEquals(List.of(), parting.listed(now += 1_000_000, ListKind.CHANGES, List.of(gone)));
+            now += 1_000_000;
+            assertEquals(List.of(), parting.listed(now, ListKind.CHANGES, List.of(gone)));
             assertEquals(-1, parting.cellOf(gone.id()));
             assertTrue(parting.keeps());
+            now += 20_000_000;
             assertEquals(
-                    List.of(),
-                    parting.listed(
-                            now += 20_000_000, ListKind.CHANGES, List.of(CellPlans.server(i, i % 3, Phase.READY))));
+                    List.of(), parting.listed(now, ListKind.CHANGES, List.of(CellPlans.server(i, i % 3, Phase.READY))));
             assertFalse(parting.keeps());
         }
         assertEquals(before, cells(parting, servers));
--- a/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
@@ -26,7 +26,8 @@
 class CellsRandomWalkTest {
 
     private static final long START = 50_000_000;
-    private static final int UNITS = 12, STEPS = 30_000;
+    private static final int UNITS = 12;
+    private static final int STEPS = 30_000;
 
     private record Out(String unit, Effect effect, long token, Ticket ticket) {}
 
--- a/src/test/java/org/cypressweir/sidecar/cell/CellsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsTest.java
@@ -21,8 +21,10 @@
 /** Where requests go while units stay, move, flood, and cells fall sick. */
 class CellsTest {
 
-    private static final long START = 100_000_000, SECOND = 1_000_000;
-    private static final List<Cell> THREE = CellPlans.cells(3), AND_RESERVE = CellPlans.cellsAndReserve(3);
+    private static final long START = 100_000_000;
+    private static final long SECOND = 1_000_000;
+    private static final List<Cell> THREE = CellPlans.cells(3);
+    private static final List<Cell> AND_RESERVE = CellPlans.cellsAndReserve(3);
 
     private static CellsFixture rig(CellsConfiguration plan) {
         return new CellsFixture(plan, START, 30);
--- a/src/test/java/org/cypressweir/simulation/LeaseWorld.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseWorld.java
@@ -21,9 +21,9 @@
     static final double DRIFT = 0.05;
     static final long BEAT = 20_000;
 
-    record Said(InetSocketAddress from, LeaseMessage word) {}
+    record AddressedMessage(InetSocketAddress from, LeaseMessage word) {}
 
-    final SimulatedNetwork<Said> net;
+    final SimulatedNetwork<AddressedMessage> net;
     final SplittableRandom random;
     final LeaseOptions plan;
     final One[] all;
@@ -78,7 +78,7 @@
         net.start(i, BEAT, all[i]);
     }
 
-    final class One implements SimulatedNetwork.Process<Said>, Leases.Actions {
+    final class One implements SimulatedNetwork.Process<AddressedMessage>, Leases.Actions {
         final int place;
         final double rate;
         final long origin;
@@ -111,7 +111,7 @@
             net.send(
                     place,
                     to.getPort() - MembershipSimulation.address(0).getPort(),
-                    new Said(MembershipSimulation.address(place), word));
+                    new AddressedMessage(MembershipSimulation.address(place), word));
         }
 
         @Override
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void receive(long now, Said m) {
+        public void receive(long now, AddressedMessage m) {
             heard[place]++;
             leases.receive(clock(), m.from, m.word);
         }
--- a/src/test/java/org/cypressweir/simulation/LendingTest.java
+++ b/src/test/java/org/cypressweir/simulation/LendingTest.java
@@ -21,7 +21,7 @@
     private SimulatedNetwork<MembershipMessage> net;
 
     /** A process with a list whose pages say which revision and place they are of. */
-    private final class One implements SimulatedNetwork.Process<MembershipMessage>, Lending.Shelf {
+    private final class One implements SimulatedNetwork.Process<MembershipMessage>, Lending.EndpointListSource {
         final List<Lending.Loan> loans = new ArrayList<>();
         final int place = net.place();
         final Peer self = new Peer("n" + place, place, 1, 1, MembershipSimulation.address(place));
--- a/src/test/java/org/cypressweir/simulation/MembershipChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -13,8 +13,8 @@
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.MembershipProtocol;
 import org.cypressweir.fleet.membership.Peer;
-import org.cypressweir.simulation.MembershipSimulation.Fellow;
 import org.cypressweir.simulation.MembershipSimulation.Seen;
+import org.cypressweir.simulation.MembershipSimulation.SimulatedMember;
 
 /**
  * What membership promises, each played in made-up time. They use nothing of the test library, so they can
@@ -75,11 +75,11 @@
         return f;
     }
 
-    private static List<Fellow> some(MembershipSimulation f, int... who) {
+    private static List<SimulatedMember> some(MembershipSimulation f, int... who) {
         return IntStream.of(who).mapToObj(f::get).toList();
     }
 
-    private static List<Fellow> range(MembershipSimulation f, int from, int to) {
+    private static List<SimulatedMember> range(MembershipSimulation f, int from, int to) {
         return f.all().subList(from, to);
     }
 
@@ -90,7 +90,7 @@
         hold(f.await(3 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, what + " does not heal", f);
         f.run(8 * PAUSE);
         hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
-        for (Fellow x : f.all()) {
+        for (SimulatedMember x : f.all()) {
             for (Map.Entry<String, MembershipProtocol.Seen> m :
                     x.core().members().entrySet()) {
                 hold(
@@ -119,7 +119,7 @@
         for (int members : new int[] {2, 5, 24}) {
             MembershipSimulation f = together(seed, members);
             f.net.kill(members - 1);
-            List<Fellow> rest = range(f, 0, members - 1);
+            List<SimulatedMember> rest = range(f, 0, members - 1);
             long took = f.await(f.plan().boundMicros(), () -> f.agree(rest, rest));
             hold(took >= 0, "a killed one is not known", f);
             hold(took > f.plan().pauseMicros(), "known gone before a pause was over", f);
@@ -134,7 +134,7 @@
         for (int world = 0; world < 6; world++) {
             MembershipSimulation f = together(seed + world, 30);
             IntStream.range(0, 18).forEach(f.net::kill);
-            List<Fellow> rest = range(f, 18, 30);
+            List<SimulatedMember> rest = range(f, 18, 30);
             hold(f.await(f.plan().boundMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
             hold(
                     f.changes.stream()
@@ -163,7 +163,8 @@
             MembershipSimulation f = together(seed, members);
             f.net.stop(1);
             f.run(4 * PAUSE);
-            List<Fellow> rest = f.all().stream().filter(x -> x.place != 1).toList();
+            List<SimulatedMember> rest =
+                    f.all().stream().filter(x -> x.place != 1).toList();
             hold(f.agree(rest, rest), "a long pause is not known", f);
             f.net.go(1);
             hold(f.await(PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "it does not come back", f);
@@ -176,10 +177,10 @@
 
     static void oneWayCutsHaveOneAnswer(long seed) {
         MembershipSimulation f = together(seed, 12);
-        List<Fellow> rest = range(f, 1, 12);
-        SimulatedNetwork.Cut deaf = (from, to) -> to != 0;
-        SimulatedNetwork.Cut mute = (from, to) -> from != 0;
-        for (SimulatedNetwork.Cut cut : List.of(deaf, mute)) {
+        List<SimulatedMember> rest = range(f, 1, 12);
+        SimulatedNetwork.Partition deaf = (from, to) -> to != 0;
+        SimulatedNetwork.Partition mute = (from, to) -> from != 0;
+        for (SimulatedNetwork.Partition cut : List.of(deaf, mute)) {
             f.net.cut(cut);
             hold(
                     f.await(
@@ -257,7 +258,7 @@
         f.get(3).core().leave(f.net.now());
         f.run(400_000);
         f.net.kill(3);
-        List<Fellow> rest = some(f, 0, 1, 2, 4, 5, 6, 7, 8);
+        List<SimulatedMember> rest = some(f, 0, 1, 2, 4, 5, 6, 7, 8);
         hold(f.agree(rest, rest), "leaving is not known", f);
         hold(
                 f.changes.size() == 8
@@ -270,7 +271,7 @@
 
     static void theFirstOfTwoKeepsTheName(long seed) {
         MembershipSimulation f = together(seed, 5);
-        Fellow second = f.add("n2");
+        SimulatedMember second = f.add("n2");
         f.start(second.place);
         f.run(PAUSE);
         hold(second.refused() != null && second.refused().contains("'n2'"), "the second lives on", f);
@@ -286,7 +287,7 @@
         // The name of one that is gone is free, at another address too.
         f.net.kill(2);
         f.start(second.place);
-        List<Fellow> now = some(f, 0, 1, 3, 4, 5);
+        List<SimulatedMember> now = some(f, 0, 1, 3, 4, 5);
         hold(f.await(4 * PAUSE, () -> f.agree(now, now)) >= 0, "a name stays taken", f);
         hold(second.core().self().incarnation() > 1, "two processes at one incarnation", f);
     }
@@ -314,7 +315,7 @@
         f.net.kill(9);
         f.run(3 * PAUSE);
         f.start(9);
-        List<Fellow> up = range(f, 2, 12);
+        List<SimulatedMember> up = range(f, 2, 12);
         hold(f.await(2 * PAUSE, () -> f.agree(up, up)) >= 0, "a join by the one seed that lives", f);
     }
 
@@ -369,7 +370,7 @@
             f.run(130_000);
         }
         f.run(2 * PAUSE);
-        for (Fellow x : f.all()) {
+        for (SimulatedMember x : f.all()) {
             String state = x.core().members().get("n2").entry().facts().get("state");
             hold("step 5".equals(state), x.name + " knows '" + state + "'", f);
         }
--- a/src/test/java/org/cypressweir/testkit/CellPlans.java
+++ b/src/test/java/org/cypressweir/testkit/CellPlans.java
@@ -17,7 +17,9 @@
 public final class CellPlans {
 
     /** Servers drop repeats for so long; no request is in hand for longer than patience. */
-    public static final long WINDOW = 3_000_000, PATIENCE = 5_000_000;
+    public static final long WINDOW = 3_000_000;
+
+    public static final long PATIENCE = 5_000_000;
 
     private CellPlans() {}
 
--- a/src/test/java/org/cypressweir/testkit/DatagramRelay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -22,7 +22,7 @@
 public final class DatagramRelay implements AutoCloseable {
 
     /** Whether what one sends to another arrives; by place. */
-    public interface Cut {
+    public interface Outage {
         boolean lets(int from, int to);
     }
 
@@ -41,7 +41,7 @@
     private final SplittableRandom random;
     private final Thread thread;
     public final AtomicLong passed = new AtomicLong();
-    private volatile Cut cut = (from, to) -> true;
+    private volatile Outage cut = (from, to) -> true;
     private volatile Weather weather = Weather.FAIR;
     private volatile boolean over;
 
@@ -67,7 +67,7 @@
         return ((InetSocketAddress) doors.get(place).getLocalAddress()).getPort();
     }
 
-    public void cut(Cut next) {
+    public void cut(Outage next) {
         cut = next;
     }
 
--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Faults between the processes of a crew, drawn from a seed and played one after the other; behind each all
+ * Faults between the processes of a processes, drawn from a seed and played one after the other; behind each all
  * must see all again. What must not change anybody's view is held to that by the processes' own records.
  */
 public final class FaultSchedule {
@@ -41,14 +41,14 @@
 
     private static final long STARTED = 20_000;
 
-    private final SidecarProcesses crew;
+    private final SidecarProcesses processes;
     private final long pause;
     private final Set<Integer> all;
 
-    public FaultSchedule(SidecarProcesses crew, long pauseMillis) {
-        this.crew = crew;
+    public FaultSchedule(SidecarProcesses processes, long pauseMillis) {
+        this.processes = processes;
         pause = pauseMillis;
-        all = IntStream.range(0, crew.size()).boxed().collect(Collectors.toSet());
+        all = IntStream.range(0, processes.size()).boxed().collect(Collectors.toSet());
     }
 
     /** Faults in any order; the first two are the seeds, of which one may always be found. */
@@ -81,10 +81,10 @@
     }
 
     private void agree(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
-        crew.within(
+        processes.within(
                 millis,
                 what,
-                () -> crew.see(on.size(), among.stream().mapToInt(i -> i).toArray()));
+                () -> processes.see(on.size(), among.stream().mapToInt(i -> i).toArray()));
     }
 
     private static Set<Integer> without(Set<Integer> all, int one) {
@@ -99,13 +99,13 @@
 
     /** Ends that any process has seen since then, but for those of these. */
     private void nobodyEnded(long since, String what, Set<String> but) throws Exception {
-        List<SidecarProcesses.Event> ends = crew.history().stream()
+        List<SidecarProcesses.Event> ends = processes.history().stream()
                 .filter(e -> e.mono() > since
                         && (e.event().equals("out") || e.event().equals("left"))
                         && !but.contains(e.about())
                         && !but.contains(e.process()))
                 .toList();
-        Assertions.assertEquals(List.of(), ends, () -> what + "\n" + crew.logs());
+        Assertions.assertEquals(List.of(), ends, () -> what + "\n" + processes.logs());
     }
 
     /** Plays one fault and what must come of it. */
@@ -117,58 +117,58 @@
         Set<String> its = Set.of(SidecarProcesses.name(step.one));
         switch (step.kind) {
             case SHORT_STOP -> {
-                crew.signal(step.one, "STOP");
+                processes.signal(step.one, "STOP");
                 last(step);
-                crew.signal(step.one, "CONT");
+                processes.signal(step.one, "CONT");
                 TimeUnit.MILLISECONDS.sleep(pause);
                 nobodyEnded(begun, what, none);
             }
             case LONG_STOP -> {
-                crew.signal(step.one, "STOP");
+                processes.signal(step.one, "STOP");
                 agree(rest, rest, what, known());
-                crew.signal(step.one, "CONT");
+                processes.signal(step.one, "CONT");
                 all(what + " is over", known());
                 nobodyEnded(begun, what, its);
             }
             case KILL -> {
-                crew.kill(step.one);
+                processes.kill(step.one);
                 agree(rest, rest, what, known());
-                crew.start(step.one);
+                processes.start(step.one);
                 all(what + " is over", STARTED);
                 nobodyEnded(begun, what, its);
             }
             case ONE_WAY, PAIR -> {
                 boolean both = step.kind == Kind.PAIR;
-                crew.relay.cut((from, to) ->
+                processes.relay.cut((from, to) ->
                         !(from == step.one && to == step.other) && !(both && from == step.other && to == step.one));
                 last(step);
-                crew.relay.cut((from, to) -> true);
+                processes.relay.cut((from, to) -> true);
                 nobodyEnded(begun, what, none);
             }
             case MUTE, DEAF -> {
-                crew.relay.cut((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
+                processes.relay.cut((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
                 agree(rest, rest, what, known());
                 agree(Set.of(step.one), Set.of(step.one), what, known());
-                crew.relay.cut((from, to) -> true);
+                processes.relay.cut((from, to) -> true);
                 all(what + " is over", known());
                 nobodyEnded(begun, what, its);
             }
             case SPLIT -> {
-                crew.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
+                processes.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
                 for (int part : Set.copyOf(step.groups)) {
                     Set<Integer> side =
                             all.stream().filter(i -> step.groups.get(i) == part).collect(Collectors.toSet());
                     agree(side, side, what, known() + pause);
                 }
                 long healed = System.nanoTime() / 1_000;
-                crew.relay.cut((from, to) -> true);
+                processes.relay.cut((from, to) -> true);
                 all(what + " is over", known());
                 nobodyEnded(healed, what, none);
             }
             case LOSS -> {
-                crew.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+                processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
                 last(step);
-                crew.relay.weather(DatagramRelay.Weather.FAIR);
+                processes.relay.weather(DatagramRelay.Weather.FAIR);
                 nobodyEnded(begun, what, none);
             }
             default -> throw new IllegalStateException(what);
--- a/src/test/java/org/cypressweir/testkit/LeaseHolders.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Somebody beside each process of a crew who asks at its door whether it holds a lease, and acts as long as
+ * Somebody beside each process of a processes who asks at its door whether it holds a lease, and acts as long as
  * the answer says. What all do is one history, on the machine's one clock.
  */
 public final class LeaseHolders implements AutoCloseable {
 
-    private final SidecarProcesses crew;
+    private final SidecarProcesses processes;
     private final String lease;
     private final LeaseHistory acts = new LeaseHistory();
     private final List<Thread> threads = new ArrayList<>();
@@ -18,10 +18,10 @@
     private long lastAt;
     private volatile boolean over;
 
-    public LeaseHolders(SidecarProcesses crew, String lease) {
-        this.crew = crew;
+    public LeaseHolders(SidecarProcesses processes, String lease) {
+        this.processes = processes;
         this.lease = lease;
-        for (int i = 0; i < crew.size(); i++) {
+        for (int i = 0; i < processes.size(); i++) {
             int who = i;
             Thread thread = new Thread(
                     () -> {
@@ -38,7 +38,7 @@
 
     private void ask(int who) {
         long asked = System.nanoTime();
-        String[] said = crew.ask(who, "LEASE " + lease).strip().split(" ");
+        String[] said = processes.ask(who, "LEASE " + lease).strip().split(" ");
         if (said.length == 3 && said[0].equals("YES")) {
             long until = asked + Long.parseLong(said[2]) * 1_000_000;
             synchronized (this) {
--- a/src/test/java/org/cypressweir/testkit/RawHttpClient.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -18,6 +18,10 @@
         }
     }
 
+    private static String headLine(InputStream in) throws IOException {
+        return String.valueOf(line(in));
+    }
+
     /** The next message, or null at the end of the connection. */
     public static Message read(InputStream in) throws IOException {
         String first = line(in);
@@ -25,7 +29,7 @@
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line; !(line = String.valueOf(line(in))).isEmpty(); ) {
+        for (String line = headLine(in); !line.isEmpty(); line = headLine(in)) {
             int colon = line.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("ended within the head");
