--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -30,7 +30,7 @@
 /** The page's tables of orders are what the code does; -Dorders.table=write puts them there anew. */
 class ConfigurationChangeTableTest {
 
-    private static final Path PAGE = Path.of("docs/design/orders.md");
+    private static final Path PAGE = Path.of("docs/design/configuration-changes.md");
     private static final long PATIENCE = 3_000_000;
     private static final long FLOOR = 3;
 
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
@@ -18,7 +18,7 @@
 /** The page's table of the account is what the code does; -Dquay.table=write puts it there anew. */
 class RequestStateTableTest {
 
-    private static final Path PAGE = Path.of("docs/design/quay.md");
+    private static final Path PAGE = Path.of("docs/design/upstream.md");
     private static final String BEGIN = "<!-- account: begin -->\n";
     private static final String END = "<!-- account: end -->\n";
     private static final int DEPTH = 6;
