--- a/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
+++ b/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
@@ -7,14 +7,22 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** A JSON object of a file or a call, read with DSL-JSON to plain maps and lists. */
+/**
+ * Parses a file or a request body that people write as one JSON object, to plain maps and lists. Stateless, so
+ * safe for use by several threads.
+ *
+ * <p>It differs from the two other readers: {@link org.cypressweir.common.util.Json} reads messages of our own
+ * programs with Jackson, which the sidecar loads anyway; {@code StrictJson} of the configuration keeps numbers as
+ * written and rejects a name that stands twice. This one reports an error in one line with its position, and the
+ * last of two equal names counts.
+ */
 public final class JsonDocuments {
 
     private static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>());
 
     private JsonDocuments() {}
 
-    /** The object, or in one line what is wrong and where. */
+    /** The object, or one line that says what is wrong and where. */
     public static Either<String, Map<String, Object>> read(byte[] bytes) {
         try {
             JsonReader<Object> reader = JSON.newReader(bytes, bytes.length);
@@ -24,15 +32,19 @@
             Map<String, Object> object = ObjectConverter.deserializeMap(reader);
             while (reader.length() > reader.getCurrentIndex()) {
                 if (!Character.isWhitespace(bytes[reader.getCurrentIndex()])) {
-                    return Either.left("something follows the object at byte " + reader.getCurrentIndex());
+                    return Either.left("unexpected text after the object at byte " + reader.getCurrentIndex());
                 }
                 reader.read();
             }
             return Either.right(object);
         } catch (IOException | RuntimeException e) {
-            String message = String.valueOf(e.getMessage());
-            int end = message.indexOf('\n');
-            return Either.left(end < 0 ? message : message.substring(0, end));
+            // The library reports malformed text by unchecked exceptions of several types as well.
+            return Either.left(firstLine(String.valueOf(e.getMessage())));
         }
     }
+
+    private static String firstLine(String message) {
+        int end = message.indexOf('\n');
+        return end < 0 ? message : message.substring(0, end);
+    }
 }
--- a/src/main/java/org/cypressweir/common/settings/SettingsFields.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsFields.java
@@ -8,115 +8,127 @@
 import java.util.function.BiConsumer;
 import org.cypressweir.common.util.Addresses;
 
-/** Fields of an object in a file; what is missing or of another type is noted with its place. */
+/**
+ * Typed access to the fields of an object in the settings file. A field that is missing or of the wrong type adds
+ * a problem, one line with the path of the field, to a list that all objects of a file share; the accessor then
+ * returns its default, so that all problems of a file are found in one pass. For one thread.
+ */
 final class SettingsFields {
 
-    private final Map<?, ?> map;
-    private final String place;
+    private final Map<?, ?> fields;
+    private final String path;
     private final List<String> problems;
 
-    SettingsFields(Map<?, ?> map, String place, List<String> problems) {
-        this.map = map;
-        this.place = place;
+    private SettingsFields(Map<?, ?> fields, String path, List<String> problems) {
+        this.fields = fields;
+        this.path = path;
         this.problems = problems;
     }
 
+    /** The top-level object of a file, with an empty list of problems. */
+    static SettingsFields root(Map<?, ?> fields) {
+        return new SettingsFields(fields, "", new ArrayList<>());
+    }
+
+    /** The problems found so far in the whole file. */
     List<String> problems() {
         return problems;
     }
 
-    void wrong(String what) {
-        problems.add(what);
+    void addProblem(String problem) {
+        problems.add(problem);
     }
 
+    /** The object with that name; one without fields where it is missing. */
     SettingsFields object(String name) {
-        Object value = map.get(name);
-        if (value != null && !(value instanceof Map)) {
-            wrong(place + name + " is no object");
-        }
-        return new SettingsFields(value instanceof Map<?, ?> m ? m : Map.of(), place + name + ".", problems);
+        Object value = valueOfType(name, Map.class, "an object");
+        Map<?, ?> object = value == null ? Map.of() : (Map<?, ?>) value;
+        return new SettingsFields(object, path + name + ".", problems);
     }
 
-    void each(BiConsumer<String, Object> task) {
-        map.forEach((name, value) -> task.accept((String) name, value));
+    void forEach(BiConsumer<String, Object> action) {
+        fields.forEach((name, value) -> action.accept((String) name, value));
     }
 
-    String text(String name) {
-        Object value = map.get(name);
+    /** A text that must be there and not empty. */
+    String requiredText(String name) {
+        Object value = fields.get(name);
         if (value == null || value.equals("")) {
-            wrong(place + name + " is missing");
+            addProblem(path + name + " is missing");
         }
-        return maybe(name, "");
+        return text(name, "");
     }
 
-    String maybe(String name, String otherwise) {
-        Object value = map.get(name);
-        if (value != null && !(value instanceof String)) {
-            wrong(place + name + " is no text");
-        }
-        return value instanceof String text ? text : otherwise;
+    String text(String name, String defaultValue) {
+        Object value = valueOfType(name, String.class, "a string");
+        return value == null ? defaultValue : (String) value;
     }
 
+    /** A boolean; false where it is missing. */
     boolean flag(String name) {
-        Object value = typed(name, Boolean.class, "flag");
+        Object value = valueOfType(name, Boolean.class, "a boolean");
         return value != null && (Boolean) value;
     }
 
-    double number(String name, double otherwise) {
-        Object value = typed(name, Number.class, "number");
-        return value == null ? otherwise : ((Number) value).doubleValue();
+    double number(String name, double defaultValue) {
+        Object value = valueOfType(name, Number.class, "a number");
+        return value == null ? defaultValue : ((Number) value).doubleValue();
     }
 
-    long time(String name, long otherwise) {
-        Object value = typed(name, String.class, "time");
-        return value == null ? otherwise : time(place + name, (String) value);
-    }
-
-    /** A value of that type; null where it is missing, or of another type, which is noted. */
-    private Object typed(String name, Class<?> type, String called) {
-        Object value = map.get(name);
-        if (value != null && !type.isInstance(value)) {
-            wrong(place + name + " is no " + called);
-        }
-        return type.isInstance(value) ? value : null;
+    long durationMicros(String name, long defaultMicros) {
+        Object value = valueOfType(name, String.class, "a duration");
+        return value == null ? defaultMicros : parseDuration(path + name, (String) value);
     }
 
-    /** Microseconds of a text such as 1500ms or 2.5s. */
-    long time(String where, String text) {
+    /** The microseconds of a text such as 1500ms or 2.5s; 0 and a problem where it is no duration. */
+    long parseDuration(String fieldPath, String text) {
         Option<Long> micros = DurationText.micros(text);
-        if (micros.isDefined()) {
-            return micros.get();
+        if (micros.isEmpty()) {
+            addProblem(fieldPath + " must be a duration: " + text);
         }
-        wrong(where + " is no time: " + text);
-        return 0;
+        return micros.getOrElse(0L);
     }
 
-    /** Addresses, each with its port. */
+    /** A list of addresses, each with its port; empty where it is missing. */
     List<String> addresses(String name) {
-        List<String> texts = new ArrayList<>();
-        Object value = typed(name, List.class, "list");
-        for (Object one : value == null ? List.of() : (List<?>) value) {
+        Object value = valueOfType(name, List.class, "a list");
+        List<?> elements = value == null ? List.of() : (List<?>) value;
+        List<String> addresses = new ArrayList<>();
+        for (Object element : elements) {
             try {
-                Addresses.parse(String.valueOf(one));
-                texts.add((String) one);
+                Addresses.parse(String.valueOf(element));
+                addresses.add((String) element);
             } catch (IllegalArgumentException e) {
-                wrong(place + name + ": " + e.getMessage());
+                addProblem(path + name + ": " + e.getMessage());
             }
         }
-        return texts;
+        return addresses;
     }
 
-    List<Long> numbers(String name) {
-        List<Long> numbers = new ArrayList<>();
-        if (map.get(name) instanceof List<?> list) {
-            list.forEach(one -> numbers.add(one instanceof Number n ? n.longValue() : -1L));
+    /** A list of integers; -1 stands for an element that is not a number, and no problem is added. */
+    List<Long> integers(String name) {
+        List<Long> integers = new ArrayList<>();
+        if (fields.get(name) instanceof List<?> elements) {
+            for (Object element : elements) {
+                integers.add(element instanceof Number number ? number.longValue() : -1L);
+            }
         }
-        return numbers;
+        return integers;
     }
 
-    Map<String, String> texts() {
+    /** All fields of this object as texts, in the order of the file. */
+    Map<String, String> asTexts() {
         Map<String, String> texts = new LinkedHashMap<>();
-        each((name, value) -> texts.put(name, String.valueOf(value)));
+        forEach((name, value) -> texts.put(name, String.valueOf(value)));
         return texts;
     }
+
+    /** A value of that type; null where it is missing, or of another type, which adds a problem. */
+    private Object valueOfType(String name, Class<?> type, String typeName) {
+        Object value = fields.get(name);
+        if (value != null && !type.isInstance(value)) {
+            addProblem(path + name + " must be " + typeName);
+        }
+        return type.isInstance(value) ? value : null;
+    }
 }
--- a/src/main/java/org/cypressweir/common/settings/SettingsLoader.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsLoader.java
@@ -11,59 +11,76 @@
 import org.cypressweir.common.util.ReloadSignal;
 import org.jboss.logging.Logger;
 
-/** How a program of the mesh starts: its settings are read and checked; what is wrong ends it in a line. */
+/**
+ * Starts a program of the mesh with its settings: finds the file by an environment variable, validates it, and
+ * ends with an exit status and one line for each problem where the program can't start.
+ */
 public final class SettingsLoader {
 
     private static final Logger LOG = Logger.getLogger(SettingsLoader.class);
-    private static final String NAMES_FILE = "CYPRESSWEIR_NODE_FILE";
+
+    /** The environment variable with the path of the settings file. */
+    private static final String FILE_VARIABLE = "CYPRESSWEIR_NODE_FILE";
+
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_START_FAILED = 1;
+    private static final int EXIT_BAD_SETTINGS = 2;
 
     private SettingsLoader() {}
 
-    /** A program that runs until the process is ended. */
+    /** A program that serves until the process is ended. */
     public interface Program {
-        void serve(NodeSettings papers, SettingsWatcher file) throws IOException;
+        void serve(NodeSettings settings, SettingsWatcher watcher) throws IOException;
     }
 
     /**
-     * Runs a program; 2 where its settings can't be used, 1 where it can't start.
+     * Runs a program until it ends.
      *
-     * @param lacks what the program wants and the settings don't have
+     * @param environment the environment variables of the process
+     * @param missing the fields that the program requires and the settings don't have; none if they are complete
+     * @return the exit status: 2 where the settings can't be used, 1 where the program can't start
      */
     public static int run(
-            String program,
-            Map<String, String> env,
+            String programName,
+            Map<String, String> environment,
             PrintStream err,
-            Function<NodeSettings, Option<String>> lacks,
-            Program its) {
-        String named = env.get(NAMES_FILE);
-        if (named == null) {
-            err.println(program + ": " + NAMES_FILE + " is not set");
-            return 2;
+            Function<NodeSettings, Option<String>> missing,
+            Program program) {
+        String file = environment.get(FILE_VARIABLE);
+        if (file == null) {
+            err.println(programName + ": " + FILE_VARIABLE + " is not set");
+            return EXIT_BAD_SETTINGS;
         }
-        SettingsWatcher file = new SettingsWatcher(Path.of(named));
-        Either<List<String>, NodeSettings> papers = file.first().flatMap(read -> lacks.apply(read)
-                .map(what -> List.of(named + ": a " + program + " wants " + what))
-                .toEither(read)
-                .swap());
-        if (papers.isLeft()) {
-            papers.getLeft().forEach(err::println);
-            return 2;
+        SettingsWatcher watcher = new SettingsWatcher(Path.of(file));
+        Either<List<String>, NodeSettings> settings =
+                watcher.load().flatMap(loaded -> requireComplete(programName, file, loaded, missing));
+        if (settings.isLeft()) {
+            settings.getLeft().forEach(err::println);
+            return EXIT_BAD_SETTINGS;
         }
         try {
-            its.serve(papers.get(), file);
-            return 0;
+            program.serve(settings.get(), watcher);
+            return EXIT_OK;
         } catch (IOException e) {
-            err.println(program + ": " + e.getMessage());
-            return 1;
+            err.println(programName + ": " + e.getMessage());
+            return EXIT_START_FAILED;
         }
     }
 
-    /** From now on each SIGHUP runs the task. */
-    public static void onHangup(Runnable task) {
+    private static Either<List<String>, NodeSettings> requireComplete(
+            String programName, String file, NodeSettings settings, Function<NodeSettings, Option<String>> missing) {
+        Option<String> fields = missing.apply(settings);
+        return fields.isEmpty()
+                ? Either.right(settings)
+                : Either.left(List.of(file + ": a " + programName + " requires " + fields.get()));
+    }
+
+    /** Runs the task on each SIGHUP from now on, on a thread of the runtime. */
+    public static void onReloadSignal(Runnable task) {
         try {
             ReloadSignal.handle(task);
         } catch (ReflectiveOperationException e) {
-            LOG.warn("SIGHUP can't be heard here: " + e + ". A changed file is seen all the same.");
+            LOG.warnf("SIGHUP is not handled, settings are reloaded by polling only cause=%s", e);
         }
     }
 }
--- a/src/main/java/org/cypressweir/common/settings/SettingsWatcher.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsWatcher.java
@@ -10,66 +10,84 @@
 import org.jboss.logging.Logger;
 
 /**
- * The settings file as it changes, with a signal or without one. What is broken, or names another node or
- * another address for its lines, changes nothing.
+ * Loads the settings file and reloads it when it changes. A changed file is rejected as a whole, and logged, where
+ * it is invalid or belongs to another node: a process can't change its name or its peer address.
+ *
+ * <p>Not thread-safe: {@link #load} first, then {@link #poll}, all from one thread. Both read the disk.
  */
 public final class SettingsWatcher {
 
     private static final Logger LOG = Logger.getLogger(SettingsWatcher.class);
 
     private final Path file;
-    private byte[] taken = {};
-    private long modified;
-    /** What this process began with: whose settings these are. */
-    private NodeSettings began;
+    private byte[] lastContent = {};
+    private long lastModifiedMillis;
+    /** The settings with which this process has started. */
+    private NodeSettings initial;
 
     public SettingsWatcher(Path file) {
         this.file = file;
     }
 
-    /** Reads the file at the start; the lines say what is wrong with it. */
-    public Either<List<String>, NodeSettings> first() {
+    /** Reads the file at the start; on the left its problems, one line each. */
+    public Either<List<String>, NodeSettings> load() {
         try {
-            modified = Files.getLastModifiedTime(file).toMillis();
-            taken = Files.readAllBytes(file);
+            lastModifiedMillis = modifiedMillis();
+            lastContent = Files.readAllBytes(file);
         } catch (IOException e) {
             return Either.left(List.of(file + ": can't be read: " + e.getMessage()));
         }
-        return NodeSettings.read(taken)
-                .peek(papers -> began = papers)
-                .mapLeft(lines -> lines.stream().map(l -> file + ": " + l).toList());
+        return NodeSettings.read(lastContent)
+                .peek(settings -> initial = settings)
+                .mapLeft(problems ->
+                        problems.stream().map(problem -> file + ": " + problem).toList());
     }
 
-    private boolean isSameNode(NodeSettings next) {
-        return next.name().equals(began.name()) && next.lines(next.ip()).equals(began.lines(began.ip()));
-    }
-
-    /** To be called now and then; tells the new papers where they are others and can be read. */
-    public void look(boolean signalled, Consumer<NodeSettings> changed) {
+    /**
+     * Reads the file if its modification time has changed, or in any case if forced; to be called periodically.
+     *
+     * @param onReload gets the new settings where the content is new and accepted
+     */
+    public void poll(boolean force, Consumer<NodeSettings> onReload) {
         try {
-            long time = Files.getLastModifiedTime(file).toMillis();
-            if (!signalled && time == modified) {
-                return;
-            }
-            modified = time;
-            byte[] now = Files.readAllBytes(file);
-            if (Arrays.equals(now, taken)) {
+            long modifiedMillis = modifiedMillis();
+            if (!force && modifiedMillis == lastModifiedMillis) {
                 return;
             }
-            taken = now;
-            Either<List<String>, NodeSettings> read = NodeSettings.read(now);
-            if (read.isLeft()) {
-                LOG.warn("The new settings are not taken. " + file + ": " + String.join("; ", read.getLeft()));
-            } else if (!isSameNode(read.get())) {
-                LOG.warn("The new settings are not taken. " + file + ": they are another node's, "
-                        + read.get().name() + " at "
-                        + read.get().lines(read.get().ip()));
-            } else {
-                LOG.info("New settings are taken.");
-                changed.accept(read.get());
+            lastModifiedMillis = modifiedMillis;
+            byte[] content = Files.readAllBytes(file);
+            if (!Arrays.equals(content, lastContent)) {
+                lastContent = content;
+                reload(content, onReload);
             }
         } catch (IOException e) {
-            LOG.warn("The settings can't be read: " + e.getMessage());
+            LOG.warnf("Settings can't be read file=%s cause=%s", file, e.getMessage());
         }
     }
+
+    private long modifiedMillis() throws IOException {
+        return Files.getLastModifiedTime(file).toMillis();
+    }
+
+    private void reload(byte[] content, Consumer<NodeSettings> onReload) {
+        Either<List<String>, NodeSettings> settings = NodeSettings.read(content);
+        if (settings.isLeft()) {
+            logRejection(String.join("; ", settings.getLeft()));
+        } else if (!isSameNode(settings.get())) {
+            NodeSettings other = settings.get();
+            logRejection("they are of another node, " + other.name() + " at " + other.peerAddress(other.ip()));
+        } else {
+            LOG.infof("Settings reloaded file=%s", file);
+            onReload.accept(settings.get());
+        }
+    }
+
+    private boolean isSameNode(NodeSettings settings) {
+        return settings.name().equals(initial.name())
+                && settings.peerAddress(settings.ip()).equals(initial.peerAddress(initial.ip()));
+    }
+
+    private void logRejection(String reason) {
+        LOG.warnf("Settings rejected file=%s reason=%s", file, reason);
+    }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -88,9 +88,9 @@
     private Controller(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
-        own = papers.lines(papers.ip());
-        news = new UpdatePublisher(clock, life, papers.control(), this::confirmedAge);
-        seeds = List.copyOf(papers.seedLines());
+        own = papers.peerAddress(papers.ip());
+        news = new UpdatePublisher(clock, life, papers.controlAddress(), this::confirmedAge);
+        seeds = List.copyOf(papers.seedPeerAddresses());
         others = new PeerConnectionPool(
                 wharf,
                 clock,
@@ -105,7 +105,7 @@
                         "member",
                         keeping.copies().own(),
                         "control",
-                        papers.control()),
+                        papers.controlAddress()),
                 new Others());
     }
 
@@ -124,7 +124,7 @@
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> look(true));
+        SettingsLoader.onReloadSignal(() -> look(true));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -144,7 +144,7 @@
                         items -> ControllerStatus.of(
                                 clock.getAsLong(),
                                 papers.name(),
-                                papers.control(),
+                                papers.controlAddress(),
                                 own,
                                 life,
                                 harbours(),
@@ -286,7 +286,8 @@
 
     /** Reads the settings anew where they are others. */
     private void look(boolean signalled) {
-        disk.execute(() -> file.look(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedLines()))));
+        disk.execute(
+                () -> file.poll(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedPeerAddresses()))));
     }
 
     private void wantOthers() {
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -117,7 +117,7 @@
     private Proxy(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
-        own = papers.lines(papers.ip());
+        own = papers.peerAddress(papers.ip());
         zones = List.copyOf(papers.zones().keySet());
         ships = new ApplicationLifecycleHandler(clock, papers, life, this::shipChanged);
         quay = new UpstreamDispatcher(
@@ -170,7 +170,7 @@
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
+        SettingsLoader.onReloadSignal(() -> loop.execute(() -> file.poll(true, this::newPapers)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(ended), "end"));
         Map<String, String> listen = papers.listen();
         HttpListener.open(
@@ -180,7 +180,7 @@
                 clock,
                 new StateEndpoint(ships, new Told()));
         wharf.listen(Addresses.parse(own), landing);
-        loop.execute(() -> lookout.seeds(papers.seedLines()));
+        loop.execute(() -> lookout.seeds(papers.seedPeerAddresses()));
         HttpListener.open(
                 group,
                 Addresses.parse(listen.get("readiness")),
@@ -221,7 +221,8 @@
     /** Whether the configuration is new enough to begin with, or nobody says so. */
     private boolean isFresh() {
         if (!begun) {
-            begun = freshness.begins(clock.getAsLong(), bearings.stamp(), papers.bound("contact", UNCONFIRMED));
+            begun = freshness.begins(
+                    clock.getAsLong(), bearings.stamp(), papers.durationMicros("contact", UNCONFIRMED));
             if (begun && !freshness.isConfirmed()) {
                 LOG.warn(
                         "No harbour confirms the configuration at " + bearings.stamp() + "; the pilot begins with it.");
@@ -233,7 +234,7 @@
     private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
         return ways.computeIfAbsent(service, s -> {
             listStale = true;
-            double slack = SLACK_PART / 2 * papers.figure("retrySlack", 0) / Math.max(1, roster.size());
+            double slack = SLACK_PART / 2 * papers.number("retrySlack", 0) / Math.max(1, roster.size());
             return new ServiceRequestHandler(
                     s,
                     loop,
@@ -243,9 +244,9 @@
                     Math.max(0, zones.indexOf(papers.zone())),
                     zones,
                     ServiceRequestHandler.budget(
-                            papers.bound("retryWindow", 10_000_000),
+                            papers.durationMicros("retryWindow", 10_000_000),
                             Math.max(1, slack),
-                            RATIO_PART * papers.figure("retryBudgetRatio", 0)));
+                            RATIO_PART * papers.number("retryBudgetRatio", 0)));
         });
     }
 
@@ -283,7 +284,8 @@
             ticks++;
             long now = clock.getAsLong();
             ships.tick();
-            if (ships.drainedAt() != 0 && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
+            if (ships.drainedAt() != 0
+                    && now - ships.drainedAt() > DRAIN_PART * papers.durationMicros("drain", 2_500_000)) {
                 quay.life(null);
             }
             lookout.tick();
@@ -302,7 +304,7 @@
                 lookout.tell();
             }
             if (ticks % TICKS_A_LOOK == 0) {
-                file.look(false, this::newPapers);
+                file.poll(false, this::newPapers);
             }
         } catch (RuntimeException | Error e) {
             LOG.error("A tick failed.", e);
@@ -312,7 +314,7 @@
     private void newPapers(NodeSettings next) {
         papers = next;
         ships.papers(next);
-        lookout.seeds(next.seedLines());
+        lookout.seeds(next.seedPeerAddresses());
         shipChanged(ships.ship());
     }
 
@@ -374,7 +376,7 @@
     }
 
     private Map<String, Object> state(boolean items) {
-        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.control(), own, bearings);
+        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.controlAddress(), own, bearings);
         its.harbours(lookout);
         its.pilots(roster);
         its.peers(peers, down);
@@ -388,7 +390,7 @@
 
     /** SIGTERM: nothing new is taken by and by, what is in hand is answered. */
     private void leave(CountDownLatch ended) {
-        long grace = papers.bound("gracePeriod", 6_000_000);
+        long grace = papers.durationMicros("gracePeriod", 6_000_000);
         long until = clock.getAsLong() + (long) (grace * 0.85);
         loop.execute(() -> {
             LOG.info("Pilot " + papers.name() + " leaves.");
--- a/src/test/java/org/cypressweir/common/settings/NodeSettingsTest.java
+++ b/src/test/java/org/cypressweir/common/settings/NodeSettingsTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.vavr.control.Either;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -10,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a settings file says, and in one line each what is wrong with it. */
+/** Parsing of settings files, and one line for each problem of a file. */
 class NodeSettingsTest {
 
     private static final String FILE = "{'localNode':{'nodeName':'n1','ipAddress':'10.0.0.1','zone':'z1',"
@@ -22,14 +23,14 @@
             + "'slack':200,'strict':true},'later':'x',"
             + "'faultTolerance':{'machineFailures':2,'zones':0}},'unknown':{'deep':[true,null,1e3]}}";
 
-    private static io.vavr.control.Either<List<String>, NodeSettings> read(String text) {
+    private static Either<List<String>, NodeSettings> read(String text) {
         return NodeSettings.read(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void allFieldsAreReadAndUnknownOnesLetBe() {
-        NodeSettings papers = read(FILE).get();
-        assertThat(papers)
+    void allFieldsAreReadAndUnknownOnesIgnored() {
+        NodeSettings settings = read(FILE).get();
+        assertThat(settings)
                 .isEqualTo(new NodeSettings(
                         "n1",
                         "10.0.0.1",
@@ -49,25 +50,25 @@
                         500_000,
                         Map.of("drain", 2_500_000.0, "ratio", 0.25, "slack", 200.0, "strict", 1.0),
                         2));
-        assertThat(papers.zones().keySet()).containsExactly("z2", "z1");
-        assertThat(papers.bound("drain", 1)).isEqualTo(2_500_000);
-        assertThat(papers.bound("grace", 7)).isEqualTo(7);
-        assertThat(papers.figure("ratio", 0)).isEqualTo(0.25);
-        assertThat(papers.lines("10.0.0.9")).isEqualTo("10.0.0.9:7000");
+        assertThat(settings.zones().keySet()).containsExactly("z2", "z1");
+        assertThat(settings.durationMicros("drain", 1)).isEqualTo(2_500_000);
+        assertThat(settings.durationMicros("grace", 7)).isEqualTo(7);
+        assertThat(settings.number("ratio", 0)).isEqualTo(0.25);
+        assertThat(settings.peerAddress("10.0.0.9")).isEqualTo("10.0.0.9:7000");
         assertThat(read(FILE + " \n").isRight()).isTrue();
     }
 
     @Test
-    void whatMayLackHasItsUsualValue() {
-        NodeSettings papers = read("{'localNode':{'nodeName':'n','ipAddress':'10.0.0.1','zone':'z'},"
+    void optionalFieldsHaveDefaults() {
+        NodeSettings settings = read("{'localNode':{'nodeName':'n','ipAddress':'10.0.0.1','zone':'z'},"
                         + "'network':{'internalPortRange':[1,1]}}")
                 .get();
-        assertThat(papers.initialStart()).isFalse();
-        assertThat(papers.dataDirectory()).isNull();
-        assertThat(papers.application()).isNull();
-        assertThat(papers.seeds()).isEmpty();
-        assertThat(papers.heartbeatMicros()).isEqualTo(1_500_000);
-        assertThat(papers.machineFailures()).isNegative();
+        assertThat(settings.initialStart()).isFalse();
+        assertThat(settings.dataDirectory()).isNull();
+        assertThat(settings.application()).isNull();
+        assertThat(settings.seeds()).isEmpty();
+        assertThat(settings.heartbeatMicros()).isEqualTo(1_500_000);
+        assertThat(settings.machineFailures()).isNegative();
     }
 
     @ParameterizedTest
@@ -100,33 +101,33 @@
                 "['10.0.0.1:7000','10.0.0.2:7000']; [1] ; network.seedNodes",
                 "'2.5s'; [] ; termTable.timingBounds.drain"
             })
-    void whatIsWrongIsSaidInOneLineWithItsPlace(String part, String instead, String place) {
-        assertThat(FILE).contains(part);
-        assertThat(read(FILE.replace(part, instead)).getLeft())
+    void problemIsReportedInOneLineWithItsPath(String text, String replacement, String path) {
+        assertThat(FILE).contains(text);
+        assertThat(read(FILE.replace(text, replacement)).getLeft())
                 .singleElement()
                 .asString()
-                .contains(place);
+                .contains(path);
     }
 
     @Test
-    void allThatIsWrongIsSaidAtOnce() {
+    void allProblemsAreReportedAtOnce() {
         assertThat(read("{'localNode':1}").getLeft()).hasSize(5);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "null", "{", "{'a':1", "{'a':1}x", "{'a':}", "{'a':1}{}"})
-    void whatIsNoObjectIsRefused(String text) {
+    void textsOtherThanOneObjectAreRejected(String text) {
         assertThat(read(text).getLeft()).hasSize(1);
     }
 
     @Test
-    void timesAreANumberAndItsUnit() {
+    void durationsAreANumberAndAUnit() {
         assertThat(DurationText.micros("1500ms").get()).isEqualTo(1_500_000);
         assertThat(DurationText.micros("2.5s").get()).isEqualTo(2_500_000);
         assertThat(DurationText.micros("0ms").get()).isZero();
-        for (String none :
+        for (String text :
                 List.of("", "s", "ms", "5", "5m", "5 s x", "x5s", "NaNs", "Infinitys", "5ds", "0x1p3s", "-1s")) {
-            assertThat(DurationText.micros(none).isEmpty()).as(none).isTrue();
+            assertThat(DurationText.micros(text).isEmpty()).as(text).isTrue();
         }
     }
 }
--- a/src/test/java/org/cypressweir/common/settings/SettingsWatcherTest.java
+++ b/src/test/java/org/cypressweir/common/settings/SettingsWatcherTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which settings a running process takes. */
+/** Which changed settings files a running process accepts. */
 class SettingsWatcherTest {
 
     private static final String FILE = "{'localNode':{'nodeName':'n1','ipAddress':'10.0.0.1','zone':'z1'},"
             + "'network':{'internalPortRange':[7000,7009]},'platform':{'heartbeat':'500ms'}}";
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private final List<Long> told = new ArrayList<>();
+    private final List<Long> reloaded = new ArrayList<>();
     private Path file;
     private long writes;
 
     private void write(String text) throws IOException {
-        file = folder.resolve("node.json");
+        file = directory.resolve("node.json");
         Files.writeString(file, text.replace('\'', '"'));
         Files.setLastModifiedTime(file, FileTime.fromMillis(++writes * 1_000));
     }
@@ -42,28 +42,29 @@
         "z1, z2, true",
         "500ms, 700ms, true"
     })
-    void onlyItsOwnAndWholeOnesAreTaken(String text, String instead, boolean taken) throws IOException {
-        for (boolean signalled : List.of(true, false)) {
-            told.clear();
+    void onlyValidSettingsOfTheSameNodeAreAccepted(String text, String replacement, boolean accepted)
+            throws IOException {
+        for (boolean force : List.of(true, false)) {
+            reloaded.clear();
             write(FILE);
-            SettingsWatcher watched = new SettingsWatcher(file);
-            assertThat(watched.first().isRight()).isTrue();
-            write(FILE.replace(text, instead));
-            watched.look(signalled, next -> told.add(next.heartbeatMicros()));
-            assertThat(told).hasSize(taken ? 1 : 0);
+            SettingsWatcher watcher = new SettingsWatcher(file);
+            assertThat(watcher.load().isRight()).isTrue();
+            write(FILE.replace(text, replacement));
+            watcher.poll(force, next -> reloaded.add(next.heartbeatMicros()));
+            assertThat(reloaded).hasSize(accepted ? 1 : 0);
             write(FILE.replace("500ms", "900ms"));
-            watched.look(signalled, next -> told.add(next.heartbeatMicros()));
-            assertThat(told).endsWith(900_000L).hasSize(taken ? 2 : 1);
+            watcher.poll(force, next -> reloaded.add(next.heartbeatMicros()));
+            assertThat(reloaded).endsWith(900_000L).hasSize(accepted ? 2 : 1);
         }
     }
 
     @Test
-    void withoutASignalOnlyAnotherTimeIsLookedAt() throws IOException {
+    void unforcedPollIgnoresAFileWithTheSameModificationTime() throws IOException {
         write(FILE);
-        SettingsWatcher watched = new SettingsWatcher(file);
-        watched.first();
-        watched.look(false, next -> told.add(0L));
-        watched.look(true, next -> told.add(0L));
-        assertThat(told).isEmpty();
+        SettingsWatcher watcher = new SettingsWatcher(file);
+        watcher.load();
+        watcher.poll(false, next -> reloaded.add(0L));
+        watcher.poll(true, next -> reloaded.add(0L));
+        assertThat(reloaded).isEmpty();
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -206,7 +206,7 @@
         rig.settings("h3", null, ",\"other\":\"5s\"");
         for (String name : List.of("p5", "h3")) {
             rig.hup(name);
-            rig.await(name + " has read it", () -> rig.log(name).contains("New settings are taken"));
+            rig.await(name + " has read it", () -> rig.log(name).contains("Settings reloaded"));
             assertThat(rig.isAlive(name)).isTrue();
         }
         assertThat(status("p5", "/", "k-free")).isEqualTo(200);
@@ -262,7 +262,7 @@
     }
 
     private static int takings(String name) throws IOException {
-        return rig.log(name).split("New settings are taken", -1).length;
+        return rig.log(name).split("Settings reloaded", -1).length;
     }
 
     @Test
--- a/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
@@ -55,9 +55,9 @@
                 .containsExactly("localNode.dataDirectory: is missing, and a harbour wants it");
         assertThat(check("settings", "{\"localNode\": {\"zone\": 3}}"))
                 .contains(
-                        "network.internalPortRange: wants two ports",
+                        "network.internalPortRange: must be two ports",
                         "localNode.nodeName: is missing",
-                        "localNode.zone: is no text");
+                        "localNode.zone: must be a string");
         assertThat(check("settings", GOOD.replace(":7500", "").replace("\"zone\": \"a\"", "\"zone\": \"b\"")))
                 .containsExactly(
                         "network.listenAddresses.controlPlane: '127.0.2.1' is not an address and a " + "port",
