--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -45,8 +45,8 @@
 public final class Controller {
 
     private static final Logger LOG = Logger.getLogger(Controller.class);
-    private static final PeerConnectionPool.Plan LINES =
-            new PeerConnectionPool.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
+    private static final PeerConnectionPool.Options LINES =
+            new PeerConnectionPool.Options(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
     private static final RequestLimits OPERATORS = new RequestLimits(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
     private static final int TICK_MILLIS = 50;
     private static final int OPEN_EVERY_MILLIS = 500;
@@ -88,9 +88,9 @@
     private Controller(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
-        own = papers.lines(papers.ip());
-        news = new UpdatePublisher(clock, life, papers.control(), this::confirmedAge);
-        seeds = List.copyOf(papers.seedLines());
+        own = papers.peerAddress(papers.ip());
+        news = new UpdatePublisher(clock, life, papers.controlAddress(), this::confirmedAge);
+        seeds = List.copyOf(papers.seedPeerAddresses());
         others = new PeerConnectionPool(
                 wharf,
                 clock,
@@ -105,13 +105,13 @@
                         "member",
                         keeping.copies().own(),
                         "control",
-                        papers.control()),
+                        papers.controlAddress()),
                 new Others());
     }
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
-        LogConfiguration.open(err, false);
+        LogConfiguration.install(err, false);
         return SettingsLoader.run(
                 "harbour",
                 env,
@@ -124,7 +124,7 @@
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> look(true));
+        SettingsLoader.onReloadSignal(() -> look(true));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -144,7 +144,7 @@
                         items -> ControllerStatus.of(
                                 clock.getAsLong(),
                                 papers.name(),
-                                papers.control(),
+                                papers.controlAddress(),
                                 own,
                                 life,
                                 harbours(),
@@ -195,7 +195,7 @@
                 ? List.of()
                 : copies.crew().stream()
                         .map(ReplicaKey::address)
-                        .filter(a -> !a.equals(own) && others.isClear(a))
+                        .filter(a -> !a.equals(own) && others.isResponsive(a))
                         .map(controls::get)
                         .filter(Objects::nonNull)
                         .toList();
@@ -208,7 +208,7 @@
         others.addresses().stream()
                 .sorted()
                 .forEach(address -> all.add(JsonCodec.map(
-                        "address", address, "control", controls.get(address), "heard", others.isClear(address))));
+                        "address", address, "control", controls.get(address), "heard", others.isResponsive(address))));
         return all;
     }
 
@@ -286,7 +286,8 @@
 
     /** Reads the settings anew where they are others. */
     private void look(boolean signalled) {
-        disk.execute(() -> file.look(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedLines()))));
+        disk.execute(
+                () -> file.poll(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedPeerAddresses()))));
     }
 
     private void wantOthers() {
@@ -294,28 +295,28 @@
         keeping.copies().crew().forEach(member -> wanted.add(ReplicaKey.address(member)));
         callers.values().forEach(member -> wanted.add(ReplicaKey.address(member)));
         wanted.remove(own);
-        others.want(wanted);
+        others.setAddresses(wanted);
     }
 
     /** Lines that others have opened. */
-    private final class Lines implements PeerConnection.Ear {
+    private final class Lines implements PeerConnection.Listener {
         @Override
         public void opened(PeerConnection line) {}
 
         @Override
-        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+        public void received(PeerConnection line, Map<String, Object> head, byte[] body) {
             String type = JsonCodec.text(head, "t");
             if (type.equals("hello")) {
                 if (JsonCodec.text(head, "kind").equals("harbour")) {
                     String member = JsonCodec.text(head, head.containsKey("member") ? "member" : "address");
-                    line.owner(member);
+                    line.attach(member);
                     callers.put(line, member);
                     controls.put(JsonCodec.text(head, "address"), JsonCodec.text(head, "control"));
                 } else {
                     news.welcome(line, JsonCodec.text(head, "name"));
                 }
             } else if (type.startsWith("copies.")) {
-                if (keeping != null && line.owner() instanceof String from) {
+                if (keeping != null && line.attachment() instanceof String from) {
                     keeping.received(from, head);
                     lookAround();
                 }
@@ -332,17 +333,17 @@
     }
 
     /** Lines that this harbour has opened to others: it speaks there, and hears on those of theirs. */
-    private static final class Others implements PeerConnectionPool.Owner {
+    private static final class Others implements PeerConnectionPool.Listener {
         @Override
-        public void up(String address, PeerConnection line) {}
+        public void connected(String address, PeerConnection line) {}
 
         @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {}
+        public void received(String address, PeerConnection line, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void lost(String address, PeerConnection line) {}
+        public void disconnected(String address, PeerConnection line) {}
 
         @Override
-        public void refused(String address) {}
+        public void connectFailed(String address) {}
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -51,8 +51,8 @@
 public final class Proxy {
 
     private static final Logger LOG = Logger.getLogger(Proxy.class);
-    private static final PeerConnectionPool.Plan PEERS =
-            new PeerConnectionPool.Plan(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
+    private static final PeerConnectionPool.Options PEERS =
+            new PeerConnectionPool.Options(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
     private static final RequestLimits OWN_CALLS = new RequestLimits(16 * 1024, 64 * 1024, 5_000, 60_000);
     private static final int TICK_MILLIS = 50;
     private static final int TICKS_A_TALLY = 4;
@@ -117,7 +117,7 @@
     private Proxy(NodeSettings papers, SettingsWatcher file) {
         this.papers = papers;
         this.file = file;
-        own = papers.lines(papers.ip());
+        own = papers.peerAddress(papers.ip());
         zones = List.copyOf(papers.zones().keySet());
         ships = new ApplicationLifecycleHandler(clock, papers, life, this::shipChanged);
         quay = new UpstreamDispatcher(
@@ -128,7 +128,7 @@
                 line -> Logger.getLogger(Proxy.class).info(line));
         landing = new PeerRequestReceiver(clock, quay, ships::berth);
         peers = new PeerConnectionPool(wharf, clock, PEERS, this::hello, new Peers());
-        hops = new PeerForwarder(clock, own, life, quay, peers::line);
+        hops = new PeerForwarder(clock, own, life, quay, peers::connection);
         lookout = new ControllerClient(
                 wharf,
                 clock,
@@ -155,7 +155,7 @@
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
-        LogConfiguration.open(err, false);
+        LogConfiguration.install(err, false);
         return SettingsLoader.run("pilot", env, err, Proxy::lacks, (papers, file) -> new Proxy(papers, file).serve());
     }
 
@@ -170,7 +170,7 @@
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
+        SettingsLoader.onReloadSignal(() -> loop.execute(() -> file.poll(true, this::newPapers)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(ended), "end"));
         Map<String, String> listen = papers.listen();
         HttpListener.open(
@@ -180,14 +180,14 @@
                 clock,
                 new StateEndpoint(ships, new Told()));
         wharf.listen(Addresses.parse(own), landing);
-        loop.execute(() -> lookout.seeds(papers.seedLines()));
+        loop.execute(() -> lookout.seeds(papers.seedPeerAddresses()));
         HttpListener.open(
                 group,
                 Addresses.parse(listen.get("readiness")),
                 () -> OWN_CALLS,
                 clock,
                 call -> call.answer(
-                        ApiCall.READINESS.name(call.uri()).isEmpty()
+                        ApiCall.READINESS.pathParameter(call.uri()).isEmpty()
                                 ? LocalResponses.of(ErrorKind.NO_CALL)
                                 : isReady()
                                         ? ServerResponse.of(200)
@@ -221,7 +221,8 @@
     /** Whether the configuration is new enough to begin with, or nobody says so. */
     private boolean isFresh() {
         if (!begun) {
-            begun = freshness.begins(clock.getAsLong(), bearings.stamp(), papers.bound("contact", UNCONFIRMED));
+            begun = freshness.begins(
+                    clock.getAsLong(), bearings.stamp(), papers.durationMicros("contact", UNCONFIRMED));
             if (begun && !freshness.isConfirmed()) {
                 LOG.warn(
                         "No harbour confirms the configuration at " + bearings.stamp() + "; the pilot begins with it.");
@@ -233,7 +234,7 @@
     private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
         return ways.computeIfAbsent(service, s -> {
             listStale = true;
-            double slack = SLACK_PART / 2 * papers.figure("retrySlack", 0) / Math.max(1, roster.size());
+            double slack = SLACK_PART / 2 * papers.number("retrySlack", 0) / Math.max(1, roster.size());
             return new ServiceRequestHandler(
                     s,
                     loop,
@@ -243,9 +244,9 @@
                     Math.max(0, zones.indexOf(papers.zone())),
                     zones,
                     ServiceRequestHandler.budget(
-                            papers.bound("retryWindow", 10_000_000),
+                            papers.durationMicros("retryWindow", 10_000_000),
                             Math.max(1, slack),
-                            RATIO_PART * papers.figure("retryBudgetRatio", 0)));
+                            RATIO_PART * papers.number("retryBudgetRatio", 0)));
         });
     }
 
@@ -283,7 +284,8 @@
             ticks++;
             long now = clock.getAsLong();
             ships.tick();
-            if (ships.drainedAt() != 0 && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
+            if (ships.drainedAt() != 0
+                    && now - ships.drainedAt() > DRAIN_PART * papers.durationMicros("drain", 2_500_000)) {
                 quay.life(null);
             }
             lookout.tick();
@@ -302,7 +304,7 @@
                 lookout.tell();
             }
             if (ticks % TICKS_A_LOOK == 0) {
-                file.look(false, this::newPapers);
+                file.poll(false, this::newPapers);
             }
         } catch (RuntimeException | Error e) {
             LOG.error("A tick failed.", e);
@@ -312,13 +314,14 @@
     private void newPapers(NodeSettings next) {
         papers = next;
         ships.papers(next);
-        lookout.seeds(next.seedLines());
+        lookout.seeds(next.seedPeerAddresses());
         shipChanged(ships.ship());
     }
 
     /** Whether this is the own machine, or there is a line to it. */
     private boolean reaches(ProxyRegistration berth) {
-        return berth.address().equals(own) || peers.line(berth.address()) != null && !down.contains(berth.address());
+        return berth.address().equals(own)
+                || peers.connection(berth.address()) != null && !down.contains(berth.address());
     }
 
     /** Another list of servers: each service's way learns of it; peers get their lines. */
@@ -348,7 +351,7 @@
                 warm.put(berth.ship().id(), berth.ship().warmAt());
             }
         }
-        peers.want(addresses);
+        peers.setAddresses(addresses);
         for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
             ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), zones, warm));
         }
@@ -373,7 +376,7 @@
     }
 
     private Map<String, Object> state(boolean items) {
-        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.control(), own, bearings);
+        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.controlAddress(), own, bearings);
         its.harbours(lookout);
         its.pilots(roster);
         its.peers(peers, down);
@@ -387,7 +390,7 @@
 
     /** SIGTERM: nothing new is taken by and by, what is in hand is answered. */
     private void leave(CountDownLatch ended) {
-        long grace = papers.bound("gracePeriod", 6_000_000);
+        long grace = papers.durationMicros("gracePeriod", 6_000_000);
         long until = clock.getAsLong() + (long) (grace * 0.85);
         loop.execute(() -> {
             LOG.info("Pilot " + papers.name() + " leaves.");
@@ -423,15 +426,15 @@
     }
 
     /** Lines to other pilots. */
-    private final class Peers implements PeerConnectionPool.Owner {
+    private final class Peers implements PeerConnectionPool.Listener {
         @Override
-        public void up(String address, PeerConnection line) {
+        public void connected(String address, PeerConnection line) {
             down.remove(address);
             listStale = true;
         }
 
         @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
+        public void received(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
             if (JsonCodec.text(head, "t").equals("end")) {
                 hops.heard(line, head, body);
             } else if (JsonCodec.text(head, "t").equals("berth")) {
@@ -444,16 +447,16 @@
         }
 
         @Override
-        public void lost(String address, PeerConnection line) {
+        public void disconnected(String address, PeerConnection line) {
             hops.lost(line);
-            if (peers.line(address) == null) {
+            if (peers.connection(address) == null) {
                 down.add(address);
                 listStale = true;
             }
         }
 
         @Override
-        public void refused(String address) {
+        public void connectFailed(String address) {
             down.add(address);
             listStale = true;
         }
