--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -219,7 +219,7 @@
     private void openStore() {
         try {
             XodusStore store = new XodusStore(Path.of(papers.dataDirectory()));
-            store.setAside()
+            store.quarantineReason()
                     .ifPresent(why -> LOG.error("The disk was damaged; what it held is set aside. " + why
                             + ". This harbour has to learn what stands."));
             PersistentState loaded = store.load().orElse(null);
--- a/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
@@ -1,13 +1,18 @@
 package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
+import java.nio.file.Path;
 
-/** The disk reads and yet does not hold what was written: it has lost or changed something. */
+/**
+ * The disk can be read, but what it holds is not what was written: something is lost or changed. A disk that
+ * refuses to be read or written is a plain {@link IOException} instead, as it tells nothing about its content.
+ */
 class CorruptStoreException extends IOException {
 
     private static final long serialVersionUID = 1;
 
-    CorruptStoreException(String message, Throwable cause) {
-        super(message, cause);
+    /** @param cause what the reader of the file or environment reported, or null */
+    CorruptStoreException(Path location, String problem, Throwable cause) {
+        super(location + ": " + problem, cause);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/storage/DurableDirectories.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/DurableDirectories.java
@@ -10,49 +10,58 @@
 import java.util.TreeSet;
 import java.util.stream.Stream;
 
-/** What a folder needs so that its files outlast a loss of power. */
+/**
+ * File system calls that decide what survives a loss of power: a file's content needs its own sync, its name
+ * needs a sync of the directory. Stateless; tests override single calls to inject faults.
+ */
 class DurableDirectories {
 
-    /** Makes the folder's entries durable: a file lasts only once its entry does. */
-    void sync(Path folder) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private static final String REPLACEMENT_SUFFIX = ".next";
+
+    /** Makes the directory's entries durable: a file survives only once its entry does. */
+    void sync(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    static Set<String> names(Path folder) throws IOException {
+    /** The names of the directory's entries, sorted. */
+    static Set<String> names(Path directory) throws IOException {
         Set<String> names = new TreeSet<>();
-        try (Stream<Path> files = Files.list(folder)) {
-            files.forEach(f -> names.add(f.getFileName().toString()));
+        try (Stream<Path> files = Files.list(directory)) {
+            files.forEach(file -> names.add(file.getFileName().toString()));
         }
         return names;
     }
 
-    /** Puts a small file in place of another, durably and at once. */
+    /** Replaces a small file's content atomically and durably. */
     void replace(Path file, String text) throws IOException {
-        Path next = file.resolveSibling(file.getFileName() + ".next");
-        Files.writeString(next, text);
-        force(next);
-        move(next, file);
+        Path replacement = file.resolveSibling(file.getFileName() + REPLACEMENT_SUFFIX);
+        Files.writeString(replacement, text);
+        force(replacement);
+        move(replacement, file);
         sync(file.toAbsolutePath().getParent());
     }
 
+    /** Makes the file's content durable. */
     void force(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
     }
 
-    void move(Path file, Path to) throws IOException {
-        Files.move(file, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Renames atomically; the new name is durable only after a sync of its directory. */
+    void move(Path file, Path target) throws IOException {
+        Files.move(file, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    void delete(Path folder) throws IOException {
-        if (Files.isDirectory(folder)) {
-            for (String name : names(folder)) {
-                delete(folder.resolve(name));
+    /** Deletes a file, or a directory with all that is in it, where it exists. */
+    void delete(Path path) throws IOException {
+        if (Files.isDirectory(path)) {
+            for (String name : names(path)) {
+                delete(path.resolve(name));
             }
         }
-        Files.deleteIfExists(folder);
+        Files.deleteIfExists(path);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
@@ -4,19 +4,22 @@
 import org.cypressweir.controlplane.consensus.PersistentState;
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
-/** Keeps nothing beyond this process. */
+/**
+ * A store for tests and benchmarks that keeps the state on the heap: it is lost with the object, and closing
+ * it keeps the state. Not thread-safe.
+ */
 public final class InMemoryStore implements Store {
 
-    private PersistentState standing;
+    private PersistentState state;
 
     @Override
     public Optional<PersistentState> load() {
-        return Optional.ofNullable(standing);
+        return Optional.ofNullable(state);
     }
 
     @Override
-    public void write(StorageUpdate change) {
-        standing = change.on(standing);
+    public void write(StorageUpdate update) {
+        state = update.on(state);
     }
 
     @Override
--- a/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
@@ -6,88 +6,103 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
+import java.util.Comparator;
 import java.util.Deque;
 import java.util.stream.Stream;
 
 /**
- * Where a damaged folder's files go, within the folder itself, for an operator to look at. A few are kept
- * as long as they are small; a mark that there was one stays.
+ * Moves the files of a damaged store into a numbered subdirectory, for an operator to look at. A few
+ * subdirectories are kept as long as they are small; a marker file that says that there was damage stays.
  */
 final class Quarantine {
 
-    private static final String MARK = "damaged";
-    private static final String ASIDE = "aside-";
-    private static final int MOST = 2;
-    private static final long MOST_BYTES = 64L << 20;
+    private static final String MARKER_FILE = "damaged";
+    /** The text is fixed: directories that earlier builds made begin with it. */
+    private static final String DIRECTORY_PREFIX = "aside-";
 
-    private final Path folder;
-    private final DurableDirectories folders;
+    private static final String DIRECTORY_PATTERN = DIRECTORY_PREFIX + "\\d{1,9}";
+    private static final String WRITE_CHECK_FILE = "probe";
+    private static final int MAX_DIRECTORIES = 2;
+    private static final long MAX_BYTES = 64L << 20;
 
-    Quarantine(Path folder, DurableDirectories folders) {
-        this.folder = folder;
-        this.folders = folders;
+    private final Path root;
+    private final DurableDirectories directories;
+
+    Quarantine(Path root, DurableDirectories directories) {
+        this.root = root;
+        this.directories = directories;
     }
 
-    boolean ever() {
-        return Files.exists(folder.resolve(MARK));
+    /** Whether this store was ever found damaged. */
+    boolean wasEverUsed() {
+        return Files.exists(root.resolve(MARKER_FILE));
     }
 
-    /** Fails where the disk does not read all that is there, or takes no write. */
-    void prove() throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+    /** Reads all files and writes a small one; fails where the disk refuses either. */
+    void checkDisk() throws IOException {
+        try (Stream<Path> files = Files.walk(root)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 try (InputStream in = Files.newInputStream(file)) {
                     in.transferTo(OutputStream.nullOutputStream());
                 }
             }
         }
-        folders.replace(folder.resolve("probe"), "probe\n");
-        Files.delete(folder.resolve("probe"));
+        Path writeCheck = root.resolve(WRITE_CHECK_FILE);
+        directories.replace(writeCheck, WRITE_CHECK_FILE + "\n");
+        Files.delete(writeCheck);
     }
 
-    /** Sets all aside. Where power is lost on the way, what is left is damaged and goes next. */
-    void take(String why) throws IOException {
-        folders.replace(folder.resolve(MARK), why + "\n");
-        Deque<String> before = kept();
-        Path next = folder.resolve(ASIDE + (before.isEmpty() ? 1 : number(before.getLast()) + 1));
-        Files.createDirectory(next);
-        folders.sync(folder);
-        for (String name : DurableDirectories.names(folder)) {
-            if (!name.equals(MARK) && !name.startsWith(ASIDE)) {
-                folders.move(folder.resolve(name), next.resolve(name));
+    /**
+     * Moves all files of the store into a new subdirectory. Where power is lost on the way, what is left is
+     * damaged too and is moved when the store is opened next.
+     */
+    void moveAll(String reason) throws IOException {
+        directories.replace(root.resolve(MARKER_FILE), reason + "\n");
+        Path target = root.resolve(DIRECTORY_PREFIX + nextNumber());
+        Files.createDirectory(target);
+        directories.sync(root);
+        for (String name : DurableDirectories.names(root)) {
+            if (!name.equals(MARKER_FILE) && !name.startsWith(DIRECTORY_PREFIX)) {
+                directories.move(root.resolve(name), target.resolve(name));
             }
         }
-        folders.sync(next);
-        folders.sync(folder);
+        directories.sync(target);
+        directories.sync(root);
     }
 
-    /** The oldest go. */
-    void bound() throws IOException {
-        Deque<String> kept = kept();
-        long bytes = 0;
+    /** Deletes the oldest subdirectories until number and size are within their limits. */
+    void deleteExcess() throws IOException {
+        Deque<String> kept = subdirectories();
+        long totalBytes = 0;
         for (String name : kept) {
-            bytes += size(name);
+            totalBytes += sizeBytes(name);
         }
-        while (kept.size() > MOST || bytes > MOST_BYTES) {
+        while (kept.size() > MAX_DIRECTORIES || totalBytes > MAX_BYTES) {
             String oldest = kept.poll();
-            bytes -= size(oldest);
-            folders.delete(folder.resolve(oldest));
+            totalBytes -= sizeBytes(oldest);
+            directories.delete(root.resolve(oldest));
         }
     }
 
-    private Deque<String> kept() throws IOException {
-        return new ArrayDeque<>(DurableDirectories.names(folder).stream()
-                .filter(n -> n.matches(ASIDE + "\\d{1,9}"))
-                .sorted((a, b) -> Long.compare(number(a), number(b)))
+    private long nextNumber() throws IOException {
+        Deque<String> existing = subdirectories();
+        return existing.isEmpty() ? 1 : number(existing.getLast()) + 1;
+    }
+
+    /** The oldest first. */
+    private Deque<String> subdirectories() throws IOException {
+        return new ArrayDeque<>(DurableDirectories.names(root).stream()
+                .filter(name -> name.matches(DIRECTORY_PATTERN))
+                .sorted(Comparator.comparingLong(Quarantine::number))
                 .toList());
     }
 
     private static long number(String name) {
-        return Long.parseLong(name.substring(ASIDE.length()));
+        return Long.parseLong(name.substring(DIRECTORY_PREFIX.length()));
     }
 
-    private long size(String name) throws IOException {
-        try (Stream<Path> files = Files.walk(folder.resolve(name))) {
+    private long sizeBytes(String name) throws IOException {
+        try (Stream<Path> files = Files.walk(root.resolve(name))) {
             long size = 0;
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 size += Files.size(file);
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -1,81 +1,51 @@
 package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
-import java.nio.channels.FileChannel;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
 import java.util.Set;
-import java.util.stream.Stream;
-import jetbrains.exodus.ArrayByteIterable;
-import jetbrains.exodus.ByteIterable;
 import jetbrains.exodus.ExodusException;
-import jetbrains.exodus.env.Cursor;
 import jetbrains.exodus.env.Environment;
 import jetbrains.exodus.env.EnvironmentConfig;
 import jetbrains.exodus.env.Environments;
-import jetbrains.exodus.env.StoreConfig;
-import jetbrains.exodus.env.Transaction;
-import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.controlplane.consensus.PersistentState;
-import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
-/** One folder with a Xodus environment. A write is one transaction, and sealed. */
+/**
+ * One directory with an open Xodus environment. A write is one durable transaction with a checksum of the
+ * state after it. Not thread-safe; after a failed write the environment must be closed and opened anew.
+ */
 final class StoreEnvironment implements AutoCloseable {
 
-    private static final String ITEMS = "items";
-    private static final String TERMS = "terms";
-    private static final ByteIterable PROMISED = bytes("promised");
-    private static final ByteIterable ACCEPTED = bytes("accepted");
-    private static final ByteIterable CREW = bytes("crew");
-    private static final ByteIterable HEARSAY = bytes("hearsay");
-    private static final ByteIterable DISK = bytes("disk");
-    private static final ByteIterable SEAL = bytes("seal");
+    private static final int CACHE_PAGE_BYTES = 16 * 1024;
+    private static final long CACHE_BYTES = 8L << 20;
 
-    private final Path folder;
-    private final DurableDirectories folders;
+    private final Path directory;
+    private final DurableDirectories directories;
     private final Environment environment;
-    private Set<String> files;
-    private long written;
-    private WriteChecksum seal = WriteChecksum.NONE;
+    private final StateRecords records;
+    /** The files whose directory entries are durable. */
+    private Set<String> syncedFiles;
+
+    private long transactionsSinceOpen;
+    private WriteChecksum checksum = WriteChecksum.NONE;
 
     /**
-     * Opens the folder, made anew where it is not there.
+     * Opens the environment, created where the directory is not there.
      *
-     * @throws TornWriteException where it can be opened, but does not hold what was written last
+     * @param logFileKib the size of one Xodus log file
+     * @throws TornWriteException where it can be opened, but its content does not match its checksum
      * @throws CorruptStoreException where it can be read, but not opened
+     * @throws IOException where the disk refuses
      */
-    StoreEnvironment(Path folder, int fileKib, DurableDirectories folders) throws IOException {
-        this.folder = folder;
-        this.folders = folders;
-        Files.createDirectories(folder);
-        EnvironmentConfig config = new EnvironmentConfig();
-        config.setLogDurableWrite(true);
-        config.setLogFileSize(fileKib);
-        config.setLogCachePageSize(16 * 1024);
-        config.setMemoryUsage(8L << 20);
-        // Mapped files end the process where their folder is emptied or their disk fails.
-        config.setLogCacheUseNio(false);
-        config.setLogCacheShared(false);
-        config.setLogClearInvalid(false);
-        config.setManagementEnabled(false);
-        config.setEnvGatherStatistics(false);
-        config.setEnvCloseForcedly(true);
-        // What is no longer used goes with the whole folder when a new one is begun.
-        config.setGcEnabled(false);
-        try {
-            environment = Environments.newInstance(folder.toFile(), config);
-        } catch (RuntimeException | Error e) {
-            String why = "cannot open " + folder + ": " + e.getMessage();
-            throw e instanceof Error || byReading(e) ? new IOException(why, e) : new CorruptStoreException(why, e);
-        }
-        folders.sync(folder);
-        files = DurableDirectories.names(folder);
+    StoreEnvironment(Path directory, int logFileKib, DurableDirectories directories) throws IOException {
+        this.directory = directory;
+        this.directories = directories;
+        Files.createDirectories(directory);
+        environment = open(directory, logFileKib);
+        records = new StateRecords(environment);
+        directories.sync(directory);
+        syncedFiles = DurableDirectories.names(directory);
         try {
             load();
         } catch (TornWriteException e) {
@@ -84,181 +54,111 @@
         }
     }
 
-    /** Whether the disk refused, which tells nothing about what it holds. */
-    private static boolean byReading(Throwable e) {
-        return e instanceof ExodusException && (e.getCause() instanceof IOException || byReading(e.getCause()));
-    }
-
-    /** Cuts the last write off a folder that is not open: without its last byte, the one before it counts. */
-    static void cut(Path folder) throws IOException {
-        List<String> logs = DurableDirectories.names(folder).stream()
-                .filter(n -> n.endsWith(".xd"))
-                .toList();
-        for (int i = logs.size() - 1; i >= 0; i--) {
-            try (FileChannel log = FileChannel.open(folder.resolve(logs.get(i)), StandardOpenOption.WRITE)) {
-                if (log.size() > 0) {
-                    log.truncate(log.size() - 1);
-                    log.force(true);
-                    return;
-                }
+    private static Environment open(Path directory, int logFileKib) throws IOException {
+        try {
+            return Environments.newInstance(directory.toFile(), config(logFileKib));
+        } catch (RuntimeException | Error e) {
+            // Xodus reports damage by unchecked exceptions of many types.
+            String problem = "cannot open environment: " + e.getMessage();
+            if (e instanceof Error || isReadFailure(e)) {
+                throw new IOException(directory + ": " + problem, e);
             }
+            throw new CorruptStoreException(directory, problem, e);
         }
     }
 
-    /** How many writes there have been, in folders before this one too. */
-    long number() {
-        return seal.number();
+    private static EnvironmentConfig config(int logFileKib) {
+        EnvironmentConfig config = new EnvironmentConfig();
+        config.setLogDurableWrite(true);
+        config.setLogFileSize(logFileKib);
+        config.setLogCachePageSize(CACHE_PAGE_BYTES);
+        config.setMemoryUsage(CACHE_BYTES);
+        // Mapped files end the process where their directory is emptied or their disk fails.
+        config.setLogCacheUseNio(false);
+        config.setLogCacheShared(false);
+        config.setLogClearInvalid(false);
+        config.setManagementEnabled(false);
+        config.setEnvGatherStatistics(false);
+        config.setEnvCloseForcedly(true);
+        // Unused records go with the directory when the store is compacted into a new one.
+        config.setGcEnabled(false);
+        return config;
+    }
+
+    /** Whether the disk refused to be read, which tells nothing about what it holds. */
+    private static boolean isReadFailure(Throwable e) {
+        return e instanceof ExodusException && (e.getCause() instanceof IOException || isReadFailure(e.getCause()));
     }
 
-    long size() throws IOException {
-        return size(folder);
+    /** How many writes there have been, in the directories before this one too. */
+    long writeCount() {
+        return checksum.writeCount();
     }
 
     /** How many bytes its files take. */
-    static long size(Path folder) throws IOException {
-        long size = 0;
-        for (String name : DurableDirectories.names(folder)) {
-            size += Files.size(folder.resolve(name));
-        }
-        return size;
+    long sizeBytes() throws IOException {
+        return XodusLogFiles.sizeBytes(directory);
     }
 
-    /** How many transactions there have been since it was opened. */
-    long written() {
-        return written;
+    long transactionsSinceOpen() {
+        return transactionsSinceOpen;
     }
 
+    /** Reads and verifies the state; null where nothing was written yet. */
     PersistentState load() throws IOException {
-        PersistentState[] found = new PersistentState[1];
+        StateRecords.Verified[] found = new StateRecords.Verified[1];
         try {
-            environment.executeInReadonlyTransaction(t -> found[0] = load(t));
+            environment.executeInReadonlyTransaction(transaction -> found[0] = records.read(transaction));
         } catch (RuntimeException e) {
-            if (byReading(e)) {
+            if (isReadFailure(e)) {
                 throw new IOException(e.getMessage(), e);
             }
-            throw new TornWriteException(folder + " does not hold what was written: " + e.getMessage(), e);
+            throw new TornWriteException(directory, e);
         } catch (Error e) {
             throw new IOException(e.getMessage(), e);
         }
-        return found[0];
-    }
-
-    private PersistentState load(Transaction t) {
-        if (!environment.storeExists(TERMS, t)) {
+        if (found[0] == null) {
             return null;
         }
-        var terms = environment.openStore(TERMS, StoreConfig.USE_EXISTING, t);
-        ByteIterable promised = terms.get(t, PROMISED);
-        if (promised == null) {
-            return null;
-        }
-        List<Item> items = new ArrayList<>();
-        long sum = 0;
-        try (Cursor cursor =
-                environment.openStore(ITEMS, StoreConfig.USE_EXISTING, t).openCursor(t)) {
-            while (cursor.getNext()) {
-                items.add(Item.ofText(text(cursor.getValue())));
-                sum += print(cursor.getKey(), cursor.getValue());
-            }
-        }
-        ByteIterable sealed = terms.get(t, SEAL);
-        if (sealed == null) {
-            // Written by a build without seals: the next write sets one.
-            seal = new WriteChecksum(seal.number(), sum);
-        } else {
-            WriteChecksum found = WriteChecksum.of(text(sealed), terms(terms, t));
-            if (found.sum() != sum) {
-                throw new IllegalArgumentException("the items are not those that were sealed");
-            }
-            seal = found;
-        }
-        String crew = text(terms.get(t, CREW));
-        return new PersistentState(
-                ProposalNumber.of(text(promised)),
-                ProposalNumber.of(text(terms.get(t, ACCEPTED))),
-                crew.isEmpty() ? List.of() : List.of(crew.split("\n")),
-                items,
-                Boolean.parseBoolean(text(terms.get(t, HEARSAY))),
-                disk(terms.get(t, DISK)));
+        checksum = found[0].checksum();
+        return found[0].state();
     }
 
-    private static List<String> terms(jetbrains.exodus.env.Store terms, Transaction t) {
-        // Builds before wrote no number of the disk.
-        return Stream.of(PROMISED, ACCEPTED, CREW, HEARSAY, DISK)
-                .filter(name -> name != DISK || terms.get(t, DISK) != null)
-                .map(name -> text(terms.get(t, name)))
-                .toList();
+    void write(StorageUpdate update) throws IOException {
+        write(update, update.hearsay());
     }
 
-    private static long disk(ByteIterable number) {
-        return number == null ? 0 : Long.parseLong(text(number));
+    /** Writes a complete state into an environment that was just created, after that many writes elsewhere. */
+    void writeAll(PersistentState state, long writeCount) throws IOException {
+        checksum = new WriteChecksum(writeCount, 0);
+        StorageUpdate update =
+                new StorageUpdate(state.promised(), state.accepted(), state.crew(), state.items(), true, state.disk());
+        write(update, state.hearsay());
     }
 
-    void write(StorageUpdate change) throws IOException {
-        write(change, change.hearsay());
+    private void write(StorageUpdate update, boolean secondHand) throws IOException {
+        WriteChecksum[] written = new WriteChecksum[1];
+        runChecked(() -> environment.executeInExclusiveTransaction(
+                transaction -> written[0] = records.write(update, secondHand, checksum, transaction)));
+        transactionsSinceOpen++;
+        checksum = written[0];
+        syncNewFiles();
     }
 
-    /** Writes all that stands into a folder made anew, after so many writes. */
-    void write(PersistentState all, long number) throws IOException {
-        seal = new WriteChecksum(number, 0);
-        write(
-                new StorageUpdate(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()),
-                all.hearsay());
-    }
-
-    private void write(StorageUpdate change, boolean hearsay) throws IOException {
-        WriteChecksum[] next = new WriteChecksum[1];
-        guarded(() -> environment.executeInExclusiveTransaction(t -> next[0] = write(change, hearsay, t)));
-        written++;
-        seal = next[0];
-        Set<String> now = DurableDirectories.names(folder);
-        if (!now.containsAll(files)) {
-            throw new IOException("files of " + folder + " are gone");
+    /** Xodus syncs what it writes to its files, not the directory entries of new ones. */
+    private void syncNewFiles() throws IOException {
+        Set<String> present = DurableDirectories.names(directory);
+        if (!present.containsAll(syncedFiles)) {
+            throw new IOException(directory + ": log files are missing");
         }
-        if (!files.containsAll(now)) {
-            folders.sync(folder);
+        if (!syncedFiles.containsAll(present)) {
+            directories.sync(directory);
         }
-        files = now;
+        syncedFiles = present;
     }
 
-    private WriteChecksum write(StorageUpdate change, boolean hearsay, Transaction t) {
-        long sum = seal.sum();
-        if (change.whole()) {
-            sum = 0;
-            if (environment.storeExists(ITEMS, t)) {
-                environment.truncateStore(ITEMS, t);
-            }
-        }
-        var items = environment.openStore(ITEMS, StoreConfig.WITHOUT_DUPLICATES, t);
-        var terms = environment.openStore(TERMS, StoreConfig.WITHOUT_DUPLICATES, t);
-        for (Item item : change.items()) {
-            ByteIterable key =
-                    bytes(item.key().table().wire() + "." + item.key().name());
-            ByteIterable value = bytes(item.toText());
-            ByteIterable before = items.get(t, key);
-            sum += print(key, value) - (before == null ? 0 : print(key, before));
-            items.put(t, key, value);
-        }
-        terms.put(t, PROMISED, bytes(change.promised().toString()));
-        if (change.accepted() != null || terms.get(t, ACCEPTED) == null) {
-            ProposalNumber accepted = change.accepted() == null ? ProposalNumber.ZERO : change.accepted();
-            terms.put(t, ACCEPTED, bytes(accepted.toString()));
-        }
-        if (change.accepted() != null || terms.get(t, HEARSAY) == null) {
-            terms.put(t, HEARSAY, bytes(Boolean.toString(hearsay)));
-        }
-        if (change.crew() != null || terms.get(t, CREW) == null) {
-            terms.put(t, CREW, bytes(change.crew() == null ? "" : String.join("\n", change.crew())));
-        }
-        if (change.setsDisk()) {
-            terms.put(t, DISK, bytes(Long.toString(change.disk())));
-        }
-        WriteChecksum next = new WriteChecksum(seal.number() + 1, sum);
-        terms.put(t, SEAL, bytes(next.over(terms(terms, t))));
-        return next;
-    }
-
-    private static void guarded(Runnable work) throws IOException {
+    /** Xodus reports a disk that refuses by unchecked exceptions and errors. */
+    private static void runChecked(Runnable work) throws IOException {
         try {
             work.run();
         } catch (RuntimeException | Error e) {
@@ -266,22 +166,8 @@
         }
     }
 
-    private static long print(ByteIterable key, ByteIterable value) {
-        return WriteChecksum.print(
-                Arrays.copyOf(key.getBytesUnsafe(), key.getLength()),
-                Arrays.copyOf(value.getBytesUnsafe(), value.getLength()));
-    }
-
-    private static ByteIterable bytes(String text) {
-        return new ArrayByteIterable(text.getBytes(StandardCharsets.UTF_8));
-    }
-
-    private static String text(ByteIterable bytes) {
-        return new String(bytes.getBytesUnsafe(), 0, bytes.getLength(), StandardCharsets.UTF_8);
-    }
-
     @Override
     public void close() throws IOException {
-        guarded(environment::close);
+        runChecked(environment::close);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/storage/WriteChecksum.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteChecksum.java
@@ -5,16 +5,20 @@
 import java.util.zip.CRC32C;
 
 /**
- * Is written with each change and tells whether all that was written with it and before is there: how many
- * writes there have been, the sum of all items' prints, and a print of these and the terms. What a loss of
- * power leaves of a write that was not synced may look whole to Xodus, with a sector missing in its middle.
+ * A checksum over the complete state, stored with each write. A write that was not synced before a loss of
+ * power may be accepted by Xodus although a sector in its middle is missing; this tells.
+ *
+ * @param writeCount how many writes there have been
+ * @param itemsSum the sum of the checksums of all items, which does not depend on their order
  */
-record WriteChecksum(long number, long sum) {
+record WriteChecksum(long writeCount, long itemsSum) {
 
     static final WriteChecksum NONE = new WriteChecksum(0, 0);
 
-    /** The print of an item as it is written. The sum of prints tells items apart in whatever order. */
-    static long print(byte[] key, byte[] value) {
+    private static final int TEXT_PARTS = 3;
+
+    /** The checksum of one item as it is stored. */
+    static long ofItem(byte[] key, byte[] value) {
         CRC32C crc = new CRC32C();
         crc.update(key);
         crc.update(0);
@@ -22,30 +26,34 @@
         return crc.getValue();
     }
 
-    /** As a text, with a print of itself and of what stands beside it. */
-    String over(List<String> terms) {
-        return number + " " + sum + " " + check(terms);
+    /** The text that is stored: both numbers, and a CRC over them and the fields stored beside them. */
+    String toText(List<String> fields) {
+        return writeCount + " " + itemsSum + " " + crc(fields);
     }
 
-    /** Reads the text; an IllegalArgumentException where it is none or the terms are others. */
-    static WriteChecksum of(String text, List<String> terms) {
+    /**
+     * Reads what {@link #toText} made.
+     *
+     * @throws IllegalArgumentException where it is no such text, or the fields are not those of that write
+     */
+    static WriteChecksum parse(String text, List<String> fields) {
         String[] parts = text.split(" ");
-        if (parts.length != 3) {
-            throw new IllegalArgumentException("no seal");
+        if (parts.length != TEXT_PARTS) {
+            throw new IllegalArgumentException("malformed checksum");
         }
-        WriteChecksum seal = new WriteChecksum(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
-        if (Long.parseLong(parts[2]) != seal.check(terms)) {
-            throw new IllegalArgumentException("the seal is of other terms");
+        WriteChecksum checksum = new WriteChecksum(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+        if (Long.parseLong(parts[2]) != checksum.crc(fields)) {
+            throw new IllegalArgumentException("checksum mismatch of the fields");
         }
-        return seal;
+        return checksum;
     }
 
-    private long check(List<String> terms) {
+    private long crc(List<String> fields) {
         CRC32C crc = new CRC32C();
-        crc.update((number + " " + sum).getBytes(StandardCharsets.UTF_8));
-        for (String term : terms) {
+        crc.update((writeCount + " " + itemsSum).getBytes(StandardCharsets.UTF_8));
+        for (String field : fields) {
             crc.update(0);
-            crc.update(term.getBytes(StandardCharsets.UTF_8));
+            crc.update(field.getBytes(StandardCharsets.UTF_8));
         }
         return crc.getValue();
     }
--- a/src/main/java/org/cypressweir/controlplane/storage/WriteCounterFile.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteCounterFile.java
@@ -8,34 +8,37 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A small file that tells, twice in a row, how many writes had come back at least. It is not synced, and so
- * costs nothing: a loss of power may leave an older number or a torn one, which is known by its two halves,
- * never a higher one. What stands at a lower number has lost writes that were told to be there.
+ * A small file with a lower bound of how many writes were acknowledged. It is not synced, and so costs
+ * nothing: after a loss of power it may hold an older count or a torn one, never a higher one. The count is
+ * written twice in a row, so that a torn one is recognized by halves that differ. A store whose own count is
+ * lower has lost acknowledged writes. Not thread-safe.
  */
 final class WriteCounterFile implements AutoCloseable {
 
     private static final int DIGITS = 19;
+    private static final String SAME_COUNT_TWICE = "(\\d{" + DIGITS + "})\\1";
+    private static final String COUNT_FORMAT = "%0" + DIGITS + "d";
 
     private final FileChannel channel;
-    private long number;
+    private long writeCount;
 
     WriteCounterFile(Path file) throws IOException {
         channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         ByteBuffer bytes = ByteBuffer.allocate(2 * DIGITS);
         channel.read(bytes, 0);
         String text = new String(bytes.array(), 0, bytes.position(), StandardCharsets.ISO_8859_1);
-        // One that can't be read, or that a loss of power has torn, tells nothing.
-        number = text.matches("(\\d{" + DIGITS + "})\\1") ? Long.parseLong(text.substring(0, DIGITS)) : 0;
+        writeCount = text.matches(SAME_COUNT_TWICE) ? Long.parseLong(text.substring(0, DIGITS)) : 0;
     }
 
-    long number() {
-        return number;
+    /** The count read or stored last; 0 where the file was empty or torn. */
+    long writeCount() {
+        return writeCount;
     }
 
-    void saw(long written) throws IOException {
-        number = written;
-        String once = String.format("%0" + DIGITS + "d", written);
-        byte[] digits = (once + once).getBytes(StandardCharsets.ISO_8859_1);
+    void store(long acknowledgedWrites) throws IOException {
+        writeCount = acknowledgedWrites;
+        String count = String.format(COUNT_FORMAT, acknowledgedWrites);
+        byte[] digits = (count + count).getBytes(StandardCharsets.ISO_8859_1);
         channel.write(ByteBuffer.wrap(digits), 0);
     }
 
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -1,7 +1,6 @@
 package org.cypressweir.controlplane.storage;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Optional;
@@ -9,256 +8,257 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /**
- * Keeps a copy in a folder. Xodus only ever appends; so where its files have grown large, what stands is
- * written into a folder next to it, which takes over at once when a small file names it. No thread cleans up.
+ * A store on disk, in Xodus environments below one directory. Xodus only appends; once its files have grown
+ * large, the state is compacted into the next generation's directory, which then becomes the current one.
+ * Compaction runs within a write; there are no background threads. Not thread-safe.
  *
- * <p>Opening it gives all that was told to be written. A last write that a loss of power has torn was never
- * told: it is cut off. Where more is missing, what is there is set aside, and the store begins empty and
- * says from then on that it was damaged. A disk that refuses reads or writes is not judged: opening fails.
+ * <p>Opening it recovers all writes that were acknowledged. A last write that a loss of power has torn was not
+ * acknowledged and is removed. Where more is missing, the files are quarantined, the store begins empty, and
+ * {@link #damaged} is true from then on. A disk that refuses reads or writes is not judged: opening fails with
+ * an {@link IOException}, and may be tried again.
  */
 public final class XodusStore implements Store {
 
-    private static final long LARGE = 12L << 20;
+    private static final long COMPACTION_BYTES = 12L << 20;
     /** No item is larger than a file may be; a file takes only what is written to it. */
-    private static final int FILE_KIB = 64 * 1024;
+    private static final int LOG_FILE_KIB = 64 * 1024;
 
-    private static final int LOOK_EVERY = 16;
-    private static final int TIMES = 4;
-    /** A folder that is larger has been written to. */
-    private static final int BEGUN = 64 << 10;
+    private static final int WRITES_PER_SIZE_CHECK = 16;
+    /** A state that is large itself is compacted once the files have grown to this many times its size. */
+    private static final int COMPACTION_GROWTH = 4;
+    /** An environment that is larger has been written to. */
+    private static final int EMPTY_ENVIRONMENT_BYTES = 64 << 10;
 
-    private static final String NAMES = "current";
-    private static final String WITNESS = "written";
+    private static final String COUNTER_FILE = "written";
 
-    private final Path folder;
-    private final DurableDirectories folders;
-    private final long large;
-    private final int fileKib;
-    private long number;
-    private long most;
-    private final Quarantine aside;
-    private final Optional<String> reason;
-    private StoreEnvironment generation;
-    /** Whether a write has been cut off: one is under way at a time. */
-    private boolean cut;
-    /** How many writes have come back, as far as this process knows. */
-    private long written;
+    private final Path root;
+    private final DurableDirectories directories;
+    private final StoreGenerations generations;
+    private final Quarantine quarantine;
+    private final Optional<String> quarantineReason;
+    private final long minCompactionBytes;
+    private final int logFileKib;
 
-    private WriteCounterFile witness;
+    private long generation;
+    private long compactionBytes;
+    /** Null while closed, or after a failed write. */
+    private StoreEnvironment environment;
 
-    public XodusStore(Path folder) throws IOException {
-        this(folder, LARGE);
+    private WriteCounterFile counterFile;
+    /** Whether a torn write was removed since the last write that succeeded: at most one can be under way. */
+    private boolean tornWriteRemoved;
+    /** How many writes were acknowledged, as far as this process knows. */
+    private long acknowledgedWrites;
+
+    public XodusStore(Path root) throws IOException {
+        this(root, COMPACTION_BYTES);
     }
 
-    XodusStore(Path folder, long large) throws IOException {
-        this(folder, large, FILE_KIB, new DurableDirectories());
+    XodusStore(Path root, long minCompactionBytes) throws IOException {
+        this(root, minCompactionBytes, LOG_FILE_KIB, new DurableDirectories());
     }
 
-    XodusStore(Path folder, long large, int fileKib, DurableDirectories folders) throws IOException {
-        this.folder = folder;
-        this.folders = folders;
-        aside = new Quarantine(folder, folders);
-        this.large = large;
-        this.fileKib = fileKib;
-        most = large;
-        Path parent = folder.toAbsolutePath().getParent();
-        if (!Files.exists(folder)) {
-            Files.createDirectories(folder);
-            folders.sync(parent);
+    XodusStore(Path root, long minCompactionBytes, int logFileKib, DurableDirectories directories) throws IOException {
+        this.root = root;
+        this.directories = directories;
+        this.minCompactionBytes = minCompactionBytes;
+        this.logFileKib = logFileKib;
+        compactionBytes = minCompactionBytes;
+        generations = new StoreGenerations(root, directories);
+        quarantine = new Quarantine(root, directories);
+        if (!Files.exists(root)) {
+            Files.createDirectories(root);
+            directories.sync(root.toAbsolutePath().getParent());
         }
-        Optional<String> why = Optional.empty();
+        quarantineReason = openOrQuarantine();
+        quarantine.deleteExcess();
+    }
+
+    /** Only what is found twice, by a disk that reads all and takes a write, is damage. */
+    private Optional<String> openOrQuarantine() throws IOException {
         try {
             open();
+            return Optional.empty();
         } catch (CorruptStoreException first) {
-            aside.prove();
-            why = again();
+            quarantine.checkDisk();
         }
-        reason = why;
-        aside.bound();
-    }
-
-    /** Only what is found twice, by a disk that reads all and takes a write, is damage. */
-    private Optional<String> again() throws IOException {
         try {
             open();
             return Optional.empty();
         } catch (CorruptStoreException second) {
-            aside.take(second.getMessage());
+            quarantine.moveAll(second.getMessage());
             open();
             return Optional.of(second.getMessage());
         }
     }
 
-    /** What was wrong with the folder that was set aside when this store was opened. */
-    public Optional<String> setAside() {
-        return reason;
+    /** What was wrong with the files that were quarantined when this store was opened. */
+    public Optional<String> quarantineReason() {
+        return quarantineReason;
     }
 
-    /** Whether this folder was ever set aside: that it is empty does not mean that nothing stood. */
+    /** Whether files of this store were ever quarantined: that it is empty does not mean that nothing was written. */
     public boolean damaged() {
-        return aside.ever();
+        return quarantine.wasEverUsed();
     }
 
     private void open() throws IOException {
-        Path names = folder.resolve(NAMES);
-        if (!Files.exists(names)) {
-            if (written > 0 || DurableDirectories.names(folder).stream().anyMatch(n -> n.matches("\\d+"))) {
-                throw new CorruptStoreException(names + " is gone", null);
-            }
-            folders.replace(names, "0\n");
-        }
+        long current = generations.readCurrent(acknowledgedWrites > 0);
         try {
-            number = Long.parseLong(
-                    Files.readString(names, StandardCharsets.ISO_8859_1).trim());
-        } catch (NumberFormatException e) {
-            throw new CorruptStoreException(names + " names no folder", e);
-        }
-        witness = new WriteCounterFile(folder.resolve(WITNESS));
-        // A name that was put there right before this process ended may not have been durable.
-        folders.sync(folder);
-        try {
-            generation = number == 0 ? first(names) : sealed(folder.resolve(Long.toString(number)));
-            number = Math.max(number, 1);
-            if (generation.number() < Math.max(written, witness.number())) {
-                throw new CorruptStoreException(
-                        folder + " has forgotten: it stands after write " + generation.number() + " of "
-                                + Math.max(written, witness.number()),
-                        null);
-            }
-            clean(number);
+            counterFile = new WriteCounterFile(root.resolve(COUNTER_FILE));
+            // A name that was put there right before this process ended may not have been durable.
+            directories.sync(root);
+            environment = current == StoreGenerations.NONE ? createFirstGeneration() : openGeneration(current);
+            generation = Math.max(current, StoreGenerations.FIRST);
+            checkWriteCount();
+            generations.deleteAllExcept(generation);
         } catch (IOException e) {
-            shut();
+            closeAfterFailure();
             throw e;
         }
     }
 
-    /** Begun, but never come to its first folder: there can be nothing in it yet. */
-    private StoreEnvironment first(Path names) throws IOException {
-        Path one = folder.resolve("1");
-        StoreEnvironment first;
-        try {
-            first = new StoreEnvironment(one, fileKib, folders);
-        } catch (CorruptStoreException e) {
-            if (witness.number() > 0 || StoreEnvironment.size(one) > BEGUN) {
-                throw e;
-            }
-            // Power was lost while it was made: nothing was ever written to it.
-            folders.delete(one);
-            first = new StoreEnvironment(one, fileKib, folders);
+    private void checkWriteCount() throws IOException {
+        long expected = Math.max(acknowledgedWrites, counterFile.writeCount());
+        if (environment.writeCount() < expected) {
+            String problem = "acknowledged writes are lost: last=" + environment.writeCount() + " expected=" + expected;
+            throw new CorruptStoreException(root, problem, null);
         }
+    }
+
+    private StoreEnvironment createFirstGeneration() throws IOException {
+        Path directory = generations.directory(StoreGenerations.FIRST);
+        StoreEnvironment first = openUnusedEnvironment(directory);
         if (first.load() != null) {
             first.close();
-            throw new CorruptStoreException(names + " names no folder, but there is one", null);
+            throw new CorruptStoreException(root, "a generation is there, but none is named as current", null);
         }
-        folders.sync(folder); // Before its name.
-        folders.replace(names, "1\n");
+        directories.sync(root); // Before its name is written.
+        generations.writeCurrent(StoreGenerations.FIRST);
         return first;
     }
 
-    private StoreEnvironment sealed(Path named) throws IOException {
-        if (!Files.isDirectory(named)) {
-            throw new CorruptStoreException(named + " is not there", null);
+    private StoreEnvironment openUnusedEnvironment(Path directory) throws IOException {
+        try {
+            return new StoreEnvironment(directory, logFileKib, directories);
+        } catch (CorruptStoreException e) {
+            if (counterFile.writeCount() > 0 || XodusLogFiles.sizeBytes(directory) > EMPTY_ENVIRONMENT_BYTES) {
+                throw e;
+            }
+            // Power was lost while it was created: nothing was ever written to it.
+            directories.delete(directory);
+            return new StoreEnvironment(directory, logFileKib, directories);
+        }
+    }
+
+    private StoreEnvironment openGeneration(long number) throws IOException {
+        Path directory = generations.directory(number);
+        if (!Files.isDirectory(directory)) {
+            throw new CorruptStoreException(directory, "directory is missing", null);
         }
         try {
-            return new StoreEnvironment(named, fileKib, folders);
+            return new StoreEnvironment(directory, logFileKib, directories);
         } catch (TornWriteException e) {
-            if (cut) {
+            if (tornWriteRemoved) {
                 throw e;
             }
-            cut = true;
-            StoreEnvironment.cut(named);
-            return new StoreEnvironment(named, fileKib, folders);
+            tornWriteRemoved = true;
+            XodusLogFiles.truncateLastWrite(directory);
+            return new StoreEnvironment(directory, logFileKib, directories);
         }
     }
 
-    private void clean(long kept) throws IOException {
-        for (String name : DurableDirectories.names(folder)) {
-            if (name.matches("\\d+") && !name.equals(Long.toString(kept))) {
-                folders.delete(folder.resolve(name));
-            }
+    private void openIfClosed() throws IOException {
+        if (environment == null) {
+            open();
         }
     }
 
     @Override
     public Optional<PersistentState> load() throws IOException {
-        if (generation == null) {
-            open();
-        }
-        return Optional.ofNullable(generation.load());
+        openIfClosed();
+        return Optional.ofNullable(environment.load());
     }
 
     @Override
-    public void write(StorageUpdate change) throws IOException {
+    public void write(StorageUpdate update) throws IOException {
         try {
-            if (generation == null) {
-                open();
-            }
-            boolean look = change.whole() || generation.written() % LOOK_EVERY == LOOK_EVERY - 1;
-            if (look && generation.size() > most) {
-                begin(change);
+            openIfClosed();
+            if (needsCompaction(update)) {
+                compact(update);
             } else {
-                generation.write(change);
+                environment.write(update);
             }
-            cut = false;
-            written = generation.number();
-            witness.saw(written);
+            tornWriteRemoved = false;
+            acknowledgedWrites = environment.writeCount();
+            counterFile.store(acknowledgedWrites);
         } catch (IOException e) {
-            shut();
+            closeAfterFailure();
             throw e;
         }
     }
 
-    /** Writes all that stands after the change into the next folder, and makes that the one that counts. */
-    private void begin(StorageUpdate change) throws IOException {
-        PersistentState all = change.on(generation.load());
-        long following = number + 1;
-        Path next = folder.resolve(Long.toString(following));
-        folders.delete(next);
-        StoreEnvironment fresh = new StoreEnvironment(next, fileKib, folders);
+    private boolean needsCompaction(StorageUpdate update) throws IOException {
+        long position = environment.transactionsSinceOpen() % WRITES_PER_SIZE_CHECK;
+        boolean checkSize = update.whole() || position == WRITES_PER_SIZE_CHECK - 1;
+        return checkSize && environment.sizeBytes() > compactionBytes;
+    }
+
+    /** Writes the complete state after the update into the next generation, and makes that the current one. */
+    private void compact(StorageUpdate update) throws IOException {
+        PersistentState state = update.on(environment.load());
+        long nextGeneration = generation + 1;
+        StoreEnvironment next = createGeneration(nextGeneration, state);
+        StoreEnvironment previous = environment;
+        environment = next;
+        generation = nextGeneration;
+        compactionBytes = Math.max(minCompactionBytes, COMPACTION_GROWTH * next.sizeBytes());
         try {
-            fresh.write(all, generation.number());
-            folders.sync(folder);
-            folders.replace(folder.resolve(NAMES), following + "\n");
+            previous.close();
+            generations.deleteAllExcept(generation);
         } catch (IOException e) {
-            try {
-                fresh.close();
-            } catch (IOException again) {
-                e.addSuppressed(again);
-            }
-            throw e;
+            // The state is written; what is left over is deleted when the store is opened next.
         }
-        StoreEnvironment old = generation;
-        generation = fresh;
-        number = following;
-        most = Math.max(large, TIMES * fresh.size());
+    }
+
+    private StoreEnvironment createGeneration(long number, PersistentState state) throws IOException {
+        Path directory = generations.directory(number);
+        directories.delete(directory);
+        StoreEnvironment created = new StoreEnvironment(directory, logFileKib, directories);
         try {
-            old.close();
-            clean(number);
+            created.writeAll(state, environment.writeCount());
+            directories.sync(root);
+            generations.writeCurrent(number);
+            return created;
         } catch (IOException e) {
-            // What stands is written; what is left over goes when the store is opened next.
-            return;
+            try {
+                created.close();
+            } catch (IOException suppressed) {
+                e.addSuppressed(suppressed);
+            }
+            throw e;
         }
     }
 
-    private void shut() {
+    private void closeAfterFailure() {
         try {
             close();
         } catch (IOException e) {
-            // It had failed already; the next write opens anew and tells if that cannot be.
-            generation = null;
-            witness = null;
+            // It had failed already; the next call opens anew and throws if that cannot be done.
+            environment = null;
+            counterFile = null;
         }
     }
 
     @Override
     public void close() throws IOException {
-        if (witness != null) {
-            witness.close();
-            witness = null;
+        if (counterFile != null) {
+            counterFile.close();
+            counterFile = null;
         }
-        if (generation != null) {
-            StoreEnvironment open = generation;
-            generation = null;
+        if (environment != null) {
+            StoreEnvironment open = environment;
+            environment = null;
             open.close();
         }
     }
--- a/src/test/java/org/cypressweir/controlplane/storage/InMemoryStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/InMemoryStoreTest.java
@@ -8,7 +8,7 @@
     }
 
     @Override
-    Store again(Store before) {
-        return before;
+    Store reopen(Store store) {
+        return store;
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -24,42 +25,44 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Power is lost at each step. Of the names that were made, renamed or removed since their folder's last sync
- * each is kept or lost by itself, and a file made since then may be empty: every such subset.
+ * Simulates a loss of power at each step. Of the directory entries that were created, renamed or removed since
+ * the last sync of their directory each is kept or lost by itself, and a file created since then may be empty.
+ * Every such subset is opened.
  */
 class LostDirectoryEntriesTest {
 
-    private static final int MOST = 1 << 12;
+    private static final int MAX_SUBSETS = 1 << 12;
+    private static final int MIN_DISTINCT_STATES = 40;
     private static final byte[] DIRECTORY = {'d'};
     private static final byte[] EMPTY = {};
 
     @TempDir
-    private Path folder;
+    private Path temporary;
 
-    private Path copy;
-    private int kib;
+    private Path storeDirectory;
+    private int logFileKib;
     private PersistentState acknowledged;
-    private PersistentState underWay;
-    private final Set<String> seen = new HashSet<>();
+    private PersistentState inFlight;
+    private final Set<String> checkedStates = new HashSet<>();
 
-    /** Looks at what is there before and after each step that a loss of power may come between. */
-    private final class Watched extends DurableDirectories {
-        /** What each name may be since its folder's last sync: contents, or null where it is not there. */
-        private final Map<String, List<byte[]>> choices = new TreeMap<>();
+    /** Checks what a loss of power would leave, before and after each step that changes directory entries. */
+    private final class PowerLossDirectories extends DurableDirectories {
+        /** What may be left of each path: contents, or null where its entry is lost. */
+        private final Map<String, List<byte[]>> possibleContents = new TreeMap<>();
 
         private final Set<String> forced = new HashSet<>();
         private final Set<String> moved = new HashSet<>();
 
         @Override
-        void sync(Path synced) throws IOException {
-            crash();
-            super.sync(synced);
-            Map<String, byte[]> now = tree();
-            choices.forEach((name, its) -> {
-                if (synced.equals(copy.resolve(name).getParent())) {
-                    its.clear();
-                    its.add(now.get(name));
-                    moved.remove(name);
+        void sync(Path directory) throws IOException {
+            checkAllSubsets();
+            super.sync(directory);
+            Map<String, byte[]> present = tree();
+            possibleContents.forEach((path, contents) -> {
+                if (directory.equals(storeDirectory.resolve(path).getParent())) {
+                    contents.clear();
+                    contents.add(present.get(path));
+                    moved.remove(path);
                 }
             });
         }
@@ -67,124 +70,154 @@
         @Override
         void force(Path file) throws IOException {
             super.force(file);
-            forced.add(copy.relativize(file).toString());
+            forced.add(relative(file));
         }
 
         @Override
-        void move(Path file, Path to) throws IOException {
-            crash();
-            super.move(file, to);
-            String name = copy.relativize(to).toString();
-            moved.add(name);
-            if (forced.remove(copy.relativize(file).toString())) {
-                forced.add(name);
+        void move(Path file, Path target) throws IOException {
+            checkAllSubsets();
+            super.move(file, target);
+            moved.add(relative(target));
+            if (forced.remove(relative(file))) {
+                forced.add(relative(target));
             } else {
-                forced.remove(name);
+                forced.remove(relative(target));
             }
-            crash();
+            checkAllSubsets();
         }
 
         @Override
         void delete(Path file) throws IOException {
             super.delete(file);
-            crash();
+            checkAllSubsets();
+        }
+
+        private String relative(Path file) {
+            return storeDirectory.relativize(file).toString();
         }
 
         private Map<String, byte[]> tree() throws IOException {
             Map<String, byte[]> tree = new TreeMap<>();
-            if (Files.exists(copy)) {
-                try (Stream<Path> all = Files.walk(copy)) {
-                    for (Path file : all.filter(f -> !f.equals(copy)).toList()) {
-                        tree.put(
-                                copy.relativize(file).toString(),
-                                Files.isDirectory(file) ? DIRECTORY : Files.readAllBytes(file));
-                    }
+            if (!Files.exists(storeDirectory)) {
+                return tree;
+            }
+            try (Stream<Path> files = Files.walk(storeDirectory)) {
+                for (Path file :
+                        files.filter(each -> !each.equals(storeDirectory)).toList()) {
+                    tree.put(relative(file), Files.isDirectory(file) ? DIRECTORY : Files.readAllBytes(file));
                 }
             }
             return tree;
         }
 
-        /** Every state that a loss of power may leave now is opened, written to and opened again. */
-        void crash() throws IOException {
-            Map<String, byte[]> now = tree();
-            new TreeSet<>(choices.keySet()).forEach(name -> now.putIfAbsent(name, null));
-            now.forEach((name, content) -> {
-                List<byte[]> its = choices.computeIfAbsent(name, n -> new ArrayList<>(Arrays.asList((byte[]) null)));
-                boolean made = its.contains(null);
-                if (its.get(0) != null && content != null && its.size() == 1 && !moved.contains(name)) {
-                    // Its name stands; what its own sync covers is the matter of TornFilesTest.
-                    its.set(0, content);
-                } else if (its.stream().noneMatch(c -> Arrays.equals(c, content))) {
-                    its.add(content);
-                }
-                if (made
-                        && content != null
-                        && content != DIRECTORY
-                        && !forced.contains(name)
-                        && its.stream().noneMatch(c -> c != null && c.length == 0)) {
-                    its.add(EMPTY);
-                    if (acknowledged == null) {
-                        its.add(Arrays.copyOf(content, content.length / 2));
-                    }
-                }
-            });
-            long ways = choices.values().stream().mapToLong(List::size).reduce(1, (a, b) -> a * b);
-            assertThat(ways).as("subsets of " + choices.keySet()).isLessThan(MOST);
-            for (long way = 0; way < ways; way++) {
-                Map<String, byte[]> left = new LinkedHashMap<>();
-                long rest = way;
-                for (Map.Entry<String, List<byte[]>> choice : choices.entrySet()) {
-                    List<byte[]> its = choice.getValue();
-                    left.put(choice.getKey(), its.get((int) (rest % its.size())));
-                    rest /= its.size();
+        /** Each state that a loss of power may leave now is opened, written to and opened again. */
+        void checkAllSubsets() throws IOException {
+            Map<String, byte[]> present = tree();
+            new TreeSet<>(possibleContents.keySet()).forEach(path -> present.putIfAbsent(path, null));
+            present.forEach(this::addPossibleContent);
+            long subsets =
+                    possibleContents.values().stream().mapToLong(List::size).reduce(1, (a, b) -> a * b);
+            assertThat(subsets).as("subsets of " + possibleContents.keySet()).isLessThan(MAX_SUBSETS);
+            for (long subset = 0; subset < subsets; subset++) {
+                checkRecovery(select(subset));
+            }
+        }
+
+        private void addPossibleContent(String path, byte[] content) {
+            List<byte[]> contents = possibleContents.computeIfAbsent(
+                    path, created -> new ArrayList<>(Collections.singletonList((byte[]) null)));
+            boolean entryMayBeLost = contents.contains(null);
+            boolean entryIsDurable = contents.size() == 1 && contents.get(0) != null && !moved.contains(path);
+            if (entryIsDurable && content != null) {
+                // What the file's own sync covers is the subject of TornWritesTest.
+                contents.set(0, content);
+            } else if (contents.stream().noneMatch(each -> Arrays.equals(each, content))) {
+                contents.add(content);
+            }
+            boolean createdFile = entryMayBeLost && content != null && content != DIRECTORY;
+            if (createdFile
+                    && !forced.contains(path)
+                    && contents.stream().noneMatch(each -> each != null && each.length == 0)) {
+                contents.add(EMPTY);
+                if (acknowledged == null) {
+                    contents.add(Arrays.copyOf(content, content.length / 2));
                 }
-                opens(left);
             }
         }
+
+        /** One possible content of each path, by the number of the combination. */
+        private Map<String, byte[]> select(long subset) {
+            Map<String, byte[]> selected = new LinkedHashMap<>();
+            long remainder = subset;
+            for (Map.Entry<String, List<byte[]>> entry : possibleContents.entrySet()) {
+                List<byte[]> contents = entry.getValue();
+                selected.put(entry.getKey(), contents.get((int) (remainder % contents.size())));
+                remainder /= contents.size();
+            }
+            return selected;
+        }
     }
 
-    private void opens(Map<String, byte[]> left) throws IOException {
-        StringBuilder names = new StringBuilder();
-        left.forEach(
-                (name, content) -> names.append(content == null ? " -" : " ").append(name));
-        if (!seen.add(names + " " + Objects.hash(acknowledged, underWay)
-                + left.values().stream().map(Arrays::hashCode).toList())) {
+    private void checkRecovery(Map<String, byte[]> files) throws IOException {
+        String description = describe(files);
+        List<Integer> contentHashes =
+                files.values().stream().map(Arrays::hashCode).toList();
+        if (!checkedStates.add(description + " " + Objects.hash(acknowledged, inFlight) + contentHashes)) {
             return;
         }
-        Path other = folder.resolve("left");
-        new DurableDirectories().delete(other);
-        Files.createDirectories(other);
-        for (Map.Entry<String, byte[]> each : left.entrySet()) {
-            Path path = other.resolve(each.getKey());
-            if (each.getValue() == DIRECTORY) {
-                Files.createDirectory(path);
-            } else if (each.getValue() != null && Files.isDirectory(path.getParent())) {
-                Files.write(path, each.getValue());
-            }
-        }
-        StorageUpdate more = new StorageUpdate(StoreContract.stamp(90), null, null, List.of(), false);
+        Path recovered = temporary.resolve("recovered");
+        writeTree(recovered, files);
+        StorageUpdate update = new StorageUpdate(StoreContract.proposal(90), null, null, List.of(), false);
         Optional<PersistentState> found;
-        try (XodusStore store = new XodusStore(other, 1 << 20, kib, new DurableDirectories())) {
-            assertThat(store.damaged()).as(names.toString()).isFalse();
+        try (XodusStore store = openStore(recovered)) {
+            assertThat(store.damaged()).as(description).isFalse();
             found = store.load();
-            assertThat(found.orElse(null)).as(names.toString()).isIn(acknowledged, underWay);
-            store.write(more);
+            assertThat(found.orElse(null)).as(description).isIn(acknowledged, inFlight);
+            store.write(update);
         } catch (IOException e) {
-            throw new IOException("refused: " + names, e);
+            throw new IOException("cannot open or write: " + description, e);
+        }
+        try (Store store = openStore(recovered)) {
+            assertThat(store.load()).contains(update.on(found.orElse(null)));
         }
-        try (Store store = new XodusStore(other, 1 << 20, kib, new DurableDirectories())) {
-            assertThat(store.load()).contains(more.on(found.orElse(null)));
+    }
+
+    private static String describe(Map<String, byte[]> files) {
+        StringBuilder description = new StringBuilder();
+        files.forEach((path, content) ->
+                description.append(content == null ? " -" : " ").append(path));
+        return description.toString();
+    }
+
+    private static void writeTree(Path directory, Map<String, byte[]> files) throws IOException {
+        new DurableDirectories().delete(directory);
+        Files.createDirectories(directory);
+        for (Map.Entry<String, byte[]> entry : files.entrySet()) {
+            Path file = directory.resolve(entry.getKey());
+            if (entry.getValue() == DIRECTORY) {
+                Files.createDirectory(file);
+            } else if (entry.getValue() != null && Files.isDirectory(file.getParent())) {
+                Files.write(file, entry.getValue());
+            }
         }
     }
 
-    /** What the tests find, or null. */
-    static String broken(Path folder, String any) throws IOException {
-        for (int way = 0; way < 2; way++) {
+    private XodusStore openStore(Path directory) throws IOException {
+        return new XodusStore(directory, 1 << 20, logFileKib, new DurableDirectories());
+    }
+
+    /** The failure of the tests, or null where they pass; any stands for the name of one test method. */
+    static String firstFailure(Path folder, String any) throws IOException {
+        for (int run = 0; run < 2; run++) {
+            boolean manyLogFiles = run == 0;
             LostDirectoryEntriesTest test = new LostDirectoryEntriesTest();
-            test.folder = Files.createDirectory(folder.resolve("names" + way));
+            test.temporary = Files.createDirectory(folder.resolve("names" + run));
             try {
-                test.everySubsetOfNamesOpensWithWhatWasAcknowledged(
-                        way == 0 ? 1 << 20 : 16 << 10, way == 0 ? 32 : 1024, way == 0 ? 14 : 6, 2 - way);
+                if (manyLogFiles) {
+                    test.everySubsetOfEntriesRecoversAcknowledgedState(1 << 20, 32, 14, 2);
+                } else {
+                    test.everySubsetOfEntriesRecoversAcknowledgedState(16 << 10, 1024, 6, 1);
+                }
             } catch (AssertionError | IOException e) {
                 return String.valueOf(e);
             }
@@ -192,39 +225,43 @@
         return null;
     }
 
-    private void write(XodusStore store, StorageUpdate change) throws IOException {
-        underWay = change.on(acknowledged);
-        store.write(change);
-        acknowledged = underWay;
+    private void write(XodusStore store, StorageUpdate update) throws IOException {
+        inFlight = update.on(acknowledged);
+        store.write(update);
+        acknowledged = inFlight;
+    }
+
+    private static StorageUpdate update(int number) {
+        if (number % 4 == 1) {
+            return StoreContract.replaceAll(number, StoreContract.item("a", number, 9_000));
+        }
+        return new StorageUpdate(
+                StoreContract.proposal(number),
+                StoreContract.proposal(number),
+                null,
+                List.of(StoreContract.item("b" + number % 2, number, 2_000)),
+                false);
     }
 
-    /** With new generations, and with one that takes several files of Xodus. */
+    /** With compaction into new generations, and with one generation of several Xodus log files. */
     @ParameterizedTest
     @CsvSource({"16384, 1024, 6, 1", "1048576, 32, 14, 2"})
-    void everySubsetOfNamesOpensWithWhatWasAcknowledged(long large, int fileKib, int writes, int logs)
-            throws IOException {
-        kib = fileKib;
-        copy = folder.resolve("copy");
-        Watched watched = new Watched();
-        try (XodusStore store = new XodusStore(copy, large, kib, watched)) {
-            watched.crash();
-            for (int i = 1; i < writes; i++) {
-                write(
-                        store,
-                        i % 4 == 1
-                                ? StoreContract.whole(i, StoreContract.item("a", i, 9_000))
-                                : new StorageUpdate(
-                                        StoreContract.stamp(i),
-                                        StoreContract.stamp(i),
-                                        null,
-                                        List.of(StoreContract.item("b" + i % 2, i, 2_000)),
-                                        false));
-                watched.crash();
+    void everySubsetOfEntriesRecoversAcknowledgedState(
+            long compactionBytes, int fileKib, int writes, int expectedLogFiles) throws IOException {
+        logFileKib = fileKib;
+        storeDirectory = temporary.resolve("store");
+        PowerLossDirectories directories = new PowerLossDirectories();
+        try (XodusStore store = new XodusStore(storeDirectory, compactionBytes, logFileKib, directories)) {
+            directories.checkAllSubsets();
+            for (int number = 1; number < writes; number++) {
+                write(store, update(number));
+                directories.checkAllSubsets();
             }
         }
-        try (Stream<Path> files = Files.walk(copy)) {
-            assertThat(files.filter(f -> f.toString().endsWith(".xd")).count()).isEqualTo(logs);
+        try (Stream<Path> files = Files.walk(storeDirectory)) {
+            assertThat(files.filter(file -> file.toString().endsWith(".xd")).count())
+                    .isEqualTo(expectedLogFiles);
         }
-        assertThat(seen).hasSizeGreaterThan(40);
+        assertThat(checkedStates).hasSizeGreaterThan(MIN_DISTINCT_STATES);
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
@@ -9,60 +9,67 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Torn files and emptied folders find faults that are planted. */
+/** The tests of torn writes and lost directory entries find each fault that is planted in the storage code. */
 class PlantedStorageFaultsTest {
 
     @TempDir
-    private Path folder;
+    private Path temporary;
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '~',
             value = {
-                "items are not compared ~ StoreEnvironment.java ~ if (found.sum() != sum) { ~ if (false) {"
-                        + " ~ aWriteThatPowerTookLeavesTheStateBeforeOrAfterIt",
-                "a torn write is not cut off ~ XodusStore.java ~ StoreEnvironment.cut(named); ~ ; "
-                        + "~ aWriteThatPowerTookLeavesTheStateBeforeOrAfterIt",
-                "nobody knows how many writes there were ~ WriteCounterFile.java "
+                "items are not compared ~ StateRecords.java ~ if (checksum.itemsSum() != itemsSum) { ~ if (false) {"
+                        + " ~ tornWriteLeavesStateBeforeOrAfterIt",
+                "a torn write is not removed ~ XodusStore.java ~ XodusLogFiles.truncateLastWrite(directory); ~ ; "
+                        + "~ tornWriteLeavesStateBeforeOrAfterIt",
+                "the write count is not stored ~ WriteCounterFile.java "
                         + "~ channel.write(ByteBuffer.wrap(digits), 0); "
-                        + "~ ; ~ whatWasAcknowledgedIsThereOrTheStoreSaysThatItHasForgotten",
-                "files that are gone are not missed ~ StoreEnvironment.java ~ if (!now.containsAll(files)) { "
+                        + "~ ; ~ damageLosesNoAcknowledgedWriteUnnoticed",
+                "missing log files are not detected ~ StoreEnvironment.java "
+                        + "~ if (!present.containsAll(syncedFiles)) { "
                         + "~ if (false) {"
-                        + " ~ logsThatAreGoneTakeNoWrites",
-                "full files are mapped ~ StoreEnvironment.java ~ config.setLogCacheUseNio(false); "
-                        + "~ config.setLogFileSize(1024); ~ noFileIsMappedAndAnEmptiedFolderTakesNoWrites",
+                        + " ~ missingLogFilesFailWrites",
+                "log files are memory-mapped ~ StoreEnvironment.java ~ config.setLogCacheUseNio(false); "
+                        + "~ config.setLogFileSize(1024); ~ noFileIsMappedAndEmptiedDirectoryFailsWrites",
             })
-    void eachFaultIsFound(String fault, String file, String text, String instead, String test) throws Exception {
-        found(fault, file, text, instead, "org.cypressweir.controlplane.storage.TornWritesTest", test);
+    void eachFaultIsFound(String fault, String file, String text, String replacement, String testMethod)
+            throws Exception {
+        assertFound(fault, file, text, replacement, "org.cypressweir.controlplane.storage.TornWritesTest", testMethod);
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '~',
             value = {
-                "a name outlasts its folder ~ XodusStore.java ~ folders.sync(folder); // Before its name. ~ ;",
-                "a new file's name is not synced ~ StoreEnvironment.java ~ if (!files.containsAll(now)) { "
+                "the directory is not synced before it is named ~ XodusStore.java "
+                        + "~ directories.sync(root); // Before its name is written. ~ ;",
+                "a new file's name is not synced ~ StoreEnvironment.java "
+                        + "~ if (!syncedFiles.containsAll(present)) { "
                         + "~ if (false) {",
-                "a folder that power took while it was made ~ XodusStore.java "
-                        + "~ if (witness.number() > 0 || StoreEnvironment.size(one) > BEGUN) { ~ if (true) {",
-                "a small file is put in place unsynced ~ DurableDirectories.java ~ force(next); ~ ;",
+                "an incomplete new directory is not replaced ~ XodusStore.java "
+                        + "~ if (counterFile.writeCount() > 0 "
+                        + "|| XodusLogFiles.sizeBytes(directory) > EMPTY_ENVIRONMENT_BYTES) { ~ if (true) {",
+                "a small file is replaced without a sync ~ DurableDirectories.java ~ force(replacement); ~ ;",
             })
-    void eachLostNameIsFound(String fault, String file, String text, String instead) throws Exception {
-        found(fault, file, text, instead, "org.cypressweir.controlplane.storage.LostDirectoryEntriesTest", null);
+    void eachLostEntryFaultIsFound(String fault, String file, String text, String replacement) throws Exception {
+        assertFound(
+                fault, file, text, replacement, "org.cypressweir.controlplane.storage.LostDirectoryEntriesTest", null);
     }
 
-    private void found(String fault, String file, String text, String instead, String by, String test)
+    private void assertFound(
+            String fault, String file, String text, String replacement, String testClass, String testMethod)
             throws Exception {
         Class<?> planted = new PlantedFault(
-                        folder.resolve("planted"),
+                        temporary.resolve("planted"),
                         Path.of("src/main/java/org/cypressweir/controlplane/storage"),
                         file,
                         text,
-                        instead,
+                        replacement,
                         name -> name.startsWith("org.cypressweir.controlplane.storage."))
-                .loadClass(by);
-        Method broken = planted.getDeclaredMethod("broken", Path.class, String.class);
-        broken.setAccessible(true);
-        assertThat(broken.invoke(null, folder, test)).as(fault).isNotNull();
+                .loadClass(testClass);
+        Method firstFailure = planted.getDeclaredMethod("firstFailure", Path.class, String.class);
+        firstFailure.setAccessible(true);
+        assertThat(firstFailure.invoke(null, temporary, testMethod)).as(fault).isNotNull();
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
@@ -15,79 +15,82 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 import org.junit.jupiter.api.Test;
 
-/** What every store does. */
+/** The tests that every {@link Store} has to pass. */
 abstract class StoreContract {
 
-    static final List<String> CREW = List.of("10.0.0.1:7", "10.0.0.2:7");
+    static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7");
 
     abstract Store open() throws IOException;
 
-    /** The same store opened anew, as by a process that starts. */
-    abstract Store again(Store before) throws IOException;
+    /** Closes the store and opens it again, as a process that restarts does. */
+    abstract Store reopen(Store store) throws IOException;
 
-    static ProposalNumber stamp(long round) {
+    static ProposalNumber proposal(long round) {
         return new ProposalNumber(round, "10.0.0.1:7");
     }
 
-    static Item item(String name, long version, int length) {
+    static Item item(String name, long version, int keyLength) {
         return new Item(
                 new ItemKey(ItemType.TENANTS, name),
                 version,
-                Map.of("apiKeys", List.of("k".repeat(length))),
+                Map.of("apiKeys", List.of("k".repeat(keyLength))),
                 List.of(new SupersededVersion(version - 1, "p")));
     }
 
-    static StorageUpdate whole(long round, Item... items) {
-        return new StorageUpdate(stamp(round), stamp(round), CREW, List.of(items), true);
+    /** An update that replaces all items. */
+    static StorageUpdate replaceAll(long round, Item... items) {
+        return new StorageUpdate(proposal(round), proposal(round), VOTERS, List.of(items), true);
     }
 
     @Test
-    void keepsWhatIsWritten() throws IOException {
+    void loadsWhatWasWritten() throws IOException {
         Store store = open();
         assertThat(store.load()).isEmpty();
-        Item gone = new Item(new ItemKey(ItemType.ROUTES, "\u00e4 b"), 4, null);
-        store.write(whole(1, item("a", 1, 3), gone));
-        store.write(new StorageUpdate(stamp(5), null, null, List.of(), false));
-        store.write(new StorageUpdate(stamp(6), stamp(6), null, List.of(item("a", 2, 4), item("b", 1, 1)), false));
-        PersistentState expected =
-                new PersistentState(stamp(6), stamp(6), CREW, List.of(gone, item("a", 2, 4), item("b", 1, 1)), false);
+        Item withdrawn = new Item(new ItemKey(ItemType.ROUTES, "\u00e4 b"), 4, null);
+        store.write(replaceAll(1, item("a", 1, 3), withdrawn));
+        store.write(new StorageUpdate(proposal(5), null, null, List.of(), false));
+        store.write(
+                new StorageUpdate(proposal(6), proposal(6), null, List.of(item("a", 2, 4), item("b", 1, 1)), false));
+        PersistentState expected = new PersistentState(
+                proposal(6), proposal(6), VOTERS, List.of(withdrawn, item("a", 2, 4), item("b", 1, 1)), false);
         assertThat(store.load()).contains(expected);
-        store = again(store);
+        store = reopen(store);
         assertThat(store.load()).contains(expected);
-        store.write(whole(9, item("c", 1, 1)));
-        store = again(store);
+        store.write(replaceAll(9, item("c", 1, 1)));
+        store = reopen(store);
         assertThat(store.load())
-                .contains(new PersistentState(stamp(9), stamp(9), CREW, List.of(item("c", 1, 1)), false));
-        store.write(new StorageUpdate(stamp(12), null, null, List.of(), false));
-        assertThat(store.load().orElseThrow().accepted()).isEqualTo(stamp(9));
+                .contains(new PersistentState(proposal(9), proposal(9), VOTERS, List.of(item("c", 1, 1)), false));
+        store.write(new StorageUpdate(proposal(12), null, null, List.of(), false));
+        assertThat(store.load().orElseThrow().accepted()).isEqualTo(proposal(9));
         assertThat(store.load().orElseThrow().hearsay()).isFalse();
-        store.write(new StorageUpdate(stamp(15), stamp(14), CREW, List.of(), true));
-        store.write(new StorageUpdate(stamp(16), null, null, List.of(), false));
-        store = again(store);
-        assertThat(store.load()).contains(new PersistentState(stamp(16), stamp(14), CREW, List.of(), true));
+        store.write(new StorageUpdate(proposal(15), proposal(14), VOTERS, List.of(), true));
+        store.write(new StorageUpdate(proposal(16), null, null, List.of(), false));
+        store = reopen(store);
+        assertThat(store.load()).contains(new PersistentState(proposal(16), proposal(14), VOTERS, List.of(), true));
         store.close();
     }
 
     @Test
-    void takesManyWrites() throws IOException {
+    void acceptsManyWrites() throws IOException {
         Store store = open();
         store.write(new StorageUpdate(
-                stamp(1),
-                stamp(1),
-                CREW,
+                proposal(1),
+                proposal(1),
+                VOTERS,
                 IntStream.range(0, 300).mapToObj(i -> item("t" + i, 1, 200)).toList(),
                 true));
         for (int i = 2; i < 900; i++) {
-            store.write(new StorageUpdate(stamp(i), stamp(i), null, List.of(item("t" + i % 300, i, 3_000)), false));
-            look(i);
+            store.write(
+                    new StorageUpdate(proposal(i), proposal(i), null, List.of(item("t" + i % 300, i, 3_000)), false));
+            afterWrites(i);
         }
-        store = again(store);
-        PersistentState standing = store.load().orElseThrow();
-        assertThat(standing.accepted()).isEqualTo(stamp(899));
-        assertThat(standing.items()).hasSize(300).contains(item("t299", 899, 3_000), item("t0", 600, 3_000));
+        store = reopen(store);
+        PersistentState state = store.load().orElseThrow();
+        assertThat(state.accepted()).isEqualTo(proposal(899));
+        assertThat(state.items()).hasSize(300).contains(item("t299", 899, 3_000), item("t0", 600, 3_000));
         store.close();
     }
 
-    /** Looks at what is there after that many writes. */
-    void look(int writes) throws IOException {}
+    /** Called after that many writes; for assertions about a particular store. */
+    void afterWrites(int writes) throws IOException {}
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreEnduranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreEnduranceTest.java
@@ -13,45 +13,45 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk through a long day; with {@code -Dlongday.changes=10000} at the size that is promised. */
+/** The disk space of a store over many changes; with {@code -Dlongday.changes=10000} at the documented size. */
 class StoreEnduranceTest {
 
     private static final int ITEMS = 20_000;
     private static final int CHANGES = Integer.getInteger("longday.changes", 400);
-    private static final long MOST = 40L << 20;
+    private static final long MAX_BYTES = 40L << 20;
 
     @TempDir
-    Path folder;
+    Path temporary;
 
-    private long size() throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+    private long sizeBytes() throws IOException {
+        try (Stream<Path> files = Files.walk(temporary)) {
             return files.filter(Files::isRegularFile)
-                    .mapToLong(f -> f.toFile().length())
+                    .mapToLong(file -> file.toFile().length())
                     .sum();
         }
     }
 
     @Test
-    void takesNoMoreThanStatedWhateverItsLength() throws IOException {
-        long most = 0;
-        try (Store store = new XodusStore(folder.resolve("copy"))) {
-            store.write(StoreContract.whole(
+    void diskSpaceStaysBelowItsLimit() throws IOException {
+        long maxBytes = 0;
+        try (Store store = new XodusStore(temporary.resolve("store"))) {
+            store.write(StoreContract.replaceAll(
                     1,
                     IntStream.range(0, ITEMS)
                             .mapToObj(i -> StoreContract.item("t" + i, 1, 20))
                             .toArray(Item[]::new)));
             for (int i = 1; i <= CHANGES; i++) {
-                store.write(new StorageUpdate(StoreContract.stamp(2 * i), null, null, List.of(), false));
+                store.write(new StorageUpdate(StoreContract.proposal(2 * i), null, null, List.of(), false));
                 store.write(new StorageUpdate(
-                        StoreContract.stamp(2 * i),
-                        StoreContract.stamp(2 * i),
+                        StoreContract.proposal(2 * i),
+                        StoreContract.proposal(2 * i),
                         null,
                         List.of(StoreContract.item("t" + i * 7 % ITEMS, i + 1, 20)),
                         false));
-                most = Math.max(most, size());
+                maxBytes = Math.max(maxBytes, sizeBytes());
             }
         }
-        System.out.println(CHANGES + " changes: " + size() + " bytes at the end, " + most + " at most");
-        assertThat(most).isLessThan(MOST);
+        System.out.println(CHANGES + " changes: bytes=" + sizeBytes() + " maxBytes=" + maxBytes);
+        assertThat(maxBytes).isLessThan(MAX_BYTES);
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
@@ -8,35 +8,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A witness that a loss of power has torn tells nothing, and never a number that was not written. */
+/** A counter file torn by a loss of power reads as 0, never as a count that was not written. */
 class WriteCounterFileTest {
 
     @TempDir
-    Path folder;
+    Path temporary;
 
-    private byte[] at(long number) throws Exception {
-        Path file = folder.resolve("w" + number);
-        try (WriteCounterFile witness = new WriteCounterFile(file)) {
-            witness.saw(number);
+    private byte[] contentOf(long writeCount) throws Exception {
+        Path file = temporary.resolve("counter" + writeCount);
+        try (WriteCounterFile counter = new WriteCounterFile(file)) {
+            counter.store(writeCount);
         }
         return Files.readAllBytes(file);
     }
 
     @Test
-    void aTornOneTellsNothing() throws Exception {
-        byte[] before = at(99);
-        byte[] after = at(100);
-        Path torn = folder.resolve("torn");
+    void tornCountReadsAsZero() throws Exception {
+        byte[] before = contentOf(99);
+        byte[] after = contentOf(100);
+        Path torn = temporary.resolve("torn");
         for (int first = 0; first <= after.length; first++) {
             for (int last = first; last <= after.length; last++) {
                 byte[] mixed = before.clone();
                 System.arraycopy(after, first, mixed, first, last - first);
                 Files.write(torn, mixed);
-                try (WriteCounterFile witness = new WriteCounterFile(torn)) {
-                    long right = Arrays.equals(mixed, after) ? 100 : Arrays.equals(mixed, before) ? 99 : 0;
-                    assertThat(witness.number())
+                try (WriteCounterFile counter = new WriteCounterFile(torn)) {
+                    long expected = Arrays.equals(mixed, after) ? 100 : Arrays.equals(mixed, before) ? 99 : 0;
+                    assertThat(counter.writeCount())
                             .as("new from %d to %d", first, last)
-                            .isEqualTo(right);
+                            .isEqualTo(expected);
                 }
             }
         }
--- a/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
@@ -13,30 +13,33 @@
 
 class XodusStoreTest extends StoreContract {
 
-    private static final long LARGE = 2L << 20;
+    private static final long COMPACTION_BYTES = 2L << 20;
+
+    /** The text is fixed: it is on disk. */
+    private static final String QUARANTINE_PREFIX = "aside-";
 
     @TempDir
     Path folder;
 
     @Override
     XodusStore open() throws IOException {
-        return new XodusStore(folder.resolve("copy"), LARGE);
+        return new XodusStore(folder.resolve("copy"), COMPACTION_BYTES);
     }
 
     @Override
-    Store again(Store before) throws IOException {
-        before.close();
+    Store reopen(Store store) throws IOException {
+        store.close();
         return open();
     }
 
     @Override
-    void look(int writes) throws IOException {
+    void afterWrites(int writes) throws IOException {
         if (writes % 50 == 0) {
-            assertThat(size()).isLessThan(4 * LARGE);
+            assertThat(sizeBytes()).isLessThan(4 * COMPACTION_BYTES);
         }
     }
 
-    private long size() throws IOException {
+    private long sizeBytes() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             long size = 0;
             for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -50,14 +53,14 @@
         return folder.resolve(name);
     }
 
-    /** Never older without a word: what can't be read is kept aside, the last two times, and none stands. */
+    /** Damage never goes unnoticed: the files are quarantined, the last two times kept, and the store is empty. */
     @Test
-    void filesThatAreDamagedAreSetAside() throws IOException {
+    void quarantinesDamagedFiles() throws IOException {
         for (int i = 1; i <= 4; i++) {
             try (XodusStore store = open()) {
                 assertThat(store.damaged()).isEqualTo(i > 1);
                 assertThat(store.load()).isEmpty();
-                store.write(whole(i, item("a", i, 3)));
+                store.write(replaceAll(i, item("a", i, 3)));
             }
             if (i % 2 == 0) {
                 Files.delete(file("copy/current"));
@@ -67,63 +70,66 @@
                 Files.write(file("copy/1/00000000000.xd"), bytes);
             }
             try (XodusStore store = open()) {
-                assertThat(store.setAside()).as("the " + i + ". time").isPresent();
+                assertThat(store.quarantineReason()).as("damage " + i).isPresent();
                 assertThat(store.damaged()).isTrue();
                 assertThat(store.load()).isEmpty();
             }
             try (XodusStore store = open()) {
-                assertThat(store.setAside()).isEmpty();
+                assertThat(store.quarantineReason()).isEmpty();
             }
-            assertThat(DurableDirectories.names(folder.resolve("copy")).stream().filter(n -> n.startsWith("aside")))
+            assertThat(DurableDirectories.names(folder.resolve("copy")).stream()
+                            .filter(name -> name.startsWith(QUARANTINE_PREFIX)))
                     .hasSize(Math.min(i, 2))
-                    .contains("aside-" + i);
+                    .contains(QUARANTINE_PREFIX + i);
         }
         assertThat(Files.exists(folder.resolve("copy/aside-4/1/00000000000.xd")))
                 .isTrue();
     }
 
-    /** A disk that is full or refuses reads is not judged: all is there once it is free again. */
+    /** A disk that is full or refuses reads is not damaged: the state is there once it works again. */
     @Test
-    void aDiskThatRefusesIsNotDamaged() throws IOException {
+    void refusingDiskIsNotDamaged() throws IOException {
         try (Store store = open()) {
-            store.write(whole(1, item("a", 1, 3)));
+            store.write(replaceAll(1, item("a", 1, 3)));
         }
         Files.writeString(file("copy/current"), "q\n");
-        DurableDirectories refuses = new DurableDirectories() {
+        DurableDirectories fullDisk = new DurableDirectories() {
             @Override
             void replace(Path file, String text) throws IOException {
                 throw new IOException("No space left on device");
             }
         };
-        assertThatThrownBy(() -> new XodusStore(folder.resolve("copy"), LARGE, 1024, refuses))
+        assertThatThrownBy(() -> new XodusStore(folder.resolve("copy"), COMPACTION_BYTES, 1024, fullDisk))
                 .hasMessageContaining("No space");
         Files.writeString(file("copy/current"), "1\n");
         try (XodusStore store = open()) {
             assertThat(store.damaged()).isFalse();
-            assertThat(store.load().orElseThrow().accepted()).isEqualTo(stamp(1));
+            assertThat(store.load().orElseThrow().accepted()).isEqualTo(proposal(1));
         }
     }
 
     @Test
-    void goesOnAfterAWriteThatFailed() throws IOException {
+    void recoversAfterFailedWrite() throws IOException {
         Store store = open();
-        store.write(whole(1, item("a", 1, 3)));
+        store.write(replaceAll(1, item("a", 1, 3)));
         Path current = folder.resolve("copy/1");
-        Path away = folder.resolve("away");
-        Files.move(current, away);
-        assertThatThrownBy(() -> store.write(whole(2, item("a", 2, 2_000_000)))).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> store.write(whole(3))).isInstanceOf(IOException.class);
-        Files.move(away, current);
-        store.write(whole(4, item("a", 4, 10)));
-        assertThat(again(store).load().orElseThrow().accepted()).isEqualTo(stamp(4));
+        Path moved = folder.resolve("moved");
+        Files.move(current, moved);
+        assertThatThrownBy(() -> store.write(replaceAll(2, item("a", 2, 2_000_000))))
+                .isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> store.write(replaceAll(3))).isInstanceOf(IOException.class);
+        Files.move(moved, current);
+        store.write(replaceAll(4, item("a", 4, 10)));
+        assertThat(reopen(store).load().orElseThrow().accepted()).isEqualTo(proposal(4));
     }
 
     @Test
-    void leavesNoThreadThatKeepsTheProcess() throws IOException {
+    void startsNoThreadThatKeepsTheProcessAlive() throws IOException {
         Store store = open();
-        store.write(whole(1, item("a", 1, 3)));
+        store.write(replaceAll(1, item("a", 1, 3)));
         assertThat(Thread.getAllStackTraces().keySet())
-                .noneMatch(t -> !t.isDaemon() && t.getName().toLowerCase().contains("exodus"));
+                .noneMatch(thread ->
+                        !thread.isDaemon() && thread.getName().toLowerCase().contains("exodus"));
         store.close();
     }
 }
--- a/src/test/java/org/cypressweir/golden/StoredFolderTest.java
+++ b/src/test/java/org/cypressweir/golden/StoredFolderTest.java
@@ -143,7 +143,7 @@
             assertAfterFurtherChange(store.load().orElseThrow());
         }
         try (XodusStore store = new XodusStore(folder)) {
-            assertThat(store.setAside()).isEmpty();
+            assertThat(store.quarantineReason()).isEmpty();
             assertAfterFurtherChange(store.load().orElseThrow());
         }
         assertThat(records(folder)).isEqualTo(Golden.text(RECORDS_AFTER));
