--- a/src/bench/java/org/cypressweir/loadbalancing/HollowFleet.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/HollowFleet.java
@@ -80,7 +80,7 @@
     private static Configuration changed(Configuration manifest, String order) {
         Either<Rejection, ConfigurationChange> read =
                 ConfigurationChange.read(order.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
-        return manifest.with(read.flatMap(o -> o.against(manifest)).get());
+        return manifest.with(read.flatMap(o -> o.applyTo(manifest)).get());
     }
 
     /** Processor time of this thread for one, in microseconds: the median of rounds, after as many. */
--- a/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
@@ -25,14 +25,14 @@
     private static Map<String, Object> line(Item item) {
         Map<String, Object> line = JsonCodec.map(
                 "table",
-                item.key().table().wire(),
+                item.key().type().wireName(),
                 "name",
                 item.key().name(),
                 "version",
                 "r" + item.version(),
                 "withdrawn",
                 item.withdrawn());
-        if (item.key().table() == ItemType.ROUTES && !item.withdrawn()) {
+        if (item.key().type() == ItemType.ROUTES && !item.withdrawn()) {
             RouteConfiguration.of(item).forEach(route -> line.putAll(terms(route)));
         }
         return line;
@@ -40,7 +40,7 @@
 
     private static Map<String, Object> terms(RouteConfiguration route) {
         List<Object> services = new ArrayList<>();
-        for (WeightedDestination split : route.splits()) {
+        for (WeightedDestination split : route.destinations()) {
             services.add(JsonCodec.map("service", split.service(), "weight", split.weight()));
         }
         return JsonCodec.map(
@@ -49,15 +49,15 @@
                 "prefix",
                 route.prefix(),
                 "repeatable",
-                route.repeatable(),
+                route.idempotent(),
                 "open",
-                route.open(),
+                route.publicAccess(),
                 "priority",
                 route.priority(),
                 "attempts",
                 route.maxAttempts(),
                 "aimMs",
-                route.aimMicros() / 1000,
+                route.targetLatencyMicros() / 1000,
                 "timeoutMs",
                 route.timeoutMicros() / 1000,
                 "services",
--- a/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
@@ -2,24 +2,29 @@
 
 import io.vavr.control.Either;
 
-/** How much a client may send and how long it may take. */
+/** How much a client may send in one request, and how long it may take. */
 public record ClientLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros, long idleTimeoutMicros) {
 
-    public static final ClientLimits USUAL = new ClientLimits(16_384, 64L << 20, 3_000_000, 15_000_000);
+    public static final ClientLimits DEFAULTS = new ClientLimits(16_384, 64L << 20, 3_000_000, 15_000_000);
 
-    /** The limits of the item, the usual ones where it has none or is null. */
+    private static final int LEAST_HEADER_BYTES = 256;
+    private static final int MOST_HEADER_BYTES = 1 << 20;
+    private static final long MOST_BODY_BYTES = 1L << 40;
+
+    /** The limits of the item; {@link #DEFAULTS} for each that it lacks, and where it is null or withdrawn. */
     public static Either<Rejection, ClientLimits> of(Item item) {
         if (item == null || item.withdrawn()) {
-            return Either.right(USUAL);
+            return Either.right(DEFAULTS);
         }
         ContentFields fields = new ContentFields(item.key().toString(), item.content());
         try {
             return Either.right(new ClientLimits(
-                    (int) fields.whole("maxHeaderBytes", 256, 1 << 20, USUAL.maxHeaderBytes),
-                    fields.whole("maxBodyBytes", 0, 1L << 40, USUAL.maxBodyBytes),
-                    fields.time("headerTimeout", USUAL.headerTimeoutMicros),
-                    fields.time("idleTimeout", USUAL.idleTimeoutMicros)));
-        } catch (ContentFields.Bad e) {
+                    (int) fields.integer(
+                            "maxHeaderBytes", LEAST_HEADER_BYTES, MOST_HEADER_BYTES, DEFAULTS.maxHeaderBytes),
+                    fields.integer("maxBodyBytes", 0, MOST_BODY_BYTES, DEFAULTS.maxBodyBytes),
+                    fields.durationMicros("headerTimeout", DEFAULTS.headerTimeoutMicros),
+                    fields.durationMicros("idleTimeout", DEFAULTS.idleTimeoutMicros)));
+        } catch (InvalidContentException e) {
             return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
--- a/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All items, withdrawn ones too. Immutable, and cheap to make another of. */
+/** All configuration items, withdrawn ones too. Immutable; versions of it share their structure. */
 public final class Configuration {
 
     public static final Configuration EMPTY = new Configuration(TreeMap.empty(), UniqueKeys.NONE);
 
-    private final TreeMap<ItemKey, Item> all;
-    private final UniqueKeys claims;
-    /** Of the prints of all items; null as long as nobody has asked. */
+    private final TreeMap<ItemKey, Item> itemsByKey;
+    private final UniqueKeys uniqueKeys;
+    /** Of the checksums of all items; computed on first use, null until then. */
     private Long sum;
 
-    private Configuration(TreeMap<ItemKey, Item> all, UniqueKeys claims) {
-        this.all = all;
-        this.claims = claims;
+    private Configuration(TreeMap<ItemKey, Item> itemsByKey, UniqueKeys uniqueKeys) {
+        this.itemsByKey = itemsByKey;
+        this.uniqueKeys = uniqueKeys;
     }
 
     public static Configuration of(Collection<Item> items) {
@@ -29,92 +29,102 @@
 
     /** The item, withdrawn or not, or null. */
     public Item get(ItemKey key) {
-        return all.get(key).getOrNull();
+        return itemsByKey.get(key).getOrNull();
     }
 
     /** The item where it is there and not withdrawn, or null. */
-    public Item standing(ItemKey key) {
+    public Item active(ItemKey key) {
         Item item = get(key);
         return item == null || item.withdrawn() ? null : item;
     }
 
     /** Every item in the order of keys, withdrawn ones too. */
     public List<Item> items() {
-        return all.values().toJavaList();
+        return itemsByKey.values().toJavaList();
     }
 
     public int size() {
-        return all.size();
+        return itemsByKey.size();
     }
 
-    /** Items of a table that are not withdrawn. */
-    public List<Item> standing(ItemType table) {
-        return all.values()
-                .filter(i -> i.key().table() == table && !i.withdrawn())
+    /** The items of a type that are not withdrawn. */
+    public List<Item> active(ItemType type) {
+        return itemsByKey
+                .values()
+                .filter(item -> item.key().type() == type && !item.withdrawn())
                 .toJavaList();
     }
 
-    /** This with those items in place of what stands under their keys. */
+    /** This with those items in place of the ones with their keys. */
     public Configuration with(Collection<Item> items) {
-        TreeMap<ItemKey, Item> next = all;
-        UniqueKeys claimed = claims;
+        TreeMap<ItemKey, Item> nextItems = itemsByKey;
+        UniqueKeys nextKeys = uniqueKeys;
         for (Item item : items) {
-            Item before = next.get(item.key()).getOrNull();
-            claimed = before == null ? claimed : claimed.without(before);
-            next = next.put(item.key(), item);
+            Item replaced = nextItems.get(item.key()).getOrNull();
+            nextKeys = replaced == null ? nextKeys : nextKeys.without(replaced);
+            nextItems = nextItems.put(item.key(), item);
         }
+        // Only after all are removed, as a unique key may move from one item to another.
         for (Item item : items) {
-            claimed = next.get(item.key()).get() == item ? claimed.with(item) : claimed;
+            nextKeys = nextItems.get(item.key()).get() == item ? nextKeys.with(item) : nextKeys;
         }
-        if (next == all) {
+        if (nextItems == itemsByKey) {
             return this;
         }
-        Configuration made = new Configuration(next, claimed);
+        Configuration next = new Configuration(nextItems, nextKeys);
         if (sum != null) {
-            made.sum = sum;
-            Set<ItemKey> keys = new HashSet<>();
-            items.forEach(item -> keys.add(item.key()));
-            for (ItemKey key : keys) {
-                Item before = get(key);
-                made.sum += made.get(key).sumPrint() - (before == null ? 0 : before.sumPrint());
-            }
+            next.sum = sum + sumOfChanges(next, items);
+        }
+        return next;
+    }
+
+    private long sumOfChanges(Configuration next, Collection<Item> items) {
+        Set<ItemKey> keys = new HashSet<>();
+        items.forEach(item -> keys.add(item.key()));
+        long change = 0;
+        for (ItemKey key : keys) {
+            Item replaced = get(key);
+            change += next.get(key).checksum() - (replaced == null ? 0 : replaced.checksum());
         }
-        return made;
+        return change;
     }
 
-    /** The same for the same items only, in whatever order they came. Kept up with each change once asked. */
+    /**
+     * A checksum that is the same for the same items in whatever order they were added. Once it was computed,
+     * configurations derived from this one update it with each change.
+     */
     public long sum() {
         if (sum == null) {
-            long all = 0;
+            long total = 0;
             for (Item item : items()) {
-                all += item.sumPrint();
+                total += item.checksum();
             }
-            sum = all;
+            sum = total;
         }
         return sum;
     }
 
-    /** Who holds what only one item may hold. */
-    ItemKey holder(Object claim) {
-        return claims.holder(claim);
+    /** The item that owns a unique key, or null. */
+    ItemKey owner(UniqueKey key) {
+        return uniqueKeys.owner(key);
     }
 
-    /** What stands, as it was sent. */
+    /** The active items in the layout in which operators submit and read them. */
     public Map<String, Object> layout() {
         Map<String, Object> layout = new LinkedHashMap<>();
-        for (ItemType table : List.of(ItemType.ROUTES, ItemType.TENANTS, ItemType.SERVICES)) {
-            Map<String, Object> named = new LinkedHashMap<>();
-            standing(table).forEach(i -> named.put(i.key().name(), i.content()));
-            layout.put(table.wire(), named);
+        for (ItemType type : List.of(ItemType.ROUTES, ItemType.TENANTS, ItemType.SERVICES)) {
+            Map<String, Object> contents = new LinkedHashMap<>();
+            active(type).forEach(item -> contents.put(item.key().name(), item.content()));
+            layout.put(type.wireName(), contents);
         }
-        Item limits = standing(ItemKey.LIMITS);
-        layout.put(ItemType.LIMITS.wire(), limits == null ? Map.of() : limits.content());
+        Item limits = active(ItemKey.LIMITS);
+        layout.put(ItemType.LIMITS.wireName(), limits == null ? Map.of() : limits.content());
         return layout;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Configuration m && items().equals(m.items());
+        return other instanceof Configuration configuration && items().equals(configuration.items());
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationMerge.java
@@ -0,0 +1,90 @@
+package org.cypressweir.controlplane.configuration;
+
+import io.vavr.control.Either;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The merge of one change into a configuration. Used once, by one thread. */
+final class ConfigurationMerge {
+
+    private final List<Item> items;
+    private final Configuration current;
+    private final Map<ItemKey, Item> changes = new LinkedHashMap<>();
+    /** What comes into force, by key. */
+    private final Map<ItemKey, Item> effective = new LinkedHashMap<>();
+    /** What has a higher version above it already, by key. */
+    private final Map<ItemKey, Item> supersededOnArrival = new LinkedHashMap<>();
+
+    private final List<Item> unused = new ArrayList<>();
+    private Rejection tooOld;
+
+    /** @param items of one key the lower versions first */
+    ConfigurationMerge(List<Item> items, Configuration current) {
+        this.items = items;
+        this.current = current;
+    }
+
+    /** What changes, or why the change is rejected. */
+    Either<Rejection, List<Item>> run() {
+        for (Item item : items) {
+            Rejection conflict = add(item);
+            if (conflict != null) {
+                return Either.left(conflict);
+            }
+        }
+        Rejection rejection = validate();
+        return rejection == null ? Either.right(List.copyOf(changes.values())) : Either.left(rejection);
+    }
+
+    /** Returns a conflict, or null. */
+    private Rejection add(Item item) {
+        Item existing = changes.getOrDefault(item.key(), current.get(item.key()));
+        Item.VersionStatus status = existing == null ? Item.VersionStatus.UNUSED : existing.statusOf(item);
+        switch (status) {
+            case ACCEPTED_WITH_OTHER_CONTENT -> {
+                return Rejection.conflict(describe(item) + " was already accepted with different content");
+            }
+            case TOO_OLD -> tooOld =
+                    Rejection.versionTooOld(describe(item) + " is too old: whether it was accepted is no longer known");
+            case UNUSED -> addUnused(item, existing);
+            case ACCEPTED -> {
+                // The operator repeats a change: it is acknowledged again.
+            }
+        }
+        return null;
+    }
+
+    private void addUnused(Item item, Item existing) {
+        unused.add(item);
+        if (existing == null) {
+            changes.put(item.key(), item);
+            effective.put(item.key(), item);
+        } else if (item.version() < existing.version()) {
+            changes.put(item.key(), existing.withSuperseded(item));
+            supersededOnArrival.put(item.key(), item);
+        } else {
+            changes.put(item.key(), item.replacing(existing));
+            effective.put(item.key(), item);
+        }
+    }
+
+    /** What is superseded on arrival has to be valid as if it came into force. */
+    private Rejection validate() {
+        Configuration next = current.with(changes.values());
+        Rejection rejection = ConfigurationValidator.validateItems(unused);
+        if (rejection == null) {
+            rejection = ConfigurationValidator.validateRelations(next, effective.values());
+        }
+        if (rejection == null) {
+            Configuration asIfEffective = next.with(supersededOnArrival.values());
+            rejection = ConfigurationValidator.validateRelations(asIfEffective, supersededOnArrival.values());
+        }
+        return rejection == null ? tooOld : rejection;
+    }
+
+    private static String describe(Item item) {
+        return item.key() + " r" + item.version();
+    }
+}
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
@@ -2,86 +2,100 @@
 
 import io.vavr.control.Either;
 import java.util.Collection;
-import java.util.List;
 
-/** Whether a manifest that was valid as a whole still is, after items of it have changed. */
+/**
+ * Checks that a valid configuration is still valid after a change. Only what changed is checked, but for the
+ * withdrawal of a service, which looks at all routes. Stateless.
+ */
 final class ConfigurationValidator {
 
     private ConfigurationValidator() {}
 
-    /** The first thing that is wrong with an item by itself, or null. */
-    static Rejection wrongAlone(Collection<Item> changed) {
+    /** The first item that is invalid by itself, or null. */
+    static Rejection validateItems(Collection<Item> changed) {
         for (Item item : changed) {
             if (!item.withdrawn()) {
-                Either<Rejection, ?> terms =
-                        switch (item.key().table()) {
-                            case ROUTES -> RouteConfiguration.of(item);
-                            case TENANTS -> TenantConfiguration.of(item);
-                            case SERVICES -> ServiceConfiguration.of(item);
-                            case LIMITS -> ClientLimits.of(item);
-                        };
-                if (terms.isLeft()) {
-                    return terms.getLeft();
+                Either<Rejection, ?> parsed = parse(item);
+                if (parsed.isLeft()) {
+                    return parsed.getLeft();
                 }
             }
         }
         return null;
     }
 
+    private static Either<Rejection, ?> parse(Item item) {
+        return switch (item.key().type()) {
+            case ROUTES -> RouteConfiguration.of(item);
+            case TENANTS -> TenantConfiguration.of(item);
+            case SERVICES -> ServiceConfiguration.of(item);
+            case LIMITS -> ClientLimits.of(item);
+        };
+    }
+
     /**
-     * The first thing that is wrong between items, or null. What has not changed was checked when it came;
-     * what has is right by itself.
+     * The first reference or unique key between items that is invalid, or null.
+     *
+     * @param next the configuration after the change
+     * @param changed its items that changed, each valid by itself
      */
-    static Rejection wrong(Configuration all, Collection<Item> changed) {
+    static Rejection validateRelations(Configuration next, Collection<Item> changed) {
         for (Item item : changed) {
-            Rejection refusal = item.withdrawn()
-                    ? unused(all, item)
-                    : item.key().table() == ItemType.ROUTES ? route(all, item) : null;
-            if (refusal != null) {
-                return refusal;
+            Rejection rejection = validateReferences(next, item);
+            if (rejection != null) {
+                return rejection;
             }
         }
-        return tenants(all, changed);
+        return validateApiKeys(next, changed);
+    }
+
+    private static Rejection validateReferences(Configuration next, Item item) {
+        ItemType type = item.key().type();
+        if (item.withdrawn()) {
+            return type == ItemType.SERVICES
+                    ? validateUnreferenced(next, item.key().name())
+                    : null;
+        }
+        return type == ItemType.ROUTES ? validateRoute(next, item) : null;
     }
 
-    private static Rejection route(Configuration all, Item route) {
+    private static Rejection validateRoute(Configuration next, Item route) {
         for (String service : RouteConfiguration.services(route.content())) {
-            if (all.standing(new ItemKey(ItemType.SERVICES, service)) == null) {
-                return unknown(route, service);
+            if (next.active(new ItemKey(ItemType.SERVICES, service)) == null) {
+                return unknownService(route, service);
             }
         }
-        List<String> place = UniqueKeys.place(route);
-        ItemKey holder = all.holder(place);
-        return holder.equals(route.key())
-                ? null
-                : Rejection.invalid(route.key() + " and " + holder + " share " + place.get(1) + place.get(2));
+        UniqueKey.HostAndPath match = UniqueKey.ofRoute(route);
+        ItemKey owner = next.owner(match);
+        if (owner.equals(route.key())) {
+            return null;
+        }
+        return Rejection.invalid(route.key() + " has the same hostname and pathPrefix as " + owner + ": " + match);
     }
 
-    /** A service goes only if no route names it. This alone looks at all routes. */
-    private static Rejection unused(Configuration all, Item withdrawn) {
-        if (withdrawn.key().table() == ItemType.SERVICES) {
-            for (Item route : all.standing(ItemType.ROUTES)) {
-                if (RouteConfiguration.services(route.content())
-                        .contains(withdrawn.key().name())) {
-                    return unknown(route, withdrawn.key().name());
-                }
+    private static Rejection validateUnreferenced(Configuration next, String service) {
+        for (Item route : next.active(ItemType.ROUTES)) {
+            if (RouteConfiguration.services(route.content()).contains(service)) {
+                return unknownService(route, service);
             }
         }
         return null;
     }
 
-    private static Rejection unknown(Item route, String service) {
+    /** The check of meshctl reads this text. */
+    private static Rejection unknownService(Item route, String service) {
         return Rejection.invalid(route.key() + " names service " + service + ", which is unknown");
     }
 
-    private static Rejection tenants(Configuration all, Collection<Item> changed) {
+    private static Rejection validateApiKeys(Configuration next, Collection<Item> changed) {
         for (Item item : changed) {
-            if (item.key().table() == ItemType.TENANTS) {
-                for (Object claim : UniqueKeys.of(item)) {
-                    ItemKey holder = all.holder(claim);
-                    if (!item.key().equals(holder)) {
-                        return Rejection.invalid(item.key() + " and " + holder + " hold the same apiKey");
-                    }
+            if (item.key().type() != ItemType.TENANTS) {
+                continue;
+            }
+            for (UniqueKey key : UniqueKey.of(item)) {
+                ItemKey owner = next.owner(key);
+                if (!item.key().equals(owner)) {
+                    return Rejection.invalid(item.key() + " has the same apiKey as " + owner);
                 }
             }
         }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
@@ -6,113 +6,110 @@
 import java.util.Map;
 import org.cypressweir.common.settings.DurationText;
 
-/** Typed fields of an item's content. What is wrong is thrown as {@link Bad}, which names the place. */
+/**
+ * Reads the fields of an object by their types. What is missing or wrong is thrown as an
+ * {@link InvalidContentException} that names the field's path.
+ */
 final class ContentFields {
 
-    static final long LONGEST_MICROS = 600_000_000;
+    private static final long MAX_DURATION_MICROS = 600_000_000;
 
-    /** A field that is missing or wrong. */
-    static final class Bad extends Exception {
-        private static final long serialVersionUID = 1;
-
-        Bad(String reason) {
-            super(reason, null, false, false);
-        }
-    }
-
-    private final String place;
+    private final String path;
     private final Map<?, ?> content;
 
-    ContentFields(String place, Map<?, ?> content) {
-        this.place = place;
+    ContentFields(String path, Map<?, ?> content) {
+        this.path = path;
         this.content = content;
     }
 
-    ContentFields within(String name, Map<?, ?> inner) {
-        return new ContentFields(place + "." + name, inner);
+    /** The fields of an object within this one. */
+    ContentFields nested(String name, Map<?, ?> nestedContent) {
+        return new ContentFields(path + "." + name, nestedContent);
     }
 
-    Bad bad(String name, String why) {
-        return new Bad(place + "." + name + " " + why);
+    InvalidContentException invalid(String name, String reason) {
+        return new InvalidContentException(path + "." + name + " " + reason);
     }
 
+    /** Whether the field is there and not null. */
     boolean has(String name) {
         return content.get(name) != null;
     }
 
-    String text(String name) throws Bad {
+    /** A string that is not blank. */
+    String text(String name) throws InvalidContentException {
         if (!(content.get(name) instanceof String text)) {
-            throw bad(name, has(name) ? "must be a text" : "is missing");
+            throw invalid(name, has(name) ? "must be a string" : "is missing");
         }
         if (text.isBlank()) {
-            throw bad(name, "must not be empty");
+            throw invalid(name, "must not be empty");
         }
         return text;
     }
 
-    /** Microseconds, above 0 and at most ten minutes. */
-    long time(String name) throws Bad {
-        Option<Long> time = DurationText.micros(text(name));
-        if (time.isEmpty()) {
-            throw bad(name, "must be a time such as 1500ms or 2.5s");
+    /** A duration in microseconds, above 0 and at most ten minutes. */
+    long durationMicros(String name) throws InvalidContentException {
+        Option<Long> duration = DurationText.micros(text(name));
+        if (duration.isEmpty()) {
+            throw invalid(name, "must be a duration such as 1500ms or 2.5s");
         }
-        long micros = time.get();
-        if (micros <= 0 || micros > LONGEST_MICROS) {
-            throw bad(name, "must be above 0 and at most ten minutes");
+        long micros = duration.get();
+        if (micros <= 0 || micros > MAX_DURATION_MICROS) {
+            throw invalid(name, "must be above 0 and at most ten minutes");
         }
         return micros;
     }
 
-    long time(String name, long otherwise) throws Bad {
-        return has(name) ? time(name) : otherwise;
+    long durationMicros(String name, long defaultMicros) throws InvalidContentException {
+        return has(name) ? durationMicros(name) : defaultMicros;
     }
 
-    long whole(String name, long least, long most) throws Bad {
+    long integer(String name, long min, long max) throws InvalidContentException {
         Object value = content.get(name);
         if (value == null) {
-            throw bad(name, "is missing");
+            throw invalid(name, "is missing");
         }
         BigDecimal number = value instanceof Number n ? new BigDecimal(n.toString()) : null;
         if (number == null || number.stripTrailingZeros().scale() > 0) {
-            throw bad(name, "must be a whole number");
+            throw invalid(name, "must be an integer");
         }
-        if (number.compareTo(BigDecimal.valueOf(least)) < 0 || number.compareTo(BigDecimal.valueOf(most)) > 0) {
-            throw bad(name, "must be from " + least + " to " + most);
+        if (number.compareTo(BigDecimal.valueOf(min)) < 0 || number.compareTo(BigDecimal.valueOf(max)) > 0) {
+            throw invalid(name, "must be from " + min + " to " + max);
         }
         return number.longValue();
     }
 
-    long whole(String name, long least, long most, long otherwise) throws Bad {
-        return has(name) ? whole(name, least, most) : otherwise;
+    long integer(String name, long min, long max, long defaultValue) throws InvalidContentException {
+        return has(name) ? integer(name, min, max) : defaultValue;
     }
 
-    /** A number that is not below 0. */
-    double amount(String name) throws Bad {
+    /** A finite number that is not below 0. */
+    double nonNegative(String name) throws InvalidContentException {
         if (!(content.get(name) instanceof Number number)) {
-            throw bad(name, has(name) ? "must be a number" : "is missing");
+            throw invalid(name, has(name) ? "must be a number" : "is missing");
         }
-        double amount = number.doubleValue();
-        if (!(amount >= 0) || Double.isInfinite(amount)) {
-            throw bad(name, "must not be below 0");
+        double result = number.doubleValue();
+        if (!(result >= 0) || Double.isInfinite(result)) {
+            throw invalid(name, "must not be below 0");
         }
-        return amount;
+        return result;
     }
 
-    double amount(String name, double otherwise) throws Bad {
-        return has(name) ? amount(name) : otherwise;
+    double nonNegative(String name, double defaultValue) throws InvalidContentException {
+        return has(name) ? nonNegative(name) : defaultValue;
     }
 
-    boolean flag(String name, boolean otherwise) throws Bad {
+    boolean flag(String name, boolean defaultValue) throws InvalidContentException {
         Object value = content.get(name);
         if (value != null && !(value instanceof Boolean)) {
-            throw bad(name, "must be true or false");
+            throw invalid(name, "must be true or false");
         }
-        return value == null ? otherwise : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
-    List<?> list(String name) throws Bad {
+    List<?> list(String name) throws InvalidContentException {
         if (!(content.get(name) instanceof List<?> list)) {
-            throw bad(name, has(name) ? "must be a list" : "is missing");
+            throw invalid(name, has(name) ? "must be a list" : "is missing");
         }
         return list;
     }
--- /dev/null
+++ b/src/main/java/org/cypressweir/controlplane/configuration/InvalidContentException.java
@@ -0,0 +1,14 @@
+package org.cypressweir.controlplane.configuration;
+
+/**
+ * A field of a configuration change is missing or wrong. The message begins with the field's path, as in
+ * {@code routeTable.orders.timeout must be ...}; operators read it. Has no stack trace, as input causes it.
+ */
+final class InvalidContentException extends Exception {
+
+    private static final long serialVersionUID = 1;
+
+    InvalidContentException(String reason) {
+        super(reason, null, false, false);
+    }
+}
--- a/src/main/java/org/cypressweir/controlplane/configuration/Item.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Item.java
@@ -1,184 +1,146 @@
 package org.cypressweir.controlplane.configuration;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HexFormat;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * One item at one version. Content is what was sent, null where the item is withdrawn. The past holds the
- * lower versions that were taken, in their order: those that stood, and those that a higher one had passed
- * on their way. Of versions below the floor nothing is known any more.
+ * One configuration item at one version. Immutable.
+ *
+ * @param content what the operator submitted, null where the item is withdrawn
+ * @param superseded the lower versions that were accepted, in ascending order: those that were in force, and
+ *     those that arrived after a higher one
+ * @param oldestKnownVersion of versions below it nothing is known any more
  */
-public record Item(ItemKey key, long version, Map<String, Object> content, List<SupersededVersion> past, long floor) {
-
-    static final int MOST_PAST = 256;
-    /** What the build kept that wrote no floors. */
-    private static final int MOST_PAST_WITHOUT_FLOOR = 8;
-
-    private static final String WITHDRAWN = "-";
-
-    /** What has become of a version of this item, as far as it is known here. */
-    enum Use {
-        TAKEN,
-        TAKEN_WITH_ANOTHER_CONTENT,
+public record Item(
+        ItemKey key,
+        long version,
+        Map<String, Object> content,
+        List<SupersededVersion> superseded,
+        long oldestKnownVersion) {
+
+    static final int MAX_SUPERSEDED = 256;
+
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    /** What is known of a version of an item. */
+    enum VersionStatus {
+        ACCEPTED,
+        ACCEPTED_WITH_OTHER_CONTENT,
         UNUSED,
-        FORGOTTEN
+        TOO_OLD
     }
 
     public Item {
-        past = List.copyOf(past);
+        superseded = List.copyOf(superseded);
     }
 
     public Item(ItemKey key, long version, Map<String, Object> content) {
         this(key, version, content, List.of());
     }
 
-    public Item(ItemKey key, long version, Map<String, Object> content, List<SupersededVersion> past) {
-        this(key, version, content, past, 0);
+    public Item(ItemKey key, long version, Map<String, Object> content, List<SupersededVersion> superseded) {
+        this(key, version, content, superseded, 0);
     }
 
     public boolean withdrawn() {
         return content == null;
     }
 
-    /** Whether both say the same at the same version, whatever stood before. */
-    boolean says(Item other) {
-        return version == other.version && print().equals(other.print());
+    /** Whether both have the same version and content, whatever they supersede. */
+    boolean hasSameContent(Item other) {
+        return version == other.version && contentHash().equals(other.contentHash());
     }
 
-    /** What has become of the version at which another is ordered. */
-    Use use(Item other) {
+    /** What this item, the accepted one, tells of another's version and content. */
+    VersionStatus statusOf(Item other) {
         if (other.version == version) {
-            return says(other) ? Use.TAKEN : Use.TAKEN_WITH_ANOTHER_CONTENT;
+            return status(hasSameContent(other));
         }
-        for (SupersededVersion each : past) {
+        for (SupersededVersion each : superseded) {
             if (each.version() == other.version) {
-                return each.equals(other.asPast()) ? Use.TAKEN : Use.TAKEN_WITH_ANOTHER_CONTENT;
+                return status(each.equals(other.asSuperseded()));
             }
         }
-        return other.version < floor ? Use.FORGOTTEN : Use.UNUSED;
+        return other.version < oldestKnownVersion ? VersionStatus.TOO_OLD : VersionStatus.UNUSED;
+    }
+
+    private static VersionStatus status(boolean sameContent) {
+        return sameContent ? VersionStatus.ACCEPTED : VersionStatus.ACCEPTED_WITH_OTHER_CONTENT;
     }
 
-    private SupersededVersion asPast() {
-        return new SupersededVersion(version, print());
+    private SupersededVersion asSuperseded() {
+        return new SupersededVersion(version, contentHash());
     }
 
-    /** This item in place of another, whose version becomes past. */
-    Item after(Item before) {
-        return new Item(key, version, content, before.past, before.floor).past(before);
+    /** This item in place of one with a lower version. */
+    Item replacing(Item lower) {
+        Item successor = new Item(key, version, content, lower.superseded, lower.oldestKnownVersion);
+        return successor.withSuperseded(lower);
     }
 
-    /** This item with a lower version in its past, as one that was taken. */
-    Item past(Item lower) {
-        List<SupersededVersion> all = new ArrayList<>(past);
-        all.add(lower.asPast());
+    /** This item, with a lower version recorded as accepted and superseded. */
+    Item withSuperseded(Item lower) {
+        List<SupersededVersion> all = new ArrayList<>(superseded);
+        all.add(lower.asSuperseded());
         all.sort(Comparator.comparingLong(SupersededVersion::version));
-        int forgotten = Math.max(0, all.size() - MOST_PAST);
-        return new Item(
-                key,
-                version,
-                content,
-                all.subList(forgotten, all.size()),
-                forgotten == 0 ? floor : Math.max(floor, all.get(forgotten - 1).version() + 1));
+        int excess = Math.max(0, all.size() - MAX_SUPERSEDED);
+        List<SupersededVersion> kept = all.subList(excess, all.size());
+        if (excess == 0) {
+            return new Item(key, version, content, kept, oldestKnownVersion);
+        }
+        long aboveDropped = all.get(excess - 1).version() + 1;
+        return new Item(key, version, content, kept, Math.max(oldestKnownVersion, aboveDropped));
     }
 
-    /** This item without its past, for whoever takes no orders. */
-    public Item bare() {
+    /** This item without what it supersedes, for receivers that accept no changes. */
+    public Item withoutHistory() {
         return new Item(key, version, content);
     }
 
-    /** A short text that is the same for the same content only. */
-    String print() {
-        if (content == null) {
-            return WITHDRAWN;
-        }
-        try {
-            byte[] digest = MessageDigest.getInstance("SHA-256")
-                    .digest(StrictJson.plain(content).getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(digest, 0, 16);
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
+    String contentHash() {
+        return ContentHash.of(content);
     }
 
-    /** A number of all that is in it, for sums over items. */
-    long sumPrint() {
-        long print = 0xcbf29ce484222325L;
-        List<String> superseded =
-                past.stream().map(SupersededVersion::checksumText).toList();
-        for (char c : (key + " " + version + " " + print() + " " + superseded).toCharArray()) {
-            print = (print ^ c) * 0x100000001b3L;
+    /** A checksum over all fields, FNV-1a with a final mix, to be summed over items. Controllers compare it. */
+    long checksum() {
+        List<String> supersededTexts =
+                superseded.stream().map(SupersededVersion::checksumText).toList();
+        String text = key + " " + version + " " + contentHash() + " " + supersededTexts;
+        long hash = FNV_OFFSET_BASIS;
+        for (char character : text.toCharArray()) {
+            hash = (hash ^ character) * FNV_PRIME;
         }
-        return print ^ print >>> 29;
+        return hash ^ hash >>> 29;
     }
 
-    /** As a map ready for JSON. Content goes as a text, so that no reader on the way rounds its numbers. */
+    /** A map ready for JSON, see {@link ItemCodec}. */
     public Map<String, Object> toMap() {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("table", key.table().wire());
-        map.put("name", key.name());
-        map.put("version", version);
-        if (content != null) {
-            map.put("content", StrictJson.of(content));
-        }
-        if (!past.isEmpty()) {
-            List<Object> texts = new ArrayList<>();
-            past.forEach(p -> texts.add(p.version() + ":" + p.print()));
-            map.put("past", texts);
-        }
-        if (floor > 0 || past.size() >= MOST_PAST_WITHOUT_FLOOR) {
-            map.put("floor", floor);
-        }
-        return map;
+        return ItemCodec.toMap(this);
     }
 
-    /** The same as a text. */
+    /** A JSON text, see {@link ItemCodec}. */
     public String toText() {
-        return StrictJson.of(toMap());
+        return ItemCodec.toText(this);
     }
 
-    /** Reads what {@link #toText} made; an IllegalArgumentException where it is something else. */
+    /**
+     * Reads what {@link #toText} made.
+     *
+     * @throws IllegalArgumentException where it is something else
+     */
     public static Item ofText(String text) {
-        try {
-            return of(StrictJson.object(text));
-        } catch (IOException e) {
-            throw new IllegalArgumentException(e);
-        }
+        return ItemCodec.fromText(text);
     }
 
-    /** Reads what {@link #toMap} made; an IllegalArgumentException where it is something else. */
+    /**
+     * Reads what {@link #toMap} made.
+     *
+     * @throws IllegalArgumentException where it is something else
+     */
     public static Item of(Map<?, ?> map) {
-        ItemType table = ItemType.of(map.get("table"));
-        if (table == null
-                || !(map.get("name") instanceof String name)
-                || !(map.get("version") instanceof Number version)) {
-            throw new IllegalArgumentException("no item");
-        }
-        List<SupersededVersion> past = new ArrayList<>();
-        if (map.get("past") instanceof List<?> texts) {
-            for (Object text : texts) {
-                String[] parts = String.valueOf(text).split(":", 2);
-                if (parts.length < 2) {
-                    throw new IllegalArgumentException("no past");
-                }
-                past.add(new SupersededVersion(Long.parseLong(parts[0]), parts[1]));
-            }
-        }
-        try {
-            Map<String, Object> content = map.get("content") instanceof String text ? StrictJson.object(text) : null;
-            long floor = map.get("floor") instanceof Number number
-                    ? number.longValue()
-                    : past.size() < MOST_PAST_WITHOUT_FLOOR ? 0 : past.get(0).version();
-            return new Item(new ItemKey(table, name), version.longValue(), content, past, floor);
-        } catch (IOException e) {
-            throw new IllegalArgumentException(e);
-        }
+        return ItemCodec.fromMap(map);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ItemKey.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemKey.java
@@ -1,18 +1,19 @@
 package org.cypressweir.controlplane.configuration;
 
-/** Names one item. The limits are one item with an empty name. */
-public record ItemKey(ItemType table, String name) implements Comparable<ItemKey> {
+/** The identity of a configuration item: its type and its name. The limits are one item with an empty name. */
+public record ItemKey(ItemType type, String name) implements Comparable<ItemKey> {
 
     public static final ItemKey LIMITS = new ItemKey(ItemType.LIMITS, "");
 
     @Override
     public int compareTo(ItemKey other) {
-        int byTable = table.compareTo(other.table);
-        return byTable != 0 ? byTable : name.compareTo(other.name);
+        int byType = type.compareTo(other.type);
+        return byType != 0 ? byType : name.compareTo(other.name);
     }
 
+    /** As operators read it, such as {@code routeTable.orders}. Checksums are made from it: the text is fixed. */
     @Override
     public String toString() {
-        return table == ItemType.LIMITS ? table.wire() : table.wire() + "." + name;
+        return type == ItemType.LIMITS ? type.wireName() : type.wireName() + "." + name;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ItemType.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemType.java
@@ -1,27 +1,28 @@
 package org.cypressweir.controlplane.configuration;
 
-/** The kinds of items, with their names on the wire. */
+/** The kinds of configuration items, in the order in which items are listed. */
 public enum ItemType {
     ROUTES("routeTable"),
     TENANTS("tenantTable"),
     SERVICES("serviceTable"),
     LIMITS("limits");
 
-    private final String wire;
+    private final String wireName;
 
-    ItemType(String wire) {
-        this.wire = wire;
+    ItemType(String wireName) {
+        this.wireName = wireName;
     }
 
-    public String wire() {
-        return wire;
+    /** The name in requests, messages and on disk. */
+    public String wireName() {
+        return wireName;
     }
 
-    /** The table of that name, or null. */
-    public static ItemType of(Object wire) {
-        for (ItemType table : values()) {
-            if (table.wire.equals(wire)) {
-                return table;
+    /** The type of that name, or null. */
+    public static ItemType of(Object wireName) {
+        for (ItemType type : values()) {
+            if (type.wireName.equals(wireName)) {
+                return type;
             }
         }
         return null;
--- a/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
@@ -1,6 +1,6 @@
 package org.cypressweir.controlplane.configuration;
 
-/** An order that is not taken, with a reason for whoever sent it. */
+/** A configuration change that is not accepted, with a reason in words for the operator who submitted it. */
 public record Rejection(RejectionKind kind, String reason) {
 
     static Rejection invalid(String reason) {
@@ -11,7 +11,7 @@
         return new Rejection(RejectionKind.CONFLICT, reason);
     }
 
-    static Rejection forgotten(String reason) {
-        return new Rejection(RejectionKind.FORGOTTEN, reason);
+    static Rejection versionTooOld(String reason) {
+        return new Rejection(RejectionKind.VERSION_TOO_OLD, reason);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/RejectionKind.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RejectionKind.java
@@ -1,11 +1,11 @@
 package org.cypressweir.controlplane.configuration;
 
-/**
- * Why an order is not taken: for what it says, for what was taken under its version, or, without a word on
- * the order itself, because nothing is known of that version any more.
- */
+/** Why a configuration change is rejected. */
 public enum RejectionKind {
+    /** The change, or the configuration that it would lead to, is not valid. */
     INVALID,
+    /** One of its versions was accepted with different content. */
     CONFLICT,
-    FORGOTTEN
+    /** One of its versions is so old that it is no longer known whether it was accepted. */
+    VERSION_TOO_OLD
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
@@ -6,89 +6,112 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a route says. */
+/**
+ * Which requests a route matches, where it sends them, and how.
+ *
+ * @param host in lower case
+ * @param prefix of the path, from slash to slash
+ * @param idempotent whether a request may be repeated after an attempt that may have run
+ * @param timeoutMicros the deadline of a request
+ * @param targetLatencyMicros the latency target of a request
+ * @param priority the priority of a request whose tenant has none
+ * @param maxAttempts how often one request is sent at most
+ * @param publicAccess whether requests need no API key
+ */
 public record RouteConfiguration(
         String name,
         String host,
         String prefix,
-        boolean repeatable,
+        boolean idempotent,
         long timeoutMicros,
-        long aimMicros,
+        long targetLatencyMicros,
         int priority,
-        List<WeightedDestination> splits,
+        List<WeightedDestination> destinations,
         int maxAttempts,
-        boolean open) {
+        boolean publicAccess) {
 
     public static Either<Rejection, RouteConfiguration> of(Item item) {
+        ContentFields fields = new ContentFields(item.key().toString(), item.content());
         try {
-            return Either.right(
-                    read(item.key().name(), new ContentFields(item.key().toString(), item.content())));
-        } catch (ContentFields.Bad e) {
+            return Either.right(read(item.key().name(), fields));
+        } catch (InvalidContentException e) {
             return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
 
-    private static RouteConfiguration read(String name, ContentFields fields) throws ContentFields.Bad {
+    private static RouteConfiguration read(String name, ContentFields fields) throws InvalidContentException {
+        return new RouteConfiguration(
+                name,
+                host(fields),
+                prefix(fields),
+                idempotent(fields),
+                fields.durationMicros("timeout"),
+                fields.durationMicros("targetLatency"),
+                (int) fields.integer("priority", Integer.MIN_VALUE, Integer.MAX_VALUE),
+                destinations(fields),
+                (int) fields.integer("maxAttempts", 1, Integer.MAX_VALUE),
+                fields.flag("publicAccess", false));
+    }
+
+    private static String host(ContentFields fields) throws InvalidContentException {
         String host = fields.text("hostname");
-        if (host.chars().anyMatch(c -> c <= ' ' || c == '/')) {
-            throw fields.bad("hostname", "must be a name of a host");
+        if (host.chars().anyMatch(character -> character <= ' ' || character == '/')) {
+            throw fields.invalid("hostname", "must be a host name");
         }
+        return host.toLowerCase(Locale.ROOT);
+    }
+
+    private static String prefix(ContentFields fields) throws InvalidContentException {
         String prefix = fields.text("pathPrefix");
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw fields.bad("pathPrefix", "must begin and end with a slash");
+            throw fields.invalid("pathPrefix", "must begin and end with a slash");
         }
-        boolean repeatable =
-                switch (fields.text("routeType")) {
-                    case "idempotent" -> true;
-                    case "non_idempotent" -> false;
-                    default -> throw fields.bad("routeType", "must be idempotent or non_idempotent");
-                };
-        return new RouteConfiguration(
-                name,
-                host.toLowerCase(Locale.ROOT),
-                prefix,
-                repeatable,
-                fields.time("timeout"),
-                fields.time("targetLatency"),
-                (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE),
-                splits(fields),
-                (int) fields.whole("maxAttempts", 1, Integer.MAX_VALUE),
-                fields.flag("publicAccess", false));
+        return prefix;
+    }
+
+    private static boolean idempotent(ContentFields fields) throws InvalidContentException {
+        return switch (fields.text("routeType")) {
+            case "idempotent" -> true;
+            case "non_idempotent" -> false;
+            default -> throw fields.invalid("routeType", "must be idempotent or non_idempotent");
+        };
     }
 
-    private static List<WeightedDestination> splits(ContentFields fields) throws ContentFields.Bad {
+    private static List<WeightedDestination> destinations(ContentFields fields) throws InvalidContentException {
         if (!fields.has("weightedSplit")) {
             return List.of(new WeightedDestination(fields.text("service"), 1));
         }
         if (fields.has("service")) {
-            throw fields.bad("service", "must not be there beside weightedSplit");
+            // The check of meshctl reads this text.
+            throw fields.invalid("service", "must not be there beside weightedSplit");
         }
-        List<WeightedDestination> splits = new ArrayList<>();
-        double sum = 0;
-        for (Object entry : fields.list("weightedSplit")) {
-            if (!(entry instanceof Map<?, ?> map)) {
-                throw fields.bad("weightedSplit", "must hold objects");
+        List<WeightedDestination> destinations = new ArrayList<>();
+        double totalWeight = 0;
+        for (Object element : fields.list("weightedSplit")) {
+            if (!(element instanceof Map<?, ?> map)) {
+                throw fields.invalid("weightedSplit", "must contain objects");
             }
-            ContentFields each = fields.within("weightedSplit[" + splits.size() + "]", map);
-            WeightedDestination split = new WeightedDestination(each.text("service"), each.amount("weight"));
-            splits.add(split);
-            sum += split.weight();
+            ContentFields nested = fields.nested("weightedSplit[" + destinations.size() + "]", map);
+            WeightedDestination destination =
+                    new WeightedDestination(nested.text("service"), nested.nonNegative("weight"));
+            destinations.add(destination);
+            totalWeight += destination.weight();
         }
-        if (!(sum > 0)) {
-            throw fields.bad("weightedSplit", "must have a weight above 0");
+        if (!(totalWeight > 0)) {
+            throw fields.invalid("weightedSplit", "must contain a weight above 0");
         }
-        return List.copyOf(splits);
+        return List.copyOf(destinations);
     }
 
-    /** The names of the services of a route that has been checked before. */
+    /** The names of the services of a route's content that was validated before. */
     static List<String> services(Map<String, Object> content) {
         List<String> services = new ArrayList<>();
         if (content.get("service") instanceof String service) {
             services.add(service);
         }
         if (content.get("weightedSplit") instanceof List<?> list) {
-            for (Object entry : list) {
-                if (entry instanceof Map<?, ?> map && map.get("service") instanceof String service) {
+            for (Object element : list) {
+                if (element instanceof Map<?, ?> map && map.get("service") instanceof String service) {
                     services.add(service);
                 }
             }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
@@ -2,7 +2,7 @@
 
 import io.vavr.control.Either;
 
-/** How a service is met. */
+/** How the instances of a service are connected to and health-checked. */
 public record ServiceConfiguration(String name, String healthPath, int maxConnections) {
 
     public static Either<Rejection, ServiceConfiguration> of(Item item) {
@@ -10,16 +10,21 @@
         try {
             String healthPath = fields.text("healthPath");
             if (!healthPath.startsWith("/")) {
-                throw fields.bad("healthPath", "must begin with a slash");
+                throw fields.invalid("healthPath", "must begin with a slash");
             }
-            if (fields.has("protocol")) {
-                fields.text("protocol");
-            }
-            fields.flag("tls", false);
-            return Either.right(new ServiceConfiguration(
-                    item.key().name(), healthPath, (int) fields.whole("maxConnections", 1, Integer.MAX_VALUE)));
-        } catch (ContentFields.Bad e) {
+            requireKnownTypes(fields);
+            int maxConnections = (int) fields.integer("maxConnections", 1, Integer.MAX_VALUE);
+            return Either.right(new ServiceConfiguration(item.key().name(), healthPath, maxConnections));
+        } catch (InvalidContentException e) {
             return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
+
+    /** Fields that are not used yet, but have to be of their types. */
+    private static void requireKnownTypes(ContentFields fields) throws InvalidContentException {
+        if (fields.has("protocol")) {
+            fields.text("protocol");
+        }
+        fields.flag("tls", false);
+    }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/SupersededVersion.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/SupersededVersion.java
@@ -1,17 +1,17 @@
 package org.cypressweir.controlplane.configuration;
 
-/** A lower version that was taken, and the beginning of its content's print. */
-public record SupersededVersion(long version, String print) {
+/** A version of an item that was accepted and has a higher one above it, with the beginning of its content hash. */
+public record SupersededVersion(long version, String contentHash) {
 
-    /** 64 bits: it is compared with the print of one other content at that version, and with no more. */
-    private static final int DIGITS = 16;
+    /** 64 bits: it is compared with the hash of one other content at that version, and with no more. */
+    private static final int HEX_DIGITS = 16;
 
     public SupersededVersion {
-        print = print.length() > DIGITS ? print.substring(0, DIGITS) : print;
+        contentHash = contentHash.length() > HEX_DIGITS ? contentHash.substring(0, HEX_DIGITS) : contentHash;
     }
 
     /** What checksums over items are made from. The text is fixed: controllers of other builds compare checksums. */
     String checksumText() {
-        return "Past[version=" + version + ", print=" + print + "]";
+        return "Past[version=" + version + ", print=" + contentHash + "]";
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
@@ -4,31 +4,46 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a tenant may: by which keys it is known, its priority or null, its rate and burst, 0 for no limit. */
-public record TenantConfiguration(String name, List<String> keys, Integer priority, double ratePerS, double burst) {
+/**
+ * Who a tenant is and how much it may send.
+ *
+ * @param apiKeys the keys that identify its requests
+ * @param priority the priority of its requests, or null for that of the route
+ * @param ratePerSecond requests per second, 0 for no limit
+ * @param burst requests that may come at once, 0 for no limit
+ */
+public record TenantConfiguration(
+        String name, List<String> apiKeys, Integer priority, double ratePerSecond, double burst) {
 
     public static Either<Rejection, TenantConfiguration> of(Item item) {
         ContentFields fields = new ContentFields(item.key().toString(), item.content());
         try {
-            List<String> keys = new ArrayList<>();
-            for (Object key : fields.list("apiKeys")) {
-                if (!(key instanceof String text) || text.isEmpty()) {
-                    throw fields.bad("apiKeys", "must hold texts that are not empty");
-                }
-                keys.add(text);
-            }
-            Integer priority = null;
-            if (fields.has("priority")) {
-                priority = (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE);
-            }
             return Either.right(new TenantConfiguration(
                     item.key().name(),
-                    List.copyOf(keys),
-                    priority,
-                    fields.amount("ratePerS", 0),
-                    fields.amount("burstSize", 0)));
-        } catch (ContentFields.Bad e) {
+                    apiKeys(fields),
+                    priority(fields),
+                    fields.nonNegative("ratePerS", 0),
+                    fields.nonNegative("burstSize", 0)));
+        } catch (InvalidContentException e) {
             return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
+
+    private static List<String> apiKeys(ContentFields fields) throws InvalidContentException {
+        List<String> apiKeys = new ArrayList<>();
+        for (Object key : fields.list("apiKeys")) {
+            if (!(key instanceof String text) || text.isEmpty()) {
+                throw fields.invalid("apiKeys", "must contain non-empty strings");
+            }
+            apiKeys.add(text);
+        }
+        return List.copyOf(apiKeys);
+    }
+
+    private static Integer priority(ContentFields fields) throws InvalidContentException {
+        if (!fields.has("priority")) {
+            return null;
+        }
+        return (int) fields.integer("priority", Integer.MIN_VALUE, Integer.MAX_VALUE);
+    }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/WeightedDestination.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/WeightedDestination.java
@@ -1,4 +1,4 @@
 package org.cypressweir.controlplane.configuration;
 
-/** A service that a route goes to, and its weight among the route's others. */
+/** A service that a route sends requests to, with its weight among the destinations of that route. */
 public record WeightedDestination(String service, double weight) {}
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
@@ -26,7 +26,7 @@
             if (ticket.order() == null) {
                 continue;
             }
-            Either<Rejection, List<Item>> outcome = ticket.order().against(result);
+            Either<Rejection, List<Item>> outcome = ticket.order().applyTo(result);
             if (outcome.isLeft()) {
                 refused.put(ticket, outcome.getLeft());
             } else {
@@ -59,7 +59,7 @@
                             ? new ProposalResult.Read(result)
                             : refusal == null
                                     ? new ProposalResult.Taken(stamp)
-                                    : refusal.kind() == RejectionKind.FORGOTTEN
+                                    : refusal.kind() == RejectionKind.VERSION_TOO_OLD
                                             ? new ProposalResult.Unavailable(refusal.reason())
                                             : new ProposalResult.Refused(refusal));
         }
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -138,7 +138,7 @@
                 switch (refusal.kind()) {
                     case INVALID -> ErrorKind.INVALID;
                     case CONFLICT -> ErrorKind.CONFLICT;
-                    case FORGOTTEN -> ErrorKind.UNAVAILABLE;
+                    case VERSION_TOO_OLD -> ErrorKind.UNAVAILABLE;
                 },
                 refusal.reason());
     }
--- a/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
@@ -26,7 +26,7 @@
         for (int i = 0; i == 0 || i < items.size(); i += PIECE) {
             List<Object> part = new ArrayList<>();
             items.subList(i, Math.min(items.size(), i + PIECE))
-                    .forEach(item -> part.add(item.bare().toMap()));
+                    .forEach(item -> part.add(item.withoutHistory().toMap()));
             pieces.add(press(JsonCodec.bytes(Map.of("items", part))));
         }
         return pieces;
--- a/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
@@ -168,7 +168,7 @@
 
     /** Not the key's own text: that of the limits has no dot. */
     private static ByteIterable recordKey(ItemKey key) {
-        return bytes(key.table().wire() + "." + key.name());
+        return bytes(key.type().wireName() + "." + key.name());
     }
 
     private static long checksum(ByteIterable key, ByteIterable value) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -81,13 +81,13 @@
             return;
         }
         TenantConfiguration tenant = null;
-        if (now.keyed() && !route.open()) {
+        if (now.keyed() && !route.publicAccess()) {
             tenant = now.tenant(call.header(KEY));
             if (tenant == null) {
                 refuse(call, ErrorKind.NO_KEY, 0);
                 return;
             }
-            long wait = quotas.ask(micros.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
+            long wait = quotas.ask(micros.getAsLong(), tenant.name(), tenant.ratePerSecond(), tenant.burst());
             if (wait > 0) {
                 refuse(call, ErrorKind.OVER_QUOTA, wait);
                 return;
@@ -100,7 +100,7 @@
         long arrived = call.arrivedMicros();
         long left = Math.min(millis(call.header(LEFT)) * 1000, route.timeoutMicros());
         long deadline = arrived + left - Math.min(MARGIN, left / MARGIN_PART);
-        long aimAt = Math.min(deadline, arrived + route.aimMicros());
+        long aimAt = Math.min(deadline, arrived + route.targetLatencyMicros());
         String service = service(route, id);
         ServiceRequestHandler helm = service == null ? null : helms.apply(service, tenant == null);
         if (helm == null) {
@@ -144,21 +144,21 @@
     private String service(RouteConfiguration route, String id) {
         String only = null;
         double all = 0;
-        for (WeightedDestination split : route.splits()) {
+        for (WeightedDestination split : route.destinations()) {
             if (split.weight() > 0 && has(split)) {
                 all += split.weight();
                 only = split.service();
             }
         }
         if (all == 0) {
-            return route.splits().stream()
+            return route.destinations().stream()
                     .filter(s -> s.weight() > 0)
                     .map(WeightedDestination::service)
                     .findFirst()
                     .orElse(null);
         }
         double at = (Ids.of(id) >>> 10 & 0xfffff) / (double) 0x100000 * all;
-        for (WeightedDestination split : route.splits()) {
+        for (WeightedDestination split : route.destinations()) {
             if (split.weight() > 0 && has(split)) {
                 at -= split.weight();
                 if (at < 0) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -92,7 +92,7 @@
         this.call = call;
         this.id = id;
         this.route = route;
-        account = new RequestState(route.repeatable());
+        account = new RequestState(route.idempotent());
         this.tenant = tenant;
         this.rank = rank;
         this.inner = inner;
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -154,7 +154,7 @@
     void tenants(QuotaShares quotas) {
         Map<String, Double> asked = quotas.asked(now);
         List<Object> all = new ArrayList<>();
-        for (Item item : bearings.manifest().standing(ItemType.TENANTS)) {
+        for (Item item : bearings.manifest().active(ItemType.TENANTS)) {
             TenantConfiguration.of(item)
                     .forEach(t -> all.add(JsonCodec.map(
                             "tenant",
@@ -162,7 +162,7 @@
                             "asked",
                             asked.getOrDefault(t.name(), 0.0),
                             "rate",
-                            t.ratePerS(),
+                            t.ratePerSecond(),
                             "burst",
                             t.burst())));
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
@@ -30,7 +30,7 @@
     private RoutingTable(ProposalNumber stamp, Configuration manifest, Map<Item, Object> read) {
         this.stamp = stamp;
         this.manifest = manifest;
-        ClientLimits its = ClientLimits.USUAL;
+        ClientLimits its = ClientLimits.DEFAULTS;
         for (Item item : manifest.items()) {
             if (!item.withdrawn()) {
                 Object before = read.get(item);
@@ -44,11 +44,11 @@
             }
         }
         limits = its;
-        keyed = terms.keySet().stream().anyMatch(item -> item.key().table() == ItemType.TENANTS);
+        keyed = terms.keySet().stream().anyMatch(item -> item.key().type() == ItemType.TENANTS);
     }
 
     private static Object terms(Item item) {
-        return (switch (item.key().table()) {
+        return (switch (item.key().type()) {
                     case ROUTES -> RouteConfiguration.of(item);
                     case TENANTS -> TenantConfiguration.of(item);
                     case SERVICES -> ServiceConfiguration.of(item);
@@ -61,7 +61,7 @@
         if (one instanceof RouteConfiguration route) {
             routes.computeIfAbsent(route.host(), h -> new HashMap<>()).put(route.prefix(), route);
         } else if (one instanceof TenantConfiguration tenant) {
-            tenant.keys().forEach(key -> keys.put(key, tenant));
+            tenant.apiKeys().forEach(key -> keys.put(key, tenant));
         } else if (one instanceof ServiceConfiguration service) {
             services.put(service.name(), service);
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -172,7 +172,7 @@
                 Math.max(1, passage.route.maxAttempts()),
                 0,
                 Terms.NONE.retryOn(),
-                passage.route.repeatable() && !passage.inner ? 1 : 0,
+                passage.route.idempotent() && !passage.inner ? 1 : 0,
                 (long) (COPY_AFTER * aim),
                 List.of(),
                 false);
@@ -187,13 +187,14 @@
                         -1,
                         passage.deadline,
                         0,
-                        !passage.route.repeatable(),
+                        !passage.route.idempotent(),
                         terms));
         beImpatient(passage);
     }
 
     private int kind(ProxiedRequest p) {
-        Kind kind = new Kind(p.route.repeatable(), p.route.aimMicros(), p.route.timeoutMicros(), p.rank, p.inner);
+        Kind kind =
+                new Kind(p.route.idempotent(), p.route.targetLatencyMicros(), p.route.timeoutMicros(), p.rank, p.inner);
         return kinds.computeIfAbsent(kind, k -> {
             List<RequestClass> classes = new ArrayList<>(settings.classes());
             classes.add(new RequestClass(
@@ -292,7 +293,7 @@
                 p.call.uri(),
                 headers,
                 p.call.body(),
-                p.route.repeatable(),
+                p.route.idempotent(),
                 p.rank,
                 p.inner,
                 p.aimAt,
--- a/src/main/java/org/cypressweir/meshctl/ConfigurationCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/ConfigurationCheck.java
@@ -78,7 +78,7 @@
         if (read.isLeft()) {
             return read.getLeft();
         }
-        Either<Rejection, List<Item>> taken = read.get().against(standing);
+        Either<Rejection, List<Item>> taken = read.get().applyTo(standing);
         return taken.isLeft() ? taken.getLeft() : null;
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -142,7 +142,7 @@
             RandomChanges.Drawn drawn = draw.next();
             ConfigurationChange order = order(drawn.body());
             checks.sent(drawn.body(), order, drawn.validity());
-            Either<Rejection, List<Item>> result = order.against(standing);
+            Either<Rejection, List<Item>> result = order.applyTo(standing);
             standing = standing.with(result.getOrElse(List.of()));
             int status = status(result.isLeft() ? result.getLeft() : null);
             if (status == 503 && checks.passedBy(drawn.body()) < REMEMBERED) {
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -39,27 +39,27 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "the last eight are kept, and no floor ~ Item.java ~ MOST_PAST = 256; ~ MOST_PAST = 8;",
-                "what is forgotten is taken as never used ~ Item.java ~ other.version < floor ? Use.FORGOTTEN ~ "
-                        + "false ? Use.FORGOTTEN",
-                "what is forgotten is refused ~ ConfigurationChange.java ~ forgotten = Rejection.forgotten( ~ "
-                        + "forgotten = Rejection.conflict(",
-                "contents of the past are not compared ~ Item.java ~ each.equals(other.asPast()) ~ true",
-                "what is passed is not remembered ~ ConfigurationChange.java ~ lower ? stands.past(item) "
-                        + "~ lower ? stands",
-                "what is passed comes into force ~ ConfigurationChange.java ~ lower ? stands.past(item) ~ "
-                        + "lower ? item.after(stands)",
-                "what is passed is not checked ~ ConfigurationChange.java "
-                        + "~ ConfigurationValidator.wrongAlone(unused) ~ "
-                        + "ConfigurationValidator.wrongAlone(highest.values())",
-                "the past is not written ~ Item.java ~ if (!past.isEmpty()) { ~ if (false) {",
-                "the floor is not written ~ Item.java ~ if (floor > 0 || past.size() >= MOST_PAST_WITHOUT_FLOOR) { ~ "
-                        + "if (false) {",
-                "the past is lost with the next version ~ Item.java ~ content, before.past, before.floor) ~ "
-                        + "content, List.of(), 0)",
-                "an old one is refused where others are new ~ ConfigurationChange.java "
-                        + "~ Rejection refusal = ConfigurationValidator.wrongAlone(unused); "
-                        + "~ Rejection refusal = unused.size() < items.size() ? Rejection.conflict(\"\") : null;",
+                "only eight superseded versions are kept ~ Item.java ~ MAX_SUPERSEDED = 256; ~ MAX_SUPERSEDED = 8;",
+                "a version that is too old counts as unused ~ Item.java "
+                        + "~ other.version < oldestKnownVersion ? VersionStatus.TOO_OLD ~ false ? VersionStatus.TOO_OLD",
+                "a version that is too old is a conflict ~ ConfigurationMerge.java ~ tooOld = Rejection.versionTooOld( ~ "
+                        + "tooOld = Rejection.conflict(",
+                "superseded contents are not compared ~ Item.java ~ each.equals(other.asSuperseded()) ~ true",
+                "a late lower version is not recorded ~ ConfigurationMerge.java ~ existing.withSuperseded(item) "
+                        + "~ existing",
+                "a late lower version comes into force ~ ConfigurationMerge.java ~ existing.withSuperseded(item) ~ "
+                        + "item.replacing(existing)",
+                "a late lower version is not validated ~ ConfigurationMerge.java "
+                        + "~ ConfigurationValidator.validateItems(unused) ~ "
+                        + "ConfigurationValidator.validateItems(effective.values())",
+                "superseded versions are not encoded ~ ItemCodec.java ~ if (!superseded.isEmpty()) { ~ if (false) {",
+                "the oldest known version is not encoded ~ ItemCodec.java ~ if (item.oldestKnownVersion() > 0 "
+                        + "|| superseded.size() >= MAX_SUPERSEDED_OF_EARLIER_BUILD) { ~ if (false) {",
+                "superseded versions are lost with the next version ~ Item.java "
+                        + "~ content, lower.superseded, lower.oldestKnownVersion) ~ content, List.of(), 0)",
+                "an accepted version is rejected beside unused ones ~ ConfigurationMerge.java "
+                        + "~ Rejection rejection = ConfigurationValidator.validateItems(unused); "
+                        + "~ Rejection rejection = unused.size() < items.size() ? Rejection.conflict(\"\") : null;",
             })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = new PlantedFault(
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which orders are taken on top of what stands, and why others are not. */
+/** Which changes a configuration accepts, and why others are rejected. */
 class ConfigurationChangeTest {
 
     static final String ROUTE = "{'hostname':'A.example','pathPrefix':'/p/','routeType':'idempotent',"
@@ -37,12 +37,13 @@
         return body.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    static ConfigurationChange order(String body) {
+    static ConfigurationChange change(String body) {
         return ConfigurationChange.read(bytes(body)).get();
     }
 
-    static Configuration full() {
-        return Configuration.EMPTY.with(order(FULL).against(Configuration.EMPTY).get());
+    static Configuration fullConfiguration() {
+        return Configuration.EMPTY.with(
+                change(FULL).applyTo(Configuration.EMPTY).get());
     }
 
     private static String withdraw(String table, String name, int version) {
@@ -54,20 +55,20 @@
                 + ",'configVersion':'r" + version + "'}}}}";
     }
 
-    private static void conflict(Configuration on, String body, String reason) {
-        Rejection refusal = order(body).against(on).getLeft();
-        assertThat(refusal.kind()).isEqualTo(RejectionKind.CONFLICT);
-        assertThat(refusal.reason()).contains(reason);
+    private static void assertConflict(Configuration current, String body, String reason) {
+        Rejection rejection = change(body).applyTo(current).getLeft();
+        assertThat(rejection.kind()).isEqualTo(RejectionKind.CONFLICT);
+        assertThat(rejection.reason()).contains(reason);
     }
 
-    private static Configuration taken(Configuration on, String body) {
-        List<Item> changes = order(body).against(on).get();
+    private static Configuration accept(Configuration current, String body) {
+        List<Item> changes = change(body).applyTo(current).get();
         assertThat(changes).isNotEmpty();
-        return on.with(changes);
+        return current.with(changes);
     }
 
-    private static void nothing(Configuration on, String body) {
-        assertThat(order(body).against(on).get()).isEmpty();
+    private static void assertNoChange(Configuration current, String body) {
+        assertThat(change(body).applyTo(current).get()).isEmpty();
     }
 
     @ParameterizedTest
@@ -103,27 +104,27 @@
                 "{'upsert' {}}",
                 "{'upsert':{},}"
             })
-    void whatIsNoOrderIsInvalid(String body) {
-        Rejection refusal = ConfigurationChange.read(bytes(body)).getLeft();
-        assertThat(refusal.kind()).isEqualTo(RejectionKind.INVALID);
-        assertThat(refusal.reason()).isNotBlank();
+    void malformedChangeIsInvalid(String body) {
+        Rejection rejection = ConfigurationChange.read(bytes(body)).getLeft();
+        assertThat(rejection.kind()).isEqualTo(RejectionKind.INVALID);
+        assertThat(rejection.reason()).isNotBlank();
     }
 
-    /** Operators' own calls withdraw a name twice now and then. */
+    /** Operators' tools withdraw a name twice in one call now and then. */
     @Test
-    void ofANameTwiceInOneCallTheHighestVersionHolds() {
-        Configuration standing = taken(
-                full(),
+    void highestVersionOfOneCallIsInForce() {
+        Configuration current = accept(
+                fullConfiguration(),
                 "{'withdraw':{'routeTable':[{'name':'r-1','configVersion':'r8'},"
                         + "{'name':'r-1','configVersion':'r9'},{'name':'r-1','configVersion':'r9'}]}}");
-        assertThat(standing.get(new ItemKey(ItemType.ROUTES, "r-1")).version()).isEqualTo(9);
+        assertThat(current.get(new ItemKey(ItemType.ROUTES, "r-1")).version()).isEqualTo(9);
     }
 
     @Test
-    void whatIsCutShortIsInvalid() {
-        byte[] whole = bytes(FULL);
-        for (int length = 0; length < whole.length; length++) {
-            assertThat(ConfigurationChange.read(Arrays.copyOf(whole, length)).isLeft())
+    void truncatedChangeIsInvalid() {
+        byte[] complete = bytes(FULL);
+        for (int length = 0; length < complete.length; length++) {
+            assertThat(ConfigurationChange.read(Arrays.copyOf(complete, length)).isLeft())
                     .isTrue();
         }
         assertThat(ConfigurationChange.read(bytes("{'upsert':" + "[".repeat(100_000)))
@@ -174,106 +175,108 @@
                 "'priority':2, ~ ",
                 "'maxAttempts':2, ~ "
             })
-    void whatIsNoValidWholeIsInvalid(String text, String instead) {
-        String body = FULL.replace(text, instead == null ? "" : instead);
+    void changeToInvalidConfigurationIsInvalid(String text, String replacement) {
+        String body = FULL.replace(text, replacement == null ? "" : replacement);
         assertThat(body).isNotEqualTo(FULL);
-        Rejection refusal = ConfigurationChange.read(bytes(body))
-                .flatMap(o -> o.against(Configuration.EMPTY))
+        Rejection rejection = ConfigurationChange.read(bytes(body))
+                .flatMap(change -> change.applyTo(Configuration.EMPTY))
                 .getLeft();
-        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(RejectionKind.INVALID);
+        assertThat(rejection.kind()).as(rejection.reason()).isEqualTo(RejectionKind.INVALID);
     }
 
     @Test
-    void versionsDecide() {
-        Configuration one = taken(Configuration.EMPTY, service("s", 5, 1));
-        nothing(one, service("s", 5, 1));
-        nothing(
-                one,
+    void higherVersionsReplaceLowerOnes() {
+        Configuration first = accept(Configuration.EMPTY, service("s", 5, 1));
+        assertNoChange(first, service("s", 5, 1));
+        assertNoChange(
+                first,
                 "{'upsert':{'serviceTable':{'s':{'configVersion':'r5','maxConnections':1.0," + "'healthPath':'/h'}}}}");
-        conflict(one, service("s", 5, 2), "r5 was taken with another content");
-        conflict(one, withdraw("serviceTable", "s", 5), "r5 was taken with another content");
-        Configuration two = taken(one, service("s", 7, 2));
-        nothing(two, service("s", 5, 1));
-        conflict(two, service("s", 5, 2), "r5 was taken with another content");
+        assertConflict(first, service("s", 5, 2), "r5 was already accepted with different content");
+        assertConflict(first, withdraw("serviceTable", "s", 5), "r5 was already accepted with different content");
+        Configuration second = accept(first, service("s", 7, 2));
+        assertNoChange(second, service("s", 5, 1));
+        assertConflict(second, service("s", 5, 2), "r5 was already accepted with different content");
         // A call that brings a new item does not bring an older version of another one back.
         String both = service("s", 5, 1)
                 .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}");
-        assertThat(taken(two, both).get(new ItemKey(ItemType.SERVICES, "s")))
-                .isEqualTo(two.get(new ItemKey(ItemType.SERVICES, "s")));
-        conflict(
-                two,
+        assertThat(accept(second, both).get(new ItemKey(ItemType.SERVICES, "s")))
+                .isEqualTo(second.get(new ItemKey(ItemType.SERVICES, "s")));
+        assertConflict(
+                second,
                 both.replace("'maxConnections':1,'configVersion':'r5'", "'maxConnections':3,'configVersion':'r5'"),
-                "r5 was taken");
-        Configuration gone = taken(two, withdraw("serviceTable", "s", 8));
-        assertThat(gone.standing(ItemType.SERVICES)).isEmpty();
-        nothing(gone, withdraw("serviceTable", "s", 8));
-        nothing(gone, service("s", 7, 2));
-        conflict(gone, service("s", 8, 2), "r8 was taken");
-        Configuration back = taken(gone, service("s", 9, 3));
-        nothing(back, withdraw("serviceTable", "s", 8));
+                "r5 was already accepted");
+        Configuration withdrawn = accept(second, withdraw("serviceTable", "s", 8));
+        assertThat(withdrawn.active(ItemType.SERVICES)).isEmpty();
+        assertNoChange(withdrawn, withdraw("serviceTable", "s", 8));
+        assertNoChange(withdrawn, service("s", 7, 2));
+        assertConflict(withdrawn, service("s", 8, 2), "r8 was already accepted");
+        Configuration restored = accept(withdrawn, service("s", 9, 3));
+        assertNoChange(restored, withdraw("serviceTable", "s", 8));
         assertThat(Configuration.of(
-                        back.items().stream().map(i -> Item.of(i.toMap())).toList()))
-                .isEqualTo(back);
-        assertThat(taken(Configuration.EMPTY, withdraw("routeTable", "never", 9))
+                        restored.items().stream().map(i -> Item.of(i.toMap())).toList()))
+                .isEqualTo(restored);
+        assertThat(accept(Configuration.EMPTY, withdraw("routeTable", "never", 9))
                         .items())
                 .hasSize(1);
-        nothing(Configuration.EMPTY, "{'upsert':{'limits':{},'routeTable':{}},'withdraw':{'routeTable':[]}}");
-        nothing(Configuration.EMPTY, "{}");
+        assertNoChange(Configuration.EMPTY, "{'upsert':{'limits':{},'routeTable':{}},'withdraw':{'routeTable':[]}}");
+        assertNoChange(Configuration.EMPTY, "{}");
     }
 
-    /** What was taken is acknowledged again, or without a clear answer where too much has been since. */
+    /** What was accepted is acknowledged again, or too old where too many versions have followed: never a conflict. */
     @Test
-    void whatWasTakenIsNeverRefused() {
-        Configuration standing = Configuration.EMPTY;
-        int most = Item.MOST_PAST + 50;
-        for (int version = 1; version <= most; version++) {
-            standing = taken(standing, service("s", 2 * version, version));
-            for (int old = Math.max(1, version - Item.MOST_PAST); old <= version; old += 5) {
-                nothing(standing, service("s", 2 * old, old));
+    void acceptedChangeIsNeverRejected() {
+        Configuration current = Configuration.EMPTY;
+        int versions = Item.MAX_SUPERSEDED + 50;
+        for (int version = 1; version <= versions; version++) {
+            current = accept(current, service("s", 2 * version, version));
+            for (int lower = Math.max(1, version - Item.MAX_SUPERSEDED); lower <= version; lower += 5) {
+                assertNoChange(current, service("s", 2 * lower, lower));
             }
         }
-        Configuration read = Configuration.of(
-                standing.items().stream().map(i -> Item.ofText(i.toText())).toList());
-        assertThat(read).isEqualTo(standing);
-        for (int version = 1; version <= most; version++) {
-            boolean known = version >= most - Item.MOST_PAST;
+        Configuration decoded = Configuration.of(
+                current.items().stream().map(i -> Item.ofText(i.toText())).toList());
+        assertThat(decoded).isEqualTo(current);
+        for (int version = 1; version <= versions; version++) {
+            boolean known = version >= versions - Item.MAX_SUPERSEDED;
             if (known) {
-                nothing(read, service("s", 2 * version, version));
-                conflict(read, service("s", 2 * version, version + 1), "was taken with another content");
+                assertNoChange(decoded, service("s", 2 * version, version));
+                assertConflict(
+                        decoded, service("s", 2 * version, version + 1), "was already accepted with different content");
             } else {
-                forgotten(read, service("s", 2 * version, version));
-                forgotten(read, service("s", 2 * version, version + 1));
+                assertTooOld(decoded, service("s", 2 * version, version));
+                assertTooOld(decoded, service("s", 2 * version, version + 1));
             }
         }
-        forgotten(
-                read,
+        assertTooOld(
+                decoded,
                 service("s", 1, 1)
                         .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
     }
 
-    private static void forgotten(Configuration on, String body) {
-        assertThat(order(body).against(on).getLeft().kind()).as(body).isEqualTo(RejectionKind.FORGOTTEN);
+    private static void assertTooOld(Configuration current, String body) {
+        assertThat(change(body).applyTo(current).getLeft().kind()).as(body).isEqualTo(RejectionKind.VERSION_TOO_OLD);
     }
 
-    /** A version that was never used and that a higher one has passed comes into force nowhere. */
+    /** A version that arrives after a higher one never comes into force. */
     @Test
-    void whatIsPassedIsTakenAndSupersededInOneStep() {
-        Configuration nine = taken(taken(Configuration.EMPTY, service("s", 3, 3)), service("s", 9, 9));
-        Configuration both = taken(nine, service("s", 6, 6));
-        assertThat(both.layout()).isEqualTo(nine.layout());
-        nothing(both, service("s", 6, 6));
-        conflict(both, service("s", 6, 7), "r6 was taken with another content");
-        nothing(both, service("s", 3, 3));
-        // In whatever order they come, the same is remembered.
-        Item six = taken(taken(taken(Configuration.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
+    void lateLowerVersionIsAcceptedAndSuperseded() {
+        Configuration ninth = accept(accept(Configuration.EMPTY, service("s", 3, 3)), service("s", 9, 9));
+        Configuration both = accept(ninth, service("s", 6, 6));
+        assertThat(both.layout()).isEqualTo(ninth.layout());
+        assertNoChange(both, service("s", 6, 6));
+        assertConflict(both, service("s", 6, 7), "r6 was already accepted with different content");
+        assertNoChange(both, service("s", 3, 3));
+        // The history does not depend on the order of arrival.
+        Item six = accept(
+                        accept(accept(Configuration.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
                 .get(new ItemKey(ItemType.SERVICES, "s"));
         assertThat(both.get(six.key())).isEqualTo(six);
-        Configuration twice = taken(
+        Configuration twice = accept(
                 Configuration.EMPTY,
                 "{'withdraw':{'serviceTable':["
                         + "{'name':'s','configVersion':'r9'},{'name':'s','configVersion':'r8'}]}}");
-        nothing(twice, withdraw("serviceTable", "s", 8));
-        conflict(twice, service("s", 8, 1), "r8 was taken");
+        assertNoChange(twice, withdraw("serviceTable", "s", 8));
+        assertConflict(twice, service("s", 8, 1), "r8 was already accepted");
     }
 
     @ParameterizedTest
@@ -286,78 +289,80 @@
                 "'pathPrefix':'/p/' ~ 'pathPrefix':'/q/'",
                 "'weight':90 ~ 'weight':-1"
             })
-    void whatIsPassedMustBeValid(String text, String instead) {
+    void lateLowerVersionMustBeValid(String text, String replacement) {
         String route = "{'upsert':{'routeTable':{'r1':" + ROUTE + "}}}";
-        Configuration later = taken(full(), route.replace("'r7'", "'r9'"));
-        String passed = route.replace("'r7'", "'r8'");
-        assertThat(taken(later, passed).layout()).isEqualTo(later.layout());
-        Rejection refusal = order(passed.replace(text, instead)).against(later).getLeft();
-        assertThat(refusal.kind()).as(refusal.reason()).isEqualTo(RejectionKind.INVALID);
+        Configuration later = accept(fullConfiguration(), route.replace("'r7'", "'r9'"));
+        String lateChange = route.replace("'r7'", "'r8'");
+        assertThat(accept(later, lateChange).layout()).isEqualTo(later.layout());
+        Rejection rejection =
+                change(lateChange.replace(text, replacement)).applyTo(later).getLeft();
+        assertThat(rejection.kind()).as(rejection.reason()).isEqualTo(RejectionKind.INVALID);
     }
 
-    /** What the build before wrote: the last eight, prints twice as long, and no floor. */
+    /** An earlier build wrote eight superseded versions, hashes twice as long, and no oldest known version. */
     @ParameterizedTest
     @ValueSource(ints = {7, 8})
-    void itemsOfTheBuildBeforeAreRead(int kept) {
-        Configuration standing = Configuration.EMPTY;
-        List<Object> past = new ArrayList<>();
-        for (int version = 2; version < 2 + kept; version++) {
-            standing = taken(standing, service("s", version, version));
-            Item item = standing.get(new ItemKey(ItemType.SERVICES, "s"));
-            past.add(version + ":" + item.print());
-            assertThat(item.print()).hasSize(32);
+    void itemsOfEarlierBuildAreRead(int supersededCount) {
+        Configuration current = Configuration.EMPTY;
+        List<Object> superseded = new ArrayList<>();
+        for (int version = 2; version < 2 + supersededCount; version++) {
+            current = accept(current, service("s", version, version));
+            Item item = current.get(new ItemKey(ItemType.SERVICES, "s"));
+            superseded.add(version + ":" + item.contentHash());
+            assertThat(item.contentHash()).hasSize(32);
         }
         Map<String, Object> map = new LinkedHashMap<>(
-                taken(standing, service("s", 30, 30)).items().get(0).toMap());
-        map.put("past", past);
+                accept(current, service("s", 30, 30)).items().get(0).toMap());
+        map.put("past", superseded);
         map.remove("floor");
-        Configuration read = Configuration.of(List.of(Item.of(map)));
-        nothing(read, service("s", 2, 2));
-        conflict(read, service("s", 3, 2), "was taken with another content");
-        taken(read, service("s", 20, 2));
-        if (kept == 8) {
-            forgotten(read, service("s", 1, 1));
+        Configuration decoded = Configuration.of(List.of(Item.of(map)));
+        assertNoChange(decoded, service("s", 2, 2));
+        assertConflict(decoded, service("s", 3, 2), "was already accepted with different content");
+        accept(decoded, service("s", 20, 2));
+        if (supersededCount == 8) {
+            assertTooOld(decoded, service("s", 1, 1));
         } else {
-            taken(read, service("s", 1, 1));
+            accept(decoded, service("s", 1, 1));
         }
     }
 
     @Test
-    void theWholeMustBeValidAfterEveryCall() {
-        Configuration all = full();
-        assertThat(order(withdraw("serviceTable", "s2", 8))
-                        .against(all)
+    void relationsBetweenItemsMustBeValid() {
+        Configuration all = fullConfiguration();
+        assertThat(change(withdraw("serviceTable", "s2", 8))
+                        .applyTo(all)
                         .getLeft()
                         .reason())
                 .contains("routeTable.r1")
                 .contains("s2");
-        // Together with the route that names it, it may go.
+        // It may be withdrawn together with the route that refers to it.
         String both = "{'withdraw':{'serviceTable':[{'name':'s2','configVersion':'r8'}],"
                 + "'routeTable':[{'name':'r1','configVersion':'r8'}]}}";
-        assertThat(taken(all, both).standing(ItemType.ROUTES)).hasSize(1);
+        assertThat(accept(all, both).active(ItemType.ROUTES)).hasSize(1);
         String twin = "{'upsert':{'routeTable':{'r3':" + OTHER.replace("a.ex", "A.Ex") + "}}}";
-        assertThat(order(twin).against(all).getLeft().kind()).isEqualTo(RejectionKind.INVALID);
-        assertThat(order(twin.replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
+        assertThat(change(twin).applyTo(all).getLeft().kind()).isEqualTo(RejectionKind.INVALID);
+        assertThat(change(twin.replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
                                 .replace("/q/", "/x/"))
-                        .against(all)
+                        .applyTo(all)
                         .getLeft()
                         .reason())
                 .contains("apiKey");
-        assertThat(Map.copyOf(all.layout())).isEqualTo(Map.copyOf(full().layout()));
+        assertThat(Map.copyOf(all.layout()))
+                .isEqualTo(Map.copyOf(fullConfiguration().layout()));
     }
 
     @Test
-    void keysGoFromOneTenantToAnother() {
-        Configuration all = taken(
-                full(),
+    void apiKeysMayMoveBetweenTenants() {
+        Configuration all = accept(
+                fullConfiguration(),
                 "{'upsert':{'tenantTable':{'t':{'apiKeys':['k3'],'configVersion':'r8'},"
                         + "'t2':{'apiKeys':['k1'],'configVersion':'r8'}}}}");
         String third = "{'upsert':{'tenantTable':{'t3':{'apiKeys':['KEY'],'configVersion':'r1'}}}}";
-        assertThat(order(third.replace("KEY", "k1")).against(all).isLeft()).isTrue();
-        assertThat(order(third.replace("KEY", "k3")).against(all).isLeft()).isTrue();
-        assertThat(order(third.replace("KEY", "k2")).against(all).isRight()).isTrue();
-        all = taken(all, withdraw("tenantTable", "t2", 9));
-        assertThat(order(third.replace("KEY", "k1")).against(all).isRight()).isTrue();
-        assertThat(order(third.replace("KEY", "k3")).against(all).isLeft()).isTrue();
+        assertThat(change(third.replace("KEY", "k1")).applyTo(all).isLeft()).isTrue();
+        assertThat(change(third.replace("KEY", "k3")).applyTo(all).isLeft()).isTrue();
+        assertThat(change(third.replace("KEY", "k2")).applyTo(all).isRight()).isTrue();
+        all = accept(all, withdraw("tenantTable", "t2", 9));
+        assertThat(change(third.replace("KEY", "k1")).applyTo(all).isRight()).isTrue();
+        assertThat(change(third.replace("KEY", "k3")).applyTo(all).isLeft()).isTrue();
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationTest.java
@@ -10,33 +10,35 @@
 import org.cypressweir.common.util.Json;
 import org.junit.jupiter.api.Test;
 
-/** What was sent is handed back, and read by its types. */
+/** Items keep what operators submitted, and are read as typed configurations. */
 class ConfigurationTest {
 
-    private static final String ODD = "{'upsert':{'tenantTable':{'t':{'zeta':{'b':[1,null,{'c':1.50}],"
+    private static final String UNKNOWN_FIELDS = "{'upsert':{'tenantTable':{'t':{'zeta':{'b':[1,null,{'c':1.50}],"
             + "'a':'\\u20ac\\n'},'apiKeys':['k'],'big':123456789012345678901234567890,'small':1e-3,"
             + "'configVersion':'r3'}}}}";
 
     @Test
-    void unknownFieldsGoRoundAsTheyAre() throws IOException {
-        Configuration manifest =
-                Configuration.of(ConfigurationChangeTest.order(ODD).items());
+    void unknownFieldsAreKept() throws IOException {
+        Configuration configuration =
+                Configuration.of(ConfigurationChangeTest.change(UNKNOWN_FIELDS).items());
         Map<String, Object> content =
-                manifest.get(new ItemKey(ItemType.TENANTS, "t")).content();
+                configuration.get(new ItemKey(ItemType.TENANTS, "t")).content();
         assertThat(content.keySet()).containsExactly("zeta", "apiKeys", "big", "small", "configVersion");
         assertThat(content.get("big")).hasToString("123456789012345678901234567890");
         assertThat(((Map<?, ?>) content.get("zeta")).get("a")).isEqualTo("\u20ac\n");
         List<?> list = Json.array((Map<?, ?>) content.get("zeta"), "b");
         assertThat(list.get(0)).isEqualTo(1L);
         assertThat(list.get(1)).isNull();
-        for (Item item : manifest.with(ConfigurationChangeTest.full().items()).items()) {
-            Item past = item.after(new Item(item.key(), 1, null)).after(item);
-            String text = StrictJson.of(past.toMap());
+        for (Item item : configuration
+                .with(ConfigurationChangeTest.fullConfiguration().items())
+                .items()) {
+            Item successor = item.replacing(new Item(item.key(), 1, null)).replacing(item);
+            String text = JsonTextWriter.write(successor.toMap());
             assertThat(Item.of(Json.document(new JsonFactory().createParser(text))))
-                    .isEqualTo(past);
-            assertThat(Item.ofText(past.toText())).isEqualTo(past);
+                    .isEqualTo(successor);
+            assertThat(Item.ofText(successor.toText())).isEqualTo(successor);
         }
-        assertThat(manifest.layout())
+        assertThat(configuration.layout())
                 .isEqualTo(Map.of(
                         "routeTable",
                         Map.of(),
@@ -49,8 +51,8 @@
     }
 
     @Test
-    void termsAreRead() {
-        Configuration full = ConfigurationChangeTest.full();
+    void itemsAreReadAsTypedConfigurations() {
+        Configuration full = ConfigurationChangeTest.fullConfiguration();
         assertThat(RouteConfiguration.of(full.get(new ItemKey(ItemType.ROUTES, "r1")))
                         .get())
                 .isEqualTo(new RouteConfiguration(
@@ -66,7 +68,7 @@
                         false));
         assertThat(RouteConfiguration.of(full.get(new ItemKey(ItemType.ROUTES, "r2")))
                         .get()
-                        .splits())
+                        .destinations())
                 .containsExactly(new WeightedDestination("s", 1));
         assertThat(TenantConfiguration.of(full.get(new ItemKey(ItemType.TENANTS, "t")))
                         .get())
@@ -77,9 +79,9 @@
         assertThat(ServiceConfiguration.of(full.get(new ItemKey(ItemType.SERVICES, "s")))
                         .get())
                 .isEqualTo(new ServiceConfiguration("s", "/health", 120));
-        assertThat(ClientLimits.of(full.get(ItemKey.LIMITS)).get()).isEqualTo(ClientLimits.USUAL);
+        assertThat(ClientLimits.of(full.get(ItemKey.LIMITS)).get()).isEqualTo(ClientLimits.DEFAULTS);
         assertThat(ClientLimits.of(null).get().maxBodyBytes()).isEqualTo(64L << 20);
-        assertThat(full.standing(ItemType.LIMITS).get(0).content().get("maxHeaderBytes"))
+        assertThat(full.active(ItemType.LIMITS).get(0).content().get("maxHeaderBytes"))
                 .isEqualTo(16_384L);
         assertThat(full.get(new ItemKey(ItemType.TENANTS, "t")).content().get("burstSize"))
                 .isInstanceOfAny(BigDecimal.class, Double.class);
--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -81,7 +81,7 @@
         return Configuration.EMPTY.with(
                 ConfigurationChange.read(OneChangeTest.tenants(0, to, version).getBytes(StandardCharsets.UTF_8))
                         .get()
-                        .against(Configuration.EMPTY)
+                        .applyTo(Configuration.EMPTY)
                         .get());
     }
 
--- a/src/test/java/org/cypressweir/golden/EnumTextsTest.java
+++ b/src/test/java/org/cypressweir/golden/EnumTextsTest.java
@@ -68,7 +68,7 @@
     /** On the wire and in keys on the disk. */
     @Test
     void tables() {
-        assertThat(texts(ItemType.values(), ItemType::wire))
+        assertThat(texts(ItemType.values(), ItemType::wireName))
                 .containsExactly("routeTable", "tenantTable", "serviceTable", "limits");
     }
 
--- a/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
@@ -79,13 +79,13 @@
                 + "}}, \"withdraw\": {\"tenantTable\": [{}]}}";
         assertThat(check("config", bad))
                 .containsExactlyInAnyOrder(
-                        "routeTable.b.configVersion: must be a text",
+                        "routeTable.b.configVersion: must be a string",
                         "withdraw.tenantTable[0].name: is missing",
-                        "routeTable.a.timeout: must be a time such as 1500ms or 2.5s",
+                        "routeTable.a.timeout: must be a duration such as 1500ms or 2.5s",
                         "routeTable.a: names service none, which is unknown",
                         "serviceTable.s.healthPath: must begin with a slash",
                         "serviceTable.s.maxConnections: must be from 1 to 2147483647",
-                        "routeTable.c: and routeTable.b share same/");
+                        "routeTable.c: has the same hostname and pathPrefix as routeTable.b: same/");
         assertThat(status).isEqualTo(2);
     }
 
