--- a/src/bench/java/org/cypressweir/controlplane/controller/UpdatePublisherBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/controller/UpdatePublisherBench.java
@@ -16,154 +16,156 @@
 import org.cypressweir.loadbalancing.HollowFleet;
 
 /**
- * One harbour's news desk with so many hollow pilots: its real register, logs and parcels, on lines that end
- * nowhere. Processor time is this thread's; what the system spends on writing and reading is not in it.
+ * Measures one controller's publisher with many simulated proxies: its real registry, logs and messages, on
+ * connections that lead nowhere. Processor time is that of this thread; input and output by the system are not in it.
  */
 public final class UpdatePublisherBench {
 
     private static final int TENANTS = 1_500;
-    /** Tenants whose rate a pilot tells anew in a telling, and tellings a second. */
-    private static final int TOLD = 2;
+    /** Tenants in one demand report of a proxy. */
+    private static final int TENANTS_PER_REPORT = 2;
 
-    private static final int TELLINGS = 5;
-    private static final List<String> CREW = List.of(
+    private static final int REPORTS_PER_SECOND = 5;
+    private static final List<String> VOTERS = List.of(
             "10.1.0.1:21700", "10.1.0.2:21700", "10.1.0.3:21700", "10.1.0.4:21700", "10.1.0.5:21700", "10.1.0.6:21700");
 
-    private final int n;
+    private final int proxyCount;
     private final SplittableRandom random;
-    private final Map<String, Double> found = new LinkedHashMap<>();
+    private final Map<String, Double> results = new LinkedHashMap<>();
     private final HollowPeerConnection.Count count = new HollowPeerConnection.Count();
     private long now = 1_000_000_000_000L;
-    private final UpdatePublisher desk = new UpdatePublisher(() -> now, 7, "10.1.0.1:21790", () -> 0);
-    private final List<PeerConnection> lines = new ArrayList<>();
+    private final UpdatePublisher publisher = new UpdatePublisher(() -> now, 7, "10.1.0.1:21790", () -> 0);
+    private final List<PeerConnection> connections = new ArrayList<>();
     private final long[] numbers;
     private int version = 1;
 
-    private UpdatePublisherBench(int n, long seed) {
-        this.n = n;
+    private UpdatePublisherBench(int proxyCount, long seed) {
+        this.proxyCount = proxyCount;
         random = new SplittableRandom(seed);
-        numbers = new long[n];
+        numbers = new long[proxyCount];
     }
 
-    private void hear(int i, Map<String, Object> head) {
-        byte[] text = JsonCodec.bytes(head);
+    private void receive(int proxy, Map<String, Object> message) {
+        byte[] text = JsonCodec.bytes(message);
         try {
-            desk.heard(lines.get(i), JsonCodec.read(text, 0, text.length));
+            publisher.received(connections.get(proxy), JsonCodec.read(text, 0, text.length));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void berth(int i) {
-        ProxyRegistration berth = HollowFleet.berth(i, numbers[i]);
-        hear(i, JsonCodec.map("t", "berth", "berth", berth.toMap(now)));
+    private void register(int proxy) {
+        ProxyRegistration registration = HollowFleet.berth(proxy, numbers[proxy]);
+        receive(proxy, JsonCodec.map("t", "berth", "berth", registration.toMap(now)));
     }
 
-    private void follow(int i, long life, long place) {
-        hear(i, JsonCodec.map("t", "follow", "life", life, "place", place));
+    private void subscribe(int proxy, long incarnation, long offset) {
+        receive(proxy, JsonCodec.map("t", "follow", "life", incarnation, "place", offset));
     }
 
-    /** What a pilot says on a new line, in its order. */
-    private void comes(int i) {
-        desk.welcome(lines.get(i), "side-" + i);
-        berth(i);
-        follow(i, 0, -1);
+    /** What a proxy sends on a new connection, in that order. */
+    private void connect(int proxy) {
+        publisher.connected(connections.get(proxy), "side-" + proxy);
+        register(proxy);
+        subscribe(proxy, 0, -1);
     }
 
     /** Measures one of them: its time, and what is sent for it. */
-    private void measure(String what, int rounds, Runnable one) {
-        double micros = HollowFleet.micros(rounds, one);
-        long parcels = count.parcels;
+    private void measure(String name, int repetitions, Runnable operation) {
+        double micros = HollowFleet.micros(repetitions, operation);
+        long messages = count.parcels;
         long bytes = count.bytes;
-        one.run();
-        found.put(what + "_us", micros);
-        found.put(what + "_parcels", (double) (count.parcels - parcels));
-        found.put(what + "_bytes", (double) (count.bytes - bytes));
+        operation.run();
+        results.put(name + "_us", micros);
+        results.put(name + "_parcels", (double) (count.parcels - messages));
+        results.put(name + "_bytes", (double) (count.bytes - bytes));
     }
 
     private Map<String, Double> run() {
-        Configuration[] manifest = {HollowFleet.manifest()};
-        desk.show(new ProposalNumber(1, CREW.get(0)), manifest[0], CREW);
-        for (int i = 0; i < n; i++) {
-            lines.add(HollowPeerConnection.of(() -> now, count));
+        Configuration[] configuration = {HollowFleet.manifest()};
+        publisher.committed(new ProposalNumber(1, VOTERS.get(0)), configuration[0], VOTERS);
+        for (int i = 0; i < proxyCount; i++) {
+            connections.add(HollowPeerConnection.of(() -> now, count));
         }
         long empty = HollowFleet.heap();
         long begun = System.nanoTime();
-        for (int i = 0; i < n; i++) {
-            comes(i);
+        for (int i = 0; i < proxyCount; i++) {
+            connect(i);
         }
-        found.put("all_come_ms", (System.nanoTime() - begun) / 1e6);
-        found.put("all_come_bytes", (double) count.bytes);
-        for (int i = 0; i < n; i++) {
-            Map<String, Object> asked = new LinkedHashMap<>();
+        results.put("all_come_ms", (System.nanoTime() - begun) / 1e6);
+        results.put("all_come_bytes", (double) count.bytes);
+        for (int i = 0; i < proxyCount; i++) {
+            Map<String, Object> demand = new LinkedHashMap<>();
             for (int k = 0; k < 20; k++) {
-                asked.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
+                demand.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
             }
-            hear(i, JsonCodec.map("t", "tally", "asked", asked, "whole", true));
+            receive(i, JsonCodec.map("t", "tally", "asked", demand, "whole", true));
             if (i % HollowFleet.HARBOURS == 0) {
-                hear(i, JsonCodec.map("t", "sums", "on", true));
+                receive(i, JsonCodec.map("t", "sums", "on", true));
             }
         }
-        found.put("heap_bytes", (double) (HollowFleet.heap() - empty));
-        measure("beat", 2_000, () -> berth(random.nextInt(n)));
-        measure("change", Math.max(40, 100_000 / n), () -> {
-            int i = random.nextInt(n);
+        results.put("heap_bytes", (double) (HollowFleet.heap() - empty));
+        measure("beat", 2_000, () -> register(random.nextInt(proxyCount)));
+        measure("change", Math.max(40, 100_000 / proxyCount), () -> {
+            int i = random.nextInt(proxyCount);
             numbers[i]++;
-            berth(i);
+            register(i);
         });
-        measure("whole", Math.max(20, 20_000 / n), () -> follow(random.nextInt(n), 0, -1));
-        measure("tick", 500, desk::tick);
-        measure("tally", 2_000, () -> tally(random.nextInt(n)));
+        measure("whole", Math.max(20, 20_000 / proxyCount), () -> subscribe(random.nextInt(proxyCount), 0, -1));
+        measure("tick", 500, publisher::tick);
+        measure("tally", 2_000, () -> reportDemand(random.nextInt(proxyCount)));
         measure("tallySecond", 5, () -> {
-            for (int k = 0; k < TELLINGS; k++) {
-                for (int i = 0; i < n; i++) {
-                    tally(i);
+            for (int k = 0; k < REPORTS_PER_SECOND; k++) {
+                for (int i = 0; i < proxyCount; i++) {
+                    reportDemand(i);
                 }
-                desk.tellTallies();
+                publisher.publishDemand();
             }
         });
         measure("configuration", 20, () -> {
             version++;
-            String had = desk.editions().stamp().toString();
-            manifest[0] = HollowFleet.next(manifest[0], version);
-            desk.show(new ProposalNumber(version, CREW.get(0)), manifest[0], CREW);
-            for (int i = 0; i < n; i++) {
-                hear(i, JsonCodec.map("t", "want", "have", had));
+            String previous = publisher.versionLog().version().toString();
+            configuration[0] = HollowFleet.next(configuration[0], version);
+            publisher.committed(new ProposalNumber(version, VOTERS.get(0)), configuration[0], VOTERS);
+            for (int i = 0; i < proxyCount; i++) {
+                receive(i, JsonCodec.map("t", "want", "have", previous));
             }
         });
         measure(
                 "wholeConfiguration",
                 5,
-                () -> hear(0, JsonCodec.map("t", "want", "have", ProposalNumber.ZERO.toString())));
+                () -> receive(0, JsonCodec.map("t", "want", "have", ProposalNumber.ZERO.toString())));
         zoneLost();
-        return found;
+        return results;
     }
 
-    /** One zone's lines end at once, and their pilots are taken for gone. */
+    /** All connections from one zone are closed at once, and its proxies expire. */
     private void zoneLost() {
         long bytes = count.bytes;
-        long parcels = count.parcels;
+        long messages = count.parcels;
         long begun = System.nanoTime();
-        for (int i = 0; i < n; i += HollowFleet.ZONES) {
-            desk.lost(lines.get(i));
+        for (int i = 0; i < proxyCount; i += HollowFleet.ZONES) {
+            publisher.disconnected(connections.get(i));
         }
         now += 310_000;
-        desk.tick();
-        found.put("zoneLost_us", (System.nanoTime() - begun) / 1e3);
-        found.put("zoneLost_parcels", (double) (count.parcels - parcels));
-        found.put("zoneLost_bytes", (double) (count.bytes - bytes));
+        publisher.tick();
+        results.put("zoneLost_us", (System.nanoTime() - begun) / 1e3);
+        results.put("zoneLost_parcels", (double) (count.parcels - messages));
+        results.put("zoneLost_bytes", (double) (count.bytes - bytes));
     }
 
-    private void tally(int i) {
-        Map<String, Object> asked = new LinkedHashMap<>();
-        for (int k = 0; k < TOLD; k++) {
-            asked.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
+    private void reportDemand(int i) {
+        Map<String, Object> demand = new LinkedHashMap<>();
+        for (int k = 0; k < TENANTS_PER_REPORT; k++) {
+            demand.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
         }
-        hear(i, JsonCodec.map("t", "tally", "asked", asked, "whole", false));
+        receive(i, JsonCodec.map("t", "tally", "asked", demand, "whole", false));
     }
 
-    /** A seed, and numbers of pilots. */
+    /** @param args a seed, and numbers of proxies */
     public static void main(String[] args) throws Exception {
-        HollowFleet.run(UpdatePublisherBench.class, args, (n, seed) -> new UpdatePublisherBench(n, seed).run());
+        HollowFleet.run(
+                UpdatePublisherBench.class, args, (proxyCount, seed) -> new UpdatePublisherBench(proxyCount, seed)
+                        .run());
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -8,13 +8,8 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.security.SecureRandom;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
@@ -24,134 +19,91 @@
 import org.cypressweir.common.settings.NodeSettings;
 import org.cypressweir.common.settings.SettingsLoader;
 import org.cypressweir.common.settings.SettingsWatcher;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.LogConfiguration;
 import org.cypressweir.common.transport.MonotonicClock;
-import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.common.transport.PeerTransport;
 import org.cypressweir.common.util.Addresses;
 import org.cypressweir.controlplane.consensus.ConsensusOptions;
 import org.cypressweir.controlplane.consensus.ConsensusReplica;
-import org.cypressweir.controlplane.consensus.PersistentState;
-import org.cypressweir.controlplane.consensus.ReplicaKey;
-import org.cypressweir.controlplane.storage.Store;
-import org.cypressweir.controlplane.storage.XodusStore;
 import org.cypressweir.dataplane.http.server.HttpListener;
 import org.cypressweir.dataplane.http.server.RequestLimits;
 import org.jboss.logging.Logger;
 
-/** The harbour: puts the control plane together on a core machine. */
+/**
+ * The controller process: wires the parts of the control plane together, drives their timers, and shuts them down
+ * when the process is ended. All state belongs to one event loop; a single disk thread does what may block.
+ */
 public final class Controller {
 
     private static final Logger LOG = Logger.getLogger(Controller.class);
-    private static final PeerConnectionPool.Plan LINES =
-            new PeerConnectionPool.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
-    private static final RequestLimits OPERATORS = new RequestLimits(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
+    private static final RequestLimits OPERATOR_LIMITS = new RequestLimits(64 * 1024, 16 * 1024 * 1024, 10_000, 60_000);
+    private static final String PROGRAM = "controller";
+    private static final String CONTROL_PLANE_LISTENER = "controlPlane";
+    private static final int MICROS_PER_MILLI = 1_000;
     private static final int TICK_MILLIS = 50;
-    private static final int OPEN_EVERY_MILLIS = 500;
-    /** A part of the time that there is between the signal and the end. */
-    private static final int LEAVE_MILLIS = 1_500;
+    private static final int TICKS_PER_DEMAND_UPDATE = 4;
+    private static final int TICKS_PER_SETTINGS_CHECK = 20;
+    /** A part of the time that a process has between the signal and its end. */
+    private static final int SHUTDOWN_MILLIS = 1_500;
 
-    private static final int LEAST_VOTERS = 3;
-    private static final int TICKS_A_TALLY = 4;
-    private static final int TICKS_A_LOOK = 20;
+    private static final int MIN_VOTERS = 3;
 
-    private final NodeSettings papers;
-    private final SettingsWatcher file;
+    private final NodeSettings settings;
+    private final SettingsWatcher settingsWatcher;
     private final MonotonicClock clock = new MonotonicClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(task -> {
+    private final EventLoop eventLoop = group.next();
+    private final ExecutorService diskExecutor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "disk");
         thread.setDaemon(true);
         return thread;
     });
-    private final PeerTransport wharf = new PeerTransport(group, clock);
-    private final String own;
-    private final long life = System.currentTimeMillis() * 1000;
-    private final UpdatePublisher news;
-    private final PeerConnectionPool others;
-    private volatile ReplicaDriver keeping;
-    /** Harbours that have a line here, whoever they are: one that asks to be let in is told the answer. */
-    private final Map<PeerConnection, String> callers = new HashMap<>();
-    /** Where other harbours are asked, as each has said; kept after its line has ended. */
-    private final Map<String, String> controls = new HashMap<>();
+    private final PeerTransport transport = new PeerTransport(group, clock);
+    private final ControllerIdentity identity;
+    private final UpdatePublisher publisher;
+    private final ControllerPeers peers;
+    /** Null as long as the store is not open. */
+    private volatile ReplicaDriver driver;
 
     private List<String> seeds;
     private long ticks;
-    /** Why the disk could not be opened, as it was logged last; of the disk's thread. */
-    private String notOpen;
-    /** To be told that all is handed over; null as long as this harbour does not leave. */
-    private CountDownLatch handedOver;
+    /** Counted down once another replica has all that this one knows; null before the shutdown. */
+    private CountDownLatch handover;
 
-    private Controller(NodeSettings papers, SettingsWatcher file) {
-        this.papers = papers;
-        this.file = file;
-        own = papers.lines(papers.ip());
-        news = new UpdatePublisher(clock, life, papers.control(), this::confirmedAge);
-        seeds = List.copyOf(papers.seedLines());
-        others = new PeerConnectionPool(
-                wharf,
-                clock,
-                LINES,
-                () -> JsonCodec.map(
-                        "t",
-                        "hello",
-                        "kind",
-                        "harbour",
-                        "address",
-                        own,
-                        "member",
-                        keeping.copies().own(),
-                        "control",
-                        papers.control()),
-                new Others());
+    private Controller(NodeSettings settings, SettingsWatcher settingsWatcher) {
+        this.settings = settings;
+        this.settingsWatcher = settingsWatcher;
+        String peerAddress = settings.lines(settings.ip());
+        long incarnation = System.currentTimeMillis() * MICROS_PER_MILLI;
+        identity = new ControllerIdentity(settings.name(), settings.control(), peerAddress, incarnation);
+        publisher = new UpdatePublisher(clock, incarnation, settings.control(), this::confirmedAge);
+        peers = new ControllerPeers(transport, clock, peerAddress, this::hello);
+        seeds = List.copyOf(settings.seedLines());
     }
 
-    /** Runs until the process is ended; a status above 0 where it can't start. */
+    /** Runs until the process is ended; returns a status above 0 where it cannot start. */
     public static int run(Map<String, String> env, PrintStream err) {
         LogConfiguration.open(err, false);
         return SettingsLoader.run(
-                "harbour",
+                PROGRAM,
                 env,
                 err,
-                papers -> Option.when(
-                        papers.dataDirectory() == null || !papers.listen().containsKey("controlPlane"),
+                settings -> Option.when(
+                        settings.dataDirectory() == null || !settings.listen().containsKey(CONTROL_PLANE_LISTENER),
                         "localNode.dataDirectory and network.listenAddresses.controlPlane"),
-                (papers, file) -> new Controller(papers, file).serve());
+                (settings, settingsWatcher) -> new Controller(settings, settingsWatcher).serve());
     }
 
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> look(true));
-        Runtime.getRuntime()
-                .addShutdownHook(new Thread(
-                        () -> {
-                            leave();
-                            ended.countDown();
-                        },
-                        "end"));
-        disk.execute(this::openStore);
-        wharf.listen(Addresses.parse(own), new Lines());
-        HttpListener.open(
-                group,
-                Addresses.parse(papers.listen().get("controlPlane")),
-                () -> OPERATORS,
-                clock,
-                new StateEndpoint(
-                        new OperatorApiHandler(() -> keeping, this::voter, clock),
-                        items -> ControllerStatus.of(
-                                clock.getAsLong(),
-                                papers.name(),
-                                papers.control(),
-                                own,
-                                life,
-                                harbours(),
-                                keeping == null ? null : keeping.copies(),
-                                news,
-                                items)));
-        LOG.info("Harbour " + papers.name() + " listens.");
+        SettingsLoader.onHangup(() -> checkSettings(true));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(ended), "end"));
+        new StoreOpener(Path.of(settings.dataDirectory()), diskExecutor, eventLoop, this::startReplica).start();
+        transport.listen(
+                Addresses.parse(identity.peerAddress()),
+                new InboundMessageDispatcher(peers, publisher, this::receivedByReplica));
+        openOperatorApi();
+        LOG.info("controller started name=" + settings.name());
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -159,190 +111,139 @@
         }
     }
 
-    /**
-     * The others are told that this harbour ends; it goes on until what stands here is known to be on their
-     * disks, and where somebody waits to take its place, until that has been agreed. Not for the loop.
-     */
-    private void leave() {
-        CountDownLatch handed = new CountDownLatch(1);
-        loop.execute(() -> {
-            handedOver = handed;
-            if (keeping == null) {
-                handed.countDown();
-            } else {
-                keeping.leave();
-                lookAround();
-            }
-        });
-        try {
-            // Too late to log: that has ended already.
-            handed.await(LEAVE_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    private void lookAround() {
-        if (handedOver != null && keeping.copies().handedOver()) {
-            handedOver.countDown();
-        }
+    private void openOperatorApi() throws IOException {
+        OperatorApiHandler operatorApi = new OperatorApiHandler(() -> driver, this::redirectTarget, clock);
+        HttpListener.open(
+                group,
+                Addresses.parse(settings.listen().get(CONTROL_PLANE_LISTENER)),
+                () -> OPERATOR_LIMITS,
+                clock,
+                new StateEndpoint(operatorApi, this::status));
     }
 
-    /** Where operators go on whom this harbour can't serve, since it has no vote: to one that is heard. */
-    private Option<String> voter() {
-        ConsensusReplica copies = keeping.copies();
-        List<String> voters = copies.votes() || copies.forgetful()
-                ? List.of()
-                : copies.crew().stream()
-                        .map(ReplicaKey::address)
-                        .filter(a -> !a.equals(own) && others.isClear(a))
-                        .map(controls::get)
-                        .filter(Objects::nonNull)
-                        .toList();
-        return voters.isEmpty() ? Option.none() : Option.some(voters.get((int) (ticks % voters.size())));
+    private Map<String, Object> status(boolean includeItems) {
+        ConsensusReplica replica = driver == null ? null : driver.replica();
+        return ControllerStatus.of(clock.getAsLong(), identity, peers.statuses(), replica, publisher, includeItems);
     }
 
-    /** All other harbours that lines are wanted to, and where each has said that it is asked. */
-    private List<Object> harbours() {
-        List<Object> all = new ArrayList<>();
-        others.addresses().stream()
-                .sorted()
-                .forEach(address -> all.add(JsonCodec.map(
-                        "address", address, "control", controls.get(address), "heard", others.isClear(address))));
-        return all;
+    private Map<String, Object> hello() {
+        return ControllerMessages.hello(identity.peerAddress(), driver.replica().own(), identity.controlAddress());
     }
 
     private long confirmedAge() {
-        return keeping == null ? -1 : keeping.copies().confirmedAge(clock.getAsLong());
-    }
-
-    private void openStore() {
-        try {
-            XodusStore store = new XodusStore(Path.of(papers.dataDirectory()));
-            store.setAside()
-                    .ifPresent(why -> LOG.error("The disk was damaged; what it held is set aside. " + why
-                            + ". This harbour has to learn what stands."));
-            PersistentState loaded = store.load().orElse(null);
-            loop.execute(() -> begin(store, loaded, papers.initialStart() && !store.damaged()));
-        } catch (IOException | RuntimeException e) {
-            // Full, out of reach or stalled: it is there again once the disk is.
-            if (!String.valueOf(e.getMessage()).equals(notOpen)) {
-                notOpen = String.valueOf(e.getMessage());
-                LOG.error("The disk can't be opened yet: " + notOpen);
-            }
-            loop.schedule(() -> disk.execute(this::openStore), OPEN_EVERY_MILLIS, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    /** Most of them are left when as many machines are lost as may be. */
-    private int voters() {
-        return Math.max(LEAST_VOTERS, papers.machineFailures() < 0 ? seeds.size() : 2 * papers.machineFailures() + 1);
+        return driver == null ? -1 : driver.replica().confirmedAge(clock.getAsLong());
     }
 
-    private void begin(Store store, PersistentState loaded, boolean initialStart) {
-        ConsensusReplica copies = new ConsensusReplica(
+    private void startReplica(StoreOpener.OpenedStore opened) {
+        boolean initialStart = settings.initialStart() && !opened.store().damaged();
+        ConsensusReplica replica = new ConsensusReplica(
                 ConsensusOptions.usual(),
-                own,
+                identity.peerAddress(),
                 seeds,
-                voters(),
+                voterCount(),
                 initialStart,
-                loaded,
-                life,
+                opened.state(),
+                identity.incarnation(),
                 new SplittableRandom(new SecureRandom().nextLong()),
                 clock.getAsLong());
-        ReplicaDriver its = new ReplicaDriver(
-                copies,
-                store,
-                disk,
-                loop,
+        ReplicaDriver opening = new ReplicaDriver(
+                replica,
+                opened.store(),
+                diskExecutor,
+                eventLoop,
                 clock,
-                (to, message) -> others.send(ReplicaKey.address(to), message),
-                show -> news.show(show.stamp(), show.manifest(), show.crew()));
-        keeping = its;
-        LOG.info("The disk is open. " + (loaded == null ? "It is empty." : "It stands at " + loaded.accepted() + "."));
-        wantOthers();
-        its.start();
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+                peers::send,
+                commit -> publisher.committed(commit.stamp(), commit.manifest(), commit.crew()));
+        driver = opening;
+        LOG.info("store opened accepted="
+                + (opened.state() == null ? "none" : opened.state().accepted()));
+        connectPeers();
+        opening.start();
+        eventLoop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    /** So many that a majority is left when as many machines are lost as may be. */
+    private int voterCount() {
+        int machineFailures = settings.machineFailures();
+        return Math.max(MIN_VOTERS, machineFailures < 0 ? seeds.size() : 2 * machineFailures + 1);
     }
 
     private void tick() {
         try {
             ticks++;
-            wantOthers();
-            others.tick();
-            keeping.tick();
-            lookAround();
-            news.tick();
-            if (ticks % TICKS_A_TALLY == 0) {
-                news.tellTallies();
+            connectPeers();
+            peers.tick();
+            driver.tick();
+            checkHandover();
+            publisher.tick();
+            if (ticks % TICKS_PER_DEMAND_UPDATE == 0) {
+                publisher.publishDemand();
             }
-            if (ticks % TICKS_A_LOOK == 0) {
-                look(false);
+            if (ticks % TICKS_PER_SETTINGS_CHECK == 0) {
+                checkSettings(false);
             }
         } catch (RuntimeException | Error e) {
-            LOG.error("A tick failed.", e);
+            // Thrown on, it would end the timer and with it this controller's part in the protocol.
+            LOG.error("tick failed", e);
         }
     }
 
-    /** Reads the settings anew where they are others. */
-    private void look(boolean signalled) {
-        disk.execute(() -> file.look(signalled, next -> loop.execute(() -> seeds = List.copyOf(next.seedLines()))));
+    private void connectPeers() {
+        peers.connect(seeds, driver.replica().crew());
     }
 
-    private void wantOthers() {
-        Set<String> wanted = new HashSet<>(seeds);
-        keeping.copies().crew().forEach(member -> wanted.add(ReplicaKey.address(member)));
-        callers.values().forEach(member -> wanted.add(ReplicaKey.address(member)));
-        wanted.remove(own);
-        others.want(wanted);
+    /** Reads the settings file on the disk thread, if it has changed. */
+    private void checkSettings(boolean signalled) {
+        diskExecutor.execute(() -> settingsWatcher.look(
+                signalled, changed -> eventLoop.execute(() -> seeds = List.copyOf(changed.seedLines()))));
     }
 
-    /** Lines that others have opened. */
-    private final class Lines implements PeerConnection.Ear {
-        @Override
-        public void opened(PeerConnection line) {}
-
-        @Override
-        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
-            String type = JsonCodec.text(head, "t");
-            if (type.equals("hello")) {
-                if (JsonCodec.text(head, "kind").equals("harbour")) {
-                    String member = JsonCodec.text(head, head.containsKey("member") ? "member" : "address");
-                    line.owner(member);
-                    callers.put(line, member);
-                    controls.put(JsonCodec.text(head, "address"), JsonCodec.text(head, "control"));
-                } else {
-                    news.welcome(line, JsonCodec.text(head, "name"));
-                }
-            } else if (type.startsWith("copies.")) {
-                if (keeping != null && line.owner() instanceof String from) {
-                    keeping.received(from, head);
-                    lookAround();
-                }
-            } else {
-                news.heard(line, head);
-            }
+    private void receivedByReplica(String sender, Map<String, Object> message) {
+        if (driver != null) {
+            driver.received(sender, message);
+            checkHandover();
         }
+    }
 
-        @Override
-        public void closed(PeerConnection line) {
-            callers.remove(line);
-            news.lost(line);
+    /** Where operators are redirected to, if this controller has no vote and a voter is reachable. */
+    private Option<String> redirectTarget() {
+        ConsensusReplica replica = driver.replica();
+        if (replica.votes() || replica.forgetful()) {
+            return Option.none();
         }
+        List<String> voters = peers.reachableControlAddresses(replica.crew());
+        return voters.isEmpty() ? Option.none() : Option.some(voters.get((int) (ticks % voters.size())));
     }
 
-    /** Lines that this harbour has opened to others: it speaks there, and hears on those of theirs. */
-    private static final class Others implements PeerConnectionPool.Owner {
-        @Override
-        public void up(String address, PeerConnection line) {}
-
-        @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {}
+    /**
+     * Notifies the other controllers of the shutdown and goes on until they have on disk all that is committed here
+     * and, where a standby waits to replace this replica, until that is committed. Not for the event loop.
+     */
+    private void shutDown(CountDownLatch ended) {
+        CountDownLatch handedOver = new CountDownLatch(1);
+        eventLoop.execute(() -> beginShutdown(handedOver));
+        try {
+            // Whether it was in time can't be logged: the log is closed by then.
+            handedOver.await(SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        ended.countDown();
+    }
 
-        @Override
-        public void lost(String address, PeerConnection line) {}
+    private void beginShutdown(CountDownLatch handedOver) {
+        handover = handedOver;
+        if (driver == null) {
+            handedOver.countDown();
+        } else {
+            driver.shutDown();
+            checkHandover();
+        }
+    }
 
-        @Override
-        public void refused(String address) {}
+    private void checkHandover() {
+        if (handover != null && driver.replica().handedOver()) {
+            handover.countDown();
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerPeers.java
@@ -0,0 +1,103 @@
+package org.cypressweir.controlplane.controller;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.controlplane.consensus.ReplicaKey;
+
+/**
+ * Connections between this controller and the others: it sends on those that it has opened and receives on those
+ * that the others have opened. Used by the event loop alone.
+ */
+final class ControllerPeers {
+
+    private static final PeerConnectionPool.Plan CONNECTION_OPTIONS =
+            new PeerConnectionPool.Plan(400_000, 1_000_000, 4_000_000, 100_000, 400_000, 800);
+
+    private final String ownAddress;
+    private final PeerConnectionPool pool;
+    /** Replica keys by accepted connection, voters or not: one that asks to be let in has to get the answer. */
+    private final Map<PeerConnection, String> acceptedMembers = new HashMap<>();
+    /** By address, where other controllers are asked by operators; kept after a connection is closed. */
+    private final Map<String, String> controlAddresses = new HashMap<>();
+
+    /** @param hello what is sent first on each connection that is opened */
+    ControllerPeers(
+            PeerTransport transport, LongSupplier clock, String ownAddress, Supplier<Map<String, Object>> hello) {
+        this.ownAddress = ownAddress;
+        pool = new PeerConnectionPool(transport, clock, CONNECTION_OPTIONS, hello, new SendOnly());
+    }
+
+    /** Keeps connections to the seeds, the voters, and all controllers that are connected to this one. */
+    void connect(Collection<String> seeds, Collection<String> voters) {
+        Set<String> wanted = new HashSet<>(seeds);
+        voters.forEach(voter -> wanted.add(ReplicaKey.address(voter)));
+        acceptedMembers.values().forEach(member -> wanted.add(ReplicaKey.address(member)));
+        wanted.remove(ownAddress);
+        pool.want(wanted);
+    }
+
+    /** To be called several times a second. */
+    void tick() {
+        pool.tick();
+    }
+
+    /** Sends to a replica where it is connected; else the message is dropped, as the protocol allows. */
+    void send(String member, Map<String, Object> message) {
+        pool.send(ReplicaKey.address(member), message);
+    }
+
+    /** Another controller has opened this connection. */
+    void accepted(PeerConnection connection, ControllerMessages.Hello hello) {
+        connection.owner(hello.member());
+        acceptedMembers.put(connection, hello.member());
+        controlAddresses.put(hello.address(), hello.controlAddress());
+    }
+
+    void disconnected(PeerConnection connection) {
+        acceptedMembers.remove(connection);
+    }
+
+    /** Where operators ask those of these replicas that are reachable, this one apart. */
+    List<String> reachableControlAddresses(Collection<String> replicas) {
+        return replicas.stream()
+                .map(ReplicaKey::address)
+                .filter(address -> !address.equals(ownAddress) && pool.isClear(address))
+                .map(controlAddresses::get)
+                .filter(Objects::nonNull)
+                .toList();
+    }
+
+    /** All controllers that connections are kept to, by address. */
+    List<ControllerStatus.Peer> statuses() {
+        return pool.addresses().stream()
+                .sorted()
+                .map(address ->
+                        new ControllerStatus.Peer(address, controlAddresses.get(address), pool.isClear(address)))
+                .toList();
+    }
+
+    /** Nothing is received on connections that this controller has opened. */
+    private static final class SendOnly implements PeerConnectionPool.Owner {
+        @Override
+        public void up(String address, PeerConnection connection) {}
+
+        @Override
+        public void heard(String address, PeerConnection connection, Map<String, Object> message, byte[] body) {}
+
+        @Override
+        public void lost(String address, PeerConnection connection) {}
+
+        @Override
+        public void refused(String address) {}
+    }
+}
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -5,110 +5,155 @@
 import java.util.Map;
 import org.cypressweir.common.diagnostics.ItemListing;
 import org.cypressweir.common.transport.JsonCodec;
-import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.consensus.ConsensusReplica;
 import org.cypressweir.controlplane.consensus.ReplicaKey;
 import org.cypressweir.controlplane.registry.ApplicationInstance;
 import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.controlplane.registry.ProxyRegistry;
 
-/** What operators are told of a harbour. */
+/**
+ * Builds a controller's answer to the state call. The field names are fixed: the command line tool of other builds
+ * and operators' scripts read them. Stateless; to be called on the event loop.
+ */
 final class ControllerStatus {
 
+    private static final String CONTROLLER_KIND = "harbour";
+    private static final String INCARNATION = "life";
+    private static final String PROPOSAL_NUMBER = "stamp";
+    private static final String VOTERS = "crew";
+    private static final String MUST_LEARN = "forgetful";
+    private static final String UNHEALTHY = "sick";
+    private static final String REGISTRATIONS = "berths";
+    private static final String PEERS = "harbours";
+    private static final String REACHABLE = "heard";
+    private static final String EXPIRED = "missed";
+    private static final String EXPIRED_AGE = "goneMs";
+    private static final String DEMAND_TOTALS = "tallies";
+    private static final String SHUTTING_DOWN = "leaving";
+    private static final int MICROS_PER_MILLI = 1_000;
+
     private ControllerStatus() {}
 
     /**
-     * @param control where this harbour is asked
-     * @param address where it takes lines
-     * @param harbours the others
-     * @param copies null as long as the disk is not open
+     * Another controller that this one connects to.
+     *
+     * @param controlAddress null as long as it is not known
+     * @param reachable whether something was received from it lately
+     */
+    record Peer(String address, String controlAddress, boolean reachable) {}
+
+    /**
+     * @param replica null as long as the store is not open
+     * @param includeItems whether the items of the configuration are to be listed
      */
     static Map<String, Object> of(
-            long now,
-            String name,
-            String control,
-            String address,
-            long life,
-            List<Object> harbours,
-            ConsensusReplica copies,
-            UpdatePublisher news,
-            boolean items) {
-        Configuration manifest = news.editions().manifest();
-        Map<String, Object> state = JsonCodec.map(
+            long nowMicros,
+            ControllerIdentity identity,
+            List<Peer> peers,
+            ConsensusReplica replica,
+            UpdatePublisher publisher,
+            boolean includeItems) {
+        Map<String, Object> status = overview(identity, replica != null, publisher);
+        if (replica != null) {
+            addReplica(status, replica, nowMicros);
+        }
+        status.put(REGISTRATIONS, registrations(publisher));
+        status.put(PEERS, peers.stream().map(ControllerStatus::peer).toList());
+        status.put(EXPIRED, expired(publisher.registry(), nowMicros));
+        status.put(DEMAND_TOTALS, publisher.demandTotals());
+        if (includeItems) {
+            status.put("list", ItemListing.of(publisher.versionLog().configuration()));
+        }
+        return status;
+    }
+
+    private static Map<String, Object> overview(
+            ControllerIdentity identity, boolean storeOpen, UpdatePublisher publisher) {
+        return JsonCodec.map(
                 "kind",
-                "harbour",
+                CONTROLLER_KIND,
                 "name",
-                name,
+                identity.name(),
                 "control",
-                control,
+                identity.controlAddress(),
                 "address",
-                address,
-                "life",
-                life,
-                "stamp",
-                news.editions().stamp().toString(),
+                identity.peerAddress(),
+                INCARNATION,
+                identity.incarnation(),
+                PROPOSAL_NUMBER,
+                publisher.versionLog().version().toString(),
                 "items",
-                manifest.size(),
+                publisher.versionLog().configuration().size(),
                 "open",
-                copies != null);
-        if (copies != null) {
-            state.put("member", copies.own());
-            state.put("crew", copies.crew().stream().map(ReplicaKey::address).toList());
-            state.put("members", copies.crew());
-            state.put(
-                    "standbys",
-                    copies.standbys().stream().map(ReplicaKey::address).toList());
-            state.put("forgetful", copies.forgetful());
-            state.put("sick", copies.sick(now));
-            long age = copies.confirmedAge(now);
-            state.put("inContact", copies.inContact(now));
-            state.put("confirmedMs", age < 0 ? null : age / 1000);
-        }
-        List<Object> berths = new ArrayList<>();
-        news.register().all().forEach(berth -> berths.add(line(berth, news.silence(berth.name()))));
-        state.put("berths", berths);
-        state.put("harbours", harbours);
-        List<Object> missed = new ArrayList<>();
-        news.register()
-                .missed()
-                .forEach(one -> missed.add(JsonCodec.map(
-                        "name",
-                        one.berth().name(),
-                        "control",
-                        one.berth().control(),
-                        "address",
-                        one.berth().address(),
-                        "goneMs",
-                        (now - one.since()) / 1000)));
-        state.put("missed", missed);
-        state.put("tallies", news.asked());
-        if (items) {
-            state.put("list", ItemListing.of(manifest));
+                storeOpen);
+    }
+
+    private static void addReplica(Map<String, Object> status, ConsensusReplica replica, long nowMicros) {
+        status.put("member", replica.own());
+        status.put(VOTERS, addresses(replica.crew()));
+        status.put("members", replica.crew());
+        status.put("standbys", addresses(replica.standbys()));
+        status.put(MUST_LEARN, replica.forgetful());
+        status.put(UNHEALTHY, replica.sick(nowMicros));
+        long confirmedAge = replica.confirmedAge(nowMicros);
+        status.put("inContact", replica.inContact(nowMicros));
+        status.put("confirmedMs", confirmedAge < 0 ? null : confirmedAge / MICROS_PER_MILLI);
+    }
+
+    private static List<String> addresses(List<String> replicas) {
+        return replicas.stream().map(ReplicaKey::address).toList();
+    }
+
+    private static List<Object> registrations(UpdatePublisher publisher) {
+        List<Object> registrations = new ArrayList<>();
+        for (ProxyRegistration registration : publisher.registry().all()) {
+            registrations.add(registration(registration, publisher.silenceMicros(registration.name())));
         }
-        return state;
+        return registrations;
     }
 
-    private static Map<String, Object> line(ProxyRegistration berth, long silence) {
-        ApplicationInstance ship = berth.ship();
+    private static Map<String, Object> registration(ProxyRegistration registration, long silenceMicros) {
+        ApplicationInstance instance = registration.ship();
         return JsonCodec.map(
                 "name",
-                berth.name(),
+                registration.name(),
                 "address",
-                berth.address(),
+                registration.address(),
                 "control",
-                berth.control(),
+                registration.control(),
                 "zone",
-                berth.zone(),
+                registration.zone(),
                 "service",
-                ship == null ? berth.service() : ship.service(),
+                instance == null ? registration.service() : instance.service(),
                 "server",
-                ship == null ? null : ship.id(),
+                instance == null ? null : instance.id(),
                 "slots",
-                ship == null ? null : ship.slots(),
+                instance == null ? null : instance.slots(),
                 "draining",
-                ship != null && ship.draining(),
-                "leaving",
-                berth.leaving(),
+                instance != null && instance.draining(),
+                SHUTTING_DOWN,
+                registration.leaving(),
                 "ageMs",
-                silence < 0 ? null : silence / 1000);
+                silenceMicros < 0 ? null : silenceMicros / MICROS_PER_MILLI);
+    }
+
+    private static Map<String, Object> peer(Peer peer) {
+        return JsonCodec.map("address", peer.address(), "control", peer.controlAddress(), REACHABLE, peer.reachable());
+    }
+
+    private static List<Object> expired(ProxyRegistry registry, long nowMicros) {
+        List<Object> expired = new ArrayList<>();
+        for (ProxyRegistry.ExpiredProxy proxy : registry.expired()) {
+            expired.add(JsonCodec.map(
+                    "name",
+                    proxy.registration().name(),
+                    "control",
+                    proxy.registration().control(),
+                    "address",
+                    proxy.registration().address(),
+                    EXPIRED_AGE,
+                    (nowMicros - proxy.sinceMicros()) / MICROS_PER_MILLI));
+        }
+        return expired;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -1,5 +1,6 @@
 package org.cypressweir.controlplane.controller;
 
+import io.vavr.control.Either;
 import io.vavr.control.Option;
 import java.io.IOException;
 import java.util.HashSet;
@@ -21,135 +22,171 @@
 import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.jboss.logging.Logger;
 
-/** Answers operators: what they change is taken once enough copies have it on their disks. */
+/**
+ * Answers operators' calls to a controller. A change is acknowledged once a majority of voters has it on disk; a
+ * controller without a vote redirects changes and reads to one that has it. Runs on the event loop.
+ */
 final class OperatorApiHandler implements RequestHandler {
 
     private static final Logger LOG = Logger.getLogger(OperatorApiHandler.class);
-    /** Callers go elsewhere after a second of silence. */
-    private static final long PATIENCE = 850_000;
-    /** More of it for each byte of a large call, in microseconds. */
-    private static final double PER_BYTE = 2;
+    /** Callers go elsewhere after a second without an answer. */
+    private static final long TIMEOUT_MICROS = 850_000;
 
-    private final Supplier<ReplicaDriver> keeping;
-    private final Supplier<Option<String>> elsewhere;
-    private final LongSupplier micros;
+    /** Additional time for each byte of a large change. */
+    private static final double TIMEOUT_MICROS_PER_BYTE = 2;
+
+    private static final int OK = 200;
+    private static final int TEMPORARY_REDIRECT = 307;
+    private static final String RETRY_AFTER_SECONDS = "0.2";
+    private static final String CONFIRM_FIELD = "confirm";
+    private static final String ABANDONED_FIELD = "abandon";
+
+    private final Supplier<ReplicaDriver> driver;
+    private final Supplier<Option<String>> redirectTarget;
+    private final LongSupplier clock;
 
     /**
-     * @param keeping gives nothing as long as the disk is not open
-     * @param elsewhere where to go on, if this harbour has no vote and another that has is heard
+     * @param driver gives null as long as the store is not open
+     * @param redirectTarget a voter's address for operators, where this controller has no vote
+     * @param clock in microseconds
      */
-    OperatorApiHandler(Supplier<ReplicaDriver> keeping, Supplier<Option<String>> elsewhere, LongSupplier micros) {
-        this.keeping = keeping;
-        this.elsewhere = elsewhere;
-        this.micros = micros;
+    OperatorApiHandler(Supplier<ReplicaDriver> driver, Supplier<Option<String>> redirectTarget, LongSupplier clock) {
+        this.driver = driver;
+        this.redirectTarget = redirectTarget;
+        this.clock = clock;
     }
 
     @Override
-    public void called(ServerRequest call) {
-        Optional<ApiCall> known = ApiCall.of(call.path());
-        if (known.isEmpty()) {
-            call.answer(fault(ErrorKind.NO_CALL, "no such call"));
-        } else if (!known.get().method().equals(call.method())) {
-            call.answer(
-                    fault(ErrorKind.NO_METHOD, "this call wants " + known.get().method()));
-        } else if (keeping.get() == null) {
-            call.answer(fault(ErrorKind.UNAVAILABLE, "the disk is not open yet"));
+    public void called(ServerRequest request) {
+        Optional<ApiCall> call = ApiCall.of(request.path());
+        if (call.isEmpty()) {
+            request.answer(error(ErrorKind.NO_CALL, "no such call"));
+        } else if (!call.get().method().equals(request.method())) {
+            request.answer(error(
+                    ErrorKind.NO_METHOD, "this call requires " + call.get().method()));
+        } else if (driver.get() == null) {
+            request.answer(error(ErrorKind.UNAVAILABLE, "the store is not open yet"));
         } else {
-            switch (known.get()) {
-                case MODIFY, READ -> agreed(call, known.get());
-                case BEGIN -> begin(call);
-                case READINESS -> call.answer(ServerResponse.of(200));
-                default -> call.answer(fault(ErrorKind.NO_CALL, "servers call the pilot beside them"));
-            }
+            dispatch(request, call.get());
+        }
+    }
+
+    private void dispatch(ServerRequest request, ApiCall call) {
+        switch (call) {
+            case MODIFY -> redirectOr(request, this::modify);
+            case READ -> redirectOr(request, this::read);
+            case BEGIN -> bootstrap(request);
+            case READINESS -> request.answer(ServerResponse.of(OK));
+            default -> request.answer(error(ErrorKind.NO_CALL, "applications call the proxy beside them"));
         }
     }
 
-    /** Only who has a vote can tell what is agreed. */
-    private void agreed(ServerRequest call, ApiCall which) {
-        Option<String> voter = elsewhere.get();
+    /** Only a voter knows what is committed. */
+    private void redirectOr(ServerRequest request, RequestHandler handler) {
+        Option<String> voter = redirectTarget.get();
         if (voter.isDefined()) {
-            call.answer(ServerResponse.of(307).withHeader("Location", "http://" + voter.get() + call.path()));
-        } else if (which == ApiCall.MODIFY) {
-            modify(call);
+            request.answer(ServerResponse.of(TEMPORARY_REDIRECT)
+                    .withHeader("Location", "http://" + voter.get() + request.path()));
         } else {
-            read(call);
+            handler.called(request);
         }
     }
 
-    private void begin(ServerRequest call) {
-        Set<String> abandoned = new HashSet<>();
+    private void bootstrap(ServerRequest request) {
+        abandonedReplicas(request.body())
+                .peekLeft(reason -> request.answer(error(ErrorKind.INVALID, reason)))
+                .forEach(abandoned -> bootstrap(request, abandoned));
+    }
+
+    private void bootstrap(ServerRequest request, Set<String> abandoned) {
+        String rejection = driver.get().bootstrap(abandoned);
+        if (rejection == null) {
+            LOG.warn("bootstrap requested by an operator: starting with an empty state");
+            request.answer(json(OK, Map.of()));
+        } else {
+            LOG.warn("bootstrap request rejected reason=\"" + rejection + "\"");
+            request.answer(error(ErrorKind.CONFLICT, rejection));
+        }
+    }
+
+    /** The replicas that a confirmed bootstrap call gives up; else why the call is invalid. */
+    private static Either<String, Set<String>> abandonedReplicas(byte[] body) {
+        Map<String, Object> fields;
         try {
-            Map<String, Object> asked = JsonCodec.read(call.body(), 0, call.body().length);
-            if (!Json.flag(asked, "confirm")) {
-                call.answer(fault(ErrorKind.INVALID, "confirm is wanted"));
-                return;
-            }
-            Json.array(asked, "abandon").forEach(one -> abandoned.add(String.valueOf(one)));
+            fields = JsonCodec.read(body, 0, body.length);
         } catch (IOException e) {
-            call.answer(fault(ErrorKind.INVALID, "no JSON object"));
-            return;
+            return Either.left("not a JSON object");
         }
-        String why = keeping.get().beginAlone(abandoned);
-        LOG.warn(
-                why == null
-                        ? "An operator's word: this harbour begins with nothing."
-                        : "An operator's word to begin is refused: " + why + ".");
-        call.answer(why == null ? json(200, Map.of()) : fault(ErrorKind.CONFLICT, why));
+        if (!Json.flag(fields, CONFIRM_FIELD)) {
+            return Either.left("confirm must be true");
+        }
+        Set<String> abandoned = new HashSet<>();
+        Json.array(fields, ABANDONED_FIELD).forEach(replica -> abandoned.add(String.valueOf(replica)));
+        return Either.right(abandoned);
+    }
+
+    private void modify(ServerRequest request) {
+        ConfigurationChange.read(request.body())
+                .peekLeft(rejection -> request.answer(rejected(rejection)))
+                .forEach(change -> submit(request, change));
     }
 
-    private void modify(ServerRequest call) {
-        long begun = micros.getAsLong();
-        ConfigurationChange.read(call.body())
-                .peekLeft(refusal -> call.answer(refused(refusal)))
-                .forEach(order -> keeping.get()
-                        .submit(order, begun + PATIENCE + (long) (PER_BYTE * call.body().length), verdict -> {
-                            LOG.info("A change of " + call.body().length + " bytes: " + word(verdict) + " after "
-                                    + (micros.getAsLong() - begun) / 1000 + " ms.");
-                            call.answer(answer(verdict));
-                        }));
+    private void submit(ServerRequest request, ConfigurationChange change) {
+        long startMicros = clock.getAsLong();
+        int bytes = request.body().length;
+        long deadline = startMicros + TIMEOUT_MICROS + (long) (TIMEOUT_MICROS_PER_BYTE * bytes);
+        driver.get().submit(change, deadline, result -> {
+            long tookMillis = (clock.getAsLong() - startMicros) / 1_000;
+            LOG.info(outcome(result) + " bytes=" + bytes + " tookMillis=" + tookMillis);
+            request.answer(answer(result));
+        });
     }
 
-    private static String word(ProposalResult verdict) {
-        if (verdict instanceof ProposalResult.Taken taken) {
-            return "taken at " + taken.stamp();
+    private static String outcome(ProposalResult result) {
+        if (result instanceof ProposalResult.Taken committed) {
+            return "configuration change committed proposal=" + committed.stamp();
+        } else if (result instanceof ProposalResult.Refused rejected) {
+            return "configuration change rejected reason=\""
+                    + rejected.refusal().reason() + "\"";
         }
-        return verdict instanceof ProposalResult.Refused r
-                ? "refused, " + r.refusal().reason()
-                : "open";
+        return "configuration change not confirmed in time";
     }
 
-    private void read(ServerRequest call) {
-        keeping.get().read(micros.getAsLong() + PATIENCE, verdict -> call.answer(answer(verdict)));
+    private void read(ServerRequest request) {
+        driver.get().read(clock.getAsLong() + TIMEOUT_MICROS, result -> request.answer(answer(result)));
     }
 
-    static ServerResponse answer(ProposalResult verdict) {
-        if (verdict instanceof ProposalResult.Taken) {
-            return json(200, Map.of());
-        } else if (verdict instanceof ProposalResult.Read read) {
-            return json(200, read.manifest().layout());
-        } else if (verdict instanceof ProposalResult.Refused refused) {
-            return refused(refused.refusal());
+    /** The HTTP response that tells an operator this result. */
+    static ServerResponse answer(ProposalResult result) {
+        if (result instanceof ProposalResult.Taken) {
+            return json(OK, Map.of());
+        } else if (result instanceof ProposalResult.Read read) {
+            return json(OK, read.manifest().layout());
+        } else if (result instanceof ProposalResult.Refused rejected) {
+            return rejected(rejected.refusal());
         }
-        return fault(ErrorKind.UNAVAILABLE, verdict instanceof ProposalResult.Unavailable u ? u.reason() : "no answer");
+        return error(
+                ErrorKind.UNAVAILABLE,
+                result instanceof ProposalResult.Unavailable unavailable ? unavailable.reason() : "no answer");
     }
 
-    private static ServerResponse refused(Rejection refusal) {
-        return fault(
-                switch (refusal.kind()) {
+    private static ServerResponse rejected(Rejection rejection) {
+        ErrorKind kind =
+                switch (rejection.kind()) {
                     case INVALID -> ErrorKind.INVALID;
                     case CONFLICT -> ErrorKind.CONFLICT;
                     case FORGOTTEN -> ErrorKind.UNAVAILABLE;
-                },
-                refusal.reason());
+                };
+        return error(kind, rejection.reason());
     }
 
     private static ServerResponse json(int status, Map<String, Object> body) {
         return ServerResponse.json(status, JsonCodec.bytes(body));
     }
 
-    private static ServerResponse fault(ErrorKind fault, String reason) {
-        ServerResponse answer =
-                json(fault.status(), JsonCodec.map("error", fault.name().toLowerCase(Locale.ROOT), "reason", reason));
-        return fault.saysWhen() ? answer.withHeader("Retry-After", "0.2") : answer;
+    private static ServerResponse error(ErrorKind kind, String reason) {
+        ServerResponse response =
+                json(kind.status(), JsonCodec.map("error", kind.name().toLowerCase(Locale.ROOT), "reason", reason));
+        return kind.saysWhen() ? response.withHeader("Retry-After", RETRY_AFTER_SECONDS) : response;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -18,105 +18,128 @@
 import org.jboss.logging.Logger;
 
 /**
- * Drives the copy of this harbour: what the core wants written goes to the disk's thread, what it wants sent
- * to the lines, verdicts to who waits for them. The core itself runs on the loop.
+ * Connects the consensus replica to the outside: carries out the effects that it asks for. Writes run on the disk
+ * executor and are reported back on the event loop; all else, and the replica itself, runs on the event loop alone.
  */
 final class ReplicaDriver {
 
     private static final Logger LOG = Logger.getLogger(ReplicaDriver.class);
 
-    private final ConsensusReplica copies;
+    private final ConsensusReplica replica;
     private final Store store;
-    private final ExecutorService disk;
-    private final Executor loop;
-    private final LongSupplier micros;
-    private final BiConsumer<String, Map<String, Object>> send;
-    private final Consumer<Effect.Show> shown;
-    private final Map<Long, Consumer<ProposalResult>> waiting = new HashMap<>();
-    private long tickets;
+    private final ExecutorService diskExecutor;
+    private final Executor eventLoop;
+    private final LongSupplier clock;
+    private final BiConsumer<String, Map<String, Object>> sender;
+    private final Consumer<Effect.Show> commitListener;
+    private final Map<Long, Consumer<ProposalResult>> pending = new HashMap<>();
+    private long lastProposalId;
 
+    /**
+     * @param clock in microseconds
+     * @param sender takes the receiver's replica key and the message
+     * @param commitListener takes each state that is committed
+     */
     ReplicaDriver(
-            ConsensusReplica copies,
+            ConsensusReplica replica,
             Store store,
-            ExecutorService disk,
-            Executor loop,
-            LongSupplier micros,
-            BiConsumer<String, Map<String, Object>> send,
-            Consumer<Effect.Show> shown) {
-        this.copies = copies;
+            ExecutorService diskExecutor,
+            Executor eventLoop,
+            LongSupplier clock,
+            BiConsumer<String, Map<String, Object>> sender,
+            Consumer<Effect.Show> commitListener) {
+        this.replica = replica;
         this.store = store;
-        this.disk = disk;
-        this.loop = loop;
-        this.micros = micros;
-        this.send = send;
-        this.shown = shown;
+        this.diskExecutor = diskExecutor;
+        this.eventLoop = eventLoop;
+        this.clock = clock;
+        this.sender = sender;
+        this.commitListener = commitListener;
     }
 
-    ConsensusReplica copies() {
-        return copies;
+    ConsensusReplica replica() {
+        return replica;
     }
 
     void start() {
-        act(copies.start(micros.getAsLong()));
+        execute(replica.start(clock.getAsLong()));
     }
 
     void tick() {
-        act(copies.tick(micros.getAsLong()));
+        execute(replica.tick(clock.getAsLong()));
     }
 
-    /** Why not, or null where it begins. */
-    String beginAlone(Set<String> abandoned) {
-        String why = copies.mayNotBegin(micros.getAsLong(), abandoned);
-        if (why == null) {
-            act(copies.beginAlone(micros.getAsLong(), System.currentTimeMillis()));
+    /** Starts with an empty state, without the replicas that are given up; returns why not, or null. */
+    String bootstrap(Set<String> abandoned) {
+        String rejection = replica.mayNotBegin(clock.getAsLong(), abandoned);
+        if (rejection == null) {
+            execute(replica.beginAlone(clock.getAsLong(), System.currentTimeMillis()));
         }
-        return why;
+        return rejection;
     }
 
-    void leave() {
-        act(copies.leave(micros.getAsLong()));
+    /** Begins a graceful shutdown; the replica says when its state is handed over. */
+    void shutDown() {
+        execute(replica.leave(clock.getAsLong()));
     }
 
     void received(String from, Map<String, Object> message) {
-        act(copies.received(micros.getAsLong(), from, message));
+        execute(replica.received(clock.getAsLong(), from, message));
     }
 
-    void submit(ConfigurationChange order, long deadline, Consumer<ProposalResult> then) {
-        waiting.put(++tickets, then);
-        act(copies.submit(micros.getAsLong(), tickets, order, deadline));
+    /** Proposes a change; the callback is called once, by the deadline. */
+    void submit(ConfigurationChange change, long deadlineMicros, Consumer<ProposalResult> callback) {
+        long id = addPending(callback);
+        execute(replica.submit(clock.getAsLong(), id, change, deadlineMicros));
     }
 
-    void read(long deadline, Consumer<ProposalResult> then) {
-        waiting.put(++tickets, then);
-        act(copies.read(micros.getAsLong(), tickets, deadline));
+    /** Reads the configuration, linearizable; the callback is called once, by the deadline. */
+    void read(long deadlineMicros, Consumer<ProposalResult> callback) {
+        long id = addPending(callback);
+        execute(replica.read(clock.getAsLong(), id, deadlineMicros));
     }
 
-    private void act(List<Effect> effects) {
+    private long addPending(Consumer<ProposalResult> callback) {
+        lastProposalId++;
+        pending.put(lastProposalId, callback);
+        return lastProposalId;
+    }
+
+    private void execute(List<Effect> effects) {
         for (Effect effect : effects) {
-            if (effect instanceof Effect.Send s) {
-                send.accept(s.to(), s.message());
-            } else if (effect instanceof Effect.Write w) {
-                disk.execute(() -> write(w));
-            } else if (effect instanceof Effect.Answer a) {
-                Consumer<ProposalResult> then = waiting.remove(a.ticket());
-                if (then != null) {
-                    then.accept(a.verdict());
-                }
-            } else if (effect instanceof Effect.Show s) {
-                shown.accept(s);
+            if (effect instanceof Effect.Send send) {
+                sender.accept(send.to(), send.message());
+            } else if (effect instanceof Effect.Write write) {
+                diskExecutor.execute(() -> write(write));
+            } else if (effect instanceof Effect.Answer answer) {
+                complete(answer);
+            } else if (effect instanceof Effect.Show commit) {
+                commitListener.accept(commit);
             }
         }
     }
 
+    private void complete(Effect.Answer answer) {
+        Consumer<ProposalResult> callback = pending.remove(answer.ticket());
+        if (callback != null) {
+            callback.accept(answer.verdict());
+        }
+    }
+
+    /** On the disk executor. */
     private void write(Effect.Write write) {
-        boolean done = false;
+        boolean written = tryWrite(write);
+        eventLoop.execute(() -> execute(replica.written(clock.getAsLong(), write.number(), written)));
+    }
+
+    private boolean tryWrite(Effect.Write write) {
         try {
             store.write(write.change());
-            done = true;
+            return true;
         } catch (IOException | RuntimeException e) {
-            LOG.warn("A write failed: " + e.getMessage());
+            // Xodus throws unchecked exceptions of its own; whatever it was, the replica has to know.
+            LOG.warn("store write failed error=\"" + e.getMessage() + "\"");
+            return false;
         }
-        boolean ok = done;
-        loop.execute(() -> act(copies.written(micros.getAsLong(), write.number(), ok)));
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -3,14 +3,12 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
 import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.consensus.ReplicaKey;
@@ -21,254 +19,248 @@
 import org.cypressweir.dataplane.quota.DemandAggregator;
 import org.jboss.logging.Logger;
 
-/** Hears pilots and tells them the news: who is there, which configuration holds, what tenants ask in all. */
+/**
+ * Serves the proxies that are connected to this controller: takes in their registrations and their demand, and
+ * publishes endpoints, configuration versions and the demand over all proxies. Used by the event loop alone; times
+ * are microseconds of the controller's clock.
+ */
 final class UpdatePublisher {
 
     private static final Logger LOG = Logger.getLogger(UpdatePublisher.class);
-    private static final long GRACE = 300_000;
-    private static final long SILENT = 2_000_000;
-    /** Without a majority for so long, pilots are told. */
-    private static final long OUT_OF_CONTACT = 2_000_000;
-    /** In between only what has changed is told. */
-    private static final int TELLINGS_A_WHOLE = 10;
+    /** For how long a proxy stays registered after its connection is lost. */
+    private static final long REGISTRATION_GRACE_MICROS = 300_000;
 
-    /** What is kept of each pilot's line. */
-    private static final class Seat {
+    private static final long SILENT_AFTER_MICROS = 2_000_000;
+    /** After so long without a majority, the proxies are notified. */
+    private static final long QUORUM_CONTACT_TIMEOUT_MICROS = 2_000_000;
+    /** Every so many publications hold all demand; those in between only what has changed. */
+    private static final int PUBLICATIONS_PER_FULL_DEMAND = 10;
+
+    /** The state of one connected proxy. */
+    private static final class Subscriber {
         private final String name;
-        /** Place in the log up to which it has been told; below 0: nothing yet. */
-        private long place = -1;
-        /** Whether it is told what tenants ask in all. */
-        private boolean sums;
+        /** In the log of endpoint changes, up to which the proxy has been updated; below 0: it needs a snapshot. */
+        private long offset = -1;
+
+        private boolean demandSubscribed;
 
-        private Seat(String name) {
+        private Subscriber(String name) {
             this.name = name;
         }
     }
 
-    private final LongSupplier micros;
-    private final long life;
-    private final String control;
-    private final ProxyRegistry register = new ProxyRegistry(GRACE);
-    private final EndpointChangeLog log = new EndpointChangeLog();
-    private final VersionLog editions = new VersionLog();
-    private final DemandAggregator demands = new DemandAggregator();
-    private final Map<PeerConnection, Seat> seats = new LinkedHashMap<>();
-    private List<String> crew = List.of();
+    private final LongSupplier clock;
+    private final long incarnation;
+    private final String controlAddress;
     private final LongSupplier confirmedAge;
-    private long tellings;
-    private boolean inContact;
+    private final ProxyRegistry registry = new ProxyRegistry(REGISTRATION_GRACE_MICROS);
+    private final EndpointChangeLog endpointLog = new EndpointChangeLog();
+    private final VersionLog versionLog = new VersionLog();
+    private final DemandAggregator demand = new DemandAggregator();
+    private final Map<PeerConnection, Subscriber> subscribers = new LinkedHashMap<>();
+    private List<String> voterAddresses = List.of();
+    private long demandPublications;
+    private boolean inQuorumContact;
 
     /**
-     * @param control where this harbour is asked by operators
-     * @param confirmedAge how long ago what is shown was known to be the newest; below 0: never
+     * @param clock in microseconds
+     * @param controlAddress where this controller is asked by operators
+     * @param confirmedAge how long ago the published configuration was known to be the newest; below 0: never
      */
-    UpdatePublisher(LongSupplier micros, long life, String control, LongSupplier confirmedAge) {
+    UpdatePublisher(LongSupplier clock, long incarnation, String controlAddress, LongSupplier confirmedAge) {
+        this.clock = clock;
+        this.incarnation = incarnation;
+        this.controlAddress = controlAddress;
         this.confirmedAge = confirmedAge;
-        this.control = control;
-        this.micros = micros;
-        this.life = life;
     }
 
-    ProxyRegistry register() {
-        return register;
+    ProxyRegistry registry() {
+        return registry;
     }
 
-    VersionLog editions() {
-        return editions;
+    VersionLog versionLog() {
+        return versionLog;
     }
 
-    /** What tenants ask in all, a second. */
-    Map<String, Double> asked() {
-        return demands.sums(micros.getAsLong());
+    /** The demand of each tenant over all proxies, in requests per second. */
+    Map<String, Double> demandTotals() {
+        return demand.totals(clock.getAsLong());
     }
 
-    /** How long nothing has come from a pilot; below 0 where it has no line here. */
-    long silence(String name) {
-        long silence = -1;
-        for (Map.Entry<PeerConnection, Seat> one : seats.entrySet()) {
-            long its = micros.getAsLong() - one.getKey().heardAt();
-            if (one.getValue().name.equals(name) && (silence < 0 || its < silence)) {
-                silence = its;
+    /** How long nothing has been received from the named proxy; below 0 where it is not connected. */
+    long silenceMicros(String name) {
+        long shortest = -1;
+        for (Map.Entry<PeerConnection, Subscriber> entry : subscribers.entrySet()) {
+            long silence = clock.getAsLong() - entry.getKey().heardAt();
+            if (entry.getValue().name.equals(name) && (shortest < 0 || silence < shortest)) {
+                shortest = silence;
             }
         }
-        return silence;
+        return shortest;
     }
 
-    /** A pilot is on this line. */
-    void welcome(PeerConnection line, String name) {
-        seats.put(line, new Seat(name));
-        line.owner(name);
-        line.send(JsonCodec.map(
-                "t",
-                "welcome",
-                "life",
-                life,
-                "crew",
-                crew,
-                "control",
-                control,
-                "stamp",
-                editions.stamp().toString(),
-                "age",
-                confirmedAge.getAsLong()));
+    /** A proxy has opened this connection. */
+    void connected(PeerConnection connection, String name) {
+        subscribers.put(connection, new Subscriber(name));
+        connection.owner(name);
+        connection.send(ControllerMessages.welcome(
+                incarnation, voterAddresses, controlAddress, versionLog.version(), confirmedAge.getAsLong()));
     }
 
-    void heard(PeerConnection line, Map<String, Object> head) {
-        long now = micros.getAsLong();
-        Seat seat = seats.get(line);
-        if (seat == null) {
+    /** A message has come from a proxy; from a connection without a hello it is ignored. */
+    void received(PeerConnection connection, Map<String, Object> message) {
+        Subscriber subscriber = subscribers.get(connection);
+        if (subscriber == null) {
             return;
         }
-        register.heard(line);
-        switch (JsonCodec.text(head, "t")) {
-            case "berth" -> {
-                ProxyRegistration berth = ProxyRegistration.of(Json.object(head, "berth"), now);
-                if (berth != null && register.told(line, berth)) {
-                    log.changed(berth.name());
-                    tellAll();
-                }
-            }
-            case "follow" -> {
-                seat.place = Json.whole(head, "life", 0) == life ? Json.whole(head, "place", -1) : -1;
-                tell(line, seat);
-            }
-            case "contact" -> line.send(contact(Json.whole(head, "asked", 0)));
-            case "want" -> tellEdition(line, head);
-            case "tally" -> demands.told(now, seat.name, Json.object(head, "asked"), Json.flag(head, "whole"));
-            case "sums" -> {
-                seat.sums = Json.flag(head, "on");
-                if (seat.sums) {
-                    line.send(JsonCodec.map("t", "tallies", "asked", demands.sums(now)));
-                }
-            }
-            default -> {}
+        registry.connectionAlive(connection);
+        handle(connection, subscriber, ControllerMessages.decode(message, clock.getAsLong()));
+    }
+
+    private void handle(PeerConnection connection, Subscriber subscriber, ProxyMessage message) {
+        if (message instanceof ProxyMessage.Registration heartbeat) {
+            register(connection, heartbeat.registration());
+        } else if (message instanceof ProxyMessage.DemandReport report) {
+            demand.report(clock.getAsLong(), subscriber.name, report.demandByTenant(), report.complete());
+        } else if (message instanceof ProxyMessage.ContactQuery query) {
+            connection.send(contact(query.askedAt()));
+        } else if (message instanceof ProxyMessage.EndpointSubscription subscription) {
+            subscriber.offset = subscription.incarnation() == incarnation ? subscription.offset() : -1;
+            publishEndpoints(connection, subscriber);
+        } else if (message instanceof ProxyMessage.ConfigurationRequest request) {
+            sendConfiguration(connection, request.version());
+        } else if (message instanceof ProxyMessage.DemandSubscription subscription) {
+            subscribeToDemand(connection, subscriber, subscription.enabled());
         }
     }
 
-    void lost(PeerConnection line) {
-        Seat seat = seats.remove(line);
-        if (seat != null) {
-            register.lost(micros.getAsLong(), line);
-            demands.ended(micros.getAsLong(), seat.name);
+    private void register(PeerConnection connection, ProxyRegistration registration) {
+        if (registration != null && registry.register(connection, registration)) {
+            endpointLog.append(registration.name());
+            publishEndpoints();
         }
     }
 
-    /** A state of the configuration that may be shown. */
-    void show(ProposalNumber stamp, Configuration manifest, List<String> members) {
-        editions.show(stamp, manifest);
-        crew = members.stream().map(ReplicaKey::address).toList();
-        for (PeerConnection line : List.copyOf(seats.keySet())) {
-            line.send(JsonCodec.map(
-                    "t", "stamp", "stamp", editions.stamp().toString(), "crew", crew, "age", confirmedAge.getAsLong()));
+    private void subscribeToDemand(PeerConnection connection, Subscriber subscriber, boolean enabled) {
+        subscriber.demandSubscribed = enabled;
+        if (enabled) {
+            connection.send(ControllerMessages.demandTotals(demandTotals()));
         }
     }
 
-    /** As of when what is shown was the newest. @param asked the time of the pilot that asked, or 0 */
-    private Map<String, Object> contact(long asked) {
-        return JsonCodec.map(
-                "t", "contact", "asked", asked, "stamp", editions.stamp().toString(), "age", confirmedAge.getAsLong());
+    void disconnected(PeerConnection connection) {
+        Subscriber subscriber = subscribers.remove(connection);
+        if (subscriber != null) {
+            registry.connectionLost(clock.getAsLong(), connection);
+            demand.disconnected(clock.getAsLong(), subscriber.name);
+        }
     }
 
-    /** Contact with a majority is told when it is lost or regained, and to whoever asks. */
-    private void tellContact() {
-        long age = confirmedAge.getAsLong();
-        boolean now = age >= 0 && age <= OUT_OF_CONTACT;
-        if (now != inContact) {
-            inContact = now;
-            LOG.info(
-                    now
-                            ? "This harbour is in contact with most of the crew."
-                            : "This harbour is out of contact with most of the crew.");
-            byte[] told = JsonCodec.bytes(contact(0));
-            seats.keySet().forEach(line -> line.sendText(told));
+    /** A configuration has been committed: its version is published, its items to each proxy that asks. */
+    void committed(ProposalNumber version, Configuration configuration, List<String> voters) {
+        versionLog.append(version, configuration);
+        voterAddresses = voters.stream().map(ReplicaKey::address).toList();
+        for (PeerConnection connection : List.copyOf(subscribers.keySet())) {
+            connection.send(ControllerMessages.configurationVersion(
+                    versionLog.version(), voterAddresses, confirmedAge.getAsLong()));
         }
     }
 
-    /** To be called some times a second. */
+    private Map<String, Object> contact(long askedAt) {
+        return ControllerMessages.contact(askedAt, versionLog.version(), confirmedAge.getAsLong());
+    }
+
+    /** To be called several times a second. */
     void tick() {
-        tellContact();
-        long now = micros.getAsLong();
-        for (PeerConnection line : seats.keySet()) {
-            if (now - line.heardAt() > SILENT) {
-                register.lost(now, line);
+        checkQuorumContact();
+        expireProxies();
+    }
+
+    private void checkQuorumContact() {
+        long age = confirmedAge.getAsLong();
+        boolean inContact = age >= 0 && age <= QUORUM_CONTACT_TIMEOUT_MICROS;
+        if (inContact != inQuorumContact) {
+            inQuorumContact = inContact;
+            LOG.info(inContact ? "quorum contact established" : "quorum contact lost");
+            byte[] message = JsonCodec.bytes(contact(0));
+            subscribers.keySet().forEach(connection -> connection.sendText(message));
+        }
+    }
+
+    private void expireProxies() {
+        long now = clock.getAsLong();
+        for (PeerConnection connection : subscribers.keySet()) {
+            if (now - connection.heardAt() > SILENT_AFTER_MICROS) {
+                registry.connectionLost(now, connection);
             }
         }
-        List<String> gone = register.sweep(now);
-        for (String name : gone) {
-            LOG.info("Pilot " + name + " is gone.");
-            log.changed(name);
+        List<String> expired = registry.expire(now);
+        for (String name : expired) {
+            LOG.info("proxy expired name=" + name);
+            endpointLog.append(name);
         }
-        if (!gone.isEmpty()) {
-            tellAll();
+        if (!expired.isEmpty()) {
+            publishEndpoints();
         }
     }
 
-    /** To be called a few times a second: what tenants ask in all, as far as that has changed. */
-    void tellTallies() {
-        boolean all = ++tellings % TELLINGS_A_WHOLE == 0;
-        Map<String, Double> sums = demands.news(micros.getAsLong(), all);
-        if (sums.isEmpty()) {
+    /** Publishes the demand totals that have changed; to be called a few times a second. */
+    void publishDemand() {
+        demandPublications++;
+        boolean all = demandPublications % PUBLICATIONS_PER_FULL_DEMAND == 0;
+        Map<String, Double> totals = demand.takeChangedTotals(clock.getAsLong(), all);
+        if (totals.isEmpty()) {
             return;
         }
-        byte[] told = JsonCodec.bytes(JsonCodec.map("t", "tallies", "asked", sums));
-        seats.forEach((line, seat) -> {
-            if (seat.sums) {
-                line.sendText(told);
+        byte[] message = JsonCodec.bytes(ControllerMessages.demandTotals(totals));
+        subscribers.forEach((connection, subscriber) -> {
+            if (subscriber.demandSubscribed) {
+                connection.sendText(message);
             }
         });
     }
 
-    private void tellAll() {
-        seats.forEach(this::tell);
+    private void publishEndpoints() {
+        subscribers.forEach(this::publishEndpoints);
     }
 
-    private void tell(PeerConnection line, Seat seat) {
-        long now = micros.getAsLong();
-        Set<String> names = seat.place < 0 ? null : log.since(seat.place);
-        boolean whole = names == null;
-        if (!whole && names.isEmpty()) {
+    /** Sends a proxy the endpoints that have changed since its offset, or a snapshot. */
+    private void publishEndpoints(PeerConnection connection, Subscriber subscriber) {
+        Set<String> changed = subscriber.offset < 0 ? null : endpointLog.changedSince(subscriber.offset);
+        boolean snapshot = changed == null;
+        if (!snapshot && changed.isEmpty()) {
             return;
         }
-        Collection<ProxyRegistration> all = register.all();
-        Set<String> told = whole
-                ? new LinkedHashSet<>(all.stream().map(ProxyRegistration::name).toList())
-                : names;
-        List<Object> berths = new ArrayList<>();
-        List<Object> gone = new ArrayList<>();
-        for (String name : told) {
-            ProxyRegistration berth = register.get(name);
-            if (berth == null) {
-                gone.add(name);
+        long now = clock.getAsLong();
+        Collection<String> names =
+                snapshot ? registry.all().stream().map(ProxyRegistration::name).toList() : changed;
+        List<Object> registrations = new ArrayList<>();
+        List<Object> removed = new ArrayList<>();
+        for (String name : names) {
+            ProxyRegistration registration = registry.get(name);
+            if (registration == null) {
+                removed.add(name);
             } else {
-                berths.add(berth.toMap(now));
+                registrations.add(registration.toMap(now));
             }
         }
-        seat.place = log.end();
-        line.send(JsonCodec.map(
-                "t", "roster", "life", life, "place", seat.place, "whole", whole, "berths", berths, "gone", gone));
+        subscriber.offset = endpointLog.endOffset();
+        connection.send(
+                ControllerMessages.endpointUpdate(incarnation, subscriber.offset, snapshot, registrations, removed));
     }
 
-    private void tellEdition(PeerConnection line, Map<String, Object> head) {
-        ProposalNumber has = ProposalNumber.of(JsonCodec.text(head, "have"));
-        if (has == null || editions.stamp().compareTo(has) <= 0) {
+    /** Sends a proxy what it needs to get from its version to the newest. */
+    private void sendConfiguration(PeerConnection connection, ProposalNumber from) {
+        if (versionLog.version().compareTo(from) <= 0) {
             return;
         }
-        VersionLog.News news = editions.newsFor(has);
-        int pieces = news.pieces().size();
-        for (int i = 0; i < pieces; i++) {
-            line.send(
-                    JsonCodec.map(
-                            "t",
-                            "items",
-                            "stamp",
-                            editions.stamp().toString(),
-                            "from",
-                            news.whole() ? "" : has.toString(),
-                            "piece",
-                            i,
-                            "pieces",
-                            pieces),
-                    news.pieces().get(i),
+        VersionLog.Update update = versionLog.updateSince(from);
+        ProposalNumber deltaFrom = update.snapshot() ? null : from;
+        int count = update.chunks().size();
+        for (int i = 0; i < count; i++) {
+            connection.send(
+                    ControllerMessages.configurationChunk(versionLog.version(), deltaFrom, i, count),
+                    update.chunks().get(i),
                     null);
         }
     }
--- a/src/main/java/org/cypressweir/controlplane/distribution/EndpointChangeLog.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/EndpointChangeLog.java
@@ -4,40 +4,45 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Names of what has changed, by place: who stands at a place is told the names from there on, once each. */
+/**
+ * A bounded log of the names of proxies whose registration has changed. A subscriber remembers the offset up to
+ * which it has been updated and asks for the distinct names that have changed since; where the log no longer
+ * reaches back so far, it needs a snapshot. Not thread-safe.
+ */
 public final class EndpointChangeLog {
 
-    private static final int MOST = 4_096;
+    private static final int MAX_ENTRIES = 4_096;
 
     private final ArrayDeque<String> names = new ArrayDeque<>();
-    private long end;
+    private long endOffset;
 
-    /** Something about this name has changed. */
-    public void changed(String name) {
+    /** Appends a change of the named proxy. */
+    public void append(String name) {
         names.addLast(name);
-        end++;
-        if (names.size() > MOST) {
+        endOffset++;
+        if (names.size() > MAX_ENTRIES) {
             names.removeFirst();
         }
     }
 
-    /** The place behind all changes. */
-    public long end() {
-        return end;
+    /** The offset behind the last change. */
+    public long endOffset() {
+        return endOffset;
     }
 
-    /** Names that have changed since this place; null where the log does not reach back so far. */
-    public Set<String> since(long place) {
-        long first = end - names.size();
-        if (place < first || place > end) {
+    /** The names that have changed from this offset on, each once; null where the log does not hold that offset. */
+    public Set<String> changedSince(long offset) {
+        long firstOffset = endOffset - names.size();
+        if (offset < firstOffset || offset > endOffset) {
             return null;
         }
         Set<String> changed = new LinkedHashSet<>();
-        long at = first;
+        long current = firstOffset;
         for (String name : names) {
-            if (at++ >= place) {
+            if (current >= offset) {
                 changed.add(name);
             }
+            current++;
         }
         return changed;
     }
--- a/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
@@ -12,33 +12,44 @@
 import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.Item;
 
-/** Items on their way: in pieces, each a JSON text pressed small, since pilots' links are narrow. */
+/**
+ * Packs configuration items into chunks for sending and unpacks them. A chunk is a JSON object in the zlib format
+ * (RFC 1950), since the links to proxies are narrow. Stateless.
+ */
 public final class ItemChunks {
 
-    private static final int PIECE = 250;
-    private static final int MOST = 64 * 1024 * 1024;
+    private static final int ITEMS_PER_CHUNK = 250;
+    /** Guards against chunks that inflate without end. */
+    private static final int MAX_INFLATED_BYTES = 64 * 1024 * 1024;
+
+    private static final int BUFFER_BYTES = 8 * 1024;
+    private static final String ITEMS_FIELD = "items";
 
     private ItemChunks() {}
 
-    /** One piece at least. */
+    /** Packs the items into one chunk or more; without items into one that is empty. */
     public static List<byte[]> pack(List<Item> items) {
-        List<byte[]> pieces = new ArrayList<>();
-        for (int i = 0; i == 0 || i < items.size(); i += PIECE) {
-            List<Object> part = new ArrayList<>();
-            items.subList(i, Math.min(items.size(), i + PIECE))
-                    .forEach(item -> part.add(item.bare().toMap()));
-            pieces.add(press(JsonCodec.bytes(Map.of("items", part))));
+        List<byte[]> chunks = new ArrayList<>();
+        for (int first = 0; first == 0 || first < items.size(); first += ITEMS_PER_CHUNK) {
+            List<Object> encoded = new ArrayList<>();
+            items.subList(first, Math.min(items.size(), first + ITEMS_PER_CHUNK))
+                    .forEach(item -> encoded.add(item.bare().toMap()));
+            chunks.add(deflate(JsonCodec.bytes(Map.of(ITEMS_FIELD, encoded))));
         }
-        return pieces;
+        return chunks;
     }
 
-    /** Reads a piece; an exception where it is none. */
-    public static List<Item> unpack(byte[] piece) throws IOException {
-        byte[] text = spread(piece);
+    /**
+     * Unpacks a chunk.
+     *
+     * @throws IOException where the bytes are not a chunk, or one that is truncated or too large
+     */
+    public static List<Item> unpack(byte[] chunk) throws IOException {
+        byte[] json = inflate(chunk);
         List<Item> items = new ArrayList<>();
         try {
-            for (Object one : Json.array(JsonCodec.read(text, 0, text.length), "items")) {
-                if (one instanceof Map<?, ?> map) {
+            for (Object encoded : Json.array(JsonCodec.read(json, 0, json.length), ITEMS_FIELD)) {
+                if (encoded instanceof Map<?, ?> map) {
                     items.add(Item.of(map));
                 }
             }
@@ -48,15 +59,15 @@
         return items;
     }
 
-    private static byte[] press(byte[] text) {
+    private static byte[] deflate(byte[] bytes) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
-            deflater.setInput(text);
+            deflater.setInput(bytes);
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 4 + 64);
-            byte[] some = new byte[8 * 1024];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 4 + 64);
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                out.write(some, 0, deflater.deflate(some));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -64,22 +75,22 @@
         }
     }
 
-    private static byte[] spread(byte[] piece) throws IOException {
+    private static byte[] inflate(byte[] chunk) throws IOException {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(piece);
-            ByteArrayOutputStream out = new ByteArrayOutputStream(6 * piece.length + 64);
-            byte[] some = new byte[8 * 1024];
+            inflater.setInput(chunk);
+            ByteArrayOutputStream out = new ByteArrayOutputStream(6 * chunk.length + 64);
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int length = inflater.inflate(some);
-                if (length == 0 && !inflater.finished() || out.size() > MOST) {
-                    throw new IOException("a piece of items that is cut short or too large");
+                int length = inflater.inflate(buffer);
+                if (length == 0 && !inflater.finished() || out.size() > MAX_INFLATED_BYTES) {
+                    throw new IOException("a chunk of items is truncated or too large");
                 }
-                out.write(some, 0, length);
+                out.write(buffer, 0, length);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new IOException("a piece of items that can't be read", e);
+            throw new IOException("a chunk of items is malformed", e);
         } finally {
             inflater.end();
         }
--- a/src/main/java/org/cypressweir/controlplane/distribution/VersionLog.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/VersionLog.java
@@ -13,82 +13,97 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * The states of the configuration that a harbour has shown, the newest whole and what changed from each to
- * the next: who has one of them is told only what has changed since, any other the whole.
+ * The newest committed configuration and a bounded log of the deltas that led to it. A subscriber at one of the
+ * logged versions is sent the delta since; any other is sent a snapshot. A version is named by the proposal number
+ * under which it was committed. Not thread-safe.
  */
 public final class VersionLog {
 
-    private static final int MOST = 64;
+    private static final int MAX_DELTAS = 64;
 
-    private record Step(ProposalNumber from, Collection<Item> changed) {}
+    private record Delta(ProposalNumber from, Collection<Item> changed) {}
 
-    /** What brings somebody to the newest state: the whole, or what has changed since a stamp. */
-    public record News(boolean whole, List<byte[]> pieces) {}
+    /**
+     * What brings a subscriber to the newest version.
+     *
+     * @param snapshot whether the chunks hold all items; else those that have changed since the subscriber's version
+     * @param chunks as {@link ItemChunks} packs them
+     */
+    public record Update(boolean snapshot, List<byte[]> chunks) {}
 
-    private ProposalNumber stamp = ProposalNumber.ZERO;
-    private Configuration manifest = Configuration.EMPTY;
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
-    /** Made once for all who stand at the same place. */
-    private final Map<ProposalNumber, News> news = new HashMap<>();
+    private ProposalNumber version = ProposalNumber.ZERO;
+    private Configuration configuration = Configuration.EMPTY;
+    private final ArrayDeque<Delta> deltas = new ArrayDeque<>();
+    /** Packed once for all subscribers at the same version. */
+    private final Map<ProposalNumber, Update> updates = new HashMap<>();
 
-    private News whole;
+    /** Null until somebody needs it. */
+    private Update snapshot;
 
-    public ProposalNumber stamp() {
-        return stamp;
+    /** The proposal number of the newest configuration. */
+    public ProposalNumber version() {
+        return version;
     }
 
-    public Configuration manifest() {
-        return manifest;
+    /** The newest configuration. */
+    public Configuration configuration() {
+        return configuration;
     }
 
-    /** A later state is shown. */
-    public void show(ProposalNumber next, Configuration its) {
-        if (next.compareTo(stamp) <= 0) {
+    /** Appends a committed configuration; one that is not newer is ignored. */
+    public void append(ProposalNumber nextVersion, Configuration next) {
+        if (nextVersion.compareTo(version) <= 0) {
             return;
         }
+        deltas.addLast(new Delta(version, changedItems(next)));
+        if (deltas.size() > MAX_DELTAS) {
+            deltas.removeFirst();
+        }
+        version = nextVersion;
+        configuration = next;
+        updates.clear();
+        snapshot = null;
+    }
+
+    private List<Item> changedItems(Configuration next) {
         List<Item> changed = new ArrayList<>();
-        for (Item item : its.items()) {
-            Item before = manifest.get(item.key());
+        for (Item item : next.items()) {
+            Item before = configuration.get(item.key());
             if (before == null || before.version() != item.version()) {
                 changed.add(item);
             }
         }
-        steps.addLast(new Step(stamp, changed));
-        if (steps.size() > MOST) {
-            steps.removeFirst();
-        }
-        stamp = next;
-        manifest = its;
-        news.clear();
-        whole = null;
+        return changed;
     }
 
-    /** What somebody at this stamp lacks, ready to go. */
-    public News newsFor(ProposalNumber at) {
-        return news.computeIfAbsent(at, s -> {
-            Collection<Item> changed = since(s);
-            if (changed != null) {
-                return new News(false, ItemChunks.pack(List.copyOf(changed)));
-            }
-            if (whole == null) {
-                whole = new News(true, ItemChunks.pack(manifest.items()));
-            }
-            return whole;
-        });
+    /** The update for a subscriber at this version, packed for sending. */
+    public Update updateSince(ProposalNumber from) {
+        return updates.computeIfAbsent(from, this::pack);
+    }
+
+    private Update pack(ProposalNumber from) {
+        Collection<Item> changed = changedSince(from);
+        if (changed != null) {
+            return new Update(false, ItemChunks.pack(List.copyOf(changed)));
+        }
+        if (snapshot == null) {
+            snapshot = new Update(true, ItemChunks.pack(configuration.items()));
+        }
+        return snapshot;
     }
 
-    /** What somebody at this stamp lacks; null where that is not known and the whole has to be told. */
-    public Collection<Item> since(ProposalNumber at) {
-        if (at.equals(stamp)) {
+    /** The items that have changed since this version; null where it is not in the log and a snapshot is needed. */
+    public Collection<Item> changedSince(ProposalNumber from) {
+        if (from.equals(version)) {
             return List.of();
         }
         Map<ItemKey, Item> changed = null;
-        for (Step step : steps) {
-            if (step.from.equals(at)) {
+        for (Delta delta : deltas) {
+            if (delta.from.equals(from)) {
                 changed = new LinkedHashMap<>();
             }
             if (changed != null) {
-                for (Item item : step.changed) {
+                for (Item item : delta.changed) {
                     changed.put(item.key(), item);
                 }
             }
--- a/src/main/java/org/cypressweir/controlplane/distribution/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/package-info.java
@@ -1,2 +1,5 @@
-/** News on the way to the data plane: a log of changes from a place on, and snapshots to start from. */
+/**
+ * Distribution of configuration and endpoints from controllers to proxies: logs of deltas, and snapshots for
+ * subscribers that have fallen behind a log.
+ */
 package org.cypressweir.controlplane.distribution;
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
@@ -7,106 +7,115 @@
 import java.util.Map;
 
 /**
- * What one harbour knows of pilots: what each told on the line that it keeps. A pilot whose line has gone, or
- * on whose line nothing is heard, is taken out after a while; whoever is lost with a harbour tells the next.
+ * The proxies registered with one controller, each over a connection that it keeps open. A proxy whose connection
+ * is lost or silent expires after a grace period. Kept in memory: after a restart of the controller the proxies
+ * register again. Not thread-safe; times are microseconds of one monotonic clock.
  */
 public final class ProxyRegistry {
 
-    /** Who was taken out without having said that it leaves. */
-    public record Missed(ProxyRegistration berth, long since) {}
+    /**
+     * A proxy that expired without a graceful shutdown.
+     *
+     * @param sinceMicros when it expired
+     */
+    public record ExpiredProxy(ProxyRegistration registration, long sinceMicros) {}
 
-    private static final int MOST_MISSED = 256;
-    private static final long KEEP_MISSED = 3_600_000_000L;
+    private static final int MAX_EXPIRED = 256;
+    private static final long EXPIRED_RETENTION_MICROS = 3_600_000_000L;
 
     private static final class Entry {
-        private ProxyRegistration berth;
-        private Object line;
-        private long lostAt;
+        private ProxyRegistration registration;
+        private Object connection;
+        /** 0 while the connection is alive. */
+        private long lostAtMicros;
     }
 
-    private final long grace;
+    private final long graceMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Missed> missed = new LinkedHashMap<>() {
+    private final Map<String, ExpiredProxy> expired = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Missed> eldest) {
-            return size() > MOST_MISSED;
+        protected boolean removeEldestEntry(Map.Entry<String, ExpiredProxy> eldest) {
+            return size() > MAX_EXPIRED;
         }
     };
 
-    /** @param graceMicros for which a pilot whose line has gone is still told of */
+    /** @param graceMicros for how long a proxy stays registered after its connection is lost */
     public ProxyRegistry(long graceMicros) {
-        grace = graceMicros;
+        this.graceMicros = graceMicros;
     }
 
-    /** A pilot tells of itself on this line; whether that is news. */
-    public boolean told(Object line, ProxyRegistration berth) {
-        Entry entry = entries.computeIfAbsent(berth.name(), n -> new Entry());
-        ProxyRegistration before = entry.berth;
-        if (before != null && before.isNewer(berth)) {
+    /** Registers a proxy under this connection; returns whether the registration is newer than the one known. */
+    public boolean register(Object connection, ProxyRegistration registration) {
+        Entry entry = entries.computeIfAbsent(registration.name(), name -> new Entry());
+        ProxyRegistration before = entry.registration;
+        if (before != null && before.isNewer(registration)) {
             return false;
         }
-        boolean news = berth.isNewer(before);
-        entry.berth = berth;
-        entry.line = line;
-        entry.lostAt = 0;
-        missed.remove(berth.name());
-        return news;
+        boolean changed = registration.isNewer(before);
+        entry.registration = registration;
+        entry.connection = connection;
+        entry.lostAtMicros = 0;
+        expired.remove(registration.name());
+        return changed;
     }
 
-    /** The line is gone, or silent. */
-    public void lost(long now, Object line) {
+    /** The connection was closed, or nothing has been received on it for too long. */
+    public void connectionLost(long nowMicros, Object connection) {
         for (Entry entry : entries.values()) {
-            if (entry.line == line && entry.lostAt == 0) {
-                entry.lostAt = now;
+            if (entry.connection == connection && entry.lostAtMicros == 0) {
+                entry.lostAtMicros = nowMicros;
             }
         }
     }
 
-    /** Something came again on a line that was silent. */
-    public void heard(Object line) {
+    /** Something was received on the connection, which may have been silent before. */
+    public void connectionAlive(Object connection) {
         for (Entry entry : entries.values()) {
-            if (entry.line == line) {
-                entry.lostAt = 0;
+            if (entry.connection == connection) {
+                entry.lostAtMicros = 0;
             }
         }
     }
 
-    /** Names that are taken out now. */
-    public List<String> sweep(long now) {
-        List<String> gone = new ArrayList<>();
+    /** Removes the proxies whose grace period has passed and returns their names. */
+    public List<String> expire(long nowMicros) {
+        List<String> names = new ArrayList<>();
         entries.forEach((name, entry) -> {
-            if (entry.lostAt != 0 && now - entry.lostAt > grace) {
-                gone.add(name);
+            if (entry.lostAtMicros != 0 && nowMicros - entry.lostAtMicros > graceMicros) {
+                names.add(name);
             }
         });
-        gone.forEach(name -> remove(now, name));
-        missed.values().removeIf(one -> now - one.since > KEEP_MISSED);
-        return gone;
+        names.forEach(name -> remove(nowMicros, name));
+        expired.values().removeIf(proxy -> nowMicros - proxy.sinceMicros > EXPIRED_RETENTION_MICROS);
+        return names;
     }
 
-    private void remove(long now, String name) {
-        ProxyRegistration berth = entries.remove(name).berth;
-        if (!berth.leaving()) {
-            missed.put(name, new Missed(berth, now));
+    private void remove(long nowMicros, String name) {
+        ProxyRegistration registration = entries.remove(name).registration;
+        if (!registration.leaving()) {
+            expired.put(name, new ExpiredProxy(registration, nowMicros));
         }
     }
 
-    /** Who is missed and has not come back; the last of them, each for an hour. */
-    public Collection<Missed> missed() {
-        return List.copyOf(missed.values());
+    /** The last proxies that expired and have not registered again, each for an hour. */
+    public Collection<ExpiredProxy> expired() {
+        return List.copyOf(expired.values());
     }
 
+    /** The registration of the named proxy; null where there is none. */
     public ProxyRegistration get(String name) {
         Entry entry = entries.get(name);
-        return entry == null ? null : entry.berth;
+        return entry == null ? null : entry.registration;
     }
 
+    /** All registrations, in the order in which the proxies first registered. */
     public Collection<ProxyRegistration> all() {
-        return entries.values().stream().map(e -> e.berth).toList();
+        return entries.values().stream().map(entry -> entry.registration).toList();
     }
 
+    /** How many proxies are registered. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/package-info.java
@@ -1,2 +1,5 @@
-/** Which pilots and servers there are: each tells it itself; kept in memory, told anew after a loss. */
+/**
+ * Registrations of proxies and of the application instances beside them. Each proxy registers itself; the state is
+ * kept in memory and rebuilt by the proxies after a controller restarts.
+ */
 package org.cypressweir.controlplane.registry;
--- a/src/main/java/org/cypressweir/dataplane/quota/DemandAggregator.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/DemandAggregator.java
@@ -6,89 +6,97 @@
 import java.util.TreeMap;
 
 /**
- * What tenants ask at each pilot, as the pilots tell it, summed by a harbour. A pilot that is silent counts
- * on for a time with what it told last: it may still let in by it. One whose line was ended does not.
+ * Sums the demand of tenants, in requests per second, over the proxies that report to one controller. The last
+ * report of a proxy that falls silent counts on for a while, since the proxy may still admit requests by it; after
+ * a disconnect it counts only briefly. Not thread-safe; times are microseconds of one monotonic clock.
  */
 public final class DemandAggregator {
 
-    /** For which a silent pilot counts. */
-    private static final long SILENT = 8_000_000;
+    /** For how long a report counts. */
+    private static final long REPORT_LIFETIME_MICROS = 8_000_000;
 
-    private static final long ENDED = 500_000;
+    /** For how long the report of a disconnected proxy counts. */
+    private static final long DISCONNECTED_LIFETIME_MICROS = 500_000;
 
-    /** A sum is told again once it has changed by so much, and by this part of it. */
-    private static final double NOTED = 0.5;
+    /** A total is published again once it has changed by more than this, in requests per second ... */
+    private static final double PUBLISHED_CHANGE = 0.5;
 
-    private static final double NOTED_PART = 0.05;
+    /** ... and by more than this fraction of the published value. */
+    private static final double PUBLISHED_CHANGE_FRACTION = 0.05;
 
-    private static final class Told {
-        private final Map<String, Double> asked = new HashMap<>();
-        private long until;
+    private static final class Report {
+        private final Map<String, Double> demandByTenant = new HashMap<>();
+        private long expiresAtMicros;
     }
 
-    private final Map<String, Told> pilots = new HashMap<>();
-    /** What was told of the sums last. */
-    private final Map<String, Double> told = new HashMap<>();
+    private final Map<String, Report> reports = new HashMap<>();
+    /** The totals as they were published last, by tenant. */
+    private final Map<String, Double> published = new HashMap<>();
 
     /**
-     * A pilot tells, by tenant, how many a second it is asked.
+     * Takes in a proxy's report.
      *
-     * @param whole whether these are all; else others stand as they were
+     * @param demandByTenant requests per second; a tenant without a positive number is removed
+     * @param complete whether tenants that are not in the report have no demand; else they stay as they were
      */
-    public void told(long now, String pilot, Map<?, ?> asked, boolean whole) {
-        Told its = pilots.computeIfAbsent(pilot, p -> new Told());
-        if (whole) {
-            its.asked.clear();
+    public void report(long nowMicros, String proxy, Map<?, ?> demandByTenant, boolean complete) {
+        Report report = reports.computeIfAbsent(proxy, name -> new Report());
+        if (complete) {
+            report.demandByTenant.clear();
         }
-        asked.forEach((tenant, rate) -> {
-            if (rate instanceof Number number && number.doubleValue() > 0) {
-                its.asked.put((String) tenant, number.doubleValue());
+        demandByTenant.forEach((tenant, demand) -> {
+            if (demand instanceof Number number && number.doubleValue() > 0) {
+                report.demandByTenant.put((String) tenant, number.doubleValue());
             } else {
-                its.asked.remove(tenant);
+                report.demandByTenant.remove(tenant);
             }
         });
-        its.until = now + SILENT;
+        report.expiresAtMicros = nowMicros + REPORT_LIFETIME_MICROS;
     }
 
-    /** A pilot's line was ended. */
-    public void ended(long now, String pilot) {
-        Told told = pilots.get(pilot);
-        if (told != null) {
-            told.until = Math.min(told.until, now + ENDED);
+    /** The proxy's connection was closed. */
+    public void disconnected(long nowMicros, String proxy) {
+        Report report = reports.get(proxy);
+        if (report != null) {
+            report.expiresAtMicros = Math.min(report.expiresAtMicros, nowMicros + DISCONNECTED_LIFETIME_MICROS);
         }
     }
 
-    /** By tenant, how many a second are asked in all. */
-    public Map<String, Double> sums(long now) {
-        Map<String, Double> sums = new TreeMap<>();
-        for (Iterator<Told> each = pilots.values().iterator(); each.hasNext(); ) {
-            Told told = each.next();
-            if (told.until < now) {
-                each.remove();
+    /** The demand of each tenant over all proxies, in requests per second. */
+    public Map<String, Double> totals(long nowMicros) {
+        Map<String, Double> totals = new TreeMap<>();
+        for (Iterator<Report> iterator = reports.values().iterator(); iterator.hasNext(); ) {
+            Report report = iterator.next();
+            if (report.expiresAtMicros < nowMicros) {
+                iterator.remove();
             } else {
-                told.asked.forEach((tenant, rate) -> sums.merge(tenant, rate, Double::sum));
+                report.demandByTenant.forEach((tenant, demand) -> totals.merge(tenant, demand, Double::sum));
             }
         }
-        return sums;
+        return totals;
     }
 
-    /** Those sums that have changed since they were told, or all of them; nought for who asks no more. */
-    public Map<String, Double> news(long now, boolean all) {
-        Map<String, Double> sums = sums(now);
-        Map<String, Double> news = new TreeMap<>();
-        sums.forEach((tenant, rate) -> {
-            double before = told.getOrDefault(tenant, 0.0);
-            if (all || Math.abs(rate - before) > Math.max(NOTED, NOTED_PART * before)) {
-                news.put(tenant, Math.round(rate * 100) / 100.0);
+    /**
+     * The totals to publish, which count as published from then on: those that have changed noticeably, or all. A
+     * tenant whose demand has ended is in it once with 0.
+     */
+    public Map<String, Double> takeChangedTotals(long nowMicros, boolean all) {
+        Map<String, Double> totals = totals(nowMicros);
+        Map<String, Double> changed = new TreeMap<>();
+        totals.forEach((tenant, demand) -> {
+            double before = published.getOrDefault(tenant, 0.0);
+            double threshold = Math.max(PUBLISHED_CHANGE, PUBLISHED_CHANGE_FRACTION * before);
+            if (all || Math.abs(demand - before) > threshold) {
+                changed.put(tenant, Math.round(demand * 100) / 100.0);
             }
         });
-        told.keySet().forEach(tenant -> {
-            if (!sums.containsKey(tenant)) {
-                news.put(tenant, 0.0);
+        published.keySet().forEach(tenant -> {
+            if (!totals.containsKey(tenant)) {
+                changed.put(tenant, 0.0);
             }
         });
-        told.putAll(news);
-        told.values().removeIf(rate -> rate == 0);
-        return news;
+        published.putAll(changed);
+        published.values().removeIf(demand -> demand == 0);
+        return changed;
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/controller/GoldenControllerMessagesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/GoldenControllerMessagesTest.java
@@ -33,7 +33,7 @@
 class GoldenControllerMessagesTest {
 
     private static final long NOW = 5_000_000;
-    private static final long LIFE = 900;
+    private static final long INCARNATION = 900;
     private static final long CONFIRMED_AGE = 40;
     private static final ProposalNumber FIRST = new ProposalNumber(3, "10.0.0.1:7");
     private static final ProposalNumber SECOND = new ProposalNumber(4, "10.0.0.2:7/42");
@@ -59,16 +59,16 @@
 
     private final RecordedPeerConnection recorded = new RecordedPeerConnection(NOW);
     private final List<String> lines = new ArrayList<>();
-    private UpdatePublisher controller;
+    private UpdatePublisher publisher;
 
     @BeforeEach
     void start() {
-        controller = new UpdatePublisher(() -> NOW, LIFE, "10.0.0.1:9", () -> CONFIRMED_AGE);
+        publisher = new UpdatePublisher(() -> NOW, INCARNATION, "10.0.0.1:9", () -> CONFIRMED_AGE);
     }
 
     private void receives(String json) {
         lines.add("< " + json);
-        controller.heard(recorded.line(), RecordedPeerConnection.head(json));
+        publisher.received(recorded.line(), RecordedPeerConnection.head(json));
         take();
     }
 
@@ -76,15 +76,15 @@
         recorded.takeMessages().forEach(message -> lines.add("> " + message));
     }
 
-    private static String registration(ProxyRegistration berth) {
+    private static String registration(ProxyRegistration registration) {
         return new String(
-                JsonCodec.bytes(JsonCodec.map("t", "berth", "berth", berth.toMap(NOW))), StandardCharsets.UTF_8);
+                JsonCodec.bytes(JsonCodec.map("t", "berth", "berth", registration.toMap(NOW))), StandardCharsets.UTF_8);
     }
 
     @Test
     void messagesAreTheSame() {
-        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
-        controller.welcome(recorded.line(), "proxy-1");
+        publisher.committed(FIRST, Configuration.of(ITEMS), VOTERS);
+        publisher.connected(recorded.line(), "proxy-1");
         take();
         receives(registration(REGISTRATION));
         receives("{\"t\":\"follow\",\"life\":0,\"place\":-1}");
@@ -93,11 +93,11 @@
         receives("{\"t\":\"contact\",\"asked\":4000000}");
         receives("{\"t\":\"tally\",\"asked\":{\"acme\":2.5,\"till\":1.25},\"whole\":true}");
         receives("{\"t\":\"sums\",\"on\":true}");
-        controller.tellTallies();
+        publisher.publishDemand();
         take();
-        controller.show(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        publisher.committed(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
         take();
-        controller.tick();
+        publisher.tick();
         take();
         Golden.assertSame("messages/controller-to-proxy.txt", lines);
     }
@@ -105,12 +105,13 @@
     /** The body is compressed: what counts is what it holds. */
     @Test
     void itemsAreTheSame() throws Exception {
-        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
-        controller.show(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
-        controller.welcome(recorded.line(), "proxy-1");
+        publisher.committed(FIRST, Configuration.of(ITEMS), VOTERS);
+        publisher.committed(SECOND, Configuration.of(ITEMS).with(List.of(WITHDRAWN)), VOTERS);
+        publisher.connected(recorded.line(), "proxy-1");
         recorded.takeFrames();
-        for (String has : List.of("0@", FIRST.toString())) {
-            controller.heard(recorded.line(), RecordedPeerConnection.head("{\"t\":\"want\",\"have\":\"" + has + "\"}"));
+        for (String version : List.of("0@", FIRST.toString())) {
+            publisher.received(
+                    recorded.line(), RecordedPeerConnection.head("{\"t\":\"want\",\"have\":\"" + version + "\"}"));
             takeItems();
         }
         Golden.assertSame("messages/controller-items.txt", lines);
@@ -136,15 +137,27 @@
     /** The answer to the call for the state, which the command line tool reads. */
     @Test
     void stateIsTheSame() {
-        controller.show(FIRST, Configuration.of(ITEMS), VOTERS);
-        controller.welcome(recorded.line(), "proxy-1");
+        publisher.committed(FIRST, Configuration.of(ITEMS), VOTERS);
+        publisher.connected(recorded.line(), "proxy-1");
         receives(registration(REGISTRATION));
         receives(registration(WITHOUT_INSTANCE));
         PersistentState stored = new PersistentState(FIRST, FIRST, VOTERS, ITEMS, false, 0);
         ConsensusReplica replica = new ConsensusReplica(
-                ConsensusOptions.usual(), VOTERS.get(0), VOTERS, false, stored, LIFE, new SplittableRandom(1), NOW);
+                ConsensusOptions.usual(),
+                VOTERS.get(0),
+                VOTERS,
+                false,
+                stored,
+                INCARNATION,
+                new SplittableRandom(1),
+                NOW);
         Map<String, Object> state = ControllerStatus.of(
-                NOW, "controller-1", "10.0.0.1:9", "10.0.0.1:7", LIFE, List.of(), replica, controller, true);
+                NOW,
+                new ControllerIdentity("controller-1", "10.0.0.1:9", "10.0.0.1:7", INCARNATION),
+                List.of(),
+                replica,
+                publisher,
+                true);
         Golden.assertSame(
                 "messages/controller-state.txt", List.of(new String(JsonCodec.bytes(state), StandardCharsets.UTF_8)));
     }
--- a/src/test/java/org/cypressweir/controlplane/controller/GoldenOperatorAnswersTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/GoldenOperatorAnswersTest.java
@@ -20,7 +20,7 @@
 /** The controller's answers to operators, with the kind of error in each. */
 class GoldenOperatorAnswersTest {
 
-    private static final Configuration MANIFEST = Configuration.of(List.of(
+    private static final Configuration CONFIGURATION = Configuration.of(List.of(
             new Item(new ItemKey(ItemType.ROUTES, "orders"), 1, Map.of("prefix", "/orders")),
             new Item(new ItemKey(ItemType.SERVICES, "till"), 2, null)));
 
@@ -33,7 +33,7 @@
     void answersAreTheSame() {
         List<String> lines = new ArrayList<>();
         lines.add(line(new ProposalResult.Taken(new ProposalNumber(4, "10.0.0.1:7"))));
-        lines.add(line(new ProposalResult.Read(MANIFEST)));
+        lines.add(line(new ProposalResult.Read(CONFIGURATION)));
         lines.add(line(new ProposalResult.Unavailable("no majority")));
         Stream.of(RejectionKind.values())
                 .forEach(kind -> lines.add(line(new ProposalResult.Refused(new Rejection(kind, "a reason")))));
--- a/src/test/java/org/cypressweir/controlplane/distribution/EndpointChangeLogTest.java
+++ b/src/test/java/org/cypressweir/controlplane/distribution/EndpointChangeLogTest.java
@@ -4,34 +4,34 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who stands at a place is told the names from there on, once each. */
+/** A subscriber gets the names that have changed since its offset, each once. */
 class EndpointChangeLogTest {
 
     private final EndpointChangeLog log = new EndpointChangeLog();
 
     @Test
-    void namesAreToldFromAPlaceOn() {
-        assertThat(log.since(0)).isEmpty();
-        log.changed("a");
-        log.changed("b");
-        long place = log.end();
-        log.changed("c");
-        log.changed("a");
-        log.changed("c");
-        assertThat(log.since(0)).containsExactly("a", "b", "c");
-        assertThat(log.since(place)).containsExactly("c", "a");
-        assertThat(log.since(log.end())).isEmpty();
-        assertThat(log.since(log.end() + 1)).isNull();
-        assertThat(log.since(-1)).isNull();
+    void changesSinceAnOffsetAreNamedOnce() {
+        assertThat(log.changedSince(0)).isEmpty();
+        log.append("a");
+        log.append("b");
+        long offset = log.endOffset();
+        log.append("c");
+        log.append("a");
+        log.append("c");
+        assertThat(log.changedSince(0)).containsExactly("a", "b", "c");
+        assertThat(log.changedSince(offset)).containsExactly("c", "a");
+        assertThat(log.changedSince(log.endOffset())).isEmpty();
+        assertThat(log.changedSince(log.endOffset() + 1)).isNull();
+        assertThat(log.changedSince(-1)).isNull();
     }
 
     @Test
-    void whatIsTooOldIsNotKnown() {
+    void anOffsetThatIsTooOldIsUnknown() {
         for (int i = 0; i < 10_000; i++) {
-            log.changed("n" + i % 3);
+            log.append("n" + i % 3);
         }
-        assertThat(log.since(0)).isNull();
-        assertThat(log.since(log.end() - 4_096)).hasSize(3);
-        assertThat(log.since(log.end() - 4_097)).isNull();
+        assertThat(log.changedSince(0)).isNull();
+        assertThat(log.changedSince(log.endOffset() - 4_096)).hasSize(3);
+        assertThat(log.changedSince(log.endOffset() - 4_097)).isNull();
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -321,7 +321,7 @@
     void withoutAMajorityAPilotStartsWithWhatThereIs() throws Exception {
         rig.kill("h2");
         rig.kill("h3");
-        rig.await("h1 knows that it is alone", () -> rig.log("h1").contains("out of contact with most"));
+        rig.await("h1 knows that it is alone", () -> rig.log("h1").contains("quorum contact lost"));
         RawHttpClient.Message refused = rig.read("h1");
         assertThat(refused.status()).isEqualTo(503);
         assertThat(refused.headers()).containsKey("Retry-After");
--- a/src/test/java/org/cypressweir/dataplane/quota/QuotaSharesTest.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/QuotaSharesTest.java
@@ -20,7 +20,7 @@
 
     private final SplittableRandom random = new SplittableRandom(7);
     private final List<QuotaShares> pilots = new ArrayList<>();
-    private final DemandAggregator demands = new DemandAggregator();
+    private final DemandAggregator demand = new DemandAggregator();
     private final List<Long> served = new ArrayList<>();
     private int asked;
     private int servedOf;
@@ -34,12 +34,12 @@
                 boolean whole = now / TELL % 10 == 0;
                 Map<String, Double> its = pilots.get(i).news(now, whole);
                 if (!its.isEmpty()) {
-                    demands.told(now, "p" + i, its, whole);
+                    demand.report(now, "p" + i, its, whole);
                 }
             }
         }
         if (now % TELL == 100_000) {
-            Map<String, Double> sums = demands.news(now, now / TELL % 10 == 5);
+            Map<String, Double> sums = demand.takeChangedTotals(now, now / TELL % 10 == 5);
             for (int i = 0; i < fleet && !sums.isEmpty(); i++) {
                 if (i > 0 || now < cutAt) {
                     pilots.get(i).told(now, "h", new HashMap<>(sums));
--- a/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -34,8 +34,8 @@
             for (String harbour : harbours) {
                 rig.restart(harbour);
             }
-            rig.await(
-                    "all ask", () -> harbours.stream().allMatch(h -> rig.log(h).endsWith("It is empty.\n")));
+            rig.await("all ask", () -> harbours.stream()
+                    .allMatch(h -> rig.log(h).endsWith("store opened accepted=none\n")));
             for (String harbour : harbours) {
                 assertThat(rig.read(harbour).status()).isEqualTo(503);
             }
