--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -27,14 +27,14 @@
 import org.cypressweir.testkit.SimulatedReplicas;
 import org.junit.jupiter.api.Test;
 
-/** The page's tables of orders are what the code does; -Dorders.table=write puts them there anew. */
+/** Checks the tables of the page against the code; with -Dorders.table=write it writes them instead. */
 class ConfigurationChangeTableTest {
 
     private static final Path PAGE = Path.of("docs/design/orders.md");
-    private static final long PATIENCE = 3_000_000;
+    private static final long TIMEOUT_MICROS = 3_000_000;
     private static final long FLOOR = 3;
 
-    /** What a call says of one item. */
+    /** One item of a configuration change, in relation to what is committed. */
     private enum Part {
         NEW(10, 10, true),
         NEW_AND_INVALID(10, 10, false),
@@ -47,17 +47,17 @@
         FORGOTTEN(2, 2, true);
 
         private final long version;
-        private final int which;
+        private final int content;
         private final boolean valid;
 
-        Part(long version, int which, boolean valid) {
+        Part(long version, int content, boolean valid) {
             this.version = version;
-            this.which = which;
+            this.content = content;
             this.valid = valid;
         }
 
-        private String of(String tenant) {
-            return "\"" + tenant + "\":{\"apiKeys\":[\"" + tenant + which + "\"],\"ratePerS\":" + (valid ? 1 : -1)
+        private String json(String tenant) {
+            return "\"" + tenant + "\":{\"apiKeys\":[\"" + tenant + content + "\"],\"ratePerS\":" + (valid ? 1 : -1)
                     + ",\"configVersion\":\"r" + version + "\"}";
         }
 
@@ -66,62 +66,66 @@
         }
     }
 
-    /** One harbour, the whole crew; r9 of two tenants stands after r5, and r3 is the floor. */
-    private static final class Alone {
-        private final ConsensusReplica copies;
+    /** One controller, the only voter; r9 of two tenants is committed after r5, and r3 is the floor. */
+    private static final class SingleController {
+        private final ConsensusReplica replica;
         private ProposalResult result;
 
-        private Alone() {
+        private SingleController() {
             PersistentState before = new PersistentState(
                     new ProposalNumber(1, "h"),
                     new ProposalNumber(1, "h"),
                     List.of("h"),
                     List.of(item("a"), item("b")),
                     false);
-            copies = new ConsensusReplica(
+            replica = new ConsensusReplica(
                     ConsensusOptions.usual(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
-            act(copies.start(0));
-            send(null);
+            execute(replica.start(0));
+            submit(null);
         }
 
         private static Item item(String tenant) {
-            Item first = order(Part.SUPERSEDED.of(tenant)).items().get(0);
-            Item five = new Item(first.key(), first.version(), first.content(), List.of(), FLOOR);
-            ConsensusReplica one = new ConsensusReplica(
+            Item superseded = change(Part.SUPERSEDED.json(tenant)).items().get(0);
+            Item withFloor = new Item(superseded.key(), superseded.version(), superseded.content(), List.of(), FLOOR);
+            ConsensusReplica previous = new ConsensusReplica(
                     ConsensusOptions.usual(),
                     "h",
                     List.of("h"),
                     false,
                     new PersistentState(
-                            new ProposalNumber(1, "h"), new ProposalNumber(1, "h"), List.of("h"), List.of(five), false),
+                            new ProposalNumber(1, "h"),
+                            new ProposalNumber(1, "h"),
+                            List.of("h"),
+                            List.of(withFloor),
+                            false),
                     1,
                     new SplittableRandom(1),
                     0);
-            act(one, one.start(0));
-            act(one, one.submit(0, 1, order(Part.STANDS.of(tenant)), PATIENCE));
-            return one.shown().manifest().get(first.key());
+            execute(previous, previous.start(0));
+            execute(previous, previous.submit(0, 1, change(Part.STANDS.json(tenant)), TIMEOUT_MICROS));
+            return previous.shown().manifest().get(superseded.key());
         }
 
-        private int send(ConfigurationChange order) {
-            act(copies.submit(0, 1, order, PATIENCE));
+        private int submit(ConfigurationChange change) {
+            execute(replica.submit(0, 1, change, TIMEOUT_MICROS));
             return OperatorApiHandler.answer(result).status();
         }
 
         private Map<String, Object> layout() {
-            return copies.shown().manifest().layout();
+            return replica.shown().manifest().layout();
         }
 
-        private void act(List<Effect> effects) {
-            ProposalResult given = act(copies, effects);
-            result = given == null ? result : given;
+        private void execute(List<Effect> effects) {
+            ProposalResult latest = execute(replica, effects);
+            result = latest == null ? result : latest;
         }
 
-        private static ProposalResult act(ConsensusReplica copies, List<Effect> effects) {
-            Deque<Effect> due = new ArrayDeque<>(effects);
+        private static ProposalResult execute(ConsensusReplica replica, List<Effect> effects) {
+            Deque<Effect> queue = new ArrayDeque<>(effects);
             ProposalResult result = null;
-            for (Effect effect; (effect = due.poll()) != null; ) {
+            for (Effect effect; (effect = queue.poll()) != null; ) {
                 if (effect instanceof Effect.Write write) {
-                    due.addAll(copies.written(0, write.number(), true));
+                    queue.addAll(replica.written(0, write.number(), true));
                 } else if (effect instanceof Effect.Answer answer) {
                     result = answer.verdict();
                 }
@@ -130,24 +134,26 @@
         }
     }
 
-    private static ConfigurationChange order(String... parts) {
+    private static ConfigurationChange change(String... parts) {
         return ConfigurationChange.read(("{\"upsert\":{\"tenantTable\":{" + String.join(",", parts) + "}}}")
                         .getBytes(StandardCharsets.UTF_8))
                 .get();
     }
 
-    /** The answer, in bold where something comes into force. Sent again at once it is the same. */
+    /** The status of the answer, in bold where the configuration changes. A repeated call is answered the same. */
     private static String answer(String... parts) {
-        Alone harbour = new Alone();
-        Map<String, Object> before = harbour.layout();
-        int status = harbour.send(order(parts));
-        Map<String, Object> after = harbour.layout();
-        assertThat(harbour.send(order(parts))).as(List.of(parts).toString()).isEqualTo(status);
-        assertThat(harbour.layout()).isEqualTo(after);
+        SingleController controller = new SingleController();
+        Map<String, Object> before = controller.layout();
+        int status = controller.submit(change(parts));
+        Map<String, Object> after = controller.layout();
+        assertThat(controller.submit(change(parts)))
+                .as(List.of(parts).toString())
+                .isEqualTo(status);
+        assertThat(controller.layout()).isEqualTo(after);
         return status != 200 || after.equals(before) ? Integer.toString(status) : "**" + status + "**";
     }
 
-    private static String calls() {
+    private static String singleCalls() {
         StringBuilder table = new StringBuilder("| one item is | alone |");
         for (Part second : Part.values()) {
             table.append(" and ").append(second.title()).append(" |");
@@ -157,13 +163,13 @@
             table.append("| ")
                     .append(first.title())
                     .append(" | ")
-                    .append(answer(first.of("a")))
+                    .append(answer(first.json("a")))
                     .append(" |");
             for (Part second : Part.values()) {
-                String answer = answer(first.of("a"), second.of("b"));
+                String answer = answer(first.json("a"), second.json("b"));
                 assertThat(answer)
-                        .isEqualTo(answer(first.of("b"), second.of("a")))
-                        .isEqualTo(answer(second.of("a"), first.of("b")));
+                        .isEqualTo(answer(first.json("b"), second.json("a")))
+                        .isEqualTo(answer(second.json("a"), first.json("b")));
                 table.append(' ').append(answer).append(" |");
             }
             table.append('\n');
@@ -171,8 +177,8 @@
         return table.toString();
     }
 
-    /** What may have become of an order whose answer was lost, before it is sent again to another harbour. */
-    private enum Lost {
+    /** What may have become of a change whose answer was lost, before it is sent again to another controller. */
+    private enum LostAnswer {
         AGREED("it was agreed"),
         ONE_DISK("it is on one disk alone, whose harbour is down"),
         CUT_OFF("it is on one disk alone, whose harbour is cut off"),
@@ -184,7 +190,7 @@
 
         private final String title;
 
-        Lost(String title) {
+        LostAnswer(String title) {
             this.title = title;
         }
     }
@@ -194,97 +200,105 @@
                 + "\"}}}}";
     }
 
-    private static void until(SimulatedReplicas world, BooleanSupplier holds) {
-        for (int i = 0; i < 10_000 && !holds.getAsBoolean(); i++) {
-            world.run(100);
+    private static void runUntil(SimulatedReplicas simulation, BooleanSupplier condition) {
+        for (int i = 0; i < 10_000 && !condition.getAsBoolean(); i++) {
+            simulation.run(100);
         }
-        assertThat(holds.getAsBoolean()).isTrue();
+        assertThat(condition.getAsBoolean()).isTrue();
     }
 
-    private static boolean writesIt(SimulatedReplicas world, int harbour) {
-        return world.writing(world.harbour(harbour)) != null
-                && world.writing(world.harbour(harbour)).items().stream().anyMatch(i -> i.version() == 5);
+    private static boolean writesChange(SimulatedReplicas simulation, int controller) {
+        return simulation.writing(simulation.harbour(controller)) != null
+                && simulation.writing(simulation.harbour(controller)).items().stream()
+                        .anyMatch(i -> i.version() == 5);
     }
 
-    private static void cutOff(SimulatedReplicas world) {
+    private static void partitionFirst(SimulatedReplicas simulation) {
         for (int other = 2; other <= 3; other++) {
-            world.cut(world.harbour(1).address(), world.harbour(other).address());
-            world.cut(world.harbour(other).address(), world.harbour(1).address());
+            simulation.cut(
+                    simulation.harbour(1).address(), simulation.harbour(other).address());
+            simulation.cut(
+                    simulation.harbour(other).address(), simulation.harbour(1).address());
         }
     }
 
-    private static String again(Lost lost) {
-        SimulatedReplicas world = new SimulatedReplicas(lost.ordinal(), 3);
-        world.run(500_000);
-        assertThat(world.await(world.submit(world.harbour(3), tenant(4, "first"), PATIENCE)))
+    private static String statusOfRepetition(LostAnswer lostAnswer) {
+        SimulatedReplicas simulation = new SimulatedReplicas(lostAnswer.ordinal(), 3);
+        simulation.run(500_000);
+        assertThat(simulation.await(simulation.submit(simulation.harbour(3), tenant(4, "first"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
-        world.run(500_000);
-        long first = world.submit(world.harbour(1), tenant(5, "it"), PATIENCE);
-        if (lost == Lost.AGREED || lost == Lost.WIPED || lost == Lost.AGREED_NEWER) {
-            assertThat(world.await(first)).isInstanceOf(ProposalResult.Taken.class);
+        simulation.run(500_000);
+        long first = simulation.submit(simulation.harbour(1), tenant(5, "it"), TIMEOUT_MICROS);
+        if (lostAnswer == LostAnswer.AGREED
+                || lostAnswer == LostAnswer.WIPED
+                || lostAnswer == LostAnswer.AGREED_NEWER) {
+            assertThat(simulation.await(first)).isInstanceOf(ProposalResult.Taken.class);
         } else {
-            until(world, () -> writesIt(world, 1));
-            if (lost == Lost.TWO_DISKS) {
-                world.cut(world.harbour(1).address(), world.harbour(3).address());
-                until(world, () -> writesIt(world, 2));
-                until(world, () -> !writesIt(world, 2));
+            runUntil(simulation, () -> writesChange(simulation, 1));
+            if (lostAnswer == LostAnswer.TWO_DISKS) {
+                simulation.cut(
+                        simulation.harbour(1).address(), simulation.harbour(3).address());
+                runUntil(simulation, () -> writesChange(simulation, 2));
+                runUntil(simulation, () -> !writesChange(simulation, 2));
             } else {
-                cutOff(world);
-                until(world, () -> !writesIt(world, 1));
+                partitionFirst(simulation);
+                runUntil(simulation, () -> !writesChange(simulation, 1));
             }
-            if (lost != Lost.CUT_OFF) {
-                world.crash(world.harbour(1));
+            if (lostAnswer != LostAnswer.CUT_OFF) {
+                simulation.crash(simulation.harbour(1));
             }
         }
-        if (lost == Lost.WIPED) {
-            world.wipe(world.harbour(1));
+        if (lostAnswer == LostAnswer.WIPED) {
+            simulation.wipe(simulation.harbour(1));
         }
-        if (lost == Lost.NEWER || lost == Lost.AGREED_NEWER || lost == Lost.OTHER) {
-            String other = lost == Lost.OTHER ? tenant(5, "other") : tenant(6, "newer");
-            assertThat(world.await(world.submit(world.harbour(3), other, PATIENCE)))
+        if (lostAnswer == LostAnswer.NEWER || lostAnswer == LostAnswer.AGREED_NEWER || lostAnswer == LostAnswer.OTHER) {
+            String other = lostAnswer == LostAnswer.OTHER ? tenant(5, "other") : tenant(6, "newer");
+            assertThat(simulation.await(simulation.submit(simulation.harbour(3), other, TIMEOUT_MICROS)))
                     .isInstanceOf(ProposalResult.Taken.class);
         }
-        long second = world.submit(world.harbour(2), tenant(5, "it"), PATIENCE);
-        int status = OperatorApiHandler.answer(world.await(second)).status();
-        world.heal();
-        if (!world.harbour(1).up()) {
-            world.start(1);
+        long second = simulation.submit(simulation.harbour(2), tenant(5, "it"), TIMEOUT_MICROS);
+        int status = OperatorApiHandler.answer(simulation.await(second)).status();
+        simulation.heal();
+        if (!simulation.harbour(1).up()) {
+            simulation.start(1);
         }
-        world.run(8_000_000);
-        List<Object> stands = new ArrayList<>();
-        for (int harbour = 1; harbour <= 3; harbour++) {
-            stands.add(world.harbour(harbour)
+        simulation.run(8_000_000);
+        List<Object> committed = new ArrayList<>();
+        for (int controller = 1; controller <= 3; controller++) {
+            committed.add(simulation
+                    .harbour(controller)
                     .copies()
                     .shown()
                     .manifest()
                     .get(new ItemKey(ItemType.TENANTS, "t"))
                     .content()
                     .get("apiKeys"));
-            long third = world.submit(world.harbour(harbour), tenant(5, "it"), PATIENCE);
-            assertThat(OperatorApiHandler.answer(world.await(third)).status()).isEqualTo(status);
+            long third = simulation.submit(simulation.harbour(controller), tenant(5, "it"), TIMEOUT_MICROS);
+            assertThat(OperatorApiHandler.answer(simulation.await(third)).status())
+                    .isEqualTo(status);
         }
-        assertThat(world.checks().breach()).isNull();
-        assertThat(stands.stream().distinct()).hasSize(1);
-        return status + " | " + stands.get(0).toString().replaceAll("[\\[\\]]", "");
+        assertThat(simulation.checks().breach()).isNull();
+        assertThat(committed.stream().distinct()).hasSize(1);
+        return status + " | " + committed.get(0).toString().replaceAll("[\\[\\]]", "");
     }
 
-    private static String lost() {
+    private static String lostAnswers() {
         StringBuilder table = new StringBuilder(
                 "| the answer was lost, and | sent again elsewhere | what stands then |\n" + "| --- | --- | --- |\n");
-        for (Lost lost : Lost.values()) {
+        for (LostAnswer lostAnswer : LostAnswer.values()) {
             table.append("| ")
-                    .append(lost.title)
+                    .append(lostAnswer.title)
                     .append(" | ")
-                    .append(again(lost))
+                    .append(statusOfRepetition(lostAnswer))
                     .append(" |\n");
         }
         return table.toString();
     }
 
-    private static void held(String name, String table) throws IOException {
-        String begin = "<!-- " + name + ": begin -->\n";
+    private static void checkTable(String name, String table) throws IOException {
+        String marker = "<!-- " + name + ": begin -->\n";
         String page = Files.readString(PAGE);
-        int from = page.indexOf(begin) + begin.length();
+        int from = page.indexOf(marker) + marker.length();
         int to = page.indexOf("<!-- " + name + ": end -->\n");
         if ("write".equals(System.getProperty("orders.table"))) {
             Files.writeString(PAGE, page.substring(0, from) + table + page.substring(to));
@@ -294,8 +308,8 @@
     }
 
     @Test
-    void thePageSaysWhatTheCodeDoes() throws IOException {
-        held("calls", calls());
-        held("lost answers", lost());
+    void tablesOfThePageMatchTheCode() throws IOException {
+        checkTable("calls", singleCalls());
+        checkTable("lost answers", lostAnswers());
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultScenarioTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultScenarioTest.java
@@ -9,29 +9,30 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Drawn days of harbours as processes; more and longer ones with -Dharbour.days=100 -Dharbour.faults=12, cuts
- * of up to 20 s with -Dharbour.cut=20000, orders are sent again long after too.
+ * Random fault scenarios over controllers as processes; more and longer ones with -Dharbour.days=100
+ * -Dharbour.faults=12, partitions of up to 20 s with -Dharbour.cut=20000. Changes are sent again long after, too.
  */
 class ControllerFaultScenarioTest {
 
-    private static final int FIRST = Integer.getInteger("harbour.first", 0);
-    private static final int DAYS = Integer.getInteger("harbour.days", 1);
-    private static final int FAULTS = Integer.getInteger("harbour.faults", 3);
+    private static final int FIRST_SEED = Integer.getInteger("harbour.first", 0);
+    private static final int SCENARIOS = Integer.getInteger("harbour.days", 1);
+    private static final int FAULTS_PER_SCENARIO = Integer.getInteger("harbour.faults", 3);
 
     @TempDir
     private Path folder;
 
     @Test
     void nothingAcknowledgedIsLost() throws Exception {
-        for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            long begun = System.nanoTime();
-            Path own = Files.createDirectory(folder.resolve("day" + seed));
-            try (ControllerFaultScenario day = new ControllerFaultScenario(own, seed % 2 == 0 ? 3 : 5, seed)) {
-                String breach = day.run(FAULTS);
-                assertThat(breach).as("seed %s: %s", seed, day).isNull();
-                if (DAYS > 1) {
-                    System.out.println(
-                            "seed " + seed + ", " + (System.nanoTime() - begun) / 1_000_000_000 + " s: " + day);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SCENARIOS; seed++) {
+            long startNanos = System.nanoTime();
+            Path scenarioFolder = Files.createDirectory(folder.resolve("day" + seed));
+            try (ControllerFaultScenario scenario =
+                    new ControllerFaultScenario(scenarioFolder, seed % 2 == 0 ? 3 : 5, seed)) {
+                String breach = scenario.run(FAULTS_PER_SCENARIO);
+                assertThat(breach).as("seed %s: %s", seed, scenario).isNull();
+                if (SCENARIOS > 1) {
+                    System.out.println("seed " + seed + ", " + (System.nanoTime() - startNanos) / 1_000_000_000 + " s: "
+                            + scenario);
                 }
             }
         }
--- /dev/null
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -0,0 +1,491 @@
+package org.cypressweir.controlplane.controller;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.net.ConnectException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Queue;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.stream.IntStream;
+import org.cypressweir.testkit.ApplicationStubs;
+import org.cypressweir.testkit.ConnectionRelay;
+import org.cypressweir.testkit.ConnectionRelay.Way;
+import org.cypressweir.testkit.MeshFixture;
+import org.cypressweir.testkit.OperatorChecks;
+import org.cypressweir.testkit.RawHttpClient;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Scripted faults that the control plane must tolerate, over processes with network partitions between them; in full
+ * length with -Dharbour.full=true.
+ */
+@Timeout(600)
+class ControllerFaultToleranceTest {
+
+    private static final boolean FULL = Boolean.getBoolean("harbour.full");
+    /** Whether changes are sent again after many newer ones. */
+    private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
+    /** Whether a proxy that starts waits for a configuration that a majority has confirmed. */
+    private static final boolean CONFIRMED = Boolean.getBoolean("harbour.confirmed");
+    /** Whether a successor that has caught up is a voter in place of the machine that it replaced. */
+    private static final boolean REPLACED = Boolean.getBoolean("harbour.replaced");
+
+    private static final int PARTITION_SECONDS = FULL ? 20 : 3;
+    /** Longer than each time-out of the connections. */
+    private static final int SILENCE_SECONDS = FULL ? 10 : 5;
+
+    private static final int CATCH_UP_SECONDS = 4;
+    private static final int CHANGE_COUNT = FULL ? 1_000 : 60;
+    private static final int CONFLICTS = REPEATS ? 40 : 6;
+    /** A controller that was down is up to date within this, its own start included. */
+    private static final int MAX_CATCH_UP_MILLIS = 5_000;
+
+    private static final int CALLERS = 24;
+    private static final List<String> CONTROLLERS = List.of("h1", "h2", "h3");
+
+    @TempDir
+    private Path folder;
+
+    private MeshFixture rig;
+    private final OperatorChecks checks = new OperatorChecks();
+    private final AtomicLong versions = new AtomicLong();
+
+    private void start(List<String> services, int controllerCount) throws Exception {
+        rig = MeshFixture.withCuts(folder, controllerCount, services);
+        rig.order("h1", initialConfiguration("old.mesh", 1));
+        rig.begun();
+        for (int i = 1; i <= services.size(); i++) {
+            rig.ready("p" + i);
+        }
+    }
+
+    @AfterEach
+    void stop() throws IOException {
+        if (rig != null) {
+            rig.close();
+        }
+    }
+
+    private static String initialConfiguration(String host, int version) {
+        return "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health','maxConnections':64,"
+                + "'configVersion':'r1'}},'routeTable':{'one':{'hostname':'" + host + "','pathPrefix':'/',"
+                + "'routeType':'non_idempotent','timeout':'9s','targetLatency':'3s','priority':1,"
+                + "'service':'orders','maxAttempts':3,'publicAccess':true,'configVersion':'r" + version
+                + "'}}}}";
+    }
+
+    private static long deadlineIn(int seconds) {
+        return System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+    }
+
+    private static Thread inBackground(Step step, Queue<Throwable> failures) {
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        step.run();
+                    } catch (Exception | AssertionError e) {
+                        failures.add(e);
+                    }
+                },
+                "background");
+        thread.start();
+        return thread;
+    }
+
+    private interface Step {
+        void run() throws Exception;
+    }
+
+    /** Sends changes and reads to these in turn until the deadline; returns how many changes were acknowledged. */
+    private int operate(List<String> controllers, long deadline) {
+        int acknowledged = 0;
+        for (int n = 0; System.nanoTime() < deadline; n++) {
+            String controller = controllers.get(n % controllers.size());
+            try {
+                String change = OperatorChecks.order("t" + n % 5, "k" + n % 5, versions.incrementAndGet());
+                int status = rig.modify(controller, change).status();
+                checks.modified(change, status);
+                acknowledged += status == 200 ? 1 : 0;
+                read(controller);
+            } catch (IOException e) {
+                // Unreachable: the next one may be reachable.
+            }
+        }
+        return acknowledged;
+    }
+
+    private boolean read(String controller) throws IOException {
+        Map<String, Long> floor = checks.floor();
+        RawHttpClient.Message answer = rig.firstAnswer(controller);
+        if (answer.status() == 200) {
+            checks.read(floor, answer.body());
+        }
+        return answer.status() == 200;
+    }
+
+    private void awaitAllRead() throws InterruptedException {
+        for (String controller : CONTROLLERS) {
+            rig.await(controller + " reads", () -> read(controller));
+        }
+        assertThat(checks.breach()).as("%s", checks).isNull();
+    }
+
+    @Test
+    void oneControllerIsPartitioned() throws Exception {
+        start(List.of("orders", "orders"), 3);
+        ConnectionRelay relay = rig.relay();
+        for (Way way : FULL ? List.of(Way.HOLD, Way.LOSE, Way.RESET, Way.REFUSE) : List.of(Way.HOLD)) {
+            int route = way.ordinal() * 2;
+            rig.kill("p2");
+            relay.cut("h1", List.of("h2", "h3", "p1"), way, way);
+            relay.cut("p2", List.of("h2", "h3"), way, way);
+            rig.order("h2", initialConfiguration("new.mesh", route));
+            rig.restart("p2");
+            long deadline = deadlineIn(PARTITION_SECONDS);
+            Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+            AtomicInteger acknowledgedInMinority = new AtomicInteger();
+            AtomicInteger acknowledgedByMajority = new AtomicInteger();
+            AtomicInteger servedByOldRoute = new AtomicInteger();
+            List<Thread> threads = List.of(
+                    inBackground(() -> acknowledgedInMinority.set(operate(List.of("h1"), deadline)), failures),
+                    inBackground(() -> acknowledgedByMajority.set(operate(List.of("h2", "h3"), deadline)), failures),
+                    inBackground(() -> servedByOldRoute.set(requestOldRoute("p2", deadline)), failures));
+            rig.await(
+                    "the change is at p1",
+                    () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
+            for (Thread thread : threads) {
+                thread.join();
+            }
+            assertThat(failures).isEmpty();
+            assertThat(acknowledgedInMinority)
+                    .as("changes acknowledged by the partitioned controller")
+                    .hasValue(0);
+            assertThat(acknowledgedByMajority.get())
+                    .as("changes acknowledged by the others")
+                    .isPositive();
+            if (CONFIRMED) {
+                assertThat(servedByOldRoute)
+                        .as("served by a proxy that has reached only the partitioned controller")
+                        .hasValue(0);
+            }
+            System.out.println(
+                    way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
+                            + " requests served by the old configuration at the proxy that reaches only the partitioned "
+                            + "controller");
+            relay.join();
+            awaitAllRead();
+            rig.await(
+                    "the change is at p2",
+                    () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
+            assertThat(rig.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
+            rig.order("h1", initialConfiguration("old.mesh", route + 1));
+            rig.await(
+                    "p1 and p2 follow",
+                    () -> rig.request("p1", "old.mesh", "/", null).status() == 200
+                            && rig.request("p2", "old.mesh", "/", null).status() == 200);
+        }
+    }
+
+    private int requestOldRoute(String proxy, long deadline) {
+        int served = 0;
+        while (System.nanoTime() < deadline) {
+            try {
+                served += rig.request(proxy, "old.mesh", "/", null).status() == 200 ? 1 : 0;
+            } catch (IOException e) {
+                // It has not started yet.
+                Thread.onSpinWait();
+            }
+        }
+        return served;
+    }
+
+    @Test
+    void twoOperatorsUseTheSameVersion() throws Exception {
+        start(List.of(), 3);
+        List<String> winners = new ArrayList<>();
+        List<String> losers = new ArrayList<>();
+        for (int n = 1; n <= CONFLICTS; n++) {
+            List<String> changes =
+                    List.of(OperatorChecks.order("t", "a" + n, n), OperatorChecks.order("t", "b" + n, n));
+            List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
+            if (n % 3 == 0) {
+                rig.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
+            }
+            Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+            boolean answerLost = n % 2 == 0;
+            List<Thread> operators = IntStream.range(0, 2)
+                    .mapToObj(i -> inBackground(
+                            () -> {
+                                try {
+                                    if (answerLost) {
+                                        rig.sendAndLeave(targets.get(i), changes.get(i));
+                                    } else {
+                                        checks.modified(
+                                                changes.get(i),
+                                                rig.modify(targets.get(i), changes.get(i))
+                                                        .status());
+                                    }
+                                } catch (ConnectException e) {
+                                    // It is just restarting: what is sent to all below decides.
+                                    return;
+                                }
+                            },
+                            failures))
+                    .toList();
+            for (Thread operator : operators) {
+                operator.join();
+            }
+            rig.relay().join();
+            assertThat(failures).isEmpty();
+            Map<String, Set<Integer>> statusesByChange = new TreeMap<>();
+            for (String change : changes) {
+                Set<Integer> statuses = statusesByChange.computeIfAbsent(change, key -> new TreeSet<>());
+                for (String controller : CONTROLLERS) {
+                    rig.await(controller + " answers " + change, () -> {
+                        int status = rig.modify(controller, change).status();
+                        checks.modified(change, status);
+                        return status == 200 ? statuses.add(200) || true : status == 409 && (statuses.add(409) || true);
+                    });
+                }
+                assertThat(statuses).as("%s", change).hasSize(1);
+                (statuses.contains(200) ? winners : losers).add(change);
+            }
+            assertThat(winners).hasSize(n);
+            assertThat(losers).hasSize(n);
+            if (n == 2) {
+                rig.kill("h1");
+                rig.restart("h1");
+            } else if (n == CONFLICTS - 1) {
+                rig.wipe("h2");
+            }
+        }
+        for (String change : winners) {
+            for (String controller : CONTROLLERS) {
+                rig.await(controller + " acknowledges again " + change, () -> {
+                    int status = rig.modify(controller, change).status();
+                    checks.again(change, status);
+                    return status == 200 || checks.breach() != null;
+                });
+            }
+        }
+        awaitAllRead();
+    }
+
+    @Test
+    void aSecondDiskIsLostAsSoonAsTheFirstHasCaughtUp() throws Exception {
+        start(List.of(), 3);
+        for (String wiped : FULL ? List.of("h1", "h2", "h3", "h1") : List.of("h1", "h2")) {
+            rig.wipe(wiped);
+            List<String> others =
+                    CONTROLLERS.stream().filter(h -> !h.equals(wiped)).toList();
+            othersContinueWhileCatchingUp(others, wiped);
+        }
+        awaitAllRead();
+        for (String controller : CONTROLLERS) {
+            rig.order(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+        }
+        awaitAllRead();
+    }
+
+    /** A replaced machine is no voter any more once its successor has caught up. */
+    @Test
+    @EnabledIfSystemProperty(named = "harbour.full", matches = "true")
+    void aSecondMachineIsLostAsSoonAsASuccessorHasCaughtUp() throws Exception {
+        start(List.of(), 3);
+        assertThat(operate(CONTROLLERS, deadlineIn(1))).isPositive();
+        rig.kill("h1");
+        rig.replacement();
+        List<String> remaining = List.of("h2", "h3", MeshFixture.SPARE);
+        if (REPLACED) {
+            assertThat(operate(List.of("h2", "h3"), deadlineIn(CATCH_UP_SECONDS)))
+                    .isPositive();
+            rig.kill("h2");
+            remaining = List.of("h3", MeshFixture.SPARE);
+        } else {
+            othersContinueWhileCatchingUp(List.of("h2", "h3"), MeshFixture.SPARE);
+        }
+        for (String controller : remaining) {
+            rig.order(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+        }
+        for (String controller : remaining) {
+            rig.await(controller + " reads", () -> read(controller));
+        }
+        assertThat(checks.breach()).as("%s", checks).isNull();
+    }
+
+    /** The others acknowledge changes until a controller with an empty disk has caught up and answers. */
+    private void othersContinueWhileCatchingUp(List<String> others, String restarted) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        assertThat(operate(others, deadlineIn(CATCH_UP_SECONDS)))
+                .as(() -> "acknowledged by " + others + rig.said())
+                .isPositive();
+        rig.await(restarted + " reads", () -> read(restarted));
+        System.out.println(restarted + " began with an empty disk and reads after "
+                + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
+    }
+
+    @Test
+    void aControllerThatMissedManyChangesCatchesUp() throws Exception {
+        start(List.of(), 3);
+        rig.freeze("h3");
+        commitManyChanges();
+        long resumedNanos = System.nanoTime();
+        rig.signal("h3", "-CONT");
+        awaitCaughtUp("stopped", resumedNanos, "h1");
+
+        if (FULL) {
+            rig.kill("h3");
+            commitManyChanges();
+            resumedNanos = System.nanoTime();
+            rig.restart("h3");
+            awaitCaughtUp("ended", resumedNanos, "h2");
+        }
+        rig.kill("h3");
+        commitManyChanges();
+        resumedNanos = System.nanoTime();
+        rig.wipe("h3");
+        awaitCaughtUp("wiped", resumedNanos, "h1");
+    }
+
+    private void commitManyChanges() throws InterruptedException {
+        int target = CHANGE_COUNT;
+        AtomicInteger acknowledged = new AtomicInteger();
+        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+        List<Thread> operators = IntStream.range(0, 8)
+                .mapToObj(i -> inBackground(
+                        () -> {
+                            while (acknowledged.get() < target) {
+                                String change = OperatorChecks.order("t" + i, "k" + i, versions.incrementAndGet());
+                                int status = rig.modify(i % 2 == 0 ? "h1" : "h2", change)
+                                        .status();
+                                checks.modified(change, status);
+                                acknowledged.addAndGet(status == 200 ? 1 : 0);
+                            }
+                        },
+                        failures))
+                .toList();
+        for (Thread operator : operators) {
+            operator.join();
+        }
+        assertThat(failures).isEmpty();
+    }
+
+    /** Once it is up to date another one is killed, so that nothing is committed without it. */
+    private void awaitCaughtUp(String fault, long startNanos, String killed) throws Exception {
+        Map<String, Long> newest = checks.floor();
+        rig.await("h3 reads", () -> read("h3"));
+        long millis = (System.nanoTime() - startNanos) / 1_000_000;
+        System.out.println(
+                "h3 was " + fault + " through " + CHANGE_COUNT + " changes: up to date after " + millis + " ms");
+        assertThat(millis).isLessThan(MAX_CATCH_UP_MILLIS);
+        rig.kill(killed);
+        rig.order("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
+        rig.await("h3 reads", () -> {
+            RawHttpClient.Message answer = rig.firstAnswer("h3");
+            if (answer.status() == 200) {
+                checks.read(newest, answer.body());
+            }
+            return answer.status() == 200;
+        });
+        rig.restart(killed);
+        awaitAllRead();
+    }
+
+    @Test
+    void aRequestThatIsNotIdempotentRunsOnce() throws Exception {
+        start(List.of("gate", "orders", "orders", "orders", "orders", "orders"), 1);
+        List<ApplicationStubs> applications =
+                IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
+        applications.forEach(application -> application.takes(150));
+        Queue<String> ids = new ConcurrentLinkedQueue<>();
+        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+        AtomicInteger served = new AtomicInteger();
+        AtomicInteger failed = new AtomicInteger();
+        long[] until = {Long.MAX_VALUE};
+        List<Thread> callers = IntStream.range(0, CALLERS)
+                .mapToObj(i -> inBackground(
+                        () -> {
+                            while (System.nanoTime() - until[0] < 0) {
+                                String id = rig.id();
+                                ids.add(id);
+                                try {
+                                    RawHttpClient.Message answer = rig.request("p1", "old.mesh", "/", null, id);
+                                    if (answer.status() == 200) {
+                                        assertThat(answer.body()).isEqualTo("ran of " + id);
+                                        assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
+                                        assertThat(runs(applications, id)).isEqualTo(1);
+                                        served.incrementAndGet();
+                                    } else {
+                                        failed.incrementAndGet();
+                                    }
+                                } catch (IOException e) {
+                                    failed.incrementAndGet();
+                                }
+                            }
+                        },
+                        failures))
+                .toList();
+        for (ApplicationStubs application : applications) {
+            rig.await(application.instance() + " serves", () -> application.runs() > 5);
+        }
+        ConnectionRelay relay = rig.relay();
+        relay.set("p1", "p2", Way.HOLD);
+        relay.set("p3", "p1", Way.HOLD);
+        relay.cut("p1", List.of("p4"), Way.LOSE, Way.LOSE);
+        rig.freeze("p5");
+        resetRepeatedly(relay, deadlineIn(SILENCE_SECONDS));
+        relay.join();
+        rig.signal("p5", "-CONT");
+        int before = served.get();
+        rig.await("calls are served again", () -> served.get() > before + 20);
+        if (FULL) {
+            rig.freeze("p1");
+            long silent = deadlineIn(SILENCE_SECONDS);
+            rig.await("each time-out has passed", () -> System.nanoTime() >= silent);
+            rig.signal("p1", "-CONT");
+            int again = served.get();
+            rig.await("calls are served again", () -> served.get() > again + 20);
+        }
+        until[0] = System.nanoTime();
+        for (Thread caller : callers) {
+            caller.join();
+        }
+        System.out.println(served + " calls served, " + failed + " failed, " + relay.resets + " resets");
+        assertThat(failures).isEmpty();
+        assertThat(failed.get()).as("requests hit by a fault").isPositive();
+        assertThat(ids).allSatisfy(id -> assertThat(runs(applications, id)).isLessThanOrEqualTo(1));
+    }
+
+    /** Resets the connections to one proxy repeatedly, each time after some runs of its application. */
+    private void resetRepeatedly(ConnectionRelay relay, long deadline) throws InterruptedException {
+        ApplicationStubs application = rig.ship("p6");
+        while (System.nanoTime() < deadline) {
+            int runs = application.runs();
+            relay.cut("p1", List.of("p6"), Way.RESET, Way.RESET);
+            relay.cut("p1", List.of("p6"), Way.PASS, Way.PASS);
+            rig.await(
+                    "p6 serves again, or all callers wait for others",
+                    () -> application.runs() > runs + 3 || System.nanoTime() >= deadline);
+        }
+    }
+
+    private static int runs(List<ApplicationStubs> applications, String id) {
+        return applications.stream()
+                .mapToInt(application -> application.runs(id))
+                .sum();
+    }
+}
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -15,52 +15,52 @@
 import java.util.stream.IntStream;
 
 /**
- * Harbours and two pilots as processes, operators that send changes and read, clients whose calls may not be
- * repeated, and drawn faults: a process killed, stopped for a while, its folder emptied beneath it or after
- * its end, all killed at once, and in between cuts of its lines, one way or both, with another loss at the
- * join. Faults are paced by the calls that are answered, and a disk is lost only while all harbours count.
+ * A random fault scenario over controllers and two proxies as processes, with operators that send changes and read,
+ * and clients whose requests are not idempotent. Faults: a process is killed or stopped for a while, its folder is
+ * emptied while it runs or after its end, all are killed at once, and in between a process is partitioned, in one
+ * direction or both, at times with another fault as the partition heals. Faults are paced by the calls that are
+ * answered, and a disk is lost only while all controllers are healthy.
  */
 public final class ControllerFaultScenario implements AutoCloseable {
 
     private static final int OPERATORS = 4;
-    private static final int CALL_MILLIS = 2_500;
-    private static final int MOST_PACE = 24;
+    private static final int CALL_TIMEOUT_MILLIS = 2_500;
+    private static final int MAX_CALLS_BETWEEN_FAULTS = 24;
     private static final int CLIENTS = 2;
-    private static final List<String> PILOTS = List.of("p1", "p2");
-    private static final String SETUP = "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
+    private static final List<String> PROXIES = List.of("p1", "p2");
+    private static final String INITIAL_CONFIGURATION = "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
             + "'maxConnections':32,'configVersion':'r1'}},'routeTable':{'first':" + route("day.mesh") + "}}}";
-    /** A cut lasts so long at most, in milliseconds. */
-    private static final int MOST_CUT = Integer.getInteger("harbour.cut", 2_000);
-    /** Whether orders are sent again long after they were acknowledged. */
+    private static final int MAX_PARTITION_MILLIS = Integer.getInteger("harbour.cut", 2_000);
+    /** Whether changes are sent again long after they were acknowledged. */
     private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
 
     private final SplittableRandom random;
     private final MeshFixture rig;
-    private final List<String> harbours;
+    private final List<String> controllers;
     private final OperatorChecks checks = new OperatorChecks();
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger answeredCalls = new AtomicInteger();
     private final AtomicLong versions = new AtomicLong();
-    private final List<Thread> operators = new ArrayList<>();
+    private final List<Thread> callers = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
-    private final Queue<String> ids = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger served = new AtomicInteger();
-    private volatile String wrongCall;
-    private volatile String lastActed = "h1";
-    private volatile boolean over;
+    private final Queue<String> requestIds = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger servedRequests = new AtomicInteger();
+    private volatile String requestViolation;
+    private volatile String lastAcknowledging = "h1";
+    private volatile boolean stopped;
 
     public ControllerFaultScenario(Path folder, int count, long seed) throws IOException, InterruptedException {
         random = new SplittableRandom(seed);
-        harbours = IntStream.rangeClosed(1, count).mapToObj(i -> "h" + i).toList();
+        controllers = IntStream.rangeClosed(1, count).mapToObj(i -> "h" + i).toList();
         rig = MeshFixture.withCuts(
-                folder, count, PILOTS.stream().map(p -> "orders").toList());
+                folder, count, PROXIES.stream().map(p -> "orders").toList());
         try {
-            rig.order("h1", SETUP);
+            rig.order("h1", INITIAL_CONFIGURATION);
             rig.order("h1", OperatorChecks.order("t0", "k00", 1));
             rig.begun();
-            for (String pilot : PILOTS) {
-                rig.ready(pilot);
+            for (String proxy : PROXIES) {
+                rig.ready(proxy);
             }
-            rig.patience(CALL_MILLIS);
+            rig.patience(CALL_TIMEOUT_MILLIS);
         } catch (InterruptedException | AssertionError e) {
             rig.close();
             throw e;
@@ -73,251 +73,253 @@
                 + "'publicAccess':true,'configVersion':'r1'}";
     }
 
-    /** What is wrong after so many faults, or null. Every other one is a cut. */
-    public String run(int most) throws IOException, InterruptedException {
+    /** Runs with so many faults, every other one a partition; returns the first violation, or null. */
+    public String run(int faultCount) throws IOException, InterruptedException {
         for (int i = 0; i < OPERATORS + CLIENTS; i++) {
-            SplittableRandom own = random.split();
-            Thread thread = new Thread(i < OPERATORS ? () -> operate(own) : () -> call(own), "caller-" + i);
+            SplittableRandom callerRandom = random.split();
+            Thread thread = new Thread(
+                    i < OPERATORS ? () -> operate(callerRandom) : () -> request(callerRandom), "caller-" + i);
             thread.setDaemon(true);
-            operators.add(thread);
+            callers.add(thread);
             thread.start();
         }
-        for (int i = 0; i < most && breach() == null; i++) {
-            pace();
-            String harbour = harbours.get(random.nextInt(harbours.size()));
+        for (int i = 0; i < faultCount && violation() == null; i++) {
+            awaitSomeCalls();
+            String controller = controllers.get(random.nextInt(controllers.size()));
             if (i % 2 == 0) {
-                fault(harbour);
+                fault(controller);
             } else {
-                cuts(harbour);
+                partition(controller);
             }
         }
-        pace();
-        over = true;
-        for (Thread operator : operators) {
-            operator.join();
+        awaitSomeCalls();
+        stopped = true;
+        for (Thread caller : callers) {
+            caller.join();
         }
-        whole();
-        for (String harbour : harbours) {
-            Map<String, Long> least = checks.floor();
-            rig.await(harbour + " reads", () -> {
-                RawHttpClient.Message answer = rig.read(harbour);
+        awaitAllHealthy();
+        for (String controller : controllers) {
+            Map<String, Long> floor = checks.floor();
+            rig.await(controller + " reads", () -> {
+                RawHttpClient.Message answer = rig.read(controller);
                 if (answer.status() == 200) {
-                    checks.read(least, answer.body());
+                    checks.read(floor, answer.body());
                 }
                 return answer.status() == 200;
             });
         }
-        rig.order(harbours.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
-        for (String pilot : PILOTS) {
+        rig.order(controllers.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
+        for (String proxy : PROXIES) {
             rig.await(
-                    pilot + " has the last change",
-                    () -> rig.request(pilot, "last.mesh", "/", null).status() == 200);
+                    proxy + " has the last change",
+                    () -> rig.request(proxy, "last.mesh", "/", null).status() == 200);
         }
-        for (String id : ids) {
-            ranOnce(id);
+        for (String id : requestIds) {
+            checkedRuns(id);
         }
-        return breach();
+        return violation();
     }
 
-    private String breach() {
-        return wrongCall == null ? checks.breach() : wrongCall;
+    private String violation() {
+        return requestViolation == null ? checks.breach() : requestViolation;
     }
 
-    private int ranOnce(String id) {
-        int runs = PILOTS.stream().mapToInt(pilot -> rig.ship(pilot).runs(id)).sum();
+    private int checkedRuns(String id) {
+        int runs = PROXIES.stream().mapToInt(proxy -> rig.ship(proxy).runs(id)).sum();
         if (runs > 1) {
-            wrongCall = "the call " + id + " has run " + runs + " times";
+            requestViolation = "the call " + id + " has run " + runs + " times";
         }
         return runs;
     }
 
-    /** A client: what it asks for may not be repeated, and its answer is its own. */
-    private void call(SplittableRandom own) {
-        while (!over) {
+    /** A client: its requests are not idempotent, and each response has to be its own. */
+    private void request(SplittableRandom callerRandom) {
+        while (!stopped) {
             String id = rig.id();
-            ids.add(id);
+            requestIds.add(id);
             try {
                 RawHttpClient.Message answer =
-                        rig.request(PILOTS.get(own.nextInt(PILOTS.size())), "day.mesh", "/", null, id);
+                        rig.request(PROXIES.get(callerRandom.nextInt(PROXIES.size())), "day.mesh", "/", null, id);
                 if (answer.status() == 200) {
-                    served.incrementAndGet();
-                    if (ranOnce(id) != 1 || !answer.body().equals("ran of " + id)) {
-                        wrongCall = id + " is answered: " + answer;
+                    servedRequests.incrementAndGet();
+                    if (checkedRuns(id) != 1 || !answer.body().equals("ran of " + id)) {
+                        requestViolation = id + " is answered: " + answer;
                     }
                 }
             } catch (IOException e) {
-                // No answer: it may have run, once.
+                // No response: it may have run, once.
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
 
-    /** Cuts, one or two in a row, and at times another loss at the join. */
-    private void cuts(String harbour) throws IOException, InterruptedException {
+    /** One or two partitions in a row, and at times another fault as the last one heals. */
+    private void partition(String controller) throws IOException, InterruptedException {
         ConnectionRelay relay = rig.relay();
-        String one = harbour;
+        String partitioned = controller;
         for (int i = random.nextInt(2); i >= 0; i--) {
-            List<String> everybody = new ArrayList<>(harbours);
-            int whom = random.nextInt(6);
-            if (whom == 0) {
-                one = PILOTS.get(random.nextInt(PILOTS.size()));
-            } else if (whom < 3) {
-                one = lastActed;
+            List<String> others = new ArrayList<>(controllers);
+            int choice = random.nextInt(6);
+            if (choice == 0) {
+                partitioned = PROXIES.get(random.nextInt(PROXIES.size()));
+            } else if (choice < 3) {
+                partitioned = lastAcknowledging;
             }
             if (random.nextBoolean()) {
-                everybody.addAll(PILOTS);
+                others.addAll(PROXIES);
             }
             ConnectionRelay.Way way = ConnectionRelay.Way.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
-            int millis = random.nextInt(4) > 0 ? 0 : MOST_CUT / (1 + 3 * random.nextInt(2));
-            faults.add(
-                    "cut " + one + " " + way + " " + "<>=".charAt(direction) + " " + everybody.size() + " " + millis);
+            int millis = random.nextInt(4) > 0 ? 0 : MAX_PARTITION_MILLIS / (1 + 3 * random.nextInt(2));
+            faults.add("cut " + partitioned + " " + way + " " + "<>=".charAt(direction) + " " + others.size() + " "
+                    + millis);
             relay.cut(
-                    one,
-                    everybody,
+                    partitioned,
+                    others,
                     direction == 0 ? ConnectionRelay.Way.PASS : way,
                     direction == 1 ? ConnectionRelay.Way.PASS : way);
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
             do {
-                pace();
+                awaitSomeCalls();
             } while (System.nanoTime() < until);
             if (random.nextInt(4) == 0) {
                 faults.add("killed");
-                rig.kill(one);
-                pace();
-                rig.restart(one);
+                rig.kill(partitioned);
+                awaitSomeCalls();
+                rig.restart(partitioned);
             }
             relay.join();
         }
         if (random.nextInt(3) == 0) {
-            String cut = one;
-            List<String> others = harbours.stream().filter(h -> !h.equals(cut)).toList();
-            fault(others.get(random.nextInt(others.size())));
+            String exempt = partitioned;
+            List<String> rest =
+                    controllers.stream().filter(h -> !h.equals(exempt)).toList();
+            fault(rest.get(random.nextInt(rest.size())));
         }
     }
 
     /** Waits until some more calls have been answered, each of them soon after the one before. */
-    private void pace() throws InterruptedException {
-        int until = ended.get() + 1 + random.nextInt(MOST_PACE);
-        for (int had = ended.get(); had < until; had = ended.get()) {
+    private void awaitSomeCalls() throws InterruptedException {
+        int target = answeredCalls.get() + 1 + random.nextInt(MAX_CALLS_BETWEEN_FAULTS);
+        for (int had = answeredCalls.get(); had < target; had = answeredCalls.get()) {
             int before = had;
-            rig.await("a call is answered", () -> ended.get() > before);
+            rig.await("a call is answered", () -> answeredCalls.get() > before);
         }
     }
 
-    private void whole() throws InterruptedException {
-        for (String harbour : harbours) {
-            rig.await(harbour + " counts", () -> {
-                return rig.state(harbour).body().contains("\"sick\":false")
-                        && rig.firstAnswer(harbour).status() == 200;
+    private void awaitAllHealthy() throws InterruptedException {
+        for (String controller : controllers) {
+            rig.await(controller + " is healthy", () -> {
+                return rig.state(controller).body().contains("\"sick\":false")
+                        && rig.firstAnswer(controller).status() == 200;
             });
         }
     }
 
-    private void fault(String harbour) throws IOException, InterruptedException {
-        int which = random.nextInt(6);
-        faults.add(which + harbour);
-        switch (which) {
+    private void fault(String controller) throws IOException, InterruptedException {
+        int kind = random.nextInt(6);
+        faults.add(kind + controller);
+        switch (kind) {
             case 0 -> {
-                rig.kill(harbour);
-                pace();
-                rig.restart(harbour);
+                rig.kill(controller);
+                awaitSomeCalls();
+                rig.restart(controller);
             }
             case 1 -> {
-                rig.signal(harbour, "-STOP");
-                pace();
-                rig.signal(harbour, "-CONT");
+                rig.signal(controller, "-STOP");
+                awaitSomeCalls();
+                rig.signal(controller, "-CONT");
             }
             case 2 -> {
-                whole();
-                rig.empty(harbour);
-                pace();
-                rig.kill(harbour);
-                rig.empty(harbour);
-                rig.restart(harbour);
-                whole();
+                awaitAllHealthy();
+                rig.empty(controller);
+                awaitSomeCalls();
+                rig.kill(controller);
+                rig.empty(controller);
+                rig.restart(controller);
+                awaitAllHealthy();
             }
             case 3 -> {
-                whole();
-                rig.kill(harbour);
-                rig.empty(harbour);
-                pace();
-                rig.restart(harbour);
-                whole();
+                awaitAllHealthy();
+                rig.kill(controller);
+                rig.empty(controller);
+                awaitSomeCalls();
+                rig.restart(controller);
+                awaitAllHealthy();
             }
             case 4 -> {
-                for (String each : harbours) {
+                for (String each : controllers) {
                     rig.kill(each);
                 }
-                for (String each : harbours) {
+                for (String each : controllers) {
                     rig.restart(each);
                 }
             }
             default -> {
-                whole();
-                for (String each : harbours) {
+                awaitAllHealthy();
+                for (String each : controllers) {
                     rig.kill(each);
                 }
-                rig.empty(harbour);
-                for (String each : harbours) {
+                rig.empty(controller);
+                for (String each : controllers) {
                     rig.restart(each);
                 }
-                whole();
+                awaitAllHealthy();
             }
         }
     }
 
-    /** Sends one call after the other. Two operators often take one version for two contents. */
-    private void operate(SplittableRandom own) {
-        while (!over) {
-            String harbour = harbours.get(own.nextInt(harbours.size()));
+    /** An operator: one call after the other. Two of them often use the same version for different contents. */
+    private void operate(SplittableRandom callerRandom) {
+        while (!stopped) {
+            String controller = controllers.get(callerRandom.nextInt(controllers.size()));
             try {
-                if (own.nextInt(3) == 0) {
-                    Map<String, Long> least = checks.floor();
-                    RawHttpClient.Message answer = rig.read(harbour);
+                if (callerRandom.nextInt(3) == 0) {
+                    Map<String, Long> floor = checks.floor();
+                    RawHttpClient.Message answer = rig.read(controller);
                     if (answer.status() == 200) {
-                        checks.read(least, answer.body());
+                        checks.read(floor, answer.body());
                     }
-                } else if (REPEATS && own.nextInt(4) == 0) {
-                    again(harbour, own);
+                } else if (REPEATS && callerRandom.nextInt(4) == 0) {
+                    repeat(controller, callerRandom);
                 } else {
-                    modify(harbour, own);
+                    modify(controller, callerRandom);
                 }
-                ended.incrementAndGet();
+                answeredCalls.incrementAndGet();
             } catch (IOException e) {
-                // Nothing was told; another harbour may be there. Not at once, or it takes the processor.
+                // No answer; another controller may be reachable. Not at once, to spare the processor.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
             }
         }
     }
 
-    private void modify(String harbour, SplittableRandom own) throws IOException {
-        long version = own.nextInt(3) == 0 ? Math.max(1, versions.get()) : versions.incrementAndGet();
-        int tenant = own.nextInt(3);
-        String order = OperatorChecks.order("t" + tenant, "k" + tenant + own.nextInt(1_000), version);
-        int status = rig.modify(harbour, order).status();
-        checks.modified(order, status);
+    private void modify(String controller, SplittableRandom callerRandom) throws IOException {
+        long version = callerRandom.nextInt(3) == 0 ? Math.max(1, versions.get()) : versions.incrementAndGet();
+        int tenant = callerRandom.nextInt(3);
+        String change = OperatorChecks.order("t" + tenant, "k" + tenant + callerRandom.nextInt(1_000), version);
+        int status = rig.modify(controller, change).status();
+        checks.modified(change, status);
         if (status == 200) {
-            lastActed = harbour;
+            lastAcknowledging = controller;
         }
     }
 
-    private void again(String harbour, SplittableRandom own) throws IOException {
-        String order = checks.acknowledged(own.nextInt());
-        if (order != null) {
-            checks.again(order, rig.modify(harbour, order).status());
+    private void repeat(String controller, SplittableRandom callerRandom) throws IOException {
+        String change = checks.acknowledged(callerRandom.nextInt());
+        if (change != null) {
+            checks.again(change, rig.modify(controller, change).status());
         }
     }
 
     @Override
     public String toString() {
-        return checks + ", " + served + " of " + ids.size() + " calls served, " + rig.relay().resets
+        return checks + ", " + servedRequests + " of " + requestIds.size() + " calls served, " + rig.relay().resets
                 + " resets, faults " + faults;
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        stopped = true;
         rig.close();
     }
 }
