--- a/src/main/java/org/cypressweir/meshctl/CommandCompleter.java
+++ b/src/main/java/org/cypressweir/meshctl/CommandCompleter.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
+import org.cypressweir.meshctl.command.QueryCommand;
 import org.jline.reader.Candidate;
 import org.jline.reader.Completer;
 import org.jline.reader.LineReader;
@@ -10,10 +11,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.shell.jline3.PicocliJLineCompleter;
 
-/** What may come next in a line: commands, options, and after some options the columns of the command. */
+/** Completes commands and options, and after some options the columns of the command. */
 final class CommandCompleter implements Completer {
 
-    private static final Set<String> TAKE_COLUMNS = Set.of("--columns", "--sort", "--where");
+    private static final String WHERE = "--where";
+    private static final Set<String> OPTIONS_WITH_COLUMNS = Set.of("--columns", "--sort", WHERE);
 
     private final CommandSpec spec;
     private final Completer commands;
@@ -24,25 +26,26 @@
     }
 
     @Override
-    public void complete(LineReader reader, ParsedLine line, List<Candidate> found) {
+    public void complete(LineReader reader, ParsedLine line, List<Candidate> candidates) {
         List<String> words = line.words();
-        int at = line.wordIndex();
+        int index = line.wordIndex();
         CommandLine command = words.isEmpty() ? null : spec.subcommands().get(words.get(0));
-        if (at > 1
-                && TAKE_COLUMNS.contains(words.get(at - 1))
+        if (index > 1
+                && OPTIONS_WITH_COLUMNS.contains(words.get(index - 1))
                 && command != null
-                && command.getCommandSpec().userObject() instanceof Query query) {
-            columns(query, line.word(), words.get(at - 1).equals("--where") ? "=" : "", found);
+                && command.getCommandSpec().userObject() instanceof QueryCommand query) {
+            String suffix = words.get(index - 1).equals(WHERE) ? "=" : "";
+            addColumns(query, line.word(), suffix, candidates);
         } else {
-            commands.complete(reader, line, found);
+            commands.complete(reader, line, candidates);
         }
     }
 
-    /** After a comma the next one. */
-    private static void columns(Query query, String word, String end, List<Candidate> found) {
-        String before = word.substring(0, word.lastIndexOf(',') + 1);
-        query.columns()
-                .forEach(column ->
-                        found.add(new Candidate(before + column + end, column, null, null, null, null, false)));
+    /** Columns are separated by commas: the last one is completed. */
+    private static void addColumns(QueryCommand query, String word, String suffix, List<Candidate> candidates) {
+        String prefix = word.substring(0, word.lastIndexOf(',') + 1);
+        for (String column : query.columns()) {
+            candidates.add(new Candidate(prefix + column + suffix, column, null, null, null, null, false));
+        }
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/InteractiveTerminal.java
+++ b/src/main/java/org/cypressweir/meshctl/InteractiveTerminal.java
@@ -3,6 +3,8 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
+import org.cypressweir.meshctl.command.AnsiStyle;
+import org.cypressweir.meshctl.command.ExitStatus;
 import org.jline.reader.EndOfFileException;
 import org.jline.reader.LineReader;
 import org.jline.reader.LineReaderBuilder;
@@ -10,48 +12,61 @@
 import org.jline.terminal.Terminal;
 import org.jline.terminal.TerminalBuilder;
 
-/** Somebody at a terminal: lines are edited, kept and completed. The interrupt key ends a command only. */
+/**
+ * Runs a shell at a terminal, with editing, history and completion. The interrupt key ends only the running command.
+ */
 final class InteractiveTerminal {
 
-    private static final int KEPT = 1_000;
+    private static final String NAME = "meshctl";
+    private static final String PROMPT = NAME + "> ";
+    private static final int HISTORY_LINES = 1_000;
 
     private InteractiveTerminal() {}
 
     static int run(Shell shell, Path history) throws IOException {
         try (Terminal terminal =
                 TerminalBuilder.builder().system(true).dumb(true).build()) {
-            run(shell, terminal, history, AnsiStyle.usual());
+            run(shell, terminal, history, AnsiStyle.detect());
         }
-        return MeshCtl.DONE;
+        return ExitStatus.OK;
     }
 
-    static void run(Shell shell, Terminal terminal, Path history, AnsiStyle paint) {
-        PrintWriter out = terminal.writer();
-        LineReader reader = LineReaderBuilder.builder()
-                .appName("bridge")
-                .terminal(terminal)
-                .completer(new CommandCompleter(shell.line(out, out, paint).getCommandSpec()))
-                .variable(LineReader.HISTORY_FILE, history)
-                .variable(LineReader.HISTORY_SIZE, KEPT)
-                .variable(LineReader.HISTORY_FILE_SIZE, KEPT)
-                .build();
-        Thread thread = Thread.currentThread();
-        while (!shell.ended()) {
+    static void run(Shell shell, Terminal terminal, Path history, AnsiStyle style) {
+        LineReader reader = lineReader(shell, terminal, history, style);
+        while (!shell.exited()) {
             try {
-                String text = reader.readLine("bridge> ");
-                Terminal.SignalHandler before = terminal.handle(Terminal.Signal.INT, signal -> thread.interrupt());
-                try {
-                    shell.run(text, out, out, paint);
-                } finally {
-                    terminal.handle(Terminal.Signal.INT, before);
-                    Thread.interrupted();
-                }
-                out.flush();
+                runInterruptibly(shell, reader.readLine(PROMPT), terminal, style);
             } catch (UserInterruptException e) {
-                // The line is given up, the shell goes on.
+                // The line is discarded, the shell goes on.
             } catch (EndOfFileException e) {
                 return;
             }
         }
     }
+
+    private static LineReader lineReader(Shell shell, Terminal terminal, Path history, AnsiStyle style) {
+        PrintWriter out = terminal.writer();
+        return LineReaderBuilder.builder()
+                .appName(NAME)
+                .terminal(terminal)
+                .completer(
+                        new CommandCompleter(shell.commandLine(out, out, style).getCommandSpec()))
+                .variable(LineReader.HISTORY_FILE, history)
+                .variable(LineReader.HISTORY_SIZE, HISTORY_LINES)
+                .variable(LineReader.HISTORY_FILE_SIZE, HISTORY_LINES)
+                .build();
+    }
+
+    private static void runInterruptibly(Shell shell, String line, Terminal terminal, AnsiStyle style) {
+        PrintWriter out = terminal.writer();
+        Thread thread = Thread.currentThread();
+        Terminal.SignalHandler previous = terminal.handle(Terminal.Signal.INT, signal -> thread.interrupt());
+        try {
+            shell.run(line, out, out, style);
+        } finally {
+            terminal.handle(Terminal.Signal.INT, previous);
+            Thread.interrupted();
+        }
+        out.flush();
+    }
 }
--- a/src/main/java/org/cypressweir/meshctl/MeshCtl.java
+++ b/src/main/java/org/cypressweir/meshctl/MeshCtl.java
@@ -2,6 +2,25 @@
 
 import java.io.PrintWriter;
 import java.util.List;
+import org.cypressweir.meshctl.command.AnsiStyle;
+import org.cypressweir.meshctl.command.BootstrapCommand;
+import org.cypressweir.meshctl.command.CheckCommand;
+import org.cypressweir.meshctl.command.CommandContext;
+import org.cypressweir.meshctl.command.ConfigStatusCommand;
+import org.cypressweir.meshctl.command.ConnectivityCommand;
+import org.cypressweir.meshctl.command.ControllerCommand;
+import org.cypressweir.meshctl.command.DiffCommand;
+import org.cypressweir.meshctl.command.ExitStatus;
+import org.cypressweir.meshctl.command.FleetCommand;
+import org.cypressweir.meshctl.command.ItemsCommand;
+import org.cypressweir.meshctl.command.ProxyCommand;
+import org.cypressweir.meshctl.command.QuotasCommand;
+import org.cypressweir.meshctl.command.RejectionsCommand;
+import org.cypressweir.meshctl.command.ReplicasCommand;
+import org.cypressweir.meshctl.command.RouteCommand;
+import org.cypressweir.meshctl.command.StateCommand;
+import org.cypressweir.meshctl.command.Version;
+import org.cypressweir.meshctl.command.WhyCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
@@ -9,23 +28,23 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line. One class a command; errors are one line each on standard error. */
+/** The command line: all commands of the mesh. An error is one line on standard error. */
 @Command(
         name = "cypressweir",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
-        description = "A service mesh: its programs, its checks, and questions to it.",
+        description = "A service mesh: run its programs, validate its files, query its processes.",
         synopsisSubcommandLabel = "COMMAND",
         footer = {
             "",
-            "Programs: pilot, harbour (settings file in CYPRESSWEIR_NODE_FILE).",
-            "Exit status: 0 done; 1 nobody answers, or a file can't be read; 2 wrong use, or a bad file; "
-                    + "3 some don't answer; 4 no such route, or request; "
-                    + "5 not the same."
+            "Programs: proxy, controller (settings file in CYPRESSWEIR_NODE_FILE).",
+            "Exit status: 0 success; 1 no process responded, or a file cannot be read; 2 wrong usage, or an invalid "
+                    + "file; 3 some processes did not respond; 4 no such route or request; 5 the processes differ, or "
+                    + "a command was rejected."
         },
         subcommands = {
-            ServeCommand.PilotCommand.class,
-            ServeCommand.HarbourCommand.class,
+            ProxyCommand.class,
+            ControllerCommand.class,
             CheckCommand.class,
             ShellCommand.class,
             FleetCommand.class,
@@ -42,71 +61,64 @@
             BootstrapCommand.class,
             HelpCommand.class
         })
-public final class MeshCtl implements Runnable {
+public final class MeshCtl implements Runnable, CommandContext {
 
-    static final int DONE = 0;
-    /** Nobody answers, or a file can't be read. */
-    static final int NOBODY = 1;
-    /** Wrong use, or a bad file. */
-    static final int BAD = 2;
-
-    static final int SOME_SILENT = 3;
-    static final int NO_ROUTE = 4;
-    /** What was compared is not the same. */
-    static final int DIFFERENT = 5;
-
-    private final List<String> usual;
-    private final AnsiStyle paint;
+    private final List<String> defaultAddresses;
+    private final AnsiStyle style;
 
     @Spec
     private CommandSpec spec;
 
-    /** @param usual whom questions ask that name nobody */
-    MeshCtl(List<String> usual, AnsiStyle paint) {
-        this.usual = usual;
-        this.paint = paint;
+    /** @param defaultAddresses the processes to query when a command names none */
+    MeshCtl(List<String> defaultAddresses, AnsiStyle style) {
+        this.defaultAddresses = defaultAddresses;
+        this.style = style;
     }
 
-    List<String> usual() {
-        return usual;
+    @Override
+    public List<String> defaultAddresses() {
+        return defaultAddresses;
     }
 
-    AnsiStyle paint() {
-        return paint;
+    @Override
+    public AnsiStyle style() {
+        return style;
     }
 
-    /** Runs a command; the exit status. */
+    /** Runs a command with the standard streams; returns its exit status. */
     public static int run(String... args) {
-        return new MeshCtl(List.of(), AnsiStyle.usual())
-                .line(new PrintWriter(System.out, true), new PrintWriter(System.err, true))
-                .execute(args);
+        PrintWriter out = new PrintWriter(System.out, true);
+        PrintWriter err = new PrintWriter(System.err, true);
+        return new MeshCtl(List.of(), AnsiStyle.detect()).commandLine(out, err).execute(args);
     }
 
     public static int run(PrintWriter out, PrintWriter err, String... args) {
-        return new MeshCtl(List.of(), AnsiStyle.OFF).line(out, err).execute(args);
+        return new MeshCtl(List.of(), AnsiStyle.OFF).commandLine(out, err).execute(args);
     }
 
-    /** All commands and some more, ready to be run once. */
-    CommandLine line(PrintWriter out, PrintWriter err, Object... more) {
-        CommandLine line = new CommandLine(this);
-        for (Object one : more) {
-            line.addSubcommand(one);
+    /** All commands and some further ones, to be executed once. */
+    CommandLine commandLine(PrintWriter out, PrintWriter err, Object... furtherCommands) {
+        CommandLine commandLine = new CommandLine(this);
+        FormerCommandNames.addTo(commandLine);
+        for (Object command : furtherCommands) {
+            commandLine.addSubcommand(command);
         }
-        return line.setOut(out)
+        return commandLine
+                .setOut(out)
                 .setErr(err)
-                .setExitCodeExceptionMapper(e -> NOBODY)
-                .setParameterExceptionHandler((e, given) -> wrong(e, err))
-                .setExecutionExceptionHandler((e, failed, result) -> {
-                    err.println("cypressweir: " + e);
-                    return NOBODY;
+                .setExitCodeExceptionMapper(error -> ExitStatus.FAILED)
+                .setParameterExceptionHandler((error, args) -> reportUsageError(error, err))
+                .setExecutionExceptionHandler((error, command, result) -> {
+                    err.println("cypressweir: " + error);
+                    return ExitStatus.FAILED;
                 });
     }
 
-    private static int wrong(ParameterException e, PrintWriter err) {
-        String line = String.valueOf(e.getMessage()).replace('\n', ' ');
-        err.println("cypressweir: " + line + " ("
-                + e.getCommandLine().getCommandSpec().qualifiedName() + " --help)");
-        return BAD;
+    private static int reportUsageError(ParameterException error, PrintWriter err) {
+        String message = String.valueOf(error.getMessage()).replace('\n', ' ');
+        String command = error.getCommandLine().getCommandSpec().qualifiedName();
+        err.println("cypressweir: " + message + " (" + command + " --help)");
+        return ExitStatus.INVALID;
     }
 
     @Override
--- a/src/main/java/org/cypressweir/meshctl/Shell.java
+++ b/src/main/java/org/cypressweir/meshctl/Shell.java
@@ -7,6 +7,9 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import org.cypressweir.common.util.Addresses;
+import org.cypressweir.meshctl.command.AnsiStyle;
+import org.cypressweir.meshctl.command.ExitStatus;
+import org.cypressweir.meshctl.command.Version;
 import org.jline.reader.impl.DefaultParser;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -15,77 +18,82 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What lines of the shell mean: the commands of the command line, and two of its own. */
+/**
+ * Runs lines of text as commands: those of the command line except the programs, and {@code at} and {@code exit}.
+ * For one thread.
+ */
 final class Shell {
 
-    private List<String> usual;
-    private boolean ended;
+    private static final String COMMENT = "#";
+    private static final List<String> PROGRAMS = List.of("proxy", "controller", "shell");
 
-    Shell(List<String> usual) {
-        this.usual = List.copyOf(usual);
-    }
+    private List<String> defaultAddresses;
+    private boolean exited;
 
-    List<String> usual() {
-        return usual;
+    Shell(List<String> defaultAddresses) {
+        this.defaultAddresses = List.copyOf(defaultAddresses);
     }
 
-    boolean ended() {
-        return ended;
+    boolean exited() {
+        return exited;
     }
 
-    /** All commands, ready to be run once: none keeps what another line has set. */
-    CommandLine line(PrintWriter out, PrintWriter err, AnsiStyle paint) {
-        CommandLine line = new MeshCtl(usual, paint).line(out, err, new At(), new Exit());
-        List.of("pilot", "harbour", "bridge").forEach(line.getCommandSpec()::removeSubcommand);
-        return line;
+    /** A new command line for each line of text, so that none keeps the options of another. */
+    CommandLine commandLine(PrintWriter out, PrintWriter err, AnsiStyle style) {
+        CommandLine commandLine =
+                new MeshCtl(defaultAddresses, style).commandLine(out, err, new AtCommand(), new ExitCommand());
+        CommandSpec commands = commandLine.getCommandSpec();
+        PROGRAMS.forEach(commands::removeSubcommand);
+        FormerCommandNames.programs().forEach(commands::removeSubcommand);
+        return commandLine;
     }
 
-    /** Runs one line; its status. */
-    int run(String text, PrintWriter out, PrintWriter err, AnsiStyle paint) {
-        String bare = text.strip();
-        if (bare.isEmpty() || bare.startsWith("#")) {
-            return MeshCtl.DONE;
+    /** Runs one line; returns its exit status. */
+    int run(String line, PrintWriter out, PrintWriter err, AnsiStyle style) {
+        String text = line.strip();
+        if (text.isEmpty() || text.startsWith(COMMENT)) {
+            return ExitStatus.OK;
         }
-        List<String> words = new DefaultParser().parse(bare, bare.length()).words();
-        return line(out, err, paint)
-                .execute(words.stream().filter(word -> !word.isEmpty()).toArray(String[]::new));
+        List<String> words = new DefaultParser().parse(text, text.length()).words();
+        String[] args = words.stream().filter(word -> !word.isEmpty()).toArray(String[]::new);
+        return commandLine(out, err, style).execute(args);
     }
 
-    /** Runs lines until they end; the highest status. */
+    /** Runs all lines; returns the highest exit status. */
     int run(BufferedReader lines, PrintWriter out, PrintWriter err) throws IOException {
-        int status = MeshCtl.DONE;
-        for (String text = lines.readLine(); text != null && !ended; text = lines.readLine()) {
-            status = Math.max(status, run(text, out, err, AnsiStyle.OFF));
+        int highest = ExitStatus.OK;
+        for (String line = lines.readLine(); line != null && !exited; line = lines.readLine()) {
+            highest = Math.max(highest, run(line, out, err, AnsiStyle.OFF));
         }
-        return status;
+        return highest;
     }
 
-    /** {@code at [ADDRESS...]}: whom to ask from now on. */
+    /** {@code at [ADDRESS...]}: shows or changes the default addresses. */
     @Command(
             name = "at",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Whom commands ask that name nobody; without an address it tells them.")
-    private final class At implements Callable<Integer> {
+            description = "Set the addresses that commands without --at query; without an argument, show them.")
+    private final class AtCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Parameters(arity = "0..*", paramLabel = "ADDRESS")
-        private List<String> given = new ArrayList<>();
+        private List<String> addresses = new ArrayList<>();
 
         @Override
         public Integer call() {
             try {
-                given.forEach(Addresses::parse);
+                addresses.forEach(Addresses::parse);
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(spec.commandLine(), e.getMessage());
             }
-            if (given.isEmpty()) {
-                usual.forEach(spec.commandLine().getOut()::println);
+            if (addresses.isEmpty()) {
+                defaultAddresses.forEach(spec.commandLine().getOut()::println);
             } else {
-                usual = List.copyOf(given);
+                defaultAddresses = List.copyOf(addresses);
             }
-            return MeshCtl.DONE;
+            return ExitStatus.OK;
         }
     }
 
@@ -95,11 +103,11 @@
             aliases = "quit",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "End the shell.")
-    private final class Exit implements Runnable {
+            description = "Leave the shell.")
+    private final class ExitCommand implements Runnable {
         @Override
         public void run() {
-            ended = true;
+            exited = true;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/cypressweir/meshctl/command/BootstrapCommand.java
@@ -0,0 +1,79 @@
+package org.cypressweir.meshctl.command;
+
+import java.io.IOException;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.Callable;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.JsonCodec;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
+/** {@code bootstrap CONTROLLER --confirm}: starts a mesh whose disks are all lost with an empty configuration. */
+@Command(
+        name = "bootstrap",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        description = "Make one blank controller start alone with an empty configuration. Every change that was ever "
+                + "acknowledged is given up: only for a mesh whose disks are lost.",
+        footer = "Exit status: 5 if the controller rejects it.")
+public final class BootstrapCommand implements Callable<Integer> {
+
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final int STATUS_OK = 200;
+
+    @Parameters(index = "0", paramLabel = "CONTROLLER", description = "The controller's controlPlane address.")
+    private String controller;
+
+    @Option(names = "--confirm", description = "Required: without it nothing is sent.")
+    private boolean confirmed;
+
+    @Option(
+            names = "--abandon",
+            paramLabel = "ADDRESS",
+            arity = "1..*",
+            description = "Controllers whose data is given up although they still have some.")
+    private List<String> abandoned = List.of();
+
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+        if (!confirmed) {
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "with --confirm " + controller + " gives up every change that was ever acknowledged");
+        }
+        HttpResponse<byte[]> response = send();
+        if (response.statusCode() == STATUS_OK) {
+            spec.commandLine().getOut().println(controller + " starts with an empty configuration.");
+            return ExitStatus.OK;
+        }
+        String reason = new String(response.body(), StandardCharsets.UTF_8).strip();
+        spec.commandLine().getErr().println("cypressweir: " + controller + " rejects it: " + reason);
+        return ExitStatus.DIFFERENT;
+    }
+
+    private HttpResponse<byte[]> send() throws IOException, InterruptedException {
+        HttpClient client = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(TIMEOUT)
+                .build();
+        byte[] body = JsonCodec.bytes(JsonCodec.map("confirm", true, "abandon", abandoned));
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + controller + ApiCall.BEGIN.path()))
+                .timeout(TIMEOUT)
+                .POST(HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
+        return client.send(request, HttpResponse.BodyHandlers.ofByteArray());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetDiscovery.java
@@ -0,0 +1,109 @@
+package org.cypressweir.meshctl.command;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Function;
+import org.cypressweir.common.transport.JsonCodec;
+
+/**
+ * Finds all processes of a mesh: queries the given addresses, then those that the responses report, until no new
+ * one is reported. Each process is in the result once, with its response or the reason why there is none, so no
+ * reported process is left out. For one use by one thread.
+ */
+final class FleetDiscovery {
+
+    private static final List<String> REPORTED =
+            List.of(NodeState.CONTROLLERS, NodeState.REGISTRATIONS, NodeState.PROXIES, NodeState.LOST_PROXIES);
+    /** Controllers are reported by address alone. */
+    private static final String UNNAMED_CONTROLLER = "a controller";
+
+    private final Function<List<String>, List<NodeResponse>> query;
+    private final Map<String, NodeResponse> responses = new LinkedHashMap<>();
+    private final Set<String> identities = new HashSet<>();
+    private final Map<String, String> namesByControlAddress = new HashMap<>();
+    /** Names of processes that were reported without a control-plane address, by peer address. */
+    private final Map<String, String> withoutControlAddress = new LinkedHashMap<>();
+
+    private final Set<String> peerAddressesResolved = new HashSet<>();
+
+    /** @param query requests the state of several addresses at once */
+    FleetDiscovery(Function<List<String>, List<NodeResponse>> query) {
+        this.query = query;
+    }
+
+    List<NodeResponse> discover(List<String> seedAddresses) {
+        Set<String> next = new LinkedHashSet<>(seedAddresses);
+        while (!next.isEmpty()) {
+            next = queryAll(List.copyOf(next));
+        }
+        List<NodeResponse> all = new ArrayList<>();
+        responses.values().forEach(response -> all.add(named(response)));
+        withoutControlAddress.forEach((address, name) -> {
+            if (!peerAddressesResolved.contains(address)) {
+                all.add(NodeResponse.failure(address, name, "its control-plane address is unknown"));
+            }
+        });
+        return all;
+    }
+
+    /** The addresses that these report and that were not queried yet. */
+    private Set<String> queryAll(List<String> addresses) {
+        Set<String> reported = new LinkedHashSet<>();
+        for (NodeResponse response : query.apply(addresses)) {
+            responses.put(response.address(), response);
+            if (!response.failed() && !isDuplicate(response)) {
+                reported.addAll(reportedAddresses(response.state()));
+            }
+        }
+        reported.removeAll(responses.keySet());
+        return reported;
+    }
+
+    private NodeResponse named(NodeResponse response) {
+        return response.failed()
+                ? NodeResponse.failure(
+                        response.address(),
+                        namesByControlAddress.getOrDefault(response.address(), ""),
+                        response.failure())
+                : response;
+    }
+
+    /** Whether the process has responded at another of its addresses already; then this response is dropped. */
+    private boolean isDuplicate(NodeResponse response) {
+        NodeState state = response.state();
+        peerAddressesResolved.add(state.text(NodeState.ADDRESS));
+        String identity =
+                state.text(NodeState.KIND) + " " + response.name() + " " + state.text(NodeState.CONTROL_ADDRESS);
+        boolean duplicate = !response.name().isEmpty() && !identities.add(identity);
+        if (duplicate) {
+            responses.remove(response.address());
+        }
+        return duplicate;
+    }
+
+    private List<String> reportedAddresses(NodeState state) {
+        List<String> reported = new ArrayList<>();
+        for (String field : REPORTED) {
+            for (Map<String, Object> node : state.objects(field)) {
+                String control = JsonCodec.text(node, NodeState.CONTROL_ADDRESS);
+                String peerAddress = JsonCodec.text(node, NodeState.ADDRESS);
+                String name =
+                        field.equals(NodeState.CONTROLLERS) ? UNNAMED_CONTROLLER : JsonCodec.text(node, NodeState.NAME);
+                if (control.isEmpty()) {
+                    withoutControlAddress.putIfAbsent(peerAddress, name);
+                } else {
+                    peerAddressesResolved.add(peerAddress);
+                    namesByControlAddress.put(control, name);
+                    reported.add(control);
+                }
+            }
+        }
+        return reported;
+    }
+}
--- a/src/main/java/org/cypressweir/meshctl/Version.java
+++ b/src/main/java/org/cypressweir/meshctl/command/Version.java
@@ -1,9 +1,9 @@
-package org.cypressweir.meshctl;
+package org.cypressweir.meshctl.command;
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build has written into the archive. */
-final class Version implements IVersionProvider {
+/** The version that the build has written into the archive's manifest. */
+public final class Version implements IVersionProvider {
 
     @Override
     public String[] getVersion() {
--- a/src/main/java/org/cypressweir/meshctl/package-info.java
+++ b/src/main/java/org/cypressweir/meshctl/package-info.java
@@ -1,2 +1,5 @@
-/** The command line of the mesh: it starts the programs, checks files, and asks running processes. */
+/**
+ * The command line of the mesh. {@link org.cypressweir.meshctl.MeshCtl} puts the commands together and runs one of
+ * them; the shell runs the same commands one after another.
+ */
 package org.cypressweir.meshctl;
--- /dev/null
+++ b/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
@@ -0,0 +1,87 @@
+package org.cypressweir.meshctl.validation;
+
+import io.vavr.control.Either;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.cypressweir.common.settings.JsonDocuments;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.Rejection;
+
+/**
+ * Finds every error of a configuration change by the rules of the controllers. Those stop at the first error; so
+ * each error that is found is repaired in a copy, which is validated again until no error is left.
+ */
+public final class ConfigurationCheck {
+
+    private static final int MAX_ERRORS = 200;
+
+    private ConfigurationCheck() {}
+
+    /**
+     * @param file a change with "upsert" or "withdraw", or a complete configuration
+     * @param base the configuration that the change applies to, as the read call returns it; null for an empty one
+     */
+    public static List<ValidationError> errors(byte[] file, byte[] base) {
+        Either<String, Map<String, Object>> document = JsonDocuments.read(file);
+        if (document.isLeft()) {
+            return List.of(new ValidationError(ValidationError.WHOLE_FILE, document.getLeft()));
+        }
+        Map<String, Object> content = document.get();
+        Configuration current = base == null ? Configuration.EMPTY : configuration(base);
+        boolean isChange = content.containsKey("upsert") || content.containsKey("withdraw");
+        // A change is validated as the file's own bytes first: duplicate fields are lost in a map.
+        Rejection first = rejection(isChange ? file : JsonCodec.bytes(asChange(content)), current);
+        if (first == null) {
+            return List.of();
+        }
+        List<ValidationError> errors = repairAll(isChange ? content : asChange(content), current);
+        return errors.isEmpty() ? List.of(ValidationError.parse(first.reason())) : errors;
+    }
+
+    private static List<ValidationError> repairAll(Map<String, Object> change, Configuration current) {
+        List<ValidationError> errors = new ArrayList<>();
+        ChangeRepairer repairer = new ChangeRepairer(change);
+        Rejection next = rejection(JsonCodec.bytes(repairer.change()), current);
+        while (next != null && errors.size() < MAX_ERRORS) {
+            ValidationError error = repairer.repair(next.reason());
+            if (error == null || errors.contains(error)) {
+                errors.add(ValidationError.parse(next.reason()));
+                break;
+            }
+            errors.add(error);
+            next = rejection(JsonCodec.bytes(repairer.change()), current);
+        }
+        return errors;
+    }
+
+    private static Configuration configuration(byte[] base) {
+        return JsonDocuments.read(base)
+                .toOption()
+                .map(content -> content.containsKey("upsert") ? content : asChange(content))
+                .flatMap(change ->
+                        ConfigurationChange.read(JsonCodec.bytes(change)).toOption())
+                .map(change -> Configuration.of(change.items()))
+                .getOrElse(Configuration.EMPTY);
+    }
+
+    private static Map<String, Object> asChange(Map<String, Object> configuration) {
+        Map<String, Object> change = new LinkedHashMap<>();
+        change.put("upsert", configuration);
+        return change;
+    }
+
+    /** Null where the change is valid. */
+    private static Rejection rejection(byte[] change, Configuration current) {
+        Either<Rejection, ConfigurationChange> read = ConfigurationChange.read(change);
+        if (read.isLeft()) {
+            return read.getLeft();
+        }
+        Either<Rejection, List<Item>> items = read.get().against(current);
+        return items.isLeft() ? items.getLeft() : null;
+    }
+}
--- a/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
+++ b/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
@@ -45,8 +45,9 @@
         "controlplane.controller: common.util common.settings common.transport common.diagnostics"
                 + " dataplane.http.server dataplane.quota controlplane.configuration controlplane.consensus"
                 + " controlplane.storage controlplane.distribution controlplane.registry",
-        "meshctl: common.util common.settings common.transport controlplane.configuration dataplane.proxy"
-                + " controlplane.controller",
+        "meshctl.validation: common.util common.settings common.transport controlplane.configuration",
+        "meshctl.command: common.util common.settings common.transport meshctl.validation",
+        "meshctl: common.util meshctl.command",
     };
     /** What packages that are not in the list (the sidecar, the fleet, the simulation) may depend on. */
     private static final Set<String> SHARED_WITH_SIDECAR = Set.of("common.util", "loadbalancing");
--- a/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -6,52 +6,55 @@
 import java.io.StringWriter;
 import java.nio.file.Path;
 import java.util.List;
+import org.cypressweir.meshctl.command.ExitStatus;
 import org.cypressweir.testkit.MeshFixture;
 import org.cypressweir.testkit.OperatorChecks;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** With all disks lost nothing begins but by an operator's word, to one harbour that is blank. */
+/** A mesh whose disks are all lost starts again only when an operator bootstraps one blank controller. */
 class BootstrapCommandTest {
 
     @TempDir
     private Path folder;
 
     @Test
-    void aSystemWithoutDisksBeginsByAnOperatorsWord() throws Exception {
-        List<String> harbours = List.of("h1", "h2", "h3");
-        try (MeshFixture rig = new MeshFixture(folder, 3, List.of())) {
-            rig.order("h1", OperatorChecks.order("t0", "k00", 1));
-            rig.begun();
-            StringWriter said = new StringWriter();
-            assertThat(begin(said, rig.control("h1"))).isEqualTo(MeshCtl.BAD);
-            assertThat(begin(said, rig.control("h1"), "--confirm")).isEqualTo(MeshCtl.DIFFERENT);
-            assertThat(said.toString()).contains("--confirm").contains("not blank");
-            for (String harbour : harbours) {
-                rig.kill(harbour);
-                rig.empty(harbour);
+    void meshWithoutDisksStartsOnlyWhenAnOperatorBootstrapsAController() throws Exception {
+        List<String> controllers = List.of("h1", "h2", "h3");
+        try (MeshFixture mesh = new MeshFixture(folder, 3, List.of())) {
+            mesh.order("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.begun();
+            StringWriter output = new StringWriter();
+            assertThat(bootstrap(output, mesh.control("h1"))).isEqualTo(ExitStatus.INVALID);
+            assertThat(bootstrap(output, mesh.control("h1"), "--confirm")).isEqualTo(ExitStatus.DIFFERENT);
+            assertThat(output.toString()).contains("--confirm").contains("not blank");
+            for (String controller : controllers) {
+                mesh.kill(controller);
+                mesh.empty(controller);
             }
-            for (String harbour : harbours) {
-                rig.restart(harbour);
+            for (String controller : controllers) {
+                mesh.restart(controller);
             }
-            rig.await(
-                    "all ask", () -> harbours.stream().allMatch(h -> rig.log(h).endsWith("It is empty.\n")));
-            for (String harbour : harbours) {
-                assertThat(rig.read(harbour).status()).isEqualTo(503);
+            mesh.await("every controller has found its disk empty", () -> controllers.stream()
+                    .allMatch(name -> mesh.log(name).endsWith("It is empty.\n")));
+            for (String controller : controllers) {
+                assertThat(mesh.read(controller).status()).isEqualTo(503);
             }
-            rig.await("h1 begins", () -> begin(said, rig.control("h1"), "--confirm") == MeshCtl.DONE);
-            rig.order("h1", OperatorChecks.order("t0", "k01", 1));
-            for (String harbour : harbours) {
-                rig.await(harbour + " reads", () -> rig.read(harbour).body().contains("k01"));
+            mesh.await("h1 starts", () -> bootstrap(output, mesh.control("h1"), "--confirm") == ExitStatus.OK);
+            mesh.order("h1", OperatorChecks.order("t0", "k01", 1));
+            for (String controller : controllers) {
+                mesh.await(
+                        controller + " reads the change",
+                        () -> mesh.read(controller).body().contains("k01"));
             }
         }
     }
 
-    private static int begin(StringWriter said, String... args) {
-        String[] line = new String[args.length + 1];
-        line[0] = "begin";
-        System.arraycopy(args, 0, line, 1, args.length);
-        PrintWriter out = new PrintWriter(said, true);
-        return MeshCtl.run(out, out, line);
+    private static int bootstrap(StringWriter output, String... args) {
+        String[] command = new String[args.length + 1];
+        command[0] = "bootstrap";
+        System.arraycopy(args, 0, command, 1, args.length);
+        PrintWriter out = new PrintWriter(output, true);
+        return MeshCtl.run(out, out, command);
     }
 }
--- a/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/CheckCommandTest.java
@@ -13,7 +13,7 @@
 
 class CheckCommandTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"localNode": {"nodeName": "p1", "ipAddress": "127.0.2.1", "zone": "a"},
              "network": {"internalPortRange": [7400, 7409], "zones": {"a": "r"},
@@ -34,50 +34,62 @@
     private Path file;
     private int status;
 
-    private List<String> check(String kind, String text, String... more) throws IOException {
+    private List<String> check(String kind, String text, String... furtherArgs) throws IOException {
         file = folder.resolve("file.json");
         Files.writeString(file, text);
-        String[] args = new String[more.length + 3];
+        String[] args = new String[furtherArgs.length + 3];
         args[0] = "check";
         args[1] = kind;
         args[2] = file.toString();
-        System.arraycopy(more, 0, args, 3, more.length);
+        System.arraycopy(furtherArgs, 0, args, 3, furtherArgs.length);
         StringWriter out = new StringWriter();
         status = MeshCtl.run(new PrintWriter(out), new PrintWriter(out), args);
         return out.toString().lines().map(line -> line.replace(file + ": ", "")).toList();
     }
 
     @Test
-    void allFaultsOfSettingsAreTold() throws IOException {
-        assertThat(check("settings", GOOD)).isEmpty();
+    void everyErrorOfSettingsIsReported() throws IOException {
+        assertThat(check("settings", VALID)).isEmpty();
         assertThat(status).isZero();
-        assertThat(check("settings", GOOD, "--for", "harbour"))
-                .containsExactly("localNode.dataDirectory: is missing, and a harbour wants it");
+        assertThat(check("settings", VALID, "--for", "controller"))
+                .containsExactly("localNode.dataDirectory: is missing; a controller requires it");
+        assertThat(check("settings", VALID, "--for", "harbour"))
+                .containsExactly("localNode.dataDirectory: is missing; a controller requires it");
+        assertThat(check("settings", VALID, "--for", "pilot"))
+                .containsExactly(
+                        "localNode.application: is missing; a proxy requires it",
+                        "network.listenAddresses.outbound: is missing; a proxy requires it",
+                        "network.listenAddresses.readiness: is missing; a proxy requires it");
+        assertThat(check("settings", VALID, "--for", "sidecar"))
+                .singleElement()
+                .asString()
+                .contains("expected proxy or controller, but was 'sidecar'");
+        assertThat(status).isEqualTo(2);
         assertThat(check("settings", "{\"localNode\": {\"zone\": 3}}"))
                 .contains(
                         "network.internalPortRange: wants two ports",
                         "localNode.nodeName: is missing",
                         "localNode.zone: is no text");
-        assertThat(check("settings", GOOD.replace(":7500", "").replace("\"zone\": \"a\"", "\"zone\": \"b\"")))
+        assertThat(check("settings", VALID.replace(":7500", "").replace("\"zone\": \"a\"", "\"zone\": \"b\"")))
                 .containsExactly(
                         "network.listenAddresses.controlPlane: '127.0.2.1' is not an address and a " + "port",
-                        "localNode.zone: b is none of network.zones");
+                        "localNode.zone: b is not in network.zones");
         assertThat(status).isEqualTo(2);
         assertThat(check("settings", "{")).singleElement().asString().startsWith("the file: ");
     }
 
     @Test
-    void allFaultsOfAChangeAreTold() throws IOException {
-        String good = "{\"upsert\": {\"routeTable\": {\"r\": " + ROUTE.formatted("h", "1s", "s")
+    void everyErrorOfAChangeIsReported() throws IOException {
+        String valid = "{\"upsert\": {\"routeTable\": {\"r\": " + ROUTE.formatted("h", "1s", "s")
                 + "}, \"serviceTable\": {\"s\": " + SERVICE + "}}}";
-        assertThat(check("config", good)).isEmpty();
+        assertThat(check("config", valid)).isEmpty();
         assertThat(status).isZero();
-        String bad = "{\"upsert\": {\"routeTable\": {\"a\": " + ROUTE.formatted("h", "soon", "none")
+        String invalid = "{\"upsert\": {\"routeTable\": {\"a\": " + ROUTE.formatted("h", "soon", "none")
                 + ", \"b\": " + ROUTE.formatted("same", "1s", "s").replace("\"r1\"", "1")
                 + ", \"c\": " + ROUTE.formatted("same", "1s", "s")
                 + "}, \"serviceTable\": {\"s\": " + SERVICE.replace("8", "0").replace("\"/\"", "\"x\"")
                 + "}}, \"withdraw\": {\"tenantTable\": [{}]}}";
-        assertThat(check("config", bad))
+        assertThat(check("config", invalid))
                 .containsExactlyInAnyOrder(
                         "routeTable.b.configVersion: must be a text",
                         "withdraw.tenantTable[0].name: is missing",
@@ -90,7 +102,7 @@
     }
 
     @Test
-    void aChangeMayLeanOnWhatStands() throws IOException {
+    void changeMayReferToTheBaseConfiguration() throws IOException {
         Path base = folder.resolve("base.json");
         Files.writeString(base, "{\"serviceTable\": {\"s\": " + SERVICE + "}, \"limits\": {}}");
         String change = "{\"upsert\": {\"routeTable\": {\"r\": " + ROUTE.formatted("h", "1s", "s") + "}}}";
@@ -99,7 +111,7 @@
     }
 
     @Test
-    void whatCantBeReadIsNoBadFile() throws IOException {
+    void unreadableFileHasAStatusOfItsOwn() throws IOException {
         check("config", "{}");
         Files.delete(file);
         assertThat(MeshCtl.run(
--- a/src/test/java/org/cypressweir/meshctl/QueryTest.java
+++ b/src/test/java/org/cypressweir/meshctl/QueryCommandTest.java
@@ -31,6 +31,7 @@
 import org.cypressweir.dataplane.http.server.HttpListener;
 import org.cypressweir.dataplane.http.server.RequestLimits;
 import org.cypressweir.dataplane.http.server.ServerResponse;
+import org.cypressweir.meshctl.command.AnsiStyle;
 import org.jline.terminal.Terminal;
 import org.jline.terminal.impl.ExternalTerminal;
 import org.junit.jupiter.api.AfterAll;
@@ -38,8 +39,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Questions go over a socket to the state call and come back as tables. */
-class QueryTest {
+/** Queries against the state call over sockets, and the tables that they print. */
+class QueryCommandTest {
 
     private static final String SECRET = "key-nobody-may-see";
     private static final MultiThreadIoEventLoopGroup GROUP =
@@ -52,19 +53,19 @@
 
     @BeforeAll
     static void listen() throws IOException {
-        HttpListener gangway = HttpListener.open(
+        HttpListener listener = HttpListener.open(
                 GROUP,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
                 new MonotonicClock(),
-                new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryTest::state));
-        at = Addresses.text(gangway.address());
+                new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::state));
+        at = Addresses.text(listener.address());
         other = Addresses.text(HttpListener.open(
                         GROUP,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
                         new MonotonicClock(),
-                        new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryTest::other))
+                        new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::other))
                 .address());
         silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     }
@@ -110,12 +111,12 @@
                         JsonCodec.map("name", "p2", "server", "s2", "slots", 4),
                         JsonCodec.map("name", "p1", "slots", 12)));
         if (items) {
-            state.put("list", ItemListing.of(manifest()));
+            state.put("list", ItemListing.of(configuration()));
         }
         return state;
     }
 
-    private static Configuration manifest() {
+    private static Configuration configuration() {
         String route = "{\"hostname\":\"Shop\",\"pathPrefix\":\"%s\",\"routeType\":\"idempotent\","
                 + "\"timeout\":\"1s\",\"targetLatency\":\"50ms\",\"priority\":1,\"service\":\"s\","
                 + "\"maxAttempts\":2,\"configVersion\":\"r7\"}";
@@ -127,8 +128,8 @@
                 .items());
     }
 
-    /** Waits for so long that a busy machine changes nothing. */
-    private int ask(String... args) {
+    /** Runs a query with a time-out that is long enough for a busy machine. */
+    private int query(String... args) {
         List<String> all = new ArrayList<>(List.of(args));
         all.addAll(List.of("--timeout", "30000"));
         return run(all.toArray(String[]::new));
@@ -139,45 +140,45 @@
     }
 
     @Test
-    void theFleetComesAsATable() {
-        assertThat(ask("fleet", "--at", at, "--columns", "pilot,server,slots", "--sort", "slots"))
+    void fleetIsPrintedAsATable() {
+        assertThat(query("fleet", "--at", at, "--columns", "proxy,server,slots", "--sort", "slots"))
                 .isZero();
         assertThat(out.toString().lines())
-                .containsExactly("pilot  server  slots", "p2     s2          4", "p1                12");
+                .containsExactly("proxy  server  slots", "p2     s2          4", "p1                12");
         assertThat(err.toString()).isEmpty();
     }
 
     @Test
-    void theLongestPrefixTakesARequestAndKeysAreNotTold() {
-        assertThat(ask("route", "shop", "/cart/7?x", "--at", at, "--json")).isZero();
-        assertThat(out.toString()).contains("\"route\":\"cart\"", "\"to\":\"s\"", "\"silent\":[]");
-        assertThat(ask("route", "other", "/", "--at", at)).isEqualTo(4);
-        assertThat(ask("items", "--at", at, "--where", "table=tenantTable")).isZero();
+    void longestPrefixMatchesAndKeysAreNotShown() {
+        assertThat(query("route", "shop", "/cart/7?x", "--at", at, "--json")).isZero();
+        assertThat(out.toString()).contains("\"route\":\"cart\"", "\"destination\":\"s\"", "\"silent\":[]");
+        assertThat(query("route", "other", "/", "--at", at)).isEqualTo(4);
+        assertThat(query("items", "--at", at, "--where", "table=tenantTable")).isZero();
         assertThat(out.toString()).contains("r1").doesNotContain(SECRET);
     }
 
     @Test
-    void whatTwoSeeDifferentlyIsTold() {
-        assertThat(ask("diff", at, other)).isEqualTo(5);
+    void diffShowsTheFactsThatDiffer() {
+        assertThat(query("diff", at, other)).isEqualTo(5);
         assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|")))
                 .containsExactly(
-                        "what|a|b",
+                        "fact|a|b",
                         "item routeTable.all|r7",
                         "item routeTable.cart|r7",
                         "item tenantTable.t|r1",
-                        "pilot p1",
-                        "server s2|at p2, 4 slots|s at p2, 8 slots",
-                        "stamp|3@h1|2@h1");
-        assertThat(ask("diff", at, at)).isZero();
+                        "proposal|3@h1|2@h1",
+                        "proxy p1",
+                        "server s2|at p2, 4 slots|s at p2, 8 slots");
+        assertThat(query("diff", at, at)).isZero();
     }
 
     @Test
-    void linesOfAFileAreRunOneAfterAnother() throws IOException {
+    void shellRunsTheLinesOfAFile() throws IOException {
         Shell shell = new Shell(List.of());
         assertThat(shell.run(
                         new BufferedReader(new StringReader("# whom\nat " + at + "\n\nat\n"
-                                + "fleet --columns \"pilot,slots\" --timeout 30000\nroute other / --timeout 30000\n"
-                                + "at here\npilot\nquit\nat")),
+                                + "fleet --columns \"proxy,slots\" --timeout 30000\nroute other / --timeout 30000\n"
+                                + "at here\nproxy\nquit\nat")),
                         new PrintWriter(out, true),
                         new PrintWriter(err, true)))
                 .isEqualTo(4);
@@ -186,9 +187,9 @@
     }
 
     @Test
-    void atATerminalLinesAreCompletedAndKept(@TempDir Path folder) throws IOException {
+    void terminalCompletesLinesAndKeepsTheirHistory(@TempDir Path folder) throws IOException {
         Path history = folder.resolve("history");
-        String typed = "ref\t--he\t\rfleet --at " + at + " --timeout 30000 --columns sl\t\rexit\r";
+        String typed = "rej\t--he\t\rfleet --at " + at + " --timeout 30000 --columns sl\t\rexit\r";
         ByteArrayOutputStream shown = new ByteArrayOutputStream();
         try (Terminal terminal = new ExternalTerminal(
                 "test",
@@ -199,30 +200,30 @@
             InteractiveTerminal.run(new Shell(List.of()), terminal, history, new AnsiStyle(true));
         }
         assertThat(shown.toString(StandardCharsets.UTF_8))
-                .contains("Answers of the mesh's own", "\u001b[1mslots\u001b[0m");
-        assertThat(Files.readString(history)).contains("refusals --help", "--columns slots", "exit");
+                .contains("responses generated by the mesh", "\u001b[1mslots\u001b[0m");
+        assertThat(Files.readString(history)).contains("rejections --help", "--columns slots", "exit");
     }
 
     @Test
-    void whoDoesNotAnswerIsNamed() throws IOException {
+    void processesWithoutAResponseAreNamed() throws IOException {
         ServerSocket closed = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         String nobody = Addresses.text((InetSocketAddress) closed.getLocalSocketAddress());
         closed.close();
-        assertThat(ask("copies", "--at", at, "--at", nobody)).isEqualTo(3);
+        assertThat(query("replicas", "--at", at, "--at", nobody)).isEqualTo(3);
         assertThat(out.toString()).contains("3@h1");
         String mute = Addresses.text((InetSocketAddress) silent.getLocalSocketAddress());
-        assertThat(run("tallies", "--at", mute, "--timeout", "100")).isEqualTo(1);
+        assertThat(run("quotas", "--at", mute, "--timeout", "100")).isEqualTo(1);
         assertThat(err.toString().lines())
                 .containsExactly(
-                        "cypressweir: " + nobody + ": nobody listens",
-                        "cypressweir: " + mute + ": no answer in 100 ms");
+                        "cypressweir: " + nobody + ": cannot connect",
+                        "cypressweir: " + mute + ": no response within 100 ms");
     }
 
     @Test
-    void wrongUseIsOneLine() {
+    void usageErrorIsOneLine() {
         assertThat(run("fleet", "--at", at, "--sort", "colour")).isEqualTo(2);
         assertThat(run("fleet", "--at", "here")).isEqualTo(2);
-        assertThat(run("copies", "--at", at, "--where", "name")).isEqualTo(2);
+        assertThat(run("replicas", "--at", at, "--where", "name")).isEqualTo(2);
         assertThat(run("sail")).isEqualTo(2);
         assertThat(run()).isEqualTo(2);
         assertThat(err.toString().lines()).hasSize(5).allMatch(line -> line.startsWith("cypressweir: "));
