--- /dev/null
+++ b/src/test/java/org/cypressweir/FormerProgramNamesTest.java
@@ -0,0 +1,31 @@
+package org.cypressweir;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Path;
+import java.util.List;
+import org.cypressweir.testkit.MeshFixture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The programs still start by their names in earlier builds: scripts of operators have these. */
+class FormerProgramNamesTest {
+
+    private static final String ORDERS_SERVICE =
+            "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health','maxConnections':32,"
+                    + "'configVersion':'r1'}}}}";
+
+    @TempDir
+    private Path folder;
+
+    @Test
+    @Timeout(60)
+    void harbourAndPilotStartAControllerAndAProxy() throws Exception {
+        try (MeshFixture mesh = MeshFixture.withFormerProgramNames(folder, 3, List.of("orders"))) {
+            mesh.order("h1", ORDERS_SERVICE);
+            mesh.ready("p1");
+            assertThat(mesh.state("h1").status()).isEqualTo(200);
+        }
+    }
+}
--- a/src/test/java/org/cypressweir/testkit/MeshFixture.java
+++ b/src/test/java/org/cypressweir/testkit/MeshFixture.java
@@ -34,12 +34,12 @@
 import org.cypressweir.common.util.Addresses;
 
 /**
- * Harbours and pilots as real processes, each on a loopback address of its own, and a server beside each
- * pilot. It ends what it has started, and nothing else.
+ * Controllers and proxies as real processes, each on a loopback address of its own, and an application stub beside
+ * each proxy. {@link #close} stops what it has started, and nothing else. For one thread.
  */
 public final class MeshFixture implements AutoCloseable {
 
-    /** A request that was sent whole and got no answer. */
+    /** A request was sent completely and got no response. */
     public static final class NoAnswer extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -48,75 +48,99 @@
         }
     }
 
-    /** A harbour at an address that no seed names; {@link #replacement} starts it. */
+    /** The names of the programs as arguments of the command line. */
+    private enum ProgramNames {
+        CURRENT("controller", "proxy"),
+        FORMER("harbour", "pilot");
+
+        private final String controller;
+        private final String proxy;
+
+        ProgramNames(String controller, String proxy) {
+            this.controller = controller;
+            this.proxy = proxy;
+        }
+    }
+
+    /** A controller at an address that is not a seed; {@link #replacement} starts it. */
     public static final String SPARE = "h99";
 
-    private static final int LINES = 21_700;
-    private static final int OUTBOUND = 21_780;
-    private static final int READINESS = 21_781;
-    private static final int CONTROL = 21_790;
-    private static final int APPLICATION = 21_800;
-    private static final int REDIRECTS = 2;
-    private static final int PATIENCE_MILLIS = 12_000;
-    private static final int LOOK_MILLIS = 15;
+    private static final int PEER_PORT = 21_700;
+    private static final int OUTBOUND_PORT = 21_780;
+    private static final int READINESS_PORT = 21_781;
+    private static final int CONTROL_PORT = 21_790;
+    private static final int APPLICATION_PORT = 21_800;
+    private static final int MAX_REDIRECTS = 2;
+    private static final int TIMEOUT_MILLIS = 12_000;
+    private static final int POLL_INTERVAL_MILLIS = 15;
 
     private final Path folder;
+    private final ProgramNames programNames;
     private final String net;
     private final Map<String, String> ips = new LinkedHashMap<>();
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    private final Map<String, ApplicationStubs> ships = new LinkedHashMap<>();
-    private final List<String> harbours = new ArrayList<>();
-    private final List<String> pilots = new ArrayList<>();
+    private final Map<String, ApplicationStubs> applications = new LinkedHashMap<>();
+    private final List<String> controllers = new ArrayList<>();
+    private final List<String> proxies = new ArrayList<>();
     private final List<String> joined = new ArrayList<>();
     private final AtomicLong ids = new AtomicLong();
     private final ConnectionRelay relay;
     private boolean initial = true;
-    private volatile int callMillis = PATIENCE_MILLIS;
-    private final ScheduledExecutorService looks = Executors.newScheduledThreadPool(4, task -> {
-        Thread thread = new Thread(task, "rig-looks");
+    private volatile int callMillis = TIMEOUT_MILLIS;
+    private final ScheduledExecutorService poller = Executors.newScheduledThreadPool(4, task -> {
+        Thread thread = new Thread(task, "mesh-fixture-poll");
         thread.setDaemon(true);
         return thread;
     });
 
-    /** @param services the service of each pilot's machine; the pilots are named p1, p2, ... */
-    public MeshFixture(Path folder, int harbourCount, List<String> services) throws IOException {
-        this(folder, harbourCount, services, false);
+    /** @param services the service of the application beside each proxy; the proxies are named p1, p2, ... */
+    public MeshFixture(Path folder, int controllerCount, List<String> services) throws IOException {
+        this(folder, controllerCount, services, false, ProgramNames.CURRENT);
     }
 
-    /** Harbours and pilots whose lines all go by a relay, which can cut them. */
-    public static MeshFixture withCuts(Path folder, int harbourCount, List<String> services) throws IOException {
-        return new MeshFixture(folder, harbourCount, services, true);
+    /** Starts the programs by their names in earlier builds. */
+    public static MeshFixture withFormerProgramNames(Path folder, int controllerCount, List<String> services)
+            throws IOException {
+        return new MeshFixture(folder, controllerCount, services, false, ProgramNames.FORMER);
     }
 
-    private MeshFixture(Path folder, int harbourCount, List<String> services, boolean cuts) throws IOException {
+    /** Controllers and proxies whose connections all pass a relay, which can partition them. */
+    public static MeshFixture withCuts(Path folder, int controllerCount, List<String> services) throws IOException {
+        return new MeshFixture(folder, controllerCount, services, true, ProgramNames.CURRENT);
+    }
+
+    private MeshFixture(
+            Path folder, int controllerCount, List<String> services, boolean partitionable, ProgramNames programNames)
+            throws IOException {
         this.folder = folder;
+        this.programNames = programNames;
         SecureRandom random = new SecureRandom();
         net = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
-        for (int i = 1; i <= harbourCount; i++) {
-            harbours.add("h" + i);
+        for (int i = 1; i <= controllerCount; i++) {
+            controllers.add("h" + i);
             ips.put("h" + i, net + i);
         }
         for (int i = 1; i <= services.size(); i++) {
-            pilots.add("p" + i);
+            proxies.add("p" + i);
             ips.put("p" + i, net + (100 + i));
         }
         ips.put(SPARE, net + 99);
-        Map<String, InetSocketAddress> lines = new LinkedHashMap<>();
-        ips.forEach((name, ip) -> lines.put(name, new InetSocketAddress(ip, LINES)));
-        relay = cuts ? new ConnectionRelay(net + 250, lines) : null;
-        for (String harbour : harbours) {
-            settings(harbour, null, "");
-            start(harbour);
+        Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
+        ips.forEach((name, ip) -> peerAddresses.put(name, new InetSocketAddress(ip, PEER_PORT)));
+        relay = partitionable ? new ConnectionRelay(net + 250, peerAddresses) : null;
+        for (String controller : controllers) {
+            settings(controller, null, "");
+            start(controller);
         }
-        for (int i = 0; i < pilots.size(); i++) {
-            String name = pilots.get(i);
+        for (int i = 0; i < proxies.size(); i++) {
+            String name = proxies.get(i);
             settings(name, services.get(i), "");
             start(name);
-            ships.put(
+            applications.put(
                     name,
                     new ApplicationStubs(
-                            ApplicationStubs.at(ips.get(name), APPLICATION),
-                            ApplicationStubs.at(ips.get(name), CONTROL),
+                            ApplicationStubs.at(ips.get(name), APPLICATION_PORT),
+                            ApplicationStubs.at(ips.get(name), CONTROL_PORT),
                             services.get(i) + "-" + name,
                             services.get(i),
                             "z1",
@@ -124,7 +148,7 @@
         }
     }
 
-    /** Starts a harbour that no seeds name, with an empty disk. */
+    /** Starts a controller that is not a seed, with an empty disk. */
     public void join(String name) throws IOException {
         joined.add(name);
         ips.put(name, net + (50 + joined.size()));
@@ -132,61 +156,61 @@
         start(name);
     }
 
-    /** Where a harbour is spoken to by others. */
+    /** The address of a process for its peers. */
     public String lines(String name) {
-        return ips.get(name) + ":" + LINES;
+        return ips.get(name) + ":" + PEER_PORT;
     }
 
-    /** From here on a harbour that finds its disk empty has forgotten: the mesh has begun. */
+    /** From here on a controller that finds its disk empty has lost it: the mesh is initialized. */
     public void begun() throws IOException {
         initial = false;
-        for (String harbour : harbours) {
-            settings(harbour, null, "");
+        for (String controller : controllers) {
+            settings(controller, null, "");
         }
     }
 
-    /** How long an answer is waited for. */
+    /** Sets the time-out of calls, in milliseconds. */
     public void patience(int millis) {
         callMillis = millis;
     }
 
-    /** Empties the folder of a harbour, whether it runs or not. */
-    public void empty(String harbour) throws IOException {
-        try (Stream<Path> files = Files.walk(folder.resolve(harbour))) {
+    /** Empties the data directory of a controller, whether it runs or not. */
+    public void empty(String controller) throws IOException {
+        try (Stream<Path> files = Files.walk(folder.resolve(controller))) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
             }
         } catch (NoSuchFileException | DirectoryNotEmptyException | UncheckedIOException e) {
-            // The process made or removed a file meanwhile: the rest goes once it has ended.
+            // The process creates or removes files meanwhile: the rest is removed once it has ended.
             return;
         }
     }
 
-    public ApplicationStubs ship(String pilot) {
-        return ships.get(pilot);
+    public ApplicationStubs ship(String proxy) {
+        return applications.get(proxy);
     }
 
-    /** Writes the settings of a process; more terms as the inside of an object, each behind a comma. */
-    public void settings(String name, String service, String moreTerms) throws IOException {
+    /** Writes the settings of a process; further terms as the inside of an object, each after a comma. */
+    public void settings(String name, String service, String furtherTerms) throws IOException {
         String ip = ips.get(name);
-        List<String> seeds = harbours.stream()
-                .map(h -> "\"" + ips.get(h) + ":" + LINES + "\"")
+        List<String> seeds = controllers.stream()
+                .map(h -> "\"" + ips.get(h) + ":" + PEER_PORT + "\"")
                 .toList();
-        String listen = "\"controlPlane\":\"" + ip + ":" + CONTROL + "\""
+        String listen = "\"controlPlane\":\"" + ip + ":" + CONTROL_PORT + "\""
                 + (service == null
                         ? ""
-                        : ",\"outbound\":\"" + ip + ":" + OUTBOUND + "\",\"readiness\":\"" + ip + ":" + READINESS
-                                + "\"");
+                        : ",\"outbound\":\"" + ip + ":" + OUTBOUND_PORT + "\",\"readiness\":\"" + ip + ":"
+                                + READINESS_PORT + "\"");
         String own = service == null
                 ? ",\"dataDirectory\":\"" + folder.resolve(name) + "\""
-                : ",\"application\":\"" + ip + ":" + APPLICATION + "\",\"service\":\"" + service + "\"";
+                : ",\"application\":\"" + ip + ":" + APPLICATION_PORT + "\",\"service\":\"" + service + "\"";
         String text = "{\"localNode\":{\"nodeName\":\"" + name + "\",\"ipAddress\":\"" + ip
                 + "\",\"zone\":\"z1\",\"region\":\"r1\",\"initialStart\":" + initial + own
-                + "},\"network\":{\"listenAddresses\":{" + listen + "},\"internalPortRange\":[" + LINES + ","
-                + (LINES + 9) + "],\"seedNodes\":" + seeds + ",\"zones\":{\"z1\":\"r1\"}},"
+                + "},\"network\":{\"listenAddresses\":{" + listen + "},\"internalPortRange\":[" + PEER_PORT + ","
+                + (PEER_PORT + 9) + "],\"seedNodes\":" + seeds + ",\"zones\":{\"z1\":\"r1\"}},"
                 + "\"platform\":{\"heartbeat\":\"500ms\"},"
                 + "\"termTable\":{\"timingBounds\":{\"drain\":\"2500ms\","
-                + "\"gracePeriod\":\"4s\",\"retrySlack\":200,\"retryBudgetRatio\":0.5" + moreTerms + "}}}";
+                + "\"gracePeriod\":\"4s\",\"retrySlack\":200,\"retryBudgetRatio\":0.5" + furtherTerms + "}}}";
         Files.writeString(folder.resolve(name + ".json"), text);
     }
 
@@ -200,7 +224,7 @@
                 classPath(),
                 "-D" + FixtureProcess.DETOURS + "=" + detours(name),
                 (relay == null ? Main.class : FixtureProcess.class).getName(),
-                pilots.contains(name) ? "pilot" : "harbour");
+                proxies.contains(name) ? programNames.proxy : programNames.controller);
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
@@ -215,11 +239,11 @@
                 ? ""
                 : ips.keySet().stream()
                         .filter(to -> !to.equals(from))
-                        .map(to -> ips.get(to) + ":" + LINES + "=" + Addresses.text(relay.door(from, to)))
+                        .map(to -> ips.get(to) + ":" + PEER_PORT + "=" + Addresses.text(relay.door(from, to)))
                         .collect(Collectors.joining(","));
     }
 
-    /** What stands in all lines. */
+    /** The relay that all connections pass; null without one. */
     public ConnectionRelay relay() {
         return relay;
     }
@@ -232,32 +256,32 @@
         return processes.get(name).isAlive();
     }
 
-    /** Ends it at once; returns when it is gone. */
+    /** Kills a process; returns when it has ended. */
     public void kill(String name) throws InterruptedException {
         processes.get(name).destroyForcibly();
         gone(name);
     }
 
-    /** Asks it to end. */
+    /** Sends SIGTERM. */
     public void term(String name) {
         processes.get(name).destroy();
     }
 
     /** Waits until it has ended. */
     public void gone(String name) throws InterruptedException {
-        if (!processes.get(name).waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
+        if (!processes.get(name).waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError(name + " does not end\n" + log(name));
         }
     }
 
-    /** Ends a harbour at once, empties its folder and starts it. */
-    public void wipe(String harbour) throws IOException, InterruptedException {
-        kill(harbour);
-        empty(harbour);
-        restart(harbour);
+    /** Kills a controller, empties its data directory and starts it. */
+    public void wipe(String controller) throws IOException, InterruptedException {
+        kill(controller);
+        empty(controller);
+        restart(controller);
     }
 
-    /** Starts the harbour that is known to nobody. */
+    /** Starts the spare controller. */
     public void replacement() throws IOException {
         settings(SPARE, null, "");
         start(SPARE);
@@ -265,7 +289,7 @@
 
     public void restart(String name) throws IOException {
         if (isAlive(name)) {
-            throw new IllegalStateException(name + " runs");
+            throw new IllegalStateException(name + " is running");
         }
         start(name);
     }
@@ -274,14 +298,14 @@
         signal(name, "-HUP");
     }
 
-    /** Stops it where it is: its addresses stay, and nothing comes from it any more. */
+    /** Suspends a process: its sockets stay open, and it sends nothing any more. */
     public void freeze(String name) throws IOException, InterruptedException {
         signal(name, "-STOP");
     }
 
-    /** Where a process is asked by operators. */
+    /** The control-plane address of a process. */
     public String control(String name) {
-        return ips.get(name) + ":" + CONTROL;
+        return ips.get(name) + ":" + CONTROL_PORT;
     }
 
     public void signal(String name, String which) throws IOException, InterruptedException {
@@ -289,18 +313,18 @@
                         "kill", which, Long.toString(processes.get(name).pid()))
                 .start();
         if (kill.waitFor() != 0) {
-            throw new IOException("no signal was sent to " + name);
+            throw new IOException("cannot signal " + name);
         }
     }
 
-    /** All logs; whoever runs tells there first what its threads do. */
+    /** All logs, after a thread dump of each running process. */
     private String logs() throws InterruptedException {
         StringBuilder logs = new StringBuilder();
         for (String name : processes.keySet()) {
             if (isAlive(name)) {
                 try {
                     signal(name, "-QUIT");
-                    look(2_000, () -> log(name).contains("JNI global refs"));
+                    poll(2_000, () -> log(name).contains("JNI global refs"));
                 } catch (IOException | TimeoutException | ExecutionException e) {
                     logs.append("\nno threads of ").append(name).append(": ").append(e);
                 }
@@ -310,14 +334,14 @@
         return logs.toString();
     }
 
-    /** What all have logged so far. */
+    /** All logs so far. */
     public String said() {
         return processes.keySet().stream()
                 .map(name -> "\n--- " + name + "\n" + log(name))
                 .collect(Collectors.joining());
     }
 
-    /** What a process has logged so far. */
+    /** The log of a process so far. */
     public String log(String name) {
         try {
             return Files.readString(folder.resolve(name + ".log"));
@@ -326,106 +350,110 @@
         }
     }
 
-    /** Looks again and again until it holds; an exception of a look counts as not yet. */
-    public void await(String what, Callable<Boolean> holds) throws InterruptedException {
+    /** Polls a condition until it condition; an exception counts as not yet. */
+    public void await(String what, Callable<Boolean> condition) throws InterruptedException {
         try {
-            look(PATIENCE_MILLIS, holds);
+            poll(TIMEOUT_MILLIS, condition);
         } catch (TimeoutException | ExecutionException e) {
-            throw new AssertionError("in vain: " + what + logs(), e);
+            throw new AssertionError("timed out waiting for: " + what + logs(), e);
         }
     }
 
-    private void look(int patienceMillis, Callable<Boolean> holds)
+    private void poll(int timeoutMillis, Callable<Boolean> condition)
             throws InterruptedException, TimeoutException, ExecutionException {
-        CompletableFuture<Void> held = new CompletableFuture<>();
-        ScheduledFuture<?> looking = looks.scheduleWithFixedDelay(
+        CompletableFuture<Void> satisfied = new CompletableFuture<>();
+        ScheduledFuture<?> polling = poller.scheduleWithFixedDelay(
                 () -> {
                     try {
-                        if (holds.call()) {
-                            held.complete(null);
+                        if (condition.call()) {
+                            satisfied.complete(null);
                         }
                     } catch (Exception e) {
                         // Not yet.
                     }
                 },
                 0,
-                LOOK_MILLIS,
+                POLL_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
         try {
-            held.get(patienceMillis, TimeUnit.MILLISECONDS);
+            satisfied.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } finally {
-            looking.cancel(false);
+            polling.cancel(false);
         }
     }
 
-    /** Waits until the pilot says that it is ready. */
-    public void ready(String pilot) throws InterruptedException {
+    /** Waits until the proxy reports that it is ready. */
+    public void ready(String proxy) throws InterruptedException {
         await(
-                pilot + " is ready",
-                () -> call(pilot, READINESS, "GET", "/cypressweir/readiness", "", "")
+                proxy + " is ready",
+                () -> call(proxy, READINESS_PORT, "GET", "/cypressweir/readiness", "", "")
                                 .status()
                         == 200);
     }
 
-    /** Orders there; who is sent elsewhere goes there, as operators do. */
-    public RawHttpClient.Message modify(String harbour, String json) throws IOException {
-        return operate(harbour, "POST", "/cypressweir/config/modify", json.replace('\'', '"'));
+    /** Sends a configuration change to a controller and follows redirects, as operators do. */
+    public RawHttpClient.Message modify(String controller, String json) throws IOException {
+        return operate(controller, "POST", "/cypressweir/config/modify", json.replace('\'', '"'));
     }
 
-    /** Sends an order and leaves without its answer. */
-    public void sendAndLeave(String harbour, String json) throws IOException {
+    /** Sends a configuration change and closes the connection without waiting for the response. */
+    public void sendAndLeave(String controller, String json) throws IOException {
         String body = json.replace('\'', '"');
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(ips.get(harbour), CONTROL), callMillis);
+            socket.connect(new InetSocketAddress(ips.get(controller), CONTROL_PORT), callMillis);
             socket.getOutputStream()
-                    .write(("POST /cypressweir/config/modify HTTP/1.1\r\nHost: " + harbour + "\r\nContent-Length: "
+                    .write(("POST /cypressweir/config/modify HTTP/1.1\r\nHost: " + controller + "\r\nContent-Length: "
                                     + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    private RawHttpClient.Message operate(String harbour, String method, String path, String body) throws IOException {
-        RawHttpClient.Message answer = call(harbour, CONTROL, method, path, "", body);
-        for (int i = 0; i < REDIRECTS && answer.status() == 307; i++) {
-            URI to = URI.create(answer.headers().get("Location"));
-            answer = call(harbour, new InetSocketAddress(to.getHost(), to.getPort()), method, to.getPath(), "", body);
+    private RawHttpClient.Message operate(String controller, String method, String path, String body)
+            throws IOException {
+        RawHttpClient.Message response = call(controller, CONTROL_PORT, method, path, "", body);
+        for (int i = 0; i < MAX_REDIRECTS && response.status() == 307; i++) {
+            URI to = URI.create(response.headers().get("Location"));
+            response =
+                    call(controller, new InetSocketAddress(to.getHost(), to.getPort()), method, to.getPath(), "", body);
         }
-        return answer;
+        return response;
     }
 
-    /** Orders until it is taken: right after a start or a loss too few harbours may be there. */
-    public void order(String harbour, String json) throws InterruptedException {
-        await(harbour + " takes " + json, () -> modify(harbour, json).status() == 200);
+    /** Repeats a change until it is acknowledged: right after a start or a fault there may be no quorum. */
+    public void order(String controller, String json) throws InterruptedException {
+        await(
+                controller + " acknowledges " + json,
+                () -> modify(controller, json).status() == 200);
     }
 
-    public RawHttpClient.Message read(String harbour) throws IOException {
-        return operate(harbour, "GET", "/cypressweir/config/read", "");
+    public RawHttpClient.Message read(String controller) throws IOException {
+        return operate(controller, "GET", "/cypressweir/config/read", "");
     }
 
-    /** What that harbour itself answers, also where it sends on. */
-    public RawHttpClient.Message firstAnswer(String harbour) throws IOException {
-        return call(harbour, CONTROL, "GET", "/cypressweir/config/read", "", "");
+    /** The response of that controller itself to a read, without following redirects. */
+    public RawHttpClient.Message firstAnswer(String controller) throws IOException {
+        return call(controller, CONTROL_PORT, "GET", "/cypressweir/config/read", "", "");
     }
 
-    /** What a process tells of itself. */
+    /** The response to the state call. */
     public RawHttpClient.Message state(String name) throws IOException {
-        return call(name, CONTROL, "GET", "/cypressweir/state", "", "");
+        return call(name, CONTROL_PORT, "GET", "/cypressweir/state", "", "");
     }
 
     public String id() {
         return "a" + ids.incrementAndGet();
     }
 
-    /** One request of a client on a connection of its own; without a key for null. */
-    public RawHttpClient.Message request(String pilot, String host, String path, String key) throws IOException {
-        return request(pilot, host, path, key, id());
+    /** One request of a client on a connection of its own; a null key is not sent. */
+    public RawHttpClient.Message request(String proxy, String host, String path, String key) throws IOException {
+        return request(proxy, host, path, key, id());
     }
 
-    public RawHttpClient.Message request(String pilot, String host, String path, String key, String id)
+    public RawHttpClient.Message request(String proxy, String host, String path, String key, String id)
             throws IOException {
         return call(
-                pilot,
-                OUTBOUND,
+                proxy,
+                OUTBOUND_PORT,
                 "POST",
                 path,
                 "Host: " + host + "\r\n" + ApplicationStubs.ID + ": " + id + "\r\n"
@@ -433,7 +461,7 @@
                 "of " + id);
     }
 
-    /** @throws ConnectException where nobody listens: nothing was sent */
+    /** @throws ConnectException if nothing listens there: nothing was sent */
     private RawHttpClient.Message call(String name, int port, String method, String path, String headers, String body)
             throws IOException {
         return call(name, new InetSocketAddress(ips.get(name), port), method, path, headers, body);
@@ -451,22 +479,22 @@
                         .write((method + " " + path + " HTTP/1.1\r\n" + host + headers
                                         + "Connection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                RawHttpClient.Message answer = RawHttpClient.read(socket.getInputStream());
-                if (answer == null) {
+                RawHttpClient.Message response = RawHttpClient.read(socket.getInputStream());
+                if (response == null) {
                     throw new IOException("closed");
                 }
-                return answer;
+                return response;
             } catch (IOException e) {
-                throw new NoAnswer(name + " gave no answer to " + path + ": " + e, e);
+                throw new NoAnswer(name + " sent no response to " + path + ": " + e, e);
             }
         }
     }
 
     @Override
     public void close() throws IOException {
-        looks.shutdownNow();
-        for (ApplicationStubs ship : ships.values()) {
-            ship.close();
+        poller.shutdownNow();
+        for (ApplicationStubs application : applications.values()) {
+            application.close();
         }
         processes.values().forEach(Process::destroyForcibly);
         try {
