--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ConcurrencyLimit.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ConcurrencyLimit.java
@@ -1,61 +1,75 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * How many requests may run at once: the slots and a few more, less after the server said that it is full,
- * growing back by one over itself an answer.
+ * The number of requests that may run at the server at once: its announced concurrency and a few more. The limit
+ * is decreased by a factor when the server reports overload and grows back by one for each limit's worth of
+ * responses (additive increase, multiplicative decrease).
+ *
+ * <p>Not thread-safe: for the event loop only. Times are in microseconds.
  */
 final class ConcurrencyLimit {
-    private static final double CUT = 0.8;
+    private static final double DECREASE_FACTOR = 0.8;
 
-    private final UpstreamOptions plan;
-    private int slots;
-    private long warmUntil = Long.MIN_VALUE;
+    private final UpstreamOptions options;
+    private int concurrency;
+    private long warmingUpUntil = Long.MIN_VALUE;
     private double limit;
-    private long cutAt = Long.MIN_VALUE;
+    private long decreasedAt = Long.MIN_VALUE;
 
-    ConcurrencyLimit(UpstreamOptions plan) {
-        this.plan = plan;
+    ConcurrencyLimit(UpstreamOptions options) {
+        this.options = options;
     }
 
-    int slots() {
-        return slots;
+    /** The concurrency that the server announced, zero without a server. */
+    int concurrency() {
+        return concurrency;
     }
 
-    /** A new life of the server starts with all its slots; the same one keeps what was learned of it. */
-    void life(int newSlots, long newWarmUntil, boolean another) {
-        boolean full = limit >= most();
-        slots = newSlots;
-        warmUntil = newWarmUntil;
-        limit = another || full ? most() : Math.min(limit, most());
+    /**
+     * Takes over what an instance announces. A new instance starts with the whole limit; the same one keeps what
+     * was learned of it.
+     */
+    void update(int announcedConcurrency, long announcedWarmUpEnd, boolean newInstance) {
+        boolean neverDecreased = limit >= max();
+        concurrency = announcedConcurrency;
+        warmingUpUntil = announcedWarmUpEnd;
+        limit = newInstance || neverDecreased ? max() : Math.min(limit, max());
     }
 
-    private int most() {
-        return slots == 0 ? 0 : slots + plan.extraInFlight();
+    private int max() {
+        return concurrency == 0 ? 0 : concurrency + options.extraInFlight();
     }
 
-    int at(long now) {
-        int now1 = (int) limit;
-        if (now < warmUntil) {
-            int cold = Math.max(1, (int) (slots * plan.coldFactor())) + plan.extraInFlight();
-            now1 = Math.min(now1, cold);
+    /** How many requests may run now. */
+    int current(long now) {
+        if (concurrency == 0) {
+            return 0;
         }
-        return slots == 0 ? 0 : Math.max(1, now1);
+        int current = (int) limit;
+        if (now < warmingUpUntil) {
+            current = Math.min(current, warmUpLimit());
+        }
+        return Math.max(1, current);
+    }
+
+    private int warmUpLimit() {
+        return Math.max(1, (int) (concurrency * options.warmUpFactor())) + options.extraInFlight();
     }
 
-    /** How many are thought to be worked on at once, for what is foretold. */
-    int parallel(long now) {
-        return Math.max(1, Math.min(slots, at(now)));
+    /** How many requests the server is expected to execute in parallel, for predictions of waiting time. */
+    int expectedParallelism(long now) {
+        return Math.max(1, Math.min(concurrency, current(now)));
     }
 
-    void answered() {
-        limit = Math.min(most(), limit + 1 / Math.max(1, limit));
+    void onResponse() {
+        limit = Math.min(max(), limit + 1 / Math.max(1, limit));
     }
 
-    /** What was sent before the last cut says nothing new. */
-    void full(long now, long sentAt) {
-        if (sentAt >= cutAt) {
-            cutAt = now;
-            limit = Math.max(1, limit * CUT);
+    /** Decreases the limit, but not again for a request that was sent before the last decrease. */
+    void onOverload(long now, long sentAt) {
+        if (sentAt >= decreasedAt) {
+            decreasedAt = now;
+            limit = Math.max(1, limit * DECREASE_FACTOR);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/DeadlineTimer.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/DeadlineTimer.java
@@ -5,41 +5,46 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Rings once at the earliest time it was set to, or a little later. Who hears it sets it anew. */
+/**
+ * A one-shot timer that fires at the earliest time it was scheduled for, or a little later. The callback schedules
+ * it again. For the event loop only.
+ */
 final class DeadlineTimer {
-    /** The shortest time that is waited for, so that a clock that lags behind the loop's costs little. */
-    private static final long LEAST_MICROS = 500;
+    /** The shortest delay, so that a clock that lags behind the event loop's does not make it spin. */
+    private static final long MIN_DELAY_MICROS = 500;
 
     private final EventLoop loop;
-    private final LongSupplier micros;
-    private final Runnable hears;
-    private long setTo = Long.MAX_VALUE;
-    private Future<?> timer;
+    private final LongSupplier clockMicros;
+    private final Runnable callback;
+    private long scheduledAt = Long.MAX_VALUE;
+    private Future<?> timeout;
 
-    DeadlineTimer(EventLoop loop, LongSupplier micros, Runnable hears) {
+    DeadlineTimer(EventLoop loop, LongSupplier clockMicros, Runnable callback) {
         this.loop = loop;
-        this.micros = micros;
-        this.hears = hears;
+        this.clockMicros = clockMicros;
+        this.callback = callback;
     }
 
-    void at(long time) {
-        if (time >= setTo || loop.isShuttingDown()) {
+    /** Fires at this time at the latest; an earlier time that was scheduled before stays in force. */
+    void schedule(long timeMicros) {
+        if (timeMicros >= scheduledAt || loop.isShuttingDown()) {
             return;
         }
-        off();
-        setTo = time;
-        timer = loop.schedule(this::rings, Math.max(LEAST_MICROS, time - micros.getAsLong()), TimeUnit.MICROSECONDS);
+        cancel();
+        scheduledAt = timeMicros;
+        long delay = Math.max(MIN_DELAY_MICROS, timeMicros - clockMicros.getAsLong());
+        timeout = loop.schedule(this::fire, delay, TimeUnit.MICROSECONDS);
     }
 
-    private void rings() {
-        setTo = Long.MAX_VALUE;
-        hears.run();
+    private void fire() {
+        scheduledAt = Long.MAX_VALUE;
+        callback.run();
     }
 
-    void off() {
-        setTo = Long.MAX_VALUE;
-        if (timer != null) {
-            timer.cancel(false);
+    void cancel() {
+        scheduledAt = Long.MAX_VALUE;
+        if (timeout != null) {
+            timeout.cancel(false);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ExecutionKnowledge.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ExecutionKnowledge.java
@@ -1,36 +1,37 @@
 package org.cypressweir.dataplane.http.upstream;
 
-/** What is known of one attempt, wherever it is looked at from. */
+/** What is known of the execution of one attempt, at the proxy that sends it or beside the server. */
 public enum ExecutionKnowledge {
-    /** No byte of it has gone to where it could run. */
+    /** No byte of it has been sent to where it could be executed. */
     NOT_SENT,
-    /** It is out, and may be at work. */
+    /** It was sent at least in part and may be executing. */
     SENT,
-    /** Certain: it did not run and never will. */
-    UNRUN,
-    /** The server's own whole answer is there. */
+    /** Certain: it was not executed and never will be. */
+    NOT_RUN,
+    /** The server's own complete response was received. */
     RAN,
     /** Nothing certain will ever be known. */
     MAY_HAVE_RUN;
 
-    /** Whether its end is still to come. */
-    public boolean isOpen() {
+    /** Whether its outcome is still to come. */
+    public boolean isPending() {
         return this == NOT_SENT || this == SENT;
     }
 
+    /** Whether it was executed, may have been or may still be. */
     public boolean mayHaveRun() {
         return this == SENT || this == RAN || this == MAY_HAVE_RUN;
     }
 
-    /** What it is once the way that it went, or should have gone, is lost. */
-    public ExecutionKnowledge lost() {
-        return this == NOT_SENT ? UNRUN : this == SENT ? MAY_HAVE_RUN : this;
+    /** What is known once the connection that carried it, or should have carried it, is lost. */
+    public ExecutionKnowledge afterConnectionLoss() {
+        return this == NOT_SENT ? NOT_RUN : this == SENT ? MAY_HAVE_RUN : this;
     }
 
-    /** What an end that was told says. */
+    /** What an outcome says of the execution. */
     public static ExecutionKnowledge of(RequestOutcome outcome) {
         return outcome instanceof RequestOutcome.NotRun
-                ? UNRUN
-                : outcome instanceof RequestOutcome.Answered ? RAN : MAY_HAVE_RUN;
+                ? NOT_RUN
+                : outcome instanceof RequestOutcome.Responded ? RAN : MAY_HAVE_RUN;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/IdleConnectionAge.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/IdleConnectionAge.java
@@ -1,52 +1,59 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * How long a connection may have been idle so that what can't be repeated still goes out on it. A server may
- * forget a connection silently: what is sent on it then is reset, and nobody knows whether it has run.
+ * Learns how long a connection may have been idle so that a request that is not idempotent is still sent on it. A
+ * server may drop an idle connection silently: the next request on it is reset, and it is unknown whether that
+ * request was executed.
+ *
+ * <p>Idle times that were followed by a response raise the age; a reset right after sending bounds it by half of
+ * the idle time, and this bound doubles every minute. For the event loop only; times are in microseconds.
  */
 final class IdleConnectionAge {
-    /** Taken until more is known. */
-    private static final long FIRST_MICROS = 1_000_000;
-
-    private static final long LEAST_MICROS = 10_000;
-    private static final long MOST_MICROS = 60_000_000;
-    /** In this time the bound that a reset has set doubles. */
-    private static final long FORGET_MICROS = 60_000_000;
-    /** What is reset later after it was sent has met another end. */
-    static final long AT_ONCE_MICROS = 50_000;
-
-    private long proven = FIRST_MICROS;
-    private long bound = MOST_MICROS;
+    /** Assumed until more is known. */
+    private static final long INITIAL_MICROS = 1_000_000;
+
+    private static final long MIN_MICROS = 10_000;
+    private static final long MAX_MICROS = 60_000_000;
+    /** The bound set by a reset doubles each time this time has passed. */
+    private static final long BOUND_DOUBLING_MICROS = 60_000_000;
+
+    private static final int MAX_DOUBLINGS = 20;
+    /** A connection that ends later than this after sending did not end because it had been idle. */
+    static final long RESET_AFTER_SEND_MICROS = 50_000;
+
+    private long proven = INITIAL_MICROS;
+    private long bound = MAX_MICROS;
     private long boundAt;
 
-    long at(long now) {
+    /** The longest idle time that is trusted now. */
+    long maxAge(long now) {
         return Math.min(proven, bound(now));
     }
 
     private long bound(long now) {
-        long doubled = Math.min(20, Math.max(0, (now - boundAt) / FORGET_MICROS));
-        return Math.min(MOST_MICROS, bound << doubled);
+        long doublings = Math.min(MAX_DOUBLINGS, Math.max(0, (now - boundAt) / BOUND_DOUBLING_MICROS));
+        return Math.min(MAX_MICROS, bound << doublings);
     }
 
-    /** A request on a connection that had been idle so long was answered. */
-    void held(long idle) {
+    /** A request on a connection that had been idle for so long received a response. */
+    void onResponse(long idle) {
         if (idle > proven) {
             proven += Math.min(idle - proven, proven) / 4;
         }
     }
 
-    /** A request on such a connection was met by the connection's end, at once. */
-    void dropped(long now, long idle) {
-        if (idle >= LEAST_MICROS) {
-            bound = Math.max(LEAST_MICROS, Math.min(bound(now), idle / 2));
+    /** A connection that had been idle for so long ended right after a request was sent on it. */
+    void onReset(long now, long idle) {
+        if (idle >= MIN_MICROS) {
+            bound = Math.max(MIN_MICROS, Math.min(bound(now), idle / 2));
             boundAt = now;
-            proven = Math.min(proven, FIRST_MICROS);
+            proven = Math.min(proven, INITIAL_MICROS);
         }
     }
 
-    /** Another server is there: nothing is known of it. */
+    /** Another instance has the address, and nothing is known of it. */
     void forget() {
-        proven = FIRST_MICROS;
-        bound = MOST_MICROS;
+        proven = INITIAL_MICROS;
+        bound = MAX_MICROS;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/InFlightRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/InFlightRequest.java
@@ -2,42 +2,51 @@
 
 import java.util.function.Consumer;
 
-/** A request that was taken, with whom to tell of its end. The end is told once, whatever comes after. */
+/**
+ * A request from its submission to its outcome, with the callback that receives the outcome. The callback is called
+ * once, whatever happens later. For the event loop only.
+ */
 final class InFlightRequest extends SchedulableRequest implements RequestHandle {
-    private final UpstreamRequest freight;
-    private final Consumer<RequestOutcome> end;
-    /** The id that is sent, and that its answer repeats. */
+    private final UpstreamRequest request;
+    private final Consumer<RequestOutcome> onOutcome;
+    /** The id that is sent, and that the response repeats. */
     final String attemptId;
-    /** Sent is what the socket took at least a byte of. */
-    ExecutionKnowledge known = ExecutionKnowledge.NOT_SENT;
-
-    private boolean over;
-
-    InFlightRequest(UpstreamRequest freight, Consumer<RequestOutcome> end) {
-        super(freight.inner(), freight.rank(), freight.aimAtMicros(), freight.deadlineMicros(), freight.repeatable());
-        this.freight = freight;
-        this.end = end;
-        attemptId = RequestEncoder.attemptId(freight);
+    /** {@code SENT} from the first byte that the socket accepted. */
+    ExecutionKnowledge knowledge = ExecutionKnowledge.NOT_SENT;
+
+    private boolean completed;
+
+    InFlightRequest(UpstreamRequest request, Consumer<RequestOutcome> onOutcome) {
+        super(
+                request.internal(),
+                request.priority(),
+                request.latencyTargetAtMicros(),
+                request.deadlineMicros(),
+                request.idempotent());
+        this.request = request;
+        this.onOutcome = onOutcome;
+        attemptId = RequestEncoder.attemptId(request);
     }
 
     @Override
-    public UpstreamRequest freight() {
-        return freight;
+    public UpstreamRequest request() {
+        return request;
     }
 
     @Override
-    public boolean isOver() {
-        return over;
+    public boolean isCompleted() {
+        return completed;
     }
 
     boolean isHead() {
-        return freight.method().equals("HEAD");
+        return request.method().equals("HEAD");
     }
 
-    void tell(RequestOutcome outcome) {
-        if (!over) {
-            over = true;
-            end.accept(outcome);
+    /** Reports the outcome; later calls have no effect. */
+    void complete(RequestOutcome outcome) {
+        if (!completed) {
+            completed = true;
+            onOutcome.accept(outcome);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/InstanceIncarnation.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/InstanceIncarnation.java
@@ -1,8 +1,10 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * One life of the application server: the instance that has the address now, what it can work on at once,
- * and until when it is cold.
+ * One incarnation of the application server: the instance that has the address now.
+ *
+ * @param concurrency how many requests it can execute at once
+ * @param warmUpEndsAtMicros until when it is warming up and gets fewer requests
  */
 public record InstanceIncarnation(
-        String instanceId, String service, int slots, boolean draining, long warmUntilMicros) {}
+        String instanceId, String service, int concurrency, boolean draining, long warmUpEndsAtMicros) {}
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestDispatcher.java
@@ -2,14 +2,19 @@
 
 import java.util.function.Consumer;
 
-/** Takes requests for the one server beside this process, and tells one outcome of each. */
+/** Sends requests to the one application server beside this process and reports one outcome of each. */
 public interface RequestDispatcher {
 
-    /** Takes a request; its end is told exactly once. */
-    RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end);
+    /**
+     * Submits a request.
+     *
+     * @param onOutcome called exactly once, possibly before this method returns
+     */
+    RequestHandle submit(UpstreamRequest request, Consumer<RequestOutcome> onOutcome);
 
-    /** Nobody waits for it any more. What runs and must not be repeated goes on to its end. */
-    void cancel(RequestHandle ticket);
+    /** Nobody waits for the outcome any more. A request that is executing and not idempotent runs to its end. */
+    void cancel(RequestHandle handle);
 
+    /** The present load of the server. */
     UpstreamLoad load();
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestHandle.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestHandle.java
@@ -1,10 +1,11 @@
 package org.cypressweir.dataplane.http.upstream;
 
-/** Stands for a request that was taken; good for cancelling it. */
+/** A submitted request; used to cancel it. */
 public sealed interface RequestHandle permits InFlightRequest {
 
-    UpstreamRequest freight();
+    /** The request as it was submitted. */
+    UpstreamRequest request();
 
-    /** Whether its outcome has been told. */
-    boolean isOver();
+    /** Whether its outcome has been reported. */
+    boolean isCompleted();
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestOutcome.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestOutcome.java
@@ -3,15 +3,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** What became of a request; each request has exactly one. */
+/** What became of a request; each request has exactly one outcome. */
 public sealed interface RequestOutcome {
 
-    /** Certain: the server did not run it. */
+    /**
+     * Certain: the server did not execute it.
+     *
+     * @param retryAfterMicros when a retry may succeed, zero where nothing is known of that
+     */
     record NotRun(RejectionReason reason, long retryAfterMicros) implements RequestOutcome {}
 
-    /** The server's own whole answer, with the headers as they came; a chunked body is put together. */
-    record Answered(int status, List<Map.Entry<String, String>> headers, byte[] body) implements RequestOutcome {}
+    /** The server's own complete response, with the headers as received; a chunked body is assembled. */
+    record Responded(int status, List<Map.Entry<String, String>> headers, byte[] body) implements RequestOutcome {}
 
-    /** It was handed over at least in part, and nothing certain is known. */
+    /**
+     * It was sent at least in part, and whether it was executed is unknown.
+     *
+     * @param why the reason, for people
+     */
     record MayHaveRun(String why) implements RequestOutcome {}
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestPriority.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestPriority.java
@@ -3,47 +3,48 @@
 import java.util.Comparator;
 
 /**
- * Which of two waiting requests goes first at a moment. One that must not be repeated and was passed over
- * often comes before all, then inner ones, then by rank. Within a rank the earliest aim that can still be met
- * comes first, and what can't be in time any more comes last, the newest of it first.
+ * The order of queued requests at a moment. A request that is not idempotent and was passed over often comes before
+ * all others, then internal requests, then those of lower priority numbers. Within a priority the earliest latency
+ * target that can still be met comes first; requests that cannot meet theirs come last, the newest of them first,
+ * since the oldest has the least chance.
  */
 final class RequestPriority implements Comparator<SchedulableRequest> {
-    private final ServiceTimeStatistics means;
+    private final ServiceTimeStatistics serviceTimes;
     private final long now;
-    private final int mostPassed;
+    private final int maxPassedOver;
 
-    RequestPriority(ServiceTimeStatistics means, long now, int mostPassed) {
-        this.means = means;
+    RequestPriority(ServiceTimeStatistics serviceTimes, long now, int maxPassedOver) {
+        this.serviceTimes = serviceTimes;
         this.now = now;
-        this.mostPassed = mostPassed;
+        this.maxPassedOver = maxPassedOver;
     }
 
     @Override
     public int compare(SchedulableRequest a, SchedulableRequest b) {
-        int by = Boolean.compare(passedTooOften(b), passedTooOften(a));
-        if (by == 0) {
-            by = Boolean.compare(b.inner, a.inner);
+        int order = Boolean.compare(isStarving(b), isStarving(a));
+        if (order == 0) {
+            order = Boolean.compare(b.internal, a.internal);
         }
-        if (by == 0) {
-            by = Integer.compare(a.rank, b.rank);
+        if (order == 0) {
+            order = Integer.compare(a.priority, b.priority);
         }
-        if (by == 0) {
-            by = Boolean.compare(tooLate(a), tooLate(b));
+        if (order == 0) {
+            order = Boolean.compare(missesTarget(a), missesTarget(b));
         }
-        if (by == 0 && tooLate(a)) {
+        if (order == 0 && missesTarget(a)) {
             return Long.compare(b.sequence, a.sequence);
         }
-        if (by == 0) {
-            by = Long.compare(a.aimAt, b.aimAt);
+        if (order == 0) {
+            order = Long.compare(a.latencyTargetAt, b.latencyTargetAt);
         }
-        return by == 0 ? Long.compare(a.sequence, b.sequence) : by;
+        return order == 0 ? Long.compare(a.sequence, b.sequence) : order;
     }
 
-    private boolean passedTooOften(SchedulableRequest c) {
-        return !c.repeatable && c.passed >= mostPassed;
+    private boolean isStarving(SchedulableRequest request) {
+        return !request.idempotent && request.passedOver >= maxPassedOver;
     }
 
-    private boolean tooLate(SchedulableRequest c) {
-        return now + means.of(c) > c.aimAt;
+    private boolean missesTarget(SchedulableRequest request) {
+        return now + serviceTimes.mean(request) > request.latencyTargetAt;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestScheduler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestScheduler.java
@@ -7,139 +7,161 @@
 import java.util.List;
 
 /**
- * Decides which request goes to the server next, and which is refused. It is told what happens with the time
- * of it, and holds nothing that can't be answered in time.
+ * Decides which queued request is sent to the server next, and which is rejected: a request that cannot meet its
+ * latency target or its deadline any more is not kept in the queue.
+ *
+ * <p>No clock, no timers, no I/O: the caller passes the time, in microseconds, and asks {@link #expire} again at
+ * {@link #nextTime}. Not thread-safe: for the event loop only.
  */
-final class RequestScheduler<C extends SchedulableRequest> {
-    /** What is left of a deadline for the way. */
-    static final long MARGIN_MICROS = 5_000;
-
-    private static final long LEAST_RETRY_MICROS = 20_000;
-    /** Up to here a request has only just come, and may go however little time is left. */
-    private static final long WAITED_MICROS = 1_000;
-
-    /** A request that is not held any more; it has not been run. */
-    record Refusal<C>(C cargo, RejectionReason reason, long retryAfterMicros) {}
-
-    /** How what ran came to an end. */
-    enum Ended {
-        ANSWERED,
-        FULL,
-        OVERDUE,
+final class RequestScheduler<R extends SchedulableRequest> {
+    /** The part of a deadline that is reserved for the way to the server and back. */
+    static final long DEADLINE_MARGIN_MICROS = 5_000;
+
+    private static final long MIN_RETRY_AFTER_MICROS = 20_000;
+    /** A request that arrived no longer ago than this may be sent however little time is left. */
+    private static final long GRACE_MICROS = 1_000;
+    /** After this part of the time to its latency target a queued request is checked once more. */
+    private static final int RECHECK_DIVISOR = 4;
+
+    /** A request that was removed from the queue or never entered it; it has not run. */
+    record Rejection<R>(R request, RejectionReason reason, long retryAfterMicros) {}
+
+    /** How a dispatched request ended, as far as it matters for the statistics. */
+    enum Completion {
+        RESPONDED,
+        OVERLOADED,
+        DEADLINE_EXCEEDED,
         OTHER
     }
 
-    private final UpstreamOptions plan;
-    private final ServiceTimeStatistics means;
+    private final UpstreamOptions options;
+    private final ServiceTimeStatistics serviceTimes;
     private final ConcurrencyLimit limit;
-    private final List<C> waiting = new ArrayList<>();
-    private final Collection<C> running = new LinkedHashSet<>();
-    private long sequence;
+    private final List<R> queue = new ArrayList<>();
+    private final Collection<R> running = new LinkedHashSet<>();
+    private long lastSequence;
 
-    RequestScheduler(UpstreamOptions plan) {
-        this.plan = plan;
-        means = new ServiceTimeStatistics(plan.meanMicros());
-        limit = new ConcurrencyLimit(plan);
+    RequestScheduler(UpstreamOptions options) {
+        this.options = options;
+        serviceTimes = new ServiceTimeStatistics(options.initialServiceTimeMicros());
+        limit = new ConcurrencyLimit(options);
     }
 
-    /** Slots as told, zero without a server. */
-    void life(int slots, long warmUntil, boolean another) {
-        limit.life(slots, warmUntil, another);
+    /** Takes over what the present instance announces; its concurrency is zero without a server. */
+    void instanceChanged(int concurrency, long warmingUpUntil, boolean newInstance) {
+        limit.update(concurrency, warmingUpUntil, newInstance);
     }
 
-    int slots() {
-        return limit.slots();
+    int concurrency() {
+        return limit.concurrency();
     }
 
     int running() {
         return running.size();
     }
 
-    List<C> waiting() {
-        return waiting;
+    /** The requests in the queue, in no particular order. */
+    List<R> queue() {
+        return queue;
     }
 
-    /** Takes a request in; what is refused for it may be another one. */
-    List<Refusal<C>> arrive(long now, C cargo) {
-        cargo.arrivedAt = now;
-        cargo.sequence = ++sequence;
-        if (now + MARGIN_MICROS > cargo.deadline) {
-            return List.of(new Refusal<>(cargo, RejectionReason.LATE, 0));
+    /** Adds a request to the queue; it, or another one in its place, may be rejected. */
+    List<Rejection<R>> enqueue(long now, R request) {
+        request.arrivedAt = now;
+        request.sequence = ++lastSequence;
+        if (now + DEADLINE_MARGIN_MICROS > request.deadline) {
+            return List.of(new Rejection<>(request, RejectionReason.LATE, 0));
         }
         RequestPriority order = order(now);
-        int ahead = ahead(order, cargo);
-        boolean goes = ahead < limit.at(now) - running.size();
-        boolean mayWait = waiting.size() < plan.minWaiting(slots()) && now < cargo.aimAt;
-        if (!goes && !mayWait && shortage(now, order, cargo) > 0) {
-            return List.of(full(now, order, cargo));
+        if (!isAdmitted(now, order, request)) {
+            return List.of(overloaded(now, order, request));
         }
-        waiting.add(cargo);
-        if (waiting.size() > plan.mostWaiting(slots())) {
-            C last = Collections.max(waiting, order);
-            waiting.remove(last);
-            return List.of(full(now, order, last));
+        queue.add(request);
+        return queue.size() > options.maxQueued(concurrency()) ? List.of(evictLast(now, order)) : List.of();
+    }
+
+    private boolean isAdmitted(long now, RequestPriority order, R request) {
+        boolean runsAtOnce = countAhead(order, request) < limit.current(now) - running.size();
+        if (runsAtOnce) {
+            return true;
         }
-        return List.of();
+        boolean queueIsShort = queue.size() < options.minQueued(concurrency()) && now < request.latencyTargetAt;
+        return queueIsShort || predictedLateness(now, order, request) <= 0;
+    }
+
+    private Rejection<R> evictLast(long now, RequestPriority order) {
+        R last = Collections.max(queue, order);
+        queue.remove(last);
+        return overloaded(now, order, last);
     }
 
-    /** What can't be answered in time any more; to be asked before each {@link #next}. */
-    List<Refusal<C>> due(long now) {
-        List<Refusal<C>> refused = new ArrayList<>();
+    /** Removes from the queue what cannot be served in time any more; to be called before each {@link #next}. */
+    List<Rejection<R>> expire(long now) {
+        List<Rejection<R>> rejections = new ArrayList<>();
         RequestPriority order = order(now);
-        for (C c : List.copyOf(waiting)) {
-            if (now + MARGIN_MICROS > c.deadline) {
-                refused.add(new Refusal<>(c, RejectionReason.LATE, 0));
-                waiting.remove(c);
-            } else if (now - c.arrivedAt > WAITED_MICROS && now + means.of(c) > c.aimAt
-                    || !c.reviewed && now >= reviewAt(c) && foreseen(now, order, c)) {
-                waiting.remove(c);
-                refused.add(full(now, order, c));
+        for (R request : List.copyOf(queue)) {
+            if (now + DEADLINE_MARGIN_MICROS > request.deadline) {
+                rejections.add(new Rejection<>(request, RejectionReason.LATE, 0));
+                queue.remove(request);
+            } else if (missesTarget(now, request) || failsRecheck(now, order, request)) {
+                queue.remove(request);
+                rejections.add(overloaded(now, order, request));
             }
         }
-        return refused;
+        return rejections;
     }
 
-    private boolean foreseen(long now, RequestPriority order, C c) {
-        c.reviewed = true;
-        return ahead(order, c) >= plan.minWaiting(slots()) && shortage(now, order, c) > 0;
+    private boolean missesTarget(long now, R request) {
+        return now - request.arrivedAt > GRACE_MICROS && now + serviceTimes.mean(request) > request.latencyTargetAt;
+    }
+
+    /** Checks once, a quarter into its time, whether a request is predicted to miss its latency target. */
+    private boolean failsRecheck(long now, RequestPriority order, R request) {
+        if (request.rechecked || now < recheckAt(request)) {
+            return false;
+        }
+        request.rechecked = true;
+        return countAhead(order, request) >= options.minQueued(concurrency())
+                && predictedLateness(now, order, request) > 0;
     }
 
-    /** When {@link #due} is to be asked at the latest. */
+    /** When {@link #expire} is to be called at the latest. */
     long nextTime() {
         long next = Long.MAX_VALUE;
-        for (C c : waiting) {
-            next = Math.min(next, c.deadline - MARGIN_MICROS + 1);
-            next = Math.min(next, Math.max(c.aimAt - means.of(c), c.arrivedAt + WAITED_MICROS) + 1);
-            next = c.reviewed ? next : Math.min(next, reviewAt(c));
+        for (R request : queue) {
+            long latestStart = request.latencyTargetAt - serviceTimes.mean(request);
+            next = Math.min(next, request.deadline - DEADLINE_MARGIN_MICROS + 1);
+            next = Math.min(next, Math.max(latestStart, request.arrivedAt + GRACE_MICROS) + 1);
+            next = request.rechecked ? next : Math.min(next, recheckAt(request));
         }
         return next;
     }
 
-    private static long reviewAt(SchedulableRequest c) {
-        return c.arrivedAt + Math.max(0, c.aimAt - c.arrivedAt) / 4;
+    private static long recheckAt(SchedulableRequest request) {
+        return request.arrivedAt + Math.max(0, request.latencyTargetAt - request.arrivedAt) / RECHECK_DIVISOR;
     }
 
-    /** Whether one may go now. */
-    boolean ready(long now) {
-        return !waiting.isEmpty() && running.size() < limit.at(now);
+    /** Whether a request may be dispatched now. */
+    boolean isReady(long now) {
+        return !queue.isEmpty() && running.size() < limit.current(now);
     }
 
-    /** The first in order; only if {@link #ready}. */
-    C first(long now) {
-        return waiting.size() == 1 ? waiting.get(0) : Collections.min(waiting, order(now));
+    /** The first request in order, which stays in the queue; only if {@link #isReady}. */
+    R peek(long now) {
+        return queue.size() == 1 ? queue.get(0) : Collections.min(queue, order(now));
     }
 
-    /** Lets the first in order go; only if {@link #ready}. */
-    C next(long now) {
-        return letGo(now, first(now));
+    /** Dispatches the first request in order; only if {@link #isReady}. */
+    R next(long now) {
+        return dispatch(now, peek(now));
     }
 
-    /** Lets go what was found to be the first in order. */
-    C letGo(long now, C first) {
-        waiting.remove(first);
-        for (C c : waiting) {
-            if (c.sequence < first.sequence) {
-                c.passed++;
+    /** Moves a request that {@link #peek} returned from the queue to the running ones. */
+    R dispatch(long now, R first) {
+        queue.remove(first);
+        for (R request : queue) {
+            if (request.sequence < first.sequence) {
+                request.passedOver++;
             }
         }
         first.sentAt = now;
@@ -147,61 +169,63 @@
         return first;
     }
 
-    /** It runs no more, or was let go and not sent. */
-    void ended(long now, C cargo, Ended how) {
-        if (!running.remove(cargo)) {
+    /** A dispatched request has ended, sent or not. */
+    void onCompletion(long now, R request, Completion completion) {
+        if (!running.remove(request)) {
             return;
         }
-        if (how == Ended.ANSWERED) {
-            means.saw(cargo, now - cargo.sentAt);
-            limit.answered();
-        } else if (how == Ended.FULL) {
-            limit.full(now, cargo.sentAt);
-        } else if (how == Ended.OVERDUE) {
-            means.sawAtLeast(cargo, now - cargo.sentAt);
+        if (completion == Completion.RESPONDED) {
+            serviceTimes.record(request, now - request.sentAt);
+            limit.onResponse();
+        } else if (completion == Completion.OVERLOADED) {
+            limit.onOverload(now, request.sentAt);
+        } else if (completion == Completion.DEADLINE_EXCEEDED) {
+            serviceTimes.recordAtLeast(request, now - request.sentAt);
         }
     }
 
-    /** Whether it was waiting; it is held no more. */
-    boolean cancel(C cargo) {
-        return waiting.remove(cargo);
+    /** Removes a request from the queue; whether it was there. */
+    boolean cancel(R request) {
+        return queue.remove(request);
     }
 
-    /** Hands back all that waits. */
-    List<C> clear() {
-        List<C> all = List.copyOf(waiting);
-        waiting.clear();
+    /** Empties the queue; returns what was in it. */
+    List<R> clear() {
+        List<R> all = List.copyOf(queue);
+        queue.clear();
         return all;
     }
 
-    /** How long a request that the server had no room for is better held back. */
-    long retryAfter(C cargo) {
-        return Math.max(LEAST_RETRY_MICROS, means.of(cargo) / Math.max(1, slots()));
+    /** After what time a request that the server rejected as overloaded is worth a retry. */
+    long retryAfterMicros(R request) {
+        return Math.max(MIN_RETRY_AFTER_MICROS, serviceTimes.mean(request) / Math.max(1, concurrency()));
     }
 
     private RequestPriority order(long now) {
-        return new RequestPriority(means, now, Math.max(4, 4 * slots()));
+        return new RequestPriority(serviceTimes, now, Math.max(4, 4 * concurrency()));
     }
 
-    private int ahead(RequestPriority order, C cargo) {
+    private int countAhead(RequestPriority order, R request) {
         int ahead = 0;
-        for (C c : waiting) {
-            ahead += c != cargo && order.compare(c, cargo) < 0 ? 1 : 0;
+        for (R other : queue) {
+            ahead += other != request && order.compare(other, request) < 0 ? 1 : 0;
         }
         return ahead;
     }
 
-    /** By how much it would miss its aim, if all ahead of it take their mean time. */
-    private long shortage(long now, RequestPriority order, C cargo) {
+    /** By how much a request misses its latency target, if all ahead of it take their mean service time. */
+    private long predictedLateness(long now, RequestPriority order, R request) {
         long ahead = 0;
-        for (C c : waiting) {
-            ahead += c != cargo && order.compare(c, cargo) < 0 ? means.of(c) : 0;
+        for (R other : queue) {
+            ahead += other != request && order.compare(other, request) < 0 ? serviceTimes.mean(other) : 0;
         }
-        return now + ahead / limit.parallel(now) + means.mostly(cargo) - cargo.aimAt;
+        long startsAt = now + ahead / limit.expectedParallelism(now);
+        return startsAt + serviceTimes.meanPlusDeviation(request) - request.latencyTargetAt;
     }
 
-    private Refusal<C> full(long now, RequestPriority order, C cargo) {
-        long room = Math.max(shortage(now, order, cargo), means.of(cargo) / limit.parallel(now));
-        return new Refusal<>(cargo, RejectionReason.FULL, Math.max(LEAST_RETRY_MICROS, room));
+    private Rejection<R> overloaded(long now, RequestPriority order, R request) {
+        long oneService = serviceTimes.mean(request) / limit.expectedParallelism(now);
+        long retryAfter = Math.max(predictedLateness(now, order, request), oneService);
+        return new Rejection<>(request, RejectionReason.FULL, Math.max(MIN_RETRY_AFTER_MICROS, retryAfter));
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestState.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestState.java
@@ -3,98 +3,104 @@
 import java.util.Arrays;
 
 /**
- * What is known of one request and of all attempts at it. From this alone follows what may still be sent and
- * what may be answered: nothing is sent or answered that it does not allow. No clock, no I/O.
+ * What is known of one client request and of all attempts at it. From this alone follows whether another attempt
+ * may be sent and what the client gets: a request that is not idempotent is never sent again after it may have run,
+ * and a rejection is never sent for a request that may have run.
+ *
+ * <p>No clock and no I/O. Not thread-safe: for the event loop only.
  */
 public final class RequestState {
 
-    /** From taken to answered. */
+    /** The states from submission to response. */
     public enum State {
-        /** Taken; no attempt is out, and none has run. */
-        HELD,
-        /** An attempt is out; what others there were have not run. */
-        OUT,
-        /** None is out; one may have run. */
+        /** No attempt is in flight, and none has run. */
+        PENDING,
+        /** An attempt is in flight; any others have not run. */
+        IN_FLIGHT,
+        /** None is in flight; one may have run. */
         IN_DOUBT,
-        /** One is out, and another may have run. */
-        OUT_IN_DOUBT,
-        /** None is out; a failure that the server itself answered is kept. */
-        KEPT,
-        /** The same, and another is out. */
-        OUT_KEPT,
-        /** The client has its one answer. */
-        ANSWERED,
-        /** The client left: nothing is owed. */
-        LEFT
-    }
-
-    /** What the client is to get now. */
-    public enum Due {
-        NOTHING,
-        /** The answer that has just come. */
-        THIS_ANSWER,
-        /** Nothing yet; the answer that has just come is to be kept. */
-        KEEP,
-        /** The answer that was kept. */
-        KEPT_ANSWER,
-        /** That it has not run and never will. */
-        REFUSAL,
-        /** That nobody knows whether it has run. */
-        BROKEN,
-        /** The same, at its deadline. */
-        TIMED_OUT
-    }
-
-    /** From here on an answer of the server's is a failure, and another attempt may do better. */
-    private static final int FAILURE = 500;
-
-    private final boolean repeatable;
+        /** One is in flight, and another may have run. */
+        IN_FLIGHT_IN_DOUBT,
+        /** None is in flight; a failure that the server itself responded with is saved. */
+        FAILURE_SAVED,
+        /** The same, and another is in flight. */
+        IN_FLIGHT_FAILURE_SAVED,
+        /** The client has its one response. */
+        RESPONDED,
+        /** The client disconnected: it gets no response. */
+        DISCONNECTED
+    }
+
+    /** What is to be done for the client now. */
+    public enum ClientAction {
+        NONE,
+        /** Send the response that was just received. */
+        SEND_RESPONSE,
+        /** Save the response that was just received. */
+        SAVE_RESPONSE,
+        /** Send the response that was saved. */
+        SEND_SAVED_RESPONSE,
+        /** Say that the request has not run and never will. */
+        REJECT,
+        /** Say that it is unknown whether the request has run. */
+        BAD_GATEWAY,
+        /** The same, at the deadline. */
+        GATEWAY_TIMEOUT
+    }
+
+    /** From this status on a response of the server is a failure, and another attempt may do better. */
+    private static final int FIRST_FAILURE_STATUS = 500;
+
+    private final boolean idempotent;
     private ExecutionKnowledge[] attempts = new ExecutionKnowledge[2];
-    private int size;
-    private boolean kept;
-    private boolean answered;
-    private boolean left;
+    private int attemptCount;
+    private boolean failureSaved;
+    private boolean responded;
+    private boolean disconnected;
 
-    public RequestState(boolean repeatable) {
-        this.repeatable = repeatable;
+    public RequestState(boolean idempotent) {
+        this.idempotent = idempotent;
     }
 
     public State state() {
-        if (answered || left) {
-            return answered ? State.ANSWERED : State.LEFT;
+        if (responded) {
+            return State.RESPONDED;
         }
-        boolean out = any(ExecutionKnowledge.SENT);
-        if (kept) {
-            return out ? State.OUT_KEPT : State.KEPT;
+        if (disconnected) {
+            return State.DISCONNECTED;
+        }
+        boolean inFlight = any(ExecutionKnowledge.SENT);
+        if (failureSaved) {
+            return inFlight ? State.IN_FLIGHT_FAILURE_SAVED : State.FAILURE_SAVED;
         }
         if (any(ExecutionKnowledge.MAY_HAVE_RUN) || any(ExecutionKnowledge.RAN)) {
-            return out ? State.OUT_IN_DOUBT : State.IN_DOUBT;
+            return inFlight ? State.IN_FLIGHT_IN_DOUBT : State.IN_DOUBT;
         }
-        return out ? State.OUT : State.HELD;
+        return inFlight ? State.IN_FLIGHT : State.PENDING;
     }
 
-    private boolean any(ExecutionKnowledge what) {
-        for (int i = 0; i < size; i++) {
-            if (attempts[i] == what) {
+    private boolean any(ExecutionKnowledge knowledge) {
+        for (int i = 0; i < attemptCount; i++) {
+            if (attempts[i] == knowledge) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether nothing is owed any more. */
+    /** Whether the client gets nothing more: it has its response or has disconnected. */
     public boolean isClosed() {
-        return answered || left;
+        return responded || disconnected;
     }
 
-    /** Whether an attempt may go out now. */
+    /** Whether an attempt may be sent now. */
     public boolean maySend() {
-        return !isClosed() && (repeatable || !mayHaveRun());
+        return !isClosed() && (idempotent || !mayHaveRun());
     }
 
     /** Whether any attempt has run, may have run or may still run. */
     public boolean mayHaveRun() {
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < attemptCount; i++) {
             if (attempts[i].mayHaveRun()) {
                 return true;
             }
@@ -102,26 +108,27 @@
         return false;
     }
 
-    /** Whether the end of any attempt is still to come. */
-    public boolean isOut() {
+    /** Whether the outcome of any attempt is still to come. */
+    public boolean hasPendingAttempt() {
         return any(ExecutionKnowledge.SENT) || any(ExecutionKnowledge.NOT_SENT);
     }
 
-    public boolean isOpen(int attempt) {
-        return attempts[attempt].isOpen();
+    /** Whether the outcome of this attempt is still to come. */
+    public boolean isPending(int attempt) {
+        return attempts[attempt].isPending();
     }
 
-    /** One more attempt is meant; its number. */
-    public int begin() {
-        if (size == attempts.length) {
-            attempts = Arrays.copyOf(attempts, 2 * size);
+    /** Adds an attempt that is not sent yet; returns its index. */
+    public int beginAttempt() {
+        if (attemptCount == attempts.length) {
+            attempts = Arrays.copyOf(attempts, 2 * attemptCount);
         }
-        attempts[size] = ExecutionKnowledge.NOT_SENT;
-        return size++;
+        attempts[attemptCount] = ExecutionKnowledge.NOT_SENT;
+        return attemptCount++;
     }
 
-    /** Whether it may go, and then it counts as out. */
-    public boolean goes(int attempt) {
+    /** Marks an attempt as sent, if it may be sent; returns whether it may. */
+    public boolean trySend(int attempt) {
         if (attempts[attempt] != ExecutionKnowledge.NOT_SENT || !maySend()) {
             return false;
         }
@@ -129,53 +136,53 @@
         return true;
     }
 
-    /** The end of an attempt, and what is due for it. Only the first end counts. */
-    public Due ended(int attempt, RequestOutcome outcome) {
-        if (!isOpen(attempt)) {
-            return Due.NOTHING;
+    /** Records the outcome of an attempt; only the first one counts. Returns what follows for the client. */
+    public ClientAction onOutcome(int attempt, RequestOutcome outcome) {
+        if (!isPending(attempt)) {
+            return ClientAction.NONE;
         }
         attempts[attempt] = ExecutionKnowledge.of(outcome);
-        if (isClosed() || !(outcome instanceof RequestOutcome.Answered answer)) {
-            return Due.NOTHING;
+        if (isClosed() || !(outcome instanceof RequestOutcome.Responded response)) {
+            return ClientAction.NONE;
         }
-        if (!repeatable && promises(answer.status())) {
-            return Due.BROKEN;
+        if (!idempotent && impliesNotRun(response.status())) {
+            return ClientAction.BAD_GATEWAY;
         }
-        if (answer.status() < FAILURE) {
-            return Due.THIS_ANSWER;
+        if (response.status() < FIRST_FAILURE_STATUS) {
+            return ClientAction.SEND_RESPONSE;
         }
-        kept = true;
-        return Due.KEEP;
+        failureSaved = true;
+        return ClientAction.SAVE_RESPONSE;
     }
 
-    /** Clients take these as a promise that it has not run and never will, whoever says them. */
-    static boolean promises(int status) {
+    /** Whether clients take a status as a promise that the request has not run and never will, whoever sends it. */
+    static boolean impliesNotRun(int status) {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
 
-    /** What is due where nothing more is sent and nothing more is waited for. */
-    public Due last(boolean timeOver) {
+    /** What the client gets where no further attempt is sent and none is waited for. */
+    public ClientAction finalAction(boolean deadlineExceeded) {
         if (isClosed()) {
-            return Due.NOTHING;
+            return ClientAction.NONE;
         }
-        if (kept) {
-            return Due.KEPT_ANSWER;
+        if (failureSaved) {
+            return ClientAction.SEND_SAVED_RESPONSE;
         }
         if (!mayHaveRun()) {
-            return Due.REFUSAL;
+            return ClientAction.REJECT;
         }
-        return timeOver ? Due.TIMED_OUT : Due.BROKEN;
+        return deadlineExceeded ? ClientAction.GATEWAY_TIMEOUT : ClientAction.BAD_GATEWAY;
     }
 
-    /** Whether an answer goes out: only the first does. */
-    public boolean answer() {
+    /** Marks the request as responded to; returns whether the response is to be sent: only the first one is. */
+    public boolean markResponded() {
         boolean first = !isClosed();
-        answered |= first;
+        responded |= first;
         return first;
     }
 
-    /** The client is gone. */
-    public void leave() {
-        left |= !answered;
+    /** The client has disconnected. */
+    public void onDisconnect() {
+        disconnected |= !responded;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseAssembler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseAssembler.java
@@ -16,48 +16,59 @@
 import java.util.List;
 import java.util.Map;
 
-/** Puts whole answers together. What can't be known to be one whole answer is told as broken, once. */
+/**
+ * Assembles complete responses from what the decoder emits. Bytes that cannot be known to form one complete
+ * response are reported as a failure, once, and nothing is reported after it.
+ */
 final class ResponseAssembler extends ChannelInboundHandlerAdapter {
 
-    /** Who is told. */
-    interface Sink {
-        void whole(UpstreamResponse answer);
+    /** Receives the responses. */
+    interface Listener {
+        void onResponse(UpstreamResponse response);
 
-        void broken(String why);
+        void onInvalidResponse(String why);
 
-        /** All that came in this read has been looked at. */
-        void readOver();
+        /** All that this read brought has been processed. */
+        void onReadComplete();
     }
 
-    private static final byte[] NOTHING = {};
-    /** Up to here a told length is believed before so much has come. */
-    private static final int EXACT = 64 * 1024;
+    private static final byte[] NO_BYTES = {};
+    /** Up to this length a body's buffer is allocated at once, larger ones grow as bytes come. */
+    private static final int MAX_INITIAL_CAPACITY = 64 * 1024;
+
+    private static final long UNKNOWN_LENGTH = -1;
+
+    // Reasons reach other proxies and traces of requests: their texts are fixed.
+    private static final String MALFORMED = "bytes that form no answer";
+    private static final String NO_LENGTH = "an answer whose end can't be known";
+    private static final String TOO_LARGE = "an answer that is too large";
+    static final String TRUNCATED = "an answer that was cut off";
 
     private final ResponseDecoder decoder;
-    private final int most;
-    private final Sink sink;
+    private final int maxBodyBytes;
+    private final Listener listener;
     private HttpResponse head;
-    private byte[] body = NOTHING;
+    private byte[] body = NO_BYTES;
     private int size;
-    /** What the head says of the body, -1 where the body does. */
+    /** The body's length as the head says it. */
     private long length;
 
-    private boolean dead;
+    private boolean failed;
 
-    ResponseAssembler(ResponseDecoder decoder, int most, Sink sink) {
+    ResponseAssembler(ResponseDecoder decoder, int maxBodyBytes, Listener listener) {
         this.decoder = decoder;
-        this.most = most;
-        this.sink = sink;
+        this.maxBodyBytes = maxBodyBytes;
+        this.listener = listener;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            if (!dead && message instanceof HttpResponse response) {
+            if (!failed && message instanceof HttpResponse response) {
                 begin(response);
             }
-            if (!dead && head != null && message instanceof HttpContent content) {
-                take(content);
+            if (!failed && head != null && message instanceof HttpContent content) {
+                append(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -66,100 +77,114 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        sink.readOver();
+        listener.onReadComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        dead(cause.getClass().getSimpleName());
+        fail(cause.getClass().getSimpleName());
     }
 
     private void begin(HttpResponse response) {
         head = response;
-        body = NOTHING;
+        body = NO_BYTES;
         size = 0;
+        if (!isSupported(response)) {
+            fail(MALFORMED);
+        } else if (decoder.isBodiless()) {
+            length = 0;
+        } else {
+            readFraming(response);
+        }
+    }
+
+    /** HTTP/1.x without a change of protocol. */
+    private static boolean isSupported(HttpResponse response) {
         int status = response.status().code();
         HttpVersion version = response.protocolVersion();
+        return response.decoderResult().isSuccess()
+                && status >= 100
+                && status <= 599
+                && status != 101
+                && version.protocolName().equals("HTTP")
+                && version.majorVersion() == 1;
+    }
+
+    /** RFC 9112 section 6.3, without bodies that end with the connection: a truncated one would look complete. */
+    private void readFraming(HttpResponse response) {
         List<String> encodings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = encodings.size() == 1 && encodings.get(0).equalsIgnoreCase("chunked");
-        boolean sized = response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        if (!response.decoderResult().isSuccess()
-                || status < 100
-                || status > 599
-                || status == 101
-                || !version.protocolName().equals("HTTP")
-                || version.majorVersion() != 1) {
-            dead("bytes that form no answer");
-        } else if (decoder.bodiless()) {
-            length = 0;
-        } else if (chunked) {
-            length = -1;
-        } else if (!encodings.isEmpty() || !sized) {
-            dead("an answer whose end can't be known");
+        if (encodings.size() == 1 && encodings.get(0).equalsIgnoreCase("chunked")) {
+            length = UNKNOWN_LENGTH;
+        } else if (!encodings.isEmpty() || !response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
+            fail(NO_LENGTH);
         } else {
-            length = HttpUtil.getContentLength(response, -1L);
-            if (length > most) {
-                dead("an answer that is too large");
+            length = HttpUtil.getContentLength(response, UNKNOWN_LENGTH);
+            if (length > maxBodyBytes) {
+                fail(TOO_LARGE);
             }
         }
     }
 
-    private void take(HttpContent content) {
+    private void append(HttpContent content) {
         ByteBuf bytes = content.content();
         if (!content.decoderResult().isSuccess()) {
-            dead("bytes that form no answer");
+            fail(MALFORMED);
             return;
         }
-        if (size + (long) bytes.readableBytes() > most) {
-            dead("an answer that is too large");
+        if (size + (long) bytes.readableBytes() > maxBodyBytes) {
+            fail(TOO_LARGE);
             return;
         }
-        add(bytes);
+        append(bytes);
         if (content instanceof LastHttpContent) {
-            end();
+            complete();
         }
     }
 
-    private void add(ByteBuf bytes) {
-        int more = bytes.readableBytes();
-        if (size + more > body.length) {
-            long room = length > 0 && length <= EXACT ? length : Math.min(most, 256L + 2L * (size + more));
-            body = Arrays.copyOf(body, (int) room);
+    private void append(ByteBuf bytes) {
+        int count = bytes.readableBytes();
+        if (size + count > body.length) {
+            long capacity = length > 0 && length <= MAX_INITIAL_CAPACITY
+                    ? length
+                    : Math.min(maxBodyBytes, 256L + 2L * (size + count));
+            body = Arrays.copyOf(body, (int) capacity);
         }
-        bytes.readBytes(body, size, more);
-        size += more;
+        bytes.readBytes(body, size, count);
+        size += count;
     }
 
-    private void end() {
-        HttpResponse whole = head;
+    private void complete() {
+        HttpResponse response = head;
         head = null;
-        if (whole.status().code() < 200) {
+        boolean interim = response.status().code() < 200;
+        if (interim) {
             return;
         }
         if (length >= 0 && size != length) {
-            dead("an answer that was cut off");
+            fail(TRUNCATED);
             return;
         }
         byte[] bytes = size == body.length ? body : Arrays.copyOf(body, size);
-        body = NOTHING;
-        sink.whole(new UpstreamResponse(whole.status().code(), headers(whole), bytes, HttpUtil.isKeepAlive(whole)));
+        body = NO_BYTES;
+        listener.onResponse(new UpstreamResponse(
+                response.status().code(), headers(response), bytes, HttpUtil.isKeepAlive(response)));
     }
 
-    private static List<Map.Entry<String, String>> headers(HttpResponse whole) {
+    private static List<Map.Entry<String, String>> headers(HttpResponse response) {
         List<Map.Entry<String, String>> headers =
-                new ArrayList<>(whole.headers().size());
-        for (Map.Entry<String, String> header : whole.headers()) {
+                new ArrayList<>(response.headers().size());
+        for (Map.Entry<String, String> header : response.headers()) {
             headers.add(Map.entry(header.getKey(), header.getValue()));
         }
         return Collections.unmodifiableList(headers);
     }
 
-    private void dead(String why) {
-        if (!dead) {
-            dead = true;
+    private void fail(String why) {
+        if (!failed) {
+            failed = true;
             head = null;
-            body = NOTHING;
-            sink.broken(why);
+            body = NO_BYTES;
+            listener.onInvalidResponse(why);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseDecoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseDecoder.java
@@ -7,44 +7,53 @@
 import io.netty.util.AsciiString;
 import java.util.function.Predicate;
 
-/** Takes no answer whose bounds are in doubt, and knows of each whether it has a body at all. */
+/**
+ * Decodes responses strictly: none whose length is ambiguous (RFC 9112 section 6.3) is accepted. It knows of each
+ * response whether it has a body at all.
+ */
 final class ResponseDecoder extends HttpResponseDecoder {
-    private final Predicate<HttpResponse> toHead;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
+    private static final int MAX_HEADER_BYTES = 64 * 1024;
+
+    private final Predicate<HttpResponse> respondsToHead;
     private boolean bodiless;
 
-    /** Told of an answer's head, the predicate knows whether it answers a HEAD. */
-    ResponseDecoder(Predicate<HttpResponse> toHead) {
+    /** @param respondsToHead whether the response with this head belongs to a HEAD request */
+    ResponseDecoder(Predicate<HttpResponse> respondsToHead) {
         super(new HttpDecoderConfig()
-                .setMaxChunkSize(64 * 1024)
-                .setMaxHeaderSize(64 * 1024)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
-        this.toHead = toHead;
+        this.respondsToHead = respondsToHead;
     }
 
-    /** Of the answer whose head came last. */
-    boolean bodiless() {
+    /** Whether the response whose head came last has no body whatever its headers say. */
+    boolean isBodiless() {
         return bodiless;
     }
 
-    /** Whether more has come than was made an answer of. */
-    boolean hasMore() {
+    /** Whether bytes are left that were not decoded. */
+    boolean hasSurplusBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         bodiless = super.isContentAlwaysEmpty(message)
-                || message instanceof HttpResponse response && toHead.test(response);
+                || message instanceof HttpResponse response && respondsToHead.test(response);
         return bodiless;
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("two bounds of one body");
+        throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
     }
 
-    /** In answers, though not in requests, a name may end with a space, and the colon may lack. */
+    /**
+     * Rejects a header without a colon right behind its name (RFC 9112 section 5.1): of responses, unlike requests,
+     * the superclass accepts a space there and a missing colon.
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseVerdict.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseVerdict.java
@@ -2,58 +2,69 @@
 
 import java.util.List;
 
-/** What a whole answer says of the request in flight. */
+/** What a complete response says of the request in flight: its kind, and the outcome that follows. */
 record ResponseVerdict(Kind kind, RequestOutcome outcome) {
 
-    /** Not run comes with whether the server was full; a broken answer is not the server's. */
+    /** How the response relates to the request in flight. */
     enum Kind {
-        ANSWERED,
-        FULL,
+        /** The server's own response to it. */
+        RESPONSE,
+        /** The server says that it did not run it because it is overloaded. */
+        OVERLOADED,
+        /** The server says that it did not run it for another reason. */
         NOT_RUN,
-        FOREIGN,
-        BROKEN
+        /** It belongs to another request. */
+        OTHER_REQUEST,
+        /** It cannot be the server's own response. */
+        INVALID
     }
 
     private static final String NOT_EXECUTED = "Cypressweir-Not-Executed";
-    private static final String SEAL = "Cypressweir-Server-Seal";
+    private static final String SERVER_SEAL = "Cypressweir-Server-Seal";
 
-    static ResponseVerdict of(UpstreamResponse answer, InFlightRequest shipment, long now, long retryAfter) {
-        List<String> ids = answer.all(RequestEncoder.ATTEMPT_ID);
+    static ResponseVerdict of(UpstreamResponse response, InFlightRequest request, long now, long retryAfterMicros) {
+        List<String> ids = response.all(RequestEncoder.ATTEMPT_ID);
         if (ids.size() != 1) {
-            return broken("an answer without an attempt id");
+            return invalid("an answer without an attempt id");
         }
-        if (!ids.get(0).strip().equals(shipment.attemptId)) {
-            return new ResponseVerdict(Kind.FOREIGN, null);
+        if (!ids.get(0).strip().equals(request.attemptId)) {
+            return new ResponseVerdict(Kind.OTHER_REQUEST, null);
         }
-        if (answer.has("Content-Encoding")) {
-            return broken("an answer with a content encoding");
+        if (response.has("Content-Encoding")) {
+            return invalid("an answer with a content encoding");
         }
-        int status = answer.status();
-        boolean notExecuted = answer.has(NOT_EXECUTED);
+        int status = response.status();
+        boolean notExecuted = response.has(NOT_EXECUTED);
         if (notExecuted && status < 400) {
-            return broken("an answer that contradicts itself");
+            return invalid("an answer that contradicts itself");
         }
         if (notExecuted || status == 421) {
-            return notRun(status, now + RequestScheduler.MARGIN_MICROS >= shipment.deadline, retryAfter);
+            boolean late = now + RequestScheduler.DEADLINE_MARGIN_MICROS >= request.deadline;
+            return notRun(status, late, retryAfterMicros);
         }
-        if (status >= 200 && status < 300 && !answer.has(SEAL)) {
-            return broken("an answer without the server's seal");
+        if (status >= 200 && status < 300 && !response.has(SERVER_SEAL)) {
+            return invalid("an answer without the server's seal");
         }
-        return new ResponseVerdict(Kind.ANSWERED, new RequestOutcome.Answered(status, answer.headers(), answer.body()));
+        return new ResponseVerdict(
+                Kind.RESPONSE, new RequestOutcome.Responded(status, response.headers(), response.body()));
     }
 
-    private static ResponseVerdict notRun(int status, boolean late, long retryAfter) {
+    private static ResponseVerdict notRun(int status, boolean late, long retryAfterMicros) {
         return switch (status) {
-            case 421 -> new ResponseVerdict(Kind.NOT_RUN, new RequestOutcome.NotRun(RejectionReason.MISDIRECTED, 0));
-            case 429 -> new ResponseVerdict(Kind.FULL, new RequestOutcome.NotRun(RejectionReason.FULL, retryAfter));
+            case 421 -> notRun(Kind.NOT_RUN, RejectionReason.MISDIRECTED, 0);
+            case 429 -> notRun(Kind.OVERLOADED, RejectionReason.FULL, retryAfterMicros);
             case 503 -> late
-                    ? new ResponseVerdict(Kind.NOT_RUN, new RequestOutcome.NotRun(RejectionReason.LATE, 0))
-                    : new ResponseVerdict(Kind.FULL, new RequestOutcome.NotRun(RejectionReason.FULL, retryAfter));
-            default -> new ResponseVerdict(Kind.NOT_RUN, new RequestOutcome.NotRun(RejectionReason.REFUSED, 0));
+                    ? notRun(Kind.NOT_RUN, RejectionReason.LATE, 0)
+                    : notRun(Kind.OVERLOADED, RejectionReason.FULL, retryAfterMicros);
+            default -> notRun(Kind.NOT_RUN, RejectionReason.REFUSED, 0);
         };
     }
 
-    private static ResponseVerdict broken(String why) {
-        return new ResponseVerdict(Kind.BROKEN, new RequestOutcome.MayHaveRun(why));
+    private static ResponseVerdict notRun(Kind kind, RejectionReason reason, long retryAfterMicros) {
+        return new ResponseVerdict(kind, new RequestOutcome.NotRun(reason, retryAfterMicros));
+    }
+
+    private static ResponseVerdict invalid(String why) {
+        return new ResponseVerdict(Kind.INVALID, new RequestOutcome.MayHaveRun(why));
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/SchedulableRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/SchedulableRequest.java
@@ -1,26 +1,33 @@
 package org.cypressweir.dataplane.http.upstream;
 
-/** What the order of requests needs to know of one, and what it notes on it. */
+/**
+ * What the scheduler needs to know of a request, and what it records on it. Times are in microseconds of the
+ * scheduler's clock.
+ */
 class SchedulableRequest {
-    final boolean inner;
-    final int rank;
-    final long aimAt;
+    /** Whether it is one of the mesh's own services' requests that no tenant sends. */
+    final boolean internal;
+    /** The lower the number, the earlier it is sent. */
+    final int priority;
+
+    final long latencyTargetAt;
     final long deadline;
-    final boolean repeatable;
+    final boolean idempotent;
     long arrivedAt;
+    /** The number of its arrival. */
     long sequence;
-    /** When it was let go, later when it was written. */
+    /** When it was dispatched, later when it was written. */
     long sentAt;
-    /** How many that came later were let go before it. */
-    int passed;
-    /** Whether its chance was looked at once more, a quarter into its time. */
-    boolean reviewed;
+    /** How many requests that arrived later were dispatched before it. */
+    int passedOver;
+    /** Whether it was checked once more, a quarter into its time, that it can still meet its latency target. */
+    boolean rechecked;
 
-    SchedulableRequest(boolean inner, int rank, long aimAt, long deadline, boolean repeatable) {
-        this.inner = inner;
-        this.rank = rank;
-        this.aimAt = Math.min(aimAt, deadline);
+    SchedulableRequest(boolean internal, int priority, long latencyTargetAt, long deadline, boolean idempotent) {
+        this.internal = internal;
+        this.priority = priority;
+        this.latencyTargetAt = Math.min(latencyTargetAt, deadline);
         this.deadline = deadline;
-        this.repeatable = repeatable;
+        this.idempotent = idempotent;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ServiceTimeStatistics.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ServiceTimeStatistics.java
@@ -1,43 +1,45 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * Service times, learned apart for inner requests and others: their mean, and how far they spread. Time is
- * kept for both: of requests let in with the mean alone to spare half would be late.
+ * Exponentially weighted means and mean deviations of service times in microseconds, apart for internal requests
+ * and others. Admission reserves the deviation too: of requests admitted by the mean alone half would miss their
+ * latency target. For the event loop only.
  */
 final class ServiceTimeStatistics {
-    private static final double SHARE = 0.05;
+    /** Weight of the newest measurement. */
+    private static final double NEWEST_WEIGHT = 0.05;
 
-    private double inner;
-    private double outer;
-    private double innerSpread;
-    private double outerSpread;
+    private double internalMean;
+    private double externalMean;
+    private double internalDeviation;
+    private double externalDeviation;
 
-    ServiceTimeStatistics(long first) {
-        inner = first;
-        outer = first;
+    ServiceTimeStatistics(long initialMicros) {
+        internalMean = initialMicros;
+        externalMean = initialMicros;
     }
 
-    /** The time that most of its like keep to. */
-    long mostly(SchedulableRequest cargo) {
-        return (long) (cargo.inner ? inner + innerSpread : outer + outerSpread);
+    /** The time that most requests of its kind do not exceed. */
+    long meanPlusDeviation(SchedulableRequest request) {
+        return (long) (request.internal ? internalMean + internalDeviation : externalMean + externalDeviation);
     }
 
-    long of(SchedulableRequest cargo) {
-        return (long) (cargo.inner ? inner : outer);
+    long mean(SchedulableRequest request) {
+        return (long) (request.internal ? internalMean : externalMean);
     }
 
-    void saw(SchedulableRequest cargo, long micros) {
-        if (cargo.inner) {
-            innerSpread += SHARE * (Math.abs(micros - inner) - innerSpread);
-            inner += SHARE * (micros - inner);
+    void record(SchedulableRequest request, long micros) {
+        if (request.internal) {
+            internalDeviation += NEWEST_WEIGHT * (Math.abs(micros - internalMean) - internalDeviation);
+            internalMean += NEWEST_WEIGHT * (micros - internalMean);
         } else {
-            outerSpread += SHARE * (Math.abs(micros - outer) - outerSpread);
-            outer += SHARE * (micros - outer);
+            externalDeviation += NEWEST_WEIGHT * (Math.abs(micros - externalMean) - externalDeviation);
+            externalMean += NEWEST_WEIGHT * (micros - externalMean);
         }
     }
 
-    /** It took at least this long, and nobody knows how much longer. */
-    void sawAtLeast(SchedulableRequest cargo, long micros) {
-        saw(cargo, Math.max(micros, of(cargo)));
+    /** Records a request that took at least this long, and an unknown time more. */
+    void recordAtLeast(SchedulableRequest request, long micros) {
+        record(request, Math.max(micros, mean(request)));
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnection.java
@@ -17,174 +17,190 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 
-/** One connection to the server, with at most one request on it. It tells of each step, on the loop. */
-final class UpstreamConnection extends ChannelInboundHandlerAdapter implements ResponseAssembler.Sink {
+/**
+ * One connection to the server with at most one request on it (no pipelining). It connects when it is created and
+ * reports each step to its listener. All calls and reports are made on the event loop.
+ */
+final class UpstreamConnection extends ChannelInboundHandlerAdapter implements ResponseAssembler.Listener {
 
-    /** Whom it tells. */
-    interface Owner {
-        void opened(UpstreamConnection berth);
+    /** Receives what happens on a connection. */
+    interface Listener {
+        /** The connection is established; a request that was reserved for it can be sent. */
+        void onConnected(UpstreamConnection connection);
 
-        /** A whole answer while a request is in flight. */
-        ResponseVerdict answered(UpstreamConnection berth, InFlightRequest shipment, UpstreamResponse answer);
+        /** A complete response was received while a request is in flight; returns what it means for the request. */
+        ResponseVerdict onResponse(UpstreamConnection connection, InFlightRequest request, UpstreamResponse response);
 
-        /** A whole answer has told what became of the request. */
-        void ended(UpstreamConnection berth, InFlightRequest shipment, ResponseVerdict verdict);
+        /** A complete response has decided the outcome of the request. */
+        void onCompletion(UpstreamConnection connection, InFlightRequest request, ResponseVerdict verdict);
 
-        /** Its connection ended, or what came on it can't be believed. */
-        void broken(UpstreamConnection berth, InFlightRequest shipment, String why);
+        /** The connection of a request ended, or what came on it is no valid response. */
+        void onRequestFailed(UpstreamConnection connection, InFlightRequest request, String why);
 
-        /** The read that brought the answer is over; it is idle if it still is of use. */
-        void settled(UpstreamConnection berth, boolean usable);
+        /** The read that brought the response is over; the connection is idle if it is reusable. */
+        void onSettled(UpstreamConnection connection, boolean reusable);
 
-        /** It is down. What was in flight is told after this. */
-        void down(UpstreamConnection berth, boolean wasUp);
+        /** The connection is closed; reported before the failure of a request in flight. */
+        void onClosed(UpstreamConnection connection, boolean wasConnected);
     }
 
     private enum State {
         CONNECTING,
         IDLE,
+        /** A request is in flight. */
         BUSY,
+        /** A response was received, and the read that brought it goes on. */
         SETTLING,
         CLOSED
     }
 
+    /** Reaches other proxies and traces of requests: the text is fixed. */
+    private static final String CLOSED_BEFORE_RESPONSE = "the connection ended before an answer";
+
     private final EventLoop loop;
-    private final Owner owner;
-    private final ResponseDecoder decoder = new ResponseDecoder(this::toHead);
+    private final Listener listener;
+    private final ResponseDecoder decoder = new ResponseDecoder(this::respondsToHead);
     private final Channel channel;
     private State state = State.CONNECTING;
-    private boolean wasUp;
-    private InFlightRequest shipment;
-    /** Takes no further request. */
-    private boolean done;
-
-    private boolean written;
-    private boolean answerBegan;
-    private InFlightRequest previous;
-    /** When it is too old to be used, while it is idle. */
+    private boolean wasConnected;
+    private InFlightRequest request;
+    /** Whether it takes no further request. */
+    private boolean retired;
+
+    private boolean requestWritten;
+    private boolean responseBegan;
+    private InFlightRequest previousRequest;
+    /** Until when it may be reused, while it is idle. */
     long idleUntil;
     /** Since when it is idle. */
     long idleSince;
     /** How long it was idle before its last request, zero for its first. */
-    private long wasIdle;
+    private long idleBeforeRequest;
 
-    UpstreamConnection(EventLoop loop, InetSocketAddress to, UpstreamOptions plan, Owner owner) {
+    UpstreamConnection(EventLoop loop, InetSocketAddress server, UpstreamOptions options, Listener listener) {
         this.loop = loop;
-        this.owner = owner;
+        this.listener = listener;
+        int connectTimeoutMillis = (int) Math.max(1, options.connectTimeoutMicros() / 1000);
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, plan.connectMicros() / 1000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
+                        UpstreamConnection self = UpstreamConnection.this;
                         c.pipeline()
                                 .addLast(
-                                        UpstreamConnection.this,
+                                        self,
                                         decoder,
-                                        new ResponseAssembler(
-                                                decoder, plan.mostAnswerBytes(), UpstreamConnection.this));
+                                        new ResponseAssembler(decoder, options.maxResponseBytes(), self));
                     }
                 })
-                .connect(to);
+                .connect(server);
         channel = connecting.channel();
-        connecting.addListener(f -> later(f.isSuccess() ? this::opened : this::down));
-        channel.closeFuture().addListener(f -> later(this::down));
+        connecting.addListener(f -> later(f.isSuccess() ? this::connected : this::closed));
+        channel.closeFuture().addListener(f -> later(this::closed));
     }
 
-    /** Never inside a call that asked for the connection or closed it. */
+    /** Reports are never made from inside the call that opened or closed the connection. */
     private void later(Runnable task) {
         if (!loop.isShuttingDown()) {
             loop.execute(task);
         }
     }
 
-    private void opened() {
+    private void connected() {
         if (state == State.CONNECTING) {
-            wasUp = true;
+            wasConnected = true;
             state = State.IDLE;
-            owner.opened(this);
+            listener.onConnected(this);
         }
     }
 
-    InFlightRequest shipment() {
-        return shipment;
+    /** The request that is in flight or reserved, null for none. */
+    InFlightRequest request() {
+        return request;
     }
 
     boolean isConnecting() {
         return state == State.CONNECTING;
     }
 
-    boolean isHanded() {
-        return shipment != null && shipment.known == ExecutionKnowledge.SENT;
+    /** Whether the socket accepted at least a byte of the request in flight. */
+    boolean isRequestSent() {
+        return request != null && request.knowledge == ExecutionKnowledge.SENT;
     }
 
-    boolean isDone() {
-        return done;
+    boolean isRetired() {
+        return retired;
     }
 
-    long wasIdle() {
-        return wasIdle;
+    long idleBeforeRequest() {
+        return idleBeforeRequest;
     }
 
-    /** Whether no byte came since the last request was sent. */
+    /** Whether no byte was received since the last request was sent. */
     boolean isSilent() {
-        return !answerBegan;
+        return !responseBegan;
     }
 
-    /** Takes no further request once what is in flight has ended. */
+    /** Takes no further request once the one in flight has ended. */
     void retire() {
-        done = true;
+        retired = true;
     }
 
-    /** Keeps a request until the connection is up. */
+    /** Reserves the connection for a request, to be sent once it is established. */
     void reserve(InFlightRequest next) {
-        shipment = next;
+        request = next;
     }
 
-    /** Gives back a request that was not sent. */
-    InFlightRequest drop() {
-        InFlightRequest unsent = shipment;
-        shipment = null;
-        return unsent;
+    /** Takes the request off the connection. */
+    InFlightRequest release() {
+        InFlightRequest released = request;
+        request = null;
+        return released;
     }
 
     /**
-     * Whether it is up and clean, seen with all that has come so far: bytes or an end that still wait in the
-     * socket would be taken for the next answer. Not to be called from what this tells.
+     * Whether it is established and clean. Reads what the socket has received so far: bytes or an end of stream
+     * that are still unread there would be taken for the next response. Not to be called from a report.
      */
-    boolean usable() {
-        if (state == State.IDLE && !done && channel.isActive() && channel instanceof AbstractNioChannel nio) {
+    boolean checkReusable() {
+        if (isReusable() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
         }
-        return state == State.IDLE && !done && channel.isActive();
+        return isReusable();
+    }
+
+    private boolean isReusable() {
+        return state == State.IDLE && !retired && channel.isActive();
     }
 
     void send(InFlightRequest next, long now) {
-        shipment = next;
+        request = next;
         state = State.BUSY;
-        written = false;
-        answerBegan = false;
-        wasIdle = idleSince == 0 ? 0 : now - idleSince;
+        requestWritten = false;
+        responseBegan = false;
+        idleBeforeRequest = idleSince == 0 ? 0 : now - idleSince;
         next.sentAt = now;
         ChannelProgressivePromise promise = channel.newProgressivePromise();
-        promise.addListener(new Progress(next));
-        channel.writeAndFlush(RequestEncoder.of(next.freight(), now), promise);
+        promise.addListener(new WriteProgress(next));
+        channel.writeAndFlush(RequestEncoder.encode(next.request(), now), promise);
     }
 
-    /** Notes the first byte that the socket took, and the last. */
-    private final class Progress implements ChannelProgressiveFutureListener {
-        private final InFlightRequest sent;
+    /** Records the first byte of a request that the socket accepted, and the last. */
+    private final class WriteProgress implements ChannelProgressiveFutureListener {
+        private final InFlightRequest writing;
 
-        Progress(InFlightRequest sent) {
-            this.sent = sent;
+        WriteProgress(InFlightRequest writing) {
+            this.writing = writing;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
-            if (sent == shipment && progress > 0) {
-                sent.known = ExecutionKnowledge.SENT;
+            if (writing == request && progress > 0) {
+                writing.knowledge = ExecutionKnowledge.SENT;
             }
         }
 
@@ -192,47 +208,47 @@
         public void operationComplete(ChannelProgressiveFuture future) {
             if (!future.isSuccess()) {
                 close();
-            } else if (sent == shipment) {
-                sent.known = ExecutionKnowledge.SENT;
-                written = true;
+            } else if (writing == request) {
+                writing.knowledge = ExecutionKnowledge.SENT;
+                requestWritten = true;
             }
         }
     }
 
-    /** Ends the connection; what is in flight is told by its end. */
+    /** Closes the connection; a request in flight is reported as failed. */
     void close() {
-        done = true;
+        retired = true;
         channel.close();
     }
 
-    /** Lets go of the request in flight and ends the connection. */
+    /** Closes the connection and returns the request in flight, which is not reported any more. */
     InFlightRequest abandon() {
-        InFlightRequest left = drop();
+        InFlightRequest abandoned = release();
         close();
-        return left;
+        return abandoned;
     }
 
-    private void down() {
+    private void closed() {
         if (state == State.CLOSED) {
             return;
         }
-        boolean settling = state == State.SETTLING;
+        boolean wasSettling = state == State.SETTLING;
         state = State.CLOSED;
-        if (settling) {
-            owner.settled(this, false);
+        if (wasSettling) {
+            listener.onSettled(this, false);
         }
-        owner.down(this, wasUp);
-        if (shipment != null) {
-            owner.broken(
-                    this, drop(), answerBegan ? "an answer that was cut off" : "the connection ended before an answer");
+        listener.onClosed(this, wasConnected);
+        if (request != null) {
+            String why = responseBegan ? ResponseAssembler.TRUNCATED : CLOSED_BEFORE_RESPONSE;
+            listener.onRequestFailed(this, release(), why);
         }
     }
 
-    /** Lets nothing in that was not asked for. An early end is told by the end of the connection alone. */
+    /** Passes on only bytes that follow a request; others close the connection. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
         if (state == State.BUSY) {
-            answerBegan = true;
+            responseBegan = true;
             context.fireChannelRead(bytes);
         } else {
             ReferenceCountUtil.release(bytes);
@@ -242,51 +258,59 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        // What the decoder makes of a part of an answer is none.
+        // Not passed on: the decoder would make a response of a truncated one.
     }
 
-    private boolean toHead(HttpResponse answer) {
-        String id = answer.headers().get(RequestEncoder.ATTEMPT_ID);
-        if (shipment != null && (id == null || id.strip().equals(shipment.attemptId))) {
-            return shipment.isHead();
+    private boolean respondsToHead(HttpResponse response) {
+        String id = response.headers().get(RequestEncoder.ATTEMPT_ID);
+        if (request != null && (id == null || id.strip().equals(request.attemptId))) {
+            return request.isHead();
         }
-        return previous != null && previous.isHead() && previous.attemptId.equals(id);
+        return previousRequest != null && previousRequest.isHead() && previousRequest.attemptId.equals(id);
     }
 
     @Override
-    public void whole(UpstreamResponse answer) {
-        if (state != State.BUSY || shipment == null) {
+    public void onResponse(UpstreamResponse response) {
+        if (state != State.BUSY || request == null) {
             close();
             return;
         }
-        ResponseVerdict verdict = owner.answered(this, shipment, answer);
-        if (verdict.kind() == ResponseVerdict.Kind.FOREIGN) {
-            done = true;
-            answerBegan = decoder.hasMore();
+        ResponseVerdict verdict = listener.onResponse(this, request, response);
+        if (verdict.kind() == ResponseVerdict.Kind.OTHER_REQUEST) {
+            // The own response may still follow, but the connection is not trusted beyond it.
+            retired = true;
+            responseBegan = decoder.hasSurplusBytes();
             return;
         }
-        previous = drop();
+        previousRequest = release();
         state = State.SETTLING;
-        done |= verdict.kind() == ResponseVerdict.Kind.BROKEN || !answer.keepAlive() || !written || decoder.hasMore();
-        if (done) {
+        retired |= endsConnection(verdict, response);
+        if (retired) {
             close();
         }
-        owner.ended(this, previous, verdict);
+        listener.onCompletion(this, previousRequest, verdict);
+    }
+
+    private boolean endsConnection(ResponseVerdict verdict, UpstreamResponse response) {
+        return verdict.kind() == ResponseVerdict.Kind.INVALID
+                || !response.keepAlive()
+                || !requestWritten
+                || decoder.hasSurplusBytes();
     }
 
     @Override
-    public void broken(String why) {
-        InFlightRequest lost = abandon();
-        if (lost != null) {
-            owner.broken(this, lost, why);
+    public void onInvalidResponse(String why) {
+        InFlightRequest abandoned = abandon();
+        if (abandoned != null) {
+            listener.onRequestFailed(this, abandoned, why);
         }
     }
 
     @Override
-    public void readOver() {
+    public void onReadComplete() {
         if (state == State.SETTLING) {
             state = State.IDLE;
-            owner.settled(this, !done && channel.isActive());
+            listener.onSettled(this, !retired && channel.isActive());
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnectionManager.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnectionManager.java
@@ -5,307 +5,339 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
 
 /**
- * Brings what is let go onto connections, and what these tell to the end of each request. Nothing new is sent
- * on a connection before the read that brought its last answer is over.
+ * Assigns the requests that the scheduler dispatches to connections, enforces their deadlines, and turns what
+ * happens on the connections into the outcome of each. No request is sent on a connection before the read that
+ * brought its last response is over. For the event loop only.
  */
-final class UpstreamConnectionManager implements UpstreamConnection.Owner {
-    /** After how long the server closes an idle connection, where it does not say. */
-    private static final long ASSUMED_IDLE_SECONDS = 8;
-    /** Share of that time for which a connection is kept. */
-    private static final double IDLE_SHARE = 0.6;
-
-    final RequestScheduler<InFlightRequest> stevedore;
-    final UpstreamConnections berths;
-    private final IdleConnectionAge lull = new IdleConnectionAge();
+final class UpstreamConnectionManager implements UpstreamConnection.Listener {
+    /** After how long the server is assumed to close an idle connection, where it does not say. */
+    private static final long DEFAULT_IDLE_TIMEOUT_SECONDS = 8;
+    /** The part of the server's idle time-out for which a connection is reused. */
+    private static final double IDLE_TIMEOUT_SHARE = 0.6;
+
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    // Reasons reach other proxies and traces of requests: their texts are fixed.
+    private static final RequestOutcome.MayHaveRun DEADLINE_EXCEEDED = new RequestOutcome.MayHaveRun("deadline");
+    private static final RequestOutcome.NotRun LATE = new RequestOutcome.NotRun(RejectionReason.LATE, 0);
+    private static final RequestOutcome.NotRun GONE = new RequestOutcome.NotRun(RejectionReason.GONE, 0);
+    private static final RequestOutcome.NotRun NO_CONNECTION =
+            new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0);
+
+    final RequestScheduler<InFlightRequest> scheduler;
+    final UpstreamConnections connections;
+    private final IdleConnectionAge idleAge = new IdleConnectionAge();
     private final EventLoop loop;
-    private final LongSupplier micros;
-    private final UpstreamOptions plan;
+    private final LongSupplier clockMicros;
+    private final UpstreamOptions options;
     private final Consumer<String> log;
-    private final DeadlineTimer alarm;
-    /** Answers that were told while the read that brought them goes on. */
+    private final DeadlineTimer timer;
+    /** Connections whose response was reported while the read that brought it goes on. */
     private int settling;
 
-    private boolean pumping;
-    private boolean woken;
+    private boolean dispatching;
+    private boolean dispatchScheduled;
 
     UpstreamConnectionManager(
             EventLoop loop,
             InetSocketAddress application,
-            LongSupplier micros,
-            UpstreamOptions plan,
+            LongSupplier clockMicros,
+            UpstreamOptions options,
             Consumer<String> log) {
         this.loop = loop;
-        this.micros = micros;
-        this.plan = plan;
+        this.clockMicros = clockMicros;
+        this.options = options;
         this.log = log;
-        stevedore = new RequestScheduler<>(plan);
-        berths = new UpstreamConnections(loop, application, plan, this);
-        alarm = new DeadlineTimer(loop, micros, this::tick);
+        scheduler = new RequestScheduler<>(options);
+        connections = new UpstreamConnections(loop, application, options, this);
+        timer = new DeadlineTimer(loop, clockMicros, this::tick);
     }
 
-    void arrive(InFlightRequest shipment) {
-        refuse(stevedore.arrive(micros.getAsLong(), shipment));
+    /** Queues a request and sends it at once if it can be. */
+    void enqueue(InFlightRequest request) {
+        reject(scheduler.enqueue(clockMicros.getAsLong(), request));
         if (settling > 0) {
-            wake();
+            scheduleDispatch();
         } else {
-            pump();
+            dispatchReady();
         }
     }
 
-    /** Does what is due. */
+    /** Does what is due by time. */
     void tick() {
-        long now = micros.getAsLong();
-        berths.closeOld(now);
-        for (UpstreamConnection berth : berths.busy()) {
-            overdue(berth, berth.shipment(), now);
+        long now = clockMicros.getAsLong();
+        connections.closeExpired(now);
+        for (UpstreamConnection connection : connections.busy()) {
+            checkDeadline(connection, connection.request(), now);
         }
-        pump();
+        dispatchReady();
     }
 
-    private void overdue(UpstreamConnection berth, InFlightRequest shipment, long now) {
-        if (shipment == null) {
-            // What was told of another request has ended this one.
+    // ---- Deadlines
+
+    private void checkDeadline(UpstreamConnection connection, InFlightRequest request, long now) {
+        if (request == null) {
+            // It ended because of another request's outcome, earlier in the same loop.
             return;
         }
-        if (shipment.isOver()) {
-            if (now >= shipment.deadline + plan.lingerMicros()) {
-                abandon(berth, Ended.OVERDUE, null);
-            }
-        } else if (now >= sendBy(berth, shipment)
-                && !unsend(berth, new RequestOutcome.NotRun(RejectionReason.LATE, 0))
-                && now >= shipment.deadline) {
-            RequestOutcome outcome = new RequestOutcome.MayHaveRun("deadline");
-            if (shipment.repeatable) {
-                abandon(berth, Ended.OVERDUE, outcome);
-            } else {
-                tell(shipment, outcome);
+        if (request.isCompleted()) {
+            if (now >= request.deadline + options.lingerMicros()) {
+                abandon(connection, Completion.DEADLINE_EXCEEDED, null);
             }
+        } else if (now >= sendDeadline(connection, request)
+                && !tryUnsend(connection, LATE)
+                && now >= request.deadline) {
+            onDeadlineExceeded(connection, request);
         }
     }
 
-    private static long sendBy(UpstreamConnection berth, InFlightRequest shipment) {
-        return berth.isConnecting() ? shipment.deadline - RequestScheduler.MARGIN_MICROS + 1 : shipment.deadline;
+    /** A request that is not idempotent keeps its connection for a while, as it occupies the server. */
+    private void onDeadlineExceeded(UpstreamConnection connection, InFlightRequest request) {
+        if (request.idempotent) {
+            abandon(connection, Completion.DEADLINE_EXCEEDED, DEADLINE_EXCEEDED);
+        } else {
+            complete(request, DEADLINE_EXCEEDED);
+        }
     }
 
-    private long nextTime(UpstreamConnection berth) {
-        InFlightRequest shipment = berth.shipment();
-        return shipment.isOver() ? shipment.deadline + plan.lingerMicros() : sendBy(berth, shipment);
+    private static long sendDeadline(UpstreamConnection connection, InFlightRequest request) {
+        return connection.isConnecting()
+                ? request.deadline - RequestScheduler.DEADLINE_MARGIN_MICROS + 1
+                : request.deadline;
     }
 
-    /** Ends a request that was sent, and its connection. */
-    void abandon(UpstreamConnection berth, Ended how, RequestOutcome outcome) {
-        berths.free(berth);
-        end(berth.abandon(), how, outcome);
+    private long nextDeadline(UpstreamConnection connection) {
+        InFlightRequest request = connection.request();
+        return request.isCompleted() ? request.deadline + options.lingerMicros() : sendDeadline(connection, request);
     }
 
-    /** Takes a request back of which nothing was sent; false if it may have run. */
-    boolean unsend(UpstreamConnection berth, RequestOutcome.NotRun outcome) {
-        if (berth.shipment() == null || !berth.isConnecting() && berth.isHanded()) {
-            return false;
-        }
-        berths.free(berth);
-        end(berth.isConnecting() ? berth.drop() : berth.abandon(), Ended.OTHER, outcome);
-        return true;
-    }
+    // ---- Dispatch
 
-    void pump() {
-        if (pumping) {
+    /** Sends what the scheduler allows to be sent now. */
+    private void dispatchReady() {
+        if (dispatching) {
             return;
         }
-        pumping = true;
+        dispatching = true;
         try {
-            long now = micros.getAsLong();
-            refuse(stevedore.due(now));
-            spareConnecting(now);
-            while (stevedore.ready(now) && letGo(now)) {
-                now = micros.getAsLong();
+            long now = clockMicros.getAsLong();
+            reject(scheduler.expire(now));
+            replaceConnecting(now);
+            while (scheduler.isReady(now) && dispatchNext(now)) {
+                now = clockMicros.getAsLong();
             }
         } finally {
-            pumping = false;
+            dispatching = false;
         }
-        arm();
+        scheduleTimer();
     }
 
-    /** What waits for a connection to come up takes one that has become idle. */
-    private void spareConnecting(long now) {
-        for (UpstreamConnection berth : berths.busy()) {
-            UpstreamConnection idle = berth.isConnecting() ? pollIdle(now, berth.shipment()) : null;
+    /** A request that waits for its connection to be established takes one that has become idle instead. */
+    private void replaceConnecting(long now) {
+        for (UpstreamConnection connection : connections.busy()) {
+            UpstreamConnection idle = connection.isConnecting() ? pollIdle(now, connection.request()) : null;
             if (idle != null) {
-                berths.free(berth);
-                berths.send(idle, berth.drop(), now);
+                connections.removeBusy(connection);
+                connections.send(idle, connection.release(), now);
             }
         }
     }
 
-    /** What can't be repeated takes none that was idle for long while new ones are to be had. */
-    private UpstreamConnection pollIdle(long now, InFlightRequest shipment) {
-        boolean any = shipment.repeatable || berths.failing(now);
-        return berths.pollIdle(now, any ? Long.MAX_VALUE : lull.at(now));
+    /** A request that is not idempotent takes no connection that was idle for long, while new ones can be made. */
+    private UpstreamConnection pollIdle(long now, InFlightRequest request) {
+        boolean anyAge = request.idempotent || connections.isFailing(now);
+        return connections.pollIdle(now, anyAge ? Long.MAX_VALUE : idleAge.maxAge(now));
     }
 
-    private boolean letGo(long now) {
-        InFlightRequest first = stevedore.first(now);
+    /** Dispatches the first queued request; false if it has to wait for a connection. */
+    private boolean dispatchNext(long now) {
+        InFlightRequest first = scheduler.peek(now);
         UpstreamConnection idle = pollIdle(now, first);
         if (idle != null) {
-            berths.send(idle, stevedore.letGo(now, first), now);
-        } else if (berths.failing(now)) {
-            if (berths.someUp()) {
-                return false;
-            }
-            end(
-                    stevedore.letGo(now, first),
-                    Ended.OTHER,
-                    new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, berths.failingUntil() - now));
-        } else if (berths.room()) {
-            berths.connect(stevedore.letGo(now, first));
-        } else {
-            // Its end makes room.
-            berths.closeOldest();
+            connections.send(idle, scheduler.dispatch(now, first), now);
+            return true;
+        }
+        if (connections.isFailing(now)) {
+            return dispatchWhileFailing(now, first);
+        }
+        if (connections.mayOpen()) {
+            connections.connect(scheduler.dispatch(now, first));
+            return true;
+        }
+        connections.closeOldestIdle();
+        return false;
+    }
+
+    private boolean dispatchWhileFailing(long now, InFlightRequest first) {
+        if (connections.hasEstablishedBusy()) {
             return false;
         }
+        long retryAfter = connections.failingUntil() - now;
+        end(
+                scheduler.dispatch(now, first),
+                Completion.OTHER,
+                new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, retryAfter));
         return true;
     }
 
-    /** Another server is at the address. */
-    void another() {
-        lull.forget();
-        berths.retire();
+    /** Dispatches later on the event loop, outside of the present call. */
+    void scheduleDispatch() {
+        if (!dispatchScheduled && !loop.isShuttingDown()) {
+            dispatchScheduled = true;
+            loop.execute(() -> {
+                dispatchScheduled = false;
+                dispatchReady();
+            });
+        }
     }
 
-    void refuse(List<RequestScheduler.Refusal<InFlightRequest>> refusals) {
-        for (RequestScheduler.Refusal<InFlightRequest> r : refusals) {
-            tell(r.cargo(), new RequestOutcome.NotRun(r.reason(), r.retryAfterMicros()));
+    private void scheduleTimer() {
+        long next = Math.min(scheduler.nextTime(), connections.nextExpiry());
+        for (UpstreamConnection connection : connections.busy()) {
+            next = Math.min(next, nextDeadline(connection));
+        }
+        if (!scheduler.queue().isEmpty() && connections.isFailing(clockMicros.getAsLong())) {
+            next = Math.min(next, connections.failingUntil());
         }
+        timer.schedule(next);
     }
 
-    void end(InFlightRequest shipment, Ended how, RequestOutcome outcome) {
-        stevedore.ended(micros.getAsLong(), shipment, how);
-        tell(shipment, outcome);
-        wake();
+    // ---- Ends of requests
+
+    /** Ends a request that was sent, and its connection. */
+    void abandon(UpstreamConnection connection, Completion completion, RequestOutcome outcome) {
+        connections.removeBusy(connection);
+        end(connection.abandon(), completion, outcome);
     }
 
-    void tell(InFlightRequest shipment, RequestOutcome outcome) {
-        try {
-            shipment.tell(outcome);
-        } catch (RuntimeException e) {
-            log.accept("telling the end of " + shipment.freight().id() + " failed: " + e);
+    /** Takes back a request of which no byte was sent; false if it may have run. */
+    boolean tryUnsend(UpstreamConnection connection, RequestOutcome.NotRun outcome) {
+        if (connection.request() == null || !connection.isConnecting() && connection.isRequestSent()) {
+            return false;
         }
+        connections.removeBusy(connection);
+        InFlightRequest unsent = connection.isConnecting() ? connection.release() : connection.abandon();
+        end(unsent, Completion.OTHER, outcome);
+        return true;
     }
 
-    void wake() {
-        if (!woken && !loop.isShuttingDown()) {
-            woken = true;
-            loop.execute(() -> {
-                woken = false;
-                pump();
-            });
+    private void reject(List<RequestScheduler.Rejection<InFlightRequest>> rejections) {
+        for (RequestScheduler.Rejection<InFlightRequest> rejection : rejections) {
+            complete(rejection.request(), new RequestOutcome.NotRun(rejection.reason(), rejection.retryAfterMicros()));
         }
     }
 
-    private void arm() {
-        long next = Math.min(stevedore.nextTime(), berths.nextOld());
-        for (UpstreamConnection berth : berths.busy()) {
-            next = Math.min(next, nextTime(berth));
-        }
-        if (!stevedore.waiting().isEmpty() && berths.failing(micros.getAsLong())) {
-            next = Math.min(next, berths.failingUntil());
+    private void end(InFlightRequest request, Completion completion, RequestOutcome outcome) {
+        scheduler.onCompletion(clockMicros.getAsLong(), request, completion);
+        complete(request, outcome);
+        scheduleDispatch();
+    }
+
+    /** Reports an outcome; a failure of the callback does not reach the other requests. */
+    void complete(InFlightRequest request, RequestOutcome outcome) {
+        try {
+            request.complete(outcome);
+        } catch (RuntimeException e) {
+            log.accept("Outcome callback failed: request=" + request.request().id() + " error=" + e);
         }
-        alarm.at(next);
+    }
+
+    // ---- Connections
+
+    /** Another instance has the address: nothing that was learned of the connections holds. */
+    void onNewInstance() {
+        idleAge.forget();
+        connections.retireAll();
     }
 
     @Override
-    public void opened(UpstreamConnection berth) {
-        berths.opened();
-        long now = micros.getAsLong();
-        InFlightRequest shipment = berth.shipment();
-        if (shipment == null || berth.isDone() || now + RequestScheduler.MARGIN_MICROS > shipment.deadline) {
-            InFlightRequest unsent = berth.drop();
-            berths.rest(berth, now, idleUntil(now, ASSUMED_IDLE_SECONDS));
-            if (unsent != null) {
-                end(
-                        unsent,
-                        Ended.OTHER,
-                        new RequestOutcome.NotRun(berth.isDone() ? RejectionReason.GONE : RejectionReason.LATE, 0));
-            }
-            wake();
-        } else {
-            berths.send(berth, shipment, now);
+    public void onConnected(UpstreamConnection connection) {
+        connections.onConnected();
+        long now = clockMicros.getAsLong();
+        InFlightRequest request = connection.request();
+        boolean sendable = request != null
+                && !connection.isRetired()
+                && now + RequestScheduler.DEADLINE_MARGIN_MICROS <= request.deadline;
+        if (sendable) {
+            connections.send(connection, request, now);
+            return;
+        }
+        InFlightRequest unsent = connection.release();
+        connections.addIdle(connection, now, idleUntil(now, DEFAULT_IDLE_TIMEOUT_SECONDS));
+        if (unsent != null) {
+            end(unsent, Completion.OTHER, connection.isRetired() ? GONE : LATE);
         }
+        scheduleDispatch();
     }
 
-    private long idleUntil(long now, long seconds) {
-        return now + (long) (IDLE_SHARE * 1_000_000 * seconds);
+    private static long idleUntil(long now, long timeoutSeconds) {
+        return now + (long) (IDLE_TIMEOUT_SHARE * MICROS_PER_SECOND * timeoutSeconds);
     }
 
     @Override
-    public ResponseVerdict answered(UpstreamConnection berth, InFlightRequest shipment, UpstreamResponse answer) {
-        long now = micros.getAsLong();
-        berth.idleUntil = idleUntil(now, answer.idleSeconds(ASSUMED_IDLE_SECONDS));
-        lull.held(berth.wasIdle());
-        ResponseVerdict verdict = ResponseVerdict.of(answer, shipment, now, stevedore.retryAfter(shipment));
-        if (verdict.kind() == ResponseVerdict.Kind.FOREIGN) {
-            log.accept("an answer to another request came in place of that to " + shipment.attemptId);
+    public ResponseVerdict onResponse(
+            UpstreamConnection connection, InFlightRequest request, UpstreamResponse response) {
+        long now = clockMicros.getAsLong();
+        connection.idleUntil = idleUntil(now, response.idleTimeoutSeconds(DEFAULT_IDLE_TIMEOUT_SECONDS));
+        idleAge.onResponse(connection.idleBeforeRequest());
+        ResponseVerdict verdict = ResponseVerdict.of(response, request, now, scheduler.retryAfterMicros(request));
+        if (verdict.kind() == ResponseVerdict.Kind.OTHER_REQUEST) {
+            log.accept("Response to another request ignored: expected=" + request.attemptId);
         }
         return verdict;
     }
 
     @Override
-    public void ended(UpstreamConnection berth, InFlightRequest shipment, ResponseVerdict verdict) {
+    public void onCompletion(UpstreamConnection connection, InFlightRequest request, ResponseVerdict verdict) {
         settling++;
-        berths.free(berth);
-        end(
-                shipment,
+        connections.removeBusy(connection);
+        Completion completion =
                 switch (verdict.kind()) {
-                    case ANSWERED -> Ended.ANSWERED;
-                    case FULL -> Ended.FULL;
-                    default -> Ended.OTHER;
-                },
-                verdict.outcome());
+                    case RESPONSE -> Completion.RESPONDED;
+                    case OVERLOADED -> Completion.OVERLOADED;
+                    default -> Completion.OTHER;
+                };
+        end(request, completion, verdict.outcome());
     }
 
     @Override
-    public void broken(UpstreamConnection berth, InFlightRequest shipment, String why) {
-        berths.free(berth);
-        long now = micros.getAsLong();
-        boolean handed = shipment.known.lost() == ExecutionKnowledge.MAY_HAVE_RUN;
-        if (handed && berth.isSilent() && now - shipment.sentAt < IdleConnectionAge.AT_ONCE_MICROS) {
-            lull.dropped(now, berth.wasIdle());
+    public void onRequestFailed(UpstreamConnection connection, InFlightRequest request, String why) {
+        connections.removeBusy(connection);
+        if (request.knowledge.afterConnectionLoss() != ExecutionKnowledge.MAY_HAVE_RUN) {
+            end(request, Completion.OTHER, NO_CONNECTION);
+            return;
         }
-        if (handed) {
-            log.accept(shipment.attemptId + " may have run: " + why);
+        long now = clockMicros.getAsLong();
+        if (connection.isSilent() && now - request.sentAt < IdleConnectionAge.RESET_AFTER_SEND_MICROS) {
+            idleAge.onReset(now, connection.idleBeforeRequest());
         }
-        end(
-                shipment,
-                Ended.OTHER,
-                handed
-                        ? new RequestOutcome.MayHaveRun(why)
-                        : new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0));
+        log.accept("Request may have run: request=" + request.attemptId + " reason=\"" + why + "\"");
+        end(request, Completion.OTHER, new RequestOutcome.MayHaveRun(why));
     }
 
     @Override
-    public void settled(UpstreamConnection berth, boolean usable) {
+    public void onSettled(UpstreamConnection connection, boolean reusable) {
         settling--;
-        if (usable) {
-            berths.rest(berth, micros.getAsLong(), berth.idleUntil);
+        if (reusable) {
+            connections.addIdle(connection, clockMicros.getAsLong(), connection.idleUntil);
         }
-        wake();
+        scheduleDispatch();
     }
 
     @Override
-    public void down(UpstreamConnection berth, boolean wasUp) {
-        long now = micros.getAsLong();
-        boolean failed = berths.failing(now);
-        berths.down(berth, wasUp, now);
-        if (!failed && berths.failing(now)) {
-            log.accept("the server takes no connections");
+    public void onClosed(UpstreamConnection connection, boolean wasConnected) {
+        long now = clockMicros.getAsLong();
+        boolean wasFailing = connections.isFailing(now);
+        connections.onClosed(connection, wasConnected, now);
+        if (!wasFailing && connections.isFailing(now)) {
+            log.accept("Server accepts no connections");
         }
-        wake();
+        scheduleDispatch();
     }
 
     void close() {
-        alarm.off();
+        timer.cancel();
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnections.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnections.java
@@ -8,20 +8,26 @@
 import java.util.List;
 import java.util.Set;
 
-/** The connections to the server: as few as will do, the one used last first, none that is too old. */
+/**
+ * The connections to the server: as few as possible, the one used last is reused first, and none is reused that has
+ * been idle for too long. For the event loop only; times are in microseconds.
+ */
 final class UpstreamConnections {
-    /** What the server accepts beyond what is used here. */
-    private static final int SPARE = 4;
+    /** Connections of those that the server accepts that are left to others. */
+    private static final int RESERVED_CONNECTIONS = 4;
 
-    private static final int FAILURES = 3;
-    private static final long FAILING_MICROS = 200_000;
+    /** After so many failures to connect in a row no connection is tried for a while. */
+    private static final int MAX_FAILURES = 3;
+
+    private static final long FAILURE_PAUSE_MICROS = 200_000;
 
     private final EventLoop loop;
-    private final InetSocketAddress to;
-    private final UpstreamOptions plan;
-    private final UpstreamConnection.Owner owner;
+    private final InetSocketAddress server;
+    private final UpstreamOptions options;
+    private final UpstreamConnection.Listener listener;
+    /** The one used last is the last. */
     private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
-    /** Those that hold a request, sent or not yet. */
+    /** Those with a request, sent or not yet. */
     private final Set<UpstreamConnection> busy = new LinkedHashSet<>();
 
     private final Set<UpstreamConnection> open = new LinkedHashSet<>();
@@ -29,47 +35,50 @@
     private int failures;
     private long failingUntil = Long.MIN_VALUE;
 
-    UpstreamConnections(EventLoop loop, InetSocketAddress to, UpstreamOptions plan, UpstreamConnection.Owner owner) {
+    UpstreamConnections(
+            EventLoop loop, InetSocketAddress server, UpstreamOptions options, UpstreamConnection.Listener listener) {
         this.loop = loop;
-        this.to = to;
-        this.plan = plan;
-        this.owner = owner;
-        maxConnections = plan.maxConnections();
+        this.server = server;
+        this.options = options;
+        this.listener = listener;
+        maxConnections = options.maxConnections();
     }
 
-    void maxConnections(int most) {
-        maxConnections = most;
-        while (open.size() - closing() > bound() && !idle.isEmpty()) {
+    /** Sets how many connections the server accepts in all. */
+    void maxConnections(int max) {
+        maxConnections = max;
+        while (open.size() - closingCount() > limit() && !idle.isEmpty()) {
             idle.pollFirst().close();
         }
     }
 
-    private long closing() {
-        return open.stream().filter(UpstreamConnection::isDone).count();
+    private long closingCount() {
+        return open.stream().filter(UpstreamConnection::isRetired).count();
     }
 
-    private int bound() {
-        return Math.max(1, maxConnections - SPARE);
+    private int limit() {
+        return Math.max(1, maxConnections - RESERVED_CONNECTIONS);
     }
 
     List<UpstreamConnection> busy() {
         return List.copyOf(busy);
     }
 
-    int open() {
+    int openCount() {
         return open.size();
     }
 
-    /** Whether a request on its way could set a connection free, so that there is something to wait for. */
-    boolean someUp() {
-        return busy.stream().anyMatch(b -> !b.isConnecting());
+    /** Whether a request is on an established connection, which its end will make available. */
+    boolean hasEstablishedBusy() {
+        return busy.stream().anyMatch(connection -> !connection.isConnecting());
     }
 
-    boolean room() {
-        return open.size() < bound();
+    boolean mayOpen() {
+        return open.size() < limit();
     }
 
-    boolean failing(long now) {
+    /** Whether the server was found not to accept connections, so that none is tried for now. */
+    boolean isFailing(long now) {
         return now < failingUntil;
     }
 
@@ -78,13 +87,13 @@
     }
 
     /**
-     * An idle one that is clean, not too old and not idle for longer than so, null for none. It is to be used
-     * or put back.
+     * Takes an idle connection that is clean, not too old and has not been idle for longer than a time; null if
+     * there is none. The caller uses it or adds it again.
      */
-    UpstreamConnection pollIdle(long now, long longest) {
-        while (!idle.isEmpty() && now - idle.peekLast().idleSince <= longest) {
+    UpstreamConnection pollIdle(long now, long maxIdle) {
+        while (!idle.isEmpty() && now - idle.peekLast().idleSince <= maxIdle) {
             UpstreamConnection last = idle.pollLast();
-            if (now < last.idleUntil && last.usable()) {
+            if (now < last.idleUntil && last.checkReusable()) {
                 return last;
             }
             last.close();
@@ -92,77 +101,78 @@
         return null;
     }
 
-    /** Ends the one that has been idle longest, to make room for a new one, if no other ends already. */
-    void closeOldest() {
-        if (!idle.isEmpty() && open.stream().noneMatch(b -> b.isDone() && !busy.contains(b))) {
+    /** Closes the one that has been idle longest, to make room for a new one, if no other is closing already. */
+    void closeOldestIdle() {
+        if (!idle.isEmpty() && open.stream().noneMatch(c -> c.isRetired() && !busy.contains(c))) {
             idle.pollFirst().close();
         }
     }
 
-    void rest(UpstreamConnection berth, long now, long until) {
-        busy.remove(berth);
-        berth.idleSince = now;
-        berth.idleUntil = until;
-        if (berth.isDone() || open.size() > bound()) {
-            berth.close();
+    /** Adds a connection to the idle ones, or closes it where it is of no use. */
+    void addIdle(UpstreamConnection connection, long now, long idleUntil) {
+        busy.remove(connection);
+        connection.idleSince = now;
+        connection.idleUntil = idleUntil;
+        if (connection.isRetired() || open.size() > limit()) {
+            connection.close();
         } else {
-            idle.addLast(berth);
+            idle.addLast(connection);
         }
     }
 
-    void opened() {
+    void onConnected() {
         failures = 0;
         failingUntil = Long.MIN_VALUE;
     }
 
-    void connect(InFlightRequest shipment) {
-        UpstreamConnection berth = new UpstreamConnection(loop, to, plan, owner);
-        open.add(berth);
-        busy.add(berth);
-        berth.reserve(shipment);
+    /** Opens a connection for a request. */
+    void connect(InFlightRequest request) {
+        UpstreamConnection connection = new UpstreamConnection(loop, server, options, listener);
+        open.add(connection);
+        busy.add(connection);
+        connection.reserve(request);
     }
 
-    void send(UpstreamConnection berth, InFlightRequest shipment, long now) {
-        busy.add(berth);
-        berth.send(shipment, now);
+    void send(UpstreamConnection connection, InFlightRequest request, long now) {
+        busy.add(connection);
+        connection.send(request, now);
     }
 
-    void free(UpstreamConnection berth) {
-        busy.remove(berth);
+    /** A connection has no request any more. */
+    void removeBusy(UpstreamConnection connection) {
+        busy.remove(connection);
     }
 
-    void down(UpstreamConnection berth, boolean wasUp, long now) {
-        busy.remove(berth);
-        idle.remove(berth);
-        open.remove(berth);
-        if (!wasUp && ++failures >= FAILURES) {
-            failingUntil = now + FAILING_MICROS;
+    void onClosed(UpstreamConnection connection, boolean wasConnected, long now) {
+        busy.remove(connection);
+        idle.remove(connection);
+        open.remove(connection);
+        if (!wasConnected && ++failures >= MAX_FAILURES) {
+            failingUntil = now + FAILURE_PAUSE_MICROS;
         }
     }
 
-    /** None of the present ones takes a further request; those in use end with what they carry. */
-    void retire() {
-        opened();
+    /** None of the present connections takes a further request; busy ones end with the request on them. */
+    void retireAll() {
+        onConnected();
         open.forEach(UpstreamConnection::retire);
-        closeIdle();
-    }
-
-    void closeIdle() {
         while (!idle.isEmpty()) {
             idle.pollFirst().close();
         }
     }
 
-    void closeOld(long now) {
-        List.copyOf(idle).forEach(b -> {
-            if (now >= b.idleUntil) {
-                idle.remove(b);
-                b.close();
+    /** Closes the connections that have been idle for too long. */
+    void closeExpired(long now) {
+        for (UpstreamConnection connection : List.copyOf(idle)) {
+            if (now >= connection.idleUntil) {
+                idle.remove(connection);
+                connection.close();
             }
-        });
+        }
     }
 
-    long nextOld() {
-        return idle.stream().mapToLong(b -> b.idleUntil).min().orElse(Long.MAX_VALUE);
+    /** When {@link #closeExpired} is to be called next. */
+    long nextExpiry() {
+        return idle.stream().mapToLong(c -> c.idleUntil).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
@@ -5,155 +5,170 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
 
 /**
- * Hands requests to the one server beside this process and tells the one outcome of each. All calls are made
- * on the loop, and all outcomes are told on it, some from inside the call.
+ * The {@link RequestDispatcher} for the application server beside this process, over TCP. All calls are to be made
+ * on its event loop, and all outcomes are reported on it, some of them from inside the call.
+ *
+ * <p>Without an instance, see {@link #setInstance}, it rejects all requests; after {@link #drain} it rejects new
+ * ones and lets running ones finish; {@link #close} ends all.
  */
 public final class UpstreamDispatcher implements RequestDispatcher {
     private static final RequestOutcome.NotRun GONE = new RequestOutcome.NotRun(RejectionReason.GONE, 0);
     private static final RequestOutcome.NotRun CANCELLED = new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0);
+    private static final RequestOutcome.NotRun REFUSED = new RequestOutcome.NotRun(RejectionReason.REFUSED, 0);
+    // Reasons reach other proxies and traces of requests: their texts are fixed.
+    private static final RequestOutcome.MayHaveRun CANCELLED_IN_FLIGHT = new RequestOutcome.MayHaveRun("cancelled");
+    private static final RequestOutcome.MayHaveRun CLOSED_IN_FLIGHT = new RequestOutcome.MayHaveRun("closed");
 
     private final EventLoop loop;
     private final Consumer<String> log;
-    private final UpstreamConnectionManager pier;
-    private final RequestScheduler<InFlightRequest> stevedore;
-    private final UpstreamConnections berths;
-    private InstanceIncarnation life;
-    private boolean leaving;
-
+    private final UpstreamConnectionManager connectionManager;
+    private final RequestScheduler<InFlightRequest> scheduler;
+    private final UpstreamConnections connections;
+    private InstanceIncarnation instance;
+    private boolean draining;
+
+    /**
+     * @param clockMicros the clock of all times here
+     * @param log receives lines for the operators' log
+     */
     public UpstreamDispatcher(
             EventLoop loop,
             InetSocketAddress application,
-            LongSupplier micros,
-            UpstreamOptions plan,
+            LongSupplier clockMicros,
+            UpstreamOptions options,
             Consumer<String> log) {
         this.loop = loop;
         this.log = log;
-        pier = new UpstreamConnectionManager(loop, application, micros, plan, log);
-        stevedore = pier.stevedore;
-        berths = pier.berths;
+        connectionManager = new UpstreamConnectionManager(loop, application, clockMicros, options, log);
+        scheduler = connectionManager.scheduler;
+        connections = connectionManager.connections;
     }
 
-    /** Who has the address now, null for nobody. */
-    public void life(InstanceIncarnation next) {
-        check();
-        boolean another = life == null || next == null || !next.instanceId().equals(life.instanceId());
-        life = next;
-        stevedore.life(
-                next == null ? 0 : Math.max(1, next.slots()),
-                next == null ? Long.MIN_VALUE : next.warmUntilMicros(),
-                another);
-        if (another) {
-            pier.another();
-            handBack(false);
+    /** Sets the instance that has the address now, null for none. */
+    public void setInstance(InstanceIncarnation next) {
+        checkEventLoop();
+        boolean newInstance =
+                instance == null || next == null || !next.instanceId().equals(instance.instanceId());
+        instance = next;
+        scheduler.instanceChanged(
+                next == null ? 0 : Math.max(1, next.concurrency()),
+                next == null ? Long.MIN_VALUE : next.warmUpEndsAtMicros(),
+                newInstance);
+        if (newInstance) {
+            connectionManager.onNewInstance();
+            rejectUnsent(false);
         }
-        pier.wake();
+        connectionManager.scheduleDispatch();
     }
 
-    /** How many the server accepts in all. */
-    public void maxConnections(int most) {
-        check();
-        berths.maxConnections(most);
-        pier.wake();
+    /** Sets how many connections the server accepts in all. */
+    public void maxConnections(int max) {
+        checkEventLoop();
+        connections.maxConnections(max);
+        connectionManager.scheduleDispatch();
     }
 
     @Override
-    public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
-        check();
-        InFlightRequest shipment = new InFlightRequest(freight, end);
-        String fault = RequestEncoder.fault(freight);
-        if (fault != null) {
-            log.accept("refused " + freight.id() + ": its " + fault + " can't be sent");
-            pier.tell(shipment, new RequestOutcome.NotRun(RejectionReason.REFUSED, 0));
-        } else if (leaving || !isNamed(shipment)) {
-            pier.tell(shipment, GONE);
+    public RequestHandle submit(UpstreamRequest request, Consumer<RequestOutcome> onOutcome) {
+        checkEventLoop();
+        InFlightRequest inFlight = new InFlightRequest(request, onOutcome);
+        String invalidPart = RequestEncoder.invalidPart(request);
+        if (invalidPart != null) {
+            log.accept("Request cannot be encoded: request=" + request.id() + " invalid=\"" + invalidPart + "\"");
+            connectionManager.complete(inFlight, REFUSED);
+        } else if (draining || !isForInstance(inFlight)) {
+            connectionManager.complete(inFlight, GONE);
         } else {
-            pier.arrive(shipment);
+            connectionManager.enqueue(inFlight);
         }
-        return shipment;
+        return inFlight;
     }
 
     @Override
-    public void cancel(RequestHandle ticket) {
-        check();
-        InFlightRequest shipment = (InFlightRequest) ticket;
-        if (shipment.isOver()) {
+    public void cancel(RequestHandle handle) {
+        checkEventLoop();
+        InFlightRequest request = (InFlightRequest) handle;
+        if (request.isCompleted()) {
             return;
         }
-        if (stevedore.cancel(shipment)) {
-            pier.tell(shipment, CANCELLED);
+        if (scheduler.cancel(request)) {
+            connectionManager.complete(request, CANCELLED);
             return;
         }
-        for (UpstreamConnection berth : berths.busy()) {
-            if (berth.shipment() == shipment && !pier.unsend(berth, CANCELLED) && shipment.repeatable) {
-                pier.abandon(berth, Ended.OTHER, new RequestOutcome.MayHaveRun("cancelled"));
+        for (UpstreamConnection connection : connections.busy()) {
+            if (connection.request() == request
+                    && !connectionManager.tryUnsend(connection, CANCELLED)
+                    && request.idempotent) {
+                connectionManager.abandon(connection, Completion.OTHER, CANCELLED_IN_FLIGHT);
             }
         }
     }
 
     @Override
     public UpstreamLoad load() {
-        return new UpstreamLoad(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
+        return new UpstreamLoad(scheduler.running(), scheduler.queue().size(), scheduler.concurrency());
     }
 
-    /** This process ends: nothing more goes to the server, what runs goes on. */
-    public void leave() {
-        check();
-        leaving = true;
-        handBack(true);
+    /** Begins the graceful shutdown: unsent and new requests are rejected, running ones go on. */
+    public void drain() {
+        checkEventLoop();
+        draining = true;
+        rejectUnsent(true);
     }
 
-    /** Whether nothing runs. */
-    public boolean idle() {
-        return stevedore.running() == 0;
+    /** Whether no request is running. */
+    public boolean isIdle() {
+        return scheduler.running() == 0;
     }
 
-    /** Ends all at once. */
+    /** Ends all requests and connections at once. */
     public void close() {
-        leave();
-        berths.retire();
-        for (UpstreamConnection berth : berths.busy()) {
-            if (berth.shipment() != null && !pier.unsend(berth, GONE)) {
-                pier.abandon(berth, Ended.OTHER, new RequestOutcome.MayHaveRun("closed"));
+        drain();
+        connections.retireAll();
+        for (UpstreamConnection connection : connections.busy()) {
+            if (connection.request() != null && !connectionManager.tryUnsend(connection, GONE)) {
+                connectionManager.abandon(connection, Completion.OTHER, CLOSED_IN_FLIGHT);
             }
         }
-        pier.close();
+        connectionManager.close();
     }
 
-    int connections() {
-        return berths.open();
+    /** The number of open connections, for tests. */
+    int connectionCount() {
+        return connections.openCount();
     }
 
-    /** Does what is due. */
+    /** Does what is due by time, for tests. */
     void tick() {
-        pier.tick();
+        connectionManager.tick();
     }
 
-    private boolean isNamed(InFlightRequest shipment) {
-        String instance = shipment.freight().instanceId();
-        return life != null && (instance == null || instance.equals(life.instanceId()));
+    private boolean isForInstance(InFlightRequest request) {
+        String wanted = request.request().instanceId();
+        return instance != null && (wanted == null || wanted.equals(instance.instanceId()));
     }
 
-    /** Hands back what is not sent: all of it, or what is for another life of the server. */
-    private void handBack(boolean all) {
-        for (InFlightRequest shipment : List.copyOf(stevedore.waiting())) {
-            if ((all || !isNamed(shipment)) && stevedore.cancel(shipment)) {
-                pier.tell(shipment, GONE);
+    /** Rejects requests that are not sent: all of them, or those for another instance. */
+    private void rejectUnsent(boolean all) {
+        for (InFlightRequest request : List.copyOf(scheduler.queue())) {
+            if ((all || !isForInstance(request)) && scheduler.cancel(request)) {
+                connectionManager.complete(request, GONE);
             }
         }
-        for (UpstreamConnection berth : berths.busy()) {
-            // One that comes up now leads to who knows which life.
-            if (berth.isConnecting()) {
-                pier.unsend(berth, GONE);
+        for (UpstreamConnection connection : connections.busy()) {
+            // Which instance it will lead to once it is established is unknown.
+            if (connection.isConnecting()) {
+                connectionManager.tryUnsend(connection, GONE);
             }
         }
     }
 
-    private void check() {
+    private void checkEventLoop() {
         if (!loop.inEventLoop()) {
-            throw new IllegalStateException("not on the loop");
+            throw new IllegalStateException("not on the event loop");
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
@@ -1,35 +1,38 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * What can be set. Zero for the two bounds of waiting stands for half and for four times the slots.
+ * The options of an {@link UpstreamDispatcher}.
  *
- * @param extraInFlight requests sent beyond the slots, so that the server never starves between two answers
- * @param coldFactor share of the slots that is used while the server is cold
- * @param meanMicros the service time that is assumed until some were seen
- * @param lingerMicros how long past its deadline a request that must not be repeated keeps its connection
- * @param maxConnections what the server accepts, until that is told
- * @param mostAnswerBytes largest body of an answer
+ * @param extraInFlight requests sent beyond the server's concurrency, so that it never idles between two responses
+ * @param warmUpFactor share of the concurrency that is used while the server is warming up
+ * @param minQueued so many requests are queued without a prediction; zero for half of the concurrency
+ * @param maxQueued most requests in the queue; zero for four times the concurrency
+ * @param initialServiceTimeMicros the service time that is assumed until some were measured
+ * @param lingerMicros how long past its deadline a request that is not idempotent keeps its connection
+ * @param maxConnections most connections that the server accepts, until another number is announced
+ * @param maxResponseBytes largest body of a response
  */
 public record UpstreamOptions(
         int extraInFlight,
-        double coldFactor,
-        int minWaiting,
-        int mostWaiting,
-        long meanMicros,
-        long connectMicros,
+        double warmUpFactor,
+        int minQueued,
+        int maxQueued,
+        long initialServiceTimeMicros,
+        long connectTimeoutMicros,
         long lingerMicros,
         int maxConnections,
-        int mostAnswerBytes) {
+        int maxResponseBytes) {
 
+    /** The options in production. */
     public static UpstreamOptions defaults() {
         return new UpstreamOptions(1, 1.0, 0, 0, 50_000, 1_000_000, 500_000, 64, 16 * 1024 * 1024);
     }
 
-    int minWaiting(int slots) {
-        return minWaiting > 0 ? minWaiting : Math.max(1, slots / 2);
+    int minQueued(int concurrency) {
+        return minQueued > 0 ? minQueued : Math.max(1, concurrency / 2);
     }
 
-    int mostWaiting(int slots) {
-        return mostWaiting > 0 ? mostWaiting : Math.max(4, 4 * slots);
+    int maxQueued(int concurrency) {
+        return maxQueued > 0 ? maxQueued : Math.max(4, 4 * concurrency);
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamRequest.java
@@ -4,9 +4,13 @@
 import java.util.Map;
 
 /**
- * One request as it goes to the server. The headers are final; only the time that remains and the length of
- * the body are set when it is sent. The id is the one that the answer repeats. Without an instance id it is
- * meant for whatever instance is there.
+ * One request as it is sent to the server. Times are absolute, in microseconds of the dispatcher's clock.
+ *
+ * @param id the attempt id, which the response repeats
+ * @param headers final, but for the remaining time and the length of the body, which are set when it is sent
+ * @param priority the lower the number, the earlier it is sent
+ * @param internal whether it is one of the mesh's own services' requests that no tenant sends
+ * @param instanceId the instance that it is meant for; null for whatever instance is there
  */
 public record UpstreamRequest(
         String id,
@@ -14,9 +18,9 @@
         String uri,
         List<Map.Entry<String, String>> headers,
         byte[] body,
-        boolean repeatable,
-        int rank,
-        boolean inner,
-        long aimAtMicros,
+        boolean idempotent,
+        int priority,
+        boolean internal,
+        long latencyTargetAtMicros,
         long deadlineMicros,
         String instanceId) {}
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamResponse.java
@@ -5,10 +5,14 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A whole, well-formed answer, whoever it is for. */
+/** A complete, well-formed response, whichever request it belongs to. */
 record UpstreamResponse(int status, List<Map.Entry<String, String>> headers, byte[] body, boolean keepAlive) {
-    private static final String TIMEOUT = "timeout=";
+    /** Parameter of the header Keep-Alive, RFC 2068 section 19.7.1.1. */
+    private static final String TIMEOUT_PARAMETER = "timeout=";
 
+    private static final int MAX_TIMEOUT_DIGITS = 6;
+
+    /** The values of all headers of that name, in any case. */
     List<String> all(String name) {
         List<String> values = new ArrayList<>(1);
         for (Map.Entry<String, String> header : headers) {
@@ -23,21 +27,23 @@
         return !all(name).isEmpty();
     }
 
-    /** After how many seconds of idleness the server says it closes, or what is assumed. */
-    long idleSeconds(long assumed) {
+    /** After how many idle seconds the server says that it closes the connection, or the default. */
+    long idleTimeoutSeconds(long defaultSeconds) {
         for (String value : all("Keep-Alive")) {
             for (String part : value.toLowerCase(Locale.ROOT).split("[,;]")) {
-                String told = part.strip();
-                if (told.startsWith(TIMEOUT)) {
-                    return seconds(told.substring(TIMEOUT.length()).strip(), assumed);
+                String parameter = part.strip();
+                if (parameter.startsWith(TIMEOUT_PARAMETER)) {
+                    return parseSeconds(
+                            parameter.substring(TIMEOUT_PARAMETER.length()).strip(), defaultSeconds);
                 }
             }
         }
-        return assumed;
+        return defaultSeconds;
     }
 
-    private static long seconds(String text, long otherwise) {
+    private static long parseSeconds(String text, long defaultSeconds) {
         boolean digits = text.chars().allMatch(c -> c >= '0' && c <= '9');
-        return digits && !text.isEmpty() && text.length() < 7 ? Long.parseLong(text) : otherwise;
+        boolean valid = digits && !text.isEmpty() && text.length() <= MAX_TIMEOUT_DIGITS;
+        return valid ? Long.parseLong(text) : defaultSeconds;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/package-info.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Hands requests to the one application server beside this process, and tells truthfully of each whether it
- * was not run, was answered, or may have run. Requests wait here, in order, and not in the server's queue.
+ * The client side of HTTP/1.1 towards the one application server beside this process. Requests are queued and
+ * ordered here rather than in the server. Each gets exactly one outcome: not run, responded, or may have run.
  */
 package org.cypressweir.dataplane.http.upstream;
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -92,7 +92,7 @@
     @Override
     public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
         if (target.address().equals(own)) {
-            RequestHandle ticket = quay.take(freight, outcome -> end.accept(new AttemptResult(outcome, quay.load())));
+            RequestHandle ticket = quay.submit(freight, outcome -> end.accept(new AttemptResult(outcome, quay.load())));
             return () -> quay.cancel(ticket);
         }
         PeerConnection line = lines.apply(target.address());
@@ -109,7 +109,7 @@
         }
         long now = micros.getAsLong();
         long number = ++numbers;
-        out.put(number, new Out(number, line, freight.repeatable(), now, end));
+        out.put(number, new Out(number, line, freight.idempotent(), now, end));
         line.send(head(freight, number, target.life(), now), freight.body(), whole -> {
             if (!whole) {
                 over(number, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0), null));
@@ -139,13 +139,13 @@
                 "h",
                 flat(f.headers()),
                 "rep",
-                f.repeatable(),
+                f.idempotent(),
                 "rank",
-                f.rank(),
+                f.priority(),
                 "inner",
-                f.inner(),
+                f.internal(),
                 "aim",
-                f.aimAtMicros() - now,
+                f.latencyTargetAtMicros() - now,
                 "left",
                 f.deadlineMicros() - now,
                 "to",
@@ -202,7 +202,7 @@
                 load.size() == 3 ? new UpstreamLoad(whole(load.get(0)), whole(load.get(1)), whole(load.get(2))) : null;
         RequestOutcome outcome =
                 switch (JsonCodec.text(head, "o")) {
-                    case "answered" -> new RequestOutcome.Answered(
+                    case "answered" -> new RequestOutcome.Responded(
                             (int) Json.whole(head, "s", 502), headers(head), body);
                     case "notrun" -> new RequestOutcome.NotRun(
                             reason(JsonCodec.text(head, "why")), Json.whole(head, "after", 0));
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -186,7 +186,7 @@
                 now + Json.whole(head, "left", 0),
                 JsonCodec.text(head, "to"));
         boolean[] over = {false};
-        RequestHandle ticket = quay.take(freight, outcome -> {
+        RequestHandle ticket = quay.submit(freight, outcome -> {
             over[0] = true;
             caller.open.remove(number);
             end(line, number, outcome);
@@ -201,8 +201,8 @@
             return;
         }
         UpstreamLoad load = quay.load();
-        List<Integer> its = List.of(load.running(), load.waiting(), load.slots());
-        if (outcome instanceof RequestOutcome.Answered a) {
+        List<Integer> its = List.of(load.running(), load.waiting(), load.concurrency());
+        if (outcome instanceof RequestOutcome.Responded a) {
             line.send(
                     JsonCodec.map(
                             "t",
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -35,7 +35,7 @@
 
         /** In words; null while it is out. */
         private String words() {
-            if (outcome instanceof RequestOutcome.Answered a) {
+            if (outcome instanceof RequestOutcome.Responded a) {
                 return over ? "answered late" : a.status() < 500 ? "answered" : "answered an error";
             } else if (outcome instanceof RequestOutcome.NotRun n) {
                 return NOT_RUN[n.reason().ordinal()];
@@ -128,7 +128,7 @@
 
     /** Answers the client, once. */
     void answer(ServerResponse answer) {
-        if (account.answer()) {
+        if (account.markResponded()) {
             end();
             status = answer.status();
             call.answer(answer);
@@ -137,7 +137,7 @@
 
     /** Nothing is owed any more. */
     void left() {
-        account.leave();
+        account.onDisconnect();
         end();
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -266,7 +266,7 @@
     }
 
     private void shipChanged(ApplicationInstance ship) {
-        quay.life(
+        quay.setInstance(
                 ship == null
                         ? null
                         : new InstanceIncarnation(
@@ -284,7 +284,7 @@
             long now = clock.getAsLong();
             ships.tick();
             if (ships.drainedAt() != 0 && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
-                quay.life(null);
+                quay.setInstance(null);
             }
             lookout.tick();
             isFresh();
@@ -393,7 +393,7 @@
             LOG.info("Pilot " + papers.name() + " leaves.");
             leaving = true;
             ships.leave();
-            quay.leave();
+            quay.drain();
             hops.leave();
         });
         CountDownLatch done = new CountDownLatch(1);
@@ -406,7 +406,7 @@
                         outbound.stopListening();
                         outbound.drain();
                     }
-                    boolean idle = outbound.connections() == 0 && quay.idle() && hops.size() == 0;
+                    boolean idle = outbound.connections() == 0 && quay.isIdle() && hops.size() == 0;
                     if (now > until || now > quiet && idle) {
                         done.countDown();
                     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -132,7 +132,7 @@
                         "waiting",
                         load.waiting(),
                         "slots",
-                        load.slots()));
+                        load.concurrency()));
     }
 
     /** @param hops attempts that are out at other pilots */
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -215,14 +215,14 @@
 
     /** A request that no server has room for is refused early, so that its client may come back in time. */
     private void beImpatient(ProxiedRequest p) {
-        if (p.account.isClosed() || p.account.isOut() || p.patience != null) {
+        if (p.account.isClosed() || p.account.hasPendingAttempt() || p.patience != null) {
             return;
         }
         long until = p.arrivedAt + (long) (PATIENCE * (p.aimAt - p.arrivedAt));
         p.patience = loop.schedule(
                 () -> {
                     p.patience = null;
-                    if (!p.account.isClosed() && !p.account.isOut()) {
+                    if (!p.account.isClosed() && !p.account.hasPendingAttempt()) {
                         choice.clientLeft(micros.getAsLong(), p.number);
                         refuse(p.number, (p.aimAt - p.arrivedAt) / 4);
                     }
@@ -241,7 +241,7 @@
 
     /** A passage is kept until the last of its attempts has ended. */
     private void forget(ProxiedRequest p) {
-        if (p.account.isClosed() && !p.account.isOut() && open.remove(p.number) != null) {
+        if (p.account.isClosed() && !p.account.hasPendingAttempt() && open.remove(p.number) != null) {
             p.ended(service);
         }
     }
@@ -250,7 +250,7 @@
         long now = micros.getAsLong();
         for (int i = 0; i < p.tries.size() && !p.account.isClosed(); i++) {
             ProxiedRequest.Try one = p.tries.get(i);
-            if (p.account.isOpen(i) && !one.over) {
+            if (p.account.isPending(i) && !one.over) {
                 one.over = true;
                 choice.outcome(
                         now,
@@ -276,10 +276,10 @@
         if (p == null) {
             return;
         }
-        int index = p.account.begin();
+        int index = p.account.beginAttempt();
         ProxiedRequest.Try one = new ProxiedRequest.Try(target, micros.getAsLong());
         p.tries.add(one);
-        if (target == null || !p.account.goes(index)) {
+        if (target == null || !p.account.trySend(index)) {
             loop.execute(() -> replied(
                     p, index, one, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null)));
             return;
@@ -310,7 +310,7 @@
     }
 
     private void replied(ProxiedRequest p, int index, ProxiedRequest.Try one, AttemptResult reply) {
-        if (!p.account.isOpen(index)) {
+        if (!p.account.isPending(index)) {
             return;
         }
         long now = micros.getAsLong();
@@ -318,8 +318,8 @@
         one.endedAt = now;
         Result result = result(reply.outcome());
         boolean served = result == Result.SERVED;
-        RequestState.Due due = p.account.ended(index, reply.outcome());
-        if (due != RequestState.Due.NOTHING) {
+        RequestState.ClientAction due = p.account.onOutcome(index, reply.outcome());
+        if (due != RequestState.ClientAction.NONE) {
             give(p, due, reply.outcome(), 0);
         }
         if (!one.over) {
@@ -336,25 +336,25 @@
     }
 
     /** Does for the client what its account says. */
-    private void give(ProxiedRequest p, RequestState.Due due, RequestOutcome outcome, long againMicros) {
+    private void give(ProxiedRequest p, RequestState.ClientAction due, RequestOutcome outcome, long againMicros) {
         switch (due) {
-            case NOTHING -> {}
-            case THIS_ANSWER -> p.answer(answer(outcome));
-            case KEEP -> p.kept = answer(outcome);
-            case KEPT_ANSWER -> p.answer(p.kept);
-            case REFUSAL -> p.answer(own(p, ErrorKind.NO_ROOM, againMicros));
-            case BROKEN -> p.answer(own(p, ErrorKind.BROKEN, 0));
-            case TIMED_OUT -> p.answer(own(p, ErrorKind.TIMED_OUT, 0));
+            case NONE -> {}
+            case SEND_RESPONSE -> p.answer(answer(outcome));
+            case SAVE_RESPONSE -> p.kept = answer(outcome);
+            case SEND_SAVED_RESPONSE -> p.answer(p.kept);
+            case REJECT -> p.answer(own(p, ErrorKind.NO_ROOM, againMicros));
+            case BAD_GATEWAY -> p.answer(own(p, ErrorKind.BROKEN, 0));
+            case GATEWAY_TIMEOUT -> p.answer(own(p, ErrorKind.TIMED_OUT, 0));
         }
     }
 
     private static ServerResponse answer(RequestOutcome outcome) {
-        RequestOutcome.Answered its = (RequestOutcome.Answered) outcome;
+        RequestOutcome.Responded its = (RequestOutcome.Responded) outcome;
         return new ServerResponse(its.status(), Headers.endToEnd(its.headers()), its.body());
     }
 
     private static Result result(RequestOutcome outcome) {
-        if (outcome instanceof RequestOutcome.Answered a) {
+        if (outcome instanceof RequestOutcome.Responded a) {
             return a.status() < 500 ? Result.SERVED : Result.ERROR;
         } else if (outcome instanceof RequestOutcome.NotRun n) {
             return switch (n.reason()) {
@@ -372,11 +372,11 @@
      * half used.
      */
     private static LoadReport report(UpstreamLoad load) {
-        if (load == null || load.slots() <= 0) {
+        if (load == null || load.concurrency() <= 0) {
             return null;
         }
-        double use = 0.3 * Math.min(1, load.running() / (double) load.slots())
-                + Math.min(0.19, 0.1 * load.waiting() / load.slots());
+        double use = 0.3 * Math.min(1, load.running() / (double) load.concurrency())
+                + Math.min(0.19, 0.1 * load.waiting() / load.concurrency());
         return new LoadReport(Double.NaN, load.waiting(), use, Double.NaN, Double.NaN, Double.NaN);
     }
 
@@ -398,7 +398,7 @@
 
     /** No further attempt is made, and none that is out is waited for. */
     private void end(ProxiedRequest p, long againMicros) {
-        give(p, p.account.last(micros.getAsLong() >= p.deadline - TICK), null, againMicros);
+        give(p, p.account.finalAction(micros.getAsLong() >= p.deadline - TICK), null, againMicros);
         forget(p);
     }
 
@@ -407,7 +407,7 @@
         ProxiedRequest p = open.get(number);
         if (p != null && attempt < p.tries.size()) {
             ProxiedRequest.Try one = p.tries.get(attempt);
-            if (p.account.isOpen(attempt) && one.ride != null) {
+            if (p.account.isPending(attempt) && one.ride != null) {
                 one.ride.cancel();
             }
         }
--- a/src/modelcheck/java/org/cypressweir/dataplane/http/upstream/SimulatedUpstream.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/http/upstream/SimulatedUpstream.java
@@ -10,147 +10,168 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
 
-/** The quay's cores with made-up time, and a server in place of its connections. */
+/**
+ * A dispatcher in simulated time: the scheduler, encoder and verdicts of the real one, with a simulated server in
+ * place of the connections.
+ */
 public final class SimulatedUpstream implements RequestDispatcher {
 
-    /** A request as the server reads it. */
-    public final class Visit {
+    /** One request as the server reads it, and its connection. */
+    public final class Execution {
         public final String head;
         public final String body;
-        private final InFlightRequest shipment;
-        private boolean over;
-
-        private Visit(InFlightRequest shipment, String bytes) {
-            this.shipment = shipment;
-            int end = bytes.indexOf("\r\n\r\n") + 4;
-            head = bytes.substring(0, end);
-            body = bytes.substring(end);
+        private final InFlightRequest request;
+        private boolean ended;
+
+        private Execution(InFlightRequest request, String bytes) {
+            this.request = request;
+            int bodyStart = bytes.indexOf("\r\n\r\n") + 4;
+            head = bytes.substring(0, bodyStart);
+            body = bytes.substring(bodyStart);
         }
 
-        /** A whole answer comes on its connection; the id is that of whom it is for. */
-        public void answers(int status, String id, String answer, Map<String, String> headers) {
-            if (over) {
+        /**
+         * A complete response arrives on its connection.
+         *
+         * @param attemptId the id of the request that the response claims to be for
+         */
+        public void respond(int status, String attemptId, String responseBody, Map<String, String> headers) {
+            if (ended) {
                 return;
             }
             List<Map.Entry<String, String>> all = new ArrayList<>(headers.entrySet());
-            all.add(Map.entry(RequestEncoder.ATTEMPT_ID, id));
-            ResponseVerdict verdict = ResponseVerdict.of(
-                    new UpstreamResponse(status, all, answer.getBytes(StandardCharsets.ISO_8859_1), true),
-                    shipment,
-                    micros.getAsLong(),
-                    1_000);
-            if (verdict.kind() != ResponseVerdict.Kind.FOREIGN) {
-                end(
-                        verdict.kind() == ResponseVerdict.Kind.ANSWERED
-                                ? Ended.ANSWERED
-                                : verdict.kind() == ResponseVerdict.Kind.FULL ? Ended.FULL : Ended.OTHER,
-                        verdict.outcome());
+            all.add(Map.entry(RequestEncoder.ATTEMPT_ID, attemptId));
+            UpstreamResponse response =
+                    new UpstreamResponse(status, all, responseBody.getBytes(StandardCharsets.ISO_8859_1), true);
+            ResponseVerdict verdict =
+                    ResponseVerdict.of(response, request, clockMicros.getAsLong(), RETRY_AFTER_MICROS);
+            if (verdict.kind() != ResponseVerdict.Kind.OTHER_REQUEST) {
+                end(completion(verdict), verdict.outcome());
             }
         }
 
         /** Its connection ends. */
-        public void breaks() {
-            if (!over) {
-                end(Ended.OTHER, lost(shipment));
+        public void disconnect() {
+            if (!ended) {
+                end(Completion.OTHER, outcomeOfLoss(request));
             }
         }
 
-        private void end(Ended how, RequestOutcome outcome) {
-            over = true;
-            visits.remove(this);
-            stevedore.ended(micros.getAsLong(), shipment, how);
-            shipment.tell(outcome);
-            later.accept(0L, SimulatedUpstream.this::pump);
+        private void end(Completion completion, RequestOutcome outcome) {
+            ended = true;
+            executions.remove(this);
+            scheduler.onCompletion(clockMicros.getAsLong(), request, completion);
+            request.complete(outcome);
+            later.accept(0L, SimulatedUpstream.this::dispatchReady);
         }
     }
 
-    /** What is at the other end of the connections. */
+    /** The application server. */
     public interface Server {
-        /** Whether it takes a connection now. */
+        /** Whether it accepts a connection now. */
         boolean accepts();
 
-        void visited(Visit visit);
+        void onRequest(Execution execution);
     }
 
-    private final LongSupplier micros;
+    private static final long RETRY_AFTER_MICROS = 1_000;
+
+    private final LongSupplier clockMicros;
     private final BiConsumer<Long, Runnable> later;
     private final Server server;
-    private final RequestScheduler<InFlightRequest> stevedore = new RequestScheduler<>(UpstreamOptions.defaults());
-    private final Collection<Visit> visits = new LinkedHashSet<>();
-    private long tickAt = Long.MAX_VALUE;
-
-    public SimulatedUpstream(LongSupplier micros, BiConsumer<Long, Runnable> later, int slots, Server server) {
-        this.micros = micros;
+    private final RequestScheduler<InFlightRequest> scheduler = new RequestScheduler<>(UpstreamOptions.defaults());
+    private final Collection<Execution> executions = new LinkedHashSet<>();
+    private long timerAt = Long.MAX_VALUE;
+
+    /** @param later runs a task after a delay in microseconds */
+    public SimulatedUpstream(
+            LongSupplier clockMicros, BiConsumer<Long, Runnable> later, int concurrency, Server server) {
+        this.clockMicros = clockMicros;
         this.later = later;
         this.server = server;
-        stevedore.life(slots, Long.MIN_VALUE, true);
+        scheduler.instanceChanged(concurrency, Long.MIN_VALUE, true);
     }
 
-    private static RequestOutcome lost(InFlightRequest shipment) {
-        return shipment.known.lost() == ExecutionKnowledge.UNRUN
+    private static Completion completion(ResponseVerdict verdict) {
+        return switch (verdict.kind()) {
+            case RESPONSE -> Completion.RESPONDED;
+            case OVERLOADED -> Completion.OVERLOADED;
+            default -> Completion.OTHER;
+        };
+    }
+
+    private static RequestOutcome outcomeOfLoss(InFlightRequest request) {
+        return request.knowledge.afterConnectionLoss() == ExecutionKnowledge.NOT_RUN
                 ? new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0)
                 : new RequestOutcome.MayHaveRun("lost");
     }
 
     @Override
-    public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
-        InFlightRequest shipment = new InFlightRequest(freight, end);
-        refuse(stevedore.arrive(micros.getAsLong(), shipment));
-        pump();
-        return shipment;
+    public RequestHandle submit(UpstreamRequest request, Consumer<RequestOutcome> onOutcome) {
+        InFlightRequest inFlight = new InFlightRequest(request, onOutcome);
+        reject(scheduler.enqueue(clockMicros.getAsLong(), inFlight));
+        dispatchReady();
+        return inFlight;
     }
 
     @Override
-    public void cancel(RequestHandle ticket) {
-        InFlightRequest shipment = (InFlightRequest) ticket;
-        if (stevedore.cancel(shipment)) {
-            shipment.tell(new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0));
-        } else if (shipment.repeatable) {
-            List.copyOf(visits).stream().filter(v -> v.shipment == shipment).forEach(Visit::breaks);
+    public void cancel(RequestHandle handle) {
+        InFlightRequest request = (InFlightRequest) handle;
+        if (scheduler.cancel(request)) {
+            request.complete(new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0));
+        } else if (request.idempotent) {
+            List.copyOf(executions).stream().filter(e -> e.request == request).forEach(Execution::disconnect);
         }
     }
 
     @Override
     public UpstreamLoad load() {
-        return new UpstreamLoad(stevedore.running(), stevedore.waiting().size(), stevedore.slots());
+        return new UpstreamLoad(scheduler.running(), scheduler.queue().size(), scheduler.concurrency());
     }
 
-    private void refuse(List<RequestScheduler.Refusal<InFlightRequest>> refusals) {
-        refusals.forEach(r -> r.cargo().tell(new RequestOutcome.NotRun(r.reason(), r.retryAfterMicros())));
+    private void reject(List<RequestScheduler.Rejection<InFlightRequest>> rejections) {
+        rejections.forEach(r -> r.request().complete(new RequestOutcome.NotRun(r.reason(), r.retryAfterMicros())));
     }
 
-    private void pump() {
-        long now = micros.getAsLong();
-        refuse(stevedore.due(now));
-        for (Visit visit : List.copyOf(visits)) {
-            if (now >= visit.shipment.deadline) {
-                visit.breaks();
+    private void dispatchReady() {
+        long now = clockMicros.getAsLong();
+        reject(scheduler.expire(now));
+        for (Execution execution : List.copyOf(executions)) {
+            if (now >= execution.request.deadline) {
+                execution.disconnect();
             }
         }
-        while (stevedore.ready(now)) {
-            InFlightRequest next = stevedore.next(now);
-            if (!server.accepts()) {
-                stevedore.ended(now, next, Ended.OTHER);
-                next.tell(lost(next));
-                continue;
-            }
-            next.known = ExecutionKnowledge.SENT;
-            ByteBuf bytes = RequestEncoder.of(next.freight(), now);
-            Visit visit = new Visit(next, bytes.toString(StandardCharsets.ISO_8859_1));
-            visits.add(visit);
-            server.visited(visit);
+        while (scheduler.isReady(now)) {
+            send(now, scheduler.next(now));
         }
-        long next = stevedore.nextTime();
-        for (Visit visit : visits) {
-            next = Math.min(next, visit.shipment.deadline);
+        scheduleTimer(now);
+    }
+
+    private void send(long now, InFlightRequest request) {
+        if (!server.accepts()) {
+            scheduler.onCompletion(now, request, Completion.OTHER);
+            request.complete(outcomeOfLoss(request));
+            return;
+        }
+        request.knowledge = ExecutionKnowledge.SENT;
+        ByteBuf bytes = RequestEncoder.encode(request.request(), now);
+        Execution execution = new Execution(request, bytes.toString(StandardCharsets.ISO_8859_1));
+        executions.add(execution);
+        server.onRequest(execution);
+    }
+
+    private void scheduleTimer(long now) {
+        long next = scheduler.nextTime();
+        for (Execution execution : executions) {
+            next = Math.min(next, execution.request.deadline);
         }
-        if (next < tickAt) {
-            tickAt = next;
+        if (next < timerAt) {
+            timerAt = next;
             later.accept(Math.max(1, next - now), () -> {
-                tickAt = Long.MAX_VALUE;
-                pump();
+                timerAt = Long.MAX_VALUE;
+                dispatchReady();
             });
         }
     }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
@@ -100,7 +100,7 @@
                         }
 
                         @Override
-                        public void visited(SimulatedUpstream.Visit visit) {
+                        public void onRequest(SimulatedUpstream.Execution visit) {
                             serve(visit);
                         }
                     });
@@ -231,7 +231,7 @@
         tasks.add(new Task(now + micros, ++numbers, work));
     }
 
-    private void serve(SimulatedUpstream.Visit visit) {
+    private void serve(SimulatedUpstream.Execution visit) {
         String name = "Cypressweir-Attempt-Id: ";
         int at = visit.head.indexOf(name) + name.length();
         Caller caller = callers.get(visit.head.substring(at, visit.head.indexOf("\r\n", at)));
@@ -242,7 +242,7 @@
             broken("REFUSED", caller.id + " runs and was told not to");
         }
         if (random.nextInt(20) > 0) {
-            later(random.nextInt(40_000), () -> visit.answers(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
+            later(random.nextInt(40_000), () -> visit.respond(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
         }
     }
 
@@ -282,7 +282,7 @@
             broken("TOLD TWICE", caller.id);
         }
         caller.told = outcome;
-        if (outcome instanceof RequestOutcome.Answered a) {
+        if (outcome instanceof RequestOutcome.Responded a) {
             answered++;
             String text = new String(a.body(), StandardCharsets.ISO_8859_1);
             if (!text.equals("ran " + caller.id)) {
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
@@ -71,7 +71,7 @@
                 }
 
                 @Override
-                public void visited(SimulatedUpstream.Visit visit) {
+                public void onRequest(SimulatedUpstream.Execution visit) {
                     serve(visit);
                 }
             }));
@@ -96,7 +96,7 @@
         }
         hull.later(
                 random.nextInt(2_000),
-                () -> ticket[0] = quay.take(
+                () -> ticket[0] = quay.submit(
                         sent.freight,
                         outcome -> hull.later(random.nextInt(2_000), () -> {
                             if (!lost.get()) {
@@ -116,7 +116,7 @@
     }
 
     /** What the server does: before each answer stands what it really did. */
-    private void serve(SimulatedUpstream.Visit visit) {
+    private void serve(SimulatedUpstream.Execution visit) {
         String id = header(visit.head, "Cypressweir-Attempt-Id: ");
         Voyager asked = voyagers.get(id);
         if (asked == null
@@ -132,7 +132,7 @@
             return;
         }
         if (fate == 12) {
-            hull.later(micros, visit::breaks);
+            hull.later(micros, visit::disconnect);
             return;
         }
         asked.runs++;
@@ -144,39 +144,39 @@
         hull.later(micros, () -> answer(visit, asked, fate, foreign));
     }
 
-    private void refuse(SimulatedUpstream.Visit visit, String id, int fate) {
+    private void refuse(SimulatedUpstream.Execution visit, String id, int fate) {
         Map<String, String> marked = Map.of(NOT_RUN, "true");
         switch (fate % 4) {
-            case 0 -> visit.answers(429, id, "", marked);
-            case 1 -> visit.answers(421, id, "", Map.of());
-            case 2 -> visit.answers(400, id, "", marked);
-            default -> visit.answers(503, id, "", marked);
+            case 0 -> visit.respond(429, id, "", marked);
+            case 1 -> visit.respond(421, id, "", Map.of());
+            case 2 -> visit.respond(400, id, "", marked);
+            default -> visit.respond(503, id, "", marked);
         }
     }
 
-    private void answer(SimulatedUpstream.Visit visit, Voyager asked, int fate, String foreign) {
+    private void answer(SimulatedUpstream.Execution visit, Voyager asked, int fate, String foreign) {
         String seal = "seal " + asked.id + " " + asked.runs;
         String text = "ran " + asked.id;
         switch (fate) {
-            case 13, 14, 15 -> visit.breaks();
+            case 13, 14, 15 -> visit.disconnect();
             case 16, 17 -> {}
-            case 18 -> visit.answers(200, asked.id, text, Map.of());
-            case 19 -> visit.answers(200, asked.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
-            case 20 -> visit.answers(200, asked.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
-            case 21, 22 -> visit.answers(503, asked.id, "", Map.of());
-            case 23 -> visit.answers(429, asked.id, "", Map.of());
-            case 24, 25 -> visit.answers(500, asked.id, "", Map.of());
+            case 18 -> visit.respond(200, asked.id, text, Map.of());
+            case 19 -> visit.respond(200, asked.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
+            case 20 -> visit.respond(200, asked.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
+            case 21, 22 -> visit.respond(503, asked.id, "", Map.of());
+            case 23 -> visit.respond(429, asked.id, "", Map.of());
+            case 24, 25 -> visit.respond(500, asked.id, "", Map.of());
             case 26, 27 -> {
-                visit.answers(200, foreign, "late", Map.of(SEAL, "late"));
+                visit.respond(200, foreign, "late", Map.of(SEAL, "late"));
                 good(visit, asked, seal, text);
             }
             default -> good(visit, asked, seal, text);
         }
     }
 
-    private void good(SimulatedUpstream.Visit visit, Voyager asked, String seal, String text) {
+    private void good(SimulatedUpstream.Execution visit, Voyager asked, String seal, String text) {
         asked.answered.add(seal + " " + text);
-        visit.answers(200, asked.id, text, Map.of(SEAL, seal));
+        visit.respond(200, asked.id, text, Map.of(SEAL, seal));
     }
 
     private static String header(String head, String name) {
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
@@ -31,24 +31,24 @@
                 "REFUSED ~ what may have run is refused ~ dataplane/http/upstream/RequestState.java "
                         + "~ if (!mayHaveRun()) { ~ if (true) {",
                 "REFUSED ~ a promise that was not made is handed on ~ dataplane/http/upstream/RequestState.java "
-                        + "~ if (!repeatable && promises(answer.status())) { ~ if (false) {",
+                        + "~ if (!idempotent && impliesNotRun(response.status())) { ~ if (false) {",
                 "REFUSED ~ all counts as repeatable ~ dataplane/http/upstream/RequestState.java "
-                        + "~ this.repeatable = repeatable; "
-                        + "~ this.repeatable = true;",
+                        + "~ this.idempotent = idempotent; "
+                        + "~ this.idempotent = true;",
                 "REFUSED ~ what is out has not run ~ dataplane/http/upstream/ExecutionKnowledge.java "
                         + "~ return this == SENT || this == RAN "
                         + "~ return this == RAN",
                 "REFUSED ~ what may have run has not ~ dataplane/http/upstream/ExecutionKnowledge.java "
-                        + "~ ? RAN : MAY_HAVE_RUN ~ ? RAN : UNRUN",
+                        + "~ ? RAN : MAY_HAVE_RUN ~ ? RAN : NOT_RUN",
                 "TWICE ~ a lost way says that nothing ran ~ dataplane/http/upstream/ExecutionKnowledge.java "
                         + "~ this == SENT ? MAY_HAVE_RUN "
-                        + "~ this == SENT ? UNRUN",
+                        + "~ this == SENT ? NOT_RUN",
                 "MIXED ~ ids are not compared ~ dataplane/http/upstream/ResponseVerdict.java "
-                        + "~ !ids.get(0).strip().equals(shipment.attemptId) ~ false",
+                        + "~ !ids.get(0).strip().equals(request.attemptId) ~ false",
                 "MIXED ~ the seal is not asked for ~ dataplane/http/upstream/ResponseVerdict.java "
-                        + "~ && !answer.has(SEAL) ~ && false",
+                        + "~ && !response.has(SERVER_SEAL) ~ && false",
                 "MIXED ~ an encoded body is taken ~ dataplane/http/upstream/ResponseVerdict.java "
-                        + "~ answer.has(\"Content-Encoding\") ~ false",
+                        + "~ response.has(\"Content-Encoding\") ~ false",
                 "TWICE ~ a contradiction is believed ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ if (notExecuted && status < 400) { "
                         + "~ if (false) {",
@@ -59,12 +59,12 @@
                         + "~ new RequestOutcome.MayHaveRun(why) "
                         + "~ new RequestOutcome.NotRun(RejectionReason.REFUSED, 0)",
                 "TWICE ~ what is refused still waits ~ dataplane/http/upstream/RequestScheduler.java "
-                        + "~ waiting.remove(last); ~ ",
-                "UNASKED ~ the query is left out ~ dataplane/http/upstream/RequestEncoder.java ~ append(f.uri()) "
-                        + "~ append(f.uri().split(\"[?]\")[0])",
+                        + "~ queue.remove(last); ~ ",
+                "UNASKED ~ the query is left out ~ dataplane/http/upstream/RequestEncoder.java ~ append(request.uri()) "
+                        + "~ append(request.uri().split(\"[?]\")[0])",
                 "UNASKED ~ the body is cut ~ dataplane/http/upstream/RequestEncoder.java "
-                        + "~ Unpooled.wrappedBuffer(f.body()) "
-                        + "~ Unpooled.wrappedBuffer(f.body(), 0, 4)",
+                        + "~ Unpooled.wrappedBuffer(request.body()) "
+                        + "~ Unpooled.wrappedBuffer(request.body(), 0, 4)",
                 "LOST ~ a refusal is not told ~ dataplane/proxy/ServiceRequestHandler.java "
                         + "~ end(p, retryAfterMicros); ~ open.remove(number);",
             })
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestSchedulerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestSchedulerTest.java
@@ -9,187 +9,186 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.cypressweir.dataplane.http.upstream.RequestScheduler.Ended;
-import org.cypressweir.dataplane.http.upstream.RequestScheduler.Refusal;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
+import org.cypressweir.dataplane.http.upstream.RequestScheduler.Rejection;
 import org.junit.jupiter.api.Test;
 
 class RequestSchedulerTest {
     private static final long MS = 1000;
 
-    private final UpstreamOptions plan = UpstreamOptions.defaults();
-    private final RequestScheduler<SchedulableRequest> stevedore = new RequestScheduler<>(plan);
+    private final UpstreamOptions options = UpstreamOptions.defaults();
+    private final RequestScheduler<SchedulableRequest> scheduler = new RequestScheduler<>(options);
 
-    private static SchedulableRequest cargo(boolean inner, int rank, long aim, boolean repeatable) {
-        return new SchedulableRequest(inner, rank, aim, aim + 500 * MS, repeatable);
+    private static SchedulableRequest request(boolean internal, int priority, long latencyTarget, boolean idempotent) {
+        return new SchedulableRequest(internal, priority, latencyTarget, latencyTarget + 500 * MS, idempotent);
     }
 
-    private static SchedulableRequest plain(long aim) {
-        return cargo(false, 1, aim, true);
+    private static SchedulableRequest ordinary(long latencyTarget) {
+        return request(false, 1, latencyTarget, true);
     }
 
-    /** Lets as many run as may. */
-    private List<SchedulableRequest> go(long now) {
-        List<SchedulableRequest> gone = new ArrayList<>();
-        while (stevedore.ready(now)) {
-            gone.add(stevedore.next(now));
+    /** Dispatches as many as the limit allows. */
+    private List<SchedulableRequest> dispatchAll(long now) {
+        List<SchedulableRequest> dispatched = new ArrayList<>();
+        while (scheduler.isReady(now)) {
+            dispatched.add(scheduler.next(now));
         }
-        return gone;
+        return dispatched;
     }
 
-    private List<SchedulableRequest> fill(int slots, long now) {
-        stevedore.life(slots, 0, true);
-        for (int i = 0; i <= slots; i++) {
-            assertThat(stevedore.arrive(now, plain(now + 1000 * MS))).isEmpty();
+    private List<SchedulableRequest> fillServer(int concurrency, long now) {
+        scheduler.instanceChanged(concurrency, 0, true);
+        for (int i = 0; i <= concurrency; i++) {
+            assertThat(scheduler.enqueue(now, ordinary(now + 1000 * MS))).isEmpty();
         }
-        return go(now);
+        return dispatchAll(now);
     }
 
     @Test
-    void innerThenRankThenTheEarliestAimThatCanBeMet() {
-        fill(8, 0);
-        List<SchedulableRequest> wanted = List.of(
-                cargo(true, 2, 900 * MS, true),
-                cargo(false, 0, 400 * MS, true),
-                cargo(false, 1, 300 * MS, true),
-                cargo(false, 1, 600 * MS, true),
-                // Neither can be in time: the newer first.
-                cargo(false, 1, 45 * MS, true),
-                cargo(false, 1, 40 * MS, true),
-                cargo(false, 2, 200 * MS, true));
+    void ordersByInternalThenPriorityThenEarliestReachableTarget() {
+        fillServer(8, 0);
+        List<SchedulableRequest> expected = List.of(
+                request(true, 2, 900 * MS, true),
+                request(false, 0, 400 * MS, true),
+                request(false, 1, 300 * MS, true),
+                request(false, 1, 600 * MS, true),
+                // Neither can meet its target: the newer first.
+                request(false, 1, 45 * MS, true),
+                request(false, 1, 40 * MS, true),
+                request(false, 2, 200 * MS, true));
         for (int i : new int[] {6, 5, 3, 4, 2, 1, 0}) {
-            stevedore.waiting().clear();
-            stevedore.arrive(0, wanted.get(i));
-            wanted.get(i).sequence = i == 4 ? 9 : i == 5 ? 8 : i;
+            scheduler.queue().clear();
+            scheduler.enqueue(0, expected.get(i));
+            expected.get(i).sequence = i == 4 ? 9 : i == 5 ? 8 : i;
         }
-        stevedore.waiting().clear();
-        stevedore
-                .waiting()
+        scheduler.queue().clear();
+        scheduler
+                .queue()
                 .addAll(List.of(
-                        wanted.get(3),
-                        wanted.get(5),
-                        wanted.get(0),
-                        wanted.get(6),
-                        wanted.get(1),
-                        wanted.get(4),
-                        wanted.get(2)));
-        stevedore.life(16, 0, true);
-        assertThat(go(0)).containsExactlyElementsOf(wanted);
+                        expected.get(3),
+                        expected.get(5),
+                        expected.get(0),
+                        expected.get(6),
+                        expected.get(1),
+                        expected.get(4),
+                        expected.get(2)));
+        scheduler.instanceChanged(16, 0, true);
+        assertThat(dispatchAll(0)).containsExactlyElementsOf(expected);
     }
 
     @Test
-    void whatCannotBeInTimeIsRefusedOnArrivalButForAFew() {
-        fill(4, 0);
-        assertThat(stevedore.arrive(0, plain(20 * MS))).isEmpty();
-        assertThat(stevedore.arrive(0, plain(30 * MS))).isEmpty();
-        List<Refusal<SchedulableRequest>> refused = stevedore.arrive(0, plain(40 * MS));
-        assertThat(refused).hasSize(1);
-        assertThat(refused.get(0).reason()).isEqualTo(RejectionReason.FULL);
-        assertThat(refused.get(0).retryAfterMicros()).isGreaterThanOrEqualTo(20 * MS);
-        assertThat(stevedore.arrive(0, plain(400 * MS))).isEmpty();
-        assertThat(stevedore
-                        .arrive(0, new SchedulableRequest(false, 0, 4 * MS, 4 * MS, true))
+    void rejectsOnArrivalWhatMissesItsTargetUnlessTheQueueIsShort() {
+        fillServer(4, 0);
+        assertThat(scheduler.enqueue(0, ordinary(20 * MS))).isEmpty();
+        assertThat(scheduler.enqueue(0, ordinary(30 * MS))).isEmpty();
+        List<Rejection<SchedulableRequest>> rejections = scheduler.enqueue(0, ordinary(40 * MS));
+        assertThat(rejections).hasSize(1);
+        assertThat(rejections.get(0).reason()).isEqualTo(RejectionReason.FULL);
+        assertThat(rejections.get(0).retryAfterMicros()).isGreaterThanOrEqualTo(20 * MS);
+        assertThat(scheduler.enqueue(0, ordinary(400 * MS))).isEmpty();
+        assertThat(scheduler
+                        .enqueue(0, new SchedulableRequest(false, 0, 4 * MS, 4 * MS, true))
                         .get(0)
                         .reason())
                 .isEqualTo(RejectionReason.LATE);
     }
 
     @Test
-    void withAFreeSlotOneGoesHoweverLittleTimeIsLeft() {
-        stevedore.life(1, 0, true);
-        SchedulableRequest late = plain(10 * MS);
-        assertThat(stevedore.arrive(11 * MS, late)).isEmpty();
-        assertThat(stevedore.due(11 * MS)).isEmpty();
-        assertThat(go(11 * MS)).containsExactly(late);
+    void dispatchesAtOnceToAnIdleServerHoweverLittleTimeIsLeft() {
+        scheduler.instanceChanged(1, 0, true);
+        SchedulableRequest late = ordinary(10 * MS);
+        assertThat(scheduler.enqueue(11 * MS, late)).isEmpty();
+        assertThat(scheduler.expire(11 * MS)).isEmpty();
+        assertThat(dispatchAll(11 * MS)).containsExactly(late);
     }
 
     @Test
-    void aHigherOrderPutsTheLastOut() {
-        fill(2, 0);
+    void evictsTheLastInOrderFromAFullQueue() {
+        fillServer(2, 0);
         List<SchedulableRequest> low = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            low.add(plain(9_000 * MS + i));
-            assertThat(stevedore.arrive(0, low.get(i))).isEmpty();
+            low.add(ordinary(9_000 * MS + i));
+            assertThat(scheduler.enqueue(0, low.get(i))).isEmpty();
         }
-        List<Refusal<SchedulableRequest>> refused = stevedore.arrive(0, cargo(false, 0, 9_000 * MS, true));
-        assertThat(refused).extracting(Refusal::cargo).containsExactly(low.get(7));
+        List<Rejection<SchedulableRequest>> rejections = scheduler.enqueue(0, request(false, 0, 9_000 * MS, true));
+        assertThat(rejections).extracting(Rejection::request).containsExactly(low.get(7));
     }
 
     @Test
-    void aQuarterIntoItsTimeWhatCannotBeServedIsGivenBack() {
-        fill(2, 0);
-        SchedulableRequest first = plain(200 * MS);
-        SchedulableRequest last = cargo(false, 2, 400 * MS, true);
-        stevedore.arrive(0, last);
-        stevedore.arrive(0, first);
+    void recheckRejectsWhatIsPredictedToMissItsTarget() {
+        fillServer(2, 0);
+        SchedulableRequest first = ordinary(200 * MS);
+        SchedulableRequest last = request(false, 2, 400 * MS, true);
+        scheduler.enqueue(0, last);
+        scheduler.enqueue(0, first);
         for (int i = 0; i < 5; i++) {
-            stevedore.arrive(0, cargo(false, 0, 900 * MS, true));
+            scheduler.enqueue(0, request(false, 0, 900 * MS, true));
         }
-        assertThat(stevedore.due(49 * MS)).isEmpty();
-        List<SchedulableRequest> given = new ArrayList<>();
-        stevedore.due(50 * MS).forEach(r -> given.add(r.cargo()));
-        assertThat(given).containsExactly(first);
-        stevedore.due(100 * MS).forEach(r -> given.add(r.cargo()));
-        assertThat(given).containsExactly(first);
+        assertThat(scheduler.expire(49 * MS)).isEmpty();
+        List<SchedulableRequest> rejected = new ArrayList<>();
+        scheduler.expire(50 * MS).forEach(r -> rejected.add(r.request()));
+        assertThat(rejected).containsExactly(first);
+        scheduler.expire(100 * MS).forEach(r -> rejected.add(r.request()));
+        assertThat(rejected).containsExactly(first);
     }
 
     @Test
-    void whatMustNotBeRepeatedIsNotPassedOverForEver() {
-        stevedore.life(1, 0, true);
-        stevedore.arrive(0, plain(9_000 * MS));
-        stevedore.arrive(0, plain(9_000 * MS));
-        List<SchedulableRequest> running = new ArrayList<>(go(0));
-        SchedulableRequest once = cargo(false, 2, 90_000 * MS, false);
-        stevedore.arrive(0, once);
-        int passed = 0;
-        while (!running.contains(once)) {
-            stevedore.arrive(0, cargo(true, 0, 9_000 * MS, true));
-            stevedore.ended(0, running.remove(0), Ended.OTHER);
-            running.addAll(go(0));
-            assertThat(++passed).isLessThan(7);
+    void nonIdempotentRequestDoesNotStarve() {
+        scheduler.instanceChanged(1, 0, true);
+        scheduler.enqueue(0, ordinary(9_000 * MS));
+        scheduler.enqueue(0, ordinary(9_000 * MS));
+        List<SchedulableRequest> running = new ArrayList<>(dispatchAll(0));
+        SchedulableRequest nonIdempotent = request(false, 2, 90_000 * MS, false);
+        scheduler.enqueue(0, nonIdempotent);
+        int dispatchedBefore = 0;
+        while (!running.contains(nonIdempotent)) {
+            scheduler.enqueue(0, request(true, 0, 9_000 * MS, true));
+            scheduler.onCompletion(0, running.remove(0), Completion.OTHER);
+            running.addAll(dispatchAll(0));
+            assertThat(++dispatchedBefore).isLessThan(7);
         }
     }
 
     @Test
-    void aFullServerCutsTheLimitOnceForAllThatWasSentBefore() {
-        List<SchedulableRequest> running = fill(10, 0);
+    void overloadDecreasesTheLimitOnceForAllSentBefore() {
+        List<SchedulableRequest> running = fillServer(10, 0);
         assertThat(running).hasSize(11);
-        running.subList(0, 5).forEach(c -> stevedore.ended(10 * MS, c, Ended.FULL));
+        running.subList(0, 5).forEach(c -> scheduler.onCompletion(10 * MS, c, Completion.OVERLOADED));
         assertThat(limit(10 * MS)).isEqualTo(8);
         for (int i = 0; i < 40; i++) {
-            SchedulableRequest c = plain(1000 * MS);
-            stevedore.arrive(10 * MS, c);
-            stevedore.next(10 * MS);
-            stevedore.ended(10 * MS, c, Ended.ANSWERED);
+            SchedulableRequest c = ordinary(1000 * MS);
+            scheduler.enqueue(10 * MS, c);
+            scheduler.next(10 * MS);
+            scheduler.onCompletion(10 * MS, c, Completion.RESPONDED);
         }
         assertThat(limit(10 * MS)).isEqualTo(11);
     }
 
     private int limit(long now) {
-        int room = 0;
-        for (SchedulableRequest c; stevedore.running() < 100; room++) {
-            c = plain(now + 9_000 * MS);
-            stevedore.arrive(now, c);
-            if (!stevedore.ready(now)) {
-                stevedore.cancel(c);
+        int added = 0;
+        for (SchedulableRequest c; scheduler.running() < 100; added++) {
+            c = ordinary(now + 9_000 * MS);
+            scheduler.enqueue(now, c);
+            if (!scheduler.isReady(now)) {
+                scheduler.cancel(c);
                 break;
             }
-            stevedore.next(now);
+            scheduler.next(now);
         }
-        int limit = stevedore.running();
-        return limit;
+        return scheduler.running();
     }
 
-    /** Every request ends once, no more run than may, and none is held past what was wished for it. */
+    /** Every request ends once, no more run than the limit allows, and none is queued past its latency target. */
     @Test
-    void nothingIsLostOrHeldTooLongInARandomWalk() {
+    void randomWalkLosesNothingAndKeepsNothingTooLong() {
         for (int seed = 0; seed < 10; seed++) {
-            walk(new SplittableRandom(seed), new RequestScheduler<>(plan));
+            walk(new SplittableRandom(seed), new RequestScheduler<>(options));
         }
     }
 
-    private static void walk(SplittableRandom random, RequestScheduler<SchedulableRequest> s) {
-        int slots = 1 + random.nextInt(12);
-        s.life(slots, 0, true);
+    private static void walk(SplittableRandom random, RequestScheduler<SchedulableRequest> scheduler) {
+        int concurrency = 1 + random.nextInt(12);
+        scheduler.instanceChanged(concurrency, 0, true);
         Set<SchedulableRequest> open = new HashSet<>();
         Map<SchedulableRequest, String> ended = new HashMap<>();
         List<SchedulableRequest> running = new ArrayList<>();
@@ -197,53 +196,57 @@
         for (int step = 0; step < 10_000; step++) {
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
-                    long aim = now + random.nextInt(400_000) - 10_000;
+                    long latencyTarget = now + random.nextInt(400_000) - 10_000;
                     SchedulableRequest c = new SchedulableRequest(
                             random.nextInt(4) == 0,
                             random.nextInt(3),
-                            aim,
-                            aim + random.nextInt(100_000),
+                            latencyTarget,
+                            latencyTarget + random.nextInt(100_000),
                             random.nextBoolean());
                     open.add(c);
-                    s.arrive(now, c)
-                            .forEach(r -> end(ended, r.cargo(), r.reason().name()));
+                    scheduler
+                            .enqueue(now, c)
+                            .forEach(r -> end(ended, r.request(), r.reason().name()));
                 }
                 case 3 -> {
                     if (!running.isEmpty()) {
                         SchedulableRequest c = running.remove(random.nextInt(running.size()));
-                        s.ended(now, c, Ended.values()[Math.max(0, random.nextInt(20) - 16)]);
+                        scheduler.onCompletion(now, c, Completion.values()[Math.max(0, random.nextInt(20) - 16)]);
                         end(ended, c, "ran");
                     }
                 }
                 case 4 -> {
-                    if (!s.waiting().isEmpty()) {
-                        SchedulableRequest c =
-                                s.waiting().get(random.nextInt(s.waiting().size()));
-                        assertThat(s.cancel(c)).isTrue();
+                    if (!scheduler.queue().isEmpty()) {
+                        SchedulableRequest c = scheduler
+                                .queue()
+                                .get(random.nextInt(scheduler.queue().size()));
+                        assertThat(scheduler.cancel(c)).isTrue();
                         end(ended, c, "cancelled");
                     }
                 }
-                default -> now = Math.min(s.nextTime(), now + random.nextInt(40_000));
+                default -> now = Math.min(scheduler.nextTime(), now + random.nextInt(40_000));
             }
-            s.due(now).forEach(r -> end(ended, r.cargo(), r.reason().name()));
-            while (s.ready(now)) {
-                running.add(s.next(now));
+            scheduler
+                    .expire(now)
+                    .forEach(r -> end(ended, r.request(), r.reason().name()));
+            while (scheduler.isReady(now)) {
+                running.add(scheduler.next(now));
             }
-            assertThat(s.running()).isEqualTo(running.size()).isLessThanOrEqualTo(slots + 1);
-            assertThat(s.waiting().size()).isLessThanOrEqualTo(4 * Math.max(slots, 1));
-            for (SchedulableRequest c : s.waiting()) {
-                assertThat(now).isLessThanOrEqualTo(Math.max(c.aimAt, c.arrivedAt + 1000));
-                assertThat(now + RequestScheduler.MARGIN_MICROS).isLessThanOrEqualTo(c.deadline);
+            assertThat(scheduler.running()).isEqualTo(running.size()).isLessThanOrEqualTo(concurrency + 1);
+            assertThat(scheduler.queue().size()).isLessThanOrEqualTo(4 * Math.max(concurrency, 1));
+            for (SchedulableRequest c : scheduler.queue()) {
+                assertThat(now).isLessThanOrEqualTo(Math.max(c.latencyTargetAt, c.arrivedAt + 1000));
+                assertThat(now + RequestScheduler.DEADLINE_MARGIN_MICROS).isLessThanOrEqualTo(c.deadline);
             }
-            assertThat(s.nextTime()).isGreaterThan(now);
+            assertThat(scheduler.nextTime()).isGreaterThan(now);
         }
-        s.clear().forEach(c -> end(ended, c, "cleared"));
+        scheduler.clear().forEach(c -> end(ended, c, "cleared"));
         running.forEach(c -> end(ended, c, "ran"));
         assertThat(ended.keySet()).isEqualTo(open);
         assertThat(new HashSet<>(ended.values())).contains("ran", "FULL", "LATE", "cancelled");
     }
 
-    private static void end(Map<SchedulableRequest, String> ended, SchedulableRequest cargo, String how) {
-        assertThat(ended.put(cargo, how)).isNull();
+    private static void end(Map<SchedulableRequest, String> ended, SchedulableRequest request, String how) {
+        assertThat(ended.put(request, how)).isNull();
     }
 }
