--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
@@ -13,124 +13,129 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
+import org.cypressweir.dataplane.http.upstream.RequestState.ClientAction;
+import org.cypressweir.dataplane.http.upstream.RequestState.State;
 import org.junit.jupiter.api.Test;
 
-/** The page's table of the account is what the code does; -Dquay.table=write puts it there anew. */
+/**
+ * The page's table of the states of a request is what the code does; {@code -Drequest-state-table=write} writes it
+ * anew.
+ */
 class RequestStateTableTest {
 
     private static final Path PAGE = Path.of("docs/design/quay.md");
-    private static final String BEGIN = "<!-- account: begin -->\n";
-    private static final String END = "<!-- account: end -->\n";
-    private static final int DEPTH = 6;
+    private static final String BEGIN = "<!-- request-state: begin -->\n";
+    private static final String END = "<!-- request-state: end -->\n";
+    private static final int MAX_HISTORY = 6;
 
     private enum Event {
         SENT,
         NOT_RUN,
         MAY_HAVE_RUN,
-        ANSWERED,
-        PROMISED,
-        FAILED,
-        LAST,
+        RESPONDED,
+        RESPONDED_NOT_RUN,
+        RESPONDED_FAILURE,
+        NO_MORE_ATTEMPTS,
         DEADLINE,
-        CLIENT_LEFT
+        CLIENT_DISCONNECTED
     }
 
     private static final Map<Event, String> TITLES = new EnumMap<>(Map.of(
             Event.SENT,
-            "an attempt goes",
+            "an attempt is sent",
             Event.NOT_RUN,
             "one has not run",
             Event.MAY_HAVE_RUN,
             "one may have run",
-            Event.ANSWERED,
-            "answered, below 500",
-            Event.PROMISED,
-            "answered 408, 421, 429, 503",
-            Event.FAILED,
-            "answered, 500 and above",
-            Event.LAST,
-            "no further attempt, none waited for",
+            Event.RESPONDED,
+            "response below 500",
+            Event.RESPONDED_NOT_RUN,
+            "response 408, 421, 429, 503",
+            Event.RESPONDED_FAILURE,
+            "response from 500 on",
+            Event.NO_MORE_ATTEMPTS,
+            "no further attempt, none awaited",
             Event.DEADLINE,
-            "its deadline",
-            Event.CLIENT_LEFT,
-            "the client leaves"));
+            "deadline",
+            Event.CLIENT_DISCONNECTED,
+            "the client disconnects"));
 
-    /** An account with what has happened to it. */
-    private static final class Run {
-        private final RequestState account;
-        private int size;
+    /** A request after a history of events. */
+    private static final class Replay {
+        private final RequestState state;
+        private int attempts;
 
-        private Run(boolean repeatable, List<Event> events) {
-            account = new RequestState(repeatable);
+        private Replay(boolean idempotent, List<Event> events) {
+            state = new RequestState(idempotent);
             events.forEach(this::apply);
         }
 
-        /** What is due, null where it can't happen. */
-        private RequestState.Due apply(Event event) {
+        /** What follows for the client; null where the event cannot happen. */
+        private ClientAction apply(Event event) {
             return switch (event) {
                 case SENT -> {
-                    int attempt = account.begin();
-                    size++;
-                    if (!account.goes(attempt)) {
-                        account.ended(attempt, new RequestOutcome.NotRun(RejectionReason.GONE, 0));
+                    int attempt = state.beginAttempt();
+                    attempts++;
+                    if (!state.trySend(attempt)) {
+                        state.onOutcome(attempt, new RequestOutcome.NotRun(RejectionReason.GONE, 0));
                         yield null;
                     }
-                    yield RequestState.Due.NOTHING;
+                    yield ClientAction.NONE;
                 }
                 case NOT_RUN -> end(new RequestOutcome.NotRun(RejectionReason.FULL, 0));
                 case MAY_HAVE_RUN -> end(new RequestOutcome.MayHaveRun(""));
-                case ANSWERED -> end(new RequestOutcome.Answered(200, List.of(), null));
-                case PROMISED -> end(new RequestOutcome.Answered(429, List.of(), null));
-                case FAILED -> end(new RequestOutcome.Answered(500, List.of(), null));
-                case LAST, DEADLINE -> given(account.last(event == Event.DEADLINE));
-                case CLIENT_LEFT -> {
-                    account.leave();
-                    yield RequestState.Due.NOTHING;
+                case RESPONDED -> end(new RequestOutcome.Responded(200, List.of(), null));
+                case RESPONDED_NOT_RUN -> end(new RequestOutcome.Responded(429, List.of(), null));
+                case RESPONDED_FAILURE -> end(new RequestOutcome.Responded(500, List.of(), null));
+                case NO_MORE_ATTEMPTS, DEADLINE -> carriedOut(state.finalAction(event == Event.DEADLINE));
+                case CLIENT_DISCONNECTED -> {
+                    state.onDisconnect();
+                    yield ClientAction.NONE;
                 }
             };
         }
 
-        private RequestState.Due end(RequestOutcome outcome) {
-            for (int i = 0; i < size; i++) {
-                if (account.isOpen(i)) {
-                    return given(account.ended(i, outcome));
+        private ClientAction end(RequestOutcome outcome) {
+            for (int i = 0; i < attempts; i++) {
+                if (state.isPending(i)) {
+                    return carriedOut(state.onOutcome(i, outcome));
                 }
             }
             return null;
         }
 
-        private RequestState.Due given(RequestState.Due due) {
-            if (due != RequestState.Due.NOTHING && due != RequestState.Due.KEEP) {
-                account.answer();
+        private ClientAction carriedOut(ClientAction action) {
+            if (action != ClientAction.NONE && action != ClientAction.SAVE_RESPONSE) {
+                state.markResponded();
             }
-            return due;
+            return action;
         }
     }
 
     @Test
-    void thePageSaysWhatTheCodeDoes() throws IOException {
+    void pageMatchesTheCode() throws IOException {
         String page = Files.readString(PAGE);
         int begin = page.indexOf(BEGIN) + BEGIN.length();
         int end = page.indexOf(END);
         String table = table(false) + "\n" + table(true);
-        if ("write".equals(System.getProperty("quay.table"))) {
+        if ("write".equals(System.getProperty("request-state-table"))) {
             Files.writeString(PAGE, page.substring(0, begin) + table + page.substring(end));
         } else {
             assertThat(page.substring(begin, end)).isEqualTo(table);
         }
     }
 
-    private static String table(boolean repeatable) {
-        Map<RequestState.State, Map<Event, Set<String>>> cells = new EnumMap<>(RequestState.State.class);
-        explore(repeatable, new ArrayList<>(), cells);
-        StringBuilder table = new StringBuilder(repeatable ? "May be repeated:\n\n" : "Can't be repeated:\n\n");
+    private static String table(boolean idempotent) {
+        Map<State, Map<Event, Set<String>>> cells = new EnumMap<>(State.class);
+        explore(idempotent, new ArrayList<>(), cells);
+        StringBuilder table = new StringBuilder(idempotent ? "Idempotent:\n\n" : "Not idempotent:\n\n");
         table.append("| state |");
         for (Event event : Event.values()) {
             table.append(' ').append(TITLES.get(event)).append(" |");
         }
         table.append("\n|").append(" --- |".repeat(1 + Event.values().length)).append('\n');
         cells.forEach((state, row) -> {
-            table.append("| ").append(small(state)).append(" |");
+            table.append("| ").append(lowerCase(state)).append(" |");
             for (Event event : Event.values()) {
                 Set<String> cell = row.getOrDefault(event, Set.of());
                 table.append(' ')
@@ -142,56 +147,55 @@
         return table.toString();
     }
 
-    private static void explore(
-            boolean repeatable, List<Event> history, Map<RequestState.State, Map<Event, Set<String>>> cells) {
-        RequestState.State from = new Run(repeatable, history).account.state();
+    private static void explore(boolean idempotent, List<Event> history, Map<State, Map<Event, Set<String>>> cells) {
+        State from = new Replay(idempotent, history).state.state();
         Map<Event, Set<String>> row = cells.computeIfAbsent(from, s -> new EnumMap<>(Event.class));
         for (Event event : Event.values()) {
-            Run run = new Run(repeatable, history);
-            RequestState.Due due = run.apply(event);
-            if (due == null) {
+            Replay replay = new Replay(idempotent, history);
+            ClientAction action = replay.apply(event);
+            if (action == null) {
                 continue;
             }
-            RequestState.State to = run.account.state();
-            String next = to == from ? "the same" : small(to);
+            State to = replay.state.state();
+            String next = to == from ? "the same" : lowerCase(to);
             row.computeIfAbsent(event, e -> new TreeSet<>())
-                    .add(due == RequestState.Due.NOTHING ? next : next + ": **" + small(due) + "**");
-            if (history.size() < DEPTH) {
+                    .add(action == ClientAction.NONE ? next : next + ": **" + lowerCase(action) + "**");
+            if (history.size() < MAX_HISTORY) {
                 List<Event> longer = new ArrayList<>(history);
                 longer.add(event);
-                explore(repeatable, longer, cells);
+                explore(idempotent, longer, cells);
             }
         }
     }
 
-    private static String small(Enum<?> name) {
+    private static String lowerCase(Enum<?> name) {
         return name.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** Whatever happens: promises only of what has not run, no second run of what can't be repeated. */
+    /** Only what has not run is rejected, and only idempotent requests are sent again after they may have run. */
     @Test
-    void noHistoryBreaksAPromise() {
-        for (boolean repeatable : new boolean[] {false, true}) {
-            Map<RequestState.State, Map<Event, Set<String>>> cells = new EnumMap<>(RequestState.State.class);
-            explore(repeatable, new ArrayList<>(), cells);
+    void noHistoryRejectsOrResendsWhatMayHaveRun() {
+        for (boolean idempotent : new boolean[] {false, true}) {
+            Map<State, Map<Event, Set<String>>> cells = new EnumMap<>(State.class);
+            explore(idempotent, new ArrayList<>(), cells);
             assertThat(cells.keySet().stream()
                             .filter(s -> cells.get(s).values().stream()
-                                    .anyMatch(c -> c.stream().anyMatch(t -> t.contains("refusal"))))
+                                    .anyMatch(c -> c.stream().anyMatch(t -> t.contains("reject"))))
                             .collect(Collectors.toSet()))
-                    .containsExactly(RequestState.State.HELD);
+                    .containsExactly(State.PENDING);
             assertThat(cells.keySet().stream()
                             .filter(s -> cells.get(s).containsKey(Event.SENT))
                             .toList())
                     .containsExactlyElementsOf(
-                            repeatable
+                            idempotent
                                     ? List.of(
-                                            RequestState.State.HELD,
-                                            RequestState.State.OUT,
-                                            RequestState.State.IN_DOUBT,
-                                            RequestState.State.OUT_IN_DOUBT,
-                                            RequestState.State.KEPT,
-                                            RequestState.State.OUT_KEPT)
-                                    : List.of(RequestState.State.HELD));
+                                            State.PENDING,
+                                            State.IN_FLIGHT,
+                                            State.IN_DOUBT,
+                                            State.IN_FLIGHT_IN_DOUBT,
+                                            State.FAILURE_SAVED,
+                                            State.IN_FLIGHT_FAILURE_SAVED)
+                                    : List.of(State.PENDING));
         }
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamFixture.java
@@ -20,144 +20,145 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A quay with a server whose every byte the test writes, and a clock that the test can move on. */
+/** A dispatcher with a server whose every byte the test writes, and a clock that the test can advance. */
 final class UpstreamFixture {
-    /** What the server signs, and that it keeps connections for longer than a test waits for their end. */
+    /** The server's seal, and an idle time-out longer than a test waits for the end of a connection. */
     static final String SEAL = "Cypressweir-Server-Seal: s\r\nKeep-Alive: timeout=600\r\n";
 
-    private static final int BOUND_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
     final ServerSocket server;
-    final AtomicLong ahead = new AtomicLong();
+    final AtomicLong clockOffset = new AtomicLong();
     final List<String> log = new CopyOnWriteArrayList<>();
-    final UpstreamDispatcher quay;
-    private volatile long stopped;
+    final UpstreamDispatcher dispatcher;
+    private volatile long stoppedAt;
     private int ids;
 
-    UpstreamFixture(int slots) throws Exception {
-        this(slots, UpstreamOptions.defaults());
+    UpstreamFixture(int concurrency) throws Exception {
+        this(concurrency, UpstreamOptions.defaults());
     }
 
-    UpstreamFixture(int slots, UpstreamOptions plan) throws Exception {
+    UpstreamFixture(int concurrency, UpstreamOptions options) throws Exception {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(BOUND_MILLIS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
         InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        quay = new UpstreamDispatcher(loop, to, this::micros, plan, log::add);
-        life("one", slots);
+        dispatcher = new UpstreamDispatcher(loop, to, this::clockMicros, options, log::add);
+        setInstance("one", concurrency);
     }
 
-    long micros() {
-        return (stopped == 0 ? System.nanoTime() / 1000 : stopped) + ahead.get();
+    long clockMicros() {
+        return (stoppedAt == 0 ? System.nanoTime() / 1000 : stoppedAt) + clockOffset.get();
     }
 
-    /** From now on time passes only where the test says so. */
+    /** From now on time passes only where the test advances it. */
     void stopClock() {
-        stopped = System.nanoTime() / 1000;
+        stoppedAt = System.nanoTime() / 1000;
     }
 
-    <T> T on(Callable<T> task) throws Exception {
-        return loop.inEventLoop() ? task.call() : loop.submit(task).get(BOUND_MILLIS, TimeUnit.MILLISECONDS);
+    <T> T callOnLoop(Callable<T> task) throws Exception {
+        return loop.inEventLoop() ? task.call() : loop.submit(task).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void run(Runnable task) throws Exception {
-        loop.submit(task).get(BOUND_MILLIS, TimeUnit.MILLISECONDS);
+    void runOnLoop(Runnable task) throws Exception {
+        loop.submit(task).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void life(String instance, int slots) throws Exception {
-        run(() -> quay.life(instance == null ? null : new InstanceIncarnation(instance, "shop", slots, false, 0)));
+    void setInstance(String instance, int concurrency) throws Exception {
+        runOnLoop(() -> dispatcher.setInstance(
+                instance == null ? null : new InstanceIncarnation(instance, "shop", concurrency, false, 0)));
     }
 
-    /** Moves the clock on and does what is due. */
-    void later(long micros) throws Exception {
-        ahead.addAndGet(micros);
-        run(quay::tick);
+    /** Advances the clock and does what is due. */
+    void advance(long micros) throws Exception {
+        clockOffset.addAndGet(micros);
+        runOnLoop(dispatcher::tick);
     }
 
-    /** A request with plenty of time, and its end. */
-    final class Asked {
+    /** A request with plenty of time, and its outcomes. */
+    final class SubmittedRequest {
         final String id = "a-" + ++ids;
-        final BlockingQueue<RequestOutcome> ends = new LinkedBlockingQueue<>();
-        RequestHandle ticket;
+        final BlockingQueue<RequestOutcome> outcomes = new LinkedBlockingQueue<>();
+        RequestHandle handle;
 
-        RequestOutcome end() throws InterruptedException {
-            RequestOutcome outcome = ends.poll(BOUND_MILLIS, TimeUnit.MILLISECONDS);
+        RequestOutcome outcome() throws InterruptedException {
+            RequestOutcome outcome = outcomes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             if (outcome == null) {
-                throw new AssertionError("no end of " + id);
+                throw new AssertionError("no outcome of " + id);
             }
             return outcome;
         }
 
-        RejectionReason notRun() throws InterruptedException {
-            return ((RequestOutcome.NotRun) end()).reason();
+        RejectionReason rejection() throws InterruptedException {
+            return ((RequestOutcome.NotRun) outcome()).reason();
         }
 
-        String mayHaveRun() throws InterruptedException {
-            return ((RequestOutcome.MayHaveRun) end()).why();
+        String mayHaveRunReason() throws InterruptedException {
+            return ((RequestOutcome.MayHaveRun) outcome()).why();
         }
 
-        String answered() throws InterruptedException {
-            RequestOutcome outcome = end();
-            if (outcome instanceof RequestOutcome.Answered a) {
-                return a.status() + " " + new String(a.body(), StandardCharsets.ISO_8859_1);
+        String response() throws InterruptedException {
+            RequestOutcome outcome = outcome();
+            if (outcome instanceof RequestOutcome.Responded response) {
+                return response.status() + " " + new String(response.body(), StandardCharsets.ISO_8859_1);
             }
             throw new AssertionError(outcome + ", " + log);
         }
 
         void cancel() throws Exception {
-            run(() -> quay.cancel(ticket));
+            runOnLoop(() -> dispatcher.cancel(handle));
         }
     }
 
-    Asked ask(String method, boolean repeatable, String instance, String body) throws Exception {
-        Asked asked = new Asked();
-        long now = micros();
-        UpstreamRequest freight = new UpstreamRequest(
-                asked.id,
+    SubmittedRequest submit(String method, boolean idempotent, String instance, String body) throws Exception {
+        SubmittedRequest submitted = new SubmittedRequest();
+        long now = clockMicros();
+        UpstreamRequest request = new UpstreamRequest(
+                submitted.id,
                 method,
                 "/x?y=%20",
-                List.of(Map.entry("Host", "shop"), Map.entry(RequestEncoder.ATTEMPT_ID, asked.id)),
+                List.of(Map.entry("Host", "shop"), Map.entry(RequestEncoder.ATTEMPT_ID, submitted.id)),
                 body == null ? null : body.getBytes(StandardCharsets.ISO_8859_1),
-                repeatable,
+                idempotent,
                 1,
                 false,
                 now + 60_000_000,
                 now + 90_000_000,
                 instance);
-        asked.ticket = on(() -> quay.take(freight, asked.ends::add));
-        return asked;
+        submitted.handle = callOnLoop(() -> dispatcher.submit(request, submitted.outcomes::add));
+        return submitted;
     }
 
-    Asked get() throws Exception {
-        return ask("GET", true, null, null);
+    SubmittedRequest get() throws Exception {
+        return submit("GET", true, null, null);
     }
 
-    Asked post() throws Exception {
-        return ask("POST", false, "one", "hello");
+    SubmittedRequest post() throws Exception {
+        return submit("POST", false, "one", "hello");
     }
 
-    Wire accept() throws IOException {
-        return new Wire(server.accept());
+    ServerConnection accept() throws IOException {
+        return new ServerConnection(server.accept());
     }
 
     void close() throws Exception {
-        run(quay::close);
+        runOnLoop(dispatcher::close);
         server.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(BOUND_MILLIS);
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(TIMEOUT_MILLIS);
     }
 
-    /** The server's end of one connection. */
-    static final class Wire {
+    /** The server's side of one connection. */
+    static final class ServerConnection {
         final Socket socket;
 
-        Wire(Socket socket) throws IOException {
+        ServerConnection(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(BOUND_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
         }
 
-        String head() throws IOException {
+        String readHead() throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
                 int b = socket.getInputStream().read();
@@ -169,17 +170,17 @@
             return head.toString(StandardCharsets.ISO_8859_1);
         }
 
-        String body(int length) throws IOException {
+        String readBody(int length) throws IOException {
             return new String(socket.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
         }
 
-        Wire write(String text) throws IOException {
+        ServerConnection write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
-        /** Whether the other side has closed, without a further byte. */
-        boolean ended() {
+        /** Whether the client has closed, without a further byte. */
+        boolean isClosedByClient() {
             try {
                 return socket.getInputStream().read() < 0;
             } catch (IOException e) {
@@ -193,11 +194,11 @@
         }
     }
 
-    static String answer(String id, String body) {
-        return answer("200 OK", id, SEAL, body);
+    static String response(String id, String body) {
+        return response("200 OK", id, SEAL, body);
     }
 
-    static String answer(String status, String id, String headers, String body) {
+    static String response(String status, String id, String headers, String body) {
         return head(status, id, headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyMessagesTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyMessagesTest.java
@@ -58,7 +58,7 @@
         private final List<Consumer<RequestOutcome>> ends = new ArrayList<>();
 
         @Override
-        public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
+        public RequestHandle submit(UpstreamRequest freight, Consumer<RequestOutcome> end) {
             taken.add(freight);
             ends.add(end);
             return null;
@@ -117,7 +117,7 @@
     void responsesAreTheSame() {
         KeepingDispatcher dispatcher = new KeepingDispatcher();
         PeerRequestReceiver landing = serverSide(dispatcher);
-        dispatcher.ends.get(0).accept(new RequestOutcome.Answered(201, HEADERS, ANSWER));
+        dispatcher.ends.get(0).accept(new RequestOutcome.Responded(201, HEADERS, ANSWER));
         dispatcher.ends.get(0).accept(new RequestOutcome.MayHaveRun("the connection broke"));
         for (RejectionReason reason : RejectionReason.values()) {
             dispatcher.ends.get(0).accept(new RequestOutcome.NotRun(reason, 30_000));
@@ -147,7 +147,7 @@
         }
         List<AttemptResult> expected = new ArrayList<>();
         UpstreamLoad load = new UpstreamLoad(2, 1, 8);
-        expected.add(new AttemptResult(new RequestOutcome.Answered(201, HEADERS, ANSWER), load));
+        expected.add(new AttemptResult(new RequestOutcome.Responded(201, HEADERS, ANSWER), load));
         expected.add(new AttemptResult(new RequestOutcome.MayHaveRun("the connection broke"), load));
         Stream.of(RejectionReason.values())
                 .forEach(reason -> expected.add(new AttemptResult(new RequestOutcome.NotRun(reason, 30_000), load)));
--- a/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
@@ -136,7 +136,7 @@
         return on(() -> {
             UpstreamDispatcher quay = new UpstreamDispatcher(
                     loop, to, PeerForwardingFixture::micros, UpstreamOptions.defaults(), line -> {});
-            quay.life(new InstanceIncarnation(instance, "s", 8, false, 0));
+            quay.setInstance(new InstanceIncarnation(instance, "s", 8, false, 0));
             return quay;
         });
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
@@ -50,7 +50,7 @@
         }
 
         void answers(int status) {
-            ends(new RequestOutcome.Answered(status, List.of(Map.entry("By", target.instance())), new byte[0]));
+            ends(new RequestOutcome.Responded(status, List.of(Map.entry("By", target.instance())), new byte[0]));
         }
     }
 
@@ -170,7 +170,7 @@
 
     @Override
     public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
-        if (strict && !freight.repeatable() && !attempts(freight.id()).stream().allMatch(Sent::hasNotRun)) {
+        if (strict && !freight.idempotent() && !attempts(freight.id()).stream().allMatch(Sent::hasNotRun)) {
             throw new AssertionError("sent again: " + freight.id());
         }
         Sent one = new Sent(target, freight, end);
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -283,7 +283,8 @@
                 assertThat(tries).allMatch(ProxyFixture.Sent::hasNotRun);
             } else if (client.status() < 502) {
                 assertThat(tries)
-                        .anyMatch(s -> s.outcome instanceof RequestOutcome.Answered a && a.status() == client.status());
+                        .anyMatch(
+                                s -> s.outcome instanceof RequestOutcome.Responded a && a.status() == client.status());
             } else {
                 assertThat(client.status()).isIn(502, 504);
                 assertThat(tries).anyMatch(s -> !s.hasNotRun());
