--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -3,13 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Predicate;
 import org.cypressweir.common.diagnostics.ItemListing;
 import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.controlplane.configuration.ItemType;
 import org.cypressweir.controlplane.configuration.TenantConfiguration;
@@ -19,159 +16,152 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
 import org.cypressweir.dataplane.quota.QuotaShares;
 
-/** What operators are told of a pilot. */
+/**
+ * The state of a proxy as operators read it. Made anew for each call: the owner puts the parts in, in the order
+ * in which they are shown. The names are fixed: they are part of the state call.
+ */
 final class ProxyStatus {
 
     private final long now;
-    private final RoutingTable bearings;
+    private final RoutingTable routingTable;
     private final Map<String, Object> state;
 
-    ProxyStatus(long now, String name, String control, String address, RoutingTable bearings) {
+    ProxyStatus(long now, String name, String controlAddress, String address, RoutingTable routingTable) {
         this.now = now;
-        this.bearings = bearings;
+        this.routingTable = routingTable;
         state = JsonCodec.map(
                 "kind",
                 "pilot",
                 "name",
                 name,
                 "control",
-                control,
+                controlAddress,
                 "address",
                 address,
                 "stamp",
-                bearings.stamp().toString(),
+                routingTable.version().toString(),
                 "items",
-                bearings.manifest().size());
+                routingTable.configuration().size());
     }
 
-    void harbours(ControllerClient lookout) {
-        List<Object> all = new ArrayList<>();
-        lookout.harbours()
-                .forEach((address, heard) -> all.add(
-                        JsonCodec.map("address", address, "control", lookout.control(address), "heard", heard)));
-        state.put("harbours", all);
+    /** All controllers, each with whether anything is received from it. */
+    void putControllers(ControllerClient client) {
+        List<Object> controllers = new ArrayList<>();
+        client.controllers()
+                .forEach((address, isActive) -> controllers.add(JsonCodec.map(
+                        "address", address, "control", client.controlAddress(address), "heard", isActive)));
+        state.put("harbours", controllers);
     }
 
-    /** Other pilots that a line is wanted to; down: refused or lost since the last line. */
-    void peers(PeerConnectionPool peers, Set<String> down) {
-        List<Object> all = new ArrayList<>();
-        peers.addresses().stream().sorted().forEach(address -> {
-            PeerConnection line = peers.line(address);
-            all.add(JsonCodec.map(
+    /** The peers that a connection is wanted to. */
+    void putPeers(PeerConnections connections) {
+        List<Object> peers = new ArrayList<>();
+        connections.addresses().stream().sorted().forEach(address -> {
+            PeerConnection connection = connections.connection(address);
+            peers.add(JsonCodec.map(
                     "address",
                     address,
                     "line",
-                    line != null,
+                    connection != null,
                     "down",
-                    down.contains(address),
+                    connections.isUnreachable(address),
                     "ageMs",
-                    line == null ? null : (now - line.heardAt()) / 1000));
+                    connection == null ? null : (now - connection.heardAt()) / 1000));
         });
-        state.put("peers", all);
+        state.put("peers", peers);
     }
 
-    /** All pilots that are known of, and where each is asked. */
-    void pilots(EndpointDirectory roster) {
-        List<Object> all = new ArrayList<>();
-        roster.all()
-                .forEach(berth -> all.add(
-                        JsonCodec.map("name", berth.name(), "address", berth.address(), "control", berth.control())));
-        state.put("pilots", all);
+    /** All proxies that are known, and where operators reach each. */
+    void putProxies(EndpointDirectory directory) {
+        List<Object> proxies = new ArrayList<>();
+        for (ProxyRegistration proxy : directory.all()) {
+            proxies.add(JsonCodec.map("name", proxy.name(), "address", proxy.address(), "control", proxy.control()));
+        }
+        state.put("pilots", proxies);
     }
 
-    /** Every server that is known of, with whether it is in the choice. */
-    void servers(
-            EndpointDirectory roster, ProxyRegistration own, Predicate<ProxyRegistration> reaches, PeerForwarder hops) {
+    /** Every application instance that is known, by service, and whether requests are sent to it. */
+    void putServices(EndpointDirectory directory, ProxyRegistration own, PeerConnections peers) {
         Map<String, List<Object>> services = new TreeMap<>();
-        for (ProxyRegistration told : roster.all()) {
-            boolean mine = told.name().equals(own.name());
-            ProxyRegistration berth = mine ? own : told;
-            ApplicationInstance ship = berth.ship();
-            if (ship != null) {
-                boolean reached = reaches.test(berth);
-                services.computeIfAbsent(ship.service(), s -> new ArrayList<>())
-                        .add(JsonCodec.map(
-                                "pilot",
-                                berth.name(),
-                                "zone",
-                                berth.zone(),
-                                "server",
-                                ship.id(),
-                                "slots",
-                                ship.slots(),
-                                "draining",
-                                ship.draining(),
-                                "leaving",
-                                berth.leaving(),
-                                "line",
-                                reached,
-                                "silent",
-                                !mine && hops.isSilent(berth.address()),
-                                "chosen",
-                                reached && berth.takes()));
+        for (ProxyRegistration known : directory.all()) {
+            boolean isOwn = known.name().equals(own.name());
+            ProxyRegistration registration = isOwn ? own : known;
+            if (registration.ship() != null) {
+                boolean isSilent = !isOwn && peers.forwarder().isSilent(registration.address());
+                services.computeIfAbsent(registration.ship().service(), service -> new ArrayList<>())
+                        .add(describe(registration, peers.reaches(registration), isSilent));
             }
         }
         state.put("services", services);
     }
 
-    void own(ProxyRegistration own, UpstreamLoad load) {
-        ApplicationInstance ship = own.ship();
+    private static Map<String, Object> describe(ProxyRegistration registration, boolean isReachable, boolean isSilent) {
+        ApplicationInstance instance = registration.ship();
+        return JsonCodec.map(
+                "pilot", registration.name(),
+                "zone", registration.zone(),
+                "server", instance.id(),
+                "slots", instance.slots(),
+                "draining", instance.draining(),
+                "leaving", registration.leaving(),
+                "line", isReachable,
+                "silent", isSilent,
+                "chosen", isReachable && registration.takes());
+    }
+
+    /** The application instance beside this proxy. */
+    void putOwnInstance(ProxyRegistration own, UpstreamLoad load) {
+        ApplicationInstance instance = own.ship();
         state.put(
                 "own",
                 JsonCodec.map(
-                        "server",
-                        ship == null ? null : ship.id(),
-                        "service",
-                        ship == null ? null : ship.service(),
-                        "draining",
-                        ship != null && ship.draining(),
-                        "leaving",
-                        own.leaving(),
-                        "running",
-                        load.running(),
-                        "waiting",
-                        load.waiting(),
-                        "slots",
-                        load.slots()));
+                        "server", instance == null ? null : instance.id(),
+                        "service", instance == null ? null : instance.service(),
+                        "draining", instance != null && instance.draining(),
+                        "leaving", own.leaving(),
+                        "running", load.running(),
+                        "waiting", load.waiting(),
+                        "slots", load.slots()));
     }
 
-    /** @param hops attempts that are out at other pilots */
-    void requests(int open, int hops, Map<String, ServiceRequestHandler> helms) {
+    /**
+     * Requests in flight.
+     *
+     * @param forwarded attempts in flight at other proxies
+     */
+    void putRequests(int open, int forwarded, Map<String, ServiceRequestHandler> handlers) {
         Map<String, Object> byService = new TreeMap<>();
-        helms.forEach((service, helm) -> byService.put(service, helm.open()));
-        state.put("requests", JsonCodec.map("open", open, "hops", hops, "services", byService));
+        handlers.forEach((service, handler) -> byService.put(service, handler.inFlightCount()));
+        state.put("requests", JsonCodec.map("open", open, "hops", forwarded, "services", byService));
     }
 
-    /** Answers of the mesh's own since the start, by fault. */
-    void refusals(Map<String, Long> front, Map<String, ServiceRequestHandler> helms) {
-        Map<String, Long> all = new TreeMap<>(front);
-        helms.values()
-                .forEach(helm -> helm.counts().forEach((fault, count) -> all.merge(fault.name(), count, Long::sum)));
-        state.put("refusals", all);
+    /** The proxy's own error responses since the start, by kind of error. */
+    void putLocalResponses(Map<String, Long> rejectionCounts, Map<String, ServiceRequestHandler> handlers) {
+        Map<String, Long> counts = new TreeMap<>(rejectionCounts);
+        for (ServiceRequestHandler handler : handlers.values()) {
+            handler.localResponseCounts().forEach((error, count) -> counts.merge(error.name(), count, Long::sum));
+        }
+        state.put("refusals", counts);
     }
 
-    /** Tenants with what they may and what they ask here, a second. */
-    void tenants(QuotaShares quotas) {
-        Map<String, Double> asked = quotas.asked(now);
-        List<Object> all = new ArrayList<>();
-        for (Item item : bearings.manifest().standing(ItemType.TENANTS)) {
+    /** Tenants with their rate limits and their demand here, in requests a second. */
+    void putTenants(QuotaShares quotas) {
+        Map<String, Double> demand = quotas.asked(now);
+        List<Object> tenants = new ArrayList<>();
+        for (Item item : routingTable.configuration().standing(ItemType.TENANTS)) {
             TenantConfiguration.of(item)
-                    .forEach(t -> all.add(JsonCodec.map(
-                            "tenant",
-                            t.name(),
-                            "asked",
-                            asked.getOrDefault(t.name(), 0.0),
-                            "rate",
-                            t.ratePerS(),
-                            "burst",
-                            t.burst())));
+                    .forEach(tenant -> tenants.add(JsonCodec.map(
+                            "tenant", tenant.name(),
+                            "asked", demand.getOrDefault(tenant.name(), 0.0),
+                            "rate", tenant.ratePerS(),
+                            "burst", tenant.burst())));
         }
-        state.put("tenants", all);
+        state.put("tenants", tenants);
     }
 
-    Map<String, Object> map(boolean items) {
-        if (items) {
-            state.put("list", ItemListing.of(bearings.manifest()));
+    Map<String, Object> toMap(boolean withItems) {
+        if (withItems) {
+            state.put("list", ItemListing.of(routingTable.configuration()));
         }
         return state;
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ReadinessGate.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ReadinessGate.java
@@ -7,86 +7,90 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * Whether a pilot that starts may begin with the configuration that it has: a harbour has to confirm that
- * nothing newer was agreed as of a moment not long ago. Where nobody confirms it for a while, the core has no
- * majority, or this pilot doesn't reach it; it begins then with what there is. Once it has begun it stays so.
+ * Decides whether a proxy that starts may serve with the configuration that it has: a controller has to
+ * confirm that nothing newer was committed as of a moment not long ago. Where nobody confirms it within a
+ * time-out, because the controllers have no majority or this proxy doesn't reach it, the proxy starts with
+ * what there is. Once it has started it stays so.
  *
- * <p>Each question carries this pilot's own time, which the answer repeats, so that an answer that was held
- * up counts as of the question.
+ * <p>Each query carries this proxy's own time, which the answer repeats, so that a delayed answer counts as
+ * of its query.
+ *
+ * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class ReadinessGate {
 
-    /** A harbour whose confirmation is older is taken for cut off. */
-    static final long MOST_AGE = 2_000_000;
+    /** A controller whose contact with a majority is older counts as partitioned. */
+    static final long MAX_CONTACT_AGE_MICROS = 2_000_000;
 
-    private static final long ASK_EVERY = 200_000;
+    private static final long QUERY_INTERVAL_MICROS = 200_000;
 
-    private record Confirmed(ProposalNumber stamp, long asOf) {}
+    private record Confirmation(ProposalNumber version, long asOf) {}
 
-    private final Map<String, Confirmed> confirmed = new HashMap<>();
-    private final Set<String> cutOff = new HashSet<>();
-    private long askedAt = Long.MIN_VALUE / 2;
-    private long havingSince = -1;
-    private boolean begun;
+    private final Map<String, Confirmation> confirmations = new HashMap<>();
+    private final Set<String> partitioned = new HashSet<>();
+    private long lastQueryAt = Long.MIN_VALUE / 2;
+    private long configuredSince = -1;
+    private boolean started;
     private boolean isConfirmed;
 
-    /** Whether harbours are to be asked now. */
-    boolean asks(long now) {
-        if (begun || now - askedAt < ASK_EVERY) {
+    /** Whether controllers are to be queried now; if so, the next query is due an interval later. */
+    boolean isQueryDue(long now) {
+        if (started || now - lastQueryAt < QUERY_INTERVAL_MICROS) {
             return false;
         }
-        askedAt = now;
+        lastQueryAt = now;
         return true;
     }
 
-    /** A harbour answers what was asked at that time. An age below 0 says that it can confirm nothing. */
-    void answered(long now, String harbour, long asked, ProposalNumber stamp, long age) {
-        if (stamp != null && age >= 0 && asked <= now) {
-            confirmed.put(harbour, new Confirmed(stamp, asked - age));
+    /** A controller answers the query of that time. A negative age says that it can confirm nothing. */
+    void confirmationReceived(long now, String controller, long queriedAt, ProposalNumber version, long ageMicros) {
+        if (version != null && ageMicros >= 0 && queriedAt <= now) {
+            confirmations.put(controller, new Confirmation(version, queriedAt - ageMicros));
         }
-        told(harbour, age);
+        contactAgeReceived(controller, ageMicros);
     }
 
-    /** A harbour says how long ago it was in contact with a majority. */
-    void told(String harbour, long age) {
-        if (age < 0 || age > MOST_AGE) {
-            cutOff.add(harbour);
+    /** A controller says how long ago it was in contact with a majority; negative if it isn't. */
+    void contactAgeReceived(String controller, long ageMicros) {
+        if (ageMicros < 0 || ageMicros > MAX_CONTACT_AGE_MICROS) {
+            partitioned.add(controller);
         } else {
-            cutOff.remove(harbour);
+            partitioned.remove(controller);
         }
     }
 
-    void lost(String harbour) {
-        confirmed.remove(harbour);
-        cutOff.remove(harbour);
+    void controllerLost(String controller) {
+        confirmations.remove(controller);
+        partitioned.remove(controller);
     }
 
-    /** Those of them that are in contact with a majority, as far as they have said. */
-    Set<String> inContact(Set<String> harbours) {
-        Set<String> all = new HashSet<>(harbours);
-        all.removeAll(cutOff);
-        return all.isEmpty() ? harbours : all;
+    /** Those that are in contact with a majority, as far as is known; all of them where none is. */
+    Set<String> inContact(Set<String> controllers) {
+        Set<String> inContact = new HashSet<>(controllers);
+        inContact.removeAll(partitioned);
+        return inContact.isEmpty() ? controllers : inContact;
     }
 
     /**
-     * Whether it may begin, with the configuration of this stamp in force.
+     * Whether the proxy may start with the configuration of this version.
      *
-     * @param patience how long it waits for a confirmation once it has a configuration
+     * @param timeoutMicros how long it waits for a confirmation once it has a configuration
      */
-    boolean begins(long now, ProposalNumber own, long patience) {
-        if (begun || own.equals(ProposalNumber.ZERO)) {
-            return begun;
+    boolean mayStart(long now, ProposalNumber ownVersion, long timeoutMicros) {
+        if (started || ownVersion.equals(ProposalNumber.ZERO)) {
+            return started;
         }
-        if (havingSince < 0) {
-            havingSince = now;
+        if (configuredSince < 0) {
+            configuredSince = now;
         }
-        isConfirmed = confirmed.values().stream()
-                .anyMatch(one -> now - one.asOf <= MOST_AGE && own.compareTo(one.stamp) >= 0);
-        begun = isConfirmed || now - havingSince >= patience;
-        return begun;
+        isConfirmed = confirmations.values().stream()
+                .anyMatch(confirmation -> now - confirmation.asOf <= MAX_CONTACT_AGE_MICROS
+                        && ownVersion.compareTo(confirmation.version) >= 0);
+        started = isConfirmed || now - configuredSince >= timeoutMicros;
+        return started;
     }
 
-    /** Whether what it began with had been confirmed. */
+    /** Whether the configuration that the proxy started with was confirmed. */
     boolean isConfirmed() {
         return isConfirmed;
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
@@ -12,86 +12,98 @@
 import org.cypressweir.controlplane.configuration.TenantConfiguration;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
-/** The configuration in force at one pilot, made for look-ups; another one takes its place as a whole. */
+/**
+ * One version of the configuration, indexed for the look-ups of requests. Immutable once made; a newer version
+ * is a table of its own, which takes over the items that are the same.
+ */
 final class RoutingTable {
 
-    private final ProposalNumber stamp;
-    private final Configuration manifest;
-    /** By host, then by prefix. */
+    private final ProposalNumber version;
+    private final Configuration configuration;
+    /** By host, then by path prefix. */
     private final Map<String, Map<String, RouteConfiguration>> routes = new HashMap<>();
 
-    private final Map<String, TenantConfiguration> keys = new HashMap<>();
+    private final Map<String, TenantConfiguration> tenantsByKey = new HashMap<>();
     private final Map<String, ServiceConfiguration> services = new HashMap<>();
-    private final Map<Item, Object> terms = new IdentityHashMap<>();
+    private final Map<Item, Object> parsedItems = new IdentityHashMap<>();
     private final ClientLimits limits;
-    private final boolean keyed;
-
-    /** What is the same item as before is not read again. */
-    private RoutingTable(ProposalNumber stamp, Configuration manifest, Map<Item, Object> read) {
-        this.stamp = stamp;
-        this.manifest = manifest;
-        ClientLimits its = ClientLimits.USUAL;
-        for (Item item : manifest.items()) {
-            if (!item.withdrawn()) {
-                Object before = read.get(item);
-                Object one = before == null ? terms(item) : before;
-                terms.put(item, one);
-                if (one instanceof ClientLimits told) {
-                    its = told;
-                } else {
-                    add(one);
-                }
+    private final boolean requiresKeys;
+
+    /** @param parsedBefore items that need not be parsed again, by identity */
+    private RoutingTable(ProposalNumber version, Configuration configuration, Map<Item, Object> parsedBefore) {
+        this.version = version;
+        this.configuration = configuration;
+        ClientLimits configuredLimits = ClientLimits.USUAL;
+        boolean hasTenants = false;
+        for (Item item : configuration.items()) {
+            if (item.withdrawn()) {
+                continue;
+            }
+            Object before = parsedBefore.get(item);
+            Object parsed = before == null ? parse(item) : before;
+            parsedItems.put(item, parsed);
+            hasTenants |= item.key().table() == ItemType.TENANTS;
+            if (parsed instanceof ClientLimits itemLimits) {
+                configuredLimits = itemLimits;
+            } else {
+                index(parsed);
             }
         }
-        limits = its;
-        keyed = terms.keySet().stream().anyMatch(item -> item.key().table() == ItemType.TENANTS);
+        limits = configuredLimits;
+        requiresKeys = hasTenants;
     }
 
-    private static Object terms(Item item) {
+    /** The item's typed form, or what says why it has none. */
+    private static Object parse(Item item) {
         return (switch (item.key().table()) {
                     case ROUTES -> RouteConfiguration.of(item);
                     case TENANTS -> TenantConfiguration.of(item);
                     case SERVICES -> ServiceConfiguration.of(item);
                     case LIMITS -> ClientLimits.of(item);
                 })
-                .fold(refusal -> refusal, its -> its);
+                .fold(rejection -> rejection, parsed -> parsed);
     }
 
-    private void add(Object one) {
-        if (one instanceof RouteConfiguration route) {
-            routes.computeIfAbsent(route.host(), h -> new HashMap<>()).put(route.prefix(), route);
-        } else if (one instanceof TenantConfiguration tenant) {
-            tenant.keys().forEach(key -> keys.put(key, tenant));
-        } else if (one instanceof ServiceConfiguration service) {
+    private void index(Object parsed) {
+        if (parsed instanceof RouteConfiguration route) {
+            routes.computeIfAbsent(route.host(), host -> new HashMap<>()).put(route.prefix(), route);
+        } else if (parsed instanceof TenantConfiguration tenant) {
+            tenant.keys().forEach(key -> tenantsByKey.put(key, tenant));
+        } else if (parsed instanceof ServiceConfiguration service) {
             services.put(service.name(), service);
         }
     }
 
-    /** Those of a later state. */
-    RoutingTable next(ProposalNumber its, Configuration items) {
-        return new RoutingTable(its, items, terms);
+    /** The table of a later version. */
+    RoutingTable next(ProposalNumber nextVersion, Configuration nextConfiguration) {
+        return new RoutingTable(nextVersion, nextConfiguration, parsedItems);
     }
 
-    static RoutingTable none() {
+    /** The table before any configuration is known. */
+    static RoutingTable empty() {
         return new RoutingTable(ProposalNumber.ZERO, Configuration.EMPTY, Map.of());
     }
 
-    ProposalNumber stamp() {
-        return stamp;
+    ProposalNumber version() {
+        return version;
+    }
+
+    Configuration configuration() {
+        return configuration;
     }
 
-    Configuration manifest() {
-        return manifest;
+    boolean isEmpty() {
+        return configuration.items().isEmpty();
     }
 
-    /** The route with the longest prefix that begins the path; null for none. */
+    /** The route with the longest prefix of the path; null for none. */
     RouteConfiguration route(String host, String path) {
-        Map<String, RouteConfiguration> its = routes.get(host);
-        if (its == null) {
+        Map<String, RouteConfiguration> byPrefix = routes.get(host);
+        if (byPrefix == null) {
             return null;
         }
         for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
-            RouteConfiguration route = its.get(path.substring(0, slash + 1));
+            RouteConfiguration route = byPrefix.get(path.substring(0, slash + 1));
             if (route != null) {
                 return route;
             }
@@ -99,18 +111,20 @@
         return null;
     }
 
-    /** Whether requests need a key at all. */
-    boolean keyed() {
-        return keyed;
+    /** Whether requests need an API key at all: they do once there are tenants. */
+    boolean requiresKeys() {
+        return requiresKeys;
     }
 
-    TenantConfiguration tenant(String key) {
-        return key == null ? null : keys.get(key);
+    /** The tenant of an API key; null for none. */
+    TenantConfiguration tenantByKey(String key) {
+        return key == null ? null : tenantsByKey.get(key);
     }
 
-    int connections(String service) {
-        ServiceConfiguration terms = services.get(service);
-        return terms == null ? 0 : terms.maxConnections();
+    /** Connections to one instance of the service at most; 0 where that isn't configured. */
+    int maxConnections(String service) {
+        ServiceConfiguration configured = services.get(service);
+        return configured == null ? 0 : configured.maxConnections();
     }
 
     ClientLimits limits() {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -17,17 +17,13 @@
 import org.cypressweir.dataplane.http.upstream.RejectionReason;
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
 import org.cypressweir.dataplane.http.upstream.RequestState;
-import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
+import org.cypressweir.loadbalancing.LoadBalancer;
 import org.cypressweir.loadbalancing.LoadBalancer.Actions;
-import org.cypressweir.loadbalancing.LoadBalancer.Effect;
-import org.cypressweir.loadbalancing.LoadBalancer.Group;
 import org.cypressweir.loadbalancing.LoadBalancer.Limits;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
-import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
 import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
-import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
@@ -38,377 +34,384 @@
 import org.jboss.logging.Logger;
 
 /**
- * The way of requests to one service: the design's module decides, this carries out. Every answer of the
- * mesh's own to a request that was taken is given here, from the account of its attempts.
+ * Handles the requests to one service. The load balancer decides on admission, endpoints, retries and hedged
+ * requests; this carries its decisions out and sends each client its one response. What response is still
+ * true after a request's attempts, its {@link RequestState} knows.
+ *
+ * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class ServiceRequestHandler implements Actions {
 
     private static final Logger LOG = Logger.getLogger(ServiceRequestHandler.class);
-    private static final int TENANTS = 256;
-    private static final long COLD = 4_000_000;
-    private static final long TICK = 1_000;
-    private static final long MOST_ADVICE = 500_000;
-    /** Part of the aim for which a request waits for room at a server at most. */
-    private static final double PATIENCE = 0.23;
-    /** After this part of the aim a copy of what may be repeated goes to another server. */
-    private static final double COPY_AFTER = 0.8;
-
-    /** What all classes of one kind have in common. */
-    private record Kind(boolean repeatable, long aim, long deadline, int rank, boolean inner) {}
+    private static final int TENANT_BUCKETS = 256;
+    private static final long SLOW_START_MICROS = 4_000_000;
+    private static final long TIMER_RESOLUTION_MICROS = 1_000;
+    private static final long MAX_RETRY_AFTER_MICROS = 500_000;
+    private static final long NO_ENDPOINTS_RETRY_AFTER_MICROS = 200_000;
+    private static final long FAILED_RETRY_AFTER_MICROS = 100_000;
+    private static final long MIN_ADMISSION_WAIT_MICROS = 1_000;
+    /** Part of the latency target for which a request waits for capacity at most. */
+    private static final double ADMISSION_WAIT_PART = 0.23;
+    /** The part of its time before the latency target after which a rejected request should be retried. */
+    private static final long REJECTION_RETRY_DIVISOR = 4;
+    /** Part of the latency target after which an idempotent request is hedged. */
+    private static final double HEDGE_AFTER_PART = 0.8;
+
+    private static final String INSTANCE_HEADER = "Cypressweir-Target-Instance";
 
     private final String service;
     private final EventLoop loop;
-    private final LongSupplier micros;
-    private final AttemptTransport carrier;
-    private final SubsetLoadBalancer choice;
+    private final LongSupplier clock;
+    private final AttemptTransport transport;
+    private final SubsetLoadBalancer loadBalancer;
+    private final RequestClassTable classes = new RequestClassTable();
     private Settings settings;
-    private final Map<Kind, Integer> kinds = new HashMap<>();
-    private final Map<String, ProxiedRequest> open = new HashMap<>();
-    private final Map<Long, Endpoint> targets = new HashMap<>();
-    private final Map<String, Long> started = new HashMap<>();
-    private final Map<ErrorKind, Long> counts = new EnumMap<>(ErrorKind.class);
-    private boolean hasServers;
-
-    /** @param budget how many further attempts may go to the service's servers */
+    private final Map<String, ProxiedRequest> inFlight = new HashMap<>();
+    private final Map<Long, Endpoint> endpoints = new HashMap<>();
+    private final Map<String, Long> startTimes = new HashMap<>();
+    private final Map<ErrorKind, Long> localResponseCounts = new EnumMap<>(ErrorKind.class);
+    private boolean hasEndpoints;
+
+    /** @param retryBudget see {@link #retryBudget} */
     ServiceRequestHandler(
             String service,
             EventLoop loop,
-            LongSupplier micros,
-            AttemptTransport carrier,
-            String name,
+            LongSupplier clock,
+            AttemptTransport transport,
+            String proxyName,
             int zone,
             List<String> zones,
-            Rules budget) {
+            Rules retryBudget) {
         this.service = service;
         this.loop = loop;
-        this.micros = micros;
-        this.carrier = carrier;
-        RequestClass first =
-                new RequestClass("first", Effect.UNSAFE, Group.ALL, 0, 500_000, 0, 2_000_000, 1, 0.2, false);
-        List<RequestClass> classes = new ArrayList<>(List.of(first));
+        this.clock = clock;
+        this.transport = transport;
         settings = new Settings(
-                Ids.of(name + service),
-                (int) (Ids.of(name) & 0xffff),
+                Ids.of(proxyName + service),
+                (int) (Ids.of(proxyName) & 0xffff),
                 1,
                 zone,
                 zones,
-                classes,
-                Collections.nCopies(TENANTS, new Tenant("", 0)),
+                classes.classes(),
+                Collections.nCopies(TENANT_BUCKETS, new Tenant("", 0)),
                 1,
                 1,
-                new Limits(4, true, false, true, MOST_ADVICE, Long.MAX_VALUE / 4, 4_000, 2_000, true, 1_000),
-                budget,
+                new Limits(4, true, false, true, MAX_RETRY_AFTER_MICROS, Long.MAX_VALUE / 4, 4_000, 2_000, true, 1_000),
+                retryBudget,
                 ReportSource.ANSWERS,
                 false,
                 false,
-                TICK);
-        choice = new SubsetLoadBalancer(settings, this);
+                TIMER_RESOLUTION_MICROS);
+        loadBalancer = new SubsetLoadBalancer(settings, this);
     }
 
-    static Rules budget(long window, double floor, double perRequest) {
-        return new Rules(0.5, COLD, 1_000_000, 1_000_000, floor, perRequest, window);
+    /**
+     * How many retries may be sent to the service's instances.
+     *
+     * @param windowMicros over which requests and retries are counted
+     * @param minimum retries in a window that are allowed however few requests there are
+     * @param perRequest further retries for each request
+     */
+    static Rules retryBudget(long windowMicros, double minimum, double perRequest) {
+        return new Rules(0.5, SLOW_START_MICROS, 1_000_000, 1_000_000, minimum, perRequest, windowMicros);
     }
 
-    /** What may be sent to from now on. */
-    void servers(List<Endpoint> list, List<String> zones, Map<String, Long> warmAt) {
-        long now = micros.getAsLong();
-        targets.clear();
-        List<Server> lines = new ArrayList<>();
-        for (Endpoint target : list) {
-            targets.put(target.number(), target);
-            long warm = warmAt.getOrDefault(target.instance(), 0L);
-            long start = started.computeIfAbsent(target.instance(), i -> warm > now ? warm - COLD : 0);
-            lines.add(new Server(
-                    target.number(),
-                    zones.indexOf(target.zone()),
-                    0,
-                    0,
-                    org.cypressweir.loadbalancing.LoadBalancer.Phase.READY,
-                    start,
-                    1));
+    /**
+     * Replaces the endpoint list.
+     *
+     * @param warmAt by instance, when its slow start ends; 0 or absent where that is long past
+     */
+    void updateEndpoints(List<Endpoint> list, List<String> zones, Map<String, Long> warmAt) {
+        long now = clock.getAsLong();
+        endpoints.clear();
+        List<Server> servers = new ArrayList<>();
+        for (Endpoint endpoint : list) {
+            endpoints.put(endpoint.id(), endpoint);
+            long warm = warmAt.getOrDefault(endpoint.instanceId(), 0L);
+            long startedAt =
+                    startTimes.computeIfAbsent(endpoint.instanceId(), id -> warm > now ? warm - SLOW_START_MICROS : 0);
+            servers.add(new Server(
+                    endpoint.id(), zones.indexOf(endpoint.zone()), 0, 0, LoadBalancer.Phase.READY, startedAt, 1));
         }
-        started.keySet().retainAll(list.stream().map(Endpoint::instance).toList());
-        hasServers = !list.isEmpty();
-        choice.servers(now, ListKind.COMPLETE, lines);
+        startTimes.keySet().retainAll(list.stream().map(Endpoint::instanceId).toList());
+        hasEndpoints = !list.isEmpty();
+        loadBalancer.servers(now, ListKind.COMPLETE, servers);
     }
 
-    boolean hasServers() {
-        return hasServers;
+    boolean hasEndpoints() {
+        return hasEndpoints;
     }
 
-    int open() {
-        return open.size();
+    /** How many requests are in flight, those included whose last attempts nobody waits for. */
+    int inFlightCount() {
+        return inFlight.size();
     }
 
-    /** Tells of requests with that id which are still in hand. */
-    void tell(String id, RequestTrace to) {
-        open.values().stream().filter(p -> p.id.equals(id)).forEach(p -> p.tell(service, to));
+    /** Records the requests in flight that have this id. */
+    void recordInFlight(String id, RequestTrace target) {
+        for (ProxiedRequest request : inFlight.values()) {
+            if (request.id.equals(id)) {
+                request.recordTo(target, service);
+            }
+        }
     }
 
-    /** Refusals and failures of the mesh's own here, by kind. */
-    Map<ErrorKind, Long> counts() {
-        return counts;
+    /** The proxy's own error responses since the start, by kind. */
+    Map<ErrorKind, Long> localResponseCounts() {
+        return localResponseCounts;
     }
 
-    private ServerResponse own(ProxiedRequest p, ErrorKind fault, long againMicros) {
-        p.fault = fault;
-        counts.merge(fault, 1L, Long::sum);
-        return LocalResponses.of(fault, againMicros);
+    private ServerResponse localResponse(ProxiedRequest request, ErrorKind error, long retryAfterMicros) {
+        request.error = error;
+        localResponseCounts.merge(error, 1L, Long::sum);
+        return LocalResponses.of(error, retryAfterMicros);
     }
 
-    /** Takes a request; from now on it gets its answer here. */
-    void take(ProxiedRequest passage) {
-        long now = micros.getAsLong();
-        open.put(passage.number, passage);
-        passage.call.whenGone(() -> left(passage));
-        if (!hasServers) {
-            passage.answer(own(passage, ErrorKind.NOT_READY, 200_000));
-            forget(passage);
+    // ---- Admission
+
+    /** Takes a request over: from now on its client gets the response from here. */
+    void handle(ProxiedRequest request) {
+        long now = clock.getAsLong();
+        inFlight.put(request.number, request);
+        request.call.whenGone(() -> clientDisconnected(request));
+        if (!hasEndpoints) {
+            request.respond(localResponse(request, ErrorKind.NOT_READY, NO_ENDPOINTS_RETRY_AFTER_MICROS));
+            removeIfEnded(request);
             return;
         }
-        passage.atDeadline = loop.schedule(() -> deadline(passage), passage.deadline - now, TimeUnit.MICROSECONDS);
-        long aim = passage.aimAt - passage.arrivedAt;
-        Terms terms = new Terms(
-                Math.max(1, passage.route.maxAttempts()),
-                0,
-                Terms.NONE.retryOn(),
-                passage.route.repeatable() && !passage.inner ? 1 : 0,
-                (long) (COPY_AFTER * aim),
-                List.of(),
-                false);
-        int tenant = passage.tenant == null ? 0 : (int) (Ids.of(passage.tenant) % TENANTS);
-        choice.request(
+        request.deadlineTimer =
+                loop.schedule(() -> deadlinePassed(request), request.deadline - now, TimeUnit.MICROSECONDS);
+        loadBalancer.request(
                 now,
                 new Request(
-                        passage.number,
-                        kind(passage),
-                        tenant,
+                        request.number,
+                        classOf(request),
+                        tenantBucket(request),
                         false,
                         -1,
-                        passage.deadline,
+                        request.deadline,
                         0,
-                        !passage.route.repeatable(),
-                        terms));
-        beImpatient(passage);
+                        !request.route.repeatable(),
+                        attemptTerms(request)));
+        scheduleAdmissionTimeout(request);
     }
 
-    private int kind(ProxiedRequest p) {
-        Kind kind = new Kind(p.route.repeatable(), p.route.aimMicros(), p.route.timeoutMicros(), p.rank, p.inner);
-        return kinds.computeIfAbsent(kind, k -> {
-            List<RequestClass> classes = new ArrayList<>(settings.classes());
-            classes.add(new RequestClass(
-                    "k" + classes.size(),
-                    k.repeatable ? Effect.SAFE : Effect.UNSAFE,
-                    Group.ALL,
-                    0,
-                    k.aim,
-                    0,
-                    k.deadline,
-                    k.inner ? 8 : 4.0 / (1 + Math.max(0, k.rank)),
-                    0.2,
-                    false));
-            settings = settings.with(classes);
-            choice.retune(micros.getAsLong(), settings);
-            return classes.size() - 1;
-        });
+    private static Terms attemptTerms(ProxiedRequest request) {
+        int hedgedRequests = request.route.repeatable() && !request.internal ? 1 : 0;
+        return new Terms(
+                Math.max(1, request.route.maxAttempts()),
+                0,
+                Terms.NONE.retryOn(),
+                hedgedRequests,
+                (long) (HEDGE_AFTER_PART * request.latencyTargetMicros()),
+                List.of(),
+                false);
+    }
+
+    private static int tenantBucket(ProxiedRequest request) {
+        return request.tenant == null ? 0 : (int) (Ids.of(request.tenant) % TENANT_BUCKETS);
     }
 
-    /** A request that no server has room for is refused early, so that its client may come back in time. */
-    private void beImpatient(ProxiedRequest p) {
-        if (p.account.isClosed() || p.account.isOut() || p.patience != null) {
+    private int classOf(ProxiedRequest request) {
+        int number = classes.numberOf(request);
+        if (number >= settings.classes().size()) {
+            settings = settings.with(classes.classes());
+            loadBalancer.retune(clock.getAsLong(), settings);
+        }
+        return number;
+    }
+
+    /** A request that no instance has capacity for is rejected early, so that its client may retry in time. */
+    private void scheduleAdmissionTimeout(ProxiedRequest request) {
+        if (request.state.isClosed() || request.state.isOut() || request.admissionTimer != null) {
             return;
         }
-        long until = p.arrivedAt + (long) (PATIENCE * (p.aimAt - p.arrivedAt));
-        p.patience = loop.schedule(
-                () -> {
-                    p.patience = null;
-                    if (!p.account.isClosed() && !p.account.isOut()) {
-                        choice.clientLeft(micros.getAsLong(), p.number);
-                        refuse(p.number, (p.aimAt - p.arrivedAt) / 4);
-                    }
-                },
-                Math.max(1_000, until - micros.getAsLong()),
-                TimeUnit.MICROSECONDS);
+        long rejectAt = request.arrivedAt + (long) (ADMISSION_WAIT_PART * request.latencyTargetMicros());
+        long delay = Math.max(MIN_ADMISSION_WAIT_MICROS, rejectAt - clock.getAsLong());
+        request.admissionTimer = loop.schedule(() -> admissionTimedOut(request), delay, TimeUnit.MICROSECONDS);
     }
 
-    private void left(ProxiedRequest p) {
-        if (!p.account.isClosed()) {
-            p.left();
-            choice.clientLeft(micros.getAsLong(), p.number);
-            forget(p);
+    private void admissionTimedOut(ProxiedRequest request) {
+        request.admissionTimer = null;
+        if (!request.state.isClosed() && !request.state.isOut()) {
+            loadBalancer.clientLeft(clock.getAsLong(), request.number);
+            refuse(request.number, request.latencyTargetMicros() / REJECTION_RETRY_DIVISOR);
         }
     }
 
-    /** A passage is kept until the last of its attempts has ended. */
-    private void forget(ProxiedRequest p) {
-        if (p.account.isClosed() && !p.account.isOut() && open.remove(p.number) != null) {
-            p.ended(service);
+    // ---- The end of a request
+
+    private void clientDisconnected(ProxiedRequest request) {
+        if (!request.state.isClosed()) {
+            request.clientDisconnected();
+            loadBalancer.clientLeft(clock.getAsLong(), request.number);
+            removeIfEnded(request);
+        }
+    }
+
+    /** A request stays in flight until the last of its attempts has ended. */
+    private void removeIfEnded(ProxiedRequest request) {
+        if (request.state.isClosed() && !request.state.isOut() && inFlight.remove(request.number) != null) {
+            request.recordEnd(service);
         }
     }
 
-    private void deadline(ProxiedRequest p) {
-        long now = micros.getAsLong();
-        for (int i = 0; i < p.tries.size() && !p.account.isClosed(); i++) {
-            ProxiedRequest.Try one = p.tries.get(i);
-            if (p.account.isOpen(i) && !one.over) {
-                one.over = true;
-                choice.outcome(
+    private void deadlinePassed(ProxiedRequest request) {
+        long now = clock.getAsLong();
+        for (int i = 0; i < request.attempts.size() && !request.state.isClosed(); i++) {
+            ProxiedRequest.Attempt attempt = request.attempts.get(i);
+            if (request.state.isOpen(i) && !attempt.timedOut) {
+                attempt.timedOut = true;
+                long latency = now - attempt.sentAt;
+                loadBalancer.outcome(
                         now,
-                        new org.cypressweir.loadbalancing.LoadBalancer.Outcome(
-                                p.number, i, one.target.number(), Result.TIMED_OUT, now - one.sentAt, false, null));
-                if (one.ride != null) {
-                    one.ride.cancel();
+                        new LoadBalancer.Outcome(
+                                request.number, i, attempt.endpoint.id(), Result.TIMED_OUT, latency, false, null));
+                if (attempt.handle != null) {
+                    attempt.handle.cancel();
                 }
             }
         }
-        if (!p.account.isClosed()) {
-            choice.clientLeft(now, p.number);
-            fail(p.number);
+        if (!request.state.isClosed()) {
+            loadBalancer.clientLeft(now, request.number);
+            fail(request.number);
         }
     }
 
-    // ---- What the module asks for
+    /** Responds now: no further attempt is made, and none that is in flight is waited for. */
+    private void finish(ProxiedRequest request, long retryAfterMicros) {
+        boolean isLate = clock.getAsLong() >= request.deadline - TIMER_RESOLUTION_MICROS;
+        respond(request, request.state.last(isLate), null, retryAfterMicros);
+        removeIfEnded(request);
+    }
 
-    @Override
-    public void send(String number, long server, long timeoutMicros) {
-        ProxiedRequest p = open.get(number);
-        Endpoint target = targets.get(server);
-        if (p == null) {
-            return;
-        }
-        int index = p.account.begin();
-        ProxiedRequest.Try one = new ProxiedRequest.Try(target, micros.getAsLong());
-        p.tries.add(one);
-        if (target == null || !p.account.goes(index)) {
-            loop.execute(() -> replied(
-                    p, index, one, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null)));
-            return;
+    /** Sends the client, or keeps for it, what the request's state says. */
+    private void respond(ProxiedRequest request, RequestState.Due due, RequestOutcome outcome, long retryAfterMicros) {
+        switch (due) {
+            case NOTHING -> {}
+            case THIS_ANSWER -> request.respond(applicationResponse(outcome));
+            case KEEP -> request.fallbackResponse = applicationResponse(outcome);
+            case KEPT_ANSWER -> request.respond(request.fallbackResponse);
+            case REFUSAL -> request.respond(localResponse(request, ErrorKind.NO_ROOM, retryAfterMicros));
+            case BROKEN -> request.respond(localResponse(request, ErrorKind.BROKEN, 0));
+            case TIMED_OUT -> request.respond(localResponse(request, ErrorKind.TIMED_OUT, 0));
         }
-        List<Map.Entry<String, String>> headers = new ArrayList<>(p.headers);
-        headers.add(Map.entry("Cypressweir-Target-Instance", target.instance()));
-        UpstreamRequest freight = new UpstreamRequest(
-                p.id,
-                p.call.method(),
-                p.call.uri(),
+    }
+
+    private static ServerResponse applicationResponse(RequestOutcome outcome) {
+        RequestOutcome.Answered answered = (RequestOutcome.Answered) outcome;
+        return new ServerResponse(answered.status(), Headers.endToEnd(answered.headers()), answered.body());
+    }
+
+    // ---- Attempts
+
+    private UpstreamRequest upstreamRequest(ProxiedRequest request, Endpoint endpoint) {
+        List<Map.Entry<String, String>> headers = new ArrayList<>(request.headers);
+        headers.add(Map.entry(INSTANCE_HEADER, endpoint.instanceId()));
+        return new UpstreamRequest(
+                request.id,
+                request.call.method(),
+                request.call.uri(),
                 headers,
-                p.call.body(),
-                p.route.repeatable(),
-                p.rank,
-                p.inner,
-                p.aimAt,
-                p.deadline,
-                target.instance());
-        boolean[] within = {true};
-        one.ride = carrier.send(target, freight, reply -> {
-            if (within[0]) {
-                loop.execute(() -> replied(p, index, one, reply));
-            } else {
-                replied(p, index, one, reply);
-            }
-        });
-        within[0] = false;
+                request.call.body(),
+                request.route.repeatable(),
+                request.priority,
+                request.internal,
+                request.latencyTargetAt,
+                request.deadline,
+                endpoint.instanceId());
     }
 
-    private void replied(ProxiedRequest p, int index, ProxiedRequest.Try one, AttemptResult reply) {
-        if (!p.account.isOpen(index)) {
+    private void attemptEnded(
+            ProxiedRequest request, int index, ProxiedRequest.Attempt attempt, AttemptResult attemptResult) {
+        if (!request.state.isOpen(index)) {
             return;
         }
-        long now = micros.getAsLong();
-        one.outcome = reply.outcome();
-        one.endedAt = now;
-        Result result = result(reply.outcome());
-        boolean served = result == Result.SERVED;
-        RequestState.Due due = p.account.ended(index, reply.outcome());
+        long now = clock.getAsLong();
+        RequestOutcome outcome = attemptResult.outcome();
+        attempt.outcome = outcome;
+        attempt.endedAt = now;
+        RequestState.Due due = request.state.ended(index, outcome);
         if (due != RequestState.Due.NOTHING) {
-            give(p, due, reply.outcome(), 0);
+            respond(request, due, outcome, 0);
         }
-        if (!one.over) {
-            long number = one.target == null ? 0 : one.target.number();
-            choice.outcome(
-                    now,
-                    new org.cypressweir.loadbalancing.LoadBalancer.Outcome(
-                            p.number, index, number, result, now - one.sentAt, served, report(reply.load())));
+        if (!attempt.timedOut) {
+            reportOutcome(now, request, index, attempt, attemptResult);
         }
-        if (!p.account.isClosed()) {
-            beImpatient(p);
+        if (!request.state.isClosed()) {
+            scheduleAdmissionTimeout(request);
         }
-        forget(p);
+        removeIfEnded(request);
     }
 
-    /** Does for the client what its account says. */
-    private void give(ProxiedRequest p, RequestState.Due due, RequestOutcome outcome, long againMicros) {
-        switch (due) {
-            case NOTHING -> {}
-            case THIS_ANSWER -> p.answer(answer(outcome));
-            case KEEP -> p.kept = answer(outcome);
-            case KEPT_ANSWER -> p.answer(p.kept);
-            case REFUSAL -> p.answer(own(p, ErrorKind.NO_ROOM, againMicros));
-            case BROKEN -> p.answer(own(p, ErrorKind.BROKEN, 0));
-            case TIMED_OUT -> p.answer(own(p, ErrorKind.TIMED_OUT, 0));
-        }
+    private void reportOutcome(
+            long now, ProxiedRequest request, int index, ProxiedRequest.Attempt attempt, AttemptResult attemptResult) {
+        Result result = AttemptReports.result(attemptResult.outcome());
+        long endpointId = attempt.endpoint == null ? 0 : attempt.endpoint.id();
+        loadBalancer.outcome(
+                now,
+                new LoadBalancer.Outcome(
+                        request.number,
+                        index,
+                        endpointId,
+                        result,
+                        now - attempt.sentAt,
+                        result == Result.SERVED,
+                        AttemptReports.loadReport(attemptResult.load())));
     }
 
-    private static ServerResponse answer(RequestOutcome outcome) {
-        RequestOutcome.Answered its = (RequestOutcome.Answered) outcome;
-        return new ServerResponse(its.status(), Headers.endToEnd(its.headers()), its.body());
-    }
+    // ---- What the load balancer asks for
 
-    private static Result result(RequestOutcome outcome) {
-        if (outcome instanceof RequestOutcome.Answered a) {
-            return a.status() < 500 ? Result.SERVED : Result.ERROR;
-        } else if (outcome instanceof RequestOutcome.NotRun n) {
-            return switch (n.reason()) {
-                    // The pilot beside the server orders what waits there: its refusal is for this request only.
-                case FULL, LATE, CANCELLED, REFUSED -> Result.NOT_SENT;
-                case GONE, MISDIRECTED, NO_CONNECTION -> Result.NO_CONNECTION;
-            };
+    @Override
+    public void send(String number, long endpointId, long timeoutMicros) {
+        ProxiedRequest request = inFlight.get(number);
+        Endpoint endpoint = endpoints.get(endpointId);
+        if (request == null) {
+            return;
         }
-        return Result.BROKEN;
-    }
-
-    /**
-     * Servers answer as fast up to their slots, and what waits is ordered beside them: the module's own
-     * limits must not hold back here what would go first there, so a server is never told to be more than
-     * half used.
-     */
-    private static LoadReport report(UpstreamLoad load) {
-        if (load == null || load.slots() <= 0) {
-            return null;
+        int index = request.state.begin();
+        ProxiedRequest.Attempt attempt = new ProxiedRequest.Attempt(endpoint, clock.getAsLong());
+        request.attempts.add(attempt);
+        if (endpoint == null || !request.state.goes(index)) {
+            AttemptResult gone = new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null);
+            loop.execute(() -> attemptEnded(request, index, attempt, gone));
+            return;
         }
-        double use = 0.3 * Math.min(1, load.running() / (double) load.slots())
-                + Math.min(0.19, 0.1 * load.waiting() / load.slots());
-        return new LoadReport(Double.NaN, load.waiting(), use, Double.NaN, Double.NaN, Double.NaN);
+        // The load balancer must not be called again before this call of its own has returned.
+        boolean[] isSending = {true};
+        attempt.handle = transport.send(endpoint, upstreamRequest(request, endpoint), result -> {
+            if (isSending[0]) {
+                loop.execute(() -> attemptEnded(request, index, attempt, result));
+            } else {
+                attemptEnded(request, index, attempt, result);
+            }
+        });
+        isSending[0] = false;
     }
 
     @Override
     public void refuse(String number, long retryAfterMicros) {
-        ProxiedRequest p = open.get(number);
-        if (p != null) {
-            end(p, retryAfterMicros);
+        ProxiedRequest request = inFlight.get(number);
+        if (request != null) {
+            finish(request, retryAfterMicros);
         }
     }
 
     @Override
     public void fail(String number) {
-        ProxiedRequest p = open.get(number);
-        if (p != null) {
-            end(p, 100_000);
+        ProxiedRequest request = inFlight.get(number);
+        if (request != null) {
+            finish(request, FAILED_RETRY_AFTER_MICROS);
         }
     }
 
-    /** No further attempt is made, and none that is out is waited for. */
-    private void end(ProxiedRequest p, long againMicros) {
-        give(p, p.account.last(micros.getAsLong() >= p.deadline - TICK), null, againMicros);
-        forget(p);
-    }
-
     @Override
-    public void cancel(String number, int attempt) {
-        ProxiedRequest p = open.get(number);
-        if (p != null && attempt < p.tries.size()) {
-            ProxiedRequest.Try one = p.tries.get(attempt);
-            if (p.account.isOpen(attempt) && one.ride != null) {
-                one.ride.cancel();
+    public void cancel(String number, int index) {
+        ProxiedRequest request = inFlight.get(number);
+        if (request != null && index < request.attempts.size()) {
+            ProxiedRequest.Attempt attempt = request.attempts.get(index);
+            if (request.state.isOpen(index) && attempt.handle != null) {
+                attempt.handle.cancel();
             }
         }
     }
@@ -416,22 +419,22 @@
     @Override
     public void timer(long atMicros, long token) {
         loop.schedule(
-                () -> choice.timer(micros.getAsLong(), token),
-                Math.max(0, atMicros - micros.getAsLong()),
+                () -> loadBalancer.timer(clock.getAsLong(), token),
+                Math.max(0, atMicros - clock.getAsLong()),
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(long server) {}
+    public void probe(long endpointId) {}
 
     @Override
-    public void closeIdle(long server) {}
+    public void closeIdle(long endpointId) {}
 
     @Override
     public void subscribe() {}
 
     @Override
-    public void log(String line) {
-        LOG.debug(service + ": " + line);
+    public void log(String message) {
+        LOG.debug("service=" + service + " " + message);
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
@@ -3,33 +3,38 @@
 import java.util.function.LongSupplier;
 import org.jboss.logging.Logger;
 
-/** Parcels that belong to another line, another life or a request that is over: counted, told, dropped. */
+/**
+ * Counts and logs messages that were dropped because they belong to another connection, another incarnation
+ * or a request that is complete. Logs one line a second at most. Used on the event loop alone.
+ */
 final class StaleMessageFilter {
 
     private static final Logger LOG = Logger.getLogger(StaleMessageFilter.class);
-    private static final long BETWEEN = 1_000_000;
+    private static final long LOG_INTERVAL_MICROS = 1_000_000;
 
-    private final LongSupplier micros;
+    private final LongSupplier clock;
     private long count;
-    private long untold;
-    private long tellAt = Long.MIN_VALUE;
+    private long countSinceLog;
+    private long nextLogAt = Long.MIN_VALUE;
 
-    StaleMessageFilter(LongSupplier micros) {
-        this.micros = micros;
+    StaleMessageFilter(LongSupplier clock) {
+        this.clock = clock;
     }
 
-    void dropped(String parcel, long number, String why) {
+    /** Counts a message that the caller drops. */
+    void dropped(String kind, long number, String reason) {
         count++;
-        untold++;
-        long now = micros.getAsLong();
-        if (now >= tellAt) {
-            LOG.warn("An old parcel is dropped: " + parcel + " " + number + " " + why + "; " + untold
-                    + " since the last such line.");
-            untold = 0;
-            tellAt = now + BETWEEN;
+        countSinceLog++;
+        long now = clock.getAsLong();
+        if (now >= nextLogAt) {
+            LOG.warn("Dropped stale message: kind=" + kind + " number=" + number + " reason=\"" + reason
+                    + "\" droppedSinceLastLog=" + countSinceLog);
+            countSinceLog = 0;
+            nextLogAt = now + LOG_INTERVAL_MICROS;
         }
     }
 
+    /** How many messages were dropped since the start. */
     long count() {
         return count;
     }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
@@ -15,30 +15,28 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
 import org.cypressweir.common.transport.SimulatedPeerConnection;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.registry.ProxyRegistration;
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
 import org.cypressweir.dataplane.http.upstream.SimulatedUpstream;
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * Drawn histories of the hop with made-up time, in which every parcel that was ever sent may come again: on
- * any line between the same two, in this life or a later one, and whole lines as new ones; answers on any.
- * Lines are doubled and break, at one end first; processes of both kinds begin anew. Each request is sent
- * once, so it runs once at most, and only the first coming of a parcel on its own line may tell its caller
- * anything.
+ * Random histories of forwarding in simulated time, in which every message that was ever sent may be replayed: on
+ * any connection between the same two processes, in this incarnation or a later one, and whole connections as
+ * new ones; responses on any connection. Connections are duplicated and break, at one end first; processes of
+ * both kinds restart. Each request is sent once, so that it runs once at most, and only the first delivery of a
+ * message on its own connection may complete it.
  */
 public final class MessageReplay {
 
     private static final String SEAL = "Cypressweir-Server-Seal";
-    private static final int EACH = 2;
-    private static final long LEFT = 2_000_000;
+    private static final int PROCESSES = 2;
+    private static final long TIMEOUT_MICROS = 2_000_000;
 
-    /** A parcel as it was sent, and where. */
-    private record Parcel(Link link, boolean out, byte[] bytes) {}
+    /** A message as it was sent, and where. */
+    private record Message(Link link, boolean isRequest, byte[] bytes) {}
 
     private record Task(long at, long number, Runnable work) {}
 
@@ -46,8 +44,8 @@
         private final String id;
         private final Link link;
         private int runs;
-        private RequestOutcome told;
-        /** Whether the call that sends it has returned: what is told within it was not sent. */
+        private RequestOutcome outcome;
+        /** Whether the call that sends it has returned: an outcome within that call was not received. */
         private boolean sent;
 
         private Caller(String id, Link link) {
@@ -56,44 +54,47 @@
         }
     }
 
-    /** A first pilot; it knows of each of the others which life it has now, or had. */
+    /** A proxy that forwards requests; it knows an incarnation of each of the others, current or old. */
     private final class Sender {
         private final String name;
-        private PeerForwarder hops;
+        private PeerForwarder forwarder;
         private final Map<String, Link> newest = new HashMap<>();
-        private final long[] lives = new long[EACH];
+        private final long[] knownIncarnations = new long[PROCESSES];
 
         private Sender(String name) {
             this.name = name;
         }
 
-        private void begin() {
+        private void start() {
             links.stream().filter(l -> l.sender == this).forEach(l -> l.near.close());
             newest.clear();
-            hops = new PeerForwarder(
+            forwarder = new PeerForwarder(
                     () -> now,
                     "own",
-                    ++life * 1_000,
+                    ++lastIncarnation * 1_000,
                     null,
-                    to -> newest.containsKey(to) && newest.get(to).nearLine.isOpen() ? newest.get(to).nearLine : null);
+                    to -> newest.containsKey(to)
+                                    && newest.get(to).nearConnection.isOpen()
+                            ? newest.get(to).nearConnection
+                            : null);
         }
     }
 
-    /** A pilot beside a server. */
+    /** A proxy beside an application instance. */
     private final class Receiver {
         private final String address;
-        private long its;
-        private PeerRequestReceiver landing;
+        private long incarnation;
+        private PeerRequestReceiver requestReceiver;
 
         private Receiver(String address) {
             this.address = address;
         }
 
-        private void begin() {
+        private void start() {
             links.stream().filter(l -> l.receiver == this).forEach(l -> l.far.close());
-            its = ++life;
-            SimulatedUpstream quay =
-                    new SimulatedUpstream(() -> now, MessageReplay.this::later, 4, new SimulatedUpstream.Server() {
+            incarnation = ++lastIncarnation;
+            SimulatedUpstream upstream =
+                    new SimulatedUpstream(() -> now, MessageReplay.this::schedule, 4, new SimulatedUpstream.Server() {
                         @Override
                         public boolean accepts() {
                             return random.nextInt(20) > 0;
@@ -104,90 +105,93 @@
                             serve(visit);
                         }
                     });
-            long own = its;
-            landing = new PeerRequestReceiver(
-                    () -> now, quay, () -> new ProxyRegistration(address, own, 1, address, "", "z", "s", false, null));
+            long own = incarnation;
+            requestReceiver = new PeerRequestReceiver(
+                    () -> now,
+                    upstream,
+                    () -> new ProxyRegistration(address, own, 1, address, "", "z", "s", false, null));
         }
     }
 
-    /** A line: both ends, and what is on its way. */
+    /** A connection: both ends, and the messages in transit. */
     private final class Link {
         private final Sender sender;
         private final Receiver receiver;
         private final EmbeddedChannel near = new EmbeddedChannel();
         private final EmbeddedChannel far = new EmbeddedChannel();
-        private final Deque<Parcel> out = new ArrayDeque<>();
-        private final Deque<Parcel> back = new ArrayDeque<>();
-        private final PeerConnection nearLine;
+        private final Deque<Message> requests = new ArrayDeque<>();
+        private final Deque<Message> responses = new ArrayDeque<>();
+        private final PeerConnection nearConnection;
 
-        /** @param replayed whether nobody is at its near end */
-        private Link(Sender sender, Receiver receiver, boolean replayed) {
+        /** @param isReplay whether nobody is at its near end */
+        private Link(Sender sender, Receiver receiver, boolean isReplay) {
             this.sender = sender;
             this.receiver = receiver;
-            PeerForwarder hops = sender.hops;
-            PeerRequestReceiver landing = receiver.landing;
+            PeerForwarder forwarder = sender.forwarder;
+            PeerRequestReceiver requestReceiver = receiver.requestReceiver;
             links.add(this);
-            SimulatedPeerConnection.on(far, () -> now, landing);
-            nearLine = replayed
+            SimulatedPeerConnection.on(far, () -> now, requestReceiver);
+            nearConnection = isReplay
                     ? null
                     : SimulatedPeerConnection.on(near, () -> now, new PeerConnection.Ear() {
                         @Override
-                        public void opened(PeerConnection line) {}
+                        public void opened(PeerConnection connection) {}
 
                         @Override
-                        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
-                            if (JsonCodec.text(head, "t").equals("end")) {
-                                hops.heard(line, head, body);
-                            } else {
-                                hops.greeted(line, Json.whole(JsonCodec.object(head, "berth"), "life", -1));
+                        public void heard(PeerConnection connection, Map<String, Object> head, byte[] body) {
+                            PeerMessage message = PeerMessageCodec.decode(head, body, now);
+                            if (message instanceof PeerMessage.ForwardedResponse response) {
+                                forwarder.responseReceived(connection, response);
+                            } else if (message instanceof PeerMessage.RegistrationUpdate update) {
+                                forwarder.incarnationReceived(
+                                        connection, update.registration().life());
                             }
                         }
 
                         @Override
-                        public void closed(PeerConnection line) {
-                            hops.lost(line);
+                        public void closed(PeerConnection connection) {
+                            forwarder.connectionLost(connection);
                         }
                     });
-            if (!replayed) {
-                nearLine.send(hops.hello(sender.name));
+            if (!isReplay) {
+                nearConnection.send(forwarder.hello(sender.name));
                 sender.newest.put(receiver.address, this);
             }
             flush();
         }
 
-        /** Takes up what both ends have sent. */
+        /** Collects what both ends have sent. */
         private void flush() {
             for (ByteBuf bytes; (bytes = near.readOutbound()) != null; bytes.release()) {
-                out.add(new Parcel(this, true, ByteBufUtil.getBytes(bytes)));
-                sent.add(out.getLast());
+                requests.add(new Message(this, true, ByteBufUtil.getBytes(bytes)));
+                sent.add(requests.getLast());
             }
             for (ByteBuf bytes; (bytes = far.readOutbound()) != null; bytes.release()) {
-                back.add(new Parcel(this, false, ByteBufUtil.getBytes(bytes)));
-                sent.add(back.getLast());
+                responses.add(new Message(this, false, ByteBufUtil.getBytes(bytes)));
+                sent.add(responses.getLast());
             }
         }
 
         /**
-         * What was sent between two other addresses comes on no connection of these, and nothing comes before
-         * it was there a first time; but an answer may be meant for another line, on which nothing has come
-         * yet.
+         * A message between two other processes is replayed on no connection of these two, and none is replayed
+         * before its delivery; but a response may be for another connection, on which it was not delivered yet.
          */
-        private boolean takesAgain(Parcel parcel) {
-            boolean came = read.contains(parcel);
-            return parcel.out
-                    ? came && sender == parcel.link.sender && receiver == parcel.link.receiver
-                    : came || this != parcel.link;
+        private boolean acceptsReplay(Message message) {
+            boolean wasDelivered = delivered.contains(message);
+            return message.isRequest
+                    ? wasDelivered && sender == message.link.sender && receiver == message.link.receiver
+                    : wasDelivered || this != message.link;
         }
 
-        private void comes(Parcel parcel, boolean first) {
-            EmbeddedChannel to = parcel.out ? far : near;
-            if (to.isActive() && (parcel.out || nearLine != null)) {
-                if (first) {
-                    read.add(parcel);
+        private void deliver(Message message, boolean isFirst) {
+            EmbeddedChannel to = message.isRequest ? far : near;
+            if (to.isActive() && (message.isRequest || nearConnection != null)) {
+                if (isFirst) {
+                    delivered.add(message);
                 }
-                coming = first ? this : null;
-                to.writeInbound(Unpooled.wrappedBuffer(parcel.bytes));
-                coming = null;
+                delivering = isFirst ? this : null;
+                to.writeInbound(Unpooled.wrappedBuffer(message.bytes));
+                delivering = null;
             }
             flush();
         }
@@ -197,37 +201,37 @@
     private final List<Sender> senders = new ArrayList<>();
     private final List<Receiver> receivers = new ArrayList<>();
     private final List<Link> links = new ArrayList<>();
-    private final List<Parcel> sent = new ArrayList<>();
-    /** What has come on its own line. */
-    private final Set<Parcel> read = new HashSet<>();
+    private final List<Message> sent = new ArrayList<>();
+    /** What has been delivered on its own connection. */
+    private final Set<Message> delivered = new HashSet<>();
 
     private final Map<String, Caller> callers = new HashMap<>();
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private long now = 1_000_000_000;
-    private long life = 1_000;
+    private long lastIncarnation = 1_000;
     private long numbers;
-    /** The line on which a parcel comes for the first time; null at all other times. */
-    private Link coming;
+    /** The connection on which a message is delivered for the first time; null at all other times. */
+    private Link delivering;
 
-    private String breach;
+    private String violation;
     private int answered;
 
     private MessageReplay(long seed) {
         random = new SplittableRandom(seed);
-        for (int i = 0; i < EACH; i++) {
+        for (int i = 0; i < PROCESSES; i++) {
             receivers.add(new Receiver("a" + i));
-            receivers.get(i).begin();
+            receivers.get(i).start();
             senders.add(new Sender("s" + i));
-            senders.get(i).begin();
+            senders.get(i).start();
         }
     }
 
-    private void broken(String rule, String what) {
-        breach = breach == null ? rule + ": " + what : breach;
+    private void violated(String rule, String what) {
+        violation = violation == null ? rule + ": " + what : violation;
     }
 
-    private void later(long micros, Runnable work) {
+    private void schedule(long micros, Runnable work) {
         tasks.add(new Task(now + micros, ++numbers, work));
     }
 
@@ -236,26 +240,27 @@
         int at = visit.head.indexOf(name) + name.length();
         Caller caller = callers.get(visit.head.substring(at, visit.head.indexOf("\r\n", at)));
         if (++caller.runs > 1) {
-            broken("TWICE", caller.id);
+            violated("TWICE", caller.id);
         }
-        if (caller.told instanceof RequestOutcome.NotRun) {
-            broken("REFUSED", caller.id + " runs and was told not to");
+        if (caller.outcome instanceof RequestOutcome.NotRun) {
+            violated("REFUSED", caller.id + " runs after it was rejected");
         }
         if (random.nextInt(20) > 0) {
-            later(random.nextInt(40_000), () -> visit.answers(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
+            schedule(
+                    random.nextInt(40_000), () -> visit.answers(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
         }
     }
 
     private void send() {
-        Sender sender = senders.get(random.nextInt(EACH));
-        int to = random.nextInt(EACH);
+        Sender sender = senders.get(random.nextInt(PROCESSES));
+        int to = random.nextInt(PROCESSES);
         Receiver receiver = receivers.get(to);
-        if (sender.lives[to] == 0 || random.nextInt(4) == 0) {
-            sender.lives[to] = receiver.its;
+        if (sender.knownIncarnations[to] == 0 || random.nextInt(4) == 0) {
+            sender.knownIncarnations[to] = receiver.incarnation;
         }
         Caller caller = new Caller("c" + ++numbers, sender.newest.get(receiver.address));
         callers.put(caller.id, caller);
-        UpstreamRequest freight = new UpstreamRequest(
+        UpstreamRequest request = new UpstreamRequest(
                 caller.id,
                 "POST",
                 "/x",
@@ -264,37 +269,37 @@
                 random.nextInt(3) == 0,
                 1,
                 false,
-                now + LEFT / 2,
-                now + LEFT,
+                now + TIMEOUT_MICROS / 2,
+                now + TIMEOUT_MICROS,
                 null);
-        AttemptTransport.Ride ride = sender.hops.send(
-                new Endpoint(to, receiver.address, sender.lives[to], receiver.address, "i", "z"),
-                freight,
-                reply -> told(caller, reply.outcome()));
+        AttemptTransport.Handle handle = sender.forwarder.send(
+                new Endpoint(to, receiver.address, sender.knownIncarnations[to], receiver.address, "i", "z"),
+                request,
+                result -> complete(caller, result.outcome()));
         caller.sent = true;
         if (random.nextInt(10) == 0) {
-            later(random.nextInt(20_000), ride::cancel);
+            schedule(random.nextInt(20_000), handle::cancel);
         }
     }
 
-    private void told(Caller caller, RequestOutcome outcome) {
-        if (caller.told != null) {
-            broken("TOLD TWICE", caller.id);
+    private void complete(Caller caller, RequestOutcome outcome) {
+        if (caller.outcome != null) {
+            violated("COMPLETED TWICE", caller.id);
         }
-        caller.told = outcome;
+        caller.outcome = outcome;
         if (outcome instanceof RequestOutcome.Answered a) {
             answered++;
             String text = new String(a.body(), StandardCharsets.ISO_8859_1);
             if (!text.equals("ran " + caller.id)) {
-                broken("MIXED", caller.id + " got " + text);
+                violated("MIXED", caller.id + " got " + text);
             }
         }
         boolean own = !(outcome instanceof RequestOutcome.MayHaveRun) && caller.sent;
-        if (own && coming != caller.link) {
-            broken("OLD", caller.id + " was told " + outcome + " by what is not its own");
+        if (own && delivering != caller.link) {
+            violated("OLD", caller.id + " completed with " + outcome + " by another message");
         }
         if (outcome instanceof RequestOutcome.NotRun && caller.runs > 0) {
-            broken("REFUSED", caller.id + " has run");
+            violated("REFUSED", caller.id + " has run");
         }
     }
 
@@ -303,50 +308,50 @@
     }
 
     private void step() {
-        int fate = random.nextInt(100);
-        if (fate < 25) {
+        int action = random.nextInt(100);
+        if (action < 25) {
             send();
-        } else if (fate < 75) {
+        } else if (action < 75) {
             for (int i = 0; i < 4 && !links.isEmpty(); i++) {
                 Link link = any(links);
-                Deque<Parcel> way = random.nextInt(2) == 0 ? link.out : link.back;
+                Deque<Message> way = random.nextInt(2) == 0 ? link.requests : link.responses;
                 if (!way.isEmpty()) {
-                    link.comes(way.poll(), true);
+                    link.deliver(way.poll(), true);
                 }
             }
-        } else if (fate < 90 && !sent.isEmpty() && !links.isEmpty()) {
-            // Lately sent ones as well: they may be in hand, or still on their way.
-            Parcel parcel = sent.get(
+        } else if (action < 90 && !sent.isEmpty() && !links.isEmpty()) {
+            // Recent ones as well: they may be in flight, or still in transit.
+            Message message = sent.get(
                     sent.size() - 1 - random.nextInt(Math.min(sent.size(), random.nextBoolean() ? 20 : sent.size())));
             Link link = any(links);
-            if (link.takesAgain(parcel)) {
-                link.comes(parcel, false);
+            if (link.acceptsReplay(message)) {
+                link.deliver(message, false);
             }
-        } else if (fate < 92 && !links.isEmpty()) {
-            again(any(links));
-        } else if (fate < 96) {
+        } else if (action < 92 && !links.isEmpty()) {
+            replayAll(any(links));
+        } else if (action < 96) {
             new Link(any(senders), any(receivers), false);
-        } else if (fate < 98 && !links.isEmpty()) {
+        } else if (action < 98 && !links.isEmpty()) {
             Link link = any(links);
             (random.nextBoolean() ? link.near : link.far).close();
         } else if (random.nextInt(6) == 0) {
-            any(senders).begin();
+            any(senders).start();
         } else if (random.nextInt(6) == 0) {
-            any(receivers).begin();
+            any(receivers).start();
         }
         links.removeIf(l -> !l.far.isActive() && !l.near.isActive());
     }
 
-    /** All that was ever sent on a line comes as a line of its own. */
-    private void again(Link link) {
+    /** Replays all that was ever sent on a connection as a connection of its own. */
+    private void replayAll(Link link) {
         Link replay = new Link(link.sender, link.receiver, true);
         sent.stream()
-                .filter(p -> p.link == link && p.out && read.contains(p))
+                .filter(p -> p.link == link && p.isRequest && delivered.contains(p))
                 .toList()
-                .forEach(p -> replay.comes(p, false));
+                .forEach(p -> replay.deliver(p, false));
     }
 
-    private void passes(long micros) {
+    private void advance(long micros) {
         long until = now + micros;
         while (!tasks.isEmpty() && tasks.peek().at <= until) {
             now = tasks.peek().at;
@@ -354,46 +359,46 @@
             links.forEach(Link::flush);
         }
         now = until;
-        senders.forEach(s -> s.hops.tick());
+        senders.forEach(s -> s.forwarder.tick());
         links.forEach(Link::flush);
     }
 
     private String run(int steps) {
-        for (int i = 0; i < steps && breach == null; i++) {
+        for (int i = 0; i < steps && violation == null; i++) {
             step();
-            passes(random.nextInt(4_000));
+            advance(random.nextInt(4_000));
         }
-        // All that is still on its way comes; who has an open line is told of each.
-        for (int i = 0; i < 2 * LEFT / 10_000 && breach == null; i++) {
+        // All that is in transit is delivered; then each caller with an open connection has its outcome.
+        for (int i = 0; i < 2 * TIMEOUT_MICROS / 10_000 && violation == null; i++) {
             for (Link link : List.copyOf(links)) {
-                while (!link.out.isEmpty()) {
-                    link.comes(link.out.poll(), true);
+                while (!link.requests.isEmpty()) {
+                    link.deliver(link.requests.poll(), true);
                 }
-                while (!link.back.isEmpty()) {
-                    link.comes(link.back.poll(), true);
+                while (!link.responses.isEmpty()) {
+                    link.deliver(link.responses.poll(), true);
                 }
             }
-            passes(10_000);
+            advance(10_000);
         }
         links.stream().filter(l -> !l.far.isActive()).forEach(l -> l.near.close());
         for (Sender sender : senders) {
-            if (sender.hops.size() > 0) {
-                broken("LOST", sender.hops.size() + " wait for ever");
+            if (sender.forwarder.inFlightCount() > 0) {
+                violated("LOST", sender.forwarder.inFlightCount() + " are in flight for ever");
             }
         }
         if (answered < steps / 40) {
-            broken("LOST", answered + " were answered");
+            violated("LOST", answered + " were answered");
         }
-        return breach;
+        return violation;
     }
 
-    /** The first rule that is broken in so many histories, null for none. */
-    public static String broken(int histories, int steps) {
-        String breach = null;
-        for (int seed = 1; seed <= histories && breach == null; seed++) {
-            breach = new MessageReplay(seed).run(steps);
-            breach = breach == null ? null : "history " + seed + ": " + breach;
+    /** The first violation in so many histories; null for none. */
+    public static String firstViolation(int histories, int steps) {
+        String violation = null;
+        for (int seed = 1; seed <= histories && violation == null; seed++) {
+            violation = new MessageReplay(seed).run(steps);
+            violation = violation == null ? null : "history " + seed + ": " + violation;
         }
-        return breach;
+        return violation;
     }
 }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Parcels of earlier lines and lives that come again do nothing; where a fault is planted they do. */
+/** Replayed messages of earlier connections and incarnations do nothing; where a fault is planted they do. */
 class MessageReplayTest {
 
     private static final int HISTORIES = Integer.getInteger("replays", 60);
@@ -21,54 +21,60 @@
     Path folder;
 
     @Test
-    void whatIsOldDoesNothing() {
-        assertThat(MessageReplay.broken(HISTORIES, STEPS)).isNull();
+    void replayedMessagesDoNothing() {
+        assertThat(MessageReplay.firstViolation(HISTORIES, STEPS)).isNull();
     }
 
     @ParameterizedTest(name = "{1}")
     @CsvSource(
             delimiter = '~',
             value = {
-                "OLD ~ an end is taken on any line ~ PeerForwarder.java ~ || one.line != line) { ~ ) {",
-                "MIXED ~ each life counts from one ~ PeerForwarder.java ~ numbers = life; ~ numbers = 0;",
-                "TOLD TWICE ~ what is over is kept ~ PeerForwarder.java ~ out.remove(number) ~ out.get(number)",
-                "OLD ~ a lost line says not run ~ PeerForwarder.java "
-                        + "~ new RequestOutcome.MayHaveRun(\"the line was lost\") "
-                        + "~ new RequestOutcome.NotRun(RejectionReason.GONE, 0)",
-                "LOST ~ a lost line is not told ~ PeerForwarder.java ~ if (one.line == line) { ~ if (false) {",
-                "TWICE ~ a doubled go runs again ~ PeerRequestReceiver.java ~ caller.last = number; ~ ",
-                "TWICE ~ a go of an earlier line runs again ~ PeerRequestReceiver.java ~ last = from; ~ last = 0;",
-                "TWICE ~ a go of a later line runs again ~ PeerRequestReceiver.java "
-                        + "~ || caller.until <= number) { ~ ) {",
-                "TWICE ~ a newer line does not end an older one ~ PeerRequestReceiver.java "
-                        + "~ other.until = Math.min(other.until, fresh.from); ~ ",
-                "TWICE ~ an earlier line begins anew ~ PeerRequestReceiver.java "
-                        + "~ before != null && fresh.from <= before ~ false",
-                "TWICE ~ a go for another life runs ~ PeerRequestReceiver.java "
-                        + "~ if (caller != null && Json.whole(head, \"life\", -1) != own) { ~ if (false) {",
-                "TWICE ~ a line takes a later life's numbers ~ PeerRequestReceiver.java "
+                "OLD ~ a response is accepted on any connection ~ PeerForwarder.java ~ || attempt.connection != connection) { ~ ) {",
+                "MIXED ~ each incarnation counts from one ~ PeerForwarder.java ~ lastNumber = incarnation; ~ lastNumber = 0;",
+                "COMPLETED TWICE ~ complete attempts are kept ~ PeerForwarder.java ~ inFlight.remove(number) ~ inFlight.get(number)",
+                "OLD ~ a lost connection says not run ~ PeerForwarder.java "
+                        + "~ complete(attempt.number, mayHaveRun(CONNECTION_LOST)) "
+                        + "~ complete(attempt.number, notRun(RejectionReason.GONE))",
+                "LOST ~ a lost connection is ignored ~ PeerForwarder.java ~ if (attempt.connection == connection) { ~ if (false) {",
+                "TWICE ~ a duplicate runs again ~ PeerRequestReceiver.java ~ session.lastNumber = number; ~ ",
+                "TWICE ~ a request of an earlier connection runs again ~ PeerRequestReceiver.java "
+                        + "~ lastNumber = firstNumber; ~ lastNumber = 0;",
+                "TWICE ~ a request of a later connection runs again ~ PeerRequestReceiver.java "
+                        + "~ || session.endNumber <= number) { ~ ) {",
+                "TWICE ~ a newer connection does not end an older one ~ PeerRequestReceiver.java "
+                        + "~ other.endNumber = Math.min(other.endNumber, session.firstNumber); ~ ",
+                "TWICE ~ an earlier connection starts again ~ PeerRequestReceiver.java "
+                        + "~ before != null && session.firstNumber <= before ~ false",
+                "TWICE ~ a request for another incarnation runs ~ PeerRequestReceiver.java "
+                        + "~ if (session != null && request.receiverIncarnation() != ownIncarnation) { "
+                        + "~ if (false) {",
+                "TWICE ~ a connection accepts a later incarnation's numbers ~ PeerRequestReceiver.java "
                         + "~ next == null ? Long.MAX_VALUE : next "
                         + "~ Long.MAX_VALUE",
-                "OLD ~ another life's word is taken ~ PeerForwarder.java "
-                        + "~ !Long.valueOf(Json.whole(head, \"life\", -1)).equals(line.owner()) ~ false",
-                "REFUSED ~ a doubled go is answered ~ PeerRequestReceiver.java "
-                        + "~ // No answer: the one that this is a double of "
-                        + "may still run. ~ if (caller != null) { "
-                        + "end(line, number, new RequestOutcome.NotRun(RejectionReason.GONE, 0)); }",
-                "MIXED ~ an end tells another number ~ PeerRequestReceiver.java ~ end(line, number, outcome); "
-                        + "~ end(line, caller.last, outcome);",
+                "OLD ~ another incarnation's response is accepted ~ PeerForwarder.java "
+                        + "~ !Long.valueOf(response.incarnation()).equals(connection.owner()) ~ false",
+                "REFUSED ~ a duplicate gets a response ~ PeerRequestReceiver.java "
+                        + "~ // No response: the original of this duplicate may still run. "
+                        + "~ if (session != null) { respond(connection, number, new RequestOutcome.NotRun("
+                        + "org.cypressweir.dataplane.http.upstream.RejectionReason.GONE, 0)); }",
+                "MIXED ~ a response bears another number ~ PeerRequestReceiver.java "
+                        + "~ respond(connection, number, outcome); "
+                        + "~ respond(connection, session.lastNumber, outcome);",
             })
-    void eachFaultIsFound(String rule, String fault, String file, String text, String instead) throws Exception {
+    void eachPlantedFaultIsFound(String rule, String fault, String file, String text, String replacement)
+            throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/dataplane/proxy"),
                 file,
                 text,
-                instead == null ? "" : instead,
+                replacement == null ? "" : replacement,
                 name -> name.startsWith("org.cypressweir.dataplane.http.upstream.")
                         || name.startsWith("org.cypressweir.dataplane.proxy."));
-        Method broken = planted.loadClass("org.cypressweir.dataplane.proxy.MessageReplay")
-                .getMethod("broken", int.class, int.class);
-        assertThat((String) broken.invoke(null, PLANTED, STEPS)).as(fault).contains(": " + rule + ": ");
+        Method firstViolation = planted.loadClass("org.cypressweir.dataplane.proxy.MessageReplay")
+                .getMethod("firstViolation", int.class, int.class);
+        assertThat((String) firstViolation.invoke(null, PLANTED, STEPS))
+                .as(fault)
+                .contains(": " + rule + ": ");
     }
 }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether a request that nothing is heard of is given up, or waited for until its line is lost. */
+/** Whether an attempt without a response times out, or is awaited until received connection is lost. */
 class PeerTimeoutTest {
 
     private static final long SECOND = 1_000_000;
@@ -22,29 +22,30 @@
 
     @ParameterizedTest
     @CsvSource({"true, false, true", "true, true, false", "false, false, false", "false, true, false"})
-    void whoLeavesBreaksNothingOff(boolean repeatable, boolean leaving, boolean givenUp) {
-        PeerConnection line = SimulatedPeerConnection.on(new EmbeddedChannel(), () -> now, new PeerConnection.Ear() {
-            @Override
-            public void opened(PeerConnection its) {}
-
-            @Override
-            public void heard(PeerConnection its, Map<String, Object> head, byte[] body) {}
-
-            @Override
-            public void closed(PeerConnection its) {}
-        });
-        PeerForwarder hops = new PeerForwarder(() -> now, "own", 1, null, to -> line);
-        List<RequestOutcome> ends = new ArrayList<>();
-        UpstreamRequest freight = new UpstreamRequest(
-                "id", "GET", "/", List.of(), new byte[0], repeatable, 1, false, now + SECOND, now + 6 * SECOND, "i");
-        hops.send(new Endpoint(1, "p1", 1, "far", "i", "z"), freight, reply -> ends.add(reply.outcome()));
-        if (leaving) {
-            hops.leave();
+    void attemptsDontTimeOutDuringShutdown(boolean idempotent, boolean shuttingDown, boolean timesOut) {
+        PeerConnection connection =
+                SimulatedPeerConnection.on(new EmbeddedChannel(), () -> now, new PeerConnection.Ear() {
+                    @Override
+                    public void opened(PeerConnection received) {}
+
+                    @Override
+                    public void heard(PeerConnection received, Map<String, Object> head, byte[] body) {}
+
+                    @Override
+                    public void closed(PeerConnection received) {}
+                });
+        PeerForwarder forwarder = new PeerForwarder(() -> now, "own", 1, null, address -> connection);
+        List<RequestOutcome> outcomes = new ArrayList<>();
+        UpstreamRequest request = new UpstreamRequest(
+                "id", "GET", "/", List.of(), new byte[0], idempotent, 1, false, now + SECOND, now + 6 * SECOND, "i");
+        forwarder.send(new Endpoint(1, "p1", 1, "far", "i", "z"), request, result -> outcomes.add(result.outcome()));
+        if (shuttingDown) {
+            forwarder.startShutdown();
         }
         now += SECOND;
-        hops.tick();
-        assertThat(ends).hasSize(givenUp ? 1 : 0);
-        hops.lost(line);
-        assertThat(ends).singleElement().isInstanceOf(RequestOutcome.MayHaveRun.class);
+        forwarder.tick();
+        assertThat(outcomes).hasSize(timesOut ? 1 : 0);
+        forwarder.connectionLost(connection);
+        assertThat(outcomes).singleElement().isInstanceOf(RequestOutcome.MayHaveRun.class);
     }
 }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
@@ -15,29 +15,29 @@
 import org.cypressweir.dataplane.http.upstream.SimulatedUpstream;
 
 /**
- * Drawn histories in made-up time: clients, the choice, the helm and the account, a hop that loses its line,
- * the order beside the server, and servers that do all that servers may. What really ran is known here, and
- * each answer is held against it.
+ * Random histories in simulated time: clients, load balancer and request handler, forwarding that loses its
+ * connection, the scheduling beside the instance, and instances that do all that instances may. What really ran
+ * is known here, and each response is checked against it.
  */
 public final class RequestHistories {
 
     private static final String SEAL = "Cypressweir-Server-Seal";
     private static final String NOT_RUN = "Cypressweir-Not-Executed";
-    private static final int SERVERS = 3;
+    private static final int INSTANCES = 3;
     private static final int SLOTS = 3;
 
-    /** A client, what it asked, and what really became of that. */
-    private static final class Voyager extends ProxyFixture.Client {
+    /** A client, its request, and what was really done of that. */
+    private static final class CheckedClient extends ProxyFixture.Client {
         private final String id;
-        private final boolean repeatable;
+        private final boolean idempotent;
         private final byte[] body;
-        private final List<String> answered = new ArrayList<>();
+        private final List<String> validResponses = new ArrayList<>();
         private int runs;
-        private boolean gone;
+        private boolean isDisconnected;
 
-        private Voyager(String id, boolean repeatable) {
+        private CheckedClient(String id, boolean idempotent) {
             this.id = id;
-            this.repeatable = repeatable;
+            this.idempotent = idempotent;
             body = ("body of " + id).getBytes(StandardCharsets.ISO_8859_1);
         }
 
@@ -53,100 +53,101 @@
     }
 
     private final SplittableRandom random;
-    private final ProxyFixture hull = new ProxyFixture(SERVERS);
-    private final List<SimulatedUpstream> quays = new ArrayList<>();
-    private final Map<String, Voyager> voyagers = new HashMap<>();
-    private String breach;
+    private final ProxyFixture fixture = new ProxyFixture(INSTANCES);
+    private final List<SimulatedUpstream> upstreams = new ArrayList<>();
+    private final Map<String, CheckedClient> clients = new HashMap<>();
+    private String violation;
     private String lastId = "none";
 
     private RequestHistories(long seed) {
         random = new SplittableRandom(seed);
-        hull.strict = false;
-        hull.server = this::hop;
-        for (int i = 0; i < SERVERS; i++) {
-            quays.add(new SimulatedUpstream(() -> hull.now, hull::later, SLOTS, new SimulatedUpstream.Server() {
-                @Override
-                public boolean accepts() {
-                    return random.nextInt(30) > 0;
-                }
-
-                @Override
-                public void visited(SimulatedUpstream.Visit visit) {
-                    serve(visit);
-                }
-            }));
+        fixture.strict = false;
+        fixture.onSend = this::forward;
+        for (int i = 0; i < INSTANCES; i++) {
+            upstreams.add(
+                    new SimulatedUpstream(() -> fixture.now, fixture::schedule, SLOTS, new SimulatedUpstream.Server() {
+                        @Override
+                        public boolean accepts() {
+                            return random.nextInt(30) > 0;
+                        }
+
+                        @Override
+                        public void visited(SimulatedUpstream.Visit visit) {
+                            serve(visit);
+                        }
+                    }));
         }
     }
 
-    private void broken(String rule, String what) {
-        breach = breach == null ? rule + ": " + what : breach;
+    private void violated(String rule, String what) {
+        violation = violation == null ? rule + ": " + what : violation;
     }
 
-    /** The way to the pilot beside the server, and back. */
-    private void hop(ProxyFixture.Sent sent) {
-        SimulatedUpstream quay = quays.get((int) (sent.target.number() - 100));
-        AtomicBoolean lost = new AtomicBoolean();
-        RequestHandle[] ticket = {null};
-        int fate = random.nextInt(40);
-        if (fate == 0) {
-            hull.later(
+    /** Forwards the attempt to the proxy beside the instance, and its outcome back. */
+    private void forward(ProxyFixture.SentAttempt attempt) {
+        SimulatedUpstream upstream = upstreams.get((int) (attempt.endpoint.id() - 100));
+        AtomicBoolean isLost = new AtomicBoolean();
+        RequestHandle[] handle = {null};
+        int action = random.nextInt(40);
+        if (action == 0) {
+            fixture.schedule(
                     random.nextInt(2_000),
-                    () -> sent.ends(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0)));
+                    () -> attempt.complete(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0)));
             return;
         }
-        hull.later(
+        fixture.schedule(
                 random.nextInt(2_000),
-                () -> ticket[0] = quay.take(
-                        sent.freight,
-                        outcome -> hull.later(random.nextInt(2_000), () -> {
-                            if (!lost.get()) {
-                                sent.ends(outcome);
+                () -> handle[0] = upstream.take(
+                        attempt.request,
+                        outcome -> fixture.schedule(random.nextInt(2_000), () -> {
+                            if (!isLost.get()) {
+                                attempt.complete(outcome);
                             }
                         })));
-        sent.whenCancelled = () -> hull.later(2_000, () -> quay.cancel(ticket[0]));
-        if (fate == 1) {
-            hull.later(2_000 + random.nextInt(60_000), () -> {
-                if (sent.outcome == null) {
-                    lost.set(true);
-                    quay.cancel(ticket[0]);
-                    sent.ends(new RequestOutcome.MayHaveRun("line"));
+        attempt.whenCancelled = () -> fixture.schedule(2_000, () -> upstream.cancel(handle[0]));
+        if (action == 1) {
+            fixture.schedule(2_000 + random.nextInt(60_000), () -> {
+                if (attempt.outcome == null) {
+                    isLost.set(true);
+                    upstream.cancel(handle[0]);
+                    attempt.complete(new RequestOutcome.MayHaveRun("connection lost"));
                 }
             });
         }
     }
 
-    /** What the server does: before each answer stands what it really did. */
+    /** What the instance does: before each response it is recorded what it really did. */
     private void serve(SimulatedUpstream.Visit visit) {
         String id = header(visit.head, "Cypressweir-Attempt-Id: ");
-        Voyager asked = voyagers.get(id);
-        if (asked == null
-                || !visit.head.startsWith(asked.method() + " " + asked.uri() + " HTTP/1.1\r\n")
-                || !visit.body.equals(new String(asked.body, StandardCharsets.ISO_8859_1))) {
-            broken("UNASKED", visit.head + visit.body);
+        CheckedClient client = clients.get(id);
+        if (client == null
+                || !visit.head.startsWith(client.method() + " " + client.uri() + " HTTP/1.1\r\n")
+                || !visit.body.equals(new String(client.body, StandardCharsets.ISO_8859_1))) {
+            violated("UNASKED", visit.head + visit.body);
             return;
         }
-        int fate = random.nextInt(100);
+        int action = random.nextInt(100);
         int micros = 1_000 + random.nextInt(random.nextInt(8) == 0 ? 400_000 : 40_000);
-        if (fate < 12) {
-            hull.later(fate < 4 ? micros : 1_000, () -> refuse(visit, id, fate));
+        if (action < 12) {
+            fixture.schedule(action < 4 ? micros : 1_000, () -> reject(visit, id, action));
             return;
         }
-        if (fate == 12) {
-            hull.later(micros, visit::breaks);
+        if (action == 12) {
+            fixture.schedule(micros, visit::breaks);
             return;
         }
-        asked.runs++;
-        if (asked.runs > 1 && !asked.repeatable) {
-            broken("TWICE", id);
+        client.runs++;
+        if (client.runs > 1 && !client.idempotent) {
+            violated("TWICE", id);
         }
         String foreign = lastId.equals(id) ? "none" : lastId;
         lastId = id;
-        hull.later(micros, () -> answer(visit, asked, fate, foreign));
+        fixture.schedule(micros, () -> answer(visit, client, action, foreign));
     }
 
-    private void refuse(SimulatedUpstream.Visit visit, String id, int fate) {
+    private void reject(SimulatedUpstream.Visit visit, String id, int action) {
         Map<String, String> marked = Map.of(NOT_RUN, "true");
-        switch (fate % 4) {
+        switch (action % 4) {
             case 0 -> visit.answers(429, id, "", marked);
             case 1 -> visit.answers(421, id, "", Map.of());
             case 2 -> visit.answers(400, id, "", marked);
@@ -154,29 +155,29 @@
         }
     }
 
-    private void answer(SimulatedUpstream.Visit visit, Voyager asked, int fate, String foreign) {
-        String seal = "seal " + asked.id + " " + asked.runs;
-        String text = "ran " + asked.id;
-        switch (fate) {
+    private void answer(SimulatedUpstream.Visit visit, CheckedClient client, int action, String foreign) {
+        String seal = "seal " + client.id + " " + client.runs;
+        String text = "ran " + client.id;
+        switch (action) {
             case 13, 14, 15 -> visit.breaks();
             case 16, 17 -> {}
-            case 18 -> visit.answers(200, asked.id, text, Map.of());
-            case 19 -> visit.answers(200, asked.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
-            case 20 -> visit.answers(200, asked.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
-            case 21, 22 -> visit.answers(503, asked.id, "", Map.of());
-            case 23 -> visit.answers(429, asked.id, "", Map.of());
-            case 24, 25 -> visit.answers(500, asked.id, "", Map.of());
+            case 18 -> visit.answers(200, client.id, text, Map.of());
+            case 19 -> visit.answers(200, client.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
+            case 20 -> visit.answers(200, client.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
+            case 21, 22 -> visit.answers(503, client.id, "", Map.of());
+            case 23 -> visit.answers(429, client.id, "", Map.of());
+            case 24, 25 -> visit.answers(500, client.id, "", Map.of());
             case 26, 27 -> {
                 visit.answers(200, foreign, "late", Map.of(SEAL, "late"));
-                good(visit, asked, seal, text);
+                answerValid(visit, client, seal, text);
             }
-            default -> good(visit, asked, seal, text);
+            default -> answerValid(visit, client, seal, text);
         }
     }
 
-    private void good(SimulatedUpstream.Visit visit, Voyager asked, String seal, String text) {
-        asked.answered.add(seal + " " + text);
-        visit.answers(200, asked.id, text, Map.of(SEAL, seal));
+    private void answerValid(SimulatedUpstream.Visit visit, CheckedClient client, String seal, String text) {
+        client.validResponses.add(seal + " " + text);
+        visit.answers(200, client.id, text, Map.of(SEAL, seal));
     }
 
     private static String header(String head, String name) {
@@ -185,58 +186,58 @@
     }
 
     private String run(int requests) {
-        for (int i = 1; i <= requests && breach == null; i++) {
-            Voyager voyager = new Voyager("id" + i, random.nextInt(2) == 0);
-            voyagers.put(voyager.id, voyager);
-            hull.ask(voyager.repeatable, voyager);
+        for (int i = 1; i <= requests && violation == null; i++) {
+            CheckedClient client = new CheckedClient("id" + i, random.nextInt(2) == 0);
+            clients.put(client.id, client);
+            fixture.request(client.idempotent, client);
             if (random.nextInt(30) == 0) {
-                hull.later(random.nextInt(100_000), () -> {
-                    voyager.gone = voyager.answers.isEmpty();
-                    if (voyager.gone) {
-                        voyager.leaves();
+                fixture.schedule(random.nextInt(100_000), () -> {
+                    client.isDisconnected = client.responses.isEmpty();
+                    if (client.isDisconnected) {
+                        client.disconnect();
                     }
                 });
             }
-            hull.advance(random.nextInt(random.nextInt(10) == 0 ? 60_000 : 6_000));
+            fixture.advance(random.nextInt(random.nextInt(10) == 0 ? 60_000 : 6_000));
             if (i % 100 == 0) {
-                hull.servers(1 + random.nextInt(SERVERS));
+                fixture.updateEndpoints(1 + random.nextInt(INSTANCES));
             }
         }
-        hull.advance(3 * ProxyFixture.LEFT);
-        voyagers.values().forEach(this::judge);
-        if (hull.helm().open() > 0) {
-            broken("LOST", hull.helm().open() + " requests are kept for ever");
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        clients.values().forEach(this::check);
+        if (fixture.handler().inFlightCount() > 0) {
+            violated("LOST", fixture.handler().inFlightCount() + " requests are in flight for ever");
         }
-        return breach;
+        return violation;
     }
 
-    private void judge(Voyager v) {
-        if (v.gone) {
+    private void check(CheckedClient client) {
+        if (client.isDisconnected) {
             return;
         }
-        if (v.answers.isEmpty()) {
-            broken("LOST", v.id);
+        if (client.responses.isEmpty()) {
+            violated("LOST", client.id);
             return;
         }
-        ServerResponse answer = v.answers.get(0);
+        ServerResponse answer = client.responses.get(0);
         String text =
                 Headers.first(answer.headers(), SEAL) + " " + new String(answer.body(), StandardCharsets.ISO_8859_1);
-        if (v.answers.size() > 1 || answer.status() / 100 == 2 && !v.answered.contains(text)) {
-            broken("MIXED", v.id + " got " + v.answers);
+        if (client.responses.size() > 1 || answer.status() / 100 == 2 && !client.validResponses.contains(text)) {
+            violated("MIXED", client.id + " got " + client.responses);
         }
-        boolean promised = List.of(408, 421, 429, 503).contains(answer.status());
-        if (promised && !v.repeatable && v.runs > 0) {
-            broken("REFUSED", v.id + " got " + answer.status() + " and has run");
+        boolean saysNotRun = List.of(408, 421, 429, 503).contains(answer.status());
+        if (saysNotRun && !client.idempotent && client.runs > 0) {
+            violated("REFUSED", client.id + " got " + answer.status() + " and has run");
         }
     }
 
-    /** The first rule that is broken in so many histories, null for none. */
-    public static String broken(int histories, int requests) {
-        String breach = null;
-        for (int seed = 1; seed <= histories && breach == null; seed++) {
-            breach = new RequestHistories(seed).run(requests);
-            breach = breach == null ? null : "history " + seed + ": " + breach;
+    /** The first violation in so many histories; null for none. */
+    public static String firstViolation(int histories, int requests) {
+        String violation = null;
+        for (int seed = 1; seed <= histories && violation == null; seed++) {
+            violation = new RequestHistories(seed).run(requests);
+            violation = violation == null ? null : "history " + seed + ": " + violation;
         }
-        return breach;
+        return violation;
     }
 }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Drawn histories break no rule, and break one where a fault is planted. */
+/** Random histories violate no rule, and violate one where a fault is planted. */
 class RequestHistoriesTest {
 
     private static final int HISTORIES = Integer.getInteger("voyages", 8);
@@ -20,8 +20,8 @@
     Path folder;
 
     @Test
-    void noRuleIsBroken() {
-        assertThat(RequestHistories.broken(HISTORIES, REQUESTS)).isNull();
+    void noRuleIsViolated() {
+        assertThat(RequestHistories.firstViolation(HISTORIES, REQUESTS)).isNull();
     }
 
     @ParameterizedTest(name = "{1}")
@@ -65,21 +65,24 @@
                 "UNASKED ~ the body is cut ~ dataplane/http/upstream/RequestEncoder.java "
                         + "~ Unpooled.wrappedBuffer(f.body()) "
                         + "~ Unpooled.wrappedBuffer(f.body(), 0, 4)",
-                "LOST ~ a refusal is not told ~ dataplane/proxy/ServiceRequestHandler.java "
-                        + "~ end(p, retryAfterMicros); ~ open.remove(number);",
+                "LOST ~ a rejection is not sent ~ dataplane/proxy/ServiceRequestHandler.java "
+                        + "~ finish(request, retryAfterMicros); ~ inFlight.remove(number);",
             })
-    void eachFaultIsFound(String rule, String fault, String file, String text, String instead) throws Exception {
+    void eachPlantedFaultIsFound(String rule, String fault, String file, String text, String replacement)
+            throws Exception {
         Path sources = Path.of("src/main/java/org/cypressweir").resolve(file);
         ClassLoader planted = new PlantedFault(
                 folder,
                 sources.getParent(),
                 sources.getFileName().toString(),
                 text,
-                instead == null ? "" : instead,
+                replacement == null ? "" : replacement,
                 name -> name.startsWith("org.cypressweir.dataplane.http.upstream.")
                         || name.startsWith("org.cypressweir.dataplane.proxy."));
-        Method broken = planted.loadClass("org.cypressweir.dataplane.proxy.RequestHistories")
-                .getMethod("broken", int.class, int.class);
-        assertThat((String) broken.invoke(null, HISTORIES, REQUESTS)).as(fault).contains(": " + rule + ": ");
+        Method firstViolation = planted.loadClass("org.cypressweir.dataplane.proxy.RequestHistories")
+                .getMethod("firstViolation", int.class, int.class);
+        assertThat((String) firstViolation.invoke(null, HISTORIES, REQUESTS))
+                .as(fault)
+                .contains(": " + rule + ": ");
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyMessagesTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyMessagesTest.java
@@ -27,14 +27,14 @@
     private static final String SENT_BY_CALLER = "messages/proxy-requests.txt";
     private static final String SENT_BY_SERVER_SIDE = "messages/proxy-responses.txt";
     private static final long NOW = 5_000_000;
-    private static final long CALLER_LIFE = 1_000;
-    private static final long SERVER_LIFE = 2_000;
+    private static final long CALLER_INCARNATION = 1_000;
+    private static final long SERVER_INCARNATION = 2_000;
     private static final byte[] BODY = "request body".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] ANSWER = "answer body".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] RESPONSE_BODY = "answer body".getBytes(StandardCharsets.UTF_8);
     private static final List<Map.Entry<String, String>> HEADERS =
             List.of(Map.entry("Accept", "*/*"), Map.entry("X-\u00e9", "1"));
-    private static final Endpoint TARGET =
-            new Endpoint(7, "proxy-2", SERVER_LIFE, "10.0.0.2:8", "instance-2", "zone-b");
+    private static final Endpoint ENDPOINT =
+            new Endpoint(7, "proxy-2", SERVER_INCARNATION, "10.0.0.2:8", "instance-2", "zone-b");
     private static final UpstreamRequest REQUEST = new UpstreamRequest(
             "attempt-1",
             "POST",
@@ -50,22 +50,22 @@
     private static final ApplicationInstance INSTANCE =
             new ApplicationInstance("instance-2", "till", "127.0.0.1:9000", 8, false, NOW + 60_000_000);
     private static final ProxyRegistration REGISTRATION = new ProxyRegistration(
-            "proxy-2", SERVER_LIFE, 4, "10.0.0.2:8", "10.0.0.2:9", "zone-b", "till", false, INSTANCE);
+            "proxy-2", SERVER_INCARNATION, 4, "10.0.0.2:8", "10.0.0.2:9", "zone-b", "till", false, INSTANCE);
 
-    /** Keeps what it is given; the test tells the outcome. */
+    /** Keeps the requests; the test completes them. */
     private static final class KeepingDispatcher implements RequestDispatcher {
         private final List<UpstreamRequest> taken = new ArrayList<>();
-        private final List<Consumer<RequestOutcome>> ends = new ArrayList<>();
+        private final List<Consumer<RequestOutcome>> callbacks = new ArrayList<>();
 
         @Override
-        public RequestHandle take(UpstreamRequest freight, Consumer<RequestOutcome> end) {
-            taken.add(freight);
-            ends.add(end);
+        public RequestHandle take(UpstreamRequest request, Consumer<RequestOutcome> callback) {
+            taken.add(request);
+            callbacks.add(callback);
             return null;
         }
 
         @Override
-        public void cancel(RequestHandle ticket) {}
+        public void cancel(RequestHandle handle) {}
 
         @Override
         public UpstreamLoad load() {
@@ -74,11 +74,11 @@
     }
 
     private final RecordedPeerConnection recorded = new RecordedPeerConnection(NOW);
-    private final List<AttemptResult> replies = new ArrayList<>();
+    private final List<AttemptResult> results = new ArrayList<>();
 
     private PeerForwarder caller() {
         return new PeerForwarder(
-                () -> NOW, "10.0.0.1:8", CALLER_LIFE, new KeepingDispatcher(), address -> recorded.line());
+                () -> NOW, "10.0.0.1:8", CALLER_INCARNATION, new KeepingDispatcher(), address -> recorded.line());
     }
 
     private static List<String> responses() {
@@ -89,19 +89,19 @@
     void requestsAreTheSame() {
         PeerForwarder caller = caller();
         recorded.line().send(caller.hello("proxy-1"));
-        AttemptTransport.Ride attempt = caller.send(TARGET, REQUEST, replies::add);
+        AttemptTransport.Handle attempt = caller.send(ENDPOINT, REQUEST, results::add);
         attempt.cancel();
         Golden.assertSame(SENT_BY_CALLER, recorded.takeMessages());
     }
 
     private PeerRequestReceiver serverSide(KeepingDispatcher dispatcher) {
-        PeerRequestReceiver landing = new PeerRequestReceiver(() -> NOW, dispatcher, () -> REGISTRATION);
+        PeerRequestReceiver receiver = new PeerRequestReceiver(() -> NOW, dispatcher, () -> REGISTRATION);
         for (String message : Golden.text(SENT_BY_CALLER).split("\n")) {
             String[] parts = message.split(" \\+ ");
             byte[] body = parts.length == 1 ? new byte[0] : parts[1].getBytes(StandardCharsets.UTF_8);
-            landing.heard(recorded.line(), RecordedPeerConnection.head(parts[0]), body);
+            receiver.heard(recorded.line(), RecordedPeerConnection.head(parts[0]), body);
         }
-        return landing;
+        return receiver;
     }
 
     @Test
@@ -116,13 +116,14 @@
     @Test
     void responsesAreTheSame() {
         KeepingDispatcher dispatcher = new KeepingDispatcher();
-        PeerRequestReceiver landing = serverSide(dispatcher);
-        dispatcher.ends.get(0).accept(new RequestOutcome.Answered(201, HEADERS, ANSWER));
-        dispatcher.ends.get(0).accept(new RequestOutcome.MayHaveRun("the connection broke"));
+        PeerRequestReceiver receiver = serverSide(dispatcher);
+        dispatcher.callbacks.get(0).accept(new RequestOutcome.Answered(201, HEADERS, RESPONSE_BODY));
+        dispatcher.callbacks.get(0).accept(new RequestOutcome.MayHaveRun("the connection broke"));
         for (RejectionReason reason : RejectionReason.values()) {
-            dispatcher.ends.get(0).accept(new RequestOutcome.NotRun(reason, 30_000));
+            dispatcher.callbacks.get(0).accept(new RequestOutcome.NotRun(reason, 30_000));
         }
-        landing.heard(recorded.line(), JsonCodec.map("t", "go", "n", 5_000, "life", SERVER_LIFE + 1), ANSWER);
+        receiver.heard(
+                recorded.line(), JsonCodec.map("t", "go", "n", 5_000, "life", SERVER_INCARNATION + 1), RESPONSE_BODY);
         Golden.assertSame(SENT_BY_SERVER_SIDE, recorded.takeMessages());
     }
 
@@ -138,20 +139,21 @@
         for (String response : responses().subList(1, responses().size())) {
             PeerForwarder caller = caller();
             caller.hello("proxy-1");
-            caller.send(TARGET, REQUEST, replies::add);
-            caller.greeted(recorded.line(), SERVER_LIFE);
+            caller.send(ENDPOINT, REQUEST, results::add);
+            caller.incarnationReceived(recorded.line(), SERVER_INCARNATION);
             String[] parts = response.split(" \\+ ");
             Map<String, Object> message = RecordedPeerConnection.head(parts[0]);
-            message.put("n", CALLER_LIFE + 2);
-            caller.heard(recorded.line(), message, ANSWER);
+            message.put("n", CALLER_INCARNATION + 2);
+            caller.responseReceived(recorded.line(), (PeerMessage.ForwardedResponse)
+                    PeerMessageCodec.decode(message, RESPONSE_BODY, NOW));
         }
         List<AttemptResult> expected = new ArrayList<>();
         UpstreamLoad load = new UpstreamLoad(2, 1, 8);
-        expected.add(new AttemptResult(new RequestOutcome.Answered(201, HEADERS, ANSWER), load));
+        expected.add(new AttemptResult(new RequestOutcome.Answered(201, HEADERS, RESPONSE_BODY), load));
         expected.add(new AttemptResult(new RequestOutcome.MayHaveRun("the connection broke"), load));
         Stream.of(RejectionReason.values())
                 .forEach(reason -> expected.add(new AttemptResult(new RequestOutcome.NotRun(reason, 30_000), load)));
         expected.add(new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null));
-        assertThat(replies).usingRecursiveFieldByFieldElementComparator().containsExactlyElementsOf(expected);
+        assertThat(results).usingRecursiveFieldByFieldElementComparator().containsExactlyElementsOf(expected);
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyToControllerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyToControllerTest.java
@@ -38,8 +38,8 @@
 class GoldenProxyToControllerTest {
 
     private static final long NOW = 5_000_000;
-    private static final long KEEP_MICROS = 1_000_000;
-    private static final int BOUND_SECONDS = 10;
+    private static final long RETENTION_MICROS = 1_000_000;
+    private static final int TIMEOUT_SECONDS = 10;
     private static final ProxyRegistration REGISTRATION = new ProxyRegistration(
             "proxy-1",
             2_000,
@@ -58,10 +58,10 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
-    private final List<String> lines = new ArrayList<>();
-    private final ConfigurationSubscriber following = new ConfigurationSubscriber();
+    private final List<String> messages = new ArrayList<>();
+    private final ConfigurationSubscriber configuration = new ConfigurationSubscriber();
     private final QuotaShares quotas = new QuotaShares();
-    private final EndpointDirectory directory = new EndpointDirectory(KEEP_MICROS);
+    private final EndpointDirectory directory = new EndpointDirectory(RETENTION_MICROS);
     private volatile PeerConnection controllerSide;
     private ControllerClient proxy;
     private String address;
@@ -69,32 +69,32 @@
     /** The controller's end. */
     private final class Controller implements PeerConnection.Ear {
         @Override
-        public void opened(PeerConnection line) {
-            controllerSide = line;
+        public void opened(PeerConnection connection) {
+            controllerSide = connection;
         }
 
         @Override
-        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
+        public void heard(PeerConnection connection, Map<String, Object> head, byte[] body) {
             received.add(new String(JsonCodec.bytes(head), StandardCharsets.UTF_8));
         }
 
         @Override
-        public void closed(PeerConnection line) {}
+        public void closed(PeerConnection connection) {}
     }
 
     @BeforeEach
     void start() throws IOException {
-        PeerTransport wharf = new PeerTransport(group, () -> NOW);
+        PeerTransport transport = new PeerTransport(group, () -> NOW);
         InetSocketAddress at =
-                wharf.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Controller());
+                transport.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Controller());
         address = "127.0.0.1:" + at.getPort();
         proxy = new ControllerClient(
-                wharf,
+                transport,
                 () -> NOW,
                 "proxy-1",
                 () -> REGISTRATION,
                 directory,
-                following,
+                configuration,
                 new ReadinessGate(),
                 quotas,
                 new BackgroundTask(Runnable::run, Runnable::run),
@@ -112,7 +112,7 @@
 
     private void take(int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            lines.add(received.poll(BOUND_SECONDS, TimeUnit.SECONDS));
+            messages.add(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -128,19 +128,19 @@
 
     @Test
     void messagesAreTheSame() throws InterruptedException {
-        on(() -> proxy.seeds(Set.of(address)));
+        on(() -> proxy.updateSeeds(Set.of(address)));
         take(3);
         controllerSends(WELCOME, new byte[0]);
         take(1);
         on(() -> {
             askFor("acme", 3);
-            proxy.tellAsked();
+            proxy.publishDemand();
             proxy.tick();
         });
         take(3);
         readsItems();
         readsServersAndFollowsOnFromThere();
-        Golden.assertSame("messages/proxy-to-controller.txt", lines);
+        Golden.assertSame("messages/proxy-to-controller.txt", messages);
     }
 
     private void readsItems() {
@@ -155,14 +155,14 @@
                 new byte[0]);
     }
 
-    /** After the connection is lost, the proxy asks for what came after the place that it was told. */
+    /** After the connection is lost, the proxy asks for what came after the offset that it received. */
     private void readsServersAndFollowsOnFromThere() throws InterruptedException {
         on(() -> controllerSide.close());
         take(3);
         on(() -> {
-            assertThat(following.stamp()).isEqualTo(ProposalNumber.of("5@10.0.0.2:7"));
-            assertThat(following.manifest().items()).hasSize(1);
-            assertThat(proxy.control(address)).isEqualTo("10.0.0.1:9");
+            assertThat(configuration.version()).isEqualTo(ProposalNumber.of("5@10.0.0.2:7"));
+            assertThat(configuration.configuration().items()).hasSize(1);
+            assertThat(proxy.controlAddress(address)).isEqualTo("10.0.0.1:9");
         });
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -328,14 +328,14 @@
         rig.kill("p3");
         rig.restart("p3");
         rig.ready("p3");
-        assertThat(rig.log("p3")).contains("No harbour confirms the configuration");
+        assertThat(rig.log("p3")).contains("Starting with an unconfirmed configuration");
         assertThat(status("p3", "/safe/", "k-free")).isEqualTo(200);
         rig.restart("h2");
         rig.await("h1 takes orders again", () -> rig.read("h1").status() == 200);
         rig.kill("p3");
         rig.restart("p3");
         rig.ready("p3");
-        assertThat(rig.log("p3").split("No harbour confirms", -1)).hasSize(2);
+        assertThat(rig.log("p3").split("unconfirmed configuration", -1)).hasSize(2);
     }
 
     /** What goes to a server passes its own pilot, so that a drain holds without a word to any harbour. */
--- a/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
@@ -21,7 +21,6 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.UnaryOperator;
 import org.cypressweir.common.diagnostics.RequestTrace;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
 import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.common.transport.PeerTransport;
@@ -36,79 +35,80 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamOptions;
 import org.cypressweir.testkit.RawHttpClient;
 
-/** Two pilots' cores on loopback, a relay between them and a server that break where the test says. */
+/** Two proxies' forwarding on loopback, with a relay between them and an application that break where the test says. */
 final class PeerForwardingFixture {
 
-    /** Where the first to come is broken; below zero for nowhere. Bytes count from one. */
-    record Break(int request, int answer, int hopOut, int hopBack) {
+    /** Where the next message is broken off; negative for nowhere. Bytes count from one. */
+    record Break(int request, int response, int forwardedRequest, int forwardedResponse) {
         static final Break NONE = new Break(-1, -1, -1, -1);
 
-        /** Another for nowhere: bytes are counted anew from it on. */
+        /** Another for nowhere: bytes are counted from it on. */
         static Break none() {
             return new Break(-1, -1, -1, -1);
         }
     }
 
     static final String ID = "Cypressweir-Attempt-Id";
-    private static final long LIFE = 1_000_000;
-    private static final int BOUND = 10_000;
+    private static final long INCARNATION = 1_000_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ServerSocket server = open();
     private final ServerSocket relay = open();
-    private final InetSocketAddress far;
-    private final PeerConnectionPool moorings;
-    private final PeerForwarder hops;
-    private final HttpListener gangway;
+    private final InetSocketAddress remote;
+    private final PeerConnectionPool connections;
+    private final PeerForwarder forwarder;
+    private final HttpListener listener;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final AtomicInteger left = new AtomicInteger();
+    private final AtomicInteger pendingBreaks = new AtomicInteger();
     private volatile Break now = Break.NONE;
-    /** What has passed the relay in either way since the last break was set. */
-    private volatile int passedOut;
-
-    private volatile int passedBack;
-    /** What the server was sent last, in bytes. */
-    private volatile int asked;
-    /** How the server writes its answer; the id stands for itself in it. */
-    volatile String answer =
+    /** Bytes that have passed the relay in each direction since the last break was set. */
+    private volatile int bytesForwarded;
+
+    private volatile int bytesReturned;
+    /** Bytes of the last request that the application read. */
+    private volatile int requestBytes;
+    /** The response of the application; ID in it is replaced by the id of the request. */
+    volatile String response =
             "HTTP/1.1 200 OK\r\n" + ID + ": ID\r\nCypressweir-Server-Seal: s\r\n" + "Content-Length: 4\r\n\r\nfine";
-    /** The id whose answers are changed, and how; its connection ends behind them. */
-    volatile String mutant = "";
+    /** The id whose responses are mutated, and how; its connection is closed after them. */
+    volatile String mutatedId = "";
 
-    volatile UnaryOperator<String> change = text -> text;
-    private ServiceRequestHandler helm;
-    /** The line on which the other pilot has told of itself. */
-    private PeerConnection greeted;
+    volatile UnaryOperator<String> mutation = text -> text;
+    private ServiceRequestHandler handler;
+    /** The connection on which the other proxy has sent its registration. */
+    private PeerConnection registered;
 
-    private long numbers;
+    private long lastNumber;
 
     PeerForwardingFixture() throws Exception {
         InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        UpstreamDispatcher near = quay(to, "i0");
-        UpstreamDispatcher beyond = quay(to, "i1");
-        PeerTransport wharf = new PeerTransport(group, PeerForwardingFixture::micros);
-        far = wharf.listen(
+        UpstreamDispatcher localDispatcher = dispatcher(to, "i0");
+        UpstreamDispatcher remoteDispatcher = dispatcher(to, "i1");
+        PeerTransport transport = new PeerTransport(group, PeerForwardingFixture::micros);
+        remote = transport.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 new PeerRequestReceiver(
                         PeerForwardingFixture::micros,
-                        beyond,
+                        remoteDispatcher,
                         () -> new ProxyRegistration("p1", 1, 1, "far", "", "z", "s", false, null)));
-        moorings = new PeerConnectionPool(
-                wharf,
+        connections = new PeerConnectionPool(
+                transport,
                 PeerForwardingFixture::micros,
                 new PeerConnectionPool.Plan(3_000_000, 6_000_000, 12_000_000, 10_000, 10_000, 700),
-                () -> hops().hello("p0"),
-                new Ear());
-        hops = new PeerForwarder(PeerForwardingFixture::micros, "own", LIFE, near, moorings::line);
+                () -> forwarder().hello("p0"),
+                new PeerListener());
+        forwarder = new PeerForwarder(
+                PeerForwardingFixture::micros, "own", INCARNATION, localDispatcher, connections::line);
         daemon(() -> accept(server, this::serve));
-        daemon(() -> accept(relay, this::pass));
+        daemon(() -> accept(relay, this::relay));
         on(() -> {
-            moorings.want(Set.of(farAddress()));
+            connections.want(Set.of(remoteAddress()));
             return null;
         });
-        gangway = HttpListener.open(
+        listener = HttpListener.open(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 () -> new RequestLimits(16_384, 65_536, 1_000, 5_000),
@@ -116,15 +116,15 @@
                 this::called);
     }
 
-    private PeerForwarder hops() {
-        return hops;
+    private PeerForwarder forwarder() {
+        return forwarder;
     }
 
     private static ServerSocket open() throws IOException {
         return new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     }
 
-    private String farAddress() {
+    private String remoteAddress() {
         return "127.0.0.1:" + relay.getLocalPort();
     }
 
@@ -132,36 +132,36 @@
         return System.nanoTime() / 1000;
     }
 
-    private UpstreamDispatcher quay(InetSocketAddress to, String instance) throws Exception {
+    private UpstreamDispatcher dispatcher(InetSocketAddress to, String instance) throws Exception {
         return on(() -> {
-            UpstreamDispatcher quay = new UpstreamDispatcher(
+            UpstreamDispatcher dispatcher = new UpstreamDispatcher(
                     loop, to, PeerForwardingFixture::micros, UpstreamOptions.defaults(), line -> {});
-            quay.life(new InstanceIncarnation(instance, "s", 8, false, 0));
-            return quay;
+            dispatcher.life(new InstanceIncarnation(instance, "s", 8, false, 0));
+            return dispatcher;
         });
     }
 
     private <T> T on(Callable<T> task) throws Exception {
-        return loop.submit(task).get(BOUND, TimeUnit.MILLISECONDS);
+        return loop.submit(task).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private final class Ear implements PeerConnectionPool.Owner {
+    private final class PeerListener implements PeerConnectionPool.Owner {
         @Override
-        public void up(String address, PeerConnection line) {}
+        public void up(String address, PeerConnection connection) {}
 
         @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
-            if (JsonCodec.text(head, "t").equals("end")) {
-                hops.heard(line, head, body);
+        public void heard(String address, PeerConnection connection, Map<String, Object> head, byte[] body) {
+            if (PeerMessageCodec.decode(head, body, micros()) instanceof PeerMessage.ForwardedResponse response) {
+                forwarder.responseReceived(connection, response);
             } else {
-                hops.greeted(line, 1);
-                greeted = line;
+                forwarder.incarnationReceived(connection, 1);
+                registered = connection;
             }
         }
 
         @Override
-        public void lost(String address, PeerConnection line) {
-            hops.lost(line);
+        public void lost(String address, PeerConnection connection) {
+            forwarder.connectionLost(connection);
         }
 
         @Override
@@ -169,13 +169,13 @@
     }
 
     private void called(ServerRequest call) {
-        boolean repeatable = call.path().startsWith("/often");
+        boolean idempotent = call.path().startsWith("/idempotent");
         RouteConfiguration route = new RouteConfiguration(
-                "r", "a", "/", repeatable, 4_000_000, 2_000_000, 1, List.of(new WeightedDestination("s", 1)), 3, false);
+                "r", "a", "/", idempotent, 4_000_000, 2_000_000, 1, List.of(new WeightedDestination("s", 1)), 3, false);
         long at = micros();
         String id = call.header(ID);
-        helm.take(new ProxiedRequest(
-                Long.toString(++numbers),
+        handler.handle(new ProxiedRequest(
+                Long.toString(++lastNumber),
                 call,
                 id == null ? "none" : id,
                 route,
@@ -189,35 +189,36 @@
                 new RequestTrace(PeerForwardingFixture::micros, 4)));
     }
 
-    /** From now on the first to come is broken there; what can't be repeated goes over the hop. */
-    void next(Break where, boolean both) throws Exception {
-        while (!on(() -> greeted != null && moorings.line(farAddress()) == greeted)) {
+    /** Breaks the next message there; with one endpoint only, it is forwarded. */
+    void breakNext(Break where, boolean withLocalEndpoint) throws Exception {
+        while (!on(() -> registered != null && connections.line(remoteAddress()) == registered)) {
             Thread.onSpinWait();
         }
         on(() -> {
-            helm = new ServiceRequestHandler(
+            handler = new ServiceRequestHandler(
                     "s",
                     loop,
                     PeerForwardingFixture::micros,
-                    hops,
+                    forwarder,
                     "p0",
                     0,
                     List.of("z"),
-                    ServiceRequestHandler.budget(10_000_000, 50, 1));
-            Endpoint other = new Endpoint(101, "p1", 1, farAddress(), "i1", "z");
-            Endpoint near = new Endpoint(100, "p0", 1, "own", "i0", "z");
-            helm.servers(both ? List.of(near, other) : List.of(other), List.of("z"), Map.of());
+                    ServiceRequestHandler.retryBudget(10_000_000, 50, 1));
+            Endpoint remote = new Endpoint(101, "p1", 1, remoteAddress(), "i1", "z");
+            Endpoint local = new Endpoint(100, "p0", 1, "own", "i0", "z");
+            handler.updateEndpoints(
+                    withLocalEndpoint ? List.of(local, remote) : List.of(remote), List.of("z"), Map.of());
             return null;
         });
-        left.set(1);
+        pendingBreaks.set(1);
         now = where;
     }
 
-    /** How many bytes a request takes on each part of its way: to the server, on the hop, and back on it. */
+    /** The bytes of a message: to the application, forwarded to the other proxy, or returned by it. */
     int bytes(String where) {
-        return where.equals("request to the server")
-                ? asked
-                : where.equals("request on the hop") ? passedOut : passedBack;
+        return where.equals("request to the application")
+                ? requestBytes
+                : where.equals("forwarded request") ? bytesForwarded : bytesReturned;
     }
 
     int runs(String id) {
@@ -230,25 +231,25 @@
 
     Socket client() throws IOException {
         Socket socket =
-                new Socket(InetAddress.getLoopbackAddress(), gangway.address().getPort());
-        socket.setSoTimeout(BOUND);
+                new Socket(InetAddress.getLoopbackAddress(), listener.address().getPort());
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
         return socket;
     }
 
-    /** What a client gets that sends this; null for nothing. */
-    RawHttpClient.Message ask(String bytes) throws IOException {
+    /** The response to a client that sends this; null for none. */
+    RawHttpClient.Message request(String bytes) throws IOException {
         try (Socket socket = client()) {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             return RawHttpClient.read(socket.getInputStream());
         }
     }
 
-    private interface Talk {
+    private interface Conversation {
         void with(Socket socket) throws IOException;
     }
 
-    private void accept(ServerSocket listening, Talk talk) {
+    private void accept(ServerSocket listening, Conversation conversation) {
         try {
             while (true) {
                 Socket socket = listening.accept();
@@ -256,9 +257,9 @@
                 sockets.add(socket);
                 daemon(() -> {
                     try (socket) {
-                        talk.with(socket);
+                        conversation.with(socket);
                     } catch (IOException e) {
-                        // Broken off by one side, which is what is tested.
+                        // One side has broken the connection, as the test wants.
                     }
                     sockets.remove(socket);
                 });
@@ -275,25 +276,25 @@
         int end = Integer.MAX_VALUE;
         Break its = Break.NONE;
         for (int b; (b = in.read()) >= 0; ) {
-            its = size == 0 ? taken(now.request > 0 || now.answer >= 0) : its;
+            its = size == 0 ? takeBreak(now.request > 0 || now.response >= 0) : its;
             head.append((char) b);
             if (++size == its.request) {
                 reset(socket);
                 return;
             }
-            boolean whole = b == '\n' && head.toString().endsWith("\r\n\r\n");
-            if (end == Integer.MAX_VALUE && whole) {
+            boolean isHeadComplete = b == '\n' && head.toString().endsWith("\r\n\r\n");
+            if (end == Integer.MAX_VALUE && isHeadComplete) {
                 end = size + Integer.parseInt(value(head, "Content-Length", "0"));
             }
             if (size == end) {
-                asked = size;
+                requestBytes = size;
                 String id = value(head, ID, "none");
                 runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
-                byte[] bytes = written(id).getBytes(StandardCharsets.ISO_8859_1);
-                boolean cut = its.answer >= 0;
-                int go = cut ? Math.min(its.answer, bytes.length) : bytes.length;
-                socket.getOutputStream().write(bytes, 0, go);
-                if (cut || id.equals(mutant)) {
+                byte[] bytes = responseTo(id).getBytes(StandardCharsets.ISO_8859_1);
+                boolean isBroken = its.response >= 0;
+                int length = isBroken ? Math.min(its.response, bytes.length) : bytes.length;
+                socket.getOutputStream().write(bytes, 0, length);
+                if (isBroken || id.equals(mutatedId)) {
                     return;
                 }
                 head.setLength(0);
@@ -303,9 +304,9 @@
         }
     }
 
-    private String written(String id) {
-        String its = answer.replace("ID", id);
-        return id.equals(mutant) ? change.apply(its) : its;
+    private String responseTo(String id) {
+        String its = response.replace("ID", id);
+        return id.equals(mutatedId) ? mutation.apply(its) : its;
     }
 
     private static String value(CharSequence head, String name, String otherwise) {
@@ -315,8 +316,8 @@
         return at < 0 ? otherwise : text.substring(at + name.length() + 4, text.indexOf("\r\n", at + 2));
     }
 
-    private Break taken(boolean meant) {
-        return meant && left.getAndSet(0) > 0 ? now : Break.NONE;
+    private Break takeBreak(boolean applies) {
+        return applies && pendingBreaks.getAndSet(0) > 0 ? now : Break.NONE;
     }
 
     private static void reset(Socket socket) throws IOException {
@@ -324,8 +325,8 @@
         socket.close();
     }
 
-    private void pass(Socket from) throws IOException {
-        Socket to = new Socket(far.getAddress(), far.getPort());
+    private void relay(Socket from) throws IOException {
+        Socket to = new Socket(remote.getAddress(), remote.getPort());
         to.setTcpNoDelay(true);
         sockets.add(to);
         daemon(() -> copy(to, from, false));
@@ -344,16 +345,16 @@
                     its = now;
                     passed = 0;
                 }
-                int most = out ? its.hopOut : its.hopBack;
-                int go = most < 0 || left.get() == 0 ? size : Math.min(size, most - passed);
-                passed += go;
+                int breakAt = out ? its.forwardedRequest : its.forwardedResponse;
+                int length = breakAt < 0 || pendingBreaks.get() == 0 ? size : Math.min(size, breakAt - passed);
+                passed += length;
                 if (out) {
-                    passedOut = passed;
+                    bytesForwarded = passed;
                 } else {
-                    passedBack = passed;
+                    bytesReturned = passed;
                 }
-                to.getOutputStream().write(bytes, 0, go);
-                if (most >= 0 && passed == most && left.getAndSet(0) > 0) {
+                to.getOutputStream().write(bytes, 0, length);
+                if (breakAt >= 0 && passed == breakAt && pendingBreaks.getAndSet(0) > 0) {
                     return;
                 }
             }
@@ -363,14 +364,14 @@
     }
 
     private static void daemon(Runnable task) {
-        Thread thread = new Thread(task, "hop-rig");
+        Thread thread = new Thread(task, "peer-forwarding-fixture");
         thread.setDaemon(true);
         thread.start();
     }
 
     void close() throws Exception {
         on(() -> {
-            moorings.close();
+            connections.close();
             return null;
         });
         server.close();
@@ -378,6 +379,6 @@
         for (Socket socket : sockets) {
             socket.close();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(BOUND);
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(TIMEOUT_MILLIS);
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
@@ -16,60 +16,60 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
-/** A helm with made-up time, clients and servers: the test says what becomes of each attempt, and when. */
+/** A request handler with simulated time, clients and instances: the test completes each attempt when it wants. */
 final class ProxyFixture implements AttemptTransport {
 
-    static final long AIM = 500_000;
-    static final long LEFT = 2_000_000;
+    static final long LATENCY_TARGET_MICROS = 500_000;
+    static final long TIMEOUT_MICROS = 2_000_000;
 
-    /** One attempt that was handed to the carrier. */
-    static final class Sent {
-        final Endpoint target;
-        final UpstreamRequest freight;
-        private final Consumer<AttemptResult> end;
-        /** As far as it is known. */
+    /** One attempt that was handed to the transport. */
+    static final class SentAttempt {
+        final Endpoint endpoint;
+        final UpstreamRequest request;
+        private final Consumer<AttemptResult> callback;
+        /** Null while the attempt is in flight. */
         RequestOutcome outcome;
 
         boolean cancelled;
-        /** Hears of it when it is cancelled. */
+        /** Runs when the attempt is cancelled. */
         Runnable whenCancelled = () -> {};
 
-        Sent(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
-            this.target = target;
-            this.freight = freight;
-            this.end = end;
+        SentAttempt(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback) {
+            this.endpoint = endpoint;
+            this.request = request;
+            this.callback = callback;
         }
 
-        void ends(RequestOutcome its) {
-            outcome = its;
-            end.accept(new AttemptResult(its, new UpstreamLoad(1, 0, 8)));
+        void complete(RequestOutcome completed) {
+            outcome = completed;
+            callback.accept(new AttemptResult(completed, new UpstreamLoad(1, 0, 8)));
         }
 
         boolean hasNotRun() {
             return outcome instanceof RequestOutcome.NotRun;
         }
 
-        void answers(int status) {
-            ends(new RequestOutcome.Answered(status, List.of(Map.entry("By", target.instance())), new byte[0]));
+        void respond(int status) {
+            complete(new RequestOutcome.Answered(status, List.of(Map.entry("By", endpoint.instanceId())), new byte[0]));
         }
     }
 
-    /** A client that waits for an answer. */
+    /** A client that waits for a response. */
     static class Client implements ServerRequest {
-        final List<ServerResponse> answers = new ArrayList<>();
-        private Runnable gone;
+        final List<ServerResponse> responses = new ArrayList<>();
+        private Runnable whenGone;
 
         int status() {
-            return answers.isEmpty() ? 0 : answers.get(0).status();
+            return responses.isEmpty() ? 0 : responses.get(0).status();
         }
 
         String retryAfter() {
             return org.cypressweir.dataplane.http.server.Headers.first(
-                    answers.get(0).headers(), "Retry-After");
+                    responses.get(0).headers(), "Retry-After");
         }
 
-        void leaves() {
-            gone.run();
+        void disconnect() {
+            whenGone.run();
         }
 
         @Override
@@ -109,36 +109,36 @@
 
         @Override
         public boolean answer(ServerResponse answer) {
-            answers.add(answer);
+            responses.add(answer);
             return true;
         }
 
         @Override
         public void whenGone(Runnable task) {
-            gone = task;
+            whenGone = task;
         }
 
         @Override
         public boolean isOpen() {
-            return answers.isEmpty();
+            return responses.isEmpty();
         }
     }
 
-    final List<Sent> sent = new ArrayList<>();
-    /** Does what the test wants with each attempt as it is sent. */
-    Consumer<Sent> server = s -> {};
-    /** Whether it is an error to send again what may have run and can't be repeated. */
+    final List<SentAttempt> sent = new ArrayList<>();
+    /** Called with each attempt as it is sent. */
+    Consumer<SentAttempt> onSend = attempt -> {};
+    /** Whether retrying a non-idempotent request that may have run is an error. */
     boolean strict = true;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final ServiceRequestHandler helm;
+    private final ServiceRequestHandler handler;
     long now = 1_000_000_000L;
-    final RequestTrace wake = new RequestTrace(() -> now, 4);
-    private long numbers;
+    final RequestTrace trace = new RequestTrace(() -> now, 4);
+    private long lastNumber;
 
-    ProxyFixture(int servers) {
+    ProxyFixture(int endpointCount) {
         channel.freezeTime();
-        helm = new ServiceRequestHandler(
+        handler = new ServiceRequestHandler(
                 "s",
                 channel.eventLoop(),
                 () -> now,
@@ -146,62 +146,82 @@
                 "p1",
                 0,
                 List.of("z"),
-                ServiceRequestHandler.budget(10_000_000, 50, 0.25));
-        servers(servers);
+                ServiceRequestHandler.retryBudget(10_000_000, 50, 0.25));
+        updateEndpoints(endpointCount);
     }
 
-    ServiceRequestHandler helm() {
-        return helm;
+    ServiceRequestHandler handler() {
+        return handler;
     }
 
-    /** From now on there are so many servers. */
-    void servers(int count) {
-        List<Endpoint> targets = new ArrayList<>();
+    /** Replaces the endpoint list by one of so many. */
+    void updateEndpoints(int count) {
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            targets.add(new Endpoint(100 + i, "p" + i, 1, "10.0.0." + i + ":7000", "i" + i, "z"));
+            endpoints.add(new Endpoint(100 + i, "p" + i, 1, "10.0.0." + i + ":7000", "i" + i, "z"));
         }
-        helm.servers(targets, List.of("z"), Map.of());
+        handler.updateEndpoints(endpoints, List.of("z"), Map.of());
         advance(0);
     }
 
-    List<Sent> attempts(String id) {
-        return sent.stream().filter(s -> s.freight.id().equals(id)).toList();
+    List<SentAttempt> attempts(String id) {
+        return sent.stream().filter(attempt -> attempt.request.id().equals(id)).toList();
     }
 
     @Override
-    public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
-        if (strict && !freight.repeatable() && !attempts(freight.id()).stream().allMatch(Sent::hasNotRun)) {
-            throw new AssertionError("sent again: " + freight.id());
+    public Handle send(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback) {
+        if (strict && !request.repeatable() && !attempts(request.id()).stream().allMatch(SentAttempt::hasNotRun)) {
+            throw new AssertionError("retried: " + request.id());
         }
-        Sent one = new Sent(target, freight, end);
-        sent.add(one);
-        server.accept(one);
+        SentAttempt attempt = new SentAttempt(endpoint, request, callback);
+        sent.add(attempt);
+        onSend.accept(attempt);
         return () -> {
-            one.cancelled = true;
-            one.whenCancelled.run();
+            attempt.cancelled = true;
+            attempt.whenCancelled.run();
         };
     }
 
-    Client ask(boolean repeatable) {
-        return ask(repeatable, new Client());
+    Client request(boolean idempotent) {
+        return request(idempotent, new Client());
     }
 
-    Client ask(boolean repeatable, Client client) {
+    Client request(boolean idempotent, Client client) {
         RouteConfiguration route = new RouteConfiguration(
-                "r", "a", "/", repeatable, LEFT, AIM, 1, List.of(new WeightedDestination("s", 1)), 3, false);
-        String number = Long.toString(++numbers);
-        helm.take(new ProxiedRequest(
-                number, client, "id" + number, route, "t", 1, false, now, now + AIM, now + LEFT, List.of(), wake));
+                "r",
+                "a",
+                "/",
+                idempotent,
+                TIMEOUT_MICROS,
+                LATENCY_TARGET_MICROS,
+                1,
+                List.of(new WeightedDestination("s", 1)),
+                3,
+                false);
+        String number = Long.toString(++lastNumber);
+        handler.handle(new ProxiedRequest(
+                number,
+                client,
+                "id" + number,
+                route,
+                "t",
+                1,
+                false,
+                now,
+                now + LATENCY_TARGET_MICROS,
+                now + TIMEOUT_MICROS,
+                List.of(),
+                trace));
         advance(0);
         return client;
     }
 
-    /** A task at a time from now on. */
-    void later(long micros, Runnable task) {
+    /** Runs a task after a delay of simulated time. */
+    void schedule(long micros, Runnable task) {
         channel.eventLoop().schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 
-    /** Time passes, and all happens that is due meanwhile, each at its time. */
+    /** Advances the simulated time, and runs each task that is due meanwhile at its time. */
     void advance(long micros) {
         long until = now + micros;
         while (true) {
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -8,50 +8,51 @@
 import org.cypressweir.testkit.SimulatedReplicas.Harbour;
 
 /**
- * A pilot starts in the middle of drawn cuts, in made-up time: it is told states and asks who confirms them,
- * over paths that hold words up. What it begins with as confirmed must have all that was answered 200 before.
+ * A proxy scenarios during random partitions, in simulated time: it receives versions of the configuration and asks
+ * controllers to confirm them, over paths that delay messages. A configuration that it scenarios with as confirmed
+ * must have all changes that were acknowledged before.
  */
 public final class ProxyStartScenario {
 
-    private static final long STEP = 10_000;
-    private static final long PATIENCE = 3_000_000;
-    private static final long TOLD = 600_000;
-    private static final int ALL = 4;
+    private static final long STEP_MICROS = 10_000;
+    private static final long CONFIRMATION_TIMEOUT_MICROS = 3_000_000;
+    private static final long MESSAGE_MARGIN_MICROS = 600_000;
+    private static final int ALL_PARTITIONED = 4;
 
-    private record Word(long at, Runnable comes) {}
+    private record DelayedMessage(long at, Runnable delivery) {}
 
     private final SplittableRandom random;
     private final SimulatedReplicas world;
-    private final ReadinessGate freshness = new ReadinessGate();
-    private final List<Word> words = new ArrayList<>();
-    private final List<Integer> reached = new ArrayList<>();
-    private final long holdsUp;
+    private final ReadinessGate gate = new ReadinessGate();
+    private final List<DelayedMessage> messages = new ArrayList<>();
+    private final List<Integer> reachable = new ArrayList<>();
+    private final long maxDelayMicros;
     private ReplicatedState own;
     private long version;
 
     private ProxyStartScenario(long seed) {
         random = new SplittableRandom(seed);
         world = new SimulatedReplicas(seed, 3);
-        holdsUp = random.nextBoolean() ? random.nextLong(2_000_000) : 0;
+        maxDelayMicros = random.nextBoolean() ? random.nextLong(2_000_000) : 0;
     }
 
-    /** The first breach in so many starts, or null. */
-    public static String broken(int starts) {
+    /** The first violation in so many scenarios, or null. */
+    public static String firstViolation(int scenarios) {
         int confirmed = 0;
-        for (long seed = 0; seed < starts; seed++) {
-            ProxyStartScenario one = new ProxyStartScenario(seed);
-            String breach = one.run();
-            if (breach != null) {
-                return "seed " + seed + ": " + breach;
+        for (long seed = 0; seed < scenarios; seed++) {
+            ProxyStartScenario scenario = new ProxyStartScenario(seed);
+            String violation = scenario.run();
+            if (violation != null) {
+                return "seed " + seed + ": " + violation;
             }
-            confirmed += one.freshness.isConfirmed() ? 1 : 0;
+            confirmed += scenario.gate.isConfirmed() ? 1 : 0;
         }
-        return confirmed * 4 > starts && confirmed < starts
+        return confirmed * 4 > scenarios && confirmed < scenarios
                 ? null
-                : confirmed + " of " + starts + " begin with what is confirmed";
+                : confirmed + " of " + scenarios + " start with a confirmed configuration";
     }
 
-    private void order() {
+    private void submitChange() {
         Harbour at = world.harbour(1 + random.nextInt(3));
         world.submit(
                 at,
@@ -59,107 +60,111 @@
                 850_000);
     }
 
-    /** All three hear each other, or one of them is cut off. */
-    private int cut() {
-        int off = random.nextInt(4);
-        int ways = 1 + random.nextInt(3);
-        for (int i = 1; i <= 3 && off > 0; i++) {
-            if (i != off && (ways & 1) != 0) {
-                world.cut(world.harbour(off).address(), world.harbour(i).address());
+    /** Leaves all three controllers connected, or partitions one, whose number it returns; 0 for none. */
+    private int partition() {
+        int partitioned = random.nextInt(4);
+        int directions = 1 + random.nextInt(3);
+        for (int i = 1; i <= 3 && partitioned > 0; i++) {
+            if (i != partitioned && (directions & 1) != 0) {
+                world.cut(world.harbour(partitioned).address(), world.harbour(i).address());
             }
-            if (i != off && (ways & 2) != 0) {
-                world.cut(world.harbour(i).address(), world.harbour(off).address());
+            if (i != partitioned && (directions & 2) != 0) {
+                world.cut(world.harbour(i).address(), world.harbour(partitioned).address());
             }
         }
-        return off;
+        return partitioned;
     }
 
-    /** Nobody hears anybody any more, and one has begun anew. */
-    private void cutAll() {
+    /** Partitions all controllers from each other, and restarts one. */
+    private void partitionAll() {
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
                 world.cut(world.harbour(i).address(), world.harbour(j).address());
             }
         }
-        int again = 1 + random.nextInt(3);
-        world.crash(world.harbour(again));
-        world.start(again);
+        int restarted = 1 + random.nextInt(3);
+        world.crash(world.harbour(restarted));
+        world.start(restarted);
         world.run(3_000_000);
     }
 
-    private void later(Runnable comes) {
-        words.add(new Word(world.now() + holdsUp + random.nextLong(STEP), comes));
+    private void send(Runnable delivery) {
+        messages.add(new DelayedMessage(world.now() + maxDelayMicros + random.nextLong(STEP_MICROS), delivery));
     }
 
-    private void ask(int harbour, long asked) {
-        later(() -> {
-            Harbour its = world.harbour(harbour);
+    private void query(int controller, long queriedAt) {
+        send(() -> {
+            Harbour its = world.harbour(controller);
             ReplicatedState shown = its.copies().shown();
             long age = its.copies().confirmedAge(world.now());
-            later(() -> {
-                // The state comes with the answer, later, or not at all for now.
+            send(() -> {
+                // The configuration arrives with the answer, later, or not at all for now.
                 if (random.nextInt(3) > 0 && (own == null || shown.stamp().compareTo(own.stamp()) > 0)) {
                     own = shown;
                 }
-                freshness.answered(world.now(), "h" + harbour, asked, shown.stamp(), age);
+                gate.confirmationReceived(world.now(), "h" + controller, queriedAt, shown.stamp(), age);
             });
         });
     }
 
     private String run() {
         world.run(1_000_000);
-        order();
+        submitChange();
         world.run(1_000_000);
-        int off = cut();
+        int partitioned = partition();
         for (int i = random.nextInt(20); i >= 0; i--) {
-            order();
+            submitChange();
             world.run(random.nextLong(400_000));
         }
-        if (off > 0 && random.nextInt(3) == 0) {
-            off = ALL;
-            cutAll();
+        if (partitioned > 0 && random.nextInt(3) == 0) {
+            partitioned = ALL_PARTITIONED;
+            partitionAll();
         }
         for (int i = 1; i <= 3; i++) {
             if (random.nextBoolean()) {
-                reached.add(i);
+                reachable.add(i);
             }
         }
-        long began = world.now();
-        long had = -1;
-        while (world.now() < began + PATIENCE + TOLD) {
+        long startedAt = world.now();
+        long configuredSince = -1;
+        while (world.now() < startedAt + CONFIRMATION_TIMEOUT_MICROS + MESSAGE_MARGIN_MICROS) {
             if (random.nextInt(8) == 0) {
-                order();
+                submitChange();
             }
-            world.run(STEP);
+            world.run(STEP_MICROS);
             long now = world.now();
-            for (Word word : List.copyOf(words)) {
-                if (word.at <= now) {
-                    words.remove(word);
-                    word.comes.run();
+            for (DelayedMessage message : List.copyOf(messages)) {
+                if (message.at <= now) {
+                    messages.remove(message);
+                    message.delivery.run();
                 }
             }
-            if (freshness.asks(now)) {
-                reached.forEach(harbour -> ask(harbour, now));
+            if (gate.isQueryDue(now)) {
+                reachable.forEach(controller -> query(controller, now));
             }
-            had = had < 0 && own != null && own.stamp().round() > 0 ? now : had;
-            if (own != null && freshness.begins(now, own.stamp(), PATIENCE)) {
-                return begun(now, had, began, off);
+            configuredSince = configuredSince < 0 && own != null && own.stamp().round() > 0 ? now : configuredSince;
+            if (own != null && gate.mayStart(now, own.stamp(), CONFIRMATION_TIMEOUT_MICROS)) {
+                return checkStart(now, configuredSince, startedAt, partitioned);
             }
         }
-        return own == null || own.stamp().round() == 0 || now() < had + PATIENCE ? null : "never begins";
+        return own == null || own.stamp().round() == 0 || now() < configuredSince + CONFIRMATION_TIMEOUT_MICROS
+                ? null
+                : "never starts";
     }
 
     private long now() {
         return world.now();
     }
 
-    private String begun(long now, long had, long began, int off) {
-        if (freshness.isConfirmed()) {
-            world.checks().confirmed("the pilot", now - ReadinessGate.MOST_AGE, own.manifest());
-        } else if (now < had + PATIENCE) {
-            return "begins after " + (now - had) + " us with what nobody confirms";
-        } else if (holdsUp == 0 && off != ALL && reached.stream().anyMatch(harbour -> harbour != off)) {
-            return "waits though one that it reaches is in contact";
+    private String checkStart(long now, long configuredSince, long startedAt, int partitioned) {
+        if (gate.isConfirmed()) {
+            world.checks().confirmed("the proxy", now - ReadinessGate.MAX_CONTACT_AGE_MICROS, own.manifest());
+        } else if (now < configuredSince + CONFIRMATION_TIMEOUT_MICROS) {
+            return "starts after " + (now - configuredSince) + " us with an unconfirmed configuration";
+        } else if (maxDelayMicros == 0
+                && partitioned != ALL_PARTITIONED
+                && reachable.stream().anyMatch(controller -> controller != partitioned)) {
+            return "waits though it reaches a controller that is in contact";
         }
         return world.checks().breach();
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
@@ -11,70 +11,72 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A pilot begins with what a majority confirms, or after a while with what it has, and never goes back. */
+/** A proxy starts with a configuration that a majority confirms, or after a time-out with the one it has. */
 class ReadinessGateTest {
 
-    private static final int STARTS = 300;
+    private static final int SCENARIOS = 300;
 
     @TempDir
     Path folder;
 
     @Test
-    void whatIsConfirmedHasAllThatWasAnswered() {
-        assertThat(ProxyStartScenario.broken(STARTS)).isNull();
+    void confirmedConfigurationHasAllAcknowledgedChanges() {
+        assertThat(ProxyStartScenario.firstViolation(SCENARIOS)).isNull();
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '~',
             value = {
-                "any age will do ~ now - one.asOf <= MOST_AGE && own ~ own",
-                "an answer counts as of when it comes ~ new Confirmed(stamp, asked - age) "
-                        + "~ new Confirmed(stamp, now - age)",
-                "what it has need not be what is confirmed ~ && own.compareTo(one.stamp) >= 0 ~ ",
-                "a harbour that knows nothing confirms ~ stamp != null && age >= 0 && asked <= now "
-                        + "~ stamp != null",
-                "it doesn't wait for a confirmation ~ begun = isConfirmed || now - havingSince >= patience; "
-                        + "~ begun = true;",
-                "it waits for a confirmation for ever ~ begun = isConfirmed || now - havingSince >= patience; "
-                        + "~ begun = isConfirmed;",
+                "any age is accepted ~ now - confirmation.asOf <= MAX_CONTACT_AGE_MICROS && ownVersion "
+                        + "~ ownVersion",
+                "an answer counts as of its arrival ~ new Confirmation(version, queriedAt - ageMicros) "
+                        + "~ new Confirmation(version, now - ageMicros)",
+                "an older configuration than the confirmed one is accepted "
+                        + "~ && ownVersion.compareTo(confirmation.version) >= 0 ~ ",
+                "a partitioned controller confirms ~ version != null && ageMicros >= 0 && queriedAt <= now "
+                        + "~ version != null",
+                "it doesn't wait for a confirmation ~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
+                        + "~ started = true;",
+                "it waits for a confirmation for ever ~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
+                        + "~ started = isConfirmed;",
             })
-    void eachFaultIsFound(String fault, String text, String instead) throws Exception {
+    void eachPlantedFaultIsFound(String fault, String text, String replacement) throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/dataplane/proxy"),
                 "ReadinessGate.java",
                 text,
-                instead == null ? "" : instead,
+                replacement == null ? "" : replacement,
                 name -> name.startsWith("org.cypressweir.dataplane.proxy.ProxyStartScenario"));
         assertThat(planted.loadClass("org.cypressweir.dataplane.proxy.ProxyStartScenario")
-                        .getMethod("broken", int.class)
-                        .invoke(null, STARTS))
+                        .getMethod("firstViolation", int.class)
+                        .invoke(null, SCENARIOS))
                 .as(fault)
                 .isNotNull();
     }
 
     @Test
-    void whoIsCutOffIsNotPreferred() {
-        ReadinessGate freshness = new ReadinessGate();
-        freshness.told("a", -1);
-        freshness.told("b", ReadinessGate.MOST_AGE);
-        freshness.told("c", ReadinessGate.MOST_AGE + 1);
-        assertThat(freshness.inContact(Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("b", "d");
-        assertThat(freshness.inContact(Set.of("a", "c"))).containsExactlyInAnyOrder("a", "c");
-        freshness.told("c", 0);
-        assertThat(freshness.inContact(Set.of("a", "c"))).containsExactly("c");
+    void partitionedControllersAreNotPreferred() {
+        ReadinessGate gate = new ReadinessGate();
+        gate.contactAgeReceived("a", -1);
+        gate.contactAgeReceived("b", ReadinessGate.MAX_CONTACT_AGE_MICROS);
+        gate.contactAgeReceived("c", ReadinessGate.MAX_CONTACT_AGE_MICROS + 1);
+        assertThat(gate.inContact(Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("b", "d");
+        assertThat(gate.inContact(Set.of("a", "c"))).containsExactlyInAnyOrder("a", "c");
+        gate.contactAgeReceived("c", 0);
+        assertThat(gate.inContact(Set.of("a", "c"))).containsExactly("c");
     }
 
-    /** A harbour that was cut off tells an old crew: it doesn't take newer members' lines away. */
+    /** A controller that was partitioned announces old voters: newer ones stay connected. */
     @Test
-    void anOldCrewIsNotTakenOver() {
-        ConfigurationSubscriber following = new ConfigurationSubscriber();
-        following.crew(ProposalNumber.of("5@a"), Set.of("a", "b", "d"));
-        following.crew(ProposalNumber.of("3@a"), Set.of("a", "b", "c"));
-        assertThat(following.crew()).containsExactlyInAnyOrder("a", "b", "d");
-        following.crew(ProposalNumber.of("6@a"), Set.of());
-        following.crew(ProposalNumber.of("5@b"), Set.of("b", "d", "e"));
-        assertThat(following.crew()).containsExactlyInAnyOrder("b", "d", "e");
+    void oldVotersAreIgnored() {
+        ConfigurationSubscriber subscriber = new ConfigurationSubscriber();
+        subscriber.votersAnnounced(ProposalNumber.of("5@a"), Set.of("a", "b", "d"));
+        subscriber.votersAnnounced(ProposalNumber.of("3@a"), Set.of("a", "b", "c"));
+        assertThat(subscriber.voters()).containsExactlyInAnyOrder("a", "b", "d");
+        subscriber.votersAnnounced(ProposalNumber.of("6@a"), Set.of());
+        subscriber.votersAnnounced(ProposalNumber.of("5@b"), Set.of("b", "d", "e"));
+        assertThat(subscriber.voters()).containsExactlyInAnyOrder("b", "d", "e");
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Where requests go, and what their clients are told, whatever becomes of their attempts. */
+/** Endpoint selection, retries and responses, for all outcomes of attempts. */
 class ServiceRequestHandlerTest {
 
     private static final RequestOutcome LOST = new RequestOutcome.MayHaveRun("lost");
@@ -23,91 +23,92 @@
     }
 
     @Test
-    void picksFollowWhatIsMeasured() {
-        ProxyFixture hull = new ProxyFixture(4);
+    void selectionFollowsMeasuredLatency() {
+        ProxyFixture fixture = new ProxyFixture(4);
         SplittableRandom random = new SplittableRandom(3);
-        hull.server = s -> hull.later(
-                (s.target.instance().equals("i0") ? 80_000 : 8_000) + random.nextInt(2_000), () -> s.answers(200));
+        fixture.onSend = sent -> fixture.schedule(
+                (sent.endpoint.instanceId().equals("i0") ? 80_000 : 8_000) + random.nextInt(2_000),
+                () -> sent.respond(200));
         List<ProxyFixture.Client> clients = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
-            clients.add(hull.ask(i % 2 == 0));
-            hull.advance(1 + random.nextInt(5_000));
+            clients.add(fixture.request(i % 2 == 0));
+            fixture.advance(1 + random.nextInt(5_000));
         }
-        hull.advance(1_000_000);
-        assertThat(clients).allMatch(c -> c.answers.size() == 1 && c.status() == 200);
-        List<String> late = hull.sent.subList(hull.sent.size() / 2, hull.sent.size()).stream()
-                .map(s -> s.target.instance())
+        fixture.advance(1_000_000);
+        assertThat(clients).allMatch(c -> c.responses.size() == 1 && c.status() == 200);
+        List<String> late = fixture.sent.subList(fixture.sent.size() / 2, fixture.sent.size()).stream()
+                .map(sent -> sent.endpoint.instanceId())
                 .toList();
         assertThat(late.stream().filter("i0"::equals).count()).isBetween(1L, late.size() / 12L);
         for (String fast : List.of("i1", "i2", "i3")) {
             assertThat(late.stream().filter(fast::equals).count()).isGreaterThan(late.size() / 6L);
         }
-        assertThat(hull.helm().open()).isZero();
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
     @Test
-    void whatMayHaveRunAndCanNotBeRepeatedIsNeverSentAgain() {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(false);
-        hull.advance(5_000);
-        hull.sent.get(0).ends(LOST);
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(hull.sent).hasSize(1);
-        assertThat(client.answers).hasSize(1);
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried() {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(false);
+        fixture.advance(5_000);
+        fixture.sent.get(0).complete(LOST);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(fixture.sent).hasSize(1);
+        assertThat(client.responses).hasSize(1);
         assertThat(client.status()).isEqualTo(502);
         assertThat(client.retryAfter()).isNull();
-        assertThat(hull.helm().open()).isZero();
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
     @Test
-    void whatIsSilentAndCanNotBeRepeatedIsTimedOut() {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(false);
-        hull.advance(ProxyFixture.LEFT - 10_000);
-        assertThat(client.answers).isEmpty();
-        hull.advance(20_000);
+    void nonIdempotentRequestWithoutResponseTimesOut() {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(false);
+        fixture.advance(ProxyFixture.TIMEOUT_MICROS - 10_000);
+        assertThat(client.responses).isEmpty();
+        fixture.advance(20_000);
         assertThat(client.status()).isEqualTo(504);
-        assertThat(hull.sent).hasSize(1);
-        hull.sent.get(0).answers(200);
-        hull.advance(1_000);
-        assertThat(client.answers).hasSize(1);
-        assertThat(hull.helm().open()).isZero();
+        assertThat(fixture.sent).hasSize(1);
+        fixture.sent.get(0).respond(200);
+        fixture.advance(1_000);
+        assertThat(client.responses).hasSize(1);
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
     @ParameterizedTest
     @EnumSource(
             value = RejectionReason.class,
             names = {"FULL", "GONE", "NO_CONNECTION", "MISDIRECTED"})
-    void whatHasNotRunGoesToAnother(RejectionReason reason) {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(false);
-        hull.sent.get(0).ends(notRun(reason));
-        hull.advance(100_000);
-        assertThat(hull.sent).hasSize(2);
-        assertThat(hull.sent.get(1).target).isNotEqualTo(hull.sent.get(0).target);
-        assertThat(hull.sent.get(1).freight.instanceId())
-                .isEqualTo(hull.sent.get(1).target.instance());
-        assertThat(hull.sent.get(1).freight.id())
-                .isEqualTo(hull.sent.get(0).freight.id());
-        hull.sent.get(1).answers(201);
-        hull.advance(0);
+    void requestThatHasNotRunIsRetriedElsewhere(RejectionReason reason) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(false);
+        fixture.sent.get(0).complete(notRun(reason));
+        fixture.advance(100_000);
+        assertThat(fixture.sent).hasSize(2);
+        assertThat(fixture.sent.get(1).endpoint).isNotEqualTo(fixture.sent.get(0).endpoint);
+        assertThat(fixture.sent.get(1).request.instanceId())
+                .isEqualTo(fixture.sent.get(1).endpoint.instanceId());
+        assertThat(fixture.sent.get(1).request.id())
+                .isEqualTo(fixture.sent.get(0).request.id());
+        fixture.sent.get(1).respond(201);
+        fixture.advance(0);
         assertThat(client.status()).isEqualTo(201);
     }
 
     @Test
-    void whichWayARequestWentIsKept() {
-        ProxyFixture hull = new ProxyFixture(3);
-        hull.ask(false);
-        hull.advance(2_000);
-        assertThat(hull.wake.of("id1")).isEmpty();
-        hull.helm().tell("id1", hull.wake);
-        assertThat(hull.wake.of("id1")).singleElement().asString().contains("answer=none yet", "still out");
-        hull.sent.get(0).ends(notRun(RejectionReason.FULL));
-        hull.advance(100_000);
-        hull.sent.get(1).answers(201);
-        hull.advance(0);
-        String told = hull.wake.of("id1").get(1).toString();
-        assertThat(told)
+    void requestsAreTraced() {
+        ProxyFixture fixture = new ProxyFixture(3);
+        fixture.request(false);
+        fixture.advance(2_000);
+        assertThat(fixture.trace.of("id1")).isEmpty();
+        fixture.handler().recordInFlight("id1", fixture.trace);
+        assertThat(fixture.trace.of("id1")).singleElement().asString().contains("answer=none yet", "still out");
+        fixture.sent.get(0).complete(notRun(RejectionReason.FULL));
+        fixture.advance(100_000);
+        fixture.sent.get(1).respond(201);
+        fixture.advance(0);
+        String trace = fixture.trace.of("id1").get(1).toString();
+        assertThat(trace)
                 .contains(
                         "route=r",
                         "service=s",
@@ -115,178 +116,184 @@
                         "answer=201",
                         "sentMs=0.0, tookMs=2.0, " + "outcome=not run: full",
                         "outcome=answered",
-                        "server=" + hull.sent.get(1).target.instance())
+                        "server=" + fixture.sent.get(1).endpoint.instanceId())
                 .doesNotContain("fault");
-        assertThat(told.indexOf(hull.sent.get(0).target.pilot())).isLessThan(told.indexOf("outcome=answered"));
-        hull.ask(false);
-        hull.sent.get(2).ends(LOST);
-        hull.advance(0);
-        assertThat(hull.wake.of("id2")).singleElement().asString().contains("answer=502, fault=broken", "outcome=lost");
+        assertThat(trace.indexOf(fixture.sent.get(0).endpoint.proxyName()))
+                .isLessThan(trace.indexOf("outcome=answered"));
+        fixture.request(false);
+        fixture.sent.get(2).complete(LOST);
+        fixture.advance(0);
+        assertThat(fixture.trace.of("id2"))
+                .singleElement()
+                .asString()
+                .contains("answer=502, fault=broken", "outcome=lost");
         for (int i = 0; i < 4; i++) {
-            hull.ask(true);
-            hull.sent.get(3 + i).answers(200);
-            hull.advance(0);
+            fixture.request(true);
+            fixture.sent.get(3 + i).respond(200);
+            fixture.advance(0);
         }
-        assertThat(hull.wake.of("id1")).isEmpty();
-        assertThat(hull.wake.of("id6")).hasSize(1);
+        assertThat(fixture.trace.of("id1")).isEmpty();
+        assertThat(fixture.trace.of("id6")).hasSize(1);
     }
 
     @Test
-    void whatCanBeRepeatedIs() {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(true);
-        hull.sent.get(0).ends(LOST);
-        hull.advance(100_000);
-        assertThat(hull.sent).hasSize(2);
-        assertThat(hull.sent.get(1).target).isNotEqualTo(hull.sent.get(0).target);
-        hull.sent.get(1).answers(200);
-        hull.advance(0);
+    void idempotentRequestIsRetried() {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(true);
+        fixture.sent.get(0).complete(LOST);
+        fixture.advance(100_000);
+        assertThat(fixture.sent).hasSize(2);
+        assertThat(fixture.sent.get(1).endpoint).isNotEqualTo(fixture.sent.get(0).endpoint);
+        fixture.sent.get(1).respond(200);
+        fixture.advance(0);
         assertThat(client.status()).isEqualTo(200);
     }
 
     @Test
-    void whatCanBeRepeatedAndIsSilentIsCopiedInTime() {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(true);
-        hull.advance(ProxyFixture.AIM - 10_000);
-        assertThat(hull.sent).hasSize(2);
-        hull.sent.get(1).answers(200);
-        hull.advance(0);
+    void idempotentRequestWithoutResponseIsHedged() {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(true);
+        fixture.advance(ProxyFixture.LATENCY_TARGET_MICROS - 10_000);
+        assertThat(fixture.sent).hasSize(2);
+        fixture.sent.get(1).respond(200);
+        fixture.advance(0);
         assertThat(client.status()).isEqualTo(200);
-        assertThat(hull.sent.get(0).cancelled).isTrue();
+        assertThat(fixture.sent.get(0).cancelled).isTrue();
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatNobodyHasRoomForIsRefusedInTime(boolean repeatable) {
-        ProxyFixture hull = new ProxyFixture(3);
-        hull.server = s -> s.ends(notRun(RejectionReason.FULL));
-        ProxyFixture.Client client = hull.ask(repeatable);
-        hull.advance(ProxyFixture.AIM / 2);
+    void requestWithoutCapacityIsRejectedEarly(boolean repeatable) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        fixture.onSend = sent -> sent.complete(notRun(RejectionReason.FULL));
+        ProxyFixture.Client client = fixture.request(repeatable);
+        fixture.advance(ProxyFixture.LATENCY_TARGET_MICROS / 2);
         assertThat(client.status()).isEqualTo(503);
         assertThat(Double.parseDouble(client.retryAfter())).isPositive();
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(client.answers).hasSize(1);
-        assertThat(hull.helm().open()).isZero();
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(client.responses).hasSize(1);
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatMayHaveRunIsNeverRefused(boolean repeatable) {
-        ProxyFixture hull = new ProxyFixture(3);
-        hull.server = s -> s.ends(hull.sent.size() == (repeatable ? 1 : 2) ? LOST : notRun(RejectionReason.FULL));
-        ProxyFixture.Client client = hull.ask(repeatable);
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(hull.sent).hasSizeGreaterThan(1);
-        assertThat(client.answers).hasSize(1);
+    void requestThatMayHaveRunIsNotRejected(boolean repeatable) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        fixture.onSend = sent ->
+                sent.complete(fixture.sent.size() == (repeatable ? 1 : 2) ? LOST : notRun(RejectionReason.FULL));
+        ProxyFixture.Client client = fixture.request(repeatable);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(fixture.sent).hasSizeGreaterThan(1);
+        assertThat(client.responses).hasSize(1);
         assertThat(client.status()).isIn(502, 504);
         assertThat(client.retryAfter()).isNull();
-        assertThat(hull.helm().open()).isZero();
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
     @Test
-    void withoutServersItIsRefusedAtOnce() {
-        ProxyFixture hull = new ProxyFixture(0);
-        ProxyFixture.Client client = hull.ask(false);
+    void requestWithoutEndpointsIsRejectedAtOnce() {
+        ProxyFixture fixture = new ProxyFixture(0);
+        ProxyFixture.Client client = fixture.request(false);
         assertThat(client.status()).isEqualTo(503);
         assertThat(client.retryAfter()).isNotNull();
-        hull.servers(1);
-        hull.server = s -> s.answers(200);
-        assertThat(hull.ask(false).status()).isEqualTo(200);
+        fixture.updateEndpoints(1);
+        fixture.onSend = sent -> sent.respond(200);
+        assertThat(fixture.request(false).status()).isEqualTo(200);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {404, 409, 500, 504})
-    void whatTheServerSaysItselfIsHandedOn(int status) {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(false);
-        hull.sent.get(0).answers(status);
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(hull.sent).hasSize(1);
+    void applicationErrorsAreForwarded(int status) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(false);
+        fixture.sent.get(0).respond(status);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(fixture.sent).hasSize(1);
         assertThat(client.status()).isEqualTo(status);
     }
 
-    /** Only with its mark does the server say that it did not run; clients would believe the bare status. */
+    /** Only a marked response says that the request did not run; clients would believe the bare status. */
     @ParameterizedTest
     @ValueSource(ints = {408, 429, 503})
-    void aPromiseThatTheServerDidNotMakeIsNotHandedOn(int status) {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(false);
-        hull.sent.get(0).answers(status);
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(hull.sent).hasSize(1);
+    void unmarkedRejectionIsNotForwarded(int status) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(false);
+        fixture.sent.get(0).respond(status);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(fixture.sent).hasSize(1);
         assertThat(client.status()).isEqualTo(502);
-        ProxyFixture.Client other = hull.ask(true);
-        hull.server = s -> s.answers(status);
-        hull.sent.get(1).answers(status);
-        hull.advance(3 * ProxyFixture.LEFT);
+        ProxyFixture.Client other = fixture.request(true);
+        fixture.onSend = sent -> sent.respond(status);
+        fixture.sent.get(1).respond(status);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
         assertThat(other.status()).isEqualTo(status);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoHasLeftIsAnsweredNoMore(boolean repeatable) {
-        ProxyFixture hull = new ProxyFixture(3);
-        ProxyFixture.Client client = hull.ask(repeatable);
-        hull.advance(10_000);
-        client.leaves();
-        hull.advance(0);
-        assertThat(hull.sent.get(0).cancelled).isTrue();
-        hull.sent.get(0).ends(repeatable ? notRun(RejectionReason.CANCELLED) : LOST);
-        hull.advance(3 * ProxyFixture.LEFT);
-        assertThat(hull.sent).hasSize(1);
-        assertThat(client.answers).isEmpty();
-        assertThat(hull.helm().open()).isZero();
+    void disconnectedClientGetsNoResponse(boolean repeatable) {
+        ProxyFixture fixture = new ProxyFixture(3);
+        ProxyFixture.Client client = fixture.request(repeatable);
+        fixture.advance(10_000);
+        client.disconnect();
+        fixture.advance(0);
+        assertThat(fixture.sent.get(0).cancelled).isTrue();
+        fixture.sent.get(0).complete(repeatable ? notRun(RejectionReason.CANCELLED) : LOST);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
+        assertThat(fixture.sent).hasSize(1);
+        assertThat(client.responses).isEmpty();
+        assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
-    /** Whatever becomes of attempts, and whatever servers come and go meanwhile. */
+    /** With random outcomes of attempts and changing endpoint lists. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void eachRequestHasOneTrueAnswer(long seed) {
-        ProxyFixture hull = new ProxyFixture(3);
+    void eachRequestHasOneTrueResponse(long seed) {
+        ProxyFixture fixture = new ProxyFixture(3);
         SplittableRandom random = new SplittableRandom(seed);
         List<RejectionReason> reasons = List.copyOf(EnumSet.allOf(RejectionReason.class));
-        hull.server = s -> {
-            int fate = random.nextInt(10);
-            Runnable end = fate < 5
-                    ? () -> s.answers(200)
-                    : fate == 5
-                            ? () -> s.answers(500)
-                            : fate == 6
-                                    ? () -> s.ends(LOST)
-                                    : fate == 7
+        fixture.onSend = sent -> {
+            int outcomeKind = random.nextInt(10);
+            Runnable end = outcomeKind < 5
+                    ? () -> sent.respond(200)
+                    : outcomeKind == 5
+                            ? () -> sent.respond(500)
+                            : outcomeKind == 6
+                                    ? () -> sent.complete(LOST)
+                                    : outcomeKind == 7
                                             ? () -> {}
-                                            : () -> s.ends(notRun(reasons.get(random.nextInt(reasons.size()))));
+                                            : () -> sent.complete(notRun(reasons.get(random.nextInt(reasons.size()))));
             if (random.nextInt(3) == 0) {
                 end.run();
             } else {
-                hull.later(random.nextInt(300_000), end);
+                fixture.schedule(random.nextInt(300_000), end);
             }
         };
         List<ProxyFixture.Client> clients = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            clients.add(hull.ask(i % 2 == 0));
-            hull.advance(random.nextInt(10_000));
+            clients.add(fixture.request(i % 2 == 0));
+            fixture.advance(random.nextInt(10_000));
             if (i % 50 == 0) {
-                hull.servers(random.nextInt(5));
+                fixture.updateEndpoints(random.nextInt(5));
             }
         }
-        hull.advance(3 * ProxyFixture.LEFT);
+        fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
         for (int i = 0; i < clients.size(); i++) {
             ProxyFixture.Client client = clients.get(i);
-            List<ProxyFixture.Sent> tries = hull.attempts("id" + (i + 1));
-            assertThat(client.answers).hasSize(1);
-            assertThat(tries).hasSizeLessThanOrEqualTo(i % 2 == 0 ? 4 : 3);
+            List<ProxyFixture.SentAttempt> attempts = fixture.attempts("id" + (i + 1));
+            assertThat(client.responses).hasSize(1);
+            assertThat(attempts).hasSizeLessThanOrEqualTo(i % 2 == 0 ? 4 : 3);
             boolean refused = client.retryAfter() != null;
             assertThat(refused).isEqualTo(client.status() == 503);
             if (refused) {
-                assertThat(tries).allMatch(ProxyFixture.Sent::hasNotRun);
+                assertThat(attempts).allMatch(ProxyFixture.SentAttempt::hasNotRun);
             } else if (client.status() < 502) {
-                assertThat(tries)
-                        .anyMatch(s -> s.outcome instanceof RequestOutcome.Answered a && a.status() == client.status());
+                assertThat(attempts)
+                        .anyMatch(sent ->
+                                sent.outcome instanceof RequestOutcome.Answered a && a.status() == client.status());
             } else {
                 assertThat(client.status()).isIn(502, 504);
-                assertThat(tries).anyMatch(s -> !s.hasNotRun());
+                assertThat(attempts).anyMatch(sent -> !sent.hasNotRun());
             }
         }
     }
