--- a/src/bench/java/org/cypressweir/controlplane/controller/UpdatePublisherBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/controller/UpdatePublisherBench.java
@@ -73,11 +73,11 @@
     /** Measures one of them: its time, and what is sent for it. */
     private void measure(String name, int repetitions, Runnable operation) {
         double micros = HollowFleet.micros(repetitions, operation);
-        long messages = count.parcels;
+        long messages = count.frames;
         long bytes = count.bytes;
         operation.run();
         results.put(name + "_us", micros);
-        results.put(name + "_parcels", (double) (count.parcels - messages));
+        results.put(name + "_parcels", (double) (count.frames - messages));
         results.put(name + "_bytes", (double) (count.bytes - bytes));
     }
 
@@ -142,7 +142,7 @@
     /** All connections from one zone are closed at once, and its proxies expire. */
     private void zoneLost() {
         long bytes = count.bytes;
-        long messages = count.parcels;
+        long messages = count.frames;
         long begun = System.nanoTime();
         for (int i = 0; i < proxyCount; i += HollowFleet.ZONES) {
             publisher.disconnected(connections.get(i));
@@ -150,7 +150,7 @@
         now += 310_000;
         publisher.tick();
         results.put("zoneLost_us", (System.nanoTime() - begun) / 1e3);
-        results.put("zoneLost_parcels", (double) (count.parcels - messages));
+        results.put("zoneLost_parcels", (double) (count.frames - messages));
         results.put("zoneLost_bytes", (double) (count.bytes - bytes));
     }
 
