--- a/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
@@ -32,7 +32,7 @@
 
     @Override
     public List<String> columns() {
-        return List.of("name", "kind", "peer", "address", "status", "ageMs");
+        return List.of("name", "kind", "peer", "address", "status", AGE);
     }
 
     @Override
@@ -49,7 +49,7 @@
             rows.add(row(state, proxyName(peer), peer, statusByAge(peer.get(AGE)), peer.get(AGE)));
         }
         for (Map<String, Object> peer : state.objects(NodeState.LOST_PROXIES)) {
-            rows.add(row(state, proxyName(peer), peer, LOST, peer.get("goneMs")));
+            rows.add(row(state, proxyName(peer), peer, LOST, peer.get(NodeState.LOST_MILLIS)));
         }
         return rows;
     }
@@ -59,7 +59,7 @@
     }
 
     private static String connectionStatus(Map<String, Object> peer) {
-        boolean connected = Json.flag(peer, "line") && !Json.flag(peer, "down");
+        boolean connected = Json.flag(peer, NodeState.CONNECTED) && !Json.flag(peer, "down");
         return connected ? statusByAge(peer.get(AGE)) : DOWN;
     }
 
--- a/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
@@ -116,9 +116,9 @@
         Map<String, Object> services = state.object(NodeState.SERVICES);
         for (String service : services.keySet()) {
             for (Map<String, Object> server : NodeState.objects(services, service)) {
-                addServer(server, text(server, "pilot"), service, facts);
+                addServer(server, text(server, NodeState.INSTANCE_PROXY), service, facts);
                 if (sameKind) {
-                    facts.put("selected " + server.get("server"), text(server, "chosen"));
+                    facts.put("selected " + server.get("server"), text(server, NodeState.SELECTED));
                 }
             }
         }
@@ -130,7 +130,7 @@
             return;
         }
         String draining = Boolean.TRUE.equals(server.get("draining")) ? ", draining" : "";
-        String shuttingDown = Boolean.TRUE.equals(server.get("leaving")) ? ", shutting down" : "";
+        String shuttingDown = Boolean.TRUE.equals(server.get(NodeState.SHUTTING_DOWN)) ? ", shutting down" : "";
         String slots = text(server, "slots") + " slots";
         facts.put("server " + id, service + " at " + proxy + ", " + slots + draining + shuttingDown);
     }
--- a/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
@@ -17,16 +17,16 @@
 public final class FleetCommand extends QueryCommand {
 
     private static final List<Column> COLUMNS = List.of(
-            Column.of("proxy", "pilot"),
+            Column.of("proxy", NodeState.INSTANCE_PROXY),
             Column.of("zone"),
             Column.of("service"),
             Column.of("server"),
             Column.of("slots"),
             Column.of("draining"),
-            Column.of("shuttingDown", "leaving"),
-            Column.of("connected", "line"),
-            Column.of("unresponsive", "silent"),
-            Column.of("selected", "chosen"),
+            Column.of("shuttingDown", NodeState.SHUTTING_DOWN),
+            Column.of("connected", NodeState.CONNECTED),
+            Column.of("unresponsive", NodeState.UNRESPONSIVE),
+            Column.of("selected", NodeState.SELECTED),
             Column.of("ageMs"));
     /** Fields of a registration that only the JSON output has. */
     private static final List<String> JSON_ONLY = List.of(NodeState.NAME, NodeState.ADDRESS, NodeState.CONTROL_ADDRESS);
--- a/src/main/java/org/cypressweir/meshctl/command/NodeState.java
+++ b/src/main/java/org/cypressweir/meshctl/command/NodeState.java
@@ -23,7 +23,7 @@
     static final String VOTERS = "crew";
     static final String ITEMS = "list";
     static final String CONTROLLERS = "harbours";
-    /** The controllers that a controller, or a proxy, is in contact with have this flag set. */
+    /** Of a controller: whether the process is in contact with it. */
     static final String REACHABLE = "heard";
     /** At a controller: the proxies that are registered, with the application instance of each. */
     static final String REGISTRATIONS = "berths";
@@ -35,6 +35,18 @@
     static final String LOST_PROXIES = "missed";
     /** At a proxy: the application instances it knows, by service. */
     static final String SERVICES = "services";
+    /** Of an application instance: the name of the proxy beside it. */
+    static final String INSTANCE_PROXY = "pilot";
+    /** Of an application instance: whether the process selects it for requests. */
+    static final String SELECTED = "chosen";
+    /** Of a proxy: whether it is shutting down gracefully. */
+    static final String SHUTTING_DOWN = "leaving";
+    /** Of a peer: whether there is a connection to it. */
+    static final String CONNECTED = "line";
+    /** Of an application instance: whether its proxy does not respond to forwarded requests. */
+    static final String UNRESPONSIVE = "silent";
+    /** Of a lost proxy: the time since it was removed. */
+    static final String LOST_MILLIS = "goneMs";
     /** At a controller: demand by tenant over the whole fleet. */
     static final String DEMAND = "tallies";
     /** At a proxy: demand by tenant, with rate and burst. */
--- a/src/test/java/org/cypressweir/meshctl/QueryCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/QueryCommandTest.java
@@ -42,12 +42,12 @@
 /** Queries against the state call over sockets, and the tables that they print. */
 class QueryCommandTest {
 
-    private static final String SECRET = "key-nobody-may-see";
+    private static final String SECRET = "key-that-must-stay-secret";
     private static final MultiThreadIoEventLoopGroup GROUP =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private static String at;
     private static String other;
-    private static ServerSocket silent;
+    private static ServerSocket unresponsive;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
@@ -67,12 +67,12 @@
                         new MonotonicClock(),
                         new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::other))
                 .address());
-        silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        unresponsive = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     }
 
     @AfterAll
     static void end() throws IOException {
-        silent.close();
+        unresponsive.close();
         GROUP.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
@@ -157,6 +157,20 @@
         assertThat(out.toString()).contains("r1").doesNotContain(SECRET);
     }
 
+    @Test
+    void columnsShowTheFieldsOfTheState() {
+        assertThat(query("replicas", "--at", at, "--only", "--columns", "kind,proposal,storeOpen,voters"))
+                .isZero();
+        assertThat(query("quotas", "--at", at, "--only", "--columns", "kind,tenant,demand"))
+                .isZero();
+        assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|")))
+                .containsExactly(
+                        "kind|proposal|storeOpen|voters",
+                        "controller|3@h1|true|a,b",
+                        "kind|tenant|demand",
+                        "controller|t|2.5");
+    }
+
     @Test
     void diffShowsTheFactsThatDiffer() {
         assertThat(query("diff", at, other)).isEqualTo(5);
@@ -176,7 +190,7 @@
     void shellRunsTheLinesOfAFile() throws IOException {
         Shell shell = new Shell(List.of());
         assertThat(shell.run(
-                        new BufferedReader(new StringReader("# whom\nat " + at + "\n\nat\n"
+                        new BufferedReader(new StringReader("# addresses\nat " + at + "\n\nat\n"
                                 + "fleet --columns \"proxy,slots\" --timeout 30000\nroute other / --timeout 30000\n"
                                 + "at here\nproxy\nquit\nat")),
                         new PrintWriter(out, true),
@@ -207,16 +221,17 @@
     @Test
     void processesWithoutAResponseAreNamed() throws IOException {
         ServerSocket closed = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        String nobody = Addresses.text((InetSocketAddress) closed.getLocalSocketAddress());
+        String closedAddress = Addresses.text((InetSocketAddress) closed.getLocalSocketAddress());
         closed.close();
-        assertThat(query("replicas", "--at", at, "--at", nobody)).isEqualTo(3);
+        assertThat(query("replicas", "--at", at, "--at", closedAddress)).isEqualTo(3);
         assertThat(out.toString()).contains("3@h1");
-        String mute = Addresses.text((InetSocketAddress) silent.getLocalSocketAddress());
-        assertThat(run("quotas", "--at", mute, "--timeout", "100")).isEqualTo(1);
+        String unresponsiveAddress = Addresses.text((InetSocketAddress) unresponsive.getLocalSocketAddress());
+        assertThat(run("quotas", "--at", unresponsiveAddress, "--timeout", "100"))
+                .isEqualTo(1);
         assertThat(err.toString().lines())
                 .containsExactly(
-                        "cypressweir: " + nobody + ": cannot connect",
-                        "cypressweir: " + mute + ": no response within 100 ms");
+                        "cypressweir: " + closedAddress + ": cannot connect",
+                        "cypressweir: " + unresponsiveAddress + ": no response within 100 ms");
     }
 
     @Test
