--- a/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
@@ -10,45 +10,50 @@
 import org.cypressweir.controlplane.configuration.RouteConfiguration;
 import org.cypressweir.controlplane.configuration.WeightedDestination;
 
-/** Items as operators are told of them: names and versions, and where routes lead. Keys are never told. */
+/**
+ * Lists the items of a configuration for operators: type, name and version of each, and the terms of routes. The
+ * content of other items, tenant keys among it, is never listed. The field names are part of the API and fixed.
+ */
 public final class ItemListing {
 
+    private static final String TYPE_FIELD = "table";
+    private static final String IDEMPOTENT_FIELD = "repeatable";
+    private static final String LATENCY_TARGET_FIELD = "aimMs";
+    private static final String VERSION_PREFIX = "r";
+    private static final long MICROS_PER_MILLI = 1_000;
+
     private ItemListing() {}
 
-    /** All items, withdrawn ones too. */
-    public static List<Object> of(Configuration manifest) {
-        List<Object> all = new ArrayList<>();
-        manifest.items().forEach(item -> all.add(line(item)));
-        return all;
+    /** One object for each item, withdrawn ones included. */
+    public static List<Object> of(Configuration configuration) {
+        List<Object> entries = new ArrayList<>();
+        configuration.items().forEach(item -> entries.add(entry(item)));
+        return entries;
     }
 
-    private static Map<String, Object> line(Item item) {
-        Map<String, Object> line = JsonCodec.map(
-                "table",
+    private static Map<String, Object> entry(Item item) {
+        Map<String, Object> entry = JsonCodec.map(
+                TYPE_FIELD,
                 item.key().table().wire(),
                 "name",
                 item.key().name(),
                 "version",
-                "r" + item.version(),
+                VERSION_PREFIX + item.version(),
                 "withdrawn",
                 item.withdrawn());
         if (item.key().table() == ItemType.ROUTES && !item.withdrawn()) {
-            RouteConfiguration.of(item).forEach(route -> line.putAll(terms(route)));
+            RouteConfiguration.of(item).forEach(route -> entry.putAll(routeTerms(route)));
         }
-        return line;
+        return entry;
     }
 
-    private static Map<String, Object> terms(RouteConfiguration route) {
-        List<Object> services = new ArrayList<>();
-        for (WeightedDestination split : route.splits()) {
-            services.add(JsonCodec.map("service", split.service(), "weight", split.weight()));
-        }
+    private static Map<String, Object> routeTerms(RouteConfiguration route) {
         return JsonCodec.map(
                 "host",
                 route.host(),
                 "prefix",
                 route.prefix(),
-                "repeatable",
+                IDEMPOTENT_FIELD,
                 route.repeatable(),
                 "open",
                 route.open(),
@@ -56,11 +61,19 @@
                 route.priority(),
                 "attempts",
                 route.maxAttempts(),
-                "aimMs",
-                route.aimMicros() / 1000,
+                LATENCY_TARGET_FIELD,
+                route.aimMicros() / MICROS_PER_MILLI,
                 "timeoutMs",
-                route.timeoutMicros() / 1000,
+                route.timeoutMicros() / MICROS_PER_MILLI,
                 "services",
-                services);
+                destinations(route));
+    }
+
+    private static List<Object> destinations(RouteConfiguration route) {
+        List<Object> destinations = new ArrayList<>();
+        for (WeightedDestination destination : route.splits()) {
+            destinations.add(JsonCodec.map("service", destination.service(), "weight", destination.weight()));
+        }
+        return destinations;
     }
 }
--- a/src/main/java/org/cypressweir/common/diagnostics/RequestTrace.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/RequestTrace.java
@@ -9,178 +9,216 @@
 import org.cypressweir.common.transport.JsonCodec;
 
 /**
- * Which way the last requests went: a ring of fixed size in columns, so that a request costs some writes and
- * no object. It keeps no body and no header but the id. For one thread.
+ * Traces of the last requests: route, attempts and response of each, without bodies and without headers other than
+ * the id.
+ *
+ * <p>A ring buffer of fixed capacity with one array for each field, so that tracing a request costs a few writes
+ * and allocates nothing; the newest request overwrites the oldest. All setters apply to the request that was
+ * added last. All times are those of the clock given, in microseconds. Not thread-safe.
  */
 public final class RequestTrace {
 
-    /** Requests that a pilot keeps. */
-    public static final int USUAL = 2_000;
-    /** Attempts that are kept of one request; further ones are counted. */
-    private static final int LEGS = 4;
-    /** Longer texts of clients are not kept. */
-    private static final int MOST_TEXT = 200;
+    /** The number of requests that a proxy keeps. */
+    public static final int DEFAULT_CAPACITY = 2_000;
 
-    private final LongSupplier micros;
-    private final int size;
+    /** Attempts kept of one request; further ones are only counted. */
+    private static final int MAX_ATTEMPTS = 4;
+    /** Texts of clients that are longer are left out. */
+    private static final int MAX_TEXT_LENGTH = 200;
+
+    // Field names and texts of the API that are fixed.
+    private static final String INSTANCE_FIELD = "server";
+    private static final String PROXY_FIELD = "pilot";
+    private static final String ERROR_FIELD = "fault";
+    private static final String UNKEPT_ATTEMPTS_FIELD = "more";
+    private static final String IN_FLIGHT = "still out";
+    private static final String NOT_ANSWERED = "none yet";
+    private static final String CLIENT_DISCONNECTED = "the client left";
+
+    private final LongSupplier clockMicros;
+    private final int capacity;
     private final String[] ids;
     private final String[] hosts;
     private final String[] paths;
     private final String[] routes;
     private final String[] services;
     private final String[] tenants;
-    private final long[] arrived;
-    private final long[] answered;
+    private final long[] arrivedMicros;
+    private final long[] answeredMicros;
     private final int[] statuses;
-    private final ErrorKind[] faults;
-    private final int[] legs;
-    private final String[] servers;
-    private final String[] pilots;
-    private final long[] sent;
-    private final long[] ended;
-    private final String[] outcomes;
-    private long count;
-
-    public RequestTrace(LongSupplier micros, int size) {
-        this.micros = micros;
-        this.size = size;
-        ids = new String[size];
-        hosts = new String[size];
-        paths = new String[size];
-        routes = new String[size];
-        services = new String[size];
-        tenants = new String[size];
-        arrived = new long[size];
-        answered = new long[size];
-        statuses = new int[size];
-        faults = new ErrorKind[size];
-        legs = new int[size];
-        servers = new String[size * LEGS];
-        pilots = new String[size * LEGS];
-        sent = new long[size * LEGS];
-        ended = new long[size * LEGS];
-        outcomes = new String[size * LEGS];
+    private final ErrorKind[] errors;
+    private final int[] attemptCounts;
+    private final String[] attemptInstances;
+    private final String[] attemptProxies;
+    private final long[] attemptSentMicros;
+    private final long[] attemptEndedMicros;
+    private final String[] attemptOutcomes;
+    private long requestCount;
+
+    public RequestTrace(LongSupplier clockMicros, int capacity) {
+        this.clockMicros = clockMicros;
+        this.capacity = capacity;
+        ids = new String[capacity];
+        hosts = new String[capacity];
+        paths = new String[capacity];
+        routes = new String[capacity];
+        services = new String[capacity];
+        tenants = new String[capacity];
+        arrivedMicros = new long[capacity];
+        answeredMicros = new long[capacity];
+        statuses = new int[capacity];
+        errors = new ErrorKind[capacity];
+        attemptCounts = new int[capacity];
+        attemptInstances = new String[capacity * MAX_ATTEMPTS];
+        attemptProxies = new String[capacity * MAX_ATTEMPTS];
+        attemptSentMicros = new long[capacity * MAX_ATTEMPTS];
+        attemptEndedMicros = new long[capacity * MAX_ATTEMPTS];
+        attemptOutcomes = new String[capacity * MAX_ATTEMPTS];
     }
 
-    public long now() {
-        return micros.getAsLong();
+    /** The time of the clock of these traces. */
+    public long nowMicros() {
+        return clockMicros.getAsLong();
     }
 
-    /** A request; the oldest one is overwritten. What follows is told of this one. */
-    public void request(String id, String host, String path, long arrivedAt) {
-        int at = (int) (count++ % size);
-        ids[at] = bounded(id);
-        hosts[at] = bounded(host);
-        paths[at] = bounded(path);
-        routes[at] = null;
-        services[at] = null;
-        tenants[at] = null;
-        arrived[at] = arrivedAt;
-        answered[at] = 0;
-        statuses[at] = 0;
-        faults[at] = null;
-        legs[at] = 0;
+    /** Adds a request; the oldest one is overwritten when the capacity is reached. */
+    public void addRequest(String id, String host, String path, long arrivalMicros) {
+        int slot = (int) (requestCount++ % capacity);
+        ids[slot] = textOrNull(id);
+        hosts[slot] = textOrNull(host);
+        paths[slot] = textOrNull(path);
+        routes[slot] = null;
+        services[slot] = null;
+        tenants[slot] = null;
+        arrivedMicros[slot] = arrivalMicros;
+        answeredMicros[slot] = 0;
+        statuses[slot] = 0;
+        errors[slot] = null;
+        attemptCounts[slot] = 0;
     }
 
-    private static String bounded(String text) {
-        return text == null || text.length() > MOST_TEXT ? null : text;
+    private static String textOrNull(String text) {
+        return text == null || text.length() > MAX_TEXT_LENGTH ? null : text;
     }
 
-    private int last() {
-        return (int) ((count - 1) % size);
+    private int lastSlot() {
+        return (int) ((requestCount - 1) % capacity);
     }
 
     /** @param tenant null for none */
-    public void way(String route, String service, String tenant) {
-        int at = last();
-        routes[at] = route;
-        services[at] = service;
-        tenants[at] = tenant;
+    public void setRoute(String route, String service, String tenant) {
+        int slot = lastSlot();
+        routes[slot] = route;
+        services[slot] = service;
+        tenants[slot] = tenant;
     }
 
     /**
-     * The answer that was given.
+     * Sets the response.
      *
-     * @param status 0: the client had left
-     * @param fault null where it is the server's own answer
+     * @param status 0 where the client has disconnected before it
+     * @param error null where it is the response of an application instance
      */
-    public void answer(long at, int status, ErrorKind fault) {
-        answered[last()] = at;
-        statuses[last()] = status;
-        faults[last()] = fault;
+    public void setResponse(long timeMicros, int status, ErrorKind error) {
+        int slot = lastSlot();
+        answeredMicros[slot] = timeMicros;
+        statuses[slot] = status;
+        errors[slot] = error;
     }
 
-    /** An attempt, in the order in which they were sent; with no outcome it is still out. */
-    public void leg(String server, String pilot, long sentAt, long endedAt, String outcome) {
-        int leg = legs[last()]++;
-        if (leg < LEGS) {
-            int at = last() * LEGS + leg;
-            servers[at] = server;
-            pilots[at] = pilot;
-            sent[at] = sentAt;
-            ended[at] = endedAt;
-            outcomes[at] = outcome;
+    /**
+     * Adds an attempt; to be called in the order in which they were sent.
+     *
+     * @param outcome null while the attempt is in flight
+     */
+    public void addAttempt(String instance, String proxy, long sentMicros, long endedMicros, String outcome) {
+        int slot = lastSlot();
+        int attempt = attemptCounts[slot]++;
+        if (attempt < MAX_ATTEMPTS) {
+            int attemptSlot = slot * MAX_ATTEMPTS + attempt;
+            attemptInstances[attemptSlot] = instance;
+            attemptProxies[attemptSlot] = proxy;
+            attemptSentMicros[attemptSlot] = sentMicros;
+            attemptEndedMicros[attemptSlot] = endedMicros;
+            attemptOutcomes[attemptSlot] = outcome;
         }
     }
 
-    /** All that is kept of requests with that id, the earliest first. */
-    public List<Object> of(String id) {
-        List<Object> all = new ArrayList<>();
-        for (long i = Math.max(0, count - size); i < count; i++) {
-            int at = (int) (i % size);
-            if (id.equals(ids[at])) {
-                all.add(line(at));
+    /** The traces of all requests with that id, oldest first, as objects that can be encoded as JSON. */
+    public List<Object> findById(String id) {
+        List<Object> traces = new ArrayList<>();
+        for (long i = Math.max(0, requestCount - capacity); i < requestCount; i++) {
+            int slot = (int) (i % capacity);
+            if (id.equals(ids[slot])) {
+                traces.add(trace(slot));
             }
         }
-        return all;
+        return traces;
     }
 
-    private Map<String, Object> line(int at) {
-        List<Object> attempts = new ArrayList<>();
-        for (int i = 0; i < Math.min(LEGS, legs[at]); i++) {
-            int leg = at * LEGS + i;
-            attempts.add(JsonCodec.map(
-                    "server",
-                    servers[leg],
-                    "pilot",
-                    pilots[leg],
-                    "sentMs",
-                    millis(sent[leg] - arrived[at]),
-                    "tookMs",
-                    outcomes[leg] == null ? null : millis(ended[leg] - sent[leg]),
-                    "outcome",
-                    outcomes[leg] == null ? "still out" : outcomes[leg]));
-        }
-        long age = (micros.getAsLong() - arrived[at]) / 1000;
+    private Map<String, Object> trace(int slot) {
+        long ageMillis = (clockMicros.getAsLong() - arrivedMicros[slot]) / 1000;
         return JsonCodec.map(
                 "id",
-                ids[at],
+                ids[slot],
                 "arrived",
-                Instant.ofEpochMilli(System.currentTimeMillis() - age).toString(),
+                Instant.ofEpochMilli(System.currentTimeMillis() - ageMillis).toString(),
                 "ageMs",
-                age,
+                ageMillis,
                 "host",
-                hosts[at],
+                hosts[slot],
                 "path",
-                paths[at],
+                paths[slot],
                 "route",
-                routes[at],
+                routes[slot],
                 "service",
-                services[at],
+                services[slot],
                 "tenant",
-                tenants[at],
+                tenants[slot],
                 "answer",
-                answered[at] == 0 ? "none yet" : statuses[at] == 0 ? "the client left" : Integer.toString(statuses[at]),
-                "fault",
-                faults[at] == null ? null : faults[at].description(),
+                responseText(slot),
+                ERROR_FIELD,
+                errors[slot] == null ? null : errors[slot].description(),
                 "answeredMs",
-                answered[at] == 0 ? null : millis(answered[at] - arrived[at]),
+                answeredMicros[slot] == 0 ? null : millis(answeredMicros[slot] - arrivedMicros[slot]),
                 "attempts",
-                attempts,
-                "more",
-                Math.max(0, legs[at] - LEGS));
+                attempts(slot),
+                UNKEPT_ATTEMPTS_FIELD,
+                Math.max(0, attemptCounts[slot] - MAX_ATTEMPTS));
+    }
+
+    private String responseText(int slot) {
+        if (answeredMicros[slot] == 0) {
+            return NOT_ANSWERED;
+        }
+        return statuses[slot] == 0 ? CLIENT_DISCONNECTED : Integer.toString(statuses[slot]);
+    }
+
+    private List<Object> attempts(int slot) {
+        List<Object> attempts = new ArrayList<>();
+        for (int i = 0; i < Math.min(MAX_ATTEMPTS, attemptCounts[slot]); i++) {
+            attempts.add(attempt(slot * MAX_ATTEMPTS + i, arrivedMicros[slot]));
+        }
+        return attempts;
+    }
+
+    private Map<String, Object> attempt(int attemptSlot, long requestArrivedMicros) {
+        String outcome = attemptOutcomes[attemptSlot];
+        long sent = attemptSentMicros[attemptSlot];
+        return JsonCodec.map(
+                INSTANCE_FIELD,
+                attemptInstances[attemptSlot],
+                PROXY_FIELD,
+                attemptProxies[attemptSlot],
+                "sentMs",
+                millis(sent - requestArrivedMicros),
+                "tookMs",
+                outcome == null ? null : millis(attemptEndedMicros[attemptSlot] - sent),
+                "outcome",
+                outcome == null ? IN_FLIGHT : outcome);
     }
 
+    /** Milliseconds with one decimal, rounded down. */
     private static double millis(long micros) {
         return micros / 100 / 10.0;
     }
--- a/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
@@ -1,6 +1,5 @@
 package org.cypressweir.common.diagnostics;
 
-import io.vavr.control.Try;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -12,59 +11,77 @@
 import org.cypressweir.dataplane.http.server.ServerRequest;
 import org.cypressweir.dataplane.http.server.ServerResponse;
 
-/** Answers the calls that tell and change nothing, state and why, and hands all other calls on. */
+/**
+ * Handles the two read-only diagnostic calls of the API, the state of the program and the traces of a request, and
+ * passes all other calls to the next handler. Used on the event loop that serves the API.
+ */
 public final class StateEndpoint implements RequestHandler {
 
-    /** What a program tells of itself; built when it is asked for. */
-    public interface Teller {
-        Map<String, Object> state(boolean items);
+    /** The state of a program, built on each call. */
+    public interface StateSource {
+        /**
+         * The state as an object that can be encoded as JSON.
+         *
+         * @param includeItems whether the items of the configuration are listed
+         */
+        Map<String, Object> state(boolean includeItems);
 
-        /** What is known of the last requests with that id; nothing where none come by. */
-        default List<Object> why(String id) {
+        /** The traces of the last requests with that id; empty in a program that serves no requests. */
+        default List<Object> requestTraces(String id) {
             return List.of();
         }
     }
 
-    private static final String ITEMS = "?items";
+    private static final String INCLUDE_ITEMS_QUERY = "?items";
+    private static final int STATUS_OK = 200;
 
-    private final RequestHandler others;
-    private final Teller teller;
+    private final RequestHandler next;
+    private final StateSource source;
 
-    /** @param others who answers all else */
-    public StateEndpoint(RequestHandler others, Teller teller) {
-        this.others = others;
-        this.teller = teller;
+    /** @param next handles all other calls */
+    public StateEndpoint(RequestHandler next, StateSource source) {
+        this.next = next;
+        this.source = source;
     }
 
     @Override
-    public void called(ServerRequest call) {
-        ApiCall asked = ApiCall.of(call.path())
-                .filter(one -> one.method().equals(call.method()))
+    public void called(ServerRequest request) {
+        ApiCall call = ApiCall.of(request.path())
+                .filter(known -> known.method().equals(request.method()))
                 .orElse(null);
-        if (asked == ApiCall.STATE) {
-            boolean items = call.uri().startsWith(ITEMS, call.path().length());
-            call.answer(ServerResponse.json(200, JsonCodec.bytes(teller.state(items))));
-        } else if (asked == ApiCall.REQUEST_TRACES) {
-            why(call);
+        if (call == ApiCall.STATE) {
+            respond(request, source.state(includesItems(request)));
+        } else if (call == ApiCall.REQUEST_TRACES) {
+            respond(request, requestTraces(request));
         } else {
-            others.called(call);
+            next.called(request);
         }
     }
 
-    private void why(ServerRequest call) {
+    private static boolean includesItems(ServerRequest request) {
+        return request.uri().startsWith(INCLUDE_ITEMS_QUERY, request.path().length());
+    }
+
+    private Map<String, Object> requestTraces(ServerRequest request) {
         String id = ApiCall.REQUEST_TRACES
-                .pathParameter(call.path())
-                .flatMap(StateEndpoint::decoded)
+                .pathParameter(request.path())
+                .flatMap(StateEndpoint::urlDecoded)
                 .orElse("");
-        Map<String, Object> told = teller.state(false);
-        call.answer(ServerResponse.json(
-                200,
-                JsonCodec.bytes(JsonCodec.map(
-                        "kind", told.get("kind"), "name", told.get("name"), "requests", teller.why(id)))));
+        Map<String, Object> state = source.state(false);
+        return JsonCodec.map(
+                "kind", state.get("kind"), "name", state.get("name"), "requests", source.requestTraces(id));
     }
 
-    /** Ids are clients' own texts: in a path they are encoded. */
-    private static Optional<String> decoded(String id) {
-        return Try.of(() -> URLDecoder.decode(id, StandardCharsets.UTF_8)).toJavaOptional();
+    private static void respond(ServerRequest request, Map<String, Object> body) {
+        request.answer(ServerResponse.json(STATUS_OK, JsonCodec.bytes(body)));
+    }
+
+    /** The decoded id; empty where the encoding is invalid. Clients choose the ids, so any text is possible. */
+    private static Optional<String> urlDecoded(String id) {
+        try {
+            return Optional.of(URLDecoder.decode(id, StandardCharsets.UTF_8));
+        } catch (IllegalArgumentException e) {
+            return Optional.empty();
+        }
     }
 }
--- a/src/main/java/org/cypressweir/common/diagnostics/package-info.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/package-info.java
@@ -1,2 +1,5 @@
-/** The state call of both programs: who answers it, and how items of the configuration are listed. */
+/**
+ * What a program of the mesh reports about itself to operators: the state endpoint, the traces of the last
+ * requests, and the listing of configuration items. Nothing here changes state, and tenant keys are never shown.
+ */
 package org.cypressweir.common.diagnostics;
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -177,8 +177,8 @@
     private void refuse(ServerRequest call, ErrorKind fault, long againMicros) {
         counts.merge(fault.name(), 1L, Long::sum);
         ServerResponse answer = LocalResponses.of(fault, againMicros);
-        wake.request(call.header(ID), call.host(), call.path(), call.arrivedMicros());
-        wake.answer(micros.getAsLong(), answer.status(), fault);
+        wake.addRequest(call.header(ID), call.host(), call.path(), call.arrivedMicros());
+        wake.setResponse(micros.getAsLong(), answer.status(), fault);
         call.answer(answer);
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -110,14 +110,14 @@
 
     /** Tells which way it went, so far. */
     void tell(String service, RequestTrace to) {
-        to.request(id, call.host(), call.path(), arrivedAt);
-        to.way(route.name(), service, tenant);
+        to.addRequest(id, call.host(), call.path(), arrivedAt);
+        to.setRoute(route.name(), service, tenant);
         if (account.isClosed()) {
-            to.answer(answeredAt, status, fault);
+            to.setResponse(answeredAt, status, fault);
         }
         for (int i = 0; i < tries.size(); i++) {
             Try one = tries.get(i);
-            to.leg(
+            to.addAttempt(
                     one.target == null ? null : one.target.instance(),
                     one.target == null ? null : one.target.pilot(),
                     one.sentAt,
@@ -142,7 +142,7 @@
     }
 
     private void end() {
-        answeredAt = wake.now();
+        answeredAt = wake.nowMicros();
         if (atDeadline != null) {
             atDeadline.cancel(false);
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -84,7 +84,7 @@
     private final ConfigurationSubscriber following = new ConfigurationSubscriber();
     private final ReadinessGate freshness = new ReadinessGate();
     private final QuotaShares quotas = new QuotaShares();
-    private final RequestTrace wake = new RequestTrace(clock, RequestTrace.USUAL);
+    private final RequestTrace wake = new RequestTrace(clock, RequestTrace.DEFAULT_CAPACITY);
     private final Map<String, ServiceRequestHandler> helms = new HashMap<>();
     /** The ways of servers' own calls: what clients press on must not hold them up. */
     private final Map<String, ServiceRequestHandler> inner = new HashMap<>();
@@ -358,19 +358,19 @@
     }
 
     /** What operators are told of this pilot. */
-    private final class Told implements StateEndpoint.Teller {
+    private final class Told implements StateEndpoint.StateSource {
         @Override
         public Map<String, Object> state(boolean items) {
             return Proxy.this.state(items);
         }
 
         @Override
-        public List<Object> why(String id) {
-            List<Object> all = new ArrayList<>(wake.of(id));
+        public List<Object> requestTraces(String id) {
+            List<Object> all = new ArrayList<>(wake.findById(id));
             RequestTrace open = new RequestTrace(clock, OPEN_TOLD);
             helms.values().forEach(helm -> helm.tell(id, open));
             inner.values().forEach(helm -> helm.tell(id, open));
-            all.addAll(open.of(id));
+            all.addAll(open.findById(id));
             return all;
         }
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -99,14 +99,14 @@
         ProxyFixture hull = new ProxyFixture(3);
         hull.ask(false);
         hull.advance(2_000);
-        assertThat(hull.wake.of("id1")).isEmpty();
+        assertThat(hull.wake.findById("id1")).isEmpty();
         hull.helm().tell("id1", hull.wake);
-        assertThat(hull.wake.of("id1")).singleElement().asString().contains("answer=none yet", "still out");
+        assertThat(hull.wake.findById("id1")).singleElement().asString().contains("answer=none yet", "still out");
         hull.sent.get(0).ends(notRun(RejectionReason.FULL));
         hull.advance(100_000);
         hull.sent.get(1).answers(201);
         hull.advance(0);
-        String told = hull.wake.of("id1").get(1).toString();
+        String told = hull.wake.findById("id1").get(1).toString();
         assertThat(told)
                 .contains(
                         "route=r",
@@ -121,14 +121,17 @@
         hull.ask(false);
         hull.sent.get(2).ends(LOST);
         hull.advance(0);
-        assertThat(hull.wake.of("id2")).singleElement().asString().contains("answer=502, fault=broken", "outcome=lost");
+        assertThat(hull.wake.findById("id2"))
+                .singleElement()
+                .asString()
+                .contains("answer=502, fault=broken", "outcome=lost");
         for (int i = 0; i < 4; i++) {
             hull.ask(true);
             hull.sent.get(3 + i).answers(200);
             hull.advance(0);
         }
-        assertThat(hull.wake.of("id1")).isEmpty();
-        assertThat(hull.wake.of("id6")).hasSize(1);
+        assertThat(hull.wake.findById("id1")).isEmpty();
+        assertThat(hull.wake.findById("id6")).hasSize(1);
     }
 
     @Test
