--- a/src/main/java/org/cypressweir/common/util/Json.java
+++ b/src/main/java/org/cypressweir/common/util/Json.java
@@ -8,12 +8,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as plain maps and lists, and look-ups that fall back where a value is missing or of another type. */
+/**
+ * Decodes JSON objects to plain maps and lists, and looks up fields with a default where a field is missing or of
+ * another type. Integers become {@code Long}, other numbers {@code Double}; the last of two equal names counts.
+ *
+ * <p>The sidecar loads this class at its start, so it needs Jackson's streaming parser only and no class of its
+ * own. {@code JsonCodec} of the mesh adds the encoder; {@code JsonDocuments} and {@code StrictJson} read what
+ * people write, with DSL-JSON and with other rules for errors, numbers and equal names. Stateless.
+ */
 public final class Json {
 
     private Json() {}
 
-    /** Reads the object that the parser stands at. */
+    /**
+     * Decodes the rest of an object into a map.
+     *
+     * @param parser stands at the start of the object, and afterwards at its end
+     */
     public static void readInto(JsonParser parser, Map<String, Object> into) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -22,7 +33,12 @@
         }
     }
 
-    /** Reads a text that holds one object and nothing else. */
+    /**
+     * Decodes a text that is one object.
+     *
+     * @param parser stands before the first token
+     * @throws IOException where the text is anything else
+     */
     public static Map<String, Object> document(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new IOException("not a JSON object");
@@ -58,23 +74,28 @@
         };
     }
 
-    public static long whole(Map<?, ?> m, String name, long otherwise) {
-        return m.get(name) instanceof Number n ? n.longValue() : otherwise;
+    /** The number with that name as a long, truncated; the default where there is none. */
+    public static long whole(Map<?, ?> object, String name, long defaultValue) {
+        return object.get(name) instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    public static double real(Map<?, ?> m, String name, double otherwise) {
-        return m.get(name) instanceof Number n ? n.doubleValue() : otherwise;
+    /** The number with that name as a double; the default where there is none. */
+    public static double real(Map<?, ?> object, String name, double defaultValue) {
+        return object.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    public static boolean flag(Map<?, ?> m, String name) {
-        return Boolean.TRUE.equals(m.get(name));
+    /** The boolean with that name; false where there is none. */
+    public static boolean flag(Map<?, ?> object, String name) {
+        return Boolean.TRUE.equals(object.get(name));
     }
 
-    public static Map<?, ?> object(Map<?, ?> m, String name) {
-        return m.get(name) instanceof Map<?, ?> o ? o : Map.of();
+    /** The object with that name; an empty map where there is none. */
+    public static Map<?, ?> object(Map<?, ?> object, String name) {
+        return object.get(name) instanceof Map<?, ?> map ? map : Map.of();
     }
 
-    public static List<?> array(Map<?, ?> m, String name) {
-        return m.get(name) instanceof List<?> a ? a : List.of();
+    /** The array with that name; an empty list where there is none. */
+    public static List<?> array(Map<?, ?> object, String name) {
+        return object.get(name) instanceof List<?> list ? list : List.of();
     }
 }
--- a/src/main/java/org/cypressweir/common/util/ReloadSignal.java
+++ b/src/main/java/org/cypressweir/common/util/ReloadSignal.java
@@ -6,22 +6,30 @@
 import java.nio.file.Path;
 
 /**
- * SIGHUP, which would end the runtime. The platform has no supported interface for signals; the unsupported
- * one is reached by reflection, since a mention of it in the source is a compiler warning that nothing stops.
+ * Handles SIGHUP, on which a daemon reloads its configuration by convention and by which the runtime would end.
+ *
+ * <p>The platform has no supported interface for signals. The unsupported one, {@code sun.misc.Signal}, is reached
+ * by reflection, since naming it in the source gives a compiler warning that can't be suppressed.
  */
 public final class ReloadSignal {
 
+    private static final String SIGNAL_NAME = "HUP";
+    private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
+    /** The line of the process status with the bit mask of ignored signals; bit 0 is SIGHUP. */
+    private static final String IGNORED_SIGNALS = "SigIgn:";
+
     private ReloadSignal() {}
 
     /**
-     * Whether the signal is thrown away before the program sees it: whoever started it had it ignored, as
-     * {@code nohup} does, and the runtime keeps to that. Where the system does not say, it is not.
+     * Whether the process was started with SIGHUP ignored, as {@code nohup} does; the runtime then never delivers
+     * it. False where the system doesn't tell.
      */
     public static boolean isIgnored() {
         try {
-            for (String line : Files.readAllLines(Path.of("/proc/self/status"))) {
-                if (line.startsWith("SigIgn:")) {
-                    return (Long.parseUnsignedLong(line.substring(7).trim(), 16) & 1) != 0;
+            for (String line : Files.readAllLines(PROCESS_STATUS)) {
+                if (line.startsWith(IGNORED_SIGNALS)) {
+                    String mask = line.substring(IGNORED_SIGNALS.length()).trim();
+                    return (Long.parseUnsignedLong(mask, 16) & 1) != 0;
                 }
             }
         } catch (IOException | NumberFormatException e) {
@@ -30,7 +38,11 @@
         return false;
     }
 
-    /** From now on each SIGHUP runs the task, on a thread of its own. */
+    /**
+     * Runs the task on each SIGHUP from now on, on a thread of the runtime.
+     *
+     * @throws ReflectiveOperationException where this runtime has no signal interface
+     */
     public static void handle(Runnable task) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -47,6 +59,6 @@
                     default -> "SIGHUP";
                 });
         signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), onSignal);
+                .invoke(null, signal.getConstructor(String.class).newInstance(SIGNAL_NAME), onSignal);
     }
 }
