--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerMessages.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerMessages.java
@@ -109,8 +109,8 @@
             case REGISTRATION -> new ProxyMessage.Registration(
                     ProxyRegistration.of(Json.object(message, REGISTRATION), nowMicros));
             case ENDPOINT_SUBSCRIPTION -> new ProxyMessage.EndpointSubscription(
-                    Json.whole(message, INCARNATION, 0), Json.whole(message, OFFSET, -1));
-            case CONTACT -> new ProxyMessage.ContactQuery(Json.whole(message, ASKED_AT, 0));
+                    Json.longValue(message, INCARNATION, 0), Json.longValue(message, OFFSET, -1));
+            case CONTACT -> new ProxyMessage.ContactQuery(Json.longValue(message, ASKED_AT, 0));
             case CONFIGURATION_REQUEST -> new ProxyMessage.ConfigurationRequest(
                     ProposalNumber.of(JsonCodec.text(message, REQUEST_VERSION)));
             case DEMAND_REPORT -> new ProxyMessage.DemandReport(
--- a/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
@@ -44,12 +44,12 @@
         if (id.isEmpty()) {
             return null;
         }
-        long warmUpLeft = Json.whole(map, WARM_UP_LEFT, 0);
+        long warmUpLeft = Json.longValue(map, WARM_UP_LEFT, 0);
         return new ApplicationInstance(
                 id,
                 JsonCodec.text(map, SERVICE),
                 JsonCodec.text(map, ADDRESS),
-                (int) Json.whole(map, SLOTS, 1),
+                (int) Json.longValue(map, SLOTS, 1),
                 Json.flag(map, DRAINING),
                 warmUpLeft == 0 ? 0 : nowMicros + warmUpLeft);
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
@@ -70,8 +70,8 @@
         }
         return new ProxyRegistration(
                 name,
-                Json.whole(map, INCARNATION, 0),
-                Json.whole(map, NUMBER, 0),
+                Json.longValue(map, INCARNATION, 0),
+                Json.longValue(map, NUMBER, 0),
                 address,
                 JsonCodec.text(map, CONTROL),
                 JsonCodec.text(map, ZONE),
--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -141,7 +141,7 @@
             return;
         }
         call.answer(acknowledgement());
-        long sequence = Json.whole(operStatus, "callSequence", 0);
+        long sequence = Json.longValue(operStatus, "callSequence", 0);
         boolean isKnown = instance != null && instance.id().equals(id);
         if (ended.contains(id) || isKnown && sequence < lastSequence) {
             return;
@@ -166,7 +166,7 @@
                 id,
                 JsonCodec.text(nodeInfo, "service"),
                 JsonCodec.text(heartbeat, "address"),
-                (int) Math.max(1, Json.whole(nodeInfo, "capacitySlots", 1)),
+                (int) Math.max(1, Json.longValue(nodeInfo, "capacitySlots", 1)),
                 wasDraining || JsonCodec.text(operStatus, "operState").equals("draining"),
                 isKnown ? instance.warmAt() : warmAt(operStatus));
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessageCodec.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessageCodec.java
@@ -94,19 +94,19 @@
             case WELCOME, VERSION_ANNOUNCEMENT -> new ControllerMessage.VersionAnnouncement(
                     head.containsKey(CONTROL_ADDRESS) ? JsonCodec.text(head, CONTROL_ADDRESS) : null,
                     version(head),
-                    Json.whole(head, CONTACT_AGE, -1),
+                    Json.longValue(head, CONTACT_AGE, -1),
                     Set.copyOf(texts(head, VOTERS)));
             case ENDPOINT_UPDATE -> new ControllerMessage.EndpointUpdate(
-                    Json.whole(head, INCARNATION, 0),
-                    Json.whole(head, OFFSET, -1),
+                    Json.longValue(head, INCARNATION, 0),
+                    Json.longValue(head, OFFSET, -1),
                     Json.flag(head, COMPLETE),
                     registrations(head, nowMicros),
                     texts(head, REMOVED));
             case CONFIGURATION_CHUNK -> new ControllerMessage.ConfigurationChunk(
                     version(head),
                     JsonCodec.text(head, BASE_VERSION),
-                    (int) Json.whole(head, CHUNK_INDEX, 0),
-                    Json.whole(head, CHUNK_COUNT, 1));
+                    (int) Json.longValue(head, CHUNK_INDEX, 0),
+                    Json.longValue(head, CHUNK_COUNT, 1));
             case CONTACT -> contactConfirmation(head);
             case DEMAND_TOTALS -> new ControllerMessage.DemandTotals(Json.object(head, DEMAND_BY_TENANT));
             default -> null;
@@ -114,9 +114,9 @@
     }
 
     private static ControllerMessage contactConfirmation(Map<String, Object> head) {
-        long queriedAt = Json.whole(head, QUERIED_AT, 0);
+        long queriedAt = Json.longValue(head, QUERIED_AT, 0);
         return new ControllerMessage.ContactConfirmation(
-                queriedAt, queriedAt == 0 ? null : version(head), Json.whole(head, CONTACT_AGE, -1));
+                queriedAt, queriedAt == 0 ? null : version(head), Json.longValue(head, CONTACT_AGE, -1));
     }
 
     private static ProposalNumber version(Map<String, Object> head) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -206,8 +206,8 @@
     private void reject(ServerRequest call, ErrorKind error, long retryAfterMicros) {
         rejectionCounts.merge(error.name(), 1L, Long::sum);
         ServerResponse response = LocalResponses.of(error, retryAfterMicros);
-        trace.request(call.header(ID_HEADER), call.host(), call.path(), call.arrivedMicros());
-        trace.answer(clock.getAsLong(), response.status(), error);
+        trace.addRequest(call.header(ID_HEADER), call.host(), call.path(), call.arrivedMicros());
+        trace.setResponse(clock.getAsLong(), response.status(), error);
         call.answer(response);
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
@@ -136,9 +136,9 @@
     static PeerMessage decode(Map<String, Object> head, byte[] body, long nowMicros) {
         return switch (JsonCodec.text(head, KIND)) {
             case HELLO -> new PeerMessage.Hello(
-                    JsonCodec.text(head, NAME), Json.whole(head, INCARNATION, 0), Json.whole(head, FIRST_NUMBER, 0));
+                    JsonCodec.text(head, NAME), Json.longValue(head, INCARNATION, 0), Json.longValue(head, FIRST_NUMBER, 0));
             case REQUEST -> decodeRequest(head, body, nowMicros);
-            case CANCELLATION -> new PeerMessage.Cancellation(Json.whole(head, NUMBER, -1));
+            case CANCELLATION -> new PeerMessage.Cancellation(Json.longValue(head, NUMBER, -1));
             case RESPONSE -> decodeResponse(head, body);
             case REGISTRATION -> decodeRegistration(head, nowMicros);
             default -> null;
@@ -158,29 +158,29 @@
                 headers(head),
                 body,
                 Json.flag(head, IDEMPOTENT),
-                (int) Json.whole(head, PRIORITY, LOWEST_PRIORITY),
+                (int) Json.longValue(head, PRIORITY, LOWEST_PRIORITY),
                 Json.flag(head, INTERNAL),
-                nowMicros + Json.whole(head, LATENCY_TARGET_REMAINING, 0),
-                nowMicros + Json.whole(head, TIME_REMAINING, 0),
+                nowMicros + Json.longValue(head, LATENCY_TARGET_REMAINING, 0),
+                nowMicros + Json.longValue(head, TIME_REMAINING, 0),
                 JsonCodec.text(head, INSTANCE_ID));
         return new PeerMessage.ForwardedRequest(
-                Json.whole(head, NUMBER, -1), Json.whole(head, INCARNATION, -1), request);
+                Json.longValue(head, NUMBER, -1), Json.longValue(head, INCARNATION, -1), request);
     }
 
     private static PeerMessage decodeResponse(Map<String, Object> head, byte[] body) {
         long incarnation = head.containsKey(INCARNATION)
-                ? Json.whole(head, INCARNATION, -1)
+                ? Json.longValue(head, INCARNATION, -1)
                 : PeerMessage.ForwardedResponse.UNSPECIFIED_INCARNATION;
         AttemptResult result = new AttemptResult(decodeOutcome(head, body), decodeLoad(head));
-        return new PeerMessage.ForwardedResponse(Json.whole(head, NUMBER, -1), incarnation, result);
+        return new PeerMessage.ForwardedResponse(Json.longValue(head, NUMBER, -1), incarnation, result);
     }
 
     private static RequestOutcome decodeOutcome(Map<String, Object> head, byte[] body) {
         return switch (JsonCodec.text(head, OUTCOME)) {
             case ANSWERED -> new RequestOutcome.Responded(
-                    (int) Json.whole(head, STATUS, BAD_GATEWAY), headers(head), body);
+                    (int) Json.longValue(head, STATUS, BAD_GATEWAY), headers(head), body);
             case NOT_RUN -> new RequestOutcome.NotRun(
-                    rejectionReason(JsonCodec.text(head, REASON)), Json.whole(head, RETRY_AFTER, 0));
+                    rejectionReason(JsonCodec.text(head, REASON)), Json.longValue(head, RETRY_AFTER, 0));
             default -> new RequestOutcome.MayHaveRun(JsonCodec.text(head, REASON));
         };
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -138,14 +138,14 @@
 
     /** Records the request as far as it has come. */
     void recordTo(RequestTrace target, String service) {
-        target.request(id, call.host(), call.path(), arrivedAt);
-        target.way(route.name(), service, tenant);
+        target.addRequest(id, call.host(), call.path(), arrivedAt);
+        target.setRoute(route.name(), service, tenant);
         if (state.isClosed()) {
-            target.answer(answeredAt, status, error);
+            target.setResponse(answeredAt, status, error);
         }
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
-            target.leg(
+            target.addAttempt(
                     attempt.endpoint == null ? null : attempt.endpoint.instanceId(),
                     attempt.endpoint == null ? null : attempt.endpoint.proxyName(),
                     attempt.sentAt,
@@ -170,7 +170,7 @@
     }
 
     private void close() {
-        answeredAt = trace.now();
+        answeredAt = trace.nowMicros();
         cancel(deadlineTimer);
         cancel(admissionTimer);
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -76,7 +76,7 @@
     private final ConfigurationSubscriber configuration = new ConfigurationSubscriber();
     private final ReadinessGate readinessGate = new ReadinessGate();
     private final QuotaShares quotas = new QuotaShares();
-    private final RequestTrace requestTrace = new RequestTrace(clock, RequestTrace.USUAL);
+    private final RequestTrace requestTrace = new RequestTrace(clock, RequestTrace.DEFAULT_CAPACITY);
     private final ApplicationLifecycleHandler application;
     private final UpstreamDispatcher dispatcher;
     private final PeerRequestReceiver requestReceiver;
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStateReporter.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStateReporter.java
@@ -8,7 +8,7 @@
 import org.cypressweir.common.diagnostics.StateEndpoint;
 
 /** Answers the calls of operators that ask for the proxy's state or for the traces of a request. */
-final class ProxyStateReporter implements StateEndpoint.Teller {
+final class ProxyStateReporter implements StateEndpoint.StateSource {
 
     private final Supplier<ProxyStatus> status;
     private final RequestTrace endedRequests;
@@ -33,11 +33,11 @@
     }
 
     @Override
-    public List<Object> why(String id) {
-        List<Object> traces = new ArrayList<>(endedRequests.of(id));
+    public List<Object> requestTraces(String id) {
+        List<Object> traces = new ArrayList<>(endedRequests.findById(id));
         RequestTrace inFlight = newTrace.get();
         handlers.recordInFlight(id, inFlight);
-        traces.addAll(inFlight.of(id));
+        traces.addAll(inFlight.findById(id));
         return traces;
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -100,14 +100,14 @@
         ProxyFixture fixture = new ProxyFixture(3);
         fixture.request(false);
         fixture.advance(2_000);
-        assertThat(fixture.trace.of("id1")).isEmpty();
+        assertThat(fixture.trace.findById("id1")).isEmpty();
         fixture.handler().recordInFlight("id1", fixture.trace);
-        assertThat(fixture.trace.of("id1")).singleElement().asString().contains("answer=none yet", "still out");
+        assertThat(fixture.trace.findById("id1")).singleElement().asString().contains("answer=none yet", "still out");
         fixture.sent.get(0).complete(notRun(RejectionReason.FULL));
         fixture.advance(100_000);
         fixture.sent.get(1).respond(201);
         fixture.advance(0);
-        String trace = fixture.trace.of("id1").get(1).toString();
+        String trace = fixture.trace.findById("id1").get(1).toString();
         assertThat(trace)
                 .contains(
                         "route=r",
@@ -123,7 +123,7 @@
         fixture.request(false);
         fixture.sent.get(2).complete(LOST);
         fixture.advance(0);
-        assertThat(fixture.trace.of("id2"))
+        assertThat(fixture.trace.findById("id2"))
                 .singleElement()
                 .asString()
                 .contains("answer=502, fault=broken", "outcome=lost");
@@ -132,8 +132,8 @@
             fixture.sent.get(3 + i).respond(200);
             fixture.advance(0);
         }
-        assertThat(fixture.trace.of("id1")).isEmpty();
-        assertThat(fixture.trace.of("id6")).hasSize(1);
+        assertThat(fixture.trace.findById("id1")).isEmpty();
+        assertThat(fixture.trace.findById("id6")).hasSize(1);
     }
 
     @Test
