--- a/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
+++ b/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
@@ -32,7 +32,7 @@
             Map<String, Object> object = ObjectConverter.deserializeMap(reader);
             while (reader.length() > reader.getCurrentIndex()) {
                 if (!Character.isWhitespace(bytes[reader.getCurrentIndex()])) {
-                    return Either.left("unexpected text after the object at byte " + reader.getCurrentIndex());
+                    return Either.left("something follows the object at byte " + reader.getCurrentIndex());
                 }
                 reader.read();
             }
