--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -10,7 +10,6 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
@@ -147,56 +146,69 @@
     @Test
     void oneControllerIsPartitioned() throws Exception {
         start(List.of("orders", "orders"), 3);
-        ConnectionRelay relay = rig.relay();
         for (Way way : FULL ? List.of(Way.HOLD, Way.LOSE, Way.RESET, Way.REFUSE) : List.of(Way.HOLD)) {
             int route = way.ordinal() * 2;
-            rig.kill("p2");
-            relay.cut("h1", List.of("h2", "h3", "p1"), way, way);
-            relay.cut("p2", List.of("h2", "h3"), way, way);
-            rig.order("h2", initialConfiguration("new.mesh", route));
-            rig.restart("p2");
-            long deadline = deadlineIn(PARTITION_SECONDS);
-            Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
-            AtomicInteger acknowledgedInMinority = new AtomicInteger();
-            AtomicInteger acknowledgedByMajority = new AtomicInteger();
-            AtomicInteger servedByOldRoute = new AtomicInteger();
-            List<Thread> threads = List.of(
-                    inBackground(() -> acknowledgedInMinority.set(operate(List.of("h1"), deadline)), failures),
-                    inBackground(() -> acknowledgedByMajority.set(operate(List.of("h2", "h3"), deadline)), failures),
-                    inBackground(() -> servedByOldRoute.set(requestOldRoute("p2", deadline)), failures));
-            rig.await(
-                    "the change is at p1",
-                    () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
-            for (Thread thread : threads) {
-                thread.join();
-            }
-            assertThat(failures).isEmpty();
-            assertThat(acknowledgedInMinority)
-                    .as("changes acknowledged by the partitioned controller")
+            partitionFirstController(way, route);
+            callDuringPartition(way);
+            rig.relay().join();
+            awaitHealed(route);
+        }
+    }
+
+    /** Leaves the first controller with the second proxy alone, and the change of the route to the others. */
+    private void partitionFirstController(Way way, int route) throws Exception {
+        ConnectionRelay relay = rig.relay();
+        rig.kill("p2");
+        relay.cut("h1", List.of("h2", "h3", "p1"), way, way);
+        relay.cut("p2", List.of("h2", "h3"), way, way);
+        rig.order("h2", initialConfiguration("new.mesh", route));
+        rig.restart("p2");
+    }
+
+    private void callDuringPartition(Way way) throws InterruptedException {
+        long deadline = deadlineIn(PARTITION_SECONDS);
+        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+        AtomicInteger acknowledgedInMinority = new AtomicInteger();
+        AtomicInteger acknowledgedByMajority = new AtomicInteger();
+        AtomicInteger servedByOldRoute = new AtomicInteger();
+        List<Thread> threads = List.of(
+                inBackground(() -> acknowledgedInMinority.set(operate(List.of("h1"), deadline)), failures),
+                inBackground(() -> acknowledgedByMajority.set(operate(List.of("h2", "h3"), deadline)), failures),
+                inBackground(() -> servedByOldRoute.set(requestOldRoute("p2", deadline)), failures));
+        rig.await(
+                "the change is at p1",
+                () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
+        for (Thread thread : threads) {
+            thread.join();
+        }
+        assertThat(failures).isEmpty();
+        assertThat(acknowledgedInMinority)
+                .as("changes acknowledged by the partitioned controller")
+                .hasValue(0);
+        assertThat(acknowledgedByMajority.get())
+                .as("changes acknowledged by the others")
+                .isPositive();
+        if (CONFIRMED) {
+            assertThat(servedByOldRoute)
+                    .as("served by a proxy that has reached only the partitioned controller")
                     .hasValue(0);
-            assertThat(acknowledgedByMajority.get())
-                    .as("changes acknowledged by the others")
-                    .isPositive();
-            if (CONFIRMED) {
-                assertThat(servedByOldRoute)
-                        .as("served by a proxy that has reached only the partitioned controller")
-                        .hasValue(0);
-            }
-            System.out.println(way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
-                    + " requests served by the old configuration at the proxy that reaches only the partitioned "
-                    + "controller");
-            relay.join();
-            awaitAllRead();
-            rig.await(
-                    "the change is at p2",
-                    () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
-            assertThat(rig.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
-            rig.order("h1", initialConfiguration("old.mesh", route + 1));
-            rig.await(
-                    "p1 and p2 follow",
-                    () -> rig.request("p1", "old.mesh", "/", null).status() == 200
-                            && rig.request("p2", "old.mesh", "/", null).status() == 200);
         }
+        System.out.println(way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
+                + " requests served by the old configuration at the proxy that reaches only the partitioned "
+                + "controller");
+    }
+
+    private void awaitHealed(int route) throws Exception {
+        awaitAllRead();
+        rig.await(
+                "the change is at p2",
+                () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
+        assertThat(rig.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
+        rig.order("h1", initialConfiguration("old.mesh", route + 1));
+        rig.await(
+                "p1 and p2 follow",
+                () -> rig.request("p1", "old.mesh", "/", null).status() == 200
+                        && rig.request("p2", "old.mesh", "/", null).status() == 200);
     }
 
     private int requestOldRoute(String proxy, long deadline) {
@@ -220,48 +232,9 @@
         for (int n = 1; n <= CONFLICTS; n++) {
             List<String> changes =
                     List.of(OperatorChecks.order("t", "a" + n, n), OperatorChecks.order("t", "b" + n, n));
-            List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
-            if (n % 3 == 0) {
-                rig.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
-            }
-            Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
-            boolean answerLost = n % 2 == 0;
-            List<Thread> operators = IntStream.range(0, 2)
-                    .mapToObj(i -> inBackground(
-                            () -> {
-                                try {
-                                    if (answerLost) {
-                                        rig.sendAndLeave(targets.get(i), changes.get(i));
-                                    } else {
-                                        checks.modified(
-                                                changes.get(i),
-                                                rig.modify(targets.get(i), changes.get(i))
-                                                        .status());
-                                    }
-                                } catch (ConnectException e) {
-                                    // It is just restarting: what is sent to all below decides.
-                                    return;
-                                }
-                            },
-                            failures))
-                    .toList();
-            for (Thread operator : operators) {
-                operator.join();
-            }
-            rig.relay().join();
-            assertThat(failures).isEmpty();
-            Map<String, Set<Integer>> statusesByChange = new TreeMap<>();
+            sendBothAtOnce(n, changes);
             for (String change : changes) {
-                Set<Integer> statuses = statusesByChange.computeIfAbsent(change, key -> new TreeSet<>());
-                for (String controller : CONTROLLERS) {
-                    rig.await(controller + " answers " + change, () -> {
-                        int status = rig.modify(controller, change).status();
-                        checks.modified(change, status);
-                        return status == 200 ? statuses.add(200) || true : status == 409 && (statuses.add(409) || true);
-                    });
-                }
-                assertThat(statuses).as("%s", change).hasSize(1);
-                (statuses.contains(200) ? winners : losers).add(change);
+                (isCommitted(change) ? winners : losers).add(change);
             }
             assertThat(winners).hasSize(n);
             assertThat(losers).hasSize(n);
@@ -273,17 +246,70 @@
             }
         }
         for (String change : winners) {
-            for (String controller : CONTROLLERS) {
-                rig.await(controller + " acknowledges again " + change, () -> {
-                    int status = rig.modify(controller, change).status();
-                    checks.again(change, status);
-                    return status == 200 || checks.breach() != null;
-                });
-            }
+            awaitAcknowledgedAgain(change);
         }
         awaitAllRead();
     }
 
+    /** To two controllers, every third time partitioned from each other; every second time the answers are lost. */
+    private void sendBothAtOnce(int n, List<String> changes) throws InterruptedException {
+        List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
+        if (n % 3 == 0) {
+            rig.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
+        }
+        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+        boolean answerLost = n % 2 == 0;
+        List<Thread> operators = IntStream.range(0, 2)
+                .mapToObj(i -> inBackground(() -> send(targets.get(i), changes.get(i), answerLost), failures))
+                .toList();
+        for (Thread operator : operators) {
+            operator.join();
+        }
+        rig.relay().join();
+        assertThat(failures).isEmpty();
+    }
+
+    private void send(String controller, String change, boolean answerLost) throws IOException {
+        try {
+            if (answerLost) {
+                rig.sendAndLeave(controller, change);
+            } else {
+                checks.modified(change, rig.modify(controller, change).status());
+            }
+        } catch (ConnectException e) {
+            // It is just restarting: what is sent to all controllers later decides.
+            return;
+        }
+    }
+
+    /** Sends the change to all controllers until each has accepted or rejected it; all have to answer the same. */
+    private boolean isCommitted(String change) throws InterruptedException {
+        Set<Integer> statuses = new TreeSet<>();
+        for (String controller : CONTROLLERS) {
+            rig.await(controller + " answers " + change, () -> {
+                int status = rig.modify(controller, change).status();
+                checks.modified(change, status);
+                boolean decided = status == 200 || status == 409;
+                if (decided) {
+                    statuses.add(status);
+                }
+                return decided;
+            });
+        }
+        assertThat(statuses).as("%s", change).hasSize(1);
+        return statuses.contains(200);
+    }
+
+    private void awaitAcknowledgedAgain(String change) throws InterruptedException {
+        for (String controller : CONTROLLERS) {
+            rig.await(controller + " acknowledges again " + change, () -> {
+                int status = rig.modify(controller, change).status();
+                checks.again(change, status);
+                return status == 200 || checks.breach() != null;
+            });
+        }
+    }
+
     @Test
     void aSecondDiskIsLostAsSoonAsTheFirstHasCaughtUp() throws Exception {
         start(List.of(), 3);
@@ -410,37 +436,62 @@
         List<ApplicationStubs> applications =
                 IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
         applications.forEach(application -> application.takes(150));
-        Queue<String> ids = new ConcurrentLinkedQueue<>();
-        Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
-        AtomicInteger served = new AtomicInteger();
-        AtomicInteger failed = new AtomicInteger();
-        long[] until = {Long.MAX_VALUE};
-        List<Thread> callers = IntStream.range(0, CALLERS)
-                .mapToObj(i -> inBackground(
-                        () -> {
-                            while (System.nanoTime() - until[0] < 0) {
-                                String id = rig.id();
-                                ids.add(id);
-                                try {
-                                    RawHttpClient.Message answer = rig.request("p1", "old.mesh", "/", null, id);
-                                    if (answer.status() == 200) {
-                                        assertThat(answer.body()).isEqualTo("ran of " + id);
-                                        assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
-                                        assertThat(runs(applications, id)).isEqualTo(1);
-                                        served.incrementAndGet();
-                                    } else {
-                                        failed.incrementAndGet();
-                                    }
-                                } catch (IOException e) {
-                                    failed.incrementAndGet();
-                                }
-                            }
-                        },
-                        failures))
+        RequestLog log = new RequestLog();
+        List<Thread> clients = IntStream.range(0, CALLERS)
+                .mapToObj(i -> inBackground(() -> request(applications, log), log.failures))
                 .toList();
         for (ApplicationStubs application : applications) {
             rig.await(application.instance() + " serves", () -> application.runs() > 5);
         }
+        faultsBetweenProxies(log);
+        if (FULL) {
+            rig.freeze("p1");
+            long silent = deadlineIn(SILENCE_SECONDS);
+            rig.await("each time-out has passed", () -> System.nanoTime() >= silent);
+            rig.signal("p1", "-CONT");
+            awaitServedAgain(log);
+        }
+        log.stopped = true;
+        for (Thread client : clients) {
+            client.join();
+        }
+        System.out.println(log.served + " calls served, " + log.failed + " failed, " + rig.relay().resets + " resets");
+        assertThat(log.failures).isEmpty();
+        assertThat(log.failed.get()).as("requests hit by a fault").isPositive();
+        assertThat(log.ids).allSatisfy(id -> assertThat(runs(applications, id)).isLessThanOrEqualTo(1));
+    }
+
+    /** What became of the requests of all clients. */
+    private static final class RequestLog {
+        private final Queue<String> ids = new ConcurrentLinkedQueue<>();
+        private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+        private final AtomicInteger served = new AtomicInteger();
+        private final AtomicInteger failed = new AtomicInteger();
+        private volatile boolean stopped;
+    }
+
+    /** A client: sends one request after the other until it is stopped. */
+    private void request(List<ApplicationStubs> applications, RequestLog log) {
+        while (!log.stopped) {
+            String id = rig.id();
+            log.ids.add(id);
+            try {
+                RawHttpClient.Message answer = rig.request("p1", "old.mesh", "/", null, id);
+                if (answer.status() == 200) {
+                    assertThat(answer.body()).isEqualTo("ran of " + id);
+                    assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
+                    assertThat(runs(applications, id)).isEqualTo(1);
+                    log.served.incrementAndGet();
+                } else {
+                    log.failed.incrementAndGet();
+                }
+            } catch (IOException e) {
+                log.failed.incrementAndGet();
+            }
+        }
+    }
+
+    private void faultsBetweenProxies(RequestLog log) throws Exception {
         ConnectionRelay relay = rig.relay();
         relay.set("p1", "p2", Way.HOLD);
         relay.set("p3", "p1", Way.HOLD);
@@ -449,24 +500,12 @@
         resetRepeatedly(relay, deadlineIn(SILENCE_SECONDS));
         relay.join();
         rig.signal("p5", "-CONT");
-        int before = served.get();
-        rig.await("calls are served again", () -> served.get() > before + 20);
-        if (FULL) {
-            rig.freeze("p1");
-            long silent = deadlineIn(SILENCE_SECONDS);
-            rig.await("each time-out has passed", () -> System.nanoTime() >= silent);
-            rig.signal("p1", "-CONT");
-            int again = served.get();
-            rig.await("calls are served again", () -> served.get() > again + 20);
-        }
-        until[0] = System.nanoTime();
-        for (Thread caller : callers) {
-            caller.join();
-        }
-        System.out.println(served + " calls served, " + failed + " failed, " + relay.resets + " resets");
-        assertThat(failures).isEmpty();
-        assertThat(failed.get()).as("requests hit by a fault").isPositive();
-        assertThat(ids).allSatisfy(id -> assertThat(runs(applications, id)).isLessThanOrEqualTo(1));
+        awaitServedAgain(log);
+    }
+
+    private void awaitServedAgain(RequestLog log) throws InterruptedException {
+        int before = log.served.get();
+        rig.await("calls are served again", () -> log.served.get() > before + 20);
     }
 
     /** Resets the connections to one proxy repeatedly, each time after some runs of its application. */
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -75,14 +75,7 @@
 
     /** Runs with so many faults, every other one a partition; returns the first violation, or null. */
     public String run(int faultCount) throws IOException, InterruptedException {
-        for (int i = 0; i < OPERATORS + CLIENTS; i++) {
-            SplittableRandom callerRandom = random.split();
-            Thread thread = new Thread(
-                    i < OPERATORS ? () -> operate(callerRandom) : () -> request(callerRandom), "caller-" + i);
-            thread.setDaemon(true);
-            callers.add(thread);
-            thread.start();
-        }
+        startCallers();
         for (int i = 0; i < faultCount && violation() == null; i++) {
             awaitSomeCalls();
             String controller = controllers.get(random.nextInt(controllers.size()));
@@ -98,6 +91,26 @@
             caller.join();
         }
         awaitAllHealthy();
+        awaitAllRead();
+        awaitLastChange();
+        for (String id : requestIds) {
+            checkedRuns(id);
+        }
+        return violation();
+    }
+
+    private void startCallers() {
+        for (int i = 0; i < OPERATORS + CLIENTS; i++) {
+            SplittableRandom callerRandom = random.split();
+            Thread thread = new Thread(
+                    i < OPERATORS ? () -> operate(callerRandom) : () -> request(callerRandom), "caller-" + i);
+            thread.setDaemon(true);
+            callers.add(thread);
+            thread.start();
+        }
+    }
+
+    private void awaitAllRead() throws InterruptedException {
         for (String controller : controllers) {
             Map<String, Long> floor = checks.floor();
             rig.await(controller + " reads", () -> {
@@ -108,22 +121,22 @@
                 return answer.status() == 200;
             });
         }
+    }
+
+    private void awaitLastChange() throws InterruptedException {
         rig.order(controllers.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
         for (String proxy : PROXIES) {
             rig.await(
                     proxy + " has the last change",
                     () -> rig.request(proxy, "last.mesh", "/", null).status() == 200);
         }
-        for (String id : requestIds) {
-            checkedRuns(id);
-        }
-        return violation();
     }
 
     private String violation() {
         return requestViolation == null ? checks.breach() : requestViolation;
     }
 
+    /** How often the request has run; more than once is a violation. */
     private int checkedRuns(String id) {
         int runs = PROXIES.stream().mapToInt(proxy -> rig.ship(proxy).runs(id)).sum();
         if (runs > 1) {
