--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -222,42 +222,19 @@
         }
     }
 
+    /** Plays the case with three controllers; the status of the repeated change, and the content committed then. */
     private static String statusOfRepetition(LostAnswer lostAnswer) {
         SimulatedReplicas simulation = new SimulatedReplicas(lostAnswer.ordinal(), 3);
         simulation.run(500_000);
-        assertThat(simulation.await(simulation.submit(simulation.harbour(3), tenant(4, "first"), TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+        commit(simulation, tenant(4, "first"));
         simulation.run(500_000);
-        long first = simulation.submit(simulation.harbour(1), tenant(5, "it"), TIMEOUT_MICROS);
-        if (lostAnswer == LostAnswer.AGREED
-                || lostAnswer == LostAnswer.WIPED
-                || lostAnswer == LostAnswer.AGREED_NEWER) {
-            assertThat(simulation.await(first)).isInstanceOf(ProposalResult.Taken.class);
-        } else {
-            runUntil(simulation, () -> writesChange(simulation, 1));
-            if (lostAnswer == LostAnswer.TWO_DISKS) {
-                simulation.cut(
-                        simulation.harbour(1).address(), simulation.harbour(3).address());
-                runUntil(simulation, () -> writesChange(simulation, 2));
-                runUntil(simulation, () -> !writesChange(simulation, 2));
-            } else {
-                partitionFirst(simulation);
-                runUntil(simulation, () -> !writesChange(simulation, 1));
-            }
-            if (lostAnswer != LostAnswer.CUT_OFF) {
-                simulation.crash(simulation.harbour(1));
-            }
+        loseAnswer(simulation, lostAnswer);
+        if (lostAnswer == LostAnswer.NEWER || lostAnswer == LostAnswer.AGREED_NEWER) {
+            commit(simulation, tenant(6, "newer"));
+        } else if (lostAnswer == LostAnswer.OTHER) {
+            commit(simulation, tenant(5, "other"));
         }
-        if (lostAnswer == LostAnswer.WIPED) {
-            simulation.wipe(simulation.harbour(1));
-        }
-        if (lostAnswer == LostAnswer.NEWER || lostAnswer == LostAnswer.AGREED_NEWER || lostAnswer == LostAnswer.OTHER) {
-            String other = lostAnswer == LostAnswer.OTHER ? tenant(5, "other") : tenant(6, "newer");
-            assertThat(simulation.await(simulation.submit(simulation.harbour(3), other, TIMEOUT_MICROS)))
-                    .isInstanceOf(ProposalResult.Taken.class);
-        }
-        long second = simulation.submit(simulation.harbour(2), tenant(5, "it"), TIMEOUT_MICROS);
-        int status = OperatorApiHandler.answer(simulation.await(second)).status();
+        int status = repeat(simulation, 2);
         simulation.heal();
         if (!simulation.harbour(1).up()) {
             simulation.start(1);
@@ -265,23 +242,66 @@
         simulation.run(8_000_000);
         List<Object> committed = new ArrayList<>();
         for (int controller = 1; controller <= 3; controller++) {
-            committed.add(simulation
-                    .harbour(controller)
-                    .copies()
-                    .shown()
-                    .manifest()
-                    .get(new ItemKey(ItemType.TENANTS, "t"))
-                    .content()
-                    .get("apiKeys"));
-            long third = simulation.submit(simulation.harbour(controller), tenant(5, "it"), TIMEOUT_MICROS);
-            assertThat(OperatorApiHandler.answer(simulation.await(third)).status())
-                    .isEqualTo(status);
+            committed.add(committedKeys(simulation, controller));
+            assertThat(repeat(simulation, controller)).isEqualTo(status);
         }
         assertThat(simulation.checks().breach()).isNull();
         assertThat(committed.stream().distinct()).hasSize(1);
         return status + " | " + committed.get(0).toString().replaceAll("[\\[\\]]", "");
     }
 
+    private static void commit(SimulatedReplicas simulation, String change) {
+        assertThat(simulation.await(simulation.submit(simulation.harbour(3), change, TIMEOUT_MICROS)))
+                .isInstanceOf(ProposalResult.Taken.class);
+    }
+
+    /** The first controller is sent the change, and its answer is lost in the way of the case. */
+    private static void loseAnswer(SimulatedReplicas simulation, LostAnswer lostAnswer) {
+        long first = simulation.submit(simulation.harbour(1), tenant(5, "it"), TIMEOUT_MICROS);
+        if (lostAnswer == LostAnswer.AGREED
+                || lostAnswer == LostAnswer.WIPED
+                || lostAnswer == LostAnswer.AGREED_NEWER) {
+            assertThat(simulation.await(first)).isInstanceOf(ProposalResult.Taken.class);
+        } else {
+            interruptWrite(simulation, lostAnswer);
+        }
+        if (lostAnswer == LostAnswer.WIPED) {
+            simulation.wipe(simulation.harbour(1));
+        }
+    }
+
+    private static void interruptWrite(SimulatedReplicas simulation, LostAnswer lostAnswer) {
+        runUntil(simulation, () -> writesChange(simulation, 1));
+        if (lostAnswer == LostAnswer.TWO_DISKS) {
+            simulation.cut(
+                    simulation.harbour(1).address(), simulation.harbour(3).address());
+            runUntil(simulation, () -> writesChange(simulation, 2));
+            runUntil(simulation, () -> !writesChange(simulation, 2));
+        } else {
+            partitionFirst(simulation);
+            runUntil(simulation, () -> !writesChange(simulation, 1));
+        }
+        if (lostAnswer != LostAnswer.CUT_OFF) {
+            simulation.crash(simulation.harbour(1));
+        }
+    }
+
+    private static int repeat(SimulatedReplicas simulation, int controller) {
+        long change = simulation.submit(simulation.harbour(controller), tenant(5, "it"), TIMEOUT_MICROS);
+        return OperatorApiHandler.answer(simulation.await(change)).status();
+    }
+
+    private static Object committedKeys(SimulatedReplicas simulation, int controller) {
+        return simulation
+                .harbour(controller)
+                .copies()
+                .shown()
+                .manifest()
+                .get(new ItemKey(ItemType.TENANTS, "t"))
+                .content()
+                .get("apiKeys");
+    }
+
     private static String lostAnswers() {
         StringBuilder table = new StringBuilder(
                 "| the answer was lost, and | sent again elsewhere | what stands then |\n" + "| --- | --- | --- |\n");
