--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -107,12 +107,12 @@
     private static List<Object> registrations(UpdatePublisher publisher) {
         List<Object> registrations = new ArrayList<>();
         for (ProxyRegistration registration : publisher.registry().all()) {
-            registrations.add(registration(registration, publisher.silenceMicros(registration.name())));
+            registrations.add(registration(registration, publisher.microsSinceLastMessage(registration.name())));
         }
         return registrations;
     }
 
-    private static Map<String, Object> registration(ProxyRegistration registration, long silenceMicros) {
+    private static Map<String, Object> registration(ProxyRegistration registration, long sinceLastMessageMicros) {
         ApplicationInstance instance = registration.instance();
         return JsonCodec.map(
                 "name",
@@ -134,7 +134,7 @@
                 SHUTTING_DOWN,
                 registration.shuttingDown(),
                 "ageMs",
-                silenceMicros < 0 ? null : silenceMicros / MICROS_PER_MILLI);
+                sinceLastMessageMicros < 0 ? null : sinceLastMessageMicros / MICROS_PER_MILLI);
     }
 
     private static Map<String, Object> peer(Peer peer) {
--- a/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -88,12 +88,12 @@
     }
 
     /** How long nothing has been received from the named proxy; below 0 where it is not connected. */
-    long silenceMicros(String name) {
+    long microsSinceLastMessage(String name) {
         long shortest = -1;
         for (Map.Entry<PeerConnection, Subscriber> entry : subscribers.entrySet()) {
-            long silence = clock.getAsLong() - entry.getKey().heardAt();
-            if (entry.getValue().name.equals(name) && (shortest < 0 || silence < shortest)) {
-                shortest = silence;
+            long elapsed = clock.getAsLong() - entry.getKey().heardAt();
+            if (entry.getValue().name.equals(name) && (shortest < 0 || elapsed < shortest)) {
+                shortest = elapsed;
             }
         }
         return shortest;
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -45,7 +45,7 @@
 
     private static final int PARTITION_SECONDS = FULL ? 20 : 3;
     /** Longer than each time-out of the connections. */
-    private static final int SILENCE_SECONDS = FULL ? 10 : 5;
+    private static final int OUTAGE_SECONDS = FULL ? 10 : 5;
 
     private static final int CATCH_UP_SECONDS = 4;
     private static final int CHANGE_COUNT = FULL ? 1_000 : 60;
@@ -446,7 +446,7 @@
         faultsBetweenProxies(log);
         if (FULL) {
             rig.freeze("p1");
-            long silent = deadlineIn(SILENCE_SECONDS);
+            long silent = deadlineIn(OUTAGE_SECONDS);
             rig.await("each time-out has passed", () -> System.nanoTime() >= silent);
             rig.signal("p1", "-CONT");
             awaitServedAgain(log);
@@ -497,7 +497,7 @@
         relay.set("p3", "p1", Way.HOLD);
         relay.cut("p1", List.of("p4"), Way.LOSE, Way.LOSE);
         rig.freeze("p5");
-        resetRepeatedly(relay, deadlineIn(SILENCE_SECONDS));
+        resetRepeatedly(relay, deadlineIn(OUTAGE_SECONDS));
         relay.join();
         rig.signal("p5", "-CONT");
         awaitServedAgain(log);
