--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -11,159 +11,189 @@
 import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.controlplane.configuration.ItemKey;
 import org.cypressweir.controlplane.configuration.Rejection;
-import org.cypressweir.controlplane.configuration.RejectionKind;
 import org.cypressweir.controlplane.consensus.ProposalResult;
 import org.cypressweir.testkit.ConsensusFaults;
 
 /**
- * Days of {@link ConsensusFaults} with drawn orders, each sent again at any harbour and time: after lost answers,
- * crashes, wiped disks and replaced machines. And long histories at one manifest, past the floor.
+ * Runs of {@link ConsensusFaults} with drawn configuration changes, each repeated at any controller and time: after
+ * lost answers, crashes, wiped disks and replaced machines. And long histories of one configuration, in which old
+ * versions are dropped.
  */
 public class ChangeHistories extends ConsensusFaults {
 
-    /** As many lower versions of an item are remembered at least; the page says so. */
-    private static final int REMEMBERED = 256;
+    /** So many superseded versions of an item are known at least; the operators' page says so. */
+    private static final int MIN_KNOWN_VERSIONS = 256;
 
-    private static final int LONG = 4_000;
-    private static final int MOST_AT_ONCE = 8;
-    private static final int ENOUGH_AGAIN = 25;
+    private static final int OK = 200;
+    private static final int INVALID = 400;
+    private static final int CONFLICT = 409;
+    private static final int UNAVAILABLE = 503;
 
-    private record Open(String body, boolean taken, Map<ItemKey, Long> least) {}
+    private static final int HISTORY_CHANGES = 4_000;
+    private static final int MAX_CALLS_PER_STEP = 8;
+    private static final int FINAL_REPETITIONS = 25;
+
+    /** A call without an answer yet; the body is null for a read. */
+    private record PendingCall(String body, boolean acknowledgedBefore, Map<ItemKey, Long> requiredVersions) {}
 
     private final ChangeHistoryChecks checks = new ChangeHistoryChecks();
     private final SplittableRandom random;
-    private final RandomChanges draw;
-    private final Map<Long, Open> open = new HashMap<>();
-    private String unhealed;
+    private final RandomChanges randomChanges;
+    private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
+    private String recoveryFailure;
 
     public ChangeHistories(long seed) {
         super(seed);
         random = new SplittableRandom(seed + 1_000_003);
-        draw = new RandomChanges(random.split());
-    }
-
-    /** The first breach in so many days and long histories, or null. */
-    public static String broken(int days, int histories) {
-        String breach = null;
-        for (long seed = 0; seed < Math.max(days, histories) && breach == null; seed++) {
-            try {
-                breach = seed < histories ? longHistory(seed).breach() : null;
-                breach = breach == null && seed < days ? new ChangeHistories(seed).run() : breach;
-            } catch (RuntimeException | AssertionError e) {
-                breach = e.toString();
+        randomChanges = new RandomChanges(random.split());
+    }
+
+    /** The first violation in so many runs with faults and long histories, or null. */
+    public static String firstViolation(int runs, int histories) {
+        for (long seed = 0; seed < Math.max(runs, histories); seed++) {
+            String violation = violation(seed, seed < runs, seed < histories);
+            if (violation != null) {
+                return "seed " + seed + ": " + violation;
             }
-            breach = breach == null ? null : "seed " + seed + ": " + breach;
         }
-        return breach;
+        return null;
     }
 
-    /** What did not come back by itself in its time after the last fault (judged elsewhere), or null. */
-    String unhealed() {
-        return unhealed;
+    private static String violation(long seed, boolean withRun, boolean withHistory) {
+        try {
+            String violation = withHistory ? longHistory(seed).violation() : null;
+            return violation == null && withRun ? new ChangeHistories(seed).run() : violation;
+        } catch (RuntimeException | AssertionError e) {
+            // Whatever the code under test throws is a violation of that seed.
+            return e.toString();
+        }
     }
 
-    Map<Integer, Integer> told() {
-        return checks.told();
+    /** What did not recover by itself in its time after the last fault (checked elsewhere), or null. */
+    String recoveryFailure() {
+        return recoveryFailure;
     }
 
-    private static ConfigurationChange order(String body) {
+    Map<Integer, Integer> answersByStatus() {
+        return checks.answersByStatus();
+    }
+
+    private static ConfigurationChange parse(String body) {
         return ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
     }
 
-    private static int status(Rejection refusal) {
-        return refusal == null
-                ? 200
-                : refusal.kind() == RejectionKind.INVALID ? 400 : refusal.kind() == RejectionKind.CONFLICT ? 409 : 503;
+    private static int status(Rejection rejection) {
+        return switch (rejection.kind()) {
+            case INVALID -> INVALID;
+            case CONFLICT -> CONFLICT;
+            case VERSION_TOO_OLD -> UNAVAILABLE;
+        };
     }
 
     @Override
     protected void ask() {
-        collect();
-        for (int i = random.nextInt(MOST_AT_ONCE); i > 0 && checks.breach() == null; i--) {
+        collectAnswers();
+        for (int i = random.nextInt(MAX_CALLS_PER_STEP); i > 0 && checks.violation() == null; i--) {
             if (random.nextInt(5) == 0) {
-                wait(world().read(any(), patience()), null);
+                addPending(world().read(any(), timeoutMicros()), null);
             } else {
-                RandomChanges.Drawn drawn = draw.next();
-                checks.sent(drawn.body(), order(drawn.body()), drawn.validity());
-                wait(world().submit(any(), drawn.body(), patience()), drawn.body());
+                RandomChanges.DrawnChange drawn = randomChanges.next();
+                checks.submitted(drawn.body(), parse(drawn.body()), drawn.validity());
+                addPending(world().submit(any(), drawn.body(), timeoutMicros()), drawn.body());
             }
         }
     }
 
-    private long patience() {
+    private long timeoutMicros() {
         return 50_000 + random.nextLong(2_000_000);
     }
 
-    private void wait(long ticket, String body) {
-        open.put(ticket, new Open(body, body != null && checks.taken(body), checks.floor()));
+    private void addPending(long call, String body) {
+        boolean acknowledgedBefore = body != null && checks.isAcknowledged(body);
+        pendingCalls.put(call, new PendingCall(body, acknowledgedBefore, checks.requiredVersions()));
     }
 
-    private void collect() {
-        for (long ticket : open.keySet().stream().sorted().toList()) {
-            ProposalResult result = world().verdict(ticket);
+    private void collectAnswers() {
+        for (long call : pendingCalls.keySet().stream().sorted().toList()) {
+            ProposalResult result = world().verdict(call);
             if (result instanceof ProposalResult.Read read) {
-                checks.read(open.remove(ticket).least, read.manifest());
-            } else if (result != null && open.get(ticket).body != null) {
-                Open call = open.remove(ticket);
-                checks.told(
-                        call.body,
-                        result instanceof ProposalResult.Taken
-                                ? 200
-                                : result instanceof ProposalResult.Refused r ? status(r.refusal()) : 503,
-                        call.taken);
+                checks.read(pendingCalls.remove(call).requiredVersions, read.manifest());
+            } else if (result != null && pendingCalls.get(call).body != null) {
+                PendingCall pending = pendingCalls.remove(call);
+                checks.answered(pending.body, status(result), pending.acknowledgedBefore);
             }
         }
     }
 
+    private static int status(ProposalResult result) {
+        if (result instanceof ProposalResult.Taken) {
+            return OK;
+        }
+        return result instanceof ProposalResult.Refused refused ? status(refused.refusal()) : UNAVAILABLE;
+    }
+
     @Override
     protected String healed() {
-        unhealed = super.healed();
-        collect();
-        String breach = world().checks().breach();
-        List<String> all = checks.acknowledged();
-        for (int i = 0; i < ENOUGH_AGAIN && !all.isEmpty() && breach == null; i++) {
-            String body = all.get(random.nextInt(all.size()));
+        recoveryFailure = super.healed();
+        collectAnswers();
+        String violation = world().checks().breach();
+        if (violation == null) {
+            repeatAcknowledgedChanges();
+        }
+        return violation != null ? violation : checks.violation();
+    }
+
+    private void repeatAcknowledgedChanges() {
+        List<String> acknowledged = checks.acknowledgedChanges();
+        for (int i = 0; i < FINAL_REPETITIONS && !acknowledged.isEmpty(); i++) {
+            String body = acknowledged.get(random.nextInt(acknowledged.size()));
             ProposalResult result = world().await(world().submit(any(), body, 5_000_000));
-            if (result instanceof ProposalResult.Refused
-                    || unhealed == null && !(result instanceof ProposalResult.Taken)) {
-                checks.breach("all is well, and what was told 200 is now told " + result + ": " + body);
+            boolean rejected = result instanceof ProposalResult.Refused;
+            boolean accepted = result instanceof ProposalResult.Taken;
+            if (rejected || recoveryFailure == null && !accepted) {
+                checks.addViolation(
+                        "all faults are over, and a change once answered 200 is now " + result + ": " + body);
             }
         }
-        return breach != null ? breach : checks.breach();
     }
 
-    /** One order after the other on one manifest, which is written and read anew now and then. */
+    /** One change after the other to one configuration, which is encoded and decoded now and then. */
     static ChangeHistoryChecks longHistory(long seed) {
         ChangeHistoryChecks checks = new ChangeHistoryChecks();
         SplittableRandom random = new SplittableRandom(seed);
-        RandomChanges draw = new RandomChanges(random.split());
-        Configuration standing = Configuration.EMPTY;
-        for (int i = 0; i < LONG && checks.breach() == null; i++) {
-            RandomChanges.Drawn drawn = draw.next();
-            ConfigurationChange order = order(drawn.body());
-            checks.sent(drawn.body(), order, drawn.validity());
-            Either<Rejection, List<Item>> result = order.applyTo(standing);
-            standing = standing.with(result.getOrElse(List.of()));
-            int status = status(result.isLeft() ? result.getLeft() : null);
-            if (status == 503 && checks.passedBy(drawn.body()) < REMEMBERED) {
-                checks.breach("forgotten too early: " + drawn.body());
+        RandomChanges randomChanges = new RandomChanges(random.split());
+        Configuration current = Configuration.EMPTY;
+        for (int i = 0; i < HISTORY_CHANGES && checks.violation() == null; i++) {
+            RandomChanges.DrawnChange drawn = randomChanges.next();
+            ConfigurationChange change = parse(drawn.body());
+            checks.submitted(drawn.body(), change, drawn.validity());
+            Either<Rejection, List<Item>> result = change.applyTo(current);
+            current = current.with(result.getOrElse(List.of()));
+            int status = result.isLeft() ? status(result.getLeft()) : OK;
+            if (status == UNAVAILABLE && checks.higherVersions(drawn.body()) < MIN_KNOWN_VERSIONS) {
+                checks.addViolation("a version is too old too early: " + drawn.body());
             }
-            checks.told(drawn.body(), status, checks.taken(drawn.body()));
+            checks.answered(drawn.body(), status, checks.isAcknowledged(drawn.body()));
             if (random.nextInt(20) == 0) {
-                standing = Configuration.of(standing.items().stream()
-                        .map(e -> Item.ofText(e.toText()))
-                        .toList());
-                checks.read(checks.floor(), standing);
+                current = decode(current);
+                checks.read(checks.requiredVersions(), current);
             }
         }
         return checks;
     }
 
-    /** How many days and long histories. */
+    private static Configuration decode(Configuration configuration) {
+        return Configuration.of(configuration.items().stream()
+                .map(item -> Item.ofText(item.toText()))
+                .toList());
+    }
+
+    /** Arguments: the number of runs with faults, and of long histories. */
     public static void main(String[] args) {
-        String[] given = String.join(" ", args).split(" ");
-        String breach = broken(Integer.parseInt(given[0]), Integer.parseInt(given[1]));
-        System.out.println(
-                breach == null ? "no breach in " + given[0] + " days and " + given[1] + " histories" : breach);
+        String[] counts = String.join(" ", args).split(" ");
+        int runs = Integer.parseInt(counts[0]);
+        int histories = Integer.parseInt(counts[1]);
+        String violation = firstViolation(runs, histories);
+        System.out.println("runs=" + runs + " histories=" + histories + " violation=" + violation);
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -9,30 +9,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One content a version and one answer to each order, however often and wherever it is sent. */
+/** Each version has one content and each change one answer, however often and wherever it is submitted. */
 class ChangeHistoriesTest {
 
-    private static final int DAYS = 40;
+    private static final int RUNS = 40;
     private static final int HISTORIES = 12;
 
     @TempDir
-    Path folder;
+    Path temporary;
 
     @Test
-    void eachOrderHasOneAnswer() {
-        assertThat(ChangeHistories.broken(DAYS, HISTORIES)).isNull();
-        assertThat(ChangeHistories.longHistory(0).told()).containsOnlyKeys(200, 400, 409, 503);
-        ChangeHistories day = new ChangeHistories(9);
-        assertThat(day.run()).isNull();
-        assertThat(day.told()).containsKeys(200, 400, 409);
+    void eachChangeHasOneAnswer() {
+        assertThat(ChangeHistories.firstViolation(RUNS, HISTORIES)).isNull();
+        assertThat(ChangeHistories.longHistory(0).answersByStatus()).containsOnlyKeys(200, 400, 409, 503);
+        ChangeHistories run = new ChangeHistories(9);
+        assertThat(run.run()).isNull();
+        assertThat(run.answersByStatus()).containsKeys(200, 400, 409);
     }
 
-    /** A harbour that was let in, and has accepted no state itself since, proposes like any other. */
+    /** A controller that was added to the voters, and has accepted no state itself since, proposes like any other. */
     @Test
-    void whoWasLetInTakesOrders() {
-        ChangeHistories day = new ChangeHistories(24);
-        assertThat(day.run()).isNull();
-        assertThat(day.unhealed()).isNull();
+    void addedVoterAcceptsChanges() {
+        ChangeHistories run = new ChangeHistories(24);
+        assertThat(run.run()).isNull();
+        assertThat(run.recoveryFailure()).isNull();
     }
 
     @ParameterizedTest(name = "{0}")
@@ -61,13 +61,13 @@
                         + "~ Rejection rejection = ConfigurationValidator.validateItems(unused); "
                         + "~ Rejection rejection = unused.size() < items.size() ? Rejection.conflict(\"\") : null;",
             })
-    void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
+    void eachFaultIsFound(String fault, String file, String text, String replacement) throws Exception {
         ClassLoader planted = new PlantedFault(
-                folder,
+                temporary,
                 Path.of("src/main/java/org/cypressweir/controlplane/configuration"),
                 file,
                 text,
-                instead,
+                replacement,
                 name -> name.startsWith("org.cypressweir.testkit.Consensus")
                         || name.startsWith("org.cypressweir.testkit.SimulatedReplicas")
                         || name.startsWith("org.cypressweir.controlplane.consensus.")
@@ -75,8 +75,8 @@
                         || name.startsWith("org.cypressweir.modelcheck.Change")
                         || name.startsWith("org.cypressweir.modelcheck.RandomChanges"));
         assertThat(planted.loadClass("org.cypressweir.modelcheck.ChangeHistories")
-                        .getMethod("broken", int.class, int.class)
-                        .invoke(null, 2 * DAYS, HISTORIES))
+                        .getMethod("firstViolation", int.class, int.class)
+                        .invoke(null, 2 * RUNS, HISTORIES))
                 .as(fault)
                 .isNotNull();
     }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoryChecks.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoryChecks.java
@@ -2,32 +2,37 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.configuration.ConfigurationChange;
 import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
- * Judges the answers to orders, each of which may be sent many times, by what was sent and told alone:
+ * Checks the answers to configuration changes, each of which may be submitted many times, by what was submitted
+ * and answered alone:
  * <ul>
- * <li>of one name and version one content is acknowledged or read, for all time;
- * <li>an order that was told 200 is told neither 400 nor 409 by a call that begins after it, and one that was
- * told 409 by any call is never told 200 by another;
- * <li>409 only where another content was sent under one of its versions; 400 never for what is always valid;
- * <li>what is invalid by itself is never told 200, and never read; what was told 409 is not read either;
- * <li>what is read is no lower than what was told 200 before.
+ * <li>of one key and version one content is acknowledged or read, for all time;
+ * <li>a change that was answered 200 is answered neither 400 nor 409 by a call that begins after it, and one
+ * that was answered 409 by any call is never answered 200 by another;
+ * <li>409 only where another content was submitted for one of its versions; 400 never for what is always valid;
+ * <li>what is invalid by itself is never answered 200, and never read; what was answered 409 is not read either;
+ * <li>what is read is no lower than what was answered 200 before.
  * </ul>
- * Told 400 first and 200 later is no breach: an order is valid or not together with what stands. So is 400
- * for a call that was on its way beside the one that was told 200: it may have been judged before.
+ * 400 first and 200 later is no violation: a change is valid or not together with the current configuration. So
+ * is 400 for a call that was in flight beside the one that was answered 200: it may have been validated before.
  */
 final class ChangeHistoryChecks {
 
-    /** What can be said of an order by itself. */
+    private static final int OK = 200;
+    private static final int INVALID = 400;
+    private static final int CONFLICT = 409;
+    private static final String WITHDRAWN = "-";
+
+    /** What can be said of a change by itself. */
     enum Validity {
         ALWAYS,
         NEVER,
@@ -36,137 +41,168 @@
 
     private record Version(ItemKey key, long number) {}
 
-    private static final class Sent {
+    private static final class Submitted {
         private final List<Item> items;
         private final Validity validity;
-        private boolean taken;
+        private boolean acknowledged;
         private boolean conflict;
 
-        private Sent(List<Item> items, Validity validity) {
+        private Submitted(List<Item> items, Validity validity) {
             this.items = items;
             this.validity = validity;
         }
-    }
 
-    private final Map<String, Sent> orders = new HashMap<>();
-    private final Map<Version, Map<Object, List<Sent>>> contents = new HashMap<>();
-    private final Map<ItemKey, TreeMap<Long, Boolean>> versions = new HashMap<>();
-    private final Map<Version, Object> taken = new HashMap<>();
-    private final Map<ItemKey, Long> floor = new HashMap<>();
-    private final Map<Integer, Integer> told = new TreeMap<>();
-    private String breach;
+        private boolean mayBeRead() {
+            return !conflict && validity != Validity.NEVER;
+        }
+    }
 
-    /** The first breach, or null. */
-    String breach() {
-        return breach;
+    private final Map<String, Submitted> changes = new HashMap<>();
+    private final Map<Version, Map<Object, List<Submitted>>> changesByContent = new HashMap<>();
+    private final Map<ItemKey, TreeSet<Long>> submittedVersions = new HashMap<>();
+    private final Map<Version, Object> knownContents = new HashMap<>();
+    private final Map<ItemKey, Long> highestAcknowledged = new HashMap<>();
+    private final Map<Integer, Integer> answersByStatus = new TreeMap<>();
+    private String violation;
+
+    /** The first violation, or null. */
+    String violation() {
+        return violation;
     }
 
-    /** How often each status was told. */
-    Map<Integer, Integer> told() {
-        return told;
+    /** How often each status was answered. */
+    Map<Integer, Integer> answersByStatus() {
+        return answersByStatus;
     }
 
     private static Object content(Item item) {
-        return item.withdrawn() ? "-" : item.content();
+        return item.withdrawn() ? WITHDRAWN : item.content();
     }
 
-    void sent(String body, ConfigurationChange order, Validity validity) {
-        if (orders.containsKey(body)) {
+    private static Version version(Item item) {
+        return new Version(item.key(), item.version());
+    }
+
+    void submitted(String body, ConfigurationChange change, Validity validity) {
+        if (changes.containsKey(body)) {
             return;
         }
-        Sent sent = new Sent(order.items(), validity);
-        orders.put(body, sent);
-        for (Item item : sent.items) {
-            contents.computeIfAbsent(new Version(item.key(), item.version()), v -> new HashMap<>())
-                    .computeIfAbsent(content(item), c -> new ArrayList<>())
-                    .add(sent);
-            versions.computeIfAbsent(item.key(), k -> new TreeMap<>()).put(item.version(), true);
+        Submitted submitted = new Submitted(change.items(), validity);
+        changes.put(body, submitted);
+        for (Item item : submitted.items) {
+            changesByContent
+                    .computeIfAbsent(version(item), created -> new HashMap<>())
+                    .computeIfAbsent(content(item), created -> new ArrayList<>())
+                    .add(submitted);
+            submittedVersions
+                    .computeIfAbsent(item.key(), created -> new TreeSet<>())
+                    .add(item.version());
         }
     }
 
-    /** Orders that were told 200. */
-    List<String> acknowledged() {
-        return orders.keySet().stream()
-                .filter(b -> orders.get(b).taken)
-                .sorted()
-                .toList();
+    /** The bodies of the changes that were answered 200. */
+    List<String> acknowledgedChanges() {
+        return changes.keySet().stream().filter(this::isAcknowledged).sorted().toList();
+    }
+
+    /** Whether a change was answered 200, for a call that begins now. */
+    boolean isAcknowledged(String body) {
+        return changes.get(body).acknowledged;
     }
 
-    /** How many versions above an order's were sent, of the item of it that has most. */
-    int passedBy(String body) {
-        return orders.get(body).items.stream()
-                .mapToInt(i -> versions.get(i.key()).tailMap(i.version(), false).size())
+    /** How many higher versions were submitted, of the item of a change that has most. */
+    int higherVersions(String body) {
+        return changes.get(body).items.stream()
+                .mapToInt(item -> submittedVersions
+                        .get(item.key())
+                        .tailSet(item.version(), false)
+                        .size())
                 .max()
                 .orElse(0);
     }
 
-    /** Whether an order was told 200, for a call that begins now. */
-    boolean taken(String body) {
-        return orders.get(body).taken;
+    /** @param acknowledgedBefore whether it had been answered 200 when this call began */
+    void answered(String body, int status, boolean acknowledgedBefore) {
+        answersByStatus.merge(status, 1, Integer::sum);
+        Submitted submitted = changes.get(body);
+        switch (status) {
+            case OK -> answeredOk(body, submitted);
+            case INVALID -> answeredInvalid(body, submitted, acknowledgedBefore);
+            case CONFLICT -> answeredConflict(body, submitted, acknowledgedBefore);
+            default -> {
+                // Open: it may or may not have been accepted.
+            }
+        }
     }
 
-    /** @param before whether it had been told 200 when this call began */
-    void told(String body, int status, boolean before) {
-        told.merge(status, 1, Integer::sum);
-        Sent sent = orders.get(body);
-        if (status == 200) {
-            sent.taken = true;
-            if (sent.conflict || sent.validity == Validity.NEVER) {
-                breach("200 for what " + (sent.conflict ? "was told 409: " : "is invalid: ") + body);
-            }
-            for (Item item : sent.items) {
-                one(item);
-                floor.merge(item.key(), item.version(), Math::max);
-            }
-        } else if (status == 400 || status == 409) {
-            if (before || sent.taken && status == 409) {
-                breach(status + " after 200: " + body);
-            }
-            if (status == 400 && sent.validity == Validity.ALWAYS) {
-                breach("400 for what is valid: " + body);
-            }
-            if (status == 409) {
-                sent.conflict = true;
-                if (sent.items.stream()
-                        .allMatch(i ->
-                                contents.get(new Version(i.key(), i.version())).size() == 1)) {
-                    breach("409, and nothing else has that version: " + body);
-                }
-            }
+    private void answeredOk(String body, Submitted submitted) {
+        submitted.acknowledged = true;
+        if (submitted.conflict) {
+            addViolation("200 after 409: " + body);
+        }
+        if (submitted.validity == Validity.NEVER) {
+            addViolation("200 for an invalid change: " + body);
+        }
+        for (Item item : submitted.items) {
+            checkSameContent(item);
+            highestAcknowledged.merge(item.key(), item.version(), Math::max);
+        }
+    }
+
+    private void answeredInvalid(String body, Submitted submitted, boolean acknowledgedBefore) {
+        if (acknowledgedBefore) {
+            addViolation("400 after 200: " + body);
+        }
+        if (submitted.validity == Validity.ALWAYS) {
+            addViolation("400 for a valid change: " + body);
         }
     }
 
-    private void one(Item item) {
-        Object before = taken.putIfAbsent(new Version(item.key(), item.version()), content(item));
-        if (before != null && !before.equals(content(item))) {
-            breach(item.key() + " r" + item.version() + " is " + before + " and " + content(item));
+    private void answeredConflict(String body, Submitted submitted, boolean acknowledgedBefore) {
+        if (acknowledgedBefore || submitted.acknowledged) {
+            addViolation("409 after 200: " + body);
+        }
+        submitted.conflict = true;
+        boolean onlyContent = submitted.items.stream()
+                .allMatch(item -> changesByContent.get(version(item)).size() == 1);
+        if (onlyContent) {
+            addViolation("409, and no other content has that version: " + body);
+        }
+    }
+
+    private void checkSameContent(Item item) {
+        Object known = knownContents.putIfAbsent(version(item), content(item));
+        if (known != null && !known.equals(content(item))) {
+            addViolation(item.key() + " r" + item.version() + " is " + known + " and " + content(item));
         }
     }
 
-    Map<ItemKey, Long> floor() {
-        return Map.copyOf(floor);
+    /** The versions that a read which begins now has to reach. */
+    Map<ItemKey, Long> requiredVersions() {
+        return Map.copyOf(highestAcknowledged);
     }
 
-    /** What was read by a call that began when these versions had been told 200. */
-    void read(Map<ItemKey, Long> least, Configuration manifest) {
-        least.forEach((key, version) -> {
-            Item found = manifest.get(key);
+    /** Checks a read against the versions that were required when it began. */
+    void read(Map<ItemKey, Long> requiredVersions, Configuration configuration) {
+        requiredVersions.forEach((key, version) -> {
+            Item found = configuration.get(key);
             if (found == null || found.version() < version) {
-                breach(key + " is read as " + found + " after r" + version);
+                addViolation(key + " is read as " + found + " after r" + version);
             }
         });
-        for (Item item : manifest.items()) {
-            one(item);
-            Map<Object, List<Sent>> sent = contents.getOrDefault(new Version(item.key(), item.version()), Map.of());
-            Set<Sent> may = new HashSet<>(sent.getOrDefault(content(item), List.of()));
-            may.removeIf(s -> s.conflict || s.validity == Validity.NEVER);
-            if (may.isEmpty()) {
-                breach(item.key() + " r" + item.version() + " is read, and was refused or never sent");
-            }
+        configuration.items().forEach(this::checkReadItem);
+    }
+
+    private void checkReadItem(Item item) {
+        checkSameContent(item);
+        Map<Object, List<Submitted>> byContent = changesByContent.getOrDefault(version(item), Map.of());
+        List<Submitted> sources = byContent.getOrDefault(content(item), List.of());
+        if (sources.stream().noneMatch(Submitted::mayBeRead)) {
+            addViolation(item.key() + " r" + item.version() + " is read, and was rejected or never submitted");
         }
     }
 
-    void breach(String what) {
-        breach = breach == null ? what : breach;
+    void addViolation(String description) {
+        violation = violation == null ? description : violation;
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/RandomChanges.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/RandomChanges.java
@@ -6,89 +6,127 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import org.cypressweir.modelcheck.ChangeHistoryChecks.Validity;
 
-/** Draws orders: new ones, lower ones, others under the same version, invalid ones, and any before again. */
+/**
+ * Draws configuration changes: with new versions, lower ones, other contents for a used version, invalid ones,
+ * and repetitions of earlier changes. The same seed draws the same changes.
+ */
 final class RandomChanges {
 
     private static final int NAMES = 7;
-    private static final int MOST_ITEMS = 3;
+    private static final int FIRST_SERVICE = 3;
     private static final int SERVICES = 2;
+    private static final int MAX_ITEMS = 3;
+    private static final int RECENT_CHANGES = 20;
 
-    /** An order's body and what can be said of it by itself. */
-    record Drawn(String body, ChangeHistoryChecks.Validity validity) {}
+    /** The body of a change, and what can be said of it by itself. */
+    record DrawnChange(String body, Validity validity) {}
 
     private final SplittableRandom random;
-    private final List<Drawn> drawn = new ArrayList<>();
-    private final Map<Integer, Long> tops = new HashMap<>();
+    private final List<DrawnChange> drawnChanges = new ArrayList<>();
+    private final Map<Integer, Long> highestVersions = new HashMap<>();
 
     RandomChanges(SplittableRandom random) {
         this.random = random;
     }
 
-    Drawn next() {
-        if (!drawn.isEmpty() && random.nextInt(5) < 2) {
-            int most = random.nextBoolean() ? drawn.size() : Math.min(20, drawn.size());
-            return drawn.get(drawn.size() - 1 - random.nextInt(most));
+    DrawnChange next() {
+        if (!drawnChanges.isEmpty() && random.nextInt(5) < 2) {
+            return repeatedChange();
         }
-        Drawn made = make();
-        drawn.add(made);
-        return made;
+        DrawnChange change = newChange();
+        drawnChanges.add(change);
+        return change;
+    }
+
+    private DrawnChange repeatedChange() {
+        int size = drawnChanges.size();
+        int range = random.nextBoolean() ? size : Math.min(RECENT_CHANGES, size);
+        return drawnChanges.get(size - 1 - random.nextInt(range));
     }
 
     private long version(int name) {
-        long top = tops.getOrDefault(name, 0L);
-        long version = top == 0 || random.nextInt(5) < 3
-                ? top + 1 + random.nextInt(3)
-                : random.nextInt(8) == 0 ? 1 + random.nextLong(top) : Math.max(1, top - random.nextInt(6));
-        tops.put(name, Math.max(top, version));
+        long highest = highestVersions.getOrDefault(name, 0L);
+        long version = drawVersion(highest);
+        highestVersions.put(name, Math.max(highest, version));
         return version;
     }
 
-    private Drawn make() {
-        Map<String, Map<String, String>> upsert = new TreeMap<>();
-        Map<String, List<String>> withdraw = new TreeMap<>();
-        ChangeHistoryChecks.Validity validity = ChangeHistoryChecks.Validity.ALWAYS;
+    private long drawVersion(long highest) {
+        if (highest == 0 || random.nextInt(5) < 3) {
+            return highest + 1 + random.nextInt(3);
+        }
+        return random.nextInt(8) == 0 ? 1 + random.nextLong(highest) : Math.max(1, highest - random.nextInt(6));
+    }
+
+    private static String table(int name) {
+        if (name < FIRST_SERVICE) {
+            return "tenantTable";
+        }
+        return name < FIRST_SERVICE + SERVICES ? "serviceTable" : "routeTable";
+    }
+
+    private DrawnChange newChange() {
+        Map<String, Map<String, String>> upserts = new TreeMap<>();
+        Map<String, List<String>> withdrawals = new TreeMap<>();
+        Validity validity = Validity.ALWAYS;
         int first = random.nextInt(NAMES);
-        for (int i = random.nextInt(MOST_ITEMS); i >= 0; i--) {
+        for (int i = random.nextInt(MAX_ITEMS); i >= 0; i--) {
             int name = (first + i) % NAMES;
-            String table = name < 3 ? "tenantTable" : name < 3 + SERVICES ? "serviceTable" : "routeTable";
+            String table = table(name);
             String version = ",\"configVersion\":\"r" + version(name) + "\"}";
-            if (name >= 3 && validity == ChangeHistoryChecks.Validity.ALWAYS) {
-                validity = ChangeHistoryChecks.Validity.DEPENDS;
+            if (name >= FIRST_SERVICE && validity == Validity.ALWAYS) {
+                validity = Validity.DEPENDS;
             }
             if (random.nextInt(6) == 0) {
-                withdraw.computeIfAbsent(table, t -> new ArrayList<>()).add("{\"name\":\"n" + name + "\"" + version);
+                withdrawals
+                        .computeIfAbsent(table, created -> new ArrayList<>())
+                        .add("{\"name\":\"n" + name + "\"" + version);
                 continue;
             }
-            boolean wrong = random.nextInt(16) == 0;
-            validity = wrong ? ChangeHistoryChecks.Validity.NEVER : validity;
-            upsert.computeIfAbsent(table, t -> new TreeMap<>()).put("n" + name, content(table, name, wrong) + version);
+            boolean invalid = random.nextInt(16) == 0;
+            validity = invalid ? Validity.NEVER : validity;
+            upserts.computeIfAbsent(table, created -> new TreeMap<>())
+                    .put("n" + name, content(table, name, invalid) + version);
         }
-        List<String> tables = upsert.entrySet().stream()
-                .map(t -> "\"" + t.getKey() + "\":"
-                        + object(t.getValue().entrySet().stream()
-                                .map(n -> "\"" + n.getKey() + "\":" + n.getValue())
-                                .toList()))
-                .toList();
-        List<String> lists = withdraw.entrySet().stream()
-                .map(t -> "\"" + t.getKey() + "\":" + t.getValue())
+        return new DrawnChange(body(upserts, withdrawals), validity);
+    }
+
+    private static String body(Map<String, Map<String, String>> upserts, Map<String, List<String>> withdrawals) {
+        List<String> upsertTables = new ArrayList<>();
+        upserts.forEach((table, items) -> upsertTables.add(member(table, object(members(items)))));
+        List<String> withdrawTables = new ArrayList<>();
+        withdrawals.forEach((table, items) -> withdrawTables.add(member(table, items)));
+        return "{\"upsert\":" + object(upsertTables) + ",\"withdraw\":" + object(withdrawTables) + "}";
+    }
+
+    private static List<String> members(Map<String, String> values) {
+        return values.entrySet().stream()
+                .map(entry -> member(entry.getKey(), entry.getValue()))
                 .toList();
-        return new Drawn("{\"upsert\":" + object(tables) + ",\"withdraw\":" + object(lists) + "}", validity);
+    }
+
+    private static String member(String name, Object value) {
+        return "\"" + name + "\":" + value;
     }
 
     private static String object(List<String> members) {
         return "{" + String.join(",", members) + "}";
     }
 
-    private String content(String table, int name, boolean wrong) {
-        int which = random.nextInt(3);
+    /** An item's object without its version and its end. */
+    private String content(String table, int name, boolean invalid) {
+        int variant = random.nextInt(3);
         return switch (table) {
-            case "tenantTable" -> "{\"apiKeys\":[\"" + name + "-" + which + "\"],\"ratePerS\":" + (wrong ? -1 : which);
-            case "serviceTable" -> "{\"healthPath\":\"" + (wrong ? "h" : "/h") + "\",\"maxConnections\":" + (1 + which);
-            default -> "{\"hostname\":\"h\",\"pathPrefix\":\"/" + (which == 0 ? "x" : "n" + name)
-                    + "/\",\"routeType\":\"idempotent\",\"timeout\":\"" + (wrong ? 700 : 2)
+            case "tenantTable" -> "{\"apiKeys\":[\"" + name + "-" + variant + "\"],\"ratePerS\":"
+                    + (invalid ? -1 : variant);
+            case "serviceTable" -> "{\"healthPath\":\"" + (invalid ? "h" : "/h") + "\",\"maxConnections\":"
+                    + (1 + variant);
+            default -> "{\"hostname\":\"h\",\"pathPrefix\":\"/" + (variant == 0 ? "x" : "n" + name)
+                    + "/\",\"routeType\":\"idempotent\",\"timeout\":\"" + (invalid ? 700 : 2)
                     + "s\",\"targetLatency\":\"1s\",\"priority\":1,\"maxAttempts\":1,\"publicAccess\":true,"
-                    + "\"service\":\"n" + (3 + random.nextInt(SERVICES)) + "\"";
+                    + "\"service\":\"n" + (FIRST_SERVICE + random.nextInt(SERVICES)) + "\"";
         };
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -32,11 +32,11 @@
     private final Snapshot[] snapshots = new Snapshot[7];
 
     @TempDir
-    private Path folder;
+    private Path temporary;
 
     @BeforeEach
     void writeHistory() throws IOException {
-        Path copy = folder.resolve("copy");
+        Path directory = temporary.resolve("store");
         List<StorageUpdate> changes = List.of(
                 StoreContract.replaceAll(1, StoreContract.item("a", 1, 3)),
                 prepare(2),
@@ -55,10 +55,10 @@
                         false),
                 prepare(5),
                 StoreContract.replaceAll(7, StoreContract.item("c", 2, 900)));
-        try (Store store = new XodusStore(copy)) {
+        try (Store store = new XodusStore(directory)) {
             for (int i = 0; i < snapshots.length; i++) {
                 store.write(changes.get(i));
-                snapshots[i] = new Snapshot(files(copy), store.load().orElseThrow());
+                snapshots[i] = new Snapshot(files(directory), store.load().orElseThrow());
             }
         }
     }
@@ -66,7 +66,7 @@
     /** The failure of the test method of that name, or null where it passes. */
     static String firstFailure(Path folder, String testMethod) throws IOException, ReflectiveOperationException {
         TornWritesTest test = new TornWritesTest();
-        test.folder = Files.createDirectory(folder.resolve("files"));
+        test.temporary = Files.createDirectory(folder.resolve("files"));
         test.writeHistory();
         try {
             TornWritesTest.class.getDeclaredMethod(testMethod).invoke(test);
@@ -80,11 +80,11 @@
         return new StorageUpdate(StoreContract.proposal(round), null, null, List.of(), false);
     }
 
-    private static Map<String, byte[]> files(Path copy) throws IOException {
+    private static Map<String, byte[]> files(Path directory) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
-        try (Stream<Path> all = Files.walk(copy)) {
+        try (Stream<Path> all = Files.walk(directory)) {
             for (Path file : all.filter(Files::isRegularFile).toList()) {
-                files.put(copy.relativize(file).toString(), Files.readAllBytes(file));
+                files.put(directory.relativize(file).toString(), Files.readAllBytes(file));
             }
         }
         return files;
@@ -92,19 +92,19 @@
 
     /** The state of a store that is opened on these files, or null where it quarantines them. */
     private PersistentState openAndLoad(Map<String, byte[]> files, boolean writeAndReopen) throws IOException {
-        Path copy = folder.resolve("opened");
-        new DurableDirectories().delete(copy);
+        Path directory = temporary.resolve("opened");
+        new DurableDirectories().delete(directory);
         for (Map.Entry<String, byte[]> file : files.entrySet()) {
-            Path path = copy.resolve(file.getKey());
+            Path path = directory.resolve(file.getKey());
             Files.createDirectories(path.getParent());
             Files.write(path, file.getValue());
         }
         PersistentState found;
-        try (XodusStore store = new XodusStore(copy)) {
+        try (XodusStore store = new XodusStore(directory)) {
             if (store.damaged()) {
                 assertThat(store.quarantineReason()).isPresent();
                 assertThat(store.load()).isEmpty();
-                assertThat(files(copy.resolve("aside-1")))
+                assertThat(files(directory.resolve("aside-1")))
                         .as("quarantined files")
                         .isNotEmpty();
                 return null;
@@ -117,7 +117,7 @@
         if (!writeAndReopen) {
             return found;
         }
-        try (Store store = new XodusStore(copy)) {
+        try (Store store = new XodusStore(directory)) {
             assertThat(store.load().orElseThrow()).isEqualTo(prepare(90).on(found));
         }
         return found;
@@ -194,35 +194,35 @@
 
     @Test
     void noFileIsMappedAndEmptiedDirectoryFailsWrites() throws IOException {
-        Path copy = folder.resolve("emptied");
-        Store store = new XodusStore(copy);
+        Path directory = temporary.resolve("emptied");
+        Store store = new XodusStore(directory);
         store.write(StoreContract.replaceAll(1, StoreContract.item("a", 1, 3_000_000)));
         store.write(prepare(2));
         store.load();
         Path maps = Path.of("/proc/self/maps");
         if (Files.exists(maps)) {
-            assertThat(Files.readAllLines(maps)).noneMatch(line -> line.contains(copy.toString()));
+            assertThat(Files.readAllLines(maps)).noneMatch(line -> line.contains(directory.toString()));
         }
-        for (String name : DurableDirectories.names(copy)) {
-            new DurableDirectories().delete(copy.resolve(name));
+        for (String name : DurableDirectories.names(directory)) {
+            new DurableDirectories().delete(directory.resolve(name));
         }
         for (int i = 3; i < 6; i++) {
             StorageUpdate change = prepare(i);
             assertThatThrownBy(() -> store.write(change)).isInstanceOf(IOException.class);
         }
         store.close();
-        try (Store reopened = new XodusStore(copy)) {
+        try (Store reopened = new XodusStore(directory)) {
             assertThat(reopened.load()).isEmpty();
         }
     }
 
     @Test
     void missingLogFilesFailWrites() throws IOException {
-        Path copy = folder.resolve("emptied");
-        try (Store store = new XodusStore(copy)) {
+        Path directory = temporary.resolve("emptied");
+        try (Store store = new XodusStore(directory)) {
             store.write(StoreContract.replaceAll(1, StoreContract.item("a", 1, 3)));
-            for (String name : DurableDirectories.names(copy.resolve("1"))) {
-                Files.delete(copy.resolve("1").resolve(name));
+            for (String name : DurableDirectories.names(directory.resolve("1"))) {
+                Files.delete(directory.resolve("1").resolve(name));
             }
             assertThatThrownBy(() -> store.write(prepare(2))).isInstanceOf(IOException.class);
             assertThatThrownBy(() -> store.write(prepare(3))).isInstanceOf(IOException.class);
--- a/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The store on disk keeps the {@link StoreContract}, and recovers from damage, full disks and failed writes. */
 class XodusStoreTest extends StoreContract {
 
     private static final long COMPACTION_BYTES = 2L << 20;
@@ -19,11 +20,11 @@
     private static final String QUARANTINE_PREFIX = "aside-";
 
     @TempDir
-    Path folder;
+    Path temporary;
 
     @Override
     XodusStore open() throws IOException {
-        return new XodusStore(folder.resolve("copy"), COMPACTION_BYTES);
+        return new XodusStore(temporary.resolve("store"), COMPACTION_BYTES);
     }
 
     @Override
@@ -40,7 +41,7 @@
     }
 
     private long sizeBytes() throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(temporary)) {
             long size = 0;
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 size += Files.size(file);
@@ -50,7 +51,7 @@
     }
 
     private Path file(String name) {
-        return folder.resolve(name);
+        return temporary.resolve(name);
     }
 
     /** Damage never goes unnoticed: the files are quarantined, the last two times kept, and the store is empty. */
@@ -63,11 +64,11 @@
                 store.write(replaceAll(i, item("a", i, 3)));
             }
             if (i % 2 == 0) {
-                Files.delete(file("copy/current"));
+                Files.delete(file("store/current"));
             } else {
                 byte[] bytes = new byte[9_000];
                 Arrays.fill(bytes, (byte) 0x5a);
-                Files.write(file("copy/1/00000000000.xd"), bytes);
+                Files.write(file("store/1/00000000000.xd"), bytes);
             }
             try (XodusStore store = open()) {
                 assertThat(store.quarantineReason()).as("damage " + i).isPresent();
@@ -77,12 +78,12 @@
             try (XodusStore store = open()) {
                 assertThat(store.quarantineReason()).isEmpty();
             }
-            assertThat(DurableDirectories.names(folder.resolve("copy")).stream()
+            assertThat(DurableDirectories.names(temporary.resolve("store")).stream()
                             .filter(name -> name.startsWith(QUARANTINE_PREFIX)))
                     .hasSize(Math.min(i, 2))
                     .contains(QUARANTINE_PREFIX + i);
         }
-        assertThat(Files.exists(folder.resolve("copy/aside-4/1/00000000000.xd")))
+        assertThat(Files.exists(temporary.resolve("store/aside-4/1/00000000000.xd")))
                 .isTrue();
     }
 
@@ -92,16 +93,16 @@
         try (Store store = open()) {
             store.write(replaceAll(1, item("a", 1, 3)));
         }
-        Files.writeString(file("copy/current"), "q\n");
+        Files.writeString(file("store/current"), "q\n");
         DurableDirectories fullDisk = new DurableDirectories() {
             @Override
             void replace(Path file, String text) throws IOException {
                 throw new IOException("No space left on device");
             }
         };
-        assertThatThrownBy(() -> new XodusStore(folder.resolve("copy"), COMPACTION_BYTES, 1024, fullDisk))
+        assertThatThrownBy(() -> new XodusStore(temporary.resolve("store"), COMPACTION_BYTES, 1024, fullDisk))
                 .hasMessageContaining("No space");
-        Files.writeString(file("copy/current"), "1\n");
+        Files.writeString(file("store/current"), "1\n");
         try (XodusStore store = open()) {
             assertThat(store.damaged()).isFalse();
             assertThat(store.load().orElseThrow().accepted()).isEqualTo(proposal(1));
@@ -112,8 +113,8 @@
     void recoversAfterFailedWrite() throws IOException {
         Store store = open();
         store.write(replaceAll(1, item("a", 1, 3)));
-        Path current = folder.resolve("copy/1");
-        Path moved = folder.resolve("moved");
+        Path current = temporary.resolve("store/1");
+        Path moved = temporary.resolve("moved");
         Files.move(current, moved);
         assertThatThrownBy(() -> store.write(replaceAll(2, item("a", 2, 2_000_000))))
                 .isInstanceOf(IOException.class);
--- a/src/test/java/org/cypressweir/testkit/OperatorChecks.java
+++ b/src/test/java/org/cypressweir/testkit/OperatorChecks.java
@@ -9,100 +9,110 @@
 import java.util.regex.Pattern;
 
 /**
- * Judges by what operators sent and were told alone: nothing that was acknowledged or read is lost or goes
- * back, and of one name and version there is one content. Used by several threads.
+ * Checks the consistency of the configuration by what operators submitted, were answered and read alone: nothing
+ * that was acknowledged or read is lost or goes back to a lower version, and each version of a tenant has one
+ * content. Thread-safe.
  */
 public final class OperatorChecks {
 
-    private static final Pattern TENANT =
+    private static final int OK = 200;
+    private static final int INVALID = 400;
+    private static final int CONFLICT = 409;
+
+    private static final Pattern TENANT_ITEM =
             Pattern.compile("\"(t\\d+)\":\\{\"apiKeys\":\\[\"(k\\d+)\"],\"configVersion\":\"r(\\d+)\"}");
 
-    /** The highest version that whoever asks from now on must find, by name. */
-    private final Map<String, Long> floor = new TreeMap<>();
+    /** The lowest version that a read which begins now may find, by tenant. */
+    private final Map<String, Long> requiredVersions = new TreeMap<>();
 
-    private final Map<String, String> contents = new HashMap<>();
+    private final Map<String, String> keysByVersion = new HashMap<>();
     private final List<String> acknowledged = new ArrayList<>();
-    private String breach;
-    private int again;
-    private int taken;
+    private String violation;
+    private int repeated;
+    private int accepted;
     private int reads;
-    private int open;
-    private int refused;
+    private int unanswered;
+    private int conflicts;
 
-    /** The first breach, or null. */
+    /** The first violation, or null. */
     public synchronized String breach() {
-        return breach;
+        return violation;
     }
 
+    /** The body of a change that gives a tenant one API key. */
     public static String order(String tenant, String key, long version) {
         return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
                 + version + "\"}}}}";
     }
 
-    /** What must be found by a call that begins now. */
+    /** The lowest versions that a read which begins now may find, by tenant. */
     public synchronized Map<String, Long> floor() {
-        return new TreeMap<>(floor);
+        return new TreeMap<>(requiredVersions);
     }
 
-    /** A change was answered. */
-    public synchronized void modified(String order, int status) {
-        if (status == 200) {
-            taken++;
-            acknowledged.add(order);
-            found(order);
-        } else if (status == 409) {
-            refused++;
-        } else if (status == 400) {
-            breach("a change that is valid was refused: " + order);
+    /** Records the answer to a new change. */
+    public synchronized void modified(String change, int status) {
+        if (status == OK) {
+            accepted++;
+            acknowledged.add(change);
+            recordVersions(change);
+        } else if (status == CONFLICT) {
+            conflicts++;
+        } else if (status == INVALID) {
+            addViolation("a valid change was rejected as invalid: " + change);
         } else {
-            open++;
+            unanswered++;
         }
     }
 
-    /** An order that was acknowledged at some time, for a draw; null where there is none yet. */
-    public synchronized String acknowledged(int draw) {
-        return acknowledged.isEmpty() ? null : acknowledged.get(Math.floorMod(draw, acknowledged.size()));
+    /** The acknowledged change that a random number selects; null where there is none yet. */
+    public synchronized String acknowledged(int random) {
+        return acknowledged.isEmpty() ? null : acknowledged.get(Math.floorMod(random, acknowledged.size()));
     }
 
-    /** What was acknowledged has been sent once more: it is never refused. */
-    public synchronized void again(String order, int status) {
-        again++;
+    /** Records the answer to an acknowledged change that was submitted once more: it must not be rejected. */
+    public synchronized void again(String change, int status) {
+        repeated++;
         if (status >= 400 && status < 500) {
-            breach("what was acknowledged is refused with " + status + ": " + order);
+            addViolation("an acknowledged change is rejected with " + status + ": " + change);
         }
     }
 
-    public synchronized void read(Map<String, Long> least, String body) {
+    /** Checks what was read against the lowest versions that were allowed when the read began. */
+    public synchronized void read(Map<String, Long> floor, String body) {
         reads++;
-        Map<String, Long> found = found(body);
-        least.forEach((tenant, version) -> {
-            if (found.getOrDefault(tenant, 0L) < version) {
-                breach(tenant + " is read at r" + found.get(tenant) + " after r" + version);
+        Map<String, Long> versions = recordVersions(body);
+        floor.forEach((tenant, version) -> {
+            if (versions.getOrDefault(tenant, 0L) < version) {
+                addViolation(tenant + " is read at r" + versions.get(tenant) + " after r" + version);
             }
         });
     }
 
-    private Map<String, Long> found(String text) {
-        Map<String, Long> found = new TreeMap<>();
-        for (Matcher each = TENANT.matcher(text); each.find(); ) {
-            long version = Long.parseLong(each.group(3));
-            found.put(each.group(1), version);
-            floor.merge(each.group(1), version, Math::max);
-            String before = contents.putIfAbsent(each.group(1) + " r" + version, each.group(2));
-            if (before != null && !before.equals(each.group(2))) {
-                breach(each.group(1) + " r" + version + " is " + before + " and " + each.group(2));
+    /** Returns the version of each tenant in the text, which are required of all later reads. */
+    private Map<String, Long> recordVersions(String text) {
+        Map<String, Long> versions = new TreeMap<>();
+        for (Matcher matcher = TENANT_ITEM.matcher(text); matcher.find(); ) {
+            String tenant = matcher.group(1);
+            String apiKey = matcher.group(2);
+            long version = Long.parseLong(matcher.group(3));
+            versions.put(tenant, version);
+            requiredVersions.merge(tenant, version, Math::max);
+            String known = keysByVersion.putIfAbsent(tenant + " r" + version, apiKey);
+            if (known != null && !known.equals(apiKey)) {
+                addViolation(tenant + " r" + version + " is " + known + " and " + apiKey);
             }
         }
-        return found;
+        return versions;
     }
 
-    private void breach(String what) {
-        breach = breach == null ? what : breach;
+    private void addViolation(String description) {
+        violation = violation == null ? description : violation;
     }
 
     @Override
     public synchronized String toString() {
-        return taken + " taken, " + refused + " refused, " + open + " open, " + reads + " reads, " + again
-                + " sent again";
+        return "accepted=" + accepted + " conflicts=" + conflicts + " unanswered=" + unanswered + " reads=" + reads
+                + " repeated=" + repeated;
     }
 }
