--- a/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
@@ -5,7 +5,7 @@
 
 /**
  * The disk can be read, but what it holds is not what was written: something is lost or changed. A disk that
- * refuses to be read or written is a plain {@link IOException} instead, as it tells nothing about its content.
+ * fails reads or writes leads to a plain {@link IOException} instead, as that tells nothing about its content.
  */
 class CorruptStoreException extends IOException {
 
--- a/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
@@ -38,7 +38,7 @@
         return Files.exists(root.resolve(MARKER_FILE));
     }
 
-    /** Reads all files and writes a small one; fails where the disk refuses either. */
+    /** Reads all files and writes a small one; throws where either fails. */
     void checkDisk() throws IOException {
         try (Stream<Path> files = Files.walk(root)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -36,7 +36,7 @@
      * @param logFileKib the size of one Xodus log file
      * @throws TornWriteException where it can be opened, but its content does not match its checksum
      * @throws CorruptStoreException where it can be read, but not opened
-     * @throws IOException where the disk refuses
+     * @throws IOException where the disk fails
      */
     StoreEnvironment(Path directory, int logFileKib, DurableDirectories directories) throws IOException {
         this.directory = directory;
@@ -85,7 +85,7 @@
         return config;
     }
 
-    /** Whether the disk refused to be read, which tells nothing about what it holds. */
+    /** Whether reading the disk failed, which tells nothing about its content. */
     private static boolean isReadFailure(Throwable e) {
         return e instanceof ExodusException && (e.getCause() instanceof IOException || isReadFailure(e.getCause()));
     }
@@ -157,7 +157,7 @@
         syncedFiles = present;
     }
 
-    /** Xodus reports a disk that refuses by unchecked exceptions and errors. */
+    /** Xodus reports a disk that fails by unchecked exceptions and errors. */
     private static void runChecked(Runnable work) throws IOException {
         try {
             work.run();
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -12,9 +12,9 @@
  * large, the state is compacted into the next generation's directory, which then becomes the current one.
  * Compaction runs within a write; there are no background threads. Not thread-safe.
  *
- * <p>Opening it recovers all writes that were acknowledged. A last write that a loss of power has torn was not
- * acknowledged and is removed. Where more is missing, the files are quarantined, the store begins empty, and
- * {@link #damaged} is true from then on. A disk that refuses reads or writes is not judged: opening fails with
+ * <p>Opening it recovers all writes that were acknowledged. A last write that a loss of power left incomplete was
+ * not acknowledged and is removed. Where more is missing, the files are quarantined, the store begins empty, and
+ * {@link #damaged} is true from then on. Failed reads or writes are not damage: opening fails with
  * an {@link IOException}, and may be tried again.
  */
 public final class XodusStore implements Store {
@@ -45,8 +45,8 @@
     private StoreEnvironment environment;
 
     private WriteCounterFile counterFile;
-    /** Whether a torn write was removed since the last write that succeeded: at most one can be under way. */
-    private boolean tornWriteRemoved;
+    /** Whether an incomplete write was removed since the last one that succeeded: at most one can be under way. */
+    private boolean incompleteWriteRemoved;
     /** How many writes were acknowledged, as far as this process knows. */
     private long acknowledgedWrites;
 
@@ -159,10 +159,10 @@
         try {
             return new StoreEnvironment(directory, logFileKib, directories);
         } catch (TornWriteException e) {
-            if (tornWriteRemoved) {
+            if (incompleteWriteRemoved) {
                 throw e;
             }
-            tornWriteRemoved = true;
+            incompleteWriteRemoved = true;
             XodusLogFiles.truncateLastWrite(directory);
             return new StoreEnvironment(directory, logFileKib, directories);
         }
@@ -189,7 +189,7 @@
             } else {
                 environment.write(update);
             }
-            tornWriteRemoved = false;
+            incompleteWriteRemoved = false;
             acknowledgedWrites = environment.writeCount();
             counterFile.store(acknowledgedWrites);
         } catch (IOException e) {
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
@@ -110,6 +110,31 @@
         assertThat(rejection.reason()).isNotBlank();
     }
 
+    /** Operators read these texts, and the check of meshctl finds the wrong place by them. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '~',
+            quoteCharacter = '`',
+            value = {
+                "{'more':{}} ~ \"more\" is unknown",
+                "{'upsert':{'other':{}}} ~ upsert.other is not a known table",
+                "{'upsert':[]} ~ upsert must be an object",
+                "{'upsert':{'tenantTable':{'':{}}}} ~ upsert.tenantTable has an item without a name",
+                "{'withdraw':{'limits':[]}} ~ withdraw.limits is not a table that items can be withdrawn from",
+                "{'withdraw':{'routeTable':{}}} ~ withdraw.routeTable must be a list",
+                "{'withdraw':{'routeTable':[{}]}} ~ withdraw.routeTable[0].name is missing",
+                "{'upsert':{'limits':{'configVersion':7}}} ~ upsert.limits.configVersion must be a string",
+                "{'upsert':{'limits':{'configVersion':'7'}}} ~ "
+                        + "upsert.limits.configVersion must be r followed by a number",
+                "{'upsert':{},'upsert':{}} ~ duplicate name \"upsert\"",
+                "{} x ~ unexpected data after the JSON object at byte 3",
+                "[] ~ not a JSON object"
+            })
+    void reasonTellsWhereAndWhat(String body, String reason) {
+        Rejection rejection = ConfigurationChange.read(bytes(body)).getLeft();
+        assertThat(rejection).isEqualTo(Rejection.invalid(reason));
+    }
+
     /** Operators' tools withdraw a name twice in one call now and then. */
     @Test
     void highestVersionOfOneCallIsInForce() {
@@ -253,6 +278,35 @@
                         .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
     }
 
+    /** The texts for what is wrong between items, or between versions. */
+    @Test
+    void reasonNamesBothItems() {
+        Configuration current = fullConfiguration();
+        String route = "{'upsert':{'routeTable':{'r3':" + OTHER + "}}}";
+        assertRejected(
+                current, route, "routeTable.r3 has the same hostname and pathPrefix as routeTable.r2: a.example/q/");
+        assertRejected(
+                current,
+                route.replace("'service':'s'", "'service':'none'"),
+                "routeTable.r3 names service none, which is unknown");
+        assertRejected(
+                current,
+                route.replace("'service':'s'", "'service':'s','weightedSplit':[]"),
+                "routeTable.r3.service must not be there beside weightedSplit");
+        assertRejected(
+                current,
+                "{'upsert':{'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}}",
+                "tenantTable.t3 has the same apiKey as tenantTable.t");
+        assertRejected(
+                current,
+                withdraw("serviceTable", "s", 7),
+                "serviceTable.s r7 was already accepted with different content");
+    }
+
+    private static void assertRejected(Configuration current, String body, String reason) {
+        assertThat(change(body).applyTo(current).getLeft().reason()).isEqualTo(reason);
+    }
+
     private static void assertTooOld(Configuration current, String body) {
         assertThat(change(body).applyTo(current).getLeft().kind()).as(body).isEqualTo(RejectionKind.VERSION_TOO_OLD);
     }
--- a/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The tests of torn writes and lost directory entries find each fault that is planted in the storage code. */
+/** The tests of incomplete writes and lost directory entries find each fault that is planted in the storage code. */
 class PlantedStorageFaultsTest {
 
     @TempDir
@@ -20,9 +20,10 @@
             delimiter = '~',
             value = {
                 "items are not compared ~ StateRecords.java ~ if (checksum.itemsSum() != itemsSum) { ~ if (false) {"
-                        + " ~ tornWriteLeavesStateBeforeOrAfterIt",
-                "a torn write is not removed ~ XodusStore.java ~ XodusLogFiles.truncateLastWrite(directory); ~ ; "
-                        + "~ tornWriteLeavesStateBeforeOrAfterIt",
+                        + " ~ incompleteWriteLeavesStateBeforeOrAfterIt",
+                "an incomplete write is not removed ~ XodusStore.java "
+                        + "~ XodusLogFiles.truncateLastWrite(directory); ~ ; "
+                        + "~ incompleteWriteLeavesStateBeforeOrAfterIt",
                 "the write count is not stored ~ WriteCounterFile.java "
                         + "~ channel.write(ByteBuffer.wrap(digits), 0); "
                         + "~ ; ~ damageLosesNoAcknowledgedWriteUnnoticed",
--- a/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -127,7 +127,7 @@
      * What the disk may hold of a log while a write is under way, as functions of the logs before and after it
      * and of the offset of one sector.
      */
-    private static final List<BiFunction<byte[][], Integer, byte[]>> TORN_LOGS = List.of(
+    private static final List<BiFunction<byte[][], Integer, byte[]>> INCOMPLETE_LOGS = List.of(
             (logs, at) -> Arrays.copyOf(logs[1], Math.max(at, logs[0].length)),
             (logs, at) -> overwrite(logs[1], logs[0], at, at + SECTOR),
             (logs, at) -> overwrite(logs[1], logs[0], at, logs[1].length),
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void tornWriteLeavesStateBeforeOrAfterIt() throws IOException {
+    void incompleteWriteLeavesStateBeforeOrAfterIt() throws IOException {
         for (int i = 1; i < snapshots.length; i++) {
             byte[][] logs = {snapshots[i - 1].files.get(LOG), snapshots[i].files.get(LOG)};
             assertThat(Arrays.mismatch(logs[0], logs[1]))
@@ -150,8 +150,8 @@
                     .isEqualTo(logs[0].length);
             Map<String, byte[]> files = new TreeMap<>(snapshots[i - 1].files);
             for (int at = logs[0].length / SECTOR * SECTOR; at < logs[1].length; at += SECTOR) {
-                for (int variant = 0; variant < TORN_LOGS.size(); variant++) {
-                    files.put(LOG, TORN_LOGS.get(variant).apply(logs, at));
+                for (int variant = 0; variant < INCOMPLETE_LOGS.size(); variant++) {
+                    files.put(LOG, INCOMPLETE_LOGS.get(variant).apply(logs, at));
                     assertThat(openAndLoad(files, variant == 1))
                             .as("write %s, sector at %s, variant %s", i, at, variant)
                             .isIn(snapshots[i - 1].state, snapshots[i].state);
--- a/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A counter file torn by a loss of power reads as 0, never as a count that was not written. */
+/** A counter file that a loss of power left incomplete reads as 0, never as a count that was not written. */
 class WriteCounterFileTest {
 
     @TempDir
@@ -23,16 +23,16 @@
     }
 
     @Test
-    void tornCountReadsAsZero() throws Exception {
+    void incompleteCountReadsAsZero() throws Exception {
         byte[] before = contentOf(99);
         byte[] after = contentOf(100);
-        Path torn = temporary.resolve("torn");
+        Path incomplete = temporary.resolve("incomplete");
         for (int first = 0; first <= after.length; first++) {
             for (int last = first; last <= after.length; last++) {
                 byte[] mixed = before.clone();
                 System.arraycopy(after, first, mixed, first, last - first);
-                Files.write(torn, mixed);
-                try (WriteCounterFile counter = new WriteCounterFile(torn)) {
+                Files.write(incomplete, mixed);
+                try (WriteCounterFile counter = new WriteCounterFile(incomplete)) {
                     long expected = Arrays.equals(mixed, after) ? 100 : Arrays.equals(mixed, before) ? 99 : 0;
                     assertThat(counter.writeCount())
                             .as("new from %d to %d", first, last)
--- a/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
@@ -87,9 +87,9 @@
                 .isTrue();
     }
 
-    /** A disk that is full or refuses reads is not damaged: the state is there once it works again. */
+    /** A disk that is full or fails reads is not damaged: the state is there once it works again. */
     @Test
-    void refusingDiskIsNotDamaged() throws IOException {
+    void failingDiskIsNotDamaged() throws IOException {
         try (Store store = open()) {
             store.write(replaceAll(1, item("a", 1, 3)));
         }
