--- a/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -32,11 +32,11 @@
     private final Snapshot[] snapshots = new Snapshot[7];
 
     @TempDir
-    private Path folder;
+    private Path temporary;
 
     @BeforeEach
     void writeHistory() throws IOException {
-        Path copy = folder.resolve("copy");
+        Path directory = temporary.resolve("store");
         List<StorageUpdate> changes = List.of(
                 StoreContract.replaceAll(1, StoreContract.item("a", 1, 3)),
                 prepare(2),
@@ -55,10 +55,10 @@
                         false),
                 prepare(5),
                 StoreContract.replaceAll(7, StoreContract.item("c", 2, 900)));
-        try (Store store = new XodusStore(copy)) {
+        try (Store store = new XodusStore(directory)) {
             for (int i = 0; i < snapshots.length; i++) {
                 store.write(changes.get(i));
-                snapshots[i] = new Snapshot(files(copy), store.load().orElseThrow());
+                snapshots[i] = new Snapshot(files(directory), store.load().orElseThrow());
             }
         }
     }
@@ -66,7 +66,7 @@
     /** The failure of the test method of that name, or null where it passes. */
     static String firstFailure(Path folder, String testMethod) throws IOException, ReflectiveOperationException {
         TornWritesTest test = new TornWritesTest();
-        test.folder = Files.createDirectory(folder.resolve("files"));
+        test.temporary = Files.createDirectory(folder.resolve("files"));
         test.writeHistory();
         try {
             TornWritesTest.class.getDeclaredMethod(testMethod).invoke(test);
@@ -80,11 +80,11 @@
         return new StorageUpdate(StoreContract.proposal(round), null, null, List.of(), false);
     }
 
-    private static Map<String, byte[]> files(Path copy) throws IOException {
+    private static Map<String, byte[]> files(Path directory) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
-        try (Stream<Path> all = Files.walk(copy)) {
+        try (Stream<Path> all = Files.walk(directory)) {
             for (Path file : all.filter(Files::isRegularFile).toList()) {
-                files.put(copy.relativize(file).toString(), Files.readAllBytes(file));
+                files.put(directory.relativize(file).toString(), Files.readAllBytes(file));
             }
         }
         return files;
@@ -92,19 +92,19 @@
 
     /** The state of a store that is opened on these files, or null where it quarantines them. */
     private PersistentState openAndLoad(Map<String, byte[]> files, boolean writeAndReopen) throws IOException {
-        Path copy = folder.resolve("opened");
-        new DurableDirectories().delete(copy);
+        Path directory = temporary.resolve("opened");
+        new DurableDirectories().delete(directory);
         for (Map.Entry<String, byte[]> file : files.entrySet()) {
-            Path path = copy.resolve(file.getKey());
+            Path path = directory.resolve(file.getKey());
             Files.createDirectories(path.getParent());
             Files.write(path, file.getValue());
         }
         PersistentState found;
-        try (XodusStore store = new XodusStore(copy)) {
+        try (XodusStore store = new XodusStore(directory)) {
             if (store.damaged()) {
                 assertThat(store.quarantineReason()).isPresent();
                 assertThat(store.load()).isEmpty();
-                assertThat(files(copy.resolve("aside-1")))
+                assertThat(files(directory.resolve("aside-1")))
                         .as("quarantined files")
                         .isNotEmpty();
                 return null;
@@ -117,7 +117,7 @@
         if (!writeAndReopen) {
             return found;
         }
-        try (Store store = new XodusStore(copy)) {
+        try (Store store = new XodusStore(directory)) {
             assertThat(store.load().orElseThrow()).isEqualTo(prepare(90).on(found));
         }
         return found;
@@ -127,7 +127,7 @@
      * What the disk may hold of a log while a write is under way, as functions of the logs before and after it
      * and of the offset of one sector.
      */
-    private static final List<BiFunction<byte[][], Integer, byte[]>> TORN_LOGS = List.of(
+    private static final List<BiFunction<byte[][], Integer, byte[]>> INCOMPLETE_LOGS = List.of(
             (logs, at) -> Arrays.copyOf(logs[1], Math.max(at, logs[0].length)),
             (logs, at) -> overwrite(logs[1], logs[0], at, at + SECTOR),
             (logs, at) -> overwrite(logs[1], logs[0], at, logs[1].length),
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void tornWriteLeavesStateBeforeOrAfterIt() throws IOException {
+    void incompleteWriteLeavesStateBeforeOrAfterIt() throws IOException {
         for (int i = 1; i < snapshots.length; i++) {
             byte[][] logs = {snapshots[i - 1].files.get(LOG), snapshots[i].files.get(LOG)};
             assertThat(Arrays.mismatch(logs[0], logs[1]))
@@ -150,8 +150,8 @@
                     .isEqualTo(logs[0].length);
             Map<String, byte[]> files = new TreeMap<>(snapshots[i - 1].files);
             for (int at = logs[0].length / SECTOR * SECTOR; at < logs[1].length; at += SECTOR) {
-                for (int variant = 0; variant < TORN_LOGS.size(); variant++) {
-                    files.put(LOG, TORN_LOGS.get(variant).apply(logs, at));
+                for (int variant = 0; variant < INCOMPLETE_LOGS.size(); variant++) {
+                    files.put(LOG, INCOMPLETE_LOGS.get(variant).apply(logs, at));
                     assertThat(openAndLoad(files, variant == 1))
                             .as("write %s, sector at %s, variant %s", i, at, variant)
                             .isIn(snapshots[i - 1].state, snapshots[i].state);
@@ -194,35 +194,35 @@
 
     @Test
     void noFileIsMappedAndEmptiedDirectoryFailsWrites() throws IOException {
-        Path copy = folder.resolve("emptied");
-        Store store = new XodusStore(copy);
+        Path directory = temporary.resolve("emptied");
+        Store store = new XodusStore(directory);
         store.write(StoreContract.replaceAll(1, StoreContract.item("a", 1, 3_000_000)));
         store.write(prepare(2));
         store.load();
         Path maps = Path.of("/proc/self/maps");
         if (Files.exists(maps)) {
-            assertThat(Files.readAllLines(maps)).noneMatch(line -> line.contains(copy.toString()));
+            assertThat(Files.readAllLines(maps)).noneMatch(line -> line.contains(directory.toString()));
         }
-        for (String name : DurableDirectories.names(copy)) {
-            new DurableDirectories().delete(copy.resolve(name));
+        for (String name : DurableDirectories.names(directory)) {
+            new DurableDirectories().delete(directory.resolve(name));
         }
         for (int i = 3; i < 6; i++) {
             StorageUpdate change = prepare(i);
             assertThatThrownBy(() -> store.write(change)).isInstanceOf(IOException.class);
         }
         store.close();
-        try (Store reopened = new XodusStore(copy)) {
+        try (Store reopened = new XodusStore(directory)) {
             assertThat(reopened.load()).isEmpty();
         }
     }
 
     @Test
     void missingLogFilesFailWrites() throws IOException {
-        Path copy = folder.resolve("emptied");
-        try (Store store = new XodusStore(copy)) {
+        Path directory = temporary.resolve("emptied");
+        try (Store store = new XodusStore(directory)) {
             store.write(StoreContract.replaceAll(1, StoreContract.item("a", 1, 3)));
-            for (String name : DurableDirectories.names(copy.resolve("1"))) {
-                Files.delete(copy.resolve("1").resolve(name));
+            for (String name : DurableDirectories.names(directory.resolve("1"))) {
+                Files.delete(directory.resolve("1").resolve(name));
             }
             assertThatThrownBy(() -> store.write(prepare(2))).isInstanceOf(IOException.class);
             assertThatThrownBy(() -> store.write(prepare(3))).isInstanceOf(IOException.class);
