--- a/src/main/java/org/cypressweir/controlplane/consensus/Acceptor.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Acceptor.java
@@ -11,159 +11,174 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * The copy on this harbour's disk, as the one who promises and accepts. What it knows in memory is only what
- * has been written, so whatever is told of it is durable. Writes go one after the other; whether a write is
- * due is seen when its turn comes.
+ * The acceptor of Paxos: promises to accept nothing below a number, and accepts states. In memory it knows
+ * only what has been written, so whatever it answers is durable. Writes go one after the other; whether a
+ * request is granted is decided when its turn comes.
  */
 final class Acceptor {
 
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_WAITING = 256;
 
-    /** A write that may be due: the change or null, what comes after it, and what comes if it is lost. */
-    private record Task(Supplier<StorageUpdate> due, Runnable after, Runnable lost) {}
+    /** What becomes of a request for a promise. Exactly one is called. */
+    record PromiseCallbacks(Runnable promised, Consumer<ProposalNumber> rejected, Runnable writeFailed) {}
 
-    private final ReplicaContext desk;
+    /** A state to be accepted: a full snapshot, or the items that differ from the base. */
+    record AcceptRequest(
+            ProposalNumber number,
+            ProposalNumber base,
+            boolean fullSnapshot,
+            List<String> voters,
+            Collection<Item> items) {}
+
+    /** What becomes of a request to accept. Exactly one is called. */
+    record AcceptCallbacks(
+            Runnable accepted, Consumer<ProposalNumber> rejected, Runnable baseMismatch, Runnable writeFailed) {
+
+        private static final AcceptCallbacks NONE = new AcceptCallbacks(() -> {}, higher -> {}, () -> {}, () -> {});
+    }
+
+    /** A write that may be due: the update or null, what comes after it, and what comes if it fails. */
+    private record Task(Supplier<StorageUpdate> due, Runnable after, Runnable writeFailed) {}
+
+    private final ReplicaContext context;
     private final Deque<Task> waiting = new ArrayDeque<>();
+    /** The write in flight; null if there is none. */
     private Task writing;
-    private StorageUpdate change;
-    private long number;
-    private long begun;
-    private boolean failed;
+
+    private StorageUpdate update;
+    private long writeNumber;
+    private long writeStartedAt;
+    private boolean writeFailed;
     /** Whether the disk may hold other items than are known here, after a write that failed. */
-    private boolean unsure;
+    private boolean diskUncertain;
 
     private long retryAt;
 
-    private boolean knowing;
+    private boolean initialized;
     private ProposalNumber promised = ProposalNumber.ZERO;
-    private boolean hearsay;
+    private boolean learnedSecondHand;
     private ReplicatedState state = new ReplicatedState(ProposalNumber.ZERO, List.of(), Configuration.EMPTY);
 
-    Acceptor(ReplicaContext desk, PersistentState loaded) {
-        this.desk = desk;
-        if (loaded != null) {
-            knowing = true;
-            promised = loaded.promised();
-            hearsay = loaded.hearsay();
-            state = new ReplicatedState(loaded.accepted(), loaded.crew(), Configuration.of(loaded.items()));
-            desk.seen(promised);
-            desk.seen(state.stamp());
+    /** @param loadedOrNull what is on the disk, or null for an empty one */
+    Acceptor(ReplicaContext context, PersistentState loadedOrNull) {
+        this.context = context;
+        if (loadedOrNull != null) {
+            initialized = true;
+            promised = loadedOrNull.promised();
+            learnedSecondHand = loadedOrNull.learnedSecondHand();
+            state = new ReplicatedState(
+                    loadedOrNull.accepted(), loadedOrNull.voters(), Configuration.of(loadedOrNull.items()));
+            context.seen(promised);
+            context.seen(state.number());
         }
     }
 
     /** Whether there is anything on the disk. */
-    boolean knowing() {
-        return knowing;
-    }
-
-    ProposalNumber promised() {
-        return promised;
+    boolean initialized() {
+        return initialized;
     }
 
+    /** The number of the accepted state. */
     ProposalNumber accepted() {
-        return state.stamp();
+        return state.number();
     }
 
-    /** Whether what is accepted is no vote. */
-    boolean hearsay() {
-        return hearsay;
+    /** Whether the accepted state was learned from others and is no vote, see {@link PersistentState}. */
+    boolean learnedSecondHand() {
+        return learnedSecondHand;
     }
 
+    /** The accepted state. */
     ReplicatedState state() {
         return state;
     }
 
-    boolean sick() {
-        return failed || writing != null && desk.now - begun >= desk.plan.writeMost();
-    }
-
-    /** Promises to take nothing below that stamp. */
-    void promise(ProposalNumber stamp, Runnable yes, Consumer<ProposalNumber> no, Runnable lost) {
-        desk.seen(stamp);
-        enqueue(new Task(
-                () -> {
-                    if (promised.above(stamp)) {
-                        no.accept(promised);
-                        return null;
-                    }
-                    if (promised.equals(stamp)) {
-                        yes.run();
-                        return null;
-                    }
-                    return new StorageUpdate(stamp, null, null, List.of(), false);
-                },
-                yes,
-                lost));
-    }
-
-    /** Takes a state: the whole of it, or what differs from the base. */
-    void accept(
-            ProposalNumber stamp,
-            ProposalNumber base,
-            boolean whole,
-            List<String> crew,
-            Collection<Item> items,
-            Runnable yes,
-            Consumer<ProposalNumber> no,
-            Runnable mismatch,
-            Runnable lost) {
-        desk.seen(stamp);
-        enqueue(new Task(
-                () -> {
-                    if (promised.above(stamp)) {
-                        no.accept(promised);
-                        return null;
-                    }
-                    if (state.stamp().equals(stamp)) {
-                        yes.run();
-                        return null;
-                    }
-                    if (!whole && !state.stamp().equals(base)) {
-                        mismatch.run();
-                        return null;
-                    }
-                    if (!whole && unsure) {
-                        return new StorageUpdate(
-                                stamp, stamp, crew, state.manifest().with(items).items(), true);
-                    }
-                    return new StorageUpdate(stamp, stamp, crew, List.copyOf(items), whole);
-                },
-                yes,
-                lost));
-    }
-
-    /** Takes a state known decided, where no promise is in the way. */
-    void adopt(ReplicatedState decided) {
-        accept(
-                decided.stamp(),
-                decided.stamp(),
-                true,
-                decided.crew(),
-                decided.manifest().items(),
-                () -> {},
-                higher -> {},
-                () -> {},
-                () -> {});
+    /** Whether the last write failed, or one has not come back in time. */
+    boolean diskFailed() {
+        return writeFailed || writing != null && context.now - writeStartedAt >= context.options.writeTimeoutMicros();
+    }
+
+    /** Promises to accept nothing below that number. */
+    void promise(ProposalNumber number, PromiseCallbacks callbacks) {
+        context.seen(number);
+        enqueue(new Task(() -> evaluate(number, callbacks), callbacks.promised(), callbacks.writeFailed()));
+    }
+
+    private StorageUpdate evaluate(ProposalNumber number, PromiseCallbacks callbacks) {
+        if (promised.above(number)) {
+            callbacks.rejected().accept(promised);
+            return null;
+        }
+        if (promised.equals(number)) {
+            callbacks.promised().run();
+            return null;
+        }
+        return new StorageUpdate(number, null, null, List.of(), false);
+    }
+
+    /** Accepts a state, unless a higher number has been promised. */
+    void accept(AcceptRequest request, AcceptCallbacks callbacks) {
+        context.seen(request.number());
+        enqueue(new Task(() -> evaluate(request, callbacks), callbacks.accepted(), callbacks.writeFailed()));
+    }
+
+    private StorageUpdate evaluate(AcceptRequest request, AcceptCallbacks callbacks) {
+        ProposalNumber number = request.number();
+        boolean fullSnapshot = request.fullSnapshot();
+        if (promised.above(number)) {
+            callbacks.rejected().accept(promised);
+            return null;
+        }
+        if (state.number().equals(number)) {
+            callbacks.accepted().run();
+            return null;
+        }
+        if (!fullSnapshot && !state.number().equals(request.base())) {
+            callbacks.baseMismatch().run();
+            return null;
+        }
+        if (!fullSnapshot && diskUncertain) {
+            List<Item> all = state.configuration().with(request.items()).items();
+            return new StorageUpdate(number, number, request.voters(), all, true);
+        }
+        return new StorageUpdate(number, number, request.voters(), List.copyOf(request.items()), fullSnapshot);
     }
 
-    /** The first write on an empty disk: a decided state, and the number of the disk. */
-    void begin(ReplicatedState first, Runnable after) {
-        StorageUpdate change = new StorageUpdate(
-                first.stamp(), first.stamp(), first.crew(), first.manifest().items(), true, desk.disk);
-        desk.seen(first.stamp());
-        enqueue(new Task(() -> knowing ? null : change, after, () -> {}));
+    /** Accepts a state known to be committed, where no promise is in the way. */
+    void adopt(ReplicatedState committed) {
+        accept(
+                new AcceptRequest(
+                        committed.number(),
+                        committed.number(),
+                        true,
+                        committed.voters(),
+                        committed.configuration().items()),
+                AcceptCallbacks.NONE);
+    }
+
+    /** The first write on an empty disk: a committed state, and the number of the disk. */
+    void initialize(ReplicatedState first, Runnable after) {
+        StorageUpdate initial = new StorageUpdate(
+                first.number(),
+                first.number(),
+                first.voters(),
+                first.configuration().items(),
+                true,
+                context.diskId);
+        context.seen(first.number());
+        enqueue(new Task(() -> initialized ? null : initial, after, () -> {}));
     }
 
     private void enqueue(Task task) {
-        if (failed || waiting.size() >= MOST_WAITING) {
-            task.lost.run();
+        if (writeFailed || waiting.size() >= MAX_WAITING) {
+            task.writeFailed.run();
             return;
         }
         waiting.add(task);
-        next();
+        startNextWrite();
     }
 
-    private void next() {
+    private void startNextWrite() {
         while (writing == null && !waiting.isEmpty()) {
             Task task = waiting.poll();
             StorageUpdate due = task.due.get();
@@ -175,60 +190,65 @@
 
     private void write(Task task, StorageUpdate due) {
         writing = task;
-        change = due;
-        begun = desk.now;
-        desk.add(new Effect.Write(++number, due));
+        update = due;
+        writeStartedAt = context.now;
+        context.add(new Effect.Write(++writeNumber, due));
     }
 
-    void written(long of, boolean ok) {
-        if (writing == null || of != number) {
+    /** A write has come back. */
+    void written(long number, boolean ok) {
+        if (writing == null || number != writeNumber) {
             return;
         }
         Task task = writing;
         writing = null;
         if (ok) {
-            failed = false;
-            take(change);
+            writeFailed = false;
+            apply(update);
             task.after.run();
-            next();
-            return;
+            startNextWrite();
+        } else {
+            failWrites(task);
         }
-        failed = true;
-        unsure = true;
-        retryAt = desk.now + desk.plan.retryWriteEvery();
-        List<Task> lost = new ArrayList<>(waiting);
+    }
+
+    private void failWrites(Task failed) {
+        writeFailed = true;
+        diskUncertain = true;
+        retryAt = context.now + context.options.writeRetryIntervalMicros();
+        List<Task> dropped = new ArrayList<>(waiting);
         waiting.clear();
-        task.lost.run();
-        lost.forEach(each -> each.lost.run());
-    }
-
-    private void take(StorageUpdate taken) {
-        knowing = true;
-        promised = taken.promised();
-        if (taken.accepted() != null) {
-            hearsay = taken.hearsay();
-            Configuration manifest = taken.whole()
-                    ? Configuration.of(taken.items())
-                    : state.manifest().with(taken.items());
-            if (!taken.whole()) {
-                desk.history.step(state.stamp(), taken.accepted(), taken.items());
+        failed.writeFailed.run();
+        dropped.forEach(task -> task.writeFailed.run());
+    }
+
+    private void apply(StorageUpdate written) {
+        initialized = true;
+        promised = written.promised();
+        if (written.accepted() != null) {
+            learnedSecondHand = written.learnedSecondHand();
+            Configuration configuration = written.fullSnapshot()
+                    ? Configuration.of(written.items())
+                    : state.configuration().with(written.items());
+            if (!written.fullSnapshot()) {
+                context.history.step(state.number(), written.accepted(), written.items());
             }
-            state = new ReplicatedState(taken.accepted(), taken.crew(), manifest);
+            state = new ReplicatedState(written.accepted(), written.voters(), configuration);
         }
-        if (taken.whole()) {
-            unsure = false;
+        if (written.fullSnapshot()) {
+            diskUncertain = false;
         }
     }
 
     /** After a failure, a small write tells whether the disk takes writes again. */
     void tick() {
-        if (!failed || writing != null || desk.now < retryAt) {
+        if (!writeFailed || writing != null || context.now < retryAt) {
             return;
         }
-        if (knowing) {
+        if (initialized) {
             write(new Task(() -> null, () -> {}, () -> {}), new StorageUpdate(promised, null, null, List.of(), false));
         } else {
-            failed = false;
+            writeFailed = false;
         }
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ChunkAssembler.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ChunkAssembler.java
@@ -8,56 +8,72 @@
 import java.util.Objects;
 import org.cypressweir.controlplane.configuration.Item;
 
-/** Puts together what comes in several messages for one ballot. Of each sender only the newest is kept. */
+/**
+ * Puts together the chunks of an accept message that came in several. Of each sender only the state with the
+ * highest number is kept.
+ */
 final class ChunkAssembler {
 
-    private static final int MOST_PARTS = 100_000;
+    private static final int MAX_CHUNKS = 100_000;
 
-    private static final class Parts {
-        final ProposalNumber stamp;
+    private static final class PartialState {
+        final ProposalNumber number;
         final ProposalNumber base;
-        final List<List<Item>> got = new ArrayList<>();
+        final List<List<Item>> chunks = new ArrayList<>();
         int missing;
 
-        Parts(ProposalNumber stamp, ProposalNumber base, int count) {
-            this.stamp = stamp;
+        PartialState(ProposalNumber number, ProposalNumber base, int count) {
+            this.number = number;
             this.base = base;
             missing = count;
             for (int i = 0; i < count; i++) {
-                got.add(null);
+                chunks.add(null);
             }
         }
+
+        boolean isSupersededBy(ProposalNumber otherNumber, ProposalNumber otherBase) {
+            return otherNumber.above(number) || number.equals(otherNumber) && !Objects.equals(base, otherBase);
+        }
     }
 
-    private final Map<String, Parts> open = new HashMap<>();
+    private final Map<String, PartialState> bySender = new HashMap<>();
 
-    /** All items once the last part is here, else null. The base is null where they are the whole. */
-    List<Item> take(String from, ProposalNumber stamp, ProposalNumber base, long part, long parts, List<Item> items) {
-        if (parts < 1 || parts > MOST_PARTS || part < 0 || part >= parts) {
-            throw new IllegalArgumentException("part");
+    /**
+     * All items once the last chunk is here, else null.
+     *
+     * @param base null for a full snapshot
+     * @throws IllegalArgumentException if there is no such chunk
+     */
+    List<Item> take(
+            String from, ProposalNumber number, ProposalNumber base, long chunk, long chunkCount, List<Item> items) {
+        if (chunkCount < 1 || chunkCount > MAX_CHUNKS || chunk < 0 || chunk >= chunkCount) {
+            throw new IllegalArgumentException("chunk " + chunk + " of " + chunkCount);
         }
-        if (parts == 1) {
+        if (chunkCount == 1) {
             return items;
         }
-        Parts of = open.get(from);
-        if (of == null || stamp.above(of.stamp) || of.stamp.equals(stamp) && !Objects.equals(of.base, base)) {
-            of = new Parts(stamp, base, (int) parts);
-            open.put(from, of);
+        PartialState partial = bySender.get(from);
+        if (partial == null || partial.isSupersededBy(number, base)) {
+            partial = new PartialState(number, base, (int) chunkCount);
+            bySender.put(from, partial);
         }
-        if (!of.stamp.equals(stamp) || of.got.size() != parts || of.got.get((int) part) != null) {
+        if (!partial.number.equals(number)
+                || partial.chunks.size() != chunkCount
+                || partial.chunks.get((int) chunk) != null) {
             return null;
         }
-        of.got.set((int) part, items);
-        if (--of.missing > 0) {
+        partial.chunks.set((int) chunk, items);
+        if (--partial.missing > 0) {
             return null;
         }
-        open.remove(from);
+        bySender.remove(from);
         List<Item> all = new ArrayList<>();
-        of.got.forEach(all::addAll);
+        partial.chunks.forEach(all::addAll);
         return all;
     }
 
+    /** Forgets senders that are gone. */
     void prune(Collection<String> live) {
-        open.keySet().retainAll(live);
+        bySender.keySet().retainAll(live);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
@@ -1,144 +1,161 @@
 package org.cypressweir.controlplane.consensus;
 
-import java.util.Map;
 import java.util.Set;
 import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
- * What is known to be decided, and what of it has been shown. Who is behind a decided stamp fetches it, and
- * takes it as accepted where no promise is in the way.
+ * The learner's view of a replica that holds a state: the highest number known to be committed, and the last
+ * committed state that has been published. If the state falls behind the number it is fetched from a peer,
+ * published, and accepted where no promise is in the way.
  */
 final class CommittedState {
 
-    private final ReplicaContext desk;
-    private final Acceptor copy;
+    private static final long NOT_BEHIND = -1;
+
+    private final ReplicaContext context;
+    private final Acceptor acceptor;
     private final PeerTable peers;
-    private ProposalNumber stamp = ProposalNumber.ZERO;
-    private ReplicatedState shown;
-    private long behindSince = -1;
-    private StateTransfer fetch;
-    private ProposalNumber unsettled = ProposalNumber.ZERO;
-    private long settleAt;
-
-    CommittedState(ReplicaContext desk, Acceptor copy, PeerTable peers) {
-        this.desk = desk;
-        this.copy = copy;
+    private ProposalNumber number = ProposalNumber.ZERO;
+    private ReplicatedState state;
+    private long behindSince = NOT_BEHIND;
+    private StateTransfer transfer;
+    private ProposalNumber unresolved = ProposalNumber.ZERO;
+    private long recoveryAt;
+
+    CommittedState(ReplicaContext context, Acceptor acceptor, PeerTable peers) {
+        this.context = context;
+        this.acceptor = acceptor;
         this.peers = peers;
-        shown = new ReplicatedState(ProposalNumber.ZERO, copy.state().crew(), Configuration.EMPTY);
+        state = new ReplicatedState(ProposalNumber.ZERO, acceptor.state().voters(), Configuration.EMPTY);
     }
 
-    ProposalNumber stamp() {
-        return stamp;
+    /** The highest number known to be committed. */
+    ProposalNumber number() {
+        return number;
     }
 
-    ReplicatedState shown() {
-        return shown;
+    /** The last committed state that was published. */
+    ReplicatedState state() {
+        return state;
     }
 
-    /** That stamp is decided. */
-    void known(ProposalNumber decided) {
-        if (decided.above(stamp)) {
-            stamp = decided;
+    /** The state of that number is committed. */
+    void onCommitted(ProposalNumber committed) {
+        if (committed.above(number)) {
+            number = committed;
         }
-        desk.seen(decided);
-        look();
+        context.seen(committed);
+        publishAccepted();
     }
 
-    /** That state is decided. */
-    void show(ReplicatedState state) {
-        if (state.stamp().above(stamp)) {
-            stamp = state.stamp();
+    /** That state is committed: it is shown to the caller. */
+    void publish(ReplicatedState committed) {
+        if (committed.number().above(number)) {
+            number = committed.number();
         }
-        if (state.stamp().above(shown.stamp())) {
-            shown = state;
-            desk.add(new Effect.Show(state.stamp(), state.manifest(), state.crew()));
+        if (committed.number().above(state.number())) {
+            state = committed;
+            context.add(new Effect.Show(state.number(), state.configuration(), state.voters()));
         }
     }
 
-    /** A member counts who says to have accepted the same. */
-    void told(PeerTable.Word word, boolean member) {
-        if (word.blank()) {
+    /** A voter works out from heartbeats whether a majority has accepted the same state. */
+    void onHeartbeat(ConsensusMessage.Heartbeat heartbeat, boolean isVoter) {
+        if (heartbeat.blank()) {
             return;
         }
-        known(word.decided());
-        if (member && word.accepted().above(stamp) && word.crew().contains(desk.own)) {
-            Set<String> voters = peers.voters(word.accepted());
-            if (copy.accepted().equals(word.accepted()) && !copy.hearsay()) {
-                voters.add(desk.own);
+        onCommitted(heartbeat.committed());
+        if (isVoter && heartbeat.accepted().above(number) && heartbeat.voters().contains(context.own)) {
+            Set<String> accepters = peers.votedFor(heartbeat.accepted());
+            if (acceptor.accepted().equals(heartbeat.accepted()) && !acceptor.learnedSecondHand()) {
+                accepters.add(context.own);
             }
-            if (ReplicatedState.most(word.crew(), voters)) {
-                known(word.accepted());
+            if (ReplicatedState.isMajority(heartbeat.voters(), accepters)) {
+                onCommitted(heartbeat.accepted());
             }
         }
     }
 
-    /** Shows what this harbour's copy holds, where that is decided. */
-    void look() {
-        if (copy.accepted().equals(stamp)) {
-            show(copy.state());
+    /** Publishes what this replica has accepted, where that is committed. */
+    void publishAccepted() {
+        if (acceptor.accepted().equals(number)) {
+            publish(acceptor.state());
         }
     }
 
     void tick() {
-        look();
-        if (!stamp.above(shown.stamp()) || !copy.knowing()) {
-            behindSince = -1;
-            fetch = null;
+        publishAccepted();
+        if (!number.above(state.number()) || !acceptor.initialized()) {
+            behindSince = NOT_BEHIND;
+            transfer = null;
             return;
         }
-        if (fetch != null) {
-            fetch.tick();
-            if (fetch.failed()) {
-                fetch = null;
+        if (transfer != null) {
+            transfer.tick();
+            if (transfer.failed()) {
+                transfer = null;
             }
         } else if (behindSince < 0) {
-            behindSince = desk.now;
-        } else if (desk.now - behindSince >= desk.plan.catchUpAfter()) {
-            fetch = new StateTransfer(desk, stamp, peers.knowers(stamp), shown, copy.state());
+            behindSince = context.now;
+        } else if (context.now - behindSince >= context.options.catchUpDelayMicros()) {
+            transfer = new StateTransfer(context, number, peers.holdersOfCommitted(number), state, acceptor.state());
         }
     }
 
-    void piece(ProposalNumber of, Map<?, ?> message) {
-        if (fetch != null && fetch.stamp().equals(of)) {
-            ReplicatedState whole = fetch.piece(message);
-            if (whole != null) {
-                fetch = null;
-                behindSince = desk.now;
-                show(whole);
-                if (!copy.sick()) {
-                    copy.adopt(whole);
-                }
-            }
+    void onStateChunk(ConsensusMessage.StateChunk chunk) {
+        if (transfer == null || !transfer.number().equals(chunk.number())) {
+            return;
+        }
+        ReplicatedState fetched = transfer.onStateChunk(chunk);
+        if (fetched == null) {
+            return;
+        }
+        transfer = null;
+        behindSince = context.now;
+        publish(fetched);
+        if (!acceptor.diskFailed()) {
+            acceptor.adopt(fetched);
         }
     }
 
-    void gone(String from, ProposalNumber of) {
-        if (fetch != null && fetch.stamp().equals(of)) {
-            fetch.gone(from);
+    void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {
+        if (transfer != null && transfer.number().equals(unavailable.number())) {
+            transfer.onStateUnavailable(from);
         }
     }
 
-    /** Whether it has been open for too long if the highest accepted state is decided. */
-    boolean settleDue() {
-        ProposalNumber top = copy.accepted();
-        for (String member : copy.state().crew()) {
-            PeerTable.Word word = peers.word(member);
-            if (word != null && !word.blank()) {
-                top = ProposalNumber.higher(top, word.accepted());
-            }
-        }
-        if (!top.above(stamp)) {
-            unsettled = ProposalNumber.ZERO;
+    /** Whether it has been open for too long if the highest accepted state is committed. */
+    boolean recoveryDue() {
+        ProposalNumber highest = highestAccepted();
+        if (!highest.above(number)) {
+            unresolved = ProposalNumber.ZERO;
             return false;
         }
-        if (!top.equals(unsettled)) {
-            unsettled = top;
-            settleAt = desk.now + desk.plan.settleAfter() + desk.jitter(desk.plan.settleJitter());
+        if (!highest.equals(unresolved)) {
+            unresolved = highest;
+            scheduleRecovery();
         }
-        if (desk.now < settleAt) {
+        if (context.now < recoveryAt) {
             return false;
         }
-        settleAt = desk.now + desk.plan.settleAfter() + desk.jitter(desk.plan.settleJitter());
+        scheduleRecovery();
         return true;
     }
+
+    private ProposalNumber highestAccepted() {
+        ProposalNumber highest = acceptor.accepted();
+        for (String voter : acceptor.state().voters()) {
+            ConsensusMessage.Heartbeat heartbeat = peers.heartbeat(voter);
+            if (heartbeat != null && !heartbeat.blank()) {
+                highest = ProposalNumber.higher(highest, heartbeat.accepted());
+            }
+        }
+        return highest;
+    }
+
+    private void scheduleRecovery() {
+        recoveryAt = context.now
+                + context.options.recoveryDelayMicros()
+                + context.jitter(context.options.recoveryJitterMicros());
+    }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
@@ -1,25 +1,37 @@
 package org.cypressweir.controlplane.consensus;
 
-/** Times, in microseconds, and how many items go into one message. */
+/**
+ * Settings of consensus: times in microseconds, and how many items go into one message.
+ *
+ * @param requestIntervalMicros how often a replica asks to learn the state or to join
+ * @param roundTimeoutMicros how long a phase of a proposal round may last
+ * @param rejectedRoundTimeoutMicros how much longer a round may last once a voter has rejected it
+ * @param recoveryDelayMicros how long it may be open whether the highest accepted state is committed
+ * @param unresponsiveAfterMicros when a voter that is not heard may be replaced
+ * @param livenessTimeoutMicros when a peer that is not heard no longer counts towards a majority
+ * @param catchUpDelayMicros how long a replica waits for a committed state before it fetches it
+ * @param quorumContactTimeoutMicros when contact with a majority counts as lost
+ * @param probeTimeoutMicros how long a proposal waits for contact to be regained
+ */
 public record ConsensusOptions(
-        long tellEvery,
-        long askEvery,
-        long resendAfter,
-        long roundMost,
-        long afterNack,
-        long settleAfter,
-        long settleJitter,
-        long backoffLeast,
-        long backoffMost,
-        long writeMost,
-        long retryWriteEvery,
-        long silentAfter,
-        long liveWithin,
-        long catchUpAfter,
-        int pieceItems,
-        long contactWithin,
-        long probeEvery,
-        long probeMost) {
+        long heartbeatIntervalMicros,
+        long requestIntervalMicros,
+        long resendAfterMicros,
+        long roundTimeoutMicros,
+        long rejectedRoundTimeoutMicros,
+        long recoveryDelayMicros,
+        long recoveryJitterMicros,
+        long minBackoffMicros,
+        long maxBackoffMicros,
+        long writeTimeoutMicros,
+        long writeRetryIntervalMicros,
+        long unresponsiveAfterMicros,
+        long livenessTimeoutMicros,
+        long catchUpDelayMicros,
+        int itemsPerChunk,
+        long quorumContactTimeoutMicros,
+        long probeIntervalMicros,
+        long probeTimeoutMicros) {
 
     public static ConsensusOptions usual() {
         return new ConsensusOptions(
--- a/src/main/java/org/cypressweir/controlplane/consensus/Effect.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Effect.java
@@ -4,16 +4,18 @@
 import java.util.Map;
 import org.cypressweir.controlplane.configuration.Configuration;
 
-/** What the caller has to do, in the order given. */
+/** What the caller of a {@link ConsensusReplica} has to do, in the order given. */
 public sealed interface Effect {
 
+    /** Send a message to an address, or to the address of a replica key. It may be lost. */
     record Send(String to, Map<String, Object> message) implements Effect {}
 
-    /** To be written durably, then told by {@link ConsensusReplica#written}. There is one at a time. */
+    /** Write durably, then call {@link ConsensusReplica#written}. There is one in flight at a time. */
     record Write(long number, StorageUpdate change) implements Effect {}
 
-    record Answer(long ticket, ProposalResult verdict) implements Effect {}
+    /** Answer whoever submitted that proposal. */
+    record Answer(long proposalId, ProposalResult result) implements Effect {}
 
-    /** That state is decided. Stamps rise from one to the next. */
-    record Show(ProposalNumber stamp, Configuration manifest, List<String> crew) implements Effect {}
+    /** Show a committed state. The numbers rise from one to the next. */
+    record Show(ProposalNumber number, Configuration configuration, List<String> voters) implements Effect {}
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/Learner.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Learner.java
@@ -10,161 +10,160 @@
 import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
- * How a harbour with an empty disk comes to know what stands. Its disk is no member of any crew, whatever
- * stood at its address before: it takes a decided state, once most of that state's crew have spoken, and may
- * then ask to be let in. Only a system that starts for the first time begins with nothing.
+ * How a replica with an empty disk learns the committed state. Its disk is no voter, whatever stood at its
+ * address before: it takes a committed state once a majority of that state's voters has answered, and may
+ * then ask to join. Only a system that starts for the first time begins with an empty configuration.
  */
 final class Learner {
 
-    /** An answer: what a harbour's copy says. */
-    record Told(ProposalNumber accepted, ProposalNumber decided, List<String> crew, boolean blank) {}
+    private static final long REQUESTS_BEFORE_BOOTSTRAP = 4;
 
-    private static final long ASKS_BEFORE = 4;
-
-    private final ReplicaContext desk;
-    private final Acceptor copy;
+    private final ReplicaContext context;
+    private final Acceptor acceptor;
     private final List<String> seeds;
-    private final boolean initial;
-    private final Map<String, Told> told = new HashMap<>();
-    private long askedAt;
-    private final long begun;
-    private StateTransfer fetch;
-
-    Learner(ReplicaContext desk, Acceptor copy, List<String> seeds, boolean initial) {
-        this.desk = desk;
-        this.copy = copy;
+    private final boolean initialStart;
+    private final Map<String, ConsensusMessage.LearnResponse> responses = new HashMap<>();
+    private long requestedAt;
+    private final long startedAt;
+    private StateTransfer transfer;
+
+    Learner(ReplicaContext context, Acceptor acceptor, List<String> seeds, boolean initialStart) {
+        this.context = context;
+        this.acceptor = acceptor;
         this.seeds = seeds.stream().distinct().sorted().toList();
-        this.initial = initial;
-        begun = desk.now;
-        askedAt = begun - desk.plan.askEvery();
+        this.initialStart = initialStart;
+        startedAt = context.now;
+        requestedAt = startedAt - context.options.requestIntervalMicros();
     }
 
-    /** Why this harbour may not begin with nothing, or null: who holds something is never passed over. */
-    String mayNotBegin(Set<String> abandoned) {
-        if (copy.knowing() || initial) {
-            return "this harbour is not blank";
+    /** Why this replica may not be bootstrapped, or null: a replica that holds a state is never passed over. */
+    String bootstrapObstacle(Set<String> abandoned) {
+        if (acceptor.initialized() || initialStart) {
+            return "this replica is not blank";
         }
-        if (desk.now - begun < ASKS_BEFORE * desk.plan.askEvery()) {
-            return "this harbour still asks who holds something";
+        if (context.now - startedAt < REQUESTS_BEFORE_BOOTSTRAP * context.options.requestIntervalMicros()) {
+            return "this replica still asks who holds something";
         }
         Set<String> holders = new TreeSet<>();
-        knowing().forEach(m -> holders.add(ReplicaKey.address(m)));
+        initializedPeers().forEach(peer -> holders.add(ReplicaKey.address(peer)));
         holders.removeAll(abandoned);
         return holders.isEmpty() ? null : "held by " + String.join(", ", holders);
     }
 
     /**
-     * An operator has said so. The round lies above all before, which count up by ones: who still holds what
-     * stood before can't be taken to know better.
+     * Begins with an empty configuration, at an operator's request. The round lies above all before, which
+     * count up by ones: a replica that still holds an earlier state can't be taken to know better.
      */
-    void beginAlone(long round) {
-        copy.begin(
-                new ReplicatedState(new ProposalNumber(round, desk.own), List.of(desk.own), Configuration.EMPTY),
-                told::clear);
+    void bootstrap(long round) {
+        acceptor.initialize(
+                new ReplicatedState(new ProposalNumber(round, context.own), List.of(context.own), Configuration.EMPTY),
+                responses::clear);
     }
 
-    boolean initial() {
-        return initial;
+    boolean initialStart() {
+        return initialStart;
     }
 
     List<String> seeds() {
         return seeds;
     }
 
-    /** Addresses of harbours that may know something. */
-    Set<String> targets(Collection<String> heard) {
+    /** Addresses of replicas that may hold a state. */
+    Set<String> targets(Collection<String> live) {
         Set<String> targets = new TreeSet<>(seeds);
-        told.values().forEach(t -> t.crew.forEach(m -> targets.add(ReplicaKey.address(m))));
-        heard.forEach(m -> targets.add(ReplicaKey.address(m)));
-        targets.remove(desk.address);
+        responses.values().forEach(response -> response.voters()
+                .forEach(voter -> targets.add(ReplicaKey.address(voter))));
+        live.forEach(peer -> targets.add(ReplicaKey.address(peer)));
+        targets.remove(context.address);
         return targets;
     }
 
     void tick(PeerTable peers) {
-        if (copy.knowing()) {
+        if (acceptor.initialized()) {
             return;
         }
-        if (desk.now - askedAt >= desk.plan.askEvery()) {
-            askedAt = desk.now;
-            if (initial) {
-                copy.begin(new ReplicatedState(ProposalNumber.ZERO, seeds, Configuration.EMPTY), () -> {});
+        if (context.now - requestedAt >= context.options.requestIntervalMicros()) {
+            requestedAt = context.now;
+            if (initialStart) {
+                acceptor.initialize(new ReplicatedState(ProposalNumber.ZERO, seeds, Configuration.EMPTY), () -> {});
                 return;
             }
             for (String target : targets(peers.live())) {
-                desk.send(target, ConsensusMessages.of(ConsensusMessages.TEACH, "life", desk.life));
+                context.send(target, new ConsensusMessage.LearnRequest(context.incarnation));
             }
-            weigh();
+            evaluateResponses();
         }
-        if (fetch != null) {
-            fetch.tick();
-            if (fetch.failed()) {
-                fetch = null;
+        if (transfer != null) {
+            transfer.tick();
+            if (transfer.failed()) {
+                transfer = null;
             }
         }
     }
 
-    void told(String from, long life, Told word) {
-        if (copy.knowing() || initial || life != desk.life) {
+    void onResponse(String from, ConsensusMessage.LearnResponse response) {
+        if (acceptor.initialized() || initialStart || response.incarnation() != context.incarnation) {
             return;
         }
-        told.put(from, word);
-        weigh();
+        responses.put(from, response);
+        evaluateResponses();
     }
 
-    private void weigh() {
-        if (fetch != null || copy.knowing()) {
+    /** Begins a transfer once a majority of the voters of the highest accepted state has answered. */
+    private void evaluateResponses() {
+        if (transfer != null || acceptor.initialized()) {
             return;
         }
-        Set<String> knowing = knowing();
-        Told top = null;
-        ProposalNumber decided = ProposalNumber.ZERO;
-        for (String each : knowing) {
-            Told word = told.get(each);
-            top = top == null || word.accepted.above(top.accepted) ? word : top;
-            decided = ProposalNumber.higher(decided, word.decided);
+        Set<String> initializedPeers = initializedPeers();
+        ConsensusMessage.LearnResponse highest = null;
+        ProposalNumber committed = ProposalNumber.ZERO;
+        for (String peer : initializedPeers) {
+            ConsensusMessage.LearnResponse response = responses.get(peer);
+            highest = highest == null || response.accepted().above(highest.accepted()) ? response : highest;
+            committed = ProposalNumber.higher(committed, response.committed());
         }
-        if (top == null || !ReplicatedState.most(top.crew, knowing)) {
+        if (highest == null || !ReplicatedState.isMajority(highest.voters(), initializedPeers)) {
             return;
         }
-        if (top.accepted.equals(ProposalNumber.ZERO)) {
-            learnt(new ReplicatedState(ProposalNumber.ZERO, top.crew, Configuration.EMPTY));
-        } else if (decided.above(ProposalNumber.ZERO)) {
-            fetch = new StateTransfer(desk, decided, having(decided));
+        if (highest.accepted().equals(ProposalNumber.ZERO)) {
+            learned(new ReplicatedState(ProposalNumber.ZERO, highest.voters(), Configuration.EMPTY));
+        } else if (committed.above(ProposalNumber.ZERO)) {
+            transfer = new StateTransfer(context, committed, holdersOf(committed));
         }
     }
 
-    private Set<String> knowing() {
-        Set<String> knowing = new HashSet<>(told.keySet());
-        knowing.removeIf(who -> told.get(who).blank);
-        return knowing;
+    private Set<String> initializedPeers() {
+        Set<String> peers = new HashSet<>(responses.keySet());
+        peers.removeIf(peer -> responses.get(peer).blank());
+        return peers;
     }
 
-    private Set<String> having(ProposalNumber stamp) {
-        Set<String> having = knowing();
-        having.removeIf(who ->
-                !told.get(who).decided.equals(stamp) && !told.get(who).accepted.equals(stamp));
-        return having;
+    private Set<String> holdersOf(ProposalNumber number) {
+        Set<String> holders = initializedPeers();
+        holders.removeIf(peer -> !responses.get(peer).committed().equals(number)
+                && !responses.get(peer).accepted().equals(number));
+        return holders;
     }
 
-    void piece(ProposalNumber of, Map<?, ?> message) {
-        if (fetch != null && fetch.stamp().equals(of)) {
-            ReplicatedState whole = fetch.piece(message);
-            if (whole != null) {
-                learnt(whole);
+    void onStateChunk(ConsensusMessage.StateChunk chunk) {
+        if (transfer != null && transfer.number().equals(chunk.number())) {
+            ReplicatedState state = transfer.onStateChunk(chunk);
+            if (state != null) {
+                learned(state);
             }
         }
     }
 
-    void gone(String from, ProposalNumber of) {
-        if (fetch != null && fetch.stamp().equals(of)) {
-            fetch.gone(from);
+    void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {
+        if (transfer != null && transfer.number().equals(unavailable.number())) {
+            transfer.onStateUnavailable(from);
         }
     }
 
-    private void learnt(ReplicatedState state) {
-        fetch = null;
-        if (ReplicatedState.most(state.crew(), knowing())) {
-            copy.begin(state, told::clear);
+    private void learned(ReplicatedState state) {
+        transfer = null;
+        if (ReplicatedState.isMajority(state.voters(), initializedPeers())) {
+            acceptor.initialize(state, responses::clear);
         }
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/PeerTable.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PeerTable.java
@@ -7,140 +7,149 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What other harbours told of themselves last, and when each was heard. */
+/** The last heartbeat of each peer, and when each was heard last. */
 final class PeerTable {
 
-    /** What a harbour tells of its copy. */
-    record Word(
-            long life,
-            ProposalNumber accepted,
-            ProposalNumber decided,
-            List<String> crew,
-            boolean blank,
-            boolean hearsay) {}
+    /** For how many times the unresponsive time a peer that is no voter is remembered. */
+    private static final int RETENTION_FACTOR = 20;
 
-    private final ReplicaContext desk;
-    private final Map<String, Long> heard = new HashMap<>();
-    private final Map<String, Long> met = new HashMap<>();
-    private final Map<String, Word> words = new HashMap<>();
-    private final Map<String, Long> toldAt = new HashMap<>();
-    /** Who leaves, with the life that it said so in. */
-    private final Map<String, Long> leaving = new HashMap<>();
+    private final ReplicaContext context;
+    private final Map<String, Long> heardAt = new HashMap<>();
+    /** When a peer that was never heard was first asked for. */
+    private final Map<String, Long> firstMissedAt = new HashMap<>();
 
-    PeerTable(ReplicaContext desk) {
-        this.desk = desk;
+    private final Map<String, ConsensusMessage.Heartbeat> heartbeats = new HashMap<>();
+    private final Map<String, Long> heartbeatAt = new HashMap<>();
+    /** Peers that shut down, with the incarnation that said so. */
+    private final Map<String, Long> leavingIncarnations = new HashMap<>();
+
+    PeerTable(ReplicaContext context) {
+        this.context = context;
     }
 
-    void heard(String from) {
-        heard.put(from, desk.now);
+    void heardFrom(String peer) {
+        heardAt.put(peer, context.now);
     }
 
     /**
-     * Takes a word unless it is of an earlier life. Lives are told by clocks, and a clock may be set back:
-     * where the life with the higher number has ceased to tell, the other is the later one.
+     * Takes a heartbeat unless it is of an earlier incarnation. Incarnations are drawn from clocks, and a
+     * clock may be set back: where the one with the higher number has fallen silent, the other is the later.
      */
-    boolean take(String from, Word word) {
-        Word before = words.get(from);
-        if (before != null && before.life > word.life && desk.now - toldAt.get(from) < desk.plan.liveWithin()) {
+    boolean update(String from, ConsensusMessage.Heartbeat heartbeat) {
+        ConsensusMessage.Heartbeat before = heartbeats.get(from);
+        if (before != null
+                && before.incarnation() > heartbeat.incarnation()
+                && context.now - heartbeatAt.get(from) < context.options.livenessTimeoutMicros()) {
             return false;
         }
-        if (before != null && before.life == word.life && before.accepted.above(word.accepted)) {
+        if (before != null
+                && before.incarnation() == heartbeat.incarnation()
+                && before.accepted().above(heartbeat.accepted())) {
             return false;
         }
-        words.put(from, word);
-        leaving.computeIfPresent(from, (who, life) -> life == word.life ? life : null);
-        toldAt.put(from, desk.now);
+        heartbeats.put(from, heartbeat);
+        leavingIncarnations.computeIfPresent(
+                from, (peer, incarnation) -> incarnation == heartbeat.incarnation() ? incarnation : null);
+        heartbeatAt.put(from, context.now);
         return true;
     }
 
-    Word word(String of) {
-        return words.get(of);
+    /** The last heartbeat, or null. */
+    ConsensusMessage.Heartbeat heartbeat(String peer) {
+        return heartbeats.get(peer);
+    }
+
+    /** Whether a peer is known to have accepted the state of that number or a higher one. */
+    boolean hasAccepted(String peer, ProposalNumber number) {
+        ConsensusMessage.Heartbeat heartbeat = heartbeats.get(peer);
+        return heartbeat != null && !heartbeat.blank() && !number.above(heartbeat.accepted());
     }
 
-    /** How long a harbour has been silent; of one never heard, since it was first asked for. */
-    long silence(String of) {
-        Long last = heard.get(of);
-        return desk.now - (last != null ? last : met.computeIfAbsent(of, k -> desk.now));
+    /** How long a peer has not been heard; of one never heard, since it was first asked for. */
+    long silenceMicros(String peer) {
+        Long last = heardAt.get(peer);
+        return context.now - (last != null ? last : firstMissedAt.computeIfAbsent(peer, key -> context.now));
     }
 
-    /** Whether a harbour that speaks now had fallen silent. */
-    boolean isBack(String from) {
-        Long last = heard.get(from);
-        return last != null && desk.now - last >= desk.plan.liveWithin();
+    /** Whether a peer that is heard now had not been heard for longer than the liveness time-out. */
+    boolean isBack(String peer) {
+        Long last = heardAt.get(peer);
+        return last != null && context.now - last >= context.options.livenessTimeoutMicros();
     }
 
-    /** Whether another disk has spoken at that member's address since it spoke last. */
-    boolean replaced(String member) {
-        long last = heard.getOrDefault(member, Long.MIN_VALUE);
-        return heard.entrySet().stream()
-                .anyMatch(e -> e.getValue() > last
-                        && !e.getKey().equals(member)
-                        && ReplicaKey.address(e.getKey()).equals(ReplicaKey.address(member)));
+    /** Whether another disk has been heard at that replica's address since it was heard last. */
+    boolean replaced(String replica) {
+        long last = heardAt.getOrDefault(replica, Long.MIN_VALUE);
+        return heardAt.entrySet().stream()
+                .anyMatch(other -> other.getValue() > last
+                        && !other.getKey().equals(replica)
+                        && ReplicaKey.address(other.getKey()).equals(ReplicaKey.address(replica)));
     }
 
-    /** A harbour tells that it leaves, in that life. */
-    void leaves(String who, long life) {
-        leaving.put(who, life);
+    void markLeaving(String peer, long incarnation) {
+        leavingIncarnations.put(peer, incarnation);
     }
 
-    boolean leaves(String who) {
-        return leaving.containsKey(who);
+    boolean isLeaving(String peer) {
+        return leavingIncarnations.containsKey(peer);
     }
 
-    /** Those of them that were heard just now. */
-    Set<String> near(Collection<String> of) {
-        Set<String> near = new HashSet<>(of);
-        near.removeIf(m -> silence(m) > desk.plan.liveWithin() || replaced(m));
-        return near;
+    /** Those of them that were heard within the liveness time-out. */
+    Set<String> responsive(Collection<String> replicas) {
+        Set<String> responsive = new HashSet<>(replicas);
+        responsive.removeIf(
+                replica -> silenceMicros(replica) > context.options.livenessTimeoutMicros() || replaced(replica));
+        return responsive;
     }
 
-    /** Harbours heard not long ago. */
+    /** All peers that are not yet taken to be unresponsive. */
     Set<String> live() {
         Set<String> live = new HashSet<>();
-        heard.forEach((who, at) -> {
-            if (desk.now - at <= desk.plan.silentAfter()) {
-                live.add(who);
+        heardAt.forEach((peer, at) -> {
+            if (context.now - at <= context.options.unresponsiveAfterMicros()) {
+                live.add(peer);
             }
         });
         return live;
     }
 
-    /** Who said that it accepted that stamp. */
-    Set<String> holders(ProposalNumber stamp) {
+    /** Peers whose accepted state is that one. */
+    Set<String> holders(ProposalNumber number) {
         Set<String> holders = new HashSet<>();
-        words.forEach((who, word) -> {
-            if (!word.blank && word.accepted.equals(stamp)) {
-                holders.add(who);
+        heartbeats.forEach((peer, heartbeat) -> {
+            if (!heartbeat.blank() && heartbeat.accepted().equals(number)) {
+                holders.add(peer);
             }
         });
         return holders;
     }
 
-    /** Those of them that voted for it. */
-    Set<String> voters(ProposalNumber stamp) {
-        Set<String> voters = holders(stamp);
-        voters.removeIf(who -> words.get(who).hearsay);
-        return voters;
+    /** Those of them that have accepted it as voters, and not only learned it. */
+    Set<String> votedFor(ProposalNumber number) {
+        Set<String> accepters = holders(number);
+        accepters.removeIf(peer -> heartbeats.get(peer).learnedSecondHand());
+        return accepters;
     }
 
-    /** Who may have a decided state at hand: those who know it decided. */
-    Set<String> knowers(ProposalNumber stamp) {
-        Set<String> knowers = new HashSet<>(holders(stamp));
-        words.forEach((who, word) -> {
-            if (word.decided.equals(stamp)) {
-                knowers.add(who);
+    /** Peers that may have a committed state at hand: they accepted it, or know it to be committed. */
+    Set<String> holdersOfCommitted(ProposalNumber number) {
+        Set<String> holders = holders(number);
+        heartbeats.forEach((peer, heartbeat) -> {
+            if (heartbeat.committed().equals(number)) {
+                holders.add(peer);
             }
         });
-        return knowers;
+        return holders;
     }
 
-    /** Forgets whoever has been silent for long and does not count. */
-    void prune(List<String> crew) {
-        heard.entrySet()
-                .removeIf(e -> desk.now - e.getValue() > 20 * desk.plan.silentAfter() && !crew.contains(e.getKey()));
-        words.keySet().removeIf(who -> !heard.containsKey(who));
-        toldAt.keySet().retainAll(words.keySet());
-        leaving.keySet().retainAll(words.keySet());
-        met.keySet().retainAll(crew);
+    /** Forgets peers that have not been heard for long and are no voters. */
+    void prune(List<String> voters) {
+        long retentionMicros = RETENTION_FACTOR * context.options.unresponsiveAfterMicros();
+        heardAt.entrySet()
+                .removeIf(peer -> context.now - peer.getValue() > retentionMicros && !voters.contains(peer.getKey()));
+        heartbeats.keySet().removeIf(peer -> !heardAt.containsKey(peer));
+        heartbeatAt.keySet().retainAll(heartbeats.keySet());
+        leavingIncarnations.keySet().retainAll(heartbeats.keySet());
+        firstMissedAt.keySet().retainAll(voters);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/PersistentState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PersistentState.java
@@ -4,25 +4,32 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * All that a copy keeps on its disk. Hearsay tells that the accepted state was learnt from others by a copy
- * that had forgotten, below what it may have promised: it is there for whoever looks for the highest state,
- * but is no vote for it. Only builds before wrote that. Disk is the number of the disk, see {@link ReplicaKey}.
+ * All that an acceptor keeps on its disk. Immutable.
+ *
+ * @param learnedSecondHand whether the accepted state was learned from others by a replica that had lost its
+ *     own, below what it may have promised: it is found by a proposer that looks for the highest state, but is
+ *     no vote for it. Only earlier builds wrote that.
+ * @param disk the number of the disk, see {@link ReplicaKey}
  */
 public record PersistentState(
         ProposalNumber promised,
         ProposalNumber accepted,
-        List<String> crew,
+        List<String> voters,
         List<Item> items,
-        boolean hearsay,
+        boolean learnedSecondHand,
         long disk) {
 
     public PersistentState(
-            ProposalNumber promised, ProposalNumber accepted, List<String> crew, List<Item> items, boolean hearsay) {
-        this(promised, accepted, crew, items, hearsay, 0);
+            ProposalNumber promised,
+            ProposalNumber accepted,
+            List<String> voters,
+            List<Item> items,
+            boolean learnedSecondHand) {
+        this(promised, accepted, voters, items, learnedSecondHand, 0);
     }
 
     public PersistentState {
-        crew = List.copyOf(crew);
+        voters = List.copyOf(voters);
         items = List.copyOf(items);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/PrepareQuorum.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PrepareQuorum.java
@@ -9,58 +9,59 @@
 /** Who has promised in a round, and what each had accepted before. */
 final class PrepareQuorum {
 
-    private record Promise(ProposalNumber accepted, List<String> crew, boolean hearsay) {}
+    private record Promise(ProposalNumber accepted, List<String> voters, boolean learnedSecondHand) {}
 
-    private final Map<String, Promise> all = new HashMap<>();
+    private final Map<String, Promise> promises = new HashMap<>();
     private Promise highest;
 
-    /** Takes a promise; of the same harbour the first counts. */
-    void add(String from, ProposalNumber accepted, List<String> crew, boolean hearsay) {
-        Promise promise = new Promise(accepted, crew, hearsay);
-        if (all.putIfAbsent(from, promise) == null && (highest == null || accepted.above(highest.accepted))) {
+    /** Takes a promise; of the same replica the first counts. */
+    void add(String from, ProposalNumber accepted, List<String> voters, boolean learnedSecondHand) {
+        Promise promise = new Promise(accepted, voters, learnedSecondHand);
+        if (promises.putIfAbsent(from, promise) == null && (highest == null || accepted.above(highest.accepted))) {
             highest = promise;
         }
     }
 
     Set<String> from() {
-        return all.keySet();
+        return promises.keySet();
     }
 
     /** The highest state that one of them had accepted. */
-    ProposalNumber top() {
+    ProposalNumber highest() {
         return highest.accepted;
     }
 
-    /** The crew of that state. */
-    List<String> crew() {
-        return highest.crew;
+    /** The voters of that state. */
+    List<String> voters() {
+        return highest.voters;
     }
 
-    List<String> crewOf(String harbour) {
-        return all.get(harbour).crew;
+    /** The voters of the state that this replica had accepted. */
+    List<String> votersOf(String replica) {
+        return promises.get(replica).voters;
     }
 
-    /** Who has that state. */
-    Set<String> having(ProposalNumber accepted) {
-        Set<String> having = new HashSet<>();
-        all.forEach((who, promise) -> {
+    /** Who had accepted that state. */
+    Set<String> holdersOf(ProposalNumber accepted) {
+        Set<String> holders = new HashSet<>();
+        promises.forEach((replica, promise) -> {
             if (promise.accepted.equals(accepted)) {
-                having.add(who);
+                holders.add(replica);
             }
         });
-        return having;
+        return holders;
     }
 
-    /** Who has voted for that state, and not only learnt it. */
+    /** Who had accepted that state as a voter, and not only learned it. */
     Set<String> voted(ProposalNumber accepted) {
-        Set<String> voted = having(accepted);
-        voted.removeIf(who -> all.get(who).hearsay);
+        Set<String> voted = holdersOf(accepted);
+        voted.removeIf(replica -> promises.get(replica).learnedSecondHand);
         return voted;
     }
 
-    /** Whether that harbour has that state, as far as is known. */
-    boolean mayHave(String harbour, ProposalNumber accepted) {
-        Promise promise = all.get(harbour);
+    /** Whether that replica has that state, as far as is known. */
+    boolean mayHave(String replica, ProposalNumber accepted) {
+        Promise promise = promises.get(replica);
         return promise == null || promise.accepted.equals(accepted);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/Proposal.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Proposal.java
@@ -2,5 +2,5 @@
 
 import org.cypressweir.controlplane.configuration.ConfigurationChange;
 
-/** An order that waits, or a read where the order is null. */
-record Proposal(long number, ConfigurationChange order, long deadline) {}
+/** A change to be agreed by the deadline, in microseconds; a read where the change is null. */
+record Proposal(long id, ConfigurationChange change, long deadline) {}
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
@@ -11,29 +11,31 @@
 import org.cypressweir.controlplane.configuration.Rejection;
 import org.cypressweir.controlplane.configuration.RejectionKind;
 
-/** Tickets applied to a base one after the other. Each has its own verdict, and a refused one no effect. */
+/** Proposals applied to a base one after the other. Each has its own result, and a rejected one no effect. */
 final class ProposalBatch {
 
-    private final List<Proposal> tickets;
-    private final Map<Proposal, Rejection> refused = new LinkedHashMap<>();
+    private final List<Proposal> proposals;
+    private final Map<Proposal, Rejection> rejections = new LinkedHashMap<>();
     private final Map<ItemKey, Item> changed = new LinkedHashMap<>();
     private Configuration result;
 
-    ProposalBatch(List<Proposal> tickets, Configuration base) {
-        this.tickets = new ArrayList<>(tickets);
+    ProposalBatch(List<Proposal> proposals, Configuration base) {
+        this.proposals = new ArrayList<>(proposals);
         result = base;
-        for (Proposal ticket : tickets) {
-            if (ticket.order() == null) {
-                continue;
-            }
-            Either<Rejection, List<Item>> outcome = ticket.order().against(result);
-            if (outcome.isLeft()) {
-                refused.put(ticket, outcome.getLeft());
-            } else {
-                result = result.with(outcome.get());
-                outcome.get().forEach(i -> changed.put(i.key(), i));
-            }
+        proposals.forEach(this::apply);
+    }
+
+    private void apply(Proposal proposal) {
+        if (proposal.change() == null) {
+            return;
+        }
+        Either<Rejection, List<Item>> outcome = proposal.change().against(result);
+        if (outcome.isLeft()) {
+            rejections.put(proposal, outcome.getLeft());
+            return;
         }
+        result = result.with(outcome.get());
+        outcome.get().forEach(item -> changed.put(item.key(), item));
     }
 
     Configuration result() {
@@ -44,24 +46,27 @@
         return List.copyOf(changed.values());
     }
 
-    /** Leaves tickets unanswered that have been answered otherwise. */
+    /** Leaves proposals unanswered that have been answered otherwise. */
     void drop(List<Proposal> answered) {
-        tickets.removeAll(answered);
+        proposals.removeAll(answered);
     }
 
-    /** Answers all tickets, once the result is decided under that stamp. */
-    void answer(ReplicaContext desk, ProposalNumber stamp) {
-        for (Proposal ticket : tickets) {
-            Rejection refusal = refused.get(ticket);
-            desk.answer(
-                    ticket.number(),
-                    ticket.order() == null
-                            ? new ProposalResult.Read(result)
-                            : refusal == null
-                                    ? new ProposalResult.Taken(stamp)
-                                    : refusal.kind() == RejectionKind.FORGOTTEN
-                                            ? new ProposalResult.Unavailable(refusal.reason())
-                                            : new ProposalResult.Refused(refusal));
+    /** Answers all proposals, once the result is committed under that number. */
+    void answer(ReplicaContext context, ProposalNumber number) {
+        proposals.forEach(proposal -> context.answer(proposal.id(), resultOf(proposal, number)));
+    }
+
+    private ProposalResult resultOf(Proposal proposal, ProposalNumber number) {
+        if (proposal.change() == null) {
+            return new ProposalResult.Read(result);
+        }
+        Rejection rejection = rejections.get(proposal);
+        if (rejection == null) {
+            return new ProposalResult.Taken(number);
         }
+        // Whether an earlier version is the same can't be told any more: the outcome is open.
+        return rejection.kind() == RejectionKind.FORGOTTEN
+                ? new ProposalResult.Unavailable(rejection.reason())
+                : new ProposalResult.Refused(rejection);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalNumber.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalNumber.java
@@ -1,13 +1,19 @@
 package org.cypressweir.controlplane.consensus;
 
-/** Numbers a ballot: a round and the harbour that runs it. Written as {@code round@harbour}. */
-public record ProposalNumber(long round, String harbour) implements Comparable<ProposalNumber> {
+/**
+ * The number of a proposal: a round, and the replica that runs it, which breaks ties. Ordered; no two
+ * proposals share one, so equal numbers mean equal states. Written as {@code round@replica}.
+ */
+public record ProposalNumber(long round, String replica) implements Comparable<ProposalNumber> {
 
+    private static final long MAX_ROUND = 1L << 60;
+
+    /** Below all others: the number of the state before the first proposal. */
     public static final ProposalNumber ZERO = new ProposalNumber(0, "");
 
     @Override
     public int compareTo(ProposalNumber other) {
-        return round != other.round ? Long.compare(round, other.round) : harbour.compareTo(other.harbour);
+        return round != other.round ? Long.compare(round, other.round) : replica.compareTo(other.replica);
     }
 
     boolean above(ProposalNumber other) {
@@ -18,19 +24,19 @@
         return a.above(b) ? a : b;
     }
 
-    /** Reads the text; an IllegalArgumentException where it is no stamp. */
+    /** Reads the text; an IllegalArgumentException where it is no proposal number. */
     public static ProposalNumber of(String text) {
         int at = text.indexOf('@');
         long round = Long.parseLong(text.substring(0, Math.max(at, 0)));
-        // Rounds are counted up: one near the end of numbers is made up.
-        if (round < 0 || round > 1L << 60) {
-            throw new IllegalArgumentException("no stamp");
+        // Rounds are counted up: one near the end of the range is made up.
+        if (round < 0 || round > MAX_ROUND) {
+            throw new IllegalArgumentException("no proposal number");
         }
         return new ProposalNumber(round, text.substring(at + 1));
     }
 
     @Override
     public String toString() {
-        return round + "@" + harbour;
+        return round + "@" + replica;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
@@ -1,373 +1,306 @@
 package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * One ballot: promises are asked for, tickets applied to the highest accepted state found, and the result is
- * offered to be accepted.
+ * One proposal number from prepare to commit: promises are collected, the waiting proposals applied to the
+ * highest accepted state found, and the voters asked to accept the result.
  *
- * <p>This harbour promises and accepts itself, durably, before it asks any other to.
+ * <p>This replica promises and accepts itself, durably, before it asks any other to. A phase of the round is a
+ * {@link RoundPhase}. A round that is over does nothing more.
  */
 final class ProposalRound {
 
-    /** How a round ends: decided with a state, or not; then when another may begin. */
-    interface End {
-        void decided(ReplicatedState state);
+    /** Hears once how the round ends. */
+    interface Listener {
+        void committed(ReplicatedState state);
 
-        void failed(List<Proposal> tickets, boolean again, String reason);
+        /** @param retryable whether a later round may succeed with the same proposals */
+        void failed(List<Proposal> proposals, boolean retryable, String reason);
     }
 
-    /** A whole is large: how soon it is sent again, and how much longer a round takes for each piece. */
-    private static final long WHOLE_AGAIN = 300_000;
+    private static final String PREEMPTED = "another round went first";
+    private static final String TIMED_OUT = "not agreed in time";
+    private static final String OUTCOME_OPEN = ", the outcome is open";
+    private static final String WRITE_FAILED = "the disk takes no writes";
 
-    private static final long WHOLE_PIECE = 10_000;
+    private static final RoundPhase OVER = new RoundPhase() {};
 
-    private enum Phase {
-        SELF_PROMISE,
-        PREPARE,
-        FETCH,
-        SELF_ACCEPT,
-        ACCEPT,
-        OVER
-    }
-
-    private final ReplicaContext desk;
-    private final Acceptor copy;
-    private final VoterChangePlanner wish;
-    private final ProposalNumber stamp;
-    private final End end;
-    private final ReplicatedState shown;
-    private List<Proposal> tickets;
-    private Phase phase = Phase.SELF_PROMISE;
-    private long until;
-    private long sentAt;
-    private final Set<String> asked = new HashSet<>();
-    private final PrepareQuorum promises = new PrepareQuorum();
-    private final Set<String> nacks = new HashSet<>();
-    private final Set<String> acks = new HashSet<>();
-    /** Who has said that it has another base, and who has said so again. */
-    private final Set<String> otherBase = new HashSet<>();
-
-    private final Set<String> needWhole = new HashSet<>();
-    private final Map<String, Long> wholeSentAt = new HashMap<>();
-    private StateTransfer fetch;
-    private ReplicatedState base;
-    private ReplicatedState next;
-    private ProposalBatch batch;
-
-    ProposalRound(
-            ReplicaContext desk,
-            Acceptor copy,
-            ReplicatedState shown,
-            VoterChangePlanner wish,
-            List<Proposal> tickets,
-            End end) {
-        this.desk = desk;
-        this.copy = copy;
-        this.shown = shown;
-        this.wish = wish;
-        this.tickets = tickets;
-        this.end = end;
-        stamp = new ProposalNumber(desk.highestRound + 1, desk.own);
-        until = desk.now + desk.plan.roundMost();
+    /** Waits until this replica's own promise or acceptance is durable. */
+    private static final class OwnWrite implements RoundPhase {
+        @Override
+        public boolean waitsForDisk() {
+            return true;
+        }
     }
 
-    void begin() {
-        copy.promise(
-                stamp,
-                this::promisedMyself,
-                higher -> fail(true, "another round went first"),
-                () -> fail(false, "the disk takes no writes"));
-    }
+    /** Fetches the highest accepted state from those that promised with it. */
+    private final class FetchPhase implements RoundPhase {
+        private final StateTransfer transfer;
 
-    boolean over() {
-        return phase == Phase.OVER;
-    }
+        FetchPhase(ProposalNumber highest) {
+            transfer = new StateTransfer(context, highest, promises.holdersOf(highest), committed, acceptor.state());
+        }
 
-    /** Whether it waits for this harbour's disk. */
-    boolean needsDisk() {
-        return phase == Phase.SELF_PROMISE || phase == Phase.SELF_ACCEPT;
-    }
+        @Override
+        public void onStateChunk(ConsensusMessage.StateChunk chunk) {
+            if (!transfer.number().equals(chunk.number())) {
+                return;
+            }
+            extendDeadline(context.options.roundTimeoutMicros());
+            ReplicatedState state = transfer.onStateChunk(chunk);
+            if (state != null) {
+                applyProposals(state);
+            }
+        }
 
-    private void promisedMyself() {
-        if (phase != Phase.SELF_PROMISE) {
-            return;
+        @Override
+        public void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {
+            if (transfer.number().equals(unavailable.number())) {
+                transfer.onStateUnavailable(from);
+            }
         }
-        phase = Phase.PREPARE;
-        until = desk.now + desk.plan.roundMost();
-        sentAt = desk.now;
-        promises.add(desk.own, copy.accepted(), copy.state().crew(), copy.hearsay());
-        ask(copy.state().crew());
-        weigh();
-    }
 
-    private void ask(List<String> crew) {
-        for (String member : crew) {
-            if (asked.add(member)) {
-                prepare(member);
+        @Override
+        public void tick() {
+            transfer.tick();
+            if (transfer.failed()) {
+                fail(true, "the base is gone");
             }
         }
     }
 
-    /** For that disk alone: another one at its address has not promised what this one has. */
-    private void prepare(String member) {
-        desk.send(member, ConsensusMessages.of(ConsensusMessages.PREPARE, "to", member, "b", stamp));
+    private final ReplicaContext context;
+    private final Acceptor acceptor;
+    private final VoterChangePlanner planner;
+    private final Listener listener;
+    private final ReplicatedState committed;
+    private final ProposalNumber number;
+    private final PrepareQuorum promises = new PrepareQuorum();
+    private final PreparePhase prepare;
+    private final Set<String> rejectedBy = new HashSet<>();
+    private List<Proposal> proposals;
+    private RoundPhase phase = new OwnWrite();
+    private long deadline;
+    private ReplicatedState base;
+    private ReplicatedState next;
+    private ProposalBatch batch;
+
+    /** @param committed the committed state that is held here */
+    ProposalRound(
+            ReplicaContext context,
+            Acceptor acceptor,
+            ReplicatedState committed,
+            VoterChangePlanner planner,
+            List<Proposal> proposals,
+            Listener listener) {
+        this.context = context;
+        this.acceptor = acceptor;
+        this.committed = committed;
+        this.planner = planner;
+        this.proposals = proposals;
+        this.listener = listener;
+        number = new ProposalNumber(context.highestRound + 1, context.own);
+        prepare = new PreparePhase(context, number, promises);
+        restartDeadline();
+    }
+
+    void begin() {
+        RoundPhase ownPromise = phase;
+        acceptor.promise(
+                number,
+                new Acceptor.PromiseCallbacks(
+                        () -> beginPrepare(ownPromise),
+                        higher -> fail(true, PREEMPTED),
+                        () -> fail(false, WRITE_FAILED)));
     }
 
-    void promised(String from, ProposalNumber of, ProposalNumber accepted, List<String> crew, boolean hearsay) {
-        if (!of.equals(stamp) || phase == Phase.OVER || !asked.contains(from)) {
+    private void beginPrepare(RoundPhase ownPromise) {
+        if (phase != ownPromise) {
             return;
         }
-        promises.add(from, accepted, crew, hearsay);
-        if (phase == Phase.PREPARE) {
-            weigh();
-        }
+        phase = prepare;
+        restartDeadline();
+        prepare.begin(acceptor);
+        evaluatePromises();
     }
 
-    private void weigh() {
-        ProposalNumber top = promises.top();
-        List<String> crew = promises.crew();
-        // One that was let in may have its promise in the way of the state that says so: others tell.
-        ask(crew);
-        if (!ReplicatedState.most(crew, promises.from())) {
+    /** Goes on once a majority of the voters of the highest accepted state has promised. */
+    private void evaluatePromises() {
+        List<String> voters = promises.voters();
+        // A new voter's promise may stand in the way of the state that made it one: others name it.
+        prepare.ask(voters);
+        if (!ReplicatedState.isMajority(voters, promises.from())) {
             return;
         }
-        if (!crew.contains(desk.own)) {
-            fail(false, "this harbour has been taken out of the crew");
+        if (!voters.contains(context.own)) {
+            fail(false, "this replica is no longer a voter");
             return;
         }
-        if (copy.accepted().equals(top)) {
-            apply(copy.state());
-        } else if (shown.stamp().equals(top)) {
-            apply(shown);
+        ProposalNumber highest = promises.highest();
+        if (acceptor.accepted().equals(highest)) {
+            applyProposals(acceptor.state());
+        } else if (committed.number().equals(highest)) {
+            applyProposals(committed);
         } else {
-            phase = Phase.FETCH;
-            until = desk.now + 2 * desk.plan.roundMost();
-            fetch = new StateTransfer(desk, top, promises.having(top), shown, copy.state());
+            deadline = context.now + 2 * context.options.roundTimeoutMicros();
+            phase = new FetchPhase(highest);
         }
     }
 
-    /** Takes a piece of the base. */
-    void piece(ProposalNumber of, Map<?, ?> message) {
-        if (phase == Phase.FETCH && fetch.stamp().equals(of)) {
-            until = Math.max(until, desk.now + desk.plan.roundMost());
-            ReplicatedState whole = fetch.piece(message);
-            if (whole != null) {
-                apply(whole);
-            }
+    private void applyProposals(ReplicatedState found) {
+        // After a stop of this process a promise may come before the clock does: their callers are elsewhere.
+        failExpired();
+        base = found;
+        base.configuration().sum(); // Once known here, it is kept up with each change.
+        batch = new ProposalBatch(proposals, base.configuration());
+        // Voters may change only where those before are known to be chosen, or two sets could part.
+        boolean chosen = ReplicatedState.isMajority(base.voters(), promises.voted(base.number()));
+        List<String> voters = chosen ? planner.nextVoters(base.voters()) : base.voters();
+        List<Item> changed = batch.changed();
+        if (chosen && changed.isEmpty() && voters.equals(base.voters())) {
+            commit(base);
+            return;
         }
+        next = new ReplicatedState(number, voters, batch.result());
+        acceptMyself(changed);
     }
 
-    void gone(String from, ProposalNumber of) {
-        if (phase == Phase.FETCH && fetch.stamp().equals(of)) {
-            fetch.gone(from);
-        }
+    private void acceptMyself(List<Item> changed) {
+        RoundPhase ownAccept = new OwnWrite();
+        phase = ownAccept;
+        boolean fullSnapshot = !acceptor.accepted().equals(base.number());
+        acceptor.accept(
+                new Acceptor.AcceptRequest(
+                        number,
+                        base.number(),
+                        fullSnapshot,
+                        next.voters(),
+                        fullSnapshot ? next.configuration().items() : changed),
+                new Acceptor.AcceptCallbacks(
+                        () -> beginAccept(ownAccept),
+                        higher -> fail(true, PREEMPTED),
+                        () -> fail(true, "the acceptor has moved on"),
+                        () -> fail(false, WRITE_FAILED)));
     }
 
-    private void apply(ReplicatedState found) {
-        // After a stop of this process a promise may come before the clock does: their callers are elsewhere.
-        endLate();
-        base = found;
-        base.manifest().sum(); // Known here, it is kept up with what changes.
-        batch = new ProposalBatch(tickets, base.manifest());
-        // A crew may change only where the one before it is known to be agreed, or two crews could part.
-        boolean settled = ReplicatedState.most(base.crew(), promises.voted(base.stamp()));
-        List<String> crew = settled ? wish.of(base.crew()) : base.crew();
-        List<Item> changed = batch.changed();
-        if (settled && changed.isEmpty() && crew.equals(base.crew())) {
-            decided(base);
+    private void beginAccept(RoundPhase ownAccept) {
+        if (phase != ownAccept) {
             return;
         }
-        next = new ReplicatedState(stamp, crew, batch.result());
-        phase = Phase.SELF_ACCEPT;
-        boolean whole = !copy.accepted().equals(base.stamp());
-        copy.accept(
-                stamp,
-                base.stamp(),
-                whole,
-                crew,
-                whole ? next.manifest().items() : changed,
-                this::acceptedMyself,
-                higher -> fail(true, "another round went first"),
-                () -> fail(true, "the copy has moved on"),
-                () -> fail(false, "the disk takes no writes"));
+        restartDeadline();
+        AcceptPhase accept = new AcceptPhase(context, this, promises, base, next, batch.changed());
+        phase = accept;
+        accept.begin();
     }
 
-    private void acceptedMyself() {
-        if (phase != Phase.SELF_ACCEPT) {
-            return;
+    /** That state is chosen: the round is over. */
+    void commit(ReplicatedState state) {
+        phase = OVER;
+        batch.answer(context, state.number());
+        listener.committed(state);
+    }
+
+    void fail(boolean retryable, String reason) {
+        if (phase != OVER) {
+            phase = OVER;
+            listener.failed(proposals, retryable, reason + (next != null ? OUTCOME_OPEN : ""));
         }
-        phase = Phase.ACCEPT;
-        until = desk.now + desk.plan.roundMost();
-        sentAt = desk.now;
-        desk.history.step(base.stamp(), stamp, batch.changed());
-        acks.add(desk.own);
-        offer();
-        count();
     }
 
-    /** The members of the crews before and after. */
-    Set<String> voters() {
-        Set<String> voters = new HashSet<>(base.crew());
+    /** The voters before and after the change, once there is a base. */
+    Set<String> allVoters() {
+        Set<String> voters = new HashSet<>(base.voters());
         if (next != null) {
-            voters.addAll(next.crew());
+            voters.addAll(next.voters());
         }
         return voters;
     }
 
-    private void offer() {
-        for (String voter : voters().stream().sorted().toList()) {
-            if (!acks.contains(voter)) {
-                offer(voter);
-            }
-        }
+    /** Whether it waits for this replica's disk. */
+    boolean waitsForDisk() {
+        return phase.waitsForDisk();
     }
 
-    /** Who has another state than the base gets what changed since a state that it holds, or the whole. */
-    private void offer(String to) {
-        ChangeHistory.Difference difference = new ChangeHistory.Difference(base.stamp(), batch.changed());
-        if (needWhole.contains(to)) {
-            difference = null;
-        } else if (otherBase.contains(to) || !promises.mayHave(to, base.stamp())) {
-            difference = desk.history.since(desk.held(to), next);
-        }
-        if (difference != null) {
-            send(to, difference.from(), false, difference.items());
-        } else if (desk.now - wholeSentAt.getOrDefault(to, -WHOLE_AGAIN) >= WHOLE_AGAIN) {
-            List<Item> all = next.manifest().items();
-            wholeSentAt.put(to, desk.now);
-            until = Math.max(
-                    until,
-                    desk.now
-                            + desk.plan.roundMost()
-                            + WHOLE_PIECE * SnapshotCache.parts(all.size(), desk.plan.pieceItems()));
-            send(to, base.stamp(), true, all);
+    void onPromise(String from, ConsensusMessage.Promise promise) {
+        if (phase != OVER && promise.number().equals(number) && prepare.record(from, promise) && phase == prepare) {
+            evaluatePromises();
         }
     }
 
-    private void send(String to, ProposalNumber from, boolean whole, List<Item> items) {
-        int size = desk.plan.pieceItems();
-        int parts = SnapshotCache.parts(items.size(), size);
-        for (int part = 0; part < parts; part++) {
-            desk.send(
-                    to,
-                    ConsensusMessages.of(
-                            ConsensusMessages.ACCEPT,
-                            "to",
-                            to,
-                            "b",
-                            stamp,
-                            "base",
-                            from,
-                            "whole",
-                            whole,
-                            "sum",
-                            next.manifest().sum(),
-                            "crew",
-                            next.crew(),
-                            "part",
-                            (long) part,
-                            "parts",
-                            (long) parts,
-                            "items",
-                            ConsensusMessages.maps(SnapshotCache.piece(items, part, size))));
+    /** A voter has promised higher. If the others are too few or too slow, this round is given up. */
+    void onRejected(String from, ConsensusMessage.Rejected rejected) {
+        Optional<List<String>> voters = phase.requiredVoters();
+        if (!rejected.number().equals(number) || voters.isEmpty()) {
+            return;
+        }
+        rejectedBy.add(from);
+        Set<String> remaining = new HashSet<>(voters.get());
+        remaining.removeAll(rejectedBy);
+        if (!ReplicatedState.isMajority(voters.get(), remaining)) {
+            fail(true, PREEMPTED);
+        } else {
+            deadline = Math.min(deadline, context.now + context.options.rejectedRoundTimeoutMicros());
         }
     }
 
-    void mismatch(String from, ProposalNumber of) {
-        if (of.equals(stamp)
-                && phase == Phase.ACCEPT
-                && voters().contains(from)
-                && (otherBase.add(from) || needWhole.add(from))) {
-            offer(from);
+    void onAccepted(String from, ConsensusMessage.Accepted accepted) {
+        if (accepted.number().equals(number)) {
+            phase.onAccepted(from);
         }
     }
 
-    void accepted(String from, ProposalNumber of) {
-        if (of.equals(stamp) && phase == Phase.ACCEPT && acks.add(from)) {
-            count();
+    void onBaseMismatch(String from, ConsensusMessage.BaseMismatch mismatch) {
+        if (mismatch.number().equals(number)) {
+            phase.onBaseMismatch(from);
         }
     }
 
-    private void count() {
-        if (ReplicatedState.most(base.crew(), acks) && ReplicatedState.most(next.crew(), acks)) {
-            decided(next);
-        }
+    void onStateChunk(ConsensusMessage.StateChunk chunk) {
+        phase.onStateChunk(chunk);
     }
 
-    private void decided(ReplicatedState state) {
-        phase = Phase.OVER;
-        batch.answer(desk, state.stamp());
-        end.decided(state);
+    void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {
+        phase.onStateUnavailable(from, unavailable);
     }
 
-    /** Somebody has promised higher. If the others are too few or too slow, this round is given up. */
-    void nack(String from, ProposalNumber of) {
-        if (!of.equals(stamp) || phase != Phase.PREPARE && phase != Phase.ACCEPT) {
-            return;
-        }
-        nacks.add(from);
-        List<String> crew = phase == Phase.ACCEPT ? base.crew() : promises.crewOf(desk.own);
-        if (2 * crew.stream().filter(m -> !nacks.contains(m)).count() <= crew.size()) {
-            fail(true, "another round went first");
+    void tick() {
+        failExpired();
+        if (!phase.waitsForDisk() && context.now >= deadline) {
+            fail(true, TIMED_OUT);
         } else {
-            until = Math.min(until, desk.now + desk.plan.afterNack());
+            phase.tick();
         }
     }
 
-    private void endLate() {
-        List<Proposal> late =
-                tickets.stream().filter(t -> t.deadline() <= desk.now).toList();
-        for (Proposal ticket : late) {
-            desk.answer(
-                    ticket.number(),
-                    new ProposalResult.Unavailable(
-                            next != null ? "not agreed in time, the outcome is open" : "not agreed in time"));
-        }
-        if (!late.isEmpty()) {
-            // What was offered stays as it is; only nobody waits for it any more.
-            tickets = new ArrayList<>(tickets);
-            tickets.removeAll(late);
-            if (batch != null) {
-                batch.drop(late);
-            }
-        }
+    /** The round may last so much longer from now on. */
+    void extendDeadline(long micros) {
+        deadline = Math.max(deadline, context.now + micros);
     }
 
-    void tick() {
-        endLate();
-        if (phase != Phase.SELF_PROMISE && phase != Phase.SELF_ACCEPT && desk.now >= until) {
-            fail(true, "not agreed in time");
-        } else if (phase == Phase.FETCH) {
-            fetch.tick();
-            if (fetch.failed()) {
-                fail(true, "the base is gone");
-            }
-        } else if (phase == Phase.PREPARE && resendDue()) {
-            asked.stream().sorted().filter(m -> !promises.from().contains(m)).forEach(this::prepare);
-        } else if (phase == Phase.ACCEPT && resendDue()) {
-            offer();
-        }
+    private void restartDeadline() {
+        deadline = context.now + context.options.roundTimeoutMicros();
     }
 
-    private boolean resendDue() {
-        if (desk.now - sentAt < desk.plan.resendAfter()) {
-            return false;
+    /** Answers proposals whose time is over. What was offered stays as it is; only nobody waits for it. */
+    private void failExpired() {
+        List<Proposal> expired = proposals.stream()
+                .filter(proposal -> proposal.deadline() <= context.now)
+                .toList();
+        if (expired.isEmpty()) {
+            return;
         }
-        sentAt = desk.now;
-        return true;
-    }
-
-    void fail(boolean again, String reason) {
-        if (phase != Phase.OVER) {
-            phase = Phase.OVER;
-            end.failed(tickets, again, reason + (next != null ? ", the outcome is open" : ""));
+        String reason = TIMED_OUT + (next != null ? OUTCOME_OPEN : "");
+        expired.forEach(proposal -> context.answer(proposal.id(), new ProposalResult.Unavailable(reason)));
+        proposals = new ArrayList<>(proposals);
+        proposals.removeAll(expired);
+        if (batch != null) {
+            batch.drop(expired);
         }
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/Proposer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Proposer.java
@@ -4,163 +4,178 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeSet;
 
-/** Runs rounds, one at a time: for tickets that wait, to settle what is open, and to change the crew. */
-final class Proposer implements ProposalRound.End {
+/**
+ * Runs proposal rounds, one at a time: for proposals that wait, to find out whether an accepted state is
+ * chosen, and to change the voters. After a failed round the next one waits for a random backoff that grows.
+ */
+final class Proposer implements ProposalRound.Listener {
 
-    private static final int MOST_DOUBLINGS = 5;
+    static final String DISK_FAILED = "the disk of this replica takes no writes";
+    static final String NOT_A_VOTER = "this replica is not a voter";
 
-    private final ReplicaContext desk;
-    private final Acceptor copy;
-    private final CommittedState decided;
-    private final VoterChangePlanner wish;
+    private static final int MAX_DOUBLINGS = 5;
+
+    private final ReplicaContext context;
+    private final Acceptor acceptor;
+    private final CommittedState committedState;
+    private final VoterChangePlanner planner;
     private final Deque<Proposal> waiting = new ArrayDeque<>();
     private ProposalRound round;
     private long notBefore;
     private int failures;
 
-    Proposer(ReplicaContext desk, Acceptor copy, CommittedState decided, VoterChangePlanner wish) {
-        this.desk = desk;
-        this.copy = copy;
-        this.decided = decided;
-        this.wish = wish;
+    Proposer(ReplicaContext context, Acceptor acceptor, CommittedState committedState, VoterChangePlanner planner) {
+        this.context = context;
+        this.acceptor = acceptor;
+        this.committedState = committedState;
+        this.planner = planner;
     }
 
-    void submit(Proposal ticket) {
-        if (ticket.deadline() <= desk.now) {
-            late(ticket);
+    void submit(Proposal proposal) {
+        if (proposal.deadline() <= context.now) {
+            answerExpired(proposal);
             return;
         }
-        waiting.add(ticket);
-        next();
+        waiting.add(proposal);
+        beginIfIdle();
     }
 
-    private void late(Proposal ticket) {
-        desk.answer(ticket.number(), new ProposalResult.Unavailable("not agreed in time"));
+    private void answerExpired(Proposal proposal) {
+        context.answer(proposal.id(), new ProposalResult.Unavailable("not agreed in time"));
     }
 
     /** Begins a round for what waits, if none is on. */
-    void next() {
+    void beginIfIdle() {
         if (round == null && !waiting.isEmpty() && ready()) {
             begin();
         }
     }
 
     private boolean ready() {
-        return desk.now >= notBefore && copy.knowing() && !copy.sick();
+        return context.now >= notBefore && acceptor.initialized() && !acceptor.diskFailed();
     }
 
     private void begin() {
-        List<Proposal> tickets = new ArrayList<>(waiting);
+        List<Proposal> proposals = new ArrayList<>(waiting);
         waiting.clear();
-        round = new ProposalRound(desk, copy, decided.shown(), wish, tickets, this);
+        round = new ProposalRound(context, acceptor, committedState.state(), planner, proposals, this);
         round.begin();
     }
 
-    void tick(boolean member) {
-        waiting.removeIf(ticket -> {
-            boolean late = ticket.deadline() <= desk.now;
-            if (late) {
-                late(ticket);
-            }
-            return late;
-        });
-        if (copy.sick()) {
-            if (round != null && round.needsDisk()) {
-                round.fail(false, "the disk of this harbour takes no writes");
+    void tick(boolean isVoter) {
+        failExpired();
+        if (acceptor.diskFailed()) {
+            if (round != null && round.waitsForDisk()) {
+                round.fail(false, DISK_FAILED);
             }
-            refuse("the disk of this harbour takes no writes");
+            rejectWaiting(DISK_FAILED);
         }
         if (round != null) {
             round.tick();
         }
-        if (!copy.knowing()) {
+        if (!acceptor.initialized()) {
             return;
         }
-        if (!member) {
-            refuse("this harbour is not in the crew");
+        if (!isVoter) {
+            rejectWaiting(NOT_A_VOTER);
             return;
         }
-        boolean settle = decided.settleDue();
-        List<String> crew = copy.state().crew();
+        beginIfDue();
+    }
+
+    private void beginIfDue() {
+        boolean recoveryDue = committedState.recoveryDue();
+        List<String> voters = acceptor.state().voters();
         if (round == null
                 && ready()
-                && (settle || !waiting.isEmpty() || !wish.of(crew).equals(crew))) {
+                && (recoveryDue
+                        || !waiting.isEmpty()
+                        || !planner.nextVoters(voters).equals(voters))) {
             begin();
         }
     }
 
-    private void refuse(String reason) {
-        for (Proposal ticket; (ticket = waiting.poll()) != null; ) {
-            desk.answer(ticket.number(), new ProposalResult.Unavailable(reason));
-        }
+    private void failExpired() {
+        waiting.removeIf(proposal -> {
+            boolean expired = proposal.deadline() <= context.now;
+            if (expired) {
+                answerExpired(proposal);
+            }
+            return expired;
+        });
+    }
+
+    private void rejectWaiting(String reason) {
+        waiting.forEach(proposal -> context.answer(proposal.id(), new ProposalResult.Unavailable(reason)));
+        waiting.clear();
     }
 
     @Override
-    public void decided(ReplicatedState state) {
+    public void committed(ReplicatedState state) {
         ProposalRound done = round;
         round = null;
         failures = 0;
-        if (state.stamp().above(decided.stamp())) {
-            TreeSet<String> others = new TreeSet<>(state.crew());
-            others.addAll(copy.state().crew());
-            others.addAll(done.voters());
-            others.forEach(o -> desk.send(o, ConsensusMessages.of(ConsensusMessages.DECIDED, "b", state.stamp())));
+        if (state.number().above(committedState.number())) {
+            TreeSet<String> learners = new TreeSet<>(state.voters());
+            learners.addAll(acceptor.state().voters());
+            learners.addAll(done.allVoters());
+            learners.forEach(learner -> context.send(learner, new ConsensusMessage.Committed(state.number())));
         }
-        decided.show(state);
-        next();
+        committedState.publish(state);
+        beginIfIdle();
     }
 
     @Override
-    public void failed(List<Proposal> tickets, boolean again, String reason) {
+    public void failed(List<Proposal> proposals, boolean retryable, String reason) {
         round = null;
-        if (!again) {
-            tickets.forEach(t -> desk.answer(t.number(), new ProposalResult.Unavailable(reason)));
-        } else {
-            for (int i = tickets.size() - 1; i >= 0; i--) {
-                waiting.addFirst(tickets.get(i));
+        if (retryable) {
+            for (int i = proposals.size() - 1; i >= 0; i--) {
+                waiting.addFirst(proposals.get(i));
             }
+        } else {
+            proposals.forEach(proposal -> context.answer(proposal.id(), new ProposalResult.Unavailable(reason)));
         }
-        long most = desk.plan.backoffLeast() << Math.min(failures++, MOST_DOUBLINGS);
-        notBefore = desk.now + desk.plan.backoffLeast() + desk.jitter(Math.min(desk.plan.backoffMost(), 2 * most));
+        long minBackoff = context.options.minBackoffMicros();
+        long maxJitter = 2 * (minBackoff << Math.min(failures++, MAX_DOUBLINGS));
+        notBefore = context.now + minBackoff + context.jitter(Math.min(context.options.maxBackoffMicros(), maxJitter));
     }
 
-    void promised(String from, ProposalNumber of, ProposalNumber accepted, List<String> crew, boolean hearsay) {
+    void onPromise(String from, ConsensusMessage.Promise promise) {
         if (round != null) {
-            round.promised(from, of, accepted, crew, hearsay);
+            round.onPromise(from, promise);
         }
     }
 
-    void nack(String from, ProposalNumber of, ProposalNumber promised) {
-        desk.seen(promised);
+    void onRejected(String from, ConsensusMessage.Rejected rejected) {
+        context.seen(rejected.promised());
         if (round != null) {
-            round.nack(from, of);
+            round.onRejected(from, rejected);
         }
     }
 
-    void accepted(String from, ProposalNumber of) {
+    void onAccepted(String from, ConsensusMessage.Accepted accepted) {
         if (round != null) {
-            round.accepted(from, of);
+            round.onAccepted(from, accepted);
         }
     }
 
-    void mismatch(String from, ProposalNumber of) {
+    void onBaseMismatch(String from, ConsensusMessage.BaseMismatch mismatch) {
         if (round != null) {
-            round.mismatch(from, of);
+            round.onBaseMismatch(from, mismatch);
         }
     }
 
-    void piece(ProposalNumber of, Map<?, ?> message) {
+    void onStateChunk(ConsensusMessage.StateChunk chunk) {
         if (round != null) {
-            round.piece(of, message);
+            round.onStateChunk(chunk);
         }
     }
 
-    void gone(String from, ProposalNumber of) {
+    void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {
         if (round != null) {
-            round.gone(from, of);
+            round.onStateUnavailable(from, unavailable);
         }
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/QuorumContact.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/QuorumContact.java
@@ -14,149 +14,179 @@
 import java.util.stream.Stream;
 
 /**
- * As of when this harbour is known to have been in contact with a majority. Its words about itself are
- * numbered, and each peer says back the last number that it has heard. That proves contact as of the moment
- * at which the number was sent, on this harbour's own clock: what a cut holds up and delivers late proves
+ * As of when this replica is known to have been in contact with a majority. Its heartbeats are numbered, and
+ * each peer echoes the last number that it has heard. That proves contact as of the moment at which the
+ * heartbeat was sent, on this replica's own clock: what a partition holds up and delivers late proves
  * nothing, and no two clocks are compared.
  *
- * <p>What is shown is the newest as of a moment if a majority of its crew, asked at that moment or later, had
- * accepted nothing above it: a state agreed before would have been accepted by one of them.
+ * <p>The committed state is confirmed as the newest as of a moment if a majority of its voters, asked at that
+ * moment or later, had accepted nothing above it: a state committed before would have been accepted by one of
+ * them.
+ *
+ * <p>Proposals that come while contact is lost wait here, for as long as an answer to a probe may take.
  */
 final class QuorumContact {
 
     static final long NEVER = Long.MIN_VALUE;
 
-    private static final int KEPT = 64;
+    /** How many of the last heartbeats an echo is taken for. */
+    private static final int REMEMBERED_HEARTBEATS = 64;
+
+    /** An echo: when the echoed heartbeat was sent, and the peer's incarnation and accepted state. */
+    private record Proof(long at, long incarnation, ProposalNumber accepted) {}
 
-    /** What a peer has said back: when the number was sent, in which life it spoke, what it had accepted. */
-    private record Proof(long at, long life, ProposalNumber accepted) {}
+    /** The last heartbeat from an address: what is echoed to it. */
+    private record HeardHeartbeat(long incarnation, long sequence) {}
 
-    /** The last number heard from an address, and in which life. */
-    private record Heard(long life, long number) {}
+    private record PendingProposal(Proposal proposal, long until) {}
 
-    /** A proposal that came while no majority was reached: until when one is looked for. */
-    private record Held(Proposal proposal, long until) {}
+    private final ReplicaContext context;
+    private final long startedAt;
+    /** When the last heartbeats were sent, by sequence number. */
+    private final long[] sentAt = new long[REMEMBERED_HEARTBEATS];
 
-    private final ReplicaContext desk;
-    private final long begun;
-    private final long[] sentAt = new long[KEPT];
     private final Map<String, Proof> proofs = new HashMap<>();
-    private final Map<String, Heard> numbers = new HashMap<>();
-    private final Deque<Held> held = new ArrayDeque<>();
-    private long number;
+    private final Map<String, HeardHeartbeat> heardHeartbeats = new HashMap<>();
+    private final Deque<PendingProposal> pending = new ArrayDeque<>();
+    private long sequence;
     private long confirmedAt = NEVER;
     private long probedAt = NEVER;
 
-    QuorumContact(ReplicaContext desk) {
-        this.desk = desk;
-        begun = desk.now;
+    QuorumContact(ReplicaContext context) {
+        this.context = context;
+        startedAt = context.now;
     }
 
-    /** The number of what is told now. */
-    long next() {
-        sentAt[(int) (++number % KEPT)] = desk.now;
-        return number;
+    /** The sequence number of a heartbeat that is sent now. */
+    long nextSequence() {
+        sequence++;
+        sentAt[(int) (sequence % REMEMBERED_HEARTBEATS)] = context.now;
+        return sequence;
     }
 
-    /** What is said back to an address; zeros where nothing was heard. */
-    long echo(String to) {
-        return numbers.containsKey(to) ? numbers.get(to).number : 0;
+    /** The sequence number echoed to an address; 0 where nothing was heard. */
+    long echoedSequence(String address) {
+        HeardHeartbeat heard = heardHeartbeats.get(address);
+        return heard == null ? 0 : heard.sequence;
     }
 
-    long echoLife(String to) {
-        return numbers.containsKey(to) ? numbers.get(to).life : 0;
+    /** The incarnation that the echo to an address is for; 0 where nothing was heard. */
+    long echoedIncarnation(String address) {
+        HeardHeartbeat heard = heardHeartbeats.get(address);
+        return heard == null ? 0 : heard.incarnation;
     }
 
-    /** A peer tells of itself, and says back what it has heard of a life of this harbour. */
-    void told(String from, PeerTable.Word word, long its, long echoLife, long echo) {
-        String address = ReplicaKey.address(from);
-        Heard before = numbers.get(address);
-        if (before == null || before.life != word.life() || before.number < its) {
-            numbers.put(address, new Heard(word.life(), its));
-        }
-        Proof old = proofs.get(from);
-        if (word.blank() || old != null && old.life != word.life()) {
+    void onHeartbeat(String from, ConsensusMessage.Heartbeat heartbeat) {
+        rememberForEcho(ReplicaKey.address(from), heartbeat);
+        Proof before = proofs.get(from);
+        if (heartbeat.blank() || before != null && before.incarnation != heartbeat.incarnation()) {
             proofs.remove(from);
-            old = null;
+            before = null;
         }
-        if (!word.blank() && echoLife == desk.life && echo > number - KEPT && echo > 0 && echo <= number) {
-            long at = sentAt[(int) (echo % KEPT)];
-            if (old == null || at >= old.at) {
-                proofs.put(from, new Proof(at, word.life(), word.accepted()));
+        long echo = heartbeat.echoedSequence();
+        if (!heartbeat.blank() && heartbeat.echoedIncarnation() == context.incarnation && isRemembered(echo)) {
+            long at = sentAt[(int) (echo % REMEMBERED_HEARTBEATS)];
+            if (before == null || at >= before.at) {
+                proofs.put(from, new Proof(at, heartbeat.incarnation(), heartbeat.accepted()));
             }
         }
     }
 
-    /** As of when most of a crew had heard this harbour. */
-    long reachedAt(List<String> crew) {
-        return most(crew, true, proof -> proof.at);
+    private void rememberForEcho(String address, ConsensusMessage.Heartbeat heartbeat) {
+        HeardHeartbeat before = heardHeartbeats.get(address);
+        if (before == null || before.incarnation != heartbeat.incarnation() || before.sequence < heartbeat.sequence()) {
+            heardHeartbeats.put(address, new HeardHeartbeat(heartbeat.incarnation(), heartbeat.sequence()));
+        }
+    }
+
+    private boolean isRemembered(long echo) {
+        return echo > sequence - REMEMBERED_HEARTBEATS && echo > 0 && echo <= sequence;
+    }
+
+    /** As of when a majority had heard this replica. */
+    long contactAt(List<String> voters) {
+        return timeOfMajority(voters, true, proof -> proof.at);
     }
 
     /** Whether no majority has been reached for too long to expect that anything can be agreed. */
-    boolean lost(List<String> crew) {
-        return desk.now - Math.max(begun, reachedAt(crew)) > desk.plan.contactWithin();
+    boolean isLost(List<String> voters) {
+        long lastContact = Math.max(startedAt, contactAt(voters));
+        return context.now - lastContact > context.options.quorumContactTimeoutMicros();
     }
 
-    /** What is shown may have come to be known as the newest. */
-    void look(ReplicatedState shown, ProposalNumber accepted, List<String> crew) {
-        boolean own = !accepted.above(shown.stamp());
-        ToLongFunction<Proof> asOf = proof -> proof.accepted.above(shown.stamp()) ? NEVER : proof.at;
-        List<String> its = shown.crew().isEmpty() ? crew : shown.crew();
-        confirmedAt = Math.max(confirmedAt, Math.min(most(its, own, asOf), most(crew, own, asOf)));
+    /** The committed state may have come to be known as the newest. */
+    void confirm(ReplicatedState committed, ProposalNumber accepted, List<String> voters) {
+        boolean ownCounts = !accepted.above(committed.number());
+        ToLongFunction<Proof> asOf = proof -> proof.accepted.above(committed.number()) ? NEVER : proof.at;
+        List<String> votersOfState = committed.voters().isEmpty() ? voters : committed.voters();
+        long asOfMajorities =
+                Math.min(timeOfMajority(votersOfState, ownCounts, asOf), timeOfMajority(voters, ownCounts, asOf));
+        confirmedAt = Math.max(confirmedAt, asOfMajorities);
     }
 
-    /** As of when what is shown was known to be the newest; of one that is not shown, never. */
+    /** As of when the committed state was known to be the newest. */
     long confirmedAt() {
         return confirmedAt;
     }
 
-    private long most(List<String> crew, boolean own, ToLongFunction<Proof> asOf) {
-        if (crew.isEmpty()) {
+    /** The latest time as of which a majority has a proof. */
+    private long timeOfMajority(List<String> voters, boolean ownCounts, ToLongFunction<Proof> asOf) {
+        if (voters.isEmpty()) {
             return NEVER;
         }
-        long[] times = crew.stream()
-                .mapToLong(member -> member.equals(desk.own)
-                        ? own ? desk.now : NEVER
-                        : proofs.containsKey(member) ? asOf.applyAsLong(proofs.get(member)) : NEVER)
-                .toArray();
+        long[] times = new long[voters.size()];
+        for (int i = 0; i < times.length; i++) {
+            times[i] = timeOf(voters.get(i), ownCounts, asOf);
+        }
         Arrays.sort(times);
-        return times[times.length - crew.size() / 2 - 1];
+        return times[times.length - voters.size() / 2 - 1];
+    }
+
+    private long timeOf(String voter, boolean ownCounts, ToLongFunction<Proof> asOf) {
+        if (voter.equals(context.own)) {
+            return ownCounts ? context.now : NEVER;
+        }
+        Proof proof = proofs.get(voter);
+        return proof == null ? NEVER : asOf.applyAsLong(proof);
     }
 
-    /** Keeps a proposal for as long as an answer to what is told now may take. */
-    void hold(Proposal proposal) {
-        held.add(new Held(proposal, Math.min(proposal.deadline(), desk.now + desk.plan.probeMost())));
+    /** Keeps a proposal for as long as an answer to a probe may take. */
+    void enqueue(Proposal proposal) {
+        long probeDeadline = context.now + context.options.probeTimeoutMicros();
+        pending.add(new PendingProposal(proposal, Math.min(proposal.deadline(), probeDeadline)));
     }
 
-    /** Hands on what was held once a majority is reached, and refuses what has waited for its time. */
-    void release(List<String> crew, Consumer<Proposal> then) {
-        boolean lost = !held.isEmpty() && lost(crew);
-        while (!held.isEmpty() && (!lost || desk.now >= held.peek().until)) {
-            Proposal next = held.poll().proposal;
+    /** Submits what is pending once a majority is reached, and rejects what has waited for its time. */
+    void release(List<String> voters, Consumer<Proposal> submit) {
+        boolean lost = !pending.isEmpty() && isLost(voters);
+        while (!pending.isEmpty() && (!lost || context.now >= pending.peek().until)) {
+            Proposal next = pending.poll().proposal;
             if (lost) {
-                desk.answer(
-                        next.number(),
-                        new ProposalResult.Unavailable("this harbour is not in contact with most of the crew"));
+                context.answer(
+                        next.id(),
+                        new ProposalResult.Unavailable("this replica is not in contact with a majority of the voters"));
             } else {
-                then.accept(next);
+                submit.accept(next);
             }
         }
     }
 
     /** Whether peers are to be asked to answer at once, since a proposal waits for that. */
     boolean probeDue() {
-        if (held.isEmpty() || probedAt != NEVER && desk.now - probedAt < desk.plan.probeEvery()) {
+        boolean probedLately = probedAt != NEVER && context.now - probedAt < context.options.probeIntervalMicros();
+        if (pending.isEmpty() || probedLately) {
             return false;
         }
-        probedAt = desk.now;
+        probedAt = context.now;
         return true;
     }
 
-    void prune(Collection<String> crew, Set<String> live) {
-        Set<String> addresses = Stream.concat(crew.stream(), live.stream())
+    /** Forgets peers that are neither voters nor live. */
+    void prune(Collection<String> voters, Set<String> live) {
+        Set<String> addresses = Stream.concat(voters.stream(), live.stream())
                 .map(ReplicaKey::address)
                 .collect(Collectors.toSet());
-        numbers.keySet().retainAll(addresses);
-        proofs.keySet().removeIf(who -> !crew.contains(who) && !live.contains(who));
+        heardHeartbeats.keySet().retainAll(addresses);
+        proofs.keySet().removeIf(peer -> !voters.contains(peer) && !live.contains(peer));
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicaContext.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicaContext.java
@@ -7,33 +7,43 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** What all parts of one harbour share: its name, the time of the input being worked on, and what to do. */
+/**
+ * What all parts of one replica share: its identity and options, the time of the call being worked on, and
+ * the effects collected for the caller.
+ */
 final class ReplicaContext {
 
-    final ConsensusOptions plan;
-    /** Where this harbour is spoken to, the number of its disk, and the member that they are. */
+    final ConsensusOptions options;
+    /** Where peers reach this replica, the number of its disk, and the replica key that both make up. */
     final String address;
 
-    final long disk;
+    final long diskId;
     final String own;
-    final long life;
+    final long incarnation;
     final SplittableRandom random;
+    /** The time of the call being worked on, in microseconds. */
     long now;
-    /** Above all rounds that were seen. */
+    /** The highest round of any proposal number seen. */
     long highestRound;
 
     final ChangeHistory history = new ChangeHistory();
-    /** States that others hold whole, as each told last. */
-    private final Map<String, List<ProposalNumber>> held = new HashMap<>();
+    /** By replica, the states that it holds in full, as it said last. */
+    private final Map<String, List<ProposalNumber>> heldStates = new HashMap<>();
 
     private List<Effect> effects = new ArrayList<>();
 
-    ReplicaContext(ConsensusOptions plan, String address, long disk, long life, SplittableRandom random, long now) {
-        this.plan = plan;
+    ReplicaContext(
+            ConsensusOptions options,
+            String address,
+            long diskId,
+            long incarnation,
+            SplittableRandom random,
+            long now) {
+        this.options = options;
         this.address = address;
-        this.disk = disk;
-        own = ReplicaKey.of(address, disk);
-        this.life = life;
+        this.diskId = diskId;
+        own = ReplicaKey.of(address, diskId);
+        this.incarnation = incarnation;
         this.random = random;
         this.now = now;
     }
@@ -42,36 +52,39 @@
         effects.add(effect);
     }
 
-    void holds(String harbour, ProposalNumber... states) {
-        held.put(
-                harbour,
+    void rememberHeldStates(String replica, ProposalNumber... states) {
+        heldStates.put(
+                replica,
                 Arrays.stream(states)
-                        .filter(s -> !s.equals(ProposalNumber.ZERO))
+                        .filter(state -> !state.equals(ProposalNumber.ZERO))
                         .toList());
     }
 
-    List<ProposalNumber> held(String harbour) {
-        return held.getOrDefault(harbour, List.of());
+    List<ProposalNumber> heldStates(String replica) {
+        return heldStates.getOrDefault(replica, List.of());
     }
 
-    void send(String to, Map<String, Object> message) {
+    /** Sends to an address or replica key; what would go to this replica itself is dropped. */
+    void send(String to, ConsensusMessage message) {
         if (!ReplicaKey.address(to).equals(address)) {
-            effects.add(new Effect.Send(to, message));
+            effects.add(new Effect.Send(to, ConsensusMessageCodec.encode(message)));
         }
     }
 
-    void answer(long ticket, ProposalResult verdict) {
-        effects.add(new Effect.Answer(ticket, verdict));
+    void answer(long proposalId, ProposalResult result) {
+        effects.add(new Effect.Answer(proposalId, result));
     }
 
-    void seen(ProposalNumber stamp) {
-        highestRound = Math.max(highestRound, stamp.round());
+    void seen(ProposalNumber number) {
+        highestRound = Math.max(highestRound, number.round());
     }
 
-    long jitter(long most) {
-        return most <= 0 ? 0 : random.nextLong(most);
+    /** A random time below the limit, in microseconds; 0 where the limit is not positive. */
+    long jitter(long limitMicros) {
+        return limitMicros <= 0 ? 0 : random.nextLong(limitMicros);
     }
 
+    /** Hands over the effects collected since the last call. */
     List<Effect> take() {
         List<Effect> taken = effects;
         effects = new ArrayList<>();
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicaKey.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicaKey.java
@@ -1,8 +1,9 @@
 package org.cypressweir.controlplane.consensus;
 
 /**
- * A member is an address and the number of the disk there, written {@code address/number}, or the address
- * alone where the number is 0: on disks of the very first start. Another disk is another member.
+ * Names a replica: an address and the number of the disk there, written {@code address/number}, or the address
+ * alone where the number is 0: on disks of the very first start. Another disk is another replica, since it
+ * has not promised what the one before has.
  */
 public final class ReplicaKey {
 
@@ -12,9 +13,9 @@
         return disk == 0 ? address : address + "/" + disk;
     }
 
-    /** Where that member is spoken to. */
-    public static String address(String member) {
-        int slash = member.indexOf('/');
-        return slash < 0 ? member : member.substring(0, slash);
+    /** Where that replica is reached. */
+    public static String address(String key) {
+        int slash = key.indexOf('/');
+        return slash < 0 ? key : key.substring(0, slash);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicatedState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicatedState.java
@@ -4,10 +4,11 @@
 import java.util.List;
 import org.cypressweir.controlplane.configuration.Configuration;
 
-/** The whole agreed state under the stamp that names it. */
-public record ReplicatedState(ProposalNumber stamp, List<String> crew, Configuration manifest) {
+/** The replicated state: configuration and voters, under the number of the proposal that made it. Immutable. */
+public record ReplicatedState(ProposalNumber number, List<String> voters, Configuration configuration) {
 
-    static boolean most(List<String> crew, Collection<String> of) {
-        return 2 * crew.stream().filter(of::contains).count() > crew.size();
+    /** Whether these replicas include a majority of the voters. */
+    static boolean isMajority(List<String> voters, Collection<String> replicas) {
+        return 2 * voters.stream().filter(replicas::contains).count() > voters.size();
     }
 }
--- /dev/null
+++ b/src/main/java/org/cypressweir/controlplane/consensus/RoundPhase.java
@@ -0,0 +1,28 @@
+package org.cypressweir.controlplane.consensus;
+
+import java.util.List;
+import java.util.Optional;
+
+/** A phase of a {@link ProposalRound}. What a phase does not wait for, it ignores. */
+interface RoundPhase {
+
+    /** Whether the phase waits for this replica's own disk, and so has no deadline. */
+    default boolean waitsForDisk() {
+        return false;
+    }
+
+    /** The voters of whom a majority has to answer; none where the phase asks nobody. */
+    default Optional<List<String>> requiredVoters() {
+        return Optional.empty();
+    }
+
+    default void onAccepted(String from) {}
+
+    default void onBaseMismatch(String from) {}
+
+    default void onStateChunk(ConsensusMessage.StateChunk chunk) {}
+
+    default void onStateUnavailable(String from, ConsensusMessage.StateUnavailable unavailable) {}
+
+    default void tick() {}
+}
--- a/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
@@ -7,87 +7,88 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * States that others may fetch in pieces. One that was told or asked for stays at hand for a time, so that
- * whoever fetches it is not outrun by writes. Neighbouring states share most of what they hold.
+ * States that peers may fetch in chunks. One that was named or fetched stays at hand for a time, so that a
+ * transfer is not outrun by writes. Neighbouring states share most of their items.
  */
 final class SnapshotCache {
 
-    private static final int MOST = 64;
-    private static final int LEAST = 8;
-    private static final long KEPT_FOR = 3_000_000;
+    private static final int MAX_STATES = 64;
+    private static final int MIN_STATES = 8;
+    private static final long RETENTION_MICROS = 3_000_000;
 
-    private static final class Kept {
+    private static final class CachedState {
         final ReplicatedState state;
+        /** Cut into chunks at first use; null before. */
         List<Item> items;
+
         long usedAt;
 
-        Kept(ReplicatedState state) {
+        CachedState(ReplicatedState state) {
             this.state = state;
         }
+
+        List<Item> items() {
+            if (items == null) {
+                items = state.configuration().items();
+            }
+            return items;
+        }
     }
 
-    private final ReplicaContext desk;
-    private final Map<ProposalNumber, Kept> kept = new LinkedHashMap<>(16, 0.75f, true);
+    private final ReplicaContext context;
+    /** In the order of last access. */
+    private final Map<ProposalNumber, CachedState> cached = new LinkedHashMap<>(16, 0.75f, true);
 
-    SnapshotCache(ReplicaContext desk) {
-        this.desk = desk;
+    SnapshotCache(ReplicaContext context) {
+        this.context = context;
     }
 
     void keep(ReplicatedState state) {
-        kept.computeIfAbsent(state.stamp(), s -> new Kept(state)).usedAt = desk.now;
-        Iterator<Kept> oldest = kept.values().iterator();
-        while (kept.size() > LEAST) {
-            if (desk.now - oldest.next().usedAt < KEPT_FOR && kept.size() <= MOST) {
+        cached.computeIfAbsent(state.number(), number -> new CachedState(state)).usedAt = context.now;
+        Iterator<CachedState> oldest = cached.values().iterator();
+        while (cached.size() > MIN_STATES) {
+            boolean recent = context.now - oldest.next().usedAt < RETENTION_MICROS;
+            if (recent && cached.size() <= MAX_STATES) {
                 return;
             }
             oldest.remove();
         }
     }
 
-    void asked(String from, ProposalNumber stamp, Map<String, Object> message) {
-        long part = ConsensusMessages.number(message, "part");
-        Kept found = kept.get(stamp);
+    void onFetchState(String from, ConsensusMessage.FetchState request) {
+        CachedState found = cached.get(request.number());
         if (found == null) {
-            desk.send(from, ConsensusMessages.of(ConsensusMessages.GONE, "b", stamp));
+            context.send(from, new ConsensusMessage.StateUnavailable(request.number()));
             return;
         }
-        found.usedAt = desk.now;
-        ChangeHistory.Difference since = desk.history.since(ConsensusMessages.stamps(message, "has"), found.state);
-        if (since == null && found.items == null) {
-            found.items = found.state.manifest().items();
-        }
-        List<Item> items = since == null ? found.items : since.items();
-        int size = desk.plan.pieceItems();
-        int parts = parts(items.size(), size);
-        if (part >= 0 && part < parts) {
-            desk.send(
-                    from,
-                    ConsensusMessages.of(
-                            ConsensusMessages.PIECE,
-                            "b",
-                            stamp,
-                            "ask",
-                            ConsensusMessages.number(message, "ask"),
-                            "from",
-                            since == null ? "" : since.from().toString(),
-                            "sum",
-                            found.state.manifest().sum(),
-                            "part",
-                            part,
-                            "parts",
-                            (long) parts,
-                            "crew",
-                            found.state.crew(),
-                            "items",
-                            ConsensusMessages.maps(piece(items, (int) part, size))));
+        found.usedAt = context.now;
+        ChangeHistory.Difference difference = context.history.since(request.heldStates(), found.state);
+        List<Item> items = difference == null ? found.items() : difference.items();
+        int chunkSize = context.options.itemsPerChunk();
+        int chunkCount = chunkCount(items.size(), chunkSize);
+        if (request.chunk() < 0 || request.chunk() >= chunkCount) {
+            return;
         }
+        context.send(
+                from,
+                new ConsensusMessage.StateChunk(
+                        request.number(),
+                        request.transfer(),
+                        difference == null ? null : difference.from(),
+                        found.state.configuration().sum(),
+                        request.chunk(),
+                        chunkCount,
+                        found.state.voters(),
+                        chunk(items, (int) request.chunk(), chunkSize)));
     }
 
-    static int parts(int items, int size) {
-        return Math.max(1, (items + size - 1) / size);
+    static int chunkCount(int itemCount, int chunkSize) {
+        return Math.max(1, (itemCount + chunkSize - 1) / chunkSize);
     }
 
-    static List<Item> piece(List<Item> items, int part, int size) {
-        return items.subList(Math.min(items.size(), part * size), Math.min(items.size(), (part + 1) * size));
+    static List<Item> chunk(List<Item> items, int chunk, int chunkSize) {
+        int from = Math.min(items.size(), chunk * chunkSize);
+        int to = Math.min(items.size(), (chunk + 1) * chunkSize);
+        return items.subList(from, to);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
@@ -5,133 +5,131 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * Fetches a state piece by piece: what changed since one that is held here, where the holder knows that, else
- * the whole. Any holder will do for any piece of the whole: equal ballots are equal states. What comes out is
- * compared with the holder's sum over all items.
+ * Fetches a state chunk by chunk: what changed since one that is held here, where the peer knows that, else a
+ * full snapshot. Any holder will do for any chunk of a snapshot: equal proposal numbers are equal states. The
+ * result is compared with the peer's checksum over all items.
  */
 final class StateTransfer {
 
-    private static final int MOST_ASKS = 6;
-    private static final int MOST_BEGINS = 4;
+    private static final int MAX_REQUESTS_PER_CHUNK = 6;
+    private static final int MAX_RESTARTS = 4;
 
-    private final ReplicaContext desk;
-    private final ProposalNumber stamp;
+    private final ReplicaContext context;
+    private final ProposalNumber number;
     private final List<String> holders;
-    private final Map<ProposalNumber, ReplicatedState> held = new LinkedHashMap<>();
+    private final Map<ProposalNumber, ReplicatedState> heldStates = new LinkedHashMap<>();
     private final List<Item> items = new ArrayList<>();
-    /** From which state the pieces lead on; empty for the whole. */
-    private String from = "";
+    /** From which state the chunks lead on; null for a full snapshot. */
+    private ProposalNumber base;
 
-    private long part;
-    private long askedAt;
-    private int holder;
-    private int asks;
-    /** Tells pieces of a difference apart, which are of one holder: another may have come another way. */
-    private long begin;
+    private long nextChunk;
+    private long requestedAt;
+    private int holderIndex;
+    private int requests;
+    /** Tells chunks of a difference apart, which are of one holder: another may have come another way. */
+    private long restarts;
 
-    /** @param held states that are whole here */
-    StateTransfer(ReplicaContext desk, ProposalNumber stamp, Collection<String> holders, ReplicatedState... held) {
-        this.desk = desk;
-        this.stamp = stamp;
-        for (ReplicatedState state : held) {
-            this.held.put(state.stamp(), state);
+    /** @param heldStates states that are held in full here */
+    StateTransfer(
+            ReplicaContext context, ProposalNumber number, Collection<String> holders, ReplicatedState... heldStates) {
+        this.context = context;
+        this.number = number;
+        for (ReplicatedState state : heldStates) {
+            this.heldStates.put(state.number(), state);
         }
-        this.held.remove(ProposalNumber.ZERO);
+        this.heldStates.remove(ProposalNumber.ZERO);
         this.holders = new ArrayList<>(holders);
-        this.holders.remove(desk.own);
+        this.holders.remove(context.own);
         this.holders.sort(null);
         if (!this.holders.isEmpty()) {
-            holder = (int) desk.jitter(this.holders.size());
+            holderIndex = (int) context.jitter(this.holders.size());
         }
-        ask();
+        requestNextChunk();
     }
 
-    ProposalNumber stamp() {
-        return stamp;
+    ProposalNumber number() {
+        return number;
     }
 
     /** Whether nobody is left to ask. */
     boolean failed() {
-        return holders.isEmpty() || asks > MOST_ASKS || begin > MOST_BEGINS;
-    }
-
-    private void ask() {
-        asks++;
-        askedAt = desk.now;
-        if (!failed()) {
-            List<String> has = part > 0 && from.isEmpty()
-                    ? List.of()
-                    : held.keySet().stream().map(ProposalNumber::toString).toList();
-            desk.send(
-                    holders.get(holder % holders.size()),
-                    ConsensusMessages.of(ConsensusMessages.FETCH, "b", stamp, "ask", begin, "part", part, "has", has));
-        }
-    }
-
-    private void beginAnew() {
-        begin++;
-        part = 0;
-        from = "";
-        items.clear();
+        return holders.isEmpty() || requests > MAX_REQUESTS_PER_CHUNK || restarts > MAX_RESTARTS;
     }
 
     void tick() {
-        if (desk.now - askedAt >= desk.plan.resendAfter()) {
-            other();
-        }
-    }
-
-    private void other() {
-        holder++;
-        if (!from.isEmpty()) {
-            beginAnew();
+        if (context.now - requestedAt >= context.options.resendAfterMicros()) {
+            askNextHolder();
         }
-        ask();
     }
 
-    void gone(String who) {
-        if (holders.remove(who)) {
-            other();
+    void onStateUnavailable(String from) {
+        if (holders.remove(from)) {
+            askNextHolder();
         }
     }
 
-    /** The whole state once its last piece is here, else null. */
-    ReplicatedState piece(Map<?, ?> message) {
-        long parts = ConsensusMessages.number(message, "parts");
-        long sum = ConsensusMessages.number(message, "sum");
-        List<String> crew = ConsensusMessages.someCrew(message);
-        List<Item> its = ConsensusMessages.items(message);
-        if (!(message.get("from") instanceof String base)
-                || ConsensusMessages.number(message, "part") != part
-                || !base.isEmpty() && ConsensusMessages.number(message, "ask") != begin) {
+    /** The state once its last chunk is here, else null. */
+    ReplicatedState onStateChunk(ConsensusMessage.StateChunk chunk) {
+        if (chunk.chunk() != nextChunk || chunk.base() != null && chunk.transfer() != restarts) {
             return null;
         }
-        if (part == 0) {
-            from = base;
+        if (nextChunk == 0) {
+            base = chunk.base();
         }
-        ReplicatedState before = base.isEmpty() ? null : held.get(ProposalNumber.of(base));
-        if (!base.equals(from) || before == null && !base.isEmpty()) {
-            beginAnew();
-            ask();
+        ReplicatedState before = chunk.base() == null ? null : heldStates.get(chunk.base());
+        if (!Objects.equals(chunk.base(), base) || before == null && chunk.base() != null) {
+            restart();
+            requestNextChunk();
             return null;
         }
-        items.addAll(its);
-        part++;
-        asks = 0;
-        if (part >= parts) {
-            Configuration all =
-                    before == null ? Configuration.of(items) : before.manifest().with(items);
-            if (all.sum() == sum) {
-                return new ReplicatedState(stamp, crew, all);
+        items.addAll(chunk.items());
+        nextChunk++;
+        requests = 0;
+        if (nextChunk >= chunk.chunkCount()) {
+            Configuration result = before == null
+                    ? Configuration.of(items)
+                    : before.configuration().with(items);
+            if (result.sum() == chunk.checksum()) {
+                return new ReplicatedState(number, chunk.voters(), result);
             }
-            held.clear();
-            beginAnew();
+            // A wrong difference: the next try is for a full snapshot.
+            heldStates.clear();
+            restart();
         }
-        ask();
+        requestNextChunk();
         return null;
     }
+
+    private void askNextHolder() {
+        holderIndex++;
+        if (base != null) {
+            restart();
+        }
+        requestNextChunk();
+    }
+
+    private void restart() {
+        restarts++;
+        nextChunk = 0;
+        base = null;
+        items.clear();
+    }
+
+    private void requestNextChunk() {
+        requests++;
+        requestedAt = context.now;
+        if (failed()) {
+            return;
+        }
+        boolean amidSnapshot = nextChunk > 0 && base == null;
+        context.send(
+                holders.get(holderIndex % holders.size()),
+                new ConsensusMessage.FetchState(
+                        number, restarts, nextChunk, amidSnapshot ? List.of() : List.copyOf(heldStates.keySet())));
+    }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
@@ -9,31 +9,40 @@
 import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
- * What one write changes on the disk, as a whole or not at all. Accepted and crew are null where they stay;
- * whole tells that the items replace all that are there. The number of the disk is set by its first write.
+ * What one write changes on the disk, all of it or nothing.
+ *
+ * @param accepted the number of the accepted state; null where the state stays
+ * @param voters null where they stay
+ * @param items those that change, or all of them
+ * @param fullSnapshot whether the items replace all that are there
+ * @param disk the number of the disk, set by its first write
  */
 public record StorageUpdate(
         ProposalNumber promised,
         ProposalNumber accepted,
-        List<String> crew,
+        List<String> voters,
         List<Item> items,
-        boolean whole,
+        boolean fullSnapshot,
         long disk) {
 
-    /** The number of the disk stays. */
-    private static final long SAME = -1;
+    /** The number of the disk stays as it is. */
+    private static final long UNCHANGED = -1;
 
     public StorageUpdate(
-            ProposalNumber promised, ProposalNumber accepted, List<String> crew, List<Item> items, boolean whole) {
-        this(promised, accepted, crew, items, whole, SAME);
+            ProposalNumber promised,
+            ProposalNumber accepted,
+            List<String> voters,
+            List<Item> items,
+            boolean fullSnapshot) {
+        this(promised, accepted, voters, items, fullSnapshot, UNCHANGED);
     }
 
-    public boolean setsDisk() {
-        return disk != SAME;
+    public boolean setsDiskId() {
+        return disk != UNCHANGED;
     }
 
     /** Whether the accepted state is below the promise, and so no vote. */
-    public boolean hearsay() {
+    public boolean learnedSecondHand() {
         return accepted != null && promised.above(accepted);
     }
 
@@ -45,18 +54,18 @@
         return changed.isEmpty() ? merged : Configuration.of(before).with(items).items();
     }
 
-    /** What stands after it. Before is null on an empty disk. */
+    /** The state on the disk after this write. Before is null on an empty disk. */
     public PersistentState on(PersistentState before) {
         PersistentState old = before != null
                 ? before
                 : new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, List.of(), List.of(), false);
-        List<Item> all = whole ? items : items.isEmpty() ? old.items() : merged(old.items());
+        List<Item> all = fullSnapshot ? items : items.isEmpty() ? old.items() : merged(old.items());
         return new PersistentState(
                 promised,
                 accepted == null ? old.accepted() : accepted,
-                crew == null ? old.crew() : crew,
+                voters == null ? old.voters() : voters,
                 all,
-                accepted == null ? old.hearsay() : hearsay(),
-                setsDisk() ? disk : old.disk());
+                accepted == null ? old.learnedSecondHand() : learnedSecondHand(),
+                setsDiskId() ? disk : old.disk());
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/VoterChangePlanner.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterChangePlanner.java
@@ -9,100 +9,109 @@
 import java.util.stream.Stream;
 
 /**
- * What should change about the crew: one out, or one in, never both at once, so that any majority of the crew
- * before shares a member with any after. Who is gone goes out before another comes in: a crew never grows
- * over the wanted number.
+ * Plans changes of the voters: one removed, or one added, never both at once, so that any majority of the
+ * voters before shares a replica with any after (single-server changes, Ongaro 2014, chapter 4). A voter that
+ * is gone is removed before another is added: there are never more voters than wanted.
  */
 final class VoterChangePlanner {
 
     private record Standby(long askedAt, ProposalNumber accepted) {}
 
-    private record Noted(long at, ProposalNumber decided) {}
+    private record CommittedAt(long at, ProposalNumber number) {}
 
-    private final ReplicaContext desk;
-    private final VoterMonitor watch;
-    private final int voters;
+    private final ReplicaContext context;
+    private final VoterMonitor monitor;
+    private final int targetVoterCount;
     private final Map<String, Standby> standbys = new TreeMap<>();
-    private final Deque<Noted> noted = new ArrayDeque<>();
-    private ProposalNumber bar = ProposalNumber.ZERO;
-    private List<String> wanted = List.of();
-    private long since;
-    private boolean resting;
-
-    VoterChangePlanner(ReplicaContext desk, VoterMonitor watch, int voters) {
-        this.desk = desk;
-        this.watch = watch;
-        this.voters = voters;
+    private final Deque<CommittedAt> recentlyCommitted = new ArrayDeque<>();
+    /** What a standby must have accepted to be added. */
+    private ProposalNumber requiredNumber = ProposalNumber.ZERO;
+
+    private List<String> planned = List.of();
+    private long plannedAt;
+    private boolean stopped;
+
+    VoterChangePlanner(ReplicaContext context, VoterMonitor monitor, int targetVoterCount) {
+        this.context = context;
+        this.monitor = monitor;
+        this.targetVoterCount = targetVoterCount;
     }
 
-    /** Somebody asks to be let in, with what stands on its disk; that holds for a while. */
-    void asks(String harbour, ProposalNumber accepted) {
-        standbys.keySet().removeIf(other -> ReplicaKey.address(other).equals(ReplicaKey.address(harbour)));
-        standbys.put(harbour, new Standby(desk.now, accepted));
+    /** A replica asks to join, with what it has accepted. It counts as a standby for a while. */
+    void addStandby(String replica, ProposalNumber accepted) {
+        standbys.keySet().removeIf(other -> ReplicaKey.address(other).equals(ReplicaKey.address(replica)));
+        standbys.put(replica, new Standby(context.now, accepted));
     }
 
-    void withdraws(String harbour) {
-        standbys.remove(harbour);
+    void withdrawStandby(String replica) {
+        standbys.remove(replica);
     }
 
-    /** To be called often, with the highest state known decided: who lags far behind it is not let in. */
-    void note(ProposalNumber decided) {
-        standbys.values().removeIf(s -> desk.now - s.askedAt > 2 * desk.plan.askEvery());
-        if (noted.isEmpty() || decided.above(noted.peekLast().decided)) {
-            noted.add(new Noted(desk.now, decided));
+    /** To be called often, with the highest number known committed: a standby far behind it is not added. */
+    void noteCommitted(ProposalNumber committed) {
+        long standbyMicros = 2 * context.options.requestIntervalMicros();
+        standbys.values().removeIf(standby -> context.now - standby.askedAt > standbyMicros);
+        if (recentlyCommitted.isEmpty() || committed.above(recentlyCommitted.peekLast().number)) {
+            recentlyCommitted.add(new CommittedAt(context.now, committed));
         }
-        while (!noted.isEmpty() && desk.now - noted.peek().at >= desk.plan.silentAfter()) {
-            bar = noted.poll().decided;
+        while (!recentlyCommitted.isEmpty()
+                && context.now - recentlyCommitted.peek().at >= context.options.unresponsiveAfterMicros()) {
+            requiredNumber = recentlyCommitted.poll().number;
         }
     }
 
-    /** The crew that should come after that one. The first that is there sees to it, then the next. */
-    List<String> of(List<String> crew) {
-        List<String> next = resting ? crew : next(crew);
-        if (next.equals(crew)) {
-            return crew;
+    /**
+     * The voters that should come after those, one more or less at most. The first voter that responds
+     * proposes the change at once, the next one later: so they don't get in each other's way.
+     */
+    List<String> nextVoters(List<String> voters) {
+        List<String> next = stopped ? voters : plan(voters);
+        if (next.equals(voters)) {
+            return voters;
         }
-        if (!next.equals(wanted)) {
-            wanted = next;
-            since = desk.now;
+        if (!next.equals(planned)) {
+            planned = next;
+            plannedAt = context.now;
         }
-        int rank = watch.staying(crew).indexOf(desk.own);
-        return rank >= 0 && desk.now - since >= rank * desk.plan.askEvery() ? next : crew;
+        int rank = monitor.staying(voters).indexOf(context.own);
+        boolean due = rank >= 0 && context.now - plannedAt >= rank * context.options.requestIntervalMicros();
+        return due ? next : voters;
     }
 
-    /** Nothing is to be wished from here on. */
-    void rest() {
-        resting = true;
+    /** Plans no more changes. */
+    void stop() {
+        stopped = true;
     }
 
-    /** Who asks to be let in. */
-    List<String> asking() {
+    /** Who asks to join. */
+    List<String> standbys() {
         return List.copyOf(standbys.keySet());
     }
 
-    /** Whether somebody waits to come into that crew. */
-    boolean waiting(List<String> crew) {
-        return standby(crew).isPresent();
+    /** Whether a standby waits that is up to date and not among those voters. */
+    boolean hasStandby(List<String> voters) {
+        return standby(voters).isPresent();
     }
 
-    private Optional<String> standby(List<String> crew) {
+    private Optional<String> standby(List<String> voters) {
         return standbys.entrySet().stream()
-                .filter(e -> !crew.contains(e.getKey()) && !bar.above(e.getValue().accepted))
+                .filter(standby ->
+                        !voters.contains(standby.getKey()) && !requiredNumber.above(standby.getValue().accepted))
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
 
-    private List<String> next(List<String> crew) {
-        if (2 * watch.live(crew).size() <= crew.size()) {
-            return crew;
+    private List<String> plan(List<String> voters) {
+        if (!ReplicatedState.isMajority(voters, monitor.live(voters))) {
+            return voters;
         }
-        Optional<String> standby = standby(crew);
-        String gone = watch.gone(crew, standby.isPresent());
-        if (gone != null) {
-            return crew.stream().filter(m -> !m.equals(gone)).toList();
+        Optional<String> standby = standby(voters);
+        String removed = monitor.toRemove(voters, standby.isPresent());
+        if (removed != null) {
+            return voters.stream().filter(voter -> !voter.equals(removed)).toList();
         }
-        return standby.isPresent() && crew.size() < voters
-                ? Stream.concat(crew.stream(), standby.stream()).sorted().toList()
-                : crew;
+        return standby.isPresent() && voters.size() < targetVoterCount
+                ? Stream.concat(voters.stream(), standby.stream()).sorted().toList()
+                : voters;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/VoterMonitor.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterMonitor.java
@@ -3,56 +3,65 @@
 import java.util.List;
 import java.util.Set;
 
-/** Sees which members of a crew are there, and who is gone. */
+/** Tells which voters respond, and which one should be removed. */
 final class VoterMonitor {
 
-    /** From here on a crew is better off without a member that is silent, also where nobody waits. */
-    private static final int LEAST_TO_SHRINK = 4;
+    /** From here on the voters are better off without an unresponsive one, also where no standby waits. */
+    private static final int MIN_VOTERS_TO_SHRINK = 4;
 
-    private final ReplicaContext desk;
+    private final ReplicaContext context;
     private final PeerTable peers;
 
-    VoterMonitor(ReplicaContext desk, PeerTable peers) {
-        this.desk = desk;
+    VoterMonitor(ReplicaContext context, PeerTable peers) {
+        this.context = context;
         this.peers = peers;
     }
 
-    /** The members that are heard, this harbour among them. */
-    List<String> live(List<String> crew) {
-        Set<String> near = peers.near(crew);
-        return crew.stream().filter(m -> m.equals(desk.own) || near.contains(m)).toList();
+    /** The voters that respond, this replica among them. */
+    List<String> live(List<String> voters) {
+        Set<String> responsive = peers.responsive(voters);
+        return voters.stream()
+                .filter(voter -> voter.equals(context.own) || responsive.contains(voter))
+                .toList();
     }
 
-    /** Those of them that stay. */
-    List<String> staying(List<String> crew) {
-        return live(crew).stream()
-                .filter(m -> m.equals(desk.own) || !peers.leaves(m))
+    /** Those of them that do not shut down. */
+    List<String> staying(List<String> voters) {
+        return live(voters).stream()
+                .filter(voter -> voter.equals(context.own) || !peers.isLeaving(voter))
                 .toList();
     }
 
     /**
-     * Who should be taken out next, or null. Whose address speaks with another disk is gone at once. One that
-     * leaves or is silent goes where another waits to come in; without one a silent member of a crew of even
-     * number goes, and one of several.
+     * Which voter should be removed next, or null. One whose address is in use by another disk is removed at
+     * once. One that shuts down or is unresponsive is removed where a standby waits; without one, an
+     * unresponsive voter is removed from an even number of voters, or if there are several.
      */
-    String gone(List<String> crew, boolean standby) {
-        for (String member : crew) {
-            if (peers.replaced(member)) {
-                return member;
+    String toRemove(List<String> voters, boolean hasStandby) {
+        for (String voter : voters) {
+            if (peers.replaced(voter)) {
+                return voter;
             }
         }
-        List<String> silent = crew.stream()
-                .filter(m -> !m.equals(desk.own) && peers.silence(m) >= desk.plan.silentAfter())
-                .toList();
-        boolean shrinks = crew.size() >= LEAST_TO_SHRINK && (crew.size() % 2 == 0 || silent.size() > 1);
-        if (!silent.isEmpty() && (standby || shrinks)) {
-            return silent.get(0);
+        List<String> unresponsive = unresponsive(voters);
+        boolean shrinks = voters.size() >= MIN_VOTERS_TO_SHRINK && (voters.size() % 2 == 0 || unresponsive.size() > 1);
+        if (!unresponsive.isEmpty() && (hasStandby || shrinks)) {
+            return unresponsive.get(0);
         }
-        return !standby
-                ? null
-                : crew.stream()
-                        .filter(m -> !m.equals(desk.own) && peers.leaves(m))
-                        .findFirst()
-                        .orElse(null);
+        return hasStandby ? firstLeaving(voters) : null;
+    }
+
+    private List<String> unresponsive(List<String> voters) {
+        long limitMicros = context.options.unresponsiveAfterMicros();
+        return voters.stream()
+                .filter(voter -> !voter.equals(context.own) && peers.silenceMicros(voter) >= limitMicros)
+                .toList();
+    }
+
+    private String firstLeaving(List<String> voters) {
+        return voters.stream()
+                .filter(voter -> !voter.equals(context.own) && peers.isLeaving(voter))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -191,9 +191,9 @@
     /** Where operators go on whom this harbour can't serve, since it has no vote: to one that is heard. */
     private Option<String> voter() {
         ConsensusReplica copies = keeping.copies();
-        List<String> voters = copies.votes() || copies.forgetful()
+        List<String> voters = copies.isVoter() || copies.isBlank()
                 ? List.of()
-                : copies.crew().stream()
+                : copies.voters().stream()
                         .map(ReplicaKey::address)
                         .filter(a -> !a.equals(own) && others.isClear(a))
                         .map(controls::get)
@@ -257,7 +257,7 @@
                 loop,
                 clock,
                 (to, message) -> others.send(ReplicaKey.address(to), message),
-                show -> news.show(show.stamp(), show.manifest(), show.crew()));
+                show -> news.show(show.number(), show.configuration(), show.voters()));
         keeping = its;
         LOG.info("The disk is open. " + (loaded == null ? "It is empty." : "It stands at " + loaded.accepted() + "."));
         wantOthers();
@@ -291,7 +291,7 @@
 
     private void wantOthers() {
         Set<String> wanted = new HashSet<>(seeds);
-        keeping.copies().crew().forEach(member -> wanted.add(ReplicaKey.address(member)));
+        keeping.copies().voters().forEach(member -> wanted.add(ReplicaKey.address(member)));
         callers.values().forEach(member -> wanted.add(ReplicaKey.address(member)));
         wanted.remove(own);
         others.want(wanted);
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -52,13 +52,13 @@
                 copies != null);
         if (copies != null) {
             state.put("member", copies.own());
-            state.put("crew", copies.crew().stream().map(ReplicaKey::address).toList());
-            state.put("members", copies.crew());
+            state.put("crew", copies.voters().stream().map(ReplicaKey::address).toList());
+            state.put("members", copies.voters());
             state.put(
                     "standbys",
                     copies.standbys().stream().map(ReplicaKey::address).toList());
-            state.put("forgetful", copies.forgetful());
-            state.put("sick", copies.sick(now));
+            state.put("forgetful", copies.isBlank());
+            state.put("sick", copies.diskFailed(now));
             long age = copies.confirmedAge(now);
             state.put("inContact", copies.inContact(now));
             state.put("confirmedMs", age < 0 ? null : age / 1000);
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -111,7 +111,7 @@
 
     private static String word(ProposalResult verdict) {
         if (verdict instanceof ProposalResult.Taken taken) {
-            return "taken at " + taken.stamp();
+            return "taken at " + taken.number();
         }
         return verdict instanceof ProposalResult.Refused r
                 ? "refused, " + r.refusal().reason()
@@ -126,7 +126,7 @@
         if (verdict instanceof ProposalResult.Taken) {
             return json(200, Map.of());
         } else if (verdict instanceof ProposalResult.Read read) {
-            return json(200, read.manifest().layout());
+            return json(200, read.configuration().layout());
         } else if (verdict instanceof ProposalResult.Refused refused) {
             return refused(refused.refusal());
         }
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -66,9 +66,9 @@
 
     /** Why not, or null where it begins. */
     String beginAlone(Set<String> abandoned) {
-        String why = copies.mayNotBegin(micros.getAsLong(), abandoned);
+        String why = copies.bootstrapObstacle(micros.getAsLong(), abandoned);
         if (why == null) {
-            act(copies.beginAlone(micros.getAsLong(), System.currentTimeMillis()));
+            act(copies.bootstrap(micros.getAsLong(), System.currentTimeMillis()));
         }
         return why;
     }
@@ -98,9 +98,9 @@
             } else if (effect instanceof Effect.Write w) {
                 disk.execute(() -> write(w));
             } else if (effect instanceof Effect.Answer a) {
-                Consumer<ProposalResult> then = waiting.remove(a.ticket());
+                Consumer<ProposalResult> then = waiting.remove(a.proposalId());
                 if (then != null) {
-                    then.accept(a.verdict());
+                    then.accept(a.result());
                 }
             } else if (effect instanceof Effect.Show s) {
                 shown.accept(s);
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -195,15 +195,15 @@
     }
 
     void write(StorageUpdate change) throws IOException {
-        write(change, change.hearsay());
+        write(change, change.learnedSecondHand());
     }
 
     /** Writes all that stands into a folder made anew, after so many writes. */
     void write(PersistentState all, long number) throws IOException {
         seal = new WriteChecksum(number, 0);
         write(
-                new StorageUpdate(all.promised(), all.accepted(), all.crew(), all.items(), true, all.disk()),
-                all.hearsay());
+                new StorageUpdate(all.promised(), all.accepted(), all.voters(), all.items(), true, all.disk()),
+                all.learnedSecondHand());
     }
 
     private void write(StorageUpdate change, boolean hearsay) throws IOException {
@@ -223,7 +223,7 @@
 
     private WriteChecksum write(StorageUpdate change, boolean hearsay, Transaction t) {
         long sum = seal.sum();
-        if (change.whole()) {
+        if (change.fullSnapshot()) {
             sum = 0;
             if (environment.storeExists(ITEMS, t)) {
                 environment.truncateStore(ITEMS, t);
@@ -247,10 +247,10 @@
         if (change.accepted() != null || terms.get(t, HEARSAY) == null) {
             terms.put(t, HEARSAY, bytes(Boolean.toString(hearsay)));
         }
-        if (change.crew() != null || terms.get(t, CREW) == null) {
-            terms.put(t, CREW, bytes(change.crew() == null ? "" : String.join("\n", change.crew())));
+        if (change.voters() != null || terms.get(t, CREW) == null) {
+            terms.put(t, CREW, bytes(change.voters() == null ? "" : String.join("\n", change.voters())));
         }
-        if (change.setsDisk()) {
+        if (change.setsDiskId()) {
             terms.put(t, DISK, bytes(Long.toString(change.disk())));
         }
         WriteChecksum next = new WriteChecksum(seal.number() + 1, sum);
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -193,7 +193,7 @@
             if (generation == null) {
                 open();
             }
-            boolean look = change.whole() || generation.written() % LOOK_EVERY == LOOK_EVERY - 1;
+            boolean look = change.fullSnapshot() || generation.written() % LOOK_EVERY == LOOK_EVERY - 1;
             if (look && generation.size() > most) {
                 begin(change);
             } else {
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -100,9 +100,9 @@
 
     private void collect() {
         for (long ticket : open.keySet().stream().sorted().toList()) {
-            ProposalResult result = world().verdict(ticket);
+            ProposalResult result = world().result(ticket);
             if (result instanceof ProposalResult.Read read) {
-                checks.read(open.remove(ticket).least, read.manifest());
+                checks.read(open.remove(ticket).least, read.configuration());
             } else if (result != null && open.get(ticket).body != null) {
                 Open call = open.remove(ticket);
                 checks.told(
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -26,8 +26,8 @@
 import org.cypressweir.testkit.JsonCopy;
 
 /**
- * Walks through what may happen to three or four copies while two harbours take different contents for one
- * version: nothing else going on, or a disk just lost, or its successor on the way into the crew or just let
+ * Walks through what may happen to three or four copies while two replicas take different contents for one
+ * version: nothing else going on, or a disk just lost, or its successor on the way into the voters or just let
  * in, or one taken out that returns with its old disk, or one that leaves.
  *
  * <p>Left alone, messages and writes come in the order they were sent, and time passes only where nothing
@@ -35,13 +35,13 @@
  * back for long, a message is lost or comes twice, a process loses its power with or without what it was
  * writing, a disk is lost, or a machine is lost and another with an empty disk takes its place. Every way of
  * straying so many times is walked, in every place; power is lost once at most. One disk is lost at most, or
- * one more after the one that was lost before, from the moment on at which a crew of three is known with all
+ * one more after the one that was lost before, from the moment on at which a voters of three is known with all
  * running.
  *
- * <p>What comes to different harbours is independent. So of what waits one comes first only before something
- * for the same harbour; for others the order of what follows from it is strayed from where it matters. Power
+ * <p>What comes to different replicas is independent. So of what waits one comes first only before something
+ * for the same replica; for others the order of what follows from it is strayed from where it matters. Power
  * lost after a write is another way only where there is a write. A copy is a function of what came to it: two
- * ways after which all that had come to each harbour, and all that waits, are the same are one from there on.
+ * ways after which all that had come to each replica, and all that waits, are the same are one from there on.
  */
 public final class ConsensusWalk {
 
@@ -107,7 +107,7 @@
 
     private record Option(Kind kind, int which) {}
 
-    private record Act(int to, long life, long write, String from, Map<String, Object> message, long print) {}
+    private record Act(int to, long incarnation, long write, String from, Map<String, Object> message, long print) {}
 
     private static long mix(long a, long b) {
         long mixed = (a ^ Long.rotateLeft(b, 31)) * 0x9E3779B97F4A7C15L;
@@ -127,14 +127,14 @@
         final ConsensusReplica[] copies = new ConsensusReplica[MOST_HARBOURS];
         final PersistentState[] disks = new PersistentState[MOST_HARBOURS];
         final Effect.Write[] writing = new Effect.Write[MOST_HARBOURS];
-        final long[] lives = new long[MOST_HARBOURS];
+        final long[] incarnations = new long[MOST_HARBOURS];
         final List<Act> waiting = new ArrayList<>();
         final List<Act> held = new ArrayList<>();
         final ConsensusChecks checks = new ConsensusChecks();
-        final Map<Long, ProposalResult> verdicts = new HashMap<>();
+        final Map<Long, ProposalResult> results = new HashMap<>();
         long now = 1_000_000;
         int ticks;
-        /** A print of all that has come to each harbour, in order. */
+        /** A print of all that has come to each replica, in order. */
         final long[] past = new long[MOST_HARBOURS];
 
         boolean powerLost;
@@ -143,7 +143,7 @@
         boolean leaving;
         /** One that said so and was started again counts as lost for as long as users count it so. */
         long countsFrom;
-        /** The crew of the highest state that was shown by any. */
+        /** The voters of the highest state that was shown by any. */
         List<String> decided =
                 IntStream.range(0, SEEDS).mapToObj(World::address).toList();
 
@@ -217,15 +217,15 @@
         }
 
         void start(int i, boolean initial) {
-            lives[i]++;
+            incarnations[i]++;
             copies[i] = new ConsensusReplica(
                     ConsensusOptions.usual(),
                     address(i),
                     IntStream.range(0, SEEDS).mapToObj(World::address).toList(),
                     initial,
                     disks[i],
-                    lives[i],
-                    new SplittableRandom(i + 31 * lives[i]),
+                    incarnations[i],
+                    new SplittableRandom(i + 31 * incarnations[i]),
                     now);
             checks.started(address(i));
             act(i, copies[i].start(now));
@@ -244,16 +244,21 @@
                             mix(to * 8L + i, ConsensusWalk.print(send.message().toString()))));
                 } else if (effect instanceof Effect.Write write) {
                     writing[i] = write;
-                    waiting.add(
-                            new Act(i, lives[i], write.number(), null, null, mix(mix(~i, lives[i]), write.number())));
+                    waiting.add(new Act(
+                            i,
+                            incarnations[i],
+                            write.number(),
+                            null,
+                            null,
+                            mix(mix(~i, incarnations[i]), write.number())));
                 } else if (effect instanceof Effect.Answer answer) {
-                    verdicts.put(answer.ticket(), answer.verdict());
-                    checks.answered(answer.ticket(), answer.verdict());
+                    results.put(answer.proposalId(), answer.result());
+                    checks.answered(answer.proposalId(), answer.result());
                 } else if (effect instanceof Effect.Show show) {
                     checks.shown(address(i), show);
-                    if (show.stamp().compareTo(top) > 0) {
-                        top = show.stamp();
-                        decided = show.crew();
+                    if (show.number().compareTo(top) > 0) {
+                        top = show.number();
+                        decided = show.voters();
                     }
                 }
             }
@@ -266,7 +271,7 @@
             came(act.to, act.print);
             if (act.message != null) {
                 act(act.to, copies[act.to].received(now, act.from, act.message));
-            } else if (act.life == lives[act.to]) {
+            } else if (act.incarnation == incarnations[act.to]) {
                 disks[act.to] = writing[act.to].change().on(disks[act.to]);
                 writing[act.to] = null;
                 act(act.to, copies[act.to].written(now, act.write, true));
@@ -344,7 +349,7 @@
             }
         }
 
-        /** A harbour loses power without what it writes, or right after it, its disk, or all. */
+        /** A replica loses power without what it writes, or right after it, its disk, or all. */
         private void strike(Kind kind, int i) {
             came(i, -2 - kind.ordinal());
             if (leaving && i == 1) {
@@ -360,7 +365,7 @@
             }
             writing[i] = null;
             if (scene.takers.contains(i)) {
-                verdicts.putIfAbsent(1L + scene.takers.indexOf(i), new ProposalResult.Unavailable("lost power"));
+                results.putIfAbsent(1L + scene.takers.indexOf(i), new ProposalResult.Unavailable("lost power"));
             }
             if (kind == Kind.MACHINE) {
                 copies[i] = null;
@@ -377,12 +382,12 @@
         public String toString() {
             return Arrays.stream(copies)
                     .filter(Objects::nonNull)
-                    .map(c -> c.own() + " has " + c.shown().stamp() + " crew " + c.crew())
+                    .map(c -> c.own() + " has " + c.committed().number() + " voters " + c.voters())
                     .toList()
                     .toString();
         }
 
-        /** Whether a crew of three is known to be decided, and all of it runs and stays. */
+        /** Whether a voters of three is known to be decided, and all of it runs and stays. */
         boolean whole() {
             Set<String> running = new HashSet<>();
             Arrays.stream(copies).filter(Objects::nonNull).forEach(c -> running.add(c.own()));
@@ -392,15 +397,15 @@
             return decided.size() == SEEDS && running.containsAll(decided);
         }
 
-        void submit(int i, long ticket, String key) {
+        void submit(int i, long proposalId, String key) {
             ConfigurationChange order = key == null
                     ? null
                     : ConfigurationChange.read(("{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key
                                             + "\"],\"configVersion\":\"r1\"}}}}")
                                     .getBytes(StandardCharsets.UTF_8))
                             .get();
-            checks.sent(ticket, order);
-            act(i, copies[i].submit(now, ticket, order, now + PATIENCE));
+            checks.sent(proposalId, order);
+            act(i, copies[i].submit(now, proposalId, order, now + PATIENCE));
         }
     }
 
@@ -412,7 +417,7 @@
         world.submit(scene.takers.get(1), 2, "b");
         int[] options = new int[WINDOW];
         int next = 0;
-        for (int step = 0; step < WINDOW && (world.verdicts.size() < 2 || next < strays.size()); step++) {
+        for (int step = 0; step < WINDOW && (world.results.size() < 2 || next < strays.size()); step++) {
             if (next == strays.size() && !seen.add(world.stateAt(step))) {
                 // Another way has come here, and could stray as often from here on.
                 return options;
@@ -437,7 +442,7 @@
         return options;
     }
 
-    /** All is well again: whoever asks finds what was agreed, at every harbour of the crew. */
+    /** All is well again: whoever asks finds what was agreed, at every replica of the voters. */
     private static void end(World world) {
         long well = world.now + PATIENCE + HELD_TICKS * TICK;
         while (world.now < well) {
@@ -445,19 +450,19 @@
         }
         world.until(world::whole);
         world.now += TICK;
-        long ticket = 2;
+        long proposalId = 2;
         for (int i = 0; i < world.copies.length; i++) {
-            if (world.copies[i] != null && world.copies[i].crew().contains(world.copies[i].own())) {
-                world.submit(i, ++ticket, null);
-                for (int step = 0; step < END && !world.verdicts.containsKey(ticket); step++) {
+            if (world.copies[i] != null && world.copies[i].voters().contains(world.copies[i].own())) {
+                world.submit(i, ++proposalId, null);
+                for (int step = 0; step < END && !world.results.containsKey(proposalId); step++) {
                     world.step();
                 }
-                if (!(world.verdicts.get(ticket) instanceof ProposalResult.Read)) {
-                    throw new AssertionError("all is well, but there is no read: " + world.verdicts);
+                if (!(world.results.get(proposalId) instanceof ProposalResult.Read)) {
+                    throw new AssertionError("all is well, but there is no read: " + world.results);
                 }
             }
         }
-        if (ticket < 4) {
+        if (proposalId < 4) {
             throw new AssertionError("too few take themselves to count");
         }
     }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
@@ -35,14 +35,14 @@
             delimiter = '~',
             value = {
                 "one promise is enough ~ ProposalRound.java "
-                        + "~ if (!ReplicatedState.most(crew, promises.from())) { ~ if (false) {",
+                        + "~ if (!ReplicatedState.isMajority(voters, promises.from())) { ~ if (false) {",
                 "any state will do as a base ~ PrepareQuorum.java ~ accepted.above(highest.accepted) ~ false",
-                "a blank disk is the member that its address was ~ ConsensusReplica.java "
-                        + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
-                "a crew changes on what one has voted for ~ ProposalRound.java "
-                        + "~ boolean settled = ReplicatedState.most(base.crew(), promises.voted(base.stamp())); "
-                        + "~ boolean settled = true;",
-                "a word of another disk is one of this member ~ ReplicaKey.java "
+                "a blank disk is the replica that its address was ~ ConsensusReplica.java "
+                        + "~ : initialStart ? 0 : 1 + random.nextLong(MAX_DISK_ID); ~ : 0;",
+                "voters change on what one has voted for ~ ProposalRound.java "
+                        + "~ boolean chosen = ReplicatedState.isMajority(base.voters(), promises.voted(base.number())); "
+                        + "~ boolean chosen = true;",
+                "a message of another disk is one of this replica ~ ReplicaKey.java "
                         + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
             })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -10,7 +10,7 @@
 import org.cypressweir.controlplane.configuration.ConfigurationChange;
 import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.testkit.SimulatedReplicas;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,24 +35,24 @@
     private void change() {
         made++;
         int item = made * 7 % ITEMS;
-        world.submit(world.harbour(1 + made % 2), OneChangeTest.tenants(item, item + 1, 1 + made), PATIENCE);
+        world.submit(world.replica(1 + made % 2), OneChangeTest.tenants(item, item + 1, 1 + made), PATIENCE);
         world.run(EVERY);
     }
 
     private void cut(boolean off) {
         world.heal();
         for (int other = 1; off && other < 3; other++) {
-            world.cut(world.harbour(other).address(), world.harbour(3).address());
-            world.cut(world.harbour(3).address(), world.harbour(other).address());
+            world.cut(world.replica(other).address(), world.replica(3).address());
+            world.cut(world.replica(3).address(), world.replica(other).address());
         }
     }
 
     private void leave(String how) {
         switch (how) {
-            case "down" -> world.crash(world.harbour(3));
-            case "wiped" -> world.wipe(world.harbour(3));
+            case "down" -> world.crash(world.replica(3));
+            case "wiped" -> world.wipe(world.replica(3));
             case "frozen" -> {
-                world.stall(world.harbour(3), CHANGES * EVERY);
+                world.stall(world.replica(3), CHANGES * EVERY);
                 cut(true);
             }
             default -> cut(true);
@@ -94,93 +94,41 @@
 
     @Test
     void whatWasLearntWhileAPromiseStoodIsABase() {
-        List<String> crew = List.of("a", "b", "c");
+        List<String> voters = List.of("a", "b", "c");
         ProposalNumber decided = new ProposalNumber(5, "a");
         ProposalNumber promised = new ProposalNumber(9, "a");
-        ConsensusReplica copies = new ConsensusReplica(
+        ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
                 "c",
-                crew,
+                voters,
                 false,
-                new PersistentState(promised, new ProposalNumber(1, "a"), crew, List.of(), false),
+                new PersistentState(promised, new ProposalNumber(1, "a"), voters, List.of(), false),
                 1,
                 new SplittableRandom(1),
                 0);
-        copies.received(
+        consensus.received(
                 0,
                 "a",
-                ConsensusMessages.of(
-                        ConsensusMessages.TELL,
-                        "life",
-                        1L,
-                        "accepted",
-                        decided,
-                        "decided",
-                        decided,
-                        "crew",
-                        crew,
-                        "forgetful",
-                        false,
-                        "hearsay",
-                        false,
-                        "number",
-                        1L,
-                        "probe",
-                        false,
-                        "echoLife",
-                        0L,
-                        "echo",
-                        0L));
-        copies.tick(0);
-        copies.tick(100_000);
+                ConsensusMessageCodec.encode(
+                        new ConsensusMessage.Heartbeat(1, decided, decided, voters, false, false, 1, false, 0, 0)));
+        consensus.tick(0);
+        consensus.tick(100_000);
         Configuration state = tenants(3, 1);
-        assertThat(copies.received(
+        assertThat(consensus.received(
                         100_000,
                         "a",
-                        ConsensusMessages.of(
-                                ConsensusMessages.PIECE,
-                                "b",
-                                decided,
-                                "ask",
-                                0L,
-                                "from",
-                                "",
-                                "sum",
-                                state.sum(),
-                                "part",
-                                0L,
-                                "parts",
-                                1L,
-                                "crew",
-                                crew,
-                                "items",
-                                ConsensusMessages.maps(state.items()))))
+                        ConsensusMessageCodec.encode(new ConsensusMessage.StateChunk(
+                                decided, 0, null, state.sum(), 0, 1, voters, state.items()))))
                 .anyMatch(Effect.Show.class::isInstance);
         List<Item> changed = tenants(2, 7).items();
-        Map<String, Object> accept = ConsensusMessages.of(
-                ConsensusMessages.ACCEPT,
-                "b",
-                promised,
-                "base",
-                decided,
-                "whole",
-                false,
-                "sum",
-                1L,
-                "crew",
-                crew,
-                "part",
-                0L,
-                "parts",
-                1L,
-                "items",
-                ConsensusMessages.maps(changed));
-        assertThat(write(copies.received(100_000, "a", accept)))
+        Map<String, Object> accept = ConsensusMessageCodec.encode(
+                new ConsensusMessage.Accept(null, promised, decided, false, 1, voters, 0, 1, changed));
+        assertThat(write(consensus.received(100_000, "a", accept)))
                 .as("another sum")
                 .isNull();
         accept.put("sum", state.with(changed).sum());
-        StorageUpdate change = write(copies.received(100_000, "a", accept)).change();
-        assertThat(change.whole()).isTrue();
+        StorageUpdate change = write(consensus.received(100_000, "a", accept)).change();
+        assertThat(change.fullSnapshot()).isTrue();
         assertThat(Configuration.of(change.items())).isEqualTo(state.with(changed));
     }
 
@@ -198,7 +146,7 @@
     void isUpToDateWithinABoundOfTimeAndBytes(String how, boolean othersStartAnew, long delay, long millis) {
         world = new SimulatedReplicas(11, 3);
         world.run(500_000);
-        assertThat(world.await(world.submit(world.harbour(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
+        assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
         world.mostDelay = delay;
@@ -207,20 +155,20 @@
             change();
         }
         for (int other = 1; othersStartAnew && other < 3; other++) {
-            world.crash(world.harbour(other));
+            world.crash(world.replica(other));
             world.start(other);
             world.run(2_000_000);
         }
-        Harbour back = world.harbour(3);
+        Replica back = world.replica(3);
         world.weighed = back.address();
         cut(false);
         if (!back.up()) {
             world.start(3);
         }
         long begun = world.now();
-        long missed = world.harbour(1).copies().shown().stamp().round();
+        long missed = world.replica(1).consensus().committed().number().round();
         int behind = 0;
-        while (back.copies().shown().stamp().round() < missed && behind++ < 600) {
+        while (back.consensus().committed().number().round() < missed && behind++ < 600) {
             change();
         }
         long took = (world.now() - begun) / 1_000;
@@ -235,12 +183,13 @@
         assertThat(took).as("ms").isLessThan(millis);
         assertThat(world.bytes).as("bytes").isLessThan(whole ? WHOLE : DIFFERENCES);
         // With another gone it is needed, and leads with all that was agreed.
-        world.crash(world.harbour(1));
+        world.crash(world.replica(1));
         assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        assertThat(back.copies().shown().manifest().sum())
-                .isEqualTo(world.harbour(2).copies().shown().manifest().sum());
+        assertThat(back.consensus().committed().configuration().sum())
+                .isEqualTo(
+                        world.replica(2).consensus().committed().configuration().sum());
         assertThat(world.checks().breach()).isNull();
     }
 }
