--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -15,7 +15,7 @@
 import org.cypressweir.controlplane.configuration.RejectionKind;
 import org.cypressweir.testkit.ConsensusCornerCases;
 import org.cypressweir.testkit.SimulatedReplicas;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -31,22 +31,25 @@
                 + version + "\"}}}}";
     }
 
-    private static Object key(Configuration manifest, String tenant) {
-        return manifest.get(new ItemKey(ItemType.TENANTS, tenant)).content().get("apiKeys");
+    private static Object key(Configuration configuration, String tenant) {
+        return configuration
+                .get(new ItemKey(ItemType.TENANTS, tenant))
+                .content()
+                .get("apiKeys");
     }
 
     private static void settled(SimulatedReplicas world) {
         assertThat(world.checks().breach()).isNull();
-        ReplicatedState first = world.up().get(0).copies().shown();
-        for (Harbour harbour : world.up()) {
-            assertThat(harbour.copies().shown()).as(harbour.address()).isEqualTo(first);
-            assertThat(harbour.copies().forgetful()).isFalse();
+        ReplicatedState first = world.up().get(0).consensus().committed();
+        for (Replica replica : world.up()) {
+            assertThat(replica.consensus().committed()).as(replica.address()).isEqualTo(first);
+            assertThat(replica.consensus().isBlank()).isFalse();
         }
-        world.checks().above(world.checks().floor(), first.manifest(), "shown");
+        world.checks().above(world.checks().floor(), first.configuration(), "shown");
         assertThat(world.checks().breach()).isNull();
     }
 
-    private static void taken(SimulatedReplicas world, Harbour at, String body) {
+    private static void taken(SimulatedReplicas world, Replica at, String body) {
         assertThat(world.await(world.submit(at, body, PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
     }
 
@@ -54,8 +57,8 @@
     void oneOfTwoWins() {
         SimulatedReplicas world = new SimulatedReplicas(1, 3);
         world.run(500_000);
-        long one = world.submit(world.harbour(1), order("t", 1, "a"), PATIENCE);
-        long two = world.submit(world.harbour(2), order("t", 1, "b"), PATIENCE);
+        long one = world.submit(world.replica(1), order("t", 1, "a"), PATIENCE);
+        long two = world.submit(world.replica(2), order("t", 1, "b"), PATIENCE);
         ProposalResult first = world.await(one);
         ProposalResult second = world.await(two);
         world.run(1_000_000);
@@ -65,11 +68,12 @@
         assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class, r -> assertThat(
                         r.refusal().kind())
                 .isEqualTo(RejectionKind.CONFLICT));
-        assertThat(key(world.harbour(3).copies().shown().manifest(), "t")).isEqualTo(List.of(wins ? "a" : "b"));
+        assertThat(key(world.replica(3).consensus().committed().configuration(), "t"))
+                .isEqualTo(List.of(wins ? "a" : "b"));
         // A duplicate of what stands, and of what stood.
-        taken(world, world.harbour(3), order("t", 1, wins ? "a" : "b"));
-        taken(world, world.harbour(3), order("t", 2, "c"));
-        taken(world, world.harbour(1), order("t", 1, wins ? "a" : "b"));
+        taken(world, world.replica(3), order("t", 1, wins ? "a" : "b"));
+        taken(world, world.replica(3), order("t", 2, "c"));
+        taken(world, world.replica(1), order("t", 1, wins ? "a" : "b"));
         world.run(1_000_000);
         settled(world);
     }
@@ -77,18 +81,18 @@
     /** A process that was stopped for long offers nothing whose caller has gone elsewhere since. */
     @Test
     void whatIsLateIsNotOffered() {
-        List<String> crew = List.of("a", "b", "c");
-        ConsensusReplica copies = new ConsensusReplica(
+        List<String> voters = List.of("a", "b", "c");
+        ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
                 "a",
-                crew,
+                voters,
                 false,
-                new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, crew, List.of(), false),
+                new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, voters, List.of(), false),
                 1,
                 new SplittableRandom(1),
                 0);
-        copies.start(0);
-        List<Effect> asked = copies.submit(
+        consensus.start(0);
+        List<Effect> asked = consensus.submit(
                 1,
                 7,
                 ConfigurationChange.read(order("t", 1, "k").getBytes(StandardCharsets.UTF_8))
@@ -96,27 +100,21 @@
                 850_000);
         Effect.Write write = (Effect.Write)
                 asked.stream().filter(Effect.Write.class::isInstance).findAny().orElseThrow();
-        Effect.Send prepare = (Effect.Send) copies.written(2, write.number(), true).stream()
-                .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals(ConsensusMessages.PREPARE))
+        Effect.Send prepare = (Effect.Send) consensus.written(2, write.number(), true).stream()
+                .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals("copies.prepare"))
                 .findAny()
                 .orElseThrow();
-        List<Effect> late = copies.received(
+        List<Effect> late = consensus.received(
                 20_000_000,
                 "b",
-                ConsensusMessages.of(
-                        ConsensusMessages.PROMISE,
-                        "b",
-                        prepare.message().get("b"),
-                        "accepted",
+                ConsensusMessageCodec.encode(new ConsensusMessage.Promise(
+                        ProposalNumber.of(String.valueOf(prepare.message().get("b"))),
                         ProposalNumber.ZERO,
-                        "crew",
-                        crew,
-                        "hearsay",
-                        false,
-                        "shown",
-                        ProposalNumber.ZERO));
+                        ProposalNumber.ZERO,
+                        voters,
+                        false)));
         assertThat(late)
-                .anyMatch(e -> e instanceof Effect.Answer a && a.verdict() instanceof ProposalResult.Unavailable);
+                .anyMatch(e -> e instanceof Effect.Answer a && a.result() instanceof ProposalResult.Unavailable);
         assertThat(late)
                 .noneMatch(
                         e -> e instanceof Effect.Write w && !w.change().items().isEmpty());
@@ -126,32 +124,34 @@
     void outlastsLossOfPowerEverywhere() {
         SimulatedReplicas world = new SimulatedReplicas(2, 3);
         world.run(500_000);
-        taken(world, world.harbour(1), order("t", 1, "a"));
-        List<Harbour> all = world.up();
+        taken(world, world.replica(1), order("t", 1, "a"));
+        List<Replica> all = world.up();
         all.forEach(world::crash);
         all.forEach(h -> world.start(h.address(), false));
         world.run(3_000_000);
         settled(world);
-        assertThat(key(world.harbour(2).copies().shown().manifest(), "t")).isEqualTo(List.of("a"));
+        assertThat(key(world.replica(2).consensus().committed().configuration(), "t"))
+                .isEqualTo(List.of("a"));
     }
 
     @Test
     void whoStartsWithAClockSetBackIsHeard() {
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
-        world.crash(world.harbour(3));
+        world.crash(world.replica(3));
         world.behind = 1_000_000;
         world.start(3);
         world.run(1_500_000);
         for (int other = 2; other <= 3; other++) {
-            world.cut(world.harbour(1).address(), world.harbour(other).address());
-            world.cut(world.harbour(other).address(), world.harbour(1).address());
+            world.cut(world.replica(1).address(), world.replica(other).address());
+            world.cut(world.replica(other).address(), world.replica(1).address());
         }
-        taken(world, world.harbour(3), order("t", 1, "a"));
-        world.crash(world.harbour(2));
+        taken(world, world.replica(3), order("t", 1, "a"));
+        world.crash(world.replica(2));
         world.heal();
         world.run(1_000_000);
-        assertThat(key(world.harbour(1).copies().shown().manifest(), "t")).isEqualTo(List.of("a"));
+        assertThat(key(world.replica(1).consensus().committed().configuration(), "t"))
+                .isEqualTo(List.of("a"));
     }
 
     @ParameterizedTest
@@ -160,10 +160,10 @@
         for (int seed = 0; seed < 40; seed++) {
             SimulatedReplicas world = new SimulatedReplicas(seed, 3);
             world.run(500_000);
-            taken(world, world.harbour(1), order("t", 1, "a"));
-            List<Harbour> all = world.up();
+            taken(world, world.replica(1), order("t", 1, "a"));
+            List<Replica> all = world.up();
             all.forEach(h -> {
-                if (h == world.harbour(lost)) {
+                if (h == world.replica(lost)) {
                     world.wipe(h);
                 } else {
                     world.crash(h);
@@ -172,9 +172,9 @@
             all.forEach(h -> world.start(h.address(), false));
             world.run(4_000_000);
             settled(world);
-            assertThat(key(world.harbour(lost).copies().shown().manifest(), "t"))
+            assertThat(key(world.replica(lost).consensus().committed().configuration(), "t"))
                     .isEqualTo(List.of("a"));
-            taken(world, world.harbour(lost), order("t", 2, "b"));
+            taken(world, world.replica(lost), order("t", 2, "b"));
         }
     }
 
@@ -182,35 +182,38 @@
     void machinesAreReplacedOneAfterTheOther() {
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
-        taken(world, world.harbour(3), order("t", 1, "a"));
+        taken(world, world.replica(3), order("t", 1, "a"));
         PersistentState crashed = null;
         for (int gone = 3; gone > 1; gone--) {
-            crashed = world.harbour(gone).disk();
-            world.wipe(world.harbour(gone));
-            Harbour fresh = world.start(7 - gone);
+            crashed = world.replica(gone).disk();
+            world.wipe(world.replica(gone));
+            Replica fresh = world.start(7 - gone);
             world.run(12_000_000);
-            assertThat(fresh.copies().crew())
+            assertThat(fresh.consensus().voters())
                     .hasSize(3)
-                    .contains(fresh.copies().own())
-                    .doesNotContain(world.harbour(gone).address());
+                    .contains(fresh.consensus().own())
+                    .doesNotContain(world.replica(gone).address());
             settled(world);
             taken(world, fresh, order("t", 10 - gone, "b" + gone));
         }
         world.run(1_000_000);
         settled(world);
-        assertThat(key(world.harbour(1).copies().shown().manifest(), "t")).isEqualTo(List.of("b2"));
+        assertThat(key(world.replica(1).consensus().committed().configuration(), "t"))
+                .isEqualTo(List.of("b2"));
         // One that was taken out and has its old disk waits until it is wanted; it knows what stands.
         world.start(2, crashed);
-        Harbour back = world.harbour(2);
+        Replica back = world.replica(2);
         world.run(5_000_000);
-        assertThat(back.copies().crew()).hasSize(3).doesNotContain(back.copies().own());
+        assertThat(back.consensus().voters())
+                .hasSize(3)
+                .doesNotContain(back.consensus().own());
         settled(world);
         assertThat(world.await(world.submit(back, order("t", 20, "c"), PATIENCE)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
-        world.wipe(world.harbour(1));
+        world.wipe(world.replica(1));
         world.run(4_000_000);
-        assertThat(back.copies().own()).isEqualTo(back.address());
-        assertThat(back.copies().crew()).hasSize(3).contains(back.address());
+        assertThat(back.consensus().own()).isEqualTo(back.address());
+        assertThat(back.consensus().voters()).hasSize(3).contains(back.address());
         taken(world, back, order("t", 20, "c"));
         world.run(1_000_000);
         settled(world);
@@ -220,25 +223,25 @@
     void aDiskThatStallsOrIsFullIsToldAndOthersGoOn() {
         SimulatedReplicas world = new SimulatedReplicas(4, 3);
         world.run(500_000);
-        Harbour slow = world.harbour(1);
+        Replica slow = world.replica(1);
         world.stall(slow, 5_000_000);
         long stuck = world.submit(slow, order("t", 1, "a"), PATIENCE);
         assertThat(world.await(stuck)).isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(slow.copies().sick(world.now())).isTrue();
-        assertThat(world.verdict(world.read(slow, PATIENCE))).isInstanceOf(ProposalResult.Unavailable.class);
-        taken(world, world.harbour(2), order("u", 1, "b"));
+        assertThat(slow.consensus().diskFailed(world.now())).isTrue();
+        assertThat(world.result(world.read(slow, PATIENCE))).isInstanceOf(ProposalResult.Unavailable.class);
+        taken(world, world.replica(2), order("u", 1, "b"));
         world.run(6_000_000);
-        assertThat(slow.copies().sick(world.now())).isFalse();
+        assertThat(slow.consensus().diskFailed(world.now())).isFalse();
         settled(world);
         world.full(slow, true);
         assertThat(world.await(world.submit(slow, order("t", 5, "e"), PATIENCE)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(slow.copies().sick(world.now())).isTrue();
-        taken(world, world.harbour(3), order("t", 5, "f"));
+        assertThat(slow.consensus().diskFailed(world.now())).isTrue();
+        taken(world, world.replica(3), order("t", 5, "f"));
         world.run(2_000_000);
         world.full(slow, false);
         world.run(2_000_000);
-        assertThat(slow.copies().sick(world.now())).isFalse();
+        assertThat(slow.consensus().diskFailed(world.now())).isFalse();
         taken(world, slow, order("t", 6, "g"));
         world.run(1_000_000);
         settled(world);
@@ -257,28 +260,29 @@
             body.append(i == 0 ? "" : ",")
                     .append("\"n" + i + "\":{\"apiKeys\":[\"k" + i + "\"],\"configVersion\":\"r1\"}");
         }
-        taken(world, world.harbour(1), body.append("}}}").toString());
-        world.wipe(world.harbour(3));
-        taken(world, world.harbour(2), order("t", 1, "a"));
+        taken(world, world.replica(1), body.append("}}}").toString());
+        world.wipe(world.replica(3));
+        taken(world, world.replica(2), order("t", 1, "a"));
         world.start(3);
         world.run(4_000_000);
         settled(world);
-        assertThat(world.harbour(3).copies().shown().manifest().size()).isEqualTo(1_001);
-        taken(world, world.harbour(3), order("t", 2, "b"));
+        assertThat(world.replica(3).consensus().committed().configuration().size())
+                .isEqualTo(1_001);
+        taken(world, world.replica(3), order("t", 2, "b"));
     }
 
-    /** With seeds that name only blank harbours, too: whoever is down may hold what was agreed. */
+    /** With seeds that name only blank replicas, too: whoever is down may hold what was agreed. */
     @ParameterizedTest
     @CsvSource({"3, 3, false", "4, 3, true", "5, 4, true", "3, 2, true", "3, 1, true"})
     void nothingBeginsFromNothing(int count, int blank, boolean lastReturns) {
         SimulatedReplicas world = new SimulatedReplicas(6, count);
         world.run(500_000);
-        taken(world, world.harbour(1), order("t", 1, "a"));
+        taken(world, world.replica(1), order("t", 1, "a"));
         world.run(1_000_000);
         world.up().forEach(world::crash);
         world.seeds = world.seeds.subList(0, blank);
         for (int i = 1; i <= blank; i++) {
-            world.wipe(world.harbour(i));
+            world.wipe(world.replica(i));
             world.start(i);
         }
         for (int step = 0; step < 20; step++) {
@@ -299,28 +303,28 @@
     void anOperatorsWordBeginsWithNothing() {
         SimulatedReplicas world = new SimulatedReplicas(8, 4);
         world.run(500_000);
-        taken(world, world.harbour(1), order("t", 1, "a"));
+        taken(world, world.replica(1), order("t", 1, "a"));
         world.run(1_000_000);
-        assertThat(world.begin(world.harbour(1), Set.of())).contains("not blank");
+        assertThat(world.begin(world.replica(1), Set.of())).contains("not blank");
         world.up().forEach(world::crash);
         for (int i = 1; i <= 3; i++) {
-            world.wipe(world.harbour(i));
+            world.wipe(world.replica(i));
             world.start(i);
         }
-        assertThat(world.begin(world.harbour(1), Set.of())).contains("still asks");
+        assertThat(world.begin(world.replica(1), Set.of())).contains("still asks");
         world.start(4);
         world.run(3_000_000);
-        String fourth = world.harbour(4).address();
-        assertThat(world.begin(world.harbour(1), Set.of())).isEqualTo("held by " + fourth);
-        assertThat(world.begin(world.harbour(1), Set.of(fourth))).isNull();
+        String fourth = world.replica(4).address();
+        assertThat(world.begin(world.replica(1), Set.of())).isEqualTo("held by " + fourth);
+        assertThat(world.begin(world.replica(1), Set.of(fourth))).isNull();
         world.run(10_000_000);
-        for (Harbour harbour : world.up()) {
-            assertThat(harbour.copies().crew())
+        for (Replica replica : world.up()) {
+            assertThat(replica.consensus().voters())
                     .hasSize(4)
-                    .contains(harbour.copies().own());
-            assertThat(harbour.copies().shown().manifest().size()).isZero();
+                    .contains(replica.consensus().own());
+            assertThat(replica.consensus().committed().configuration().size()).isZero();
         }
-        taken(world, world.harbour(4), order("u", 1, "b"));
+        taken(world, world.replica(4), order("u", 1, "b"));
     }
 
     @Test
@@ -331,16 +335,16 @@
     /** What a write that failed left on the disk must not get under what is written next. */
     @Test
     void afterAFailedWriteTheWholeIsWritten() {
-        ConsensusReplica copies = new ConsensusReplica(
+        ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
-        written(copies, copies.start(0), 0, true);
-        List<Effect> first = copies.submit(0, 1, parsed(order("t", 1, "x")), PATIENCE);
-        List<Effect> accept = written(copies, first, 0, true);
-        written(copies, accept, 0, false);
-        written(copies, copies.tick(600_000), 600_000, true);
-        List<Effect> promise = copies.submit(700_000, 2, parsed(order("u", 1, "y")), PATIENCE);
-        StorageUpdate change = write(written(copies, promise, 700_000, true)).change();
-        assertThat(change.whole()).isTrue();
+        written(consensus, consensus.start(0), 0, true);
+        List<Effect> first = consensus.submit(0, 1, parsed(order("t", 1, "x")), PATIENCE);
+        List<Effect> accept = written(consensus, first, 0, true);
+        written(consensus, accept, 0, false);
+        written(consensus, consensus.tick(600_000), 600_000, true);
+        List<Effect> promise = consensus.submit(700_000, 2, parsed(order("u", 1, "y")), PATIENCE);
+        StorageUpdate change = write(written(consensus, promise, 700_000, true)).change();
+        assertThat(change.fullSnapshot()).isTrue();
         assertThat(Configuration.of(change.items()).get(new ItemKey(ItemType.TENANTS, "u")))
                 .isNotNull();
     }
@@ -356,8 +360,8 @@
                 .orElseThrow();
     }
 
-    private static List<Effect> written(ConsensusReplica copies, List<Effect> effects, long now, boolean ok) {
-        return copies.written(now, write(effects).number(), ok);
+    private static List<Effect> written(ConsensusReplica consensus, List<Effect> effects, long now, boolean ok) {
+        return consensus.written(now, write(effects).number(), ok);
     }
 
     @Test
@@ -365,7 +369,7 @@
         SimulatedReplicas world = new SimulatedReplicas(7, 3);
         world.run(500_000);
         SplittableRandom random = new SplittableRandom(1);
-        ConsensusReplica copies = world.harbour(1).copies();
+        ConsensusReplica consensus = world.replica(1).consensus();
         String[] kinds = {
             "prepare",
             "promise",
@@ -423,7 +427,7 @@
                     message.put(name, values[random.nextInt(values.length)]);
                 }
             }
-            copies.received(world.now(), "10.9.9.9:1", message);
+            consensus.received(world.now(), "10.9.9.9:1", message);
         }
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
@@ -36,19 +36,21 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "nobody goes while two are silent ~ VoterMonitor.java "
-                        + "~ if (!silent.isEmpty() && (standby || shrinks)) { "
-                        + "~ if (silent.size() == 1 && (standby || shrinks)) {",
-                "who is silent stays ~ VoterMonitor.java ~ peers.silence(m) >= desk.plan.silentAfter()).toList(); "
+                "nobody is removed while two are unresponsive ~ VoterMonitor.java "
+                        + "~ if (!unresponsive.isEmpty() && (hasStandby || shrinks)) { "
+                        + "~ if (unresponsive.size() == 1 && (hasStandby || shrinks)) {",
+                "an unresponsive voter stays ~ VoterMonitor.java "
+                        + "~ peers.silenceMicros(voter) >= limitMicros).toList(); "
                         + "~ false).toList();",
-                "a lost disk stays until it has been silent ~ VoterMonitor.java ~ if (peers.replaced(member)) { "
+                "a lost disk stays until it has been unresponsive ~ VoterMonitor.java ~ if (peers.replaced(voter)) { "
                         + "~ if (false) {",
-                "whoever waits is not let in ~ VoterChangePlanner.java "
-                        + "~ return standby.isPresent() && crew.size() < voters "
+                "a standby is not added ~ VoterChangePlanner.java "
+                        + "~ return standby.isPresent() && voters.size() < targetVoterCount "
                         + "~ return false",
-                "one comes in while one goes out ~ VoterChangePlanner.java "
-                        + "~ return crew.stream().filter(m -> !m.equals(gone)).toList(); "
-                        + "~ return Stream.concat(crew.stream().filter(m -> !m.equals(gone)), standby.stream())"
+                "one is added while one is removed ~ VoterChangePlanner.java "
+                        + "~ return voters.stream().filter(voter -> !voter.equals(removed)).toList(); "
+                        + "~ return Stream.concat(voters.stream().filter(voter -> !voter.equals(removed)), "
+                        + "standby.stream())"
                         + ".sorted().toList();",
             })
     void eachFaultOfReplacementIsFound(String fault, String file, String text, String instead) throws Exception {
@@ -63,44 +65,49 @@
             delimiter = '~',
             value = {
                 "answers go out before the write is synced ~ Acceptor.java "
-                        + "~ desk.add(new Effect.Write(++number, due)); ~ desk.add(new Effect.Write(++number, due)); "
-                        + "take(due); task.after.run(); writing = new Task(() -> null, () -> { }, () -> { });",
-                "a blank disk is the member that its address was ~ ConsensusReplica.java "
-                        + "~ : initialStart ? 0 : 1 + random.nextLong(MOST_NUMBER); ~ : 0;",
-                "a word for another disk is answered ~ ConsensusReplica.java "
-                        + "~ return desk.own.equals(message.getOrDefault(\"to\", desk.address)); ~ return true;",
+                        + "~ context.add(new Effect.Write(++writeNumber, due)); "
+                        + "~ context.add(new Effect.Write(++writeNumber, due)); "
+                        + "apply(due); task.after.run(); writing = new Task(() -> null, () -> { }, () -> { });",
+                "a blank disk is the replica that its address was ~ ConsensusReplica.java "
+                        + "~ : initialStart ? 0 : 1 + random.nextLong(MAX_DISK_ID); ~ : 0;",
+                "a message for another disk is answered ~ AcceptorRequestHandler.java "
+                        + "~ return context.own.equals(recipient == null ? context.address : recipient); "
+                        + "~ return true;",
                 "any state will do as a base ~ PrepareQuorum.java ~ accepted.above(highest.accepted) ~ false",
                 "one promise is enough ~ ProposalRound.java "
-                        + "~ if (!ReplicatedState.most(crew, promises.from())) { ~ if (false) {",
-                "what one holds is decided ~ ProposalRound.java "
-                        + "~ boolean settled = ReplicatedState.most(base.crew(), promises.voted(base.stamp())); "
-                        + "~ boolean settled = true;",
-                "a difference goes on any base ~ Acceptor.java ~ if (!whole && !state.stamp().equals(base)) { "
+                        + "~ if (!ReplicatedState.isMajority(voters, promises.from())) { ~ if (false) {",
+                "what one holds is chosen ~ ProposalRound.java "
+                        + "~ boolean chosen = ReplicatedState.isMajority(base.voters(), "
+                        + "promises.voted(base.number())); "
+                        + "~ boolean chosen = true;",
+                "a difference goes on any base ~ Acceptor.java "
+                        + "~ if (!fullSnapshot && !state.number().equals(request.base())) { "
                         + "~ if (false) {",
-                "one yes is enough ~ ProposalRound.java "
-                        + "~ if (ReplicatedState.most(base.crew(), acks) && ReplicatedState.most(next.crew(), acks)) { "
+                "one accepter is enough ~ AcceptPhase.java "
+                        + "~ if (ReplicatedState.isMajority(base.voters(), accepters) "
+                        + "&& ReplicatedState.isMajority(next.voters(), accepters)) { "
                         + "~ if (true) {",
-                "what was learnt counts as a vote ~ PrepareQuorum.java "
-                        + "~ voted.removeIf(who -> all.get(who).hearsay); ~ ;",
-                "whoever was taken out goes on by itself ~ PrepareQuorum.java ~ return highest.crew; "
-                        + "~ return all.values().iterator().next().crew;",
-                "what was learnt is told as a vote ~ PeerTable.java "
-                        + "~ voters.removeIf(who -> words.get(who).hearsay); ~ ;",
-                "a promise is not kept ~ Acceptor.java ~ promised = taken.promised(); ~ ;",
-                "what one other holds is shown ~ CommittedState.java "
-                        + "~ if (ReplicatedState.most(word.crew(), voters)) { ~ if (true) {",
-                "what is not decided is shown ~ CommittedState.java ~ if (copy.accepted().equals(stamp)) { "
+                "what was learned counts as a vote ~ PrepareQuorum.java "
+                        + "~ voted.removeIf(replica -> promises.get(replica).learnedSecondHand); ~ ;",
+                "a removed voter goes on by itself ~ PrepareQuorum.java ~ return highest.voters; "
+                        + "~ return promises.values().iterator().next().voters;",
+                "what was learned is reported as a vote ~ PeerTable.java "
+                        + "~ accepters.removeIf(peer -> heartbeats.get(peer).learnedSecondHand()); ~ ;",
+                "a promise is not kept ~ Acceptor.java ~ promised = written.promised(); ~ ;",
+                "what one other holds is published ~ CommittedState.java "
+                        + "~ if (ReplicatedState.isMajority(heartbeat.voters(), accepters)) { ~ if (true) {",
+                "what is not committed is published ~ CommittedState.java ~ if (acceptor.accepted().equals(number)) { "
                         + "~ if (true) {",
                 "an echo counts as of when it comes ~ QuorumContact.java "
-                        + "~ long at = sentAt[(int) (echo % KEPT)]; ~ long at = desk.now;",
+                        + "~ long at = sentAt[(int) (echo % REMEMBERED_HEARTBEATS)]; ~ long at = context.now;",
                 "what a peer has accepted is not looked at ~ QuorumContact.java "
-                        + "~ proof.accepted.above(shown.stamp()) ? NEVER : proof.at ~ proof.at",
-                "contact with one is enough ~ QuorumContact.java ~ times[times.length - crew.size() / 2 - 1] "
+                        + "~ proof.accepted.above(committed.number()) ? NEVER : proof.at ~ proof.at",
+                "contact with one is enough ~ QuorumContact.java ~ times[times.length - voters.size() / 2 - 1] "
                         + "~ times[times.length - 1]",
-                "a harbour that has accepted more counts itself ~ QuorumContact.java "
-                        + "~ boolean own = !accepted.above(shown.stamp()); ~ boolean own = true;",
+                "a replica that has accepted more counts itself ~ QuorumContact.java "
+                        + "~ boolean ownCounts = !accepted.above(committed.number()); ~ boolean ownCounts = true;",
                 "contact that is lost is never regained ~ QuorumContact.java "
-                        + "~ Math.max(begun, reachedAt(crew)) ~ begun",
+                        + "~ Math.max(startedAt, contactAt(voters)) ~ startedAt",
             })
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = planted(file, text, instead);
@@ -120,9 +127,10 @@
                         + "Map.of(to, new Step(",
                 "a difference lacks what changed first ~ ChangeHistory.java ~ changed.addAll(step.keys); "
                         + "~ changed.addAll(step.keys); changed.remove(step.keys.get(0));",
-                "what was learnt is no base ~ ConsensusReplica.java ~ boolean learnt = !whole && "
-                        + "~ boolean learnt = false &&",
-                "a difference is not compared ~ ConsensusReplica.java ~ if (!whole && base.equals(before.stamp()) "
+                "what was learned is no base ~ AcceptorRequestHandler.java ~ boolean onLearned = !fullSnapshot && "
+                        + "~ boolean onLearned = false &&",
+                "a difference is not compared ~ AcceptorRequestHandler.java "
+                        + "~ if (!fullSnapshot && base.equals(before.number()) "
                         + "~ if (false",
             })
     void whoLagsLongerIsFound(String fault, String file, String text, String instead) throws Exception {
--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -99,7 +99,7 @@
                     0);
             act(one, one.start(0));
             act(one, one.submit(0, 1, order(Part.STANDS.of(tenant)), PATIENCE));
-            return one.shown().manifest().get(first.key());
+            return one.committed().configuration().get(first.key());
         }
 
         private int send(ConfigurationChange order) {
@@ -108,7 +108,7 @@
         }
 
         private Map<String, Object> layout() {
-            return copies.shown().manifest().layout();
+            return copies.committed().configuration().layout();
         }
 
         private void act(List<Effect> effects) {
@@ -123,7 +123,7 @@
                 if (effect instanceof Effect.Write write) {
                     due.addAll(copies.written(0, write.number(), true));
                 } else if (effect instanceof Effect.Answer answer) {
-                    result = answer.verdict();
+                    result = answer.result();
                 }
             }
             return result;
@@ -202,30 +202,30 @@
     }
 
     private static boolean writesIt(SimulatedReplicas world, int harbour) {
-        return world.writing(world.harbour(harbour)) != null
-                && world.writing(world.harbour(harbour)).items().stream().anyMatch(i -> i.version() == 5);
+        return world.writing(world.replica(harbour)) != null
+                && world.writing(world.replica(harbour)).items().stream().anyMatch(i -> i.version() == 5);
     }
 
     private static void cutOff(SimulatedReplicas world) {
         for (int other = 2; other <= 3; other++) {
-            world.cut(world.harbour(1).address(), world.harbour(other).address());
-            world.cut(world.harbour(other).address(), world.harbour(1).address());
+            world.cut(world.replica(1).address(), world.replica(other).address());
+            world.cut(world.replica(other).address(), world.replica(1).address());
         }
     }
 
     private static String again(Lost lost) {
         SimulatedReplicas world = new SimulatedReplicas(lost.ordinal(), 3);
         world.run(500_000);
-        assertThat(world.await(world.submit(world.harbour(3), tenant(4, "first"), PATIENCE)))
+        assertThat(world.await(world.submit(world.replica(3), tenant(4, "first"), PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(500_000);
-        long first = world.submit(world.harbour(1), tenant(5, "it"), PATIENCE);
+        long first = world.submit(world.replica(1), tenant(5, "it"), PATIENCE);
         if (lost == Lost.AGREED || lost == Lost.WIPED || lost == Lost.AGREED_NEWER) {
             assertThat(world.await(first)).isInstanceOf(ProposalResult.Taken.class);
         } else {
             until(world, () -> writesIt(world, 1));
             if (lost == Lost.TWO_DISKS) {
-                world.cut(world.harbour(1).address(), world.harbour(3).address());
+                world.cut(world.replica(1).address(), world.replica(3).address());
                 until(world, () -> writesIt(world, 2));
                 until(world, () -> !writesIt(world, 2));
             } else {
@@ -233,34 +233,34 @@
                 until(world, () -> !writesIt(world, 1));
             }
             if (lost != Lost.CUT_OFF) {
-                world.crash(world.harbour(1));
+                world.crash(world.replica(1));
             }
         }
         if (lost == Lost.WIPED) {
-            world.wipe(world.harbour(1));
+            world.wipe(world.replica(1));
         }
         if (lost == Lost.NEWER || lost == Lost.AGREED_NEWER || lost == Lost.OTHER) {
             String other = lost == Lost.OTHER ? tenant(5, "other") : tenant(6, "newer");
-            assertThat(world.await(world.submit(world.harbour(3), other, PATIENCE)))
+            assertThat(world.await(world.submit(world.replica(3), other, PATIENCE)))
                     .isInstanceOf(ProposalResult.Taken.class);
         }
-        long second = world.submit(world.harbour(2), tenant(5, "it"), PATIENCE);
+        long second = world.submit(world.replica(2), tenant(5, "it"), PATIENCE);
         int status = OperatorApiHandler.answer(world.await(second)).status();
         world.heal();
-        if (!world.harbour(1).up()) {
+        if (!world.replica(1).up()) {
             world.start(1);
         }
         world.run(8_000_000);
         List<Object> stands = new ArrayList<>();
         for (int harbour = 1; harbour <= 3; harbour++) {
-            stands.add(world.harbour(harbour)
-                    .copies()
-                    .shown()
-                    .manifest()
+            stands.add(world.replica(harbour)
+                    .consensus()
+                    .committed()
+                    .configuration()
                     .get(new ItemKey(ItemType.TENANTS, "t"))
                     .content()
                     .get("apiKeys"));
-            long third = world.submit(world.harbour(harbour), tenant(5, "it"), PATIENCE);
+            long third = world.submit(world.replica(harbour), tenant(5, "it"), PATIENCE);
             assertThat(OperatorApiHandler.answer(world.await(third)).status()).isEqualTo(status);
         }
         assertThat(world.checks().breach()).isNull();
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
@@ -60,7 +60,7 @@
                 .contains(new PersistentState(stamp(9), stamp(9), CREW, List.of(item("c", 1, 1)), false));
         store.write(new StorageUpdate(stamp(12), null, null, List.of(), false));
         assertThat(store.load().orElseThrow().accepted()).isEqualTo(stamp(9));
-        assertThat(store.load().orElseThrow().hearsay()).isFalse();
+        assertThat(store.load().orElseThrow().learnedSecondHand()).isFalse();
         store.write(new StorageUpdate(stamp(15), stamp(14), CREW, List.of(), true));
         store.write(new StorageUpdate(stamp(16), null, null, List.of(), false));
         store = again(store);
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.cypressweir.controlplane.consensus.ReplicatedState;
 import org.cypressweir.testkit.SimulatedReplicas;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
  * A pilot starts in the middle of drawn cuts, in made-up time: it is told states and asks who confirms them,
@@ -52,7 +52,7 @@
     }
 
     private void order() {
-        Harbour at = world.harbour(1 + random.nextInt(3));
+        Replica at = world.replica(1 + random.nextInt(3));
         world.submit(
                 at,
                 "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k\"],\"configVersion\":\"r" + ++version + "\"}}}}",
@@ -65,10 +65,10 @@
         int ways = 1 + random.nextInt(3);
         for (int i = 1; i <= 3 && off > 0; i++) {
             if (i != off && (ways & 1) != 0) {
-                world.cut(world.harbour(off).address(), world.harbour(i).address());
+                world.cut(world.replica(off).address(), world.replica(i).address());
             }
             if (i != off && (ways & 2) != 0) {
-                world.cut(world.harbour(i).address(), world.harbour(off).address());
+                world.cut(world.replica(i).address(), world.replica(off).address());
             }
         }
         return off;
@@ -78,11 +78,11 @@
     private void cutAll() {
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
-                world.cut(world.harbour(i).address(), world.harbour(j).address());
+                world.cut(world.replica(i).address(), world.replica(j).address());
             }
         }
         int again = 1 + random.nextInt(3);
-        world.crash(world.harbour(again));
+        world.crash(world.replica(again));
         world.start(again);
         world.run(3_000_000);
     }
@@ -93,15 +93,15 @@
 
     private void ask(int harbour, long asked) {
         later(() -> {
-            Harbour its = world.harbour(harbour);
-            ReplicatedState shown = its.copies().shown();
-            long age = its.copies().confirmedAge(world.now());
+            Replica its = world.replica(harbour);
+            ReplicatedState shown = its.consensus().committed();
+            long age = its.consensus().confirmedAge(world.now());
             later(() -> {
                 // The state comes with the answer, later, or not at all for now.
-                if (random.nextInt(3) > 0 && (own == null || shown.stamp().compareTo(own.stamp()) > 0)) {
+                if (random.nextInt(3) > 0 && (own == null || shown.number().compareTo(own.number()) > 0)) {
                     own = shown;
                 }
-                freshness.answered(world.now(), "h" + harbour, asked, shown.stamp(), age);
+                freshness.answered(world.now(), "h" + harbour, asked, shown.number(), age);
             });
         });
     }
@@ -141,12 +141,12 @@
             if (freshness.asks(now)) {
                 reached.forEach(harbour -> ask(harbour, now));
             }
-            had = had < 0 && own != null && own.stamp().round() > 0 ? now : had;
-            if (own != null && freshness.begins(now, own.stamp(), PATIENCE)) {
+            had = had < 0 && own != null && own.number().round() > 0 ? now : had;
+            if (own != null && freshness.begins(now, own.number(), PATIENCE)) {
                 return begun(now, had, began, off);
             }
         }
-        return own == null || own.stamp().round() == 0 || now() < had + PATIENCE ? null : "never begins";
+        return own == null || own.number().round() == 0 || now() < had + PATIENCE ? null : "never begins";
     }
 
     private long now() {
@@ -155,7 +155,7 @@
 
     private String begun(long now, long had, long began, int off) {
         if (freshness.isConfirmed()) {
-            world.checks().confirmed("the pilot", now - ReadinessGate.MOST_AGE, own.manifest());
+            world.checks().confirmed("the pilot", now - ReadinessGate.MOST_AGE, own.configuration());
         } else if (now < had + PATIENCE) {
             return "begins after " + (now - had) + " us with what nobody confirms";
         } else if (holdsUp == 0 && off != ALL && reached.stream().anyMatch(harbour -> harbour != off)) {
--- a/src/test/java/org/cypressweir/golden/StoredFolderTest.java
+++ b/src/test/java/org/cypressweir/golden/StoredFolderTest.java
@@ -110,8 +110,8 @@
     private static void assertBeforeFurtherChange(PersistentState state) {
         assertThat(state.promised()).isEqualTo(PROMISED);
         assertThat(state.accepted()).isEqualTo(ACCEPTED);
-        assertThat(state.crew()).isEqualTo(VOTERS);
-        assertThat(state.hearsay()).isTrue();
+        assertThat(state.voters()).isEqualTo(VOTERS);
+        assertThat(state.learnedSecondHand()).isTrue();
         assertThat(state.disk()).isEqualTo(DISK_NUMBER);
         assertItems(state, ROUTE, TENANT, SERVICE, WITHDRAWN_SERVICE, LIMITS);
     }
@@ -119,8 +119,8 @@
     private static void assertAfterFurtherChange(PersistentState state) {
         assertThat(state.promised()).isEqualTo(LATER);
         assertThat(state.accepted()).isEqualTo(LATER);
-        assertThat(state.crew()).isEqualTo(LATER_VOTERS);
-        assertThat(state.hearsay()).isFalse();
+        assertThat(state.voters()).isEqualTo(LATER_VOTERS);
+        assertThat(state.learnedSecondHand()).isFalse();
         assertThat(state.disk()).isEqualTo(DISK_NUMBER);
         assertItems(state, ROUTE, TENANT, SERVICE, WITHDRAWN_SERVICE, LATER_LIMITS);
     }
--- a/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
@@ -43,7 +43,7 @@
         return read;
     }
 
-    /** How often a harbour has said that what it shows was the newest as of some moment. */
+    /** How often a replica has said that what it shows was the newest as of some moment. */
     public int confirmed() {
         return confirmed;
     }
@@ -53,12 +53,12 @@
         floors.put(now, floor);
     }
 
-    /** A harbour says that what it shows was the newest as of a moment: all answered before is there. */
-    public void confirmed(String harbour, long asOf, Configuration shown) {
+    /** A replica says that what it shows was the newest as of a moment: all answered before is there. */
+    public void confirmed(String replica, long asOf, Configuration shown) {
         confirmed++;
         Map.Entry<Long, Map<ItemKey, Item>> before = floors.lowerEntry(asOf);
         if (before != null) {
-            above(before.getValue(), shown, harbour + ", confirmed as of " + asOf + ",");
+            above(before.getValue(), shown, replica + ", confirmed as of " + asOf + ",");
         }
     }
 
@@ -71,11 +71,11 @@
         return floor;
     }
 
-    /** Whether two crews, one shown right after the other, differ by more than one member. */
+    /** Whether two voter sets, one shown right after the other, differ by more than one member. */
     public boolean leaps() {
         List<String> before = null;
         for (Effect.Show show : new TreeMap<>(states).values()) {
-            Set<String> changed = new HashSet<>(show.crew());
+            Set<String> changed = new HashSet<>(show.voters());
             if (before != null) {
                 Set<String> stayed = new HashSet<>(before);
                 stayed.retainAll(changed);
@@ -85,22 +85,22 @@
                     return true;
                 }
             }
-            before = show.crew();
+            before = show.voters();
         }
         return false;
     }
 
-    public void started(String harbour) {
-        last.remove(harbour);
+    public void started(String replica) {
+        last.remove(replica);
     }
 
-    public void sent(long ticket, ConfigurationChange order) {
-        calls.put(ticket, new Call(order, floor));
+    public void sent(long proposalId, ConfigurationChange order) {
+        calls.put(proposalId, new Call(order, floor));
     }
 
-    public void answered(long ticket, ProposalResult verdict) {
-        Call call = calls.remove(ticket);
-        if (verdict instanceof ProposalResult.Taken) {
+    public void answered(long proposalId, ProposalResult result) {
+        Call call = calls.remove(proposalId);
+        if (result instanceof ProposalResult.Taken) {
             taken++;
             Map<ItemKey, Item> raised = new HashMap<>(floor);
             for (Item item : call.order.items()) {
@@ -108,11 +108,11 @@
                 raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
             }
             floor = raised;
-        } else if (verdict instanceof ProposalResult.Read answer) {
+        } else if (result instanceof ProposalResult.Read answer) {
             read++;
-            above(call.floor, answer.manifest(), "read");
+            above(call.floor, answer.configuration(), "read");
             Map<ItemKey, Item> raised = new HashMap<>(floor);
-            for (Item item : answer.manifest().items()) {
+            for (Item item : answer.configuration().items()) {
                 one(item);
                 raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
             }
@@ -120,10 +120,10 @@
         }
     }
 
-    /** Whether a manifest has all that it must, in versions as high. */
-    public void above(Map<ItemKey, Item> least, Configuration manifest, String what) {
+    /** Whether a configuration has all that it must, in versions as high. */
+    public void above(Map<ItemKey, Item> least, Configuration configuration, String what) {
         least.forEach((key, item) -> {
-            Item found = manifest.get(key);
+            Item found = configuration.get(key);
             if (found == null || found.version() < item.version()) {
                 breaches.add(what + " has " + found + " in place of " + item);
             }
@@ -139,15 +139,15 @@
         }
     }
 
-    public void shown(String harbour, Effect.Show show) {
-        ProposalNumber before = last.put(harbour, show.stamp());
-        if (before != null && before.compareTo(show.stamp()) >= 0) {
-            breaches.add(harbour + " shows " + show.stamp() + " after " + before);
+    public void shown(String replica, Effect.Show show) {
+        ProposalNumber before = last.put(replica, show.number());
+        if (before != null && before.compareTo(show.number()) >= 0) {
+            breaches.add(replica + " shows " + show.number() + " after " + before);
         }
-        Effect.Show other = states.putIfAbsent(show.stamp(), show);
+        Effect.Show other = states.putIfAbsent(show.number(), show);
         if (other != null && !other.equals(show)) {
             breaches.add(show + " and " + other);
         }
-        show.manifest().items().forEach(this::one);
+        show.configuration().items().forEach(this::one);
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
@@ -6,7 +6,7 @@
 import org.cypressweir.controlplane.consensus.Effect;
 import org.cypressweir.controlplane.consensus.PersistentState;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /** Corners where a copy forgets at the worst moment, seldom met by drawn days. */
 public final class ConsensusCornerCases {
@@ -41,17 +41,17 @@
     private static String promiseForgotten(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
-        Harbour second = world.harbour(2);
-        world.cut(second.address(), world.harbour(1).address());
+        Replica second = world.replica(2);
+        world.cut(second.address(), world.replica(1).address());
         world.stall(second, 150_000);
         world.submit(second, order("b"), 3_000_000);
         world.run(15_000);
-        world.wipe(world.harbour(3));
+        world.wipe(world.replica(3));
         world.heal();
         world.start(3);
         world.run(40_000);
-        long ticket = world.submit(world.harbour(1), order("a"), 3_000_000);
-        until(world, () -> world.verdict(ticket) != null);
+        long proposalId = world.submit(world.replica(1), order("a"), 3_000_000);
+        until(world, () -> world.result(proposalId) != null);
         world.run(8_000_000);
         return end(world);
     }
@@ -60,26 +60,26 @@
     private static String acceptanceForgotten(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
-        Harbour second = world.harbour(2);
-        long ticket = world.submit(second, order("b"), 3_000_000);
+        Replica second = world.replica(2);
+        long proposalId = world.submit(second, order("b"), 3_000_000);
         until(
                 world,
                 () -> world.writing(second) != null && world.writing(second).accepted() != null);
-        world.cut(second.address(), world.harbour(1).address());
+        world.cut(second.address(), world.replica(1).address());
         world.stall(second, 300_000);
         world.run(15_000);
-        world.wipe(world.harbour(3));
+        world.wipe(world.replica(3));
         // It asks the others, which may have nothing to tell yet, before the first hears of the offer.
         world.start(3);
-        until(world, () -> !world.harbour(3).copies().forgetful());
+        until(world, () -> !world.replica(3).consensus().isBlank());
         world.heal();
-        for (int i = 0; i < 4_000 && world.verdict(ticket) == null; i++) {
+        for (int i = 0; i < 4_000 && world.result(proposalId) == null; i++) {
             world.run(100);
         }
-        world.crash(world.harbour(1));
+        world.crash(world.replica(1));
         world.crash(second);
         world.start(2);
-        long read = world.read(world.harbour(3), 3_000_000);
+        long read = world.read(world.replica(3), 3_000_000);
         world.await(read);
         world.start(1);
         world.run(8_000_000);
@@ -90,9 +90,9 @@
     private static String wordsForTheOldDisk(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
-        world.wipe(world.harbour(3));
-        Harbour third = world.start(3);
-        until(world, () -> !third.copies().forgetful());
+        world.wipe(world.replica(3));
+        Replica third = world.start(3);
+        until(world, () -> !third.consensus().isBlank());
         String old = third.address();
         List<Map<String, Object>> words = List.of(
                 Map.of("t", "copies.prepare", "to", old, "b", "99@x"),
@@ -116,7 +116,7 @@
                         1L,
                         "items",
                         List.of()));
-        boolean answered = words.stream().anyMatch(word -> third.copies().received(world.now(), "x", word).stream()
+        boolean answered = words.stream().anyMatch(word -> third.consensus().received(world.now(), "x", word).stream()
                 .anyMatch(Effect.Write.class::isInstance));
         return answered ? "the new disk takes what was meant for the old one" : null;
     }
@@ -125,21 +125,21 @@
     private static String learntByABuildBefore(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
-        List<Harbour> all = world.up();
+        List<Replica> all = world.up();
         all.forEach(world::crash);
-        List<String> crew = all.stream().map(Harbour::address).toList();
-        ProposalNumber voted = new ProposalNumber(50, crew.get(0));
-        ProposalNumber before = new ProposalNumber(40, crew.get(1));
-        world.start(1, new PersistentState(voted, voted, crew, List.of(), false));
-        world.start(3, new PersistentState(new ProposalNumber(60, crew.get(1)), voted, crew, List.of(), true));
+        List<String> voters = all.stream().map(Replica::address).toList();
+        ProposalNumber voted = new ProposalNumber(50, voters.get(0));
+        ProposalNumber before = new ProposalNumber(40, voters.get(1));
+        world.start(1, new PersistentState(voted, voted, voters, List.of(), false));
+        world.start(3, new PersistentState(new ProposalNumber(60, voters.get(1)), voted, voters, List.of(), true));
         boolean shown = false;
         for (int i = 0; i < 400; i++) {
             world.run(10_000);
             if (i == 200) {
-                world.start(2, new PersistentState(before, before, crew, List.of(), false));
+                world.start(2, new PersistentState(before, before, voters, List.of(), false));
             }
-            shown |=
-                    world.up().stream().anyMatch(h -> h.copies().shown().stamp().equals(voted));
+            shown |= world.up().stream()
+                    .anyMatch(h -> h.consensus().committed().number().equals(voted));
         }
         return shown ? "what one has voted for is shown" : end(world);
     }
@@ -149,7 +149,7 @@
             world.checks()
                     .above(
                             world.checks().floor(),
-                            world.harbour(1).copies().shown().manifest(),
+                            world.replica(1).consensus().committed().configuration(),
                             "shown");
         }
         return world.checks().breach();
--- a/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -4,11 +4,11 @@
 import java.util.SplittableRandom;
 import org.cypressweir.controlplane.consensus.ProposalResult;
 import org.cypressweir.controlplane.consensus.ReplicatedState;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * A day of writers and readers at three or five harbours, with lossy networks, crashes, lost disks, stalled
- * and full ones, cuts, and replaced machines. Of a crew no more than a minority is without its disk or down
+ * A day of writers and readers at three or five replicas, with lossy networks, crashes, lost disks, stalled
+ * and full ones, cuts, and replaced machines. Of a voters no more than a minority is without its disk or down
  * at a time, and a lost disk is made good before the next is lost.
  */
 public class ConsensusFaults {
@@ -71,8 +71,8 @@
         return world;
     }
 
-    protected Harbour any() {
-        List<Harbour> up = world.up();
+    protected Replica any() {
+        List<Replica> up = world.up();
         return up.get(random.nextInt(up.size()));
     }
 
@@ -98,53 +98,53 @@
     /** Whether all are up and have a disk that counts. */
     private boolean whole() {
         return world.up().size() == count
-                && world.up().stream().noneMatch(h -> h.copies().forgetful())
+                && world.up().stream().noneMatch(h -> h.consensus().isBlank())
                 && world.up().stream()
-                        .allMatch(h -> h.copies().crew().size() == count
-                                && h.copies().crew().contains(h.copies().own()));
+                        .allMatch(h -> h.consensus().voters().size() == count
+                                && h.consensus().voters().contains(h.consensus().own()));
     }
 
     private void fault() {
-        Harbour harbour = any();
+        Replica replica = any();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
-                world.crash(harbour);
-                world.start(harbour.address(), false);
+                world.crash(replica);
+                world.start(replica.address(), false);
             }
             case 2 -> {
                 if (whole()) {
-                    world.wipe(harbour);
-                    world.start(harbour.address(), false);
+                    world.wipe(replica);
+                    world.start(replica.address(), false);
                 }
             }
             case 3 -> {
                 if (whole()) {
-                    world.crash(harbour);
+                    world.crash(replica);
                     world.run(random.nextLong(2_000_000));
-                    world.start(harbour.address(), false);
+                    world.start(replica.address(), false);
                 }
             }
             case 4 -> {
                 if (whole() && random.nextInt(3) == 0) {
-                    world.wipe(harbour);
+                    world.wipe(replica);
                     world.run(random.nextLong(2_000_000));
                     world.start(++machines);
                     // Replaced machines take part again before the next fault of this kind: see whole().
                 }
             }
-            case 5 -> world.stall(harbour, random.nextLong(1_500_000));
+            case 5 -> world.stall(replica, random.nextLong(1_500_000));
             case 6 -> {
-                world.full(harbour, true);
+                world.full(replica, true);
                 world.run(random.nextLong(1_000_000));
-                world.full(harbour, false);
+                world.full(replica, false);
             }
-            case 7 -> world.cut(harbour.address(), any().address());
+            case 7 -> world.cut(replica.address(), any().address());
             case 8 -> world.heal();
             case 9 -> {
                 if (whole()) {
-                    List<Harbour> all = world.up();
+                    List<Replica> all = world.up();
                     all.forEach(h -> {
-                        if (h == harbour) {
+                        if (h == replica) {
                             world.wipe(h);
                         } else {
                             world.crash(h);
@@ -162,16 +162,16 @@
         world.run(HEALED);
         long read = world.read(any(), 5_000_000);
         if (!(world.await(read) instanceof ProposalResult.Read)) {
-            return "no read after all is well: " + world.verdict(read);
+            return "no read after all is well: " + world.result(read);
         }
         world.run(2_000_000);
-        ReplicatedState first = world.up().get(0).copies().shown();
-        for (Harbour harbour : world.up()) {
-            if (!harbour.copies().shown().equals(first)) {
-                return harbour.address() + " shows " + harbour.copies().shown() + " and not " + first;
+        ReplicatedState first = world.up().get(0).consensus().committed();
+        for (Replica replica : world.up()) {
+            if (!replica.consensus().committed().equals(first)) {
+                return replica.address() + " shows " + replica.consensus().committed() + " and not " + first;
             }
         }
-        world.checks().above(world.checks().floor(), first.manifest(), "shown");
+        world.checks().above(world.checks().floor(), first.configuration(), "shown");
         return world.checks().breach();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.cypressweir.controlplane.consensus.ProposalResult;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * Eight operators with an order each at a time, at three harbours, before, in and after cuts, in made-up
+ * Eight operators with an order each at a time, at three replicas, before, in and after cuts, in made-up
  * time: how long each order takes until it is acknowledged, with all its tries, and how many rounds begin.
  */
 public final class ConsensusPartitions {
@@ -20,9 +20,9 @@
         BOTH_WAYS,
         HEARS_NOBODY,
         NOBODY_HEARS_IT,
-        /** The harbour that acknowledged an order last. */
+        /** The replica that acknowledged an order last. */
         ACTED_LAST,
-        /** Two cuts of the same harbour, three seconds apart. */
+        /** Two cuts of the same replica, three seconds apart. */
         TWICE,
         /** As one comes back, another goes for five seconds. */
         LOSS_AT_THE_JOIN
@@ -89,7 +89,7 @@
         private long begun = -1;
         private Phase its;
         private int at;
-        private long ticket;
+        private long proposalId;
         private long triedAt;
         private long pause;
         private long again;
@@ -112,28 +112,28 @@
                 send();
                 return;
             }
-            ProposalResult result = ticket < 0
+            ProposalResult result = proposalId < 0
                     ? new ProposalResult.Unavailable("nobody is there")
-                    : ticket == 0 ? null : world.verdict(ticket);
+                    : proposalId == 0 ? null : world.result(proposalId);
             if (result instanceof ProposalResult.Taken) {
                 figures.get(its).micros.add(now - begun);
                 last = at;
                 begun = -1;
                 again = now + random.nextLong(200_000);
-            } else if (ticket != 0 && (result != null || now - triedAt > SILENCE)) {
-                ticket = 0;
+            } else if (proposalId != 0 && (result != null || now - triedAt > SILENCE)) {
+                proposalId = 0;
                 again = now + pause / 2 + random.nextLong(pause);
                 pause = Math.min(MOST_PAUSE, pause * 2);
                 at = 1 + at % 3;
-            } else if (ticket == 0 && now >= again) {
+            } else if (proposalId == 0 && now >= again) {
                 send();
             }
         }
 
         private void send() {
             triedAt = world.now();
-            ticket = world.submit(
-                    world.harbour(at),
+            proposalId = world.submit(
+                    world.replica(at),
                     "{\"upsert\":{\"tenantTable\":{\"" + tenant
                             + "\":{\"apiKeys\":[\"" + tenant + "-" + version + "\"],\"configVersion\":\"r" + version
                             + "\"}}}}",
@@ -190,7 +190,7 @@
         }
         join();
         if (kind == Kind.LOSS_AT_THE_JOIN) {
-            Harbour gone = world.harbour(1 + off % 3);
+            Replica gone = world.replica(1 + off % 3);
             world.crash(gone);
             operate(DOWN);
             world.start(gone.address(), false);
@@ -206,8 +206,8 @@
     private void cutOff(int off) {
         next(Phase.IN);
         for (int other = 1; other <= 3; other++) {
-            String one = world.harbour(other).address();
-            String its = world.harbour(off).address();
+            String one = world.replica(other).address();
+            String its = world.replica(off).address();
             if (other != off && kind != Kind.NOBODY_HEARS_IT) {
                 world.cut(one, its);
             }
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.cypressweir.controlplane.consensus.ProposalResult;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
  * Harbours under orders: as many machines as may be lost are lost at once, successors with empty disks start,
@@ -61,7 +61,7 @@
     private void step() {
         if (world.now() >= orderAt) {
             orderAt = world.now() + ORDER_EVERY;
-            List<Harbour> up = world.up();
+            List<Replica> up = world.up();
             world.submit(up.get(random.nextInt(up.size())), order(), PATIENCE);
         }
         world.run(STEP);
@@ -72,9 +72,9 @@
                 + "\"],\"configVersion\":\"r" + ++orders + "\"}}}}";
     }
 
-    private List<Harbour> draw(int many) {
-        List<Harbour> up = new ArrayList<>(world.up());
-        List<Harbour> drawn = new ArrayList<>();
+    private List<Replica> draw(int many) {
+        List<Replica> up = new ArrayList<>(world.up());
+        List<Replica> drawn = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             drawn.add(up.remove(random.nextInt(up.size())));
         }
@@ -82,7 +82,7 @@
     }
 
     /** Loses the voters drawn, and starts a machine for each, there or elsewhere. */
-    private void replaced(List<Harbour> lost, int from) {
+    private void replaced(List<Replica> lost, int from) {
         boolean sameAddress = random.nextBoolean();
         lost.forEach(world::wipe);
         pass(random.nextLong(6_000_000));
@@ -100,7 +100,7 @@
         pass(1_000_000);
         ProposalResult answer = null;
         for (int i = 0; i < 20 && !(answer instanceof ProposalResult.Taken); i++) {
-            List<Harbour> up = world.up();
+            List<Replica> up = world.up();
             answer = world.await(world.submit(up.get(i % up.size()), order(), 1_000_000));
         }
         if (!(answer instanceof ProposalResult.Taken)) {
@@ -111,10 +111,10 @@
 
     /**
      * How long it takes after the loss of one until three members hold what is agreed; below 0: never, or not
-     * one change of the crew after the other.
+     * one change of the voters after the other.
      */
     public long untilThreeVote(boolean returnsBlank) {
-        Harbour lost = world.harbour(1 + random.nextInt(count));
+        Replica lost = world.replica(1 + random.nextInt(count));
         long at = world.now();
         world.wipe(lost);
         if (returnsBlank) {
@@ -122,14 +122,14 @@
         }
         while (world.now() - at < 20_000_000) {
             step();
-            for (Harbour one : world.up()) {
-                List<String> crew = one.copies().shown().crew();
+            for (Replica one : world.up()) {
+                List<String> voters = one.consensus().committed().voters();
                 long voting = world.up().stream()
-                        .filter(h -> crew.contains(h.copies().own())
+                        .filter(h -> voters.contains(h.consensus().own())
                                 && h.disk() != null
-                                && h.disk().crew().equals(crew))
+                                && h.disk().voters().equals(voters))
                         .count();
-                if (voting == count && !crew.contains(lost.address())) {
+                if (voting == count && !voters.contains(lost.address())) {
                     return world.checks().leaps() ? -1 : world.now() - at;
                 }
             }
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -26,12 +26,12 @@
 
     private static final long TICK = 50_000;
 
-    /** A harbour's process and disk. */
-    public final class Harbour {
+    /** A replica's process and disk. */
+    public final class Replica {
         final String address;
-        ConsensusReplica copies;
+        ConsensusReplica consensus;
         PersistentState disk;
-        long life;
+        long incarnation;
         boolean initial;
         private Effect.Write writing;
         /** Until when writes do not come back. */
@@ -39,12 +39,12 @@
 
         boolean full;
 
-        Harbour(String address) {
+        Replica(String address) {
             this.address = address;
         }
 
-        public ConsensusReplica copies() {
-            return copies;
+        public ConsensusReplica consensus() {
+            return consensus;
         }
 
         public String address() {
@@ -56,7 +56,7 @@
         }
 
         public boolean up() {
-            return copies != null;
+            return consensus != null;
         }
     }
 
@@ -65,19 +65,19 @@
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private final Map<String, Harbour> harbours = new TreeMap<>();
-    /** What harbours that start from here on are told. */
+    private final Map<String, Replica> replicas = new TreeMap<>();
+    /** What replicas that start from here on are told. */
     public List<String> seeds;
 
     private final Set<List<String>> cuts = new HashSet<>();
     private final ConsensusChecks checks = new ConsensusChecks();
-    private final Map<Long, ProposalResult> verdicts = new LinkedHashMap<>();
+    private final Map<Long, ProposalResult> results = new LinkedHashMap<>();
     private final Set<String> rounds = new HashSet<>();
     private long now = 1_000_000_000;
     private long number;
-    private long tickets;
-    private long lives;
-    /** How much the clocks of harbours that start from here on are behind. */
+    private long proposalIds;
+    private long incarnations;
+    /** How much the clocks of replicas that start from here on are behind. */
     public long behind;
     /** Hears of each message that is sent, whether it comes or not. */
     public Consumer<Map<String, Object>> sent = message -> {};
@@ -112,12 +112,12 @@
         return checks;
     }
 
-    public Harbour harbour(int i) {
-        return harbours.get("10.0.0." + i + ":7");
+    public Replica replica(int i) {
+        return replicas.get("10.0.0." + i + ":7");
     }
 
-    public List<Harbour> up() {
-        return harbours.values().stream().filter(Harbour::up).toList();
+    public List<Replica> up() {
+        return replicas.values().stream().filter(Replica::up).toList();
     }
 
     /** How many rounds have been begun, as far as others were asked. */
@@ -130,64 +130,71 @@
     }
 
     /** A process starts, with what is on its disk. */
-    public Harbour start(String address, boolean initial) {
-        Harbour harbour = harbours.computeIfAbsent(address, Harbour::new);
-        harbour.life = ++lives - behind;
-        harbour.initial = initial;
-        harbour.copies = new ConsensusReplica(
-                ConsensusOptions.usual(), address, seeds, initial, harbour.disk, harbour.life, random.split(), now);
+    public Replica start(String address, boolean initial) {
+        Replica replica = replicas.computeIfAbsent(address, Replica::new);
+        replica.incarnation = ++incarnations - behind;
+        replica.initial = initial;
+        replica.consensus = new ConsensusReplica(
+                ConsensusOptions.usual(),
+                address,
+                seeds,
+                initial,
+                replica.disk,
+                replica.incarnation,
+                random.split(),
+                now);
         checks.started(address);
-        act(harbour, harbour.copies.start(now));
-        long life = harbour.life;
-        after(1 + random.nextLong(TICK), () -> tick(harbour, life));
-        return harbour;
+        act(replica, replica.consensus.start(now));
+        long incarnation = replica.incarnation;
+        after(1 + random.nextLong(TICK), () -> tick(replica, incarnation));
+        return replica;
     }
 
-    public Harbour start(int i) {
+    public Replica start(int i) {
         return start("10.0.0." + i + ":7", false);
     }
 
     /** A process starts with a disk that it had before. */
-    public Harbour start(int i, PersistentState disk) {
-        harbour(i).disk = disk;
+    public Replica start(int i, PersistentState disk) {
+        replica(i).disk = disk;
         return start(i);
     }
 
     /** An operator's word to begin with nothing; why it is refused, or null. */
-    public String begin(Harbour harbour, Set<String> abandoned) {
-        String why = harbour.copies.mayNotBegin(now, abandoned);
+    public String begin(Replica replica, Set<String> abandoned) {
+        String why = replica.consensus.bootstrapObstacle(now, abandoned);
         if (why == null) {
-            act(harbour, harbour.copies.beginAlone(now, 1_700_000_000_000L));
+            act(replica, replica.consensus.bootstrap(now, 1_700_000_000_000L));
         }
         return why;
     }
 
     /** The process ends at once. A write that is not synced may be there or not. */
-    public void crash(Harbour harbour) {
-        if (harbour.writing != null && random.nextBoolean()) {
-            harbour.disk = harbour.writing.change().on(harbour.disk);
+    public void crash(Replica replica) {
+        if (replica.writing != null && random.nextBoolean()) {
+            replica.disk = replica.writing.change().on(replica.disk);
         }
-        harbour.writing = null;
-        harbour.copies = null;
+        replica.writing = null;
+        replica.consensus = null;
     }
 
     /** The process ends and the disk is lost. */
-    public void wipe(Harbour harbour) {
-        crash(harbour);
-        harbour.disk = null;
+    public void wipe(Replica replica) {
+        crash(replica);
+        replica.disk = null;
     }
 
-    public void stall(Harbour harbour, long micros) {
-        harbour.stalledUntil = now + micros;
+    public void stall(Replica replica, long micros) {
+        replica.stalledUntil = now + micros;
     }
 
-    /** What the harbour's disk is about to write, or null. */
-    public StorageUpdate writing(Harbour harbour) {
-        return harbour.writing == null ? null : harbour.writing.change();
+    /** What the replica's disk is about to write, or null. */
+    public StorageUpdate writing(Replica replica) {
+        return replica.writing == null ? null : replica.writing.change();
     }
 
-    public void full(Harbour harbour, boolean full) {
-        harbour.full = full;
+    public void full(Replica replica, boolean full) {
+        replica.full = full;
     }
 
     public void cut(String from, String to) {
@@ -200,59 +207,61 @@
         doubled = 0;
     }
 
-    private void tick(Harbour harbour, long life) {
-        if (harbour.up() && harbour.life == life) {
-            act(harbour, harbour.copies.tick(now));
-            long age = harbour.copies.confirmedAge(now);
+    private void tick(Replica replica, long incarnation) {
+        if (replica.up() && replica.incarnation == incarnation) {
+            act(replica, replica.consensus.tick(now));
+            long age = replica.consensus.confirmedAge(now);
             if (age >= 0) {
                 checks.confirmed(
-                        harbour.address, now - age, harbour.copies.shown().manifest());
+                        replica.address,
+                        now - age,
+                        replica.consensus.committed().configuration());
             }
-            after(TICK, () -> tick(harbour, life));
+            after(TICK, () -> tick(replica, incarnation));
         }
     }
 
-    private void act(Harbour harbour, List<Effect> effects) {
+    private void act(Replica replica, List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.Send send) {
-                send(harbour, send);
+                send(replica, send);
             } else if (effect instanceof Effect.Write write) {
-                if (harbour.writing != null) {
+                if (replica.writing != null) {
                     throw new AssertionError("two writes at a time");
                 }
-                harbour.writing = write;
-                long life = harbour.life;
-                after(1 + random.nextLong(mostWrite), () -> written(harbour, life));
+                replica.writing = write;
+                long incarnation = replica.incarnation;
+                after(1 + random.nextLong(mostWrite), () -> written(replica, incarnation));
             } else if (effect instanceof Effect.Answer answer) {
-                if (verdicts.put(answer.ticket(), answer.verdict()) != null) {
+                if (results.put(answer.proposalId(), answer.result()) != null) {
                     throw new AssertionError("answered twice: " + answer);
                 }
-                checks.answered(answer.ticket(), answer.verdict());
+                checks.answered(answer.proposalId(), answer.result());
                 checks.at(now);
             } else if (effect instanceof Effect.Show show) {
-                checks.shown(harbour.address, show);
+                checks.shown(replica.address, show);
             }
         }
     }
 
-    private void written(Harbour harbour, long life) {
-        if (!harbour.up() || harbour.life != life) {
+    private void written(Replica replica, long incarnation) {
+        if (!replica.up() || replica.incarnation != incarnation) {
             return;
         }
-        if (now < harbour.stalledUntil) {
-            after(harbour.stalledUntil - now, () -> written(harbour, life));
+        if (now < replica.stalledUntil) {
+            after(replica.stalledUntil - now, () -> written(replica, incarnation));
             return;
         }
-        Effect.Write write = harbour.writing;
-        harbour.writing = null;
-        boolean ok = !harbour.full;
+        Effect.Write write = replica.writing;
+        replica.writing = null;
+        boolean ok = !replica.full;
         if (ok || random.nextInt(4) == 0) {
-            harbour.disk = write.change().on(harbour.disk);
+            replica.disk = write.change().on(replica.disk);
         }
-        act(harbour, harbour.copies.written(now, write.number(), ok));
+        act(replica, replica.consensus.written(now, write.number(), ok));
     }
 
-    private void send(Harbour from, Effect.Send send) {
+    private void send(Replica from, Effect.Send send) {
         Map<String, Object> message = JsonCopy.map(send.message());
         if (!String.valueOf(message.get("t")).startsWith("copies.")) {
             throw new AssertionError(message.toString());
@@ -261,7 +270,7 @@
         if (message.get("t").equals("copies.prepare")) {
             rounds.add(String.valueOf(message.get("b")));
         }
-        String member = from.copies.own();
+        String member = from.consensus.own();
         String address = ReplicaKey.address(send.to());
         if (address.equals(weighed)) {
             bytes += JsonCodec.bytes(send.message()).length;
@@ -269,39 +278,39 @@
         int times = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
         for (int i = 0; i < times; i++) {
             after(1 + random.nextLong(mostDelay), () -> {
-                Harbour to = harbours.get(address);
+                Replica to = replicas.get(address);
                 if (to != null && to.up() && !cuts.contains(List.of(from.address, address))) {
-                    act(to, to.copies.received(now, member, message));
+                    act(to, to.consensus.received(now, member, message));
                 }
             });
         }
     }
 
-    /** An order goes to a harbour; the ticket, or -1 where nobody is there. */
-    public long submit(Harbour harbour, String body, long patience) {
-        if (!harbour.up()) {
+    /** An order goes to a replica; the proposalId, or -1 where nobody is there. */
+    public long submit(Replica replica, String body, long patience) {
+        if (!replica.up()) {
             return -1;
         }
         ConfigurationChange order =
                 ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
-        long ticket = ++tickets;
-        checks.sent(ticket, order);
-        act(harbour, harbour.copies.submit(now, ticket, order, now + patience));
-        return ticket;
+        long proposalId = ++proposalIds;
+        checks.sent(proposalId, order);
+        act(replica, replica.consensus.submit(now, proposalId, order, now + patience));
+        return proposalId;
     }
 
-    public long read(Harbour harbour, long patience) {
-        if (!harbour.up()) {
+    public long read(Replica replica, long patience) {
+        if (!replica.up()) {
             return -1;
         }
-        long ticket = ++tickets;
-        checks.sent(ticket, null);
-        act(harbour, harbour.copies.read(now, ticket, now + patience));
-        return ticket;
+        long proposalId = ++proposalIds;
+        checks.sent(proposalId, null);
+        act(replica, replica.consensus.read(now, proposalId, now + patience));
+        return proposalId;
     }
 
-    public ProposalResult verdict(long ticket) {
-        return verdicts.get(ticket);
+    public ProposalResult result(long proposalId) {
+        return results.get(proposalId);
     }
 
     public void run(long micros) {
@@ -314,11 +323,11 @@
         now = until;
     }
 
-    /** Runs until that ticket is answered, for ten seconds at most. */
-    public ProposalResult await(long ticket) {
-        for (int i = 0; i < 10_000 && !verdicts.containsKey(ticket); i++) {
+    /** Runs until that proposalId is answered, for ten seconds at most. */
+    public ProposalResult await(long proposalId) {
+        for (int i = 0; i < 10_000 && !results.containsKey(proposalId); i++) {
             run(1_000);
         }
-        return verdicts.get(ticket);
+        return results.get(proposalId);
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -26,9 +26,9 @@
     private final ConsensusReplica[] copies = new ConsensusReplica[COUNT];
     private final List<Store> stores;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private final Map<Long, ProposalResult> verdicts = new HashMap<>();
+    private final Map<Long, ProposalResult> results = new HashMap<>();
     private long now = 1_000_000;
-    private long tickets;
+    private long proposalIds;
     private long sentBytes;
     private long messages;
     private long writes;
@@ -61,17 +61,17 @@
 
     /** A change, or a read for null, at the first copy. */
     public ProposalResult submit(String body) {
-        long ticket = ++tickets;
+        long proposalId = ++proposalIds;
         ConfigurationChange order = body == null
                 ? null
                 : ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8))
                         .get();
-        act(0, copies[0].submit(now, ticket, order, now + PATIENCE));
+        act(0, copies[0].submit(now, proposalId, order, now + PATIENCE));
         settle();
-        for (int i = 0; i < 200 && !verdicts.containsKey(ticket); i++) {
+        for (int i = 0; i < 200 && !results.containsKey(proposalId); i++) {
             tick();
         }
-        return verdicts.get(ticket);
+        return results.get(proposalId);
     }
 
     private void act(int i, List<Effect> effects) {
@@ -86,7 +86,7 @@
                 writes++;
                 waiting.add(() -> act(i, copies[i].written(now, write.number(), written(i, write))));
             } else if (effect instanceof Effect.Answer answer) {
-                verdicts.put(answer.ticket(), answer.verdict());
+                results.put(answer.proposalId(), answer.result());
             }
         }
     }
