--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -153,7 +153,7 @@
                 eventLoop,
                 clock,
                 peers::send,
-                commit -> publisher.committed(commit.stamp(), commit.manifest(), commit.crew()));
+                commit -> publisher.committed(commit.number(), commit.configuration(), commit.voters()));
         driver = opening;
         LOG.info("store opened accepted="
                 + (opened.state() == null ? "none" : opened.state().accepted()));
@@ -189,7 +189,7 @@
     }
 
     private void connectPeers() {
-        peers.connect(seeds, driver.replica().crew());
+        peers.connect(seeds, driver.replica().voters());
     }
 
     /** Reads the settings file on the disk thread, if it has changed. */
@@ -208,10 +208,10 @@
     /** Where operators are redirected to, if this controller has no vote and a voter is reachable. */
     private Option<String> redirectTarget() {
         ConsensusReplica replica = driver.replica();
-        if (replica.votes() || replica.forgetful()) {
+        if (replica.isVoter() || replica.isBlank()) {
             return Option.none();
         }
-        List<String> voters = peers.reachableControlAddresses(replica.crew());
+        List<String> voters = peers.reachableControlAddresses(replica.voters());
         return voters.isEmpty() ? Option.none() : Option.some(voters.get((int) (ticks % voters.size())));
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -90,11 +90,11 @@
 
     private static void addReplica(Map<String, Object> status, ConsensusReplica replica, long nowMicros) {
         status.put("member", replica.own());
-        status.put(VOTERS, addresses(replica.crew()));
-        status.put("members", replica.crew());
+        status.put(VOTERS, addresses(replica.voters()));
+        status.put("members", replica.voters());
         status.put("standbys", addresses(replica.standbys()));
-        status.put(MUST_LEARN, replica.forgetful());
-        status.put(UNHEALTHY, replica.sick(nowMicros));
+        status.put(MUST_LEARN, replica.isBlank());
+        status.put(UNHEALTHY, replica.diskFailed(nowMicros));
         long confirmedAge = replica.confirmedAge(nowMicros);
         status.put("inContact", replica.inContact(nowMicros));
         status.put("confirmedMs", confirmedAge < 0 ? null : confirmedAge / MICROS_PER_MILLI);
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -144,7 +144,7 @@
 
     private static String outcome(ProposalResult result) {
         if (result instanceof ProposalResult.Taken committed) {
-            return "configuration change committed proposal=" + committed.stamp();
+            return "configuration change committed proposal=" + committed.number();
         } else if (result instanceof ProposalResult.Refused rejected) {
             return "configuration change rejected reason=\""
                     + rejected.refusal().reason() + "\"";
@@ -161,7 +161,7 @@
         if (result instanceof ProposalResult.Taken) {
             return json(OK, Map.of());
         } else if (result instanceof ProposalResult.Read read) {
-            return json(OK, read.manifest().layout());
+            return json(OK, read.configuration().layout());
         } else if (result instanceof ProposalResult.Refused rejected) {
             return rejected(rejected.refusal());
         }
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -71,9 +71,9 @@
 
     /** Starts with an empty state, without the replicas that are given up; returns why not, or null. */
     String bootstrap(Set<String> abandoned) {
-        String rejection = replica.mayNotBegin(clock.getAsLong(), abandoned);
+        String rejection = replica.bootstrapObstacle(clock.getAsLong(), abandoned);
         if (rejection == null) {
-            execute(replica.beginAlone(clock.getAsLong(), System.currentTimeMillis()));
+            execute(replica.bootstrap(clock.getAsLong(), System.currentTimeMillis()));
         }
         return rejection;
     }
@@ -120,9 +120,9 @@
     }
 
     private void complete(Effect.Answer answer) {
-        Consumer<ProposalResult> callback = pending.remove(answer.ticket());
+        Consumer<ProposalResult> callback = pending.remove(answer.proposalId());
         if (callback != null) {
-            callback.accept(answer.verdict());
+            callback.accept(answer.result());
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
@@ -131,7 +131,7 @@
     /** Returns the sum of the checksums of all items after it. */
     private long writeItems(StorageUpdate update, long previousSum, Transaction transaction) {
         long itemsSum = previousSum;
-        if (update.whole()) {
+        if (update.fullSnapshot()) {
             itemsSum = 0;
             if (environment.storeExists(ITEMS_STORE, transaction)) {
                 environment.truncateStore(ITEMS_STORE, transaction);
@@ -157,11 +157,11 @@
         if (update.accepted() != null || fields.get(transaction, SECOND_HAND_KEY) == null) {
             fields.put(transaction, SECOND_HAND_KEY, bytes(Boolean.toString(secondHand)));
         }
-        if (update.crew() != null || fields.get(transaction, VOTERS_KEY) == null) {
-            List<String> voters = update.crew() == null ? List.of() : update.crew();
+        if (update.voters() != null || fields.get(transaction, VOTERS_KEY) == null) {
+            List<String> voters = update.voters() == null ? List.of() : update.voters();
             fields.put(transaction, VOTERS_KEY, bytes(String.join(VOTER_SEPARATOR, voters)));
         }
-        if (update.setsDisk()) {
+        if (update.setsDiskId()) {
             fields.put(transaction, DISK_NUMBER_KEY, bytes(Long.toString(update.disk())));
         }
     }
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -125,15 +125,15 @@
     }
 
     void write(StorageUpdate update) throws IOException {
-        write(update, update.hearsay());
+        write(update, update.learnedSecondHand());
     }
 
     /** Writes a complete state into an environment that was just created, after that many writes elsewhere. */
     void writeAll(PersistentState state, long writeCount) throws IOException {
         checksum = new WriteChecksum(writeCount, 0);
         StorageUpdate update =
-                new StorageUpdate(state.promised(), state.accepted(), state.crew(), state.items(), true, state.disk());
-        write(update, state.hearsay());
+                new StorageUpdate(state.promised(), state.accepted(), state.voters(), state.items(), true, state.disk());
+        write(update, state.learnedSecondHand());
     }
 
     private void write(StorageUpdate update, boolean secondHand) throws IOException {
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -200,7 +200,7 @@
 
     private boolean needsCompaction(StorageUpdate update) throws IOException {
         long position = environment.transactionsSinceOpen() % WRITES_PER_SIZE_CHECK;
-        boolean checkSize = update.whole() || position == WRITES_PER_SIZE_CHECK - 1;
+        boolean checkSize = update.fullSnapshot() || position == WRITES_PER_SIZE_CHECK - 1;
         return checkSize && environment.sizeBytes() > compactionBytes;
     }
 
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -115,9 +115,9 @@
 
     private void collectAnswers() {
         for (long call : pendingCalls.keySet().stream().sorted().toList()) {
-            ProposalResult result = world().verdict(call);
+            ProposalResult result = world().result(call);
             if (result instanceof ProposalResult.Read read) {
-                checks.read(pendingCalls.remove(call).requiredVersions, read.manifest());
+                checks.read(pendingCalls.remove(call).requiredVersions, read.configuration());
             } else if (result != null && pendingCalls.get(call).body != null) {
                 PendingCall pending = pendingCalls.remove(call);
                 checks.answered(pending.body, status(result), pending.acknowledgedBefore);
--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -103,7 +103,7 @@
                     0);
             execute(previous, previous.start(0));
             execute(previous, previous.submit(0, 1, change(Part.STANDS.json(tenant)), TIMEOUT_MICROS));
-            return previous.shown().manifest().get(superseded.key());
+            return previous.committed().configuration().get(superseded.key());
         }
 
         private int submit(ConfigurationChange change) {
@@ -112,7 +112,7 @@
         }
 
         private Map<String, Object> layout() {
-            return replica.shown().manifest().layout();
+            return replica.committed().configuration().layout();
         }
 
         private void execute(List<Effect> effects) {
@@ -127,7 +127,7 @@
                 if (effect instanceof Effect.Write write) {
                     queue.addAll(replica.written(0, write.number(), true));
                 } else if (effect instanceof Effect.Answer answer) {
-                    result = answer.verdict();
+                    result = answer.result();
                 }
             }
             return result;
@@ -208,17 +208,17 @@
     }
 
     private static boolean writesChange(SimulatedReplicas simulation, int controller) {
-        return simulation.writing(simulation.harbour(controller)) != null
-                && simulation.writing(simulation.harbour(controller)).items().stream()
+        return simulation.writing(simulation.replica(controller)) != null
+                && simulation.writing(simulation.replica(controller)).items().stream()
                         .anyMatch(i -> i.version() == 5);
     }
 
     private static void partitionFirst(SimulatedReplicas simulation) {
         for (int other = 2; other <= 3; other++) {
             simulation.cut(
-                    simulation.harbour(1).address(), simulation.harbour(other).address());
+                    simulation.replica(1).address(), simulation.replica(other).address());
             simulation.cut(
-                    simulation.harbour(other).address(), simulation.harbour(1).address());
+                    simulation.replica(other).address(), simulation.replica(1).address());
         }
     }
 
@@ -236,7 +236,7 @@
         }
         int status = repeat(simulation, 2);
         simulation.heal();
-        if (!simulation.harbour(1).up()) {
+        if (!simulation.replica(1).up()) {
             simulation.start(1);
         }
         simulation.run(8_000_000);
@@ -251,13 +251,13 @@
     }
 
     private static void commit(SimulatedReplicas simulation, String change) {
-        assertThat(simulation.await(simulation.submit(simulation.harbour(3), change, TIMEOUT_MICROS)))
+        assertThat(simulation.await(simulation.submit(simulation.replica(3), change, TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
     }
 
     /** The first controller is sent the change, and its answer is lost in the way of the case. */
     private static void loseAnswer(SimulatedReplicas simulation, LostAnswer lostAnswer) {
-        long first = simulation.submit(simulation.harbour(1), tenant(5, "it"), TIMEOUT_MICROS);
+        long first = simulation.submit(simulation.replica(1), tenant(5, "it"), TIMEOUT_MICROS);
         if (lostAnswer == LostAnswer.AGREED
                 || lostAnswer == LostAnswer.WIPED
                 || lostAnswer == LostAnswer.AGREED_NEWER) {
@@ -266,7 +266,7 @@
             interruptWrite(simulation, lostAnswer);
         }
         if (lostAnswer == LostAnswer.WIPED) {
-            simulation.wipe(simulation.harbour(1));
+            simulation.wipe(simulation.replica(1));
         }
     }
 
@@ -274,7 +274,7 @@
         runUntil(simulation, () -> writesChange(simulation, 1));
         if (lostAnswer == LostAnswer.TWO_DISKS) {
             simulation.cut(
-                    simulation.harbour(1).address(), simulation.harbour(3).address());
+                    simulation.replica(1).address(), simulation.replica(3).address());
             runUntil(simulation, () -> writesChange(simulation, 2));
             runUntil(simulation, () -> !writesChange(simulation, 2));
         } else {
@@ -282,21 +282,21 @@
             runUntil(simulation, () -> !writesChange(simulation, 1));
         }
         if (lostAnswer != LostAnswer.CUT_OFF) {
-            simulation.crash(simulation.harbour(1));
+            simulation.crash(simulation.replica(1));
         }
     }
 
     private static int repeat(SimulatedReplicas simulation, int controller) {
-        long change = simulation.submit(simulation.harbour(controller), tenant(5, "it"), TIMEOUT_MICROS);
+        long change = simulation.submit(simulation.replica(controller), tenant(5, "it"), TIMEOUT_MICROS);
         return OperatorApiHandler.answer(simulation.await(change)).status();
     }
 
     private static Object committedKeys(SimulatedReplicas simulation, int controller) {
         return simulation
-                .harbour(controller)
-                .copies()
-                .shown()
-                .manifest()
+                .replica(controller)
+                .consensus()
+                .committed()
+                .configuration()
                 .get(new ItemKey(ItemType.TENANTS, "t"))
                 .content()
                 .get("apiKeys");
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
@@ -62,7 +62,7 @@
                 .contains(new PersistentState(proposal(9), proposal(9), VOTERS, List.of(item("c", 1, 1)), false));
         store.write(new StorageUpdate(proposal(12), null, null, List.of(), false));
         assertThat(store.load().orElseThrow().accepted()).isEqualTo(proposal(9));
-        assertThat(store.load().orElseThrow().hearsay()).isFalse();
+        assertThat(store.load().orElseThrow().learnedSecondHand()).isFalse();
         store.write(new StorageUpdate(proposal(15), proposal(14), VOTERS, List.of(), true));
         store.write(new StorageUpdate(proposal(16), null, null, List.of(), false));
         store = reopen(store);
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.cypressweir.controlplane.consensus.ReplicatedState;
 import org.cypressweir.testkit.SimulatedReplicas;
-import org.cypressweir.testkit.SimulatedReplicas.Harbour;
+import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
  * A proxy scenarios during random partitions, in simulated time: it receives versions of the configuration and asks
@@ -53,7 +53,7 @@
     }
 
     private void submitChange() {
-        Harbour at = world.harbour(1 + random.nextInt(3));
+        Replica at = world.replica(1 + random.nextInt(3));
         world.submit(
                 at,
                 "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k\"],\"configVersion\":\"r" + ++version + "\"}}}}",
@@ -66,10 +66,10 @@
         int directions = 1 + random.nextInt(3);
         for (int i = 1; i <= 3 && partitioned > 0; i++) {
             if (i != partitioned && (directions & 1) != 0) {
-                world.cut(world.harbour(partitioned).address(), world.harbour(i).address());
+                world.cut(world.replica(partitioned).address(), world.replica(i).address());
             }
             if (i != partitioned && (directions & 2) != 0) {
-                world.cut(world.harbour(i).address(), world.harbour(partitioned).address());
+                world.cut(world.replica(i).address(), world.replica(partitioned).address());
             }
         }
         return partitioned;
@@ -79,11 +79,11 @@
     private void partitionAll() {
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
-                world.cut(world.harbour(i).address(), world.harbour(j).address());
+                world.cut(world.replica(i).address(), world.replica(j).address());
             }
         }
         int restarted = 1 + random.nextInt(3);
-        world.crash(world.harbour(restarted));
+        world.crash(world.replica(restarted));
         world.start(restarted);
         world.run(3_000_000);
     }
@@ -94,15 +94,15 @@
 
     private void query(int controller, long queriedAt) {
         send(() -> {
-            Harbour its = world.harbour(controller);
-            ReplicatedState shown = its.copies().shown();
-            long age = its.copies().confirmedAge(world.now());
+            Replica its = world.replica(controller);
+            ReplicatedState shown = its.consensus().committed();
+            long age = its.consensus().confirmedAge(world.now());
             send(() -> {
                 // The configuration arrives with the answer, later, or not at all for now.
-                if (random.nextInt(3) > 0 && (own == null || shown.stamp().compareTo(own.stamp()) > 0)) {
+                if (random.nextInt(3) > 0 && (own == null || shown.number().compareTo(own.number()) > 0)) {
                     own = shown;
                 }
-                gate.confirmationReceived(world.now(), "h" + controller, queriedAt, shown.stamp(), age);
+                gate.confirmationReceived(world.now(), "h" + controller, queriedAt, shown.number(), age);
             });
         });
     }
@@ -142,12 +142,12 @@
             if (gate.isQueryDue(now)) {
                 reachable.forEach(controller -> query(controller, now));
             }
-            configuredSince = configuredSince < 0 && own != null && own.stamp().round() > 0 ? now : configuredSince;
-            if (own != null && gate.mayStart(now, own.stamp(), CONFIRMATION_TIMEOUT_MICROS)) {
+            configuredSince = configuredSince < 0 && own != null && own.number().round() > 0 ? now : configuredSince;
+            if (own != null && gate.mayStart(now, own.number(), CONFIRMATION_TIMEOUT_MICROS)) {
                 return checkStart(now, configuredSince, startedAt, partitioned);
             }
         }
-        return own == null || own.stamp().round() == 0 || now() < configuredSince + CONFIRMATION_TIMEOUT_MICROS
+        return own == null || own.number().round() == 0 || now() < configuredSince + CONFIRMATION_TIMEOUT_MICROS
                 ? null
                 : "never starts";
     }
@@ -158,7 +158,7 @@
 
     private String checkStart(long now, long configuredSince, long startedAt, int partitioned) {
         if (gate.isConfirmed()) {
-            world.checks().confirmed("the proxy", now - ReadinessGate.MAX_CONTACT_AGE_MICROS, own.manifest());
+            world.checks().confirmed("the proxy", now - ReadinessGate.MAX_CONTACT_AGE_MICROS, own.configuration());
         } else if (now < configuredSince + CONFIRMATION_TIMEOUT_MICROS) {
             return "starts after " + (now - configuredSince) + " us with an unconfirmed configuration";
         } else if (maxDelayMicros == 0
