--- a/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         ApiCall asked = ApiCall.of(call.path())
                 .filter(one -> one.method().equals(call.method()))
                 .orElse(null);
@@ -47,7 +47,7 @@
         } else if (asked == ApiCall.WHY) {
             why(call);
         } else {
-            others.called(call);
+            others.handle(call);
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         Optional<ApiCall> known = ApiCall.of(call.path());
         if (known.isEmpty()) {
             call.answer(fault(ErrorKind.NO_CALL, "no such call"));
--- a/src/main/java/org/cypressweir/dataplane/http/server/BadRequestException.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/BadRequestException.java
@@ -1,14 +1,17 @@
 package org.cypressweir.dataplane.http.server;
 
-/** What came is no request that is taken; the status says why, and the connection ends. */
+/**
+ * Signals that what was received is no acceptable request. The client gets the status and the message, and the
+ * connection is closed. Has no stack trace, since clients cause it.
+ */
 final class BadRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    BadRequestException(int status, String why) {
-        super(why, null, false, false);
+    BadRequestException(int status, String message) {
+        super(message, null, false, false);
         this.status = status;
     }
 
--- a/src/main/java/org/cypressweir/dataplane/http/server/Exchange.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Exchange.java
@@ -8,40 +8,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** One request and its answer; only the first answer counts. */
+/** One request on a connection and its response; only the first response counts. For the event loop only. */
 final class Exchange implements ServerRequest {
 
     private final HttpConnection connection;
     private final String method;
     private final String uri;
     private final String host;
-    private final boolean old;
-    private final boolean keeps;
+    private final boolean http10;
+    private final boolean keepAlive;
     private final List<Map.Entry<String, String>> headers = new ArrayList<>();
-    private final RequestBody body;
-    private final byte[] bytes;
-    private final long arrived;
+    private final RequestBody requestBody;
+    private final byte[] bodyBytes;
+    private final long arrivedMicros;
     private final InetSocketAddress remote;
     private boolean open = true;
-    private boolean gone;
-    private Runnable whenGone;
-
-    Exchange(HttpConnection connection, HttpRequest request, RequestHeadScanner head, RequestBody body, long arrived) {
+    private boolean disconnected;
+    private Runnable disconnectListener;
+
+    Exchange(
+            HttpConnection connection,
+            HttpRequest request,
+            RequestHeadScanner head,
+            RequestBody requestBody,
+            long arrivedMicros) {
         this.connection = connection;
-        this.body = body;
-        this.arrived = arrived;
+        this.requestBody = requestBody;
+        this.arrivedMicros = arrivedMicros;
         method = request.method().name();
         uri = head.uri();
         host = head.host();
-        old = head.isOld();
-        keeps = HttpUtil.isKeepAlive(request);
-        bytes = body.whole();
+        http10 = head.isHttp10();
+        keepAlive = HttpUtil.isKeepAlive(request);
+        bodyBytes = requestBody.complete();
         remote = connection.remote();
-        Iterator<Map.Entry<String, String>> each = request.headers().iteratorAsString();
-        while (each.hasNext()) {
-            Map.Entry<String, String> header = each.next();
-            boolean names = head.authority() != null && header.getKey().equalsIgnoreCase("Host");
-            headers.add(Map.entry(header.getKey(), names ? head.authority() : header.getValue()));
+        Iterator<Map.Entry<String, String>> received = request.headers().iteratorAsString();
+        while (received.hasNext()) {
+            Map.Entry<String, String> header = received.next();
+            // RFC 9112 section 3.2.2: the authority of an absolute target goes before Host.
+            boolean overridden = head.authority() != null && header.getKey().equalsIgnoreCase("Host");
+            headers.add(Map.entry(header.getKey(), overridden ? head.authority() : header.getValue()));
         }
     }
 
@@ -67,12 +73,12 @@
 
     @Override
     public byte[] body() {
-        return bytes;
+        return bodyBytes;
     }
 
     @Override
     public long arrivedMicros() {
-        return arrived;
+        return arrivedMicros;
     }
 
     @Override
@@ -86,40 +92,41 @@
     }
 
     @Override
-    public boolean answer(ServerResponse answer) {
-        boolean first = open && connection.answer(this, answer);
+    public boolean answer(ServerResponse response) {
+        boolean first = open && connection.respond(this, response);
         open = false;
         return first;
     }
 
     @Override
-    public void whenGone(Runnable task) {
-        if (gone) {
+    public void onDisconnect(Runnable task) {
+        if (disconnected) {
             task.run();
         } else if (open) {
-            whenGone = task;
+            disconnectListener = task;
         }
     }
 
-    /** The client has closed its connection. */
-    void gone() {
+    /** The client has closed its connection before the response. */
+    void clientDisconnected() {
         open = false;
-        gone = true;
-        body.free();
-        if (whenGone != null) {
-            whenGone.run();
+        disconnected = true;
+        requestBody.free();
+        if (disconnectListener != null) {
+            disconnectListener.run();
         }
     }
 
-    RequestBody held() {
-        return body;
+    RequestBody requestBody() {
+        return requestBody;
     }
 
-    boolean keeps() {
-        return keeps;
+    /** Whether the client keeps the connection after the response, RFC 9112 section 9.3. */
+    boolean keepAlive() {
+        return keepAlive;
     }
 
-    boolean isOld() {
-        return old;
+    boolean isHttp10() {
+        return http10;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/Headers.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Headers.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Lists of headers, in which names count in any case. */
+/** Operations on lists of headers. Names are compared without case, RFC 9110 section 5.1. Stateless. */
 public final class Headers {
 
-    /** What speaks of one connection, or is set anew by each sender. */
-    private static final String[] HOP = {
+    /** Headers about one connection (RFC 9110 section 7.6.1), or that each sender sets itself. */
+    private static final String[] HOP_BY_HOP = {
         "Connection",
         "Keep-Alive",
         "Proxy-Connection",
@@ -24,25 +24,25 @@
 
     private Headers() {}
 
-    /** What goes on to the next connection: neither hop-by-hop headers nor what Connection lists. */
+    /** The headers that are forwarded: neither hop-by-hop ones nor those that Connection lists. */
     public static List<Map.Entry<String, String>> endToEnd(List<Map.Entry<String, String>> headers) {
-        List<String> listed = List.of();
+        List<String> connectionOptions = List.of();
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equalsIgnoreCase("Connection")) {
-                listed = new ArrayList<>(listed);
-                addTokens(header.getValue(), listed);
+                connectionOptions = new ArrayList<>(connectionOptions);
+                addTokens(header.getValue(), connectionOptions);
             }
         }
-        List<Map.Entry<String, String>> kept = new ArrayList<>(headers.size());
+        List<Map.Entry<String, String>> forwarded = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
-            if (!isOneOf(header.getKey(), HOP) && !isOneOf(header.getKey(), listed)) {
-                kept.add(header);
+            if (!isOneOf(header.getKey(), HOP_BY_HOP) && !isOneOf(header.getKey(), connectionOptions)) {
+                forwarded.add(header);
             }
         }
-        return kept;
+        return forwarded;
     }
 
-    /** The value of the first of that name, or null. */
+    /** The value of the first header of that name, or null. */
     public static String first(List<Map.Entry<String, String>> headers, String name) {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equalsIgnoreCase(name)) {
@@ -52,15 +52,15 @@
         return null;
     }
 
-    /** All others. */
+    /** The headers but those of these names. */
     public static List<Map.Entry<String, String>> without(List<Map.Entry<String, String>> headers, String... names) {
-        List<Map.Entry<String, String>> kept = new ArrayList<>(headers.size());
+        List<Map.Entry<String, String>> others = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
             if (!isOneOf(header.getKey(), names)) {
-                kept.add(header);
+                others.add(header);
             }
         }
-        return kept;
+        return others;
     }
 
     private static void addTokens(String value, List<String> tokens) {
--- a/src/main/java/org/cypressweir/dataplane/http/server/HttpConnection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpConnection.java
@@ -12,56 +12,69 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 
-/** A client's connection: it collects one request at a time, hands it to the host and writes its answer. */
+/**
+ * A client's connection: receives one request at a time, hands it to the listener's handler and writes the response.
+ * Pipelined requests wait until the one before was responded to. For the event loop only.
+ */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
 
-    private static final long WRITE_MICROS = 5_000_000;
-    private static final long FRESH_MICROS = 500_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    /** A client that accepts no byte of a response for so long is disconnected. */
+    private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
+    /** A new connection without a request counts as idle only after this time. */
+    private static final long NEW_CONNECTION_GRACE_MICROS = 500_000;
+    /** How long the client may take to close its side after the last response. */
     private static final long LINGER_MICROS = 1_000_000;
-    /** Bytes that may wait behind a request in hand. */
-    private static final int MOST_WAITING = 64 * 1024;
+    /** Pipelined bytes beyond which reading pauses. */
+    private static final int MAX_PIPELINED_BYTES = 64 * 1024;
+
+    private static final String RETRY_AFTER_SECONDS = "0.2";
 
     private enum Phase {
         IDLE,
         HEAD,
         BODY,
-        CALLED,
+        /** The handler has the request. */
+        HANDLING,
         WRITING,
+        /** The last response is written, and the client's side is still open. */
         LINGERING
     }
 
-    private final HttpListener gangway;
+    private final HttpListener listener;
     private final SocketChannel channel;
     private final RequestDecoder decoder;
-    private final RequestAssembler intake;
+    private final RequestAssembler assembler;
     private Phase phase = Phase.IDLE;
-    /** When the phase began, or something last moved on in it. */
-    private long since;
+    /** When the phase began, or last made progress. */
+    private long progressAt;
+
+    /** The limits of the present request. */
+    private RequestLimits limits;
 
-    private RequestLimits bounds;
     private Exchange exchange;
-    /** The connection ends after the answer that is being written. */
-    private boolean last;
-    /** A request has begun to come here. */
+    /** Whether the connection ends after the response that is being written. */
+    private boolean closing;
+    /** Whether a request has ever begun to arrive. */
     private boolean used;
 
-    private long unwritten;
+    private long unwrittenBytes;
 
-    HttpConnection(HttpListener gangway, SocketChannel channel) {
-        this.gangway = gangway;
+    HttpConnection(HttpListener listener, SocketChannel channel) {
+        this.listener = listener;
         this.channel = channel;
-        since = gangway.now();
-        bounds = gangway.bounds();
+        progressAt = listener.now();
+        limits = listener.limits();
         decoder = new RequestDecoder(this);
-        intake = new RequestAssembler(gangway, channel);
+        assembler = new RequestAssembler(listener, channel);
     }
 
-    void begin() {
+    void addHandlers() {
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), this);
     }
 
-    RequestLimits bounds() {
-        return bounds;
+    RequestLimits limits() {
+        return limits;
     }
 
     InetSocketAddress remote() {
@@ -76,33 +89,33 @@
         channel.close();
     }
 
-    /** The first byte of a request has come. */
-    void begins() {
-        bounds = gangway.bounds();
+    /** The first byte of a request has been received. */
+    void onRequestBegin() {
+        limits = listener.limits();
         used = true;
         enter(Phase.HEAD);
     }
 
     private void enter(Phase next) {
         phase = next;
-        since = gangway.now();
+        progressAt = listener.now();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        gangway.opened(this);
+        listener.onConnect(this);
         context.fireChannelActive();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        gangway.closed(this);
-        intake.drop();
-        Exchange gone = exchange;
+        listener.onDisconnect(this);
+        assembler.discard();
+        Exchange unfinished = exchange;
         exchange = null;
-        if (gone != null) {
-            gangway.callEnded();
-            gone.gone();
+        if (unfinished != null) {
+            listener.onRequestEnd();
+            unfinished.clientDisconnected();
         }
         context.fireChannelInactive();
     }
@@ -126,84 +139,96 @@
 
     private void read(HttpObject part) {
         phase = Phase.BODY;
-        since = gangway.now();
+        progressAt = listener.now();
         try {
-            if (intake.add(part, decoder.head(), bounds)) {
-                exchange = intake.take(this, since);
-                phase = Phase.CALLED;
-                gangway.call(exchange);
+            if (assembler.add(part, decoder.head(), limits)) {
+                exchange = assembler.complete(this, progressAt);
+                phase = Phase.HANDLING;
+                listener.handle(exchange);
             }
         } catch (BadRequestException e) {
             reject(e.status(), e.getMessage());
         }
     }
 
-    /** Answers what is no request that is taken; the connection ends. */
-    private void reject(int status, String why) {
-        boolean bare = intake.isBare();
-        intake.drop();
-        ServerResponse answer = ServerResponse.text(status, why);
-        write(status == 503 ? answer.withHeader("Retry-After", "0.2") : answer, bare, true, false);
+    /** Responds to what is no acceptable request; the connection ends. */
+    private void reject(int status, String reason) {
+        boolean headRequest = assembler.isHeadRequest();
+        assembler.discard();
+        ServerResponse response = ServerResponse.text(status, reason);
+        if (status == 503) {
+            response = response.withHeader("Retry-After", RETRY_AFTER_SECONDS);
+        }
+        write(response, headRequest, true, false);
     }
 
-    /** Whether the answer goes out. */
-    boolean answer(Exchange which, ServerResponse answer) {
-        if (exchange != which || !channel.isActive()) {
+    /** Writes the response of the present exchange; returns whether it is one that is still open. */
+    boolean respond(Exchange responded, ServerResponse response) {
+        if (exchange != responded || !channel.isActive()) {
             return false;
         }
         exchange = null;
-        which.held().free();
-        gangway.callEnded();
-        write(answer, which.method().equals("HEAD"), !which.keeps() || gangway.isDraining(), which.isOld());
+        responded.requestBody().free();
+        listener.onRequestEnd();
+        boolean headRequest = responded.method().equals("HEAD");
+        boolean last = !responded.keepAlive() || listener.isDraining();
+        write(response, headRequest, last, responded.isHttp10());
         return true;
     }
 
-    private void write(ServerResponse answer, boolean bare, boolean ends, boolean old) {
-        last = ends;
+    private void write(ServerResponse response, boolean headRequest, boolean last, boolean http10) {
+        closing = last;
         enter(Phase.WRITING);
-        if (last) {
+        if (closing) {
             decoder.stop();
             channel.config().setAutoRead(true);
         }
-        FullHttpResponse response = ResponseEncoder.of(answer, bare);
-        if (last) {
-            response.headers().set(HttpHeaderNames.CONNECTION, "close");
-        } else if (old) {
-            response.headers().set(HttpHeaderNames.CONNECTION, "keep-alive");
+        FullHttpResponse encoded = ResponseEncoder.encode(response, headRequest);
+        if (closing) {
+            encoded.headers().set(HttpHeaderNames.CONNECTION, "close");
+        } else if (http10) {
+            encoded.headers().set(HttpHeaderNames.CONNECTION, "keep-alive");
         }
-        channel.writeAndFlush(response).addListener(f -> written(f.isSuccess()));
+        channel.writeAndFlush(encoded).addListener(f -> onWritten(f.isSuccess()));
     }
 
-    private void written(boolean whole) {
-        if (!whole) {
+    private void onWritten(boolean complete) {
+        if (!complete) {
             channel.close();
-        } else if (last) {
+        } else if (closing) {
+            // RFC 9112 section 9.6: closing both sides at once could reset the connection before the client has
+            // read the response.
             enter(Phase.LINGERING);
             channel.shutdownOutput();
         } else {
-            enter(Phase.IDLE);
-            channel.config().setAutoRead(true);
-            decoder.proceed();
-            if (gangway.isDraining()) {
-                closeIfIdle();
-            }
+            nextRequest();
+        }
+    }
+
+    private void nextRequest() {
+        enter(Phase.IDLE);
+        channel.config().setAutoRead(true);
+        decoder.nextRequest();
+        if (listener.isDraining()) {
+            closeIfIdle();
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (!last && (phase == Phase.CALLED || phase == Phase.WRITING) && decoder.waiting() > MOST_WAITING) {
+        boolean pipelining = phase == Phase.HANDLING || phase == Phase.WRITING;
+        if (!closing && pipelining && decoder.pipelinedBytes() > MAX_PIPELINED_BYTES) {
             channel.config().setAutoRead(false);
         }
         context.fireChannelReadComplete();
     }
 
     /**
-     * Closes, unless a request has begun to come or is in hand; what the kernel holds counts too. Who has
-     * only just connected is about to ask.
+     * Closes the connection, unless a request has begun to arrive, bytes that the kernel has received included, or
+     * is being handled. A client that connected a moment ago is about to send a request.
      */
     void closeIfIdle() {
-        if (phase == Phase.IDLE && (used || gangway.now() - since > FRESH_MICROS)) {
+        if (phase == Phase.IDLE && (used || listener.now() - progressAt > NEW_CONNECTION_GRACE_MICROS)) {
             readNow();
             if (phase == Phase.IDLE) {
                 channel.close();
@@ -217,22 +242,23 @@
         }
     }
 
-    void checkTimes(long now) {
-        long quiet = now - since;
+    /** Ends what has taken too long. */
+    void checkTimeouts(long now) {
+        long elapsed = now - progressAt;
         switch (phase) {
             case IDLE -> {
-                if (quiet > gangway.bounds().idleMillis() * 1000 || gangway.isDraining()) {
+                if (elapsed > listener.limits().idleTimeoutMillis() * MICROS_PER_MILLI || listener.isDraining()) {
                     closeIfIdle();
                 }
             }
             case HEAD, BODY -> {
-                if (quiet > bounds.headerMillis() * 1000) {
-                    stalls();
+                if (elapsed > limits.headerTimeoutMillis() * MICROS_PER_MILLI) {
+                    onReadTimeout();
                 }
             }
-            case WRITING -> checkWriting(now);
+            case WRITING -> checkWriteTimeout(now);
             case LINGERING -> {
-                if (quiet > LINGER_MICROS) {
+                if (elapsed > LINGER_MICROS) {
                     channel.close();
                 }
             }
@@ -240,23 +266,23 @@
         }
     }
 
-    /** Too late, unless the rest was there and not read yet. */
-    private void stalls() {
-        long before = since;
-        Phase was = phase;
+    /** Rejects the request, unless more of it has been received and was only not read yet. */
+    private void onReadTimeout() {
+        long progressBefore = progressAt;
+        Phase phaseBefore = phase;
         readNow();
-        if (phase == was && since == before) {
+        if (phase == phaseBefore && progressAt == progressBefore) {
             reject(408, "the request did not come in time");
         }
     }
 
-    private void checkWriting(long now) {
-        ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
-        long left = out == null ? 0 : out.totalPendingWriteBytes() - out.currentProgress();
-        if (left != unwritten) {
-            unwritten = left;
-            since = now;
-        } else if (now - since > WRITE_MICROS) {
+    private void checkWriteTimeout(long now) {
+        ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+        long unwritten = buffer == null ? 0 : buffer.totalPendingWriteBytes() - buffer.currentProgress();
+        if (unwritten != unwrittenBytes) {
+            unwrittenBytes = unwritten;
+            progressAt = now;
+        } else if (now - progressAt > WRITE_TIMEOUT_MICROS) {
             channel.close();
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/http/server/HttpListener.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpListener.java
@@ -22,126 +22,136 @@
 import java.util.function.Supplier;
 
 /**
- * Listens on one address and gives each request exactly one answer. All that it does runs on one loop; it
- * may be told to end from any thread.
+ * An HTTP/1.1 server on one address; each request gets exactly one response.
+ *
+ * <p>All connections and the handler run on one event loop. {@link #drain}, {@link #stopListening}, {@link #close}
+ * and the counts may be called from any thread. A graceful shutdown is {@code drain}, {@code stopListening}, waiting
+ * until {@link #connections} is zero, {@code close}.
  */
 public final class HttpListener {
 
     private static final int BACKLOG = 1024;
-    /** Bodies of all requests that are read or in hand. */
-    private static final long MOST_BYTES = 24L * 1024 * 1024;
-    /** One look at all connections in place of timers; between two of them, at the least and most. */
-    private static final long LEAST_SWEEP = 10;
+    /** The bodies of all requests that are being received or handled. */
+    private static final long MAX_BUFFERED_BYTES = 24L * 1024 * 1024;
+    /** Time-outs are checked for all connections at once, in place of a timer for each. */
+    private static final long MIN_SWEEP_INTERVAL_MILLIS = 10;
 
-    private static final long MOST_SWEEP = 250;
-    /** So often a connection is read in one turn of the loop. */
-    private static final int READS = 4;
+    private static final long MAX_SWEEP_INTERVAL_MILLIS = 250;
+    /** Reads of one connection in one iteration of the event loop. */
+    private static final int MAX_READS_PER_ITERATION = 4;
 
     private final EventLoop loop;
-    private final Supplier<RequestLimits> bounds;
-    private final LongSupplier micros;
-    private final RequestHandler host;
+    private final Supplier<RequestLimits> limits;
+    private final LongSupplier clockMicros;
+    private final RequestHandler handler;
     private final InetSocketAddress address;
-    private final Channel door;
+    private final Channel serverChannel;
     private final Set<HttpConnection> connections = new LinkedHashSet<>();
-    private long held;
+    private long bufferedBytes;
     private boolean sweeping;
     private boolean closed;
     private volatile boolean draining;
     private volatile int requestsOpen;
-    private volatile int connected;
+    private volatile int connectionCount;
 
     private HttpListener(
             EventLoop loop,
             ServerSocketChannel socket,
-            Supplier<RequestLimits> bounds,
-            LongSupplier micros,
-            RequestHandler host)
+            Supplier<RequestLimits> limits,
+            LongSupplier clockMicros,
+            RequestHandler handler)
             throws IOException {
         this.loop = loop;
-        this.bounds = bounds;
-        this.micros = micros;
-        this.host = host;
+        this.limits = limits;
+        this.clockMicros = clockMicros;
+        this.handler = handler;
         address = (InetSocketAddress) socket.getLocalAddress();
-        door = new NioServerSocketChannel(socket);
+        serverChannel = new NioServerSocketChannel(socket);
     }
 
-    /** Listens from now on. */
+    /**
+     * Binds the address and accepts connections from now on.
+     *
+     * @param limits read again for each request, so that they may change
+     * @param clockMicros the clock of time-outs and of {@link ServerRequest#arrivedMicros}
+     * @throws IOException if the address can't be bound; the message names it
+     */
     public static HttpListener open(
             EventLoopGroup group,
-            InetSocketAddress at,
-            Supplier<RequestLimits> bounds,
-            LongSupplier micros,
-            RequestHandler host)
+            InetSocketAddress address,
+            Supplier<RequestLimits> limits,
+            LongSupplier clockMicros,
+            RequestHandler handler)
             throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            socket.bind(at, BACKLOG);
-            HttpListener gangway = new HttpListener(group.next(), socket, bounds, micros, host);
-            gangway.accept();
-            return gangway;
+            socket.bind(address, BACKLOG);
+            HttpListener listener = new HttpListener(group.next(), socket, limits, clockMicros, handler);
+            listener.accept();
+            return listener;
         } catch (IOException | RuntimeException e) {
             socket.close();
             throw new IOException(
-                    "cannot listen on " + at.getHostString() + ":" + at.getPort() + ": " + e.getMessage(), e);
+                    "cannot listen on " + address.getHostString() + ":" + address.getPort() + ": " + e.getMessage(), e);
         }
     }
 
     private void accept() {
+        AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
         new ServerBootstrap()
                 .group(loop)
-                .channelFactory(() -> (NioServerSocketChannel) door)
+                .channelFactory(() -> (NioServerSocketChannel) serverChannel)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(
-                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS))
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, allocator.maxMessagesPerRead(MAX_READS_PER_ITERATION))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        new HttpConnection(HttpListener.this, channel).begin();
+                        new HttpConnection(HttpListener.this, channel).addHandlers();
                     }
                 })
                 .register();
     }
 
-    /** Where it listens, with the port that was chosen for 0. */
+    /** The bound address, with the port that was chosen for port 0. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Requests that were handed to the host and not answered. */
+    /** The number of requests that were handed to the handler and have no response yet. */
     public int requestsOpen() {
         return requestsOpen;
     }
 
+    /** The number of open connections. */
     public int connections() {
-        return connected;
+        return connectionCount;
     }
 
-    /** From now on each answer is the last of its connection; those without a request are closed. */
+    /** Begins to drain: each response is the last of its connection, and idle connections are closed. */
     public void drain() {
         draining = true;
         onLoop(() -> List.copyOf(connections).forEach(HttpConnection::closeIfIdle));
     }
 
-    /** Nobody new is let in; those that have connected before are. */
+    /** Accepts no further connections; those that the kernel has accepted before are served. */
     public void stopListening() {
         onLoop(() -> {
             int before;
-            // Whoever has connected and was not accepted yet would be reset.
+            // Connections in the backlog would be reset by the close.
             do {
-                before = connected;
-                ((AbstractNioChannel) door).unsafe().read();
-            } while (door.isOpen() && connected > before);
-            door.close();
+                before = connectionCount;
+                ((AbstractNioChannel) serverChannel).unsafe().read();
+            } while (serverChannel.isOpen() && connectionCount > before);
+            serverChannel.close();
         });
     }
 
-    /** Ends all at once. */
+    /** Closes the listener and all connections at once. */
     public void close() {
         onLoop(() -> {
             closed = true;
-            door.close();
+            serverChannel.close();
             List.copyOf(connections).forEach(HttpConnection::close);
         });
     }
@@ -155,71 +165,74 @@
     }
 
     long now() {
-        return micros.getAsLong();
+        return clockMicros.getAsLong();
     }
 
-    RequestLimits bounds() {
-        return bounds.get();
+    RequestLimits limits() {
+        return limits.get();
     }
 
     boolean isDraining() {
         return draining;
     }
 
-    boolean hasRoom(long bytes) {
-        return bytes <= MOST_BYTES - held;
+    /** Whether so many bytes of bodies more can be buffered. */
+    boolean canBuffer(long bytes) {
+        return bytes <= MAX_BUFFERED_BYTES - bufferedBytes;
     }
 
-    /** Counts bytes of bodies, or fewer of them; whether there was room. */
-    boolean take(long bytes) {
-        boolean fits = hasRoom(bytes);
-        held += fits ? bytes : 0;
+    /** Reserves bytes for a body if they can be buffered; a negative number releases them. */
+    boolean tryReserve(long bytes) {
+        boolean fits = canBuffer(bytes);
+        bufferedBytes += fits ? bytes : 0;
         return fits;
     }
 
-    void opened(HttpConnection connection) {
+    void onConnect(HttpConnection connection) {
         if (closed) {
             connection.close();
             return;
         }
         connections.add(connection);
-        connected = connections.size();
+        connectionCount = connections.size();
         if (!sweeping) {
             sweeping = true;
-            later();
+            scheduleSweep();
         }
     }
 
-    void closed(HttpConnection connection) {
+    void onDisconnect(HttpConnection connection) {
         connections.remove(connection);
-        connected = connections.size();
+        connectionCount = connections.size();
     }
 
-    void call(Exchange exchange) {
+    void handle(Exchange exchange) {
         requestsOpen = requestsOpen + 1;
         try {
-            host.called(exchange);
+            handler.handle(exchange);
         } catch (RuntimeException | Error e) {
+            // Whatever fails in the handler, the client gets a response and the listener goes on.
             exchange.answer(ServerResponse.text(500, "failed"));
         }
     }
 
-    void callEnded() {
+    void onRequestEnd() {
         requestsOpen = requestsOpen - 1;
     }
 
-    private void later() {
-        RequestLimits now = bounds();
-        long wait = Math.min(now.headerMillis(), now.idleMillis()) / 4;
-        loop.schedule(this::sweep, Math.max(LEAST_SWEEP, Math.min(MOST_SWEEP, wait)), TimeUnit.MILLISECONDS);
+    private void scheduleSweep() {
+        RequestLimits current = limits();
+        long interval = Math.min(current.headerTimeoutMillis(), current.idleTimeoutMillis()) / 4;
+        long bounded = Math.max(MIN_SWEEP_INTERVAL_MILLIS, Math.min(MAX_SWEEP_INTERVAL_MILLIS, interval));
+        loop.schedule(this::sweep, bounded, TimeUnit.MILLISECONDS);
     }
 
     private void sweep() {
         long now = now();
-        List.copyOf(connections).forEach(c -> c.checkTimes(now));
+        List.copyOf(connections).forEach(c -> c.checkTimeouts(now));
         sweeping = !connections.isEmpty();
         if (sweeping) {
-            later();
+            scheduleSweep();
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestAssembler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestAssembler.java
@@ -12,56 +12,68 @@
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
-/** Puts the parts of a request together; it refuses what is too large before all of it has come. */
+/**
+ * Assembles a complete request from what the decoder emits. Rejects one that is too large before all of it was
+ * received. For the event loop only.
+ */
 final class RequestAssembler {
 
-    private final HttpListener gangway;
+    private final HttpListener listener;
     private final Channel channel;
     private HttpRequest request;
     private RequestHeadScanner head;
     private RequestBody body;
 
-    RequestAssembler(HttpListener gangway, Channel channel) {
-        this.gangway = gangway;
+    RequestAssembler(HttpListener listener, Channel channel) {
+        this.listener = listener;
         this.channel = channel;
     }
 
-    /** Whether the request is whole now. */
-    boolean add(HttpObject part, RequestHeadScanner of, RequestLimits bounds) throws BadRequestException {
+    /** Adds a part of the request that this head belongs to; returns whether the request is complete now. */
+    boolean add(HttpObject part, RequestHeadScanner scannedHead, RequestLimits limits) throws BadRequestException {
+        checkDecoded(part);
+        if (part instanceof HttpRequest received) {
+            request = received;
+            head = scannedHead;
+            begin(limits);
+        }
+        if (body != null && part instanceof HttpContent content) {
+            addContent(content, limits);
+            return content instanceof LastHttpContent;
+        }
+        return false;
+    }
+
+    private static void checkDecoded(HttpObject part) throws BadRequestException {
         Throwable cause = part.decoderResult().cause();
         if (cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException) {
             throw new BadRequestException(431, "the head is too large");
         } else if (cause != null) {
             throw new BadRequestException(400, "not HTTP");
         }
-        if (part instanceof HttpRequest begun) {
-            request = begun;
-            head = of;
-            begin(bounds);
+    }
+
+    private void addContent(HttpContent content, RequestLimits limits) throws BadRequestException {
+        if (body.size() + (long) content.content().readableBytes() > limits.maxBodyBytes()) {
+            throw tooLarge();
         }
-        if (body != null && part instanceof HttpContent content) {
-            if (body.size() + (long) content.content().readableBytes() > bounds.maxBodyBytes()) {
-                throw tooLarge();
-            }
-            if (!body.add(content.content())) {
-                throw noRoom();
-            }
-            return content instanceof LastHttpContent;
+        if (!body.add(content.content())) {
+            throw noCapacity();
         }
-        return false;
     }
 
-    private void begin(RequestLimits bounds) throws BadRequestException {
-        boolean continues = "100-continue".equalsIgnoreCase(head.expectation());
-        if (head.expectation() != null && !continues) {
+    /** Checks the announced length and responds to an expectation, RFC 9110 section 10.1.1. */
+    private void begin(RequestLimits limits) throws BadRequestException {
+        boolean expectsContinue = "100-continue".equalsIgnoreCase(head.expectation());
+        if (head.expectation() != null && !expectsContinue) {
             throw new BadRequestException(417, "unknown expectation");
-        } else if (head.length() > bounds.maxBodyBytes()) {
+        } else if (head.contentLength() > limits.maxBodyBytes()) {
             throw tooLarge();
-        } else if (!gangway.hasRoom(head.length())) {
-            throw noRoom();
+        } else if (!listener.canBuffer(head.contentLength())) {
+            throw noCapacity();
         }
-        body = new RequestBody(gangway, head.length());
-        if (continues && head.hasBody()) {
+        body = new RequestBody(listener, head.contentLength());
+        if (expectsContinue && head.hasBody()) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
@@ -71,31 +83,31 @@
         return new BadRequestException(413, "the body is too large");
     }
 
-    private static BadRequestException noRoom() {
+    private static BadRequestException noCapacity() {
         return new BadRequestException(503, "no room for the body");
     }
 
-    /** Whether an answer to what has come so far must be without a body. */
-    boolean isBare() {
+    /** Whether a response to what was received so far must have no body. */
+    boolean isHeadRequest() {
         return request != null && request.method().name().equals("HEAD");
     }
 
-    /** Hands out what is whole; the body counts until it is freed. */
-    Exchange take(HttpConnection connection, long now) {
-        Exchange whole = new Exchange(connection, request, head, body, now);
-        forget();
-        return whole;
+    /** Returns the complete request; its body stays reserved until it is freed. */
+    Exchange complete(HttpConnection connection, long now) {
+        Exchange exchange = new Exchange(connection, request, head, body, now);
+        reset();
+        return exchange;
     }
 
-    /** Gives up what has come of a request. */
-    void drop() {
+    /** Discards what was received of a request. */
+    void discard() {
         if (body != null) {
             body.free();
         }
-        forget();
+        reset();
     }
 
-    private void forget() {
+    private void reset() {
         request = null;
         head = null;
         body = null;
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestBody.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestBody.java
@@ -3,57 +3,68 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 
-/** The bytes of one body as they come. What they take is counted with the gangway until they are freed. */
+/**
+ * The bytes of one body as they are received. Its buffer is reserved with the listener until it is freed. For the
+ * event loop only.
+ */
 final class RequestBody {
 
-    private static final byte[] NOTHING = new byte[0];
-    private static final int FIRST = 16 * 1024;
+    private static final byte[] NO_BYTES = new byte[0];
+    private static final int INITIAL_CAPACITY = 16 * 1024;
 
-    private final HttpListener gangway;
-    /** As told, or -1. */
-    private final long length;
+    private final HttpListener listener;
+    /** As announced, or {@link RequestHeadScanner#NO_LENGTH}. */
+    private final long contentLength;
 
-    private byte[] bytes = NOTHING;
+    private byte[] bytes = NO_BYTES;
     private int size;
 
-    RequestBody(HttpListener gangway, long length) {
-        this.gangway = gangway;
-        this.length = length;
+    RequestBody(HttpListener listener, long contentLength) {
+        this.listener = listener;
+        this.contentLength = contentLength;
     }
 
     int size() {
         return size;
     }
 
-    /** Whether there was room. */
+    /** Appends bytes; returns whether they could be buffered. */
     boolean add(ByteBuf more) {
         int count = more.readableBytes();
-        if (count > bytes.length - size) {
-            // No more in advance than has come: a great length that is only told takes no room.
-            long wanted = Math.max(size + (long) count, Math.max(FIRST, 2L * size));
-            long room = length < 0 ? wanted : Math.min(length, wanted);
-            if (!gangway.take(room - bytes.length)) {
-                return false;
-            }
-            bytes = Arrays.copyOf(bytes, (int) room);
+        if (count > bytes.length - size && !grow(count)) {
+            return false;
         }
         more.readBytes(bytes, size, count);
         size += count;
         return true;
     }
 
-    /** All of them, once they are whole. */
-    byte[] whole() {
+    /**
+     * The buffer at most doubles: a client that only announces a large body reserves no more than twice of what it
+     * has sent.
+     */
+    private boolean grow(int count) {
+        long wanted = Math.max(size + (long) count, Math.max(INITIAL_CAPACITY, 2L * size));
+        long capacity = contentLength < 0 ? wanted : Math.min(contentLength, wanted);
+        if (!listener.tryReserve(capacity - bytes.length)) {
+            return false;
+        }
+        bytes = Arrays.copyOf(bytes, (int) capacity);
+        return true;
+    }
+
+    /** The bytes, once the body is complete; not copied where the buffer is full. */
+    byte[] complete() {
         if (size < bytes.length) {
-            gangway.take(size - bytes.length);
-            bytes = size == 0 ? NOTHING : Arrays.copyOf(bytes, size);
+            listener.tryReserve(size - bytes.length);
+            bytes = size == 0 ? NO_BYTES : Arrays.copyOf(bytes, size);
         }
         return bytes;
     }
 
     void free() {
-        gangway.take(-bytes.length);
-        bytes = NOTHING;
+        listener.tryReserve(-bytes.length);
+        bytes = NO_BYTES;
         size = 0;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestDecoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestDecoder.java
@@ -10,31 +10,31 @@
 import java.util.List;
 
 /**
- * Decodes one request at a time: a head goes to the library's decoder once it was found to be sound, and
- * what comes behind a request stays here until that one was answered.
+ * Decodes one request at a time. A head goes to Netty's decoder only after {@link RequestHeadScanner} has accepted
+ * it; pipelined bytes behind a request stay here until it was responded to.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-    /** Most that a trailer or the line of a chunk takes. */
-    private static final int LONGEST = 64 * 1024;
+    /** Limit of a trailer section and of a chunk's first line; heads are limited by {@link RequestLimits}. */
+    private static final int MAX_BYTES = 64 * 1024;
 
     private final HttpConnection connection;
     private ChannelHandlerContext context;
     private RequestHeadScanner head;
-    /** An empty line came before it. */
-    private boolean blank;
+    /** Whether an empty line before the request was skipped. */
+    private boolean emptyLineSkipped;
 
     private boolean inBody;
-    /** A request is in hand. */
-    private boolean holds;
-    /** Nothing that comes counts any more. */
+    /** Whether a complete request has no response yet. */
+    private boolean requestPending;
+    /** Whether all further bytes are discarded. */
     private boolean stopped;
 
     RequestDecoder(HttpConnection connection) {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(LONGEST)
-                .setMaxHeaderSize(LONGEST)
-                .setMaxChunkSize(LONGEST)
+                .setMaxInitialLineLength(MAX_BYTES)
+                .setMaxHeaderSize(MAX_BYTES)
+                .setMaxChunkSize(MAX_BYTES)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
         this.connection = connection;
@@ -46,11 +46,11 @@
         super.handlerAdded(added);
     }
 
-    /** The request in hand was answered, the next may come. */
-    void proceed() {
-        holds = false;
+    /** The present request was responded to: decodes the next one, from pipelined bytes if there are any. */
+    void nextRequest() {
+        requestPending = false;
         head = null;
-        blank = false;
+        emptyLineSkipped = false;
         if (!context.isRemoved() && context.channel().isActive()) {
             try {
                 channelRead(context, Unpooled.EMPTY_BUFFER);
@@ -60,16 +60,17 @@
         }
     }
 
+    /** Discards all further bytes. */
     void stop() {
         stopped = true;
     }
 
-    /** Bytes that came behind the request in hand. */
-    int waiting() {
+    /** The number of bytes behind the present request. */
+    int pipelinedBytes() {
         return actualReadableBytes();
     }
 
-    /** The head of the request that is being read. */
+    /** The head of the request that is being decoded. */
     RequestHeadScanner head() {
         return head;
     }
@@ -78,7 +79,7 @@
     protected void decode(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
         if (stopped) {
             in.skipBytes(in.readableBytes());
-        } else if (!holds) {
+        } else if (!requestPending) {
             try {
                 if (inBody) {
                     decodeBody(c, in, out);
@@ -97,55 +98,55 @@
 
     private void decodeHead(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
         if (head == null) {
-            if (!blank && in.getByte(in.readerIndex()) == '\r' && skipBlank(in)) {
+            if (!emptyLineSkipped && in.getByte(in.readerIndex()) == '\r' && skipEmptyLine(in)) {
                 return;
             }
             head = new RequestHeadScanner();
-            connection.begins();
+            connection.onRequestBegin();
         }
-        int size = head.scan(in, connection.bounds().maxHeaderBytes());
+        int size = head.scan(in, connection.limits().maxHeaderBytes());
         if (size >= 0) {
-            ByteBuf whole = in.readSlice(size);
+            ByteBuf completeHead = in.readSlice(size);
             inBody = true;
-            decodeSome(c, whole, out);
-            if (whole.isReadable()) {
+            decodeNext(c, completeHead, out);
+            if (completeHead.isReadable()) {
                 throw new BadRequestException(400, "bad head");
             }
         }
     }
 
-    /** The library looks after chunks well, but lets some lines behind the last one pass. */
+    /** Checks the lines of chunks and trailers too: behind the last chunk Netty accepts some bad ones. */
     private void decodeBody(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
         int from = in.readerIndex();
-        decodeSome(c, in, out);
+        decodeNext(c, in, out);
         if (head.isChunked() && (out.isEmpty() || !inBody)) {
             RequestHeadScanner.checkLines(in, from, in.readerIndex());
         }
     }
 
     /**
-     * One empty line before a request counts for nothing: old clients end a body so. Whether there is nothing
-     * else to look at yet.
+     * Skips one empty line before a request, RFC 9112 section 2.2: old clients send one behind a body. Returns
+     * whether more bytes are needed before the head can be decoded.
      */
-    private boolean skipBlank(ByteBuf in) {
+    private boolean skipEmptyLine(ByteBuf in) {
         if (in.readableBytes() == 1) {
             return true;
         }
-        blank = true;
+        emptyLineSkipped = true;
         boolean empty = in.getByte(in.readerIndex() + 1) == '\n';
         in.skipBytes(empty ? 2 : 0);
         return empty;
     }
 
-    private void decodeSome(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
+    private void decodeNext(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
         super.decode(c, in, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
             inBody = false;
-            holds = true;
+            requestPending = true;
         }
     }
 
-    /** A request that breaks off is none. */
+    /** Emits nothing: a truncated request is none. */
     @Override
     protected void decodeLast(ChannelHandlerContext c, ByteBuf in, List<Object> out) {}
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestHandler.java
@@ -1,7 +1,10 @@
 package org.cypressweir.dataplane.http.server;
 
-/** Who answers the requests of a gangway. */
+/** Handles the requests of an {@link HttpListener}. */
 public interface RequestHandler {
-    /** A whole request, on the loop; it is to be answered now or later. */
-    void called(ServerRequest call);
+    /**
+     * Handles a complete request; called on the listener's event loop, so it must not block. The response may be
+     * given now or later, on the same loop. An exception responds with status 500.
+     */
+    void handle(ServerRequest request);
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestHeadScanner.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestHeadScanner.java
@@ -4,145 +4,170 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Looks at the bytes of a request's head as they come, before any decoder. It refuses what has more than one
- * meaning, and it knows the target, the host and the framing of what it lets pass.
+ * Scans the bytes of a request's head as they are received, before Netty's decoder. It rejects what has more than
+ * one interpretation (request smuggling, RFC 9112 section 11.2), and extracts the target, the host and the framing.
+ * One instance scans one head; for the event loop only.
  */
 final class RequestHeadScanner {
 
-    private static final boolean[] TOKEN = new boolean[128];
-    private static final int LONGEST_LENGTH = 18;
+    /** The Content-Length of a request that has none. */
+    static final long NO_LENGTH = -1;
 
-    static {
-        String others = "!#$%&'*+-.^_`|~";
-        for (int c = 0; c < TOKEN.length; c++) {
-            TOKEN[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || others.indexOf(c) >= 0;
+    private static final int INCOMPLETE = -1;
+    private static final int ASCII = 128;
+    // Tables, since the methods in their place are called for each byte and are too large to be inlined.
+    /** The characters of a token, RFC 9110 section 5.6.2. */
+    private static final boolean[] TOKEN = characters("!#$%&'*+-.^_`|~");
+    /** The characters of a host that is no IP literal. */
+    private static final boolean[] REGISTERED_NAME = characters("-._~");
+    /** The characters of an IP literal between its brackets. */
+    private static final boolean[] IP_LITERAL = characters(":.");
+
+    /** More digits could overflow a long. */
+    private static final int MAX_LENGTH_DIGITS = 18;
+
+    private static final String HTTP_SCHEME = "http://";
+
+    /** The letters, the digits and these symbols. */
+    private static boolean[] characters(String symbols) {
+        boolean[] table = new boolean[ASCII];
+        for (int c = 0; c < ASCII; c++) {
+            table[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || symbols.indexOf(c) >= 0;
         }
+        return table;
     }
 
-    /** Bytes looked at, from the start of the head. */
+    /** Bytes scanned, from the start of the head. */
     private int scanned;
 
     private int lineStart;
-    private boolean afterReturn;
-    private boolean old;
+    private boolean afterCarriageReturn;
+    private boolean http10;
     private String path;
-    /** Of a target with scheme and host, else null. */
+    /** The authority of an absolute target, else null. */
     private String authority;
 
-    private String named;
-    private long length = -1;
+    private String hostHeader;
+    private long contentLength = NO_LENGTH;
     private boolean chunked;
     private String expectation;
 
-    /** The size of the head once it is whole, or -1; bytes that were looked at must not move. */
-    int scan(ByteBuf in, int most) throws BadRequestException {
+    /**
+     * Scans the bytes that were not scanned yet; those that were must not move.
+     *
+     * @return the size of the head once it is complete, or -1
+     */
+    int scan(ByteBuf in, int maxBytes) throws BadRequestException {
         int base = in.readerIndex();
         int size = in.readableBytes();
         while (scanned < size) {
-            if (scanned >= most) {
+            if (scanned >= maxBytes) {
                 throw new BadRequestException(431, "the head is too large");
             }
             int b = in.getByte(base + scanned++);
-            if (afterReturn) {
+            if (afterCarriageReturn) {
                 require(b == '\n', "bare CR");
-                afterReturn = false;
-                if (lineEnds(in, base + lineStart, base + scanned - 2)) {
-                    finish();
+                afterCarriageReturn = false;
+                if (endLine(in, base + lineStart, base + scanned - 2)) {
+                    checkComplete();
                     return scanned;
                 }
                 lineStart = scanned;
             } else if (b == '\r') {
-                afterReturn = true;
+                afterCarriageReturn = true;
             } else if (b >= 0 && b < ' ' && b != '\t' || b == 0x7f) {
                 throw new BadRequestException(400, b == '\n' ? "bare LF" : "control character");
             }
         }
-        return -1;
+        return INCOMPLETE;
     }
 
-    /** Refuses what is not whole lines, none of which goes on in the next. */
+    /** Rejects bytes that are not lines ended by CR LF, and folded lines (RFC 9112 section 5.2). */
     static void checkLines(ByteBuf in, int from, int to) throws BadRequestException {
-        byte before = '\n';
+        byte previous = '\n';
         for (int i = from; i < to; i++) {
             byte b = in.getByte(i);
-            require((b == '\n') == (before == '\r'), "bad line end");
-            require(before != '\n' || b != ' ' && b != '\t', "folded line");
-            boolean blank = b == '\t' || b == '\r' || b == '\n';
-            require(blank || b < 0 || b >= ' ' && b != 0x7f, "control character");
-            before = b;
+            require((b == '\n') == (previous == '\r'), "bad line end");
+            require(previous != '\n' || b != ' ' && b != '\t', "folded line");
+            boolean whitespace = b == '\t' || b == '\r' || b == '\n';
+            require(whitespace || b < 0 || b >= ' ' && b != 0x7f, "control character");
+            previous = b;
         }
     }
 
-    /** Whether the head ends with this line. */
-    private boolean lineEnds(ByteBuf in, int from, int to) throws BadRequestException {
+    /** Parses a line; returns whether the head ends with it. */
+    private boolean endLine(ByteBuf in, int from, int to) throws BadRequestException {
         if (path == null) {
-            requestLine(in.toString(from, to - from, StandardCharsets.ISO_8859_1));
+            parseRequestLine(in.toString(from, to - from, StandardCharsets.ISO_8859_1));
         } else if (from < to) {
-            field(in, from, to);
+            parseField(in, from, to);
         } else {
             return true;
         }
         return false;
     }
 
-    private void requestLine(String line) throws BadRequestException {
-        int first = line.indexOf(' ');
-        int last = line.lastIndexOf(' ');
-        require(first > 0 && last > first + 1, "bad request line");
-        for (int i = 0; i < first; i++) {
+    /** RFC 9112 section 3, with single blanks only. */
+    private void parseRequestLine(String line) throws BadRequestException {
+        int firstBlank = line.indexOf(' ');
+        int lastBlank = line.lastIndexOf(' ');
+        require(firstBlank > 0 && lastBlank > firstBlank + 1, "bad request line");
+        for (int i = 0; i < firstBlank; i++) {
             require(isToken(line.charAt(i)), "bad method");
         }
-        String version = line.substring(last + 1);
-        old = version.equals("HTTP/1.0");
-        require(old || version.equals("HTTP/1.1"), "unknown version");
-        String target = line.substring(first + 1, last);
+        String version = line.substring(lastBlank + 1);
+        http10 = version.equals("HTTP/1.0");
+        require(http10 || version.equals("HTTP/1.1"), "unknown version");
+        String target = line.substring(firstBlank + 1, lastBlank);
         for (int i = 0; i < target.length(); i++) {
             char c = target.charAt(i);
             require(c > ' ' && c < 0x7f && c != '#', "bad target");
         }
         if (target.startsWith("/")) {
             path = target;
-        } else if (target.regionMatches(true, 0, "http://", 0, 7)) {
-            absolute(target);
+        } else if (target.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
+            parseAbsoluteTarget(target);
         } else {
             require(target.equals("*") && line.startsWith("OPTIONS "), "bad target");
             path = target;
         }
     }
 
-    private void absolute(String target) throws BadRequestException {
-        int end = 7;
+    /** RFC 9112 section 3.2.2. */
+    private void parseAbsoluteTarget(String target) throws BadRequestException {
+        int end = HTTP_SCHEME.length();
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
             end++;
         }
-        authority = target.substring(7, end);
-        require(host(authority) != null, "bad target");
+        authority = target.substring(HTTP_SCHEME.length(), end);
+        require(parseHost(authority) != null, "bad target");
         String rest = target.substring(end);
         path = rest.startsWith("/") ? rest : "/" + rest;
     }
 
-    private void field(ByteBuf in, int from, int to) throws BadRequestException {
+    /** RFC 9112 section 5.1: no white space before the colon. */
+    private void parseField(ByteBuf in, int from, int to) throws BadRequestException {
         int colon = from;
         while (colon < to && in.getByte(colon) != ':') {
             require(isToken(in.getByte(colon++)), "bad header name");
         }
         require(colon > from && colon < to, "bad header");
-        int name = colon - from;
-        // Only the few that matter here are made strings.
-        if (name == 4 || name == 6 || name == 14 || name == 17) {
+        int nameLength = colon - from;
+        // Strings are made only of headers with the length of a name that matters here.
+        if (nameLength == 4 || nameLength == 6 || nameLength == 14 || nameLength == 17) {
             String text = in.toString(from, to - from, StandardCharsets.ISO_8859_1);
-            framing(text.substring(0, name), trim(text, name + 1));
+            recordField(text.substring(0, nameLength), trim(text, nameLength + 1));
         }
     }
 
-    private void framing(String name, String value) throws BadRequestException {
+    private void recordField(String name, String value) throws BadRequestException {
         if (name.equalsIgnoreCase("Host")) {
-            require(named == null, "more than one Host");
-            require(host(value) != null, "bad Host");
-            named = value;
+            require(hostHeader == null, "more than one Host");
+            require(parseHost(value) != null, "bad Host");
+            hostHeader = value;
         } else if (name.equalsIgnoreCase("Content-Length")) {
-            require(length < 0, "more than one Content-Length");
-            length = number(value);
+            require(contentLength < 0, "more than one Content-Length");
+            contentLength = parseLength(value);
         } else if (name.equalsIgnoreCase("Transfer-Encoding")) {
             require(!chunked && value.equalsIgnoreCase("chunked"), "unknown Transfer-Encoding");
             chunked = true;
@@ -151,48 +176,54 @@
         }
     }
 
-    private void finish() throws BadRequestException {
-        require(!chunked || length < 0 && !old, "more than one framing");
-        require(named != null || old, "no Host");
+    /** RFC 9112 sections 6.1 (both framings, or chunks of HTTP/1.0) and 3.2 (Host). */
+    private void checkComplete() throws BadRequestException {
+        require(!chunked || contentLength < 0 && !http10, "more than one framing");
+        require(hostHeader != null || http10, "no Host");
     }
 
-    private static long number(String digits) throws BadRequestException {
+    private static long parseLength(String digits) throws BadRequestException {
         require(!digits.isEmpty(), "bad Content-Length");
         long value = 0;
         for (int i = 0; i < digits.length(); i++) {
             char c = digits.charAt(i);
-            require(c >= '0' && c <= '9' && i < LONGEST_LENGTH, "bad Content-Length");
+            require(c >= '0' && c <= '9' && i < MAX_LENGTH_DIGITS, "bad Content-Length");
             value = value * 10 + c - '0';
         }
         return value;
     }
 
-    /** The host of an authority, in small letters, or null where it is none. */
-    private static String host(String authority) {
+    /** The host of an authority (RFC 3986 section 3.2) in lower case, or null if it is none. */
+    private static String parseHost(String authority) {
         boolean literal = authority.startsWith("[");
-        int end = literal ? authority.indexOf(']') + 1 : authority.indexOf(':');
-        end = end < 0 ? authority.length() : end;
+        int end = hostEnd(authority, literal);
         if (end == 0 || literal && end < 4 || end < authority.length() && authority.charAt(end) != ':') {
             return null;
         }
-        StringBuilder host = new StringBuilder(end);
-        for (int i = 0; i < authority.length(); i++) {
+        for (int i = end + 1; i < authority.length(); i++) {
             char c = authority.charAt(i);
-            boolean digit = c >= '0' && c <= '9';
-            boolean letter = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z';
-            boolean inside = literal
-                    ? i == 0 || i == end - 1 || c == ':' || c == '.'
-                    : c == '-' || c == '.' || c == '_' || c == '~';
-            if (i < end ? !digit && !letter && !inside : i > end && !digit) {
+            if (c < '0' || c > '9') {
                 return null;
             }
-            if (i < end) {
-                host.append(c >= 'A' && c <= 'Z' ? (char) (c + 32) : c);
+        }
+        boolean[] allowed = literal ? IP_LITERAL : REGISTERED_NAME;
+        StringBuilder host = new StringBuilder(end);
+        for (int i = 0; i < end; i++) {
+            char c = authority.charAt(i);
+            boolean bracket = literal && (i == 0 || i == end - 1);
+            if (!bracket && (c >= ASCII || !allowed[c])) {
+                return null;
             }
+            host.append(c >= 'A' && c <= 'Z' ? (char) (c + 'a' - 'A') : c);
         }
         return host.toString();
     }
 
+    private static int hostEnd(String authority, boolean literal) {
+        int end = literal ? authority.indexOf(']') + 1 : authority.indexOf(':');
+        return end < 0 ? authority.length() : end;
+    }
+
     private static String trim(String text, int from) {
         int start = from;
         int end = text.length();
@@ -210,48 +241,50 @@
     }
 
     private static boolean isToken(int c) {
-        return c >= 0 && c < TOKEN.length && TOKEN[c];
+        return c >= 0 && c < ASCII && TOKEN[c];
     }
 
-    private static void require(boolean holds, String why) throws BadRequestException {
-        if (!holds) {
-            throw new BadRequestException(400, why);
+    private static void require(boolean condition, String message) throws BadRequestException {
+        if (!condition) {
+            throw new BadRequestException(400, message);
         }
     }
 
+    /** Path and query; "*" of OPTIONS. */
     String uri() {
         return path;
     }
 
-    /** What the target says of the host goes before what the header says; null where it says nothing. */
+    /** The authority of an absolute target, which goes before Host; null for other targets. */
     String authority() {
         return authority;
     }
 
+    /** The host in lower case without the port, empty for HTTP/1.0 without one. */
     String host() {
-        String said = authority != null ? authority : named;
-        return said == null ? "" : host(said);
+        String source = authority != null ? authority : hostHeader;
+        return source == null ? "" : parseHost(source);
     }
 
-    boolean isOld() {
-        return old;
+    boolean isHttp10() {
+        return http10;
     }
 
-    /** What Content-Length says, or -1. */
-    long length() {
-        return length;
+    /** The Content-Length, or {@link #NO_LENGTH}. */
+    long contentLength() {
+        return contentLength;
     }
 
     boolean hasBody() {
-        return chunked || length > 0;
+        return chunked || contentLength > 0;
     }
 
     boolean isChunked() {
         return chunked;
     }
 
-    /** What the client expects, or null; clients of HTTP/1.0 can't. */
+    /** The value of Expect, or null; of HTTP/1.0 it is ignored, RFC 9110 section 10.1.1. */
     String expectation() {
-        return old ? null : expectation;
+        return http10 ? null : expectation;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestLimits.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestLimits.java
@@ -1,7 +1,11 @@
 package org.cypressweir.dataplane.http.server;
 
 /**
- * What a client may ask of a gangway: bytes of a head and of a body, the time for a head and between two
- * pieces of a body, and the time a connection may go without a request.
+ * The limits of an {@link HttpListener}'s requests and connections.
+ *
+ * @param maxHeaderBytes largest request line and header section together
+ * @param maxBodyBytes largest body
+ * @param headerTimeoutMillis the time for a head, and between two parts of a body
+ * @param idleTimeoutMillis how long a connection may have no request
  */
-public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerMillis, long idleMillis) {}
+public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/src/main/java/org/cypressweir/dataplane/http/server/ResponseEncoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ResponseEncoder.java
@@ -9,46 +9,52 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Map;
 
-/** Turns answers into messages of the library, and sees to their framing. */
+/** Converts responses to Netty's messages and sets their framing, RFC 9112 section 6. Stateless. */
 final class ResponseEncoder {
 
     private ResponseEncoder() {}
 
-    /** Without bytes of a body where the request was HEAD (bare); an answer that can't be sent is a 500. */
-    static FullHttpResponse of(ServerResponse answer, boolean bare) {
+    /** Omits the body of a response to HEAD; a response that can't be sent becomes a 500. */
+    static FullHttpResponse encode(ServerResponse response, boolean headRequest) {
         try {
-            return build(answer, bare);
+            return convert(response, headRequest);
         } catch (IllegalArgumentException e) {
-            return build(ServerResponse.text(500, "the answer is no HTTP"), bare);
+            return convert(ServerResponse.text(500, "the answer is no HTTP"), headRequest);
         }
     }
 
-    private static FullHttpResponse build(ServerResponse answer, boolean bare) {
-        int status = answer.status();
+    private static FullHttpResponse convert(ServerResponse response, boolean headRequest) {
+        int status = response.status();
         if (status < 200 || status > 999) {
             throw new IllegalArgumentException("status");
         }
-        boolean empty = status == 204 || status == 304;
-        ByteBuf content = bare || empty ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(answer.body());
-        FullHttpResponse response =
+        boolean bodiless = status == 204 || status == 304;
+        ByteBuf content = headRequest || bodiless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(response.body());
+        FullHttpResponse converted =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
-        String told = null;
-        for (Map.Entry<String, String> header : answer.headers()) {
+        String givenLength = copyHeaders(response, converted);
+        // RFC 9110 section 8.6: of a body that is not sent only the handler may know the length; 204 has none.
+        boolean lengthIsGiven = (headRequest || status == 304) && response.body().length == 0;
+        String length = lengthIsGiven ? givenLength : Integer.toString(response.body().length);
+        if (status != 204 && length != null) {
+            converted.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+        }
+        return converted;
+    }
+
+    /** Copies all headers but those about framing and the connection; returns the Content-Length, or null. */
+    private static String copyHeaders(ServerResponse response, FullHttpResponse converted) {
+        String givenLength = null;
+        for (Map.Entry<String, String> header : response.headers()) {
             String name = header.getKey();
             if (name.equalsIgnoreCase("Content-Length")) {
-                told = header.getValue();
+                givenLength = header.getValue();
             } else if (!name.equalsIgnoreCase("Transfer-Encoding")
                     && !name.equalsIgnoreCase("Connection")
                     && !name.equalsIgnoreCase("Keep-Alive")) {
-                response.headers().add(name, header.getValue());
+                converted.headers().add(name, header.getValue());
             }
         }
-        // Of a body that is not sent the host may know the length alone.
-        String length =
-                (bare || status == 304) && answer.body().length == 0 ? told : Integer.toString(answer.body().length);
-        if (status != 204 && length != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-        }
-        return response;
+        return givenLength;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerRequest.java
@@ -4,46 +4,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** A whole request that waits for its one answer. All of it is for the loop's thread only. */
+/** A complete request that waits for its one response. For the listener's event loop only. */
 public interface ServerRequest {
-    /** A token, as received. */
+    /** The method as received, a token. */
     String method();
 
-    /** Path and query as received; without scheme and host where the target had them; "*" of OPTIONS. */
+    /** Path and query as received, without the scheme and authority of an absolute target; "*" of OPTIONS. */
     String uri();
 
-    /** The target without its query. */
+    /** The path as received, without the query. */
     default String path() {
         int query = uri().indexOf('?');
         return query < 0 ? uri() : uri().substring(0, query);
     }
 
-    /** In small letters, without the port; empty only for HTTP/1.0 without one. */
+    /** The host in lower case, without the port; empty only for HTTP/1.0 without Host. */
     String host();
 
-    /** In the order and with the names received; Host says what the target said, where it had a host. */
+    /** In the order and with the names received; the authority of an absolute target replaces Host. */
     List<Map.Entry<String, String>> headers();
 
-    /** The first of that name in any case, or null. */
+    /** The value of the first header of that name, in any case, or null. */
     default String header(String name) {
         return Headers.first(headers(), name);
     }
 
-    /** The whole body, empty for none. It is not copied. */
+    /** The complete body, empty for none. It is not copied. */
     byte[] body();
 
-    /** When its last byte was read. */
+    /** When its last byte was read, on the listener's clock. */
     long arrivedMicros();
 
-    /** The client's side of the connection. */
+    /** The client's address. */
     InetSocketAddress remote();
 
-    /** Whether the answer goes out: false where it was answered before, or the client is gone. */
-    boolean answer(ServerResponse answer);
+    /** Sends the response; returns false where there was one before, or the client has disconnected. */
+    boolean answer(ServerResponse response);
 
-    /** Runs once if the client goes before the answer was given; at once where it has gone already. */
-    void whenGone(Runnable task);
+    /** Runs a task once if the client disconnects before the response; at once if it has already. */
+    void onDisconnect(Runnable task);
 
-    /** Whether it still waits for its answer and the client is there. */
+    /** Whether it still waits for its response and the client is connected. */
     boolean isOpen();
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
@@ -6,35 +6,35 @@
 import java.util.Map;
 
 /**
- * An answer with its whole body. What frames it (Content-Length, Transfer-Encoding, Connection) is set by
- * the gangway whatever its headers say.
+ * A response with its complete body. The headers about framing (Content-Length, Transfer-Encoding, Connection) are
+ * set by the listener whatever is given here.
  */
 public record ServerResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BYTES = new byte[0];
 
-    /** Without headers and body. */
+    /** A response without headers and body. */
     public static ServerResponse of(int status) {
-        return new ServerResponse(status, List.of(), NOTHING);
+        return new ServerResponse(status, List.of(), NO_BYTES);
     }
 
-    /** A line of text. */
-    public static ServerResponse text(int status, String reason) {
+    /** A response with one line of plain text. */
+    public static ServerResponse text(int status, String line) {
         return new ServerResponse(
                 status,
                 List.of(Map.entry("Content-Type", "text/plain; charset=utf-8")),
-                (reason + "\n").getBytes(StandardCharsets.UTF_8));
+                (line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A JSON text. */
+    /** A response with a JSON document. */
     public static ServerResponse json(int status, byte[] body) {
         return new ServerResponse(status, List.of(Map.entry("Content-Type", "application/json")), body);
     }
 
-    /** The same with one more header behind the others. */
+    /** The same response with one more header, after the others. */
     public ServerResponse withHeader(String name, String value) {
-        List<Map.Entry<String, String>> more = new ArrayList<>(headers);
-        more.add(Map.entry(name, value));
-        return new ServerResponse(status, more, body);
+        List<Map.Entry<String, String>> extended = new ArrayList<>(headers);
+        extended.add(Map.entry(name, value));
+        return new ServerResponse(status, extended, body);
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/package-info.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The server side of HTTP/1.1: whole requests come in over TCP, and each gets exactly one answer. It knows
- * nothing of where requests go.
+ * The server side of HTTP/1.1 (RFC 9110, RFC 9112): complete requests are received over TCP, and each gets exactly
+ * one response. Ambiguous framing is rejected rather than repaired. It knows nothing of where requests are routed.
  */
 package org.cypressweir.dataplane.http.server;
--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         Optional<ApiCall> known = ApiCall.of(call.path());
         if (known.isEmpty()) {
             call.answer(LocalResponses.of(ErrorKind.NO_CALL));
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         RoutingTable now = bearings.get();
         if (now.manifest().items().isEmpty()) {
             refuse(call, ErrorKind.NOT_READY, 300_000);
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -160,7 +160,7 @@
     void take(ProxiedRequest passage) {
         long now = micros.getAsLong();
         open.put(passage.number, passage);
-        passage.call.whenGone(() -> left(passage));
+        passage.call.onDisconnect(() -> left(passage));
         if (!hasServers) {
             passage.answer(own(passage, ErrorKind.NOT_READY, 200_000));
             forget(passage);
--- a/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
@@ -17,76 +17,79 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A gangway whose host says what it was asked, or keeps the call where the path is /hold; raw clients. */
+/**
+ * A listener whose handler echoes the request, or keeps it pending if the path is {@code /hold}, and clients that
+ * write raw bytes.
+ */
 final class HttpListenerFixture implements AutoCloseable {
 
-    static final RequestLimits WIDE = new RequestLimits(2_000, 100_000, 20_000, 20_000);
+    static final RequestLimits DEFAULT_LIMITS = new RequestLimits(2_000, 100_000, 20_000, 20_000);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    final BlockingQueue<ServerRequest> held = new LinkedBlockingQueue<>();
-    /** What was called, by the client's port. */
-    final Map<Integer, List<String>> seen = new ConcurrentHashMap<>();
-    /** Microseconds by which the clock goes ahead. */
-    final AtomicLong ahead = new AtomicLong();
-
-    volatile RequestLimits bounds;
-    final HttpListener gangway;
-
-    HttpListenerFixture(RequestLimits bounds) throws IOException {
-        this.bounds = bounds;
-        gangway = HttpListener.open(
+    final BlockingQueue<ServerRequest> pending = new LinkedBlockingQueue<>();
+    /** The requests that were handled, by the client's port. */
+    final Map<Integer, List<String>> handled = new ConcurrentHashMap<>();
+    /** Microseconds that are added to the clock. */
+    final AtomicLong clockOffset = new AtomicLong();
+
+    volatile RequestLimits limits;
+    final HttpListener listener;
+
+    HttpListenerFixture(RequestLimits limits) throws IOException {
+        this.limits = limits;
+        listener = HttpListener.open(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> this.bounds,
-                () -> System.nanoTime() / 1000 + ahead.get(),
-                this::called);
+                () -> this.limits,
+                () -> System.nanoTime() / 1000 + clockOffset.get(),
+                this::handle);
     }
 
-    private void called(ServerRequest call) {
-        String said = call.method() + " " + call.host() + " " + call.uri() + " "
-                + new String(call.body(), StandardCharsets.ISO_8859_1);
-        seen.computeIfAbsent(call.remote().getPort(), p -> new CopyOnWriteArrayList<>())
-                .add(said);
-        if (call.uri().equals("/hold")) {
-            held.add(call);
-        } else if (call.uri().equals("/fail")) {
+    private void handle(ServerRequest request) {
+        String echo = request.method() + " " + request.host() + " " + request.uri() + " "
+                + new String(request.body(), StandardCharsets.ISO_8859_1);
+        handled.computeIfAbsent(request.remote().getPort(), p -> new CopyOnWriteArrayList<>())
+                .add(echo);
+        if (request.uri().equals("/hold")) {
+            pending.add(request);
+        } else if (request.uri().equals("/fail")) {
             throw new IllegalStateException();
-        } else if (call.uri().equals("/large")) {
-            call.answer(new ServerResponse(200, List.of(), new byte[16 << 20]));
+        } else if (request.uri().equals("/large")) {
+            request.answer(new ServerResponse(200, List.of(), new byte[16 << 20]));
         } else {
-            call.answer(new ServerResponse(200, List.of(), said.getBytes(StandardCharsets.ISO_8859_1)));
+            request.answer(new ServerResponse(200, List.of(), echo.getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 
-    ServerRequest next() throws InterruptedException {
-        ServerRequest call = held.poll(20, TimeUnit.SECONDS);
-        if (call == null) {
-            throw new AssertionError("no call");
+    ServerRequest nextPending() throws InterruptedException {
+        ServerRequest request = pending.poll(20, TimeUnit.SECONDS);
+        if (request == null) {
+            throw new AssertionError("no request");
         }
-        return call;
+        return request;
     }
 
-    void run(Runnable task) throws Exception {
+    void runOnLoop(Runnable task) throws Exception {
         group.submit(task).get(20, TimeUnit.SECONDS);
     }
 
     Client client() throws IOException {
-        return new Client(gangway.address());
+        return new Client(listener.address());
     }
 
     @Override
     public void close() {
-        gangway.close();
+        listener.close();
         group.shutdownGracefully(0, 5, TimeUnit.SECONDS);
     }
 
-    /** A socket and what comes on it. */
+    /** A client that writes raw bytes. */
     static final class Client implements AutoCloseable {
         final Socket socket;
         private final InputStream in;
 
-        Client(InetSocketAddress at) throws IOException {
-            socket = new Socket(at.getAddress(), at.getPort());
+        Client(InetSocketAddress address) throws IOException {
+            socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(20_000);
             socket.setTcpNoDelay(true);
             in = socket.getInputStream();
@@ -97,8 +100,8 @@
             return this;
         }
 
-        /** Status line and headers, up to the empty line; nothing at the end. */
-        String head() throws IOException {
+        /** Status line and headers, up to the empty line; empty at the end of stream. */
+        String readHead() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
@@ -110,19 +113,19 @@
             return head.toString();
         }
 
-        /** The body of the next answer, which has a length and is a 200. */
-        String answer() throws IOException {
-            String head = head();
-            int at = head.toLowerCase().indexOf("content-length: ");
-            if (!head.startsWith("HTTP/1.1 200 OK\r\n") || at < 0) {
-                throw new AssertionError("answered " + head);
+        /** The body of the next response, which has a length and status 200. */
+        String readBody() throws IOException {
+            String head = readHead();
+            int lengthStart = head.toLowerCase().indexOf("content-length: ");
+            if (!head.startsWith("HTTP/1.1 200 OK\r\n") || lengthStart < 0) {
+                throw new AssertionError("response " + head);
             }
-            int length = Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)));
+            int length = Integer.parseInt(head.substring(lengthStart + 16, head.indexOf('\r', lengthStart)));
             return new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
         }
 
-        /** All up to the end. */
-        String rest() throws IOException {
+        /** All bytes up to the end of stream. */
+        String readAll() throws IOException {
             return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
         }
 
--- a/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerTest.java
@@ -23,220 +23,227 @@
             + "2;q=1\r\nab\r\n1\r\nc\r\n0\r\nT: u\r\n\r\n";
 
     @Test
-    void pipelinedRequestsAreServedInOrderHoweverTheyCome() throws IOException {
+    void pipelinedRequestsAreHandledInOrderHoweverTheirBytesArrive() throws IOException {
         String all = GET + CHUNKS + "\r\n"
                 + "POST http://B/p?q HTTP/1.1\r\nHost: c\r\nContent-Length: 3\r\n\r\nGET"
                 + "OPTIONS * HTTP/1.1\r\nHost: [::1]:80\r\n\r\n" + GET;
-        List<String> answers = List.of("GET a /x ", "PUT a /y abc", "POST b /p?q GET", "OPTIONS [::1] * ", "GET a /x ");
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client whole = rig.client();
-                Client bytes = rig.client()) {
-            whole.send(all);
+        List<String> responses =
+                List.of("GET a /x ", "PUT a /y abc", "POST b /p?q GET", "OPTIONS [::1] * ", "GET a /x ");
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client atOnce = fixture.client();
+                Client byteByByte = fixture.client()) {
+            atOnce.send(all);
             for (char c : all.toCharArray()) {
-                bytes.send(String.valueOf(c));
+                byteByByte.send(String.valueOf(c));
             }
-            for (String answer : answers) {
-                assertThat(whole.answer()).isEqualTo(answer);
-                assertThat(bytes.answer()).isEqualTo(answer);
+            for (String response : responses) {
+                assertThat(atOnce.readBody()).isEqualTo(response);
+                assertThat(byteByByte.readBody()).isEqualTo(response);
             }
         }
     }
 
     @Test
-    void nextWaitsForTheAnswerBefore() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client client = rig.client()) {
+    void nextRequestWaitsForTheResponseBefore() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client client = fixture.client()) {
             client.send(HOLD + HOLD + "POST /z HTTP/1.1\r\nHost: a\r\nContent-Length: 90000\r\n\r\n");
             client.send("z".repeat(90_000));
-            ServerRequest first = rig.next();
-            rig.run(() -> {
-                assertThat(rig.held).isEmpty();
-                assertThat(rig.gangway.requestsOpen()).isEqualTo(1);
+            ServerRequest first = fixture.nextPending();
+            fixture.runOnLoop(() -> {
+                assertThat(fixture.pending).isEmpty();
+                assertThat(fixture.listener.requestsOpen()).isEqualTo(1);
                 assertThat(first.answer(ServerResponse.text(404, "no").withHeader("X", "y")))
                         .isTrue();
                 assertThat(first.answer(ServerResponse.of(200))).isFalse();
             });
-            assertThat(client.head()).startsWith("HTTP/1.1 404 Not Found\r\n").contains("X: y\r\n");
+            assertThat(client.readHead())
+                    .startsWith("HTTP/1.1 404 Not Found\r\n")
+                    .contains("X: y\r\n");
             assertThat(client.socket.getInputStream().readNBytes(3)).asString().isEqualTo("no\n");
-            ServerRequest second = rig.next();
+            ServerRequest second = fixture.nextPending();
             assertThat(second.headers()).containsExactly(Map.entry("Host", "a"));
-            rig.run(() -> second.answer(ServerResponse.of(204)));
-            assertThat(client.head()).isEqualToIgnoringCase("HTTP/1.1 204 No Content\r\n\r\n");
-            assertThat(client.answer()).isEqualTo("POST a /z " + "z".repeat(90_000));
+            fixture.runOnLoop(() -> second.answer(ServerResponse.of(204)));
+            assertThat(client.readHead()).isEqualToIgnoringCase("HTTP/1.1 204 No Content\r\n\r\n");
+            assertThat(client.readBody()).isEqualTo("POST a /z " + "z".repeat(90_000));
         }
     }
 
     @Test
-    void headContinueOldClientsAndFailures() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client client = rig.client();
-                Client old = rig.client()) {
+    void headExpectContinueHttp10AndHandlerFailures() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client client = fixture.client();
+                Client http10 = fixture.client()) {
             client.send("HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertThat(client.head()).containsIgnoringCase("content-length: 10\r\n");
+            assertThat(client.readHead()).containsIgnoringCase("content-length: 10\r\n");
             client.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-Continue\r\n\r\n");
-            assertThat(client.head()).isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
-            assertThat(client.send("ok").answer()).isEqualTo("POST a /x ok");
-            assertThat(client.send("GET /fail HTTP/1.1\r\nHost: a\r\n\r\n").head())
+            assertThat(client.readHead()).isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
+            assertThat(client.send("ok").readBody()).isEqualTo("POST a /x ok");
+            assertThat(client.send("GET /fail HTTP/1.1\r\nHost: a\r\n\r\n").readHead())
                     .contains(" 500 ");
             assertThat(client.socket.getInputStream().readNBytes(7)).asString().isEqualTo("failed\n");
             client.send("GET /x HTTP/1.1\r\nHost: a\r\nConnection: x, Close\r\n\r\n");
-            assertThat(client.rest())
+            assertThat(client.readAll())
                     .containsIgnoringCase("connection: close\r\n")
                     .endsWith("\r\n\r\nGET a /x ");
-            old.send("GET /x HTTP/1.0\r\nHost: a\r\nConnection: Keep-Alive\r\n\r\n");
-            assertThat(old.head()).containsIgnoringCase("connection: keep-alive\r\n");
-            assertThat(old.socket.getInputStream().readNBytes(9)).asString().isEqualTo("GET a /x ");
-            assertThat(old.send("GET /x HTTP/1.0\r\n\r\n").rest()).endsWith("\r\n\r\nGET  /x ");
+            http10.send("GET /x HTTP/1.0\r\nHost: a\r\nConnection: Keep-Alive\r\n\r\n");
+            assertThat(http10.readHead()).containsIgnoringCase("connection: keep-alive\r\n");
+            assertThat(http10.socket.getInputStream().readNBytes(9)).asString().isEqualTo("GET a /x ");
+            assertThat(http10.send("GET /x HTTP/1.0\r\n\r\n").readAll()).endsWith("\r\n\r\nGET  /x ");
         }
     }
 
     @Test
-    void hostCannotBreakTheFraming() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client client = rig.client()) {
+    void handlerCannotBreakTheFraming() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client client = fixture.client()) {
             ServerResponse odd =
                     ServerResponse.of(200).withHeader("Content-Length", "7").withHeader("Transfer-Encoding", "chunked");
             client.send(HOLD);
-            ServerRequest call = rig.next();
-            rig.run(() -> call.answer(odd.withHeader("Connection", "close")));
-            assertThat(client.head()).isEqualToIgnoringCase("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
+            ServerRequest request = fixture.nextPending();
+            fixture.runOnLoop(() -> request.answer(odd.withHeader("Connection", "close")));
+            assertThat(client.readHead()).isEqualToIgnoringCase("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
             client.send(HOLD);
-            ServerRequest other = rig.next();
-            rig.run(() -> other.answer(odd.withHeader("X", "a\r\nY: b")));
-            assertThat(client.head()).startsWith("HTTP/1.1 500 ").doesNotContain("Y");
+            ServerRequest other = fixture.nextPending();
+            fixture.runOnLoop(() -> other.answer(odd.withHeader("X", "a\r\nY: b")));
+            assertThat(client.readHead()).startsWith("HTTP/1.1 500 ").doesNotContain("Y");
         }
     }
 
     @Test
-    void timesEndConnections() throws IOException {
-        try (HttpListenerFixture rig = new HttpListenerFixture(new RequestLimits(2_000, 1_000, 40, 20_000));
-                Client head = rig.client();
-                Client body = rig.client();
-                Client chunk = rig.client()) {
+    void timeoutsEndConnections() throws IOException {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(new RequestLimits(2_000, 1_000, 40, 20_000));
+                Client head = fixture.client();
+                Client body = fixture.client();
+                Client chunk = fixture.client()) {
             head.send("GET / HT");
             body.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabc");
             chunk.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab");
             for (Client client : List.of(head, body, chunk)) {
-                assertThat(client.rest()).startsWith("HTTP/1.1 408 ").containsIgnoringCase("connection: close");
+                assertThat(client.readAll()).startsWith("HTTP/1.1 408 ").containsIgnoringCase("connection: close");
             }
-            assertThat(rig.seen).isEmpty();
+            assertThat(fixture.handled).isEmpty();
         }
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client silent = rig.client();
-                Client kept = rig.client();
-                Client busy = rig.client()) {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client silent = fixture.client();
+                Client kept = fixture.client();
+                Client busy = fixture.client()) {
             busy.send(HOLD);
-            assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
-            rig.bounds = new RequestLimits(2_000, 1_000, 20_000, 40);
-            assertThat(silent.rest()).isEmpty();
-            assertThat(kept.rest()).isEmpty();
-            assertThat(rig.gangway.requestsOpen()).isEqualTo(1);
+            assertThat(kept.send(GET).readBody()).isEqualTo("GET a /x ");
+            fixture.limits = new RequestLimits(2_000, 1_000, 20_000, 40);
+            assertThat(silent.readAll()).isEmpty();
+            assertThat(kept.readAll()).isEmpty();
+            assertThat(fixture.listener.requestsOpen()).isEqualTo(1);
         }
     }
 
     @Test
-    void answerThatNobodyTakesAndLingeringEnd() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client deaf = rig.client();
-                Client bad = rig.client();
-                Client good = rig.client()) {
-            deaf.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertThat(deaf.head()).startsWith("HTTP/1.1 200 ");
-            assertThat(bad.send("?\r\n").rest()).startsWith("HTTP/1.1 400 ");
-            while (rig.gangway.connections() > 1) {
-                rig.ahead.addAndGet(10_000);
-                assertThat(good.send(GET).answer()).isEqualTo("GET a /x ");
+    void unreadResponseAndLingeringCloseTimeOut() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client nonReading = fixture.client();
+                Client bad = fixture.client();
+                Client good = fixture.client()) {
+            nonReading.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertThat(nonReading.readHead()).startsWith("HTTP/1.1 200 ");
+            assertThat(bad.send("?\r\n").readAll()).startsWith("HTTP/1.1 400 ");
+            while (fixture.listener.connections() > 1) {
+                fixture.clockOffset.addAndGet(10_000);
+                assertThat(good.send(GET).readBody()).isEqualTo("GET a /x ");
             }
         }
     }
 
     @Test
-    void clientThatGoesIsTold() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE)) {
-            ServerRequest call;
-            CompletableFuture<Void> told = new CompletableFuture<>();
-            try (Client client = rig.client()) {
+    void handlerIsNotifiedOfADisconnect() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS)) {
+            ServerRequest request;
+            CompletableFuture<Void> notified = new CompletableFuture<>();
+            try (Client client = fixture.client()) {
                 client.send(HOLD + GET);
-                call = rig.next();
-                rig.run(() -> call.whenGone(() -> told.complete(null)));
-                assertThat(call.isOpen()).isTrue();
+                request = fixture.nextPending();
+                fixture.runOnLoop(() -> request.onDisconnect(() -> notified.complete(null)));
+                assertThat(request.isOpen()).isTrue();
             }
-            told.get(20, TimeUnit.SECONDS);
-            rig.run(() -> {
-                assertThat(call.isOpen()).isFalse();
-                assertThat(call.answer(ServerResponse.of(200))).isFalse();
+            notified.get(20, TimeUnit.SECONDS);
+            fixture.runOnLoop(() -> {
+                assertThat(request.isOpen()).isFalse();
+                assertThat(request.answer(ServerResponse.of(200))).isFalse();
             });
-            assertThat(rig.gangway.requestsOpen()).isZero();
-            assertThat(rig.gangway.connections()).isZero();
+            assertThat(fixture.listener.requestsOpen()).isZero();
+            assertThat(fixture.listener.connections()).isZero();
         }
     }
 
     @Test
-    void drainEndsEachConnectionAfterItsAnswer() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client silent = rig.client();
-                Client kept = rig.client();
-                Client busy = rig.client();
-                Client begun = rig.client()) {
+    void drainClosesEachConnectionAfterItsResponse() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client silent = fixture.client();
+                Client kept = fixture.client();
+                Client busy = fixture.client();
+                Client begun = fixture.client()) {
             begun.send("GET /x HTTP/1.1\r\n");
-            assertThat(kept.send(GET).answer()).isEqualTo("GET a /x ");
+            assertThat(kept.send(GET).readBody()).isEqualTo("GET a /x ");
             busy.send(HOLD);
-            ServerRequest call = rig.next();
-            rig.gangway.drain();
-            assertThat(silent.rest()).isEmpty();
-            assertThat(kept.rest()).isEmpty();
-            rig.run(() -> call.answer(ServerResponse.of(200)));
-            assertThat(busy.rest()).startsWith("HTTP/1.1 200 OK").containsIgnoringCase("connection: close");
-            assertThat(begun.send("Host: a\r\n\r\n").rest()).containsIgnoringCase("connection: close");
-            try (Client late = rig.client()) {
-                assertThat(late.send(GET).rest())
+            ServerRequest request = fixture.nextPending();
+            fixture.listener.drain();
+            assertThat(silent.readAll()).isEmpty();
+            assertThat(kept.readAll()).isEmpty();
+            fixture.runOnLoop(() -> request.answer(ServerResponse.of(200)));
+            assertThat(busy.readAll()).startsWith("HTTP/1.1 200 OK").containsIgnoringCase("connection: close");
+            assertThat(begun.send("Host: a\r\n\r\n").readAll()).containsIgnoringCase("connection: close");
+            try (Client late = fixture.client()) {
+                assertThat(late.send(GET).readAll())
                         .containsIgnoringCase("connection: close")
                         .endsWith("/x ");
             }
-            rig.gangway.stopListening();
-            rig.run(() -> {});
-            assertThatThrownBy(rig::client).isInstanceOf(IOException.class);
+            fixture.listener.stopListening();
+            fixture.runOnLoop(() -> {});
+            assertThatThrownBy(fixture::client).isInstanceOf(IOException.class);
         }
     }
 
     @Test
-    void slowClientsAndFullRoomHarmNobodyElse() throws Exception {
+    void slowClientsAndFullBuffersHarmNoOtherClient() throws Exception {
         RequestLimits large = new RequestLimits(2_000, 32 << 20, 20_000, 20_000);
-        try (HttpListenerFixture rig = new HttpListenerFixture(large);
-                Client deaf = rig.client();
-                Client half = rig.client();
-                Client full = rig.client();
-                Client chunked = rig.client();
-                Client good = rig.client()) {
-            deaf.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n" + GET);
+        try (HttpListenerFixture fixture = new HttpListenerFixture(large);
+                Client nonReading = fixture.client();
+                Client half = fixture.client();
+                Client full = fixture.client();
+                Client chunked = fixture.client();
+                Client good = fixture.client()) {
+            nonReading.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n" + GET);
             half.send("POST /hold HTTP/1.1\r\nHost: a\r\nContent-Length: 20000000\r\n\r\n");
             half.send("x".repeat(20_000_000));
-            assertThat(rig.next().body()).hasSize(20_000_000);
+            assertThat(fixture.nextPending().body()).hasSize(20_000_000);
             full.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000\r\n\r\n");
-            assertThat(full.rest()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("retry-after: 0.2\r\n");
+            assertThat(full.readAll()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("retry-after: 0.2\r\n");
             chunked.send("POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n800000\r\n");
             chunked.send("x".repeat(4_500_000));
-            assertThat(chunked.rest()).startsWith("HTTP/1.1 503 ");
+            assertThat(chunked.readAll()).startsWith("HTTP/1.1 503 ");
             for (int i = 0; i < 100; i++) {
-                assertThat(good.send(GET).answer()).isEqualTo("GET a /x ");
+                assertThat(good.send(GET).readBody()).isEqualTo("GET a /x ");
             }
             half.socket.close();
             String again = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\n" + "y".repeat(10_000_000);
-            while (rig.gangway.requestsOpen() > 0) {
+            while (fixture.listener.requestsOpen() > 0) {
                 Thread.onSpinWait();
             }
-            assertThat(good.send(again).answer()).hasSize(10_000_010);
-            assertThat(deaf.answer()).hasSize(16 << 20);
-            assertThat(deaf.answer()).isEqualTo("GET a /x ");
+            assertThat(good.send(again).readBody()).hasSize(10_000_010);
+            assertThat(nonReading.readBody()).hasSize(16 << 20);
+            assertThat(nonReading.readBody()).isEqualTo("GET a /x ");
         }
     }
 
     @Test
-    void takenPortIsToldInOneLine() throws Exception {
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE)) {
+    void openReportsAnAddressInUse() throws Exception {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS)) {
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             assertThatThrownBy(() -> HttpListener.open(
-                            group, rig.gangway.address(), () -> HttpListenerFixture.WIDE, () -> 0, c -> {}))
+                            group,
+                            fixture.listener.address(),
+                            () -> HttpListenerFixture.DEFAULT_LIMITS,
+                            () -> 0,
+                            c -> {}))
                     .isInstanceOf(IOException.class)
                     .hasMessageMatching("cannot listen on \\S+:\\d+: .*in use");
             group.shutdownGracefully(0, 5, TimeUnit.SECONDS);
@@ -244,7 +251,7 @@
     }
 
     @Test
-    void endToEndHeaders() {
+    void endToEndHeadersLeaveOutHopByHopOnes() {
         List<Map.Entry<String, String>> all = List.of(
                 Map.entry("A", "1"),
                 Map.entry("connection", "close , b"),
--- a/src/test/java/org/cypressweir/dataplane/http/server/RequestStrictnessTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/RequestStrictnessTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is refused and how; {@code ~} stands for CR LF, {@code ^} for CR, {@code _} for LF. */
+/**
+ * Which requests are rejected, with which status; {@code ~} stands for CR LF, {@code ^} for CR, {@code _} for LF.
+ */
 @Timeout(60)
 class RequestStrictnessTest {
 
@@ -101,42 +103,42 @@
                 "413!POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~186a1~",
                 "417!POST / HTTP/1.1~Host: a~Expect: wonders~Content-Length: 1~~x",
             })
-    void isRefused(int status, String request) throws IOException {
+    void rejects(int status, String request) throws IOException {
         String bytes = request.replace("~", "\r\n").replace('^', '\r').replace('_', '\n');
-        // The body of a chunk that is too large has to come for it to be so.
+        // Of a chunk that is too large, the bytes have to arrive.
         bytes += bytes.endsWith("186a1\r\n") ? "x".repeat(100_001) : "";
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client client = rig.client()) {
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client client = fixture.client()) {
             client.send(bytes);
-            assertThat(client.head())
+            assertThat(client.readHead())
                     .startsWith("HTTP/1.1 " + status + " ")
                     .containsIgnoringCase("connection: close\r\n");
-            client.rest();
-            assertThat(rig.seen).isEmpty();
+            client.readAll();
+            assertThat(fixture.handled).isEmpty();
         }
     }
 
     @Test
-    void largeHeadIsRefusedAndTheBoundMayChange() throws IOException {
+    void rejectsALargeHeadByTheLimitInForce() throws IOException {
         String head = "GET / HTTP/1.1\r\nHost: a\r\nX: ";
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client kept = rig.client();
-                Client client = rig.client()) {
-            String most = head + "x".repeat(2_000 - head.length() - 4) + "\r\n\r\n";
-            assertThat(kept.send(most).answer()).isEqualTo("GET a / ");
-            assertThat(client.send(head + "x".repeat(2_000)).head()).startsWith("HTTP/1.1 431 ");
-            rig.bounds = new RequestLimits(1_999, 10, 20_000, 20_000);
-            assertThat(kept.send(most).head()).startsWith("HTTP/1.1 431 ");
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client reused = fixture.client();
+                Client client = fixture.client()) {
+            String largest = head + "x".repeat(2_000 - head.length() - 4) + "\r\n\r\n";
+            assertThat(reused.send(largest).readBody()).isEqualTo("GET a / ");
+            assertThat(client.send(head + "x".repeat(2_000)).readHead()).startsWith("HTTP/1.1 431 ");
+            fixture.limits = new RequestLimits(1_999, 10, 20_000, 20_000);
+            assertThat(reused.send(largest).readHead()).startsWith("HTTP/1.1 431 ");
         }
     }
 
-    private static final String[] GOOD = {
+    private static final String[] VALID = {
         "POST /a?b=c HTTP/1.1\r\nHost: Ab.c:80\r\nContent-Length: 12\r\n\r\nGET / HTTP/1",
         "PUT /d HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n1a;f=g\r\n"
                 + "abcdefghijklmnopqrstuvwxyz\r\n0\r\nTrailer: h\r\n\r\n",
         "GET http://i/j HTTP/1.1\r\nHost: k\r\nX-Long: l\r\nConnection: keep-alive\r\n\r\n"
     };
-    private static final String PARTS = "\r\n \t:;,0123456789abcdefgxABC/+-\0\u00ff";
+    private static final String MUTATIONS = "\r\n \t:;,0123456789abcdefgxABC/+-\0\u00ff";
     private static final Pattern HEAD = Pattern.compile("\\G(?:\r\n)?([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) "
             + "HTTP/1\\.[01]\r\n((?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\t -~\u0080-\u00ff]*\r\n)*)\r\n");
     private static final Pattern LENGTH = Pattern.compile("(?imd)^content-length:[ \t]*([0-9]+)[ \t]*\r$");
@@ -144,7 +146,7 @@
     private static final Pattern CHUNK = Pattern.compile("\\G0*([0-9a-fA-F]{1,6})(?:;[\t -~\u0080-\u00ff]*)?\r\n");
     private static final Pattern TRAILER = Pattern.compile("\\G([^\r\n]+\r\n)*\r\n");
 
-    /** The requests in some bytes by the rules of framing, as far as they are sound: the first such. */
+    /** The requests that the rules of framing find in some bytes, up to the first invalid one. */
     private static List<String> requests(String bytes) {
         List<String> found = new ArrayList<>();
         Matcher head = HEAD.matcher(bytes);
@@ -187,50 +189,50 @@
         return found;
     }
 
-    /** Nothing is seen that was not sent so, whatever becomes of requests, and others are served. */
+    /** No mutated bytes are handled as a request that was not sent, and other clients are served. */
     @Test
-    void changedRequestsHarmNobody() throws IOException {
+    void mutatedRequestsAreNotMisinterpreted() throws IOException {
         Random random = new Random(7);
-        int whole = 0;
-        try (HttpListenerFixture rig = new HttpListenerFixture(HttpListenerFixture.WIDE);
-                Client good = rig.client()) {
+        int handledCount = 0;
+        try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
+                Client good = fixture.client()) {
             for (int i = 0; i < 2_000; i++) {
                 StringBuilder bytes = new StringBuilder();
                 for (int k = 0; k < 3; k++) {
-                    bytes.append(GOOD[random.nextInt(GOOD.length)]);
+                    bytes.append(VALID[random.nextInt(VALID.length)]);
                 }
                 for (int k = random.nextInt(4); k >= 0; k--) {
                     int at = random.nextInt(bytes.length());
-                    String part = String.valueOf(PARTS.charAt(random.nextInt(PARTS.length())));
-                    int till = at + (random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(2) * random.nextInt(9));
-                    bytes.replace(at, till, random.nextInt(3) == 0 ? "" : part);
+                    String part = String.valueOf(MUTATIONS.charAt(random.nextInt(MUTATIONS.length())));
+                    int end = at + (random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(2) * random.nextInt(9));
+                    bytes.replace(at, end, random.nextInt(3) == 0 ? "" : part);
                 }
                 int port;
-                try (Client client = rig.client()) {
+                try (Client client = fixture.client()) {
                     port = client.socket.getLocalPort();
                     client.send(bytes.toString());
-                    assertThat(good.send(GOOD[i % 2]).answer())
+                    assertThat(good.send(VALID[i % 2]).readBody())
                             .isEqualTo(
                                     i % 2 == 0
                                             ? "POST ab.c /a?b=c GET / HTTP/1"
                                             : "PUT e /d abcdabcdefghijklmnopqrstuvwxyz");
                     client.socket.shutdownOutput();
-                    client.rest();
+                    client.readAll();
                 }
-                List<String> seen = new ArrayList<>();
-                for (String call : rig.seen.getOrDefault(port, List.of())) {
-                    // The host is left out: what it was sent as is not told by framing.
-                    int first = call.indexOf(' ');
-                    seen.add(call.substring(0, first) + call.substring(call.indexOf(' ', first + 1)));
+                List<String> handled = new ArrayList<>();
+                for (String request : fixture.handled.getOrDefault(port, List.of())) {
+                    // Without the host, which is not a matter of framing.
+                    int first = request.indexOf(' ');
+                    handled.add(request.substring(0, first) + request.substring(request.indexOf(' ', first + 1)));
                 }
-                rig.seen.clear();
+                fixture.handled.clear();
                 List<String> sent = requests(bytes.toString());
-                String told = bytes.toString().replace("\r", "\\r").replace("\0", "\\0");
-                assertThat(seen.size()).as("%s", told).isLessThanOrEqualTo(sent.size());
-                assertThat(seen).as("%s", told).isEqualTo(sent.subList(0, seen.size()));
-                whole += seen.size();
+                String escaped = bytes.toString().replace("\r", "\\r").replace("\0", "\\0");
+                assertThat(handled.size()).as("%s", escaped).isLessThanOrEqualTo(sent.size());
+                assertThat(handled).as("%s", escaped).isEqualTo(sent.subList(0, handled.size()));
+                handledCount += handled.size();
             }
         }
-        assertThat(whole).isBetween(1_000, 5_999);
+        assertThat(handledCount).isBetween(1_000, 5_999);
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void whenGone(Runnable task) {
+        public void onDisconnect(Runnable task) {
             gone = task;
         }
 
