--- a/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void called(ServerRequest request) {
+    public void handle(ServerRequest request) {
         ApiCall call = ApiCall.of(request.path())
                 .filter(known -> known.method().equals(request.method()))
                 .orElse(null);
@@ -54,7 +54,7 @@
         } else if (call == ApiCall.REQUEST_TRACES) {
             respond(request, requestTraces(request));
         } else {
-            next.called(request);
+            next.handle(request);
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void called(ServerRequest request) {
+    public void handle(ServerRequest request) {
         Optional<ApiCall> call = ApiCall.of(request.path());
         if (call.isEmpty()) {
             request.answer(error(ErrorKind.NO_CALL, "no such call"));
@@ -88,7 +88,7 @@
             request.answer(ServerResponse.of(TEMPORARY_REDIRECT)
                     .withHeader("Location", "http://" + voter.get() + request.path()));
         } else {
-            handler.called(request);
+            handler.handle(request);
         }
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         Optional<ApiCall> apiCall = ApiCall.of(call.path());
         if (apiCall.isEmpty()) {
             call.answer(LocalResponses.of(ErrorKind.NO_CALL));
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void called(ServerRequest call) {
+    public void handle(ServerRequest call) {
         RoutingTable table = routingTable.get();
         if (table.isEmpty()) {
             reject(call, ErrorKind.NOT_READY, NO_CONFIGURATION_RETRY_AFTER_MICROS);
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -173,7 +173,7 @@
     void handle(ProxiedRequest request) {
         long now = clock.getAsLong();
         inFlight.put(request.number, request);
-        request.call.whenGone(() -> clientDisconnected(request));
+        request.call.onDisconnect(() -> clientDisconnected(request));
         if (!hasEndpoints) {
             request.respond(localResponse(request, ErrorKind.NOT_READY, NO_ENDPOINTS_RETRY_AFTER_MICROS));
             removeIfEnded(request);
