--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three harbours and five pilots as processes: changes are taken, requests served, losses borne. */
+/** Three controllers and five proxies as processes: configuration changes, requests, and lost processes. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 @Timeout(30)
 class MeshTest {
@@ -43,7 +43,7 @@
     @TempDir
     static Path folder;
 
-    private static MeshFixture rig;
+    private static MeshFixture fixture;
 
     private static String service(int version) {
         return "{'healthPath':'/health','maxConnections':32,'configVersion':'r" + version + "'}";
@@ -57,22 +57,22 @@
 
     @BeforeAll
     static void start() throws IOException, InterruptedException {
-        rig = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"));
-        rig.order("h1", SETUP);
+        fixture = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"));
+        fixture.order("h1", SETUP);
         for (int i = 1; i <= 5; i++) {
-            rig.ready("p" + i);
+            fixture.ready("p" + i);
         }
-        allServe();
+        awaitAllEndpoints();
     }
 
-    /** Waits until the pilots know all three servers: each has been chosen by each. */
-    private static void allServe() throws InterruptedException {
+    /** Waits until all proxies know all three instances: each proxy has selected each of them. */
+    private static void awaitAllEndpoints() throws InterruptedException {
         for (int i = 1; i <= 5; i++) {
-            String pilot = "p" + i;
-            rig.await(pilot + " serves by all", () -> {
+            String proxy = "p" + i;
+            fixture.await(proxy + " uses all instances", () -> {
                 List<String> by = new ArrayList<>();
                 for (int n = 0; n < 9; n++) {
-                    by.add(rig.request(pilot, HOST, "/safe/x", "k-free")
+                    by.add(fixture.request(proxy, HOST, "/safe/x", "k-free")
                             .headers()
                             .get("Instance"));
                 }
@@ -83,26 +83,26 @@
 
     @AfterAll
     static void end() throws IOException {
-        if (rig != null) {
-            rig.close();
+        if (fixture != null) {
+            fixture.close();
         }
     }
 
-    private static int status(String pilot, String path, String key) throws IOException {
-        return rig.request(pilot, HOST, path, key).status();
+    private static int status(String proxy, String path, String key) throws IOException {
+        return fixture.request(proxy, HOST, path, key).status();
     }
 
     @Test
     @Order(1)
-    void aRequestIsServedOverTheHop() throws Exception {
-        String id = rig.id();
-        RawHttpClient.Message answer = rig.request("p4", HOST, "/deep/er?q=1", "k-free", id);
-        assertThat(answer.status()).isEqualTo(200);
-        assertThat(answer.body()).isEqualTo("ran of " + id);
-        assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
-        String instance = answer.headers().get("Instance");
-        ApplicationStubs ship = rig.ship(instance.substring("orders-".length()));
-        RawHttpClient.Message seen = ship.seen.stream()
+    void requestIsForwardedToAnotherProxy() throws Exception {
+        String id = fixture.id();
+        RawHttpClient.Message response = fixture.request("p4", HOST, "/deep/er?q=1", "k-free", id);
+        assertThat(response.status()).isEqualTo(200);
+        assertThat(response.body()).isEqualTo("ran of " + id);
+        assertThat(response.headers()).containsEntry(ApplicationStubs.ID, id);
+        String instanceId = response.headers().get("Instance");
+        ApplicationStubs instance = fixture.ship(instanceId.substring("orders-".length()));
+        RawHttpClient.Message seen = instance.seen.stream()
                 .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
                 .orElseThrow();
@@ -110,90 +110,94 @@
         assertThat(seen.headers())
                 .containsEntry("Cypressweir-Caller-Service", "gate")
                 .containsEntry("Cypressweir-Tenant-Name", "free")
-                .containsEntry("Cypressweir-Target-Instance", instance)
+                .containsEntry("Cypressweir-Target-Instance", instanceId)
                 .containsKey("Cypressweir-Time-Remaining")
                 .doesNotContainKey("Cypressweir-Key");
-        assertThat(ship.runs(id)).isEqualTo(1);
+        assertThat(instance.runs(id)).isEqualTo(1);
     }
 
     @Test
     @Order(2)
-    void whatCanNotBeIsRefused() throws Exception {
+    void invalidRequestsAreRejected() throws Exception {
         assertThat(status("p1", "/", null)).isEqualTo(401);
         assertThat(status("p2", "/", "k-none")).isEqualTo(401);
-        assertThat(rig.request("p3", "other.mesh", "/", "k-free").status()).isEqualTo(404);
-        int before =
-                rig.ship("p1").runs() + rig.ship("p2").runs() + rig.ship("p3").runs();
+        assertThat(fixture.request("p3", "other.mesh", "/", "k-free").status()).isEqualTo(404);
+        int before = fixture.ship("p1").runs()
+                + fixture.ship("p2").runs()
+                + fixture.ship("p3").runs();
         int served = 0;
-        RawHttpClient.Message refused = null;
-        for (int i = 0; i < 30 && refused == null; i++) {
-            RawHttpClient.Message answer = rig.request("p5", HOST, "/", "k-thin");
-            refused = answer.status() == 429 ? answer : null;
-            served += answer.status() == 200 ? 1 : 0;
+        RawHttpClient.Message rejection = null;
+        for (int i = 0; i < 30 && rejection == null; i++) {
+            RawHttpClient.Message response = fixture.request("p5", HOST, "/", "k-thin");
+            rejection = response.status() == 429 ? response : null;
+            served += response.status() == 200 ? 1 : 0;
         }
-        assertThat(refused).isNotNull();
-        assertThat(Double.parseDouble(refused.headers().get("Retry-After"))).isPositive();
-        assertThat(rig.ship("p1").runs()
-                        + rig.ship("p2").runs()
-                        + rig.ship("p3").runs()
+        assertThat(rejection).isNotNull();
+        assertThat(Double.parseDouble(rejection.headers().get("Retry-After"))).isPositive();
+        assertThat(fixture.ship("p1").runs()
+                        + fixture.ship("p2").runs()
+                        + fixture.ship("p3").runs()
                         - before)
                 .isEqualTo(served);
 
-        assertThat(rig.modify("h2", "{'upsert':{'routeTable':{'x':{'hostname':'x','configVersion':'r1'}}}}")
+        assertThat(fixture.modify("h2", "{'upsert':{'routeTable':{'x':{'hostname':'x','configVersion':'r1'}}}}")
                         .status())
                 .isEqualTo(400);
-        assertThat(rig.modify(
+        assertThat(fixture.modify(
                                 "h3",
                                 "{'upsert':{'serviceTable':{'gate':{'healthPath':'/other',"
                                         + "'maxConnections':1,'configVersion':'r1'}}}}")
                         .status())
                 .isEqualTo(409);
-        assertThat(rig.modify("h3", SETUP).status()).isEqualTo(200);
+        assertThat(fixture.modify("h3", SETUP).status()).isEqualTo(200);
     }
 
     @Test
     @Order(3)
-    void withoutOneHarbourAndOnePilotAllGoesOn() throws Exception {
-        rig.kill("h1");
-        rig.order(
+    void survivesLossOfOneControllerAndOneProxy() throws Exception {
+        fixture.kill("h1");
+        fixture.order(
                 "h2",
                 "{'upsert':{'routeTable':{'late':"
                         + route("/late/", "idempotent").replace(HOST, "late.mesh") + "}}}");
-        assertThat(rig.read("h3").body()).contains("late.mesh");
-        rig.await(
-                "the new route is at p5",
-                () -> rig.request("p5", "late.mesh", "/late/", "k-free").status() == 200);
+        assertThat(fixture.read("h3").body()).contains("late.mesh");
+        fixture.await(
+                "p5 has the new route",
+                () -> fixture.request("p5", "late.mesh", "/late/", "k-free").status() == 200);
 
-        rig.kill("p1");
+        fixture.kill("p1");
         for (int i = 0; i < 20; i++) {
             assertThat(status("p" + (2 + i % 4), "/safe/", "k-free")).isEqualTo(200);
         }
-        int before = rig.ship("p1").runs();
+        int before = fixture.ship("p1").runs();
         for (int i = 0; i < 20; i++) {
             assertThat(status("p" + (2 + i % 4), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(rig.ship("p1").runs()).isEqualTo(before);
+        assertThat(fixture.ship("p1").runs()).isEqualTo(before);
 
-        rig.restart("h1");
-        rig.restart("p1");
-        rig.ready("p1");
-        rig.await("h1 tells what it missed", () -> rig.read("h1").body().contains("late.mesh"));
-        allServe();
+        fixture.restart("h1");
+        fixture.restart("p1");
+        fixture.ready("p1");
+        fixture.await(
+                "h1 has the change that it missed",
+                () -> fixture.read("h1").body().contains("late.mesh"));
+        awaitAllEndpoints();
     }
 
     @Test
     @Order(4)
-    void allHarboursAtOnceLoseNothing() throws Exception {
-        String before = rig.read("h2").body();
+    void survivesRestartOfAllControllers() throws Exception {
+        String before = fixture.read("h2").body();
         for (int i = 1; i <= 3; i++) {
-            rig.kill("h" + i);
+            fixture.kill("h" + i);
         }
         assertThat(status("p4", "/", "k-free")).isEqualTo(200);
         for (int i = 1; i <= 3; i++) {
-            rig.restart("h" + i);
+            fixture.restart("h" + i);
         }
-        rig.await("the configuration is told again", () -> rig.read("h3").status() == 200);
-        assertThat(rig.read("h3").body()).isEqualTo(before);
+        fixture.await(
+                "the configuration is served again", () -> fixture.read("h3").status() == 200);
+        assertThat(fixture.read("h3").body()).isEqualTo(before);
         for (int i = 1; i <= 5; i++) {
             assertThat(status("p" + i, "/", "k-free")).isEqualTo(200);
         }
@@ -201,36 +205,36 @@
 
     @Test
     @Order(5)
-    void otherSettingsAreTakenWithoutAStop() throws Exception {
-        rig.settings("p5", "gate", ",\"other\":\"5s\"");
-        rig.settings("h3", null, ",\"other\":\"5s\"");
+    void settingsAreReloaded() throws Exception {
+        fixture.settings("p5", "gate", ",\"other\":\"5s\"");
+        fixture.settings("h3", null, ",\"other\":\"5s\"");
         for (String name : List.of("p5", "h3")) {
-            rig.hup(name);
-            rig.await(name + " has read it", () -> rig.log(name).contains("New settings are taken"));
-            assertThat(rig.isAlive(name)).isTrue();
+            fixture.hup(name);
+            fixture.await(name + " has reloaded", () -> fixture.log(name).contains("New settings are taken"));
+            assertThat(fixture.isAlive(name)).isTrue();
         }
         assertThat(status("p5", "/", "k-free")).isEqualTo(200);
-        assertThat(rig.read("h3").status()).isEqualTo(200);
+        assertThat(fixture.read("h3").status()).isEqualTo(200);
     }
 
-    /** What is at servers while all pilots on its way take other settings, with and without a signal. */
+    /** Requests in flight while all proxies on their way reload their settings, with and without a signal. */
     @Test
     @Order(5)
-    void otherSettingsLoseNothingInHand() throws Exception {
-        List<String> pilots = List.of("p1", "p2", "p3", "p4", "p5");
-        List<ApplicationStubs> ships =
-                Stream.of("p1", "p2", "p3").map(rig::ship).toList();
-        ships.forEach(s -> s.takes(2_000));
-        Map<String, CompletableFuture<Integer>> asked = new TreeMap<>();
+    void reloadOfSettingsLosesNoRequestInFlight() throws Exception {
+        List<String> proxies = List.of("p1", "p2", "p3", "p4", "p5");
+        List<ApplicationStubs> instances =
+                Stream.of("p1", "p2", "p3").map(fixture::ship).toList();
+        instances.forEach(s -> s.takes(2_000));
+        Map<String, CompletableFuture<Integer>> responses = new TreeMap<>();
         for (int i = 0; i < 10; i++) {
             String id = "kept" + i;
-            String pilot = pilots.get(i % 5);
-            asked.put(
+            String proxy = proxies.get(i % 5);
+            responses.put(
                     id,
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return rig.request(pilot, HOST, "/", "k-free", id)
+                                    return fixture.request(proxy, HOST, "/", "k-free", id)
                                             .status();
                                 } catch (IOException e) {
                                     return 0;
@@ -239,131 +243,136 @@
                             task -> new Thread(task, "client").start()));
         }
         Map<String, Integer> before = new TreeMap<>();
-        for (String pilot : pilots) {
-            before.put(pilot, takings(pilot));
+        for (String proxy : proxies) {
+            before.put(proxy, reloads(proxy));
         }
-        rig.await("all are at servers", () -> asked.keySet().stream().allMatch(MeshTest::ran));
-        for (String pilot : pilots) {
-            rig.settings(pilot, pilot.compareTo("p4") < 0 ? "orders" : "gate", ",\"another\":\"6s\"");
-            if (!pilot.equals("p2") && !pilot.equals("p4")) {
-                rig.hup(pilot);
+        fixture.await(
+                "all requests are in flight", () -> responses.keySet().stream().allMatch(MeshTest::ran));
+        for (String proxy : proxies) {
+            fixture.settings(proxy, proxy.compareTo("p4") < 0 ? "orders" : "gate", ",\"another\":\"6s\"");
+            if (!proxy.equals("p2") && !proxy.equals("p4")) {
+                fixture.hup(proxy);
             }
         }
-        for (String pilot : pilots) {
-            rig.await(pilot + " has read it", () -> takings(pilot) > before.get(pilot));
+        for (String proxy : proxies) {
+            fixture.await(proxy + " has reloaded", () -> reloads(proxy) > before.get(proxy));
         }
-        ships.forEach(s -> s.takes(0));
-        for (Map.Entry<String, CompletableFuture<Integer>> one : asked.entrySet()) {
-            assertThat(one.getValue().get(10, TimeUnit.SECONDS))
-                    .as(one.getKey())
+        instances.forEach(s -> s.takes(0));
+        for (Map.Entry<String, CompletableFuture<Integer>> response : responses.entrySet()) {
+            assertThat(response.getValue().get(10, TimeUnit.SECONDS))
+                    .as(response.getKey())
                     .isEqualTo(200);
-            assertThat(ships.stream().mapToInt(s -> s.runs(one.getKey())).sum()).isEqualTo(1);
+            assertThat(instances.stream()
+                            .mapToInt(s -> s.runs(response.getKey()))
+                            .sum())
+                    .isEqualTo(1);
         }
     }
 
-    private static int takings(String name) throws IOException {
-        return rig.log(name).split("New settings are taken", -1).length;
+    private static int reloads(String name) throws IOException {
+        return fixture.log(name).split("New settings are taken", -1).length;
     }
 
     @Test
     @Order(6)
-    void aServerThatDrainsIsLeftAlone() throws Exception {
-        ApplicationStubs ship = rig.ship("p3");
-        ship.drain();
-        rig.await("it has refused one, or nobody sends it any", () -> {
-            int before = ship.seen.size();
+    void drainingInstanceGetsNoRequests() throws Exception {
+        ApplicationStubs instance = fixture.ship("p3");
+        instance.drain();
+        fixture.await("it has rejected a request, or gets none", () -> {
+            int before = instance.seen.size();
             for (int i = 0; i < 12; i++) {
                 assertThat(status("p" + (1 + i % 5), "/", "k-free")).isEqualTo(200);
             }
-            return ship.refused.get() > 0 || ship.seen.size() == before;
+            return instance.refused.get() > 0 || instance.seen.size() == before;
         });
-        // What others had sent by then is answered: its own pilot has known before anybody.
-        int refused = ship.refused.get();
-        int seen = ship.seen.size();
+        // Requests that were sent by then are answered: its own proxy knew of the draining first.
+        int refused = instance.refused.get();
+        int seen = instance.seen.size();
         for (int i = 0; i < 60; i++) {
             assertThat(status("p" + (1 + i % 5), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(ship.seen).hasSize(seen);
-        assertThat(ship.refused.get()).isEqualTo(refused);
-        ship.end();
-        ship.begin("orders-p3");
+        assertThat(instance.seen).hasSize(seen);
+        assertThat(instance.refused.get()).isEqualTo(refused);
+        instance.end();
+        instance.begin("orders-p3");
         assertThat(status("p4", "/", "k-free")).isEqualTo(200);
     }
 
     @Test
     @Order(7)
-    void aPilotThatEndsLosesNoRequest() throws Exception {
-        Queue<String> wrong = new ConcurrentLinkedQueue<>();
+    void gracefulShutdownLosesNoRequest() throws Exception {
+        Queue<String> failures = new ConcurrentLinkedQueue<>();
         AtomicInteger served = new AtomicInteger();
-        CountDownLatch warm = new CountDownLatch(100);
+        CountDownLatch firstResponses = new CountDownLatch(100);
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            String pilot = i < 4 ? "p2" : "p4";
-            Thread client = new Thread(() -> load(pilot, wrong, served, warm), "client");
+            String proxy = i < 4 ? "p2" : "p4";
+            Thread client = new Thread(() -> load(proxy, failures, served, firstResponses), "client");
             clients.add(client);
             client.start();
         }
-        assertThat(warm.await(10, TimeUnit.SECONDS)).isTrue();
-        rig.term("p2");
-        rig.gone("p2");
+        assertThat(firstResponses.await(10, TimeUnit.SECONDS)).isTrue();
+        fixture.term("p2");
+        fixture.gone("p2");
         for (Thread client : clients) {
             client.interrupt();
             client.join(10_000);
             assertThat(client.isAlive()).isFalse();
         }
-        assertThat(wrong).isEmpty();
+        assertThat(failures).isEmpty();
         assertThat(served.get()).isGreaterThan(100);
     }
 
-    /** Where nobody confirms the configuration, a pilot that starts waits for a while, and begins with it. */
+    /** Where nobody confirms the configuration, a starting proxy uses it after a time-out. */
     @Test
     @Order(8)
-    void withoutAMajorityAPilotStartsWithWhatThereIs() throws Exception {
-        rig.kill("h2");
-        rig.kill("h3");
-        rig.await("h1 knows that it is alone", () -> rig.log("h1").contains("out of contact with most"));
-        RawHttpClient.Message refused = rig.read("h1");
-        assertThat(refused.status()).isEqualTo(503);
-        assertThat(refused.headers()).containsKey("Retry-After");
-        rig.kill("p3");
-        rig.restart("p3");
-        rig.ready("p3");
-        assertThat(rig.log("p3")).contains("Starting with an unconfirmed configuration");
+    void startsWithUnconfirmedConfigurationWithoutAMajority() throws Exception {
+        fixture.kill("h2");
+        fixture.kill("h3");
+        fixture.await(
+                "h1 knows that it has no majority", () -> fixture.log("h1").contains("out of contact with most"));
+        RawHttpClient.Message rejection = fixture.read("h1");
+        assertThat(rejection.status()).isEqualTo(503);
+        assertThat(rejection.headers()).containsKey("Retry-After");
+        fixture.kill("p3");
+        fixture.restart("p3");
+        fixture.ready("p3");
+        assertThat(fixture.log("p3")).contains("Starting with an unconfirmed configuration");
         assertThat(status("p3", "/safe/", "k-free")).isEqualTo(200);
-        rig.restart("h2");
-        rig.await("h1 takes orders again", () -> rig.read("h1").status() == 200);
-        rig.kill("p3");
-        rig.restart("p3");
-        rig.ready("p3");
-        assertThat(rig.log("p3").split("unconfirmed configuration", -1)).hasSize(2);
+        fixture.restart("h2");
+        fixture.await("h1 accepts changes again", () -> fixture.read("h1").status() == 200);
+        fixture.kill("p3");
+        fixture.restart("p3");
+        fixture.ready("p3");
+        assertThat(fixture.log("p3").split("unconfirmed configuration", -1)).hasSize(2);
     }
 
-    /** What goes to a server passes its own pilot, so that a drain holds without a word to any harbour. */
+    /** All requests to an instance pass its own proxy, so that draining works without a controller. */
     @Test
     @Order(9)
-    void withoutAnyHarbourADrainIsAcknowledgedAndHolds() throws Exception {
-        rig.kill("h1");
-        rig.kill("h2");
-        List<String> pilots = List.of("p1", "p3", "p4", "p5");
-        ApplicationStubs ship = rig.ship("p1");
-        ship.drain();
-        rig.await("nobody sends it any", () -> {
-            int before = ship.seen.size();
+    void drainingIsAcknowledgedWithoutAnyController() throws Exception {
+        fixture.kill("h1");
+        fixture.kill("h2");
+        List<String> proxies = List.of("p1", "p3", "p4", "p5");
+        ApplicationStubs instance = fixture.ship("p1");
+        instance.drain();
+        fixture.await("it gets no requests", () -> {
+            int before = instance.seen.size();
             for (int i = 0; i < 12; i++) {
-                assertThat(status(pilots.get(i % 4), "/", "k-free")).isEqualTo(200);
+                assertThat(status(proxies.get(i % 4), "/", "k-free")).isEqualTo(200);
             }
-            return ship.seen.size() == before;
+            return instance.seen.size() == before;
         });
-        int seen = ship.seen.size();
+        int seen = instance.seen.size();
         for (int i = 0; i < 60; i++) {
-            assertThat(status(pilots.get(i % 4), "/", "k-free")).isEqualTo(200);
+            assertThat(status(proxies.get(i % 4), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(ship.seen).hasSize(seen);
+        assertThat(instance.seen).hasSize(seen);
     }
 
     private static boolean ran(String id) {
         for (int i = 1; i <= 5; i++) {
-            if (rig.ship("p" + i).runs(id) > 0) {
+            if (fixture.ship("p" + i).runs(id) > 0) {
                 return true;
             }
         }
@@ -371,26 +380,27 @@
     }
 
     /**
-     * Asks on and on until nobody listens there. A connection that the system reset before the pilot had it
-     * is no loss: what was asked on it was not read, and no server has run it.
+     * Sends requests until nobody listens there. A connection that was reset before the proxy accepted it is no
+     * loss: its request was not read, and no instance has run it.
      */
-    private static void load(String pilot, Queue<String> wrong, AtomicInteger served, CountDownLatch warm) {
+    private static void load(
+            String proxy, Queue<String> failures, AtomicInteger served, CountDownLatch firstResponses) {
         while (!Thread.currentThread().isInterrupted()) {
             String id = "";
             try {
-                id = rig.id();
-                int status = rig.request(pilot, HOST, "/", "k-free", id).status();
+                id = fixture.id();
+                int status = fixture.request(proxy, HOST, "/", "k-free", id).status();
                 if (status == 200) {
                     served.incrementAndGet();
-                    warm.countDown();
+                    firstResponses.countDown();
                 } else {
-                    wrong.add(pilot + " " + status);
+                    failures.add(proxy + " " + status);
                 }
             } catch (ConnectException e) {
                 return;
             } catch (IOException e) {
                 if (ran(id)) {
-                    wrong.add(e.toString());
+                    failures.add(e.toString());
                 }
             }
         }
--- a/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
@@ -274,11 +274,11 @@
         StringBuilder head = new StringBuilder();
         int size = 0;
         int end = Integer.MAX_VALUE;
-        Break its = Break.NONE;
+        Break pendingBreak = Break.NONE;
         for (int b; (b = in.read()) >= 0; ) {
-            its = size == 0 ? takeBreak(now.request > 0 || now.response >= 0) : its;
+            pendingBreak = size == 0 ? takeBreak(now.request > 0 || now.response >= 0) : pendingBreak;
             head.append((char) b);
-            if (++size == its.request) {
+            if (++size == pendingBreak.request) {
                 reset(socket);
                 return;
             }
@@ -291,8 +291,8 @@
                 String id = value(head, ID, "none");
                 runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
                 byte[] bytes = responseTo(id).getBytes(StandardCharsets.ISO_8859_1);
-                boolean isBroken = its.response >= 0;
-                int length = isBroken ? Math.min(its.response, bytes.length) : bytes.length;
+                boolean isBroken = pendingBreak.response >= 0;
+                int length = isBroken ? Math.min(pendingBreak.response, bytes.length) : bytes.length;
                 socket.getOutputStream().write(bytes, 0, length);
                 if (isBroken || id.equals(mutatedId)) {
                     return;
@@ -305,8 +305,8 @@
     }
 
     private String responseTo(String id) {
-        String its = response.replace("ID", id);
-        return id.equals(mutatedId) ? mutation.apply(its) : its;
+        String text = response.replace("ID", id);
+        return id.equals(mutatedId) ? mutation.apply(text) : text;
     }
 
     private static String value(CharSequence head, String name, String otherwise) {
@@ -336,16 +336,16 @@
     /** Counts from the first byte after the break was set. */
     private void copy(Socket from, Socket to, boolean out) {
         byte[] bytes = new byte[65_536];
-        Break its = Break.NONE;
+        Break pendingBreak = Break.NONE;
         int passed = 0;
         try (from;
                 to) {
             for (int size; (size = from.getInputStream().read(bytes)) >= 0; ) {
-                if (its != now) {
-                    its = now;
+                if (pendingBreak != now) {
+                    pendingBreak = now;
                     passed = 0;
                 }
-                int breakAt = out ? its.forwardedRequest : its.forwardedResponse;
+                int breakAt = out ? pendingBreak.forwardedRequest : pendingBreak.forwardedResponse;
                 int length = breakAt < 0 || pendingBreaks.get() == 0 ? size : Math.min(size, breakAt - passed);
                 passed += length;
                 if (out) {
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -94,9 +94,9 @@
 
     private void query(int controller, long queriedAt) {
         send(() -> {
-            Harbour its = world.harbour(controller);
-            ReplicatedState shown = its.copies().shown();
-            long age = its.copies().confirmedAge(world.now());
+            Harbour replica = world.harbour(controller);
+            ReplicatedState shown = replica.copies().shown();
+            long age = replica.copies().confirmedAge(world.now());
             send(() -> {
                 // The configuration arrives with the answer, later, or not at all for now.
                 if (random.nextInt(3) > 0 && (own == null || shown.stamp().compareTo(own.stamp()) > 0)) {
--- a/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
@@ -38,7 +38,8 @@
                         + "~ version != null",
                 "it doesn't wait for a confirmation ~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
                         + "~ started = true;",
-                "it waits for a confirmation for ever ~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
+                "it waits for a confirmation for ever "
+                        + "~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
                         + "~ started = isConfirmed;",
             })
     void eachPlantedFaultIsFound(String fault, String text, String replacement) throws Exception {
