--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -94,9 +94,9 @@
 
     private void query(int controller, long queriedAt) {
         send(() -> {
-            Replica its = world.replica(controller);
-            ReplicatedState shown = its.consensus().committed();
-            long age = its.consensus().confirmedAge(world.now());
+            Replica replica = world.replica(controller);
+            ReplicatedState shown = replica.consensus().committed();
+            long age = replica.consensus().confirmedAge(world.now());
             send(() -> {
                 // The configuration arrives with the answer, later, or not at all for now.
                 if (random.nextInt(3) > 0 && (own == null || shown.number().compareTo(own.number()) > 0)) {
