--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -26,8 +26,8 @@
 import org.cypressweir.testkit.JsonCopy;
 
 /**
- * Walks through what may happen to three or four copies while two replicas take different contents for one
- * version: nothing else going on, or a disk just lost, or its successor on the way into the voters or just let
+ * Walks through what may happen to three or four replicas while two replicas take different contents for one
+ * version: nothing else going on, or a disk just lost, or its successor on the way to be a voter or just let
  * in, or one taken out that returns with its old disk, or one that leaves.
  *
  * <p>Left alone, messages and writes come in the order they were sent, and time passes only where nothing
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -21,7 +21,7 @@
 import org.cypressweir.controlplane.consensus.ReplicaKey;
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
-/** Harbours with disks and a network in made-up time, all drawn from one number. */
+/** Replicas with disks and a network in simulated time, all drawn from one seed. */
 public final class SimulatedReplicas {
 
     private static final long TICK = 50_000;
@@ -66,7 +66,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final Map<String, Replica> replicas = new TreeMap<>();
-    /** What replicas that start from here on are told. */
+    /** The seeds of replicas that start from here on. */
     public List<String> seeds;
 
     private final Set<List<String>> cuts = new HashSet<>();
@@ -81,7 +81,7 @@
     public long behind;
     /** Hears of each message that is sent, whether it comes or not. */
     public Consumer<Map<String, Object>> sent = message -> {};
-    /** Whom what is sent is weighed for, and how much it was. */
+    /** The address for which sent bytes are counted, and how many they were. */
     public String weighed;
 
     public long bytes;
@@ -160,7 +160,7 @@
         return start(i);
     }
 
-    /** An operator's word to begin with nothing; why it is refused, or null. */
+    /** An operator's request to bootstrap; why it is refused, or null. */
     public String begin(Replica replica, Set<String> abandoned) {
         String why = replica.consensus.bootstrapObstacle(now, abandoned);
         if (why == null) {
@@ -286,7 +286,7 @@
         }
     }
 
-    /** An order goes to a replica; the proposalId, or -1 where nobody is there. */
+    /** Submits a change to a replica; returns its proposal id, or -1 if the replica is down. */
     public long submit(Replica replica, String body, long patience) {
         if (!replica.up()) {
             return -1;
@@ -323,7 +323,7 @@
         now = until;
     }
 
-    /** Runs until that proposalId is answered, for ten seconds at most. */
+    /** Runs until that proposal is answered, for ten seconds of simulated time at most. */
     public ProposalResult await(long proposalId) {
         for (int i = 0; i < 10_000 && !results.containsKey(proposalId); i++) {
             run(1_000);
--- a/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -16,7 +16,7 @@
 import org.cypressweir.controlplane.consensus.ProposalResult;
 import org.cypressweir.controlplane.storage.Store;
 
-/** Three copies with stores, where all comes at once and in order. Counts what is sent and written. */
+/** Three replicas with stores, where messages come at once and in order. Counts what is sent and written. */
 public final class ThreeReplicas {
 
     private static final int COUNT = 3;
@@ -44,7 +44,7 @@
         settle();
     }
 
-    /** Runs until nothing is under way, without a word that is due by time. */
+    /** Runs until nothing is under way, without heartbeats that are due by time. */
     private void settle() {
         while (!waiting.isEmpty()) {
             waiting.poll().run();
