--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -131,8 +131,8 @@
     /** Writes a complete state into an environment that was just created, after that many writes elsewhere. */
     void writeAll(PersistentState state, long writeCount) throws IOException {
         checksum = new WriteChecksum(writeCount, 0);
-        StorageUpdate update =
-                new StorageUpdate(state.promised(), state.accepted(), state.voters(), state.items(), true, state.disk());
+        StorageUpdate update = new StorageUpdate(
+                state.promised(), state.accepted(), state.voters(), state.items(), true, state.disk());
         write(update, state.learnedSecondHand());
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -90,7 +90,8 @@
                 reject(call, ErrorKind.NO_KEY, 0);
                 return;
             }
-            long retryAfter = quotas.tryAcquire(clock.getAsLong(), tenant.name(), tenant.ratePerSecond(), tenant.burst());
+            long retryAfter =
+                    quotas.tryAcquire(clock.getAsLong(), tenant.name(), tenant.ratePerSecond(), tenant.burst());
             if (retryAfter > 0) {
                 reject(call, ErrorKind.OVER_QUOTA, retryAfter);
                 return;
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
@@ -136,7 +136,9 @@
     static PeerMessage decode(Map<String, Object> head, byte[] body, long nowMicros) {
         return switch (JsonCodec.text(head, KIND)) {
             case HELLO -> new PeerMessage.Hello(
-                    JsonCodec.text(head, NAME), Json.longValue(head, INCARNATION, 0), Json.longValue(head, FIRST_NUMBER, 0));
+                    JsonCodec.text(head, NAME),
+                    Json.longValue(head, INCARNATION, 0),
+                    Json.longValue(head, FIRST_NUMBER, 0));
             case REQUEST -> decodeRequest(head, body, nowMicros);
             case CANCELLATION -> new PeerMessage.Cancellation(Json.longValue(head, NUMBER, -1));
             case RESPONSE -> decodeResponse(head, body);
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -286,7 +286,8 @@
     }
 
     /** Sends the client, or keeps for it, what the request's state says. */
-    private void respond(ProxiedRequest request, RequestState.ClientAction due, RequestOutcome outcome, long retryAfterMicros) {
+    private void respond(
+            ProxiedRequest request, RequestState.ClientAction due, RequestOutcome outcome, long retryAfterMicros) {
         switch (due) {
             case NONE -> {}
             case SEND_RESPONSE -> request.respond(applicationResponse(outcome));
--- a/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
@@ -75,7 +75,8 @@
                 .map(NodeResponse::address)
                 .toList();
         all.removeIf(response -> !response.failed());
-        all.addAll(client.get(responding, ApiCall.REQUEST_TRACES.path() + URLEncoder.encode(id, StandardCharsets.UTF_8)));
+        all.addAll(
+                client.get(responding, ApiCall.REQUEST_TRACES.path() + URLEncoder.encode(id, StandardCharsets.UTF_8)));
         return all;
     }
 
--- a/src/test/java/org/cypressweir/testkit/PeerStub.java
+++ b/src/test/java/org/cypressweir/testkit/PeerStub.java
@@ -31,6 +31,7 @@
         }
     }
 
+    /** What a scripted peer does with one request. */
     public interface Script {
         void on(Seen seen) throws IOException;
     }
--- a/src/test/java/org/cypressweir/testkit/RawHttpClient.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -12,6 +12,7 @@
 
     private RawHttpClient() {}
 
+    /** One message: its first line, its headers and its body. */
     public record Message(String first, Map<String, String> headers, String body) {
         public int status() {
             return Integer.parseInt(first.split(" ")[1]);
