--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
@@ -29,13 +29,17 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "OLD ~ a response is accepted on any connection ~ PeerForwarder.java ~ || attempt.connection != connection) { ~ ) {",
-                "MIXED ~ each incarnation counts from one ~ PeerForwarder.java ~ lastNumber = incarnation; ~ lastNumber = 0;",
-                "COMPLETED TWICE ~ complete attempts are kept ~ PeerForwarder.java ~ inFlight.remove(number) ~ inFlight.get(number)",
+                "OLD ~ a response is accepted on any connection ~ PeerForwarder.java "
+                        + "~ || attempt.connection != connection) { ~ ) {",
+                "MIXED ~ each incarnation counts from one ~ PeerForwarder.java ~ lastNumber = incarnation; "
+                        + "~ lastNumber = 0;",
+                "COMPLETED TWICE ~ complete attempts are kept ~ PeerForwarder.java ~ inFlight.remove(number) "
+                        + "~ inFlight.get(number)",
                 "OLD ~ a lost connection says not run ~ PeerForwarder.java "
                         + "~ complete(attempt.number, mayHaveRun(CONNECTION_LOST)) "
                         + "~ complete(attempt.number, notRun(RejectionReason.GONE))",
-                "LOST ~ a lost connection is ignored ~ PeerForwarder.java ~ if (attempt.connection == connection) { ~ if (false) {",
+                "LOST ~ a lost connection is ignored ~ PeerForwarder.java "
+                        + "~ if (attempt.connection == connection) { ~ if (false) {",
                 "TWICE ~ a duplicate runs again ~ PeerRequestReceiver.java ~ session.lastNumber = number; ~ ",
                 "TWICE ~ a request of an earlier connection runs again ~ PeerRequestReceiver.java "
                         + "~ lastNumber = firstNumber; ~ lastNumber = 0;",
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -41,9 +41,10 @@
             value = {
                 "only eight superseded versions are kept ~ Item.java ~ MAX_SUPERSEDED = 256; ~ MAX_SUPERSEDED = 8;",
                 "a version that is too old counts as unused ~ Item.java "
-                        + "~ other.version < oldestKnownVersion ? VersionStatus.TOO_OLD ~ false ? VersionStatus.TOO_OLD",
-                "a version that is too old is a conflict ~ ConfigurationMerge.java ~ tooOld = Rejection.versionTooOld( ~ "
-                        + "tooOld = Rejection.conflict(",
+                        + "~ other.version < oldestKnownVersion ? VersionStatus.TOO_OLD "
+                        + "~ false ? VersionStatus.TOO_OLD",
+                "a version that is too old is a conflict ~ ConfigurationMerge.java "
+                        + "~ tooOld = Rejection.versionTooOld( ~ tooOld = Rejection.conflict(",
                 "superseded contents are not compared ~ Item.java ~ each.equals(other.asSuperseded()) ~ true",
                 "a late lower version is not recorded ~ ConfigurationMerge.java ~ existing.withSuperseded(item) "
                         + "~ existing",
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
@@ -40,7 +40,8 @@
                 "a blank disk is the replica that its address was ~ ConsensusReplica.java "
                         + "~ : initialStart ? 0 : 1 + random.nextLong(MAX_DISK_ID); ~ : 0;",
                 "voters change on what one has voted for ~ ProposalRound.java "
-                        + "~ boolean chosen = ReplicatedState.isMajority(base.voters(), promises.voted(base.number())); "
+                        + "~ boolean chosen "
+                        + "= ReplicatedState.isMajority(base.voters(), promises.voted(base.number())); "
                         + "~ boolean chosen = true;",
                 "a message of another disk is one of this replica ~ ReplicaKey.java "
                         + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
--- a/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Returns in a later turn of the event loop, behind its next select: only then does the runtime free the socket of a
-     * channel that was closed. The loop takes tasks scheduled by itself at the start of a turn, never within one.
+     * Returns in a later turn of the event loop, behind its next select: only then does the runtime free the socket of
+     * a channel that was closed. The loop takes tasks scheduled by itself at the start of a turn, never within one.
      */
     void awaitNextSelect() throws Exception {
         CompletableFuture<Void> selected = new CompletableFuture<>();
--- a/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
@@ -27,6 +27,8 @@
     /** A keeper that has just started says nothing for a term, and then asks the others. */
     private static final long KEEPERS = 2 * TERM;
 
+    private static final int NOBODY = -1;
+
     private static String file(SidecarProcesses processes, String text, int... keepers) {
         return text + "[keepers]\naddresses = [" + addresses(processes, keepers) + "]\n[leases.job]\nterm = \"" + TERM
                 + "ms\"\n";
@@ -193,26 +195,42 @@
         }
     }
 
+    /**
+     * The process that holds the lease and goes on holding it. One that is not preferred leaves the lease to the one
+     * that is after two terms, so whoever holds for three keeps it until something happens to it.
+     */
+    private int settledHolder() throws Exception {
+        int[] holder = {NOBODY};
+        long[] since = {System.nanoTime()};
+        processes.within(STARTED, "one holds and keeps it", () -> {
+            int now = holdingProcess();
+            if (now == NOBODY || now != holder[0]) {
+                holder[0] = now;
+                since[0] = System.nanoTime();
+                return false;
+            }
+            return System.nanoTime() - since[0] > TimeUnit.MILLISECONDS.toNanos(3 * TERM);
+        });
+        return holder[0];
+    }
+
+    private int holdingProcess() throws Exception {
+        for (int i = 0; i < processes.size(); i++) {
+            String leases = processes.ask(i, "LEASES");
+            if (leases.contains("\"holder\":\"n" + i + "\",\"held\":true")) {
+                assertTrue(leases.endsWith("\nEND\n"), leases);
+                return i;
+            }
+        }
+        return NOBODY;
+    }
+
     /** The runner's command is gone before anybody else can hold the lease. */
     @Test
     void aCommandRunsOnlyWhileTheLeaseIsHeld() throws Exception {
         processes(3);
         processes.within(STARTED, "all see all", () -> processes.see(3, 0, 1, 2));
-        String[] held = new String[1];
-        int[] who = new int[1];
-        processes.within(STARTED, "one holds", () -> {
-            for (int i = 0; i < 3; i++) {
-                String said = processes.ask(i, "LEASES");
-                if (said.contains("\"holder\":\"n" + i + "\",\"held\":true")) {
-                    who[0] = i;
-                    held[0] = said;
-                    return true;
-                }
-            }
-            return false;
-        });
-        assertTrue(held[0].endsWith("\nEND\n"), held[0]);
-        int holder = who[0];
+        int holder = settledHolder();
         int other = (holder + 1) % 3;
         processes.within(STARTED, "others know it", () -> processes
                 .ask(other, "LEASE job")
