--- a/tools/StandIn.java
+++ b/tools/StandIn.java
@@ -58,7 +58,8 @@
         String request = exchange.getRequestMethod() + " " + exchange.getRequestURI();
         System.out.println("served " + request);
         byte[] body = (id + " has served " + request + "\n").getBytes(StandardCharsets.UTF_8);
-        // A response repeats the id of its request, and a valid one has a seal: proxies reject any other.
+        // A response repeats the id of its request and has a seal header, which proves that this server made it:
+        // proxies reject any other.
         String attemptId = exchange.getRequestHeaders().getFirst("Cypressweir-Attempt-Id");
         if (attemptId != null) {
             exchange.getResponseHeaders().set("Cypressweir-Attempt-Id", attemptId);
