--- /dev/null
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptDispatcher.java
@@ -0,0 +1,138 @@
+package org.cypressweir.dataplane.proxy;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.LongSupplier;
+import org.cypressweir.dataplane.http.upstream.RejectionReason;
+import org.cypressweir.dataplane.http.upstream.RequestOutcome;
+import org.cypressweir.dataplane.http.upstream.RequestState;
+import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+
+/**
+ * Sends the attempts at requests to one service, and takes their outcomes: to the client goes what the request's
+ * {@link RequestState} allows, to the load balancer the result of the attempt.
+ *
+ * <p>Not thread-safe: used on the event loop alone. Lives as long as its {@link ServiceRequestHandler}.
+ */
+final class AttemptDispatcher {
+
+    private static final String INSTANCE_HEADER = "Cypressweir-Target-Instance";
+
+    private final EventLoop loop;
+    private final LongSupplier clock;
+    private final AttemptTransport transport;
+    private final SubsetLoadBalancer loadBalancer;
+    private final InFlightRequests inFlight;
+    private final RequestTimers timers;
+
+    AttemptDispatcher(
+            EventLoop loop,
+            LongSupplier clock,
+            AttemptTransport transport,
+            SubsetLoadBalancer loadBalancer,
+            InFlightRequests inFlight,
+            RequestTimers timers) {
+        this.loop = loop;
+        this.clock = clock;
+        this.transport = transport;
+        this.loadBalancer = loadBalancer;
+        this.inFlight = inFlight;
+        this.timers = timers;
+    }
+
+    /**
+     * Begins an attempt.
+     *
+     * @param endpoint null where the selected endpoint was removed meanwhile: the attempt ends without being sent
+     */
+    void send(ProxiedRequest request, Endpoint endpoint) {
+        int index = request.state.beginAttempt();
+        ProxiedRequest.Attempt attempt = new ProxiedRequest.Attempt(endpoint, clock.getAsLong());
+        request.attempts.add(attempt);
+        if (endpoint == null || !request.state.trySend(index)) {
+            AttemptResult gone = new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null);
+            loop.execute(() -> attemptEnded(request, index, attempt, gone));
+            return;
+        }
+        // The load balancer must not be called again before this call of its own has returned.
+        boolean[] isSending = {true};
+        attempt.handle = transport.send(endpoint, upstreamRequest(request, endpoint), result -> {
+            if (isSending[0]) {
+                loop.execute(() -> attemptEnded(request, index, attempt, result));
+            } else {
+                attemptEnded(request, index, attempt, result);
+            }
+        });
+        isSending[0] = false;
+    }
+
+    private static UpstreamRequest upstreamRequest(ProxiedRequest request, Endpoint endpoint) {
+        List<Map.Entry<String, String>> headers = new ArrayList<>(request.headers);
+        headers.add(Map.entry(INSTANCE_HEADER, endpoint.instanceId()));
+        return new UpstreamRequest(
+                request.id,
+                request.call.method(),
+                request.call.uri(),
+                headers,
+                request.call.body(),
+                request.route.idempotent(),
+                request.priority,
+                request.internal,
+                request.latencyTargetAt,
+                request.deadline,
+                endpoint.instanceId());
+    }
+
+    /** Cancels an attempt where it is in flight; its outcome comes all the same. */
+    void cancel(ProxiedRequest request, int index) {
+        if (index < request.attempts.size()) {
+            ProxiedRequest.Attempt attempt = request.attempts.get(index);
+            if (request.state.isPending(index) && attempt.handle != null) {
+                attempt.handle.cancel();
+            }
+        }
+    }
+
+    private void attemptEnded(
+            ProxiedRequest request, int index, ProxiedRequest.Attempt attempt, AttemptResult attemptResult) {
+        if (!request.state.isPending(index)) {
+            return;
+        }
+        long now = clock.getAsLong();
+        RequestOutcome outcome = attemptResult.outcome();
+        attempt.outcome = outcome;
+        attempt.endedAt = now;
+        RequestState.ClientAction due = request.state.onOutcome(index, outcome);
+        if (due != RequestState.ClientAction.NONE) {
+            inFlight.respond(request, due, outcome, 0);
+        }
+        if (!attempt.timedOut) {
+            reportOutcome(now, request, index, attempt, attemptResult);
+        }
+        if (!request.state.isClosed()) {
+            timers.scheduleAdmissionTimeout(request);
+        }
+        inFlight.removeIfEnded(request);
+    }
+
+    private void reportOutcome(
+            long now, ProxiedRequest request, int index, ProxiedRequest.Attempt attempt, AttemptResult attemptResult) {
+        Result result = AttemptReports.result(attemptResult.outcome());
+        long endpointId = attempt.endpoint == null ? 0 : attempt.endpoint.id();
+        loadBalancer.outcome(
+                now,
+                new LoadBalancer.Outcome(
+                        request.number,
+                        index,
+                        endpointId,
+                        result,
+                        now - attempt.sentAt,
+                        result == Result.SERVED,
+                        AttemptReports.loadReport(attemptResult.load())));
+    }
+}
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
@@ -65,8 +65,8 @@
                 "UNASKED ~ the body is cut ~ dataplane/http/upstream/RequestEncoder.java "
                         + "~ Unpooled.wrappedBuffer(request.body()) "
                         + "~ Unpooled.wrappedBuffer(request.body(), 0, 4)",
-                "LOST ~ a rejection is not sent ~ dataplane/proxy/ServiceRequestHandler.java "
-                        + "~ finish(request, retryAfterMicros); ~ inFlight.remove(number);",
+                "LOST ~ a rejection is not sent ~ dataplane/proxy/InFlightRequests.java "
+                        + "~ finish(request, retryAfterMicros); ~ requests.remove(number);",
             })
     void eachPlantedFaultIsFound(String rule, String fault, String file, String text, String replacement)
             throws Exception {
