--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -11,15 +11,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.cypressweir.common.diagnostics.RequestTrace;
 import org.cypressweir.common.diagnostics.StateEndpoint;
 import org.cypressweir.common.settings.NodeSettings;
 import org.cypressweir.common.settings.SettingsLoader;
 import org.cypressweir.common.settings.SettingsWatcher;
-import org.cypressweir.common.transport.ApiCall;
-import org.cypressweir.common.transport.ErrorKind;
 import org.cypressweir.common.transport.LogConfiguration;
 import org.cypressweir.common.transport.MonotonicClock;
 import org.cypressweir.common.transport.PeerTransport;
@@ -30,38 +27,29 @@
 import org.cypressweir.dataplane.http.server.HttpListener;
 import org.cypressweir.dataplane.http.server.RequestHandler;
 import org.cypressweir.dataplane.http.server.RequestLimits;
-import org.cypressweir.dataplane.http.server.ServerRequest;
-import org.cypressweir.dataplane.http.server.ServerResponse;
-import org.cypressweir.dataplane.http.upstream.InstanceIncarnation;
 import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
 import org.cypressweir.dataplane.http.upstream.UpstreamOptions;
 import org.cypressweir.dataplane.quota.QuotaShares;
 import org.jboss.logging.Logger;
 
 /**
- * The data-plane process beside one application instance: assembles its parts, opens its sockets and runs its
- * periodic tasks. All of its parts run on one event loop, but for the parsing of configurations.
+ * The data-plane process beside one application instance: assembles its parts, opens its sockets, starts its
+ * {@link PeriodicTasks} and shuts it down on SIGTERM. All of its parts run on one event loop, but for the parsing of
+ * configurations. {@link #run} blocks its thread until the process ends.
  */
 public final class Proxy {
 
     private static final Logger LOG = Logger.getLogger(Proxy.class);
     private static final RequestLimits CONTROL_LIMITS = new RequestLimits(16 * 1024, 64 * 1024, 5_000, 60_000);
-    private static final int TICK_MILLIS = 50;
     private static final int TICKS_PER_DEMAND_PUBLICATION = 4;
     private static final int TICKS_PER_SETTINGS_CHECK = 20;
     /** Repeating the registration repairs whatever a controller has missed. */
     private static final int TICKS_PER_REGISTRATION = 40;
     /** Requests in flight with one id that operators are shown at most. */
     private static final int MAX_TRACES_IN_FLIGHT = 16;
-    /** How long a proxy that starts waits for its configuration to be confirmed. */
-    private static final long DEFAULT_CONFIRMATION_TIMEOUT_MICROS = 3_000_000;
 
     private static final long ENDPOINT_RETENTION_MICROS = 3_000_000;
-    private static final long DEFAULT_DRAIN_MICROS = 2_500_000;
     private static final long DEFAULT_GRACE_PERIOD_MICROS = 6_000_000;
-    private static final long NOT_READY_RETRY_AFTER_MICROS = 500_000;
-    /** Part of the drain time after which nothing more is dispatched to a draining instance. */
-    private static final double DISPATCH_DRAIN_PART = 0.8;
 
     /** Replaced on the event loop. */
     private NodeSettings settings;
@@ -84,12 +72,11 @@
     private final ServiceHandlers handlers;
     private final EndpointLists endpointLists;
     private final RoutingTableLoader routingTables;
+    private final DispatcherConfigurator dispatcherConfigurator;
+    private final ReadinessEndpoint readinessEndpoint;
     private final ControllerClient controllers;
     private final OutboundListener outboundListener;
     private HttpListener outbound;
-    private boolean isShuttingDown;
-    private boolean hasStarted;
-    private long ticks;
 
     private Proxy(NodeSettings settings, SettingsWatcher settingsWatcher) {
         this.settings = settings;
@@ -119,7 +106,9 @@
                 directory::size,
                 this::endpointsChanged);
         endpointLists = new EndpointLists(directory, application::registration, peers, handlers);
-        routingTables = new RoutingTableLoader(background, this::limitConnections);
+        routingTables = new RoutingTableLoader(background, this::routingTableChanged);
+        dispatcherConfigurator = new DispatcherConfigurator(dispatcher, application, routingTables, this::settings);
+        readinessEndpoint = new ReadinessEndpoint(clock, this::settings, readinessGate, routingTables, handlers);
         controllers = new ControllerClient(
                 transport,
                 clock,
@@ -173,9 +162,9 @@
         listen("controlPlane", () -> CONTROL_LIMITS, stateEndpoint);
         transport.listen(Addresses.parse(ownAddress), requestReceiver);
         loop.execute(() -> controllers.updateSeeds(settings.seedPeerAddresses()));
-        listen("readiness", () -> CONTROL_LIMITS, this::answerReadiness);
+        listen("readiness", () -> CONTROL_LIMITS, readinessEndpoint);
         outbound = listen("outbound", this::clientLimits, outboundListener);
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        startPeriodicTasks();
         LOG.info("Proxy started: name=" + settings.name());
         try {
             ended.await();
@@ -198,39 +187,6 @@
                 limits.idleTimeoutMicros() / 1000);
     }
 
-    // ---- Readiness
-
-    private void answerReadiness(ServerRequest call) {
-        call.answer(readinessResponse(call));
-    }
-
-    private ServerResponse readinessResponse(ServerRequest call) {
-        if (ApiCall.READINESS.pathParameter(call.uri()).isEmpty()) {
-            return LocalResponses.of(ErrorKind.NO_CALL);
-        }
-        return isReady()
-                ? ServerResponse.of(200)
-                : LocalResponses.of(ErrorKind.NOT_READY, NOT_READY_RETRY_AFTER_MICROS);
-    }
-
-    private boolean isReady() {
-        return !isShuttingDown && !routingTables.current().isEmpty() && mayServe() && handlers.hasEndpoints();
-    }
-
-    /** Whether the configuration is confirmed to be new enough to start with, or nobody has confirmed one. */
-    private boolean mayServe() {
-        if (!hasStarted) {
-            long timeout = settings.durationMicros("contact", DEFAULT_CONFIRMATION_TIMEOUT_MICROS);
-            hasStarted = readinessGate.mayStart(
-                    clock.getAsLong(), routingTables.current().version(), timeout);
-            if (hasStarted && !readinessGate.isConfirmed()) {
-                LOG.warn("Starting with an unconfirmed configuration: version="
-                        + routingTables.current().version());
-            }
-        }
-        return hasStarted;
-    }
-
     // ---- Changes
 
     private void endpointsChanged() {
@@ -241,32 +197,18 @@
         routingTables.load(configuration.version(), configuration.configuration());
     }
 
-    private void limitConnections() {
-        ApplicationInstance instance = application.instance();
-        if (instance != null) {
-            int maxConnections = routingTables.current().maxConnections(instance.service());
-            if (maxConnections > 0) {
-                dispatcher.maxConnections(maxConnections);
-            }
-        }
+    private void routingTableChanged() {
+        dispatcherConfigurator.limitConnections();
     }
 
     private void instanceChanged(ApplicationInstance instance) {
-        dispatcher.setInstance(incarnation(instance));
-        limitConnections();
+        dispatcherConfigurator.updateInstance(instance);
         directory.updateDirect(application.registration());
         requestReceiver.publishRegistration();
         controllers.publishRegistration();
         endpointsChanged();
     }
 
-    private static InstanceIncarnation incarnation(ApplicationInstance instance) {
-        return instance == null
-                ? null
-                : new InstanceIncarnation(
-                        instance.id(), instance.service(), instance.slots(), instance.draining(), instance.warmAt());
-    }
-
     private void updateSettings(NodeSettings next) {
         settings = next;
         application.updateSettings(next);
@@ -276,42 +218,23 @@
 
     // ---- Periodic tasks
 
-    private void tick() {
-        try {
-            ticks++;
-            long now = clock.getAsLong();
-            application.tick();
-            stopDispatchToDrainedInstance(now);
-            controllers.tick();
-            mayServe();
-            peers.tick();
-            endpointLists.refresh(now);
-            runSlowerTasks();
-        } catch (RuntimeException | Error e) {
-            // The executor would not run a periodic task again that threw.
-            LOG.error("A tick failed.", e);
-        }
-    }
-
-    private void stopDispatchToDrainedInstance(long now) {
-        long drainingSince = application.drainingSince();
-        if (drainingSince != 0
-                && now - drainingSince > DISPATCH_DRAIN_PART * settings.durationMicros("drain", DEFAULT_DRAIN_MICROS)) {
-            dispatcher.setInstance(null);
-        }
+    private void startPeriodicTasks() {
+        PeriodicTasks tasks = new PeriodicTasks(loop, clock);
+        tasks.everyTick(now -> application.tick());
+        tasks.everyTick(dispatcherConfigurator::stopDispatchToDrainedInstance);
+        tasks.everyTick(now -> controllers.tick());
+        tasks.everyTick(now -> readinessEndpoint.checkStart());
+        tasks.everyTick(now -> peers.tick());
+        tasks.everyTick(endpointLists::refresh);
+        tasks.every(TICKS_PER_DEMAND_PUBLICATION, this::publishDemand);
+        tasks.every(TICKS_PER_REGISTRATION, controllers::publishRegistration);
+        tasks.every(TICKS_PER_SETTINGS_CHECK, () -> settingsWatcher.poll(false, this::updateSettings));
+        tasks.start();
     }
 
-    private void runSlowerTasks() {
-        if (ticks % TICKS_PER_DEMAND_PUBLICATION == 0) {
-            quotas.setProxyCount(directory.size());
-            controllers.publishDemand();
-        }
-        if (ticks % TICKS_PER_REGISTRATION == 0) {
-            controllers.publishRegistration();
-        }
-        if (ticks % TICKS_PER_SETTINGS_CHECK == 0) {
-            settingsWatcher.poll(false, this::updateSettings);
-        }
+    private void publishDemand() {
+        quotas.setProxyCount(directory.size());
+        controllers.publishDemand();
     }
 
     // ---- State
@@ -350,7 +273,7 @@
 
     private void startShutdown() {
         LOG.info("Proxy shutting down: name=" + settings.name());
-        isShuttingDown = true;
+        readinessEndpoint.startShutdown();
         application.startShutdown();
         dispatcher.drain();
         peers.forwarder().startShutdown();
