--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
@@ -101,16 +101,9 @@
         acceptorRequests = new AcceptorRequestHandler(context, acceptor, committedState, snapshots);
         messages = new ConsensusMessageHandler(
                 context,
-                acceptor,
-                acceptorRequests,
-                peers,
-                contact,
+                new PaxosRoles(acceptor, acceptorRequests, proposer, committedState, learner),
+                new QuorumMembership(peers, contact, voterStatus, planner),
                 snapshots,
-                learner,
-                committedState,
-                proposer,
-                planner,
-                voterStatus,
                 heartbeats);
         heartbeatSentAt = now - options.heartbeatIntervalMicros();
         joinRequestedAt = now - options.requestIntervalMicros();
