--- a/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
@@ -16,7 +16,7 @@
         if (item == null || item.withdrawn()) {
             return Either.right(DEFAULTS);
         }
-        ContentFields fields = new ContentFields(item.key().toString(), item.content());
+        ContentFields fields = ContentFields.of(item);
         try {
             return Either.right(new ClientLimits(
                     (int) fields.integer(
@@ -25,7 +25,7 @@
                     fields.durationMicros("headerTimeout", DEFAULTS.headerTimeoutMicros),
                     fields.durationMicros("idleTimeout", DEFAULTS.idleTimeoutMicros)));
         } catch (InvalidContentException e) {
-            return Either.left(Rejection.invalid(e.getMessage()));
+            return Either.left(Rejection.invalid(e));
         }
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChange.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChange.java
@@ -37,8 +37,10 @@
     public static Either<Rejection, ConfigurationChange> read(byte[] body) {
         try {
             return Either.right(new ConfigurationChangeReader().read(body));
-        } catch (IOException | InvalidContentException e) {
+        } catch (IOException e) {
             return Either.left(Rejection.invalid(e.getMessage()));
+        } catch (InvalidContentException e) {
+            return Either.left(Rejection.invalid(e));
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChangeReader.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChangeReader.java
@@ -22,10 +22,10 @@
     ConfigurationChange read(byte[] body) throws IOException, InvalidContentException {
         for (Map.Entry<String, Object> section : StrictJson.readObject(body).entrySet()) {
             switch (section.getKey()) {
-                case UPSERT -> readUpserts(object(UPSERT, section.getValue()));
-                case WITHDRAW -> readWithdrawals(object(WITHDRAW, section.getValue()));
-                    // The check of meshctl reads this text.
-                default -> throw new InvalidContentException("\"" + section.getKey() + "\" is unknown");
+                case UPSERT -> readUpserts(object(UPSERT, RejectionCause.WHOLE_CHANGE, section.getValue()));
+                case WITHDRAW -> readWithdrawals(object(WITHDRAW, RejectionCause.WHOLE_CHANGE, section.getValue()));
+                default -> throw new InvalidContentException(
+                        "\"" + section.getKey() + "\" is unknown", new RejectionCause.UnknownSection(section.getKey()));
             }
         }
         return new ConfigurationChange(items.values());
@@ -34,15 +34,16 @@
     private void readUpserts(Map<String, Object> tables) throws InvalidContentException {
         for (Map.Entry<String, Object> table : tables.entrySet()) {
             String path = UPSERT + "." + table.getKey();
+            RejectionCause cause = new RejectionCause.UpsertedTable(table.getKey());
             ItemType type = ItemType.of(table.getKey());
             if (type == null) {
-                throw new InvalidContentException(path + " is not a known table");
+                throw new InvalidContentException(path + " is not a known table", cause);
             }
-            Map<String, Object> content = object(path, table.getValue());
+            Map<String, Object> content = object(path, cause, table.getValue());
             if (type != ItemType.LIMITS) {
                 readTable(path, type, content);
             } else if (!content.isEmpty()) {
-                add(path, ItemKey.LIMITS, content, content);
+                upsert(path, ItemKey.LIMITS, content);
             }
         }
     }
@@ -51,38 +52,53 @@
         for (Map.Entry<String, Object> entry : table.entrySet()) {
             String name = entry.getKey();
             if (name.isBlank()) {
-                throw new InvalidContentException(path + " has an item without a name");
+                throw new InvalidContentException(
+                        path + " has an item without a name", new RejectionCause.UpsertedTable(type.wireName()));
             }
             String itemPath = path + "." + name;
-            Map<String, Object> content = object(itemPath, entry.getValue());
-            add(itemPath, new ItemKey(type, name), content, content);
+            ItemKey key = new ItemKey(type, name);
+            upsert(itemPath, key, object(itemPath, new RejectionCause.InvalidItem(key), entry.getValue()));
         }
     }
 
+    private void upsert(String path, ItemKey key, Map<String, Object> content) throws InvalidContentException {
+        RejectionCause cause = new RejectionCause.InvalidItem(key);
+        long version = version(new ContentFields(path, cause, content));
+        // meshctl reports this as an error of the table.
+        add(path, new RejectionCause.UpsertedTable(key.type().wireName()), new Item(key, version, content));
+    }
+
     private void readWithdrawals(Map<String, Object> tables) throws InvalidContentException {
         for (Map.Entry<String, Object> table : tables.entrySet()) {
             String path = WITHDRAW + "." + table.getKey();
+            RejectionCause cause = new RejectionCause.WithdrawnTable(table.getKey());
             ItemType type = ItemType.of(table.getKey());
             if (type == null || type == ItemType.LIMITS) {
-                throw new InvalidContentException(path + " is not a table that items can be withdrawn from");
+                throw new InvalidContentException(path + " is not a table that items can be withdrawn from", cause);
             }
-            List<?> withdrawals = list(path, table.getValue());
+            List<?> withdrawals = list(path, cause, table.getValue());
             for (int i = 0; i < withdrawals.size(); i++) {
-                String itemPath = path + "[" + i + "]";
-                Map<String, Object> fields = object(itemPath, withdrawals.get(i));
-                String name = new ContentFields(itemPath, fields).text("name");
-                add(itemPath, new ItemKey(type, name), fields, null);
+                withdraw(
+                        path + "[" + i + "]",
+                        type,
+                        new RejectionCause.WithdrawnItem(table.getKey(), i),
+                        withdrawals.get(i));
             }
         }
     }
 
-    /** @param fields the object that the version is read from */
-    private void add(String path, ItemKey key, Map<String, Object> fields, Map<String, Object> content)
+    private void withdraw(String path, ItemType type, RejectionCause cause, Object entry)
             throws InvalidContentException {
-        Item item = new Item(key, version(new ContentFields(path, fields)), content);
-        Item other = items.putIfAbsent(new ItemVersion(key, item.version()), item);
+        ContentFields fields = new ContentFields(path, cause, object(path, cause, entry));
+        ItemKey key = new ItemKey(type, fields.text("name"));
+        add(path, cause, new Item(key, version(fields), null));
+    }
+
+    private void add(String path, RejectionCause cause, Item item) throws InvalidContentException {
+        Item other = items.putIfAbsent(new ItemVersion(item.key(), item.version()), item);
         if (other != null && !other.hasSameContent(item)) {
-            throw new InvalidContentException(path + ": " + key + " has different contents at one version");
+            throw new InvalidContentException(
+                    path + ": " + item.key() + " has different contents at one version", cause);
         }
     }
 
@@ -94,22 +110,23 @@
         return Long.parseLong(version.substring(1));
     }
 
-    private static List<?> list(String path, Object value) throws InvalidContentException {
+    private static List<?> list(String path, RejectionCause cause, Object value) throws InvalidContentException {
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            throw new InvalidContentException(path + " must be a list");
+            throw new InvalidContentException(path + " must be a list", cause);
         }
         return list;
     }
 
-    private static Map<String, Object> object(String path, Object value) throws InvalidContentException {
+    private static Map<String, Object> object(String path, RejectionCause cause, Object value)
+            throws InvalidContentException {
         if (value == null) {
             return Map.of();
         }
         if (!(value instanceof Map<?, ?> map)) {
-            throw new InvalidContentException(path + " must be an object");
+            throw new InvalidContentException(path + " must be an object", cause);
         }
         Map<String, Object> object = new LinkedHashMap<>();
         map.forEach((name, each) -> object.put((String) name, each));
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationMerge.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationMerge.java
@@ -44,10 +44,13 @@
         Item.VersionStatus status = existing == null ? Item.VersionStatus.UNUSED : existing.statusOf(item);
         switch (status) {
             case ACCEPTED_WITH_OTHER_CONTENT -> {
-                return Rejection.conflict(describe(item) + " was already accepted with different content");
+                return Rejection.conflict(
+                        describe(item) + " was already accepted with different content",
+                        new RejectionCause.InvalidItem(item.key()));
             }
-            case TOO_OLD -> tooOld =
-                    Rejection.versionTooOld(describe(item) + " is too old: whether it was accepted is no longer known");
+            case TOO_OLD -> tooOld = Rejection.versionTooOld(
+                    describe(item) + " is too old: whether it was accepted is no longer known",
+                    new RejectionCause.InvalidItem(item.key()));
             case UNUSED -> addUnused(item, existing);
             case ACCEPTED -> {
                 // The operator repeats a change: it is acknowledged again.
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
@@ -70,7 +70,9 @@
         if (owner.equals(route.key())) {
             return null;
         }
-        return Rejection.invalid(route.key() + " has the same hostname and pathPrefix as " + owner + ": " + match);
+        return Rejection.invalid(
+                route.key() + " has the same hostname and pathPrefix as " + owner + ": " + match,
+                new RejectionCause.InvalidItem(route.key()));
     }
 
     private static Rejection validateUnreferenced(Configuration next, String service) {
@@ -82,9 +84,10 @@
         return null;
     }
 
-    /** The check of meshctl reads this text. */
     private static Rejection unknownService(Item route, String service) {
-        return Rejection.invalid(route.key() + " names service " + service + ", which is unknown");
+        return Rejection.invalid(
+                route.key() + " names service " + service + ", which is unknown",
+                new RejectionCause.UnknownService(route.key(), service));
     }
 
     private static Rejection validateApiKeys(Configuration next, Collection<Item> changed) {
@@ -95,7 +98,9 @@
             for (UniqueKey key : UniqueKey.of(item)) {
                 ItemKey owner = next.owner(key);
                 if (!item.key().equals(owner)) {
-                    return Rejection.invalid(item.key() + " has the same apiKey as " + owner);
+                    return Rejection.invalid(
+                            item.key() + " has the same apiKey as " + owner,
+                            new RejectionCause.InvalidItem(item.key()));
                 }
             }
         }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
@@ -15,20 +15,53 @@
     private static final long MAX_DURATION_MICROS = 600_000_000;
 
     private final String path;
+    /** What the object is part of. */
+    private final RejectionCause owner;
+    /** The path of the object within its owner: empty, or with a dot at its end. */
+    private final String pathInOwner;
+
     private final Map<?, ?> content;
 
-    ContentFields(String path, Map<?, ?> content) {
+    private ContentFields(String path, RejectionCause owner, String pathInOwner, Map<?, ?> content) {
         this.path = path;
+        this.owner = owner;
+        this.pathInOwner = pathInOwner;
         this.content = content;
     }
 
+    /**
+     * The fields of a part of a change.
+     *
+     * @param path with which reasons begin
+     */
+    ContentFields(String path, RejectionCause part, Map<?, ?> content) {
+        this(path, part, "", content);
+    }
+
+    /** The fields of an item that is not withdrawn. */
+    static ContentFields of(Item item) {
+        return new ContentFields(item.key().toString(), new RejectionCause.InvalidItem(item.key()), item.content());
+    }
+
     /** The fields of an object within this one. */
     ContentFields nested(String name, Map<?, ?> nestedContent) {
-        return new ContentFields(path + "." + name, nestedContent);
+        return new ContentFields(path + "." + name, owner, pathInOwner + name + ".", nestedContent);
     }
 
     InvalidContentException invalid(String name, String reason) {
-        return new InvalidContentException(path + "." + name + " " + reason);
+        return invalid(name, reason, false);
+    }
+
+    /** A field that must not be there beside others. */
+    InvalidContentException superfluous(String name, String reason) {
+        return invalid(name, reason, true);
+    }
+
+    private InvalidContentException invalid(String name, String reason, boolean mustBeAbsent) {
+        RejectionCause cause = owner instanceof RejectionCause.InvalidItem invalid
+                ? new RejectionCause.InvalidField(invalid.item(), pathInOwner + name, mustBeAbsent)
+                : owner;
+        return new InvalidContentException(path + "." + name + " " + reason, cause);
     }
 
     /** Whether the field is there and not null. */
--- a/src/main/java/org/cypressweir/controlplane/configuration/InvalidContentException.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/InvalidContentException.java
@@ -8,7 +8,15 @@
 
     private static final long serialVersionUID = 1;
 
-    InvalidContentException(String reason) {
+    private final transient RejectionCause rejectionCause;
+
+    InvalidContentException(String reason, RejectionCause rejectionCause) {
         super(reason, null, false, false);
+        this.rejectionCause = rejectionCause;
+    }
+
+    /** What the message is about. */
+    RejectionCause rejectionCause() {
+        return rejectionCause;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
@@ -1,17 +1,47 @@
 package org.cypressweir.controlplane.configuration;
 
-/** A configuration change that is not accepted, with a reason in words for the operator who submitted it. */
-public record Rejection(RejectionKind kind, String reason) {
+import java.util.Objects;
+
+/**
+ * A configuration change that is not accepted. Two rejections are equal where operators are told the same.
+ *
+ * @param reason in words, for the operator who submitted the change
+ * @param cause what the reason is about, for programs
+ */
+public record Rejection(RejectionKind kind, String reason, RejectionCause cause) {
+
+    /** A rejection of the change as a whole. */
+    public Rejection(RejectionKind kind, String reason) {
+        this(kind, reason, RejectionCause.WHOLE_CHANGE);
+    }
 
     static Rejection invalid(String reason) {
         return new Rejection(RejectionKind.INVALID, reason);
     }
 
-    static Rejection conflict(String reason) {
-        return new Rejection(RejectionKind.CONFLICT, reason);
+    static Rejection invalid(String reason, RejectionCause cause) {
+        return new Rejection(RejectionKind.INVALID, reason, cause);
+    }
+
+    static Rejection invalid(InvalidContentException e) {
+        return new Rejection(RejectionKind.INVALID, e.getMessage(), e.rejectionCause());
+    }
+
+    static Rejection conflict(String reason, RejectionCause cause) {
+        return new Rejection(RejectionKind.CONFLICT, reason, cause);
+    }
+
+    static Rejection versionTooOld(String reason, RejectionCause cause) {
+        return new Rejection(RejectionKind.VERSION_TOO_OLD, reason, cause);
+    }
+
+    @Override
+    public boolean equals(Object other) {
+        return other instanceof Rejection rejection && kind == rejection.kind && reason.equals(rejection.reason);
     }
 
-    static Rejection versionTooOld(String reason) {
-        return new Rejection(RejectionKind.VERSION_TOO_OLD, reason);
+    @Override
+    public int hashCode() {
+        return Objects.hash(kind, reason);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
@@ -31,11 +31,11 @@
         boolean publicAccess) {
 
     public static Either<Rejection, RouteConfiguration> of(Item item) {
-        ContentFields fields = new ContentFields(item.key().toString(), item.content());
+        ContentFields fields = ContentFields.of(item);
         try {
             return Either.right(read(item.key().name(), fields));
         } catch (InvalidContentException e) {
-            return Either.left(Rejection.invalid(e.getMessage()));
+            return Either.left(Rejection.invalid(e));
         }
     }
 
@@ -82,8 +82,7 @@
             return List.of(new WeightedDestination(fields.text("service"), 1));
         }
         if (fields.has("service")) {
-            // The check of meshctl reads this text.
-            throw fields.invalid("service", "must not be there beside weightedSplit");
+            throw fields.superfluous("service", "must not be there beside weightedSplit");
         }
         List<WeightedDestination> destinations = new ArrayList<>();
         double totalWeight = 0;
--- a/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
@@ -6,7 +6,7 @@
 public record ServiceConfiguration(String name, String healthPath, int maxConnections) {
 
     public static Either<Rejection, ServiceConfiguration> of(Item item) {
-        ContentFields fields = new ContentFields(item.key().toString(), item.content());
+        ContentFields fields = ContentFields.of(item);
         try {
             String healthPath = fields.text("healthPath");
             if (!healthPath.startsWith("/")) {
@@ -16,7 +16,7 @@
             int maxConnections = (int) fields.integer("maxConnections", 1, Integer.MAX_VALUE);
             return Either.right(new ServiceConfiguration(item.key().name(), healthPath, maxConnections));
         } catch (InvalidContentException e) {
-            return Either.left(Rejection.invalid(e.getMessage()));
+            return Either.left(Rejection.invalid(e));
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
@@ -16,7 +16,7 @@
         String name, List<String> apiKeys, Integer priority, double ratePerSecond, double burst) {
 
     public static Either<Rejection, TenantConfiguration> of(Item item) {
-        ContentFields fields = new ContentFields(item.key().toString(), item.content());
+        ContentFields fields = ContentFields.of(item);
         try {
             return Either.right(new TenantConfiguration(
                     item.key().name(),
@@ -25,7 +25,7 @@
                     fields.nonNegative("ratePerS", 0),
                     fields.nonNegative("burstSize", 0)));
         } catch (InvalidContentException e) {
-            return Either.left(Rejection.invalid(e.getMessage()));
+            return Either.left(Rejection.invalid(e));
         }
     }
 
--- a/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
@@ -4,23 +4,28 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.regex.Pattern;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.Rejection;
+import org.cypressweir.controlplane.configuration.RejectionCause;
 
 /**
  * A copy of a configuration change in which one error after the other is repaired, so that the next one can be
- * found. The result serves no other purpose. It takes the location of an error from the text of the rejection.
+ * found. The result serves no other purpose. The {@link RejectionCause} says what to repair; the text of the rejection
+ * is only reported.
  */
 final class ChangeRepairer {
 
     private static final String UPSERT = "upsert";
     private static final String WITHDRAW = "withdraw";
-    private static final String LIMITS = "limits";
     private static final String SERVICE = "service";
     private static final String WEIGHTED_SPLIT = "weightedSplit";
     private static final String PLACEHOLDER_SERVICE = "a placeholder for unknown services";
     private static final String HIGHEST_VERSION = "r999999999999999999";
-    private static final String UNKNOWN_FIELD = "\" is unknown";
-    private static final String UNKNOWN_SERVICE_START = "names service ";
-    private static final String UNKNOWN_SERVICE_END = ", which is unknown";
+    private static final String UPSERT_PREFIX = UPSERT + ".";
+    private static final Pattern END_OF_FIELD_NAME = Pattern.compile("[\\[.]");
     /** Values that are valid in any item. A field without one is removed. */
     private static final Map<String, Object> VALID_VALUES = validValues();
 
@@ -59,98 +64,89 @@
         return change;
     }
 
-    /** Repairs the error that a rejection gives as its reason; null where that is not possible. */
-    ValidationError repair(String reason) {
-        if (reason.endsWith(UNKNOWN_FIELD)
-                && change.keySet().removeIf(field -> reason.startsWith("\"" + field + "\""))) {
+    /** Repairs the error that a change was rejected for; null where that is not possible. */
+    ValidationError repair(Rejection rejection) {
+        String reason = rejection.reason();
+        RejectionCause cause = rejection.cause();
+        if (cause instanceof RejectionCause.UnknownSection section) {
+            change.remove(section.name());
             return ValidationError.parse(reason);
         }
-        if (reason.startsWith(WITHDRAW + ".")) {
-            return repairWithdrawal(reason);
+        if (cause instanceof RejectionCause.WithdrawnTable withdrawn) {
+            object(change, WITHDRAW).remove(withdrawn.table());
+            return ValidationError.parse(reason);
+        }
+        if (cause instanceof RejectionCause.WithdrawnItem withdrawn) {
+            removeWithdrawal(withdrawn);
+            return ValidationError.parse(reason);
         }
-        String prefix = UPSERT + ".";
-        return repairUpsert(reason.startsWith(prefix) ? reason.substring(prefix.length()) : reason);
+        return repairUpsert(
+                cause, reason.startsWith(UPSERT_PREFIX) ? reason.substring(UPSERT_PREFIX.length()) : reason);
     }
 
-    private ValidationError repairUpsert(String reason) {
-        Map<String, Object> tables = object(change, UPSERT);
-        for (String table : List.copyOf(tables.keySet())) {
-            if (!reason.startsWith(table)) {
-                continue;
-            }
-            if (!table.equals(LIMITS)) {
-                return repairTable(tables, table, reason);
-            }
-            String prefix = LIMITS + ".";
-            if (reason.startsWith(prefix)) {
-                return repairField(object(tables, table), LIMITS, reason.substring(prefix.length()));
-            }
+    private void removeWithdrawal(RejectionCause.WithdrawnItem withdrawn) {
+        if (object(change, WITHDRAW).get(withdrawn.table()) instanceof List<?> entries) {
+            entries.remove(withdrawn.index());
         }
-        return null;
     }
 
-    private ValidationError repairTable(Map<String, Object> tables, String table, String reason) {
-        Map<String, Object> items = object(tables, table);
-        String name = itemName(items, table, reason);
-        if (name == null) {
-            // The error is the table itself, which is not an object.
-            tables.remove(table);
-            return new ValidationError(table, reason.substring(table.length()).trim());
+    /** @param reason begins with the location of the error within the tables */
+    private ValidationError repairUpsert(RejectionCause cause, String reason) {
+        if (cause instanceof RejectionCause.UpsertedTable table) {
+            return removeTable(table.table(), reason);
+        }
+        if (cause instanceof RejectionCause.InvalidItem invalid) {
+            return repairItem(invalid.item(), reason, (items, item) -> items.remove(item.name()));
+        }
+        if (cause instanceof RejectionCause.UnknownService unknown) {
+            return repairItem(
+                    unknown.route(),
+                    reason,
+                    (items, route) -> replaceService(object(items, route.name()), unknown.service()));
         }
-        String location = table + "." + name;
-        return repairItem(items, name, location, reason.substring(location.length()));
+        return cause instanceof RejectionCause.InvalidField field ? repairField(field, reason) : null;
     }
 
-    /** Removes an entry of a list of withdrawn items, or the whole list. */
-    private ValidationError repairWithdrawal(String reason) {
-        String location = reason.split(" ", 2)[0];
-        String table = location.split("[\\[.]", 3)[1];
-        Map<String, Object> tables = object(change, WITHDRAW);
-        int open = location.indexOf('[');
-        int close = location.indexOf(']');
-        if (open > 0 && close > open && tables.get(table) instanceof List<?> list) {
-            list.remove(Integer.parseInt(location.substring(open + 1, close)));
-        } else {
-            tables.remove(table);
+    /** Limits are no table of items: they are not removed as a whole. */
+    private ValidationError removeTable(String table, String reason) {
+        Map<String, Object> tables = object(change, UPSERT);
+        if (table.equals(ItemType.LIMITS.wireName()) || !tables.containsKey(table)) {
+            return null;
         }
-        return ValidationError.parse(reason);
+        tables.remove(table);
+        return errorAt(table, reason);
     }
 
-    /** The longest name of an item that follows the table in the reason; null for none. */
-    private static String itemName(Map<String, Object> items, String table, String reason) {
-        String longest = null;
-        for (String name : items.keySet()) {
-            String location = table + "." + name;
-            boolean complete = reason.startsWith(location)
-                    && (reason.length() == location.length() || " .".indexOf(reason.charAt(location.length())) >= 0);
-            if (complete && (longest == null || name.length() > longest.length())) {
-                longest = name;
-            }
+    private ValidationError repairItem(ItemKey item, String reason, BiConsumer<Map<String, Object>, ItemKey> repair) {
+        String table = item.type().wireName();
+        Map<String, Object> tables = object(change, UPSERT);
+        if (!tables.containsKey(table) || !object(tables, table).containsKey(item.name())) {
+            // An item of the base configuration or one to withdraw: the table does not agree with it.
+            return removeTable(table, reason);
         }
-        return longest;
+        repair.accept(object(tables, table), item);
+        return errorAt(item.toString(), reason);
     }
 
-    private ValidationError repairItem(Map<String, Object> items, String name, String location, String rest) {
-        if (rest.startsWith(".") && items.get(name) instanceof Map<?, ?>) {
-            return repairField(object(items, name), location, rest.substring(1));
-        }
-        String reason = rest.trim();
-        if (reason.startsWith(UNKNOWN_SERVICE_START) && rest.endsWith(UNKNOWN_SERVICE_END)) {
-            String service =
-                    reason.substring(UNKNOWN_SERVICE_START.length(), reason.length() - UNKNOWN_SERVICE_END.length());
-            replaceService(object(items, name), service);
-        } else {
+    private ValidationError repairField(RejectionCause.InvalidField field, String reason) {
+        ItemKey item = field.item();
+        boolean isLimits = item.equals(ItemKey.LIMITS);
+        String table = item.type().wireName();
+        Map<String, Object> tables = object(change, UPSERT);
+        Map<String, Object> items = isLimits ? tables : object(tables, table);
+        String name = isLimits ? table : item.name();
+        if (!(items.get(name) instanceof Map<?, ?>)) {
             items.remove(name);
+            return errorAt(item.toString(), reason);
         }
-        return new ValidationError(location, reason);
+        repairField(object(items, name), field);
+        return errorAt(item + "." + field.path(), reason);
     }
 
-    private ValidationError repairField(Map<String, Object> item, String itemLocation, String rest) {
-        int end = rest.indexOf(' ');
-        String path = end < 0 ? rest : rest.substring(0, end);
-        String field = path.split("[\\[.]", 2)[0];
-        Object validValue = rest.contains("beside weightedSplit") ? null : VALID_VALUES.get(field);
-        if (field.equals(WEIGHTED_SPLIT) && !rest.contains("beside weightedSplit") && !item.containsKey(SERVICE)) {
+    private void repairField(Map<String, Object> item, RejectionCause.InvalidField invalid) {
+        String field = END_OF_FIELD_NAME.split(invalid.path(), 2)[0];
+        Object validValue = invalid.mustBeAbsent() ? null : VALID_VALUES.get(field);
+        if (field.equals(WEIGHTED_SPLIT) && !item.containsKey(SERVICE)) {
             item.put(SERVICE, PLACEHOLDER_SERVICE);
         }
         if (validValue == null) {
@@ -163,7 +159,10 @@
             item.put(field, validValue);
         }
         addPlaceholderService();
-        return new ValidationError(itemLocation + "." + path, end < 0 ? "is wrong" : rest.substring(end + 1));
+    }
+
+    private static ValidationError errorAt(String location, String reason) {
+        return new ValidationError(location, reason.substring(location.length()).trim());
     }
 
     /** Puts the placeholder in place of a service that does not exist. */
--- a/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
@@ -48,7 +48,7 @@
         ChangeRepairer repairer = new ChangeRepairer(change);
         Rejection next = rejection(JsonCodec.bytes(repairer.change()), current);
         while (next != null && errors.size() < MAX_ERRORS) {
-            ValidationError error = repairer.repair(next.reason());
+            ValidationError error = repairer.repair(next);
             if (error == null || errors.contains(error)) {
                 errors.add(ValidationError.parse(next.reason()));
                 break;
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -60,7 +60,8 @@
                         + "~ content, lower.superseded, lower.oldestKnownVersion) ~ content, List.of(), 0)",
                 "an accepted version is rejected beside unused ones ~ ConfigurationMerge.java "
                         + "~ Rejection rejection = ConfigurationValidator.validateItems(unused); "
-                        + "~ Rejection rejection = unused.size() < items.size() ? Rejection.conflict(\"\") : null;",
+                        + "~ Rejection rejection = unused.size() < items.size() "
+                        + "? new Rejection(RejectionKind.CONFLICT, \"\") : null;",
             })
     void eachFaultIsFound(String fault, String file, String text, String replacement) throws Exception {
         ClassLoader planted = new PlantedFault(
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
@@ -110,7 +110,7 @@
         assertThat(rejection.reason()).isNotBlank();
     }
 
-    /** Operators read these texts, and the check of meshctl finds the wrong place by them. */
+    /** Operators read these texts. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '~',
