--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
@@ -11,7 +11,7 @@
 
     /** An attempt that was sent. */
     interface Handle {
-        /** Nobody waits for the result any more; a request that is not idempotent runs on all the same. */
+        /** The result is no longer needed; a request that is not idempotent runs to its end all the same. */
         void cancel();
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
@@ -18,7 +18,7 @@
  */
 final class ConfigurationSubscriber {
 
-    /** Without a further chunk for so long, another controller is asked. */
+    /** Without a further chunk for so long, the version is requested from another controller. */
     private static final long CHUNK_TIMEOUT_MICROS = 600_000;
 
     private ProposalNumber version = ProposalNumber.ZERO;
@@ -49,7 +49,7 @@
     }
 
     /**
-     * A controller with this version says who the voters are. One that was partitioned announces old voters,
+     * A controller with this version announces the voters. One that was partitioned announces old voters,
      * without newer members: only what comes with the newest version counts.
      */
     void votersAnnounced(ProposalNumber announcedVersion, Set<String> announcedVoters) {
@@ -89,7 +89,7 @@
         return best;
     }
 
-    /** Whether the candidate has a newer version, or the same one and the other was asked in vain. */
+    /** Whether the candidate has a newer version, or the same one and the request to the other has timed out. */
     private boolean isBetter(Map.Entry<String, ProposalNumber> candidate, String best) {
         return best == null
                 || candidate.getValue().compareTo(announced.get(best)) > 0
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -22,14 +22,14 @@
 /**
  * Connects to all controllers: publishes this proxy's registration and the demand of its tenants, and applies
  * the updates of all of them. Connects to the voters that they announce; to the seeds of the settings while no
- * controller is heard.
+ * controller is active.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class ControllerClient implements PeerConnectionPool.Listener {
 
     private static final Logger LOG = Logger.getLogger(ControllerClient.class);
-    private static final PeerConnectionPool.Options CONNECTION_PLAN =
+    private static final PeerConnectionPool.Options CONNECTION_OPTIONS =
             new PeerConnectionPool.Options(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
     /** In between only changes of the demand are published. */
@@ -84,7 +84,7 @@
         this.background = background;
         this.onConfiguration = onConfiguration;
         connections = new PeerConnectionPool(
-                transport, clock, CONNECTION_PLAN, () -> ControllerMessageCodec.hello(proxyName), this);
+                transport, clock, CONNECTION_OPTIONS, () -> ControllerMessageCodec.hello(proxyName), this);
     }
 
     /** Replaces the addresses of the settings. */
@@ -184,7 +184,7 @@
     private void controllerSilent(String address) {
         boolean wasLastActive = active.remove(address) && active.isEmpty();
         if (wasLastActive) {
-            // Whoever the voters are now, one of the seeds may know.
+            // The voters may have changed: the seeds are tried as well.
             updateConnections();
         }
         endpoints.markSilent(clock.getAsLong(), address);
@@ -193,7 +193,7 @@
         quotas.removeController(address);
     }
 
-    /** Where operators reach a controller, as it said last; null where it never did. */
+    /** Where operators reach a controller, as it announced last; null where it has announced nothing. */
     String controlAddress(String address) {
         return controlAddresses.get(address);
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/DispatcherConfigurator.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/DispatcherConfigurator.java
@@ -7,7 +7,7 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
 
 /**
- * Says to the dispatcher which application instance it may send requests to, and over how many connections: none once
+ * Tells the dispatcher which application instance it may send requests to, and over how many connections: none once
  * the instance has drained for most of its drain time.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as the proxy.
--- a/src/main/java/org/cypressweir/dataplane/proxy/InFlightRequests.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/InFlightRequests.java
@@ -44,7 +44,7 @@
         return requests.get(number);
     }
 
-    /** Those are included whose last attempts nobody waits for. */
+    /** Counts also requests that have their response, while an attempt at them is still in flight. */
     int size() {
         return requests.size();
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerConnections.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerConnections.java
@@ -17,7 +17,7 @@
  */
 final class PeerConnections implements PeerConnectionPool.Listener {
 
-    private static final PeerConnectionPool.Options CONNECTION_PLAN =
+    private static final PeerConnectionPool.Options CONNECTION_OPTIONS =
             new PeerConnectionPool.Options(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
 
     private final LongSupplier clock;
@@ -46,7 +46,7 @@
         this.ownAddress = ownAddress;
         this.directory = directory;
         this.onReachabilityChange = onReachabilityChange;
-        pool = new PeerConnectionPool(transport, clock, CONNECTION_PLAN, () -> hello(proxyName), this);
+        pool = new PeerConnectionPool(transport, clock, CONNECTION_OPTIONS, () -> hello(proxyName), this);
         forwarder = new PeerForwarder(clock, ownAddress, incarnation, localDispatcher, pool::connection);
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -67,7 +67,7 @@
     private final long incarnation;
     private long lastNumber;
     private long lastPingAt;
-    private boolean shuttingDown;
+    private boolean isShuttingDown;
 
     /**
      * @param incarnation when this process started, in microseconds: greater than any number of an earlier one
@@ -153,7 +153,7 @@
         return new AttemptResult(new RequestOutcome.MayHaveRun(why), null);
     }
 
-    /** The peer has said which incarnation it is; a connection that shows two of them is closed. */
+    /** Records the incarnation that the peer announces; closes a connection on which it announces two. */
     void incarnationReceived(PeerConnection connection, long peerIncarnation) {
         if (connection.attachment() == null) {
             connection.attach(peerIncarnation);
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Completes the attempt if the response came on the connection on which that was sent; else drops it. */
+    /** Completes the attempt if the response came on the attempt's own connection; drops the response otherwise. */
     void responseReceived(PeerConnection connection, PeerMessage.ForwardedResponse response) {
         long number = response.number();
         InFlightAttempt attempt = inFlight.get(number);
@@ -203,7 +203,7 @@
 
     /** From now on attempts don't time out: the process waits for what is in flight. */
     void startShutdown() {
-        shuttingDown = true;
+        isShuttingDown = true;
     }
 
     /**
@@ -215,7 +215,7 @@
         boolean isPingDue = now - lastPingAt > PING_INTERVAL_MICROS;
         List<PeerConnection> pinged = new ArrayList<>();
         for (InFlightAttempt attempt : List.copyOf(inFlight.values())) {
-            if (silentMicros(attempt, now) > RESPONSE_TIMEOUT_MICROS && attempt.idempotent && !shuttingDown) {
+            if (silentMicros(attempt, now) > RESPONSE_TIMEOUT_MICROS && attempt.idempotent && !isShuttingDown) {
                 complete(attempt.number, mayHaveRun(TIMED_OUT));
             } else if (isPingDue
                     && silentMicros(attempt, now) > PING_INTERVAL_MICROS
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -81,7 +81,7 @@
         }
     }
 
-    /** @param registration what this proxy says of itself now */
+    /** @param registration the present registration of this proxy */
     PeerRequestReceiver(LongSupplier clock, RequestDispatcher dispatcher, Supplier<ProxyRegistration> registration) {
         this.clock = clock;
         this.dispatcher = dispatcher;
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -88,7 +88,19 @@
         dispatcher = new UpstreamDispatcher(
                 loop, Addresses.parse(settings.application()), clock, UpstreamOptions.defaults(), LOG::info);
         requestReceiver = new PeerRequestReceiver(clock, dispatcher, application::registration);
-        peers = new PeerConnections(
+        peers = newPeerConnections(incarnation);
+        handlers = newServiceHandlers();
+        endpointLists = new EndpointLists(directory, application::registration, peers, handlers);
+        routingTables = new RoutingTableLoader(background, this::routingTableChanged);
+        dispatcherConfigurator = new DispatcherConfigurator(dispatcher, application, routingTables, this::settings);
+        readinessEndpoint = new ReadinessEndpoint(clock, this::settings, readinessGate, routingTables, handlers);
+        controllers = newControllerClient(background);
+        outboundListener = new OutboundListener(
+                clock, routingTables::current, () -> this.settings.service(), quotas, handlers, requestTrace);
+    }
+
+    private PeerConnections newPeerConnections(long incarnation) {
+        return new PeerConnections(
                 transport,
                 clock,
                 settings.name(),
@@ -97,7 +109,10 @@
                 dispatcher,
                 directory,
                 this::endpointsChanged);
-        handlers = new ServiceHandlers(
+    }
+
+    private ServiceHandlers newServiceHandlers() {
+        return new ServiceHandlers(
                 loop,
                 clock,
                 peers.forwarder(),
@@ -105,11 +120,10 @@
                 List.copyOf(settings.zones().keySet()),
                 directory::size,
                 this::endpointsChanged);
-        endpointLists = new EndpointLists(directory, application::registration, peers, handlers);
-        routingTables = new RoutingTableLoader(background, this::routingTableChanged);
-        dispatcherConfigurator = new DispatcherConfigurator(dispatcher, application, routingTables, this::settings);
-        readinessEndpoint = new ReadinessEndpoint(clock, this::settings, readinessGate, routingTables, handlers);
-        controllers = new ControllerClient(
+    }
+
+    private ControllerClient newControllerClient(BackgroundTask background) {
+        return new ControllerClient(
                 transport,
                 clock,
                 settings.name(),
@@ -120,8 +134,6 @@
                 quotas,
                 background,
                 this::configurationChanged);
-        outboundListener = new OutboundListener(
-                clock, routingTables::current, () -> this.settings.service(), quotas, handlers, requestTrace);
     }
 
     private static ExecutorService newWorker() {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -123,7 +123,7 @@
         return !endpoints.isEmpty();
     }
 
-    /** How many requests are in flight, those included whose last attempts nobody waits for. */
+    /** How many requests are in flight, with those that have their response but an attempt still in flight. */
     int inFlightCount() {
         return inFlight.size();
     }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether an attempt without a response times out, or is awaited until received connection is lost. */
+/** Whether an attempt without a response times out, or is awaited until its connection is lost. */
 class PeerTimeoutTest {
 
     private static final long SECOND = 1_000_000;
@@ -26,13 +26,13 @@
         PeerConnection connection =
                 SimulatedPeerConnection.on(new EmbeddedChannel(), () -> now, new PeerConnection.Listener() {
                     @Override
-                    public void opened(PeerConnection received) {}
+                    public void opened(PeerConnection connection) {}
 
                     @Override
-                    public void received(PeerConnection received, Map<String, Object> head, byte[] body) {}
+                    public void received(PeerConnection connection, Map<String, Object> head, byte[] body) {}
 
                     @Override
-                    public void closed(PeerConnection received) {}
+                    public void closed(PeerConnection connection) {}
                 });
         PeerForwarder forwarder = new PeerForwarder(() -> now, "own", 1, null, address -> connection);
         List<RequestOutcome> outcomes = new ArrayList<>();
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -228,19 +228,7 @@
         Map<String, CompletableFuture<Integer>> responses = new TreeMap<>();
         for (int i = 0; i < 10; i++) {
             String id = "kept" + i;
-            String proxy = proxies.get(i % 5);
-            responses.put(
-                    id,
-                    CompletableFuture.supplyAsync(
-                            () -> {
-                                try {
-                                    return fixture.request(proxy, HOST, "/", "k-free", id)
-                                            .status();
-                                } catch (IOException e) {
-                                    return 0;
-                                }
-                            },
-                            task -> new Thread(task, "client").start()));
+            responses.put(id, statusInBackground(proxies.get(i % 5), id));
         }
         Map<String, Integer> before = new TreeMap<>();
         for (String proxy : proxies) {
@@ -269,6 +257,19 @@
         }
     }
 
+    /** Sends a request on a thread of its own; 0 where there is no response. */
+    private static CompletableFuture<Integer> statusInBackground(String proxy, String id) {
+        return CompletableFuture.supplyAsync(
+                () -> {
+                    try {
+                        return fixture.request(proxy, HOST, "/", "k-free", id).status();
+                    } catch (IOException e) {
+                        return 0;
+                    }
+                },
+                task -> new Thread(task, "client").start());
+    }
+
     private static int reloads(String name) throws IOException {
         return fixture.log(name).split("Settings reloaded", -1).length;
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -8,9 +8,9 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * A proxy scenarios during random partitions, in simulated time: it receives versions of the configuration and asks
- * controllers to confirm them, over paths that delay messages. A configuration that it scenarios with as confirmed
- * must have all changes that were acknowledged before.
+ * A proxy starts during random partitions, in simulated time: it receives versions of the configuration and queries
+ * controllers for their confirmation, over paths that delay messages. A configuration that it starts with as
+ * confirmed must have all changes that were acknowledged before.
  */
 public final class ProxyStartScenario {
 
@@ -125,6 +125,10 @@
                 reachable.add(i);
             }
         }
+        return startProxy(partitioned);
+    }
+
+    private String startProxy(int partitioned) {
         long startedAt = world.now();
         long configuredSince = -1;
         while (world.now() < startedAt + CONFIRMATION_TIMEOUT_MICROS + MESSAGE_MARGIN_MICROS) {
@@ -133,12 +137,7 @@
             }
             world.run(STEP_MICROS);
             long now = world.now();
-            for (DelayedMessage message : List.copyOf(messages)) {
-                if (message.at <= now) {
-                    messages.remove(message);
-                    message.delivery.run();
-                }
-            }
+            deliverMessages(now);
             if (gate.isQueryDue(now)) {
                 reachable.forEach(controller -> query(controller, now));
             }
@@ -152,6 +151,15 @@
                 : "never starts";
     }
 
+    private void deliverMessages(long now) {
+        for (DelayedMessage message : List.copyOf(messages)) {
+            if (message.at <= now) {
+                messages.remove(message);
+                message.delivery.run();
+            }
+        }
+    }
+
     private long now() {
         return world.now();
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -16,6 +16,7 @@
 /** Endpoint selection, retries and responses, for all outcomes of attempts. */
 class ServiceRequestHandlerTest {
 
+    private static final List<RejectionReason> REASONS = List.copyOf(EnumSet.allOf(RejectionReason.class));
     private static final RequestOutcome LOST = new RequestOutcome.MayHaveRun("lost");
 
     private static RequestOutcome notRun(RejectionReason reason) {
@@ -245,24 +246,24 @@
         assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
+    private static Runnable randomEnd(SplittableRandom random, ProxyFixture.SentAttempt sent) {
+        return switch (random.nextInt(10)) {
+            case 0, 1, 2, 3, 4 -> () -> sent.respond(200);
+            case 5 -> () -> sent.respond(500);
+            case 6 -> () -> sent.complete(LOST);
+            case 7 -> () -> {};
+            default -> () -> sent.complete(notRun(REASONS.get(random.nextInt(REASONS.size()))));
+        };
+    }
+
     /** With random outcomes of attempts and changing endpoint lists. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void eachRequestHasOneTrueResponse(long seed) {
         ProxyFixture fixture = new ProxyFixture(3);
         SplittableRandom random = new SplittableRandom(seed);
-        List<RejectionReason> reasons = List.copyOf(EnumSet.allOf(RejectionReason.class));
         fixture.onSend = sent -> {
-            int outcomeKind = random.nextInt(10);
-            Runnable end = outcomeKind < 5
-                    ? () -> sent.respond(200)
-                    : outcomeKind == 5
-                            ? () -> sent.respond(500)
-                            : outcomeKind == 6
-                                    ? () -> sent.complete(LOST)
-                                    : outcomeKind == 7
-                                            ? () -> {}
-                                            : () -> sent.complete(notRun(reasons.get(random.nextInt(reasons.size()))));
+            Runnable end = randomEnd(random, sent);
             if (random.nextInt(3) == 0) {
                 end.run();
             } else {
