--- a/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
@@ -2,459 +2,430 @@
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.LongUnaryOperator;
 import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
- * One process and one lease. It holds the lease once most keepers have granted what it asked, for a term that
- * counts from before it asked; it asks again well before the end, and stops by itself where most did not
- * answer.
+ * One lease as seen by one process that may hold it. The process holds the lease once a quorum of grantors has granted
+ * a request, for a term that counts from before the request was sent. It renews well before the end of the term and
+ * stops by itself where no quorum responds.
+ *
+ * <p>States, and what leads from one to another:
+ * <ul>
+ *   <li>idle: after some time it sends a request to all grantors and is acquiring;
+ *   <li>acquiring: a quorum grants the request and it is holding; a quorum refuses or does not respond in time, it
+ *       releases what was granted and is idle;
+ *   <li>holding: it renews several times a term; the term expires or the lease is released and it is idle, or has a
+ *       pending release where somebody outside this process may still act;
+ *   <li>pending release: that time is over, it releases the lease and is idle.
+ * </ul>
  */
 final class LeaseClient {
 
-    /** Questions whose answers may still come. */
-    private static final int ROUNDS = 8;
-    /** Renewals in a term: of each keeper three in a row may get lost. */
-    private static final int RENEWALS = 5;
-    /** Each try that found others at it doubles the time drawn from, up to so many times. */
-    private static final int MOST_TRIES = 3;
-    /** So many rounds in a row without answers of most are more than loss. */
-    private static final int DEAF_ROUNDS = 3;
-
-    private static final int MOST_BIDS = 3;
-    private static final long LEAST_ROUND = 20_000;
-    private static final long MOST_ROUND = 500_000;
-
-    /** A question of one round and who has said yes and no to it. */
-    private static final class AcquisitionAttempt {
-        final long askedAt;
-        final long token;
-        final Set<InetSocketAddress> yes = new HashSet<>();
-        /** Keepers that refused, and whom they named as holder; empty for nobody. */
-        final Map<InetSocketAddress, String> no = new HashMap<>();
-        /** Until when those that refused grant it to another. */
-        final Map<InetSocketAddress, Long> takenUntil = new HashMap<>();
-
-        AcquisitionAttempt(long askedAt, long token) {
-            this.askedAt = askedAt;
-            this.token = token;
-        }
+    /** Requests whose responses may still arrive. */
+    private static final int OPEN_REQUESTS = 8;
+    /** So that of each grantor several renewals in a row may be lost. */
+    private static final int RENEWALS_PER_TERM = 5;
+    /** An attempt that met others doubles the time that the next delay is drawn from, up to so many times. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 3;
+    /** So many requests in a row without responses of a quorum are more than message loss. */
+    private static final int UNANSWERED_LIMIT = 3;
+    /** Times that a request is sent anew at once because its token was too low. */
+    private static final int MAX_TOKEN_INCREASES = 3;
 
-        AcquisitionAttempt copy() {
-            AcquisitionAttempt copy = new AcquisitionAttempt(askedAt, token);
-            copy.yes.addAll(yes);
-            copy.no.putAll(no);
-            copy.takenUntil.putAll(takenUntil);
-            return copy;
-        }
-    }
+    private static final int RESPONSE_TIMEOUTS_PER_TERM = 16;
+    private static final long MIN_RESPONSE_TIMEOUT_MICROS = 20_000;
+    private static final long MAX_RESPONSE_TIMEOUT_MICROS = 500_000;
 
-    /** What one turn asks of the process. */
-    interface Out {
-        /** To every keeper. */
-        void tell(LeaseMessage word);
+    /** What the process has to do; none of it calls back into this object. */
+    interface Actions {
+        void sendToGrantors(LeaseMessage message);
 
-        void began(String lease, long token);
+        void acquired(String lease, long token);
 
-        void ended(String lease, long token, String why);
+        void ended(String lease, long token, String reason);
 
-        /** What was given up is free for others from now on, as far as this process has a say. */
-        void freed(String lease, long token);
+        /** The lease was released: as far as this process knows others may have it from now on. */
+        void released(String lease, long token);
     }
 
     private final String lease;
     private final String holder;
-    private final LongUnaryOperator draw;
-    private final Out out;
-    private LeaseOptions plan;
-    private final Map<Long, AcquisitionAttempt> rounds = new HashMap<>();
-    /** The number of the last question; rises within a life. */
-    private long number;
-    /** The round of a claim that is under way; null for none. */
-    private AcquisitionAttempt claim;
+    private final LongUnaryOperator random;
+    private final Actions actions;
+    private LeaseOptions options;
 
+    private final Map<Long, GrantRequest> openRequests = new HashMap<>();
+    /** Number of the last request; rises within an incarnation. */
+    private long requestNumber;
+    /** The request while acquiring; else null. */
+    private GrantRequest acquisition;
+
+    private boolean isHolding;
     private long token;
-    /** When what each keeper has granted last, under this token, was asked. */
-    private final Map<InetSocketAddress, Long> grantedAt = new HashMap<>();
-    /** Until when it holds; at or before now where it does not. */
-    private long until = Long.MIN_VALUE;
+    private final GrantTimes grantTimes = new GrantTimes();
+    /** End of the term while holding. */
+    private long expiresAt = Long.MIN_VALUE;
 
-    private boolean holds;
     private long renewAt;
-    private long askAt;
-    private int tries;
-    /** Times that the claim under way was made anew under a higher token. */
-    private int bids;
-    /** Rounds in a row that most keepers have not answered. */
-    private int silent;
-    /** Somebody else was told that this process holds until then, at most. */
-    private long promisedUntil = Long.MIN_VALUE;
-    /** It has stopped, and what it has promised is not over yet. */
-    private boolean owes;
-    /** The highest token that it has heard of. */
-    private long seen;
-
-    private String other = "";
-    private long otherUntil = Long.MIN_VALUE;
+    private long nextAttemptAt;
+    /** Attempts in a row that met others. */
+    private int contendedAttempts;
+
+    private int tokenIncreases;
+    /** Requests in a row without responses of a quorum. */
+    private int unansweredRequests;
+    /** Somebody outside this process may act until then, at most. */
+    private long delegatedUntil = Long.MIN_VALUE;
+
+    private boolean hasPendingRelease;
+    /** The highest token that this process knows of. */
+    private long highestToken;
 
+    private String otherHolder = "";
+    private long otherExpiresAt = Long.MIN_VALUE;
+
+    /**
+     * @param firstNumber requests are numbered from here; above those of earlier incarnations
+     * @param random returns a number from 0 to below its argument
+     */
     LeaseClient(
-            long now,
+            long firstNumber,
             String lease,
             String holder,
-            LeaseOptions plan,
-            long firstAskAt,
-            LongUnaryOperator draw,
-            Out out) {
+            LeaseOptions options,
+            long firstAttemptAt,
+            LongUnaryOperator random,
+            Actions actions) {
         this.lease = lease;
         this.holder = holder;
-        this.plan = plan;
-        this.draw = draw;
-        this.out = out;
-        askAt = firstAskAt;
-        number = now;
-    }
-
-    /** The same in all that it knows, for walks over all that may come next. */
-    LeaseClient copy(LongUnaryOperator draws, Out to) {
-        LeaseClient copy = new LeaseClient(number, lease, holder, plan, askAt, draws, to);
-        rounds.forEach((n, round) -> copy.rounds.put(n, round.copy()));
-        copy.claim = rounds.entrySet().stream()
-                .filter(e -> e.getValue() == claim)
-                .map(Map.Entry::getKey)
-                .findFirst()
-                .map(copy.rounds::get)
-                .orElse(null);
+        this.options = options;
+        this.random = random;
+        this.actions = actions;
+        nextAttemptAt = firstAttemptAt;
+        requestNumber = firstNumber;
+    }
+
+    /** A copy for model checkers. */
+    LeaseClient copy(LongUnaryOperator randomOfCopy, Actions actionsOfCopy) {
+        LeaseClient copy =
+                new LeaseClient(requestNumber, lease, holder, options, nextAttemptAt, randomOfCopy, actionsOfCopy);
+        openRequests.forEach((number, request) -> {
+            GrantRequest copied = request.copy();
+            copy.openRequests.put(number, copied);
+            if (request == acquisition) {
+                copy.acquisition = copied;
+            }
+        });
+        grantTimes.copyTo(copy.grantTimes);
+        copy.isHolding = isHolding;
         copy.token = token;
-        copy.grantedAt.putAll(grantedAt);
-        copy.until = until;
-        copy.holds = holds;
+        copy.expiresAt = expiresAt;
         copy.renewAt = renewAt;
-        copy.tries = tries;
-        copy.promisedUntil = promisedUntil;
-        copy.owes = owes;
-        copy.bids = bids;
-        copy.silent = silent;
-        copy.seen = seen;
-        copy.other = other;
-        copy.otherUntil = otherUntil;
+        copy.contendedAttempts = contendedAttempts;
+        copy.tokenIncreases = tokenIncreases;
+        copy.unansweredRequests = unansweredRequests;
+        copy.delegatedUntil = delegatedUntil;
+        copy.hasPendingRelease = hasPendingRelease;
+        copy.highestToken = highestToken;
+        copy.otherHolder = otherHolder;
+        copy.otherExpiresAt = otherExpiresAt;
         return copy;
     }
 
-    /**
-     * All that decides what it does from now on, with times from now; tokens are told to the collector and
-     * stand in the text by their places in it. What is about one keeper is told by its address.
-     */
-    void state(long now, StateText text) {
+    /** Appends what decides its further behaviour, for model checkers. */
+    void describeState(long now, StateText text) {
         text.add(
-                "claimant",
-                holds ? Math.max(0, until - now) : -1,
-                text.after(now, renewAt),
-                text.after(now, askAt),
-                tries,
-                owes ? text.after(now, promisedUntil) : -1,
-                bids,
-                silent,
-                other.isEmpty() ? 0 : text.after(now, otherUntil));
-        text.token(holds || owes ? token : 0);
-        text.token(seen);
-        text.name(other);
-        if (claim != null) {
-            text.add("claim", now - claim.askedAt);
-            text.token(claim.token);
-            claim.yes.forEach(k -> text.of(k, "yes"));
-            claim.no.forEach((k, who) -> text.of(k, "no " + who + " " + text.after(now, claim.takenUntil.get(k))));
+                "client",
+                isHolding ? Math.max(0, expiresAt - now) : -1,
+                text.remaining(now, renewAt),
+                text.remaining(now, nextAttemptAt),
+                contendedAttempts,
+                hasPendingRelease ? text.remaining(now, delegatedUntil) : -1,
+                tokenIncreases,
+                unansweredRequests,
+                otherHolder.isEmpty() ? 0 : text.remaining(now, otherExpiresAt));
+        text.addToken(isHolding || hasPendingRelease ? token : 0);
+        text.addToken(highestToken);
+        text.addName(otherHolder);
+        if (acquisition != null) {
+            acquisition.describeState(now, text);
         }
-        if (holds) {
-            grantedAt.forEach((k, at) -> {
-                if (now - at < term()) {
-                    text.of(k, "granted " + (now - at));
-                }
-            });
+        if (isHolding) {
+            grantTimes.describeState(now, termMicros(), text);
         }
     }
 
-    /** What an answer to that question would be taken for. */
-    void state(long now, long question, StateText text) {
-        AcquisitionAttempt round = rounds.get(question);
-        text.add("late", round == null ? -1 : now - round.askedAt, round == claim ? 1 : 0);
-        text.token(round == null ? 0 : round.token);
+    /** Appends what a late response to that request would do, for model checkers. */
+    void describeRequest(long now, long number, StateText text) {
+        GrantRequest request = openRequests.get(number);
+        long ageMicros = request == null ? -1 : now - request.sentAt;
+        text.add("late", ageMicros, request == acquisition ? 1 : 0);
+        text.addToken(request == null ? 0 : request.token);
     }
 
-    private long term() {
-        return plan.terms().get(lease);
+    void reconfigure(LeaseOptions newOptions) {
+        options = newOptions;
     }
 
-    /** From a question to the time when its answers should be here. */
-    private long round() {
-        return Math.max(LEAST_ROUND, Math.min(MOST_ROUND, term() / 16));
+    private long termMicros() {
+        return options.termMicrosByLease().get(lease);
     }
 
-    void retune(LeaseOptions next) {
-        plan = next;
+    private long responseTimeoutMicros() {
+        long partOfTerm = termMicros() / RESPONSE_TIMEOUTS_PER_TERM;
+        return Math.max(MIN_RESPONSE_TIMEOUT_MICROS, Math.min(MAX_RESPONSE_TIMEOUT_MICROS, partOfTerm));
     }
 
-    boolean holds(long now) {
-        return holds && now < until;
+    boolean isHolder(long now) {
+        return isHolding && now < expiresAt;
     }
 
     long token() {
         return token;
     }
 
-    long left(long now) {
-        return holds(now) ? until - now : 0;
+    /** What is left of this process's term; 0 where it does not hold the lease. */
+    long remainingMicros(long now) {
+        return isHolder(now) ? expiresAt - now : 0;
+    }
+
+    /** What is left of another holder's term, as far as this process knows. */
+    long otherRemainingMicros(long now) {
+        if (isHolder(now) || otherExpiresAt == Long.MIN_VALUE) {
+            return 0;
+        }
+        return Math.max(0, otherExpiresAt - now);
     }
 
-    /** What is left of another's, as far as this process has heard. */
-    long otherLeft(long now) {
-        return holds(now) ? 0 : Math.max(0, otherUntil == Long.MIN_VALUE ? 0 : otherUntil - now);
+    /** The holder as far as this process knows; empty for none. */
+    String knownHolder(long now) {
+        if (isHolder(now)) {
+            return holder;
+        }
+        return now < otherExpiresAt ? otherHolder : "";
     }
 
-    /** Who has it as far as this process has heard; empty for nobody. */
-    String holder(long now) {
-        return holds(now) ? holder : now < otherUntil ? other : "";
+    long highestToken() {
+        return highestToken;
     }
 
-    /** The highest token that it has heard of. */
-    long seen() {
-        return seen;
+    /** Whether the lease was given up and its release has to wait for somebody outside this process. */
+    boolean hasPendingRelease() {
+        return hasPendingRelease;
     }
 
-    /** A token that the receiver of an act has refused this for: the next grant has to be higher. */
-    void heardOf(long higher) {
-        seen = Math.max(seen, higher);
+    /** A token that is in use somewhere: the next grant has to be above it. */
+    void observeToken(long usedToken) {
+        highestToken = Math.max(highestToken, usedToken);
     }
 
     /**
-     * @param may whether this process may ask for it at all
-     * @param delay it leaves to others that come before it
+     * Does what is due.
+     *
+     * @param mayAcquire whether this process may request the lease at all
+     * @param delayMicros time that it leaves to processes that come before it
      */
-    void tick(long now, boolean may, long delay) {
-        if (holds && now >= until) {
-            end(now, "its term ran out without most keepers");
-            // Keepers may have heard what this process asked, and only their answers were lost.
-            free(token);
-            unheard(now, DEAF_ROUNDS);
+    void tick(long now, boolean mayAcquire, long delayMicros) {
+        if (isHolding && now >= expiresAt) {
+            expire(now);
         }
-        if (owes) {
-            if (now >= promisedUntil) {
-                owes = false;
-                free(token);
-                out.freed(lease, token);
+        if (hasPendingRelease) {
+            if (now >= delegatedUntil) {
+                hasPendingRelease = false;
+                releaseToken();
             }
-        } else if (holds) {
+        } else if (isHolding) {
             if (now >= renewAt) {
-                renewAt = now + term() / RENEWALS;
-                ask(now, token);
-            }
-        } else if (claim != null) {
-            if (now - claim.askedAt >= round()) {
-                boolean heard = answered(claim);
-                giveWay(now, 0, delay);
-                if (!heard) {
-                    unheard(now, 1);
-                }
+                renewAt = now + termMicros() / RENEWALS_PER_TERM;
+                request(now, token);
             }
-        } else if (may && now >= askAt) {
-            bids = 0;
-            claim = ask(now, seen + 1);
+        } else if (acquisition != null) {
+            checkResponseTimeout(now, delayMicros);
+        } else if (mayAcquire && now >= nextAttemptAt) {
+            tokenIncreases = 0;
+            acquisition = request(now, highestToken + 1);
         }
     }
 
-    private AcquisitionAttempt ask(long now, long wanted) {
-        AcquisitionAttempt round = new AcquisitionAttempt(now, wanted);
-        rounds.put(++number, round);
-        rounds.remove(number - ROUNDS);
-        out.tell(LeaseMessage.of(Kind.ASK, lease, holder, wanted, number, term(), plan.set()));
-        return round;
+    private void expire(long now) {
+        stopHolding(now, "its term ran out without most keepers");
+        // Grantors may have received the renewals, and only their responses were lost.
+        sendRelease(token);
+        backOffUnanswered(now, UNANSWERED_LIMIT);
     }
 
-    /** An answer of a keeper. */
-    void answer(long now, InetSocketAddress keeper, LeaseMessage w, long delay) {
-        if (!w.holder().equals(holder) && w.kind() == Kind.YES) {
+    private void checkResponseTimeout(long now, long delayMicros) {
+        if (now - acquisition.sentAt < responseTimeoutMicros()) {
             return;
         }
-        AcquisitionAttempt round = rounds.get(w.number());
-        if (round == null) {
-            return;
+        boolean isAnswered = acquisition.isAnswered(options);
+        abandonAcquisition(now, 0, delayMicros);
+        if (!isAnswered) {
+            backOffUnanswered(now, 1);
         }
-        silent = 0;
-        if (w.kind() == Kind.YES) {
-            if (w.token() == round.token) {
-                granted(now, keeper, round);
-            }
+    }
+
+    private GrantRequest request(long now, long requestedToken) {
+        GrantRequest request = new GrantRequest(now, requestedToken);
+        openRequests.put(++requestNumber, request);
+        openRequests.remove(requestNumber - OPEN_REQUESTS);
+        actions.sendToGrantors(LeaseMessage.of(
+                Kind.ASK, lease, holder, requestedToken, requestNumber, termMicros(), options.grantorSetId()));
+        return request;
+    }
+
+    /** A response of a grantor. */
+    void receiveResponse(long now, InetSocketAddress grantor, LeaseMessage response, long delayMicros) {
+        boolean isGrant = response.kind() == Kind.YES;
+        if (isGrant && !response.holder().equals(holder)) {
             return;
         }
-        seen = Math.max(seen, w.token());
-        round.no.put(keeper, w.holder());
-        round.takenUntil.put(keeper, now + w.micros());
-        if (w.micros() > 0 && named(round, w.holder())) {
-            other = w.holder();
-            otherUntil = now + w.micros();
-        }
-        if (round != claim) {
+        GrantRequest request = openRequests.get(response.requestNumber());
+        if (request == null) {
             return;
         }
-        if (w.micros() == 0 && w.token() >= round.token && bids < MOST_BIDS) {
-            // Only the token was too low. What is granted under it goes over to the higher one.
-            bids++;
-            claim = ask(now, seen + 1);
-        } else if (refused(round)) {
-            giveWay(now, Math.max(0, otherUntil - now), delay);
+        unansweredRequests = 0;
+        if (!isGrant) {
+            receiveRefusal(now, grantor, request, response, delayMicros);
+        } else if (response.token() == request.token) {
+            receiveGrant(now, grantor, request);
         }
     }
 
-    private void granted(long now, InetSocketAddress keeper, AcquisitionAttempt round) {
-        round.yes.add(keeper);
-        if (round == claim) {
-            if (plan.most(round.yes) && now < round.askedAt + term()) {
-                claim = null;
-                tries = 0;
-                holds = true;
-                token = round.token;
-                seen = Math.max(seen, token);
-                grantedAt.clear();
-                round.yes.forEach(k -> grantedAt.put(k, round.askedAt));
-                until = round.askedAt + term();
-                renewAt = round.askedAt + term() / RENEWALS;
-                out.began(lease, token);
-            }
-        } else if (holds && round.token == token) {
-            grantedAt.merge(keeper, round.askedAt, Math::max);
-            until = Math.max(until, grantedByMost() + term());
+    private void receiveRefusal(
+            long now, InetSocketAddress grantor, GrantRequest request, LeaseMessage refusal, long delayMicros) {
+        highestToken = Math.max(highestToken, refusal.token());
+        long remainingMicros = refusal.micros();
+        request.recordRefusal(grantor, refusal.holder(), now + remainingMicros);
+        if (remainingMicros > 0 && request.isHeldBy(refusal.holder(), options)) {
+            otherHolder = refusal.holder();
+            otherExpiresAt = now + remainingMicros;
         }
-    }
-
-    /** Most keepers have granted what was asked then or later, each in whatever round. */
-    private long grantedByMost() {
-        long best = Long.MIN_VALUE / 2;
-        for (long at : grantedAt.values()) {
-            Set<InetSocketAddress> by = new HashSet<>();
-            grantedAt.forEach((keeper, asked) -> {
-                if (asked >= at) {
-                    by.add(keeper);
-                }
-            });
-            best = plan.most(by) ? Math.max(best, at) : best;
+        if (request != acquisition) {
+            return;
+        }
+        boolean isTokenTooLow = remainingMicros == 0 && refusal.token() >= request.token;
+        if (isTokenTooLow && tokenIncreases < MAX_TOKEN_INCREASES) {
+            // What was granted under the lower token is replaced by grants under the higher one.
+            tokenIncreases++;
+            acquisition = request(now, highestToken + 1);
+        } else if (request.isRefused(options)) {
+            abandonAcquisition(now, Math.max(0, otherExpiresAt - now), delayMicros);
         }
-        return best;
     }
 
-    /** Whether most keepers say that this one holds: a grant of one or two may be given back any moment. */
-    private boolean named(AcquisitionAttempt round, String who) {
-        Set<InetSocketAddress> by = new HashSet<>();
-        round.no.forEach((keeper, named) -> {
-            if (named.equals(who)) {
-                by.add(keeper);
+    private void receiveGrant(long now, InetSocketAddress grantor, GrantRequest request) {
+        request.recordGrant(grantor);
+        if (request == acquisition) {
+            if (request.isGranted(options) && now < request.sentAt + termMicros()) {
+                startHolding(request);
             }
-        });
-        return plan.most(by);
-    }
-
-    /** When most keepers will be free, as those that answered say; long past where they are. */
-    private long mostFreeAt(AcquisitionAttempt round) {
-        long best = Long.MAX_VALUE;
-        for (long at : round.takenUntil.values()) {
-            Set<InetSocketAddress> by = new HashSet<>(round.yes);
-            round.takenUntil.forEach((keeper, until) -> {
-                if (until <= at) {
-                    by.add(keeper);
-                }
-            });
-            best = plan.most(by) ? Math.min(best, at) : best;
+        } else if (isHolding && request.token == token) {
+            grantTimes.record(grantor, request.sentAt);
+            expiresAt = Math.max(expiresAt, grantTimes.quorumGrantedAt(options) + termMicros());
         }
-        return best == Long.MAX_VALUE ? Long.MIN_VALUE : best;
     }
 
-    /** Whether most can't say yes any more. */
-    private boolean refused(AcquisitionAttempt round) {
-        Set<InetSocketAddress> left = new HashSet<>(plan.all());
-        left.removeAll(round.no.keySet());
-        return !plan.most(left);
+    private void startHolding(GrantRequest request) {
+        acquisition = null;
+        contendedAttempts = 0;
+        isHolding = true;
+        token = request.token;
+        observeToken(token);
+        grantTimes.startWith(request);
+        expiresAt = request.sentAt + termMicros();
+        renewAt = request.sentAt + termMicros() / RENEWALS_PER_TERM;
+        actions.acquired(lease, token);
     }
 
-    /** Whether answers of most have come, whatever they say. */
-    private boolean answered(AcquisitionAttempt round) {
-        Set<InetSocketAddress> all = new HashSet<>(round.yes);
-        all.addAll(round.no.keySet());
-        return plan.most(all);
+    private void stopHolding(long now, String reason) {
+        isHolding = false;
+        expiresAt = Long.MIN_VALUE;
+        openRequests.clear();
+        nextAttemptAt = now + responseTimeoutMicros() + random.applyAsLong(responseTimeoutMicros());
+        actions.ended(lease, token, reason);
     }
 
-    /** Keepers may hear this process, and it does not hear them: it must not keep others out. */
-    private void unheard(long now, int rounds) {
-        silent = Math.min(silent + rounds, DEAF_ROUNDS + MOST_TRIES);
-        if (silent >= DEAF_ROUNDS) {
-            askAt = now + (term() << silent - DEAF_ROUNDS) + draw.applyAsLong(term());
+    /**
+     * Grantors may receive the requests of this process while it does not receive their responses: then it must not
+     * keep others from acquiring the lease.
+     */
+    private void backOffUnanswered(long now, int requests) {
+        unansweredRequests = Math.min(unansweredRequests + requests, UNANSWERED_LIMIT + MAX_BACKOFF_DOUBLINGS);
+        if (unansweredRequests >= UNANSWERED_LIMIT) {
+            long backoffMicros = termMicros() << unansweredRequests - UNANSWERED_LIMIT;
+            nextAttemptAt = now + backoffMicros + random.applyAsLong(termMicros());
         }
     }
 
-    /** Gives up a claim: what was granted is free for others at once, and they are let go first. */
-    private void giveWay(long now, long wait, long delay) {
-        free(claim.token);
-        // Those that wait for the same end need not wait for each other as well.
-        tries = wait > 0 ? 0 : Math.min(tries + 1, MOST_TRIES);
-        askAt = now + wait + delay + 1 + draw.applyAsLong(round() / 2 << tries);
-        long soon = mostFreeAt(claim);
-        if (wait == 0 && soon > now) {
-            askAt = Math.min(askAt, soon + 1 + draw.applyAsLong(round() / 2));
+    /**
+     * Releases what was granted so far, so that others may have it at once, and sets the time of the next attempt.
+     *
+     * @param waitMicros until another holder's term is over; 0 where none is known
+     */
+    private void abandonAcquisition(long now, long waitMicros, long delayMicros) {
+        sendRelease(acquisition.token);
+        // Processes that wait for the end of one term need not back off from each other as well.
+        contendedAttempts = waitMicros > 0 ? 0 : Math.min(contendedAttempts + 1, MAX_BACKOFF_DOUBLINGS);
+        long jitterBound = responseTimeoutMicros() / 2;
+        nextAttemptAt = now + waitMicros + delayMicros + 1 + random.applyAsLong(jitterBound << contendedAttempts);
+        long quorumFreeAt = acquisition.quorumFreeAt(options);
+        if (waitMicros == 0 && quorumFreeAt > now) {
+            nextAttemptAt = Math.min(nextAttemptAt, quorumFreeAt + 1 + random.applyAsLong(jitterBound));
         }
-        claim = null;
+        acquisition = null;
     }
 
-    private void free(long which) {
-        out.tell(LeaseMessage.of(Kind.FREE, lease, holder, which, ++number, 0, plan.set()));
+    private void sendRelease(long releasedToken) {
+        actions.sendToGrantors(
+                LeaseMessage.of(Kind.FREE, lease, holder, releasedToken, ++requestNumber, 0, options.grantorSetId()));
     }
 
-    private void end(long now, String why) {
-        holds = false;
-        until = Long.MIN_VALUE;
-        rounds.clear();
-        askAt = now + round() + draw.applyAsLong(round());
-        out.ended(lease, token, why);
+    private void releaseToken() {
+        sendRelease(token);
+        actions.released(lease, token);
     }
 
     /**
-     * Stops at once, so that others may begin before the term is over: now, or when what was promised of it
-     * has ended.
+     * Stops holding or acquiring the lease. Others may have it before the term is over: now, or when those outside
+     * this process that may act have finished.
      */
-    void giveUp(long now, String why) {
-        if (claim != null) {
-            giveWay(now, term(), 0);
+    void release(long now, String reason) {
+        if (acquisition != null) {
+            abandonAcquisition(now, termMicros(), 0);
         }
-        if (holds) {
-            end(now, why);
-            askAt = now + term();
-            owes = promisedUntil > now;
-            if (!owes) {
-                free(token);
-                out.freed(lease, token);
-            }
+        if (!isHolding) {
+            return;
+        }
+        stopHolding(now, reason);
+        nextAttemptAt = now + termMicros();
+        hasPendingRelease = delegatedUntil > now;
+        if (!hasPendingRelease) {
+            releaseToken();
         }
     }
 
-    /** Whether it has stopped and could not say so to the keepers yet. */
-    boolean owes() {
-        return owes;
-    }
-
-    /** For how long somebody outside this process may act, at most so long; it stays free for no other. */
-    long promise(long now, long most) {
-        long promised = Math.min(left(now), most);
-        if (promised > 0) {
-            promisedUntil = Math.max(promisedUntil, now + promised);
+    /**
+     * Lets somebody outside this process act; the lease is not released meanwhile.
+     *
+     * @return for how long, at most as asked; 0 for not at all
+     */
+    long delegate(long now, long maxMicros) {
+        long delegatedMicros = Math.min(remainingMicros(now), maxMicros);
+        if (delegatedMicros > 0) {
+            delegatedUntil = Math.max(delegatedUntil, now + delegatedMicros);
         }
-        return promised;
+        return delegatedMicros;
     }
 
-    /** Another has gone and says that this process comes next. */
-    void hint(long now, long higher, long delay) {
-        seen = Math.max(seen, higher);
-        if (!holds && claim == null) {
-            tries = 0;
-            askAt = now + Math.min(term(), delay);
+    /** Another process has released the lease and says that this one is to request it next. */
+    void receiveHint(long now, long releasedToken, long delayMicros) {
+        observeToken(releasedToken);
+        if (!isHolding && acquisition == null) {
+            contendedAttempts = 0;
+            nextAttemptAt = now + Math.min(termMicros(), delayMicros);
         }
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseGrantor.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseGrantor.java
@@ -1,208 +1,162 @@
 package org.cypressweir.fleet.lease;
 
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
 import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
- * One keeper's grants. It grants a lease to one holder at a time, and each new grant has a higher token than
- * all that it knows of. All in memory: one that starts anew says nothing for as long as any grant of before
- * may be used, and then learns from most of the others how high tokens were. Any two majorities have a keeper
- * in common, so at any moment one process has grants of most, and tokens only rise.
+ * The grants of one grantor. It grants a lease to one holder at a time, and each new grant has a higher fencing
+ * token than all that it knows of. Grants are kept in memory only: after a start it grants nothing until any earlier
+ * grant has expired, and then learns the tokens from the other grantors ({@link TokenRecovery}). Two quorums have a
+ * grantor in common, so at any moment one process at most has the grants of a quorum, and tokens only rise.
  */
 final class LeaseGrantor {
 
-    /** Leases that are kept, at most; so much memory may others cost. */
-    static final int MOST_LEASES = 1_000;
-    /** Tokens of one start, at most: so far apart are floors of two milliseconds. */
-    private static final int FLOOR_SHIFT = 20;
-    /** The beginning of 2026. */
-    private static final long EPOCH_MILLIS = 1_767_225_600_000L;
-
-    private static final long LEARN_EVERY_MICROS = 200_000;
-    /** After so long without the others a clock of the wall is believed, where the plan allows that. */
-    private static final int LEARNING_TERMS = 5;
-
-    private static final long KNOWN = 1;
-    private static final long FORGOTTEN = 0;
-
     /**
-     * A grant, also one that has run out or was given back.
+     * A grant, also one that has expired or was released.
      *
-     * @param number of the last that its holder asked or gave back, so that what comes late changes nothing
+     * @param requestNumber of its holder's last request or release, so that a late message changes nothing
      */
-    private record Grant(String holder, long token, long until, long number) {}
+    private record Grant(String holder, long token, long expiresAt, long requestNumber) {
 
-    private LeaseOptions plan;
-    private final InetSocketAddress own;
-    /** Below which no token may be that this keeper grants without having learned from others. */
-    private final long floor;
+        boolean isOf(String process) {
+            return holder.equals(process);
+        }
 
-    private final long silentUntil;
-    private final Map<String, Grant> grants = new HashMap<>();
-    private final Map<String, Long> tops = new HashMap<>();
-    /** Keepers that knew, and those that have forgotten, too. */
-    private final Set<InetSocketAddress> learnedFrom = new HashSet<>();
+        Grant releasedAt(long now, long releaseNumber) {
+            return new Grant(holder, token, Math.min(now, expiresAt), releaseNumber);
+        }
+    }
 
-    private final Set<InetSocketAddress> forgetful = new HashSet<>();
-    /** Pages of what each has told, of the question asked last. */
-    private final Map<InetSocketAddress, Set<String>> heard = new HashMap<>();
-    /** Whether it may say anything of tokens, and whether it knows them and not only a floor. */
-    private boolean knows;
+    private final InetSocketAddress self;
+    /** Until then a grant of before the start may be in use. */
+    private final long silentUntil;
 
-    private boolean complete;
-    private long learnAt;
-    private final long giveUpLearningAt;
+    private final Map<String, Grant> grants = new HashMap<>();
+    private final TokenRecovery tokens;
+    private LeaseOptions options;
 
     /** @param unixMillis wall clock at the start, a floor for tokens where nobody is left who knows them */
-    LeaseGrantor(long now, LeaseOptions plan, InetSocketAddress own, long unixMillis) {
-        this.plan = plan;
-        this.own = own;
-        floor = Math.max(0, unixMillis - EPOCH_MILLIS) << FLOOR_SHIFT;
-        silentUntil = now + plan.kept(plan.mostTermMicros());
-        learnAt = silentUntil;
-        giveUpLearningAt = silentUntil + LEARNING_TERMS * plan.mostTermMicros();
+    LeaseGrantor(long now, LeaseOptions options, InetSocketAddress self, long unixMillis) {
+        this.options = options;
+        this.self = self;
+        silentUntil = now + options.grantMicros(options.maxTermMicros());
+        tokens = new TokenRecovery(options, self, unixMillis, silentUntil);
     }
 
-    void retune(LeaseOptions next) {
-        plan = next;
+    private LeaseGrantor(LeaseGrantor original) {
+        options = original.options;
+        self = original.self;
+        silentUntil = original.silentUntil;
+        grants.putAll(original.grants);
+        tokens = original.tokens.copy(options, silentUntil);
     }
 
-    /** The same in all that it knows, for walks over all that may come next. */
+    void reconfigure(LeaseOptions newOptions) {
+        options = newOptions;
+    }
+
+    /** A copy for model checkers. */
     LeaseGrantor copy() {
-        LeaseGrantor copy = new LeaseGrantor(silentUntil - plan.kept(plan.mostTermMicros()), plan, own, 0);
-        copy.grants.putAll(grants);
-        copy.tops.putAll(tops);
-        copy.learnedFrom.addAll(learnedFrom);
-        copy.forgetful.addAll(forgetful);
-        heard.forEach((from, pages) -> copy.heard.put(from, new HashSet<>(pages)));
-        copy.knows = knows;
-        copy.complete = complete;
-        copy.learnAt = learnAt;
-        return copy;
+        return new LeaseGrantor(this);
     }
 
-    /** All that decides what it does from now on; floors are not, so a walk leaves clocks of the wall out. */
-    void state(long now, StateText text) {
-        StringBuilder its = new StringBuilder()
-                .append(text.after(now, silentUntil))
-                .append(knows)
-                .append(complete);
-        if (!knows) {
-            its.append(text.after(now, learnAt)).append(learnedFrom.size()).append(forgetful.size());
-        }
-        grants.forEach((lease, g) -> {
-            if (g.until > now) {
-                its.append(' ').append(lease).append(g.holder).append(g.until - now);
-            } else {
-                // Whoever had it last may go on with it.
-                its.append(' ').append(lease).append(g.holder);
+    /** Appends what decides its further behaviour, for model checkers; these leave wall clocks out. */
+    void describeState(long now, StateText text) {
+        StringBuilder ofGrantor = new StringBuilder().append(text.remaining(now, silentUntil));
+        tokens.describeState(now, text, ofGrantor);
+        grants.forEach((lease, grant) -> {
+            // The holder of an expired grant counts as well, since it may renew it.
+            ofGrantor.append(' ').append(lease).append(grant.holder);
+            if (grant.expiresAt > now) {
+                ofGrantor.append(grant.expiresAt - now);
             }
         });
-        text.of(own, its.toString());
-        grants.values().forEach(g -> text.tokenOf(own, g.token));
-        tops.values().forEach(t -> text.tokenOf(own, t));
+        text.addOf(self, ofGrantor.toString());
+        grants.values().forEach(grant -> text.addTokenOf(self, grant.token));
+        tokens.tokens().forEach(token -> text.addTokenOf(self, token));
     }
 
-    /** What it has to ask the others, if anything, so as to know tokens again. */
-    boolean asksOthers(long now) {
-        if (knows || now < learnAt) {
-            return false;
-        }
-        if (plan.wallClock() && now >= giveUpLearningAt) {
-            // Most can't be asked: what is left is that clocks of the wall have gone on.
-            knows = true;
-            return false;
-        }
-        learnAt = now + LEARN_EVERY_MICROS;
-        heard.clear();
-        return true;
+    /** Whether it has to ask the other grantors for tokens now. */
+    boolean startsTokenQuery(long now) {
+        return tokens.startsQuery(now, options);
     }
 
-    /** What this one knows of tokens, and whether that is all. */
-    List<LeaseMessage> teach(LeaseMessage question) {
-        return pages(knows ? KNOWN : FORGOTTEN, question, plan.set(), tops);
+    /** What it knows of tokens, and whether that is all. */
+    List<LeaseMessage> answerTokenQuery(LeaseMessage request) {
+        return tokens.answerQuery(request, options);
     }
 
-    /** Tokens by pages, each of which says how many there are. */
-    static List<LeaseMessage> pages(long known, LeaseMessage question, long set, Map<String, Long> tops) {
-        List<LeaseMessage> pages = new ArrayList<>();
-        List<Map.Entry<String, Long>> all = List.copyOf(new TreeMap<>(tops).entrySet());
-        int count = Math.max(1, (all.size() + LeaseMessage.MOST_TOPS - 1) / LeaseMessage.MOST_TOPS);
-        for (int page = 0; page < count; page++) {
-            Map<String, Long> part = new TreeMap<>();
-            all.subList(page * LeaseMessage.MOST_TOPS, Math.min(all.size(), (page + 1) * LeaseMessage.MOST_TOPS))
-                    .forEach(e -> part.put(e.getKey(), e.getValue()));
-            pages.add(
-                    new LeaseMessage(Kind.LEARNED, "", page + "/" + count, known, question.number(), count, set, part));
-        }
-        return pages;
+    void learnTokens(InetSocketAddress from, LeaseMessage page) {
+        tokens.learn(from, page, options);
     }
 
-    void learn(InetSocketAddress from, LeaseMessage answer) {
-        if (knows || answer.set() != plan.set()) {
-            return;
-        }
-        answer.tops().forEach((lease, top) -> tops.merge(lease, top, Math::max));
-        Set<String> pages = heard.computeIfAbsent(from, f -> new HashSet<>());
-        pages.add(answer.holder());
-        if (!from.equals(own) && pages.size() >= answer.micros()) {
-            (answer.token() == KNOWN ? learnedFrom : forgetful).add(from);
-        }
-        // As many as a majority, without itself: each grant of before is known to one of them.
-        complete = plan.most(learnedFrom);
-        // Where all others have answered, nobody knows more than what has been heard.
-        knows = complete
-                || plan.all().stream().allMatch(k -> k.equals(own) || learnedFrom.contains(k) || forgetful.contains(k));
-    }
-
-    private long top(String lease) {
-        long known = tops.getOrDefault(lease, 0L);
-        return complete || !plan.wallClock() ? known : Math.max(known, floor);
-    }
-
-    /** A question for a grant; null for no answer. */
-    LeaseMessage ask(long now, LeaseMessage w) {
-        if (!plan.knows(w.set())) {
+    /** Response to a request for a grant or its renewal; null for none. */
+    LeaseMessage answerRequest(long now, LeaseMessage request) {
+        if (!options.acceptsGrantorSet(request.grantorSetId())) {
             return null;
         }
-        if (now < silentUntil || !knows) {
-            // It grants nothing, and says so: who hears no answer at all has to take itself to be cut off.
-            return LeaseMessage.of(
-                    Kind.NO, w.lease(), "", 0, w.number(), Math.max(LEARN_EVERY_MICROS, silentUntil - now), w.set());
+        if (now < silentUntil || !tokens.isFinished()) {
+            // It grants nothing, and says so: without a response the requester takes itself to be partitioned.
+            long waitMicros = Math.max(TokenRecovery.QUERY_INTERVAL_MICROS, silentUntil - now);
+            return refusal(request, "", 0, waitMicros);
         }
-        if (w.micros() <= 0
-                || w.micros() > plan.mostTermMicros()
-                || !tops.containsKey(w.lease()) && tops.size() >= MOST_LEASES) {
+        boolean isTermAllowed = request.micros() > 0 && request.micros() <= options.maxTermMicros();
+        if (!isTermAllowed || !tokens.hasRoomFor(request.lease())) {
             return null;
         }
-        Grant held = grants.get(w.lease());
-        long top = top(w.lease());
-        if (held != null && held.holder.equals(w.holder()) && w.number() <= held.number) {
+        Grant grant = grants.get(request.lease());
+        boolean isRequesters = grant != null && grant.isOf(request.holder());
+        if (isRequesters && request.requestNumber() <= grant.requestNumber) {
             return null;
         }
-        boolean its = held != null && held.holder.equals(w.holder()) && held.token == w.token();
-        boolean free = held == null || held.until <= now || held.holder.equals(w.holder());
-        if (its && w.token() == top || free && w.token() > top) {
-            grants.put(w.lease(), new Grant(w.holder(), w.token(), now + plan.kept(w.micros()), w.number()));
-            tops.put(w.lease(), w.token());
-            return LeaseMessage.of(Kind.YES, w.lease(), w.holder(), w.token(), w.number(), 0, w.set());
+        long highestToken = tokens.highestToken(request.lease(), options);
+        boolean isRenewal = isRequesters && grant.token == request.token() && request.token() == highestToken;
+        boolean isFree = grant == null || grant.expiresAt <= now || isRequesters;
+        if (isRenewal || isFree && request.token() > highestToken) {
+            return grant(now, request);
         }
+        return isFree
+                ? refusal(request, "", highestToken, 0)
+                : refusal(request, grant.holder, highestToken, grant.expiresAt - now);
+    }
+
+    private LeaseMessage grant(long now, LeaseMessage request) {
+        long expiresAt = now + options.grantMicros(request.micros());
+        Grant granted = new Grant(request.holder(), request.token(), expiresAt, request.requestNumber());
+        grants.put(request.lease(), granted);
+        tokens.recordGranted(request.lease(), request.token());
+        return LeaseMessage.of(
+                Kind.YES,
+                request.lease(),
+                request.holder(),
+                request.token(),
+                request.requestNumber(),
+                0,
+                request.grantorSetId());
+    }
+
+    private static LeaseMessage refusal(LeaseMessage request, String holder, long highestToken, long remainingMicros) {
         return LeaseMessage.of(
-                Kind.NO, w.lease(), free ? "" : held.holder, top, w.number(), free ? 0 : held.until - now, w.set());
+                Kind.NO,
+                request.lease(),
+                holder,
+                highestToken,
+                request.requestNumber(),
+                remainingMicros,
+                request.grantorSetId());
     }
 
-    /** A grant is given back; its token stays used. */
-    void free(long now, LeaseMessage w) {
-        Grant held = grants.get(w.lease());
-        if (held != null && held.holder.equals(w.holder()) && held.token == w.token() && w.number() > held.number) {
-            grants.put(w.lease(), new Grant(held.holder, held.token, Math.min(now, held.until), w.number()));
+    /** A grant is released; its token stays used. */
+    void release(long now, LeaseMessage release) {
+        Grant grant = grants.get(release.lease());
+        if (grant != null
+                && grant.isOf(release.holder())
+                && grant.token == release.token()
+                && release.requestNumber() > grant.requestNumber) {
+            grants.put(release.lease(), grant.releasedAt(now, release.requestNumber()));
         }
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseMessage.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseMessage.java
@@ -1,47 +1,85 @@
 package org.cypressweir.fleet.lease;
 
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 
 /**
- * What processes say to each other about leases.
+ * A message about leases between two processes.
  *
- * @param lease its name; empty in what is about all
- * @param holder who asks, or has it: one life of a process
- * @param token of the grant; in a refusal the highest that the keeper knows
- * @param number of what was asked, rising within a life; an answer repeats it
- * @param micros the term in a question, what is left of another's in a refusal
- * @param set of keepers that the asking process goes by
- * @param tops a page of the highest token of each lease, from one keeper to another that has forgotten them
+ * @param lease name of the lease; empty in messages about all leases
+ * @param holder incarnation of the process that requests or holds the lease; in {@code LEARNED} the name of the page
+ * @param token fencing token of the grant; in a refusal the highest that the grantor knows; in {@code LEARNED}
+ *        {@link #COMPLETE} or {@link #INCOMPLETE}
+ * @param requestNumber number of the request, rising within an incarnation; a response repeats it
+ * @param micros the term in a request, what is left of another holder's grant in a refusal, the number of pages
+ *        in {@code LEARNED}
+ * @param grantorSetId set of grantors that the sender uses
+ * @param highestTokens in {@code LEARNED} a page of the highest token of each lease
  */
 public record LeaseMessage(
         Kind kind,
         String lease,
         String holder,
         long token,
-        long number,
+        long requestNumber,
         long micros,
-        long set,
-        Map<String, Long> tops) {
+        long grantorSetId,
+        Map<String, Long> highestTokens) {
 
-    /** Tokens in one word, so that it fits into a datagram. */
-    public static final int MOST_TOPS = 12;
+    /** Tokens in one message, so that it fits into a datagram. */
+    public static final int MAX_TOKENS = 12;
 
-    /** What a word is for. */
+    /** The sender of {@code LEARNED} knows the highest token of each lease it has granted. */
+    static final long COMPLETE = 1;
+    /** The sender of {@code LEARNED} has lost its state, or is no grantor. */
+    static final long INCOMPLETE = 0;
+
+    /** What a message is for. It is sent as its ordinal, so the order is fixed; so are the names. */
     public enum Kind {
-        /** A question to a keeper: grant it, or go on granting it. */
+        /** Request to a grantor: grant the lease, or renew the grant. */
         ASK,
+        /** Response: granted. */
         YES,
+        /** Response: refused. */
         NO,
-        /** Its holder, or one that has too few grants, gives a grant back. */
+        /** The holder, or a process that was not granted by a quorum, releases a grant. */
         FREE,
-        /** From a holder that goes to the next: it is free. */
+        /** From a holder that has released the lease to a process that is to request it next. */
         HINT,
-        /** From a keeper that has forgotten all to the others. */
+        /** From a grantor that has lost its state to others: which tokens do you know? */
         LEARN,
+        /** Response to {@link #LEARN}: a page of tokens. */
         LEARNED
     }
 
-    static LeaseMessage of(Kind kind, String lease, String holder, long token, long number, long micros, long set) {
-        return new LeaseMessage(kind, lease, holder, token, number, micros, set, Map.of());
+    /** A message without tokens. */
+    static LeaseMessage of(
+            Kind kind, String lease, String holder, long token, long requestNumber, long micros, long grantorSetId) {
+        return new LeaseMessage(kind, lease, holder, token, requestNumber, micros, grantorSetId, Map.of());
+    }
+
+    /** Responses to a {@code LEARN} request: all tokens by pages, each of which says how many there are. */
+    static List<LeaseMessage> tokenPages(
+            long completeness, LeaseMessage request, long grantorSetId, Map<String, Long> highestTokens) {
+        List<Map.Entry<String, Long>> all = List.copyOf(new TreeMap<>(highestTokens).entrySet());
+        int pageCount = Math.max(1, (all.size() + MAX_TOKENS - 1) / MAX_TOKENS);
+        List<LeaseMessage> pages = new ArrayList<>();
+        for (int page = 0; page < pageCount; page++) {
+            int end = Math.min(all.size(), (page + 1) * MAX_TOKENS);
+            Map<String, Long> part = new TreeMap<>();
+            all.subList(page * MAX_TOKENS, end).forEach(entry -> part.put(entry.getKey(), entry.getValue()));
+            pages.add(new LeaseMessage(
+                    Kind.LEARNED,
+                    "",
+                    page + "/" + pageCount,
+                    completeness,
+                    request.requestNumber(),
+                    pageCount,
+                    grantorSetId,
+                    part));
+        }
+        return pages;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseOptions.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseOptions.java
@@ -10,78 +10,83 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * What leases there are and who keeps them.
+ * Which leases there are and which processes grant them.
  *
- * @param keepers 3, 5 or 7 addresses, the same in every process
- * @param before the keepers that are being replaced, of whom most are needed as well; null for none
- * @param mostTermMicros no keeper grants for longer, and one that has forgotten says nothing for that time
- * @param drift by which part a clock's rate may differ from the true one, such as 0.01
- * @param wallClock whether a keeper that has forgotten all, and can't ask most others, may take it that
- *        clocks of the wall have gone on since, so that tokens begin above those of before
- * @param terms of each lease, in microseconds of the holder's clock, by name
+ * @param grantors 3, 5 or 7 addresses, the same in every process
+ * @param previousGrantors the grantors that are being replaced, of which a quorum is needed as well; null for none
+ * @param maxTermMicros no grantor grants for longer, and one that has restarted grants nothing for that time
+ * @param clockDrift by which part a clock's rate may differ from the true one, such as 0.01
+ * @param trustsWallClock whether a grantor that has lost its state, and can't reach a quorum of the others, may
+ *        assume that wall clocks have gone on, so that its tokens begin above the earlier ones
+ * @param termMicrosByLease term of each lease by its name, in microseconds of the holder's clock
  */
 public record LeaseOptions(
-        List<InetSocketAddress> keepers,
-        List<InetSocketAddress> before,
-        long mostTermMicros,
-        double drift,
-        boolean wallClock,
-        Map<String, Long> terms) {
+        List<InetSocketAddress> grantors,
+        List<InetSocketAddress> previousGrantors,
+        long maxTermMicros,
+        double clockDrift,
+        boolean trustsWallClock,
+        Map<String, Long> termMicrosByLease) {
 
-    /** For how long a keeper grants by its own clock what a holder uses for a term by its own. */
-    public long kept(long termMicros) {
-        return (long) Math.ceil(termMicros * (1 + drift) / (1 - drift)) + 1;
+    private static final String CHANGE_UNDER_WAY = "the change of keepers that is under way has to end first";
+
+    private static final String QUORUMS_NEED_NOT_MEET =
+            "most of the new keepers and most of the old ones need not meet: set 'keepers_before' to"
+                    + " the old ones first, in all processes, and take it out again when all have it";
+
+    /** For how long a grantor keeps a grant by its own clock so that it outlasts the holder's term by any clock. */
+    public long grantMicros(long termMicros) {
+        return (long) Math.ceil(termMicros * (1 + clockDrift) / (1 - clockDrift)) + 1;
     }
 
-    /** Tells these keepers from others, whatever their order. */
-    public long set() {
-        return set(keepers) ^ (before == null ? 0 : Hashes.mix(set(before), 1));
+    /** Identifies the set of grantors, whatever their order. The number is sent, so its computation is fixed. */
+    public long grantorSetId() {
+        return setId(grantors) ^ (previousGrantors == null ? 0 : Hashes.mix(setId(previousGrantors), 1));
     }
 
-    private static long set(List<InetSocketAddress> addresses) {
+    private static long setId(List<InetSocketAddress> addresses) {
         TreeSet<String> sorted = new TreeSet<>();
-        addresses.forEach(a -> sorted.add(a.toString()));
+        addresses.forEach(address -> sorted.add(address.toString()));
         return Hashes.mix(Ids.of(String.join(",", sorted)), 0);
     }
 
-    /** The same keepers alone, or before them. */
-    private long setOf(List<InetSocketAddress> alone) {
-        return new LeaseOptions(alone, null, mostTermMicros, drift, wallClock, terms).set();
-    }
-
-    /** Whether a question by that set may be answered: it is the same, or one that this one replaces. */
-    public boolean knows(long set) {
-        return set == set() || before != null && set == setOf(before);
+    /** Whether a request by that set of grantors may be answered: it is this one, or one that this one replaces. */
+    public boolean acceptsGrantorSet(long setId) {
+        return setId == grantorSetId() || previousGrantors != null && setId == setId(previousGrantors);
     }
 
-    /** Why this one can't take the place of that one while others still go by it; null where it can. */
-    public String unsafeAfter(LeaseOptions now) {
-        boolean same = set(keepers) == set(now.keepers);
-        if (same && (before == null || now.before != null && set(before) == set(now.before))) {
+    /** Why these options can't replace the current ones while other processes still use those; null where they can. */
+    public String findUnsafeChange(LeaseOptions current) {
+        boolean sameGrantors = setId(grantors) == setId(current.grantors);
+        if (sameGrantors && (previousGrantors == null || hasPreviousGrantorsOf(current))) {
             return null;
         }
-        if (now.before == null && before != null && set(before) == set(now.keepers)) {
-            return null;
+        if (current.previousGrantors != null) {
+            return CHANGE_UNDER_WAY;
         }
-        return now.before != null
-                ? "the change of keepers that is under way has to end first"
-                : "most of the new keepers and most of the old ones need not meet: set 'keepers_before' to"
-                        + " the old ones first, in all processes, and take it out again when all have it";
+        boolean startsChange = previousGrantors != null && setId(previousGrantors) == setId(current.grantors);
+        return startsChange ? null : QUORUMS_NEED_NOT_MEET;
+    }
+
+    private boolean hasPreviousGrantorsOf(LeaseOptions current) {
+        return current.previousGrantors != null && setId(previousGrantors) == setId(current.previousGrantors);
     }
 
-    /** Whether these answers are most of the keepers, and most of those before, if there are any. */
-    boolean most(Set<InetSocketAddress> yes) {
-        return most(keepers, yes) && (before == null || most(before, yes));
+    /** Whether these are a majority of the grantors, and of the previous ones if there are any. */
+    boolean isQuorum(Set<InetSocketAddress> members) {
+        return isMajority(grantors, members) && (previousGrantors == null || isMajority(previousGrantors, members));
     }
 
-    private static boolean most(List<InetSocketAddress> of, Set<InetSocketAddress> yes) {
-        return 2 * of.stream().filter(yes::contains).count() > of.size();
+    private static boolean isMajority(List<InetSocketAddress> all, Set<InetSocketAddress> members) {
+        return 2 * all.stream().filter(members::contains).count() > all.size();
     }
 
-    /** All that are to be asked. */
-    List<InetSocketAddress> all() {
-        return before == null
-                ? keepers
-                : Stream.concat(keepers.stream(), before.stream()).distinct().toList();
+    /** All grantors that have to be asked, the previous ones among them. */
+    List<InetSocketAddress> allGrantors() {
+        return previousGrantors == null
+                ? grantors
+                : Stream.concat(grantors.stream(), previousGrantors.stream())
+                        .distinct()
+                        .toList();
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/Leases.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Leases.java
@@ -11,373 +11,396 @@
 import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
- * The leases of one process: what it holds, what it asks for, and what it keeps for others where it is a
- * keeper. It is told the time with every event and is called at least once a beat.
+ * The leases of one process: those that it holds or requests ({@link LeaseClient}), and those that it grants where it
+ * is a grantor ({@link LeaseGrantor}). The time is an argument of each event; {@link #tick} is called regularly.
+ * Confined to one thread.
  *
- * <p>Two processes never hold a lease at once while clocks' rates differ by less than the plan says and
- * keepers are as many and the same everywhere. A process may be stopped between its question whether it holds
- * and what it does then: only whoever receives that, and refuses a lower token than it has seen, covers this.
+ * <p>Two processes never hold a lease at once while the rates of clocks differ by less than the options say and all
+ * processes have the same grantors. A process may be paused between its question whether it holds a lease and what it
+ * does then. Time can't cover that; the receiver has to reject a lower fencing token than it has seen.
  */
 public final class Leases {
 
-    /** What the process does; none of it reaches back into this object within the call. */
+    /** What the process has to do; none of it calls back into this object. */
     public interface Actions {
-        void send(InetSocketAddress to, LeaseMessage word);
+        void send(InetSocketAddress to, LeaseMessage message);
 
-        /** This process holds a lease from now on. */
-        void began(String lease, long token);
+        /** This process holds the lease from now on. */
+        void acquired(String lease, long token);
 
-        /** It does not any more. */
-        void ended(String lease, long token, String why);
+        /** It does not hold the lease any more. */
+        void ended(String lease, long token, String reason);
     }
 
-    /** Whether this process may act now, under which token, and for how long it holds yet. */
-    public record Verdict(boolean acting, long token, long leftMicros) {}
+    /** Whether the caller may act now, under which fencing token, and for how long. */
+    public record Permission(boolean mayAct, long token, long remainingMicros) {}
 
-    /** How a lease stands as this process knows; the holder is empty for nobody. */
-    public record Status(String holder, boolean held, long token, long leftMicros) {}
+    /** A lease as far as this process knows; the holder is empty for none. */
+    public record Status(String holder, boolean isHeldHere, long token, long remainingMicros) {}
 
-    /** From the first to the second of those that come next, where the first should have asked. */
-    private static final long STEP_MICROS = 100_000;
-    /** Those that look each time a lease runs out; of the others each looks the more seldom. */
-    private static final int WATCHING = 3;
-    /** A lease is left to whoever should have it once that has been the same for so many terms. */
-    private static final int SETTLED_TERMS = 2;
-    /** Members that a keeper which has forgotten all asks besides the others. */
-    private static final int LEARNED_FROM = 32;
+    /** From the time at which one preferred holder requests a lease to that of the next one. */
+    private static final long RANK_DELAY_MICROS = 100_000;
+    /** Members of lower ranks request an expired lease after a step each; the others after a part of a term each. */
+    private static final int PROMPT_RANKS = 3;
+    /** Members that a grantor without its state asks for tokens besides the other grantors. */
+    private static final int MAX_QUERIED_MEMBERS = 32;
+    /** Members that are told when a holder releases a lease. */
+    private static final int HINTED_MEMBERS = 2;
 
-    private static final int MOST_DOUBLINGS = 10;
-    /** Those told when a holder goes. */
-    private static final int HINTED = 2;
+    private static final char INCARNATION_SEPARATOR = '/';
 
-    private LeaseOptions plan;
-    private final InetSocketAddress own;
+    private final InetSocketAddress self;
     private final String name;
+    /** Name and incarnation. */
     private final String holder;
-    private final Actions actions;
-    /** A number from 0 to below another, drawn. */
-    private final LongUnaryOperator draw;
 
+    private final Actions actions;
+    private final LongUnaryOperator random;
     private final long unixMillis;
-    private final Map<String, LeaseClient> claimants = new TreeMap<>();
-    /** Null where this process is none. */
-    private LeaseGrantor keeper;
+    private final Map<String, LeaseClient> clients = new TreeMap<>();
+    private final HandoverTimer handovers = new HandoverTimer();
+    private LeaseOptions options;
+    /** Null where this process is no grantor. */
+    private LeaseGrantor grantor;
 
     private Map<String, InetSocketAddress> members = Map.of();
     private Preference preference;
-    /** Since when somebody else should have what this process holds. */
-    private final Map<String, Long> strangeSince = new TreeMap<>();
-    /** To whom each was left the last time, and how often in a row. */
-    private final Map<String, String> leftTo = new TreeMap<>();
-
-    private final Map<String, Integer> leftTimes = new TreeMap<>();
-    private long number;
-    private boolean leaving;
+    private long messageNumber;
+    private boolean isLeaving;
     private long lastTickAt;
 
     /**
-     * @param life tells this life of the process from others of its name
-     * @param unixMillis wall clock, of which nothing but a floor for tokens hangs
+     * @param incarnation tells this run of the process from others of its name
+     * @param unixMillis wall clock, used for nothing but a floor for tokens
      */
     public Leases(
             long now,
-            LeaseOptions plan,
-            InetSocketAddress own,
+            LeaseOptions options,
+            InetSocketAddress self,
             String name,
-            String life,
+            String incarnation,
             long unixMillis,
             long seed,
             Actions actions) {
-        this(now, plan, own, name, life, unixMillis, new SplittableRandom(seed)::nextLong, actions);
+        this(now, options, self, name, incarnation, unixMillis, new SplittableRandom(seed)::nextLong, actions);
     }
 
-    /** With what is drawn told from outside: a number from 0 to below another. */
+    /**
+     * With a given source of randomness.
+     *
+     * @param random returns a number from 0 to below its argument
+     */
     public Leases(
             long now,
-            LeaseOptions plan,
-            InetSocketAddress own,
+            LeaseOptions options,
+            InetSocketAddress self,
             String name,
-            String life,
+            String incarnation,
             long unixMillis,
-            LongUnaryOperator draw,
+            LongUnaryOperator random,
             Actions actions) {
-        this.plan = plan;
-        this.own = own;
+        this.options = options;
+        this.self = self;
         this.name = name;
         this.unixMillis = unixMillis;
-        this.draw = draw;
+        this.random = random;
         this.actions = actions;
-        holder = name + '/' + life;
-        number = now;
+        holder = name + INCARNATION_SEPARATOR + incarnation;
+        messageNumber = now;
         lastTickAt = now;
-        keeper = plan.all().contains(own) ? new LeaseGrantor(now, plan, own, unixMillis) : null;
-        claim(now);
-        members(Map.of(name, own));
+        updateGrantor(now);
+        updateClients(now);
+        updateMembers(Map.of(name, self));
     }
 
-    /** The same in all that it knows, for walks over all that may come next. */
-    public Leases copy(Actions to) {
-        String life = holder.substring(holder.lastIndexOf('/') + 1);
-        Leases copy = new Leases(lastTickAt, plan, own, name, life, unixMillis, draw, to);
-        claimants.forEach((lease, c) -> copy.claimants.put(lease, c.copy(draw, copy.new Turn())));
-        copy.keeper = keeper == null ? null : keeper.copy();
+    /** A copy for model checkers. */
+    public Leases copy(Actions actionsOfCopy) {
+        String incarnation = holder.substring(holder.lastIndexOf(INCARNATION_SEPARATOR) + 1);
+        Leases copy = new Leases(lastTickAt, options, self, name, incarnation, unixMillis, random, actionsOfCopy);
+        clients.forEach((lease, client) -> copy.clients.put(lease, client.copy(random, copy.new ClientActions())));
+        copy.grantor = grantor == null ? null : grantor.copy();
         copy.members = members;
         copy.preference = preference;
-        copy.strangeSince.putAll(strangeSince);
-        copy.leftTo.putAll(leftTo);
-        copy.leftTimes.putAll(leftTimes);
-        copy.number = number;
-        copy.leaving = leaving;
+        handovers.copyTo(copy.handovers);
+        copy.messageNumber = messageNumber;
+        copy.isLeaving = isLeaving;
         return copy;
     }
 
-    /** All that decides what it does from now on. */
-    public void state(long now, StateText text) {
-        text.name(name);
-        text.add(leaving ? "leaves" : "stays", now - lastTickAt);
-        strangeSince.forEach((lease, since) -> text.add(lease, now - since));
-        leftTimes.forEach((lease, times) -> text.add(leftTo.get(lease), times));
-        if (!leaving) {
-            claimants.values().forEach(c -> c.state(now, text));
+    /** Appends what decides the further behaviour of this process, for model checkers. */
+    public void describeState(long now, StateText text) {
+        text.addName(name);
+        text.add(isLeaving ? "leaves" : "stays", now - lastTickAt);
+        handovers.describeState(now, text);
+        if (!isLeaving) {
+            clients.values().forEach(client -> client.describeState(now, text));
+        }
+        if (grantor != null) {
+            grantor.describeState(now, text);
         }
-        if (keeper != null) {
-            keeper.state(now, text);
+    }
+
+    /** Appends what a late response to a request would do, for model checkers. */
+    public void describeRequest(long now, String lease, long requestNumber, StateText text) {
+        clients.get(lease).describeRequest(now, requestNumber, text);
+    }
+
+    private void updateGrantor(long now) {
+        if (!options.allGrantors().contains(self)) {
+            grantor = null;
+        } else if (grantor == null) {
+            grantor = new LeaseGrantor(now, options, self, unixMillis);
+        } else {
+            grantor.reconfigure(options);
         }
     }
 
-    /** What an answer to a question of before would be taken for. */
-    public void state(long now, String lease, long question, StateText text) {
-        claimants.get(lease).state(now, question, text);
+    private void updateClients(long now) {
+        Map<String, Long> terms = options.termMicrosByLease();
+        clients.keySet().removeIf(lease -> !terms.containsKey(lease));
+        terms.keySet().forEach(lease -> clients.computeIfAbsent(lease, name -> newClient(now, name)));
     }
 
-    private void claim(long now) {
-        claimants.keySet().removeIf(lease -> !plan.terms().containsKey(lease));
-        plan.terms()
-                .forEach((lease, term) -> claimants.computeIfAbsent(
-                        lease,
-                        l -> new LeaseClient(
-                                now, l, holder, plan, now + 1 + draw.applyAsLong(STEP_MICROS), draw, new Turn())));
+    private LeaseClient newClient(long now, String lease) {
+        long firstAttemptAt = now + 1 + random.applyAsLong(RANK_DELAY_MICROS);
+        return new LeaseClient(now, lease, holder, options, firstAttemptAt, random, new ClientActions());
     }
 
-    private final class Turn implements LeaseClient.Out {
+    private void updatePreference() {
+        preference = new Preference(options.termMicrosByLease().keySet(), members.keySet());
+    }
+
+    /** Sends what clients have to say. */
+    private final class ClientActions implements LeaseClient.Actions {
         @Override
-        public void tell(LeaseMessage word) {
-            plan.all().forEach(k -> actions.send(k, word));
+        public void sendToGrantors(LeaseMessage message) {
+            options.allGrantors().forEach(address -> actions.send(address, message));
         }
 
         @Override
-        public void began(String lease, long token) {
-            actions.began(lease, token);
+        public void acquired(String lease, long token) {
+            actions.acquired(lease, token);
         }
 
         @Override
-        public void ended(String lease, long token, String why) {
-            actions.ended(lease, token, why);
+        public void ended(String lease, long token, String reason) {
+            actions.ended(lease, token, reason);
         }
 
-        /** Tells those that come next, one a step behind the other. */
         @Override
-        public void freed(String lease, long token) {
-            long after = 0;
-            for (String next : preference.firsts(lease, HINTED + 1)) {
-                if (!next.equals(name) && after < HINTED * STEP_MICROS) {
-                    actions.send(
-                            members.get(next),
-                            LeaseMessage.of(Kind.HINT, lease, holder, token, ++number, after, plan.set()));
-                    after += STEP_MICROS;
-                }
+        public void released(String lease, long token) {
+            sendHints(lease, token);
+        }
+    }
+
+    /** Tells the next preferred holders that the lease is free; each is to request it later than the one before. */
+    private void sendHints(String lease, long token) {
+        long delayMicros = 0;
+        for (String member : preference.ranked(lease, HINTED_MEMBERS + 1)) {
+            if (member.equals(name) || delayMicros == HINTED_MEMBERS * RANK_DELAY_MICROS) {
+                continue;
             }
+            LeaseMessage hint = LeaseMessage.of(
+                    Kind.HINT, lease, holder, token, ++messageNumber, delayMicros, options.grantorSetId());
+            actions.send(members.get(member), hint);
+            delayMicros += RANK_DELAY_MICROS;
         }
     }
 
-    /** Those that live as this process sees it, itself among them: whom to prefer, and nothing else. */
-    public void members(Map<String, InetSocketAddress> living) {
-        if (!living.equals(members)) {
-            members = Map.copyOf(living);
-            preference = new Preference(plan.terms().keySet(), members.keySet());
+    /** The live members as this process sees them, itself among them. They decide on preferences only. */
+    public void updateMembers(Map<String, InetSocketAddress> liveMembers) {
+        if (!liveMembers.equals(members)) {
+            members = Map.copyOf(liveMembers);
+            updatePreference();
         }
     }
 
     /**
-     * Other keepers or leases hold from now on; the reason where that can't be, and nothing has changed then.
-     * What is held of a lease that is gone is given up.
+     * Takes other grantors or leases over. A lease that is gone or has another term is released.
+     *
+     * @return why the change is not safe, in which case nothing has changed; null where it was made
      */
-    public String retune(long now, LeaseOptions next) {
-        String why = next.unsafeAfter(plan);
-        if (why != null) {
-            return why;
+    public String reconfigure(long now, LeaseOptions newOptions) {
+        String unsafe = newOptions.findUnsafeChange(options);
+        if (unsafe != null) {
+            return unsafe;
         }
-        for (Map.Entry<String, LeaseClient> c : claimants.entrySet()) {
-            Long term = next.terms().get(c.getKey());
-            if (term == null || !term.equals(plan.terms().get(c.getKey()))) {
-                c.getValue().giveUp(now, "its settings have changed");
+        clients.forEach((lease, client) -> {
+            Long newTerm = newOptions.termMicrosByLease().get(lease);
+            if (newTerm == null || !newTerm.equals(termMicros(lease))) {
+                client.release(now, "its settings have changed");
             }
-        }
-        plan = next;
-        if (!plan.all().contains(own)) {
-            keeper = null;
-        } else if (keeper == null) {
-            keeper = new LeaseGrantor(now, plan, own, unixMillis);
-        } else {
-            keeper.retune(plan);
-        }
-        claim(now);
-        claimants.values().forEach(c -> c.retune(plan));
-        preference = new Preference(plan.terms().keySet(), members.keySet());
+        });
+        options = newOptions;
+        updateGrantor(now);
+        updateClients(now);
+        clients.values().forEach(client -> client.reconfigure(options));
+        updatePreference();
         return null;
     }
 
-    /** To be called each beat; late calls tell that this process stood still. */
+    private long termMicros(String lease) {
+        return options.termMicrosByLease().get(lease);
+    }
+
+    /** Does what is due. A late call means that this process was paused. */
     public void tick(long now) {
-        long late = now - lastTickAt;
+        long pausedMicros = now - lastTickAt;
         lastTickAt = now;
-        if (keeper != null && keeper.asksOthers(now)) {
-            LeaseMessage learn = LeaseMessage.of(Kind.LEARN, "", holder, 0, ++number, 0, plan.set());
-            Set<InetSocketAddress> asked = new LinkedHashSet<>(plan.all());
-            // Whoever has held a lease, or asked for it, knows a token too; most keepers are what counts.
-            members.values().stream().limit(LEARNED_FROM).forEach(asked::add);
-            asked.remove(own);
-            asked.forEach(k -> actions.send(k, learn));
+        if (grantor != null && grantor.startsTokenQuery(now)) {
+            queryTokens();
         }
-        int held = (int) claimants.values().stream().filter(c -> c.holds(now)).count();
-        for (Map.Entry<String, LeaseClient> entry : claimants.entrySet()) {
-            String lease = entry.getKey();
-            LeaseClient c = entry.getValue();
-            if (late > plan.terms().get(lease) / 2) {
-                // It slept: others may have been given what it held, and do not have to wait for the rest.
-                c.giveUp(now, "this process stood still for " + late / 1_000 + " ms");
+        int heldLeases = countHeldLeases(now);
+        clients.forEach((lease, client) -> {
+            if (pausedMicros > termMicros(lease) / 2) {
+                // Others may have acquired the lease, and need not wait for the rest of the term.
+                client.release(now, "this process stood still for " + pausedMicros / 1_000 + " ms");
             }
-            c.tick(now, !leaving, delay(lease, held));
-            if (c.holds(now)) {
-                wander(now, lease, c);
+            client.tick(now, !isLeaving, delayMicros(lease, heldLeases));
+            if (client.isHolder(now)) {
+                handOverIfDue(now, lease, client);
             }
+        });
+    }
+
+    private int countHeldLeases(long now) {
+        int held = 0;
+        for (LeaseClient client : clients.values()) {
+            held += client.isHolder(now) ? 1 : 0;
         }
+        return held;
     }
 
-    /** What this process leaves to those that come before it. */
-    private long delay(String lease, int held) {
+    private void queryTokens() {
+        LeaseMessage query = LeaseMessage.of(Kind.LEARN, "", holder, 0, ++messageNumber, 0, options.grantorSetId());
+        Set<InetSocketAddress> queried = new LinkedHashSet<>(options.allGrantors());
+        // A process that has held or requested a lease knows a token too; only grantors count for the quorum.
+        members.values().stream().limit(MAX_QUERIED_MEMBERS).forEach(queried::add);
+        queried.remove(self);
+        queried.forEach(address -> actions.send(address, query));
+    }
+
+    /** Time that this process leaves to members that are preferred to it. */
+    private long delayMicros(String lease, int heldLeases) {
         int rank = preference.rank(lease, name);
-        long term = plan.terms().get(lease);
-        long delay = rank < WATCHING ? rank * STEP_MICROS : term * rank / 2;
-        return rank > 0 && held >= preference.most() ? delay + term : delay;
+        long term = termMicros(lease);
+        long delay = rank < PROMPT_RANKS ? rank * RANK_DELAY_MICROS : term * rank / 2;
+        boolean hasItsShare = heldLeases >= preference.maxLeasesPerMember();
+        return rank > 0 && hasItsShare ? delay + term : delay;
     }
 
-    /** Leaves a lease to whoever should have it, once that one has been there for a while. */
-    private void wander(long now, String lease, LeaseClient c) {
-        String first = preference.first(lease);
-        if (first.equals(name) || first.isEmpty()) {
-            strangeSince.remove(lease);
-            return;
-        }
-        // Whoever did not take it the last time is waited for longer: nobody knows why.
-        int before = first.equals(leftTo.get(lease)) ? leftTimes.getOrDefault(lease, 0) : 0;
-        long settled = SETTLED_TERMS * plan.terms().get(lease) << Math.min(before * 2, MOST_DOUBLINGS);
-        if (now - strangeSince.computeIfAbsent(lease, l -> now) > settled) {
-            strangeSince.remove(lease);
-            leftTo.put(lease, first);
-            leftTimes.put(lease, before + 1);
-            c.giveUp(now, "left to " + first);
+    private void handOverIfDue(long now, String lease, LeaseClient client) {
+        String preferred = preference.first(lease);
+        if (preferred.equals(name) || preferred.isEmpty()) {
+            handovers.reset(lease);
+        } else if (handovers.isDue(now, lease, preferred, termMicros(lease))) {
+            client.release(now, "left to " + preferred);
         }
     }
 
-    /** Goes: gives up all that it holds, tells who comes next, and asks for nothing any more. */
-    public void leave(long now, String why) {
-        leaving = true;
-        claimants.values().forEach(c -> c.giveUp(now, why));
+    /** Releases all leases, tells the next holders, and requests none any more. */
+    public void leave(long now, String reason) {
+        isLeaving = true;
+        clients.values().forEach(client -> client.release(now, reason));
     }
 
-    /** Whether all that was given up is free for others. */
-    public boolean quiet() {
-        return claimants.values().stream().noneMatch(LeaseClient::owes);
+    /** Whether others may have all that was given up. */
+    public boolean hasReleasedAll() {
+        return clients.values().stream().noneMatch(LeaseClient::hasPendingRelease);
     }
 
-    /** Takes part again after a leave that was called off. */
-    public void stay() {
-        leaving = false;
+    /** Takes part again after {@link #leave}. */
+    public void rejoin() {
+        isLeaving = false;
     }
 
-    /** A word of another process, whose address it has said itself. */
-    public void receive(long now, InetSocketAddress from, LeaseMessage w) {
-        switch (w.kind()) {
-            case ASK -> {
-                LeaseMessage answer = keeper == null ? null : keeper.ask(now, w);
-                if (answer != null) {
-                    actions.send(from, answer);
-                }
-            }
+    /** A message of another process; the address is what the message names as its sender. */
+    public void receive(long now, InetSocketAddress from, LeaseMessage message) {
+        switch (message.kind()) {
+            case ASK -> receiveRequest(now, from, message);
             case FREE -> {
-                if (keeper != null) {
-                    keeper.free(now, w);
+                if (grantor != null) {
+                    grantor.release(now, message);
                 }
             }
             case LEARN -> {
-                List<LeaseMessage> answers = keeper == null ? seen(w) : keeper.teach(w);
-                answers.forEach(a -> actions.send(from, a));
+                List<LeaseMessage> pages =
+                        grantor == null ? tokensOfClients(message) : grantor.answerTokenQuery(message);
+                pages.forEach(page -> actions.send(from, page));
             }
             case LEARNED -> {
-                if (keeper != null) {
-                    keeper.learn(from, w);
+                if (grantor != null) {
+                    grantor.learnTokens(from, message);
                 }
             }
-            default -> {
-                LeaseClient c = claimants.get(w.lease());
-                if (c == null) {
-                    return;
-                }
-                if (w.kind() == Kind.HINT) {
-                    c.hint(now, w.token(), w.micros());
-                } else if (plan.all().contains(from)) {
-                    c.answer(now, from, w, delay(w.lease(), 0));
+            case HINT -> {
+                LeaseClient client = clients.get(message.lease());
+                if (client != null) {
+                    client.receiveHint(now, message.token(), message.micros());
                 }
             }
+            case YES, NO -> receiveResponse(now, from, message);
+        }
+    }
+
+    private void receiveRequest(long now, InetSocketAddress from, LeaseMessage request) {
+        LeaseMessage response = grantor == null ? null : grantor.answerRequest(now, request);
+        if (response != null) {
+            actions.send(from, response);
+        }
+    }
+
+    private void receiveResponse(long now, InetSocketAddress from, LeaseMessage response) {
+        LeaseClient client = clients.get(response.lease());
+        if (client != null && options.allGrantors().contains(from)) {
+            client.receiveResponse(now, from, response, delayMicros(response.lease(), 0));
         }
     }
 
-    /** What a process that is no keeper knows of tokens. */
-    private List<LeaseMessage> seen(LeaseMessage question) {
-        Map<String, Long> tops = new TreeMap<>();
-        claimants.forEach((lease, c) -> tops.put(lease, c.seen()));
-        return LeaseGrantor.pages(0, question, plan.set(), tops);
+    /** What a process that is no grantor knows of tokens. */
+    private List<LeaseMessage> tokensOfClients(LeaseMessage query) {
+        Map<String, Long> highestTokens = new TreeMap<>();
+        clients.forEach((lease, client) -> highestTokens.put(lease, client.highestToken()));
+        return LeaseMessage.tokenPages(LeaseMessage.INCOMPLETE, query, options.grantorSetId(), highestTokens);
     }
 
-    /** To be asked before every act, with the longest time that the act takes. */
-    public Verdict acting(long now, String lease, long actMicros) {
-        LeaseClient c = claimants.get(lease);
-        long left = c == null ? 0 : c.left(now);
-        return new Verdict(left > actMicros, left > 0 ? c.token() : 0, left);
+    /** Whether this process may act under the lease; asked before each act, with the longest time that it takes. */
+    public Permission checkHolding(long now, String lease, long actMicros) {
+        LeaseClient client = clients.get(lease);
+        long remaining = client == null ? 0 : client.remainingMicros(now);
+        return new Permission(remaining > actMicros, remaining > 0 ? client.token() : 0, remaining);
     }
 
     /**
-     * The same for somebody outside this process, who may act for as long as is said here without asking
-     * again: until then the lease is not handed on.
+     * The same for somebody outside this process, who may act for as long as the result says without asking again:
+     * until then the lease is not released.
      */
-    public Verdict promise(long now, String lease, long mostMicros) {
-        LeaseClient c = claimants.get(lease);
-        long left = c == null ? 0 : c.promise(now, mostMicros);
-        return new Verdict(left > 0, left > 0 ? c.token() : 0, left);
+    public Permission delegate(long now, String lease, long maxMicros) {
+        LeaseClient client = clients.get(lease);
+        long delegated = client == null ? 0 : client.delegate(now, maxMicros);
+        return new Permission(delegated > 0, delegated > 0 ? client.token() : 0, delegated);
     }
 
-    /** Something that was acted upon has seen a higher token: the next grant has to be above it. */
-    public void refusedBelow(String lease, long token) {
-        LeaseClient c = claimants.get(lease);
-        if (c != null) {
-            c.heardOf(token);
+    /** The receiver of an act has seen a higher token: the next grant has to be above it. */
+    public void observeToken(String lease, long token) {
+        LeaseClient client = clients.get(lease);
+        if (client != null) {
+            client.observeToken(token);
         }
     }
 
-    /** All leases that the plan names. */
+    /** All leases of the options by name. */
     public Map<String, Status> status(long now) {
-        Map<String, Status> all = new TreeMap<>();
-        claimants.forEach((lease, c) -> {
-            String by = c.holder(now);
-            all.put(
-                    lease,
-                    new Status(
-                            by.substring(0, Math.max(0, by.lastIndexOf('/'))),
-                            c.holds(now),
-                            c.holds(now) ? c.token() : 0,
-                            c.holds(now) ? c.left(now) : c.otherLeft(now)));
-        });
-        return all;
+        Map<String, Status> status = new TreeMap<>();
+        clients.forEach((lease, client) -> status.put(lease, status(now, client)));
+        return status;
+    }
+
+    private static Status status(long now, LeaseClient client) {
+        String holder = client.knownHolder(now);
+        String holderName = holder.substring(0, Math.max(0, holder.lastIndexOf(INCARNATION_SEPARATOR)));
+        return client.isHolder(now)
+                ? new Status(holderName, true, client.token(), client.remainingMicros(now))
+                : new Status(holderName, false, 0, client.otherRemainingMicros(now));
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/Preference.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Preference.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,77 +11,99 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * Which process comes first for which lease: rendezvous hashing with bounded loads (Mirrokni, Thorup and
- * Zadimoghaddam, 2018), the same wherever the same processes are known. A hint alone: who holds is up to the
- * keepers.
+ * The preferred holders of each lease: rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+ * 2018). The result is the same in all processes that know the same members. It is a hint only: who holds a lease is
+ * up to the grantors.
  */
 final class Preference {
 
-    /** More than an equal part, so that few move when one comes or goes. */
-    private static final double SLACK = 1.25;
+    /** A member may have so many times the mean, so that few leases move when a member joins or leaves. */
+    private static final double LOAD_FACTOR = 1.25;
 
-    private record Place(String first, long[] scores) {}
+    /**
+     * Preferences for one lease.
+     *
+     * @param first member that should hold it
+     * @param scores of the members by their index
+     */
+    private record Ranking(String first, long[] scores) {}
 
     private final List<String> members;
-    private final Map<String, Place> places = new HashMap<>();
-    private final int most;
+    private final Map<String, Ranking> rankings = new HashMap<>();
+    private final int maxLeasesPerMember;
 
-    /** @param members without doubles */
+    /** @param members names without duplicates */
     Preference(Collection<String> leases, Collection<String> members) {
         this.members = List.copyOf(new TreeSet<>(members));
-        most = Math.max(1, (int) Math.ceil(SLACK * leases.size() / Math.max(1, members.size())));
-        long[] ids = this.members.stream().mapToLong(Ids::of).toArray();
-        int[] loads = new int[ids.length];
-        // In the order of names, so that all who know the same count alike.
+        double meanLoad = LOAD_FACTOR * leases.size() / Math.max(1, members.size());
+        maxLeasesPerMember = Math.max(1, (int) Math.ceil(meanLoad));
+        long[] memberIds = this.members.stream().mapToLong(Ids::of).toArray();
+        int[] loads = new int[memberIds.length];
+        // In the order of names, so that all processes with the same members count alike.
         for (String lease : new TreeSet<>(leases)) {
-            long salt = Ids.of(lease);
-            long[] scores = new long[ids.length];
-            int first = -1;
-            for (int i = 0; i < ids.length; i++) {
-                scores[i] = Hashes.mix(ids[i], salt) >>> 1;
-                if (loads[i] < most && (first < 0 || scores[i] > scores[first])) {
-                    first = i;
-                }
-            }
+            long[] scores = scores(lease, memberIds);
+            int first = findFirst(scores, loads);
             if (first >= 0) {
                 loads[first]++;
             }
-            places.put(lease, new Place(first < 0 ? "" : this.members.get(first), scores));
+            rankings.put(lease, new Ranking(first < 0 ? "" : this.members.get(first), scores));
+        }
+    }
+
+    private static long[] scores(String lease, long[] memberIds) {
+        long salt = Ids.of(lease);
+        long[] scores = new long[memberIds.length];
+        for (int i = 0; i < memberIds.length; i++) {
+            scores[i] = Hashes.mix(memberIds[i], salt) >>> 1;
+        }
+        return scores;
+    }
+
+    /** Index of the highest score among members that may have another lease; -1 where there is none. */
+    private int findFirst(long[] scores, int[] loads) {
+        int first = -1;
+        for (int i = 0; i < scores.length; i++) {
+            if (loads[i] < maxLeasesPerMember && (first < 0 || scores[i] > scores[first])) {
+                first = i;
+            }
         }
+        return first;
     }
 
-    /** Who should have it; empty where nobody is known. */
+    /** The member that should hold the lease; empty where no member is known. */
     String first(String lease) {
-        return places.get(lease).first;
+        return rankings.get(lease).first;
     }
 
-    /** How many come before this one: none before whoever should have it, and that one before all others. */
+    /** How many members come before this one: none before the preferred one, and that one before all others. */
     int rank(String lease, String member) {
-        Place place = places.get(lease);
-        if (place.first.equals(member)) {
+        Ranking ranking = rankings.get(lease);
+        if (ranking.first.equals(member)) {
             return 0;
         }
-        int own = members.indexOf(member);
-        int before = 1;
+        int index = members.indexOf(member);
+        if (index < 0) {
+            return members.size();
+        }
+        int rank = 1;
         for (int i = 0; i < members.size(); i++) {
-            before += own >= 0
-                            && place.scores[i] > place.scores[own]
-                            && !members.get(i).equals(place.first)
-                    ? 1
-                    : 0;
+            boolean isBefore = ranking.scores[i] > ranking.scores[index];
+            if (isBefore && !members.get(i).equals(ranking.first)) {
+                rank++;
+            }
         }
-        return own < 0 ? members.size() : before;
+        return rank;
     }
 
-    /** Who should have it, and who would come next. */
-    List<String> firsts(String lease, int count) {
-        List<String> all = new ArrayList<>(members);
-        all.sort((a, b) -> Integer.compare(rank(lease, a), rank(lease, b)));
-        return all.subList(0, Math.min(count, all.size()));
+    /** The preferred holder and those that would come next. */
+    List<String> ranked(String lease, int count) {
+        List<String> ranked = new ArrayList<>(members);
+        ranked.sort(Comparator.comparingInt(member -> rank(lease, member)));
+        return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
-    /** Leases that one process has, at most, where all are in touch. */
-    int most() {
-        return most;
+    /** Leases that one member has, at most, where all are in contact. */
+    int maxLeasesPerMember() {
+        return maxLeasesPerMember;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/StateText.java
+++ b/src/main/java/org/cypressweir/fleet/lease/StateText.java
@@ -9,75 +9,80 @@
 import java.util.TreeSet;
 
 /**
- * The state of a world of leases as one text, the same for worlds that go on alike: times count from now,
- * tokens by their order and by whether they are next to each other, keepers by what is known of them.
+ * The state of a model of leases as one text for model checkers. States that behave alike from now on have the same
+ * text: times are relative to now, tokens are replaced by their order and by whether they are consecutive, and
+ * grantors are told apart by what is known of them only.
  */
 public final class StateText {
 
     private final StringBuilder common = new StringBuilder();
-    private final Map<InetSocketAddress, StringBuilder> keepers = new HashMap<>();
+    private final Map<InetSocketAddress, StringBuilder> textOfGrantors = new HashMap<>();
     private final List<Long> tokens = new ArrayList<>();
-    private final Map<InetSocketAddress, List<Long>> tokensOf = new HashMap<>();
+    private final Map<InetSocketAddress, List<Long>> tokensOfGrantors = new HashMap<>();
 
-    /** A time to come, from now; 0 for one that has come. */
-    public long after(long now, long at) {
+    /** Time that is left until then; 0 for a time in the past. */
+    public long remaining(long now, long at) {
         return Math.max(0, at - now);
     }
 
-    public void add(String what, long... numbers) {
-        common.append(what);
-        for (long n : numbers) {
-            common.append(' ').append(n);
+    public void add(String label, long... numbers) {
+        common.append(label);
+        for (long number : numbers) {
+            common.append(' ').append(number);
         }
         common.append(';');
     }
 
-    public void name(String name) {
+    public void addName(String name) {
         common.append(name).append(';');
     }
 
-    public void token(long token) {
+    public void addToken(long token) {
         tokens.add(token);
     }
 
-    /** Something about one keeper. */
-    public void of(InetSocketAddress keeper, String what) {
-        keepers.computeIfAbsent(keeper, k -> new StringBuilder()).append(what).append(';');
+    /** Something about one grantor. */
+    public void addOf(InetSocketAddress grantor, String text) {
+        textOfGrantors
+                .computeIfAbsent(grantor, address -> new StringBuilder())
+                .append(text)
+                .append(';');
     }
 
-    public void tokenOf(InetSocketAddress keeper, long token) {
-        tokensOf.computeIfAbsent(keeper, k -> new ArrayList<>()).add(token);
+    public void addTokenOf(InetSocketAddress grantor, long token) {
+        tokensOfGrantors.computeIfAbsent(grantor, address -> new ArrayList<>()).add(token);
     }
 
-    /** Tokens as small numbers that keep their order, and who is next to whom. */
-    private Map<Long, Integer> small() {
-        TreeSet<Long> all = new TreeSet<>(tokens);
-        tokensOf.values().forEach(all::addAll);
-        Map<Long, Integer> small = new TreeMap<>();
-        long before = 0;
+    /** Small numbers for tokens that keep their order and whether two are consecutive. */
+    private Map<Long, Integer> normalizedTokens() {
+        TreeSet<Long> sorted = new TreeSet<>(tokens);
+        tokensOfGrantors.values().forEach(sorted::addAll);
+        Map<Long, Integer> normalized = new TreeMap<>();
+        long previous = 0;
         int number = 0;
-        for (long token : all) {
-            // That none was ever given is told from any number.
-            number += (int) Math.min(2, token - before);
-            small.put(token, number);
-            before = token;
+        for (long token : sorted) {
+            // 0, for no token, differs from any token.
+            number += (int) Math.min(2, token - previous);
+            normalized.put(token, number);
+            previous = token;
         }
-        return small;
+        return normalized;
     }
 
     @Override
     public String toString() {
-        Map<Long, Integer> small = small();
+        Map<Long, Integer> normalized = normalizedTokens();
         StringBuilder text = new StringBuilder(common);
-        tokens.forEach(t -> text.append(small.get(t)).append(','));
-        List<String> each = new ArrayList<>();
-        for (InetSocketAddress keeper : keepers.keySet()) {
-            StringBuilder its = new StringBuilder(keepers.get(keeper));
-            tokensOf.getOrDefault(keeper, List.of())
-                    .forEach(t -> its.append(small.get(t)).append(','));
-            each.add(its.toString());
+        tokens.forEach(token -> text.append(normalized.get(token)).append(','));
+        List<String> texts = new ArrayList<>();
+        for (InetSocketAddress grantor : textOfGrantors.keySet()) {
+            StringBuilder ofGrantor = new StringBuilder(textOfGrantors.get(grantor));
+            tokensOfGrantors
+                    .getOrDefault(grantor, List.of())
+                    .forEach(token -> ofGrantor.append(normalized.get(token)).append(','));
+            texts.add(ofGrantor.toString());
         }
-        each.sort(null);
-        return text.append(each).toString();
+        texts.sort(null);
+        return text.append(texts).toString();
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/package-info.java
+++ b/src/main/java/org/cypressweir/fleet/lease/package-info.java
@@ -1,2 +1,5 @@
-/** Leases for tasks of the whole fleet, by grace of most keepers. Decisions only: no I/O, no clock. */
+/**
+ * Leases for tasks of the whole fleet: a process holds a lease while a quorum of grantors has granted it. Decisions
+ * only: no I/O, no thread, no clock.
+ */
 package org.cypressweir.fleet.lease;
--- a/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
@@ -120,7 +120,7 @@
     /** What comes of leases. */
     private final class Tasks implements Leases.Actions {
         @Override
-        public void send(InetSocketAddress to, LeaseMessage word) {
+        public void send(InetSocketAddress to, LeaseMessage message) {
             FleetSocket.this.send(
                     to,
                     new MembershipMessage(
@@ -133,19 +133,19 @@
                             List.of(),
                             List.of(),
                             "",
-                            LeaseMessageCodec.write(word)));
+                            LeaseMessageCodec.write(message)));
         }
 
         @Override
-        public void began(String lease, long token) {
+        public void acquired(String lease, long token) {
             note("lease_began", lease, String.valueOf(token));
             opening.log().accept("lease: holds " + lease + ", token " + token);
         }
 
         @Override
-        public void ended(String lease, long token, String why) {
-            note("lease_ended", lease, token + " " + why);
-            opening.log().accept("lease: gives up " + lease + ", token " + token + ": " + why);
+        public void ended(String lease, long token, String reason) {
+            note("lease_ended", lease, token + " " + reason);
+            opening.log().accept("lease: gives up " + lease + ", token " + token + ": " + reason);
         }
     }
 
@@ -160,7 +160,7 @@
                 .filter(e -> "serving".equals(e.facts().get("state")))
                 .forEach(e -> living.put(e.peer().name(), e.peer().address()));
         living.put(opening.name(), plan.advertise());
-        leases.members(living);
+        leases.updateMembers(living);
     }
 
     private void borrowed(Lending.Loan loan) {
@@ -284,7 +284,7 @@
         if (!leaving) {
             borrow();
         }
-        if (leaving && membership.hasLeft() && (leases == null || leases.quiet())) {
+        if (leaving && membership.hasLeft() && (leases == null || leases.hasReleasedAll())) {
             note("closed", opening.name(), "");
             channel.close();
             return;
@@ -374,9 +374,9 @@
     }
 
     @Override
-    public void refused(String why) {
-        note("refused", opening.name(), why);
-        opening.refused().accept(why);
+    public void refused(String reason) {
+        note("refused", opening.name(), reason);
+        opening.refused().accept(reason);
     }
 
     @Override
@@ -399,7 +399,7 @@
         }
         String state = String.valueOf(facts.get("state"));
         if (state.equals("serving") || state.equals("starting")) {
-            leases.stay();
+            leases.rejoin();
         } else {
             leases.leave(now(), "it is " + state);
         }
@@ -427,7 +427,7 @@
             plan = plan.leasing(next);
             return;
         }
-        String why = leases.retune(now(), next);
+        String why = leases.reconfigure(now(), next);
         if (why == null) {
             plan = plan.leasing(next);
         } else {
@@ -444,13 +444,13 @@
         if (status == null) {
             return "NO lease '" + lease + "' is not in the file";
         }
-        Leases.Verdict promised = leases.promise(now(), lease, PROMISE_MICROS);
-        if (promised.acting()) {
-            return "YES " + promised.token() + ' ' + promised.leftMicros() / 1_000;
+        Leases.Permission permission = leases.delegate(now(), lease, PROMISE_MICROS);
+        if (permission.mayAct()) {
+            return "YES " + permission.token() + ' ' + permission.remainingMicros() / 1_000;
         }
         return status.holder().isEmpty()
                 ? "NO holder is known"
-                : "NO held by " + status.holder() + " for " + status.leftMicros() / 1_000 + " ms at most";
+                : "NO held by " + status.holder() + " for " + status.remainingMicros() / 1_000 + " ms at most";
     }
 
     @Override
@@ -465,9 +465,9 @@
             for (Map.Entry<String, Leases.Status> l : leases.status(now()).entrySet()) {
                 out.writeObjectFieldStart(l.getKey());
                 out.writeStringField("holder", l.getValue().holder());
-                out.writeBooleanField("held", l.getValue().held());
+                out.writeBooleanField("held", l.getValue().isHeldHere());
                 out.writeNumberField("token", l.getValue().token());
-                out.writeNumberField("left_ms", l.getValue().leftMicros() / 1_000);
+                out.writeNumberField("left_ms", l.getValue().remainingMicros() / 1_000);
                 out.writeEndObject();
             }
             out.writeEndObject();
--- a/src/main/java/org/cypressweir/fleet/transport/LeaseMessageCodec.java
+++ b/src/main/java/org/cypressweir/fleet/transport/LeaseMessageCodec.java
@@ -14,25 +14,25 @@
 /** Words about leases as the load of a datagram: one CBOR array each. */
 final class LeaseMessageCodec {
 
-    private static final int MOST_TEXT = 200;
+    private static final int MAX_TEXT_LENGTH = 200;
     private static final CBORFactory CBOR = new CBORFactory();
 
     private LeaseMessageCodec() {}
 
-    static byte[] write(LeaseMessage w) {
+    static byte[] write(LeaseMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
-            out.writeNumber(w.kind().ordinal());
-            out.writeString(w.lease());
-            out.writeString(w.holder());
-            out.writeNumber(w.token());
-            out.writeNumber(w.number());
-            out.writeNumber(w.micros());
-            out.writeNumber(w.set());
-            for (Map.Entry<String, Long> top : w.tops().entrySet()) {
-                out.writeString(top.getKey());
-                out.writeNumber(top.getValue());
+            out.writeNumber(message.kind().ordinal());
+            out.writeString(message.lease());
+            out.writeString(message.holder());
+            out.writeNumber(message.token());
+            out.writeNumber(message.requestNumber());
+            out.writeNumber(message.micros());
+            out.writeNumber(message.grantorSetId());
+            for (Map.Entry<String, Long> entry : message.highestTokens().entrySet()) {
+                out.writeString(entry.getKey());
+                out.writeNumber(entry.getValue());
             }
             out.writeEndArray();
         } catch (IOException e) {
@@ -43,42 +43,50 @@
 
     static LeaseMessage read(byte[] load) throws MembershipMessageCodec.Dropped {
         try (JsonParser in = CBOR.createParser(load)) {
-            need(in.nextToken() == JsonToken.START_ARRAY);
+            require(in.nextToken() == JsonToken.START_ARRAY);
             long kind = number(in);
-            need(kind >= 0 && kind < LeaseMessage.Kind.values().length);
+            require(kind >= 0 && kind < LeaseMessage.Kind.values().length);
             String lease = text(in);
             String holder = text(in);
             long token = number(in);
-            long asked = number(in);
+            long requestNumber = number(in);
             long micros = number(in);
-            long set = number(in);
-            need(token >= 0 && micros >= 0);
-            Map<String, Long> tops = new LinkedHashMap<>();
+            long grantorSetId = number(in);
+            require(token >= 0 && micros >= 0);
+            Map<String, Long> highestTokens = new LinkedHashMap<>();
             while (in.nextToken() == JsonToken.VALUE_STRING) {
-                need(tops.size() < LeaseMessage.MOST_TOPS && in.getText().length() <= MOST_TEXT);
-                tops.put(in.getText(), number(in));
+                require(highestTokens.size() < LeaseMessage.MAX_TOKENS
+                        && in.getText().length() <= MAX_TEXT_LENGTH);
+                highestTokens.put(in.getText(), number(in));
             }
-            need(in.currentToken() == JsonToken.END_ARRAY);
+            require(in.currentToken() == JsonToken.END_ARRAY);
             return new LeaseMessage(
-                    LeaseMessage.Kind.values()[(int) kind], lease, holder, token, asked, micros, set, tops);
+                    LeaseMessage.Kind.values()[(int) kind],
+                    lease,
+                    holder,
+                    token,
+                    requestNumber,
+                    micros,
+                    grantorSetId,
+                    highestTokens);
         } catch (IOException e) {
             throw new MembershipMessageCodec.Dropped(MembershipMessageCodec.Fault.NONSENSE);
         }
     }
 
-    private static void need(boolean holds) throws MembershipMessageCodec.Dropped {
-        if (!holds) {
+    private static void require(boolean isValid) throws MembershipMessageCodec.Dropped {
+        if (!isValid) {
             throw new MembershipMessageCodec.Dropped(MembershipMessageCodec.Fault.NONSENSE);
         }
     }
 
     private static long number(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
-        need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+        require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
     private static String text(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
-        need(in.nextToken() == JsonToken.VALUE_STRING && in.getText().length() <= MOST_TEXT);
+        require(in.nextToken() == JsonToken.VALUE_STRING && in.getText().length() <= MAX_TEXT_LENGTH);
         return in.getText();
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Walks that fit into a run of the tests, and faults that they find. */
+/** Models that are small enough for a run of the tests, and planted faults that the checker finds. */
 class LeaseWalkTest {
 
     private static final long STATES = 12_000;
@@ -23,7 +23,7 @@
     @CsvSource({"0,0,false", "2,0,false", "0,1,false", "1,1,true"})
     void noOrderOfEventsLetsTwoAct(int pauses, int restarts, boolean together) {
         LeaseWalk.Result r = LeaseWalk.walk(new LeaseWalk.Shape(3, 2, false, pauses, restarts, together), STATES);
-        assertNull(r.breach());
+        assertNull(r.violation());
         assertTrue(r.held() > 1_000, r.toString());
     }
 
@@ -31,13 +31,13 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a keeper does not wait after its start ~ 0 ~ 1 ~ LeaseGrantor.java "
-                        + "~ silentUntil = now + plan.kept(plan.mostTermMicros()); ~ silentUntil = now;",
-                "one keeper is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
-                "a keeper lets go early ~ 0 ~ 0 ~ LeaseGrantor.java ~ held.until <= now || held.holder "
-                        + "~ held.until <= now + 300_000 || held.holder",
-                "drift is taken the wrong way ~ 0 ~ 0 ~ LeaseOptions.java ~ (1 + drift) / (1 - drift) "
-                        + "~ (1 - 2 * drift) / (1 + 2 * drift)",
+                "a grantor does not wait after its start ~ 0 ~ 1 ~ LeaseGrantor.java "
+                        + "~ silentUntil = now + options.grantMicros(options.maxTermMicros()); ~ silentUntil = now;",
+                "one grantor is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (request.isGranted(options) && now < ~ if (now < ",
+                "a grantor releases early ~ 0 ~ 0 ~ LeaseGrantor.java ~ grant.expiresAt <= now || isRequesters "
+                        + "~ grant.expiresAt <= now + 300_000 || isRequesters",
+                "drift is taken the wrong way ~ 0 ~ 0 ~ LeaseOptions.java ~ (1 + clockDrift) / (1 - clockDrift) "
+                        + "~ (1 - 2 * clockDrift) / (1 + 2 * clockDrift)",
             })
     void eachFaultIsFound(String fault, int pauses, int restarts, String file, String text, String instead)
             throws Exception {
--- a/src/test/java/org/cypressweir/fleet/lease/GoldenPreferenceTest.java
+++ b/src/test/java/org/cypressweir/fleet/lease/GoldenPreferenceTest.java
@@ -30,7 +30,7 @@
         Golden.assertSame(
                 "hashes/lease-preferences.txt",
                 leases.stream()
-                        .map(lease -> lease + " " + String.join(" ", preference.firsts(lease, NEXT)))
+                        .map(lease -> lease + " " + String.join(" ", preference.ranked(lease, NEXT)))
                         .toList());
     }
 
@@ -39,8 +39,8 @@
         List<InetSocketAddress> three = List.of(address(1), address(2), address(3));
         List<InetSocketAddress> others = List.of(address(3), address(4), address(5));
         List<String> lines = new ArrayList<>();
-        lines.add(Long.toHexString(new LeaseOptions(three, null, 1, 0.01, false, Map.of()).set()));
-        lines.add(Long.toHexString(new LeaseOptions(others, three, 1, 0.01, false, Map.of()).set()));
+        lines.add(Long.toHexString(new LeaseOptions(three, null, 1, 0.01, false, Map.of()).grantorSetId()));
+        lines.add(Long.toHexString(new LeaseOptions(others, three, 1, 0.01, false, Map.of()).grantorSetId()));
         Golden.assertSame("hashes/keeper-sets.txt", lines);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/LeaseChecks.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseChecks.java
@@ -73,7 +73,7 @@
     private static void fault(LeaseWorld w, SplittableRandom random, int processes, boolean mostKeepersLive) {
         int one = random.nextInt(processes);
         int other = random.nextInt(processes);
-        int keepers = w.plan.keepers().size();
+        int keepers = w.plan.grantors().size();
         switch (random.nextInt(14)) {
             case 0 -> w.net.kill(mostKeepersLive && one < keepers ? 0 : one);
             case 1, 2 -> w.stand(one);
@@ -103,7 +103,7 @@
                     } else if (!w.net.runs(i)) {
                         w.start(i);
                     }
-                    w.all[i].leases.stay();
+                    w.all[i].leases.rejoin();
                 }
             }
         }
@@ -119,7 +119,7 @@
             }
             w.run(LeaseWorld.BEAT);
             for (LeaseWorld.One one : w.all) {
-                one.leases.stay();
+                one.leases.rejoin();
                 one.leases.receive(one.clock(), MembershipSimulation.address(0), hint());
             }
             long begun = w.net.now();
@@ -200,7 +200,7 @@
             LeaseWorld.One one = w.all[3 + i % 3];
             one.leases.leave(one.clock(), "told to");
             w.run(TERM);
-            one.leases.stay();
+            one.leases.rejoin();
         }
         for (int i : new int[] {3, 4, 5, 0}) {
             w.start(i);
@@ -222,16 +222,21 @@
         LeaseOptions old = w.plan;
         List<InetSocketAddress> next = List.of(
                 MembershipSimulation.address(0), MembershipSimulation.address(3), MembershipSimulation.address(4));
-        LeaseOptions both =
-                new LeaseOptions(next, old.keepers(), old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
-        LeaseOptions alone =
-                new LeaseOptions(next, null, old.mostTermMicros(), old.drift(), old.wallClock(), old.terms());
-        hold(w.all[5].leases.retune(w.all[5].clock(), alone) != null, "majorities that need not meet", seed);
+        LeaseOptions both = new LeaseOptions(
+                next,
+                old.grantors(),
+                old.maxTermMicros(),
+                old.clockDrift(),
+                old.trustsWallClock(),
+                old.termMicrosByLease());
+        LeaseOptions alone = new LeaseOptions(
+                next, null, old.maxTermMicros(), old.clockDrift(), old.trustsWallClock(), old.termMicrosByLease());
+        hold(w.all[5].leases.reconfigure(w.all[5].clock(), alone) != null, "majorities that need not meet", seed);
         for (LeaseOptions plan : List.of(both, alone)) {
             for (int i : random.ints(0, 7).distinct().limit(7).toArray()) {
                 int split = random.nextInt(7);
                 w.net.cut((from, to) -> from < split == to < split);
-                hold(w.all[i].leases.retune(w.all[i].clock(), plan) == null, "a step that is safe", seed);
+                hold(w.all[i].leases.reconfigure(w.all[i].clock(), plan) == null, "a step that is safe", seed);
                 w.run(random.nextLong(3 * TERM));
                 hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
             }
@@ -243,7 +248,7 @@
 
     private static Map<String, Integer> holders(LeaseWorld w) {
         Map<String, Integer> holders = new TreeMap<>();
-        w.plan.terms().keySet().forEach(l -> holders.put(l, w.holder(l)));
+        w.plan.termMicrosByLease().keySet().forEach(l -> holders.put(l, w.holder(l)));
         return holders;
     }
 
@@ -288,7 +293,7 @@
         int most = 0;
         for (int i = 0; i < 9; i++) {
             int place = i;
-            most = Math.max(most, (int) w.plan.terms().keySet().stream()
+            most = Math.max(most, (int) w.plan.termMicrosByLease().keySet().stream()
                     .filter(l -> w.holder(l) == place)
                     .count());
         }
@@ -310,7 +315,7 @@
                 seed);
         for (int i = 3; i < 10; i++) {
             LeaseWorld.One one = w.all[i];
-            List<String> its = w.plan.terms().keySet().stream()
+            List<String> its = w.plan.termMicrosByLease().keySet().stream()
                     .filter(l -> w.holder(l) == one.place)
                     .toList();
             one.leases.leave(one.clock(), "told to");
@@ -319,7 +324,7 @@
                 w.run(LeaseWorld.BEAT / 4);
                 hold(w.net.now() - begun < 400_000, "not handed on within 400 ms", seed);
             }
-            one.leases.stay();
+            one.leases.rejoin();
             w.run(TERM);
         }
         hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
--- a/src/test/java/org/cypressweir/simulation/LeaseWorld.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseWorld.java
@@ -21,7 +21,7 @@
     static final double DRIFT = 0.05;
     static final long BEAT = 20_000;
 
-    record AddressedMessage(InetSocketAddress from, LeaseMessage word) {}
+    record AddressedMessage(InetSocketAddress from, LeaseMessage message) {}
 
     final SimulatedNetwork<AddressedMessage> net;
     final SplittableRandom random;
@@ -107,20 +107,20 @@
         }
 
         @Override
-        public void send(InetSocketAddress to, LeaseMessage word) {
+        public void send(InetSocketAddress to, LeaseMessage message) {
             net.send(
                     place,
                     to.getPort() - MembershipSimulation.address(0).getPort(),
-                    new AddressedMessage(MembershipSimulation.address(place), word));
+                    new AddressedMessage(MembershipSimulation.address(place), message));
         }
 
         @Override
-        public void began(String lease, long token) {
+        public void acquired(String lease, long token) {
             changes.add(lease + " " + place);
         }
 
         @Override
-        public void ended(String lease, long token, String why) {}
+        public void ended(String lease, long token, String reason) {}
 
         @Override
         public void tick(long now) {
@@ -130,7 +130,7 @@
         @Override
         public void receive(long now, AddressedMessage m) {
             heard[place]++;
-            leases.receive(clock(), m.from, m.word);
+            leases.receive(clock(), m.from, m.message);
         }
     }
 
@@ -156,7 +156,7 @@
         }
         for (One one : all) {
             if (living.containsKey("n" + one.place)) {
-                one.leases.members(living);
+                one.leases.updateMembers(living);
             }
         }
     }
@@ -170,13 +170,13 @@
     }
 
     private void look() {
-        for (String lease : plan.terms().keySet()) {
+        for (String lease : plan.termMicrosByLease().keySet()) {
             boolean held = false;
             for (One one : all) {
                 if (net.runs(one.place) && !one.stands) {
-                    Leases.Verdict v = one.leases.acting(one.clock(), lease, 0);
-                    if (v.acting()) {
-                        acts.act(lease, "n" + one.place + "/" + one.life, net.now(), v.token());
+                    Leases.Permission permission = one.leases.checkHolding(one.clock(), lease, 0);
+                    if (permission.mayAct()) {
+                        acts.act(lease, "n" + one.place + "/" + one.life, net.now(), permission.token());
                         held = true;
                     }
                 }
@@ -194,14 +194,14 @@
 
     /** Whether each lease is held by one that runs. */
     boolean allHeld() {
-        return plan.terms().keySet().stream().allMatch(lease -> holder(lease) >= 0);
+        return plan.termMicrosByLease().keySet().stream().allMatch(lease -> holder(lease) >= 0);
     }
 
     int holder(String lease) {
         for (One one : all) {
             if (net.runs(one.place)
                     && !one.stands
-                    && one.leases.acting(one.clock(), lease, 0).acting()) {
+                    && one.leases.checkHolding(one.clock(), lease, 0).mayAct()) {
                 return one.place;
             }
         }
--- a/src/test/java/org/cypressweir/simulation/PlantedLeaseFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedLeaseFaultsTest.java
@@ -21,42 +21,49 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a keeper does not wait after its start ~ faults ~ LeaseGrantor.java "
-                        + "~ silentUntil = now + plan.kept(plan.mostTermMicros()); ~ silentUntil = now;",
+                "a grantor does not wait after its start ~ faults ~ LeaseGrantor.java "
+                        + "~ silentUntil = now + options.grantMicros(options.maxTermMicros()); ~ silentUntil = now;",
                 "a term counts from the answer ~ late answers ~ LeaseClient.java "
-                        + "~ grantedAt.merge(keeper, round.askedAt, Math::max); "
-                        + "~ grantedAt.merge(keeper, now, Math::max);",
-                "a token that was used is granted again ~ faults ~ LeaseGrantor.java ~ free && w.token() > top "
-                        + "~ free && w.token() >= top",
-                "one keeper is enough ~ faults ~ LeaseClient.java ~ if (plan.most(round.yes) && now < ~ if (now < ",
-                "a renewal skips the majority ~ faults ~ LeaseClient.java "
-                        + "~ best = plan.most(by) ? Math.max(best, at) : best; ~ best = Math.max(best, at);",
-                "the drift is left out ~ faults ~ LeaseOptions.java ~ (1 + drift) / (1 - drift) ~ 1.0",
-                "the drift is taken the wrong way ~ faults ~ LeaseOptions.java ~ (1 + drift) / (1 - drift) "
-                        + "~ (1 - drift) / (1 + drift)",
-                "a holder does not look at its clock ~ faults ~ LeaseClient.java "
-                        + "~ return holds(now) ? until - now : 0; "
-                        + "~ return holds ? term() : 0;",
-                "a keeper lets go early ~ faults ~ LeaseGrantor.java ~ held.until <= now || held.holder "
-                        + "~ held.until <= now + 500_000 || held.holder",
-                "anybody gives back what has the same token ~ faults ~ LeaseGrantor.java "
-                        + "~ if (held != null && held.holder.equals(w.holder()) && held.token == w.token() "
-                        + "~ if (held != null && held.token == w.token() ",
-                "a keeper forgets tokens ~ faults ~ LeaseGrantor.java ~ tops.put(w.lease(), w.token()); ~ ",
-                "a keeper that forgot takes itself to know ~ forgetful ~ LeaseGrantor.java "
-                        + "~ complete = plan.most(learnedFrom); ~ complete = true;",
-                "the old keepers are not asked ~ keepers ~ LeaseOptions.java "
-                        + "~ return most(keepers, yes) && (before == null || most(before, yes)); "
-                        + "~ return most(keepers, yes);",
-                "any keepers may follow ~ keepers ~ LeaseOptions.java "
-                        + "~ if (same && (before == null || now.before != null && set(before) == set(now.before))) { "
+                        + "~ grantTimes.record(grantor, request.sentAt); "
+                        + "~ grantTimes.record(grantor, now);",
+                "a token that was used is granted again ~ faults ~ LeaseGrantor.java "
+                        + "~ isFree && request.token() > highestToken "
+                        + "~ isFree && request.token() >= highestToken",
+                "one grantor is enough ~ faults ~ LeaseClient.java ~ if (request.isGranted(options) && now < "
+                        + "~ if (now < ",
+                "a renewal skips the majority ~ faults ~ GrantTimes.java "
+                        + "~ latest = options.isQuorum(grantors) ? Math.max(latest, sentAt) : latest; "
+                        + "~ latest = Math.max(latest, sentAt);",
+                "the drift is left out ~ faults ~ LeaseOptions.java ~ (1 + clockDrift) / (1 - clockDrift) ~ 1.0",
+                "the drift is taken the wrong way ~ faults ~ LeaseOptions.java ~ (1 + clockDrift) / (1 - clockDrift) "
+                        + "~ (1 - clockDrift) / (1 + clockDrift)",
+                "a holder ignores its clock ~ faults ~ LeaseClient.java "
+                        + "~ return isHolder(now) ? expiresAt - now : 0; "
+                        + "~ return isHolding ? termMicros() : 0;",
+                "a grantor releases early ~ faults ~ LeaseGrantor.java ~ grant.expiresAt <= now || isRequesters "
+                        + "~ grant.expiresAt <= now + 500_000 || isRequesters",
+                "anybody releases what has the same token ~ faults ~ LeaseGrantor.java "
+                        + "~ if (grant != null && grant.isOf(release.holder()) && grant.token == release.token() "
+                        + "~ if (grant != null && grant.token == release.token() ",
+                "a grantor forgets tokens ~ faults ~ TokenRecovery.java ~ highestTokens.put(lease, token); ~ ",
+                "a grantor that lost its state takes itself to know ~ forgetful ~ TokenRecovery.java "
+                        + "~ isComplete = options.isQuorum(completeSources); ~ isComplete = true;",
+                "the old grantors are not asked ~ keepers ~ LeaseOptions.java "
+                        + "~ return isMajority(grantors, members) "
+                        + "&& (previousGrantors == null || isMajority(previousGrantors, members)); "
+                        + "~ return isMajority(grantors, members);",
+                "any grantors may follow ~ keepers ~ LeaseOptions.java "
+                        + "~ if (sameGrantors && (previousGrantors == null || hasPreviousGrantorsOf(current))) { "
                         + "~ if (true) {",
-                "who is not heard goes on asking ~ one way ~ LeaseClient.java ~ if (!heard) { ~ if (false) {",
-                "a renewal comes too late ~ quiet ~ LeaseClient.java ~ private static final int RENEWALS = 5; "
-                        + "~ private static final int RENEWALS = 1;",
-                "a refusal teaches no token ~ takeover ~ LeaseClient.java ~ seen = Math.max(seen, w.token()); ~ ",
-                "a hint is not heeded ~ handover ~ Leases.java ~ c.hint(now, w.token(), w.micros()); ~ ",
-                "one takes all ~ handover ~ Preference.java ~ loads[i] < most && ~ ",
+                "who gets no response goes on requesting ~ one way ~ LeaseClient.java ~ if (!isAnswered) { "
+                        + "~ if (false) {",
+                "a renewal comes too late ~ quiet ~ LeaseClient.java ~ private static final int RENEWALS_PER_TERM = 5; "
+                        + "~ private static final int RENEWALS_PER_TERM = 1;",
+                "a refusal teaches no token ~ takeover ~ LeaseClient.java "
+                        + "~ highestToken = Math.max(highestToken, refusal.token()); ~ ",
+                "a hint is not heeded ~ handover ~ Leases.java "
+                        + "~ client.receiveHint(now, message.token(), message.micros()); ~ ",
+                "one takes all ~ handover ~ Preference.java ~ loads[i] < maxLeasesPerMember && ~ ",
             })
     void eachIsFound(String fault, String check, String file, String text, String instead) throws Exception {
         ClassLoader planted = new PlantedFault(
