--- a/src/bench/java/org/cypressweir/simulation/MembershipBench.java
+++ b/src/bench/java/org/cypressweir/simulation/MembershipBench.java
@@ -170,7 +170,7 @@
     private static Fleet ours(int n, long seed) {
         MembershipSimulation f = new MembershipSimulation(seed, n, 3, PAUSE);
         f.startTogether();
-        return new Fleet(f.net, (by, member) -> f.get(by).core().isIn("n" + member), f::bytes, to -> {
+        return new Fleet(f.net, (by, member) -> f.get(by).core().isInView("n" + member), f::bytes, to -> {
             f.changes.clear();
             f.onChange(s -> to.put(
                     s.by(),
--- a/src/main/java/org/cypressweir/fleet/membership/Allowance.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Allowance.java
@@ -1,29 +1,34 @@
 package org.cypressweir.fleet.membership;
 
-/** Bytes that may be sent, whatever others want to hear: a token bucket. */
+/** A token bucket of bytes: bounds what a process sends, whatever others ask of it. */
 final class Allowance {
 
-    private final double perMicro;
-    private final double most;
-    private double left;
-    private long filledAt = Long.MIN_VALUE;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final long NEVER = Long.MIN_VALUE;
+
+    private final double bytesPerMicro;
+    private final double capacityBytes;
+    private double availableBytes;
+    private long filledAt = NEVER;
 
     /** So many bytes a second, and as many at once. */
-    Allowance(int perSecond) {
-        perMicro = perSecond / 1e6;
-        most = perSecond;
-        left = perSecond;
+    Allowance(int bytesPerSecond) {
+        bytesPerMicro = bytesPerSecond / MICROS_PER_SECOND;
+        capacityBytes = bytesPerSecond;
+        availableBytes = bytesPerSecond;
     }
 
+    /** Takes so many bytes if they are available. */
     boolean spend(long now, int bytes) {
-        if (filledAt != Long.MIN_VALUE) {
-            left = Math.min(most, left + Math.max(0, now - filledAt) * perMicro);
+        if (filledAt != NEVER) {
+            double filledBytes = Math.max(0, now - filledAt) * bytesPerMicro;
+            availableBytes = Math.min(capacityBytes, availableBytes + filledBytes);
         }
         filledAt = Math.max(filledAt, now);
-        if (left < bytes) {
+        if (availableBytes < bytes) {
             return false;
         }
-        left -= bytes;
+        availableBytes -= bytes;
         return true;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/FailureReports.java
+++ b/src/main/java/org/cypressweir/fleet/membership/FailureReports.java
@@ -6,67 +6,65 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What processes say of their contact with others. Words that are not repeated fade. */
+/** The reports of all members on their contacts. A report that is not repeated expires. */
 final class FailureReports {
 
-    /** Said again after so many periods while it holds, and forgotten after so many without a word. */
-    static final int REPEAT = 12;
+    /** Periods after which a report that still holds is repeated. */
+    static final int REPEAT_PERIODS = 12;
 
-    private static final int FADE = 3 * REPEAT;
-    /** Reports on one member at most: neighbours, and those that looked for it. */
-    private static final int MOST = 64;
+    private static final int EXPIRY_PERIODS = 3 * REPEAT_PERIODS;
+    /** Reporters on one member, at most: its neighbors, and those that have probed it directly. */
+    private static final int MAX_REPORTERS = 64;
 
-    private record Kept(FailureReport report, long at) {}
+    private record ReceivedReport(FailureReport report, long receivedAt) {}
 
-    private final Map<String, Map<String, Kept>> about = new TreeMap<>();
+    /** By subject, then by reporter. */
+    private final Map<String, Map<String, ReceivedReport>> reports = new TreeMap<>();
 
-    /** Takes a report that is newer than the one by the same process; whether it is. */
-    boolean take(long now, FailureReport report) {
-        Map<String, Kept> known = about.computeIfAbsent(report.about(), n -> new HashMap<>());
-        Kept before = known.get(report.reporter());
-        boolean later = before == null
-                ? known.size() < MOST
-                : report.reporterIncarnation() > before.report.reporterIncarnation()
-                        || report.reporterIncarnation() == before.report.reporterIncarnation()
-                                && report.number() > before.report.number();
-        if (later) {
-            known.put(report.reporter(), new Kept(report, now));
+    /** Adds a report if it is newer than the last one by the same reporter; whether it is. */
+    boolean add(long now, FailureReport report) {
+        Map<String, ReceivedReport> ofSubject = reports.computeIfAbsent(report.subject(), name -> new HashMap<>());
+        ReceivedReport last = ofSubject.get(report.reporter());
+        boolean isNews = last == null ? ofSubject.size() < MAX_REPORTERS : report.isNewerThan(last.report);
+        if (isNews) {
+            ofSubject.put(report.reporter(), new ReceivedReport(report, now));
         }
-        return later;
+        return isNews;
     }
 
-    boolean none() {
-        return about.isEmpty();
+    boolean isEmpty() {
+        return reports.isEmpty();
     }
 
-    /** Names that something is said about. */
+    /** Names that are reported on. */
     List<String> subjects() {
-        return new ArrayList<>(about.keySet());
+        return new ArrayList<>(reports.keySet());
     }
 
-    List<FailureReport> on(String name) {
-        List<FailureReport> list = new ArrayList<>();
-        about.getOrDefault(name, Map.of()).values().forEach(k -> list.add(k.report));
-        return list;
+    List<FailureReport> about(String subject) {
+        List<FailureReport> about = new ArrayList<>();
+        reports.getOrDefault(subject, Map.of()).values().forEach(received -> about.add(received.report));
+        return about;
     }
 
-    /** The last word of one process on another; null for none. */
-    FailureReport by(String reporter, String name) {
-        Kept kept = about.getOrDefault(name, Map.of()).get(reporter);
-        return kept == null ? null : kept.report;
+    /** The last report of one member on another; null for none. */
+    FailureReport findBy(String reporter, String subject) {
+        ReceivedReport received = reports.getOrDefault(subject, Map.of()).get(reporter);
+        return received == null ? null : received.report;
     }
 
-    void forget(String name) {
-        about.remove(name);
+    void forget(String subject) {
+        reports.remove(subject);
     }
 
-    /** Whether any report has faded since the last call. */
-    boolean fade(long now, long periodMicros) {
-        boolean faded = false;
-        for (Map<String, Kept> known : about.values()) {
-            faded |= known.values().removeIf(k -> now - k.at > FADE * periodMicros);
+    /** Removes expired reports; whether there were any. */
+    boolean expire(long now, long periodMicros) {
+        boolean hasExpired = false;
+        for (Map<String, ReceivedReport> ofSubject : reports.values()) {
+            hasExpired |=
+                    ofSubject.values().removeIf(received -> now - received.receivedAt > EXPIRY_PERIODS * periodMicros);
         }
-        about.values().removeIf(Map::isEmpty);
-        return faded;
+        reports.values().removeIf(Map::isEmpty);
+        return hasExpired;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/Lending.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Lending.java
@@ -273,7 +273,7 @@
                 && lender.revision == m.digest()
                 && all == pages.length
                 && pages[page] == null) {
-            pages[page] = m.load();
+            pages[page] = m.payload();
             heardAt = now;
             fetch(now, self);
         }
--- a/src/main/java/org/cypressweir/fleet/membership/MemberRecord.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberRecord.java
@@ -5,14 +5,18 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * What is known of one name. Of any two entries for a name all processes keep the same one, or the same mix
- * of both, in whatever order they come.
+ * What is known of one name. Merging is commutative, so all processes end with the same record in whatever order they
+ * receive records.
  *
  * @param version of the facts
  * @param facts what the member says of itself, such as where clients reach it
- * @param age seconds since it ended, as the sender counts; 0 for one that has not
+ * @param endedSeconds seconds since it was removed or left, by the sender's clock; 0 for any other
  */
-public record MemberRecord(Peer peer, MemberStatus standing, int version, Map<String, String> facts, int age) {
+public record MemberRecord(Peer peer, MemberStatus status, int version, Map<String, String> facts, int endedSeconds) {
+
+    private static final int BASE_BYTES = 64;
+    private static final int BASE_BYTES_PER_FACT = 4;
+    private static final int MAX_BYTES_PER_CHARACTER = 3;
 
     String name() {
         return peer.name();
@@ -22,57 +26,65 @@
         return peer.incarnation();
     }
 
-    MemberRecord standing(MemberStatus next) {
-        return new MemberRecord(peer, next, version, facts, 0);
+    MemberRecord withStatus(MemberStatus newStatus) {
+        return new MemberRecord(peer, newStatus, version, facts, 0);
+    }
+
+    MemberRecord withEndedSeconds(int seconds) {
+        return new MemberRecord(peer, status, version, facts, seconds);
     }
 
-    MemberRecord aged(int seconds) {
-        return new MemberRecord(peer, standing, version, facts, seconds);
+    /** Whether both are about the same process in the same incarnation. */
+    boolean isSameIncarnation(MemberRecord other) {
+        return other.incarnation() == incarnation() && other.peer.processId() == peer.processId();
     }
 
-    /** Whether another says more of who has the name: a later incarnation, or the elder of two lives. */
-    boolean yieldsTo(Peer other) {
+    /** Whether the name belongs to the other one: a later incarnation, or the earlier of two processes. */
+    boolean isSupersededBy(Peer other) {
         if (other.incarnation() != peer.incarnation()) {
             return other.incarnation() > peer.incarnation();
         }
-        if (other.life() == peer.life()) {
+        if (other.processId() == peer.processId()) {
             return false;
         }
-        return other.born() != peer.born() ? other.born() < peer.born() : other.life() < peer.life();
+        return other.startedAtMillis() != peer.startedAtMillis()
+                ? other.startedAtMillis() < peer.startedAtMillis()
+                : other.processId() < peer.processId();
     }
 
-    /** This one with what another knows besides; itself where that is nothing. */
-    MemberRecord with(MemberRecord other) {
-        if (yieldsTo(other.peer)) {
+    /** This record with what another one knows besides; this object itself where that is nothing. */
+    MemberRecord merge(MemberRecord other) {
+        if (isSupersededBy(other.peer)) {
             return other;
         }
-        if (other.incarnation() != incarnation() || other.peer.life() != peer.life()) {
+        if (!isSameIncarnation(other)) {
             return this;
         }
-        boolean further = other.standing.compareTo(standing) > 0;
-        boolean newer = other.version > version;
-        if (!further && !newer) {
+        boolean hasLaterStatus = other.status.compareTo(status) > 0;
+        boolean hasNewerFacts = other.version > version;
+        if (!hasLaterStatus && !hasNewerFacts) {
             return this;
         }
         return new MemberRecord(
                 peer,
-                further ? other.standing : standing,
-                newer ? other.version : version,
-                newer ? other.facts : facts,
-                further ? other.age : age);
+                hasLaterStatus ? other.status : status,
+                hasNewerFacts ? other.version : version,
+                hasNewerFacts ? other.facts : facts,
+                hasLaterStatus ? other.endedSeconds : endedSeconds);
     }
 
-    /** The same for all who know the same; age and addresses follow from the rest. */
+    /** The same in all processes that know the same; age and address follow from the rest. */
     long hash() {
-        long who = Hashes.mix(Ids.of(name()), peer.life());
-        return Hashes.mix(who, ((long) incarnation() << 34) + ((long) version << 2) + standing.ordinal());
+        long identity = Hashes.mix(Ids.of(name()), peer.processId());
+        return Hashes.mix(identity, ((long) incarnation() << 34) + ((long) version << 2) + status.ordinal());
     }
 
     /** Bytes that it takes in a datagram, at most. */
-    int size() {
-        int size = 64 + 3 * name().length();
+    int encodedSize() {
+        int size = BASE_BYTES + MAX_BYTES_PER_CHARACTER * name().length();
         for (Map.Entry<String, String> fact : facts.entrySet()) {
-            size += 4 + 3 * (fact.getKey().length() + fact.getValue().length());
+            int characters = fact.getKey().length() + fact.getValue().length();
+            size += BASE_BYTES_PER_FACT + MAX_BYTES_PER_CHARACTER * characters;
         }
         return size;
     }
--- a/src/main/java/org/cypressweir/fleet/membership/MemberStatus.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberStatus.java
@@ -1,16 +1,17 @@
 package org.cypressweir.fleet.membership;
 
-/** How far a member is in one incarnation; it only goes forward. */
+/** Status of a member in one incarnation; it only moves forward. It is sent as its ordinal, so the order is fixed. */
 public enum MemberStatus {
-    /** It has said that it is there; no neighbour has talked with it both ways yet. */
+    /** It has announced itself; no neighbor has exchanged messages with it both ways yet. */
     CANDIDATE,
+    /** A neighbor has admitted it. */
     MEMBER,
-    /** Nobody could talk with it. */
+    /** It was removed, since it could not be reached. */
     OUT,
-    /** It has said that it goes. */
+    /** It has said that it leaves. */
     LEFT;
 
-    boolean ended() {
+    boolean isEnded() {
         return this == OUT || this == LEFT;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
@@ -11,182 +11,190 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * The entries that a process knows, a name each, and which of them are in its view. An entry says what is
- * known of a member everywhere; the view says with whom this process takes it that all who can talk do talk.
- * The two differ while a member comes back, or while its end is not certain yet: then it is held in the view.
+ * The records that a process knows, one for each name, and which of them are in its view. A record says what all
+ * processes know of a member; the view says who is live as this process sees it. They differ while a member comes back
+ * and while its removal may still be denied: such a member is retained in the view.
  */
 final class MemberTable {
 
-    /** What has ended is told on for so long, and remembered for twice that: late words find it ended. */
-    static final long TOLD_MICROS = 300_000_000;
+    /** For so long the end of a member is spread. It is remembered for twice that, so that late updates are known. */
+    static final long ENDED_SPREAD_MICROS = 300_000_000;
 
-    private final Map<String, MemberRecord> entries = new HashMap<>();
-    private final Set<String> held = new HashSet<>();
-    /** When those that have ended did so; none of them is in the digests once it is told no more. */
+    private static final long MICROS_PER_SECOND = 1_000_000L;
+    /** Fixed: monitoring rings of all processes have to be the same. */
+    private static final long VIEW_SALT = 77;
+
+    private final Map<String, MemberRecord> records = new HashMap<>();
+    /** Names in the view whose record is not that of a member. */
+    private final Set<String> retained = new HashSet<>();
+    /** When members left or were removed. */
     private final Map<String, Long> endedAt = new HashMap<>();
+    /** Ended long ago: not spread any more, and not in the digests. */
+    private final Set<String> silenced = new HashSet<>();
 
-    private final Set<String> muted = new HashSet<>();
-    private final int[] buckets = new int[MembershipMessage.PARTS];
+    private final int[] bucketDigests = new int[MembershipMessage.BUCKETS];
     private long digest;
-    private long fingerprint;
-    private int live;
+    private long viewFingerprint;
+    private int liveCount;
 
     MemberRecord get(String name) {
-        return entries.get(name);
+        return records.get(name);
     }
 
     Collection<MemberRecord> all() {
-        return entries.values();
+        return records.values();
     }
 
     int size() {
-        return entries.size();
+        return records.size();
     }
 
     /** Members in the view. */
-    int live() {
-        return live;
+    int liveCount() {
+        return liveCount;
     }
 
     /** The same wherever the same names are in the view. */
-    long fingerprint() {
-        return fingerprint;
+    long viewFingerprint() {
+        return viewFingerprint;
     }
 
+    /** The same wherever the same records are known. */
     long digest() {
         return digest;
     }
 
-    boolean isIn(String name) {
-        MemberRecord e = entries.get(name);
-        return e != null && (e.standing() == MemberStatus.MEMBER || held.contains(name));
+    boolean isInView(String name) {
+        MemberRecord known = records.get(name);
+        return known != null && (known.status() == MemberStatus.MEMBER || retained.contains(name));
     }
 
     /** Names in the view. */
-    List<String> view() {
-        List<String> view = new ArrayList<>(live);
-        for (String name : entries.keySet()) {
-            if (isIn(name)) {
-                view.add(name);
+    List<String> viewNames() {
+        List<String> names = new ArrayList<>(liveCount);
+        for (String name : records.keySet()) {
+            if (isInView(name)) {
+                names.add(name);
             }
         }
-        return view;
+        return names;
     }
 
-    /** Those that have ended without a word, and may be there all the same. */
-    List<MemberRecord> lost() {
-        List<MemberRecord> lost = new ArrayList<>();
+    /** Members that were removed without having left: they may be live all the same. */
+    List<MemberRecord> removedMembers() {
+        List<MemberRecord> removed = new ArrayList<>();
         for (String name : endedAt.keySet()) {
-            if (entries.get(name).standing() == MemberStatus.OUT && !held.contains(name)) {
-                lost.add(entries.get(name));
+            MemberRecord ended = records.get(name);
+            if (ended.status() == MemberStatus.OUT && !retained.contains(name)) {
+                removed.add(ended);
             }
         }
-        return lost;
+        return removed;
     }
 
-    /** Takes an entry in the place of the one of its name; whether it is in the view stays as it is. */
-    void put(long now, MemberRecord entry, boolean in) {
-        String name = entry.name();
-        boolean was = isIn(name);
-        MemberRecord old = entries.put(name, entry);
-        if (old != null && !muted.remove(name)) {
-            turn(old);
+    /** Replaces the record of a name. */
+    void put(long now, MemberRecord updated, boolean isInView) {
+        String name = updated.name();
+        boolean wasInView = isInView(name);
+        MemberRecord old = records.put(name, updated);
+        if (old != null && !silenced.remove(name)) {
+            toggleInDigests(old);
         }
-        turn(entry);
-        if (entry.standing().ended()) {
-            endedAt.putIfAbsent(name, now - entry.age() * 1_000_000L);
+        toggleInDigests(updated);
+        if (updated.status().isEnded()) {
+            endedAt.putIfAbsent(name, now - updated.endedSeconds() * MICROS_PER_SECOND);
         } else {
             endedAt.remove(name);
         }
-        if (in && entry.standing() != MemberStatus.MEMBER) {
-            held.add(name);
+        if (isInView && updated.status() != MemberStatus.MEMBER) {
+            retained.add(name);
         } else {
-            held.remove(name);
+            retained.remove(name);
         }
-        counted(name, was);
+        updateView(name, wasInView);
     }
 
-    /** It is in the view no longer, whatever its entry says; a member's entry has to end for that. */
-    void release(String name) {
-        boolean was = isIn(name);
-        held.remove(name);
-        counted(name, was);
+    /** Removes a name that was retained from the view; the record of a member has to be replaced for that. */
+    void removeFromView(String name) {
+        boolean wasInView = isInView(name);
+        retained.remove(name);
+        updateView(name, wasInView);
     }
 
-    private void counted(String name, boolean was) {
-        if (was != isIn(name)) {
-            fingerprint ^= Hashes.mix(Ids.of(name), RING_SALT);
-            live += was ? -1 : 1;
+    private void updateView(String name, boolean wasInView) {
+        if (wasInView != isInView(name)) {
+            viewFingerprint ^= Hashes.mix(Ids.of(name), VIEW_SALT);
+            liveCount += wasInView ? -1 : 1;
         }
     }
 
-    private static final long RING_SALT = 77;
-
-    private void turn(MemberRecord entry) {
-        long hash = entry.hash();
+    private void toggleInDigests(MemberRecord toggled) {
+        long hash = toggled.hash();
         digest ^= hash;
-        buckets[bucket(entry.name())] ^= (int) hash;
+        bucketDigests[bucket(toggled.name())] ^= (int) hash;
     }
 
     private static int bucket(String name) {
-        return (int) Long.remainderUnsigned(Hashes.mix(Ids.of(name), ~RING_SALT), MembershipMessage.PARTS);
+        long hash = Hashes.mix(Ids.of(name), ~VIEW_SALT);
+        return (int) Long.remainderUnsigned(hash, MembershipMessage.BUCKETS);
     }
 
-    /** Ends of long ago are told no more, and then forgotten. */
+    /** Silences members that ended long ago, and then forgets them. */
     void expire(long now) {
         List<String> forgotten = new ArrayList<>();
         for (Map.Entry<String, Long> ended : endedAt.entrySet()) {
-            long age = now - ended.getValue();
-            if (age > TOLD_MICROS && muted.add(ended.getKey())) {
-                turn(entries.get(ended.getKey()));
+            long ageMicros = now - ended.getValue();
+            if (ageMicros > ENDED_SPREAD_MICROS && silenced.add(ended.getKey())) {
+                toggleInDigests(records.get(ended.getKey()));
             }
-            if (age > 2 * TOLD_MICROS) {
+            if (ageMicros > 2 * ENDED_SPREAD_MICROS) {
                 forgotten.add(ended.getKey());
             }
         }
         for (String name : forgotten) {
             endedAt.remove(name);
-            muted.remove(name);
-            entries.remove(name);
+            silenced.remove(name);
+            records.remove(name);
         }
     }
 
-    /** Whether it is too late to tell anybody of this end. */
-    static boolean isStale(MemberRecord entry) {
-        return entry.standing().ended() && entry.age() * 1_000_000L > TOLD_MICROS;
+    /** Whether the member ended so long ago that this is not spread any more. */
+    static boolean isStale(MemberRecord candidate) {
+        return candidate.status().isEnded() && candidate.endedSeconds() * MICROS_PER_SECOND > ENDED_SPREAD_MICROS;
     }
 
-    /** The entry as it is told now. */
-    MemberRecord told(long now, MemberRecord entry) {
-        Long ended = endedAt.get(entry.name());
-        return ended == null ? entry : entry.aged((int) ((now - ended) / 1_000_000));
+    /** The record as it is sent now: with the time since the member ended. */
+    MemberRecord withAge(long now, MemberRecord sent) {
+        Long ended = endedAt.get(sent.name());
+        return ended == null ? sent : sent.withEndedSeconds((int) ((now - ended) / MICROS_PER_SECOND));
     }
 
-    List<Integer> buckets() {
-        List<Integer> list = new ArrayList<>(buckets.length);
-        for (int b : buckets) {
-            list.add(b);
+    List<Integer> bucketDigests() {
+        List<Integer> digests = new ArrayList<>(bucketDigests.length);
+        for (int bucketDigest : bucketDigests) {
+            digests.add(bucketDigest);
         }
-        return list;
+        return digests;
     }
 
-    /** What somebody with these digests may lack, whole parts one after the other from this one on. */
-    List<MemberRecord> beyond(List<Integer> others, int first) {
-        List<List<MemberRecord>> parts = new ArrayList<>();
-        for (int i = 0; i < buckets.length; i++) {
-            parts.add(i < others.size() && others.get(i) != buckets[i] ? new ArrayList<>() : null);
+    /** Records of the buckets whose digests differ from these, bucket after bucket from the given one on. */
+    List<MemberRecord> recordsOfDifferentBuckets(List<Integer> otherDigests, int firstBucket) {
+        List<List<MemberRecord>> buckets = new ArrayList<>();
+        for (int i = 0; i < bucketDigests.length; i++) {
+            boolean differs = i < otherDigests.size() && otherDigests.get(i) != bucketDigests[i];
+            buckets.add(differs ? new ArrayList<>() : null);
         }
-        for (MemberRecord e : entries.values()) {
-            List<MemberRecord> part = parts.get(bucket(e.name()));
-            if (part != null && !muted.contains(e.name())) {
-                part.add(e);
+        for (MemberRecord known : records.values()) {
+            List<MemberRecord> bucket = buckets.get(bucket(known.name()));
+            if (bucket != null && !silenced.contains(known.name())) {
+                bucket.add(known);
             }
         }
         List<MemberRecord> found = new ArrayList<>();
-        for (int i = 0; i < buckets.length; i++) {
-            List<MemberRecord> part = parts.get((first + i) % buckets.length);
-            if (part != null) {
-                found.addAll(part);
+        for (int i = 0; i < bucketDigests.length; i++) {
+            List<MemberRecord> bucket = buckets.get((firstBucket + i) % bucketDigests.length);
+            if (bucket != null) {
+                found.addAll(bucket);
             }
         }
         return found;
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipMessage.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipMessage.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * What one process tells another, in one datagram.
+ * A message between two processes, one datagram.
  *
- * @param from who says it, whatever address it came from
- * @param to the name it is for; empty where only an address is known
- * @param number of a question, which its answer repeats; of a refusal the life that it is for
- * @param digest of all entries that the sender knows
- * @param buckets digests of parts of them; empty but in a comparison
- * @param text why, in a refusal; empty in all else
- * @param load a page of a list that is lent, or a word about leases; empty in all else
+ * @param from the sender by its own account, whatever address the message came from
+ * @param to name of the receiver; empty where only an address is known
+ * @param number of a probe or request, which the response repeats; of a refusal the process that it is for
+ * @param digest of all records that the sender knows
+ * @param records updates about members
+ * @param reports updates about contacts
+ * @param buckets digests of the parts of the records in a comparison; numbers of a share or a list in their messages
+ * @param text the reason in a refusal; else empty
+ * @param payload a page of an endpoint list, or a message about leases; else empty
  */
 public record MembershipMessage(
         Kind kind,
@@ -19,70 +21,73 @@
         String to,
         long number,
         long digest,
-        List<MemberRecord> entries,
+        List<MemberRecord> records,
         List<FailureReport> reports,
         List<Integer> buckets,
         String text,
-        byte[] load) {
+        byte[] payload) {
 
-    private static final byte[] NO_LOAD = {};
+    /** Parts of the records that have a digest each. */
+    static final int BUCKETS = 128;
+    /** Bytes of updates that fit into a message beside everything else. */
+    static final int MAX_UPDATE_BYTES = 1_000;
+    /** The same for updates that are piggybacked on a probe or its response. */
+    static final int MAX_PIGGYBACK_BYTES = 400;
 
-    /** All but a page. */
+    private static final byte[] NO_PAYLOAD = {};
+
+    /** Without a payload. */
     public MembershipMessage(
             Kind kind,
             Peer from,
             String to,
             long number,
             long digest,
-            List<MemberRecord> entries,
+            List<MemberRecord> records,
             List<FailureReport> reports,
             List<Integer> buckets,
             String text) {
-        this(kind, from, to, number, digest, entries, reports, buckets, text, NO_LOAD);
+        this(kind, from, to, number, digest, records, reports, buckets, text, NO_PAYLOAD);
     }
 
-    /** What a message is for; the first three and the comparison may carry news. */
+    /**
+     * What a message is for. The first four may carry updates. It is sent as its ordinal, so the order is fixed; so are
+     * the names.
+     */
     public enum Kind {
-        /** A question that wants an answer. */
+        /** A probe. */
         PING,
+        /** Response to a probe. */
         ACK,
-        /** News alone. */
+        /** Updates alone. */
         NEWS,
-        /** What the sender knows, by parts; number 1 asks for the same. */
+        /** Digests of the records that the sender knows; number 1 asks for those of the receiver. */
         COMPARE,
-        /** The receiver's name is taken. */
+        /** Another process has the receiver's name. */
         REFUSE,
-        /** A question to an elector: who asks wants to be counted. */
+        /** Request to a share voter: count the sender. */
         COUNT,
-        /** Its answer, with the count in place of digests of parts. */
+        /** Response to {@link #COUNT}, with the count in place of digests. */
         COUNTED,
-        /** A question for a list of servers, or a page of it. */
+        /** Request for an endpoint list, or a page of it. */
         BORROW,
-        /** Its answer. */
+        /** Response to {@link #BORROW}. */
         LEND,
-        /** A word about leases, in its load. */
+        /** A message about leases, in the payload. */
         LEASE;
 
-        /** Whether it is about parts of what all share, and not about who is there. */
-        public boolean ofShares() {
+        /** Whether it is about shares. */
+        public boolean isAboutShares() {
             return this == COUNT || this == COUNTED;
         }
 
-        /** Whether it is about lists of servers. */
-        public boolean ofLists() {
+        /** Whether it is about endpoint lists. */
+        public boolean isAboutEndpointLists() {
             return this == BORROW || this == LEND;
         }
     }
 
-    /** The same without news. */
-    MembershipMessage bare() {
+    MembershipMessage withoutUpdates() {
         return new MembershipMessage(kind, from, to, number, digest, List.of(), List.of(), buckets, text);
     }
-
-    /** Bytes of entries and reports that fit beside everything else of a message. */
-    static final int ROOM = 1_000;
-    /** The same for what rides on a question or an answer. */
-    static final int RIDE = 400;
-    /** The same in a comparison. */
-    static final int PARTS = 128;
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MonitoredPeers.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoredPeers.java
@@ -10,140 +10,159 @@
 import java.util.TreeMap;
 
 /**
- * The contact of this process with those that it watches. Contact is an answer to its own question, and
- * counts from when that was asked; what was heard unasked is none, for the way there may be cut.
+ * The contact of this process with the peers that it monitors, and the probes under way. Contact is a response to a
+ * probe of this process and counts from when that was sent. A message that was received unsolicited is no contact,
+ * since the opposite direction may be partitioned.
  */
 final class MonitoredPeers {
 
-    /** One that is watched. */
+    /** A peer without contact for fewer periods is in contact for certain. */
+    private static final int CONTACT_PERIODS = 3;
+    /** After so many periods without contact an unsolicited message leads to a probe at once. */
+    private static final int SILENT_PERIODS = 2;
+    /** Intervals between probes are shortened by up to this part, so that they spread. */
+    private static final int JITTER_DIVISOR = 8;
+
+    /** A monitored peer. */
     static final class Link {
         final String name;
-        /** When the last question was asked that was answered; when the next is due. */
-        long contactAt;
-
-        long dueAt;
-        private long askedAt;
-        /** What was last said of it to others; null before the first word. */
-        boolean lost;
+        long nextProbeAt;
+        /** When the last probe that was responded to was sent. */
+        private long contactAt;
 
-        int number;
-        long saidAt;
+        private long lastProbeAt;
+        boolean isLost;
+        /** When the state of the link was last reported to others. */
+        long lastReportAt;
 
-        Link(String name, long now, long dueAt) {
+        Link(String name, long now, long nextProbeAt) {
             this.name = name;
             contactAt = now;
-            this.dueAt = dueAt;
+            this.nextProbeAt = nextProbeAt;
         }
     }
 
-    private record Asked(String name, long at) {}
+    private record Probe(String name, long sentAt) {}
 
-    private MembershipOptions plan;
+    private MembershipOptions options;
     private final SplittableRandom random;
     private final Map<String, Link> links = new TreeMap<>();
-    /** Questions without an answer, by number. */
-    private final Map<Long, Asked> asked = new HashMap<>();
+    /** Probes without a response, by number. */
+    private final Map<Long, Probe> openProbes = new HashMap<>();
 
-    private long numbers;
+    private long lastProbeNumber;
 
-    MonitoredPeers(MembershipOptions plan, SplittableRandom random) {
-        this.plan = plan;
+    MonitoredPeers(MembershipOptions options, SplittableRandom random) {
+        this.options = options;
         this.random = random;
     }
 
-    void retune(MembershipOptions next) {
-        plan = next;
+    void reconfigure(MembershipOptions newOptions) {
+        options = newOptions;
     }
 
-    Collection<Link> all() {
+    Collection<Link> links() {
         return links.values();
     }
 
-    Link get(String name) {
+    /** The link to a peer; null where it is not monitored. */
+    Link find(String name) {
         return links.get(name);
     }
 
-    /** From now on these are watched; contact with new ones counts from now, so that nobody is accused. */
-    void watch(long now, Set<String> names) {
+    /** Monitors these peers from now on. New ones count as in contact now, so that none is reported lost at once. */
+    void monitor(long now, Set<String> names) {
         links.keySet().retainAll(names);
         for (String name : names) {
-            links.computeIfAbsent(name, n -> new Link(n, now, now + random.nextLong(plan.periodMicros())));
+            links.computeIfAbsent(name, added -> {
+                long nextProbeAt = now + random.nextLong(options.periodMicros());
+                return new Link(added, now, nextProbeAt);
+            });
         }
     }
 
-    /** Another incarnation of it is there: what was known of the one before is void. */
-    void renew(long now, String name) {
+    /** The peer has another incarnation: what was known of the one before does not count. */
+    void resetContact(long now, String name) {
         Link link = links.get(name);
         if (link != null) {
-            link.lost = false;
+            link.isLost = false;
             link.contactAt = now;
-            link.dueAt = now;
+            link.nextProbeAt = now;
         }
     }
 
-    /** The number for a question to somebody; empty where only an address is known. */
-    long ask(long now, String name) {
-        asked.put(++numbers, new Asked(name, now));
+    /**
+     * A probe is sent.
+     *
+     * @param name empty where only an address is known
+     * @return the number of the probe
+     */
+    long startProbe(long now, String name) {
+        lastProbeNumber++;
+        openProbes.put(lastProbeNumber, new Probe(name, now));
         Link link = links.get(name);
         if (link != null) {
-            // Unanswered, the next one comes after half a period.
-            boolean silent = link.askedAt > link.contactAt;
-            long wait = silent ? plan.periodMicros() / 2 : plan.periodMicros();
-            link.dueAt = now + wait - random.nextLong(1 + wait / 8);
-            link.askedAt = now;
+            boolean isUnanswered = link.lastProbeAt > link.contactAt;
+            long interval = isUnanswered ? options.periodMicros() / 2 : options.periodMicros();
+            link.nextProbeAt = now + interval - random.nextLong(1 + interval / JITTER_DIVISOR);
+            link.lastProbeAt = now;
         }
-        return numbers;
+        return lastProbeNumber;
     }
 
-    /** An answer: when its question was asked, or -1 where it answers none of this process. */
-    long answered(long number, String by) {
-        Asked question = asked.remove(number);
-        if (question == null) {
-            return -1;
+    /** A response was received; whether it is one to an open probe of this process. */
+    boolean completeProbe(long number, String responder) {
+        Probe probe = openProbes.remove(number);
+        if (probe == null) {
+            return false;
         }
-        Link link = links.get(by);
-        if (link != null && (question.name.isEmpty() || question.name.equals(by))) {
-            link.contactAt = Math.max(link.contactAt, question.at);
+        Link link = links.get(responder);
+        if (link != null && (probe.name.isEmpty() || probe.name.equals(responder))) {
+            link.contactAt = Math.max(link.contactAt, probe.sentAt);
         }
-        return question.at;
+        return true;
     }
 
-    /** Something came from it unasked: where its answers stay away, it is asked at once. */
-    void heard(long now, String name) {
+    /** Some message was received: a peer whose responses fail to arrive is probed at once. */
+    void receivedUnsolicited(long now, String name) {
         Link link = links.get(name);
-        if (link != null && now - link.contactAt > plan.periodMicros() * 2 && now - link.askedAt > plan.beatMicros()) {
-            link.dueAt = Math.min(link.dueAt, now);
+        if (link == null) {
+            return;
+        }
+        boolean isSilent = now - link.contactAt > options.periodMicros() * SILENT_PERIODS;
+        if (isSilent && now - link.lastProbeAt > options.beatMicros()) {
+            link.nextProbeAt = Math.min(link.nextProbeAt, now);
         }
     }
 
-    /** Time in which this process slept counts against nobody, and all are asked at once. */
-    void slept(long now, long micros) {
+    /** Time for which this process was paused counts against no peer, and all are probed at once. */
+    void excludePause(long now, long pausedMicros) {
         for (Link link : links.values()) {
-            link.contactAt = Math.min(now, link.contactAt + micros);
-            link.dueAt = now;
+            link.contactAt = Math.min(now, link.contactAt + pausedMicros);
+            link.nextProbeAt = now;
         }
     }
 
-    boolean inTouch(long now, String name) {
+    boolean isInContact(long now, String name) {
         Link link = links.get(name);
-        return link != null && !link.lost && now - link.contactAt < plan.periodMicros() * 3;
+        return link != null && !link.isLost && now - link.contactAt < options.periodMicros() * CONTACT_PERIODS;
     }
 
-    /** Links whose state has changed: lost touch, or found it again. */
-    List<Link> changed(long now) {
+    /** Updates the state of all links; those that were lost or found again. */
+    List<Link> changedLinks(long now) {
         List<Link> changed = new ArrayList<>();
         for (Link link : links.values()) {
-            boolean lost = now - link.contactAt > plan.silenceMicros();
-            if (lost != link.lost) {
-                link.lost = lost;
+            boolean isLost = now - link.contactAt > options.silenceMicros();
+            if (isLost != link.isLost) {
+                link.isLost = isLost;
                 changed.add(link);
             }
         }
         return changed;
     }
 
-    /** Questions that nobody will answer any more are forgotten. */
-    void expire(long now) {
-        asked.values().removeIf(a -> now - a.at > plan.silenceMicros());
+    /** Forgets probes that nobody will respond to any more. */
+    void expireProbes(long now) {
+        openProbes.values().removeIf(probe -> now - probe.sentAt > options.silenceMicros());
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MonitoringRings.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoringRings.java
@@ -12,84 +12,82 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * Who watches whom: the members in three orders by hash, each watched by those before and behind it in every
- * one. Such a graph has short ways and no thin place, whatever the names; up to seven members all watch all.
+ * Which members monitor each other: the members stand in three rings, ordered by hash, and each is a neighbor of those
+ * before and behind it in every ring. Such a graph has short paths and no bottleneck, whatever the names are. Up to
+ * seven members are all neighbors of each other.
  */
 public final class MonitoringRings {
 
     static final int RINGS = 3;
-    private static final int FEW = 2 * RINGS + 1;
+    private static final int FULL_MESH_SIZE = 2 * RINGS + 1;
+    private static final int[] NO_NEIGHBORS = {};
 
-    /** Rings that were made last, by what a view's fingerprint says: processes in one memory share them. */
+    /** The rings that were used last, by the fingerprint of the view: processes in one memory share them. */
     public static final class Cache {
-        private final Map<Long, MonitoringRings> made;
+        private static final int INITIAL_CAPACITY = 16;
+        private static final float LOAD_FACTOR = 0.75f;
 
-        public Cache(int size) {
-            made = new LinkedHashMap<>(16, 0.75f, true) {
+        private final Map<Long, MonitoringRings> rings;
+
+        public Cache(int maxSize) {
+            rings = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<Long, MonitoringRings> eldest) {
-                    return size() > size;
+                    return size() > maxSize;
                 }
             };
         }
 
-        MonitoringRings of(long fingerprint, Supplier<Collection<String>> names) {
-            MonitoringRings rings = made.get(fingerprint);
-            if (rings == null) {
-                rings = new MonitoringRings(names.get());
-                made.put(fingerprint, rings);
+        MonitoringRings of(long viewFingerprint, Supplier<Collection<String>> names) {
+            MonitoringRings cached = rings.get(viewFingerprint);
+            if (cached == null) {
+                cached = new MonitoringRings(names.get());
+                rings.put(viewFingerprint, cached);
             }
-            return rings;
+            return cached;
         }
     }
 
     private final String[] names;
-    private final Map<String, Integer> places;
-    /** By ring: the hashes in their order, and whose they are. */
-    private final long[][] keys = new long[RINGS][];
-
+    private final Map<String, Integer> indexes = new HashMap<>();
+    /** By ring: the hashes in ascending order. */
+    private final long[][] hashes = new long[RINGS][];
+    /** By ring: the members in the order of their hashes. */
     private final int[][] order = new int[RINGS][];
-    private final int[][] near;
+
+    private final int[][] neighbors;
 
     MonitoringRings(Collection<String> members) {
         names = new TreeSet<>(members).toArray(new String[0]);
-        places = new HashMap<>(names.length * 2);
+        neighbors = new int[names.length][];
+        Arrays.fill(neighbors, NO_NEIGHBORS);
         for (int i = 0; i < names.length; i++) {
-            places.put(names[i], i);
+            indexes.put(names[i], i);
         }
         for (int ring = 0; ring < RINGS; ring++) {
             sort(ring);
+            connectRing(order[ring]);
         }
-        near = new int[names.length][];
-        for (int ring = 0; ring < RINGS; ring++) {
-            for (int i = 0; i < names.length; i++) {
-                int member = order[ring][i];
-                add(member, order[ring][(i + 1) % names.length]);
-                add(member, order[ring][(i + names.length - 1) % names.length]);
-            }
-        }
-        for (int i = 0; names.length <= FEW && i < names.length; i++) {
-            for (int j = 0; j < names.length; j++) {
-                add(i, j);
-            }
+        if (names.length <= FULL_MESH_SIZE) {
+            connectAll();
         }
     }
 
     private void sort(int ring) {
         Integer[] sorted = new Integer[names.length];
-        long[] hashes = new long[names.length];
+        long[] hashByMember = new long[names.length];
         for (int i = 0; i < names.length; i++) {
             sorted[i] = i;
-            hashes[i] = hash(names[i], ring);
+            hashByMember[i] = hash(names[i], ring);
         }
-        Arrays.sort(sorted, (a, b) -> Long.compare(hashes[a], hashes[b]));
-        keys[ring] = new long[names.length];
+        Arrays.sort(sorted, (a, b) -> Long.compare(hashByMember[a], hashByMember[b]));
+        hashes[ring] = new long[names.length];
         order[ring] = new int[names.length];
         for (int i = 0; i < names.length; i++) {
             order[ring][i] = sorted[i];
-            keys[ring][i] = hashes[sorted[i]];
+            hashes[ring][i] = hashByMember[sorted[i]];
         }
     }
 
@@ -97,51 +95,72 @@
         return Hashes.mix(Ids.of(name), ring);
     }
 
-    private void add(int member, int other) {
-        int[] has = near[member] == null ? new int[0] : near[member];
-        if (member == other || Arrays.stream(has).anyMatch(x -> x == other)) {
-            return;
+    private void connectRing(int[] ringOrder) {
+        int size = ringOrder.length;
+        for (int i = 0; i < size; i++) {
+            connect(ringOrder[i], ringOrder[(i + 1) % size]);
+            connect(ringOrder[i], ringOrder[(i + size - 1) % size]);
+        }
+    }
+
+    private void connectAll() {
+        for (int i = 0; i < names.length; i++) {
+            for (int j = 0; j < names.length; j++) {
+                connect(i, j);
+            }
+        }
+    }
+
+    private void connect(int member, int other) {
+        int[] connected = neighbors[member];
+        boolean isConnected = Arrays.stream(connected).anyMatch(neighbor -> neighbor == other);
+        if (member != other && !isConnected) {
+            neighbors[member] = Arrays.copyOf(connected, connected.length + 1);
+            neighbors[member][connected.length] = other;
         }
-        near[member] = Arrays.copyOf(has, has.length + 1);
-        near[member][has.length] = other;
     }
 
     int size() {
         return names.length;
     }
 
-    /** The place of a name; below 0 where it is none of these. */
-    int place(String name) {
-        return places.getOrDefault(name, -1);
+    /** Index of a name; -1 where it is no member. */
+    int indexOf(String name) {
+        return indexes.getOrDefault(name, -1);
     }
 
-    String name(int place) {
-        return names[place];
+    String name(int index) {
+        return names[index];
     }
 
-    /** Who watches this one and is watched by it. */
-    int[] near(int place) {
-        return near[place] == null ? new int[0] : near[place];
+    /** Indexes of the members that a member monitors and that monitor it. */
+    int[] neighbors(int index) {
+        return neighbors[index];
     }
 
-    /** Who would watch this name if it were one of these; who does, if it is. */
-    List<String> around(String name) {
+    /** The neighbors of a name, or those that it would have if it were a member. */
+    List<String> neighborsOf(String name) {
         TreeSet<String> found = new TreeSet<>();
-        int place = place(name);
-        if (place >= 0) {
-            for (int i : near(place)) {
-                found.add(names[i]);
+        int index = indexOf(name);
+        if (index >= 0) {
+            for (int neighbor : neighbors[index]) {
+                found.add(names[neighbor]);
             }
-        } else if (names.length < FEW) {
+        } else if (names.length < FULL_MESH_SIZE) {
             found.addAll(List.of(names));
         } else {
             for (int ring = 0; ring < RINGS; ring++) {
-                int at = Arrays.binarySearch(keys[ring], hash(name, ring));
-                int behind = (at < 0 ? -at - 1 : at) % names.length;
-                found.add(names[order[ring][behind]]);
-                found.add(names[order[ring][(behind + names.length - 1) % names.length]]);
+                addNeighborsInRing(ring, name, found);
             }
         }
         return List.copyOf(found);
     }
+
+    private void addNeighborsInRing(int ring, String name, TreeSet<String> found) {
+        int position = Arrays.binarySearch(hashes[ring], hash(name, ring));
+        int next = (position < 0 ? -position - 1 : position) % names.length;
+        int previous = (next + names.length - 1) % names.length;
+        found.add(names[order[ring][next]]);
+        found.add(names[order[ring][previous]]);
+    }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/NameConflicts.java
+++ b/src/main/java/org/cypressweir/fleet/membership/NameConflicts.java
@@ -3,56 +3,60 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/**
- * Names that a second process asks for while another has them. The one that has it is asked at its address:
- * its answer refuses the newcomer, the newcomer's own answer from there shows that the other is gone.
- */
+/** Names that a second process uses, and the probes that were sent to their holders. */
 final class NameConflicts {
 
-    /** Names at most that are contested at the same time. */
-    private static final int MOST = 64;
+    /** Conflicts at the same time, at most. */
+    private static final int MAX_CONFLICTS = 64;
 
-    private static final class Contest {
+    private static final class Conflict {
+        private static final long NEVER = Long.MIN_VALUE;
+
+        final long startedAt;
         Peer newcomer;
-        long number;
-        long askedAt = Long.MIN_VALUE;
-        long since;
+        long probeNumber;
+        long probeSentAt = NEVER;
+
+        Conflict(long startedAt) {
+            this.startedAt = startedAt;
+        }
+
+        boolean isProbed() {
+            return probeSentAt != NEVER;
+        }
     }
 
-    private final Map<String, Contest> open = new HashMap<>();
-
-    /** A newcomer asks for a name; whether whoever has it is to be asked now. */
-    boolean open(long now, Peer newcomer, long periodMicros) {
-        Contest c = open.get(newcomer.name());
-        if (c == null) {
-            if (open.size() >= MOST) {
-                return false;
-            }
-            c = new Contest();
-            c.since = now;
-            open.put(newcomer.name(), c);
+    private final Map<String, Conflict> open = new HashMap<>();
+
+    /** A newcomer uses a name that another process has; whether the holder is to be probed now. */
+    boolean startsProbe(long now, Peer newcomer, long periodMicros) {
+        String name = newcomer.name();
+        if (!open.containsKey(name) && open.size() >= MAX_CONFLICTS) {
+            return false;
         }
-        c.newcomer = newcomer;
-        return c.askedAt == Long.MIN_VALUE || now - c.askedAt >= periodMicros;
+        Conflict conflict = open.computeIfAbsent(name, added -> new Conflict(now));
+        conflict.newcomer = newcomer;
+        return !conflict.isProbed() || now - conflict.probeSentAt >= periodMicros;
     }
 
-    void asked(long now, String name, long number) {
-        open.get(name).number = number;
-        open.get(name).askedAt = now;
+    void probeSent(long now, String name, long probeNumber) {
+        Conflict conflict = open.get(name);
+        conflict.probeNumber = probeNumber;
+        conflict.probeSentAt = now;
     }
 
-    /** Whether this answers the last question of a contest. */
-    boolean answers(String name, long number) {
-        Contest c = open.get(name);
-        return c != null && c.askedAt != Long.MIN_VALUE && c.number == number;
+    /** Whether this is the number of the last probe of a conflict. */
+    boolean isResponse(String name, long probeNumber) {
+        Conflict conflict = open.get(name);
+        return conflict != null && conflict.isProbed() && conflict.probeNumber == probeNumber;
     }
 
-    /** The contest is over; the newcomer. */
+    /** Ends a conflict; returns the newcomer. */
     Peer close(String name) {
         return open.remove(name).newcomer;
     }
 
-    void expire(long now, long micros) {
-        open.values().removeIf(c -> now - c.since > micros);
+    void expire(long now, long maxAgeMicros) {
+        open.values().removeIf(conflict -> now - conflict.startedAt > maxAgeMicros);
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
@@ -83,7 +83,7 @@
 
     /** Two lives of one name are two: what the one had open may still be. */
     private static String key(Peer peer) {
-        return peer.name() + '/' + Long.toHexString(peer.life());
+        return peer.name() + '/' + Long.toHexString(peer.processId());
     }
 
     /** A question or an answer about parts. */
--- a/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
@@ -11,188 +11,246 @@
 import java.util.TreeSet;
 
 /**
- * Who is out, by what neighbours say. A pair of neighbours is in touch unless one of them says otherwise; who
- * can be reached over pairs in touch is in. One word against a member never ends it, nor do those of any who
- * can't be reached themselves. So whoever hears nobody accuses nobody but to itself, and a cut has one answer
- * on each of its sides that stays the same while it lasts, since neighbours stay the same.
+ * Decides by the reports of all members who is removed. Two neighbors are in contact unless one of them reports the
+ * other lost; a member that can be reached over pairs in contact stays. The report of one process removes nobody, and
+ * reports of members that can't be reached do not count. So a process that receives nothing accuses others only to
+ * itself, and a partition has one result on each of its sides, which stays the same while it lasts, since neighbors
+ * stay the same.
  *
- * <p>At once out is whom all its neighbours have lost while they themselves are in touch. Who is only out of
- * reach because those around it are gone is looked for first. And where most have lost it and the others say
- * nothing, which they would if they were awake, it is out after the time that a word takes.
+ * <p>A member that all its neighbors have lost is removed at once if these can be reached themselves. A member that
+ * can't be reached because those around it are gone is probed directly first. A member that most neighbors have lost,
+ * while the others say nothing, is removed after the time that a report takes: if the others were running they would
+ * contradict.
  */
 final class SuspicionTable {
 
-    /** What follows from the reports as they are. */
-    record Ruling(List<String> out, Set<String> missing) {}
+    /** No decision is due while the reports stay as they are. */
+    static final long NEVER = Long.MAX_VALUE;
 
-    private long settleMicros;
-    /** Since when most of a member's neighbours have lost it; since when it can't be reached. */
-    private final Map<String, Long> doubted = new HashMap<>();
+    /** What follows from the reports; unreachable members are probed directly. */
+    record Decision(List<String> removed, Set<String> unreachable) {}
 
-    private final Map<String, Long> missing = new TreeMap<>();
+    private long graceMicros;
+    /** Since when most neighbors of a member that can be reached have lost it. */
+    private final Map<String, Long> suspectedSince = new HashMap<>();
+    /** Since when a member can't be reached. */
+    private final Map<String, Long> unreachableSince = new TreeMap<>();
 
-    /** @param settleMicros for which a member is looked for, and others may speak up for it */
-    SuspicionTable(long settleMicros) {
-        this.settleMicros = settleMicros;
+    /** @param graceMicros for which an unreachable member is probed, and others may contradict a report */
+    SuspicionTable(long graceMicros) {
+        this.graceMicros = graceMicros;
     }
 
-    void retune(long nextSettleMicros) {
-        settleMicros = nextSettleMicros;
+    void reconfigure(long newGraceMicros) {
+        graceMicros = newGraceMicros;
     }
 
-    /** When time alone may bring another ruling; the largest number for never. */
-    long dueAt() {
-        long first = Long.MAX_VALUE;
-        for (long since : doubted.values()) {
-            first = Math.min(first, since + settleMicros);
+    /** When time alone may change the decision. */
+    long nextDecisionAt() {
+        long first = NEVER;
+        for (long since : suspectedSince.values()) {
+            first = Math.min(first, since + graceMicros);
         }
-        for (long since : missing.values()) {
-            first = Math.min(first, since + settleMicros);
+        for (long since : unreachableSince.values()) {
+            first = Math.min(first, since + graceMicros);
         }
         return first;
     }
 
-    /** Time in which this process slept counts against nobody. */
-    void slept(long micros) {
-        doubted.replaceAll((name, since) -> since + micros);
-        missing.replaceAll((name, since) -> since + micros);
+    /** Time for which this process was paused counts against nobody. */
+    void excludePause(long pausedMicros) {
+        suspectedSince.replaceAll((name, since) -> since + pausedMicros);
+        unreachableSince.replaceAll((name, since) -> since + pausedMicros);
     }
 
-    Ruling rule(long now, MonitoringRings rings, String self, MemberTable roster, FailureReports reports) {
-        Graph graph = new Graph(rings, roster, reports);
-        boolean[] reached = graph.from(rings.place(self));
-        List<String> out = new ArrayList<>();
-        Set<String> looked = new TreeSet<>();
-        for (int i = 0; i < rings.size(); i++) {
-            String name = rings.name(i);
-            if (name.equals(self) || !roster.isIn(name)) {
+    Decision decide(long now, MonitoringRings rings, String self, MemberTable table, FailureReports reports) {
+        ContactGraph graph = new ContactGraph(rings, table, reports);
+        boolean[] isReachable = graph.reachableFrom(rings.indexOf(self));
+        List<String> removed = new ArrayList<>();
+        Set<String> unreachable = new TreeSet<>();
+        for (int member = 0; member < rings.size(); member++) {
+            String name = rings.name(member);
+            if (name.equals(self) || !table.isInView(name)) {
                 continue;
             }
-            int lost = 0;
-            boolean vouched = false;
-            boolean allThere = true;
-            if (!reached[i] || graph.isAccused(i)) {
-                for (int neighbour : rings.near(i)) {
-                    allThere &= reached[neighbour];
-                    lost += reached[neighbour] && graph.says(neighbour, i, true) ? 1 : 0;
-                    vouched |= reached[neighbour] && graph.says(neighbour, i, false);
-                }
-            }
-            if (reached[i]) {
-                missing.remove(name);
-                if (2 * lost <= rings.near(i).length || vouched) {
-                    doubted.remove(name);
-                } else if (now - doubted.computeIfAbsent(name, n -> now) >= settleMicros) {
-                    out.add(name);
-                }
-            } else if (allThere && lost == rings.near(i).length
-                    || now - missing.computeIfAbsent(name, n -> now) >= settleMicros) {
-                out.add(name);
-            } else {
-                looked.add(name);
+            NeighborReports neighbors = NeighborReports.count(member, rings, graph, isReachable);
+            boolean isRemoved = isReachable[member]
+                    ? isRemovedThoughReachable(now, name, neighbors)
+                    : isRemovedAsUnreachable(now, name, neighbors);
+            if (isRemoved) {
+                removed.add(name);
+            } else if (!isReachable[member]) {
+                unreachable.add(name);
             }
         }
-        out.forEach(this::forget);
-        return new Ruling(out, looked);
+        removed.forEach(this::forget);
+        return new Decision(removed, unreachable);
+    }
+
+    private boolean isRemovedThoughReachable(long now, String name, NeighborReports neighbors) {
+        unreachableSince.remove(name);
+        if (!neighbors.isLostByMost() || neighbors.isConfirmed) {
+            suspectedSince.remove(name);
+            return false;
+        }
+        return now - suspectedSince.computeIfAbsent(name, suspected -> now) >= graceMicros;
+    }
+
+    private boolean isRemovedAsUnreachable(long now, String name, NeighborReports neighbors) {
+        if (neighbors.areAllReachable && neighbors.isLostByAll()) {
+            return true;
+        }
+        return now - unreachableSince.computeIfAbsent(name, lost -> now) >= graceMicros;
     }
 
     void clear() {
-        doubted.clear();
-        missing.clear();
+        suspectedSince.clear();
+        unreachableSince.clear();
     }
 
     void forget(String name) {
-        doubted.remove(name);
-        missing.remove(name);
+        suspectedSince.remove(name);
+        unreachableSince.remove(name);
+    }
+
+    /** What the neighbors of one member report on it; only those count that can be reached. */
+    private static final class NeighborReports {
+        private final int neighbors;
+        private int lost;
+        /** A neighbor reports that it is in contact. */
+        private boolean isConfirmed;
+
+        private boolean areAllReachable = true;
+
+        private NeighborReports(int neighbors) {
+            this.neighbors = neighbors;
+        }
+
+        static NeighborReports count(int member, MonitoringRings rings, ContactGraph graph, boolean[] isReachable) {
+            int[] neighbors = rings.neighbors(member);
+            NeighborReports counted = new NeighborReports(neighbors.length);
+            if (isReachable[member] && !graph.isReportedLost(member)) {
+                return counted;
+            }
+            for (int neighbor : neighbors) {
+                if (!isReachable[neighbor]) {
+                    counted.areAllReachable = false;
+                    continue;
+                }
+                counted.lost += graph.reportsLost(neighbor, member) ? 1 : 0;
+                counted.isConfirmed |= graph.confirms(neighbor, member);
+            }
+            return counted;
+        }
+
+        boolean isLostByMost() {
+            return 2 * lost > neighbors;
+        }
+
+        boolean isLostByAll() {
+            return lost == neighbors;
+        }
     }
 
-    /** Pairs of members in touch: neighbours, and those that have found each other otherwise. */
-    private static final class Graph {
-        private static final int[] NOBODY = {};
+    /** The pairs of members in contact: neighbors, and those that have reached each other directly. */
+    private static final class ContactGraph {
+        private static final int[] NONE = {};
 
         private final MonitoringRings rings;
-        /** By member, who has lost it, and who says that it is there. */
+        /** By member, the reporters that have lost it. */
         private final int[][] lostBy;
+        /** By member, the reporters that are in contact with it; both ways. */
+        private final int[][] confirmedBy;
+        /** Members that are not in the view any more while the rings still have them. */
+        private final boolean[] isRemoved;
 
-        private final int[][] vouchedBy;
-        /** Those that are in no view any more, though their neighbours have no others yet. */
-        private final boolean[] gone;
-
-        Graph(MonitoringRings rings, MemberTable roster, FailureReports reports) {
+        ContactGraph(MonitoringRings rings, MemberTable table, FailureReports reports) {
             this.rings = rings;
             lostBy = new int[rings.size()][];
-            vouchedBy = new int[rings.size()][];
-            gone = new boolean[rings.size()];
-            for (int i = 0; i < gone.length; i++) {
-                gone[i] = !roster.isIn(rings.name(i));
+            confirmedBy = new int[rings.size()][];
+            isRemoved = new boolean[rings.size()];
+            for (int member = 0; member < isRemoved.length; member++) {
+                isRemoved[member] = !table.isInView(rings.name(member));
             }
             for (String name : reports.subjects()) {
-                int on = rings.place(name);
-                MemberRecord entry = roster.get(name);
-                for (FailureReport r : on < 0 ? List.<FailureReport>of() : reports.on(name)) {
-                    int by = rings.place(r.reporter());
-                    if (by < 0
-                            || r.aboutIncarnation() != entry.incarnation()
-                            || r.reporterIncarnation()
-                                    != roster.get(r.reporter()).incarnation()) {
-                        continue;
-                    }
-                    add(r.lost() ? lostBy : vouchedBy, on, by);
-                    if (!r.lost()) {
-                        add(vouchedBy, by, on);
-                    }
+                int subject = rings.indexOf(name);
+                if (subject >= 0) {
+                    reports.about(name).forEach(report -> add(subject, report, table));
                 }
             }
         }
 
-        private static void add(int[][] to, int on, int by) {
-            int[] has = of(to, on);
-            to[on] = Arrays.copyOf(has, has.length + 1);
-            to[on][has.length] = by;
+        private void add(int subject, FailureReport report, MemberTable table) {
+            int reporter = rings.indexOf(report.reporter());
+            if (reporter < 0 || !isOfPresentIncarnations(report, table)) {
+                return;
+            }
+            if (report.isLost()) {
+                append(lostBy, subject, reporter);
+            } else {
+                append(confirmedBy, subject, reporter);
+                append(confirmedBy, reporter, subject);
+            }
         }
 
-        private static int[] of(int[][] all, int place) {
-            return all[place] == null ? NOBODY : all[place];
+        private static boolean isOfPresentIncarnations(FailureReport report, MemberTable table) {
+            return report.subjectIncarnation() == table.get(report.subject()).incarnation()
+                    && report.reporterIncarnation()
+                            == table.get(report.reporter()).incarnation();
         }
 
-        private static boolean has(int[][] all, int on, int by) {
-            for (int i : of(all, on)) {
-                if (i == by) {
+        private static void append(int[][] lists, int index, int added) {
+            int[] old = list(lists, index);
+            lists[index] = Arrays.copyOf(old, old.length + 1);
+            lists[index][old.length] = added;
+        }
+
+        private static int[] list(int[][] lists, int index) {
+            return lists[index] == null ? NONE : lists[index];
+        }
+
+        private static boolean contains(int[][] lists, int index, int searched) {
+            for (int element : list(lists, index)) {
+                if (element == searched) {
                     return true;
                 }
             }
             return false;
         }
 
-        boolean isAccused(int place) {
-            return lostBy[place] != null;
+        boolean isReportedLost(int member) {
+            return lostBy[member] != null;
         }
 
-        boolean says(int by, int on, boolean lost) {
-            return has(lost ? lostBy : vouchedBy, on, by);
+        boolean reportsLost(int reporter, int subject) {
+            return contains(lostBy, subject, reporter);
         }
 
-        boolean[] from(int start) {
-            boolean[] reached = new boolean[rings.size()];
-            ArrayDeque<Integer> next = new ArrayDeque<>();
-            reached[start] = true;
-            next.add(start);
-            while (!next.isEmpty()) {
-                int at = next.poll();
-                for (int other : rings.near(at)) {
-                    walk(at, other, reached, next);
-                }
-                for (int other : of(vouchedBy, at)) {
-                    walk(at, other, reached, next);
-                }
+        boolean confirms(int reporter, int subject) {
+            return contains(confirmedBy, subject, reporter);
+        }
+
+        /** By member, whether it can be reached over pairs in contact. */
+        boolean[] reachableFrom(int start) {
+            boolean[] isReachable = new boolean[rings.size()];
+            ArrayDeque<Integer> open = new ArrayDeque<>();
+            isReachable[start] = true;
+            open.add(start);
+            while (!open.isEmpty()) {
+                int member = open.poll();
+                visitAll(member, rings.neighbors(member), isReachable, open);
+                visitAll(member, list(confirmedBy, member), isReachable, open);
             }
-            return reached;
+            return isReachable;
         }
 
-        private void walk(int at, int other, boolean[] reached, ArrayDeque<Integer> next) {
-            if (!reached[other] && !gone[other] && !has(lostBy, other, at) && !has(lostBy, at, other)) {
-                reached[other] = true;
-                next.add(other);
+        private void visitAll(int from, int[] members, boolean[] isReachable, ArrayDeque<Integer> open) {
+            for (int member : members) {
+                boolean isInContact = !contains(lostBy, member, from) && !contains(lostBy, from, member);
+                if (!isReachable[member] && !isRemoved[member] && isInContact) {
+                    isReachable[member] = true;
+                    open.add(member);
+                }
             }
         }
     }
--- a/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
+++ b/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
@@ -8,136 +8,152 @@
 import java.util.Map;
 
 /**
- * Spreads news: each goes once to all neighbours, but for the one that it came from, and rides on whatever
- * else is sent for a while, since either may be lost.
+ * Spreads updates: each is sent once to all monitored peers but the one that it came from, and is piggybacked on other
+ * messages for a while, since messages may be lost.
  */
 final class UpdateDisseminator {
 
-    /** An entry or a report, and who told it; empty for this process itself. */
+    /** Updates kept at most; beyond it the oldest are left to {@link AntiEntropy}. */
+    private static final int MAX_PENDING = 4_096;
+
+    /** A record or a report that is being spread. */
     private static final class PendingUpdate {
-        final MemberRecord entry;
+        /** One of the two is null. */
+        final MemberRecord memberRecord;
+
         final FailureReport report;
+        /** The member that told it; empty for this process itself. */
         final String from;
-        final long until;
-        boolean pushed;
-        /** Something newer on the same has come. */
-        boolean old;
 
-        PendingUpdate(MemberRecord entry, FailureReport report, String from, long until) {
-            this.entry = entry;
+        final long piggybackUntil;
+        boolean isSent;
+        boolean isSuperseded;
+
+        PendingUpdate(MemberRecord memberRecord, FailureReport report, String from, long piggybackUntil) {
+            this.memberRecord = memberRecord;
             this.report = report;
             this.from = from;
-            this.until = until;
+            this.piggybackUntil = piggybackUntil;
         }
 
-        int size() {
-            return entry == null ? report.size() : entry.size();
+        int encodedSize() {
+            return memberRecord == null ? report.encodedSize() : memberRecord.encodedSize();
         }
     }
 
-    /** What goes into one message. */
-    record Load(List<MemberRecord> entries, List<FailureReport> reports) {
-        static final Load NONE = new Load(List.of(), List.of());
+    /** The updates in one message. */
+    record Updates(List<MemberRecord> records, List<FailureReport> reports) {
+        static final Updates NONE = new Updates(List.of(), List.of());
 
-        boolean isEmpty() {
-            return entries.isEmpty() && reports.isEmpty();
+        static Updates of(MemberRecord single) {
+            return new Updates(List.of(single), List.of());
         }
-    }
 
-    /** Kept at most; past it the oldest are left to comparisons. */
-    private static final int MOST = 4_096;
+        private static Updates empty() {
+            return new Updates(new ArrayList<>(), new ArrayList<>());
+        }
 
-    private final ArrayDeque<PendingUpdate> news = new ArrayDeque<>();
+        private boolean isEmpty() {
+            return records.isEmpty() && reports.isEmpty();
+        }
+
+        private void add(long now, MemberTable table, PendingUpdate update) {
+            if (update.memberRecord != null) {
+                records.add(table.withAge(now, update.memberRecord));
+            } else {
+                reports.add(update.report);
+            }
+        }
+    }
+
+    private final ArrayDeque<PendingUpdate> pending = new ArrayDeque<>();
+    /** By what each is about. */
     private final Map<String, PendingUpdate> latest = new HashMap<>();
-    private boolean fresh;
 
-    void tell(MemberRecord entry, String from, long until) {
-        add(entry.name(), new PendingUpdate(entry, null, from, until));
+    private boolean hasUnsent;
+
+    void add(MemberRecord memberRecord, String from, long piggybackUntil) {
+        add(memberRecord.name(), new PendingUpdate(memberRecord, null, from, piggybackUntil));
     }
 
-    void tell(FailureReport report, String from, long until) {
-        add(report.reporter() + ' ' + report.about(), new PendingUpdate(null, report, from, until));
+    void add(FailureReport report, String from, long piggybackUntil) {
+        String key = report.reporter() + ' ' + report.subject();
+        add(key, new PendingUpdate(null, report, from, piggybackUntil));
     }
 
-    private void add(String on, PendingUpdate one) {
-        PendingUpdate before = latest.put(on, one);
-        if (before != null) {
-            before.old = true;
+    private void add(String key, PendingUpdate update) {
+        PendingUpdate superseded = latest.put(key, update);
+        if (superseded != null) {
+            superseded.isSuperseded = true;
         }
-        news.addLast(one);
-        fresh = true;
-        if (news.size() > MOST) {
-            news.pollFirst();
+        pending.addLast(update);
+        hasUnsent = true;
+        if (pending.size() > MAX_PENDING) {
+            pending.pollFirst();
         }
     }
 
-    /** Whether there is something that has not gone to the neighbours yet. */
-    boolean hasFresh() {
-        return fresh;
+    /** Whether there are updates that have not been sent to the monitored peers. */
+    boolean hasUnsent() {
+        return hasUnsent;
     }
 
-    /** What has not been pushed to this neighbour, in as many loads as it takes. */
-    List<Load> push(long now, MemberTable roster, String to) {
-        List<Load> loads = new ArrayList<>();
-        List<MemberRecord> entries = new ArrayList<>();
-        List<FailureReport> reports = new ArrayList<>();
-        int room = MembershipMessage.ROOM;
-        for (PendingUpdate n : news) {
-            if (n.pushed || n.old || n.from.equals(to)) {
+    /** The updates that have not been sent to this peer, one element for each message. */
+    List<Updates> unsentFor(long now, MemberTable table, String peer) {
+        List<Updates> messages = new ArrayList<>();
+        Updates current = Updates.empty();
+        int freeBytes = MembershipMessage.MAX_UPDATE_BYTES;
+        for (PendingUpdate update : pending) {
+            if (update.isSent || update.isSuperseded || update.from.equals(peer)) {
                 continue;
             }
-            if (n.size() > room) {
-                loads.add(new Load(entries, reports));
-                entries = new ArrayList<>();
-                reports = new ArrayList<>();
-                room = MembershipMessage.ROOM;
+            if (update.encodedSize() > freeBytes) {
+                messages.add(current);
+                current = Updates.empty();
+                freeBytes = MembershipMessage.MAX_UPDATE_BYTES;
             }
-            room -= n.size();
-            add(now, roster, n, entries, reports);
+            freeBytes -= update.encodedSize();
+            current.add(now, table, update);
         }
-        if (!entries.isEmpty() || !reports.isEmpty()) {
-            loads.add(new Load(entries, reports));
+        if (!current.isEmpty()) {
+            messages.add(current);
         }
-        return loads;
+        return messages;
     }
 
-    void pushed(long now) {
-        fresh = false;
-        news.forEach(n -> n.pushed = true);
+    /** All updates have been sent to the monitored peers. */
+    void markSent(long now) {
+        hasUnsent = false;
+        pending.forEach(update -> update.isSent = true);
         expire(now);
     }
 
     void expire(long now) {
-        if (!news.isEmpty()) {
-            news.removeIf(n -> n.old || n.pushed && now > n.until);
-            latest.values().removeIf(n -> n.pushed && now > n.until);
+        if (!pending.isEmpty()) {
+            pending.removeIf(update -> update.isSuperseded || isExpired(now, update));
+            latest.values().removeIf(update -> isExpired(now, update));
         }
     }
 
-    /** The newest of what is still fresh, as much as fits. */
-    Load ride(long now, MemberTable roster, String to) {
-        if (news.isEmpty()) {
-            return Load.NONE;
-        }
-        List<MemberRecord> entries = new ArrayList<>();
-        List<FailureReport> reports = new ArrayList<>();
-        int room = MembershipMessage.RIDE;
-        for (Iterator<PendingUpdate> i = news.descendingIterator(); i.hasNext(); ) {
-            PendingUpdate n = i.next();
-            if (!n.old && !n.from.equals(to) && n.size() <= room && now <= n.until) {
-                room -= n.size();
-                add(now, roster, n, entries, reports);
-            }
-        }
-        return new Load(entries, reports);
+    private static boolean isExpired(long now, PendingUpdate update) {
+        return update.isSent && now > update.piggybackUntil;
     }
 
-    private static void add(
-            long now, MemberTable roster, PendingUpdate n, List<MemberRecord> entries, List<FailureReport> reports) {
-        if (n.entry != null) {
-            entries.add(roster.told(now, n.entry));
-        } else {
-            reports.add(n.report);
+    /** The newest updates for a message to this peer, as many as fit. */
+    Updates piggyback(long now, MemberTable table, String peer) {
+        if (pending.isEmpty()) {
+            return Updates.NONE;
+        }
+        Updates updates = Updates.empty();
+        int freeBytes = MembershipMessage.MAX_PIGGYBACK_BYTES;
+        for (Iterator<PendingUpdate> newest = pending.descendingIterator(); newest.hasNext(); ) {
+            PendingUpdate update = newest.next();
+            boolean isCurrent = !update.isSuperseded && now <= update.piggybackUntil;
+            if (isCurrent && !update.from.equals(peer) && update.encodedSize() <= freeBytes) {
+                freeBytes -= update.encodedSize();
+                updates.add(now, table, update);
+            }
         }
+        return updates;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
@@ -111,7 +111,7 @@
                         of,
                         plan.advertise(),
                         opening.name(),
-                        Long.toHexString(membership.self().life()),
+                        Long.toHexString(membership.self().processId()),
                         System.currentTimeMillis(),
                         ThreadLocalRandom.current().nextLong(),
                         new Tasks());
@@ -200,8 +200,8 @@
     /** Those that are in, as far as is known here; itself may be one. */
     private Stream<MemberRecord> entriesIn() {
         return membership.members().values().stream()
-                .map(MembershipProtocol.Seen::entry)
-                .filter(e -> e.standing() == MemberStatus.MEMBER);
+                .map(MembershipProtocol.MemberView::record)
+                .filter(e -> e.status() == MemberStatus.MEMBER);
     }
 
     private ShareRequester portion() {
@@ -229,7 +229,9 @@
                 .group(opening.loop())
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, BUFFER)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MembershipMessageCodec.MOST + 1))
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(MembershipMessageCodec.MAX_DATAGRAM_BYTES + 1))
                 .handler(new Ear())
                 .bind(plan.listen())
                 .addListener(f -> {
@@ -322,11 +324,11 @@
     private void hear(MembershipMessage message) throws MembershipMessageCodec.Dropped {
         if (message.kind() == MembershipMessage.Kind.LEASE) {
             if (leases != null) {
-                leases.receive(now(), message.from().address(), LeaseMessageCodec.read(message.load()));
+                leases.receive(now(), message.from().address(), LeaseMessageCodec.read(message.payload()));
             }
-        } else if (message.kind().ofLists()) {
+        } else if (message.kind().isAboutEndpointLists()) {
             lending.receive(now(), message, membership.self());
-        } else if (!message.kind().ofShares()) {
+        } else if (!message.kind().isAboutShares()) {
             membership.receive(now(), message);
         } else if (portion != null && !leaving) {
             portion.receive(now(), message, membership.self());
@@ -357,7 +359,7 @@
     @Override
     public void send(InetSocketAddress to, MembershipMessage message) {
         byte[] bytes = wire.write(message);
-        if (channel != null && bytes.length <= MembershipMessageCodec.MOST) {
+        if (channel != null && bytes.length <= MembershipMessageCodec.MAX_DATAGRAM_BYTES) {
             sent++;
             bytesSent += bytes.length;
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
@@ -393,7 +395,7 @@
 
     @Override
     public void facts(Map<String, String> facts) {
-        membership.facts(now(), facts);
+        membership.updateFacts(now(), facts);
         if (leases == null) {
             return;
         }
@@ -410,7 +412,7 @@
         ShareOptions before = plan.shares();
         retuneLeases(next.leases());
         plan = plan.with(next.leasing(plan.leases()));
-        membership.retune(plan);
+        membership.reconfigure(plan);
         if (!Objects.equals(before, plan.shares())) {
             // Nothing that other electors, or other times, have said holds for these.
             portion = portion();
@@ -496,7 +498,7 @@
             out.writeStartObject();
             out.writeStringField("self", membership.self().name());
             out.writeNumberField("incarnation", membership.self().incarnation());
-            out.writeNumberField("live", membership.live());
+            out.writeNumberField("live", membership.liveCount());
             if (portion != null) {
                 out.writeObjectFieldStart("share");
                 out.writeBooleanField("claims", portion.claims(now()));
@@ -505,19 +507,19 @@
                 out.writeEndObject();
             }
             out.writeObjectFieldStart("members");
-            Map<String, MembershipProtocol.Seen> members = membership.members();
-            for (Map.Entry<String, MembershipProtocol.Seen> m : members.entrySet()) {
+            Map<String, MembershipProtocol.MemberView> members = membership.members();
+            for (Map.Entry<String, MembershipProtocol.MemberView> m : members.entrySet()) {
                 out.writeStringField(m.getKey(), m.getValue().state());
             }
             out.writeEndObject();
             out.writeObjectFieldStart("details");
-            for (Map.Entry<String, MembershipProtocol.Seen> m : members.entrySet()) {
-                Peer peer = m.getValue().entry().peer();
+            for (Map.Entry<String, MembershipProtocol.MemberView> m : members.entrySet()) {
+                Peer peer = m.getValue().record().peer();
                 out.writeObjectFieldStart(m.getKey());
                 out.writeStringField("address", Addresses.text(peer.address()));
                 out.writeNumberField("incarnation", peer.incarnation());
                 for (Map.Entry<String, String> fact :
-                        m.getValue().entry().facts().entrySet()) {
+                        m.getValue().record().facts().entrySet()) {
                     out.writeStringField(fact.getKey(), fact.getValue());
                 }
                 out.writeEndObject();
@@ -530,7 +532,7 @@
             for (Map.Entry<MembershipMessageCodec.Fault, Long> d : dropped.entrySet()) {
                 out.writeNumberField(d.getKey().name().toLowerCase(Locale.ROOT), d.getValue());
             }
-            out.writeNumberField("over_allowance", membership.dropped());
+            out.writeNumberField("over_allowance", membership.droppedMessages());
             out.writeEndObject();
             out.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/org/cypressweir/fleet/transport/MembershipMessageCodec.java
+++ b/src/main/java/org/cypressweir/fleet/transport/MembershipMessageCodec.java
@@ -29,13 +29,13 @@
 final class MembershipMessageCodec {
 
     /** Bytes of a datagram, at most. */
-    static final int MOST = 1_200;
+    static final int MAX_DATAGRAM_BYTES = 1_200;
 
     static final int VERSION = 2;
     private static final String MAGIC = "lbm";
-    private static final int MOST_ITEMS = 256;
-    private static final int MOST_FACTS = 8;
-    private static final int MOST_TEXT = 300;
+    private static final int MAX_ITEMS = 256;
+    private static final int MAX_FACTS = 8;
+    private static final int MAX_TEXT_LENGTH = 300;
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Why a datagram is none of ours. */
@@ -68,35 +68,35 @@
         this.cluster = cluster;
     }
 
-    byte[] write(MembershipMessage m) {
+    byte[] write(MembershipMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
             out.writeString(MAGIC);
             out.writeNumber(VERSION);
             out.writeString(cluster);
-            out.writeNumber(m.kind().ordinal());
-            peer(out, m.from());
-            out.writeString(m.to());
-            out.writeNumber(m.number());
-            out.writeNumber(m.digest());
+            out.writeNumber(message.kind().ordinal());
+            writePeer(out, message.from());
+            out.writeString(message.to());
+            out.writeNumber(message.number());
+            out.writeNumber(message.digest());
             out.writeStartArray();
-            for (MemberRecord e : m.entries()) {
-                entry(out, e);
+            for (MemberRecord member : message.records()) {
+                writeRecord(out, member);
             }
             out.writeEndArray();
             out.writeStartArray();
-            for (FailureReport r : m.reports()) {
-                report(out, r);
+            for (FailureReport report : message.reports()) {
+                writeReport(out, report);
             }
             out.writeEndArray();
             out.writeStartArray();
-            for (int b : m.buckets()) {
-                out.writeNumber(b);
+            for (int bucket : message.buckets()) {
+                out.writeNumber(bucket);
             }
             out.writeEndArray();
-            out.writeString(m.text());
-            out.writeBinary(m.load());
+            out.writeString(message.text());
+            out.writeBinary(message.payload());
             out.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException("memory can't fail", e);
@@ -104,35 +104,35 @@
         byte[] body = bytes.toByteArray();
         return ByteBuffer.allocate(body.length + 4)
                 .put(body)
-                .putInt(sum(body, body.length))
+                .putInt(checksum(body, body.length))
                 .array();
     }
 
-    private static int sum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, length);
-        return (int) sum.getValue();
+    private static int checksum(byte[] bytes, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, length);
+        return (int) crc.getValue();
     }
 
-    private static void peer(JsonGenerator out, Peer p) throws IOException {
+    private static void writePeer(JsonGenerator out, Peer peer) throws IOException {
         out.writeStartArray();
-        out.writeString(p.name());
-        out.writeNumber(p.life());
-        out.writeNumber(p.born());
-        out.writeNumber(p.incarnation());
-        out.writeBinary(p.address().getAddress().getAddress());
-        out.writeNumber(p.address().getPort());
+        out.writeString(peer.name());
+        out.writeNumber(peer.processId());
+        out.writeNumber(peer.startedAtMillis());
+        out.writeNumber(peer.incarnation());
+        out.writeBinary(peer.address().getAddress().getAddress());
+        out.writeNumber(peer.address().getPort());
         out.writeEndArray();
     }
 
-    private static void entry(JsonGenerator out, MemberRecord e) throws IOException {
+    private static void writeRecord(JsonGenerator out, MemberRecord member) throws IOException {
         out.writeStartArray();
-        peer(out, e.peer());
-        out.writeNumber(e.standing().ordinal());
-        out.writeNumber(e.version());
-        out.writeNumber(e.age());
+        writePeer(out, member.peer());
+        out.writeNumber(member.status().ordinal());
+        out.writeNumber(member.version());
+        out.writeNumber(member.endedSeconds());
         out.writeStartArray();
-        for (Map.Entry<String, String> fact : e.facts().entrySet()) {
+        for (Map.Entry<String, String> fact : member.facts().entrySet()) {
             out.writeString(fact.getKey());
             out.writeString(fact.getValue());
         }
@@ -140,31 +140,31 @@
         out.writeEndArray();
     }
 
-    private static void report(JsonGenerator out, FailureReport r) throws IOException {
+    private static void writeReport(JsonGenerator out, FailureReport report) throws IOException {
         out.writeStartArray();
-        out.writeString(r.reporter());
-        out.writeNumber(r.reporterIncarnation());
-        out.writeString(r.about());
-        out.writeNumber(r.aboutIncarnation());
-        out.writeNumber(r.number());
-        out.writeBoolean(r.lost());
+        out.writeString(report.reporter());
+        out.writeNumber(report.reporterIncarnation());
+        out.writeString(report.subject());
+        out.writeNumber(report.subjectIncarnation());
+        out.writeNumber(report.number());
+        out.writeBoolean(report.isLost());
         out.writeEndArray();
     }
 
     MembershipMessage read(byte[] bytes) throws Dropped {
-        if (bytes.length > MOST) {
+        if (bytes.length > MAX_DATAGRAM_BYTES) {
             throw new Dropped(Fault.TOO_LONG);
         }
         int length = bytes.length - 4;
-        if (length < 1 || ByteBuffer.wrap(bytes, length, 4).getInt() != sum(bytes, length)) {
+        if (length < 1 || ByteBuffer.wrap(bytes, length, 4).getInt() != checksum(bytes, length)) {
             throw new Dropped(Fault.TORN);
         }
         try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
-            MembershipMessage m = new Reader(in, cluster).message();
+            MembershipMessage message = new Reader(in, cluster).readMessage();
             if (in.nextToken() != null) {
                 throw new Dropped(Fault.NONSENSE);
             }
-            return m;
+            return message;
         } catch (IOException | IllegalArgumentException e) {
             throw new Dropped(Fault.NONSENSE);
         }
@@ -180,131 +180,132 @@
             this.cluster = cluster;
         }
 
-        MembershipMessage message() throws IOException, Dropped {
-            begin();
-            if (!MAGIC.equals(text())) {
+        MembershipMessage readMessage() throws IOException, Dropped {
+            beginArray();
+            if (!MAGIC.equals(readText())) {
                 throw new Dropped(Fault.FOREIGN);
             }
-            if (whole() != VERSION) {
+            if (readInt() != VERSION) {
                 throw new Dropped(Fault.NEWER);
             }
-            if (!cluster.equals(text())) {
+            if (!cluster.equals(readText())) {
                 throw new Dropped(Fault.FOREIGN);
             }
-            MembershipMessage.Kind kind = one(MembershipMessage.Kind.values());
-            begin();
-            Peer from = peer();
-            String to = text();
-            long number = number();
-            long digest = number();
-            List<MemberRecord> entries = new ArrayList<>();
-            begin();
-            while (begins(entries.size())) {
-                entries.add(entry());
+            MembershipMessage.Kind kind = readEnum(MembershipMessage.Kind.values());
+            beginArray();
+            Peer from = readPeer();
+            String to = readText();
+            long number = readLong();
+            long digest = readLong();
+            List<MemberRecord> records = new ArrayList<>();
+            beginArray();
+            while (beginsElement(records.size())) {
+                records.add(readRecord());
             }
             List<FailureReport> reports = new ArrayList<>();
-            begin();
-            while (begins(reports.size())) {
-                reports.add(report());
+            beginArray();
+            while (beginsElement(reports.size())) {
+                reports.add(readReport());
             }
             List<Integer> buckets = new ArrayList<>();
-            begin();
+            beginArray();
             while (in.nextToken() != JsonToken.END_ARRAY) {
-                need(in.currentToken() == JsonToken.VALUE_NUMBER_INT && buckets.size() < MOST_ITEMS);
+                require(in.currentToken() == JsonToken.VALUE_NUMBER_INT && buckets.size() < MAX_ITEMS);
                 buckets.add(in.getIntValue());
             }
-            String text = text();
-            need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
-            byte[] load = in.getBinaryValue();
-            end();
-            return new MembershipMessage(kind, from, to, number, digest, entries, reports, buckets, text, load);
+            String text = readText();
+            require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+            byte[] payload = in.getBinaryValue();
+            endArray();
+            return new MembershipMessage(kind, from, to, number, digest, records, reports, buckets, text, payload);
         }
 
-        private Peer peer() throws IOException, Dropped {
-            String name = text();
-            long life = number();
-            long born = number();
-            int incarnation = whole();
-            need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+        private Peer readPeer() throws IOException, Dropped {
+            String name = readText();
+            long processId = readLong();
+            long startedAtMillis = readLong();
+            int incarnation = readInt();
+            require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             InetAddress address = InetAddress.getByAddress(in.getBinaryValue());
-            int port = whole();
-            end();
-            need(!name.isEmpty() && incarnation > 0 && port > 0 && port < 65_536);
-            return new Peer(name, life, born, incarnation, new InetSocketAddress(address, port));
+            int port = readInt();
+            endArray();
+            require(!name.isEmpty() && incarnation > 0 && port > 0 && port < 65_536);
+            return new Peer(name, processId, startedAtMillis, incarnation, new InetSocketAddress(address, port));
         }
 
         /** Its list has begun already. */
-        private MemberRecord entry() throws IOException, Dropped {
-            begin();
-            Peer peer = peer();
-            MemberStatus standing = one(MemberStatus.values());
-            int version = whole();
-            int age = whole();
-            begin();
+        private MemberRecord readRecord() throws IOException, Dropped {
+            beginArray();
+            Peer peer = readPeer();
+            MemberStatus status = readEnum(MemberStatus.values());
+            int version = readInt();
+            int endedSeconds = readInt();
+            beginArray();
             Map<String, String> facts = new LinkedHashMap<>();
             while (in.nextToken() != JsonToken.END_ARRAY) {
-                need(in.currentToken() == JsonToken.VALUE_STRING && facts.size() < MOST_FACTS);
-                facts.put(in.getText(), text());
+                require(in.currentToken() == JsonToken.VALUE_STRING && facts.size() < MAX_FACTS);
+                facts.put(in.getText(), readText());
             }
-            end();
-            need(version >= 0 && age >= 0);
-            return new MemberRecord(peer, standing, version, facts, age);
+            endArray();
+            require(version >= 0 && endedSeconds >= 0);
+            return new MemberRecord(peer, status, version, facts, endedSeconds);
         }
 
-        private FailureReport report() throws IOException, Dropped {
-            String reporter = text();
-            int own = whole();
-            String about = text();
-            int its = whole();
-            int number = whole();
-            JsonToken lost = in.nextToken();
-            need(lost == JsonToken.VALUE_TRUE || lost == JsonToken.VALUE_FALSE);
-            end();
-            return new FailureReport(reporter, own, about, its, number, lost == JsonToken.VALUE_TRUE);
+        private FailureReport readReport() throws IOException, Dropped {
+            String reporter = readText();
+            int reporterIncarnation = readInt();
+            String subject = readText();
+            int subjectIncarnation = readInt();
+            int number = readInt();
+            JsonToken isLost = in.nextToken();
+            require(isLost == JsonToken.VALUE_TRUE || isLost == JsonToken.VALUE_FALSE);
+            endArray();
+            return new FailureReport(
+                    reporter, reporterIncarnation, subject, subjectIncarnation, number, isLost == JsonToken.VALUE_TRUE);
         }
 
-        private static void need(boolean holds) throws Dropped {
-            if (!holds) {
+        private static void require(boolean isValid) throws Dropped {
+            if (!isValid) {
                 throw new Dropped(Fault.NONSENSE);
             }
         }
 
-        private void begin() throws IOException, Dropped {
-            need(in.nextToken() == JsonToken.START_ARRAY);
+        private void beginArray() throws IOException, Dropped {
+            require(in.nextToken() == JsonToken.START_ARRAY);
         }
 
         /** Whether another list begins within the list that is read, which has so many by now. */
-        private boolean begins(int count) throws IOException, Dropped {
+        private boolean beginsElement(int count) throws IOException, Dropped {
             JsonToken next = in.nextToken();
-            need(next == JsonToken.END_ARRAY || next == JsonToken.START_ARRAY && count < MOST_ITEMS);
+            require(next == JsonToken.END_ARRAY || next == JsonToken.START_ARRAY && count < MAX_ITEMS);
             return next == JsonToken.START_ARRAY;
         }
 
-        private void end() throws IOException, Dropped {
-            need(in.nextToken() == JsonToken.END_ARRAY);
+        private void endArray() throws IOException, Dropped {
+            require(in.nextToken() == JsonToken.END_ARRAY);
         }
 
-        private String text() throws IOException, Dropped {
-            need(in.nextToken() == JsonToken.VALUE_STRING);
+        private String readText() throws IOException, Dropped {
+            require(in.nextToken() == JsonToken.VALUE_STRING);
             String text = in.getText();
-            need(text.length() <= MOST_TEXT);
+            require(text.length() <= MAX_TEXT_LENGTH);
             return text;
         }
 
-        private long number() throws IOException, Dropped {
-            need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+        private long readLong() throws IOException, Dropped {
+            require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
             return in.getLongValue();
         }
 
-        private int whole() throws IOException, Dropped {
-            need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+        private int readInt() throws IOException, Dropped {
+            require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
             return in.getIntValue();
         }
 
-        private <T> T one(T[] of) throws IOException, Dropped {
-            int i = whole();
-            need(i >= 0 && i < of.length);
-            return of[i];
+        private <T> T readEnum(T[] values) throws IOException, Dropped {
+            int i = readInt();
+            require(i >= 0 && i < values.length);
+            return values[i];
         }
     }
 }
--- a/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
@@ -140,7 +140,7 @@
             known.add(new MemberRecord(
                     f.core.self(), MemberStatus.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
         }
-        members.forEach(f -> f.core.know(net.now(), known));
+        members.forEach(f -> f.core.startWithMembers(net.now(), known));
     }
 
     public void run(long micros) {
@@ -162,7 +162,7 @@
     /** Whether each of these has just these in its view. */
     public boolean agree(List<SimulatedMember> among, List<SimulatedMember> on) {
         for (SimulatedMember f : among) {
-            if (f.core.live() != on.size() || !on.stream().allMatch(o -> f.core.isIn(o.name))) {
+            if (f.core.liveCount() != on.size() || !on.stream().allMatch(o -> f.core.isInView(o.name))) {
                 return false;
             }
         }
@@ -191,7 +191,7 @@
         @Override
         public void send(InetSocketAddress to, MembershipMessage message) {
             bytes += BARE
-                    + (long) ENTRY * message.entries().size()
+                    + (long) ENTRY * message.records().size()
                     + (long) REPORT * message.reports().size();
             net.send(member.place, places.getOrDefault(to, -1), message);
         }
@@ -204,8 +204,8 @@
         }
 
         @Override
-        public void refused(String why) {
-            member.refused = why;
+        public void refused(String reason) {
+            member.refused = reason;
             net.kill(member.place);
         }
 
--- a/src/test/java/org/cypressweir/fleet/membership/GoldenRingsTest.java
+++ b/src/test/java/org/cypressweir/fleet/membership/GoldenRingsTest.java
@@ -15,7 +15,7 @@
 class GoldenRingsTest {
 
     private static final int MEMBERS = 20;
-    private static final long LIFE = 0x1234_5678_9ABCL;
+    private static final long PROCESS_ID = 0x1234_5678_9ABCL;
     private static final long RELEASE_MICROS = 1_000;
 
     private static List<String> names(int count) {
@@ -23,20 +23,20 @@
     }
 
     @Test
-    void watchersAreTheSame() {
+    void neighborsAreTheSame() {
         MonitoringRings rings = new MonitoringRings(names(MEMBERS));
         List<String> lines = new ArrayList<>();
         for (String name : names(MEMBERS + 4)) {
-            lines.add(name + " " + String.join(" ", rings.around(name)));
+            lines.add(name + " " + String.join(" ", rings.neighborsOf(name)));
         }
         Golden.assertSame("hashes/watchers.txt", lines);
     }
 
     @Test
-    void digestsOfEntriesAreTheSame() {
-        Peer peer = new Peer("proxy-1", LIFE, 0, 3, new InetSocketAddress("10.0.0.1", 1));
+    void digestsOfRecordsAreTheSame() {
+        Peer peer = new Peer("proxy-1", PROCESS_ID, 0, 3, new InetSocketAddress("10.0.0.1", 1));
         List<String> digests = Stream.of(MemberStatus.values())
-                .map(standing -> Long.toHexString(new MemberRecord(peer, standing, 5, Map.of(), 0).hash()))
+                .map(status -> Long.toHexString(new MemberRecord(peer, status, 5, Map.of(), 0).hash()))
                 .toList();
         Golden.assertSame("hashes/entry-digests.txt", digests);
         assertThat(MemberStatus.values()).hasSize(digests.size());
@@ -44,18 +44,18 @@
 
     /** Compared between processes, as a whole and by parts. */
     @Test
-    void digestsOfARosterAreTheSame() {
-        MemberTable roster = new MemberTable();
+    void digestsOfAMemberTableAreTheSame() {
+        MemberTable table = new MemberTable();
         for (String name : names(MEMBERS)) {
-            Peer peer = new Peer(name, LIFE, 0, 1, new InetSocketAddress("10.0.0.1", 1));
-            roster.put(0, new MemberRecord(peer, MemberStatus.MEMBER, 0, Map.of(), 0), true);
+            Peer peer = new Peer(name, PROCESS_ID, 0, 1, new InetSocketAddress("10.0.0.1", 1));
+            table.put(0, new MemberRecord(peer, MemberStatus.MEMBER, 0, Map.of(), 0), true);
         }
         Golden.assertSame(
                 "hashes/roster-digests.txt",
                 List.of(
-                        "entries " + Long.toHexString(roster.digest()),
-                        "view " + Long.toHexString(roster.fingerprint()),
-                        "parts " + roster.buckets()));
+                        "entries " + Long.toHexString(table.digest()),
+                        "view " + Long.toHexString(table.viewFingerprint()),
+                        "parts " + table.bucketDigests()));
     }
 
     /** Electors tell it to those whom they count. */
--- a/src/test/java/org/cypressweir/simulation/MembershipChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -91,7 +91,7 @@
         f.run(8 * PAUSE);
         hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
         for (SimulatedMember x : f.all()) {
-            for (Map.Entry<String, MembershipProtocol.Seen> m :
+            for (Map.Entry<String, MembershipProtocol.MemberView> m :
                     x.core().members().entrySet()) {
                 hold(
                         m.getValue().state().equals("alive"),
@@ -185,7 +185,7 @@
             hold(
                     f.await(
                                     f.plan().boundMicros() + PAUSE,
-                                    () -> f.agree(rest, rest) && f.get(0).core().live() == 1)
+                                    () -> f.agree(rest, rest) && f.get(0).core().liveCount() == 1)
                             >= 0,
                     "cut one way, it is not out",
                     f);
@@ -198,11 +198,11 @@
         heals(f, "a pair");
         f.net.cut((from, to) -> from != 5 || to % 2 == 0);
         f.run(4 * PAUSE);
-        boolean in = f.get(0).core().isIn("n5");
+        boolean in = f.get(0).core().isInView("n5");
         hold(
                 f.all().stream()
                         .filter(x -> x.place != 5)
-                        .allMatch(x -> x.core().isIn("n5") == in),
+                        .allMatch(x -> x.core().isInView("n5") == in),
                 "one that half can hear is in for some only",
                 f);
         stays(f, "one that half can hear");
@@ -331,7 +331,7 @@
         say(f, 0, first, early);
         f.run(3 * PAUSE);
         hold(f.changes.isEmpty() && f.agree(f.all(), f.all()), "an early word changed something", f);
-        hold(!"old".equals(f.get(2).core().members().get("n5").entry().facts().get("front")), "early facts hold", f);
+        hold(!"old".equals(f.get(2).core().members().get("n5").record().facts().get("front")), "early facts hold", f);
         f.net.kill(5);
         f.run(2 * PAUSE);
         f.changes.clear();
@@ -366,12 +366,12 @@
         MembershipSimulation f = together(seed, 9);
         f.net.weather(SimulatedNetwork.Weather.losing(0.2));
         for (int i = 0; i < 6; i++) {
-            f.get(2).core().facts(f.net.now(), Map.of("state", "step " + i));
+            f.get(2).core().updateFacts(f.net.now(), Map.of("state", "step " + i));
             f.run(130_000);
         }
         f.run(2 * PAUSE);
         for (SimulatedMember x : f.all()) {
-            String state = x.core().members().get("n2").entry().facts().get("state");
+            String state = x.core().members().get("n2").record().facts().get("state");
             hold("step 5".equals(state), x.name + " knows '" + state + "'", f);
         }
     }
--- a/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
@@ -38,37 +38,39 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a suspicion never ends ~ one way ~ MonitoredPeers.java ~ if (lost != link.lost) { "
-                        + "~ if (lost && !link.lost) {",
+                "a suspicion never ends ~ one way ~ MonitoredPeers.java ~ if (isLost != link.isLost) { "
+                        + "~ if (isLost && !link.isLost) {",
                 "a lower incarnation wins ~ long pause ~ MemberRecord.java ~ other.incarnation() > peer.incarnation() "
                         + "~ other.incarnation() < peer.incarnation()",
                 "silence leaves out the pause ~ sleepers ~ MembershipOptions.java "
                         + "~ return periodMicros + pauseMicros + ~ return periodMicros + ",
                 "a sleeper counts its sleep against others ~ long pause ~ MembershipProtocol.java "
-                        + "~ links.slept(now, late); ~ ",
+                        + "~ monitoredPeers.excludePause(now, lateMicros); ~ ",
                 "the last answer counts from when the next was asked ~ killed ~ MonitoredPeers.java "
-                        + "~ link.contactAt = Math.max(link.contactAt, question.at); ~ link.contactAt = 0;",
+                        + "~ link.contactAt = Math.max(link.contactAt, probe.sentAt); ~ link.contactAt = 0;",
                 "one neighbour's word is enough ~ one way ~ SuspicionTable.java "
-                        + "~ if (2 * lost <= rings.near(i).length || vouched) { ~ if (lost == 0) {",
-                "nobody compares what it knows ~ starts ~ MembershipProtocol.java ~ now >= compareAt && (stranger "
-                        + "~ now < 0 && (stranger",
-                "it comes back as the one that was put out ~ long pause ~ MembershipProtocol.java "
-                        + "~ rise(now, e.incarnation() + 1); ~ rise(now, e.incarnation());",
-                "leaving is told as an end ~ leaves ~ MembershipProtocol.java ~ .standing(MemberStatus.LEFT)); "
-                        + "~ .standing(MemberStatus.OUT));",
+                        + "~ if (!neighbors.isLostByMost() || neighbors.isConfirmed) { ~ if (neighbors.lost == 0) {",
+                "nobody compares what it knows ~ starts ~ AntiEntropy.java ~ now >= nextComparisonAt && (isStranger "
+                        + "~ now < 0 && (isStranger",
+                "it comes back as the one that was put out ~ long pause ~ LocalMember.java "
+                        + "~ rejoin(now, record.incarnation() + 1); ~ rejoin(now, record.incarnation());",
+                "leaving is told as an end ~ leaves ~ LocalMember.java ~ .withStatus(MemberStatus.LEFT)); "
+                        + "~ .withStatus(MemberStatus.OUT));",
                 "an end is taken back by an earlier word ~ late words ~ MemberRecord.java "
-                        + "~ other.standing.compareTo(standing) > 0; ~ other.standing != standing;",
+                        + "~ other.status.compareTo(status) > 0; ~ other.status != status;",
                 "older facts win ~ facts ~ MemberRecord.java ~ other.version > version; ~ other.version < version;",
-                "the first of two with one name is not asked ~ one name ~ MembershipProtocol.java "
-                        + "~ } else if (contests.open(now, from, plan.periodMicros())) { ~ } else if (false) {",
-                "names without a bound ~ made-up names ~ MembershipProtocol.java ~ roster.size() >= plan.most() "
-                        + "~ roster.size() < 0",
-                "whoever talks with a candidate admits it ~ one friend ~ MembershipProtocol.java "
-                        + "~ MemberStatus.CANDIDATE && links.get(name) != null) { ~ MemberStatus.CANDIDATE) {",
-                "unreachable ones are not looked for ~ many killed ~ MembershipProtocol.java "
-                        + "~ if (!looked.isEmpty() && now >= lookAt) { ~ if (false) {",
-                "a newcomer is refused by its own answer ~ walk ~ MembershipProtocol.java "
-                        + "~ if (newcomer.life() != from.life()) { ~ if (true) {",
+                "the first of two with one name is not asked ~ one name ~ NameConflictResolver.java "
+                        + "~ } else if (conflicts.startsProbe(now, from, context.options.periodMicros())) { "
+                        + "~ } else if (false) {",
+                "names without a bound ~ made-up names ~ MembershipView.java "
+                        + "~ context.table.size() >= context.options.most() ~ context.table.size() < 0",
+                "whoever talks with a candidate admits it ~ one friend ~ Prober.java "
+                        + "~ MemberStatus.CANDIDATE && monitoredPeers.find(name) != null) { "
+                        + "~ MemberStatus.CANDIDATE) {",
+                "unreachable ones are not looked for ~ many killed ~ Prober.java "
+                        + "~ if (!unreachable.isEmpty() && now >= nextDirectProbesAt) { ~ if (false) {",
+                "a newcomer is refused by its own answer ~ walk ~ NameConflictResolver.java "
+                        + "~ if (newcomer.processId() != from.processId()) { ~ if (true) {",
             })
     void eachIsFound(String fault, String check, String file, String text, String instead) throws Exception {
         assertNotNull(found(check, file, text, instead == null ? "" : instead), "not found: " + fault);
