--- a/src/bench/java/org/cypressweir/simulation/MembershipBench.java
+++ b/src/bench/java/org/cypressweir/simulation/MembershipBench.java
@@ -30,7 +30,7 @@
     /** Heartbeats are n squared: past this many members they say nothing new and take days. */
     private static final int MOST_HEARTBEATS = 1_000;
 
-    private static final long PERIOD = MembershipOptions.period(PAUSE);
+    private static final long PERIOD = MembershipOptions.defaultPeriodMicros(PAUSE);
 
     /** What was counted of one way over all seeds. */
     private static final class Row {
@@ -170,7 +170,7 @@
     private static Fleet ours(int n, long seed) {
         MembershipSimulation f = new MembershipSimulation(seed, n, 3, PAUSE);
         f.startTogether();
-        return new Fleet(f.net, (by, member) -> f.get(by).core().isIn("n" + member), f::bytes, to -> {
+        return new Fleet(f.net, (by, member) -> f.get(by).core().isInView("n" + member), f::bytes, to -> {
             f.changes.clear();
             f.onChange(s -> to.put(
                     s.by(),
--- a/src/test/java/org/cypressweir/simulation/MembershipChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -91,7 +91,7 @@
         f.run(8 * PAUSE);
         hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
         for (SimulatedMember x : f.all()) {
-            for (Map.Entry<String, MembershipProtocol.Seen> m :
+            for (Map.Entry<String, MembershipProtocol.MemberView> m :
                     x.core().members().entrySet()) {
                 hold(
                         m.getValue().state().equals("alive"),
@@ -120,7 +120,7 @@
             MembershipSimulation f = together(seed, members);
             f.net.kill(members - 1);
             List<SimulatedMember> rest = range(f, 0, members - 1);
-            long took = f.await(f.plan().boundMicros(), () -> f.agree(rest, rest));
+            long took = f.await(f.plan().detectionMicros(), () -> f.agree(rest, rest));
             hold(took >= 0, "a killed one is not known", f);
             hold(took > f.plan().pauseMicros(), "known gone before a pause was over", f);
             hold(f.changes.size() == members - 1, "more than the killed one changed", f);
@@ -135,7 +135,7 @@
             MembershipSimulation f = together(seed + world, 30);
             IntStream.range(0, 18).forEach(f.net::kill);
             List<SimulatedMember> rest = range(f, 18, 30);
-            hold(f.await(f.plan().boundMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
+            hold(f.await(f.plan().detectionMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
             hold(
                     f.changes.stream()
                             .allMatch(s -> Integer.parseInt(s.change().name().substring(1)) < 18),
@@ -184,8 +184,8 @@
             f.net.cut(cut);
             hold(
                     f.await(
-                                    f.plan().boundMicros() + PAUSE,
-                                    () -> f.agree(rest, rest) && f.get(0).core().live() == 1)
+                                    f.plan().detectionMicros() + PAUSE,
+                                    () -> f.agree(rest, rest) && f.get(0).core().liveCount() == 1)
                             >= 0,
                     "cut one way, it is not out",
                     f);
@@ -198,11 +198,11 @@
         heals(f, "a pair");
         f.net.cut((from, to) -> from != 5 || to % 2 == 0);
         f.run(4 * PAUSE);
-        boolean in = f.get(0).core().isIn("n5");
+        boolean in = f.get(0).core().isInView("n5");
         hold(
                 f.all().stream()
                         .filter(x -> x.place != 5)
-                        .allMatch(x -> x.core().isIn("n5") == in),
+                        .allMatch(x -> x.core().isInView("n5") == in),
                 "one that half can hear is in for some only",
                 f);
         stays(f, "one that half can hear");
@@ -331,7 +331,7 @@
         say(f, 0, first, early);
         f.run(3 * PAUSE);
         hold(f.changes.isEmpty() && f.agree(f.all(), f.all()), "an early word changed something", f);
-        hold(!"old".equals(f.get(2).core().members().get("n5").entry().facts().get("front")), "early facts hold", f);
+        hold(!"old".equals(f.get(2).core().members().get("n5").record().facts().get("front")), "early facts hold", f);
         f.net.kill(5);
         f.run(2 * PAUSE);
         f.changes.clear();
@@ -366,12 +366,12 @@
         MembershipSimulation f = together(seed, 9);
         f.net.weather(SimulatedNetwork.Weather.losing(0.2));
         for (int i = 0; i < 6; i++) {
-            f.get(2).core().facts(f.net.now(), Map.of("state", "step " + i));
+            f.get(2).core().updateFacts(f.net.now(), Map.of("state", "step " + i));
             f.run(130_000);
         }
         f.run(2 * PAUSE);
         for (SimulatedMember x : f.all()) {
-            String state = x.core().members().get("n2").entry().facts().get("state");
+            String state = x.core().members().get("n2").record().facts().get("state");
             hold("step 5".equals(state), x.name + " knows '" + state + "'", f);
         }
     }
@@ -393,7 +393,7 @@
                 page.clear();
             }
         }
-        hold(f.get(0).core().members().size() <= f.plan().most(), "more names than allowed", f);
+        hold(f.get(0).core().members().size() <= f.plan().maxMembers(), "more names than allowed", f);
         f.run(10_000_000);
         hold(f.agree(f.all(), f.all()), "made-up names moved the view", f);
         hold(f.net.sent() - before < 5 * 10 * 1_000, (f.net.sent() - before) + " datagrams", f);
