--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
@@ -10,24 +10,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A walk that fits into a run of the tests, and faults that it finds. */
+/** A bounded walk that is short enough for each build, and planted faults of the protocol that it must find. */
 class ConsensusWalkTest {
 
-    private static final int STRAYS = 2;
-    /** In each of seven scenes; the main method walks all. */
-    private static final long SOME = 1_200;
+    private static final int MAX_DEVIATIONS = 2;
+    /** In each of the seven scenarios. The main method of {@link ConsensusWalk} can walk all. */
+    private static final long MAX_EXECUTIONS = 1_200;
 
     @TempDir
     Path folder;
 
     @Test
-    void noOrderOfEventsPartsCopies() {
-        ConsensusWalk.Result once = ConsensusWalk.walk(1, SOME);
-        assertThat(once.breach()).isNull();
-        assertThat(once.whole()).isTrue();
-        ConsensusWalk.Result r = ConsensusWalk.walk(STRAYS, SOME);
-        assertThat(r.breach()).isNull();
-        assertThat(r.taken()).isGreaterThan(r.ways() / 2);
+    void replicasAgreeAndRecoverInEveryExecution() {
+        ConsensusWalk.Result oneDeviation = ConsensusWalk.walk(1, MAX_EXECUTIONS);
+        assertThat(oneDeviation.violation()).isNull();
+        assertThat(oneDeviation.complete()).isTrue();
+        ConsensusWalk.Result twoDeviations = ConsensusWalk.walk(MAX_DEVIATIONS, MAX_EXECUTIONS);
+        assertThat(twoDeviations.violation()).isNull();
+        assertThat(twoDeviations.accepted()).isGreaterThan(twoDeviations.executions() / 2);
     }
 
     @ParameterizedTest(name = "{0}")
@@ -46,7 +46,7 @@
                 "a message of another disk is one of this replica ~ ReplicaKey.java "
                         + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
             })
-    void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
+    void findsPlantedFault(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/controlplane/consensus"),
@@ -56,8 +56,10 @@
                 name -> name.startsWith("org.cypressweir.modelcheck.Consensus")
                         || name.startsWith("org.cypressweir.testkit.Consensus")
                         || name.startsWith("org.cypressweir.testkit.SimulatedReplicas"));
-        Method broken = planted.loadClass("org.cypressweir.modelcheck.ConsensusWalk")
-                .getMethod("broken", int.class, long.class);
-        assertThat(broken.invoke(null, STRAYS, SOME)).as(fault).isNotNull();
+        Method findViolation = planted.loadClass("org.cypressweir.modelcheck.ConsensusWalk")
+                .getMethod("findViolation", int.class, long.class);
+        assertThat(findViolation.invoke(null, MAX_DEVIATIONS, MAX_EXECUTIONS))
+                .as(fault)
+                .isNotNull();
     }
 }
