--- a/src/test/java/org/cypressweir/FormerProgramNamesTest.java
+++ b/src/test/java/org/cypressweir/FormerProgramNamesTest.java
@@ -23,8 +23,8 @@
     @Timeout(60)
     void formerNamesStartAControllerAndAProxy() throws Exception {
         try (MeshFixture mesh = MeshFixture.withFormerProgramNames(folder, 3, List.of("orders"))) {
-            mesh.order("h1", ORDERS_SERVICE);
-            mesh.ready("p1");
+            mesh.modifyUntilAcknowledged("h1", ORDERS_SERVICE);
+            mesh.awaitReady("p1");
             assertThat(mesh.state("h1").status()).isEqualTo(200);
         }
     }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -59,23 +59,23 @@
     @TempDir
     private Path folder;
 
-    private MeshFixture rig;
+    private MeshFixture mesh;
     private final OperatorChecks checks = new OperatorChecks();
     private final AtomicLong versions = new AtomicLong();
 
     private void start(List<String> services, int controllerCount) throws Exception {
-        rig = MeshFixture.withCuts(folder, controllerCount, services);
-        rig.order("h1", initialConfiguration("old.mesh", 1));
-        rig.begun();
+        mesh = MeshFixture.withPartitions(folder, controllerCount, services);
+        mesh.modifyUntilAcknowledged("h1", initialConfiguration("old.mesh", 1));
+        mesh.markInitialized();
         for (int i = 1; i <= services.size(); i++) {
-            rig.ready("p" + i);
+            mesh.awaitReady("p" + i);
         }
     }
 
     @AfterEach
     void stop() throws IOException {
-        if (rig != null) {
-            rig.close();
+        if (mesh != null) {
+            mesh.close();
         }
     }
 
@@ -116,7 +116,7 @@
             String controller = controllers.get(n % controllers.size());
             try {
                 String change = OperatorChecks.order("t" + n % 5, "k" + n % 5, versions.incrementAndGet());
-                int status = rig.modify(controller, change).status();
+                int status = mesh.modify(controller, change).status();
                 checks.modified(change, status);
                 acknowledged += status == 200 ? 1 : 0;
                 read(controller);
@@ -129,7 +129,7 @@
 
     private boolean read(String controller) throws IOException {
         Map<String, Long> floor = checks.floor();
-        RawHttpClient.Message answer = rig.firstAnswer(controller);
+        RawHttpClient.Message answer = mesh.readWithoutRedirect(controller);
         if (answer.status() == 200) {
             checks.read(floor, answer.body());
         }
@@ -138,7 +138,7 @@
 
     private void awaitAllRead() throws InterruptedException {
         for (String controller : CONTROLLERS) {
-            rig.await(controller + " reads", () -> read(controller));
+            mesh.await(controller + " reads", () -> read(controller));
         }
         assertThat(checks.breach()).as("%s", checks).isNull();
     }
@@ -150,19 +150,19 @@
             int route = way.ordinal() * 2;
             partitionFirstController(way, route);
             callDuringPartition(way);
-            rig.relay().join();
+            mesh.relay().join();
             awaitHealed(route);
         }
     }
 
     /** Leaves the first controller with the second proxy alone, and the change of the route to the others. */
     private void partitionFirstController(Way way, int route) throws Exception {
-        ConnectionRelay relay = rig.relay();
-        rig.kill("p2");
+        ConnectionRelay relay = mesh.relay();
+        mesh.kill("p2");
         relay.cut("h1", List.of("h2", "h3", "p1"), way, way);
         relay.cut("p2", List.of("h2", "h3"), way, way);
-        rig.order("h2", initialConfiguration("new.mesh", route));
-        rig.restart("p2");
+        mesh.modifyUntilAcknowledged("h2", initialConfiguration("new.mesh", route));
+        mesh.restart("p2");
     }
 
     private void callDuringPartition(Way way) throws InterruptedException {
@@ -175,9 +175,9 @@
                 inBackground(() -> acknowledgedInMinority.set(operate(List.of("h1"), deadline)), failures),
                 inBackground(() -> acknowledgedByMajority.set(operate(List.of("h2", "h3"), deadline)), failures),
                 inBackground(() -> servedByOldRoute.set(requestOldRoute("p2", deadline)), failures));
-        rig.await(
+        mesh.await(
                 "the change is at p1",
-                () -> rig.request("p1", "new.mesh", "/", null).status() == 200);
+                () -> mesh.request("p1", "new.mesh", "/", null).status() == 200);
         for (Thread thread : threads) {
             thread.join();
         }
@@ -200,22 +200,22 @@
 
     private void awaitHealed(int route) throws Exception {
         awaitAllRead();
-        rig.await(
+        mesh.await(
                 "the change is at p2",
-                () -> rig.request("p2", "new.mesh", "/", null).status() == 200);
-        assertThat(rig.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
-        rig.order("h1", initialConfiguration("old.mesh", route + 1));
-        rig.await(
+                () -> mesh.request("p2", "new.mesh", "/", null).status() == 200);
+        assertThat(mesh.request("p2", "old.mesh", "/", null).status()).isEqualTo(404);
+        mesh.modifyUntilAcknowledged("h1", initialConfiguration("old.mesh", route + 1));
+        mesh.await(
                 "p1 and p2 follow",
-                () -> rig.request("p1", "old.mesh", "/", null).status() == 200
-                        && rig.request("p2", "old.mesh", "/", null).status() == 200);
+                () -> mesh.request("p1", "old.mesh", "/", null).status() == 200
+                        && mesh.request("p2", "old.mesh", "/", null).status() == 200);
     }
 
     private int requestOldRoute(String proxy, long deadline) {
         int served = 0;
         while (System.nanoTime() < deadline) {
             try {
-                served += rig.request(proxy, "old.mesh", "/", null).status() == 200 ? 1 : 0;
+                served += mesh.request(proxy, "old.mesh", "/", null).status() == 200 ? 1 : 0;
             } catch (IOException e) {
                 // It has not started yet.
                 Thread.onSpinWait();
@@ -239,10 +239,10 @@
             assertThat(winners).hasSize(n);
             assertThat(losers).hasSize(n);
             if (n == 2) {
-                rig.kill("h1");
-                rig.restart("h1");
+                mesh.kill("h1");
+                mesh.restart("h1");
             } else if (n == CONFLICTS - 1) {
-                rig.wipe("h2");
+                mesh.restartWithEmptyDisk("h2");
             }
         }
         for (String change : winners) {
@@ -255,7 +255,7 @@
     private void sendBothAtOnce(int n, List<String> changes) throws InterruptedException {
         List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
         if (n % 3 == 0) {
-            rig.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
+            mesh.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
         }
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         boolean answerLost = n % 2 == 0;
@@ -265,16 +265,16 @@
         for (Thread operator : operators) {
             operator.join();
         }
-        rig.relay().join();
+        mesh.relay().join();
         assertThat(failures).isEmpty();
     }
 
     private void send(String controller, String change, boolean answerLost) throws IOException {
         try {
             if (answerLost) {
-                rig.sendAndLeave(controller, change);
+                mesh.modifyWithoutResponse(controller, change);
             } else {
-                checks.modified(change, rig.modify(controller, change).status());
+                checks.modified(change, mesh.modify(controller, change).status());
             }
         } catch (ConnectException e) {
             // It is just restarting: what is sent to all controllers later decides.
@@ -286,8 +286,8 @@
     private boolean isCommitted(String change) throws InterruptedException {
         Set<Integer> statuses = new TreeSet<>();
         for (String controller : CONTROLLERS) {
-            rig.await(controller + " answers " + change, () -> {
-                int status = rig.modify(controller, change).status();
+            mesh.await(controller + " answers " + change, () -> {
+                int status = mesh.modify(controller, change).status();
                 checks.modified(change, status);
                 boolean decided = status == 200 || status == 409;
                 if (decided) {
@@ -302,8 +302,8 @@
 
     private void awaitAcknowledgedAgain(String change) throws InterruptedException {
         for (String controller : CONTROLLERS) {
-            rig.await(controller + " acknowledges again " + change, () -> {
-                int status = rig.modify(controller, change).status();
+            mesh.await(controller + " acknowledges again " + change, () -> {
+                int status = mesh.modify(controller, change).status();
                 checks.again(change, status);
                 return status == 200 || checks.breach() != null;
             });
@@ -314,14 +314,14 @@
     void aSecondDiskIsLostAsSoonAsTheFirstHasCaughtUp() throws Exception {
         start(List.of(), 3);
         for (String wiped : FULL ? List.of("h1", "h2", "h3", "h1") : List.of("h1", "h2")) {
-            rig.wipe(wiped);
+            mesh.restartWithEmptyDisk(wiped);
             List<String> others =
                     CONTROLLERS.stream().filter(h -> !h.equals(wiped)).toList();
             othersContinueWhileCatchingUp(others, wiped);
         }
         awaitAllRead();
         for (String controller : CONTROLLERS) {
-            rig.order(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+            mesh.modifyUntilAcknowledged(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
         }
         awaitAllRead();
     }
@@ -332,22 +332,22 @@
     void aSecondMachineIsLostAsSoonAsASuccessorHasCaughtUp() throws Exception {
         start(List.of(), 3);
         assertThat(operate(CONTROLLERS, deadlineIn(1))).isPositive();
-        rig.kill("h1");
-        rig.replacement();
+        mesh.kill("h1");
+        mesh.startSpare();
         List<String> remaining = List.of("h2", "h3", MeshFixture.SPARE);
         if (REPLACED) {
             assertThat(operate(List.of("h2", "h3"), deadlineIn(CATCH_UP_SECONDS)))
                     .isPositive();
-            rig.kill("h2");
+            mesh.kill("h2");
             remaining = List.of("h3", MeshFixture.SPARE);
         } else {
             othersContinueWhileCatchingUp(List.of("h2", "h3"), MeshFixture.SPARE);
         }
         for (String controller : remaining) {
-            rig.order(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+            mesh.modifyUntilAcknowledged(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
         }
         for (String controller : remaining) {
-            rig.await(controller + " reads", () -> read(controller));
+            mesh.await(controller + " reads", () -> read(controller));
         }
         assertThat(checks.breach()).as("%s", checks).isNull();
     }
@@ -356,9 +356,9 @@
     private void othersContinueWhileCatchingUp(List<String> others, String restarted) throws InterruptedException {
         long startNanos = System.nanoTime();
         assertThat(operate(others, deadlineIn(CATCH_UP_SECONDS)))
-                .as(() -> "acknowledged by " + others + rig.said())
+                .as(() -> "acknowledged by " + others + mesh.allLogs())
                 .isPositive();
-        rig.await(restarted + " reads", () -> read(restarted));
+        mesh.await(restarted + " reads", () -> read(restarted));
         System.out.println(restarted + " began with an empty disk and reads after "
                 + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
     }
@@ -366,23 +366,23 @@
     @Test
     void aControllerThatMissedManyChangesCatchesUp() throws Exception {
         start(List.of(), 3);
-        rig.freeze("h3");
+        mesh.suspend("h3");
         commitManyChanges();
         long resumedNanos = System.nanoTime();
-        rig.signal("h3", "-CONT");
+        mesh.signal("h3", "-CONT");
         awaitCaughtUp("stopped", resumedNanos, "h1");
 
         if (FULL) {
-            rig.kill("h3");
+            mesh.kill("h3");
             commitManyChanges();
             resumedNanos = System.nanoTime();
-            rig.restart("h3");
+            mesh.restart("h3");
             awaitCaughtUp("ended", resumedNanos, "h2");
         }
-        rig.kill("h3");
+        mesh.kill("h3");
         commitManyChanges();
         resumedNanos = System.nanoTime();
-        rig.wipe("h3");
+        mesh.restartWithEmptyDisk("h3");
         awaitCaughtUp("wiped", resumedNanos, "h1");
     }
 
@@ -395,7 +395,7 @@
                         () -> {
                             while (acknowledged.get() < target) {
                                 String change = OperatorChecks.order("t" + i, "k" + i, versions.incrementAndGet());
-                                int status = rig.modify(i % 2 == 0 ? "h1" : "h2", change)
+                                int status = mesh.modify(i % 2 == 0 ? "h1" : "h2", change)
                                         .status();
                                 checks.modified(change, status);
                                 acknowledged.addAndGet(status == 200 ? 1 : 0);
@@ -412,50 +412,51 @@
     /** Once it is up to date another one is killed, so that nothing is committed without it. */
     private void awaitCaughtUp(String fault, long startNanos, String killed) throws Exception {
         Map<String, Long> newest = checks.floor();
-        rig.await("h3 reads", () -> read("h3"));
+        mesh.await("h3 reads", () -> read("h3"));
         long millis = (System.nanoTime() - startNanos) / 1_000_000;
         System.out.println(
                 "h3 was " + fault + " through " + CHANGE_COUNT + " changes: up to date after " + millis + " ms");
         assertThat(millis).isLessThan(MAX_CATCH_UP_MILLIS);
-        rig.kill(killed);
-        rig.order("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
-        rig.await("h3 reads", () -> {
-            RawHttpClient.Message answer = rig.firstAnswer("h3");
+        mesh.kill(killed);
+        mesh.modifyUntilAcknowledged("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
+        mesh.await("h3 reads", () -> {
+            RawHttpClient.Message answer = mesh.readWithoutRedirect("h3");
             if (answer.status() == 200) {
                 checks.read(newest, answer.body());
             }
             return answer.status() == 200;
         });
-        rig.restart(killed);
+        mesh.restart(killed);
         awaitAllRead();
     }
 
     @Test
     void aRequestThatIsNotIdempotentRunsOnce() throws Exception {
         start(List.of("gate", "orders", "orders", "orders", "orders", "orders"), 1);
-        List<ApplicationStubs> applications =
-                IntStream.rangeClosed(2, 6).mapToObj(i -> rig.ship("p" + i)).toList();
+        List<ApplicationStubs> applications = IntStream.rangeClosed(2, 6)
+                .mapToObj(i -> mesh.application("p" + i))
+                .toList();
         applications.forEach(application -> application.takes(150));
         RequestLog log = new RequestLog();
         List<Thread> clients = IntStream.range(0, CALLERS)
                 .mapToObj(i -> inBackground(() -> request(applications, log), log.failures))
                 .toList();
         for (ApplicationStubs application : applications) {
-            rig.await(application.instance() + " serves", () -> application.runs() > 5);
+            mesh.await(application.instance() + " serves", () -> application.runs() > 5);
         }
         faultsBetweenProxies(log);
         if (FULL) {
-            rig.freeze("p1");
+            mesh.suspend("p1");
             long silent = deadlineIn(OUTAGE_SECONDS);
-            rig.await("each time-out has passed", () -> System.nanoTime() >= silent);
-            rig.signal("p1", "-CONT");
+            mesh.await("each time-out has passed", () -> System.nanoTime() >= silent);
+            mesh.signal("p1", "-CONT");
             awaitServedAgain(log);
         }
         log.stopped = true;
         for (Thread client : clients) {
             client.join();
         }
-        System.out.println(log.served + " calls served, " + log.failed + " failed, " + rig.relay().resets + " resets");
+        System.out.println(log.served + " calls served, " + log.failed + " failed, " + mesh.relay().resets + " resets");
         assertThat(log.failures).isEmpty();
         assertThat(log.failed.get()).as("requests hit by a fault").isPositive();
         assertThat(log.ids).allSatisfy(id -> assertThat(runs(applications, id)).isLessThanOrEqualTo(1));
@@ -473,10 +474,10 @@
     /** A client: sends one request after the other until it is stopped. */
     private void request(List<ApplicationStubs> applications, RequestLog log) {
         while (!log.stopped) {
-            String id = rig.id();
+            String id = mesh.nextRequestId();
             log.ids.add(id);
             try {
-                RawHttpClient.Message answer = rig.request("p1", "old.mesh", "/", null, id);
+                RawHttpClient.Message answer = mesh.request("p1", "old.mesh", "/", null, id);
                 if (answer.status() == 200) {
                     assertThat(answer.body()).isEqualTo("ran of " + id);
                     assertThat(answer.headers()).containsEntry(ApplicationStubs.ID, id);
@@ -492,30 +493,30 @@
     }
 
     private void faultsBetweenProxies(RequestLog log) throws Exception {
-        ConnectionRelay relay = rig.relay();
+        ConnectionRelay relay = mesh.relay();
         relay.set("p1", "p2", Way.HOLD);
         relay.set("p3", "p1", Way.HOLD);
         relay.cut("p1", List.of("p4"), Way.LOSE, Way.LOSE);
-        rig.freeze("p5");
+        mesh.suspend("p5");
         resetRepeatedly(relay, deadlineIn(OUTAGE_SECONDS));
         relay.join();
-        rig.signal("p5", "-CONT");
+        mesh.signal("p5", "-CONT");
         awaitServedAgain(log);
     }
 
     private void awaitServedAgain(RequestLog log) throws InterruptedException {
         int before = log.served.get();
-        rig.await("calls are served again", () -> log.served.get() > before + 20);
+        mesh.await("calls are served again", () -> log.served.get() > before + 20);
     }
 
     /** Resets the connections to one proxy repeatedly, each time after some runs of its application. */
     private void resetRepeatedly(ConnectionRelay relay, long deadline) throws InterruptedException {
-        ApplicationStubs application = rig.ship("p6");
+        ApplicationStubs application = mesh.application("p6");
         while (System.nanoTime() < deadline) {
             int runs = application.runs();
             relay.cut("p1", List.of("p6"), Way.RESET, Way.RESET);
             relay.cut("p1", List.of("p6"), Way.PASS, Way.PASS);
-            rig.await(
+            mesh.await(
                     "p6 serves again, or all callers wait for others",
                     () -> application.runs() > runs + 3 || System.nanoTime() >= deadline);
         }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
@@ -19,48 +19,48 @@
 
     @Test
     void aStandbyReplacesAVoterThatShutsDown() throws Exception {
-        try (MeshFixture rig = new MeshFixture(folder, 3, List.of())) {
-            rig.order("h1", OperatorChecks.order("t0", "k00", 1));
-            rig.begun();
-            rig.join("h4");
-            awaitRedirect(rig, "h4", List.of("h1", "h2", "h3"));
+        try (MeshFixture mesh = new MeshFixture(folder, 3, List.of())) {
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.markInitialized();
+            mesh.startAdditionalController("h4");
+            awaitRedirect(mesh, "h4", List.of("h1", "h2", "h3"));
             for (String controller : List.of("h1", "h2", "h3")) {
-                rig.await(
+                mesh.await(
                         controller + " knows h4 as a standby",
-                        () -> rig.state(controller).body().contains("\"standbys\":[\"" + rig.lines("h4")));
+                        () -> mesh.state(controller).body().contains("\"standbys\":[\"" + mesh.peerAddress("h4")));
             }
-            rig.term("h2");
-            rig.gone("h2");
+            mesh.terminate("h2");
+            mesh.awaitExit("h2");
             // It ended after that was committed, long before the others could time it out.
-            assertThat(List.of(voters(rig, "h1"), voters(rig, "h3")))
-                    .anyMatch(voters -> !voters.contains(rig.lines("h2")));
+            assertThat(List.of(voters(mesh, "h1"), voters(mesh, "h3")))
+                    .anyMatch(voters -> !voters.contains(mesh.peerAddress("h2")));
             for (String controller : List.of("h1", "h3", "h4")) {
-                rig.await(
+                mesh.await(
                         controller + " has h4 as a voter",
-                        () -> voters(rig, controller).contains(rig.lines("h4"))
-                                && !voters(rig, controller).contains(rig.lines("h2")));
+                        () -> voters(mesh, controller).contains(mesh.peerAddress("h4"))
+                                && !voters(mesh, controller).contains(mesh.peerAddress("h2")));
             }
-            rig.order("h4", OperatorChecks.order("t0", "k01", 2));
-            rig.restart("h2");
-            awaitRedirect(rig, "h2", List.of("h1", "h3", "h4"));
-            rig.kill("h1");
-            rig.order("h4", OperatorChecks.order("t0", "k02", 3));
-            rig.await("h2 is let in", () -> rig.firstAnswer("h2").status() == 200);
-            assertThat(rig.firstAnswer("h2").body()).contains("k02");
+            mesh.modifyUntilAcknowledged("h4", OperatorChecks.order("t0", "k01", 2));
+            mesh.restart("h2");
+            awaitRedirect(mesh, "h2", List.of("h1", "h3", "h4"));
+            mesh.kill("h1");
+            mesh.modifyUntilAcknowledged("h4", OperatorChecks.order("t0", "k02", 3));
+            mesh.await("h2 is let in", () -> mesh.readWithoutRedirect("h2").status() == 200);
+            assertThat(mesh.readWithoutRedirect("h2").body()).contains("k02");
         }
     }
 
-    private static String voters(MeshFixture rig, String controller) throws IOException {
-        String state = rig.state(controller).body();
+    private static String voters(MeshFixture mesh, String controller) throws IOException {
+        String state = mesh.state(controller).body();
         return state.substring(state.indexOf("\"crew\""), state.indexOf("\"members\""));
     }
 
     /** Waits until a voter is named; until it knows one it may answer anything. */
-    private static void awaitRedirect(MeshFixture rig, String controller, List<String> voters) throws Exception {
-        rig.await(controller + " redirects", () -> {
-            RawHttpClient.Message answer = rig.firstAnswer(controller);
+    private static void awaitRedirect(MeshFixture mesh, String controller, List<String> voters) throws Exception {
+        mesh.await(controller + " redirects", () -> {
+            RawHttpClient.Message answer = mesh.readWithoutRedirect(controller);
             return answer.status() == 307
-                    && voters.stream().anyMatch(v -> ("http://" + rig.control(v) + "/cypressweir/config/read")
+                    && voters.stream().anyMatch(v -> ("http://" + mesh.controlAddress(v) + "/cypressweir/config/read")
                             .equals(answer.headers().get("Location")));
         });
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -58,9 +58,9 @@
     @BeforeAll
     static void start() throws IOException, InterruptedException {
         fixture = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"));
-        fixture.order("h1", SETUP);
+        fixture.modifyUntilAcknowledged("h1", SETUP);
         for (int i = 1; i <= 5; i++) {
-            fixture.ready("p" + i);
+            fixture.awaitReady("p" + i);
         }
         awaitAllEndpoints();
     }
@@ -95,13 +95,13 @@
     @Test
     @Order(1)
     void requestIsForwardedToAnotherProxy() throws Exception {
-        String id = fixture.id();
+        String id = fixture.nextRequestId();
         RawHttpClient.Message response = fixture.request("p4", HOST, "/deep/er?q=1", "k-free", id);
         assertThat(response.status()).isEqualTo(200);
         assertThat(response.body()).isEqualTo("ran of " + id);
         assertThat(response.headers()).containsEntry(ApplicationStubs.ID, id);
         String instanceId = response.headers().get("Instance");
-        ApplicationStubs instance = fixture.ship(instanceId.substring("orders-".length()));
+        ApplicationStubs instance = fixture.application(instanceId.substring("orders-".length()));
         RawHttpClient.Message seen = instance.seen.stream()
                 .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
@@ -122,9 +122,9 @@
         assertThat(status("p1", "/", null)).isEqualTo(401);
         assertThat(status("p2", "/", "k-none")).isEqualTo(401);
         assertThat(fixture.request("p3", "other.mesh", "/", "k-free").status()).isEqualTo(404);
-        int before = fixture.ship("p1").runs()
-                + fixture.ship("p2").runs()
-                + fixture.ship("p3").runs();
+        int before = fixture.application("p1").runs()
+                + fixture.application("p2").runs()
+                + fixture.application("p3").runs();
         int served = 0;
         RawHttpClient.Message rejection = null;
         for (int i = 0; i < 30 && rejection == null; i++) {
@@ -134,9 +134,9 @@
         }
         assertThat(rejection).isNotNull();
         assertThat(Double.parseDouble(rejection.headers().get("Retry-After"))).isPositive();
-        assertThat(fixture.ship("p1").runs()
-                        + fixture.ship("p2").runs()
-                        + fixture.ship("p3").runs()
+        assertThat(fixture.application("p1").runs()
+                        + fixture.application("p2").runs()
+                        + fixture.application("p3").runs()
                         - before)
                 .isEqualTo(served);
 
@@ -156,7 +156,7 @@
     @Order(3)
     void survivesLossOfOneControllerAndOneProxy() throws Exception {
         fixture.kill("h1");
-        fixture.order(
+        fixture.modifyUntilAcknowledged(
                 "h2",
                 "{'upsert':{'routeTable':{'late':"
                         + route("/late/", "idempotent").replace(HOST, "late.mesh") + "}}}");
@@ -169,15 +169,15 @@
         for (int i = 0; i < 20; i++) {
             assertThat(status("p" + (2 + i % 4), "/safe/", "k-free")).isEqualTo(200);
         }
-        int before = fixture.ship("p1").runs();
+        int before = fixture.application("p1").runs();
         for (int i = 0; i < 20; i++) {
             assertThat(status("p" + (2 + i % 4), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(fixture.ship("p1").runs()).isEqualTo(before);
+        assertThat(fixture.application("p1").runs()).isEqualTo(before);
 
         fixture.restart("h1");
         fixture.restart("p1");
-        fixture.ready("p1");
+        fixture.awaitReady("p1");
         fixture.await(
                 "h1 has the change that it missed",
                 () -> fixture.read("h1").body().contains("late.mesh"));
@@ -206,10 +206,10 @@
     @Test
     @Order(5)
     void settingsAreReloaded() throws Exception {
-        fixture.settings("p5", "gate", ",\"other\":\"5s\"");
-        fixture.settings("h3", null, ",\"other\":\"5s\"");
+        fixture.writeProxySettings("p5", "gate", ",\"other\":\"5s\"");
+        fixture.writeControllerSettings("h3", ",\"other\":\"5s\"");
         for (String name : List.of("p5", "h3")) {
-            fixture.hup(name);
+            fixture.reloadSettings(name);
             fixture.await(name + " has reloaded", () -> fixture.log(name).contains("Settings reloaded"));
             assertThat(fixture.isAlive(name)).isTrue();
         }
@@ -223,7 +223,7 @@
     void reloadOfSettingsLosesNoRequestInFlight() throws Exception {
         List<String> proxies = List.of("p1", "p2", "p3", "p4", "p5");
         List<ApplicationStubs> instances =
-                Stream.of("p1", "p2", "p3").map(fixture::ship).toList();
+                Stream.of("p1", "p2", "p3").map(fixture::application).toList();
         instances.forEach(s -> s.takes(2_000));
         Map<String, CompletableFuture<Integer>> responses = new TreeMap<>();
         for (int i = 0; i < 10; i++) {
@@ -249,9 +249,9 @@
         fixture.await(
                 "all requests are in flight", () -> responses.keySet().stream().allMatch(MeshTest::ran));
         for (String proxy : proxies) {
-            fixture.settings(proxy, proxy.compareTo("p4") < 0 ? "orders" : "gate", ",\"another\":\"6s\"");
+            fixture.writeProxySettings(proxy, proxy.compareTo("p4") < 0 ? "orders" : "gate", ",\"another\":\"6s\"");
             if (!proxy.equals("p2") && !proxy.equals("p4")) {
-                fixture.hup(proxy);
+                fixture.reloadSettings(proxy);
             }
         }
         for (String proxy : proxies) {
@@ -276,7 +276,7 @@
     @Test
     @Order(6)
     void drainingInstanceGetsNoRequests() throws Exception {
-        ApplicationStubs instance = fixture.ship("p3");
+        ApplicationStubs instance = fixture.application("p3");
         instance.drain();
         fixture.await("it has rejected a request, or gets none", () -> {
             int before = instance.seen.size();
@@ -312,8 +312,8 @@
             client.start();
         }
         assertThat(firstResponses.await(10, TimeUnit.SECONDS)).isTrue();
-        fixture.term("p2");
-        fixture.gone("p2");
+        fixture.terminate("p2");
+        fixture.awaitExit("p2");
         for (Thread client : clients) {
             client.interrupt();
             client.join(10_000);
@@ -336,14 +336,14 @@
         assertThat(rejection.headers()).containsKey("Retry-After");
         fixture.kill("p3");
         fixture.restart("p3");
-        fixture.ready("p3");
+        fixture.awaitReady("p3");
         assertThat(fixture.log("p3")).contains("Starting with an unconfirmed configuration");
         assertThat(status("p3", "/safe/", "k-free")).isEqualTo(200);
         fixture.restart("h2");
         fixture.await("h1 accepts changes again", () -> fixture.read("h1").status() == 200);
         fixture.kill("p3");
         fixture.restart("p3");
-        fixture.ready("p3");
+        fixture.awaitReady("p3");
         assertThat(fixture.log("p3").split("unconfirmed configuration", -1)).hasSize(2);
     }
 
@@ -354,7 +354,7 @@
         fixture.kill("h1");
         fixture.kill("h2");
         List<String> proxies = List.of("p1", "p3", "p4", "p5");
-        ApplicationStubs instance = fixture.ship("p1");
+        ApplicationStubs instance = fixture.application("p1");
         instance.drain();
         fixture.await("it gets no requests", () -> {
             int before = instance.seen.size();
@@ -372,7 +372,7 @@
 
     private static boolean ran(String id) {
         for (int i = 1; i <= 5; i++) {
-            if (fixture.ship("p" + i).runs(id) > 0) {
+            if (fixture.application("p" + i).runs(id) > 0) {
                 return true;
             }
         }
@@ -388,7 +388,7 @@
         while (!Thread.currentThread().isInterrupted()) {
             String id = "";
             try {
-                id = fixture.id();
+                id = fixture.nextRequestId();
                 int status = fixture.request(proxy, HOST, "/", "k-free", id).status();
                 if (status == 200) {
                     served.incrementAndGet();
--- a/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -22,15 +22,16 @@
     void meshWithoutDisksStartsOnlyWhenAnOperatorBootstrapsAController() throws Exception {
         List<String> controllers = List.of("h1", "h2", "h3");
         try (MeshFixture mesh = new MeshFixture(folder, 3, List.of())) {
-            mesh.order("h1", OperatorChecks.order("t0", "k00", 1));
-            mesh.begun();
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.markInitialized();
             StringWriter output = new StringWriter();
-            assertThat(bootstrap(output, mesh.control("h1"))).isEqualTo(ExitStatus.INVALID);
-            assertThat(bootstrap(output, mesh.control("h1"), "--confirm")).isEqualTo(ExitStatus.DIFFERENT);
+            assertThat(bootstrap(output, mesh.controlAddress("h1"))).isEqualTo(ExitStatus.INVALID);
+            assertThat(bootstrap(output, mesh.controlAddress("h1"), "--confirm"))
+                    .isEqualTo(ExitStatus.DIFFERENT);
             assertThat(output.toString()).contains("--confirm").contains("not blank");
             for (String controller : controllers) {
                 mesh.kill(controller);
-                mesh.empty(controller);
+                mesh.emptyDataDirectory(controller);
             }
             for (String controller : controllers) {
                 mesh.restart(controller);
@@ -40,8 +41,8 @@
             for (String controller : controllers) {
                 assertThat(mesh.read(controller).status()).isEqualTo(503);
             }
-            mesh.await("h1 starts", () -> bootstrap(output, mesh.control("h1"), "--confirm") == ExitStatus.OK);
-            mesh.order("h1", OperatorChecks.order("t0", "k01", 1));
+            mesh.await("h1 starts", () -> bootstrap(output, mesh.controlAddress("h1"), "--confirm") == ExitStatus.OK);
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k01", 1));
             for (String controller : controllers) {
                 mesh.await(
                         controller + " reads the change",
--- a/src/test/java/org/cypressweir/meshctl/FleetQueryTest.java
+++ b/src/test/java/org/cypressweir/meshctl/FleetQueryTest.java
@@ -61,11 +61,11 @@
     @Test
     void everyQueryNamesTheProcessesThatDoNotRespond() throws IOException, InterruptedException {
         try (MeshFixture mesh = new MeshFixture(folder, 3, List.of("orders", "orders", "orders", "gate", "gate"))) {
-            mesh.order("h1", SETUP);
-            mesh.ready("p1");
-            String h1 = mesh.control("h1");
+            mesh.modifyUntilAcknowledged("h1", SETUP);
+            mesh.awaitReady("p1");
+            String h1 = mesh.controlAddress("h1");
             mesh.await("all respond", () -> {
-                Result replicas = run("replicas", "--at", mesh.control("p2"), "--json", "--where", "items=2");
+                Result replicas = run("replicas", "--at", mesh.controlAddress("p2"), "--json", "--where", "items=2");
                 return replicas.status == 0 && replicas.out.split("\"at\"").length == 9;
             });
             assertThat(mesh.request("p1", "orders.mesh", "/x", null, "a/1 b").status())
@@ -79,11 +79,11 @@
             assertThat(run("why", "a3", "--at", h1).status).isEqualTo(4);
 
             mesh.kill("p5");
-            mesh.freeze("h3");
+            mesh.suspend("h3");
             mesh.await("p5 is removed", () -> run("state", "--at", h1).out.contains("missed[0].name"));
             mesh.await(
                     "h3 is unresponsive to both",
-                    () -> run("replicas", "--at", mesh.control("p1"), "--only")
+                    () -> run("replicas", "--at", mesh.controlAddress("p1"), "--only")
                                     .out
                                     .contains(" 2/3")
                             && run("replicas", "--at", h1, "--only").out.contains(" 1/2"));
@@ -106,8 +106,9 @@
                 assertThat(result.err.lines())
                         .as(query)
                         .containsExactlyInAnyOrder(
-                                "cypressweir: " + mesh.control("p5") + ": cannot connect (p5)",
-                                "cypressweir: " + mesh.control("h3") + ": no response within 5000 ms (a controller)");
+                                "cypressweir: " + mesh.controlAddress("p5") + ": cannot connect (p5)",
+                                "cypressweir: " + mesh.controlAddress("h3")
+                                        + ": no response within 5000 ms (a controller)");
             });
             assertThat(results.get("fleet").out).contains("orders-p1", "gate-p4");
             assertThat(results.get("items").out).contains("routeTable");
@@ -120,10 +121,12 @@
             assertThat(results.get("rejections").out).containsPattern("p2 +no route +1 ");
             assertThat(results.get("why").out).contains("404");
 
-            mesh.await("h1 and p1 have the same configuration", () -> run("diff", h1, mesh.control("p1")).status == 0);
-            Result diff = run("diff", h1, mesh.control("h3"));
+            mesh.await(
+                    "h1 and p1 have the same configuration",
+                    () -> run("diff", h1, mesh.controlAddress("p1")).status == 0);
+            Result diff = run("diff", h1, mesh.controlAddress("h3"));
             assertThat(diff.status).isEqualTo(3);
-            assertThat(diff.err).contains(mesh.control("h3"));
+            assertThat(diff.err).contains(mesh.controlAddress("h3"));
         }
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -35,7 +35,7 @@
     private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
 
     private final SplittableRandom random;
-    private final MeshFixture rig;
+    private final MeshFixture mesh;
     private final List<String> controllers;
     private final OperatorChecks checks = new OperatorChecks();
     private final AtomicInteger answeredCalls = new AtomicInteger();
@@ -51,18 +51,18 @@
     public ControllerFaultScenario(Path folder, int count, long seed) throws IOException, InterruptedException {
         random = new SplittableRandom(seed);
         controllers = IntStream.rangeClosed(1, count).mapToObj(i -> "h" + i).toList();
-        rig = MeshFixture.withCuts(
+        mesh = MeshFixture.withPartitions(
                 folder, count, PROXIES.stream().map(p -> "orders").toList());
         try {
-            rig.order("h1", INITIAL_CONFIGURATION);
-            rig.order("h1", OperatorChecks.order("t0", "k00", 1));
-            rig.begun();
+            mesh.modifyUntilAcknowledged("h1", INITIAL_CONFIGURATION);
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.markInitialized();
             for (String proxy : PROXIES) {
-                rig.ready(proxy);
+                mesh.awaitReady(proxy);
             }
-            rig.patience(CALL_TIMEOUT_MILLIS);
+            mesh.setCallTimeoutMillis(CALL_TIMEOUT_MILLIS);
         } catch (InterruptedException | AssertionError e) {
-            rig.close();
+            mesh.close();
             throw e;
         }
     }
@@ -113,8 +113,8 @@
     private void awaitAllRead() throws InterruptedException {
         for (String controller : controllers) {
             Map<String, Long> floor = checks.floor();
-            rig.await(controller + " reads", () -> {
-                RawHttpClient.Message answer = rig.read(controller);
+            mesh.await(controller + " reads", () -> {
+                RawHttpClient.Message answer = mesh.read(controller);
                 if (answer.status() == 200) {
                     checks.read(floor, answer.body());
                 }
@@ -124,11 +124,12 @@
     }
 
     private void awaitLastChange() throws InterruptedException {
-        rig.order(controllers.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
+        mesh.modifyUntilAcknowledged(
+                controllers.get(0), "{'upsert':{'routeTable':{'last':" + route("last.mesh") + "}}}");
         for (String proxy : PROXIES) {
-            rig.await(
+            mesh.await(
                     proxy + " has the last change",
-                    () -> rig.request(proxy, "last.mesh", "/", null).status() == 200);
+                    () -> mesh.request(proxy, "last.mesh", "/", null).status() == 200);
         }
     }
 
@@ -138,7 +139,9 @@
 
     /** How often the request has run; more than once is a violation. */
     private int checkedRuns(String id) {
-        int runs = PROXIES.stream().mapToInt(proxy -> rig.ship(proxy).runs(id)).sum();
+        int runs = PROXIES.stream()
+                .mapToInt(proxy -> mesh.application(proxy).runs(id))
+                .sum();
         if (runs > 1) {
             requestViolation = "the call " + id + " has run " + runs + " times";
         }
@@ -148,11 +151,11 @@
     /** A client: its requests are not idempotent, and each response has to be its own. */
     private void request(SplittableRandom callerRandom) {
         while (!stopped) {
-            String id = rig.id();
+            String id = mesh.nextRequestId();
             requestIds.add(id);
             try {
                 RawHttpClient.Message answer =
-                        rig.request(PROXIES.get(callerRandom.nextInt(PROXIES.size())), "day.mesh", "/", null, id);
+                        mesh.request(PROXIES.get(callerRandom.nextInt(PROXIES.size())), "day.mesh", "/", null, id);
                 if (answer.status() == 200) {
                     servedRequests.incrementAndGet();
                     if (checkedRuns(id) != 1 || !answer.body().equals("ran of " + id)) {
@@ -168,7 +171,7 @@
 
     /** One or two partitions in a row, and at times another fault as the last one heals. */
     private void partition(String controller) throws IOException, InterruptedException {
-        ConnectionRelay relay = rig.relay();
+        ConnectionRelay relay = mesh.relay();
         String partitioned = controller;
         for (int i = random.nextInt(2); i >= 0; i--) {
             List<String> others = new ArrayList<>(controllers);
@@ -197,9 +200,9 @@
             } while (System.nanoTime() < until);
             if (random.nextInt(4) == 0) {
                 faults.add("killed");
-                rig.kill(partitioned);
+                mesh.kill(partitioned);
                 awaitSomeCalls();
-                rig.restart(partitioned);
+                mesh.restart(partitioned);
             }
             relay.join();
         }
@@ -216,15 +219,15 @@
         int target = answeredCalls.get() + 1 + random.nextInt(MAX_CALLS_BETWEEN_FAULTS);
         for (int had = answeredCalls.get(); had < target; had = answeredCalls.get()) {
             int before = had;
-            rig.await("a call is answered", () -> answeredCalls.get() > before);
+            mesh.await("a call is answered", () -> answeredCalls.get() > before);
         }
     }
 
     private void awaitAllHealthy() throws InterruptedException {
         for (String controller : controllers) {
-            rig.await(controller + " is healthy", () -> {
-                return rig.state(controller).body().contains("\"sick\":false")
-                        && rig.firstAnswer(controller).status() == 200;
+            mesh.await(controller + " is healthy", () -> {
+                return mesh.state(controller).body().contains("\"sick\":false")
+                        && mesh.readWithoutRedirect(controller).status() == 200;
             });
         }
     }
@@ -234,48 +237,48 @@
         faults.add(kind + controller);
         switch (kind) {
             case 0 -> {
-                rig.kill(controller);
+                mesh.kill(controller);
                 awaitSomeCalls();
-                rig.restart(controller);
+                mesh.restart(controller);
             }
             case 1 -> {
-                rig.signal(controller, "-STOP");
+                mesh.signal(controller, "-STOP");
                 awaitSomeCalls();
-                rig.signal(controller, "-CONT");
+                mesh.signal(controller, "-CONT");
             }
             case 2 -> {
                 awaitAllHealthy();
-                rig.empty(controller);
+                mesh.emptyDataDirectory(controller);
                 awaitSomeCalls();
-                rig.kill(controller);
-                rig.empty(controller);
-                rig.restart(controller);
+                mesh.kill(controller);
+                mesh.emptyDataDirectory(controller);
+                mesh.restart(controller);
                 awaitAllHealthy();
             }
             case 3 -> {
                 awaitAllHealthy();
-                rig.kill(controller);
-                rig.empty(controller);
+                mesh.kill(controller);
+                mesh.emptyDataDirectory(controller);
                 awaitSomeCalls();
-                rig.restart(controller);
+                mesh.restart(controller);
                 awaitAllHealthy();
             }
             case 4 -> {
                 for (String each : controllers) {
-                    rig.kill(each);
+                    mesh.kill(each);
                 }
                 for (String each : controllers) {
-                    rig.restart(each);
+                    mesh.restart(each);
                 }
             }
             default -> {
                 awaitAllHealthy();
                 for (String each : controllers) {
-                    rig.kill(each);
+                    mesh.kill(each);
                 }
-                rig.empty(controller);
+                mesh.emptyDataDirectory(controller);
                 for (String each : controllers) {
-                    rig.restart(each);
+                    mesh.restart(each);
                 }
                 awaitAllHealthy();
             }
@@ -289,7 +292,7 @@
             try {
                 if (callerRandom.nextInt(3) == 0) {
                     Map<String, Long> floor = checks.floor();
-                    RawHttpClient.Message answer = rig.read(controller);
+                    RawHttpClient.Message answer = mesh.read(controller);
                     if (answer.status() == 200) {
                         checks.read(floor, answer.body());
                     }
@@ -310,7 +313,7 @@
         long version = callerRandom.nextInt(3) == 0 ? Math.max(1, versions.get()) : versions.incrementAndGet();
         int tenant = callerRandom.nextInt(3);
         String change = OperatorChecks.order("t" + tenant, "k" + tenant + callerRandom.nextInt(1_000), version);
-        int status = rig.modify(controller, change).status();
+        int status = mesh.modify(controller, change).status();
         checks.modified(change, status);
         if (status == 200) {
             lastAcknowledging = controller;
@@ -320,19 +323,19 @@
     private void repeat(String controller, SplittableRandom callerRandom) throws IOException {
         String change = checks.acknowledged(callerRandom.nextInt());
         if (change != null) {
-            checks.again(change, rig.modify(controller, change).status());
+            checks.again(change, mesh.modify(controller, change).status());
         }
     }
 
     @Override
     public String toString() {
-        return checks + ", " + servedRequests + " of " + requestIds.size() + " calls served, " + rig.relay().resets
+        return checks + ", " + servedRequests + " of " + requestIds.size() + " calls served, " + mesh.relay().resets
                 + " resets, faults " + faults;
     }
 
     @Override
     public void close() throws IOException {
         stopped = true;
-        rig.close();
+        mesh.close();
     }
 }
--- /dev/null
+++ b/src/test/java/org/cypressweir/testkit/MeshProcesses.java
@@ -0,0 +1,119 @@
+package org.cypressweir.testkit;
+
+import java.io.File;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.cypressweir.Main;
+import org.cypressweir.common.transport.FixtureProcess;
+
+/**
+ * The processes of a {@link MeshFixture}, by name. In the folder of the test each has its settings in NAME.json and
+ * its log in NAME.log, which goes on when the process is started again.
+ */
+final class MeshProcesses {
+
+    private static final int EXIT_TIMEOUT_MILLIS = 12_000;
+
+    private final Path folder;
+    private final Map<String, Process> processes = new LinkedHashMap<>();
+
+    MeshProcesses(Path folder) {
+        this.folder = folder;
+    }
+
+    /** The names of all processes that were ever started. */
+    Set<String> names() {
+        return processes.keySet();
+    }
+
+    Path settingsFile(String name) {
+        return folder.resolve(name + ".json");
+    }
+
+    /**
+     * Starts a process.
+     *
+     * @param program its program, as the argument of the command line
+     * @param addressOverrides what it dials in place of its peers' addresses; empty for a process without a relay
+     */
+    void start(String name, String program, String addressOverrides) throws IOException {
+        List<String> command = List.of(
+                System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx96m",
+                "-cp",
+                classPath(),
+                "-D" + FixtureProcess.ADDRESS_OVERRIDES + "=" + addressOverrides,
+                (addressOverrides.isEmpty() ? Main.class : FixtureProcess.class).getName(),
+                program);
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(name).toFile()));
+        builder.environment().put("CYPRESSWEIR_NODE_FILE", settingsFile(name).toString());
+        processes.put(name, builder.start());
+    }
+
+    private static String classPath() {
+        return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
+    }
+
+    private Path logFile(String name) {
+        return folder.resolve(name + ".log");
+    }
+
+    boolean isAlive(String name) {
+        return processes.get(name).isAlive();
+    }
+
+    /** Kills a process; returns when it has ended. */
+    void kill(String name) throws InterruptedException {
+        processes.get(name).destroyForcibly();
+        awaitExit(name);
+    }
+
+    /** Kills all processes; returns when they have ended. */
+    void killAll() throws InterruptedException {
+        processes.values().forEach(Process::destroyForcibly);
+        for (String name : processes.keySet()) {
+            awaitExit(name);
+        }
+    }
+
+    /** Sends SIGTERM. */
+    void terminate(String name) {
+        processes.get(name).destroy();
+    }
+
+    /** Waits until a process has ended. */
+    void awaitExit(String name) throws InterruptedException {
+        if (!processes.get(name).waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+            throw new AssertionError(name + " does not end\n" + log(name));
+        }
+    }
+
+    /** @param option the signal as an option of kill: -STOP, -CONT, ... */
+    void signal(String name, String option) throws IOException, InterruptedException {
+        Process kill = new ProcessBuilder(
+                        "kill", option, Long.toString(processes.get(name).pid()))
+                .start();
+        if (kill.waitFor() != 0) {
+            throw new IOException("cannot signal " + name);
+        }
+    }
+
+    /** The log of a process so far. */
+    String log(String name) {
+        try {
+            return Files.readString(logFile(name));
+        } catch (IOException e) {
+            return e.toString();
+        }
+    }
+}
