--- a/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
@@ -33,7 +33,8 @@
             value = {
                 "a grantor does not wait after its start ~ 0 ~ 1 ~ LeaseGrantor.java "
                         + "~ silentUntil = now + options.grantMicros(options.maxTermMicros()); ~ silentUntil = now;",
-                "one grantor is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (request.isGranted(options) && now < ~ if (now < ",
+                "one grantor is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (request.isGranted(options) && now < "
+                        + "~ if (now < ",
                 "a grantor releases early ~ 0 ~ 0 ~ LeaseGrantor.java ~ grant.expiresAt <= now || isRequesters "
                         + "~ grant.expiresAt <= now + 300_000 || isRequesters",
                 "drift is taken the wrong way ~ 0 ~ 0 ~ LeaseOptions.java ~ (1 + clockDrift) / (1 - clockDrift) "
--- a/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
@@ -84,12 +84,15 @@
                 "a part grows at once ~ ShareRequest.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
                 "voters release too early ~ ShareRequest.java ~ RELEASE_HOLDS = 2.2; ~ RELEASE_HOLDS = 0.7;",
                 "a voter does not wait after its start ~ ShareVoter.java ~ if (now < silentUntil || ~ if (",
-                "a grant counts for longer than the hold ~ ShareRequest.java ~ current += isCurrent(now, voter) ? 1 : 0; "
+                "a grant counts for longer than the hold ~ ShareRequest.java "
+                        + "~ current += isCurrent(now, voter) ? 1 : 0; "
                         + "~ current += now - requestedAt[voter] < 3 * holdMicros ? 1 : 0;",
-                "what a stopped process has open is forgotten ~ ShareRequest.java ~ + CLOCK_TOLERANCE * lingerMicros ~ + 0",
+                "what a stopped process has open is forgotten ~ ShareRequest.java "
+                        + "~ + CLOCK_TOLERANCE * lingerMicros ~ + 0",
                 "a minority is enough ~ ShareRequest.java ~ 2 * currentGrants(now) > requestedAt.length "
                         + "~ currentGrants(now) > 0",
-                "what voters count differently is taken for the same ~ ShareRequest.java ~ isSameDigest ? largest : sum "
+                "what voters count differently is taken for the same ~ ShareRequest.java "
+                        + "~ isSameDigest ? largest : sum "
                         + "~ largest",
             })
     void eachIsFoundInParts(String fault, String file, String text, String instead) throws Exception {
