--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
@@ -0,0 +1,142 @@
+package org.cypressweir.sidecar;
+
+import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.util.Locale;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.cypressweir.common.util.Addresses;
+import org.cypressweir.fleet.FleetCoordination;
+import org.cypressweir.fleet.membership.MembershipOptions;
+import org.cypressweir.sidecar.admin.SidecarLifecycle;
+
+/**
+ * A sidecar's part in its fleet: it joins and leaves, tells its peers about this process, and knows the share of
+ * the fleet's limits that this process has.
+ *
+ * <p>Made when the process joins, never where the operators' file names no membership. Confined to the event loop;
+ * {@link #firstList} may be called by the thread that starts the sidecar, once {@link #join} is done.
+ */
+final class FleetParticipation implements Layout.Portion {
+
+    private static final int LOAD_STEPS = 4;
+    private static final int PERCENT = 100;
+    private static final int FACTS_INTERVAL_SECONDS = 10;
+
+    private final EventLoop loop;
+    private final CurrentConfiguration configuration;
+    private final SidecarLifecycle lifecycle;
+    private final InFlightRequests inFlight;
+    private final PeerEndpointLists lists;
+    private final Consumer<String> log;
+    private final long startedMillis;
+    /** Where clients connect, or will. */
+    private InetSocketAddress clientAddress;
+    /** Null until the process has joined. */
+    private FleetCoordination coordination;
+
+    FleetParticipation(
+            EventLoop loop,
+            CurrentConfiguration configuration,
+            SidecarLifecycle lifecycle,
+            InFlightRequests inFlight,
+            PeerEndpointLists lists,
+            Consumer<String> log,
+            long startedMillis) {
+        this.loop = loop;
+        this.configuration = configuration;
+        this.lifecycle = lifecycle;
+        this.inFlight = inFlight;
+        this.lists = lists;
+        this.log = log;
+        this.startedMillis = startedMillis;
+        clientAddress = configuration.get().listen();
+    }
+
+    /**
+     * Joins the fleet.
+     *
+     * @param beside whether another process may hold the fleet's socket for a while yet
+     * @param rejected told why the process may not take part at all
+     * @param shareChanged run when this process's share of the limits is another
+     */
+    CompletableFuture<FleetCoordination> join(
+            FleetCoordination.Maker maker,
+            MembershipOptions options,
+            boolean beside,
+            Consumer<String> rejected,
+            Runnable shareChanged) {
+        return maker.open(new FleetCoordination.Opening(
+                        loop, configuration.get().name(), options, beside, facts(), log, rejected, shareChanged, lists))
+                .thenApply(joined -> {
+                    coordination = joined;
+                    shareChanged.run();
+                    loop.scheduleWithFixedDelay(
+                            () -> joined.facts(facts()),
+                            FACTS_INTERVAL_SECONDS,
+                            FACTS_INTERVAL_SECONDS,
+                            TimeUnit.SECONDS);
+                    return joined;
+                });
+    }
+
+    PeerEndpointLists lists() {
+        return lists;
+    }
+
+    /** Done once the peers' newest endpoint list is here, or none is to be expected. */
+    CompletableFuture<Void> firstList() {
+        return coordination == null ? CompletableFuture.completedFuture(null) : coordination.lent();
+    }
+
+    @Override
+    public double part() {
+        return coordination == null ? 0 : coordination.part();
+    }
+
+    @Override
+    public int count() {
+        return coordination == null ? 1 : coordination.count();
+    }
+
+    void setClientAddress(InetSocketAddress address) {
+        clientAddress = address;
+    }
+
+    void publishFacts() {
+        if (coordination != null) {
+            coordination.facts(facts());
+        }
+    }
+
+    void retune(MembershipOptions next) {
+        if (coordination != null) {
+            coordination.retune(next);
+        }
+    }
+
+    void leave() {
+        if (coordination != null) {
+            coordination.leave();
+        }
+    }
+
+    /** What the peers are told about this process; the keys and texts are fixed by the fleet's messages. */
+    private Map<String, String> facts() {
+        Map<String, String> facts = new TreeMap<>();
+        facts.put("front", Addresses.text(clientAddress));
+        facts.put("state", lifecycle.state().name().toLowerCase(Locale.ROOT));
+        facts.put("start", String.valueOf(startedMillis));
+        facts.put("load", loadStep() * PERCENT / LOAD_STEPS + "%");
+        return facts;
+    }
+
+    /** In quarters and seldom: each change is an update that goes to the whole fleet. */
+    private int loadStep() {
+        int maxInFlight = Math.max(1, configuration.get().settings().limits().open());
+        return Math.min(LOAD_STEPS, LOAD_STEPS * inFlight.count() / maxInFlight);
+    }
+}
--- a/src/main/java/org/cypressweir/sidecar/Layout.java
+++ b/src/main/java/org/cypressweir/sidecar/Layout.java
@@ -26,6 +26,11 @@
             Consumer<Discovery.Pace> pace,
             Portion portion) {}
 
+    /** Makes the layout of a sidecar out of its parts. */
+    interface Factory {
+        Layout create(Parts parts);
+    }
+
     /** What this process may use of what all share, where that follows the living. */
     interface Portion {
         /** At this moment, 0 to 1. */
--- a/src/main/java/org/cypressweir/sidecar/Main.java
+++ b/src/main/java/org/cypressweir/sidecar/Main.java
@@ -12,7 +12,7 @@
         // The two that run in service do not wait for the command line to be loaded.
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
-            case "serve" -> System.exit(Sidecar.serve(System.getenv(), System.err));
+            case "serve" -> System.exit(SidecarProcess.serve(System.getenv(), System.err));
             case "simhost" -> System.exit(SimHost.serve());
             case "" -> System.exit(args.length == 0 ? usage() : CommandLineTool.run(args));
             default -> System.exit(CommandLineTool.run(args));
--- a/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
@@ -166,10 +166,10 @@
     }
 
     /** Reads the file; the layout is made later, on the loop. */
-    static Sidecar.Arrangement of(Path file, SidecarConfiguration config) throws IOException {
+    static StartupPlan of(Path file, SidecarConfiguration config) throws IOException {
         RoutingConfiguration plan = read(file, config);
         PluginChain plugins = chain(file, plan, null);
-        return new Sidecar.Arrangement(
+        return new StartupPlan(
                 parts -> new OperatorsLayout(parts, file, plan, plugins),
                 plan.listeners().get(0).address(),
                 plan.membership());
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/PeerEndpointLists.java
@@ -0,0 +1,102 @@
+package org.cypressweir.sidecar;
+
+import java.io.IOException;
+import java.util.Locale;
+import java.util.function.Consumer;
+import org.cypressweir.fleet.FleetCoordination;
+import org.cypressweir.fleet.membership.Lending;
+
+/**
+ * Endpoint lists that sidecars of one fleet give each other. A peer's list takes the place of discovery's until
+ * discovery has given this process one itself.
+ *
+ * <p>Confined to the event loop. A list that comes before {@link #open} waits for it, since the load balancers
+ * have had no list by then.
+ */
+final class PeerEndpointLists implements FleetCoordination.Lists {
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final Layout layout;
+    private final EndpointListFeed feed;
+    private final Discovery discovery;
+    private final Consumer<String> log;
+    private final EndpointListCache cache;
+    private boolean heardFromDiscovery;
+    /** A peer's list that came too early; null for none. */
+    private ServerList pending;
+
+    private boolean isOpen;
+
+    PeerEndpointLists(
+            SidecarClock clock,
+            SidecarConfiguration configuration,
+            Layout layout,
+            EndpointListFeed feed,
+            Discovery discovery,
+            Consumer<String> log) {
+        this.layout = layout;
+        this.feed = feed;
+        this.discovery = discovery;
+        this.log = log;
+        cache = new EndpointListCache(
+                clock,
+                configuration.lists(),
+                configuration.known().revision(),
+                () -> layout.discovered().stream()
+                        .findFirst()
+                        .map(Cluster::list)
+                        .orElse(configuration.known()),
+                () -> isOpen && feed.settled());
+    }
+
+    /** The load balancers have their first list. */
+    void open() {
+        isOpen = true;
+        if (pending != null) {
+            feed.take(pending);
+        }
+        pending = null;
+    }
+
+    /** Discovery has given a list of that revision. */
+    void discovered(long revision) {
+        heardFromDiscovery = true;
+        cache.told(revision, 0);
+    }
+
+    @Override
+    public Lending.EndpointListSource shelf() {
+        return cache;
+    }
+
+    @Override
+    public boolean told() {
+        return heardFromDiscovery || layout.discovered().isEmpty();
+    }
+
+    @Override
+    public boolean borrowed(Lending.Loan loan) {
+        try {
+            ServerList list = cache.read(loan);
+            log.accept(String.format(
+                    Locale.ROOT,
+                    "discovery is silent: list of revision %d from %s, %.1f s old," + " %d servers",
+                    loan.revision(),
+                    loan.from(),
+                    loan.ageMicros() / MICROS_PER_SECOND,
+                    list.entries().size()));
+            cache.told(loan.revision(), loan.ageMicros());
+            discovery.distrust();
+            if (isOpen) {
+                feed.take(list);
+            } else {
+                pending = list;
+            }
+            return true;
+        } catch (IOException e) {
+            log.accept("the list that " + loan.from() + " lent is none: " + e.getMessage());
+            return false;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -0,0 +1,200 @@
+package org.cypressweir.sidecar;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.sidecar.admin.SidecarLifecycle;
+import org.cypressweir.sidecar.plugin.RequestView;
+import org.cypressweir.sidecar.websocket.Handshake;
+
+/**
+ * Admission of clients' requests: each is checked, shown to the plug-ins if there are any, routed, and handed to
+ * the cluster of its route.
+ *
+ * <p>Confined to the event loop. It is made before the layout, which needs the listener whose requests come here;
+ * {@link #setLayout} completes it before the first request can come.
+ */
+final class RequestAdmission implements ClientListener.Service {
+
+    private static final String RETRY_AFTER_SECONDS = "1";
+    private static final int MICROS_PER_MILLI = 1_000;
+
+    private final SidecarClock clock;
+    private final CurrentConfiguration configuration;
+    private final SidecarLifecycle lifecycle;
+    private final InFlightRequests inFlight;
+    private final RequestReader reader;
+    private final Consumer<String> log;
+    private final Map<ClientRequest.Client, FullHttpRequest> awaitingPlugins = new HashMap<>();
+    private Layout layout;
+
+    RequestAdmission(
+            SidecarClock clock,
+            CurrentConfiguration configuration,
+            SidecarLifecycle lifecycle,
+            InFlightRequests inFlight,
+            RequestReader reader,
+            Consumer<String> log) {
+        this.clock = clock;
+        this.configuration = configuration;
+        this.lifecycle = lifecycle;
+        this.inFlight = inFlight;
+        this.reader = reader;
+        this.log = log;
+    }
+
+    void setLayout(Layout layout) {
+        this.layout = layout;
+    }
+
+    @Override
+    public void clients(int count) {
+        lifecycle.on(count == 0 ? SidecarLifecycle.Event.EMPTY : SidecarLifecycle.Event.CLIENT);
+    }
+
+    @Override
+    public boolean upgrades() {
+        return layout.upgrades();
+    }
+
+    @Override
+    public boolean ready() {
+        return lifecycle.serves() && layout.ready();
+    }
+
+    @Override
+    public void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest {
+        RequestReader.check(http);
+        PluginChain plugins = layout.plugins();
+        if (plugins == null) {
+            admit(clock.micros(), http, client, layout.way(http));
+            return;
+        }
+        if (layout.upgrades() && Handshake.isAsked(http.headers())) {
+            // If the upgrade is agreed to, the bytes behind the request are not HTTP.
+            client.upgrading();
+        }
+        long receivedMicros = clock.micros();
+        RequestView view = layout.view(http);
+        awaitingPlugins.put(client, http.retain());
+        plugins.ask(view, result -> resume(receivedMicros, plugins, result, http, client));
+    }
+
+    /** The plug-ins have answered; the time of the request runs from its receipt, not from now. */
+    private void resume(
+            long receivedMicros,
+            PluginChain plugins,
+            PluginChain.Result result,
+            FullHttpRequest http,
+            ClientRequest.Client client) {
+        if (!awaitingPlugins.remove(client, http)) {
+            // The client has left; its request was released then.
+            return;
+        }
+        try {
+            if (result.refusal() != null) {
+                reject(result, client);
+                return;
+            }
+            setHeaders(result, http);
+            admit(receivedMicros, http, client, withRequestedClass(plugins, result, layout.way(http)));
+        } catch (RequestReader.BadRequest e) {
+            client.reject(e);
+        } finally {
+            http.release();
+        }
+    }
+
+    private void reject(PluginChain.Result result, ClientRequest.Client client) {
+        SidecarConfiguration current = configuration.get();
+        long retryAfterMicros = current.settings().limits().retryAdvice()
+                ? Math.min(
+                        result.retryAfterMillis() * MICROS_PER_MILLI,
+                        current.settings().limits().maxRetryAdviceMicros())
+                : 0;
+        client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(retryAfterMicros), Unpooled.EMPTY_BUFFER);
+    }
+
+    /** An empty value removes a header. */
+    private static void setHeaders(PluginChain.Result result, FullHttpRequest http) {
+        result.headers().forEach((name, value) -> {
+            http.headers().remove(name);
+            if (!value.isEmpty()) {
+                http.headers().set(name, value);
+            }
+        });
+    }
+
+    /** A stricter class is always allowed, a less strict one only where the grant names this pair of classes. */
+    private RouteDecision withRequestedClass(PluginChain plugins, PluginChain.Result result, RouteDecision route) {
+        if (result.requestClass() == null) {
+            return route;
+        }
+        List<RequestClass> classes = configuration.get().settings().classes();
+        RequestClass routed = classes.get(route.requestClass());
+        int requested = IntStream.range(0, classes.size())
+                .filter(i -> classes.get(i).name().equals(result.requestClass()))
+                .findFirst()
+                .orElse(-1);
+        if (requested < 0) {
+            log.accept(
+                    "plug-in " + result.classFrom() + " names class " + result.requestClass() + ", which was dropped");
+            return route;
+        }
+        boolean isWeaker =
+                classes.get(requested).effect().ordinal() < routed.effect().ordinal();
+        String pair = routed.name() + ">" + result.requestClass();
+        if (isWeaker && !plugins.plan(result.classFrom()).grant().weaken().contains(pair)) {
+            log.accept("plug-in " + result.classFrom() + " may not make class " + routed.name() + " "
+                    + result.requestClass() + ": it is less strict");
+            return route;
+        }
+        return route.ofClass(requested);
+    }
+
+    private void admit(long receivedMicros, FullHttpRequest http, ClientRequest.Client client, RouteDecision route)
+            throws RequestReader.BadRequest {
+        if (route.upgrade() != null && !lifecycle.serves()) {
+            client.answer(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    new DefaultHttpHeaders().set(HttpHeaderNames.RETRY_AFTER, RETRY_AFTER_SECONDS),
+                    Unpooled.EMPTY_BUFFER);
+            return;
+        }
+        ClientRequest request = reader.read(receivedMicros, http, route, client);
+        if (request.upgrade == null && !client.isAlone()) {
+            request.body.release();
+            throw new RequestReader.BadRequest("more than one request");
+        }
+        if (!inFlight.add(request)) {
+            request.body.release();
+            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is in hand");
+        }
+        if (request.upgrade != null) {
+            client.upgrading();
+            request.upgrade.taken(request);
+        }
+        request.cluster.take(request);
+    }
+
+    @Override
+    public void left(ClientRequest.Client client) {
+        FullHttpRequest pending = awaitingPlugins.remove(client);
+        if (pending != null) {
+            pending.release();
+            return;
+        }
+        ClientRequest request = inFlight.of(client);
+        if (request != null) {
+            request.cluster.left(request);
+        }
+    }
+}
--- a/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -47,6 +47,14 @@
 
     private static final int LEAST_DESCRIPTORS = 128;
 
+    /** Names of the request classes that the settings have, without the places of classes that are gone. */
+    List<String> classNames() {
+        return settings.classes().stream()
+                .filter(c -> c != RequestClass.GONE)
+                .map(RequestClass::name)
+                .toList();
+    }
+
     /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
     static SidecarConfiguration read(Map<String, String> environment) throws IOException {
         return read(environment, null);
--- a/src/main/java/org/cypressweir/sidecar/WarmUp.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -163,7 +163,7 @@
             // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on a retry.
             client.answer(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         } else if (asked.add(id)) {
-            sidecar.take(http, client);
+            sidecar.admission().take(http, client);
         } else {
             client.answer(HttpResponseStatus.OK, LOAD, Unpooled.wrappedBuffer(new byte[BODY]));
         }
@@ -171,7 +171,7 @@
 
     @Override
     public void left(ClientRequest.Client client) {
-        sidecar.left(client);
+        sidecar.admission().left(client);
     }
 
     private FullHttpRequest next() {
--- a/src/main/java/org/cypressweir/sidecar/cli/ServeCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ServeCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import org.cypressweir.fleet.transport.FleetSocket;
-import org.cypressweir.sidecar.Sidecar;
+import org.cypressweir.sidecar.SidecarProcess;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -20,6 +20,6 @@
 
     @Override
     public Integer call() {
-        return Sidecar.serve(System.getenv(), operators, System.err, FleetSocket::open);
+        return SidecarProcess.serve(System.getenv(), operators, System.err, FleetSocket::open);
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/DailyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/DailyTest.java
@@ -41,7 +41,7 @@
         server = new PeerStub(PeerStub.serves("ok"));
         harness = new Harness(folder, server).start();
         door = harness.sidecar
-                .openToOperators(new InetSocketAddress("127.0.0.1", 0))
+                .openAdminListener(new InetSocketAddress("127.0.0.1", 0))
                 .get()
                 .address();
     }
--- a/src/test/java/org/cypressweir/sidecar/Harness.java
+++ b/src/test/java/org/cypressweir/sidecar/Harness.java
@@ -92,9 +92,9 @@
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, operators);
         SidecarConfiguration config = config();
-        Sidecar.Layouts made = OperatorsLayout.of(file, config).layouts();
-        Sidecar.Layouts layouts = parts -> {
-            layout = (OperatorsLayout) made.of(parts);
+        Layout.Factory made = OperatorsLayout.of(file, config).layouts();
+        Layout.Factory layouts = parts -> {
+            layout = (OperatorsLayout) made.create(parts);
             return layout;
         };
         sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules, layouts))
--- a/src/test/java/org/cypressweir/sidecar/ProcessTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ProcessTest.java
@@ -139,7 +139,7 @@
 
     /** By when so many signals, one after the other, are taken over or given up by the program itself. */
     private static long untilReloaded(int signals) {
-        return System.nanoTime() + TimeUnit.SECONDS.toNanos(signals * Sidecar.RELOAD_SECONDS);
+        return System.nanoTime() + TimeUnit.SECONDS.toNanos(signals * ConfigurationReloader.RELOAD_SECONDS);
     }
 
     private static void assertGoesOn(Process process, long end, String missing) {
@@ -290,7 +290,7 @@
             ByteArrayOutputStream errors = new ByteArrayOutputStream();
             assertEquals(
                     2,
-                    Sidecar.serve(
+                    SidecarProcess.serve(
                             Map.of("LB_CONFIG", harness.file.toString()), file, new PrintStream(errors, true), null));
             assertEquals(
                     file + ":9: 'attempts' is 99; the settings allow 4\n" + file
@@ -329,7 +329,7 @@
 
     private static void assertOneLine(Map<String, String> environment, String message) {
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        assertEquals(2, Sidecar.serve(environment, new PrintStream(errors, true)));
+        assertEquals(2, SidecarProcess.serve(environment, new PrintStream(errors, true)));
         String text = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, text.lines().count(), text);
         assertTrue(text.contains(message), text);
--- a/src/test/java/org/cypressweir/sidecar/QuietFleet.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietFleet.java
@@ -84,7 +84,7 @@
                     file,
                     text.replace("\"zone\":0", "\"rank\":" + i + ",\"replicas_of_me\":" + instances + ",\"zone\":0"));
             SidecarConfiguration config = SidecarConfiguration.read(Map.of("LB_CONFIG", file.toString()));
-            Sidecar.Layouts layouts = OperatorsLayout.of(operators, config).layouts();
+            Layout.Factory layouts = OperatorsLayout.of(operators, config).layouts();
             EventLoop loop = group.next();
             loops.add(loop);
             sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, SubsetLoadBalancer::new, layouts))
