--- a/src/main/java/org/cypressweir/sidecar/CelledPool.java
+++ b/src/main/java/org/cypressweir/sidecar/CelledPool.java
@@ -129,19 +129,19 @@
 
     /** At once: it has been nowhere, so to come back does no harm. */
     private void refuse(ClientRequest call, long retryAfterMicros) {
-        long advice = limits.retryAdvice() ? Pool.within(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
+        long advice = limits.retryAdvice() ? RetryAfter.limit(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
         forget(call, Ending.REFUSED);
         if (call.upgrade != null) {
             call.upgrade.answered(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
-        call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(advice), Unpooled.EMPTY_BUFFER);
+        call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(advice), Unpooled.EMPTY_BUFFER);
     }
 
     private void forget(ClientRequest call, Ending ending) {
         call.over = true;
         call.forgotten = true;
-        shared.inHand().over(call, ending);
-        shared.inHand().remove(call);
+        shared.inFlight().over(call, ending);
+        shared.inFlight().remove(call);
     }
 
     /** What stays together; requests that have none of it are one unit. */
--- a/src/main/java/org/cypressweir/sidecar/PlainLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/PlainLayout.java
@@ -59,7 +59,7 @@
 
     @Override
     public void widen(SidecarConfiguration wider) {
-        pool.bound(wider.settings().limits());
+        pool.setLimits(wider.settings().limits());
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/Pool.java
+++ b/src/main/java/org/cypressweir/sidecar/Pool.java
@@ -8,7 +8,6 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
@@ -27,69 +26,72 @@
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
- * One decision module with its servers. It turns what happens to requests into the module's events and the
- * module's actions into what happens on connections, and decides nothing.
+ * One load balancer with its servers. It turns what happens to requests into the load balancer's events and the
+ * load balancer's actions into what happens on connections, and decides nothing.
+ *
+ * <p>Confined to the event loop. It is retired, where an operators' file drops it, or closed with the process.
  */
 final class Pool implements Cluster, Actions, ServerPool.Listener {
 
-    /** The module ends its requests at their deadline; past this much more the pool does. */
+    /** The load balancer ends its requests at their deadline; past this much more the pool does. */
     private static final long OVERDUE_MICROS = 5_000;
 
+    private static final int MICROS_PER_MILLI = 1000;
+
     private final EventLoop loop;
     private final SidecarClock clock;
-    private final InFlightRequests inHand;
+    private final InFlightRequests inFlight;
     private final Runnable subscribe;
     private final Consumer<String> log;
-    private final LoadBalancer module;
+    private final LoadBalancer loadBalancer;
+    private final LoadBalancerEvents events;
     private final ServerPool servers;
-    private Settings settings;
-    private boolean retryAdvice;
-    private long longestAdvice;
+    private final RequestCompletion completion;
     private final boolean probing;
     private final long connectMicros;
+    private Settings settings;
+    private boolean givesRetryAdvice;
+    private long maxRetryAdviceMicros;
     /** Null where nothing says how much may be probed. */
     private HealthProber prober;
 
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private boolean inModule;
-    /** Requests that have not been forgotten. */
-    private int calls;
-    /** To be run once the last request is forgotten, where the pool goes. */
-    private Runnable emptied;
-
-    /** Something to tell the module, and the request that it is about, if any. */
-    private record Event(ClientRequest about, Notification told) {}
-
-    private interface Notification {
-        void tell(long nowMicros);
-    }
-
     /** What a pool shares with the rest of the process. */
     record Shared(
-            EventLoop loop, SidecarClock clock, InFlightRequests inHand, Runnable subscribe, Consumer<String> log) {}
+            EventLoop loop, SidecarClock clock, InFlightRequests inFlight, Runnable subscribe, Consumer<String> log) {}
 
-    /** Tunnels are null where nothing goes over to another protocol. */
+    /** Tunnels are null where nothing switches to another protocol. */
     Pool(
             Shared shared,
             SidecarConfiguration config,
             Settings settings,
             int connections,
             PoolConfiguration.Tunnelled tunnels,
-            BiFunction<Settings, Actions, LoadBalancer> modules) {
+            BiFunction<Settings, Actions, LoadBalancer> loadBalancers) {
         loop = shared.loop();
         clock = shared.clock();
-        inHand = shared.inHand();
+        inFlight = shared.inFlight();
         subscribe = shared.subscribe();
         log = shared.log();
-        module = modules.apply(settings, this);
+        events = new LoadBalancerEvents(clock, this::eventFailed);
+        completion = new RequestCompletion(loop, inFlight);
+        loadBalancer = loadBalancers.apply(settings, this);
         this.settings = settings;
-        retryAdvice = settings.limits().retryAdvice();
-        longestAdvice = settings.limits().maxRetryAdviceMicros();
+        givesRetryAdvice = settings.limits().retryAdvice();
+        maxRetryAdviceMicros = settings.limits().maxRetryAdviceMicros();
         probing = settings.limits().probing();
         connectMicros = config.connectMicros();
         servers = new ServerPool(loop, clock, config, connections, tunnels, this);
     }
 
+    private void eventFailed(ClientRequest request, Throwable failure) {
+        log("request " + (request == null ? "-" : request.request.id()) + ": " + failure);
+        if (request != null) {
+            abort(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
+        }
+    }
+
+    // ---- Servers
+
     @Override
     public boolean ready() {
         return servers.anyReady();
@@ -112,7 +114,7 @@
 
     @Override
     public int avoided() {
-        return servers.leaving() + module.avoided(clock.micros());
+        return servers.draining() + loadBalancer.avoided(clock.micros());
     }
 
     @Override
@@ -120,81 +122,19 @@
         return servers.list();
     }
 
-    @Override
-    public void take(ClientRequest call) {
-        call.pool = this;
-        calls++;
-        long now = clock.micros();
-        call.expiry = loop.schedule(
-                () -> abort(call, HttpResponseStatus.GATEWAY_TIMEOUT),
-                call.request.deadlineMicros() - now + OVERDUE_MICROS,
-                TimeUnit.MICROSECONDS);
-        long retry = call.upgrade == null ? -1 : call.upgrade.admit(servers);
-        if (retry >= 0) {
-            refuse(call.request.id(), retryAdvice ? within(longestAdvice, retry) : 0);
-            return;
-        }
-        tell(call, at -> module.request(at, call.request));
-    }
-
-    /** A time to come back, as it is or still spread where only shorter ones may be told. */
-    static long within(long longest, long micros) {
-        return micros <= longest ? micros : longest / 2 + micros % (longest / 2 + 1);
-    }
-
-    /**
-     * Takes another handshake for an upgrade that was agreed to: a request of its own, with its headers.
-     *
-     * @param id of the request, in hand nowhere
-     */
-    void takeAgain(ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
-        Request r = first.request;
-        long timeout = Math.min(first.timeoutMicros, Long.parseLong(headers.get(Headers.TIMEOUT)) * 1000);
-        ClientRequest call = new ClientRequest(
-                new Request(
-                        id,
-                        r.requestClass(),
-                        r.tenant(),
-                        false,
-                        r.key(),
-                        clock.micros() + timeout,
-                        0,
-                        r.write(),
-                        r.terms()),
-                new RouteDecision(this, r.requestClass(), first.uri, null, timeout, r.terms(), upgrade),
-                first.className,
-                first.method,
-                headers,
-                Unpooled.EMPTY_BUFFER,
-                client);
-        if (inHand.add(call)) {
-            upgrade.taken(call);
-            take(call);
-        } else {
-            upgrade.left();
-        }
-    }
-
-    @Override
-    public void left(ClientRequest call) {
-        if (call.upgrade != null) {
-            call.upgrade.left();
-        }
-        over(call, null);
-        tell(null, now -> module.clientLeft(now, call.request.id()));
-    }
-
     @Override
     public void listed(ListKind kind, ServerList list) {
         servers.update(list);
-        tell(null, now -> module.servers(now, kind, list.servers()));
+        events.deliver(null, now -> loadBalancer.servers(now, kind, list.servers()));
     }
 
     @Override
     public void failed() {
-        tell(null, now -> module.servers(now, ListKind.FAILED, List.of()));
+        events.deliver(null, now -> loadBalancer.servers(now, ListKind.FAILED, List.of()));
     }
 
+    // ---- Configuration
+
     @Override
     public boolean fits(PoolConfiguration plan) {
         return plan.cells() == null;
@@ -202,50 +142,48 @@
 
     @Override
     public void limit(PoolConfiguration plan) {
-        servers.limit(plan.connections(), plan.tunnels());
-        tell(null, now -> module.limits(now, plan.requests(), plan.queue(), plan.connections()));
+        servers.setLimits(plan.connections(), plan.tunnels());
+        events.deliver(null, now -> loadBalancer.limits(now, plan.requests(), plan.queue(), plan.connections()));
     }
 
-    /** Other bounds on what it has in hand and open. */
-    void bound(Limits wider) {
+    /** Other bounds on requests in flight and connections. */
+    void setLimits(Limits wider) {
         settings = settings.with(
                 settings.limits().with(wider.open(), wider.held(), wider.connections()), settings.discoveryOnAsk());
-        servers.limit(wider.connections(), null);
-        tell(null, now -> module.limits(now, wider.open(), wider.held(), wider.connections()));
-    }
-
-    /** The process is to end: connections that nothing is asked on are of no use any more. */
-    void stopping() {
-        servers.keep(known -> 0);
+        servers.setLimits(wider.connections(), null);
+        events.deliver(null, now -> loadBalancer.limits(now, wider.open(), wider.held(), wider.connections()));
     }
 
-    /** The bounds on what this pool has in hand and open are its own; all else that is told starts anew. */
+    /** The bounds on this pool's requests and connections are its own; all other settings are replaced. */
     @Override
     public void retune(Settings next) {
-        Limits mine = settings.limits();
-        Limits limits = next.limits().with(mine.open(), mine.held(), mine.connections());
+        Limits own = settings.limits();
+        Limits limits = next.limits().with(own.open(), own.held(), own.connections());
         settings = settings.with(next.classes()).with(limits, settings.discoveryOnAsk());
-        retryAdvice = limits.retryAdvice();
-        longestAdvice = limits.maxRetryAdviceMicros();
-        Settings told = settings;
-        tell(null, now -> module.retune(now, told));
+        givesRetryAdvice = limits.retryAdvice();
+        maxRetryAdviceMicros = limits.maxRetryAdviceMicros();
+        deliverSettings();
     }
 
     @Override
-    public void trim() {
-        servers.trim();
+    public void among(int instances) {
+        settings = settings.among(instances);
+        deliverSettings();
+    }
+
+    private void deliverSettings() {
+        Settings current = settings;
+        events.deliver(null, now -> loadBalancer.retune(now, current));
     }
 
     @Override
-    public void among(int instances) {
-        settings = settings.among(instances);
-        Settings told = settings;
-        tell(null, now -> module.retune(now, told));
+    public void trim() {
+        servers.closeSurplusIdle();
     }
 
     @Override
     public void share(Shares shares) {
-        servers.keep(shares == null ? null : shares::idle);
+        servers.setMaxIdle(shares == null ? null : shares::idle);
         prober = shares == null || !probing
                 ? null
                 : new HealthProber(
@@ -254,18 +192,25 @@
                         connectMicros,
                         () -> shares.probe(clock.micros(), servers.size()),
                         (server, result, elapsed, report) ->
-                                tell(null, now -> module.probed(now, server, result, elapsed, report)));
+                                events.deliver(null, now -> loadBalancer.probed(now, server, result, elapsed, report)));
+    }
+
+    // ---- End
+
+    /** The process is to end: idle connections are of no use any more. */
+    void stopping() {
+        servers.setMaxIdle(known -> 0);
     }
 
     @Override
     public void retire(Runnable ended) {
-        emptied = () -> {
+        completion.setWhenEmpty(() -> {
             close();
             ended.run();
-        };
+        });
         listed(ListKind.COMPLETE, new ServerList(0, true, List.of()));
-        tell(null, module::closing);
-        runIfEmpty();
+        events.deliver(null, loadBalancer::closing);
+        completion.runIfEmpty();
     }
 
     @Override
@@ -273,211 +218,238 @@
         servers.close();
     }
 
-    // ---- Events for the module
+    // ---- Requests
+
+    @Override
+    public void take(ClientRequest request) {
+        request.pool = this;
+        completion.began();
+        long now = clock.micros();
+        request.expiry = loop.schedule(
+                () -> abort(request, HttpResponseStatus.GATEWAY_TIMEOUT),
+                request.request.deadlineMicros() - now + OVERDUE_MICROS,
+                TimeUnit.MICROSECONDS);
+        long retryAfterMicros = request.upgrade == null ? -1 : request.upgrade.admit(servers);
+        if (retryAfterMicros >= 0) {
+            refuse(
+                    request.request.id(),
+                    givesRetryAdvice ? RetryAfter.limit(maxRetryAdviceMicros, retryAfterMicros) : 0);
+            return;
+        }
+        events.deliver(request, at -> loadBalancer.request(at, request.request));
+    }
 
     /**
-     * Tells the module, now or right after what it is being told: what an action brings about at once must
-     * not reach the module inside the very call that asked for it. An exception costs its own request only.
+     * Takes another handshake for an upgrade that was agreed to: a request of its own, with its headers.
+     *
+     * @param id of the request, in flight nowhere
      */
-    private void tell(ClientRequest about, Notification told) {
-        events.addLast(new Event(about, told));
-        if (inModule) {
-            return;
+    void takeAgain(ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
+        Request original = first.request;
+        long timeoutMicros =
+                Math.min(first.timeoutMicros, Long.parseLong(headers.get(Headers.TIMEOUT)) * MICROS_PER_MILLI);
+        Request repeated = new Request(
+                id,
+                original.requestClass(),
+                original.tenant(),
+                false,
+                original.key(),
+                clock.micros() + timeoutMicros,
+                0,
+                original.write(),
+                original.terms());
+        ClientRequest request = new ClientRequest(
+                repeated,
+                new RouteDecision(
+                        this, original.requestClass(), first.uri, null, timeoutMicros, original.terms(), upgrade),
+                first.className,
+                first.method,
+                headers,
+                Unpooled.EMPTY_BUFFER,
+                client);
+        if (inFlight.add(request)) {
+            upgrade.taken(request);
+            take(request);
+        } else {
+            upgrade.left();
         }
-        inModule = true;
-        try {
-            for (Event e; (e = events.pollFirst()) != null; ) {
-                tell(e);
-            }
-        } finally {
-            inModule = false;
+    }
+
+    @Override
+    public void left(ClientRequest request) {
+        if (request.upgrade != null) {
+            request.upgrade.left();
         }
+        completion.finish(request, null);
+        events.deliver(null, now -> loadBalancer.clientLeft(now, request.request.id()));
     }
 
-    private void tell(Event e) {
-        try {
-            e.told.tell(clock.micros());
-        } catch (RuntimeException | Error failure) {
-            log("request " + (e.about == null ? "-" : e.about.request.id()) + ": " + failure);
-            if (e.about != null) {
-                abort(e.about, HttpResponseStatus.INTERNAL_SERVER_ERROR);
-            }
+    /** Gives a response that the load balancer did not ask for: each request must have one. */
+    private void abort(ClientRequest request, HttpResponseStatus status) {
+        if (!request.over) {
+            completion.respond(request, status, new DefaultHttpHeaders());
+            events.deliver(null, now -> loadBalancer.clientLeft(now, request.request.id()));
         }
     }
 
+    // ---- Attempts
+
     @Override
-    public void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
-        ClientRequest call = attempt.call;
+    public void attemptEnded(Attempt attempt, Result result, LoadReport report, FullHttpResponse response) {
+        ClientRequest request = attempt.call;
         attempt.result = result;
         attempt.timeout.cancel(false);
-        call.out--;
-        if (call.passed == attempt) {
-            endPassing(call, result == Result.SERVED);
-        } else if (result == Result.SERVED && call.upgrade != null) {
-            goOver(call, attempt, answer);
-        } else if (result == Result.SERVED && !call.over && call.passed == null && answer != null) {
-            HttpHeaders headers = Headers.endToEnd(answer.headers());
-            headers.remove(Headers.LOAD);
-            ClientRequest.Client client = call.client;
-            call.served = true;
-            over(call, Ending.SERVED);
-            client.answer(HttpResponseStatus.OK, headers, answer.content().retain());
+        request.out--;
+        if (request.passed == attempt) {
+            completion.endStream(request, result == Result.SERVED);
+        } else if (result == Result.SERVED && request.upgrade != null) {
+            switchProtocols(request, attempt, response);
+        } else if (result == Result.SERVED && !request.over && request.passed == null && response != null) {
+            passOn(request, response);
         }
-        tell(
-                call,
-                now -> module.outcome(
+        events.deliver(
+                request,
+                now -> loadBalancer.outcome(
                         now,
                         new Outcome(
-                                call.request.id(),
+                                request.request.id(),
                                 attempt.number,
                                 attempt.server,
                                 result,
                                 (attempt.begunAt == 0 ? now : attempt.begunAt) - attempt.sentAt,
-                                call.over,
+                                request.over,
                                 report)));
-        forget(call);
+        completion.forgetIfDone(request);
+    }
+
+    private void passOn(ClientRequest request, FullHttpResponse response) {
+        HttpHeaders headers = Headers.endToEnd(response.headers());
+        headers.remove(Headers.LOAD);
+        ClientRequest.Client client = request.client;
+        request.served = true;
+        completion.finish(request, Ending.SERVED);
+        client.answer(HttpResponseStatus.OK, headers, response.content().retain());
+    }
+
+    /** A server has said 101: its client hears so now, and the two connections are joined. */
+    private void switchProtocols(ClientRequest request, Attempt attempt, FullHttpResponse response) {
+        if (request.over) {
+            attempt.switched.close();
+            return;
+        }
+        ClientRequest.Client client = request.client;
+        request.served = true;
+        completion.finish(request, Ending.SERVED);
+        Upgrade.End clientEnd = client.goOver(response);
+        if (clientEnd == null) {
+            request.upgrade.left();
+            attempt.switched.close();
+            return;
+        }
+        attempt.switched.joined(
+                request.upgrade.join(response, clientEnd, attempt.switched.goOver(), attempt.switched.host()));
     }
 
     /**
-     * An answer that is too large to be kept has begun: from here on it is the request's one answer, nothing
-     * is tried beside it, and it takes the time that server and client take.
+     * A response that is too large to be kept has begun: from here on it is the request's one response, nothing is
+     * tried beside it, and it takes the time that server and client take.
      */
     @Override
-    public StreamedResponse passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
-        ClientRequest call = attempt.call;
-        if (call.over || call.passed != null || call.upgrade != null) {
+    public StreamedResponse streamBegins(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+        ClientRequest request = attempt.call;
+        if (request.over || request.passed != null || request.upgrade != null) {
             return null;
         }
-        HttpHeaders others = Headers.endToEnd(headers);
-        others.remove(Headers.LOAD);
-        others.remove(HttpHeaderNames.CONTENT_LENGTH);
-        call.passing = call.client.pass(others, length, resume);
-        if (call.passing == null) {
+        HttpHeaders passedOn = Headers.endToEnd(headers);
+        passedOn.remove(Headers.LOAD);
+        passedOn.remove(HttpHeaderNames.CONTENT_LENGTH);
+        request.passing = request.client.pass(passedOn, length, resume);
+        if (request.passing == null) {
             return null;
         }
-        call.passed = attempt;
-        call.served = true;
-        call.expiry.cancel(false);
+        request.passed = attempt;
+        request.served = true;
+        request.expiry.cancel(false);
         attempt.timeout.cancel(false);
         attempt.begunAt = clock.micros();
-        tell(
-                call,
-                now -> module.streamBegan(
-                        now, call.request.id(), attempt.number, attempt.server, attempt.begunAt - attempt.sentAt));
-        List.copyOf(call.attempts).stream().filter(a -> a != attempt).forEach(a -> stopWaiting(a, Result.CANCELLED));
-        return call.passing;
+        events.deliver(
+                request,
+                now -> loadBalancer.streamBegan(
+                        now, request.request.id(), attempt.number, attempt.server, attempt.begunAt - attempt.sentAt));
+        List.copyOf(request.attempts).stream().filter(a -> a != attempt).forEach(a -> stopWaiting(a, Result.CANCELLED));
+        return request.passing;
     }
 
-    private void endPassing(ClientRequest call, boolean whole) {
-        if (call.over) {
-            return;
-        }
-        StreamedResponse passing = call.passing;
-        over(call, whole ? Ending.SERVED : Ending.FAILED);
-        if (whole) {
-            passing.end();
-        } else {
-            passing.cut();
-        }
-    }
-
-    /** A server has said 101: its client hears so now, and the two connections are joined. */
-    private void goOver(ClientRequest call, Attempt attempt, FullHttpResponse answer) {
-        if (call.over) {
-            attempt.switched.close();
-            return;
-        }
-        ClientRequest.Client client = call.client;
-        call.served = true;
-        over(call, Ending.SERVED);
-        Upgrade.End clientEnd = client.goOver(answer);
-        if (clientEnd == null) {
-            call.upgrade.left();
-            attempt.switched.close();
-            return;
+    /** Until its last byte is written an attempt can't have run, and the load balancer hears so. */
+    private void stopWaiting(Attempt attempt, Result resultIfWritten) {
+        if (attempt.result == null) {
+            servers.abandon(attempt);
+            attemptEnded(attempt, attempt.written ? resultIfWritten : Result.NOT_SENT, null, null);
         }
-        attempt.switched.joined(
-                call.upgrade.join(answer, clientEnd, attempt.switched.goOver(), attempt.switched.host()));
     }
 
     @Override
-    public void written() {
-        inHand.figures().attempted();
+    public void attemptWritten() {
+        inFlight.figures().attempted();
     }
 
     @Override
-    public void carries(long server, double requests, boolean full) {
-        tell(null, now -> module.burden(now, server, requests, full));
+    public void tunnelLoad(long server, double requests, boolean full) {
+        events.deliver(null, now -> loadBalancer.burden(now, server, requests, full));
     }
 
-    // ---- Actions of the module
+    // ---- Actions of the load balancer
 
     @Override
     public void send(String requestId, long server, long timeoutMicros) {
-        ClientRequest call = inHand.get(requestId);
-        if (call == null) {
+        ClientRequest request = inFlight.get(requestId);
+        if (request == null) {
             return;
         }
         long now = clock.micros();
-        long deadline = call.request.deadlineMicros();
+        long deadline = request.request.deadlineMicros();
         long giveUpAt = timeoutMicros == 0 ? deadline : Math.min(deadline, now + timeoutMicros);
-        Attempt attempt = new Attempt(call, server, now, giveUpAt);
-        call.attempts.add(attempt);
-        call.out++;
+        Attempt attempt = new Attempt(request, server, now, giveUpAt);
+        request.attempts.add(attempt);
+        request.out++;
         attempt.timeout =
                 loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT), giveUpAt - now, TimeUnit.MICROSECONDS);
         servers.start(attempt);
     }
 
-    /** Until its last byte is written an attempt can't have run, and the module is told that proof. */
-    private void stopWaiting(Attempt attempt, Result otherwise) {
-        if (attempt.result == null) {
-            servers.abandon(attempt);
-            ended(attempt, attempt.written ? otherwise : Result.NOT_SENT, null, null);
-        }
-    }
-
     @Override
     public void cancel(String requestId, int attempt) {
-        ClientRequest call = inHand.get(requestId);
-        if (call != null && attempt >= 0 && attempt < call.attempts.size()) {
-            stopWaiting(call.attempts.get(attempt), Result.CANCELLED);
+        ClientRequest request = inFlight.get(requestId);
+        if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
+            stopWaiting(request.attempts.get(attempt), Result.CANCELLED);
         }
     }
 
     @Override
     public void refuse(String requestId, long retryAfterMicros) {
-        answer(inHand.get(requestId), HttpResponseStatus.SERVICE_UNAVAILABLE, comeBack(retryAfterMicros));
-    }
-
-    /** When a client that is refused may come back; 0 says nothing of it. */
-    static HttpHeaders comeBack(long micros) {
-        HttpHeaders headers = new DefaultHttpHeaders();
-        if (micros > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER, String.valueOf(Math.max(1, micros / 1000) / 1000.0));
-        }
-        return headers;
+        completion.respond(
+                inFlight.get(requestId), HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(retryAfterMicros));
     }
 
     @Override
     public void fail(String requestId) {
-        ClientRequest call = inHand.get(requestId);
-        boolean late = call != null && call.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
-        answer(
-                call,
-                late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+        ClientRequest request = inFlight.get(requestId);
+        boolean hasTimedOut = request != null && request.attempts.stream().anyMatch(a -> a.result == Result.TIMED_OUT);
+        completion.respond(
+                request,
+                hasTimedOut ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
                 new DefaultHttpHeaders());
     }
 
     @Override
     public void timer(long atMicros, long token) {
         loop.schedule(
-                () -> tell(null, now -> module.timer(now, token)),
+                () -> events.deliver(null, now -> loadBalancer.timer(now, token)),
                 Math.max(0, atMicros - clock.micros()),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The module only asks where the settings allow it; what is beyond the bounds is not sent. */
+    /** The load balancer asks only where the settings allow it; what is beyond the bounds is not sent. */
     @Override
     public void probe(long server) {
         InetSocketAddress address = prober == null ? null : servers.address(server);
@@ -500,74 +472,4 @@
     public void log(String line) {
         log.accept(line);
     }
-
-    // ---- The one answer
-
-    private void answer(ClientRequest call, HttpResponseStatus status, HttpHeaders headers) {
-        if (call == null || call.over) {
-            return;
-        }
-        if (call.passed != null) {
-            // It has an answer already, which goes no further.
-            over(call, Ending.FAILED);
-            call.passing.cut();
-            return;
-        }
-        over(call, ending(status));
-        if (call.upgrade == null) {
-            call.client.answer(status, headers, Unpooled.EMPTY_BUFFER);
-        } else if (call.declined == null) {
-            call.upgrade.answered(status);
-            call.client.answer(status, headers, Unpooled.EMPTY_BUFFER);
-        } else {
-            // A server's own word says more than that no server agreed; it is never a refusal.
-            call.upgrade.answered(call.declined.status());
-            call.client.answer(
-                    call.declined.status(), call.declined.headers(), Unpooled.wrappedBuffer(call.declined.content()));
-        }
-    }
-
-    /** An answer that the module did not give: its request must have one all the same. */
-    private void abort(ClientRequest call, HttpResponseStatus status) {
-        if (!call.over) {
-            answer(call, status, new DefaultHttpHeaders());
-            tell(null, now -> module.clientLeft(now, call.request.id()));
-        }
-    }
-
-    /** What a client may take an answer for, whoever worded it. */
-    static Ending ending(HttpResponseStatus status) {
-        return status.code() == 429 || status.code() == 503 ? Ending.REFUSED : Ending.FAILED;
-    }
-
-    /** The ending is null where the client has left. */
-    private void over(ClientRequest call, Ending ending) {
-        call.over = true;
-        call.expiry.cancel(false);
-        inHand.over(call, ending);
-        if (call.watch != null) {
-            call.watch.answered(call);
-        }
-        forget(call);
-    }
-
-    private void forget(ClientRequest call) {
-        if (call.over && call.out == 0 && !call.forgotten) {
-            call.forgotten = true;
-            inHand.remove(call);
-            calls--;
-            if (call.watch != null) {
-                call.watch.ended(call);
-            }
-            runIfEmpty();
-        }
-    }
-
-    private void runIfEmpty() {
-        if (emptied != null && calls == 0) {
-            Runnable task = emptied;
-            emptied = null;
-            loop.execute(task);
-        }
-    }
 }
--- a/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -120,7 +120,8 @@
                         result.retryAfterMillis() * MICROS_PER_MILLI,
                         current.settings().limits().maxRetryAdviceMicros())
                 : 0;
-        client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Pool.comeBack(retryAfterMicros), Unpooled.EMPTY_BUFFER);
+        client.answer(
+                HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(retryAfterMicros), Unpooled.EMPTY_BUFFER);
     }
 
     /** An empty value removes a header. */
--- a/src/main/java/org/cypressweir/sidecar/ServerPool.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerPool.java
@@ -1,24 +1,11 @@
 package org.cypressweir.sidecar;
 
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.DefaultHttpHeaders;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -26,267 +13,169 @@
 import java.util.function.IntUnaryOperator;
 import org.cypressweir.loadbalancing.CachedMeasurement;
 import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
-import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
-import org.cypressweir.loadbalancing.LoadReports;
 import org.cypressweir.sidecar.ClientRequest.Attempt;
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
- * Connections to the servers and the attempts on them. A connection carries one attempt at a time; nothing is
- * ever sent a second time by the pool itself.
+ * The servers of a pool, their connections, and the attempts on them. A connection carries one attempt at a time;
+ * nothing is ever sent a second time by the pool itself.
+ *
+ * <p>Confined to the event loop. It has no servers until the first {@link #update}; after {@link #close} nothing is
+ * started on it.
  */
 final class ServerPool implements Upgrade.Fleet {
 
-    /** How an attempt ended; the answer is there only when a server gave one, and only during the call. */
+    /** Is told about attempts and about load beside them, always on the event loop. */
     interface Listener {
-        void ended(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer);
+        /** How an attempt ended; the response is there only when a server gave one, and only during the call. */
+        void attemptEnded(Attempt attempt, Result result, LoadReport report, FullHttpResponse response);
 
         /** A 200 is too large to be kept; where it goes on to, null for nowhere. */
-        default StreamedResponse passes(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+        default StreamedResponse streamBegins(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
         /** The last byte of an attempt has been handed to the network. */
-        default void written() {}
+        default void attemptWritten() {}
 
         /** What a server carries beside requests, in requests in flight. */
-        default void carries(long server, double requests, boolean full) {}
+        default void tunnelLoad(long server, double requests, boolean full) {}
     }
 
-    /** A second copy of an answer may come this much later, so for as long a connection is not used again. */
+    /** A second copy of a response may come this much later, so for as long a connection is not used again. */
     static final long SETTLE_MICROS = 20_000;
     /** For how long it counts how many servers there are and how warm. */
-    private static final long WARM_MICROS = 20_000;
+    private static final long WARM_SERVERS_MAX_AGE_MICROS = 20_000;
+
+    private static final long MAX_SWEEP_MICROS = 1_000_000;
+    private static final int SWEEPS_PER_IDLE_TIME = 10;
 
     private final EventLoop loop;
     private final SidecarClock clock;
     private final Listener listener;
-    private int most;
     private final long connectMicros;
     private final long drainGraceMicros;
-    private final long idleMicros;
-    private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<Attempt, Connection> busy = new HashMap<>();
-    /** All idle connections, the longest idle first: to find it costs the same in a fleet of any size. */
-    private final Set<Connection> idleOrder = new LinkedHashSet<>();
-
-    private int open;
-    /** Idle connections that it may keep, by the servers that it knows; null for no other bound. */
-    private IntUnaryOperator mostIdle;
-    /** Null where nothing goes over to another protocol. */
-    private PoolConfiguration.Tunnelled tunnels;
-
+    private final long maxIdleMicros;
     private final Rules rules;
-    private final CachedMeasurement warm = new CachedMeasurement(WARM_MICROS);
-
-    /** One process at one address; after a restart or a move the same server is another node. */
-    private final class Node implements Upgrade.Host {
-        final InetSocketAddress address;
-        Server line;
-        /** When the sidecar was told that it drains or is gone; 0 while it is in service. */
-        long leavingSince;
-        /** Not on the list any more: nothing new goes to it, and it is forgotten with its connections. */
-        boolean gone;
-        /** Those of its connections that have gone over to another protocol. */
-        final Set<Connection> switched = new LinkedHashSet<>(0);
-        /** Connections of any state. */
-        int connections;
-        /** Its own word on its use and its requests in flight, and when it said so; 0 for never. */
-        double use;
-
-        double inFlight;
-        long toldAt;
-        /** The most recently used last. */
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();
-
-        Node(InetSocketAddress address, Server line) {
-            this.address = address;
-            this.line = line;
-        }
-
-        @Override
-        public Upgrade.Fleet fleet() {
-            return ServerPool.this;
-        }
-
-        @Override
-        public long startMicros() {
-            return line.startMicros();
-        }
-
-        @Override
-        public void carries(double requests, boolean full) {
-            listener.carries(line.id(), requests, full);
-        }
-
-        @Override
-        public long toldAt() {
-            return toldAt;
-        }
-
-        @Override
-        public double use() {
-            return use;
-        }
-
-        @Override
-        public double requests() {
-            return Double.isNaN(inFlight) ? connections - idle.size() - switched.size() : inFlight;
-        }
-
-        void told(LoadReport report) {
-            use = report.utilization();
-            inFlight = report.inFlight();
-            toldAt = clock.micros();
-        }
-
-        boolean isFor(ServerList.Entry entry) {
-            return entry.address().equals(address) && entry.server().startMicros() == line.startMicros();
-        }
-    }
+    private final Map<Long, ServerInstance> servers = new HashMap<>();
+    private final Map<Attempt, PooledConnection> busy = new HashMap<>();
+    private final IdleConnections idle = new IdleConnections();
+    private final CachedMeasurement warmServers = new CachedMeasurement(WARM_SERVERS_MAX_AGE_MICROS);
+    private int openConnections;
+    private int maxConnections;
+    /** Idle connections that it may keep, by the number of servers; null for no such bound. */
+    private IntUnaryOperator maxIdle;
+    /** Null where nothing switches to another protocol. */
+    private PoolConfiguration.Tunnelled tunnels;
 
     ServerPool(
             EventLoop loop,
             SidecarClock clock,
             SidecarConfiguration config,
-            int most,
+            int maxConnections,
             PoolConfiguration.Tunnelled tunnels,
             Listener listener) {
-        this.tunnels = tunnels;
-        rules = config.settings().rules();
         this.loop = loop;
         this.clock = clock;
+        this.maxConnections = maxConnections;
+        this.tunnels = tunnels;
         this.listener = listener;
-        this.most = most;
+        rules = config.settings().rules();
         connectMicros = config.connectMicros();
         drainGraceMicros = config.drainGraceMicros();
-        idleMicros = config.settings().limits().idleMicros();
-        long sweep = Math.max(1, Math.min(1_000_000, idleMicros / 10));
+        maxIdleMicros = config.settings().limits().idleMicros();
+        long sweep = Math.max(1, Math.min(MAX_SWEEP_MICROS, maxIdleMicros / SWEEPS_PER_IDLE_TIME));
         loop.scheduleWithFixedDelay(this::closeStale, sweep, sweep, TimeUnit.MICROSECONDS);
     }
 
+    // ---- Servers
+
     /** Takes over what discovery says of the servers. */
     void update(ServerList list) {
-        long now = clock.micros();
+        long nowMicros = clock.micros();
         Set<Long> named = new HashSet<>();
         for (ServerList.Entry entry : list.entries()) {
-            Server line = entry.server();
-            named.add(line.id());
-            Node node = nodes.get(line.id());
-            if (node != null && !node.isFor(entry)) {
-                leave(node, now);
-                node.gone = true;
-                node = null;
-            }
-            if (node == null) {
-                node = new Node(entry.address(), line);
-                nodes.put(line.id(), node);
-            }
-            node.line = line;
-            node.gone = line.phase() == Phase.REMOVED;
-            if (line.phase() == Phase.READY) {
-                if (node.leavingSince != 0) {
-                    node.leavingSince = 0;
-                    node.switched.forEach(c -> c.joined.stays());
-                }
-            } else {
-                leave(node, now);
-            }
+            named.add(entry.server().id());
+            update(entry, nowMicros);
         }
         if (list.complete()) {
-            for (Map.Entry<Long, Node> node : nodes.entrySet()) {
-                if (!named.contains(node.getKey())) {
-                    leave(node.getValue(), now);
-                    node.getValue().gone = true;
-                }
-            }
-            nodes.values().removeIf(n -> n.gone && n.connections == 0);
+            removeAllBut(named, nowMicros);
+            servers.values().removeIf(ServerInstance::isForgettable);
         } else {
-            named.forEach(id -> nodes.computeIfPresent(id, (i, n) -> n.gone && n.connections == 0 ? null : n));
+            named.forEach(id -> servers.computeIfPresent(id, (i, s) -> s.isForgettable() ? null : s));
         }
     }
 
-    private void leave(Node node, long now) {
-        if (node.leavingSince == 0) {
-            node.leavingSince = now;
-            closeIdle(node);
-            node.switched.forEach(c -> c.joined.leaves(now));
+    private void update(ServerList.Entry entry, long nowMicros) {
+        Server listed = entry.server();
+        ServerInstance server = servers.get(listed.id());
+        if (server != null && !server.isSameAs(entry)) {
+            server.remove(nowMicros);
+            server = null;
         }
-    }
-
-    /** Other bounds on connections; those above it end as they become idle, those that stay do so. */
-    void limit(int connections, PoolConfiguration.Tunnelled others) {
-        tunnels = others;
-        most = connections;
-        int surplus = open - most;
-        while (surplus > 0 && closeOldestIdle()) {
-            surplus--;
+        if (server == null) {
+            server = new ServerInstance(this, entry.address(), listed);
+            servers.put(listed.id(), server);
         }
+        server.update(listed, nowMicros);
     }
 
-    /** From now on no more idle connections than this says for so many servers; null for no such bound. */
-    void keep(IntUnaryOperator idle) {
-        mostIdle = idle;
-        closeSurplus();
-    }
-
-    /** The bound on idle connections may be another. */
-    void trim() {
-        closeSurplus();
-    }
-
-    /** What is idle for the longest goes first. */
-    private void closeSurplus() {
-        while (mostIdle != null && idleOrder.size() > mostIdle.applyAsInt(nodes.size())) {
-            closeOldestIdle();
+    private void removeAllBut(Set<Long> named, long nowMicros) {
+        for (Map.Entry<Long, ServerInstance> known : servers.entrySet()) {
+            if (!named.contains(known.getKey())) {
+                known.getValue().remove(nowMicros);
+            }
         }
     }
 
-    /** Bytes that wait to be written on connections that have gone over to another protocol. */
-    long waitingBytes() {
-        return nodes.values().stream()
-                .flatMap(n -> n.switched.stream())
-                .mapToLong(c -> c.link.waitingBytes())
-                .sum();
-    }
-
     int size() {
-        return nodes.size();
+        return servers.size();
     }
 
     /** Servers on the list, those that drain among them. */
     int listed() {
-        return (int) nodes.values().stream().filter(n -> !n.gone).count();
+        return (int) servers.values().stream().filter(s -> !s.isRemoved).count();
     }
 
     /** Servers on the list that are not in service. */
-    int leaving() {
-        return (int) nodes.values().stream()
-                .filter(n -> !n.gone && n.leavingSince != 0)
+    int draining() {
+        return (int) servers.values().stream()
+                .filter(s -> !s.isRemoved && !s.isInService())
                 .count();
     }
 
-    /** The servers as last told, those that are not gone. */
+    /** The servers as last listed, without those that are removed. */
     ServerList list() {
         return new ServerList(
                 0,
                 true,
-                nodes.values().stream()
-                        .filter(n -> !n.gone)
-                        .map(n -> new ServerList.Entry(n.line, n.address))
+                servers.values().stream()
+                        .filter(s -> !s.isRemoved)
+                        .map(s -> new ServerList.Entry(s.listed, s.address))
                         .toList());
     }
 
-    /** Looked at anew after a while only, since it walks the fleet. */
+    /** Where a server that is in service listens; null for any other. */
+    InetSocketAddress address(long server) {
+        ServerInstance found = servers.get(server);
+        return found == null || !found.isInService() ? null : found.address;
+    }
+
+    /** Whether any server is in service. */
+    boolean anyReady() {
+        return servers.values().stream().anyMatch(ServerInstance::isInService);
+    }
+
+    /** Measured anew after a while only, since it walks the fleet. */
     @Override
     public double warmServers() {
-        long now = clock.micros();
-        return warm.at(now, () -> nodes.values().stream()
-                .filter(n -> n.leavingSince == 0)
-                .mapToDouble(n -> rules.coldShare(now, n.line.startMicros()))
+        long nowMicros = clock.micros();
+        return warmServers.at(nowMicros, () -> servers.values().stream()
+                .filter(ServerInstance::isInService)
+                .mapToDouble(s -> rules.coldShare(nowMicros, s.listed.startMicros()))
                 .sum());
     }
 
@@ -300,344 +189,130 @@
         return rules;
     }
 
-    /** Where a server that is in service listens; null for any other. */
-    InetSocketAddress address(long server) {
-        Node node = nodes.get(server);
-        return node == null || node.leavingSince != 0 ? null : node.address;
+    // ---- Limits of connections
+
+    /** Other bounds on connections; those above it end as they become idle, those that are switched stay so. */
+    void setLimits(int connections, PoolConfiguration.Tunnelled nextTunnels) {
+        tunnels = nextTunnels;
+        maxConnections = connections;
+        int surplus = openConnections - maxConnections;
+        while (surplus > 0 && idle.closeOldest()) {
+            surplus--;
+        }
     }
 
-    /** Whether any server is in service. */
-    boolean anyReady() {
-        return nodes.values().stream().anyMatch(n -> n.leavingSince == 0);
+    /** From now on no more idle connections than this says for so many servers; null for no such bound. */
+    void setMaxIdle(IntUnaryOperator byServers) {
+        maxIdle = byServers;
+        closeSurplusIdle();
+    }
+
+    /** Closes what the bound on idle connections does not allow, the longest idle first. */
+    void closeSurplusIdle() {
+        while (maxIdle != null && idle.size() > maxIdle.applyAsInt(servers.size())) {
+            idle.closeOldest();
+        }
+    }
+
+    private void closeStale() {
+        idle.closeOlderThan(clock.micros(), maxIdleMicros);
     }
 
+    /** Closes the idle connections to a server. */
+    void closeIdle(long server) {
+        ServerInstance found = servers.get(server);
+        if (found != null) {
+            idle.closeAll(found);
+        }
+    }
+
+    /** Bytes that wait to be written on connections that have switched to another protocol. */
+    long waitingBytes() {
+        return servers.values().stream()
+                .flatMap(s -> s.switched.stream())
+                .mapToLong(PooledConnection::waitingBytes)
+                .sum();
+    }
+
+    void close() {
+        servers.values().forEach(idle::closeAll);
+        List.copyOf(busy.keySet()).forEach(this::abandon);
+    }
+
+    // ---- Attempts
+
     /** Sends an attempt on the connection used last, or on a new one. */
     void start(Attempt attempt) {
-        Node node = nodes.get(attempt.server);
-        if (node == null || node.gone) {
+        ServerInstance server = servers.get(attempt.server);
+        if (server == null || server.isRemoved) {
             end(attempt, Result.NOT_SENT, null, null);
             return;
         }
         if (attempt.call.upgrade != null) {
-            attempt.call.upgrade.tried(node);
+            attempt.call.upgrade.tried(server);
         }
-        Connection connection = pollSettled(node);
-        if (connection == null && open >= most && !closeOldestIdle()) {
+        PooledConnection connection = idle.pollSettled(server, clock.micros());
+        if (connection == null && openConnections >= maxConnections && !idle.closeOldest()) {
             // The bound keeps descriptors for clients; past it the attempt never leaves this process.
             end(attempt, Result.NO_CONNECTION, null, null);
             return;
         }
         if (connection != null) {
-            connection.take(attempt);
+            connection.assign(attempt);
             connection.write();
         } else {
-            new Connection(node).take(attempt);
-        }
-    }
-
-    /** The connection used last of those that have been quiet for long enough, if it is still clean. */
-    private Connection pollSettled(Node node) {
-        long now = clock.micros();
-        for (var latest = node.idle.descendingIterator(); latest.hasNext(); ) {
-            Connection c = latest.next();
-            if (now - c.idleSince >= SETTLE_MICROS) {
-                latest.remove();
-                idleOrder.remove(c);
-                if (c.link.usable()) {
-                    return c;
-                }
-            }
+            new PooledConnection(this, server).assign(attempt);
         }
-        return null;
     }
 
     /** Stops an attempt, which tells the server so, and closes its connection. */
     void abandon(Attempt attempt) {
-        Connection connection = busy.remove(attempt);
+        PooledConnection connection = busy.remove(attempt);
         if (connection != null) {
-            connection.attempt = null;
-            connection.link.close();
+            connection.abandon();
         }
     }
 
-    void closeIdle(long server) {
-        Node node = nodes.get(server);
-        if (node != null) {
-            closeIdle(node);
+    void end(Attempt attempt, Result result, LoadReport report, FullHttpResponse response) {
+        busy.remove(attempt);
+        if (attempt.result == null) {
+            listener.attemptEnded(attempt, result, report, response);
         }
     }
 
-    void close() {
-        nodes.values().forEach(this::closeIdle);
-        List.copyOf(busy.keySet()).forEach(this::abandon);
-    }
+    // ---- For its connections
 
-    private void closeIdle(Node node) {
-        for (Connection c; (c = node.idle.poll()) != null; ) {
-            idleOrder.remove(c);
-            c.link.close();
-        }
+    ServerConnection connect(ServerInstance server, PooledConnection owner) {
+        openConnections++;
+        server.connections++;
+        return new ServerConnection(loop, server.address, ServerConnection.MAX_BODY, connectMicros, owner);
     }
 
-    private boolean closeOldestIdle() {
-        if (idleOrder.isEmpty()) {
-            return false;
-        }
-        Connection oldest = idleOrder.iterator().next();
-        idleOrder.remove(oldest);
-        oldest.node.idle.remove(oldest);
-        oldest.link.close();
-        return true;
+    void assigned(Attempt attempt, PooledConnection connection) {
+        busy.put(attempt, connection);
     }
 
-    private void closeStale() {
-        long now = clock.micros();
-        while (!idleOrder.isEmpty() && now - idleOrder.iterator().next().idleSince >= idleMicros) {
-            closeOldestIdle();
+    void disconnected(ServerInstance server) {
+        openConnections--;
+        server.connections--;
+        if (server.isForgettable()) {
+            servers.remove(server.listed.id(), server);
         }
     }
 
-    private void end(Attempt attempt, Result result, LoadReport report, FullHttpResponse answer) {
-        busy.remove(attempt);
-        if (attempt.result == null) {
-            listener.ended(attempt, result, report, answer);
-        }
+    Listener listener() {
+        return listener;
     }
 
-    /** A connection to a server: coming up, carrying an attempt, or idle. */
-    private final class Connection implements ServerConnection.Owner, ClientRequest.Switched {
-        private final Node node;
-        private Upgrade.Joined joined;
-        private final ServerConnection link;
-        private Attempt attempt;
-        private long idleSince;
-        /** What came with the answer that is passed on. */
-        private LoadReport passedReport;
-
-        Connection(Node node) {
-            this.node = node;
-            open++;
-            node.connections++;
-            link = new ServerConnection(loop, node.address, ServerConnection.MAX_BODY, connectMicros, this);
-        }
-
-        void take(Attempt next) {
-            attempt = next;
-            busy.put(next, this);
-        }
-
-        /**
-         * The last look before the first byte: a connection may have outlived the decision that asked for it,
-         * and by now the request be over, its time used up, or the server past its drain grace.
-         */
-        void write() {
-            long now = clock.micros();
-            boolean late = node.gone || node.leavingSince != 0 && now - node.leavingSince >= drainGraceMicros;
-            if (attempt.call.over || now >= attempt.giveUpAt || late) {
-                Attempt unsent = attempt;
-                rest();
-                end(unsent, Result.NOT_SENT, null, null);
-                return;
-            }
-            link.send(request(attempt, now), attempt.call.upgrade != null);
-        }
-
-        private FullHttpRequest request(Attempt a, long now) {
-            ClientRequest call = a.call;
-            HttpHeaders headers = Headers.endToEnd(call.headers);
-            headers.set(Headers.TIMEOUT, Math.max(1, (a.giveUpAt - now) / 1000));
-            if (call.upgrade != null) {
-                call.upgrade.ask(headers);
-                return new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1,
-                        call.method,
-                        call.uri,
-                        Unpooled.EMPTY_BUFFER,
-                        headers,
-                        new DefaultHttpHeaders());
-            }
-            headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-            if (call.body.isReadable() || !call.method.equals(HttpMethod.GET)) {
-                headers.set(HttpHeaderNames.CONTENT_LENGTH, call.body.readableBytes());
-            }
-            return new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1,
-                    call.method,
-                    call.uri,
-                    call.body.retainedDuplicate(),
-                    headers,
-                    new DefaultHttpHeaders());
-        }
-
-        /** Becomes idle, or closes where it will not be used again. */
-        private void rest() {
-            attempt = null;
-            if (node.leavingSince != 0) {
-                link.close();
-            } else {
-                idleSince = clock.micros();
-                node.idle.addLast(this);
-                idleOrder.add(this);
-                closeSurplus();
-            }
-        }
-
-        @Override
-        public void opened() {
-            if (attempt != null) {
-                write();
-            }
-        }
-
-        @Override
-        public void written() {
-            if (attempt != null) {
-                attempt.written = true;
-                listener.written();
-            }
-        }
-
-        /**
-         * What may throw comes before the attempt is let go: then the end of the connection ends it. An
-         * answer that is there before the request was written is none.
-         */
-        @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
-            if (attempt == null || !attempt.written) {
-                link.close();
-                return;
-            }
-            Result result = attempt.call.upgrade == null ? result(answer) : upgraded(attempt.call, answer);
-            LoadReport report = LoadReports.parse(answer.headers().getAll(Headers.LOAD));
-            if (report != null) {
-                node.told(report);
-            }
-            Attempt done = attempt;
-            if (result == Result.SERVED && done.call.upgrade != null) {
-                attempt = null;
-                done.switched = this;
-                end(done, result, report, answer);
-                if (joined == null) {
-                    link.close();
-                }
-                return;
-            }
-            boolean http = !answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-            if (clean && http && HttpUtil.isKeepAlive(answer)) {
-                rest();
-            } else {
-                attempt = null;
-                link.close();
-            }
-            end(done, result, report, answer);
-        }
-
-        /** Only what its client gets is read on; the outcome of any other large answer is its status. */
-        @Override
-        public StreamedResponse passes(HttpResponse head, Runnable resume) {
-            if (attempt == null || !attempt.written) {
-                return null;
-            }
-            LoadReport report = LoadReports.parse(head.headers().getAll(Headers.LOAD));
-            if (report != null) {
-                node.told(report);
-            }
-            Result result = result(head);
-            StreamedResponse to = result == Result.SERVED
-                    ? listener.passes(attempt, head.headers(), HttpUtil.getContentLength(head, -1L), resume)
-                    : null;
-            if (to == null) {
-                Attempt done = attempt;
-                attempt = null;
-                end(done, done.call.upgrade == null ? result : Result.ERROR, report, null);
-            } else {
-                passedReport = report;
-            }
-            return to;
-        }
-
-        @Override
-        public void passed(boolean clean, boolean keepAlive) {
-            Attempt done = attempt;
-            if (done == null) {
-                link.close();
-                return;
-            }
-            if (clean && keepAlive) {
-                rest();
-            } else {
-                attempt = null;
-                link.close();
-            }
-            end(done, Result.SERVED, passedReport, null);
-        }
-
-        /** Only a 101 that answers what was asked serves; what else a server says is kept for the client. */
-        private static Result upgraded(ClientRequest call, FullHttpResponse answer) {
-            boolean switching = answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-            if (switching) {
-                return call.upgrade.fault(answer) == null ? Result.SERVED : Result.ERROR;
-            }
-            Result result = result(answer);
-            boolean refusal = answer.status().code() == 503 || answer.status().code() == 429;
-            if (result != Result.FULL && !refusal) {
-                HttpHeaders headers = Headers.endToEnd(answer.headers());
-                headers.remove(Headers.LOAD);
-                call.declined =
-                        new ClientRequest.Declined(answer.status(), headers, ByteBufUtil.getBytes(answer.content()));
-            }
-            return result == Result.SERVED ? Result.ERROR : result;
-        }
-
-        @Override
-        public Upgrade.End goOver() {
-            return link.goOver();
-        }
-
-        @Override
-        public Upgrade.Host host() {
-            return node;
-        }
-
-        @Override
-        public void joined(Upgrade.Joined with) {
-            joined = with;
-            node.switched.add(this);
-            if (node.leavingSince != 0) {
-                joined.leaves(node.leavingSince);
-            }
-        }
-
-        @Override
-        public void close() {
-            link.close();
-        }
+    IdleConnections idle() {
+        return idle;
+    }
 
-        private static Result result(HttpResponse answer) {
-            int status = answer.status().code();
-            if (status == HttpResponseStatus.OK.code()) {
-                return Result.SERVED;
-            }
-            boolean turnedAway = (status == 503 || status == 504)
-                    && "1".equals(answer.headers().get(Headers.NOT_STARTED));
-            return turnedAway ? Result.FULL : Result.ERROR;
-        }
+    long nowMicros() {
+        return clock.micros();
+    }
 
-        @Override
-        public void closed() {
-            open--;
-            node.connections--;
-            node.switched.remove(this);
-            node.idle.remove(this);
-            idleOrder.remove(this);
-            if (node.gone && node.connections == 0) {
-                nodes.remove(node.line.id(), node);
-            }
-            if (attempt != null) {
-                Attempt lost = attempt;
-                attempt = null;
-                end(lost, lost.written ? Result.BROKEN : Result.NO_CONNECTION, null, null);
-            }
-        }
+    long drainGraceMicros() {
+        return drainGraceMicros;
     }
 }
