--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/ClientInputGate.java
@@ -0,0 +1,28 @@
+package org.cypressweir.sidecar;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.util.ReferenceCountUtil;
+
+/**
+ * The first handler of a client's connection: drops what comes on a rejected one before anything is spent on it.
+ *
+ * <p>One for each connection, on its event loop.
+ */
+final class ClientInputGate extends ChannelInboundHandlerAdapter {
+
+    private final ClientConnection connection;
+
+    ClientInputGate(ClientConnection connection) {
+        this.connection = connection;
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object bytes) {
+        if (connection.admitsInput()) {
+            context.fireChannelRead(bytes);
+        } else {
+            ReferenceCountUtil.release(bytes);
+        }
+    }
+}
--- a/src/main/java/org/cypressweir/sidecar/ClientListener.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -151,7 +151,7 @@
                 return;
             }
             lent = lent == null ? new ListeningSocket(listening, false, now()) : lent;
-            new ClientConnection(this, lent, connection).begin();
+            new ClientConnection(this, lent, connection).configurePipeline();
             connection.pipeline().fireChannelActive();
             connection.pipeline().fireChannelRead(first);
             connection.pipeline().fireChannelReadComplete();
@@ -174,7 +174,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        new ClientConnection(ClientListener.this, door[0], c).begin();
+                        new ClientConnection(ClientListener.this, door[0], c).configurePipeline();
                     }
                 });
         ChannelFuture bound = listening != null
@@ -204,7 +204,7 @@
      * to the service before, which may answer it at once.
      */
     Future<Void> close() {
-        doors.stream().filter(door -> !door.shared).forEach(door -> ServerConnection.readNow(door.channel));
+        doors.stream().filter(door -> !door.shared).forEach(door -> Channels.readNow(door.channel));
         List.copyOf(connections).forEach(ClientConnection::readNow);
         List.copyOf(connections).forEach(ClientConnection::close);
         List.copyOf(switched).forEach(ClientConnection::close);
@@ -257,18 +257,18 @@
 
     void endQuietly(ListeningSocket door, Runnable ended) {
         connections.stream()
-                .filter(c -> c.door() == door && c.quiet(QUIET_MILLIS))
+                .filter(c -> c.listeningSocket() == door && c.isQuiet(QUIET_MILLIS))
                 .toList()
                 .forEach(ClientConnection::closeIfSilent);
         if (door.channel.isOpen() && mayShut(door)) {
             // Those that have connected since the loop looked last would be reset.
-            ServerConnection.readNow(door.channel);
+            Channels.readNow(door.channel);
             if (mayShut(door)) {
                 door.channel.close();
             }
         }
         if (!door.channel.isOpen()
-                && Stream.concat(connections.stream(), switched.stream()).noneMatch(c -> c.door() == door)) {
+                && Stream.concat(connections.stream(), switched.stream()).noneMatch(c -> c.listeningSocket() == door)) {
             doors.remove(door);
             ended.run();
         } else {
@@ -302,7 +302,7 @@
         if (dismisses()) {
             boolean last = millisSince(drainingSince) > DISMISS_MILLIS;
             connections.stream()
-                    .filter(c -> c.quiet(QUIET_MILLIS) && (last || c.hasAsked()))
+                    .filter(c -> c.isQuiet(QUIET_MILLIS) && (last || c.hasAsked()))
                     .toList()
                     .forEach(ClientConnection::closeIfSilent);
         }
@@ -318,7 +318,7 @@
 
     /** A connection was accepted. */
     void opened(ClientConnection connection) {
-        connection.door().acceptedAt = now();
+        connection.listeningSocket().acceptedAt = now();
         connections.add(connection);
         makeRoom();
     }
@@ -430,7 +430,7 @@
         while (true) {
             ClientConnection victim = null;
             for (ClientConnection c : connections) {
-                if (c.spare() > (victim == null ? 0 : victim.spare())) {
+                if (c.evictionScore() > (victim == null ? 0 : victim.evictionScore())) {
                     victim = c;
                 }
             }
