--- /dev/null
+++ b/src/main/java/org/cypressweir/meshctl/state/NodeKind.java
@@ -0,0 +1,35 @@
+package org.cypressweir.meshctl.state;
+
+/** The two kinds of processes of a mesh. */
+public enum NodeKind {
+    CONTROLLER("harbour", "controller"),
+    PROXY("pilot", "proxy");
+
+    /** The text of the kind in answers to the state call; it is fixed, since builds may be mixed. */
+    private final String wireName;
+
+    private final String displayName;
+
+    NodeKind(String wireName, String displayName) {
+        this.wireName = wireName;
+        this.displayName = displayName;
+    }
+
+    public String displayName() {
+        return displayName;
+    }
+
+    boolean is(JsonValue kind) {
+        return kind.isText(wireName);
+    }
+
+    /** The name to show for a kind of the state call; a kind that is unknown here is shown as it is. */
+    public static JsonValue displayName(JsonValue kind) {
+        for (NodeKind known : values()) {
+            if (known.is(kind)) {
+                return JsonValue.of(known.displayName);
+            }
+        }
+        return kind;
+    }
+}
--- a/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
+++ b/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
@@ -46,7 +46,8 @@
                 + " dataplane.http.server dataplane.quota controlplane.configuration controlplane.consensus"
                 + " controlplane.storage controlplane.distribution controlplane.registry",
         "meshctl.validation: common.util common.settings common.transport controlplane.configuration",
-        "meshctl.command: common.util common.settings common.transport meshctl.validation",
+        "meshctl.state: common.transport",
+        "meshctl.command: common.util common.settings common.transport meshctl.validation meshctl.state",
         "meshctl: common.util meshctl.command",
     };
     /** What packages that are not in the list (the sidecar, the fleet, the simulation) may depend on. */
