--- a/src/main/java/org/cypressweir/meshctl/command/Column.java
+++ b/src/main/java/org/cypressweir/meshctl/command/Column.java
@@ -1,38 +1,25 @@
 package org.cypressweir.meshctl.command;
 
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.function.Function;
+import org.cypressweir.meshctl.state.JsonValue;
 
 /**
- * A column of a table whose values come from a field of a state.
+ * A column of a table whose values come from a record.
  *
  * @param title as it is shown
- * @param field as the state call names it
+ * @param value takes the value from the record
  */
-record Column(String title, String field) {
+record Column<T>(String title, Function<T, JsonValue> value) {
 
-    static Column of(String titleAndField) {
-        return new Column(titleAndField, titleAndField);
+    static List<String> titles(List<? extends Column<?>> columns) {
+        return columns.stream().<String>map(Column::title).toList();
     }
 
-    static Column of(String title, String field) {
-        return new Column(title, field);
-    }
-
-    static List<String> titles(List<Column> columns) {
-        return columns.stream().map(Column::title).toList();
-    }
-
-    /** A row with a value in each column whose field is there. */
-    static Map<String, Object> row(List<Column> columns, Map<String, Object> fields) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        for (Column column : columns) {
-            Object value = fields.get(column.field());
-            if (value != null) {
-                row.put(column.title(), value);
-            }
-        }
+    /** A row with a value in each column for which the record has one. */
+    static <T> Row row(List<Column<T>> columns, T source) {
+        Row row = new Row();
+        columns.forEach(column -> row.put(column.title(), column.value().apply(source)));
         return row;
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/ConfigStatusCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ConfigStatusCommand.java
@@ -4,7 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.Item;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -18,41 +19,61 @@
 public final class ConfigStatusCommand extends QueryCommand {
 
     private static final String NO_VERSION = "-";
-    private static final List<Column> ITEM_FIELDS =
-            List.of(Column.of("table"), Column.of("name"), Column.of("version"), Column.of("withdrawn"));
+    private static final List<Column<Item>> VERSION_COLUMNS = List.of(
+            new Column<>("table", Item::type),
+            new Column<>("name", Item::name),
+            new Column<>("version", Item::version),
+            new Column<>("withdrawn", Item::withdrawn));
 
-    /** The versions of one item, each a row, and the addresses of the processes that have any. */
+    /** The processes that have one version of an item, or none. */
+    private record VersionHolders(Row version, List<String> names) {
+
+        VersionHolders(Row version) {
+            this(version, new ArrayList<>());
+        }
+
+        void add(NodeResponse process) {
+            names.add(process.name().isEmpty() ? process.address() : process.name());
+        }
+
+        Row row() {
+            return new Row().putAll(version).put("count", names.size()).put("processes", String.join(",", names));
+        }
+    }
+
+    /** The versions of one item, and the addresses of the processes that have any. */
     private static final class ItemVersions {
-        private final Map<String, Map<String, Object>> rowsByVersion = new TreeMap<>();
+        private final Item item;
+        /** By the text of the row, which sorts them by version. */
+        private final Map<String, VersionHolders> holders = new TreeMap<>();
+
         private final List<String> addresses = new ArrayList<>();
 
-        void add(Map<String, Object> version, NodeResponse process) {
+        ItemVersions(Item item) {
+            this.item = item;
+        }
+
+        void add(Item version, NodeResponse process) {
             addresses.add(process.address());
-            count(rowsByVersion.computeIfAbsent(version.toString(), key -> version), process);
+            Row row = Column.row(VERSION_COLUMNS, version);
+            holders.computeIfAbsent(row.toString(), key -> new VersionHolders(row))
+                    .add(process);
         }
 
         /** A row for each version, then one for the processes that don't have the item. */
-        List<Map<String, Object>> rows(List<NodeResponse> processes) {
-            List<Map<String, Object>> rows = new ArrayList<>(rowsByVersion.values());
-            Map<String, Object> first = rows.get(0);
-            Map<String, Object> missing =
-                    JsonCodec.map("table", first.get("table"), "name", first.get("name"), "version", NO_VERSION);
-            for (NodeResponse process : processes) {
-                if (!addresses.contains(process.address())) {
-                    count(missing, process);
-                }
-            }
-            if (missing.containsKey("count")) {
-                rows.add(missing);
+        List<Row> rows(List<NodeResponse> processes) {
+            List<Row> rows = new ArrayList<>();
+            holders.values().forEach(version -> rows.add(version.row()));
+            VersionHolders missing = new VersionHolders(
+                    new Row().put("table", item.type()).put("name", item.name()).put("version", NO_VERSION));
+            processes.stream()
+                    .filter(process -> !addresses.contains(process.address()))
+                    .forEach(missing::add);
+            if (!missing.names().isEmpty()) {
+                rows.add(missing.row());
             }
             return rows;
         }
-
-        private static void count(Map<String, Object> row, NodeResponse process) {
-            String name = process.name().isEmpty() ? process.address() : process.name();
-            row.merge("count", 1L, (a, b) -> (Long) a + (Long) b);
-            row.merge("processes", name, (a, b) -> a + "," + b);
-        }
     }
 
     @Parameters(arity = "0..1", paramLabel = "NAME", description = "Only items of that name.")
@@ -79,22 +100,22 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        return state.objects(NodeState.ITEMS);
+    List<Row> rows(NodeState state) {
+        return List.of();
     }
 
     @Override
-    List<Map<String, Object>> combinedRows(List<NodeResponse> responses) {
+    List<Row> combinedRows(List<NodeResponse> responses) {
         Map<String, ItemVersions> items = new TreeMap<>();
         for (NodeResponse response : responses) {
-            for (Map<String, Object> item : rows(response.state())) {
-                if (wantedName == null || wantedName.equals(item.get("name"))) {
-                    items.computeIfAbsent(item.get("table") + "." + item.get("name"), key -> new ItemVersions())
-                            .add(Column.row(ITEM_FIELDS, item), response);
+            for (Item item : response.state().items()) {
+                if (wantedName == null || item.name().isText(wantedName)) {
+                    items.computeIfAbsent(item.type() + "." + item.name(), key -> new ItemVersions(item))
+                            .add(item, response);
                 }
             }
         }
-        List<Map<String, Object>> rows = new ArrayList<>();
+        List<Row> rows = new ArrayList<>();
         items.values().forEach(item -> rows.addAll(item.rows(responses)));
         return rows;
     }
--- a/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
@@ -2,9 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.transport.JsonCodec;
-import org.cypressweir.common.util.Json;
+import org.cypressweir.meshctl.state.ControllerPeer;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.KnownProcesses;
+import org.cypressweir.meshctl.state.LostProxy;
+import org.cypressweir.meshctl.state.NodeKind;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.ProxyPeer;
+import org.cypressweir.meshctl.state.Registration;
+import org.cypressweir.meshctl.state.ReportedProcess;
 import picocli.CommandLine.Command;
 
 /** {@code connectivity}: which processes reach which others. */
@@ -36,49 +42,51 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Map<String, Object> peer : state.objects(NodeState.CONTROLLERS)) {
-            String status = Json.flag(peer, NodeState.REACHABLE) ? REACHABLE : UNRESPONSIVE;
-            rows.add(row(state, NodeKind.CONTROLLER.displayName(), peer, status, null));
+    List<Row> rows(NodeState state) {
+        KnownProcesses known = state.knownProcesses();
+        List<Row> rows = new ArrayList<>();
+        for (ControllerPeer peer : known.controllers()) {
+            String status = peer.reachable().isTrue() ? REACHABLE : UNRESPONSIVE;
+            JsonValue address = peer.process().address();
+            rows.add(row(state, NodeKind.CONTROLLER.displayName(), address, status, JsonValue.ABSENT));
         }
-        for (Map<String, Object> peer : state.objects(NodeState.PEERS)) {
-            rows.add(row(state, NodeKind.PROXY.displayName(), peer, connectionStatus(peer), peer.get(AGE)));
+        for (ProxyPeer peer : known.peers()) {
+            String name = NodeKind.PROXY.displayName();
+            rows.add(row(state, name, peer.address(), connectionStatus(peer), peer.ageMillis()));
         }
-        for (Map<String, Object> peer : state.objects(NodeState.REGISTRATIONS)) {
-            rows.add(row(state, proxyName(peer), peer, statusByAge(peer.get(AGE)), peer.get(AGE)));
+        for (Registration peer : known.registrations()) {
+            JsonValue ageMillis = peer.instance().ageMillis();
+            rows.add(proxyRow(state, peer.process(), statusByAge(ageMillis), ageMillis));
         }
-        for (Map<String, Object> peer : state.objects(NodeState.LOST_PROXIES)) {
-            rows.add(row(state, proxyName(peer), peer, LOST, peer.get(NodeState.LOST_MILLIS)));
+        for (LostProxy peer : known.lostProxies()) {
+            rows.add(proxyRow(state, peer.process(), LOST, peer.lostMillis()));
         }
         return rows;
     }
 
-    private static String proxyName(Map<String, Object> peer) {
-        return NodeKind.PROXY.displayName() + " " + peer.get(NodeState.NAME);
+    private static String connectionStatus(ProxyPeer peer) {
+        boolean connected = peer.connected().isTrue() && !peer.down().isTrue();
+        return connected ? statusByAge(peer.ageMillis()) : DOWN;
     }
 
-    private static String connectionStatus(Map<String, Object> peer) {
-        boolean connected = Json.flag(peer, NodeState.CONNECTED) && !Json.flag(peer, "down");
-        return connected ? statusByAge(peer.get(AGE)) : DOWN;
+    private static String statusByAge(JsonValue ageMillis) {
+        boolean recent = ageMillis.isNumber() && ageMillis.longValue() <= UNRESPONSIVE_AFTER_MILLIS;
+        return recent ? REACHABLE : UNRESPONSIVE;
     }
 
-    private static String statusByAge(Object ageMillis) {
-        return ageMillis instanceof Number number && number.longValue() <= UNRESPONSIVE_AFTER_MILLIS
-                ? REACHABLE
-                : UNRESPONSIVE;
+    private static Row proxyRow(NodeState state, ReportedProcess proxy, String status, JsonValue ageMillis) {
+        String name = NodeKind.PROXY.displayName() + " " + proxy.name();
+        return row(state, name, proxy.address(), status, ageMillis);
     }
 
-    private static Map<String, Object> row(
-            NodeState state, String peerName, Map<String, Object> peer, String status, Object ageMillis) {
-        Map<String, Object> row = JsonCodec.map("name", state.get(NodeState.NAME));
-        row.put("kind", NodeKind.displayName(state.get(NodeState.KIND)));
-        row.put("peer", peerName);
-        row.put("address", peer.get(NodeState.ADDRESS));
-        row.put("status", status);
-        if (ageMillis != null) {
-            row.put("ageMs", ageMillis);
-        }
-        return row;
+    private static Row row(
+            NodeState state, String peerName, JsonValue peerAddress, String status, JsonValue ageMillis) {
+        return new Row()
+                .put("name", state.process().name())
+                .putNullable("kind", NodeKind.displayName(state.kind()))
+                .put("peer", peerName)
+                .putNullable("address", peerAddress)
+                .put("status", status)
+                .put(AGE, ageMillis);
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
@@ -6,7 +6,15 @@
 import java.util.Objects;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.ApplicationInstance;
+import org.cypressweir.meshctl.state.ControllerPeer;
+import org.cypressweir.meshctl.state.Item;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.NodeKind;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.Registration;
+import org.cypressweir.meshctl.state.ReportedProcess;
+import org.cypressweir.meshctl.state.ServiceInstances;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -50,26 +58,27 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
+    List<Row> rows(NodeState state) {
         return List.of();
     }
 
     @Override
-    List<Map<String, Object>> combinedRows(List<NodeResponse> responses) {
-        List<Map<String, Object>> rows = new ArrayList<>();
+    List<Row> combinedRows(List<NodeResponse> responses) {
+        List<Row> rows = new ArrayList<>();
         if (responses.size() < COMPARED_PROCESSES) {
             return rows;
         }
         NodeState a = responses.get(0).state();
         NodeState b = responses.get(1).state();
-        boolean sameKind = Objects.equals(a.get(NodeState.KIND), b.get(NodeState.KIND));
+        boolean sameKind = a.kind().equals(b.kind());
         Map<String, String> factsOfA = facts(a, sameKind);
         Map<String, String> factsOfB = facts(b, sameKind);
         TreeSet<String> all = new TreeSet<>(factsOfA.keySet());
         all.addAll(factsOfB.keySet());
         for (String fact : all) {
             if (!Objects.equals(factsOfA.get(fact), factsOfB.get(fact))) {
-                rows.add(JsonCodec.map("fact", fact, "a", factsOfA.get(fact), "b", factsOfB.get(fact)));
+                rows.add(
+                        new Row().put("fact", fact).put("a", factsOfA.get(fact)).put("b", factsOfB.get(fact)));
             }
         }
         return rows;
@@ -78,7 +87,7 @@
     /** @param sameKind whether both processes are of one kind: then also what only that kind knows */
     private static Map<String, String> facts(NodeState state, boolean sameKind) {
         Map<String, String> facts = new TreeMap<>();
-        facts.put("proposal", TablePrinter.text(state.get(NodeState.PROPOSAL)));
+        facts.put("proposal", state.replica().proposal().display());
         addItems(state, facts);
         addProxies(state, facts);
         addServers(state, sameKind, facts);
@@ -86,63 +95,66 @@
             facts.put("voters", String.join(",", new TreeSet<>(voters(state))));
         }
         if (sameKind && state.is(NodeKind.PROXY)) {
-            for (Map<String, Object> controller : state.objects(NodeState.CONTROLLERS)) {
+            for (ControllerPeer controller : state.knownProcesses().controllers()) {
                 facts.put(
-                        "reachable controller " + controller.get(NodeState.ADDRESS),
-                        text(controller, NodeState.REACHABLE));
+                        "reachable controller " + controller.process().address(),
+                        controller.reachable().display());
             }
         }
         return facts;
     }
 
     private static void addItems(NodeState state, Map<String, String> facts) {
-        for (Map<String, Object> item : state.objects(NodeState.ITEMS)) {
-            String withdrawn = Boolean.TRUE.equals(item.get("withdrawn")) ? " withdrawn" : "";
-            facts.put("item " + item.get("table") + "." + item.get("name"), text(item, "version") + withdrawn);
+        for (Item item : state.items()) {
+            String withdrawn = item.withdrawn().isTrue() ? " withdrawn" : "";
+            facts.put("item " + item.type() + "." + item.name(), item.version().display() + withdrawn);
         }
     }
 
     private static void addProxies(NodeState state, Map<String, String> facts) {
-        for (Map<String, Object> proxy : state.objects(NodeState.REGISTRATIONS)) {
-            facts.put("proxy " + proxy.get(NodeState.NAME), text(proxy, NodeState.ADDRESS));
-            addServer(proxy, text(proxy, NodeState.NAME), text(proxy, "service"), facts);
+        for (Registration registration : state.knownProcesses().registrations()) {
+            ReportedProcess proxy = registration.process();
+            ApplicationInstance instance = registration.instance();
+            addProxy(proxy, facts);
+            addServer(instance, proxy.name(), instance.service().display(), facts);
         }
-        for (Map<String, Object> proxy : state.objects(NodeState.PROXIES)) {
-            facts.put("proxy " + proxy.get(NodeState.NAME), text(proxy, NodeState.ADDRESS));
+        for (ReportedProcess proxy : state.knownProcesses().proxies()) {
+            addProxy(proxy, facts);
         }
     }
 
+    private static void addProxy(ReportedProcess proxy, Map<String, String> facts) {
+        facts.put("proxy " + proxy.name(), proxy.address().display());
+    }
+
     private static void addServers(NodeState state, boolean sameKind, Map<String, String> facts) {
-        Map<String, Object> services = state.object(NodeState.SERVICES);
-        for (String service : services.keySet()) {
-            for (Map<String, Object> server : NodeState.objects(services, service)) {
-                addServer(server, text(server, NodeState.INSTANCE_PROXY), service, facts);
+        for (ServiceInstances service : state.services()) {
+            for (ApplicationInstance instance : service.instances()) {
+                addServer(instance, instance.proxy(), service.service(), facts);
                 if (sameKind) {
-                    facts.put("selected " + server.get("server"), text(server, NodeState.SELECTED));
+                    facts.put(
+                            "selected " + instance.server(), instance.selected().display());
                 }
             }
         }
     }
 
-    private static void addServer(Map<String, Object> server, String proxy, String service, Map<String, String> facts) {
-        String id = text(server, "server");
-        if (id.isEmpty()) {
+    private static void addServer(
+            ApplicationInstance instance, JsonValue proxyName, String service, Map<String, String> facts) {
+        String server = instance.server().display();
+        if (server.isEmpty()) {
             return;
         }
-        String draining = Boolean.TRUE.equals(server.get("draining")) ? ", draining" : "";
-        String shuttingDown = Boolean.TRUE.equals(server.get(NodeState.SHUTTING_DOWN)) ? ", shutting down" : "";
-        String slots = text(server, "slots") + " slots";
-        facts.put("server " + id, service + " at " + proxy + ", " + slots + draining + shuttingDown);
+        String draining = instance.draining().isTrue() ? ", draining" : "";
+        String shuttingDown = instance.shuttingDown().isTrue() ? ", shutting down" : "";
+        String slots = instance.slots().display() + " slots";
+        facts.put("server " + server, service + " at " + proxyName.display() + ", " + slots + draining + shuttingDown);
     }
 
     private static List<String> voters(NodeState state) {
-        return state.get(NodeState.VOTERS) instanceof List<?> list
-                ? list.stream().map(TablePrinter::text).toList()
-                : List.of();
-    }
-
-    private static String text(Map<String, Object> fields, String name) {
-        return TablePrinter.text(fields.get(name));
+        return state.replica().voters().elements().stream()
+                .map(JsonValue::display)
+                .toList();
     }
 
     @Override
--- a/src/main/java/org/cypressweir/meshctl/command/FanOutClient.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FanOutClient.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.NodeStateDecoder;
 
 /** Sends one GET request to many processes at once; each has the same time to respond. Safe for use by many threads. */
 final class FanOutClient {
@@ -53,9 +53,8 @@
         if (response.statusCode() != STATUS_OK) {
             return NodeResponse.failure(address, "", "responded with status " + response.statusCode());
         }
-        byte[] body = response.body();
         try {
-            return NodeResponse.success(address, new NodeState(JsonCodec.read(body, 0, body.length)));
+            return NodeResponse.success(address, NodeStateDecoder.decode(response.body()));
         } catch (IOException e) {
             return NodeResponse.failure(address, "", "response is not JSON");
         }
--- a/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
@@ -2,8 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.ApplicationInstance;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.Registration;
+import org.cypressweir.meshctl.state.ReportedProcess;
+import org.cypressweir.meshctl.state.ServiceInstances;
 import picocli.CommandLine.Command;
 
 /** {@code fleet}: the proxies and servers that a controller or a proxy knows. */
@@ -16,20 +20,18 @@
                 + "and sends requests there (selected).")
 public final class FleetCommand extends QueryCommand {
 
-    private static final List<Column> COLUMNS = List.of(
-            Column.of("proxy", NodeState.INSTANCE_PROXY),
-            Column.of("zone"),
-            Column.of("service"),
-            Column.of("server"),
-            Column.of("slots"),
-            Column.of("draining"),
-            Column.of("shuttingDown", NodeState.SHUTTING_DOWN),
-            Column.of("connected", NodeState.CONNECTED),
-            Column.of("unresponsive", NodeState.UNRESPONSIVE),
-            Column.of("selected", NodeState.SELECTED),
-            Column.of("ageMs"));
-    /** Fields of a registration that only the JSON output has. */
-    private static final List<String> JSON_ONLY = List.of(NodeState.NAME, NodeState.ADDRESS, NodeState.CONTROL_ADDRESS);
+    private static final List<Column<ApplicationInstance>> COLUMNS = List.of(
+            new Column<>("proxy", ApplicationInstance::proxy),
+            new Column<>("zone", ApplicationInstance::zone),
+            new Column<>("service", ApplicationInstance::service),
+            new Column<>("server", ApplicationInstance::server),
+            new Column<>("slots", ApplicationInstance::slots),
+            new Column<>("draining", ApplicationInstance::draining),
+            new Column<>("shuttingDown", ApplicationInstance::shuttingDown),
+            new Column<>("connected", ApplicationInstance::connected),
+            new Column<>("unresponsive", ApplicationInstance::unresponsive),
+            new Column<>("selected", ApplicationInstance::selected),
+            new Column<>("ageMs", ApplicationInstance::ageMillis));
 
     @Override
     public List<String> columns() {
@@ -37,30 +39,32 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Map<String, Object> registration : state.objects(NodeState.REGISTRATIONS)) {
+    List<Row> rows(NodeState state) {
+        List<Row> rows = new ArrayList<>();
+        for (Registration registration : state.knownProcesses().registrations()) {
             rows.add(registrationRow(registration));
         }
-        Map<String, Object> services = state.object(NodeState.SERVICES);
-        for (String service : services.keySet()) {
-            for (Map<String, Object> server : NodeState.objects(services, service)) {
-                Map<String, Object> row = JsonCodec.map("service", service);
-                row.putAll(Column.row(COLUMNS, server));
-                rows.add(row);
+        for (ServiceInstances service : state.services()) {
+            for (ApplicationInstance instance : service.instances()) {
+                rows.add(new Row().put("service", service.service()).putAll(Column.row(COLUMNS, instance)));
             }
         }
         return rows;
     }
 
-    private static Map<String, Object> registrationRow(Map<String, Object> registration) {
-        Map<String, Object> row = JsonCodec.map("proxy", registration.get(NodeState.NAME));
-        row.putAll(Column.row(COLUMNS, registration));
-        for (String field : JSON_ONLY) {
-            if (registration.containsKey(field)) {
-                row.put(field, registration.get(field));
-            }
-        }
+    private static Row registrationRow(Registration registration) {
+        ReportedProcess proxy = registration.process();
+        Row row = new Row().put("proxy", proxy.name()).putAll(Column.row(COLUMNS, registration.instance()));
+        putJsonOnly(row, "name", proxy.name());
+        putJsonOnly(row, "address", proxy.address());
+        putJsonOnly(row, "control", proxy.controlAddress());
         return row;
     }
+
+    /** Adds a field of a registration that no column shows; scripts read it from the JSON output. */
+    private static void putJsonOnly(Row row, String name, JsonValue value) {
+        if (!value.isAbsent()) {
+            row.putNullable(name, value);
+        }
+    }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/FleetDiscovery.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetDiscovery.java
@@ -9,7 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.ControllerPeer;
+import org.cypressweir.meshctl.state.KnownProcesses;
+import org.cypressweir.meshctl.state.LostProxy;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.Registration;
+import org.cypressweir.meshctl.state.ReportedProcess;
 
 /**
  * Finds all processes of a mesh: queries the given addresses, then those that the responses report, until no new
@@ -18,8 +23,6 @@
  */
 final class FleetDiscovery {
 
-    private static final List<String> REPORTED =
-            List.of(NodeState.CONTROLLERS, NodeState.REGISTRATIONS, NodeState.PROXIES, NodeState.LOST_PROXIES);
     /** Controllers are reported by address alone. */
     private static final String UNNAMED_CONTROLLER = "a controller";
 
@@ -58,7 +61,7 @@
         for (NodeResponse response : query.apply(addresses)) {
             responses.put(response.address(), response);
             if (!response.failed() && !isDuplicate(response)) {
-                reported.addAll(reportedAddresses(response.state()));
+                reported.addAll(reportedAddresses(response.state().knownProcesses()));
             }
         }
         reported.removeAll(responses.keySet());
@@ -77,9 +80,9 @@
     /** Whether the process has responded at another of its addresses already; then this response is dropped. */
     private boolean isDuplicate(NodeResponse response) {
         NodeState state = response.state();
-        peerAddressesResolved.add(state.text(NodeState.ADDRESS));
-        String identity =
-                state.text(NodeState.KIND) + " " + response.name() + " " + state.text(NodeState.CONTROL_ADDRESS);
+        peerAddressesResolved.add(state.process().address().text());
+        String identity = state.kind().text() + " " + response.name() + " "
+                + state.process().controlAddress().text();
         boolean duplicate = !response.name().isEmpty() && !identities.add(identity);
         if (duplicate) {
             responses.remove(response.address());
@@ -87,23 +90,36 @@
         return duplicate;
     }
 
-    private List<String> reportedAddresses(NodeState state) {
+    private List<String> reportedAddresses(KnownProcesses known) {
         List<String> reported = new ArrayList<>();
-        for (String field : REPORTED) {
-            for (Map<String, Object> node : state.objects(field)) {
-                String control = JsonCodec.text(node, NodeState.CONTROL_ADDRESS);
-                String peerAddress = JsonCodec.text(node, NodeState.ADDRESS);
-                String name =
-                        field.equals(NodeState.CONTROLLERS) ? UNNAMED_CONTROLLER : JsonCodec.text(node, NodeState.NAME);
-                if (control.isEmpty()) {
-                    withoutControlAddress.putIfAbsent(peerAddress, name);
-                } else {
-                    peerAddressesResolved.add(peerAddress);
-                    namesByControlAddress.put(control, name);
-                    reported.add(control);
-                }
-            }
+        for (ControllerPeer controller : known.controllers()) {
+            addReported(controller.process(), UNNAMED_CONTROLLER, reported);
+        }
+        for (Registration registration : known.registrations()) {
+            addReported(registration.process(), reported);
+        }
+        for (ReportedProcess proxy : known.proxies()) {
+            addReported(proxy, reported);
+        }
+        for (LostProxy proxy : known.lostProxies()) {
+            addReported(proxy.process(), reported);
         }
         return reported;
     }
+
+    private void addReported(ReportedProcess process, List<String> reported) {
+        addReported(process, process.name().text(), reported);
+    }
+
+    private void addReported(ReportedProcess process, String name, List<String> reported) {
+        String control = process.controlAddress().text();
+        String peerAddress = process.address().text();
+        if (control.isEmpty()) {
+            withoutControlAddress.putIfAbsent(peerAddress, name);
+        } else {
+            peerAddressesResolved.add(peerAddress);
+            namesByControlAddress.put(control, name);
+            reported.add(control);
+        }
+    }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/ItemsCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ItemsCommand.java
@@ -2,7 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import org.cypressweir.meshctl.state.Item;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 
 /** {@code items}: the items of the configuration in force at a process. */
@@ -13,13 +14,13 @@
         description = "List the items of the configuration with their versions, including withdrawn items.")
 public final class ItemsCommand extends QueryCommand {
 
-    private static final List<Column> FIELDS = List.of(
-            Column.of("table"),
-            Column.of("name"),
-            Column.of("version"),
-            Column.of("withdrawn"),
-            Column.of("host"),
-            Column.of("prefix"));
+    private static final List<Column<Item>> COLUMNS = List.of(
+            new Column<>("table", Item::type),
+            new Column<>("name", Item::name),
+            new Column<>("version", Item::version),
+            new Column<>("withdrawn", Item::withdrawn),
+            new Column<>("host", item -> item.route().host()),
+            new Column<>("prefix", item -> item.route().prefix()));
 
     @Override
     boolean needsItems() {
@@ -32,27 +33,13 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Map<String, Object> item : state.objects(NodeState.ITEMS)) {
-            Map<String, Object> row = Column.row(FIELDS, item);
-            row.put("proposal", state.get(NodeState.PROPOSAL));
-            row.put("destination", destination(item));
-            rows.add(row);
+    List<Row> rows(NodeState state) {
+        List<Row> rows = new ArrayList<>();
+        for (Item item : state.items()) {
+            rows.add(Column.row(COLUMNS, item)
+                    .putNullable("proposal", state.replica().proposal())
+                    .put("destination", item.route().describeDestinations()));
         }
         return rows;
     }
-
-    /** The service that a route leads to, or several with their weights. */
-    static String destination(Map<String, Object> item) {
-        List<Map<String, Object>> services = NodeState.objects(item, "services");
-        if (services.size() == 1) {
-            return TablePrinter.text(services.get(0).get("service"));
-        }
-        List<String> weighted = new ArrayList<>();
-        for (Map<String, Object> service : services) {
-            weighted.add(TablePrinter.text(service.get("service")) + "=" + TablePrinter.text(service.get("weight")));
-        }
-        return String.join(",", weighted);
-    }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/NodeResponse.java
+++ b/src/main/java/org/cypressweir/meshctl/command/NodeResponse.java
@@ -1,5 +1,7 @@
 package org.cypressweir.meshctl.command;
 
+import org.cypressweir.meshctl.state.NodeState;
+
 /**
  * What one process responded: its state, or the reason why there is none.
  *
@@ -11,7 +13,7 @@
 record NodeResponse(String address, String name, NodeState state, String failure) {
 
     static NodeResponse success(String address, NodeState state) {
-        return new NodeResponse(address, state.text(NodeState.NAME), state, null);
+        return new NodeResponse(address, state.process().name().text(), state, null);
     }
 
     static NodeResponse failure(String address, String name, String failure) {
--- a/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
@@ -7,12 +7,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import org.cypressweir.common.settings.NodeSettings;
 import org.cypressweir.common.transport.ApiCall;
 import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.util.Addresses;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
@@ -38,16 +38,14 @@
     public abstract List<String> columns();
 
     /** The rows of one state, without the queried address. */
-    abstract List<Map<String, Object>> rows(NodeState state);
+    abstract List<Row> rows(NodeState state);
 
     /** The rows of all successful responses. */
-    List<Map<String, Object>> combinedRows(List<NodeResponse> responses) {
-        List<Map<String, Object>> rows = new ArrayList<>();
+    List<Row> combinedRows(List<NodeResponse> responses) {
+        List<Row> rows = new ArrayList<>();
         for (NodeResponse response : responses) {
-            for (Map<String, Object> row : rows(response.state())) {
-                Map<String, Object> rowWithAddress = JsonCodec.map(ADDRESS_COLUMN, response.address());
-                rowWithAddress.putAll(row);
-                rows.add(rowWithAddress);
+            for (Row row : rows(response.state())) {
+                rows.add(new Row().put(ADDRESS_COLUMN, response.address()).putAll(row));
             }
         }
         return rows;
@@ -157,7 +155,9 @@
         for (NodeResponse response : failed) {
             silent.add(JsonCodec.map("at", response.address(), "name", response.name(), "why", response.failure()));
         }
-        byte[] json = JsonCodec.bytes(JsonCodec.map("rows", table.rows(), "silent", silent));
+        List<Object> rows = new ArrayList<>();
+        table.rows().forEach(row -> rows.add(row.encodable()));
+        byte[] json = JsonCodec.bytes(JsonCodec.map("rows", rows, "silent", silent));
         out().println(new String(json, StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/org/cypressweir/meshctl/command/QuotasCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/QuotasCommand.java
@@ -2,8 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.NodeKind;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.QuotaState.TenantDemand;
+import org.cypressweir.meshctl.state.QuotaState.TenantQuota;
 import picocli.CommandLine.Command;
 
 /** {@code quotas}: the demand of tenants. */
@@ -15,8 +18,11 @@
                 + "fleet; a proxy shows its own, with the tenant's rate limit and burst size.")
 public final class QuotasCommand extends QueryCommand {
 
-    private static final List<Column> TENANT_FIELDS =
-            List.of(Column.of("tenant"), Column.of("demand", "asked"), Column.of("rate"), Column.of("burst"));
+    private static final List<Column<TenantQuota>> TENANT_COLUMNS = List.of(
+            new Column<>("tenant", TenantQuota::tenant),
+            new Column<>("demand", TenantQuota::demand),
+            new Column<>("rate", TenantQuota::rate),
+            new Column<>("burst", TenantQuota::burst));
 
     @Override
     boolean queriesFleet() {
@@ -29,15 +35,14 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        Object kind = NodeKind.displayName(state.get(NodeState.KIND));
-        List<Map<String, Object>> rows = new ArrayList<>();
-        state.object(NodeState.DEMAND)
-                .forEach((tenant, demand) -> rows.add(JsonCodec.map("kind", kind, "tenant", tenant, "demand", demand)));
-        for (Map<String, Object> tenant : state.objects(NodeState.TENANTS)) {
-            Map<String, Object> row = JsonCodec.map("kind", kind);
-            row.putAll(Column.row(TENANT_FIELDS, tenant));
-            rows.add(row);
+    List<Row> rows(NodeState state) {
+        JsonValue kind = NodeKind.displayName(state.kind());
+        List<Row> rows = new ArrayList<>();
+        for (TenantDemand tenant : state.quotas().fleetDemand()) {
+            rows.add(new Row().put("kind", kind).put("tenant", tenant.tenant()).put("demand", tenant.demand()));
+        }
+        for (TenantQuota tenant : state.quotas().tenants()) {
+            rows.add(new Row().put("kind", kind).putAll(Column.row(TENANT_COLUMNS, tenant)));
         }
         return rows;
     }
--- a/src/main/java/org/cypressweir/meshctl/command/ReplicasCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ReplicasCommand.java
@@ -1,8 +1,9 @@
 package org.cypressweir.meshctl.command;
 
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.util.Json;
+import org.cypressweir.meshctl.state.ControllerPeer;
+import org.cypressweir.meshctl.state.NodeKind;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 
 /** {@code replicas}: the configuration in force at each process, and the health of the controllers' replicas. */
@@ -14,18 +15,18 @@
                 + "the state of the replica, and how many other controllers are reachable.")
 public final class ReplicasCommand extends QueryCommand {
 
-    private static final List<Column> COLUMNS = List.of(
-            Column.of("kind", NodeState.KIND),
-            Column.of("name", NodeState.NAME),
-            Column.of("proposal", NodeState.PROPOSAL),
-            Column.of("items"),
-            Column.of("storeOpen", "open"),
-            Column.of("stateLost", "forgetful"),
-            Column.of("unhealthy", "sick"),
-            Column.of("quorumContact", "inContact"),
-            Column.of("confirmedMs"),
-            Column.of("voters", NodeState.VOTERS),
-            Column.of("reachable", NodeState.REACHABLE));
+    private static final List<Column<NodeState>> COLUMNS = List.of(
+            new Column<>("kind", state -> NodeKind.displayName(state.kind())),
+            new Column<>("name", state -> state.process().name()),
+            new Column<>("proposal", state -> state.replica().proposal()),
+            new Column<>("items", state -> state.replica().itemCount()),
+            new Column<>("storeOpen", state -> state.replica().storeOpen()),
+            new Column<>("stateLost", state -> state.replica().stateLost()),
+            new Column<>("unhealthy", state -> state.replica().unhealthy()),
+            new Column<>("quorumContact", state -> state.replica().quorumContact()),
+            new Column<>("confirmedMs", state -> state.replica().confirmedMillis()),
+            new Column<>("voters", state -> state.replica().voters()),
+            new Column<>("reachable", state -> state.replica().reachable()));
 
     @Override
     boolean queriesFleet() {
@@ -38,13 +39,12 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        Map<String, Object> row = Column.row(COLUMNS, state.fields());
-        row.computeIfPresent("kind", (column, kind) -> NodeKind.displayName(kind));
-        List<Map<String, Object>> controllers = state.objects(NodeState.CONTROLLERS);
+    List<Row> rows(NodeState state) {
+        Row row = Column.row(COLUMNS, state);
+        List<ControllerPeer> controllers = state.knownProcesses().controllers();
         if (!controllers.isEmpty()) {
             long reachable = controllers.stream()
-                    .filter(controller -> Json.flag(controller, NodeState.REACHABLE))
+                    .filter(controller -> controller.reachable().isTrue())
                     .count();
             row.put("reachable", reachable + "/" + controllers.size());
         }
--- a/src/main/java/org/cypressweir/meshctl/command/RouteCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/RouteCommand.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.Item;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -18,16 +18,16 @@
 public final class RouteCommand extends QueryCommand {
 
     private static final String NO_ROUTE = "-";
-    private static final List<Column> FIELDS = List.of(
-            Column.of("route", "name"),
-            Column.of("host"),
-            Column.of("prefix"),
-            Column.of("publicAccess", "open"),
-            Column.of("idempotent", "repeatable"),
-            Column.of("priority"),
-            Column.of("maxAttempts", "attempts"),
-            Column.of("targetLatencyMs", "aimMs"),
-            Column.of("timeoutMs"));
+    private static final List<Column<Item>> COLUMNS = List.of(
+            new Column<>("route", Item::name),
+            new Column<>("host", item -> item.route().host()),
+            new Column<>("prefix", item -> item.route().prefix()),
+            new Column<>("publicAccess", item -> item.route().publicAccess()),
+            new Column<>("idempotent", item -> item.route().idempotent()),
+            new Column<>("priority", item -> item.route().priority()),
+            new Column<>("maxAttempts", item -> item.route().maxAttempts()),
+            new Column<>("targetLatencyMs", item -> item.route().targetLatencyMillis()),
+            new Column<>("timeoutMs", item -> item.route().timeoutMillis()));
 
     @Parameters(index = "0", paramLabel = "HOST")
     private String host;
@@ -57,21 +57,21 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        Map<String, Object> row = JsonCodec.map("proposal", state.get(NodeState.PROPOSAL), "route", NO_ROUTE);
-        Map<String, Object> route = longestMatch(state.objects(NodeState.ITEMS));
+    List<Row> rows(NodeState state) {
+        Row row = new Row().put("proposal", state.replica().proposal()).put("route", NO_ROUTE);
+        Item route = longestMatch(state.items());
         if (route != null) {
-            row.putAll(Column.row(FIELDS, route));
-            row.put("destination", ItemsCommand.destination(route));
+            row.putAll(Column.row(COLUMNS, route));
+            row.put("destination", route.route().describeDestinations());
         }
         return List.of(row);
     }
 
     /** Null where none matches. */
-    private Map<String, Object> longestMatch(List<Map<String, Object>> items) {
+    private Item longestMatch(List<Item> items) {
         String pathWithoutQuery = path.split("\\?", 2)[0];
-        Map<String, Object> longest = null;
-        for (Map<String, Object> item : items) {
+        Item longest = null;
+        for (Item item : items) {
             if (matches(item, pathWithoutQuery)
                     && (longest == null
                             || prefix(item).length() > prefix(longest).length())) {
@@ -81,19 +81,19 @@
         return longest;
     }
 
-    private boolean matches(Map<String, Object> item, String pathWithoutQuery) {
+    private boolean matches(Item item, String pathWithoutQuery) {
         return !prefix(item).isEmpty()
-                && JsonCodec.text(item, "host").equals(host.toLowerCase(Locale.ROOT))
+                && item.route().host().text().equals(host.toLowerCase(Locale.ROOT))
                 && pathWithoutQuery.startsWith(prefix(item));
     }
 
-    private static String prefix(Map<String, Object> item) {
-        return JsonCodec.text(item, "prefix");
+    private static String prefix(Item item) {
+        return item.route().prefix().text();
     }
 
     @Override
     int exitStatus(TablePrinter table) {
-        boolean missing = table.rows().stream().anyMatch(row -> NO_ROUTE.equals(row.get("route")));
+        boolean missing = table.rows().stream().anyMatch(row -> row.get("route").isText(NO_ROUTE));
         return missing ? ExitStatus.NOT_FOUND : ExitStatus.OK;
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/StateCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/StateCommand.java
@@ -2,8 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.transport.JsonCodec;
+import java.util.Optional;
+import org.cypressweir.meshctl.state.JsonObject;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 
 /** {@code state}: the complete response to the state call, a line for each value. */
@@ -20,22 +22,30 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        flatten("", state.fields(), rows);
+    List<Row> rows(NodeState state) {
+        List<Row> rows = new ArrayList<>();
+        flatten("", state.answer(), rows);
         return rows;
     }
 
-    private static void flatten(String path, Object value, List<Map<String, Object>> rows) {
-        if (value instanceof Map<?, ?> map) {
-            String prefix = path.isEmpty() ? "" : path + ".";
-            map.forEach((name, element) -> flatten(prefix + name, element, rows));
-        } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
-            for (int i = 0; i < list.size(); i++) {
-                flatten(path + "[" + i + "]", list.get(i), rows);
+    private static void flatten(String path, JsonObject object, List<Row> rows) {
+        String prefix = path.isEmpty() ? "" : path + ".";
+        for (String name : object.names()) {
+            flatten(prefix + name, object.get(name), rows);
+        }
+    }
+
+    private static void flatten(String path, JsonValue value, List<Row> rows) {
+        Optional<JsonObject> object = value.object();
+        if (object.isPresent()) {
+            flatten(path, object.get(), rows);
+        } else if (!value.objects().isEmpty()) {
+            List<JsonValue> elements = value.elements();
+            for (int i = 0; i < elements.size(); i++) {
+                flatten(path + "[" + i + "]", elements.get(i), rows);
             }
         } else {
-            rows.add(JsonCodec.map("path", path, "value", value));
+            rows.add(new Row().put("path", path).put("value", value));
         }
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/TablePrinter.java
+++ b/src/main/java/org/cypressweir/meshctl/command/TablePrinter.java
@@ -1,45 +1,46 @@
 package org.cypressweir.meshctl.command;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.cypressweir.meshctl.state.JsonValue;
 
 /** An immutable table of values that can be filtered, sorted and printed as text. A value that a row lacks is blank. */
-record TablePrinter(List<String> columns, List<Map<String, Object>> rows) {
+record TablePrinter(List<String> columns, List<Row> rows) {
 
     private static final String COLUMN_GAP = "  ";
 
     /** The rows whose value in a column has this text. */
     TablePrinter filter(String column, String value) {
-        List<Map<String, Object>> matching =
-                rows.stream().filter(row -> text(row.get(column)).equals(value)).toList();
+        List<Row> matching = rows.stream()
+                .filter(row -> row.get(column).display().equals(value))
+                .toList();
         return new TablePrinter(columns, matching);
     }
 
     /** Sorts numbers by value and all else by text; equal rows keep their order. */
     TablePrinter sort(String column) {
-        List<Map<String, Object>> sorted = new ArrayList<>(rows);
+        List<Row> sorted = new ArrayList<>(rows);
         sorted.sort((a, b) -> compare(a.get(column), b.get(column)));
         return new TablePrinter(columns, sorted);
     }
 
     /** Only these columns, in this order. */
     TablePrinter select(List<String> selected) {
-        List<Map<String, Object>> reduced = new ArrayList<>();
-        for (Map<String, Object> row : rows) {
-            Map<String, Object> values = new LinkedHashMap<>();
-            selected.forEach(column -> values.put(column, row.get(column)));
+        List<Row> reduced = new ArrayList<>();
+        for (Row row : rows) {
+            Row values = new Row();
+            selected.forEach(column -> values.putNullable(column, row.get(column)));
             reduced.add(values);
         }
         return new TablePrinter(selected, reduced);
     }
 
-    private static int compare(Object a, Object b) {
-        return a instanceof Number x && b instanceof Number y
-                ? Double.compare(x.doubleValue(), y.doubleValue())
-                : text(a).compareTo(text(b));
+    private static int compare(JsonValue a, JsonValue b) {
+        return a.isNumber() && b.isNumber()
+                ? Double.compare(a.doubleValue(), b.doubleValue())
+                : a.display().compareTo(b.display());
     }
 
     /** A header, then a line for each row. Columns of numbers are aligned to the right. */
@@ -53,7 +54,7 @@
     }
 
     private int width(String column) {
-        return rows.stream().mapToInt(row -> text(row.get(column)).length()).reduce(column.length(), Math::max);
+        return rows.stream().mapToInt(row -> row.get(column).display().length()).reduce(column.length(), Math::max);
     }
 
     private static String header(Map<String, Integer> widths) {
@@ -63,10 +64,10 @@
         return line.toString().stripTrailing();
     }
 
-    private String line(Map<String, Integer> widths, Map<String, Object> row) {
+    private String line(Map<String, Integer> widths, Row row) {
         StringBuilder line = new StringBuilder();
         widths.forEach((column, width) -> {
-            String text = text(row.get(column));
+            String text = row.get(column).display();
             String padding = " ".repeat(width - text.length());
             line.append(isNumeric(column) ? padding + text : text + padding).append(COLUMN_GAP);
         });
@@ -74,16 +75,7 @@
     }
 
     private boolean isNumeric(String column) {
-        return rows.stream().allMatch(row -> row.get(column) == null || row.get(column) instanceof Number);
-    }
-
-    static String text(Object value) {
-        if (value instanceof Collection<?> list) {
-            return String.join(",", list.stream().map(TablePrinter::text).toList());
-        } else if (value instanceof Double number && number == Math.rint(number)) {
-            return Long.toString(number.longValue());
-        }
-        // No control character of a response may reach a terminal.
-        return value == null ? "" : String.valueOf(value).replaceAll("\\p{Cntrl}", "?");
+        return rows.stream()
+                .allMatch(row -> row.get(column).isNull() || row.get(column).isNumber());
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
@@ -4,9 +4,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.cypressweir.common.transport.ApiCall;
-import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.meshctl.state.JsonValue;
+import org.cypressweir.meshctl.state.NodeState;
+import org.cypressweir.meshctl.state.TracedRequest;
+import org.cypressweir.meshctl.state.TracedRequest.Attempt;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -20,22 +22,22 @@
         footer = "Exit status: 4 if all processes have responded and none has such a request.")
 public final class WhyCommand extends QueryCommand {
 
-    private static final List<Column> REQUEST_FIELDS = List.of(
-            Column.of("arrived"),
-            Column.of("host"),
-            Column.of("path"),
-            Column.of("route"),
-            Column.of("tenant"),
-            Column.of("service"),
-            Column.of("status", "answer"),
-            Column.of("error", "fault"),
-            Column.of("respondedMs", "answeredMs"));
-    private static final List<Column> ATTEMPT_FIELDS = List.of(
-            Column.of("server"),
-            Column.of("proxy", "pilot"),
-            Column.of("sentMs"),
-            Column.of("durationMs", "tookMs"),
-            Column.of("outcome"));
+    private static final List<Column<TracedRequest>> REQUEST_COLUMNS = List.of(
+            new Column<>("arrived", TracedRequest::arrived),
+            new Column<>("host", TracedRequest::host),
+            new Column<>("path", TracedRequest::path),
+            new Column<>("route", TracedRequest::route),
+            new Column<>("tenant", TracedRequest::tenant),
+            new Column<>("service", TracedRequest::service),
+            new Column<>("status", TracedRequest::status),
+            new Column<>("error", TracedRequest::error),
+            new Column<>("respondedMs", TracedRequest::respondedMillis));
+    private static final List<Column<Attempt>> ATTEMPT_COLUMNS = List.of(
+            new Column<>("server", Attempt::server),
+            new Column<>("proxy", Attempt::proxy),
+            new Column<>("sentMs", Attempt::sentMillis),
+            new Column<>("durationMs", Attempt::durationMillis),
+            new Column<>("outcome", Attempt::outcome));
 
     @Parameters(paramLabel = "ID", description = "The request's Cypressweir-Attempt-Id.")
     private String id;
@@ -81,29 +83,26 @@
     }
 
     @Override
-    List<Map<String, Object>> rows(NodeState state) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Map<String, Object> request : state.objects(NodeState.REQUESTS)) {
-            rows.addAll(rows(state.get(NodeState.NAME), request));
+    List<Row> rows(NodeState state) {
+        List<Row> rows = new ArrayList<>();
+        for (TracedRequest request : state.requests()) {
+            rows.addAll(rows(state.process().name(), request));
         }
         return rows;
     }
 
     /** One row for each attempt, or one row for a request without any. */
-    private static List<Map<String, Object>> rows(Object proxyName, Map<String, Object> request) {
-        Map<String, Object> common = JsonCodec.map("name", proxyName);
-        common.putAll(Column.row(REQUEST_FIELDS, request));
-        List<Map<String, Object>> attempts = NodeState.objects(request, NodeState.ATTEMPTS);
-        if (attempts.isEmpty()) {
+    private static List<Row> rows(JsonValue proxyName, TracedRequest request) {
+        Row common = new Row().put("name", proxyName).putAll(Column.row(REQUEST_COLUMNS, request));
+        if (request.attempts().isEmpty()) {
             return List.of(common);
         }
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Map<String, Object> attempt : attempts) {
-            Map<String, Object> row = JsonCodec.map();
-            row.putAll(common);
-            row.putAll(Column.row(ATTEMPT_FIELDS, attempt));
-            row.put("attempt", rows.size() + 1L);
-            rows.add(row);
+        List<Row> rows = new ArrayList<>();
+        for (Attempt attempt : request.attempts()) {
+            rows.add(new Row()
+                    .putAll(common)
+                    .putAll(Column.row(ATTEMPT_COLUMNS, attempt))
+                    .put("attempt", rows.size() + 1));
         }
         return rows;
     }
--- a/src/test/java/org/cypressweir/meshctl/command/TablePrinterTest.java
+++ b/src/test/java/org/cypressweir/meshctl/command/TablePrinterTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import java.util.Map;
+import org.cypressweir.meshctl.state.JsonValue;
 import org.junit.jupiter.api.Test;
 
 class TablePrinterTest {
@@ -11,8 +11,8 @@
     private final TablePrinter table = new TablePrinter(
             List.of("name", "slots", "voters"),
             List.of(
-                    Map.of("name", "b", "slots", 10L, "voters", List.of("x", "y")),
-                    Map.of("name", "a\u001b", "slots", 9L)));
+                    new Row().put("name", "b").put("slots", 10L).put("voters", JsonValue.decoded(List.of("x", "y"))),
+                    new Row().put("name", "a\u001b").put("slots", 9L)));
 
     @Test
     void columnsAreAlignedAndNumbersToTheRight() {
