--- a/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
@@ -2,11 +2,7 @@
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import org.cypressweir.common.settings.JsonDocuments;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.configuration.ConfigurationChange;
 import org.cypressweir.controlplane.configuration.Item;
@@ -18,6 +14,8 @@
  */
 public final class ConfigurationCheck {
 
+    private static final String UPSERT = "upsert";
+    private static final String WITHDRAW = "withdraw";
     private static final int MAX_ERRORS = 200;
 
     private ConfigurationCheck() {}
@@ -27,15 +25,15 @@
      * @param base the configuration that the change applies to, as the read call returns it; null for an empty one
      */
     public static List<ValidationError> errors(byte[] file, byte[] base) {
-        Either<String, Map<String, Object>> document = JsonDocuments.read(file);
+        Either<String, MutableJsonObject> document = MutableJsonObject.read(file);
         if (document.isLeft()) {
             return List.of(new ValidationError(ValidationError.WHOLE_FILE, document.getLeft()));
         }
-        Map<String, Object> content = document.get();
+        MutableJsonObject content = document.get();
         Configuration current = base == null ? Configuration.EMPTY : configuration(base);
-        boolean isChange = content.containsKey("upsert") || content.containsKey("withdraw");
+        boolean isChange = content.has(UPSERT) || content.has(WITHDRAW);
         // A change is validated as the file's own bytes first: duplicate fields are lost in a map.
-        Rejection first = rejection(isChange ? file : JsonCodec.bytes(asChange(content)), current);
+        Rejection first = rejection(isChange ? file : asChange(content).encoded(), current);
         if (first == null) {
             return List.of();
         }
@@ -43,10 +41,10 @@
         return errors.isEmpty() ? List.of(ValidationError.parse(first.reason())) : errors;
     }
 
-    private static List<ValidationError> repairAll(Map<String, Object> change, Configuration current) {
+    private static List<ValidationError> repairAll(MutableJsonObject change, Configuration current) {
         List<ValidationError> errors = new ArrayList<>();
         ChangeRepairer repairer = new ChangeRepairer(change);
-        Rejection next = rejection(JsonCodec.bytes(repairer.change()), current);
+        Rejection next = rejection(repairer.change(), current);
         while (next != null && errors.size() < MAX_ERRORS) {
             ValidationError error = repairer.repair(next.reason());
             if (error == null || errors.contains(error)) {
@@ -54,25 +52,22 @@
                 break;
             }
             errors.add(error);
-            next = rejection(JsonCodec.bytes(repairer.change()), current);
+            next = rejection(repairer.change(), current);
         }
         return errors;
     }
 
     private static Configuration configuration(byte[] base) {
-        return JsonDocuments.read(base)
+        return MutableJsonObject.read(base)
                 .toOption()
-                .map(content -> content.containsKey("upsert") ? content : asChange(content))
-                .flatMap(change ->
-                        ConfigurationChange.read(JsonCodec.bytes(change)).toOption())
+                .map(content -> content.has(UPSERT) ? content : asChange(content))
+                .flatMap(change -> ConfigurationChange.read(change.encoded()).toOption())
                 .map(change -> Configuration.of(change.items()))
                 .getOrElse(Configuration.EMPTY);
     }
 
-    private static Map<String, Object> asChange(Map<String, Object> configuration) {
-        Map<String, Object> change = new LinkedHashMap<>();
-        change.put("upsert", configuration);
-        return change;
+    private static MutableJsonObject asChange(MutableJsonObject configuration) {
+        return new MutableJsonObject().set(UPSERT, configuration);
     }
 
     /** Null where the change is valid. */
