--- a/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
@@ -1,8 +1,6 @@
 package org.cypressweir.meshctl.command;
 
 import java.io.IOException;
-import java.io.PrintWriter;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -10,9 +8,9 @@
 import java.util.concurrent.Callable;
 import org.cypressweir.common.settings.NodeSettings;
 import org.cypressweir.common.transport.ApiCall;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.util.Addresses;
 import org.cypressweir.meshctl.state.NodeState;
+import picocli.CommandLine;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
@@ -108,7 +106,7 @@
                 return status;
             }
             if (!options.json) {
-                out().println();
+                output().printEmptyLine();
             }
         }
     }
@@ -135,30 +133,13 @@
     }
 
     private void print(TablePrinter table, List<NodeResponse> failed, boolean allFailed) {
+        QueryOutput output = output();
         if (options.json) {
-            printJson(table, failed);
+            output.printJson(table, failed);
         } else if (!allFailed) {
-            List<String> lines = table.lines();
-            out().println(context().style().header(lines.get(0)));
-            lines.subList(1, lines.size()).forEach(out()::println);
+            output.printText(table);
         }
-        out().flush();
-        for (NodeResponse response : failed) {
-            err().println(context().style().error("cypressweir: " + response.describeFailure()));
-        }
-        err().flush();
-    }
-
-    /** Scripts read this output: its names are fixed. */
-    private void printJson(TablePrinter table, List<NodeResponse> failed) {
-        List<Object> silent = new ArrayList<>();
-        for (NodeResponse response : failed) {
-            silent.add(JsonCodec.map("at", response.address(), "name", response.name(), "why", response.failure()));
-        }
-        List<Object> rows = new ArrayList<>();
-        table.rows().forEach(row -> rows.add(row.encodable()));
-        byte[] json = JsonCodec.bytes(JsonCodec.map("rows", rows, "silent", silent));
-        out().println(new String(json, StandardCharsets.UTF_8));
+        output.printFailures(failed);
     }
 
     private List<RowCondition> checkOptions(List<String> available) {
@@ -217,12 +198,10 @@
         return (CommandContext) spec.root().userObject();
     }
 
-    private PrintWriter err() {
-        return spec.commandLine().getErr();
-    }
-
-    private PrintWriter out() {
-        return spec.commandLine().getOut();
+    private QueryOutput output() {
+        CommandLine commandLine = spec.commandLine();
+        return new QueryOutput(
+                commandLine.getOut(), commandLine.getErr(), context().style());
     }
 
     private ParameterException usageError(String message) {
