--- a/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
@@ -1,20 +1,26 @@
 package org.cypressweir.meshctl.validation;
 
+import java.util.function.BiConsumer;
+import java.util.regex.Pattern;
+import org.cypressweir.controlplane.configuration.ItemKey;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.Rejection;
+import org.cypressweir.controlplane.configuration.RejectionCause;
+
 /**
  * A copy of a configuration change in which one error after the other is repaired, so that the next one can be
- * found. The result serves no other purpose. It takes the location of an error from the text of the rejection.
+ * found. The result serves no other purpose. The {@link RejectionCause} says what to repair; the text of the rejection
+ * is only reported.
  */
 final class ChangeRepairer {
 
     private static final String UPSERT = "upsert";
     private static final String WITHDRAW = "withdraw";
-    private static final String LIMITS = "limits";
     private static final String SERVICE = "service";
     private static final String WEIGHTED_SPLIT = "weightedSplit";
     private static final String PLACEHOLDER_SERVICE = "a placeholder for unknown services";
-    private static final String UNKNOWN_FIELD = "\" is unknown";
-    private static final String UNKNOWN_SERVICE_START = "names service ";
-    private static final String UNKNOWN_SERVICE_END = ", which is unknown";
+    private static final String UPSERT_PREFIX = UPSERT + ".";
+    private static final Pattern END_OF_FIELD_NAME = Pattern.compile("[\\[.]");
 
     private final MutableJsonObject change;
     private int uniqueValues;
@@ -29,104 +35,99 @@
         return change.encoded();
     }
 
-    /** Repairs the error that a rejection gives as its reason; null where that is not possible. */
-    ValidationError repair(String reason) {
-        if (reason.endsWith(UNKNOWN_FIELD) && change.removeIf(field -> reason.startsWith("\"" + field + "\""))) {
+    /** Repairs the error that a change was rejected for; null where that is not possible. */
+    ValidationError repair(Rejection rejection) {
+        String reason = rejection.reason();
+        RejectionCause cause = rejection.cause();
+        if (cause instanceof RejectionCause.UnknownSection section) {
+            change.remove(section.name());
             return ValidationError.parse(reason);
         }
-        if (reason.startsWith(WITHDRAW + ".")) {
-            return repairWithdrawal(reason);
+        if (cause instanceof RejectionCause.WithdrawnTable withdrawn) {
+            change.object(WITHDRAW).remove(withdrawn.table());
+            return ValidationError.parse(reason);
         }
-        String prefix = UPSERT + ".";
-        return repairUpsert(reason.startsWith(prefix) ? reason.substring(prefix.length()) : reason);
+        if (cause instanceof RejectionCause.WithdrawnItem withdrawn) {
+            removeWithdrawal(withdrawn);
+            return ValidationError.parse(reason);
+        }
+        return repairUpsert(
+                cause, reason.startsWith(UPSERT_PREFIX) ? reason.substring(UPSERT_PREFIX.length()) : reason);
     }
 
-    private ValidationError repairUpsert(String reason) {
-        MutableJsonObject tables = change.object(UPSERT);
-        for (String table : tables.names()) {
-            if (!reason.startsWith(table)) {
-                continue;
-            }
-            if (!table.equals(LIMITS)) {
-                return repairTable(tables, table, reason);
-            }
-            String prefix = LIMITS + ".";
-            if (reason.startsWith(prefix)) {
-                return repairField(tables.object(table), LIMITS, reason.substring(prefix.length()));
-            }
+    private void removeWithdrawal(RejectionCause.WithdrawnItem withdrawn) {
+        MutableJsonObject tables = change.object(WITHDRAW);
+        if (tables.hasArray(withdrawn.table())) {
+            tables.removeElement(withdrawn.table(), withdrawn.index());
         }
-        return null;
     }
 
-    private ValidationError repairTable(MutableJsonObject tables, String table, String reason) {
-        MutableJsonObject items = tables.object(table);
-        String name = itemName(items, table, reason);
-        if (name == null) {
-            // The error is the table itself, which is not an object.
-            tables.remove(table);
-            return new ValidationError(table, reason.substring(table.length()).trim());
+    /** @param reason begins with the location of the error within the tables */
+    private ValidationError repairUpsert(RejectionCause cause, String reason) {
+        if (cause instanceof RejectionCause.UpsertedTable table) {
+            return removeTable(table.table(), reason);
+        }
+        if (cause instanceof RejectionCause.InvalidItem invalid) {
+            return repairItem(invalid.item(), reason, (items, item) -> items.remove(item.name()));
         }
-        String location = table + "." + name;
-        return repairItem(items, name, location, reason.substring(location.length()));
+        if (cause instanceof RejectionCause.UnknownService unknown) {
+            return repairItem(
+                    unknown.route(),
+                    reason,
+                    (items, route) -> replaceService(items.object(route.name()), unknown.service()));
+        }
+        return cause instanceof RejectionCause.InvalidField field ? repairField(field, reason) : null;
     }
 
-    /** Removes an entry of a list of withdrawn items, or the whole list. */
-    private ValidationError repairWithdrawal(String reason) {
-        String location = reason.split(" ", 2)[0];
-        String table = location.split("[\\[.]", 3)[1];
-        MutableJsonObject tables = change.object(WITHDRAW);
-        int open = location.indexOf('[');
-        int close = location.indexOf(']');
-        if (open > 0 && close > open && tables.hasArray(table)) {
-            tables.removeElement(table, Integer.parseInt(location.substring(open + 1, close)));
-        } else {
-            tables.remove(table);
+    /** Limits are no table of items: they are not removed as a whole. */
+    private ValidationError removeTable(String table, String reason) {
+        MutableJsonObject tables = change.object(UPSERT);
+        if (table.equals(ItemType.LIMITS.wireName()) || !tables.has(table)) {
+            return null;
         }
-        return ValidationError.parse(reason);
+        tables.remove(table);
+        return errorAt(table, reason);
     }
 
-    /** The longest name of an item that follows the table in the reason; null for none. */
-    private static String itemName(MutableJsonObject items, String table, String reason) {
-        String longest = null;
-        for (String name : items.names()) {
-            String location = table + "." + name;
-            boolean complete = reason.startsWith(location)
-                    && (reason.length() == location.length() || " .".indexOf(reason.charAt(location.length())) >= 0);
-            if (complete && (longest == null || name.length() > longest.length())) {
-                longest = name;
-            }
+    private ValidationError repairItem(ItemKey item, String reason, BiConsumer<MutableJsonObject, ItemKey> repair) {
+        String table = item.type().wireName();
+        MutableJsonObject tables = change.object(UPSERT);
+        if (!tables.has(table) || !tables.object(table).has(item.name())) {
+            // An item of the base configuration or one to withdraw: the table does not agree with it.
+            return removeTable(table, reason);
         }
-        return longest;
+        repair.accept(tables.object(table), item);
+        return errorAt(item.toString(), reason);
     }
 
-    private ValidationError repairItem(MutableJsonObject items, String name, String location, String rest) {
-        if (rest.startsWith(".") && items.hasObject(name)) {
-            return repairField(items.object(name), location, rest.substring(1));
-        }
-        String reason = rest.trim();
-        if (reason.startsWith(UNKNOWN_SERVICE_START) && rest.endsWith(UNKNOWN_SERVICE_END)) {
-            String service =
-                    reason.substring(UNKNOWN_SERVICE_START.length(), reason.length() - UNKNOWN_SERVICE_END.length());
-            replaceService(items.object(name), service);
-        } else {
+    private ValidationError repairField(RejectionCause.InvalidField field, String reason) {
+        ItemKey item = field.item();
+        boolean isLimits = item.equals(ItemKey.LIMITS);
+        String table = item.type().wireName();
+        MutableJsonObject tables = change.object(UPSERT);
+        MutableJsonObject items = isLimits ? tables : tables.object(table);
+        String name = isLimits ? table : item.name();
+        if (!items.hasObject(name)) {
             items.remove(name);
+            return errorAt(item.toString(), reason);
         }
-        return new ValidationError(location, reason);
+        repairField(items.object(name), field);
+        return errorAt(item + "." + field.path(), reason);
     }
 
-    private ValidationError repairField(MutableJsonObject item, String itemLocation, String rest) {
-        int end = rest.indexOf(' ');
-        String path = end < 0 ? rest : rest.substring(0, end);
-        String field = path.split("[\\[.]", 2)[0];
-        boolean besideSplit = rest.contains("beside weightedSplit");
-        if (field.equals(WEIGHTED_SPLIT) && !besideSplit && !item.has(SERVICE)) {
+    private void repairField(MutableJsonObject item, RejectionCause.InvalidField invalid) {
+        String field = END_OF_FIELD_NAME.split(invalid.path(), 2)[0];
+        if (field.equals(WEIGHTED_SPLIT) && !item.has(SERVICE)) {
             item.set(SERVICE, PLACEHOLDER_SERVICE);
         }
-        if (besideSplit || !setValidValue(item, field)) {
+        if (invalid.mustBeAbsent() || !setValidValue(item, field)) {
             item.remove(field);
         }
         addPlaceholderService();
-        return new ValidationError(itemLocation + "." + path, end < 0 ? "is wrong" : rest.substring(end + 1));
+    }
+
+    private static ValidationError errorAt(String location, String reason) {
+        return new ValidationError(location, reason.substring(location.length()).trim());
     }
 
     /** Gives a field a value that is valid beside all other items; false for a field of which none is known. */
