--- a/src/main/java/org/cypressweir/meshctl/command/NodeKind.java
+++ b/src/main/java/org/cypressweir/meshctl/state/NodeKind.java
@@ -1,7 +1,7 @@
-package org.cypressweir.meshctl.command;
+package org.cypressweir.meshctl.state;
 
 /** The two kinds of processes of a mesh. */
-enum NodeKind {
+public enum NodeKind {
     CONTROLLER("harbour", "controller"),
     PROXY("pilot", "proxy");
 
@@ -15,21 +15,21 @@
         this.displayName = displayName;
     }
 
-    String displayName() {
+    public String displayName() {
         return displayName;
     }
 
-    boolean is(Object text) {
-        return wireName.equals(text);
+    boolean is(JsonValue kind) {
+        return kind.isText(wireName);
     }
 
-    /** The name to show for a text of the state call; a text that is unknown here is shown as it is. */
-    static Object displayName(Object text) {
-        for (NodeKind kind : values()) {
-            if (kind.is(text)) {
-                return kind.displayName;
+    /** The name to show for a kind of the state call; a kind that is unknown here is shown as it is. */
+    public static JsonValue displayName(JsonValue kind) {
+        for (NodeKind known : values()) {
+            if (known.is(kind)) {
+                return JsonValue.of(known.displayName);
             }
         }
-        return text;
+        return kind;
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
@@ -1,9 +1,5 @@
 package org.cypressweir.meshctl.validation;
 
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.regex.Pattern;
 import org.cypressweir.controlplane.configuration.ItemKey;
@@ -23,45 +19,20 @@
     private static final String SERVICE = "service";
     private static final String WEIGHTED_SPLIT = "weightedSplit";
     private static final String PLACEHOLDER_SERVICE = "a placeholder for unknown services";
-    private static final String HIGHEST_VERSION = "r999999999999999999";
     private static final String UPSERT_PREFIX = UPSERT + ".";
     private static final Pattern END_OF_FIELD_NAME = Pattern.compile("[\\[.]");
-    /** Values that are valid in any item. A field without one is removed. */
-    private static final Map<String, Object> VALID_VALUES = validValues();
 
-    private final Map<String, Object> change;
+    private final MutableJsonObject change;
     private int uniqueValues;
 
-    @SuppressWarnings("unchecked")
-    ChangeRepairer(Map<String, Object> change) {
-        this.change = (Map<String, Object>) deepCopy(change);
+    /** @param change is copied, not changed */
+    ChangeRepairer(MutableJsonObject change) {
+        this.change = change.copy();
     }
 
-    private static Map<String, Object> validValues() {
-        Map<String, Object> values = new LinkedHashMap<>();
-        values.put("configVersion", HIGHEST_VERSION);
-        values.put("hostname", "host");
-        values.put("pathPrefix", "/");
-        values.put("routeType", "idempotent");
-        values.put(SERVICE, PLACEHOLDER_SERVICE);
-        values.put("healthPath", "/");
-        values.put("protocol", "http");
-        values.put("apiKeys", List.of());
-        for (String duration : List.of("timeout", "targetLatency", "headerTimeout", "idleTimeout")) {
-            values.put(duration, "1s");
-        }
-        for (String number : List.of(
-                "priority", "maxAttempts", "maxConnections", "ratePerS", "burstSize", "weight", "maxBodyBytes")) {
-            values.put(number, 1L);
-        }
-        values.put("maxHeaderBytes", 16_384L);
-        values.put("publicAccess", false);
-        values.put("tls", false);
-        return values;
-    }
-
-    Map<String, Object> change() {
-        return change;
+    /** The change with its repairs, as JSON. */
+    byte[] change() {
+        return change.encoded();
     }
 
     /** Repairs the error that a change was rejected for; null where that is not possible. */
@@ -73,7 +44,7 @@
             return ValidationError.parse(reason);
         }
         if (cause instanceof RejectionCause.WithdrawnTable withdrawn) {
-            object(change, WITHDRAW).remove(withdrawn.table());
+            change.object(WITHDRAW).remove(withdrawn.table());
             return ValidationError.parse(reason);
         }
         if (cause instanceof RejectionCause.WithdrawnItem withdrawn) {
@@ -85,8 +56,9 @@
     }
 
     private void removeWithdrawal(RejectionCause.WithdrawnItem withdrawn) {
-        if (object(change, WITHDRAW).get(withdrawn.table()) instanceof List<?> entries) {
-            entries.remove(withdrawn.index());
+        MutableJsonObject tables = change.object(WITHDRAW);
+        if (tables.hasArray(withdrawn.table())) {
+            tables.removeElement(withdrawn.table(), withdrawn.index());
         }
     }
 
@@ -102,29 +74,29 @@
             return repairItem(
                     unknown.route(),
                     reason,
-                    (items, route) -> replaceService(object(items, route.name()), unknown.service()));
+                    (items, route) -> replaceService(items.object(route.name()), unknown.service()));
         }
         return cause instanceof RejectionCause.InvalidField field ? repairField(field, reason) : null;
     }
 
     /** Limits are no table of items: they are not removed as a whole. */
     private ValidationError removeTable(String table, String reason) {
-        Map<String, Object> tables = object(change, UPSERT);
-        if (table.equals(ItemType.LIMITS.wireName()) || !tables.containsKey(table)) {
+        MutableJsonObject tables = change.object(UPSERT);
+        if (table.equals(ItemType.LIMITS.wireName()) || !tables.has(table)) {
             return null;
         }
         tables.remove(table);
         return errorAt(table, reason);
     }
 
-    private ValidationError repairItem(ItemKey item, String reason, BiConsumer<Map<String, Object>, ItemKey> repair) {
+    private ValidationError repairItem(ItemKey item, String reason, BiConsumer<MutableJsonObject, ItemKey> repair) {
         String table = item.type().wireName();
-        Map<String, Object> tables = object(change, UPSERT);
-        if (!tables.containsKey(table) || !object(tables, table).containsKey(item.name())) {
+        MutableJsonObject tables = change.object(UPSERT);
+        if (!tables.has(table) || !tables.object(table).has(item.name())) {
             // An item of the base configuration or one to withdraw: the table does not agree with it.
             return removeTable(table, reason);
         }
-        repair.accept(object(tables, table), item);
+        repair.accept(tables.object(table), item);
         return errorAt(item.toString(), reason);
     }
 
@@ -132,31 +104,24 @@
         ItemKey item = field.item();
         boolean isLimits = item.equals(ItemKey.LIMITS);
         String table = item.type().wireName();
-        Map<String, Object> tables = object(change, UPSERT);
-        Map<String, Object> items = isLimits ? tables : object(tables, table);
+        MutableJsonObject tables = change.object(UPSERT);
+        MutableJsonObject items = isLimits ? tables : tables.object(table);
         String name = isLimits ? table : item.name();
-        if (!(items.get(name) instanceof Map<?, ?>)) {
+        if (!items.hasObject(name)) {
             items.remove(name);
             return errorAt(item.toString(), reason);
         }
-        repairField(object(items, name), field);
+        repairField(items.object(name), field);
         return errorAt(item + "." + field.path(), reason);
     }
 
-    private void repairField(Map<String, Object> item, RejectionCause.InvalidField invalid) {
+    private void repairField(MutableJsonObject item, RejectionCause.InvalidField invalid) {
         String field = END_OF_FIELD_NAME.split(invalid.path(), 2)[0];
-        Object validValue = invalid.mustBeAbsent() ? null : VALID_VALUES.get(field);
-        if (field.equals(WEIGHTED_SPLIT) && !item.containsKey(SERVICE)) {
-            item.put(SERVICE, PLACEHOLDER_SERVICE);
+        if (field.equals(WEIGHTED_SPLIT) && !item.has(SERVICE)) {
+            item.set(SERVICE, PLACEHOLDER_SERVICE);
         }
-        if (validValue == null) {
+        if (invalid.mustBeAbsent() || !setValidValue(item, field)) {
             item.remove(field);
-        } else if (field.equals("hostname")) {
-            item.put(field, "host" + ++uniqueValues);
-        } else if (field.equals("pathPrefix")) {
-            item.put(field, "/repaired" + ++uniqueValues + "/");
-        } else {
-            item.put(field, validValue);
         }
         addPlaceholderService();
     }
@@ -165,48 +130,33 @@
         return new ValidationError(location, reason.substring(location.length()).trim());
     }
 
-    /** Puts the placeholder in place of a service that does not exist. */
-    @SuppressWarnings("unchecked")
-    private void replaceService(Map<String, Object> route, String service) {
-        route.replace(SERVICE, service, PLACEHOLDER_SERVICE);
-        if (route.get(WEIGHTED_SPLIT) instanceof List<?> destinations) {
-            for (Object destination : destinations) {
-                if (destination instanceof Map<?, ?> map) {
-                    ((Map<String, Object>) map).replace(SERVICE, service, PLACEHOLDER_SERVICE);
-                }
+    /** Gives a field a value that is valid beside all other items; false for a field of which none is known. */
+    private boolean setValidValue(MutableJsonObject item, String field) {
+        switch (field) {
+            case SERVICE -> item.set(field, PLACEHOLDER_SERVICE);
+            case "hostname" -> item.set(field, "host" + ++uniqueValues);
+            case "pathPrefix" -> item.set(field, "/repaired" + ++uniqueValues + "/");
+            default -> {
+                return ValidValues.set(item, field);
             }
         }
-        addPlaceholderService();
-    }
-
-    private void addPlaceholderService() {
-        Map<String, Object> service = new LinkedHashMap<>();
-        service.put("healthPath", "/");
-        service.put("maxConnections", 1L);
-        service.put("configVersion", HIGHEST_VERSION);
-        object(object(change, UPSERT), "serviceTable").put(PLACEHOLDER_SERVICE, service);
+        return true;
     }
 
-    /** The object in a field; put there if there is none. */
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> object(Map<String, Object> parent, String name) {
-        if (!(parent.get(name) instanceof Map<?, ?>)) {
-            parent.put(name, new LinkedHashMap<String, Object>());
+    /** Puts the placeholder in place of a service that does not exist. */
+    private void replaceService(MutableJsonObject route, String service) {
+        route.replace(SERVICE, service, PLACEHOLDER_SERVICE);
+        for (MutableJsonObject destination : route.objects(WEIGHTED_SPLIT)) {
+            destination.replace(SERVICE, service, PLACEHOLDER_SERVICE);
         }
-        return (Map<String, Object>) parent.get(name);
+        addPlaceholderService();
     }
 
-    private static Object deepCopy(Object value) {
-        if (value instanceof Map<?, ?> map) {
-            Map<String, Object> copy = new LinkedHashMap<>();
-            map.forEach((name, element) -> copy.put((String) name, deepCopy(element)));
-            return copy;
-        }
-        if (value instanceof List<?> list) {
-            List<Object> copy = new ArrayList<>();
-            list.forEach(element -> copy.add(deepCopy(element)));
-            return copy;
-        }
-        return value;
+    private void addPlaceholderService() {
+        MutableJsonObject service = new MutableJsonObject()
+                .set("healthPath", "/")
+                .set("maxConnections", 1)
+                .set("configVersion", ValidValues.HIGHEST_VERSION);
+        change.object(UPSERT).object("serviceTable").set(PLACEHOLDER_SERVICE, service);
     }
 }
