--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -91,15 +91,15 @@
     }
 
     @Override
-    protected void ask() {
+    protected void submitRandomCalls() {
         collectAnswers();
         for (int i = random.nextInt(MAX_CALLS_PER_STEP); i > 0 && checks.violation() == null; i--) {
             if (random.nextInt(5) == 0) {
-                addPending(world().read(any(), timeoutMicros()), null);
+                addPending(world().read(anyRunning(), timeoutMicros()), null);
             } else {
                 RandomChanges.DrawnChange drawn = randomChanges.next();
                 checks.submitted(drawn.body(), parse(drawn.body()), drawn.validity());
-                addPending(world().submit(any(), drawn.body(), timeoutMicros()), drawn.body());
+                addPending(world().submit(anyRunning(), drawn.body(), timeoutMicros()), drawn.body());
             }
         }
     }
@@ -133,8 +133,8 @@
     }
 
     @Override
-    protected String healed() {
-        recoveryFailure = super.healed();
+    protected String checkRecovery() {
+        recoveryFailure = super.checkRecovery();
         collectAnswers();
         String violation = world().checks().breach();
         if (violation == null) {
@@ -147,7 +147,7 @@
         List<String> acknowledged = checks.acknowledgedChanges();
         for (int i = 0; i < FINAL_REPETITIONS && !acknowledged.isEmpty(); i++) {
             String body = acknowledged.get(random.nextInt(acknowledged.size()));
-            ProposalResult result = world().await(world().submit(any(), body, 5_000_000));
+            ProposalResult result = world().await(world().submit(anyRunning(), body, 5_000_000));
             boolean rejected = result instanceof ProposalResult.Refused;
             boolean accepted = result instanceof ProposalResult.Taken;
             if (rejected || recoveryFailure == null && !accepted) {
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
@@ -380,7 +380,7 @@
                 results.put(answer.proposalId(), answer.result());
                 checks.answered(answer.proposalId(), answer.result());
             } else if (effect instanceof Effect.Show show) {
-                checks.shown(address(replica), show);
+                checks.published(address(replica), show);
                 if (show.number().compareTo(highestPublished) > 0) {
                     highestPublished = show.number();
                     committedVoters = show.voters();
@@ -403,7 +403,7 @@
                                         + "\"],\"configVersion\":\"r1\"}}}}")
                                 .getBytes(StandardCharsets.UTF_8))
                         .get();
-        checks.sent(proposalId, change);
+        checks.submitted(proposalId, change);
         perform(replica, replicas[replica].submit(now, proposalId, change, now + PROPOSAL_TIMEOUT_MICROS));
     }
 
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -174,7 +174,7 @@
             } catch (AssertionError e) {
                 violation.compareAndSet(null, scenario + " " + choices + ": " + e.getMessage() + ", " + model);
             }
-            accepted.addAndGet(model.checks().taken());
+            accepted.addAndGet(model.checks().accepted());
             if (model.checks().breach() != null) {
                 violation.compareAndSet(
                         null, scenario + " " + choices + ": " + model.checks().breach());
--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -42,8 +42,8 @@
     private void cut(boolean off) {
         world.heal();
         for (int other = 1; off && other < 3; other++) {
-            world.cut(world.replica(other).address(), world.replica(3).address());
-            world.cut(world.replica(3).address(), world.replica(other).address());
+            world.block(world.replica(other).address(), world.replica(3).address());
+            world.block(world.replica(3).address(), world.replica(other).address());
         }
     }
 
@@ -52,7 +52,7 @@
             case "down" -> world.crash(world.replica(3));
             case "wiped" -> world.wipe(world.replica(3));
             case "frozen" -> {
-                world.stall(world.replica(3), CHANGES * EVERY);
+                world.stallDisk(world.replica(3), CHANGES * EVERY);
                 cut(true);
             }
             default -> cut(true);
@@ -60,7 +60,7 @@
     }
 
     /** What the test finds, or null. */
-    static String broken() {
+    static String findViolation() {
         for (String how : new String[] {"down", "wiped"}) {
             try {
                 new CatchUpTest()
@@ -149,7 +149,7 @@
         assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        world.mostDelay = delay;
+        world.maxDelayMicros = delay;
         leave(how);
         for (int i = 0; i < CHANGES; i++) {
             change();
@@ -160,9 +160,9 @@
             world.run(2_000_000);
         }
         Replica back = world.replica(3);
-        world.weighed = back.address();
+        world.countedAddress = back.address();
         cut(false);
-        if (!back.up()) {
+        if (!back.isRunning()) {
             world.start(3);
         }
         long begun = world.now();
@@ -172,16 +172,16 @@
             change();
         }
         long took = (world.now() - begun) / 1_000;
-        long shown = world.bytes;
+        long shown = world.countedBytes;
         for (int i = 0; i < 20; i++) {
             change();
         }
         boolean whole = how.equals("wiped") || othersStartAnew;
         System.out.printf(
                 "%s%s, messages up to %d us: shown after %d ms and %d bytes, %d bytes 2 s later%n",
-                how, othersStartAnew ? ", others anew" : "", delay, took, shown, world.bytes);
+                how, othersStartAnew ? ", others anew" : "", delay, took, shown, world.countedBytes);
         assertThat(took).as("ms").isLessThan(millis);
-        assertThat(world.bytes).as("bytes").isLessThan(whole ? WHOLE : DIFFERENCES);
+        assertThat(world.countedBytes).as("bytes").isLessThan(whole ? WHOLE : DIFFERENCES);
         // With another gone it is needed, and leads with all that was agreed.
         world.crash(world.replica(1));
         assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), PATIENCE)))
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusFaultTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusFaultTest.java
@@ -5,19 +5,19 @@
 import org.cypressweir.testkit.ConsensusFaults;
 import org.junit.jupiter.api.Test;
 
-/** Many drawn days of faults, judged by what was sent and answered. */
+/** Many random fault scenarios, checked by what was submitted and answered. */
 class ConsensusFaultTest {
 
-    private static final int DAYS = 160;
+    private static final int SCENARIOS = 160;
 
     @Test
     void nothingAcknowledgedIsLost() {
-        int taken = 0;
-        for (long seed = 0; seed < DAYS; seed++) {
-            ConsensusFaults day = new ConsensusFaults(seed);
-            assertThat(day.run()).as("seed " + seed).isNull();
-            taken += day.taken();
+        int accepted = 0;
+        for (long seed = 0; seed < SCENARIOS; seed++) {
+            ConsensusFaults scenario = new ConsensusFaults(seed);
+            assertThat(scenario.run()).as("seed " + seed).isNull();
+            accepted += scenario.accepted();
         }
-        assertThat(taken).isGreaterThan(DAYS * 20);
+        assertThat(accepted).isGreaterThan(SCENARIOS * 20);
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusPartitionTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusPartitionTest.java
@@ -19,9 +19,9 @@
     @EnumSource(ConsensusPartitions.Kind.class)
     void ordersGoOn(ConsensusPartitions.Kind kind) {
         ConsensusPartitions.measure(kind, CUT, 2_000, 1).forEach((phase, figures) -> {
-            assertThat(figures.orders()).as(phase + ": " + figures).isGreaterThan(100);
+            assertThat(figures.changes()).as(phase + ": " + figures).isGreaterThan(100);
             assertThat(figures.worst()).as(phase + ": " + figures).isLessThan(WORST);
-            assertThat(figures.roundsAnOrder()).as(phase + ": " + figures).isLessThan(ROUNDS);
+            assertThat(figures.roundsPerChange()).as(phase + ": " + figures).isLessThan(ROUNDS);
         });
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -40,12 +40,12 @@
 
     private static void settled(SimulatedReplicas world) {
         assertThat(world.checks().breach()).isNull();
-        ReplicatedState first = world.up().get(0).consensus().committed();
-        for (Replica replica : world.up()) {
+        ReplicatedState first = world.runningReplicas().get(0).consensus().committed();
+        for (Replica replica : world.runningReplicas()) {
             assertThat(replica.consensus().committed()).as(replica.address()).isEqualTo(first);
             assertThat(replica.consensus().isBlank()).isFalse();
         }
-        world.checks().above(world.checks().floor(), first.configuration(), "shown");
+        world.checks().requireAtLeast(world.checks().requiredItems(), first.configuration(), "shown");
         assertThat(world.checks().breach()).isNull();
     }
 
@@ -125,7 +125,7 @@
         SimulatedReplicas world = new SimulatedReplicas(2, 3);
         world.run(500_000);
         taken(world, world.replica(1), order("t", 1, "a"));
-        List<Replica> all = world.up();
+        List<Replica> all = world.runningReplicas();
         all.forEach(world::crash);
         all.forEach(h -> world.start(h.address(), false));
         world.run(3_000_000);
@@ -139,12 +139,12 @@
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
         world.crash(world.replica(3));
-        world.behind = 1_000_000;
+        world.clockBehindMicros = 1_000_000;
         world.start(3);
         world.run(1_500_000);
         for (int other = 2; other <= 3; other++) {
-            world.cut(world.replica(1).address(), world.replica(other).address());
-            world.cut(world.replica(other).address(), world.replica(1).address());
+            world.block(world.replica(1).address(), world.replica(other).address());
+            world.block(world.replica(other).address(), world.replica(1).address());
         }
         taken(world, world.replica(3), order("t", 1, "a"));
         world.crash(world.replica(2));
@@ -161,7 +161,7 @@
             SimulatedReplicas world = new SimulatedReplicas(seed, 3);
             world.run(500_000);
             taken(world, world.replica(1), order("t", 1, "a"));
-            List<Replica> all = world.up();
+            List<Replica> all = world.runningReplicas();
             all.forEach(h -> {
                 if (h == world.replica(lost)) {
                     world.wipe(h);
@@ -224,7 +224,7 @@
         SimulatedReplicas world = new SimulatedReplicas(4, 3);
         world.run(500_000);
         Replica slow = world.replica(1);
-        world.stall(slow, 5_000_000);
+        world.stallDisk(slow, 5_000_000);
         long stuck = world.submit(slow, order("t", 1, "a"), PATIENCE);
         assertThat(world.await(stuck)).isInstanceOf(ProposalResult.Unavailable.class);
         assertThat(slow.consensus().diskFailed(world.now())).isTrue();
@@ -233,13 +233,13 @@
         world.run(6_000_000);
         assertThat(slow.consensus().diskFailed(world.now())).isFalse();
         settled(world);
-        world.full(slow, true);
+        world.setDiskFull(slow, true);
         assertThat(world.await(world.submit(slow, order("t", 5, "e"), PATIENCE)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
         assertThat(slow.consensus().diskFailed(world.now())).isTrue();
         taken(world, world.replica(3), order("t", 5, "f"));
         world.run(2_000_000);
-        world.full(slow, false);
+        world.setDiskFull(slow, false);
         world.run(2_000_000);
         assertThat(slow.consensus().diskFailed(world.now())).isFalse();
         taken(world, slow, order("t", 6, "g"));
@@ -279,7 +279,7 @@
         world.run(500_000);
         taken(world, world.replica(1), order("t", 1, "a"));
         world.run(1_000_000);
-        world.up().forEach(world::crash);
+        world.runningReplicas().forEach(world::crash);
         world.seeds = world.seeds.subList(0, blank);
         for (int i = 1; i <= blank; i++) {
             world.wipe(world.replica(i));
@@ -290,9 +290,9 @@
                 world.start(count);
             }
             world.run(1_000_000);
-            world.up().forEach(h -> assertThat(world.await(world.read(h, 500_000)))
+            world.runningReplicas().forEach(h -> assertThat(world.await(world.read(h, 500_000)))
                     .isInstanceOf(ProposalResult.Unavailable.class));
-            world.up().forEach(h -> assertThat(world.await(world.submit(h, order("t", 1, "b"), 500_000)))
+            world.runningReplicas().forEach(h -> assertThat(world.await(world.submit(h, order("t", 1, "b"), 500_000)))
                     .isInstanceOf(ProposalResult.Unavailable.class));
         }
         assertThat(world.checks().breach()).isNull();
@@ -305,20 +305,20 @@
         world.run(500_000);
         taken(world, world.replica(1), order("t", 1, "a"));
         world.run(1_000_000);
-        assertThat(world.begin(world.replica(1), Set.of())).contains("not blank");
-        world.up().forEach(world::crash);
+        assertThat(world.bootstrap(world.replica(1), Set.of())).contains("not blank");
+        world.runningReplicas().forEach(world::crash);
         for (int i = 1; i <= 3; i++) {
             world.wipe(world.replica(i));
             world.start(i);
         }
-        assertThat(world.begin(world.replica(1), Set.of())).contains("still asks");
+        assertThat(world.bootstrap(world.replica(1), Set.of())).contains("still asks");
         world.start(4);
         world.run(3_000_000);
         String fourth = world.replica(4).address();
-        assertThat(world.begin(world.replica(1), Set.of())).isEqualTo("held by " + fourth);
-        assertThat(world.begin(world.replica(1), Set.of(fourth))).isNull();
+        assertThat(world.bootstrap(world.replica(1), Set.of())).isEqualTo("held by " + fourth);
+        assertThat(world.bootstrap(world.replica(1), Set.of(fourth))).isNull();
         world.run(10_000_000);
-        for (Replica replica : world.up()) {
+        for (Replica replica : world.runningReplicas()) {
             assertThat(replica.consensus().voters())
                     .hasSize(4)
                     .contains(replica.consensus().own());
@@ -329,7 +329,7 @@
 
     @Test
     void whatIsForgottenIsFoundAmongTheOthers() {
-        assertThat(ConsensusCornerCases.broken()).isNull();
+        assertThat(ConsensusCornerCases.findViolation()).isNull();
     }
 
     /** What a write that failed left on the disk must not get under what is written next. */
--- a/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
@@ -56,7 +56,7 @@
     void eachFaultOfReplacementIsFound(String fault, String file, String text, String instead) throws Exception {
         Method losses = planted(file, text, instead)
                 .loadClass("org.cypressweir.testkit.MachineLosses")
-                .getMethod("broken", int.class);
+                .getMethod("findViolation", int.class);
         assertThat(losses.invoke(null, LOSSES)).as(fault).isNotNull();
     }
 
@@ -112,9 +112,9 @@
     void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = planted(file, text, instead);
         Method corners = planted.loadClass("org.cypressweir.testkit.ConsensusCornerCases")
-                .getMethod("broken");
+                .getMethod("findViolation");
         Method days =
-                planted.loadClass("org.cypressweir.testkit.ConsensusFaults").getMethod("broken", int.class);
+                planted.loadClass("org.cypressweir.testkit.ConsensusFaults").getMethod("findViolation", int.class);
         Object breach = corners.invoke(null);
         assertThat(breach != null ? breach : days.invoke(null, DAYS)).as(fault).isNotNull();
     }
@@ -144,9 +144,9 @@
                         || name.startsWith("org.cypressweir.testkit.SimulatedReplicas")
                         || name.startsWith("org.cypressweir.testkit.JsonCopy")
                         || name.startsWith("org.cypressweir.controlplane.consensus."));
-        Method broken = planted.loadClass("org.cypressweir.controlplane.consensus.CatchUpTest")
-                .getDeclaredMethod("broken");
-        broken.setAccessible(true);
-        assertThat(broken.invoke(null)).as(fault).isNotNull();
+        Method findViolation = planted.loadClass("org.cypressweir.controlplane.consensus.CatchUpTest")
+                .getDeclaredMethod("findViolation");
+        findViolation.setAccessible(true);
+        assertThat(findViolation.invoke(null)).as(fault).isNotNull();
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
@@ -27,10 +27,10 @@
     private static void cut(SimulatedReplicas world, int off, Cut how) {
         for (int other = 1; other <= 3; other++) {
             if (other != off && how != Cut.NOBODY_HEARS_IT) {
-                world.cut(world.replica(other).address(), world.replica(off).address());
+                world.block(world.replica(other).address(), world.replica(off).address());
             }
             if (other != off && how != Cut.HEARS_NOBODY) {
-                world.cut(world.replica(off).address(), world.replica(other).address());
+                world.block(world.replica(off).address(), world.replica(other).address());
             }
         }
     }
--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -215,9 +215,9 @@
 
     private static void partitionFirst(SimulatedReplicas simulation) {
         for (int other = 2; other <= 3; other++) {
-            simulation.cut(
+            simulation.block(
                     simulation.replica(1).address(), simulation.replica(other).address());
-            simulation.cut(
+            simulation.block(
                     simulation.replica(other).address(), simulation.replica(1).address());
         }
     }
@@ -236,7 +236,7 @@
         }
         int status = repeat(simulation, 2);
         simulation.heal();
-        if (!simulation.replica(1).up()) {
+        if (!simulation.replica(1).isRunning()) {
             simulation.start(1);
         }
         simulation.run(8_000_000);
@@ -273,7 +273,7 @@
     private static void interruptWrite(SimulatedReplicas simulation, LostAnswer lostAnswer) {
         runUntil(simulation, () -> writesChange(simulation, 1));
         if (lostAnswer == LostAnswer.TWO_DISKS) {
-            simulation.cut(
+            simulation.block(
                     simulation.replica(1).address(), simulation.replica(3).address());
             runUntil(simulation, () -> writesChange(simulation, 2));
             runUntil(simulation, () -> !writesChange(simulation, 2));
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -18,7 +18,7 @@
 import java.util.stream.IntStream;
 import org.cypressweir.testkit.ApplicationStubs;
 import org.cypressweir.testkit.ConnectionRelay;
-import org.cypressweir.testkit.ConnectionRelay.Way;
+import org.cypressweir.testkit.ConnectionRelay.LinkMode;
 import org.cypressweir.testkit.MeshFixture;
 import org.cypressweir.testkit.OperatorChecks;
 import org.cypressweir.testkit.RawHttpClient;
@@ -115,7 +115,7 @@
         for (int n = 0; System.nanoTime() < deadline; n++) {
             String controller = controllers.get(n % controllers.size());
             try {
-                String change = OperatorChecks.order("t" + n % 5, "k" + n % 5, versions.incrementAndGet());
+                String change = OperatorChecks.tenantChange("t" + n % 5, "k" + n % 5, versions.incrementAndGet());
                 int status = mesh.modify(controller, change).status();
                 checks.modified(change, status);
                 acknowledged += status == 200 ? 1 : 0;
@@ -140,32 +140,34 @@
         for (String controller : CONTROLLERS) {
             mesh.await(controller + " reads", () -> read(controller));
         }
-        assertThat(checks.breach()).as("%s", checks).isNull();
+        assertThat(checks.violation()).as("%s", checks).isNull();
     }
 
     @Test
     void oneControllerIsPartitioned() throws Exception {
         start(List.of("orders", "orders"), 3);
-        for (Way way : FULL ? List.of(Way.HOLD, Way.LOSE, Way.RESET, Way.REFUSE) : List.of(Way.HOLD)) {
-            int route = way.ordinal() * 2;
-            partitionFirstController(way, route);
-            callDuringPartition(way);
-            mesh.relay().join();
+        for (LinkMode mode : FULL
+                ? List.of(LinkMode.HOLD, LinkMode.LOSE, LinkMode.RESET, LinkMode.REFUSE)
+                : List.of(LinkMode.HOLD)) {
+            int route = mode.ordinal() * 2;
+            partitionFirstController(mode, route);
+            callDuringPartition(mode);
+            mesh.relay().heal();
             awaitHealed(route);
         }
     }
 
     /** Leaves the first controller with the second proxy alone, and the change of the route to the others. */
-    private void partitionFirstController(Way way, int route) throws Exception {
+    private void partitionFirstController(LinkMode mode, int route) throws Exception {
         ConnectionRelay relay = mesh.relay();
         mesh.kill("p2");
-        relay.cut("h1", List.of("h2", "h3", "p1"), way, way);
-        relay.cut("p2", List.of("h2", "h3"), way, way);
+        relay.partition("h1", List.of("h2", "h3", "p1"), mode, mode);
+        relay.partition("p2", List.of("h2", "h3"), mode, mode);
         mesh.modifyUntilAcknowledged("h2", initialConfiguration("new.mesh", route));
         mesh.restart("p2");
     }
 
-    private void callDuringPartition(Way way) throws InterruptedException {
+    private void callDuringPartition(LinkMode mode) throws InterruptedException {
         long deadline = deadlineIn(PARTITION_SECONDS);
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         AtomicInteger acknowledgedInMinority = new AtomicInteger();
@@ -193,7 +195,7 @@
                     .as("served by a proxy that has reached only the partitioned controller")
                     .hasValue(0);
         }
-        System.out.println(way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
+        System.out.println(mode + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
                 + " requests served by the old configuration at the proxy that reaches only the partitioned "
                 + "controller");
     }
@@ -231,7 +233,7 @@
         List<String> losers = new ArrayList<>();
         for (int n = 1; n <= CONFLICTS; n++) {
             List<String> changes =
-                    List.of(OperatorChecks.order("t", "a" + n, n), OperatorChecks.order("t", "b" + n, n));
+                    List.of(OperatorChecks.tenantChange("t", "a" + n, n), OperatorChecks.tenantChange("t", "b" + n, n));
             sendBothAtOnce(n, changes);
             for (String change : changes) {
                 (isCommitted(change) ? winners : losers).add(change);
@@ -255,7 +257,7 @@
     private void sendBothAtOnce(int n, List<String> changes) throws InterruptedException {
         List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
         if (n % 3 == 0) {
-            mesh.relay().cut(targets.get(0), List.of(targets.get(1)), Way.RESET, Way.RESET);
+            mesh.relay().partition(targets.get(0), List.of(targets.get(1)), LinkMode.RESET, LinkMode.RESET);
         }
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         boolean answerLost = n % 2 == 0;
@@ -265,7 +267,7 @@
         for (Thread operator : operators) {
             operator.join();
         }
-        mesh.relay().join();
+        mesh.relay().heal();
         assertThat(failures).isEmpty();
     }
 
@@ -304,8 +306,8 @@
         for (String controller : CONTROLLERS) {
             mesh.await(controller + " acknowledges again " + change, () -> {
                 int status = mesh.modify(controller, change).status();
-                checks.again(change, status);
-                return status == 200 || checks.breach() != null;
+                checks.modifiedAgain(change, status);
+                return status == 200 || checks.violation() != null;
             });
         }
     }
@@ -321,7 +323,8 @@
         }
         awaitAllRead();
         for (String controller : CONTROLLERS) {
-            mesh.modifyUntilAcknowledged(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+            mesh.modifyUntilAcknowledged(
+                    controller, OperatorChecks.tenantChange("t9", "k9", versions.incrementAndGet()));
         }
         awaitAllRead();
     }
@@ -344,12 +347,13 @@
             othersContinueWhileCatchingUp(List.of("h2", "h3"), MeshFixture.SPARE);
         }
         for (String controller : remaining) {
-            mesh.modifyUntilAcknowledged(controller, OperatorChecks.order("t9", "k9", versions.incrementAndGet()));
+            mesh.modifyUntilAcknowledged(
+                    controller, OperatorChecks.tenantChange("t9", "k9", versions.incrementAndGet()));
         }
         for (String controller : remaining) {
             mesh.await(controller + " reads", () -> read(controller));
         }
-        assertThat(checks.breach()).as("%s", checks).isNull();
+        assertThat(checks.violation()).as("%s", checks).isNull();
     }
 
     /** The others acknowledge changes until a controller with an empty disk has caught up and answers. */
@@ -394,7 +398,8 @@
                 .mapToObj(i -> inBackground(
                         () -> {
                             while (acknowledged.get() < target) {
-                                String change = OperatorChecks.order("t" + i, "k" + i, versions.incrementAndGet());
+                                String change =
+                                        OperatorChecks.tenantChange("t" + i, "k" + i, versions.incrementAndGet());
                                 int status = mesh.modify(i % 2 == 0 ? "h1" : "h2", change)
                                         .status();
                                 checks.modified(change, status);
@@ -418,7 +423,7 @@
                 "h3 was " + fault + " through " + CHANGE_COUNT + " changes: up to date after " + millis + " ms");
         assertThat(millis).isLessThan(MAX_CATCH_UP_MILLIS);
         mesh.kill(killed);
-        mesh.modifyUntilAcknowledged("h3", OperatorChecks.order("t0", "k0", versions.incrementAndGet()));
+        mesh.modifyUntilAcknowledged("h3", OperatorChecks.tenantChange("t0", "k0", versions.incrementAndGet()));
         mesh.await("h3 reads", () -> {
             RawHttpClient.Message answer = mesh.readWithoutRedirect("h3");
             if (answer.status() == 200) {
@@ -436,7 +441,7 @@
         List<ApplicationStubs> applications = IntStream.rangeClosed(2, 6)
                 .mapToObj(i -> mesh.application("p" + i))
                 .toList();
-        applications.forEach(application -> application.takes(150));
+        applications.forEach(application -> application.setResponseDelayMillis(150));
         RequestLog log = new RequestLog();
         List<Thread> clients = IntStream.range(0, CALLERS)
                 .mapToObj(i -> inBackground(() -> request(applications, log), log.failures))
@@ -494,12 +499,12 @@
 
     private void faultsBetweenProxies(RequestLog log) throws Exception {
         ConnectionRelay relay = mesh.relay();
-        relay.set("p1", "p2", Way.HOLD);
-        relay.set("p3", "p1", Way.HOLD);
-        relay.cut("p1", List.of("p4"), Way.LOSE, Way.LOSE);
+        relay.set("p1", "p2", LinkMode.HOLD);
+        relay.set("p3", "p1", LinkMode.HOLD);
+        relay.partition("p1", List.of("p4"), LinkMode.LOSE, LinkMode.LOSE);
         mesh.suspend("p5");
         resetRepeatedly(relay, deadlineIn(OUTAGE_SECONDS));
-        relay.join();
+        relay.heal();
         mesh.signal("p5", "-CONT");
         awaitServedAgain(log);
     }
@@ -514,8 +519,8 @@
         ApplicationStubs application = mesh.application("p6");
         while (System.nanoTime() < deadline) {
             int runs = application.runs();
-            relay.cut("p1", List.of("p6"), Way.RESET, Way.RESET);
-            relay.cut("p1", List.of("p6"), Way.PASS, Way.PASS);
+            relay.partition("p1", List.of("p6"), LinkMode.RESET, LinkMode.RESET);
+            relay.partition("p1", List.of("p6"), LinkMode.PASS, LinkMode.PASS);
             mesh.await(
                     "p6 serves again, or all callers wait for others",
                     () -> application.runs() > runs + 3 || System.nanoTime() >= deadline);
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
@@ -20,7 +20,7 @@
     @Test
     void aStandbyReplacesAVoterThatShutsDown() throws Exception {
         try (MeshFixture mesh = new MeshFixture(folder, 3, List.of())) {
-            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.tenantChange("t0", "k00", 1));
             mesh.markInitialized();
             mesh.startAdditionalController("h4");
             awaitRedirect(mesh, "h4", List.of("h1", "h2", "h3"));
@@ -40,11 +40,11 @@
                         () -> voters(mesh, controller).contains(mesh.peerAddress("h4"))
                                 && !voters(mesh, controller).contains(mesh.peerAddress("h2")));
             }
-            mesh.modifyUntilAcknowledged("h4", OperatorChecks.order("t0", "k01", 2));
+            mesh.modifyUntilAcknowledged("h4", OperatorChecks.tenantChange("t0", "k01", 2));
             mesh.restart("h2");
             awaitRedirect(mesh, "h2", List.of("h1", "h3", "h4"));
             mesh.kill("h1");
-            mesh.modifyUntilAcknowledged("h4", OperatorChecks.order("t0", "k02", 3));
+            mesh.modifyUntilAcknowledged("h4", OperatorChecks.tenantChange("t0", "k02", 3));
             mesh.await("h2 is let in", () -> mesh.readWithoutRedirect("h2").status() == 200);
             assertThat(mesh.readWithoutRedirect("h2").body()).contains("k02");
         }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -102,7 +102,7 @@
         assertThat(response.headers()).containsEntry(ApplicationStubs.ID, id);
         String instanceId = response.headers().get("Instance");
         ApplicationStubs instance = fixture.application(instanceId.substring("orders-".length()));
-        RawHttpClient.Message seen = instance.seen.stream()
+        RawHttpClient.Message seen = instance.received.stream()
                 .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
                 .orElseThrow();
@@ -224,7 +224,7 @@
         List<String> proxies = List.of("p1", "p2", "p3", "p4", "p5");
         List<ApplicationStubs> instances =
                 Stream.of("p1", "p2", "p3").map(fixture::application).toList();
-        instances.forEach(s -> s.takes(2_000));
+        instances.forEach(s -> s.setResponseDelayMillis(2_000));
         Map<String, CompletableFuture<Integer>> responses = new TreeMap<>();
         for (int i = 0; i < 10; i++) {
             String id = "kept" + i;
@@ -245,7 +245,7 @@
         for (String proxy : proxies) {
             fixture.await(proxy + " has reloaded", () -> reloads(proxy) > before.get(proxy));
         }
-        instances.forEach(s -> s.takes(0));
+        instances.forEach(s -> s.setResponseDelayMillis(0));
         for (Map.Entry<String, CompletableFuture<Integer>> response : responses.entrySet()) {
             assertThat(response.getValue().get(10, TimeUnit.SECONDS))
                     .as(response.getKey())
@@ -280,22 +280,22 @@
         ApplicationStubs instance = fixture.application("p3");
         instance.drain();
         fixture.await("it has rejected a request, or gets none", () -> {
-            int before = instance.seen.size();
+            int before = instance.received.size();
             for (int i = 0; i < 12; i++) {
                 assertThat(status("p" + (1 + i % 5), "/", "k-free")).isEqualTo(200);
             }
-            return instance.refused.get() > 0 || instance.seen.size() == before;
+            return instance.rejectedWhileDraining.get() > 0 || instance.received.size() == before;
         });
         // Requests that were sent by then are answered: its own proxy knew of the draining first.
-        int refused = instance.refused.get();
-        int seen = instance.seen.size();
+        int refused = instance.rejectedWhileDraining.get();
+        int seen = instance.received.size();
         for (int i = 0; i < 60; i++) {
             assertThat(status("p" + (1 + i % 5), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(instance.seen).hasSize(seen);
-        assertThat(instance.refused.get()).isEqualTo(refused);
-        instance.end();
-        instance.begin("orders-p3");
+        assertThat(instance.received).hasSize(seen);
+        assertThat(instance.rejectedWhileDraining.get()).isEqualTo(refused);
+        instance.deregister();
+        instance.startIncarnation("orders-p3");
         assertThat(status("p4", "/", "k-free")).isEqualTo(200);
     }
 
@@ -358,17 +358,17 @@
         ApplicationStubs instance = fixture.application("p1");
         instance.drain();
         fixture.await("it gets no requests", () -> {
-            int before = instance.seen.size();
+            int before = instance.received.size();
             for (int i = 0; i < 12; i++) {
                 assertThat(status(proxies.get(i % 4), "/", "k-free")).isEqualTo(200);
             }
-            return instance.seen.size() == before;
+            return instance.received.size() == before;
         });
-        int seen = instance.seen.size();
+        int seen = instance.received.size();
         for (int i = 0; i < 60; i++) {
             assertThat(status(proxies.get(i % 4), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(instance.seen).hasSize(seen);
+        assertThat(instance.received).hasSize(seen);
     }
 
     private static boolean ran(String id) {
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -66,10 +66,12 @@
         int directions = 1 + random.nextInt(3);
         for (int i = 1; i <= 3 && partitioned > 0; i++) {
             if (i != partitioned && (directions & 1) != 0) {
-                world.cut(world.replica(partitioned).address(), world.replica(i).address());
+                world.block(
+                        world.replica(partitioned).address(), world.replica(i).address());
             }
             if (i != partitioned && (directions & 2) != 0) {
-                world.cut(world.replica(i).address(), world.replica(partitioned).address());
+                world.block(
+                        world.replica(i).address(), world.replica(partitioned).address());
             }
         }
         return partitioned;
@@ -79,7 +81,7 @@
     private void partitionAll() {
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
-                world.cut(world.replica(i).address(), world.replica(j).address());
+                world.block(world.replica(i).address(), world.replica(j).address());
             }
         }
         int restarted = 1 + random.nextInt(3);
--- a/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -22,7 +22,7 @@
     void meshWithoutDisksStartsOnlyWhenAnOperatorBootstrapsAController() throws Exception {
         List<String> controllers = List.of("h1", "h2", "h3");
         try (MeshFixture mesh = new MeshFixture(folder, 3, List.of())) {
-            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.tenantChange("t0", "k00", 1));
             mesh.markInitialized();
             StringWriter output = new StringWriter();
             assertThat(bootstrap(output, mesh.controlAddress("h1"))).isEqualTo(ExitStatus.INVALID);
@@ -42,7 +42,7 @@
                 assertThat(mesh.read(controller).status()).isEqualTo(503);
             }
             mesh.await("h1 starts", () -> bootstrap(output, mesh.controlAddress("h1"), "--confirm") == ExitStatus.OK);
-            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k01", 1));
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.tenantChange("t0", "k01", 1));
             for (String controller : controllers) {
                 mesh.await(
                         controller + " reads the change",
--- a/src/test/java/org/cypressweir/testkit/ApplicationStubs.java
+++ b/src/test/java/org/cypressweir/testkit/ApplicationStubs.java
@@ -19,34 +19,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in for the application server of one machine: it beats, and answers as the test says. */
+/**
+ * An application instance as its proxy sees it: it sends heartbeats, and responds to requests as the test says. Each
+ * connection has a thread of its own; {@link #close} ends all. Thread-safe.
+ */
 public final class ApplicationStubs implements AutoCloseable {
 
     /** What it does with a request. */
-    public enum Manner {
-        /** Runs it and answers. */
-        SERVES,
-        /** Doesn't run it, and says so. */
-        FULL,
-        /** Runs it and hangs up in the middle of the answer. */
-        CUTS_OFF,
-        /** Runs it and never answers. */
-        LOSES
+    public enum Behavior {
+        /** Executes it and responds. */
+        RESPONDS,
+        /** Does not execute it, and says so. */
+        REJECTS,
+        /** Executes it and closes the connection in the middle of the response. */
+        TRUNCATES_RESPONSE,
+        /** Executes it and never responds. */
+        NEVER_RESPONDS
     }
 
     public static final String ID = "Cypressweir-Attempt-Id";
-    private static final int BEAT_MILLIS = 300;
-    private static final int CALL_MILLIS = 2_000;
+    private static final int HEARTBEAT_INTERVAL_MILLIS = 300;
+    private static final int CALL_TIMEOUT_MILLIS = 2_000;
 
-    /** Requests as they came, whatever was done with them. */
-    public final BlockingQueue<RawHttpClient.Message> seen = new LinkedBlockingQueue<>();
-    /** What was refused because the server drains. */
-    public final AtomicInteger refused = new AtomicInteger();
+    /** All requests in the order of their arrival. */
+    public final BlockingQueue<RawHttpClient.Message> received = new LinkedBlockingQueue<>();
+    /** How many requests were rejected because the instance was draining or had deregistered. */
+    public final AtomicInteger rejectedWhileDraining = new AtomicInteger();
 
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "ship-beats");
+    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, "application-stub-timer");
         thread.setDaemon(true);
         return thread;
     });
@@ -56,13 +59,13 @@
     private final String zone;
     private final int slots;
     private volatile String instance;
-    private volatile Manner manner = Manner.SERVES;
-    private volatile int answerMillis;
+    private volatile Behavior behavior = Behavior.RESPONDS;
+    private volatile int responseDelayMillis;
     private volatile boolean draining;
-    private volatile boolean ended;
+    private volatile boolean deregistered;
     private long sequence;
 
-    /** @param proxy where the proxy of this machine takes beats */
+    /** @param proxy the address to which heartbeats are sent */
     public ApplicationStubs(
             InetSocketAddress own, InetSocketAddress proxy, String instance, String service, String zone, int slots)
             throws IOException {
@@ -73,23 +76,23 @@
         this.slots = slots;
         listening = new ServerSocket(own.getPort(), 256, own.getAddress());
         daemon(this::accept);
-        later.scheduleAtFixedRate(this::beatQuietly, 0, BEAT_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(this::sendHeartbeatIfPossible, 0, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     public String instance() {
         return instance;
     }
 
-    public void manner(Manner next) {
-        manner = next;
+    public void setBehavior(Behavior next) {
+        behavior = next;
     }
 
-    /** Answers come so long after their requests. */
-    public void takes(int millis) {
-        answerMillis = millis;
+    /** Responses are sent so long after their requests. */
+    public void setResponseDelayMillis(int millis) {
+        responseDelayMillis = millis;
     }
 
-    /** How often the attempt of this id has run. */
+    /** How often the request with this id was executed. */
     public int runs(String id) {
         return runs.getOrDefault(id, new AtomicInteger()).get();
     }
@@ -98,37 +101,37 @@
         return runs.values().stream().mapToInt(AtomicInteger::get).sum();
     }
 
-    /** From now on it drains; returns once the pilot has acknowledged it. */
+    /** From now on it drains; returns once the proxy has acknowledged that. */
     public void drain() throws IOException {
         draining = true;
-        beat();
+        sendHeartbeat();
     }
 
-    /** The end, as the server tells it; the address stays open for whoever comes too late. */
-    public void end() throws IOException {
-        ended = true;
+    /** Tells the proxy that the instance ends. Its address stays open, for requests that come too late. */
+    public void deregister() throws IOException {
+        deregistered = true;
         call("deregister", "{}");
     }
 
-    /** Another life at the same address. */
-    public void begin(String nextInstance) throws IOException {
+    /** Starts another incarnation at the same address. */
+    public void startIncarnation(String nextInstance) throws IOException {
         instance = nextInstance;
         draining = false;
-        ended = false;
-        beat();
+        deregistered = false;
+        sendHeartbeat();
     }
 
-    private void beatQuietly() {
+    private void sendHeartbeatIfPossible() {
         try {
-            if (!ended) {
-                beat();
+            if (!deregistered) {
+                sendHeartbeat();
             }
         } catch (IOException e) {
-            // The pilot is not there: the next beat may reach it.
+            // The proxy is not reachable: the next heartbeat may be.
         }
     }
 
-    private synchronized void beat() throws IOException {
+    private synchronized void sendHeartbeat() throws IOException {
         call(
                 "heartbeat",
                 "{\"address\":\"" + listening.getInetAddress().getHostAddress() + ":"
@@ -140,16 +143,16 @@
 
     private void call(String what, String body) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(proxy, CALL_MILLIS);
-            socket.setSoTimeout(CALL_MILLIS);
+            socket.connect(proxy, CALL_TIMEOUT_MILLIS);
+            socket.setSoTimeout(CALL_TIMEOUT_MILLIS);
             write(
                     socket,
                     "POST /cypressweir/instances/" + instance + "/" + what + " HTTP/1.1\r\n"
-                            + "Host: pilot\r\nConnection: close\r\nContent-Length: " + body.length()
+                            + "Host: proxy\r\nConnection: close\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
-            RawHttpClient.Message answer = RawHttpClient.read(socket.getInputStream());
-            if (answer == null || answer.status() != 200) {
-                throw new IOException("not acknowledged: " + answer);
+            RawHttpClient.Message response = RawHttpClient.read(socket.getInputStream());
+            if (response == null || response.status() != 200) {
+                throw new IOException("not acknowledged: " + response);
             }
         }
     }
@@ -160,63 +163,63 @@
                 Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                daemon(() -> talk(socket));
+                daemon(() -> serveConnection(socket));
             }
         } catch (IOException e) {
             // Closed: the test is over.
         }
     }
 
-    private void talk(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
-                seen.add(m);
-                if (!answer(socket, m)) {
+            for (RawHttpClient.Message request; (request = RawHttpClient.read(in)) != null; ) {
+                received.add(request);
+                if (!respond(socket, request)) {
                     return;
                 }
             }
         } catch (IOException e) {
-            // The pilot hung up, which a test may want.
+            // The proxy has closed the connection, which a test may want.
         } finally {
             sockets.remove(socket);
         }
     }
 
-    private boolean answer(Socket socket, RawHttpClient.Message m) throws IOException {
-        String id = m.headers().getOrDefault(ID, "");
-        String wanted = m.headers().get("Cypressweir-Target-Instance");
+    private boolean respond(Socket socket, RawHttpClient.Message request) throws IOException {
+        String id = request.headers().getOrDefault(ID, "");
+        String wanted = request.headers().get("Cypressweir-Target-Instance");
         if (wanted != null && !wanted.equals(instance)) {
             reply(socket, id, "421 Misdirected Request", "Cypressweir-Not-Executed: true\r\n", "");
             return true;
         }
-        if (draining || ended || manner == Manner.FULL) {
-            refused.addAndGet(draining || ended ? 1 : 0);
+        if (draining || deregistered || behavior == Behavior.REJECTS) {
+            rejectedWhileDraining.addAndGet(draining || deregistered ? 1 : 0);
             reply(socket, id, "503 Service Unavailable", "Cypressweir-Not-Executed: true\r\n", "");
             return true;
         }
         runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
-        switch (manner) {
-            case LOSES -> {}
-            case CUTS_OFF -> {
+        switch (behavior) {
+            case NEVER_RESPONDS -> {}
+            case TRUNCATES_RESPONSE -> {
                 write(socket, "HTTP/1.1 200 OK\r\n" + ID + ": " + id + "\r\nContent-Length: 10\r\n\r\nab");
                 return false;
             }
-            default -> serve(socket, m, id);
+            default -> serve(socket, request, id);
         }
         return true;
     }
 
-    private void serve(Socket socket, RawHttpClient.Message m, String id) throws IOException {
-        int millis = answerMillis;
+    private void serve(Socket socket, RawHttpClient.Message request, String id) throws IOException {
+        int millis = responseDelayMillis;
         String extra = "Cypressweir-Server-Seal: sealed-" + id + "\r\nInstance: " + instance + "\r\n";
         if (millis == 0) {
-            reply(socket, id, "200 OK", extra, "ran " + m.body());
+            reply(socket, id, "200 OK", extra, "ran " + request.body());
             return;
         }
-        later.schedule(
+        timer.schedule(
                 () -> {
-                    reply(socket, id, "200 OK", extra, "ran " + m.body());
+                    reply(socket, id, "200 OK", extra, "ran " + request.body());
                     return null;
                 },
                 millis,
@@ -237,19 +240,19 @@
     }
 
     private void daemon(Runnable task) {
-        Thread thread = new Thread(task, "ship");
+        Thread thread = new Thread(task, "application-stub");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Where such a server of one machine listens. */
+    /** The address of a port at an IP address. */
     public static InetSocketAddress at(String ip, int port) throws IOException {
         return new InetSocketAddress(InetAddress.getByName(ip), port);
     }
 
     @Override
     public void close() throws IOException {
-        later.shutdownNow();
+        timer.shutdownNow();
         listening.close();
         for (Socket socket : List.copyOf(sockets)) {
             socket.close();
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
@@ -22,17 +22,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands in each connection between processes. What goes from one to another has a fate of its own, whoever
- * has dialled. A cut is as on a network: a dial into silence hangs, an end is not heard before the join.
+ * A TCP relay between processes that can partition them. Each direction between two processes has a mode of its own,
+ * whichever of them has opened the connection. A partition behaves as on a network: a connection attempt into it hangs
+ * until its time-out, and the end of a stream does not arrive before the partition heals. One thread moves all bytes;
+ * the public methods may be called by any other.
  */
 public final class ConnectionRelay implements AutoCloseable {
 
-    /** The fate of what one process sends to another. */
-    public enum Way {
+    /** What becomes of what one process sends to another. */
+    public enum LinkMode {
         PASS,
-        /** Nothing comes; at the join all comes that was sent. */
+        /** Nothing arrives; when the partition heals, all arrives that was sent. */
         HOLD,
-        /** Nothing comes, and at the join the connections on which something was lost are reset. */
+        /** Nothing arrives; when the partition heals, the connections on which something was lost are reset. */
         LOSE,
         /** All connections are reset, new ones too. */
         RESET,
@@ -48,11 +50,11 @@
 
     private record Held(long at, ByteBuffer bytes) {}
 
-    private static final int MOST_HELD = 256 * 1024;
+    private static final int MAX_HELD_BYTES = 256 * 1024;
     private static final int FIRST_PORT = 30_000;
     private static final int BACKLOG = 1;
     private static final int CONNECT_MILLIS = 200;
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long PROBE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     /** One direction of a connection. */
     private final class Flow {
@@ -81,7 +83,7 @@
             }
             if (count < 0) {
                 ended = true;
-            } else if (way(pair) == Way.LOSE) {
+            } else if (mode(pair) == LinkMode.LOSE) {
                 lost |= count > 0;
             } else if (count > 0) {
                 bytes.flip();
@@ -92,16 +94,16 @@
 
         /** Hands on what is due; false once the connection is to be reset. */
         private boolean move(long now) throws IOException {
-            if (lost && way(pair) != Way.LOSE) {
+            if (lost && mode(pair) != LinkMode.LOSE) {
                 return false;
             }
-            if (way(pair) == Way.LOSE) {
+            if (mode(pair) == LinkMode.LOSE) {
                 lost |= !held.isEmpty();
                 held.clear();
                 size = 0;
                 return true;
             }
-            while (way(pair) == Way.PASS && !held.isEmpty() && held.peek().at <= now) {
+            while (mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().at <= now) {
                 ByteBuffer next = held.peek().bytes;
                 size -= out.write(next);
                 if (next.hasRemaining()) {
@@ -109,7 +111,7 @@
                 }
                 held.remove();
             }
-            if (ended && held.isEmpty() && !closedBehind && way(pair) == Way.PASS) {
+            if (ended && held.isEmpty() && !closedBehind && mode(pair) == LinkMode.PASS) {
                 closedBehind = true;
                 out.shutdownOutput();
             }
@@ -117,7 +119,7 @@
         }
 
         private boolean wantsWrite(long now) {
-            return way(pair) == Way.PASS && !held.isEmpty() && held.peek().at <= now;
+            return mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().at <= now;
         }
     }
 
@@ -133,7 +135,7 @@
         private void watch(Flow in, Flow out, long now) {
             SelectionKey key = in.in.keyFor(selector);
             if (key != null && key.isValid()) {
-                key.interestOps((in.ended || in.size > MOST_HELD ? 0 : SelectionKey.OP_READ)
+                key.interestOps((in.ended || in.size > MAX_HELD_BYTES ? 0 : SelectionKey.OP_READ)
                         | (out.wantsWrite(now) ? SelectionKey.OP_WRITE : 0));
             }
         }
@@ -148,7 +150,7 @@
     private final Map<Pair, InetSocketAddress> doors = new LinkedHashMap<>();
     private final Map<Pair, ServerSocketChannel> open = new LinkedHashMap<>();
     private final Map<Pair, List<SocketChannel>> fillers = new LinkedHashMap<>();
-    private final Map<Pair, Way> ways = new LinkedHashMap<>();
+    private final Map<Pair, LinkMode> modes = new LinkedHashMap<>();
     private final Map<Pair, Long> delays = new LinkedHashMap<>();
     private final Set<Link> links = new LinkedHashSet<>();
     private final Set<String> down = new LinkedHashSet<>();
@@ -157,7 +159,7 @@
     public final AtomicLong resets = new AtomicLong();
 
     private final Thread thread;
-    private long lookedAt;
+    private long probedAt;
     private volatile IOException failed;
     private volatile boolean over;
 
@@ -172,27 +174,28 @@
             }
         }
         down.addAll(targets.keySet());
-        thread = new Thread(this::run, "line-relay");
+        thread = new Thread(this::run, "connection-relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Where a process dials another. */
-    public InetSocketAddress door(String from, String to) {
+    /** The address at which one process reaches another through the relay. */
+    public InetSocketAddress dialAddress(String from, String to) {
         return doors.get(new Pair(from, to));
     }
 
-    /** From now on; returns once it holds. */
-    public void set(String from, String to, Way way) {
-        act(() -> ways.put(new Pair(from, to), way));
+    /** Sets the mode of one direction; returns once it is in force. */
+    public void set(String from, String to, LinkMode mode) {
+        act(() -> modes.put(new Pair(from, to), mode));
     }
 
+    /** Delays what one process sends to another. */
     public void delay(String from, String to, long millis) {
         act(() -> delays.put(new Pair(from, to), TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
-    /** What goes from one to these and, if both, back. */
-    public void cut(String one, List<String> others, Way out, Way in) {
+    /** Sets the modes between one process and others, for what it sends and for what it receives. */
+    public void partition(String one, List<String> others, LinkMode out, LinkMode in) {
         for (String other : others) {
             if (!other.equals(one)) {
                 set(one, other, out);
@@ -201,8 +204,9 @@
         }
     }
 
-    public void join() {
-        act(ways::clear);
+    /** Ends all partitions. */
+    public void heal() {
+        act(modes::clear);
     }
 
     private void act(Runnable task) {
@@ -215,8 +219,8 @@
         done.orTimeout(5, TimeUnit.SECONDS).join();
     }
 
-    private Way way(Pair pair) {
-        return ways.getOrDefault(pair, Way.PASS);
+    private LinkMode mode(Pair pair) {
+        return modes.getOrDefault(pair, LinkMode.PASS);
     }
 
     private void run() {
@@ -226,8 +230,8 @@
                     task.run();
                 }
                 long now = System.nanoTime();
-                if (now - lookedAt >= LOOK_NANOS) {
-                    lookedAt = now;
+                if (now - probedAt >= PROBE_INTERVAL_NANOS) {
+                    probedAt = now;
                     probe();
                 }
                 doors();
@@ -282,9 +286,9 @@
 
     private void doors() throws IOException {
         for (Pair pair : doors.keySet()) {
-            boolean refuses = down.contains(pair.to) || way(pair) == Way.REFUSE;
+            boolean refuses = down.contains(pair.to) || mode(pair) == LinkMode.REFUSE;
             boolean silent =
-                    way(pair).isSilent() || way(new Pair(pair.to, pair.from)).isSilent();
+                    mode(pair).isSilent() || mode(new Pair(pair.to, pair.from)).isSilent();
             ServerSocketChannel door = open.get(pair);
             if (refuses && door != null) {
                 free(pair);
@@ -334,7 +338,7 @@
         if (dialler == null) {
             return;
         }
-        if (way(pair) == Way.RESET) {
+        if (mode(pair) == LinkMode.RESET) {
             reset(dialler);
             return;
         }
@@ -379,7 +383,7 @@
     }
 
     private boolean cuts(Flow flow) {
-        return way(flow.pair) != Way.RESET && way(flow.pair) != Way.REFUSE;
+        return mode(flow.pair) != LinkMode.RESET && mode(flow.pair) != LinkMode.REFUSE;
     }
 
     private void reset(SocketChannel channel) throws IOException {
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The rig's own cuts do what they say. */
+/** Each mode of the relay does to connections what it says. */
 @Timeout(20)
 class ConnectionRelayTest {
 
@@ -42,7 +42,7 @@
             try {
                 near = dial();
             } catch (ConnectException e) {
-                // The relay has still to open that door.
+                // The relay does not listen there yet.
                 near = null;
             }
         }
@@ -63,7 +63,7 @@
 
     private Socket dial() throws IOException {
         Socket socket = new Socket();
-        socket.connect(relay.door("a", "b"), SHORT);
+        socket.connect(relay.dialAddress("a", "b"), SHORT);
         return socket;
     }
 
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void whatIsHeldComesAtTheJoinAndTheOtherDirectionPasses() throws IOException {
-        relay.set("a", "b", ConnectionRelay.Way.HOLD);
+    void heldBytesArriveOnceThePartitionHealsWhileTheOtherDirectionPasses() throws IOException {
+        relay.set("a", "b", ConnectionRelay.LinkMode.HOLD);
         send(near, "held");
         silent(far);
         send(far, "y");
@@ -87,24 +87,24 @@
         assertThatThrownBy(this::dial).isInstanceOf(SocketTimeoutException.class);
         near.shutdownOutput();
         silent(far);
-        relay.join();
+        relay.heal();
         assertThat(far.getInputStream().readAllBytes()).asString().isEqualTo("held");
         dial().close();
     }
 
     @Test
-    void whereSomethingWasLostTheJoinResets() throws IOException {
-        relay.set("b", "a", ConnectionRelay.Way.LOSE);
+    void connectionsThatLostBytesAreResetOnceThePartitionHeals() throws IOException {
+        relay.set("b", "a", ConnectionRelay.LinkMode.LOSE);
         send(far, "lost");
         silent(near);
         assertThatThrownBy(this::dial).isInstanceOf(SocketTimeoutException.class);
-        relay.join();
+        relay.heal();
         assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
     }
 
     @Test
-    void resetsAndRefusals() throws IOException {
-        relay.set("a", "b", ConnectionRelay.Way.RESET);
+    void resetsAndRefusesConnections() throws IOException {
+        relay.set("a", "b", ConnectionRelay.LinkMode.RESET);
         assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> far.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> {
@@ -115,14 +115,14 @@
                 })
                 .isInstanceOf(SocketException.class)
                 .hasMessageContaining("reset");
-        relay.set("a", "b", ConnectionRelay.Way.REFUSE);
+        relay.set("a", "b", ConnectionRelay.LinkMode.REFUSE);
         assertThatThrownBy(this::dial).isInstanceOf(ConnectException.class);
-        relay.join();
+        relay.heal();
         dial().close();
     }
 
     @Test
-    void whatIsLateComesLate() throws IOException {
+    void delayedBytesArriveLate() throws IOException {
         relay.delay("a", "b", 2L * SHORT);
         send(near, "z");
         silent(far);
--- a/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
@@ -1,6 +1,7 @@
 package org.cypressweir.testkit;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -15,66 +16,71 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.consensus.ProposalResult;
 
-/** Judges by what was sent, answered and shown alone. The first breach is kept. */
+/**
+ * Checks the guarantees of the consensus protocol by what was submitted to replicas, what they answered and what they
+ * published, without a look at their state: nothing acknowledged or read is lost, each version of an item has one
+ * content, each proposal number has one state, and the states that a replica publishes rise. The first violation is
+ * kept. For one thread.
+ */
 public final class ConsensusChecks {
 
-    private record Call(ConfigurationChange order, Map<ItemKey, Item> floor) {}
+    private record Call(ConfigurationChange change, Map<ItemKey, Item> requiredItems) {}
 
-    private final Map<Long, Call> calls = new HashMap<>();
-    /** What whoever asks from now on must find, or something newer. */
-    private Map<ItemKey, Item> floor = Map.of();
+    private final Map<Long, Call> pendingCalls = new HashMap<>();
+    /** What a read that begins now must find, or newer versions of it. */
+    private Map<ItemKey, Item> requiredItems = Map.of();
 
-    private final Map<ItemKey, Map<Long, Object>> contents = new HashMap<>();
-    private final Map<ProposalNumber, Effect.Show> states = new HashMap<>();
-    private final Map<String, ProposalNumber> last = new HashMap<>();
-    private final List<String> breaches = new ArrayList<>();
-    /** By the time from which each holds. */
-    private final TreeMap<Long, Map<ItemKey, Item>> floors = new TreeMap<>();
+    private final Map<ItemKey, Map<Long, Object>> contentsByVersion = new HashMap<>();
+    private final Map<ProposalNumber, Effect.Show> publishedStates = new HashMap<>();
+    private final Map<String, ProposalNumber> lastPublished = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    /** The same by the time since which each is required. */
+    private final TreeMap<Long, Map<ItemKey, Item>> requiredItemsByTime = new TreeMap<>();
 
-    private int taken;
+    private int accepted;
     private int read;
     private int confirmed;
 
-    public int taken() {
-        return taken;
+    public int accepted() {
+        return accepted;
     }
 
     public int read() {
         return read;
     }
 
-    /** How often a replica has said that what it shows was the newest as of some moment. */
+    /** How often a replica has confirmed that its published state was the newest as of some moment. */
     public int confirmed() {
         return confirmed;
     }
 
-    /** From now on it is this late. */
-    public void at(long now) {
-        floors.put(now, floor);
+    /** Records the time at which the required items are those of now. */
+    public void timePassed(long now) {
+        requiredItemsByTime.put(now, requiredItems);
     }
 
-    /** A replica says that what it shows was the newest as of a moment: all answered before is there. */
+    /** A replica confirms that its published state was the newest as of a moment: all answered before is in it. */
     public void confirmed(String replica, long asOf, Configuration shown) {
         confirmed++;
-        Map.Entry<Long, Map<ItemKey, Item>> before = floors.lowerEntry(asOf);
+        Map.Entry<Long, Map<ItemKey, Item>> before = requiredItemsByTime.lowerEntry(asOf);
         if (before != null) {
-            above(before.getValue(), shown, replica + ", confirmed as of " + asOf + ",");
+            requireAtLeast(before.getValue(), shown, replica + ", confirmed as of " + asOf + ",");
         }
     }
 
-    /** What is wrong, or null. */
+    /** The first violation, or null. */
     public String breach() {
-        return breaches.isEmpty() ? null : breaches.get(0);
+        return violations.isEmpty() ? null : violations.get(0);
     }
 
-    public Map<ItemKey, Item> floor() {
-        return floor;
+    public Map<ItemKey, Item> requiredItems() {
+        return requiredItems;
     }
 
-    /** Whether two voter sets, one shown right after the other, differ by more than one member. */
-    public boolean leaps() {
+    /** Whether two voter sets, one committed right after the other, differ by more than one member. */
+    public boolean hasLargeVoterChange() {
         List<String> before = null;
-        for (Effect.Show show : new TreeMap<>(states).values()) {
+        for (Effect.Show show : new TreeMap<>(publishedStates).values()) {
             Set<String> changed = new HashSet<>(show.voters());
             if (before != null) {
                 Set<String> stayed = new HashSet<>(before);
@@ -91,63 +97,63 @@
     }
 
     public void started(String replica) {
-        last.remove(replica);
+        lastPublished.remove(replica);
     }
 
-    public void sent(long proposalId, ConfigurationChange order) {
-        calls.put(proposalId, new Call(order, floor));
+    public void submitted(long proposalId, ConfigurationChange change) {
+        pendingCalls.put(proposalId, new Call(change, requiredItems));
     }
 
     public void answered(long proposalId, ProposalResult result) {
-        Call call = calls.remove(proposalId);
+        Call call = pendingCalls.remove(proposalId);
         if (result instanceof ProposalResult.Taken) {
-            taken++;
-            Map<ItemKey, Item> raised = new HashMap<>(floor);
-            for (Item item : call.order.items()) {
-                one(item);
-                raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
-            }
-            floor = raised;
+            accepted++;
+            requireFromNowOn(call.change.items());
         } else if (result instanceof ProposalResult.Read answer) {
             read++;
-            above(call.floor, answer.configuration(), "read");
-            Map<ItemKey, Item> raised = new HashMap<>(floor);
-            for (Item item : answer.configuration().items()) {
-                one(item);
-                raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
-            }
-            floor = raised;
+            requireAtLeast(call.requiredItems, answer.configuration(), "read");
+            requireFromNowOn(answer.configuration().items());
+        }
+    }
+
+    private void requireFromNowOn(Collection<Item> items) {
+        Map<ItemKey, Item> raised = new HashMap<>(requiredItems);
+        for (Item item : items) {
+            requireOneContent(item);
+            raised.merge(item.key(), item, (a, b) -> a.version() >= b.version() ? a : b);
         }
+        requiredItems = raised;
     }
 
-    /** Whether a configuration has all that it must, in versions as high. */
-    public void above(Map<ItemKey, Item> least, Configuration configuration, String what) {
+    /** A configuration must have these items, in versions as high or higher. */
+    public void requireAtLeast(Map<ItemKey, Item> least, Configuration configuration, String what) {
         least.forEach((key, item) -> {
             Item found = configuration.get(key);
             if (found == null || found.version() < item.version()) {
-                breaches.add(what + " has " + found + " in place of " + item);
+                violations.add(what + " has " + found + " in place of " + item);
             }
         });
     }
 
-    private void one(Item item) {
+    private void requireOneContent(Item item) {
         Object content = item.withdrawn() ? "-" : item.content();
-        Object before =
-                contents.computeIfAbsent(item.key(), k -> new HashMap<>()).putIfAbsent(item.version(), content);
+        Object before = contentsByVersion
+                .computeIfAbsent(item.key(), k -> new HashMap<>())
+                .putIfAbsent(item.version(), content);
         if (before != null && !before.equals(content)) {
-            breaches.add(item.key() + " r" + item.version() + " is " + before + " and " + content);
+            violations.add(item.key() + " r" + item.version() + " is " + before + " and " + content);
         }
     }
 
-    public void shown(String replica, Effect.Show show) {
-        ProposalNumber before = last.put(replica, show.number());
+    public void published(String replica, Effect.Show show) {
+        ProposalNumber before = lastPublished.put(replica, show.number());
         if (before != null && before.compareTo(show.number()) >= 0) {
-            breaches.add(replica + " shows " + show.number() + " after " + before);
+            violations.add(replica + " shows " + show.number() + " after " + before);
         }
-        Effect.Show other = states.putIfAbsent(show.number(), show);
+        Effect.Show other = publishedStates.putIfAbsent(show.number(), show);
         if (other != null && !other.equals(show)) {
-            breaches.add(show + " and " + other);
+            violations.add(show + " and " + other);
         }
-        show.configuration().items().forEach(this::one);
+        show.configuration().items().forEach(this::requireOneContent);
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
@@ -3,75 +3,85 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import java.util.function.LongFunction;
 import org.cypressweir.controlplane.consensus.Effect;
 import org.cypressweir.controlplane.consensus.PersistentState;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
-/** Corners where a copy forgets at the worst moment, seldom met by drawn days. */
+/** Cases in which a replica loses its disk at the worst moment. Random fault scenarios rarely come to them. */
 public final class ConsensusCornerCases {
 
+    private static final int SEEDS = 20;
+
     private ConsensusCornerCases() {}
 
-    /** The first breach, or null. */
-    public static String broken() {
-        for (long seed = 0; seed < 20; seed++) {
-            String promise = promiseForgotten(seed);
-            String accept = promise != null ? promise : acceptanceForgotten(seed);
-            String words = accept != null ? accept : wordsForTheOldDisk(seed);
-            String breach = words != null ? words : learntByABuildBefore(seed);
-            if (breach != null) {
-                return "seed " + seed + ": " + breach;
+    /** The first violation, or null. */
+    public static String findViolation() {
+        List<LongFunction<String>> cases = List.of(
+                ConsensusCornerCases::promiseOfALostDisk,
+                ConsensusCornerCases::acceptanceOfALostDisk,
+                ConsensusCornerCases::messagesForTheOldDisk,
+                ConsensusCornerCases::learnedByAnEarlierBuild);
+        for (long seed = 0; seed < SEEDS; seed++) {
+            for (LongFunction<String> each : cases) {
+                String violation = each.apply(seed);
+                if (violation != null) {
+                    return "seed " + seed + ": " + violation;
+                }
             }
         }
         return null;
     }
 
-    private static String order(String key) {
+    private static String change(String key) {
         return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r1\"}}}}";
     }
 
-    private static void until(SimulatedReplicas world, BooleanSupplier holds) {
-        for (int i = 0; i < 300 && !holds.getAsBoolean(); i++) {
+    private static void runUntil(SimulatedReplicas world, BooleanSupplier condition) {
+        for (int i = 0; i < 300 && !condition.getAsBoolean(); i++) {
             world.run(100);
         }
     }
 
-    /** The second asks while its disk is slow; the third promises, forgets, and helps the first. */
-    private static String promiseForgotten(long seed) {
+    /**
+     * The second replica proposes while its disk is slow. The third promises, loses its disk, and accepts from the
+     * first.
+     */
+    private static String promiseOfALostDisk(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         Replica second = world.replica(2);
-        world.cut(second.address(), world.replica(1).address());
-        world.stall(second, 150_000);
-        world.submit(second, order("b"), 3_000_000);
+        world.block(second.address(), world.replica(1).address());
+        world.stallDisk(second, 150_000);
+        world.submit(second, change("b"), 3_000_000);
         world.run(15_000);
         world.wipe(world.replica(3));
         world.heal();
         world.start(3);
         world.run(40_000);
-        long proposalId = world.submit(world.replica(1), order("a"), 3_000_000);
-        until(world, () -> world.result(proposalId) != null);
+        long proposalId = world.submit(world.replica(1), change("a"), 3_000_000);
+        runUntil(world, () -> world.result(proposalId) != null);
         world.run(8_000_000);
-        return end(world);
+        return violation(world);
     }
 
-    /** The second offers while its disk is slow; the third accepts, and forgets. */
-    private static String acceptanceForgotten(long seed) {
+    /** The second replica sends accept messages while its disk is slow; the third accepts, and loses its disk. */
+    private static String acceptanceOfALostDisk(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         Replica second = world.replica(2);
-        long proposalId = world.submit(second, order("b"), 3_000_000);
-        until(
+        long proposalId = world.submit(second, change("b"), 3_000_000);
+        runUntil(
                 world,
                 () -> world.writing(second) != null && world.writing(second).accepted() != null);
-        world.cut(second.address(), world.replica(1).address());
-        world.stall(second, 300_000);
+        world.block(second.address(), world.replica(1).address());
+        world.stallDisk(second, 300_000);
         world.run(15_000);
         world.wipe(world.replica(3));
-        // It asks the others, which may have nothing to tell yet, before the first hears of the offer.
+        // It asks the others, which may not have the proposal yet, before the first receives it.
         world.start(3);
-        until(world, () -> !world.replica(3).consensus().isBlank());
+        runUntil(world, () -> !world.replica(3).consensus().isBlank());
         world.heal();
         for (int i = 0; i < 4_000 && world.result(proposalId) == null; i++) {
             world.run(100);
@@ -83,18 +93,18 @@
         world.await(read);
         world.start(1);
         world.run(8_000_000);
-        return end(world);
+        return violation(world);
     }
 
-    /** What was meant for a disk that is lost is not for the one that is there now. */
-    private static String wordsForTheOldDisk(long seed) {
+    /** A message for a replica whose disk is lost must not be processed by its successor at the same address. */
+    private static String messagesForTheOldDisk(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
         world.wipe(world.replica(3));
         Replica third = world.start(3);
-        until(world, () -> !third.consensus().isBlank());
+        runUntil(world, () -> !third.consensus().isBlank());
         String old = third.address();
-        List<Map<String, Object>> words = List.of(
+        List<Map<String, Object>> messages = List.of(
                 Map.of("t", "copies.prepare", "to", old, "b", "99@x"),
                 Map.of("t", "copies.prepare", "b", "99@x"),
                 Map.of(
@@ -116,41 +126,42 @@
                         1L,
                         "items",
                         List.of()));
-        boolean answered = words.stream().anyMatch(word -> third.consensus().received(world.now(), "x", word).stream()
-                .anyMatch(Effect.Write.class::isInstance));
-        return answered ? "the new disk takes what was meant for the old one" : null;
+        boolean answered = messages.stream()
+                .anyMatch(message -> third.consensus().received(world.now(), "x", message).stream()
+                        .anyMatch(Effect.Write.class::isInstance));
+        return answered ? "a message for the old disk is processed with the new one" : null;
     }
 
-    /** A build before has let a copy learn a state that only one has voted for. */
-    private static String learntByABuildBefore(long seed) {
+    /** An earlier build has let a replica learn a state that only one replica has voted for. */
+    private static String learnedByAnEarlierBuild(long seed) {
         SimulatedReplicas world = new SimulatedReplicas(seed, 3);
         world.run(500_000);
-        List<Replica> all = world.up();
+        List<Replica> all = world.runningReplicas();
         all.forEach(world::crash);
         List<String> voters = all.stream().map(Replica::address).toList();
         ProposalNumber voted = new ProposalNumber(50, voters.get(0));
         ProposalNumber before = new ProposalNumber(40, voters.get(1));
         world.start(1, new PersistentState(voted, voted, voters, List.of(), false));
         world.start(3, new PersistentState(new ProposalNumber(60, voters.get(1)), voted, voters, List.of(), true));
-        boolean shown = false;
+        boolean published = false;
         for (int i = 0; i < 400; i++) {
             world.run(10_000);
             if (i == 200) {
                 world.start(2, new PersistentState(before, before, voters, List.of(), false));
             }
-            shown |= world.up().stream()
+            published |= world.runningReplicas().stream()
                     .anyMatch(h -> h.consensus().committed().number().equals(voted));
         }
-        return shown ? "what one has voted for is shown" : end(world);
+        return published ? "a state that one replica has voted for is published" : violation(world);
     }
 
-    private static String end(SimulatedReplicas world) {
+    private static String violation(SimulatedReplicas world) {
         if (world.checks().breach() == null) {
             world.checks()
-                    .above(
-                            world.checks().floor(),
+                    .requireAtLeast(
+                            world.checks().requiredItems(),
                             world.replica(1).consensus().committed().configuration(),
-                            "shown");
+                            "published");
         }
         return world.checks().breach();
     }
--- a/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -7,15 +7,15 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * A day of writers and readers at three or five replicas, with lossy networks, crashes, lost disks, stalled
- * and full ones, cuts, and replaced machines. Of a voters no more than a minority is without its disk or down
- * at a time, and a lost disk is made good before the next is lost.
+ * A random fault scenario over three or five replicas with writers and readers: lossy networks, crashes, lost disks,
+ * stalled and full disks, partitions, and replaced machines. At most a minority of the voters is down or without its
+ * disk at a time, and the state of a lost disk is restored before the next disk is lost.
  */
 public class ConsensusFaults {
 
     private static final int STEPS = 60;
-    private static final long STEP = 150_000;
-    private static final long HEALED = 15_000_000;
+    private static final long MEAN_STEP_MICROS = 150_000;
+    private static final long RECOVERY_MICROS = 15_000_000;
 
     private final SimulatedReplicas world;
     private final SplittableRandom random;
@@ -28,14 +28,14 @@
         count = seed % 3 == 0 ? 5 : 3;
         machines = count;
         world = new SimulatedReplicas(seed, count);
-        world.mostDelay = random.nextBoolean() ? 2_000 : 60_000;
-        world.loss = random.nextInt(3) * 0.1;
-        world.doubled = random.nextInt(2) * 0.2;
+        world.maxDelayMicros = random.nextBoolean() ? 2_000 : 60_000;
+        world.lossProbability = random.nextInt(3) * 0.1;
+        world.duplicateProbability = random.nextInt(2) * 0.2;
     }
 
-    /** The first breach in so many days, or null. */
-    public static String broken(int days) {
-        for (long seed = 0; seed < days; seed++) {
+    /** The first violation in so many scenarios, or null. */
+    public static String findViolation(int scenarios) {
+        for (long seed = 0; seed < scenarios; seed++) {
             String breach;
             try {
                 breach = new ConsensusFaults(seed).run();
@@ -49,43 +49,43 @@
         return null;
     }
 
-    public int taken() {
-        return world.checks().taken();
+    public int accepted() {
+        return world.checks().accepted();
     }
 
-    /** What is wrong, or null. */
+    /** Runs the scenario; returns the first violation, or null. */
     public String run() {
         world.run(1_000_000);
         for (int step = 0; step < STEPS && world.checks().breach() == null; step++) {
-            ask();
+            submitRandomCalls();
             fault();
-            world.run(1 + random.nextLong(2 * STEP));
+            world.run(1 + random.nextLong(2 * MEAN_STEP_MICROS));
         }
         if (world.checks().breach() != null) {
             return world.checks().breach();
         }
-        return healed();
+        return checkRecovery();
     }
 
     protected SimulatedReplicas world() {
         return world;
     }
 
-    protected Replica any() {
-        List<Replica> up = world.up();
+    protected Replica anyRunning() {
+        List<Replica> up = world.runningReplicas();
         return up.get(random.nextInt(up.size()));
     }
 
-    protected void ask() {
+    protected void submitRandomCalls() {
         for (int i = random.nextInt(4); i > 0; i--) {
             if (random.nextInt(3) == 0) {
-                world.read(any(), 100_000 + random.nextLong(2_000_000));
+                world.read(anyRunning(), 100_000 + random.nextLong(2_000_000));
                 continue;
             }
             String tenant = "t" + random.nextInt(3);
             versions += random.nextInt(2);
             world.submit(
-                    any(),
+                    anyRunning(),
                     random.nextInt(6) == 0
                             ? "{\"withdraw\":{\"tenantTable\":[{\"name\":\"" + tenant + "\",\"configVersion\":\"r"
                                     + versions + "\"}]}}"
@@ -95,54 +95,54 @@
         }
     }
 
-    /** Whether all are up and have a disk that counts. */
-    private boolean whole() {
-        return world.up().size() == count
-                && world.up().stream().noneMatch(h -> h.consensus().isBlank())
-                && world.up().stream()
+    /** Whether all replicas run and are voters with their present disks. */
+    private boolean areAllVotersHealthy() {
+        return world.runningReplicas().size() == count
+                && world.runningReplicas().stream().noneMatch(h -> h.consensus().isBlank())
+                && world.runningReplicas().stream()
                         .allMatch(h -> h.consensus().voters().size() == count
                                 && h.consensus().voters().contains(h.consensus().own()));
     }
 
     private void fault() {
-        Replica replica = any();
+        Replica replica = anyRunning();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
                 world.crash(replica);
                 world.start(replica.address(), false);
             }
             case 2 -> {
-                if (whole()) {
+                if (areAllVotersHealthy()) {
                     world.wipe(replica);
                     world.start(replica.address(), false);
                 }
             }
             case 3 -> {
-                if (whole()) {
+                if (areAllVotersHealthy()) {
                     world.crash(replica);
                     world.run(random.nextLong(2_000_000));
                     world.start(replica.address(), false);
                 }
             }
             case 4 -> {
-                if (whole() && random.nextInt(3) == 0) {
+                if (areAllVotersHealthy() && random.nextInt(3) == 0) {
                     world.wipe(replica);
                     world.run(random.nextLong(2_000_000));
                     world.start(++machines);
-                    // Replaced machines take part again before the next fault of this kind: see whole().
+                    // Replaced machines take part again before the next fault of this kind: see areAllVotersHealthy().
                 }
             }
-            case 5 -> world.stall(replica, random.nextLong(1_500_000));
+            case 5 -> world.stallDisk(replica, random.nextLong(1_500_000));
             case 6 -> {
-                world.full(replica, true);
+                world.setDiskFull(replica, true);
                 world.run(random.nextLong(1_000_000));
-                world.full(replica, false);
+                world.setDiskFull(replica, false);
             }
-            case 7 -> world.cut(replica.address(), any().address());
+            case 7 -> world.block(replica.address(), anyRunning().address());
             case 8 -> world.heal();
             case 9 -> {
-                if (whole()) {
-                    List<Replica> all = world.up();
+                if (areAllVotersHealthy()) {
+                    List<Replica> all = world.runningReplicas();
                     all.forEach(h -> {
                         if (h == replica) {
                             world.wipe(h);
@@ -157,21 +157,21 @@
         }
     }
 
-    protected String healed() {
+    protected String checkRecovery() {
         world.heal();
-        world.run(HEALED);
-        long read = world.read(any(), 5_000_000);
+        world.run(RECOVERY_MICROS);
+        long read = world.read(anyRunning(), 5_000_000);
         if (!(world.await(read) instanceof ProposalResult.Read)) {
-            return "no read after all is well: " + world.result(read);
+            return "no read after all faults are over: " + world.result(read);
         }
         world.run(2_000_000);
-        ReplicatedState first = world.up().get(0).consensus().committed();
-        for (Replica replica : world.up()) {
+        ReplicatedState first = world.runningReplicas().get(0).consensus().committed();
+        for (Replica replica : world.runningReplicas()) {
             if (!replica.consensus().committed().equals(first)) {
                 return replica.address() + " shows " + replica.consensus().committed() + " and not " + first;
             }
         }
-        world.checks().above(world.checks().floor(), first.configuration(), "shown");
+        world.checks().requireAtLeast(world.checks().requiredItems(), first.configuration(), "shown");
         return world.checks().breach();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -10,25 +10,26 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * Eight operators with an order each at a time, at three replicas, before, in and after cuts, in made-up
- * time: how long each order takes until it is acknowledged, with all its tries, and how many rounds begin.
+ * Eight operators, each with one change at a time, at three replicas in simulated time, before, during and after a
+ * network partition. Measures how long each change takes until it is acknowledged, retries included, and how many
+ * proposal rounds begin.
  */
 public final class ConsensusPartitions {
 
-    /** Who is cut off, and what else happens. */
+    /** Which replica is partitioned from the others, in which direction, and what else happens. */
     public enum Kind {
         BOTH_WAYS,
         HEARS_NOBODY,
         NOBODY_HEARS_IT,
-        /** The replica that acknowledged an order last. */
-        ACTED_LAST,
-        /** Two cuts of the same replica, three seconds apart. */
+        /** The replica that acknowledged a change last, in both directions. */
+        LAST_ACKNOWLEDGING,
+        /** Two partitions of the same replica, three seconds apart. */
         TWICE,
-        /** As one comes back, another goes for five seconds. */
-        LOSS_AT_THE_JOIN
+        /** As the partition heals, another replica is down for five seconds. */
+        CRASH_AS_IT_HEALS
     }
 
-    /** When an order was sent first. */
+    /** When a change was submitted first. */
     public enum Phase {
         BEFORE,
         IN,
@@ -56,42 +57,42 @@
             return at(1);
         }
 
-        public int orders() {
+        public int changes() {
             return micros.size();
         }
 
-        public double roundsAnOrder() {
+        public double roundsPerChange() {
             return micros.isEmpty() ? 0 : (double) rounds / micros.size();
         }
 
         @Override
         public String toString() {
             return String.format(
-                    "%d orders, median %d ms, 99%% %d ms, worst %d ms, %.2f rounds an order",
-                    micros.size(), at(0.5) / 1_000, at(0.99) / 1_000, worst() / 1_000, roundsAnOrder());
+                    "%d changes, median %d ms, 99%% %d ms, worst %d ms, %.2f rounds a change",
+                    micros.size(), at(0.5) / 1_000, at(0.99) / 1_000, worst() / 1_000, roundsPerChange());
         }
     }
 
     private static final int OPERATORS = 8;
-    private static final long STEP = 1_000;
-    private static final long PATIENCE = 850_000;
-    private static final long SILENCE = 1_000_000;
-    private static final long CALM = 3_000_000;
-    private static final long DOWN = 5_000_000;
-    private static final long DRAIN = 15_000_000;
-    private static final long PAUSE = 50_000;
-    private static final long MOST_PAUSE = 800_000;
-
-    /** Sends one order after the other, each until it is acknowledged. */
+    private static final long STEP_MICROS = 1_000;
+    private static final long TIMEOUT_MICROS = 850_000;
+    private static final long RETRY_AFTER_MICROS = 1_000_000;
+    private static final long CALM_MICROS = 3_000_000;
+    private static final long DOWN_MICROS = 5_000_000;
+    private static final long DRAIN_MICROS = 15_000_000;
+    private static final long MIN_BACKOFF_MICROS = 50_000;
+    private static final long MAX_BACKOFF_MICROS = 800_000;
+
+    /** Submits one change after the other, each until it is acknowledged. */
     private final class Operator {
         private final String tenant;
         private long version;
         private long begun = -1;
-        private Phase its;
+        private Phase operationPhase;
         private int at;
         private long proposalId;
         private long triedAt;
-        private long pause;
+        private long backoff;
         private long again;
 
         private Operator(String tenant) {
@@ -105,9 +106,9 @@
                     return;
                 }
                 begun = now;
-                its = phase;
+                operationPhase = phase;
                 version++;
-                pause = PAUSE;
+                backoff = MIN_BACKOFF_MICROS;
                 at = 1 + random.nextInt(3);
                 send();
                 return;
@@ -116,14 +117,14 @@
                     ? new ProposalResult.Unavailable("nobody is there")
                     : proposalId == 0 ? null : world.result(proposalId);
             if (result instanceof ProposalResult.Taken) {
-                figures.get(its).micros.add(now - begun);
+                figures.get(operationPhase).micros.add(now - begun);
                 last = at;
                 begun = -1;
                 again = now + random.nextLong(200_000);
-            } else if (proposalId != 0 && (result != null || now - triedAt > SILENCE)) {
+            } else if (proposalId != 0 && (result != null || now - triedAt > RETRY_AFTER_MICROS)) {
                 proposalId = 0;
-                again = now + pause / 2 + random.nextLong(pause);
-                pause = Math.min(MOST_PAUSE, pause * 2);
+                again = now + backoff / 2 + random.nextLong(backoff);
+                backoff = Math.min(MAX_BACKOFF_MICROS, backoff * 2);
                 at = 1 + at % 3;
             } else if (proposalId == 0 && now >= again) {
                 send();
@@ -137,14 +138,14 @@
                     "{\"upsert\":{\"tenantTable\":{\"" + tenant
                             + "\":{\"apiKeys\":[\"" + tenant + "-" + version + "\"],\"configVersion\":\"r" + version
                             + "\"}}}}",
-                    PATIENCE);
+                    TIMEOUT_MICROS);
         }
     }
 
     private final SplittableRandom random;
     private final SimulatedReplicas world;
     private final Kind kind;
-    private final long cut;
+    private final long partitionMicros;
     private final Map<Phase, Figures> figures = new EnumMap<>(Phase.class);
     private final List<Operator> operators = new ArrayList<>();
     private Phase phase = Phase.BEFORE;
@@ -152,12 +153,12 @@
     private int last = 1;
     private int rounds;
 
-    private ConsensusPartitions(long seed, Kind kind, long cut, long mostDelay) {
+    private ConsensusPartitions(long seed, Kind kind, long partitionMicros, long mostDelay) {
         random = new SplittableRandom(seed);
         world = new SimulatedReplicas(seed, 3);
-        world.mostDelay = mostDelay;
+        world.maxDelayMicros = mostDelay;
         this.kind = kind;
-        this.cut = cut;
+        this.partitionMicros = partitionMicros;
         for (Phase each : Phase.values()) {
             figures.put(each, new Figures());
         }
@@ -166,74 +167,75 @@
         }
     }
 
-    /** The figures of so many days of a kind; an AssertionError for a breach. */
-    public static Map<Phase, Figures> measure(Kind kind, long cut, long mostDelay, int days) {
+    /** The figures of so many scenarios of a kind; an AssertionError for a violation. */
+    public static Map<Phase, Figures> measure(Kind kind, long partitionMicros, long mostDelay, int scenarios) {
         Map<Phase, Figures> all = new EnumMap<>(Phase.class);
-        for (int seed = 0; seed < days; seed++) {
-            ConsensusPartitions day = new ConsensusPartitions(seed * 31L + kind.ordinal(), kind, cut, mostDelay);
-            day.run();
-            day.figures.forEach(
-                    (p, its) -> all.computeIfAbsent(p, k -> new Figures()).add(its));
+        for (int seed = 0; seed < scenarios; seed++) {
+            ConsensusPartitions scenario =
+                    new ConsensusPartitions(seed * 31L + kind.ordinal(), kind, partitionMicros, mostDelay);
+            scenario.run();
+            scenario.figures.forEach((each, measured) ->
+                    all.computeIfAbsent(each, k -> new Figures()).add(measured));
         }
         return all;
     }
 
     private void run() {
         world.run(1_000_000);
-        operate(CALM);
-        int off = kind == Kind.ACTED_LAST ? last : 1 + random.nextInt(3);
-        cutOff(off);
+        operate(CALM_MICROS);
+        int isolated = kind == Kind.LAST_ACKNOWLEDGING ? last : 1 + random.nextInt(3);
+        isolate(isolated);
         if (kind == Kind.TWICE) {
-            join();
-            operate(CALM);
-            cutOff(off);
+            heal();
+            operate(CALM_MICROS);
+            isolate(isolated);
         }
-        join();
-        if (kind == Kind.LOSS_AT_THE_JOIN) {
-            Replica gone = world.replica(1 + off % 3);
+        heal();
+        if (kind == Kind.CRASH_AS_IT_HEALS) {
+            Replica gone = world.replica(1 + isolated % 3);
             world.crash(gone);
-            operate(DOWN);
+            operate(DOWN_MICROS);
             world.start(gone.address(), false);
         }
-        operate(CALM);
+        operate(CALM_MICROS);
         over = true;
-        operate(DRAIN);
+        operate(DRAIN_MICROS);
         if (world.checks().breach() != null || operators.stream().anyMatch(o -> o.begun >= 0)) {
-            throw new AssertionError(kind + ": " + world.checks().breach() + ", or an order is open still");
+            throw new AssertionError(kind + ": " + world.checks().breach() + ", or a change is not acknowledged");
         }
     }
 
-    private void cutOff(int off) {
-        next(Phase.IN);
+    private void isolate(int isolated) {
+        enter(Phase.IN);
         for (int other = 1; other <= 3; other++) {
-            String one = world.replica(other).address();
-            String its = world.replica(off).address();
-            if (other != off && kind != Kind.NOBODY_HEARS_IT) {
-                world.cut(one, its);
+            String otherAddress = world.replica(other).address();
+            String isolatedAddress = world.replica(isolated).address();
+            if (other != isolated && kind != Kind.NOBODY_HEARS_IT) {
+                world.block(otherAddress, isolatedAddress);
             }
-            if (other != off && kind != Kind.HEARS_NOBODY) {
-                world.cut(its, one);
+            if (other != isolated && kind != Kind.HEARS_NOBODY) {
+                world.block(isolatedAddress, otherAddress);
             }
         }
-        operate(cut);
+        operate(partitionMicros);
     }
 
-    private void join() {
-        next(Phase.AFTER);
+    private void heal() {
+        enter(Phase.AFTER);
         world.heal();
     }
 
-    private void next(Phase its) {
+    private void enter(Phase next) {
         figures.get(phase).rounds += world.rounds() - rounds;
         rounds = world.rounds();
-        phase = its;
+        phase = next;
     }
 
     private void operate(long micros) {
         for (long until = world.now() + micros; world.now() < until; ) {
             operators.forEach(Operator::step);
-            world.run(STEP);
+            world.run(STEP_MICROS);
         }
-        next(phase);
+        enter(phase);
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -55,7 +55,7 @@
                 folder, count, PROXIES.stream().map(p -> "orders").toList());
         try {
             mesh.modifyUntilAcknowledged("h1", INITIAL_CONFIGURATION);
-            mesh.modifyUntilAcknowledged("h1", OperatorChecks.order("t0", "k00", 1));
+            mesh.modifyUntilAcknowledged("h1", OperatorChecks.tenantChange("t0", "k00", 1));
             mesh.markInitialized();
             for (String proxy : PROXIES) {
                 mesh.awaitReady(proxy);
@@ -114,11 +114,11 @@
         for (String controller : controllers) {
             Map<String, Long> floor = checks.floor();
             mesh.await(controller + " reads", () -> {
-                RawHttpClient.Message answer = mesh.read(controller);
-                if (answer.status() == 200) {
-                    checks.read(floor, answer.body());
+                RawHttpClient.Message response = mesh.read(controller);
+                if (response.status() == 200) {
+                    checks.read(floor, response.body());
                 }
-                return answer.status() == 200;
+                return response.status() == 200;
             });
         }
     }
@@ -134,7 +134,7 @@
     }
 
     private String violation() {
-        return requestViolation == null ? checks.breach() : requestViolation;
+        return requestViolation == null ? checks.violation() : requestViolation;
     }
 
     /** How often the request has run; more than once is a violation. */
@@ -154,12 +154,12 @@
             String id = mesh.nextRequestId();
             requestIds.add(id);
             try {
-                RawHttpClient.Message answer =
+                RawHttpClient.Message response =
                         mesh.request(PROXIES.get(callerRandom.nextInt(PROXIES.size())), "day.mesh", "/", null, id);
-                if (answer.status() == 200) {
+                if (response.status() == 200) {
                     servedRequests.incrementAndGet();
-                    if (checkedRuns(id) != 1 || !answer.body().equals("ran of " + id)) {
-                        requestViolation = id + " is answered: " + answer;
+                    if (checkedRuns(id) != 1 || !response.body().equals("ran of " + id)) {
+                        requestViolation = id + " is answered: " + response;
                     }
                 }
             } catch (IOException e) {
@@ -184,16 +184,16 @@
             if (random.nextBoolean()) {
                 others.addAll(PROXIES);
             }
-            ConnectionRelay.Way way = ConnectionRelay.Way.values()[1 + random.nextInt(4)];
+            ConnectionRelay.LinkMode mode = ConnectionRelay.LinkMode.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
             int millis = random.nextInt(4) > 0 ? 0 : MAX_PARTITION_MILLIS / (1 + 3 * random.nextInt(2));
-            faults.add("cut " + partitioned + " " + way + " " + "<>=".charAt(direction) + " " + others.size() + " "
+            faults.add("cut " + partitioned + " " + mode + " " + "<>=".charAt(direction) + " " + others.size() + " "
                     + millis);
-            relay.cut(
+            relay.partition(
                     partitioned,
                     others,
-                    direction == 0 ? ConnectionRelay.Way.PASS : way,
-                    direction == 1 ? ConnectionRelay.Way.PASS : way);
+                    direction == 0 ? ConnectionRelay.LinkMode.PASS : mode,
+                    direction == 1 ? ConnectionRelay.LinkMode.PASS : mode);
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
             do {
                 awaitSomeCalls();
@@ -204,7 +204,7 @@
                 awaitSomeCalls();
                 mesh.restart(partitioned);
             }
-            relay.join();
+            relay.heal();
         }
         if (random.nextInt(3) == 0) {
             String exempt = partitioned;
@@ -292,9 +292,9 @@
             try {
                 if (callerRandom.nextInt(3) == 0) {
                     Map<String, Long> floor = checks.floor();
-                    RawHttpClient.Message answer = mesh.read(controller);
-                    if (answer.status() == 200) {
-                        checks.read(floor, answer.body());
+                    RawHttpClient.Message response = mesh.read(controller);
+                    if (response.status() == 200) {
+                        checks.read(floor, response.body());
                     }
                 } else if (REPEATS && callerRandom.nextInt(4) == 0) {
                     repeat(controller, callerRandom);
@@ -312,7 +312,7 @@
     private void modify(String controller, SplittableRandom callerRandom) throws IOException {
         long version = callerRandom.nextInt(3) == 0 ? Math.max(1, versions.get()) : versions.incrementAndGet();
         int tenant = callerRandom.nextInt(3);
-        String change = OperatorChecks.order("t" + tenant, "k" + tenant + callerRandom.nextInt(1_000), version);
+        String change = OperatorChecks.tenantChange("t" + tenant, "k" + tenant + callerRandom.nextInt(1_000), version);
         int status = mesh.modify(controller, change).status();
         checks.modified(change, status);
         if (status == 200) {
@@ -323,7 +323,7 @@
     private void repeat(String controller, SplittableRandom callerRandom) throws IOException {
         String change = checks.acknowledged(callerRandom.nextInt());
         if (change != null) {
-            checks.again(change, mesh.modify(controller, change).status());
+            checks.modifiedAgain(change, mesh.modify(controller, change).status());
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/DatagramRelay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between processes that send each other datagrams: each is reached at an address of the relay's own,
- * and who sent is told by the port that it sends from, so each pair and direction can have its own fate.
+ * A UDP relay between processes that can partition them and lose, duplicate, delay and damage datagrams. Each process
+ * is reached at an address of the relay. The sender is known by its source port, so that each direction between two
+ * processes can be blocked on its own.
  */
 public final class DatagramRelay implements AutoCloseable {
 
--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Faults between the processes of a processes, drawn from a seed and played one after the other; behind each all
- * must see all again. What must not change anybody's view is held to that by the processes' own records.
+ * A random schedule of faults of sidecar processes and of the network between them. The faults come one after the
+ * other, and after each all processes must see all others again. Where a fault must not change anybody's view, the
+ * events that the processes have recorded are checked.
  */
 public final class FaultSchedule {
 
--- a/src/test/java/org/cypressweir/testkit/LeaseHistory.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHistory.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * A history of acts under leases on one clock: of each lease the stretches in which processes acted must be
- * apart, and tokens must rise from one process to the next. Acts are told in the order of that clock.
+ * Checks a history of acts under leases by one clock: the intervals in which different processes acted under a lease
+ * must not overlap, and fencing tokens must rise from one process to the next. Acts are recorded in the order of that
+ * clock.
  */
 public final class LeaseHistory {
 
--- a/src/test/java/org/cypressweir/testkit/LeaseHolders.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Somebody beside each process of a processes who asks at its door whether it holds a lease, and acts as long as
- * the answer says. What all do is one history, on the machine's one clock.
+ * A client beside each sidecar process that asks at the admin socket whether the process holds a lease, and acts as
+ * long as the response allows. The acts of all make one history by the machine's monotonic clock.
  */
 public final class LeaseHolders implements AutoCloseable {
 
@@ -44,7 +44,7 @@
             synchronized (this) {
                 long now = System.nanoTime();
                 if (now < until) {
-                    // Two lives of one name are two holders: the token tells them apart.
+                    // Two incarnations of one name are two holders: the token tells them apart.
                     acts.act(lease, SidecarProcesses.name(who), now, Long.parseLong(said[1]));
                     last = SidecarProcesses.name(who);
                     lastAt = now;
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -7,85 +7,86 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * Harbours under orders: as many machines as may be lost are lost at once, successors with empty disks start,
- * and at some moment after the time that users give them as many others are lost for good.
+ * Random losses of machines while changes are submitted: as many machines as may be lost are lost at once, successors
+ * with empty disks start, and at some moment after the time that users allow for the replacement as many others are
+ * lost for good.
  */
 public final class MachineLosses {
 
-    private static final long SYNC_TIME = 4_000_000;
-    private static final long MOST_AFTER_RETURN = 1_500_000;
-    private static final long STEP = 20_000;
-    private static final long ORDER_EVERY = 100_000;
-    private static final long PATIENCE = 3_000_000;
+    private static final long SYNC_TIME_MICROS = 4_000_000;
+    private static final long MAX_MICROS_AFTER_RETURN = 1_500_000;
+    private static final long STEP_MICROS = 20_000;
+    private static final long CHANGE_INTERVAL_MICROS = 100_000;
+    private static final long TIMEOUT_MICROS = 3_000_000;
 
     private final SplittableRandom random;
     private final SimulatedReplicas world;
     private final int count;
     private final int standbys;
-    private long orders;
-    private long orderAt;
+    private long changes;
+    private long nextChangeAt;
 
-    /** @param standbys how many more machines wait to be let in from the beginning */
+    /** @param standbys how many more replicas wait to be admitted as voters from the beginning */
     public MachineLosses(long seed, int count, int standbys) {
         random = new SplittableRandom(seed * 31 + count);
         this.count = count;
         this.standbys = standbys;
         world = new SimulatedReplicas(seed, count);
-        world.mostDelay = 1 + random.nextLong(30_000);
-        world.mostWrite = 1 + random.nextLong(20_000);
+        world.maxDelayMicros = 1 + random.nextLong(30_000);
+        world.maxWriteMicros = 1 + random.nextLong(20_000);
         for (int i = 1; i <= standbys; i++) {
             world.start(count + i);
         }
-        pass(3_000_000);
+        run(3_000_000);
     }
 
-    /** The first breach in so many days of five and three, or null. */
-    public static String broken(int days) {
-        for (long seed = 0; seed < days; seed++) {
+    /** The first violation in so many scenarios with five and with three replicas, or null. */
+    public static String findViolation(int scenarios) {
+        for (long seed = 0; seed < scenarios; seed++) {
             String of5 = new MachineLosses(seed, 5, 0).secondLoss();
             String breach = of5 != null ? of5 : new MachineLosses(seed, 3, 1).secondLoss();
             long until = new MachineLosses(seed, 3, 0).untilThreeVote(true);
-            if (breach != null || until < 0 || until > MOST_AFTER_RETURN) {
+            if (breach != null || until < 0 || until > MAX_MICROS_AFTER_RETURN) {
                 return "seed " + seed + ": " + breach + ", three vote after " + until;
             }
         }
         return null;
     }
 
-    private void pass(long micros) {
+    private void run(long micros) {
         for (long until = world.now() + micros; world.now() < until; ) {
             step();
         }
     }
 
     private void step() {
-        if (world.now() >= orderAt) {
-            orderAt = world.now() + ORDER_EVERY;
-            List<Replica> up = world.up();
-            world.submit(up.get(random.nextInt(up.size())), order(), PATIENCE);
+        if (world.now() >= nextChangeAt) {
+            nextChangeAt = world.now() + CHANGE_INTERVAL_MICROS;
+            List<Replica> up = world.runningReplicas();
+            world.submit(up.get(random.nextInt(up.size())), nextChange(), TIMEOUT_MICROS);
         }
-        world.run(STEP);
+        world.run(STEP_MICROS);
     }
 
-    private String order() {
-        return "{\"upsert\":{\"tenantTable\":{\"t" + orders % 7 + "\":{\"apiKeys\":[\"k" + orders
-                + "\"],\"configVersion\":\"r" + ++orders + "\"}}}}";
+    private String nextChange() {
+        return "{\"upsert\":{\"tenantTable\":{\"t" + changes % 7 + "\":{\"apiKeys\":[\"k" + changes
+                + "\"],\"configVersion\":\"r" + ++changes + "\"}}}}";
     }
 
-    private List<Replica> draw(int many) {
-        List<Replica> up = new ArrayList<>(world.up());
-        List<Replica> drawn = new ArrayList<>();
+    private List<Replica> chooseRunning(int many) {
+        List<Replica> up = new ArrayList<>(world.runningReplicas());
+        List<Replica> chosen = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            drawn.add(up.remove(random.nextInt(up.size())));
+            chosen.add(up.remove(random.nextInt(up.size())));
         }
-        return drawn;
+        return chosen;
     }
 
-    /** Loses the voters drawn, and starts a machine for each, there or elsewhere. */
-    private void replaced(List<Replica> lost, int from) {
+    /** Loses these voters, and starts a replica in place of each, at the same addresses or at others. */
+    private void replace(List<Replica> lost, int from) {
         boolean sameAddress = random.nextBoolean();
         lost.forEach(world::wipe);
-        pass(random.nextLong(6_000_000));
+        run(random.nextLong(6_000_000));
         for (int i = 0; i < lost.size(); i++) {
             world.start(sameAddress ? lost.get(i).address() : "10.0.0." + (from + i) + ":7", false);
         }
@@ -94,24 +95,24 @@
     /** What is wrong after the second loss, or null. */
     public String secondLoss() {
         int many = (count - 1) / 2;
-        replaced(draw(many), count + standbys + 1);
-        pass(SYNC_TIME + random.nextLong(3_000_000));
-        draw(many).forEach(world::wipe);
-        pass(1_000_000);
+        replace(chooseRunning(many), count + standbys + 1);
+        run(SYNC_TIME_MICROS + random.nextLong(3_000_000));
+        chooseRunning(many).forEach(world::wipe);
+        run(1_000_000);
         ProposalResult answer = null;
         for (int i = 0; i < 20 && !(answer instanceof ProposalResult.Taken); i++) {
-            List<Replica> up = world.up();
-            answer = world.await(world.submit(up.get(i % up.size()), order(), 1_000_000));
+            List<Replica> up = world.runningReplicas();
+            answer = world.await(world.submit(up.get(i % up.size()), nextChange(), 1_000_000));
         }
         if (!(answer instanceof ProposalResult.Taken)) {
-            return "no order is taken any more: " + answer;
+            return "no change is accepted any more: " + answer;
         }
         return world.checks().breach();
     }
 
     /**
-     * How long it takes after the loss of one until three members hold what is agreed; below 0: never, or not
-     * one change of the voters after the other.
+     * How long it takes after the loss of one voter until as many voters as before have the committed state, in
+     * microseconds; negative if that is never, or if the voters change by more than one at a time.
      */
     public long untilThreeVote(boolean returnsBlank) {
         Replica lost = world.replica(1 + random.nextInt(count));
@@ -122,15 +123,15 @@
         }
         while (world.now() - at < 20_000_000) {
             step();
-            for (Replica one : world.up()) {
+            for (Replica one : world.runningReplicas()) {
                 List<String> voters = one.consensus().committed().voters();
-                long voting = world.up().stream()
+                long voting = world.runningReplicas().stream()
                         .filter(h -> voters.contains(h.consensus().own())
                                 && h.disk() != null
                                 && h.disk().voters().equals(voters))
                         .count();
                 if (voting == count && !voters.contains(lost.address())) {
-                    return world.checks().leaps() ? -1 : world.now() - at;
+                    return world.checks().hasLargeVoterChange() ? -1 : world.now() - at;
                 }
             }
         }
--- a/src/test/java/org/cypressweir/testkit/MeshNetwork.java
+++ b/src/test/java/org/cypressweir/testkit/MeshNetwork.java
@@ -101,7 +101,7 @@
         }
         return ips.keySet().stream()
                 .filter(to -> !to.equals(from))
-                .map(to -> peerAddress(to) + "=" + Addresses.text(relay.door(from, to)))
+                .map(to -> peerAddress(to) + "=" + Addresses.text(relay.dialAddress(from, to)))
                 .collect(Collectors.joining(","));
     }
 
--- a/src/test/java/org/cypressweir/testkit/OperatorChecks.java
+++ b/src/test/java/org/cypressweir/testkit/OperatorChecks.java
@@ -35,12 +35,12 @@
     private int conflicts;
 
     /** The first violation, or null. */
-    public synchronized String breach() {
+    public synchronized String violation() {
         return violation;
     }
 
     /** The body of a change that gives a tenant one API key. */
-    public static String order(String tenant, String key, long version) {
+    public static String tenantChange(String tenant, String key, long version) {
         return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
                 + version + "\"}}}}";
     }
@@ -71,7 +71,7 @@
     }
 
     /** Records the answer to an acknowledged change that was submitted once more: it must not be rejected. */
-    public synchronized void again(String change, int status) {
+    public synchronized void modifiedAgain(String change, int status) {
         repeated++;
         if (status >= 400 && status < 500) {
             addViolation("an acknowledged change is rejected with " + status + ": " + change);
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -21,7 +21,10 @@
 import org.cypressweir.controlplane.consensus.ReplicaKey;
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
-/** Replicas with disks and a network in simulated time, all drawn from one seed. */
+/**
+ * Replicas with disks and a network in simulated time. Delays, losses and the outcome of interrupted writes are chosen
+ * at random from one seed. For one thread.
+ */
 public final class SimulatedReplicas {
 
     private static final long TICK = 50_000;
@@ -37,7 +40,7 @@
         /** Until when writes do not come back. */
         long stalledUntil;
 
-        boolean full;
+        boolean diskFull;
 
         Replica(String address) {
             this.address = address;
@@ -55,7 +58,7 @@
             return disk;
         }
 
-        public boolean up() {
+        public boolean isRunning() {
             return consensus != null;
         }
     }
@@ -69,7 +72,7 @@
     /** The seeds of replicas that start from here on. */
     public List<String> seeds;
 
-    private final Set<List<String>> cuts = new HashSet<>();
+    private final Set<List<String>> blocked = new HashSet<>();
     private final ConsensusChecks checks = new ConsensusChecks();
     private final Map<Long, ProposalResult> results = new LinkedHashMap<>();
     private final Set<String> rounds = new HashSet<>();
@@ -77,18 +80,18 @@
     private long number;
     private long proposalIds;
     private long incarnations;
-    /** How much the clocks of replicas that start from here on are behind. */
-    public long behind;
-    /** Hears of each message that is sent, whether it comes or not. */
+    /** How far the clocks of replicas that start from here on are behind. */
+    public long clockBehindMicros;
+    /** Is given each message that is sent, whether it arrives or not. */
     public Consumer<Map<String, Object>> sent = message -> {};
     /** The address for which sent bytes are counted, and how many they were. */
-    public String weighed;
+    public String countedAddress;
 
-    public long bytes;
-    public double loss;
-    public double doubled;
-    public long mostDelay = 2_000;
-    public long mostWrite = 4_000;
+    public long countedBytes;
+    public double lossProbability;
+    public double duplicateProbability;
+    public long maxDelayMicros = 2_000;
+    public long maxWriteMicros = 4_000;
 
     public SimulatedReplicas(long seed, int count) {
         random = new SplittableRandom(seed);
@@ -116,11 +119,11 @@
         return replicas.get("10.0.0." + i + ":7");
     }
 
-    public List<Replica> up() {
-        return replicas.values().stream().filter(Replica::up).toList();
+    public List<Replica> runningReplicas() {
+        return replicas.values().stream().filter(Replica::isRunning).toList();
     }
 
-    /** How many rounds have been begun, as far as others were asked. */
+    /** How many proposal rounds have sent a prepare message. */
     public int rounds() {
         return rounds.size();
     }
@@ -129,10 +132,10 @@
         events.add(new Event(now + micros, number++, work));
     }
 
-    /** A process starts, with what is on its disk. */
+    /** Starts a replica with what is on its disk. */
     public Replica start(String address, boolean initial) {
         Replica replica = replicas.computeIfAbsent(address, Replica::new);
-        replica.incarnation = ++incarnations - behind;
+        replica.incarnation = ++incarnations - clockBehindMicros;
         replica.initial = initial;
         replica.consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
@@ -144,7 +147,7 @@
                 random.split(),
                 now);
         checks.started(address);
-        act(replica, replica.consensus.start(now));
+        perform(replica, replica.consensus.start(now));
         long incarnation = replica.incarnation;
         after(1 + random.nextLong(TICK), () -> tick(replica, incarnation));
         return replica;
@@ -154,22 +157,22 @@
         return start("10.0.0." + i + ":7", false);
     }
 
-    /** A process starts with a disk that it had before. */
+    /** Starts a replica with a disk that it had before. */
     public Replica start(int i, PersistentState disk) {
         replica(i).disk = disk;
         return start(i);
     }
 
-    /** An operator's request to bootstrap; why it is refused, or null. */
-    public String begin(Replica replica, Set<String> abandoned) {
+    /** Sends an operator's request to bootstrap; returns why it is rejected, or null. */
+    public String bootstrap(Replica replica, Set<String> abandoned) {
         String why = replica.consensus.bootstrapObstacle(now, abandoned);
         if (why == null) {
-            act(replica, replica.consensus.bootstrap(now, 1_700_000_000_000L));
+            perform(replica, replica.consensus.bootstrap(now, 1_700_000_000_000L));
         }
         return why;
     }
 
-    /** The process ends at once. A write that is not synced may be there or not. */
+    /** Ends a replica at once. A write that is not synced may be on its disk or not. */
     public void crash(Replica replica) {
         if (replica.writing != null && random.nextBoolean()) {
             replica.disk = replica.writing.change().on(replica.disk);
@@ -178,13 +181,13 @@
         replica.consensus = null;
     }
 
-    /** The process ends and the disk is lost. */
+    /** Ends a replica at once; its disk is lost. */
     public void wipe(Replica replica) {
         crash(replica);
         replica.disk = null;
     }
 
-    public void stall(Replica replica, long micros) {
+    public void stallDisk(Replica replica, long micros) {
         replica.stalledUntil = now + micros;
     }
 
@@ -193,23 +196,23 @@
         return replica.writing == null ? null : replica.writing.change();
     }
 
-    public void full(Replica replica, boolean full) {
-        replica.full = full;
+    public void setDiskFull(Replica replica, boolean full) {
+        replica.diskFull = full;
     }
 
-    public void cut(String from, String to) {
-        cuts.add(List.of(from, to));
+    public void block(String from, String to) {
+        blocked.add(List.of(from, to));
     }
 
     public void heal() {
-        cuts.clear();
-        loss = 0;
-        doubled = 0;
+        blocked.clear();
+        lossProbability = 0;
+        duplicateProbability = 0;
     }
 
     private void tick(Replica replica, long incarnation) {
-        if (replica.up() && replica.incarnation == incarnation) {
-            act(replica, replica.consensus.tick(now));
+        if (replica.isRunning() && replica.incarnation == incarnation) {
+            perform(replica, replica.consensus.tick(now));
             long age = replica.consensus.confirmedAge(now);
             if (age >= 0) {
                 checks.confirmed(
@@ -221,7 +224,7 @@
         }
     }
 
-    private void act(Replica replica, List<Effect> effects) {
+    private void perform(Replica replica, List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.Send send) {
                 send(replica, send);
@@ -231,21 +234,21 @@
                 }
                 replica.writing = write;
                 long incarnation = replica.incarnation;
-                after(1 + random.nextLong(mostWrite), () -> written(replica, incarnation));
+                after(1 + random.nextLong(maxWriteMicros), () -> written(replica, incarnation));
             } else if (effect instanceof Effect.Answer answer) {
                 if (results.put(answer.proposalId(), answer.result()) != null) {
                     throw new AssertionError("answered twice: " + answer);
                 }
                 checks.answered(answer.proposalId(), answer.result());
-                checks.at(now);
+                checks.timePassed(now);
             } else if (effect instanceof Effect.Show show) {
-                checks.shown(replica.address, show);
+                checks.published(replica.address, show);
             }
         }
     }
 
     private void written(Replica replica, long incarnation) {
-        if (!replica.up() || replica.incarnation != incarnation) {
+        if (!replica.isRunning() || replica.incarnation != incarnation) {
             return;
         }
         if (now < replica.stalledUntil) {
@@ -254,11 +257,11 @@
         }
         Effect.Write write = replica.writing;
         replica.writing = null;
-        boolean ok = !replica.full;
+        boolean ok = !replica.diskFull;
         if (ok || random.nextInt(4) == 0) {
             replica.disk = write.change().on(replica.disk);
         }
-        act(replica, replica.consensus.written(now, write.number(), ok));
+        perform(replica, replica.consensus.written(now, write.number(), ok));
     }
 
     private void send(Replica from, Effect.Send send) {
@@ -272,15 +275,15 @@
         }
         String member = from.consensus.own();
         String address = ReplicaKey.address(send.to());
-        if (address.equals(weighed)) {
-            bytes += JsonCodec.bytes(send.message()).length;
+        if (address.equals(countedAddress)) {
+            countedBytes += JsonCodec.bytes(send.message()).length;
         }
-        int times = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
+        int times = random.nextDouble() < lossProbability ? 0 : random.nextDouble() < duplicateProbability ? 2 : 1;
         for (int i = 0; i < times; i++) {
-            after(1 + random.nextLong(mostDelay), () -> {
+            after(1 + random.nextLong(maxDelayMicros), () -> {
                 Replica to = replicas.get(address);
-                if (to != null && to.up() && !cuts.contains(List.of(from.address, address))) {
-                    act(to, to.consensus.received(now, member, message));
+                if (to != null && to.isRunning() && !blocked.contains(List.of(from.address, address))) {
+                    perform(to, to.consensus.received(now, member, message));
                 }
             });
         }
@@ -288,24 +291,24 @@
 
     /** Submits a change to a replica; returns its proposal id, or -1 if the replica is down. */
     public long submit(Replica replica, String body, long patience) {
-        if (!replica.up()) {
+        if (!replica.isRunning()) {
             return -1;
         }
-        ConfigurationChange order =
+        ConfigurationChange change =
                 ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
         long proposalId = ++proposalIds;
-        checks.sent(proposalId, order);
-        act(replica, replica.consensus.submit(now, proposalId, order, now + patience));
+        checks.submitted(proposalId, change);
+        perform(replica, replica.consensus.submit(now, proposalId, change, now + patience));
         return proposalId;
     }
 
     public long read(Replica replica, long patience) {
-        if (!replica.up()) {
+        if (!replica.isRunning()) {
             return -1;
         }
         long proposalId = ++proposalIds;
-        checks.sent(proposalId, null);
-        act(replica, replica.consensus.read(now, proposalId, now + patience));
+        checks.submitted(proposalId, null);
+        perform(replica, replica.consensus.read(now, proposalId, now + patience));
         return proposalId;
     }
 
--- a/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -16,16 +16,16 @@
 import org.cypressweir.controlplane.consensus.ProposalResult;
 import org.cypressweir.controlplane.storage.Store;
 
-/** Three replicas with stores, where messages come at once and in order. Counts what is sent and written. */
+/** Three replicas with stores, whose messages arrive at once and in order. Counts what is sent and written. */
 public final class ThreeReplicas {
 
     private static final int COUNT = 3;
-    private static final long TICK = 50_000;
-    private static final long PATIENCE = 60_000_000;
+    private static final long TICK_MICROS = 50_000;
+    private static final long TIMEOUT_MICROS = 60_000_000;
 
-    private final ConsensusReplica[] copies = new ConsensusReplica[COUNT];
+    private final ConsensusReplica[] replicas = new ConsensusReplica[COUNT];
     private final List<Store> stores;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    private final Deque<Runnable> pending = new ArrayDeque<>();
     private final Map<Long, ProposalResult> results = new HashMap<>();
     private long now = 1_000_000;
     private long proposalIds;
@@ -37,54 +37,55 @@
         this.stores = stores;
         List<String> all = List.of("h1", "h2", "h3");
         for (int i = 0; i < COUNT; i++) {
-            copies[i] = new ConsensusReplica(
+            replicas[i] = new ConsensusReplica(
                     ConsensusOptions.usual(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
-            act(i, copies[i].start(now));
+            perform(i, replicas[i].start(now));
         }
-        settle();
+        deliverAll();
     }
 
-    /** Runs until nothing is under way, without heartbeats that are due by time. */
-    private void settle() {
-        while (!waiting.isEmpty()) {
-            waiting.poll().run();
+    /** Delivers all messages and writes, without letting time pass. */
+    private void deliverAll() {
+        while (!pending.isEmpty()) {
+            pending.poll().run();
         }
     }
 
+    /** Lets time pass by one tick. */
     public void tick() {
-        now += TICK;
+        now += TICK_MICROS;
         for (int i = 0; i < COUNT; i++) {
-            act(i, copies[i].tick(now));
+            perform(i, replicas[i].tick(now));
         }
-        settle();
+        deliverAll();
     }
 
-    /** A change, or a read for null, at the first copy. */
+    /** A change, or a read for null, at the first replica. */
     public ProposalResult submit(String body) {
         long proposalId = ++proposalIds;
-        ConfigurationChange order = body == null
+        ConfigurationChange change = body == null
                 ? null
                 : ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8))
                         .get();
-        act(0, copies[0].submit(now, proposalId, order, now + PATIENCE));
-        settle();
+        perform(0, replicas[0].submit(now, proposalId, change, now + TIMEOUT_MICROS));
+        deliverAll();
         for (int i = 0; i < 200 && !results.containsKey(proposalId); i++) {
             tick();
         }
         return results.get(proposalId);
     }
 
-    private void act(int i, List<Effect> effects) {
+    private void perform(int i, List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.Send send) {
                 int to = send.to().charAt(1) - '1';
                 messages++;
                 sentBytes += JsonCodec.bytes(send.message()).length;
                 Map<String, Object> message = JsonCopy.map(send.message());
-                waiting.add(() -> act(to, copies[to].received(now, "h" + (i + 1), message)));
+                pending.add(() -> perform(to, replicas[to].received(now, "h" + (i + 1), message)));
             } else if (effect instanceof Effect.Write write) {
                 writes++;
-                waiting.add(() -> act(i, copies[i].written(now, write.number(), written(i, write))));
+                pending.add(() -> perform(i, replicas[i].written(now, write.number(), written(i, write))));
             } else if (effect instanceof Effect.Answer answer) {
                 results.put(answer.proposalId(), answer.result());
             }
