--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -16,61 +16,61 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A member that was away through hundreds of changes, while ten more come each second. With
- * {@code -Dcatchup.items=20000 -Dcatchup.changes=1000} at the size that is promised.
+ * A replica that missed hundreds of changes catches up while ten more are submitted each second. With
+ * {@code -Dcatchup.items=20000 -Dcatchup.changes=1000} at the size for which the bounds are documented.
  */
 class CatchUpTest {
 
     private static final int ITEMS = Integer.getInteger("catchup.items", 2_000);
     private static final int CHANGES = Integer.getInteger("catchup.changes", 200);
-    private static final long WHOLE = 200L * ITEMS;
-    private static final long DIFFERENCES = 400L * CHANGES;
-    private static final long EVERY = 100_000;
-    private static final long PATIENCE = 3_000_000;
+    private static final long MAX_SNAPSHOT_BYTES = 200L * ITEMS;
+    private static final long MAX_DIFFERENCE_BYTES = 400L * CHANGES;
+    private static final long CHANGE_INTERVAL_MICROS = 100_000;
+    private static final long TIMEOUT_MICROS = 3_000_000;
 
     private SimulatedReplicas world;
-    private int made;
+    private int submitted;
 
-    /** The next change, at one of both that stay. */
+    /** Submits the next change to one of the two other replicas. */
     private void change() {
-        made++;
-        int item = made * 7 % ITEMS;
-        world.submit(world.replica(1 + made % 2), OneChangeTest.tenants(item, item + 1, 1 + made), PATIENCE);
-        world.run(EVERY);
+        submitted++;
+        int item = submitted * 7 % ITEMS;
+        world.submit(
+                world.replica(1 + submitted % 2), OneChangeTest.tenants(item, item + 1, 1 + submitted), TIMEOUT_MICROS);
+        world.run(CHANGE_INTERVAL_MICROS);
     }
 
-    private void cut(boolean off) {
+    private void setPartitioned(boolean partitioned) {
         world.heal();
-        for (int other = 1; off && other < 3; other++) {
+        for (int other = 1; partitioned && other < 3; other++) {
             world.block(world.replica(other).address(), world.replica(3).address());
             world.block(world.replica(3).address(), world.replica(other).address());
         }
     }
 
-    private void leave(String how) {
+    private void interrupt(String how) {
         switch (how) {
-            case "down" -> world.crash(world.replica(3));
+            case "crashed" -> world.crash(world.replica(3));
             case "wiped" -> world.wipe(world.replica(3));
-            case "frozen" -> {
-                world.stallDisk(world.replica(3), CHANGES * EVERY);
-                cut(true);
+            case "stalled" -> {
+                world.stallDisk(world.replica(3), CHANGES * CHANGE_INTERVAL_MICROS);
+                setPartitioned(true);
             }
-            default -> cut(true);
+            default -> setPartitioned(true);
         }
     }
 
-    /** What the test finds, or null. */
+    /** Runs some of the tests; returns the first failure, or null. */
     static String findViolation() {
-        for (String how : new String[] {"down", "wiped"}) {
+        for (String how : new String[] {"crashed", "wiped"}) {
             try {
-                new CatchUpTest()
-                        .isUpToDateWithinABoundOfTimeAndBytes(how, false, 2_000, how.equals("wiped") ? 4_000 : 1_500);
+                new CatchUpTest().catchesUpWithinTimeAndBytes(how, false, 2_000, how.equals("wiped") ? 4_000 : 1_500);
             } catch (AssertionError | RuntimeException e) {
                 return String.valueOf(e);
             }
         }
         try {
-            new CatchUpTest().whatWasLearntWhileAPromiseStoodIsABase();
+            new CatchUpTest().stateLearnedAfterAPromiseIsABaseOfTheProposal();
         } catch (AssertionError | RuntimeException e) {
             return String.valueOf(e);
         }
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whatWasLearntWhileAPromiseStoodIsABase() {
+    void stateLearnedAfterAPromiseIsABaseOfTheProposal() {
         List<String> voters = List.of("a", "b", "c");
         ProposalNumber decided = new ProposalNumber(5, "a");
         ProposalNumber promised = new ProposalNumber(9, "a");
@@ -134,34 +134,34 @@
 
     @ParameterizedTest
     @CsvSource({
-        "down, false, 2000, 1500",
-        "cut, false, 2000, 1500",
-        "frozen, false, 2000, 1500",
+        "crashed, false, 2000, 1500",
+        "partitioned, false, 2000, 1500",
+        "stalled, false, 2000, 1500",
         "wiped, false, 2000, 4000",
-        "down, true, 2000, 4000",
-        "down, false, 30000, 3000",
+        "crashed, true, 2000, 4000",
+        "crashed, false, 30000, 3000",
         "wiped, false, 30000, 12000",
-        "down, true, 30000, 12000",
+        "crashed, true, 30000, 12000",
     })
-    void isUpToDateWithinABoundOfTimeAndBytes(String how, boolean othersStartAnew, long delay, long millis) {
+    void catchesUpWithinTimeAndBytes(String how, boolean othersRestart, long delay, long millis) {
         world = new SimulatedReplicas(11, 3);
         world.run(500_000);
-        assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * PATIENCE)))
+        assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
         world.maxDelayMicros = delay;
-        leave(how);
+        interrupt(how);
         for (int i = 0; i < CHANGES; i++) {
             change();
         }
-        for (int other = 1; othersStartAnew && other < 3; other++) {
+        for (int other = 1; othersRestart && other < 3; other++) {
             world.crash(world.replica(other));
             world.start(other);
             world.run(2_000_000);
         }
         Replica back = world.replica(3);
         world.countedAddress = back.address();
-        cut(false);
+        setPartitioned(false);
         if (!back.isRunning()) {
             world.start(3);
         }
@@ -176,15 +176,17 @@
         for (int i = 0; i < 20; i++) {
             change();
         }
-        boolean whole = how.equals("wiped") || othersStartAnew;
+        boolean needsSnapshot = how.equals("wiped") || othersRestart;
         System.out.printf(
                 "%s%s, messages up to %d us: shown after %d ms and %d bytes, %d bytes 2 s later%n",
-                how, othersStartAnew ? ", others anew" : "", delay, took, shown, world.countedBytes);
+                how, othersRestart ? ", others anew" : "", delay, took, shown, world.countedBytes);
         assertThat(took).as("ms").isLessThan(millis);
-        assertThat(world.countedBytes).as("bytes").isLessThan(whole ? WHOLE : DIFFERENCES);
-        // With another gone it is needed, and leads with all that was agreed.
+        assertThat(world.countedBytes)
+                .as("bytes")
+                .isLessThan(needsSnapshot ? MAX_SNAPSHOT_BYTES : MAX_DIFFERENCE_BYTES);
+        // With another replica down it is needed for a majority, and proposes on the committed state.
         world.crash(world.replica(1));
-        assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), PATIENCE)))
+        assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
         assertThat(back.consensus().committed().configuration().sum())
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusFaultTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusFaultTest.java
@@ -11,7 +11,7 @@
     private static final int SCENARIOS = 160;
 
     @Test
-    void nothingAcknowledgedIsLost() {
+    void acknowledgedChangesSurviveRandomFaults() {
         int accepted = 0;
         for (long seed = 0; seed < SCENARIOS; seed++) {
             ConsensusFaults scenario = new ConsensusFaults(seed);
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusMessageCodecTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusMessageCodecTest.java
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void doesNotKnowOtherKinds() {
+    void unknownKindsAreNotDecoded() {
         assertThat(ConsensusMessageCodec.decode("copies.other", Map.of())).isEmpty();
         assertThat(ConsensusMessageCodec.kind(Map.of("t", 5L))).isEmpty();
     }
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -21,24 +21,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Harbours agree, whatever becomes of messages, processes and disks. */
+/** Replicas agree on one state despite lost messages, crashes and lost disks. See also ConsensusWalk. */
 class ConsensusReplicaTest {
 
-    private static final long PATIENCE = 3_000_000;
+    private static final long TIMEOUT_MICROS = 3_000_000;
 
-    private static String order(String tenant, long version, String key) {
+    private static String change(String tenant, long version, String key) {
         return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
                 + version + "\"}}}}";
     }
 
-    private static Object key(Configuration configuration, String tenant) {
+    private static Object apiKeys(Configuration configuration, String tenant) {
         return configuration
                 .get(new ItemKey(ItemType.TENANTS, tenant))
                 .content()
                 .get("apiKeys");
     }
 
-    private static void settled(SimulatedReplicas world) {
+    private static void assertAgreement(SimulatedReplicas world) {
         assertThat(world.checks().breach()).isNull();
         ReplicatedState first = world.runningReplicas().get(0).consensus().committed();
         for (Replica replica : world.runningReplicas()) {
@@ -49,38 +49,38 @@
         assertThat(world.checks().breach()).isNull();
     }
 
-    private static void taken(SimulatedReplicas world, Replica at, String body) {
-        assertThat(world.await(world.submit(at, body, PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
+    private static void assertAccepted(SimulatedReplicas world, Replica at, String body) {
+        assertThat(world.await(world.submit(at, body, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Taken.class);
     }
 
     @Test
-    void oneOfTwoWins() {
+    void oneOfTwoConflictingChangesIsAccepted() {
         SimulatedReplicas world = new SimulatedReplicas(1, 3);
         world.run(500_000);
-        long one = world.submit(world.replica(1), order("t", 1, "a"), PATIENCE);
-        long two = world.submit(world.replica(2), order("t", 1, "b"), PATIENCE);
+        long one = world.submit(world.replica(1), change("t", 1, "a"), TIMEOUT_MICROS);
+        long two = world.submit(world.replica(2), change("t", 1, "b"), TIMEOUT_MICROS);
         ProposalResult first = world.await(one);
         ProposalResult second = world.await(two);
         world.run(1_000_000);
-        settled(world);
+        assertAgreement(world);
         boolean wins = first instanceof ProposalResult.Taken;
         assertThat(wins ? first : second).isInstanceOf(ProposalResult.Taken.class);
         assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class, r -> assertThat(
                         r.refusal().kind())
                 .isEqualTo(RejectionKind.CONFLICT));
-        assertThat(key(world.replica(3).consensus().committed().configuration(), "t"))
+        assertThat(apiKeys(world.replica(3).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of(wins ? "a" : "b"));
-        // A duplicate of what stands, and of what stood.
-        taken(world, world.replica(3), order("t", 1, wins ? "a" : "b"));
-        taken(world, world.replica(3), order("t", 2, "c"));
-        taken(world, world.replica(1), order("t", 1, wins ? "a" : "b"));
+        // Repetitions of the version in force, and of one that it has superseded.
+        assertAccepted(world, world.replica(3), change("t", 1, wins ? "a" : "b"));
+        assertAccepted(world, world.replica(3), change("t", 2, "c"));
+        assertAccepted(world, world.replica(1), change("t", 1, wins ? "a" : "b"));
         world.run(1_000_000);
-        settled(world);
+        assertAgreement(world);
     }
 
-    /** A process that was stopped for long offers nothing whose caller has gone elsewhere since. */
+    /** A replica that was suspended for long sends no accept message for a change whose caller has timed out since. */
     @Test
-    void whatIsLateIsNotOffered() {
+    void proposalIsAbandonedAfterItsDeadline() {
         List<String> voters = List.of("a", "b", "c");
         ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
@@ -95,7 +95,7 @@
         List<Effect> asked = consensus.submit(
                 1,
                 7,
-                ConfigurationChange.read(order("t", 1, "k").getBytes(StandardCharsets.UTF_8))
+                ConfigurationChange.read(change("t", 1, "k").getBytes(StandardCharsets.UTF_8))
                         .get(),
                 850_000);
         Effect.Write write = (Effect.Write)
@@ -121,21 +121,21 @@
     }
 
     @Test
-    void outlastsLossOfPowerEverywhere() {
+    void committedStateSurvivesAPowerFailureOfAllReplicas() {
         SimulatedReplicas world = new SimulatedReplicas(2, 3);
         world.run(500_000);
-        taken(world, world.replica(1), order("t", 1, "a"));
+        assertAccepted(world, world.replica(1), change("t", 1, "a"));
         List<Replica> all = world.runningReplicas();
         all.forEach(world::crash);
         all.forEach(h -> world.start(h.address(), false));
         world.run(3_000_000);
-        settled(world);
-        assertThat(key(world.replica(2).consensus().committed().configuration(), "t"))
+        assertAgreement(world);
+        assertThat(apiKeys(world.replica(2).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of("a"));
     }
 
     @Test
-    void whoStartsWithAClockSetBackIsHeard() {
+    void replicaWhoseClockIsSetBackRejoins() {
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
         world.crash(world.replica(3));
@@ -146,21 +146,21 @@
             world.block(world.replica(1).address(), world.replica(other).address());
             world.block(world.replica(other).address(), world.replica(1).address());
         }
-        taken(world, world.replica(3), order("t", 1, "a"));
+        assertAccepted(world, world.replica(3), change("t", 1, "a"));
         world.crash(world.replica(2));
         world.heal();
         world.run(1_000_000);
-        assertThat(key(world.replica(1).consensus().committed().configuration(), "t"))
+        assertThat(apiKeys(world.replica(1).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of("a"));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void outlastsOneDiskWhileOthersLosePower(int lost) {
+    void committedStateSurvivesADiskLossWhileTheOthersLosePower(int lost) {
         for (int seed = 0; seed < 40; seed++) {
             SimulatedReplicas world = new SimulatedReplicas(seed, 3);
             world.run(500_000);
-            taken(world, world.replica(1), order("t", 1, "a"));
+            assertAccepted(world, world.replica(1), change("t", 1, "a"));
             List<Replica> all = world.runningReplicas();
             all.forEach(h -> {
                 if (h == world.replica(lost)) {
@@ -171,18 +171,18 @@
             });
             all.forEach(h -> world.start(h.address(), false));
             world.run(4_000_000);
-            settled(world);
-            assertThat(key(world.replica(lost).consensus().committed().configuration(), "t"))
+            assertAgreement(world);
+            assertThat(apiKeys(world.replica(lost).consensus().committed().configuration(), "t"))
                     .isEqualTo(List.of("a"));
-            taken(world, world.replica(lost), order("t", 2, "b"));
+            assertAccepted(world, world.replica(lost), change("t", 2, "b"));
         }
     }
 
     @Test
-    void machinesAreReplacedOneAfterTheOther() {
+    void replicasAreReplacedOneAfterTheOther() {
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
-        taken(world, world.replica(3), order("t", 1, "a"));
+        assertAccepted(world, world.replica(3), change("t", 1, "a"));
         PersistentState crashed = null;
         for (int gone = 3; gone > 1; gone--) {
             crashed = world.replica(gone).disk();
@@ -193,66 +193,66 @@
                     .hasSize(3)
                     .contains(fresh.consensus().own())
                     .doesNotContain(world.replica(gone).address());
-            settled(world);
-            taken(world, fresh, order("t", 10 - gone, "b" + gone));
+            assertAgreement(world);
+            assertAccepted(world, fresh, change("t", 10 - gone, "b" + gone));
         }
         world.run(1_000_000);
-        settled(world);
-        assertThat(key(world.replica(1).consensus().committed().configuration(), "t"))
+        assertAgreement(world);
+        assertThat(apiKeys(world.replica(1).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of("b2"));
-        // One that was taken out and has its old disk waits until it is wanted; it knows what stands.
+        // A removed voter that returns with its old disk is a standby, and learns the committed state.
         world.start(2, crashed);
         Replica back = world.replica(2);
         world.run(5_000_000);
         assertThat(back.consensus().voters())
                 .hasSize(3)
                 .doesNotContain(back.consensus().own());
-        settled(world);
-        assertThat(world.await(world.submit(back, order("t", 20, "c"), PATIENCE)))
+        assertAgreement(world);
+        assertThat(world.await(world.submit(back, change("t", 20, "c"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
         world.wipe(world.replica(1));
         world.run(4_000_000);
         assertThat(back.consensus().own()).isEqualTo(back.address());
         assertThat(back.consensus().voters()).hasSize(3).contains(back.address());
-        taken(world, back, order("t", 20, "c"));
+        assertAccepted(world, back, change("t", 20, "c"));
         world.run(1_000_000);
-        settled(world);
+        assertAgreement(world);
     }
 
     @Test
-    void aDiskThatStallsOrIsFullIsToldAndOthersGoOn() {
+    void replicaReportsAStalledOrFullDiskWhileTheOthersAcceptChanges() {
         SimulatedReplicas world = new SimulatedReplicas(4, 3);
         world.run(500_000);
         Replica slow = world.replica(1);
         world.stallDisk(slow, 5_000_000);
-        long stuck = world.submit(slow, order("t", 1, "a"), PATIENCE);
+        long stuck = world.submit(slow, change("t", 1, "a"), TIMEOUT_MICROS);
         assertThat(world.await(stuck)).isInstanceOf(ProposalResult.Unavailable.class);
         assertThat(slow.consensus().diskFailed(world.now())).isTrue();
-        assertThat(world.result(world.read(slow, PATIENCE))).isInstanceOf(ProposalResult.Unavailable.class);
-        taken(world, world.replica(2), order("u", 1, "b"));
+        assertThat(world.result(world.read(slow, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Unavailable.class);
+        assertAccepted(world, world.replica(2), change("u", 1, "b"));
         world.run(6_000_000);
         assertThat(slow.consensus().diskFailed(world.now())).isFalse();
-        settled(world);
+        assertAgreement(world);
         world.setDiskFull(slow, true);
-        assertThat(world.await(world.submit(slow, order("t", 5, "e"), PATIENCE)))
+        assertThat(world.await(world.submit(slow, change("t", 5, "e"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
         assertThat(slow.consensus().diskFailed(world.now())).isTrue();
-        taken(world, world.replica(3), order("t", 5, "f"));
+        assertAccepted(world, world.replica(3), change("t", 5, "f"));
         world.run(2_000_000);
         world.setDiskFull(slow, false);
         world.run(2_000_000);
         assertThat(slow.consensus().diskFailed(world.now())).isFalse();
-        taken(world, slow, order("t", 6, "g"));
+        assertAccepted(world, slow, change("t", 6, "g"));
         world.run(1_000_000);
-        settled(world);
+        assertAgreement(world);
         world.crash(slow);
         world.start(1);
         world.run(2_000_000);
-        settled(world);
+        assertAgreement(world);
     }
 
     @Test
-    void manyItemsGoInPieces() {
+    void largeStateIsSentInChunks() {
         SimulatedReplicas world = new SimulatedReplicas(5, 3);
         world.run(500_000);
         StringBuilder body = new StringBuilder("{\"upsert\":{\"tenantTable\":{");
@@ -260,24 +260,24 @@
             body.append(i == 0 ? "" : ",")
                     .append("\"n" + i + "\":{\"apiKeys\":[\"k" + i + "\"],\"configVersion\":\"r1\"}");
         }
-        taken(world, world.replica(1), body.append("}}}").toString());
+        assertAccepted(world, world.replica(1), body.append("}}}").toString());
         world.wipe(world.replica(3));
-        taken(world, world.replica(2), order("t", 1, "a"));
+        assertAccepted(world, world.replica(2), change("t", 1, "a"));
         world.start(3);
         world.run(4_000_000);
-        settled(world);
+        assertAgreement(world);
         assertThat(world.replica(3).consensus().committed().configuration().size())
                 .isEqualTo(1_001);
-        taken(world, world.replica(3), order("t", 2, "b"));
+        assertAccepted(world, world.replica(3), change("t", 2, "b"));
     }
 
-    /** With seeds that name only blank replicas, too: whoever is down may hold what was agreed. */
+    /** Also with seeds that name only blank replicas: one that is down may have a committed state. */
     @ParameterizedTest
     @CsvSource({"3, 3, false", "4, 3, true", "5, 4, true", "3, 2, true", "3, 1, true"})
-    void nothingBeginsFromNothing(int count, int blank, boolean lastReturns) {
+    void blankReplicasDoNotBootstrapThemselves(int count, int blank, boolean lastReturns) {
         SimulatedReplicas world = new SimulatedReplicas(6, count);
         world.run(500_000);
-        taken(world, world.replica(1), order("t", 1, "a"));
+        assertAccepted(world, world.replica(1), change("t", 1, "a"));
         world.run(1_000_000);
         world.runningReplicas().forEach(world::crash);
         world.seeds = world.seeds.subList(0, blank);
@@ -292,18 +292,18 @@
             world.run(1_000_000);
             world.runningReplicas().forEach(h -> assertThat(world.await(world.read(h, 500_000)))
                     .isInstanceOf(ProposalResult.Unavailable.class));
-            world.runningReplicas().forEach(h -> assertThat(world.await(world.submit(h, order("t", 1, "b"), 500_000)))
+            world.runningReplicas().forEach(h -> assertThat(world.await(world.submit(h, change("t", 1, "b"), 500_000)))
                     .isInstanceOf(ProposalResult.Unavailable.class));
         }
         assertThat(world.checks().breach()).isNull();
     }
 
-    /** Who holds something is named before it is given up, and does not bring it back. */
+    /** A replica that has a state must be named before that state is abandoned, and does not bring it back. */
     @Test
-    void anOperatorsWordBeginsWithNothing() {
+    void operatorBootstrapsBlankReplicas() {
         SimulatedReplicas world = new SimulatedReplicas(8, 4);
         world.run(500_000);
-        taken(world, world.replica(1), order("t", 1, "a"));
+        assertAccepted(world, world.replica(1), change("t", 1, "a"));
         world.run(1_000_000);
         assertThat(world.bootstrap(world.replica(1), Set.of())).contains("not blank");
         world.runningReplicas().forEach(world::crash);
@@ -324,32 +324,32 @@
                     .contains(replica.consensus().own());
             assertThat(replica.consensus().committed().configuration().size()).isZero();
         }
-        taken(world, world.replica(4), order("u", 1, "b"));
+        assertAccepted(world, world.replica(4), change("u", 1, "b"));
     }
 
     @Test
-    void whatIsForgottenIsFoundAmongTheOthers() {
+    void replicaWithALostDiskBreaksNoPromise() {
         assertThat(ConsensusCornerCases.findViolation()).isNull();
     }
 
-    /** What a write that failed left on the disk must not get under what is written next. */
+    /** What a failed write has left on the disk must not be the base of the next write. */
     @Test
-    void afterAFailedWriteTheWholeIsWritten() {
+    void fullSnapshotIsWrittenAfterAFailedWrite() {
         ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
         written(consensus, consensus.start(0), 0, true);
-        List<Effect> first = consensus.submit(0, 1, parsed(order("t", 1, "x")), PATIENCE);
+        List<Effect> first = consensus.submit(0, 1, parse(change("t", 1, "x")), TIMEOUT_MICROS);
         List<Effect> accept = written(consensus, first, 0, true);
         written(consensus, accept, 0, false);
         written(consensus, consensus.tick(600_000), 600_000, true);
-        List<Effect> promise = consensus.submit(700_000, 2, parsed(order("u", 1, "y")), PATIENCE);
+        List<Effect> promise = consensus.submit(700_000, 2, parse(change("u", 1, "y")), TIMEOUT_MICROS);
         StorageUpdate change = write(written(consensus, promise, 700_000, true)).change();
         assertThat(change.fullSnapshot()).isTrue();
         assertThat(Configuration.of(change.items()).get(new ItemKey(ItemType.TENANTS, "u")))
                 .isNotNull();
     }
 
-    private static ConfigurationChange parsed(String body) {
+    private static ConfigurationChange parse(String body) {
         return ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
     }
 
@@ -365,7 +365,7 @@
     }
 
     @Test
-    void strangeMessagesAreIgnored() {
+    void invalidMessagesAreIgnored() {
         SimulatedReplicas world = new SimulatedReplicas(7, 3);
         world.run(500_000);
         SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
@@ -10,7 +10,7 @@
 import org.cypressweir.testkit.ThreeReplicas;
 import org.junit.jupiter.api.Test;
 
-/** One change costs its own size, whatever the whole weighs. */
+/** The bytes that replicas send for one change depend on the size of the change alone. */
 class OneChangeTest {
 
     static String tenants(int from, int to, int version) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whateverTheWholeWeighs() {
+    void bytesSentDoNotDependOnTheSizeOfTheConfiguration() {
         assertThat(sentForOne(5_000)).isCloseTo(sentForOne(10), Percentage.withPercentage(10));
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/PlantedConsensusFaultsTest.java
@@ -53,7 +53,7 @@
                         + "standby.stream())"
                         + ".sorted().toList();",
             })
-    void eachFaultOfReplacementIsFound(String fault, String file, String text, String instead) throws Exception {
+    void findsPlantedFaultOfVoterReplacement(String fault, String file, String text, String instead) throws Exception {
         Method losses = planted(file, text, instead)
                 .loadClass("org.cypressweir.testkit.MachineLosses")
                 .getMethod("findViolation", int.class);
@@ -109,7 +109,7 @@
                 "contact that is lost is never regained ~ QuorumContact.java "
                         + "~ Math.max(startedAt, contactAt(voters)) ~ startedAt",
             })
-    void eachFaultIsFound(String fault, String file, String text, String instead) throws Exception {
+    void findsPlantedFault(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = planted(file, text, instead);
         Method corners = planted.loadClass("org.cypressweir.testkit.ConsensusCornerCases")
                 .getMethod("findViolation");
@@ -133,7 +133,7 @@
                         + "~ if (!fullSnapshot && base.equals(before.number()) "
                         + "~ if (false",
             })
-    void whoLagsLongerIsFound(String fault, String file, String text, String instead) throws Exception {
+    void findsPlantedFaultOfCatchUp(String fault, String file, String text, String instead) throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/controlplane/consensus"),
--- a/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
@@ -11,39 +11,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A replica that is cut off knows it, says so, answers nobody 200, and goes on at once when it is back. */
+/** A replica without contact to a majority reports that and accepts no call until it has contact again. */
 class QuorumContactTest {
 
-    private static final long PATIENCE = 850_000;
-    private static final long CUT = 20_000_000;
-    private static final long PRESENT = 1_000_000;
+    private static final long TIMEOUT_MICROS = 850_000;
+    private static final long PARTITION_MICROS = 20_000_000;
+    private static final long MAX_AGE_MICROS = 1_000_000;
 
-    private enum Cut {
+    private enum Partition {
         BOTH,
         HEARS_NOBODY,
         NOBODY_HEARS_IT
     }
 
-    private static void cut(SimulatedReplicas world, int off, Cut how) {
+    private static void partition(SimulatedReplicas world, int partitioned, Partition direction) {
         for (int other = 1; other <= 3; other++) {
-            if (other != off && how != Cut.NOBODY_HEARS_IT) {
-                world.block(world.replica(other).address(), world.replica(off).address());
+            if (other != partitioned && direction != Partition.NOBODY_HEARS_IT) {
+                world.block(
+                        world.replica(other).address(),
+                        world.replica(partitioned).address());
             }
-            if (other != off && how != Cut.HEARS_NOBODY) {
-                world.block(world.replica(off).address(), world.replica(other).address());
+            if (other != partitioned && direction != Partition.HEARS_NOBODY) {
+                world.block(
+                        world.replica(partitioned).address(),
+                        world.replica(other).address());
             }
         }
     }
 
-    private static String order(long version) {
+    private static String change(long version) {
         return "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k" + version + "\"],\"configVersion\":\"r" + version
                 + "\"}}}}";
     }
 
-    private static void refusedWithin(long most, SimulatedReplicas world, long proposalId) {
+    private static void assertUnavailableWithin(long maxMicros, SimulatedReplicas world, long proposalId) {
         long begun = world.now();
         assertThat(world.await(proposalId)).isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(world.now() - begun).isLessThanOrEqualTo(most);
+        assertThat(world.now() - begun).isLessThanOrEqualTo(maxMicros);
     }
 
     private static long age(SimulatedReplicas world, Replica replica) {
@@ -51,34 +55,37 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Cut.class)
-    void cutOffForTwentySeconds(Cut how) {
-        SimulatedReplicas world = new SimulatedReplicas(how.ordinal(), 3);
+    @EnumSource(Partition.class)
+    void partitionedReplicaRejectsCallsUntilItHasContactAgain(Partition direction) {
+        SimulatedReplicas world = new SimulatedReplicas(direction.ordinal(), 3);
         world.run(1_000_000);
-        Replica off = world.replica(3);
-        assertThat(world.await(world.submit(off, order(1), PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
+        Replica partitioned = world.replica(3);
+        assertThat(world.await(world.submit(partitioned, change(1), TIMEOUT_MICROS)))
+                .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        assertThat(age(world, off)).isBetween(0L, PRESENT);
-        cut(world, 3, how);
-        long cut = world.now();
-        // What comes before the replica can know of the cut waits, and is not answered 200 either.
-        refusedWithin(PATIENCE + 60_000, world, world.submit(off, order(2), PATIENCE));
+        assertThat(age(world, partitioned)).isBetween(0L, MAX_AGE_MICROS);
+        partition(world, 3, direction);
+        long partitionedAt = world.now();
+        // A call that comes before the replica can know of the partition waits, and is not accepted either.
+        assertUnavailableWithin(TIMEOUT_MICROS + 60_000, world, world.submit(partitioned, change(2), TIMEOUT_MICROS));
         world.run(2_000_000);
-        for (long version = 10; world.now() < cut + CUT; version++) {
-            assertThat(off.consensus().inContact(world.now())).isFalse();
-            assertThat(age(world, off)).isGreaterThanOrEqualTo(world.now() - cut);
-            refusedWithin(210_000, world, world.submit(off, order(version), PATIENCE));
-            refusedWithin(210_000, world, world.read(off, PATIENCE));
-            assertThat(world.await(world.submit(world.replica(1 + (int) version % 2), order(100 + version), PATIENCE)))
+        for (long version = 10; world.now() < partitionedAt + PARTITION_MICROS; version++) {
+            assertThat(partitioned.consensus().inContact(world.now())).isFalse();
+            assertThat(age(world, partitioned)).isGreaterThanOrEqualTo(world.now() - partitionedAt);
+            assertUnavailableWithin(210_000, world, world.submit(partitioned, change(version), TIMEOUT_MICROS));
+            assertUnavailableWithin(210_000, world, world.read(partitioned, TIMEOUT_MICROS));
+            assertThat(world.await(
+                            world.submit(world.replica(1 + (int) version % 2), change(100 + version), TIMEOUT_MICROS)))
                     .isInstanceOf(ProposalResult.Taken.class);
             world.run(500_000);
         }
         world.heal();
-        // The first order after the join is taken: nobody need have told it before that it is back.
-        assertThat(world.await(world.submit(off, order(1_000), PATIENCE))).isInstanceOf(ProposalResult.Taken.class);
-        world.run(PRESENT);
-        assertThat(off.consensus().inContact(world.now())).isTrue();
-        assertThat(age(world, off)).isBetween(0L, PRESENT);
+        // The first change after the partition is accepted: no heartbeat need have come before it.
+        assertThat(world.await(world.submit(partitioned, change(1_000), TIMEOUT_MICROS)))
+                .isInstanceOf(ProposalResult.Taken.class);
+        world.run(MAX_AGE_MICROS);
+        assertThat(partitioned.consensus().inContact(world.now())).isTrue();
+        assertThat(age(world, partitioned)).isBetween(0L, MAX_AGE_MICROS);
         assertThat(world.checks().breach()).isNull();
     }
 
@@ -103,7 +110,7 @@
         ReplicaContext context = new ReplicaContext(ConsensusOptions.usual(), "a", 0, 5, new SplittableRandom(1), 0);
         QuorumContact contact = new QuorumContact(context);
         long first = contact.nextSequence();
-        context.now = CUT;
+        context.now = PARTITION_MICROS;
         long second = contact.nextSequence();
         contact.onHeartbeat("b", heartbeat(1, 4, second));
         assertThat(contact.contactAt(voters)).isEqualTo(QuorumContact.NEVER);
@@ -116,15 +123,15 @@
         assertThat(contact.isLost(voters)).isFalse();
         contact.confirm(
                 new ReplicatedState(ProposalNumber.ZERO, voters, Configuration.EMPTY), ProposalNumber.ZERO, voters);
-        assertThat(contact.confirmedAt()).isEqualTo(CUT);
+        assertThat(contact.confirmedAt()).isEqualTo(PARTITION_MICROS);
     }
 
     @Test
-    void aReplicaAloneIsAlwaysInContact() {
+    void singleReplicaIsAlwaysInContact() {
         SimulatedReplicas world = new SimulatedReplicas(1, 1);
         world.run(5_000_000);
         assertThat(age(world, world.replica(1))).isLessThan(60_000);
-        assertThat(world.await(world.submit(world.replica(1), order(1), PATIENCE)))
+        assertThat(world.await(world.submit(world.replica(1), change(1), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
     }
 }
