--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -43,7 +43,7 @@
     private static final int TICK_MILLIS = 50;
     private static final int TICKS_PER_DEMAND_UPDATE = 4;
     private static final int TICKS_PER_SETTINGS_CHECK = 20;
-    /** A part of the time that a process has between the signal and its end. */
+    /** Longest wait for the handover after SIGTERM. */
     private static final int SHUTDOWN_MILLIS = 1_500;
 
     private static final int MIN_VOTERS = 3;
@@ -67,7 +67,7 @@
 
     private List<String> seeds;
     private long ticks;
-    /** Counted down once another replica has all that this one knows; null before the shutdown. */
+    /** Counted down once {@link ConsensusReplica#handedOver()} is true; null before the shutdown. */
     private CountDownLatch handover;
 
     private Controller(NodeSettings settings, SettingsWatcher settingsWatcher) {
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -69,6 +69,7 @@
 
     private static EnvironmentConfig config(int logFileKib) {
         EnvironmentConfig config = new EnvironmentConfig();
+        // Syncs each transaction before it returns: an acknowledged change rests on this.
         config.setLogDurableWrite(true);
         config.setLogFileSize(logFileKib);
         config.setLogCachePageSize(CACHE_PAGE_BYTES);
--- a/src/main/java/org/cypressweir/dataplane/proxy/GracefulShutdown.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/GracefulShutdown.java
@@ -64,7 +64,7 @@
         long now = clock.getAsLong();
         boolean isQuietPeriodOver = now > quietUntil;
         if (isQuietPeriodOver) {
-            // Clients that have connected still get responses, each with its connection's last one.
+            // Connected clients get one more response, then their connection closes.
             listener.get().stopListening();
             listener.get().drain();
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -275,7 +275,7 @@
 
     // ---- Shutdown
 
-    /** SIGTERM: new requests are refused by and by, those in flight are answered. */
+    /** SIGTERM: requests in flight are answered, then connections are closed ({@link GracefulShutdown}). */
     private void shutDown(CountDownLatch ended) {
         PeerForwarder forwarder = peers.forwarder();
         new GracefulShutdown(loop, clock, () -> outbound, () -> dispatcher.isIdle() && forwarder.inFlightCount() == 0)
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceHandlers.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceHandlers.java
@@ -67,6 +67,7 @@
 
     private ServiceRequestHandler newHandler(String service) {
         NodeSettings current = settings.get();
+        // Two handlers for each service, one of tenants and one of nested calls: each gets half.
         double slack = RETRY_SLACK_PART / 2 * current.number("retrySlack", 0) / Math.max(1, proxyCount.getAsInt());
         return new ServiceRequestHandler(
                 service,
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/admin/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The admin listener of the sidecar: readiness, metrics, draining and reload.
+ */
+package org.cypressweir.sidecar.admin;
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/buffering/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Memory budget for large request bodies that are buffered before they are forwarded.
+ */
+package org.cypressweir.sidecar.buffering;
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Limits that all sidecars of a fleet keep together, and this sidecar's share of them.
+ */
+package org.cypressweir.sidecar.fleetlimits;
--- /dev/null
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The operators' file of the sidecar: reading, validation and explanation of what is in force.
+ */
+package org.cypressweir.sidecar.operatorconfig;
