--- a/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
@@ -155,6 +155,8 @@
     private final Set<Link> links = new LinkedHashSet<>();
     private final Set<String> down = new LinkedHashSet<>();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    /** Callers whose tasks have run; only the relay's thread uses it. */
+    private final List<CompletableFuture<Void>> awaitingEffect = new ArrayList<>();
     /** Connections that were reset. */
     public final AtomicLong resets = new AtomicLong();
 
@@ -209,11 +211,12 @@
         act(modes::clear);
     }
 
+    /** Runs a task on the relay's thread and returns once listeners and connections follow from it. */
     private void act(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         tasks.add(() -> {
             task.run();
-            done.complete(null);
+            awaitingEffect.add(done);
         });
         selector.wakeup();
         done.orTimeout(5, TimeUnit.SECONDS).join();
@@ -236,6 +239,8 @@
                 }
                 doors();
                 move(now);
+                awaitingEffect.forEach(done -> done.complete(null));
+                awaitingEffect.clear();
                 selector.select(5);
                 for (SelectionKey key : selector.selectedKeys()) {
                     took(key);
