--- a/src/main/java/org/cypressweir/loadbalancing/SlidingWindowBudget.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SlidingWindowBudget.java
@@ -1,7 +1,6 @@
 package org.cypressweir.loadbalancing;
 
 import java.util.ArrayDeque;
-import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 
 /**
  * A budget that holds in every window of a length: at most a floor, and a part of what was earned in it. The
@@ -20,13 +19,6 @@
 
     private long spent;
 
-    /** The budget of further attempts that the rules set; null where they set none. */
-    static SlidingWindowBudget of(Rules rules) {
-        return rules.lookBackMicros() == 0
-                ? null
-                : new SlidingWindowBudget(rules.lookBackMicros(), rules.extraFloor(), rules.extraPerRequest());
-    }
-
     /** Windows of so many microseconds; in each at most the floor and a part, 0 to 1, of what was earned. */
     SlidingWindowBudget(long length, double floor, double perEarned) {
         this.length = length;
--- a/src/main/java/org/cypressweir/loadbalancing/SubsetTree.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SubsetTree.java
@@ -4,18 +4,16 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** The subset tree, after MOSN's inverted index (PAPER): one bitmap for each value of each label key, kept up by each
- * change; a node, the servers that carry a value of some keys, is an intersection of bitmaps, made when it is first
- * asked for and patched from then on. A member is in the tree once. Members of a node have an order, by their place
- * and then by when they came, so that a ring walk and a subset of one's own are cheap. */
+/** The subset tree, after MOSN's inverted index (PAPER): one bitmap for each value of each label key, kept up
+ * by each change; a node, the servers that carry a value of some keys, is an intersection of bitmaps, made
+ * when it is first asked for and patched from then on. A member is in the tree once. Members of a node have
+ * an order, by their place and then by when they came, so that a ring walk and a subset of one's own are
+ * cheap. */
 final class SubsetTree<M extends SubsetTree.Member> {
 
     /** Stands for any value of a key; as a label, for none. */
     static final int ANY = -1;
-
-    private static final int INSERT = 0;
-    private static final int REMOVE = 1;
-    private static final int MARK = 2;
+    private static final int INSERT = 0, REMOVE = 1, MARK = 2;
 
     /** What can be in the tree; its labels and place hold from when it is added until it is removed. */
     abstract static class Member extends IndexedMembers.Member {
@@ -29,7 +27,6 @@
     private static final class Branch<M extends Member> {
         /** By value, the first for any. */
         private final List<Branch<M>> next = new ArrayList<>(1);
-
         private IndexedMembers<M> node;
 
         private Branch<M> at(int value) {
@@ -45,9 +42,8 @@
 
     private final List<List<BitSet>> index = new ArrayList<>();
     private final List<M> members = new ArrayList<>();
-    /** Slots in use. */
-    private final BitSet taken = new BitSet();
-
+    /** Slots in use, and those of the node that is being built. */
+    private final BitSet taken = new BitSet(), all = new BitSet();
     private int size;
     private Branch<M> root = new Branch<>();
 
@@ -70,16 +66,14 @@
         size++;
         if (m.slot == members.size()) members.add(m);
         else members.set(m.slot, m);
-        for (int k = 0; k < labels.length; k++)
-            if (labels[k] >= 0) bits(k, labels[k]).set(m.slot);
+        for (int k = 0; k < labels.length; k++) if (labels[k] >= 0) bits(k, labels[k]).set(m.slot);
         visit(root, 0, m, INSERT);
     }
 
     /** Takes out a member that is in; its mark stays with it. */
     void remove(M m) {
         visit(root, 0, m, REMOVE);
-        for (int k = 0; k < m.labels.length; k++)
-            if (m.labels[k] >= 0) bits(k, m.labels[k]).clear(m.slot);
+        for (int k = 0; k < m.labels.length; k++) if (m.labels[k] >= 0) bits(k, m.labels[k]).clear(m.slot);
         members.set(m.slot, null);
         taken.clear(m.slot);
         size--;
@@ -118,7 +112,8 @@
     }
 
     private IndexedMembers<M> build(int[] values) {
-        BitSet all = (BitSet) taken.clone();
+        all.clear();
+        all.or(taken);
         for (int k = 0; k < values.length; k++) if (values[k] >= 0) all.and(bits(k, values[k]));
         Member[] found = new Member[all.cardinality()];
         int count = 0;
--- a/src/main/java/org/cypressweir/loadbalancing/WeightedAccounts.java
+++ b/src/main/java/org/cypressweir/loadbalancing/WeightedAccounts.java
@@ -2,7 +2,6 @@
 
 import java.util.Arrays;
 import java.util.List;
-import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 
 /**
  * Accounts by share: everything that anyone spends fills all accounts by their shares, so no rate has to be
@@ -20,11 +19,6 @@
     private final boolean none;
     private long spent;
 
-    /** An account for each tenant. */
-    static WeightedAccounts of(List<Tenant> tenants, double slack) {
-        return new WeightedAccounts(tenants.stream().map(Tenant::share).toList(), slack);
-    }
-
     /** With shares of any sum; an account may be ahead or behind by the slack. */
     WeightedAccounts(List<Double> shares, double slack) {
         double sum = shares.stream().mapToDouble(s -> s).sum();
