--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -93,11 +93,6 @@
         return PeerMessageCodec.encode(new PeerMessage.Hello(name, incarnation, ++lastNumber));
     }
 
-    /** How many messages were dropped as stale. */
-    long staleMessageCount() {
-        return staleMessages.count();
-    }
-
     @Override
     public Handle send(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback) {
         if (endpoint.address().equals(ownAddress)) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
@@ -4,7 +4,7 @@
 import org.jboss.logging.Logger;
 
 /**
- * Counts and logs messages that were dropped because they belong to another connection, another incarnation
+ * Logs messages that were dropped because they belong to another connection, another incarnation
  * or a request that is complete. Logs one line a second at most. Used on the event loop alone.
  */
 final class StaleMessageFilter {
@@ -13,7 +13,6 @@
     private static final long LOG_INTERVAL_MICROS = 1_000_000;
 
     private final LongSupplier clock;
-    private long count;
     private long countSinceLog;
     private long nextLogAt = Long.MIN_VALUE;
 
@@ -21,9 +20,8 @@
         this.clock = clock;
     }
 
-    /** Counts a message that the caller drops. */
+    /** Tells of a message that the caller drops. */
     void dropped(String kind, long number, String reason) {
-        count++;
         countSinceLog++;
         long now = clock.getAsLong();
         if (now >= nextLogAt) {
@@ -33,9 +31,4 @@
             nextLogAt = now + LOG_INTERVAL_MICROS;
         }
     }
-
-    /** How many messages were dropped since the start. */
-    long count() {
-        return count;
-    }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
@@ -277,9 +277,8 @@
 
     private void sendUpdates(long now) {
         for (Link link : monitoredPeers.links()) {
-            InetSocketAddress address = context.table.get(link.name).peer().address();
             for (Updates updates : context.disseminator.unsentFor(now, context.table, link.name)) {
-                sender.send(now, address, Kind.NEWS, link.name, 0, updates);
+                sendUpdates(now, link, updates);
             }
         }
         context.disseminator.markSent(now);
@@ -292,11 +291,15 @@
         }
         Updates ownRecord = Updates.of(context.ownRecord());
         for (Link link : monitoredPeers.links()) {
-            InetSocketAddress address = context.table.get(link.name).peer().address();
-            sender.send(now, address, Kind.NEWS, link.name, 0, ownRecord);
+            sendUpdates(now, link, ownRecord);
         }
     }
 
+    private void sendUpdates(long now, Link link, Updates updates) {
+        InetSocketAddress address = context.table.get(link.name).peer().address();
+        sender.send(now, address, Kind.NEWS, link.name, 0, updates);
+    }
+
     private void cleanUp(long now) {
         nextCleanupAt = now + CLEANUP_PERIODS * context.options.periodMicros();
         failureDetector.expireReports(now);
--- a/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
+++ b/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import java.util.concurrent.atomic.AtomicReference;
 import org.cypressweir.sidecar.admin.RequestClassSlots;
 
 /**
@@ -24,7 +25,7 @@
     private static final String PREFIX = "cypressweir-sidecar: ";
 
     private final EventLoop loop;
-    private final CurrentConfiguration configuration;
+    private final AtomicReference<SidecarConfiguration> configuration;
     private final Layout layout;
     private final RequestReader reader;
     private final InFlightRequests inFlight;
@@ -40,7 +41,7 @@
 
     ConfigurationReloader(
             EventLoop loop,
-            CurrentConfiguration configuration,
+            AtomicReference<SidecarConfiguration> configuration,
             Layout layout,
             RequestReader reader,
             InFlightRequests inFlight,
@@ -107,7 +108,7 @@
 
     private void adopt(SidecarConfiguration next, Layout.Change change) {
         listener.reloading(change);
-        configuration.replace(next);
+        configuration.set(next);
         reader.retune(next.settings());
         inFlight.figures().show(next.classNames());
         inFlight.figures().reconfigured(true);
--- a/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
+++ b/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
@@ -7,6 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import org.cypressweir.common.util.Addresses;
 import org.cypressweir.fleet.FleetCoordination;
@@ -27,7 +28,7 @@
     private static final int FACTS_INTERVAL_SECONDS = 10;
 
     private final EventLoop loop;
-    private final CurrentConfiguration configuration;
+    private final AtomicReference<SidecarConfiguration> configuration;
     private final SidecarLifecycle lifecycle;
     private final InFlightRequests inFlight;
     private final PeerEndpointLists lists;
@@ -40,7 +41,7 @@
 
     FleetParticipation(
             EventLoop loop,
-            CurrentConfiguration configuration,
+            AtomicReference<SidecarConfiguration> configuration,
             SidecarLifecycle lifecycle,
             InFlightRequests inFlight,
             PeerEndpointLists lists,
--- a/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
@@ -28,7 +29,7 @@
     private static final int MICROS_PER_MILLI = 1_000;
 
     private final SidecarClock clock;
-    private final CurrentConfiguration configuration;
+    private final AtomicReference<SidecarConfiguration> configuration;
     private final SidecarLifecycle lifecycle;
     private final InFlightRequests inFlight;
     private final RequestReader reader;
@@ -38,7 +39,7 @@
 
     RequestAdmission(
             SidecarClock clock,
-            CurrentConfiguration configuration,
+            AtomicReference<SidecarConfiguration> configuration,
             SidecarLifecycle lifecycle,
             InFlightRequests inFlight,
             RequestReader reader,
--- a/src/main/java/org/cypressweir/sidecar/Sidecar.java
+++ b/src/main/java/org/cypressweir/sidecar/Sidecar.java
@@ -6,6 +6,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import org.cypressweir.fleet.FleetCoordination;
@@ -29,7 +30,9 @@
 
     private final EventLoop loop;
     private final PrintStream log;
-    private final CurrentConfiguration configuration;
+    /** In force; replaced on the event loop only, read by any thread. */
+    private final AtomicReference<SidecarConfiguration> configuration;
+
     private final SidecarClock clock = new SidecarClock();
     private final InFlightRequests inFlight = new InFlightRequests();
     private final SidecarLifecycle lifecycle = new SidecarLifecycle();
@@ -66,7 +69,7 @@
             Layout.Factory layouts) {
         this.loop = loop;
         this.log = log;
-        configuration = new CurrentConfiguration(initial);
+        configuration = new AtomicReference<>(initial);
         RequestReader reader = new RequestReader(initial.settings());
         admission = new RequestAdmission(clock, configuration, lifecycle, inFlight, reader, this::log);
         discovery = new Discovery(
