--- a/src/bench/java/larkbank/FleetBench.java
+++ b/src/bench/java/larkbank/FleetBench.java
@@ -44,11 +44,21 @@
 
     private static Settings settings() {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        return new Settings(7, 0, 3, 0, List.of("a", "b"),
-                List.of(new RequestClass("c", Effect.SAFE, Group.ALL, 0, 400_000, 0, 3_000_000, 1, 0.3,
-                        false)),
-                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)), 0.2, 0, s.limits(),
-                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, 0, 0, 0), ReportSource.NONE, false, false,
+        return new Settings(
+                7,
+                0,
+                3,
+                0,
+                List.of("a", "b"),
+                List.of(new RequestClass("c", Effect.SAFE, Group.ALL, 0, 400_000, 0, 3_000_000, 1, 0.3, false)),
+                List.of(new Tenant("t", 0.5), new Tenant("u", 0.5)),
+                0.2,
+                0,
+                s.limits(),
+                new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, 0, 0, 0),
+                ReportSource.NONE,
+                false,
+                false,
                 1_000);
     }
 
@@ -81,8 +91,8 @@
     @BenchmarkMode(Mode.AverageTime)
     public void request() {
         String id = "q" + next++;
-        recorder.choice.request(recorder.now, new Request(id, 0, next & 1, false, -1,
-                recorder.now + 3_000_000, 0, false));
+        recorder.choice.request(
+                recorder.now, new Request(id, 0, next & 1, false, -1, recorder.now + 3_000_000, 0, false));
         recorder.answer(0, Result.SERVED, 50, true);
         forget();
     }
--- a/src/bench/java/larkbank/Hollow.java
+++ b/src/bench/java/larkbank/Hollow.java
@@ -29,7 +29,7 @@
     private static final int TARGET = 4_000;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private Hollow() { }
+    private Hollow() {}
 
     /** The berth of the pilot of that index. */
     public static Berth berth(int i, long number) {
@@ -38,21 +38,31 @@
 
     public static Berth berth(int i, long number, String ip) {
         String service = "service-" + i % SERVICES;
-        return new Berth("side-" + i, 1_796_000_000_000_000L + i, number, ip + ":21700", ip + ":21790",
-                "zone-" + i % ZONES, service, false,
+        return new Berth(
+                "side-" + i,
+                1_796_000_000_000_000L + i,
+                number,
+                ip + ":21700",
+                ip + ":21790",
+                "zone-" + i % ZONES,
+                service,
+                false,
                 new Ship(service + "-i-" + i, service, ip + ":21800", 16, false, 0));
     }
 
     public static Manifest manifest() {
-        String services = IntStream.range(0, SERVICES).mapToObj(i -> "'service-" + i
-                + "':{'healthPath':'/health','maxConnections':32,'configVersion':'r1'}")
+        String services = IntStream.range(0, SERVICES)
+                .mapToObj(i -> "'service-" + i + "':{'healthPath':'/health','maxConnections':32,'configVersion':'r1'}")
                 .collect(Collectors.joining(","));
-        String routes = IntStream.range(0, ROUTES).mapToObj(i -> route(i, 1))
+        String routes = IntStream.range(0, ROUTES).mapToObj(i -> route(i, 1)).collect(Collectors.joining(","));
+        String tenants = IntStream.range(0, TENANTS)
+                .mapToObj(i -> "'tenant-" + i + "':{'apiKeys':['key-" + i
+                        + "'],'ratePerS':50,'burstSize':20,'configVersion':'r1'}")
                 .collect(Collectors.joining(","));
-        String tenants = IntStream.range(0, TENANTS).mapToObj(i -> "'tenant-" + i + "':{'apiKeys':['key-" + i
-                + "'],'ratePerS':50,'burstSize':20,'configVersion':'r1'}").collect(Collectors.joining(","));
-        return changed(Manifest.EMPTY, "{'upsert':{'serviceTable':{" + services + "},'routeTable':{" + routes
-                + "},'tenantTable':{" + tenants + "}}}");
+        return changed(
+                Manifest.EMPTY,
+                "{'upsert':{'serviceTable':{" + services + "},'routeTable':{" + routes + "},'tenantTable':{" + tenants
+                        + "}}}");
     }
 
     /** That manifest with one route of this version. */
@@ -147,15 +157,25 @@
         for (int s = 1; s < given.length; s++) {
             int place = s - 1;
             sizes[place] = Integer.parseInt(given[s]);
-            Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xmx2g",
-                    "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:CompileThresholdScaling=0.1",
-                    "-XX:SoftRefLRUPolicyMSPerMB=0", "-cp",
-                    System.getProperty("java.class.path"), bench.getName(), given[0], given[s])
-                    .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            Process process = new ProcessBuilder(
+                            System.getProperty("java.home") + "/bin/java",
+                            "-Xmx2g",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-XX:CompileThresholdScaling=0.1",
+                            "-XX:SoftRefLRUPolicyMSPerMB=0",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            bench.getName(),
+                            given[0],
+                            given[s])
+                    .redirectError(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             byte[] line = process.getInputStream().readAllBytes();
             System.out.print(new String(line, StandardCharsets.UTF_8));
-            Scribe.read(line, 0, line.length).forEach((what, y) -> all.computeIfAbsent(what,
-                    k -> new double[sizes.length])[place] = ((Number) y).doubleValue());
+            Scribe.read(line, 0, line.length)
+                    .forEach((what, y) -> all.computeIfAbsent(what, k -> new double[sizes.length])[place] =
+                            ((Number) y).doubleValue());
         }
         all.remove("n");
         all.forEach((what, y) -> {
--- a/src/bench/java/larkbank/PaperBench.java
+++ b/src/bench/java/larkbank/PaperBench.java
@@ -38,7 +38,7 @@
     private List<Host> hosts;
     private int[][] labels;
 
-    private static final class Host extends Subsets.Member { }
+    private static final class Host extends Subsets.Member {}
 
     @Setup
     public void setUp() {
--- a/src/bench/java/larkbank/PushBench.java
+++ b/src/bench/java/larkbank/PushBench.java
@@ -28,12 +28,26 @@
     private static final int SLICE = 256;
     private static final int REQUESTS = 50_000;
 
-    private PushBench() { }
+    private PushBench() {}
 
     private static Settings settings() {
         Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
-        return new Settings(7, 0, 3, 0, s.zones(), s.classes(), s.tenants(), 0.2, 0,
-                s.limits().with(100_000, 100_000, 400), s.rules(), s.reports(), false, false, 1_000);
+        return new Settings(
+                7,
+                0,
+                3,
+                0,
+                s.zones(),
+                s.classes(),
+                s.tenants(),
+                0.2,
+                0,
+                s.limits().with(100_000, 100_000, 400),
+                s.rules(),
+                s.reports(),
+                false,
+                false,
+                1_000);
     }
 
     public static void main(String[] args) {
@@ -43,11 +57,16 @@
         long[] took = new long[REQUESTS + 2 * SERVERS / SLICE + 10];
         Recorder r = push(took);
         Arrays.sort(took);
-        System.out.printf("push of %d servers: longest call %.2f ms, 99.9%% %.3f ms, median %.4f ms;"
-                + " %d ms in collections; %d of %d requests sent%n", SERVERS, took[took.length - 1] / 1e6,
-                took[(int) (took.length * 0.999)] / 1e6, took[took.length / 2] / 1e6,
-                        collections() - collected,
-                r.sent.size(), REQUESTS);
+        System.out.printf(
+                "push of %d servers: longest call %.2f ms, 99.9%% %.3f ms, median %.4f ms;"
+                        + " %d ms in collections; %d of %d requests sent%n",
+                SERVERS,
+                took[took.length - 1] / 1e6,
+                took[(int) (took.length * 0.999)] / 1e6,
+                took[took.length / 2] / 1e6,
+                collections() - collected,
+                r.sent.size(),
+                REQUESTS);
         memory();
     }
 
@@ -77,8 +96,8 @@
                 for (int n = 0; n < SLICE && next < 2 * SERVERS; n++, next++) {
                     boolean drains = next % (2 * SLICE) < SLICE;
                     int of = next / (2 * SLICE) * SLICE + next % SLICE;
-                    change.add(server(Math.min(of, SERVERS - 1), drains ? Phase.DRAINING : Phase.READY,
-                            drains ? 0 : r.now));
+                    change.add(server(
+                            Math.min(of, SERVERS - 1), drains ? Phase.DRAINING : Phase.READY, drains ? 0 : r.now));
                 }
                 long since = System.nanoTime();
                 r.choice.servers(r.now, ListKind.CHANGES, change);
@@ -90,9 +109,8 @@
             r.choice.request(r.now, request);
             if (r.sent.size() > before) {
                 Recorder.Sent sent = r.sent.get(before);
-                r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000,
-                        true,
-                        null));
+                r.choice.outcome(
+                        r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000, true, null));
             }
             took[calls++] = System.nanoTime() - since;
             r.timers.clear();
@@ -103,7 +121,8 @@
 
     private static long collections() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream()
-                .mapToLong(GarbageCollectorMXBean::getCollectionTime).sum();
+                .mapToLong(GarbageCollectorMXBean::getCollectionTime)
+                .sum();
     }
 
     private static long used() {
@@ -124,8 +143,7 @@
         for (int i = 0; i < 20_000; i++) {
             r.choice.request(r.now, new Request("m" + i, 0, i & 1, false, -1, r.now + 1_000_000, 0, false));
             Recorder.Sent sent = r.sent.remove(0);
-            r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000, true,
-                    null));
+            r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000, true, null));
             r.actions.clear();
             r.timers.clear();
         }
@@ -134,13 +152,13 @@
         long before = used();
         int held = 20_000;
         for (int i = 0; i < held; i++) {
-            holding.choice.request(holding.now, new Request("h" + i, 0, i & 1, false, -1, holding.now
-                    + 1_000_000, 0,
-                    false));
+            holding.choice.request(
+                    holding.now, new Request("h" + i, 0, i & 1, false, -1, holding.now + 1_000_000, 0, false));
             holding.actions.clear();
             holding.timers.clear();
         }
-        System.out.printf("memory: %d bytes a server with its nodes, %d bytes a held request; heap %d MB%n",
+        System.out.printf(
+                "memory: %d bytes a server with its nodes, %d bytes a held request; heap %d MB%n",
                 (full - empty) / SERVERS, (used() - before) / held, used() >> 20);
         if (list.size() + holding.sent.size() + r.sent.size() == 0) {
             throw new IllegalStateException("kept alive until here");
--- a/src/bench/java/larkbank/cell/CellBench.java
+++ b/src/bench/java/larkbank/cell/CellBench.java
@@ -120,10 +120,11 @@
     @OutputTimeUnit(TimeUnit.MICROSECONDS)
     public int listChange() {
         int id = 1 + (next++ * 7 & 4095);
-        int moved = parting.listed(now, ListKind.CHANGES,
-                List.of(CellPlans.server(id, id % 5, Phase.REMOVED))).size();
-        return moved + parting.listed(now, ListKind.CHANGES,
-                List.of(CellPlans.server(id, id % 5, Phase.READY))).size();
+        int moved = parting.listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.REMOVED)))
+                .size();
+        return moved
+                + parting.listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.READY)))
+                        .size();
     }
 
     @Override
--- a/src/bench/java/larkbank/cell/DealBench.java
+++ b/src/bench/java/larkbank/cell/DealBench.java
@@ -17,7 +17,7 @@
 
     private static final int FLEETS = 200;
 
-    private DealBench() { }
+    private DealBench() {}
 
     public static void main(String[] args) {
         System.out.println("servers\tcells\tsmallest\tby_modulo\tmoved_by_one\tworst");
@@ -50,13 +50,14 @@
             smallest += Arrays.stream(dealt).min().orElseThrow() * (double) cells / servers;
             modulo += Arrays.stream(plain).min().orElseThrow() * (double) cells / servers;
             int leaves = random.nextInt(servers);
-            int by = parting.listed(2, ListKind.CHANGES,
-                    List.of(CellPlans.server(first + leaves, leaves % 5, Phase.REMOVED))).size();
+            int by = parting.listed(
+                            2, ListKind.CHANGES, List.of(CellPlans.server(first + leaves, leaves % 5, Phase.REMOVED)))
+                    .size();
             moved += by;
             worst = Math.max(worst, by);
         }
-        System.out.printf("%d\t%d\t%.2f\t%.2f\t%.1f\t%d%n", servers, cells, smallest / fleets,
-                modulo / fleets,
-                moved / (double) fleets, worst);
+        System.out.printf(
+                "%d\t%d\t%.2f\t%.2f\t%.1f\t%d%n",
+                servers, cells, smallest / fleets, modulo / fleets, moved / (double) fleets, worst);
     }
 }
--- a/src/bench/java/larkbank/copies/CutBench.java
+++ b/src/bench/java/larkbank/copies/CutBench.java
@@ -5,7 +5,7 @@
 /** Time to acknowledge and rounds begun, with eight orders at once, before, in and after cuts; made-up time. */
 public final class CutBench {
 
-    private CutBench() { }
+    private CutBench() {}
 
     /** How many days of each kind, the most delay of a message in ms, and the lengths of cuts in seconds. */
     public static void main(String[] args) {
@@ -13,8 +13,11 @@
         for (int i = 2; i < given.length; i++) {
             for (CopiesCuts.Kind kind : CopiesCuts.Kind.values()) {
                 String cut = given[i];
-                CopiesCuts.measure(kind, Long.parseLong(cut) * 1_000_000,
-                        Long.parseLong(given[1]) * 1_000, Integer.parseInt(given[0]))
+                CopiesCuts.measure(
+                                kind,
+                                Long.parseLong(cut) * 1_000_000,
+                                Long.parseLong(given[1]) * 1_000,
+                                Integer.parseInt(given[0]))
                         .forEach((phase, figures) ->
                                 System.out.println(kind + " " + cut + " s, " + phase + ": " + figures));
             }
--- a/src/bench/java/larkbank/copies/OneChangeBench.java
+++ b/src/bench/java/larkbank/copies/OneChangeBench.java
@@ -20,12 +20,16 @@
     private static final int CHANGES = 60;
     private static final int[] HOT = {8, 64, 256, 600};
 
-    private OneChangeBench() { }
+    private OneChangeBench() {}
 
     private static String tenants(int from, int to, int version) {
-        return "{\"upsert\":{\"tenantTable\":{" + IntStream.range(from, to).mapToObj(i -> "\"t" + i
-                + "\":{\"apiKeys\":[\"key-" + i + "-" + version + "\"],\"configVersion\":\"r" + version
-                + "\"}").collect(Collectors.joining(",")) + "}}}";
+        return "{\"upsert\":{\"tenantTable\":{"
+                + IntStream.range(from, to)
+                        .mapToObj(i -> "\"t" + i
+                                + "\":{\"apiKeys\":[\"key-" + i + "-" + version + "\"],\"configVersion\":\"r" + version
+                                + "\"}")
+                        .collect(Collectors.joining(","))
+                + "}}}";
     }
 
     private static long size(Path folder) throws IOException {
@@ -48,8 +52,9 @@
             long sent = three.sentBytes();
             long disk = size(first);
             three.submit(tenants(0, 1, version));
-            System.out.printf("  an item changed %d times: %d bytes sent, %d bytes on a disk%n", before,
-                    three.sentBytes() - sent, size(first) - disk);
+            System.out.printf(
+                    "  an item changed %d times: %d bytes sent, %d bytes on a disk%n",
+                    before, three.sentBytes() - sent, size(first) - disk);
             version++;
         }
     }
@@ -83,10 +88,17 @@
                 micros[i] = (System.nanoTime() - begun) / 1_000;
             }
             Arrays.sort(micros);
-            System.out.printf("%d items: whole %d bytes in %d ms; a change: %d messages, %d bytes sent, "
-                    + "%d writes, %d bytes on a disk, median %d us%n", items, whole, loaded / 1_000_000,
-                    (three.messages() - messages) / CHANGES, (three.sentBytes() - sent) / CHANGES,
-                    (three.writes() - writes) / CHANGES, (size(first) - disk) / CHANGES, micros[CHANGES / 2]);
+            System.out.printf(
+                    "%d items: whole %d bytes in %d ms; a change: %d messages, %d bytes sent, "
+                            + "%d writes, %d bytes on a disk, median %d us%n",
+                    items,
+                    whole,
+                    loaded / 1_000_000,
+                    (three.messages() - messages) / CHANGES,
+                    (three.sentBytes() - sent) / CHANGES,
+                    (three.writes() - writes) / CHANGES,
+                    (size(first) - disk) / CHANGES,
+                    micros[CHANGES / 2]);
             hot(three, first);
             for (Store store : stores) {
                 store.close();
--- a/src/bench/java/larkbank/fleet/CrewBench.java
+++ b/src/bench/java/larkbank/fleet/CrewBench.java
@@ -25,7 +25,7 @@
     private static final long PAUSE = 1_000;
     private static final long COST_SECONDS = 20;
 
-    private CrewBench() { }
+    private CrewBench() {}
 
     public static void main(String[] args) throws Exception {
         String[] parts = args[0].split(":");
@@ -81,8 +81,10 @@
             TimeUnit.SECONDS.sleep(COST_SECONDS);
             long[] before = IntStream.of(all).mapToLong(i -> cpu(crew, i)).toArray();
             TimeUnit.SECONDS.sleep(COST_SECONDS);
-            double[] cpu = IntStream.of(all).mapToDouble(i -> (cpu(crew, i) - before[i]) / 1e7 / COST_SECONDS)
-                    .sorted().toArray();
+            double[] cpu = IntStream.of(all)
+                    .mapToDouble(i -> (cpu(crew, i) - before[i]) / 1e7 / COST_SECONDS)
+                    .sorted()
+                    .toArray();
             long[] heap = new long[members];
             long[] memory = new long[members];
             for (int i : all) {
@@ -94,10 +96,18 @@
             }
             Arrays.sort(heap);
             Arrays.sort(memory);
-            System.out.println(String.format(Locale.ROOT, "%d processes, membership %s: processor median"
-                    + " %.2f%%, worst %.2f%% of a core; heap and classes in use median %d KiB, worst %d KiB;"
-                    + " resident median %d KiB, worst %d KiB", members, on ? "on" : "off", cpu[members / 2],
-                    cpu[members - 1], heap[members / 2], heap[members - 1], memory[members / 2],
+            System.out.println(String.format(
+                    Locale.ROOT,
+                    "%d processes, membership %s: processor median"
+                            + " %.2f%%, worst %.2f%% of a core; heap and classes in use median %d KiB, worst %d KiB;"
+                            + " resident median %d KiB, worst %d KiB",
+                    members,
+                    on ? "on" : "off",
+                    cpu[members / 2],
+                    cpu[members - 1],
+                    heap[members / 2],
+                    heap[members - 1],
+                    memory[members / 2],
                     memory[members - 1]));
         } finally {
             delete(folder);
@@ -105,7 +115,8 @@
     }
 
     private static String jcmd(long pid, String command) throws Exception {
-        Process jcmd = new ProcessBuilder("jcmd", String.valueOf(pid), command).redirectErrorStream(true)
+        Process jcmd = new ProcessBuilder("jcmd", String.valueOf(pid), command)
+                .redirectErrorStream(true)
                 .start();
         String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         jcmd.waitFor();
@@ -113,7 +124,10 @@
     }
 
     private static long sum(String number, String text) {
-        return Pattern.compile(number).matcher(text).results().mapToLong(r -> Long.parseLong(r.group(1)))
+        return Pattern.compile(number)
+                .matcher(text)
+                .results()
+                .mapToLong(r -> Long.parseLong(r.group(1)))
                 .sum();
     }
 
--- a/src/bench/java/larkbank/fleet/LeaseCrewBench.java
+++ b/src/bench/java/larkbank/fleet/LeaseCrewBench.java
@@ -24,7 +24,7 @@
     private static final long TERM = 1_200;
     private static final long STARTED = 30_000;
 
-    private LeaseCrewBench() { }
+    private LeaseCrewBench() {}
 
     public static void main(String[] args) throws Exception {
         String[] parts = args[0].split(":");
@@ -36,10 +36,10 @@
             try (Stub server = new Stub(Stub.serves("ok"));
                     Crew crew = new Crew(folder, seed, members, PAUSE, server)) {
                 crew.seeds(3);
-                String keepers = IntStream.range(0, 3).mapToObj(k -> address(crew, k))
-                        .collect(Collectors.joining(", "));
-                crew.operators(text -> text + "[keepers]\naddresses = [" + keepers
-                        + "]\n[leases.job]\nterm = \"" + TERM + "ms\"\n");
+                String keepers =
+                        IntStream.range(0, 3).mapToObj(k -> address(crew, k)).collect(Collectors.joining(", "));
+                crew.operators(text ->
+                        text + "[keepers]\naddresses = [" + keepers + "]\n[leases.job]\nterm = \"" + TERM + "ms\"\n");
                 for (int i = 0; i < members; i++) {
                     crew.start(i);
                 }
@@ -55,9 +55,15 @@
                 CrewBench.delete(folder);
             }
         }
-        System.out.println(String.format(Locale.ROOT, "%d faults of holders, %d acts, term %d ms:"
-                + " another acts after median %d ms, 99%% %d, worst %d", gaps.getTotalCount(), acts, TERM,
-                gaps.getValueAtPercentile(50), gaps.getValueAtPercentile(99), gaps.getMaxValue()));
+        System.out.println(String.format(
+                Locale.ROOT,
+                "%d faults of holders, %d acts, term %d ms:" + " another acts after median %d ms, 99%% %d, worst %d",
+                gaps.getTotalCount(),
+                acts,
+                TERM,
+                gaps.getValueAtPercentile(50),
+                gaps.getValueAtPercentile(99),
+                gaps.getMaxValue()));
     }
 
     private static String address(Crew crew, int place) {
@@ -68,8 +74,7 @@
         }
     }
 
-    private static void fault(Crew crew, Actors actors, SplittableRandom random, Histogram gaps)
-            throws Exception {
+    private static void fault(Crew crew, Actors actors, SplittableRandom random, Histogram gaps) throws Exception {
         for (int i = 0; i < crew.size(); i++) {
             int who = i;
             crew.within(STARTED, "ready", () -> crew.ask(who, "READY").startsWith("YES"));
@@ -91,8 +96,7 @@
             case 5 -> crew.ask(holder, "DRAIN");
             default -> crew.process(holder).destroy();
         }
-        long took = crew.within(10 * TERM, "another holds, fault " + kind,
-                () -> actors.actsBesides(Crew.name(holder)));
+        long took = crew.within(10 * TERM, "another holds, fault " + kind, () -> actors.actsBesides(Crew.name(holder)));
         gaps.recordValue(took);
         TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM));
         crew.relay.weather(Relay.Weather.FAIR);
--- a/src/bench/java/larkbank/harbour/NewsDeskBench.java
+++ b/src/bench/java/larkbank/harbour/NewsDeskBench.java
@@ -24,9 +24,10 @@
     private static final int TENANTS = 1_500;
     /** Tenants whose rate a pilot tells anew in a telling, and tellings a second. */
     private static final int TOLD = 2;
+
     private static final int TELLINGS = 5;
-    private static final List<String> CREW = List.of("10.1.0.1:21700", "10.1.0.2:21700", "10.1.0.3:21700",
-            "10.1.0.4:21700", "10.1.0.5:21700", "10.1.0.6:21700");
+    private static final List<String> CREW = List.of(
+            "10.1.0.1:21700", "10.1.0.2:21700", "10.1.0.3:21700", "10.1.0.4:21700", "10.1.0.5:21700", "10.1.0.6:21700");
 
     private final int n;
     private final SplittableRandom random;
@@ -130,8 +131,7 @@
                 hear(i, Scribe.map("t", "want", "have", had));
             }
         });
-        measure("wholeConfiguration", 5, () -> hear(0, Scribe.map("t", "want", "have",
-                Ballot.ZERO.toString())));
+        measure("wholeConfiguration", 5, () -> hear(0, Scribe.map("t", "want", "have", Ballot.ZERO.toString())));
         zoneLost();
         return found;
     }
--- a/src/bench/java/larkbank/lab/AllToAll.java
+++ b/src/bench/java/larkbank/lab/AllToAll.java
@@ -14,7 +14,13 @@
     private final boolean[] out;
     private long sendAt;
 
-    AllToAll(Datagrams<Integer> net, int self, int members, long period, long silence, long phase,
+    AllToAll(
+            Datagrams<Integer> net,
+            int self,
+            int members,
+            long period,
+            long silence,
+            long phase,
             PlainSwim.Verdict verdict) {
         this.net = net;
         this.self = self;
--- a/src/bench/java/larkbank/lab/FellowsBench.java
+++ b/src/bench/java/larkbank/lab/FellowsBench.java
@@ -29,6 +29,7 @@
     private static int sleepSeconds = 120;
     /** Heartbeats are n squared: past this many members they say nothing new and take days. */
     private static final int MOST_HEARTBEATS = 1_000;
+
     private static final long PERIOD = MembershipPlan.period(PAUSE);
 
     /** What was counted of one way over all seeds. */
@@ -45,19 +46,25 @@
     }
 
     /** A fleet of one kind, and where its verdicts go. */
-    private record Fleet(Datagrams<?> net, BiPredicate<Integer, Integer> sees, LongSupplier bytes,
-            Consumer<PlainSwim.Verdict> ear) { }
+    private record Fleet(
+            Datagrams<?> net,
+            BiPredicate<Integer, Integer> sees,
+            LongSupplier bytes,
+            Consumer<PlainSwim.Verdict> ear) {}
 
-    private FellowsBench() { }
+    private FellowsBench() {}
 
     public static void main(String[] args) throws IOException {
         String[] parts = args[0].split(":");
         if (parts.length > 3) {
             sleepSeconds = Integer.parseInt(parts[3]);
         }
-        CategoryChart chart = new CategoryChartBuilder().width(760).height(420)
+        CategoryChart chart = new CategoryChartBuilder()
+                .width(760)
+                .height(420)
                 .title("Healthy members put out in two minutes, sleepers and 20% loss (log10 of 1 + n)")
-                .xAxisTitle("members").build();
+                .xAxisTitle("members")
+                .build();
         List<String> sizes = List.of(parts[0].split(","));
         String[] ways = {"membership", "plain SWIM", "all to all"};
         List<List<Double>> bars = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -73,15 +80,22 @@
                 // Heartbeats are n squared: past 100 members one seed says all.
                 int seeds = way == 2 && n > 100 ? 1 : Integer.parseInt(parts[1]);
                 for (int seed = 1; seed <= seeds; seed++) {
-                    day(way == 0 ? ours(n, seed) : way == 1 ? swim(n, seed) : heartbeats(n, seed), n, seed,
-                            row);
+                    day(way == 0 ? ours(n, seed) : way == 1 ? swim(n, seed) : heartbeats(n, seed), n, seed, row);
                 }
-                System.out.println(String.format(Locale.ROOT,
-                        "| %d | %s | %d, %d, %d | %d | %.1f | %.1f | %.1f, %.0f | %.0f%%; %.1f |", n,
-                        ways[way], row.known.getValueAtPercentile(50), row.known.getValueAtPercentile(99),
-                        row.known.getMaxValue(), row.unknown, 1.0 * row.falseEnds / row.days,
-                        row.changes * 60.0 / sleepSeconds / row.days, row.datagrams / row.days,
-                        row.bytes / row.days, 100.0 * row.mute / row.days / (n - 2),
+                System.out.println(String.format(
+                        Locale.ROOT,
+                        "| %d | %s | %d, %d, %d | %d | %.1f | %.1f | %.1f, %.0f | %.0f%%; %.1f |",
+                        n,
+                        ways[way],
+                        row.known.getValueAtPercentile(50),
+                        row.known.getValueAtPercentile(99),
+                        row.known.getMaxValue(),
+                        row.unknown,
+                        1.0 * row.falseEnds / row.days,
+                        row.changes * 60.0 / sleepSeconds / row.days,
+                        row.datagrams / row.days,
+                        row.bytes / row.days,
+                        100.0 * row.mute / row.days / (n - 2),
                         1.0 * row.muteChanges / row.days));
                 bars.get(way).add(Math.log10(1 + 1.0 * row.falseEnds / row.days));
             }
@@ -90,8 +104,8 @@
             for (int way = 0; way < ways.length; way++) {
                 chart.addSeries(ways[way], sizes, bars.get(way));
             }
-            VectorGraphicsEncoder.saveVectorGraphic(chart, Path.of(parts[2]).toString(),
-                    VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+            VectorGraphicsEncoder.saveVectorGraphic(
+                    chart, Path.of(parts[2]).toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
         }
     }
 
@@ -121,7 +135,7 @@
         sleepers(fleet, n, seed, row);
         net.weather(Datagrams.Weather.FAIR);
         run(net, 10 * SECOND);
-        fleet.ear.accept((by, member, out) -> { });
+        fleet.ear.accept((by, member, out) -> {});
         net.cut((from, to) -> from != 0);
         run(net, 15 * SECOND);
         for (int i = 1; i < killed; i++) {
@@ -158,38 +172,50 @@
         f.startTogether();
         return new Fleet(f.net, (by, member) -> f.get(by).core().isIn("n" + member), f::bytes, to -> {
             f.changes.clear();
-            f.onChange(s -> to.put(s.by(), Integer.parseInt(s.change().name().substring(1)),
+            f.onChange(s -> to.put(
+                    s.by(),
+                    Integer.parseInt(s.change().name().substring(1)),
                     s.change().kind() == Change.Kind.OUT));
         });
     }
 
     private static Fleet swim(int n, long seed) {
         Datagrams<PlainSwim.Said> net = new Datagrams<>(seed);
-        PlainSwim.Verdict[] ear = {(by, member, out) -> { }};
+        PlainSwim.Verdict[] ear = {(by, member, out) -> {}};
         PlainSwim[] all = new PlainSwim[n];
         for (int i = 0; i < n; i++) {
             int place = net.place();
-            all[i] = new PlainSwim(net, place, n, PERIOD, PAUSE, seed * n + i,
-                    (by, member, out) -> ear[0].put(by, member, out));
+            all[i] = new PlainSwim(
+                    net, place, n, PERIOD, PAUSE, seed * n + i, (by, member, out) -> ear[0].put(by, member, out));
             net.start(place, PERIOD / 8, all[i]);
         }
-        return new Fleet(net, (by, member) -> all[by].isIn(member), () -> {
-            long sum = 0;
-            for (PlainSwim s : all) {
-                sum += s.bytes();
-            }
-            return sum;
-        }, to -> ear[0] = to);
+        return new Fleet(
+                net,
+                (by, member) -> all[by].isIn(member),
+                () -> {
+                    long sum = 0;
+                    for (PlainSwim s : all) {
+                        sum += s.bytes();
+                    }
+                    return sum;
+                },
+                to -> ear[0] = to);
     }
 
     private static Fleet heartbeats(int n, long seed) {
         Datagrams<Integer> net = new Datagrams<>(seed);
-        PlainSwim.Verdict[] ear = {(by, member, out) -> { }};
+        PlainSwim.Verdict[] ear = {(by, member, out) -> {}};
         SplittableRandom random = new SplittableRandom(seed);
         AllToAll[] all = new AllToAll[n];
         for (int i = 0; i < n; i++) {
             int place = net.place();
-            all[i] = new AllToAll(net, place, n, PERIOD, PAUSE + 2 * PERIOD, random.nextLong(PERIOD),
+            all[i] = new AllToAll(
+                    net,
+                    place,
+                    n,
+                    PERIOD,
+                    PAUSE + 2 * PERIOD,
+                    random.nextLong(PERIOD),
                     (by, member, out) -> ear[0].put(by, member, out));
             net.start(place, PERIOD / 8, all[i]);
         }
--- a/src/bench/java/larkbank/lab/LeaseBench.java
+++ b/src/bench/java/larkbank/lab/LeaseBench.java
@@ -15,9 +15,10 @@
     private static final long TERM = LeaseWorld.TERM;
     /** So often it is looked who holds: what a time without a holder is told to. */
     private static final long LOOK = 50_000;
+
     private static final int KILLS = 10;
 
-    private LeaseBench() { }
+    private LeaseBench() {}
 
     public static void main(String[] args) {
         String[] parts = args[0].split(":");
@@ -43,20 +44,34 @@
             nanos += (System.nanoTime() - begun) / (10.0 * TERM / 1e6) / processes;
             for (int i = 0; i < processes; i++) {
                 int place = i;
-                most = Math.max(most, w.plan.terms().keySet().stream().filter(l -> w.holder(l) == place)
-                        .count());
+                most = Math.max(
+                        most,
+                        w.plan.terms().keySet().stream()
+                                .filter(l -> w.holder(l) == place)
+                                .count());
             }
             moved += kills(w, new SplittableRandom(seed), keepers, gaps);
             if (!w.acts.wrong().isEmpty()) {
                 throw new AssertionError(w.acts.wrong() + ", seed " + seed);
             }
         }
-        System.out.println(String.format(Locale.ROOT, "%d processes, %d keepers, %d leases, term %d ms:"
-                + " words at a keeper %.1f a second, %.1f while all claim at once; %.3f ms of processor a"
-                + " second and process with the network's; at most %d leases at one process; after a kill"
-                + " without a holder for median %d ms, 99%% %d, worst %d; moved for each kill and return %.1f",
-                processes, keepers, leases, TERM / 1_000, quiet / seeds, storm / seeds, nanos / seeds / 1e6,
-                most, gaps.getValueAtPercentile(50), gaps.getValueAtPercentile(99), gaps.getMaxValue(),
+        System.out.println(String.format(
+                Locale.ROOT,
+                "%d processes, %d keepers, %d leases, term %d ms:"
+                        + " words at a keeper %.1f a second, %.1f while all claim at once; %.3f ms of processor a"
+                        + " second and process with the network's; at most %d leases at one process; after a kill"
+                        + " without a holder for median %d ms, 99%% %d, worst %d; moved for each kill and return %.1f",
+                processes,
+                keepers,
+                leases,
+                TERM / 1_000,
+                quiet / seeds,
+                storm / seeds,
+                nanos / seeds / 1e6,
+                most,
+                gaps.getValueAtPercentile(50),
+                gaps.getValueAtPercentile(99),
+                gaps.getMaxValue(),
                 1.0 * moved / seeds / KILLS));
     }
 
--- a/src/bench/java/larkbank/lab/PlainSwim.java
+++ b/src/bench/java/larkbank/lab/PlainSwim.java
@@ -16,7 +16,7 @@
 final class PlainSwim implements Datagrams.Process<PlainSwim.Said> {
 
     /** A message: what it is, its question, whom it is about, and news as member, state and incarnation. */
-    record Said(int kind, int from, long number, int target, List<int[]> news) { }
+    record Said(int kind, int from, long number, int target, List<int[]> news) {}
 
     /** Hears of verdicts. */
     interface Verdict {
@@ -55,8 +55,7 @@
     private long numbers;
     private long bytes;
 
-    PlainSwim(Datagrams<Said> net, int self, int members, long period, long suspicion, long seed,
-            Verdict verdict) {
+    PlainSwim(Datagrams<Said> net, int self, int members, long period, long suspicion, long seed, Verdict verdict) {
         this.net = net;
         this.self = self;
         this.period = period;
@@ -154,8 +153,9 @@
         }
         boolean later = inc > incarnation[member];
         boolean same = inc == incarnation[member];
-        boolean news = what == ALIVE ? later : what == SUSPECT ? later || same && state[member] == ALIVE
-                : state[member] != DEAD && (later || same);
+        boolean news = what == ALIVE
+                ? later
+                : what == SUSPECT ? later || same && state[member] == ALIVE : state[member] != DEAD && (later || same);
         if (!news) {
             return;
         }
--- a/src/bench/java/larkbank/lab/SharesBench.java
+++ b/src/bench/java/larkbank/lab/SharesBench.java
@@ -21,6 +21,7 @@
     private static final long PAUSE = 3 * SECOND;
     /** Servers close what has been idle for so long. */
     private static final long LINGER = 10 * SECOND;
+
     private static final long LOOK = 50_000;
     private static final String[] WAYS = {"count for ever", "own view", "most electors"};
 
@@ -47,8 +48,12 @@
             int place = net.place();
             InetSocketAddress own = Fellows.address(place);
             Peer self = new Peer("n" + i, i, 1, 1, own);
-            Portion portion = new Portion(0, plan, own, seed, (to, m) -> net.send(place, to.getPort()
-                    - Fellows.address(0).getPort(), m));
+            Portion portion = new Portion(
+                    0,
+                    plan,
+                    own,
+                    seed,
+                    (to, m) -> net.send(place, to.getPort() - Fellows.address(0).getPort(), m));
             portions[i] = portion;
             net.start(place, LOOK, new Datagrams.Process<>() {
                 @Override
@@ -62,18 +67,20 @@
                 }
             });
         }
-        parts = new IntToDoubleFunction[] {i -> 1.0 / n, i -> 1.0 / fellows.get(i).core().live(),
-            i -> portions[i].part(net.now())};
+        parts = new IntToDoubleFunction[] {
+            i -> 1.0 / n, i -> 1.0 / fellows.get(i).core().live(), i -> portions[i].part(net.now())
+        };
     }
 
     private void run(long micros) {
-        for (long until = net.now() + micros; net.now() < until;) {
+        for (long until = net.now() + micros; net.now() < until; ) {
             net.run(net.now() + LOOK);
             fellows.run(LOOK);
             now = new double[WAYS.length];
             for (int i = 0; i < n; i++) {
                 for (int way = 0; way < WAYS.length && net.runs(i); way++) {
-                    now[way] += stoppedAt[i] == 0 ? parts[way].applyAsDouble(i)
+                    now[way] += stoppedAt[i] == 0
+                            ? parts[way].applyAsDouble(i)
                             : net.now() - stoppedAt[i] < LINGER ? left[i][way] : 0;
                 }
             }
@@ -137,8 +144,15 @@
     }
 
     public static void main(String[] args) {
-        String[] names = {"quiet", "split 3 to 2", "split in three", "healed", "a third stands still",
-            "that third goes on", "half killed"};
+        String[] names = {
+            "quiet",
+            "split 3 to 2",
+            "split in three",
+            "healed",
+            "a third stands still",
+            "that third goes on",
+            "half killed"
+        };
         System.out.println("| processes | spell | " + String.join(" | ", WAYS) + " |");
         System.out.println("| --- | --- | --- | --- | --- |");
         String[] parts = args[0].split(":");
@@ -163,5 +177,4 @@
             }
         }
     }
-
 }
--- a/src/bench/java/larkbank/lading/HollowLine.java
+++ b/src/bench/java/larkbank/lading/HollowLine.java
@@ -16,7 +16,7 @@
         public long bytes;
     }
 
-    private HollowLine() { }
+    private HollowLine() {}
 
     public static Line of(LongSupplier micros, Count count) {
         EmbeddedChannel channel = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
--- a/src/bench/java/larkbank/pilot/HollowFleetBench.java
+++ b/src/bench/java/larkbank/pilot/HollowFleetBench.java
@@ -52,8 +52,8 @@
 public final class HollowFleetBench {
 
     /** The plan of a pilot's lines to harbours. */
-    private static final Moorings.Plan LINES =
-            new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
+    private static final Moorings.Plan LINES = new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
+
     private static final int LOOPS = 6;
     private static final int HARBOURS = 3;
     private static final int REAL = 2;
@@ -61,10 +61,17 @@
     private static final int CHANGES = 30;
     private static final int TENANTS = 3;
     private static final long PATIENCE_MILLIS = 90_000;
-    private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-XX:CompileThresholdScaling=0.1", "-XX:-UsePerfData", "-Xms32m", "-Xss256k",
-            "-XX:MaxDirectMemorySize=24m", "-XX:ReservedCodeCacheSize=24m",
-            "-Dio.netty.allocator.type=unpooled", "-Dio.netty.leakDetectionLevel=disabled");
+    private static final List<String> FLAGS = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:CompileThresholdScaling=0.1",
+            "-XX:-UsePerfData",
+            "-Xms32m",
+            "-Xss256k",
+            "-XX:MaxDirectMemorySize=24m",
+            "-XX:ReservedCodeCacheSize=24m",
+            "-Dio.netty.allocator.type=unpooled",
+            "-Dio.netty.leakDetectionLevel=disabled");
 
     /** A change that is waited for, and when each hollow pilot knew it first. */
     private static final class Awaited {
@@ -86,14 +93,14 @@
     private final SplittableRandom random;
     private final Clock clock = new Clock();
     private final HttpClient http = HttpClient.newHttpClient();
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
     private final Map<String, Process> processes = new TreeMap<>();
     private final List<Ships> ships = new ArrayList<>();
     private final List<One> pilots = new ArrayList<>();
     private final AtomicReference<Awaited> awaited = new AtomicReference<>(new Awaited("", 0));
     /** By pilot, the harbours that have told it a whole roster on the line that is up. */
     private final Map<Integer, Set<String>> whole = new ConcurrentHashMap<>();
+
     private final Map<String, Object> found = new LinkedHashMap<>();
     /** The longest time between two ticks of a hollow pilot, which are due each 50 ms. */
     private final AtomicLong latest = new AtomicLong();
@@ -127,10 +134,15 @@
         private One(int index, EventLoop loop) {
             this.index = index;
             this.loop = loop;
-            moorings = new Moorings(new Wharf(loop, clock), clock, LINES,
-                    () -> Scribe.map("t", "hello", "kind", "pilot", "name", "side-" + index), this);
-            loop.execute(() -> moorings.want(IntStream.rangeClosed(1, HARBOURS).mapToObj(h -> net + h
-                    + ":21700").collect(Collectors.toSet())));
+            moorings = new Moorings(
+                    new Wharf(loop, clock),
+                    clock,
+                    LINES,
+                    () -> Scribe.map("t", "hello", "kind", "pilot", "name", "side-" + index),
+                    this);
+            loop.execute(() -> moorings.want(IntStream.rangeClosed(1, HARBOURS)
+                    .mapToObj(h -> net + h + ":21700")
+                    .collect(Collectors.toSet())));
             loop.scheduleAtFixedRate(this::tick, random.nextInt(50), 50, TimeUnit.MILLISECONDS);
         }
 
@@ -152,7 +164,8 @@
         private void ask() {
             String whom = following.ask(clock.getAsLong());
             if (whom != null) {
-                moorings.send(whom, Scribe.map("t", "want", "have", following.stamp().toString()));
+                moorings.send(
+                        whom, Scribe.map("t", "want", "have", following.stamp().toString()));
             }
         }
 
@@ -173,8 +186,11 @@
         }
 
         private Map<String, Object> berth() {
-            return Scribe.map("t", "berth", "berth", Hollow.berth(index, number, ip(index))
-                    .toMap(clock.getAsLong()));
+            return Scribe.map(
+                    "t",
+                    "berth",
+                    "berth",
+                    Hollow.berth(index, number, ip(index)).toMap(clock.getAsLong()));
         }
 
         private void tellBerth() {
@@ -200,10 +216,10 @@
                     ask();
                 }
                 case "roster" -> {
-                    places.put(address, new long[] {Json.whole(head, "life", 0),
-                        Json.whole(head, "place", -1)});
+                    places.put(address, new long[] {Json.whole(head, "life", 0), Json.whole(head, "place", -1)});
                     if (Json.flag(head, "whole")) {
-                        whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet()).add(address);
+                        whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet())
+                                .add(address);
                     }
                     for (Object one : Json.array(head, "berths")) {
                         Map<?, ?> berth = (Map<?, ?>) one;
@@ -212,7 +228,7 @@
                 }
                 case "items" -> items(address, head, body);
                 case "tallies" -> quotas.told(clock.getAsLong(), address, Json.object(head, "asked"));
-                default -> { }
+                default -> {}
             }
         }
 
@@ -244,60 +260,74 @@
         }
 
         @Override
-        public void refused(String address) { }
+        public void refused(String address) {}
     }
 
     /** Takes what real pilots say. */
     private static final class Silent implements Line.Ear {
         @Override
-        public void opened(Line line) { }
+        public void opened(Line line) {}
 
         @Override
-        public void heard(Line line, Map<String, Object> head, byte[] body) { }
+        public void heard(Line line, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void closed(Line line) { }
+        public void closed(Line line) {}
     }
 
     // ---- Processes
 
     private void start(String name, String service) throws IOException {
         String ip = net + (service == null ? name.substring(1) : "10" + name.substring(1));
-        String listen = "\"controlPlane\":\"" + ip + ":21790\"" + (service == null ? ""
-                : ",\"outbound\":\"" + ip + ":21780\",\"readiness\":\"" + ip + ":21781\"");
-        String own = service == null ? "\"dataDirectory\":\"" + folder.resolve(name) + "\""
+        String listen = "\"controlPlane\":\"" + ip + ":21790\""
+                + (service == null ? "" : ",\"outbound\":\"" + ip + ":21780\",\"readiness\":\"" + ip + ":21781\"");
+        String own = service == null
+                ? "\"dataDirectory\":\"" + folder.resolve(name) + "\""
                 : "\"application\":\"" + ip + ":21800\",\"service\":\"" + service + "\"";
-        String seeds = IntStream.rangeClosed(1, HARBOURS).mapToObj(h -> "\"" + net + h + ":21700\"")
+        String seeds = IntStream.rangeClosed(1, HARBOURS)
+                .mapToObj(h -> "\"" + net + h + ":21700\"")
                 .collect(Collectors.joining(","));
-        Files.writeString(folder.resolve(name + ".json"), "{\"localNode\":{\"nodeName\":\"" + name
-                + "\",\"ipAddress\":\"" + ip + "\",\"zone\":\"z1\",\"region\":\"r1\",\"initialStart\":true,"
-                + own + "},\"network\":{\"listenAddresses\":{" + listen
-                + "},\"internalPortRange\":[21700,21709],\"seedNodes\":[" + seeds
-                + "],\"zones\":{\"z1\":\"r1\"}},\"platform\":{\"heartbeat\":\"500ms\"},"
-                + "\"termTable\":{\"timingBounds\":{\"drain\":\"2500ms\",\"gracePeriod\":\"4s\","
-                + "\"retrySlack\":200,\"retryBudgetRatio\":0.5}}}");
+        Files.writeString(
+                folder.resolve(name + ".json"),
+                "{\"localNode\":{\"nodeName\":\"" + name
+                        + "\",\"ipAddress\":\"" + ip + "\",\"zone\":\"z1\",\"region\":\"r1\",\"initialStart\":true,"
+                        + own + "},\"network\":{\"listenAddresses\":{" + listen
+                        + "},\"internalPortRange\":[21700,21709],\"seedNodes\":[" + seeds
+                        + "],\"zones\":{\"z1\":\"r1\"}},\"platform\":{\"heartbeat\":\"500ms\"},"
+                        + "\"termTable\":{\"timingBounds\":{\"drain\":\"2500ms\",\"gracePeriod\":\"4s\","
+                        + "\"retrySlack\":200,\"retryBudgetRatio\":0.5}}}");
         List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
         command.addAll(FLAGS);
-        command.addAll(List.of(service == null ? "-Xmx128m" : "-Xmx96m", service == null
-                ? "-XX:MaxMetaspaceSize=64m" : "-XX:MaxMetaspaceSize=48m", "-cp",
-                System.getProperty("java.class.path"), "larkbank.bridge.Main",
+        command.addAll(List.of(
+                service == null ? "-Xmx128m" : "-Xmx96m",
+                service == null ? "-XX:MaxMetaspaceSize=64m" : "-XX:MaxMetaspaceSize=48m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "larkbank.bridge.Main",
                 service == null ? "harbour" : "pilot"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(
-                ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
-        builder.environment().put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve(name + ".log").toFile()));
+        builder.environment()
+                .put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
         processes.put(name, builder.start());
         if (service != null && ships.size() < REAL) {
-            ships.add(new Ships(Ships.at(ip, 21800), Ships.at(ip, 21790), service + "-" + name, service,
-                    "z1", 8));
+            ships.add(new Ships(Ships.at(ip, 21800), Ships.at(ip, 21790), service + "-" + name, service, "z1", 8));
         }
     }
 
     private boolean order(int harbour, String order) {
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + net + harbour
-                    + ":21790/cypressweir/config/modify")).timeout(Duration.ofSeconds(5))
-                    .POST(HttpRequest.BodyPublishers.ofString(order.replace('\'', '"'))).build(),
-                    HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
+            return http.send(
+                                    HttpRequest.newBuilder(URI.create(
+                                                    "http://" + net + harbour + ":21790/cypressweir/config/modify"))
+                                            .timeout(Duration.ofSeconds(5))
+                                            .POST(HttpRequest.BodyPublishers.ofString(order.replace('\'', '"')))
+                                            .build(),
+                                    HttpResponse.BodyHandlers.discarding())
+                            .statusCode()
+                    == 200;
         } catch (IOException e) {
             return false;
         } catch (InterruptedException e) {
@@ -323,7 +353,8 @@
         processes.forEach((name, process) -> {
             Path proc = Path.of("/proc/" + process.pid());
             try {
-                String[] stat = Files.readString(proc.resolve("stat")).split("\\) ")[1].split(" ");
+                String[] stat =
+                        Files.readString(proc.resolve("stat")).split("\\) ")[1].split(" ");
                 Map<String, Long> figures = new HashMap<>();
                 for (String file : List.of("io", "status")) {
                     for (String line : Files.readAllLines(proc.resolve(file))) {
@@ -333,9 +364,13 @@
                         }
                     }
                 }
-                use.put(name, new double[] {(Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / 100.0,
-                    figures.get("rchar"), figures.get("wchar"), figures.get("VmRSS"),
-                    figures.get("VmHWM")});
+                use.put(name, new double[] {
+                    (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / 100.0,
+                    figures.get("rchar"),
+                    figures.get("wchar"),
+                    figures.get("VmRSS"),
+                    figures.get("VmHWM")
+                });
             } catch (IOException e) {
                 use.put(name, new double[5]);
             }
@@ -347,10 +382,19 @@
         found.put(phase + "_hollow_late_ms", one(latest.getAndSet(0) / 1e3));
         use().forEach((name, now) -> {
             double[] then = before.get(name);
-            found.put(phase + "_" + name, Scribe.map("cpu_percent", one((now[0] - then[0]) / seconds * 100),
-                    "read_kB_s", one((now[1] - then[1]) / seconds / 1e3), "written_kB_s",
-                    one((now[2] - then[2]) / seconds / 1e3), "rss_MB", one(now[3] / 1e3), "most_MB",
-                    one(now[4] / 1e3)));
+            found.put(
+                    phase + "_" + name,
+                    Scribe.map(
+                            "cpu_percent",
+                            one((now[0] - then[0]) / seconds * 100),
+                            "read_kB_s",
+                            one((now[1] - then[1]) / seconds / 1e3),
+                            "written_kB_s",
+                            one((now[2] - then[2]) / seconds / 1e3),
+                            "rss_MB",
+                            one(now[3] / 1e3),
+                            "most_MB",
+                            one(now[4] / 1e3)));
         });
     }
 
@@ -369,8 +413,10 @@
             start("p" + p, "orders");
         }
         String routes = IntStream.range(0, 200).mapToObj(i -> route(i, 1)).collect(Collectors.joining(","));
-        if (!holds(() -> order(1, "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
-                + "'maxConnections':32,'configVersion':'r1'}},'routeTable':{" + routes + "}}}"))) {
+        if (!holds(() -> order(
+                1,
+                "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
+                        + "'maxConnections':32,'configVersion':'r1'}},'routeTable':{" + routes + "}}}"))) {
             throw new IllegalStateException("no order was taken");
         }
         long begun = clock.getAsLong();
@@ -393,8 +439,12 @@
         changes("configuration", true);
         changes("roster", false);
         returns();
-        found.put("alive", processes.entrySet().stream().filter(e -> e.getValue().isAlive())
-                .map(Map.Entry::getKey).toList());
+        found.put(
+                "alive",
+                processes.entrySet().stream()
+                        .filter(e -> e.getValue().isAlive())
+                        .map(Map.Entry::getKey)
+                        .toList());
     }
 
     /** Pilots that have had a whole roster from so many harbours. */
@@ -431,7 +481,10 @@
                 });
             }
             incomplete += holds(() -> its.known.size() == n) ? 0 : 1;
-            List<Double> times = its.known.values().stream().map(at -> (at - sent) / 1e3).sorted().toList();
+            List<Double> times = its.known.values().stream()
+                    .map(at -> (at - sent) / 1e3)
+                    .sorted()
+                    .toList();
             all.addAll(times);
             last.add(times.isEmpty() ? Double.NaN : times.get(times.size() - 1));
             TimeUnit.MILLISECONDS.sleep(200);
@@ -439,10 +492,21 @@
         double seconds = (clock.getAsLong() - begun) / 1e6;
         all.sort(Comparator.naturalOrder());
         last.sort(Comparator.naturalOrder());
-        found.put(what + "_ms", Scribe.map("median", one(all.get(all.size() / 2)), "p99",
-                one(all.get((int) (all.size() * 0.99))), "worst", one(all.get(all.size() - 1)),
-                "all_have_it_median", one(last.get(last.size() / 2)), "incomplete", incomplete,
-                "a_second", one(CHANGES / seconds)));
+        found.put(
+                what + "_ms",
+                Scribe.map(
+                        "median",
+                        one(all.get(all.size() / 2)),
+                        "p99",
+                        one(all.get((int) (all.size() * 0.99))),
+                        "worst",
+                        one(all.get(all.size() - 1)),
+                        "all_have_it_median",
+                        one(last.get(last.size() / 2)),
+                        "incomplete",
+                        incomplete,
+                        "a_second",
+                        one(CHANGES / seconds)));
         tellUse(what, before, seconds);
     }
 
@@ -454,14 +518,31 @@
         String address = net + HARBOURS + ":21700";
         long begun = clock.getAsLong();
         start(name, null);
-        boolean done = holds(() -> !processes.get(name).isAlive() || whole.values().stream()
-                .filter(all -> all.contains(address)).count() == n) && processes.get(name).isAlive();
+        boolean done = holds(() -> !processes.get(name).isAlive()
+                        || whole.values().stream()
+                                        .filter(all -> all.contains(address))
+                                        .count()
+                                == n)
+                && processes.get(name).isAlive();
         double[] its = use().get(name);
         found.put("return_hollow_late_ms", one(latest.getAndSet(0) / 1e3));
-        found.put("return", Scribe.map("all_have_its_whole", done, "s",
-                one((clock.getAsLong() - begun) / 1e6), "told", whole.values().stream()
-                .filter(all -> all.contains(address)).count(), "cpu_s",
-                one(its[0]), "written_MB", one(its[2] / 1e6), "most_MB", one(its[4] / 1e3)));
+        found.put(
+                "return",
+                Scribe.map(
+                        "all_have_its_whole",
+                        done,
+                        "s",
+                        one((clock.getAsLong() - begun) / 1e6),
+                        "told",
+                        whole.values().stream()
+                                .filter(all -> all.contains(address))
+                                .count(),
+                        "cpu_s",
+                        one(its[0]),
+                        "written_MB",
+                        one(its[2] / 1e6),
+                        "most_MB",
+                        one(its[4] / 1e3)));
     }
 
     private void close() throws IOException, InterruptedException {
@@ -478,8 +559,7 @@
     public static void main(String[] args) throws IOException, InterruptedException {
         String[] given = String.join(" ", args).split(" ");
         Path folder = Files.createTempDirectory(Files.createDirectories(Path.of(given[0])), "hollow");
-        HollowFleetBench bench = new HollowFleetBench(folder, Long.parseLong(given[1]),
-                Integer.parseInt(given[2]));
+        HollowFleetBench bench = new HollowFleetBench(folder, Long.parseLong(given[1]), Integer.parseInt(given[2]));
         try {
             bench.run();
         } finally {
--- a/src/bench/java/larkbank/pilot/PilotSizeBench.java
+++ b/src/bench/java/larkbank/pilot/PilotSizeBench.java
@@ -29,8 +29,8 @@
 
     private static final int TENANTS = 200;
     private static final long KEEP_VIEW = 3_000_000;
-    private static final List<String> ZONES = IntStream.range(0, Hollow.ZONES).mapToObj(i -> "zone-" + i)
-            .toList();
+    private static final List<String> ZONES =
+            IntStream.range(0, Hollow.ZONES).mapToObj(i -> "zone-" + i).toList();
 
     private final int n;
     private final EventLoop loop;
@@ -54,8 +54,8 @@
     private byte[] roster(boolean whole, List<Integer> which) {
         List<Object> berths = new ArrayList<>();
         which.forEach(i -> berths.add(Hollow.berth(i, numbers[i]).toMap(now)));
-        return Scribe.bytes(Scribe.map("t", "roster", "life", 7, "place", 1, "whole", whole, "berths", berths,
-                "gone", List.of()));
+        return Scribe.bytes(
+                Scribe.map("t", "roster", "life", 7, "place", 1, "whole", whole, "berths", berths, "gone", List.of()));
     }
 
     /** As {@link Lookout} takes a roster. */
@@ -73,8 +73,8 @@
     }
 
     private Helm helm(Map<String, Helm> ways, String service) {
-        return ways.computeIfAbsent(service, s -> new Helm(s, loop, () -> now, null, "side-0", 0, ZONES,
-                Helm.budget(10_000_000, 1, 0.1)));
+        return ways.computeIfAbsent(
+                service, s -> new Helm(s, loop, () -> now, null, "side-0", 0, ZONES, Helm.budget(10_000_000, 1, 0.1)));
     }
 
     /** As {@link Pilot} makes its lists anew whenever anything has changed; without its lines to pilots. */
@@ -86,14 +86,18 @@
             helm(inner, berth.ship().service());
             if (berth.takes()) {
                 targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Target(Ids.of(berth.ship().id()), berth.name(), berth.life(), berth.address(),
-                                berth.ship().id(), berth.zone()));
+                        .add(new Target(
+                                Ids.of(berth.ship().id()),
+                                berth.name(),
+                                berth.life(),
+                                berth.address(),
+                                berth.ship().id(),
+                                berth.zone()));
                 warm.put(berth.ship().id(), berth.ship().warmAt());
             }
         }
         for (Map<String, Helm> ways : List.of(helms, inner)) {
-            ways.forEach((service, helm) ->
-                    helm.servers(targets.getOrDefault(service, List.of()), ZONES, warm));
+            ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), ZONES, warm));
         }
     }
 
@@ -122,8 +126,7 @@
             manifest[0] = Hollow.manifest();
             bearings = bearings.next(new Ballot(1, "h"), manifest[0]);
         });
-        heap("quotas", () -> IntStream.range(0, TENANTS)
-                .forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
+        heap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
         quotas.pilots(n);
         found.put("whole_us", Hollow.micros(Math.max(10, 20_000 / n), () -> told(0, whole)));
         found.put("change_us", Hollow.micros(Math.max(20, 20_000 / n), () -> {
@@ -146,16 +149,16 @@
             IntStream.range(0, 20).forEach(i -> quotas.ask(now, "tenant-" + random.nextInt(TENANTS), 50, 20));
             quotas.news(now, false);
         }));
-        found.put("tallyWhole_bytes", (double) Scribe.bytes(Scribe.map("t", "tally", "asked",
-                quotas.news(now, true), "whole", true)).length);
+        found.put("tallyWhole_bytes", (double)
+                Scribe.bytes(Scribe.map("t", "tally", "asked", quotas.news(now, true), "whole", true)).length);
         return found;
     }
 
     /** A seed, and numbers of servers. */
     public static void main(String[] args) throws Exception {
         EventLoop loop = new DefaultEventLoop();
-        Hollow.run(PilotSizeBench.class, args, (n, seed) ->
-                loop.submit(() -> new PilotSizeBench(n, seed, loop).run()).get());
+        Hollow.run(PilotSizeBench.class, args, (n, seed) -> loop.submit(() -> new PilotSizeBench(n, seed, loop).run())
+                .get());
         loop.shutdownGracefully();
     }
 }
--- a/src/bench/java/larkbank/plugin/FirstCallBench.java
+++ b/src/bench/java/larkbank/plugin/FirstCallBench.java
@@ -16,7 +16,7 @@
 
     private static final double DEADLINE_MILLIS = 5;
 
-    private FirstCallBench() { }
+    private FirstCallBench() {}
 
     public static void main(String[] args) throws Exception {
         int plugins = Integer.parseInt(args[0]);
@@ -25,8 +25,9 @@
         double[] made = new double[plugins];
         for (int i = 0; i < plugins; i++) {
             long since = System.nanoTime();
-            try (PluginHost host = new PluginHost(Modules.plan("refuse",
-                    new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()), Runnable::run)) {
+            try (PluginHost host = new PluginHost(
+                    Modules.plan("refuse", new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()),
+                    Runnable::run)) {
                 made[i] = (System.nanoTime() - since) / 1e6;
                 first[i] = call(host);
                 second[i] = call(host);
@@ -58,9 +59,14 @@
     private static void print(String name, double[] millis) {
         double[] sorted = millis.clone();
         Arrays.sort(sorted);
-        System.out.printf("%-12s the very first %.2f ms, median %.2f, most %.2f; %d of %d past %.0f ms%n", name,
-                millis[0], sorted[sorted.length / 2], sorted[sorted.length - 1],
-                Arrays.stream(millis).filter(m -> m > DEADLINE_MILLIS).count(), millis.length,
+        System.out.printf(
+                "%-12s the very first %.2f ms, median %.2f, most %.2f; %d of %d past %.0f ms%n",
+                name,
+                millis[0],
+                sorted[sorted.length / 2],
+                sorted[sorted.length - 1],
+                Arrays.stream(millis).filter(m -> m > DEADLINE_MILLIS).count(),
+                millis.length,
                 DEADLINE_MILLIS);
     }
 }
--- a/src/bench/java/larkbank/plugin/PluginBench.java
+++ b/src/bench/java/larkbank/plugin/PluginBench.java
@@ -23,29 +23,39 @@
 public final class PluginBench {
 
     /** Exports nothing(), count(n): a loop of n rounds, host(n): n calls of lb.get, and forever(). */
-    private static final byte[] MODULE = HexFormat.of().parseHex("0061736d01000000"
-            + "010f0360027f7f017f60000060017f017f" + "020a01026c62036765740000" + "03050401020201"
-            + "0503010001" + "072404076e6f7468696e67000105636f756e74000204686f73740003"
-            + "07666f72657665720004" + "0a3f0402000b" + "1501017f0340200141016a22012000480d000b20010b"
-            + "1c01017f0340200141016a2201410010001a20012000480d000b20010b" + "07000340" + "0c000b0b");
+    private static final byte[] MODULE = HexFormat.of()
+            .parseHex("0061736d01000000"
+                    + "010f0360027f7f017f60000060017f017f" + "020a01026c62036765740000" + "03050401020201"
+                    + "0503010001" + "072404076e6f7468696e67000105636f756e74000204686f73740003"
+                    + "07666f72657665720004" + "0a3f0402000b" + "1501017f0340200141016a22012000480d000b20010b"
+                    + "1c01017f0340200141016a2201410010001a20012000480d000b20010b" + "07000340" + "0c000b0b");
+
     private static final int ROUNDS = 10_000;
     private static final int CALLS = 100;
 
-    private PluginBench() { }
+    private PluginBench() {}
 
     public static void main(String[] args) throws Exception {
         WasmModule module = Parser.parse(MODULE);
-        run("interpreter", () -> Instance.builder(module).withImportValues(imports()).build());
-        run("compiler", () -> Instance.builder(module).withImportValues(imports())
-                .withMachineFactory(MachineFactoryCompiler::compile).build());
+        run(
+                "interpreter",
+                () -> Instance.builder(module).withImportValues(imports()).build());
+        run("compiler", () -> Instance.builder(module)
+                .withImportValues(imports())
+                .withMachineFactory(MachineFactoryCompiler::compile)
+                .build());
         handOver();
         System.exit(0);
     }
 
     private static ImportValues imports() {
-        return ImportValues.builder().addFunction(new HostFunction("lb", "get",
-                FunctionType.of(List.of(ValType.I32, ValType.I32), List.of(ValType.I32)),
-                (instance, given) -> new long[] {given[0] + 1})).build();
+        return ImportValues.builder()
+                .addFunction(new HostFunction(
+                        "lb",
+                        "get",
+                        FunctionType.of(List.of(ValType.I32, ValType.I32), List.of(ValType.I32)),
+                        (instance, given) -> new long[] {given[0] + 1}))
+                .build();
     }
 
     private static void run(String how, Supplier<Instance> build) throws Exception {
@@ -54,9 +64,14 @@
         var nothing = instance.export("nothing");
         var count = instance.export("count");
         var host = instance.export("host");
-        System.out.printf("%s: instance %.0f us, call %.0f ns, loop of %d rounds %.0f us, %d calls of the"
-                + " host %.1f us", how, start / 1e3, median(200, 1_000, nothing::apply), ROUNDS,
-                median(200, 10, () -> count.apply(ROUNDS)) / 1e3, CALLS,
+        System.out.printf(
+                "%s: instance %.0f us, call %.0f ns, loop of %d rounds %.0f us, %d calls of the" + " host %.1f us",
+                how,
+                start / 1e3,
+                median(200, 1_000, nothing::apply),
+                ROUNDS,
+                median(200, 10, () -> count.apply(ROUNDS)) / 1e3,
+                CALLS,
                 median(200, 10, () -> host.apply(CALLS)) / 1e3);
         long[] stops = new long[21];
         for (int i = 0; i < stops.length; i++) {
@@ -76,7 +91,8 @@
             stops[i] = System.nanoTime() - since;
         }
         Arrays.sort(stops);
-        System.out.printf(", stopped %.0f us after an interrupt (longest %.0f us)%n",
+        System.out.printf(
+                ", stopped %.0f us after an interrupt (longest %.0f us)%n",
                 stops[stops.length / 2] / 1e3, stops[stops.length - 1] / 1e3);
     }
 
@@ -85,7 +101,7 @@
         ExecutorService other = Executors.newSingleThreadExecutor();
         double nanos = median(2_000, 1, () -> {
             try {
-                other.submit(() -> { }).get();
+                other.submit(() -> {}).get();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
--- a/src/bench/java/larkbank/route/RouterBench.java
+++ b/src/bench/java/larkbank/route/RouterBench.java
@@ -52,14 +52,14 @@
         SplittableRandom random = new SplittableRandom(11);
         for (int i = 0; i < count; i++) {
             HostPattern host = i % 4 == 0 ? HostPattern.parse("*.h" + i + ".example.org") : HostPattern.ANY;
-            PathPattern path = PathPattern.parse(switch (i % 4) {
-                case 1 -> "/v1/{region}/a" + i + "/{id}";
-                case 2 -> "/v2/b" + i + "/*";
-                case 3 -> "/v3/shared/*";
-                default -> "/search/*";
-            });
-            List<HeaderTest> headers = i % 4 == 3 ? List.of(new HeaderTest("tenant", Kind.EQUAL, "t" + i))
-                    : List.of();
+            PathPattern path = PathPattern.parse(
+                    switch (i % 4) {
+                        case 1 -> "/v1/{region}/a" + i + "/{id}";
+                        case 2 -> "/v2/b" + i + "/*";
+                        case 3 -> "/v3/shared/*";
+                        default -> "/search/*";
+                    });
+            List<HeaderTest> headers = i % 4 == 3 ? List.of(new HeaderTest("tenant", Kind.EQUAL, "t" + i)) : List.of();
             routes.add(new Route<>("r" + i, new Match(host, path, Set.of(), headers, 0), "r" + i));
         }
         router = new Router<>(routes);
@@ -86,8 +86,10 @@
         String[] segments = PathPattern.segments(request.path());
         for (Route<String> route : routes) {
             Match m = route.match();
-            boolean host = m.host().name() == null || request.host().endsWith("." + m.host().name());
-            if (host && matches(m.path(), segments)
+            boolean host = m.host().name() == null
+                    || request.host().endsWith("." + m.host().name());
+            if (host
+                    && matches(m.path(), segments)
                     && m.headers().stream().allMatch(t -> t.matches(request.header(t.name())))) {
                 return route;
             }
--- a/src/bench/java/larkbank/sidecar/CellServeBench.java
+++ b/src/bench/java/larkbank/sidecar/CellServeBench.java
@@ -16,9 +16,9 @@
 
     private static final int ROUNDS = 5, WARM = 4_000, REQUESTS = 20_000;
 
-    private CellServeBench() { }
+    private CellServeBench() {}
 
-    record Run(double medianMicros, double p99Micros, double seconds, double megabytes) { }
+    record Run(double medianMicros, double p99Micros, double seconds, double megabytes) {}
 
     public static void main(String[] args) throws Exception {
         int cells = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 8;
@@ -54,12 +54,13 @@
     private static String file(List<Stub> servers, String cells) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
         for (Stub s : servers) {
-            text.append("  { id = \"s-").append(s.port()).append("\", endpoint = \"127.0.0.1:")
+            text.append("  { id = \"s-")
+                    .append(s.port())
+                    .append("\", endpoint = \"127.0.0.1:")
                     .append(s.port())
                     .append("\", zone = \"a\" },\n");
         }
-        return text + "]\n" + cells
-                + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n";
+        return text + "]\n" + cells + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n";
     }
 
     static Run run(Harness harness, Path file) throws Exception {
@@ -68,8 +69,7 @@
             double[] micros = new double[REQUESTS];
             for (int i = -WARM; i < REQUESTS; i++) {
                 long began = System.nanoTime();
-                Http.Message answer = client.raw(Harness.Client.head("GET", "/search/k"
-                        + i % 500, 2_000, "", 0))
+                Http.Message answer = client.raw(Harness.Client.head("GET", "/search/k" + i % 500, 2_000, "", 0))
                         .answer();
                 if (answer.status() != 200) {
                     throw new IllegalStateException("answered " + answer.first());
@@ -79,18 +79,20 @@
                 }
             }
             Arrays.sort(micros);
-            return new Run(micros[REQUESTS / 2], micros[REQUESTS * 99 / 100], served.seconds,
-                    served.residentMegabytes());
+            return new Run(
+                    micros[REQUESTS / 2], micros[REQUESTS * 99 / 100], served.seconds, served.residentMegabytes());
         }
     }
 
     static void print(String name, List<Run> runs) {
-        System.out.printf("%-9s median %.0f us, 99%% %.0f us, ready %.2f s, resident %.1f MB (medians of"
-                + " %d)%n",
-                name, median(runs.stream().mapToDouble(Run::medianMicros).toArray()),
+        System.out.printf(
+                "%-9s median %.0f us, 99%% %.0f us, ready %.2f s, resident %.1f MB (medians of" + " %d)%n",
+                name,
+                median(runs.stream().mapToDouble(Run::medianMicros).toArray()),
                 median(runs.stream().mapToDouble(Run::p99Micros).toArray()),
                 median(runs.stream().mapToDouble(Run::seconds).toArray()),
-                median(runs.stream().mapToDouble(Run::megabytes).toArray()), runs.size());
+                median(runs.stream().mapToDouble(Run::megabytes).toArray()),
+                runs.size());
     }
 
     private static double median(double[] values) {
--- a/src/bench/java/larkbank/sidecar/ClassListRun.java
+++ b/src/bench/java/larkbank/sidecar/ClassListRun.java
@@ -18,18 +18,16 @@
     private static final int SOCKETS = 160, ROUNDS = 60;
     private static final String LOAD = "Server-Load: TEXT cpu=0.5, rps=10, err_rps=0\r\n";
 
-    private ClassListRun() { }
+    private ClassListRun() {}
 
     public static void main(String[] args) throws Exception {
         Path list = Path.of(args[0]).toAbsolutePath();
         try (Stub good = new Stub(Stub.answers("200 OK", LOAD, "ok"));
                 Stub better = new Stub(Stub.answers("200 OK", LOAD, "ok"));
                 Stub rough = new Stub(ClassListRun::rough);
-                Harness harness = new Harness(Files.createTempDirectory("list"), 250_000, SOCKETS, good,
-                        rough)) {
+                Harness harness = new Harness(Files.createTempDirectory("list"), 250_000, SOCKETS, good, rough)) {
             harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
-            try (Served served = new Served(Path.of(""), harness.file, "",
-                    "-XX:DumpLoadedClassList=" + list)) {
+            try (Served served = new Served(Path.of(""), harness.file, "", "-XX:DumpLoadedClassList=" + list)) {
                 play(served, harness, good, better, rough);
             }
         }
@@ -46,12 +44,11 @@
             case 3 -> seen.raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
             case 4 -> seen.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok and more");
             case 5 -> seen.socket().close();
-            default -> { }
+            default -> {}
         }
     }
 
-    private static void play(Served served, Harness harness, Stub good, Stub better, Stub rough)
-            throws Exception {
+    private static void play(Served served, Harness harness, Stub good, Stub better, Stub rough) throws Exception {
         ask(served, ROUNDS);
         tell(harness, Harness.list(2, false, "in_service", better));
         ask(served, ROUNDS);
@@ -112,9 +109,15 @@
     private static void strange(Served served) throws Exception {
         String head = Harness.Client.head("POST", "/book/k", 500, "", 4);
         List<Harness.Client> left = new ArrayList<>();
-        for (String text : List.of("nonsense\r\n\r\n", head + "four and more", head + "x",
-                "GET /other/k HTTP/1.1\r\nHost: a\r\n\r\n", "GET /search/k HTTP/1.1\r\nHost: a\r\n\r\n", "G",
-                Harness.Client.head("GET", "/search/k", 0, "", 0), "GET /healthz HTTP/1.0\r\n\r\n")) {
+        for (String text : List.of(
+                "nonsense\r\n\r\n",
+                head + "four and more",
+                head + "x",
+                "GET /other/k HTTP/1.1\r\nHost: a\r\n\r\n",
+                "GET /search/k HTTP/1.1\r\nHost: a\r\n\r\n",
+                "G",
+                Harness.Client.head("GET", "/search/k", 0, "", 0),
+                "GET /healthz HTTP/1.0\r\n\r\n")) {
             left.add(new Harness.Client(served.address).raw(text));
         }
         new Harness.Client(served.address).search(3_000).close();
--- a/src/bench/java/larkbank/sidecar/CostBench.java
+++ b/src/bench/java/larkbank/sidecar/CostBench.java
@@ -15,9 +15,9 @@
 
     private static final int FIRST = 300, LATER = 3_000;
 
-    private CostBench() { }
+    private CostBench() {}
 
-    private record Cost(double ready, double cpu, double first, double later) { }
+    private record Cost(double ready, double cpu, double first, double later) {}
 
     public static void main(String[] args) throws Exception {
         int rounds = Integer.parseInt(args[0]);
@@ -35,12 +35,16 @@
         }
         for (int i = 1; i < args.length; i++) {
             List<Cost> c = costs.get(i - 1);
-            System.out.printf("%-24s ready %.3f s, CPU %.3f s; first %d requests %.0f us each, later %.0f us"
-                    + " (medians of %d)%n", Path.of(args[i]).getFileName(),
+            System.out.printf(
+                    "%-24s ready %.3f s, CPU %.3f s; first %d requests %.0f us each, later %.0f us"
+                            + " (medians of %d)%n",
+                    Path.of(args[i]).getFileName(),
                     StartBench.median(c.stream().map(Cost::ready).toList()),
-                    StartBench.median(c.stream().map(Cost::cpu).toList()), FIRST,
+                    StartBench.median(c.stream().map(Cost::cpu).toList()),
+                    FIRST,
                     StartBench.median(c.stream().map(Cost::first).toList()),
-                    StartBench.median(c.stream().map(Cost::later).toList()), rounds);
+                    StartBench.median(c.stream().map(Cost::later).toList()),
+                    rounds);
         }
     }
 
@@ -51,8 +55,8 @@
             ask(client, FIRST);
             double warm = served.cpuSeconds();
             ask(client, LATER);
-            return new Cost(served.seconds, ready, (warm - ready) / FIRST * 1e6,
-                    (served.cpuSeconds() - warm) / LATER * 1e6);
+            return new Cost(
+                    served.seconds, ready, (warm - ready) / FIRST * 1e6, (served.cpuSeconds() - warm) / LATER * 1e6);
         }
     }
 
--- a/src/bench/java/larkbank/sidecar/DrainBench.java
+++ b/src/bench/java/larkbank/sidecar/DrainBench.java
@@ -31,7 +31,7 @@
     private static final int EACH = 30;
     private static final String RESUMABLE = "resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n";
 
-    private DrainBench() { }
+    private DrainBench() {}
 
     public static void main(String[] args) throws Exception {
         boolean drainsOnly = args.length > 0 && args[0].equals("drains");
@@ -50,15 +50,22 @@
     /** Knows nothing of what servers carry beside requests. */
     private static LoadBalancer unweighted(Settings settings, Actions actions) {
         LoadBalancer real = new Choice(settings, actions);
-        return (LoadBalancer) Proxy.newProxyInstance(DrainBench.class.getClassLoader(),
-                new Class<?>[] {LoadBalancer.class}, (proxy, method, given) -> {
+        return (LoadBalancer) Proxy.newProxyInstance(
+                DrainBench.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, given) -> {
                     if (method.getName().equals("burden")) {
                         return null;
                     }
                     if (method.getName().equals("request")) {
                         LoadBalancer.Request r = (LoadBalancer.Request) given[1];
-                        given[1] = new LoadBalancer.Request(r.id(), r.requestClass(), r.tenant(), r.repeat(),
-                                r.key(), r.deadlineMicros(), r.hintMicros(), r.write());
+                        given[1] = new LoadBalancer.Request(
+                                r.id(),
+                                r.requestClass(),
+                                r.tenant(),
+                                r.repeat(),
+                                r.key(),
+                                r.deadlineMicros(),
+                                r.hintMicros(),
+                                r.write());
                     }
                     return method.invoke(real, given);
                 });
@@ -75,8 +82,9 @@
             for (int i = 0; i < tunnels; i++) {
                 all.add(open(harness));
             }
-            System.out.printf("%3d servers, tunnels %s: largest against mean %.2f", count,
-                    weighted ? "weigh" : "weigh nothing", uneven(servers.open(), 0, count));
+            System.out.printf(
+                    "%3d servers, tunnels %s: largest against mean %.2f",
+                    count, weighted ? "weigh" : "weigh nothing", uneven(servers.open(), 0, count));
             harness.reload(file(MANY, RESUMABLE + FREE, ports));
             int joined = 0;
             while (joined < 4 * tunnels && servers.open()[count] < EACH) {
@@ -84,8 +92,9 @@
                 Thread.sleep(5);
                 joined++;
             }
-            System.out.printf("; a new one has %d after %d more, 200 a second; then %.2f", EACH, joined,
-                    uneven(servers.open(), 0, count + 1));
+            System.out.printf(
+                    "; a new one has %d after %d more, 200 a second; then %.2f",
+                    EACH, joined, uneven(servers.open(), 0, count + 1));
             harness.reload(file(MANY, RESUMABLE + FREE, Arrays.copyOfRange(ports, 1, count + 1)));
             while (servers.open()[0] > 0) {
                 Thread.sleep(5);
@@ -99,7 +108,8 @@
 
     private static double uneven(int[] open, int from, int to) {
         int[] part = Arrays.copyOfRange(open, from, to);
-        return Arrays.stream(part).max().orElseThrow() / Arrays.stream(part).average().orElseThrow();
+        return Arrays.stream(part).max().orElseThrow()
+                / Arrays.stream(part).average().orElseThrow();
     }
 
     private static void drain(String how, int tunnels, int rate, String keys) throws Exception {
@@ -112,8 +122,7 @@
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < tunnels; i++) {
                 Ws ws = open(harness);
-                Thread client = new Thread(null, () -> stay(harness, ws, back, refused), "client",
-                        128 * 1024);
+                Thread client = new Thread(null, () -> stay(harness, ws, back, refused), "client", 128 * 1024);
                 client.setDaemon(true);
                 client.start();
                 clients.add(client);
@@ -123,29 +132,36 @@
             plain(harness, "before", 2_000);
             long since = System.nanoTime();
             harness.reload(file(rate, keys, Arrays.copyOfRange(ports, 1, 3)));
-            Thread[] waiting = {new Thread(() -> {
-                try {
-                    while (servers.open()[0] > 0 || servers.open()[1] + servers.open()[2] < tunnels) {
-                        Thread.sleep(5);
+            Thread[] waiting = {
+                new Thread(() -> {
+                    try {
+                        while (servers.open()[0] > 0 || servers.open()[1] + servers.open()[2] < tunnels) {
+                            Thread.sleep(5);
+                        }
+                    } catch (IOException | InterruptedException e) {
+                        System.out.println(e);
                     }
-                } catch (IOException | InterruptedException e) {
-                    System.out.println(e);
-                }
-            })};
+                })
+            };
             waiting[0].start();
             plain(harness, "during", 2_000);
             waiting[0].join();
-            System.out.printf("; all at other servers after %.1f s, most in 100 ms: %d back, %d refused;"
-                    + " moved %d; one has %.2f of the mean%n", (System.nanoTime() - since) / 1e9, most(back),
-                    most(refused), harness.moved(), uneven(servers.open(), 1, 3));
+            System.out.printf(
+                    "; all at other servers after %.1f s, most in 100 ms: %d back, %d refused;"
+                            + " moved %d; one has %.2f of the mean%n",
+                    (System.nanoTime() - since) / 1e9,
+                    most(back),
+                    most(refused),
+                    harness.moved(),
+                    uneven(servers.open(), 1, 3));
         }
     }
 
     /** A client that comes back as soon as it is told to go, and waits where it is told to. */
-    private static void stay(Harness harness, Ws first, ConcurrentLinkedQueue<Long> back,
-            ConcurrentLinkedQueue<Long> refused) {
+    private static void stay(
+            Harness harness, Ws first, ConcurrentLinkedQueue<Long> back, ConcurrentLinkedQueue<Long> refused) {
         try {
-            for (Ws ws = first;;) {
+            for (Ws ws = first; ; ) {
                 Ws.Frame f = ws.message();
                 if (f == null) {
                     ws.end();
@@ -165,8 +181,8 @@
                     } else {
                         refused.add(System.nanoTime());
                         client.close();
-                        Thread.sleep((long) (1_000 * Double.parseDouble(
-                                answer.headers().getOrDefault("Retry-After", "0.1"))));
+                        Thread.sleep((long)
+                                (1_000 * Double.parseDouble(answer.headers().getOrDefault("Retry-After", "0.1"))));
                     }
                 }
             }
@@ -193,27 +209,34 @@
         int late = 0;
         for (int i = 0; i < count; i++) {
             long since = System.nanoTime();
-            int status = client.raw(Harness.Client.head("GET", "/search/1", 2_000, "", 0)).answer().status();
+            int status = client.raw(Harness.Client.head("GET", "/search/1", 2_000, "", 0))
+                    .answer()
+                    .status();
             took[i] = System.nanoTime() - since;
             late += status != 200 || took[i] > 400_000_000L ? 1 : 0;
             Thread.sleep(1);
         }
         client.close();
         Arrays.sort(took);
-        System.out.printf("; plain requests %s: 99%% %.1f ms, %d of %d not in time", when,
-                took[count / 100 * 99] / 1e6, late, count);
+        System.out.printf(
+                "; plain requests %s: 99%% %.1f ms, %d of %d not in time",
+                when, took[count / 100 * 99] / 1e6, late, count);
     }
 
     private static String file(int rate, String keys, int... ports) {
-        StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nupgrade_rate = "
-                + rate + "\nservers = [\n");
+        StringBuilder text = new StringBuilder(
+                "version = 1\n[pools.p]\nsource = \"static\"\nupgrade_rate = " + rate + "\nservers = [\n");
         for (int port : ports) {
-            text.append("{ id = \"s").append(port).append("\", endpoint = \"127.0.0.1:").append(port)
+            text.append("{ id = \"s")
+                    .append(port)
+                    .append("\", endpoint = \"127.0.0.1:")
+                    .append(port)
                     .append("\", zone = \"a\" },\n");
         }
         return text.append("]\n[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
-                + "[routes.search.websocket]\ndrain_time = \"60s\"\nping_interval = \"600s\"\n")
-                .append(keys).toString();
+                        + "[routes.search.websocket]\ndrain_time = \"60s\"\nping_interval = \"600s\"\n")
+                .append(keys)
+                .toString();
     }
 
     private static Ws open(Harness harness) throws IOException {
--- a/src/bench/java/larkbank/sidecar/DrainServers.java
+++ b/src/bench/java/larkbank/sidecar/DrainServers.java
@@ -27,17 +27,23 @@
 
     /** In a process of its own, with the class path of this one. */
     DrainServers(int count) throws IOException {
-        process = new ProcessBuilder(ProcessHandle.current().info().command().orElseThrow(), "-Xss256k",
-                "-cp", System.getProperty("java.class.path"),
-                DrainServers.class.getName(), String.valueOf(count))
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        answers = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.US_ASCII));
+        process = new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElseThrow(),
+                        "-Xss256k",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        DrainServers.class.getName(),
+                        String.valueOf(count))
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
+                .start();
+        answers = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
         ports = numbers();
     }
 
     private int[] numbers() throws IOException {
-        return Arrays.stream(answers.readLine().split(" ")).mapToInt(Integer::parseInt).toArray();
+        return Arrays.stream(answers.readLine().split(" "))
+                .mapToInt(Integer::parseInt)
+                .toArray();
     }
 
     int[] ports() {
@@ -60,10 +66,14 @@
         for (int i = 0; i < Integer.parseInt(args[0]); i++) {
             servers.add(new Server());
         }
-        System.out.println(String.join(" ", servers.stream()
-                .map(s -> String.valueOf(s.listening.getLocalPort())).toList()));
+        System.out.println(String.join(
+                " ",
+                servers.stream()
+                        .map(s -> String.valueOf(s.listening.getLocalPort()))
+                        .toList()));
         while (System.in.read() >= 0) {
-            System.out.println(String.join(" ", servers.stream().map(s -> s.open.toString()).toList()));
+            System.out.println(String.join(
+                    " ", servers.stream().map(s -> s.open.toString()).toList()));
         }
     }
 
@@ -94,19 +104,21 @@
 
         private void talk(Socket socket) {
             try (socket) {
-                for (Http.Message m; (m = Http.read(socket.getInputStream())) != null;) {
+                for (Http.Message m; (m = Http.read(socket.getInputStream())) != null; ) {
                     String key = m.headers().get("Sec-WebSocket-Key");
                     if (key == null) {
-                        socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-                                .getBytes(StandardCharsets.US_ASCII));
+                        socket.getOutputStream()
+                                .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+                                        .getBytes(StandardCharsets.US_ASCII));
                         continue;
                     }
                     open.incrementAndGet();
                     try {
-                        socket.getOutputStream().write(Ws.agreed(key, "Sec-WebSocket-Protocol: chat\r\n")
-                                .getBytes(StandardCharsets.US_ASCII));
+                        socket.getOutputStream()
+                                .write(Ws.agreed(key, "Sec-WebSocket-Protocol: chat\r\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
                         Ws ws = new Ws(socket, false);
-                        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8;) {
+                        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
                             ws.send(f.opcode() == 9 ? 10 : f.opcode(), f.last(), f.payload());
                         }
                         ws.close(1001);
--- a/src/bench/java/larkbank/sidecar/ListBench.java
+++ b/src/bench/java/larkbank/sidecar/ListBench.java
@@ -17,7 +17,7 @@
 
     private static final int SERVERS = 8_000;
 
-    private ListBench() { }
+    private ListBench() {}
 
     private static String entry(int number, String state) {
         return "{'uid':'u" + number
@@ -26,9 +26,7 @@
     }
 
     private static String list(int revision, boolean all, List<String> entries) {
-        return Harness.json("{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",",
-                entries)
-                + "]}");
+        return Harness.json("{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",", entries) + "]}");
     }
 
     public static void main(String[] args) throws Exception {
@@ -69,17 +67,23 @@
                 for (int change = 0; change < 50; change++) {
                     List<String> changed = new ArrayList<>();
                     for (int i = 0; i < 100; i++) {
-                        changed.add(entry(random.nextInt(SERVERS), random.nextBoolean() ? "terminating"
-                                : "in_service"));
+                        changed.add(
+                                entry(random.nextInt(SERVERS), random.nextBoolean() ? "terminating" : "in_service"));
                     }
                     asked.reply("200 OK", "", list(9 + change, false, changed));
                     asked = harness.discovery.take();
                     Thread.sleep(95);
                 }
-                System.out.printf("round %d: %d kB of list known after %.0f ms; longest stop of the loop"
-                        + " %.1f ms quiet,"
-                        + " %.1f ms at the list, %.1f ms at another, %.1f ms at 1,000 changes a second%n",
-                        round, whole.length() / 1024, took / 1e6, quiet / 1e6, atList / 1e6, atSecond / 1e6,
+                System.out.printf(
+                        "round %d: %d kB of list known after %.0f ms; longest stop of the loop"
+                                + " %.1f ms quiet,"
+                                + " %.1f ms at the list, %.1f ms at another, %.1f ms at 1,000 changes a second%n",
+                        round,
+                        whole.length() / 1024,
+                        took / 1e6,
+                        quiet / 1e6,
+                        atList / 1e6,
+                        atSecond / 1e6,
                         worst.get() / 1e6);
             }
         }
--- a/src/bench/java/larkbank/sidecar/PluginServeBench.java
+++ b/src/bench/java/larkbank/sidecar/PluginServeBench.java
@@ -12,14 +12,15 @@
 
     private static final int ROUNDS = 3;
 
-    private PluginServeBench() { }
+    private PluginServeBench() {}
 
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("plugins");
         Files.write(folder.resolve("log-header.wasm"), Modules.bytes("log-header"));
         Files.write(folder.resolve("mark-pay.wasm"), Modules.bytes("mark-pay"));
         Files.write(folder.resolve("loop.wasm"), Modules.bytes("loop"));
-        try (Stub server = new Stub(Stub.serves("ok")); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.serves("ok"));
+                Harness harness = new Harness(folder, server)) {
             String routes = "[pools.p]\nsource = \"discovery\"\n[routes.search]\npath = \"/search/*\"\n"
                     + "class = \"search\"\npool = \"p\"\n";
             List<Path> files = new ArrayList<>();
@@ -27,7 +28,9 @@
             String one = "[plugins.a]\nfile = \"log-header.wasm\"\nheaders = [\"X-Log-Client\"]\n";
             StringBuilder five = new StringBuilder(one);
             for (String name : List.of("b", "c", "d", "e")) {
-                five.append("[plugins.").append(name).append("]\nfile = \"mark-pay.wasm\"\n")
+                five.append("[plugins.")
+                        .append(name)
+                        .append("]\nfile = \"mark-pay.wasm\"\n")
                         .append("classes = [\"book\"]\n");
             }
             for (String plugins : List.of("", one, five.toString(), "[plugins.a]\nfile = \"loop.wasm\"\n")) {
--- a/src/bench/java/larkbank/sidecar/QuietBench.java
+++ b/src/bench/java/larkbank/sidecar/QuietBench.java
@@ -12,14 +12,16 @@
     private static final int SERVERS = 20, THREADS = 4, CLIENTS = 16, ROUNDS = 3, IDLE = 50;
     private static final long WATCHED_MILLIS = 20_000;
 
-    private QuietBench() { }
+    private QuietBench() {}
 
     public static void main(String[] args) throws Exception {
         int instances = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 2_000;
         double rate = instances / 8.0;
         play("no bounds", instances, "");
-        play("bounds", instances, "[fleet]\ninstances = " + instances + "\nlist_rate = " + rate
-                + "\nidle_per_server = " + IDLE + "\n");
+        play(
+                "bounds",
+                instances,
+                "[fleet]\ninstances = " + instances + "\nlist_rate = " + rate + "\nidle_per_server = " + IDLE + "\n");
         System.exit(0);
     }
 
@@ -39,11 +41,21 @@
                 most = Math.max(most, fleet.connections());
                 mostAtOne = Math.max(mostAtOne, fleet.connectionsPeak());
             }
-            System.out.printf("%-9s %d instances, %d servers, started in %.1f s: %d calls for the list, most"
-                    + " in a second %d, open at discovery %d; served %d of %d, open at servers %d, most at"
-                    + " one %d%n",
-                    name, instances, SERVERS, started, fleet.calls(), fleet.callsPeak(), watches, served,
-                    ROUNDS * instances, most, mostAtOne);
+            System.out.printf(
+                    "%-9s %d instances, %d servers, started in %.1f s: %d calls for the list, most"
+                            + " in a second %d, open at discovery %d; served %d of %d, open at servers %d, most at"
+                            + " one %d%n",
+                    name,
+                    instances,
+                    SERVERS,
+                    started,
+                    fleet.calls(),
+                    fleet.callsPeak(),
+                    watches,
+                    served,
+                    ROUNDS * instances,
+                    most,
+                    mostAtOne);
         }
     }
 }
--- a/src/bench/java/larkbank/sidecar/ReloadBench.java
+++ b/src/bench/java/larkbank/sidecar/ReloadBench.java
@@ -14,10 +14,11 @@
     private static final int RELOADS = 60;
     private static final int CLIENTS = 4;
 
-    private ReloadBench() { }
+    private ReloadBench() {}
 
     public static void main(String[] args) throws Exception {
-        try (Stub one = new Stub(Stub.serves("ok")); Stub two = new Stub(Stub.serves("ok"));
+        try (Stub one = new Stub(Stub.serves("ok"));
+                Stub two = new Stub(Stub.serves("ok"));
                 Harness harness = new Harness(Files.createTempDirectory("reload"))) {
             List<String> files = List.of(file("p", one), file("q", two));
             harness.startWith(files.get(0));
@@ -46,18 +47,18 @@
             for (Thread thread : threads) {
                 thread.join();
             }
-            System.out.printf("reload of 1,000 routes: median %.1f ms, worst %.1f ms%n", at(reloads, 0.5),
-                    at(reloads, 1));
-            System.out.printf("requests without reloads: median %.2f ms, 99%% %.2f ms (%d)%n", at(quiet, 0.5),
-                    at(quiet, 0.99), quiet.size());
-            System.out.printf("requests with reloads:    median %.2f ms, 99%% %.2f ms, worst %.1f ms (%d),"
-                    + " not 200: %d%n", at(during, 0.5), at(during, 0.99), at(during, 1), during.size(),
-                    wrong.size());
+            System.out.printf(
+                    "reload of 1,000 routes: median %.1f ms, worst %.1f ms%n", at(reloads, 0.5), at(reloads, 1));
+            System.out.printf(
+                    "requests without reloads: median %.2f ms, 99%% %.2f ms (%d)%n",
+                    at(quiet, 0.5), at(quiet, 0.99), quiet.size());
+            System.out.printf(
+                    "requests with reloads:    median %.2f ms, 99%% %.2f ms, worst %.1f ms (%d)," + " not 200: %d%n",
+                    at(during, 0.5), at(during, 0.99), at(during, 1), during.size(), wrong.size());
         }
     }
 
-    private static void load(Harness.Client client, AtomicBoolean on, List<Double> latencies,
-            List<Integer> wrong) {
+    private static void load(Harness.Client client, AtomicBoolean on, List<Double> latencies, List<Integer> wrong) {
         try {
             while (on.get()) {
                 long since = System.nanoTime();
@@ -77,8 +78,13 @@
                 + "servers = [{ id = \"a\", endpoint = \"127.0.0.1:" + server.port() + "\" }]\n"
                 + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"" + pool + "\"\n");
         for (int i = 0; i < 1_000; i++) {
-            text.append("[routes.r").append(i).append("]\npath = \"/a").append(i)
-                    .append("/{id}\"\nclass = \"search\"\npool = \"").append(pool).append("\"\n");
+            text.append("[routes.r")
+                    .append(i)
+                    .append("]\npath = \"/a")
+                    .append(i)
+                    .append("/{id}\"\nclass = \"search\"\npool = \"")
+                    .append(pool)
+                    .append("\"\n");
         }
         return text.toString();
     }
--- a/src/bench/java/larkbank/sidecar/Served.java
+++ b/src/bench/java/larkbank/sidecar/Served.java
@@ -18,6 +18,7 @@
     final InetSocketAddress address;
     /** Seconds from exec to ready. */
     final double seconds;
+
     private final Process process;
 
     /** With the arguments behind the command; on one core. */
@@ -39,8 +40,7 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        String command = flag.isEmpty() ? run.group(1)
-                : run.group(1).replaceAll("-XX:SharedArchiveFile=\\S+", flag);
+        String command = flag.isEmpty() ? run.group(1) : run.group(1).replaceAll("-XX:SharedArchiveFile=\\S+", flag);
         ProcessBuilder builder = new ProcessBuilder("taskset", "-c", "1", "sh", "-c", command + more);
         builder.environment().put("LB_CONFIG", config.toString());
         builder.environment().put("LB_LISTEN", "127.0.0.1:" + address.getPort());
@@ -55,7 +55,10 @@
     private void awaitReady() throws Exception {
         while (process.isAlive()) {
             try (Harness.Client client = new Harness.Client(address)) {
-                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").answer().status() == 200) {
+                if (client.raw("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+                                .answer()
+                                .status()
+                        == 200) {
                     return;
                 }
             } catch (IOException | AssertionError e) {
--- a/src/bench/java/larkbank/sidecar/StartBench.java
+++ b/src/bench/java/larkbank/sidecar/StartBench.java
@@ -14,16 +14,17 @@
  */
 public final class StartBench {
 
-    private StartBench() { }
+    private StartBench() {}
 
-    private record Start(double seconds, double cpu, double megabytes) { }
+    private record Start(double seconds, double cpu, double megabytes) {}
 
     public static void main(String[] args) throws Exception {
         int rounds = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 11;
         Path folder = Files.createTempDirectory("start");
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, routes(1_000));
-        try (Stub server = new Stub(Stub.SILENT); Harness harness = new Harness(folder, server)) {
+        try (Stub server = new Stub(Stub.SILENT);
+                Harness harness = new Harness(folder, server)) {
             List<Start> without = new ArrayList<>();
             List<Start> with = new ArrayList<>();
             for (int i = 0; i < rounds; i++) {
@@ -38,7 +39,10 @@
     private static String routes(int count) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"discovery\"\n");
         for (int i = 0; i < count; i++) {
-            text.append("[routes.r").append(i).append("]\npath = \"/a").append(i)
+            text.append("[routes.r")
+                    .append(i)
+                    .append("]\npath = \"/a")
+                    .append(i)
                     .append("/{id}\"\nclass = \"search\"\npool = \"p\"\ntimeout = \"900ms\"\n");
         }
         return text.toString();
@@ -51,11 +55,13 @@
     }
 
     private static void print(String name, List<Start> starts) {
-        System.out.printf("%-14s ready %.3f s, CPU %.2f s, resident %.1f MB (medians of %d, one core)%n",
+        System.out.printf(
+                "%-14s ready %.3f s, CPU %.2f s, resident %.1f MB (medians of %d, one core)%n",
                 name,
                 median(starts.stream().map(Start::seconds).toList()),
                 median(starts.stream().map(Start::cpu).toList()),
-                median(starts.stream().map(Start::megabytes).toList()), starts.size());
+                median(starts.stream().map(Start::megabytes).toList()),
+                starts.size());
     }
 
     static double median(List<Double> values) {
--- a/src/bench/java/larkbank/sidecar/WebSocketBench.java
+++ b/src/bench/java/larkbank/sidecar/WebSocketBench.java
@@ -32,11 +32,12 @@
     private static final String MORE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
             + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + Ws.KEY + "\r\n";
 
-    private WebSocketBench() { }
+    private WebSocketBench() {}
 
     public static void main(String[] args) throws Exception {
         int tunnels = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 8_500;
-        try (Idle idle = new Idle(); Stub echo = new Stub(Ws.echo());
+        try (Idle idle = new Idle();
+                Stub echo = new Stub(Ws.echo());
                 Stub sink = new Stub(WebSocketBench::drain);
                 Stub plain = new Stub(Stub.serves("ok"));
                 Harness harness = new Harness(Files.createTempDirectory("ws"), 250_000, 60_000)) {
@@ -66,7 +67,7 @@
         return "[pools." + name + "]\nsource = \"static\"\nservers = [{ id = \"a\", endpoint = \"127.0.0.1:"
                 + port
                 + "\" }]\n[routes." + name + "]\npath = \"/" + name + "/*\"\nclass = \"search\"\npool = \""
-                        + name
+                + name
                 + "\"\n[routes." + name + ".websocket]\nping_interval = \"600s\"\nping_timeout = \"600s\"\n";
     }
 
@@ -103,8 +104,9 @@
         }
         Arrays.sort(took);
         if (round > 0) {
-            System.out.printf("round trip, %s: median %.0f us, 99%% %.0f us%n", name, took[TRIPS / 2] / 1e3,
-                    took[TRIPS / 100 * 99] / 1e3);
+            System.out.printf(
+                    "round trip, %s: median %.0f us, 99%% %.0f us%n",
+                    name, took[TRIPS / 2] / 1e3, took[TRIPS / 100 * 99] / 1e3);
         }
         ws.close(1000);
     }
@@ -117,8 +119,9 @@
             ws.raw(frame);
         }
         ws.message();
-        System.out.printf("one way, %s: %.0f MB/s%n", name,
-                (double) PIECES * PIECE / (1 << 20) / ((System.nanoTime() - since) / 1e9));
+        System.out.printf(
+                "one way, %s: %.0f MB/s%n",
+                name, (double) PIECES * PIECE / (1 << 20) / ((System.nanoTime() - since) / 1e9));
     }
 
     private static void upgrades(Harness harness) throws Exception {
@@ -157,8 +160,9 @@
         }
         client.close();
         Arrays.sort(took);
-        System.out.printf("plain requests, %s: median %.0f us, 99%% %.0f us%n", name, took[TRIPS / 2] / 1e3,
-                took[TRIPS / 100 * 99] / 1e3);
+        System.out.printf(
+                "plain requests, %s: median %.0f us, 99%% %.0f us%n",
+                name, took[TRIPS / 2] / 1e3, took[TRIPS / 100 * 99] / 1e3);
     }
 
     /** One tunnel after the other says something, 2,000 a second in all, while plain requests run. */
@@ -185,7 +189,8 @@
     /** As many as fit into the descriptors of the sidecar's process, which is one of its own. */
     private static void idle(int count) throws Exception {
         Path folder = Files.createTempDirectory("idle");
-        try (Idle server = new Idle(); Harness config = new Harness(folder, 250_000, 20_000)) {
+        try (Idle server = new Idle();
+                Harness config = new Harness(folder, 250_000, 20_000)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, "version = 1\n" + route("idle", server.port()));
             try (Served served = new Served(config.file, " --operators " + file)) {
@@ -199,9 +204,10 @@
                 double memory = served.residentMegabytes() - before;
                 double cpu = served.cpuSeconds();
                 Thread.sleep(10_000);
-                System.out.printf("%d idle tunnels, opened in turn in %.1f s: %.1f kB each of the process,"
-                        + " %.1f%% of a core%n", open.size(), seconds, memory * 1024 / count,
-                        (served.cpuSeconds() - cpu) * 10);
+                System.out.printf(
+                        "%d idle tunnels, opened in turn in %.1f s: %.1f kB each of the process,"
+                                + " %.1f%% of a core%n",
+                        open.size(), seconds, memory * 1024 / count, (served.cpuSeconds() - cpu) * 10);
             }
         }
     }
@@ -227,8 +233,9 @@
                     Socket socket = listening.accept();
                     sockets.add(socket);
                     Http.Message asked = Http.read(socket.getInputStream());
-                    socket.getOutputStream().write(Ws.agreed(asked.headers().get("Sec-WebSocket-Key"), "")
-                            .getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream()
+                            .write(Ws.agreed(asked.headers().get("Sec-WebSocket-Key"), "")
+                                    .getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
                 // Closed: the measurement is over.
--- a/src/main/java/larkbank/Addresses.java
+++ b/src/main/java/larkbank/Addresses.java
@@ -8,12 +8,11 @@
 /** Reads {@code address:port}. There is no DNS, and a look-up would block the loop: literals only. */
 public final class Addresses {
 
-    private Addresses() { }
+    private Addresses() {}
 
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] address = colon < 0 ? null
-                : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] address = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         int port = -1;
         try {
             port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/larkbank/Hashes.java
+++ b/src/main/java/larkbank/Hashes.java
@@ -5,7 +5,7 @@
 /** Hashes that must be the same in every sidecar and after every restart. */
 public final class Hashes {
 
-    private Hashes() { }
+    private Hashes() {}
 
     /** An id with a salt, mixed as in SplitMix64 (Steele, Lea and Flood, 2014). */
     public static long mix(long id, long salt) {
@@ -48,7 +48,7 @@
      */
     static int jump(long key, int buckets) {
         long bucket = -1;
-        for (long next = 0; next < buckets;) {
+        for (long next = 0; next < buckets; ) {
             bucket = next;
             key = key * 2862933555777941757L + 1;
             next = (long) ((bucket + 1) * (0x1p31 / ((key >>> 33) + 1)));
--- a/src/main/java/larkbank/Ids.java
+++ b/src/main/java/larkbank/Ids.java
@@ -3,7 +3,7 @@
 /** Numbers for texts, the same in every sidecar and after every restart. */
 public final class Ids {
 
-    private Ids() { }
+    private Ids() {}
 
     /** FNV-1a in 64 bits without the sign: server ids and keys must agree between sidecars. */
     public static long of(String text) {
--- a/src/main/java/larkbank/Json.java
+++ b/src/main/java/larkbank/Json.java
@@ -11,7 +11,7 @@
 /** JSON as plain maps and lists, and look-ups that fall back where a value is missing or of another type. */
 public final class Json {
 
-    private Json() { }
+    private Json() {}
 
     /** Reads the object that the parser stands at. */
     public static void readInto(JsonParser parser, Map<String, Object> into) throws IOException {
--- a/src/main/java/larkbank/LoadReports.java
+++ b/src/main/java/larkbank/LoadReports.java
@@ -13,12 +13,17 @@
 
     private static final double MOST = 1e6;
 
-    private LoadReports() { }
+    private LoadReports() {}
 
     /** The report in an object; what it lacks is unknown. */
     public static LoadReport of(Map<?, ?> m) {
-        return new LoadReport(figure(m, "active"), figure(m, "waiting"), figure(m, "cpu"),
-                figure(m, "avg_ms"), figure(m, "rps"), figure(m, "err_rps"));
+        return new LoadReport(
+                figure(m, "active"),
+                figure(m, "waiting"),
+                figure(m, "cpu"),
+                figure(m, "avg_ms"),
+                figure(m, "rps"),
+                figure(m, "err_rps"));
     }
 
     private static double figure(Map<?, ?> m, String name) {
@@ -27,7 +32,11 @@
 
     /** The first of the headers that can be read; a broken one may stand before it. */
     public static LoadReport parse(List<String> headers) {
-        return headers.stream().map(LoadReports::parse).filter(Objects::nonNull).findFirst().orElse(null);
+        return headers.stream()
+                .map(LoadReports::parse)
+                .filter(Objects::nonNull)
+                .findFirst()
+                .orElse(null);
     }
 
     /**
@@ -42,7 +51,8 @@
         Map<String, Double> fields = new HashMap<>();
         for (String field : header.substring(FORM.length()).split(",")) {
             int equals = field.indexOf('=');
-            double value = equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
+            double value =
+                    equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
             if (value >= 0 && value <= MOST) {
                 fields.put(field.substring(0, equals).trim(), value);
             }
--- a/src/main/java/larkbank/Main.java
+++ b/src/main/java/larkbank/Main.java
@@ -7,7 +7,7 @@
 /** Chooses the host of the decision module: the sidecar, the simulator's adapter, or a command. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         // The two that run in service do not wait for the command line to be loaded.
--- a/src/main/java/larkbank/Roster.java
+++ b/src/main/java/larkbank/Roster.java
@@ -61,7 +61,7 @@
     /** Where the first member stands whose place is not before this one; 0 past the last. */
     int from(long place) {
         int low = 0;
-        for (int high = size; low < high;) {
+        for (int high = size; low < high; ) {
             int middle = (low + high) >>> 1;
             if (members[middle].place < place) {
                 low = middle + 1;
--- a/src/main/java/larkbank/SettingsReader.java
+++ b/src/main/java/larkbank/SettingsReader.java
@@ -15,7 +15,7 @@
 /** The settings as the simulator and the sidecar's configuration both spell them. */
 public final class SettingsReader {
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     /** Turns the settings object into the module's; an {@link IllegalArgumentException} says what is off. */
     public static Settings read(long seed, Map<?, ?> f) {
@@ -30,25 +30,44 @@
         }
         Map<?, ?> limits = Json.object(f, "policy_limits");
         Map<?, ?> rules = Json.object(f, "rules");
-        ReportSource reports = switch (String.valueOf(Json.object(f, "report").get("source"))) {
-            case "answers" -> ReportSource.ANSWERS;
-            case "probe" -> ReportSource.PROBES;
-            default -> ReportSource.NONE;
-        };
-        return new Settings(seed, (int) Json.whole(f, "rank", 0), (int) Json.whole(f, "replicas_of_me", 1),
-                (int) Json.whole(f, "zone", 0), names(f, "zones"), classes, tenants,
-                Json.real(f, "over_share_worth", 1), Json.real(Json.object(f, "charges"), "probe", 0),
-                new Limits((int) Json.whole(limits, "attempts_cap", 1), Json.flag(limits, "cancelling"),
-                        Json.flag(limits, "probing"), Json.flag(limits, "retry_after"),
+        ReportSource reports =
+                switch (String.valueOf(Json.object(f, "report").get("source"))) {
+                    case "answers" -> ReportSource.ANSWERS;
+                    case "probe" -> ReportSource.PROBES;
+                    default -> ReportSource.NONE;
+                };
+        return new Settings(
+                seed,
+                (int) Json.whole(f, "rank", 0),
+                (int) Json.whole(f, "replicas_of_me", 1),
+                (int) Json.whole(f, "zone", 0),
+                names(f, "zones"),
+                classes,
+                tenants,
+                Json.real(f, "over_share_worth", 1),
+                Json.real(Json.object(f, "charges"), "probe", 0),
+                new Limits(
+                        (int) Json.whole(limits, "attempts_cap", 1),
+                        Json.flag(limits, "cancelling"),
+                        Json.flag(limits, "probing"),
+                        Json.flag(limits, "retry_after"),
                         Json.whole(limits, "max_retry_after_us", 0),
                         Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
-                        (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE), Integer.MAX_VALUE,
-                        Json.flag(limits, "second_copies"), Integer.MAX_VALUE),
-                new Rules(Json.real(rules, "cold_from", 1), Json.whole(rules, "cold_us", 0),
-                        Json.whole(rules, "fall_us", 0), Json.whole(rules, "ask_every_us", 0),
-                        Json.real(rules, "extra_floor", 0), Json.real(rules, "extra_per_request", 0),
+                        (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE),
+                        Integer.MAX_VALUE,
+                        Json.flag(limits, "second_copies"),
+                        Integer.MAX_VALUE),
+                new Rules(
+                        Json.real(rules, "cold_from", 1),
+                        Json.whole(rules, "cold_us", 0),
+                        Json.whole(rules, "fall_us", 0),
+                        Json.whole(rules, "ask_every_us", 0),
+                        Json.real(rules, "extra_floor", 0),
+                        Json.real(rules, "extra_per_request", 0),
                         Json.whole(rules, "look_back_us", 0)),
-                reports, "ask".equals(f.get("discovery")), Json.flag(Json.object(f, "domain"), "warm_keys"),
+                reports,
+                "ask".equals(f.get("discovery")),
+                Json.flag(Json.object(f, "domain"), "warm_keys"),
                 Json.whole(f, "tick_us", 1000));
     }
 
@@ -69,21 +88,29 @@
     }
 
     private static RequestClass requestClass(Map<?, ?> c) {
-        Effect effect = switch (String.valueOf(c.get("effect"))) {
-            case "pure" -> Effect.SAFE;
-            case "token" -> Effect.KEYED;
-            case "side_effect" -> Effect.UNSAFE;
-            default -> throw new IllegalArgumentException(
-                    "settings: unknown effect '" + c.get("effect") + "'");
-        };
-        Group group = switch (String.valueOf(c.get("group"))) {
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
-            default -> Group.ALL;
-        };
-        return new RequestClass(String.valueOf(c.get("name")), effect, group,
-                Json.whole(c, "dedup_window_us", 0), Json.whole(c, "aim_us", 0),
-                Json.real(c, "aim_stretch", 0), Json.whole(c, "deadline_us", 0),
-                Json.real(c, "worth", 1), Json.real(c, "late_value", 0), Json.flag(c, "streaming"));
+        Effect effect =
+                switch (String.valueOf(c.get("effect"))) {
+                    case "pure" -> Effect.SAFE;
+                    case "token" -> Effect.KEYED;
+                    case "side_effect" -> Effect.UNSAFE;
+                    default -> throw new IllegalArgumentException("settings: unknown effect '" + c.get("effect") + "'");
+                };
+        Group group =
+                switch (String.valueOf(c.get("group"))) {
+                    case "zone" -> Group.ZONE;
+                    case "cell" -> Group.CELL;
+                    default -> Group.ALL;
+                };
+        return new RequestClass(
+                String.valueOf(c.get("name")),
+                effect,
+                group,
+                Json.whole(c, "dedup_window_us", 0),
+                Json.whole(c, "aim_us", 0),
+                Json.real(c, "aim_stretch", 0),
+                Json.whole(c, "deadline_us", 0),
+                Json.real(c, "worth", 1),
+                Json.real(c, "late_value", 0),
+                Json.flag(c, "streaming"));
     }
 }
--- a/src/main/java/larkbank/Shares.java
+++ b/src/main/java/larkbank/Shares.java
@@ -14,6 +14,7 @@
     private final double[] credit;
     /** How much had been spent in all when an account was last brought up to date. */
     private final long[] filledAt;
+
     private final double slack;
     private final boolean none;
     private long spent;
--- a/src/main/java/larkbank/WindowBudget.java
+++ b/src/main/java/larkbank/WindowBudget.java
@@ -16,6 +16,7 @@
     private final double perEarned;
     /** When, how much had been earned and how much spent by then. */
     private final ArrayDeque<long[]> tightest = new ArrayDeque<>();
+
     private long spent;
 
     /** Windows of so many microseconds; in each at most the floor and a part, 0 to 1, of what was earned. */
--- a/src/main/java/larkbank/berth/Berth.java
+++ b/src/main/java/larkbank/berth/Berth.java
@@ -13,13 +13,37 @@
  * @param leaving whether it ends soon and takes nothing new
  * @param ship null where no server is known
  */
-public record Berth(String name, long life, long number, String address, String control, String zone,
-        String service, boolean leaving, Ship ship) {
+public record Berth(
+        String name,
+        long life,
+        long number,
+        String address,
+        String control,
+        String zone,
+        String service,
+        boolean leaving,
+        Ship ship) {
 
     public Map<String, Object> toMap(long now) {
-        return Scribe.map("name", name, "life", life, "number", number, "address", address,
-                "control", control, "zone", zone, "service", service, "leaving", leaving,
-                "ship", ship == null ? null : ship.toMap(now));
+        return Scribe.map(
+                "name",
+                name,
+                "life",
+                life,
+                "number",
+                number,
+                "address",
+                address,
+                "control",
+                control,
+                "zone",
+                zone,
+                "service",
+                service,
+                "leaving",
+                leaving,
+                "ship",
+                ship == null ? null : ship.toMap(now));
     }
 
     /** What was told; null where it is no berth. */
@@ -27,9 +51,15 @@
         if (Scribe.text(map, "name").isEmpty() || Scribe.text(map, "address").isEmpty()) {
             return null;
         }
-        return new Berth(Scribe.text(map, "name"), Json.whole(map, "life", 0), Json.whole(map, "number", 0),
-                Scribe.text(map, "address"), Scribe.text(map, "control"), Scribe.text(map, "zone"),
-                Scribe.text(map, "service"), Json.flag(map, "leaving"),
+        return new Berth(
+                Scribe.text(map, "name"),
+                Json.whole(map, "life", 0),
+                Json.whole(map, "number", 0),
+                Scribe.text(map, "address"),
+                Scribe.text(map, "control"),
+                Scribe.text(map, "zone"),
+                Scribe.text(map, "service"),
+                Json.flag(map, "leaving"),
                 Ship.of(Json.object(map, "ship"), now));
     }
 
--- a/src/main/java/larkbank/berth/Register.java
+++ b/src/main/java/larkbank/berth/Register.java
@@ -13,7 +13,7 @@
 public final class Register {
 
     /** Who was taken out without having said that it leaves. */
-    public record Missed(Berth berth, long since) { }
+    public record Missed(Berth berth, long since) {}
 
     private static final int MOST_MISSED = 256;
     private static final long KEEP_MISSED = 3_600_000_000L;
--- a/src/main/java/larkbank/berth/ServerDirectory.java
+++ b/src/main/java/larkbank/berth/ServerDirectory.java
@@ -95,8 +95,8 @@
                 });
             }
         }
-        next.replaceAll((name, b) -> direct.containsKey(name) && direct.get(name).isNewer(b)
-                ? direct.get(name) : b);
+        next.replaceAll(
+                (name, b) -> direct.containsKey(name) && direct.get(name).isNewer(b) ? direct.get(name) : b);
         boolean changed = !next.equals(merged);
         merged = next;
         return changed;
--- a/src/main/java/larkbank/bridge/Asker.java
+++ b/src/main/java/larkbank/bridge/Asker.java
@@ -24,19 +24,23 @@
 
     Asker(long patienceMillis) {
         patience = Duration.ofMillis(patienceMillis);
-        client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(patience)
+        client = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(patience)
                 .build();
     }
 
     /** One answer for each address, in their order. */
     List<Said> ask(List<String> addresses, String path) {
-        List<CompletableFuture<Said>> asked = addresses.stream().map(at -> ask(at, path)).toList();
+        List<CompletableFuture<Said>> asked =
+                addresses.stream().map(at -> ask(at, path)).toList();
         return asked.stream().map(CompletableFuture::join).toList();
     }
 
     private CompletableFuture<Said> ask(String at, String path) {
         URI uri = URI.create("http://" + at + path);
-        HttpRequest request = HttpRequest.newBuilder(uri).timeout(patience).GET().build();
+        HttpRequest request =
+                HttpRequest.newBuilder(uri).timeout(patience).GET().build();
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray())
                 .orTimeout(patience.toMillis(), TimeUnit.MILLISECONDS)
                 .thenApply(answer -> said(at, answer))
@@ -63,7 +67,6 @@
         if (cause instanceof ConnectException) {
             return "nobody listens";
         }
-        return "no answer: " + (cause.getMessage() == null ? cause.getClass().getSimpleName()
-                : cause.getMessage());
+        return "no answer: " + (cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage());
     }
 }
--- a/src/main/java/larkbank/bridge/BeginCommand.java
+++ b/src/main/java/larkbank/bridge/BeginCommand.java
@@ -20,7 +20,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code begin HARBOUR --confirm}: a blank harbour begins with nothing. */
-@Command(name = "begin", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "begin",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Tells one blank harbour to begin with an empty configuration, alone. All that was "
                 + "ever acknowledged is given up: only for a system whose disks are lost.",
         footer = "Exit status: 5 where the harbour refuses.")
@@ -30,11 +33,17 @@
 
     @Parameters(index = "0", paramLabel = "HARBOUR", description = "Its controlPlane address.")
     private String harbour;
+
     @Option(names = "--confirm", description = "Without it nothing is told.")
     private boolean confirm;
-    @Option(names = "--abandon", paramLabel = "ADDRESS", arity = "1..*",
+
+    @Option(
+            names = "--abandon",
+            paramLabel = "ADDRESS",
+            arity = "1..*",
             description = "Harbours that hold something which is given up.")
     private List<String> abandon = List.of();
+
     @Spec
     private CommandSpec spec;
 
@@ -42,21 +51,26 @@
     public Integer call() throws IOException, InterruptedException {
         PrintWriter err = spec.commandLine().getErr();
         if (!confirm) {
-            throw new ParameterException(spec.commandLine(),
-                    "with --confirm " + harbour + " gives up all that was ever acknowledged");
+            throw new ParameterException(
+                    spec.commandLine(), "with --confirm " + harbour + " gives up all that was ever acknowledged");
         }
-        HttpResponse<byte[]> answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(PATIENCE).build().send(HttpRequest.newBuilder(
-                        URI.create("http://" + harbour + Calls.BEGIN.path())).timeout(PATIENCE)
-                        .POST(HttpRequest.BodyPublishers.ofByteArray(
-                                Scribe.bytes(Scribe.map("confirm", true, "abandon", abandon)))).build(),
+        HttpResponse<byte[]> answer = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(PATIENCE)
+                .build()
+                .send(
+                        HttpRequest.newBuilder(URI.create("http://" + harbour + Calls.BEGIN.path()))
+                                .timeout(PATIENCE)
+                                .POST(HttpRequest.BodyPublishers.ofByteArray(
+                                        Scribe.bytes(Scribe.map("confirm", true, "abandon", abandon))))
+                                .build(),
                         HttpResponse.BodyHandlers.ofByteArray());
         if (answer.statusCode() == 200) {
             spec.commandLine().getOut().println(harbour + " begins with nothing.");
             return Bridge.DONE;
         }
-        err.println("cypressweir: " + harbour + " refuses: "
-                + new String(answer.body(), StandardCharsets.UTF_8).strip());
+        err.println(
+                "cypressweir: " + harbour + " refuses: " + new String(answer.body(), StandardCharsets.UTF_8).strip());
         return Bridge.DIFFERENT;
     }
 }
--- a/src/main/java/larkbank/bridge/Bridge.java
+++ b/src/main/java/larkbank/bridge/Bridge.java
@@ -10,18 +10,38 @@
 import picocli.CommandLine.Spec;
 
 /** The command line. One class a command; errors are one line each on standard error. */
-@Command(name = "cypressweir", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "cypressweir",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "A service mesh: its programs, its checks, and questions to it.",
         synopsisSubcommandLabel = "COMMAND",
-        footer = {"", "Programs: pilot, harbour (settings file in CYPRESSWEIR_NODE_FILE).",
+        footer = {
+            "",
+            "Programs: pilot, harbour (settings file in CYPRESSWEIR_NODE_FILE).",
             "Exit status: 0 done; 1 nobody answers, or a file can't be read; 2 wrong use, or a bad file; "
-                + "3 some don't answer; 4 no such route, or request; "
-                + "5 not the same."},
-        subcommands = {ServeCommand.PilotCommand.class, ServeCommand.HarbourCommand.class, CheckCommand.class,
-            ShellCommand.class, FleetCommand.class, ItemsCommand.class, RouteCommand.class,
-            CopiesCommand.class, ShownCommand.class, SightsCommand.class, TalliesCommand.class,
-            RefusalsCommand.class, WhyCommand.class, DiffCommand.class, StateCommand.class,
-            BeginCommand.class, HelpCommand.class})
+                    + "3 some don't answer; 4 no such route, or request; "
+                    + "5 not the same."
+        },
+        subcommands = {
+            ServeCommand.PilotCommand.class,
+            ServeCommand.HarbourCommand.class,
+            CheckCommand.class,
+            ShellCommand.class,
+            FleetCommand.class,
+            ItemsCommand.class,
+            RouteCommand.class,
+            CopiesCommand.class,
+            ShownCommand.class,
+            SightsCommand.class,
+            TalliesCommand.class,
+            RefusalsCommand.class,
+            WhyCommand.class,
+            DiffCommand.class,
+            StateCommand.class,
+            BeginCommand.class,
+            HelpCommand.class
+        })
 final class Bridge implements Runnable {
 
     static final int DONE = 0;
@@ -29,6 +49,7 @@
     static final int NOBODY = 1;
     /** Wrong use, or a bad file. */
     static final int BAD = 2;
+
     static final int SOME_SILENT = 3;
     static final int NO_ROUTE = 4;
     /** What was compared is not the same. */
@@ -36,6 +57,7 @@
 
     private final List<String> usual;
     private final Paint paint;
+
     @Spec
     private CommandSpec spec;
 
@@ -55,8 +77,9 @@
 
     /** Runs a command; the exit status. */
     static int run(String... args) {
-        return new Bridge(List.of(), Paint.usual()).line(new PrintWriter(System.out, true),
-                new PrintWriter(System.err, true)).execute(args);
+        return new Bridge(List.of(), Paint.usual())
+                .line(new PrintWriter(System.out, true), new PrintWriter(System.err, true))
+                .execute(args);
     }
 
     static int run(PrintWriter out, PrintWriter err, String... args) {
@@ -69,7 +92,8 @@
         for (Object one : more) {
             line.addSubcommand(one);
         }
-        return line.setOut(out).setErr(err)
+        return line.setOut(out)
+                .setErr(err)
                 .setExitCodeExceptionMapper(e -> NOBODY)
                 .setParameterExceptionHandler((e, given) -> wrong(e, err))
                 .setExecutionExceptionHandler((e, failed, result) -> {
@@ -80,8 +104,8 @@
 
     private static int wrong(ParameterException e, PrintWriter err) {
         String line = String.valueOf(e.getMessage()).replace('\n', ' ');
-        err.println("cypressweir: " + line + " (" + e.getCommandLine().getCommandSpec().qualifiedName()
-                + " --help)");
+        err.println("cypressweir: " + line + " ("
+                + e.getCommandLine().getCommandSpec().qualifiedName() + " --help)");
         return BAD;
     }
 
--- a/src/main/java/larkbank/bridge/CheckCommand.java
+++ b/src/main/java/larkbank/bridge/CheckCommand.java
@@ -15,7 +15,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code check settings FILE} and {@code check config FILE}: all that is wrong with a file, a line each. */
-@Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Check a file before a program reads it.",
         subcommands = {CheckCommand.Settings.class, CheckCommand.Config.class},
         footer = "Exit status: 0 good; 1 can't be read; 2 bad, with a line for each fault.")
@@ -52,13 +55,18 @@
     }
 
     /** A settings file of a process. */
-    @Command(name = "settings", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "settings",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Check a settings file.")
     static final class Settings implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Option(names = "--for", paramLabel = "PROGRAM", description = "Also what pilot or harbour wants.")
         private SettingsCheck.Program program;
+
         @Parameters(paramLabel = "FILE")
         private Path file;
 
@@ -69,14 +77,21 @@
     }
 
     /** A change of the configuration, or a whole one as it is read back. */
-    @Command(name = "config", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "config",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Check a change as it is sent to modify, or a configuration as read gives it.")
     static final class Config implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--on", paramLabel = "FILE",
+
+        @Option(
+                names = "--on",
+                paramLabel = "FILE",
                 description = "The configuration that the change is made to; nothing stands without it.")
         private Path base;
+
         @Parameters(paramLabel = "FILE")
         private Path file;
 
--- a/src/main/java/larkbank/bridge/Completing.java
+++ b/src/main/java/larkbank/bridge/Completing.java
@@ -28,7 +28,9 @@
         List<String> words = line.words();
         int at = line.wordIndex();
         CommandLine command = words.isEmpty() ? null : spec.subcommands().get(words.get(0));
-        if (at > 1 && TAKE_COLUMNS.contains(words.get(at - 1)) && command != null
+        if (at > 1
+                && TAKE_COLUMNS.contains(words.get(at - 1))
+                && command != null
                 && command.getCommandSpec().userObject() instanceof Query query) {
             columns(query, line.word(), words.get(at - 1).equals("--where") ? "=" : "", found);
         } else {
@@ -39,7 +41,8 @@
     /** After a comma the next one. */
     private static void columns(Query query, String word, String end, List<Candidate> found) {
         String before = word.substring(0, word.lastIndexOf(',') + 1);
-        query.columns().forEach(column -> found.add(new Candidate(before + column + end, column, null, null,
-                null, null, false)));
+        query.columns()
+                .forEach(column ->
+                        found.add(new Candidate(before + column + end, column, null, null, null, null, false)));
     }
 }
--- a/src/main/java/larkbank/bridge/ConfigCheck.java
+++ b/src/main/java/larkbank/bridge/ConfigCheck.java
@@ -21,7 +21,7 @@
     /** So many faults are told of one file. */
     private static final int MOST = 200;
 
-    private ConfigCheck() { }
+    private ConfigCheck() {}
 
     /** @param base the configuration that stands, as it is read back; null for none */
     static List<Flaw> flaws(byte[] file, byte[] base) {
@@ -38,7 +38,8 @@
         }
         List<Flaw> flaws = new ArrayList<>();
         Mending mending = new Mending(change ? sheet.get() : wrapped(sheet.get()));
-        for (Refusal next = refusal(bytes(mending.order()), standing); next != null && flaws.size() < MOST;
+        for (Refusal next = refusal(bytes(mending.order()), standing);
+                next != null && flaws.size() < MOST;
                 next = refusal(bytes(mending.order()), standing)) {
             Flaw flaw = mending.mend(next.reason());
             if (flaw == null || flaws.contains(flaw)) {
@@ -54,9 +55,12 @@
     }
 
     private static Manifest standing(byte[] base) {
-        return Sheets.read(base).toOption().flatMap(map -> Order.read(bytes(
-                map.containsKey("upsert") ? map : wrapped(map))).toOption())
-                .map(order -> Manifest.of(order.items())).getOrElse(Manifest.EMPTY);
+        return Sheets.read(base)
+                .toOption()
+                .flatMap(map -> Order.read(bytes(map.containsKey("upsert") ? map : wrapped(map)))
+                        .toOption())
+                .map(order -> Manifest.of(order.items()))
+                .getOrElse(Manifest.EMPTY);
     }
 
     private static Map<String, Object> wrapped(Map<String, Object> layout) {
--- a/src/main/java/larkbank/bridge/CopiesCommand.java
+++ b/src/main/java/larkbank/bridge/CopiesCommand.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code copies}: which configuration stands where, and how copies are. */
-@Command(name = "copies", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "copies",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "The configuration's stamp where one asks; of harbours their copies, and how many "
                 + "other harbours are heard.")
 final class CopiesCommand extends Query {
@@ -19,8 +22,18 @@
 
     @Override
     List<String> columns() {
-        return List.of("kind", "name", "stamp", "items", "open", "forgetful", "sick", "inContact",
-                "confirmedMs", "crew", "heard");
+        return List.of(
+                "kind",
+                "name",
+                "stamp",
+                "items",
+                "open",
+                "forgetful",
+                "sick",
+                "inContact",
+                "confirmedMs",
+                "crew",
+                "heard");
     }
 
     @Override
@@ -33,8 +46,9 @@
         });
         List<Map<String, Object>> harbours = objects(state, "harbours");
         if (!harbours.isEmpty()) {
-            row.put("heard", harbours.stream().filter(h -> Json.flag(h, "heard")).count() + "/"
-                    + harbours.size());
+            row.put(
+                    "heard",
+                    harbours.stream().filter(h -> Json.flag(h, "heard")).count() + "/" + harbours.size());
         }
         return List.of(row);
     }
--- a/src/main/java/larkbank/bridge/DiffCommand.java
+++ b/src/main/java/larkbank/bridge/DiffCommand.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code diff A B}: what two processes see differently. */
-@Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "diff",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "What two processes see differently: stamp, items, pilots and servers; of two pilots "
                 + "also which harbours they hear and which servers they choose from, of two harbours the "
                 + "crew. What one of them does not know is empty there.",
@@ -20,6 +23,7 @@
 
     @Parameters(index = "0", paramLabel = "A", description = "A controlPlane address.")
     private String first;
+
     @Parameters(index = "1", paramLabel = "B")
     private String second;
 
@@ -74,17 +78,17 @@
         Map<String, String> facts = new TreeMap<>();
         facts.put("stamp", Sheet.text(state.get("stamp")));
         for (Map<String, Object> item : objects(state, "list")) {
-            facts.put("item " + item.get("table") + "." + item.get("name"), Sheet.text(item.get("version"))
-                    + (Boolean.TRUE.equals(item.get("withdrawn")) ? " withdrawn" : ""));
+            facts.put(
+                    "item " + item.get("table") + "." + item.get("name"),
+                    Sheet.text(item.get("version")) + (Boolean.TRUE.equals(item.get("withdrawn")) ? " withdrawn" : ""));
         }
         objects(state, "berths").forEach(one -> {
             facts.put("pilot " + one.get("name"), Sheet.text(one.get("address")));
             server(one, Sheet.text(one.get("name")), Sheet.text(one.get("service")), facts);
         });
-        objects(state, "pilots").forEach(one ->
-                facts.put("pilot " + one.get("name"), Sheet.text(one.get("address"))));
-        Scribe.object(state, "services").forEach((service, list) ->
-                objects(Scribe.object(state, "services"), service).forEach(one -> {
+        objects(state, "pilots").forEach(one -> facts.put("pilot " + one.get("name"), Sheet.text(one.get("address"))));
+        Scribe.object(state, "services").forEach((service, list) -> objects(Scribe.object(state, "services"), service)
+                .forEach(one -> {
                     server(one, Sheet.text(one.get("pilot")), service, facts);
                     if (alike) {
                         facts.put("chosen " + one.get("server"), Sheet.text(one.get("chosen")));
@@ -93,25 +97,27 @@
         if (alike) {
             facts.put("crew", String.join(",", new TreeSet<>(crew(state))));
             if (state.get("kind").equals("pilot")) {
-                objects(state, "harbours").forEach(one -> facts.put("heard harbour " + one.get("address"),
-                        Sheet.text(one.get("heard"))));
+                objects(state, "harbours")
+                        .forEach(one -> facts.put("heard harbour " + one.get("address"), Sheet.text(one.get("heard"))));
             }
         }
         return facts;
     }
 
     private static List<String> crew(Map<String, Object> state) {
-        return state.get("crew") instanceof List<?> list ? list.stream().map(Sheet::text).toList()
+        return state.get("crew") instanceof List<?> list
+                ? list.stream().map(Sheet::text).toList()
                 : List.of();
     }
 
-    private static void server(Map<String, Object> one, String pilot, String service,
-            Map<String, String> facts) {
+    private static void server(Map<String, Object> one, String pilot, String service, Map<String, String> facts) {
         String id = Sheet.text(one.get("server"));
         if (!id.isEmpty()) {
-            facts.put("server " + id, service + " at " + pilot + ", " + Sheet.text(one.get("slots"))
-                    + " slots" + (Boolean.TRUE.equals(one.get("draining")) ? ", drains" : "")
-                    + (Boolean.TRUE.equals(one.get("leaving")) ? ", leaves" : ""));
+            facts.put(
+                    "server " + id,
+                    service + " at " + pilot + ", " + Sheet.text(one.get("slots"))
+                            + " slots" + (Boolean.TRUE.equals(one.get("draining")) ? ", drains" : "")
+                            + (Boolean.TRUE.equals(one.get("leaving")) ? ", leaves" : ""));
         }
     }
 
--- a/src/main/java/larkbank/bridge/Flaw.java
+++ b/src/main/java/larkbank/bridge/Flaw.java
@@ -9,7 +9,8 @@
     static Flaw of(String line) {
         int space = line.indexOf(' ');
         return space > 0 && line.substring(0, space).indexOf('.') > 0 && !line.startsWith("\"")
-                ? new Flaw(line.substring(0, space), line.substring(space + 1)) : new Flaw(WHOLE, line);
+                ? new Flaw(line.substring(0, space), line.substring(space + 1))
+                : new Flaw(WHOLE, line);
     }
 
     @Override
--- a/src/main/java/larkbank/bridge/FleetCommand.java
+++ b/src/main/java/larkbank/bridge/FleetCommand.java
@@ -7,15 +7,28 @@
 import picocli.CommandLine.Command;
 
 /** {@code fleet}: pilots and servers, as a harbour or a pilot knows them. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Pilots and servers. A harbour lists pilots; a pilot lists servers, and says of each "
                 + "whether it has a line (line), awaits answers in vain (silent) and sends there (chosen).")
 final class FleetCommand extends Query {
 
     @Override
     List<String> columns() {
-        return List.of("pilot", "zone", "service", "server", "slots", "draining", "leaving", "line", "silent",
-                "chosen", "ageMs");
+        return List.of(
+                "pilot",
+                "zone",
+                "service",
+                "server",
+                "slots",
+                "draining",
+                "leaving",
+                "line",
+                "silent",
+                "chosen",
+                "ageMs");
     }
 
     @Override
--- a/src/main/java/larkbank/bridge/Helmsman.java
+++ b/src/main/java/larkbank/bridge/Helmsman.java
@@ -15,10 +15,11 @@
 
     private static final int KEPT = 1_000;
 
-    private Helmsman() { }
+    private Helmsman() {}
 
     static int run(Shell shell, Path history) throws IOException {
-        try (Terminal terminal = TerminalBuilder.builder().system(true).dumb(true).build()) {
+        try (Terminal terminal =
+                TerminalBuilder.builder().system(true).dumb(true).build()) {
             run(shell, terminal, history, Paint.usual());
         }
         return Bridge.DONE;
@@ -26,17 +27,19 @@
 
     static void run(Shell shell, Terminal terminal, Path history, Paint paint) {
         PrintWriter out = terminal.writer();
-        LineReader reader = LineReaderBuilder.builder().appName("bridge").terminal(terminal)
+        LineReader reader = LineReaderBuilder.builder()
+                .appName("bridge")
+                .terminal(terminal)
                 .completer(new Completing(shell.line(out, out, paint).getCommandSpec()))
                 .variable(LineReader.HISTORY_FILE, history)
                 .variable(LineReader.HISTORY_SIZE, KEPT)
-                .variable(LineReader.HISTORY_FILE_SIZE, KEPT).build();
+                .variable(LineReader.HISTORY_FILE_SIZE, KEPT)
+                .build();
         Thread thread = Thread.currentThread();
         while (!shell.ended()) {
             try {
                 String text = reader.readLine("bridge> ");
-                Terminal.SignalHandler before = terminal.handle(Terminal.Signal.INT,
-                        signal -> thread.interrupt());
+                Terminal.SignalHandler before = terminal.handle(Terminal.Signal.INT, signal -> thread.interrupt());
                 try {
                     shell.run(text, out, out, paint);
                 } finally {
--- a/src/main/java/larkbank/bridge/ItemsCommand.java
+++ b/src/main/java/larkbank/bridge/ItemsCommand.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code items}: the configuration as it is shown where one asks. */
-@Command(name = "items", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "items",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Items of the configuration with their versions, withdrawn ones too.")
 final class ItemsCommand extends Query {
 
@@ -37,8 +40,12 @@
     /** Services with their weights. */
     static String to(Map<String, Object> item) {
         List<Map<String, Object>> services = objects(item, "services");
-        return services.size() == 1 ? Sheet.text(services.get(0).get("service"))
-                : String.join(",", services.stream().map(s -> Sheet.text(s.get("service")) + "="
-                        + Sheet.text(s.get("weight"))).toList());
+        return services.size() == 1
+                ? Sheet.text(services.get(0).get("service"))
+                : String.join(
+                        ",",
+                        services.stream()
+                                .map(s -> Sheet.text(s.get("service")) + "=" + Sheet.text(s.get("weight")))
+                                .toList());
     }
 }
--- a/src/main/java/larkbank/bridge/Main.java
+++ b/src/main/java/larkbank/bridge/Main.java
@@ -6,7 +6,7 @@
 /** Chooses the program: the two that serve don't wait for the command line to be loaded. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         // Nothing here needs the machine's hardware address, and a search for one costs time.
--- a/src/main/java/larkbank/bridge/Mending.java
+++ b/src/main/java/larkbank/bridge/Mending.java
@@ -41,8 +41,8 @@
         for (String time : List.of("timeout", "targetLatency", "headerTimeout", "idleTimeout")) {
             good.put(time, "1s");
         }
-        for (String number : List.of("priority", "maxAttempts", "maxConnections", "ratePerS", "burstSize",
-                "weight", "maxBodyBytes")) {
+        for (String number : List.of(
+                "priority", "maxAttempts", "maxConnections", "ratePerS", "burstSize", "weight", "maxBodyBytes")) {
             good.put(number, 1L);
         }
         good.put("maxHeaderBytes", 16_384L);
@@ -53,8 +53,7 @@
 
     /** Mends the fault that a harbour's reason tells of; null where that can't be. */
     Flaw mend(String reason) {
-        if (reason.endsWith("\" is unknown")
-                && order.keySet().removeIf(k -> reason.startsWith("\"" + k + "\""))) {
+        if (reason.endsWith("\" is unknown") && order.keySet().removeIf(k -> reason.startsWith("\"" + k + "\""))) {
             return Flaw.of(reason);
         } else if (reason.startsWith("withdraw.")) {
             return withdrawn(reason);
@@ -103,8 +102,8 @@
         String best = null;
         for (String name : items.keySet()) {
             String start = table + "." + name;
-            boolean follows = text.startsWith(start) && (text.length() == start.length()
-                    || " .".indexOf(text.charAt(start.length())) >= 0);
+            boolean follows = text.startsWith(start)
+                    && (text.length() == start.length() || " .".indexOf(text.charAt(start.length())) >= 0);
             if (follows && (best == null || name.length() > best.length())) {
                 best = name;
             }
@@ -119,8 +118,8 @@
         }
         String unknown = "names service ";
         if (rest.trim().startsWith(unknown) && rest.endsWith(", which is unknown")) {
-            String service = rest.trim().substring(unknown.length(),
-                    rest.trim().length() - ", which is unknown".length());
+            String service =
+                    rest.trim().substring(unknown.length(), rest.trim().length() - ", which is unknown".length());
             swap(object(items, name), service);
             return new Flaw(place, rest.trim());
         }
--- a/src/main/java/larkbank/bridge/Muster.java
+++ b/src/main/java/larkbank/bridge/Muster.java
@@ -24,6 +24,7 @@
     private final Map<String, String> names = new HashMap<>();
     /** Addresses of lines whose process has said nowhere where it is asked. */
     private final Map<String, String> unknown = new LinkedHashMap<>();
+
     private final Set<String> known = new HashSet<>();
 
     /** @param ask for the states of some addresses, at once */
@@ -45,8 +46,11 @@
             next = told;
         }
         List<Said> all = new ArrayList<>();
-        answers.values().forEach(said -> all.add(said.silent()
-                ? new Said(said.at(), names.getOrDefault(said.at(), ""), null, said.why()) : said));
+        answers.values()
+                .forEach(said -> all.add(
+                        said.silent()
+                                ? new Said(said.at(), names.getOrDefault(said.at(), ""), null, said.why())
+                                : said));
         unknown.forEach((address, name) -> {
             if (!known.contains(address)) {
                 all.add(new Said(address, name, null, "nobody asked knows where it is asked"));
@@ -59,8 +63,8 @@
     private boolean isTwice(Said said) {
         known.add(Scribe.text(said.state(), "address"));
         boolean twice = !said.name().isEmpty()
-                && !identities.add(Scribe.text(said.state(), "kind") + " " + said.name()
-                + " " + Scribe.text(said.state(), "control"));
+                && !identities.add(Scribe.text(said.state(), "kind") + " " + said.name() + " "
+                        + Scribe.text(said.state(), "control"));
         if (twice) {
             answers.remove(said.at());
         }
--- a/src/main/java/larkbank/bridge/Paint.java
+++ b/src/main/java/larkbank/bridge/Paint.java
@@ -8,8 +8,8 @@
     /** On where both ends are a terminal and nobody has said that no colour is wanted. */
     static Paint usual() {
         String term = System.getenv("TERM");
-        return new Paint(System.console() != null && System.getenv("NO_COLOR") == null && term != null
-                && !term.equals("dumb"));
+        return new Paint(
+                System.console() != null && System.getenv("NO_COLOR") == null && term != null && !term.equals("dumb"));
     }
 
     String head(String text) {
--- a/src/main/java/larkbank/bridge/Query.java
+++ b/src/main/java/larkbank/bridge/Query.java
@@ -23,28 +23,43 @@
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--at", paramLabel = "ADDRESS", description = "A controlPlane address to ask; may be "
-            + "repeated. Without it that of the shell or the settings file in CYPRESSWEIR_NODE_FILE.")
+
+    @Option(
+            names = "--at",
+            paramLabel = "ADDRESS",
+            description = "A controlPlane address to ask; may be "
+                    + "repeated. Without it that of the shell or the settings file in CYPRESSWEIR_NODE_FILE.")
     private List<String> at = new ArrayList<>();
-    @Option(names = "--timeout", paramLabel = "MS", defaultValue = "2000",
+
+    @Option(
+            names = "--timeout",
+            paramLabel = "MS",
+            defaultValue = "2000",
             description = "How long each has to answer, in milliseconds (${DEFAULT-VALUE}).")
     private long timeout;
+
     @Option(names = "--json", description = "One JSON object: rows, and who is silent.")
     private boolean json;
-    @Option(names = "--where", paramLabel = "COLUMN=VALUE", description = "Only rows that say so; may be "
-            + "repeated, all hold.")
+
+    @Option(
+            names = "--where",
+            paramLabel = "COLUMN=VALUE",
+            description = "Only rows that say so; may be " + "repeated, all hold.")
     private List<String> where = new ArrayList<>();
+
     @Option(names = "--columns", paramLabel = "A,B", split = ",", description = "Only these, in this order.")
     private List<String> shown = new ArrayList<>();
+
     @Option(names = "--sort", paramLabel = "COLUMN", description = "By this; numbers by size.")
     private String sort;
+
     @Option(names = "--watch", paramLabel = "SECONDS", description = "Ask again and again until ended.")
     private double watch;
 
     @Option(names = "--all", description = "Ask also all that those tell of, and who these tell of.")
     private boolean all;
-    @Option(names = "--only", description = "Ask nobody else, where a single address would be enough to ask "
-            + "all.")
+
+    @Option(names = "--only", description = "Ask nobody else, where a single address would be enough to ask " + "all.")
     private boolean only;
 
     /** All columns that there are. */
@@ -80,7 +95,8 @@
     List<Said> ask(Asker asker, List<String> addresses) {
         String path = Calls.STATE.path() + (items() ? "?items" : "");
         return all || wide() && !only && addresses.size() == 1
-                ? new Muster(some -> asker.ask(some, path)).of(addresses) : asker.ask(addresses, path);
+                ? new Muster(some -> asker.ask(some, path)).of(addresses)
+                : asker.ask(addresses, path);
     }
 
     /** Whom to ask. */
@@ -145,7 +161,8 @@
 
     private int once(Asker asker, List<String> addresses, List<String> names) {
         List<Said> said = ask(asker, addresses);
-        Sheet sheet = new Sheet(names, table(said.stream().filter(one -> !one.silent()).toList()));
+        Sheet sheet = new Sheet(
+                names, table(said.stream().filter(one -> !one.silent()).toList()));
         for (String one : where) {
             int equals = one.indexOf('=');
             sheet = sheet.where(one.substring(0, equals), one.substring(equals + 1));
@@ -154,16 +171,15 @@
         Sheet last = shown.isEmpty() ? sheet : sheet.cut(shown);
         List<Said> silent = said.stream().filter(Said::silent).toList();
         show(last, silent, silent.size() == said.size());
-        return silent.size() == said.size() ? Bridge.NOBODY : !silent.isEmpty() ? Bridge.SOME_SILENT
-                : status(sheet);
+        return silent.size() == said.size() ? Bridge.NOBODY : !silent.isEmpty() ? Bridge.SOME_SILENT : status(sheet);
     }
 
     private void show(Sheet sheet, List<Said> silent, boolean nobody) {
         if (json) {
             List<Object> names = new ArrayList<>();
             silent.forEach(s -> names.add(Scribe.map("at", s.at(), "name", s.name(), "why", s.why())));
-            out().println(new String(Scribe.bytes(Scribe.map("rows", sheet.rows(), "silent", names)),
-                    StandardCharsets.UTF_8));
+            out().println(new String(
+                    Scribe.bytes(Scribe.map("rows", sheet.rows(), "silent", names)), StandardCharsets.UTF_8));
         } else if (!nobody) {
             List<String> lines = sheet.lines();
             out().println(bridge().paint().head(lines.get(0)));
@@ -189,8 +205,11 @@
     private String own() {
         String file = System.getenv("CYPRESSWEIR_NODE_FILE");
         try {
-            String address = file == null ? null : NodePapers.read(Files.readAllBytes(Path.of(file)))
-                    .map(papers -> papers.listen().get("controlPlane")).getOrNull();
+            String address = file == null
+                    ? null
+                    : NodePapers.read(Files.readAllBytes(Path.of(file)))
+                            .map(papers -> papers.listen().get("controlPlane"))
+                            .getOrNull();
             if (address != null) {
                 return address;
             }
--- a/src/main/java/larkbank/bridge/RefusalsCommand.java
+++ b/src/main/java/larkbank/bridge/RefusalsCommand.java
@@ -8,7 +8,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code refusals}: answers of the mesh's own, by fault. */
-@Command(name = "refusals", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "refusals",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Answers of the mesh's own since a pilot's start, by fault; and its server: what runs, "
                 + "what waits, and its slots. A pilot that has refused nothing has one line without a fault.")
 final class RefusalsCommand extends Query {
@@ -29,15 +32,19 @@
         if (!"pilot".equals(state.get("kind"))) {
             return rows;
         }
-        Scribe.object(state, "refusals").forEach((fault, count) -> rows.add(Scribe.map("name",
-                state.get("name"), "fault", fault.toLowerCase(Locale.ROOT).replace('_', ' '), "count",
-                count)));
+        Scribe.object(state, "refusals")
+                .forEach((fault, count) -> rows.add(Scribe.map(
+                        "name",
+                        state.get("name"),
+                        "fault",
+                        fault.toLowerCase(Locale.ROOT).replace('_', ' '),
+                        "count",
+                        count)));
         if (rows.isEmpty()) {
             rows.add(Scribe.map("name", state.get("name"), "count", 0));
         }
         Map<String, Object> own = Scribe.object(state, "own");
-        rows.forEach(row -> List.of("running", "waiting", "slots").forEach(figure ->
-                row.put(figure, own.get(figure))));
+        rows.forEach(row -> List.of("running", "waiting", "slots").forEach(figure -> row.put(figure, own.get(figure))));
         return rows;
     }
 }
--- a/src/main/java/larkbank/bridge/RouteCommand.java
+++ b/src/main/java/larkbank/bridge/RouteCommand.java
@@ -8,13 +8,17 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code route HOST PATH}: which route takes such a request, where one asks. */
-@Command(name = "route", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "route",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "The route that takes requests for a host and a path: of its host the longest prefix.",
         footer = "Exit status: 4 where somebody who was asked has no such route.")
 final class RouteCommand extends Query {
 
     @Parameters(index = "0", paramLabel = "HOST")
     private String host;
+
     @Parameters(index = "1", paramLabel = "PATH")
     private String path;
 
@@ -25,8 +29,18 @@
 
     @Override
     List<String> columns() {
-        return List.of("stamp", "route", "host", "prefix", "to", "open", "repeatable", "priority", "attempts",
-                "aimMs", "timeoutMs");
+        return List.of(
+                "stamp",
+                "route",
+                "host",
+                "prefix",
+                "to",
+                "open",
+                "repeatable",
+                "priority",
+                "attempts",
+                "aimMs",
+                "timeoutMs");
     }
 
     @Override
@@ -35,9 +49,11 @@
         Map<String, Object> best = null;
         for (Map<String, Object> item : objects(state, "list")) {
             String prefix = Scribe.text(item, "prefix");
-            if (!prefix.isEmpty() && Scribe.text(item, "host").equals(host.toLowerCase(Locale.ROOT))
+            if (!prefix.isEmpty()
+                    && Scribe.text(item, "host").equals(host.toLowerCase(Locale.ROOT))
                     && bare.startsWith(prefix)
-                    && (best == null || prefix.length() > Scribe.text(best, "prefix").length())) {
+                    && (best == null
+                            || prefix.length() > Scribe.text(best, "prefix").length())) {
                 best = item;
             }
         }
@@ -53,7 +69,6 @@
 
     @Override
     int status(Sheet sheet) {
-        return sheet.rows().stream().anyMatch(row -> "-".equals(row.get("route"))) ? Bridge.NO_ROUTE
-                : Bridge.DONE;
+        return sheet.rows().stream().anyMatch(row -> "-".equals(row.get("route"))) ? Bridge.NO_ROUTE : Bridge.DONE;
     }
 }
--- a/src/main/java/larkbank/bridge/ServeCommand.java
+++ b/src/main/java/larkbank/bridge/ServeCommand.java
@@ -5,10 +5,13 @@
 /** The programs as the help names them; alone on the command line they start without it. */
 final class ServeCommand {
 
-    private ServeCommand() { }
+    private ServeCommand() {}
 
     /** Beside an application server. */
-    @Command(name = "pilot", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "pilot",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Run beside an application server, until SIGTERM.")
     static final class PilotCommand implements Runnable {
         @Override
@@ -18,7 +21,10 @@
     }
 
     /** On a core machine. */
-    @Command(name = "harbour", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "harbour",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Run on a core machine, until SIGTERM.")
     static final class HarbourCommand implements Runnable {
         @Override
--- a/src/main/java/larkbank/bridge/SettingsCheck.java
+++ b/src/main/java/larkbank/bridge/SettingsCheck.java
@@ -10,9 +10,12 @@
 final class SettingsCheck {
 
     /** For which program more is wanted. */
-    enum Program { pilot, harbour }
+    enum Program {
+        pilot,
+        harbour
+    }
 
-    private SettingsCheck() { }
+    private SettingsCheck() {}
 
     /** @param program null for neither */
     static List<Flaw> flaws(byte[] file, Program program) {
@@ -42,8 +45,7 @@
             }
         }
         if (program != null) {
-            wanted(papers.listen().containsKey("controlPlane"), "network.listenAddresses.controlPlane",
-                    program, flaws);
+            wanted(papers.listen().containsKey("controlPlane"), "network.listenAddresses.controlPlane", program, flaws);
             wanted(!papers.seeds().isEmpty(), "network.seedNodes", program, flaws);
         }
         return flaws;
--- a/src/main/java/larkbank/bridge/Sheet.java
+++ b/src/main/java/larkbank/bridge/Sheet.java
@@ -11,7 +11,9 @@
 
     /** Rows whose column reads so. */
     Sheet where(String column, String value) {
-        return new Sheet(columns, rows.stream().filter(row -> text(row.get(column)).equals(value)).toList());
+        return new Sheet(
+                columns,
+                rows.stream().filter(row -> text(row.get(column)).equals(value)).toList());
     }
 
     /** Numbers by size, all else as texts; rows that are alike keep their order. */
@@ -33,14 +35,16 @@
 
     private static int compare(Object a, Object b) {
         return a instanceof Number x && b instanceof Number y
-                ? Double.compare(x.doubleValue(), y.doubleValue()) : text(a).compareTo(text(b));
+                ? Double.compare(x.doubleValue(), y.doubleValue())
+                : text(a).compareTo(text(b));
     }
 
     /** Lines of a plain table: a head, then a line a row; columns two spaces apart. */
     List<String> lines() {
         Map<String, Integer> widths = new LinkedHashMap<>();
-        columns.forEach(column -> widths.put(column, rows.stream().mapToInt(row ->
-                text(row.get(column)).length()).reduce(column.length(), Math::max)));
+        columns.forEach(column -> widths.put(
+                column,
+                rows.stream().mapToInt(row -> text(row.get(column)).length()).reduce(column.length(), Math::max)));
         List<String> lines = new ArrayList<>();
         lines.add(line(widths, null));
         rows.forEach(row -> lines.add(line(widths, row)));
--- a/src/main/java/larkbank/bridge/Shell.java
+++ b/src/main/java/larkbank/bridge/Shell.java
@@ -47,8 +47,8 @@
             return Bridge.DONE;
         }
         List<String> words = new DefaultParser().parse(bare, bare.length()).words();
-        return line(out, err, paint).execute(words.stream().filter(word -> !word.isEmpty())
-                .toArray(String[]::new));
+        return line(out, err, paint)
+                .execute(words.stream().filter(word -> !word.isEmpty()).toArray(String[]::new));
     }
 
     /** Runs lines until they end; the highest status. */
@@ -61,11 +61,15 @@
     }
 
     /** {@code at [ADDRESS...]}: whom to ask from now on. */
-    @Command(name = "at", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(
+            name = "at",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
             description = "Whom commands ask that name nobody; without an address it tells them.")
     private final class At implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(arity = "0..*", paramLabel = "ADDRESS")
         private List<String> given = new ArrayList<>();
 
@@ -86,8 +90,12 @@
     }
 
     /** {@code exit}. */
-    @Command(name = "exit", aliases = "quit", mixinStandardHelpOptions = true,
-            versionProvider = Version.class, description = "End the shell.")
+    @Command(
+            name = "exit",
+            aliases = "quit",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            description = "End the shell.")
     private final class Exit implements Runnable {
         @Override
         public void run() {
--- a/src/main/java/larkbank/bridge/ShellCommand.java
+++ b/src/main/java/larkbank/bridge/ShellCommand.java
@@ -14,7 +14,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code bridge}: one command after another, of somebody at a terminal or of a file. */
-@Command(name = "bridge", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "bridge",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "The shell: the same commands one after another. At a terminal with history, "
                 + "completion and colour; else a command a line of standard input, # begins a comment.",
         footer = "Exit status: of a file the highest of its commands; at a terminal 0.")
@@ -22,11 +25,17 @@
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--at", paramLabel = "ADDRESS", description = "Whom commands ask that name nobody; may "
-            + "be repeated, and changed by the command at.")
+
+    @Option(
+            names = "--at",
+            paramLabel = "ADDRESS",
+            description = "Whom commands ask that name nobody; may " + "be repeated, and changed by the command at.")
     private List<String> at = new ArrayList<>();
-    @Option(names = "--history", paramLabel = "FILE", description = "Where lines are kept "
-            + "(.cypressweir_history in the home directory).")
+
+    @Option(
+            names = "--history",
+            paramLabel = "FILE",
+            description = "Where lines are kept " + "(.cypressweir_history in the home directory).")
     private Path history = Path.of(System.getProperty("user.home", "."), ".cypressweir_history");
 
     @Override
@@ -35,7 +44,9 @@
         if (System.console() != null) {
             return Helmsman.run(shell, history);
         }
-        return shell.run(new BufferedReader(new InputStreamReader(System.in, Charset.defaultCharset())),
-                spec.commandLine().getOut(), spec.commandLine().getErr());
+        return shell.run(
+                new BufferedReader(new InputStreamReader(System.in, Charset.defaultCharset())),
+                spec.commandLine().getOut(),
+                spec.commandLine().getErr());
     }
 }
--- a/src/main/java/larkbank/bridge/ShownCommand.java
+++ b/src/main/java/larkbank/bridge/ShownCommand.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code shown [NAME]}: which version of each item is shown, and by whom. */
-@Command(name = "shown", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "shown",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Versions of items, with how many and who shows each; two lines of one item are two "
                 + "versions. A dash: those don't show the item at all.")
 final class ShownCommand extends Query {
@@ -50,13 +53,19 @@
         for (Said one : heard) {
             for (Map<String, Object> item : rows(one.state())) {
                 if (wanted == null || wanted.equals(item.get("name"))) {
-                    Map<String, Object> row = Scribe.map("table", item.get("table"), "name",
-                            item.get("name"), "version", item.get("version"), "withdrawn",
+                    Map<String, Object> row = Scribe.map(
+                            "table",
+                            item.get("table"),
+                            "name",
+                            item.get("name"),
+                            "version",
+                            item.get("version"),
+                            "withdrawn",
                             item.get("withdrawn"));
                     String key = item.get("table") + "." + item.get("name");
                     holders.computeIfAbsent(key, k -> new ArrayList<>()).add(one.at());
-                    Map<String, Object> first = items.computeIfAbsent(key, k -> new TreeMap<>())
-                            .computeIfAbsent(row.toString(), k -> row);
+                    Map<String, Object> first =
+                            items.computeIfAbsent(key, k -> new TreeMap<>()).computeIfAbsent(row.toString(), k -> row);
                     add(first, one);
                 }
             }
@@ -65,8 +74,7 @@
         items.forEach((key, versions) -> {
             rows.addAll(versions.values());
             Map<String, Object> any = versions.values().iterator().next();
-            Map<String, Object> none = Scribe.map("table", any.get("table"), "name", any.get("name"),
-                    "version", "-");
+            Map<String, Object> none = Scribe.map("table", any.get("table"), "name", any.get("name"), "version", "-");
             heard.stream().filter(one -> !holders.get(key).contains(one.at())).forEach(one -> add(none, one));
             if (none.containsKey("who")) {
                 rows.add(none);
--- a/src/main/java/larkbank/bridge/SightsCommand.java
+++ b/src/main/java/larkbank/bridge/SightsCommand.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code sights}: who hears whom, and whom somebody misses. */
-@Command(name = "sights", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "sights",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Who watches whom, and how it is seen: heard, silent, down (refused or lost), gone "
                 + "(taken out without a word).")
 final class SightsCommand extends Query {
@@ -29,12 +32,16 @@
     List<Map<String, Object>> rows(Map<String, Object> state) {
         List<Map<String, Object>> rows = new ArrayList<>();
         for (Map<String, Object> one : objects(state, "harbours")) {
-            rows.add(row(state, "harbour", one, Boolean.TRUE.equals(one.get("heard")) ? "heard" : "silent",
-                    null));
+            rows.add(row(state, "harbour", one, Boolean.TRUE.equals(one.get("heard")) ? "heard" : "silent", null));
         }
         for (Map<String, Object> one : objects(state, "peers")) {
-            rows.add(row(state, "pilot", one, Boolean.TRUE.equals(one.get("down"))
-                    || !Boolean.TRUE.equals(one.get("line")) ? "down" : seen(one.get("ageMs")),
+            rows.add(row(
+                    state,
+                    "pilot",
+                    one,
+                    Boolean.TRUE.equals(one.get("down")) || !Boolean.TRUE.equals(one.get("line"))
+                            ? "down"
+                            : seen(one.get("ageMs")),
                     one.get("ageMs")));
         }
         for (Map<String, Object> one : objects(state, "berths")) {
@@ -50,9 +57,20 @@
         return age instanceof Number number && number.longValue() <= SILENT_MS ? "heard" : "silent";
     }
 
-    private static Map<String, Object> row(Map<String, Object> state, String sees, Map<String, Object> one,
-            String as, Object age) {
-        return Scribe.map("name", state.get("name"), "kind", state.get("kind"), "sees", sees, "address",
-                one.get("address"), "as", as, "ageMs", age);
+    private static Map<String, Object> row(
+            Map<String, Object> state, String sees, Map<String, Object> one, String as, Object age) {
+        return Scribe.map(
+                "name",
+                state.get("name"),
+                "kind",
+                state.get("kind"),
+                "sees",
+                sees,
+                "address",
+                one.get("address"),
+                "as",
+                as,
+                "ageMs",
+                age);
     }
 }
--- a/src/main/java/larkbank/bridge/StateCommand.java
+++ b/src/main/java/larkbank/bridge/StateCommand.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code state}: all of the state call's answer, a line a value. */
-@Command(name = "state", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "state",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "All that a process tells of itself, a line a value.")
 final class StateCommand extends Query {
 
--- a/src/main/java/larkbank/bridge/TalliesCommand.java
+++ b/src/main/java/larkbank/bridge/TalliesCommand.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code tallies}: what tenants ask. */
-@Command(name = "tallies", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "tallies",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Requests a second that tenants ask for: at a harbour of the whole fleet, at a pilot "
                 + "there, with the tenant's rate and burst.")
 final class TalliesCommand extends Query {
@@ -25,8 +28,9 @@
     @Override
     List<Map<String, Object>> rows(Map<String, Object> state) {
         List<Map<String, Object>> rows = new ArrayList<>();
-        Scribe.object(state, "tallies").forEach((tenant, asked) ->
-                rows.add(Scribe.map("kind", state.get("kind"), "tenant", tenant, "asked", asked)));
+        Scribe.object(state, "tallies")
+                .forEach((tenant, asked) ->
+                        rows.add(Scribe.map("kind", state.get("kind"), "tenant", tenant, "asked", asked)));
         for (Map<String, Object> tenant : objects(state, "tenants")) {
             Map<String, Object> row = Scribe.map("kind", state.get("kind"));
             row.putAll(tenant);
--- a/src/main/java/larkbank/bridge/WhyCommand.java
+++ b/src/main/java/larkbank/bridge/WhyCommand.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code why ID}: which way a request went. */
-@Command(name = "why", mixinStandardHelpOptions = true, versionProvider = Version.class,
+@Command(
+        name = "why",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
         description = "Which way a request went, of the last 2,000 of each pilot: a line an attempt, in the "
                 + "order in which they were sent; times are milliseconds after it came.",
         footer = "Exit status: 4 where all have answered and none has such a request.")
@@ -27,15 +30,31 @@
 
     @Override
     List<String> columns() {
-        return List.of("name", "arrived", "host", "path", "route", "tenant", "service", "try", "server",
-                "pilot", "sentMs", "tookMs", "outcome", "answer", "fault", "answeredMs");
+        return List.of(
+                "name",
+                "arrived",
+                "host",
+                "path",
+                "route",
+                "tenant",
+                "service",
+                "try",
+                "server",
+                "pilot",
+                "sentMs",
+                "tookMs",
+                "outcome",
+                "answer",
+                "fault",
+                "answeredMs");
     }
 
     /** First who is there, then all of those for the request; who falls silent in between is silent. */
     @Override
     List<Said> ask(Asker asker, List<String> addresses) {
         List<Said> all = new ArrayList<>(super.ask(asker, addresses));
-        List<String> there = all.stream().filter(one -> !one.silent()).map(Said::at).toList();
+        List<String> there =
+                all.stream().filter(one -> !one.silent()).map(Said::at).toList();
         all.removeIf(one -> !one.silent());
         all.addAll(asker.ask(there, Calls.WHY.path() + URLEncoder.encode(id, StandardCharsets.UTF_8)));
         return all;
--- a/src/main/java/larkbank/bulk/BodyBudget.java
+++ b/src/main/java/larkbank/bulk/BodyBudget.java
@@ -17,7 +17,11 @@
 public final class BodyBudget {
 
     /** The word on a wish. */
-    public enum Word { GRANTED, WAITS, REFUSED }
+    public enum Word {
+        GRANTED,
+        WAITS,
+        REFUSED
+    }
 
     /** What one request has and wishes for. */
     public static final class Share {
@@ -50,7 +54,7 @@
     }
 
     /** Whom the host has to tell. */
-    public record News(List<Share> granted, List<Share> refused) { }
+    public record News(List<Share> granted, List<Share> refused) {}
 
     private final long total;
     private final Set<Share> holders = new LinkedHashSet<>();
--- a/src/main/java/larkbank/cell/Cell.java
+++ b/src/main/java/larkbank/cell/Cell.java
@@ -6,4 +6,4 @@
  * @param share its part of the servers, as a weight beside the others; above 0
  * @param reserved whether it takes only units that are assigned or moved to it
  */
-public record Cell(String name, double share, boolean reserved) { }
+public record Cell(String name, double share, boolean reserved) {}
--- a/src/main/java/larkbank/cell/CellHealth.java
+++ b/src/main/java/larkbank/cell/CellHealth.java
@@ -10,6 +10,7 @@
 
     /** Looked back on; a slot is a second. */
     private static final int SLOTS = 5;
+
     private static final long SLOT = 1_000_000;
     /** Part in time below which it is sick, and from which it may be well. */
     private static final double SICK = 0.5, WELL = 0.8;
--- a/src/main/java/larkbank/cell/CellState.java
+++ b/src/main/java/larkbank/cell/CellState.java
@@ -5,6 +5,7 @@
 
     /** How much more of its cell a unit must take than it did in the long run to count as flooding it. */
     static final double SURGE = 1.5;
+
     private static final int COUNTERS = 64;
     private static final long SHORT = 5_000_000, LONG = 300_000_000;
     /** What was taken counts as usual only this much later, if the cell was not sick by then. */
@@ -15,6 +16,7 @@
     final HeavyUnits usually = new HeavyUnits(COUNTERS, LONG);
     /** What may become usual: of the last while, and of the one before. */
     HeavyUnits filling = new HeavyUnits(COUNTERS, LONG);
+
     HeavyUnits waiting = new HeavyUnits(COUNTERS, LONG);
     long turnedAt;
     int guests;
--- a/src/main/java/larkbank/cell/Cells.java
+++ b/src/main/java/larkbank/cell/Cells.java
@@ -47,6 +47,7 @@
         private long retryAfter;
         /** The move that counts it as a write at the old cell. */
         private Moving counted;
+
         private Moving heldBy;
 
         private Ticket(long unit, Effect effect, long token, long takenAt) {
@@ -88,6 +89,7 @@
     static final double FLOODING = 1.0 / 8;
     /** Part of the guests of a sick cell that stay at home, so that it shows when it is well. */
     static final double TRIAL = 1.0 / 16;
+
     private static final long TRIAL_SALT = 0x7E;
     private static final long TICK = 1_000_000;
 
@@ -96,6 +98,7 @@
     private final Repeats repeats = new Repeats(REMEMBERED);
     /** By unit: the order or the quarantine that holds for it. */
     private final Map<Long, Moving> moves = new LinkedHashMap<>();
+
     private final Map<Moving, Set<Ticket>> held = new HashMap<>();
     private final Floods floods;
     private CellsPlan plan;
@@ -103,10 +106,12 @@
     private CellState[] parts = {};
     /** Places of the sick cells. */
     private final BitSet sick = new BitSet();
+
     private Parting parting;
     private Placement placement;
     /** Homes before they last changed, for keyed requests that may be repeated; null once that is over. */
     private Placement earlier;
+
     private Map<Long, Integer> earlierMoves = Map.of();
     private long changedAt;
     private int inHand;
@@ -205,7 +210,8 @@
         plan = next;
         grow();
         List<Parting.Moved> moved = List.of();
-        if (!before.cells().equals(next.cells()) || before.spread() != next.spread()
+        if (!before.cells().equals(next.cells())
+                || before.spread() != next.spread()
                 || before.keepMicros() != next.keepMicros()) {
             Parting old = parting;
             parting = new Parting(next.cells(), next.spread(), next.keepMicros());
@@ -215,9 +221,10 @@
         moves.forEach((unit, m) -> homes.put(unit, m.home()));
         rehome(now, new Placement(next.cells(), next.assigned(), parting.open()), true);
         for (Moving m : List.copyOf(moves.values())) {
-            boolean stays = m.automatic ? next.quarantine() != null
-                    && next.quarantine().equals(before.quarantine())
-                    && !next.assigned().containsKey(m.plan.unit())
+            boolean stays = m.automatic
+                    ? next.quarantine() != null
+                            && next.quarantine().equals(before.quarantine())
+                            && !next.assigned().containsKey(m.plan.unit())
                     : next.moves().contains(m.plan);
             if (!stays) {
                 free(now, m);
@@ -241,9 +248,13 @@
 
     /** Whether another plan can be taken over: its cells are those that there are, and perhaps more. */
     public boolean fits(CellsPlan next) {
-        return next.unit() == plan.unit() && Objects.equals(next.header(), plan.header())
-                && next.cells().size() >= plan.cells().size() && IntStream.range(0, plan.cells().size())
-                .allMatch(c -> next.cells().get(c).name().equals(plan.cells().get(c).name()));
+        return next.unit() == plan.unit()
+                && Objects.equals(next.header(), plan.header())
+                && next.cells().size() >= plan.cells().size()
+                && IntStream.range(0, plan.cells().size()).allMatch(c -> next.cells()
+                        .get(c)
+                        .name()
+                        .equals(plan.cells().get(c).name()));
     }
 
     /** Ends: nothing is held from now on. */
@@ -295,18 +306,15 @@
             if (fresh) {
                 t.retryAfter = m.refuses(now);
             }
-            if (fresh && t.retryAfter == 0 && effect == Effect.KEYED && m.plan.freezeMicros() > 0
-                    && m.switched()) {
+            if (fresh && t.retryAfter == 0 && effect == Effect.KEYED && m.plan.freezeMicros() > 0 && m.switched()) {
                 // What this process has not seen may have been at the old cell before the freeze.
-                t.retryAfter = Math.max(0, m.knownSince(repeats.completeSince())
-                        + plan.windowMicros() - now);
+                t.retryAfter = Math.max(0, m.knownSince(repeats.completeSince()) + plan.windowMicros() - now);
             }
             if (t.retryAfter > 0) {
                 inHand--;
                 return t;
             }
-            if (fresh && m.holds(now) && heldBy(m) < HELD
-                    && deadlineMicros - now > 2 * m.plan.fenceMicros()) {
+            if (fresh && m.holds(now) && heldBy(m) < HELD && deadlineMicros - now > 2 * m.plan.fenceMicros()) {
                 t.heldBy = m;
                 held.computeIfAbsent(m, x -> new LinkedHashSet<>()).add(t);
                 arm(now);
@@ -374,7 +382,9 @@
     /** A request of a sick cell may be a guest of the next, within what that gives to guests. */
     private void guest(Ticket t, int home, long hash) {
         t.cell = home;
-        if (plan.guests() <= 0 || !parts[home].health.sick() || parts[home].floods(t.unit, FLOODING)
+        if (plan.guests() <= 0
+                || !parts[home].health.sick()
+                || parts[home].floods(t.unit, FLOODING)
                 || Hashes.uniform(hash, TRIAL_SALT) < TRIAL) {
             return;
         }
@@ -447,8 +457,9 @@
             if (parts[c].health.look(now)) {
                 sick.set(c, parts[c].health.sick());
                 actions.log("cell " + plan.cells().get(c).name() + " of pool " + pool
-                        + (parts[c].health.sick() ? " is sick: most of its answers are late or none"
-                        : " is well again"));
+                        + (parts[c].health.sick()
+                                ? " is sick: most of its answers are late or none"
+                                : " is well again"));
             }
             parts[c].turn(now);
         }
@@ -475,19 +486,20 @@
     }
 
     private void say(Moving m) {
-        String what = switch (m.state()) {
-            case WAITING -> "goes back: cell " + name(m.plan.to()) + " is sick (" + m.tries() + ")";
-            case RAMPING -> m.tries() == 0 ? "begins" : "goes on after " + m.tries() + " set-backs";
-            case SWITCHING -> "holds writes until " + m.writesOut() + " at cell " + name(m.from)
-                    + " have ended";
-            case FROZEN -> "refuses writes: they must have ended at cell " + name(m.from);
-            case SETTLING -> "writes go to cell " + name(m.plan.to()) + " from now on";
-            case DONE -> "is done";
-            case GIVEN_UP -> "is given up after " + m.tries() + " tries: the unit stays at cell "
-                    + name(m.from);
-        };
-        actions.log("move " + m.plan.name() + " of pool " + pool + " (" + m.plan.label() + ", "
-                + name(m.from) + " to " + name(m.plan.to()) + ") " + what);
+        String what =
+                switch (m.state()) {
+                    case WAITING -> "goes back: cell " + name(m.plan.to()) + " is sick (" + m.tries() + ")";
+                    case RAMPING -> m.tries() == 0 ? "begins" : "goes on after " + m.tries() + " set-backs";
+                    case SWITCHING -> "holds writes until " + m.writesOut() + " at cell " + name(m.from)
+                            + " have ended";
+                    case FROZEN -> "refuses writes: they must have ended at cell " + name(m.from);
+                    case SETTLING -> "writes go to cell " + name(m.plan.to()) + " from now on";
+                    case DONE -> "is done";
+                    case GIVEN_UP -> "is given up after " + m.tries() + " tries: the unit stays at cell "
+                            + name(m.from);
+                };
+        actions.log("move " + m.plan.name() + " of pool " + pool + " (" + m.plan.label() + ", " + name(m.from) + " to "
+                + name(m.plan.to()) + ") " + what);
     }
 
     private String name(int cell) {
@@ -543,8 +555,9 @@
     /** Where each unit with an order or in quarantine is by now, for the log and for tests. */
     public List<String> moves(long now) {
         List<String> all = new ArrayList<>();
-        moves.values().forEach(m -> all.add(m.plan.name() + " " + m.state() + " " + name(m.home()) + " "
-                + Math.round(100 * m.part(now)) + "%"));
+        moves.values()
+                .forEach(m -> all.add(m.plan.name() + " " + m.state() + " " + name(m.home()) + " "
+                        + Math.round(100 * m.part(now)) + "%"));
         return all;
     }
 }
