--- a/src/bench/java/larkbank/lading/HollowLine.java
+++ b/src/bench/java/org/cypressweir/common/transport/HollowPeerConnection.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -8,7 +8,7 @@
 import java.util.function.LongSupplier;
 
 /** A line that ends nowhere: what is sent on it is made, counted and thrown away. */
-public final class HollowLine {
+public final class HollowPeerConnection {
 
     /** Parcels and their bytes, those of the length in front too. */
     public static final class Count {
@@ -16,9 +16,9 @@
         public long bytes;
     }
 
-    private HollowLine() {}
+    private HollowPeerConnection() {}
 
-    public static Line of(LongSupplier micros, Count count) {
+    public static PeerConnection of(LongSupplier micros, Count count) {
         EmbeddedChannel channel = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
             @Override
             public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
@@ -29,6 +29,6 @@
                 promise.setSuccess();
             }
         });
-        return new Line(channel, micros, null);
+        return new PeerConnection(channel, micros, null);
     }
 }
--- a/src/bench/java/larkbank/copies/OneChangeBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/consensus/OneChangeBench.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,9 +10,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.hold.Store;
-import larkbank.hold.XodusStore;
-import larkbank.testkit.ThreeCopies;
+import org.cypressweir.controlplane.storage.Store;
+import org.cypressweir.controlplane.storage.XodusStore;
+import org.cypressweir.testkit.ThreeReplicas;
 
 /** What one change costs three copies on disks, beside so many items. */
 public final class OneChangeBench {
@@ -43,7 +43,7 @@
     }
 
     /** What one more change of an item costs after so many of it. */
-    private static void hot(ThreeCopies three, Path first) throws IOException {
+    private static void hot(ThreeReplicas three, Path first) throws IOException {
         int version = CHANGES + 3;
         for (int before : HOT) {
             for (; version < CHANGES + 3 + before; version++) {
@@ -69,7 +69,7 @@
             for (int i = 0; i < 3; i++) {
                 stores.add(new XodusStore(folder.resolve(items + "-" + i)));
             }
-            ThreeCopies three = new ThreeCopies(stores);
+            ThreeReplicas three = new ThreeReplicas(stores);
             long begun = System.nanoTime();
             three.submit(tenants(0, items, 1));
             long loaded = System.nanoTime() - begun;
--- a/src/bench/java/larkbank/copies/CutBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/consensus/PartitionBench.java
@@ -1,19 +1,19 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
-import larkbank.testkit.CopiesCuts;
+import org.cypressweir.testkit.ConsensusPartitions;
 
 /** Time to acknowledge and rounds begun, with eight orders at once, before, in and after cuts; made-up time. */
-public final class CutBench {
+public final class PartitionBench {
 
-    private CutBench() {}
+    private PartitionBench() {}
 
     /** How many days of each kind, the most delay of a message in ms, and the lengths of cuts in seconds. */
     public static void main(String[] args) {
         String[] given = String.join(" ", args).split(" ");
         for (int i = 2; i < given.length; i++) {
-            for (CopiesCuts.Kind kind : CopiesCuts.Kind.values()) {
+            for (ConsensusPartitions.Kind kind : ConsensusPartitions.Kind.values()) {
                 String cut = given[i];
-                CopiesCuts.measure(
+                ConsensusPartitions.measure(
                                 kind,
                                 Long.parseLong(cut) * 1_000_000,
                                 Long.parseLong(given[1]) * 1_000,
--- a/src/bench/java/larkbank/harbour/NewsDeskBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/controller/UpdatePublisherBench.java
@@ -1,4 +1,4 @@
-package larkbank.harbour;
+package org.cypressweir.controlplane.controller;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import larkbank.Hollow;
-import larkbank.berth.Berth;
-import larkbank.copies.Ballot;
-import larkbank.lading.HollowLine;
-import larkbank.lading.Line;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Manifest;
+import org.cypressweir.common.transport.HollowPeerConnection;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.loadbalancing.HollowFleet;
 
 /**
  * One harbour's news desk with so many hollow pilots: its real register, logs and parcels, on lines that end
  * nowhere. Processor time is this thread's; what the system spends on writing and reading is not in it.
  */
-public final class NewsDeskBench {
+public final class UpdatePublisherBench {
 
     private static final int TENANTS = 1_500;
     /** Tenants whose rate a pilot tells anew in a telling, and tellings a second. */
@@ -32,35 +32,35 @@
     private final int n;
     private final SplittableRandom random;
     private final Map<String, Double> found = new LinkedHashMap<>();
-    private final HollowLine.Count count = new HollowLine.Count();
+    private final HollowPeerConnection.Count count = new HollowPeerConnection.Count();
     private long now = 1_000_000_000_000L;
-    private final NewsDesk desk = new NewsDesk(() -> now, 7, "10.1.0.1:21790", () -> 0);
-    private final List<Line> lines = new ArrayList<>();
+    private final UpdatePublisher desk = new UpdatePublisher(() -> now, 7, "10.1.0.1:21790", () -> 0);
+    private final List<PeerConnection> lines = new ArrayList<>();
     private final long[] numbers;
     private int version = 1;
 
-    private NewsDeskBench(int n, long seed) {
+    private UpdatePublisherBench(int n, long seed) {
         this.n = n;
         random = new SplittableRandom(seed);
         numbers = new long[n];
     }
 
     private void hear(int i, Map<String, Object> head) {
-        byte[] text = Scribe.bytes(head);
+        byte[] text = JsonCodec.bytes(head);
         try {
-            desk.heard(lines.get(i), Scribe.read(text, 0, text.length));
+            desk.heard(lines.get(i), JsonCodec.read(text, 0, text.length));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     private void berth(int i) {
-        Berth berth = Hollow.berth(i, numbers[i]);
-        hear(i, Scribe.map("t", "berth", "berth", berth.toMap(now)));
+        ProxyRegistration berth = HollowFleet.berth(i, numbers[i]);
+        hear(i, JsonCodec.map("t", "berth", "berth", berth.toMap(now)));
     }
 
     private void follow(int i, long life, long place) {
-        hear(i, Scribe.map("t", "follow", "life", life, "place", place));
+        hear(i, JsonCodec.map("t", "follow", "life", life, "place", place));
     }
 
     /** What a pilot says on a new line, in its order. */
@@ -72,7 +72,7 @@
 
     /** Measures one of them: its time, and what is sent for it. */
     private void measure(String what, int rounds, Runnable one) {
-        double micros = Hollow.micros(rounds, one);
+        double micros = HollowFleet.micros(rounds, one);
         long parcels = count.parcels;
         long bytes = count.bytes;
         one.run();
@@ -82,12 +82,12 @@
     }
 
     private Map<String, Double> run() {
-        Manifest[] manifest = {Hollow.manifest()};
-        desk.show(new Ballot(1, CREW.get(0)), manifest[0], CREW);
+        Configuration[] manifest = {HollowFleet.manifest()};
+        desk.show(new ProposalNumber(1, CREW.get(0)), manifest[0], CREW);
         for (int i = 0; i < n; i++) {
-            lines.add(HollowLine.of(() -> now, count));
+            lines.add(HollowPeerConnection.of(() -> now, count));
         }
-        long empty = Hollow.heap();
+        long empty = HollowFleet.heap();
         long begun = System.nanoTime();
         for (int i = 0; i < n; i++) {
             comes(i);
@@ -99,12 +99,12 @@
             for (int k = 0; k < 20; k++) {
                 asked.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
             }
-            hear(i, Scribe.map("t", "tally", "asked", asked, "whole", true));
-            if (i % Hollow.HARBOURS == 0) {
-                hear(i, Scribe.map("t", "sums", "on", true));
+            hear(i, JsonCodec.map("t", "tally", "asked", asked, "whole", true));
+            if (i % HollowFleet.HARBOURS == 0) {
+                hear(i, JsonCodec.map("t", "sums", "on", true));
             }
         }
-        found.put("heap_bytes", (double) (Hollow.heap() - empty));
+        found.put("heap_bytes", (double) (HollowFleet.heap() - empty));
         measure("beat", 2_000, () -> berth(random.nextInt(n)));
         measure("change", Math.max(40, 100_000 / n), () -> {
             int i = random.nextInt(n);
@@ -125,13 +125,16 @@
         measure("configuration", 20, () -> {
             version++;
             String had = desk.editions().stamp().toString();
-            manifest[0] = Hollow.next(manifest[0], version);
-            desk.show(new Ballot(version, CREW.get(0)), manifest[0], CREW);
+            manifest[0] = HollowFleet.next(manifest[0], version);
+            desk.show(new ProposalNumber(version, CREW.get(0)), manifest[0], CREW);
             for (int i = 0; i < n; i++) {
-                hear(i, Scribe.map("t", "want", "have", had));
+                hear(i, JsonCodec.map("t", "want", "have", had));
             }
         });
-        measure("wholeConfiguration", 5, () -> hear(0, Scribe.map("t", "want", "have", Ballot.ZERO.toString())));
+        measure(
+                "wholeConfiguration",
+                5,
+                () -> hear(0, JsonCodec.map("t", "want", "have", ProposalNumber.ZERO.toString())));
         zoneLost();
         return found;
     }
@@ -141,7 +144,7 @@
         long bytes = count.bytes;
         long parcels = count.parcels;
         long begun = System.nanoTime();
-        for (int i = 0; i < n; i += Hollow.ZONES) {
+        for (int i = 0; i < n; i += HollowFleet.ZONES) {
             desk.lost(lines.get(i));
         }
         now += 310_000;
@@ -156,11 +159,11 @@
         for (int k = 0; k < TOLD; k++) {
             asked.put("tenant-" + random.nextInt(TENANTS), 1 + random.nextInt(100) / 10.0);
         }
-        hear(i, Scribe.map("t", "tally", "asked", asked, "whole", false));
+        hear(i, JsonCodec.map("t", "tally", "asked", asked, "whole", false));
     }
 
     /** A seed, and numbers of pilots. */
     public static void main(String[] args) throws Exception {
-        Hollow.run(NewsDeskBench.class, args, (n, seed) -> new NewsDeskBench(n, seed).run());
+        HollowFleet.run(UpdatePublisherBench.class, args, (n, seed) -> new UpdatePublisherBench(n, seed).run());
     }
 }
--- a/src/bench/java/larkbank/pilot/HollowFleetBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -30,18 +30,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.Hollow;
-import larkbank.Json;
-import larkbank.chart.Bales;
-import larkbank.copies.Ballot;
-import larkbank.lading.Clock;
-import larkbank.lading.Line;
-import larkbank.lading.Moorings;
-import larkbank.lading.Scribe;
-import larkbank.lading.Wharf;
-import larkbank.manifest.Item;
-import larkbank.tally.Quotas;
-import larkbank.testkit.Ships;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.transport.MonotonicClock;
+import org.cypressweir.common.transport.PeerConnection;
+import org.cypressweir.common.transport.PeerConnectionPool;
+import org.cypressweir.common.transport.PeerTransport;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.distribution.ItemChunks;
+import org.cypressweir.dataplane.quota.QuotaShares;
+import org.cypressweir.loadbalancing.HollowFleet;
+import org.cypressweir.testkit.ApplicationStubs;
 
 /**
  * Three harbours as processes with the settings that they run with, real pilots with a server each, and so
@@ -52,7 +52,8 @@
 public final class HollowFleetBench {
 
     /** The plan of a pilot's lines to harbours. */
-    private static final Moorings.Plan LINES = new Moorings.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
+    private static final PeerConnectionPool.Plan LINES =
+            new PeerConnectionPool.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
     private static final int LOOPS = 6;
     private static final int HARBOURS = 3;
@@ -91,11 +92,11 @@
     private final int third;
     private final String net;
     private final SplittableRandom random;
-    private final Clock clock = new Clock();
+    private final MonotonicClock clock = new MonotonicClock();
     private final HttpClient http = HttpClient.newHttpClient();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
     private final Map<String, Process> processes = new TreeMap<>();
-    private final List<Ships> ships = new ArrayList<>();
+    private final List<ApplicationStubs> ships = new ArrayList<>();
     private final List<One> pilots = new ArrayList<>();
     private final AtomicReference<Awaited> awaited = new AtomicReference<>(new Awaited("", 0));
     /** By pilot, the harbours that have told it a whole roster on the line that is up. */
@@ -119,26 +120,26 @@
     }
 
     /** A hollow pilot; everything in it happens on its loop. */
-    private final class One implements Moorings.Owner {
+    private final class One implements PeerConnectionPool.Owner {
         private final int index;
         private final EventLoop loop;
-        private final Following following = new Following();
-        private final Quotas quotas = new Quotas();
-        private final Moorings moorings;
+        private final ConfigurationSubscriber following = new ConfigurationSubscriber();
+        private final QuotaShares quotas = new QuotaShares();
+        private final PeerConnectionPool moorings;
         private final Map<String, long[]> places = new HashMap<>();
         private long number;
         private long ticks;
         private long tickedAt;
-        private Line tellersLine;
+        private PeerConnection tellersLine;
 
         private One(int index, EventLoop loop) {
             this.index = index;
             this.loop = loop;
-            moorings = new Moorings(
-                    new Wharf(loop, clock),
+            moorings = new PeerConnectionPool(
+                    new PeerTransport(loop, clock),
                     clock,
                     LINES,
-                    () -> Scribe.map("t", "hello", "kind", "pilot", "name", "side-" + index),
+                    () -> JsonCodec.map("t", "hello", "kind", "pilot", "name", "side-" + index),
                     this);
             loop.execute(() -> moorings.want(IntStream.rangeClosed(1, HARBOURS)
                     .mapToObj(h -> net + h + ":21700")
@@ -165,7 +166,8 @@
             String whom = following.ask(clock.getAsLong());
             if (whom != null) {
                 moorings.send(
-                        whom, Scribe.map("t", "want", "have", following.stamp().toString()));
+                        whom,
+                        JsonCodec.map("t", "want", "have", following.stamp().toString()));
             }
         }
 
@@ -176,21 +178,21 @@
             boolean all = ticks % 40 == 0;
             Map<String, Double> asked = quotas.news(clock.getAsLong(), all);
             if (!asked.isEmpty()) {
-                toAll(Scribe.map("t", "tally", "asked", asked, "whole", all));
+                toAll(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
             }
-            Line teller = moorings.line(net + (1 + index % HARBOURS) + ":21700");
+            PeerConnection teller = moorings.line(net + (1 + index % HARBOURS) + ":21700");
             if (teller != null && teller != tellersLine) {
                 tellersLine = teller;
-                teller.send(Scribe.map("t", "sums", "on", true));
+                teller.send(JsonCodec.map("t", "sums", "on", true));
             }
         }
 
         private Map<String, Object> berth() {
-            return Scribe.map(
+            return JsonCodec.map(
                     "t",
                     "berth",
                     "berth",
-                    Hollow.berth(index, number, ip(index)).toMap(clock.getAsLong()));
+                    HollowFleet.berth(index, number, ip(index)).toMap(clock.getAsLong()));
         }
 
         private void tellBerth() {
@@ -202,17 +204,17 @@
         }
 
         @Override
-        public void up(String address, Line line) {
+        public void up(String address, PeerConnection line) {
             line.send(berth());
             long[] place = places.getOrDefault(address, new long[] {0, -1});
-            line.send(Scribe.map("t", "follow", "life", place[0], "place", place[1]));
+            line.send(JsonCodec.map("t", "follow", "life", place[0], "place", place[1]));
         }
 
         @Override
-        public void heard(String address, Line line, Map<String, Object> head, byte[] body) {
-            switch (Scribe.text(head, "t")) {
+        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
+            switch (JsonCodec.text(head, "t")) {
                 case "welcome", "stamp" -> {
-                    following.shows(address, Ballot.of(Scribe.text(head, "stamp")));
+                    following.shows(address, ProposalNumber.of(JsonCodec.text(head, "stamp")));
                     ask();
                 }
                 case "roster" -> {
@@ -223,7 +225,7 @@
                     }
                     for (Object one : Json.array(head, "berths")) {
                         Map<?, ?> berth = (Map<?, ?>) one;
-                        known(Scribe.text(berth, "name"), Json.whole(berth, "number", 0));
+                        known(JsonCodec.text(berth, "name"), Json.whole(berth, "number", 0));
                     }
                 }
                 case "items" -> items(address, head, body);
@@ -234,7 +236,7 @@
 
         private void items(String address, Map<String, Object> head, byte[] body) {
             try {
-                List<Item> items = Bales.unpack(body);
+                List<Item> items = ItemChunks.unpack(body);
                 if (following.told(clock.getAsLong(), address, head, items)) {
                     items.forEach(item -> known(item.key().name(), item.version()));
                 }
@@ -251,7 +253,7 @@
         }
 
         @Override
-        public void lost(String address, Line line) {
+        public void lost(String address, PeerConnection line) {
             if (moorings.line(address) == null) {
                 following.lost(address);
                 quotas.silent(address);
@@ -264,15 +266,15 @@
     }
 
     /** Takes what real pilots say. */
-    private static final class Silent implements Line.Ear {
+    private static final class Silent implements PeerConnection.Ear {
         @Override
-        public void opened(Line line) {}
+        public void opened(PeerConnection line) {}
 
         @Override
-        public void heard(Line line, Map<String, Object> head, byte[] body) {}
+        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void closed(Line line) {}
+        public void closed(PeerConnection line) {}
     }
 
     // ---- Processes
@@ -303,7 +305,7 @@
                 service == null ? "-XX:MaxMetaspaceSize=64m" : "-XX:MaxMetaspaceSize=48m",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "larkbank.bridge.Main",
+                "org.cypressweir.Main",
                 service == null ? "harbour" : "pilot"));
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -313,7 +315,13 @@
                 .put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
         processes.put(name, builder.start());
         if (service != null && ships.size() < REAL) {
-            ships.add(new Ships(Ships.at(ip, 21800), Ships.at(ip, 21790), service + "-" + name, service, "z1", 8));
+            ships.add(new ApplicationStubs(
+                    ApplicationStubs.at(ip, 21800),
+                    ApplicationStubs.at(ip, 21790),
+                    service + "-" + name,
+                    service,
+                    "z1",
+                    8));
         }
     }
 
@@ -384,7 +392,7 @@
             double[] then = before.get(name);
             found.put(
                     phase + "_" + name,
-                    Scribe.map(
+                    JsonCodec.map(
                             "cpu_percent",
                             one((now[0] - then[0]) / seconds * 100),
                             "read_kB_s",
@@ -423,7 +431,7 @@
         Map<String, double[]> before = use();
         for (int i = 0; i < n; i++) {
             // Real pilots keep a line to each.
-            new Wharf(group, clock).listen(new InetSocketAddress(ip(i), 21_700), new Silent());
+            new PeerTransport(group, clock).listen(new InetSocketAddress(ip(i), 21_700), new Silent());
             pilots.add(new One(i, group.next()));
             // Each is told to all before it, and one process hears that for all.
             TimeUnit.MILLISECONDS.sleep(Math.max(20, 80 * n / 1_000));
@@ -494,7 +502,7 @@
         last.sort(Comparator.naturalOrder());
         found.put(
                 what + "_ms",
-                Scribe.map(
+                JsonCodec.map(
                         "median",
                         one(all.get(all.size() / 2)),
                         "p99",
@@ -528,7 +536,7 @@
         found.put("return_hollow_late_ms", one(latest.getAndSet(0) / 1e3));
         found.put(
                 "return",
-                Scribe.map(
+                JsonCodec.map(
                         "all_have_its_whole",
                         done,
                         "s",
@@ -546,7 +554,7 @@
     }
 
     private void close() throws IOException, InterruptedException {
-        for (Ships ship : ships) {
+        for (ApplicationStubs ship : ships) {
             ship.close();
         }
         for (Process process : processes.values()) {
@@ -564,7 +572,7 @@
             bench.run();
         } finally {
             bench.close();
-            System.out.println(new String(Scribe.bytes(bench.found), StandardCharsets.UTF_8));
+            System.out.println(new String(JsonCodec.bytes(bench.found), StandardCharsets.UTF_8));
         }
         if (given.length < 4) {
             try (Stream<Path> files = Files.walk(folder)) {
--- a/src/bench/java/larkbank/pilot/PilotSizeBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/ProxySizeBench.java
@@ -1,4 +1,4 @@
-package larkbank.pilot;
+package org.cypressweir.dataplane.proxy;
 
 import io.netty.channel.DefaultEventLoop;
 import io.netty.channel.EventLoop;
@@ -11,40 +11,40 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import larkbank.Hollow;
-import larkbank.Ids;
-import larkbank.Json;
-import larkbank.berth.Berth;
-import larkbank.berth.ServerDirectory;
-import larkbank.copies.Ballot;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Manifest;
-import larkbank.tally.Quotas;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+import org.cypressweir.dataplane.quota.QuotaShares;
+import org.cypressweir.loadbalancing.HollowFleet;
 
 /**
  * One pilot's state and work with so many servers in 220 services and six harbours that tell of them: the
  * real directory, ways to services, configuration and quotas, without lines. Processor time is this thread's.
  */
-public final class PilotSizeBench {
+public final class ProxySizeBench {
 
     private static final int TENANTS = 200;
     private static final long KEEP_VIEW = 3_000_000;
     private static final List<String> ZONES =
-            IntStream.range(0, Hollow.ZONES).mapToObj(i -> "zone-" + i).toList();
+            IntStream.range(0, HollowFleet.ZONES).mapToObj(i -> "zone-" + i).toList();
 
     private final int n;
     private final EventLoop loop;
     private final SplittableRandom random;
     private final Map<String, Double> found = new LinkedHashMap<>();
     private final long[] numbers;
-    private final Map<String, Helm> helms = new HashMap<>();
-    private final Map<String, Helm> inner = new HashMap<>();
+    private final Map<String, ServiceRequestHandler> helms = new HashMap<>();
+    private final Map<String, ServiceRequestHandler> inner = new HashMap<>();
     private final long now = 1_000_000_000_000L;
-    private ServerDirectory directory = new ServerDirectory(KEEP_VIEW);
-    private Bearings bearings = Bearings.none();
-    private final Quotas quotas = new Quotas();
+    private EndpointDirectory directory = new EndpointDirectory(KEEP_VIEW);
+    private RoutingTable bearings = RoutingTable.none();
+    private final QuotaShares quotas = new QuotaShares();
 
-    private PilotSizeBench(int n, long seed, EventLoop loop) {
+    private ProxySizeBench(int n, long seed, EventLoop loop) {
         this.n = n;
         this.loop = loop;
         random = new SplittableRandom(seed);
@@ -53,18 +53,18 @@
 
     private byte[] roster(boolean whole, List<Integer> which) {
         List<Object> berths = new ArrayList<>();
-        which.forEach(i -> berths.add(Hollow.berth(i, numbers[i]).toMap(now)));
-        return Scribe.bytes(
-                Scribe.map("t", "roster", "life", 7, "place", 1, "whole", whole, "berths", berths, "gone", List.of()));
+        which.forEach(i -> berths.add(HollowFleet.berth(i, numbers[i]).toMap(now)));
+        return JsonCodec.bytes(JsonCodec.map(
+                "t", "roster", "life", 7, "place", 1, "whole", whole, "berths", berths, "gone", List.of()));
     }
 
-    /** As {@link Lookout} takes a roster. */
+    /** As {@link ControllerClient} takes a roster. */
     private void told(int harbour, byte[] text) {
         try {
-            Map<String, Object> head = Scribe.read(text, 0, text.length);
-            List<Berth> berths = new ArrayList<>();
+            Map<String, Object> head = JsonCodec.read(text, 0, text.length);
+            List<ProxyRegistration> berths = new ArrayList<>();
             for (Object one : Json.array(head, "berths")) {
-                berths.add(Berth.of((Map<?, ?>) one, now));
+                berths.add(ProxyRegistration.of((Map<?, ?>) one, now));
             }
             directory.told("10.1.0." + harbour, Json.flag(head, "whole"), berths, List.of());
         } catch (IOException e) {
@@ -72,21 +72,30 @@
         }
     }
 
-    private Helm helm(Map<String, Helm> ways, String service) {
+    private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
         return ways.computeIfAbsent(
-                service, s -> new Helm(s, loop, () -> now, null, "side-0", 0, ZONES, Helm.budget(10_000_000, 1, 0.1)));
+                service,
+                s -> new ServiceRequestHandler(
+                        s,
+                        loop,
+                        () -> now,
+                        null,
+                        "side-0",
+                        0,
+                        ZONES,
+                        ServiceRequestHandler.budget(10_000_000, 1, 0.1)));
     }
 
-    /** As {@link Pilot} makes its lists anew whenever anything has changed; without its lines to pilots. */
+    /** As {@link Proxy} makes its lists anew whenever anything has changed; without its lines to pilots. */
     private void lists() {
-        Map<String, List<Target>> targets = new HashMap<>();
+        Map<String, List<Endpoint>> targets = new HashMap<>();
         Map<String, Long> warm = new HashMap<>();
-        for (Berth berth : directory.all()) {
+        for (ProxyRegistration berth : directory.all()) {
             helm(helms, berth.ship().service());
             helm(inner, berth.ship().service());
             if (berth.takes()) {
                 targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Target(
+                        .add(new Endpoint(
                                 Ids.of(berth.ship().id()),
                                 berth.name(),
                                 berth.life(),
@@ -96,15 +105,15 @@
                 warm.put(berth.ship().id(), berth.ship().warmAt());
             }
         }
-        for (Map<String, Helm> ways : List.of(helms, inner)) {
+        for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
             ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), ZONES, warm));
         }
     }
 
     private void heap(String what, Runnable made) {
-        long before = Hollow.heap();
+        long before = HollowFleet.heap();
         made.run();
-        found.put(what + "_heap_bytes", (double) (Hollow.heap() - before));
+        found.put(what + "_heap_bytes", (double) (HollowFleet.heap() - before));
     }
 
     private Map<String, Double> run() {
@@ -113,52 +122,53 @@
         // What stays of a first roster for good is not the directory's.
         told(0, whole);
         directory.merge(now);
-        directory = new ServerDirectory(KEEP_VIEW);
+        directory = new EndpointDirectory(KEEP_VIEW);
         heap("directory", () -> {
-            for (int h = 0; h < Hollow.HARBOURS; h++) {
+            for (int h = 0; h < HollowFleet.HARBOURS; h++) {
                 told(h, whole);
             }
             directory.merge(now);
         });
         heap("ways", this::lists);
-        Manifest[] manifest = {null};
+        Configuration[] manifest = {null};
         heap("configuration", () -> {
-            manifest[0] = Hollow.manifest();
-            bearings = bearings.next(new Ballot(1, "h"), manifest[0]);
+            manifest[0] = HollowFleet.manifest();
+            bearings = bearings.next(new ProposalNumber(1, "h"), manifest[0]);
         });
         heap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
         quotas.pilots(n);
-        found.put("whole_us", Hollow.micros(Math.max(10, 20_000 / n), () -> told(0, whole)));
-        found.put("change_us", Hollow.micros(Math.max(20, 20_000 / n), () -> {
+        found.put("whole_us", HollowFleet.micros(Math.max(10, 20_000 / n), () -> told(0, whole)));
+        found.put("change_us", HollowFleet.micros(Math.max(20, 20_000 / n), () -> {
             int i = random.nextInt(n);
             numbers[i]++;
             byte[] news = roster(false, List.of(i));
-            for (int h = 0; h < Hollow.HARBOURS; h++) {
+            for (int h = 0; h < HollowFleet.HARBOURS; h++) {
                 told(h, news);
             }
             directory.merge(now);
         }));
-        found.put("lists_us", Hollow.micros(Math.max(20, 20_000 / n), this::lists));
+        found.put("lists_us", HollowFleet.micros(Math.max(20, 20_000 / n), this::lists));
         int[] version = {1};
-        found.put("configuration_us", Hollow.micros(20, () -> {
+        found.put("configuration_us", HollowFleet.micros(20, () -> {
             version[0]++;
-            manifest[0] = Hollow.next(manifest[0], version[0]);
-            bearings = bearings.next(new Ballot(version[0], "h"), manifest[0]);
+            manifest[0] = HollowFleet.next(manifest[0], version[0]);
+            bearings = bearings.next(new ProposalNumber(version[0], "h"), manifest[0]);
         }));
-        found.put("tally_us", Hollow.micros(200, () -> {
+        found.put("tally_us", HollowFleet.micros(200, () -> {
             IntStream.range(0, 20).forEach(i -> quotas.ask(now, "tenant-" + random.nextInt(TENANTS), 50, 20));
             quotas.news(now, false);
         }));
         found.put("tallyWhole_bytes", (double)
-                Scribe.bytes(Scribe.map("t", "tally", "asked", quotas.news(now, true), "whole", true)).length);
+                JsonCodec.bytes(JsonCodec.map("t", "tally", "asked", quotas.news(now, true), "whole", true)).length);
         return found;
     }
 
     /** A seed, and numbers of servers. */
     public static void main(String[] args) throws Exception {
         EventLoop loop = new DefaultEventLoop();
-        Hollow.run(PilotSizeBench.class, args, (n, seed) -> loop.submit(() -> new PilotSizeBench(n, seed, loop).run())
-                .get());
+        HollowFleet.run(
+                ProxySizeBench.class, args, (n, seed) -> loop.submit(() -> new ProxySizeBench(n, seed, loop).run())
+                        .get());
         loop.shutdownGracefully();
     }
 }
--- a/src/bench/java/larkbank/fleet/LeaseCrewBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,23 +8,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import larkbank.testkit.Actors;
-import larkbank.testkit.Crew;
-import larkbank.testkit.Relay;
-import larkbank.testkit.Stub;
 import org.HdrHistogram.Histogram;
+import org.cypressweir.testkit.DatagramRelay;
+import org.cypressweir.testkit.LeaseHolders;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarProcesses;
 
 /**
  * Processes of the program with a lease whose holder fails again and again in ways drawn from a seed, three
  * keepers, and how long it takes until another acts. Its argument: processes, faults, first and last seed.
  */
-public final class LeaseCrewBench {
+public final class LeaseProcessBench {
 
     private static final long PAUSE = 500;
     private static final long TERM = 1_200;
     private static final long STARTED = 30_000;
 
-    private LeaseCrewBench() {}
+    private LeaseProcessBench() {}
 
     public static void main(String[] args) throws Exception {
         String[] parts = args[0].split(":");
@@ -33,8 +33,8 @@
         long acts = 0;
         for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
             Path folder = Files.createTempDirectory("crew");
-            try (Stub server = new Stub(Stub.serves("ok"));
-                    Crew crew = new Crew(folder, seed, members, PAUSE, server)) {
+            try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
+                    SidecarProcesses crew = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
                 crew.seeds(3);
                 String keepers =
                         IntStream.range(0, 3).mapToObj(k -> address(crew, k)).collect(Collectors.joining(", "));
@@ -43,7 +43,7 @@
                 for (int i = 0; i < members; i++) {
                     crew.start(i);
                 }
-                try (Actors actors = new Actors(crew, "job")) {
+                try (LeaseHolders actors = new LeaseHolders(crew, "job")) {
                     SplittableRandom random = new SplittableRandom(seed);
                     for (int fault = 0; fault < Integer.parseInt(parts[1]); fault++) {
                         fault(crew, actors, random, gaps);
@@ -52,7 +52,7 @@
                 }
                 System.out.println("seed " + seed + ": never two");
             } finally {
-                CrewBench.delete(folder);
+                MembershipProcessBench.delete(folder);
             }
         }
         System.out.println(String.format(
@@ -66,7 +66,7 @@
                 gaps.getMaxValue()));
     }
 
-    private static String address(Crew crew, int place) {
+    private static String address(SidecarProcesses crew, int place) {
         try {
             return "\"127.0.0.1:" + crew.relay.port(place) + "\"";
         } catch (IOException e) {
@@ -74,7 +74,8 @@
         }
     }
 
-    private static void fault(Crew crew, Actors actors, SplittableRandom random, Histogram gaps) throws Exception {
+    private static void fault(SidecarProcesses crew, LeaseHolders actors, SplittableRandom random, Histogram gaps)
+            throws Exception {
         for (int i = 0; i < crew.size(); i++) {
             int who = i;
             crew.within(STARTED, "ready", () -> crew.ask(who, "READY").startsWith("YES"));
@@ -85,7 +86,7 @@
         int holder = Integer.parseInt(actors.holder().substring(1));
         int kind = random.nextInt(7);
         if (random.nextInt(3) == 0) {
-            crew.relay.weather(new Relay.Weather(0.1, 0.1, 0.1, 2 * TERM, 0));
+            crew.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM, 0));
         }
         switch (kind) {
             case 0 -> crew.signal(holder, "STOP");
@@ -96,10 +97,11 @@
             case 5 -> crew.ask(holder, "DRAIN");
             default -> crew.process(holder).destroy();
         }
-        long took = crew.within(10 * TERM, "another holds, fault " + kind, () -> actors.actsBesides(Crew.name(holder)));
+        long took = crew.within(
+                10 * TERM, "another holds, fault " + kind, () -> actors.actsBesides(SidecarProcesses.name(holder)));
         gaps.recordValue(took);
         TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM));
-        crew.relay.weather(Relay.Weather.FAIR);
+        crew.relay.weather(DatagramRelay.Weather.FAIR);
         switch (kind) {
             case 0 -> crew.signal(holder, "CONT");
             case 1 -> crew.start(holder);
--- a/src/bench/java/larkbank/fleet/CrewBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
@@ -1,4 +1,4 @@
-package larkbank.fleet;
+package org.cypressweir.fleet.transport;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,21 +11,21 @@
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import larkbank.testkit.Crew;
-import larkbank.testkit.FaultPlan;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.FaultSchedule;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarProcesses;
 
 /**
  * Many processes of the program with faults between them, and what membership costs each. Its argument:
  * processes, faults of each plan, first seed and last seed, such as {@code 5:8:1:30}; no faults to see the
  * cost alone, beside the same processes without membership.
  */
-public final class CrewBench {
+public final class MembershipProcessBench {
 
     private static final long PAUSE = 1_000;
     private static final long COST_SECONDS = 20;
 
-    private CrewBench() {}
+    private MembershipProcessBench() {}
 
     public static void main(String[] args) throws Exception {
         String[] parts = args[0].split(":");
@@ -39,12 +39,12 @@
         for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
             long begun = System.nanoTime();
             Path folder = Files.createTempDirectory("crew");
-            try (Stub server = new Stub(Stub.serves("ok"));
-                    Crew crew = new Crew(folder, seed, members, PAUSE, server)) {
+            try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
+                    SidecarProcesses crew = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
                 int[] all = start(crew, members);
                 crew.within(120_000, "all see all", () -> crew.see(members, all));
-                FaultPlan plan = new FaultPlan(crew, PAUSE);
-                for (FaultPlan.Step step : FaultPlan.draw(seed, members, steps, PAUSE)) {
+                FaultSchedule plan = new FaultSchedule(crew, PAUSE);
+                for (FaultSchedule.Step step : FaultSchedule.draw(seed, members, steps, PAUSE)) {
                     plan.play(step);
                 }
                 System.out.println("seed " + seed + ": " + steps + " faults, none wrong, "
@@ -55,7 +55,7 @@
         }
     }
 
-    private static int[] start(Crew crew, int members) throws Exception {
+    private static int[] start(SidecarProcesses crew, int members) throws Exception {
         int[] all = IntStream.range(0, members).toArray();
         for (int i : all) {
             crew.start(i);
@@ -66,8 +66,8 @@
     /** Processor and memory of a process that has nothing else to do. */
     private static void cost(int members, boolean on) throws Exception {
         Path folder = Files.createTempDirectory("crew");
-        try (Stub server = new Stub(Stub.serves("ok"));
-                Crew crew = new Crew(folder, 1, members, 3 * PAUSE, server)) {
+        try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
+                SidecarProcesses crew = new SidecarProcesses(folder, 1, members, 3 * PAUSE, server)) {
             if (!on) {
                 crew.operators(text -> text.substring(0, text.indexOf("[membership]")));
             }
@@ -131,7 +131,7 @@
                 .sum();
     }
 
-    private static long cpu(Crew crew, int i) {
+    private static long cpu(SidecarProcesses crew, int i) {
         return crew.process(i).info().totalCpuDuration().orElseThrow().toNanos();
     }
 
--- a/src/bench/java/larkbank/FleetBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/FleetBench.java
@@ -1,20 +1,21 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.ReportSource;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.RequestClass;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Rules;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
-import larkbank.LoadBalancer.Tenant;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Rules;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -38,12 +39,12 @@
     @Param({"15", "100", "1000", "8000"})
     private int servers;
 
-    private Recorder recorder;
+    private LoadBalancerRecorder recorder;
     private List<Server> list;
     private int next;
 
     private static Settings settings() {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
+        Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
         return new Settings(
                 7,
                 0,
@@ -68,7 +69,7 @@
         for (int i = 0; i < servers; i++) {
             list.add(server(i, Phase.READY));
         }
-        recorder = new Recorder(settings(), 0);
+        recorder = new LoadBalancerRecorder(settings(), 0);
         recorder.choice.servers(recorder.now, ListKind.COMPLETE, list);
         // Nodes are made when first asked for; a change is measured where they are there to be patched.
         for (int i = 0; i < Math.min(20_000, 20 * servers); i++) {
@@ -111,7 +112,7 @@
     @Benchmark
     @BenchmarkMode(Mode.AverageTime)
     public void wholeList() {
-        Recorder fresh = new Recorder(settings(), 0);
+        LoadBalancerRecorder fresh = new LoadBalancerRecorder(settings(), 0);
         fresh.choice.servers(fresh.now, ListKind.COMPLETE, list);
         fresh.request("x");
     }
--- a/src/bench/java/larkbank/Hollow.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/HollowFleet.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import io.vavr.control.Either;
 import java.lang.management.ManagementFactory;
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import larkbank.berth.Berth;
-import larkbank.berth.Ship;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.Order;
-import larkbank.manifest.Refusal;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.ConfigurationChange;
+import org.cypressweir.controlplane.configuration.Rejection;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
 
 /** What benches of large fleets share: hollow pilots, a configuration, processor time, and slopes. */
-public final class Hollow {
+public final class HollowFleet {
 
     public static final int SERVICES = 220;
     public static final int ZONES = 13;
@@ -29,16 +29,16 @@
     private static final int TARGET = 4_000;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private Hollow() {}
+    private HollowFleet() {}
 
     /** The berth of the pilot of that index. */
-    public static Berth berth(int i, long number) {
+    public static ProxyRegistration berth(int i, long number) {
         return berth(i, number, "127.20." + i / 250 + "." + (1 + i % 250));
     }
 
-    public static Berth berth(int i, long number, String ip) {
+    public static ProxyRegistration berth(int i, long number, String ip) {
         String service = "service-" + i % SERVICES;
-        return new Berth(
+        return new ProxyRegistration(
                 "side-" + i,
                 1_796_000_000_000_000L + i,
                 number,
@@ -47,10 +47,10 @@
                 "zone-" + i % ZONES,
                 service,
                 false,
-                new Ship(service + "-i-" + i, service, ip + ":21800", 16, false, 0));
+                new ApplicationInstance(service + "-i-" + i, service, ip + ":21800", 16, false, 0));
     }
 
-    public static Manifest manifest() {
+    public static Configuration manifest() {
         String services = IntStream.range(0, SERVICES)
                 .mapToObj(i -> "'service-" + i + "':{'healthPath':'/health','maxConnections':32,'configVersion':'r1'}")
                 .collect(Collectors.joining(","));
@@ -60,13 +60,13 @@
                         + "'],'ratePerS':50,'burstSize':20,'configVersion':'r1'}")
                 .collect(Collectors.joining(","));
         return changed(
-                Manifest.EMPTY,
+                Configuration.EMPTY,
                 "{'upsert':{'serviceTable':{" + services + "},'routeTable':{" + routes + "},'tenantTable':{" + tenants
                         + "}}}");
     }
 
     /** That manifest with one route of this version. */
-    public static Manifest next(Manifest manifest, int version) {
+    public static Configuration next(Configuration manifest, int version) {
         return changed(manifest, "{'upsert':{'routeTable':{" + route(version % ROUTES, version) + "}}}");
     }
 
@@ -77,8 +77,9 @@
                 + version + "'}";
     }
 
-    private static Manifest changed(Manifest manifest, String order) {
-        Either<Refusal, Order> read = Order.read(order.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private static Configuration changed(Configuration manifest, String order) {
+        Either<Rejection, ConfigurationChange> read =
+                ConfigurationChange.read(order.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
         return manifest.with(read.flatMap(o -> o.against(manifest)).get());
     }
 
@@ -149,7 +150,7 @@
             told.put("n", Integer.parseInt(given[1]));
             at.found(Integer.parseInt(given[1]), Long.parseLong(given[0]))
                     .forEach((what, y) -> told.put(what, round(y)));
-            System.out.println(new String(Scribe.bytes(told), StandardCharsets.UTF_8));
+            System.out.println(new String(JsonCodec.bytes(told), StandardCharsets.UTF_8));
             return;
         }
         double[] sizes = new double[given.length - 1];
@@ -173,7 +174,7 @@
                     .start();
             byte[] line = process.getInputStream().readAllBytes();
             System.out.print(new String(line, StandardCharsets.UTF_8));
-            Scribe.read(line, 0, line.length)
+            JsonCodec.read(line, 0, line.length)
                     .forEach((what, y) -> all.computeIfAbsent(what, k -> new double[sizes.length])[place] =
                             ((Number) y).doubleValue());
         }
@@ -182,7 +183,7 @@
             Map<String, Object> told = new LinkedHashMap<>();
             told.put("what", what);
             told.putAll(slope(sizes, y));
-            System.out.println(new String(Scribe.bytes(told), StandardCharsets.UTF_8));
+            System.out.println(new String(JsonCodec.bytes(told), StandardCharsets.UTF_8));
         });
     }
 
--- a/src/bench/java/larkbank/PushBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/PushBench.java
@@ -1,19 +1,20 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.lang.management.GarbageCollectorMXBean;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.Group;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Outcome;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Request;
-import larkbank.LoadBalancer.Result;
-import larkbank.LoadBalancer.Server;
-import larkbank.LoadBalancer.Settings;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.Group;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.Result;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
  * A deploy push: all 8,000 servers drain and come back as new ones within 5 s, a change of 256 at a time,
@@ -31,7 +32,7 @@
     private PushBench() {}
 
     private static Settings settings() {
-        Settings s = Recorder.settings(Effect.SAFE, Group.ALL);
+        Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
         return new Settings(
                 7,
                 0,
@@ -51,11 +52,11 @@
     }
 
     public static void main(String[] args) {
-        Recorder warm = run();
+        LoadBalancerRecorder warm = run();
         warm.actions.clear();
         long collected = collections();
         long[] took = new long[REQUESTS + 2 * SERVERS / SLICE + 10];
-        Recorder r = push(took);
+        LoadBalancerRecorder r = push(took);
         Arrays.sort(took);
         System.out.printf(
                 "push of %d servers: longest call %.2f ms, 99.9%% %.3f ms, median %.4f ms;"
@@ -70,7 +71,7 @@
         memory();
     }
 
-    private static Recorder run() {
+    private static LoadBalancerRecorder run() {
         return push(new long[REQUESTS + 2 * SERVERS / SLICE + 10]);
     }
 
@@ -78,8 +79,8 @@
         return new Server(Hashes.mix(i, 3) & Long.MAX_VALUE, i % 2, 0, 0, phase, start, 1);
     }
 
-    private static Recorder push(long[] took) {
-        Recorder r = new Recorder(settings(), 0);
+    private static LoadBalancerRecorder push(long[] took) {
+        LoadBalancerRecorder r = new LoadBalancerRecorder(settings(), 0);
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             list.add(server(i, Phase.READY, 0));
@@ -108,7 +109,7 @@
             long since = System.nanoTime();
             r.choice.request(r.now, request);
             if (r.sent.size() > before) {
-                Recorder.Sent sent = r.sent.get(before);
+                LoadBalancerRecorder.Sent sent = r.sent.get(before);
                 r.choice.outcome(
                         r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000, true, null));
             }
@@ -134,7 +135,7 @@
 
     private static void memory() {
         long empty = used();
-        Recorder r = new Recorder(settings(), 0);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(settings(), 0);
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             list.add(server(i, Phase.READY, 0));
@@ -142,13 +143,13 @@
         r.choice.servers(r.now, ListKind.COMPLETE, list);
         for (int i = 0; i < 20_000; i++) {
             r.choice.request(r.now, new Request("m" + i, 0, i & 1, false, -1, r.now + 1_000_000, 0, false));
-            Recorder.Sent sent = r.sent.remove(0);
+            LoadBalancerRecorder.Sent sent = r.sent.remove(0);
             r.choice.outcome(r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 5_000, true, null));
             r.actions.clear();
             r.timers.clear();
         }
         long full = used();
-        Recorder holding = new Recorder(settings(), 0);
+        LoadBalancerRecorder holding = new LoadBalancerRecorder(settings(), 0);
         long before = used();
         int held = 20_000;
         for (int i = 0; i < held; i++) {
--- a/src/bench/java/larkbank/PaperBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/SubsetTreePaperBench.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class PaperBench {
+public class SubsetTreePaperBench {
 
     private static final int HOSTS = 8_000;
     private static final int KEYS = 4;
@@ -38,7 +38,7 @@
     private List<Host> hosts;
     private int[][] labels;
 
-    private static final class Host extends Subsets.Member {}
+    private static final class Host extends SubsetTree.Member {}
 
     @Setup
     public void setUp() {
@@ -98,7 +98,7 @@
     /** The same nodes, all asked for at once; the hosts are put into the index first. */
     @Benchmark
     public int index() {
-        Subsets<Host> tree = new Subsets<>(KEYS);
+        SubsetTree<Host> tree = new SubsetTree<>(KEYS);
         for (int i = 0; i < HOSTS; i++) {
             tree.add(hosts.get(i), i, labels[i]);
         }
@@ -107,7 +107,7 @@
         return nodes;
     }
 
-    private static int ask(Subsets<Host> tree, int[] values, int key) {
+    private static int ask(SubsetTree<Host> tree, int[] values, int key) {
         int nodes = 0;
         for (int v = 0; key < KEYS && v < VALUES; v++) {
             values[key] = v;
--- a/src/bench/java/larkbank/sidecar/CellServeBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/CellServeBench.java
@@ -1,12 +1,12 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 
 /**
  * What cells cost over sockets: one client without a pause, one server a cell, as many cells as {@code
@@ -23,9 +23,9 @@
     public static void main(String[] args) throws Exception {
         int cells = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 8;
         Path folder = Files.createTempDirectory("cells");
-        List<Stub> servers = new ArrayList<>();
+        List<PeerStub> servers = new ArrayList<>();
         for (int i = 0; i < cells; i++) {
-            servers.add(new Stub(Stub.serves("ok")));
+            servers.add(new PeerStub(PeerStub.serves("ok")));
         }
         Path plain = folder.resolve("plain.toml");
         Files.writeString(plain, file(servers, ""));
@@ -35,7 +35,7 @@
             names.append(c == 0 ? "" : ", ").append("\"c").append(c).append('"');
         }
         Files.writeString(parted, file(servers, "[pools.p.cells]\nnames = [" + names + "]\nby = \"key\"\n"));
-        try (Harness harness = new Harness(folder, servers.toArray(Stub[]::new))) {
+        try (Harness harness = new Harness(folder, servers.toArray(PeerStub[]::new))) {
             List<Run> without = new ArrayList<>();
             List<Run> with = new ArrayList<>();
             for (int i = 0; i < ROUNDS; i++) {
@@ -45,15 +45,15 @@
             print("one pool", without);
             print(cells + " cells", with);
         }
-        for (Stub server : servers) {
+        for (PeerStub server : servers) {
             server.close();
         }
         System.exit(0);
     }
 
-    private static String file(List<Stub> servers, String cells) {
+    private static String file(List<PeerStub> servers, String cells) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"static\"\nservers = [\n");
-        for (Stub s : servers) {
+        for (PeerStub s : servers) {
             text.append("  { id = \"s-")
                     .append(s.port())
                     .append("\", endpoint = \"127.0.0.1:")
@@ -69,7 +69,8 @@
             double[] micros = new double[REQUESTS];
             for (int i = -WARM; i < REQUESTS; i++) {
                 long began = System.nanoTime();
-                Http.Message answer = client.raw(Harness.Client.head("GET", "/search/k" + i % 500, 2_000, "", 0))
+                RawHttpClient.Message answer = client.raw(
+                                Harness.Client.head("GET", "/search/k" + i % 500, 2_000, "", 0))
                         .answer();
                 if (answer.status() != 200) {
                     throw new IllegalStateException("answered " + answer.first());
--- a/src/bench/java/larkbank/sidecar/ClassListRun.java
+++ b/src/bench/java/org/cypressweir/sidecar/ClassListRun.java
@@ -1,12 +1,12 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
 
 /**
  * Makes {@code deploy/classes.lst} anew: plays to the program, as {@code run} starts it, what a day may bring,
@@ -22,9 +22,9 @@
 
     public static void main(String[] args) throws Exception {
         Path list = Path.of(args[0]).toAbsolutePath();
-        try (Stub good = new Stub(Stub.answers("200 OK", LOAD, "ok"));
-                Stub better = new Stub(Stub.answers("200 OK", LOAD, "ok"));
-                Stub rough = new Stub(ClassListRun::rough);
+        try (PeerStub good = new PeerStub(PeerStub.answers("200 OK", LOAD, "ok"));
+                PeerStub better = new PeerStub(PeerStub.answers("200 OK", LOAD, "ok"));
+                PeerStub rough = new PeerStub(ClassListRun::rough);
                 Harness harness = new Harness(Files.createTempDirectory("list"), 250_000, SOCKETS, good, rough)) {
             harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
             try (Served served = new Served(Path.of(""), harness.file, "", "-XX:DumpLoadedClassList=" + list)) {
@@ -35,7 +35,7 @@
     }
 
     /** Each answer that a server can give, in turn. */
-    private static void rough(Stub.Seen seen) throws IOException {
+    private static void rough(PeerStub.Seen seen) throws IOException {
         int turn = Math.floorMod(seen.request().headers().get("Request-Id").hashCode(), 7);
         switch (turn) {
             case 0 -> seen.reply("500 Broken", LOAD, "");
@@ -48,14 +48,15 @@
         }
     }
 
-    private static void play(Served served, Harness harness, Stub good, Stub better, Stub rough) throws Exception {
+    private static void play(Served served, Harness harness, PeerStub good, PeerStub better, PeerStub rough)
+            throws Exception {
         ask(served, ROUNDS);
         tell(harness, Harness.list(2, false, "in_service", better));
         ask(served, ROUNDS);
         tell(harness, Harness.list(3, false, "terminating", rough));
         tell(harness, Harness.list(4, true, "in_service", good, better));
         operate(served, harness);
-        harness.discovery.script(Stub.HANG_UP);
+        harness.discovery.script(PeerStub.HANG_UP);
         strange(served);
         crowd(served);
         harness.discovery.script(seen -> seen.reply("503 Down", "", ""));
@@ -97,7 +98,7 @@
             try (Harness.Client client = new Harness.Client(served.address)) {
                 for (int k = 0; k < 3; k++) {
                     Harness.Client next = k == 2 ? client.book("x", 300) : client.search(300);
-                    if (Http.read(next.socket.getInputStream()) == null) {
+                    if (RawHttpClient.read(next.socket.getInputStream()) == null) {
                         break;
                     }
                 }
--- a/src/bench/java/larkbank/sidecar/CostBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/CostBench.java
@@ -1,10 +1,10 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 
 /**
  * What builds cost in processor time, by turns: until ready, for the first requests, and for one of the later
@@ -22,7 +22,7 @@
     public static void main(String[] args) throws Exception {
         int rounds = Integer.parseInt(args[0]);
         List<List<Cost>> costs = new ArrayList<>();
-        try (Stub server = new Stub(seen -> seen.reply("200 OK", "", "ok"));
+        try (PeerStub server = new PeerStub(seen -> seen.reply("200 OK", "", "ok"));
                 Harness harness = new Harness(Files.createTempDirectory("cost"), server)) {
             for (int round = 0; round < rounds; round++) {
                 for (int i = 1; i < args.length; i++) {
--- a/src/bench/java/larkbank/sidecar/DrainBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainBench.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.BiFunction;
-import larkbank.Choice;
-import larkbank.LoadBalancer;
-import larkbank.LoadBalancer.Actions;
-import larkbank.LoadBalancer.Settings;
-import larkbank.testkit.Http;
-import larkbank.testkit.Ws;
+import org.cypressweir.loadbalancing.LoadBalancer;
+import org.cypressweir.loadbalancing.LoadBalancer.Actions;
+import org.cypressweir.loadbalancing.LoadBalancer.Settings;
+import org.cypressweir.loadbalancing.SubsetLoadBalancer;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 
 /**
  * Evenness of tunnels on 3, 15 and 100 servers, after one has joined and after one was drained, with what
@@ -24,7 +24,7 @@
 public final class DrainBench {
 
     private static final String MORE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
-            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: chat\r\nSec-WebSocket-Key: " + Ws.KEY
+            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: chat\r\nSec-WebSocket-Key: " + WebSocketClient.KEY
             + "\r\n";
     private static final String FREE = "reconnect_rate = 100000\n";
     private static final int MANY = 100_000;
@@ -49,7 +49,7 @@
 
     /** Knows nothing of what servers carry beside requests. */
     private static LoadBalancer unweighted(Settings settings, Actions actions) {
-        LoadBalancer real = new Choice(settings, actions);
+        LoadBalancer real = new SubsetLoadBalancer(settings, actions);
         return (LoadBalancer) Proxy.newProxyInstance(
                 DrainBench.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, given) -> {
                     if (method.getName().equals("burden")) {
@@ -73,12 +73,13 @@
 
     private static void even(int count, boolean weighted) throws Exception {
         int tunnels = EACH * count;
-        BiFunction<Settings, Actions, LoadBalancer> module = weighted ? Choice::new : DrainBench::unweighted;
+        BiFunction<Settings, Actions, LoadBalancer> module =
+                weighted ? SubsetLoadBalancer::new : DrainBench::unweighted;
         try (DrainServers servers = new DrainServers(count + 1);
                 Harness harness = new Harness(Files.createTempDirectory("drain"), 250_000, 40_000)) {
             int[] ports = servers.ports();
             harness.startWith(file(MANY, RESUMABLE + FREE, Arrays.copyOf(ports, count)), module);
-            List<Ws> all = new ArrayList<>();
+            List<WebSocketClient> all = new ArrayList<>();
             for (int i = 0; i < tunnels; i++) {
                 all.add(open(harness));
             }
@@ -100,7 +101,7 @@
                 Thread.sleep(5);
             }
             System.out.printf("; after a drain by moves %.2f%n", uneven(servers.open(), 1, count + 1));
-            for (Ws ws : all) {
+            for (WebSocketClient ws : all) {
                 ws.end();
             }
         }
@@ -121,7 +122,7 @@
             ConcurrentLinkedQueue<Long> refused = new ConcurrentLinkedQueue<>();
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < tunnels; i++) {
-                Ws ws = open(harness);
+                WebSocketClient ws = open(harness);
                 Thread client = new Thread(null, () -> stay(harness, ws, back, refused), "client", 128 * 1024);
                 client.setDaemon(true);
                 client.start();
@@ -159,10 +160,13 @@
 
     /** A client that comes back as soon as it is told to go, and waits where it is told to. */
     private static void stay(
-            Harness harness, Ws first, ConcurrentLinkedQueue<Long> back, ConcurrentLinkedQueue<Long> refused) {
+            Harness harness,
+            WebSocketClient first,
+            ConcurrentLinkedQueue<Long> back,
+            ConcurrentLinkedQueue<Long> refused) {
         try {
-            for (Ws ws = first; ; ) {
-                Ws.Frame f = ws.message();
+            for (WebSocketClient ws = first; ; ) {
+                WebSocketClient.Frame f = ws.message();
                 if (f == null) {
                     ws.end();
                     return;
@@ -173,11 +177,11 @@
                 while (ws == null) {
                     Harness.Client client = new Harness.Client(harness.address);
                     client.raw(Harness.Client.head("GET", "/search/1", 2_000, MORE, 0));
-                    Http.Message answer = client.answer();
+                    RawHttpClient.Message answer = client.answer();
                     if (answer.status() == 101) {
                         back.add(System.nanoTime());
                         client.socket.setSoTimeout(0);
-                        ws = new Ws(client.socket, true);
+                        ws = new WebSocketClient(client.socket, true);
                     } else {
                         refused.add(System.nanoTime());
                         client.close();
@@ -239,14 +243,14 @@
                 .toString();
     }
 
-    private static Ws open(Harness harness) throws IOException {
+    private static WebSocketClient open(Harness harness) throws IOException {
         Harness.Client client = new Harness.Client(harness.address);
         client.raw(Harness.Client.head("GET", "/search/1", 2_000, MORE, 0));
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
             throw new IOException("answered " + answer.first());
         }
         client.socket.setSoTimeout(0);
-        return new Ws(client.socket, true);
+        return new WebSocketClient(client.socket, true);
     }
 }
--- a/src/bench/java/larkbank/sidecar/DrainServers.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainServers.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -11,8 +11,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Ws;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 
 /**
  * Servers in a process of their own, so that its descriptors do not count: they agree to upgrades, send
@@ -104,7 +104,7 @@
 
         private void talk(Socket socket) {
             try (socket) {
-                for (Http.Message m; (m = Http.read(socket.getInputStream())) != null; ) {
+                for (RawHttpClient.Message m; (m = RawHttpClient.read(socket.getInputStream())) != null; ) {
                     String key = m.headers().get("Sec-WebSocket-Key");
                     if (key == null) {
                         socket.getOutputStream()
@@ -115,10 +115,10 @@
                     open.incrementAndGet();
                     try {
                         socket.getOutputStream()
-                                .write(Ws.agreed(key, "Sec-WebSocket-Protocol: chat\r\n")
+                                .write(WebSocketClient.agreed(key, "Sec-WebSocket-Protocol: chat\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
-                        Ws ws = new Ws(socket, false);
-                        for (Ws.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
+                        WebSocketClient ws = new WebSocketClient(socket, false);
+                        for (WebSocketClient.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
                             ws.send(f.opcode() == 9 ? 10 : f.opcode(), f.last(), f.payload());
                         }
                         ws.close(1001);
--- a/src/bench/java/larkbank/sidecar/ListBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/ListBench.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicLong;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 
 /**
  * How long lists stop the event loop: a whole list of 8,000 servers to a running sidecar, then another with
@@ -31,13 +31,13 @@
 
     public static void main(String[] args) throws Exception {
         for (int round = 0; round < 6; round++) {
-            try (Stub server = new Stub(Stub.serves("ok"));
+            try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                     Harness harness = new Harness(Files.createTempDirectory("lists"), server).start()) {
                 AtomicLong worst = new AtomicLong();
                 Thread probe = new Thread(() -> probe(harness, worst));
                 probe.setDaemon(true);
                 probe.start();
-                Stub.Seen asked = harness.discovery.take();
+                PeerStub.Seen asked = harness.discovery.take();
                 for (int i = 0; i < 50; i++) {
                     harness.client().search(2_000).answer();
                 }
--- a/src/bench/java/larkbank/sidecar/PluginServeBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/PluginServeBench.java
@@ -1,11 +1,11 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larkbank.testkit.Modules;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.PluginModules;
 
 /** What plug-ins cost over sockets: one client without a pause; none, one and five of them by turns. */
 public final class PluginServeBench {
@@ -16,10 +16,10 @@
 
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("plugins");
-        Files.write(folder.resolve("log-header.wasm"), Modules.bytes("log-header"));
-        Files.write(folder.resolve("mark-pay.wasm"), Modules.bytes("mark-pay"));
-        Files.write(folder.resolve("loop.wasm"), Modules.bytes("loop"));
-        try (Stub server = new Stub(Stub.serves("ok"));
+        Files.write(folder.resolve("log-header.wasm"), PluginModules.bytes("log-header"));
+        Files.write(folder.resolve("mark-pay.wasm"), PluginModules.bytes("mark-pay"));
+        Files.write(folder.resolve("loop.wasm"), PluginModules.bytes("loop"));
+        try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, server)) {
             String routes = "[pools.p]\nsource = \"discovery\"\n[routes.search]\npath = \"/search/*\"\n"
                     + "class = \"search\"\npool = \"p\"\n";
--- a/src/bench/java/larkbank/sidecar/ReloadBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/ReloadBench.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,7 +6,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 
 /** What a reload takes under steady load, and what the load feels of it: 1,000 routes, two pools in turn. */
 public final class ReloadBench {
@@ -17,8 +17,8 @@
     private ReloadBench() {}
 
     public static void main(String[] args) throws Exception {
-        try (Stub one = new Stub(Stub.serves("ok"));
-                Stub two = new Stub(Stub.serves("ok"));
+        try (PeerStub one = new PeerStub(PeerStub.serves("ok"));
+                PeerStub two = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(Files.createTempDirectory("reload"))) {
             List<String> files = List.of(file("p", one), file("q", two));
             harness.startWith(files.get(0));
@@ -73,7 +73,7 @@
         }
     }
 
-    private static String file(String pool, Stub server) {
+    private static String file(String pool, PeerStub server) {
         StringBuilder text = new StringBuilder("version = 1\n[pools." + pool + "]\nsource = \"static\"\n"
                 + "servers = [{ id = \"a\", endpoint = \"127.0.0.1:" + server.port() + "\" }]\n"
                 + "[routes.search]\npath = \"/search/*\"\nclass = \"search\"\npool = \"" + pool + "\"\n");
--- a/src/bench/java/larkbank/sidecar/Served.java
+++ b/src/bench/java/org/cypressweir/sidecar/Served.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/bench/java/larkbank/sidecar/StartBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/StartBench.java
@@ -1,11 +1,11 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import larkbank.testkit.Stub;
+import org.cypressweir.testkit.PeerStub;
 
 /**
  * Time, CPU and memory from exec to ready of the program as {@code deploy/balancer.toml} runs it, by turns
@@ -23,7 +23,7 @@
         Path folder = Files.createTempDirectory("start");
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, routes(1_000));
-        try (Stub server = new Stub(Stub.SILENT);
+        try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             List<Start> without = new ArrayList<>();
             List<Start> with = new ArrayList<>();
--- a/src/bench/java/larkbank/sidecar/WebSocketBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/WebSocketBench.java
@@ -1,4 +1,4 @@
-package larkbank.sidecar;
+package org.cypressweir.sidecar;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import larkbank.testkit.Http;
-import larkbank.testkit.Stub;
-import larkbank.testkit.Ws;
+import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.WebSocketClient;
 
 /**
  * What a tunnel costs beside a direct connection, in one run and one process: round trips, throughput,
@@ -30,16 +30,16 @@
     private static final int PIECE = 64 * 1024;
     private static final int PIECES = 6_000;
     private static final String MORE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
-            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + Ws.KEY + "\r\n";
+            + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + WebSocketClient.KEY + "\r\n";
 
     private WebSocketBench() {}
 
     public static void main(String[] args) throws Exception {
         int tunnels = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 8_500;
         try (Idle idle = new Idle();
-                Stub echo = new Stub(Ws.echo());
-                Stub sink = new Stub(WebSocketBench::drain);
-                Stub plain = new Stub(Stub.serves("ok"));
+                PeerStub echo = new PeerStub(WebSocketClient.echo());
+                PeerStub sink = new PeerStub(WebSocketBench::drain);
+                PeerStub plain = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(Files.createTempDirectory("ws"), 250_000, 60_000)) {
             harness.startWith("version = 1\n" + route("echo", echo.port()) + route("sink", sink.port())
                     + route("idle", idle.port()) + route("plain", plain.port()));
@@ -52,7 +52,7 @@
             upgrades(harness);
             plain("no tunnels", harness);
             plain("no tunnels", harness);
-            List<Ws> open = new ArrayList<>();
+            List<WebSocketClient> open = new ArrayList<>();
             while (open.size() < 2_000) {
                 open.add(open(harness.address, "idle"));
             }
@@ -71,8 +71,8 @@
                 + "\"\n[routes." + name + ".websocket]\nping_interval = \"600s\"\nping_timeout = \"600s\"\n";
     }
 
-    private static void drain(Stub.Seen seen) throws IOException {
-        Ws ws = Ws.agree(seen, "");
+    private static void drain(PeerStub.Seen seen) throws IOException {
+        WebSocketClient ws = WebSocketClient.agree(seen, "");
         byte[] some = new byte[PIECE];
         long left = (long) PIECES * PIECE;
         while (left > 0) {
@@ -82,18 +82,18 @@
         ws.text("done");
     }
 
-    private static Ws open(InetSocketAddress address, String name) throws IOException {
+    private static WebSocketClient open(InetSocketAddress address, String name) throws IOException {
         Harness.Client client = new Harness.Client(address);
         client.raw(Harness.Client.head("GET", "/" + name + "/1", 2_000, MORE, 0));
-        Http.Message answer = client.answer();
+        RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
             throw new IOException("answered " + answer.first());
         }
         client.socket.setTcpNoDelay(true);
-        return new Ws(client.socket, true);
+        return new WebSocketClient(client.socket, true);
     }
 
-    private static void trips(String name, Ws ws, int round) throws IOException {
+    private static void trips(String name, WebSocketClient ws, int round) throws IOException {
         long[] took = new long[TRIPS];
         byte[] message = new byte[100];
         for (int i = 0; i < TRIPS; i++) {
@@ -112,8 +112,8 @@
     }
 
     private static void throughput(String name, InetSocketAddress address) throws IOException {
-        Ws ws = open(address, "sink");
-        byte[] frame = Ws.frame(true, 0x82, new byte[PIECE]);
+        WebSocketClient ws = open(address, "sink");
+        byte[] frame = WebSocketClient.frame(true, 0x82, new byte[PIECE]);
         long since = System.nanoTime();
         for (int i = 0; i < PIECES; i++) {
             ws.raw(frame);
@@ -132,7 +132,7 @@
             Thread thread = new Thread(() -> {
                 while (System.nanoTime() < until) {
                     try {
-                        Ws ws = open(harness.address, "echo").close(1000);
+                        WebSocketClient ws = open(harness.address, "echo").close(1000);
                         ws.message();
                         ws.read();
                         done.incrementAndGet();
@@ -166,7 +166,7 @@
     }
 
     /** One tunnel after the other says something, 2,000 a second in all, while plain requests run. */
-    private static void busy(List<Ws> open, Harness harness) throws Exception {
+    private static void busy(List<WebSocketClient> open, Harness harness) throws Exception {
         CountDownLatch end = new CountDownLatch(1);
         Thread talking = new Thread(() -> {
             try {
@@ -195,7 +195,7 @@
             Files.writeString(file, "version = 1\n" + route("idle", server.port()));
             try (Served served = new Served(config.file, " --operators " + file)) {
                 double before = served.residentMegabytes();
-                List<Ws> open = new ArrayList<>();
+                List<WebSocketClient> open = new ArrayList<>();
                 long since = System.nanoTime();
                 while (open.size() < count) {
                     open.add(open(served.address, "idle"));
@@ -232,9 +232,9 @@
                 while (true) {
                     Socket socket = listening.accept();
                     sockets.add(socket);
-                    Http.Message asked = Http.read(socket.getInputStream());
+                    RawHttpClient.Message asked = RawHttpClient.read(socket.getInputStream());
                     socket.getOutputStream()
-                            .write(Ws.agreed(asked.headers().get("Sec-WebSocket-Key"), "")
+                            .write(WebSocketClient.agreed(asked.headers().get("Sec-WebSocket-Key"), "")
                                     .getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
--- a/src/bench/java/larkbank/cell/CellBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/CellBench.java
@@ -1,18 +1,18 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import larkbank.Hashes;
-import larkbank.Ids;
-import larkbank.LoadBalancer.Effect;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.cell.Cells.Ticket;
-import larkbank.testkit.CellPlans;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.loadbalancing.LoadBalancer.Effect;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.testkit.CellPlans;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -44,7 +44,7 @@
     private List<Cell> cells;
     private Cells decisions;
     private Placement placement;
-    private Parting parting;
+    private CellAssignment parting;
     private HeavyUnits heavy;
     private Map<Long, Double> exact;
     private final long[] units = new long[UNITS];
@@ -58,7 +58,7 @@
         open.set(0, count);
         placement = new Placement(cells, Map.of(), open);
         decisions = new Cells("p", CellPlans.plan(cells, 0.1, null), 10_000, now, this);
-        parting = new Parting(cells, CellsPlan.Spread.SERVER, 0);
+        parting = new CellAssignment(cells, CellsConfiguration.Spread.SERVER, 0);
         List<Server> servers = CellPlans.servers(SERVERS, 5);
         decisions.listed(now, ListKind.COMPLETE, servers);
         parting.listed(now, ListKind.COMPLETE, servers);
--- a/src/bench/java/larkbank/cell/DealBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/DealBench.java
@@ -1,14 +1,14 @@
-package larkbank.cell;
+package org.cypressweir.sidecar.cell;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
-import larkbank.Hashes;
-import larkbank.LoadBalancer.ListKind;
-import larkbank.LoadBalancer.Phase;
-import larkbank.LoadBalancer.Server;
-import larkbank.testkit.CellPlans;
+import org.cypressweir.common.util.Hashes;
+import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
+import org.cypressweir.loadbalancing.LoadBalancer.Phase;
+import org.cypressweir.loadbalancing.LoadBalancer.Server;
+import org.cypressweir.testkit.CellPlans;
 
 /**
  * How even cells are, and how many others a server moves that goes for good: bounded rendezvous and modulo.
@@ -35,7 +35,7 @@
         int fleets = Math.max(5, FLEETS * 100 / Math.max(100, servers));
         for (int f = 0; f < fleets; f++) {
             int first = random.nextInt(1 << 28);
-            Parting parting = new Parting(CellPlans.cells(cells), CellsPlan.Spread.SERVER, 0);
+            CellAssignment parting = new CellAssignment(CellPlans.cells(cells), CellsConfiguration.Spread.SERVER, 0);
             List<Server> fleet = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
                 fleet.add(CellPlans.server(first + i, i % 5, Phase.READY));
--- a/src/bench/java/larkbank/plugin/FirstCallBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/plugin/FirstCallBench.java
@@ -1,12 +1,12 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import java.util.Arrays;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import larkbank.route.PluginGrant;
-import larkbank.testkit.Modules;
+import org.cypressweir.sidecar.route.PluginGrant;
+import org.cypressweir.testkit.PluginModules;
 
 /**
  * How long the first real call of a plug-in that has just been made takes, and the next one, against the
@@ -26,7 +26,7 @@
         for (int i = 0; i < plugins; i++) {
             long since = System.nanoTime();
             try (PluginHost host = new PluginHost(
-                    Modules.plan("refuse", new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()),
+                    PluginModules.plan("refuse", new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()),
                     Runnable::run)) {
                 made[i] = (System.nanoTime() - since) / 1e6;
                 first[i] = call(host);
@@ -39,11 +39,11 @@
     }
 
     private static double call(PluginHost host) throws Exception {
-        CompletableFuture<Wishes> heard = new CompletableFuture<>();
+        CompletableFuture<RequestedChanges> heard = new CompletableFuture<>();
         long since = System.nanoTime();
         host.ask(new RequestView("GET", "/pay/7", Map.of(), "search"), new PluginHost.Heard() {
             @Override
-            public void done(Wishes wishes) {
+            public void done(RequestedChanges wishes) {
                 heard.complete(wishes);
             }
 
--- a/src/bench/java/larkbank/plugin/PluginBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/plugin/PluginBench.java
@@ -1,4 +1,4 @@
-package larkbank.plugin;
+package org.cypressweir.sidecar.plugin;
 
 import com.dylibso.chicory.compiler.MachineFactoryCompiler;
 import com.dylibso.chicory.runtime.HostFunction;
--- a/src/bench/java/larkbank/route/RouterBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/route/RouterBench.java
@@ -1,11 +1,11 @@
-package larkbank.route;
+package org.cypressweir.sidecar.route;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import larkbank.route.HeaderTest.Kind;
+import org.cypressweir.sidecar.route.HeaderTest.Kind;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
--- a/src/bench/java/larkbank/lab/AllToAll.java
+++ b/src/bench/java/org/cypressweir/simulation/AllToAll.java
@@ -1,11 +1,11 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.Arrays;
 
 /** Heartbeats of all to all: each is out that was not heard for so long. Nobody relays anything. */
-final class AllToAll implements Datagrams.Process<Integer> {
+final class AllToAll implements SimulatedNetwork.Process<Integer> {
 
-    private final Datagrams<Integer> net;
+    private final SimulatedNetwork<Integer> net;
     private final int self;
     private final long period;
     private final long silence;
@@ -15,7 +15,7 @@
     private long sendAt;
 
     AllToAll(
-            Datagrams<Integer> net,
+            SimulatedNetwork<Integer> net,
             int self,
             int members,
             long period,
--- a/src/bench/java/larkbank/lab/LeaseBench.java
+++ b/src/bench/java/org/cypressweir/simulation/LeaseBench.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/bench/java/larkbank/lab/FellowsBench.java
+++ b/src/bench/java/org/cypressweir/simulation/MembershipBench.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,9 +9,9 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import larkbank.membership.Change;
-import larkbank.membership.MembershipPlan;
 import org.HdrHistogram.Histogram;
+import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MembershipOptions;
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.VectorGraphicsEncoder;
@@ -22,7 +22,7 @@
  * seeds, a file for a chart or nothing, seconds of sleepers and how many ways, such as
  * {@code 100,1000:5:docs/design/membership} or {@code 100:1::3600:1}.
  */
-public final class FellowsBench {
+public final class MembershipBench {
 
     private static final long PAUSE = 3_000_000;
     private static final long SECOND = 1_000_000;
@@ -30,7 +30,7 @@
     /** Heartbeats are n squared: past this many members they say nothing new and take days. */
     private static final int MOST_HEARTBEATS = 1_000;
 
-    private static final long PERIOD = MembershipPlan.period(PAUSE);
+    private static final long PERIOD = MembershipOptions.period(PAUSE);
 
     /** What was counted of one way over all seeds. */
     private static final class Row {
@@ -47,12 +47,12 @@
 
     /** A fleet of one kind, and where its verdicts go. */
     private record Fleet(
-            Datagrams<?> net,
+            SimulatedNetwork<?> net,
             BiPredicate<Integer, Integer> sees,
             LongSupplier bytes,
             Consumer<PlainSwim.Verdict> ear) {}
 
-    private FellowsBench() {}
+    private MembershipBench() {}
 
     public static void main(String[] args) throws IOException {
         String[] parts = args[0].split(":");
@@ -110,7 +110,7 @@
     }
 
     private static void day(Fleet fleet, int n, long seed, Row row) {
-        Datagrams<?> net = fleet.net;
+        SimulatedNetwork<?> net = fleet.net;
         row.days++;
         run(net, 3 * SECOND);
         long sent = net.sent();
@@ -133,7 +133,7 @@
             row.unknown += heard[i] ? 0 : 1;
         }
         sleepers(fleet, n, seed, row);
-        net.weather(Datagrams.Weather.FAIR);
+        net.weather(SimulatedNetwork.Weather.FAIR);
         run(net, 10 * SECOND);
         fleet.ear.accept((by, member, out) -> {});
         net.cut((from, to) -> from != 0);
@@ -146,9 +146,9 @@
     }
 
     private static void sleepers(Fleet fleet, int n, long seed, Row row) {
-        Datagrams<?> net = fleet.net;
+        SimulatedNetwork<?> net = fleet.net;
         SplittableRandom random = new SplittableRandom(seed);
-        net.weather(Datagrams.Weather.losing(0.2));
+        net.weather(SimulatedNetwork.Weather.losing(0.2));
         fleet.ear.accept((by, member, out) -> {
             row.changes += member == n - 1 ? 0 : 1;
             row.falseEnds += out && member != n - 1 ? 1 : 0;
@@ -163,12 +163,12 @@
         }
     }
 
-    private static void run(Datagrams<?> net, long micros) {
+    private static void run(SimulatedNetwork<?> net, long micros) {
         net.run(net.now() + micros);
     }
 
     private static Fleet ours(int n, long seed) {
-        Fellows f = new Fellows(seed, n, 3, PAUSE);
+        MembershipSimulation f = new MembershipSimulation(seed, n, 3, PAUSE);
         f.startTogether();
         return new Fleet(f.net, (by, member) -> f.get(by).core().isIn("n" + member), f::bytes, to -> {
             f.changes.clear();
@@ -180,7 +180,7 @@
     }
 
     private static Fleet swim(int n, long seed) {
-        Datagrams<PlainSwim.Said> net = new Datagrams<>(seed);
+        SimulatedNetwork<PlainSwim.Said> net = new SimulatedNetwork<>(seed);
         PlainSwim.Verdict[] ear = {(by, member, out) -> {}};
         PlainSwim[] all = new PlainSwim[n];
         for (int i = 0; i < n; i++) {
@@ -203,7 +203,7 @@
     }
 
     private static Fleet heartbeats(int n, long seed) {
-        Datagrams<Integer> net = new Datagrams<>(seed);
+        SimulatedNetwork<Integer> net = new SimulatedNetwork<>(seed);
         PlainSwim.Verdict[] ear = {(by, member, out) -> {}};
         SplittableRandom random = new SplittableRandom(seed);
         AllToAll[] all = new AllToAll[n];
--- a/src/bench/java/larkbank/lab/PlainSwim.java
+++ b/src/bench/java/org/cypressweir/simulation/PlainSwim.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * shuffled order, by way of three others if it does not answer, and put out a fixed time after it was
  * suspected. A sleeper does not know that it slept, and one accuser is enough.
  */
-final class PlainSwim implements Datagrams.Process<PlainSwim.Said> {
+final class PlainSwim implements SimulatedNetwork.Process<PlainSwim.Said> {
 
     /** A message: what it is, its question, whom it is about, and news as member, state and incarnation. */
     record Said(int kind, int from, long number, int target, List<int[]> news) {}
@@ -32,7 +32,7 @@
     private static final int HELPERS = 3;
     private static final int RIDERS = 8;
 
-    private final Datagrams<Said> net;
+    private final SimulatedNetwork<Said> net;
     private final int self;
     private final long period;
     private final long suspicion;
@@ -55,7 +55,14 @@
     private long numbers;
     private long bytes;
 
-    PlainSwim(Datagrams<Said> net, int self, int members, long period, long suspicion, long seed, Verdict verdict) {
+    PlainSwim(
+            SimulatedNetwork<Said> net,
+            int self,
+            int members,
+            long period,
+            long suspicion,
+            long seed,
+            Verdict verdict) {
         this.net = net;
         this.self = self;
         this.period = period;
--- a/src/bench/java/larkbank/lab/SharesBench.java
+++ b/src/bench/java/org/cypressweir/simulation/SharesBench.java
@@ -1,4 +1,4 @@
-package larkbank.lab;
+package org.cypressweir.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.IntToDoubleFunction;
-import larkbank.membership.Message;
-import larkbank.membership.Peer;
-import larkbank.membership.Portion;
-import larkbank.membership.SharePlan;
+import org.cypressweir.fleet.membership.MembershipMessage;
+import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.fleet.membership.ShareOptions;
+import org.cypressweir.fleet.membership.ShareRequester;
 
 /**
  * What all processes together use of one whole, by three ways to work out a part: a count for ever, the count
@@ -26,9 +26,9 @@
     private static final String[] WAYS = {"count for ever", "own view", "most electors"};
 
     private final int n;
-    private final Fellows fellows;
-    private final Datagrams<Message> net;
-    private final Portion[] portions;
+    private final MembershipSimulation fellows;
+    private final SimulatedNetwork<MembershipMessage> net;
+    private final ShareRequester[] portions;
     private final IntToDoubleFunction[] parts;
     private final double[][] left;
     private final long[] stoppedAt;
@@ -37,32 +37,35 @@
 
     private SharesBench(int n, long seed) {
         this.n = n;
-        fellows = new Fellows(seed, n, 5, PAUSE);
+        fellows = new MembershipSimulation(seed, n, 5, PAUSE);
         fellows.startTogether();
-        net = new Datagrams<>(seed);
-        portions = new Portion[n];
+        net = new SimulatedNetwork<>(seed);
+        portions = new ShareRequester[n];
         left = new double[n][WAYS.length];
         stoppedAt = new long[n];
-        SharePlan plan = fellows.plan().sharing(2 * n, LINGER).shares();
+        ShareOptions plan = fellows.plan().sharing(2 * n, LINGER).shares();
         for (int i = 0; i < n; i++) {
             int place = net.place();
-            InetSocketAddress own = Fellows.address(place);
+            InetSocketAddress own = MembershipSimulation.address(place);
             Peer self = new Peer("n" + i, i, 1, 1, own);
-            Portion portion = new Portion(
+            ShareRequester portion = new ShareRequester(
                     0,
                     plan,
                     own,
                     seed,
-                    (to, m) -> net.send(place, to.getPort() - Fellows.address(0).getPort(), m));
+                    (to, m) -> net.send(
+                            place,
+                            to.getPort() - MembershipSimulation.address(0).getPort(),
+                            m));
             portions[i] = portion;
-            net.start(place, LOOK, new Datagrams.Process<>() {
+            net.start(place, LOOK, new SimulatedNetwork.Process<>() {
                 @Override
                 public void tick(long at) {
                     portion.tick(at, self);
                 }
 
                 @Override
-                public void receive(long at, Message m) {
+                public void receive(long at, MembershipMessage m) {
                     portion.receive(at, m, self);
                 }
             });
@@ -90,7 +93,7 @@
         }
     }
 
-    private void cut(Datagrams.Cut cut) {
+    private void cut(SimulatedNetwork.Cut cut) {
         net.cut(cut);
         fellows.net.cut(cut);
     }
--- a/src/main/java/larkbank/pilot/Target.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package larkbank.pilot;
-
-/** A server that requests may be sent to: the address and the life of the pilot beside it, its instance. */
-record Target(long number, String pilot, long life, String address, String instance, String zone) {}
--- a/src/main/java/larkbank/logbook/Listing.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
@@ -1,29 +1,29 @@
-package larkbank.logbook;
+package org.cypressweir.common.diagnostics;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import larkbank.lading.Scribe;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
-import larkbank.manifest.RouteTerms;
-import larkbank.manifest.Split;
-import larkbank.manifest.Table;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemType;
+import org.cypressweir.controlplane.configuration.RouteConfiguration;
+import org.cypressweir.controlplane.configuration.WeightedDestination;
 
 /** Items as operators are told of them: names and versions, and where routes lead. Keys are never told. */
-public final class Listing {
+public final class ItemListing {
 
-    private Listing() {}
+    private ItemListing() {}
 
     /** All items, withdrawn ones too. */
-    public static List<Object> of(Manifest manifest) {
+    public static List<Object> of(Configuration manifest) {
         List<Object> all = new ArrayList<>();
         manifest.items().forEach(item -> all.add(line(item)));
         return all;
     }
 
     private static Map<String, Object> line(Item item) {
-        Map<String, Object> line = Scribe.map(
+        Map<String, Object> line = JsonCodec.map(
                 "table",
                 item.key().table().wire(),
                 "name",
@@ -32,18 +32,18 @@
                 "r" + item.version(),
                 "withdrawn",
                 item.withdrawn());
-        if (item.key().table() == Table.ROUTES && !item.withdrawn()) {
-            RouteTerms.of(item).forEach(route -> line.putAll(terms(route)));
+        if (item.key().table() == ItemType.ROUTES && !item.withdrawn()) {
+            RouteConfiguration.of(item).forEach(route -> line.putAll(terms(route)));
         }
         return line;
     }
 
-    private static Map<String, Object> terms(RouteTerms route) {
+    private static Map<String, Object> terms(RouteConfiguration route) {
         List<Object> services = new ArrayList<>();
-        for (Split split : route.splits()) {
-            services.add(Scribe.map("service", split.service(), "weight", split.weight()));
+        for (WeightedDestination split : route.splits()) {
+            services.add(JsonCodec.map("service", split.service(), "weight", split.weight()));
         }
-        return Scribe.map(
+        return JsonCodec.map(
                 "host",
                 route.host(),
                 "prefix",
--- a/src/main/java/larkbank/logbook/Wake.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/RequestTrace.java
@@ -1,18 +1,18 @@
-package larkbank.logbook;
+package org.cypressweir.common.diagnostics;
 
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import larkbank.lading.Fault;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.ErrorKind;
+import org.cypressweir.common.transport.JsonCodec;
 
 /**
  * Which way the last requests went: a ring of fixed size in columns, so that a request costs some writes and
  * no object. It keeps no body and no header but the id. For one thread.
  */
-public final class Wake {
+public final class RequestTrace {
 
     /** Requests that a pilot keeps. */
     public static final int USUAL = 2_000;
@@ -32,7 +32,7 @@
     private final long[] arrived;
     private final long[] answered;
     private final int[] statuses;
-    private final Fault[] faults;
+    private final ErrorKind[] faults;
     private final int[] legs;
     private final String[] servers;
     private final String[] pilots;
@@ -41,7 +41,7 @@
     private final String[] outcomes;
     private long count;
 
-    public Wake(LongSupplier micros, int size) {
+    public RequestTrace(LongSupplier micros, int size) {
         this.micros = micros;
         this.size = size;
         ids = new String[size];
@@ -53,7 +53,7 @@
         arrived = new long[size];
         answered = new long[size];
         statuses = new int[size];
-        faults = new Fault[size];
+        faults = new ErrorKind[size];
         legs = new int[size];
         servers = new String[size * LEGS];
         pilots = new String[size * LEGS];
@@ -104,7 +104,7 @@
      * @param status 0: the client had left
      * @param fault null where it is the server's own answer
      */
-    public void answer(long at, int status, Fault fault) {
+    public void answer(long at, int status, ErrorKind fault) {
         answered[last()] = at;
         statuses[last()] = status;
         faults[last()] = fault;
@@ -139,7 +139,7 @@
         List<Object> attempts = new ArrayList<>();
         for (int i = 0; i < Math.min(LEGS, legs[at]); i++) {
             int leg = at * LEGS + i;
-            attempts.add(Scribe.map(
+            attempts.add(JsonCodec.map(
                     "server",
                     servers[leg],
                     "pilot",
@@ -152,7 +152,7 @@
                     outcomes[leg] == null ? "still out" : outcomes[leg]));
         }
         long age = (micros.getAsLong() - arrived[at]) / 1000;
-        return Scribe.map(
+        return JsonCodec.map(
                 "id",
                 ids[at],
                 "arrived",
--- a/src/main/java/larkbank/logbook/StateDesk.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/StateEndpoint.java
@@ -1,4 +1,4 @@
-package larkbank.logbook;
+package org.cypressweir.common.diagnostics;
 
 import io.vavr.control.Try;
 import java.net.URLDecoder;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import larkbank.gangway.Answer;
-import larkbank.gangway.Call;
-import larkbank.gangway.Host;
-import larkbank.lading.Calls;
-import larkbank.lading.Scribe;
+import org.cypressweir.common.transport.ApiCall;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.dataplane.http.server.RequestHandler;
+import org.cypressweir.dataplane.http.server.ServerRequest;
+import org.cypressweir.dataplane.http.server.ServerResponse;
 
 /** Answers the calls that tell and change nothing, state and why, and hands all other calls on. */
-public final class StateDesk implements Host {
+public final class StateEndpoint implements RequestHandler {
 
     /** What a program tells of itself; built when it is asked for. */
     public interface Teller {
@@ -27,37 +27,38 @@
 
     private static final String ITEMS = "?items";
 
-    private final Host others;
+    private final RequestHandler others;
     private final Teller teller;
 
     /** @param others who answers all else */
-    public StateDesk(Host others, Teller teller) {
+    public StateEndpoint(RequestHandler others, Teller teller) {
         this.others = others;
         this.teller = teller;
     }
 
     @Override
-    public void called(Call call) {
-        Calls asked = Calls.of(call.path())
+    public void called(ServerRequest call) {
+        ApiCall asked = ApiCall.of(call.path())
                 .filter(one -> one.method().equals(call.method()))
                 .orElse(null);
-        if (asked == Calls.STATE) {
+        if (asked == ApiCall.STATE) {
             boolean items = call.uri().startsWith(ITEMS, call.path().length());
-            call.answer(Answer.json(200, Scribe.bytes(teller.state(items))));
-        } else if (asked == Calls.WHY) {
+            call.answer(ServerResponse.json(200, JsonCodec.bytes(teller.state(items))));
+        } else if (asked == ApiCall.WHY) {
             why(call);
         } else {
             others.called(call);
         }
     }
 
-    private void why(Call call) {
-        String id = Calls.WHY.name(call.path()).flatMap(StateDesk::decoded).orElse("");
+    private void why(ServerRequest call) {
+        String id =
+                ApiCall.WHY.name(call.path()).flatMap(StateEndpoint::decoded).orElse("");
         Map<String, Object> told = teller.state(false);
-        call.answer(Answer.json(
+        call.answer(ServerResponse.json(
                 200,
-                Scribe.bytes(
-                        Scribe.map("kind", told.get("kind"), "name", told.get("name"), "requests", teller.why(id)))));
+                JsonCodec.bytes(JsonCodec.map(
+                        "kind", told.get("kind"), "name", told.get("name"), "requests", teller.why(id)))));
     }
 
     /** Ids are clients' own texts: in a path they are encoded. */
--- a/src/main/java/larkbank/logbook/package-info.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/package-info.java
@@ -1,2 +1,2 @@
 /** The state call of both programs: who answers it, and how items of the configuration are listed. */
-package larkbank.logbook;
+package org.cypressweir.common.diagnostics;
--- a/src/main/java/larkbank/papers/Duration.java
+++ b/src/main/java/org/cypressweir/common/settings/DurationText.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import io.vavr.control.Option;
 import java.math.BigDecimal;
@@ -6,11 +6,11 @@
 import java.util.regex.Pattern;
 
 /** Times as texts: a number and its unit, as in 1500ms or 2.5s. */
-public final class Duration {
+public final class DurationText {
 
     private static final Pattern TIME = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,9})?)(ms|s)");
 
-    private Duration() {}
+    private DurationText() {}
 
     /** Whole microseconds of such a text; nothing where it is none. */
     public static Option<Long> micros(String text) {
--- a/src/main/java/larkbank/papers/Sheets.java
+++ b/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import com.dslplatform.json.DslJson;
 import com.dslplatform.json.JsonReader;
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /** A JSON object of a file or a call, read with DSL-JSON to plain maps and lists. */
-public final class Sheets {
+public final class JsonDocuments {
 
     private static final DslJson<Object> JSON = new DslJson<>(new DslJson.Settings<>());
 
-    private Sheets() {}
+    private JsonDocuments() {}
 
     /** The object, or in one line what is wrong and where. */
     public static Either<String, Map<String, Object>> read(byte[] bytes) {
--- a/src/main/java/larkbank/papers/NodePapers.java
+++ b/src/main/java/org/cypressweir/common/settings/NodeSettings.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * @param bounds times in microseconds, figures as they are, flags as 0 or 1
  * @param machineFailures how many machines may be lost at once; below 0 where that is not told
  */
-public record NodePapers(
+public record NodeSettings(
         String name,
         String ip,
         String zone,
@@ -40,15 +40,15 @@
     private static final Set<String> EVERYWHERE = Set.of("0.0.0.0", "[::]");
 
     /** Reads and checks a whole file; else all that is wrong with it, a line each. */
-    public static Either<List<String>, NodePapers> read(byte[] file) {
-        Either<String, Map<String, Object>> read = Sheets.read(file);
+    public static Either<List<String>, NodeSettings> read(byte[] file) {
+        Either<String, Map<String, Object>> read = JsonDocuments.read(file);
         if (read.isLeft()) {
             return Either.left(List.of(read.getLeft()));
         }
-        Fields root = new Fields(read.get(), "", new ArrayList<>());
-        Fields node = root.object("localNode");
-        Fields network = root.object("network");
-        Fields limits = node.object("limits");
+        SettingsFields root = new SettingsFields(read.get(), "", new ArrayList<>());
+        SettingsFields node = root.object("localNode");
+        SettingsFields network = root.object("network");
+        SettingsFields limits = node.object("limits");
         List<Long> ports = network.numbers("internalPortRange");
         if (ports.size() != 2 || ports.get(0) < 1 || ports.get(1) > 65_535 || ports.get(0) > ports.get(1)) {
             root.wrong("network.internalPortRange wants two ports");
@@ -66,7 +66,7 @@
                 root.wrong("termTable.timingBounds." + name + " is no time, number or flag");
             }
         });
-        NodePapers papers = new NodePapers(
+        NodeSettings papers = new NodeSettings(
                 node.text("nodeName"),
                 node.text("ipAddress"),
                 node.text("zone"),
--- a/src/main/java/larkbank/papers/Fields.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsFields.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import io.vavr.control.Option;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import larkbank.Addresses;
+import org.cypressweir.common.util.Addresses;
 
 /** Fields of an object in a file; what is missing or of another type is noted with its place. */
-final class Fields {
+final class SettingsFields {
 
     private final Map<?, ?> map;
     private final String place;
     private final List<String> problems;
 
-    Fields(Map<?, ?> map, String place, List<String> problems) {
+    SettingsFields(Map<?, ?> map, String place, List<String> problems) {
         this.map = map;
         this.place = place;
         this.problems = problems;
@@ -29,12 +29,12 @@
         problems.add(what);
     }
 
-    Fields object(String name) {
+    SettingsFields object(String name) {
         Object value = map.get(name);
         if (value != null && !(value instanceof Map)) {
             wrong(place + name + " is no object");
         }
-        return new Fields(value instanceof Map<?, ?> m ? m : Map.of(), place + name + ".", problems);
+        return new SettingsFields(value instanceof Map<?, ?> m ? m : Map.of(), place + name + ".", problems);
     }
 
     void each(BiConsumer<String, Object> task) {
@@ -83,7 +83,7 @@
 
     /** Microseconds of a text such as 1500ms or 2.5s. */
     long time(String where, String text) {
-        Option<Long> micros = Duration.micros(text);
+        Option<Long> micros = DurationText.micros(text);
         if (micros.isDefined()) {
             return micros.get();
         }
--- a/src/main/java/larkbank/papers/Boot.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsLoader.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import io.vavr.control.Either;
 import io.vavr.control.Option;
@@ -8,20 +8,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import larkbank.daily.Hangup;
+import org.cypressweir.common.util.ReloadSignal;
 import org.jboss.logging.Logger;
 
 /** How a program of the mesh starts: its settings are read and checked; what is wrong ends it in a line. */
-public final class Boot {
+public final class SettingsLoader {
 
-    private static final Logger LOG = Logger.getLogger("papers");
+    private static final Logger LOG = Logger.getLogger(SettingsLoader.class);
     private static final String NAMES_FILE = "CYPRESSWEIR_NODE_FILE";
 
-    private Boot() {}
+    private SettingsLoader() {}
 
     /** A program that runs until the process is ended. */
     public interface Program {
-        void serve(NodePapers papers, Watched file) throws IOException;
+        void serve(NodeSettings papers, SettingsWatcher file) throws IOException;
     }
 
     /**
@@ -33,15 +33,15 @@
             String program,
             Map<String, String> env,
             PrintStream err,
-            Function<NodePapers, Option<String>> lacks,
+            Function<NodeSettings, Option<String>> lacks,
             Program its) {
         String named = env.get(NAMES_FILE);
         if (named == null) {
             err.println(program + ": " + NAMES_FILE + " is not set");
             return 2;
         }
-        Watched file = new Watched(Path.of(named));
-        Either<List<String>, NodePapers> papers = file.first().flatMap(read -> lacks.apply(read)
+        SettingsWatcher file = new SettingsWatcher(Path.of(named));
+        Either<List<String>, NodeSettings> papers = file.first().flatMap(read -> lacks.apply(read)
                 .map(what -> List.of(named + ": a " + program + " wants " + what))
                 .toEither(read)
                 .swap());
@@ -61,7 +61,7 @@
     /** From now on each SIGHUP runs the task. */
     public static void onHangup(Runnable task) {
         try {
-            Hangup.handle(task);
+            ReloadSignal.handle(task);
         } catch (ReflectiveOperationException e) {
             LOG.warn("SIGHUP can't be heard here: " + e + ". A changed file is seen all the same.");
         }
--- a/src/main/java/larkbank/papers/Watched.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsWatcher.java
@@ -1,4 +1,4 @@
-package larkbank.papers;
+package org.cypressweir.common.settings;
 
 import io.vavr.control.Either;
 import java.io.IOException;
@@ -13,39 +13,39 @@
  * The settings file as it changes, with a signal or without one. What is broken, or names another node or
  * another address for its lines, changes nothing.
  */
-public final class Watched {
+public final class SettingsWatcher {
 
-    private static final Logger LOG = Logger.getLogger("papers");
+    private static final Logger LOG = Logger.getLogger(SettingsWatcher.class);
 
     private final Path file;
     private byte[] taken = {};
     private long modified;
     /** What this process began with: whose settings these are. */
-    private NodePapers began;
+    private NodeSettings began;
 
-    public Watched(Path file) {
+    public SettingsWatcher(Path file) {
         this.file = file;
     }
 
     /** Reads the file at the start; the lines say what is wrong with it. */
-    public Either<List<String>, NodePapers> first() {
+    public Either<List<String>, NodeSettings> first() {
         try {
             modified = Files.getLastModifiedTime(file).toMillis();
             taken = Files.readAllBytes(file);
         } catch (IOException e) {
             return Either.left(List.of(file + ": can't be read: " + e.getMessage()));
         }
-        return NodePapers.read(taken)
+        return NodeSettings.read(taken)
                 .peek(papers -> began = papers)
                 .mapLeft(lines -> lines.stream().map(l -> file + ": " + l).toList());
     }
 
-    private boolean isSameNode(NodePapers next) {
+    private boolean isSameNode(NodeSettings next) {
         return next.name().equals(began.name()) && next.lines(next.ip()).equals(began.lines(began.ip()));
     }
 
     /** To be called now and then; tells the new papers where they are others and can be read. */
-    public void look(boolean signalled, Consumer<NodePapers> changed) {
+    public void look(boolean signalled, Consumer<NodeSettings> changed) {
         try {
             long time = Files.getLastModifiedTime(file).toMillis();
             if (!signalled && time == modified) {
@@ -57,7 +57,7 @@
                 return;
             }
             taken = now;
-            Either<List<String>, NodePapers> read = NodePapers.read(now);
+            Either<List<String>, NodeSettings> read = NodeSettings.read(now);
             if (read.isLeft()) {
                 LOG.warn("The new settings are not taken. " + file + ": " + String.join("; ", read.getLeft()));
             } else if (!isSameNode(read.get())) {
--- a/src/main/java/larkbank/papers/package-info.java
+++ b/src/main/java/org/cypressweir/common/settings/package-info.java
@@ -1,2 +1,2 @@
 /** The settings file of a process: read and checked whole, once at the start and again when it changes. */
-package larkbank.papers;
+package org.cypressweir.common.settings;
--- a/src/main/java/larkbank/lading/Calls.java
+++ b/src/main/java/org/cypressweir/common/transport/ApiCall.java
@@ -1,9 +1,9 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.util.Optional;
 
 /** All calls that servers, operators and the platform make, in one table. */
-public enum Calls {
+public enum ApiCall {
     READINESS("GET", "/cypressweir/readiness"),
     HEARTBEAT("POST", "/cypressweir/instances/*/heartbeat"),
     DEREGISTER("POST", "/cypressweir/instances/*/deregister"),
@@ -18,7 +18,7 @@
     private final String after;
     private final boolean named;
 
-    Calls(String method, String pattern) {
+    ApiCall(String method, String pattern) {
         this.method = method;
         int star = pattern.indexOf('*');
         named = star >= 0;
@@ -48,8 +48,8 @@
     }
 
     /** The call of a path without its query. */
-    public static Optional<Calls> of(String path) {
-        for (Calls call : values()) {
+    public static Optional<ApiCall> of(String path) {
+        for (ApiCall call : values()) {
             if (call.name(path).isPresent()) {
                 return Optional.of(call);
             }
--- a/src/main/java/larkbank/lading/Fault.java
+++ b/src/main/java/org/cypressweir/common/transport/ErrorKind.java
@@ -1,9 +1,9 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.util.Locale;
 
 /** Every way in which a call or a request can fail here, and the answer to each. The list is closed. */
-public enum Fault {
+public enum ErrorKind {
     /** No route of the configuration takes it. */
     NO_ROUTE(404, false),
     /** The key of no tenant, or none where one is needed. */
@@ -34,7 +34,7 @@
     private final int status;
     private final boolean again;
 
-    Fault(int status, boolean again) {
+    ErrorKind(int status, boolean again) {
         this.status = status;
         this.again = again;
     }
--- a/src/main/java/larkbank/lading/Scribe.java
+++ b/src/main/java/org/cypressweir/common/transport/JsonCodec.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -10,14 +10,14 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larkbank.Json;
+import org.cypressweir.common.util.Json;
 
 /** Plain maps and lists as JSON and back. */
-public final class Scribe {
+public final class JsonCodec {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Scribe() {}
+    private JsonCodec() {}
 
     public static byte[] bytes(Map<String, ?> object) {
         try (ByteArrayBuilder out = new ByteArrayBuilder(512);
--- a/src/main/java/larkbank/lading/Logs.java
+++ b/src/main/java/org/cypressweir/common/transport/LogConfiguration.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.io.PrintStream;
 import java.time.Instant;
@@ -9,13 +9,16 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Where the log of a program goes: a line a sentence on standard error, with time and the part's prefix. */
-public final class Logs {
+/** Sends the log of a program to standard error: one line each, with the time of day and the class that logs. */
+public final class LogConfiguration {
 
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
 
-    private Logs() {}
+    /** Kept, since the runtime forgets the level of a logger that nothing refers to. */
+    private static final Logger OWN_LOGGERS = Logger.getLogger("org.cypressweir");
+
+    private LogConfiguration() {}
 
     /** To be called once, before the first line is logged. */
     public static void open(PrintStream out, boolean fine) {
@@ -27,8 +30,8 @@
         root.addHandler(new Handler() {
             @Override
             public void publish(LogRecord line) {
-                out.println(TIME.format(Instant.ofEpochMilli(line.getMillis())) + " " + level(line) + "["
-                        + line.getLoggerName() + "] " + line.getMessage());
+                out.println(TIME.format(Instant.ofEpochMilli(line.getMillis())) + " " + level(line) + "[" + source(line)
+                        + "] " + line.getMessage());
                 if (line.getThrown() != null) {
                     line.getThrown().printStackTrace(out);
                 }
@@ -43,11 +46,13 @@
             public void close() {}
         });
         root.setLevel(Level.WARNING);
-        for (String part : new String[] {
-            "lading", "papers", "harbour", "copies", "hold", "chart", "berth", "pilot", "helm", "quay", "tally", "watch"
-        }) {
-            Logger.getLogger(part).setLevel(fine ? Level.FINE : Level.INFO);
-        }
+        OWN_LOGGERS.setLevel(fine ? Level.FINE : Level.INFO);
+    }
+
+    /** The simple name of the class that logs, as most lines of a log come from few classes. */
+    private static String source(LogRecord line) {
+        String name = line.getLoggerName();
+        return name.substring(name.lastIndexOf('.') + 1);
     }
 
     private static String level(LogRecord line) {
--- a/src/main/java/larkbank/lading/Clock.java
+++ b/src/main/java/org/cypressweir/common/transport/MonotonicClock.java
@@ -1,9 +1,9 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.util.function.LongSupplier;
 
 /** The time of one process in microseconds; steps of the wall clock don't move it. */
-public final class Clock implements LongSupplier {
+public final class MonotonicClock implements LongSupplier {
 
     private final long start = System.nanoTime() - 1_000_000_000_000L;
 
--- a/src/main/java/larkbank/lading/Line.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerConnection.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -12,15 +12,15 @@
 import java.util.function.LongSupplier;
 
 /** One connection between two processes of the mesh; it carries parcels: an object each, and a body. */
-public final class Line {
+public final class PeerConnection {
 
     /** What its owner is told. */
     public interface Ear {
-        void opened(Line line);
+        void opened(PeerConnection line);
 
-        void heard(Line line, Map<String, Object> head, byte[] body);
+        void heard(PeerConnection line, Map<String, Object> head, byte[] body);
 
-        void closed(Line line);
+        void closed(PeerConnection line);
     }
 
     private static final int MOST = 80 * 1024 * 1024;
@@ -36,7 +36,7 @@
     private Object owner;
     private boolean opened;
 
-    Line(Channel channel, LongSupplier micros, Ear ear) {
+    PeerConnection(Channel channel, LongSupplier micros, Ear ear) {
         this.channel = channel;
         this.micros = micros;
         this.ear = ear;
@@ -55,10 +55,10 @@
 
     /** @param written told whether the whole parcel was handed to the system; if not, nobody ever reads it */
     public void send(Map<String, ?> head, byte[] body, Consumer<Boolean> written) {
-        write(Scribe.bytes(head), body, written);
+        write(JsonCodec.bytes(head), body, written);
     }
 
-    /** Sends what {@link Scribe#bytes} has made, once for many lines. */
+    /** Sends what {@link JsonCodec#bytes} has made, once for many lines. */
     public void sendText(byte[] text) {
         write(text, NOTHING, null);
     }
@@ -137,7 +137,7 @@
             if (!opened) {
                 opened = true;
                 heardAt = micros.getAsLong();
-                ear.opened(Line.this);
+                ear.opened(PeerConnection.this);
             }
         }
 
@@ -154,31 +154,31 @@
                 frame.readBytes(text);
                 byte[] body = frame.isReadable() ? new byte[frame.readableBytes()] : NOTHING;
                 frame.readBytes(body);
-                heard(Scribe.read(text, 0, length), body);
+                heard(JsonCodec.read(text, 0, length), body);
             } finally {
                 frame.release();
             }
         }
 
         private void heard(Map<String, Object> head, byte[] body) {
-            switch (Scribe.text(head, "t")) {
+            switch (JsonCodec.text(head, "t")) {
                 case "ping" -> send(PONG);
                 case "pong" -> {}
-                default -> ear.heard(Line.this, head, body);
+                default -> ear.heard(PeerConnection.this, head, body);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (opened) {
-                ear.closed(Line.this);
+                ear.closed(PeerConnection.this);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                org.jboss.logging.Logger.getLogger("lading").warn("A line ends: " + cause);
+                org.jboss.logging.Logger.getLogger(PeerConnection.class).warn("A line ends: " + cause);
             }
             context.close();
         }
--- a/src/main/java/larkbank/lading/Moorings.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerConnectionPool.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,14 +8,14 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import larkbank.Addresses;
+import org.cypressweir.common.util.Addresses;
 
 /**
  * Keeps a line to each address that is wanted, and dials anew as long as it is wanted. A line on which
  * nothing is heard is doubled by a new one: what is out on the old one may still be answered there, until it
  * has been silent for so long that it is given up. Everything here happens on the loop.
  */
-public final class Moorings {
+public final class PeerConnectionPool {
 
     /** So many lines have the plan's times; more have longer ones. */
     private static final int FEW = 12;
@@ -27,21 +27,21 @@
     /** What the owner is told beside what the lines say. */
     public interface Owner {
         /** The line is the one to use from now on. */
-        void up(String address, Line line);
+        void up(String address, PeerConnection line);
 
-        void heard(String address, Line line, Map<String, Object> head, byte[] body);
+        void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body);
 
         /** A line is gone, and with it all that was out on it. */
-        void lost(String address, Line line);
+        void lost(String address, PeerConnection line);
 
         /** No line could be had: nobody listens there, or nothing is heard. */
         void refused(String address);
     }
 
-    private final class Mooring implements Line.Ear {
+    private final class Mooring implements PeerConnection.Ear {
         private final String address;
-        private Line line;
-        private final List<Line> old = new ArrayList<>();
+        private PeerConnection line;
+        private final List<PeerConnection> old = new ArrayList<>();
         private boolean dialing;
         private boolean wanted = true;
         private long dialAt;
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public void opened(Line fresh) {
+        public void opened(PeerConnection fresh) {
             dialing = false;
             wait = plan.redial();
             if (!wanted) {
@@ -84,12 +84,12 @@
         }
 
         @Override
-        public void heard(Line from, Map<String, Object> head, byte[] body) {
+        public void heard(PeerConnection from, Map<String, Object> head, byte[] body) {
             owner.heard(address, from, head, body);
         }
 
         @Override
-        public void closed(Line gone) {
+        public void closed(PeerConnection gone) {
             old.remove(gone);
             if (gone == line) {
                 line = null;
@@ -119,7 +119,7 @@
                 pinged = now;
                 line.ping();
             }
-            for (Line one : List.copyOf(old)) {
+            for (PeerConnection one : List.copyOf(old)) {
                 if (now - one.heardAt() > stretched(plan.givenUpAfter())) {
                     one.close();
                 }
@@ -131,11 +131,11 @@
             if (line != null) {
                 line.close();
             }
-            List.copyOf(old).forEach(Line::close);
+            List.copyOf(old).forEach(PeerConnection::close);
         }
     }
 
-    private final Wharf wharf;
+    private final PeerTransport wharf;
     private final LongSupplier micros;
     private final Plan plan;
     private final Supplier<Map<String, Object>> hello;
@@ -143,7 +143,8 @@
     private final Map<String, Mooring> moorings = new HashMap<>();
 
     /** @param hello what is said first on each line */
-    public Moorings(Wharf wharf, LongSupplier micros, Plan plan, Supplier<Map<String, Object>> hello, Owner owner) {
+    public PeerConnectionPool(
+            PeerTransport wharf, LongSupplier micros, Plan plan, Supplier<Map<String, Object>> hello, Owner owner) {
         this.wharf = wharf;
         this.micros = micros;
         this.plan = plan;
@@ -170,14 +171,14 @@
     }
 
     /** The line to an address; null while there is none. */
-    public Line line(String address) {
+    public PeerConnection line(String address) {
         Mooring mooring = moorings.get(address);
         return mooring == null || mooring.line == null || !mooring.line.isOpen() ? null : mooring.line;
     }
 
     /** Whether there is a line on which something was heard lately, or nothing is owed. */
     public boolean isClear(String address) {
-        Line line = line(address);
+        PeerConnection line = line(address);
         return line != null && micros.getAsLong() - line.heardAt() <= stretched(plan.silentAfter());
     }
 
@@ -188,7 +189,7 @@
 
     /** Sends where there is a line; whether there was one. */
     public boolean send(String address, Map<String, ?> head) {
-        Line line = line(address);
+        PeerConnection line = line(address);
         if (line != null) {
             line.send(head);
         }
--- a/src/main/java/larkbank/lading/Wharf.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerTransport.java
@@ -1,4 +1,4 @@
-package larkbank.lading;
+package org.cypressweir.common.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -15,7 +15,7 @@
 import java.util.function.UnaryOperator;
 
 /** Where lines begin: it listens for them and dials them. */
-public final class Wharf {
+public final class PeerTransport {
 
     /** Where a line to an address is dialled in its place. No setting leads here: the tests' rig has cuts. */
     static volatile UnaryOperator<InetSocketAddress> detour = UnaryOperator.identity();
@@ -23,13 +23,13 @@
     private final EventLoopGroup group;
     private final LongSupplier micros;
 
-    public Wharf(EventLoopGroup group, LongSupplier micros) {
+    public PeerTransport(EventLoopGroup group, LongSupplier micros) {
         this.group = group;
         this.micros = micros;
     }
 
     /** Lines that others open are told to this ear. Not for the loop: it waits until the port is taken. */
-    public InetSocketAddress listen(InetSocketAddress at, Line.Ear ear) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress at, PeerConnection.Ear ear) throws IOException {
         var bound = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -45,17 +45,17 @@
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    private ChannelInitializer<Channel> lines(Line.Ear ear) {
+    private ChannelInitializer<Channel> lines(PeerConnection.Ear ear) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                new Line(channel, micros, ear).take();
+                new PeerConnection(channel, micros, ear).take();
             }
         };
     }
 
     /** Opens a line; the ear hears of it if it comes up, and the consumer why not if it doesn't. */
-    public void dial(InetSocketAddress to, int timeoutMillis, Line.Ear ear, Consumer<Throwable> failed) {
+    public void dial(InetSocketAddress to, int timeoutMillis, PeerConnection.Ear ear, Consumer<Throwable> failed) {
         new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
--- a/src/main/java/larkbank/lading/package-info.java
+++ b/src/main/java/org/cypressweir/common/transport/package-info.java
@@ -1,2 +1,2 @@
 /** What processes of the mesh say to each other: parcels over lines, table of calls, list of faults. */
-package larkbank.lading;
+package org.cypressweir.common.transport;
--- a/src/main/java/larkbank/Addresses.java
+++ b/src/main/java/org/cypressweir/common/util/Addresses.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.common.util;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/larkbank/Hashes.java
+++ b/src/main/java/org/cypressweir/common/util/Hashes.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.common.util;
 
 import java.util.Arrays;
 
@@ -25,7 +25,7 @@
      * order of their hashes with an id, so that one number more or less leaves the order of the others as it
      * is.
      */
-    static int[] ranked(long id, int[] numbers) {
+    public static int[] ranked(long id, int[] numbers) {
         int low = (1 << 20) - 1;
         long[] keys = new long[numbers.length];
         for (int i = 0; i < keys.length; i++) {
@@ -46,7 +46,7 @@
      * @param key evenly spread over all longs
      * @param buckets 1 or more
      */
-    static int jump(long key, int buckets) {
+    public static int jump(long key, int buckets) {
         long bucket = -1;
         for (long next = 0; next < buckets; ) {
             bucket = next;
--- a/src/main/java/larkbank/Ids.java
+++ b/src/main/java/org/cypressweir/common/util/Ids.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.common.util;
 
 /** Numbers for texts, the same in every sidecar and after every restart. */
 public final class Ids {
--- a/src/main/java/larkbank/Json.java
+++ b/src/main/java/org/cypressweir/common/util/Json.java
@@ -1,4 +1,4 @@
-package larkbank;
+package org.cypressweir.common.util;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/larkbank/daily/Hangup.java
+++ b/src/main/java/org/cypressweir/common/util/ReloadSignal.java
@@ -1,4 +1,4 @@
-package larkbank.daily;
+package org.cypressweir.common.util;
 
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -9,9 +9,9 @@
  * SIGHUP, which would end the runtime. The platform has no supported interface for signals; the unsupported
  * one is reached by reflection, since a mention of it in the source is a compiler warning that nothing stops.
  */
-public final class Hangup {
+public final class ReloadSignal {
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
     /**
      * Whether the signal is thrown away before the program sees it: whoever started it had it ignored, as
@@ -35,7 +35,7 @@
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object onSignal = Proxy.newProxyInstance(
-                Hangup.class.getClassLoader(),
+                ReloadSignal.class.getClassLoader(),
                 new Class<?>[] {handler},
                 (self, method, arguments) -> switch (method.getName()) {
                     case "handle" -> {
--- a/src/main/java/larkbank/manifest/Manifest.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.collection.TreeMap;
 import java.util.Collection;
@@ -9,31 +9,31 @@
 import java.util.Set;
 
 /** All items, withdrawn ones too. Immutable, and cheap to make another of. */
-public final class Manifest {
+public final class Configuration {
 
-    public static final Manifest EMPTY = new Manifest(TreeMap.empty(), Claims.NONE);
+    public static final Configuration EMPTY = new Configuration(TreeMap.empty(), UniqueKeys.NONE);
 
-    private final TreeMap<Key, Item> all;
-    private final Claims claims;
+    private final TreeMap<ItemKey, Item> all;
+    private final UniqueKeys claims;
     /** Of the prints of all items; null as long as nobody has asked. */
     private Long sum;
 
-    private Manifest(TreeMap<Key, Item> all, Claims claims) {
+    private Configuration(TreeMap<ItemKey, Item> all, UniqueKeys claims) {
         this.all = all;
         this.claims = claims;
     }
 
-    public static Manifest of(Collection<Item> items) {
+    public static Configuration of(Collection<Item> items) {
         return EMPTY.with(items);
     }
 
     /** The item, withdrawn or not, or null. */
-    public Item get(Key key) {
+    public Item get(ItemKey key) {
         return all.get(key).getOrNull();
     }
 
     /** The item where it is there and not withdrawn, or null. */
-    public Item standing(Key key) {
+    public Item standing(ItemKey key) {
         Item item = get(key);
         return item == null || item.withdrawn() ? null : item;
     }
@@ -48,16 +48,16 @@
     }
 
     /** Items of a table that are not withdrawn. */
-    public List<Item> standing(Table table) {
+    public List<Item> standing(ItemType table) {
         return all.values()
                 .filter(i -> i.key().table() == table && !i.withdrawn())
                 .toJavaList();
     }
 
     /** This with those items in place of what stands under their keys. */
-    public Manifest with(Collection<Item> items) {
-        TreeMap<Key, Item> next = all;
-        Claims claimed = claims;
+    public Configuration with(Collection<Item> items) {
+        TreeMap<ItemKey, Item> next = all;
+        UniqueKeys claimed = claims;
         for (Item item : items) {
             Item before = next.get(item.key()).getOrNull();
             claimed = before == null ? claimed : claimed.without(before);
@@ -69,12 +69,12 @@
         if (next == all) {
             return this;
         }
-        Manifest made = new Manifest(next, claimed);
+        Configuration made = new Configuration(next, claimed);
         if (sum != null) {
             made.sum = sum;
-            Set<Key> keys = new HashSet<>();
+            Set<ItemKey> keys = new HashSet<>();
             items.forEach(item -> keys.add(item.key()));
-            for (Key key : keys) {
+            for (ItemKey key : keys) {
                 Item before = get(key);
                 made.sum += made.get(key).sumPrint() - (before == null ? 0 : before.sumPrint());
             }
@@ -95,26 +95,26 @@
     }
 
     /** Who holds what only one item may hold. */
-    Key holder(Object claim) {
+    ItemKey holder(Object claim) {
         return claims.holder(claim);
     }
 
     /** What stands, as it was sent. */
     public Map<String, Object> layout() {
         Map<String, Object> layout = new LinkedHashMap<>();
-        for (Table table : List.of(Table.ROUTES, Table.TENANTS, Table.SERVICES)) {
+        for (ItemType table : List.of(ItemType.ROUTES, ItemType.TENANTS, ItemType.SERVICES)) {
             Map<String, Object> named = new LinkedHashMap<>();
             standing(table).forEach(i -> named.put(i.key().name(), i.content()));
             layout.put(table.wire(), named);
         }
-        Item limits = standing(Key.LIMITS);
-        layout.put(Table.LIMITS.wire(), limits == null ? Map.of() : limits.content());
+        Item limits = standing(ItemKey.LIMITS);
+        layout.put(ItemType.LIMITS.wire(), limits == null ? Map.of() : limits.content());
         return layout;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Manifest m && items().equals(m.items());
+        return other instanceof Configuration m && items().equals(m.items());
     }
 
     @Override
--- a/src/main/java/larkbank/manifest/Order.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChange.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.control.Either;
 import java.io.IOException;
@@ -12,17 +12,17 @@
 import java.util.regex.Pattern;
 
 /** One call of an operator: items to put and items to withdraw, taken as a whole or not at all. */
-public final class Order {
+public final class ConfigurationChange {
 
     private static final Pattern VERSION = Pattern.compile("r\\d{1,18}");
 
-    private record ItemVersion(Key key, long version) {}
+    private record ItemVersion(ItemKey key, long version) {}
 
     /** Of one name the lower versions come first. */
     private final List<Item> items;
 
-    private Order(Collection<Item> items) {
-        Map<Key, List<Item>> named = new LinkedHashMap<>();
+    private ConfigurationChange(Collection<Item> items) {
+        Map<ItemKey, List<Item>> named = new LinkedHashMap<>();
         items.forEach(
                 i -> named.computeIfAbsent(i.key(), k -> new ArrayList<>()).add(i));
         this.items = named.values().stream()
@@ -36,73 +36,77 @@
     }
 
     /** Reads a call's body. */
-    public static Either<Refusal, Order> read(byte[] body) {
+    public static Either<Rejection, ConfigurationChange> read(byte[] body) {
         try {
-            Map<String, Object> call = JsonText.object(body);
+            Map<String, Object> call = StrictJson.object(body);
             Map<ItemVersion, Item> items = new LinkedHashMap<>();
             for (Map.Entry<String, Object> part : call.entrySet()) {
                 switch (part.getKey()) {
                     case "upsert" -> upsert(object("upsert", part.getValue()), items);
                     case "withdraw" -> withdraw(object("withdraw", part.getValue()), items);
-                    default -> throw new Fields.Bad("\"" + part.getKey() + "\" is unknown");
+                    default -> throw new ContentFields.Bad("\"" + part.getKey() + "\" is unknown");
                 }
             }
-            return Either.right(new Order(items.values()));
-        } catch (IOException | Fields.Bad e) {
-            return Either.left(Refusal.invalid(e.getMessage()));
+            return Either.right(new ConfigurationChange(items.values()));
+        } catch (IOException | ContentFields.Bad e) {
+            return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
 
-    private static void upsert(Map<String, Object> tables, Map<ItemVersion, Item> items) throws Fields.Bad {
+    private static void upsert(Map<String, Object> tables, Map<ItemVersion, Item> items) throws ContentFields.Bad {
         for (Map.Entry<String, Object> entry : tables.entrySet()) {
             String place = "upsert." + entry.getKey();
-            Table table = Table.of(entry.getKey());
+            ItemType table = ItemType.of(entry.getKey());
             if (table == null) {
-                throw new Fields.Bad(place + " is no known table");
+                throw new ContentFields.Bad(place + " is no known table");
             }
             Map<String, Object> content = object(place, entry.getValue());
-            if (table == Table.LIMITS) {
+            if (table == ItemType.LIMITS) {
                 if (!content.isEmpty()) {
-                    put(place, Key.LIMITS, content, content, items);
+                    put(place, ItemKey.LIMITS, content, content, items);
                 }
                 continue;
             }
             for (Map.Entry<String, Object> named : content.entrySet()) {
                 String where = place + "." + named.getKey();
                 if (named.getKey().isBlank()) {
-                    throw new Fields.Bad(place + " has an item without a name");
+                    throw new ContentFields.Bad(place + " has an item without a name");
                 }
                 Map<String, Object> item = object(where, named.getValue());
-                put(where, new Key(table, named.getKey()), item, item, items);
+                put(where, new ItemKey(table, named.getKey()), item, item, items);
             }
         }
     }
 
-    private static void withdraw(Map<String, Object> tables, Map<ItemVersion, Item> items) throws Fields.Bad {
+    private static void withdraw(Map<String, Object> tables, Map<ItemVersion, Item> items) throws ContentFields.Bad {
         for (Map.Entry<String, Object> entry : tables.entrySet()) {
             String place = "withdraw." + entry.getKey();
-            Table table = Table.of(entry.getKey());
-            if (table == null || table == Table.LIMITS) {
-                throw new Fields.Bad(place + " is no table that items are withdrawn from");
+            ItemType table = ItemType.of(entry.getKey());
+            if (table == null || table == ItemType.LIMITS) {
+                throw new ContentFields.Bad(place + " is no table that items are withdrawn from");
             }
             List<?> list =
                     entry.getValue() == null ? List.of() : entry.getValue() instanceof List<?> given ? given : null;
             if (list == null) {
-                throw new Fields.Bad(place + " must be a list");
+                throw new ContentFields.Bad(place + " must be a list");
             }
             for (int i = 0; i < list.size(); i++) {
                 String where = place + "[" + i + "]";
                 Map<String, Object> named = object(where, list.get(i));
-                String name = new Fields(where, named).text("name");
-                put(where, new Key(table, name), named, null, items);
+                String name = new ContentFields(where, named).text("name");
+                put(where, new ItemKey(table, name), named, null, items);
             }
         }
     }
 
     private static void put(
-            String place, Key key, Map<String, Object> named, Map<String, Object> content, Map<ItemVersion, Item> items)
-            throws Fields.Bad {
-        Fields fields = new Fields(place, named);
+            String place,
+            ItemKey key,
+            Map<String, Object> named,
+            Map<String, Object> content,
+            Map<ItemVersion, Item> items)
+            throws ContentFields.Bad {
+        ContentFields fields = new ContentFields(place, named);
         String version = fields.text("configVersion");
         if (!VERSION.matcher(version).matches()) {
             throw fields.bad("configVersion", "must be r and a number");
@@ -110,16 +114,16 @@
         Item item = new Item(key, Long.parseLong(version.substring(1)), content);
         Item other = items.putIfAbsent(new ItemVersion(key, item.version()), item);
         if (other != null && !other.says(item)) {
-            throw new Fields.Bad(place + ": " + key + " is ordered twice in one call, at one version");
+            throw new ContentFields.Bad(place + ": " + key + " is ordered twice in one call, at one version");
         }
     }
 
-    private static Map<String, Object> object(String place, Object value) throws Fields.Bad {
+    private static Map<String, Object> object(String place, Object value) throws ContentFields.Bad {
         if (value == null) {
             return Map.of();
         }
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Fields.Bad(place + " must be an object");
+            throw new ContentFields.Bad(place + " must be an object");
         }
         Map<String, Object> object = new LinkedHashMap<>();
         map.forEach((name, each) -> object.put((String) name, each));
@@ -132,20 +136,20 @@
      * step: it comes into force nowhere, and has one content from then on. What is new, passed or not, must
      * be valid together with what stands; what was taken once is acknowledged, whatever stands now.
      */
-    public Either<Refusal, List<Item>> against(Manifest standing) {
-        Map<Key, Item> changes = new LinkedHashMap<>();
-        Map<Key, Item> highest = new LinkedHashMap<>();
-        Map<Key, Item> passed = new LinkedHashMap<>();
+    public Either<Rejection, List<Item>> against(Configuration standing) {
+        Map<ItemKey, Item> changes = new LinkedHashMap<>();
+        Map<ItemKey, Item> highest = new LinkedHashMap<>();
+        Map<ItemKey, Item> passed = new LinkedHashMap<>();
         List<Item> unused = new ArrayList<>();
-        Refusal forgotten = null;
+        Rejection forgotten = null;
         for (Item item : items) {
             Item stands = changes.getOrDefault(item.key(), standing.get(item.key()));
             switch (stands == null ? Item.Use.UNUSED : stands.use(item)) {
                 case TAKEN_WITH_ANOTHER_CONTENT -> {
                     return Either.left(
-                            Refusal.conflict(item.key() + " r" + item.version() + " was taken with another content"));
+                            Rejection.conflict(item.key() + " r" + item.version() + " was taken with another content"));
                 }
-                case FORGOTTEN -> forgotten = Refusal.forgotten(
+                case FORGOTTEN -> forgotten = Rejection.forgotten(
                         item.key() + " r" + item.version() + " is so old that nothing is known of it any more");
                 case UNUSED -> {
                     unused.add(item);
@@ -156,13 +160,13 @@
                 default -> {}
             }
         }
-        Manifest next = standing.with(changes.values());
-        Refusal refusal = Whole.wrongAlone(unused);
+        Configuration next = standing.with(changes.values());
+        Rejection refusal = ConfigurationValidator.wrongAlone(unused);
         if (refusal == null) {
-            refusal = Whole.wrong(next, highest.values());
+            refusal = ConfigurationValidator.wrong(next, highest.values());
         }
         if (refusal == null) {
-            refusal = Whole.wrong(next.with(passed.values()), passed.values());
+            refusal = ConfigurationValidator.wrong(next.with(passed.values()), passed.values());
         }
         if (refusal == null) {
             refusal = forgotten;
--- a/src/main/java/larkbank/manifest/Fields.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
@@ -1,13 +1,13 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.control.Option;
 import java.math.BigDecimal;
 import java.util.List;
 import java.util.Map;
-import larkbank.papers.Duration;
+import org.cypressweir.common.settings.DurationText;
 
 /** Typed fields of an item's content. What is wrong is thrown as {@link Bad}, which names the place. */
-final class Fields {
+final class ContentFields {
 
     static final long LONGEST_MICROS = 600_000_000;
 
@@ -23,13 +23,13 @@
     private final String place;
     private final Map<?, ?> content;
 
-    Fields(String place, Map<?, ?> content) {
+    ContentFields(String place, Map<?, ?> content) {
         this.place = place;
         this.content = content;
     }
 
-    Fields within(String name, Map<?, ?> inner) {
-        return new Fields(place + "." + name, inner);
+    ContentFields within(String name, Map<?, ?> inner) {
+        return new ContentFields(place + "." + name, inner);
     }
 
     Bad bad(String name, String why) {
@@ -52,7 +52,7 @@
 
     /** Microseconds, above 0 and at most ten minutes. */
     long time(String name) throws Bad {
-        Option<Long> time = Duration.micros(text(name));
+        Option<Long> time = DurationText.micros(text(name));
         if (time.isEmpty()) {
             throw bad(name, "must be a time such as 1500ms or 2.5s");
         }
--- a/src/main/java/larkbank/manifest/Item.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Item.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
  * lower versions that were taken, in their order: those that stood, and those that a higher one had passed
  * on their way. Of versions below the floor nothing is known any more.
  */
-public record Item(Key key, long version, Map<String, Object> content, List<Past> past, long floor) {
+public record Item(ItemKey key, long version, Map<String, Object> content, List<SupersededVersion> past, long floor) {
 
     static final int MOST_PAST = 256;
     /** What the build kept that wrote no floors. */
@@ -36,11 +36,11 @@
         past = List.copyOf(past);
     }
 
-    public Item(Key key, long version, Map<String, Object> content) {
+    public Item(ItemKey key, long version, Map<String, Object> content) {
         this(key, version, content, List.of());
     }
 
-    public Item(Key key, long version, Map<String, Object> content, List<Past> past) {
+    public Item(ItemKey key, long version, Map<String, Object> content, List<SupersededVersion> past) {
         this(key, version, content, past, 0);
     }
 
@@ -58,7 +58,7 @@
         if (other.version == version) {
             return says(other) ? Use.TAKEN : Use.TAKEN_WITH_ANOTHER_CONTENT;
         }
-        for (Past each : past) {
+        for (SupersededVersion each : past) {
             if (each.version() == other.version) {
                 return each.equals(other.asPast()) ? Use.TAKEN : Use.TAKEN_WITH_ANOTHER_CONTENT;
             }
@@ -66,8 +66,8 @@
         return other.version < floor ? Use.FORGOTTEN : Use.UNUSED;
     }
 
-    private Past asPast() {
-        return new Past(version, print());
+    private SupersededVersion asPast() {
+        return new SupersededVersion(version, print());
     }
 
     /** This item in place of another, whose version becomes past. */
@@ -77,9 +77,9 @@
 
     /** This item with a lower version in its past, as one that was taken. */
     Item past(Item lower) {
-        List<Past> all = new ArrayList<>(past);
+        List<SupersededVersion> all = new ArrayList<>(past);
         all.add(lower.asPast());
-        all.sort(Comparator.comparingLong(Past::version));
+        all.sort(Comparator.comparingLong(SupersededVersion::version));
         int forgotten = Math.max(0, all.size() - MOST_PAST);
         return new Item(
                 key,
@@ -101,7 +101,7 @@
         }
         try {
             byte[] digest = MessageDigest.getInstance("SHA-256")
-                    .digest(JsonText.plain(content).getBytes(StandardCharsets.UTF_8));
+                    .digest(StrictJson.plain(content).getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, 16);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
@@ -111,7 +111,9 @@
     /** A number of all that is in it, for sums over items. */
     long sumPrint() {
         long print = 0xcbf29ce484222325L;
-        for (char c : (key + " " + version + " " + print() + " " + past).toCharArray()) {
+        List<String> superseded =
+                past.stream().map(SupersededVersion::checksumText).toList();
+        for (char c : (key + " " + version + " " + print() + " " + superseded).toCharArray()) {
             print = (print ^ c) * 0x100000001b3L;
         }
         return print ^ print >>> 29;
@@ -124,7 +126,7 @@
         map.put("name", key.name());
         map.put("version", version);
         if (content != null) {
-            map.put("content", JsonText.of(content));
+            map.put("content", StrictJson.of(content));
         }
         if (!past.isEmpty()) {
             List<Object> texts = new ArrayList<>();
@@ -139,13 +141,13 @@
 
     /** The same as a text. */
     public String toText() {
-        return JsonText.of(toMap());
+        return StrictJson.of(toMap());
     }
 
     /** Reads what {@link #toText} made; an IllegalArgumentException where it is something else. */
     public static Item ofText(String text) {
         try {
-            return of(JsonText.object(text));
+            return of(StrictJson.object(text));
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
@@ -153,28 +155,28 @@
 
     /** Reads what {@link #toMap} made; an IllegalArgumentException where it is something else. */
     public static Item of(Map<?, ?> map) {
-        Table table = Table.of(map.get("table"));
+        ItemType table = ItemType.of(map.get("table"));
         if (table == null
                 || !(map.get("name") instanceof String name)
                 || !(map.get("version") instanceof Number version)) {
             throw new IllegalArgumentException("no item");
         }
-        List<Past> past = new ArrayList<>();
+        List<SupersededVersion> past = new ArrayList<>();
         if (map.get("past") instanceof List<?> texts) {
             for (Object text : texts) {
                 String[] parts = String.valueOf(text).split(":", 2);
                 if (parts.length < 2) {
                     throw new IllegalArgumentException("no past");
                 }
-                past.add(new Past(Long.parseLong(parts[0]), parts[1]));
+                past.add(new SupersededVersion(Long.parseLong(parts[0]), parts[1]));
             }
         }
         try {
-            Map<String, Object> content = map.get("content") instanceof String text ? JsonText.object(text) : null;
+            Map<String, Object> content = map.get("content") instanceof String text ? StrictJson.object(text) : null;
             long floor = map.get("floor") instanceof Number number
                     ? number.longValue()
                     : past.size() < MOST_PAST_WITHOUT_FLOOR ? 0 : past.get(0).version();
-            return new Item(new Key(table, name), version.longValue(), content, past, floor);
+            return new Item(new ItemKey(table, name), version.longValue(), content, past, floor);
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
--- a/src/main/java/larkbank/manifest/Table.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemType.java
@@ -1,7 +1,7 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 /** The kinds of items, with their names on the wire. */
-public enum Table {
+public enum ItemType {
     ROUTES("routeTable"),
     TENANTS("tenantTable"),
     SERVICES("serviceTable"),
@@ -9,7 +9,7 @@
 
     private final String wire;
 
-    Table(String wire) {
+    ItemType(String wire) {
         this.wire = wire;
     }
 
@@ -18,8 +18,8 @@
     }
 
     /** The table of that name, or null. */
-    public static Table of(Object wire) {
-        for (Table table : values()) {
+    public static ItemType of(Object wire) {
+        for (ItemType table : values()) {
             if (table.wire.equals(wire)) {
                 return table;
             }
--- a/src/main/java/larkbank/manifest/RouteTerms.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** What a route says. */
-public record RouteTerms(
+public record RouteConfiguration(
         String name,
         String host,
         String prefix,
@@ -15,19 +15,20 @@
         long timeoutMicros,
         long aimMicros,
         int priority,
-        List<Split> splits,
+        List<WeightedDestination> splits,
         int maxAttempts,
         boolean open) {
 
-    public static Either<Refusal, RouteTerms> of(Item item) {
+    public static Either<Rejection, RouteConfiguration> of(Item item) {
         try {
-            return Either.right(read(item.key().name(), new Fields(item.key().toString(), item.content())));
-        } catch (Fields.Bad e) {
-            return Either.left(Refusal.invalid(e.getMessage()));
+            return Either.right(
+                    read(item.key().name(), new ContentFields(item.key().toString(), item.content())));
+        } catch (ContentFields.Bad e) {
+            return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
 
-    private static RouteTerms read(String name, Fields fields) throws Fields.Bad {
+    private static RouteConfiguration read(String name, ContentFields fields) throws ContentFields.Bad {
         String host = fields.text("hostname");
         if (host.chars().anyMatch(c -> c <= ' ' || c == '/')) {
             throw fields.bad("hostname", "must be a name of a host");
@@ -42,7 +43,7 @@
                     case "non_idempotent" -> false;
                     default -> throw fields.bad("routeType", "must be idempotent or non_idempotent");
                 };
-        return new RouteTerms(
+        return new RouteConfiguration(
                 name,
                 host.toLowerCase(Locale.ROOT),
                 prefix,
@@ -55,21 +56,21 @@
                 fields.flag("publicAccess", false));
     }
 
-    private static List<Split> splits(Fields fields) throws Fields.Bad {
+    private static List<WeightedDestination> splits(ContentFields fields) throws ContentFields.Bad {
         if (!fields.has("weightedSplit")) {
-            return List.of(new Split(fields.text("service"), 1));
+            return List.of(new WeightedDestination(fields.text("service"), 1));
         }
         if (fields.has("service")) {
             throw fields.bad("service", "must not be there beside weightedSplit");
         }
-        List<Split> splits = new ArrayList<>();
+        List<WeightedDestination> splits = new ArrayList<>();
         double sum = 0;
         for (Object entry : fields.list("weightedSplit")) {
             if (!(entry instanceof Map<?, ?> map)) {
                 throw fields.bad("weightedSplit", "must hold objects");
             }
-            Fields each = fields.within("weightedSplit[" + splits.size() + "]", map);
-            Split split = new Split(each.text("service"), each.amount("weight"));
+            ContentFields each = fields.within("weightedSplit[" + splits.size() + "]", map);
+            WeightedDestination split = new WeightedDestination(each.text("service"), each.amount("weight"));
             splits.add(split);
             sum += split.weight();
         }
--- a/src/main/java/larkbank/manifest/ServiceTerms.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
@@ -1,12 +1,12 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.control.Either;
 
 /** How a service is met. */
-public record ServiceTerms(String name, String healthPath, int maxConnections) {
+public record ServiceConfiguration(String name, String healthPath, int maxConnections) {
 
-    public static Either<Refusal, ServiceTerms> of(Item item) {
-        Fields fields = new Fields(item.key().toString(), item.content());
+    public static Either<Rejection, ServiceConfiguration> of(Item item) {
+        ContentFields fields = new ContentFields(item.key().toString(), item.content());
         try {
             String healthPath = fields.text("healthPath");
             if (!healthPath.startsWith("/")) {
@@ -16,10 +16,10 @@
                 fields.text("protocol");
             }
             fields.flag("tls", false);
-            return Either.right(new ServiceTerms(
+            return Either.right(new ServiceConfiguration(
                     item.key().name(), healthPath, (int) fields.whole("maxConnections", 1, Integer.MAX_VALUE)));
-        } catch (Fields.Bad e) {
-            return Either.left(Refusal.invalid(e.getMessage()));
+        } catch (ContentFields.Bad e) {
+            return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
 }
--- a/src/main/java/larkbank/manifest/JsonText.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/StrictJson.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import com.dslplatform.json.DslJson;
 import com.dslplatform.json.JsonReader;
@@ -17,12 +17,12 @@
  * JSON texts as maps and back, with every number kept as it was sent. Stricter than the library where that
  * guards us: no name twice in one object, nothing behind the end, not too deep.
  */
-final class JsonText {
+final class StrictJson {
 
     private static final int DEEPEST = 40;
     private static final DslJson<Object> DSL = new DslJson<>();
 
-    private JsonText() {}
+    private StrictJson() {}
 
     /** The object that the text holds; an exception tells what is wrong and where. */
     static Map<String, Object> object(byte[] text) throws IOException {
--- a/src/main/java/larkbank/manifest/TenantTerms.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
@@ -1,14 +1,14 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What a tenant may: by which keys it is known, its priority or null, its rate and burst, 0 for no limit. */
-public record TenantTerms(String name, List<String> keys, Integer priority, double ratePerS, double burst) {
+public record TenantConfiguration(String name, List<String> keys, Integer priority, double ratePerS, double burst) {
 
-    public static Either<Refusal, TenantTerms> of(Item item) {
-        Fields fields = new Fields(item.key().toString(), item.content());
+    public static Either<Rejection, TenantConfiguration> of(Item item) {
+        ContentFields fields = new ContentFields(item.key().toString(), item.content());
         try {
             List<String> keys = new ArrayList<>();
             for (Object key : fields.list("apiKeys")) {
@@ -21,14 +21,14 @@
             if (fields.has("priority")) {
                 priority = (int) fields.whole("priority", Integer.MIN_VALUE, Integer.MAX_VALUE);
             }
-            return Either.right(new TenantTerms(
+            return Either.right(new TenantConfiguration(
                     item.key().name(),
                     List.copyOf(keys),
                     priority,
                     fields.amount("ratePerS", 0),
                     fields.amount("burstSize", 0)));
-        } catch (Fields.Bad e) {
-            return Either.left(Refusal.invalid(e.getMessage()));
+        } catch (ContentFields.Bad e) {
+            return Either.left(Rejection.invalid(e.getMessage()));
         }
     }
 }
--- a/src/main/java/larkbank/manifest/Claims.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/UniqueKeys.java
@@ -1,4 +1,4 @@
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
 
 import io.vavr.collection.HashMap;
 import java.util.ArrayList;
@@ -10,13 +10,13 @@
  * What only one item may hold, a route's place and a tenant's keys, and who holds it: kept beside the items,
  * so that a change is checked at its own cost. Immutable.
  */
-final class Claims {
+final class UniqueKeys {
 
-    static final Claims NONE = new Claims(HashMap.empty());
+    static final UniqueKeys NONE = new UniqueKeys(HashMap.empty());
 
-    private final HashMap<Object, Key> holders;
+    private final HashMap<Object, ItemKey> holders;
 
-    private Claims(HashMap<Object, Key> holders) {
+    private UniqueKeys(HashMap<Object, ItemKey> holders) {
         this.holders = holders;
     }
 
@@ -26,9 +26,9 @@
         if (item.withdrawn()) {
             return claims;
         }
-        if (item.key().table() == Table.ROUTES) {
+        if (item.key().table() == ItemType.ROUTES) {
             claims.add(place(item));
-        } else if (item.key().table() == Table.TENANTS && item.content().get("apiKeys") instanceof List<?> keys) {
+        } else if (item.key().table() == ItemType.TENANTS && item.content().get("apiKeys") instanceof List<?> keys) {
             keys.forEach(key -> claims.add(Arrays.asList("key", key)));
         }
         return claims;
@@ -42,27 +42,27 @@
     }
 
     /** Who holds it: of several, the one that came first. */
-    Key holder(Object claim) {
+    ItemKey holder(Object claim) {
         return holders.get(claim).getOrNull();
     }
 
-    Claims without(Item item) {
-        HashMap<Object, Key> next = holders;
+    UniqueKeys without(Item item) {
+        HashMap<Object, ItemKey> next = holders;
         for (Object claim : of(item)) {
             if (item.key().equals(holder(claim))) {
                 next = next.remove(claim);
             }
         }
-        return new Claims(next);
+        return new UniqueKeys(next);
     }
 
-    Claims with(Item item) {
-        HashMap<Object, Key> next = holders;
+    UniqueKeys with(Item item) {
+        HashMap<Object, ItemKey> next = holders;
         for (Object claim : of(item)) {
             if (!next.containsKey(claim)) {
                 next = next.put(claim, item.key());
             }
         }
-        return new Claims(next);
+        return new UniqueKeys(next);
     }
 }
--- a/src/main/java/larkbank/manifest/package-info.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/package-info.java
@@ -1,2 +1,2 @@
 /** What operators order: named items with versions, how orders merge, and what a valid whole is. Pure. */
-package larkbank.manifest;
+package org.cypressweir.controlplane.configuration;
--- a/src/main/java/larkbank/copies/Acceptor.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Acceptor.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import larkbank.manifest.Item;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
+import org.cypressweir.controlplane.configuration.Item;
 
 /**
  * The copy on this harbour's disk, as the one who promises and accepts. What it knows in memory is only what
@@ -20,12 +20,12 @@
     private static final int MOST_WAITING = 256;
 
     /** A write that may be due: the change or null, what comes after it, and what comes if it is lost. */
-    private record Task(Supplier<Change> due, Runnable after, Runnable lost) {}
+    private record Task(Supplier<StorageUpdate> due, Runnable after, Runnable lost) {}
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Deque<Task> waiting = new ArrayDeque<>();
     private Task writing;
-    private Change change;
+    private StorageUpdate change;
     private long number;
     private long begun;
     private boolean failed;
@@ -35,17 +35,17 @@
     private long retryAt;
 
     private boolean knowing;
-    private Ballot promised = Ballot.ZERO;
+    private ProposalNumber promised = ProposalNumber.ZERO;
     private boolean hearsay;
-    private State state = new State(Ballot.ZERO, List.of(), Manifest.EMPTY);
+    private ReplicatedState state = new ReplicatedState(ProposalNumber.ZERO, List.of(), Configuration.EMPTY);
 
-    Acceptor(Desk desk, Standing loaded) {
+    Acceptor(ReplicaContext desk, PersistentState loaded) {
         this.desk = desk;
         if (loaded != null) {
             knowing = true;
             promised = loaded.promised();
             hearsay = loaded.hearsay();
-            state = new State(loaded.accepted(), loaded.crew(), Manifest.of(loaded.items()));
+            state = new ReplicatedState(loaded.accepted(), loaded.crew(), Configuration.of(loaded.items()));
             desk.seen(promised);
             desk.seen(state.stamp());
         }
@@ -56,11 +56,11 @@
         return knowing;
     }
 
-    Ballot promised() {
+    ProposalNumber promised() {
         return promised;
     }
 
-    Ballot accepted() {
+    ProposalNumber accepted() {
         return state.stamp();
     }
 
@@ -69,7 +69,7 @@
         return hearsay;
     }
 
-    State state() {
+    ReplicatedState state() {
         return state;
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Promises to take nothing below that stamp. */
-    void promise(Ballot stamp, Runnable yes, Consumer<Ballot> no, Runnable lost) {
+    void promise(ProposalNumber stamp, Runnable yes, Consumer<ProposalNumber> no, Runnable lost) {
         desk.seen(stamp);
         enqueue(new Task(
                 () -> {
@@ -90,7 +90,7 @@
                         yes.run();
                         return null;
                     }
-                    return new Change(stamp, null, null, List.of(), false);
+                    return new StorageUpdate(stamp, null, null, List.of(), false);
                 },
                 yes,
                 lost));
@@ -98,13 +98,13 @@
 
     /** Takes a state: the whole of it, or what differs from the base. */
     void accept(
-            Ballot stamp,
-            Ballot base,
+            ProposalNumber stamp,
+            ProposalNumber base,
             boolean whole,
             List<String> crew,
             Collection<Item> items,
             Runnable yes,
-            Consumer<Ballot> no,
+            Consumer<ProposalNumber> no,
             Runnable mismatch,
             Runnable lost) {
         desk.seen(stamp);
@@ -123,17 +123,17 @@
                         return null;
                     }
                     if (!whole && unsure) {
-                        return new Change(
+                        return new StorageUpdate(
                                 stamp, stamp, crew, state.manifest().with(items).items(), true);
                     }
-                    return new Change(stamp, stamp, crew, List.copyOf(items), whole);
+                    return new StorageUpdate(stamp, stamp, crew, List.copyOf(items), whole);
                 },
                 yes,
                 lost));
     }
 
     /** Takes a state known decided, where no promise is in the way. */
-    void adopt(State decided) {
+    void adopt(ReplicatedState decided) {
         accept(
                 decided.stamp(),
                 decided.stamp(),
@@ -147,8 +147,8 @@
     }
 
     /** The first write on an empty disk: a decided state, and the number of the disk. */
-    void begin(State first, Runnable after) {
-        Change change = new Change(
+    void begin(ReplicatedState first, Runnable after) {
+        StorageUpdate change = new StorageUpdate(
                 first.stamp(), first.stamp(), first.crew(), first.manifest().items(), true, desk.disk);
         desk.seen(first.stamp());
         enqueue(new Task(() -> knowing ? null : change, after, () -> {}));
@@ -166,14 +166,14 @@
     private void next() {
         while (writing == null && !waiting.isEmpty()) {
             Task task = waiting.poll();
-            Change due = task.due.get();
+            StorageUpdate due = task.due.get();
             if (due != null) {
                 write(task, due);
             }
         }
     }
 
-    private void write(Task task, Change due) {
+    private void write(Task task, StorageUpdate due) {
         writing = task;
         change = due;
         begun = desk.now;
@@ -202,18 +202,18 @@
         lost.forEach(each -> each.lost.run());
     }
 
-    private void take(Change taken) {
+    private void take(StorageUpdate taken) {
         knowing = true;
         promised = taken.promised();
         if (taken.accepted() != null) {
             hearsay = taken.hearsay();
-            Manifest manifest = taken.whole()
-                    ? Manifest.of(taken.items())
+            Configuration manifest = taken.whole()
+                    ? Configuration.of(taken.items())
                     : state.manifest().with(taken.items());
             if (!taken.whole()) {
                 desk.history.step(state.stamp(), taken.accepted(), taken.items());
             }
-            state = new State(taken.accepted(), taken.crew(), manifest);
+            state = new ReplicatedState(taken.accepted(), taken.crew(), manifest);
         }
         if (taken.whole()) {
             unsure = false;
@@ -226,7 +226,7 @@
             return;
         }
         if (knowing) {
-            write(new Task(() -> null, () -> {}, () -> {}), new Change(promised, null, null, List.of(), false));
+            write(new Task(() -> null, () -> {}, () -> {}), new StorageUpdate(promised, null, null, List.of(), false));
         } else {
             failed = false;
         }
--- a/src/main/java/larkbank/copies/History.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ChangeHistory.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -6,29 +6,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larkbank.manifest.Item;
-import larkbank.manifest.Key;
+import org.cypressweir.controlplane.configuration.Item;
+import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
  * Which keys changed from one state to the next, as far back as a bounded number of keys goes. Who holds a
  * state that another came from needs only the items of those keys: equal ballots are equal states.
  */
-final class History {
+final class ChangeHistory {
 
     private static final int MOST_KEYS = 8_192;
 
     /** A state that another came from, and what differs between them. */
-    record Difference(Ballot from, List<Item> items) {}
+    record Difference(ProposalNumber from, List<Item> items) {}
 
-    private record Step(Ballot from, List<Key> keys) {}
+    private record Step(ProposalNumber from, List<ItemKey> keys) {}
 
     /** By the state that came of it, oldest first. */
-    private final Map<Ballot, Step> steps = new LinkedHashMap<>();
+    private final Map<ProposalNumber, Step> steps = new LinkedHashMap<>();
 
     private int keys;
 
     /** The state came from that one by these items alone. */
-    void step(Ballot from, Ballot to, Collection<Item> changed) {
+    void step(ProposalNumber from, ProposalNumber to, Collection<Item> changed) {
         if (!to.above(from) || changed.size() > MOST_KEYS) {
             return;
         }
@@ -40,15 +40,15 @@
         }
     }
 
-    private void forget(Ballot to) {
+    private void forget(ProposalNumber to) {
         Step gone = steps.remove(to);
         keys -= gone == null ? 0 : 1 + gone.keys.size();
     }
 
     /** What brings a holder of one of those states to this one, from the newest of them; null if unknown. */
-    Difference since(Collection<Ballot> held, State state) {
-        Set<Key> changed = new LinkedHashSet<>();
-        Ballot at = state.stamp();
+    Difference since(Collection<ProposalNumber> held, ReplicatedState state) {
+        Set<ItemKey> changed = new LinkedHashSet<>();
+        ProposalNumber at = state.stamp();
         while (!held.contains(at)) {
             Step step = steps.get(at);
             if (step == null || 2 * changed.size() > state.manifest().size()) {
--- a/src/main/java/larkbank/copies/Assembly.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ChunkAssembler.java
@@ -1,4 +1,4 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
 
 /** Puts together what comes in several messages for one ballot. Of each sender only the newest is kept. */
-final class Assembly {
+final class ChunkAssembler {
 
     private static final int MOST_PARTS = 100_000;
 
     private static final class Parts {
-        final Ballot stamp;
-        final Ballot base;
+        final ProposalNumber stamp;
+        final ProposalNumber base;
         final List<List<Item>> got = new ArrayList<>();
         int missing;
 
-        Parts(Ballot stamp, Ballot base, int count) {
+        Parts(ProposalNumber stamp, ProposalNumber base, int count) {
             this.stamp = stamp;
             this.base = base;
             missing = count;
@@ -32,7 +32,7 @@
     private final Map<String, Parts> open = new HashMap<>();
 
     /** All items once the last part is here, else null. The base is null where they are the whole. */
-    List<Item> take(String from, Ballot stamp, Ballot base, long part, long parts, List<Item> items) {
+    List<Item> take(String from, ProposalNumber stamp, ProposalNumber base, long part, long parts, List<Item> items) {
         if (parts < 1 || parts > MOST_PARTS || part < 0 || part >= parts) {
             throw new IllegalArgumentException("part");
         }
--- a/src/main/java/larkbank/copies/Decided.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
@@ -1,42 +1,42 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.Map;
 import java.util.Set;
-import larkbank.manifest.Manifest;
+import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
  * What is known to be decided, and what of it has been shown. Who is behind a decided stamp fetches it, and
  * takes it as accepted where no promise is in the way.
  */
-final class Decided {
+final class CommittedState {
 
-    private final Desk desk;
+    private final ReplicaContext desk;
     private final Acceptor copy;
-    private final Peers peers;
-    private Ballot stamp = Ballot.ZERO;
-    private State shown;
+    private final PeerTable peers;
+    private ProposalNumber stamp = ProposalNumber.ZERO;
+    private ReplicatedState shown;
     private long behindSince = -1;
-    private Fetch fetch;
-    private Ballot unsettled = Ballot.ZERO;
+    private StateTransfer fetch;
+    private ProposalNumber unsettled = ProposalNumber.ZERO;
     private long settleAt;
 
-    Decided(Desk desk, Acceptor copy, Peers peers) {
+    CommittedState(ReplicaContext desk, Acceptor copy, PeerTable peers) {
         this.desk = desk;
         this.copy = copy;
         this.peers = peers;
-        shown = new State(Ballot.ZERO, copy.state().crew(), Manifest.EMPTY);
+        shown = new ReplicatedState(ProposalNumber.ZERO, copy.state().crew(), Configuration.EMPTY);
     }
 
-    Ballot stamp() {
+    ProposalNumber stamp() {
         return stamp;
     }
 
-    State shown() {
+    ReplicatedState shown() {
         return shown;
     }
 
     /** That stamp is decided. */
-    void known(Ballot decided) {
+    void known(ProposalNumber decided) {
         if (decided.above(stamp)) {
             stamp = decided;
         }
@@ -45,7 +45,7 @@
     }
 
     /** That state is decided. */
-    void show(State state) {
+    void show(ReplicatedState state) {
         if (state.stamp().above(stamp)) {
             stamp = state.stamp();
         }
@@ -56,7 +56,7 @@
     }
 
     /** A member counts who says to have accepted the same. */
-    void told(Peers.Word word, boolean member) {
+    void told(PeerTable.Word word, boolean member) {
         if (word.blank()) {
             return;
         }
@@ -66,7 +66,7 @@
             if (copy.accepted().equals(word.accepted()) && !copy.hearsay()) {
                 voters.add(desk.own);
             }
-            if (State.most(word.crew(), voters)) {
+            if (ReplicatedState.most(word.crew(), voters)) {
                 known(word.accepted());
             }
         }
@@ -94,13 +94,13 @@
         } else if (behindSince < 0) {
             behindSince = desk.now;
         } else if (desk.now - behindSince >= desk.plan.catchUpAfter()) {
-            fetch = new Fetch(desk, stamp, peers.knowers(stamp), shown, copy.state());
+            fetch = new StateTransfer(desk, stamp, peers.knowers(stamp), shown, copy.state());
         }
     }
 
-    void piece(Ballot of, Map<?, ?> message) {
+    void piece(ProposalNumber of, Map<?, ?> message) {
         if (fetch != null && fetch.stamp().equals(of)) {
-            State whole = fetch.piece(message);
+            ReplicatedState whole = fetch.piece(message);
             if (whole != null) {
                 fetch = null;
                 behindSince = desk.now;
@@ -112,7 +112,7 @@
         }
     }
 
-    void gone(String from, Ballot of) {
+    void gone(String from, ProposalNumber of) {
         if (fetch != null && fetch.stamp().equals(of)) {
             fetch.gone(from);
         }
@@ -120,15 +120,15 @@
 
     /** Whether it has been open for too long if the highest accepted state is decided. */
     boolean settleDue() {
-        Ballot top = copy.accepted();
+        ProposalNumber top = copy.accepted();
         for (String member : copy.state().crew()) {
-            Peers.Word word = peers.word(member);
+            PeerTable.Word word = peers.word(member);
             if (word != null && !word.blank()) {
-                top = Ballot.higher(top, word.accepted());
+                top = ProposalNumber.higher(top, word.accepted());
             }
         }
         if (!top.above(stamp)) {
-            unsettled = Ballot.ZERO;
+            unsettled = ProposalNumber.ZERO;
             return false;
         }
         if (!top.equals(unsettled)) {
--- a/src/main/java/larkbank/copies/Words.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessages.java
@@ -1,13 +1,13 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larkbank.manifest.Item;
+import org.cypressweir.controlplane.configuration.Item;
 
 /** Messages as maps ready for JSON, and their fields; an IllegalArgumentException where there is no such. */
-final class Words {
+final class ConsensusMessages {
 
     static final String PREPARE = "copies.prepare";
     static final String PROMISE = "copies.promise";
@@ -27,7 +27,7 @@
 
     private static final int MOST_CREW = 1_000;
 
-    private Words() {}
+    private ConsensusMessages() {}
 
     /** A message of that kind with names and values by turns. */
     static Map<String, Object> of(String kind, Object... fields) {
@@ -35,23 +35,25 @@
         message.put("t", kind);
         for (int i = 0; i < fields.length; i += 2) {
             Object value = fields[i + 1];
-            message.put((String) fields[i], value instanceof Ballot ? value.toString() : value);
+            message.put((String) fields[i], value instanceof ProposalNumber ? value.toString() : value);
         }
         return message;
     }
 
-    static Ballot stamp(Map<?, ?> message, String name) {
+    static ProposalNumber stamp(Map<?, ?> message, String name) {
         if (!(message.get(name) instanceof String text)) {
             throw new IllegalArgumentException(name);
         }
-        return Ballot.of(text);
+        return ProposalNumber.of(text);
     }
 
-    static List<Ballot> stamps(Map<?, ?> message, String name) {
+    static List<ProposalNumber> stamps(Map<?, ?> message, String name) {
         if (!(message.get(name) instanceof List<?> list) || list.size() > MOST_CREW) {
             throw new IllegalArgumentException(name);
         }
-        return list.stream().map(text -> Ballot.of(String.valueOf(text))).toList();
+        return list.stream()
+                .map(text -> ProposalNumber.of(String.valueOf(text)))
+                .toList();
     }
 
     static long number(Map<?, ?> message, String name) {
--- a/src/main/java/larkbank/copies/CopiesPlan.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
@@ -1,7 +1,7 @@
-package larkbank.copies;
+package org.cypressweir.controlplane.consensus;
 
 /** Times, in microseconds, and how many items go into one message. */
-public record CopiesPlan(
+public record ConsensusOptions(
         long tellEvery,
         long askEvery,
         long resendAfter,
@@ -21,8 +21,8 @@
         long probeEvery,
         long probeMost) {
 
-    public static CopiesPlan usual() {
-        return new CopiesPlan(
+    public static ConsensusOptions usual() {
+        return new ConsensusOptions(
                 300_000, 500_000, 100_000, 500_000, 60_000, 500_000, 300_000, 5_000, 200_000, 400_000, 500_000,
                 2_500_000, 1_000_000, 60_000, 200, 1_500_000, 40_000, 150_000);
     }
