--- a/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
@@ -173,10 +173,10 @@
 
         private void tellAsked() {
             for (int k = 0; k < TENANTS; k++) {
-                quotas.ask(clock.getAsLong(), "tenant-" + (index * 7 + k * 13) % 200, 50, 20);
+                quotas.tryAcquire(clock.getAsLong(), "tenant-" + (index * 7 + k * 13) % 200, 50, 20);
             }
             boolean all = ticks % 40 == 0;
-            Map<String, Double> asked = quotas.news(clock.getAsLong(), all);
+            Map<String, Double> asked = quotas.takeChangedDemand(clock.getAsLong(), all);
             if (!asked.isEmpty()) {
                 toAll(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
             }
@@ -229,7 +229,7 @@
                     }
                 }
                 case "items" -> items(address, head, body);
-                case "tallies" -> quotas.told(clock.getAsLong(), address, Json.object(head, "asked"));
+                case "tallies" -> quotas.updateTotals(clock.getAsLong(), address, Json.object(head, "asked"));
                 default -> {}
             }
         }
@@ -256,7 +256,7 @@
         public void lost(String address, PeerConnection line) {
             if (moorings.line(address) == null) {
                 following.lost(address);
-                quotas.silent(address);
+                quotas.removeController(address);
                 whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet()).remove(address);
             }
         }
--- a/src/bench/java/org/cypressweir/dataplane/proxy/ProxySizeBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/ProxySizeBench.java
@@ -66,7 +66,7 @@
             for (Object one : Json.array(head, "berths")) {
                 berths.add(ProxyRegistration.of((Map<?, ?>) one, now));
             }
-            directory.told("10.1.0." + harbour, Json.flag(head, "whole"), berths, List.of());
+            directory.updateView("10.1.0." + harbour, Json.flag(head, "whole"), berths, List.of());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -91,18 +91,18 @@
         Map<String, List<Endpoint>> targets = new HashMap<>();
         Map<String, Long> warm = new HashMap<>();
         for (ProxyRegistration berth : directory.all()) {
-            helm(helms, berth.ship().service());
-            helm(inner, berth.ship().service());
-            if (berth.takes()) {
-                targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
+            helm(helms, berth.instance().service());
+            helm(inner, berth.instance().service());
+            if (berth.acceptsRequests()) {
+                targets.computeIfAbsent(berth.instance().service(), s -> new ArrayList<>())
                         .add(new Endpoint(
-                                Ids.of(berth.ship().id()),
+                                Ids.of(berth.instance().id()),
                                 berth.name(),
-                                berth.life(),
+                                berth.incarnation(),
                                 berth.address(),
-                                berth.ship().id(),
+                                berth.instance().id(),
                                 berth.zone()));
-                warm.put(berth.ship().id(), berth.ship().warmAt());
+                warm.put(berth.instance().id(), berth.instance().warmAt());
             }
         }
         for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
@@ -135,8 +135,8 @@
             manifest[0] = HollowFleet.manifest();
             bearings = bearings.next(new ProposalNumber(1, "h"), manifest[0]);
         });
-        heap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
-        quotas.pilots(n);
+        heap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.tryAcquire(now, "tenant-" + i, 50, 20)));
+        quotas.setProxyCount(n);
         found.put("whole_us", HollowFleet.micros(Math.max(10, 20_000 / n), () -> told(0, whole)));
         found.put("change_us", HollowFleet.micros(Math.max(20, 20_000 / n), () -> {
             int i = random.nextInt(n);
@@ -155,11 +155,12 @@
             bearings = bearings.next(new ProposalNumber(version[0], "h"), manifest[0]);
         }));
         found.put("tally_us", HollowFleet.micros(200, () -> {
-            IntStream.range(0, 20).forEach(i -> quotas.ask(now, "tenant-" + random.nextInt(TENANTS), 50, 20));
-            quotas.news(now, false);
+            IntStream.range(0, 20).forEach(i -> quotas.tryAcquire(now, "tenant-" + random.nextInt(TENANTS), 50, 20));
+            quotas.takeChangedDemand(now, false);
         }));
-        found.put("tallyWhole_bytes", (double)
-                JsonCodec.bytes(JsonCodec.map("t", "tally", "asked", quotas.news(now, true), "whole", true)).length);
+        found.put("tallyWhole_bytes", (double) JsonCodec.bytes(
+                        JsonCodec.map("t", "tally", "asked", quotas.takeChangedDemand(now, true), "whole", true))
+                .length);
         return found;
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -113,7 +113,7 @@
     }
 
     private static Map<String, Object> registration(ProxyRegistration registration, long silenceMicros) {
-        ApplicationInstance instance = registration.ship();
+        ApplicationInstance instance = registration.instance();
         return JsonCodec.map(
                 "name",
                 registration.name(),
@@ -132,7 +132,7 @@
                 "draining",
                 instance != null && instance.draining(),
                 SHUTTING_DOWN,
-                registration.leaving(),
+                registration.shuttingDown(),
                 "ageMs",
                 silenceMicros < 0 ? null : silenceMicros / MICROS_PER_MILLI);
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
@@ -5,39 +5,52 @@
 import org.cypressweir.common.util.Json;
 
 /**
- * One life of an application server.
+ * One run of an application process, as the proxy beside it describes it. Immutable.
  *
- * @param warmAt when it will be as fast as it gets, by the clock of who holds this; 0: long since
+ * @param slots how many requests it takes at the same time
+ * @param draining whether it wants no new requests
+ * @param warmAt when its warm-up ends, in microseconds of the local clock; 0: it ended long ago
  */
 public record ApplicationInstance(String id, String service, String address, int slots, boolean draining, long warmAt) {
 
-    /** What another process is told; times are told as what is left of them. */
-    public Map<String, Object> toMap(long now) {
+    // Field names are fixed: other builds read them.
+    private static final String ID = "id";
+    private static final String SERVICE = "service";
+    private static final String ADDRESS = "address";
+    private static final String SLOTS = "slots";
+    private static final String DRAINING = "draining";
+    private static final String WARM_UP_LEFT = "warm";
+
+    /** Encodes it for another process, which has another clock: times are sent as what is left of them. */
+    public Map<String, Object> toMap(long nowMicros) {
         return JsonCodec.map(
-                "id",
+                ID,
                 id,
-                "service",
+                SERVICE,
                 service,
-                "address",
+                ADDRESS,
                 address,
-                "slots",
+                SLOTS,
                 slots,
-                "draining",
+                DRAINING,
                 draining,
-                "warm",
-                Math.max(0, warmAt - now));
+                WARM_UP_LEFT,
+                Math.max(0, warmAt - nowMicros));
     }
 
-    static ApplicationInstance of(Map<?, ?> map, long now) {
-        long warm = Json.whole(map, "warm", 0);
-        return JsonCodec.text(map, "id").isEmpty()
-                ? null
-                : new ApplicationInstance(
-                        JsonCodec.text(map, "id"),
-                        JsonCodec.text(map, "service"),
-                        JsonCodec.text(map, "address"),
-                        (int) Json.whole(map, "slots", 1),
-                        Json.flag(map, "draining"),
-                        warm == 0 ? 0 : now + warm);
+    /** Decodes an instance; null where there is none. */
+    static ApplicationInstance of(Map<?, ?> map, long nowMicros) {
+        String id = JsonCodec.text(map, ID);
+        if (id.isEmpty()) {
+            return null;
+        }
+        long warmUpLeft = Json.whole(map, WARM_UP_LEFT, 0);
+        return new ApplicationInstance(
+                id,
+                JsonCodec.text(map, SERVICE),
+                JsonCodec.text(map, ADDRESS),
+                (int) Json.whole(map, SLOTS, 1),
+                Json.flag(map, DRAINING),
+                warmUpLeft == 0 ? 0 : nowMicros + warmUpLeft);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/registry/EndpointDirectory.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/EndpointDirectory.java
@@ -7,109 +7,131 @@
 import java.util.Map;
 
 /**
- * What one pilot knows of all others: the views of the harbours that it hears, and what pilots tell it
- * directly. Who is in any view that is heard is there. A view that is not heard any more counts on for a
- * while, and as long as none is heard: a silent core takes nobody off.
+ * The other proxies as one proxy knows them: the merged views of all controllers that it is connected to, with what
+ * proxies say of themselves directly. A proxy is present if any view that counts has it. The view of a silent
+ * controller counts on for a while, and without end as long as all controllers are silent: a control plane that is
+ * down removes nobody. Not thread-safe; times are microseconds of one monotonic clock.
  */
 public final class EndpointDirectory {
 
+    /** The registrations at one controller. */
     private static final class View {
-        private final Map<String, ProxyRegistration> berths = new HashMap<>();
-        private boolean heard;
-        private long lostAt;
+        private final Map<String, ProxyRegistration> registrations = new HashMap<>();
+        private boolean alive;
+        private long silentSinceMicros;
     }
 
-    private final long keep;
+    private final long silentViewLifetimeMicros;
     private final Map<String, View> views = new HashMap<>();
     private final Map<String, ProxyRegistration> direct = new HashMap<>();
     private Map<String, ProxyRegistration> merged = Map.of();
-    /** Something was told since the last merge. */
+    /** Whether something has been updated since the last merge. */
     private boolean stale = true;
-    /** When a silent view stops counting; nothing changes by itself before. */
-    private long nextEnd = Long.MAX_VALUE;
+    /** When the next silent view stops counting; before that nothing changes by time alone. */
+    private long nextViewExpiryMicros = Long.MAX_VALUE;
 
-    /** @param keepMicros for which the view of a harbour that is silent counts beside others' */
-    public EndpointDirectory(long keepMicros) {
-        keep = keepMicros;
+    /** @param silentViewLifetimeMicros for how long the view of a silent controller counts beside those of others */
+    public EndpointDirectory(long silentViewLifetimeMicros) {
+        this.silentViewLifetimeMicros = silentViewLifetimeMicros;
     }
 
-    /** A harbour tells its whole view, or what has changed in it. */
-    public void told(String harbour, boolean whole, Collection<ProxyRegistration> berths, Collection<String> gone) {
-        View view = views.computeIfAbsent(harbour, h -> new View());
-        if (whole) {
-            view.berths.clear();
+    /**
+     * A controller has sent its view.
+     *
+     * @param snapshot whether the view is complete; else it holds what has changed
+     * @param removed names of proxies that are no longer registered there
+     */
+    public void updateView(
+            String controller,
+            boolean snapshot,
+            Collection<ProxyRegistration> registrations,
+            Collection<String> removed) {
+        View view = views.computeIfAbsent(controller, name -> new View());
+        if (snapshot) {
+            view.registrations.clear();
         }
-        view.heard = true;
+        view.alive = true;
         stale = true;
-        berths.forEach(b -> view.berths.put(b.name(), b));
-        gone.forEach(name -> {
-            view.berths.remove(name);
+        registrations.forEach(registration -> view.registrations.put(registration.name(), registration));
+        removed.forEach(name -> {
+            view.registrations.remove(name);
             direct.remove(name);
         });
     }
 
-    /** A pilot tells of itself. */
-    public void told(ProxyRegistration berth) {
-        if (berth.isNewer(direct.get(berth.name()))) {
-            direct.put(berth.name(), berth);
+    /** A proxy has sent its own registration. It does not make the proxy present, but it is preferred if newer. */
+    public void updateDirect(ProxyRegistration registration) {
+        if (registration.isNewer(direct.get(registration.name()))) {
+            direct.put(registration.name(), registration);
             stale = true;
         }
     }
 
-    /** A harbour is not heard any more. */
-    public void silent(long now, String harbour) {
-        View view = views.get(harbour);
-        if (view != null && view.heard) {
-            view.heard = false;
-            view.lostAt = now;
+    /** Nothing is received from the controller any more. */
+    public void markSilent(long nowMicros, String controller) {
+        View view = views.get(controller);
+        if (view != null && view.alive) {
+            view.alive = false;
+            view.silentSinceMicros = nowMicros;
             stale = true;
         }
     }
 
-    /** A harbour that is none any more. */
-    public void drop(String harbour) {
+    /** The process is no controller any more. The last view is kept. */
+    public void drop(String controller) {
         if (views.size() > 1) {
-            views.remove(harbour);
+            views.remove(controller);
             stale = true;
         }
     }
 
-    /** All that are there, as they were told of last; whether that has changed since the last call. */
-    public boolean merge(long now) {
-        if (!stale && now < nextEnd) {
+    /** Merges the views for {@link #all} and {@link #get}; returns whether the result has changed. */
+    public boolean merge(long nowMicros) {
+        if (!stale && nowMicros < nextViewExpiryMicros) {
             return false;
         }
         stale = false;
-        nextEnd = Long.MAX_VALUE;
-        boolean any = views.values().stream().anyMatch(v -> v.heard);
+        Map<String, ProxyRegistration> next = mergeViews(nowMicros);
+        next.replaceAll((name, registration) -> newest(direct.get(name), registration));
+        boolean changed = !next.equals(merged);
+        merged = next;
+        return changed;
+    }
+
+    private Map<String, ProxyRegistration> mergeViews(long nowMicros) {
+        nextViewExpiryMicros = Long.MAX_VALUE;
+        boolean anyAlive = views.values().stream().anyMatch(view -> view.alive);
         Map<String, ProxyRegistration> next = new LinkedHashMap<>();
         for (View view : views.values()) {
-            if (!view.heard && any && now - view.lostAt < keep) {
-                nextEnd = Math.min(nextEnd, view.lostAt + keep);
+            boolean retained = nowMicros - view.silentSinceMicros < silentViewLifetimeMicros;
+            if (!view.alive && anyAlive && retained) {
+                long expiry = view.silentSinceMicros + silentViewLifetimeMicros;
+                nextViewExpiryMicros = Math.min(nextViewExpiryMicros, expiry);
             }
-            if (view.heard || !any || now - view.lostAt < keep) {
-                view.berths.values().forEach(b -> {
-                    if (b.isNewer(next.get(b.name()))) {
-                        next.put(b.name(), b);
-                    }
-                });
+            if (view.alive || !anyAlive || retained) {
+                for (ProxyRegistration registration : view.registrations.values()) {
+                    next.merge(registration.name(), registration, (known, other) -> newest(other, known));
+                }
             }
         }
-        next.replaceAll(
-                (name, b) -> direct.containsKey(name) && direct.get(name).isNewer(b) ? direct.get(name) : b);
-        boolean changed = !next.equals(merged);
-        merged = next;
-        return changed;
+        return next;
+    }
+
+    private static ProxyRegistration newest(ProxyRegistration candidate, ProxyRegistration known) {
+        return candidate != null && candidate.isNewer(known) ? candidate : known;
     }
 
+    /** The registrations of all proxies present at the last merge. */
     public Collection<ProxyRegistration> all() {
         return List.copyOf(merged.values());
     }
 
+    /** The registration of the named proxy at the last merge; null where it was not present. */
     public ProxyRegistration get(String name) {
         return merged.get(name);
     }
 
+    /** How many proxies were present at the last merge. */
     public int size() {
         return merged.size();
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
@@ -5,72 +5,90 @@
 import org.cypressweir.common.util.Json;
 
 /**
- * A pilot and the server beside it, as the pilot tells it. A later life goes before an earlier one, and
- * within a life a higher number.
+ * A proxy and the application instance beside it, as the proxy describes them in its heartbeats. Immutable. Of two
+ * registrations of a proxy the one of the later incarnation is newer, and within an incarnation the one with the
+ * higher number.
  *
- * @param address where its lines are taken
- * @param control where it answers what operators ask; empty of a pilot that does not tell it
- * @param leaving whether it ends soon and takes nothing new
- * @param ship null where no server is known
+ * @param incarnation later for each run of the proxy's process
+ * @param number counts the proxy's changes within the incarnation
+ * @param address where the proxy takes connections of its peers
+ * @param control where the proxy answers operators; empty where that is not known
+ * @param shuttingDown whether the proxy ends soon and takes no new requests
+ * @param instance null where no application instance is known
  */
 public record ProxyRegistration(
         String name,
-        long life,
+        long incarnation,
         long number,
         String address,
         String control,
         String zone,
         String service,
-        boolean leaving,
-        ApplicationInstance ship) {
+        boolean shuttingDown,
+        ApplicationInstance instance) {
 
-    public Map<String, Object> toMap(long now) {
+    // Field names are fixed: other builds read them.
+    private static final String NAME = "name";
+    private static final String INCARNATION = "life";
+    private static final String NUMBER = "number";
+    private static final String ADDRESS = "address";
+    private static final String CONTROL = "control";
+    private static final String ZONE = "zone";
+    private static final String SERVICE = "service";
+    private static final String SHUTTING_DOWN = "leaving";
+    private static final String INSTANCE = "ship";
+
+    /** Encodes it for another process. */
+    public Map<String, Object> toMap(long nowMicros) {
         return JsonCodec.map(
-                "name",
+                NAME,
                 name,
-                "life",
-                life,
-                "number",
+                INCARNATION,
+                incarnation,
+                NUMBER,
                 number,
-                "address",
+                ADDRESS,
                 address,
-                "control",
+                CONTROL,
                 control,
-                "zone",
+                ZONE,
                 zone,
-                "service",
+                SERVICE,
                 service,
-                "leaving",
-                leaving,
-                "ship",
-                ship == null ? null : ship.toMap(now));
+                SHUTTING_DOWN,
+                shuttingDown,
+                INSTANCE,
+                instance == null ? null : instance.toMap(nowMicros));
     }
 
-    /** What was told; null where it is no berth. */
-    public static ProxyRegistration of(Map<?, ?> map, long now) {
-        if (JsonCodec.text(map, "name").isEmpty()
-                || JsonCodec.text(map, "address").isEmpty()) {
+    /** Decodes a registration; null where name or address is missing. */
+    public static ProxyRegistration of(Map<?, ?> map, long nowMicros) {
+        String name = JsonCodec.text(map, NAME);
+        String address = JsonCodec.text(map, ADDRESS);
+        if (name.isEmpty() || address.isEmpty()) {
             return null;
         }
         return new ProxyRegistration(
-                JsonCodec.text(map, "name"),
-                Json.whole(map, "life", 0),
-                Json.whole(map, "number", 0),
-                JsonCodec.text(map, "address"),
-                JsonCodec.text(map, "control"),
-                JsonCodec.text(map, "zone"),
-                JsonCodec.text(map, "service"),
-                Json.flag(map, "leaving"),
-                ApplicationInstance.of(Json.object(map, "ship"), now));
+                name,
+                Json.whole(map, INCARNATION, 0),
+                Json.whole(map, NUMBER, 0),
+                address,
+                JsonCodec.text(map, CONTROL),
+                JsonCodec.text(map, ZONE),
+                JsonCodec.text(map, SERVICE),
+                Json.flag(map, SHUTTING_DOWN),
+                ApplicationInstance.of(Json.object(map, INSTANCE), nowMicros));
     }
 
-    /** Whether this tells more than the other, which may be null. */
+    /** Whether this is newer than the other registration of the same proxy, which may be null. */
     public boolean isNewer(ProxyRegistration other) {
-        return other == null || life > other.life || life == other.life && number > other.number;
+        return other == null
+                || incarnation > other.incarnation
+                || incarnation == other.incarnation && number > other.number;
     }
 
-    /** Whether requests may be sent to its server, as far as it tells itself. */
-    public boolean takes() {
-        return ship != null && !ship.draining() && !leaving;
+    /** Whether new requests may be sent to the application instance. */
+    public boolean acceptsRequests() {
+        return instance != null && !instance.draining() && !shuttingDown;
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
@@ -94,7 +94,7 @@
 
     private void remove(long nowMicros, String name) {
         ProxyRegistration registration = entries.remove(name).registration;
-        if (!registration.leaving()) {
+        if (!registration.shuttingDown()) {
             expired.put(name, new ExpiredProxy(registration, nowMicros));
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -117,7 +117,7 @@
     /** Tells what tenants ask here, as far as that has changed. */
     void tellAsked() {
         boolean all = ++tellings % TELLINGS_A_WHOLE == 0;
-        Map<String, Double> asked = quotas.news(micros.getAsLong(), all);
+        Map<String, Double> asked = quotas.takeChangedDemand(micros.getAsLong(), all);
         if (!asked.isEmpty()) {
             byte[] told = JsonCodec.bytes(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
             eachLine(line -> line.sendText(told));
@@ -133,7 +133,7 @@
         }
         if (teller != null) {
             moorings.send(teller, JsonCodec.map("t", "sums", "on", false));
-            quotas.silent(teller);
+            quotas.removeController(teller);
         }
         List<String> all =
                 able.stream().filter(a -> moorings.line(a) != null).sorted().toList();
@@ -173,10 +173,10 @@
             // Whoever is the core now, one of the seeds may know.
             want();
         }
-        roster.silent(micros.getAsLong(), address);
+        roster.markSilent(micros.getAsLong(), address);
         following.lost(address);
         freshness.lost(address);
-        quotas.silent(address);
+        quotas.removeController(address);
     }
 
     /** Where a harbour is asked by operators, as it said last; null where it never did. */
@@ -230,7 +230,7 @@
                 }
                 List<String> gone = new ArrayList<>();
                 Json.array(head, "gone").forEach(name -> gone.add(String.valueOf(name)));
-                roster.told(address, Json.flag(head, "whole"), berths, gone);
+                roster.updateView(address, Json.flag(head, "whole"), berths, gone);
                 places.put(address, new Place(Json.whole(head, "life", 0), Json.whole(head, "place", -1)));
             }
             case "items" -> aside.run(() -> ItemChunks.unpack(body), items -> {
@@ -248,7 +248,7 @@
                     freshness.answered(now, address, asked, ProposalNumber.of(JsonCodec.text(head, "stamp")), age);
                 }
             }
-            case "tallies" -> quotas.told(now, address, Json.object(head, "asked"));
+            case "tallies" -> quotas.updateTotals(now, address, Json.object(head, "asked"));
             default -> {}
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -87,7 +87,7 @@
                 refuse(call, ErrorKind.NO_KEY, 0);
                 return;
             }
-            long wait = quotas.ask(micros.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
+            long wait = quotas.tryAcquire(micros.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
             if (wait > 0) {
                 refuse(call, ErrorKind.OVER_QUOTA, wait);
                 return;
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -149,7 +149,7 @@
     private void go(PeerConnection line, Caller caller, Map<String, Object> head, byte[] body) {
         long now = micros.getAsLong();
         long number = Json.whole(head, "n", -1);
-        long own = berth.get().life();
+        long own = berth.get().incarnation();
         if (caller != null && Json.whole(head, "life", -1) != own) {
             // It runs here on no line, however often it comes.
             line.send(JsonCodec.map(
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -272,7 +272,7 @@
                         : new InstanceIncarnation(
                                 ship.id(), ship.service(), ship.slots(), ship.draining(), ship.warmAt()));
         boundConnections(ship);
-        roster.told(ships.berth());
+        roster.updateDirect(ships.berth());
         landing.tell();
         lookout.tell();
         listStale = true;
@@ -295,7 +295,7 @@
                 newList();
             }
             if (ticks % TICKS_A_TALLY == 0) {
-                quotas.pilots(roster.size());
+                quotas.setProxyCount(roster.size());
                 lookout.tellAsked();
             }
             if (ticks % TICKS_A_TELLING == 0) {
@@ -332,20 +332,20 @@
             if (!mine) {
                 addresses.add(berth.address());
             }
-            if (berth.ship() != null) {
-                helm(helms, berth.ship().service());
-                helm(inner, berth.ship().service());
+            if (berth.instance() != null) {
+                helm(helms, berth.instance().service());
+                helm(inner, berth.instance().service());
             }
-            if (berth.takes() && reaches(berth)) {
-                targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
+            if (berth.acceptsRequests() && reaches(berth)) {
+                targets.computeIfAbsent(berth.instance().service(), s -> new ArrayList<>())
                         .add(new Endpoint(
-                                Ids.of(berth.ship().id()),
+                                Ids.of(berth.instance().id()),
                                 berth.name(),
-                                berth.life(),
+                                berth.incarnation(),
                                 berth.address(),
-                                berth.ship().id(),
+                                berth.instance().id(),
                                 berth.zone()));
-                warm.put(berth.ship().id(), berth.ship().warmAt());
+                warm.put(berth.instance().id(), berth.instance().warmAt());
             }
         }
         peers.want(addresses);
@@ -437,8 +437,8 @@
             } else if (JsonCodec.text(head, "t").equals("berth")) {
                 ProxyRegistration berth = ProxyRegistration.of(Json.object(head, "berth"), clock.getAsLong());
                 if (berth != null) {
-                    hops.greeted(line, berth.life());
-                    roster.told(berth);
+                    hops.greeted(line, berth.incarnation());
+                    roster.updateDirect(berth);
                 }
             }
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -86,7 +86,7 @@
         for (ProxyRegistration told : roster.all()) {
             boolean mine = told.name().equals(own.name());
             ProxyRegistration berth = mine ? own : told;
-            ApplicationInstance ship = berth.ship();
+            ApplicationInstance ship = berth.instance();
             if (ship != null) {
                 boolean reached = reaches.test(berth);
                 services.computeIfAbsent(ship.service(), s -> new ArrayList<>())
@@ -102,20 +102,20 @@
                                 "draining",
                                 ship.draining(),
                                 "leaving",
-                                berth.leaving(),
+                                berth.shuttingDown(),
                                 "line",
                                 reached,
                                 "silent",
                                 !mine && hops.isSilent(berth.address()),
                                 "chosen",
-                                reached && berth.takes()));
+                                reached && berth.acceptsRequests()));
             }
         }
         state.put("services", services);
     }
 
     void own(ProxyRegistration own, UpstreamLoad load) {
-        ApplicationInstance ship = own.ship();
+        ApplicationInstance ship = own.instance();
         state.put(
                 "own",
                 JsonCodec.map(
@@ -126,7 +126,7 @@
                         "draining",
                         ship != null && ship.draining(),
                         "leaving",
-                        own.leaving(),
+                        own.shuttingDown(),
                         "running",
                         load.running(),
                         "waiting",
@@ -152,7 +152,7 @@
 
     /** Tenants with what they may and what they ask here, a second. */
     void tenants(QuotaShares quotas) {
-        Map<String, Double> asked = quotas.asked(now);
+        Map<String, Double> asked = quotas.demand(now);
         List<Object> all = new ArrayList<>();
         for (Item item : bearings.manifest().standing(ItemType.TENANTS)) {
             TenantConfiguration.of(item)
--- a/src/main/java/org/cypressweir/dataplane/quota/QuotaShares.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/QuotaShares.java
@@ -5,185 +5,272 @@
 import java.util.TreeMap;
 
 /**
- * One pilot's part of what tenants may ask. Of a tenant's rate a pilot has the part that it is asked of all,
- * and a little of what nobody asks for; its bucket holds the same part of the burst. Without news for a time
- * it keeps to a smaller part: what others count it for ends, too.
+ * The shares of tenants' rate limits that one proxy may admit. Of a tenant's rate a proxy has the fraction of the
+ * demand that it sees, and a little of what nobody asks for; a token bucket admits by it, with the same fraction of
+ * the burst. Demand is reported to the controllers, which publish its totals over all proxies; without their updates
+ * for some time the proxy restricts itself to a smaller share, since its last report stops counting for the others.
+ *
+ * <p>Not thread-safe. Times are microseconds of one monotonic clock, rates and demand are requests per second.
  */
 public final class QuotaShares {
 
-    /** Time over which what is asked is counted. */
-    private static final double SPAN = 1_000_000;
-    /** Of the rate's part, for what others leave; of the burst. */
-    private static final double SPARE = 1.4;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private static final double BURST = 0.8;
-    private static final double SCARCE = 0.9;
-    private static final double OTHERS = 1.1;
-    /** Below this nothing is asked. */
-    private static final double LEAST = 0.05;
+    /** Time constant of the exponentially decaying count of requests. */
+    private static final double DEMAND_DECAY_MICROS = 1_000_000;
 
-    private static final long STALE = 3_000_000;
-    private static final long FORGOTTEN = 8_000_000;
+    /** The rate may exceed the share by this factor where others leave some of the limit. */
+    private static final double SPARE_FACTOR = 1.4;
 
-    /** What is asked is told again once it has changed by this part of it, or of a pilot's part. */
-    private static final double NOTED_PART = 0.15;
+    /** The fraction of the burst that is shared out. */
+    private static final double BURST_FACTOR = 0.8;
 
-    private static final double NOTED_SHARE = 0.2;
+    /** A limit is scarce once the demand reaches this fraction of it. */
+    private static final double SCARCE_FACTOR = 0.9;
 
+    /** The demand of others is taken to be larger by this factor when their spare rate is used. */
+    private static final double OTHERS_FACTOR = 1.1;
+
+    /** Demand below this counts as none. */
+    private static final double MIN_DEMAND = 0.05;
+
+    private static final long STALE_AFTER_MICROS = 3_000_000;
+    private static final long FORGOTTEN_AFTER_MICROS = 8_000_000;
+
+    /** Of the fair share, as long as no total has ever been received. */
+    private static final double UNINFORMED_FACTOR = 0.5;
+
+    private static final double STALE_FACTOR = 0.7;
+    private static final double FORGOTTEN_FACTOR = 0.5;
+
+    /** A proxy without demand has the fair share divided by this. */
+    private static final double MIN_SHARE_DIVISOR = 4;
+
+    private static final double MIN_SHARE_DIVISOR_SCARCE = 16;
+
+    /** How far the share may run ahead of the demand that the last total includes: by this factor ... */
+    private static final double DEMAND_GROWTH_FACTOR = 1.25;
+
+    /** ... and so much more. */
+    private static final double DEMAND_GROWTH = 2;
+
+    private static final long MIN_RETRY_MICROS = 10_000;
+    private static final double MIN_REFILL_RATE = 0.1;
+
+    /** Demand is reported again once it has changed by this fraction of the reported value ... */
+    private static final double REPORTED_CHANGE_FRACTION = 0.15;
+
+    /** ... and by this fraction of a proxy's fair share of the rate. */
+    private static final double REPORTED_CHANGE_OF_SHARE = 0.2;
+
+    private static final int INITIAL_PROXY_COUNT = 8;
+
+    /** What is known of one tenant. */
     private static final class Account {
-        private double asked;
-        private long askedAt;
+        /** Requests, decaying since {@link #countedAt}. */
+        private double decayingCount;
+
+        private long countedAt;
         private double rate;
         private double burst;
-        private double level;
-        private long filledAt = -1;
-        private double all;
-        /** What this pilot had told when it was told of all: both are of one time. */
-        private double told;
-
-        private double ownThen;
-        /** All together ask for about as much as there is, or more. */
+        private double tokens;
+        /** Below 0 before the first request. */
+        private long refilledAt = -1;
+        /** Over all proxies. */
+        private double totalDemand;
+
+        private double reportedDemand;
+        /** What this proxy had reported when the total was received: both are of the same time. */
+        private double reportedInTotal;
+
+        /** Whether the limit was scarce at the last refill. */
         private boolean scarce;
 
         private boolean isScarceNow() {
-            return all > SCARCE * rate;
+            return totalDemand > SCARCE_FACTOR * rate;
+        }
+
+        private double countAt(long nowMicros) {
+            return decayingCount * Math.exp(-(nowMicros - countedAt) / DEMAND_DECAY_MICROS);
+        }
+
+        private double demandAt(long nowMicros) {
+            return countAt(nowMicros) / DEMAND_DECAY_MICROS * MICROS_PER_SECOND;
         }
     }
 
     private final Map<String, Account> accounts = new HashMap<>();
-    private Map<String, Map<String, Double>> sums = new HashMap<>();
-    private long newsAt;
-    private int pilots = 8;
+    /** By controller and tenant. */
+    private final Map<String, Map<String, Double>> totalsByController = new HashMap<>();
+
+    /** When a total was received last; 0: never. */
+    private long totalsReceivedAt;
+
+    private int proxyCount = INITIAL_PROXY_COUNT;
 
-    /** So many pilots are there. */
-    public void pilots(int count) {
-        pilots = Math.max(1, count);
+    /** Sets how many proxies there are. */
+    public void setProxyCount(int count) {
+        proxyCount = Math.max(1, count);
     }
 
-    /** A harbour's sums of what tenants ask in all, as far as they changed; the largest counts. */
-    public void told(long now, String harbour, Map<?, ?> asked) {
-        Map<String, Double> its = sums.computeIfAbsent(harbour, h -> new HashMap<>());
-        newsAt = now;
-        asked.forEach((tenant, rate) -> {
-            if (rate instanceof Number number) {
-                its.put((String) tenant, number.doubleValue());
-                Account account = accounts.get(tenant);
-                if (account != null) {
-                    if (account.scarce) {
-                        refill(now, account);
-                    }
-                    account.all = most((String) tenant);
-                    account.ownThen = account.told;
-                }
+    /** A controller has published totals, those that have changed. Of several controllers the largest total counts. */
+    public void updateTotals(long nowMicros, String controller, Map<?, ?> demandByTenant) {
+        Map<String, Double> totals = totalsByController.computeIfAbsent(controller, name -> new HashMap<>());
+        totalsReceivedAt = nowMicros;
+        demandByTenant.forEach((tenant, demand) -> {
+            if (demand instanceof Number number) {
+                totals.put((String) tenant, number.doubleValue());
+                updateAccount(nowMicros, (String) tenant);
             }
         });
     }
 
-    /** A harbour that is not heard any more counts no longer. */
-    public void silent(String harbour) {
-        sums.remove(harbour);
+    private void updateAccount(long nowMicros, String tenant) {
+        Account account = accounts.get(tenant);
+        if (account == null) {
+            return;
+        }
+        if (account.scarce) {
+            refill(nowMicros, account);
+        }
+        account.totalDemand = largestTotal(tenant);
+        account.reportedInTotal = account.reportedDemand;
+    }
+
+    /** The totals of a controller that is silent count no longer. */
+    public void removeController(String controller) {
+        totalsByController.remove(controller);
     }
 
-    private double most(String tenant) {
-        double most = 0;
-        for (Map<String, Double> its : sums.values()) {
-            most = Math.max(most, its.getOrDefault(tenant, 0.0));
+    private double largestTotal(String tenant) {
+        double largest = 0;
+        for (Map<String, Double> totals : totalsByController.values()) {
+            largest = Math.max(largest, totals.getOrDefault(tenant, 0.0));
         }
-        return most;
+        return largest;
     }
 
-    /** Whether one more of a tenant may be let in; 0, or the time after which to ask again. */
-    public long ask(long now, String tenant, double rate, double burst) {
-        Account account = accounts.computeIfAbsent(tenant, t -> {
-            Account fresh = new Account();
-            fresh.all = most(t);
-            return fresh;
-        });
-        account.asked = asked(account, now) + 1;
-        account.askedAt = now;
+    /**
+     * Counts a request of the tenant and admits it if there is a token for it.
+     *
+     * @param rate the tenant's limit over all proxies; 0 or below: none
+     * @param burst the size of the tenant's bucket over all proxies
+     * @return 0 where the request is admitted; else the microseconds after which to retry
+     */
+    public long tryAcquire(long nowMicros, String tenant, double rate, double burst) {
+        Account account = accounts.get(tenant);
+        if (account == null) {
+            account = new Account();
+            account.totalDemand = largestTotal(tenant);
+            accounts.put(tenant, account);
+        }
+        account.decayingCount = account.countAt(nowMicros) + 1;
+        account.countedAt = nowMicros;
         account.rate = rate;
         account.burst = burst;
         if (rate <= 0) {
             return 0;
         }
-        double fill = refill(now, account);
-        if (account.level >= 1) {
-            account.level--;
+        double refillRate = refill(nowMicros, account);
+        if (account.tokens >= 1) {
+            account.tokens--;
             return 0;
         }
-        return Math.max(10_000, (long) ((1 - account.level) / Math.max(0.1, fill) * 1e6));
+        double missing = 1 - account.tokens;
+        return Math.max(MIN_RETRY_MICROS, (long) (missing / Math.max(MIN_REFILL_RATE, refillRate) * MICROS_PER_SECOND));
     }
 
-    /** Lets in what has come due, by what was known in that time; how much comes a second. */
-    private double refill(long now, Account account) {
+    /** Adds the tokens since the last refill, by what was known in that time; returns the rate per second. */
+    private double refill(long nowMicros, Account account) {
         double rate = account.rate;
-        double own = asked(account, now) / SPAN * 1e6;
-        double part = part(now, account, own);
-        double fill = Math.max(
-                part * rate, Math.min(rate - OTHERS * Math.max(0, account.all - own), SPARE * part * rate + 1));
-        double its = part * account.burst * BURST;
+        double ownDemand = account.demandAt(nowMicros);
+        double share = share(nowMicros, account, ownDemand);
+        double leftByOthers = rate - OTHERS_FACTOR * Math.max(0, account.totalDemand - ownDemand);
+        double refillRate = Math.max(share * rate, Math.min(leftByOthers, SPARE_FACTOR * share * rate + 1));
+        double capacity = share * account.burst * BURST_FACTOR;
         boolean scarce = account.isScarceNow();
-        if (account.filledAt < 0) {
-            account.level = scarce ? its : Math.max(1, its);
+        if (account.refilledAt < 0) {
+            account.tokens = scarce ? capacity : Math.max(1, capacity);
         } else {
-            // What nobody used until now is together more than the burst: each has its part from now on.
-            double from = scarce && !account.scarce ? Math.min(account.level, its) : account.level;
-            account.level = Math.min(Math.max(1, its), from + fill * (now - account.filledAt) / 1e6);
+            // What all have left unused so far is together more than the burst: from now on each has its share of it.
+            boolean becameScarce = scarce && !account.scarce;
+            double tokens = becameScarce ? Math.min(account.tokens, capacity) : account.tokens;
+            double added = refillRate * (nowMicros - account.refilledAt) / MICROS_PER_SECOND;
+            account.tokens = Math.min(Math.max(1, capacity), tokens + added);
         }
         account.scarce = scarce;
-        account.filledAt = now;
-        return fill;
+        account.refilledAt = nowMicros;
+        return refillRate;
     }
 
-    private double part(long now, Account account, double own) {
-        double fair = 1.0 / pilots;
-        if (newsAt == 0) {
-            return fair / 2;
+    /** The fraction of the limit that this proxy may admit now. */
+    private double share(long nowMicros, Account account, double ownDemand) {
+        double fairShare = 1.0 / proxyCount;
+        if (totalsReceivedAt == 0) {
+            return fairShare * UNINFORMED_FACTOR;
         }
-        // Where more is asked than there is, parts have to be of one time, or they are more than all.
-        boolean scarce = account.isScarceNow();
-        double its = scarce ? account.ownThen : Math.min(own, 1.25 * account.ownThen + 2);
-        double part = account.all <= 0
-                ? fair
-                : Math.min(1, Math.max(its / Math.max(its, account.all), fair / (scarce ? 16 : 4)));
-        long silence = now - newsAt;
-        return silence < STALE ? part : silence < FORGOTTEN ? Math.min(part, fair) * 0.7 : Math.min(part, fair) * 0.5;
+        double share = informedShare(account, ownDemand, fairShare);
+        long age = nowMicros - totalsReceivedAt;
+        if (age < STALE_AFTER_MICROS) {
+            return share;
+        }
+        double factor = age < FORGOTTEN_AFTER_MICROS ? STALE_FACTOR : FORGOTTEN_FACTOR;
+        return Math.min(share, fairShare) * factor;
     }
 
-    private static double asked(Account account, long now) {
-        return account.asked * Math.exp(-(now - account.askedAt) / SPAN);
+    private double informedShare(Account account, double ownDemand, double fairShare) {
+        if (account.totalDemand <= 0) {
+            return fairShare;
+        }
+        // Where the limit is scarce, demand and total have to be of the same time, or the shares exceed it together.
+        boolean scarce = account.isScarceNow();
+        double demand = scarce
+                ? account.reportedInTotal
+                : Math.min(ownDemand, DEMAND_GROWTH_FACTOR * account.reportedInTotal + DEMAND_GROWTH);
+        double minShare = fairShare / (scarce ? MIN_SHARE_DIVISOR_SCARCE : MIN_SHARE_DIVISOR);
+        return Math.min(1, Math.max(demand / Math.max(demand, account.totalDemand), minShare));
     }
 
-    /** By tenant, how many a second this pilot is asked. */
-    public Map<String, Double> asked(long now) {
-        Map<String, Double> all = new TreeMap<>();
+    /** The demand of each tenant at this proxy; tenants without any are left out. */
+    public Map<String, Double> demand(long nowMicros) {
+        Map<String, Double> demandByTenant = new TreeMap<>();
         accounts.forEach((tenant, account) -> {
-            double rate = asked(account, now) / SPAN * 1e6;
-            if (rate > LEAST) {
-                all.put(tenant, round(rate));
+            double demand = account.demandAt(nowMicros);
+            if (demand > MIN_DEMAND) {
+                demandByTenant.put(tenant, round(demand));
             }
         });
-        return all;
+        return demandByTenant;
     }
 
-    /** What is told the harbours: what has changed since it was told, or all of it; nought for no more. */
-    public Map<String, Double> news(long now, boolean all) {
-        Map<String, Double> news = new TreeMap<>();
+    /**
+     * The demand to report to the controllers, which counts as reported from then on: that which has changed
+     * noticeably, or all. Where only changes are reported, a tenant whose demand has ended is in it once with 0.
+     */
+    public Map<String, Double> takeChangedDemand(long nowMicros, boolean all) {
+        Map<String, Double> changed = new TreeMap<>();
         accounts.forEach((tenant, account) -> {
-            double exact = asked(account, now) / SPAN * 1e6;
-            double rate = exact > LEAST ? round(exact) : 0;
-            double noted = Math.max(NOTED_PART * account.told, NOTED_SHARE * account.rate / pilots);
-            if (all ? rate > 0 : Math.abs(rate - account.told) > noted || rate == 0 && account.told > 0) {
-                news.put(tenant, rate);
-                account.told = rate;
+            double exact = account.demandAt(nowMicros);
+            double demand = exact > MIN_DEMAND ? round(exact) : 0;
+            if (all ? demand > 0 : isReportable(account, demand)) {
+                changed.put(tenant, demand);
+                account.reportedDemand = demand;
             } else if (all) {
-                account.told = 0;
+                account.reportedDemand = 0;
             }
         });
-        return news;
+        return changed;
+    }
+
+    private boolean isReportable(Account account, double demand) {
+        double threshold = Math.max(
+                REPORTED_CHANGE_FRACTION * account.reportedDemand,
+                REPORTED_CHANGE_OF_SHARE * account.rate / proxyCount);
+        return Math.abs(demand - account.reportedDemand) > threshold || demand == 0 && account.reportedDemand > 0;
     }
 
-    private static double round(double rate) {
-        return Math.round(rate * 100) / 100.0;
+    /** To two decimals. */
+    private static double round(double demand) {
+        return Math.round(demand * 100) / 100.0;
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -182,10 +182,9 @@
                         .as("served by a proxy that has reached only the partitioned controller")
                         .hasValue(0);
             }
-            System.out.println(
-                    way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
-                            + " requests served by the old configuration at the proxy that reaches only the partitioned "
-                            + "controller");
+            System.out.println(way + ": " + acknowledgedByMajority + " acknowledged, " + servedByOldRoute
+                    + " requests served by the old configuration at the proxy that reaches only the partitioned "
+                    + "controller");
             relay.join();
             awaitAllRead();
             rig.await(
--- a/src/test/java/org/cypressweir/controlplane/registry/ProxyRegistrations.java
+++ b/src/test/java/org/cypressweir/controlplane/registry/ProxyRegistrations.java
@@ -1,20 +1,20 @@
 package org.cypressweir.controlplane.registry;
 
-/** Berths for tests. */
+/** Registrations for tests. */
 final class ProxyRegistrations {
 
     private ProxyRegistrations() {}
 
-    static ProxyRegistration of(String name, long life, long number) {
+    static ProxyRegistration of(String name, long incarnation, long number) {
         return new ProxyRegistration(
                 name,
-                life,
+                incarnation,
                 number,
                 "10.0.0.1:7000",
                 "10.0.0.1:7500",
                 "z",
                 "s",
                 false,
-                new ApplicationInstance(name + life, "s", "10.0.0.1:80", 4, false, 0));
+                new ApplicationInstance(name + incarnation, "s", "10.0.0.1:80", 4, false, 0));
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/registry/ProxyRegistryTest.java
+++ b/src/test/java/org/cypressweir/controlplane/registry/ProxyRegistryTest.java
@@ -59,7 +59,7 @@
         registry.register("c1", ProxyRegistrations.of("a", 1, 50));
         assertThat(registry.register("c2", ProxyRegistrations.of("a", 2, 0))).isTrue();
         assertThat(registry.register("c1", ProxyRegistrations.of("a", 1, 51))).isFalse();
-        assertThat(registry.get("a").life()).isEqualTo(2);
+        assertThat(registry.get("a").incarnation()).isEqualTo(2);
         registry.connectionLost(1_000, "c1");
         assertThat(registry.expire(9_000_000)).isEmpty();
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyToControllerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GoldenProxyToControllerTest.java
@@ -122,7 +122,7 @@
 
     private void askFor(String tenant, int requests) {
         for (int i = 0; i < requests; i++) {
-            quotas.ask(NOW, tenant, 10, 5);
+            quotas.tryAcquire(NOW, tenant, 10, 5);
         }
     }
 
