--- a/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
@@ -4,6 +4,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -35,33 +36,31 @@
 import org.cypressweir.common.transport.PeerConnection;
 import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.common.transport.PeerTransport;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.Item;
-import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.distribution.ItemChunks;
 import org.cypressweir.dataplane.quota.QuotaShares;
 import org.cypressweir.loadbalancing.HollowFleet;
 import org.cypressweir.testkit.ApplicationStubs;
 
 /**
- * Three harbours as processes with the settings that they run with, real pilots with a server each, and so
- * many hollow pilots in this process: these have no server and keep no roster, but their own lines, beats,
- * tallies and stamps; they take the lines of real pilots and dial none themselves. Loopback only; it ends
- * what it has started.
+ * Three controllers as processes with the settings that they run with, real proxies with an application each, and
+ * many hollow proxies in this process: these have no application and keep no endpoint list, but their own
+ * connections, registrations, demand and configuration versions; they accept the connections of real proxies and
+ * open none to their peers. Loopback only; it ends what it has started.
  */
 public final class HollowFleetBench {
 
-    /** The plan of a pilot's lines to harbours. */
-    private static final PeerConnectionPool.Plan LINES =
+    /** The plan of a proxy's connections to controllers. */
+    private static final PeerConnectionPool.Plan CONNECTION_PLAN =
             new PeerConnectionPool.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
     private static final int LOOPS = 6;
-    private static final int HARBOURS = 3;
-    private static final int REAL = 2;
+    private static final int CONTROLLERS = 3;
+    private static final int REAL_PROXIES = 2;
     private static final int QUIET_SECONDS = 15;
     private static final int CHANGES = 30;
     private static final int TENANTS = 3;
-    private static final long PATIENCE_MILLIS = 90_000;
+    private static final long TIMEOUT_MILLIS = 90_000;
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
@@ -74,13 +73,13 @@
             "-Dio.netty.allocator.type=unpooled",
             "-Dio.netty.leakDetectionLevel=disabled");
 
-    /** A change that is waited for, and when each hollow pilot knew it first. */
-    private static final class Awaited {
+    /** A change that is awaited, and when each hollow proxy received it first. */
+    private static final class AwaitedChange {
         private final String name;
         private final long version;
-        private final Map<Integer, Long> known = new ConcurrentHashMap<>();
+        private final Map<Integer, Long> receivedAt = new ConcurrentHashMap<>();
 
-        private Awaited(String name, long version) {
+        private AwaitedChange(String name, long version) {
             this.name = name;
             this.version = version;
         }
@@ -96,14 +95,14 @@
     private final HttpClient http = HttpClient.newHttpClient();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
     private final Map<String, Process> processes = new TreeMap<>();
-    private final List<ApplicationStubs> ships = new ArrayList<>();
-    private final List<One> pilots = new ArrayList<>();
-    private final AtomicReference<Awaited> awaited = new AtomicReference<>(new Awaited("", 0));
-    /** By pilot, the harbours that have told it a whole roster on the line that is up. */
-    private final Map<Integer, Set<String>> whole = new ConcurrentHashMap<>();
+    private final List<ApplicationStubs> applications = new ArrayList<>();
+    private final List<HollowProxy> proxies = new ArrayList<>();
+    private final AtomicReference<AwaitedChange> awaited = new AtomicReference<>(new AwaitedChange("", 0));
+    /** By proxy, the controllers that have sent it a complete endpoint list on the connection that is open. */
+    private final Map<Integer, Set<String>> complete = new ConcurrentHashMap<>();
 
     private final Map<String, Object> found = new LinkedHashMap<>();
-    /** The longest time between two ticks of a hollow pilot, which are due each 50 ms. */
+    /** The longest time between two ticks of a hollow proxy, which are due each 50 ms. */
     private final AtomicLong latest = new AtomicLong();
 
     private HollowFleetBench(Path folder, long seed, int n) {
@@ -119,30 +118,30 @@
         return "127." + second + "." + (third + 1 + index / 250) + "." + (1 + index % 250);
     }
 
-    /** A hollow pilot; everything in it happens on its loop. */
-    private final class One implements PeerConnectionPool.Owner {
+    /** A hollow proxy; used on its event loop alone. */
+    private final class HollowProxy implements PeerConnectionPool.Owner {
         private final int index;
         private final EventLoop loop;
-        private final ConfigurationSubscriber following = new ConfigurationSubscriber();
+        private final ConfigurationSubscriber configuration = new ConfigurationSubscriber();
         private final QuotaShares quotas = new QuotaShares();
-        private final PeerConnectionPool moorings;
-        private final Map<String, long[]> places = new HashMap<>();
-        private long number;
+        private final PeerConnectionPool connections;
+        private final Map<String, ControllerMessage.EndpointUpdate> lastUpdates = new HashMap<>();
+        private long registrationNumber;
         private long ticks;
         private long tickedAt;
-        private PeerConnection tellersLine;
+        private PeerConnection totalsConnection;
 
-        private One(int index, EventLoop loop) {
+        private HollowProxy(int index, EventLoop loop) {
             this.index = index;
             this.loop = loop;
-            moorings = new PeerConnectionPool(
+            connections = new PeerConnectionPool(
                     new PeerTransport(loop, clock),
                     clock,
-                    LINES,
-                    () -> JsonCodec.map("t", "hello", "kind", "pilot", "name", "side-" + index),
+                    CONNECTION_PLAN,
+                    () -> ControllerMessageCodec.hello("side-" + index),
                     this);
-            loop.execute(() -> moorings.want(IntStream.rangeClosed(1, HARBOURS)
-                    .mapToObj(h -> net + h + ":21700")
+            loop.execute(() -> connections.want(IntStream.rangeClosed(1, CONTROLLERS)
+                    .mapToObj(controller -> net + controller + ":21700")
                     .collect(Collectors.toSet())));
             loop.scheduleAtFixedRate(this::tick, random.nextInt(50), 50, TimeUnit.MILLISECONDS);
         }
@@ -152,112 +151,114 @@
             long now = clock.getAsLong();
             latest.accumulateAndGet(tickedAt == 0 ? 0 : now - tickedAt, Math::max);
             tickedAt = now;
-            moorings.tick();
-            ask();
+            connections.tick();
+            requestConfiguration();
             if (ticks % 4 == 0) {
-                tellAsked();
+                publishDemand();
             }
             if (ticks % 40 == 0) {
-                tellBerth();
+                publishRegistration();
             }
         }
 
-        private void ask() {
-            String whom = following.ask(clock.getAsLong());
-            if (whom != null) {
-                moorings.send(
-                        whom,
-                        JsonCodec.map("t", "want", "have", following.stamp().toString()));
+        private void requestConfiguration() {
+            String address = configuration.nextRequestTarget(clock.getAsLong());
+            if (address != null) {
+                connections.send(address, ControllerMessageCodec.configurationRequest(configuration.version()));
             }
         }
 
-        private void tellAsked() {
+        private void publishDemand() {
             for (int k = 0; k < TENANTS; k++) {
                 quotas.ask(clock.getAsLong(), "tenant-" + (index * 7 + k * 13) % 200, 50, 20);
             }
-            boolean all = ticks % 40 == 0;
-            Map<String, Double> asked = quotas.news(clock.getAsLong(), all);
-            if (!asked.isEmpty()) {
-                toAll(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
+            boolean isComplete = ticks % 40 == 0;
+            Map<String, Double> demand = quotas.news(clock.getAsLong(), isComplete);
+            if (!demand.isEmpty()) {
+                sendToAll(ControllerMessageCodec.demand(demand, isComplete));
             }
-            PeerConnection teller = moorings.line(net + (1 + index % HARBOURS) + ":21700");
-            if (teller != null && teller != tellersLine) {
-                tellersLine = teller;
-                teller.send(JsonCodec.map("t", "sums", "on", true));
+            PeerConnection connection = connections.line(net + (1 + index % CONTROLLERS) + ":21700");
+            if (connection != null && connection != totalsConnection) {
+                totalsConnection = connection;
+                connection.send(ControllerMessageCodec.totalsSubscription(true));
             }
         }
 
-        private Map<String, Object> berth() {
-            return JsonCodec.map(
-                    "t",
-                    "berth",
-                    "berth",
-                    HollowFleet.berth(index, number, ip(index)).toMap(clock.getAsLong()));
+        private Map<String, Object> registration() {
+            return ControllerMessageCodec.registration(
+                    HollowFleet.berth(index, registrationNumber, ip(index)), clock.getAsLong());
         }
 
-        private void tellBerth() {
-            toAll(berth());
+        private void publishRegistration() {
+            sendToAll(registration());
         }
 
-        private void toAll(Map<String, Object> head) {
-            moorings.addresses().forEach(address -> moorings.send(address, head));
+        private void sendToAll(Map<String, Object> message) {
+            connections.addresses().forEach(address -> connections.send(address, message));
         }
 
         @Override
-        public void up(String address, PeerConnection line) {
-            line.send(berth());
-            long[] place = places.getOrDefault(address, new long[] {0, -1});
-            line.send(JsonCodec.map("t", "follow", "life", place[0], "place", place[1]));
+        public void up(String address, PeerConnection connection) {
+            connection.send(registration());
+            ControllerMessage.EndpointUpdate last = lastUpdates.get(address);
+            connection.send(
+                    last == null
+                            ? ControllerMessageCodec.subscription(0, -1)
+                            : ControllerMessageCodec.subscription(last.controllerIncarnation(), last.offset()));
         }
 
         @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
-            switch (JsonCodec.text(head, "t")) {
-                case "welcome", "stamp" -> {
-                    following.shows(address, ProposalNumber.of(JsonCodec.text(head, "stamp")));
-                    ask();
-                }
-                case "roster" -> {
-                    places.put(address, new long[] {Json.whole(head, "life", 0), Json.whole(head, "place", -1)});
-                    if (Json.flag(head, "whole")) {
-                        whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet())
-                                .add(address);
-                    }
-                    for (Object one : Json.array(head, "berths")) {
-                        Map<?, ?> berth = (Map<?, ?>) one;
-                        known(JsonCodec.text(berth, "name"), Json.whole(berth, "number", 0));
-                    }
-                }
-                case "items" -> items(address, head, body);
-                case "tallies" -> quotas.told(clock.getAsLong(), address, Json.object(head, "asked"));
-                default -> {}
+        public void heard(String address, PeerConnection connection, Map<String, Object> head, byte[] body) {
+            ControllerMessage message = ControllerMessageCodec.decode(head, clock.getAsLong());
+            if (message instanceof ControllerMessage.VersionAnnouncement announcement) {
+                configuration.versionAnnounced(address, announcement.version());
+                requestConfiguration();
+            } else if (message instanceof ControllerMessage.EndpointUpdate update) {
+                receive(address, update);
+            } else if (message instanceof ControllerMessage.ConfigurationChunk chunk) {
+                receive(address, chunk, body);
+            } else if (message instanceof ControllerMessage.DemandTotals totals) {
+                quotas.told(clock.getAsLong(), address, totals.demandByTenant());
+            }
+        }
+
+        private void receive(String address, ControllerMessage.EndpointUpdate update) {
+            lastUpdates.put(
+                    address,
+                    new ControllerMessage.EndpointUpdate(
+                            update.controllerIncarnation(), update.offset(), false, List.of(), List.of()));
+            if (update.isComplete()) {
+                complete.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet())
+                        .add(address);
             }
+            update.registrations().forEach(registration -> received(registration.name(), registration.number()));
         }
 
-        private void items(String address, Map<String, Object> head, byte[] body) {
+        private void receive(String address, ControllerMessage.ConfigurationChunk chunk, byte[] body) {
             try {
                 List<Item> items = ItemChunks.unpack(body);
-                if (following.told(clock.getAsLong(), address, head, items)) {
-                    items.forEach(item -> known(item.key().name(), item.version()));
+                if (configuration.chunkReceived(clock.getAsLong(), address, chunk, items)) {
+                    items.forEach(item -> received(item.key().name(), item.version()));
                 }
             } catch (IOException e) {
-                throw new IllegalStateException(e);
+                throw new UncheckedIOException(e);
             }
         }
 
-        private void known(String name, long version) {
-            Awaited its = awaited.get();
-            if (its.version == version && its.name.equals(name)) {
-                its.known.putIfAbsent(index, clock.getAsLong());
+        private void received(String name, long version) {
+            AwaitedChange change = awaited.get();
+            if (change.version == version && change.name.equals(name)) {
+                change.receivedAt.putIfAbsent(index, clock.getAsLong());
             }
         }
 
         @Override
-        public void lost(String address, PeerConnection line) {
-            if (moorings.line(address) == null) {
-                following.lost(address);
+        public void lost(String address, PeerConnection connection) {
+            if (connections.line(address) == null) {
+                configuration.controllerLost(address);
                 quotas.silent(address);
-                whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet()).remove(address);
+                complete.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet())
+                        .remove(address);
             }
         }
 
@@ -265,16 +266,16 @@
         public void refused(String address) {}
     }
 
-    /** Takes what real pilots say. */
-    private static final class Silent implements PeerConnection.Ear {
+    /** Accepts the connections of real proxies. */
+    private static final class IgnoringListener implements PeerConnection.Ear {
         @Override
-        public void opened(PeerConnection line) {}
+        public void opened(PeerConnection connection) {}
 
         @Override
-        public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {}
+        public void heard(PeerConnection connection, Map<String, Object> head, byte[] body) {}
 
         @Override
-        public void closed(PeerConnection line) {}
+        public void closed(PeerConnection connection) {}
     }
 
     // ---- Processes
@@ -286,7 +287,7 @@
         String own = service == null
                 ? "\"dataDirectory\":\"" + folder.resolve(name) + "\""
                 : "\"application\":\"" + ip + ":21800\",\"service\":\"" + service + "\"";
-        String seeds = IntStream.rangeClosed(1, HARBOURS)
+        String seeds = IntStream.rangeClosed(1, CONTROLLERS)
                 .mapToObj(h -> "\"" + net + h + ":21700\"")
                 .collect(Collectors.joining(","));
         Files.writeString(
@@ -314,8 +315,8 @@
         builder.environment()
                 .put("CYPRESSWEIR_NODE_FILE", folder.resolve(name + ".json").toString());
         processes.put(name, builder.start());
-        if (service != null && ships.size() < REAL) {
-            ships.add(new ApplicationStubs(
+        if (service != null && applications.size() < REAL_PROXIES) {
+            applications.add(new ApplicationStubs(
                     ApplicationStubs.at(ip, 21800),
                     ApplicationStubs.at(ip, 21790),
                     service + "-" + name,
@@ -325,13 +326,13 @@
         }
     }
 
-    private boolean order(int harbour, String order) {
+    private boolean submit(int controller, String change) {
         try {
             return http.send(
                                     HttpRequest.newBuilder(URI.create(
-                                                    "http://" + net + harbour + ":21790/cypressweir/config/modify"))
+                                                    "http://" + net + controller + ":21790/cypressweir/config/modify"))
                                             .timeout(Duration.ofSeconds(5))
-                                            .POST(HttpRequest.BodyPublishers.ofString(order.replace('\'', '"')))
+                                            .POST(HttpRequest.BodyPublishers.ofString(change.replace('\'', '"')))
                                             .build(),
                                     HttpResponse.BodyHandlers.discarding())
                             .statusCode()
@@ -343,10 +344,10 @@
         }
     }
 
-    /** Waits until it holds, looking each 5 ms; whether it did. */
-    private static boolean holds(BooleanSupplier what) throws InterruptedException {
-        long until = System.currentTimeMillis() + PATIENCE_MILLIS;
-        while (!what.getAsBoolean()) {
+    /** Waits until the condition holds, checking each 5 ms; whether it did. */
+    private static boolean await(BooleanSupplier condition) throws InterruptedException {
+        long until = System.currentTimeMillis() + TIMEOUT_MILLIS;
+        while (!condition.getAsBoolean()) {
             if (System.currentTimeMillis() > until) {
                 return false;
             }
@@ -356,7 +357,7 @@
     }
 
     /** Processor time in seconds, bytes read and written, and resident kB now and at most. */
-    private Map<String, double[]> use() {
+    private Map<String, double[]> resourceUse() {
         Map<String, double[]> use = new TreeMap<>();
         processes.forEach((name, process) -> {
             Path proc = Path.of("/proc/" + process.pid());
@@ -386,27 +387,27 @@
         return use;
     }
 
-    private void tellUse(String phase, Map<String, double[]> before, double seconds) {
-        found.put(phase + "_hollow_late_ms", one(latest.getAndSet(0) / 1e3));
-        use().forEach((name, now) -> {
+    private void recordUse(String phase, Map<String, double[]> before, double seconds) {
+        found.put(phase + "_hollow_late_ms", rounded(latest.getAndSet(0) / 1e3));
+        resourceUse().forEach((name, now) -> {
             double[] then = before.get(name);
             found.put(
                     phase + "_" + name,
                     JsonCodec.map(
                             "cpu_percent",
-                            one((now[0] - then[0]) / seconds * 100),
+                            rounded((now[0] - then[0]) / seconds * 100),
                             "read_kB_s",
-                            one((now[1] - then[1]) / seconds / 1e3),
+                            rounded((now[1] - then[1]) / seconds / 1e3),
                             "written_kB_s",
-                            one((now[2] - then[2]) / seconds / 1e3),
+                            rounded((now[2] - then[2]) / seconds / 1e3),
                             "rss_MB",
-                            one(now[3] / 1e3),
+                            rounded(now[3] / 1e3),
                             "most_MB",
-                            one(now[4] / 1e3)));
+                            rounded(now[4] / 1e3)));
         });
     }
 
-    private static double one(double value) {
+    private static double rounded(double value) {
         return Math.round(value * 10) / 10.0;
     }
 
@@ -414,39 +415,39 @@
 
     private void run() throws IOException, InterruptedException {
         found.put("hollow", n);
-        for (int h = 1; h <= HARBOURS; h++) {
+        for (int h = 1; h <= CONTROLLERS; h++) {
             start("h" + h, null);
         }
-        for (int p = 1; p <= REAL; p++) {
+        for (int p = 1; p <= REAL_PROXIES; p++) {
             start("p" + p, "orders");
         }
         String routes = IntStream.range(0, 200).mapToObj(i -> route(i, 1)).collect(Collectors.joining(","));
-        if (!holds(() -> order(
+        if (!await(() -> submit(
                 1,
                 "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
                         + "'maxConnections':32,'configVersion':'r1'}},'routeTable':{" + routes + "}}}"))) {
-            throw new IllegalStateException("no order was taken");
+            throw new IllegalStateException("no change was accepted");
         }
-        long begun = clock.getAsLong();
-        Map<String, double[]> before = use();
+        long startedAt = clock.getAsLong();
+        Map<String, double[]> before = resourceUse();
         for (int i = 0; i < n; i++) {
-            // Real pilots keep a line to each.
-            new PeerTransport(group, clock).listen(new InetSocketAddress(ip(i), 21_700), new Silent());
-            pilots.add(new One(i, group.next()));
-            // Each is told to all before it, and one process hears that for all.
+            // Real proxies keep a connection to each.
+            new PeerTransport(group, clock).listen(new InetSocketAddress(ip(i), 21_700), new IgnoringListener());
+            proxies.add(new HollowProxy(i, group.next()));
+            // Each is announced to all before it, and one process receives that for all.
             TimeUnit.MILLISECONDS.sleep(Math.max(20, 80 * n / 1_000));
         }
-        found.put("all_whole", holds(() -> count(HARBOURS) == n));
-        double seconds = (clock.getAsLong() - begun) / 1e6;
-        found.put("arrivals_s", one(seconds));
-        tellUse("arrivals", before, seconds);
+        found.put("all_whole", await(() -> count(CONTROLLERS) == n));
+        double seconds = (clock.getAsLong() - startedAt) / 1e6;
+        found.put("arrivals_s", rounded(seconds));
+        recordUse("arrivals", before, seconds);
         TimeUnit.SECONDS.sleep(4);
-        before = use();
+        before = resourceUse();
         TimeUnit.SECONDS.sleep(QUIET_SECONDS);
-        tellUse("quiet", before, QUIET_SECONDS);
+        recordUse("quiet", before, QUIET_SECONDS);
         changes("configuration", true);
         changes("roster", false);
-        returns();
+        restartController();
         found.put(
                 "alive",
                 processes.entrySet().stream()
@@ -455,9 +456,11 @@
                         .toList());
     }
 
-    /** Pilots that have had a whole roster from so many harbours. */
-    private long count(int harbours) {
-        return whole.values().stream().filter(all -> all.size() >= harbours).count();
+    /** Proxies that have a complete endpoint list from so many controllers. */
+    private long count(int controllers) {
+        return complete.values().stream()
+                .filter(all -> all.size() >= controllers)
+                .count();
     }
 
     private static String route(int i, int version) {
@@ -466,30 +469,30 @@
                 + "'orders','maxAttempts':3,'publicAccess':false,'configVersion':'r" + version + "'}";
     }
 
-    /** One after the other; each counted from its sending until each hollow pilot has it. */
+    /** One change after the other; each timed from its submission until each hollow proxy has received it. */
     private void changes(String what, boolean configuration) throws InterruptedException {
         List<Double> all = new ArrayList<>();
         List<Double> last = new ArrayList<>();
         int incomplete = 0;
-        Map<String, double[]> before = use();
-        long begun = clock.getAsLong();
+        Map<String, double[]> before = resourceUse();
+        long startedAt = clock.getAsLong();
         for (int c = 0; c < CHANGES; c++) {
             int i = random.nextInt(configuration ? 200 : n);
-            Awaited its = new Awaited(configuration ? "route-" + i : "side-" + i, 2 + c);
-            awaited.set(its);
+            AwaitedChange change = new AwaitedChange(configuration ? "route-" + i : "side-" + i, 2 + c);
+            awaited.set(change);
             long sent = clock.getAsLong();
             if (configuration) {
-                order(1 + c % HARBOURS, "{'upsert':{'routeTable':{" + route(i, 2 + c) + "}}}");
+                submit(1 + c % CONTROLLERS, "{'upsert':{'routeTable':{" + route(i, 2 + c) + "}}}");
             } else {
-                One one = pilots.get(i);
+                HollowProxy proxy = proxies.get(i);
                 int version = 2 + c;
-                one.loop.execute(() -> {
-                    one.number = version;
-                    one.tellBerth();
+                proxy.loop.execute(() -> {
+                    proxy.registrationNumber = version;
+                    proxy.publishRegistration();
                 });
             }
-            incomplete += holds(() -> its.known.size() == n) ? 0 : 1;
-            List<Double> times = its.known.values().stream()
+            incomplete += await(() -> change.receivedAt.size() == n) ? 0 : 1;
+            List<Double> times = change.receivedAt.values().stream()
                     .map(at -> (at - sent) / 1e3)
                     .sorted()
                     .toList();
@@ -497,65 +500,65 @@
             last.add(times.isEmpty() ? Double.NaN : times.get(times.size() - 1));
             TimeUnit.MILLISECONDS.sleep(200);
         }
-        double seconds = (clock.getAsLong() - begun) / 1e6;
+        double seconds = (clock.getAsLong() - startedAt) / 1e6;
         all.sort(Comparator.naturalOrder());
         last.sort(Comparator.naturalOrder());
         found.put(
                 what + "_ms",
                 JsonCodec.map(
                         "median",
-                        one(all.get(all.size() / 2)),
+                        rounded(all.get(all.size() / 2)),
                         "p99",
-                        one(all.get((int) (all.size() * 0.99))),
+                        rounded(all.get((int) (all.size() * 0.99))),
                         "worst",
-                        one(all.get(all.size() - 1)),
+                        rounded(all.get(all.size() - 1)),
                         "all_have_it_median",
-                        one(last.get(last.size() / 2)),
+                        rounded(last.get(last.size() / 2)),
                         "incomplete",
                         incomplete,
                         "a_second",
-                        one(CHANGES / seconds)));
-        tellUse(what, before, seconds);
+                        rounded(CHANGES / seconds)));
+        recordUse(what, before, seconds);
     }
 
-    /** A harbour is ended and comes back: all pilots come to it at once. */
-    private void returns() throws IOException, InterruptedException {
-        String name = "h" + HARBOURS;
+    /** A controller is killed and restarts: all proxies reconnect to it at once. */
+    private void restartController() throws IOException, InterruptedException {
+        String name = "h" + CONTROLLERS;
         processes.get(name).destroyForcibly().waitFor();
         TimeUnit.SECONDS.sleep(3);
-        String address = net + HARBOURS + ":21700";
-        long begun = clock.getAsLong();
+        String address = net + CONTROLLERS + ":21700";
+        long startedAt = clock.getAsLong();
         start(name, null);
-        boolean done = holds(() -> !processes.get(name).isAlive()
-                        || whole.values().stream()
+        boolean done = await(() -> !processes.get(name).isAlive()
+                        || complete.values().stream()
                                         .filter(all -> all.contains(address))
                                         .count()
                                 == n)
                 && processes.get(name).isAlive();
-        double[] its = use().get(name);
-        found.put("return_hollow_late_ms", one(latest.getAndSet(0) / 1e3));
+        double[] its = resourceUse().get(name);
+        found.put("return_hollow_late_ms", rounded(latest.getAndSet(0) / 1e3));
         found.put(
                 "return",
                 JsonCodec.map(
                         "all_have_its_whole",
                         done,
                         "s",
-                        one((clock.getAsLong() - begun) / 1e6),
+                        rounded((clock.getAsLong() - startedAt) / 1e6),
                         "told",
-                        whole.values().stream()
+                        complete.values().stream()
                                 .filter(all -> all.contains(address))
                                 .count(),
                         "cpu_s",
-                        one(its[0]),
+                        rounded(its[0]),
                         "written_MB",
-                        one(its[2] / 1e6),
+                        rounded(its[2] / 1e6),
                         "most_MB",
-                        one(its[4] / 1e3)));
+                        rounded(its[4] / 1e3)));
     }
 
     private void close() throws IOException, InterruptedException {
-        for (ApplicationStubs ship : ships) {
-            ship.close();
+        for (ApplicationStubs application : applications) {
+            application.close();
         }
         for (Process process : processes.values()) {
             process.destroyForcibly().waitFor();
@@ -563,7 +566,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** A folder to work in, a seed, and how many hollow pilots. */
+    /** A folder to work in, a seed, and how many hollow proxies. */
     public static void main(String[] args) throws IOException, InterruptedException {
         String[] given = String.join(" ", args).split(" ");
         Path folder = Files.createTempDirectory(Files.createDirectories(Path.of(given[0])), "hollow");
--- a/src/bench/java/org/cypressweir/dataplane/proxy/ProxySizeBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/ProxySizeBench.java
@@ -13,7 +13,6 @@
 import java.util.stream.IntStream;
 import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.util.Ids;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.registry.EndpointDirectory;
@@ -22,13 +21,13 @@
 import org.cypressweir.loadbalancing.HollowFleet;
 
 /**
- * One pilot's state and work with so many servers in 220 services and six harbours that tell of them: the
- * real directory, ways to services, configuration and quotas, without lines. Processor time is this thread's.
+ * The memory and processor time of one proxy with so many application instances in 220 services and updates of six
+ * controllers: the real directory, request handlers, configuration and quotas, without connections. Processor time is this thread's.
  */
 public final class ProxySizeBench {
 
     private static final int TENANTS = 200;
-    private static final long KEEP_VIEW = 3_000_000;
+    private static final long RETENTION_MICROS = 3_000_000;
     private static final List<String> ZONES =
             IntStream.range(0, HollowFleet.ZONES).mapToObj(i -> "zone-" + i).toList();
 
@@ -37,11 +36,11 @@
     private final SplittableRandom random;
     private final Map<String, Double> found = new LinkedHashMap<>();
     private final long[] numbers;
-    private final Map<String, ServiceRequestHandler> helms = new HashMap<>();
-    private final Map<String, ServiceRequestHandler> inner = new HashMap<>();
+    private final Map<String, ServiceRequestHandler> tenantHandlers = new HashMap<>();
+    private final Map<String, ServiceRequestHandler> internalHandlers = new HashMap<>();
     private final long now = 1_000_000_000_000L;
-    private EndpointDirectory directory = new EndpointDirectory(KEEP_VIEW);
-    private RoutingTable bearings = RoutingTable.none();
+    private EndpointDirectory directory = new EndpointDirectory(RETENTION_MICROS);
+    private RoutingTable routingTable = RoutingTable.empty();
     private final QuotaShares quotas = new QuotaShares();
 
     private ProxySizeBench(int n, long seed, EventLoop loop) {
@@ -51,29 +50,27 @@
         numbers = new long[n];
     }
 
-    private byte[] roster(boolean whole, List<Integer> which) {
-        List<Object> berths = new ArrayList<>();
-        which.forEach(i -> berths.add(HollowFleet.berth(i, numbers[i]).toMap(now)));
+    private byte[] endpointUpdate(boolean isComplete, List<Integer> proxies) {
+        List<Object> registrations = new ArrayList<>();
+        proxies.forEach(i -> registrations.add(HollowFleet.berth(i, numbers[i]).toMap(now)));
         return JsonCodec.bytes(JsonCodec.map(
-                "t", "roster", "life", 7, "place", 1, "whole", whole, "berths", berths, "gone", List.of()));
+                "t", "roster", "life", 7, "place", 1, "whole", isComplete, "berths", registrations, "gone", List.of()));
     }
 
-    /** As {@link ControllerClient} takes a roster. */
-    private void told(int harbour, byte[] text) {
+    /** As {@link ControllerClient} applies an endpoint update. */
+    private void receive(int controller, byte[] text) {
         try {
             Map<String, Object> head = JsonCodec.read(text, 0, text.length);
-            List<ProxyRegistration> berths = new ArrayList<>();
-            for (Object one : Json.array(head, "berths")) {
-                berths.add(ProxyRegistration.of((Map<?, ?>) one, now));
-            }
-            directory.told("10.1.0." + harbour, Json.flag(head, "whole"), berths, List.of());
+            ControllerMessage.EndpointUpdate update =
+                    (ControllerMessage.EndpointUpdate) ControllerMessageCodec.decode(head, now);
+            directory.told("10.1.0." + controller, update.isComplete(), update.registrations(), update.removed());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
-        return ways.computeIfAbsent(
+    private ServiceRequestHandler handler(Map<String, ServiceRequestHandler> handlers, String service) {
+        return handlers.computeIfAbsent(
                 service,
                 s -> new ServiceRequestHandler(
                         s,
@@ -83,76 +80,78 @@
                         "side-0",
                         0,
                         ZONES,
-                        ServiceRequestHandler.budget(10_000_000, 1, 0.1)));
+                        ServiceRequestHandler.retryBudget(10_000_000, 1, 0.1)));
     }
 
-    /** As {@link Proxy} makes its lists anew whenever anything has changed; without its lines to pilots. */
-    private void lists() {
-        Map<String, List<Endpoint>> targets = new HashMap<>();
-        Map<String, Long> warm = new HashMap<>();
-        for (ProxyRegistration berth : directory.all()) {
-            helm(helms, berth.ship().service());
-            helm(inner, berth.ship().service());
-            if (berth.takes()) {
-                targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
+    /** As {@link Proxy} rebuilds its endpoint lists whenever anything has changed; without its connections to peers. */
+    private void rebuildLists() {
+        Map<String, List<Endpoint>> endpoints = new HashMap<>();
+        Map<String, Long> warmAt = new HashMap<>();
+        for (ProxyRegistration registration : directory.all()) {
+            handler(tenantHandlers, registration.ship().service());
+            handler(internalHandlers, registration.ship().service());
+            if (registration.takes()) {
+                endpoints
+                        .computeIfAbsent(registration.ship().service(), s -> new ArrayList<>())
                         .add(new Endpoint(
-                                Ids.of(berth.ship().id()),
-                                berth.name(),
-                                berth.life(),
-                                berth.address(),
-                                berth.ship().id(),
-                                berth.zone()));
-                warm.put(berth.ship().id(), berth.ship().warmAt());
+                                Ids.of(registration.ship().id()),
+                                registration.name(),
+                                registration.life(),
+                                registration.address(),
+                                registration.ship().id(),
+                                registration.zone()));
+                warmAt.put(registration.ship().id(), registration.ship().warmAt());
             }
         }
-        for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
-            ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), ZONES, warm));
+        for (Map<String, ServiceRequestHandler> handlers : List.of(tenantHandlers, internalHandlers)) {
+            handlers.forEach((service, handler) ->
+                    handler.updateEndpoints(endpoints.getOrDefault(service, List.of()), ZONES, warmAt));
         }
     }
 
-    private void heap(String what, Runnable made) {
+    private void measureHeap(String name, Runnable action) {
         long before = HollowFleet.heap();
-        made.run();
-        found.put(what + "_heap_bytes", (double) (HollowFleet.heap() - before));
+        action.run();
+        found.put(name + "_heap_bytes", (double) (HollowFleet.heap() - before));
     }
 
     private Map<String, Double> run() {
-        byte[] whole = roster(true, IntStream.range(0, n).boxed().toList());
-        found.put("whole_bytes", (double) whole.length);
-        // What stays of a first roster for good is not the directory's.
-        told(0, whole);
+        byte[] complete = endpointUpdate(true, IntStream.range(0, n).boxed().toList());
+        found.put("whole_bytes", (double) complete.length);
+        // What a first endpoint update leaves in memory for good is not the directory's.
+        receive(0, complete);
         directory.merge(now);
-        directory = new EndpointDirectory(KEEP_VIEW);
-        heap("directory", () -> {
-            for (int h = 0; h < HollowFleet.HARBOURS; h++) {
-                told(h, whole);
+        directory = new EndpointDirectory(RETENTION_MICROS);
+        measureHeap("directory", () -> {
+            for (int controller = 0; controller < HollowFleet.HARBOURS; controller++) {
+                receive(controller, complete);
             }
             directory.merge(now);
         });
-        heap("ways", this::lists);
-        Configuration[] manifest = {null};
-        heap("configuration", () -> {
-            manifest[0] = HollowFleet.manifest();
-            bearings = bearings.next(new ProposalNumber(1, "h"), manifest[0]);
+        measureHeap("ways", this::rebuildLists);
+        Configuration[] configuration = {null};
+        measureHeap("configuration", () -> {
+            configuration[0] = HollowFleet.manifest();
+            routingTable = routingTable.next(new ProposalNumber(1, "h"), configuration[0]);
         });
-        heap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
+        measureHeap("quotas", () -> IntStream.range(0, TENANTS).forEach(i -> quotas.ask(now, "tenant-" + i, 50, 20)));
         quotas.pilots(n);
-        found.put("whole_us", HollowFleet.micros(Math.max(10, 20_000 / n), () -> told(0, whole)));
+        found.put("whole_us", HollowFleet.micros(Math.max(10, 20_000 / n), () -> receive(0, complete)));
         found.put("change_us", HollowFleet.micros(Math.max(20, 20_000 / n), () -> {
             int i = random.nextInt(n);
             numbers[i]++;
-            byte[] news = roster(false, List.of(i));
-            for (int h = 0; h < HollowFleet.HARBOURS; h++) {
-                told(h, news);
+            byte[] update = endpointUpdate(false, List.of(i));
+            for (int controller = 0; controller < HollowFleet.HARBOURS; controller++) {
+                receive(controller, update);
             }
             directory.merge(now);
         }));
-        found.put("lists_us", HollowFleet.micros(Math.max(20, 20_000 / n), this::lists));
+        found.put("lists_us", HollowFleet.micros(Math.max(20, 20_000 / n), this::rebuildLists));
         int[] version = {1};
         found.put("configuration_us", HollowFleet.micros(20, () -> {
             version[0]++;
-            manifest[0] = HollowFleet.next(manifest[0], version[0]);
-            bearings = bearings.next(new ProposalNumber(version[0], "h"), manifest[0]);
+            configuration[0] = HollowFleet.next(configuration[0], version[0]);
+            routingTable = routingTable.next(new ProposalNumber(version[0], "h"), configuration[0]);
         }));
         found.put("tally_us", HollowFleet.micros(200, () -> {
             IntStream.range(0, 20).forEach(i -> quotas.ask(now, "tenant-" + random.nextInt(TENANTS), 50, 20));
@@ -163,7 +162,7 @@
         return found;
     }
 
-    /** A seed, and numbers of servers. */
+    /** Arguments: a seed, and numbers of application instances. */
     public static void main(String[] args) throws Exception {
         EventLoop loop = new DefaultEventLoop();
         HollowFleet.run(
--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -20,167 +20,203 @@
 import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.jboss.logging.Logger;
 
-/** Answers the server on this machine: its beats, its drain and its end are what this pilot tells of it. */
+/**
+ * Answers the heartbeats of the application instance beside this proxy, and makes from them what the proxy
+ * registers of itself: the instance, its draining and its end. An instance whose heartbeats stop counts as
+ * crashed.
+ *
+ * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
+ */
 final class ApplicationLifecycleHandler implements RequestHandler {
 
     private static final Logger LOG = Logger.getLogger(ApplicationLifecycleHandler.class);
-    private static final int REMEMBERED = 16;
-    /** Beats that may be missing in a row. */
-    private static final int MISSED = 3;
-
-    /** What changes with a server. */
-    interface Changed {
-        void changed(ApplicationInstance ship);
-    }
-
-    private final LongSupplier micros;
-    private final Changed changed;
-    private NodeSettings papers;
-    private final long life;
-    private long number;
-    private ApplicationInstance ship;
-    private long sequence;
-    private long heardAt;
-    private long drainedAt;
-    private boolean leaving;
+    /** Ids of instances that have ended: a late heartbeat does not bring one back. */
+    private static final int MAX_ENDED_INSTANCES = 16;
+
+    private static final int MAX_MISSED_HEARTBEATS = 3;
+    private static final long HEARTBEAT_TOLERANCE_MICROS = 500_000;
+
+    /** Notified when the instance, or anything that is registered of it, changes. */
+    interface InstanceListener {
+        /** @param instance null where there is none now */
+        void instanceChanged(ApplicationInstance instance);
+    }
+
+    private final LongSupplier clock;
+    private final InstanceListener listener;
+    private NodeSettings settings;
+    private final long incarnation;
+    /** Of the registration, within this incarnation. */
+    private long registrationNumber;
+
+    private ApplicationInstance instance;
+    private long lastSequence;
+    private long lastHeartbeatAt;
+    private long drainingSince;
+    private boolean isShuttingDown;
     private final Set<String> ended = new LinkedHashSet<>();
 
-    ApplicationLifecycleHandler(LongSupplier micros, NodeSettings papers, long life, Changed changed) {
-        this.micros = micros;
-        this.papers = papers;
-        this.life = life;
-        this.changed = changed;
+    ApplicationLifecycleHandler(
+            LongSupplier clock, NodeSettings settings, long incarnation, InstanceListener listener) {
+        this.clock = clock;
+        this.settings = settings;
+        this.incarnation = incarnation;
+        this.listener = listener;
     }
 
-    void papers(NodeSettings next) {
-        papers = next;
+    void updateSettings(NodeSettings next) {
+        settings = next;
     }
 
-    /** What this pilot tells of itself. */
-    ProxyRegistration berth() {
+    /** What this proxy registers of itself now. */
+    ProxyRegistration registration() {
         return new ProxyRegistration(
-                papers.name(),
-                life,
-                number,
-                papers.lines(papers.ip()),
-                papers.control(),
-                papers.zone(),
-                papers.service() == null ? "" : papers.service(),
-                leaving,
-                ship);
+                settings.name(),
+                incarnation,
+                registrationNumber,
+                settings.lines(settings.ip()),
+                settings.control(),
+                settings.zone(),
+                settings.service() == null ? "" : settings.service(),
+                isShuttingDown,
+                instance);
+    }
+
+    /** Null where there is none. */
+    ApplicationInstance instance() {
+        return instance;
     }
 
-    ApplicationInstance ship() {
-        return ship;
+    /** When the instance's draining was acknowledged; 0 where it doesn't drain. */
+    long drainingSince() {
+        return drainingSince;
     }
 
-    /** When the server has been acknowledged to drain; 0 if it has not. */
-    long drainedAt() {
-        return drainedAt;
+    /** Registers that this proxy shuts down. */
+    void startShutdown() {
+        isShuttingDown = true;
+        registrationChanged();
     }
 
-    /** This pilot ends soon. */
-    void leave() {
-        leaving = true;
-        number++;
-        changed.changed(ship);
+    private void registrationChanged() {
+        registrationNumber++;
+        listener.instanceChanged(instance);
     }
 
     @Override
     public void called(ServerRequest call) {
-        Optional<ApiCall> known = ApiCall.of(call.path());
-        if (known.isEmpty()) {
+        Optional<ApiCall> apiCall = ApiCall.of(call.path());
+        if (apiCall.isEmpty()) {
             call.answer(LocalResponses.of(ErrorKind.NO_CALL));
-        } else if (!known.get().method().equals(call.method())) {
+        } else if (!apiCall.get().method().equals(call.method())) {
             call.answer(LocalResponses.of(ErrorKind.NO_METHOD));
         } else {
-            String id = known.get().name(call.path()).orElse("");
-            switch (known.get()) {
-                case HEARTBEAT -> beat(call, id);
+            String id = apiCall.get().name(call.path()).orElse("");
+            switch (apiCall.get()) {
+                case HEARTBEAT -> receiveHeartbeat(call, id);
                 case DEREGISTER -> {
-                    gone(id, "has ended");
-                    call.answer(taken());
+                    remove(id, "deregistered");
+                    call.answer(acknowledgement());
                 }
                 default -> call.answer(LocalResponses.of(ErrorKind.NO_CALL));
             }
         }
     }
 
-    private static ServerResponse taken() {
+    private static ServerResponse acknowledgement() {
         return ServerResponse.json(200, new byte[] {'{', '}'});
     }
 
-    private void beat(ServerRequest call, String id) {
-        Either<String, Map<String, Object>> read = JsonDocuments.read(call.body());
-        if (read.isLeft()) {
-            call.answer(ServerResponse.text(ErrorKind.MALFORMED.status(), read.getLeft()));
+    private void receiveHeartbeat(ServerRequest call, String id) {
+        Either<String, Map<String, Object>> document = JsonDocuments.read(call.body());
+        if (document.isLeft()) {
+            call.answer(malformed(document.getLeft()));
             return;
         }
-        Map<String, Object> node = JsonCodec.object(read.get(), "nodeInfo");
-        Map<String, Object> oper = JsonCodec.object(read.get(), "operStatus");
-        if (JsonCodec.text(node, "service").isEmpty() || !(oper.get("callSequence") instanceof Number)) {
-            call.answer(ServerResponse.text(
-                    ErrorKind.MALFORMED.status(), "a beat wants nodeInfo.service and operStatus.callSequence"));
+        Map<String, Object> heartbeat = document.get();
+        Map<String, Object> nodeInfo = JsonCodec.object(heartbeat, "nodeInfo");
+        Map<String, Object> operStatus = JsonCodec.object(heartbeat, "operStatus");
+        if (JsonCodec.text(nodeInfo, "service").isEmpty() || !(operStatus.get("callSequence") instanceof Number)) {
+            call.answer(malformed("a beat wants nodeInfo.service and operStatus.callSequence"));
             return;
         }
-        call.answer(taken());
-        long its = Json.whole(oper, "callSequence", 0);
-        boolean known = ship != null && ship.id().equals(id);
-        if (ended.contains(id) || known && its < sequence) {
+        call.answer(acknowledgement());
+        long sequence = Json.whole(operStatus, "callSequence", 0);
+        boolean isKnown = instance != null && instance.id().equals(id);
+        if (ended.contains(id) || isKnown && sequence < lastSequence) {
             return;
         }
-        long now = micros.getAsLong();
-        sequence = its;
-        heardAt = now;
-        boolean draining = JsonCodec.text(oper, "operState").equals("draining") || known && ship.draining();
-        if (draining && !(known && ship.draining())) {
-            drainedAt = now;
-        } else if (!draining) {
-            drainedAt = 0;
-        }
-        long warm = known ? ship.warmAt() : micros(JsonCodec.text(oper, "warmupLeft"));
-        ApplicationInstance next = new ApplicationInstance(
+        lastSequence = sequence;
+        lastHeartbeatAt = clock.getAsLong();
+        update(isKnown, newInstance(isKnown, id, heartbeat, nodeInfo, operStatus));
+    }
+
+    private static ServerResponse malformed(String problem) {
+        return ServerResponse.text(ErrorKind.MALFORMED.status(), problem);
+    }
+
+    private ApplicationInstance newInstance(
+            boolean isKnown,
+            String id,
+            Map<String, Object> heartbeat,
+            Map<String, Object> nodeInfo,
+            Map<String, Object> operStatus) {
+        boolean wasDraining = isKnown && instance.draining();
+        return new ApplicationInstance(
                 id,
-                JsonCodec.text(node, "service"),
-                JsonCodec.text(read.get(), "address"),
-                (int) Math.max(1, Json.whole(node, "capacitySlots", 1)),
-                draining,
-                known || warm <= 0 ? known ? warm : 0 : now + warm);
-        if (!next.equals(ship)) {
-            if (!known) {
-                LOG.info("Server " + id + " of " + next.service() + " is here.");
-            } else if (draining) {
-                LOG.info("Server " + id + " drains.");
-            }
-            ship = next;
-            number++;
-            changed.changed(ship);
-        }
+                JsonCodec.text(nodeInfo, "service"),
+                JsonCodec.text(heartbeat, "address"),
+                (int) Math.max(1, Json.whole(nodeInfo, "capacitySlots", 1)),
+                wasDraining || JsonCodec.text(operStatus, "operState").equals("draining"),
+                isKnown ? instance.warmAt() : warmAt(operStatus));
+    }
+
+    /** When the slow start of a new instance ends; 0 where it has none. */
+    private long warmAt(Map<String, Object> operStatus) {
+        long remaining =
+                DurationText.micros(JsonCodec.text(operStatus, "warmupLeft")).getOrElse(0L);
+        return remaining <= 0 ? 0 : lastHeartbeatAt + remaining;
     }
 
-    private static long micros(String time) {
-        return DurationText.micros(time).getOrElse(0L);
+    private void update(boolean isKnown, ApplicationInstance next) {
+        boolean wasDraining = isKnown && instance.draining();
+        if (!next.draining()) {
+            drainingSince = 0;
+        } else if (!wasDraining) {
+            drainingSince = lastHeartbeatAt;
+        }
+        if (next.equals(instance)) {
+            return;
+        }
+        if (!isKnown) {
+            LOG.info("Application instance registered: id=" + next.id() + " service=" + next.service());
+        } else if (next.draining()) {
+            LOG.info("Application instance draining: id=" + next.id());
+        }
+        instance = next;
+        registrationChanged();
     }
 
-    private void gone(String id, String why) {
+    private void remove(String id, String reason) {
         ended.add(id);
-        if (ended.size() > REMEMBERED) {
+        if (ended.size() > MAX_ENDED_INSTANCES) {
             ended.remove(ended.iterator().next());
         }
-        if (ship != null && ship.id().equals(id)) {
-            LOG.info("Server " + id + " " + why + ".");
-            ship = null;
-            drainedAt = 0;
-            number++;
-            changed.changed(null);
+        if (instance != null && instance.id().equals(id)) {
+            LOG.info("Application instance removed: id=" + id + " reason=\"" + reason + "\"");
+            instance = null;
+            drainingSince = 0;
+            registrationChanged();
         }
     }
 
-    /** To be called some times a second: a server whose beats end has crashed. */
+    /** To be called several times a second: removes an instance whose heartbeats have stopped. */
     void tick() {
-        if (ship != null && micros.getAsLong() - heardAt > MISSED * papers.heartbeatMicros() + 500_000) {
-            String id = ship.id();
-            gone(id, "is silent");
+        long timeoutMicros = MAX_MISSED_HEARTBEATS * settings.heartbeatMicros() + HEARTBEAT_TOLERANCE_MICROS;
+        if (instance != null && clock.getAsLong() - lastHeartbeatAt > timeoutMicros) {
+            String id = instance.id();
+            remove(id, "heartbeat timeout");
+            // It may have been frozen: unlike one that has deregistered, it may come back.
             ended.remove(id);
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptResult.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptResult.java
@@ -3,5 +3,9 @@
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
 import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
 
-/** What became of one attempt, and how busy its server was then; the load may be null. */
+/**
+ * The outcome of one attempt, and how busy its application instance was then.
+ *
+ * @param load null where it isn't known
+ */
 record AttemptResult(RequestOutcome outcome, UpstreamLoad load) {}
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
@@ -3,14 +3,18 @@
 import java.util.function.Consumer;
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
-/** Takes an attempt to the server that it is for, and its reply back: exactly one, on the loop. */
+/**
+ * Carries an attempt to the application instance that was selected, and its result back: exactly one result
+ * for each attempt, delivered on the event loop.
+ */
 interface AttemptTransport {
 
-    /** What can still be done with an attempt that is out. */
-    interface Ride {
-        /** Nobody waits for it any more; what can't be repeated goes on. */
+    /** An attempt that was sent. */
+    interface Handle {
+        /** Nobody waits for the result any more; a request that is not idempotent runs on all the same. */
         void cancel();
     }
 
-    Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end);
+    /** @param callback may be called before this returns */
+    Handle send(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback);
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/BackgroundTask.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/BackgroundTask.java
@@ -6,8 +6,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Work that would hold the loop up, such as reading a thousand routes: it is done beside the loop, one piece
- * after the other, and what came of it is told on the loop in the same order.
+ * Runs work that would block the event loop, such as parsing a thousand routes, on a worker thread, one task
+ * after the other, and delivers the results on the event loop in the same order.
  */
 final class BackgroundTask {
 
@@ -22,13 +22,15 @@
         this.loop = loop;
     }
 
-    <T> void run(Callable<T> work, Consumer<T> then) {
+    /** Runs the work on the worker; where it throws, that is logged and nothing is delivered. */
+    <T> void run(Callable<T> work, Consumer<T> onResult) {
         worker.execute(() -> {
             try {
-                T made = work.call();
-                loop.execute(() -> then.accept(made));
+                T result = work.call();
+                loop.execute(() -> onResult.accept(result));
             } catch (Exception e) {
-                LOG.warn("What came can't be used: " + e.getMessage());
+                // The work reads what other processes sent: whatever is wrong with it must not end the worker.
+                LOG.warn("Received data can't be used: error=\"" + e.getMessage() + "\"");
             }
         });
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
@@ -5,109 +5,117 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.cypressweir.common.transport.JsonCodec;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.configuration.Item;
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * Follows the configuration: hears which stamps harbours show, asks one of them for what it lacks, and puts
- * the pieces together. It never goes back: stamps of states that were shown have one order everywhere.
+ * Follows the configuration: compares the versions that controllers announce, selects one of them to request
+ * a newer version from, and assembles its chunks. It never goes back to an older version: the versions of
+ * states that were announced have one order everywhere.
+ *
+ * <p>Not thread-safe: used on the event loop alone.
  */
 final class ConfigurationSubscriber {
 
-    /** After so long without a further piece another harbour is asked. */
-    private static final long PATIENCE = 600_000;
+    /** Without a further chunk for so long, another controller is asked. */
+    private static final long CHUNK_TIMEOUT_MICROS = 600_000;
 
-    private ProposalNumber stamp = ProposalNumber.ZERO;
-    private Configuration manifest = Configuration.EMPTY;
-    private final Map<String, ProposalNumber> shown = new HashMap<>();
-    private final Map<String, Map<Integer, List<Item>>> coming = new HashMap<>();
-    private String asked;
-    private long askedAt;
-    private ProposalNumber crewStamp = ProposalNumber.ZERO;
-    private Set<String> crew = Set.of();
+    private ProposalNumber version = ProposalNumber.ZERO;
+    private Configuration configuration = Configuration.EMPTY;
+    private final Map<String, ProposalNumber> announced = new HashMap<>();
+    /** Chunks of versions that are not complete, by controller and version, then by index. */
+    private final Map<String, Map<Integer, List<Item>>> incomplete = new HashMap<>();
 
-    ProposalNumber stamp() {
-        return stamp;
+    private String requestedFrom;
+    private long lastProgressAt;
+    private ProposalNumber votersVersion = ProposalNumber.ZERO;
+    private Set<String> voters = Set.of();
+
+    /** Of the configuration that is complete here. */
+    ProposalNumber version() {
+        return version;
     }
 
-    Configuration manifest() {
-        return manifest;
+    Configuration configuration() {
+        return configuration;
     }
 
-    /** A harbour shows this stamp. */
-    void shows(String harbour, ProposalNumber its) {
-        if (its != null) {
-            shown.put(harbour, its);
+    /** A controller has this version. */
+    void versionAnnounced(String controller, ProposalNumber announcedVersion) {
+        if (announcedVersion != null) {
+            announced.put(controller, announcedVersion);
         }
     }
 
     /**
-     * A harbour that shows this stamp says who is in the crew. One that was cut off tells an old crew, in
-     * which newer members are missing: only what comes with the newest stamp counts.
+     * A controller with this version says who the voters are. One that was partitioned announces old voters,
+     * without newer members: only what comes with the newest version counts.
      */
-    void crew(ProposalNumber its, Set<String> told) {
-        if (its != null && !told.isEmpty() && its.compareTo(crewStamp) >= 0) {
-            crewStamp = its;
-            crew = told;
+    void votersAnnounced(ProposalNumber announcedVersion, Set<String> announcedVoters) {
+        if (announcedVersion != null && !announcedVoters.isEmpty() && announcedVersion.compareTo(votersVersion) >= 0) {
+            votersVersion = announcedVersion;
+            voters = announcedVoters;
         }
     }
 
-    /** The harbours of the crew, as far as it was told. */
-    Set<String> crew() {
-        return crew;
+    /** The controllers that vote; empty while none has announced them. */
+    Set<String> voters() {
+        return voters;
     }
 
-    void lost(String harbour) {
-        shown.remove(harbour);
-        if (harbour.equals(asked)) {
-            asked = null;
+    void controllerLost(String controller) {
+        announced.remove(controller);
+        if (controller.equals(requestedFrom)) {
+            requestedFrom = null;
         }
     }
 
-    /** Whom to ask for what is newer; null for nobody now. */
-    String ask(long now) {
-        if (asked != null && now - askedAt < PATIENCE) {
+    /** The controller to request a newer version from now; null for none. */
+    String nextRequestTarget(long now) {
+        if (requestedFrom != null && now - lastProgressAt < CHUNK_TIMEOUT_MICROS) {
             return null;
         }
         String best = null;
-        for (Map.Entry<String, ProposalNumber> one : shown.entrySet()) {
-            boolean newer = one.getValue().compareTo(stamp) > 0;
-            boolean better = best == null
-                    || one.getValue().compareTo(shown.get(best)) > 0
-                    || one.getValue().equals(shown.get(best)) && best.equals(asked);
-            if (newer && better) {
-                best = one.getKey();
+        for (Map.Entry<String, ProposalNumber> candidate : announced.entrySet()) {
+            if (candidate.getValue().compareTo(version) > 0 && isBetter(candidate, best)) {
+                best = candidate.getKey();
             }
         }
         if (best != null) {
-            asked = best;
-            askedAt = now;
+            requestedFrom = best;
+            lastProgressAt = now;
         }
         return best;
     }
 
-    /** A piece of what a harbour tells; whether a newer state is whole now. */
-    boolean told(long now, String harbour, Map<String, Object> head, List<Item> items) {
-        ProposalNumber to = ProposalNumber.of(JsonCodec.text(head, "stamp"));
-        String from = JsonCodec.text(head, "from");
-        if (to == null || to.compareTo(stamp) <= 0 || !from.isEmpty() && !from.equals(stamp.toString())) {
+    /** Whether the candidate has a newer version, or the same one and the other was asked in vain. */
+    private boolean isBetter(Map.Entry<String, ProposalNumber> candidate, String best) {
+        return best == null
+                || candidate.getValue().compareTo(announced.get(best)) > 0
+                || candidate.getValue().equals(announced.get(best)) && best.equals(requestedFrom);
+    }
+
+    /** Takes one chunk; whether a newer version is complete now. */
+    boolean chunkReceived(long now, String controller, ControllerMessage.ConfigurationChunk chunk, List<Item> items) {
+        String base = chunk.baseVersion();
+        boolean isNewer = chunk.version() != null && chunk.version().compareTo(version) > 0;
+        if (!isNewer || !base.isEmpty() && !base.equals(version.toString())) {
             return false;
         }
-        askedAt = now;
-        Map<Integer, List<Item>> pieces = coming.computeIfAbsent(harbour + " " + from + " " + to, k -> new HashMap<>());
-        pieces.put((int) Json.whole(head, "piece", 0), items);
-        if (pieces.size() < Json.whole(head, "pieces", 1)) {
+        lastProgressAt = now;
+        Map<Integer, List<Item>> chunks =
+                incomplete.computeIfAbsent(controller + " " + base + " " + chunk.version(), key -> new HashMap<>());
+        chunks.put(chunk.index(), items);
+        if (chunks.size() < chunk.count()) {
             return false;
         }
         List<Item> all = new ArrayList<>();
-        pieces.values().forEach(all::addAll);
-        manifest = (from.isEmpty() ? Configuration.EMPTY : manifest).with(all);
-        stamp = to;
-        coming.clear();
-        asked = null;
+        chunks.values().forEach(all::addAll);
+        configuration = (base.isEmpty() ? Configuration.EMPTY : configuration).with(all);
+        version = chunk.version();
+        incomplete.clear();
+        requestedFrom = null;
         return true;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -1,6 +1,5 @@
 package org.cypressweir.dataplane.proxy;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -14,254 +13,265 @@
 import org.cypressweir.common.transport.PeerConnection;
 import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.common.transport.PeerTransport;
-import org.cypressweir.common.util.Json;
-import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.distribution.ItemChunks;
 import org.cypressweir.controlplane.registry.EndpointDirectory;
 import org.cypressweir.controlplane.registry.ProxyRegistration;
 import org.cypressweir.dataplane.quota.QuotaShares;
 import org.jboss.logging.Logger;
 
-/** Looks to the harbours: tells them of this pilot, and hears the news of all of them. */
+/**
+ * Connects to all controllers: publishes this proxy's registration and the demand of its tenants, and applies
+ * the updates of all of them. Connects to the voters that they announce; to the seeds of the settings while no
+ * controller is heard.
+ *
+ * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
+ */
 final class ControllerClient implements PeerConnectionPool.Owner {
 
     private static final Logger LOG = Logger.getLogger(ControllerClient.class);
-    private static final PeerConnectionPool.Plan LINES =
+    private static final PeerConnectionPool.Plan CONNECTION_PLAN =
             new PeerConnectionPool.Plan(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
-    /** In between only what has changed is told. */
-    private static final int TELLINGS_A_WHOLE = 10;
+    /** In between only changes of the demand are published. */
+    private static final int PUBLICATIONS_PER_COMPLETE_DEMAND = 10;
 
-    private record Place(long life, long place) {}
+    /** Where to resume the subscription to a controller's endpoint updates. */
+    private record Offset(long controllerIncarnation, long offset) {
+        private static final Offset START = new Offset(0, -1);
+    }
 
-    private final LongSupplier micros;
-    private final Supplier<ProxyRegistration> berth;
-    private final EndpointDirectory roster;
-    private final ConfigurationSubscriber following;
-    private final ReadinessGate freshness;
+    private final LongSupplier clock;
+    private final String proxyName;
+    private final Supplier<ProxyRegistration> registration;
+    private final EndpointDirectory endpoints;
+    private final ConfigurationSubscriber configuration;
+    private final ReadinessGate readinessGate;
     private final QuotaShares quotas;
-    private final Runnable newBearings;
-    private final BackgroundTask aside;
-    private final PeerConnectionPool moorings;
-    private final Map<String, Place> places = new HashMap<>();
-    private final Map<String, String> controls = new HashMap<>();
-    private final Set<String> heard = new HashSet<>();
+    private final BackgroundTask background;
+    private final Runnable onConfiguration;
+    private final PeerConnectionPool connections;
+    private final Map<String, Offset> offsets = new HashMap<>();
+    private final Map<String, String> controlAddresses = new HashMap<>();
+    /** Controllers that have sent something and are not silent. */
+    private final Set<String> active = new HashSet<>();
+
     private Set<String> seeds = Set.of();
-    private final String name;
-    private long tellings;
-    /** Who tells what tenants ask in all, and on which line it was asked to. */
-    private String teller;
+    private long demandPublications;
+    /** The one controller that sends the demand of all proxies, and the connection on which it was asked to. */
+    private String totalsSource;
 
-    private PeerConnection tellersLine;
+    private PeerConnection totalsConnection;
 
+    /** @param onConfiguration called when a new version of the configuration is complete */
     ControllerClient(
-            PeerTransport wharf,
-            LongSupplier micros,
-            String name,
-            Supplier<ProxyRegistration> berth,
-            EndpointDirectory roster,
-            ConfigurationSubscriber following,
-            ReadinessGate freshness,
+            PeerTransport transport,
+            LongSupplier clock,
+            String proxyName,
+            Supplier<ProxyRegistration> registration,
+            EndpointDirectory endpoints,
+            ConfigurationSubscriber configuration,
+            ReadinessGate readinessGate,
             QuotaShares quotas,
-            BackgroundTask aside,
-            Runnable newBearings) {
-        this.micros = micros;
-        this.name = name;
-        this.berth = berth;
-        this.roster = roster;
-        this.following = following;
-        this.freshness = freshness;
+            BackgroundTask background,
+            Runnable onConfiguration) {
+        this.clock = clock;
+        this.proxyName = proxyName;
+        this.registration = registration;
+        this.endpoints = endpoints;
+        this.configuration = configuration;
+        this.readinessGate = readinessGate;
         this.quotas = quotas;
-        this.newBearings = newBearings;
-        this.aside = aside;
-        moorings = new PeerConnectionPool(
-                wharf, micros, LINES, () -> JsonCodec.map("t", "hello", "kind", "pilot", "name", name), this);
+        this.background = background;
+        this.onConfiguration = onConfiguration;
+        connections = new PeerConnectionPool(
+                transport, clock, CONNECTION_PLAN, () -> ControllerMessageCodec.hello(proxyName), this);
     }
 
-    void seeds(Set<String> addresses) {
+    /** Replaces the addresses of the settings. */
+    void updateSeeds(Set<String> addresses) {
         seeds = addresses;
-        want();
+        updateConnections();
     }
 
-    private void want() {
-        Set<String> crew = following.crew();
-        Set<String> wanted = new HashSet<>(crew.isEmpty() || heard.isEmpty() ? seeds : Set.of());
-        wanted.addAll(crew);
-        for (String gone : moorings.addresses()) {
-            if (!wanted.contains(gone)) {
-                silent(gone);
-                roster.drop(gone);
+    private void updateConnections() {
+        Set<String> voters = configuration.voters();
+        Set<String> wanted = new HashSet<>(voters.isEmpty() || active.isEmpty() ? seeds : Set.of());
+        wanted.addAll(voters);
+        for (String address : connections.addresses()) {
+            if (!wanted.contains(address)) {
+                controllerSilent(address);
+                endpoints.drop(address);
             }
         }
-        moorings.want(wanted);
+        connections.want(wanted);
     }
 
-    /** Tells all harbours what has changed here. */
-    void tell() {
-        eachLine(this::tell);
+    /** Sends this proxy's registration to all controllers. */
+    void publishRegistration() {
+        forEachConnection(this::sendRegistration);
     }
 
-    private void eachLine(Consumer<PeerConnection> what) {
-        for (String address : moorings.addresses()) {
-            PeerConnection line = moorings.line(address);
-            if (line != null) {
-                what.accept(line);
+    private void forEachConnection(Consumer<PeerConnection> action) {
+        for (String address : connections.addresses()) {
+            PeerConnection connection = connections.line(address);
+            if (connection != null) {
+                action.accept(connection);
             }
         }
     }
 
-    private void tell(PeerConnection line) {
-        line.send(JsonCodec.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
+    private void sendRegistration(PeerConnection connection) {
+        connection.send(ControllerMessageCodec.registration(registration.get(), clock.getAsLong()));
     }
 
-    /** Tells what tenants ask here, as far as that has changed. */
-    void tellAsked() {
-        boolean all = ++tellings % TELLINGS_A_WHOLE == 0;
-        Map<String, Double> asked = quotas.news(micros.getAsLong(), all);
-        if (!asked.isEmpty()) {
-            byte[] told = JsonCodec.bytes(JsonCodec.map("t", "tally", "asked", asked, "whole", all));
-            eachLine(line -> line.sendText(told));
+    /** Sends the demand of tenants here, as far as it has changed. */
+    void publishDemand() {
+        boolean isComplete = ++demandPublications % PUBLICATIONS_PER_COMPLETE_DEMAND == 0;
+        Map<String, Double> demand = quotas.news(clock.getAsLong(), isComplete);
+        if (!demand.isEmpty()) {
+            byte[] message = JsonCodec.bytes(ControllerMessageCodec.demand(demand, isComplete));
+            forEachConnection(connection -> connection.sendText(message));
         }
-        chooseTeller();
+        selectTotalsSource();
     }
 
-    /** One harbour tells the sums: all hear the same pilots, and links are narrow. */
-    private void chooseTeller() {
-        Set<String> able = freshness.inContact(heard);
-        if (teller != null && able.contains(teller) && moorings.line(teller) == tellersLine) {
+    /** One controller sends the totals: all receive the same demand, and links are narrow. */
+    private void selectTotalsSource() {
+        Set<String> candidates = readinessGate.inContact(active);
+        if (totalsSource != null
+                && candidates.contains(totalsSource)
+                && connections.line(totalsSource) == totalsConnection) {
             return;
         }
-        if (teller != null) {
-            moorings.send(teller, JsonCodec.map("t", "sums", "on", false));
-            quotas.silent(teller);
+        if (totalsSource != null) {
+            connections.send(totalsSource, ControllerMessageCodec.totalsSubscription(false));
+            quotas.silent(totalsSource);
         }
-        List<String> all =
-                able.stream().filter(a -> moorings.line(a) != null).sorted().toList();
-        teller = all.isEmpty() ? null : all.get(Math.floorMod(name.hashCode(), all.size()));
-        if (teller != null) {
-            tellersLine = moorings.line(teller);
-            tellersLine.send(JsonCodec.map("t", "sums", "on", true));
+        List<String> connected = candidates.stream()
+                .filter(address -> connections.line(address) != null)
+                .sorted()
+                .toList();
+        totalsSource =
+                connected.isEmpty() ? null : connected.get(Math.floorMod(proxyName.hashCode(), connected.size()));
+        if (totalsSource != null) {
+            totalsConnection = connections.line(totalsSource);
+            totalsConnection.send(ControllerMessageCodec.totalsSubscription(true));
         }
     }
 
-    /** To be called some times a second. */
+    /** To be called several times a second. */
     void tick() {
-        long now = micros.getAsLong();
-        moorings.tick();
-        for (String address : List.copyOf(heard)) {
-            if (!moorings.isClear(address)) {
-                silent(address);
+        long now = clock.getAsLong();
+        connections.tick();
+        for (String address : List.copyOf(active)) {
+            if (!connections.isClear(address)) {
+                controllerSilent(address);
             }
         }
-        ask(now);
-        if (freshness.asks(now)) {
-            eachLine(line -> line.send(JsonCodec.map("t", "contact", "asked", now)));
+        requestConfiguration(now);
+        if (readinessGate.isQueryDue(now)) {
+            forEachConnection(connection -> connection.send(ControllerMessageCodec.contactQuery(now)));
         }
     }
 
-    private void ask(long now) {
-        String whom = following.ask(now);
-        if (whom != null) {
-            moorings.send(
-                    whom, JsonCodec.map("t", "want", "have", following.stamp().toString()));
+    private void requestConfiguration(long now) {
+        String address = configuration.nextRequestTarget(now);
+        if (address != null) {
+            connections.send(address, ControllerMessageCodec.configurationRequest(configuration.version()));
         }
     }
 
-    private void silent(String address) {
-        boolean last = heard.remove(address) && heard.isEmpty();
-        if (last) {
-            // Whoever is the core now, one of the seeds may know.
-            want();
+    private void controllerSilent(String address) {
+        boolean wasLastActive = active.remove(address) && active.isEmpty();
+        if (wasLastActive) {
+            // Whoever the voters are now, one of the seeds may know.
+            updateConnections();
         }
-        roster.silent(micros.getAsLong(), address);
-        following.lost(address);
-        freshness.lost(address);
+        endpoints.silent(clock.getAsLong(), address);
+        configuration.controllerLost(address);
+        readinessGate.controllerLost(address);
         quotas.silent(address);
     }
 
-    /** Where a harbour is asked by operators, as it said last; null where it never did. */
-    String control(String address) {
-        return controls.get(address);
+    /** Where operators reach a controller, as it said last; null where it never did. */
+    String controlAddress(String address) {
+        return controlAddresses.get(address);
     }
 
-    /** All harbours that lines are wanted to, each with whether it is heard. */
-    Map<String, Boolean> harbours() {
+    /** All controllers that connections are wanted to, each with whether it is active. */
+    Map<String, Boolean> controllers() {
         Map<String, Boolean> all = new TreeMap<>();
-        moorings.addresses().forEach(address -> all.put(address, heard.contains(address)));
+        connections.addresses().forEach(address -> all.put(address, active.contains(address)));
         return all;
     }
 
     @Override
-    public void up(String address, PeerConnection line) {
-        tell(line);
-        Place place = places.get(address);
-        line.send(JsonCodec.map(
-                "t", "follow", "life", place == null ? 0 : place.life, "place", place == null ? -1 : place.place));
+    public void up(String address, PeerConnection connection) {
+        sendRegistration(connection);
+        Offset offset = offsets.getOrDefault(address, Offset.START);
+        connection.send(ControllerMessageCodec.subscription(offset.controllerIncarnation, offset.offset));
     }
 
     @Override
-    public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
-        long now = micros.getAsLong();
-        heard.add(address);
-        switch (JsonCodec.text(head, "t")) {
-            case "welcome", "stamp" -> {
-                if (head.containsKey("control")) {
-                    controls.put(address, JsonCodec.text(head, "control"));
-                }
-                ProposalNumber stamp = ProposalNumber.of(JsonCodec.text(head, "stamp"));
-                following.shows(address, stamp);
-                freshness.told(address, Json.whole(head, "age", -1));
-                Set<String> told = new HashSet<>();
-                Json.array(head, "crew").forEach(one -> told.add(String.valueOf(one)));
-                Set<String> before = following.crew();
-                following.crew(stamp, told);
-                if (!following.crew().equals(before)) {
-                    want();
-                }
-                ask(now);
-            }
-            case "roster" -> {
-                List<ProxyRegistration> berths = new ArrayList<>();
-                for (Object one : Json.array(head, "berths")) {
-                    ProxyRegistration its = one instanceof Map<?, ?> map ? ProxyRegistration.of(map, now) : null;
-                    if (its != null) {
-                        berths.add(its);
-                    }
-                }
-                List<String> gone = new ArrayList<>();
-                Json.array(head, "gone").forEach(name -> gone.add(String.valueOf(name)));
-                roster.told(address, Json.flag(head, "whole"), berths, gone);
-                places.put(address, new Place(Json.whole(head, "life", 0), Json.whole(head, "place", -1)));
-            }
-            case "items" -> aside.run(() -> ItemChunks.unpack(body), items -> {
-                if (following.told(micros.getAsLong(), address, head, items)) {
-                    LOG.info("The configuration stands at " + following.stamp() + ".");
-                    newBearings.run();
+    public void heard(String address, PeerConnection connection, Map<String, Object> head, byte[] body) {
+        long now = clock.getAsLong();
+        active.add(address);
+        ControllerMessage message = ControllerMessageCodec.decode(head, now);
+        if (message instanceof ControllerMessage.VersionAnnouncement announcement) {
+            apply(now, address, announcement);
+        } else if (message instanceof ControllerMessage.EndpointUpdate update) {
+            apply(address, update);
+        } else if (message instanceof ControllerMessage.ConfigurationChunk chunk) {
+            background.run(() -> ItemChunks.unpack(body), items -> {
+                if (configuration.chunkReceived(clock.getAsLong(), address, chunk, items)) {
+                    LOG.info("Configuration updated: version=" + configuration.version());
+                    onConfiguration.run();
                 }
             });
-            case "contact" -> {
-                long asked = Json.whole(head, "asked", 0);
-                long age = Json.whole(head, "age", -1);
-                if (asked == 0) {
-                    freshness.told(address, age);
-                } else {
-                    freshness.answered(now, address, asked, ProposalNumber.of(JsonCodec.text(head, "stamp")), age);
-                }
-            }
-            case "tallies" -> quotas.told(now, address, Json.object(head, "asked"));
-            default -> {}
+        } else if (message instanceof ControllerMessage.ContactConfirmation confirmation) {
+            apply(now, address, confirmation);
+        } else if (message instanceof ControllerMessage.DemandTotals totals) {
+            quotas.told(now, address, totals.demandByTenant());
+        }
+    }
+
+    private void apply(long now, String address, ControllerMessage.VersionAnnouncement announcement) {
+        if (announcement.controlAddress() != null) {
+            controlAddresses.put(address, announcement.controlAddress());
+        }
+        configuration.versionAnnounced(address, announcement.version());
+        readinessGate.contactAgeReceived(address, announcement.contactAgeMicros());
+        Set<String> votersBefore = configuration.voters();
+        configuration.votersAnnounced(announcement.version(), announcement.voters());
+        if (!configuration.voters().equals(votersBefore)) {
+            updateConnections();
+        }
+        requestConfiguration(now);
+    }
+
+    private void apply(String address, ControllerMessage.EndpointUpdate update) {
+        endpoints.told(address, update.isComplete(), update.registrations(), update.removed());
+        offsets.put(address, new Offset(update.controllerIncarnation(), update.offset()));
+    }
+
+    private void apply(long now, String address, ControllerMessage.ContactConfirmation confirmation) {
+        if (confirmation.queriedAt() == 0) {
+            readinessGate.contactAgeReceived(address, confirmation.contactAgeMicros());
+        } else {
+            readinessGate.confirmationReceived(
+                    now, address, confirmation.queriedAt(), confirmation.version(), confirmation.contactAgeMicros());
         }
     }
 
     @Override
-    public void lost(String address, PeerConnection line) {
-        if (moorings.line(address) == null) {
-            silent(address);
+    public void lost(String address, PeerConnection connection) {
+        if (connections.line(address) == null) {
+            controllerSilent(address);
         }
     }
 
     @Override
     public void refused(String address) {
-        silent(address);
+        controllerSilent(address);
     }
 }
--- /dev/null
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessage.java
@@ -0,0 +1,59 @@
+package org.cypressweir.dataplane.proxy;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+
+/**
+ * A message that a proxy receives from a controller. {@link ControllerMessageCodec} alone knows how each is
+ * written. Immutable.
+ */
+sealed interface ControllerMessage {
+
+    /**
+     * The version of the configuration at the controller: on connection, and on each change.
+     *
+     * @param controlAddress where operators reach the controller; null where this message doesn't say so
+     * @param contactAgeMicros how long ago the controller was in contact with a majority; negative if it isn't
+     * @param voters the members of the controllers' quorum
+     */
+    record VersionAnnouncement(String controlAddress, ProposalNumber version, long contactAgeMicros, Set<String> voters)
+            implements ControllerMessage {}
+
+    /**
+     * Changes of the endpoint list, or all of it.
+     *
+     * @param controllerIncarnation whose log of changes the offset belongs to
+     * @param offset in that log, to subscribe from after a reconnection
+     * @param removed names of proxies that are gone
+     */
+    record EndpointUpdate(
+            long controllerIncarnation,
+            long offset,
+            boolean isComplete,
+            List<ProxyRegistration> registrations,
+            List<String> removed)
+            implements ControllerMessage {}
+
+    /**
+     * One chunk of the configuration; its items are in the message's body.
+     *
+     * @param baseVersion the version that the items change, as text; empty for a complete configuration
+     */
+    record ConfigurationChunk(ProposalNumber version, String baseVersion, int index, long count)
+            implements ControllerMessage {}
+
+    /**
+     * How long ago the controller was in contact with a majority.
+     *
+     * @param queriedAt the proxy's own time of the query that this answers; 0 where it answers none
+     * @param version the controller's then; null where it answers no query
+     */
+    record ContactConfirmation(long queriedAt, ProposalNumber version, long contactAgeMicros)
+            implements ControllerMessage {}
+
+    /** What tenants demand of all proxies together. */
+    record DemandTotals(Map<?, ?> demandByTenant) implements ControllerMessage {}
+}
--- /dev/null
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessageCodec.java
@@ -0,0 +1,146 @@
+package org.cypressweir.dataplane.proxy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.cypressweir.common.transport.JsonCodec;
+import org.cypressweir.common.util.Json;
+import org.cypressweir.controlplane.consensus.ProposalNumber;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+
+/**
+ * Writes what a proxy sends to controllers and reads what it receives from them.
+ *
+ * <p>All names and values here are fixed: processes of different builds exchange them.
+ */
+final class ControllerMessageCodec {
+
+    private static final String KIND = "t";
+    private static final String HELLO = "hello";
+    private static final String REGISTRATION = "berth";
+    private static final String SUBSCRIPTION = "follow";
+    private static final String CONFIGURATION_REQUEST = "want";
+    private static final String DEMAND = "tally";
+    private static final String TOTALS_SUBSCRIPTION = "sums";
+    private static final String CONTACT = "contact";
+    private static final String WELCOME = "welcome";
+    private static final String VERSION_ANNOUNCEMENT = "stamp";
+    private static final String ENDPOINT_UPDATE = "roster";
+    private static final String CONFIGURATION_CHUNK = "items";
+    private static final String DEMAND_TOTALS = "tallies";
+
+    private static final String SENDER_KIND = "kind";
+    private static final String PROXY = "pilot";
+    private static final String NAME = "name";
+    private static final String INCARNATION = "life";
+    private static final String OFFSET = "place";
+    private static final String CURRENT_VERSION = "have";
+    private static final String DEMAND_BY_TENANT = "asked";
+    private static final String QUERIED_AT = "asked";
+    private static final String COMPLETE = "whole";
+    private static final String ENABLED = "on";
+    private static final String CONTROL_ADDRESS = "control";
+    private static final String VERSION = "stamp";
+    private static final String CONTACT_AGE = "age";
+    private static final String VOTERS = "crew";
+    private static final String REGISTRATIONS = "berths";
+    private static final String REMOVED = "gone";
+    private static final String BASE_VERSION = "from";
+    private static final String CHUNK_INDEX = "piece";
+    private static final String CHUNK_COUNT = "pieces";
+
+    private ControllerMessageCodec() {}
+
+    static Map<String, Object> hello(String proxyName) {
+        return JsonCodec.map(KIND, HELLO, SENDER_KIND, PROXY, NAME, proxyName);
+    }
+
+    static Map<String, Object> registration(ProxyRegistration registration, long nowMicros) {
+        return JsonCodec.map(KIND, REGISTRATION, REGISTRATION, registration.toMap(nowMicros));
+    }
+
+    /** Asks for the changes of the endpoint list after the offset; all of the list for an offset of -1. */
+    static Map<String, Object> subscription(long controllerIncarnation, long offset) {
+        return JsonCodec.map(KIND, SUBSCRIPTION, INCARNATION, controllerIncarnation, OFFSET, offset);
+    }
+
+    /** Asks for what is newer than the version. */
+    static Map<String, Object> configurationRequest(ProposalNumber currentVersion) {
+        return JsonCodec.map(KIND, CONFIGURATION_REQUEST, CURRENT_VERSION, currentVersion.toString());
+    }
+
+    /** @param isComplete whether it holds all tenants, or those only whose demand has changed */
+    static Map<String, Object> demand(Map<String, Double> demandByTenant, boolean isComplete) {
+        return JsonCodec.map(KIND, DEMAND, DEMAND_BY_TENANT, demandByTenant, COMPLETE, isComplete);
+    }
+
+    /** Asks for the demand of all proxies together, or for no more of it. */
+    static Map<String, Object> totalsSubscription(boolean isEnabled) {
+        return JsonCodec.map(KIND, TOTALS_SUBSCRIPTION, ENABLED, isEnabled);
+    }
+
+    static Map<String, Object> contactQuery(long nowMicros) {
+        return JsonCodec.map(KIND, CONTACT, QUERIED_AT, nowMicros);
+    }
+
+    /**
+     * Reads a message; null for one of an unknown kind.
+     *
+     * @throws IllegalArgumentException where the version is not one
+     */
+    static ControllerMessage decode(Map<String, Object> head, long nowMicros) {
+        return switch (JsonCodec.text(head, KIND)) {
+            case WELCOME, VERSION_ANNOUNCEMENT -> new ControllerMessage.VersionAnnouncement(
+                    head.containsKey(CONTROL_ADDRESS) ? JsonCodec.text(head, CONTROL_ADDRESS) : null,
+                    version(head),
+                    Json.whole(head, CONTACT_AGE, -1),
+                    Set.copyOf(texts(head, VOTERS)));
+            case ENDPOINT_UPDATE -> new ControllerMessage.EndpointUpdate(
+                    Json.whole(head, INCARNATION, 0),
+                    Json.whole(head, OFFSET, -1),
+                    Json.flag(head, COMPLETE),
+                    registrations(head, nowMicros),
+                    texts(head, REMOVED));
+            case CONFIGURATION_CHUNK -> new ControllerMessage.ConfigurationChunk(
+                    version(head),
+                    JsonCodec.text(head, BASE_VERSION),
+                    (int) Json.whole(head, CHUNK_INDEX, 0),
+                    Json.whole(head, CHUNK_COUNT, 1));
+            case CONTACT -> contactConfirmation(head);
+            case DEMAND_TOTALS -> new ControllerMessage.DemandTotals(Json.object(head, DEMAND_BY_TENANT));
+            default -> null;
+        };
+    }
+
+    private static ControllerMessage contactConfirmation(Map<String, Object> head) {
+        long queriedAt = Json.whole(head, QUERIED_AT, 0);
+        return new ControllerMessage.ContactConfirmation(
+                queriedAt, queriedAt == 0 ? null : version(head), Json.whole(head, CONTACT_AGE, -1));
+    }
+
+    private static ProposalNumber version(Map<String, Object> head) {
+        return ProposalNumber.of(JsonCodec.text(head, VERSION));
+    }
+
+    private static List<ProxyRegistration> registrations(Map<String, Object> head, long nowMicros) {
+        List<ProxyRegistration> registrations = new ArrayList<>();
+        for (Object element : Json.array(head, REGISTRATIONS)) {
+            if (element instanceof Map<?, ?> map) {
+                ProxyRegistration registration = ProxyRegistration.of(map, nowMicros);
+                if (registration != null) {
+                    registrations.add(registration);
+                }
+            }
+        }
+        return registrations;
+    }
+
+    private static List<String> texts(Map<String, Object> head, String name) {
+        List<String> texts = new ArrayList<>();
+        for (Object element : Json.array(head, name)) {
+            texts.add(String.valueOf(element));
+        }
+        return texts;
+    }
+}
--- a/src/main/java/org/cypressweir/dataplane/proxy/Endpoint.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Endpoint.java
@@ -1,4 +1,11 @@
 package org.cypressweir.dataplane.proxy;
 
-/** A server that requests may be sent to: the address and the life of the pilot beside it, its instance. */
-record Endpoint(long number, String pilot, long life, String address, String instance, String zone) {}
+/**
+ * An application instance that requests may be sent to.
+ *
+ * @param id the instance's number, by which the load balancer knows it
+ * @param proxyName the proxy beside the instance
+ * @param incarnation the incarnation of that proxy
+ * @param address where that proxy accepts connections of its peers
+ */
+record Endpoint(long id, String proxyName, long incarnation, String address, String instanceId, String zone) {}
--- /dev/null
+++ b/src/main/java/org/cypressweir/dataplane/proxy/EndpointLists.java
@@ -0,0 +1,90 @@
+package org.cypressweir.dataplane.proxy;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.cypressweir.common.util.Ids;
+import org.cypressweir.controlplane.registry.ApplicationInstance;
+import org.cypressweir.controlplane.registry.EndpointDirectory;
+import org.cypressweir.controlplane.registry.ProxyRegistration;
+
+/**
+ * Makes the endpoint list of each service from the directory of all proxies, and the list of peers to connect
+ * to. Used on the event loop alone.
+ */
+final class EndpointLists {
+
+    private final EndpointDirectory directory;
+    private final Supplier<ProxyRegistration> ownRegistration;
+    private final PeerConnections peers;
+    private final ServiceHandlers handlers;
+    private boolean isStale = true;
+
+    /** @param ownRegistration replaces what the directory says of this proxy, which may be older */
+    EndpointLists(
+            EndpointDirectory directory,
+            Supplier<ProxyRegistration> ownRegistration,
+            PeerConnections peers,
+            ServiceHandlers handlers) {
+        this.directory = directory;
+        this.ownRegistration = ownRegistration;
+        this.peers = peers;
+        this.handlers = handlers;
+    }
+
+    /** Something that the lists are made from has changed. */
+    void markStale() {
+        isStale = true;
+    }
+
+    /** Makes the lists anew where the directory or anything else has changed since. */
+    void refresh(long now) {
+        if (directory.merge(now) || isStale) {
+            isStale = false;
+            rebuild();
+        }
+    }
+
+    private void rebuild() {
+        Set<String> peerAddresses = new HashSet<>();
+        Map<String, List<Endpoint>> endpoints = new HashMap<>();
+        Map<String, Long> warmAt = new HashMap<>();
+        ProxyRegistration own = ownRegistration.get();
+        for (ProxyRegistration known : directory.all()) {
+            boolean isOwn = known.name().equals(own.name());
+            ProxyRegistration registration = isOwn ? own : known;
+            if (!isOwn) {
+                peerAddresses.add(registration.address());
+            }
+            add(registration, endpoints, warmAt);
+        }
+        peers.updatePeers(peerAddresses);
+        handlers.updateEndpoints(endpoints, warmAt);
+    }
+
+    private void add(ProxyRegistration registration, Map<String, List<Endpoint>> endpoints, Map<String, Long> warmAt) {
+        ApplicationInstance instance = registration.ship();
+        if (instance == null) {
+            return;
+        }
+        String service = instance.service();
+        handlers.handler(service, false);
+        handlers.handler(service, true);
+        if (registration.takes() && peers.reaches(registration)) {
+            endpoints
+                    .computeIfAbsent(service, name -> new ArrayList<>())
+                    .add(new Endpoint(
+                            Ids.of(instance.id()),
+                            registration.name(),
+                            registration.life(),
+                            registration.address(),
+                            instance.id(),
+                            registration.zone()));
+            warmAt.put(instance.id(), instance.warmAt());
+        }
+    }
+}
--- a/src/main/java/org/cypressweir/dataplane/proxy/LocalResponses.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/LocalResponses.java
@@ -3,26 +3,27 @@
 import org.cypressweir.common.transport.ErrorKind;
 import org.cypressweir.dataplane.http.server.ServerResponse;
 
-/** Answers of the mesh's own, each by its fault. */
+/** Makes the responses that the proxy gives by itself, one for each kind of error. */
 final class LocalResponses {
 
-    private static final long LEAST = 1_000;
+    private static final long MIN_RETRY_AFTER_MICROS = 1_000;
 
     private LocalResponses() {}
 
-    /** @param againMicros when to come back, where the fault says so */
-    static ServerResponse of(ErrorKind fault, long againMicros) {
-        ServerResponse answer = ServerResponse.text(fault.status(), fault.words());
-        return fault.saysWhen() ? answer.withHeader("Retry-After", seconds(againMicros)) : answer;
+    /** @param retryAfterMicros when to retry, for the kinds of error that say so */
+    static ServerResponse of(ErrorKind error, long retryAfterMicros) {
+        ServerResponse response = ServerResponse.text(error.status(), error.words());
+        return error.saysWhen() ? response.withHeader("Retry-After", seconds(retryAfterMicros)) : response;
     }
 
-    static ServerResponse of(ErrorKind fault) {
-        return of(fault, 0);
+    static ServerResponse of(ErrorKind error) {
+        return of(error, 0);
     }
 
+    /** Seconds with three decimals. */
     private static String seconds(long micros) {
-        long millis = Math.max(LEAST, micros) / 1000;
-        String rest = Long.toString(1000 + millis % 1000).substring(1);
-        return millis / 1000 + "." + rest;
+        long millis = Math.max(MIN_RETRY_AFTER_MICROS, micros) / 1000;
+        String fraction = Long.toString(1000 + millis % 1000).substring(1);
+        return millis / 1000 + "." + fraction;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiFunction;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.cypressweir.common.diagnostics.RequestTrace;
@@ -19,171 +18,201 @@
 import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.cypressweir.dataplane.quota.QuotaShares;
 
-/** Takes requests of clients and of the server on this machine: finds route, tenant and service of each. */
+/**
+ * Takes requests of clients and of the application on this machine, and finds route, tenant and service of
+ * each; enforces the tenant's quota. Runs on the event loop; times are in microseconds.
+ */
 final class OutboundListener implements RequestHandler {
 
-    private static final String ID = "Cypressweir-Attempt-Id";
-    private static final String KEY = "Cypressweir-Key";
-    private static final String TENANT = "Cypressweir-Tenant-Name";
-    private static final String CALLER = "Cypressweir-Caller-Service";
-    private static final String INSTANCE = "Cypressweir-Target-Instance";
-    private static final String LEFT = "Cypressweir-Time-Remaining";
-    /** The client's time runs from when it sent; this much is kept for the way here and back, at most. */
-    private static final long MARGIN = 15_000;
-
-    private static final int MARGIN_PART = 12;
-    private static final long MOST_LEFT = 3_600_000;
-
-    private final LongSupplier micros;
-    private final Supplier<RoutingTable> bearings;
-    private final Supplier<String> caller;
+    private static final String ID_HEADER = "Cypressweir-Attempt-Id";
+    private static final String KEY_HEADER = "Cypressweir-Key";
+    private static final String TENANT_HEADER = "Cypressweir-Tenant-Name";
+    private static final String CALLER_HEADER = "Cypressweir-Caller-Service";
+    private static final String INSTANCE_HEADER = "Cypressweir-Target-Instance";
+    private static final String TIME_REMAINING_HEADER = "Cypressweir-Time-Remaining";
+    /** The client's time runs from when it sent; this much is kept for the network, at most. */
+    private static final long MAX_NETWORK_MARGIN_MICROS = 15_000;
+
+    private static final int NETWORK_MARGIN_DIVISOR = 12;
+    private static final long MAX_TIME_REMAINING_MILLIS = 3_600_000;
+    private static final long NO_CONFIGURATION_RETRY_AFTER_MICROS = 300_000;
+    private static final long NO_SERVICE_RETRY_AFTER_MICROS = 200_000;
+
+    private final LongSupplier clock;
+    private final Supplier<RoutingTable> routingTable;
+    private final Supplier<String> ownService;
     private final QuotaShares quotas;
-    private final BiFunction<String, Boolean, ServiceRequestHandler> helms;
-    private final RequestTrace wake;
-    private final Map<String, Long> counts = new HashMap<>();
-    private long numbers;
+    private final ServiceHandlers handlers;
+    private final RequestTrace trace;
+    private final Map<String, Long> rejectionCounts = new HashMap<>();
+    private long lastNumber;
 
     /**
-     * @param caller the service of this machine
-     * @param helms the way to a service, for requests of tenants or for calls without one
-     * @param wake where it is kept which way requests went
+     * @param ownService the service of the application on this machine; may be null
+     * @param trace where ended requests are recorded
      */
     OutboundListener(
-            LongSupplier micros,
-            Supplier<RoutingTable> bearings,
-            Supplier<String> caller,
+            LongSupplier clock,
+            Supplier<RoutingTable> routingTable,
+            Supplier<String> ownService,
             QuotaShares quotas,
-            BiFunction<String, Boolean, ServiceRequestHandler> helms,
-            RequestTrace wake) {
-        this.micros = micros;
-        this.bearings = bearings;
-        this.caller = caller;
+            ServiceHandlers handlers,
+            RequestTrace trace) {
+        this.clock = clock;
+        this.routingTable = routingTable;
+        this.ownService = ownService;
         this.quotas = quotas;
-        this.helms = helms;
-        this.wake = wake;
+        this.handlers = handlers;
+        this.trace = trace;
     }
 
     @Override
     public void called(ServerRequest call) {
-        RoutingTable now = bearings.get();
-        if (now.manifest().items().isEmpty()) {
-            refuse(call, ErrorKind.NOT_READY, 300_000);
+        RoutingTable table = routingTable.get();
+        if (table.isEmpty()) {
+            reject(call, ErrorKind.NOT_READY, NO_CONFIGURATION_RETRY_AFTER_MICROS);
             return;
         }
-        RouteConfiguration route = now.route(call.host(), call.path());
+        RouteConfiguration route = table.route(call.host(), call.path());
         if (route == null) {
-            refuse(call, ErrorKind.NO_ROUTE, 0);
+            reject(call, ErrorKind.NO_ROUTE, 0);
             return;
         }
-        String id = call.header(ID);
+        String id = call.header(ID_HEADER);
         if (id == null || id.isEmpty()) {
-            refuse(call, ErrorKind.MALFORMED, 0);
+            reject(call, ErrorKind.MALFORMED, 0);
             return;
         }
         TenantConfiguration tenant = null;
-        if (now.keyed() && !route.open()) {
-            tenant = now.tenant(call.header(KEY));
+        if (table.requiresKeys() && !route.open()) {
+            tenant = table.tenantByKey(call.header(KEY_HEADER));
             if (tenant == null) {
-                refuse(call, ErrorKind.NO_KEY, 0);
+                reject(call, ErrorKind.NO_KEY, 0);
                 return;
             }
-            long wait = quotas.ask(micros.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
-            if (wait > 0) {
-                refuse(call, ErrorKind.OVER_QUOTA, wait);
+            long retryAfter = quotas.ask(clock.getAsLong(), tenant.name(), tenant.ratePerS(), tenant.burst());
+            if (retryAfter > 0) {
+                reject(call, ErrorKind.OVER_QUOTA, retryAfter);
                 return;
             }
         }
-        go(call, id, route, tenant);
+        handle(call, id, route, tenant);
     }
 
-    private void go(ServerRequest call, String id, RouteConfiguration route, TenantConfiguration tenant) {
-        long arrived = call.arrivedMicros();
-        long left = Math.min(millis(call.header(LEFT)) * 1000, route.timeoutMicros());
-        long deadline = arrived + left - Math.min(MARGIN, left / MARGIN_PART);
-        long aimAt = Math.min(deadline, arrived + route.aimMicros());
-        String service = service(route, id);
-        ServiceRequestHandler helm = service == null ? null : helms.apply(service, tenant == null);
-        if (helm == null) {
-            refuse(call, ErrorKind.NOT_READY, 200_000);
+    /** @param tenant null for a call without one, which is an internal call */
+    private void handle(ServerRequest call, String id, RouteConfiguration route, TenantConfiguration tenant) {
+        boolean isInternal = tenant == null;
+        String service = selectService(route, id);
+        if (service == null) {
+            reject(call, ErrorKind.NOT_READY, NO_SERVICE_RETRY_AFTER_MICROS);
             return;
         }
-        int rank = tenant != null && tenant.priority() != null ? tenant.priority() : route.priority();
-        List<Map.Entry<String, String>> headers =
-                new ArrayList<>(Headers.without(Headers.endToEnd(call.headers()), KEY, TENANT, CALLER, INSTANCE, LEFT));
-        String from = caller.get();
-        if (from != null) {
-            headers.add(Map.entry(CALLER, from));
+        long arrivedAt = call.arrivedMicros();
+        long remaining = Math.min(timeRemainingMillis(call) * 1000, route.timeoutMicros());
+        long deadline = arrivedAt + remaining - Math.min(MAX_NETWORK_MARGIN_MICROS, remaining / NETWORK_MARGIN_DIVISOR);
+        handlers.handler(service, isInternal)
+                .handle(new ProxiedRequest(
+                        Long.toString(++lastNumber),
+                        call,
+                        id,
+                        route,
+                        isInternal ? null : tenant.name(),
+                        priority(route, tenant),
+                        isInternal,
+                        arrivedAt,
+                        Math.min(deadline, arrivedAt + route.aimMicros()),
+                        deadline,
+                        forwardedHeaders(call, tenant),
+                        trace));
+    }
+
+    private static int priority(RouteConfiguration route, TenantConfiguration tenant) {
+        return tenant != null && tenant.priority() != null ? tenant.priority() : route.priority();
+    }
+
+    private List<Map.Entry<String, String>> forwardedHeaders(ServerRequest call, TenantConfiguration tenant) {
+        List<Map.Entry<String, String>> headers = new ArrayList<>(Headers.without(
+                Headers.endToEnd(call.headers()),
+                KEY_HEADER,
+                TENANT_HEADER,
+                CALLER_HEADER,
+                INSTANCE_HEADER,
+                TIME_REMAINING_HEADER));
+        String caller = ownService.get();
+        if (caller != null) {
+            headers.add(Map.entry(CALLER_HEADER, caller));
         }
         if (tenant != null) {
-            headers.add(Map.entry(TENANT, tenant.name()));
+            headers.add(Map.entry(TENANT_HEADER, tenant.name()));
         }
-        helm.take(new ProxiedRequest(
-                Long.toString(++numbers),
-                call,
-                id,
-                route,
-                tenant == null ? null : tenant.name(),
-                rank,
-                tenant == null,
-                arrived,
-                aimAt,
-                deadline,
-                headers,
-                wake));
+        return headers;
     }
 
-    private static long millis(String text) {
+    /** What the client says that remains of its time; the maximum where it says nothing that can be read. */
+    private static long timeRemainingMillis(ServerRequest call) {
+        String text = call.header(TIME_REMAINING_HEADER);
+        if (text == null) {
+            return MAX_TIME_REMAINING_MILLIS;
+        }
         try {
-            return text == null ? MOST_LEFT : Math.max(1, Math.min(MOST_LEFT, Long.parseLong(text.trim())));
+            return Math.max(1, Math.min(MAX_TIME_REMAINING_MILLIS, Long.parseLong(text.trim())));
         } catch (NumberFormatException e) {
-            return MOST_LEFT;
+            return MAX_TIME_REMAINING_MILLIS;
         }
     }
 
-    /** One of the route's services, by their weights; of those that have servers while any has. */
-    private String service(RouteConfiguration route, String id) {
-        String only = null;
-        double all = 0;
-        for (WeightedDestination split : route.splits()) {
-            if (split.weight() > 0 && has(split)) {
-                all += split.weight();
-                only = split.service();
+    /**
+     * One of the route's services, by their weights and the request's id, so that retries go to the same one;
+     * of those that have endpoints while any has. Null where none has a weight.
+     */
+    private String selectService(RouteConfiguration route, String id) {
+        String last = null;
+        double totalWeight = 0;
+        for (WeightedDestination destination : route.splits()) {
+            if (isAvailable(destination)) {
+                totalWeight += destination.weight();
+                last = destination.service();
             }
         }
-        if (all == 0) {
-            return route.splits().stream()
-                    .filter(s -> s.weight() > 0)
-                    .map(WeightedDestination::service)
-                    .findFirst()
-                    .orElse(null);
+        if (totalWeight == 0) {
+            return firstWithWeight(route);
         }
-        double at = (Ids.of(id) >>> 10 & 0xfffff) / (double) 0x100000 * all;
-        for (WeightedDestination split : route.splits()) {
-            if (split.weight() > 0 && has(split)) {
-                at -= split.weight();
-                if (at < 0) {
-                    return split.service();
+        double position = (Ids.of(id) >>> 10 & 0xfffff) / (double) 0x100000 * totalWeight;
+        for (WeightedDestination destination : route.splits()) {
+            if (isAvailable(destination)) {
+                position -= destination.weight();
+                if (position < 0) {
+                    return destination.service();
                 }
             }
         }
-        return only;
+        return last;
+    }
+
+    private static String firstWithWeight(RouteConfiguration route) {
+        for (WeightedDestination destination : route.splits()) {
+            if (destination.weight() > 0) {
+                return destination.service();
+            }
+        }
+        return null;
     }
 
-    private boolean has(WeightedDestination split) {
-        ServiceRequestHandler helm = helms.apply(split.service(), false);
-        return helm != null && helm.hasServers();
+    private boolean isAvailable(WeightedDestination destination) {
+        return destination.weight() > 0
+                && handlers.handler(destination.service(), false).hasEndpoints();
     }
 
-    private void refuse(ServerRequest call, ErrorKind fault, long againMicros) {
-        counts.merge(fault.name(), 1L, Long::sum);
-        ServerResponse answer = LocalResponses.of(fault, againMicros);
-        wake.request(call.header(ID), call.host(), call.path(), call.arrivedMicros());
-        wake.answer(micros.getAsLong(), answer.status(), fault);
-        call.answer(answer);
+    private void reject(ServerRequest call, ErrorKind error, long retryAfterMicros) {
+        rejectionCounts.merge(error.name(), 1L, Long::sum);
+        ServerResponse response = LocalResponses.of(error, retryAfterMicros);
+        trace.request(call.header(ID_HEADER), call.host(), call.path(), call.arrivedMicros());
+        trace.answer(clock.getAsLong(), response.status(), error);
+        call.answer(response);
     }
 
-    /** Refusals by kind, since the start. */
-    Map<String, Long> counts() {
-        return counts;
+    /** Requests that were rejected before any attempt, since the start, by kind of error. */
+    Map<String, Long> rejectionCounts() {
+        return rejectionCounts;
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -7,285 +7,250 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.dataplane.http.upstream.RejectionReason;
 import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
 import org.cypressweir.dataplane.http.upstream.RequestHandle;
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
-import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * The hop, as the first pilot sees it: attempts go to the pilot beside the server, or straight to the quay
- * where that is this one. What was never whole in the system's hands has not run; what was, and whose line
- * is lost, may have.
+ * Forwards attempts to the proxy beside the chosen application instance, or hands them to the local
+ * dispatcher where that proxy is this one. A request that was never completely written to the operating
+ * system has not run; one that was, and whose connection is lost, may have.
  *
- * <p>Numbers begin at this process's life and only grow, over all lines: one names the life and the request,
- * and each line's begin behind its hello's. The line on which a parcel comes is proven by the connection.
+ * <p>Request numbers start at this process's incarnation and only grow, over all connections: one number
+ * names both the incarnation and the request, and the numbers of each connection start after its hello's.
+ * The incarnation of the peer is kept as the owner of the connection.
+ *
+ * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class PeerForwarder implements AttemptTransport {
 
-    /** Bytes that may wait on one line. */
-    private static final long MOST_WAITING = 4 * 1024 * 1024;
+    private static final long MAX_QUEUED_BYTES = 4 * 1024 * 1024;
+    private static final long RESPONSE_TIMEOUT_MICROS = 700_000;
+    private static final long PING_INTERVAL_MICROS = 250_000;
+    /** Shown to operators as the outcome of an attempt; the texts are fixed. */
+    private static final String CONNECTION_LOST = "the line was lost";
 
-    private static final long SILENCE = 700_000;
-    private static final long PING = 250_000;
+    private static final String TIMED_OUT = "nothing is heard";
+    private static final Handle NOTHING_TO_CANCEL = () -> {};
 
-    private static final class Out {
+    /** An attempt whose response is awaited. */
+    private static final class InFlightAttempt {
         private final long number;
-        private final PeerConnection line;
-        private final boolean repeatable;
+        private final PeerConnection connection;
+        private final boolean idempotent;
         private final long sentAt;
-        private final Consumer<AttemptResult> end;
+        private final Consumer<AttemptResult> callback;
 
-        private Out(long number, PeerConnection line, boolean repeatable, long sentAt, Consumer<AttemptResult> end) {
+        private InFlightAttempt(
+                long number,
+                PeerConnection connection,
+                boolean idempotent,
+                long sentAt,
+                Consumer<AttemptResult> callback) {
             this.number = number;
-            this.line = line;
-            this.repeatable = repeatable;
+            this.connection = connection;
+            this.idempotent = idempotent;
             this.sentAt = sentAt;
-            this.end = end;
+            this.callback = callback;
         }
     }
 
-    private final LongSupplier micros;
-    private final String own;
-    private final RequestDispatcher quay;
-    private final Function<String, PeerConnection> lines;
-    private final StaleMessageFilter old;
-    private final Map<Long, Out> out = new HashMap<>();
-    private final long life;
-    private long numbers;
-    private long pingedAt;
-    private boolean leaving;
+    private final LongSupplier clock;
+    private final String ownAddress;
+    private final RequestDispatcher localDispatcher;
+    private final Function<String, PeerConnection> connections;
+    private final StaleMessageFilter staleMessages;
+    private final Map<Long, InFlightAttempt> inFlight = new HashMap<>();
+    private final long incarnation;
+    private long lastNumber;
+    private long lastPingAt;
+    private boolean shuttingDown;
 
     /**
-     * @param life when this process began, in microseconds: later than any number of an earlier one
-     * @param lines the line to an address that is to be used now; null for none
+     * @param incarnation when this process started, in microseconds: greater than any number of an earlier one
+     * @param connections the connection to an address that is to be used now; null for none
      */
     PeerForwarder(
-            LongSupplier micros,
-            String own,
-            long life,
-            RequestDispatcher quay,
-            Function<String, PeerConnection> lines) {
-        this.micros = micros;
-        this.own = own;
-        this.quay = quay;
-        this.lines = lines;
-        this.life = life;
-        numbers = life;
-        old = new StaleMessageFilter(micros);
+            LongSupplier clock,
+            String ownAddress,
+            long incarnation,
+            RequestDispatcher localDispatcher,
+            Function<String, PeerConnection> connections) {
+        this.clock = clock;
+        this.ownAddress = ownAddress;
+        this.localDispatcher = localDispatcher;
+        this.connections = connections;
+        this.incarnation = incarnation;
+        lastNumber = incarnation;
+        staleMessages = new StaleMessageFilter(clock);
     }
 
-    /** What is said first on a line: who begins it, and from which number on its requests count. */
+    /** The first message of a new connection; each call takes a number of its own. */
     Map<String, Object> hello(String name) {
-        return JsonCodec.map("t", "hello", "kind", "pilot", "name", name, "life", life, "from", ++numbers);
+        return PeerMessageCodec.encode(new PeerMessage.Hello(name, incarnation, ++lastNumber));
     }
 
-    /** How many parcels were known as old. */
-    long oldParcels() {
-        return old.count();
+    /** How many messages were dropped as stale. */
+    long staleMessageCount() {
+        return staleMessages.count();
     }
 
     @Override
-    public Ride send(Endpoint target, UpstreamRequest freight, Consumer<AttemptResult> end) {
-        if (target.address().equals(own)) {
-            RequestHandle ticket = quay.take(freight, outcome -> end.accept(new AttemptResult(outcome, quay.load())));
-            return () -> quay.cancel(ticket);
-        }
-        PeerConnection line = lines.apply(target.address());
-        if (line == null || line.waiting() > MOST_WAITING) {
-            end.accept(new AttemptResult(
-                    new RequestOutcome.NotRun(line == null ? RejectionReason.NO_CONNECTION : RejectionReason.FULL, 0),
-                    null));
-            return () -> {};
+    public Handle send(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback) {
+        if (endpoint.address().equals(ownAddress)) {
+            return dispatchLocally(request, callback);
         }
-        if (line.owner() instanceof Long its && its != target.life()) {
-            // The line leads to another life than the one that was chosen: nothing is sent.
-            end.accept(new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null));
-            return () -> {};
+        PeerConnection connection = connections.apply(endpoint.address());
+        RejectionReason rejection = rejection(connection, endpoint);
+        if (rejection != null) {
+            callback.accept(notRun(rejection));
+            return NOTHING_TO_CANCEL;
         }
-        long now = micros.getAsLong();
-        long number = ++numbers;
-        out.put(number, new Out(number, line, freight.repeatable(), now, end));
-        line.send(head(freight, number, target.life(), now), freight.body(), whole -> {
-            if (!whole) {
-                over(number, new AttemptResult(new RequestOutcome.NotRun(RejectionReason.NO_CONNECTION, 0), null));
+        long now = clock.getAsLong();
+        long number = ++lastNumber;
+        inFlight.put(number, new InFlightAttempt(number, connection, request.repeatable(), now, callback));
+        Map<String, Object> head = PeerMessageCodec.encodeRequest(number, endpoint.incarnation(), request, now);
+        connection.send(head, request.body(), isComplete -> {
+            if (!isComplete) {
+                complete(number, notRun(RejectionReason.NO_CONNECTION));
             }
         });
         return () -> {
-            if (out.containsKey(number)) {
-                line.send(JsonCodec.map("t", "stop", "n", number));
+            if (inFlight.containsKey(number)) {
+                connection.send(PeerMessageCodec.encode(new PeerMessage.Cancellation(number)));
             }
         };
     }
 
-    private static Map<String, Object> head(UpstreamRequest f, long number, long life, long now) {
-        return JsonCodec.map(
-                "t",
-                "go",
-                "n",
-                number,
-                "life",
-                life,
-                "id",
-                f.id(),
-                "m",
-                f.method(),
-                "u",
-                f.uri(),
-                "h",
-                flat(f.headers()),
-                "rep",
-                f.repeatable(),
-                "rank",
-                f.rank(),
-                "inner",
-                f.inner(),
-                "aim",
-                f.aimAtMicros() - now,
-                "left",
-                f.deadlineMicros() - now,
-                "to",
-                f.instanceId());
+    private Handle dispatchLocally(UpstreamRequest request, Consumer<AttemptResult> callback) {
+        RequestHandle handle = localDispatcher.take(
+                request, outcome -> callback.accept(new AttemptResult(outcome, localDispatcher.load())));
+        return () -> localDispatcher.cancel(handle);
     }
 
-    static List<String> flat(List<Map.Entry<String, String>> headers) {
-        List<String> flat = new ArrayList<>(2 * headers.size());
-        for (Map.Entry<String, String> header : headers) {
-            flat.add(header.getKey());
-            flat.add(header.getValue());
+    /** Why nothing may be sent to the endpoint on this connection; null if it may. */
+    private static RejectionReason rejection(PeerConnection connection, Endpoint endpoint) {
+        if (connection == null) {
+            return RejectionReason.NO_CONNECTION;
         }
-        return flat;
+        if (connection.waiting() > MAX_QUEUED_BYTES) {
+            return RejectionReason.FULL;
+        }
+        // The connection may lead to another incarnation than the one that was selected.
+        boolean isOtherIncarnation =
+                connection.owner() instanceof Long incarnation && incarnation != endpoint.incarnation();
+        return isOtherIncarnation ? RejectionReason.GONE : null;
     }
 
-    static List<Map.Entry<String, String>> headers(Map<String, Object> head) {
-        List<?> flat = Json.array(head, "h");
-        List<Map.Entry<String, String>> headers = new ArrayList<>(flat.size() / 2);
-        for (int i = 0; i + 1 < flat.size(); i += 2) {
-            headers.add(Map.entry(String.valueOf(flat.get(i)), String.valueOf(flat.get(i + 1))));
-        }
-        return headers;
+    private static AttemptResult notRun(RejectionReason reason) {
+        return new AttemptResult(new RequestOutcome.NotRun(reason, 0), null);
     }
 
-    /** The process at the other end of a line has told its life; a line with two can't be believed. */
-    void greeted(PeerConnection line, long its) {
-        if (line.owner() == null) {
-            line.owner(its);
-        } else if (!line.owner().equals(its)) {
-            old.dropped("berth", its, "is of another life");
-            line.close();
+    private static AttemptResult mayHaveRun(String why) {
+        return new AttemptResult(new RequestOutcome.MayHaveRun(why), null);
+    }
+
+    /** The peer has said which incarnation it is; a connection that shows two of them is closed. */
+    void incarnationReceived(PeerConnection connection, long peerIncarnation) {
+        if (connection.owner() == null) {
+            connection.owner(peerIncarnation);
+        } else if (!connection.owner().equals(peerIncarnation)) {
+            staleMessages.dropped("registration", peerIncarnation, "other incarnation");
+            connection.close();
         }
     }
 
-    /** What the other pilot says that became of an attempt: on the line on which that went, or not at all. */
-    void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
-        long number = Json.whole(head, "n", -1);
-        Out one = out.get(number);
-        if (one == null || one.line != line) {
-            // What was over by silence or a lost line may still be told of.
-            old.dropped(
-                    "end",
+    /** Completes the attempt if the response came on the connection on which that was sent; else drops it. */
+    void responseReceived(PeerConnection connection, PeerMessage.ForwardedResponse response) {
+        long number = response.number();
+        InFlightAttempt attempt = inFlight.get(number);
+        if (attempt == null || attempt.connection != connection) {
+            // Attempts that ended by a time-out or a lost connection may still be answered.
+            staleMessages.dropped(
+                    "response",
                     number,
-                    one != null ? "came on another line" : number <= life ? "is of another life" : "is over");
+                    attempt != null
+                            ? "other connection"
+                            : number <= incarnation ? "other incarnation" : "already complete");
             return;
         }
-        if (head.containsKey("life")
-                && !Long.valueOf(Json.whole(head, "life", -1)).equals(line.owner())) {
-            old.dropped("end", number, "was told by another life");
+        if (response.incarnation() != PeerMessage.ForwardedResponse.UNSPECIFIED_INCARNATION
+                && !Long.valueOf(response.incarnation()).equals(connection.owner())) {
+            staleMessages.dropped("response", number, "sent by another incarnation");
             return;
         }
-        List<?> load = Json.array(head, "load");
-        UpstreamLoad its =
-                load.size() == 3 ? new UpstreamLoad(whole(load.get(0)), whole(load.get(1)), whole(load.get(2))) : null;
-        RequestOutcome outcome =
-                switch (JsonCodec.text(head, "o")) {
-                    case "answered" -> new RequestOutcome.Answered(
-                            (int) Json.whole(head, "s", 502), headers(head), body);
-                    case "notrun" -> new RequestOutcome.NotRun(
-                            reason(JsonCodec.text(head, "why")), Json.whole(head, "after", 0));
-                    default -> new RequestOutcome.MayHaveRun(JsonCodec.text(head, "why"));
-                };
-        over(number, new AttemptResult(outcome, its));
-    }
-
-    private static int whole(Object number) {
-        return number instanceof Number n ? n.intValue() : 0;
-    }
-
-    private static RejectionReason reason(String text) {
-        for (RejectionReason reason : RejectionReason.values()) {
-            if (reason.name().equals(text)) {
-                return reason;
-            }
-        }
-        return RejectionReason.REFUSED;
+        complete(number, response.result());
     }
 
-    private void over(long number, AttemptResult reply) {
-        Out one = out.remove(number);
-        if (one != null) {
-            one.end.accept(reply);
+    private void complete(long number, AttemptResult result) {
+        InFlightAttempt attempt = inFlight.remove(number);
+        if (attempt != null) {
+            attempt.callback.accept(result);
         }
     }
 
-    /** A line is gone: its attempts may have run. */
-    void lost(PeerConnection line) {
-        for (Out one : List.copyOf(out.values())) {
-            if (one.line == line) {
-                over(one.number, new AttemptResult(new RequestOutcome.MayHaveRun("the line was lost"), null));
+    /** Attempts that were sent on a connection that is lost may have run. */
+    void connectionLost(PeerConnection connection) {
+        for (InFlightAttempt attempt : List.copyOf(inFlight.values())) {
+            if (attempt.connection == connection) {
+                complete(attempt.number, mayHaveRun(CONNECTION_LOST));
             }
         }
     }
 
-    /** From now on what was sent is waited for: a silence is no reason to break off what may be at work. */
-    void leave() {
-        leaving = true;
+    /** From now on attempts don't time out: the process waits for what is in flight. */
+    void startShutdown() {
+        shuttingDown = true;
     }
 
     /**
-     * To be called some times a second: lines on which answers are awaited and nothing is heard are asked for
-     * a sign. What may be repeated does not wait for one for long.
+     * To be called several times a second: idempotent attempts time out, and connections on which responses
+     * are awaited and nothing arrives are pinged.
      */
     void tick() {
-        long now = micros.getAsLong();
-        boolean ping = now - pingedAt > PING;
-        List<PeerConnection> asked = new ArrayList<>();
-        for (Out one : List.copyOf(out.values())) {
-            long silence = now - Math.max(one.line.heardAt(), one.sentAt);
-            if (silence > SILENCE && one.repeatable && !leaving) {
-                over(one.number, new AttemptResult(new RequestOutcome.MayHaveRun("nothing is heard"), null));
-            } else if (ping
-                    && now - one.line.heardAt() > PING
-                    && now - one.sentAt > PING
-                    && !asked.contains(one.line)) {
-                asked.add(one.line);
-                one.line.ping();
+        long now = clock.getAsLong();
+        boolean isPingDue = now - lastPingAt > PING_INTERVAL_MICROS;
+        List<PeerConnection> pinged = new ArrayList<>();
+        for (InFlightAttempt attempt : List.copyOf(inFlight.values())) {
+            if (silentMicros(attempt, now) > RESPONSE_TIMEOUT_MICROS && attempt.idempotent && !shuttingDown) {
+                complete(attempt.number, mayHaveRun(TIMED_OUT));
+            } else if (isPingDue
+                    && silentMicros(attempt, now) > PING_INTERVAL_MICROS
+                    && !pinged.contains(attempt.connection)) {
+                pinged.add(attempt.connection);
+                attempt.connection.ping();
             }
         }
-        if (!asked.isEmpty()) {
-            pingedAt = now;
+        if (!pinged.isEmpty()) {
+            lastPingAt = now;
         }
     }
 
-    /** Whether a line has answers to give and says nothing. */
+    /** How long neither the attempt was sent nor anything was received on its connection. */
+    private static long silentMicros(InFlightAttempt attempt, long now) {
+        return now - Math.max(attempt.connection.heardAt(), attempt.sentAt);
+    }
+
+    /** Whether there is no connection to the address, or it owes a response and nothing arrives. */
     boolean isSilent(String address) {
-        PeerConnection line = lines.apply(address);
-        if (line == null) {
+        PeerConnection connection = connections.apply(address);
+        if (connection == null) {
             return true;
         }
-        long now = micros.getAsLong();
-        for (Out one : out.values()) {
-            if (one.line == line && now - Math.max(one.line.heardAt(), one.sentAt) > SILENCE) {
+        long now = clock.getAsLong();
+        for (InFlightAttempt attempt : inFlight.values()) {
+            if (attempt.connection == connection && silentMicros(attempt, now) > RESPONSE_TIMEOUT_MICROS) {
                 return true;
             }
         }
         return false;
     }
 
-    int size() {
-        return out.size();
+    /** How many attempts are in flight at other proxies. */
+    int inFlightCount() {
+        return inFlight.size();
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -7,246 +7,207 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.registry.ProxyRegistration;
-import org.cypressweir.dataplane.http.server.Headers;
-import org.cypressweir.dataplane.http.upstream.RejectionReason;
 import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
 import org.cypressweir.dataplane.http.upstream.RequestHandle;
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
-import org.cypressweir.dataplane.http.upstream.UpstreamLoad;
-import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * The hop, as the pilot beside the server sees it: what comes is handed to the quay, and its end told, on the
- * line on which it came. Each line takes the numbers from its hello's on, each once, and none that the
- * sender's next line has begun with.
+ * Receives the requests that other proxies forward, hands them to the dispatcher of the application instance
+ * beside this proxy, and sends each outcome back on the connection on which the request came.
+ *
+ * <p>A request runs once at most, however often its message comes: each connection accepts increasing numbers
+ * after its hello's, and none from the number on with which the sender's next connection or incarnation
+ * starts.
+ *
+ * <p>Not thread-safe: used on the event loop alone.
  */
 final class PeerRequestReceiver implements PeerConnection.Ear {
 
-    private static final byte[] NOTHING = {};
-    /** Lives of a sender that are known. */
-    private static final int MOST_LIVES = 8;
+    private static final byte[] EMPTY_BODY = {};
+    private static final int MAX_INCARNATIONS_PER_SENDER = 8;
+    private static final int MAX_SENDERS = 8_192;
 
-    private static final int MOST_SENDERS = 8_192;
-
-    private final LongSupplier micros;
-    private final RequestDispatcher quay;
-    private final Supplier<ProxyRegistration> berth;
-    private final StaleMessageFilter old;
-    private final Map<PeerConnection, Caller> callers = new LinkedHashMap<>();
-    private final Map<String, Lives> lives = new LinkedHashMap<>() {
+    private final LongSupplier clock;
+    private final RequestDispatcher dispatcher;
+    private final Supplier<ProxyRegistration> registration;
+    private final StaleMessageFilter staleMessages;
+    private final Map<PeerConnection, Session> sessions = new LinkedHashMap<>();
+    private final Map<String, SenderHistory> senders = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Lives> eldest) {
-            return size() > MOST_SENDERS;
+        protected boolean removeEldestEntry(Map.Entry<String, SenderHistory> eldest) {
+            return size() > MAX_SENDERS;
         }
     };
 
-    /** What is known of a sender's lives, and where the last line of each began. */
-    private static final class Lives {
-        private final TreeMap<Long, Long> begun = new TreeMap<>();
+    /** The incarnations of one sender that are known, and the first number of each one's latest connection. */
+    private static final class SenderHistory {
+        private final TreeMap<Long, Long> firstNumbers = new TreeMap<>();
 
-        private boolean begins(Caller fresh) {
-            Long before = begun.get(fresh.life);
-            if (before != null && fresh.from <= before) {
+        /** Whether the session is the latest of its incarnation; if so, it is recorded. */
+        private boolean record(Session session) {
+            Long before = firstNumbers.get(session.incarnation);
+            if (before != null && session.firstNumber <= before) {
                 return false;
             }
-            Long next = begun.higherKey(fresh.life);
-            fresh.until = next == null ? Long.MAX_VALUE : next;
-            begun.put(fresh.life, fresh.from);
-            if (begun.size() > MOST_LIVES) {
-                begun.pollFirstEntry();
+            Long next = firstNumbers.higherKey(session.incarnation);
+            session.endNumber = next == null ? Long.MAX_VALUE : next;
+            firstNumbers.put(session.incarnation, session.firstNumber);
+            if (firstNumbers.size() > MAX_INCARNATIONS_PER_SENDER) {
+                firstNumbers.pollFirstEntry();
             }
             return true;
         }
     }
 
-    /** Who has begun a line, and what of theirs is in hand on it. */
-    private static final class Caller {
-        private final String name;
-        private final long life;
-        private final long from;
-        /** The last that was taken. */
-        private long last;
-        /** Where the numbers of a later line or life begin. */
-        private long until;
-
-        private final Map<Long, RequestHandle> open = new HashMap<>();
-
-        private Caller(String name, long life, long from) {
-            this.name = name;
-            this.life = life;
-            this.from = from;
-            last = from;
+    /** A connection after its hello: who sends on it, and which of its requests are in flight here. */
+    private static final class Session {
+        private final String senderName;
+        private final long incarnation;
+        private final long firstNumber;
+        /** The last number that was accepted. */
+        private long lastNumber;
+        /** Exclusive: where the numbers of a later connection or incarnation start. */
+        private long endNumber;
+
+        private final Map<Long, RequestHandle> inFlight = new HashMap<>();
+
+        private Session(PeerMessage.Hello hello) {
+            senderName = hello.senderName();
+            incarnation = hello.incarnation();
+            firstNumber = hello.firstNumber();
+            lastNumber = firstNumber;
         }
     }
 
-    /** @param berth what this pilot tells of itself */
-    PeerRequestReceiver(LongSupplier micros, RequestDispatcher quay, Supplier<ProxyRegistration> berth) {
-        this.micros = micros;
-        this.quay = quay;
-        this.berth = berth;
-        old = new StaleMessageFilter(micros);
+    /** @param registration what this proxy says of itself now */
+    PeerRequestReceiver(LongSupplier clock, RequestDispatcher dispatcher, Supplier<ProxyRegistration> registration) {
+        this.clock = clock;
+        this.dispatcher = dispatcher;
+        this.registration = registration;
+        staleMessages = new StaleMessageFilter(clock);
     }
 
-    /** Tells all who have a line here what has changed. */
-    void tell() {
-        callers.keySet().forEach(this::tell);
+    /** Sends this proxy's registration to all peers that are connected here. */
+    void publishRegistration() {
+        sessions.keySet().forEach(this::sendRegistration);
     }
 
-    private void tell(PeerConnection line) {
-        line.send(JsonCodec.map("t", "berth", "berth", berth.get().toMap(micros.getAsLong())));
+    private void sendRegistration(PeerConnection connection) {
+        PeerMessage.RegistrationUpdate update = new PeerMessage.RegistrationUpdate(registration.get());
+        connection.send(PeerMessageCodec.encode(update, clock.getAsLong()));
     }
 
     @Override
-    public void opened(PeerConnection line) {}
+    public void opened(PeerConnection connection) {}
 
     @Override
-    public void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
-        switch (JsonCodec.text(head, "t")) {
-            case "hello" -> hello(line, head);
-            case "go" -> go(line, callers.get(line), head, body);
-            case "stop" -> {
-                Caller caller = callers.get(line);
-                RequestHandle ticket = caller == null ? null : caller.open.get(Json.whole(head, "n", -1));
-                if (ticket != null) {
-                    quay.cancel(ticket);
-                }
-            }
-            default -> {}
+    public void heard(PeerConnection connection, Map<String, Object> head, byte[] body) {
+        PeerMessage message = PeerMessageCodec.decode(head, body, clock.getAsLong());
+        if (message instanceof PeerMessage.ForwardedRequest request) {
+            receiveRequest(connection, request);
+        } else if (message instanceof PeerMessage.Hello hello) {
+            receiveHello(connection, hello);
+        } else if (message instanceof PeerMessage.Cancellation cancellation) {
+            receiveCancellation(connection, cancellation);
+        }
+    }
+
+    private void receiveCancellation(PeerConnection connection, PeerMessage.Cancellation cancellation) {
+        Session session = sessions.get(connection);
+        RequestHandle handle = session == null ? null : session.inFlight.get(cancellation.number());
+        if (handle != null) {
+            dispatcher.cancel(handle);
         }
     }
 
-    /** A sender's newer line ends the numbers of its older ones; an older one that comes late is closed. */
-    private void hello(PeerConnection line, Map<String, Object> head) {
-        Caller fresh =
-                new Caller(JsonCodec.text(head, "name"), Json.whole(head, "life", 0), Json.whole(head, "from", 0));
-        Caller before = callers.get(line);
+    /** A sender's newer connection ends the numbers of its older ones; an older one that comes late is closed. */
+    private void receiveHello(PeerConnection connection, PeerMessage.Hello hello) {
+        Session session = new Session(hello);
+        Session before = sessions.get(connection);
         if (before != null) {
-            old.dropped("hello", fresh.from, "is a line's second");
-            if (fresh.from != before.from) {
-                // One of them is not the line's own.
-                line.close();
+            staleMessages.dropped("hello", session.firstNumber, "second on its connection");
+            if (session.firstNumber != before.firstNumber) {
+                // One of the two was not sent for this connection.
+                connection.close();
             }
             return;
         }
-        if (!lives.computeIfAbsent(fresh.name, n -> new Lives()).begins(fresh)) {
-            old.dropped("hello", fresh.from, "is of an earlier line of " + fresh.name);
-            line.close();
+        if (!senders.computeIfAbsent(session.senderName, name -> new SenderHistory())
+                .record(session)) {
+            staleMessages.dropped("hello", session.firstNumber, "earlier connection of " + session.senderName);
+            connection.close();
             return;
         }
-        for (Caller other : callers.values()) {
-            if (other.name.equals(fresh.name) && other.from < fresh.from) {
-                other.until = Math.min(other.until, fresh.from);
+        for (Session other : sessions.values()) {
+            if (other.senderName.equals(session.senderName) && other.firstNumber < session.firstNumber) {
+                other.endNumber = Math.min(other.endNumber, session.firstNumber);
             }
         }
-        callers.put(line, fresh);
-        tell(line);
+        sessions.put(connection, session);
+        sendRegistration(connection);
     }
 
-    private void go(PeerConnection line, Caller caller, Map<String, Object> head, byte[] body) {
-        long now = micros.getAsLong();
-        long number = Json.whole(head, "n", -1);
-        long own = berth.get().life();
-        if (caller != null && Json.whole(head, "life", -1) != own) {
-            // It runs here on no line, however often it comes.
-            line.send(JsonCodec.map(
-                    "t", "end", "n", number, "life", own, "o", "notrun", "why", RejectionReason.GONE.name()));
+    private void receiveRequest(PeerConnection connection, PeerMessage.ForwardedRequest request) {
+        Session session = sessions.get(connection);
+        long number = request.number();
+        long ownIncarnation = registration.get().life();
+        if (session != null && request.receiverIncarnation() != ownIncarnation) {
+            // It runs here on no connection, however often it comes.
+            connection.send(PeerMessageCodec.encodeWrongIncarnation(number, ownIncarnation));
             return;
         }
-        if (caller == null || number <= caller.last || caller.until <= number) {
-            // No answer: the one that this is a double of may still run.
-            old.dropped(
-                    "go",
-                    number,
-                    caller == null
-                            ? "came before a hello"
-                            : number <= caller.from
-                                    ? "is of an earlier line"
-                                    : number <= caller.last ? "came before" : "is of a later line");
-            if (caller != null && number >= caller.until) {
-                // Who still sends here must not wait for what is not taken.
-                line.close();
+        if (session == null || number <= session.lastNumber || session.endNumber <= number) {
+            // No response: the original of this duplicate may still run.
+            staleMessages.dropped("request", number, staleReason(session, number));
+            if (session != null && number >= session.endNumber) {
+                // A sender that still uses this connection must not wait for what is dropped.
+                connection.close();
             }
             return;
         }
-        caller.last = number;
-        UpstreamRequest freight = new UpstreamRequest(
-                JsonCodec.text(head, "id"),
-                JsonCodec.text(head, "m"),
-                JsonCodec.text(head, "u"),
-                PeerForwarder.headers(head),
-                body,
-                Json.flag(head, "rep"),
-                (int) Json.whole(head, "rank", 9),
-                Json.flag(head, "inner"),
-                now + Json.whole(head, "aim", 0),
-                now + Json.whole(head, "left", 0),
-                JsonCodec.text(head, "to"));
-        boolean[] over = {false};
-        RequestHandle ticket = quay.take(freight, outcome -> {
-            over[0] = true;
-            caller.open.remove(number);
-            end(line, number, outcome);
+        session.lastNumber = number;
+        dispatch(connection, session, request);
+    }
+
+    private void dispatch(PeerConnection connection, Session session, PeerMessage.ForwardedRequest request) {
+        long number = request.number();
+        boolean[] isComplete = {false};
+        RequestHandle handle = dispatcher.take(request.request(), outcome -> {
+            isComplete[0] = true;
+            session.inFlight.remove(number);
+            respond(connection, number, outcome);
         });
-        if (!over[0]) {
-            caller.open.put(number, ticket);
+        if (!isComplete[0]) {
+            session.inFlight.put(number, handle);
         }
     }
 
-    private void end(PeerConnection line, long number, RequestOutcome outcome) {
-        if (!line.isOpen()) {
-            return;
+    private static String staleReason(Session session, long number) {
+        if (session == null) {
+            return "before hello";
+        }
+        if (number <= session.firstNumber) {
+            return "earlier connection";
         }
-        UpstreamLoad load = quay.load();
-        List<Integer> its = List.of(load.running(), load.waiting(), load.slots());
-        if (outcome instanceof RequestOutcome.Answered a) {
-            line.send(
-                    JsonCodec.map(
-                            "t",
-                            "end",
-                            "n",
-                            number,
-                            "o",
-                            "answered",
-                            "s",
-                            a.status(),
-                            "h",
-                            PeerForwarder.flat(Headers.endToEnd(a.headers())),
-                            "load",
-                            its),
-                    a.body(),
-                    null);
-        } else if (outcome instanceof RequestOutcome.NotRun n) {
-            line.send(
-                    JsonCodec.map(
-                            "t",
-                            "end",
-                            "n",
-                            number,
-                            "o",
-                            "notrun",
-                            "why",
-                            n.reason().name(),
-                            "after",
-                            n.retryAfterMicros(),
-                            "load",
-                            its),
-                    NOTHING,
-                    null);
-        } else if (outcome instanceof RequestOutcome.MayHaveRun m) {
-            line.send(JsonCodec.map("t", "end", "n", number, "o", "may", "why", m.why(), "load", its), NOTHING, null);
+        return number <= session.lastNumber ? "duplicate" : "later connection";
+    }
+
+    private void respond(PeerConnection connection, long number, RequestOutcome outcome) {
+        if (!connection.isOpen()) {
+            return;
         }
+        byte[] body = outcome instanceof RequestOutcome.Answered answered ? answered.body() : EMPTY_BODY;
+        connection.send(PeerMessageCodec.encodeResponse(number, outcome, dispatcher.load()), body, null);
     }
 
-    /** Who sent them waits no more; what can't be repeated goes on all the same. */
+    /** Requests of a closed connection are cancelled; those that are not idempotent run on all the same. */
     @Override
-    public void closed(PeerConnection line) {
-        Caller caller = callers.remove(line);
-        if (caller != null) {
-            List.copyOf(caller.open.values()).forEach(quay::cancel);
+    public void closed(PeerConnection connection) {
+        Session session = sessions.remove(connection);
+        if (session != null) {
+            List.copyOf(session.inFlight.values()).forEach(dispatcher::cancel);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -15,139 +15,169 @@
 import org.cypressweir.dataplane.http.upstream.RequestOutcome;
 import org.cypressweir.dataplane.http.upstream.RequestState;
 
-/** One request of a client, from its arrival to its one answer, and all attempts at it. */
+/**
+ * One request of a client, from its arrival to its one response, with all attempts at it. Used on the event
+ * loop alone; times are in microseconds of the proxy's clock.
+ */
 final class ProxiedRequest {
 
-    /** One attempt. */
-    static final class Try {
-        final Endpoint target;
+    /** One attempt at the request. */
+    static final class Attempt {
+        /** Null where the selected endpoint was removed meanwhile. */
+        final Endpoint endpoint;
+
         final long sentAt;
-        AttemptTransport.Ride ride;
+        AttemptTransport.Handle handle;
+        /** Null while the attempt is in flight. */
         RequestOutcome outcome;
+
         long endedAt;
-        /** Its deadline came while it was out. */
-        boolean over;
+        /** Whether the request's deadline passed while the attempt was in flight. */
+        boolean timedOut;
 
-        Try(Endpoint target, long sentAt) {
-            this.target = target;
+        Attempt(Endpoint endpoint, long sentAt) {
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
         }
 
-        /** In words; null while it is out. */
-        private String words() {
-            if (outcome instanceof RequestOutcome.Answered a) {
-                return over ? "answered late" : a.status() < 500 ? "answered" : "answered an error";
-            } else if (outcome instanceof RequestOutcome.NotRun n) {
-                return NOT_RUN[n.reason().ordinal()];
+        /** The outcome as operators read it; null while the attempt is in flight. */
+        private String describeOutcome() {
+            if (outcome instanceof RequestOutcome.Answered answered) {
+                if (timedOut) {
+                    return "answered late";
+                }
+                return answered.status() < FIRST_ERROR_STATUS ? "answered" : "answered an error";
             }
-            return outcome instanceof RequestOutcome.MayHaveRun m ? m.why() : null;
+            if (outcome instanceof RequestOutcome.NotRun notRun) {
+                return NOT_RUN[notRun.reason().ordinal()];
+            }
+            return outcome instanceof RequestOutcome.MayHaveRun mayHaveRun ? mayHaveRun.why() : null;
         }
     }
 
+    private static final int FIRST_ERROR_STATUS = 500;
+    private static final int EXPECTED_ATTEMPTS = 2;
+    /** By the ordinal of the reason. */
     private static final String[] NOT_RUN = Arrays.stream(RejectionReason.values())
             .map(reason -> "not run: " + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '))
             .toArray(String[]::new);
 
+    /** By which the load balancer knows the request. */
     final String number;
+
     final ServerRequest call;
+    /** The client's id of the request, the same for all attempts. */
     final String id;
+
     final RouteConfiguration route;
+    /** Null for a call without a tenant. */
     final String tenant;
-    final int rank;
-    final boolean inner;
+
+    final int priority;
+    /** Whether it is a call of the local application without a tenant. */
+    final boolean internal;
+
     final long arrivedAt;
-    final long aimAt;
+    /** When a response would still meet the route's latency target. */
+    final long latencyTargetAt;
+
     final long deadline;
     final List<Map.Entry<String, String>> headers;
-    final List<Try> tries = new ArrayList<>(2);
-    /** What may still be sent and answered. */
-    final RequestState account;
-    /** The server's own answer that is no success, kept in case that no other comes. */
-    ServerResponse kept;
-    /** Where it is kept, once it has ended, which way it went. */
-    private final RequestTrace wake;
+    final List<Attempt> attempts = new ArrayList<>(EXPECTED_ATTEMPTS);
+    /** Which attempts and which response are still allowed. */
+    final RequestState state;
+    /** The application's own response that is no success, kept in case that there is no other. */
+    ServerResponse fallbackResponse;
+    /** The proxy's own error; null where the response is the application's. */
+    ErrorKind error;
 
+    ScheduledFuture<?> deadlineTimer;
+    ScheduledFuture<?> admissionTimer;
+    private final RequestTrace trace;
     private long answeredAt;
     private int status;
-    /** What the mesh's own answer says; null for a server's. */
-    ErrorKind fault;
-
-    ScheduledFuture<?> atDeadline;
-    ScheduledFuture<?> patience;
 
+    /** @param trace where the request is recorded once it has ended */
     ProxiedRequest(
             String number,
             ServerRequest call,
             String id,
             RouteConfiguration route,
             String tenant,
-            int rank,
-            boolean inner,
+            int priority,
+            boolean internal,
             long arrivedAt,
-            long aimAt,
+            long latencyTargetAt,
             long deadline,
             List<Map.Entry<String, String>> headers,
-            RequestTrace wake) {
+            RequestTrace trace) {
         this.number = number;
         this.call = call;
         this.id = id;
         this.route = route;
-        account = new RequestState(route.repeatable());
+        state = new RequestState(route.repeatable());
         this.tenant = tenant;
-        this.rank = rank;
-        this.inner = inner;
+        this.priority = priority;
+        this.internal = internal;
         this.arrivedAt = arrivedAt;
-        this.aimAt = aimAt;
+        this.latencyTargetAt = latencyTargetAt;
         this.deadline = deadline;
         this.headers = headers;
-        this.wake = wake;
+        this.trace = trace;
+    }
+
+    /** How long after its arrival a response would still meet the latency target. */
+    long latencyTargetMicros() {
+        return latencyTargetAt - arrivedAt;
     }
 
-    /** Nothing more becomes of it. */
-    void ended(String service) {
-        tell(service, wake);
+    /** Records the request: it has ended, and so have all its attempts. */
+    void recordEnd(String service) {
+        recordTo(trace, service);
     }
 
-    /** Tells which way it went, so far. */
-    void tell(String service, RequestTrace to) {
-        to.request(id, call.host(), call.path(), arrivedAt);
-        to.way(route.name(), service, tenant);
-        if (account.isClosed()) {
-            to.answer(answeredAt, status, fault);
+    /** Records the request as far as it has come. */
+    void recordTo(RequestTrace target, String service) {
+        target.request(id, call.host(), call.path(), arrivedAt);
+        target.way(route.name(), service, tenant);
+        if (state.isClosed()) {
+            target.answer(answeredAt, status, error);
         }
-        for (int i = 0; i < tries.size(); i++) {
-            Try one = tries.get(i);
-            to.leg(
-                    one.target == null ? null : one.target.instance(),
-                    one.target == null ? null : one.target.pilot(),
-                    one.sentAt,
-                    one.endedAt,
-                    one.words());
+        for (int i = 0; i < attempts.size(); i++) {
+            Attempt attempt = attempts.get(i);
+            target.leg(
+                    attempt.endpoint == null ? null : attempt.endpoint.instanceId(),
+                    attempt.endpoint == null ? null : attempt.endpoint.proxyName(),
+                    attempt.sentAt,
+                    attempt.endedAt,
+                    attempt.describeOutcome());
         }
     }
 
-    /** Answers the client, once. */
-    void answer(ServerResponse answer) {
-        if (account.answer()) {
-            end();
-            status = answer.status();
-            call.answer(answer);
+    /** Responds to the client; does nothing after the first response. */
+    void respond(ServerResponse response) {
+        if (state.answer()) {
+            close();
+            status = response.status();
+            call.answer(response);
         }
     }
 
-    /** Nothing is owed any more. */
-    void left() {
-        account.leave();
-        end();
+    /** The client has disconnected: no response is owed any more. */
+    void clientDisconnected() {
+        state.leave();
+        close();
     }
 
-    private void end() {
-        answeredAt = wake.now();
-        if (atDeadline != null) {
-            atDeadline.cancel(false);
-        }
-        if (patience != null) {
-            patience.cancel(false);
+    private void close() {
+        answeredAt = trace.now();
+        cancel(deadlineTimer);
+        cancel(admissionTimer);
+    }
+
+    private static void cancel(ScheduledFuture<?> timer) {
+        if (timer != null) {
+            timer.cancel(false);
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -6,16 +6,13 @@
 import io.vavr.control.Option;
 import java.io.IOException;
 import java.io.PrintStream;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import org.cypressweir.common.diagnostics.RequestTrace;
 import org.cypressweir.common.diagnostics.StateEndpoint;
 import org.cypressweir.common.settings.NodeSettings;
@@ -23,23 +20,17 @@
 import org.cypressweir.common.settings.SettingsWatcher;
 import org.cypressweir.common.transport.ApiCall;
 import org.cypressweir.common.transport.ErrorKind;
-import org.cypressweir.common.transport.JsonCodec;
 import org.cypressweir.common.transport.LogConfiguration;
 import org.cypressweir.common.transport.MonotonicClock;
-import org.cypressweir.common.transport.PeerConnection;
-import org.cypressweir.common.transport.PeerConnectionPool;
 import org.cypressweir.common.transport.PeerTransport;
 import org.cypressweir.common.util.Addresses;
-import org.cypressweir.common.util.Ids;
-import org.cypressweir.common.util.Json;
 import org.cypressweir.controlplane.configuration.ClientLimits;
-import org.cypressweir.controlplane.configuration.Configuration;
-import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.controlplane.registry.ApplicationInstance;
 import org.cypressweir.controlplane.registry.EndpointDirectory;
-import org.cypressweir.controlplane.registry.ProxyRegistration;
 import org.cypressweir.dataplane.http.server.HttpListener;
+import org.cypressweir.dataplane.http.server.RequestHandler;
 import org.cypressweir.dataplane.http.server.RequestLimits;
+import org.cypressweir.dataplane.http.server.ServerRequest;
 import org.cypressweir.dataplane.http.server.ServerResponse;
 import org.cypressweir.dataplane.http.upstream.InstanceIncarnation;
 import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
@@ -47,154 +38,145 @@
 import org.cypressweir.dataplane.quota.QuotaShares;
 import org.jboss.logging.Logger;
 
-/** The pilot: puts the data plane together beside one application server. */
+/**
+ * The data-plane process beside one application instance: assembles its parts, opens its sockets and runs its
+ * periodic tasks. All of its parts run on one event loop, but for the parsing of configurations.
+ */
 public final class Proxy {
 
     private static final Logger LOG = Logger.getLogger(Proxy.class);
-    private static final PeerConnectionPool.Plan PEERS =
-            new PeerConnectionPool.Plan(3_000_000, 6_000_000, 12_000_000, 100_000, 500_000, 700);
-    private static final RequestLimits OWN_CALLS = new RequestLimits(16 * 1024, 64 * 1024, 5_000, 60_000);
+    private static final RequestLimits CONTROL_LIMITS = new RequestLimits(16 * 1024, 64 * 1024, 5_000, 60_000);
     private static final int TICK_MILLIS = 50;
-    private static final int TICKS_A_TALLY = 4;
-    private static final int TICKS_A_LOOK = 20;
-    /** What is told once and again heals whatever a harbour has missed. */
-    private static final int TICKS_A_TELLING = 40;
-    /** Requests in hand with one id that are told of at most. */
-    private static final int OPEN_TOLD = 16;
-    /** How long a pilot that starts waits for a confirmed configuration. */
-    private static final long UNCONFIRMED = 3_000_000;
-
-    private static final long KEEP_VIEW = 3_000_000;
-    /** Part of the drain's time after which nothing more is handed to a server that drains. */
-    private static final double DRAIN_PART = 0.8;
-    /** Of what the terms allow for further attempts, in all and for each request. */
-    private static final double SLACK_PART = 0.5;
-
-    private static final double RATIO_PART = 0.5;
-
-    private NodeSettings papers;
-    private final SettingsWatcher file;
+    private static final int TICKS_PER_DEMAND_PUBLICATION = 4;
+    private static final int TICKS_PER_SETTINGS_CHECK = 20;
+    /** Repeating the registration repairs whatever a controller has missed. */
+    private static final int TICKS_PER_REGISTRATION = 40;
+    /** Requests in flight with one id that operators are shown at most. */
+    private static final int MAX_TRACES_IN_FLIGHT = 16;
+    /** How long a proxy that starts waits for its configuration to be confirmed. */
+    private static final long DEFAULT_CONFIRMATION_TIMEOUT_MICROS = 3_000_000;
+
+    private static final long ENDPOINT_RETENTION_MICROS = 3_000_000;
+    private static final long DEFAULT_DRAIN_MICROS = 2_500_000;
+    private static final long DEFAULT_GRACE_PERIOD_MICROS = 6_000_000;
+    private static final long NOT_READY_RETRY_AFTER_MICROS = 500_000;
+    /** Part of the drain time after which nothing more is dispatched to a draining instance. */
+    private static final double DISPATCH_DRAIN_PART = 0.8;
+
+    /** Replaced on the event loop. */
+    private NodeSettings settings;
+
+    private final SettingsWatcher settingsWatcher;
     private final MonotonicClock clock = new MonotonicClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final PeerTransport wharf = new PeerTransport(group, clock);
-    private final String own;
-    private final List<String> zones;
-    private final EndpointDirectory roster = new EndpointDirectory(KEEP_VIEW);
-    private final ConfigurationSubscriber following = new ConfigurationSubscriber();
-    private final ReadinessGate freshness = new ReadinessGate();
+    private final PeerTransport transport = new PeerTransport(group, clock);
+    private final String ownAddress;
+    private final EndpointDirectory directory = new EndpointDirectory(ENDPOINT_RETENTION_MICROS);
+    private final ConfigurationSubscriber configuration = new ConfigurationSubscriber();
+    private final ReadinessGate readinessGate = new ReadinessGate();
     private final QuotaShares quotas = new QuotaShares();
-    private final RequestTrace wake = new RequestTrace(clock, RequestTrace.USUAL);
-    private final Map<String, ServiceRequestHandler> helms = new HashMap<>();
-    /** The ways of servers' own calls: what clients press on must not hold them up. */
-    private final Map<String, ServiceRequestHandler> inner = new HashMap<>();
-
-    private final Set<String> down = new HashSet<>();
-    private final ApplicationLifecycleHandler ships;
-    private final long life = System.currentTimeMillis() * 1000;
-    private final UpstreamDispatcher quay;
-    private final PeerRequestReceiver landing;
-    private final PeerConnectionPool peers;
-    private final PeerForwarder hops;
-    private final ControllerClient lookout;
-    private final OutboundListener front;
-    private final ExecutorService worker = Executors.newSingleThreadExecutor(task -> {
-        Thread thread = new Thread(task, "aside");
-        thread.setDaemon(true);
-        return thread;
-    });
-    private final BackgroundTask aside = new BackgroundTask(worker, loop);
-    private RoutingTable bearings = RoutingTable.none();
-    /** What the worker has made last; of the worker alone. */
-    private RoutingTable newest = bearings;
-
-    private boolean listStale = true;
-    private boolean leaving;
-    private boolean begun;
-    private long ticks;
+    private final RequestTrace requestTrace = new RequestTrace(clock, RequestTrace.USUAL);
+    private final ApplicationLifecycleHandler application;
+    private final UpstreamDispatcher dispatcher;
+    private final PeerRequestReceiver requestReceiver;
+    private final PeerConnections peers;
+    private final ServiceHandlers handlers;
+    private final EndpointLists endpointLists;
+    private final RoutingTableLoader routingTables;
+    private final ControllerClient controllers;
+    private final OutboundListener outboundListener;
     private HttpListener outbound;
+    private boolean isShuttingDown;
+    private boolean hasStarted;
+    private long ticks;
 
-    private Proxy(NodeSettings papers, SettingsWatcher file) {
-        this.papers = papers;
-        this.file = file;
-        own = papers.lines(papers.ip());
-        zones = List.copyOf(papers.zones().keySet());
-        ships = new ApplicationLifecycleHandler(clock, papers, life, this::shipChanged);
-        quay = new UpstreamDispatcher(
-                loop,
-                Addresses.parse(papers.application()),
+    private Proxy(NodeSettings settings, SettingsWatcher settingsWatcher) {
+        this.settings = settings;
+        this.settingsWatcher = settingsWatcher;
+        ownAddress = settings.lines(settings.ip());
+        long incarnation = System.currentTimeMillis() * 1000;
+        BackgroundTask background = new BackgroundTask(newWorker(), loop);
+        application = new ApplicationLifecycleHandler(clock, settings, incarnation, this::instanceChanged);
+        dispatcher = new UpstreamDispatcher(
+                loop, Addresses.parse(settings.application()), clock, UpstreamOptions.defaults(), LOG::info);
+        requestReceiver = new PeerRequestReceiver(clock, dispatcher, application::registration);
+        peers = new PeerConnections(
+                transport,
                 clock,
-                UpstreamOptions.defaults(),
-                line -> Logger.getLogger(Proxy.class).info(line));
-        landing = new PeerRequestReceiver(clock, quay, ships::berth);
-        peers = new PeerConnectionPool(wharf, clock, PEERS, this::hello, new Peers());
-        hops = new PeerForwarder(clock, own, life, quay, peers::line);
-        lookout = new ControllerClient(
-                wharf,
+                settings.name(),
+                ownAddress,
+                incarnation,
+                dispatcher,
+                directory,
+                this::endpointsChanged);
+        handlers = new ServiceHandlers(
+                loop,
                 clock,
-                papers.name(),
-                ships::berth,
-                roster,
-                following,
-                freshness,
-                quotas,
-                aside,
-                this::newBearings);
-        front = new OutboundListener(
+                peers.forwarder(),
+                this::settings,
+                List.copyOf(settings.zones().keySet()),
+                directory::size,
+                this::endpointsChanged);
+        endpointLists = new EndpointLists(directory, application::registration, peers, handlers);
+        routingTables = new RoutingTableLoader(background, this::limitConnections);
+        controllers = new ControllerClient(
+                transport,
                 clock,
-                () -> bearings,
-                () -> this.papers.service(),
+                settings.name(),
+                application::registration,
+                directory,
+                configuration,
+                readinessGate,
                 quotas,
-                (service, calls) -> calls ? helm(inner, service) : helm(helms, service),
-                wake);
+                background,
+                this::configurationChanged);
+        outboundListener = new OutboundListener(
+                clock, routingTables::current, () -> this.settings.service(), quotas, handlers, requestTrace);
     }
 
-    private Map<String, Object> hello() {
-        return hops.hello(papers.name());
+    private static ExecutorService newWorker() {
+        return Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "background");
+            thread.setDaemon(true);
+            return thread;
+        });
     }
 
     /** Runs until the process is ended; a status above 0 where it can't start. */
     public static int run(Map<String, String> env, PrintStream err) {
         LogConfiguration.open(err, false);
-        return SettingsLoader.run("pilot", env, err, Proxy::lacks, (papers, file) -> new Proxy(papers, file).serve());
+        return SettingsLoader.run(
+                "pilot", env, err, Proxy::missingSetting, (settings, watcher) -> new Proxy(settings, watcher).serve());
     }
 
-    private static Option<String> lacks(NodeSettings papers) {
-        for (String listen : List.of("outbound", "readiness", "controlPlane")) {
-            if (!papers.listen().containsKey(listen) || papers.application() == null) {
-                return Option.some("localNode.application and network.listenAddresses." + listen);
+    private static Option<String> missingSetting(NodeSettings settings) {
+        for (String listener : List.of("outbound", "readiness", "controlPlane")) {
+            if (!settings.listen().containsKey(listener) || settings.application() == null) {
+                return Option.some("localNode.application and network.listenAddresses." + listener);
             }
         }
         return Option.none();
     }
 
+    private NodeSettings settings() {
+        return settings;
+    }
+
+    // ---- Sockets
+
     private void serve() throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        SettingsLoader.onHangup(() -> loop.execute(() -> file.look(true, this::newPapers)));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(ended), "end"));
-        Map<String, String> listen = papers.listen();
-        HttpListener.open(
-                group,
-                Addresses.parse(listen.get("controlPlane")),
-                () -> OWN_CALLS,
-                clock,
-                new StateEndpoint(ships, new Told()));
-        wharf.listen(Addresses.parse(own), landing);
-        loop.execute(() -> lookout.seeds(papers.seedLines()));
-        HttpListener.open(
-                group,
-                Addresses.parse(listen.get("readiness")),
-                () -> OWN_CALLS,
-                clock,
-                call -> call.answer(
-                        ApiCall.READINESS.name(call.uri()).isEmpty()
-                                ? LocalResponses.of(ErrorKind.NO_CALL)
-                                : isReady()
-                                        ? ServerResponse.of(200)
-                                        : LocalResponses.of(ErrorKind.NOT_READY, 500_000)));
-        outbound = HttpListener.open(group, Addresses.parse(listen.get("outbound")), this::bounds, clock, front);
+        SettingsLoader.onHangup(() -> loop.execute(() -> settingsWatcher.look(true, this::updateSettings)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(ended), "shutdown"));
+        StateEndpoint stateEndpoint = new StateEndpoint(application, newStateReporter());
+        listen("controlPlane", () -> CONTROL_LIMITS, stateEndpoint);
+        transport.listen(Addresses.parse(ownAddress), requestReceiver);
+        loop.execute(() -> controllers.updateSeeds(settings.seedLines()));
+        listen("readiness", () -> CONTROL_LIMITS, this::answerReadiness);
+        outbound = listen("outbound", this::clientLimits, outboundListener);
         loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
-        LOG.info("Pilot " + papers.name() + " listens.");
+        LOG.info("Proxy started: name=" + settings.name());
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -202,8 +184,13 @@
         }
     }
 
-    private RequestLimits bounds() {
-        ClientLimits limits = bearings.limits();
+    private HttpListener listen(String name, Supplier<RequestLimits> limits, RequestHandler handler)
+            throws IOException {
+        return HttpListener.open(group, Addresses.parse(settings.listen().get(name)), limits, clock, handler);
+    }
+
+    private RequestLimits clientLimits() {
+        ClientLimits limits = routingTables.current().limits();
         return new RequestLimits(
                 limits.maxHeaderBytes(),
                 limits.maxBodyBytes(),
@@ -211,251 +198,161 @@
                 limits.idleTimeoutMicros() / 1000);
     }
 
+    // ---- Readiness
+
+    private void answerReadiness(ServerRequest call) {
+        call.answer(readinessResponse(call));
+    }
+
+    private ServerResponse readinessResponse(ServerRequest call) {
+        if (ApiCall.READINESS.name(call.uri()).isEmpty()) {
+            return LocalResponses.of(ErrorKind.NO_CALL);
+        }
+        return isReady()
+                ? ServerResponse.of(200)
+                : LocalResponses.of(ErrorKind.NOT_READY, NOT_READY_RETRY_AFTER_MICROS);
+    }
+
     private boolean isReady() {
-        return !leaving
-                && !bearings.manifest().items().isEmpty()
-                && isFresh()
-                && helms.values().stream().anyMatch(ServiceRequestHandler::hasServers);
+        return !isShuttingDown && !routingTables.current().isEmpty() && mayServe() && handlers.hasEndpoints();
     }
 
-    /** Whether the configuration is new enough to begin with, or nobody says so. */
-    private boolean isFresh() {
-        if (!begun) {
-            begun = freshness.begins(clock.getAsLong(), bearings.stamp(), papers.bound("contact", UNCONFIRMED));
-            if (begun && !freshness.isConfirmed()) {
-                LOG.warn(
-                        "No harbour confirms the configuration at " + bearings.stamp() + "; the pilot begins with it.");
+    /** Whether the configuration is confirmed to be new enough to start with, or nobody has confirmed one. */
+    private boolean mayServe() {
+        if (!hasStarted) {
+            long timeout = settings.bound("contact", DEFAULT_CONFIRMATION_TIMEOUT_MICROS);
+            hasStarted = readinessGate.mayStart(
+                    clock.getAsLong(), routingTables.current().version(), timeout);
+            if (hasStarted && !readinessGate.isConfirmed()) {
+                LOG.warn("Starting with an unconfirmed configuration: version="
+                        + routingTables.current().version());
             }
         }
-        return begun;
+        return hasStarted;
     }
 
-    private ServiceRequestHandler helm(Map<String, ServiceRequestHandler> ways, String service) {
-        return ways.computeIfAbsent(service, s -> {
-            listStale = true;
-            double slack = SLACK_PART / 2 * papers.figure("retrySlack", 0) / Math.max(1, roster.size());
-            return new ServiceRequestHandler(
-                    s,
-                    loop,
-                    clock,
-                    hops,
-                    papers.name(),
-                    Math.max(0, zones.indexOf(papers.zone())),
-                    zones,
-                    ServiceRequestHandler.budget(
-                            papers.bound("retryWindow", 10_000_000),
-                            Math.max(1, slack),
-                            RATIO_PART * papers.figure("retryBudgetRatio", 0)));
-        });
+    // ---- Changes
+
+    private void endpointsChanged() {
+        endpointLists.markStale();
     }
 
-    /** The configuration is made ready beside the loop; requests go by the one before until then. */
-    private void newBearings() {
-        ProposalNumber stamp = following.stamp();
-        Configuration manifest = following.manifest();
-        aside.run(() -> newest = newest.next(stamp, manifest), next -> {
-            bearings = next;
-            boundConnections(ships.ship());
-        });
+    private void configurationChanged() {
+        routingTables.load(configuration.version(), configuration.configuration());
     }
 
-    private void boundConnections(ApplicationInstance ship) {
-        if (ship != null && bearings.connections(ship.service()) > 0) {
-            quay.maxConnections(bearings.connections(ship.service()));
+    private void limitConnections() {
+        ApplicationInstance instance = application.instance();
+        if (instance != null) {
+            int maxConnections = routingTables.current().maxConnections(instance.service());
+            if (maxConnections > 0) {
+                dispatcher.maxConnections(maxConnections);
+            }
         }
     }
 
-    private void shipChanged(ApplicationInstance ship) {
-        quay.life(
-                ship == null
-                        ? null
-                        : new InstanceIncarnation(
-                                ship.id(), ship.service(), ship.slots(), ship.draining(), ship.warmAt()));
-        boundConnections(ship);
-        roster.told(ships.berth());
-        landing.tell();
-        lookout.tell();
-        listStale = true;
+    private void instanceChanged(ApplicationInstance instance) {
+        dispatcher.life(incarnation(instance));
+        limitConnections();
+        directory.told(application.registration());
+        requestReceiver.publishRegistration();
+        controllers.publishRegistration();
+        endpointsChanged();
+    }
+
+    private static InstanceIncarnation incarnation(ApplicationInstance instance) {
+        return instance == null
+                ? null
+                : new InstanceIncarnation(
+                        instance.id(), instance.service(), instance.slots(), instance.draining(), instance.warmAt());
     }
 
+    private void updateSettings(NodeSettings next) {
+        settings = next;
+        application.updateSettings(next);
+        controllers.updateSeeds(next.seedLines());
+        instanceChanged(application.instance());
+    }
+
+    // ---- Periodic tasks
+
     private void tick() {
         try {
             ticks++;
             long now = clock.getAsLong();
-            ships.tick();
-            if (ships.drainedAt() != 0 && now - ships.drainedAt() > DRAIN_PART * papers.bound("drain", 2_500_000)) {
-                quay.life(null);
-            }
-            lookout.tick();
-            isFresh();
+            application.tick();
+            stopDispatchToDrainedInstance(now);
+            controllers.tick();
+            mayServe();
             peers.tick();
-            hops.tick();
-            if (roster.merge(now) || listStale) {
-                listStale = false;
-                newList();
-            }
-            if (ticks % TICKS_A_TALLY == 0) {
-                quotas.pilots(roster.size());
-                lookout.tellAsked();
-            }
-            if (ticks % TICKS_A_TELLING == 0) {
-                lookout.tell();
-            }
-            if (ticks % TICKS_A_LOOK == 0) {
-                file.look(false, this::newPapers);
-            }
+            endpointLists.refresh(now);
+            runSlowerTasks();
         } catch (RuntimeException | Error e) {
+            // The executor would not run a periodic task again that threw.
             LOG.error("A tick failed.", e);
         }
     }
 
-    private void newPapers(NodeSettings next) {
-        papers = next;
-        ships.papers(next);
-        lookout.seeds(next.seedLines());
-        shipChanged(ships.ship());
-    }
-
-    /** Whether this is the own machine, or there is a line to it. */
-    private boolean reaches(ProxyRegistration berth) {
-        return berth.address().equals(own) || peers.line(berth.address()) != null && !down.contains(berth.address());
+    private void stopDispatchToDrainedInstance(long now) {
+        long drainingSince = application.drainingSince();
+        if (drainingSince != 0
+                && now - drainingSince > DISPATCH_DRAIN_PART * settings.bound("drain", DEFAULT_DRAIN_MICROS)) {
+            dispatcher.life(null);
+        }
     }
 
-    /** Another list of servers: each service's way learns of it; peers get their lines. */
-    private void newList() {
-        Set<String> addresses = new HashSet<>();
-        Map<String, List<Endpoint>> targets = new HashMap<>();
-        Map<String, Long> warm = new HashMap<>();
-        for (ProxyRegistration told : roster.all()) {
-            boolean mine = told.name().equals(papers.name());
-            ProxyRegistration berth = mine ? ships.berth() : told;
-            if (!mine) {
-                addresses.add(berth.address());
-            }
-            if (berth.ship() != null) {
-                helm(helms, berth.ship().service());
-                helm(inner, berth.ship().service());
-            }
-            if (berth.takes() && reaches(berth)) {
-                targets.computeIfAbsent(berth.ship().service(), s -> new ArrayList<>())
-                        .add(new Endpoint(
-                                Ids.of(berth.ship().id()),
-                                berth.name(),
-                                berth.life(),
-                                berth.address(),
-                                berth.ship().id(),
-                                berth.zone()));
-                warm.put(berth.ship().id(), berth.ship().warmAt());
-            }
+    private void runSlowerTasks() {
+        if (ticks % TICKS_PER_DEMAND_PUBLICATION == 0) {
+            quotas.pilots(directory.size());
+            controllers.publishDemand();
+        }
+        if (ticks % TICKS_PER_REGISTRATION == 0) {
+            controllers.publishRegistration();
         }
-        peers.want(addresses);
-        for (Map<String, ServiceRequestHandler> ways : List.of(helms, inner)) {
-            ways.forEach((service, helm) -> helm.servers(targets.getOrDefault(service, List.of()), zones, warm));
+        if (ticks % TICKS_PER_SETTINGS_CHECK == 0) {
+            settingsWatcher.look(false, this::updateSettings);
         }
     }
 
-    /** What operators are told of this pilot. */
-    private final class Told implements StateEndpoint.Teller {
-        @Override
-        public Map<String, Object> state(boolean items) {
-            return Proxy.this.state(items);
-        }
+    // ---- State
 
-        @Override
-        public List<Object> why(String id) {
-            List<Object> all = new ArrayList<>(wake.of(id));
-            RequestTrace open = new RequestTrace(clock, OPEN_TOLD);
-            helms.values().forEach(helm -> helm.tell(id, open));
-            inner.values().forEach(helm -> helm.tell(id, open));
-            all.addAll(open.of(id));
-            return all;
-        }
+    private ProxyStateReporter newStateReporter() {
+        return new ProxyStateReporter(
+                this::status, requestTrace, handlers, () -> new RequestTrace(clock, MAX_TRACES_IN_FLIGHT));
     }
 
-    private Map<String, Object> state(boolean items) {
-        ProxyStatus its = new ProxyStatus(clock.getAsLong(), papers.name(), papers.control(), own, bearings);
-        its.harbours(lookout);
-        its.pilots(roster);
-        its.peers(peers, down);
-        its.servers(roster, ships.berth(), this::reaches, hops);
-        its.own(ships.berth(), quay.load());
-        its.requests(outbound == null ? 0 : outbound.requestsOpen(), hops.size(), helms);
-        its.refusals(front.counts(), helms);
-        its.tenants(quotas);
-        return its.map(items);
+    private ProxyStatus status() {
+        ProxyStatus status = new ProxyStatus(
+                clock.getAsLong(), settings.name(), settings.control(), ownAddress, routingTables.current());
+        status.putControllers(controllers);
+        status.putProxies(directory);
+        status.putPeers(peers);
+        status.putServices(directory, application.registration(), peers);
+        status.putOwnInstance(application.registration(), dispatcher.load());
+        status.putRequests(
+                outbound == null ? 0 : outbound.requestsOpen(),
+                peers.forwarder().inFlightCount(),
+                handlers.tenantHandlers());
+        status.putLocalResponses(outboundListener.rejectionCounts(), handlers.tenantHandlers());
+        status.putTenants(quotas);
+        return status;
     }
 
-    /** SIGTERM: nothing new is taken by and by, what is in hand is answered. */
-    private void leave(CountDownLatch ended) {
-        long grace = papers.bound("gracePeriod", 6_000_000);
-        long until = clock.getAsLong() + (long) (grace * 0.85);
-        loop.execute(() -> {
-            LOG.info("Pilot " + papers.name() + " leaves.");
-            leaving = true;
-            ships.leave();
-            quay.leave();
-            hops.leave();
-        });
-        CountDownLatch done = new CountDownLatch(1);
-        long quiet = clock.getAsLong() + Math.min(3_000_000, grace / 2);
-        loop.scheduleAtFixedRate(
-                () -> {
-                    long now = clock.getAsLong();
-                    if (now > quiet) {
-                        // Those who have connected are still answered, each with its connection's last answer.
-                        outbound.stopListening();
-                        outbound.drain();
-                    }
-                    boolean idle = outbound.connections() == 0 && quay.idle() && hops.size() == 0;
-                    if (now > until || now > quiet && idle) {
-                        done.countDown();
-                    }
-                },
-                20,
-                20,
-                TimeUnit.MILLISECONDS);
-        try {
-            done.await(grace, TimeUnit.MICROSECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    // ---- Shutdown
+
+    /** SIGTERM: new requests are refused by and by, those in flight are answered. */
+    private void shutDown(CountDownLatch ended) {
+        PeerForwarder forwarder = peers.forwarder();
+        new GracefulShutdown(loop, clock, () -> outbound, () -> dispatcher.idle() && forwarder.inFlightCount() == 0)
+                .run(settings.bound("gracePeriod", DEFAULT_GRACE_PERIOD_MICROS), this::startShutdown);
         ended.countDown();
     }
 
-    /** Lines to other pilots. */
-    private final class Peers implements PeerConnectionPool.Owner {
-        @Override
-        public void up(String address, PeerConnection line) {
-            down.remove(address);
-            listStale = true;
-        }
-
-        @Override
-        public void heard(String address, PeerConnection line, Map<String, Object> head, byte[] body) {
-            if (JsonCodec.text(head, "t").equals("end")) {
-                hops.heard(line, head, body);
-            } else if (JsonCodec.text(head, "t").equals("berth")) {
-                ProxyRegistration berth = ProxyRegistration.of(Json.object(head, "berth"), clock.getAsLong());
-                if (berth != null) {
-                    hops.greeted(line, berth.life());
-                    roster.told(berth);
-                }
-            }
-        }
-
-        @Override
-        public void lost(String address, PeerConnection line) {
-            hops.lost(line);
-            if (peers.line(address) == null) {
-                down.add(address);
-                listStale = true;
-            }
-        }
-
-        @Override
-        public void refused(String address) {
-            down.add(address);
-            listStale = true;
-        }
+    private void startShutdown() {
+        LOG.info("Proxy shutting down: name=" + settings.name());
+        isShuttingDown = true;
+        application.startShutdown();
+        dispatcher.leave();
+        peers.forwarder().startShutdown();
     }
 }
