--- a/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
+++ b/src/bench/java/org/cypressweir/dataplane/proxy/HollowFleetBench.java
@@ -218,14 +218,15 @@
                     ask();
                 }
                 case "roster" -> {
-                    places.put(address, new long[] {Json.whole(head, "life", 0), Json.whole(head, "place", -1)});
+                    places.put(
+                            address, new long[] {Json.longValue(head, "life", 0), Json.longValue(head, "place", -1)});
                     if (Json.flag(head, "whole")) {
                         whole.computeIfAbsent(index, i -> ConcurrentHashMap.newKeySet())
                                 .add(address);
                     }
                     for (Object one : Json.array(head, "berths")) {
                         Map<?, ?> berth = (Map<?, ?>) one;
-                        known(JsonCodec.text(berth, "name"), Json.whole(berth, "number", 0));
+                        known(JsonCodec.text(berth, "name"), Json.longValue(berth, "number", 0));
                     }
                 }
                 case "items" -> items(address, head, body);
--- a/src/main/java/org/cypressweir/common/util/Json.java
+++ b/src/main/java/org/cypressweir/common/util/Json.java
@@ -75,12 +75,12 @@
     }
 
     /** The number with that name as a long, truncated; the default where there is none. */
-    public static long whole(Map<?, ?> object, String name, long defaultValue) {
+    public static long longValue(Map<?, ?> object, String name, long defaultValue) {
         return object.get(name) instanceof Number number ? number.longValue() : defaultValue;
     }
 
     /** The number with that name as a double; the default where there is none. */
-    public static double real(Map<?, ?> object, String name, double defaultValue) {
+    public static double doubleValue(Map<?, ?> object, String name, double defaultValue) {
         return object.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -129,10 +129,10 @@
                 }
             }
             case "follow" -> {
-                seat.place = Json.whole(head, "life", 0) == life ? Json.whole(head, "place", -1) : -1;
+                seat.place = Json.longValue(head, "life", 0) == life ? Json.longValue(head, "place", -1) : -1;
                 tell(line, seat);
             }
-            case "contact" -> line.send(contact(Json.whole(head, "asked", 0)));
+            case "contact" -> line.send(contact(Json.longValue(head, "asked", 0)));
             case "want" -> tellEdition(line, head);
             case "tally" -> demands.told(now, seat.name, Json.object(head, "asked"), Json.flag(head, "whole"));
             case "sums" -> {
--- a/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
@@ -29,14 +29,14 @@
     }
 
     static ApplicationInstance of(Map<?, ?> map, long now) {
-        long warm = Json.whole(map, "warm", 0);
+        long warm = Json.longValue(map, "warm", 0);
         return JsonCodec.text(map, "id").isEmpty()
                 ? null
                 : new ApplicationInstance(
                         JsonCodec.text(map, "id"),
                         JsonCodec.text(map, "service"),
                         JsonCodec.text(map, "address"),
-                        (int) Json.whole(map, "slots", 1),
+                        (int) Json.longValue(map, "slots", 1),
                         Json.flag(map, "draining"),
                         warm == 0 ? 0 : now + warm);
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
@@ -54,8 +54,8 @@
         }
         return new ProxyRegistration(
                 JsonCodec.text(map, "name"),
-                Json.whole(map, "life", 0),
-                Json.whole(map, "number", 0),
+                Json.longValue(map, "life", 0),
+                Json.longValue(map, "number", 0),
                 JsonCodec.text(map, "address"),
                 JsonCodec.text(map, "control"),
                 JsonCodec.text(map, "zone"),
--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -124,7 +124,7 @@
             return;
         }
         call.answer(taken());
-        long its = Json.whole(oper, "callSequence", 0);
+        long its = Json.longValue(oper, "callSequence", 0);
         boolean known = ship != null && ship.id().equals(id);
         if (ended.contains(id) || known && its < sequence) {
             return;
@@ -143,7 +143,7 @@
                 id,
                 JsonCodec.text(node, "service"),
                 JsonCodec.text(read.get(), "address"),
-                (int) Math.max(1, Json.whole(node, "capacitySlots", 1)),
+                (int) Math.max(1, Json.longValue(node, "capacitySlots", 1)),
                 draining,
                 known || warm <= 0 ? known ? warm : 0 : now + warm);
         if (!next.equals(ship)) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
@@ -98,8 +98,8 @@
         }
         askedAt = now;
         Map<Integer, List<Item>> pieces = coming.computeIfAbsent(harbour + " " + from + " " + to, k -> new HashMap<>());
-        pieces.put((int) Json.whole(head, "piece", 0), items);
-        if (pieces.size() < Json.whole(head, "pieces", 1)) {
+        pieces.put((int) Json.longValue(head, "piece", 0), items);
+        if (pieces.size() < Json.longValue(head, "pieces", 1)) {
             return false;
         }
         List<Item> all = new ArrayList<>();
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -212,7 +212,7 @@
                 }
                 ProposalNumber stamp = ProposalNumber.of(JsonCodec.text(head, "stamp"));
                 following.shows(address, stamp);
-                freshness.told(address, Json.whole(head, "age", -1));
+                freshness.told(address, Json.longValue(head, "age", -1));
                 Set<String> told = new HashSet<>();
                 Json.array(head, "crew").forEach(one -> told.add(String.valueOf(one)));
                 Set<String> before = following.crew();
@@ -233,7 +233,7 @@
                 List<String> gone = new ArrayList<>();
                 Json.array(head, "gone").forEach(name -> gone.add(String.valueOf(name)));
                 roster.told(address, Json.flag(head, "whole"), berths, gone);
-                places.put(address, new Place(Json.whole(head, "life", 0), Json.whole(head, "place", -1)));
+                places.put(address, new Place(Json.longValue(head, "life", 0), Json.longValue(head, "place", -1)));
             }
             case "items" -> aside.run(() -> ItemChunks.unpack(body), items -> {
                 if (following.told(micros.getAsLong(), address, head, items)) {
@@ -242,8 +242,8 @@
                 }
             });
             case "contact" -> {
-                long asked = Json.whole(head, "asked", 0);
-                long age = Json.whole(head, "age", -1);
+                long asked = Json.longValue(head, "asked", 0);
+                long age = Json.longValue(head, "age", -1);
                 if (asked == 0) {
                     freshness.told(address, age);
                 } else {
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -182,7 +182,7 @@
 
     /** What the other pilot says that became of an attempt: on the line on which that went, or not at all. */
     void heard(PeerConnection line, Map<String, Object> head, byte[] body) {
-        long number = Json.whole(head, "n", -1);
+        long number = Json.longValue(head, "n", -1);
         Out one = out.get(number);
         if (one == null || one.line != line) {
             // What was over by silence or a lost line may still be told of.
@@ -193,7 +193,7 @@
             return;
         }
         if (head.containsKey("life")
-                && !Long.valueOf(Json.whole(head, "life", -1)).equals(line.attachment())) {
+                && !Long.valueOf(Json.longValue(head, "life", -1)).equals(line.attachment())) {
             old.dropped("end", number, "was told by another life");
             return;
         }
@@ -203,9 +203,9 @@
         RequestOutcome outcome =
                 switch (JsonCodec.text(head, "o")) {
                     case "answered" -> new RequestOutcome.Answered(
-                            (int) Json.whole(head, "s", 502), headers(head), body);
+                            (int) Json.longValue(head, "s", 502), headers(head), body);
                     case "notrun" -> new RequestOutcome.NotRun(
-                            reason(JsonCodec.text(head, "why")), Json.whole(head, "after", 0));
+                            reason(JsonCodec.text(head, "why")), Json.longValue(head, "after", 0));
                     default -> new RequestOutcome.MayHaveRun(JsonCodec.text(head, "why"));
                 };
         over(number, new AttemptResult(outcome, its));
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -110,7 +110,7 @@
             case "go" -> go(line, callers.get(line), head, body);
             case "stop" -> {
                 Caller caller = callers.get(line);
-                RequestHandle ticket = caller == null ? null : caller.open.get(Json.whole(head, "n", -1));
+                RequestHandle ticket = caller == null ? null : caller.open.get(Json.longValue(head, "n", -1));
                 if (ticket != null) {
                     quay.cancel(ticket);
                 }
@@ -121,8 +121,8 @@
 
     /** A sender's newer line ends the numbers of its older ones; an older one that comes late is closed. */
     private void hello(PeerConnection line, Map<String, Object> head) {
-        Caller fresh =
-                new Caller(JsonCodec.text(head, "name"), Json.whole(head, "life", 0), Json.whole(head, "from", 0));
+        Caller fresh = new Caller(
+                JsonCodec.text(head, "name"), Json.longValue(head, "life", 0), Json.longValue(head, "from", 0));
         Caller before = callers.get(line);
         if (before != null) {
             old.dropped("hello", fresh.from, "is a line's second");
@@ -148,9 +148,9 @@
 
     private void go(PeerConnection line, Caller caller, Map<String, Object> head, byte[] body) {
         long now = micros.getAsLong();
-        long number = Json.whole(head, "n", -1);
+        long number = Json.longValue(head, "n", -1);
         long own = berth.get().life();
-        if (caller != null && Json.whole(head, "life", -1) != own) {
+        if (caller != null && Json.longValue(head, "life", -1) != own) {
             // It runs here on no line, however often it comes.
             line.send(JsonCodec.map(
                     "t", "end", "n", number, "life", own, "o", "notrun", "why", RejectionReason.GONE.name()));
@@ -180,10 +180,10 @@
                 PeerForwarder.headers(head),
                 body,
                 Json.flag(head, "rep"),
-                (int) Json.whole(head, "rank", 9),
+                (int) Json.longValue(head, "rank", 9),
                 Json.flag(head, "inner"),
-                now + Json.whole(head, "aim", 0),
-                now + Json.whole(head, "left", 0),
+                now + Json.longValue(head, "aim", 0),
+                now + Json.longValue(head, "left", 0),
                 JsonCodec.text(head, "to"));
         boolean[] over = {false};
         RequestHandle ticket = quay.take(freight, outcome -> {
--- a/src/main/java/org/cypressweir/loadbalancing/LoadReports.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadReports.java
@@ -28,7 +28,7 @@
     }
 
     private static double figure(Map<?, ?> m, String name) {
-        return Json.real(m, name, Double.NaN);
+        return Json.doubleValue(m, name, Double.NaN);
     }
 
     /** The first of the headers that can be read; a broken one may stand before it. */
--- a/src/main/java/org/cypressweir/loadbalancing/SettingsReader.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SettingsReader.java
@@ -27,7 +27,7 @@
         List<Tenant> tenants = new ArrayList<>();
         for (Object o : Json.array(f, "tenants")) {
             Map<?, ?> t = entry(o, "tenants");
-            tenants.add(new Tenant(String.valueOf(t.get("name")), Json.real(t, "share", 0)));
+            tenants.add(new Tenant(String.valueOf(t.get("name")), Json.doubleValue(t, "share", 0)));
         }
         Map<?, ?> limits = Json.object(f, "policy_limits");
         Map<?, ?> rules = Json.object(f, "rules");
@@ -39,37 +39,37 @@
                 };
         return new Settings(
                 seed,
-                (int) Json.whole(f, "rank", 0),
-                (int) Json.whole(f, "replicas_of_me", 1),
-                (int) Json.whole(f, "zone", 0),
+                (int) Json.longValue(f, "rank", 0),
+                (int) Json.longValue(f, "replicas_of_me", 1),
+                (int) Json.longValue(f, "zone", 0),
                 names(f, "zones"),
                 classes,
                 tenants,
-                Json.real(f, "over_share_worth", 1),
-                Json.real(Json.object(f, "charges"), "probe", 0),
+                Json.doubleValue(f, "over_share_worth", 1),
+                Json.doubleValue(Json.object(f, "charges"), "probe", 0),
                 new Limits(
-                        (int) Json.whole(limits, "attempts_cap", 1),
+                        (int) Json.longValue(limits, "attempts_cap", 1),
                         Json.flag(limits, "cancelling"),
                         Json.flag(limits, "probing"),
                         Json.flag(limits, "retry_after"),
-                        Json.whole(limits, "max_retry_after_us", 0),
-                        Json.whole(limits, "conn_idle_us", Long.MAX_VALUE),
-                        (int) Json.whole(limits, "open_cap", Integer.MAX_VALUE),
+                        Json.longValue(limits, "max_retry_after_us", 0),
+                        Json.longValue(limits, "conn_idle_us", Long.MAX_VALUE),
+                        (int) Json.longValue(limits, "open_cap", Integer.MAX_VALUE),
                         Integer.MAX_VALUE,
                         Json.flag(limits, "second_copies"),
                         Integer.MAX_VALUE),
                 new Rules(
-                        Json.real(rules, "cold_from", 1),
-                        Json.whole(rules, "cold_us", 0),
-                        Json.whole(rules, "fall_us", 0),
-                        Json.whole(rules, "ask_every_us", 0),
-                        Json.real(rules, "extra_floor", 0),
-                        Json.real(rules, "extra_per_request", 0),
-                        Json.whole(rules, "look_back_us", 0)),
+                        Json.doubleValue(rules, "cold_from", 1),
+                        Json.longValue(rules, "cold_us", 0),
+                        Json.longValue(rules, "fall_us", 0),
+                        Json.longValue(rules, "ask_every_us", 0),
+                        Json.doubleValue(rules, "extra_floor", 0),
+                        Json.doubleValue(rules, "extra_per_request", 0),
+                        Json.longValue(rules, "look_back_us", 0)),
                 reports,
                 "ask".equals(f.get("discovery")),
                 Json.flag(Json.object(f, "domain"), "warm_keys"),
-                Json.whole(f, "tick_us", 1000));
+                Json.longValue(f, "tick_us", 1000));
     }
 
     /** A list of names; its order gives each its number. */
@@ -106,12 +106,12 @@
                 String.valueOf(c.get("name")),
                 effect,
                 group,
-                Json.whole(c, "dedup_window_us", 0),
-                Json.whole(c, "aim_us", 0),
-                Json.real(c, "aim_stretch", 0),
-                Json.whole(c, "deadline_us", 0),
-                Json.real(c, "worth", 1),
-                Json.real(c, "late_value", 0),
+                Json.longValue(c, "dedup_window_us", 0),
+                Json.longValue(c, "aim_us", 0),
+                Json.doubleValue(c, "aim_stretch", 0),
+                Json.longValue(c, "deadline_us", 0),
+                Json.doubleValue(c, "worth", 1),
+                Json.doubleValue(c, "late_value", 0),
                 Json.flag(c, "streaming"));
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/ServerList.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerList.java
@@ -78,10 +78,10 @@
                     Ids.of(uid),
                     zones.indexOf(m.get("az")),
                     models.indexOf(m.get("model")),
-                    (int) Json.whole(m, "pod_group", 0),
+                    (int) Json.longValue(m, "pod_group", 0),
                     phase,
-                    Json.whole(m, "boot_ms", 0) * 1000,
-                    Json.real(m, "capacity_hint", 1));
+                    Json.longValue(m, "boot_ms", 0) * 1000,
+                    Json.doubleValue(m, "capacity_hint", 1));
             try {
                 return new Entry(server, Addresses.parse(endpoint));
             } catch (IllegalArgumentException e) {
--- a/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -153,7 +153,7 @@
         ServerList.Reader lists =
                 new ServerList.Reader(SettingsReader.names(facts, "zones"), SettingsReader.names(facts, "models"));
         ServerList known = c.get("known") instanceof Map<?, ?> m ? lists.read(m) : new ServerList(0, true, List.of());
-        int sockets = (int) Math.min(65_536, Json.whole(Json.object(c, "limits"), "sockets", 1024));
+        int sockets = (int) Math.min(65_536, Json.longValue(Json.object(c, "limits"), "sockets", 1024));
         if (sockets < LEAST_DESCRIPTORS) {
             throw new IOException("'sockets' must be " + LEAST_DESCRIPTORS + " or more");
         }
@@ -169,8 +169,8 @@
                 operator,
                 sockets,
                 within(checked(SettingsReader.read(seed(c), facts)), told, sockets),
-                Json.whole(limits, "connect_timeout_us", 250_000),
-                Json.whole(Json.object(facts, "rules"), "drain_grace_us", 0),
+                Json.longValue(limits, "connect_timeout_us", 250_000),
+                Json.longValue(Json.object(facts, "rules"), "drain_grace_us", 0),
                 known,
                 lists,
                 new ConfigurationCompleteness(c));
--- a/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
@@ -131,12 +131,12 @@
                     };
             servers.add(new Server(
                     id,
-                    (int) Json.whole(m, "failure_domain", 0),
-                    (int) Json.whole(m, "sku", 0),
-                    (int) Json.whole(m, "group", 0),
+                    (int) Json.longValue(m, "failure_domain", 0),
+                    (int) Json.longValue(m, "sku", 0),
+                    (int) Json.longValue(m, "group", 0),
                     phase,
-                    Json.whole(m, "start_time_us", 0),
-                    Json.real(m, "share", 1)));
+                    Json.longValue(m, "start_time_us", 0),
+                    Json.doubleValue(m, "share", 1)));
         }
         return servers;
     }
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
@@ -139,7 +139,7 @@
                             if (JsonCodec.text(head, "t").equals("end")) {
                                 hops.heard(line, head, body);
                             } else {
-                                hops.greeted(line, Json.whole(JsonCodec.object(head, "berth"), "life", -1));
+                                hops.greeted(line, Json.longValue(JsonCodec.object(head, "berth"), "life", -1));
                             }
                         }
 
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
@@ -45,12 +45,12 @@
                 "TWICE ~ an earlier line begins anew ~ PeerRequestReceiver.java "
                         + "~ before != null && fresh.from <= before ~ false",
                 "TWICE ~ a go for another life runs ~ PeerRequestReceiver.java "
-                        + "~ if (caller != null && Json.whole(head, \"life\", -1) != own) { ~ if (false) {",
+                        + "~ if (caller != null && Json.longValue(head, \"life\", -1) != own) { ~ if (false) {",
                 "TWICE ~ a line takes a later life's numbers ~ PeerRequestReceiver.java "
                         + "~ next == null ? Long.MAX_VALUE : next "
                         + "~ Long.MAX_VALUE",
                 "OLD ~ another life's word is taken ~ PeerForwarder.java "
-                        + "~ !Long.valueOf(Json.whole(head, \"life\", -1)).equals(line.attachment()) ~ false",
+                        + "~ !Long.valueOf(Json.longValue(head, \"life\", -1)).equals(line.attachment()) ~ false",
                 "REFUSED ~ a doubled go is answered ~ PeerRequestReceiver.java "
                         + "~ // No answer: the one that this is a double of "
                         + "may still run. ~ if (caller != null) { "
--- a/src/test/java/org/cypressweir/common/util/JsonTest.java
+++ b/src/test/java/org/cypressweir/common/util/JsonTest.java
@@ -47,11 +47,11 @@
     void lookUpsOfMissingOrOtherValuesReturnTheDefault() {
         Map<String, Object> object =
                 Map.of("n", 7L, "d", 2.9, "t", "x", "b", true, "a", Arrays.asList(1L, null), "o", Map.of("k", 1L));
-        assertThat(Json.whole(object, "n", -1)).isEqualTo(7);
-        assertThat(Json.whole(object, "d", -1)).isEqualTo(2);
-        assertThat(Json.whole(object, "t", -1)).isEqualTo(-1);
-        assertThat(Json.real(object, "d", 0)).isEqualTo(2.9);
-        assertThat(Json.real(object, "none", 0.5)).isEqualTo(0.5);
+        assertThat(Json.longValue(object, "n", -1)).isEqualTo(7);
+        assertThat(Json.longValue(object, "d", -1)).isEqualTo(2);
+        assertThat(Json.longValue(object, "t", -1)).isEqualTo(-1);
+        assertThat(Json.doubleValue(object, "d", 0)).isEqualTo(2.9);
+        assertThat(Json.doubleValue(object, "none", 0.5)).isEqualTo(0.5);
         assertThat(Json.flag(object, "b")).isTrue();
         assertThat(Json.flag(object, "n")).isFalse();
         assertThat(Json.array(object, "a")).hasSize(2);
