--- a/src/main/java/org/cypressweir/fleet/FleetCoordination.java
+++ b/src/main/java/org/cypressweir/fleet/FleetCoordination.java
@@ -7,22 +7,26 @@
 import org.cypressweir.fleet.membership.Lending;
 import org.cypressweir.fleet.membership.MembershipOptions;
 
-/** What a sidecar has to do with others of its kind, where the operators' file says so; all on the loop. */
+/** Coordination of a sidecar with its peers, if the operators' file enables it. Confined to the event loop. */
 public interface FleetCoordination {
 
-    /** Where a process begins to take part. */
+    /** Opens the coordination of a process. */
     interface Maker {
-        /** Done once its socket is open; it fails where that can't be. */
+        /**
+         * Completes once the socket is open, or once it is known that another process still holds it and {@code beside}
+         * allows that; fails if the socket can't be opened.
+         */
         CompletableFuture<FleetCoordination> open(Opening opening);
     }
 
     /**
-     * What it is made with.
+     * Parameters of {@link Maker#open}.
      *
-     * @param beside whether another process may hold the socket for a while yet
-     * @param refused told why the process may not take part at all
-     * @param portioned run when the part of what all share is another
-     * @param lists that it lends and borrows
+     * @param beside whether another process may still hold the socket, so that opening it is retried
+     * @param facts what this process publishes about itself
+     * @param refused receives the reason if the fleet refuses this process
+     * @param portioned run when this process's share of the fleet-wide limits has changed
+     * @param lists endpoint lists that are exchanged with peers
      */
     record Opening(
             EventLoop loop,
@@ -35,41 +39,48 @@
             Runnable portioned,
             Lists lists) {}
 
-    /** Lists of servers that processes lend each other. */
+    /** Access to the endpoint lists that processes exchange. */
     interface Lists {
+        /** The list that this process can supply to others. */
         Lending.EndpointListSource shelf();
 
-        /** Whether discovery has told this process anything; until then it borrows. */
+        /** Whether discovery has supplied a list, or none is needed; until then lists are fetched from peers. */
         boolean told();
 
-        /** A list that was lent; false where it was none. */
+        /** Takes over a list that was fetched from a peer; returns false if it is invalid. */
         boolean borrowed(Lending.Loan loan);
     }
 
-    /** Done once others have lent their newest list, have none that is newer, or were silent for long. */
+    /**
+     * Completes once the peers' newest endpoint list has been fetched, they have none that is newer, or the wait for
+     * them has timed out.
+     */
     CompletableFuture<Void> lent();
 
-    /** One line of JSON. */
+    /** The members as one line of JSON. */
     String members();
 
-    /** Whether this process holds a lease: {@code YES TOKEN LEFT_MS} or {@code NO} and why. */
+    /** Whether this process holds a lease: {@code YES TOKEN LEFT_MS}, or {@code NO} and the reason. */
     String lease(String name);
 
-    /** How all leases stand: a line of JSON and {@code END}, or {@code NO} and why. */
+    /** Status of all leases: a line of JSON and {@code END}, or {@code NO} and the reason. */
     String leases();
 
-    /** What this process says of itself to the others. */
+    /** Publishes new facts about this process to the other members. */
     void facts(Map<String, String> facts);
 
-    /** This process's part of what all share at this moment, 0 to 1; 1 where nothing follows the living. */
+    /**
+     * This process's current fraction of the fleet-wide limits, 0 to 1; 1 if limits are not divided among live
+     * processes.
+     */
     double part();
 
-    /** Processes that share; 1 where nothing follows the living. */
+    /** Number of processes that share the limits; 1 if limits are not divided among live processes. */
     int count();
 
-    /** Other seeds and times hold from now on. */
+    /** Applies new options at run time, such as seeds and times. */
     void retune(MembershipOptions next);
 
-    /** Says that it goes, and closes its socket. */
+    /** Announces that this process leaves, and then closes the socket. */
     void leave();
 }
--- a/src/main/java/org/cypressweir/fleet/membership/AntiEntropy.java
+++ b/src/main/java/org/cypressweir/fleet/membership/AntiEntropy.java
@@ -6,27 +6,28 @@
 import org.cypressweir.fleet.membership.UpdateDisseminator.Updates;
 
 /**
- * Finds records that one of two members lacks although updates have been spread: members with different digests
- * exchange the digests of buckets, and then the records of the buckets that differ.
+ * Repairs differences between the tables of two members that remain although updates have been disseminated. Members
+ * with different digests exchange the digests of their buckets, and then the records of the buckets that differ.
  */
 final class AntiEntropy {
 
-    /** Messages in response to one comparison, at most. */
+    /** Maximum number of messages with records in response to one comparison. */
     private static final int MAX_PAGES = 8;
-    /** Numbers of a comparison: whether the receiver is to answer with its own digests. */
-    private static final long WANTS_COMPARISON = 1;
+    /** Values of {@code number} in a comparison: whether the receiver is to respond with its own digests. */
+    private static final long EXPECTS_RESPONSE = 1;
 
-    private static final long NO_COMPARISON = 0;
-    /** For so long after a change the digests may differ because updates are still being spread. */
-    private static final int SPREADING_PERIODS = 2;
+    private static final long EXPECTS_NO_RESPONSE = 0;
+    /** Periods after a change in which digests may differ because updates are still being disseminated. */
+    private static final int DISSEMINATION_PERIODS = 2;
 
-    private static final int MAX_DIFFERENT_PERIODS = 8;
+    /** Periods without an equal digest after which tables are compared even while they keep changing. */
+    private static final int MAX_MISMATCH_PERIODS = 8;
 
     private final MembershipContext context;
     private final MessageSender sender;
     private long nextComparisonAt;
-    /** When another member had the same digest last. */
-    private long agreedAt = Long.MIN_VALUE;
+    /** When another member last had the same digest as this one. */
+    private long lastMatchAt = Long.MIN_VALUE;
 
     AntiEntropy(MembershipContext context, MessageSender sender) {
         this.context = context;
@@ -34,32 +35,35 @@
     }
 
     /**
-     * Starts a comparison if the sender of a message knows something else.
+     * Starts a comparison if the digest of a sender differs, unless updates in progress explain the difference.
      *
-     * @param isStranger whether the sender was not in the view before
+     * @param isOutsideView whether the sender was not in the view when the message arrived
      */
-    void compareDigest(long now, MembershipMessage message, boolean isStranger) {
+    void compareDigest(long now, MembershipMessage message, boolean isOutsideView) {
         if (message.digest() == context.table.digest()) {
-            agreedAt = now;
+            lastMatchAt = now;
             return;
         }
-        if (now >= nextComparisonAt && (isStranger || isDifferenceUnexpected(now))) {
+        if (now >= nextComparisonAt && (isOutsideView || isDifferenceUnexpected(now))) {
             nextComparisonAt = now + 2 * context.options.tickMicros();
-            sender.sendComparison(now, message.from(), WANTS_COMPARISON);
+            sender.sendComparison(now, message.from(), EXPECTS_RESPONSE);
         }
     }
 
     private boolean isDifferenceUnexpected(long now) {
         long period = context.options.periodMicros();
-        return agreedAt == Long.MIN_VALUE
-                || now - context.changedAt > SPREADING_PERIODS * period
-                || now - agreedAt > MAX_DIFFERENT_PERIODS * period;
+        return lastMatchAt == Long.MIN_VALUE
+                || now - context.tableChangedAt > DISSEMINATION_PERIODS * period
+                || now - lastMatchAt > MAX_MISMATCH_PERIODS * period;
     }
 
-    /** Sends the records that the sender of a comparison may lack. */
+    /**
+     * Sends the records that the sender of a comparison may lack. As their number is limited, it starts at a random
+     * bucket.
+     */
     void receiveComparison(long now, MembershipMessage comparison) {
         Peer to = comparison.from();
-        int firstBucket = context.random.nextInt(MembershipMessage.BUCKETS);
+        int firstBucket = context.random.nextInt(MembershipMessage.BUCKET_COUNT);
         List<MemberRecord> page = new ArrayList<>();
         int freeBytes = MembershipMessage.MAX_UPDATE_BYTES;
         int sentPages = 0;
@@ -79,8 +83,8 @@
         if (!page.isEmpty()) {
             sendPage(now, to, page);
         }
-        if (comparison.number() == WANTS_COMPARISON) {
-            sender.sendComparison(now, to, NO_COMPARISON);
+        if (comparison.number() == EXPECTS_RESPONSE) {
+            sender.sendComparison(now, to, EXPECTS_NO_RESPONSE);
         }
     }
 
--- a/src/main/java/org/cypressweir/fleet/membership/Allowance.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ByteRateLimiter.java
@@ -1,7 +1,7 @@
 package org.cypressweir.fleet.membership;
 
-/** A token bucket of bytes: bounds what a process sends, whatever others ask of it. */
-final class Allowance {
+/** Rate limiter in bytes, a token bucket. Bounds what this process sends, whatever others request of it. */
+final class ByteRateLimiter {
 
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long NEVER = Long.MIN_VALUE;
@@ -9,22 +9,22 @@
     private final double bytesPerMicro;
     private final double capacityBytes;
     private double availableBytes;
-    private long filledAt = NEVER;
+    private long refilledAt = NEVER;
 
-    /** So many bytes a second, and as many at once. */
-    Allowance(int bytesPerSecond) {
+    /** Allows this rate; the burst capacity is one second at this rate. */
+    ByteRateLimiter(int bytesPerSecond) {
         bytesPerMicro = bytesPerSecond / MICROS_PER_SECOND;
         capacityBytes = bytesPerSecond;
         availableBytes = bytesPerSecond;
     }
 
-    /** Takes so many bytes if they are available. */
-    boolean spend(long now, int bytes) {
-        if (filledAt != NEVER) {
-            double filledBytes = Math.max(0, now - filledAt) * bytesPerMicro;
-            availableBytes = Math.min(capacityBytes, availableBytes + filledBytes);
+    /** Takes this many bytes if they are available; otherwise takes none and returns false. */
+    boolean tryAcquire(long now, int bytes) {
+        if (refilledAt != NEVER) {
+            double refillBytes = Math.max(0, now - refilledAt) * bytesPerMicro;
+            availableBytes = Math.min(capacityBytes, availableBytes + refillBytes);
         }
-        filledAt = Math.max(filledAt, now);
+        refilledAt = Math.max(refilledAt, now);
         if (availableBytes < bytes) {
             return false;
         }
--- a/src/main/java/org/cypressweir/fleet/membership/Change.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Change.java
@@ -1,14 +1,14 @@
 package org.cypressweir.fleet.membership;
 
 /**
- * A change of the view of one process.
+ * A change of one process's membership view.
  *
- * @param cause in words, for operators
- * @param live members after the change, this process among them
+ * @param cause explanation for operators
+ * @param live number of members in the view after the change, including this process
  */
 public record Change(Kind kind, String name, int incarnation, String cause, int live) {
 
-    /** What has become of the member. The names are printed in lower case, so they are fixed. */
+    /** What happened to the member. The names are printed in lower case, so they must not change. */
     public enum Kind {
         JOINED,
         BACK,
--- a/src/main/java/org/cypressweir/fleet/membership/DiscoveryProber.java
+++ b/src/main/java/org/cypressweir/fleet/membership/DiscoveryProber.java
@@ -9,15 +9,15 @@
 
 /**
  * Probes addresses outside the view: seeds, so that a process joins the fleet and groups that do not know each other
- * merge; and members that were removed, so that a partition heals.
+ * merge; and removed members, so that the two sides of a partition merge once it has healed.
  */
 final class DiscoveryProber {
 
-    /** Periods from one probe of a seed to the next for a process that is not alone. */
+    /** Periods between probes of seeds while the view contains other members. */
     private static final int SEED_PERIODS = 10;
 
     private static final int REMOVED_MEMBER_PERIODS = 2;
-    /** Members of the view that probe a removed one, on average, each time. */
+    /** Expected number of members of the view that probe a removed member in each interval. */
     private static final double PROBING_MEMBERS = 3;
 
     private final MembershipContext context;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A process that is alone probes all seeds; others probe one that is not in the view. */
+    /** Probes all seeds if no other member is in the view; otherwise one random seed that is not in the view. */
     private void probeSeeds(long now) {
         boolean isAlone = context.table.liveCount() == 1;
         long period = context.options.periodMicros();
--- a/src/main/java/org/cypressweir/fleet/membership/FailureDetector.java
+++ b/src/main/java/org/cypressweir/fleet/membership/FailureDetector.java
@@ -7,13 +7,16 @@
 import org.cypressweir.fleet.membership.SuspicionTable.Decision;
 
 /**
- * Reports contacts that this process has lost or found again, collects the reports of others, and removes members as
- * {@link SuspicionTable} decides.
+ * Reports contacts that this process has lost or regained, collects the reports of other members, and removes members
+ * as {@link SuspicionTable} decides.
  */
 final class FailureDetector {
 
-    /** Removals of one decision that are spread one by one; with more of them, others decide by the same reports. */
-    private static final int MAX_SPREAD_REMOVALS = 8;
+    /**
+     * Maximum number of removals of one decision that are disseminated. If there are more, none is: other members
+     * decide the same from the same reports.
+     */
+    private static final int MAX_DISSEMINATED_REMOVALS = 8;
 
     private final MembershipContext context;
     private final LocalMember localMember;
@@ -22,9 +25,9 @@
     private final MonitoringTopology topology;
     private final FailureReports reports = new FailureReports();
     private final SuspicionTable suspicions;
-    /** Members in the view that can't be reached over neighbors, and are probed directly. */
+    /** Members in the view that can't be reached through neighbors, and are probed directly. */
     private Set<String> unreachable = Set.of();
-    /** Something has changed that the last decision did not know. */
+    /** Whether something has changed since the last decision. */
     private boolean isOutdated;
 
     private long nextDecisionAt;
@@ -52,7 +55,7 @@
         isOutdated = true;
     }
 
-    /** Nothing that was reported of that name holds any more. */
+    /** Discards all reports and suspicions about this name. */
     void forget(String name) {
         reports.forget(name);
         suspicions.forget(name);
@@ -73,7 +76,7 @@
                         .anyMatch(report -> report.isLost() && report.subjectIncarnation() == member.incarnation());
     }
 
-    /** Reports the monitored peers that were lost or found again. */
+    /** Reports the monitored peers with which contact was lost or regained. */
     void reportChanges(long now) {
         for (Link link : monitoredPeers.changedLinks(now)) {
             report(now, link.name, link.isLost);
@@ -96,7 +99,7 @@
         isOutdated = true;
     }
 
-    /** Reports expire, so what still holds is repeated. */
+    /** Repeats reports that still hold, since reports expire. */
     void repeatReports(long now) {
         long repeatMicros = FailureReports.REPEAT_PERIODS * context.options.periodMicros();
         for (Link link : monitoredPeers.links()) {
@@ -117,7 +120,7 @@
         return reports.about(name).stream().anyMatch(report -> report.isLost() && !context.isSelf(report.reporter()));
     }
 
-    /** A report by another member; where this process is in contact with the subject, it says so. */
+    /** Handles a report by another member; contradicts it if this process is in contact with the subject. */
     void receive(long now, FailureReport report, String from) {
         if (!isValid(report) || !reports.add(now, report)) {
             return;
@@ -161,7 +164,7 @@
             suspicions.clear();
             return;
         }
-        // Reports come in bursts, and each decision walks the whole view.
+        // Limits the rate of decisions: reports arrive in bursts, and each decision walks the whole view.
         nextDecisionAt = now + 2 * context.options.tickMicros();
         if (reports.isEmpty() && suspicions.nextDecisionAt() == SuspicionTable.NEVER) {
             unreachable = Set.of();
@@ -172,10 +175,10 @@
         if (!unreachable.isEmpty() || !decision.removed().isEmpty()) {
             topology.freeze(now);
         }
-        boolean spreadsRemovals = decision.removed().size() <= MAX_SPREAD_REMOVALS;
+        boolean disseminatesRemovals = decision.removed().size() <= MAX_DISSEMINATED_REMOVALS;
         for (String name : decision.removed()) {
             view.remove(now, name, causeOfRemoval(name));
-            if (spreadsRemovals) {
+            if (disseminatesRemovals) {
                 context.disseminate(now, context.table.get(name), "");
             }
         }
@@ -189,7 +192,7 @@
             }
         }
         reporters.sort(null);
-        return reporters.isEmpty() ? "out of reach" : "lost by " + String.join(", ", reporters);
+        return reporters.isEmpty() ? "unreachable" : "reported lost by " + String.join(", ", reporters);
     }
 
     void expireReports(long now) {
--- a/src/main/java/org/cypressweir/fleet/membership/FailureReports.java
+++ b/src/main/java/org/cypressweir/fleet/membership/FailureReports.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The reports of all members on their contacts. A report that is not repeated expires. */
+/** The latest reports of all members on their contacts. A report that is not repeated expires. */
 final class FailureReports {
 
     /** Periods after which a report that still holds is repeated. */
     static final int REPEAT_PERIODS = 12;
 
     private static final int EXPIRY_PERIODS = 3 * REPEAT_PERIODS;
-    /** Reporters on one member, at most: its neighbors, and those that have probed it directly. */
+    /** Maximum number of reporters on one member: its neighbors, and members that have probed it directly. */
     private static final int MAX_REPORTERS = 64;
 
     private record ReceivedReport(FailureReport report, long receivedAt) {}
@@ -21,22 +21,25 @@
     /** By subject, then by reporter. */
     private final Map<String, Map<String, ReceivedReport>> reports = new TreeMap<>();
 
-    /** Adds a report if it is newer than the last one by the same reporter; whether it is. */
+    /**
+     * Adds a report if it is newer than the last one by the same reporter. Returns whether it was added; reports by
+     * more than {@link #MAX_REPORTERS} members on one subject are not.
+     */
     boolean add(long now, FailureReport report) {
         Map<String, ReceivedReport> ofSubject = reports.computeIfAbsent(report.subject(), name -> new HashMap<>());
         ReceivedReport last = ofSubject.get(report.reporter());
-        boolean isNews = last == null ? ofSubject.size() < MAX_REPORTERS : report.isNewerThan(last.report);
-        if (isNews) {
+        boolean isAccepted = last == null ? ofSubject.size() < MAX_REPORTERS : report.isNewerThan(last.report);
+        if (isAccepted) {
             ofSubject.put(report.reporter(), new ReceivedReport(report, now));
         }
-        return isNews;
+        return isAccepted;
     }
 
     boolean isEmpty() {
         return reports.isEmpty();
     }
 
-    /** Names that are reported on. */
+    /** Names of the members that reports are about. */
     List<String> subjects() {
         return new ArrayList<>(reports.keySet());
     }
@@ -47,7 +50,7 @@
         return about;
     }
 
-    /** The last report of one member on another; null for none. */
+    /** The latest report by one member on another; null if there is none. */
     FailureReport findBy(String reporter, String subject) {
         ReceivedReport received = reports.getOrDefault(subject, Map.of()).get(reporter);
         return received == null ? null : received.report;
@@ -57,7 +60,7 @@
         reports.remove(subject);
     }
 
-    /** Removes expired reports; whether there were any. */
+    /** Removes expired reports; returns whether there were any. */
     boolean expire(long now, long periodMicros) {
         boolean hasExpired = false;
         for (Map<String, ReceivedReport> ofSubject : reports.values()) {
--- a/src/main/java/org/cypressweir/fleet/membership/Lending.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Lending.java
@@ -18,24 +18,25 @@
 import org.cypressweir.fleet.membership.MembershipMessage.Kind;
 
 /**
- * Endpoint lists supplied by other members. A process that starts while discovery does not respond asks some members
- * for the revision of their list, fetches the newest one page by page, and goes on asking until discovery has
- * responded. The content of a page is opaque here. Confined to one thread.
+ * Exchanges endpoint lists with other members. A process that starts while discovery does not respond asks some members
+ * for the revision of their list, fetches the newest one page by page, and keeps asking until discovery has responded.
+ * It also supplies its own list to others. The content of a page is opaque here. Confined to one thread.
  *
- * <p>A round: requests to some members, their offers for some time or until all have arrived, the choice of the newest
- * offer, the fetch of its pages with a window. A lender that does not respond is replaced by the next best.
+ * <p>A round sends requests to some members, collects their offers until all have arrived or a time-out, chooses the
+ * newest offer, and fetches its pages with a limited number of outstanding requests. A lender that does not respond is
+ * replaced by the one with the next-newest offer.
  */
 public final class Lending {
 
     /** The list that this process can supply to others. */
     public interface EndpointListSource {
-        /** Revision of its newest list; below 0 while it has none that is complete. */
+        /** Revision of the newest list; negative while that list is not complete. */
         long revision();
 
-        /** The same also while the list is not complete. */
+        /** Revision of the newest list, complete or not. */
         long known();
 
-        /** For how long this has been the newest list here. */
+        /** Time for which this has been the newest list of this process, in microseconds. */
         long ageMicros();
 
         int pages();
@@ -43,35 +44,37 @@
         byte[] page(int number);
     }
 
-    /** A complete list of another member. */
+    /** A complete endpoint list that was fetched from another member. */
     public record Loan(String from, long revision, long ageMicros, List<byte[]> pages) {}
 
-    /** Pages of a list at most; this bounds the memory that a lender can claim. */
+    /** Maximum number of pages of a list; bounds the memory that a lender can make this process allocate. */
     static final int MAX_PAGES = 4_096;
-    /** From the first member known to the first requests: the member that is met first may know the least. */
+    /**
+     * Delay from the first known member to the first requests: the member that is known first may have the oldest list.
+     */
     private static final long FIRST_ROUND_DELAY_MICROS = 150_000;
-    /** Members that are asked in a round. */
-    private static final int ASKED_MEMBERS = 16;
-    /** Time for offers before the newest is chosen. */
+    /** Maximum number of members asked in a round. */
+    private static final int MAX_ASKED_MEMBERS = 16;
+    /** Time to wait for offers before the newest one is chosen. */
     private static final long OFFER_TIMEOUT_MICROS = 400_000;
-    /** From one round to the next; doubled each time, so that a long outage of discovery costs little. */
-    private static final long MIN_ROUND_MICROS = 1_000_000;
+    /** Interval between rounds; doubled each time, so that a long outage of discovery causes little traffic. */
+    private static final long MIN_ROUND_INTERVAL_MICROS = 1_000_000;
 
-    private static final long MAX_ROUND_MICROS = 8_000_000;
-    /** A page that has not arrived by then is requested again. */
+    private static final long MAX_ROUND_INTERVAL_MICROS = 8_000_000;
+    /** Time after which a page that has not arrived is requested again. */
     private static final long PAGE_RETRY_MICROS = 200_000;
-    /** A lender that has sent nothing for so long is replaced by the next best. */
+    /** Time without a new page after which a lender is replaced by the one with the next-newest offer. */
     private static final long LENDER_TIMEOUT_MICROS = 1_000_000;
-    /** Pages under way at a time. */
-    private static final int PAGE_WINDOW = 8;
+    /** Maximum number of outstanding page requests. */
+    private static final int MAX_OUTSTANDING_REQUESTS = 8;
 
     private static final int LENT_BYTES_PER_SECOND = 2_000_000;
-    /** Size of a message besides the page in it. */
-    private static final int MESSAGE_BYTES = 100;
-    /** In place of the number of a page: a request for an offer, and the offer. */
+    /** Size of a message without the page in it, in bytes. */
+    private static final int MESSAGE_OVERHEAD_BYTES = 100;
+    /** In place of a page number: marks a request for an offer, and the offer. */
     private static final int OFFER = -1;
-    /** Numbers in the buckets of a response: page, pages of the list, age in milliseconds. */
-    private static final int RESPONSE_NUMBERS = 3;
+    /** Count of the numbers in {@code buckets} of a response: page, page count of the list, age in milliseconds. */
+    private static final int RESPONSE_FIELD_COUNT = 3;
 
     private static final int PAGE_FIELD = 0;
     private static final int PAGE_COUNT_FIELD = 1;
@@ -93,14 +96,14 @@
     private final BiConsumer<InetSocketAddress, MembershipMessage> sender;
     private final Consumer<Loan> onBorrowed;
     private final SplittableRandom random;
-    private final Allowance lendingAllowance = new Allowance(LENT_BYTES_PER_SECOND);
+    private final ByteRateLimiter lendingRateLimiter = new ByteRateLimiter(LENT_BYTES_PER_SECOND);
     private final Map<String, Offer> offers = new HashMap<>();
     /** Lenders that timed out, or whose list was invalid. */
     private final Set<String> excludedLenders = new HashSet<>();
 
     private boolean isSeeking;
     private boolean hasFinishedFirstRound;
-    /** The revision that this process has; only newer ones are of use. */
+    /** Revision of the list that this process has; only newer lists are fetched. */
     private long knownRevision;
 
     private int askedMembers;
@@ -108,15 +111,15 @@
     private long roundNumber;
     private long offersUntil = NEVER;
     private long nextRoundAt;
-    private long roundIntervalMicros = MIN_ROUND_MICROS;
-    /** The list that is being fetched; null for none. */
-    private Offer lender;
+    private long roundIntervalMicros = MIN_ROUND_INTERVAL_MICROS;
+    /** The offer whose pages are being fetched; null for none. */
+    private Offer currentOffer;
 
     private byte[][] pages;
     private long[] pageRequestedAt;
     private long lastPageAt;
 
-    /** @param onBorrowed receives a list when it is complete */
+    /** @param onBorrowed receives each list once it is complete */
     public Lending(
             long seed,
             EndpointListSource source,
@@ -129,16 +132,16 @@
         roundNumber = random.nextLong(Long.MAX_VALUE / 2);
     }
 
-    /** Seeks a list that is newer than this revision. */
+    /** Starts seeking a list that is newer than this revision. */
     public void seek(long revision) {
         isSeeking = true;
         knownRevision = revision;
     }
 
-    /** Discovery has responded. */
+    /** Stops seeking, because discovery has responded. */
     public void end() {
         isSeeking = false;
-        lender = null;
+        currentOffer = null;
         pages = null;
         offers.clear();
         offersUntil = NEVER;
@@ -149,21 +152,21 @@
         return hasFinishedFirstRound;
     }
 
-    /** The list of this lender was invalid. */
+    /** Excludes a lender whose list was invalid. */
     public void exclude(String lenderName) {
         excludedLenders.add(lenderName);
     }
 
     /**
-     * Does what is due; called regularly.
+     * Performs the actions that are due; must be called regularly.
      *
-     * @param others all other members, asked for only when they are needed
+     * @param others all other members; evaluated only when they are needed
      */
     public void tick(long now, Peer self, Supplier<List<Peer>> others) {
         if (!isSeeking) {
             return;
         }
-        if (lender != null) {
+        if (currentOffer != null) {
             fetchPages(now, self);
         } else if (now >= offersUntil) {
             offersUntil = NEVER;
@@ -182,11 +185,11 @@
             return;
         }
         nextRoundAt = now + roundIntervalMicros;
-        roundIntervalMicros = Math.min(MAX_ROUND_MICROS, 2 * roundIntervalMicros);
+        roundIntervalMicros = Math.min(MAX_ROUND_INTERVAL_MICROS, 2 * roundIntervalMicros);
         offersUntil = now + OFFER_TIMEOUT_MICROS;
         offers.clear();
         roundNumber++;
-        askedMembers = Math.min(ASKED_MEMBERS, others.size());
+        askedMembers = Math.min(MAX_ASKED_MEMBERS, others.size());
         List<Peer> shuffled = new ArrayList<>(others);
         Collections.shuffle(shuffled, new Random(random.nextLong()));
         for (Peer member : shuffled.subList(0, askedMembers)) {
@@ -201,19 +204,19 @@
     }
 
     private void chooseLender(long now, Peer self) {
-        lender = offers.values().stream()
+        currentOffer = offers.values().stream()
                 .filter(offer -> offer.revision > knownRevision)
                 .filter(offer -> !excludedLenders.contains(offer.from.name()))
                 .max(Offer.NEWEST_LAST)
                 .orElse(null);
-        if (lender == null) {
+        if (currentOffer == null) {
             // A lender that timed out may respond in the next round.
             excludedLenders.clear();
             hasFinishedFirstRound = true;
             return;
         }
-        pages = new byte[lender.pages][];
-        pageRequestedAt = new long[lender.pages];
+        pages = new byte[currentOffer.pages][];
+        pageRequestedAt = new long[currentOffer.pages];
         Arrays.fill(pageRequestedAt, NOT_REQUESTED);
         lastPageAt = now;
         fetchPages(now, self);
@@ -222,24 +225,24 @@
 
     private void fetchPages(long now, Peer self) {
         if (now - lastPageAt > LENDER_TIMEOUT_MICROS) {
-            excludedLenders.add(lender.from.name());
+            excludedLenders.add(currentOffer.from.name());
             chooseLender(now, self);
             return;
         }
-        int underWay = 0;
-        for (int page = 0; page < pages.length && underWay < PAGE_WINDOW; page++) {
+        int outstanding = 0;
+        for (int page = 0; page < pages.length && outstanding < MAX_OUTSTANDING_REQUESTS; page++) {
             if (pages[page] != null) {
                 continue;
             }
-            underWay++;
+            outstanding++;
             if (now - pageRequestedAt[page] >= PAGE_RETRY_MICROS) {
                 pageRequestedAt[page] = now;
-                sendRequest(self, lender.from, lender.revision, page);
+                sendRequest(self, currentOffer.from, currentOffer.revision, page);
             }
         }
     }
 
-    /** A request or a response about lists. */
+    /** Handles a request or a response about endpoint lists. */
     public void receive(long now, MembershipMessage message, Peer self) {
         if (!message.to().equals(self.name()) || message.buckets().isEmpty()) {
             return;
@@ -248,7 +251,7 @@
             respond(now, message, self);
         } else if (isSeeking
                 && message.number() == roundNumber
-                && message.buckets().size() == RESPONSE_NUMBERS) {
+                && message.buckets().size() == RESPONSE_FIELD_COUNT) {
             receiveResponse(now, message, self);
         }
     }
@@ -263,10 +266,10 @@
         if (pageCount > MAX_PAGES || page < OFFER || page >= pageCount) {
             return;
         }
-        // Where this process has another revision than requested it offers that instead.
+        // If this process has another revision than the requested one, it offers that instead.
         boolean isPage = page != OFFER && revision == request.digest();
         byte[] payload = isPage ? source.page(page) : new byte[0];
-        if (!lendingAllowance.spend(now, payload.length + MESSAGE_BYTES)) {
+        if (!lendingRateLimiter.tryAcquire(now, payload.length + MESSAGE_OVERHEAD_BYTES)) {
             return;
         }
         int ageMillis = (int) Math.min(Integer.MAX_VALUE, source.ageMicros() / 1_000);
@@ -294,9 +297,9 @@
     }
 
     private boolean isMissingPage(MembershipMessage response, int page, int pageCount) {
-        return lender != null
-                && lender.isFrom(response.from())
-                && lender.revision == response.digest()
+        return currentOffer != null
+                && currentOffer.isFrom(response.from())
+                && currentOffer.revision == response.digest()
                 && pageCount == pages.length
                 && pages[page] == null;
     }
@@ -307,8 +310,8 @@
         Offer offer = new Offer(response.from(), response.digest(), pageCount, ageMicros);
         offers.put(response.from().name(), offer);
         boolean hasLenderChanged =
-                lender != null && lender.isFrom(response.from()) && lender.revision != offer.revision;
-        boolean isLastOffer = lender == null && offersUntil != NEVER && offers.size() == askedMembers;
+                currentOffer != null && currentOffer.isFrom(response.from()) && currentOffer.revision != offer.revision;
+        boolean isLastOffer = currentOffer == null && offersUntil != NEVER && offers.size() == askedMembers;
         if (isLastOffer) {
             offersUntil = NEVER;
         }
@@ -317,14 +320,16 @@
         }
     }
 
-    /** A list without endpoints has no pages and is complete at once. */
+    /**
+     * Delivers the list if all its pages have arrived. A list without endpoints has no pages and is complete at once.
+     */
     private void finishIfComplete() {
-        if (lender == null || Arrays.asList(pages).contains(null)) {
+        if (currentOffer == null || Arrays.asList(pages).contains(null)) {
             return;
         }
-        Loan loan = new Loan(lender.from.name(), lender.revision, lender.ageMicros, List.of(pages));
+        Loan loan = new Loan(currentOffer.from.name(), currentOffer.revision, currentOffer.ageMicros, List.of(pages));
         knownRevision = loan.revision();
-        lender = null;
+        currentOffer = null;
         pages = null;
         hasFinishedFirstRound = true;
         onBorrowed.accept(loan);
--- a/src/main/java/org/cypressweir/fleet/membership/LocalMember.java
+++ b/src/main/java/org/cypressweir/fleet/membership/LocalMember.java
@@ -4,20 +4,23 @@
 import org.cypressweir.common.util.Addresses;
 
 /**
- * This process as a member: what it says of itself, and what follows from what others say of it. A process that hears
- * that it was removed comes back under a higher incarnation, as a candidate.
+ * This process as a member: its own record, and its response to what others report about it. A process that learns that
+ * it was removed rejoins under a higher incarnation, as a candidate.
  */
 final class LocalMember {
 
     private final MembershipContext context;
     private final MonitoredPeers monitoredPeers;
-    /** Whether some member has ever exchanged messages with this process both ways. */
+    /** Whether this process was ever admitted: some member has exchanged messages with it both ways. */
     private boolean wasAdmitted;
 
     private boolean isLeaving;
-    /** Another process has the name; this one sends and receives nothing any more. */
+    /** Whether another process holds the name; this one then neither sends nor receives messages. */
     private boolean hasLostName;
-    /** It was removed, or never admitted, and has been a candidate for long: it takes itself to be alone. */
+    /**
+     * Whether this process was removed or never admitted, and has been a candidate for longer than the contact
+     * time-out. It then considers itself the only member.
+     */
     private boolean isIsolated;
 
     private long candidateSince;
@@ -29,7 +32,7 @@
         context.table.put(now, new MemberRecord(context.self, MemberStatus.CANDIDATE, 1, facts, 0), true);
     }
 
-    /** It is a member of a running fleet from the beginning. */
+    /** Starts as an admitted member of a fleet that is already running. */
     void startAdmitted(long now) {
         wasAdmitted = true;
         candidateSince = now;
@@ -47,7 +50,7 @@
         return hasLostName;
     }
 
-    /** Whether its view has nobody but itself, whatever the table says. */
+    /** Whether its view contains only itself, whatever the table says. */
     boolean isAlone() {
         return hasLostName || isIsolated;
     }
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Says that it leaves; false where it has done so already or has lost its name. */
+    /** Announces that this process leaves; returns false if it has done so already or has lost its name. */
     boolean leave(long now) {
         if (isLeaving || hasLostName) {
             return false;
@@ -73,16 +76,16 @@
         return true;
     }
 
-    /** Another process refuses this one its name. */
+    /** Handles a refusal by another process that holds the same name. */
     void receiveRefusal(MembershipMessage refusal) {
-        boolean isMeant = refusal.number() == context.self.processId();
-        if (isMeant && !wasAdmitted) {
+        boolean isForThisProcess = refusal.number() == context.self.processId();
+        if (isForThisProcess && !wasAdmitted) {
             hasLostName = true;
             context.actions.refused(refusal.text());
         }
     }
 
-    /** What others know of this process. */
+    /** Handles a record about this process that another member has sent. */
     void learn(long now, MemberRecord record) {
         boolean isSameProcess = record.peer().processId() == context.self.processId();
         boolean wasRemoved = record.status().isEnded() && record.incarnation() >= context.self.incarnation();
@@ -115,7 +118,7 @@
             hasLostName = true;
             context.actions.log("name '" + context.self.name() + "' was taken by the process at "
                     + Addresses.text(other.address())
-                    + " while this one could not be reached; it takes no part any more");
+                    + " while this one could not be reached; this process no longer participates");
         }
     }
 
@@ -129,21 +132,24 @@
 
     private void announce(long now, MemberRecord own) {
         context.table.put(now, own, true);
-        context.changedAt = now;
+        context.tableChangedAt = now;
         context.disseminate(now, own, "");
     }
 
-    /** A process that was removed decides on nobody, lest its lost contacts be spread by way of one that it reaches. */
+    /**
+     * Updates whether this process considers itself the only member. A removed process does not remove others, so that
+     * the contacts it has lost are not disseminated through a member that it still reaches.
+     */
     void updateIsolation(long now) {
         if (!isCandidate()) {
             candidateSince = now;
         }
-        boolean isUnadmitted = now - candidateSince > context.options.silenceMicros();
+        boolean isUnadmitted = now - candidateSince > context.options.contactTimeoutMicros();
         boolean isIsolatedNow = context.table.liveCount() > 1 && isUnadmitted;
         if (isIsolatedNow != isIsolated) {
             isIsolated = isIsolatedNow;
             context.actions.log(
-                    isIsolated ? "no member has let this process in; it takes itself to be alone" : "a member again");
+                    isIsolated ? "no member has admitted this process; it considers itself alone" : "admitted again");
         }
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MemberRecord.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberRecord.java
@@ -5,12 +5,12 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * What is known of one name. Merging is commutative, so all processes end with the same record in whatever order they
- * receive records.
+ * What is known about the member of one name. Merging is commutative, so all processes end with the same record in
+ * whatever order they receive records.
  *
- * @param version of the facts
- * @param facts what the member says of itself, such as where clients reach it
- * @param endedSeconds seconds since it was removed or left, by the sender's clock; 0 for any other
+ * @param version version of the facts
+ * @param facts what the member publishes about itself, such as its address for clients
+ * @param endedSeconds seconds since the member was removed or left, by the sender's clock; 0 for any other member
  */
 public record MemberRecord(Peer peer, MemberStatus status, int version, Map<String, String> facts, int endedSeconds) {
 
@@ -39,7 +39,10 @@
         return other.incarnation() == incarnation() && other.peer.processId() == peer.processId();
     }
 
-    /** Whether the name belongs to the other one: a later incarnation, or the earlier of two processes. */
+    /**
+     * Whether the other process takes precedence for this name: it has a higher incarnation, or the same incarnation
+     * and was started earlier (with equal start times, has the lower process id).
+     */
     boolean isSupersededBy(Peer other) {
         if (other.incarnation() != peer.incarnation()) {
             return other.incarnation() > peer.incarnation();
@@ -52,7 +55,7 @@
                 : other.processId() < peer.processId();
     }
 
-    /** This record with what another one knows besides; this object itself where that is nothing. */
+    /** This record merged with another one; this object itself if the other one adds nothing. */
     MemberRecord merge(MemberRecord other) {
         if (isSupersededBy(other.peer)) {
             return other;
@@ -73,13 +76,13 @@
                 hasLaterStatus ? other.endedSeconds : endedSeconds);
     }
 
-    /** The same in all processes that know the same; age and address follow from the rest. */
+    /** Equal in all processes that know the same. Age and address are left out, since they follow from the rest. */
     long hash() {
         long identity = Hashes.mix(Ids.of(name()), peer.processId());
         return Hashes.mix(identity, ((long) incarnation() << 34) + ((long) version << 2) + status.ordinal());
     }
 
-    /** Bytes that it takes in a datagram, at most. */
+    /** Upper bound of the encoded size, in bytes. */
     int encodedSize() {
         int size = BASE_BYTES + MAX_BYTES_PER_CHARACTER * name().length();
         for (Map.Entry<String, String> fact : facts.entrySet()) {
--- a/src/main/java/org/cypressweir/fleet/membership/MemberStatus.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberStatus.java
@@ -1,14 +1,16 @@
 package org.cypressweir.fleet.membership;
 
-/** Status of a member in one incarnation; it only moves forward. It is sent as its ordinal, so the order is fixed. */
+/**
+ * Status of a member in one incarnation; it only advances. It is sent as its ordinal, so the order must not change.
+ */
 public enum MemberStatus {
-    /** It has announced itself; no neighbor has exchanged messages with it both ways yet. */
+    /** Announced, but no neighbor has exchanged messages with it both ways yet. */
     CANDIDATE,
-    /** A neighbor has admitted it. */
+    /** Admitted by a neighbor. */
     MEMBER,
-    /** It was removed, since it could not be reached. */
+    /** Removed because it could not be reached. */
     OUT,
-    /** It has said that it leaves. */
+    /** Announced that it leaves. */
     LEFT;
 
     boolean isEnded() {
--- a/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
@@ -12,27 +12,30 @@
 
 /**
  * The records that a process knows, one for each name, and which of them are in its view. A record says what all
- * processes know of a member; the view says who is live as this process sees it. They differ while a member comes back
- * and while its removal may still be denied: such a member is retained in the view.
+ * processes know about a member; the view contains the members that are live as this process sees it. They differ while
+ * a member rejoins and while its removal may still be refuted: such a member is retained in the view.
  */
 final class MemberTable {
 
-    /** For so long the end of a member is spread. It is remembered for twice that, so that late updates are known. */
-    static final long ENDED_SPREAD_MICROS = 300_000_000;
+    /**
+     * How long the tombstone of a member that left or was removed is disseminated. It is kept for twice that, so that
+     * late updates are recognized.
+     */
+    static final long TOMBSTONE_SPREAD_MICROS = 300_000_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000L;
-    /** Fixed: monitoring rings of all processes have to be the same. */
+    /** Must not change: all processes must have the same monitoring rings and buckets. */
     private static final long VIEW_SALT = 77;
 
     private final Map<String, MemberRecord> records = new HashMap<>();
-    /** Names in the view whose record is not that of a member. */
+    /** Names in the view whose status is not {@link MemberStatus#MEMBER}. */
     private final Set<String> retained = new HashSet<>();
     /** When members left or were removed. */
     private final Map<String, Long> endedAt = new HashMap<>();
-    /** Ended long ago: not spread any more, and not in the digests. */
-    private final Set<String> silenced = new HashSet<>();
+    /** Names of old tombstones that are neither disseminated nor part of the digests any more. */
+    private final Set<String> retiredTombstones = new HashSet<>();
 
-    private final int[] bucketDigests = new int[MembershipMessage.BUCKETS];
+    private final int[] bucketDigests = new int[MembershipMessage.BUCKET_COUNT];
     private long digest;
     private long viewFingerprint;
     private int liveCount;
@@ -49,17 +52,17 @@
         return records.size();
     }
 
-    /** Members in the view. */
+    /** Number of members in the view. */
     int liveCount() {
         return liveCount;
     }
 
-    /** The same wherever the same names are in the view. */
+    /** Equal in all processes whose views contain the same names. */
     long viewFingerprint() {
         return viewFingerprint;
     }
 
-    /** The same wherever the same records are known. */
+    /** Equal in all processes that know the same records. */
     long digest() {
         return digest;
     }
@@ -80,7 +83,7 @@
         return names;
     }
 
-    /** Members that were removed without having left: they may be live all the same. */
+    /** Members that were removed without having left; they may still be running. */
     List<MemberRecord> removedMembers() {
         List<MemberRecord> removed = new ArrayList<>();
         for (String name : endedAt.keySet()) {
@@ -92,12 +95,15 @@
         return removed;
     }
 
-    /** Replaces the record of a name. */
+    /**
+     * Replaces the record of a name, and updates the view. A record with status {@link MemberStatus#MEMBER} is always
+     * in the view.
+     */
     void put(long now, MemberRecord updated, boolean isInView) {
         String name = updated.name();
         boolean wasInView = isInView(name);
         MemberRecord old = records.put(name, updated);
-        if (old != null && !silenced.remove(name)) {
+        if (old != null && !retiredTombstones.remove(name)) {
             toggleInDigests(old);
         }
         toggleInDigests(updated);
@@ -114,7 +120,10 @@
         updateView(name, wasInView);
     }
 
-    /** Removes a name that was retained from the view; the record of a member has to be replaced for that. */
+    /**
+     * Removes a retained name from the view. A name with status {@link MemberStatus#MEMBER} stays in the view until its
+     * record is replaced.
+     */
     void removeFromView(String name) {
         boolean wasInView = isInView(name);
         retained.remove(name);
@@ -136,34 +145,35 @@
 
     private static int bucket(String name) {
         long hash = Hashes.mix(Ids.of(name), ~VIEW_SALT);
-        return (int) Long.remainderUnsigned(hash, MembershipMessage.BUCKETS);
+        return (int) Long.remainderUnsigned(hash, MembershipMessage.BUCKET_COUNT);
     }
 
-    /** Silences members that ended long ago, and then forgets them. */
+    /** Stops the dissemination of old tombstones, and later discards them. */
     void expire(long now) {
         List<String> forgotten = new ArrayList<>();
         for (Map.Entry<String, Long> ended : endedAt.entrySet()) {
             long ageMicros = now - ended.getValue();
-            if (ageMicros > ENDED_SPREAD_MICROS && silenced.add(ended.getKey())) {
+            if (ageMicros > TOMBSTONE_SPREAD_MICROS && retiredTombstones.add(ended.getKey())) {
                 toggleInDigests(records.get(ended.getKey()));
             }
-            if (ageMicros > 2 * ENDED_SPREAD_MICROS) {
+            if (ageMicros > 2 * TOMBSTONE_SPREAD_MICROS) {
                 forgotten.add(ended.getKey());
             }
         }
         for (String name : forgotten) {
             endedAt.remove(name);
-            silenced.remove(name);
+            retiredTombstones.remove(name);
             records.remove(name);
         }
     }
 
-    /** Whether the member ended so long ago that this is not spread any more. */
-    static boolean isStale(MemberRecord candidate) {
-        return candidate.status().isEnded() && candidate.endedSeconds() * MICROS_PER_SECOND > ENDED_SPREAD_MICROS;
+    /** Whether the record is a tombstone that is too old to be disseminated. */
+    static boolean isStale(MemberRecord memberRecord) {
+        return memberRecord.status().isEnded()
+                && memberRecord.endedSeconds() * MICROS_PER_SECOND > TOMBSTONE_SPREAD_MICROS;
     }
 
-    /** The record as it is sent now: with the time since the member ended. */
+    /** The record as it is sent now, with the time since the member left or was removed. */
     MemberRecord withAge(long now, MemberRecord sent) {
         Long ended = endedAt.get(sent.name());
         return ended == null ? sent : sent.withEndedSeconds((int) ((now - ended) / MICROS_PER_SECOND));
@@ -177,7 +187,9 @@
         return digests;
     }
 
-    /** Records of the buckets whose digests differ from these, bucket after bucket from the given one on. */
+    /**
+     * Records of the buckets whose digests differ from the given ones, in the order of buckets from the given one on.
+     */
     List<MemberRecord> recordsOfDifferentBuckets(List<Integer> otherDigests, int firstBucket) {
         List<List<MemberRecord>> buckets = new ArrayList<>();
         for (int i = 0; i < bucketDigests.length; i++) {
@@ -186,7 +198,7 @@
         }
         for (MemberRecord known : records.values()) {
             List<MemberRecord> bucket = buckets.get(bucket(known.name()));
-            if (bucket != null && !silenced.contains(known.name())) {
+            if (bucket != null && !retiredTombstones.contains(known.name())) {
                 bucket.add(known);
             }
         }
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipContext.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipContext.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of the protocol share: options, identity of this process, known members, updates to be spread. */
+/**
+ * State shared by the parts of the protocol: options, identity of this process, known members, updates to be
+ * disseminated.
+ */
 final class MembershipContext {
 
     final MembershipProtocol.Actions actions;
@@ -10,10 +13,10 @@
     final MemberTable table = new MemberTable();
     final UpdateDisseminator disseminator = new UpdateDisseminator();
     MembershipOptions options;
-    /** This process under its present incarnation. */
+    /** Identity of this process in its current incarnation. */
     Peer self;
-    /** When the table was changed last, by this process or by what it learned. */
-    long changedAt;
+    /** When the table was last changed, by this process or by an update that it received. */
+    long tableChangedAt;
 
     MembershipContext(
             long now,
@@ -25,7 +28,7 @@
         this.self = self;
         this.random = random;
         this.actions = actions;
-        changedAt = now;
+        tableChangedAt = now;
     }
 
     MemberRecord ownRecord() {
@@ -36,7 +39,7 @@
         return name.equals(self.name());
     }
 
-    /** Spreads what another member has told; the name is empty for what comes from this process. */
+    /** Disseminates an update that another member has sent; {@code from} is empty if it originates in this process. */
     void disseminate(long now, MemberRecord update, String from) {
         disseminator.add(update, from, disseminationEnd(now));
     }
@@ -45,7 +48,7 @@
         disseminator.add(update, from, disseminationEnd(now));
     }
 
-    /** Until then an update is piggybacked on other messages. */
+    /** Time until which an update is piggybacked on other messages. */
     private long disseminationEnd(long now) {
         return now + 2 * options.graceMicros();
     }
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipMessage.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipMessage.java
@@ -3,17 +3,20 @@
 import java.util.List;
 
 /**
- * A message between two processes, one datagram.
+ * A message between two processes, sent as one datagram.
  *
- * @param from the sender by its own account, whatever address the message came from
- * @param to name of the receiver; empty where only an address is known
- * @param number of a probe or request, which the response repeats; of a refusal the process that it is for
- * @param digest of all records that the sender knows
+ * @param from the sender as it identifies itself, whatever address the message came from
+ * @param to name of the receiver; empty if only its address is known
+ * @param number number of a probe or request, which the response repeats; in a refusal the id of the process that it is
+ *        for
+ * @param digest digest of all records that the sender knows; in messages about shares the digest of the counted
+ *        processes, in messages about endpoint lists the revision of a list
  * @param records updates about members
  * @param reports updates about contacts
- * @param buckets digests of the parts of the records in a comparison; numbers of a share or a list in their messages
- * @param text the reason in a refusal; else empty
- * @param payload a page of an endpoint list, or a message about leases; else empty
+ * @param buckets digests of the buckets of records in a comparison; numeric fields in messages about shares and
+ *        endpoint lists
+ * @param text reason of a refusal; otherwise empty
+ * @param payload page of an endpoint list, or an encoded message about leases; otherwise empty
  */
 public record MembershipMessage(
         Kind kind,
@@ -27,11 +30,11 @@
         String text,
         byte[] payload) {
 
-    /** Parts of the records that have a digest each. */
-    static final int BUCKETS = 128;
-    /** Bytes of updates that fit into a message beside everything else. */
+    /** Number of buckets that records are divided into for comparison; each has a digest. */
+    static final int BUCKET_COUNT = 128;
+    /** Space for updates in a message besides its other fields, in bytes. */
     static final int MAX_UPDATE_BYTES = 1_000;
-    /** The same for updates that are piggybacked on a probe or its response. */
+    /** Space for updates that are piggybacked on a probe or its response, in bytes. */
     static final int MAX_PIGGYBACK_BYTES = 400;
 
     private static final byte[] NO_PAYLOAD = {};
@@ -51,25 +54,25 @@
     }
 
     /**
-     * What a message is for. The first four may carry updates. It is sent as its ordinal, so the order is fixed; so are
-     * the names.
+     * Purpose of a message. The first four may carry updates. It is sent as its ordinal, so the order must not change,
+     * nor may the names.
      */
     public enum Kind {
         /** A probe. */
         PING,
         /** Response to a probe. */
         ACK,
-        /** Updates alone. */
+        /** Updates without a probe. */
         NEWS,
-        /** Digests of the records that the sender knows; number 1 asks for those of the receiver. */
+        /** Digests of the buckets of records that the sender knows; number 1 requests those of the receiver. */
         COMPARE,
-        /** Another process has the receiver's name. */
+        /** Another process holds the receiver's name. */
         REFUSE,
-        /** Request to a share voter: count the sender. */
+        /** Request to a share voter to count the sender. */
         COUNT,
-        /** Response to {@link #COUNT}, with the count in place of digests. */
+        /** Response to {@link #COUNT}, with the count in {@code buckets}. */
         COUNTED,
-        /** Request for an endpoint list, or a page of it. */
+        /** Request for an offer of an endpoint list, or for a page of the list. */
         BORROW,
         /** Response to {@link #BORROW}. */
         LEND,
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipOptions.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipOptions.java
@@ -5,18 +5,18 @@
 import org.cypressweir.fleet.lease.LeaseOptions;
 
 /**
- * Options of membership and of what is built on it.
+ * Options of membership and of the features that are built on it.
  *
  * @param cluster name of the fleet; messages of other fleets are dropped
- * @param listen own address; messages are sent from there
- * @param advertise the address that others use
- * @param seeds addresses of some processes; the own one among them does no harm
- * @param pauseMicros a process that is paused for so long stays a member
- * @param periodMicros from one probe of a neighbor to the next
- * @param maxMembers names that are kept, whatever others send
- * @param eventFile file for the events that this process sees, a line of JSON each; null for none
- * @param shares how limits of the whole fleet are divided among the live processes; null where they are not
- * @param leases for tasks of the whole fleet; null for none
+ * @param listen local address, which messages are also sent from
+ * @param advertise address at which other processes reach this one
+ * @param seeds addresses of some processes; the own address may be among them
+ * @param pauseMicros longest pause of a process that does not cost it its membership
+ * @param periodMicros interval between probes of a neighbor
+ * @param maxMembers maximum number of names that are kept, whatever others send
+ * @param eventFile file for the events that this process observes, a line of JSON each; null for none
+ * @param shares how fleet-wide limits are divided among the live processes; null if they are not
+ * @param leases options of the leases for fleet-wide tasks; null for none
  */
 public record MembershipOptions(
         String cluster,
@@ -30,13 +30,13 @@
         ShareOptions shares,
         LeaseOptions leases) {
 
-    /** Names that are kept where the settings do not say. */
+    /** Value of {@code maxMembers} if the settings do not give one. */
     public static final int DEFAULT_MAX_MEMBERS = 10_000;
 
     private static final int TICKS_PER_PERIOD = 8;
     private static final long MIN_TICK_MICROS = 1_000;
 
-    /** Without shares and leases. */
+    /** Options without shares and leases. */
     public MembershipOptions(
             String cluster,
             InetSocketAddress listen,
@@ -50,9 +50,9 @@
     }
 
     /**
-     * With shares; the seeds are the voters.
+     * These options with shares; the seeds are the voters.
      *
-     * @param lingerMicros for which what was in use stays in use at a paused process
+     * @param lingerMicros how long a paused process may keep in use what it had in use, such as connections
      */
     public MembershipOptions withShares(int maxProcesses, long lingerMicros) {
         return new MembershipOptions(
@@ -68,13 +68,13 @@
                 leases);
     }
 
-    /** With these leases. */
+    /** These options with the given leases. */
     public MembershipOptions withLeases(LeaseOptions newLeases) {
         return new MembershipOptions(
                 cluster, listen, advertise, seeds, pauseMicros, periodMicros, maxMembers, eventFile, shares, newLeases);
     }
 
-    /** These options with the newer values of those that may change while the process runs. */
+    /** These options, with the newer values of those that may change at run time. */
     public MembershipOptions reloaded(MembershipOptions newer) {
         return new MembershipOptions(
                 cluster,
@@ -89,12 +89,12 @@
                 newer.leases);
     }
 
-    /** A period by which a killed process is detected within the pause and two seconds. */
+    /** Period with which a killed process is detected within the pause plus two seconds. */
     public static long defaultPeriodMicros(long pauseMicros) {
         return pauseMicros * 2 / 15;
     }
 
-    /** From one tick to the next. */
+    /** Interval between ticks. */
     public long tickMicros() {
         return Math.max(MIN_TICK_MICROS, periodMicros / TICKS_PER_PERIOD);
     }
@@ -105,15 +105,15 @@
     }
 
     /**
-     * Time without contact after which a neighbor is reported lost. It may have been paused right after its last
-     * response, goes on after a pause at the latest, and then has the grace to be heard.
+     * Time without contact after which a neighbor is reported lost. The neighbor may have been paused right after its
+     * last response; it then resumes within {@code pauseMicros}, and has the grace period to be heard again.
      */
-    public long silenceMicros() {
+    public long contactTimeoutMicros() {
         return periodMicros + pauseMicros + graceMicros();
     }
 
-    /** By then all members that are in contact know that a process was killed. */
+    /** Time within which all members that are in contact know that a process was killed. */
     public long detectionMicros() {
-        return silenceMicros() + 2 * graceMicros();
+        return contactTimeoutMicros() + 2 * graceMicros();
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
@@ -9,37 +9,41 @@
 import org.cypressweir.fleet.membership.UpdateDisseminator.Updates;
 
 /**
- * One process's part in the membership of a fleet. The time is an argument of each event, {@link #tick} is called
- * regularly, and messages leave by {@link Actions}. Confined to one thread.
+ * Membership protocol of one process in a fleet. Each event takes the current time as an argument, {@link #tick} must
+ * be called regularly, and messages are sent through {@link Actions}. Times are in microseconds. Confined to one
+ * thread.
  *
- * <p>Each member monitors its neighbors in three rings ({@link MonitoringTopology}, {@link Prober}) and tells all when
- * it has lost contact with one or found it again; all decide alike from the same reports ({@link FailureDetector},
- * {@link SuspicionTable}). A process joins as a candidate, and is a member once a neighbor has exchanged messages with
- * it both ways. A process that hears that it was removed comes back under a higher incarnation ({@link LocalMember}).
- * Updates are spread at once and piggybacked ({@link UpdateDisseminator}); what was missed is found by comparison
- * ({@link AntiEntropy}).
+ * <p>Each member monitors its neighbors in three rings ({@link MonitoringTopology}, {@link Prober}) and reports to all
+ * members when it has lost or regained contact with one; all reach the same decisions from the same reports ({@link
+ * FailureDetector}, {@link SuspicionTable}). A process joins as a candidate, and becomes a member once a neighbor has
+ * exchanged messages with it both ways. A process that learns that it was removed rejoins under a higher incarnation
+ * ({@link LocalMember}). Updates are sent at once and then piggybacked on other messages ({@link UpdateDisseminator});
+ * missed updates are found by comparison of digests ({@link AntiEntropy}).
  */
 public final class MembershipProtocol {
 
-    /** What the process has to do; none of it calls back into this object. */
+    /** Actions that the process carries out for the protocol; none may call back into this object. */
     public interface Actions {
         void send(InetSocketAddress to, MembershipMessage message);
 
         /** The view has changed. */
         void changed(Change change);
 
-        /** Another process has the name, and had it first. */
+        /** Another process holds this process's name, and held it first. */
         void refused(String reason);
 
         void log(String line);
     }
 
-    /** A member as this process sees it; the state is a word for operators. */
+    /** A member as this process sees it, with a state that is shown to operators. */
     public record MemberView(MemberRecord record, String state) {}
 
-    /** Messages that say that this process leaves, to each monitored peer. */
+    /** Number of messages to each monitored peer that announce that this process leaves. */
     private static final int LEAVE_MESSAGES = 3;
-    /** Views of other processes in the same memory are shared; a process alone needs its last ones. */
+    /**
+     * Size of the ring cache of a process that does not share one with others in the same memory; it needs only its
+     * latest rings.
+     */
     private static final int CACHED_RINGS = 2;
 
     private static final int CLEANUP_PERIODS = 2;
@@ -64,7 +68,7 @@
         this(now, options, self, facts, seed, actions, new MonitoringRings.Cache(CACHED_RINGS));
     }
 
-    /** With rings that other members in the same memory use too. */
+    /** Creates a member that shares a cache of rings with other members in the same memory. */
     public MembershipProtocol(
             long now,
             MembershipOptions options,
@@ -88,7 +92,7 @@
         lastEventAt = now;
     }
 
-    /** Passes changes of the view on to the parts that depend on it. */
+    /** Notifies the parts that depend on the view of its changes. */
     private final class ViewListener implements MembershipView.Listener {
         @Override
         public void incarnationChanged(long now, String name) {
@@ -114,7 +118,7 @@
         }
     }
 
-    /** Begins as an admitted member of a fleet that has been running. */
+    /** Starts as an admitted member of a fleet that is already running. */
     public void startWithMembers(long now, Iterable<MemberRecord> members) {
         for (MemberRecord member : members) {
             boolean isSelf = context.isSelf(member.name());
@@ -124,7 +128,7 @@
         topology.invalidate();
     }
 
-    /** Members in the view, this one among them. */
+    /** Number of members in the view, including this process. */
     public int liveCount() {
         return view.liveCount();
     }
@@ -137,12 +141,12 @@
         return context.self;
     }
 
-    /** Messages that were not sent because more were wanted than is allowed. */
+    /** Number of messages that were not sent because a rate limit was exceeded. */
     public long droppedMessages() {
         return sender.droppedMessages();
     }
 
-    /** All processes that are known, by name. */
+    /** All known processes, by name. */
     public Map<String, MemberView> members() {
         Map<String, MemberView> members = new TreeMap<>();
         for (MemberRecord member : context.table.all()) {
@@ -167,31 +171,31 @@
         return isSuspect ? "suspect" : "alive";
     }
 
-    /** Takes other options over. */
+    /** Applies new options. */
     public void reconfigure(MembershipOptions options) {
         context.options = options;
         monitoredPeers.reconfigure(options);
         failureDetector.reconfigure();
     }
 
-    /** What this process says of itself; the newest holds everywhere. */
+    /** Publishes new facts about this process; the newest version replaces earlier ones in all processes. */
     public void updateFacts(long now, Map<String, String> facts) {
         localMember.updateFacts(now, facts);
     }
 
-    /** Leaves the fleet, and says so. */
+    /** Leaves the fleet, and announces it to the other members. */
     public void leave(long now) {
         if (localMember.leave(now)) {
             tick(now);
         }
     }
 
-    /** Whether the other members have been told often enough that this one leaves. */
+    /** Whether the leave has been announced often enough, or is not to be announced since the name was lost. */
     public boolean hasLeft() {
         return localMember.hasLostName() || sentLeaveMessages >= LEAVE_MESSAGES;
     }
 
-    /** Does what is due. A late call means that this process was paused. */
+    /** Performs the actions that are due. A late call means that this process was paused. */
     public void tick(long now) {
         detectPause(now);
         if (localMember.hasLostName()) {
@@ -218,7 +222,7 @@
         }
     }
 
-    /** A message of another process. */
+    /** Handles a message from another process. */
     public void receive(long now, MembershipMessage message) {
         detectPause(now);
         if (localMember.hasLostName()) {
@@ -235,7 +239,7 @@
             localMember.receiveRefusal(message);
             return;
         }
-        boolean isStranger = !context.table.isInView(from.name());
+        boolean isOutsideView = !context.table.isInView(from.name());
         if (localMember.isLeaving() || !nameConflicts.accept(now, message)) {
             return;
         }
@@ -245,11 +249,11 @@
             case PING -> prober.respond(now, message);
             case ACK -> {
                 prober.receiveResponse(now, message);
-                antiEntropy.compareDigest(now, message, isStranger);
+                antiEntropy.compareDigest(now, message, isOutsideView);
             }
             case COMPARE -> antiEntropy.receiveComparison(now, message);
             default -> {
-                // Updates alone.
+                // Only updates, which were received above.
             }
         }
     }
@@ -260,7 +264,10 @@
         message.reports().forEach(report -> failureDetector.receive(now, report, from));
     }
 
-    /** The process was paused if it is called late: deadlines move, since it could not have received anything. */
+    /**
+     * Detects by a late call that this process was paused, and defers deadlines, since it could not have received
+     * anything.
+     */
     private void detectPause(long now) {
         long lateMicros = now - lastEventAt - context.options.tickMicros();
         lastEventAt = Math.max(lastEventAt, now);
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipView.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipView.java
@@ -6,34 +6,34 @@
 import java.util.TreeMap;
 
 /**
- * Applies what is learned of other members to the table and to the view, and tells of the changes. A removal that
- * another member reports takes effect after a grace, within which the removed member may deny it by a higher
- * incarnation. A member that comes back stays in the view while it waits to be admitted.
+ * Applies updates about other members to the table and to the view, and notifies of the changes. A removal that another
+ * member reports takes effect after a grace period, in which the removed member may refute it with a higher
+ * incarnation. A member that rejoins stays in the view while it waits to be admitted.
  */
 final class MembershipView {
 
-    /** Hears of changes; called before {@link MembershipProtocol.Actions#changed}. */
+    /** Is notified of changes before {@link MembershipProtocol.Actions#changed} is called. */
     interface Listener {
-        /** The name is that of another process or another incarnation from now on. */
+        /** The name now belongs to another process or another incarnation. */
         void incarnationChanged(long now, String name);
 
-        /** The member is not in the view any more. */
+        /** The member is no longer in the view. */
         void removed(String name);
 
-        /** A member has joined, so that earlier decisions may change. */
+        /** A member has joined, so earlier decisions may change. */
         void joined(String name);
 
-        /** Those that have to be monitored may be others now. */
+        /** The set of members to monitor may have changed. */
         void monitoringChanged();
     }
 
-    private record PendingRemoval(long at, String reportedBy) {}
+    private record PendingRemoval(long dueAt, String reportedBy) {}
 
     private final MembershipContext context;
     private final LocalMember localMember;
     private final Listener listener;
     private final Map<String, PendingRemoval> pendingRemovals = new TreeMap<>();
-    /** Candidates, and since when each waits to be admitted. */
+    /** Candidates, and the time since which each waits to be admitted. */
     private final Map<String, Long> candidates = new TreeMap<>();
 
     MembershipView(MembershipContext context, LocalMember localMember, Listener listener) {
@@ -42,7 +42,7 @@
         this.listener = listener;
     }
 
-    /** Members in the view, this process among them. */
+    /** Number of members in the view, including this process. */
     int liveCount() {
         return localMember.isAlone() ? 1 : context.table.liveCount();
     }
@@ -59,7 +59,7 @@
         return pendingRemovals.containsKey(name);
     }
 
-    /** Takes a record over that was told by a member. */
+    /** Merges a record that a member has sent. */
     void learn(long now, MemberRecord record, String from) {
         String name = record.name();
         if (context.isSelf(name)) {
@@ -82,7 +82,7 @@
         boolean wasInView = context.table.isInView(name);
         boolean staysInView = wasInView && status != MemberStatus.LEFT;
         context.table.put(now, merged, staysInView || status == MemberStatus.MEMBER);
-        context.changedAt = now;
+        context.tableChangedAt = now;
         context.disseminate(now, merged, from);
         if (old == null || !old.isSameIncarnation(merged)) {
             pendingRemovals.remove(name);
@@ -95,7 +95,7 @@
         if (status == MemberStatus.OUT && wasInView) {
             pendingRemovals.putIfAbsent(name, new PendingRemoval(now + context.options.graceMicros(), from));
         } else if (status == MemberStatus.LEFT && wasInView) {
-            removed(name, "said so", Change.Kind.LEFT);
+            removed(name, "announced that it leaves", Change.Kind.LEFT);
         } else if (status == MemberStatus.MEMBER && !wasInView) {
             joined(merged, from);
         }
@@ -108,7 +108,7 @@
         } else {
             candidates.putIfAbsent(name, now);
             if (wasInView) {
-                pendingRemovals.put(name, new PendingRemoval(now + context.options.silenceMicros(), from));
+                pendingRemovals.put(name, new PendingRemoval(now + context.options.contactTimeoutMicros(), from));
             }
         }
         if (merged.status() == MemberStatus.MEMBER) {
@@ -122,17 +122,17 @@
                 record.incarnation() > 1 ? Change.Kind.BACK : Change.Kind.JOINED,
                 record.name(),
                 record.incarnation(),
-                "told by " + (from.isEmpty() ? "itself" : from),
+                "reported by " + (from.isEmpty() ? "itself" : from),
                 liveCount()));
     }
 
-    /** Removes a member, by a decision of this process or one that it takes over. */
+    /** Removes a member, by a decision of this process or of another one that it adopts. */
     void remove(long now, String name, String cause) {
         MemberRecord record = context.table.get(name);
         boolean wasInView = context.table.isInView(name);
         MemberRecord ended = record.status().isEnded() ? record : record.withStatus(MemberStatus.OUT);
         context.table.put(now, ended, false);
-        context.changedAt = now;
+        context.tableChangedAt = now;
         candidates.remove(name);
         if (wasInView) {
             removed(name, cause, Change.Kind.OUT);
@@ -146,34 +146,34 @@
         context.actions.changed(new Change(kind, name, incarnation, cause, liveCount()));
     }
 
-    /** Carries out removals that nobody has denied in time. */
+    /** Carries out removals that were not refuted in time. */
     void applyPendingRemovals(long now) {
         for (String name : List.copyOf(pendingRemovals.keySet())) {
             PendingRemoval removal = pendingRemovals.get(name);
-            if (removal.at > now) {
+            if (removal.dueAt > now) {
                 continue;
             }
             if (context.table.get(name).status() == MemberStatus.CANDIDATE) {
-                // Its record stays as others know it: it may yet be admitted.
+                // Its record stays as others know it, since it may still be admitted.
                 context.table.removeFromView(name);
-                removed(name, "nobody has let it in again", Change.Kind.OUT);
+                removed(name, "not admitted again in time", Change.Kind.OUT);
             } else {
-                remove(now, name, "told by " + removal.reportedBy);
+                remove(now, name, "reported by " + removal.reportedBy);
             }
         }
     }
 
-    /** Time for which this process was paused does not count. */
+    /** Defers pending removals by the time for which this process was paused. */
     void excludePause(long pausedMicros) {
         pendingRemovals.replaceAll(
-                (name, removal) -> new PendingRemoval(removal.at + pausedMicros, removal.reportedBy));
+                (name, removal) -> new PendingRemoval(removal.dueAt + pausedMicros, removal.reportedBy));
     }
 
-    /** Candidates that nobody has admitted for long are removed. */
+    /** Removes candidates that have waited too long to be admitted. */
     void expireCandidates(long now) {
         for (Map.Entry<String, Long> candidate : Map.copyOf(candidates).entrySet()) {
-            if (now - candidate.getValue() > MemberTable.ENDED_SPREAD_MICROS) {
-                remove(now, candidate.getKey(), "nobody has let it in");
+            if (now - candidate.getValue() > MemberTable.TOMBSTONE_SPREAD_MICROS) {
+                remove(now, candidate.getKey(), "not admitted in time");
             }
         }
     }
--- a/src/main/java/org/cypressweir/fleet/membership/MessageSender.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MessageSender.java
@@ -6,29 +6,29 @@
 import org.cypressweir.fleet.membership.UpdateDisseminator.Updates;
 
 /**
- * Composes messages of this process and sends them within two allowances: one for probes and their responses, which
- * must not be crowded out, and one for all else, updates that are piggybacked on probes among it.
+ * Composes messages of this process and sends them within two rate limits: one for probes and their responses, which
+ * must not be crowded out, and one for everything else, including updates that are piggybacked on probes.
  */
 final class MessageSender {
 
     private static final int PROBE_BYTES_PER_SECOND = 64_000;
     private static final int UPDATE_BYTES_PER_SECOND = 512_000;
-    /** Upper bounds for the encoded size of a message without updates. */
+    /** Upper bounds of the encoded size of a message without updates. */
     private static final int BASE_BYTES = 100;
 
     private static final int MAX_BYTES_PER_CHARACTER = 3;
     private static final int MAX_BYTES_PER_BUCKET = 6;
 
     private final MembershipContext context;
-    private final Allowance probeAllowance = new Allowance(PROBE_BYTES_PER_SECOND);
-    private final Allowance updateAllowance = new Allowance(UPDATE_BYTES_PER_SECOND);
+    private final ByteRateLimiter probeRateLimiter = new ByteRateLimiter(PROBE_BYTES_PER_SECOND);
+    private final ByteRateLimiter updateRateLimiter = new ByteRateLimiter(UPDATE_BYTES_PER_SECOND);
     private long droppedMessages;
 
     MessageSender(MembershipContext context) {
         this.context = context;
     }
 
-    /** Messages that were not sent because the allowance was used up. */
+    /** Number of messages that were not sent because a rate limit was exceeded. */
     long droppedMessages() {
         return droppedMessages;
     }
@@ -71,20 +71,20 @@
         int updateBytes = updateBytes(message);
         if (message.kind() == Kind.PING || message.kind() == Kind.ACK) {
             sendProbe(now, to, message, baseBytes, updateBytes);
-        } else if (updateAllowance.spend(now, baseBytes + updateBytes)) {
+        } else if (updateRateLimiter.tryAcquire(now, baseBytes + updateBytes)) {
             context.actions.send(to, message);
         } else {
             droppedMessages++;
         }
     }
 
-    /** A probe or its response is sent also where there is no allowance for the updates in it. */
+    /** Sends a probe or its response, without its updates if these exceed their rate limit. */
     private void sendProbe(long now, InetSocketAddress to, MembershipMessage message, int baseBytes, int updateBytes) {
-        if (!probeAllowance.spend(now, baseBytes)) {
+        if (!probeRateLimiter.tryAcquire(now, baseBytes)) {
             droppedMessages++;
             return;
         }
-        boolean mayCarryUpdates = updateBytes == 0 || updateAllowance.spend(now, updateBytes);
+        boolean mayCarryUpdates = updateBytes == 0 || updateRateLimiter.tryAcquire(now, updateBytes);
         context.actions.send(to, mayCarryUpdates ? message : message.withoutUpdates());
     }
 
--- a/src/main/java/org/cypressweir/fleet/membership/MonitoredPeers.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoredPeers.java
@@ -10,34 +10,37 @@
 import java.util.TreeMap;
 
 /**
- * The contact of this process with the peers that it monitors, and the probes under way. Contact is a response to a
- * probe of this process and counts from when that was sent. A message that was received unsolicited is no contact,
- * since the opposite direction may be partitioned.
+ * The contact of this process with the peers that it monitors, and its outstanding probes. Contact is a response to a
+ * probe of this process and counts from when the probe was sent. An unsolicited message is not contact, since the
+ * opposite direction may be partitioned.
  */
 final class MonitoredPeers {
 
-    /** A peer without contact for fewer periods is in contact for certain. */
+    /** A peer counts as in contact while its last contact is fewer periods ago. */
     private static final int CONTACT_PERIODS = 3;
-    /** After so many periods without contact an unsolicited message leads to a probe at once. */
+    /** Periods without contact after which an unsolicited message triggers a probe at once. */
     private static final int SILENT_PERIODS = 2;
-    /** Intervals between probes are shortened by up to this part, so that they spread. */
+    /**
+     * Intervals between probes are shortened by a random amount of up to one part in this many, so that probes are
+     * spread over time.
+     */
     private static final int JITTER_DIVISOR = 8;
 
-    /** A monitored peer. */
+    /** A monitored peer, and the state of the contact with it. */
     static final class Link {
         final String name;
         long nextProbeAt;
-        /** When the last probe that was responded to was sent. */
-        private long contactAt;
+        /** When the last probe that got a response was sent. */
+        private long lastContactAt;
 
         private long lastProbeAt;
         boolean isLost;
-        /** When the state of the link was last reported to others. */
+        /** When the state of the link was last reported to the other members. */
         long lastReportAt;
 
         Link(String name, long now, long nextProbeAt) {
             this.name = name;
-            contactAt = now;
+            lastContactAt = now;
             this.nextProbeAt = nextProbeAt;
         }
     }
@@ -65,12 +68,14 @@
         return links.values();
     }
 
-    /** The link to a peer; null where it is not monitored. */
+    /** The link to a peer; null if it is not monitored. */
     Link find(String name) {
         return links.get(name);
     }
 
-    /** Monitors these peers from now on. New ones count as in contact now, so that none is reported lost at once. */
+    /**
+     * Replaces the set of monitored peers. New ones count as in contact now, so that none is reported lost at once.
+     */
     void monitor(long now, Set<String> names) {
         links.keySet().retainAll(names);
         for (String name : names) {
@@ -81,20 +86,20 @@
         }
     }
 
-    /** The peer has another incarnation: what was known of the one before does not count. */
+    /** Resets the contact with a peer that has a new incarnation: contact with the previous one does not count. */
     void resetContact(long now, String name) {
         Link link = links.get(name);
         if (link != null) {
             link.isLost = false;
-            link.contactAt = now;
+            link.lastContactAt = now;
             link.nextProbeAt = now;
         }
     }
 
     /**
-     * A probe is sent.
+     * Registers a probe that is being sent.
      *
-     * @param name empty where only an address is known
+     * @param name name of the peer; empty if only an address is known
      * @return the number of the probe
      */
     long startProbe(long now, String name) {
@@ -102,7 +107,7 @@
         openProbes.put(lastProbeNumber, new Probe(name, now));
         Link link = links.get(name);
         if (link != null) {
-            boolean isUnanswered = link.lastProbeAt > link.contactAt;
+            boolean isUnanswered = link.lastProbeAt > link.lastContactAt;
             long interval = isUnanswered ? options.periodMicros() / 2 : options.periodMicros();
             link.nextProbeAt = now + interval - random.nextLong(1 + interval / JITTER_DIVISOR);
             link.lastProbeAt = now;
@@ -110,7 +115,7 @@
         return lastProbeNumber;
     }
 
-    /** A response was received; whether it is one to an open probe of this process. */
+    /** Handles a response; returns whether it is one to an outstanding probe of this process. */
     boolean completeProbe(long number, String responder) {
         Probe probe = openProbes.remove(number);
         if (probe == null) {
@@ -118,41 +123,41 @@
         }
         Link link = links.get(responder);
         if (link != null && (probe.name.isEmpty() || probe.name.equals(responder))) {
-            link.contactAt = Math.max(link.contactAt, probe.sentAt);
+            link.lastContactAt = Math.max(link.lastContactAt, probe.sentAt);
         }
         return true;
     }
 
-    /** Some message was received: a peer whose responses fail to arrive is probed at once. */
+    /** Handles a message of any kind from a peer: if responses of the peer fail to arrive, it is probed at once. */
     void receivedUnsolicited(long now, String name) {
         Link link = links.get(name);
         if (link == null) {
             return;
         }
-        boolean isSilent = now - link.contactAt > options.periodMicros() * SILENT_PERIODS;
+        boolean isSilent = now - link.lastContactAt > options.periodMicros() * SILENT_PERIODS;
         if (isSilent && now - link.lastProbeAt > options.tickMicros()) {
             link.nextProbeAt = Math.min(link.nextProbeAt, now);
         }
     }
 
-    /** Time for which this process was paused counts against no peer, and all are probed at once. */
+    /** Defers the loss of contact by the time for which this process was paused, and has all peers probed at once. */
     void excludePause(long now, long pausedMicros) {
         for (Link link : links.values()) {
-            link.contactAt = Math.min(now, link.contactAt + pausedMicros);
+            link.lastContactAt = Math.min(now, link.lastContactAt + pausedMicros);
             link.nextProbeAt = now;
         }
     }
 
     boolean isInContact(long now, String name) {
         Link link = links.get(name);
-        return link != null && !link.isLost && now - link.contactAt < options.periodMicros() * CONTACT_PERIODS;
+        return link != null && !link.isLost && now - link.lastContactAt < options.periodMicros() * CONTACT_PERIODS;
     }
 
-    /** Updates the state of all links; those that were lost or found again. */
+    /** Updates the state of all links; returns those that were lost or regained. */
     List<Link> changedLinks(long now) {
         List<Link> changed = new ArrayList<>();
         for (Link link : links.values()) {
-            boolean isLost = now - link.contactAt > options.silenceMicros();
+            boolean isLost = now - link.lastContactAt > options.contactTimeoutMicros();
             if (isLost != link.isLost) {
                 link.isLost = isLost;
                 changed.add(link);
@@ -161,8 +166,8 @@
         return changed;
     }
 
-    /** Forgets probes that nobody will respond to any more. */
+    /** Discards probes that are too old to get a response. */
     void expireProbes(long now) {
-        openProbes.values().removeIf(probe -> now - probe.sentAt > options.silenceMicros());
+        openProbes.values().removeIf(probe -> now - probe.sentAt > options.contactTimeoutMicros());
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/MonitoringRings.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoringRings.java
@@ -12,17 +12,20 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * Which members monitor each other: the members stand in three rings, ordered by hash, and each is a neighbor of those
- * before and behind it in every ring. Such a graph has short paths and no bottleneck, whatever the names are. Up to
- * seven members are all neighbors of each other.
+ * Determines which members monitor each other: the members are arranged in three rings, ordered by hash, and each is a
+ * neighbor of its predecessor and successor in every ring. Such a graph has short paths and no bottleneck, whatever the
+ * names are. Up to seven members are all neighbors of each other.
  */
 public final class MonitoringRings {
 
-    static final int RINGS = 3;
-    private static final int FULL_MESH_SIZE = 2 * RINGS + 1;
+    static final int RING_COUNT = 3;
+    private static final int FULL_MESH_SIZE = 2 * RING_COUNT + 1;
     private static final int[] NO_NEIGHBORS = {};
 
-    /** The rings that were used last, by the fingerprint of the view: processes in one memory share them. */
+    /**
+     * Cache of the most recently used rings, by the fingerprint of the view; may be shared by members in the same
+     * memory.
+     */
     public static final class Cache {
         private static final int INITIAL_CAPACITY = 16;
         private static final float LOAD_FACTOR = 0.75f;
@@ -53,9 +56,9 @@
     private final String[] names;
     private final Map<String, Integer> indexes = new HashMap<>();
     /** By ring: the hashes in ascending order. */
-    private final long[][] hashes = new long[RINGS][];
+    private final long[][] hashes = new long[RING_COUNT][];
     /** By ring: the members in the order of their hashes. */
-    private final int[][] order = new int[RINGS][];
+    private final int[][] order = new int[RING_COUNT][];
 
     private final int[][] neighbors;
 
@@ -66,7 +69,7 @@
         for (int i = 0; i < names.length; i++) {
             indexes.put(names[i], i);
         }
-        for (int ring = 0; ring < RINGS; ring++) {
+        for (int ring = 0; ring < RING_COUNT; ring++) {
             sort(ring);
             connectRing(order[ring]);
         }
@@ -124,7 +127,7 @@
         return names.length;
     }
 
-    /** Index of a name; -1 where it is no member. */
+    /** Index of a name; -1 if it is not a member. */
     int indexOf(String name) {
         return indexes.getOrDefault(name, -1);
     }
@@ -149,7 +152,7 @@
         } else if (names.length < FULL_MESH_SIZE) {
             found.addAll(List.of(names));
         } else {
-            for (int ring = 0; ring < RINGS; ring++) {
+            for (int ring = 0; ring < RING_COUNT; ring++) {
                 addNeighborsInRing(ring, name, found);
             }
         }
--- a/src/main/java/org/cypressweir/fleet/membership/MonitoringTopology.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MonitoringTopology.java
@@ -6,9 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * Which members this process monitors: its neighbors in the rings, candidates that would be, and members that it has
- * reached directly. While members are being removed the rings stay as they were: new neighbors would count as in
- * contact until they have been silent for long, so that a partition would be detected piece by piece.
+ * Determines which members this process monitors: its neighbors in the rings, candidates that would be its neighbors,
+ * and members that it has reached directly. While members are being removed the rings are frozen: new neighbors would
+ * count as in contact until their contact times out, so that a partition would be detected piece by piece.
  */
 final class MonitoringTopology {
 
@@ -16,15 +16,17 @@
     private final MonitoredPeers monitoredPeers;
     private final MembershipView view;
     private final MonitoringRings.Cache cache;
-    /** Members reached directly while they could not be reached over neighbors, and until when that counts. */
+    /**
+     * Members that were reached directly while they could not be reached through neighbors, and until when that counts.
+     */
     private final Map<String, Long> directContacts = new HashMap<>();
 
     private MonitoringRings rings;
     private long ringsFingerprint;
     private boolean isOutdated = true;
-    /** No member has been found lost for some time by then. */
+    /** When the rings may change, if no further member is found lost until then. */
     private long stableAt = Long.MIN_VALUE;
-    /** The rings are changed by then in any case. */
+    /** When the rings may change in any case. */
     private long frozenUntil = Long.MIN_VALUE;
 
     MonitoringTopology(
@@ -54,15 +56,18 @@
         return rings;
     }
 
-    /** Members are being lost. The time is bounded, so that a partition that comes and goes does not block changes. */
+    /**
+     * Freezes the rings, because members are being lost. The time is bounded, so that a partition that comes and goes
+     * does not block changes.
+     */
     void freeze(long now) {
         if (now >= stableAt) {
-            frozenUntil = now + 2 * context.options.silenceMicros();
+            frozenUntil = now + 2 * context.options.contactTimeoutMicros();
         }
         stableAt = now + 2 * context.options.graceMicros();
     }
 
-    /** Brings the monitored peers up to date. */
+    /** Updates the set of monitored peers. */
     void update(long now) {
         MonitoringRings current = rings(now);
         if (!isOutdated) {
--- a/src/main/java/org/cypressweir/fleet/membership/NameConflictResolver.java
+++ b/src/main/java/org/cypressweir/fleet/membership/NameConflictResolver.java
@@ -6,8 +6,9 @@
 import org.cypressweir.fleet.membership.UpdateDisseminator.Updates;
 
 /**
- * Decides whether the sender of a message is the process that has its name. Where a second process uses a name, the
- * holder is probed: its response refuses the newcomer, while silence or a response of another process frees the name.
+ * Decides whether the sender of a message is the process that holds its name. If a second process uses a name, the
+ * holder is probed: if it responds, the newcomer is refused; if it stays silent, or another process responds in its
+ * place, the name becomes free.
  */
 final class NameConflictResolver {
 
@@ -31,7 +32,7 @@
         this.sender = sender;
     }
 
-    /** Takes over what a sender says of itself; whether the sender is the process that has its name. */
+    /** Applies what a sender says about itself; returns whether the sender is the process that holds its name. */
     boolean accept(long now, MembershipMessage message) {
         Peer from = message.from();
         MemberRecord known = context.table.get(from.name());
@@ -46,7 +47,7 @@
         if (known.status().isEnded() && !context.table.isInView(from.name())) {
             return acceptSuccessor(now, message, known);
         }
-        challengeHolder(now, message, known);
+        probeHolder(now, message, known);
         return false;
     }
 
@@ -61,7 +62,7 @@
         }
         if (isConflictResponse(message)) {
             Peer newcomer = conflicts.close(from.name());
-            // The response may be the newcomer's own, if others have found out meanwhile that the name is free.
+            // The response may be the newcomer's own, if other members have meanwhile found the name to be free.
             if (newcomer.processId() != from.processId()) {
                 refuse(now, newcomer, known.peer());
             }
@@ -72,7 +73,7 @@
         return message.kind() == Kind.ACK && conflicts.isResponse(message.from().name(), message.number());
     }
 
-    /** The name is free; a process that takes it has to begin above the incarnation of the one before. */
+    /** Accepts a process that takes a free name; its incarnation must be above that of the previous holder. */
     private boolean acceptSuccessor(long now, MembershipMessage message, MemberRecord ended) {
         Peer from = message.from();
         if (from.incarnation() > ended.incarnation()) {
@@ -86,21 +87,21 @@
         return false;
     }
 
-    private void challengeHolder(long now, MembershipMessage message, MemberRecord holder) {
+    private void probeHolder(long now, MembershipMessage message, MemberRecord holder) {
         Peer from = message.from();
         String name = from.name();
         if (isConflictResponse(message)) {
             conflicts.close(name);
             view.remove(now, name, "another process answers at its address");
             context.disseminate(now, context.table.get(name), "");
-        } else if (conflicts.startsProbe(now, from, context.options.periodMicros())) {
+        } else if (conflicts.recordNewcomer(now, from, context.options.periodMicros())) {
             long number = monitoredPeers.startProbe(now, name);
             conflicts.probeSent(now, name, number);
             sender.send(now, holder.peer().address(), Kind.PING, name, number, Updates.NONE);
         }
     }
 
-    /** A process that has this process's own name has sent a message. */
+    /** Handles a message from another process that has this process's own name. */
     void receiveFromRival(long now, Peer rival) {
         boolean isSameIncarnation = rival.incarnation() == context.self.incarnation();
         boolean isFirst = isSameIncarnation && !context.ownRecord().isSupersededBy(rival);
@@ -116,6 +117,6 @@
     }
 
     void expire(long now) {
-        conflicts.expire(now, 4 * context.options.silenceMicros());
+        conflicts.expire(now, 4 * context.options.contactTimeoutMicros());
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/NameConflicts.java
+++ b/src/main/java/org/cypressweir/fleet/membership/NameConflicts.java
@@ -3,10 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Names that a second process uses, and the probes that were sent to their holders. */
+/** Names that are used by a second process, and the probes that were sent to their holders. */
 final class NameConflicts {
 
-    /** Conflicts at the same time, at most. */
+    /** Maximum number of concurrent conflicts. */
     private static final int MAX_CONFLICTS = 64;
 
     private static final class Conflict {
@@ -28,8 +28,10 @@
 
     private final Map<String, Conflict> open = new HashMap<>();
 
-    /** A newcomer uses a name that another process has; whether the holder is to be probed now. */
-    boolean startsProbe(long now, Peer newcomer, long periodMicros) {
+    /**
+     * Records that a newcomer uses a name that another process holds; returns whether the holder is to be probed now.
+     */
+    boolean recordNewcomer(long now, Peer newcomer, long periodMicros) {
         String name = newcomer.name();
         if (!open.containsKey(name) && open.size() >= MAX_CONFLICTS) {
             return false;
@@ -51,7 +53,7 @@
         return conflict != null && conflict.isProbed() && conflict.probeNumber == probeNumber;
     }
 
-    /** Ends a conflict; returns the newcomer. */
+    /** Closes a conflict; returns the newcomer. */
     Peer close(String name) {
         return open.remove(name).newcomer;
     }
--- a/src/main/java/org/cypressweir/fleet/membership/Peer.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Peer.java
@@ -5,12 +5,12 @@
 /**
  * The identity of a process in one incarnation.
  *
- * @param name its name in the fleet
- * @param processId random number of this run of the process, so that two with one name are told apart
- * @param startedAtMillis when the process was started, in milliseconds of Unix time; of two that take one name at the
- *        same incarnation the earlier has it. Nothing else depends on it
- * @param incarnation counts how often a process of this name has come back
- * @param address where others reach it
+ * @param name name of the process in the fleet
+ * @param processId random id of this run of the process, which distinguishes two processes with the same name
+ * @param startedAtMillis when the process was started, in milliseconds of Unix time; of two processes that take one
+ *        name at the same incarnation, the earlier one holds it. Nothing else depends on it
+ * @param incarnation number that is increased each time a process of this name rejoins
+ * @param address where other processes reach this one
  */
 public record Peer(String name, long processId, long startedAtMillis, int incarnation, InetSocketAddress address) {
 
--- a/src/main/java/org/cypressweir/fleet/membership/Prober.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Prober.java
@@ -7,14 +7,14 @@
 import org.cypressweir.fleet.membership.UpdateDisseminator.Updates;
 
 /**
- * Probes monitored peers and members that can't be reached over neighbors, and responds to the probes of others. A
- * response admits a candidate that this process monitors: messages have been exchanged both ways.
+ * Probes monitored peers and members that can't be reached through neighbors, and responds to the probes of others. A
+ * response admits a candidate that this process monitors, since messages have been exchanged both ways.
  */
 final class Prober {
 
-    /** Probes of unreachable members at a time. */
+    /** Maximum number of unreachable members that are probed at a time. */
     private static final int MAX_DIRECT_PROBES = 4;
-    /** Updates for a process that may not know that it was removed, besides its own record. */
+    /** Maximum number of updates for a process that may not know that it was removed, besides its own record. */
     private static final int MAX_UPDATES_FOR_REMOVED = 4;
 
     private final MembershipContext context;
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A probe of another process. */
+    /** Responds to a probe of another process. */
     void respond(long now, MembershipMessage probe) {
         Peer from = probe.from();
         MemberRecord known = context.table.get(from.name());
@@ -77,7 +77,7 @@
         sender.send(now, from.address(), Kind.ACK, from.name(), probe.number(), updates);
     }
 
-    /** The process may not know that it was removed. */
+    /** Updates for a process that may not know that it was removed; its own record comes first. */
     private Updates updatesForRemoved(long now, MemberRecord removed, Updates updates) {
         List<MemberRecord> records = new ArrayList<>();
         records.add(context.table.withAge(now, removed));
@@ -85,7 +85,7 @@
         return new Updates(records, List.of());
     }
 
-    /** A response to a probe of this process. */
+    /** Handles a response to a probe of this process. */
     void receiveResponse(long now, MembershipMessage response) {
         String name = response.from().name();
         boolean isExpected = monitoredPeers.completeProbe(response.number(), name);
--- a/src/main/java/org/cypressweir/fleet/membership/ShareRequest.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequest.java
@@ -4,41 +4,45 @@
 import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
- * The share of one process in a limit of the whole fleet, by the grants of a majority of the voters.
+ * The share of one process in a fleet-wide limit, based on the grants of a majority of the voters.
  *
- * <p>A grant counts for the hold, from when it was requested. A process claims a share once a majority of the voters
- * has counted it without a gap for the release; before and afterwards it has the minimum. So any two processes that
- * claim a share at some moment were counted by a voter in common before either computed its share, and each knows of
- * all others: the shares add up to the whole at most. Assumptions: the rates of clocks differ by under a tenth, the
- * voters are the same in all processes, and nothing is used without asking for the share at that moment. What stays
- * open at a paused process, such as connections, is bounded if its peers close it within the linger time.
+ * <p>A grant is valid for the hold time, from when it was requested. A process claims a share once a majority of the
+ * voters has counted it without a gap for the release time; before that, and after it has lost the majority, it has the
+ * minimum. So any two processes that claim a share at the same moment were counted by a common voter before either
+ * computed its share, and each takes all others into account: the shares add up to at most the whole. Assumptions: the
+ * rates of clocks differ by less than a tenth, the voters are the same in all processes, and nothing is used without
+ * asking for the share at that moment. What stays open at a paused process, such as connections, is bounded if its
+ * peers close it within the linger time.
  */
 public final class ShareRequest {
 
-    /** Part of the whole that claims are divided from; the rest is for processes at the minimum. */
+    /** Fraction of the whole that is divided among claims; the rest is for processes at the minimum. */
     public static final double CLAIMABLE_PART = 0.95;
-    /** Twice the hold, since the responses of two voters may be a hold apart, and a tenth for clocks. */
+    /**
+     * Release time in multiples of the hold time: two, since the responses of two voters may be a hold time apart, plus
+     * a tenth for differences between clock rates.
+     */
     private static final double RELEASE_HOLDS = 2.2;
 
     private static final double CLOCK_TOLERANCE = 1.1;
     private static final int REQUESTS_PER_HOLD = 4;
-    private static final long NOT_HELD = Long.MAX_VALUE;
+    private static final long NO_MAJORITY = Long.MAX_VALUE;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final long holdMicros;
     private final long releaseMicros;
     private final int maxProcesses;
-    /** By voter, when its last grant was requested. */
+    /** By voter: when its last grant was requested. */
     private final long[] requestedAt;
 
     private final Grant[] grants;
     /** Since when a majority of the voters has counted this process without a gap. */
-    private long heldSince = NOT_HELD;
+    private long majoritySince = NO_MAJORITY;
 
     /**
-     * @param holdMicros for which a grant counts from when it was requested
-     * @param lingerMicros for which what was in use stays in use at a paused process
-     * @param maxProcesses processes that may ever run at once
+     * @param holdMicros how long a grant is valid, from when it was requested
+     * @param lingerMicros how long a paused process may keep in use what it had in use, such as connections
+     * @param maxProcesses maximum number of processes that ever run at once
      */
     public ShareRequest(int voters, long holdMicros, long lingerMicros, int maxProcesses) {
         this.holdMicros = holdMicros;
@@ -55,7 +59,7 @@
         maxProcesses = original.maxProcesses;
         requestedAt = original.requestedAt.clone();
         grants = original.grants.clone();
-        heldSince = original.heldSince;
+        majoritySince = original.majoritySince;
     }
 
     /** A copy for model checkers. */
@@ -63,7 +67,7 @@
         return new ShareRequest(this);
     }
 
-    /** What decides its further behaviour, for model checkers: ages instead of points in time. */
+    /** The state that determines further behaviour, for model checkers: ages instead of points in time. */
     public String describeState(long now) {
         StringBuilder text = new StringBuilder();
         for (int voter = 0; voter < requestedAt.length; voter++) {
@@ -76,30 +80,30 @@
             }
             text.append(' ');
         }
-        long heldMicros = isHeld(now) ? Math.min(releaseMicros, now - heldSince) : -1;
-        return text.append(heldMicros).toString();
+        long majorityMicros = hasMajority(now) ? Math.min(releaseMicros, now - majoritySince) : -1;
+        return text.append(majorityMicros).toString();
     }
 
-    /** For how long a voter counts a process after its last response to it. */
+    /** How long a voter counts a process after its last response to it, in microseconds. */
     public static long releaseMicros(long holdMicros, long lingerMicros) {
         return (long) (RELEASE_HOLDS * holdMicros + CLOCK_TOLERANCE * lingerMicros);
     }
 
-    /** From one request to the next, so that several may be lost. */
+    /** Interval between requests; short enough that several may be lost within a hold time. */
     public long requestIntervalMicros() {
         return holdMicros / REQUESTS_PER_HOLD;
     }
 
-    /** A voter has responded to the request of that time. */
+    /** Handles the response of a voter to the request that was sent at the given time. */
     public void receiveGrant(long now, int voter, long requestSentAt, Grant grant) {
         if (requestSentAt <= requestedAt[voter]) {
             return;
         }
-        boolean wasHeld = isHeld(now);
+        boolean hadMajority = hasMajority(now);
         requestedAt[voter] = requestSentAt;
         grants[voter] = grant;
-        if (!wasHeld) {
-            heldSince = isHeld(now) ? now : NOT_HELD;
+        if (!hadMajority) {
+            majoritySince = hasMajority(now) ? now : NO_MAJORITY;
         }
     }
 
@@ -115,20 +119,23 @@
         return current;
     }
 
-    private boolean isHeld(long now) {
-        boolean isHeld = 2 * currentGrants(now) > requestedAt.length;
-        if (!isHeld) {
-            heldSince = NOT_HELD;
+    private boolean hasMajority(long now) {
+        boolean hasMajority = 2 * currentGrants(now) > requestedAt.length;
+        if (!hasMajority) {
+            majoritySince = NO_MAJORITY;
         }
-        return isHeld;
+        return hasMajority;
     }
 
-    /** Whether it has more than the minimum at this moment. */
+    /** Whether this process has more than the minimum at this moment. */
     public boolean hasClaim(long now) {
-        return isHeld(now) && heldSince <= now - releaseMicros;
+        return hasMajority(now) && majoritySince <= now - releaseMicros;
     }
 
-    /** Processes to share with. Voters with different digests may each have counted some that the others have not. */
+    /**
+     * Number of processes to share with. The counts of voters with different digests are added up, since each may have
+     * counted processes that the others have not.
+     */
     public int processCount(long now) {
         int sum = 0;
         int largest = 0;
@@ -147,7 +154,7 @@
         return Math.max(1, isSameDigest ? largest : sum);
     }
 
-    /** The part of the whole, 0 to 1, that this process may use at this moment. */
+    /** The fraction of the whole, 0 to 1, that this process may use at this moment. */
     public double part(long now) {
         return hasClaim(now) ? CLAIMABLE_PART / processCount(now) : (1 - CLAIMABLE_PART) / maxProcesses;
     }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
@@ -7,21 +7,23 @@
 import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
- * One process's share, by messages: it sends requests to all voters regularly, and responds to those of others where
- * it is a voter itself. The numbers of requests begin at a random number in each run of the process, so that responses
- * to an earlier run, or to requests of long ago, are recognized and dropped.
+ * Obtains one process's share through messages: it sends requests to all voters regularly, and responds to the requests
+ * of others if it is a voter itself. Request numbers start at a random number in each run of the process, so that
+ * responses to an earlier run, or to old requests, are recognized and dropped.
  */
 public final class ShareRequester {
 
-    /** Requests whose responses may still arrive; the hold of an older one is over. */
+    /** Number of the latest requests whose responses are accepted; the hold time of an older one has ended. */
     private static final int OPEN_REQUESTS = 8;
-    /** Runs that a voter counts for each process that may run: restarts in a row count separately. */
+    /**
+     * Number of runs that a voter counts for each process that may run, since each restart counts as another process.
+     */
     private static final int COUNTED_RUNS = 4;
 
     private final ShareOptions options;
     private final InetSocketAddress ownAddress;
     private final ShareRequest share;
-    /** Null where this process is no voter. */
+    /** Null if this process is not a voter. */
     private final ShareVoter voter;
 
     private final BiConsumer<InetSocketAddress, MembershipMessage> sender;
@@ -31,7 +33,7 @@
     private long nextRequestAt;
 
     /**
-     * @param ownAddress address that others know this process by
+     * @param ownAddress address by which others know this process
      * @param firstNumber number of the first request, random in each run
      */
     public ShareRequester(
@@ -53,7 +55,7 @@
                 : null;
     }
 
-    /** Sends requests when they are due; called regularly. */
+    /** Sends requests when they are due; must be called regularly. */
     public void tick(long now, Peer self) {
         if (now < nextRequestAt) {
             return;
@@ -84,12 +86,15 @@
         return new MembershipMessage(kind, self, to, number, digest, List.of(), List.of(), count, "");
     }
 
-    /** Two runs of a process count as two: what the earlier one had open may still be open. */
+    /**
+     * Key under which a run of a process is counted. Two runs count as two processes, since what the earlier one had
+     * open may still be open.
+     */
     private static String processKey(Peer peer) {
         return peer.name() + '/' + Long.toHexString(peer.processId());
     }
 
-    /** A request or a response about shares. */
+    /** Handles a request or a response about shares. */
     public void receive(long now, MembershipMessage message, Peer self) {
         if (message.kind() == Kind.COUNT && voter != null) {
             receiveRequest(now, message, self);
@@ -123,17 +128,17 @@
         }
     }
 
-    /** The part of the whole, 0 to 1, that this process may use at this moment. */
+    /** The fraction of the whole, 0 to 1, that this process may use at this moment. */
     public double part(long now) {
         return share.part(now);
     }
 
-    /** Whether that is more than the minimum. */
+    /** Whether this process has more than the minimum at this moment. */
     public boolean hasClaim(long now) {
         return share.hasClaim(now);
     }
 
-    /** Processes to count with: those that share, or as many as there may ever be. */
+    /** Number of processes to assume: those that share the limit, or the maximum while this process has no claim. */
     public int processCount(long now) {
         return share.hasClaim(now) ? share.processCount(now) : options.maxProcesses();
     }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareVoter.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareVoter.java
@@ -7,31 +7,31 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * Counts the processes that may use a share. A process is counted for a fixed time after each response to it, so for
- * at least as long as it may rely on the response. Kept in memory only: a voter that has restarted has lost its count
- * and does not respond until nobody can rely on an earlier response.
+ * Counts the processes that may use a share. A process is counted for a fixed time after each response to it, so for at
+ * least as long as it may rely on the response. Counts are kept in memory only: a voter that has restarted has lost
+ * them, and does not respond until no process can rely on an earlier response.
  */
 public final class ShareVoter {
 
     /**
-     * Response to a process.
+     * Response of a voter to a process.
      *
-     * @param count of the processes counted here, the requesting one among them
-     * @param digest the same wherever the same processes are counted
+     * @param count number of the processes counted here, including the requesting one
+     * @param digest equal in all voters that count the same processes
      */
     public record Grant(int count, long digest) {}
 
     private final long releaseMicros;
     private final long silentUntil;
     private final int maxProcesses;
-    /** In the order of the last requests, which is the order of the ends. */
+    /** In the order of the last requests, which is also the order of expiry. */
     private final Map<String, Long> countedUntil = new LinkedHashMap<>();
 
     private long digest;
 
     /**
      * @param releaseMicros see {@link ShareRequest#releaseMicros}
-     * @param maxProcesses processes that are counted; further ones get no response
+     * @param maxProcesses maximum number of processes that are counted; further ones get no response
      */
     public ShareVoter(long now, long releaseMicros, int maxProcesses) {
         this.releaseMicros = releaseMicros;
@@ -47,7 +47,7 @@
         return copy;
     }
 
-    /** What decides its further behaviour, for model checkers: remaining times instead of points in time. */
+    /** The state that determines further behaviour, for model checkers: remaining times instead of points in time. */
     public String describeState(long now) {
         StringBuilder text = new StringBuilder().append(Math.max(0, silentUntil - now));
         countedUntil.forEach((process, until) -> {
@@ -58,7 +58,7 @@
         return text.toString();
     }
 
-    /** Counts the process that requests it; null for no response. */
+    /** Counts the requesting process; returns null if the voter does not respond. */
     public Grant count(long now, String process) {
         forgetExpired(now);
         if (now < silentUntil || isFull() && !countedUntil.containsKey(process)) {
--- a/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
@@ -11,32 +11,32 @@
 import java.util.TreeSet;
 
 /**
- * Decides by the reports of all members who is removed. Two neighbors are in contact unless one of them reports the
- * other lost; a member that can be reached over pairs in contact stays. The report of one process removes nobody, and
- * reports of members that can't be reached do not count. So a process that receives nothing accuses others only to
- * itself, and a partition has one result on each of its sides, which stays the same while it lasts, since neighbors
- * stay the same.
+ * Decides from the reports of all members which members are removed. Two neighbors are in contact unless one of them
+ * reports the other lost; a member that can be reached through pairs in contact stays. The report of a single process
+ * removes nobody, and reports of members that can't be reached do not count. So a process that receives nothing removes
+ * others only from its own view, and a partition has one result on each of its sides, which stays the same while the
+ * partition lasts, since the neighbors stay the same.
  *
- * <p>A member that all its neighbors have lost is removed at once if these can be reached themselves. A member that
- * can't be reached because those around it are gone is probed directly first. A member that most neighbors have lost,
- * while the others say nothing, is removed after the time that a report takes: if the others were running they would
- * contradict.
+ * <p>A member that all its neighbors have lost is removed at once if these neighbors can be reached. A member that
+ * can't be reached because its neighbors are gone is probed directly first. A member that most neighbors have lost,
+ * while the others report nothing, is removed after the time that a report takes to arrive: if the others were running,
+ * they would contradict.
  */
 final class SuspicionTable {
 
-    /** No decision is due while the reports stay as they are. */
+    /** Time of the next decision if none is due as long as the reports do not change. */
     static final long NEVER = Long.MAX_VALUE;
 
-    /** What follows from the reports; unreachable members are probed directly. */
+    /** Result of a decision; unreachable members are to be probed directly. */
     record Decision(List<String> removed, Set<String> unreachable) {}
 
     private long graceMicros;
-    /** Since when most neighbors of a member that can be reached have lost it. */
+    /** By name of a member that can be reached: since when most of its neighbors have reported it lost. */
     private final Map<String, Long> suspectedSince = new HashMap<>();
-    /** Since when a member can't be reached. */
+    /** By name of a member that can't be reached: since when. */
     private final Map<String, Long> unreachableSince = new TreeMap<>();
 
-    /** @param graceMicros for which an unreachable member is probed, and others may contradict a report */
+    /** @param graceMicros how long an unreachable member is probed, and others may contradict a report */
     SuspicionTable(long graceMicros) {
         this.graceMicros = graceMicros;
     }
@@ -45,7 +45,7 @@
         graceMicros = newGraceMicros;
     }
 
-    /** When time alone may change the decision. */
+    /** When the decision may change by the passing of time alone. */
     long nextDecisionAt() {
         long first = NEVER;
         for (long since : suspectedSince.values()) {
@@ -57,7 +57,7 @@
         return first;
     }
 
-    /** Time for which this process was paused counts against nobody. */
+    /** Defers removals by the time for which this process was paused. */
     void excludePause(long pausedMicros) {
         suspectedSince.replaceAll((name, since) -> since + pausedMicros);
         unreachableSince.replaceAll((name, since) -> since + pausedMicros);
@@ -113,11 +113,11 @@
         unreachableSince.remove(name);
     }
 
-    /** What the neighbors of one member report on it; only those count that can be reached. */
+    /** What the neighbors of one member report on it; only neighbors that can be reached count. */
     private static final class NeighborReports {
         private final int neighbors;
         private int lost;
-        /** A neighbor reports that it is in contact. */
+        /** Whether a neighbor reports that it is in contact. */
         private boolean isConfirmed;
 
         private boolean areAllReachable = true;
@@ -152,16 +152,16 @@
         }
     }
 
-    /** The pairs of members in contact: neighbors, and those that have reached each other directly. */
+    /** The pairs of members in contact: neighbors, and members that have reached each other directly. */
     private static final class ContactGraph {
         private static final int[] NONE = {};
 
         private final MonitoringRings rings;
-        /** By member, the reporters that have lost it. */
+        /** By member: the reporters that have lost it. */
         private final int[][] lostBy;
-        /** By member, the reporters that are in contact with it; both ways. */
+        /** By member: the members that are in contact with it, by a report of either side. */
         private final int[][] confirmedBy;
-        /** Members that are not in the view any more while the rings still have them. */
+        /** By member: whether it is no longer in the view although the rings still contain it. */
         private final boolean[] isRemoved;
 
         ContactGraph(MonitoringRings rings, MemberTable table, FailureReports reports) {
@@ -230,7 +230,7 @@
             return contains(confirmedBy, subject, reporter);
         }
 
-        /** By member, whether it can be reached over pairs in contact. */
+        /** By member: whether it can be reached from the start through pairs in contact. */
         boolean[] reachableFrom(int start) {
             boolean[] isReachable = new boolean[rings.size()];
             ArrayDeque<Integer> open = new ArrayDeque<>();
--- a/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
+++ b/src/main/java/org/cypressweir/fleet/membership/UpdateDisseminator.java
@@ -8,21 +8,22 @@
 import java.util.Map;
 
 /**
- * Spreads updates: each is sent once to all monitored peers but the one that it came from, and is piggybacked on other
- * messages for a while, since messages may be lost.
+ * Disseminates updates: each is sent once to all monitored peers except the one that it came from, and is piggybacked
+ * on other messages for some time, since messages may be lost.
  */
 final class UpdateDisseminator {
 
-    /** Updates kept at most; beyond it the oldest are left to {@link AntiEntropy}. */
+    /** Maximum number of pending updates; beyond it the oldest are dropped and left to {@link AntiEntropy}. */
     private static final int MAX_PENDING = 4_096;
 
-    /** A record or a report that is being spread. */
+    /** A member record or a failure report that is being disseminated. */
     private static final class PendingUpdate {
-        /** One of the two is null. */
+        /** Null if the update is a report. */
         final MemberRecord memberRecord;
 
+        /** Null if the update is a member record. */
         final FailureReport report;
-        /** The member that told it; empty for this process itself. */
+        /** The member that sent it; empty if it originates in this process. */
         final String from;
 
         final long piggybackUntil;
@@ -67,7 +68,7 @@
     }
 
     private final ArrayDeque<PendingUpdate> pending = new ArrayDeque<>();
-    /** By what each is about. */
+    /** The latest update by its subject: the name of a member, or the reporter and the subject of a report. */
     private final Map<String, PendingUpdate> latest = new HashMap<>();
 
     private boolean hasUnsent;
@@ -98,7 +99,7 @@
         return hasUnsent;
     }
 
-    /** The updates that have not been sent to this peer, one element for each message. */
+    /** The updates to be sent to this peer that have not been sent yet, one element for each message. */
     List<Updates> unsentFor(long now, MemberTable table, String peer) {
         List<Updates> messages = new ArrayList<>();
         Updates current = Updates.empty();
@@ -121,7 +122,7 @@
         return messages;
     }
 
-    /** All updates have been sent to the monitored peers. */
+    /** Marks all updates as sent to the monitored peers. */
     void markSent(long now) {
         hasUnsent = false;
         pending.forEach(update -> update.isSent = true);
--- a/src/main/java/org/cypressweir/fleet/membership/package-info.java
+++ b/src/main/java/org/cypressweir/fleet/membership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Who is there among the sidecars of a fleet: pure decisions on time and messages, without sockets, threads
- * or a clock. {@code docs/design/membership.md} has the ways weighed and what each promise assumes.
+ * Membership of a fleet, shares of its limits and exchange of endpoint lists among its processes: decisions that depend
+ * only on times and messages, without sockets, threads or a clock. {@code docs/design/membership.md} describes the
+ * alternatives considered and the assumptions of each guarantee.
  */
 package org.cypressweir.fleet.membership;
--- a/src/main/java/org/cypressweir/fleet/package-info.java
+++ b/src/main/java/org/cypressweir/fleet/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Coordination among peers without a controller, shared by both products. Its packages are membership, leases and their
- * UDP transport.
+ * Coordination among peers without a controller, used by both products: membership, leases, and their UDP transport.
  */
 package org.cypressweir.fleet;
--- a/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
@@ -47,11 +47,12 @@
                 "a sleeper counts its sleep against others ~ long pause ~ MembershipProtocol.java "
                         + "~ monitoredPeers.excludePause(now, lateMicros); ~ ",
                 "the last answer counts from when the next was asked ~ killed ~ MonitoredPeers.java "
-                        + "~ link.contactAt = Math.max(link.contactAt, probe.sentAt); ~ link.contactAt = 0;",
+                        + "~ link.lastContactAt = Math.max(link.lastContactAt, probe.sentAt); "
+                        + "~ link.lastContactAt = 0;",
                 "one neighbour's word is enough ~ one way ~ SuspicionTable.java "
                         + "~ if (!neighbors.isLostByMost() || neighbors.isConfirmed) { ~ if (neighbors.lost == 0) {",
-                "nobody compares what it knows ~ starts ~ AntiEntropy.java ~ now >= nextComparisonAt && (isStranger "
-                        + "~ now < 0 && (isStranger",
+                "nobody compares what it knows ~ starts ~ AntiEntropy.java ~ now >= nextComparisonAt && (isOutsideView "
+                        + "~ now < 0 && (isOutsideView",
                 "it comes back as the one that was put out ~ long pause ~ LocalMember.java "
                         + "~ rejoin(now, record.incarnation() + 1); ~ rejoin(now, record.incarnation());",
                 "leaving is told as an end ~ leaves ~ LocalMember.java ~ .withStatus(MemberStatus.LEFT)); "
@@ -60,7 +61,7 @@
                         + "~ other.status.compareTo(status) > 0; ~ other.status != status;",
                 "older facts win ~ facts ~ MemberRecord.java ~ other.version > version; ~ other.version < version;",
                 "the first of two with one name is not asked ~ one name ~ NameConflictResolver.java "
-                        + "~ } else if (conflicts.startsProbe(now, from, context.options.periodMicros())) { "
+                        + "~ } else if (conflicts.recordNewcomer(now, from, context.options.periodMicros())) { "
                         + "~ } else if (false) {",
                 "names without a bound ~ made-up names ~ MembershipView.java "
                         + "~ context.table.size() >= context.options.maxMembers() ~ context.table.size() < 0",
@@ -81,7 +82,8 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a part grows at once ~ ShareRequest.java ~ heldSince <= now - releaseMicros ~ heldSince <= now",
+                "a part grows at once ~ ShareRequest.java ~ majoritySince <= now - releaseMicros "
+                        + "~ majoritySince <= now",
                 "voters release too early ~ ShareRequest.java ~ RELEASE_HOLDS = 2.2; ~ RELEASE_HOLDS = 0.7;",
                 "a voter does not wait after its start ~ ShareVoter.java ~ if (now < silentUntil || ~ if (",
                 "a grant counts for longer than the hold ~ ShareRequest.java "
