--- a/src/main/java/org/cypressweir/fleet/FleetCoordination.java
+++ b/src/main/java/org/cypressweir/fleet/FleetCoordination.java
@@ -13,8 +13,8 @@
     /** Opens the coordination of a process. */
     interface Maker {
         /**
-         * Completes once the socket is open, or once it is known that another process still holds it and {@code beside}
-         * allows that; fails if the socket can't be opened.
+         * Completes once the socket is open. If another process may still hold the socket and does, completes at once,
+         * and the socket is opened later. Otherwise fails if the socket can't be opened.
          */
         CompletableFuture<FleetCoordination> open(Opening opening);
     }
--- a/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MemberTable.java
@@ -24,7 +24,7 @@
     static final long TOMBSTONE_SPREAD_MICROS = 300_000_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000L;
-    /** Must not change: all processes must have the same monitoring rings and buckets. */
+    /** Must not change: all processes must assign a name to the same bucket. */
     private static final long VIEW_SALT = 77;
 
     private final Map<String, MemberRecord> records = new HashMap<>();
--- a/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
+++ b/src/main/java/org/cypressweir/fleet/membership/SuspicionTable.java
@@ -12,15 +12,15 @@
 
 /**
  * Decides from the reports of all members which members are removed. Two neighbors are in contact unless one of them
- * reports the other lost; a member that can be reached through pairs in contact stays. The report of a single process
- * removes nobody, and reports of members that can't be reached do not count. So a process that receives nothing removes
- * others only from its own view, and a partition has one result on each of its sides, which stays the same while the
- * partition lasts, since the neighbors stay the same.
+ * reports the other lost; a member that can be reached through pairs in contact stays, unless most of its neighbors
+ * have lost it. The report of a single process removes nobody, and reports of members that can't be reached do not
+ * count. So a process that receives nothing removes others only from its own view, and a partition has one result on
+ * each of its sides, which stays the same while the partition lasts, since the neighbors stay the same.
  *
  * <p>A member that all its neighbors have lost is removed at once if these neighbors can be reached. A member that
- * can't be reached because its neighbors are gone is probed directly first. A member that most neighbors have lost,
- * while the others report nothing, is removed after the time that a report takes to arrive: if the others were running,
- * they would contradict.
+ * can't be reached because its neighbors are gone is probed directly before it is removed. A member that most neighbors
+ * have lost, while the others report nothing, is removed after the time that a report takes to arrive: if the others
+ * were running, they would contradict.
  */
 final class SuspicionTable {
 
