--- a/src/bench/java/org/cypressweir/sidecar/cell/CellBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/CellBench.java
@@ -26,7 +26,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What cells cost: a request's way through them, homes and heavy units against plain ways, a changed list.
+ * Cost of cells: routing one request, home cells and heavy units compared with simpler algorithms, and a changed
+ * server list.
  */
 @State(Scope.Benchmark)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -42,9 +43,9 @@
     private int count;
 
     private List<Cell> cells;
-    private Cells decisions;
+    private Cells router;
     private Placement placement;
-    private CellAssignment parting;
+    private CellAssignment assignment;
     private HeavyUnits heavy;
     private Map<Long, Double> exact;
     private final long[] units = new long[UNITS];
@@ -57,15 +58,15 @@
         BitSet open = new BitSet();
         open.set(0, count);
         placement = new Placement(cells, Map.of(), open);
-        decisions = new Cells("p", CellPlans.plan(cells, 0.1, null), 10_000, now, this);
-        parting = new CellAssignment(cells, CellsConfiguration.Spread.SERVER, 0);
+        router = new Cells("p", CellPlans.plan(cells, 0.1, null), 10_000, now, this);
+        assignment = new CellAssignment(cells, CellsConfiguration.Spread.SERVER, 0);
         List<Server> servers = CellPlans.servers(SERVERS, 5);
-        decisions.listed(now, ListKind.COMPLETE, servers);
-        parting.listed(now, ListKind.COMPLETE, servers);
+        router.listed(now, ListKind.COMPLETE, servers);
+        assignment.listed(now, ListKind.COMPLETE, servers);
         heavy = new HeavyUnits(64, 5_000_000);
         exact = new HashMap<>();
         for (int i = 0; i < UNITS; i++) {
-            // Half of all is asked for by few, as accounts do.
+            // Half of the requests come from a few units, as with real tenants.
             units[i] = Ids.of("account-" + (i % 2 == 0 ? i % 40 : Hashes.mix(i, 3) >>> 50));
         }
     }
@@ -77,9 +78,9 @@
     @Benchmark
     public int request() {
         now += 100;
-        Ticket t = decisions.ask(now, unit(), Effect.SAFE, 0, now, now + 1_000_000);
-        decisions.answered(now + 50, t, true);
-        decisions.ended(now + 50, t);
+        Ticket t = router.ask(now, unit(), Effect.SAFE, 0, now, now + 1_000_000);
+        router.answered(now + 50, t, true);
+        router.ended(now + 50, t);
         return t.cell();
     }
 
@@ -88,7 +89,7 @@
         return placement.home(unit());
     }
 
-    /** Weighted rendezvous for each request, as without slots. */
+    /** Rendezvous hashing for each request, without slots. */
     @Benchmark
     public int homeByRendezvous() {
         long unit = unit();
@@ -109,32 +110,34 @@
         heavy.add(now += 100, unit(), 1);
     }
 
-    /** An exact count of every unit, which grows with them and can't fade but by a walk. */
+    /** An exact count of every unit: it grows with their number, and decay would have to visit all of them. */
     @Benchmark
     public void heavyByMap() {
         exact.merge(unit(), 1.0, Double::sum);
     }
 
-    /** A server of 8,000 goes for good and comes back. */
+    /** One of 8,000 servers leaves without a reserved place and comes back. */
     @Benchmark
     @OutputTimeUnit(TimeUnit.MICROSECONDS)
     public int listChange() {
         int id = 1 + (next++ * 7 & 4095);
-        int moved = parting.listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.REMOVED)))
+        int moved = assignment
+                .listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.REMOVED)))
                 .size();
         return moved
-                + parting.listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.READY)))
+                + assignment
+                        .listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.READY)))
                         .size();
     }
 
     @Override
     public void release(Ticket ticket) {
-        throw new IllegalStateException("nothing is held here");
+        throw new IllegalStateException("no request is held in this benchmark");
     }
 
     @Override
     public void timer(long atMicros) {
-        // A benchmark of single calls: time passes with each of them, not by timers.
+        // Time advances with each benchmarked call, not by timers.
     }
 
     @Override
--- a/src/bench/java/org/cypressweir/sidecar/cell/DealBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/DealBench.java
@@ -11,7 +11,8 @@
 import org.cypressweir.testkit.CellPlans;
 
 /**
- * How even cells are, and how many others a server moves that goes for good: bounded rendezvous and modulo.
+ * Compares bounded rendezvous hashing with modulo: how even the cells are, and how many other servers move when one
+ * leaves for good.
  */
 public final class DealBench {
 
@@ -35,26 +36,26 @@
         int fleets = Math.max(5, FLEETS * 100 / Math.max(100, servers));
         for (int f = 0; f < fleets; f++) {
             int first = random.nextInt(1 << 28);
-            CellAssignment parting = new CellAssignment(CellPlans.cells(cells), CellsConfiguration.Spread.SERVER, 0);
+            CellAssignment assignment = new CellAssignment(CellPlans.cells(cells), CellsConfiguration.Spread.SERVER, 0);
             List<Server> fleet = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
                 fleet.add(CellPlans.server(first + i, i % 5, Phase.READY));
             }
-            parting.listed(1, ListKind.COMPLETE, fleet);
-            int[] dealt = new int[cells];
-            int[] plain = new int[cells];
+            assignment.listed(1, ListKind.COMPLETE, fleet);
+            int[] sizes = new int[cells];
+            int[] sizesByModulo = new int[cells];
             for (Server s : fleet) {
-                dealt[parting.cellOf(s.id())]++;
-                plain[(int) Long.remainderUnsigned(Hashes.mix(s.id(), 1), cells)]++;
+                sizes[assignment.cellOf(s.id())]++;
+                sizesByModulo[(int) Long.remainderUnsigned(Hashes.mix(s.id(), 1), cells)]++;
             }
-            smallest += Arrays.stream(dealt).min().orElseThrow() * (double) cells / servers;
-            modulo += Arrays.stream(plain).min().orElseThrow() * (double) cells / servers;
-            int leaves = random.nextInt(servers);
-            int by = parting.listed(
-                            2, ListKind.CHANGES, List.of(CellPlans.server(first + leaves, leaves % 5, Phase.REMOVED)))
+            smallest += Arrays.stream(sizes).min().orElseThrow() * (double) cells / servers;
+            modulo += Arrays.stream(sizesByModulo).min().orElseThrow() * (double) cells / servers;
+            int leaving = random.nextInt(servers);
+            int movedByOne = assignment
+                    .listed(2, ListKind.CHANGES, List.of(CellPlans.server(first + leaving, leaving % 5, Phase.REMOVED)))
                     .size();
-            moved += by;
-            worst = Math.max(worst, by);
+            moved += movedByOne;
+            worst = Math.max(worst, movedByOne);
         }
         System.out.printf(
                 "%d\t%d\t%.2f\t%.2f\t%.1f\t%d%n",
--- a/src/main/java/org/cypressweir/sidecar/cell/CellAssignment.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellAssignment.java
@@ -13,33 +13,35 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
- * Which servers belong to which cell. Bounded rendezvous hashing (Thaler and Ravishankar, 1998, with the
- * capacities of Mirrokni, Thorup and Zadimoghaddam, 2018): in an order by hash each server takes the cell
- * that it ranks first among those with room, zone by zone. Cells are as even as whole servers allow, in each
- * zone and together. What comes out hangs on the list alone, not on how it came about: sidecars that share
- * nothing agree, and so does one that has restarted. A server that is gone keeps its place for a while, so
- * that a release that restarts servers one by one moves none of the others.
+ * Assigns servers to cells by bounded rendezvous hashing (Thaler and Ravishankar, 1998, with the capacities of
+ * Mirrokni, Thorup and Zadimoghaddam, 2018): zone by zone and in the order of a hash, each server takes the cell that
+ * it ranks highest among those with capacity left. The sizes of cells follow their shares as closely as whole servers
+ * allow, in each zone and in total. The result depends on the server list alone, not on the changes that led to it:
+ * sidecars agree without communicating, also after a restart. The place of a server that has left stays reserved for a
+ * while, so that a rolling restart moves no other server.
  */
 public final class CellAssignment {
 
     private static final long ORDER_SALT = 0x0DE1;
 
-    /** A change of the cell of a server that stays. */
+    /** A listed server whose cell has changed, with the indexes of the cells. */
     public record Moved(long server, int from, int to) {}
 
-    /** What is dealt out as one: a server, or a group of them. */
-    private static final class Place {
+    /** What is assigned as a whole: a server, or a group of servers. */
+    private static final class Assignable {
         final long id;
         final int zone;
         final long order;
         final byte[] ranking;
-        /** Servers of it on the list; when the last went, if none is. */
-        int servers;
+        /** How many of its servers are listed. */
+        int listedServers;
 
+        /** When the last of its servers left; only valid while none is listed. */
         long goneAt;
+
         int cell = -1;
 
-        Place(long id, int zone, byte[] ranking) {
+        Assignable(long id, int zone, byte[] ranking) {
             this.id = id;
             this.zone = zone;
             this.ranking = ranking;
@@ -47,95 +49,98 @@
         }
     }
 
-    private record Order(long hash, long id) implements Comparable<Order> {
+    private record HashOrder(long hash, long id) implements Comparable<HashOrder> {
         @Override
-        public int compareTo(Order o) {
-            return hash != o.hash ? Long.compare(hash, o.hash) : Long.compare(id, o.id);
+        public int compareTo(HashOrder other) {
+            return hash != other.hash ? Long.compare(hash, other.hash) : Long.compare(id, other.id);
         }
     }
 
     private final CellsConfiguration.Spread spread;
-    private final long keepMicros;
+    private final long reservationMicros;
     private final double[] shares;
     private final long[] seeds;
-    private final Map<Long, Server> servers = new HashMap<>();
-    private final Map<Long, Place> places = new HashMap<>();
-    private final TreeMap<Integer, TreeMap<Order, Place>> zones = new TreeMap<>();
-    private final BitSet open = new BitSet();
-    private int kept;
+    private final Map<Long, Server> serversById = new HashMap<>();
+    private final Map<Long, Assignable> assignables = new HashMap<>();
+    private final TreeMap<Integer, TreeMap<HashOrder, Assignable>> assignablesByZone = new TreeMap<>();
+    private final BitSet openCells = new BitSet();
+    private int reservedCount;
 
-    public CellAssignment(List<Cell> cells, CellsConfiguration.Spread spread, long keepMicros) {
+    public CellAssignment(List<Cell> cells, CellsConfiguration.Spread spread, long reservationMicros) {
         this.spread = spread;
-        this.keepMicros = keepMicros;
-        double sum = cells.stream().mapToDouble(Cell::share).sum();
-        shares = cells.stream().mapToDouble(c -> c.share() / sum).toArray();
+        this.reservationMicros = reservationMicros;
+        double shareSum = cells.stream().mapToDouble(Cell::share).sum();
+        shares = cells.stream().mapToDouble(c -> c.share() / shareSum).toArray();
         seeds = cells.stream().mapToLong(c -> Ids.of(c.name())).toArray();
     }
 
-    /** The cell of a server on the list; -1 for any other. */
+    /** The index of a listed server's cell; -1 for any other server. */
     public int cellOf(long server) {
-        Server s = servers.get(server);
-        return s == null ? -1 : places.get(key(s)).cell;
+        Server listed = serversById.get(server);
+        return listed == null ? -1 : assignables.get(assignableId(listed)).cell;
     }
 
-    /** Cells that have places to their name, whether their servers are up or not. */
-    public BitSet open() {
-        return (BitSet) open.clone();
+    /** The cells that have servers, listed or with a reserved place. */
+    public BitSet openCells() {
+        return (BitSet) openCells.clone();
     }
 
-    /** Servers on the list. */
+    /** The number of listed servers. */
     public int size() {
-        return servers.size();
+        return serversById.size();
     }
 
-    /** Whether places are kept for servers that are gone: {@link #sweep} is then to be called at times. */
-    public boolean keeps() {
-        return kept > 0;
+    /**
+     * Whether places are reserved for servers that have left; {@link #expireReservations} then has to be called now and
+     * then.
+     */
+    public boolean hasReservations() {
+        return reservedCount > 0;
     }
 
     /**
-     * Takes over what a list says. Kinds and phases are as the modules are told them.
+     * Applies a server list. Kinds and phases mean the same as for load balancers.
      *
-     * @return servers that were and still are on the list and whose cell has changed
+     * @return servers that were listed before, still are, and whose cell has changed
      */
-    public List<Moved> listed(long now, ListKind kind, List<Server> lines) {
+    public List<Moved> listed(long now, ListKind kind, List<Server> listedServers) {
         boolean changed = false;
         if (kind == ListKind.COMPLETE || kind == ListKind.CACHED) {
-            Map<Long, Server> named = new HashMap<>();
-            lines.forEach(s -> named.put(s.id(), s));
-            for (Server s : List.copyOf(servers.values())) {
-                if (!named.containsKey(s.id())) {
-                    remove(now, s);
+            Map<Long, Server> listedById = new HashMap<>();
+            listedServers.forEach(s -> listedById.put(s.id(), s));
+            for (Server server : List.copyOf(serversById.values())) {
+                if (!listedById.containsKey(server.id())) {
+                    remove(now, server);
                     changed = true;
                 }
             }
         }
-        for (Server s : lines) {
-            Server before = servers.get(s.id());
-            if (s.phase() == Phase.REMOVED) {
+        for (Server server : listedServers) {
+            Server before = serversById.get(server.id());
+            if (server.phase() == Phase.REMOVED) {
                 changed |= before != null;
                 if (before != null) {
                     remove(now, before);
                 }
-            } else if (before == null || key(before) != key(s) || zone(before) != zone(s)) {
+            } else if (before == null || assignableId(before) != assignableId(server) || zone(before) != zone(server)) {
                 if (before != null) {
                     remove(now, before);
                 }
-                add(s);
+                add(server);
                 changed = true;
             } else {
-                servers.put(s.id(), s);
+                serversById.put(server.id(), server);
             }
         }
-        boolean given = expired(now);
-        return changed || given ? deal() : List.of();
+        boolean anyExpired = dropExpired(now);
+        return changed || anyExpired ? assign() : List.of();
     }
 
-    /** Takes over all servers and kept places of another; what lies in another cell than there. */
-    List<Moved> instead(long now, CellAssignment other) {
-        listed(now, ListKind.COMPLETE, List.copyOf(other.servers.values()));
+    /** Takes over the listed servers of another assignment; returns those whose cell differs from there. */
+    List<Moved> replace(long now, CellAssignment other) {
+        listed(now, ListKind.COMPLETE, List.copyOf(other.serversById.values()));
         List<Moved> moved = new ArrayList<>();
-        for (long id : servers.keySet()) {
+        for (long id : serversById.keySet()) {
             if (cellOf(id) != other.cellOf(id)) {
                 moved.add(new Moved(id, other.cellOf(id), cellOf(id)));
             }
@@ -143,62 +148,64 @@
         return moved;
     }
 
-    /** Gives up the places of servers that have been gone for too long. */
-    public List<Moved> sweep(long now) {
-        return expired(now) ? deal() : List.of();
+    /** Gives up expired reservations; returns the listed servers whose cell changes by that. */
+    public List<Moved> expireReservations(long now) {
+        return dropExpired(now) ? assign() : List.of();
     }
 
-    private long key(Server s) {
-        return spread == CellsConfiguration.Spread.SERVER ? s.id() : Hashes.mix(s.cell(), 1) >>> 1;
+    private long assignableId(Server server) {
+        return spread == CellsConfiguration.Spread.SERVER ? server.id() : Hashes.mix(server.cell(), 1) >>> 1;
     }
 
-    /** Groups may span zones; they are dealt out as if there were one. */
-    private int zone(Server s) {
-        return spread == CellsConfiguration.Spread.SERVER ? s.zone() : -1;
+    /** Groups may span zones, so they are assigned as if there were only one zone. */
+    private int zone(Server server) {
+        return spread == CellsConfiguration.Spread.SERVER ? server.zone() : -1;
     }
 
-    private void add(Server s) {
-        servers.put(s.id(), s);
-        Place place = places.get(key(s));
-        if (place != null && place.zone != zone(s)) {
-            // Its kept place was in another zone.
-            drop(place);
-            place = null;
+    private void add(Server server) {
+        serversById.put(server.id(), server);
+        Assignable assignable = assignables.get(assignableId(server));
+        if (assignable != null && assignable.zone != zone(server)) {
+            // Its reserved place was in another zone.
+            drop(assignable);
+            assignable = null;
         }
-        if (place == null) {
-            place = new Place(key(s), zone(s), ranking(key(s)));
-            places.put(place.id, place);
-            zones.computeIfAbsent(place.zone, z -> new TreeMap<>()).put(new Order(place.order, place.id), place);
-        } else if (place.servers == 0) {
-            kept--;
+        if (assignable == null) {
+            assignable = new Assignable(assignableId(server), zone(server), ranking(assignableId(server)));
+            assignables.put(assignable.id, assignable);
+            assignablesByZone
+                    .computeIfAbsent(assignable.zone, z -> new TreeMap<>())
+                    .put(new HashOrder(assignable.order, assignable.id), assignable);
+        } else if (assignable.listedServers == 0) {
+            reservedCount--;
         }
-        place.servers++;
+        assignable.listedServers++;
     }
 
-    private void remove(long now, Server s) {
-        servers.remove(s.id());
-        Place place = places.get(key(s));
-        if (--place.servers == 0) {
-            place.goneAt = now;
-            kept++;
+    private void remove(long now, Server server) {
+        serversById.remove(server.id());
+        Assignable assignable = assignables.get(assignableId(server));
+        if (--assignable.listedServers == 0) {
+            assignable.goneAt = now;
+            reservedCount++;
         }
     }
 
-    private boolean expired(long now) {
-        if (kept == 0) {
+    private boolean dropExpired(long now) {
+        if (reservedCount == 0) {
             return false;
         }
-        List<Place> over = places.values().stream()
-                .filter(p -> p.servers == 0 && now - p.goneAt >= keepMicros)
+        List<Assignable> expired = assignables.values().stream()
+                .filter(p -> p.listedServers == 0 && now - p.goneAt >= reservationMicros)
                 .toList();
-        over.forEach(this::drop);
-        return !over.isEmpty();
+        expired.forEach(this::drop);
+        return !expired.isEmpty();
     }
 
-    private void drop(Place place) {
-        places.remove(place.id);
-        zones.get(place.zone).remove(new Order(place.order, place.id));
-        kept -= place.servers == 0 ? 1 : 0;
+    private void drop(Assignable assignable) {
+        assignables.remove(assignable.id);
+        assignablesByZone.get(assignable.zone).remove(new HashOrder(assignable.order, assignable.id));
+        reservedCount -= assignable.listedServers == 0 ? 1 : 0;
     }
 
     private byte[] ranking(long id) {
@@ -216,61 +223,64 @@
         return ranking;
     }
 
-    private List<Moved> deal() {
-        Map<Place, Integer> moved = new HashMap<>();
-        double[] due = new double[shares.length];
-        open.clear();
-        for (TreeMap<Order, Place> zone : zones.values()) {
-            int[] room = room(zone.size(), due);
-            for (Place p : zone.values()) {
-                int to = 0;
-                while (room[p.ranking[to]] == 0) {
-                    to++;
+    private List<Moved> assign() {
+        Map<Assignable, Integer> movedFrom = new HashMap<>();
+        double[] owed = new double[shares.length];
+        openCells.clear();
+        for (TreeMap<HashOrder, Assignable> zone : assignablesByZone.values()) {
+            int[] capacity = capacities(zone.size(), owed);
+            for (Assignable assignable : zone.values()) {
+                int rank = 0;
+                while (capacity[assignable.ranking[rank]] == 0) {
+                    rank++;
                 }
-                int cell = p.ranking[to];
-                room[cell]--;
-                open.set(cell);
-                if (p.cell != cell && p.cell >= 0 && p.servers > 0) {
-                    moved.put(p, p.cell);
+                int cell = assignable.ranking[rank];
+                capacity[cell]--;
+                openCells.set(cell);
+                if (assignable.cell != cell && assignable.cell >= 0 && assignable.listedServers > 0) {
+                    movedFrom.put(assignable, assignable.cell);
                 }
-                p.cell = cell;
+                assignable.cell = cell;
             }
         }
-        if (moved.isEmpty()) {
+        if (movedFrom.isEmpty()) {
             return List.of();
         }
-        List<Moved> all = new ArrayList<>();
-        for (Server s : servers.values()) {
-            Place p = places.get(key(s));
-            Integer from = moved.get(p);
+        List<Moved> movedServers = new ArrayList<>();
+        for (Server server : serversById.values()) {
+            Assignable assignable = assignables.get(assignableId(server));
+            Integer from = movedFrom.get(assignable);
             if (from != null) {
-                all.add(new Moved(s.id(), from, p.cell));
+                movedServers.add(new Moved(server.id(), from, assignable.cell));
             }
         }
-        return all;
+        return movedServers;
     }
 
-    /** Room of each cell in a zone: whole parts first, then one each to those that are owed the most. */
-    private int[] room(int count, double[] due) {
-        int[] room = new int[shares.length];
-        int left = count;
+    /**
+     * How many places each cell gets in a zone: the integer part of what it is owed, then one more each for the cells
+     * with the largest remainders. Remainders carry over to the next zone.
+     */
+    private int[] capacities(int places, double[] owed) {
+        int[] capacities = new int[shares.length];
+        int left = places;
         for (int c = 0; c < shares.length; c++) {
-            due[c] += count * shares[c];
-            room[c] = Math.max(0, (int) Math.floor(due[c] + 1e-9));
-            room[c] = Math.min(room[c], left);
-            left -= room[c];
-            due[c] -= room[c];
+            owed[c] += places * shares[c];
+            capacities[c] = Math.max(0, (int) Math.floor(owed[c] + 1e-9));
+            capacities[c] = Math.min(capacities[c], left);
+            left -= capacities[c];
+            owed[c] -= capacities[c];
         }
         while (left-- > 0) {
-            int most = 0;
+            int mostOwed = 0;
             for (int c = 1; c < shares.length; c++) {
-                if (due[c] > due[most] + 1e-9) {
-                    most = c;
+                if (owed[c] > owed[mostOwed] + 1e-9) {
+                    mostOwed = c;
                 }
             }
-            room[most]++;
-            due[most]--;
+            capacities[mostOwed]++;
+            owed[mostOwed]--;
         }
-        return room;
+        return capacities;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/CellHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellHealth.java
@@ -3,89 +3,92 @@
 import java.util.Arrays;
 
 /**
- * Whether a cell is sick: too few of its requests were answered within their aim. Sick at once when it shows,
- * well again only after a while above a higher mark, so that a cell that hovers at either mark does not flap.
+ * Health of a cell, by the fraction of its requests that were served within their target latency. A cell becomes
+ * unhealthy as soon as the fraction is too low, and healthy again only after it has stayed above a higher threshold for
+ * a while, so that a cell near either threshold does not flap.
  */
 final class CellHealth {
 
-    /** Looked back on; a slot is a second. */
+    /** Length of the sliding window, in slots of a second. */
     private static final int SLOTS = 5;
 
-    private static final long SLOT = 1_000_000;
-    /** Part in time below which it is sick, and from which it may be well. */
-    private static final double SICK = 0.5;
+    private static final long SLOT_MICROS = 1_000_000;
+    /** Below this fraction in time a cell becomes unhealthy. */
+    private static final double UNHEALTHY_FRACTION = 0.5;
+
+    /** From this fraction in time on a cell may become healthy. */
+    private static final double HEALTHY_FRACTION = 0.8;
+    /** Fewer responses in the window do not make a cell unhealthy. */
+    private static final int MIN_RESPONSES = 20;
 
-    private static final double WELL = 0.8;
     /**
-     * Fewer answers don't make it sick; most of what is asked of a sick one goes elsewhere, so fewer keep
-     * it.
+     * Fewer responses in the window do not keep a cell unhealthy. Lower than for a healthy cell, since most requests of
+     * an unhealthy one spill over to others.
      */
-    private static final int LEAST = 20;
-
-    private static final int LEAST_SICK = 3;
-    /** How long it must look well; a look that has nothing to go by counts as well. */
-    static final long WELL_MICROS = 10_000_000;
+    private static final int MIN_RESPONSES_WHILE_UNHEALTHY = 3;
+    /** How long the fraction must stay high enough before the cell is healthy; too few responses count as high. */
+    static final long RECOVERY_MICROS = 10_000_000;
 
-    private final int[] all = new int[SLOTS];
-    private final int[] good = new int[SLOTS];
-    private long slot = -1;
-    private boolean sick;
-    private long sickAt;
-    private long wellSince = -1;
+    private final int[] responses = new int[SLOTS];
+    private final int[] responsesInTime = new int[SLOTS];
+    private long currentSlot = -1;
+    private boolean unhealthy;
+    private long unhealthySince;
+    private long recoveringSince = -1;
 
-    /** A request has ended; in time means served within the aim of its class. */
-    void told(long now, boolean inTime) {
-        turn(now);
-        int i = (int) (slot % SLOTS);
-        all[i]++;
-        good[i] += inTime ? 1 : 0;
+    /** Records a request that has ended; in time means served within the target latency of its class. */
+    void recordResponse(long now, boolean inTime) {
+        advanceWindow(now);
+        int i = (int) (currentSlot % SLOTS);
+        responses[i]++;
+        responsesInTime[i] += inTime ? 1 : 0;
     }
 
-    /** Looks again; true where it has become sick or well. To be called once a second or oftener. */
-    boolean look(long now) {
-        turn(now);
-        int n = Arrays.stream(all).sum();
-        double part = n == 0 ? 1 : Arrays.stream(good).sum() / (double) n;
-        if (!sick) {
-            if (n >= LEAST && part < SICK) {
-                sick = true;
-                sickAt = now;
-                wellSince = -1;
+    /** Evaluates the window; true if the health has changed. To be called at least once a second. */
+    boolean evaluate(long now) {
+        advanceWindow(now);
+        int count = Arrays.stream(responses).sum();
+        double fractionInTime = count == 0 ? 1 : Arrays.stream(responsesInTime).sum() / (double) count;
+        if (!unhealthy) {
+            if (count >= MIN_RESPONSES && fractionInTime < UNHEALTHY_FRACTION) {
+                unhealthy = true;
+                unhealthySince = now;
+                recoveringSince = -1;
                 return true;
             }
             return false;
         }
-        if (n >= LEAST_SICK && part < WELL) {
-            wellSince = -1;
-        } else if (wellSince < 0) {
-            wellSince = now;
-        } else if (now - wellSince >= WELL_MICROS) {
-            sick = false;
+        if (count >= MIN_RESPONSES_WHILE_UNHEALTHY && fractionInTime < HEALTHY_FRACTION) {
+            recoveringSince = -1;
+        } else if (recoveringSince < 0) {
+            recoveringSince = now;
+        } else if (now - recoveringSince >= RECOVERY_MICROS) {
+            unhealthy = false;
             return true;
         }
         return false;
     }
 
-    boolean sick() {
-        return sick;
+    boolean isUnhealthy() {
+        return unhealthy;
     }
 
-    /** When it became sick last. */
-    long sickAt() {
-        return sickAt;
+    /** When the cell last became unhealthy. */
+    long unhealthySince() {
+        return unhealthySince;
     }
 
-    private void turn(long now) {
-        long next = now / SLOT;
-        if (slot < 0 || next - slot >= SLOTS) {
-            Arrays.fill(all, 0);
-            Arrays.fill(good, 0);
+    private void advanceWindow(long now) {
+        long nextSlot = now / SLOT_MICROS;
+        if (currentSlot < 0 || nextSlot - currentSlot >= SLOTS) {
+            Arrays.fill(responses, 0);
+            Arrays.fill(responsesInTime, 0);
         } else {
-            for (long s = slot + 1; s <= next; s++) {
-                all[(int) (s % SLOTS)] = 0;
-                good[(int) (s % SLOTS)] = 0;
+            for (long s = currentSlot + 1; s <= nextSlot; s++) {
+                responses[(int) (s % SLOTS)] = 0;
+                responsesInTime[(int) (s % SLOTS)] = 0;
             }
         }
-        slot = Math.max(slot, next);
+        currentSlot = Math.max(currentSlot, nextSlot);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/CellState.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellState.java
@@ -1,49 +1,56 @@
 package org.cypressweir.sidecar.cell;
 
-/** What is known of one cell: its health, what its units take of it, and what is in hand there. */
+/** The state of one cell: its health, the load that each unit puts on it, and its requests in flight. */
 final class CellState {
 
-    /** How much more of its cell a unit must take than it did in the long run to count as flooding it. */
-    static final double SURGE = 1.5;
+    /** A unit floods its cell only if its share of the load is at least this multiple of its usual share. */
+    static final double SURGE_FACTOR = 1.5;
 
     private static final int COUNTERS = 64;
-    private static final long SHORT = 5_000_000;
-    private static final long LONG = 300_000_000;
-    /** What was taken counts as usual only this much later, if the cell was not sick by then. */
-    private static final long USUAL_LAG = 10_000_000;
+    private static final long RECENT_HALF_LIFE_MICROS = 5_000_000;
+    private static final long BASELINE_HALF_LIFE_MICROS = 300_000_000;
+    /** Load enters the baseline after this time at the earliest, and only if the cell has stayed healthy. */
+    private static final long BASELINE_LAG_MICROS = 10_000_000;
 
     final CellHealth health = new CellHealth();
-    final HeavyUnits lately = new HeavyUnits(COUNTERS, SHORT);
-    final HeavyUnits usually = new HeavyUnits(COUNTERS, LONG);
-    /** What may become usual: of the last while, and of the one before. */
-    HeavyUnits filling = new HeavyUnits(COUNTERS, LONG);
-
-    HeavyUnits waiting = new HeavyUnits(COUNTERS, LONG);
-    long turnedAt;
-    int guests;
+    final HeavyUnits recentLoad = new HeavyUnits(COUNTERS, RECENT_HALF_LIFE_MICROS);
+    final HeavyUnits baselineLoad = new HeavyUnits(COUNTERS, BASELINE_HALF_LIFE_MICROS);
+    /** Load of the present period, which is not yet part of the baseline. */
+    HeavyUnits currentPeriodLoad = new HeavyUnits(COUNTERS, BASELINE_HALF_LIFE_MICROS);
+
+    /** Load of the period before, which enters the baseline when the present one ends. */
+    HeavyUnits previousPeriodLoad = new HeavyUnits(COUNTERS, BASELINE_HALF_LIFE_MICROS);
+
+    long periodStartedAt;
+    int spilloverInFlight;
     int inFlight;
 
-    /** A surge must not have become usual by the time that it makes the cell sick. */
-    void turn(long now) {
-        if (health.sick()) {
-            filling = new HeavyUnits(COUNTERS, LONG);
-            waiting = new HeavyUnits(COUNTERS, LONG);
-            turnedAt = now;
-        } else if (now - turnedAt >= USUAL_LAG) {
-            usually.addAll(now, waiting);
-            HeavyUnits empty = waiting;
-            waiting = filling;
-            filling = empty;
-            turnedAt = now;
+    /**
+     * Updates the baseline. Load enters it with a delay and is discarded while the cell is unhealthy, so that a surge
+     * is not yet part of the baseline by the time that it makes the cell unhealthy.
+     */
+    void updateBaseline(long now) {
+        if (health.isUnhealthy()) {
+            currentPeriodLoad = new HeavyUnits(COUNTERS, BASELINE_HALF_LIFE_MICROS);
+            previousPeriodLoad = new HeavyUnits(COUNTERS, BASELINE_HALF_LIFE_MICROS);
+            periodStartedAt = now;
+        } else if (now - periodStartedAt >= BASELINE_LAG_MICROS) {
+            baselineLoad.addAll(now, previousPeriodLoad);
+            HeavyUnits empty = previousPeriodLoad;
+            previousPeriodLoad = currentPeriodLoad;
+            currentPeriodLoad = empty;
+            periodStartedAt = now;
         }
     }
 
     /**
-     * Whether a unit takes so much of it, and far more than it usually does; never where that is
-     * unknown.
+     * Whether a unit takes at least this share of the cell's load, and far more than usual. False as long as there is
+     * no baseline.
      */
-    boolean floods(long unit, double share) {
-        double now = lately.share(unit);
-        return now >= share && usually.heaviest() >= 0 && now >= SURGE * usually.share(unit);
+    boolean isFloodedBy(long unit, double share) {
+        double recentShare = recentLoad.share(unit);
+        return recentShare >= share
+                && baselineLoad.heaviest() >= 0
+                && recentShare >= SURGE_FACTOR * baselineLoad.share(unit);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/Cells.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/Cells.java
@@ -17,37 +17,43 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
- * Decides which cell a request goes to, and nothing about what happens there: each cell has a module of its
- * own. It keeps units at home, moves them as operators order, lets a bounded number of safe requests of sick
- * cells be guests elsewhere, and sets units apart that flood their cell. No I/O, no clock, no threads; driven
- * by one thread, with times that never go back.
+ * Decides to which cell each request of a pool goes; within a cell, the cell's own load balancer decides. Requests go
+ * to the home cell of their unit (a tenant, a key or a header value). Configured moves migrate units to other cells, a
+ * bounded number of safe requests of unhealthy cells spills over to healthy ones, and units that flood their cell are
+ * quarantined.
+ *
+ * <p>No I/O, no clock, no threads: called by one thread, with times in microseconds that never go back.
  */
 public final class Cells {
 
-    /** What it may do. Nothing of it may come back as an event before the call that caused it is over. */
+    /**
+     * Callbacks to the host. The host must not call back into {@link Cells} from within one of them, but only after the
+     * call that caused it has returned.
+     */
     public interface Actions {
-        /** A request that was held goes to the cell that its ticket names by now. */
+        /** Sends a request that was held to the cell that its ticket now names. */
         void release(Ticket ticket);
 
-        /** Asks for {@link Cells#timer} at that time; at most one is outstanding. */
+        /** Schedules a call of {@link Cells#timer} at this time; an earlier schedule need not be cancelled. */
         void timer(long atMicros);
 
-        /** A line for operators. */
+        /** Writes a line to the operators' log. */
         void log(String line);
     }
 
-    /** A request from when it asks until nothing of it is out any more. */
+    /** The routing of one request, from {@link #ask} until its last attempt has ended. */
     public static final class Ticket {
         private final long unit;
         private final Effect effect;
         private final long token;
         private final long takenAt;
         private int cell = -1;
-        private boolean guest;
+        private boolean spillover;
         private long retryAfter;
-        /** The move that counts it as a write at the old cell. */
-        private UnitMigration counted;
+        /** The migration that counts this request as a write in flight at the old cell; null for none. */
+        private UnitMigration countedBy;
 
+        /** The migration that holds this request; null for none. */
         private UnitMigration heldBy;
 
         private Ticket(long unit, Effect effect, long token, long takenAt) {
@@ -57,232 +63,235 @@
             this.takenAt = takenAt;
         }
 
-        /** Place of the cell that it goes to; -1 while it is held. */
+        /** Index of the cell that the request goes to; -1 while it is held and if it is rejected. */
         public int cell() {
             return cell;
         }
 
-        /** Microseconds after which to come back, where it is refused: it goes nowhere; else 0. */
+        /** Microseconds after which to retry, if the request is rejected and sent nowhere; else 0. */
         public long retryAfterMicros() {
             return retryAfter;
         }
 
-        /** When it asked. */
+        /** When the request arrived. */
         public long takenAt() {
             return takenAt;
         }
 
-        /** Whether the cell is not the one that its unit belongs to. */
-        public boolean guest() {
-            return guest;
+        /** Whether the request spilled over from its unit's home cell to another one. */
+        public boolean isSpillover() {
+            return spillover;
         }
     }
 
-    /** Writes that one move may hold; what comes beyond goes to the old cell at once. */
+    /** How many writes one migration may hold; further ones go to the old cell at once. */
     static final int MAX_HELD_PER_MIGRATION = 256;
     /** Keyed requests that are remembered while units move. */
     static final int MAX_REMEMBERED_KEYS = 1 << 16;
     /**
-     * Part of its cell from which a unit that has surged is no guest: it would bring what made the cell
-     * sick.
+     * A unit whose load has surged and takes at least this fraction of its cell does not spill over: it would carry the
+     * overload that made its cell unhealthy to the next one.
      */
-    static final double FLOODING_PART = 1.0 / 8;
-    /** Part of the guests of a sick cell that stay at home, so that it shows when it is well. */
-    static final double TRIAL_PART = 1.0 / 16;
+    static final double FLOODING_FRACTION = 1.0 / 8;
+    /** Fraction of the requests that could spill over but stay in the unhealthy cell, to detect its recovery. */
+    static final double TRIAL_FRACTION = 1.0 / 16;
 
     private static final long TRIAL_SALT = 0x7E;
     private static final long TICK_MICROS = 1_000_000;
 
-    private final String pool;
+    private final String poolName;
     private final Actions actions;
     private final IdempotencyKeys idempotencyKeys = new IdempotencyKeys(MAX_REMEMBERED_KEYS);
-    /** By unit: the order or the quarantine that holds for it. */
+    /** By unit: its configured move, or the migration to or from quarantine. */
     private final Map<Long, UnitMigration> migrations = new LinkedHashMap<>();
 
     private final Map<UnitMigration, Set<Ticket>> heldTickets = new HashMap<>();
-    private final FloodIsolation floods;
-    private CellsConfiguration plan;
-    private int requests;
+    private final FloodIsolation floodIsolation;
+    private CellsConfiguration configuration;
+    private int maxInFlight;
     private CellState[] cellStates = {};
-    /** Places of the sick cells. */
-    private final BitSet sick = new BitSet();
+    /** Indexes of the unhealthy cells. */
+    private final BitSet unhealthyCells = new BitSet();
 
     private CellAssignment assignment;
     private Placement placement;
-    /** Homes before they last changed, for keyed requests that may be repeated; null once that is over. */
+    /** The placement before the last change, for retries of keyed requests; null once no retry can come. */
     private Placement previousPlacement;
 
+    /** Home cells of the units with a migration, as they were when the placement changed. */
     private Map<Long, Integer> previousHomes = Map.of();
+
     private long placementChangedAt;
     private int inFlight;
-    private long wakeAt;
+    private long timerScheduledAt;
 
     /**
-     * @param pool its name, for the log
-     * @param requests that the pool may have in flight; guests have a part of each cell's part
+     * @param poolName the pool's name, for the log
+     * @param maxInFlight how many requests the pool may have in flight; the limit on spillover into a cell is a
+     *     fraction of that cell's share
      */
-    public Cells(String pool, CellsConfiguration plan, int requests, long now, Actions actions) {
-        this.pool = pool;
+    public Cells(String poolName, CellsConfiguration configuration, int maxInFlight, long now, Actions actions) {
+        this.poolName = poolName;
         this.actions = actions;
-        floods = new FloodIsolation(this);
-        idempotencyKeys.begin(now);
-        this.plan = plan;
-        this.requests = requests;
-        grow();
-        assignment = new CellAssignment(plan.cells(), plan.spread(), plan.keepMicros());
-        placement = new Placement(plan.cells(), plan.assigned(), assignment.open());
-        order(now);
-    }
-
-    /** A state for each cell of the plan; those that there are stay. */
-    private void grow() {
-        int known = cellStates.length;
-        cellStates = Arrays.copyOf(cellStates, plan.cells().size());
-        for (int i = known; i < cellStates.length; i++) {
+        floodIsolation = new FloodIsolation(this);
+        idempotencyKeys.startRecording(now);
+        this.configuration = configuration;
+        this.maxInFlight = maxInFlight;
+        addCellStates();
+        assignment = new CellAssignment(configuration.cells(), configuration.spread(), configuration.keepMicros());
+        placement = new Placement(configuration.cells(), configuration.assigned(), assignment.openCells());
+        beginConfiguredMoves(now);
+    }
+
+    /** Adds a state for each new cell of the configuration; known cells keep theirs. */
+    private void addCellStates() {
+        int knownCells = cellStates.length;
+        cellStates = Arrays.copyOf(cellStates, configuration.cells().size());
+        for (int i = knownCells; i < cellStates.length; i++) {
             cellStates[i] = new CellState();
         }
     }
 
-    /** The plan that holds. */
+    /** The configuration in force. */
     public CellsConfiguration plan() {
-        return plan;
+        return configuration;
     }
 
-    /** The cell of a server on the list; -1 for any other. */
+    /** The index of a listed server's cell; -1 for any other server. */
     public int cellOf(long server) {
         return assignment.cellOf(server);
     }
 
-    /** Whether a cell is sick. */
-    public boolean sick(int cell) {
-        return cellStates[cell].health.sick();
+    /** Whether a cell is unhealthy. */
+    public boolean isUnhealthy(int cell) {
+        return cellStates[cell].health.isUnhealthy();
     }
 
-    // ---- Servers and orders
+    // ---- Servers and configuration
 
-    /** Takes over a list; the servers that stay and whose cell has changed. */
+    /** Applies a server list; returns the servers that stay listed and whose cell has changed. */
     public List<CellAssignment.Moved> listed(long now, ListKind kind, List<Server> lines) {
         List<CellAssignment.Moved> moved = assignment.listed(now, kind, lines);
-        reopen(now);
+        updateHomeCells(now);
         scheduleTimer(now);
         return moved;
     }
 
-    /** Gives up places that were kept for too long; the servers whose cell has changed by that. */
+    /** Gives up expired reservations of departed servers; returns the servers whose cell has changed by that. */
     public List<CellAssignment.Moved> sweep(long now) {
-        List<CellAssignment.Moved> moved = assignment.sweep(now);
-        reopen(now);
+        List<CellAssignment.Moved> moved = assignment.expireReservations(now);
+        updateHomeCells(now);
         return moved;
     }
 
-    /** Cells that have servers for the first time, or none any more, change homes. */
-    private void reopen(long now) {
-        BitSet open = assignment.open();
+    /** Recomputes home cells if a cell has got its first server or lost its last one. */
+    private void updateHomeCells(long now) {
+        BitSet open = assignment.openCells();
         if (!placement.isFor(open)) {
-            Placement next = new Placement(plan.cells(), plan.assigned(), open);
-            // Before the first list nothing was anywhere, so there is nothing to keep.
-            rehome(now, next, !placement.isFor(new BitSet()));
+            Placement next = new Placement(configuration.cells(), configuration.assigned(), open);
+            // Before the first list no request was in any cell, so no retry can depend on the old placement.
+            replacePlacement(now, next, !placement.isFor(new BitSet()));
         }
     }
 
-    private void rehome(long now, Placement next, boolean wasInUse) {
-        if (wasInUse && plan.windowMicros() > 0) {
-            Map<Long, Integer> frozen = new HashMap<>();
-            migrations.forEach((unit, migration) -> frozen.put(unit, migration.home()));
+    private void replacePlacement(long now, Placement next, boolean wasInUse) {
+        if (wasInUse && configuration.windowMicros() > 0) {
+            Map<Long, Integer> homes = new HashMap<>();
+            migrations.forEach((unit, migration) -> homes.put(unit, migration.home()));
             previousPlacement = placement;
-            previousHomes = frozen;
+            previousHomes = homes;
             placementChangedAt = now;
         }
         placement = next;
     }
 
     /**
-     * Other orders hold. Moves that stay the same go on; a unit whose home changes without one goes over at
-     * once, its keyed requests once no repeat of earlier ones can come.
+     * Applies another configuration. Moves that stay the same go on. A unit whose home cell changes without a move
+     * switches at once, except for its keyed requests: these follow once no retry of an earlier one can come.
      *
-     * @param next one that {@link #fits}
-     * @param bound on requests of the pool
+     * @param next a configuration for which {@link #fits} is true
+     * @param nextMaxInFlight how many requests the pool may have in flight
      * @return servers whose cell has changed
      */
-    public List<CellAssignment.Moved> plan(long now, CellsConfiguration next, int bound) {
-        requests = bound;
-        CellsConfiguration before = plan;
-        plan = next;
-        grow();
+    public List<CellAssignment.Moved> plan(long now, CellsConfiguration next, int nextMaxInFlight) {
+        maxInFlight = nextMaxInFlight;
+        CellsConfiguration before = configuration;
+        configuration = next;
+        addCellStates();
         List<CellAssignment.Moved> moved = List.of();
         if (!before.cells().equals(next.cells())
                 || before.spread() != next.spread()
                 || before.keepMicros() != next.keepMicros()) {
             CellAssignment old = assignment;
             assignment = new CellAssignment(next.cells(), next.spread(), next.keepMicros());
-            moved = assignment.instead(now, old);
+            moved = assignment.replace(now, old);
         }
         Map<Long, Integer> homes = new HashMap<>();
         migrations.forEach((unit, migration) -> homes.put(unit, migration.home()));
-        rehome(now, new Placement(next.cells(), next.assigned(), assignment.open()), true);
+        replacePlacement(now, new Placement(next.cells(), next.assigned(), assignment.openCells()), true);
         for (UnitMigration migration : List.copyOf(migrations.values())) {
-            boolean stays = migration.automatic
+            boolean continues = migration.automatic
                     ? next.quarantine() != null
                             && next.quarantine().equals(before.quarantine())
-                            && !next.assigned().containsKey(migration.plan.unit())
-                    : next.moves().contains(migration.plan);
-            if (!stays) {
+                            && !next.assigned().containsKey(migration.move.unit())
+                    : next.moves().contains(migration.move);
+            if (!continues) {
                 releaseHeld(now, migration);
-                migrations.remove(migration.plan.unit());
-                floods.forget(migration.plan.unit());
+                migrations.remove(migration.move.unit());
+                floodIsolation.forget(migration.move.unit());
             }
         }
-        for (MoveConfiguration order : next.moves()) {
-            UnitMigration migration = migrations.get(order.unit());
+        for (MoveConfiguration move : next.moves()) {
+            UnitMigration migration = migrations.get(move.unit());
             if (migration == null || migration.automatic) {
                 if (migration != null) {
                     releaseHeld(now, migration);
-                    floods.forget(order.unit());
+                    floodIsolation.forget(move.unit());
                 }
-                begin(now, order, homes.getOrDefault(order.unit(), placement.home(order.unit())), false);
+                beginMigration(now, move, homes.getOrDefault(move.unit(), placement.home(move.unit())), false);
             }
         }
         scheduleTimer(now);
         return moved;
     }
 
-    /** Whether another plan can be taken over: its cells are those that there are, and perhaps more. */
+    /** Whether a configuration can be applied: same unit, same header, and no cells removed, renamed or reordered. */
     public boolean fits(CellsConfiguration next) {
-        return next.unit() == plan.unit()
-                && Objects.equals(next.header(), plan.header())
-                && next.cells().size() >= plan.cells().size()
-                && IntStream.range(0, plan.cells().size()).allMatch(c -> next.cells()
+        return next.unit() == configuration.unit()
+                && Objects.equals(next.header(), configuration.header())
+                && next.cells().size() >= configuration.cells().size()
+                && IntStream.range(0, configuration.cells().size()).allMatch(c -> next.cells()
                         .get(c)
                         .name()
-                        .equals(plan.cells().get(c).name()));
+                        .equals(configuration.cells().get(c).name()));
     }
 
-    /** Ends: nothing is held from now on. */
+    /** Ends all migrations and releases the requests that they hold. */
     public void closing(long now) {
         List.copyOf(migrations.values()).forEach(migration -> releaseHeld(now, migration));
         migrations.clear();
-        floods.clear();
+        floodIsolation.clear();
     }
 
-    private void order(long now) {
-        plan.moves().forEach(order -> begin(now, order, placement.home(order.unit()), false));
+    private void beginConfiguredMoves(long now) {
+        configuration.moves().forEach(move -> beginMigration(now, move, placement.home(move.unit()), false));
         scheduleTimer(now);
     }
 
-    void begin(long now, MoveConfiguration order, int from, boolean automatic) {
-        // What this process has not seen from its start on may be repeated, or still run.
-        UnitMigration migration =
-                new UnitMigration(order, from, automatic, now, plan.windowMicros(), plan.patienceMicros());
-        migrations.put(order.unit(), migration);
+    void beginMigration(long now, MoveConfiguration move, int from, boolean automatic) {
+        // Writes sent before this moment are unknown to the migration: they may still run or be retried.
+        UnitMigration migration = new UnitMigration(
+                move, from, automatic, now, configuration.windowMicros(), configuration.patienceMicros());
+        migrations.put(move.unit(), migration);
         step(now, migration);
     }
 
-    /** What a move holds goes where its unit is at home. */
+    /** Sends the requests that a migration holds to its unit's home cell. */
     private void releaseHeld(long now, UnitMigration migration) {
-        Set<Ticket> waiting = heldTickets.remove(migration);
-        for (Ticket ticket : waiting == null ? Set.<Ticket>of() : waiting) {
+        Set<Ticket> held = heldTickets.remove(migration);
+        for (Ticket ticket : held == null ? Set.<Ticket>of() : held) {
             ticket.heldBy = null;
-            send(now, ticket, migration.home(), migration);
+            sendWrite(now, ticket, migration.home(), migration);
             actions.release(ticket);
         }
     }
@@ -290,12 +299,12 @@
     // ---- Requests
 
     /**
-     * A request asks where to go.
+     * Decides where a request goes: to a cell at once, held for now, or rejected.
      *
      * @param unit {@link org.cypressweir.common.util.Ids} of its tenant, key or header value
-     * @param token of its idempotency key; only looked at for keyed ones
-     * @param hash of the request, from which its place in a move's growing part follows
-     * @param deadlineMicros when it must have its answer
+     * @param token of its idempotency key; only used for keyed requests
+     * @param hash of the request; decides whether a safe request already goes to the new cell during a ramp
+     * @param deadlineMicros when the client must have the response
      */
     public Ticket ask(long now, long unit, Effect effect, long token, long hash, long deadlineMicros) {
         Ticket ticket = new Ticket(unit, effect, token, now);
@@ -303,27 +312,28 @@
         UnitMigration migration = migrations.get(unit);
         if (migration != null) {
             step(now, migration);
-            boolean fresh = effect != Effect.SAFE && known(now, ticket) < 0;
-            if (fresh) {
-                ticket.retryAfter = migration.refuses(now);
+            boolean isUnseenWrite = effect != Effect.SAFE && cellOfKey(now, ticket) < 0;
+            if (isUnseenWrite) {
+                ticket.retryAfter = migration.rejectsForMicros(now);
             }
-            if (fresh
+            if (isUnseenWrite
                     && ticket.retryAfter == 0
                     && effect == Effect.KEYED
-                    && migration.plan.freezeMicros() > 0
-                    && migration.switched()) {
-                // What this process has not seen may have been at the old cell before the freeze.
-                ticket.retryAfter =
-                        Math.max(0, migration.knownSince(idempotencyKeys.completeSince()) + plan.windowMicros() - now);
+                    && migration.move.freezeMicros() > 0
+                    && migration.hasSwitched()) {
+                // It may be a retry of a request that the old cell got before the freeze, unseen by this process.
+                ticket.retryAfter = Math.max(
+                        0,
+                        migration.keysKnownSince(idempotencyKeys.completeSince()) + configuration.windowMicros() - now);
             }
             if (ticket.retryAfter > 0) {
                 inFlight--;
                 return ticket;
             }
-            if (fresh
-                    && migration.holds(now)
-                    && heldBy(migration) < MAX_HELD_PER_MIGRATION
-                    && deadlineMicros - now > 2 * migration.plan.fenceMicros()) {
+            if (isUnseenWrite
+                    && migration.holdsWrites(now)
+                    && heldCount(migration) < MAX_HELD_PER_MIGRATION
+                    && deadlineMicros - now > 2 * migration.move.fenceMicros()) {
                 ticket.heldBy = migration;
                 heldTickets
                         .computeIfAbsent(migration, x -> new LinkedHashSet<>())
@@ -333,83 +343,90 @@
             }
         }
         if (effect == Effect.SAFE) {
-            int cell = migration == null ? placement.home(unit) : migration.ofSafe(now, hash);
-            guest(ticket, open(unit, cell), hash);
-            enter(ticket);
-        } else if (effect == Effect.UNSAFE && plan.guestWrites() && (migration == null || migration.over())) {
-            guest(ticket, open(unit, migration == null ? placement.home(unit) : migration.home()), hash);
-            enter(ticket);
+            int cell = migration == null ? placement.home(unit) : migration.cellOfSafeRequest(now, hash);
+            trySpillover(ticket, cellWithServers(unit, cell), hash);
+            countInFlight(ticket);
+        } else if (effect == Effect.UNSAFE
+                && configuration.guestWrites()
+                && (migration == null || migration.isOver())) {
+            trySpillover(
+                    ticket, cellWithServers(unit, migration == null ? placement.home(unit) : migration.home()), hash);
+            countInFlight(ticket);
         } else {
-            send(now, ticket, migration == null ? placement.home(unit) : migration.home(), migration);
+            sendWrite(now, ticket, migration == null ? placement.home(unit) : migration.home(), migration);
         }
         scheduleTimer(now);
         return ticket;
     }
 
-    private int heldBy(UnitMigration migration) {
-        Set<Ticket> waiting = heldTickets.get(migration);
-        return waiting == null ? 0 : waiting.size();
+    private int heldCount(UnitMigration migration) {
+        Set<Ticket> held = heldTickets.get(migration);
+        return held == null ? 0 : held.size();
     }
 
-    /** The cell that may know a keyed request already; -1 where none can. */
-    private int known(long now, Ticket ticket) {
-        return ticket.effect == Effect.KEYED ? idempotencyKeys.cellOf(now, plan.windowMicros(), ticket.token) : -1;
+    /** The cell that may have executed a keyed request already; -1 if none may have. */
+    private int cellOfKey(long now, Ticket ticket) {
+        return ticket.effect == Effect.KEYED
+                ? idempotencyKeys.cellOf(now, configuration.windowMicros(), ticket.token)
+                : -1;
     }
 
-    private void send(long now, Ticket ticket, int home, UnitMigration migration) {
+    private void sendWrite(long now, Ticket ticket, int home, UnitMigration migration) {
         int cell = home;
-        boolean moving = migration != null && !migration.over();
-        if (ticket.effect == Effect.KEYED && plan.windowMicros() > 0) {
-            boolean settling = previousPlacement != null && now - placementChangedAt < plan.windowMicros();
-            int known = known(now, ticket);
-            if (known >= 0) {
-                cell = known;
-            } else if (settling) {
-                Integer frozen = previousHomes.get(ticket.unit);
-                cell = migration != null && migration.switched()
+        boolean isMigrating = migration != null && !migration.isOver();
+        if (ticket.effect == Effect.KEYED && configuration.windowMicros() > 0) {
+            boolean mayBeRetry = previousPlacement != null && now - placementChangedAt < configuration.windowMicros();
+            int keyCell = cellOfKey(now, ticket);
+            if (keyCell >= 0) {
+                cell = keyCell;
+            } else if (mayBeRetry) {
+                Integer previousHome = previousHomes.get(ticket.unit);
+                cell = migration != null && migration.hasSwitched()
                         ? home
-                        : frozen != null ? frozen : previousPlacement.home(ticket.unit);
+                        : previousHome != null ? previousHome : previousPlacement.home(ticket.unit);
             }
-            if (settling || known >= 0 || moving && !migration.switched()) {
-                idempotencyKeys.used(now, plan.windowMicros(), ticket.token, cell);
+            if (mayBeRetry || keyCell >= 0 || isMigrating && !migration.hasSwitched()) {
+                idempotencyKeys.recordUse(now, configuration.windowMicros(), ticket.token, cell);
             }
         }
-        cell = open(ticket.unit, cell);
-        if (moving && !migration.switched() && cell == migration.from) {
-            ticket.counted = migration;
+        cell = cellWithServers(ticket.unit, cell);
+        if (isMigrating && !migration.hasSwitched() && cell == migration.fromCell) {
+            ticket.countedBy = migration;
             migration.writeSent();
         }
         ticket.cell = cell;
-        enter(ticket);
+        countInFlight(ticket);
     }
 
-    private void enter(Ticket ticket) {
+    private void countInFlight(Ticket ticket) {
         cellStates[ticket.cell].inFlight++;
     }
 
-    /** A cell without any server to its name is nobody's. */
-    private int open(long unit, int cell) {
+    /** This cell if it has servers; otherwise the unit's home cell. */
+    private int cellWithServers(long unit, int cell) {
         return placement.isOpen(cell) ? cell : placement.home(unit);
     }
 
-    /** A request of a sick cell may be a guest of the next, within what that gives to guests. */
-    private void guest(Ticket ticket, int home, long hash) {
+    /** Lets a request of an unhealthy cell spill over to the unit's next choice, within the limit of that cell. */
+    private void trySpillover(Ticket ticket, int home, long hash) {
         ticket.cell = home;
-        if (plan.guests() <= 0
-                || !cellStates[home].health.sick()
-                || cellStates[home].floods(ticket.unit, FLOODING_PART)
-                || Hashes.uniform(hash, TRIAL_SALT) < TRIAL_PART) {
+        if (configuration.guests() <= 0
+                || !cellStates[home].health.isUnhealthy()
+                || cellStates[home].isFloodedBy(ticket.unit, FLOODING_FRACTION)
+                || Hashes.uniform(hash, TRIAL_SALT) < TRIAL_FRACTION) {
             return;
         }
-        int next = placement.next(ticket.unit, sick);
-        if (next >= 0 && cellStates[next].guests < plan.guests() * plan.part(next, requests)) {
+        int next = placement.next(ticket.unit, unhealthyCells);
+        if (next >= 0
+                && cellStates[next].spilloverInFlight
+                        < configuration.guests() * configuration.part(next, maxInFlight)) {
             ticket.cell = next;
-            ticket.guest = true;
-            cellStates[next].guests++;
+            ticket.spillover = true;
+            cellStates[next].spilloverInFlight++;
         }
     }
 
-    /** A request that was held has left, or is given up by its host: it has been nowhere. */
+    /** A held request was cancelled by its client or given up by the host. It was sent to no cell. */
     public void left(long now, Ticket ticket) {
         if (ticket.heldBy != null) {
             heldTickets.getOrDefault(ticket.heldBy, Set.of()).remove(ticket);
@@ -418,69 +435,69 @@
         }
     }
 
-    /** Its client has its answer, or has left; in time means served within the aim of its class. */
+    /** The client got its response or left; in time means served within the target latency of its class. */
     public void answered(long now, Ticket ticket, boolean inTime) {
-        // How guests fare says something of the cell they are at, but not of their own.
-        cellStates[ticket.cell].health.told(now, inTime);
-        if (!ticket.guest) {
+        // A request that spilled over counts for the health of the cell that served it, not of its home cell.
+        cellStates[ticket.cell].health.recordResponse(now, inTime);
+        if (!ticket.spillover) {
             double micros = Math.max(1, now - ticket.takenAt);
-            cellStates[ticket.cell].lately.add(now, ticket.unit, micros);
-            cellStates[ticket.cell].filling.add(now, ticket.unit, micros);
+            cellStates[ticket.cell].recentLoad.add(now, ticket.unit, micros);
+            cellStates[ticket.cell].currentPeriodLoad.add(now, ticket.unit, micros);
         }
     }
 
-    /** Nothing of it is out any more. */
+    /** The last attempt of the request has ended. */
     public void ended(long now, Ticket ticket) {
         inFlight--;
         cellStates[ticket.cell].inFlight--;
-        if (ticket.guest) {
-            cellStates[ticket.cell].guests--;
+        if (ticket.spillover) {
+            cellStates[ticket.cell].spilloverInFlight--;
         }
-        if (ticket.counted != null) {
-            UnitMigration migration = ticket.counted;
-            ticket.counted = null;
+        if (ticket.countedBy != null) {
+            UnitMigration migration = ticket.countedBy;
+            ticket.countedBy = null;
             migration.writeEnded();
-            if (migration.state() == UnitMigration.State.SWITCHING && migration.writesOut() == 0) {
+            if (migration.state() == UnitMigration.State.SWITCHING && migration.writesInFlight() == 0) {
                 step(now, migration);
             }
         }
     }
 
-    /** requests in flight at a cell, guests among them. */
+    /** Requests in flight at a cell, including those that spilled over to it. */
     public int inFlight(int cell) {
         return cellStates[cell].inFlight;
     }
 
-    /** Guests among them. */
-    public int guests(int cell) {
-        return cellStates[cell].guests;
+    /** Requests in flight at a cell that spilled over to it. */
+    public int spilloverInFlight(int cell) {
+        return cellStates[cell].spilloverInFlight;
     }
 
-    /** Requests that are held by a fence. */
+    /** Requests that are held by migrations with a fence. */
     public int held() {
         return heldTickets.values().stream().mapToInt(Set::size).sum();
     }
 
     // ---- Time
 
-    /** What was asked for with {@link Actions#timer}; a later or an additional call does no harm. */
+    /** Called at the time given to {@link Actions#timer}; late or additional calls do no harm. */
     public void timer(long now) {
-        wakeAt = 0;
+        timerScheduledAt = 0;
         for (int c = 0; c < cellStates.length; c++) {
-            if (cellStates[c].health.look(now)) {
-                sick.set(c, cellStates[c].health.sick());
-                actions.log("cell " + plan.cells().get(c).name() + " of pool " + pool
-                        + (cellStates[c].health.sick()
-                                ? " is sick: most of its answers are late or none"
-                                : " is well again"));
+            if (cellStates[c].health.evaluate(now)) {
+                unhealthyCells.set(c, cellStates[c].health.isUnhealthy());
+                actions.log("cell " + configuration.cells().get(c).name() + " of pool " + poolName
+                        + (cellStates[c].health.isUnhealthy()
+                                ? " is unhealthy: most of its responses are late or missing"
+                                : " is healthy again"));
             }
-            cellStates[c].turn(now);
+            cellStates[c].updateBaseline(now);
         }
         List.copyOf(migrations.values()).forEach(migration -> step(now, migration));
-        if (plan.quarantine() != null) {
-            floods.look(now, plan.quarantine());
+        if (configuration.quarantine() != null) {
+            floodIsolation.update(now, configuration.quarantine());
         }
-        if (previousPlacement != null && now - placementChangedAt >= plan.windowMicros()) {
+        if (previousPlacement != null && now - placementChangedAt >= configuration.windowMicros()) {
             previousPlacement = null;
             previousHomes = Map.of();
         }
@@ -488,10 +505,10 @@
     }
 
     private void step(long now, UnitMigration migration) {
-        int to = migration.plan.to();
-        boolean isTargetSick = cellStates[to].health.sick() || !placement.isOpen(to);
+        int to = migration.move.to();
+        boolean isTargetSick = cellStates[to].health.isUnhealthy() || !placement.isOpen(to);
         for (int i = 0;
-                i < 3 && migration.step(now, isTargetSick, migration.knownSince(idempotencyKeys.completeSince()));
+                i < 3 && migration.step(now, isTargetSick, migration.keysKnownSince(idempotencyKeys.completeSince()));
                 i++) {
             logStep(migration);
             if (migration.state() != UnitMigration.State.SWITCHING) {
@@ -501,42 +518,42 @@
     }
 
     private void logStep(UnitMigration migration) {
-        String what =
+        String event =
                 switch (migration.state()) {
-                    case WAITING -> "goes back: cell " + name(migration.plan.to()) + " is sick (" + migration.tries()
-                            + ")";
-                    case RAMPING -> migration.tries() == 0
-                            ? "begins"
-                            : "goes on after " + migration.tries() + " set-backs";
-                    case SWITCHING -> "holds writes until " + migration.writesOut() + " at cell " + name(migration.from)
-                            + " have ended";
-                    case FROZEN -> "refuses writes: they must have ended at cell " + name(migration.from);
-                    case SETTLING -> "writes go to cell " + name(migration.plan.to()) + " from now on";
+                    case WAITING -> "rolls back: cell " + name(migration.move.to()) + " is unhealthy (attempt "
+                            + migration.failedAttempts() + ")";
+                    case RAMPING -> migration.failedAttempts() == 0
+                            ? "starts"
+                            : "starts again after " + migration.failedAttempts() + " failed attempts";
+                    case SWITCHING -> "holds writes until " + migration.writesInFlight() + " in flight at cell "
+                            + name(migration.fromCell) + " have ended";
+                    case FROZEN -> "refuses writes so that those in flight can end at cell " + name(migration.fromCell);
+                    case SETTLING -> "writes go to cell " + name(migration.move.to()) + " from now on";
                     case DONE -> "is done";
-                    case GIVEN_UP -> "is given up after " + migration.tries() + " tries: the unit stays at cell "
-                            + name(migration.from);
+                    case GIVEN_UP -> "is given up after " + migration.failedAttempts()
+                            + " tries: the unit stays at cell " + name(migration.fromCell);
                 };
-        actions.log("move " + migration.plan.name() + " of pool " + pool + " (" + migration.plan.label() + ", "
-                + name(migration.from) + " to " + name(migration.plan.to()) + ") " + what);
+        actions.log("move " + migration.move.name() + " of pool " + poolName + " (" + migration.move.label() + ", "
+                + name(migration.fromCell) + " to " + name(migration.move.to()) + ") " + event);
     }
 
     private String name(int cell) {
-        return plan.cells().get(cell).name();
+        return configuration.cells().get(cell).name();
     }
 
-    // ---- For what sets units apart
+    // ---- For quarantines
 
-    /** The order or quarantine that holds for a unit; null for none. */
-    UnitMigration move(long unit) {
+    /** The migration of a unit, configured or by quarantine; null for none. */
+    UnitMigration migrationOf(long unit) {
         return migrations.get(unit);
     }
 
-    /** What was ordered for a unit, or its quarantine, is over and forgotten. */
-    void settle(long unit) {
+    /** Forgets the migration of a unit. */
+    void forgetMigration(long unit) {
         migrations.remove(unit);
     }
 
-    /** Where a unit is at home without any move. */
+    /** A unit's home cell, leaving its migration aside. */
     int home(long unit) {
         return placement.home(unit);
     }
@@ -545,39 +562,44 @@
         return placement.isOpen(cell);
     }
 
-    CellState state(int cell) {
+    CellState cellState(int cell) {
         return cellStates[cell];
     }
 
     private void scheduleTimer(long now) {
-        if (wakeAt != 0 && migrations.isEmpty()) {
+        if (timerScheduledAt != 0 && migrations.isEmpty()) {
             return;
         }
-        boolean busy = inFlight > 0 || assignment.keeps() || previousPlacement != null || floods.any();
-        long at = Long.MAX_VALUE;
+        boolean busy = inFlight > 0
+                || assignment.hasReservations()
+                || previousPlacement != null
+                || floodIsolation.hasHistory();
+        long nextAt = Long.MAX_VALUE;
         for (UnitMigration migration : migrations.values()) {
-            if (!migration.over()) {
-                at = Math.min(
-                        at, Math.max(now + 1_000, migration.wakeAt() == 0 ? now + TICK_MICROS : migration.wakeAt()));
+            if (!migration.isOver()) {
+                nextAt = Math.min(
+                        nextAt,
+                        Math.max(
+                                now + 1_000, migration.nextStepAt() == 0 ? now + TICK_MICROS : migration.nextStepAt()));
             }
         }
         for (CellState state : cellStates) {
-            busy |= state.health.sick();
+            busy |= state.health.isUnhealthy();
         }
-        at = busy ? Math.min(at, now + TICK_MICROS) : at;
-        if (at != Long.MAX_VALUE && (wakeAt == 0 || at < wakeAt)) {
-            wakeAt = at;
-            actions.timer(at);
+        nextAt = busy ? Math.min(nextAt, now + TICK_MICROS) : nextAt;
+        if (nextAt != Long.MAX_VALUE && (timerScheduledAt == 0 || nextAt < timerScheduledAt)) {
+            timerScheduledAt = nextAt;
+            actions.timer(nextAt);
         }
     }
 
-    /** Where each unit with an order or in quarantine is by now, for the log and for tests. */
-    public List<String> moves(long now) {
-        List<String> all = new ArrayList<>();
+    /** Name, state, home cell and progress of each migration, for the log and for tests. */
+    public List<String> describeMigrations(long now) {
+        List<String> descriptions = new ArrayList<>();
         migrations
                 .values()
-                .forEach(migration -> all.add(migration.plan.name() + " " + migration.state() + " "
-                        + name(migration.home()) + " " + Math.round(100 * migration.part(now)) + "%"));
-        return all;
+                .forEach(migration -> descriptions.add(migration.move.name() + " " + migration.state() + " "
+                        + name(migration.home()) + " " + Math.round(100 * migration.movedFraction(now)) + "%"));
+        return descriptions;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/CellsConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellsConfiguration.java
@@ -4,18 +4,19 @@
 import java.util.Map;
 
 /**
- * What operators say of a pool that is parted into cells.
+ * Configuration of a pool that is divided into cells.
  *
- * @param unit what stays together in one cell
- * @param header the header whose value is the unit, in small letters; null for other units
- * @param spread what is dealt out to cells: servers, or whole groups that drop repeats together
- * @param keepMicros how long the place of a server that is gone stays kept for its return
- * @param assigned cells of units by {@link org.cypressweir.common.util.Ids}, which go before the hash
- * @param windowMicros longest time for which servers drop repeats of keyed requests; 0 without any such class
- * @param patienceMicros longest that a request may be in hand
- * @param guests part of a cell's bound on requests that guests of sick cells may take; 0 for no guests
- * @param guestWrites whether requests that must never run twice may be guests too
- * @param quarantine null where heavy units stay where they are
+ * @param unit which requests stay together in one cell
+ * @param header name of the header whose value is the unit, in lower case; null for other units
+ * @param spread what is assigned to cells: single servers, or whole groups that deduplicate requests together
+ * @param keepMicros how long the place of a server that has left stays reserved for its return
+ * @param assigned cells of units by {@link org.cypressweir.common.util.Ids}; take precedence over the hash
+ * @param windowMicros longest time for which servers deduplicate keyed requests; 0 if no class has keyed requests
+ * @param patienceMicros longest time for which a request may be in flight
+ * @param guests fraction of a cell's limit on requests in flight that may spill over from unhealthy cells; 0 for no
+ *     spillover
+ * @param guestWrites whether requests that must never run twice may spill over too
+ * @param quarantine null if heavy units are not quarantined
  */
 public record CellsConfiguration(
         Unit unit,
@@ -31,30 +32,30 @@
         boolean guestWrites,
         Quarantine quarantine) {
 
-    /** What stays together in one cell. */
+    /** Which requests stay together in one cell: those of the same tenant, key or header value. */
     public enum Unit {
         TENANT,
         KEY,
         HEADER
     }
 
-    /** What is dealt out to the cells. */
+    /** What is assigned to the cells as a whole. */
     public enum Spread {
         SERVER,
         GROUP
     }
 
     /**
-     * When a unit that floods a sick cell is moved away by itself.
+     * When a unit that floods an unhealthy cell is automatically moved to a quarantine cell.
      *
-     * @param cell where to; reserved
-     * @param share of its cell's time in hand from which a unit is heavy; above 0, at most 1
-     * @param forMicros how long it stays there at first; doubled each time it comes again, up to eight times
+     * @param cell index of the quarantine cell, which is reserved
+     * @param share fraction of its cell's total request time from which a unit counts as heavy; above 0, at most 1
+     * @param forMicros how long the first quarantine lasts; doubled for each repetition, up to eight times as long
      */
     public record Quarantine(int cell, double share, long forMicros) {}
 
-    /** The same with what the classes of the pool's routes say. */
-    public CellsConfiguration with(long window, long patience) {
+    /** A copy with the times that follow from the request classes of the pool's routes. */
+    public CellsConfiguration with(long deduplicationWindow, long maxRequestTime) {
         return new CellsConfiguration(
                 unit,
                 header,
@@ -63,23 +64,23 @@
                 keepMicros,
                 assigned,
                 moves,
-                window,
-                patience,
+                deduplicationWindow,
+                maxRequestTime,
                 guests,
                 guestWrites,
                 quarantine);
     }
 
-    /** A cell's part of what the whole pool may have; 1 at least. */
-    public int part(int cell, int all) {
-        double sum = cells.stream().mapToDouble(Cell::share).sum();
-        return all == Integer.MAX_VALUE
-                ? all
-                : Math.max(1, (int) (all * cells.get(cell).share() / sum));
+    /** A cell's share of a limit of the whole pool; at least 1. */
+    public int part(int cell, int total) {
+        double shareSum = cells.stream().mapToDouble(Cell::share).sum();
+        return total == Integer.MAX_VALUE
+                ? total
+                : Math.max(1, (int) (total * cells.get(cell).share() / shareSum));
     }
 
-    /** The place of a cell, or -1. */
-    public int cell(String name) {
+    /** The index of a cell; -1 if there is none of that name. */
+    public int indexOf(String name) {
         for (int i = 0; i < cells.size(); i++) {
             if (cells.get(i).name().equals(name)) {
                 return i;
--- a/src/main/java/org/cypressweir/sidecar/cell/FloodIsolation.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/FloodIsolation.java
@@ -6,85 +6,92 @@
 import java.util.Map;
 import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
 
-/** Sets units apart that flood a sick cell, and takes them back. */
+/** Quarantines units that flood an unhealthy cell, and returns them to their home cell later. */
 final class FloodIsolation {
 
-    /** For how long a cell must be sick before a unit is set apart; units that may be so at once. */
-    static final long PATIENCE = 3_000_000;
+    /** How long a cell must be unhealthy before a unit of it is quarantined. */
+    static final long MIN_UNHEALTHY_MICROS = 3_000_000;
 
-    static final int MOST = 4;
-    /** Stays that double the time of the next. */
-    private static final int DOUBLINGS = 3;
+    /** How many units may be in quarantine at once. */
+    static final int MAX_QUARANTINED = 4;
+    /** A repeated quarantine lasts twice as long as the one before, up to this number of doublings. */
+    private static final int MAX_DOUBLINGS = 3;
 
-    private static final class Apart {
-        private int times;
-        private long until;
-        private boolean away;
+    private static final class QuarantineHistory {
+        private int count;
+        private long endsAt;
+        private boolean inQuarantine;
     }
 
     private final Cells cells;
-    private final Map<Long, Apart> apart = new HashMap<>();
+    private final Map<Long, QuarantineHistory> historyByUnit = new HashMap<>();
 
     FloodIsolation(Cells cells) {
         this.cells = cells;
     }
 
-    /** Whether any unit is apart, or was not long ago. */
-    boolean any() {
-        return !apart.isEmpty();
+    /** Whether any unit is in quarantine, or was not long ago. */
+    boolean hasHistory() {
+        return !historyByUnit.isEmpty();
     }
 
-    /** Other orders hold for a unit. */
+    /** The configuration of a unit has changed, so that its quarantine no longer applies. */
     void forget(long unit) {
-        apart.remove(unit);
+        historyByUnit.remove(unit);
     }
 
     void clear() {
-        apart.clear();
+        historyByUnit.clear();
     }
 
-    /** To be called once a second. */
-    void look(long now, Quarantine q) {
-        List.copyOf(apart.entrySet()).forEach(e -> comeBack(now, q, e.getKey(), e.getValue()));
-        for (int c = 0; c < cells.plan().cells().size(); c++) {
-            CellHealth health = cells.state(c).health;
-            if (health.sick()
-                    && now - health.sickAt() >= PATIENCE
-                    && c != q.cell()
-                    && apart.values().stream().filter(a -> a.away).count() < MOST) {
-                setApart(now, q, c);
+    /** Starts and ends quarantines; to be called once a second. */
+    void update(long now, Quarantine settings) {
+        List.copyOf(historyByUnit.entrySet())
+                .forEach(entry -> endQuarantine(now, settings, entry.getKey(), entry.getValue()));
+        for (int cell = 0; cell < cells.plan().cells().size(); cell++) {
+            CellHealth health = cells.cellState(cell).health;
+            if (health.isUnhealthy()
+                    && now - health.unhealthySince() >= MIN_UNHEALTHY_MICROS
+                    && cell != settings.cell()
+                    && historyByUnit.values().stream()
+                                    .filter(history -> history.inQuarantine)
+                                    .count()
+                            < MAX_QUARANTINED) {
+                quarantineHeaviestUnit(now, settings, cell);
             }
         }
     }
 
-    private void setApart(long now, Quarantine q, int cell) {
-        CellState state = cells.state(cell);
-        long unit = state.lately.heaviest();
+    private void quarantineHeaviestUnit(long now, Quarantine settings, int cell) {
+        CellState state = cells.cellState(cell);
+        long unit = state.recentLoad.heaviest();
         if (unit < 0
-                || !state.floods(unit, q.share())
-                || cells.move(unit) != null
+                || !state.isFloodedBy(unit, settings.share())
+                || cells.migrationOf(unit) != null
                 || cells.home(unit) != cell
                 || cells.plan().assigned().containsKey(unit)
-                || !cells.isOpen(q.cell())) {
+                || !cells.isOpen(settings.cell())) {
             return;
         }
-        Apart a = apart.computeIfAbsent(unit, u -> new Apart());
-        a.away = true;
-        a.until = now + (q.forMicros() << Math.min(a.times++, DOUBLINGS));
-        String label = String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit, 100 * state.lately.share(unit));
-        cells.begin(now, new MoveConfiguration("quarantine", unit, label, q.cell(), now, 0, 0, 0), cell, true);
+        QuarantineHistory history = historyByUnit.computeIfAbsent(unit, u -> new QuarantineHistory());
+        history.inQuarantine = true;
+        history.endsAt = now + (settings.forMicros() << Math.min(history.count++, MAX_DOUBLINGS));
+        String label =
+                String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit, 100 * state.recentLoad.share(unit));
+        cells.beginMigration(
+                now, new MoveConfiguration("quarantine", unit, label, settings.cell(), now, 0, 0, 0), cell, true);
     }
 
-    private void comeBack(long now, Quarantine q, long unit, Apart a) {
-        UnitMigration m = cells.move(unit);
-        if (m == null || !m.automatic) {
-            // Forgiven once it has been quiet for as long as the longest stay.
-            if (now - a.until > q.forMicros() << DOUBLINGS) {
-                apart.remove(unit);
+    private void endQuarantine(long now, Quarantine settings, long unit, QuarantineHistory history) {
+        UnitMigration migration = cells.migrationOf(unit);
+        if (migration == null || !migration.automatic) {
+            // The unit's history is forgotten once as much time has passed as the longest quarantine lasts.
+            if (now - history.endsAt > settings.forMicros() << MAX_DOUBLINGS) {
+                historyByUnit.remove(unit);
             }
-        } else if (a.away && now >= a.until && m.over()) {
-            a.away = false;
-            cells.begin(
+        } else if (history.inQuarantine && now >= history.endsAt && migration.isOver()) {
+            history.inQuarantine = false;
+            cells.beginMigration(
                     now,
                     new MoveConfiguration(
                             "return",
@@ -95,10 +102,10 @@
                             0,
                             0,
                             0),
-                    m.home(),
+                    migration.home(),
                     true);
-        } else if (!a.away && m.over()) {
-            cells.settle(unit);
+        } else if (!history.inQuarantine && migration.isOver()) {
+            cells.forgetMigration(unit);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/HeavyUnits.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/HeavyUnits.java
@@ -5,30 +5,30 @@
 import java.util.Map;
 
 /**
- * The units that take the most of a cell, in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi,
- * 2005) over weights, with all weights fading by half in a given time. A unit whose part is above 1/counters
- * is always among those that are counted; what is told of one is at most the smallest counter too much.
+ * Finds the heavy hitters among the units of a cell in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi,
+ * 2005) over weights that decay exponentially. A unit whose share is above 1/counters always has a counter. A counter
+ * overestimates by at most the smallest counter; shares are given less that error, so they are never too high.
  */
 public final class HeavyUnits {
 
-    /** Growing the weight of the new is the same as fading the old; past this all are scaled back. */
-    private static final double SCALE_BACK = 1e12;
+    /** New weights are scaled up instead of decaying old ones; beyond this scale all are scaled back down. */
+    private static final double MAX_SCALE = 1e12;
 
-    private final Map<Long, Integer> at = new HashMap<>();
+    private final Map<Long, Integer> counterOfUnit = new HashMap<>();
     private final long[] units;
     private final double[] weights;
-    /** What each may have taken over from the one before it in its place. */
+    /** How much of each weight may belong to units that had the counter before. */
     private final double[] errors;
 
     private final double halfLifeMicros;
-    private int used;
+    private int usedCounters;
     private double total;
     private long scaledAt = Long.MIN_VALUE;
     private double scale = 1;
 
     /**
-     * @param counters 1 or more
-     * @param halfLifeMicros above 0
+     * @param counters how many units are counted; 1 or more
+     * @param halfLifeMicros time in which weights decay by half; above 0
      */
     public HeavyUnits(int counters, long halfLifeMicros) {
         units = new long[counters];
@@ -37,72 +37,72 @@
         this.halfLifeMicros = halfLifeMicros;
     }
 
-    /** Counts so much for a unit; times never go back. */
+    /** Adds weight to a unit; times must not go back. */
     public void add(long now, long unit, double weight) {
-        fade(now);
-        double w = weight * scale;
-        total += w;
-        Integer known = at.get(unit);
-        if (known != null) {
-            weights[known] += w;
+        decay(now);
+        double scaledWeight = weight * scale;
+        total += scaledWeight;
+        Integer existing = counterOfUnit.get(unit);
+        if (existing != null) {
+            weights[existing] += scaledWeight;
             return;
         }
-        int place = used < units.length ? used++ : least();
-        if (at.remove(units[place], place)) {
-            errors[place] = weights[place];
+        int counter = usedCounters < units.length ? usedCounters++ : smallestCounter();
+        if (counterOfUnit.remove(units[counter], counter)) {
+            errors[counter] = weights[counter];
         }
-        at.put(unit, place);
-        units[place] = unit;
-        weights[place] += w;
+        counterOfUnit.put(unit, counter);
+        units[counter] = unit;
+        weights[counter] += scaledWeight;
     }
 
-    private int least() {
-        int least = 0;
-        for (int i = 1; i < used; i++) {
-            if (weights[i] < weights[least]) {
-                least = i;
+    private int smallestCounter() {
+        int smallest = 0;
+        for (int i = 1; i < usedCounters; i++) {
+            if (weights[i] < weights[smallest]) {
+                smallest = i;
             }
         }
-        return least;
+        return smallest;
     }
 
-    /** Counts what another has counted, as it stands there by then, and empties that. */
+    /** Adds the weights of another sketch, decayed to now and less their errors, and empties that sketch. */
     void addAll(long now, HeavyUnits other) {
-        other.fade(now);
-        for (int i = 0; i < other.used; i++) {
+        other.decay(now);
+        for (int i = 0; i < other.usedCounters; i++) {
             add(now, other.units[i], (other.weights[i] - other.errors[i]) / other.scale);
         }
-        other.at.clear();
-        other.used = 0;
+        other.counterOfUnit.clear();
+        other.usedCounters = 0;
         other.total = 0;
         Arrays.fill(other.weights, 0);
         Arrays.fill(other.errors, 0);
     }
 
-    /** The part of all that a unit took for certain, 0 to 1. */
+    /** The share of the total weight that a unit certainly has, 0 to 1. */
     public double share(long unit) {
-        Integer place = at.get(unit);
-        return place == null || total <= 0 ? 0 : (weights[place] - errors[place]) / total;
+        Integer counter = counterOfUnit.get(unit);
+        return counter == null || total <= 0 ? 0 : (weights[counter] - errors[counter]) / total;
     }
 
-    /** The unit that took the most for certain, or -1 where there is none. */
+    /** The unit that certainly has the most weight; -1 if there is none. */
     public long heaviest() {
-        int most = -1;
-        for (int i = 0; i < used; i++) {
-            if (most < 0 || weights[i] - errors[i] > weights[most] - errors[most]) {
-                most = i;
+        int heaviest = -1;
+        for (int i = 0; i < usedCounters; i++) {
+            if (heaviest < 0 || weights[i] - errors[i] > weights[heaviest] - errors[heaviest]) {
+                heaviest = i;
             }
         }
-        return most < 0 ? -1 : units[most];
+        return heaviest < 0 ? -1 : units[heaviest];
     }
 
-    private void fade(long now) {
+    private void decay(long now) {
         if (scaledAt == Long.MIN_VALUE) {
             scaledAt = now;
         }
         scale = Math.exp((now - scaledAt) / halfLifeMicros * Math.log(2));
-        if (scale > SCALE_BACK) {
-            for (int i = 0; i < used; i++) {
+        if (scale > MAX_SCALE) {
+            for (int i = 0; i < usedCounters; i++) {
                 weights[i] /= scale;
                 errors[i] /= scale;
             }
--- a/src/main/java/org/cypressweir/sidecar/cell/IdempotencyKeys.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/IdempotencyKeys.java
@@ -5,72 +5,72 @@
 import java.util.Map;
 
 /**
- * At which cell keyed requests were, for as long as servers drop their repeats. While a unit moves, a repeat
- * must go to the cell that knows the first. Bounded: the oldest is forgotten where it is full, and from then
- * on {@link #completeSince} says that what is older may be unknown.
+ * Remembers the cells of keyed requests for as long as servers deduplicate them: while a unit moves, a retry must go to
+ * the cell that got the first request. Memory is bounded: if it is full, the oldest key is forgotten, and
+ * {@link #completeSince} tells that earlier keys may be missing.
  */
 final class IdempotencyKeys {
 
-    private record Seen(long token, long at) {}
+    private record Use(long token, long usedAt) {}
 
     private static final class Entry {
         private final int cell;
-        private long lastAt;
+        private long lastUsedAt;
 
-        Entry(int cell, long lastAt) {
+        Entry(int cell, long lastUsedAt) {
             this.cell = cell;
-            this.lastAt = lastAt;
+            this.lastUsedAt = lastUsedAt;
         }
     }
 
-    private final int most;
+    private final int maxTokens;
     private final Map<Long, Entry> byToken = new HashMap<>();
-    /** In the order of use; a token that was used again stands in it more than once. */
-    private final ArrayDeque<Seen> order = new ArrayDeque<>();
+    /** In the order of use; a token that was used repeatedly is in it once for each use. */
+    private final ArrayDeque<Use> uses = new ArrayDeque<>();
 
     private long completeSince;
 
-    /** @param most tokens that are remembered; the order holds twice as many uses */
-    IdempotencyKeys(int most) {
-        this.most = most;
+    /** @param maxTokens how many tokens are remembered at most, and half of how many uses of them */
+    IdempotencyKeys(int maxTokens) {
+        this.maxTokens = maxTokens;
     }
 
-    /** From when on every keyed request that was told is known. */
+    /** Since when all recorded keys are remembered, apart from expired ones. */
     long completeSince() {
         return completeSince;
     }
 
-    /** Nothing before this time was told. */
-    void begin(long now) {
+    /** Sets that keys are recorded only from this time on. */
+    void startRecording(long now) {
         completeSince = Math.max(completeSince, now);
     }
 
-    /** The cell of a token that is remembered; -1 for others. */
+    /** The cell of a token that was used within the window; -1 for any other. */
     int cellOf(long now, long window, long token) {
-        Entry e = byToken.get(token);
-        return e == null || now - e.lastAt >= window ? -1 : e.cell;
+        Entry entry = byToken.get(token);
+        return entry == null || now - entry.lastUsedAt >= window ? -1 : entry.cell;
     }
 
-    /** A keyed request has gone to a cell; a repeat keeps the cell of the first. */
-    void used(long now, long window, long token, int cell) {
-        forget(now - window);
-        byToken.computeIfAbsent(token, t -> new Entry(cell, now)).lastAt = now;
-        order.addLast(new Seen(token, now));
-        while (byToken.size() > most || order.size() > 2 * most) {
-            Seen first = order.pollFirst();
+    /** Records that a keyed request was sent to a cell; a retry keeps the cell of the first request. */
+    void recordUse(long now, long window, long token, int cell) {
+        removeExpired(now - window);
+        byToken.computeIfAbsent(token, t -> new Entry(cell, now)).lastUsedAt = now;
+        uses.addLast(new Use(token, now));
+        while (byToken.size() > maxTokens || uses.size() > 2 * maxTokens) {
+            Use first = uses.pollFirst();
             Entry e = byToken.get(first.token);
-            if (e != null && e.lastAt == first.at) {
+            if (e != null && e.lastUsedAt == first.usedAt) {
                 byToken.remove(first.token);
                 completeSince = now;
             }
         }
     }
 
-    private void forget(long before) {
-        while (!order.isEmpty() && order.peekFirst().at <= before) {
-            Seen first = order.pollFirst();
+    private void removeExpired(long expiryTime) {
+        while (!uses.isEmpty() && uses.peekFirst().usedAt <= expiryTime) {
+            Use first = uses.pollFirst();
             Entry e = byToken.get(first.token);
-            if (e != null && e.lastAt <= before) {
+            if (e != null && e.lastUsedAt <= expiryTime) {
                 byToken.remove(first.token);
             }
         }
--- a/src/main/java/org/cypressweir/sidecar/cell/MoveConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/MoveConfiguration.java
@@ -1,18 +1,19 @@
 package org.cypressweir.sidecar.cell;
 
 /**
- * A unit that operators want in another cell.
+ * A configured move of a unit to another cell.
  *
  * @param name of the move, unique in its pool
  * @param unit {@link org.cypressweir.common.util.Ids} of the tenant, key or header value
- * @param label the unit as operators wrote it
- * @param to place of the cell among those of the plan
- * @param startMicros Unix time; the same at every sidecar, so that all go in step
- * @param overMicros for how long the part of its safe requests that go to the new cell grows; 0 for at once
- * @param fenceMicros how long its writes may be held until those in hand at the old cell have ended; 0 for no
- *        fence: they go to the new cell while older ones still run at the old one
- * @param freezeMicros for how long, from the end of the ramp on, all sidecars refuse its writes, so that
- *        none is at both cells whoever sent it; 0 for no freeze
+ * @param label the unit as written in the configuration
+ * @param to index of the target cell in the configuration
+ * @param startMicros Unix time; the same at every sidecar, so that all of them move the unit at the same time
+ * @param overMicros duration of the ramp, in which a growing fraction of the unit's safe requests goes to the new
+ *     cell; 0 for all at once
+ * @param fenceMicros how long writes may be held until those in flight at the old cell have ended; 0 for no fence:
+ *     writes go to the new cell while earlier ones may still run at the old one
+ * @param freezeMicros how long, from the end of the ramp on, all sidecars reject the unit's writes, so that writes
+ *     never run at both cells at once, whichever sidecars sent them; 0 for no freeze
  */
 public record MoveConfiguration(
         String name,
@@ -24,7 +25,7 @@
         long fenceMicros,
         long freezeMicros) {
 
-    /** When a freeze begins. */
+    /** When a freeze begins, in Unix time. */
     long freezeAt() {
         return startMicros + overMicros;
     }
--- a/src/main/java/org/cypressweir/sidecar/cell/UnitMigration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/UnitMigration.java
@@ -3,16 +3,17 @@
 import org.cypressweir.common.util.Hashes;
 
 /**
- * One move, as one sidecar carries it out. Safe requests go over bit by bit; while the new cell is sick they
- * go back and the move begins again later. Once all safe ones are over, writes go over in one go, at a
- * moment when every repeat that may come is known and, with a fence, no write is in hand at the old cell.
- * From then on there is no way back; repeats of what the old cell had still go there for as long as it
- * remembers them.
+ * The migration of one unit by one sidecar. Safe requests move to the new cell gradually; if the new cell becomes
+ * unhealthy, they go back to the old one and the migration starts again later. Once all safe requests go to the new
+ * cell, writes switch all at once, at a moment when the keys of all requests that may still be retried are known and,
+ * with a fence, no write is in flight at the old cell. A switch is final. Retries of keyed requests that the old cell
+ * got still go there for as long as it deduplicates them.
  */
 final class UnitMigration {
 
     /**
-     * WAITING for its time; RAMPING safe requests; writes held by a fence or refused by a freeze; repeats.
+     * WAITING for its start; RAMPING up safe requests; SWITCHING, with writes held by a fence; FROZEN, with writes
+     * rejected; SETTLING, while retries may still go to the old cell; and the two final states.
      */
     enum State {
         WAITING,
@@ -24,142 +25,152 @@
         GIVEN_UP
     }
 
-    /** Steps back, and fences in vain, after which it is given up. */
-    static final int TRIES = 6;
-    /** First wait before it begins again; doubled each time. */
-    static final long BACK_OFF = 5_000_000;
+    /** Failed attempts (rollbacks and expired fences) after which the migration is given up. */
+    static final int MAX_ATTEMPTS = 6;
+    /** Backoff after the first failed attempt; doubled for each further one. */
+    static final long INITIAL_BACKOFF_MICROS = 5_000_000;
 
     private static final long RAMP_SALT = 0xA3;
 
-    final MoveConfiguration plan;
-    final int from;
-    /** Not ordered by operators: a quarantine, or the way back from it. */
+    final MoveConfiguration move;
+    final int fromCell;
+    /** Whether this is a move into or out of quarantine, not a configured one. */
     final boolean automatic;
 
-    private final long windowMicros;
-    /** Until then writes from before this process may run at the old cell. */
-    private final long blindUntil;
-    /** Keyed requests of the unit are remembered from then on. */
-    private final long watchedSince;
-    /** When a freeze ends; later where this process learned of it when it had begun. */
+    private final long deduplicationWindowMicros;
+    /** Until then, writes that this migration has not counted may be in flight at the old cell. */
+    private final long uncountedWritesUntil;
+    /** Since when keyed requests of the unit are remembered. */
+    private final long keysRecordedSince;
+    /** When a freeze ends; later than configured if it had begun when this process learned of it. */
     private final long frozenUntil;
 
     private State state = State.WAITING;
-    private long beganAt;
+    private long rampStartedAt;
     private long fenceUntil;
     private long switchedAt;
-    private long notBefore;
-    private int tries;
-    private int writesOut;
-
-    /** @param blindMicros from now on, for which earlier writes may run unknown to this process */
-    UnitMigration(MoveConfiguration plan, int from, boolean automatic, long now, long windowMicros, long blindMicros) {
-        this.plan = plan;
-        this.from = from;
+    private long retryAt;
+    private int failedAttempts;
+    private int writesInFlight;
+
+    /**
+     * @param uncountedWriteMicros for how long from now on writes that this migration has not counted may be in flight
+     */
+    UnitMigration(
+            MoveConfiguration move,
+            int fromCell,
+            boolean automatic,
+            long now,
+            long deduplicationWindowMicros,
+            long uncountedWriteMicros) {
+        this.move = move;
+        this.fromCell = fromCell;
         this.automatic = automatic;
-        this.windowMicros = windowMicros;
-        blindUntil = now + blindMicros;
-        watchedSince = now;
-        notBefore = plan.startMicros();
-        frozenUntil = Math.max(plan.freezeAt(), now) + plan.freezeMicros();
+        this.deduplicationWindowMicros = deduplicationWindowMicros;
+        uncountedWritesUntil = now + uncountedWriteMicros;
+        keysRecordedSince = now;
+        retryAt = move.startMicros();
+        frozenUntil = Math.max(move.freezeAt(), now) + move.freezeMicros();
     }
 
     State state() {
         return state;
     }
 
-    boolean switched() {
+    boolean hasSwitched() {
         return state == State.SETTLING || state == State.DONE;
     }
 
-    boolean over() {
+    boolean isOver() {
         return state == State.DONE || state == State.GIVEN_UP;
     }
 
-    int tries() {
-        return tries;
+    int failedAttempts() {
+        return failedAttempts;
     }
 
-    /** Where the unit's writes go by now. */
+    /** The cell to which the unit's writes go now. */
     int home() {
-        return switched() ? plan.to() : from;
+        return hasSwitched() ? move.to() : fromCell;
     }
 
-    /** Where a safe request goes; a given one always to the same side while the part is the same. */
-    int ofSafe(long now, long requestHash) {
-        return switched() || Hashes.uniform(requestHash, RAMP_SALT) < part(now) ? plan.to() : from;
+    /** The cell to which a safe request goes; the same for the same hash as long as the fraction is the same. */
+    int cellOfSafeRequest(long now, long requestHash) {
+        return hasSwitched() || Hashes.uniform(requestHash, RAMP_SALT) < movedFraction(now) ? move.to() : fromCell;
     }
 
-    /** The part of safe requests that have gone over. */
-    double part(long now) {
+    /** The fraction of safe requests that go to the new cell. */
+    double movedFraction(long now) {
         return switch (state) {
             case WAITING, GIVEN_UP -> 0;
-            case RAMPING -> plan.overMicros() == 0 ? 1 : Math.min(1, (now - beganAt) / (double) plan.overMicros());
+            case RAMPING -> move.overMicros() == 0
+                    ? 1
+                    : Math.min(1, (now - rampStartedAt) / (double) move.overMicros());
             default -> 1;
         };
     }
 
-    /** For how long a write is refused from now on; 0 for not at all. */
-    long refuses(long now) {
+    /** For how many microseconds from now on writes are rejected; 0 if they are not. */
+    long rejectsForMicros(long now) {
         return state == State.FROZEN ? Math.max(1, frozenUntil - now) : 0;
     }
 
-    /** Whether a write is to be held now. */
-    boolean holds(long now) {
+    /** Whether writes are held now. */
+    boolean holdsWrites(long now) {
         return state == State.SWITCHING && now < fenceUntil;
     }
 
-    /** From when on every keyed request of the unit is known, if those that are remembered are since then. */
-    long knownSince(long completeSince) {
-        return Math.max(watchedSince, completeSince);
+    /** Since when all keyed requests of the unit are known, given since when all remembered keys are complete. */
+    long keysKnownSince(long completeSince) {
+        return Math.max(keysRecordedSince, completeSince);
     }
 
     void writeSent() {
-        writesOut++;
+        writesInFlight++;
     }
 
     void writeEnded() {
-        writesOut--;
+        writesInFlight--;
     }
 
-    int writesOut() {
-        return writesOut;
+    int writesInFlight() {
+        return writesInFlight;
     }
 
     /**
-     * Goes on as far as it can.
+     * Advances the migration by at most one state.
      *
-     * @param toSick whether the new cell is sick
-     * @param repeatsSince from when on every keyed request is known
-     * @return whether its state has changed
+     * @param targetUnhealthy whether the new cell is unhealthy
+     * @param keysKnownSince since when all keyed requests of the unit are known
+     * @return whether the state has changed
      */
-    boolean step(long now, boolean toSick, long repeatsSince) {
+    boolean step(long now, boolean targetUnhealthy, long keysKnownSince) {
         State before = state;
         switch (state) {
             case WAITING -> {
-                // A freeze is at the same time everywhere, whatever one sidecar finds.
-                if (now >= notBefore && (!toSick || plan.freezeMicros() > 0)) {
+                // A freeze takes place at the same time at all sidecars, so it does not wait for a healthy target cell.
+                if (now >= retryAt && (!targetUnhealthy || move.freezeMicros() > 0)) {
                     state = State.RAMPING;
-                    // What an order says holds for all sidecars, so that one that restarts catches up.
-                    beganAt = tries == 0 ? plan.startMicros() : now;
+                    // The configured start holds for all sidecars, so one that restarts joins the ramp midway.
+                    rampStartedAt = failedAttempts == 0 ? move.startMicros() : now;
                 }
             }
-            case RAMPING -> ramp(now, toSick, repeatsSince);
+            case RAMPING -> ramp(now, targetUnhealthy, keysKnownSince);
             case SWITCHING -> {
-                if (writesOut == 0) {
-                    turnOver(now);
+                if (writesInFlight == 0) {
+                    switchWrites(now);
                 } else if (now >= fenceUntil) {
                     state = State.RAMPING;
-                    again(now);
+                    backOff(now);
                 }
             }
             case FROZEN -> {
                 if (now >= frozenUntil) {
-                    turnOver(now);
+                    switchWrites(now);
                 }
             }
             case SETTLING -> {
-                if (now - switchedAt >= windowMicros) {
+                if (now - switchedAt >= deduplicationWindowMicros) {
                     state = State.DONE;
                 }
             }
@@ -168,50 +179,50 @@
         return state != before;
     }
 
-    private void ramp(long now, boolean toSick, long repeatsSince) {
-        if (plan.freezeMicros() > 0) {
-            state = part(now) >= 1 ? State.FROZEN : state;
+    private void ramp(long now, boolean targetUnhealthy, long keysKnownSince) {
+        if (move.freezeMicros() > 0) {
+            state = movedFraction(now) >= 1 ? State.FROZEN : state;
             return;
         }
-        if (toSick) {
+        if (targetUnhealthy) {
             state = State.WAITING;
-            again(now);
+            backOff(now);
             return;
         }
-        boolean ready = part(now) >= 1 && now >= notBefore && now - repeatsSince >= windowMicros;
+        boolean ready = movedFraction(now) >= 1 && now >= retryAt && now - keysKnownSince >= deduplicationWindowMicros;
         if (!ready) {
             return;
         }
-        if (plan.fenceMicros() == 0) {
-            turnOver(now);
-        } else if (now >= blindUntil) {
-            if (writesOut == 0) {
-                turnOver(now);
+        if (move.fenceMicros() == 0) {
+            switchWrites(now);
+        } else if (now >= uncountedWritesUntil) {
+            if (writesInFlight == 0) {
+                switchWrites(now);
             } else {
                 state = State.SWITCHING;
-                fenceUntil = now + plan.fenceMicros();
+                fenceUntil = now + move.fenceMicros();
             }
         }
     }
 
-    private void turnOver(long now) {
+    private void switchWrites(long now) {
         state = State.SETTLING;
         switchedAt = now;
     }
 
-    private void again(long now) {
-        notBefore = now + (BACK_OFF << Math.min(tries, TRIES));
-        if (++tries >= TRIES) {
+    private void backOff(long now) {
+        retryAt = now + (INITIAL_BACKOFF_MICROS << Math.min(failedAttempts, MAX_ATTEMPTS));
+        if (++failedAttempts >= MAX_ATTEMPTS) {
             state = State.GIVEN_UP;
         }
     }
 
-    /** When to look again; 0 for at any time. */
-    long wakeAt() {
+    /** When to call {@link #step} next; 0 for no particular time. */
+    long nextStepAt() {
         return switch (state) {
             case SWITCHING -> fenceUntil;
             case FROZEN -> frozenUntil;
-            case WAITING -> notBefore;
+            case WAITING -> retryAt;
             default -> 0;
         };
     }
--- a/src/test/java/org/cypressweir/sidecar/cell/CellHealthTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellHealthTest.java
@@ -7,37 +7,37 @@
 import java.util.function.LongToDoubleFunction;
 import org.junit.jupiter.api.Test;
 
-/** When a cell counts as sick. */
+/** When a cell counts as unhealthy. */
 class CellHealthTest {
 
     private static final long SECOND = 1_000_000;
 
-    /** Changes in so many seconds at 50 answers a second, of which that part is in time. */
-    private static int changes(CellHealth health, long from, long seconds, LongToDoubleFunction part) {
+    /** Counts health changes over some seconds with 50 responses a second, of which the given fraction is in time. */
+    private static int changes(CellHealth health, long from, long seconds, LongToDoubleFunction fractionInTime) {
         int changes = 0;
         for (long s = from; s < from + seconds; s++) {
             for (int i = 0; i < 50; i++) {
-                health.told(s * SECOND + i * 20_000, i < 50 * part.applyAsDouble(s));
+                health.recordResponse(s * SECOND + i * 20_000, i < 50 * fractionInTime.applyAsDouble(s));
             }
-            changes += health.look(s * SECOND + 999_999) ? 1 : 0;
+            changes += health.evaluate(s * SECOND + 999_999) ? 1 : 0;
         }
         return changes;
     }
 
     @Test
-    void sickWithinSecondsWellOnlyAfterAWhile() {
+    void becomesUnhealthyWithinSecondsAndHealthyAfterAWhile() {
         CellHealth health = new CellHealth();
         assertEquals(0, changes(health, 0, 20, s -> 0.95));
         assertEquals(1, changes(health, 20, 4, s -> 0.1));
-        assertTrue(health.sick());
+        assertTrue(health.isUnhealthy());
         assertEquals(0, changes(health, 24, 9, s -> 0.95));
         assertEquals(1, changes(health, 33, 10, s -> 0.95));
-        assertFalse(health.sick());
+        assertFalse(health.isUnhealthy());
     }
 
-    /** Swings about either mark must not make it flap: at most one change in ten seconds. */
+    /** A fraction that oscillates around either threshold makes the health change once in 300 s at most. */
     @Test
-    void hoveringDoesNotFlap() {
+    void oscillationDoesNotFlap() {
         for (double middle : new double[] {0.5, 0.65, 0.8}) {
             CellHealth health = new CellHealth();
             int changes = changes(health, 0, 300, s -> middle + 0.1 * Math.sin(s * 0.7));
@@ -49,23 +49,23 @@
     }
 
     @Test
-    void fewAnswersSayNothing() {
+    void fewResponsesDoNotChangeHealth() {
         CellHealth health = new CellHealth();
         for (long s = 0; s < 60; s++) {
-            health.told(s * SECOND, false);
-            assertFalse(health.look(s * SECOND));
+            health.recordResponse(s * SECOND, false);
+            assertFalse(health.evaluate(s * SECOND));
         }
     }
 
-    /** Nobody asks a cell that is sick any more, or so it may be: it must not stay sick for that. */
+    /** An unhealthy cell may get no requests any more. It must not stay unhealthy for lack of responses. */
     @Test
-    void aQuietCellBecomesWell() {
+    void aCellWithoutRequestsBecomesHealthy() {
         CellHealth health = new CellHealth();
         assertEquals(1, changes(health, 0, 5, s -> 0));
-        boolean well = false;
+        boolean healthy = false;
         for (long s = 5; s < 25; s++) {
-            well |= health.look(s * SECOND);
+            healthy |= health.evaluate(s * SECOND);
         }
-        assertTrue(well);
+        assertTrue(healthy);
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
@@ -22,25 +22,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests, moves, reloads, sick spells and lists at random, held against what must always be so. */
+/** Checks invariants under random requests, moves, reloads, changes of health and server lists. */
 class CellsRandomWalkTest {
 
     private static final long START = 50_000_000;
     private static final int UNITS = 12;
     private static final int STEPS = 30_000;
 
-    private record Out(String unit, Effect effect, long token, Ticket ticket) {}
+    private record SentRequest(String unit, Effect effect, long token, Ticket ticket) {}
 
     private static final class Walk {
         final SplittableRandom random;
-        final CellsFixture rig;
-        final List<Out> out = new ArrayList<>();
-        final Map<Ticket, Out> held = new HashMap<>();
-        /** Where a keyed request was, and when last. */
-        final Map<Long, long[]> keyed = new HashMap<>();
+        final CellsFixture fixture;
+        final List<SentRequest> inFlight = new ArrayList<>();
+        final Map<Ticket, SentRequest> held = new HashMap<>();
+        /** The cell of each keyed request and when it was last used, by token. */
+        final Map<Long, long[]> keyedRequests = new HashMap<>();
 
         final List<Long> tokens = new ArrayList<>();
-        final Set<Integer> slow = new HashSet<>();
+        final Set<Integer> slowCells = new HashSet<>();
         final boolean fenced;
         long ids;
         int released;
@@ -49,14 +49,14 @@
         Walk(long seed) {
             random = new SplittableRandom(seed);
             fenced = seed % 2 == 0;
-            rig = new CellsFixture(plan(), START, 24);
+            fixture = new CellsFixture(randomConfiguration(), START, 24);
         }
 
-        private CellsConfiguration plan() {
+        private CellsConfiguration randomConfiguration() {
             List<MoveConfiguration> moves = new ArrayList<>();
             for (int u = 0; u < UNITS; u++) {
                 if (random.nextInt(3) == 0) {
-                    long now = rig == null ? START : rig.now;
+                    long now = fixture == null ? START : fixture.now;
                     moves.add(CellPlans.move(
                             "u" + u,
                             random.nextInt(4),
@@ -73,161 +73,164 @@
         }
 
         void step(int n) {
-            rig.to(rig.now + random.nextInt(8_000));
-            collect();
-            int what = random.nextInt(1_000);
-            if (what < 500) {
-                ask();
-            } else if (what < 985 && !out.isEmpty()) {
-                Out o = out.remove(random.nextInt(out.size()));
-                rig.done(o.ticket, !slow.contains(o.ticket.cell()));
-            } else if (what < 990) {
+            fixture.to(fixture.now + random.nextInt(8_000));
+            collectReleased();
+            int choice = random.nextInt(1_000);
+            if (choice < 500) {
+                sendRandomRequest();
+            } else if (choice < 985 && !inFlight.isEmpty()) {
+                SentRequest ended = inFlight.remove(random.nextInt(inFlight.size()));
+                fixture.done(ended.ticket, !slowCells.contains(ended.ticket.cell()));
+            } else if (choice < 990) {
                 long id = 1 + random.nextInt(24);
-                rig.cells.listed(
-                        rig.now,
+                fixture.cells.listed(
+                        fixture.now,
                         ListKind.CHANGES,
                         List.of(CellPlans.server(
                                 id, (int) id % 2, random.nextInt(2) == 0 ? Phase.REMOVED : Phase.READY)));
-            } else if (what < 995) {
+            } else if (choice < 995) {
                 int cell = random.nextInt(4);
-                if (!slow.remove(cell)) {
-                    slow.add(cell);
+                if (!slowCells.remove(cell)) {
+                    slowCells.add(cell);
                 }
-            } else if (what < 996 && random.nextInt(8) == 0) {
-                rig.cells.plan(rig.now, plan(), CellsFixture.REQUESTS);
+            } else if (choice < 996 && random.nextInt(8) == 0) {
+                fixture.cells.plan(fixture.now, randomConfiguration(), CellsFixture.REQUESTS);
             } else if (!held.isEmpty()) {
-                Ticket leaves = held.keySet().iterator().next();
-                rig.cells.left(rig.now, leaves);
-                held.remove(leaves);
+                Ticket cancelled = held.keySet().iterator().next();
+                fixture.cells.left(fixture.now, cancelled);
+                held.remove(cancelled);
             }
-            collect();
-            check(n);
+            collectReleased();
+            checkCounts(n);
         }
 
-        private void ask() {
+        private void sendRandomRequest() {
             String unit = "u" + random.nextInt(UNITS);
             Effect effect = Effect.values()[random.nextInt(3)];
-            boolean again = effect == Effect.KEYED && !tokens.isEmpty() && random.nextInt(4) == 0;
-            long token = again ? tokens.get(Math.max(0, tokens.size() - 1 - random.nextInt(30))) : ++ids;
+            boolean isRetry = effect == Effect.KEYED && !tokens.isEmpty() && random.nextInt(4) == 0;
+            long token = isRetry ? tokens.get(Math.max(0, tokens.size() - 1 - random.nextInt(30))) : ++ids;
             if (effect == Effect.KEYED) {
-                // A key belongs to the unit that it came with first.
+                // A key always comes with the same unit.
                 unit = "u" + token % UNITS;
                 tokens.add(token);
             }
-            Ticket t = rig.ask(unit, effect, token);
-            Out o = new Out(unit, effect, token, t);
-            if (t.cell() < 0) {
+            Ticket ticket = fixture.ask(unit, effect, token);
+            SentRequest request = new SentRequest(unit, effect, token, ticket);
+            if (ticket.cell() < 0) {
                 assertTrue(effect != Effect.SAFE, "a safe request is held");
-                held.put(t, o);
+                held.put(ticket, request);
                 holds++;
             } else {
-                went(o);
+                recordSent(request);
             }
         }
 
-        private void collect() {
-            for (Ticket t : rig.released) {
-                Out o = held.remove(t);
+        private void collectReleased() {
+            for (Ticket t : fixture.released) {
+                SentRequest o = held.remove(t);
                 assertTrue(o != null, "released twice, or never held");
                 released++;
-                went(o);
+                recordSent(o);
             }
-            rig.released.clear();
+            fixture.released.clear();
         }
 
-        private void went(Out o) {
-            assertTrue(o.ticket.cell() >= 0 && o.ticket.cell() < 4);
-            out.add(o);
-            if (o.effect == Effect.KEYED) {
-                long[] before = keyed.get(o.token);
-                if (before != null && rig.now - before[1] < CellPlans.WINDOW) {
+        private void recordSent(SentRequest request) {
+            assertTrue(request.ticket.cell() >= 0 && request.ticket.cell() < 4);
+            inFlight.add(request);
+            if (request.effect == Effect.KEYED) {
+                long[] before = keyedRequests.get(request.token);
+                if (before != null && fixture.now - before[1] < CellPlans.WINDOW) {
                     assertEquals(
                             before[0],
-                            o.ticket.cell(),
-                            "a repeat of " + o.token + " of " + o.unit + " went elsewhere: " + rig.log);
+                            request.ticket.cell(),
+                            "a retry of " + request.token + " of " + request.unit + " went to another cell: "
+                                    + fixture.log);
                 }
-                keyed.put(o.token, new long[] {o.ticket.cell(), rig.now});
+                keyedRequests.put(request.token, new long[] {request.ticket.cell(), fixture.now});
             }
         }
 
-        private void check(int n) {
+        private void checkCounts(int n) {
             for (int c = 0; c < 4; c++) {
                 int cell = c;
                 assertEquals(
-                        out.stream().filter(o -> o.ticket.cell() == cell).count(), rig.cells.inFlight(c), "step " + n);
-                assertTrue(rig.cells.guests(c) <= 0.05 * CellsFixture.REQUESTS, "step " + n);
+                        inFlight.stream().filter(o -> o.ticket.cell() == cell).count(),
+                        fixture.cells.inFlight(c),
+                        "step " + n);
+                assertTrue(fixture.cells.spilloverInFlight(c) <= 0.05 * CellsFixture.REQUESTS, "step " + n);
             }
-            assertEquals(held.size(), rig.cells.held(), "step " + n);
+            assertEquals(held.size(), fixture.cells.held(), "step " + n);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void whatMustAlwaysBeSo(long seed) {
+    void invariantsHold(long seed) {
         Walk walk = new Walk(seed);
         try {
             for (int n = 0; n < STEPS; n++) {
                 walk.step(n);
             }
-            walk.rig.to(walk.rig.now + 60_000_000);
-            walk.collect();
+            walk.fixture.to(walk.fixture.now + 60_000_000);
+            walk.collectReleased();
             assertTrue(walk.held.isEmpty(), "held for ever");
-            List.copyOf(walk.out).forEach(o -> walk.rig.done(o.ticket, true));
+            List.copyOf(walk.inFlight).forEach(o -> walk.fixture.done(o.ticket, true));
             for (int c = 0; c < 4; c++) {
-                assertEquals(0, walk.rig.cells.inFlight(c));
-                assertEquals(0, walk.rig.cells.guests(c));
+                assertEquals(0, walk.fixture.cells.inFlight(c));
+                assertEquals(0, walk.fixture.cells.spilloverInFlight(c));
             }
-            // With a fence and writes always out a move may get nowhere.
-            assertTrue(walk.fenced || walk.rig.logged("writes go to cell"), "no move got anywhere");
+            // With a fence and writes always in flight, no move may get to its end.
+            assertTrue(walk.fenced || walk.fixture.logged("writes go to cell"), "no move switched its writes");
             assertTrue(!walk.fenced || walk.holds > 0, "nothing was ever held");
         } catch (AssertionError e) {
             throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
         }
     }
 
-    /** With a fence, writes of the moved unit are never at both cells; for many timings of ends. */
+    /** With a fence, writes of the moved unit never run at both cells, at whatever moments they end. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void aFenceKeepsWritesApart(long seed) {
+    void withAFenceWritesNeverRunAtBothCells(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Cell> cells = CellPlans.cells(3);
         BitSet open = new BitSet();
         open.set(0, 3);
         int from = new Placement(cells, Map.of(), open).home(Ids.of("acme"));
         int to = (from + 1) % 3;
-        CellsFixture rig = new CellsFixture(
+        CellsFixture fixture = new CellsFixture(
                 CellPlans.plan(cells, 0, null, CellPlans.move("acme", to, START + 6_000_000, 0, 400_000)), START, 24);
-        List<Ticket> out = new ArrayList<>();
+        List<Ticket> inFlight = new ArrayList<>();
         Set<Ticket> held = new HashSet<>();
         int atNew = 0;
         for (int n = 0; n < 12_000; n++) {
-            rig.to(rig.now + random.nextInt(10_000));
-            rig.released.forEach(t -> {
+            fixture.to(fixture.now + random.nextInt(10_000));
+            fixture.released.forEach(t -> {
                 assertTrue(held.remove(t), "seed " + seed);
-                out.add(t);
+                inFlight.add(t);
             });
-            rig.released.clear();
+            fixture.released.clear();
             if (random.nextInt(10) < 4) {
-                Ticket t = rig.ask("acme", Effect.UNSAFE);
+                Ticket t = fixture.ask("acme", Effect.UNSAFE);
                 if (t.cell() < 0) {
                     held.add(t);
                 } else {
-                    out.add(t);
+                    inFlight.add(t);
                 }
             }
-            while (out.size() > 40 || !out.isEmpty() && random.nextInt(10) < 4) {
-                rig.done(out.remove(random.nextInt(out.size())), true);
+            while (inFlight.size() > 40 || !inFlight.isEmpty() && random.nextInt(10) < 4) {
+                fixture.done(inFlight.remove(random.nextInt(inFlight.size())), true);
             }
-            rig.released.forEach(t -> {
+            fixture.released.forEach(t -> {
                 assertTrue(held.remove(t), "seed " + seed);
-                out.add(t);
+                inFlight.add(t);
             });
-            rig.released.clear();
-            long old = out.stream().filter(t -> t.cell() == from).count();
-            long moved = out.stream().filter(t -> t.cell() == to).count();
+            fixture.released.clear();
+            long old = inFlight.stream().filter(t -> t.cell() == from).count();
+            long moved = inFlight.stream().filter(t -> t.cell() == to).count();
             atNew += moved > 0 ? 1 : 0;
             assertTrue(old == 0 || moved == 0, "seed " + seed + ", step " + n + ": " + old + " and " + moved);
         }
-        assertTrue(atNew > 0, "seed " + seed + ": it never moved: " + rig.log);
+        assertTrue(atNew > 0, "seed " + seed + ": it never moved: " + fixture.log);
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/cell/HeavyUnitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/HeavyUnitsTest.java
@@ -8,11 +8,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The heaviest units of a cell, against exact counts. */
+/** Compares the sketch of a cell's heaviest units with exact counts. */
 class HeavyUnitsTest {
 
     @Test
-    void nothingIsHeavyBeforeTheFirst() {
+    void anEmptySketchHasNoHeaviestUnit() {
         HeavyUnits heavy = new HeavyUnits(4, 1_000);
         assertEquals(-1, heavy.heaviest());
         assertEquals(0, heavy.share(1));
@@ -21,9 +21,9 @@
         assertEquals(1, heavy.share(9), 1e-9);
     }
 
-    /** 1,700 accounts, a few of them far more popular; 64 counters. */
+    /** 1,700 units, a few of them far heavier than the others, and 64 counters. */
     @Test
-    void sharesAreNeverTooHighAndNearForTheHeavy() {
+    void sharesAreNeverTooHighAndCloseForHeavyUnits() {
         for (long seed = 1; seed <= 5; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             HeavyUnits heavy = new HeavyUnits(64, 2_000_000);
@@ -52,12 +52,12 @@
     }
 
     @Test
-    void whatWasHeavyFades() {
+    void oldWeightDecays() {
         HeavyUnits heavy = new HeavyUnits(8, 1_000_000);
         heavy.add(0, 1, 1_000);
         heavy.add(1_000_000, 2, 500);
         assertEquals(0.5, heavy.share(1), 1e-9);
-        // Far enough for the scale to be taken back more than once.
+        // Long enough for the weights to be scaled down more than once.
         for (long now = 2_000_000; now < 200_000_000; now += 1_000_000) {
             heavy.add(now, 2, 1);
         }
--- a/src/test/java/org/cypressweir/sidecar/cell/IdempotencyKeysTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/IdempotencyKeysTest.java
@@ -10,40 +10,40 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Which cell knows a keyed request. */
+/** Which cell got a keyed request first, and for how long this is remembered. */
 class IdempotencyKeysTest {
 
     private static final long WINDOW = 1_000;
 
     @Test
-    void aRepeatKeepsTheCellOfTheFirst() {
-        IdempotencyKeys repeats = new IdempotencyKeys(10);
-        repeats.used(0, WINDOW, 7, 2);
-        repeats.used(900, WINDOW, 7, 5);
-        assertEquals(2, repeats.cellOf(1_800, WINDOW, 7));
-        assertEquals(-1, repeats.cellOf(1_900, WINDOW, 7));
-        assertEquals(-1, repeats.cellOf(0, WINDOW, 8));
+    void aRetryKeepsTheCellOfTheFirstRequest() {
+        IdempotencyKeys keys = new IdempotencyKeys(10);
+        keys.recordUse(0, WINDOW, 7, 2);
+        keys.recordUse(900, WINDOW, 7, 5);
+        assertEquals(2, keys.cellOf(1_800, WINDOW, 7));
+        assertEquals(-1, keys.cellOf(1_900, WINDOW, 7));
+        assertEquals(-1, keys.cellOf(0, WINDOW, 8));
     }
 
     @Test
-    void whatIsForgottenTooEarlyIsSaid() {
-        IdempotencyKeys repeats = new IdempotencyKeys(3);
+    void completeSinceTellsWhatWasForgottenEarly() {
+        IdempotencyKeys keys = new IdempotencyKeys(3);
         for (int i = 0; i < 3; i++) {
-            repeats.used(i, WINDOW, i, 0);
+            keys.recordUse(i, WINDOW, i, 0);
         }
-        assertEquals(0, repeats.completeSince());
-        repeats.used(50, WINDOW, 3, 0);
-        assertEquals(50, repeats.completeSince());
-        assertEquals(-1, repeats.cellOf(50, WINDOW, 0));
-        assertEquals(0, repeats.cellOf(50, WINDOW, 1));
+        assertEquals(0, keys.completeSince());
+        keys.recordUse(50, WINDOW, 3, 0);
+        assertEquals(50, keys.completeSince());
+        assertEquals(-1, keys.cellOf(50, WINDOW, 0));
+        assertEquals(0, keys.cellOf(50, WINDOW, 1));
     }
 
-    /** Against a plain map that forgets nothing; memory stays within its bound. */
+    /** Compares with a map that forgets nothing; memory stays within its bound. */
     @Test
-    void likeAMapThatForgetsNothing() {
+    void behavesLikeAnUnboundedMap() {
         long seed = 41;
         SplittableRandom random = new SplittableRandom(seed);
-        IdempotencyKeys repeats = new IdempotencyKeys(200);
+        IdempotencyKeys keys = new IdempotencyKeys(200);
         Map<Long, long[]> plain = new HashMap<>();
         List<Long> tokens = new ArrayList<>();
         long now = 0;
@@ -55,12 +55,12 @@
             tokens.add(token);
             long[] known = plain.get(token);
             int expected = known == null || now - known[1] >= WINDOW ? -1 : (int) known[0];
-            assertEquals(expected, repeats.cellOf(now, WINDOW, token), "seed " + seed + ", step " + i);
+            assertEquals(expected, keys.cellOf(now, WINDOW, token), "seed " + seed + ", step " + i);
             int cell = expected >= 0 ? expected : random.nextInt(4);
-            repeats.used(now, WINDOW, token, cell);
+            keys.recordUse(now, WINDOW, token, cell);
             plain.put(token, new long[] {cell, now});
-            assertTrue(repeats.size() <= 200);
+            assertTrue(keys.size() <= 200);
         }
-        assertEquals(0, repeats.completeSince());
+        assertEquals(0, keys.completeSince());
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/cell/PlacementTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/PlacementTest.java
@@ -11,7 +11,7 @@
 import org.cypressweir.testkit.CellPlans;
 import org.junit.jupiter.api.Test;
 
-/** Where units are at home. */
+/** Home cells of units. */
 class PlacementTest {
 
     private static BitSet open(int... cells) {
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void homesFollowShares() {
+    void homeCellsFollowShares() {
         List<Cell> cells = List.of(
                 new Cell("a", 2, false), new Cell("b", 1, false), new Cell("c", 1, false), new Cell("q", 5, true));
         int[] counts = counts(new Placement(cells, Map.of(), open(0, 1, 2, 3)), 4);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aCellMoreTakesOnlyItsOwnPart() {
+    void anAddedCellTakesOnlyItsOwnShare() {
         Placement four = new Placement(CellPlans.cells(4), Map.of(), open(0, 1, 2, 3));
         Placement five = new Placement(CellPlans.cells(5), Map.of(), open(0, 1, 2, 3, 4));
         int moved = 0;
@@ -59,9 +59,9 @@
         assertEquals(8_000, moved, 1_200);
     }
 
-    /** The guests of a sick cell must not all meet in one other. */
+    /** The spillover of an unhealthy cell must not all go to the same other cell. */
     @Test
-    void nextHomesAreSpread() {
+    void nextHomeCellsAreSpread() {
         Placement placement = new Placement(CellPlans.cellsAndReserve(5), Map.of(), open(0, 1, 2, 3, 4, 5));
         int[] next = new int[6];
         for (int i = 0; i < 40_000; i++) {
@@ -79,18 +79,18 @@
     }
 
     @Test
-    void whatIsAssignedGoesBeforeTheHash() {
+    void assignmentsTakePrecedenceOverTheHash() {
         Placement placement =
                 new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2, unit(2), 1), open(0, 1, 2));
         assertEquals(2, placement.home(unit(1)));
         assertEquals(1, placement.home(unit(2)));
-        // A cell without servers is nobody's home, whatever is assigned.
+        // A cell without servers is no home cell, even of units that are assigned to it.
         Placement without = new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2), open(0));
         assertEquals(0, without.home(unit(1)));
     }
 
     @Test
-    void withNoServersAtAllEveryUnitStillHasAHome() {
+    void withoutServersEveryUnitStillHasAHomeCell() {
         Placement placement = new Placement(CellPlans.cells(3), Map.of(), open());
         int[] counts = counts(placement, 3);
         assertTrue(counts[0] > 0 && counts[1] > 0 && counts[2] > 0);
