--- a/src/main/java/org/cypressweir/dataplane/quota/DemandAggregator.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/DemandAggregator.java
@@ -6,19 +6,19 @@
 import java.util.TreeMap;
 
 /**
- * Sums the demand of tenants, in requests per second, over the proxies that report to one controller. The last
- * report of a proxy that falls silent counts on for a while, since the proxy may still admit requests by it; after
- * a disconnect it counts only briefly. Not thread-safe; times are microseconds of one monotonic clock.
+ * Sums the demand of tenants, in requests per second, over the proxies that report to one controller. If a proxy stops
+ * reporting, its last report still counts for a while, since the proxy may still be admitting requests; after a
+ * disconnect it counts only briefly. Not thread-safe; times are microseconds of one monotonic clock.
  */
 public final class DemandAggregator {
 
-    /** For how long a report counts. */
+    /** How long a report counts. */
     private static final long REPORT_LIFETIME_MICROS = 8_000_000;
 
-    /** For how long the report of a disconnected proxy counts. */
+    /** How long the report of a disconnected proxy counts. */
     private static final long DISCONNECTED_LIFETIME_MICROS = 500_000;
 
-    /** A total is published again once it has changed by more than this, in requests per second ... */
+    /** A total is published again if it has changed by more than this, in requests per second ... */
     private static final double PUBLISHED_CHANGE = 0.5;
 
     /** ... and by more than this fraction of the published value. */
@@ -30,14 +30,14 @@
     }
 
     private final Map<String, Report> reports = new HashMap<>();
-    /** The totals as they were published last, by tenant. */
+    /** The last published totals, by tenant. */
     private final Map<String, Double> published = new HashMap<>();
 
     /**
-     * Takes in a proxy's report.
+     * Records a proxy's report.
      *
      * @param demandByTenant requests per second; a tenant without a positive number is removed
-     * @param complete whether tenants that are not in the report have no demand; else they stay as they were
+     * @param complete whether tenants missing from the report have no demand; otherwise their demand is unchanged
      */
     public void report(long nowMicros, String proxy, Map<?, ?> demandByTenant, boolean complete) {
         Report report = reports.computeIfAbsent(proxy, name -> new Report());
@@ -77,8 +77,8 @@
     }
 
     /**
-     * The totals to publish, which count as published from then on: those that have changed noticeably, or all. A
-     * tenant whose demand has ended is in it once with 0.
+     * Returns the totals to publish, those that have changed noticeably or all of them, and marks them as published. A
+     * tenant whose demand has ended is included once, with 0.
      */
     public Map<String, Double> takeChangedTotals(long nowMicros, boolean all) {
         Map<String, Double> totals = totals(nowMicros);
--- a/src/main/java/org/cypressweir/dataplane/quota/DemandMeter.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/DemandMeter.java
@@ -5,23 +5,23 @@
 import java.util.TreeMap;
 
 /**
- * The demand of tenants at one proxy, in requests per second, by exponentially decaying counts. Not thread-safe; times
- * are microseconds of one monotonic clock.
+ * Measures the demand of tenants at one proxy, in requests per second, with exponentially decaying counts. Not
+ * thread-safe; times are microseconds of one monotonic clock.
  */
 public final class DemandMeter {
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Time constant of the counts. */
+    /** Time constant of the exponential decay. */
     private static final double DECAY_MICROS = 1_000_000;
 
     /** Demand below this counts as none. */
     private static final double MIN_DEMAND = 0.05;
 
-    /** Demand is reported again once it has changed by this fraction of the reported value ... */
+    /** Demand is reported again if it has changed by more than this fraction of the reported value ... */
     private static final double REPORTED_CHANGE_FRACTION = 0.15;
 
-    /** ... and by so many requests per second. */
+    /** ... and by more than this, in requests per second. */
     private static final double REPORTED_CHANGE = 0.5;
 
     private static final class Count {
@@ -36,7 +36,7 @@
 
     private final Map<String, Count> countsByTenant = new HashMap<>();
 
-    /** A request of the tenant has arrived. */
+    /** Counts a request of the tenant that has arrived. */
     public void count(long nowMicros, String tenant) {
         Count count = countsByTenant.computeIfAbsent(tenant, name -> new Count());
         count.decayingCount = count.at(nowMicros) + 1;
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The demand to report to the controllers, which counts as reported from then on: that which has changed
-     * noticeably, or all. Where only changes are reported, a tenant whose demand has ended is in it once with 0.
+     * Returns the demand to report to the controllers, either the noticeable changes or all of it, and marks it as
+     * reported. If only changes are reported, a tenant whose demand has ended is included once, with 0.
      */
     public Map<String, Double> takeChangedDemand(long nowMicros, boolean all) {
         Map<String, Double> changed = new TreeMap<>();
@@ -89,7 +89,7 @@
         return Math.abs(demand - count.reportedDemand) > threshold || demand == 0 && count.reportedDemand > 0;
     }
 
-    /** To two decimals. */
+    /** Rounds to two decimals. */
     private static double round(double demand) {
         return Math.round(demand * 100) / 100.0;
     }
--- a/src/main/java/org/cypressweir/dataplane/quota/ProxyCounter.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/ProxyCounter.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * Counts the proxies that may be running, by name. The limits of tenants are divided by this number, so it has to be at
- * least the true one: a proxy that is no longer seen may be partitioned, and counts on for two hours, longer than
- * partitions of regions last. One that has announced its shutdown counts a minute longer. Who is partitioned itself
- * forgets nobody. Not thread-safe; times are microseconds of one monotonic clock.
+ * Counts the proxies that may be running, by name. The limits of tenants are divided by this number, so it must not be
+ * below the true one: a proxy that is no longer seen may be partitioned and still counts for two hours, longer than
+ * partitions of regions last. A proxy that has announced its shutdown counts for one more minute. A process that is
+ * itself partitioned from the controllers must not forget any proxy. Not thread-safe; times are microseconds of one
+ * monotonic clock.
  */
 public final class ProxyCounter {
 
@@ -16,13 +17,15 @@
 
     private final Map<String, Long> countedUntil = new HashMap<>();
 
-    /** A proxy is known to be there; one that is shutting down was seen so. */
+    /** Records that a proxy was seen running or shutting down. */
     public void seen(long nowMicros, String name, boolean isShuttingDown) {
         long retention = isShuttingDown ? LEAVING_RETENTION_MICROS : RETENTION_MICROS;
         countedUntil.put(name, nowMicros + retention);
     }
 
-    /** Forgets the proxies whose time is over; to be called in contact with a quorum of the controllers only. */
+    /**
+     * Forgets the proxies whose retention has ended. Only to be called while in contact with a quorum of controllers.
+     */
     public void expire(long nowMicros) {
         countedUntil.values().removeIf(until -> until < nowMicros);
     }
--- a/src/main/java/org/cypressweir/dataplane/quota/QuotaGate.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/QuotaGate.java
@@ -14,11 +14,12 @@
 
 /**
  * Admits the requests of tenants at one proxy. Each tenant has a {@link TokenAccount}; a request that finds it empty
- * waits briefly, while one controller after the other is asked for tokens from its {@link TokenPool}. Once all of them
- * had none, further requests are rejected at once for a while.
+ * waits briefly, while one controller after the other is asked for tokens from its {@link TokenPool}. If none of them
+ * has any, further requests are rejected at once during a backoff.
  *
- * <p>No token is made but by an account's own part of the limit, so whatever is partitioned, restarted, lost or late,
- * the proxies together admit at most the limit, as long as each divides it by no less than the number of proxies.
+ * <p>Tokens are created only by accounts, each at its own share of the limit. So the proxies together never admit more
+ * than the limit, even if processes are partitioned or restarted and messages are lost or late, provided that each
+ * proxy divides the limit by at least the true number of proxies.
  *
  * <p>Not thread-safe. Times are microseconds of one monotonic clock.
  */
@@ -26,40 +27,41 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** A request waits so long at most for a controller's tokens. */
+    /** How long a request waits for tokens from controllers at most. */
     private static final long MAX_WAIT_MICROS = 100_000;
 
+    /** How many requests of a tenant may wait at once. */
     private static final int MAX_WAITING = 256;
 
-    /** How long no tokens are asked for once all controllers had none. */
+    /** How long no controller is asked for tokens after none had any. */
     private static final long MIN_BACKOFF_MICROS = 100_000;
 
     private static final long MAX_BACKOFF_MICROS = 1_000_000;
 
-    /** The backoff as a fraction of the time in which a proxy earns a token: the pools fill no faster. */
+    /** The backoff as a fraction of the time in which a proxy earns a token, since pools fill no faster than that. */
     private static final double BACKOFF_FRACTION = 0.1;
 
-    /** Tokens for so long are asked for in advance where the demand is beyond the proxy's own part. */
+    /** How many seconds of demand are requested in advance if the demand exceeds the proxy's own share. */
     private static final double ADVANCE_SECONDS = 0.1;
 
-    /** Below so many requests per second none are asked for in advance. */
+    /** Demand, in requests per second, below which no tokens are requested in advance. */
     private static final double MIN_ADVANCE_DEMAND = 5;
 
     private static final long MIN_RETRY_AFTER_MICROS = 10_000;
     private static final long MAX_RETRY_AFTER_MICROS = 1_000_000;
     private static final int INITIAL_PROXY_COUNT = 8;
 
-    /** A request that waits for a token. */
-    private record Waiting(long until, Runnable onAdmitted, LongConsumer onRejected) {}
+    /** A request that waits for a token until the given time. */
+    private record Waiting(long expiresAt, Runnable onAdmitted, LongConsumer onRejected) {}
 
-    /** One tenant's account and what it is waiting for. */
+    /** A tenant's account and its waiting requests. */
     private static final class Tenant {
         private final TokenAccount account;
         private final Deque<Waiting> waiting = new ArrayDeque<>();
-        /** Controllers that had no tokens, since one of them had some. */
-        private final Set<String> empty = new HashSet<>();
-        /** The controller that was asked and has not responded; null for none. */
-        private String asked;
+        /** Controllers that had no tokens since a controller last had some. */
+        private final Set<String> controllersWithoutTokens = new HashSet<>();
+        /** The controller that was asked and has not responded yet; null for none. */
+        private String askedController;
 
         private long askedAt;
         private long backoffUntil;
@@ -73,25 +75,25 @@
     private final SplittableRandom random;
     private final DemandMeter demand = new DemandMeter();
     private final Map<String, Tenant> tenants = new HashMap<>();
-    /** Those for which a controller was asked; some of them may have their tokens already. */
-    private final Set<String> waitingTenants = new HashSet<>();
+    /** Tenants for which a controller was asked; some may have got their tokens since. */
+    private final Set<String> tenantsToCheck = new HashSet<>();
 
     private int proxyCount = INITIAL_PROXY_COUNT;
     private int nextController;
 
-    /** @param random spreads the moments at which proxies earn their tokens */
+    /** @param random spreads the times at which proxies earn their tokens */
     public QuotaGate(TokenRequester requester, SplittableRandom random) {
         this.requester = requester;
         this.random = random;
         nextController = random.nextInt(Short.MAX_VALUE);
     }
 
-    /** The requests per second that arrive, by tenant. */
+    /** The arriving requests per second, by tenant. */
     public DemandMeter demand() {
         return demand;
     }
 
-    /** Sets by how many proxies the limits are divided. */
+    /** Sets the number of proxies by which the limits are divided. */
     public void setProxyCount(long nowMicros, int count) {
         int next = Math.max(1, count);
         if (next != proxyCount) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /** The limits of a new configuration: all tenants that have one. */
+    /** Applies the limits of a new configuration, which has all tenants with a limit. */
     public void updateLimits(long nowMicros, Map<String, TenantLimit> limits) {
         for (String name : List.copyOf(tenants.keySet())) {
             if (!limits.containsKey(name)) {
@@ -113,8 +115,8 @@
     private Tenant tenant(long nowMicros, String name, TenantLimit limit) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
-            // What a former process has spent is not known. One that spends all it earns has a part of a token at any
-            // moment, and so this one begins with a part: not with a whole token.
+            // It is unknown what a previous process has spent. One that spends all it earns has a fraction of a token
+            // at any moment, so this one starts with a fraction too: whole tokens could be spent a second time.
             tenant = new Tenant(new TokenAccount(nowMicros, limit, proxyCount, random.nextDouble()));
             tenants.put(name, tenant);
         } else if (!tenant.account.limit().equals(limit)) {
@@ -126,54 +128,55 @@
     /**
      * Admits a request, at once or after a short wait, or rejects it.
      *
-     * @param onRejected takes the microseconds after which to retry
+     * @param onRejected gets the time in microseconds after which to retry
      */
     public void admit(long nowMicros, String name, TenantLimit limit, Runnable onAdmitted, LongConsumer onRejected) {
         demand.count(nowMicros, name);
         Tenant tenant = tenant(nowMicros, name, limit);
         if (tenant.waiting.isEmpty() && tenant.account.trySpend(nowMicros)) {
-            askInAdvance(nowMicros, name, tenant);
+            requestTokensInAdvance(nowMicros, name, tenant);
             onAdmitted.run();
             return;
         }
-        boolean maySoonHaveTokens = tenant.asked != null || nowMicros >= tenant.backoffUntil;
-        if (!maySoonHaveTokens || tenant.waiting.size() >= MAX_WAITING) {
+        boolean mayGetTokens = tenant.askedController != null || nowMicros >= tenant.backoffUntil;
+        if (!mayGetTokens || tenant.waiting.size() >= MAX_WAITING) {
             reject(nowMicros, tenant, onRejected);
             return;
         }
         tenant.waiting.add(new Waiting(nowMicros + MAX_WAIT_MICROS, onAdmitted, onRejected));
-        if (tenant.asked == null) {
-            askNext(nowMicros, name, tenant);
+        if (tenant.askedController == null) {
+            requestTokens(nowMicros, name, tenant);
         }
     }
 
-    private void askInAdvance(long nowMicros, String name, Tenant tenant) {
-        if (!tenant.account.isLimited() || tenant.asked != null || nowMicros < tenant.backoffUntil) {
+    private void requestTokensInAdvance(long nowMicros, String name, Tenant tenant) {
+        if (!tenant.account.isLimited() || tenant.askedController != null || nowMicros < tenant.backoffUntil) {
             return;
         }
-        double arriving = demand.demand(nowMicros, name);
-        boolean isBeyondOwnPart = arriving >= MIN_ADVANCE_DEMAND && arriving > tenant.account.ratePerSecond();
-        if (isBeyondOwnPart && tenant.account.tokens(nowMicros) < 1) {
-            askNext(nowMicros, name, tenant);
+        double arrivalRate = demand.demand(nowMicros, name);
+        boolean exceedsOwnShare = arrivalRate >= MIN_ADVANCE_DEMAND && arrivalRate > tenant.account.ratePerSecond();
+        if (exceedsOwnShare && tenant.account.tokens(nowMicros) < 1) {
+            requestTokens(nowMicros, name, tenant);
         }
     }
 
-    /** Asks the next controller that may have tokens; rejects what waits where there is none. */
-    private void askNext(long nowMicros, String name, Tenant tenant) {
+    /** Asks the next controller that may have tokens; if there is none, rejects the waiting requests. */
+    private void requestTokens(long nowMicros, String name, Tenant tenant) {
         List<String> candidates = new ArrayList<>(requester.controllers());
-        candidates.removeAll(tenant.empty);
+        candidates.removeAll(tenant.controllersWithoutTokens);
         if (candidates.isEmpty()) {
-            tenant.asked = null;
-            tenant.empty.clear();
+            tenant.askedController = null;
+            tenant.controllersWithoutTokens.clear();
             tenant.backoffUntil = nowMicros + backoffMicros(tenant);
             rejectWaiting(nowMicros, tenant);
             return;
         }
-        waitingTenants.add(name);
-        tenant.asked = candidates.get(Math.floorMod(nextController++, candidates.size()));
+        tenantsToCheck.add(name);
+        tenant.askedController = candidates.get(Math.floorMod(nextController++, candidates.size()));
         tenant.askedAt = nowMicros;
         double advance = ADVANCE_SECONDS * demand.demand(nowMicros, name);
-        requester.requestTokens(tenant.asked, name, Math.max(Math.max(1, tenant.waiting.size()), (int) advance));
+        requester.requestTokens(
+                tenant.askedController, name, Math.max(Math.max(1, tenant.waiting.size()), (int) advance));
     }
 
     private static long backoffMicros(Tenant tenant) {
@@ -181,24 +184,24 @@
         return (long) Math.max(MIN_BACKOFF_MICROS, Math.min(MAX_BACKOFF_MICROS, BACKOFF_FRACTION * earningMicros));
     }
 
-    /** A controller's response to a request for tokens: so many, or 0. */
+    /** Handles a controller's response to a request for tokens. The count is 0 if it had none. */
     public void tokensReceived(long nowMicros, String controller, String name, int count) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
             return;
         }
         tenant.account.add(nowMicros, count);
-        if (controller.equals(tenant.asked)) {
-            tenant.asked = null;
+        if (controller.equals(tenant.askedController)) {
+            tenant.askedController = null;
         }
         if (count > 0) {
-            tenant.empty.clear();
+            tenant.controllersWithoutTokens.clear();
         } else {
-            tenant.empty.add(controller);
+            tenant.controllersWithoutTokens.add(controller);
         }
         admitWaiting(nowMicros, tenant);
-        if (!tenant.waiting.isEmpty() && tenant.asked == null) {
-            askNext(nowMicros, name, tenant);
+        if (!tenant.waiting.isEmpty() && tenant.askedController == null) {
+            requestTokens(nowMicros, name, tenant);
         }
     }
 
@@ -220,34 +223,34 @@
         onRejected.accept(Math.max(MIN_RETRY_AFTER_MICROS, Math.min(MAX_RETRY_AFTER_MICROS, untilToken)));
     }
 
-    /** Ends waits that are over; to be called several times a second. */
+    /** Rejects requests that have waited too long; to be called several times a second. */
     public void tick(long nowMicros) {
-        // A copy: what is run may bring the next request of a connection.
-        for (String name : List.copyOf(waitingTenants)) {
+        // Iterates over a copy, since a callback may let in the next request of its connection.
+        for (String name : List.copyOf(tenantsToCheck)) {
             Tenant tenant = tenants.get(name);
-            if (tenant == null || tenant.asked == null && tenant.waiting.isEmpty()) {
-                waitingTenants.remove(name);
+            if (tenant == null || tenant.askedController == null && tenant.waiting.isEmpty()) {
+                tenantsToCheck.remove(name);
             } else {
-                endWaits(nowMicros, name, tenant);
+                updateWaiting(nowMicros, name, tenant);
             }
         }
     }
 
-    private void endWaits(long nowMicros, String name, Tenant tenant) {
-        if (tenant.asked != null && nowMicros - tenant.askedAt >= MAX_WAIT_MICROS) {
-            tenant.empty.add(tenant.asked);
-            tenant.asked = null;
+    private void updateWaiting(long nowMicros, String name, Tenant tenant) {
+        if (tenant.askedController != null && nowMicros - tenant.askedAt >= MAX_WAIT_MICROS) {
+            tenant.controllersWithoutTokens.add(tenant.askedController);
+            tenant.askedController = null;
         }
         admitWaiting(nowMicros, tenant);
-        while (!tenant.waiting.isEmpty() && tenant.waiting.peek().until <= nowMicros) {
+        while (!tenant.waiting.isEmpty() && tenant.waiting.peek().expiresAt <= nowMicros) {
             reject(nowMicros, tenant, tenant.waiting.remove().onRejected);
         }
-        if (!tenant.waiting.isEmpty() && tenant.asked == null) {
-            askNext(nowMicros, name, tenant);
+        if (!tenant.waiting.isEmpty() && tenant.askedController == null) {
+            requestTokens(nowMicros, name, tenant);
         }
     }
 
-    /** Gives what this proxy does not need to one of the controllers; to be called a few times a second. */
+    /** Gives the tokens that this proxy does not need to a controller; to be called a few times a second. */
     public void giveSurplus(long nowMicros) {
         List<String> controllers = requester.controllers();
         if (controllers.isEmpty()) {
@@ -265,7 +268,7 @@
         }
     }
 
-    /** What this proxy has admitted and rejected, by tenant. */
+    /** The requests that this proxy has admitted and rejected, and its tokens, by tenant. */
     public Map<String, TenantUsage> usage(long nowMicros) {
         Map<String, TenantUsage> usageByTenant = new TreeMap<>();
         tenants.forEach((name, tenant) -> {
--- a/src/main/java/org/cypressweir/dataplane/quota/TenantLimit.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/TenantLimit.java
@@ -8,8 +8,8 @@
 /**
  * A tenant's rate limit over all proxies.
  *
- * @param ratePerSecond requests per second; 0 or below: no limit
- * @param burst requests that may come at once
+ * @param ratePerSecond requests per second; no limit if 0 or below
+ * @param burst requests that may arrive at once
  */
 public record TenantLimit(double ratePerSecond, double burst) {
 
@@ -26,7 +26,7 @@
         return limits;
     }
 
-    /** Whether there is a limit at all. */
+    /** Whether the rate is limited at all. */
     public boolean isLimited() {
         return ratePerSecond > 0;
     }
--- a/src/main/java/org/cypressweir/dataplane/quota/TenantUsage.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/TenantUsage.java
@@ -1,11 +1,11 @@
 package org.cypressweir.dataplane.quota;
 
 /**
- * What one proxy did with the requests of a tenant, for operators.
+ * Use of a tenant's limit at one proxy, for operators.
  *
- * @param ratePerSecond the part of the tenant's limit that the proxy earns by itself
- * @param tokens how many requests it may admit at once now
- * @param admitted requests since the start
- * @param rejected requests since the start
+ * @param ratePerSecond the share of the tenant's limit that the proxy earns by itself
+ * @param tokens how many requests the proxy could admit at once now
+ * @param admitted requests since the start of the process
+ * @param rejected requests since the start of the process
  */
 public record TenantUsage(double ratePerSecond, double tokens, long admitted, long rejected) {}
--- a/src/main/java/org/cypressweir/dataplane/quota/TokenAccount.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/TokenAccount.java
@@ -1,9 +1,10 @@
 package org.cypressweir.dataplane.quota;
 
 /**
- * One proxy's tokens of one tenant. It earns an equal part of the tenant's rate, and spends one token for each request
- * that it admits. What it does not need is taken out as surplus, to be spent elsewhere; what it needs beyond its own
- * part is added. A token is in one place at any time, so that all accounts together spend no more than was earned.
+ * One proxy's tokens of one tenant. The account earns an equal share of the tenant's rate and spends one token for each
+ * admitted request. Tokens that the proxy does not need are taken out as surplus for other proxies, and tokens that it
+ * needs beyond its own share are added. A token is in one place at any time, so that all accounts together spend no
+ * more than they have earned.
  *
  * <p>Not thread-safe. Times are microseconds of one monotonic clock.
  */
@@ -11,10 +12,10 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The fraction of the burst that all accounts together keep for requests that come at once. */
+    /** The fraction of the burst that all accounts together keep for requests that arrive at once. */
     private static final double KEPT_BURST_FRACTION = 0.25;
 
-    /** Earnings of so many seconds are kept until they are taken as surplus. */
+    /** How many seconds of earnings are kept until they are taken as surplus. */
     private static final double SURPLUS_SECONDS = 0.25;
 
     private TenantLimit limit;
@@ -24,7 +25,7 @@
     private long admitted;
     private long rejected;
 
-    /** @param tokens to begin with */
+    /** @param tokens the initial number of tokens */
     TokenAccount(long nowMicros, TenantLimit limit, int proxyCount, double tokens) {
         this.limit = limit;
         this.proxyCount = proxyCount;
@@ -32,12 +33,12 @@
         earnedUntil = nowMicros;
     }
 
-    /** The limit or the number of proxies has changed. Tokens above what may be kept now are lost. */
+    /** Applies a changed limit or number of proxies. Tokens beyond what may now be kept are lost. */
     void update(long nowMicros, TenantLimit nextLimit, int nextProxyCount) {
         earn(nowMicros);
         limit = nextLimit;
         proxyCount = nextProxyCount;
-        tokens = Math.min(tokens, mostKept());
+        tokens = Math.min(tokens, maxKept());
     }
 
     boolean isLimited() {
@@ -48,24 +49,24 @@
         return limit;
     }
 
-    /** This proxy's part of the rate, in requests per second. */
+    /** This proxy's share of the rate, in requests per second. */
     double ratePerSecond() {
         return limit.ratePerSecond() / proxyCount;
     }
 
-    private double kept() {
+    private double keptBurst() {
         return KEPT_BURST_FRACTION * limit.burst() / proxyCount;
     }
 
-    /** A request needs a whole token, so an account may always collect one. */
-    private double mostKept() {
-        return 1 + kept() + SURPLUS_SECONDS * ratePerSecond();
+    /** A request needs a whole token, so an account may always save up one. */
+    private double maxKept() {
+        return 1 + keptBurst() + SURPLUS_SECONDS * ratePerSecond();
     }
 
     private void earn(long nowMicros) {
         double earned = ratePerSecond() * (nowMicros - earnedUntil) / MICROS_PER_SECOND;
         earnedUntil = nowMicros;
-        tokens = Math.max(tokens, Math.min(mostKept(), tokens + earned));
+        tokens = Math.max(tokens, Math.min(maxKept(), tokens + earned));
     }
 
     /** Spends a token for a request, if there is one. */
@@ -87,19 +88,19 @@
         rejected++;
     }
 
-    /** Tokens that another proxy did not need. */
+    /** Adds tokens that another proxy did not need. */
     void add(long nowMicros, int count) {
         earn(nowMicros);
         tokens += count;
     }
 
-    /** Takes out the whole tokens beyond those that are kept for requests here. */
+    /** Takes out the whole tokens beyond those that are kept for this proxy's requests. */
     int takeSurplus(long nowMicros) {
         if (!limit.isLimited()) {
             return 0;
         }
         earn(nowMicros);
-        int surplus = (int) Math.max(0, tokens - kept());
+        int surplus = (int) Math.max(0, tokens - keptBurst());
         tokens -= surplus;
         return surplus;
     }
@@ -109,7 +110,7 @@
         return tokens;
     }
 
-    /** When this account will have earned a token by itself. */
+    /** How long it takes until this account has earned a whole token by itself. */
     long microsUntilToken(long nowMicros) {
         double missing = Math.max(0, 1 - tokens(nowMicros));
         return (long) (missing / ratePerSecond() * MICROS_PER_SECOND);
--- a/src/main/java/org/cypressweir/dataplane/quota/TokenPool.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/TokenPool.java
@@ -4,16 +4,18 @@
 import java.util.Map;
 
 /**
- * The tokens at one controller that proxies did not need, by tenant, for proxies that need more than their own part of
- * a limit. It only keeps what it was given and makes no tokens: a controller that restarts begins with none, and any
- * number of controllers may have a pool. Not thread-safe.
+ * Tokens that proxies did not need, by tenant, kept at one controller for proxies that need more than their own share
+ * of a limit. A pool only keeps what it was given and creates no tokens: it is empty after a restart of its controller,
+ * and any number of controllers may have one. Not thread-safe.
  */
 public final class TokenPool {
 
     /** The fraction of the burst that the pools of all controllers together may keep. */
     private static final double KEPT_BURST_FRACTION = 0.5;
 
-    /** The part of the tolerated slack that the pools may keep besides, since small bursts are spread thin. */
+    /**
+     * The fraction of the slack that pools may keep in addition: a small burst alone leaves each of them very little.
+     */
     private static final double KEPT_SLACK_FRACTION = 0.5;
 
     private Map<String, TenantLimit> limits = Map.of();
@@ -21,20 +23,20 @@
     private final double slack;
     private int controllerCount = 1;
 
-    /** @param slack requests beyond the limit that the operators tolerate within a window */
+    /** @param slack how many requests beyond the limit operators tolerate within a window */
     public TokenPool(double slack) {
         this.slack = slack;
     }
 
-    /** The limits of a new configuration, and how many controllers have a pool. */
+    /** Applies the limits of a new configuration and the number of controllers that have a pool. */
     public void update(Map<String, TenantLimit> nextLimits, int nextControllerCount) {
         limits = Map.copyOf(nextLimits);
         controllerCount = Math.max(1, nextControllerCount);
-        tokensByTenant.replaceAll((tenant, tokens) -> Math.min(tokens, mostKept(tenant)));
+        tokensByTenant.replaceAll((tenant, tokens) -> Math.min(tokens, maxKept(tenant)));
         tokensByTenant.values().removeIf(tokens -> tokens <= 0);
     }
 
-    private int mostKept(String tenant) {
+    private int maxKept(String tenant) {
         TenantLimit limit = limits.get(tenant);
         if (limit == null || !limit.isLimited()) {
             return 0;
@@ -43,17 +45,17 @@
         return (int) Math.max(1, kept / controllerCount);
     }
 
-    /** Takes in what a proxy does not need; what is beyond the most that is kept is lost. */
+    /** Adds a proxy's surplus; tokens beyond the maximum that is kept are lost. */
     public void add(Map<String, Integer> surplusByTenant) {
         surplusByTenant.forEach((tenant, surplus) -> {
-            int tokens = Math.min(mostKept(tenant), tokens(tenant) + Math.max(0, surplus));
+            int tokens = Math.min(maxKept(tenant), tokens(tenant) + Math.max(0, surplus));
             if (tokens > 0) {
                 tokensByTenant.put(tenant, tokens);
             }
         });
     }
 
-    /** Hands out tokens, as many as are wanted or as there are. */
+    /** Takes out as many tokens as are wanted, or all if there are fewer. */
     public int take(String tenant, int wanted) {
         int taken = Math.min(Math.max(0, wanted), tokens(tenant));
         if (taken > 0) {
@@ -62,7 +64,7 @@
         return taken;
     }
 
-    /** How many tokens of the tenant there are. */
+    /** The number of tokens of the tenant. */
     public int tokens(String tenant) {
         return tokensByTenant.getOrDefault(tenant, 0);
     }
--- a/src/main/java/org/cypressweir/dataplane/quota/TokenRequester.java
+++ b/src/main/java/org/cypressweir/dataplane/quota/TokenRequester.java
@@ -6,12 +6,12 @@
 /** How a proxy reaches the controllers' {@link TokenPool}s. */
 public interface TokenRequester {
 
-    /** The controllers that are connected now. */
+    /** The names of the controllers that are connected now. */
     List<String> controllers();
 
-    /** Asks a controller for tokens of a tenant; the response comes to {@link QuotaGate#tokensReceived}. */
+    /** Asks a controller for tokens of a tenant; the response is passed to {@link QuotaGate#tokensReceived}. */
     void requestTokens(String controller, String tenant, int count);
 
-    /** Gives a controller tokens that are not needed here. They are spent even if the message is lost. */
+    /** Gives a controller tokens that are not needed here. If the message is lost, so are the tokens. */
     void giveTokens(String controller, Map<String, Integer> tokensByTenant);
 }
--- a/src/test/java/org/cypressweir/dataplane/quota/ProxyCounterTest.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/ProxyCounterTest.java
@@ -11,7 +11,7 @@
     private final ProxyCounter counter = new ProxyCounter();
 
     @Test
-    void aProxyThatIsNoLongerSeenCountsOn() {
+    void aProxyThatIsNoLongerSeenStillCounts() {
         counter.seen(0, "p1", false);
         counter.seen(0, "p2", false);
         counter.seen(90 * MINUTE, "p1", false);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void oneThatHasAnnouncedItsShutdownCountsAMinute() {
+    void aProxyThatIsShuttingDownCountsForAMinute() {
         counter.seen(0, "p1", false);
         counter.seen(0, "p2", true);
         counter.expire(2 * MINUTE);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void nothingIsForgottenByItself() {
+    void proxiesAreOnlyForgottenByExpire() {
         counter.seen(0, "p1", true);
         assertThat(counter.count()).isEqualTo(1);
     }
--- a/src/test/java/org/cypressweir/dataplane/quota/QuotaFaultsTest.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/QuotaFaultsTest.java
@@ -20,10 +20,12 @@
     private static final double RATE = 32;
     private static final double BURST = 32;
     private static final long WINDOW_MICROS = 5 * SECOND;
-    /** What the operators of the fleet tolerate beyond the limit in a window: a fraction of it, and so many more. */
+    /** What operators tolerate beyond the limit within a window: this fraction of the limit ... */
     private static final double TOLERATED_OVERRUN = 0.1;
 
+    /** ... and this number of requests. */
     private static final int TOLERATED_SLACK = 20;
+
     private static final double USUAL_DEMAND = 20;
     private static final double HOT_DEMAND = 150;
     private static final int RANDOM_RUNS = 50;
@@ -46,7 +48,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void partitionedProxiesAndTheOthersKeepTheLimitTogether(long seed) {
+    void bothSidesOfAPartitionTogetherKeepTheLimit(long seed) {
         QuotaFleet fleet = fleet(seed);
         fleet.runUntil(10_500_000);
         fleet.partition(2, 4, 8);
@@ -64,7 +66,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aRiseAloneKeepsTheLimit(long seed) {
+    void risingDemandKeepsTheLimit(long seed) {
         QuotaFleet fleet = fleet(seed);
         fleet.runUntil(12 * SECOND);
         fleet.demandPerSecond = HOT_DEMAND;
@@ -74,7 +76,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aControllerThatComesBackKeepsTheLimit(long seed) {
+    void restartedControllersKeepTheLimit(long seed) {
         QuotaFleet fleet = fleet(seed);
         fleet.runUntil(12 * SECOND);
         fleet.demandPerSecond = HOT_DEMAND;
@@ -89,7 +91,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void proxiesThatAreRestartedAgainAndAgainKeepTheLimit(long seed) {
+    void repeatedProxyRestartsKeepTheLimit(long seed) {
         QuotaFleet fleet = fleet(seed);
         fleet.runUntil(12 * SECOND);
         fleet.demandPerSecond = HOT_DEMAND;
@@ -104,7 +106,7 @@
     }
 
     @Test
-    void allControllersGoneKeepsTheLimit() {
+    void withoutControllersTheLimitIsKept() {
         QuotaFleet fleet = fleet(1);
         fleet.runUntil(12 * SECOND);
         for (int controller = 0; controller < CONTROLLERS; controller++) {
@@ -115,7 +117,7 @@
         assertLimitKept(fleet);
     }
 
-    /** Faults at random, in series and overlapping, while the demand moves and the limit changes. */
+    /** Random faults, one after another and overlapping, while the demand and the limit change. */
     @ParameterizedTest
     @ValueSource(ints = {3, 11, 40})
     void randomFaultsKeepTheLimit(int proxies) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** What a check that never failed is worth: each of these faults breaks the limit. */
+    /** Checks that the random runs detect faults: each of these planted faults must exceed the limit. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -136,13 +138,13 @@
                 "TokenAccount.java | return limit.ratePerSecond() / proxyCount; | return limit.ratePerSecond();",
                 "QuotaGate.java | proxyCount, random.nextDouble()) | proxyCount, limit.burst())"
             })
-    void plantedFaultsAreFound(String file, String text, String instead) throws Exception {
+    void plantedFaultsAreFound(String file, String text, String replacement) throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/dataplane/quota"),
                 file,
                 text,
-                instead,
+                replacement,
                 name -> name.startsWith("org.cypressweir.dataplane.quota."));
         Method excess = planted.loadClass(RandomQuotaFaults.class.getName()).getMethod("excess", long.class, int.class);
         int worst = 0;
--- a/src/test/java/org/cypressweir/dataplane/quota/QuotaFleet.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/QuotaFleet.java
@@ -8,7 +8,7 @@
 
 /**
  * A fleet of proxies and controllers in simulated time that admits the requests of one tenant. Proxies can be
- * partitioned from the controllers or restarted, controllers can be restarted; what was admitted is counted.
+ * partitioned from the controllers or restarted, controllers can be restarted; admitted requests are counted.
  */
 final class QuotaFleet {
 
@@ -17,15 +17,15 @@
     private static final long STEP_MICROS = 1_000;
     private static final long TICK_MICROS = 50_000;
     private static final long SURPLUS_MICROS = 200_000;
-    /** How long a message takes. */
+    /** One-way delay of a message. */
     private static final long DELAY_MICROS = 600;
-    /** After so long without a message, a proxy takes its connections for lost. */
+    /** A proxy considers its connections lost after this time without messages. */
     private static final long DISCONNECTED_AFTER_MICROS = 1_200_000;
 
     private static final double SLACK = 20;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** A message under way. */
+    /** A message in transit. */
     private record Event(long at, long number, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -130,8 +130,8 @@
     private TenantLimit limit;
     private long now;
     private long lastEvent;
-    /** How much of the demand comes to each proxy; null: the same. */
-    private int[] thousandths;
+    /** Share of the demand that each proxy gets, in thousandths; null for equal shares. */
+    private int[] demandThousandths;
     /** Requests per second of the tenant over the whole fleet. */
     double demandPerSecond;
 
@@ -158,7 +158,7 @@
                 .orElseThrow();
     }
 
-    /** Both ways; what is sent in a partition is lost. */
+    /** Delivers a message in either direction; it is lost if the proxy is partitioned by then. */
     private void send(Proxy proxy, Runnable delivery) {
         events.add(new Event(now + DELAY_MICROS, ++lastEvent, () -> {
             if (!proxy.isPartitioned()) {
@@ -175,7 +175,7 @@
         return proxyCount;
     }
 
-    /** The proxies exchange nothing with the controllers until they are joined again. */
+    /** Cuts proxies off from all controllers until they are joined again. */
     void partition(int... indexes) {
         for (int index : indexes) {
             proxies.get(index).partitionedAt = now;
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Kills a proxy's process; the next one serves after the delay. */
+    /** Kills a proxy's process; the next one runs after the delay. */
     void restartProxy(int index, long delayMicros) {
         Proxy proxy = proxies.get(index);
         proxy.start();
@@ -200,25 +200,25 @@
         controllers.get(index).runsFrom = now + delayMicros;
     }
 
-    /** All proxies and controllers learn a new limit at once. */
+    /** Sets a new limit at all proxies and controllers at once. */
     void setLimit(double ratePerSecond, double burst) {
         limit = new TenantLimit(ratePerSecond, burst);
         controllers.forEach(Controller::updateLimit);
         proxies.forEach(proxy -> proxy.gate.updateLimits(now, Map.of(TENANT, limit)));
     }
 
-    /** Sets how much of the demand comes to each proxy. */
-    void distribute(int... demandThousandths) {
-        thousandths = demandThousandths;
+    /** Sets the share of the demand that each proxy gets, in thousandths. */
+    void distribute(int... thousandths) {
+        demandThousandths = thousandths;
     }
 
-    /** Counts requests and admissions anew; the times of admissions are kept. */
+    /** Resets the counts of requests and admissions; the times of admissions are kept. */
     void resetCounts() {
         requested = 0;
         admitted = 0;
     }
 
-    /** Runs until that time, with requests at random moments at proxies that run. */
+    /** Runs until the given time, with requests at random moments; those at proxies that are down are ignored. */
     void runUntil(long until) {
         for (; now < until; now += STEP_MICROS) {
             while (!events.isEmpty() && events.peek().at <= now) {
@@ -229,18 +229,18 @@
             }
             double expected = demandPerSecond * STEP_MICROS / SECOND;
             for (; random.nextDouble() < expected; expected--) {
-                request(proxies.get(chosenProxy()));
+                request(proxies.get(randomProxy()));
             }
         }
     }
 
-    private int chosenProxy() {
-        if (thousandths == null) {
+    private int randomProxy() {
+        if (demandThousandths == null) {
             return random.nextInt(proxyCount);
         }
         int proxy = 0;
-        for (int left = random.nextInt(1000); left >= thousandths[proxy]; proxy++) {
-            left -= thousandths[proxy];
+        for (int left = random.nextInt(1000); left >= demandThousandths[proxy]; proxy++) {
+            left -= demandThousandths[proxy];
         }
         return proxy;
     }
@@ -270,7 +270,7 @@
         admittedTimes.add(now);
     }
 
-    /** The most requests that were admitted within a time span of that length. */
+    /** The highest number of requests admitted within any time span of this length. */
     int mostAdmittedWithin(long lengthMicros) {
         int most = 0;
         for (int first = 0, last = 0; last < admittedTimes.size(); last++) {
--- a/src/test/java/org/cypressweir/dataplane/quota/QuotaSharesTest.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/QuotaSharesTest.java
@@ -8,12 +8,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What tenants get of the whole fleet, in simulated time: each proxy has a share of the limit and lends the rest. */
+/**
+ * What a tenant gets from the whole fleet, in simulated time: each proxy earns a share of the limit and lends the rest.
+ */
 class QuotaSharesTest {
 
     private static final int CONTROLLERS = 3;
     private static final int LARGE_FLEET = 66;
-    /** The processes run for a while before the first requests. */
+    /** How long the processes run before the first requests. */
     private static final long LEAD_MICROS = SECOND;
 
     private static QuotaFleet fleet(double rate, double burst, int... thousandths) {
@@ -54,8 +56,8 @@
         "200 200 200 200 200, 400, 200",
         "900 25 25 25 25, 400, 200"
     })
-    void aHotTenantGetsItsRateAndNoMore(String parts, double rate, double burst) {
-        QuotaFleet fleet = fleet(rate, burst, thousandths(parts));
+    void anOverloadedTenantGetsItsRateAndNoMore(String demandThousandths, double rate, double burst) {
+        QuotaFleet fleet = fleet(rate, burst, thousandths(demandThousandths));
         run(fleet, 3 * SECOND, 3 * rate);
         run(fleet, 20 * SECOND, 3 * rate);
         assertThat(fleet.admitted).isGreaterThanOrEqualTo((int) (0.95 * 17 * rate));
@@ -64,31 +66,31 @@
 
     @ParameterizedTest
     @CsvSource({"6, 32, 32", "10, 32, 32", "10, 100, 100", "1.5, 32, 32", "6, 8, 8", "1.5, 8, 8"})
-    void aLargeFleetAdmitsTheLimitAndNoMore(double times, double rate, double burst) {
+    void aLargeFleetAdmitsTheLimitAndNoMore(double demandFactor, double rate, double burst) {
         QuotaFleet fleet = fleet(rate, burst, even(LARGE_FLEET));
         run(fleet, 6 * SECOND, 0.6 * rate);
         assertThat(fleet.requested - fleet.admitted).isLessThanOrEqualTo((int) (0.03 * fleet.requested));
-        run(fleet, 16 * SECOND, times * rate);
+        run(fleet, 16 * SECOND, demandFactor * rate);
         assertThat(fleet.admitted).isGreaterThanOrEqualTo((int) (0.95 * 10 * rate));
         assertLimitKept(fleet, rate, burst);
     }
 
-    /** What a partitioned proxy does not use is not lent; both sides together have the whole limit. */
+    /** A partitioned proxy cannot lend its unused tokens; both sides together keep the whole limit. */
     @ParameterizedTest
     @CsvSource({"1000 0 0 0 0, 0.19", "200 200 200 200 200, 0.95", "0 1000 0 0 0, 0.77"})
-    void aPartitionedProxyAdmitsItsShareAndNoMore(String parts, double least) {
-        QuotaFleet fleet = fleet(60, 60, thousandths(parts));
+    void aPartitionedProxyAdmitsItsShareAndNoMore(String demandThousandths, double minFraction) {
+        QuotaFleet fleet = fleet(60, 60, thousandths(demandThousandths));
         run(fleet, 6 * SECOND, 180);
         fleet.partition(0);
         run(fleet, 30 * SECOND, 180);
-        assertThat(fleet.admitted).isGreaterThan((int) (least * 24 * 60));
+        assertThat(fleet.admitted).isGreaterThan((int) (minFraction * 24 * 60));
         assertLimitKept(fleet, 60, 60);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1000 0 0 0 0", "200 200 200 200 200", "700 200 50 30 20"})
-    void aTenantBelowItsRateIsHardlyRejected(String parts) {
-        QuotaFleet fleet = fleet(60, 60, thousandths(parts));
+    void aTenantBelowItsRateIsRarelyRejected(String demandThousandths) {
+        QuotaFleet fleet = fleet(60, 60, thousandths(demandThousandths));
         run(fleet, 60 * SECOND, 36);
         assertThat(fleet.requested - fleet.admitted).isLessThanOrEqualTo((int) (0.005 * fleet.requested));
         assertLimitKept(fleet, 60, 60);
@@ -96,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 4})
-    void sharesFollowDemandThatMoves(int to) {
+    void tokensFollowDemandToAnotherProxy(int to) {
         QuotaFleet fleet = fleet(60, 60, 1000, 0, 0, 0, 0);
         run(fleet, 10 * SECOND, 180);
         int[] moved = new int[5];
--- a/src/test/java/org/cypressweir/dataplane/quota/RandomQuotaFaults.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/RandomQuotaFaults.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** A fleet under a demand that moves, with faults at random that overlap, by seed. */
+/** Runs a fleet under changing demand with random, overlapping faults, reproducible by seed. */
 public final class RandomQuotaFaults {
 
     private static final int CONTROLLERS = 3;
@@ -19,7 +19,7 @@
 
     private RandomQuotaFaults() {}
 
-    /** By how many requests the worst window exceeded rate, burst and slack; below 0 where none did. */
+    /** By how many requests the worst window exceeded rate, burst and slack; negative if there was room left. */
     public static int excess(long seed, int proxies) {
         QuotaFleet fleet = new QuotaFleet(seed, proxies, CONTROLLERS, RATE, BURST);
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/org/cypressweir/dataplane/quota/UnconnectedRequester.java
+++ b/src/test/java/org/cypressweir/dataplane/quota/UnconnectedRequester.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** No controller is connected. */
+/** A {@link TokenRequester} of a proxy that is connected to no controller. */
 public class UnconnectedRequester implements TokenRequester {
 
     @Override
@@ -13,11 +13,11 @@
 
     @Override
     public void requestTokens(String controller, String tenant, int count) {
-        throw new AssertionError("no controller " + controller);
+        throw new AssertionError("no controller is connected: " + controller);
     }
 
     @Override
     public void giveTokens(String controller, Map<String, Integer> tokensByTenant) {
-        throw new AssertionError("no controller " + controller);
+        throw new AssertionError("no controller is connected: " + controller);
     }
 }
