--- a/src/main/java/org/cypressweir/sidecar/admin/AdminCommandHandler.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/AdminCommandHandler.java
@@ -4,72 +4,78 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
-/** What operators may ask on their door, and what they hear; it acts on the standing alone. */
+/** Answers the commands of operators on the admin socket. Commands change nothing but the life cycle state. */
 public final class AdminCommandHandler {
 
-    private static final String NO = "NO ";
-    private static final String LEASE = "LEASE ";
-    private static final String END = "\nEND";
+    private static final String NO_PREFIX = "NO ";
+    private static final String LEASE_PREFIX = "LEASE ";
+    private static final String END_LINE = "\nEND";
 
-    private final SidecarLifecycle standing;
-    private final SidecarMetrics figures;
+    private final SidecarLifecycle lifecycle;
+    private final SidecarMetrics metrics;
     private final SidecarMetrics.Fleet fleet;
-    private final BooleanSupplier servers;
-    /** Null where there is no membership. */
+    private final BooleanSupplier hasServer;
+    /** Lists the members; null if membership is off. */
     private Supplier<String> members;
 
+    /** Describes all leases; null if leases are off. */
     private Supplier<String> leases;
+
+    /** Describes the lease of a name; null if leases are off. */
     private UnaryOperator<String> lease;
 
-    /** @param servers whether a request would find one */
+    /** @param hasServer whether a server is available for a request now */
     public AdminCommandHandler(
-            SidecarLifecycle standing, SidecarMetrics figures, SidecarMetrics.Fleet fleet, BooleanSupplier servers) {
-        this.standing = standing;
-        this.figures = figures;
+            SidecarLifecycle lifecycle, SidecarMetrics metrics, SidecarMetrics.Fleet fleet, BooleanSupplier hasServer) {
+        this.lifecycle = lifecycle;
+        this.metrics = metrics;
         this.fleet = fleet;
-        this.servers = servers;
+        this.hasServer = hasServer;
     }
 
-    /** From now on these tell who the others are, and how leases stand: all of them, and one by its name. */
-    public void tell(Supplier<String> those, Supplier<String> allLeases, UnaryOperator<String> oneLease) {
-        members = those;
-        leases = allLeases;
-        lease = oneLease;
+    /** Sets what describes the members, all leases, and a lease by its name. */
+    public void tell(
+            Supplier<String> describeMembers, Supplier<String> describeLeases, UnaryOperator<String> describeLease) {
+        members = describeMembers;
+        leases = describeLeases;
+        lease = describeLease;
     }
 
-    /** The answer to one line, without its end. */
+    /** Executes one command line and returns the answer, without a line end. */
     public String answer(String line) {
-        if (line.startsWith(LEASE)) {
+        if (line.startsWith(LEASE_PREFIX)) {
             return lease == null
-                    ? NO + "leases are off"
-                    : lease.apply(line.substring(LEASE.length()).strip());
+                    ? NO_PREFIX + "leases are off"
+                    : lease.apply(line.substring(LEASE_PREFIX.length()).strip());
         }
         return switch (line.strip()) {
-            case "READY" -> ready();
-            case "STATS" -> figures.json(fleet) + END;
-            case "DRAIN" -> ask(SidecarLifecycle.Event.DRAIN);
-            case "UNDRAIN" -> ask(SidecarLifecycle.Event.UNDRAIN);
-            case "MEMBERS" -> members == null ? NO + "membership is off" : members.get() + END;
-            case "LEASES" -> leases == null ? NO + "leases are off" : leases.get();
-            default -> NO + "unknown call; READY, STATS, DRAIN, UNDRAIN, MEMBERS, LEASES and LEASE NAME are" + " known";
+            case "READY" -> readiness();
+            case "STATS" -> metrics.json(fleet) + END_LINE;
+            case "DRAIN" -> handle(SidecarLifecycle.Event.DRAIN);
+            case "UNDRAIN" -> handle(SidecarLifecycle.Event.UNDRAIN);
+            case "MEMBERS" -> members == null ? NO_PREFIX + "membership is off" : members.get() + END_LINE;
+            case "LEASES" -> leases == null ? NO_PREFIX + "leases are off" : leases.get();
+            default -> NO_PREFIX
+                    + "unknown command; READY, STATS, DRAIN, UNDRAIN, MEMBERS, LEASES and LEASE NAME are"
+                    + " known";
         };
     }
 
-    private String ready() {
-        if (!standing.serves()) {
-            return NO + name();
+    private String readiness() {
+        if (!lifecycle.serves()) {
+            return NO_PREFIX + stateName();
         }
-        return servers.getAsBoolean() ? "YES" : NO + "no server is in service";
+        return hasServer.getAsBoolean() ? "YES" : NO_PREFIX + "no server is in service";
     }
 
-    /** Asked twice is as good as once; only an end can't be taken back. */
-    private String ask(SidecarLifecycle.Event event) {
-        standing.on(event);
-        return (standing.state() == SidecarLifecycle.State.STOPPING ? NO : "YES ") + name();
+    /** Idempotent: a repeated command gets the same answer. Only stopping cannot be undone. */
+    private String handle(SidecarLifecycle.Event event) {
+        lifecycle.on(event);
+        return (lifecycle.state() == SidecarLifecycle.State.STOPPING ? NO_PREFIX : "YES ") + stateName();
     }
 
-    private String name() {
-        return switch (standing.state()) {
+    private String stateName() {
+        return switch (lifecycle.state()) {
             case STARTING -> "starting";
             case STARTING_DRAINED -> "starting, to be drained";
             case SERVING -> "serving";
--- a/src/main/java/org/cypressweir/sidecar/admin/ConfigurationCompleteness.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/ConfigurationCompleteness.java
@@ -6,32 +6,32 @@
 import java.util.Set;
 
 /**
- * Whether a configuration that was read again is whole: it has all that the one in force has, each of its
- * kind. A file that is being written, or that lost a key, would be taken for one with other defaults.
+ * Checks that a reloaded configuration is complete: it must have all keys of the one in force, with values of the same
+ * types. Otherwise a file that is still being written, or that lost a key, would be read as one with default values.
  */
 public final class ConfigurationCompleteness {
 
-    /** May come and go: a list of servers, a seed and an address that hold from the start to the end. */
-    private static final Set<String> FREE = Set.of("known", "seed", "operator");
+    /** Keys that may be missing: a list of servers, a seed and an address, which never change after the start. */
+    private static final Set<String> OPTIONAL_KEYS = Set.of("known", "seed", "operator");
 
     private final Map<?, ?> inForce;
 
     public ConfigurationCompleteness(Map<?, ?> document) {
-        Map<Object, Object> kept = new LinkedHashMap<>(document);
-        kept.keySet().removeAll(FREE);
-        inForce = kept;
+        Map<Object, Object> required = new LinkedHashMap<>(document);
+        required.keySet().removeAll(OPTIONAL_KEYS);
+        inForce = required;
     }
 
-    /** What is wrong with another document, as a line; null for nothing. */
+    /** Describes what another document lacks, in one line; null if it is complete. */
     public String fault(Map<?, ?> next) {
-        return object("", inForce, next);
+        return checkObject("", inForce, next);
     }
 
-    private static String object(String path, Map<?, ?> wanted, Map<?, ?> found) {
-        for (Map.Entry<?, ?> e : wanted.entrySet()) {
+    private static String checkObject(String path, Map<?, ?> expected, Map<?, ?> found) {
+        for (Map.Entry<?, ?> e : expected.entrySet()) {
             String name = path + e.getKey();
             Object value = found.get(e.getKey());
-            String fault = value == null ? "'" + name + "' is missing" : value(name, e.getValue(), value);
+            String fault = value == null ? "'" + name + "' is missing" : checkValue(name, e.getValue(), value);
             if (fault != null) {
                 return fault;
             }
@@ -39,26 +39,26 @@
         return null;
     }
 
-    private static String value(String name, Object wanted, Object found) {
-        if (wanted instanceof Map<?, ?> w) {
-            return found instanceof Map<?, ?> f ? object(name + ".", w, f) : "'" + name + "' is no object";
+    private static String checkValue(String name, Object expected, Object found) {
+        if (expected instanceof Map<?, ?> w) {
+            return found instanceof Map<?, ?> f ? checkObject(name + ".", w, f) : "'" + name + "' is no object";
         }
-        if (wanted instanceof List<?> w) {
-            return found instanceof List<?> f ? list(name, w, f) : "'" + name + "' is no list";
+        if (expected instanceof List<?> w) {
+            return found instanceof List<?> f ? checkList(name, w, f) : "'" + name + "' is no list";
         }
-        if (wanted instanceof Number) {
+        if (expected instanceof Number) {
             return found instanceof Number ? null : "'" + name + "' is no number";
         }
-        return wanted == null || wanted.getClass() == found.getClass() ? null : "'" + name + "' is of another kind";
+        return expected == null || expected.getClass() == found.getClass() ? null : "'" + name + "' is of another kind";
     }
 
-    /** Entries may be others and more or fewer; each has what the first one has that holds now. */
-    private static String list(String name, List<?> wanted, List<?> found) {
-        if (wanted.isEmpty()) {
+    /** Entries may differ in content and number; each must have the keys of the first entry in force. */
+    private static String checkList(String name, List<?> expected, List<?> found) {
+        if (expected.isEmpty()) {
             return null;
         }
         for (int i = 0; i < found.size(); i++) {
-            String fault = value(name + "[" + i + "]", wanted.get(0), found.get(i));
+            String fault = checkValue(name + "[" + i + "]", expected.get(0), found.get(i));
             if (fault != null) {
                 return fault;
             }
--- a/src/main/java/org/cypressweir/sidecar/admin/RequestClassSlots.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/RequestClassSlots.java
@@ -7,52 +7,53 @@
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 
 /**
- * The numbers of classes when others come to hold. What is learned and what is in hand goes by number, so a
- * class that stays keeps its own, and that of a dropped one is free once no request is left under it. That is
- * never so in the change that drops it: until the change is taken over, requests still come under it.
+ * Assigns numbers to request classes when the configured classes change. Statistics and requests in flight refer to
+ * classes by number, so a class that stays keeps its number, and the number of a removed class is reused only once no
+ * request in flight has it. The change that removes a class never reuses its number: until that change is applied,
+ * requests of the class still arrive.
  */
 public final class RequestClassSlots {
 
     private RequestClassSlots() {}
 
     /**
-     * The classes by their numbers; {@link RequestClass#GONE} where there is none.
+     * Returns the new classes, each at the index that is its number; {@link RequestClass#GONE} at unused numbers.
      *
-     * @param before as they are now
-     * @param next those that are to hold, each name once
-     * @param inUse numbers that requests in hand have
+     * @param before the present classes by number
+     * @param next the new classes, with unique names
+     * @param inUse numbers of the requests in flight
      */
     public static List<RequestClass> place(List<RequestClass> before, List<RequestClass> next, Set<Integer> inUse) {
-        List<RequestClass> placed = new ArrayList<>(before.size());
-        List<RequestClass> fresh = new ArrayList<>(next);
+        List<RequestClass> assigned = new ArrayList<>(before.size());
+        List<RequestClass> added = new ArrayList<>(next);
         for (RequestClass old : before) {
-            RequestClass stays = next.stream()
+            RequestClass kept = next.stream()
                     .filter(c -> c.name().equals(old.name()))
                     .findFirst()
                     .orElse(RequestClass.GONE);
-            fresh.remove(stays);
-            placed.add(stays);
+            added.remove(kept);
+            assigned.add(kept);
         }
-        for (RequestClass c : fresh) {
+        for (RequestClass c : added) {
             int free = 0;
-            while (free < placed.size()
-                    && !(isFree(before, free) && placed.get(free) == RequestClass.GONE && !inUse.contains(free))) {
+            while (free < assigned.size()
+                    && !(isFree(before, free) && assigned.get(free) == RequestClass.GONE && !inUse.contains(free))) {
                 free++;
             }
-            if (free < placed.size()) {
-                placed.set(free, c);
+            if (free < assigned.size()) {
+                assigned.set(free, c);
             } else {
-                placed.add(c);
+                assigned.add(c);
             }
         }
-        return placed;
+        return assigned;
     }
 
     private static boolean isFree(List<RequestClass> before, int number) {
         return number < before.size() && before.get(number) == RequestClass.GONE;
     }
 
-    /** The first name that stands twice; null where none does. */
+    /** The first duplicate name; null if names are unique. */
     public static String twice(List<RequestClass> classes) {
         Set<String> names = new HashSet<>();
         return classes.stream()
--- a/src/main/java/org/cypressweir/sidecar/admin/SidecarLifecycle.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarLifecycle.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * Where a sidecar stands between its start and its end, as operators and the front see it. It knows of no
- * socket and no clock: what happens is told, and what is to be done is read from the state.
+ * State machine of a sidecar's life cycle, as reported to operators and to the load balancer in front of it. It uses no
+ * sockets and no clock: events are passed in, and what has to be done follows from the state.
  */
 public final class SidecarLifecycle {
 
-    /** From the start to the end; drained is a drain with no client left. */
+    /** DRAINED is DRAINING with no client connected any more. */
     public enum State {
         STARTING,
         STARTING_DRAINED,
@@ -18,7 +18,10 @@
         STOPPING
     }
 
-    /** What operators ask for, and what is seen of clients and of the process. */
+    /**
+     * Commands of operators (DRAIN, UNDRAIN) and events of the process: start completed, last client gone, a client
+     * connected, termination requested.
+     */
     public enum Event {
         OPENED,
         DRAIN,
@@ -28,8 +31,8 @@
         TERMINATE
     }
 
-    /** What is not named leaves the state as it is. */
-    private static final Map<State, Map<Event, State>> TABLE = Map.of(
+    /** Transitions by state and event; events that are not listed leave the state unchanged. */
+    private static final Map<State, Map<Event, State>> TRANSITIONS = Map.of(
             State.STARTING,
                     Map.of(
                             Event.OPENED, State.SERVING,
@@ -62,20 +65,20 @@
         return state;
     }
 
-    /** Takes an event; whether the state is another now. */
+    /** Processes an event; returns whether the state has changed. */
     public boolean on(Event event) {
-        State next = TABLE.get(state).getOrDefault(event, state);
-        boolean other = next != state;
+        State next = TRANSITIONS.get(state).getOrDefault(event, state);
+        boolean changed = next != state;
         state = next;
-        return other;
+        return changed;
     }
 
-    /** Whether clients are to come. */
+    /** Whether clients should connect. */
     public boolean serves() {
         return state == State.SERVING;
     }
 
-    /** Whether the clients that are there are to go, and the process stays. */
+    /** Whether connected clients should leave while the process keeps running. */
     public boolean drains() {
         return state == State.DRAINING || state == State.DRAINED;
     }
--- a/src/main/java/org/cypressweir/sidecar/admin/SidecarMetrics.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarMetrics.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * What a process has done since its start, in the operators' names. Each request is counted once when it ends
- * and each attempt once when its last byte has been handed over, by whichever front took it; rehearsals have
- * figures of their own, which nobody reads.
+ * Counters of a process since its start, under the names that operators know. Each request is counted once when it
+ * ends, and each attempt once when its last byte has been handed to the network, whichever listener the request came
+ * from. Warm-up rehearsals count in an instance of their own, which nobody reads.
  */
 public final class SidecarMetrics {
 
@@ -23,45 +23,46 @@
         FAILED
     }
 
-    /** What is read at the moment of the question. */
+    /** Values that are read at the time of a query. */
     public interface Fleet {
+        /** Listed servers. */
         int listed();
 
-        /** Listed servers that nothing would be sent to now. */
+        /** Listed servers to which no request would be sent now. */
         int avoided();
     }
 
-    private static final class Counts {
-        private final long[] by = new long[Ending.values().length];
+    private static final class EndingCounts {
+        private final long[] byEnding = new long[Ending.values().length];
     }
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final Map<String, Counts> classes = new LinkedHashMap<>();
+    private final Map<String, EndingCounts> countsByClass = new LinkedHashMap<>();
     private long attempts;
-    private long inHand;
-    private long taken;
-    private long turnedDown;
+    private long inFlight;
+    private long reconfigurationsApplied;
+    private long reconfigurationsRejected;
 
-    /** Classes that are shown even before anybody asks for them; those of before stay. */
+    /** Adds classes that are reported even if they get no requests; earlier ones stay. */
     public void show(List<String> names) {
-        names.forEach(name -> classes.computeIfAbsent(name, n -> new Counts()));
+        names.forEach(name -> countsByClass.computeIfAbsent(name, n -> new EndingCounts()));
     }
 
-    /** A request has come whole. */
+    /** A request has been received completely. */
     public void taken() {
-        inHand++;
+        inFlight++;
     }
 
-    /** A request that was taken has its final answer. */
+    /** A received request has got its final response. */
     public void ended(String requestClass, Ending ending) {
-        inHand--;
-        classes.computeIfAbsent(requestClass, n -> new Counts()).by[ending.ordinal()]++;
+        inFlight--;
+        countsByClass.computeIfAbsent(requestClass, n -> new EndingCounts()).byEnding[ending.ordinal()]++;
     }
 
-    /** The client of a request that was taken has left: it ends under no name. */
+    /** The client of a received request has left; the request counts under no ending. */
     public void left() {
-        inHand--;
+        inFlight--;
     }
 
     /** The last byte of an attempt has been handed to the network. */
@@ -69,40 +70,40 @@
         attempts++;
     }
 
-    /** A configuration was read again, and taken over or turned down. */
-    public void reconfigured(boolean taken) {
-        if (taken) {
-            this.taken++;
+    /** A configuration was reloaded, and applied or rejected. */
+    public void reconfigured(boolean applied) {
+        if (applied) {
+            this.reconfigurationsApplied++;
         } else {
-            turnedDown++;
+            reconfigurationsRejected++;
         }
     }
 
-    /** One line of JSON. */
+    /** All values as one line of JSON. */
     public String json(Fleet fleet) {
         StringWriter text = new StringWriter(512);
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
-            byClass(out, "success", Ending.SERVED);
-            byClass(out, "busy", Ending.REFUSED);
-            byClass(out, "failure", Ending.FAILED);
+            writeByClass(out, "success", Ending.SERVED);
+            writeByClass(out, "busy", Ending.REFUSED);
+            writeByClass(out, "failure", Ending.FAILED);
             out.writeNumberField("backend_calls", attempts);
-            out.writeNumberField("inflight", inHand);
+            out.writeNumberField("inflight", inFlight);
             out.writeNumberField("hosts_listed", fleet.listed());
             out.writeNumberField("hosts_down", fleet.avoided());
-            out.writeNumberField("reconfig_ok", taken);
-            out.writeNumberField("reconfig_failed", turnedDown);
+            out.writeNumberField("reconfig_ok", reconfigurationsApplied);
+            out.writeNumberField("reconfig_failed", reconfigurationsRejected);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a string can't fail", e);
+            throw new UncheckedIOException("writing to a string failed", e);
         }
         return text.toString();
     }
 
-    private void byClass(JsonGenerator out, String name, Ending ending) throws IOException {
+    private void writeByClass(JsonGenerator out, String name, Ending ending) throws IOException {
         out.writeObjectFieldStart(name);
-        for (Map.Entry<String, Counts> c : classes.entrySet()) {
-            out.writeNumberField(c.getKey(), c.getValue().by[ending.ordinal()]);
+        for (Map.Entry<String, EndingCounts> c : countsByClass.entrySet()) {
+            out.writeNumberField(c.getKey(), c.getValue().byEnding[ending.ordinal()]);
         }
         out.writeEndObject();
     }
--- a/src/main/java/org/cypressweir/sidecar/admin/package-info.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The admin listener of the sidecar: readiness, metrics, draining and reload.
+ * Administration of the sidecar: life cycle and draining, commands of operators, metrics, and checks on reload.
  */
 package org.cypressweir.sidecar.admin;
--- a/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
@@ -6,171 +6,171 @@
 import java.util.Set;
 
 /**
- * How much of large requests a process keeps at once. A request is kept whole until it is over, so that it
- * can go out again where its class allows; so its bytes are granted before they are read, and who must
- * wait is not read on. Pure: it says who may go on, and the host does it.
+ * Limits the memory that a process uses to buffer large requests. A request is buffered completely until it ends, so
+ * that it can be retried if its class allows. Bytes are therefore granted before they are read, and a request that has
+ * to wait is not read any further. No I/O: this class decides which requests may go on, and the host acts on it.
  *
- * <p>Who has something already goes first, the one that asked first before others: what is begun can end and
- * give back. Where all that have something wait for more, none could ever go on: then the one that came last
- * of them is turned away, which harms none, since nothing of it has gone anywhere.
+ * <p>Requests that hold memory already go first, in the order in which they asked: once complete they end and free
+ * their memory. If all requests that hold memory wait for more, none could ever go on; then the newest of them is
+ * refused, which is safe, since nothing of it has been forwarded.
  */
 public final class BodyBudget {
 
-    /** The word on a wish. */
+    /** The decision on a request for memory. */
     public enum Word {
         GRANTED,
         WAITS,
         REFUSED
     }
 
-    /** What one request has and wishes for. */
+    /** The memory that one request holds and waits for, in bytes. */
     public static final class Share {
-        private final long number;
+        private final long sequence;
         private final Runnable granted;
         private final Runnable refused;
-        private long has;
-        private long wants;
+        private long grantedBytes;
+        private long pendingBytes;
 
-        private Share(long number, Runnable granted, Runnable refused) {
-            this.number = number;
+        private Share(long sequence, Runnable granted, Runnable refused) {
+            this.sequence = sequence;
             this.granted = granted;
             this.refused = refused;
         }
 
-        /** Bytes that it may hold. */
+        /** The bytes granted so far. */
         public long has() {
-            return has;
+            return grantedBytes;
         }
 
-        /** To be run, by the host, once it may go on after having waited. */
+        /** The host runs this when the request may go on after waiting. */
         public Runnable granted() {
             return granted;
         }
 
-        /** To be run, by the host, once it will not get what it waits for. */
+        /** The host runs this when the request is refused after waiting. */
         public Runnable refused() {
             return refused;
         }
     }
 
-    /** Whom the host has to tell. */
+    /** The requests that the host has to notify. */
     public record GrantDecisions(List<Share> granted, List<Share> refused) {}
 
-    private final long total;
+    private final long capacityBytes;
     private final Set<Share> holders = new LinkedHashSet<>();
     private final Set<Share> waiting = new LinkedHashSet<>();
-    private long used;
-    private long numbers;
+    private long usedBytes;
+    private long lastSequence;
 
-    public BodyBudget(long total) {
-        this.total = total;
+    public BodyBudget(long capacityBytes) {
+        this.capacityBytes = capacityBytes;
     }
 
     public long used() {
-        return used;
+        return usedBytes;
     }
 
     public int waiting() {
         return waiting.size();
     }
 
-    /** A request that has nothing yet. */
+    /** Registers a request that holds no memory yet. */
     public Share share(Runnable granted, Runnable refused) {
-        return new Share(++numbers, granted, refused);
+        return new Share(++lastSequence, granted, refused);
     }
 
-    /** Asks for so many bytes more; a share has one wish at a time. */
-    public Word ask(Share share, long bytes) {
-        if (share.has + bytes > total) {
+    /** Asks for more bytes. Only one such call may be pending for a request at a time. */
+    public Word ask(Share reservation, long bytes) {
+        if (reservation.grantedBytes + bytes > capacityBytes) {
             return Word.REFUSED;
         }
-        share.wants = bytes;
-        if (fits(share) && (share.has > 0 || waiting.isEmpty())) {
-            grant(share);
+        reservation.pendingBytes = bytes;
+        if (fits(reservation) && (reservation.grantedBytes > 0 || waiting.isEmpty())) {
+            grant(reservation);
             return Word.GRANTED;
         }
-        waiting.add(share);
+        waiting.add(reservation);
         return Word.WAITS;
     }
 
-    /** A share is over, whatever it had or waited for. */
-    public GrantDecisions free(Share share) {
-        takeBack(share);
+    /** Frees everything that a request holds or waits for. */
+    public GrantDecisions free(Share reservation) {
+        revoke(reservation);
         return settle();
     }
 
     /**
-     * A share has come whole: it has this much, which may be a last read more than it was granted, and wishes
-     * for nothing more.
+     * A request has been read completely and needs no more memory. It holds this many bytes, which may exceed what was
+     * granted by the size of the last read.
      */
-    public GrantDecisions whole(Share share, long bytes) {
-        waiting.remove(share);
-        holders.add(share);
-        used += bytes - share.has;
-        share.has = bytes;
+    public GrantDecisions whole(Share reservation, long bytes) {
+        waiting.remove(reservation);
+        holders.add(reservation);
+        usedBytes += bytes - reservation.grantedBytes;
+        reservation.grantedBytes = bytes;
         return settle();
     }
 
-    /** What follows from the wishes as they stand; to be called after one had to wait, too. */
+    /** Decides on the waiting requests; also to be called whenever a request has begun to wait. */
     public GrantDecisions settle() {
         List<Share> granted = new ArrayList<>();
         List<Share> refused = new ArrayList<>();
         while (true) {
-            Share next = next();
+            Share next = nextWaiting();
             if (next != null && fits(next)) {
                 waiting.remove(next);
                 grant(next);
                 granted.add(next);
-            } else if (next != null && stuck()) {
-                Share last = last();
-                takeBack(last);
-                refused.add(last);
+            } else if (next != null && isDeadlocked()) {
+                Share newest = newestHolder();
+                revoke(newest);
+                refused.add(newest);
             } else {
                 return new GrantDecisions(granted, refused);
             }
         }
     }
 
-    private void takeBack(Share share) {
-        used -= share.has;
-        share.has = 0;
-        holders.remove(share);
-        waiting.remove(share);
+    private void revoke(Share reservation) {
+        usedBytes -= reservation.grantedBytes;
+        reservation.grantedBytes = 0;
+        holders.remove(reservation);
+        waiting.remove(reservation);
     }
 
-    private boolean fits(Share share) {
-        return used + share.wants <= total;
+    private boolean fits(Share reservation) {
+        return usedBytes + reservation.pendingBytes <= capacityBytes;
     }
 
-    private void grant(Share share) {
-        used += share.wants;
-        share.has += share.wants;
-        share.wants = 0;
-        holders.add(share);
+    private void grant(Share reservation) {
+        usedBytes += reservation.pendingBytes;
+        reservation.grantedBytes += reservation.pendingBytes;
+        reservation.pendingBytes = 0;
+        holders.add(reservation);
     }
 
-    /** Who has something goes first; of those the first that fits, lest one large wish hold up all. */
-    private Share next() {
+    /** Requests that hold memory go first; of them the first that fits, so that a large one does not block others. */
+    private Share nextWaiting() {
         Share first = null;
-        for (Share s : waiting) {
-            if (s.has > 0 && fits(s)) {
-                return s;
+        for (Share reservation : waiting) {
+            if (reservation.grantedBytes > 0 && fits(reservation)) {
+                return reservation;
             }
-            first = first == null || first.has == 0 && s.has > 0 ? s : first;
+            first = first == null || first.grantedBytes == 0 && reservation.grantedBytes > 0 ? reservation : first;
         }
         return first;
     }
 
-    /** Whether all that have something wait for more. */
-    private boolean stuck() {
+    /** Whether all requests that hold memory wait for more. */
+    private boolean isDeadlocked() {
         return !holders.isEmpty() && waiting.containsAll(holders);
     }
 
-    private Share last() {
-        Share last = null;
-        for (Share s : holders) {
-            last = last == null || s.number > last.number ? s : last;
+    private Share newestHolder() {
+        Share newest = null;
+        for (Share reservation : holders) {
+            newest = newest == null || reservation.sequence > newest.sequence ? reservation : newest;
         }
-        return last;
+        return newest;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/FleetLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/FleetLimits.java
@@ -1,43 +1,43 @@
 package org.cypressweir.sidecar.fleetlimits;
 
 /**
- * What all instances of a sidecar together may ask of what they share; each takes its own part, so that
- * nobody has to count them while they run.
+ * Limits on what all instances of a sidecar together may demand of discovery and servers. Each instance keeps its own
+ * share, so that no coordination is needed while they run.
  *
- * @param instances that share servers and discovery, 1 or more; where they follow the living, as many as may
- *        ever run at once
- * @param rank of this one among them, 0 to instances - 1
- * @param listRate calls for the list a second by all of them, above 0; 0 for a watch without a bound
- * @param idlePerServer idle connections that all of them may keep to one server; {@link Integer#MAX_VALUE}
- *        for no bound
- * @param probeRate probes a second by all of them that one server may see; 0 for no bound
- * @param living whether each one's part follows from who lives, and not from a count for ever
+ * @param instances how many instances share servers and discovery, 1 or more; if shares follow the live instances, the
+ *     most that may ever run at once
+ * @param rank of this instance among them, 0 to instances - 1
+ * @param listRate calls per second for the server list by all instances together; 0 for a watch without a limit
+ * @param idlePerServer idle connections that all instances together may keep to one server; {@link Integer#MAX_VALUE}
+ *     for no limit
+ * @param probeRate probes per second that one server may get from all instances together; 0 for no limit
+ * @param living whether the share of an instance follows from which instances are alive, instead of a fixed count
  */
 public record FleetLimits(
         int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean living) {
 
-    /** Of a fixed count. */
+    /** Limits that are shared by a fixed number of instances. */
     public FleetLimits(int instances, int rank, double listRate, int idlePerServer, double probeRate) {
         this(instances, rank, listRate, idlePerServer, probeRate, false);
     }
 
-    /** So that a part of a whole number is not rounded down by what binary fractions can not say. */
+    /** Added before rounding down, since binary fractions may represent a whole number as slightly less. */
     private static final double ROUNDING = 1e-9;
 
     public FleetLimits {
         if (instances < 1 || rank < 0 || rank >= instances || listRate < 0 || idlePerServer < 0 || probeRate < 0) {
-            throw new IllegalArgumentException("instance " + rank + " of " + instances);
+            throw new IllegalArgumentException("invalid fleet limits: rank " + rank + " of " + instances);
         }
     }
 
-    /** Microseconds from one call of this instance for the list to its next; 0 for a watch. */
+    /** Microseconds between two calls of this instance for the server list; 0 for a watch. */
     public long askEveryMicros() {
         return listRate == 0 ? 0 : Math.max(1, (long) (instances / listRate * 1e6));
     }
 
     /**
-     * Idle connections that this instance may keep to all servers together. What does not divide evenly goes
-     * to the lowest ranks, so that all together keep what the bound says and no more.
+     * Idle connections that this instance may keep to all servers together. The remainder of the division goes to the
+     * lowest ranks, so that all instances together keep exactly the limit.
      */
     public int idle(int servers) {
         if (idlePerServer == Integer.MAX_VALUE) {
@@ -47,19 +47,19 @@
         return (int) Math.min(Integer.MAX_VALUE, all / instances + (rank < all % instances ? 1 : 0));
     }
 
-    /** The same with a part of the whole, 0 to 1, rounded down: all parts together keep the bound. */
-    public int idle(int servers, double part) {
+    /** The same for a share of the total, 0 to 1. Rounded down, so that all shares together stay within the limit. */
+    public int idle(int servers, double share) {
         return idlePerServer == Integer.MAX_VALUE
                 ? Integer.MAX_VALUE
-                : (int) Math.min(Integer.MAX_VALUE, ROUNDING + part * idlePerServer * servers);
+                : (int) Math.min(Integer.MAX_VALUE, ROUNDING + share * idlePerServer * servers);
     }
 
-    /** Probes a second that a part of the whole allows to so many servers; infinite for no bound. */
-    public double probesPerSecond(int servers, double part) {
-        return probeRate == 0 ? Double.POSITIVE_INFINITY : probeRate * servers * part;
+    /** Probes per second to this number of servers that a share of the total allows; infinite for no limit. */
+    public double probesPerSecond(int servers, double share) {
+        return probeRate == 0 ? Double.POSITIVE_INFINITY : probeRate * servers * share;
     }
 
-    /** Probes a second that this instance may send to all servers together; infinite for no bound. */
+    /** Probes per second that this instance may send to all servers together; infinite for no limit. */
     public double probesPerSecond(int servers) {
         return probeRate == 0 ? Double.POSITIVE_INFINITY : probeRate * servers / instances;
     }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/ProbeBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/ProbeBudget.java
@@ -1,42 +1,42 @@
 package org.cypressweir.sidecar.fleetlimits;
 
-/** A token bucket for this instance's part of the probes that servers allow. */
+/** A token bucket for this instance's share of the probes that servers may get. Times are in microseconds. */
 public final class ProbeBudget {
 
-    /** Probes that are saved at most: what one decision may want at once. */
-    static final double SAVED = 3;
+    /** Capacity of the bucket: as many probes as a single decision may need at once. */
+    static final double CAPACITY = 3;
 
-    private final FleetLimits plan;
+    private final FleetLimits limits;
     private double tokens;
     private double lastRate = Double.POSITIVE_INFINITY;
-    private long filledAt = Long.MIN_VALUE;
+    private long refilledAt = Long.MIN_VALUE;
 
-    public ProbeBudget(FleetLimits plan) {
-        this.plan = plan;
+    public ProbeBudget(FleetLimits limits) {
+        this.limits = limits;
     }
 
-    /** Whether a probe may go out now; it is spent then. */
+    /** Takes a token for a probe; false if there is none and the probe must not be sent. */
     public boolean spend(long nowMicros, int servers) {
-        return spend(nowMicros, plan.probesPerSecond(servers));
+        return trySpend(nowMicros, limits.probesPerSecond(servers));
     }
 
-    /** The same with this part of the whole at this moment. */
-    public boolean spend(long nowMicros, int servers, double part) {
-        return spend(nowMicros, plan.probesPerSecond(servers, part));
+    /** The same with the share of the total that this instance has now. */
+    public boolean spend(long nowMicros, int servers, double share) {
+        return trySpend(nowMicros, limits.probesPerSecond(servers, share));
     }
 
-    private boolean spend(long nowMicros, double rate) {
+    private boolean trySpend(long nowMicros, double rate) {
         if (Double.isInfinite(rate)) {
             return true;
         }
-        if (filledAt == Long.MIN_VALUE) {
-            // All that begin together must not all begin with what they have saved.
-            filledAt = nowMicros;
+        if (refilledAt == Long.MIN_VALUE) {
+            // The bucket starts empty: instances that start together must not all send a burst.
+            refilledAt = nowMicros;
         }
-        // When the rate changed in between is not known: the smaller one is taken for the whole time.
-        tokens = Math.min(SAVED, tokens + Math.max(0, nowMicros - filledAt) * Math.min(rate, lastRate) / 1e6);
+        // It is unknown when the rate changed since the last call, so the lower rate counts for the whole time.
+        tokens = Math.min(CAPACITY, tokens + Math.max(0, nowMicros - refilledAt) * Math.min(rate, lastRate) / 1e6);
         lastRate = rate;
-        filledAt = Math.max(filledAt, nowMicros);
+        refilledAt = Math.max(refilledAt, nowMicros);
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/SharedPollPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SharedPollPacer.java
@@ -1,54 +1,54 @@
 package org.cypressweir.sidecar.fleetlimits;
 
 /**
- * When this instance may ask for the list while its part of all calls follows the living: no sooner after its
- * last call than its part of the rate allows now. So in any stretch of time all together ask as often as the
- * rate says and once each at most. Without fixed numbers there are no slots; the first call comes at a time
- * drawn from the first round, and so calls stay spread.
+ * Schedules the calls of this instance for the server list if its share of all calls follows from the live instances: a
+ * call may follow the last one only after the interval that the present share of the rate allows. In any span of time,
+ * all instances together make at most as many calls as the rate allows, plus one each. There are no slots, since ranks
+ * are not fixed; the first call comes at a random time within the first interval, which keeps the calls spread.
  */
 public final class SharedPollPacer {
 
-    private static final long LEAST_PATIENCE = 1_000_000;
-    private static final long MOST_PATIENCE = 5_000_000;
+    private static final long MIN_TIMEOUT_MICROS = 1_000_000;
+    private static final long MAX_TIMEOUT_MICROS = 5_000_000;
 
     private final double listRate;
     private final double phase;
-    private boolean begun;
+    private boolean started;
     private long calledAt;
-    /** Told and not yet come, or come and used up. */
+    /** When the call that was scheduled last is due; it counts as made from then on. */
     private long dueAt = Long.MAX_VALUE;
 
-    private double part = 1;
+    private double share = 1;
 
     /**
-     * @param listRate calls a second by all, above 0
-     * @param phase 0 to 1, drawn anew by each instance
+     * @param listRate calls per second by all instances together, above 0
+     * @param phase random number from 0 to 1, different for each instance
      */
     public SharedPollPacer(double listRate, double phase) {
         this.listRate = listRate;
         this.phase = phase;
     }
 
-    private long every() {
-        return Math.max(1, (long) (1e6 / (listRate * part)));
+    private long intervalMicros() {
+        return Math.max(1, (long) (1e6 / (listRate * share)));
     }
 
-    /** The time of the next call, which counts as made once it has come; until then it may be told anew. */
-    public long next(long nowMicros, double partNow) {
+    /** Schedules the next call. It counts as made once its time has come; until then it can be rescheduled. */
+    public long next(long nowMicros, double currentShare) {
         if (dueAt <= nowMicros) {
             calledAt = dueAt;
         }
-        part = partNow;
-        if (!begun) {
-            begun = true;
-            calledAt = nowMicros - (long) (phase * every());
+        share = currentShare;
+        if (!started) {
+            started = true;
+            calledAt = nowMicros - (long) (phase * intervalMicros());
         }
-        dueAt = Math.max(nowMicros, calledAt + every());
+        dueAt = Math.max(nowMicros, calledAt + intervalMicros());
         return dueAt;
     }
 
-    /** How long a call may take before it counts as failed. */
+    /** Time-out of a call: half the interval, at least 1 s and at most 5 s. */
     public long patienceMicros() {
-        return Math.max(LEAST_PATIENCE, Math.min(MOST_PATIENCE, every() / 2));
+        return Math.max(MIN_TIMEOUT_MICROS, Math.min(MAX_TIMEOUT_MICROS, intervalMicros() / 2));
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/SlottedPollPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SlottedPollPacer.java
@@ -1,39 +1,38 @@
 package org.cypressweir.sidecar.fleetlimits;
 
 /**
- * When this instance may ask for the list: once in its own slot of each round. A round is as long as all
- * instances need at the allowed rate, and slots follow from rank and clock alone. So calls are spread evenly
- * whatever happened: instances that restart together, lose discovery together or hear of a change together do
- * not ask together, and in no stretch of time do they ask oftener than the rate says, but for the
- * differences of their clocks.
+ * Schedules the calls of this instance for the server list: one in its own slot of each round. A round is as long as
+ * all instances need at the allowed rate, and the slot follows from rank and clock alone. So calls are evenly spread at
+ * any time: instances that restart together, lose discovery together or learn of a change together do not call
+ * together, and apart from clock differences they never exceed the rate.
  */
 public final class SlottedPollPacer {
 
-    private final FleetLimits plan;
+    private final FleetLimits limits;
     private long lastRound = -1;
 
-    /** @param plan with a rate of calls above 0 */
-    public SlottedPollPacer(FleetLimits plan) {
-        if (plan.askEveryMicros() == 0) {
-            throw new IllegalArgumentException("there is no rate to keep");
+    /** @param limits with a rate of calls above 0 */
+    public SlottedPollPacer(FleetLimits limits) {
+        if (limits.askEveryMicros() == 0) {
+            throw new IllegalArgumentException("list rate must be above 0");
         }
-        this.plan = plan;
+        this.limits = limits;
     }
 
     /**
-     * The time of the next call, at or after now; the slot counts as used from then on. After a step back of
-     * the clock, or a call that came late, no slot is used twice.
+     * Returns the time of the next call, at or after now, and marks its slot as used. No slot is used twice, even if
+     * the clock steps back or a call comes late.
      */
     public long next(long nowMicros) {
-        long every = plan.askEveryMicros();
-        long slot = (long) (every * (plan.rank() + 0.5) / plan.instances());
-        long round = Math.floorDiv(nowMicros - slot + every - 1, every);
+        long roundMicros = limits.askEveryMicros();
+        long slotOffset = (long) (roundMicros * (limits.rank() + 0.5) / limits.instances());
+        long round = Math.floorDiv(nowMicros - slotOffset + roundMicros - 1, roundMicros);
         lastRound = Math.max(round, lastRound + 1);
-        return lastRound * every + slot;
+        return lastRound * roundMicros + slotOffset;
     }
 
-    /** How long a call may take before it counts as failed: half a round, at least 1 s and at most 5 s. */
+    /** Time-out of a call: half a round, at least 1 s and at most 5 s. */
     public long patienceMicros() {
-        return Math.max(1_000_000, Math.min(5_000_000, plan.askEveryMicros() / 2));
+        return Math.max(1_000_000, Math.min(5_000_000, limits.askEveryMicros() / 2));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/admin/RequestClassSlotsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/RequestClassSlotsTest.java
@@ -24,36 +24,36 @@
         return List.of(names).stream().map(n -> of(n, Effect.SAFE)).toList();
     }
 
-    private static List<String> names(List<RequestClass> placed) {
-        return placed.stream().map(RequestClass::name).toList();
+    private static List<String> names(List<RequestClass> assigned) {
+        return assigned.stream().map(RequestClass::name).toList();
     }
 
     @Test
-    void thoseThatStayKeepTheirNumbersAndDroppedOnesWaitForTheirRequests() {
-        List<RequestClass> placed = RequestClassSlots.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
-        assertEquals(List.of("a", "", "c", "d"), names(placed));
+    void numbersStayAndAreReusedOnlyWithoutRequests() {
+        List<RequestClass> assigned = RequestClassSlots.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
+        assertEquals(List.of("a", "", "c", "d"), names(assigned));
         assertEquals(
                 List.of("a", "e", "c", "d"),
-                names(RequestClassSlots.place(placed, of("a", "c", "d", "e"), Set.of(0, 3))));
+                names(RequestClassSlots.place(assigned, of("a", "c", "d", "e"), Set.of(0, 3))));
     }
 
-    /** A request that came under a class is of that class or of none, whenever the change is taken over. */
+    /** A request keeps its class or has none, whenever the change is applied; it never gets another class. */
     @Test
-    void whatIsDroppedNowIsNotGivenAwayNow() {
-        List<RequestClass> placed = RequestClassSlots.place(of("a", "b"), of("a", "c"), Set.of());
-        assertEquals(List.of("a", "", "c"), names(placed));
-        assertEquals(List.of("a", "d", "c"), names(RequestClassSlots.place(placed, of("a", "c", "d"), Set.of())));
+    void theChangeThatRemovesAClassDoesNotReuseItsNumber() {
+        List<RequestClass> assigned = RequestClassSlots.place(of("a", "b"), of("a", "c"), Set.of());
+        assertEquals(List.of("a", "", "c"), names(assigned));
+        assertEquals(List.of("a", "d", "c"), names(RequestClassSlots.place(assigned, of("a", "c", "d"), Set.of())));
     }
 
     @Test
-    void aClassOfTheSameNameHasItsNewRules() {
+    void aClassOfTheSameNameGetsItsNewSettings() {
         List<RequestClass> next = List.of(of("a", Effect.UNSAFE));
         assertEquals(next, RequestClassSlots.place(of("a"), next, Set.of(0)));
     }
 
-    /** Whatever comes and goes: each name once, at the place it had, and no place in use is given away. */
+    /** Random changes: each class has one number, keeps it, and no number in use is given to another class. */
     @Test
-    void nobodyLosesAPlaceInUse() {
+    void noNumberInUseIsReassigned() {
         long seed = System.nanoTime();
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> now = of("k0", "k1");
@@ -77,8 +77,8 @@
                 String after = names(next).get(i);
                 assertEquals(after.isEmpty() ? after : names(now).get(i), after, "seed " + seed);
             }
-            // Requests go on coming under all that holds until the change is taken over, so none of those
-            // numbers may belong to another class by then.
+            // Until the change is applied, requests arrive with the present numbers, so none of these may belong to
+            // another class afterwards.
             for (int i = 0; i < now.size(); i++) {
                 String before = names(now).get(i);
                 String after = names(next).get(i);
@@ -90,8 +90,8 @@
     }
 
     @Test
-    void aFileThatLacksSomethingIsNotTaken() {
-        ConfigurationCompleteness shape = new ConfigurationCompleteness(Map.of(
+    void anIncompleteFileIsRejected() {
+        ConfigurationCompleteness completeness = new ConfigurationCompleteness(Map.of(
                 "known",
                 Map.of("rev", 1L),
                 "discovery",
@@ -107,11 +107,11 @@
                         6L,
                         "classes",
                         List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b", "aim_us", 2L, "more", true))));
-        assertNull(shape.fault(good));
-        assertEquals("'settings' is missing", shape.fault(Map.of("discovery", "b")));
+        assertNull(completeness.fault(good));
+        assertEquals("'settings' is missing", completeness.fault(Map.of("discovery", "b")));
         assertEquals(
                 "'settings.classes[1].aim_us' is missing",
-                shape.fault(Map.of(
+                completeness.fault(Map.of(
                         "discovery",
                         "b",
                         "settings",
@@ -122,6 +122,6 @@
                                 List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b"))))));
         assertEquals(
                 "'settings.tick_us' is no number",
-                shape.fault(Map.of("discovery", "b", "settings", Map.of("tick_us", "x", "classes", List.of()))));
+                completeness.fault(Map.of("discovery", "b", "settings", Map.of("tick_us", "x", "classes", List.of()))));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/admin/SidecarLifecycleTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/SidecarLifecycleTest.java
@@ -15,7 +15,7 @@
 
 class SidecarLifecycleTest {
 
-    private static final Map<State, Event[]> WAYS = new EnumMap<>(Map.of(
+    private static final Map<State, Event[]> EVENTS_TO_REACH = new EnumMap<>(Map.of(
             State.STARTING,
             new Event[] {},
             State.STARTING_DRAINED,
@@ -30,15 +30,15 @@
             new Event[] {Event.OPENED, Event.TERMINATE}));
 
     private static SidecarLifecycle at(State state) {
-        SidecarLifecycle standing = new SidecarLifecycle();
-        for (Event e : WAYS.get(state)) {
-            assertTrue(standing.on(e));
+        SidecarLifecycle lifecycle = new SidecarLifecycle();
+        for (Event e : EVENTS_TO_REACH.get(state)) {
+            assertTrue(lifecycle.on(e));
         }
-        assertEquals(state, standing.state());
-        return standing;
+        assertEquals(state, lifecycle.state());
+        return lifecycle;
     }
 
-    /** All pairs of a state and an event: OPENED, DRAIN, UNDRAIN, EMPTY, CLIENT, TERMINATE. */
+    /** All pairs of a state and an event, with events in the order OPENED, DRAIN, UNDRAIN, EMPTY, CLIENT, TERMINATE. */
     @ParameterizedTest
     @CsvSource({
         "STARTING,SERVING,STARTING_DRAINED,STARTING,STARTING,STARTING,STOPPING",
@@ -48,18 +48,18 @@
         "DRAINED,DRAINED,DRAINED,SERVING,DRAINED,DRAINING,STOPPING",
         "STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING,STOPPING"
     })
-    void eachEventLeadsWhereTheTableSays(
+    void transitionsFollowTheTable(
             State from, State opened, State drain, State undrain, State empty, State client, State terminate) {
-        State[] wanted = {opened, drain, undrain, empty, client, terminate};
+        State[] expected = {opened, drain, undrain, empty, client, terminate};
         for (Event e : Event.values()) {
-            SidecarLifecycle standing = at(from);
-            assertEquals(wanted[e.ordinal()] != from, standing.on(e));
-            assertEquals(wanted[e.ordinal()], standing.state(), from + " and " + e);
+            SidecarLifecycle lifecycle = at(from);
+            assertEquals(expected[e.ordinal()] != from, lifecycle.on(e));
+            assertEquals(expected[e.ordinal()], lifecycle.state(), from + " and " + e);
         }
     }
 
     @Test
-    void onlyAServingOneTakesClientsAndOnlyADrainSendsThemAway() {
+    void onlyServingAcceptsClientsAndOnlyDrainingSendsThemAway() {
         for (State state : State.values()) {
             assertEquals(state == State.SERVING, at(state).serves());
             assertEquals(
@@ -67,14 +67,14 @@
         }
     }
 
-    private static AdminCommandHandler desk(SidecarLifecycle standing, boolean servers) {
-        return desk(standing, new SidecarMetrics(), servers);
+    private static AdminCommandHandler handler(SidecarLifecycle lifecycle, boolean servers) {
+        return handler(lifecycle, new SidecarMetrics(), servers);
     }
 
-    private static AdminCommandHandler desk(SidecarLifecycle standing, SidecarMetrics figures, boolean servers) {
+    private static AdminCommandHandler handler(SidecarLifecycle lifecycle, SidecarMetrics metrics, boolean servers) {
         return new AdminCommandHandler(
-                standing,
-                figures,
+                lifecycle,
+                metrics,
                 new SidecarMetrics.Fleet() {
                     @Override
                     public int listed() {
@@ -90,32 +90,32 @@
     }
 
     @Test
-    void operatorsHearYesOrNo() {
-        assertEquals("YES", desk(at(State.SERVING), true).answer("READY\r"));
-        assertTrue(desk(at(State.SERVING), false).answer("READY").startsWith("NO "));
-        assertEquals("NO drained", desk(at(State.DRAINED), true).answer("READY"));
-        assertEquals("YES draining", desk(at(State.SERVING), true).answer("DRAIN"));
-        assertEquals("YES serving", desk(at(State.DRAINED), true).answer("UNDRAIN"));
-        assertTrue(desk(at(State.STOPPING), true).answer("UNDRAIN").startsWith("NO "));
-        assertTrue(desk(at(State.SERVING), true).answer("QUIT").startsWith("NO "));
-        assertFalse(desk(at(State.SERVING), true).answer("STATS").startsWith("NO"));
+    void commandsAreAnsweredWithYesOrNo() {
+        assertEquals("YES", handler(at(State.SERVING), true).answer("READY\r"));
+        assertTrue(handler(at(State.SERVING), false).answer("READY").startsWith("NO "));
+        assertEquals("NO drained", handler(at(State.DRAINED), true).answer("READY"));
+        assertEquals("YES draining", handler(at(State.SERVING), true).answer("DRAIN"));
+        assertEquals("YES serving", handler(at(State.DRAINED), true).answer("UNDRAIN"));
+        assertTrue(handler(at(State.STOPPING), true).answer("UNDRAIN").startsWith("NO "));
+        assertTrue(handler(at(State.SERVING), true).answer("QUIT").startsWith("NO "));
+        assertFalse(handler(at(State.SERVING), true).answer("STATS").startsWith("NO"));
     }
 
     @Test
-    void theFiguresAreOneLineAndItsEnd() {
-        SidecarMetrics figures = new SidecarMetrics();
-        figures.show(List.of("search"));
-        figures.taken();
-        figures.taken();
-        figures.ended("book", SidecarMetrics.Ending.REFUSED);
-        figures.attempted();
-        figures.reconfigured(false);
-        AdminCommandHandler desk = desk(at(State.SERVING), figures, true);
+    void statsAreOneLineAndAnEndLine() {
+        SidecarMetrics metrics = new SidecarMetrics();
+        metrics.show(List.of("search"));
+        metrics.taken();
+        metrics.taken();
+        metrics.ended("book", SidecarMetrics.Ending.REFUSED);
+        metrics.attempted();
+        metrics.reconfigured(false);
+        AdminCommandHandler handler = handler(at(State.SERVING), metrics, true);
         assertEquals(
                 "{\"success\":{\"search\":0,\"book\":0},\"busy\":{\"search\":0,\"book\":1},"
                         + "\"failure\":{\"search\":0,\"book\":0},"
                         + "\"backend_calls\":1,\"inflight\":1,"
                         + "\"hosts_listed\":3,\"hosts_down\":1,\"reconfig_ok\":0,\"reconfig_failed\":1}\nEND",
-                desk.answer("STATS"));
+                handler.answer("STATS"));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
@@ -17,18 +17,18 @@
 
     private final BodyBudget budget = new BodyBudget(100);
 
-    private Share share() {
+    private Share newReservation() {
         return budget.share(() -> {}, () -> {});
     }
 
     @Test
-    void whoMustWaitGoesOnInTurn() {
-        Share a = share();
-        Share b = share();
-        Share c = share();
+    void waitingRequestsAreGrantedInOrder() {
+        Share a = newReservation();
+        Share b = newReservation();
+        Share c = newReservation();
         assertEquals(Word.GRANTED, budget.ask(a, 80));
         assertEquals(Word.WAITS, budget.ask(b, 30));
-        // It would fit, but b was there first.
+        // It would fit, but b asked first.
         assertEquals(Word.WAITS, budget.ask(c, 10));
         assertEquals(new GrantDecisions(List.of(), List.of()), budget.settle());
         assertEquals(List.of(b, c), budget.free(a).granted());
@@ -36,33 +36,36 @@
     }
 
     @Test
-    void whatCanNeverFitIsTurnedAway() {
-        assertEquals(Word.REFUSED, budget.ask(share(), 101));
-        Share a = share();
+    void requestsLargerThanTheBudgetAreRefused() {
+        assertEquals(Word.REFUSED, budget.ask(newReservation(), 101));
+        Share a = newReservation();
         assertEquals(Word.GRANTED, budget.ask(a, 60));
         assertEquals(Word.REFUSED, budget.ask(a, 41));
     }
 
     @Test
-    void whereAllThatHaveSomethingWaitTheLastGivesWay() {
-        Share a = share();
-        Share b = share();
+    void theNewestHolderIsRefusedIfAllHoldersWait() {
+        Share a = newReservation();
+        Share b = newReservation();
         assertEquals(Word.GRANTED, budget.ask(a, 50));
         assertEquals(Word.GRANTED, budget.ask(b, 50));
         assertEquals(Word.WAITS, budget.ask(b, 10));
         assertEquals(List.of(), budget.settle().refused());
         assertEquals(Word.WAITS, budget.ask(a, 10));
-        GrantDecisions news = budget.settle();
-        assertEquals(List.of(b), news.refused());
-        assertEquals(List.of(a), news.granted());
+        GrantDecisions decisions = budget.settle();
+        assertEquals(List.of(b), decisions.refused());
+        assertEquals(List.of(a), decisions.granted());
         assertEquals(60, budget.used());
     }
 
-    /** It was turned away as the last one that waits, its room given to others and its bytes still held. */
+    /**
+     * Guards against refusing a request that was read completely while it waited: as the newest waiting request it was
+     * refused, and its memory was granted to others while its bytes were still held.
+     */
     @Test
-    void whatHasComeWholeWhileItWaitedCountsAndIsNotTurnedAway() {
-        Share a = share();
-        Share b = share();
+    void aRequestReadCompletelyWhileWaitingIsNotRefused() {
+        Share a = newReservation();
+        Share b = newReservation();
         assertEquals(Word.GRANTED, budget.ask(a, 50));
         assertEquals(Word.GRANTED, budget.ask(b, 50));
         assertEquals(Word.WAITS, budget.ask(b, 10));
@@ -74,45 +77,45 @@
         assertEquals(60, budget.used());
     }
 
-    /** Whatever is wished for: never more than there is, and each wish ends once all others are over. */
+    /** Random requests: never more is granted than there is, and no request waits for ever. */
     @Test
-    void nothingIsGivenTwiceAndNobodyWaitsForEver() {
+    void memoryIsNeverGrantedTwiceAndNoRequestWaitsForEver() {
         long seed = System.nanoTime();
         SplittableRandom random = new SplittableRandom(seed);
-        Map<Share, Long> has = new HashMap<>();
-        List<Share> waits = new ArrayList<>();
+        Map<Share, Long> granted = new HashMap<>();
+        List<Share> waiting = new ArrayList<>();
         for (int i = 0; i < 20_000; i++) {
             List<Share> free =
-                    has.keySet().stream().filter(s -> !waits.contains(s)).toList();
+                    granted.keySet().stream().filter(s -> !waiting.contains(s)).toList();
             if (!free.isEmpty() && random.nextInt(3) == 0) {
-                Share gone = free.get(random.nextInt(free.size()));
-                has.remove(gone);
-                hear(budget.free(gone), has, waits);
+                Share ended = free.get(random.nextInt(free.size()));
+                granted.remove(ended);
+                apply(budget.free(ended), granted, waiting);
             } else {
                 boolean more = !free.isEmpty() && random.nextBoolean();
-                Share asks = more ? free.get(random.nextInt(free.size())) : share();
-                has.putIfAbsent(asks, 0L);
-                Word word = budget.ask(asks, 1 + random.nextInt(60));
-                if (word == Word.WAITS) {
-                    waits.add(asks);
-                    hear(budget.settle(), has, waits);
-                } else if (word == Word.REFUSED) {
-                    has.remove(asks);
-                    hear(budget.free(asks), has, waits);
+                Share asking = more ? free.get(random.nextInt(free.size())) : newReservation();
+                granted.putIfAbsent(asking, 0L);
+                Word decision = budget.ask(asking, 1 + random.nextInt(60));
+                if (decision == Word.WAITS) {
+                    waiting.add(asking);
+                    apply(budget.settle(), granted, waiting);
+                } else if (decision == Word.REFUSED) {
+                    granted.remove(asking);
+                    apply(budget.free(asking), granted, waiting);
                 }
             }
-            long sum = has.keySet().stream().mapToLong(Share::has).sum();
+            long sum = granted.keySet().stream().mapToLong(Share::has).sum();
             assertEquals(sum, budget.used(), "seed " + seed);
             assertTrue(sum <= 100, "seed " + seed);
-            assertEquals(waits.size(), budget.waiting(), "seed " + seed);
-            // Somebody can go on, and so give back.
-            assertTrue(has.size() > waits.size() || has.isEmpty(), "seed " + seed);
+            assertEquals(waiting.size(), budget.waiting(), "seed " + seed);
+            // At least one request does not wait, so it can end and free its memory.
+            assertTrue(granted.size() > waiting.size() || granted.isEmpty(), "seed " + seed);
         }
     }
 
-    private static void hear(GrantDecisions news, Map<Share, Long> has, List<Share> waits) {
-        waits.removeAll(news.granted());
-        waits.removeAll(news.refused());
-        news.refused().forEach(has::remove);
+    private static void apply(GrantDecisions decisions, Map<Share, Long> granted, List<Share> waiting) {
+        waiting.removeAll(decisions.granted());
+        waiting.removeAll(decisions.refused());
+        decisions.refused().forEach(granted::remove);
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/fleetlimits/FleetLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/fleetlimits/FleetLimitsTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What one of many instances may ask, and that all together keep the bounds. */
+/** The share of each instance, and that all instances together keep the limits. */
 class FleetLimitsTest {
 
     private static final long SECOND = 1_000_000;
 
-    private static FleetLimits plan(int instances, int rank, double rate) {
+    private static FleetLimits limits(int instances, int rank, double rate) {
         return new FleetLimits(instances, rank, rate, 64, 2);
     }
 
-    /** The most calls of all in any stretch of a second. */
+    /** The highest number of calls by all instances within any second. */
     private static int peak(List<Long> calls) {
         Collections.sort(calls);
         int peak = 0;
@@ -39,10 +39,10 @@
 
     @ParameterizedTest
     @CsvSource({"3000, 400", "3000, 1000", "10, 1", "1, 0.2", "7777, 123.4"})
-    void allThatStartTogetherAskEvenly(int instances, double rate) {
+    void instancesThatStartTogetherSpreadTheirCalls(int instances, double rate) {
         List<Long> calls = new ArrayList<>();
         for (int rank = 0; rank < instances; rank++) {
-            SlottedPollPacer pacer = new SlottedPollPacer(plan(instances, rank, rate));
+            SlottedPollPacer pacer = new SlottedPollPacer(limits(instances, rank, rate));
             long now = 1_700_000_000L * SECOND;
             for (int round = 0; round < 3; round++) {
                 long next = pacer.next(now);
@@ -54,29 +54,27 @@
         assertTrue(peak(calls) <= Math.ceil(rate) + 1, "peak " + peak(calls));
     }
 
-    /**
-     * Restarts, failures, late timers and steps of the clock at random: never twice within a slot's round.
-     */
+    /** Random restarts, failures, late timers and clock steps: no slot is used twice. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void whateverHappensTheRateHolds(long seed) {
+    void randomEventsKeepTheRate(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int instances = 500;
         double rate = 50;
         List<Long> calls = new ArrayList<>();
         for (int rank = 0; rank < instances; rank++) {
-            SlottedPollPacer pacer = new SlottedPollPacer(plan(instances, rank, rate));
+            SlottedPollPacer pacer = new SlottedPollPacer(limits(instances, rank, rate));
             long now = 900 * SECOND + random.nextLong(3 * SECOND);
             long last = -1;
             for (int i = 0; i < 12; i++) {
                 long next = pacer.next(now);
-                assertTrue(next > last, "seed " + seed + ": a slot is used twice");
+                assertTrue(next > last, "seed " + seed + ": a slot was used twice");
                 calls.add(next);
                 last = next;
-                // The call is answered, fails at once, or takes long; sometimes the clock steps back.
+                // The call succeeds, fails at once, or takes long; sometimes the clock steps back.
                 now = Math.max(0, next + random.nextLong(12 * SECOND) - (random.nextInt(10) == 0 ? 5 * SECOND : 0));
                 if (random.nextInt(4) == 0 && now > last) {
-                    pacer = new SlottedPollPacer(plan(instances, rank, rate));
+                    pacer = new SlottedPollPacer(limits(instances, rank, rate));
                 }
             }
         }
@@ -84,19 +82,19 @@
     }
 
     @Test
-    void aRoundIsAsLongAsAllNeed() {
-        assertEquals(7_500_000, plan(3_000, 0, 400).askEveryMicros());
+    void aRoundIsAsLongAsAllInstancesNeed() {
+        assertEquals(7_500_000, limits(3_000, 0, 400).askEveryMicros());
         assertEquals(0, new FleetLimits(5, 0, 0, 1, 0).askEveryMicros());
         assertThrows(IllegalArgumentException.class, () -> new SlottedPollPacer(new FleetLimits(5, 0, 0, 1, 0)));
         assertThrows(IllegalArgumentException.class, () -> new FleetLimits(5, 5, 0, 1, 0));
-        assertEquals(3_750_000, new SlottedPollPacer(plan(3_000, 0, 400)).patienceMicros());
-        assertEquals(1_000_000, new SlottedPollPacer(plan(10, 0, 400)).patienceMicros());
+        assertEquals(3_750_000, new SlottedPollPacer(limits(3_000, 0, 400)).patienceMicros());
+        assertEquals(1_000_000, new SlottedPollPacer(limits(10, 0, 400)).patienceMicros());
     }
 
-    /** What does not divide evenly is kept by some, so that all together use the whole and no more. */
+    /** Some instances keep the remainder of the division, so that all together keep exactly the limit. */
     @ParameterizedTest
     @CsvSource({"3000, 60, 64", "3000, 60, 10", "7, 3, 5", "1, 15, 4", "5000, 3, 1"})
-    void idleConnectionsOfAllKeepTheBound(int instances, int servers, int perServer) {
+    void idleConnectionsOfAllInstancesKeepTheLimit(int instances, int servers, int perServer) {
         long all = 0;
         int least = Integer.MAX_VALUE;
         int most = 0;
@@ -112,40 +110,40 @@
     }
 
     @Test
-    void probesOfAllKeepTheBound() {
+    void probesOfAllInstancesKeepTheLimit() {
         int instances = 300;
         int servers = 30;
         SplittableRandom random = new SplittableRandom(9);
         int sent = 0;
         int inFirst = 0;
         for (int rank = 0; rank < instances; rank++) {
-            ProbeBudget budget = new ProbeBudget(plan(instances, rank, 0));
-            // Each wants far more than there is, in bursts.
+            ProbeBudget budget = new ProbeBudget(limits(instances, rank, 0));
+            // Each instance tries to send far more probes than allowed, in bursts.
             for (long now = 0; now < 100 * SECOND; now += 1 + random.nextLong(200_000)) {
-                boolean may = budget.spend(now, servers);
-                sent += may ? 1 : 0;
-                inFirst += may && now < SECOND ? 1 : 0;
+                boolean allowed = budget.spend(now, servers);
+                sent += allowed ? 1 : 0;
+                inFirst += allowed && now < SECOND ? 1 : 0;
             }
         }
-        // Two a second at each of 30 servers: 60 a second for 100 seconds, less what has not filled up yet.
+        // 2 per second at each of 30 servers: 60 per second for 100 s, less what remains in the buckets.
         assertTrue(sent <= 6_000 && sent > 5_500, "sent " + sent);
-        assertTrue(inFirst <= 60, "all that begin together sent " + inFirst);
+        assertTrue(inFirst <= 60, "probes in the first second: " + inFirst);
         assertTrue(new ProbeBudget(new FleetLimits(5, 0, 0, 1, 0)).spend(0, 1));
     }
 
     @Test
-    void aQuietSpellSavesOnlyAFewProbes() {
-        ProbeBudget budget = new ProbeBudget(plan(30, 0, 0));
+    void theProbeBudgetHasALimitedCapacity() {
+        ProbeBudget budget = new ProbeBudget(limits(30, 0, 0));
         budget.spend(0, 30);
         int burst = 0;
         while (budget.spend(1_000 * SECOND, 30)) {
             burst++;
         }
-        assertEquals((int) ProbeBudget.SAVED, burst);
+        assertEquals((int) ProbeBudget.CAPACITY, burst);
     }
 
     @Test
-    void callsThatFollowAPartKeepTheRateWhateverThePartDoes() {
+    void callsKeepTheRateWhileSharesChange() {
         SplittableRandom random = new SplittableRandom(17);
         int instances = 40;
         double rate = 20;
@@ -153,7 +151,7 @@
         for (int i = 0; i < instances; i++) {
             SharedPollPacer pacer = new SharedPollPacer(rate, random.nextDouble());
             long due = pacer.next(0, 1.0 / instances);
-            // The part shrinks and grows back again and again, for all at once, and each is told anew.
+            // The share of all instances shrinks and grows every 10 s, and each reschedules its call then.
             for (long now = 0; now < 200 * SECOND; now += 10_000) {
                 if (now % (10 * SECOND) == 0) {
                     due = pacer.next(now, (now / (10 * SECOND) % 2 == 0 ? 1.0 : 0.25) / instances);
@@ -174,15 +172,15 @@
     }
 
     @Test
-    void partsOfIdleConnectionsAndProbesAreRoundedDownAndNotSavedUp() {
-        FleetLimits plan = new FleetLimits(5, 0, 0, 15, 2, true);
-        assertEquals(19, plan.idle(4, 0.95 / 3));
-        assertEquals(57, plan.idle(4, 0.95));
-        assertEquals(0, plan.idle(4, 0.01));
+    void sharesAreRoundedDownAndProbesAreNotAccumulated() {
+        FleetLimits limits = new FleetLimits(5, 0, 0, 15, 2, true);
+        assertEquals(19, limits.idle(4, 0.95 / 3));
+        assertEquals(57, limits.idle(4, 0.95));
+        assertEquals(0, limits.idle(4, 0.01));
         assertEquals(Integer.MAX_VALUE, new FleetLimits(5, 0, 0, Integer.MAX_VALUE, 0, true).idle(4, 0.01));
-        ProbeBudget budget = new ProbeBudget(plan);
+        ProbeBudget budget = new ProbeBudget(limits);
         budget.spend(0, 4, 0.001);
-        assertFalse(budget.spend(10 * SECOND, 4, 1), "ten seconds at the floor are none at the whole rate");
+        assertFalse(budget.spend(10 * SECOND, 4, 1), "10 s at a minimal share must not count as 10 s at the full rate");
         assertTrue(budget.spend(11 * SECOND, 4, 1));
     }
 }
