--- a/src/main/java/org/cypressweir/sidecar/AttemptMessages.java
+++ b/src/main/java/org/cypressweir/sidecar/AttemptMessages.java
@@ -15,16 +15,16 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.sidecar.ClientRequest.Attempt;
 
-/** The HTTP messages of an attempt: the request that is sent, and what a server's response means. No state. */
+/** Creates the HTTP request of an attempt and derives the attempt's result from the response. Stateless. */
 final class AttemptMessages {
 
     private static final int MICROS_PER_MILLI = 1000;
     /** Value of {@link Headers#NOT_STARTED} by which a server says that it has not run the request. */
-    private static final String TRUE = "1";
+    private static final String NOT_STARTED_VALUE = "1";
 
     private AttemptMessages() {}
 
-    /** The request that an attempt sends, with the time that is left of it. */
+    /** The request that an attempt sends, with the time that remains until it is given up. */
     static FullHttpRequest request(Attempt attempt, long nowMicros) {
         ClientRequest call = attempt.call;
         HttpHeaders headers = Headers.endToEnd(call.headers);
@@ -52,20 +52,20 @@
                 new DefaultHttpHeaders());
     }
 
-    /** What a response means for its attempt, by its status and head alone. */
+    /** The result of an attempt, by the status and headers of the response alone. */
     static Result result(HttpResponse response) {
         int status = response.status().code();
         if (status == HttpResponseStatus.OK.code()) {
             return Result.SERVED;
         }
         boolean isRejected = (status == 503 || status == 504)
-                && TRUE.equals(response.headers().get(Headers.NOT_STARTED));
+                && NOT_STARTED_VALUE.equals(response.headers().get(Headers.NOT_STARTED));
         return isRejected ? Result.FULL : Result.ERROR;
     }
 
     /**
-     * What a response to an upgrade means. Only a 101 that answers what was asked serves; what else a server says
-     * is kept for the client.
+     * The result of an attempt to upgrade. Only a 101 that matches what was asked for is a success. Any other response,
+     * except one that refuses the request, is kept for the client.
      */
     static Result upgradeResult(ClientRequest call, FullHttpResponse response) {
         if (response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
--- a/src/main/java/org/cypressweir/sidecar/CelledPool.java
+++ b/src/main/java/org/cypressweir/sidecar/CellCluster.java
@@ -24,30 +24,34 @@
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
-/** Cells with a pool each. Which of them a request or a server belongs to is for {@link Cells} to say. */
-final class CelledPool implements Cluster, Cells.Actions, ClientRequest.Watch {
+/** A cluster divided into cells with a pool each. {@link Cells} decides which cell a request or a server belongs to. */
+final class CellCluster implements Cluster, Cells.Actions, ClientRequest.Watch {
 
-    private record Known(ServerList.Entry entry, int cell) {}
+    private record KnownServer(ServerList.Entry entry, int cell) {}
 
     private final Pool.Shared shared;
     private List<RequestClass> classes;
     private Limits limits;
-    private Shares shares;
-    private final Function<PoolConfiguration, Pool> maker;
+    private FleetShare share;
+    private final Function<PoolConfiguration, Pool> poolFactory;
     private final List<Pool> pools = new ArrayList<>();
     private final Cells cells;
-    private final Map<Long, Known> known = new HashMap<>();
-    /** By ticket, until a pool has them. */
-    private final Map<Ticket, ClientRequest> held = new IdentityHashMap<>();
-
-    /** @param maker makes the pool of one cell */
-    CelledPool(Pool.Shared shared, Settings settings, PoolConfiguration plan, Function<PoolConfiguration, Pool> maker) {
+    private final Map<Long, KnownServer> serversById = new HashMap<>();
+    /** Requests that wait for their cell, by ticket, until a pool accepts them. */
+    private final Map<Ticket, ClientRequest> heldRequests = new IdentityHashMap<>();
+
+    /** @param poolFactory creates the pool of one cell */
+    CellCluster(
+            Pool.Shared shared,
+            Settings settings,
+            PoolConfiguration plan,
+            Function<PoolConfiguration, Pool> poolFactory) {
         this.shared = shared;
         classes = settings.classes();
         limits = settings.limits();
-        this.maker = maker;
+        this.poolFactory = poolFactory;
         for (int c = 0; c < plan.cells().cells().size(); c++) {
-            pools.add(maker.apply(plan.ofCell(c)));
+            pools.add(poolFactory.apply(plan.ofCell(c)));
         }
         cells = new Cells(
                 plan.name(), plan.cells(), plan.requests(), shared.clock().micros(), this);
@@ -60,29 +64,29 @@
 
     @Override
     public int knownServers() {
-        return known.size();
+        return serversById.size();
     }
 
     @Override
-    public void retune(Settings next) {
+    public void updateSettings(Settings next) {
         classes = next.classes();
         limits = next.limits();
-        pools.forEach(p -> p.retune(next));
+        pools.forEach(p -> p.updateSettings(next));
     }
 
     @Override
-    public void trim() {
-        pools.forEach(Pool::trim);
+    public void closeSurplusIdle() {
+        pools.forEach(Pool::closeSurplusIdle);
     }
 
     @Override
-    public void among(int instances) {
-        pools.forEach(p -> p.among(instances));
+    public void setInstanceCount(int instances) {
+        pools.forEach(p -> p.setInstanceCount(instances));
     }
 
     @Override
     public int listed() {
-        return known.size();
+        return serversById.size();
     }
 
     @Override
@@ -96,8 +100,9 @@
     }
 
     @Override
-    public ServerList list() {
-        return new ServerList(0, true, known.values().stream().map(Known::entry).toList());
+    public ServerList serverList() {
+        return new ServerList(
+                0, true, serversById.values().stream().map(KnownServer::entry).toList());
     }
 
     // ---- Requests
@@ -109,7 +114,7 @@
         String key = effect == Effect.KEYED ? call.headers.get(Headers.IDEMPOTENCY_KEY) : null;
         Ticket ticket = cells.ask(
                 now,
-                unit(call),
+                unitHash(call),
                 effect,
                 key == null ? 0 : Ids.of(key),
                 Hashes.mix(Ids.of(call.request.id()), 0),
@@ -121,13 +126,13 @@
         call.watch = this;
         call.ticket = ticket;
         if (ticket.cell() < 0) {
-            held.put(ticket, call);
+            heldRequests.put(ticket, call);
         } else {
             pools.get(ticket.cell()).take(call);
         }
     }
 
-    /** At once: it has been nowhere, so to come back does no harm. */
+    /** Refuses a request at once. No server has received it, so the client can safely send it again. */
     private void refuse(ClientRequest call, long retryAfterMicros) {
         long advice = limits.retryAdvice() ? RetryAfter.limit(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
         forget(call, Ending.REFUSED);
@@ -144,17 +149,20 @@
         shared.inFlight().remove(call);
     }
 
-    /** What stays together; requests that have none of it are one unit. */
-    private long unit(ClientRequest call) {
+    /**
+     * The request's unit as a hash. A unit always stays in one cell; requests without a tenant or header value form one
+     * unit.
+     */
+    private long unitHash(ClientRequest call) {
         CellsConfiguration plan = cells.plan();
         return switch (plan.unit()) {
             case KEY -> call.request.key();
-            case TENANT -> text(call.headers, Headers.TENANT);
-            case HEADER -> text(call.headers, plan.header());
+            case TENANT -> headerHash(call.headers, Headers.TENANT);
+            case HEADER -> headerHash(call.headers, plan.header());
         };
     }
 
-    private static long text(HttpHeaders headers, String name) {
+    private static long headerHash(HttpHeaders headers, String name) {
         String value = headers.get(name);
         return Ids.of(value == null ? "" : value.trim());
     }
@@ -165,7 +173,7 @@
             call.pool.left(call);
             return;
         }
-        held.remove(call.ticket);
+        heldRequests.remove(call.ticket);
         if (call.upgrade != null) {
             call.upgrade.left();
         }
@@ -178,11 +186,11 @@
         }
     }
 
-    /** In a turn of its own, since it comes out of what some pool is just doing. */
+    /** Runs as a task of its own, because it is called while some pool is handling an event. */
     @Override
     public void release(Ticket ticket) {
         shared.loop().execute(() -> {
-            ClientRequest call = held.remove(ticket);
+            ClientRequest call = heldRequests.remove(ticket);
             if (call != null) {
                 pools.get(ticket.cell()).take(call);
             }
@@ -207,7 +215,7 @@
                 .schedule(
                         () -> {
                             long now = shared.clock().micros();
-                            hand(ListKind.CHANGES, new ServerList(0, false, List.of()), cells.sweep(now));
+                            distribute(ListKind.CHANGES, new ServerList(0, false, List.of()), cells.sweep(now));
                             cells.timer(now);
                         },
                         Math.max(0, atMicros - shared.clock().micros()),
@@ -222,113 +230,117 @@
     // ---- Servers
 
     @Override
-    public void listed(ListKind kind, ServerList list) {
+    public void updateServers(ListKind kind, ServerList list) {
         List<Moved> moved = cells.listed(shared.clock().micros(), kind, list.servers());
         if (kind == ListKind.CHANGES) {
-            hand(kind, list, moved);
+            distribute(kind, list, moved);
             return;
         }
-        known.clear();
-        List<List<ServerList.Entry>> parts = parts();
+        serversById.clear();
+        List<List<ServerList.Entry>> parts = emptyListPerCell();
         for (ServerList.Entry e : list.entries()) {
             int cell = cells.cellOf(e.server().id());
             if (cell >= 0) {
-                known.put(e.server().id(), new Known(e, cell));
+                serversById.put(e.server().id(), new KnownServer(e, cell));
                 parts.get(cell).add(e);
             }
         }
         for (int c = 0; c < pools.size(); c++) {
-            pools.get(c).listed(kind, new ServerList(list.revision(), true, parts.get(c)));
+            pools.get(c).updateServers(kind, new ServerList(list.revision(), true, parts.get(c)));
         }
     }
 
-    /** Changes, and servers that stay but belong to another cell: there they are new, here they are gone. */
-    private void hand(ListKind kind, ServerList list, List<Moved> moved) {
-        List<List<ServerList.Entry>> parts = parts();
+    /**
+     * Distributes changes to the pools. A server that has moved to another cell is removed from the old cell's pool and
+     * added to the new one's.
+     */
+    private void distribute(ListKind kind, ServerList list, List<Moved> moved) {
+        List<List<ServerList.Entry>> parts = emptyListPerCell();
         for (ServerList.Entry e : list.entries()) {
             long id = e.server().id();
-            Known before = known.get(id);
+            KnownServer before = serversById.get(id);
             int cell = cells.cellOf(id);
             if (cell < 0) {
-                known.remove(id);
+                serversById.remove(id);
                 if (before != null) {
                     parts.get(before.cell).add(e);
                 }
                 continue;
             }
             if (before != null && before.cell != cell) {
-                parts.get(before.cell).add(0, before.entry.gone());
+                parts.get(before.cell).add(0, before.entry.asRemoved());
             }
             parts.get(cell).add(e);
-            known.put(id, new Known(e, cell));
+            serversById.put(id, new KnownServer(e, cell));
         }
         for (Moved m : moved) {
-            Known before = known.get(m.server());
+            KnownServer before = serversById.get(m.server());
             if (before != null && before.cell != m.to()) {
-                parts.get(before.cell).add(0, before.entry.gone());
+                parts.get(before.cell).add(0, before.entry.asRemoved());
                 parts.get(m.to()).add(before.entry);
-                known.put(m.server(), new Known(before.entry, m.to()));
+                serversById.put(m.server(), new KnownServer(before.entry, m.to()));
             }
         }
         for (int c = 0; c < pools.size(); c++) {
-            // A list that came is an answer to all that asked for one; what was only moved is none.
+            // Each pool may be waiting for a list from discovery, so it gets one even if it is empty. Mere moves
+            // between cells have revision 0 and go only to the pools that they change.
             if (!parts.get(c).isEmpty() || list.revision() != 0) {
-                pools.get(c).listed(kind, new ServerList(list.revision(), false, parts.get(c)));
+                pools.get(c).updateServers(kind, new ServerList(list.revision(), false, parts.get(c)));
             }
         }
     }
 
-    private List<List<ServerList.Entry>> parts() {
+    private List<List<ServerList.Entry>> emptyListPerCell() {
         List<List<ServerList.Entry>> parts = new ArrayList<>();
         pools.forEach(p -> parts.add(new ArrayList<>()));
         return parts;
     }
 
     @Override
-    public void failed() {
-        pools.forEach(Pool::failed);
+    public void discoveryFailed() {
+        pools.forEach(Pool::discoveryFailed);
     }
 
     // ---- Other plans
 
     @Override
-    public boolean fits(PoolConfiguration plan) {
+    public boolean isCompatibleWith(PoolConfiguration plan) {
         return plan.cells() != null && cells.fits(plan.cells());
     }
 
     @Override
-    public void limit(PoolConfiguration plan) {
+    public void applyLimits(PoolConfiguration plan) {
         for (int c = 0; c < plan.cells().cells().size(); c++) {
             if (c < pools.size()) {
-                pools.get(c).limit(plan.ofCell(c));
+                pools.get(c).applyLimits(plan.ofCell(c));
             } else {
-                Pool added = maker.apply(plan.ofCell(c));
+                Pool added = poolFactory.apply(plan.ofCell(c));
                 pools.add(added);
-                added.share(shares);
-                added.listed(ListKind.COMPLETE, new ServerList(0, true, List.of()));
+                added.setFleetShare(share);
+                added.updateServers(ListKind.COMPLETE, new ServerList(0, true, List.of()));
             }
         }
-        hand(
+        distribute(
                 ListKind.CHANGES,
                 new ServerList(0, false, List.of()),
                 cells.plan(shared.clock().micros(), plan.cells(), plan.requests()));
     }
 
     @Override
-    public void share(Shares others) {
-        shares = others;
-        pools.forEach(p -> p.share(others));
+    public void setFleetShare(FleetShare nextShare) {
+        share = nextShare;
+        pools.forEach(p -> p.setFleetShare(nextShare));
     }
 
     @Override
-    public void retire(Runnable ended) {
+    public void retire(Runnable whenRetired) {
         cells.closing(shared.clock().micros());
-        // What was held is with its pool before that pool can be empty.
+        // In a task of its own: by then the pools have the requests that were held, so that none ends as empty before.
         shared.loop().execute(() -> {
-            int[] left = {pools.size()};
+            int[] remaining = {pools.size()};
             pools.forEach(p -> p.retire(() -> {
-                if (--left[0] == 0) {
-                    ended.run();
+                if (--remaining[0] == 0) {
+                    whenRetired.run();
                 }
             }));
         });
--- a/src/main/java/org/cypressweir/sidecar/Cluster.java
+++ b/src/main/java/org/cypressweir/sidecar/Cluster.java
@@ -4,7 +4,7 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
-/** The servers of some routes: a pool, or cells with a pool each. */
+/** The servers behind some routes: one pool, or cells with a pool each. */
 interface Cluster {
 
     /** Whether any server is in service. */
@@ -12,65 +12,63 @@
 
     int knownServers();
 
-    /** Servers on the list as last told. */
+    /** Servers on the latest list. */
     int listed();
 
-    /** Those of them that nothing new would be sent to now. */
+    /** Servers on the latest list to which no new request would be sent now. */
     int avoided();
 
-    /** Bytes that wait to be written to servers. */
+    /** Bytes waiting to be written to servers. */
     long waitingBytes();
 
-    /** The servers as last told, those that are not gone. */
-    ServerList list();
+    /** The servers on the latest list, without removed ones. */
+    ServerList serverList();
 
-    /** Takes a request that is in hand from now on. */
-    void take(ClientRequest call);
+    /** Accepts a request, which is in flight from now on. */
+    void take(ClientRequest request);
 
-    /** The client of a request has left. */
-    void left(ClientRequest call);
+    /** The client of a request has disconnected. */
+    void left(ClientRequest request);
 
-    void listed(ListKind kind, ServerList list);
+    void updateServers(ListKind kind, ServerList list);
 
     /** Discovery can't be reached. */
-    void failed();
+    void discoveryFailed();
 
-    /** Whether another plan can be taken over with what has been learned. */
-    boolean fits(PoolConfiguration plan);
+    /** Whether another configuration can be applied without losing what has been learned about the servers. */
+    boolean isCompatibleWith(PoolConfiguration configuration);
 
-    /** Other limits hold from now on; what is in hand or open stays. */
-    void limit(PoolConfiguration plan);
+    /** Applies other limits; requests in flight and open connections stay. */
+    void applyLimits(PoolConfiguration configuration);
 
-    /** Other classes and attempts hold for requests that come from now on. */
-    void retune(Settings next);
+    /** Applies other request classes and attempt settings to requests that arrive from now on. */
+    void updateSettings(Settings next);
 
-    /** From now on it is one of so many instances. */
-    void among(int instances);
+    /** Sets the number of instances that share the servers. */
+    void setInstanceCount(int instances);
 
-    /**
-     * Shares servers with other instances, within what these bounds leave to this one; null for no bounds.
-     */
-    void share(Shares shares);
+    /** Limits this instance to its share of what all instances may use; null for no limits. */
+    void setFleetShare(FleetShare share);
 
-    /** The bounds leave less than before, perhaps: what is idle beyond them goes at once. */
-    void trim();
+    /** Closes idle connections beyond this instance's share, which may have shrunk. */
+    void closeSurplusIdle();
 
-    /** What one instance may ask of servers that it shares. */
-    interface Shares {
-        /** Idle connections to so many servers. */
-        int idle(int servers);
+    /** What one instance may use of the servers that it shares with others. */
+    interface FleetShare {
+        /** The limit on idle connections to this number of servers. */
+        int maxIdleConnections(int servers);
 
-        /** Whether a probe may go out now to one of so many servers; it is spent then. */
-        boolean probe(long nowMicros, int servers);
+        /** Takes one probe to one of this number of servers from the budget; false if none is left now. */
+        boolean tryAcquireProbe(long nowMicros, int servers);
     }
 
     /**
-     * Ends it: its servers are told as gone, so that nothing new goes to them past the drain grace, and what
-     * has been sent may still be answered.
+     * Shuts the cluster down. Its servers are reported as removed, so that nothing new is sent to them past the drain
+     * grace, while requests already sent may still get a response.
      *
-     * @param ended run once all requests are forgotten and all connections closed
+     * @param whenRetired run once all requests are forgotten and all connections closed
      */
-    void retire(Runnable ended);
+    void retire(Runnable whenRetired);
 
     void close();
 }
--- a/src/main/java/org/cypressweir/sidecar/Discovery.java
+++ b/src/main/java/org/cypressweir/sidecar/Discovery.java
@@ -22,60 +22,68 @@
 import org.cypressweir.common.util.Addresses;
 
 /**
- * Watches the list of servers. Once asked, the watch goes on by itself; when it fails it stops, and it is the
- * module that asks again.
+ * Watches discovery's list of servers by long polling, or polls it on a schedule. Once subscribed it goes on by itself;
+ * when it fails it stops, until the load balancer subscribes again.
  */
 final class Discovery {
 
-    /** What the watch brings, always on the event loop. */
+    /** Receives lists and failures, always on the event loop. */
     interface Listener {
         void listed(ServerList list);
 
-        void failed(String why);
+        void failed(String reason);
     }
 
     /**
-     * How long discovery may wait. Word that never arrives counts as told 2 s after this wait is over, so a
-     * long hold leaves a sidecar that discovery can't reach the longest time before it is held to what it
-     * could not hear; and a new watch costs the shared service a call, while one that goes on costs nothing.
-     * A longer one still would leave a silent peer unnoticed for as long.
+     * How long discovery may hold a long poll. A change that never arrives counts as delivered 2 s after the hold ends,
+     * so a long hold gives a sidecar that discovery cannot reach the most time before it is held to changes that it
+     * could not receive. It also spares the shared service calls: a new watch costs one, while one that is held open
+     * costs nothing. An even longer hold would leave a silent peer unnoticed for as long.
      */
-    private static final long HOLD_MILLIS = 20_000;
-    /** Silence beyond the hold is a dead peer; less than the 2 s after which word counts as told. */
-    private static final long SILENCE_MILLIS = 1_000;
+    private static final long LONG_POLL_MILLIS = 20_000;
+    /**
+     * A peer that stays silent for this long beyond the hold is considered dead. Less than the 2 s after which a change
+     * counts as delivered.
+     */
+    private static final long RESPONSE_GRACE_MILLIS = 1_000;
 
     private static final String PATH = "/v1/servers";
     private static final long CONNECT_MICROS = 1_000_000;
-    /** Largest list: some ten thousand servers. */
-    static final int MAX_LIST = 8 * 1024 * 1024;
-    /** A list from this size on is read on a thread of its own: a megabyte would stop the loop for long. */
-    private static final int LARGE_LIST = 64 * 1024;
-    /** Pause after an answer without news that came early; a watch goes on for 200 ms after an answer. */
-    private static final long EARLY_MILLIS = 100;
+    /** Largest list, in bytes: some ten thousand servers. */
+    static final int MAX_LIST_BYTES = 8 * 1024 * 1024;
+    /**
+     * Lists of this size or more are parsed on a separate thread: a megabyte would block the event loop for too long.
+     */
+    private static final int LARGE_LIST_BYTES = 64 * 1024;
+    /**
+     * Pause after an empty response that came early. A watch counts as continued if the next call comes within 200 ms
+     * of a response.
+     */
+    private static final long EMPTY_RESPONSE_PAUSE_MILLIS = 100;
 
     private final EventLoop loop;
     private final ServerList.Reader reader;
     private final Listener listener;
-    private final long holdMillis;
+    private final long longPollMillis;
     private final Consumer<String> log;
 
     private InetSocketAddress address;
-    private Peer peer;
-    /** The peer whose list is being read on the other thread. */
-    private Peer reading;
+    private Connection connection;
+    /** The connection whose list is being parsed on the other thread. */
+    private Connection readingFrom;
 
-    private ExecutorService readers;
+    private ExecutorService listReaders;
     private boolean watching;
     private boolean closed;
-    /** The next answer must be the whole list: the revision of another service says nothing. */
-    private boolean whole;
+    /** The next response must be the complete list, because a revision of another discovery service means nothing. */
+    private boolean needsCompleteList;
 
     private long revision;
-    private long askedAt;
+    private long requestedAtNanos;
     private SidecarClock clock;
-    private Pace pace;
-    private Future<?> silence;
-    private Future<?> pause;
+    private PollSchedule pollSchedule;
+    private Future<?> responseTimeout;
+    private Future<?> nextRequest;
 
     Discovery(
             EventLoop loop,
@@ -84,10 +92,10 @@
             long revision,
             Listener listener,
             Consumer<String> log) {
-        this(loop, address, reader, revision, listener, log, HOLD_MILLIS);
+        this(loop, address, reader, revision, listener, log, LONG_POLL_MILLIS);
     }
 
-    /** For tests: with another hold. */
+    /** For tests, with another hold. */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -95,207 +103,215 @@
             long revision,
             Listener listener,
             Consumer<String> log,
-            long holdMillis) {
+            long longPollMillis) {
         this.loop = loop;
         this.address = address;
         this.reader = reader;
         this.revision = revision;
         this.listener = listener;
         this.log = log;
-        this.holdMillis = holdMillis;
+        this.longPollMillis = longPollMillis;
     }
 
-    /** When it may ask; without one it watches. Times are Unix time in microseconds. */
-    interface Pace {
-        /** The time of the next call, which is used up by this. */
-        long next(long nowMicros);
+    /** When discovery may be polled; without a schedule it is watched. Times are Unix time in microseconds. */
+    interface PollSchedule {
+        /** The time of the next call. Each time is given only once. */
+        long nextPollMicros(long nowMicros);
 
         /** How long a call may take. */
-        long patienceMicros();
+        long timeoutMicros();
     }
 
-    /** Asks at this pace from now on, and holds nothing open in between; null to watch. */
-    void pace(SidecarClock clock, Pace other) {
-        boolean was = pace != null;
-        pace = other;
+    /** Polls on this schedule from now on, with nothing held open in between; null to watch. */
+    void pace(SidecarClock clock, PollSchedule nextSchedule) {
+        boolean wasPolling = pollSchedule != null;
+        pollSchedule = nextSchedule;
         this.clock = clock;
-        if (watching && (was || other != null)) {
-            // What is under way was asked in the old way, and what waits for its time waits for the old one.
-            drop();
-            begin();
+        if (watching && (wasPolling || nextSchedule != null)) {
+            // A call in flight was made in the old mode, and a pending one waits for a time of the old schedule.
+            disconnect();
+            scheduleRequest();
         }
     }
 
-    /** What this process has now is not discovery's own: the next answer must be the whole list. */
-    void distrust() {
-        whole = true;
+    /** The list of this process did not come from discovery: the next response must be the complete list. */
+    void requireCompleteList() {
+        needsCompleteList = true;
     }
 
-    /** The pace allows another time by now: what only waits for its time waits for that one. */
+    /** The schedule has changed: a call that is still waiting for its time gets a new one. */
     void repace() {
-        if (pace != null && pause != null && !pause.isDone() && pause.cancel(false)) {
-            begin();
+        if (pollSchedule != null && nextRequest != null && !nextRequest.isDone() && nextRequest.cancel(false)) {
+            scheduleRequest();
         }
     }
 
-    /** Begins to watch; while the watch is on there is nothing to ask for. */
+    /** Starts to watch or poll; does nothing if already started. */
     void subscribe() {
         if (!watching) {
             watching = true;
-            begin();
+            scheduleRequest();
         }
     }
 
-    /** Asks at once, or in its next turn. */
-    private void begin() {
-        if (pace == null) {
-            ask();
+    /** Sends the next request at once, or at the time given by the schedule. */
+    private void scheduleRequest() {
+        if (pollSchedule == null) {
+            sendRequest();
             return;
         }
         long now = clock.micros();
-        pause = loop.schedule(this::ask, Math.max(0, pace.next(now) - now), TimeUnit.MICROSECONDS);
+        nextRequest = loop.schedule(
+                this::sendRequest, Math.max(0, pollSchedule.nextPollMicros(now) - now), TimeUnit.MICROSECONDS);
     }
 
-    /** Goes on at another address. What the old one still tells no longer counts. */
+    /** Continues at another address. What the old one still sends is ignored. */
     void move(InetSocketAddress to) {
         if (closed || to.equals(address)) {
             return;
         }
         address = to;
-        whole = true;
-        drop();
+        needsCompleteList = true;
+        disconnect();
         watching = true;
-        begin();
+        scheduleRequest();
     }
 
     void close() {
         closed = true;
         watching = false;
-        drop();
-        if (readers != null) {
-            readers.shutdown();
+        disconnect();
+        if (listReaders != null) {
+            listReaders.shutdown();
         }
     }
 
-    private void ask() {
+    private void sendRequest() {
         if (!watching) {
             return;
         }
-        askedAt = System.nanoTime();
-        long patience = pace == null ? holdMillis + SILENCE_MILLIS : pace.patienceMicros() / 1_000;
-        silence = loop.schedule(() -> fail("no answer"), patience, TimeUnit.MILLISECONDS);
-        if (peer == null) {
-            peer = new Peer();
-        } else if (peer.up) {
-            peer.send();
+        requestedAtNanos = System.nanoTime();
+        long timeoutMillis =
+                pollSchedule == null ? longPollMillis + RESPONSE_GRACE_MILLIS : pollSchedule.timeoutMicros() / 1_000;
+        responseTimeout = loop.schedule(() -> fail("no response"), timeoutMillis, TimeUnit.MILLISECONDS);
+        if (connection == null) {
+            connection = new Connection();
+        } else if (connection.isConnected) {
+            connection.send();
         }
     }
 
-    private void answered(FullHttpResponse answer) {
-        silence.cancel(false);
+    private void handleResponse(FullHttpResponse answer) {
+        responseTimeout.cancel(false);
         if (!answer.status().equals(HttpResponseStatus.OK)) {
             fail("status " + answer.status().code());
             return;
         }
         byte[] text = ByteBufUtil.getBytes(answer.content());
-        boolean keep = HttpUtil.isKeepAlive(answer);
-        if (text.length < LARGE_LIST) {
-            read(text).accept(keep);
+        boolean keepAlive = HttpUtil.isKeepAlive(answer);
+        if (text.length < LARGE_LIST_BYTES) {
+            read(text).accept(keepAlive);
             return;
         }
-        Peer from = peer;
-        reading = from;
-        if (readers == null) {
-            readers = Executors.newSingleThreadExecutor(new DefaultThreadFactory("lists", true));
+        Connection from = connection;
+        readingFrom = from;
+        if (listReaders == null) {
+            listReaders = Executors.newSingleThreadExecutor(new DefaultThreadFactory("lists", true));
         }
-        readers.execute(() -> {
+        listReaders.execute(() -> {
             Consumer<Boolean> read = read(text);
             loop.execute(() -> {
-                // Whoever moved on meanwhile no longer wants it.
-                if (reading == from) {
-                    reading = null;
-                    read.accept(keep && peer == from);
+                // If the connection was dropped meanwhile, its list is out of date.
+                if (readingFrom == from) {
+                    readingFrom = null;
+                    read.accept(keepAlive && connection == from);
                 }
             });
         });
     }
 
-    /** Reads a list, on any thread; what comes of it is to be done on the loop, told if the peer stays. */
+    /**
+     * Parses a list, on any thread. The action returned is to be run on the event loop, with whether the connection can
+     * be kept.
+     */
     private Consumer<Boolean> read(byte[] text) {
         try {
             ServerList list = reader.read(text);
-            return keep -> take(list, keep);
+            return keepAlive -> accept(list, keepAlive);
         } catch (IOException | RuntimeException e) {
-            return keep -> fail("a malformed list: " + e.getMessage());
+            return keepAlive -> fail("malformed list: " + e.getMessage());
         }
     }
 
-    private void take(ServerList list, boolean keep) {
-        if (whole && !list.complete()) {
-            fail("changes in place of the whole list");
+    private void accept(ServerList list, boolean keepAlive) {
+        if (needsCompleteList && !list.complete()) {
+            fail("changes where the complete list was expected");
             return;
         }
-        whole = false;
+        needsCompleteList = false;
         revision = list.revision();
-        if (!keep || pace != null) {
-            drop();
+        if (!keepAlive || pollSchedule != null) {
+            disconnect();
         }
-        if (pace != null) {
-            begin();
+        if (pollSchedule != null) {
+            scheduleRequest();
             listener.listed(list);
             return;
         }
-        boolean early =
-                list.entries().isEmpty() && System.nanoTime() - askedAt < TimeUnit.MILLISECONDS.toNanos(holdMillis / 2);
-        if (early) {
-            pause = loop.schedule(this::ask, EARLY_MILLIS, TimeUnit.MILLISECONDS);
+        boolean isEarly = list.entries().isEmpty()
+                && System.nanoTime() - requestedAtNanos < TimeUnit.MILLISECONDS.toNanos(longPollMillis / 2);
+        if (isEarly) {
+            nextRequest = loop.schedule(this::sendRequest, EMPTY_RESPONSE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         } else {
-            ask();
+            sendRequest();
         }
         listener.listed(list);
     }
 
-    private void drop() {
-        reading = null;
-        if (silence != null) {
-            silence.cancel(false);
+    private void disconnect() {
+        readingFrom = null;
+        if (responseTimeout != null) {
+            responseTimeout.cancel(false);
         }
-        if (pause != null) {
-            pause.cancel(false);
+        if (nextRequest != null) {
+            nextRequest.cancel(false);
         }
-        if (peer != null) {
-            Peer old = peer;
-            peer = null;
-            old.link.close();
+        if (connection != null) {
+            Connection old = connection;
+            connection = null;
+            old.serverConnection.close();
         }
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         watching = false;
-        drop();
-        log.accept("discovery: " + why);
-        listener.failed(why);
+        disconnect();
+        log.accept("discovery: " + reason);
+        listener.failed(reason);
     }
 
-    /** A connection to discovery; once it is dropped, nothing that it still tells counts. */
-    private final class Peer implements ServerConnection.Owner {
-        private final ServerConnection link = new ServerConnection(loop, address, MAX_LIST, CONNECT_MICROS, this);
-        private boolean up;
+    /** A connection to discovery. Once it is dropped, its events are ignored. */
+    private final class Connection implements ServerConnection.Owner {
+        private final ServerConnection serverConnection =
+                new ServerConnection(loop, address, MAX_LIST_BYTES, CONNECT_MICROS, this);
+        private boolean isConnected;
 
         private void send() {
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
-                    whole ? PATH : PATH + "?from=" + revision + "&hold_ms=" + (pace == null ? holdMillis : 0),
+                    needsCompleteList
+                            ? PATH
+                            : PATH + "?from=" + revision + "&hold_ms=" + (pollSchedule == null ? longPollMillis : 0),
                     Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-            link.send(request);
+            serverConnection.send(request);
         }
 
         @Override
         public void opened() {
-            up = true;
-            if (peer == this) {
+            isConnected = true;
+            if (connection == this) {
                 send();
             }
         }
@@ -304,18 +320,18 @@
         public void written() {}
 
         @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
-            if (peer == this) {
-                Discovery.this.answered(answer);
+        public void responseReceived(FullHttpResponse answer, boolean clean) {
+            if (connection == this) {
+                Discovery.this.handleResponse(answer);
             }
         }
 
         @Override
         public void closed() {
-            if (peer == this) {
-                peer = null;
-                if (reading != this) {
-                    fail(link.failure());
+            if (connection == this) {
+                connection = null;
+                if (readingFrom != this) {
+                    fail(serverConnection.failure());
                 }
             }
         }
--- a/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
@@ -18,54 +18,54 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
- * The newest list of this process as pages that others may borrow: servers in service only. Whoever borrows
- * sends nothing to those that drain, since when its lender was told of that has no say any more. Zones and
- * models go by name.
+ * The latest endpoint list of this process, in pages that other processes may borrow. It holds servers in service only:
+ * a borrower sends nothing to draining ones, because the time at which the lender learned of the drain no longer
+ * counts. Zones and models are written by name.
  */
 final class EndpointListCache implements Lending.EndpointListSource {
 
-    /** Bytes of a page, under those of a datagram by what else is in it. */
-    private static final int PAGE = 900;
+    /** Largest page in bytes: a datagram less the other fields of its message. */
+    private static final int MAX_PAGE_BYTES = 900;
 
     private static final CBORFactory CBOR = new CBORFactory();
 
     private final SidecarClock clock;
-    private final ServerList.Reader names;
+    private final ServerList.Reader nameTable;
     private final Supplier<ServerList> list;
-    private final BooleanSupplier whole;
+    private final BooleanSupplier isSettled;
     private long revision;
-    private long toldAt;
-    /** Made when they are first asked for; null for not yet. */
+    private long updatedAtMicros;
+    /** Written when first requested; null before. */
     private List<byte[]> pages;
 
     /**
-     * @param list as told last
-     * @param whole whether nothing of it is still on its way to the pools
+     * @param list supplies the latest list
+     * @param isSettled whether the pools have all of it
      */
     EndpointListCache(
             SidecarClock clock,
-            ServerList.Reader names,
+            ServerList.Reader nameTable,
             long revision,
             Supplier<ServerList> list,
-            BooleanSupplier whole) {
+            BooleanSupplier isSettled) {
         this.clock = clock;
-        this.names = names;
+        this.nameTable = nameTable;
         this.revision = revision;
         this.list = list;
-        this.whole = whole;
-        toldAt = clock.micros();
+        this.isSettled = isSettled;
+        updatedAtMicros = clock.micros();
     }
 
-    /** A list of that revision has come, from wherever, which had it for so long. */
-    void told(long next, long ageMicros) {
+    /** A list of this revision has arrived, from any source, which had had it for this long. */
+    void update(long next, long ageMicros) {
         revision = next;
-        toldAt = clock.micros() - ageMicros;
+        updatedAtMicros = clock.micros() - ageMicros;
         pages = null;
     }
 
     @Override
     public long revision() {
-        return whole.getAsBoolean() ? revision : -1;
+        return isSettled.getAsBoolean() ? revision : -1;
     }
 
     @Override
@@ -75,7 +75,7 @@
 
     @Override
     public long ageMicros() {
-        return Math.max(0, clock.micros() - toldAt);
+        return Math.max(0, clock.micros() - updatedAtMicros);
     }
 
     @Override
@@ -93,11 +93,11 @@
 
     private List<byte[]> write(ServerList all) {
         List<byte[]> written = new ArrayList<>();
-        ByteArrayOutputStream page = new ByteArrayOutputStream(PAGE);
+        ByteArrayOutputStream page = new ByteArrayOutputStream(MAX_PAGE_BYTES);
         for (ServerList.Entry e : all.entries()) {
             if (e.server().phase() == Phase.READY) {
                 byte[] one = write(e);
-                if (page.size() + one.length > PAGE) {
+                if (page.size() + one.length > MAX_PAGE_BYTES) {
                     written.add(page.toByteArray());
                     page.reset();
                 }
@@ -116,8 +116,8 @@
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
             out.writeNumber(s.id());
-            out.writeString(s.zone() < 0 ? "" : names.zones().get(s.zone()));
-            out.writeString(s.kind() < 0 ? "" : names.models().get(s.kind()));
+            out.writeString(s.zone() < 0 ? "" : nameTable.zones().get(s.zone()));
+            out.writeString(s.kind() < 0 ? "" : nameTable.models().get(s.kind()));
             out.writeNumber(s.cell());
             out.writeNumber(s.startMicros());
             out.writeNumber(s.weight());
@@ -125,12 +125,12 @@
             out.writeNumber(e.address().getPort());
             out.writeEndArray();
         } catch (IOException io) {
-            throw new UncheckedIOException("memory can't fail", io);
+            throw new UncheckedIOException("failed to write to memory", io);
         }
         return bytes.toByteArray();
     }
 
-    /** All or nothing, like a list of discovery's. */
+    /** Parses a borrowed list. Like a list from discovery, it is accepted as a whole or not at all. */
     ServerList read(Lending.Loan loan) throws IOException {
         List<ServerList.Entry> entries = new ArrayList<>();
         for (byte[] page : loan.pages()) {
@@ -144,25 +144,25 @@
     }
 
     private ServerList.Entry entry(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_ARRAY);
+        require(in.currentToken() == JsonToken.START_ARRAY);
         long id = in.nextLongValue(0);
-        int zone = names.zones().indexOf(in.nextTextValue());
-        int kind = names.models().indexOf(in.nextTextValue());
+        int zone = nameTable.zones().indexOf(in.nextTextValue());
+        int kind = nameTable.models().indexOf(in.nextTextValue());
         int cell = in.nextIntValue(0);
         long start = in.nextLongValue(0);
-        need(in.nextToken() != null && in.currentToken().isNumeric());
+        require(in.nextToken() != null && in.currentToken().isNumeric());
         double weight = in.getDoubleValue();
-        need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+        require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
         InetAddress address = InetAddress.getByAddress(in.getBinaryValue());
         int port = in.nextIntValue(0);
-        need(port > 0 && port < 65_536 && weight >= 0 && in.nextToken() == JsonToken.END_ARRAY);
+        require(port > 0 && port < 65_536 && weight >= 0 && in.nextToken() == JsonToken.END_ARRAY);
         return new ServerList.Entry(
                 new Server(id, zone, kind, cell, Phase.READY, start, weight), new InetSocketAddress(address, port));
     }
 
-    private static void need(boolean holds) throws IOException {
+    private static void require(boolean holds) throws IOException {
         if (!holds) {
-            throw new IOException("a page that is none");
+            throw new IOException("malformed page of an endpoint list");
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
@@ -10,15 +10,14 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 
 /**
- * Hands what discovery tells to the pools. A large list goes in slices, a turn of the loop each, as changes
- * against what is known: first what leaves, then the rest. What comes meanwhile waits its turn, so that all
- * is
- * taken over in the order in which it was told.
+ * Applies discovery's lists to the pools. A large list is applied in slices, each in an event loop task of its own, as
+ * changes against the known list: first the servers that leave, then the rest. Lists that arrive meanwhile are queued,
+ * so that all are applied in the order of their arrival.
  */
 final class EndpointListFeed {
 
-    /** Entries in one turn of the loop. */
-    static final int SLICE = 128;
+    /** Most entries that are applied in one task of the event loop. */
+    static final int MAX_SLICE_ENTRIES = 128;
 
     private final EventLoop loop;
     private final Layout layout;
@@ -30,81 +29,83 @@
     }
 
     void take(ServerList list) {
-        step(() -> {
-            if (list.entries().size() <= SLICE) {
-                hand(list.complete() ? ListKind.COMPLETE : ListKind.CHANGES, list);
+        enqueue(() -> {
+            if (list.entries().size() <= MAX_SLICE_ENTRIES) {
+                deliver(list.complete() ? ListKind.COMPLETE : ListKind.CHANGES, list);
             } else {
                 slice(list);
             }
         });
     }
 
-    /** Whether all that has come is taken over. */
-    boolean settled() {
+    /** Whether all lists that have arrived are applied. */
+    boolean isSettled() {
         return steps.isEmpty();
     }
 
     /** Discovery can't be reached. */
     void failed() {
-        step(() -> layout.discovered().forEach(Cluster::failed));
+        enqueue(() -> layout.discovered().forEach(Cluster::discoveryFailed));
     }
 
-    private void hand(ListKind kind, ServerList list) {
-        layout.discovered().forEach(pool -> pool.listed(kind, list));
+    private void deliver(ListKind kind, ServerList list) {
+        layout.discovered().forEach(pool -> pool.updateServers(kind, list));
     }
 
-    /** At once where nothing waits. */
-    private void step(Runnable step) {
+    /** Adds a step, which runs at once if no other is queued. */
+    private void enqueue(Runnable enqueue) {
         boolean idle = steps.isEmpty();
-        steps.addLast(step);
+        steps.addLast(enqueue);
         if (idle) {
-            next();
+            runNext();
         }
     }
 
-    private void next() {
-        // It stays at the head while it runs, so that what it adds or what comes waits behind it.
+    private void runNext() {
+        // The step stays at the head of the queue while it runs, so that new steps are queued behind it.
         try {
             steps.peekFirst().run();
         } finally {
             steps.pollFirst();
             if (!steps.isEmpty()) {
-                loop.execute(this::next);
+                loop.execute(this::runNext);
             }
         }
     }
 
-    /** Compares, sorts and cuts, each in a turn of its own. */
+    /** Compares, sorts and splits a list, each in a task of its own. */
     private void slice(ServerList list) {
         List<ServerList.Entry> ordered = new ArrayList<>();
-        Set<Long> named = new HashSet<>();
-        Runnable name = () -> list.entries().forEach(e -> named.add(e.server().id()));
-        Runnable compare = () ->
-                layout.discovered().stream().findFirst().ifPresent(pool -> ordered.addAll(absent(pool.list(), named)));
-        Runnable cut = () -> {
+        Set<Long> listedIds = new HashSet<>();
+        Runnable collectIds =
+                () -> list.entries().forEach(e -> listedIds.add(e.server().id()));
+        Runnable compare = () -> layout.discovered().stream()
+                .findFirst()
+                .ifPresent(pool -> ordered.addAll(missing(pool.serverList(), listedIds)));
+        Runnable split = () -> {
             list.entries().stream()
                     .filter(e -> e.server().phase() != Phase.READY)
                     .forEach(ordered::add);
             list.entries().stream()
                     .filter(e -> e.server().phase() == Phase.READY)
                     .forEach(ordered::add);
-            first(cut(list.revision(), ordered));
+            enqueueNext(split(list.revision(), ordered));
         };
-        first(list.complete() ? List.of(name, compare, cut) : List.of(cut));
+        enqueueNext(list.complete() ? List.of(collectIds, compare, split) : List.of(split));
     }
 
-    private List<Runnable> cut(long revision, List<ServerList.Entry> entries) {
+    private List<Runnable> split(long revision, List<ServerList.Entry> entries) {
         List<Runnable> slices = new ArrayList<>();
-        for (int from = 0; from < entries.size(); from += SLICE) {
-            List<ServerList.Entry> part = entries.subList(from, Math.min(entries.size(), from + SLICE));
+        for (int from = 0; from < entries.size(); from += MAX_SLICE_ENTRIES) {
+            List<ServerList.Entry> part = entries.subList(from, Math.min(entries.size(), from + MAX_SLICE_ENTRIES));
             ServerList changes = new ServerList(revision, false, part);
-            slices.add(() -> hand(ListKind.CHANGES, changes));
+            slices.add(() -> deliver(ListKind.CHANGES, changes));
         }
         return slices;
     }
 
-    /** Right after the step that runs, before what has come since: that is newer. */
-    private void first(List<Runnable> next) {
+    /** Adds steps right behind the running one, ahead of those of newer lists. */
+    private void enqueueNext(List<Runnable> next) {
         Runnable running = steps.pollFirst();
         for (int i = next.size() - 1; i >= 0; i--) {
             steps.addFirst(next.get(i));
@@ -112,14 +113,14 @@
         steps.addFirst(running);
     }
 
-    /** What is known and not named, as gone. */
-    private static List<ServerList.Entry> absent(ServerList known, Set<Long> named) {
-        List<ServerList.Entry> absent = new ArrayList<>();
+    /** Known servers that the new list lacks, marked as removed. */
+    private static List<ServerList.Entry> missing(ServerList known, Set<Long> listedIds) {
+        List<ServerList.Entry> missing = new ArrayList<>();
         known.entries().forEach(e -> {
-            if (!named.contains(e.server().id())) {
-                absent.add(e.gone());
+            if (!listedIds.contains(e.server().id())) {
+                missing.add(e.asRemoved());
             }
         });
-        return absent;
+        return missing;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/HealthProber.java
+++ b/src/main/java/org/cypressweir/sidecar/HealthProber.java
@@ -24,18 +24,19 @@
 import org.cypressweir.loadbalancing.LoadReports;
 
 /**
- * Probes of servers ({@code GET /load}), where an installation permits them: a connection each, one at a
- * time to a server, and no more than this instance's part of what all may send.
+ * Sends health probes to servers ({@code GET /load}), where an installation permits them. Each probe has a connection
+ * of its own, each server has one probe at a time, and this instance sends no more than its share of the fleet's
+ * probes.
  */
 final class HealthProber {
 
-    /** Hears what came of a probe. */
+    /** Receives the results of probes. */
     interface Listener {
         void probed(long server, Result result, long elapsedMicros, LoadReport report);
     }
 
-    private static final long PATIENCE_MICROS = 1_000_000;
-    private static final int MAX_REPORT = 4096;
+    private static final long TIMEOUT_MICROS = 1_000_000;
+    private static final int MAX_REPORT_BYTES = 4096;
 
     private final EventLoop loop;
     private final SidecarClock clock;
@@ -44,7 +45,7 @@
     private final Listener listener;
     private final Set<Long> probing = new HashSet<>();
 
-    /** @param budget whether a probe may go out now; spends it */
+    /** @param budget takes one probe from the budget; false if none is left now */
     HealthProber(EventLoop loop, SidecarClock clock, long connectMicros, BooleanSupplier budget, Listener listener) {
         this.loop = loop;
         this.clock = clock;
@@ -53,7 +54,7 @@
         this.listener = listener;
     }
 
-    /** Probes a server, unless a probe is on its way to it or the budget is spent. */
+    /** Probes a server, unless a probe to it is in flight or the budget is used up. */
     void probe(long server, InetSocketAddress address) {
         if (!probing.contains(server) && budget.getAsBoolean()) {
             probing.add(server);
@@ -64,29 +65,30 @@
     private final class Probe implements ServerConnection.Owner {
         private final long server;
         private final InetSocketAddress address;
-        private final long sentAt = clock.micros();
-        private final ServerConnection link;
-        private final Future<?> patience;
+        private final long startedAtMicros = clock.micros();
+        private final ServerConnection connection;
+        private final Future<?> timeout;
         private boolean written;
-        private boolean over;
+        private boolean hasEnded;
 
         Probe(long server, InetSocketAddress address) {
             this.server = server;
             this.address = address;
-            link = new ServerConnection(loop, address, MAX_REPORT, Math.min(connectMicros, PATIENCE_MICROS), this);
-            patience = loop.schedule(() -> end(Result.TIMED_OUT, null), PATIENCE_MICROS, TimeUnit.MICROSECONDS);
+            connection = new ServerConnection(
+                    loop, address, MAX_REPORT_BYTES, Math.min(connectMicros, TIMEOUT_MICROS), this);
+            timeout = loop.schedule(() -> end(Result.TIMED_OUT, null), TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void opened() {
-            if (over) {
+            if (hasEnded) {
                 return;
             }
             FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/load", Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
             request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            link.send(request);
+            connection.send(request);
         }
 
         @Override
@@ -95,14 +97,14 @@
         }
 
         @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
-            boolean well = answer.status().equals(HttpResponseStatus.OK);
-            Result otherwise =
-                    answer.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Result.FULL : Result.ERROR;
+        public void responseReceived(FullHttpResponse response, boolean clean) {
+            boolean isOk = response.status().equals(HttpResponseStatus.OK);
+            Result failure =
+                    response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Result.FULL : Result.ERROR;
             end(
-                    well ? Result.SERVED : otherwise,
-                    well
-                            ? LoadReports.parse(List.of(answer.content()
+                    isOk ? Result.SERVED : failure,
+                    isOk
+                            ? LoadReports.parse(List.of(response.content()
                                     .toString(StandardCharsets.US_ASCII)
                                     .trim()))
                             : null);
@@ -114,14 +116,14 @@
         }
 
         private void end(Result result, LoadReport report) {
-            if (over) {
+            if (hasEnded) {
                 return;
             }
-            over = true;
-            patience.cancel(false);
+            hasEnded = true;
+            timeout.cancel(false);
             probing.remove(server);
-            link.close();
-            listener.probed(server, result, clock.micros() - sentAt, report);
+            connection.close();
+            listener.probed(server, result, clock.micros() - startedAtMicros, report);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/IdleConnections.java
+++ b/src/main/java/org/cypressweir/sidecar/IdleConnections.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /**
- * The idle connections of a pool, by server and by age. To find the oldest one costs the same in a fleet of any
+ * The idle connections of a pool, by server and by age. Finding the oldest one takes the same time in a fleet of any
  * size.
  *
  * <p>Confined to the event loop.
@@ -18,7 +18,7 @@
         return oldestFirst.size();
     }
 
-    /** It has become idle now. */
+    /** Adds a connection that has just become idle. */
     void add(PooledConnection connection) {
         connection.server().idle.addLast(connection);
         oldestFirst.add(connection);
@@ -30,15 +30,16 @@
     }
 
     /**
-     * Takes the most recently used connection to a server that has been idle for long enough, if it is still clean.
+     * Takes the most recently used connection to a server that is still clean and has been idle for at least {@link
+     * ServerPool#SETTLE_MICROS}.
      *
-     * @return null where there is none
+     * @return null if there is none
      */
-    PooledConnection pollSettled(ServerInstance server, long nowMicros) {
-        for (Iterator<PooledConnection> latest = server.idle.descendingIterator(); latest.hasNext(); ) {
-            PooledConnection connection = latest.next();
+    PooledConnection pollReusable(ServerInstance server, long nowMicros) {
+        for (Iterator<PooledConnection> byRecency = server.idle.descendingIterator(); byRecency.hasNext(); ) {
+            PooledConnection connection = byRecency.next();
             if (nowMicros - connection.idleSinceMicros() >= ServerPool.SETTLE_MICROS) {
-                latest.remove();
+                byRecency.remove();
                 oldestFirst.remove(connection);
                 if (connection.isUsable()) {
                     return connection;
@@ -48,7 +49,7 @@
         return null;
     }
 
-    /** Closes those to one server. */
+    /** Closes the idle connections to one server. */
     void closeAll(ServerInstance server) {
         PooledConnection connection = server.idle.poll();
         while (connection != null) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Closes the one that has been idle for the longest time; false where there is none. */
+    /** Closes the connection that has been idle for the longest time; false if there is none. */
     boolean closeOldest() {
         if (oldestFirst.isEmpty()) {
             return false;
@@ -70,7 +71,7 @@
         return true;
     }
 
-    /** Closes those that have been idle for so long. */
+    /** Closes the connections that have been idle for this long or longer. */
     void closeOlderThan(long nowMicros, long maxIdleMicros) {
         while (!oldestFirst.isEmpty()
                 && nowMicros - oldestFirst.iterator().next().idleSinceMicros() >= maxIdleMicros) {
--- a/src/main/java/org/cypressweir/sidecar/Layout.java
+++ b/src/main/java/org/cypressweir/sidecar/Layout.java
@@ -13,90 +13,94 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.sidecar.plugin.RequestView;
 
-/** The addresses, routes and pools of a sidecar; what an operators' file may change. */
+/** The listening addresses, routes and pools of a sidecar: the part that an operators' file may change. */
 interface Layout {
 
-    /** What a layout is made with; the pace is how discovery is asked from then on, null for a watch. */
+    /**
+     * What a layout is created with. The consumer is given the schedule on which discovery is polled from then on, null
+     * for a watch.
+     */
     record Parts(
             SidecarConfiguration config,
             Pool.Shared shared,
-            BiFunction<Settings, Actions, LoadBalancer> modules,
+            BiFunction<Settings, Actions, LoadBalancer> loadBalancerFactory,
             RequestReader reader,
-            ClientListener clients,
-            Consumer<Discovery.Pace> pace,
-            Portion portion) {}
+            ClientListener clientListener,
+            Consumer<Discovery.PollSchedule> pollScheduleConsumer,
+            Portion fleetPortion) {}
 
-    /** Makes the layout of a sidecar out of its parts. */
+    /** Creates the layout of a sidecar. */
     interface Factory {
         Layout create(Parts parts);
     }
 
-    /** What this process may use of what all share, where that follows the living. */
+    /** This process's share of the limits that all processes have together, if it depends on how many are alive. */
     interface Portion {
-        /** At this moment, 0 to 1. */
+        /** The current share, from 0 to 1. */
         double part();
 
-        /** Processes that share. */
+        /** Number of processes that share the limits. */
         int count();
     }
 
-    /** A file that was read and found good, before it holds. */
+    /** A file that has been read and validated but is not in effect yet. */
     interface Change {
-        /** Takes it over, on the loop; the future fails where that can't be, and then nothing has changed. */
+        /**
+         * Applies the file, on the event loop. The future fails if that is not possible, and then nothing has changed.
+         */
         CompletableFuture<Void> take();
 
-        /** How this process takes part among others from then on; null where that is not said. */
+        /** This process's membership options from then on; null if the file has none. */
         default MembershipOptions membership() {
             return null;
         }
     }
 
-    /** Hands each pool its first list. */
+    /** Gives each pool its first list of servers. */
     void open();
 
-    /** Opens the doors; gives the first address once clients can connect to all. */
+    /** Opens the listening sockets; completes with the first address once clients can connect to all of them. */
     CompletableFuture<InetSocketAddress> listen();
 
-    /** The way of a request, or why it has none. */
+    /** Finds the route of a request, or throws if it has none. */
     RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest;
 
-    /** What is asked before a request finds its way; null for nothing. */
+    /** The plug-ins that are called before a request is routed; null for none. */
     default PluginChain plugins() {
         return null;
     }
 
-    /** What plug-ins see of a request. */
+    /** The part of a request that plug-ins see. */
     default RequestView view(FullHttpRequest http) throws RequestReader.BadRequest {
         throw new IllegalStateException("there are no plug-ins");
     }
 
-    /** Whether requests for an upgrade can have a way as such. */
+    /** Whether any route accepts requests for an upgrade. */
     default boolean upgrades() {
         return false;
     }
 
-    /** Bytes that wait to be written to servers. */
+    /** Bytes waiting to be written to servers. */
     long waitingBytes();
 
-    /** The process is to end: what has gone over to another protocol ends in order. */
+    /** The process is shutting down: closes upgraded connections in an orderly way. */
     default void stopping() {}
 
-    /** Whether a request would find a server in some pool. */
+    /** Whether any pool has a server in service. */
     boolean ready();
 
-    /** The pools whose servers discovery tells. */
+    /** The clusters whose servers come from discovery. */
     Collection<Cluster> discovered();
 
     /**
-     * Reads again what it was made of, to hold with this configuration's classes and limits; to be called off
-     * the loop.
+     * Reads its file again, for use with this configuration's classes and limits. Must be called off the event loop.
      */
     Change reread(SidecarConfiguration next) throws IOException;
 
-    /** This process's part of what all share is another. */
+    /** This process's share of the common limits has changed. */
     default void portioned() {}
 
-    /** There are more descriptors now than it was made with. */
+    /** More file descriptors are available than at its creation, and the limits grow accordingly. */
     default void widen(SidecarConfiguration wider) {}
 
     void close();
--- a/src/main/java/org/cypressweir/sidecar/LoadBalancerEvents.java
+++ b/src/main/java/org/cypressweir/sidecar/LoadBalancerEvents.java
@@ -3,19 +3,19 @@
 import java.util.ArrayDeque;
 
 /**
- * The events of one load balancer, one after the other: what an action of the load balancer brings about at once
- * must not reach it inside the very call that asked for the action.
+ * Delivers the events of one load balancer one after the other. An event that an action of the load balancer causes at
+ * once must not reach it inside the call that requested the action.
  *
  * <p>Confined to the event loop.
  */
 final class LoadBalancerEvents {
 
-    /** Tells the load balancer of something that has happened. */
+    /** Notifies the load balancer of something that has happened. */
     interface Event {
         void deliver(long nowMicros);
     }
 
-    /** Is told that an event has failed; the request is null where the event is about none. */
+    /** Is called when an event has failed; the request is null if the event concerns none. */
     interface FailureHandler {
         void failed(ClientRequest request, Throwable failure);
     }
@@ -23,20 +23,20 @@
     private record PendingEvent(ClientRequest request, Event event) {}
 
     private final SidecarClock clock;
-    private final FailureHandler failures;
+    private final FailureHandler failureHandler;
     private final ArrayDeque<PendingEvent> pending = new ArrayDeque<>();
     private boolean isDelivering;
 
-    LoadBalancerEvents(SidecarClock clock, FailureHandler failures) {
+    LoadBalancerEvents(SidecarClock clock, FailureHandler failureHandler) {
         this.clock = clock;
-        this.failures = failures;
+        this.failureHandler = failureHandler;
     }
 
     /**
-     * Delivers an event now, or right after the one that is being delivered. An exception costs its own request
-     * only.
+     * Delivers an event now, or right after the one that is being delivered. An exception affects only the request of
+     * its event.
      *
-     * @param request the one that the event is about; null for none
+     * @param request the request that the event concerns; null for none
      */
     void deliver(ClientRequest request, Event event) {
         pending.addLast(new PendingEvent(request, event));
@@ -59,7 +59,7 @@
         try {
             next.event.deliver(clock.micros());
         } catch (RuntimeException | Error failure) {
-            failures.failed(next.request, failure);
+            failureHandler.failed(next.request, failure);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/OperatorsRouting.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorFileRouting.java
@@ -20,48 +20,49 @@
 import org.cypressweir.sidecar.route.Target;
 import org.cypressweir.sidecar.websocket.Handshake;
 
-/** Finds the way of a request by its route. What goes on is the normal form that was matched. */
-final class OperatorsRouting {
+/** Routes requests by the routes of an operators' file. What is forwarded is the normalized target that was matched. */
+final class OperatorFileRouting {
 
     private final Router<Target> router;
     private final Map<String, Cluster> pools;
-    /** Null where no route has any. */
+    /** Null where no route has WebSockets. */
     private final WebSocketUpgrades upgrades;
 
-    OperatorsRouting(Router<Target> router, Map<String, Cluster> pools, WebSocketUpgrades upgrades) {
+    OperatorFileRouting(Router<Target> router, Map<String, Cluster> pools, WebSocketUpgrades upgrades) {
         this.upgrades = upgrades;
         this.router = router;
         this.pools = pools;
     }
 
-    RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
+    RouteDecision route(FullHttpRequest http) throws RequestReader.BadRequest {
         try {
             RequestTarget target = RequestTarget.parse(http.uri());
-            Route<Target> route =
-                    router.find(new Asked(http.method().name(), host(http, target), target.path(), http.headers()));
+            Route<Target> route = router.find(
+                    new MatchedRequest(http.method().name(), host(http, target), target.path(), http.headers()));
             if (route == null) {
                 throw new RequestReader.BadRequest(HttpResponseStatus.NOT_FOUND, "no route");
             }
             Target to = route.target();
-            boolean asked = upgrades != null && to.webSocket() != null && Handshake.isAsked(http.headers());
+            boolean isUpgrade = upgrades != null && to.webSocket() != null && Handshake.isAsked(http.headers());
             return new RouteDecision(
                     pools.get(to.pool()),
                     to.requestClass(),
                     target.text(),
                     target.host(),
                     to.timeoutMicros(),
-                    asked ? to.terms().forOneThatStays() : to.terms(),
-                    asked ? upgrades.ask(http, to.webSocket()) : null);
+                    isUpgrade ? to.terms().forOneThatStays() : to.terms(),
+                    isUpgrade ? upgrades.ask(http, to.webSocket()) : null);
         } catch (InvalidTargetException e) {
             throw new RequestReader.BadRequest(e.getMessage());
         }
     }
 
-    /** What plug-ins see of a request, with the class of the route that it would take as it is. */
+    /** The part of a request that plug-ins see, with the class of the route that the unchanged request would take. */
     RequestView view(FullHttpRequest http, List<RequestClass> classes) throws RequestReader.BadRequest {
         try {
             RequestTarget target = RequestTarget.parse(http.uri());
-            Asked asked = new Asked(http.method().name(), host(http, target), target.path(), http.headers());
+            MatchedRequest asked =
+                    new MatchedRequest(http.method().name(), host(http, target), target.path(), http.headers());
             Route<Target> route = router.find(asked);
             Map<String, String> headers = new HashMap<>();
             for (String name : http.headers().names()) {
@@ -86,7 +87,7 @@
         return target.host() == null ? host : target.host();
     }
 
-    private record Asked(String method, String host, String path, HttpHeaders headers) implements Routable {
+    private record MatchedRequest(String method, String host, String path, HttpHeaders headers) implements Routable {
         @Override
         public String header(String name) {
             List<String> values = headers.getAll(name);
--- a/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
@@ -32,150 +32,152 @@
 import org.cypressweir.sidecar.route.StaticServer;
 import org.cypressweir.sidecar.websocket.UpgradeAccount;
 
-/** What an operators' file says: its addresses, its routes, and a pool with a module of its own for each. */
+/** The layout that an operators' file describes: its addresses, its routes, and its pools with a load balancer each. */
 final class OperatorsLayout implements Layout {
 
-    /** No call of a plug-in may take longer. */
+    /** No call of a plug-in may take longer, so replaced plug-ins are closed after this time. */
     private static final long PLUGIN_GRACE_MICROS = 2_000_000;
 
-    private final Parts parts;
+    private final Parts context;
     private final Path file;
-    private final Map<String, Member> pools = new LinkedHashMap<>();
-    /** Pools of an earlier file whose last requests are still in hand. */
-    private final Set<Cluster> going = new HashSet<>();
-    /** By the address as the file has it, whose port may be 0. */
-    private final Map<InetSocketAddress, ClientListener.ListeningSocket> doors = new LinkedHashMap<>();
-
-    private RoutingConfiguration plan;
-    /** The classes and limits that hold now. */
+    private final Map<String, ManagedCluster> pools = new LinkedHashMap<>();
+    /** Clusters of an earlier file whose last requests are still in flight. */
+    private final Set<Cluster> retiring = new HashSet<>();
+    /** By the address in the file, whose port may be 0. */
+    private final Map<InetSocketAddress, ClientListener.ListeningSocket> listeningSockets = new LinkedHashMap<>();
+
+    private RoutingConfiguration routingConfiguration;
+    /** The classes and limits in effect. */
     private SidecarConfiguration config;
-    /** At whose pace discovery is asked; null for a watch. */
-    private FleetLimits paced;
-    /** Processes that share, as the modules were told; 0 for not yet. */
-    private int counted;
+    /** The limits by which discovery is polled; null for a watch. */
+    private FleetLimits polledLimits;
+    /** The number of sharing processes as last told to the load balancers; 0 for not yet. */
+    private int appliedInstanceCount;
 
-    private OperatorsRouting routing;
-    /** Made once a route has WebSockets, and kept from then on. */
+    private OperatorFileRouting routing;
+    /** Created once a route has WebSockets, and kept from then on. */
     private WebSocketUpgrades upgrades;
 
-    private record Member(Cluster cluster, boolean discovered) {}
+    private record ManagedCluster(Cluster cluster, boolean discovered) {}
 
     /** Null where there are none. */
     private PluginChain plugins;
 
-    private OperatorsLayout(Parts parts, Path file, RoutingConfiguration plan, PluginChain plugins) {
-        this.parts = parts;
-        config = parts.config();
+    private OperatorsLayout(Parts context, Path file, RoutingConfiguration plan, PluginChain plugins) {
+        this.context = context;
+        config = context.config();
         this.plugins = plugins;
         if (plugins != null) {
-            plugins.attach(parts.shared());
+            plugins.attach(context.shared());
         }
         this.file = file;
-        this.plan = plan;
+        this.routingConfiguration = plan;
         plan.pools().forEach(p -> pools.put(p.name(), create(p)));
-        routing = route(plan);
-        share(plan.fleet());
+        routing = createRouting(plan);
+        applyFleetLimits(plan.fleet());
     }
 
-    /** What all instances share; a pace that stays the same keeps its place. */
-    private void share(FleetLimits fleet) {
-        Cluster.Shares shares = fleet == null ? null : new Part(fleet, parts.portion());
-        pools.values().forEach(m -> m.cluster().share(shares));
+    /** Applies the limits that all instances share. A polling schedule that stays the same keeps its slots. */
+    private void applyFleetLimits(FleetLimits fleet) {
+        Cluster.FleetShare shares = fleet == null ? null : new InstanceShare(fleet, context.fleetPortion());
+        pools.values().forEach(m -> m.cluster().setFleetShare(shares));
         if (fleet == null || fleet.askEveryMicros() == 0) {
-            if (paced != null) {
-                parts.pace().accept(null);
+            if (polledLimits != null) {
+                context.pollScheduleConsumer().accept(null);
             }
-            paced = null;
-        } else if (!fleet.equals(paced)) {
-            paced = fleet;
-            parts.pace().accept(fleet.living() ? livingPace(fleet) : fixedPace(fleet));
+            polledLimits = null;
+        } else if (!fleet.equals(polledLimits)) {
+            polledLimits = fleet;
+            context.pollScheduleConsumer()
+                    .accept(fleet.living() ? dynamicPollSchedule(fleet) : fixedPollSchedule(fleet));
         }
     }
 
-    private static Discovery.Pace fixedPace(FleetLimits fleet) {
+    private static Discovery.PollSchedule fixedPollSchedule(FleetLimits fleet) {
         SlottedPollPacer pacer = new SlottedPollPacer(fleet);
-        return new Discovery.Pace() {
+        return new Discovery.PollSchedule() {
             @Override
-            public long next(long nowMicros) {
+            public long nextPollMicros(long nowMicros) {
                 return pacer.next(nowMicros);
             }
 
             @Override
-            public long patienceMicros() {
+            public long timeoutMicros() {
                 return pacer.patienceMicros();
             }
         };
     }
 
-    private Discovery.Pace livingPace(FleetLimits fleet) {
+    private Discovery.PollSchedule dynamicPollSchedule(FleetLimits fleet) {
         SharedPollPacer pacer = new SharedPollPacer(
                 fleet.listRate(), ThreadLocalRandom.current().nextDouble());
-        Portion portion = parts.portion();
-        return new Discovery.Pace() {
+        Portion portion = context.fleetPortion();
+        return new Discovery.PollSchedule() {
             @Override
-            public long next(long nowMicros) {
+            public long nextPollMicros(long nowMicros) {
                 return pacer.next(nowMicros, portion.part());
             }
 
             @Override
-            public long patienceMicros() {
+            public long timeoutMicros() {
                 return pacer.patienceMicros();
             }
         };
     }
 
-    /** Bounds that shrink act at once on what is idle already; uses ask for themselves. */
+    /** A smaller share closes idle connections at once; probes and polls look up the share each time. */
     @Override
     public void portioned() {
-        if (plan.fleet() == null || !plan.fleet().living()) {
+        if (routingConfiguration.fleet() == null
+                || !routingConfiguration.fleet().living()) {
             return;
         }
-        pools.values().forEach(m -> m.cluster().trim());
-        if (parts.portion().count() != counted) {
-            counted = parts.portion().count();
-            pools.values().forEach(m -> m.cluster().among(counted));
+        pools.values().forEach(m -> m.cluster().closeSurplusIdle());
+        if (context.fleetPortion().count() != appliedInstanceCount) {
+            appliedInstanceCount = context.fleetPortion().count();
+            pools.values().forEach(m -> m.cluster().setInstanceCount(appliedInstanceCount));
         }
     }
 
     private int instances(FleetLimits fleet) {
-        return fleet.living() && counted > 0 ? counted : fleet.instances();
+        return fleet.living() && appliedInstanceCount > 0 ? appliedInstanceCount : fleet.instances();
     }
 
-    /** This instance's part of what all may do. */
-    private static final class Part implements Cluster.Shares {
+    /** This instance's share of the limits that all instances have together. */
+    private static final class InstanceShare implements Cluster.FleetShare {
         private final FleetLimits fleet;
         private final ProbeBudget probes;
 
         private final Portion portion;
 
-        Part(FleetLimits fleet, Portion portion) {
+        InstanceShare(FleetLimits fleet, Portion portion) {
             this.fleet = fleet;
             this.portion = portion;
             probes = new ProbeBudget(fleet);
         }
 
         @Override
-        public int idle(int servers) {
+        public int maxIdleConnections(int servers) {
             return fleet.living() ? fleet.idle(servers, portion.part()) : fleet.idle(servers);
         }
 
         @Override
-        public boolean probe(long nowMicros, int servers) {
+        public boolean tryAcquireProbe(long nowMicros, int servers) {
             return fleet.living() ? probes.spend(nowMicros, servers, portion.part()) : probes.spend(nowMicros, servers);
         }
     }
 
-    /** Reads the file; the layout is made later, on the loop. */
+    /** Reads the file; the layout is created later, on the event loop. */
     static StartupPlan of(Path file, SidecarConfiguration config) throws IOException {
-        RoutingConfiguration plan = read(file, config);
-        PluginChain plugins = chain(file, plan, null);
+        RoutingConfiguration plan = loadRouting(file, config);
+        PluginChain plugins = startPlugins(file, plan, null);
         return new StartupPlan(
-                parts -> new OperatorsLayout(parts, file, plan, plugins),
+                context -> new OperatorsLayout(context, file, plan, plugins),
                 plan.listeners().get(0).address(),
                 plan.membership());
     }
 
-    private static RoutingConfiguration read(Path file, SidecarConfiguration config) throws IOException {
+    private static RoutingConfiguration loadRouting(Path file, SidecarConfiguration config) throws IOException {
         try {
             return Operators.load(file, config.facts()).plan();
         } catch (InvalidFileException e) {
@@ -183,35 +185,38 @@
         }
     }
 
-    private Member create(PoolConfiguration p) {
-        Cluster made = p.cells() == null ? pool(p) : new CelledPool(parts.shared(), config.settings(), p, this::pool);
-        return new Member(made, p.discovered());
+    private ManagedCluster create(PoolConfiguration p) {
+        Cluster made =
+                p.cells() == null ? pool(p) : new CellCluster(context.shared(), config.settings(), p, this::pool);
+        return new ManagedCluster(made, p.discovered());
     }
 
     private Pool pool(PoolConfiguration p) {
-        FleetLimits fleet = plan.fleet();
+        FleetLimits fleet = routingConfiguration.fleet();
         Settings known = fleet == null ? config.settings() : config.settings().among(instances(fleet));
         Settings settings = known.with(
                 config.settings().limits().with(p.requests(), p.queue(), p.connections()),
                 p.discovered() && config.settings().discoveryOnAsk());
-        return new Pool(parts.shared(), config, settings, p.connections(), p.tunnels(), parts.modules());
+        return new Pool(
+                context.shared(), config, settings, p.connections(), p.tunnels(), context.loadBalancerFactory());
     }
 
-    private OperatorsRouting route(RoutingConfiguration next) {
+    private OperatorFileRouting createRouting(RoutingConfiguration next) {
         Map<String, Cluster> byName = new LinkedHashMap<>();
-        pools.forEach((name, member) -> byName.put(name, member.cluster()));
+        pools.forEach((name, managed) -> byName.put(name, managed.cluster()));
         if (next.webSockets() && upgrades == null) {
             upgrades = new WebSocketUpgrades(
-                    parts.shared().loop(),
-                    parts.shared().clock(),
-                    parts.config().settings().seed(),
-                    parts.config().clientConnections() / 2);
+                    context.shared().loop(),
+                    context.shared().clock(),
+                    context.config().settings().seed(),
+                    context.config().clientConnections() / 2);
         }
-        return new OperatorsRouting(next.router(), byName, next.webSockets() ? upgrades : null);
+        return new OperatorFileRouting(next.router(), byName, next.webSockets() ? upgrades : null);
     }
 
-    /** Starts what is new; null for no plug-ins. */
-    private static PluginChain chain(Path file, RoutingConfiguration next, PluginChain before) throws IOException {
+    /** Starts plug-ins that are new and keeps unchanged ones; returns null if the file has none. */
+    private static PluginChain startPlugins(Path file, RoutingConfiguration next, PluginChain before)
+            throws IOException {
         try {
             return next.plugins().isEmpty() ? null : PluginChain.of(next.plugins(), before);
         } catch (InvalidPluginException e) {
@@ -231,7 +236,7 @@
 
     @Override
     public boolean upgrades() {
-        return plan.webSockets();
+        return routingConfiguration.webSockets();
     }
 
     @Override
@@ -241,33 +246,34 @@
         }
     }
 
-    /** What has been counted of upgrades; null where no route ever had any. */
+    /** The counters of upgrades; null where no route has ever accepted any. */
     UpgradeAccount.Counters counters() {
         return upgrades == null ? null : upgrades.counters();
     }
 
-    /** Tunnels that have gone on at another server. */
+    /** Number of tunnels that have been moved to another server. */
     long movedTunnels() {
         return upgrades == null ? 0 : upgrades.moved();
     }
 
     @Override
     public void open() {
-        plan.pools()
-                .forEach(p ->
-                        begin(p, pools.get(p.name()).cluster(), parts.config().known()));
+        routingConfiguration
+                .pools()
+                .forEach(p -> sendFirstList(
+                        p, pools.get(p.name()).cluster(), context.config().known()));
     }
 
-    private void begin(PoolConfiguration p, Cluster pool, ServerList known) {
+    private void sendFirstList(PoolConfiguration p, Cluster pool, ServerList known) {
         if (p.discovered()) {
-            pool.listed(ListKind.CACHED, known);
+            pool.updateServers(ListKind.CACHED, known);
         } else {
-            pool.listed(ListKind.COMPLETE, list(p));
+            pool.updateServers(ListKind.COMPLETE, staticServers(p));
         }
     }
 
-    private ServerList list(PoolConfiguration p) {
-        ServerList.Reader lists = parts.config().lists();
+    private ServerList staticServers(PoolConfiguration p) {
+        ServerList.Reader lists = context.config().lists();
         List<ServerList.Entry> entries = new ArrayList<>();
         for (StaticServer s : p.servers()) {
             Server line = s.line(lists.zones(), lists.models());
@@ -278,26 +284,28 @@
 
     @Override
     public CompletableFuture<InetSocketAddress> listen() {
-        return doors(plan.listeners()).thenApply(opened -> {
-            doors.putAll(opened);
-            return doors.values().iterator().next().address();
+        return openSockets(routingConfiguration.listeners()).thenApply(opened -> {
+            listeningSockets.putAll(opened);
+            return listeningSockets.values().iterator().next().address();
         });
     }
 
-    /** Opens all of these doors or none. */
-    private CompletableFuture<Map<InetSocketAddress, ClientListener.ListeningSocket>> doors(List<Listener> listeners) {
+    /** Opens all of these sockets, or none. */
+    private CompletableFuture<Map<InetSocketAddress, ClientListener.ListeningSocket>> openSockets(
+            List<Listener> listeners) {
         Map<InetSocketAddress, CompletableFuture<ClientListener.ListeningSocket>> opening = new LinkedHashMap<>();
-        listeners.forEach(l -> opening.put(l.address(), parts.clients().listen(l.address())));
+        listeners.forEach(l -> opening.put(l.address(), context.clientListener().listen(l.address())));
         return CompletableFuture.allOf(opening.values().toArray(CompletableFuture[]::new))
                 .handle((v, e) -> {
                     Map<InetSocketAddress, ClientListener.ListeningSocket> opened = new LinkedHashMap<>();
-                    opening.forEach((address, door) -> {
-                        if (!door.isCompletedExceptionally()) {
-                            opened.put(address, door.join());
+                    opening.forEach((address, socket) -> {
+                        if (!socket.isCompletedExceptionally()) {
+                            opened.put(address, socket.join());
                         }
                     });
                     if (e != null) {
-                        opened.values().forEach(door -> parts.clients().end(door, () -> {}));
+                        opened.values()
+                                .forEach(socket -> context.clientListener().end(socket, () -> {}));
                         throw new IllegalStateException(
                                 "can't listen: " + e.getCause().getMessage(), e);
                     }
@@ -307,7 +315,7 @@
 
     @Override
     public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
-        return routing.way(http);
+        return routing.route(http);
     }
 
     @Override
@@ -325,22 +333,22 @@
     @Override
     public Collection<Cluster> discovered() {
         return pools.values().stream()
-                .filter(Member::discovered)
-                .map(Member::cluster)
+                .filter(ManagedCluster::discovered)
+                .map(ManagedCluster::cluster)
                 .toList();
     }
 
     @Override
     public Change reread(SidecarConfiguration nextConfig) throws IOException {
-        RoutingConfiguration next = read(file, nextConfig);
+        RoutingConfiguration next = loadRouting(file, nextConfig);
         PluginChain before = plugins;
-        PluginChain chain = chain(file, next, before);
+        PluginChain chain = startPlugins(file, next, before);
         return new Change() {
             @Override
             public CompletableFuture<Void> take() {
                 return OperatorsLayout.this
-                        .take(next, nextConfig)
-                        .thenRun(() -> swap(before, chain))
+                        .apply(next, nextConfig)
+                        .thenRun(() -> replacePlugins(before, chain))
                         .whenComplete((v, e) -> {
                             if (e != null && chain != null) {
                                 chain.closeAllBut(before);
@@ -355,80 +363,84 @@
         };
     }
 
-    /** The doors first, since only they can fail; the rest is taken over in one turn of the loop. */
-    private CompletableFuture<Void> take(RoutingConfiguration next, SidecarConfiguration nextConfig) {
+    /** Opens the new sockets first, because only they can fail; the rest is applied in one task of the event loop. */
+    private CompletableFuture<Void> apply(RoutingConfiguration next, SidecarConfiguration nextConfig) {
         List<Listener> missing = next.listeners().stream()
-                .filter(l -> !doors.containsKey(l.address()))
+                .filter(l -> !listeningSockets.containsKey(l.address()))
                 .toList();
-        return doors(missing).thenAccept(opened -> {
-            doors.putAll(opened);
-            swap(next, nextConfig);
+        return openSockets(missing).thenAccept(opened -> {
+            listeningSockets.putAll(opened);
+            activate(next, nextConfig);
         });
     }
 
-    private void swap(RoutingConfiguration next, SidecarConfiguration nextConfig) {
+    private void activate(RoutingConfiguration next, SidecarConfiguration nextConfig) {
         config = nextConfig;
         ServerList known = discovered().stream()
                 .findFirst()
-                .map(Cluster::list)
-                .orElse(parts.config().known());
-        Map<String, Member> before = new LinkedHashMap<>(pools);
-        plan = next;
+                .map(Cluster::serverList)
+                .orElse(context.config().known());
+        Map<String, ManagedCluster> before = new LinkedHashMap<>(pools);
+        routingConfiguration = next;
         pools.clear();
         for (PoolConfiguration p : next.pools()) {
-            Member member = before.get(p.name());
-            if (member != null
-                    && member.discovered() == p.discovered()
-                    && member.cluster().fits(p)) {
+            ManagedCluster managed = before.get(p.name());
+            if (managed != null
+                    && managed.discovered() == p.discovered()
+                    && managed.cluster().isCompatibleWith(p)) {
                 before.remove(p.name());
-                pools.put(p.name(), member);
-                member.cluster().retune(config.settings());
-                member.cluster().limit(p);
+                pools.put(p.name(), managed);
+                managed.cluster().updateSettings(config.settings());
+                managed.cluster().applyLimits(p);
                 if (!p.discovered()) {
-                    member.cluster().listed(ListKind.COMPLETE, list(p));
+                    managed.cluster().updateServers(ListKind.COMPLETE, staticServers(p));
                 }
             } else {
                 pools.put(p.name(), create(p));
-                begin(p, pools.get(p.name()).cluster(), known);
+                sendFirstList(p, pools.get(p.name()).cluster(), known);
             }
         }
-        routing = route(next);
-        share(next.fleet());
-        before.values().forEach(member -> member.cluster().retune(config.settings()));
-        before.values().forEach(member -> retire(member.cluster()));
+        routing = createRouting(next);
+        applyFleetLimits(next.fleet());
+        before.values().forEach(managed -> managed.cluster().updateSettings(config.settings()));
+        before.values().forEach(managed -> retire(managed.cluster()));
         Set<InetSocketAddress> kept = new HashSet<>();
         next.listeners().forEach(l -> kept.add(l.address()));
-        for (InetSocketAddress address : List.copyOf(doors.keySet())) {
+        for (InetSocketAddress address : List.copyOf(listeningSockets.keySet())) {
             if (!kept.contains(address)) {
-                parts.clients().end(doors.remove(address), () -> {});
+                context.clientListener().end(listeningSockets.remove(address), () -> {});
             }
         }
     }
 
-    /** What is asked of the old ones by now is still heard. */
-    private void swap(PluginChain before, PluginChain chain) {
+    /** Calls that the replaced plug-ins have already received may still complete. */
+    private void replacePlugins(PluginChain before, PluginChain chain) {
         plugins = chain;
         if (chain != null) {
-            chain.attach(parts.shared());
+            chain.attach(context.shared());
         }
         if (before != null) {
-            parts.shared().loop().schedule(() -> before.closeAllBut(chain), PLUGIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
+            context.shared()
+                    .loop()
+                    .schedule(() -> before.closeAllBut(chain), PLUGIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Requests that it has taken may still go out within the grace that a drain gives. */
+    /** Retires a cluster once the drain grace is over, within which requests that it has accepted may still be sent. */
     private void retire(Cluster pool) {
-        going.add(pool);
-        parts.shared()
+        retiring.add(pool);
+        context.shared()
                 .loop()
                 .schedule(
-                        () -> pool.retire(() -> going.remove(pool)), config.drainGraceMicros(), TimeUnit.MICROSECONDS);
+                        () -> pool.retire(() -> retiring.remove(pool)),
+                        config.drainGraceMicros(),
+                        TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void close() {
         pools.values().forEach(m -> m.cluster().close());
-        going.forEach(Cluster::close);
+        retiring.forEach(Cluster::close);
         if (plugins != null) {
             plugins.closeAllBut(null);
         }
--- a/src/main/java/org/cypressweir/sidecar/OperatorsRejected.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsRejected.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** An operators' file that is refused; the message has a line for each reason. */
+/** Thrown when an operators' file is rejected; the message has a line for each reason. */
 final class OperatorsRejected extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/cypressweir/sidecar/PeerEndpointLists.java
+++ b/src/main/java/org/cypressweir/sidecar/PeerEndpointLists.java
@@ -7,11 +7,11 @@
 import org.cypressweir.fleet.membership.Lending;
 
 /**
- * Endpoint lists that sidecars of one fleet give each other. A peer's list takes the place of discovery's until
- * discovery has given this process one itself.
+ * Endpoint lists that the sidecars of a fleet lend each other. A peer's list takes the place of discovery's until
+ * discovery itself has sent this process a list.
  *
- * <p>Confined to the event loop. A list that comes before {@link #open} waits for it, since the load balancers
- * have had no list by then.
+ * <p>Confined to the event loop. A list that arrives before {@link #open} is kept until then, because the load
+ * balancers have not had their first list yet.
  */
 final class PeerEndpointLists implements FleetCoordination.Lists {
 
@@ -23,7 +23,7 @@
     private final Consumer<String> log;
     private final EndpointListCache cache;
     private boolean heardFromDiscovery;
-    /** A peer's list that came too early; null for none. */
+    /** A peer's list that arrived before {@link #open}; null for none. */
     private ServerList pending;
 
     private boolean isOpen;
@@ -45,12 +45,12 @@
                 configuration.known().revision(),
                 () -> layout.discovered().stream()
                         .findFirst()
-                        .map(Cluster::list)
+                        .map(Cluster::serverList)
                         .orElse(configuration.known()),
-                () -> isOpen && feed.settled());
+                () -> isOpen && feed.isSettled());
     }
 
-    /** The load balancers have their first list. */
+    /** The load balancers have received their first list. */
     void open() {
         isOpen = true;
         if (pending != null) {
@@ -59,10 +59,10 @@
         pending = null;
     }
 
-    /** Discovery has given a list of that revision. */
+    /** Discovery has sent a list of this revision. */
     void discovered(long revision) {
         heardFromDiscovery = true;
-        cache.told(revision, 0);
+        cache.update(revision, 0);
     }
 
     @Override
@@ -86,8 +86,8 @@
                     loan.from(),
                     loan.ageMicros() / MICROS_PER_SECOND,
                     list.entries().size()));
-            cache.told(loan.revision(), loan.ageMicros());
-            discovery.distrust();
+            cache.update(loan.revision(), loan.ageMicros());
+            discovery.requireCompleteList();
             if (isOpen) {
                 feed.take(list);
             } else {
@@ -95,7 +95,7 @@
             }
             return true;
         } catch (IOException e) {
-            log.accept("the list that " + loan.from() + " lent is none: " + e.getMessage());
+            log.accept("malformed endpoint list from " + loan.from() + ": " + e.getMessage());
             return false;
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/PlainLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/PlainLayout.java
@@ -7,31 +7,39 @@
 import java.util.concurrent.CompletableFuture;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 
-/** Without an operators' file: one address, one pool, and classes by the first part of the path. */
+/** The layout without an operators' file: one address, one pool, and request classes by the first path segment. */
 final class PlainLayout implements Layout {
 
-    private final Parts parts;
+    private final Parts context;
     private final Pool pool;
 
-    PlainLayout(Parts parts) {
-        this.parts = parts;
-        SidecarConfiguration config = parts.config();
-        pool = new Pool(parts.shared(), config, config.settings(), config.serverConnections(), null, parts.modules());
+    PlainLayout(Parts context) {
+        this.context = context;
+        SidecarConfiguration config = context.config();
+        pool = new Pool(
+                context.shared(),
+                config,
+                config.settings(),
+                config.serverConnections(),
+                null,
+                context.loadBalancerFactory());
     }
 
     @Override
     public void open() {
-        pool.listed(ListKind.CACHED, parts.config().known());
+        pool.updateServers(ListKind.CACHED, context.config().known());
     }
 
     @Override
     public CompletableFuture<InetSocketAddress> listen() {
-        return parts.clients().listen(parts.config().listen()).thenApply(ClientListener.ListeningSocket::address);
+        return context.clientListener()
+                .listen(context.config().listen())
+                .thenApply(ClientListener.ListeningSocket::address);
     }
 
     @Override
     public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
-        return parts.reader().way(http, pool);
+        return context.reader().way(http, pool);
     }
 
     @Override
@@ -52,7 +60,7 @@
     @Override
     public Change reread(SidecarConfiguration next) {
         return () -> {
-            pool.retune(next.settings());
+            pool.updateSettings(next.settings());
             return CompletableFuture.completedFuture(null);
         };
     }
--- a/src/main/java/org/cypressweir/sidecar/Pool.java
+++ b/src/main/java/org/cypressweir/sidecar/Pool.java
@@ -26,15 +26,17 @@
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
- * One load balancer with its servers. It turns what happens to requests into the load balancer's events and the
- * load balancer's actions into what happens on connections, and decides nothing.
+ * One load balancer and its servers. It turns what happens to requests into events for the load balancer and carries
+ * out the load balancer's actions on connections; it decides nothing itself.
  *
- * <p>Confined to the event loop. It is retired, where an operators' file drops it, or closed with the process.
+ * <p>Confined to the event loop. It is retired when an operators' file no longer has it, or closed with the process.
  */
 final class Pool implements Cluster, Actions, ServerPool.Listener {
 
-    /** The load balancer ends its requests at their deadline; past this much more the pool does. */
-    private static final long OVERDUE_MICROS = 5_000;
+    /**
+     * The load balancer ends its requests at their deadline; the pool ends those that are still open this much later.
+     */
+    private static final long DEADLINE_GRACE_MICROS = 5_000;
 
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -47,26 +49,26 @@
     private final LoadBalancerEvents events;
     private final ServerPool servers;
     private final RequestCompletion completion;
-    private final boolean probing;
+    private final boolean isProbingAllowed;
     private final long connectMicros;
     private Settings settings;
-    private boolean givesRetryAdvice;
-    private long maxRetryAdviceMicros;
-    /** Null where nothing says how much may be probed. */
+    private boolean sendsRetryAfter;
+    private long maxRetryAfterMicros;
+    /** Null where probes are disabled or no fleet share limits them. */
     private HealthProber prober;
 
     /** What a pool shares with the rest of the process. */
     record Shared(
             EventLoop loop, SidecarClock clock, InFlightRequests inFlight, Runnable subscribe, Consumer<String> log) {}
 
-    /** Tunnels are null where nothing switches to another protocol. */
+    /** @param tunnels the limits of upgraded connections; null where nothing switches to another protocol */
     Pool(
             Shared shared,
             SidecarConfiguration config,
             Settings settings,
             int connections,
             PoolConfiguration.Tunnelled tunnels,
-            BiFunction<Settings, Actions, LoadBalancer> loadBalancers) {
+            BiFunction<Settings, Actions, LoadBalancer> loadBalancerFactory) {
         loop = shared.loop();
         clock = shared.clock();
         inFlight = shared.inFlight();
@@ -74,11 +76,11 @@
         log = shared.log();
         events = new LoadBalancerEvents(clock, this::eventFailed);
         completion = new RequestCompletion(loop, inFlight);
-        loadBalancer = loadBalancers.apply(settings, this);
+        loadBalancer = loadBalancerFactory.apply(settings, this);
         this.settings = settings;
-        givesRetryAdvice = settings.limits().retryAdvice();
-        maxRetryAdviceMicros = settings.limits().maxRetryAdviceMicros();
-        probing = settings.limits().probing();
+        sendsRetryAfter = settings.limits().retryAdvice();
+        maxRetryAfterMicros = settings.limits().maxRetryAdviceMicros();
+        isProbingAllowed = settings.limits().probing();
         connectMicros = config.connectMicros();
         servers = new ServerPool(loop, clock, config, connections, tunnels, this);
     }
@@ -94,7 +96,7 @@
 
     @Override
     public boolean ready() {
-        return servers.anyReady();
+        return servers.hasServerInService();
     }
 
     @Override
@@ -109,64 +111,67 @@
 
     @Override
     public int listed() {
-        return servers.listed();
+        return servers.listedCount();
     }
 
     @Override
     public int avoided() {
-        return servers.draining() + loadBalancer.avoided(clock.micros());
+        return servers.outOfServiceCount() + loadBalancer.avoided(clock.micros());
     }
 
     @Override
-    public ServerList list() {
-        return servers.list();
+    public ServerList serverList() {
+        return servers.currentList();
     }
 
     @Override
-    public void listed(ListKind kind, ServerList list) {
+    public void updateServers(ListKind kind, ServerList list) {
         servers.update(list);
         events.deliver(null, now -> loadBalancer.servers(now, kind, list.servers()));
     }
 
     @Override
-    public void failed() {
+    public void discoveryFailed() {
         events.deliver(null, now -> loadBalancer.servers(now, ListKind.FAILED, List.of()));
     }
 
     // ---- Configuration
 
     @Override
-    public boolean fits(PoolConfiguration plan) {
-        return plan.cells() == null;
+    public boolean isCompatibleWith(PoolConfiguration configuration) {
+        return configuration.cells() == null;
     }
 
     @Override
-    public void limit(PoolConfiguration plan) {
-        servers.setLimits(plan.connections(), plan.tunnels());
-        events.deliver(null, now -> loadBalancer.limits(now, plan.requests(), plan.queue(), plan.connections()));
+    public void applyLimits(PoolConfiguration configuration) {
+        servers.setLimits(configuration.connections(), configuration.tunnels());
+        events.deliver(
+                null,
+                now -> loadBalancer.limits(
+                        now, configuration.requests(), configuration.queue(), configuration.connections()));
     }
 
-    /** Other bounds on requests in flight and connections. */
-    void setLimits(Limits wider) {
+    /** Replaces the limits on requests in flight, held requests and connections. */
+    void setLimits(Limits next) {
         settings = settings.with(
-                settings.limits().with(wider.open(), wider.held(), wider.connections()), settings.discoveryOnAsk());
-        servers.setLimits(wider.connections(), null);
-        events.deliver(null, now -> loadBalancer.limits(now, wider.open(), wider.held(), wider.connections()));
+                settings.limits().with(next.open(), next.held(), next.connections()), settings.discoveryOnAsk());
+        servers.setLimits(next.connections(), null);
+        events.deliver(null, now -> loadBalancer.limits(now, next.open(), next.held(), next.connections()));
     }
 
-    /** The bounds on this pool's requests and connections are its own; all other settings are replaced. */
+    /** Replaces all settings except this pool's own limits on requests and connections. */
     @Override
-    public void retune(Settings next) {
+    public void updateSettings(Settings next) {
         Limits own = settings.limits();
         Limits limits = next.limits().with(own.open(), own.held(), own.connections());
         settings = settings.with(next.classes()).with(limits, settings.discoveryOnAsk());
-        givesRetryAdvice = limits.retryAdvice();
-        maxRetryAdviceMicros = limits.maxRetryAdviceMicros();
+        sendsRetryAfter = limits.retryAdvice();
+        maxRetryAfterMicros = limits.maxRetryAdviceMicros();
         deliverSettings();
     }
 
     @Override
-    public void among(int instances) {
+    public void setInstanceCount(int instances) {
         settings = settings.among(instances);
         deliverSettings();
     }
@@ -177,38 +182,38 @@
     }
 
     @Override
-    public void trim() {
+    public void closeSurplusIdle() {
         servers.closeSurplusIdle();
     }
 
     @Override
-    public void share(Shares shares) {
-        servers.setMaxIdle(shares == null ? null : shares::idle);
-        prober = shares == null || !probing
+    public void setFleetShare(FleetShare share) {
+        servers.setMaxIdle(share == null ? null : share::maxIdleConnections);
+        prober = share == null || !isProbingAllowed
                 ? null
                 : new HealthProber(
                         loop,
                         clock,
                         connectMicros,
-                        () -> shares.probe(clock.micros(), servers.size()),
+                        () -> share.tryAcquireProbe(clock.micros(), servers.size()),
                         (server, result, elapsed, report) ->
                                 events.deliver(null, now -> loadBalancer.probed(now, server, result, elapsed, report)));
     }
 
     // ---- End
 
-    /** The process is to end: idle connections are of no use any more. */
+    /** The process is shutting down: closes idle connections and keeps none from now on. */
     void stopping() {
         servers.setMaxIdle(known -> 0);
     }
 
     @Override
-    public void retire(Runnable ended) {
+    public void retire(Runnable whenRetired) {
         completion.setWhenEmpty(() -> {
             close();
-            ended.run();
+            whenRetired.run();
         });
-        listed(ListKind.COMPLETE, new ServerList(0, true, List.of()));
+        updateServers(ListKind.COMPLETE, new ServerList(0, true, List.of()));
         events.deliver(null, loadBalancer::closing);
         completion.runIfEmpty();
     }
@@ -227,22 +232,21 @@
         long now = clock.micros();
         request.expiry = loop.schedule(
                 () -> abort(request, HttpResponseStatus.GATEWAY_TIMEOUT),
-                request.request.deadlineMicros() - now + OVERDUE_MICROS,
+                request.request.deadlineMicros() - now + DEADLINE_GRACE_MICROS,
                 TimeUnit.MICROSECONDS);
         long retryAfterMicros = request.upgrade == null ? -1 : request.upgrade.admit(servers);
         if (retryAfterMicros >= 0) {
-            refuse(
-                    request.request.id(),
-                    givesRetryAdvice ? RetryAfter.limit(maxRetryAdviceMicros, retryAfterMicros) : 0);
+            refuse(request.request.id(), sendsRetryAfter ? RetryAfter.limit(maxRetryAfterMicros, retryAfterMicros) : 0);
             return;
         }
         events.deliver(request, at -> loadBalancer.request(at, request.request));
     }
 
     /**
-     * Takes another handshake for an upgrade that was agreed to: a request of its own, with its headers.
+     * Sends another handshake for an upgrade that a server has agreed to before, as a request of its own with these
+     * headers.
      *
-     * @param id of the request, in flight nowhere
+     * @param id the id of the new request; no request in flight has it
      */
     void takeAgain(ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
         Request original = first.request;
@@ -284,7 +288,7 @@
         events.deliver(null, now -> loadBalancer.clientLeft(now, request.request.id()));
     }
 
-    /** Gives a response that the load balancer did not ask for: each request must have one. */
+    /** Responds without an action of the load balancer, because each request must get a response. */
     private void abort(ClientRequest request, HttpResponseStatus status) {
         if (!request.over) {
             completion.respond(request, status, new DefaultHttpHeaders());
@@ -305,7 +309,7 @@
         } else if (result == Result.SERVED && request.upgrade != null) {
             switchProtocols(request, attempt, response);
         } else if (result == Result.SERVED && !request.over && request.passed == null && response != null) {
-            passOn(request, response);
+            forwardResponse(request, response);
         }
         events.deliver(
                 request,
@@ -322,7 +326,7 @@
         completion.forgetIfDone(request);
     }
 
-    private void passOn(ClientRequest request, FullHttpResponse response) {
+    private void forwardResponse(ClientRequest request, FullHttpResponse response) {
         HttpHeaders headers = Headers.endToEnd(response.headers());
         headers.remove(Headers.LOAD);
         ClientRequest.Client client = request.client;
@@ -331,7 +335,7 @@
         client.answer(HttpResponseStatus.OK, headers, response.content().retain());
     }
 
-    /** A server has said 101: its client hears so now, and the two connections are joined. */
+    /** Passes a server's 101 on to the client and joins the two connections. */
     private void switchProtocols(ClientRequest request, Attempt attempt, FullHttpResponse response) {
         if (request.over) {
             attempt.switched.close();
@@ -351,11 +355,12 @@
     }
 
     /**
-     * A response that is too large to be kept has begun: from here on it is the request's one response, nothing is
-     * tried beside it, and it takes the time that server and client take.
+     * A response that is too large to be buffered has begun. From here on it is the only response to the request: all
+     * other attempts are cancelled, and it may take as long as server and client need, so the deadline timer of the
+     * request and the time-out of the attempt are stopped.
      */
     @Override
-    public StreamedResponse streamBegins(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+    public StreamedResponse startStreaming(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
         ClientRequest request = attempt.call;
         if (request.over || request.passed != null || request.upgrade != null) {
             return null;
@@ -376,12 +381,15 @@
                 request,
                 now -> loadBalancer.streamBegan(
                         now, request.request.id(), attempt.number, attempt.server, attempt.begunAt - attempt.sentAt));
-        List.copyOf(request.attempts).stream().filter(a -> a != attempt).forEach(a -> stopWaiting(a, Result.CANCELLED));
+        List.copyOf(request.attempts).stream().filter(a -> a != attempt).forEach(a -> endAttempt(a, Result.CANCELLED));
         return request.passing;
     }
 
-    /** Until its last byte is written an attempt can't have run, and the load balancer hears so. */
-    private void stopWaiting(Attempt attempt, Result resultIfWritten) {
+    /**
+     * Ends an attempt that has no result yet. Before its last byte is written it cannot have been executed; the load
+     * balancer is then told {@code NOT_SENT}.
+     */
+    private void endAttempt(Attempt attempt, Result resultIfWritten) {
         if (attempt.result == null) {
             servers.abandon(attempt);
             attemptEnded(attempt, attempt.written ? resultIfWritten : Result.NOT_SENT, null, null);
@@ -394,7 +402,7 @@
     }
 
     @Override
-    public void tunnelLoad(long server, double requests, boolean full) {
+    public void tunnelLoadChanged(long server, double requests, boolean full) {
         events.deliver(null, now -> loadBalancer.burden(now, server, requests, full));
     }
 
@@ -413,7 +421,7 @@
         request.attempts.add(attempt);
         request.out++;
         attempt.timeout =
-                loop.schedule(() -> stopWaiting(attempt, Result.TIMED_OUT), giveUpAt - now, TimeUnit.MICROSECONDS);
+                loop.schedule(() -> endAttempt(attempt, Result.TIMED_OUT), giveUpAt - now, TimeUnit.MICROSECONDS);
         servers.start(attempt);
     }
 
@@ -421,7 +429,7 @@
     public void cancel(String requestId, int attempt) {
         ClientRequest request = inFlight.get(requestId);
         if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
-            stopWaiting(request.attempts.get(attempt), Result.CANCELLED);
+            endAttempt(request.attempts.get(attempt), Result.CANCELLED);
         }
     }
 
@@ -449,7 +457,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The load balancer asks only where the settings allow it; what is beyond the bounds is not sent. */
+    /** The load balancer probes only where the settings allow it; probes beyond this instance's share are not sent. */
     @Override
     public void probe(long server) {
         InetSocketAddress address = prober == null ? null : servers.address(server);
--- a/src/main/java/org/cypressweir/sidecar/PooledConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/PooledConnection.java
@@ -12,21 +12,20 @@
 /**
  * A pool's connection to a server: connecting, carrying one attempt, idle, or switched to another protocol.
  *
- * <p>Confined to the event loop. It connects when it is made; {@link #closed} is its end, after which nothing is
- * reported of it.
+ * <p>Confined to the event loop. It connects on construction; after {@link #closed} it reports nothing more.
  */
 final class PooledConnection implements ServerConnection.Owner, ClientRequest.Switched {
 
     private final ServerPool pool;
     private final ServerInstance server;
     private final ServerConnection connection;
-    /** Null where it carries none. */
+    /** Null while it carries none. */
     private Attempt attempt;
 
     private long idleSinceMicros;
-    /** Came with the response that is streamed; null where none did. */
+    /** The load report of the response that is being streamed; null if it had none. */
     private LoadReport streamedReport;
-    /** What it became part of when it switched; null before. */
+    /** The pair of connections that it belongs to after a protocol switch; null before. */
     private Upgrade.Joined joined;
 
     PooledConnection(ServerPool pool, ServerInstance server) {
@@ -44,28 +43,28 @@
     }
 
     boolean isUsable() {
-        return connection.usable();
+        return connection.isUsable();
     }
 
     long waitingBytes() {
         return connection.waitingBytes();
     }
 
-    /** Carries this attempt from now on; it is written once the connection is up. */
+    /** Assigns an attempt; on a new connection it is written once the connection is open. */
     void assign(Attempt next) {
         attempt = next;
         pool.assigned(next, this);
     }
 
-    /** Nobody waits for the attempt any more; closing tells the server so. */
+    /** Drops the attempt and closes the connection, which tells the server that nobody waits for its response. */
     void abandon() {
         attempt = null;
         connection.close();
     }
 
     /**
-     * The last look before the first byte: a connection may have outlived the decision that asked for it, and by
-     * now the request be over, its time used up, or the server past its drain grace.
+     * Writes the request after a last check: the connection may have opened long after the decision to use it, and by
+     * now the request may be over, its time used up, or the server past its drain grace.
      */
     void write() {
         long nowMicros = pool.nowMicros();
@@ -79,7 +78,7 @@
         connection.send(AttemptMessages.request(attempt, nowMicros), attempt.call.upgrade != null);
     }
 
-    /** Becomes idle, or closes where it will not be used again. */
+    /** Makes the connection idle, or closes it if its server is not in service. */
     private void release() {
         attempt = null;
         if (server.isInService()) {
@@ -115,27 +114,27 @@
     }
 
     /**
-     * What may throw comes before the attempt is let go: then the end of the connection ends it. A response that
-     * is there before the request was written is none.
+     * Everything that may throw runs before the attempt is detached, so that after an exception the end of the
+     * connection still ends it. A response that arrives before the request is written closes the connection.
      */
     @Override
-    public void answered(FullHttpResponse response, boolean clean) {
+    public void responseReceived(FullHttpResponse response, boolean clean) {
         if (attempt == null || !attempt.written) {
             connection.close();
             return;
         }
-        Attempt done = attempt;
-        boolean isUpgrade = done.call.upgrade != null;
+        Attempt ended = attempt;
+        boolean isUpgrade = ended.call.upgrade != null;
         Result result =
-                isUpgrade ? AttemptMessages.upgradeResult(done.call, response) : AttemptMessages.result(response);
+                isUpgrade ? AttemptMessages.upgradeResult(ended.call, response) : AttemptMessages.result(response);
         LoadReport report = readLoadReport(response);
         if (result == Result.SERVED && isUpgrade) {
-            endWithSwitch(done, report, response);
+            endWithUpgrade(ended, report, response);
             return;
         }
         boolean isHttp = !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
         releaseOrClose(clean && isHttp && HttpUtil.isKeepAlive(response));
-        pool.end(done, result, report, response);
+        pool.end(ended, result, report, response);
     }
 
     private LoadReport readLoadReport(HttpResponse response) {
@@ -146,31 +145,37 @@
         return report;
     }
 
-    /** Whoever is told of the end joins this connection with the client's, or it is closed. */
-    private void endWithSwitch(Attempt done, LoadReport report, FullHttpResponse response) {
+    /**
+     * Reports the end of the attempt, upon which the listener joins this connection with the client's; if it does not,
+     * the connection is closed.
+     */
+    private void endWithUpgrade(Attempt ended, LoadReport report, FullHttpResponse response) {
         attempt = null;
-        done.switched = this;
-        pool.end(done, Result.SERVED, report, response);
+        ended.switched = this;
+        pool.end(ended, Result.SERVED, report, response);
         if (joined == null) {
             connection.close();
         }
     }
 
-    /** Only what its client gets is read on; the outcome of any other large response is its status. */
+    /**
+     * Reads on only if the response goes to the client; for any other large response the status alone decides the
+     * result.
+     */
     @Override
-    public StreamedResponse passes(HttpResponse head, Runnable resume) {
+    public StreamedResponse startStreaming(HttpResponse head, Runnable resume) {
         if (attempt == null || !attempt.written) {
             return null;
         }
         LoadReport report = readLoadReport(head);
         Result result = AttemptMessages.result(head);
         StreamedResponse target = result == Result.SERVED
-                ? pool.listener().streamBegins(attempt, head.headers(), HttpUtil.getContentLength(head, -1L), resume)
+                ? pool.listener().startStreaming(attempt, head.headers(), HttpUtil.getContentLength(head, -1L), resume)
                 : null;
         if (target == null) {
-            Attempt done = attempt;
+            Attempt ended = attempt;
             attempt = null;
-            pool.end(done, done.call.upgrade == null ? result : Result.ERROR, report, null);
+            pool.end(ended, ended.call.upgrade == null ? result : Result.ERROR, report, null);
         } else {
             streamedReport = report;
         }
@@ -178,19 +183,19 @@
     }
 
     @Override
-    public void passed(boolean clean, boolean keepAlive) {
-        Attempt done = attempt;
-        if (done == null) {
+    public void streamCompleted(boolean clean, boolean keepAlive) {
+        Attempt ended = attempt;
+        if (ended == null) {
             connection.close();
             return;
         }
         releaseOrClose(clean && keepAlive);
-        pool.end(done, Result.SERVED, streamedReport, null);
+        pool.end(ended, Result.SERVED, streamedReport, null);
     }
 
     @Override
     public Upgrade.End goOver() {
-        return connection.goOver();
+        return connection.detach();
     }
 
     @Override
@@ -207,13 +212,13 @@
         }
     }
 
-    /** The server of a switched connection drains since then. */
-    void serverLeaves(long sinceMicros) {
+    /** The server of a switched connection has been draining since this time. */
+    void serverDraining(long sinceMicros) {
         joined.leaves(sinceMicros);
     }
 
     /** The server of a switched connection is in service again. */
-    void serverStays() {
+    void serverInService() {
         joined.stays();
     }
 
--- a/src/main/java/org/cypressweir/sidecar/ResponseCollector.java
+++ b/src/main/java/org/cypressweir/sidecar/ResponseCollector.java
@@ -16,25 +16,25 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Collects a server's responses up to a bound; a larger one is streamed as it comes, if the connection's owner
- * wants that.
+ * Buffers a server's responses up to a size limit; a larger one is streamed as it arrives, if the connection's owner
+ * accepts it.
  *
  * <p>One for each {@link ServerConnection}, on its event loop.
  */
 final class ResponseCollector extends ChannelInboundHandlerAdapter {
 
-    /** Longest body that is streamed, where its length is told. */
+    /** Longest body that is streamed, if its length is announced. */
     private static final long MAX_STREAMED_BYTES = 64L * 1024 * 1024;
 
     private static final int INITIAL_BODY_BYTES = 256;
 
     private final ServerConnection connection;
     private final int maxBodyBytes;
-    /** Of the response at hand; null between responses. */
+    /** Head of the current response; null between responses. */
     private HttpResponse head;
 
     private ByteBuf body;
-    /** Where the response at hand goes on to; null for one that is collected. */
+    /** Where the current response is streamed to; null if it is buffered. */
     private StreamedResponse stream;
 
     ResponseCollector(ServerConnection connection, int maxBodyBytes) {
@@ -53,7 +53,7 @@
                 begin(context, response);
             }
             if (head != null && message instanceof HttpContent content) {
-                take(context, content);
+                append(context, content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -64,13 +64,13 @@
         head = response;
         body = Unpooled.buffer(INITIAL_BODY_BYTES);
         if (response.decoderResult().isFailure()) {
-            handOn(context, response.decoderResult());
+            deliver(context, response.decoderResult());
         } else if (HttpUtil.getContentLength(response, -1L) > maxBodyBytes) {
             beginStream(context);
         }
     }
 
-    private void take(ChannelHandlerContext context, HttpContent content) {
+    private void append(ChannelHandlerContext context, HttpContent content) {
         if (stream == null && body.readableBytes() + content.content().readableBytes() > maxBodyBytes) {
             beginStream(context);
         }
@@ -80,12 +80,12 @@
             body.writeBytes(content.content());
             boolean hasFailed = content.decoderResult().isFailure();
             if (content instanceof LastHttpContent || hasFailed) {
-                handOn(context, hasFailed ? content.decoderResult() : head.decoderResult());
+                deliver(context, hasFailed ? content.decoderResult() : head.decoderResult());
             }
         }
     }
 
-    private void handOn(ChannelHandlerContext context, DecoderResult result) {
+    private void deliver(ChannelHandlerContext context, DecoderResult result) {
         FullHttpResponse complete = new DefaultFullHttpResponse(
                 head.protocolVersion(), head.status(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
         boolean isCutShort = endsWithConnection(head) && connection.isBroken();
@@ -111,7 +111,7 @@
 
     private void stream(ChannelHandlerContext context, HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            connection.breakOff();
+            connection.markIncomplete();
             context.close();
             return;
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Only the end of the connection says where such a body ends (RFC 9112, 6.3). */
+    /** Whether only the end of the connection tells where the body ends (RFC 9112, section 6.3). */
     private static boolean endsWithConnection(HttpResponse head) {
         return !HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head);
     }
--- a/src/main/java/org/cypressweir/sidecar/ServerConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerConnection.java
@@ -25,28 +25,28 @@
 import java.net.InetSocketAddress;
 
 /**
- * One outgoing HTTP/1.1 connection. It collects complete responses, and tells of its end exactly once.
+ * One outgoing HTTP/1.1 connection. It collects complete responses and reports its end exactly once.
  *
- * <p>A response belongs to a request only if nothing else was on its way when the request was written. So a
- * response is handed on when all that came with it has been read, with word on whether anything was left over; and
- * a byte that nobody asked for ends the connection.
+ * <p>A response belongs to a request only if nothing else was in transit when the request was written. So a response is
+ * delivered once everything that arrived with it has been read, together with whether anything was left over; and
+ * unsolicited bytes close the connection.
  *
- * <p>Confined to the event loop. It connects when it is made; {@link Owner#closed} is its end.
+ * <p>Confined to the event loop. It connects on construction and ends with {@link Owner#closed}.
  */
 final class ServerConnection {
 
-    /** Largest body that is collected before it goes on. */
+    /** Largest body that is buffered as a whole. */
     static final int MAX_BODY = 64 * 1024;
-    /** Most that is read, decoded or written in one go. */
+    /** Most bytes that are read, decoded or written at a time. */
     static final int CHUNK = 16 * 1024;
 
-    static final String TOO_LARGE = "an answer that is too large: ";
+    static final String TOO_LARGE = "response too large: ";
 
     private static final int MIN_READ_BYTES = 256;
     private static final int INITIAL_READ_BYTES = 2_048;
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** Is told what happens on a connection, always on the event loop. */
+    /** Receives the events of a connection, always on the event loop. */
     interface Owner {
         void opened();
 
@@ -54,23 +54,26 @@
         void written();
 
         /**
-         * A complete response; the connection keeps the reference and releases it on return. Where more came than
-         * the response (not clean), the connection is of no further use.
+         * A complete response has arrived. The connection keeps the reference and releases it on return.
+         *
+         * @param clean whether the connection can be used again; false if more than the response arrived
          */
-        void answered(FullHttpResponse response, boolean clean);
+        void responseReceived(FullHttpResponse response, boolean clean);
 
         /**
-         * A response is too large to be collected. It goes on to what this gives, null for nowhere, and the
-         * connection ends; the task is to be run once more may come after there was too much.
+         * A response is too large to be buffered.
+         *
+         * @param resume to be run once the receiver can take more, after it has signalled that it is full
+         * @return where the response is streamed to; null to drop it and close the connection
          */
-        default StreamedResponse passes(HttpResponse head, Runnable resume) {
+        default StreamedResponse startStreaming(HttpResponse head, Runnable resume) {
             return null;
         }
 
-        /** The response that was streamed is complete; see {@link #answered}. */
-        default void passed(boolean clean, boolean keepAlive) {}
+        /** The streamed response is complete; {@code clean} as in {@link #responseReceived}. */
+        default void streamCompleted(boolean clean, boolean keepAlive) {}
 
-        /** Never came up, broke, or was closed by either side. */
+        /** The connection could not be opened, broke, or was closed by either side. */
         void closed();
     }
 
@@ -78,17 +81,17 @@
     private final Owner owner;
     private final ServerResponseDecoder decoder = new ServerResponseDecoder();
     private final EarlyBytes earlyBytes = new EarlyBytes();
-    /** A request has been sent and its response not been handed on. */
+    /** A request has been sent, and its response has not been delivered yet. */
     private boolean isAwaitingResponse;
     /** That request asks for an upgrade. */
     private boolean isUpgrading;
     /** A large request that is being sent; null for none. */
     private LargeRequestWriter largeRequest;
 
-    private boolean isDown;
-    /** It was broken by the other side, or given up by this one: what came is not known to be complete. */
+    private boolean hasNotifiedClosed;
+    /** The other side broke the connection, or this side gave it up: what has arrived may be incomplete. */
     private boolean isBroken;
-    /** A streamed response has become complete in this read. */
+    /** The current read has completed a streamed response. */
     private boolean hasStreamEnded;
 
     private boolean isStreamKeepAlive;
@@ -109,7 +112,7 @@
                     protected void initChannel(Channel c) {
                         c.pipeline()
                                 .addLast(
-                                        new InputGate(),
+                                        new UnsolicitedInputFilter(),
                                         decoder,
                                         new HttpRequestEncoder(),
                                         new ResponseCollector(ServerConnection.this, maxBody),
@@ -118,17 +121,18 @@
                 })
                 .connect(to);
         channel = connecting.channel();
-        // Without a free descriptor there is no channel at all, and the failure comes on another thread. The end is
-        // told by a task of its own, so never inside a call that asked for the connection or closed it.
+        // Without a free file descriptor there is no channel at all, and the failure is reported on another thread. The
+        // end is reported in a task of its own, so never from inside the call that opened or closed the connection.
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
-                executeLater(loop, this::down);
-            } else if (!isDown) {
+                executeLater(loop, this::notifyClosed);
+            } else if (!hasNotifiedClosed) {
                 owner.opened();
             }
         });
-        // What an orderly end says of a response without other bounds comes by a task of the channel's own.
-        channel.closeFuture().addListener(f -> executeLater(loop, () -> executeLater(loop, this::down)));
+        // A response that is bounded only by an orderly end of the connection is delivered by a task of the channel's
+        // own; the end is reported after it.
+        channel.closeFuture().addListener(f -> executeLater(loop, () -> executeLater(loop, this::notifyClosed)));
     }
 
     private static void executeLater(EventLoop loop, Runnable task) {
@@ -137,9 +141,9 @@
         }
     }
 
-    private void down() {
-        if (!isDown) {
-            isDown = true;
+    private void notifyClosed() {
+        if (!hasNotifiedClosed) {
+            hasNotifiedClosed = true;
             if (largeRequest != null) {
                 largeRequest.release();
             }
@@ -148,10 +152,10 @@
     }
 
     /**
-     * Whether it is up and clean, seen with all that has come so far: bytes or an end that still wait in the socket
-     * would be taken for the next response. Not to be called from what this connection tells its owner.
+     * Whether the connection is open and clean. First reads what the socket already holds, because bytes or an end that
+     * still wait there would be taken for the next response. Must not be called from a callback to the owner.
      */
-    boolean usable() {
+    boolean isUsable() {
         if (!isAwaitingResponse) {
             Channels.readNow(channel);
         }
@@ -162,7 +166,7 @@
         return Channels.waitingBytes(channel);
     }
 
-    /** Why it is down, for people. */
+    /** Why the connection ended, as text for the log. */
     String failure() {
         return failure;
     }
@@ -178,19 +182,19 @@
         send(request, false);
     }
 
-    /** The same; a 101 to a request for an upgrade is a response. */
+    /** Sends a request. A 101 counts as a response only if the request asks for an upgrade. */
     void send(FullHttpRequest request, boolean upgrade) {
         isUpgrading = upgrade;
         isAwaitingResponse = true;
         if (request.content().readableBytes() > MAX_BODY) {
-            largeRequest = new LargeRequestWriter(channel, request, this::sent);
+            largeRequest = new LargeRequestWriter(channel, request, this::requestWritten);
             largeRequest.resume();
             return;
         }
-        channel.writeAndFlush(request).addListener(this::sent);
+        channel.writeAndFlush(request).addListener(this::requestWritten);
     }
 
-    private void sent(Future<? super Void> last) {
+    private void requestWritten(Future<? super Void> last) {
         if (last.isSuccess()) {
             owner.written();
         } else {
@@ -198,10 +202,13 @@
         }
     }
 
-    /** After a 101: gives the connection away, with what came behind the response; its end is still told. */
-    Upgrade.End goOver() {
+    /**
+     * After a 101: hands the channel over, with the bytes that came behind the response. The owner is still told of its
+     * end.
+     */
+    Upgrade.End detach() {
         channel.config().setAutoRead(false);
-        // The decoder hands on what it still holds.
+        // On its removal the decoder passes on the bytes that it still holds.
         channel.pipeline().remove(decoder);
         while (channel.pipeline().first() != null) {
             channel.pipeline().removeFirst();
@@ -211,25 +218,25 @@
 
     // ---- For its handlers
 
-    /** Whether what came is not known to be complete. */
+    /** Whether what has arrived may be incomplete. */
     boolean isBroken() {
         return isBroken;
     }
 
-    /** What comes is not known to be complete from now on. */
-    void breakOff() {
+    /** Marks what arrives as possibly incomplete from now on. */
+    void markIncomplete() {
         isBroken = true;
     }
 
-    /** The same, and why. */
+    /** Marks what arrives as possibly incomplete, for this reason. */
     void fail(String reason) {
         failure = reason;
         isBroken = true;
     }
 
-    /** Where a response goes on to that is too large; null for nowhere. */
+    /** Where a response that is too large to be buffered is streamed to; null to drop it. */
     StreamedResponse beginStream(HttpResponse head, Runnable resume) {
-        return isAwaitingResponse ? owner.passes(head, resume) : null;
+        return isAwaitingResponse ? owner.startStreaming(head, resume) : null;
     }
 
     void streamEnded(boolean keepAlive) {
@@ -238,8 +245,8 @@
         hasStreamEnded = true;
     }
 
-    /** Lets nothing in that was not asked for. */
-    private final class InputGate extends ChannelInboundHandlerAdapter {
+    /** Closes the connection on input that arrives while no response is awaited. */
+    private final class UnsolicitedInputFilter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             if (isAwaitingResponse) {
@@ -251,9 +258,9 @@
         }
     }
 
-    /** Hands complete responses to the owner, once all is read that came with them. */
+    /** Delivers complete responses to the owner once everything that arrived with them has been read. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        /** Complete; null for none. */
+        /** A complete response that is not delivered yet; null for none. */
         private FullHttpResponse pending;
 
         private boolean hasExtraInput;
@@ -261,7 +268,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
             if (message instanceof ByteBuf bytes) {
-                // Only behind a 101 does the decoder let bytes pass.
+                // The decoder passes raw bytes only after a 101.
                 earlyBytes.add(bytes);
             } else {
                 super.channelRead(context, message);
@@ -279,12 +286,12 @@
             } else if (isUpgrading && isSwitching && isValid) {
                 pending = response.retain();
             } else if (isInformational && !isSwitching) {
-                // One or more of them may go ahead of the response.
+                // One or more informational responses may precede the final one.
                 return;
             } else if (!isValid || !channel.isActive() && HttpUtil.isKeepAlive(response) || isInformational) {
-                // A body that only the end of the connection bounds may be cut short by a dying server: unless the
-                // end was announced and is an orderly one, a response on a closed channel is not known to be
-                // complete. After a change of protocol none comes.
+                // A body that is bounded only by the end of the connection may be cut short by a dying server: unless
+                // the end was announced and is an orderly one, a response on a closed channel may be incomplete. An
+                // unrequested 101 is a protocol switch, after which no response follows.
                 context.close();
             } else {
                 pending = response.retain();
@@ -294,7 +301,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (largeRequest != null) {
-                // A task of its own: this may come from inside a write, and the encoder can't be entered twice.
+                // In a task of its own: this may be called from inside a write, and the encoder is not reentrant.
                 context.channel().eventLoop().execute(largeRequest::resume);
             }
             context.fireChannelWritabilityChanged();
@@ -305,14 +312,14 @@
             if (hasStreamEnded) {
                 hasStreamEnded = false;
                 isAwaitingResponse = false;
-                owner.passed(isClean(), isStreamKeepAlive);
+                owner.streamCompleted(isClean(), isStreamKeepAlive);
             }
             if (pending != null) {
                 FullHttpResponse response = pending;
                 pending = null;
                 isAwaitingResponse = false;
                 try {
-                    owner.answered(response, isClean());
+                    owner.responseReceived(response, isClean());
                 } finally {
                     response.release();
                 }
@@ -320,7 +327,7 @@
             context.fireChannelReadComplete();
         }
 
-        /** Whether the connection can have a further request. */
+        /** Whether the connection can carry another request. */
         private boolean isClean() {
             return !hasExtraInput && decoder.isEmpty() && channel.isActive();
         }
--- a/src/main/java/org/cypressweir/sidecar/ServerInstance.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerInstance.java
@@ -9,61 +9,61 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
- * One process of a server at one address, with its connections; after a restart or a move the same server is
- * another instance.
+ * One process of a server at one address, with its connections. After a restart or a move the same server is another
+ * instance.
  *
- * <p>Confined to the event loop. {@link ServerPool} makes it when discovery lists it, and forgets it once discovery
+ * <p>Confined to the event loop. {@link ServerPool} creates it when discovery lists it, and forgets it once discovery
  * has removed it and its last connection is closed.
  */
 final class ServerInstance implements Upgrade.Host {
 
     private final ServerPool pool;
     final InetSocketAddress address;
-    /** As discovery listed it last. */
-    Server listed;
-    /** When the sidecar was told that it drains or is gone; 0 while it is in service. */
+    /** The server as discovery last listed it. */
+    Server descriptor;
+    /** When the sidecar learned that it is draining or removed; 0 while it is in service. */
     long drainingSinceMicros;
-    /** Not on the list any more: nothing new is sent to it. */
+    /** No longer on the list: nothing new is sent to it. */
     boolean isRemoved;
-    /** Connections of any state. */
+    /** Number of connections in any state. */
     int connections;
-    /** The most recently used last. */
+    /** Idle connections, the most recently used last. */
     final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
     /** Connections that have switched to another protocol. */
     final Set<PooledConnection> switched = new LinkedHashSet<>(0);
 
     private double utilization;
     private double reportedInFlight;
-    /** When its last load report came; 0 for never. */
+    /** When its last load report arrived; 0 for never. */
     private long reportedAtMicros;
 
     ServerInstance(ServerPool pool, InetSocketAddress address, Server listed) {
         this.pool = pool;
         this.address = address;
-        this.listed = listed;
+        this.descriptor = listed;
     }
 
-    boolean isSameAs(ServerList.Entry entry) {
-        return entry.address().equals(address) && entry.server().startMicros() == listed.startMicros();
+    boolean isSameInstance(ServerList.Entry entry) {
+        return entry.address().equals(address) && entry.server().startMicros() == descriptor.startMicros();
     }
 
     boolean isInService() {
         return drainingSinceMicros == 0;
     }
 
-    /** Discovery lists it, perhaps in another phase than before. */
+    /** Applies a new listing, whose phase may differ from the last one's. */
     void update(Server next, long nowMicros) {
-        listed = next;
+        descriptor = next;
         isRemoved = next.phase() == Phase.REMOVED;
         if (next.phase() != Phase.READY) {
             drain(nowMicros);
         } else if (drainingSinceMicros != 0) {
             drainingSinceMicros = 0;
-            switched.forEach(PooledConnection::serverStays);
+            switched.forEach(PooledConnection::serverInService);
         }
     }
 
-    /** Discovery lists it no more. */
+    /** Discovery no longer lists it. */
     void remove(long nowMicros) {
         drain(nowMicros);
         isRemoved = true;
@@ -73,16 +73,16 @@
         if (drainingSinceMicros == 0) {
             drainingSinceMicros = nowMicros;
             pool.idle().closeAll(this);
-            switched.forEach(c -> c.serverLeaves(nowMicros));
+            switched.forEach(c -> c.serverDraining(nowMicros));
         }
     }
 
-    /** Nothing refers to it any more. */
-    boolean isForgettable() {
+    /** Whether it has been removed and has no connections left. */
+    boolean canBeForgotten() {
         return isRemoved && connections == 0;
     }
 
-    /** Whether an attempt that has not been written yet must not go to it any more. */
+    /** Whether attempts that are not written yet must no longer be sent to it. */
     boolean isPastDrainGrace(long nowMicros, long drainGraceMicros) {
         return isRemoved || drainingSinceMicros != 0 && nowMicros - drainingSinceMicros >= drainGraceMicros;
     }
@@ -100,12 +100,12 @@
 
     @Override
     public long startMicros() {
-        return listed.startMicros();
+        return descriptor.startMicros();
     }
 
     @Override
     public void carries(double requests, boolean full) {
-        pool.listener().tunnelLoad(listed.id(), requests, full);
+        pool.listener().tunnelLoadChanged(descriptor.id(), requests, full);
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/ServerList.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerList.java
@@ -13,12 +13,12 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
-/** Servers in discovery's form: the whole list, or what has changed. */
+/** A list of servers from discovery: the complete list, or what has changed. */
 record ServerList(long revision, boolean complete, List<Entry> entries) {
 
     record Entry(Server server, InetSocketAddress address) {
-        /** The same server as gone. */
-        Entry gone() {
+        /** The same server, marked as removed. */
+        Entry asRemoved() {
             return new Entry(
                     new Server(
                             server.id(),
@@ -36,7 +36,7 @@
         return entries.stream().map(Entry::server).toList();
     }
 
-    /** Reads lists; zones and models are numbered as in the settings. */
+    /** Parses lists; zones and models become their index in the settings. */
     record Reader(List<String> zones, List<String> models) {
 
         private static final JsonFactory JSON = new JsonFactory();
@@ -47,7 +47,7 @@
             }
         }
 
-        /** All or nothing: a list that is wrong in one place is not trusted in another. */
+        /** Accepts all of a list or none of it: a list with one malformed entry is not trusted in the others. */
         ServerList read(Map<?, ?> m) throws IOException {
             if (!(m.get("rev") instanceof Long revision)
                     || !(m.get("all") instanceof Boolean complete)
--- a/src/main/java/org/cypressweir/sidecar/ServerPool.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerPool.java
@@ -20,34 +20,36 @@
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
- * The servers of a pool, their connections, and the attempts on them. A connection carries one attempt at a time;
- * nothing is ever sent a second time by the pool itself.
+ * The servers of a pool, their connections, and the attempts on them. A connection carries one attempt at a time; the
+ * pool itself never sends anything a second time.
  *
  * <p>Confined to the event loop. It has no servers until the first {@link #update}; after {@link #close} nothing is
  * started on it.
  */
 final class ServerPool implements Upgrade.Fleet {
 
-    /** Is told about attempts and about load beside them, always on the event loop. */
+    /** Receives events of attempts and the load of upgraded connections, always on the event loop. */
     interface Listener {
-        /** How an attempt ended; the response is there only when a server gave one, and only during the call. */
+        /** An attempt has ended. The response is null if no server gave one, and is valid only during the call. */
         void attemptEnded(Attempt attempt, Result result, LoadReport report, FullHttpResponse response);
 
-        /** A 200 is too large to be kept; where it goes on to, null for nowhere. */
-        default StreamedResponse streamBegins(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
+        /** A 200 response is too large to be buffered. Returns where it is streamed to; null to drop it. */
+        default StreamedResponse startStreaming(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
         /** The last byte of an attempt has been handed to the network. */
         default void attemptWritten() {}
 
-        /** What a server carries beside requests, in requests in flight. */
-        default void tunnelLoad(long server, double requests, boolean full) {}
+        /** A server's load from upgraded connections, in requests in flight, and whether it accepts no more of them. */
+        default void tunnelLoadChanged(long server, double requests, boolean full) {}
     }
 
-    /** A second copy of a response may come this much later, so for as long a connection is not used again. */
+    /**
+     * How long a connection is not reused after a response: a duplicate of that response may arrive this much later.
+     */
     static final long SETTLE_MICROS = 20_000;
-    /** For how long it counts how many servers there are and how warm. */
+    /** For how long the computed number of warm servers stays valid. */
     private static final long WARM_SERVERS_MAX_AGE_MICROS = 20_000;
 
     private static final long MAX_SWEEP_MICROS = 1_000_000;
@@ -61,14 +63,14 @@
     private final long maxIdleMicros;
     private final Rules rules;
     private final Map<Long, ServerInstance> servers = new HashMap<>();
-    private final Map<Attempt, PooledConnection> busy = new HashMap<>();
+    private final Map<Attempt, PooledConnection> connectionsByAttempt = new HashMap<>();
     private final IdleConnections idle = new IdleConnections();
     private final CachedMeasurement warmServers = new CachedMeasurement(WARM_SERVERS_MAX_AGE_MICROS);
     private int openConnections;
     private int maxConnections;
-    /** Idle connections that it may keep, by the number of servers; null for no such bound. */
+    /** The limit on idle connections, by the number of servers; null for no limit. */
     private IntUnaryOperator maxIdle;
-    /** Null where nothing switches to another protocol. */
+    /** The limits of upgraded connections; null where nothing switches to another protocol. */
     private PoolConfiguration.Tunnelled tunnels;
 
     ServerPool(
@@ -93,26 +95,26 @@
 
     // ---- Servers
 
-    /** Takes over what discovery says of the servers. */
+    /** Applies a list, or changes, from discovery. */
     void update(ServerList list) {
         long nowMicros = clock.micros();
-        Set<Long> named = new HashSet<>();
+        Set<Long> listedIds = new HashSet<>();
         for (ServerList.Entry entry : list.entries()) {
-            named.add(entry.server().id());
+            listedIds.add(entry.server().id());
             update(entry, nowMicros);
         }
         if (list.complete()) {
-            removeAllBut(named, nowMicros);
-            servers.values().removeIf(ServerInstance::isForgettable);
+            removeAllBut(listedIds, nowMicros);
+            servers.values().removeIf(ServerInstance::canBeForgotten);
         } else {
-            named.forEach(id -> servers.computeIfPresent(id, (i, s) -> s.isForgettable() ? null : s));
+            listedIds.forEach(id -> servers.computeIfPresent(id, (i, s) -> s.canBeForgotten() ? null : s));
         }
     }
 
     private void update(ServerList.Entry entry, long nowMicros) {
         Server listed = entry.server();
         ServerInstance server = servers.get(listed.id());
-        if (server != null && !server.isSameAs(entry)) {
+        if (server != null && !server.isSameInstance(entry)) {
             server.remove(nowMicros);
             server = null;
         }
@@ -123,9 +125,9 @@
         server.update(listed, nowMicros);
     }
 
-    private void removeAllBut(Set<Long> named, long nowMicros) {
+    private void removeAllBut(Set<Long> listedIds, long nowMicros) {
         for (Map.Entry<Long, ServerInstance> known : servers.entrySet()) {
-            if (!named.contains(known.getKey())) {
+            if (!listedIds.contains(known.getKey())) {
                 known.getValue().remove(nowMicros);
             }
         }
@@ -135,47 +137,47 @@
         return servers.size();
     }
 
-    /** Servers on the list, those that drain among them. */
-    int listed() {
+    /** Servers on the list, including those that are draining. */
+    int listedCount() {
         return (int) servers.values().stream().filter(s -> !s.isRemoved).count();
     }
 
     /** Servers on the list that are not in service. */
-    int draining() {
+    int outOfServiceCount() {
         return (int) servers.values().stream()
                 .filter(s -> !s.isRemoved && !s.isInService())
                 .count();
     }
 
-    /** The servers as last listed, without those that are removed. */
-    ServerList list() {
+    /** The servers as last listed, without removed ones. */
+    ServerList currentList() {
         return new ServerList(
                 0,
                 true,
                 servers.values().stream()
                         .filter(s -> !s.isRemoved)
-                        .map(s -> new ServerList.Entry(s.listed, s.address))
+                        .map(s -> new ServerList.Entry(s.descriptor, s.address))
                         .toList());
     }
 
-    /** Where a server that is in service listens; null for any other. */
+    /** The address of a server in service; null for any other. */
     InetSocketAddress address(long server) {
         ServerInstance found = servers.get(server);
         return found == null || !found.isInService() ? null : found.address;
     }
 
     /** Whether any server is in service. */
-    boolean anyReady() {
+    boolean hasServerInService() {
         return servers.values().stream().anyMatch(ServerInstance::isInService);
     }
 
-    /** Measured anew after a while only, since it walks the fleet. */
+    /** Cached for a short time, because computing it visits every server. */
     @Override
     public double warmServers() {
         long nowMicros = clock.micros();
         return warmServers.at(nowMicros, () -> servers.values().stream()
                 .filter(ServerInstance::isInService)
-                .mapToDouble(s -> rules.coldShare(nowMicros, s.listed.startMicros()))
+                .mapToDouble(s -> rules.coldShare(nowMicros, s.descriptor.startMicros()))
                 .sum());
     }
 
@@ -189,9 +191,12 @@
         return rules;
     }
 
-    // ---- Limits of connections
+    // ---- Connection limits
 
-    /** Other bounds on connections; those above it end as they become idle, those that are switched stay so. */
+    /**
+     * Replaces the connection limits and closes idle connections beyond the new one. Connections in use stay, including
+     * those that have switched to another protocol.
+     */
     void setLimits(int connections, PoolConfiguration.Tunnelled nextTunnels) {
         tunnels = nextTunnels;
         maxConnections = connections;
@@ -201,13 +206,13 @@
         }
     }
 
-    /** From now on no more idle connections than this says for so many servers; null for no such bound. */
+    /** Limits the idle connections by the number of servers, and closes the surplus; null for no limit. */
     void setMaxIdle(IntUnaryOperator byServers) {
         maxIdle = byServers;
         closeSurplusIdle();
     }
 
-    /** Closes what the bound on idle connections does not allow, the longest idle first. */
+    /** Closes idle connections beyond the limit, the longest idle first. */
     void closeSurplusIdle() {
         while (maxIdle != null && idle.size() > maxIdle.applyAsInt(servers.size())) {
             idle.closeOldest();
@@ -226,7 +231,7 @@
         }
     }
 
-    /** Bytes that wait to be written on connections that have switched to another protocol. */
+    /** Bytes waiting to be written on connections that have switched to another protocol. */
     long waitingBytes() {
         return servers.values().stream()
                 .flatMap(s -> s.switched.stream())
@@ -236,12 +241,12 @@
 
     void close() {
         servers.values().forEach(idle::closeAll);
-        List.copyOf(busy.keySet()).forEach(this::abandon);
+        List.copyOf(connectionsByAttempt.keySet()).forEach(this::abandon);
     }
 
     // ---- Attempts
 
-    /** Sends an attempt on the connection used last, or on a new one. */
+    /** Sends an attempt on the most recently used reusable connection to its server, or on a new one. */
     void start(Attempt attempt) {
         ServerInstance server = servers.get(attempt.server);
         if (server == null || server.isRemoved) {
@@ -251,9 +256,9 @@
         if (attempt.call.upgrade != null) {
             attempt.call.upgrade.tried(server);
         }
-        PooledConnection connection = idle.pollSettled(server, clock.micros());
+        PooledConnection connection = idle.pollReusable(server, clock.micros());
         if (connection == null && openConnections >= maxConnections && !idle.closeOldest()) {
-            // The bound keeps descriptors for clients; past it the attempt never leaves this process.
+            // The limit reserves file descriptors for clients. Beyond it the attempt never leaves this process.
             end(attempt, Result.NO_CONNECTION, null, null);
             return;
         }
@@ -265,16 +270,16 @@
         }
     }
 
-    /** Stops an attempt, which tells the server so, and closes its connection. */
+    /** Abandons an attempt by closing its connection, which also tells the server. */
     void abandon(Attempt attempt) {
-        PooledConnection connection = busy.remove(attempt);
+        PooledConnection connection = connectionsByAttempt.remove(attempt);
         if (connection != null) {
             connection.abandon();
         }
     }
 
     void end(Attempt attempt, Result result, LoadReport report, FullHttpResponse response) {
-        busy.remove(attempt);
+        connectionsByAttempt.remove(attempt);
         if (attempt.result == null) {
             listener.attemptEnded(attempt, result, report, response);
         }
@@ -289,14 +294,14 @@
     }
 
     void assigned(Attempt attempt, PooledConnection connection) {
-        busy.put(attempt, connection);
+        connectionsByAttempt.put(attempt, connection);
     }
 
     void disconnected(ServerInstance server) {
         openConnections--;
         server.connections--;
-        if (server.isForgettable()) {
-            servers.remove(server.listed.id(), server);
+        if (server.canBeForgotten()) {
+            servers.remove(server.descriptor.id(), server);
         }
     }
 
--- a/src/main/java/org/cypressweir/sidecar/ServerResponseDecoder.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerResponseDecoder.java
@@ -6,14 +6,14 @@
 import io.netty.util.AsciiString;
 
 /**
- * The decoder of a server's responses. It shows whether it holds a part of a further message, and takes no line of
- * a head without a colon.
+ * Decodes a server's responses. It tells whether it holds part of a further message, and rejects header lines without a
+ * colon right after the name.
  *
  * <p>One for each connection, on its event loop.
  */
 final class ServerResponseDecoder extends HttpResponseDecoder {
 
-    private boolean hasBegun;
+    private boolean hasPartialMessage;
 
     ServerResponseDecoder() {
         super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.CHUNK));
@@ -21,25 +21,25 @@
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) {
-        hasBegun = true;
+        hasPartialMessage = true;
         return super.createMessage(initialLine);
     }
 
-    /** A complete message has been handed on; what is decoded from now on is another. */
+    /** A complete message has been delivered; what is decoded from now on belongs to the next one. */
     void messageEnded() {
-        hasBegun = false;
+        hasPartialMessage = false;
     }
 
     /** Whether it holds nothing of a further message. */
     boolean isEmpty() {
-        return !hasBegun && actualReadableBytes() == 0;
+        return !hasPartialMessage && actualReadableBytes() == 0;
     }
 
-    /** Netty allows, in responses though not in requests, a space behind the name, or no colon. */
+    /** In responses, though not in requests, Netty accepts white space after the name, or a missing colon. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("no colon after header name");
         }
         return super.splitHeaderName(line, start, length);
     }
--- a/src/main/java/org/cypressweir/sidecar/StreamedResponse.java
+++ b/src/main/java/org/cypressweir/sidecar/StreamedResponse.java
@@ -2,18 +2,19 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** A client's end of an answer that is passed on as it comes. */
+/** The client's side of a response that is streamed as it arrives. */
 interface StreamedResponse {
 
     /**
-     * Passes a part on; the caller keeps its reference. False where the client should be given time
-     * first.
+     * Writes a part of the body; the caller keeps its reference.
+     *
+     * @return false if the caller should pause, because the client reads too slowly
      */
     boolean more(ByteBuf part);
 
-    /** The answer was whole. */
+    /** The response is complete. */
     void end();
 
-    /** The rest will not come; the client must be able to tell. */
+    /** The rest will not arrive; the client must be able to detect that the response is incomplete. */
     void cut();
 }
--- a/src/main/java/org/cypressweir/sidecar/WarmUp.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -32,90 +32,93 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
- * Made-up requests before the first real one: a sidecar of its own, whose only servers are this very class
- * behind an address that the sidecar listens on, serves clients that are this class too. Nothing of it
- * outlasts the rehearsal but the code that the runtime has compiled, and nothing leaves the process.
+ * Runs synthetic requests through a temporary sidecar before the first real one, so that the runtime compiles the code
+ * on their path. This class is both the clients of that sidecar and its only servers, behind an address that the
+ * sidecar listens on. Nothing of the warm-up remains but the compiled code, and nothing leaves the process.
  *
- * <p>Without it a sidecar is open to all of its clients while each of their requests costs tens of times its
- * usual CPU time and the compiler takes half of what there is; what then waits is late, is asked for again,
- * and keeps the process busy for seconds. That holds for whatever is scarce at the start, be it the share of
- * a core or a busy neighbour. Harm: the time that it takes is added to the time that a restart takes, so it
- * has an end by the clock as well as by count; meanwhile {@code /healthz} answers 503.
+ * <p>Without it a sidecar is open to all its clients while each of their requests costs tens of times its usual CPU
+ * time and the compiler takes half of the CPU available; requests that wait become late, are retried, and keep the
+ * process busy for seconds. This holds whatever makes CPU scarce at the start, be it a limited share of a core or a
+ * busy neighbour. The drawback is that its time adds to that of a restart, so it is limited by time as well as by the
+ * number of requests; meanwhile {@code /healthz} answers 503.
  */
 final class WarmUp implements ClientListener.Service {
 
     private static final int SERVERS = 8;
     private static final int CLIENTS = 4;
     private static final int SOCKETS = 128;
-    private static final int BODY = 256;
-    /** Each so many requests there is one that is refused, since its time is up. */
-    private static final int REFUSED = 8;
+    private static final int BODY_BYTES = 256;
+    /** One in this many requests is refused, because its time is up. */
+    private static final int EXPIRED_REQUEST_INTERVAL = 8;
 
-    private static final long TURN_MILLIS = 1;
-    private static final HttpHeaders LOAD = new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
+    private static final long CLOSE_DELAY_MILLIS = 1;
+    private static final HttpHeaders LOAD_REPORT =
+            new DefaultHttpHeaders().set(Headers.LOAD, "TEXT util=0.5, qps=10, eps=0");
 
     private final EventLoop loop;
     private final SidecarConfiguration config;
-    private final String prefix;
-    /** Ids that the sidecar has been asked for: what comes again under one of them comes from the sidecar. */
-    private final Set<String> asked = new HashSet<>();
+    private final String idPrefix;
+    /** Ids of requests passed to the sidecar: a request with an id seen before comes from the sidecar to its server. */
+    private final Set<String> receivedIds = new HashSet<>();
 
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final Stage place;
+    private final Stage transport;
     private final int requests;
-    private final ClientListener stage;
+    private final ClientListener listener;
     private Sidecar sidecar;
     private int sent;
-    private int answered;
-    private boolean over;
+    private int responses;
+    private boolean isClosing;
 
-    /** Where it is played: clients connect there, and it has what they say. */
+    /** Accepts the clients' connections and passes them to a listener. */
     interface Stage {
-        /** Opens for it; the address is there once clients can connect. */
+        /** Passes connections to the listener from now on; completes with the address once clients can connect. */
         CompletableFuture<InetSocketAddress> open(ClientListener to);
 
-        /** Nothing comes by this way any more. */
+        /** Passes no more connections. */
         default void close() {}
     }
 
-    private WarmUp(EventLoop loop, SidecarConfiguration config, Stage place, int requests) {
+    private WarmUp(EventLoop loop, SidecarConfiguration config, Stage transport, int requests) {
         this.loop = loop;
         this.config = config;
-        this.place = place;
+        this.transport = transport;
         this.requests = requests;
-        prefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
-        stage = new ClientListener(loop, this, SOCKETS, line -> {});
+        idPrefix = Long.toHexString(new SplittableRandom(config.settings().seed()).nextLong()) + "-";
+        listener = new ClientListener(loop, this, SOCKETS, line -> {});
     }
 
-    /** Goes through so many requests, or as many as there is time for; how many were answered. */
+    /** Runs this many requests, or as many as the time allows; returns how many got a response. */
     static int run(SidecarConfiguration config, InetSocketAddress where, int requests, long millis)
             throws InterruptedException {
         return run(
                 config,
-                stage -> stage.listen(where).thenApply(ClientListener.ListeningSocket::address),
+                listener -> listener.listen(where).thenApply(ClientListener.ListeningSocket::address),
                 requests,
                 millis);
     }
 
-    /** The same on another stage than an address of its own. */
-    static int run(SidecarConfiguration config, Stage place, int requests, long millis) throws InterruptedException {
-        // A loop of its own: with it go all connections and timers of the rehearsal.
+    /** Runs over another transport than an address of its own. */
+    static int run(SidecarConfiguration config, Stage transport, int requests, long millis)
+            throws InterruptedException {
+        // An event loop of its own, with which all connections and timers of the warm-up end.
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        WarmUp rehearsal = new WarmUp(group.next(), config, place, requests);
+        WarmUp warmUp = new WarmUp(group.next(), config, transport, requests);
         try {
-            rehearsal.loop.execute(rehearsal::open);
-            rehearsal.ended.await(millis, TimeUnit.MILLISECONDS);
+            warmUp.loop.execute(warmUp::open);
+            warmUp.ended.await(millis, TimeUnit.MILLISECONDS);
             CountDownLatch closed = new CountDownLatch(1);
-            rehearsal.loop.execute(() -> rehearsal.close(closed::countDown));
+            warmUp.loop.execute(() -> warmUp.close(closed::countDown));
             closed.await();
-            return rehearsal.answered;
+            return warmUp.responses;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
         }
     }
 
     private void open() {
-        place.open(stage)
+        transport
+                .open(listener)
                 .whenCompleteAsync(
                         (address, failure) -> {
                             if (failure == null) {
@@ -128,13 +131,13 @@
     }
 
     /**
-     * The kernel lets go of the address only when the selector, in a later turn of the loop, has let go of
-     * the listening socket.
+     * The kernel frees the address only once the selector has released the listening socket, in a later iteration of
+     * the event loop.
      */
     private void close(Runnable closed) {
-        over = true;
-        place.close();
-        stage.close().addListener(f -> loop.schedule(closed, TURN_MILLIS, TimeUnit.MILLISECONDS));
+        isClosing = true;
+        transport.close();
+        listener.close().addListener(f -> loop.schedule(closed, CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     private void begin(InetSocketAddress address) {
@@ -143,8 +146,8 @@
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new ServerList.Entry(new Server(i, i % zones, 0, 0, Phase.READY, 0, 1), address));
         }
-        SidecarConfiguration own = config.with(SOCKETS, new ServerList(0, true, servers));
-        sidecar = new Sidecar(loop, own, new PrintStream(OutputStream.nullOutputStream()));
+        SidecarConfiguration warmUpConfig = config.with(SOCKETS, new ServerList(0, true, servers));
+        sidecar = new Sidecar(loop, warmUpConfig, new PrintStream(OutputStream.nullOutputStream()));
         sidecar.open();
         for (int i = 0; i < CLIENTS; i++) {
             new Client(address);
@@ -159,13 +162,14 @@
     @Override
     public void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest {
         String id = String.valueOf(http.headers().get(Headers.REQUEST_ID));
-        if (!id.startsWith(prefix)) {
-            // Nobody should ask before the sidecar is ready; it can't serve yet, and has no word on a retry.
+        if (!id.startsWith(idPrefix)) {
+            // No client should send requests before the sidecar is ready. It cannot serve them yet, and has no advice
+            // on a retry.
             client.answer(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
-        } else if (asked.add(id)) {
+        } else if (receivedIds.add(id)) {
             sidecar.admission().take(http, client);
         } else {
-            client.answer(HttpResponseStatus.OK, LOAD, Unpooled.wrappedBuffer(new byte[BODY]));
+            client.answer(HttpResponseStatus.OK, LOAD_REPORT, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
         }
     }
 
@@ -174,18 +178,18 @@
         sidecar.admission().left(client);
     }
 
-    private FullHttpRequest next() {
+    private FullHttpRequest nextRequest() {
         int number = sent++;
         Settings settings = config.settings();
         RequestClass c = settings.classes().get(number % settings.classes().size());
         boolean safe = c.effect() == Effect.SAFE;
-        ByteBuf body = Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY]);
+        ByteBuf body = Unpooled.wrappedBuffer(new byte[safe ? 0 : BODY_BYTES]);
         FullHttpRequest next = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST, "/" + c.name() + "/" + number, body);
-        long millis = number % REFUSED == REFUSED - 1 ? 1 : c.deadlineMicros() / 1000;
+        long millis = number % EXPIRED_REQUEST_INTERVAL == EXPIRED_REQUEST_INTERVAL - 1 ? 1 : c.deadlineMicros() / 1000;
         next.headers()
                 .set(HttpHeaderNames.HOST, "rehearsal")
-                .set(Headers.REQUEST_ID, prefix + number)
+                .set(Headers.REQUEST_ID, idPrefix + number)
                 .set(Headers.TIMEOUT, Math.max(1, millis));
         if (!settings.tenants().isEmpty()) {
             next.headers()
@@ -196,26 +200,26 @@
                                     .name());
         }
         if (c.effect() == Effect.KEYED) {
-            next.headers().set(Headers.IDEMPOTENCY_KEY, prefix + number);
+            next.headers().set(Headers.IDEMPOTENCY_KEY, idPrefix + number);
         }
         if (!safe) {
-            next.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
+            next.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES);
         }
         return next;
     }
 
-    /** Asks again as soon as it has an answer. */
+    /** Sends the next request as soon as it has a response. */
     private final class Client implements ServerConnection.Owner {
-        private final ServerConnection link;
+        private final ServerConnection connection;
 
         Client(InetSocketAddress address) {
-            link = new ServerConnection(loop, address, ServerConnection.MAX_BODY, config.connectMicros(), this);
+            connection = new ServerConnection(loop, address, ServerConnection.MAX_BODY, config.connectMicros(), this);
         }
 
         @Override
         public void opened() {
-            if (!over) {
-                link.send(next());
+            if (!isClosing) {
+                connection.send(nextRequest());
             }
         }
 
@@ -223,12 +227,12 @@
         public void written() {}
 
         @Override
-        public void answered(FullHttpResponse answer, boolean clean) {
-            if (++answered >= requests) {
+        public void responseReceived(FullHttpResponse answer, boolean clean) {
+            if (++responses >= requests) {
                 ended.countDown();
-            } else if (clean && !over) {
-                // Not from inside the answer, which the link has still to let go.
-                loop.execute(() -> link.send(next()));
+            } else if (clean && !isClosing) {
+                // Not from inside the callback, because the connection has yet to release the response.
+                loop.execute(() -> connection.send(nextRequest()));
             }
         }
 
--- a/src/test/java/org/cypressweir/sidecar/CellsLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/CellsLoopbackTest.java
@@ -46,7 +46,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Cells between real sockets: harm stays in one, and moves neither lose nor double anything. */
+/** Tests cells over real sockets: a failure stays in one cell, and moves neither lose nor duplicate requests. */
 @Timeout(60)
 class CellsLoopbackTest extends Loopback {
 
@@ -55,7 +55,7 @@
 
     private Harness harness;
     private final List<PeerStub> servers = new ArrayList<>();
-    /** What the servers of some tests have been sent. */
+    /** Requests that the servers have received, in tests whose script records them. */
     private final BlockingQueue<PeerStub.Seen> arrived = new LinkedBlockingQueue<>();
 
     private static String accountOf(int cell, int skip) {
@@ -69,19 +69,19 @@
         }
     }
 
-    /** The servers of a cell, by the same deal as the sidecar's. */
-    private List<PeerStub> ofCell(int cell) {
-        CellAssignment parting = new CellAssignment(CELLS, Spread.SERVER, 0);
+    /** The servers of a cell, by the same assignment as in the sidecar. */
+    private List<PeerStub> serversOfCell(int cell) {
+        CellAssignment assignment = new CellAssignment(CELLS, Spread.SERVER, 0);
         Map<Long, PeerStub> byId = new HashMap<>();
         servers.forEach(s -> byId.put(Ids.of("s-" + s.port()), s));
-        parting.listed(
+        assignment.listed(
                 0,
                 ListKind.COMPLETE,
                 byId.keySet().stream()
                         .map(id -> new Server(id, 0, 0, 0, Phase.READY, 0, 1))
                         .toList());
         return byId.entrySet().stream()
-                .filter(e -> parting.cellOf(e.getKey()) == cell)
+                .filter(e -> assignment.cellOf(e.getKey()) == cell)
                 .map(Map.Entry::getValue)
                 .toList();
     }
@@ -130,14 +130,14 @@
                 + Instant.now().minusSeconds(1) + "\n" + more;
     }
 
-    private PeerStub.Seen first() throws InterruptedException {
+    private PeerStub.Seen takeArrived() throws InterruptedException {
         PeerStub.Seen seen = arrived.poll(10, TimeUnit.SECONDS);
         assertTrue(seen != null, "no request came");
         return seen;
     }
 
     @Test
-    void eachUnitMeetsOnlyTheServersOfItsCell() throws Exception {
+    void eachUnitReachesOnlyServersOfItsCell() throws Exception {
         sidecar(9, PeerStub.serves("ok"), "");
         for (int cell = 0; cell < 3; cell++) {
             for (int i = 0; i < 12; i++) {
@@ -150,8 +150,8 @@
         Map<PeerStub, Integer> cellOf = new HashMap<>();
         for (int cell = 0; cell < 3; cell++) {
             int c = cell;
-            assertEquals(3, ofCell(cell).size());
-            ofCell(cell).forEach(s -> cellOf.put(s, c));
+            assertEquals(3, serversOfCell(cell).size());
+            serversOfCell(cell).forEach(s -> cellOf.put(s, c));
         }
         int seen = 0;
         for (PeerStub s : servers) {
@@ -169,23 +169,23 @@
         assertEquals(72, seen);
     }
 
-    /** All servers of one cell hang: the others serve as if nothing were, and nothing of it reaches them. */
+    /** All servers of one cell hang: the other cells serve as usual, and get none of its requests. */
     @Test
-    void aCellWhoseServersAllHangHarmsNoOther() throws Exception {
+    void hangingCellDoesNotAffectOthers() throws Exception {
         sidecar(9, PeerStub.serves("ok"), "");
         CountDownLatch release = new CountDownLatch(1);
-        for (PeerStub s : ofCell(0)) {
+        for (PeerStub s : serversOfCell(0)) {
             s.script(seen -> {
                 await(release);
                 seen.reply("200 OK", "", "late");
             });
         }
-        // Far more than a module would hold back if all cells had one between them.
+        // Far more requests than one load balancer shared by all cells would queue.
         List<Harness.Client> waiting = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             waiting.add(harness.client().raw(book(accountOf(0, i % 3), "h" + i)));
         }
-        for (PeerStub s : ofCell(0)) {
+        for (PeerStub s : serversOfCell(0)) {
             s.take();
         }
         long worst = 0;
@@ -209,10 +209,10 @@
         }
         assertTrue(served > 0);
         for (int cell = 1; cell < 3; cell++) {
-            for (PeerStub s : ofCell(cell)) {
+            for (PeerStub s : serversOfCell(cell)) {
                 assertTrue(
                         s.seen.stream().noneMatch(r -> r.request().body().startsWith("h")),
-                        "harm reached another cell");
+                        "a request of the hanging cell reached another cell");
             }
         }
     }
@@ -229,11 +229,11 @@
     }
 
     /**
-     * The heaviest account moves there and back under load, with a fence: each book and each keyed hold is
-     * answered once and has run once, and the others notice nothing.
+     * The busiest account moves to another cell and back under load, first with a fence. Each book and each keyed hold
+     * must get one response and run once, and the other accounts must not be affected.
      */
     @Test
-    void theHeaviestAccountMovesUnderLoad() throws Exception {
+    void busiestAccountMovesUnderLoad() throws Exception {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
         PeerStub.Script script = seen -> {
             arrived.add(seen);
@@ -296,9 +296,9 @@
         assertTrue(runs.values().stream().allMatch(n -> n == 1), "something ran twice");
     }
 
-    /** Waits until a server of the cell has met the account, in a request that came after this call. */
+    /** Waits until a server of the cell receives a request of the account that was sent after this call. */
     private void awaitSeen(int cell, String account) throws InterruptedException {
-        List<Integer> ports = ofCell(cell).stream().map(PeerStub::port).toList();
+        List<Integer> ports = serversOfCell(cell).stream().map(PeerStub::port).toList();
         arrived.clear();
         for (PeerStub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (ports.contains(seen.socket().getLocalPort())
@@ -309,19 +309,19 @@
         throw new AssertionError("never seen: " + account);
     }
 
-    /** A write in hand at the old cell holds the next one back, until it ends; then both have run once. */
+    /** A write in flight at the old cell delays later writes until it ends; in the end each has run once. */
     @Test
-    void theFenceHoldsOnRealSockets() throws Exception {
+    void fenceDelaysWritesUntilOldCellIsDone() throws Exception {
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         Harness.Client first = harness.client().raw(book(account, "first"));
-        PeerStub.Seen running = first();
+        PeerStub.Seen running = takeArrived();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
-        // The process can't know of writes before the move was ordered until they must have ended.
-        for (PeerStub s : ofCell(0)) {
+        // The process cannot know of writes from before the move was ordered, until those must have ended.
+        for (PeerStub s : serversOfCell(0)) {
             s.script(PeerStub.serves("old"));
         }
-        for (PeerStub s : ofCell(1)) {
+        for (PeerStub s : serversOfCell(1)) {
             s.script(PeerStub.serves("new"));
         }
         assertEquals(
@@ -334,9 +334,9 @@
         assertEquals("new", harness.client().raw(search(account)).answer().body());
     }
 
-    /** A freeze: writes are refused at once with a time to come back, reads and other accounts go on. */
+    /** During a freeze writes are refused at once with a Retry-After, while reads and other accounts are served. */
     @Test
-    void aFreezeIsHeardAtOnce() throws Exception {
+    void freezeRefusesWritesAtOnce() throws Exception {
         String account = accountOf(0, 0);
         sidecar(6, PeerStub.serves("ok"), "");
         harness.reload(file(move(account, 1, "freeze = \"10s\"\n")));
@@ -348,20 +348,20 @@
         double after = Double.parseDouble(refused.headers().get("Retry-After"));
         assertTrue(after > 0 && after <= 2, "Retry-After " + after);
         assertTrue(System.nanoTime() - began < 1_000_000_000L);
-        // The connection is as good as before, and the id free again.
+        // The connection can still be used, and the request id is free again.
         assertEquals(200, client.raw(search(account)).answer().status());
         assertEquals(200, client.raw(book(accountOf(2, 0), "x")).answer().status());
-        for (PeerStub s : ofCell(0)) {
+        for (PeerStub s : serversOfCell(0)) {
             assertTrue(s.seen.isEmpty());
         }
     }
 
-    /** A server that leaves keeps its place; past that time others fill the hole, and nothing is lost. */
+    /** A server that leaves keeps its place for a while; after that others take it, and nothing is lost. */
     @Test
-    void serversThatChangeCellsServeOn() throws Exception {
+    void serversServeAfterChangingCells() throws Exception {
         sidecar(9, PeerStub.serves("ok"), "keep_places = \"0ms\"\n");
-        PeerStub gone = ofCell(0).get(0);
-        List<PeerStub> before = ofCell(0);
+        PeerStub gone = serversOfCell(0).get(0);
+        List<PeerStub> before = serversOfCell(0);
         servers.remove(gone);
         harness.reload(file("keep_places = \"0ms\"\n"));
         servers.add(server(PeerStub.serves("ok")));
@@ -377,10 +377,10 @@
                             .status());
         }
         assertTrue(gone.seen.isEmpty());
-        assertFalse(ofCell(0).equals(before));
+        assertFalse(serversOfCell(0).equals(before));
         Set<PeerStub> all = new HashSet<>();
         for (int c = 0; c < 3; c++) {
-            for (PeerStub s : ofCell(c)) {
+            for (PeerStub s : serversOfCell(c)) {
                 assertTrue(all.add(s));
                 for (PeerStub.Seen seen : s.seen) {
                     String account = seen.request().headers().get("X-Account");
@@ -395,12 +395,12 @@
         assertEquals(11, all.size());
     }
 
-    /** Another number of cells, and cells taken away by a reload: requests in hand finish where they are. */
+    /** Cells are added and removed by reloads: requests in flight finish where they are. */
     @Test
-    void cellsComeAndGoUnderARequest() throws Exception {
+    void cellsAreAddedAndRemovedDuringARequest() throws Exception {
         sidecar(8, arrived::add, "");
         Harness.Client client = harness.client().raw(book(accountOf(2, 0), "kept"));
-        PeerStub.Seen running = first();
+        PeerStub.Seen running = takeArrived();
         harness.reload(file("").replace("\"c2\"]", "\"c2\", \"c3\"]"));
         harness.reload(file("").replace("[\"c0\", ", "["));
         harness.reload(file("").replace("[pools.p.cells]\n" + NAMES, ""));
@@ -411,14 +411,14 @@
     }
 
     @Test
-    void aBadReloadLeavesCellsAlone() throws Exception {
+    void invalidReloadKeepsCells() throws Exception {
         sidecar(6, PeerStub.serves("ok"), "");
         harness.reload(file("guests = 0.9\n"));
         assertTrue(harness.log.toString().contains("'guests' must be a number from 0.0 to 0.5"));
         assertEquals(200, harness.client().raw(search(accountOf(1, 0))).answer().status());
     }
 
-    private void discovered() throws Exception {
+    private void startWithDiscovery() throws Exception {
         for (int i = 0; i < 6; i++) {
             servers.add(server(PeerStub.serves("ok")));
         }
@@ -429,8 +429,8 @@
                 + "[routes.book]\npath = \"/book/*\"\nclass = \"book\"\npool = \"p\"\n");
     }
 
-    /** Tells the sidecar a change and waits until it has taken it over and watches again. */
-    private void tell(int revision, String state, PeerStub... changed) throws Exception {
+    /** Sends the sidecar a change and waits until it has applied it and watches again. */
+    private void publish(int revision, String state, PeerStub... changed) throws Exception {
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(revision, false, state, changed)));
         PeerStub.Seen again = harness.discovery.take();
         assertTrue(
@@ -439,57 +439,57 @@
         harness.discovery.seen.add(again);
     }
 
-    /** A drain is kept in a cell as in a pool, and a cell whose servers all leave asks nobody else's. */
+    /** A drain is respected in a cell as in a pool, and a cell without servers uses none of another cell. */
     @Test
-    void drainsStayWithinTheirCell() throws Exception {
-        discovered();
-        List<PeerStub> own = ofCell(0);
+    void drainStaysWithinItsCell() throws Exception {
+        startWithDiscovery();
+        List<PeerStub> own = serversOfCell(0);
         assertEquals(2, own.size());
         String account = accountOf(0, 0);
-        tell(2, "terminating", own.get(0));
+        publish(2, "terminating", own.get(0));
         for (int i = 0; i < 20; i++) {
             assertEquals(
                     200, harness.client().raw(book(account, "d" + i)).answer().status());
         }
         assertTrue(own.get(0).seen.isEmpty(), "a draining server was sent something");
         assertEquals(20, own.get(1).seen.size());
-        tell(3, "terminating", own.get(1));
+        publish(3, "terminating", own.get(1));
         int status = harness.client().raw(book(account, "none")).answer().status();
         assertTrue(status == 503 || status == 502 || status == 504, "status " + status);
         for (int cell = 1; cell < 3; cell++) {
             assertEquals(
                     200,
                     harness.client().raw(book(accountOf(cell, 0), "o")).answer().status());
-            for (PeerStub s : ofCell(cell)) {
+            for (PeerStub s : serversOfCell(cell)) {
                 assertTrue(s.seen.stream()
                         .noneMatch(r -> account.equals(r.request().headers().get("X-Account"))));
             }
         }
-        tell(4, "in_service", own.get(0), own.get(1));
+        publish(4, "in_service", own.get(0), own.get(1));
         assertEquals(200, harness.client().raw(book(account, "again")).answer().status());
     }
 
     /**
-     * Gone and back, as in a release: every other server keeps its cell, and the one that returns finds its
-     * own.
+     * Servers leave and return one by one, as in a release: every other server keeps its cell, and the returning one
+     * gets its old cell back.
      */
     @Test
-    void aReleaseMovesNobody() throws Exception {
-        discovered();
+    void rollingRestartKeepsCellAssignment() throws Exception {
+        startWithDiscovery();
         Map<PeerStub, Integer> cellOf = new HashMap<>();
         for (int c = 0; c < 3; c++) {
             int cell = c;
-            ofCell(c).forEach(s -> cellOf.put(s, cell));
+            serversOfCell(c).forEach(s -> cellOf.put(s, cell));
         }
         int revision = 2;
         for (PeerStub restarted : servers) {
-            tell(revision++, "terminated", restarted);
+            publish(revision++, "terminated", restarted);
             for (int c = 0; c < 3; c++) {
                 assertEquals(
                         200,
                         harness.client().raw(search(accountOf(c, 1))).answer().status());
             }
-            tell(revision++, "in_service", restarted);
+            publish(revision++, "in_service", restarted);
         }
         for (PeerStub s : servers) {
             for (PeerStub.Seen seen : s.seen) {
@@ -499,9 +499,9 @@
         }
     }
 
-    /** Upgrades go through cells as any request does. */
+    /** Upgrades are routed to cells like any other request. */
     @Test
-    void tunnelsOpenInTheirCell() throws Exception {
+    void tunnelsOpenInTheCellOfTheirUnit() throws Exception {
         AtomicInteger[] tunnels = new AtomicInteger[6];
         for (int i = 0; i < 6; i++) {
             tunnels[i] = new AtomicInteger();
@@ -525,20 +525,20 @@
             ws.send(1, true, ("to " + cell).getBytes(StandardCharsets.US_ASCII));
             assertEquals("to " + cell, ws.message().text());
             int open = 0;
-            for (PeerStub s : ofCell(cell)) {
+            for (PeerStub s : serversOfCell(cell)) {
                 open += tunnels[servers.indexOf(s)].get();
             }
             assertEquals(1, open);
         }
     }
 
-    /** SIGTERM with a request held by a fence: it is answered before the process ends. */
+    /** SIGTERM while a fence holds a request: it gets a response before the process ends. */
     @Test
-    void whatIsHeldIsAnsweredBeforeTheEnd() throws Exception {
+    void heldRequestIsAnsweredBeforeShutdown() throws Exception {
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         harness.client().raw(book(account, "running"));
-        PeerStub.Seen running = first();
+        PeerStub.Seen running = takeArrived();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
         Harness.Client second = harness.client().raw(book(account, "second"));
         CountDownLatch ended = harness.stop();
