--- a/src/test/java/org/cypressweir/sidecar/FleetShareTest.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetShareTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an instance holds open and asks where many share servers and discovery. */
+/** Tests what an instance keeps open and how often it polls when many instances share servers and discovery. */
 @Timeout(60)
 class FleetShareTest extends Loopback {
 
@@ -27,9 +27,12 @@
         return harness.startWith("version = 1\n" + fleet + ROUTES);
     }
 
-    /** Calls have their times and hold nothing open: each asks for changes, waits for nothing and closes. */
+    /**
+     * Calls are made in their slots and hold nothing open: each asks for changes without waiting and closes its
+     * connection.
+     */
     @Test
-    void theListIsAskedAtItsPace() throws Exception {
+    void pollsFollowTheSchedule() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         harness = new Harness(folder, one);
         open.add(harness);
@@ -44,17 +47,15 @@
                     call.request().first());
             harness.discovery.awaitEnd();
         }
-        // Slots of 400 ms: six calls take five of them, though each may be late on a slow machine.
+        // Slots are 400 ms apart: six calls span five of them, though each may be late on a slow machine.
         long all = (at.get(5) - at.get(0)) / 1_000_000;
         assertTrue(all > 1_500, "six calls within " + all + " ms");
         assertEquals(200, harness.client().search(2_000).answer().status());
     }
 
-    /**
-     * A discovery that fails is asked no oftener, and what changed is known with the next call that works.
-     */
+    /** A failing discovery is not polled more often, and changes are known with the next call that succeeds. */
     @Test
-    void failuresKeepThePace() throws Exception {
+    void failuresDoNotIncreasePollRate() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         PeerStub two = server(PeerStub.serves("two"));
         harness = new Harness(folder, one);
@@ -75,9 +76,9 @@
         assertEquals("two", harness.client().search(2_000).answer().body());
     }
 
-    /** Word of a drain that comes with a paced call is kept as ever. */
+    /** A reload switches from a watch to polling and back. */
     @Test
-    void aReloadChangesThePace() throws Exception {
+    void reloadSwitchesBetweenWatchAndPolling() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         sidecar("", one);
         PeerStub.Seen watch = harness.discovery.take();
@@ -99,9 +100,9 @@
                 again.request().first());
     }
 
-    /** With no part of the idle connections each answer ends its connection; without a bound it is kept. */
+    /** With a limit of no idle connections each response closes its connection; without a limit it is kept. */
     @Test
-    void idleConnectionsKeepTheBound() throws Exception {
+    void idleConnectionLimitHolds() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         sidecar("[fleet]\ninstances = 3000\nidle_per_server = 0\n", one);
         for (int i = 0; i < 3; i++) {
@@ -110,7 +111,7 @@
         }
         assertEquals(3, one.accepted.get());
         harness.reload("version = 1\n[fleet]\ninstances = 3000\nidle_per_server = 1\n" + ROUTES);
-        // This is number 0 of 3000, which has the one connection that the bound leaves to all.
+        // This is instance 0 of 3000, which gets the one idle connection that the limit leaves to all of them.
         assertEquals(200, harness.client().search(2_000).answer().status());
         assertFalse(one.ended.poll(100, TimeUnit.MILLISECONDS) != null, "closed though it may be kept");
         harness.reload("version = 1\n[fleet]\ninstances = 3000\nidle_per_server = 0\n" + ROUTES);
@@ -120,9 +121,9 @@
         assertFalse(one.ended.poll(100, TimeUnit.MILLISECONDS) != null, "closed without a bound");
     }
 
-    /** Where the settings allow probes they go out within the bound, and what they tell is used. */
+    /** Where the settings allow probes, they stay within the limit and their reports are used. */
     @Test
-    void probesKeepTheBound() throws Exception {
+    void probeRateLimitHolds() throws Exception {
         PeerStub.Script script = seen -> {
             if (seen.request().first().startsWith("GET /load ")) {
                 seen.reply("200 OK", "", "TEXT active=3, cpu=0.2");
@@ -141,7 +142,7 @@
                         .replace("\"source\":\"answers\"", "\"source\":\"probe\""));
         harness.startWith("version = 1\n[fleet]\ninstances = 1\nprobe_rate = 1\n" + ROUTES);
         long began = System.nanoTime();
-        // The bucket begins empty, so the first probe goes out once it has filled up a little.
+        // The token bucket starts empty, so the first probe is sent once it has filled up a little.
         while (probes(one) + probes(two) == 0) {
             assertEquals(200, harness.client().search(2_000).answer().status());
             assertTrue(System.nanoTime() - began < 20_000_000_000L, "no probe went out");
@@ -151,7 +152,7 @@
         }
         long probes = probes(one) + probes(two);
         double seconds = (System.nanoTime() - began) / 1e9;
-        // One a second at each of two servers, and the few that a quiet spell had saved.
+        // One a second at each of two servers, and the few tokens saved in a quiet period.
         assertTrue(probes <= 2 * seconds + 4, probes + " probes in " + seconds + " s");
     }
 
--- a/src/test/java/org/cypressweir/sidecar/QuietFleetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetStartupLoadTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A crowd of real sidecars that start at the same moment: calls for the list and connections are counted. */
+/** Many real sidecars start at the same moment; counts their calls for the list and their connections. */
 @Timeout(120)
-class QuietFleetTest {
+class FleetStartupLoadTest {
 
     private static final int INSTANCES = 160;
     private static final int SERVERS = 8;
@@ -19,7 +19,7 @@
     Path folder;
 
     @Test
-    void aCrowdKeepsItsBounds() throws Exception {
+    void limitsHoldWhenAllInstancesStartAtOnce() throws Exception {
         int rate = 40;
         int idle = 10;
         try (QuietFleet fleet = new QuietFleet(
@@ -29,22 +29,22 @@
                 2,
                 "[fleet]\ninstances = " + INSTANCES + "\nlist_rate = " + rate + "\nidle_per_server = " + idle + "\n")) {
             fleet.start();
-            // Two rounds of four seconds, whatever instances did meanwhile.
+            // Two rounds of four seconds, whatever else the instances did meanwhile.
             assertTrue(fleet.awaitCalls(2 * INSTANCES, 30_000), "only " + fleet.calls() + " calls");
-            // A machine that stalls runs late timers together; slots as such are tested by themselves.
+            // A stalled machine runs late timers together; the slots themselves are tested elsewhere.
             assertTrue(fleet.callsPeak() <= rate * 5 / 2, "calls in one second: " + fleet.callsPeak());
             for (int round = 0; round < 3; round++) {
                 assertEquals(INSTANCES, fleet.askAll(8));
             }
-            // A server closes its end once it has seen that of the sidecar; a few are still on the way.
+            // A server closes its end once it has seen the sidecar close; a few of these are still in transit.
             assertTrue(fleet.connections() <= SERVERS * idle + 40, "open connections: " + fleet.connections());
             assertTrue(fleet.watches() <= rate, "open at discovery: " + fleet.watches());
         }
     }
 
-    /** Without bounds all ask at once and keep what they have: that is what the bounds are for. */
+    /** Without limits all instances poll at once and keep their connections, which is what the limits prevent. */
     @Test
-    void withoutBoundsAllAskAtOnce() throws Exception {
+    void withoutLimitsAllInstancesPollAtOnce() throws Exception {
         try (QuietFleet fleet = new QuietFleet(folder, INSTANCES, SERVERS, 2, "")) {
             fleet.start();
             assertTrue(fleet.awaitCalls(INSTANCES, 15_000), "only " + fleet.calls() + " calls");
--- a/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
@@ -21,33 +21,35 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lists of thousands: read beside the loop, taken over in slices, in the order in which they were told. */
+/**
+ * Tests lists of thousands of servers: parsed off the event loop and applied in slices, in the order of their arrival.
+ */
 @Timeout(60)
 class LargeEndpointListTest {
 
-    private static final int MANY = 3_000;
+    private static final int SERVER_COUNT = 3_000;
 
     @TempDir
     Path folder;
 
-    private record Reading(ListKind kind, List<Server> list) {}
+    private record Update(ListKind kind, List<Server> list) {}
 
-    /** Records what it is told of servers, and watches. */
-    private static final class Listening extends QuietModule {
-        private final BlockingQueue<Reading> told = new LinkedBlockingQueue<>();
+    /** Records the server updates it receives, and subscribes to discovery. */
+    private static final class RecordingLoadBalancer extends QuietModule {
+        private final BlockingQueue<Update> told = new LinkedBlockingQueue<>();
         private Actions actions;
 
         @Override
         public void servers(long nowMicros, ListKind kind, List<Server> list) {
-            told.add(new Reading(kind, list));
+            told.add(new Update(kind, list));
             if (kind == ListKind.CACHED) {
                 actions.subscribe();
             }
         }
 
-        Reading take() throws InterruptedException {
-            Reading next = told.poll(20, TimeUnit.SECONDS);
-            assertTrue(next != null, "nothing was told");
+        Update take() throws InterruptedException {
+            Update next = told.poll(20, TimeUnit.SECONDS);
+            assertTrue(next != null, "no update arrived");
             return next;
         }
     }
@@ -66,8 +68,8 @@
         return Harness.json("{'rev':" + revision + ",'all':" + all + ",'targets':[" + String.join(",", targets) + "]}");
     }
 
-    private static Listening start(Harness harness) throws Exception {
-        Listening module = new Listening();
+    private static RecordingLoadBalancer start(Harness harness) throws Exception {
+        RecordingLoadBalancer module = new RecordingLoadBalancer();
         harness.start((settings, actions) -> {
             module.actions = actions;
             return module;
@@ -77,26 +79,26 @@
     }
 
     @Test
-    void aWholeListComesInSlicesWithWhatLeavesFirst() throws Exception {
+    void completeListArrivesInSlicesWithRemovalsFirst() throws Exception {
         try (PeerStub known = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, known)) {
-            Listening module = start(harness);
-            // Drains, though it stands last on the list.
+            RecordingLoadBalancer module = start(harness);
+            // This server drains, though it is the last on the list.
             harness.discovery
                     .take()
                     .reply(
                             "200 OK",
                             "",
-                            list(7, true, 0, MANY)
-                                    .replace("]}", "," + Harness.json(entry(MANY, "terminating")) + "]}"));
+                            list(7, true, 0, SERVER_COUNT)
+                                    .replace("]}", "," + Harness.json(entry(SERVER_COUNT, "terminating")) + "]}"));
             harness.discovery.take().reply("200 OK", "", Harness.json(list(8, false, 0, 0, entry(5, "terminating"))));
             Set<Long> seen = new HashSet<>();
             int slices = 0;
-            while (seen.size() < MANY + 2) {
-                Reading told = module.take();
+            while (seen.size() < SERVER_COUNT + 2) {
+                Update told = module.take();
                 assertEquals(ListKind.CHANGES, told.kind());
                 assertTrue(
-                        told.list().size() <= EndpointListFeed.SLICE,
+                        told.list().size() <= EndpointListFeed.MAX_SLICE_ENTRIES,
                         "a slice of " + told.list().size());
                 if (slices++ == 0) {
                     assertEquals(Ids.of("s-" + known.port()), told.list().get(0).id());
@@ -105,56 +107,57 @@
                 }
                 told.list().forEach(s -> seen.add(s.id()));
             }
-            assertEquals(1 + (MANY + 1) / EndpointListFeed.SLICE, slices);
-            // What was told later comes later, however long the slices took.
-            Reading last = module.take();
+            assertEquals(1 + (SERVER_COUNT + 1) / EndpointListFeed.MAX_SLICE_ENTRIES, slices);
+            // The later list is applied later, however long the slices of the first took.
+            Update last = module.take();
             assertEquals(
                     List.of(Ids.of("u5")), last.list().stream().map(Server::id).toList());
         }
     }
 
     @Test
-    void aListThatIsTooLargeIsSaidSoAndTheOldOneStays() throws Exception {
+    void oversizedListIsLoggedAndOldListKept() throws Exception {
         try (PeerStub known = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, known).start()) {
             PeerStub.Seen asked = harness.discovery.take();
-            asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (Discovery.MAX_LIST + 1) + "\r\n\r\n{");
+            asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (Discovery.MAX_LIST_BYTES + 1) + "\r\n\r\n{");
             harness.discovery.awaitEnd();
             assertEquals(200, harness.client().search(2_000).answer().status());
-            assertTrue(
-                    harness.log.toString().contains("discovery: an answer that is too large"), harness.log.toString());
-            // It asks again, and a list that fits is taken.
+            assertTrue(harness.log.toString().contains("discovery: response too large"), harness.log.toString());
+            // It polls again after the failure.
             harness.discovery.take();
         }
     }
 
     @Test
-    void aMalformedLargeListChangesNothing() throws Exception {
+    void malformedLargeListIsIgnored() throws Exception {
         try (PeerStub known = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, known).start()) {
-            String broken = list(7, true, 0, MANY).replace("'u2999'".replace('\'', '"'), "7");
+            String broken = list(7, true, 0, SERVER_COUNT).replace("'u2999'".replace('\'', '"'), "7");
             harness.discovery.take().reply("200 OK", "Connection: close\r\n", broken);
             harness.discovery.take();
-            assertTrue(harness.log.toString().contains("a malformed list: a target without"), harness.log.toString());
+            assertTrue(
+                    harness.log.toString().contains("discovery: malformed list: a target without"),
+                    harness.log.toString());
             assertEquals(200, harness.client().search(2_000).answer().status());
         }
     }
 
-    /** The answer's own connection ends with it, while the list is still being read. */
+    /** The response's connection closes while the list is still being parsed. */
     @Test
-    void aLargeListBeforeAClosedConnectionCounts() throws Exception {
+    void largeListIsAppliedAlthoughConnectionCloses() throws Exception {
         try (Harness harness = new Harness(folder)) {
-            Listening module = start(harness);
+            RecordingLoadBalancer module = start(harness);
             PeerStub.Seen asked = harness.discovery.take();
-            asked.reply("200 OK", "Connection: close\r\n", list(7, true, 0, MANY));
+            asked.reply("200 OK", "Connection: close\r\n", list(7, true, 0, SERVER_COUNT));
             asked.socket().close();
             int told = 0;
-            while (told < MANY) {
-                Reading next = module.take();
+            while (told < SERVER_COUNT) {
+                Update next = module.take();
                 assertEquals(ListKind.CHANGES, next.kind());
                 told += next.list().size();
             }
-            assertEquals(MANY, told);
+            assertEquals(SERVER_COUNT, told);
         }
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/OperatorsLayoutTest.java
+++ b/src/test/java/org/cypressweir/sidecar/OperatorFileLayoutTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A sidecar with an operators' file between real sockets. */
+/** Tests a sidecar with an operators' file over real sockets. */
 @Timeout(60)
-class OperatorsLayoutTest extends Loopback {
+class OperatorFileLayoutTest extends Loopback {
 
     private Harness harness;
 
@@ -74,7 +74,7 @@
     // ---- Routes
 
     @Test
-    void eachRouteLeadsToItsPool() throws Exception {
+    void requestsReachThePoolOfTheirRoute() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "") + route("book", "q", ""));
@@ -86,7 +86,7 @@
         assertEquals("no route\n", none.body());
     }
 
-    /** However a path is spelled, the server gets what was matched. */
+    /** The server gets the normalized path that was matched, however the client spells it. */
     @ParameterizedTest
     @CsvSource({
         "/search/../book/7, /book/7",
@@ -95,7 +95,7 @@
         "/search/%2e%2E/book/./7, /book/7",
         "http://A.example.org:81/book/7, /book/7"
     })
-    void noSpellingSlipsPastARoute(String target, String sent) throws Exception {
+    void pathIsNormalizedBeforeRouting(String target, String sent) throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "") + route("book", "q", ""));
@@ -118,7 +118,7 @@
                 "search | Host: a", "/search/1 | X: a", "/search/1 | Host: a\\r\\nHost: a", "/search/1 | Host: a/b",
                 "http:///search/1 | Host: a",
             })
-    void whatHasNoOneMeaningIsRejected(String target, String host) throws Exception {
+    void ambiguousTargetIsRejected(String target, String host) throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         String fields = host.strip().replace("\\r", "\r").replace("\\n", "\n") + "\r\n";
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void hostAndHeadersTellRoutesApart() throws Exception {
+    void routesMatchByHostAndHeaders() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + pool("q", "", two) + route("search", "p", "host = \"*.example.org\"\n")
@@ -161,12 +161,12 @@
     // ---- Limits
 
     @Test
-    void aCopyGoesOutAndItsLoserIsCalledOff() throws Exception {
+    void losingHedgeIsCancelled() throws Exception {
         PeerStub one = server(PeerStub.SILENT);
         PeerStub two = server(PeerStub.SILENT);
         sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"50ms\"\n"));
         Harness.Client client = harness.client().search(2_000);
-        // Each has a copy before either has answered.
+        // Each server has an attempt before either has responded.
         PeerStub.Seen slow = one.take();
         two.take().reply("200 OK", "", "copy");
         assertEquals("copy", client.answer().body());
@@ -175,12 +175,12 @@
         assertEquals(2, one.accepted.get() + two.accepted.get());
         one.script(PeerStub.serves("next"));
         two.script(PeerStub.serves("next"));
-        // The client's next answer belongs to its next request: the one before had no second.
+        // The client's next response belongs to its next request: the first request got no second response.
         assertEquals("next", client.search(2_000).answer().body());
     }
 
     @Test
-    void anUnsafeRequestHasNoCopy() throws Exception {
+    void nonIdempotentRequestIsNotHedged() throws Exception {
         PeerStub one = server(PeerStub.SILENT);
         PeerStub two = server(PeerStub.SILENT);
         sidecar(pool("p", "hedges = 2\n", one, two)
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void anAttemptHasItsOwnTime() throws Exception {
+    void attemptTimeoutIsApplied() throws Exception {
         PeerStub one = server(PeerStub.SILENT);
         PeerStub two = server(PeerStub.SILENT);
         AtomicInteger came = new AtomicInteger();
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void whatIsNotToBeRetriedIsNot() throws Exception {
+    void failureNotListedInRetryOnIsNotRetried() throws Exception {
         PeerStub one = server(PeerStub.answers("500 No", "", ""));
         PeerStub two = server(PeerStub.answers("500 No", "", ""));
         sidecar(pool("p", "", one, two) + route("search", "p", "retry_on = [\"turned-away\"]\n"));
@@ -221,7 +221,7 @@
     }
 
     @Test
-    void theRoutesTimeEndsARequestBeforeItsClients() throws Exception {
+    void routeTimeoutOverridesLongerClientTimeout() throws Exception {
         PeerStub silent = server(PeerStub.SILENT);
         sidecar(pool("p", "", silent) + route("book", "p", "timeout = \"200ms\"\n"));
         long since = System.nanoTime();
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void aPoolAtItsLimitDoesNotStarveItsNeighbour() throws Exception {
+    void fullPoolDoesNotAffectOtherPools() throws Exception {
         PeerStub silent = server(PeerStub.SILENT);
         PeerStub sound = server(PeerStub.serves("ok"));
         sidecar(pool("p", "max_requests = 4\nmax_queue = 1\n", silent)
@@ -241,7 +241,7 @@
         for (int i = 0; i < 40; i++) {
             stuck.add(harness.client().book("x", 3_000));
         }
-        // Those that the pool has no room for hear so at once; the first ones are out.
+        // Requests that the pool has no room for are refused at once; the first ones are in flight.
         silent.take();
         int refused = 0;
         for (int i = 0; i < 40; i++) {
@@ -252,11 +252,11 @@
             refused += answer.status() == 503 ? 1 : 0;
         }
         assertTrue(refused >= 36, "refused " + refused);
-        assertTrue(silent.seen.size() < 4, "out " + silent.seen.size());
+        assertTrue(silent.seen.size() < 4, "sent " + silent.seen.size());
     }
 
     @Test
-    void connectionsKeepTheirBound() throws Exception {
+    void connectionLimitHolds() throws Exception {
         PeerStub silent = server(PeerStub.SILENT);
         sidecar(pool("p", "max_connections = 2\n", silent) + route("search", "p", "timeout = \"500ms\"\n"));
         List<Harness.Client> clients = new ArrayList<>();
@@ -273,7 +273,7 @@
     // ---- Reload
 
     @Test
-    void aBadFileChangesNothing() throws Exception {
+    void invalidFileIsRejectedOnReload() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
         reload(pool("p", "", one) + route("search", "p", "attempts = 9\n") + "[routes.x]\n");
@@ -282,15 +282,15 @@
         assertTrue(log.contains("operators.toml:11: 'attempts' is 9; the settings allow 4"), log);
         assertTrue(log.contains("operators.toml:12: "), log);
         assertTrue(log.contains("the old configuration stays"), log);
-        // A parser that follows each bracket by a call of its own would run out of stack.
+        // A recursive-descent parser without a depth limit would overflow the stack.
         harness.reload("x = " + "[".repeat(200_000));
         harness.log.await("operators.toml:1: lists, tables or keys nested more than 32 deep; the old");
         assertEquals("one", harness.client().search(2_000).answer().body());
     }
 
-    /** The unsafe request that is out stays where it went; the next one goes the new way. */
+    /** A non-idempotent request in flight stays at its server; the next one is routed by the new file. */
     @Test
-    void aRouteMovesWhileItsUnsafeRequestIsOut() throws Exception {
+    void nonIdempotentRequestStaysInOldPoolAcrossReload() throws Exception {
         PeerStub old = server(PeerStub.SILENT);
         PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", old) + route("book", "p", ""));
@@ -301,14 +301,14 @@
         held.reply("200 OK", "", "old");
         assertEquals("old", client.answer().body());
         assertEquals(1, next.seen.size());
-        // With its last request the old pool goes, and its connection.
+        // The old pool ends with its last request, and closes its connection.
         old.awaitEnd();
         assertTrue(old.seen.isEmpty());
     }
 
-    /** What waits in a pool that goes is given up at once when no server can come any more. */
+    /** A request queued in a removed pool fails at once when no server can be added to it any more. */
     @Test
-    void whatIsHeldInAPoolThatGoesIsAnswered() throws Exception {
+    void queuedRequestOfRemovedPoolIsAnswered() throws Exception {
         PeerStub one = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", one) + route("book", "p", ""));
@@ -322,7 +322,7 @@
     }
 
     @Test
-    void aPoolThatStaysTakesOverItsNewServersAndLimits() throws Exception {
+    void keptPoolAdoptsNewServersAndLimits() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         PeerStub two = server(PeerStub.serves("two"));
         sidecar(pool("p", "", one) + route("search", "p", ""));
@@ -333,9 +333,9 @@
         assertEquals(1, one.seen.size());
     }
 
-    /** The hedged request and its copy end under the file that they came with. */
+    /** A hedged request and its second attempt end under the file that they started with. */
     @Test
-    void aHedgedRequestOutlivesAReload() throws Exception {
+    void hedgedRequestSurvivesReload() throws Exception {
         PeerStub one = server(PeerStub.SILENT);
         PeerStub two = server(PeerStub.SILENT);
         String hedged = route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"300ms\"\n");
@@ -349,9 +349,12 @@
         assertEquals(2, one.accepted.get() + two.accepted.get());
     }
 
-    /** Half of a request has come when the file changes: it goes by the file that holds when it is whole. */
+    /**
+     * The file changes when part of a request has arrived: the request is routed by the file in effect when it is
+     * complete.
+     */
     @Test
-    void aHalfSentRequestGoesByTheNewFile() throws Exception {
+    void partlyReceivedRequestIsRoutedByNewFile() throws Exception {
         PeerStub old = server(PeerStub.serves("old"));
         PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", old) + route("book", "p", ""));
@@ -385,11 +388,11 @@
         int second = freePort();
         String rest = pool("p", "", server) + route("book", "p", "");
         sidecar(listener("a", first) + rest);
-        Harness.Client inHand = harness.client().book("x", 5_000);
+        Harness.Client pending = harness.client().book("x", 5_000);
         Harness.Client idle = harness.client();
         PeerStub.Seen held = server.take();
         reload(listener("b", second) + rest);
-        // Accepted before the door closes: its request is still taken, and its connection then ended.
+        // Accepted before the listener closes: its request is still served, and its connection is closed afterwards.
         server.script(PeerStub.serves("late"));
         idle.book("y", 5_000);
         assertEquals("late", idle.answer().body());
@@ -397,8 +400,8 @@
             assertEquals("late", other.book("z", 2_000).answer().body());
         }
         held.reply("200 OK", "", "first");
-        assertEquals("first", inHand.answer().body());
-        inHand.assertClosed();
+        assertEquals("first", pending.answer().body());
+        pending.assertClosed();
         idle.assertClosed();
         awaitRefused(first);
     }
@@ -410,14 +413,14 @@
             } catch (ConnectException e) {
                 return;
             } catch (SocketException e) {
-                // Came up in the very moment of the closing: it has sent nothing that could be lost.
+                // Opened at the very moment of the closing: nothing has been sent on it that could be lost.
                 Thread.onSpinWait();
             }
         }
     }
 
     @Test
-    void anAddressThatIsTakenChangesNothing() throws Exception {
+    void addressInUseRejectsReload() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         int port = freePort();
         sidecar(listener("a", port) + pool("p", "", one) + route("search", "p", ""));
@@ -433,18 +436,18 @@
         assertEquals(404, harness.client().book("x", 2_000).answer().status());
     }
 
-    /** Steady load from an independent client while the file changes as often as it can. */
+    /** Steady load from an independent client while the file is reloaded as often as possible. */
     @Test
     void reloadUnderLoadAnswersEachRequestOnce() throws Exception {
         Map<String, AtomicInteger> ran = new ConcurrentHashMap<>();
-        PeerStub.Script counts = seen -> {
+        PeerStub.Script countingScript = seen -> {
             ran.computeIfAbsent(seen.request().headers().get("Request-Id"), id -> new AtomicInteger())
                     .incrementAndGet();
             seen.reply("200 OK", "", "ok");
         };
-        PeerStub one = server(counts);
-        PeerStub two = server(counts);
-        PeerStub three = server(counts);
+        PeerStub one = server(countingScript);
+        PeerStub two = server(countingScript);
+        PeerStub three = server(countingScript);
         List<String> files = List.of(
                 pool("p", "", one, two) + route("search", "p", "") + route("book", "p", ""),
                 pool("p", "max_requests = 50\n", one, two)
@@ -498,7 +501,7 @@
     // ---- Start
 
     @Test
-    void aBadFileEndsTheStartWithAllReasons() throws Exception {
+    void invalidFileFailsStartupWithAllReasons() throws Exception {
         harness = new Harness(folder);
         open.add(harness);
         IOException refused = assertThrows(
--- a/src/test/java/org/cypressweir/sidecar/QuietFleet.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietFleet.java
@@ -20,10 +20,10 @@
 import org.cypressweir.testkit.PeerStub;
 import org.cypressweir.testkit.RawHttpClient;
 
-/** Many real sidecars in one process, on loopback, that share servers and a discovery. */
+/** Many real sidecars in one process, on loopback, that share servers and a discovery service. */
 final class QuietFleet implements AutoCloseable {
 
-    /** All may come at once, which is the matter here. */
+    /** All instances may connect at the same time, which is the case under test. */
     private static final int BACKLOG = 4_000;
 
     private final List<PeerStub> servers = new ArrayList<>();
@@ -39,7 +39,7 @@
     private final int instances;
     private final String fleet;
 
-    /** @param fleet the table {@code [fleet]}, or nothing */
+    /** @param fleet the table {@code [fleet]} of the operators' file; empty for none */
     QuietFleet(Path folder, int instances, int serverCount, int threads, String fleet) throws IOException {
         this.folder = folder;
         this.instances = instances;
@@ -48,7 +48,7 @@
         discovery = new PeerStub(
                 seen -> {
                     calls.add(System.nanoTime());
-                    // A watch waits for news, of which there is none; a call is answered.
+                    // A long poll waits for changes, of which there are none; a plain call gets a response.
                     if (!seen.request().first().contains("hold_ms=20000")) {
                         seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
                     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Starts all instances at once, each with the list that it had last; returns once all listen. */
+    /** Starts all instances at the same time, each with its cached list; returns once all of them listen. */
     void start() throws Exception {
         Path operators = folder.resolve("operators.toml");
         Files.writeString(
@@ -96,7 +96,7 @@
         }
     }
 
-    /** One request to each instance, by so many clients at a time; returns those that were served. */
+    /** Sends one request to each instance, from this many clients in parallel; returns how many were served. */
     int askAll(int clients) throws Exception {
         List<Thread> threads = new ArrayList<>();
         ConcurrentLinkedQueue<Integer> served = new ConcurrentLinkedQueue<>();
@@ -123,12 +123,12 @@
         return served.size();
     }
 
-    /** Connections that are open at all servers. */
+    /** Open connections at all servers together. */
     int connections() {
         return servers.stream().mapToInt(s -> s.accepted.get() - s.ended.size()).sum();
     }
 
-    /** The most that are open at one server. */
+    /** The highest number of open connections at one server. */
     int connectionsPeak() {
         return servers.stream()
                 .mapToInt(s -> s.accepted.get() - s.ended.size())
@@ -136,7 +136,7 @@
                 .orElse(0);
     }
 
-    /** Connections that are open at discovery. */
+    /** Open connections at discovery. */
     int watches() {
         return discovery.accepted.get() - discovery.ended.size();
     }
@@ -145,7 +145,7 @@
         return calls.size();
     }
 
-    /** The most calls for the list in any second. */
+    /** The highest number of calls for the list within one second. */
     int callsPeak() {
         List<Long> times = new ArrayList<>(calls);
         times.sort(null);
@@ -160,7 +160,7 @@
         return peak;
     }
 
-    /** Waits until discovery has been called so often; false if it was not in time. */
+    /** Waits until discovery has been called this many times; false if the time runs out first. */
     boolean awaitCalls(int count, long millis) throws InterruptedException {
         long end = System.nanoTime() + millis * 1_000_000;
         while (calls.size() < count && System.nanoTime() < end) {
--- a/src/test/java/org/cypressweir/sidecar/QuietModule.java
+++ b/src/test/java/org/cypressweir/sidecar/QuietModule.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.cypressweir.loadbalancing.LoadBalancer;
 
-/** A module that does nothing; tests override what they want to see. */
+/** A load balancer that does nothing; tests override the events that they observe. */
 class QuietModule implements LoadBalancer {
     @Override
     public void servers(long nowMicros, ListKind kind, List<Server> list) {}
--- a/src/test/java/org/cypressweir/sidecar/ServerPoolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ServerPoolTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The pool alone: what the module's own limits would keep a whole sidecar from reaching. */
+/** Tests the pool alone, in cases that the load balancer's own limits would keep a whole sidecar from reaching. */
 @Timeout(60)
 class ServerPoolTest extends Loopback {
 
@@ -91,13 +91,13 @@
         return result;
     }
 
-    /** Until connections that have just brought an answer may be used again. */
-    private void settle() throws InterruptedException {
+    /** Waits until connections that have just received a response may be reused. */
+    private void awaitReusable() throws InterruptedException {
         assertNull(results.poll(2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS));
     }
 
     @Test
-    void pastTheBoundThereIsNoConnection() throws Exception {
+    void attemptPastConnectionLimitFails() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         start(128, server);
         int bound = harness.config().serverConnections();
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void idleConnectionsMakeRoom() throws Exception {
+    void idleConnectionIsClosedToMakeRoom() throws Exception {
         PeerStub first = server(PeerStub.serves("ok"));
         PeerStub second = server(PeerStub.SILENT);
         start(128, first, second);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void outcomesAreToldApart() throws Exception {
+    void responsesMapToResults() throws Exception {
         PeerStub server =
                 server(PeerStub.answers("200 OK", "Server-Load: TEXT cpu=0.5, x=1, rps=-3, err_rps=y\r\n", "ok"));
         start(1024, server);
@@ -161,13 +161,13 @@
         assertEquals(Result.SERVED, result());
         first.reply("200 OK", "", "");
         assertEquals(Result.SERVED, result());
-        settle();
+        awaitReusable();
         send(server.port());
         assertEquals(first.socket(), server.take().socket());
     }
 
     @Test
-    void answerThatEndsTheConnectionIsNotFollowed() throws Exception {
+    void connectionIsNotReusedAfterConnectionClose() throws Exception {
         PeerStub server = server(PeerStub.answers("200 OK", "Connection: close\r\n", "ok"));
         start(1024, server);
         send(server.port());
@@ -178,12 +178,12 @@
         assertEquals(2, server.accepted.get());
     }
 
-    /** A listening socket whose queue is full: connections to it come up only once it accepts. */
-    private static final class Jammed implements AutoCloseable {
+    /** A listening socket whose backlog is full: further connections to it open only once it accepts. */
+    private static final class FullBacklogSocket implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> filling = new ArrayList<>();
 
-        Jammed() throws IOException {
+        FullBacklogSocket() throws IOException {
             try {
                 while (filling.size() < 20) {
                     Socket next = new Socket();
@@ -193,10 +193,10 @@
             } catch (SocketTimeoutException e) {
                 return;
             }
-            throw new IOException("the queue never filled up");
+            throw new IOException("the backlog never filled up");
         }
 
-        /** Closes what fills the queue and gives the connection that comes up then. */
+        /** Accepts and closes the connections that fill the backlog, and returns the one that opens then. */
         Socket acceptNext() throws IOException {
             for (int i = 0; i < filling.size() - 1; i++) {
                 socket.accept().close();
@@ -213,33 +213,33 @@
         }
     }
 
-    private String jammedList(int revision, String state, Jammed jammed) {
+    private String listOf(int revision, String state, FullBacklogSocket fullBacklog) {
         return Harness.list(revision, true, state)
                 .replace(
                         "[]",
-                        "[{'uid':'s-" + jammed.socket.getLocalPort() + "','endpoint':'127.0.0.1:"
-                                + jammed.socket.getLocalPort() + "','state':'" + state + "'}]");
+                        "[{'uid':'s-" + fullBacklog.socket.getLocalPort() + "','endpoint':'127.0.0.1:"
+                                + fullBacklog.socket.getLocalPort() + "','state':'" + state + "'}]");
     }
 
-    /** A connection that comes up after the drain grace: the decision to use it is out of date. */
+    /** The connection opens after the drain grace, so the decision to use it is out of date. */
     @Test
-    void nothingIsWrittenPastTheDrainGrace() throws Exception {
-        Jammed jammed = new Jammed();
-        open.add(jammed);
+    void attemptIsNotWrittenAfterDrainGrace() throws Exception {
+        FullBacklogSocket fullBacklog = new FullBacklogSocket();
+        open.add(fullBacklog);
         start(1024);
-        update(jammedList(1, "in_service", jammed));
-        Attempt attempt = send(jammed.socket.getLocalPort());
-        update(jammedList(2, "terminating", jammed));
+        update(listOf(1, "in_service", fullBacklog));
+        Attempt attempt = send(fullBacklog.socket.getLocalPort());
+        update(listOf(2, "terminating", fullBacklog));
         assertNull(results.poll(harness.config().drainGraceMicros() + 50_000, TimeUnit.MICROSECONDS));
-        Socket up = jammed.acceptNext();
+        Socket up = fullBacklog.acceptNext();
         assertEquals(Result.NOT_SENT, result());
         assertFalse(attempt.written);
         assertEquals(-1, up.getInputStream().read());
     }
 
-    /** The same within the grace: what was decided before may still be sent. */
+    /** Within the drain grace an attempt that was decided before the drain may still be sent. */
     @Test
-    void withinTheDrainGraceADecisionHolds() throws Exception {
+    void attemptIsSentWithinDrainGrace() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         start(1024, server);
         update(Harness.list(2, true, "terminating", server));
@@ -248,14 +248,14 @@
     }
 
     @Test
-    void requestThatIsOverIsNotWritten() throws Exception {
-        Jammed jammed = new Jammed();
-        open.add(jammed);
+    void attemptOfEndedRequestIsNotWritten() throws Exception {
+        FullBacklogSocket fullBacklog = new FullBacklogSocket();
+        open.add(fullBacklog);
         start(1024);
-        update(jammedList(1, "in_service", jammed));
-        Attempt attempt = send(jammed.socket.getLocalPort());
+        update(listOf(1, "in_service", fullBacklog));
+        Attempt attempt = send(fullBacklog.socket.getLocalPort());
         attempt.call.over = true;
-        Socket up = jammed.acceptNext();
+        Socket up = fullBacklog.acceptNext();
         assertEquals(Result.NOT_SENT, result());
         harness.loop.submit(pool::close).get();
         assertEquals(-1, up.getInputStream().read());
--- a/src/test/java/org/cypressweir/sidecar/SlowPeriodTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SlowPeriodTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a slow spell of the process or of the network leaves behind must not outlast it. */
+/** Effects of a slow period of the process or the network must not outlast it. */
 @Timeout(60)
 class SlowPeriodTest {
 
@@ -17,11 +17,12 @@
     Path folder;
 
     /**
-     * Slow first answers looked like slow set-ups. Then no connection was made any more to a server that had
-     * none, such as those of a release, and only one could have shown that set-ups were short again.
+     * Slow first responses were taken for slow connection set-ups. Then no connection was opened to a server that had
+     * none, such as a new one of a release, although only a new connection could have shown that set-ups were fast
+     * again.
      */
     @Test
-    void slowSetUpsDoNotForbidTheNextOne() throws Exception {
+    void slowFirstResponsesDoNotPreventNewConnections() throws Exception {
         PeerStub.Script slow = seen -> {
             try {
                 Thread.sleep(800);
@@ -43,9 +44,12 @@
         }
     }
 
-    /** All of a dead peer's traffic came at once, and was refused beside servers with free cores. */
+    /**
+     * When a peer sidecar died, all its traffic came to this one at once and was refused although the servers had free
+     * cores.
+     */
     @Test
-    void limitGrowsFastWhileCoresAreFree() throws Exception {
+    void concurrencyLimitGrowsFastWhileCpuIsFree() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server).start()) {
             for (int i = 0; i < 40; i++) {
@@ -60,9 +64,9 @@
         }
     }
 
-    /** A connection that fell silent kept its server out until the deadline of what was on it. */
+    /** A connection that went silent excluded its server until the deadline of the request on it. */
     @Test
-    void silentConnectionDoesNotKeepOutAServerThatAnswers() throws Exception {
+    void silentConnectionDoesNotExcludeItsServer() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server).start()) {
             harness.client().search(20_000);
@@ -72,7 +76,8 @@
             PeerStub.Seen answering = server.take();
             harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
             Harness.Client next = harness.client().search(20_000);
-            // Taken by now, since requests on it and on this one are read in turn.
+            // The request before this one has been accepted by now, since the requests on both connections are read in
+            // turn.
             assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
             answering.reply("200 OK", "", "other");
             assertEquals(200, other.answer().status());
--- a/src/test/java/org/cypressweir/sidecar/WarmUpTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WarmUpTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rehearsal goes through the whole sidecar, and is seen by nobody. */
+/** Tests that the warm-up exercises the whole sidecar and is invisible from outside. */
 @Timeout(60)
 class WarmUpTest {
 
@@ -23,7 +23,7 @@
     @TempDir
     Path folder;
 
-    private static SidecarConfiguration at(Harness harness, int port) throws IOException {
+    private static SidecarConfiguration configurationAt(Harness harness, int port) throws IOException {
         return SidecarConfiguration.read(
                 Map.of("LB_CONFIG", harness.file.toString(), "LB_LISTEN", "127.0.0.1:" + port));
     }
@@ -34,12 +34,12 @@
         }
     }
 
-    /** Again and again: the address was still in use at times when the rehearsal had ended. */
+    /** Repeated, because at times the address was still in use after the warm-up had ended. */
     @Test
-    void allIsAnsweredAndNothingLeavesTheProcess() throws Exception {
+    void allRequestsAreAnsweredWithinTheProcess() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
-            SidecarConfiguration config = at(harness, freePort());
+            SidecarConfiguration config = configurationAt(harness, freePort());
             for (int i = 0; i < 5; i++) {
                 assertTrue(WarmUp.run(config, config.listen(), REQUESTS, 20_000) >= REQUESTS);
                 new ServerSocket(config.listen().getPort()).close();
@@ -51,22 +51,22 @@
     }
 
     @Test
-    void itEndsByTheClockToo() throws Exception {
+    void warmUpEndsAtItsTimeLimit() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             long since = System.nanoTime();
-            SidecarConfiguration config = at(harness, freePort());
+            SidecarConfiguration config = configurationAt(harness, freePort());
             WarmUp.run(config, config.listen(), Integer.MAX_VALUE, 100);
             assertTrue(System.nanoTime() - since < 5_000_000_000L);
         }
     }
 
-    /** Its own servers' answers are nothing that a client could have asked for. */
+    /** Clients must never get the responses of the warm-up's own servers. */
     @Test
-    void clientsAreNotServedByIt() throws Exception {
+    void clientsAreNotServedDuringWarmUp() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
-            SidecarConfiguration config = at(harness, freePort());
+            SidecarConfiguration config = configurationAt(harness, freePort());
             var running = CompletableFuture.supplyAsync(() -> {
                 try {
                     return WarmUp.run(config, config.listen(), Integer.MAX_VALUE, 2_000);
