--- a/src/main/java/org/cypressweir/sidecar/Discovery.java
+++ b/src/main/java/org/cypressweir/sidecar/Discovery.java
@@ -201,14 +201,14 @@
         }
     }
 
-    private void handleResponse(FullHttpResponse answer) {
+    private void handleResponse(FullHttpResponse response) {
         responseTimeout.cancel(false);
-        if (!answer.status().equals(HttpResponseStatus.OK)) {
-            fail("status " + answer.status().code());
+        if (!response.status().equals(HttpResponseStatus.OK)) {
+            fail("status " + response.status().code());
             return;
         }
-        byte[] text = ByteBufUtil.getBytes(answer.content());
-        boolean keepAlive = HttpUtil.isKeepAlive(answer);
+        byte[] text = ByteBufUtil.getBytes(response.content());
+        boolean keepAlive = HttpUtil.isKeepAlive(response);
         if (text.length < LARGE_LIST_BYTES) {
             read(text).accept(keepAlive);
             return;
@@ -320,9 +320,9 @@
         public void written() {}
 
         @Override
-        public void responseReceived(FullHttpResponse answer, boolean clean) {
+        public void responseReceived(FullHttpResponse response, boolean clean) {
             if (connection == this) {
-                Discovery.this.handleResponse(answer);
+                Discovery.this.handleResponse(response);
             }
         }
 
--- a/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
@@ -53,9 +53,9 @@
     }
 
     /** Adds a step, which runs at once if no other is queued. */
-    private void enqueue(Runnable enqueue) {
+    private void enqueue(Runnable step) {
         boolean idle = steps.isEmpty();
-        steps.addLast(enqueue);
+        steps.addLast(step);
         if (idle) {
             runNext();
         }
@@ -82,7 +82,7 @@
         Runnable compare = () -> layout.discovered().stream()
                 .findFirst()
                 .ifPresent(pool -> ordered.addAll(missing(pool.serverList(), listedIds)));
-        Runnable split = () -> {
+        Runnable sortAndSplit = () -> {
             list.entries().stream()
                     .filter(e -> e.server().phase() != Phase.READY)
                     .forEach(ordered::add);
@@ -91,7 +91,7 @@
                     .forEach(ordered::add);
             enqueueNext(split(list.revision(), ordered));
         };
-        enqueueNext(list.complete() ? List.of(collectIds, compare, split) : List.of(split));
+        enqueueNext(list.complete() ? List.of(collectIds, compare, sortAndSplit) : List.of(sortAndSplit));
     }
 
     private List<Runnable> split(long revision, List<ServerList.Entry> entries) {
--- a/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
@@ -79,8 +79,8 @@
 
     /** Applies the limits that all instances share. A polling schedule that stays the same keeps its slots. */
     private void applyFleetLimits(FleetLimits fleet) {
-        Cluster.FleetShare shares = fleet == null ? null : new InstanceShare(fleet, context.fleetPortion());
-        pools.values().forEach(m -> m.cluster().setFleetShare(shares));
+        Cluster.FleetShare share = fleet == null ? null : new InstanceShare(fleet, context.fleetPortion());
+        pools.values().forEach(m -> m.cluster().setFleetShare(share));
         if (fleet == null || fleet.askEveryMicros() == 0) {
             if (polledLimits != null) {
                 context.pollScheduleConsumer().accept(null);
--- a/src/main/java/org/cypressweir/sidecar/WarmUp.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -66,7 +66,7 @@
     private final int requests;
     private final ClientListener listener;
     private Sidecar sidecar;
-    private int sent;
+    private int sentRequests;
     private int responses;
     private boolean isClosing;
 
@@ -179,7 +179,7 @@
     }
 
     private FullHttpRequest nextRequest() {
-        int number = sent++;
+        int number = sentRequests++;
         Settings settings = config.settings();
         RequestClass c = settings.classes().get(number % settings.classes().size());
         boolean safe = c.effect() == Effect.SAFE;
@@ -227,7 +227,7 @@
         public void written() {}
 
         @Override
-        public void responseReceived(FullHttpResponse answer, boolean clean) {
+        public void responseReceived(FullHttpResponse response, boolean clean) {
             if (++responses >= requests) {
                 ended.countDown();
             } else if (clean && !isClosing) {
--- a/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
@@ -36,19 +36,19 @@
 
     /** Records the server updates it receives, and subscribes to discovery. */
     private static final class RecordingLoadBalancer extends QuietModule {
-        private final BlockingQueue<Update> told = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
         private Actions actions;
 
         @Override
         public void servers(long nowMicros, ListKind kind, List<Server> list) {
-            told.add(new Update(kind, list));
+            updates.add(new Update(kind, list));
             if (kind == ListKind.CACHED) {
                 actions.subscribe();
             }
         }
 
         Update take() throws InterruptedException {
-            Update next = told.poll(20, TimeUnit.SECONDS);
+            Update next = updates.poll(20, TimeUnit.SECONDS);
             assertTrue(next != null, "no update arrived");
             return next;
         }
@@ -95,17 +95,18 @@
             Set<Long> seen = new HashSet<>();
             int slices = 0;
             while (seen.size() < SERVER_COUNT + 2) {
-                Update told = module.take();
-                assertEquals(ListKind.CHANGES, told.kind());
+                Update update = module.take();
+                assertEquals(ListKind.CHANGES, update.kind());
                 assertTrue(
-                        told.list().size() <= EndpointListFeed.MAX_SLICE_ENTRIES,
-                        "a slice of " + told.list().size());
+                        update.list().size() <= EndpointListFeed.MAX_SLICE_ENTRIES,
+                        "a slice of " + update.list().size());
                 if (slices++ == 0) {
-                    assertEquals(Ids.of("s-" + known.port()), told.list().get(0).id());
-                    assertEquals(Phase.REMOVED, told.list().get(0).phase());
-                    assertEquals(Phase.DRAINING, told.list().get(1).phase());
+                    assertEquals(
+                            Ids.of("s-" + known.port()), update.list().get(0).id());
+                    assertEquals(Phase.REMOVED, update.list().get(0).phase());
+                    assertEquals(Phase.DRAINING, update.list().get(1).phase());
                 }
-                told.list().forEach(s -> seen.add(s.id()));
+                update.list().forEach(s -> seen.add(s.id()));
             }
             assertEquals(1 + (SERVER_COUNT + 1) / EndpointListFeed.MAX_SLICE_ENTRIES, slices);
             // The later list is applied later, however long the slices of the first took.
@@ -151,13 +152,13 @@
             PeerStub.Seen asked = harness.discovery.take();
             asked.reply("200 OK", "Connection: close\r\n", list(7, true, 0, SERVER_COUNT));
             asked.socket().close();
-            int told = 0;
-            while (told < SERVER_COUNT) {
+            int received = 0;
+            while (received < SERVER_COUNT) {
                 Update next = module.take();
                 assertEquals(ListKind.CHANGES, next.kind());
-                told += next.list().size();
+                received += next.list().size();
             }
-            assertEquals(SERVER_COUNT, told);
+            assertEquals(SERVER_COUNT, received);
         }
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/OperatorFileLayoutTest.java
+++ b/src/test/java/org/cypressweir/sidecar/OperatorsLayoutTest.java
@@ -35,7 +35,7 @@
 
 /** Tests a sidecar with an operators' file over real sockets. */
 @Timeout(60)
-class OperatorFileLayoutTest extends Loopback {
+class OperatorsLayoutTest extends Loopback {
 
     private Harness harness;
 
@@ -206,8 +206,9 @@
         sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nattempt_timeout = \"120ms\"\n"));
         assertEquals("second", harness.client().search(2_000).answer().body());
         for (PeerStub server : List.of(one, two)) {
-            long told = Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
-            assertTrue(told <= 120, "told the server " + told);
+            long timeoutMillis =
+                    Long.parseLong(server.take().request().headers().get("Request-Timeout-Ms"));
+            assertTrue(timeoutMillis <= 120, "told the server " + timeoutMillis);
         }
     }
 
