--- a/src/main/java/org/cypressweir/sidecar/CellCluster.java
+++ b/src/main/java/org/cypressweir/sidecar/CellCluster.java
@@ -44,17 +44,21 @@
     CellCluster(
             Pool.Shared shared,
             Settings settings,
-            PoolConfiguration plan,
+            PoolConfiguration configuration,
             Function<PoolConfiguration, Pool> poolFactory) {
         this.shared = shared;
         classes = settings.classes();
         limits = settings.limits();
         this.poolFactory = poolFactory;
-        for (int c = 0; c < plan.cells().cells().size(); c++) {
-            pools.add(poolFactory.apply(plan.ofCell(c)));
+        for (int c = 0; c < configuration.cells().cells().size(); c++) {
+            pools.add(poolFactory.apply(configuration.ofCell(c)));
         }
         cells = new Cells(
-                plan.name(), plan.cells(), plan.requests(), shared.clock().micros(), this);
+                configuration.name(),
+                configuration.cells(),
+                configuration.requests(),
+                shared.clock().micros(),
+                this);
     }
 
     @Override
@@ -108,57 +112,58 @@
     // ---- Requests
 
     @Override
-    public void take(ClientRequest call) {
+    public void take(ClientRequest request) {
         long now = shared.clock().micros();
-        Effect effect = classes.get(call.request.requestClass()).effect();
-        String key = effect == Effect.KEYED ? call.headers.get(Headers.IDEMPOTENCY_KEY) : null;
+        Effect effect = classes.get(request.request.requestClass()).effect();
+        String key = effect == Effect.KEYED ? request.headers.get(Headers.IDEMPOTENCY_KEY) : null;
         Ticket ticket = cells.ask(
                 now,
-                unitHash(call),
+                unitHash(request),
                 effect,
                 key == null ? 0 : Ids.of(key),
-                Hashes.mix(Ids.of(call.request.id()), 0),
-                call.request.deadlineMicros());
+                Hashes.mix(Ids.of(request.request.id()), 0),
+                request.request.deadlineMicros());
         if (ticket.retryAfterMicros() > 0) {
-            refuse(call, ticket.retryAfterMicros());
+            refuse(request, ticket.retryAfterMicros());
             return;
         }
-        call.watch = this;
-        call.ticket = ticket;
+        request.watch = this;
+        request.ticket = ticket;
         if (ticket.cell() < 0) {
-            heldRequests.put(ticket, call);
+            heldRequests.put(ticket, request);
         } else {
-            pools.get(ticket.cell()).take(call);
+            pools.get(ticket.cell()).take(request);
         }
     }
 
     /** Refuses a request at once. No server has received it, so the client can safely send it again. */
-    private void refuse(ClientRequest call, long retryAfterMicros) {
+    private void refuse(ClientRequest request, long retryAfterMicros) {
         long advice = limits.retryAdvice() ? RetryAfter.limit(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
-        forget(call, Ending.REFUSED);
-        if (call.upgrade != null) {
-            call.upgrade.answered(HttpResponseStatus.SERVICE_UNAVAILABLE);
+        forget(request, Ending.REFUSED);
+        if (request.upgrade != null) {
+            request.upgrade.answered(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
-        call.client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(advice), Unpooled.EMPTY_BUFFER);
+        request.client.answer(
+                HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(advice), Unpooled.EMPTY_BUFFER);
     }
 
-    private void forget(ClientRequest call, Ending ending) {
-        call.over = true;
-        call.forgotten = true;
-        shared.inFlight().over(call, ending);
-        shared.inFlight().remove(call);
+    private void forget(ClientRequest request, Ending ending) {
+        request.over = true;
+        request.forgotten = true;
+        shared.inFlight().over(request, ending);
+        shared.inFlight().remove(request);
     }
 
     /**
-     * The request's unit as a hash. A unit always stays in one cell; requests without a tenant or header value form one
-     * unit.
+     * The request's unit as a hash. All requests of a unit go to the same cell; requests without the key, tenant or
+     * header that names it form one unit together.
      */
-    private long unitHash(ClientRequest call) {
-        CellsConfiguration plan = cells.plan();
-        return switch (plan.unit()) {
-            case KEY -> call.request.key();
-            case TENANT -> headerHash(call.headers, Headers.TENANT);
-            case HEADER -> headerHash(call.headers, plan.header());
+    private long unitHash(ClientRequest request) {
+        CellsConfiguration configuration = cells.plan();
+        return switch (configuration.unit()) {
+            case KEY -> request.request.key();
+            case TENANT -> headerHash(request.headers, Headers.TENANT);
+            case HEADER -> headerHash(request.headers, configuration.header());
         };
     }
 
@@ -168,21 +173,21 @@
     }
 
     @Override
-    public void left(ClientRequest call) {
-        if (call.pool != null) {
-            call.pool.left(call);
+    public void left(ClientRequest request) {
+        if (request.pool != null) {
+            request.pool.left(request);
             return;
         }
-        heldRequests.remove(call.ticket);
-        if (call.upgrade != null) {
-            call.upgrade.left();
+        heldRequests.remove(request.ticket);
+        if (request.upgrade != null) {
+            request.upgrade.left();
         }
-        forget(call, null);
+        forget(request, null);
         long now = shared.clock().micros();
-        if (call.ticket.cell() < 0) {
-            cells.left(now, call.ticket);
+        if (request.ticket.cell() < 0) {
+            cells.left(now, request.ticket);
         } else {
-            cells.ended(now, call.ticket);
+            cells.ended(now, request.ticket);
         }
     }
 
@@ -190,23 +195,24 @@
     @Override
     public void release(Ticket ticket) {
         shared.loop().execute(() -> {
-            ClientRequest call = heldRequests.remove(ticket);
-            if (call != null) {
-                pools.get(ticket.cell()).take(call);
+            ClientRequest request = heldRequests.remove(ticket);
+            if (request != null) {
+                pools.get(ticket.cell()).take(request);
             }
         });
     }
 
     @Override
-    public void answered(ClientRequest call) {
+    public void answered(ClientRequest request) {
         long now = shared.clock().micros();
-        RequestClass c = classes.get(call.request.requestClass());
-        cells.answered(now, call.ticket, call.served && now - call.ticket.takenAt() <= c.aimMicros());
+        RequestClass requestClass = classes.get(request.request.requestClass());
+        cells.answered(
+                now, request.ticket, request.served && now - request.ticket.takenAt() <= requestClass.aimMicros());
     }
 
     @Override
-    public void ended(ClientRequest call) {
-        cells.ended(shared.clock().micros(), call.ticket);
+    public void ended(ClientRequest request) {
+        cells.ended(shared.clock().micros(), request.ticket);
     }
 
     @Override
@@ -301,20 +307,20 @@
         pools.forEach(Pool::discoveryFailed);
     }
 
-    // ---- Other plans
+    // ---- Configuration
 
     @Override
-    public boolean isCompatibleWith(PoolConfiguration plan) {
-        return plan.cells() != null && cells.fits(plan.cells());
+    public boolean isCompatibleWith(PoolConfiguration configuration) {
+        return configuration.cells() != null && cells.fits(configuration.cells());
     }
 
     @Override
-    public void applyLimits(PoolConfiguration plan) {
-        for (int c = 0; c < plan.cells().cells().size(); c++) {
+    public void applyLimits(PoolConfiguration configuration) {
+        for (int c = 0; c < configuration.cells().cells().size(); c++) {
             if (c < pools.size()) {
-                pools.get(c).applyLimits(plan.ofCell(c));
+                pools.get(c).applyLimits(configuration.ofCell(c));
             } else {
-                Pool added = poolFactory.apply(plan.ofCell(c));
+                Pool added = poolFactory.apply(configuration.ofCell(c));
                 pools.add(added);
                 added.setFleetShare(share);
                 added.updateServers(ListKind.COMPLETE, new ServerList(0, true, List.of()));
@@ -323,7 +329,7 @@
         distribute(
                 ListKind.CHANGES,
                 new ServerList(0, false, List.of()),
-                cells.plan(shared.clock().micros(), plan.cells(), plan.requests()));
+                cells.plan(shared.clock().micros(), configuration.cells(), configuration.requests()));
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/Discovery.java
+++ b/src/main/java/org/cypressweir/sidecar/Discovery.java
@@ -193,7 +193,7 @@
         requestedAtNanos = System.nanoTime();
         long timeoutMillis =
                 pollSchedule == null ? longPollMillis + RESPONSE_GRACE_MILLIS : pollSchedule.timeoutMicros() / 1_000;
-        responseTimeout = loop.schedule(() -> fail("no response"), timeoutMillis, TimeUnit.MILLISECONDS);
+        responseTimeout = loop.schedule(() -> fail("no answer"), timeoutMillis, TimeUnit.MILLISECONDS);
         if (connection == null) {
             connection = new Connection();
         } else if (connection.isConnected) {
--- a/src/main/java/org/cypressweir/sidecar/IdleConnections.java
+++ b/src/main/java/org/cypressweir/sidecar/IdleConnections.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Takes the most recently used connection to a server that is still clean and has been idle for at least {@link
-     * ServerPool#SETTLE_MICROS}.
+     * Takes the most recently used connection to a server that is still clean and has been idle for long enough, at
+     * least {@link ServerPool#SETTLE_MICROS}.
      *
      * @return null if there is none
      */
