--- a/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void keyedRequestIsRetriedOnlyInItsDedupScopeAndWindow() {
+    void keyedRequestIsRetriedOnlyInItsGroupAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
             LoadBalancerRecorder r =
                     new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.KEYED, Group.ZONE), 8);
