--- a/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
@@ -266,7 +266,7 @@
         }
 
         /** A copy with other limits and another way of asking discovery. */
-        public Settings with(Limits otherLimits, boolean otherPollsDiscovery) {
+        public Settings with(Limits otherLimits, boolean otherDiscoveryOnAsk) {
             return new Settings(
                     seed,
                     rank,
@@ -280,7 +280,7 @@
                     otherLimits,
                     rules,
                     reports,
-                    otherPollsDiscovery,
+                    otherDiscoveryOnAsk,
                     keyAffinity,
                     tickMicros);
         }
