--- a/src/main/java/org/cypressweir/fleet/lease/GrantRequest.java
+++ b/src/main/java/org/cypressweir/fleet/lease/GrantRequest.java
@@ -9,7 +9,7 @@
 /** One request to all grantors, for a grant or its renewal, and the responses so far. */
 final class GrantRequest {
 
-    /** {@link #quorumFreeAt} where the refusals name no time at which a quorum is free. */
+    /** Result of {@link #quorumFreeAt} if the responses do not tell when a quorum is free. */
     static final long UNKNOWN = Long.MIN_VALUE;
 
     final long sentAt;
@@ -17,8 +17,8 @@
     private final Set<InetSocketAddress> grantedBy = new HashSet<>();
     /** Grantors that refused, and the holder that each named; empty for none. */
     private final Map<InetSocketAddress, String> refusedBy = new HashMap<>();
-    /** Until when the grantors that refused keep the grant of another holder. */
-    private final Map<InetSocketAddress, Long> otherExpiresAt = new HashMap<>();
+    /** When the grant of another holder expires, by the grantor that refused because of it. */
+    private final Map<InetSocketAddress, Long> otherExpiresAtByGrantor = new HashMap<>();
 
     GrantRequest(long sentAt, long token) {
         this.sentAt = sentAt;
@@ -29,7 +29,7 @@
         GrantRequest copy = new GrantRequest(sentAt, token);
         copy.grantedBy.addAll(grantedBy);
         copy.refusedBy.putAll(refusedBy);
-        copy.otherExpiresAt.putAll(otherExpiresAt);
+        copy.otherExpiresAtByGrantor.putAll(otherExpiresAtByGrantor);
         return copy;
     }
 
@@ -37,9 +37,9 @@
     void describeState(long now, StateText text) {
         text.add("request", now - sentAt);
         text.addToken(token);
-        grantedBy.forEach(grantor -> text.addOf(grantor, "granted"));
-        refusedBy.forEach((grantor, named) ->
-                text.addOf(grantor, "refused " + named + " " + text.remaining(now, otherExpiresAt.get(grantor))));
+        grantedBy.forEach(grantor -> text.addGrantorText(grantor, "granted"));
+        refusedBy.forEach((grantor, namedHolder) -> text.addGrantorText(
+                grantor, "refused " + namedHolder + " " + text.remaining(now, otherExpiresAtByGrantor.get(grantor))));
     }
 
     void recordGrant(InetSocketAddress grantor) {
@@ -48,7 +48,7 @@
 
     void recordRefusal(InetSocketAddress grantor, String otherHolder, long expiresAt) {
         refusedBy.put(grantor, otherHolder);
-        otherExpiresAt.put(grantor, expiresAt);
+        otherExpiresAtByGrantor.put(grantor, expiresAt);
     }
 
     Set<InetSocketAddress> grantedBy() {
@@ -59,35 +59,35 @@
         return options.isQuorum(grantedBy);
     }
 
-    /** Whether too few grantors are left that could grant it. */
+    /** Whether the grantors that have not refused are no quorum. */
     boolean isRefused(LeaseOptions options) {
-        Set<InetSocketAddress> others = new HashSet<>(options.allGrantors());
-        others.removeAll(refusedBy.keySet());
-        return !options.isQuorum(others);
+        Set<InetSocketAddress> remainingGrantors = new HashSet<>(options.allGrantors());
+        remainingGrantors.removeAll(refusedBy.keySet());
+        return !options.isQuorum(remainingGrantors);
     }
 
     /** Whether a quorum has responded at all. */
-    boolean isAnswered(LeaseOptions options) {
+    boolean hasQuorumResponded(LeaseOptions options) {
         Set<InetSocketAddress> responders = new HashSet<>(grantedBy);
         responders.addAll(refusedBy.keySet());
         return options.isQuorum(responders);
     }
 
-    /** Whether a quorum names that holder; what one or two grantors have granted may be released any moment. */
+    /** Whether a quorum names that holder. Grants of fewer grantors may be released at any moment. */
     boolean isHeldBy(String otherHolder, LeaseOptions options) {
         Set<InetSocketAddress> grantors = new HashSet<>();
-        refusedBy.forEach((grantor, named) -> {
-            if (named.equals(otherHolder)) {
+        refusedBy.forEach((grantor, namedHolder) -> {
+            if (namedHolder.equals(otherHolder)) {
                 grantors.add(grantor);
             }
         });
         return options.isQuorum(grantors);
     }
 
-    /** When a quorum will be free by the responses so far; {@link #UNKNOWN} where these do not say. */
+    /** Earliest time at which a quorum is free by the responses so far; {@link #UNKNOWN} if they do not tell. */
     long quorumFreeAt(LeaseOptions options) {
         long earliest = Long.MAX_VALUE;
-        for (long freeAt : otherExpiresAt.values()) {
+        for (long freeAt : otherExpiresAtByGrantor.values()) {
             if (options.isQuorum(freeGrantors(freeAt))) {
                 earliest = Math.min(earliest, freeAt);
             }
@@ -97,7 +97,7 @@
 
     private Set<InetSocketAddress> freeGrantors(long at) {
         Set<InetSocketAddress> free = new HashSet<>(grantedBy);
-        otherExpiresAt.forEach((grantor, expiresAt) -> {
+        otherExpiresAtByGrantor.forEach((grantor, expiresAt) -> {
             if (expiresAt <= at) {
                 free.add(grantor);
             }
--- a/src/main/java/org/cypressweir/fleet/lease/GrantTimes.java
+++ b/src/main/java/org/cypressweir/fleet/lease/GrantTimes.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** When the request that each grantor has granted last, under the holder's present token, was sent. */
+/** When the latest request that each grantor has granted under the holder's current token was sent. */
 final class GrantTimes {
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -21,12 +21,12 @@
     void describeState(long now, long termMicros, StateText text) {
         sentAtByGrantor.forEach((grantor, sentAt) -> {
             if (now - sentAt < termMicros) {
-                text.addOf(grantor, "granted " + (now - sentAt));
+                text.addGrantorText(grantor, "granted " + (now - sentAt));
             }
         });
     }
 
-    /** Begins with the grants of one request. */
+    /** Resets to the grants of one request. */
     void startWith(GrantRequest request) {
         sentAtByGrantor.clear();
         request.grantedBy().forEach(grantor -> sentAtByGrantor.put(grantor, request.sentAt));
@@ -36,7 +36,7 @@
         sentAtByGrantor.merge(grantor, sentAt, Math::max);
     }
 
-    /** The latest time such that a quorum has granted requests sent then or later, whichever requests these were. */
+    /** The latest time such that a quorum has granted requests sent at or after it; these may be different requests. */
     long quorumGrantedAt(LeaseOptions options) {
         long latest = NEVER;
         for (long sentAt : sentAtByGrantor.values()) {
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseClient.java
@@ -7,38 +7,38 @@
 import org.cypressweir.fleet.lease.LeaseMessage.Kind;
 
 /**
- * One lease as seen by one process that may hold it. The process holds the lease once a quorum of grantors has granted
- * a request, for a term that counts from before the request was sent. It renews well before the end of the term and
- * stops by itself where no quorum responds.
+ * The state of one lease in a process that may hold it. The process holds the lease once a quorum of grantors has
+ * granted a request, for a term that counts from before the request was sent. It renews the lease well before the end
+ * of the term, and stops holding it at that end if no quorum has granted a renewal.
  *
- * <p>States, and what leads from one to another:
+ * <p>States and transitions:
  * <ul>
- *   <li>idle: after some time it sends a request to all grantors and is acquiring;
+ *   <li>idle: after a delay it sends a request to all grantors and is acquiring;
  *   <li>acquiring: a quorum grants the request and it is holding; a quorum refuses or does not respond in time, it
- *       releases what was granted and is idle;
+ *       releases the grants it received and is idle;
  *   <li>holding: it renews several times a term; the term expires or the lease is released and it is idle, or has a
- *       pending release where somebody outside this process may still act;
- *   <li>pending release: that time is over, it releases the lease and is idle.
+ *       pending release while a client outside this process may still act;
+ *   <li>pending release: once that time is over, it releases the lease and is idle.
  * </ul>
  */
 final class LeaseClient {
 
-    /** Requests whose responses may still arrive. */
-    private static final int OPEN_REQUESTS = 8;
-    /** So that of each grantor several renewals in a row may be lost. */
+    /** Latest requests whose responses are still accepted. */
+    private static final int MAX_OPEN_REQUESTS = 8;
+    /** Several consecutive renewals to a grantor may be lost without losing its grant. */
     private static final int RENEWALS_PER_TERM = 5;
-    /** An attempt that met others doubles the time that the next delay is drawn from, up to so many times. */
+    /** A failed attempt doubles the range of the next random delay, at most this many times. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
-    /** So many requests in a row without responses of a quorum are more than message loss. */
+    /** This many consecutive requests without responses from a quorum are not explained by message loss. */
     private static final int UNANSWERED_LIMIT = 3;
-    /** Times that a request is sent anew at once because its token was too low. */
+    /** How often a request is repeated at once because its token was too low. */
     private static final int MAX_TOKEN_INCREASES = 3;
 
     private static final int RESPONSE_TIMEOUTS_PER_TERM = 16;
     private static final long MIN_RESPONSE_TIMEOUT_MICROS = 20_000;
     private static final long MAX_RESPONSE_TIMEOUT_MICROS = 500_000;
 
-    /** What the process has to do; none of it calls back into this object. */
+    /** Effects that the process carries out. Implementations must not call back into this object. */
     interface Actions {
         void sendToGrantors(LeaseMessage message);
 
@@ -46,7 +46,7 @@
 
         void ended(String lease, long token, String reason);
 
-        /** The lease was released: as far as this process knows others may have it from now on. */
+        /** This process has released the lease: as far as it knows, others may acquire it from now on. */
         void released(String lease, long token);
     }
 
@@ -57,9 +57,9 @@
     private LeaseOptions options;
 
     private final Map<Long, GrantRequest> openRequests = new HashMap<>();
-    /** Number of the last request; rises within an incarnation. */
+    /** Number of the last message to grantors; increases within an incarnation. */
     private long requestNumber;
-    /** The request while acquiring; else null. */
+    /** The current request while acquiring; otherwise null. */
     private GrantRequest acquisition;
 
     private boolean isHolding;
@@ -70,13 +70,13 @@
 
     private long renewAt;
     private long nextAttemptAt;
-    /** Attempts in a row that met others. */
+    /** Consecutive attempts that failed while no holder was known, as when several processes compete. */
     private int contendedAttempts;
 
     private int tokenIncreases;
-    /** Requests in a row without responses of a quorum. */
+    /** Consecutive requests without responses from a quorum. */
     private int unansweredRequests;
-    /** Somebody outside this process may act until then, at most. */
+    /** A client outside this process may act until then, at most. */
     private long delegatedUntil = Long.MIN_VALUE;
 
     private boolean hasPendingRelease;
@@ -87,8 +87,8 @@
     private long otherExpiresAt = Long.MIN_VALUE;
 
     /**
-     * @param firstNumber requests are numbered from here; above those of earlier incarnations
-     * @param random returns a number from 0 to below its argument
+     * @param firstNumber requests are numbered from here; has to exceed the numbers of earlier incarnations
+     * @param random returns a number from 0 to its argument, exclusive
      */
     LeaseClient(
             long firstNumber,
@@ -134,7 +134,7 @@
         return copy;
     }
 
-    /** Appends what decides its further behaviour, for model checkers. */
+    /** Appends the state that determines its further behaviour, for model checkers. */
     void describeState(long now, StateText text) {
         text.add(
                 "client",
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Appends what a late response to that request would do, for model checkers. */
+    /** Appends the state that determines the effect of a late response to that request, for model checkers. */
     void describeRequest(long now, long number, StateText text) {
         GrantRequest request = openRequests.get(number);
         long ageMicros = request == null ? -1 : now - request.sentAt;
@@ -174,8 +174,8 @@
     }
 
     private long responseTimeoutMicros() {
-        long partOfTerm = termMicros() / RESPONSE_TIMEOUTS_PER_TERM;
-        return Math.max(MIN_RESPONSE_TIMEOUT_MICROS, Math.min(MAX_RESPONSE_TIMEOUT_MICROS, partOfTerm));
+        long fractionOfTerm = termMicros() / RESPONSE_TIMEOUTS_PER_TERM;
+        return Math.max(MIN_RESPONSE_TIMEOUT_MICROS, Math.min(MAX_RESPONSE_TIMEOUT_MICROS, fractionOfTerm));
     }
 
     boolean isHolder(long now) {
@@ -186,12 +186,12 @@
         return token;
     }
 
-    /** What is left of this process's term; 0 where it does not hold the lease. */
+    /** Time remaining of this process's term; 0 if it does not hold the lease. */
     long remainingMicros(long now) {
         return isHolder(now) ? expiresAt - now : 0;
     }
 
-    /** What is left of another holder's term, as far as this process knows. */
+    /** Time remaining of another holder's term, as far as this process knows. */
     long otherRemainingMicros(long now) {
         if (isHolder(now) || otherExpiresAt == Long.MIN_VALUE) {
             return 0;
@@ -199,7 +199,7 @@
         return Math.max(0, otherExpiresAt - now);
     }
 
-    /** The holder as far as this process knows; empty for none. */
+    /** The holder as far as this process knows; empty if none is known. */
     String knownHolder(long now) {
         if (isHolder(now)) {
             return holder;
@@ -211,21 +211,21 @@
         return highestToken;
     }
 
-    /** Whether the lease was given up and its release has to wait for somebody outside this process. */
+    /** Whether the lease was given up, but a client outside this process may still act, which delays the release. */
     boolean hasPendingRelease() {
         return hasPendingRelease;
     }
 
-    /** A token that is in use somewhere: the next grant has to be above it. */
+    /** Records a token that is in use elsewhere: the next grant has to exceed it. */
     void observeToken(long usedToken) {
         highestToken = Math.max(highestToken, usedToken);
     }
 
     /**
-     * Does what is due.
+     * Performs the actions that are due.
      *
      * @param mayAcquire whether this process may request the lease at all
-     * @param delayMicros time that it leaves to processes that come before it
+     * @param delayMicros how long it waits so that preferred processes can request the lease first
      */
     void tick(long now, boolean mayAcquire, long delayMicros) {
         if (isHolding && now >= expiresAt) {
@@ -251,7 +251,7 @@
 
     private void expire(long now) {
         stopHolding(now, "its term ran out without most keepers");
-        // Grantors may have received the renewals, and only their responses were lost.
+        // Grantors may have received the renewals while only their responses were lost.
         sendRelease(token);
         backOffUnanswered(now, UNANSWERED_LIMIT);
     }
@@ -260,9 +260,9 @@
         if (now - acquisition.sentAt < responseTimeoutMicros()) {
             return;
         }
-        boolean isAnswered = acquisition.isAnswered(options);
+        boolean hasQuorumResponded = acquisition.hasQuorumResponded(options);
         abandonAcquisition(now, 0, delayMicros);
-        if (!isAnswered) {
+        if (!hasQuorumResponded) {
             backOffUnanswered(now, 1);
         }
     }
@@ -270,13 +270,13 @@
     private GrantRequest request(long now, long requestedToken) {
         GrantRequest request = new GrantRequest(now, requestedToken);
         openRequests.put(++requestNumber, request);
-        openRequests.remove(requestNumber - OPEN_REQUESTS);
+        openRequests.remove(requestNumber - MAX_OPEN_REQUESTS);
         actions.sendToGrantors(LeaseMessage.of(
                 Kind.ASK, lease, holder, requestedToken, requestNumber, termMicros(), options.grantorSetId()));
         return request;
     }
 
-    /** A response of a grantor. */
+    /** Handles a response of a grantor. */
     void receiveResponse(long now, InetSocketAddress grantor, LeaseMessage response, long delayMicros) {
         boolean isGrant = response.kind() == Kind.YES;
         if (isGrant && !response.holder().equals(holder)) {
@@ -308,7 +308,7 @@
         }
         boolean isTokenTooLow = remainingMicros == 0 && refusal.token() >= request.token;
         if (isTokenTooLow && tokenIncreases < MAX_TOKEN_INCREASES) {
-            // What was granted under the lower token is replaced by grants under the higher one.
+            // Grants under the higher token replace those under the lower one.
             tokenIncreases++;
             acquisition = request(now, highestToken + 1);
         } else if (request.isRefused(options)) {
@@ -349,8 +349,8 @@
     }
 
     /**
-     * Grantors may receive the requests of this process while it does not receive their responses: then it must not
-     * keep others from acquiring the lease.
+     * Backs off after requests without responses. Grantors may receive the requests of this process while it does not
+     * receive their responses; in that case it must not keep others from acquiring the lease.
      */
     private void backOffUnanswered(long now, int requests) {
         unansweredRequests = Math.min(unansweredRequests + requests, UNANSWERED_LIMIT + MAX_BACKOFF_DOUBLINGS);
@@ -361,9 +361,10 @@
     }
 
     /**
-     * Releases what was granted so far, so that others may have it at once, and sets the time of the next attempt.
+     * Releases the grants received so far, so that others may acquire the lease at once, and sets the time of the next
+     * attempt.
      *
-     * @param waitMicros until another holder's term is over; 0 where none is known
+     * @param waitMicros time until another holder's term is over; 0 if none is known
      */
     private void abandonAcquisition(long now, long waitMicros, long delayMicros) {
         sendRelease(acquisition.token);
@@ -389,8 +390,8 @@
     }
 
     /**
-     * Stops holding or acquiring the lease. Others may have it before the term is over: now, or when those outside
-     * this process that may act have finished.
+     * Stops holding or acquiring the lease. Others may acquire it before the term is over: at once, or when the time
+     * is over for which clients outside this process may act.
      */
     void release(long now, String reason) {
         if (acquisition != null) {
@@ -408,9 +409,9 @@
     }
 
     /**
-     * Lets somebody outside this process act; the lease is not released meanwhile.
+     * Permits a client outside this process to act; the lease is not released meanwhile.
      *
-     * @return for how long, at most as asked; 0 for not at all
+     * @return for how long, at most {@code maxMicros}; 0 if it may not act
      */
     long delegate(long now, long maxMicros) {
         long delegatedMicros = Math.min(remainingMicros(now), maxMicros);
@@ -420,7 +421,7 @@
         return delegatedMicros;
     }
 
-    /** Another process has released the lease and says that this one is to request it next. */
+    /** Handles a hint: another process has released the lease, and this one may request it after the delay. */
     void receiveHint(long now, long releasedToken, long delayMicros) {
         observeToken(releasedToken);
         if (!isHolding && acquisition == null) {
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseGrantor.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseGrantor.java
@@ -8,16 +8,16 @@
 
 /**
  * The grants of one grantor. It grants a lease to one holder at a time, and each new grant has a higher fencing
- * token than all that it knows of. Grants are kept in memory only: after a start it grants nothing until any earlier
- * grant has expired, and then learns the tokens from the other grantors ({@link TokenRecovery}). Two quorums have a
- * grantor in common, so at any moment one process at most has the grants of a quorum, and tokens only rise.
+ * token than all that it knows. Grants are kept in memory only: after a start it grants nothing until every earlier
+ * grant has expired, and then learns the tokens from the other grantors ({@link TokenRecovery}). Any two quorums have a
+ * grantor in common, so at most one process at a time has the grants of a quorum, and tokens only increase.
  */
 final class LeaseGrantor {
 
     /**
-     * A grant, also one that has expired or was released.
+     * A grant, which may have expired or been released.
      *
-     * @param requestNumber of its holder's last request or release, so that a late message changes nothing
+     * @param requestNumber of its holder's latest request or release; messages that are not newer have no effect
      */
     private record Grant(String holder, long token, long expiresAt, long requestNumber) {
 
@@ -31,27 +31,27 @@
     }
 
     private final InetSocketAddress self;
-    /** Until then a grant of before the start may be in use. */
-    private final long silentUntil;
+    /** Until then a grant from before the start may be in use, and nothing is granted. */
+    private final long firstGrantAt;
 
     private final Map<String, Grant> grants = new HashMap<>();
     private final TokenRecovery tokens;
     private LeaseOptions options;
 
-    /** @param unixMillis wall clock at the start, a floor for tokens where nobody is left who knows them */
+    /** @param unixMillis wall clock at the start, a lower bound for tokens if no process is left that knows them */
     LeaseGrantor(long now, LeaseOptions options, InetSocketAddress self, long unixMillis) {
         this.options = options;
         this.self = self;
-        silentUntil = now + options.grantMicros(options.maxTermMicros());
-        tokens = new TokenRecovery(options, self, unixMillis, silentUntil);
+        firstGrantAt = now + options.grantMicros(options.maxTermMicros());
+        tokens = new TokenRecovery(options, self, unixMillis, firstGrantAt);
     }
 
     private LeaseGrantor(LeaseGrantor original) {
         options = original.options;
         self = original.self;
-        silentUntil = original.silentUntil;
+        firstGrantAt = original.firstGrantAt;
         grants.putAll(original.grants);
-        tokens = original.tokens.copy(options, silentUntil);
+        tokens = original.tokens.copy(options, firstGrantAt);
     }
 
     void reconfigure(LeaseOptions newOptions) {
@@ -63,28 +63,28 @@
         return new LeaseGrantor(this);
     }
 
-    /** Appends what decides its further behaviour, for model checkers; these leave wall clocks out. */
+    /** Appends the state that determines its further behaviour, for model checkers, which do not model wall clocks. */
     void describeState(long now, StateText text) {
-        StringBuilder ofGrantor = new StringBuilder().append(text.remaining(now, silentUntil));
-        tokens.describeState(now, text, ofGrantor);
+        StringBuilder grantorText = new StringBuilder().append(text.remaining(now, firstGrantAt));
+        tokens.describeState(now, text, grantorText);
         grants.forEach((lease, grant) -> {
-            // The holder of an expired grant counts as well, since it may renew it.
-            ofGrantor.append(' ').append(lease).append(grant.holder);
+            // The holder of an expired grant is included, since it may still renew the grant.
+            grantorText.append(' ').append(lease).append(grant.holder);
             if (grant.expiresAt > now) {
-                ofGrantor.append(grant.expiresAt - now);
+                grantorText.append(grant.expiresAt - now);
             }
         });
-        text.addOf(self, ofGrantor.toString());
-        grants.values().forEach(grant -> text.addTokenOf(self, grant.token));
-        tokens.tokens().forEach(token -> text.addTokenOf(self, token));
+        text.addGrantorText(self, grantorText.toString());
+        grants.values().forEach(grant -> text.addGrantorToken(self, grant.token));
+        tokens.tokens().forEach(token -> text.addGrantorToken(self, token));
     }
 
-    /** Whether it has to ask the other grantors for tokens now. */
-    boolean startsTokenQuery(long now) {
-        return tokens.startsQuery(now, options);
+    /** Starts to query the other grantors for tokens if that is due; returns whether it did. */
+    boolean startTokenQueryIfDue(long now) {
+        return tokens.startQueryIfDue(now, options);
     }
 
-    /** What it knows of tokens, and whether that is all. */
+    /** The tokens that it knows, and whether these are complete. */
     List<LeaseMessage> answerTokenQuery(LeaseMessage request) {
         return tokens.answerQuery(request, options);
     }
@@ -93,14 +93,14 @@
         tokens.learn(from, page, options);
     }
 
-    /** Response to a request for a grant or its renewal; null for none. */
+    /** Response to a request for a grant or its renewal; null if the request is ignored. */
     LeaseMessage answerRequest(long now, LeaseMessage request) {
         if (!options.acceptsGrantorSet(request.grantorSetId())) {
             return null;
         }
-        if (now < silentUntil || !tokens.isFinished()) {
-            // It grants nothing, and says so: without a response the requester takes itself to be partitioned.
-            long waitMicros = Math.max(TokenRecovery.QUERY_INTERVAL_MICROS, silentUntil - now);
+        if (now < firstGrantAt || !tokens.isFinished()) {
+            // Refuses explicitly: without a response the requester would assume that it is partitioned.
+            long waitMicros = Math.max(TokenRecovery.QUERY_INTERVAL_MICROS, firstGrantAt - now);
             return refusal(request, "", 0, waitMicros);
         }
         boolean isTermAllowed = request.micros() > 0 && request.micros() <= options.maxTermMicros();
@@ -108,13 +108,13 @@
             return null;
         }
         Grant grant = grants.get(request.lease());
-        boolean isRequesters = grant != null && grant.isOf(request.holder());
-        if (isRequesters && request.requestNumber() <= grant.requestNumber) {
+        boolean isGrantOfRequester = grant != null && grant.isOf(request.holder());
+        if (isGrantOfRequester && request.requestNumber() <= grant.requestNumber) {
             return null;
         }
         long highestToken = tokens.highestToken(request.lease(), options);
-        boolean isRenewal = isRequesters && grant.token == request.token() && request.token() == highestToken;
-        boolean isFree = grant == null || grant.expiresAt <= now || isRequesters;
+        boolean isRenewal = isGrantOfRequester && grant.token == request.token() && request.token() == highestToken;
+        boolean isFree = grant == null || grant.expiresAt <= now || isGrantOfRequester;
         if (isRenewal || isFree && request.token() > highestToken) {
             return grant(now, request);
         }
@@ -149,7 +149,7 @@
                 request.grantorSetId());
     }
 
-    /** A grant is released; its token stays used. */
+    /** Releases a grant; its token is not granted again. */
     void release(long now, LeaseMessage release) {
         Grant grant = grants.get(release.lease());
         if (grant != null
--- a/src/main/java/org/cypressweir/fleet/lease/LeaseMessage.java
+++ b/src/main/java/org/cypressweir/fleet/lease/LeaseMessage.java
@@ -10,11 +10,11 @@
  *
  * @param lease name of the lease; empty in messages about all leases
  * @param holder incarnation of the process that requests or holds the lease; in {@code LEARNED} the name of the page
- * @param token fencing token of the grant; in a refusal the highest that the grantor knows; in {@code LEARNED}
+ * @param token fencing token of the grant; in a refusal the highest token that the grantor knows; in {@code LEARNED}
  *        {@link #COMPLETE} or {@link #INCOMPLETE}
- * @param requestNumber number of the request, rising within an incarnation; a response repeats it
- * @param micros the term in a request, what is left of another holder's grant in a refusal, the number of pages
- *        in {@code LEARNED}
+ * @param requestNumber number of the request, increasing within an incarnation; a response repeats it
+ * @param micros the term in a request, the remaining time of another holder's grant in a refusal, the number of
+ *        pages in {@code LEARNED}
  * @param grantorSetId set of grantors that the sender uses
  * @param highestTokens in {@code LEARNED} a page of the highest token of each lease
  */
@@ -28,15 +28,15 @@
         long grantorSetId,
         Map<String, Long> highestTokens) {
 
-    /** Tokens in one message, so that it fits into a datagram. */
+    /** Maximum number of tokens in one message, so that it fits into a datagram. */
     public static final int MAX_TOKENS = 12;
 
     /** The sender of {@code LEARNED} knows the highest token of each lease it has granted. */
     static final long COMPLETE = 1;
-    /** The sender of {@code LEARNED} has lost its state, or is no grantor. */
+    /** The sender of {@code LEARNED} has lost its state, or is not a grantor. */
     static final long INCOMPLETE = 0;
 
-    /** What a message is for. It is sent as its ordinal, so the order is fixed; so are the names. */
+    /** Purpose of a message. It is sent as its ordinal, so the order is fixed; so are the names. */
     public enum Kind {
         /** Request to a grantor: grant the lease, or renew the grant. */
         ASK,
@@ -44,11 +44,11 @@
         YES,
         /** Response: refused. */
         NO,
-        /** The holder, or a process that was not granted by a quorum, releases a grant. */
+        /** The holder, or a process whose request was not granted by a quorum, releases a grant. */
         FREE,
         /** From a holder that has released the lease to a process that is to request it next. */
         HINT,
-        /** From a grantor that has lost its state to others: which tokens do you know? */
+        /** Query of a grantor that has lost its state: which tokens does the receiver know? */
         LEARN,
         /** Response to {@link #LEARN}: a page of tokens. */
         LEARNED
@@ -60,7 +60,7 @@
         return new LeaseMessage(kind, lease, holder, token, requestNumber, micros, grantorSetId, Map.of());
     }
 
-    /** Responses to a {@code LEARN} request: all tokens by pages, each of which says how many there are. */
+    /** Responses to a {@code LEARN} request: all tokens in pages, each of which states the number of pages. */
     static List<LeaseMessage> tokenPages(
             long completeness, LeaseMessage request, long grantorSetId, Map<String, Long> highestTokens) {
         List<Map.Entry<String, Long>> all = List.copyOf(new TreeMap<>(highestTokens).entrySet());
@@ -68,8 +68,8 @@
         List<LeaseMessage> pages = new ArrayList<>();
         for (int page = 0; page < pageCount; page++) {
             int end = Math.min(all.size(), (page + 1) * MAX_TOKENS);
-            Map<String, Long> part = new TreeMap<>();
-            all.subList(page * MAX_TOKENS, end).forEach(entry -> part.put(entry.getKey(), entry.getValue()));
+            Map<String, Long> tokensOfPage = new TreeMap<>();
+            all.subList(page * MAX_TOKENS, end).forEach(entry -> tokensOfPage.put(entry.getKey(), entry.getValue()));
             pages.add(new LeaseMessage(
                     Kind.LEARNED,
                     "",
@@ -78,7 +78,7 @@
                     request.requestNumber(),
                     pageCount,
                     grantorSetId,
-                    part));
+                    tokensOfPage));
         }
         return pages;
     }
--- a/src/main/java/org/cypressweir/fleet/lease/Leases.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Leases.java
@@ -16,35 +16,35 @@
  * Confined to one thread.
  *
  * <p>Two processes never hold a lease at once while the rates of clocks differ by less than the options say and all
- * processes have the same grantors. A process may be paused between its question whether it holds a lease and what it
- * does then. Time can't cover that; the receiver has to reject a lower fencing token than it has seen.
+ * processes have the same grantors. A process may be paused between checking that it holds a lease and acting on it.
+ * Expiry can't prevent that, so the receiver of the act has to reject any fencing token below the highest it has seen.
  */
 public final class Leases {
 
-    /** What the process has to do; none of it calls back into this object. */
+    /** Effects that the process carries out. Implementations must not call back into this object. */
     public interface Actions {
         void send(InetSocketAddress to, LeaseMessage message);
 
         /** This process holds the lease from now on. */
         void acquired(String lease, long token);
 
-        /** It does not hold the lease any more. */
+        /** This process no longer holds the lease. */
         void ended(String lease, long token, String reason);
     }
 
     /** Whether the caller may act now, under which fencing token, and for how long. */
     public record Permission(boolean mayAct, long token, long remainingMicros) {}
 
-    /** A lease as far as this process knows; the holder is empty for none. */
+    /** A lease as far as this process knows; the holder is empty if none is known. */
     public record Status(String holder, boolean isHeldHere, long token, long remainingMicros) {}
 
-    /** From the time at which one preferred holder requests a lease to that of the next one. */
+    /** Delay between the requests of consecutive members in the order of preference. */
     private static final long RANK_DELAY_MICROS = 100_000;
-    /** Members of lower ranks request an expired lease after a step each; the others after a part of a term each. */
+    /** A request is delayed by {@link #RANK_DELAY_MICROS} per rank below this rank, else by half a term per rank. */
     private static final int PROMPT_RANKS = 3;
-    /** Members that a grantor without its state asks for tokens besides the other grantors. */
+    /** Maximum number of members that a grantor without its state queries for tokens, besides the other grantors. */
     private static final int MAX_QUERIED_MEMBERS = 32;
-    /** Members that are told when a holder releases a lease. */
+    /** Number of members that a holder notifies when it releases a lease. */
     private static final int HINTED_MEMBERS = 2;
 
     private static final char INCARNATION_SEPARATOR = '/';
@@ -70,8 +70,8 @@
     private long lastTickAt;
 
     /**
-     * @param incarnation tells this run of the process from others of its name
-     * @param unixMillis wall clock, used for nothing but a floor for tokens
+     * @param incarnation distinguishes this run of the process from others of the same name
+     * @param unixMillis wall clock, used only to derive a lower bound for tokens
      */
     public Leases(
             long now,
@@ -88,7 +88,7 @@
     /**
      * With a given source of randomness.
      *
-     * @param random returns a number from 0 to below its argument
+     * @param random returns a number from 0 to its argument, exclusive
      */
     public Leases(
             long now,
@@ -127,7 +127,7 @@
         return copy;
     }
 
-    /** Appends what decides the further behaviour of this process, for model checkers. */
+    /** Appends the state that determines the further behaviour of this process, for model checkers. */
     public void describeState(long now, StateText text) {
         text.addName(name);
         text.add(isLeaving ? "leaves" : "stays", now - lastTickAt);
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Appends what a late response to a request would do, for model checkers. */
+    /** Appends the state that determines the effect of a late response to a request, for model checkers. */
     public void describeRequest(long now, String lease, long requestNumber, StateText text) {
         clients.get(lease).describeRequest(now, requestNumber, text);
     }
@@ -170,7 +170,7 @@
         preference = new Preference(options.termMicrosByLease().keySet(), members.keySet());
     }
 
-    /** Sends what clients have to say. */
+    /** Carries out the effects of the lease clients. */
     private final class ClientActions implements LeaseClient.Actions {
         @Override
         public void sendToGrantors(LeaseMessage message) {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Tells the next preferred holders that the lease is free; each is to request it later than the one before. */
+    /** Tells the next preferred holders that the lease is free; each waits longer than the one before it. */
     private void sendHints(String lease, long token) {
         long delayMicros = 0;
         for (String member : preference.ranked(lease, HINTED_MEMBERS + 1)) {
@@ -207,7 +207,7 @@
         }
     }
 
-    /** The live members as this process sees them, itself among them. They decide on preferences only. */
+    /** Sets the live members as this process sees them, including itself. They affect only preferences. */
     public void updateMembers(Map<String, InetSocketAddress> liveMembers) {
         if (!liveMembers.equals(members)) {
             members = Map.copyOf(liveMembers);
@@ -216,9 +216,9 @@
     }
 
     /**
-     * Takes other grantors or leases over. A lease that is gone or has another term is released.
+     * Applies new options. A lease that was removed, or has a different term now, is released.
      *
-     * @return why the change is not safe, in which case nothing has changed; null where it was made
+     * @return why the change is not safe, in which case nothing has changed; null if it was applied
      */
     public String reconfigure(long now, LeaseOptions newOptions) {
         String unsafe = newOptions.findUnsafeChange(options);
@@ -243,17 +243,17 @@
         return options.termMicrosByLease().get(lease);
     }
 
-    /** Does what is due. A late call means that this process was paused. */
+    /** Performs the actions that are due. A late call means that this process was paused. */
     public void tick(long now) {
         long pausedMicros = now - lastTickAt;
         lastTickAt = now;
-        if (grantor != null && grantor.startsTokenQuery(now)) {
+        if (grantor != null && grantor.startTokenQueryIfDue(now)) {
             queryTokens();
         }
         int heldLeases = countHeldLeases(now);
         clients.forEach((lease, client) -> {
             if (pausedMicros > termMicros(lease) / 2) {
-                // Others may have acquired the lease, and need not wait for the rest of the term.
+                // Others may have acquired the lease; if not, they need not wait for the rest of the term.
                 client.release(now, "this process stood still for " + pausedMicros / 1_000 + " ms");
             }
             client.tick(now, !isLeaving, delayMicros(lease, heldLeases));
@@ -280,41 +280,41 @@
         queried.forEach(address -> actions.send(address, query));
     }
 
-    /** Time that this process leaves to members that are preferred to it. */
+    /** How long this process waits so that members of a lower rank can request the lease first. */
     private long delayMicros(String lease, int heldLeases) {
         int rank = preference.rank(lease, name);
         long term = termMicros(lease);
         long delay = rank < PROMPT_RANKS ? rank * RANK_DELAY_MICROS : term * rank / 2;
-        boolean hasItsShare = heldLeases >= preference.maxLeasesPerMember();
-        return rank > 0 && hasItsShare ? delay + term : delay;
+        boolean isAtLoadLimit = heldLeases >= preference.maxLeasesPerMember();
+        return rank > 0 && isAtLoadLimit ? delay + term : delay;
     }
 
     private void handOverIfDue(long now, String lease, LeaseClient client) {
         String preferred = preference.first(lease);
         if (preferred.equals(name) || preferred.isEmpty()) {
             handovers.reset(lease);
-        } else if (handovers.isDue(now, lease, preferred, termMicros(lease))) {
-            client.release(now, "left to " + preferred);
+        } else if (handovers.startIfDue(now, lease, preferred, termMicros(lease))) {
+            client.release(now, "handed over to " + preferred);
         }
     }
 
-    /** Releases all leases, tells the next holders, and requests none any more. */
+    /** Releases all leases, notifies the next preferred holders, and stops requesting leases. */
     public void leave(long now, String reason) {
         isLeaving = true;
         clients.values().forEach(client -> client.release(now, reason));
     }
 
-    /** Whether others may have all that was given up. */
+    /** Whether no release is pending, so that others may acquire all leases that were given up. */
     public boolean hasReleasedAll() {
         return clients.values().stream().noneMatch(LeaseClient::hasPendingRelease);
     }
 
-    /** Takes part again after {@link #leave}. */
+    /** Requests leases again after {@link #leave}. */
     public void rejoin() {
         isLeaving = false;
     }
 
-    /** A message of another process; the address is what the message names as its sender. */
+    /** Handles a message from another process; the address is the sender as named in the message. */
     public void receive(long now, InetSocketAddress from, LeaseMessage message) {
         switch (message.kind()) {
             case ASK -> receiveRequest(now, from, message);
@@ -324,9 +324,9 @@
                 }
             }
             case LEARN -> {
-                List<LeaseMessage> pages =
+                List<LeaseMessage> responses =
                         grantor == null ? tokensOfClients(message) : grantor.answerTokenQuery(message);
-                pages.forEach(page -> actions.send(from, page));
+                responses.forEach(page -> actions.send(from, page));
             }
             case LEARNED -> {
                 if (grantor != null) {
@@ -357,14 +357,14 @@
         }
     }
 
-    /** What a process that is no grantor knows of tokens. */
+    /** The tokens known to a process that is not a grantor. */
     private List<LeaseMessage> tokensOfClients(LeaseMessage query) {
         Map<String, Long> highestTokens = new TreeMap<>();
         clients.forEach((lease, client) -> highestTokens.put(lease, client.highestToken()));
         return LeaseMessage.tokenPages(LeaseMessage.INCOMPLETE, query, options.grantorSetId(), highestTokens);
     }
 
-    /** Whether this process may act under the lease; asked before each act, with the longest time that it takes. */
+    /** Whether this process may act under the lease. Called before each act, with the longest time that it takes. */
     public Permission checkHolding(long now, String lease, long actMicros) {
         LeaseClient client = clients.get(lease);
         long remaining = client == null ? 0 : client.remainingMicros(now);
@@ -372,8 +372,8 @@
     }
 
     /**
-     * The same for somebody outside this process, who may act for as long as the result says without asking again:
-     * until then the lease is not released.
+     * Permits a client outside this process to act for the returned time without asking again. The lease is not
+     * released before that time is over.
      */
     public Permission delegate(long now, String lease, long maxMicros) {
         LeaseClient client = clients.get(lease);
@@ -381,7 +381,7 @@
         return new Permission(delegated > 0, delegated > 0 ? client.token() : 0, delegated);
     }
 
-    /** The receiver of an act has seen a higher token: the next grant has to be above it. */
+    /** Records that the receiver of an act has seen a higher token: the next grant has to exceed it. */
     public void observeToken(String lease, long token) {
         LeaseClient client = clients.get(lease);
         if (client != null) {
@@ -389,7 +389,7 @@
         }
     }
 
-    /** All leases of the options by name. */
+    /** All configured leases by name. */
     public Map<String, Status> status(long now) {
         Map<String, Status> status = new TreeMap<>();
         clients.forEach((lease, client) -> status.put(lease, status(now, client)));
--- a/src/main/java/org/cypressweir/fleet/lease/Preference.java
+++ b/src/main/java/org/cypressweir/fleet/lease/Preference.java
@@ -11,20 +11,20 @@
 import org.cypressweir.common.util.Ids;
 
 /**
- * The preferred holders of each lease: rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
- * 2018). The result is the same in all processes that know the same members. It is a hint only: who holds a lease is
- * up to the grantors.
+ * The preferred holders of each lease, by rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+ * 2018). The result is the same in all processes that know the same members. It is only a hint: the grantors decide
+ * which process holds a lease.
  */
 final class Preference {
 
-    /** A member may have so many times the mean, so that few leases move when a member joins or leaves. */
-    private static final double LOAD_FACTOR = 1.25;
+    /** Bound on a member's leases as a multiple of the mean; above 1, so that few leases move when members change. */
+    private static final double MAX_LOAD_FACTOR = 1.25;
 
     /**
      * Preferences for one lease.
      *
-     * @param first member that should hold it
-     * @param scores of the members by their index
+     * @param first member that should hold the lease
+     * @param scores hash scores of the members, by member index
      */
     private record Ranking(String first, long[] scores) {}
 
@@ -35,11 +35,11 @@
     /** @param members names without duplicates */
     Preference(Collection<String> leases, Collection<String> members) {
         this.members = List.copyOf(new TreeSet<>(members));
-        double meanLoad = LOAD_FACTOR * leases.size() / Math.max(1, members.size());
-        maxLeasesPerMember = Math.max(1, (int) Math.ceil(meanLoad));
+        double maxLoad = MAX_LOAD_FACTOR * leases.size() / Math.max(1, members.size());
+        maxLeasesPerMember = Math.max(1, (int) Math.ceil(maxLoad));
         long[] memberIds = this.members.stream().mapToLong(Ids::of).toArray();
         int[] loads = new int[memberIds.length];
-        // In the order of names, so that all processes with the same members count alike.
+        // Sorted by name, so that all processes with the same members compute the same loads.
         for (String lease : new TreeSet<>(leases)) {
             long[] scores = scores(lease, memberIds);
             int first = findFirst(scores, loads);
@@ -59,7 +59,7 @@
         return scores;
     }
 
-    /** Index of the highest score among members that may have another lease; -1 where there is none. */
+    /** Index of the member with the highest score among those below their bound; -1 if there is none. */
     private int findFirst(long[] scores, int[] loads) {
         int first = -1;
         for (int i = 0; i < scores.length; i++) {
@@ -70,12 +70,12 @@
         return first;
     }
 
-    /** The member that should hold the lease; empty where no member is known. */
+    /** The member that should hold the lease; empty if no member is known. */
     String first(String lease) {
         return rankings.get(lease).first;
     }
 
-    /** How many members come before this one: none before the preferred one, and that one before all others. */
+    /** Number of members that come before this one; 0 for the preferred member, whatever its score. */
     int rank(String lease, String member) {
         Ranking ranking = rankings.get(lease);
         if (ranking.first.equals(member)) {
@@ -95,14 +95,14 @@
         return rank;
     }
 
-    /** The preferred holder and those that would come next. */
+    /** The first members in the order of preference, beginning with the preferred holder. */
     List<String> ranked(String lease, int count) {
         List<String> ranked = new ArrayList<>(members);
         ranked.sort(Comparator.comparingInt(member -> rank(lease, member)));
         return ranked.subList(0, Math.min(count, ranked.size()));
     }
 
-    /** Leases that one member has, at most, where all are in contact. */
+    /** Maximum number of leases that one member is preferred for, and holds while all members are connected. */
     int maxLeasesPerMember() {
         return maxLeasesPerMember;
     }
--- a/src/main/java/org/cypressweir/fleet/lease/StateText.java
+++ b/src/main/java/org/cypressweir/fleet/lease/StateText.java
@@ -9,18 +9,18 @@
 import java.util.TreeSet;
 
 /**
- * The state of a model of leases as one text for model checkers. States that behave alike from now on have the same
- * text: times are relative to now, tokens are replaced by their order and by whether they are consecutive, and
- * grantors are told apart by what is known of them only.
+ * The state of a lease model in a canonical text form, for model checkers. States with the same further behaviour have
+ * the same text: times are relative to the current time, tokens are replaced by small numbers that keep their order and
+ * adjacency, and grantors are distinguished by their state only, not by their addresses.
  */
 public final class StateText {
 
     private final StringBuilder common = new StringBuilder();
-    private final Map<InetSocketAddress, StringBuilder> textOfGrantors = new HashMap<>();
+    private final Map<InetSocketAddress, StringBuilder> textByGrantor = new HashMap<>();
     private final List<Long> tokens = new ArrayList<>();
-    private final Map<InetSocketAddress, List<Long>> tokensOfGrantors = new HashMap<>();
+    private final Map<InetSocketAddress, List<Long>> tokensByGrantor = new HashMap<>();
 
-    /** Time that is left until then; 0 for a time in the past. */
+    /** Time remaining until then; 0 for a time in the past. */
     public long remaining(long now, long at) {
         return Math.max(0, at - now);
     }
@@ -41,27 +41,27 @@
         tokens.add(token);
     }
 
-    /** Something about one grantor. */
-    public void addOf(InetSocketAddress grantor, String text) {
-        textOfGrantors
+    /** Appends a text about one grantor. */
+    public void addGrantorText(InetSocketAddress grantor, String text) {
+        textByGrantor
                 .computeIfAbsent(grantor, address -> new StringBuilder())
                 .append(text)
                 .append(';');
     }
 
-    public void addTokenOf(InetSocketAddress grantor, long token) {
-        tokensOfGrantors.computeIfAbsent(grantor, address -> new ArrayList<>()).add(token);
+    public void addGrantorToken(InetSocketAddress grantor, long token) {
+        tokensByGrantor.computeIfAbsent(grantor, address -> new ArrayList<>()).add(token);
     }
 
-    /** Small numbers for tokens that keep their order and whether two are consecutive. */
+    /** Maps tokens to small numbers that keep their order and whether two are consecutive. */
     private Map<Long, Integer> normalizedTokens() {
         TreeSet<Long> sorted = new TreeSet<>(tokens);
-        tokensOfGrantors.values().forEach(sorted::addAll);
+        tokensByGrantor.values().forEach(sorted::addAll);
         Map<Long, Integer> normalized = new TreeMap<>();
         long previous = 0;
         int number = 0;
         for (long token : sorted) {
-            // 0, for no token, differs from any token.
+            // Token 0, for no token, maps to 0; every other token maps to a higher number.
             number += (int) Math.min(2, token - previous);
             normalized.put(token, number);
             previous = token;
@@ -74,15 +74,15 @@
         Map<Long, Integer> normalized = normalizedTokens();
         StringBuilder text = new StringBuilder(common);
         tokens.forEach(token -> text.append(normalized.get(token)).append(','));
-        List<String> texts = new ArrayList<>();
-        for (InetSocketAddress grantor : textOfGrantors.keySet()) {
-            StringBuilder ofGrantor = new StringBuilder(textOfGrantors.get(grantor));
-            tokensOfGrantors
+        List<String> grantorTexts = new ArrayList<>();
+        for (InetSocketAddress grantor : textByGrantor.keySet()) {
+            StringBuilder grantorText = new StringBuilder(textByGrantor.get(grantor));
+            tokensByGrantor
                     .getOrDefault(grantor, List.of())
-                    .forEach(token -> ofGrantor.append(normalized.get(token)).append(','));
-            texts.add(ofGrantor.toString());
+                    .forEach(token -> grantorText.append(normalized.get(token)).append(','));
+            grantorTexts.add(grantorText.toString());
         }
-        texts.sort(null);
-        return text.append(texts).toString();
+        grantorTexts.sort(null);
+        return text.append(grantorTexts).toString();
     }
 }
--- a/src/main/java/org/cypressweir/fleet/lease/TokenRecovery.java
+++ b/src/main/java/org/cypressweir/fleet/lease/TokenRecovery.java
@@ -9,24 +9,24 @@
 import java.util.Set;
 
 /**
- * The highest token of each lease that one grantor knows, and how it learns them again after a restart. Tokens are
- * kept in memory only. A grantor that has restarted asks the others until a quorum of grantors that kept their state
- * has answered, so that each earlier grant is known to one of them; or until all others have answered, whether they
- * kept their state or not. Where neither is possible it may, if the options allow it, begin above a floor that is
- * taken from the wall clock.
+ * The highest token of each lease that one grantor knows, and their recovery after a restart. Tokens are kept in memory
+ * only. A grantor that has restarted queries the others until a quorum of grantors that kept their state has responded,
+ * so that each earlier grant is known to one of them; or until all others have responded, whether they kept their state
+ * or not. Where neither is possible it may, if the options allow it, start above a floor: a lower bound derived from
+ * the wall clock.
  */
 final class TokenRecovery {
 
-    /** From one round of questions to the next. */
+    /** Interval from one round of queries to the next. */
     static final long QUERY_INTERVAL_MICROS = 200_000;
 
-    /** Leases whose token is kept, at most; this bounds the memory that other processes can claim. */
+    /** Maximum number of leases whose token is kept; bounds the memory that other processes can make this one use. */
     private static final int MAX_LEASES = 1_000;
-    /** A floor has room for so many bits of tokens until that of the next millisecond. */
+    /** Shift from milliseconds to a floor, which leaves 2^20 tokens until the floor of the next millisecond. */
     private static final int FLOOR_SHIFT = 20;
-    /** The beginning of 2026. */
+    /** 2026-01-01T00:00:00Z, the origin of floors. */
     private static final long EPOCH_MILLIS = 1_767_225_600_000L;
-    /** After so many terms without the others the wall clock is trusted, where the options allow that. */
+    /** Wait for the other grantors, in longest terms, before the wall clock is trusted, if the options allow that. */
     private static final int WALL_CLOCK_FALLBACK_TERMS = 5;
 
     private final InetSocketAddress self;
@@ -35,13 +35,13 @@
 
     private final long fallbackAt;
     private final Map<String, Long> highestTokens = new HashMap<>();
-    /** Grantors with their state that have told all their tokens. */
+    /** Processes with intact state that have sent all their tokens. */
     private final Set<InetSocketAddress> completeSources = new HashSet<>();
-    /** Grantors without their state that have told all the same. */
+    /** Processes that have lost their state, or are not grantors, and have sent the tokens that they know. */
     private final Set<InetSocketAddress> incompleteSources = new HashSet<>();
-    /** Pages that each grantor has sent in response to the last question. */
+    /** Pages that each process has sent in response to the last query. */
     private final Map<InetSocketAddress, Set<String>> receivedPages = new HashMap<>();
-    /** Whether it may grant: it knows the tokens, or has a floor above them. */
+    /** Whether it may grant: it knows the tokens, or has a floor that exceeds them. */
     private boolean isFinished;
     /** Whether it knows all tokens and needs no floor. */
     private boolean isComplete;
@@ -69,11 +69,11 @@
         return copy;
     }
 
-    /** Appends what decides its further behaviour, for model checkers. */
-    void describeState(long now, StateText text, StringBuilder ofGrantor) {
-        ofGrantor.append(isFinished).append(isComplete);
+    /** Appends the state that determines its further behaviour, for model checkers. */
+    void describeState(long now, StateText text, StringBuilder grantorText) {
+        grantorText.append(isFinished).append(isComplete);
         if (!isFinished) {
-            ofGrantor
+            grantorText
                     .append(text.remaining(now, nextQueryAt))
                     .append(completeSources.size())
                     .append(incompleteSources.size());
@@ -88,13 +88,13 @@
         return highestTokens.values();
     }
 
-    /** Whether the other grantors have to be asked now. */
-    boolean startsQuery(long now, LeaseOptions options) {
+    /** Starts a round of queries to the other grantors if one is due; returns whether it did. */
+    boolean startQueryIfDue(long now, LeaseOptions options) {
         if (isFinished || now < nextQueryAt) {
             return false;
         }
         if (options.trustsWallClock() && now >= fallbackAt) {
-            // No quorum can be reached: what is left is that wall clocks have gone on.
+            // No quorum can be reached: relies on the wall clock having advanced since the earlier grants.
             isFinished = true;
             return false;
         }
@@ -103,13 +103,13 @@
         return true;
     }
 
-    /** Response to another grantor that asks. */
+    /** Response to another grantor's query. */
     List<LeaseMessage> answerQuery(LeaseMessage request, LeaseOptions options) {
         long completeness = isFinished ? LeaseMessage.COMPLETE : LeaseMessage.INCOMPLETE;
         return LeaseMessage.tokenPages(completeness, request, options.grantorSetId(), highestTokens);
     }
 
-    /** A page of the tokens that another process knows. */
+    /** Records a page of the tokens that another process knows. */
     void learn(InetSocketAddress from, LeaseMessage page, LeaseOptions options) {
         if (isFinished || page.grantorSetId() != options.grantorSetId()) {
             return;
@@ -122,20 +122,20 @@
             boolean hasState = page.token() == LeaseMessage.COMPLETE;
             (hasState ? completeSources : incompleteSources).add(from);
         }
-        // A quorum without this grantor: each earlier grant is known to one of them.
+        // The quorum does not include this grantor; each earlier grant is known to one of its members.
         isComplete = options.isQuorum(completeSources);
-        isFinished = isComplete || hasHeardAllOthers(options);
+        isFinished = isComplete || haveAllOthersResponded(options);
     }
 
-    /** Where all others have answered, nobody knows more than what was told. */
-    private boolean hasHeardAllOthers(LeaseOptions options) {
+    /** Whether all other grantors have responded, so that none of them knows a further token. */
+    private boolean haveAllOthersResponded(LeaseOptions options) {
         return options.allGrantors().stream()
                 .allMatch(grantor -> grantor.equals(self)
                         || completeSources.contains(grantor)
                         || incompleteSources.contains(grantor));
     }
 
-    /** The highest token of a lease, or a bound above it. */
+    /** The highest known token of a lease, or the floor where that is higher and tokens may be missing. */
     long highestToken(String lease, LeaseOptions options) {
         long known = highestTokens.getOrDefault(lease, 0L);
         return isComplete || !options.trustsWallClock() ? known : Math.max(known, tokenFloor);
--- a/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalk.java
@@ -18,59 +18,69 @@
 import org.cypressweir.fleet.lease.StateText;
 
 /**
- * Model checker for leases: explores all states of a small model of grantors and clients of one lease, with the real
- * classes. Clients take turns, a fifth of a term from one turn of each to its next. In a turn each grantor either does
- * not receive the requests, or its responses are lost, or all messages arrive at once, or the responses arrive at the
- * client's next turn. A turn may be left out, as by a paused client, and a grantor may restart, as often as the model
- * allows. Clocks of grantors are fast and those of clients slow, each by the bound. A client that may act by its own
- * clock acts, at its turn and right before the next one, also while it is paused, since it may go on at any moment.
- * Messages among grantors arrive at once.
+ * Model checker for leases: explores all states of a small model of grantors and clients of one lease, with the
+ * production classes. Clients take turns, each of them every fifth of a term where there are two. In a turn each
+ * grantor either does not receive the requests, or its responses are lost, or all messages arrive at once, or the
+ * responses arrive at the client's next turn. A turn may be skipped, which models a paused client, and grantors may
+ * restart, as often as the model allows. The clocks of grantors are fast and those of clients slow, each by the largest
+ * drift. A client that may act by its own clock acts, at its turn and right before the next one, also while it is
+ * paused, since it may resume at any moment. Messages among grantors arrive at once.
  *
- * <p>States that differ by the order of grantors only, or by the size of tokens, are one. Nothing is random: all
- * jitter is 0, and turns that are left out bring about what jitter would.
+ * <p>States that differ only by the order of grantors or by the size of tokens are equivalent. Nothing is random: all
+ * jitter is 0, and skipped turns have the effect that jitter would have.
  */
 public final class LeaseWalk {
 
-    private static final long TERM = 1_000_000;
-    private static final long TURN = TERM / 10;
-    private static final int DRIFT = 5;
-    /** Fates for any number of grantors. */
-    private static final int ALL_AT_ONCE = 0x2AAA;
+    private static final long TERM_MICROS = 1_000_000;
+    private static final long TURN_MICROS = TERM_MICROS / 10;
+    private static final int DRIFT_PERCENT = 5;
+    /** All messages arrive at once, for up to 7 grantors. */
+    private static final int ALL_ARRIVE_FATES = 0x2AAA;
 
     private static final int MAX_TURNS = 200;
     private static final String LEASE = "l";
 
     /**
-     * The model, and what may happen in it.
+     * Parameters of the model.
      *
      * @param lateResponses whether responses may arrive at the next turn
-     * @param pauses turns that may be left out in total
-     * @param restarts of grantors in total
-     * @param together whether all grantors restart at once, where tokens depend on more than grantors
+     * @param pauses turns that may be skipped in total
+     * @param restarts restarts of grantors in total
+     * @param restartTogether whether all grantors restart at once; tokens, which then depend on more than grantors, are
+     *        not checked in that case
      */
-    public record Shape(int grantors, int clients, boolean lateResponses, int pauses, int restarts, boolean together) {}
+    public record Parameters(
+            int grantors, int clients, boolean lateResponses, int pauses, int restarts, boolean restartTogether) {}
 
-    /** How far a walk came: states, steps between them, and the first violation's history or null. */
-    public record Result(long states, long steps, boolean whole, long held, String violation) {}
+    /**
+     * Result of an exploration.
+     *
+     * @param states visited
+     * @param steps between them
+     * @param isComplete whether all states were visited
+     * @param statesWithHolder states in which a client holds the lease
+     * @param violation history of the first violation, or null
+     */
+    public record Result(long states, long steps, boolean isComplete, long statesWithHolder, String violation) {}
 
     private record LateMessage(int grantor, LeaseMessage message) {}
 
-    /** A step, and the one before. */
-    private record Step(String what, Step before) {
+    /** A step, linked to the one before it. */
+    private record Step(String description, Step previous) {
         String history() {
-            return (before == null ? "" : before.history() + "\n") + what;
+            return (previous == null ? "" : previous.history() + "\n") + description;
         }
     }
 
-    private record Sent(InetSocketAddress to, LeaseMessage message) {}
+    private record SentMessage(InetSocketAddress to, LeaseMessage message) {}
 
     /** Collects the messages that one process sends within a call. */
     private static final class MessageCollector implements Leases.Actions {
-        final ArrayDeque<Sent> sent = new ArrayDeque<>();
+        final ArrayDeque<SentMessage> sent = new ArrayDeque<>();
 
         @Override
         public void send(InetSocketAddress to, LeaseMessage message) {
-            sent.add(new Sent(to, message));
+            sent.add(new SentMessage(to, message));
         }
 
         @Override
@@ -80,64 +90,64 @@
         public void ended(String lease, long token, String reason) {}
     }
 
-    private static InetSocketAddress address(int place) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1_000 + place);
+    private static InetSocketAddress address(int index) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1_000 + index);
     }
 
-    private static final class World {
-        final Shape shape;
+    private static final class ModelState {
+        final Parameters parameters;
         final LeaseOptions options;
         long now;
         int turn;
         int pauses;
         int restarts;
-        final Leases[] all;
+        final Leases[] processes;
         final MessageCollector[] collectors;
         final List<List<LateMessage>> lateMessages = new ArrayList<>();
         String lastHolder = "";
         long lastToken;
         Step step;
 
-        World(Shape shape) {
-            this.shape = shape;
-            pauses = shape.pauses;
-            restarts = shape.restarts;
+        ModelState(Parameters parameters) {
+            this.parameters = parameters;
+            pauses = parameters.pauses;
+            restarts = parameters.restarts;
             options = new LeaseOptions(
-                    IntStream.range(0, shape.grantors)
+                    IntStream.range(0, parameters.grantors)
                             .mapToObj(LeaseWalk::address)
                             .toList(),
                     null,
-                    TERM,
-                    DRIFT / 100.0,
+                    TERM_MICROS,
+                    DRIFT_PERCENT / 100.0,
                     false,
-                    Map.of(LEASE, TERM));
-            all = new Leases[shape.grantors + shape.clients];
-            collectors = new MessageCollector[all.length];
+                    Map.of(LEASE, TERM_MICROS));
+            processes = new Leases[parameters.grantors + parameters.clients];
+            collectors = new MessageCollector[processes.length];
             Map<String, InetSocketAddress> members = new LinkedHashMap<>();
-            for (int i = shape.grantors; i < all.length; i++) {
+            for (int i = parameters.grantors; i < processes.length; i++) {
                 members.put("c" + i, address(i));
                 lateMessages.add(List.of());
             }
-            for (int i = 0; i < all.length; i++) {
+            for (int i = 0; i < processes.length; i++) {
                 start(i);
-                if (i >= shape.grantors) {
-                    all[i].updateMembers(members);
+                if (i >= parameters.grantors) {
+                    processes[i].updateMembers(members);
                 }
             }
         }
 
-        World(World other) {
-            shape = other.shape;
+        ModelState(ModelState other) {
+            parameters = other.parameters;
             options = other.options;
             now = other.now;
             turn = other.turn;
             pauses = other.pauses;
             restarts = other.restarts;
-            all = new Leases[other.all.length];
-            collectors = new MessageCollector[all.length];
-            for (int i = 0; i < all.length; i++) {
+            processes = new Leases[other.processes.length];
+            collectors = new MessageCollector[processes.length];
+            for (int i = 0; i < processes.length; i++) {
                 collectors[i] = new MessageCollector();
-                all[i] = other.all[i].copy(collectors[i]);
+                processes[i] = other.processes[i].copy(collectors[i]);
             }
             lateMessages.addAll(other.lateMessages);
             lastHolder = other.lastHolder;
@@ -146,107 +156,108 @@
 
         private void start(int i) {
             collectors[i] = new MessageCollector();
-            all[i] = new Leases(
+            processes[i] = new Leases(
                     clock(i, now),
                     options,
                     address(i),
-                    (i < shape.grantors ? "k" : "c") + i,
+                    (i < parameters.grantors ? "k" : "c") + i,
                     "1",
                     0,
                     bound -> 0,
                     collectors[i]);
-            if (i < shape.grantors) {
-                all[i].leave(clock(i, now), "it only grants");
+            if (i < parameters.grantors) {
+                processes[i].leave(clock(i, now), "it only grants");
             }
         }
 
         long clock(int i, long at) {
-            return at / 100 * (i < shape.grantors ? 100 + DRIFT : 100 - DRIFT);
+            return at / 100 * (i < parameters.grantors ? 100 + DRIFT_PERCENT : 100 - DRIFT_PERCENT);
         }
 
-        /** One turn: a fate for each grantor in base four; a restart of one, of all, or -1. */
+        /** Runs one turn: a fate for each grantor as a digit in base four; the grantor to restart, or -1 for none. */
         void runTurn(int fates, boolean skipped, int restart) {
             if (restart >= 0) {
                 restarts--;
-                for (int k = 0; k < shape.grantors; k++) {
-                    if (shape.together || k == restart) {
-                        start(k);
+                for (int grantor = 0; grantor < parameters.grantors; grantor++) {
+                    if (parameters.restartTogether || grantor == restart) {
+                        start(grantor);
                     }
                 }
             }
             exchangeAmongGrantors();
-            int c = shape.grantors + turn;
+            int client = parameters.grantors + turn;
             if (skipped) {
                 pauses--;
             } else {
                 List<LateMessage> arriving = lateMessages.get(turn);
                 List<LateMessage> nextLate = new ArrayList<>();
-                for (LateMessage l : arriving) {
-                    all[c].receive(clock(c, now), address(l.grantor), l.message);
+                for (LateMessage late : arriving) {
+                    processes[client].receive(clock(client, now), address(late.grantor), late.message);
                 }
-                all[c].tick(clock(c, now));
-                for (Sent s; (s = collectors[c].sent.poll()) != null; ) {
-                    int to = s.to.getPort() - 1_000;
-                    if (to >= shape.grantors) {
-                        all[to].receive(clock(to, now), address(c), s.message);
+                processes[client].tick(clock(client, now));
+                for (SentMessage sent; (sent = collectors[client].sent.poll()) != null; ) {
+                    int to = sent.to.getPort() - 1_000;
+                    if (to >= parameters.grantors) {
+                        processes[to].receive(clock(to, now), address(client), sent.message);
                     } else {
-                        sendToGrantor(c, to, s.message, fates >> 2 * to & 3, nextLate);
+                        sendToGrantor(client, to, sent.message, fates >> 2 * to & 3, nextLate);
                     }
                 }
                 lateMessages.set(turn, nextLate);
             }
-            turn = (turn + 1) % shape.clients;
+            turn = (turn + 1) % parameters.clients;
         }
 
-        private void sendToGrantor(int c, int grantor, LeaseMessage message, int fate, List<LateMessage> nextLate) {
-            // 0 lost, 1 the answers are lost, 2 at once, 3 late
+        private void sendToGrantor(
+                int client, int grantor, LeaseMessage message, int fate, List<LateMessage> nextLate) {
+            // 0: request lost, 1: responses lost, 2: all arrive at once, 3: responses are late
             if (fate == 0) {
                 return;
             }
-            all[grantor].receive(clock(grantor, now), address(c), message);
-            for (Sent answer; (answer = collectors[grantor].sent.poll()) != null; ) {
+            processes[grantor].receive(clock(grantor, now), address(client), message);
+            for (SentMessage response; (response = collectors[grantor].sent.poll()) != null; ) {
                 if (fate == 2) {
-                    all[c].receive(clock(c, now), address(grantor), answer.message);
+                    processes[client].receive(clock(client, now), address(grantor), response.message);
                 } else if (fate == 3) {
-                    nextLate.add(new LateMessage(grantor, answer.message));
+                    nextLate.add(new LateMessage(grantor, response.message));
                 }
             }
         }
 
         private void exchangeAmongGrantors() {
-            for (int k = 0; k < shape.grantors; k++) {
-                all[k].tick(clock(k, now));
+            for (int grantor = 0; grantor < parameters.grantors; grantor++) {
+                processes[grantor].tick(clock(grantor, now));
             }
-            for (boolean more = true; more; ) {
-                more = false;
-                for (int k = 0; k < shape.grantors; k++) {
-                    for (Sent s; (s = collectors[k].sent.poll()) != null; ) {
-                        int to = s.to.getPort() - 1_000;
-                        if (to < shape.grantors) {
-                            all[to].receive(clock(to, now), address(k), s.message);
-                            more = true;
+            for (boolean hasMessages = true; hasMessages; ) {
+                hasMessages = false;
+                for (int grantor = 0; grantor < parameters.grantors; grantor++) {
+                    for (SentMessage sent; (sent = collectors[grantor].sent.poll()) != null; ) {
+                        int to = sent.to.getPort() - 1_000;
+                        if (to < parameters.grantors) {
+                            processes[to].receive(clock(to, now), address(grantor), sent.message);
+                            hasMessages = true;
                         }
                     }
                 }
             }
         }
 
-        /** The rule that is violated at that moment, or null. */
+        /** Describes the rule that is violated at that time; null for none. */
         String findViolation(long at) {
-            String acts = null;
-            for (int c = shape.grantors; c < all.length; c++) {
-                Leases.Permission permission = all[c].checkHolding(clock(c, at), LEASE, 0);
+            String actor = null;
+            for (int client = parameters.grantors; client < processes.length; client++) {
+                Leases.Permission permission = processes[client].checkHolding(clock(client, at), LEASE, 0);
                 if (!permission.mayAct()) {
                     continue;
                 }
-                String name = "c" + c;
-                if (acts != null) {
-                    return acts + " and " + name + " act at " + at;
+                String name = "c" + client;
+                if (actor != null) {
+                    return actor + " and " + name + " act at " + at;
                 }
-                acts = name;
-                boolean rises =
+                actor = name;
+                boolean isTokenValid =
                         name.equals(lastHolder) ? permission.token() >= lastToken : permission.token() > lastToken;
-                if (!shape.together && !rises) {
+                if (!parameters.restartTogether && !isTokenValid) {
                     return name + " has token " + permission.token() + " at " + at + " after " + lastToken + " of "
                             + lastHolder;
                 }
@@ -256,110 +267,117 @@
             return null;
         }
 
-        boolean held() {
-            return IntStream.range(shape.grantors, all.length)
-                    .anyMatch(c -> all[c].checkHolding(clock(c, now), LEASE, 0).mayAct());
+        boolean isLeaseHeld() {
+            return IntStream.range(parameters.grantors, processes.length)
+                    .anyMatch(c ->
+                            processes[c].checkHolding(clock(c, now), LEASE, 0).mayAct());
         }
 
-        long key() {
+        long stateHash() {
             StateText text = new StateText();
             text.add("world", turn, pauses, restarts);
             text.addName(lastHolder);
             text.addToken(lastToken);
-            for (int i = 0; i < all.length; i++) {
-                all[i].describeState(clock(i, now), text);
+            for (int i = 0; i < processes.length; i++) {
+                processes[i].describeState(clock(i, now), text);
             }
-            for (int c = 0; c < lateMessages.size(); c++) {
-                for (LateMessage l : lateMessages.get(c)) {
-                    int client = shape.grantors + c;
-                    text.addOf(
-                            address(l.grantor),
-                            "late " + c + l.message.kind() + l.message.holder() + l.message.micros());
-                    text.addTokenOf(address(l.grantor), l.message.token());
-                    all[client].describeRequest(clock(client, now), LEASE, l.message.requestNumber(), text);
+            for (int clientIndex = 0; clientIndex < lateMessages.size(); clientIndex++) {
+                for (LateMessage late : lateMessages.get(clientIndex)) {
+                    int client = parameters.grantors + clientIndex;
+                    text.addGrantorText(
+                            address(late.grantor),
+                            "late " + clientIndex + late.message.kind() + late.message.holder()
+                                    + late.message.micros());
+                    text.addGrantorToken(address(late.grantor), late.message.token());
+                    processes[client].describeRequest(clock(client, now), LEASE, late.message.requestNumber(), text);
                 }
             }
             return Hashes.mix(Ids.of(text.toString()), 1);
         }
     }
 
-    /** How a world begins: just started, and with a holder that others have not met. */
-    private static List<World> initialWorlds(Shape shape) {
-        World held = new World(shape);
-        for (int i = 0; i < MAX_TURNS && !held.held(); i++) {
-            boolean first = held.turn == 0;
-            held.pauses += first ? 0 : 1;
-            held.runTurn(ALL_AT_ONCE, !first, -1);
-            held.findViolation(held.now);
-            held.now += TURN;
+    /** The initial states: just started, and with a holder that the other clients do not know. */
+    private static List<ModelState> initialStates(Parameters parameters) {
+        ModelState stateWithHolder = new ModelState(parameters);
+        for (int i = 0; i < MAX_TURNS && !stateWithHolder.isLeaseHeld(); i++) {
+            boolean isFirstClient = stateWithHolder.turn == 0;
+            stateWithHolder.pauses += isFirstClient ? 0 : 1;
+            stateWithHolder.runTurn(ALL_ARRIVE_FATES, !isFirstClient, -1);
+            stateWithHolder.findViolation(stateWithHolder.now);
+            stateWithHolder.now += TURN_MICROS;
         }
-        return List.of(new World(shape), held);
+        return List.of(new ModelState(parameters), stateWithHolder);
     }
 
     private LeaseWalk() {}
 
-    /** Walks breadth first, so that the first violation is a shortest one; at most so many states. */
-    public static Result walk(Shape shape, long maxStates) {
-        Set<Long> known = new HashSet<>();
-        ArrayDeque<World> open = new ArrayDeque<>();
-        open.addAll(initialWorlds(shape));
+    /** Explores states breadth first, so that the first violation has a shortest history; at most so many states. */
+    public static Result explore(Parameters parameters, long maxStates) {
+        Set<Long> visited = new HashSet<>();
+        ArrayDeque<ModelState> frontier = new ArrayDeque<>();
+        frontier.addAll(initialStates(parameters));
         long steps = 0;
-        long held = 0;
-        while (!open.isEmpty() && known.size() < maxStates) {
-            World world = open.poll();
-            int restarts = world.restarts == 0 ? 0 : shape.together ? 1 : shape.grantors;
+        long statesWithHolder = 0;
+        while (!frontier.isEmpty() && visited.size() < maxStates) {
+            ModelState state = frontier.poll();
+            int restarts = state.restarts == 0 ? 0 : parameters.restartTogether ? 1 : parameters.grantors;
             for (int restart = -1; restart < restarts; restart++) {
-                for (int f = world.pauses > 0 ? -1 : 0; f < 1 << 2 * shape.grantors; f++) {
-                    if (f > 0 && !shape.lateResponses && (f & f >> 1 & 0x55555555) != 0) {
+                for (int fates = state.pauses > 0 ? -1 : 0; fates < 1 << 2 * parameters.grantors; fates++) {
+                    if (fates > 0 && !parameters.lateResponses && (fates & fates >> 1 & 0x55555555) != 0) {
                         continue;
                     }
-                    World next = new World(world);
-                    next.runTurn(Math.max(0, f), f < 0, restart);
+                    ModelState next = new ModelState(state);
+                    next.runTurn(Math.max(0, fates), fates < 0, restart);
                     steps++;
                     next.step = new Step(
-                            next.now + " c" + (shape.grantors + world.turn)
-                                    + (f < 0 ? " stands still" : " " + Integer.toString(f, 4))
-                                    + (restart < 0 ? "" : " anew " + restart),
-                            world.step);
+                            next.now + " c" + (parameters.grantors + state.turn)
+                                    + (fates < 0 ? " is paused" : " " + Integer.toString(fates, 4))
+                                    + (restart < 0 ? "" : " restart " + restart),
+                            state.step);
                     String violation = next.findViolation(next.now);
-                    next.now += TURN;
+                    next.now += TURN_MICROS;
                     violation = violation != null ? violation : next.findViolation(next.now - 100);
                     if (violation != null) {
-                        return new Result(known.size(), steps, false, held, next.step.history() + "\n" + violation);
+                        return new Result(
+                                visited.size(), steps, false, statesWithHolder, next.step.history() + "\n" + violation);
                     }
-                    if (known.add(next.key())) {
-                        held += next.held() ? 1 : 0;
-                        open.add(next);
+                    if (visited.add(next.stateHash())) {
+                        statesWithHolder += next.isLeaseHeld() ? 1 : 0;
+                        frontier.add(next);
                     }
                 }
             }
         }
-        return new Result(known.size(), steps, open.isEmpty(), held, null);
+        return new Result(visited.size(), steps, frontier.isEmpty(), statesWithHolder, null);
     }
 
-    /** How a small world is broken, or null. */
-    public static String broken(int pauses, int restarts, boolean together, long maxStates) {
-        return walk(new Shape(3, 2, false, pauses, restarts, together), maxStates).violation;
+    /** Checks a small model. Returns the history of a violation, or null. */
+    public static String checkSmallModel(int pauses, int restarts, boolean restartTogether, long maxStates) {
+        return explore(new Parameters(3, 2, false, pauses, restarts, restartTogether), maxStates).violation;
     }
 
-    /** Models by comma: grantors, clients, late responses, pauses, restarts, all at once, states at most. */
+    /**
+     * Checks models. They are separated by commas, and their fields by colons: grantors, clients, late responses,
+     * pauses, restarts, whether all grantors restart at once, and the limit of states.
+     */
     public static void main(String[] args) {
-        for (String world : args[0].split(",")) {
-            String[] p = world.split(":");
-            long begun = System.nanoTime();
-            Result r = walk(
-                    new Shape(
-                            Integer.parseInt(p[0]),
-                            Integer.parseInt(p[1]),
-                            Boolean.parseBoolean(p[2]),
-                            Integer.parseInt(p[3]),
-                            Integer.parseInt(p[4]),
-                            Boolean.parseBoolean(p[5])),
-                    Long.parseLong(p[6]));
-            System.out.println(world + ": " + r.states + " states, " + r.steps + " steps, "
-                    + (r.whole ? "all" : "cut off") + ", the lease is held in " + r.held + ", "
-                    + (System.nanoTime() - begun) / 1_000_000 + " ms"
-                    + (r.violation == null ? "" : "\n" + r.violation));
+        for (String modelText : args[0].split(",")) {
+            String[] fields = modelText.split(":");
+            long startedAt = System.nanoTime();
+            Result result = explore(
+                    new Parameters(
+                            Integer.parseInt(fields[0]),
+                            Integer.parseInt(fields[1]),
+                            Boolean.parseBoolean(fields[2]),
+                            Integer.parseInt(fields[3]),
+                            Integer.parseInt(fields[4]),
+                            Boolean.parseBoolean(fields[5])),
+                    Long.parseLong(fields[6]));
+            System.out.println(modelText + ": " + result.states + " states, " + result.steps + " steps, "
+                    + (result.isComplete ? "all states" : "stopped at the limit") + ", the lease is held in "
+                    + result.statesWithHolder + ", "
+                    + (System.nanoTime() - startedAt) / 1_000_000 + " ms"
+                    + (result.violation == null ? "" : "\n" + result.violation));
         }
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/LeaseWalkTest.java
@@ -11,20 +11,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Models that are small enough for a run of the tests, and planted faults that the checker finds. */
+/** Runs the model checker for leases on small models: none violates the rules, and each planted fault is found. */
 class LeaseWalkTest {
 
-    private static final long STATES = 12_000;
+    private static final long MAX_STATES = 12_000;
 
     @TempDir
     Path folder;
 
     @ParameterizedTest
     @CsvSource({"0,0,false", "2,0,false", "0,1,false", "1,1,true"})
-    void noOrderOfEventsLetsTwoAct(int pauses, int restarts, boolean together) {
-        LeaseWalk.Result r = LeaseWalk.walk(new LeaseWalk.Shape(3, 2, false, pauses, restarts, together), STATES);
-        assertNull(r.violation());
-        assertTrue(r.held() > 1_000, r.toString());
+    void noInterleavingLetsTwoHoldersAct(int pauses, int restarts, boolean restartTogether) {
+        LeaseWalk.Result result =
+                LeaseWalk.explore(new LeaseWalk.Parameters(3, 2, false, pauses, restarts, restartTogether), MAX_STATES);
+        assertNull(result.violation());
+        assertTrue(result.statesWithHolder() > 1_000, result.toString());
     }
 
     @ParameterizedTest(name = "{0}")
@@ -32,15 +33,15 @@
             delimiter = '~',
             value = {
                 "a grantor does not wait after its start ~ 0 ~ 1 ~ LeaseGrantor.java "
-                        + "~ silentUntil = now + options.grantMicros(options.maxTermMicros()); ~ silentUntil = now;",
+                        + "~ firstGrantAt = now + options.grantMicros(options.maxTermMicros()); ~ firstGrantAt = now;",
                 "one grantor is enough ~ 0 ~ 0 ~ LeaseClient.java ~ if (request.isGranted(options) && now < "
                         + "~ if (now < ",
-                "a grantor releases early ~ 0 ~ 0 ~ LeaseGrantor.java ~ grant.expiresAt <= now || isRequesters "
-                        + "~ grant.expiresAt <= now + 300_000 || isRequesters",
+                "a grantor releases early ~ 0 ~ 0 ~ LeaseGrantor.java ~ grant.expiresAt <= now || isGrantOfRequester "
+                        + "~ grant.expiresAt <= now + 300_000 || isGrantOfRequester",
                 "drift is taken the wrong way ~ 0 ~ 0 ~ LeaseOptions.java ~ (1 + clockDrift) / (1 - clockDrift) "
                         + "~ (1 - 2 * clockDrift) / (1 + 2 * clockDrift)",
             })
-    void eachFaultIsFound(String fault, int pauses, int restarts, String file, String text, String instead)
+    void eachPlantedFaultIsFound(String fault, int pauses, int restarts, String file, String text, String instead)
             throws Exception {
         ClassLoader planted = new PlantedFault(
                 folder,
@@ -49,8 +50,8 @@
                 text,
                 instead,
                 name -> name.startsWith("org.cypressweir.modelcheck."));
-        Method broken = planted.loadClass("org.cypressweir.modelcheck.LeaseWalk")
-                .getMethod("broken", int.class, int.class, boolean.class, long.class);
-        assertNotNull(broken.invoke(null, pauses, restarts, false, STATES), "not found: " + fault);
+        Method checkSmallModel = planted.loadClass("org.cypressweir.modelcheck.LeaseWalk")
+                .getMethod("checkSmallModel", int.class, int.class, boolean.class, long.class);
+        assertNotNull(checkSmallModel.invoke(null, pauses, restarts, false, MAX_STATES), "not found: " + fault);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/PlantedLeaseFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedLeaseFaultsTest.java
@@ -22,7 +22,7 @@
             delimiter = '~',
             value = {
                 "a grantor does not wait after its start ~ faults ~ LeaseGrantor.java "
-                        + "~ silentUntil = now + options.grantMicros(options.maxTermMicros()); ~ silentUntil = now;",
+                        + "~ firstGrantAt = now + options.grantMicros(options.maxTermMicros()); ~ firstGrantAt = now;",
                 "a term counts from the answer ~ late answers ~ LeaseClient.java "
                         + "~ grantTimes.record(grantor, request.sentAt); "
                         + "~ grantTimes.record(grantor, now);",
@@ -40,8 +40,8 @@
                 "a holder ignores its clock ~ faults ~ LeaseClient.java "
                         + "~ return isHolder(now) ? expiresAt - now : 0; "
                         + "~ return isHolding ? termMicros() : 0;",
-                "a grantor releases early ~ faults ~ LeaseGrantor.java ~ grant.expiresAt <= now || isRequesters "
-                        + "~ grant.expiresAt <= now + 500_000 || isRequesters",
+                "a grantor releases early ~ faults ~ LeaseGrantor.java ~ grant.expiresAt <= now || isGrantOfRequester "
+                        + "~ grant.expiresAt <= now + 500_000 || isGrantOfRequester",
                 "anybody releases what has the same token ~ faults ~ LeaseGrantor.java "
                         + "~ if (grant != null && grant.isOf(release.holder()) && grant.token == release.token() "
                         + "~ if (grant != null && grant.token == release.token() ",
@@ -55,7 +55,7 @@
                 "any grantors may follow ~ keepers ~ LeaseOptions.java "
                         + "~ if (sameGrantors && (previousGrantors == null || hasPreviousGrantorsOf(current))) { "
                         + "~ if (true) {",
-                "who gets no response goes on requesting ~ one way ~ LeaseClient.java ~ if (!isAnswered) { "
+                "who gets no response goes on requesting ~ one way ~ LeaseClient.java ~ if (!hasQuorumResponded) { "
                         + "~ if (false) {",
                 "a renewal comes too late ~ quiet ~ LeaseClient.java ~ private static final int RENEWALS_PER_TERM = 5; "
                         + "~ private static final int RENEWALS_PER_TERM = 1;",
