--- a/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
@@ -15,41 +15,42 @@
 import org.cypressweir.testkit.SidecarProcesses;
 
 /**
- * Processes of the program with a lease whose holder fails again and again in ways drawn from a seed, three
- * keepers, and how long it takes until another acts. Its argument: processes, faults, first and last seed.
+ * Measures how long it takes until another process acts under a lease after its holder fails. Sidecar processes have
+ * three grantors, and the holder's faults are drawn from a seed. The argument has the number of processes, the faults
+ * of each seed, the first seed and the last one, separated by colons.
  */
 public final class LeaseProcessBench {
 
-    private static final long PAUSE = 500;
-    private static final long TERM = 1_200;
-    private static final long STARTED = 30_000;
+    private static final long PAUSE_MILLIS = 500;
+    private static final long TERM_MILLIS = 1_200;
+    private static final long START_TIMEOUT_MILLIS = 30_000;
 
     private LeaseProcessBench() {}
 
     public static void main(String[] args) throws Exception {
-        String[] parts = args[0].split(":");
-        int members = Integer.parseInt(parts[0]);
-        Histogram gaps = new Histogram(600_000, 3);
-        long acts = 0;
-        for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
+        String[] fields = args[0].split(":");
+        int members = Integer.parseInt(fields[0]);
+        Histogram takeoverMillis = new Histogram(600_000, 3);
+        long actCount = 0;
+        for (long seed = Long.parseLong(fields[2]); seed <= Long.parseLong(fields[3]); seed++) {
             Path folder = Files.createTempDirectory("processes");
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
+                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server)) {
                 processes.seeds(3);
-                String keepers = IntStream.range(0, 3)
-                        .mapToObj(k -> address(processes, k))
+                String grantors = IntStream.range(0, 3)
+                        .mapToObj(index -> address(processes, index))
                         .collect(Collectors.joining(", "));
-                processes.operators(text ->
-                        text + "[keepers]\naddresses = [" + keepers + "]\n[leases.job]\nterm = \"" + TERM + "ms\"\n");
+                processes.operators(text -> text + "[keepers]\naddresses = [" + grantors + "]\n[leases.job]\nterm = \""
+                        + TERM_MILLIS + "ms\"\n");
                 for (int i = 0; i < members; i++) {
                     processes.start(i);
                 }
-                try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
+                try (LeaseHolders leaseHolders = new LeaseHolders(processes, "job")) {
                     SplittableRandom random = new SplittableRandom(seed);
-                    for (int fault = 0; fault < Integer.parseInt(parts[1]); fault++) {
-                        fault(processes, actors, random, gaps);
+                    for (int fault = 0; fault < Integer.parseInt(fields[1]); fault++) {
+                        injectFault(processes, leaseHolders, random, takeoverMillis);
                     }
-                    acts += actors.count();
+                    actCount += leaseHolders.count();
                 }
                 System.out.println("seed " + seed + ": never two");
             } finally {
@@ -59,37 +60,42 @@
         System.out.println(String.format(
                 Locale.ROOT,
                 "%d faults of holders, %d acts, term %d ms:" + " another acts after median %d ms, 99%% %d, worst %d",
-                gaps.getTotalCount(),
-                acts,
-                TERM,
-                gaps.getValueAtPercentile(50),
-                gaps.getValueAtPercentile(99),
-                gaps.getMaxValue()));
+                takeoverMillis.getTotalCount(),
+                actCount,
+                TERM_MILLIS,
+                takeoverMillis.getValueAtPercentile(50),
+                takeoverMillis.getValueAtPercentile(99),
+                takeoverMillis.getMaxValue()));
     }
 
-    private static String address(SidecarProcesses processes, int place) {
+    private static String address(SidecarProcesses processes, int index) {
         try {
-            return "\"127.0.0.1:" + processes.relay.port(place) + "\"";
+            return "\"127.0.0.1:" + processes.relay.port(index) + "\"";
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void fault(SidecarProcesses processes, LeaseHolders actors, SplittableRandom random, Histogram gaps)
+    private static void injectFault(
+            SidecarProcesses processes, LeaseHolders leaseHolders, SplittableRandom random, Histogram takeoverMillis)
             throws Exception {
         for (int i = 0; i < processes.size(); i++) {
-            int who = i;
-            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").startsWith("YES"));
+            int index = i;
+            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+                    .ask(index, "READY")
+                    .startsWith("YES"));
         }
-        // Whoever started anew may be a keeper, and has to wait and to learn.
-        TimeUnit.MILLISECONDS.sleep(2 * TERM);
-        processes.within(STARTED, "held", () -> !actors.holder().isEmpty());
-        int holder = Integer.parseInt(actors.holder().substring(1));
-        int kind = random.nextInt(7);
+        // A restarted process may be a grantor, which has to wait for a term and then recover tokens.
+        TimeUnit.MILLISECONDS.sleep(2 * TERM_MILLIS);
+        processes.within(START_TIMEOUT_MILLIS, "a process holds the lease", () -> !leaseHolders
+                .holder()
+                .isEmpty());
+        int holder = Integer.parseInt(leaseHolders.holder().substring(1));
+        int faultKind = random.nextInt(7);
         if (random.nextInt(3) == 0) {
-            processes.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM, 0));
+            processes.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM_MILLIS, 0));
         }
-        switch (kind) {
+        switch (faultKind) {
             case 0 -> processes.signal(holder, "STOP");
             case 1 -> processes.kill(holder);
             case 2 -> processes.relay.cut((from, to) -> to != holder);
@@ -98,12 +104,14 @@
             case 5 -> processes.ask(holder, "DRAIN");
             default -> processes.process(holder).destroy();
         }
-        long took = processes.within(
-                10 * TERM, "another holds, fault " + kind, () -> actors.actsBesides(SidecarProcesses.name(holder)));
-        gaps.recordValue(took);
-        TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM));
+        long tookMillis = processes.within(
+                10 * TERM_MILLIS,
+                "another process holds the lease, fault " + faultKind,
+                () -> leaseHolders.actsBesides(SidecarProcesses.name(holder)));
+        takeoverMillis.recordValue(tookMillis);
+        TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM_MILLIS));
         processes.relay.weather(DatagramRelay.Weather.FAIR);
-        switch (kind) {
+        switch (faultKind) {
             case 0 -> processes.signal(holder, "CONT");
             case 1 -> processes.start(holder);
             case 5 -> processes.ask(holder, "UNDRAIN");
@@ -113,8 +121,8 @@
             }
             default -> processes.relay.cut((from, to) -> true);
         }
-        if (!actors.wrong().isEmpty()) {
-            throw new AssertionError(actors.wrong() + "\n" + processes.logs());
+        if (!leaseHolders.wrong().isEmpty()) {
+            throw new AssertionError(leaseHolders.wrong() + "\n" + processes.logs());
         }
     }
 }
--- a/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
@@ -16,39 +16,39 @@
 import org.cypressweir.testkit.SidecarProcesses;
 
 /**
- * Many processes of the program with faults between them, and what membership costs each. Its argument:
- * processes, faults of each plan, first seed and last seed, such as {@code 5:8:1:30}; no faults to see the
- * cost alone, beside the same processes without membership.
+ * Runs many sidecar processes under random faults, or measures the cost of membership for each process. The argument
+ * has the number of processes, the faults of each schedule, the first seed and the last one, such as {@code 5:8:1:30}.
+ * With 0 faults it measures the cost, with membership and without.
  */
 public final class MembershipProcessBench {
 
-    private static final long PAUSE = 1_000;
+    private static final long PAUSE_MILLIS = 1_000;
     private static final long COST_SECONDS = 20;
 
     private MembershipProcessBench() {}
 
     public static void main(String[] args) throws Exception {
-        String[] parts = args[0].split(":");
-        int members = Integer.parseInt(parts[0]);
-        int steps = Integer.parseInt(parts[1]);
-        if (steps == 0) {
-            cost(members, true);
-            cost(members, false);
+        String[] fields = args[0].split(":");
+        int members = Integer.parseInt(fields[0]);
+        int faultsPerSchedule = Integer.parseInt(fields[1]);
+        if (faultsPerSchedule == 0) {
+            measureCost(members, true);
+            measureCost(members, false);
             return;
         }
-        for (long seed = Long.parseLong(parts[2]); seed <= Long.parseLong(parts[3]); seed++) {
-            long begun = System.nanoTime();
+        for (long seed = Long.parseLong(fields[2]); seed <= Long.parseLong(fields[3]); seed++) {
+            long startedAt = System.nanoTime();
             Path folder = Files.createTempDirectory("processes");
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE, server)) {
+                    SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server)) {
                 int[] all = start(processes, members);
-                processes.within(120_000, "all see all", () -> processes.see(members, all));
-                FaultSchedule plan = new FaultSchedule(processes, PAUSE);
-                for (FaultSchedule.Step step : FaultSchedule.draw(seed, members, steps, PAUSE)) {
-                    plan.play(step);
+                processes.within(120_000, "all members see each other", () -> processes.see(members, all));
+                FaultSchedule schedule = new FaultSchedule(processes, PAUSE_MILLIS);
+                for (FaultSchedule.Step step : FaultSchedule.draw(seed, members, faultsPerSchedule, PAUSE_MILLIS)) {
+                    schedule.play(step);
                 }
-                System.out.println("seed " + seed + ": " + steps + " faults, none wrong, "
-                        + (System.nanoTime() - begun) / 1_000_000_000 + " s");
+                System.out.println("seed " + seed + ": " + faultsPerSchedule + " faults, none wrong, "
+                        + (System.nanoTime() - startedAt) / 1_000_000_000 + " s");
             } finally {
                 delete(folder);
             }
@@ -63,12 +63,12 @@
         return all;
     }
 
-    /** Processor and memory of a process that has nothing else to do. */
-    private static void cost(int members, boolean on) throws Exception {
+    /** Measures CPU time and memory of idle processes. */
+    private static void measureCost(int members, boolean isMembershipOn) throws Exception {
         Path folder = Files.createTempDirectory("processes");
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
-                SidecarProcesses processes = new SidecarProcesses(folder, 1, members, 3 * PAUSE, server)) {
-            if (!on) {
+                SidecarProcesses processes = new SidecarProcesses(folder, 1, members, 3 * PAUSE_MILLIS, server)) {
+            if (!isMembershipOn) {
                 processes.operators(text -> text.substring(0, text.indexOf("[membership]")));
             }
             int[] all = start(processes, members);
@@ -76,8 +76,8 @@
                 processes.within(
                         120_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
             }
-            if (on) {
-                processes.within(60_000, "all see all", () -> processes.see(members, all));
+            if (isMembershipOn) {
+                processes.within(60_000, "all members see each other", () -> processes.see(members, all));
             }
             TimeUnit.SECONDS.sleep(COST_SECONDS);
             long[] before = IntStream.of(all).mapToLong(i -> cpu(processes, i)).toArray();
@@ -90,10 +90,10 @@
             long[] memory = new long[members];
             for (int i : all) {
                 long pid = processes.process(i).pid();
-                memory[i] = sum("VmRSS:\\s+(\\d+)", Files.readString(Path.of("/proc/" + pid + "/status")));
-                // What lives on after a full collection is what it keeps.
+                memory[i] = sumOfMatches("VmRSS:\\s+(\\d+)", Files.readString(Path.of("/proc/" + pid + "/status")));
+                // Runs a full collection first, so that only live objects count.
                 jcmd(pid, "GC.run");
-                heap[i] = sum("(?:generation|Metaspace) .*used (\\d+)K", jcmd(pid, "GC.heap_info"));
+                heap[i] = sumOfMatches("(?:generation|Metaspace) .*used (\\d+)K", jcmd(pid, "GC.heap_info"));
             }
             Arrays.sort(heap);
             Arrays.sort(memory);
@@ -103,7 +103,7 @@
                             + " %.2f%%, worst %.2f%% of a core; heap and classes in use median %d KiB, worst %d KiB;"
                             + " resident median %d KiB, worst %d KiB",
                     members,
-                    on ? "on" : "off",
+                    isMembershipOn ? "on" : "off",
                     cpu[members / 2],
                     cpu[members - 1],
                     heap[members / 2],
@@ -119,12 +119,12 @@
         Process jcmd = new ProcessBuilder("jcmd", String.valueOf(pid), command)
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         jcmd.waitFor();
-        return said;
+        return output;
     }
 
-    private static long sum(String number, String text) {
+    private static long sumOfMatches(String number, String text) {
         return Pattern.compile(number)
                 .matcher(text)
                 .results()
--- a/src/main/java/org/cypressweir/fleet/transport/EndpointListBorrower.java
+++ b/src/main/java/org/cypressweir/fleet/transport/EndpointListBorrower.java
@@ -10,7 +10,7 @@
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.Peer;
 
-/** Borrows endpoint lists of other members until discovery has responded, and lends its own. */
+/** Borrows endpoint lists from other members until discovery has responded, and lends this process's own list. */
 final class EndpointListBorrower {
 
     private final FleetCoordination.Lists lists;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Done once there is no reason for a start to wait for other members any more. */
+    /** Completed once a start no longer has to wait for other members. */
     CompletableFuture<Void> finished() {
         return finished;
     }
@@ -45,7 +45,7 @@
         finished.complete(null);
     }
 
-    /** Does what is due. */
+    /** Performs the actions that are due. */
     void tick(long now, Peer self, Supplier<List<Peer>> otherMembers) {
         if (lists.told()) {
             if (isSeeking) {
--- a/src/main/java/org/cypressweir/fleet/transport/EventRecorder.java
+++ b/src/main/java/org/cypressweir/fleet/transport/EventRecorder.java
@@ -7,13 +7,13 @@
 import org.tinylog.configuration.Configuration;
 
 /**
- * Writes the events of this process to its event file, a line of JSON each, with the time of the wall clock and of the
- * monotonic clock: files of several processes on one machine can be merged by the latter. A thread of the logging
- * library writes. Names of fields are fixed.
+ * Writes the events of this process to its event file, one line of JSON each, with wall clock time and monotonic time;
+ * the latter allows merging the files of several processes on one machine. A thread of the logging library does the
+ * writing. Field names are fixed.
  */
 final class EventRecorder {
 
-    /** Set once for the process, before the first event. */
+    /** Configures the event file. Called once per process, before the first event. */
     static void open(String file, String process) {
         Map<String, String> settings = Map.of(
                 "writer", "json",
--- a/src/main/java/org/cypressweir/fleet/transport/FleetEventLog.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetEventLog.java
@@ -2,7 +2,7 @@
 
 import org.cypressweir.fleet.membership.MembershipOptions;
 
-/** The events of one process in its event file, if the settings name one. */
+/** Records the events of one process in its event file, if the settings name one. */
 final class FleetEventLog {
 
     private final boolean isRecorded;
--- a/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
@@ -26,17 +26,17 @@
 
 /**
  * Membership, shares, endpoint lists and leases of one process over one UDP socket: passes the time and received
- * messages to the protocols, and sends what they want to send. Confined to the event loop.
+ * messages to the protocols, and sends their messages. Confined to the event loop.
  */
 public final class FleetSocket implements FleetCoordination {
 
-    /** A start waits no longer than this for other members, who may not be there. */
+    /** Longest time that a start waits for other members, which may not exist. */
     private static final long MAX_START_DELAY_MILLIS = 1_500;
 
     private static final long BIND_RETRY_MILLIS = 200;
 
     private final Opening opening;
-    /** As last taken over. */
+    /** The options in use. */
     private MembershipOptions options;
 
     private final UdpTransport transport;
@@ -47,7 +47,7 @@
 
     private final EndpointListBorrower endpointLists;
     private final LeaseService leases;
-    private double lastPart;
+    private double lastShare;
     private int lastProcessCount;
     private boolean isLeaving;
 
@@ -73,7 +73,10 @@
         return new ShareRequester(nowMicros(), options.shares(), options.advertise(), firstNumber, transport::send);
     }
 
-    /** Opens the socket; where another process still has it that is about to end, once that one has ended. */
+    /**
+     * Opens the socket. While a process that this one replaces still uses the socket, the result completes at once, and
+     * the socket is opened when that process has ended.
+     */
     public static CompletableFuture<FleetCoordination> open(Opening opening) {
         CompletableFuture<FleetCoordination> opened = new CompletableFuture<>();
         FleetSocket socket = new FleetSocket(opening);
@@ -91,7 +94,7 @@
             } else if (opening.beside()) {
                 if (opened.complete(this)) {
                     String address = Addresses.text(options.listen());
-                    opening.log().accept("membership: waits for " + address + ", which another process has");
+                    opening.log().accept("membership: waits for " + address + ", which another process uses");
                 }
                 scheduleBind(opened);
             } else {
@@ -126,7 +129,7 @@
         leases.tick(nowMicros(), this::liveMembers);
         membership.tick(nowMicros());
         if (!isLeaving) {
-            tickShares();
+            updateShares();
             endpointLists.tick(nowMicros(), membership.self(), this::otherLiveMembers);
         } else if (membership.hasLeft() && leases.hasReleasedAll()) {
             events.record("closed", opening.name(), "");
@@ -137,23 +140,23 @@
         loop.schedule(this::tick, options.tickMicros(), TimeUnit.MICROSECONDS);
     }
 
-    /** A smaller share is noticed here at the latest; whoever uses a limit asks for its share each time. */
-    private void tickShares() {
+    /** Detects share changes at the latest here; code that applies a limit reads the share each time it uses it. */
+    private void updateShares() {
         if (shares == null) {
             return;
         }
         shares.tick(nowMicros(), membership.self());
         double part = shares.part(nowMicros());
         int processCount = shares.processCount(nowMicros());
-        if (part != lastPart || processCount != lastProcessCount) {
-            lastPart = part;
+        if (part != lastShare || processCount != lastProcessCount) {
+            lastShare = part;
             lastProcessCount = processCount;
             events.record("part", opening.name(), part + " " + processCount);
             opening.portioned().run();
         }
     }
 
-    /** Members in the view, this process among them once it was admitted. */
+    /** Members in the view, including this process once it was admitted. */
     private Stream<MemberRecord> liveMembers() {
         return membership.members().values().stream()
                 .map(MembershipProtocol.MemberView::record)
@@ -237,7 +240,7 @@
         options = options.reloaded(newOptions.withLeases(leaseOptions));
         membership.reconfigure(options);
         if (!Objects.equals(oldShares, options.shares())) {
-            // What voters have granted by the old options does not hold for these.
+            // Grants that voters made under the old options are not valid under the new ones.
             shares = newShares();
         }
     }
--- a/src/main/java/org/cypressweir/fleet/transport/FleetStatusJson.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetStatusJson.java
@@ -20,13 +20,13 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Writes the fields of the outer object. */
-    private interface Fields {
+    private interface FieldWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
     private FleetStatusJson() {}
 
-    /** @param shares null where limits are not shared */
+    /** @param shares null if limits are not shared */
     static String members(long now, MembershipProtocol membership, ShareRequester shares, UdpTransport transport) {
         return object(out -> {
             out.writeStringField("self", membership.self().name());
@@ -105,15 +105,15 @@
         });
     }
 
-    private static String object(Fields fields) {
-        StringWriter text = new StringWriter(INITIAL_CHARACTERS);
-        try (JsonGenerator out = JSON.createGenerator(text)) {
+    private static String object(FieldWriter fieldWriter) {
+        StringWriter json = new StringWriter(INITIAL_CHARACTERS);
+        try (JsonGenerator out = JSON.createGenerator(json)) {
             out.writeStartObject();
-            fields.write(out);
+            fieldWriter.write(out);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a string can't fail", e);
+            throw new UncheckedIOException("writing to a string failed", e);
         }
-        return text.toString();
+        return json.toString();
     }
 }
--- a/src/main/java/org/cypressweir/fleet/transport/LeaseMessageCodec.java
+++ b/src/main/java/org/cypressweir/fleet/transport/LeaseMessageCodec.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.cypressweir.fleet.lease.LeaseMessage;
 
-/** Encodes messages about leases as the payload of a datagram: one CBOR array each, in a fixed order of values. */
+/** Encodes lease messages as the payload of a datagram: one CBOR array each, with a fixed order of values. */
 final class LeaseMessageCodec {
 
     private static final int MAX_TEXT_LENGTH = 200;
@@ -36,28 +36,28 @@
             }
             out.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("memory can't fail", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    static LeaseMessage read(byte[] load) throws MembershipMessageCodec.Dropped {
-        try (JsonParser in = CBOR.createParser(load)) {
+    static LeaseMessage read(byte[] payload) throws MembershipMessageCodec.Dropped {
+        try (JsonParser in = CBOR.createParser(payload)) {
             require(in.nextToken() == JsonToken.START_ARRAY);
-            long kind = number(in);
+            long kind = readLong(in);
             require(kind >= 0 && kind < LeaseMessage.Kind.values().length);
-            String lease = text(in);
-            String holder = text(in);
-            long token = number(in);
-            long requestNumber = number(in);
-            long micros = number(in);
-            long grantorSetId = number(in);
+            String lease = readText(in);
+            String holder = readText(in);
+            long token = readLong(in);
+            long requestNumber = readLong(in);
+            long micros = readLong(in);
+            long grantorSetId = readLong(in);
             require(token >= 0 && micros >= 0);
             Map<String, Long> highestTokens = new LinkedHashMap<>();
             while (in.nextToken() == JsonToken.VALUE_STRING) {
                 require(highestTokens.size() < LeaseMessage.MAX_TOKENS
                         && in.getText().length() <= MAX_TEXT_LENGTH);
-                highestTokens.put(in.getText(), number(in));
+                highestTokens.put(in.getText(), readLong(in));
             }
             require(in.currentToken() == JsonToken.END_ARRAY);
             return new LeaseMessage(
@@ -80,12 +80,12 @@
         }
     }
 
-    private static long number(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
+    private static long readLong(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
         require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
-    private static String text(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
+    private static String readText(JsonParser in) throws IOException, MembershipMessageCodec.Dropped {
         require(in.nextToken() == JsonToken.VALUE_STRING && in.getText().length() <= MAX_TEXT_LENGTH);
         return in.getText();
     }
--- a/src/main/java/org/cypressweir/fleet/transport/LeaseService.java
+++ b/src/main/java/org/cypressweir/fleet/transport/LeaseService.java
@@ -19,17 +19,18 @@
 import org.cypressweir.fleet.membership.MembershipProtocol;
 
 /**
- * The leases of one process on the fleet's socket: sends their messages, logs their changes, tells them the live
- * members, and answers the operators. Does nothing where the settings have no leases. Confined to the event loop.
+ * Connects the leases of one process to the fleet's socket: sends their messages, logs their changes, updates them with
+ * the live members, and answers operators' queries. Does nothing if the settings have no leases. Confined to the event
+ * loop.
  */
 final class LeaseService {
 
-    private static final String LEASES_ARE_OFF = "NO leases are off";
+    private static final String LEASES_DISABLED = "NO leases are off";
     private static final String STATE_FACT = "state";
     private static final String SERVING = "serving";
     private static final Set<String> STATES_WITH_LEASES = Set.of(SERVING, "starting");
     private static final long MEMBERS_INTERVAL_MICROS = 500_000;
-    /** For how long somebody outside the process may act by one answer; the lease is not released meanwhile. */
+    /** How long a client outside the process may act on one answer; the lease is not released meanwhile. */
     private static final long MAX_DELEGATION_MICROS = 2_000_000;
 
     private final FleetCoordination.Opening opening;
@@ -38,7 +39,7 @@
     private final BiConsumer<InetSocketAddress, MembershipMessage> sender;
     private final FleetEventLog events;
     private LeaseOptions options;
-    /** Null where the settings have no leases. */
+    /** Null if the settings have no leases. */
     private Leases leases;
 
     private long nextMembersUpdateAt = Long.MIN_VALUE;
@@ -110,15 +111,15 @@
     }
 
     /**
-     * Takes other options over. Grantors that can't follow the present ones safely are rejected, with a log line.
+     * Applies new options. Grantors that can't safely replace the current ones are rejected with a log line.
      *
-     * @return the options that hold now
+     * @return the options in effect now
      */
     LeaseOptions reconfigure(long now, LeaseOptions newOptions) {
         if (leases == null) {
             start(now, newOptions);
         } else if (newOptions == null) {
-            leases.leave(now, "the file has no leases any more");
+            leases.leave(now, "the file no longer has any leases");
             start(now, null);
         } else {
             String unsafe = leases.reconfigure(now, newOptions);
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Does what is due. Has to be called before anything else that the process does in a tick, so that what has expired
-     * in a pause is not used.
+     * Performs the actions that are due. Has to be called before anything else that the process does in a tick, so
+     * that leases that expired during a pause are not used.
      */
     void tick(long now, Supplier<Stream<MemberRecord>> liveMembers) {
         if (leases == null) {
@@ -146,7 +147,7 @@
         }
     }
 
-    /** Members that a lease may be handed over to: those that drain request none. */
+    /** Members that a lease may be handed over to; draining members request none. */
     private Map<String, InetSocketAddress> servingMembers(Stream<MemberRecord> liveMembers) {
         Map<String, InetSocketAddress> serving = new HashMap<>();
         liveMembers
@@ -164,7 +165,7 @@
         }
     }
 
-    /** The process says other things of itself: while it drains or ends it holds no leases. */
+    /** Handles a change of this process's facts: while it drains or ends it holds no leases. */
     void updateFacts(long now, Map<String, String> facts) {
         if (leases == null) {
             return;
@@ -173,7 +174,7 @@
         if (STATES_WITH_LEASES.contains(state)) {
             leases.rejoin();
         } else {
-            leases.leave(now, "it is " + state);
+            leases.leave(now, "the process is " + state);
         }
     }
 
@@ -187,10 +188,10 @@
         return leases == null || leases.hasReleasedAll();
     }
 
-    /** Answer to whether the caller may act under a lease. */
+    /** Answers whether the caller may act under a lease. */
     String answer(long now, String lease) {
         if (leases == null) {
-            return LEASES_ARE_OFF;
+            return LEASES_DISABLED;
         }
         Leases.Status status = leases.status(now).get(lease);
         if (status == null) {
@@ -205,8 +206,8 @@
                 : "NO held by " + status.holder() + " for " + status.remainingMicros() / 1_000 + " ms at most";
     }
 
-    /** Answer that lists all leases. */
+    /** Answers with a list of all leases. */
     String answerAll(long now) {
-        return leases == null ? LEASES_ARE_OFF : FleetStatusJson.leases(leases.status(now)) + "\nEND";
+        return leases == null ? LEASES_DISABLED : FleetStatusJson.leases(leases.status(now)) + "\nEND";
     }
 }
--- a/src/main/java/org/cypressweir/fleet/transport/MembershipMessageCodec.java
+++ b/src/main/java/org/cypressweir/fleet/transport/MembershipMessageCodec.java
@@ -23,12 +23,12 @@
 
 /**
  * Encodes messages as datagrams: one CBOR array (RFC 8949), followed by its CRC-32C (RFC 3720, appendix B.4) in four
- * bytes, since one flipped bit might otherwise read as another incarnation. A datagram of another cluster or version,
- * one that is damaged, and one with a value out of bounds are dropped. The order of values is fixed.
+ * bytes, since a flipped bit might otherwise pass as a different incarnation. Datagrams of another cluster or version,
+ * damaged datagrams, and datagrams with a value out of bounds are dropped. The order of values is fixed.
  */
 final class MembershipMessageCodec {
 
-    /** Bytes of a datagram, at most. */
+    /** Maximum size of a datagram. */
     static final int MAX_DATAGRAM_BYTES = 1_200;
 
     static final int VERSION = 2;
@@ -47,7 +47,7 @@
         NONSENSE
     }
 
-    /** The datagram is dropped. Without a stack trace, since anybody may send any number of them. */
+    /** A datagram was dropped. Has no stack trace, since any host may send any number of such datagrams. */
     static final class Dropped extends Exception {
         private static final long serialVersionUID = 1L;
         private final Fault fault;
@@ -99,7 +99,7 @@
             out.writeBinary(message.payload());
             out.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("memory can't fail", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
         byte[] body = bytes.toByteArray();
         return ByteBuffer.allocate(body.length + 4)
@@ -233,7 +233,7 @@
             return new Peer(name, processId, startedAtMillis, incarnation, new InetSocketAddress(address, port));
         }
 
-        /** Its list has begun already. */
+        /** Reads a record whose array has already begun. */
         private MemberRecord readRecord() throws IOException, Dropped {
             beginArray();
             Peer peer = readPeer();
@@ -274,7 +274,7 @@
             require(in.nextToken() == JsonToken.START_ARRAY);
         }
 
-        /** Whether another list begins within the list that is read, which has so many by now. */
+        /** Whether another array begins within the current one, which has {@code count} elements so far. */
         private boolean beginsElement(int count) throws IOException, Dropped {
             JsonToken next = in.nextToken();
             require(next == JsonToken.END_ARRAY || next == JsonToken.START_ARRAY && count < MAX_ITEMS);
--- a/src/main/java/org/cypressweir/fleet/transport/UdpTransport.java
+++ b/src/main/java/org/cypressweir/fleet/transport/UdpTransport.java
@@ -22,7 +22,7 @@
 /** The UDP socket of one process: encodes, decodes and counts datagrams. Confined to the event loop. */
 final class UdpTransport {
 
-    /** What the kernel buffers while the loop is busy or the process is paused. */
+    /** Size of the kernel's buffer, which holds datagrams while the loop is busy or the process is paused. */
     private static final int RECEIVE_BUFFER_BYTES = 512 << 10;
 
     /** Receives the messages that could be decoded. */
@@ -36,7 +36,7 @@
     private final Consumer<String> log;
     private final Map<MembershipMessageCodec.Fault, Long> droppedDatagrams =
             new EnumMap<>(MembershipMessageCodec.Fault.class);
-    /** Null until the socket is open. */
+    /** Null until the socket is bound. */
     private Channel channel;
 
     private long sentDatagrams;
@@ -76,7 +76,7 @@
         channel.close();
     }
 
-    /** Sends a message; nothing happens before the socket is open, or where the message is too long. */
+    /** Sends a message; does nothing before the socket is bound, or if the message is too long. */
     void send(InetSocketAddress to, MembershipMessage message) {
         byte[] bytes = codec.write(message);
         if (channel != null && bytes.length <= MembershipMessageCodec.MAX_DATAGRAM_BYTES) {
@@ -113,7 +113,7 @@
             }
         }
 
-        /** An I/O error means that nobody listens where something was sent, which is no more than silence. */
+        /** Ignores I/O errors: they mean that no process listens at a peer's address, and equal a missing response. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
--- a/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process that starts while discovery is dead. */
+/** A process that starts while discovery is down borrows an endpoint list from another member. */
 @Timeout(120)
 class BorrowedEndpointListTest {
 
@@ -23,70 +23,74 @@
     Path folder;
 
     private final HttpClient client = HttpClient.newHttpClient();
-    private int ids;
+    private int lastRequestId;
 
-    private int ask(SidecarProcesses processes, int i) throws Exception {
+    private int sendRequest(SidecarProcesses processes, int i) throws Exception {
         return client.send(
                         HttpRequest.newBuilder(URI.create(
                                         "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
-                                .header("Request-Id", String.format("%016x", ++ids))
+                                .header("Request-Id", String.format("%016x", ++lastRequestId))
                                 .header("Request-Timeout-Ms", "3000")
                                 .build(),
                         HttpResponse.BodyHandlers.ofString())
                 .statusCode();
     }
 
-    private static void ready(SidecarProcesses processes, int i) throws Exception {
+    private static void awaitReady(SidecarProcesses processes, int i) throws Exception {
         processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
     }
 
-    /** Its own configuration names servers that are long gone, or drain; others know the one that serves. */
+    /** Its own configuration names only removed or draining servers; other members know the one that serves. */
     @Test
-    void whoeverStartsWhileDiscoveryIsDeadTakesTheNewestListOfTheOthers() throws Exception {
-        try (PeerStub gone = new PeerStub(PeerStub.serves("gone"));
-                PeerStub drains = new PeerStub(PeerStub.serves("drains"));
-                PeerStub serves = new PeerStub(PeerStub.serves("serves"));
-                SidecarProcesses processes = new SidecarProcesses(folder, 1, 3, 1_000, gone, drains)) {
-            String old = Configs.json(Configs.list(4, true, "in_service", gone, drains));
-            String list = Configs.json(Configs.list(7, true, "in_service", serves)
+    void startWithoutDiscoveryBorrowsNewestList() throws Exception {
+        try (PeerStub removed = new PeerStub(PeerStub.serves("gone"));
+                PeerStub draining = new PeerStub(PeerStub.serves("drains"));
+                PeerStub serving = new PeerStub(PeerStub.serves("serves"));
+                SidecarProcesses processes = new SidecarProcesses(folder, 1, 3, 1_000, removed, draining)) {
+            String olderList = Configs.json(Configs.list(4, true, "in_service", removed, draining));
+            String newerList = Configs.json(Configs.list(7, true, "in_service", serving)
                     .replace(
                             "'targets':[",
-                            "'targets':[{'uid':'s-" + drains.port() + "','endpoint':'127.0.0.1:" + drains.port()
+                            "'targets':[{'uid':'s-" + draining.port() + "','endpoint':'127.0.0.1:" + draining.port()
                                     + "','az':'a','model':'m','pod_group':0,'state':'terminating','boot_ms':0},"));
-            String[] told = {old};
+            String[] discoveryList = {olderList};
             processes.discovery.script(seen -> {
-                String now = told[0];
-                if (!now.equals(old) && seen.request().first().contains("from=7")) {
+                String current = discoveryList[0];
+                if (!current.equals(olderList) && seen.request().first().contains("from=7")) {
                     return;
                 }
-                seen.reply("200 OK", "", now);
+                seen.reply("200 OK", "", current);
             });
-            // The first hears of the older list only, the second of the newer one, too.
+            // The first process receives only the older list, the second also the newer one.
             processes.start(0);
-            ready(processes, 0);
+            awaitReady(processes, 0);
             processes.within(5_000, "the older list", () -> processes.discovery.seen.size() >= 2);
             processes.signal(0, "STOP");
             for (PeerStub.Seen seen : processes.discovery.seen) {
                 seen.socket().close();
             }
-            told[0] = list;
+            discoveryList[0] = newerList;
             processes.start(1);
-            ready(processes, 1);
-            processes.within(5_000, "the newer list", () -> ask(processes, 1) == 200 && !serves.seen.isEmpty());
+            awaitReady(processes, 1);
+            processes.within(
+                    5_000, "the newer list", () -> sendRequest(processes, 1) == 200 && !serving.seen.isEmpty());
             processes.discovery.close();
             processes.signal(0, "CONT");
-            processes.within(5_000, "both are there", () -> processes.see(2, 0, 1));
-            int before = gone.seen.size() + drains.seen.size();
-            int served = serves.seen.size();
+            processes.within(5_000, "both see each other", () -> processes.see(2, 0, 1));
+            int requestsBefore = removed.seen.size() + draining.seen.size();
+            int servedBefore = serving.seen.size();
 
             processes.start(2);
-            ready(processes, 2);
+            awaitReady(processes, 2);
             for (int i = 0; i < 50; i++) {
-                assertEquals(200, ask(processes, 2));
+                assertEquals(200, sendRequest(processes, 2));
             }
-            assertEquals(before, gone.seen.size() + drains.seen.size(), "of those that it must not use");
-            assertEquals(served + 50, serves.seen.size());
+            assertEquals(
+                    requestsBefore,
+                    removed.seen.size() + draining.seen.size(),
+                    "requests to servers that must not be used");
+            assertEquals(servedBefore + 50, serving.seen.size());
             SidecarProcesses.Event loan = processes.history().stream()
                     .filter(e -> e.process().equals("n2") && e.event().equals("borrowed"))
                     .findFirst()
--- a/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
@@ -18,27 +18,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Leases among processes of the program, with faults between them: two holders never act at once. */
+/** Leases among sidecar processes under faults: two holders must never act at the same time. */
 @Timeout(120)
 class LeaseProcessTest extends SidecarProcessTestCase {
 
-    private static final long PAUSE = 500;
-    private static final long TERM = 1_200;
-    /** A keeper that has just started says nothing for a term, and then asks the others. */
-    private static final long KEEPERS = 2 * TERM;
+    private static final long PAUSE_MILLIS = 500;
+    private static final long TERM_MILLIS = 1_200;
+    /** A restarted grantor grants nothing for a term, and then queries the other grantors for tokens. */
+    private static final long GRANTOR_RECOVERY_MILLIS = 2 * TERM_MILLIS;
 
-    private static final int NOBODY = -1;
+    private static final int NO_PROCESS = -1;
 
-    private static String file(SidecarProcesses processes, String text, int... keepers) {
-        return text + "[keepers]\naddresses = [" + addresses(processes, keepers) + "]\n[leases.job]\nterm = \"" + TERM
-                + "ms\"\n";
+    private static String withLeaseSettings(SidecarProcesses processes, String text, int... grantors) {
+        return text + "[keepers]\naddresses = [" + addresses(processes, grantors) + "]\n[leases.job]\nterm = \""
+                + TERM_MILLIS + "ms\"\n";
     }
 
-    private static String addresses(SidecarProcesses processes, int... places) {
-        return IntStream.of(places)
-                .mapToObj(k -> {
+    private static String addresses(SidecarProcesses processes, int... indices) {
+        return IntStream.of(indices)
+                .mapToObj(index -> {
                     try {
-                        return "\"127.0.0.1:" + processes.relay.port(k) + "\"";
+                        return "\"127.0.0.1:" + processes.relay.port(index) + "\"";
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
@@ -46,170 +46,181 @@
                 .collect(Collectors.joining(", "));
     }
 
-    private void processes(int members) throws Exception {
+    private void startProcesses(int members) throws Exception {
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
-        processes = new SidecarProcesses(folder, seed, members, PAUSE, server);
+        processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server);
         processes.seeds(3);
-        processes.operators(text -> file(processes, text, 0, 1, 2));
+        processes.operators(text -> withLeaseSettings(processes, text, 0, 1, 2));
         for (int i = 0; i < members; i++) {
             processes.start(i);
         }
     }
 
-    /** All are up, and keepers among them have waited and learned: the next fault may meet another keeper. */
-    private void settled() throws Exception {
+    /** Waits until all processes run and all grantors can grant, so that the next fault may hit another grantor. */
+    private void awaitReady() throws Exception {
         for (int i = 0; i < processes.size(); i++) {
-            int who = i;
-            processes.within(STARTED, "ready", () -> processes.ask(who, "READY").equals("YES\n"));
+            int index = i;
+            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+                    .ask(index, "READY")
+                    .equals("YES\n"));
         }
         processes.within(
-                STARTED,
-                "all see all",
+                START_TIMEOUT_MILLIS,
+                "all members see each other",
                 () -> processes.see(
                         processes.size(), IntStream.range(0, processes.size()).toArray()));
-        TimeUnit.MILLISECONDS.sleep(KEEPERS);
+        TimeUnit.MILLISECONDS.sleep(GRANTOR_RECOVERY_MILLIS);
     }
 
-    private int holder(LeaseHolders actors, String when) throws Exception {
-        processes.within(KEEPERS + 2 * TERM, when + ": somebody holds", () -> !actors.holder()
-                .isEmpty());
-        return Integer.parseInt(actors.holder().substring(1));
+    private int awaitHolder(LeaseHolders leaseHolders, String phase) throws Exception {
+        processes.within(
+                GRANTOR_RECOVERY_MILLIS + 2 * TERM_MILLIS,
+                phase + ": some process holds the lease",
+                () -> !leaseHolders.holder().isEmpty());
+        return Integer.parseInt(leaseHolders.holder().substring(1));
     }
 
-    /** Somebody else acts by then. */
-    private long another(LeaseHolders actors, int than, String when, long millis) throws Exception {
-        long took = processes.within(
-                millis, when + ": somebody else holds", () -> actors.actsBesides(SidecarProcesses.name(than)));
-        System.out.println(when + ": " + took + " ms");
-        assertEquals(List.of(), actors.wrong(), when);
-        return took;
+    /** Waits until another process acts, within so many milliseconds. */
+    private long awaitOtherHolder(LeaseHolders leaseHolders, int previousHolder, String phase, long millis)
+            throws Exception {
+        long tookMillis = processes.within(
+                millis,
+                phase + ": another process holds the lease",
+                () -> leaseHolders.actsBesides(SidecarProcesses.name(previousHolder)));
+        System.out.println(phase + ": " + tookMillis + " ms");
+        assertEquals(List.of(), leaseHolders.wrong(), phase);
+        return tookMillis;
     }
 
     @Test
-    void twoHoldersNeverActAtOnceWhateverFails() throws Exception {
-        processes(5);
-        settled();
-        try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
-            int holder = holder(actors, "the beginning");
+    void atMostOneHolderActsDuringFaults() throws Exception {
+        startProcesses(5);
+        awaitReady();
+        try (LeaseHolders leaseHolders = new LeaseHolders(processes, "job")) {
+            int holder = awaitHolder(leaseHolders, "after the start");
             processes.signal(holder, "STOP");
-            another(actors, holder, "stopped for longer than the term", TERM + 1_000);
+            awaitOtherHolder(leaseHolders, holder, "stopped for longer than the term", TERM_MILLIS + 1_000);
             processes.signal(holder, "CONT");
-            TimeUnit.MILLISECONDS.sleep(TERM);
-            assertEquals(List.of(), actors.wrong(), "it wakes");
+            TimeUnit.MILLISECONDS.sleep(TERM_MILLIS);
+            assertEquals(List.of(), leaseHolders.wrong(), "after the process was resumed");
 
-            int deaf = holder(actors, "it goes on");
-            processes.relay.cut((from, to) -> to != deaf);
-            another(actors, deaf, "can send and not receive", TERM + 1_000);
+            int unableToReceive = awaitHolder(leaseHolders, "after the process was resumed");
+            processes.relay.cut((from, to) -> to != unableToReceive);
+            awaitOtherHolder(leaseHolders, unableToReceive, "can send but not receive", TERM_MILLIS + 1_000);
             processes.relay.cut((from, to) -> true);
 
-            int mute = holder(actors, "healed");
-            processes.relay.cut((from, to) -> from != mute);
-            another(actors, mute, "can receive and not send", TERM + 1_000);
+            int unableToSend = awaitHolder(leaseHolders, "partition healed");
+            processes.relay.cut((from, to) -> from != unableToSend);
+            awaitOtherHolder(leaseHolders, unableToSend, "can receive but not send", TERM_MILLIS + 1_000);
             processes.relay.cut((from, to) -> true);
 
-            int killed = holder(actors, "healed again");
+            int killed = awaitHolder(leaseHolders, "partition healed again");
             processes.kill(killed);
-            another(actors, killed, "killed", TERM + 1_000);
+            awaitOtherHolder(leaseHolders, killed, "killed", TERM_MILLIS + 1_000);
             processes.start(killed);
-            settled();
+            awaitReady();
 
-            int small = holder(actors, "started anew");
-            processes.relay.cut((from, to) -> (from == small) == (to == small));
-            another(actors, small, "cut off alone", TERM + 1_000);
+            int isolated = awaitHolder(leaseHolders, "killed process restarted");
+            processes.relay.cut((from, to) -> (from == isolated) == (to == isolated));
+            awaitOtherHolder(leaseHolders, isolated, "isolated", TERM_MILLIS + 1_000);
             processes.relay.cut((from, to) -> true);
 
-            processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM, 0.02));
-            TimeUnit.MILLISECONDS.sleep(2 * TERM);
+            processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM_MILLIS, 0.02));
+            TimeUnit.MILLISECONDS.sleep(2 * TERM_MILLIS);
             processes.relay.weather(DatagramRelay.Weather.FAIR);
-            processes.within(STARTED, "all see all", () -> processes.see(5, 0, 1, 2, 3, 4));
-            for (int keeper = 0; keeper < 3; keeper++) {
-                processes.kill(keeper);
+            processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(5, 0, 1, 2, 3, 4));
+            for (int grantor = 0; grantor < 3; grantor++) {
+                processes.kill(grantor);
             }
-            processes.within(2 * TERM, "nobody holds without keepers", () -> actors.holder()
+            processes.within(2 * TERM_MILLIS, "no process holds the lease without grantors", () -> leaseHolders
+                    .holder()
                     .isEmpty());
-            for (int keeper = 0; keeper < 3; keeper++) {
-                processes.start(keeper);
+            for (int grantor = 0; grantor < 3; grantor++) {
+                processes.start(grantor);
             }
-            processes.within(STARTED + KEEPERS, "all keepers have forgotten", () -> !actors.holder()
-                    .isEmpty());
-            assertEquals(List.of(), actors.wrong());
+            processes.within(
+                    START_TIMEOUT_MILLIS + GRANTOR_RECOVERY_MILLIS,
+                    "a process holds the lease after all grantors lost their state",
+                    () -> !leaseHolders.holder().isEmpty());
+            assertEquals(List.of(), leaseHolders.wrong());
 
-            settled();
-            int drained = holder(actors, "keepers are back");
+            awaitReady();
+            int drained = awaitHolder(leaseHolders, "grantors restarted");
             assertTrue(processes.ask(drained, "DRAIN").startsWith("YES"));
-            another(actors, drained, "drained", 2 * TERM);
+            awaitOtherHolder(leaseHolders, drained, "drained", 2 * TERM_MILLIS);
             processes.ask(drained, "UNDRAIN");
-            int last = holder(actors, "at last");
-            processes.process(last).destroy();
-            another(actors, last, "told to end", 2 * TERM);
-            assertTrue(processes.process(last).waitFor(20, TimeUnit.SECONDS));
-            assertEquals(0, processes.process(last).exitValue());
-            assertTrue(actors.count() > 100, "acts: " + actors.count());
+            int terminated = awaitHolder(leaseHolders, "after undraining");
+            processes.process(terminated).destroy();
+            awaitOtherHolder(leaseHolders, terminated, "terminated", 2 * TERM_MILLIS);
+            assertTrue(processes.process(terminated).waitFor(20, TimeUnit.SECONDS));
+            assertEquals(0, processes.process(terminated).exitValue());
+            assertTrue(leaseHolders.count() > 100, "acts: " + leaseHolders.count());
         }
     }
 
-    private void reread(String what) throws Exception {
+    private void reloadAll(String description) throws Exception {
         for (int i = 0; i < processes.size(); i++) {
-            int who = i;
+            int index = i;
             String before = processes.ask(i, "STATS");
             processes.rewrite(i);
             processes.signal(i, "HUP");
-            processes.within(
-                    STARTED, what, () -> !count(processes.ask(who, "STATS")).equals(count(before)));
+            processes.within(START_TIMEOUT_MILLIS, description, () -> !successfulReloads(processes.ask(index, "STATS"))
+                    .equals(successfulReloads(before)));
         }
     }
 
-    private static String count(String stats) {
+    private static String successfulReloads(String stats) {
         int at = stats.indexOf("\"reconfig_ok\"");
         return at < 0 ? "" : stats.substring(at, stats.indexOf(',', at));
     }
 
-    /** Two keepers of three give way to others, by way of both sets; nothing else is taken over. */
+    /** Two of three grantors are replaced in two steps, by way of both sets; a change in one step is rejected. */
     @Test
-    void keepersAreReplacedAtSighupInTwoStepsOnly() throws Exception {
-        processes(5);
-        settled();
-        try (LeaseHolders actors = new LeaseHolders(processes, "job")) {
-            holder(actors, "the first keepers");
-            processes.operators(text -> file(processes, text, 0, 3, 4));
-            reread("one step");
+    void grantorsAreReplacedAtSighupInTwoStepsOnly() throws Exception {
+        startProcesses(5);
+        awaitReady();
+        try (LeaseHolders leaseHolders = new LeaseHolders(processes, "job")) {
+            awaitHolder(leaseHolders, "first set of grantors");
+            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4));
+            reloadAll("reload: change in one step");
             assertEquals(
                     5, processes.logs().split("stay as they were: most of the new", -1).length - 1, processes.logs());
-            holder(actors, "the first keepers still");
-            processes.operators(text -> file(processes, text, 0, 3, 4)
+            awaitHolder(leaseHolders, "first set of grantors still in use");
+            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4)
                     .replace("[leases.job]", "before = [" + addresses(processes, 0, 1, 2) + "]\n[leases.job]"));
-            reread("both sets");
-            TimeUnit.MILLISECONDS.sleep(KEEPERS);
-            processes.operators(text -> file(processes, text, 0, 3, 4));
-            reread("the new set");
+            reloadAll("reload: both sets");
+            TimeUnit.MILLISECONDS.sleep(GRANTOR_RECOVERY_MILLIS);
+            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4));
+            reloadAll("reload: new set");
             processes.kill(1);
             processes.kill(2);
             processes.within(
-                    KEEPERS + 2 * TERM,
-                    "the new keepers grant",
-                    () -> !actors.holder().isEmpty() && !Set.of("n1", "n2").contains(actors.holder()));
-            TimeUnit.MILLISECONDS.sleep(TERM);
-            holder(actors, "and go on granting");
-            assertEquals(List.of(), actors.wrong());
+                    GRANTOR_RECOVERY_MILLIS + 2 * TERM_MILLIS,
+                    "the new grantors grant",
+                    () -> !leaseHolders.holder().isEmpty()
+                            && !Set.of("n1", "n2").contains(leaseHolders.holder()));
+            TimeUnit.MILLISECONDS.sleep(TERM_MILLIS);
+            awaitHolder(leaseHolders, "the new grantors go on granting");
+            assertEquals(List.of(), leaseHolders.wrong());
         }
     }
 
     /**
-     * The process that holds the lease and goes on holding it. One that is not preferred leaves the lease to the one
-     * that is after two terms, so whoever holds for three keeps it until something happens to it.
+     * Waits for a process that keeps holding the lease. A holder that is not the preferred one hands the lease over
+     * after two terms, so a process that has held it for three terms keeps it until a fault.
      */
-    private int settledHolder() throws Exception {
-        int[] holder = {NOBODY};
+    private int awaitStableHolder() throws Exception {
+        int[] holder = {NO_PROCESS};
         long[] since = {System.nanoTime()};
-        processes.within(STARTED, "one holds and keeps it", () -> {
+        processes.within(START_TIMEOUT_MILLIS, "one process keeps holding the lease", () -> {
             int now = holdingProcess();
-            if (now == NOBODY || now != holder[0]) {
+            if (now == NO_PROCESS || now != holder[0]) {
                 holder[0] = now;
                 since[0] = System.nanoTime();
                 return false;
             }
-            return System.nanoTime() - since[0] > TimeUnit.MILLISECONDS.toNanos(3 * TERM);
+            return System.nanoTime() - since[0] > TimeUnit.MILLISECONDS.toNanos(3 * TERM_MILLIS);
         });
         return holder[0];
     }
@@ -222,36 +233,40 @@
                 return i;
             }
         }
-        return NOBODY;
+        return NO_PROCESS;
     }
 
-    /** The runner's command is gone before anybody else can hold the lease. */
+    /** A command of {@code lease run} is terminated before another process can hold the lease. */
     @Test
-    void aCommandRunsOnlyWhileTheLeaseIsHeld() throws Exception {
-        processes(3);
-        processes.within(STARTED, "all see all", () -> processes.see(3, 0, 1, 2));
-        int holder = settledHolder();
+    void commandRunsOnlyWhileLeaseIsHeld() throws Exception {
+        startProcesses(3);
+        processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(3, 0, 1, 2));
+        int holder = awaitStableHolder();
         int other = (holder + 1) % 3;
-        processes.within(STARTED, "others know it", () -> processes
+        processes.within(START_TIMEOUT_MILLIS, "other processes know the holder", () -> processes
                 .ask(other, "LEASE job")
                 .startsWith("NO held by n" + holder + " for "));
         assertEquals("NO lease 'x' is not in the file\n", processes.ask(other, "LEASE x"));
-        Path out = folder.resolve("out");
-        Process done = run(holder, out, "sh", "-c", "echo token $LB_LEASE_TOKEN; exit 7");
-        assertTrue(done.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(7, done.exitValue());
+        Path output = folder.resolve("out");
+        Process completed = runUnderLease(holder, output, "sh", "-c", "echo token $LB_LEASE_TOKEN; exit 7");
+        assertTrue(completed.waitFor(20, TimeUnit.SECONDS));
+        assertEquals(7, completed.exitValue());
         String token = processes.ask(holder, "LEASE job").split(" ")[1];
-        assertTrue(Files.readString(out).contains("token " + token + "\n"), Files.readString(out));
-        Process refused = run(other, out, "echo", "never");
+        assertTrue(Files.readString(output).contains("token " + token + "\n"), Files.readString(output));
+        Process refused = runUnderLease(other, output, "echo", "never");
         assertTrue(refused.waitFor(20, TimeUnit.SECONDS));
         assertEquals(73, refused.exitValue());
-        // It does not end when it is asked to, and is ended.
-        Path beats = folder.resolve("beats");
-        Process lost = run(
-                holder, out, "sh", "-c", "trap '' TERM; while true; do date +%s%N >> " + beats + "; sleep 0.02; done");
-        processes.within(STARTED, "it runs", () -> Files.exists(beats));
+        // The command ignores SIGTERM, so it has to be killed.
+        Path timestamps = folder.resolve("beats");
+        Process interrupted = runUnderLease(
+                holder,
+                output,
+                "sh",
+                "-c",
+                "trap '' TERM; while true; do date +%s%N >> " + timestamps + "; sleep 0.02; done");
+        processes.within(START_TIMEOUT_MILLIS, "the command runs", () -> Files.exists(timestamps));
         processes.ask(holder, "DRAIN");
-        processes.within(STARTED, "another holds", () -> {
+        processes.within(START_TIMEOUT_MILLIS, "another process holds the lease", () -> {
             for (int i = 0; i < 3; i++) {
                 if (i != holder && processes.ask(i, "LEASE job").startsWith("YES ")) {
                     return true;
@@ -259,14 +274,14 @@
             }
             return false;
         });
-        List<String> before = Files.readAllLines(beats);
-        assertTrue(lost.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(74, lost.exitValue());
-        assertEquals(before, Files.readAllLines(beats), "it was gone before another held");
+        List<String> before = Files.readAllLines(timestamps);
+        assertTrue(interrupted.waitFor(20, TimeUnit.SECONDS));
+        assertEquals(74, interrupted.exitValue());
+        assertEquals(before, Files.readAllLines(timestamps), "the command ended before another process held the lease");
     }
 
-    private Process run(int i, Path out, String... words) throws Exception {
-        List<String> line = new ArrayList<>(List.of(
+    private Process runUnderLease(int i, Path output, String... command) throws Exception {
+        List<String> commandLine = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
@@ -278,10 +293,10 @@
                 "127.0.0.1:" + processes.door(i),
                 "job",
                 "--"));
-        line.addAll(List.of(words));
-        return new ProcessBuilder(line)
+        commandLine.addAll(List.of(command));
+        return new ProcessBuilder(commandLine)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(out.toFile()))
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(output.toFile()))
                 .start();
     }
 }
--- a/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
@@ -24,46 +24,49 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What all processes together keep open and ask for, by the servers' own counts, whatever fails. */
+/** The fleet's connections and discovery calls, as counted by the servers, stay within their limits during faults. */
 @Timeout(180)
 class SharesTest {
 
     private static final int MEMBERS = 5;
     private static final int SERVERS = 4;
-    private static final int PER_SERVER = 15;
-    private static final int BOUND = SERVERS * PER_SERVER;
-    private static final double LIST_RATE = 10;
+    private static final int CONNECTIONS_PER_SERVER = 15;
+    private static final int MAX_CONNECTIONS = SERVERS * CONNECTIONS_PER_SERVER;
+    private static final double LIST_CALLS_PER_SECOND = 10;
     private static final int CONN_IDLE_MILLIS = 2_000;
-    /** The program's own times for a pause of one second: hold 1.9 s, release 2.2 holds, 1.1 idle times. */
-    private static final long HOLD = 1_934;
+    /**
+     * How long a share is held, by the sidecar's settings for a pause of one second. What it allowed is released after
+     * 2.2 times that, and 1.1 idle time-outs.
+     */
+    private static final long HOLD_MILLIS = 1_934;
 
-    private static final long RELEASE = HOLD * 22 / 10 + CONN_IDLE_MILLIS * 11 / 10;
-    /** A round of requests, what is closed behind it, and a look. */
-    private static final long ROUND = 1_500;
-    /** What is surplus goes in the turn of the loop that made it so: a tenth of this is plenty. */
-    private static final long SETTLED = 500;
+    private static final long RELEASE_MILLIS = HOLD_MILLIS * 22 / 10 + CONN_IDLE_MILLIS * 11 / 10;
+    /** Time for a round of requests, for closing surplus connections after it, and for counting the open ones. */
+    private static final long ROUND_MILLIS = 1_500;
+    /** Surplus connections are closed in the event loop iteration that makes them surplus; a tenth of this suffices. */
+    private static final long SETTLE_MILLIS = 500;
 
-    /** What came before a call by so much may have been seen as late as the call. */
-    private static final long LATE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Calls that arrived at most this long before another may have been delayed by the same stall of the stub. */
+    private static final long STALL_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     /**
-     * A call for the list.
+     * A discovery call for the endpoint list.
      *
-     * @param lateNanos for how long the stub's process had been kept waiting in all by then
+     * @param stallNanos total time for which the stub's process had been stalled by then
      */
-    private record Call(long at, long lateNanos) {}
+    private record ListCall(long receivedAt, long stallNanos) {}
 
     @TempDir
     Path folder;
 
     private final List<PeerStub> servers = new ArrayList<>();
-    private final Queue<Call> calls = new ConcurrentLinkedQueue<>();
-    private final Set<Integer> asked = new ConcurrentSkipListSet<>();
+    private final Queue<ListCall> listCalls = new ConcurrentLinkedQueue<>();
+    private final Set<Integer> activeProcesses = new ConcurrentSkipListSet<>();
     private final HttpClient client = HttpClient.newHttpClient();
     private SidecarProcesses processes;
-    private int starts;
-    private int ids;
-    private int worst;
+    private int startCount;
+    private int lastRequestId;
+    private int maxOpenConnections;
 
     @AfterEach
     void close() throws Exception {
@@ -75,13 +78,13 @@
 
     private void start(int i) throws Exception {
         processes.start(i);
-        starts++;
+        startCount++;
     }
 
-    private void processes() throws Exception {
+    private void startProcesses() throws Exception {
         for (int i = 0; i < SERVERS; i++) {
             PeerStub server = new PeerStub(seen -> {
-                // So that requests of one round are out together and each has a connection of its own.
+                // Delays responses so that the requests of a round overlap and each needs its own connection.
                 try {
                     TimeUnit.MILLISECONDS.sleep(40);
                 } catch (InterruptedException e) {
@@ -97,49 +100,52 @@
         processes = new SidecarProcesses(folder, seed, MEMBERS, 1_000, servers.toArray(PeerStub[]::new));
         String list = Configs.json(Configs.list(2, true, "in_service", servers.toArray(PeerStub[]::new)));
         processes.discovery.script(seen -> {
-            calls.add(new Call(System.nanoTime(), processes.lateNanos()));
+            listCalls.add(new ListCall(System.nanoTime(), processes.lateNanos()));
             seen.reply("200 OK", "", list);
         });
         processes.seeds(3);
         processes.configs(
                 text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":" + CONN_IDLE_MILLIS * 1_000));
         processes.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS
-                + "\nidle_per_server = " + PER_SERVER + "\nlist_rate = " + LIST_RATE + "\n");
+                + "\nidle_per_server = " + CONNECTIONS_PER_SERVER + "\nlist_rate = " + LIST_CALLS_PER_SECOND + "\n");
         for (int i = 0; i < MEMBERS; i++) {
             start(i);
-            asked.add(i);
+            activeProcesses.add(i);
         }
-        for (int i : asked) {
+        for (int i : activeProcesses) {
             processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
         }
     }
 
-    /** All that are asked have as many requests at once as they could keep connections; then none. */
-    private int round() throws Exception {
-        List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
-        for (int i : asked) {
-            for (int k = 0; k < BOUND / 2; k++) {
-                answers.add(client.sendAsync(
+    /** Sends as many concurrent requests by each active process as it could keep connections; counts the open ones. */
+    private int sendRound() throws Exception {
+        List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
+        for (int i : activeProcesses) {
+            for (int k = 0; k < MAX_CONNECTIONS / 2; k++) {
+                responses.add(client.sendAsync(
                         HttpRequest.newBuilder(URI.create(
                                         "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
-                                .header("Request-Id", String.format("%016x", ++ids))
+                                .header("Request-Id", String.format("%016x", ++lastRequestId))
                                 .header("Request-Timeout-Ms", "3000")
                                 .build(),
                         HttpResponse.BodyHandlers.ofString()));
             }
         }
-        for (CompletableFuture<HttpResponse<String>> answer : answers) {
-            answer.get(30, TimeUnit.SECONDS);
+        for (CompletableFuture<HttpResponse<String>> response : responses) {
+            response.get(30, TimeUnit.SECONDS);
         }
-        TimeUnit.MILLISECONDS.sleep(SETTLED);
+        TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         int open = servers.stream().mapToInt(PeerStub::open).sum();
-        worst = Math.max(worst, open);
-        assertTrue(open <= BOUND, () -> open + " connections are open, of " + BOUND + " by all\n" + parts());
+        maxOpenConnections = Math.max(maxOpenConnections, open);
+        assertTrue(
+                open <= MAX_CONNECTIONS,
+                () -> open + " connections are open, of " + MAX_CONNECTIONS + " allowed for the fleet\n"
+                        + describeShares());
         return open;
     }
 
-    private String parts() {
+    private String describeShares() {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < MEMBERS; i++) {
             all.append(SidecarProcesses.name(i))
@@ -150,106 +156,115 @@
         return all.append(processes.logs()).toString();
     }
 
-    /** Rounds until so many are in use, within so many milliseconds. */
-    private void use(int connections, String when, long millis) throws Exception {
-        long took = processes.within(
-                millis + 3 * ROUND, when + ": all together use " + connections, () -> round() >= connections);
-        System.out.println(when + ": " + connections + " of " + BOUND + " used after " + took + " ms");
+    /** Sends rounds until so many connections are in use, within so many milliseconds. */
+    private void awaitConnections(int connections, String phase, long millis) throws Exception {
+        long tookMillis = processes.within(
+                millis + 3 * ROUND_MILLIS, phase + ": the fleet uses " + connections, () -> sendRound() >= connections);
+        System.out.println(phase + ": " + connections + " of " + MAX_CONNECTIONS + " used after " + tookMillis + " ms");
     }
 
-    private void rounds(long millis) throws Exception {
+    private void sendRounds(long millis) throws Exception {
         for (long until = System.nanoTime() + millis * 1_000_000; System.nanoTime() < until; ) {
-            round();
+            sendRound();
         }
     }
 
     /**
-     * One asks for the list no sooner than its part of the rate allows: all have one call beside that. Calls that came
-     * while the stub's process was kept waiting are seen together: they were sent over a time that was longer by that.
+     * No process requests the list sooner than its share of the rate allows, except for one call each. Calls that
+     * arrive while the stub's process is stalled are recorded together: they were sent over a time that was longer by
+     * the duration of the stall.
      */
-    private void callsKeepTheRate() {
-        List<Call> all = List.copyOf(calls);
+    private void assertListRate() {
+        List<ListCall> all = List.copyOf(listCalls);
         for (int from = 0; from < all.size(); from++) {
-            long lateBefore = lateBefore(all, from);
+            long stallNanosBefore = stallNanosBefore(all, from);
             for (int to = from; to < all.size(); to++) {
-                long late = all.get(to).lateNanos() - lateBefore;
-                long sentWithin = all.get(to).at() - all.get(from).at() + late;
-                double allowed = LIST_RATE * sentWithin / 1e9 + starts;
+                long stalledNanos = all.get(to).stallNanos() - stallNanosBefore;
+                long sentWithin = all.get(to).receivedAt() - all.get(from).receivedAt() + stalledNanos;
+                double allowed = LIST_CALLS_PER_SECOND * sentWithin / 1e9 + startCount;
                 assertTrue(
                         to - from + 1 <= allowed + 1,
-                        (to - from + 1) + " calls, " + allowed + " allowed, of that for " + late + " ns late");
+                        (to - from + 1) + " calls, " + allowed + " allowed, including those for " + stalledNanos
+                                + " ns of stalls");
             }
         }
     }
 
-    /** How late the stub's process was in all, two seconds before that call. */
-    private static long lateBefore(List<Call> all, int from) {
-        long late = 0;
-        for (int i = 0; i < from && all.get(from).at() - all.get(i).at() >= LATE_NANOS; i++) {
-            late = all.get(i).lateNanos();
+    /** Total time for which the stub's process had been stalled two seconds before that call. */
+    private static long stallNanosBefore(List<ListCall> all, int from) {
+        long stalledNanos = 0;
+        for (int i = 0; i < from && all.get(from).receivedAt() - all.get(i).receivedAt() >= STALL_WINDOW_NANOS; i++) {
+            stalledNanos = all.get(i).stallNanos();
         }
-        return late;
+        return stalledNanos;
     }
 
-    private long callsIn(long millis) throws Exception {
-        int before = calls.size();
-        long begun = System.nanoTime();
-        rounds(millis);
-        return Math.round((calls.size() - before) * 1e9 / (System.nanoTime() - begun));
+    private long listCallsPerSecond(long millis) throws Exception {
+        int before = listCalls.size();
+        long startedAt = System.nanoTime();
+        sendRounds(millis);
+        return Math.round((listCalls.size() - before) * 1e9 / (System.nanoTime() - startedAt));
     }
 
-    private boolean claims(int i, boolean which) {
+    private boolean hasClaim(int i, boolean expected) {
         return processes.members(i).get("share") instanceof Map<?, ?> share
                 && share.get("claims") instanceof Boolean b
-                && b == which;
+                && b == expected;
     }
 
     @Test
-    void allTogetherKeepTheBoundWhileTheFleetIsSplitPausedAndKilled() throws Exception {
-        processes();
-        use(MEMBERS * 11, "all started at once", 2 * RELEASE);
+    void fleetKeepsItsLimitsDuringPartitionsPausesAndKills() throws Exception {
+        startProcesses();
+        awaitConnections(MEMBERS * 11, "all started together", 2 * RELEASE_MILLIS);
 
         processes.relay.cut((from, to) -> from < 3 == to < 3);
-        processes.within(HOLD + ROUND, "the smaller side falls back", () -> claims(3, false) && claims(4, false));
-        use(57, "split, the larger side", RELEASE);
+        processes.within(
+                HOLD_MILLIS + ROUND_MILLIS,
+                "the minority falls back to its minimum",
+                () -> hasClaim(3, false) && hasClaim(4, false));
+        awaitConnections(57, "partitioned, the majority", RELEASE_MILLIS);
         processes.relay.cut((from, to) -> true);
-        use(MEMBERS * 11, "healed", RELEASE);
+        awaitConnections(MEMBERS * 11, "partition healed", RELEASE_MILLIS);
 
-        // Two stand still with all that they have open, an elector among them.
-        asked.removeAll(Set.of(2, 4));
+        // Two processes, one of them a voter, are paused with all their connections open.
+        activeProcesses.removeAll(Set.of(2, 4));
         processes.signal(2, "STOP");
         processes.signal(4, "STOP");
-        use(57, "two stand still", RELEASE + HOLD);
+        awaitConnections(57, "two processes paused", RELEASE_MILLIS + HOLD_MILLIS);
         processes.signal(2, "CONT");
         processes.signal(4, "CONT");
-        asked.addAll(Set.of(2, 4));
-        rounds(ROUND);
-        use(MEMBERS * 11, "they go on", RELEASE);
+        activeProcesses.addAll(Set.of(2, 4));
+        sendRounds(ROUND_MILLIS);
+        awaitConnections(MEMBERS * 11, "paused processes resumed", RELEASE_MILLIS);
 
-        asked.removeAll(Set.of(3, 4));
+        activeProcesses.removeAll(Set.of(3, 4));
         processes.kill(3);
         processes.kill(4);
-        use(57, "two killed for good", RELEASE);
-        long perSecond = callsIn(3_000);
-        assertTrue(perSecond >= 0.8 * LIST_RATE, () -> perSecond + " calls a second");
+        awaitConnections(57, "two processes killed", RELEASE_MILLIS);
+        long perSecond = listCallsPerSecond(3_000);
+        assertTrue(perSecond >= 0.8 * LIST_CALLS_PER_SECOND, () -> perSecond + " calls a second");
         start(3);
         start(4);
-        rounds(HOLD);
-        asked.addAll(Set.of(3, 4));
+        sendRounds(HOLD_MILLIS);
+        activeProcesses.addAll(Set.of(3, 4));
         processes.within(
                 15_000,
                 "ready",
                 () -> processes.ask(3, "READY").equals("YES\n")
                         && processes.ask(4, "READY").equals("YES\n"));
-        use(MEMBERS * 11, "started anew", RELEASE);
+        awaitConnections(MEMBERS * 11, "killed processes restarted", RELEASE_MILLIS);
 
-        // Two electors of three: nobody is counted by most of them any more.
-        asked.removeAll(Set.of(0, 1));
+        // With two of three voters killed, no process is counted by a majority of them.
+        activeProcesses.removeAll(Set.of(0, 1));
         processes.kill(0);
         processes.kill(1);
-        processes.within(HOLD + ROUND, "all fall back", () -> claims(2, false) && claims(3, false) && claims(4, false));
-        rounds(ROUND);
-        callsKeepTheRate();
-        System.out.println("at most " + worst + " of " + BOUND + " were open, " + calls.size() + " calls");
+        processes.within(
+                HOLD_MILLIS + ROUND_MILLIS,
+                "all fall back to the minimum",
+                () -> hasClaim(2, false) && hasClaim(3, false) && hasClaim(4, false));
+        sendRounds(ROUND_MILLIS);
+        assertListRate();
+        System.out.println("at most " + maxOpenConnections + " of " + MAX_CONNECTIONS + " were open, "
+                + listCalls.size() + " calls");
     }
 }
--- a/src/test/java/org/cypressweir/fleet/transport/SidecarProcessTestCase.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SidecarProcessTestCase.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A folder, a server that answers and a processes of processes, which are ended with each test. */
+/** Base of tests with sidecar processes and one server, all of which are stopped after each test. */
 abstract class SidecarProcessTestCase {
 
-    /** Until a process has started and found the others. */
-    static final long STARTED = 15_000;
+    /** Time limit for a process to start and discover the others. */
+    static final long START_TIMEOUT_MILLIS = 15_000;
 
     @TempDir
     Path folder;
