--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -34,7 +34,7 @@
 
 /**
  * The controller process: wires the parts of the control plane together, drives their timers, and shuts them down
- * when the process is ended. All state belongs to one event loop; a single disk thread does what may block.
+ * when the process is terminated. All state belongs to one event loop; blocking work runs on a single disk thread.
  */
 public final class Controller {
 
@@ -48,7 +48,7 @@
     private static final int TICKS_PER_SETTINGS_CHECK = 20;
     private static final int TICKS_PER_ROLLOUT_STEP = 4;
     /** Longest wait for the handover after SIGTERM. */
-    private static final int SHUTDOWN_MILLIS = 1_500;
+    private static final int MAX_HANDOVER_MILLIS = 1_500;
 
     private static final int MIN_VOTERS = 3;
 
@@ -95,7 +95,7 @@
         seeds = List.copyOf(settings.seedPeerAddresses());
     }
 
-    /** Runs until the process is ended; returns a status above 0 where it cannot start. */
+    /** Runs until the process is terminated; returns a status above 0 if it cannot start. */
     public static int run(Map<String, String> env, PrintStream err) {
         LogConfiguration.install(err, false);
         return SettingsLoader.run(
@@ -170,7 +170,7 @@
                 identity.incarnation(),
                 new SplittableRandom(new SecureRandom().nextLong()),
                 clock.getAsLong());
-        ReplicaDriver opening = new ReplicaDriver(
+        ReplicaDriver newDriver = new ReplicaDriver(
                 replica,
                 opened.store(),
                 diskExecutor,
@@ -182,15 +182,15 @@
                     rollouts.committed(commit.configuration());
                 },
                 statistics);
-        driver = opening;
+        driver = newDriver;
         LOG.info("store opened accepted="
                 + (opened.state() == null ? "none" : opened.state().accepted()));
         connectPeers();
-        opening.start();
+        newDriver.start();
         eventLoop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** So many that a majority is left when as many machines are lost as may be. */
+    /** The number of voters of which a majority is left after the configured number of machine failures. */
     private int voterCount() {
         int machineFailures = settings.machineFailures();
         return Math.max(MIN_VOTERS, machineFailures < 0 ? seeds.size() : 2 * machineFailures + 1);
@@ -217,7 +217,7 @@
                 checkSettings(false);
             }
         } catch (RuntimeException | Error e) {
-            // Thrown on, it would end the timer and with it this controller's part in the protocol.
+            // If it propagated, the timer would stop and with it this controller's part in the protocol.
             LOG.error("tick failed", e);
         }
     }
@@ -246,7 +246,7 @@
         }
     }
 
-    /** Where operators are redirected to, if this controller has no vote and a voter is reachable. */
+    /** The address that operators are redirected to, if this controller is not a voter and a voter is reachable. */
     private Option<String> redirectTarget() {
         ConsensusReplica replica = driver.replica();
         if (replica.isVoter() || replica.isBlank()) {
@@ -257,15 +257,15 @@
     }
 
     /**
-     * Notifies the other controllers of the shutdown and goes on until they have on disk all that is committed here
-     * and, where a standby waits to replace this replica, until that is committed. Not for the event loop.
+     * Notifies the other controllers of the shutdown and waits until they have on disk all that is committed here and,
+     * if a standby waits to replace this replica, until the replacement is committed. Blocks: not for the event loop.
      */
     private void shutDown(CountDownLatch ended) {
         CountDownLatch handedOver = new CountDownLatch(1);
         eventLoop.execute(() -> beginShutdown(handedOver));
         try {
-            // Whether it was in time can't be logged: the log is closed by then.
-            handedOver.await(SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
+            // Whether the handover was in time cannot be logged: the log is closed by then.
+            handedOver.await(MAX_HANDOVER_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerIdentity.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerIdentity.java
@@ -1,10 +1,10 @@
 package org.cypressweir.controlplane.controller;
 
 /**
- * How one run of a controller is known to others.
+ * The name, addresses and incarnation of one run of a controller.
  *
- * @param controlAddress where operators ask it
- * @param peerAddress where it takes connections of proxies and other controllers
+ * @param controlAddress where it serves operators
+ * @param peerAddress where it accepts connections of proxies and other controllers
  * @param incarnation later for each run of the process; microseconds since 1970
  */
 record ControllerIdentity(String name, String controlAddress, String peerAddress, long incarnation) {}
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerMessages.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerMessages.java
@@ -12,17 +12,17 @@
 /**
  * Encodes a controller's messages to proxies and other controllers, and decodes those of proxies. Stateless.
  *
- * <p>The texts of message kinds and fields are fixed by the protocol: other builds read them. Only this class knows
- * them.
+ * <p>The names of message kinds and fields are fixed by the protocol, since other builds read them. Only this class
+ * knows them.
  */
 final class ControllerMessages {
 
-    /** The field that names the kind of a message. */
+    /** The field that holds the kind of a message. */
     static final String KIND = "t";
 
     /** The first message on a connection. */
     static final String HELLO = "hello";
-    /** The beginning of the kinds that go to the consensus replica. */
+    /** Prefix of the message kinds that are passed to the consensus replica. */
     static final String CONSENSUS_PREFIX = "copies.";
 
     private static final String SENDER_ROLE = "kind";
@@ -80,11 +80,11 @@
     /**
      * Who opened a connection.
      *
-     * @param isController else it is a proxy
-     * @param name of a proxy; empty of a controller
+     * @param isController whether it is a controller; otherwise it is a proxy
+     * @param name of a proxy; empty for a controller
      * @param member a controller's replica key
-     * @param address where a controller takes connections
-     * @param controlAddress where a controller is asked by operators
+     * @param address where a controller accepts connections
+     * @param controlAddress where a controller serves operators
      */
     record Hello(boolean isController, String name, String member, String address, String controlAddress) {}
 
@@ -97,7 +97,7 @@
                 JsonCodec.text(message, CONTROL_ADDRESS));
     }
 
-    /** What a controller says first on a connection to another. */
+    /** The first message of a controller on a connection to another. */
     static Map<String, Object> hello(String address, String member, String controlAddress) {
         return JsonCodec.map(
                 KIND,
@@ -149,12 +149,12 @@
         return counts;
     }
 
-    /** The tokens of a tenant that a proxy has asked for; 0 where there are none. */
+    /** The response to a proxy's request for tokens of a tenant; the count is 0 if there are none. */
     static Map<String, Object> tokenResponse(String tenant, int count) {
         return JsonCodec.map(KIND, TOKEN_RESPONSE, TENANT, tenant, COUNT, count);
     }
 
-    /** By how many proxies the limits of tenants are divided. */
+    /** The number of proxies by which tenants' limits are divided. */
     static Map<String, Object> proxyCount(int count) {
         return JsonCodec.map(KIND, PROXY_COUNT, COUNT, count);
     }
@@ -190,7 +190,7 @@
     /**
      * How long ago this version was known to be the newest.
      *
-     * @param askedAt as in the query that is answered; 0 where nobody asked
+     * @param askedAt as in the query that is answered; 0 if the message is not an answer
      */
     static Map<String, Object> contact(long askedAt, ProposalNumber version, long ageMicros) {
         return JsonCodec.map(KIND, CONTACT, ASKED_AT, askedAt, PROPOSAL_NUMBER, version.toString(), AGE, ageMicros);
@@ -199,8 +199,8 @@
     /**
      * Endpoints that have changed.
      *
-     * @param offset up to which the proxy is updated by it
-     * @param snapshot whether all endpoints are in it
+     * @param offset in the endpoint change log up to which this brings the proxy
+     * @param snapshot whether it holds all endpoints
      * @param registrations as {@link ProxyRegistration#toMap} gives them
      * @param removed names of proxies that are no longer registered
      */
@@ -222,7 +222,7 @@
     }
 
     /**
-     * The head of a chunk of the configuration; the chunk is the body.
+     * The header of a message whose body is a chunk of the configuration.
      *
      * @param from the version that the chunks are a delta to; null for a snapshot
      */
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerMetrics.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerMetrics.java
@@ -5,7 +5,7 @@
 import org.cypressweir.controlplane.consensus.ConsensusReplica;
 import org.cypressweir.controlplane.controller.ControllerStatistics.CallResult;
 
-/** Puts a controller's metrics on a page. Made for one page; used on the event loop. */
+/** Adds a controller's metrics to one metrics page. Used on the event loop. */
 final class ControllerMetrics {
 
     private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerPeers.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerPeers.java
@@ -15,8 +15,8 @@
 import org.cypressweir.controlplane.consensus.ReplicaKey;
 
 /**
- * Connections between this controller and the others: it sends on those that it has opened and receives on those
- * that the others have opened. Used by the event loop alone.
+ * Connections between this controller and the others: it sends on the connections that it has opened and receives on
+ * those that the others have opened. Used by the event loop only.
  */
 final class ControllerPeers {
 
@@ -25,9 +25,9 @@
 
     private final String ownAddress;
     private final PeerConnectionPool pool;
-    /** Replica keys by accepted connection, voters or not: one that asks to be let in has to get the answer. */
+    /** Replica keys by accepted connection, including non-voters: a replica that asks for admission needs an answer. */
     private final Map<PeerConnection, String> acceptedMembers = new HashMap<>();
-    /** By address, where other controllers are asked by operators; kept after a connection is closed. */
+    /** Other controllers' addresses for operators by peer address; kept after a connection is closed. */
     private final Map<String, String> controlAddresses = new HashMap<>();
 
     /** @param hello what is sent first on each connection that is opened */
@@ -51,7 +51,7 @@
         pool.tick();
     }
 
-    /** Sends to a replica where it is connected; else the message is dropped, as the protocol allows. */
+    /** Sends to a replica if it is connected; otherwise drops the message, which the protocol tolerates. */
     void send(String member, Map<String, Object> message) {
         pool.send(ReplicaKey.address(member), message);
     }
@@ -67,7 +67,7 @@
         acceptedMembers.remove(connection);
     }
 
-    /** Where operators ask those of these replicas that are reachable, this one apart. */
+    /** The addresses for operators of those given replicas that are reachable, except this one. */
     List<String> reachableControlAddresses(Collection<String> replicas) {
         return replicas.stream()
                 .map(ReplicaKey::address)
@@ -77,7 +77,7 @@
                 .toList();
     }
 
-    /** All controllers that connections are kept to, by address. */
+    /** The controllers that this one keeps connections to, sorted by address. */
     List<ControllerStatus.Peer> statuses() {
         return pool.addresses().stream()
                 .sorted()
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
@@ -10,7 +10,7 @@
     enum CallResult {
         COMMITTED,
         REJECTED,
-        /** The outcome is unknown to the operator, who sends a change again. */
+        /** The outcome is unknown to the operator, who retries a change. */
         UNAVAILABLE;
 
         static CallResult of(ProposalResult result) {
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -21,8 +21,8 @@
     private static final String INCARNATION = "life";
     private static final String PROPOSAL_NUMBER = "stamp";
     private static final String VOTERS = "crew";
-    private static final String MUST_LEARN = "forgetful";
-    private static final String UNHEALTHY = "sick";
+    private static final String IS_BLANK = "forgetful";
+    private static final String DISK_FAILED = "sick";
     private static final String REGISTRATIONS = "berths";
     private static final String PEERS = "harbours";
     private static final String REACHABLE = "heard";
@@ -37,7 +37,7 @@
     /**
      * Another controller that this one connects to.
      *
-     * @param controlAddress null as long as it is not known
+     * @param controlAddress null until it is known
      * @param reachable whether something was received from it lately
      */
     record Peer(String address, String controlAddress, boolean reachable) {}
@@ -93,8 +93,8 @@
         status.put(VOTERS, addresses(replica.voters()));
         status.put("members", replica.voters());
         status.put("standbys", addresses(replica.standbys()));
-        status.put(MUST_LEARN, replica.isBlank());
-        status.put(UNHEALTHY, replica.diskFailed(nowMicros));
+        status.put(IS_BLANK, replica.isBlank());
+        status.put(DISK_FAILED, replica.diskFailed(nowMicros));
         long confirmedAge = replica.confirmedAge(nowMicros);
         status.put("inContact", replica.inContact(nowMicros));
         status.put("confirmedMs", confirmedAge < 0 ? null : confirmedAge / MICROS_PER_MILLI);
--- a/src/main/java/org/cypressweir/controlplane/controller/InboundMessageDispatcher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/InboundMessageDispatcher.java
@@ -6,7 +6,7 @@
 import org.cypressweir.common.transport.PeerConnection;
 
 /**
- * Dispatches what is received on connections that proxies and other controllers have opened: consensus messages to
+ * Dispatches messages received on connections that proxies and other controllers have opened: consensus messages to
  * the replica, all others to the publisher. Runs on the event loop.
  */
 final class InboundMessageDispatcher implements PeerConnection.Listener {
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -23,13 +23,13 @@
 import org.jboss.logging.Logger;
 
 /**
- * Answers operators' calls to a controller. A change is acknowledged once a majority of voters has it on disk; a
- * controller without a vote redirects changes and reads to one that has it. Runs on the event loop.
+ * Handles operators' calls to a controller. A change is acknowledged once a majority of voters has it on disk; a
+ * controller that is not a voter redirects changes and reads to a voter. Runs on the event loop.
  */
 final class OperatorApiHandler implements RequestHandler {
 
     private static final Logger LOG = Logger.getLogger(OperatorApiHandler.class);
-    /** Callers go elsewhere after a second without an answer. */
+    /** Less than the one second after which callers without an answer try another controller. */
     private static final long TIMEOUT_MICROS = 850_000;
 
     /** Additional time for each byte of a large change. */
@@ -49,7 +49,7 @@
 
     /**
      * @param driver gives null as long as the store is not open
-     * @param redirectTarget a voter's address for operators, where this controller has no vote
+     * @param redirectTarget a voter's address for operators, if this controller is not a voter
      * @param clock in microseconds
      * @param statistics counts changes and reads
      */
@@ -82,18 +82,18 @@
 
     private void dispatch(ServerRequest request, ApiCall call) {
         switch (call) {
-            case MODIFY -> redirectOr(request, this::modify);
-            case READ -> redirectOr(request, this::read);
-            case ROLLOUT_BEGIN -> redirectOr(request, rollouts::begin);
-            case ROLLOUT_READ -> redirectOr(request, rollouts::read);
+            case MODIFY -> redirectOrHandle(request, this::modify);
+            case READ -> redirectOrHandle(request, this::read);
+            case ROLLOUT_BEGIN -> redirectOrHandle(request, rollouts::begin);
+            case ROLLOUT_READ -> redirectOrHandle(request, rollouts::read);
             case BOOTSTRAP -> bootstrap(request);
             case READINESS -> request.answer(ServerResponse.of(OK));
-            default -> request.answer(error(ErrorKind.NO_CALL, "applications call the proxy beside them"));
+            default -> request.answer(error(ErrorKind.NO_CALL, "applications send this call to the proxy beside them"));
         }
     }
 
     /** Only a voter knows what is committed. */
-    private void redirectOr(ServerRequest request, RequestHandler handler) {
+    private void redirectOrHandle(ServerRequest request, RequestHandler handler) {
         Option<String> voter = redirectTarget.get();
         if (voter.isDefined()) {
             request.answer(ServerResponse.of(TEMPORARY_REDIRECT)
@@ -120,7 +120,7 @@
         }
     }
 
-    /** The replicas that a confirmed bootstrap call gives up; else why the call is invalid. */
+    /** The replicas that a confirmed bootstrap call abandons; otherwise why the call is invalid. */
     private static Either<String, Set<String>> abandonedReplicas(byte[] body) {
         Map<String, Object> fields;
         try {
@@ -174,7 +174,7 @@
         });
     }
 
-    /** The HTTP response that tells an operator this result. */
+    /** The HTTP response to an operator for a proposal's result. */
     static ServerResponse answer(ProposalResult result) {
         if (result instanceof ProposalResult.Taken) {
             return json(OK, Map.of());
--- a/src/main/java/org/cypressweir/controlplane/controller/QuotaCoordinator.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/QuotaCoordinator.java
@@ -10,10 +10,11 @@
 import org.cypressweir.dataplane.quota.TokenPool;
 
 /**
- * A controller's part in the rate limits of tenants: the tokens that proxies lend each other, and the number of proxies
- * that the limits are divided by. That is the largest that this controller or one of its proxies has counted.
+ * Coordinates the tenants' rate limits among proxies: passes surplus tokens from one proxy to another, and determines
+ * the number of proxies by which the limits are divided. That number is the largest count of this controller and of the
+ * proxies connected to it.
  *
- * <p>Used by the event loop alone; times are microseconds of the controller's clock.
+ * <p>Used by the event loop only; times are microseconds of the controller's clock.
  */
 final class QuotaCoordinator {
 
@@ -22,7 +23,7 @@
     private final Map<PeerConnection, Integer> reportedCounts = new HashMap<>();
     private int announcedCount;
 
-    /** @param slack requests beyond a tenant's limit that are tolerated within a window */
+    /** @param slack tolerated number of requests beyond a tenant's limit within a window */
     QuotaCoordinator(double slack) {
         pool = new TokenPool(slack);
     }
@@ -32,7 +33,7 @@
         pool.update(TenantLimit.all(configuration), controllerCount);
     }
 
-    /** A proxy has connected; returns the number of proxies, which it needs before any configuration. */
+    /** Counts a proxy that has connected; returns the number of proxies, which it needs before any configuration. */
     int connected(long nowMicros, String proxy) {
         proxyCounter.seen(nowMicros, proxy, false);
         return proxyCount();
@@ -42,7 +43,7 @@
         proxyCounter.seen(nowMicros, registration.name(), registration.shuttingDown());
     }
 
-    /** A proxy says how many it has seen. */
+    /** A proxy has reported how many proxies it has seen. */
     void countReported(PeerConnection connection, int count) {
         reportedCounts.put(connection, count);
     }
@@ -52,12 +53,12 @@
     }
 
     /** Takes in tokens that a proxy does not need. */
-    void add(Map<String, Integer> tokensByTenant) {
+    void addSurplus(Map<String, Integer> tokensByTenant) {
         pool.add(tokensByTenant);
     }
 
-    /** Hands out tokens, as many as are wanted or as there are. */
-    int take(String tenant, int wanted) {
+    /** Takes up to the wanted number of tokens from the pool; returns how many there were. */
+    int takeTokens(String tenant, int wanted) {
         return pool.take(tenant, wanted);
     }
 
@@ -70,9 +71,9 @@
     }
 
     /**
-     * The number of proxies if it has changed since it was announced, and 0 otherwise; it counts as announced then.
+     * Returns the number of proxies if it has changed since the last call, and 0 otherwise.
      *
-     * @param inQuorumContact whether proxies may be forgotten
+     * @param inQuorumContact without contact, proxies that are not seen may be partitioned from here and stay counted
      */
     int takeChangedCount(long nowMicros, boolean inQuorumContact) {
         if (inQuorumContact) {
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -18,8 +18,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Connects the consensus replica to the outside: carries out the effects that it asks for. Writes run on the disk
- * executor and are reported back on the event loop; all else, and the replica itself, runs on the event loop alone.
+ * Executes the effects that the consensus replica requests. Writes run on the disk executor and their results are
+ * delivered on the event loop; everything else, and the replica itself, runs on the event loop only.
  */
 final class ReplicaDriver {
 
@@ -39,7 +39,7 @@
     /**
      * @param clock in microseconds
      * @param sender takes the receiver's replica key and the message
-     * @param commitListener takes each state that is committed
+     * @param commitListener takes each committed state
      * @param statistics counts the writes
      */
     ReplicaDriver(
@@ -73,7 +73,7 @@
         execute(replica.tick(clock.getAsLong()));
     }
 
-    /** Starts with an empty state, without the replicas that are given up; returns why not, or null. */
+    /** Starts with an empty state and abandons the given replicas; returns why that is rejected, or null. */
     String bootstrap(Set<String> abandoned) {
         String rejection = replica.bootstrapObstacle(clock.getAsLong(), abandoned);
         if (rejection == null) {
@@ -82,7 +82,7 @@
         return rejection;
     }
 
-    /** Begins a graceful shutdown; the replica says when its state is handed over. */
+    /** Begins a graceful shutdown; {@link ConsensusReplica#handedOver()} tells when it is done. */
     void shutDown() {
         execute(replica.leave(clock.getAsLong()));
     }
@@ -97,7 +97,7 @@
         execute(replica.submit(clock.getAsLong(), id, change, deadlineMicros));
     }
 
-    /** Reads the configuration, linearizable; the callback is called once, by the deadline. */
+    /** Reads the configuration with linearizable consistency; the callback is called once, by the deadline. */
     void read(long deadlineMicros, Consumer<ProposalResult> callback) {
         long id = addPending(callback);
         execute(replica.read(clock.getAsLong(), id, deadlineMicros));
@@ -130,7 +130,7 @@
         }
     }
 
-    /** On the disk executor. */
+    /** Runs on the disk executor. */
     private void write(Effect.Write write) {
         long startedAt = clock.getAsLong();
         boolean written = tryWrite(write);
@@ -146,7 +146,7 @@
             store.write(write.change());
             return true;
         } catch (IOException | RuntimeException e) {
-            // Xodus throws unchecked exceptions of its own; whatever it was, the replica has to know.
+            // Xodus throws unchecked exceptions of its own; the replica has to learn of every failure.
             LOG.warn("store write failed error=\"" + e.getMessage() + "\"");
             return false;
         }
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaStateLog.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaStateLog.java
@@ -5,8 +5,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Logs what an operator follows while a replica recovers: a line for each change of its state, of its vote, of the
- * voters and of its disk. Used on the event loop alone.
+ * Logs what an operator follows while a replica recovers: a line for each change of its state, its vote, the voters and
+ * the state of its disk. Used on the event loop only.
  */
 final class ReplicaStateLog {
 
@@ -17,7 +17,10 @@
     private boolean hadDiskFailed;
     private List<String> lastVoters = List.of();
 
-    /** Compares the replica with the last call; the first call logs what differs from a blank state. */
+    /**
+     * Logs what has changed since the last call. The first call compares with a replica that is not blank, has no vote,
+     * knows no voters and has a working disk.
+     */
     void update(ConsensusReplica replica, long nowMicros) {
         logLearning(replica);
         logVoters(replica);
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutCalls.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutCalls.java
@@ -20,9 +20,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Answers the operators' calls about rollouts. An order is acknowledged once a majority of voters has it on disk. The
- * same order again is acknowledged again, whatever became of it; another one is refused while one is in progress. Runs
- * on the event loop.
+ * Handles operators' calls that begin or read rollouts. An order for a rollout is acknowledged once a majority of
+ * voters has it on disk. Repeating the latest order is acknowledged again whatever the state of its rollout; a
+ * different order is rejected while a rollout of the service is in progress. Runs on the event loop.
  */
 final class RolloutCalls {
 
@@ -30,7 +30,7 @@
     private static final long TIMEOUT_MICROS = 850_000;
     private static final int OK = 200;
 
-    /** What an operator orders. */
+    /** An operator's order to move a service to another version within a period. */
     private record Order(String service, String targetVersion, long periodMicros) {}
 
     private final Supplier<ReplicaDriver> driver;
@@ -42,11 +42,11 @@
         this.clock = clock;
     }
 
-    /** Begins a rollout. */
+    /** Handles a call that begins a rollout. */
     void begin(ServerRequest request) {
         readOrder(request.body())
                 .peekLeft(reason -> request.answer(OperatorApiHandler.error(ErrorKind.INVALID, reason)))
-                .forEach(order -> begin(request, order, clock.getAsLong() + TIMEOUT_MICROS));
+                .forEach(order -> readConfigurationAndBegin(request, order, clock.getAsLong() + TIMEOUT_MICROS));
     }
 
     private static Either<String, Order> readOrder(byte[] body) {
@@ -59,11 +59,11 @@
         String service = JsonCodec.text(fields, "service");
         String targetVersion = JsonCodec.text(fields, "targetVersion");
         if (service.isBlank() || targetVersion.isBlank()) {
-            return Either.left("service and targetVersion must be texts that are not empty");
+            return Either.left("service and targetVersion must be non-empty strings");
         }
         Option<Long> period = DurationText.micros(JsonCodec.text(fields, "rolloutPeriod"));
         if (period.isEmpty() || period.get() < RolloutStages.MIN_PERIOD_MICROS) {
-            return Either.left("rolloutPeriod must be a duration such as 12s, of a second at least");
+            return Either.left("rolloutPeriod must be a duration of at least one second, such as 12s");
         }
         if (period.get() > RolloutStages.MAX_PERIOD_MICROS) {
             return Either.left("rolloutPeriod must be at most ten minutes");
@@ -71,49 +71,54 @@
         return Either.right(new Order(service, targetVersion, period.get()));
     }
 
-    private void begin(ServerRequest request, Order order, long deadline) {
+    private void readConfigurationAndBegin(ServerRequest request, Order order, long deadline) {
         driver.get().read(deadline, result -> {
             if (result instanceof ProposalResult.Read read) {
-                begin(request, order, deadline, read.configuration());
+                validateAndPropose(request, order, deadline, read.configuration());
             } else {
                 request.answer(OperatorApiHandler.answer(result));
             }
         });
     }
 
-    private void begin(ServerRequest request, Order order, long deadline, Configuration configuration) {
+    private void validateAndPropose(ServerRequest request, Order order, long deadline, Configuration configuration) {
         if (configuration.active(new ItemKey(ItemType.SERVICES, order.service())) == null) {
             request.answer(OperatorApiHandler.error(ErrorKind.INVALID, "service " + order.service() + " is not known"));
             return;
         }
-        Rollout last = Rollout.find(configuration, order.service());
-        if (last != null && last.isOrder(order.targetVersion(), order.periodMicros())) {
+        Rollout latest = Rollout.find(configuration, order.service());
+        if (latest != null && latest.isOrder(order.targetVersion(), order.periodMicros())) {
             request.answer(OperatorApiHandler.json(OK, Map.of()));
             return;
         }
-        if (last != null && last.isInProgress()) {
+        if (latest != null && latest.isInProgress()) {
             request.answer(OperatorApiHandler.error(
-                    ErrorKind.CONFLICT, "a rollout of " + last.targetVersion() + " is in progress"));
+                    ErrorKind.CONFLICT, "a rollout of " + latest.targetVersion() + " is in progress"));
             return;
         }
-        Rollout first = Rollout.begin(
-                last, order.service(), order.targetVersion(), order.periodMicros(), RolloutStages.share(0));
-        driver.get().submit(ConfigurationChange.of(first.toItem()), deadline, result -> ended(request, first, result));
+        Rollout initialStep = Rollout.begin(
+                latest, order.service(), order.targetVersion(), order.periodMicros(), RolloutStages.share(0));
+        driver.get()
+                .submit(
+                        ConfigurationChange.of(initialStep.toItem()),
+                        deadline,
+                        result -> answerBegin(request, initialStep, result));
     }
 
-    private static void ended(ServerRequest request, Rollout first, ProposalResult result) {
+    private static void answerBegin(ServerRequest request, Rollout initialStep, ProposalResult result) {
         if (result instanceof ProposalResult.Taken) {
-            LOG.info("rollout ordered service=" + first.service() + " targetVersion=" + first.targetVersion());
+            LOG.info("rollout ordered service=" + initialStep.service() + " targetVersion="
+                    + initialStep.targetVersion());
         }
         if (result instanceof ProposalResult.Refused) {
-            // Another order, or the same one, was quicker: which, the next call will see.
+            // A concurrent order, the same or a different one, was committed first; a retry finds out which.
             request.answer(OperatorApiHandler.error(ErrorKind.UNAVAILABLE, "another order is being taken"));
         } else {
             request.answer(OperatorApiHandler.answer(result));
         }
     }
 
-    /** Tells how far the last rollout of a service is. */
+    /** Handles a call that reads the state of the latest rollout of a service. */
     void read(ServerRequest request) {
         String service = ApiCall.ROLLOUT_READ.pathParameter(request.path()).orElse("");
         driver.get().read(clock.getAsLong() + TIMEOUT_MICROS, result -> {
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
@@ -14,8 +14,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Drives the rollouts that are in progress: takes in the proxies' reports and proposes the steps that are due. Used by
- * the event loop alone; times are microseconds.
+ * Drives the rollouts that are in progress: collects the proxies' reports and proposes the steps that are due. Used by
+ * the event loop only; times are microseconds.
  */
 final class RolloutDriver {
 
@@ -25,8 +25,8 @@
     private final LongSupplier clock;
     private final Supplier<ReplicaDriver> driver;
     private final Map<String, RolloutProgress> inProgress = new HashMap<>();
-    /** Services whose next step has been proposed and has no result yet. */
-    private final Set<String> proposed = new HashSet<>();
+    /** Services whose next step has been proposed and is still pending. */
+    private final Set<String> pendingProposals = new HashSet<>();
 
     /** @param driver gives null as long as the store is not open */
     RolloutDriver(LongSupplier clock, Supplier<ReplicaDriver> driver) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A proxy has reported. */
+    /** Takes in a proxy's report, if a rollout of its service is in progress. */
     void reported(String proxy, long incarnation, RolloutReport report) {
         RolloutProgress progress = inProgress.get(report.service());
         if (progress != null) {
@@ -64,21 +64,21 @@
         }
     }
 
-    /** To be called several times a second, where this controller has a vote and is in contact with a majority. */
+    /** Proposes due steps. To be called several times a second while this controller is a voter in quorum contact. */
     void tick(Set<String> proxies) {
         long now = clock.getAsLong();
         for (RolloutProgress progress : inProgress.values()) {
-            if (!proposed.contains(progress.rollout().service())) {
+            if (!pendingProposals.contains(progress.rollout().service())) {
                 progress.nextStep(now, proxies).forEach(this::propose);
             }
         }
     }
 
     private void propose(Rollout next) {
-        proposed.add(next.service());
+        pendingProposals.add(next.service());
         long deadline = clock.getAsLong() + TIMEOUT_MICROS;
         driver.get().submit(ConfigurationChange.of(next.toItem()), deadline, result -> {
-            proposed.remove(next.service());
+            pendingProposals.remove(next.service());
             if (result instanceof ProposalResult.Taken) {
                 LOG.info("rollout step service=" + next.service() + " targetVersion=" + next.targetVersion() + " state="
                         + next.state().wireName() + " share=" + next.shareOfTarget() + " reason=\"" + next.reason()
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutProgress.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutProgress.java
@@ -11,23 +11,23 @@
 import org.cypressweir.controlplane.registry.VersionSamples;
 
 /**
- * Decides on the next step of one rollout from the reports of all proxies. Each controller with a vote does so by
- * itself; the step that is committed first counts. No I/O; times are microseconds of the controller's clock.
+ * Decides on the next step of one rollout from the reports of all proxies. Each voter decides independently; the step
+ * that is committed first takes effect. No I/O; times are microseconds of the controller's clock.
  */
 final class RolloutProgress {
 
-    /** A report, and the run of the proxy that sent it. */
+    /** The latest report of a proxy, and the incarnation of the proxy that sent it. */
     private record ProxyReport(long incarnation, RolloutReport report) {}
 
     private Rollout rollout;
-    /** When the rollout would have been ordered, by this clock. */
+    /** Estimate of when the rollout was ordered, by this controller's clock. */
     private long startedAt;
 
     private final Map<String, ProxyReport> reports = new HashMap<>();
-    /** The outcomes that runs of proxies which have ended had reported. */
-    private final VersionSamples endedOld = new VersionSamples();
+    /** Outcomes in the last reports of proxy incarnations that have been replaced by later ones. */
+    private final VersionSamples oldOfEarlierIncarnations = new VersionSamples();
 
-    private final VersionSamples endedTarget = new VersionSamples();
+    private final VersionSamples targetOfEarlierIncarnations = new VersionSamples();
 
     RolloutProgress(long nowMicros, Rollout rollout) {
         this.rollout = rollout;
@@ -40,7 +40,7 @@
 
     /** A further step was committed. */
     void update(long nowMicros, Rollout next) {
-        // This clock is the better one: the step says how much had passed when it was proposed.
+        // The elapsed time in the step dates from its proposal, so the start derived from it may be too late.
         startedAt = Math.min(startedAt, nowMicros - next.elapsedMicros());
         rollout = next;
     }
@@ -55,23 +55,23 @@
             return;
         }
         if (before != null && before.incarnation < incarnation) {
-            endedOld.add(before.report.old());
-            endedTarget.add(before.report.target());
+            oldOfEarlierIncarnations.add(before.report.old());
+            targetOfEarlierIncarnations.add(before.report.target());
         }
         reports.put(proxy, new ProxyReport(incarnation, report));
     }
 
     private VersionSamples pooledOld() {
         VersionSamples pooled = new VersionSamples();
-        pooled.add(endedOld);
-        reports.values().forEach(each -> pooled.add(each.report.old()));
+        pooled.add(oldOfEarlierIncarnations);
+        reports.values().forEach(proxyReport -> pooled.add(proxyReport.report.old()));
         return pooled;
     }
 
     private VersionSamples pooledTarget() {
         VersionSamples pooled = new VersionSamples();
-        pooled.add(endedTarget);
-        reports.values().forEach(each -> pooled.add(each.report.target()));
+        pooled.add(targetOfEarlierIncarnations);
+        reports.values().forEach(proxyReport -> pooled.add(proxyReport.report.target()));
         return pooled;
     }
 
@@ -82,32 +82,34 @@
      */
     Option<Rollout> nextStep(long nowMicros, Set<String> proxies) {
         long elapsed = Math.max(rollout.elapsedMicros(), nowMicros - startedAt);
-        double part = elapsed / (double) rollout.periodMicros();
+        double partOfPeriod = elapsed / (double) rollout.periodMicros();
         VersionSamples target = pooledTarget();
-        Option<String> fault = RolloutJudge.findFault(pooledOld(), target);
-        if (fault.isDefined()) {
-            return Option.some(rollout.end(RolloutState.REVERTED, elapsed, fault.get()));
+        Option<String> regression = CanaryAnalysis.findRegression(pooledOld(), target);
+        if (regression.isDefined()) {
+            return Option.some(rollout.end(RolloutState.REVERTED, elapsed, regression.get()));
         }
-        if (part >= RolloutStages.REVERT_AT) {
+        if (partOfPeriod >= RolloutStages.REVERT_AT) {
             return Option.some(rollout.end(RolloutState.REVERTED, elapsed, "not decided within the period"));
         }
-        boolean isJudged = target.total().answers() >= RolloutStages.MIN_SAMPLES;
-        if (isJudged && RolloutStages.mayAdvance(rollout.stage(), part)) {
+        boolean hasEnoughSamples = target.total().attempts() >= RolloutStages.MIN_SAMPLES;
+        if (hasEnoughSamples && RolloutStages.mayAdvance(rollout.stage(), partOfPeriod)) {
             int next = rollout.stage() + 1;
             return Option.some(rollout.toStage(next, RolloutStages.share(next), elapsed));
         }
-        boolean mayComplete = isJudged && RolloutStages.isLast(rollout.stage()) && part >= RolloutStages.COMPLETE_FROM;
-        if (mayComplete && haveAllMoved(proxies)) {
+        boolean mayComplete = hasEnoughSamples
+                && RolloutStages.isLast(rollout.stage())
+                && partOfPeriod >= RolloutStages.COMPLETE_FROM;
+        if (mayComplete && haveAllProxiesSwitched(proxies)) {
             return Option.some(rollout.end(RolloutState.COMPLETED, elapsed, "no fault found"));
         }
         return Option.none();
     }
 
-    /** Whether all proxies act by the last stage and have nothing in flight at the old version. */
-    private boolean haveAllMoved(Set<String> proxies) {
+    /** Whether all proxies apply the last stage and have no requests in flight at the old version. */
+    private boolean haveAllProxiesSwitched(Set<String> proxies) {
         Set<String> missing = new HashSet<>(proxies);
-        reports.forEach((proxy, each) -> {
-            if (each.report.seenVersion() >= rollout.itemVersion() && each.report.oldInFlight() == 0) {
+        reports.forEach((proxy, proxyReport) -> {
+            if (proxyReport.report.seenVersion() >= rollout.itemVersion() && proxyReport.report.oldInFlight() == 0) {
                 missing.remove(proxy);
             }
         });
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutStages.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutStages.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * The stages of a rollout: which part of the requests the new version gets, from which part of the period on. A version
- * that turns out to be bad has got a small part of all requests by then, whatever stage it is in; the last stage is
- * short, since it gives the new version everything.
+ * The stages of a rollout: the share of requests that the new version gets, and the part of the rollout period after
+ * which a stage may begin. Whichever stage a faulty version is detected in, it has received only a small part of the
+ * requests of the period; the last stage is short because it sends all requests to the new version.
  */
 final class RolloutStages {
 
     static final long MIN_PERIOD_MICROS = 1_000_000;
     static final long MAX_PERIOD_MICROS = 600_000_000;
 
-    /** From this part of the period on, a rollout may be completed. */
+    /** Part of the period after which a rollout may be completed. */
     static final double COMPLETE_FROM = 0.84;
 
-    /** A rollout that is not completed by then is reverted. */
+    /** Part of the period after which a rollout that is not completed is reverted. */
     static final double REVERT_AT = 0.97;
 
-    /** Answers of the new version without which nothing is decided for it. */
+    /** Requests that the new version must have had before the rollout advances or completes. */
     static final long MIN_SAMPLES = 20;
 
     /**
      * One stage.
      *
-     * @param share the part of the requests that the new version gets
-     * @param from the part of the period from which on the stage may begin
+     * @param share of the requests that the new version gets, from 0 to 1
+     * @param from the part of the period after which the stage may begin, from 0 to 1
      */
     private record Stage(double share, double from) {}
 
--- a/src/main/java/org/cypressweir/controlplane/controller/StoreOpener.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/StoreOpener.java
@@ -19,7 +19,7 @@
     /**
      * An open store.
      *
-     * @param state null where the store is empty
+     * @param state null if the store is empty
      */
     record OpenedStore(XodusStore store, PersistentState state) {}
 
@@ -30,7 +30,7 @@
     private final ExecutorService diskExecutor;
     private final ScheduledExecutorService eventLoop;
     private final Consumer<OpenedStore> listener;
-    /** Logged once as long as it is the same; used by the disk executor alone. */
+    /** Repetitions of the same error are not logged. Used by the disk executor only. */
     private String lastError;
 
     StoreOpener(
--- a/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -20,30 +20,30 @@
 import org.jboss.logging.Logger;
 
 /**
- * Serves the proxies that are connected to this controller: takes in their registrations and their demand, passes on
- * the tokens of tenants' limits, and publishes endpoints, configuration versions and the demand over all proxies. Used
- * by the event loop alone; times are microseconds of the controller's clock.
+ * Serves the proxies that are connected to this controller: takes in their registrations, demand and rollout reports,
+ * passes rate-limit tokens between them, and publishes endpoints, configuration versions and the demand over all
+ * proxies. Used by the event loop only; times are microseconds of the controller's clock.
  */
 final class UpdatePublisher {
 
     private static final Logger LOG = Logger.getLogger(UpdatePublisher.class);
-    /** For how long a proxy stays registered after its connection is lost. */
+    /** How long a proxy stays registered after its connection is lost. */
     private static final long REGISTRATION_GRACE_MICROS = 300_000;
 
     private static final long SILENT_AFTER_MICROS = 2_000_000;
-    /** A longer time between two ticks says that this controller was late itself, and read nothing meanwhile. */
+    /** A longer interval between two ticks means that this controller was paused and read no messages meanwhile. */
     private static final long MAX_TICK_INTERVAL_MICROS = 500_000;
-    /** After so long without a majority, the proxies are notified. */
+    /** Time without contact with a quorum after which the proxies are notified. */
     private static final long QUORUM_CONTACT_TIMEOUT_MICROS = 2_000_000;
-    /** Every so many publications hold all demand; those in between only what has changed. */
+    /** One in so many publications holds the demand of all tenants, the others only what has changed. */
     private static final int PUBLICATIONS_PER_FULL_DEMAND = 10;
 
     /** The state of one connected proxy. */
     private static final class Subscriber {
         private final String name;
-        /** Whether it has said from where on it wants endpoint changes. */
+        /** Whether it has subscribed to endpoint changes. */
         private boolean endpointsSubscribed;
-        /** In the log of endpoint changes, up to which the proxy has been updated; below 0: it needs a snapshot. */
+        /** Offset in the endpoint change log up to which the proxy is up to date; below 0: it needs a snapshot. */
         private long offset = -1;
 
         private boolean demandSubscribed;
@@ -69,17 +69,17 @@
     private long endpointUpdates;
     private boolean inQuorumContact;
     private long lastTickAt;
-    /** Since when this controller has read without a longer pause of its own: silence before says nothing. */
-    private long attentiveSince;
-    /** Whether endpoint changes were published since the last tick; those that follow wait for the next one. */
+    /** End of this controller's last pause. A proxy's silence counts from here: during the pause nothing was read. */
+    private long receivingSince;
+    /** Whether endpoint changes were published since the last tick; further ones wait for the next tick. */
     private boolean publishedSinceTick;
 
     /**
      * @param clock in microseconds
-     * @param controlAddress where this controller is asked by operators
+     * @param controlAddress where this controller serves operators
      * @param confirmedAge how long ago the published configuration was known to be the newest; below 0: never
-     * @param quotas this controller's part in the rate limits of tenants
-     * @param rollouts takes what proxies report of rollouts
+     * @param quotas lends rate-limit tokens to proxies and counts the proxies
+     * @param rollouts takes the proxies' rollout reports
      */
     UpdatePublisher(
             LongSupplier clock,
@@ -95,7 +95,7 @@
         this.controlAddress = controlAddress;
         this.confirmedAge = confirmedAge;
         lastTickAt = clock.getAsLong();
-        attentiveSince = lastTickAt;
+        receivingSince = lastTickAt;
     }
 
     ProxyRegistry registry() {
@@ -106,7 +106,7 @@
         return versionLog;
     }
 
-    /** How often a registration has changed. */
+    /** How many changes of registrations there have been. */
     long endpointChanges() {
         return endpointLog.endOffset();
     }
@@ -121,7 +121,7 @@
         return demand.totals(clock.getAsLong());
     }
 
-    /** How long nothing has been received from the named proxy; below 0 where it is not connected. */
+    /** Time since the last message from the named proxy; below 0 if it is not connected. */
     long microsSinceLastMessage(String name) {
         long shortest = -1;
         for (Map.Entry<PeerConnection, Subscriber> entry : subscribers.entrySet()) {
@@ -139,12 +139,12 @@
         connection.attach(name);
         connection.send(ControllerMessages.welcome(
                 incarnation, voterAddresses, controlAddress, versionLog.version(), confirmedAge.getAsLong()));
-        // Before any configuration: a proxy divides the limits in it by this number.
+        // Sent before any configuration, because a proxy divides the tenants' limits in it by this number.
         int proxyCount = quotas.connected(clock.getAsLong(), name);
         connection.send(ControllerMessages.proxyCount(proxyCount));
     }
 
-    /** A message has come from a proxy; from a connection without a hello it is ignored. */
+    /** Handles a message from a proxy; without a preceding hello on the connection it is ignored. */
     void received(PeerConnection connection, Map<String, Object> message) {
         Subscriber subscriber = subscribers.get(connection);
         if (subscriber == null) {
@@ -172,16 +172,16 @@
         } else if (message instanceof ProxyMessage.RolloutObserved observed) {
             rollouts.reported(subscriber.name, observed.incarnation(), observed.report());
         } else if (message instanceof ProxyMessage.TokenSurplus surplus) {
-            quotas.add(surplus.tokensByTenant());
+            quotas.addSurplus(surplus.tokensByTenant());
         } else if (message instanceof ProxyMessage.TokenRequest request) {
-            int count = quotas.take(request.tenant(), request.count());
+            int count = quotas.takeTokens(request.tenant(), request.count());
             connection.send(ControllerMessages.tokenResponse(request.tenant(), count));
         } else if (message instanceof ProxyMessage.ProxyCount proxies) {
             quotas.countReported(connection, proxies.count());
         }
     }
 
-    /** Tells all proxies by how many the limits are divided, if it has changed. */
+    /** Announces the number of proxies by which the limits are divided, if it has changed. */
     private void announceProxyCount(long now) {
         int count = quotas.takeChangedCount(now, inQuorumContact);
         if (count > 0) {
@@ -196,7 +196,7 @@
         }
         if (registration != null && registry.register(connection, registration)) {
             endpointLog.append(registration.name());
-            // The first change is sent at once; the others of many at a time go together.
+            // The first change after a tick is sent at once; further ones are batched until the next tick.
             if (!publishedSinceTick) {
                 publishEndpoints();
             }
@@ -219,7 +219,7 @@
         }
     }
 
-    /** A configuration has been committed: its version is published, its items to each proxy that asks. */
+    /** Publishes the version of a committed configuration; proxies request its items. */
     void committed(ProposalNumber version, Configuration configuration, List<String> voters) {
         versionLog.append(version, configuration);
         voterAddresses = voters.stream().map(ReplicaKey::address).toList();
@@ -238,7 +238,7 @@
     void tick() {
         long now = clock.getAsLong();
         if (now - lastTickAt > MAX_TICK_INTERVAL_MICROS) {
-            attentiveSince = now;
+            receivingSince = now;
         }
         lastTickAt = now;
         checkQuorumContact();
@@ -261,7 +261,7 @@
 
     private void expireProxies(long now) {
         for (PeerConnection connection : subscribers.keySet()) {
-            if (now - Math.max(connection.lastReceivedMicros(), attentiveSince) > SILENT_AFTER_MICROS) {
+            if (now - Math.max(connection.lastReceivedMicros(), receivingSince) > SILENT_AFTER_MICROS) {
                 registry.connectionLost(now, connection);
             }
         }
@@ -271,7 +271,7 @@
         }
     }
 
-    /** Publishes the demand totals that have changed; to be called a few times a second. */
+    /** Publishes the demand totals that have changed, periodically all of them; to be called a few times a second. */
     void publishDemand() {
         demandPublications++;
         if (subscribers.values().stream().noneMatch(subscriber -> subscriber.demandSubscribed)) {
@@ -290,14 +290,14 @@
         });
     }
 
-    /** Brings all proxies up to date; an update is encoded once for all that have the same offset. */
+    /** Sends each proxy the endpoint changes it lacks; proxies at the same offset share one encoded update. */
     private void publishEndpoints() {
         Map<Long, byte[]> updatesByOffset = new HashMap<>();
         subscribers.forEach((connection, subscriber) -> publishEndpoints(connection, subscriber, updatesByOffset));
         publishedSinceTick |= !updatesByOffset.isEmpty();
     }
 
-    /** Sends a proxy the endpoints that have changed since its offset, or a snapshot, if it has subscribed to them. */
+    /** Sends a subscribed proxy the endpoints that have changed since its offset, or a snapshot. */
     private void publishEndpoints(PeerConnection connection, Subscriber subscriber, Map<Long, byte[]> updatesByOffset) {
         if (subscriber.endpointsSubscribed && subscriber.offset != endpointLog.endOffset()) {
             connection.sendEncoded(updatesByOffset.computeIfAbsent(subscriber.offset, this::endpointUpdate));
@@ -324,7 +324,7 @@
                 incarnation, endpointLog.endOffset(), isSnapshot, registrations, removed));
     }
 
-    /** Sends a proxy what it needs to get from its version to the newest. */
+    /** Sends a proxy the delta from its configuration version to the newest, or a snapshot. */
     private void sendConfiguration(PeerConnection connection, ProposalNumber from) {
         if (versionLog.version().compareTo(from) <= 0) {
             return;
--- a/src/main/java/org/cypressweir/controlplane/distribution/EndpointChangeLog.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/EndpointChangeLog.java
@@ -6,8 +6,8 @@
 
 /**
  * A bounded log of the names of proxies whose registration has changed. A subscriber remembers the offset up to
- * which it has been updated and asks for the distinct names that have changed since; where the log no longer
- * reaches back so far, it needs a snapshot. Not thread-safe.
+ * which it has been updated and asks for the distinct names that have changed since; if the log no longer reaches
+ * back that far, it needs a snapshot. Not thread-safe.
  */
 public final class EndpointChangeLog {
 
@@ -25,12 +25,12 @@
         }
     }
 
-    /** The offset behind the last change. */
+    /** The offset after the last change. */
     public long endOffset() {
         return endOffset;
     }
 
-    /** The names that have changed from this offset on, each once; null where the log does not hold that offset. */
+    /** The names that have changed from this offset on, each once; null if the log does not hold that offset. */
     public Set<String> changedSince(long offset) {
         long firstOffset = endOffset - names.size();
         if (offset < firstOffset || offset > endOffset) {
--- a/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/ItemChunks.java
@@ -13,13 +13,13 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * Packs configuration items into chunks for sending and unpacks them. A chunk is a JSON object in the zlib format
- * (RFC 1950), since the links to proxies are narrow. Stateless.
+ * Packs configuration items into chunks for sending and unpacks them. A chunk is a JSON object compressed in the zlib
+ * format (RFC 1950), since the links to proxies have little bandwidth. Stateless.
  */
 public final class ItemChunks {
 
     private static final int ITEMS_PER_CHUNK = 250;
-    /** Guards against chunks that inflate without end. */
+    /** Limits the memory that a malicious or damaged chunk can take when it is inflated. */
     private static final int MAX_INFLATED_BYTES = 64 * 1024 * 1024;
 
     private static final int BUFFER_BYTES = 8 * 1024;
@@ -27,7 +27,7 @@
 
     private ItemChunks() {}
 
-    /** Packs the items into one chunk or more; without items into one that is empty. */
+    /** Packs the items into one or more chunks; without items, into one empty chunk. */
     public static List<byte[]> pack(List<Item> items) {
         List<byte[]> chunks = new ArrayList<>();
         for (int first = 0; first == 0 || first < items.size(); first += ITEMS_PER_CHUNK) {
@@ -42,7 +42,7 @@
     /**
      * Unpacks a chunk.
      *
-     * @throws IOException where the bytes are not a chunk, or one that is truncated or too large
+     * @throws IOException if the bytes are not a chunk, or if it is truncated or too large
      */
     public static List<Item> unpack(byte[] chunk) throws IOException {
         byte[] json = inflate(chunk);
--- a/src/main/java/org/cypressweir/controlplane/distribution/VersionLog.java
+++ b/src/main/java/org/cypressweir/controlplane/distribution/VersionLog.java
@@ -26,7 +26,7 @@
     /**
      * What brings a subscriber to the newest version.
      *
-     * @param snapshot whether the chunks hold all items; else those that have changed since the subscriber's version
+     * @param snapshot whether the chunks hold all items; otherwise those changed since the subscriber's version
      * @param chunks as {@link ItemChunks} packs them
      */
     public record Update(boolean snapshot, List<byte[]> chunks) {}
@@ -37,7 +37,7 @@
     /** Packed once for all subscribers at the same version. */
     private final Map<ProposalNumber, Update> updates = new HashMap<>();
 
-    /** Null until somebody needs it. */
+    /** Packed when a subscriber first needs it; null until then. */
     private Update snapshot;
 
     /** The proposal number of the newest configuration. */
@@ -92,7 +92,7 @@
         return snapshot;
     }
 
-    /** The items that have changed since this version; null where it is not in the log and a snapshot is needed. */
+    /** The items that have changed since this version; null if it is not in the log and a snapshot is needed. */
     public Collection<Item> changedSince(ProposalNumber from) {
         if (from.equals(version)) {
             return List.of();
--- a/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ApplicationInstance.java
@@ -7,10 +7,10 @@
 /**
  * One run of an application process, as the proxy beside it describes it. Immutable.
  *
- * @param slots how many requests it takes at the same time
- * @param draining whether it wants no new requests
+ * @param slots how many requests it handles at the same time
+ * @param draining whether it is to get no new requests
  * @param warmAt when its warm-up ends, in microseconds of the local clock; 0: it ended long ago
- * @param version of its software; empty where it is not known
+ * @param version of its software; empty if it is not known
  */
 public record ApplicationInstance(
         String id, String service, String address, int slots, boolean draining, long warmAt, String version) {
@@ -29,7 +29,7 @@
         this(id, service, address, slots, draining, warmAt, "");
     }
 
-    /** Encodes it for another process, which has another clock: times are sent as what is left of them. */
+    /** Encodes it for another process; clocks differ, so the remaining time of the warm-up is sent. */
     public Map<String, Object> toMap(long nowMicros) {
         Map<String, Object> map = JsonCodec.map(
                 ID,
@@ -50,7 +50,7 @@
         return map;
     }
 
-    /** Decodes an instance; null where there is none. */
+    /** Decodes an instance; null if the map holds none. */
     static ApplicationInstance of(Map<?, ?> map, long nowMicros) {
         String id = JsonCodec.text(map, ID);
         if (id.isEmpty()) {
--- a/src/main/java/org/cypressweir/controlplane/registry/EndpointDirectory.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/EndpointDirectory.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The other proxies as one proxy knows them: the merged views of all controllers that it is connected to, with what
- * proxies say of themselves directly. A proxy is present if any view that counts has it. The view of a silent
- * controller counts on for a while, and without end as long as all controllers are silent: a control plane that is
- * down removes nobody. Not thread-safe; times are microseconds of one monotonic clock.
+ * The other proxies as one proxy knows them: the merged views of all controllers that it is connected to, together with
+ * registrations received from proxies directly. A proxy is present if any valid view contains it. The view of a silent
+ * controller stays valid for a while, and without limit as long as all controllers are silent: an outage of the whole
+ * control plane removes no proxy. Not thread-safe; times are microseconds of one monotonic clock.
  */
 public final class EndpointDirectory {
 
-    /** The registrations at one controller. */
+    /** The proxies registered with one controller. */
     private static final class View {
         private final Map<String, ProxyRegistration> registrations = new HashMap<>();
         private boolean alive;
@@ -25,12 +25,12 @@
     private final Map<String, View> views = new HashMap<>();
     private final Map<String, ProxyRegistration> direct = new HashMap<>();
     private Map<String, ProxyRegistration> merged = Map.of();
-    /** Whether something has been updated since the last merge. */
+    /** Whether there has been an update since the last merge. */
     private boolean stale = true;
-    /** When the next silent view stops counting; before that nothing changes by time alone. */
+    /** When the next silent view expires; until then nothing changes merely because time passes. */
     private long nextViewExpiryMicros = Long.MAX_VALUE;
 
-    /** @param silentViewLifetimeMicros for how long the view of a silent controller counts beside those of others */
+    /** @param silentViewLifetimeMicros how long a silent controller's view stays valid while others are not silent */
     public EndpointDirectory(long silentViewLifetimeMicros) {
         this.silentViewLifetimeMicros = silentViewLifetimeMicros;
     }
@@ -38,7 +38,7 @@
     /**
      * A controller has sent its view.
      *
-     * @param snapshot whether the view is complete; else it holds what has changed
+     * @param snapshot whether the view is complete; otherwise it holds what has changed
      * @param removed names of proxies that are no longer registered there
      */
     public void updateView(
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Nothing is received from the controller any more. */
+    /** Nothing is received from the controller any more; its view expires after a while. */
     public void markSilent(long nowMicros, String controller) {
         View view = views.get(controller);
         if (view != null && view.alive) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The process is no controller any more. The last view is kept. */
+    /** Removes the view of a process that is no longer a controller, unless it is the only view. */
     public void drop(String controller) {
         if (views.size() > 1) {
             views.remove(controller);
@@ -126,7 +126,7 @@
         return List.copyOf(merged.values());
     }
 
-    /** The registration of the named proxy at the last merge; null where it was not present. */
+    /** The registration of the named proxy at the last merge; null if it was not present. */
     public ProxyRegistration get(String name) {
         return merged.get(name);
     }
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistration.java
@@ -9,12 +9,12 @@
  * registrations of a proxy the one of the later incarnation is newer, and within an incarnation the one with the
  * higher number.
  *
- * @param incarnation later for each run of the proxy's process
+ * @param incarnation higher for each run of the proxy's process
  * @param number counts the proxy's changes within the incarnation
- * @param address where the proxy takes connections of its peers
- * @param control where the proxy answers operators; empty where that is not known
- * @param shuttingDown whether the proxy ends soon and takes no new requests
- * @param instance null where no application instance is known
+ * @param address where the proxy accepts connections of its peers
+ * @param control where the proxy serves operators; empty if that is not known
+ * @param shuttingDown whether the proxy is about to terminate and accepts no new requests
+ * @param instance null if no application instance is known
  */
 public record ProxyRegistration(
         String name,
@@ -61,7 +61,7 @@
                 instance == null ? null : instance.toMap(nowMicros));
     }
 
-    /** Decodes a registration; null where name or address is missing. */
+    /** Decodes a registration; null if name or address is missing. */
     public static ProxyRegistration of(Map<?, ?> map, long nowMicros) {
         String name = JsonCodec.text(map, NAME);
         String address = JsonCodec.text(map, ADDRESS);
--- a/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/ProxyRegistry.java
@@ -33,7 +33,7 @@
 
     private final long graceMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    /** The same entries by their connection: each message of a proxy asks for them. */
+    /** The same entries by connection, since each message of a proxy looks them up by it. */
     private final Map<Object, List<Entry>> entriesByConnection = new IdentityHashMap<>();
 
     private final Map<String, ExpiredProxy> expired = new LinkedHashMap<>() {
@@ -45,7 +45,7 @@
         }
     };
 
-    /** @param graceMicros for how long a proxy stays registered after its connection is lost */
+    /** @param graceMicros how long a proxy stays registered after its connection is lost */
     public ProxyRegistry(long graceMicros) {
         this.graceMicros = graceMicros;
     }
@@ -123,12 +123,12 @@
         }
     }
 
-    /** The last proxies that expired and have not registered again, each for an hour. */
+    /** The most recent proxies that expired within the last hour and have not registered again. */
     public Collection<ExpiredProxy> expired() {
         return List.copyOf(expired.values());
     }
 
-    /** The registration of the named proxy; null where there is none. */
+    /** The registration of the named proxy; null if there is none. */
     public ProxyRegistration get(String name) {
         Entry entry = entries.get(name);
         return entry == null ? null : entry.registration;
--- a/src/main/java/org/cypressweir/controlplane/registry/RolloutReport.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/RolloutReport.java
@@ -5,11 +5,11 @@
 import org.cypressweir.common.util.Json;
 
 /**
- * What one proxy has seen of a rollout since it learned of it. Reports are cumulative: the latest one of a proxy's run
- * replaces those before, so that none counts twice however often it comes.
+ * What one proxy has observed of a rollout since it learned of it. Reports are cumulative: the latest one of a proxy's
+ * incarnation replaces the earlier ones, so that no outcome counts twice when a report is repeated.
  *
- * @param seenVersion the item version that the proxy acts by
- * @param oldInFlight requests in flight at instances of other versions than the new one
+ * @param seenVersion version of the rollout's configuration item that the proxy applies
+ * @param oldInFlight requests in flight at instances of any version but the new one
  */
 public record RolloutReport(
         String service,
@@ -43,7 +43,7 @@
                 target.toMap());
     }
 
-    /** Reads what {@link #toMap} made. */
+    /** Decodes the result of {@link #toMap}. */
     public static RolloutReport of(Map<?, ?> map) {
         return new RolloutReport(
                 JsonCodec.text(map, SERVICE),
--- a/src/main/java/org/cypressweir/controlplane/registry/VersionSamples.java
+++ b/src/main/java/org/cypressweir/controlplane/registry/VersionSamples.java
@@ -11,8 +11,8 @@
 import org.cypressweir.common.util.Json;
 
 /**
- * The outcomes of requests to one version of a service, by route: how many answers, how many of them bad, and their
- * times. Those of several proxies are merged by adding them. Not thread-safe.
+ * The outcomes of attempts at one version of a service, by route: their number, how many of them failed, and their
+ * durations. Samples of several proxies are merged by addition. Not thread-safe.
  */
 public final class VersionSamples {
 
@@ -21,38 +21,38 @@
 
     /** The outcomes on one route. */
     public static final class Outcomes {
-        private long answers;
-        private long bad;
+        private long attempts;
+        private long failures;
         private final Histogram millis = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
 
-        public long answers() {
-            return answers;
+        public long attempts() {
+            return attempts;
         }
 
-        /** Answers with a status of 500 or above, and requests without a complete answer. */
-        public long bad() {
-            return bad;
+        /** Attempts with a status of 500 or above, or without a complete response. */
+        public long failures() {
+            return failures;
         }
 
-        /** How long answers took, in milliseconds. */
+        /** Durations of the attempts, in milliseconds. */
         public Histogram millis() {
             return millis;
         }
 
         private void add(Outcomes other) {
-            answers += other.answers;
-            bad += other.bad;
+            attempts += other.attempts;
+            failures += other.failures;
             millis.add(other.millis);
         }
     }
 
     private final Map<String, Outcomes> outcomesByRoute = new TreeMap<>();
 
-    /** An attempt has ended. */
-    public void record(String route, boolean isBad, long micros) {
+    /** Records an attempt that has ended. */
+    public void record(String route, boolean isFailure, long micros) {
         Outcomes outcomes = outcomesByRoute.computeIfAbsent(route, name -> new Outcomes());
-        outcomes.answers++;
-        outcomes.bad += isBad ? 1 : 0;
+        outcomes.attempts++;
+        outcomes.failures += isFailure ? 1 : 0;
         outcomes.millis.recordValue(Math.max(0, Math.min(MAX_MILLIS, micros / 1_000)));
     }
 
@@ -66,7 +66,7 @@
         return outcomesByRoute;
     }
 
-    /** All routes together. */
+    /** The outcomes of all routes together. */
     public Outcomes total() {
         Outcomes total = new Outcomes();
         outcomesByRoute.values().forEach(total::add);
@@ -82,33 +82,38 @@
             byte[] bytes = new byte[length];
             buffer.flip().get(bytes);
             String text = Base64.getEncoder().encodeToString(bytes);
-            map.put(route, List.of(outcomes.answers, outcomes.bad, text));
+            map.put(route, List.of(outcomes.attempts, outcomes.failures, text));
         });
         return map;
     }
 
-    /** Reads what {@link #toMap} made; routes that are not readable are left out. */
+    /** Decodes the result of {@link #toMap}; malformed routes are left out. */
     public static VersionSamples of(Map<?, ?> map) {
         VersionSamples samples = new VersionSamples();
         for (Object route : new ArrayList<>(map.keySet())) {
             List<?> fields = Json.array(map, String.valueOf(route));
-            if (fields.size() == 3 && fields.get(0) instanceof Number answers && fields.get(1) instanceof Number bad) {
+            if (fields.size() == 3
+                    && fields.get(0) instanceof Number attempts
+                    && fields.get(1) instanceof Number failures) {
                 samples.read(
-                        String.valueOf(route), answers.longValue(), bad.longValue(), String.valueOf(fields.get(2)));
+                        String.valueOf(route),
+                        attempts.longValue(),
+                        failures.longValue(),
+                        String.valueOf(fields.get(2)));
             }
         }
         return samples;
     }
 
-    private void read(String route, long answers, long bad, String text) {
+    private void read(String route, long attempts, long failures, String text) {
         Outcomes outcomes = new Outcomes();
-        outcomes.answers = answers;
-        outcomes.bad = bad;
+        outcomes.attempts = attempts;
+        outcomes.failures = failures;
         try {
             ByteBuffer buffer = ByteBuffer.wrap(Base64.getDecoder().decode(text));
             outcomes.millis.add(Histogram.decodeFromCompressedByteBuffer(buffer, MAX_MILLIS));
         } catch (DataFormatException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            // Counts without their times still say what is bad.
+            // The counts are useful without the durations: they still show failures.
             outcomes.millis.reset();
         }
         outcomesByRoute.put(route, outcomes);
