--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -27,30 +27,40 @@
 import org.cypressweir.testkit.SimulatedReplicas;
 import org.junit.jupiter.api.Test;
 
-/** Checks the tables of the page against the code; with -Dorders.table=write it writes them instead. */
+/** Checks the tables of the design page against the code; with -Dorders.table=write it rewrites them instead. */
 class ConfigurationChangeTableTest {
 
     private static final Path PAGE = Path.of("docs/design/configuration-changes.md");
     private static final long TIMEOUT_MICROS = 3_000_000;
     private static final long FLOOR = 3;
 
-    /** One item of a configuration change, in relation to what is committed. */
-    private enum Part {
+    /**
+     * One item of a configuration change, in relation to the committed items: version 9 is committed, version 5 was
+     * committed before it, 7 never was, and 3 is the oldest version whose history is kept. Lower-case names are printed
+     * in the table.
+     */
+    private enum ItemCase {
         NEW(10, 10, true),
         NEW_AND_INVALID(10, 10, false),
+        /** The committed version with the committed content. */
         STANDS(9, 9, true),
+        /** The committed version with another content. */
         STANDS_OTHERWISE(9, 1, true),
+        /** A version that was committed earlier, with its content. */
         SUPERSEDED(5, 5, true),
+        /** A version that was committed earlier, with another content. */
         SUPERSEDED_OTHERWISE(5, 1, true),
+        /** A version below the committed one that was skipped. */
         PASSED(7, 7, true),
         PASSED_AND_INVALID(7, 7, false),
+        /** A version so old that its history is no longer kept. */
         FORGOTTEN(2, 2, true);
 
         private final long version;
         private final int content;
         private final boolean valid;
 
-        Part(long version, int content, boolean valid) {
+        ItemCase(long version, int content, boolean valid) {
             this.version = version;
             this.content = content;
             this.valid = valid;
@@ -66,7 +76,7 @@
         }
     }
 
-    /** One controller, the only voter; r9 of two tenants is committed after r5, and r3 is the floor. */
+    /** A controller that is the only voter; for two tenants r9 was committed after r5, and the floor is r3. */
     private static final class SingleController {
         private final ConsensusReplica replica;
         private ProposalResult result;
@@ -85,7 +95,7 @@
         }
 
         private static Item item(String tenant) {
-            Item superseded = change(Part.SUPERSEDED.json(tenant)).items().get(0);
+            Item superseded = change(ItemCase.SUPERSEDED.json(tenant)).items().get(0);
             Item withFloor = new Item(superseded.key(), superseded.version(), superseded.content(), List.of(), FLOOR);
             ConsensusReplica previous = new ConsensusReplica(
                     ConsensusOptions.usual(),
@@ -102,7 +112,7 @@
                     new SplittableRandom(1),
                     0);
             execute(previous, previous.start(0));
-            execute(previous, previous.submit(0, 1, change(Part.STANDS.json(tenant)), TIMEOUT_MICROS));
+            execute(previous, previous.submit(0, 1, change(ItemCase.STANDS.json(tenant)), TIMEOUT_MICROS));
             return previous.committed().configuration().get(superseded.key());
         }
 
@@ -140,7 +150,7 @@
                 .get();
     }
 
-    /** The status of the answer, in bold where the configuration changes. A repeated call is answered the same. */
+    /** The status of the response, in bold if the configuration changes. Checks that a retry gets the same response. */
     private static String answer(String... parts) {
         SingleController controller = new SingleController();
         Map<String, Object> before = controller.layout();
@@ -153,19 +163,21 @@
         return status != 200 || after.equals(before) ? Integer.toString(status) : "**" + status + "**";
     }
 
-    private static String singleCalls() {
+    private static String callsTable() {
         StringBuilder table = new StringBuilder("| one item is | alone |");
-        for (Part second : Part.values()) {
+        for (ItemCase second : ItemCase.values()) {
             table.append(" and ").append(second.title()).append(" |");
         }
-        table.append("\n|").append(" --- |".repeat(2 + Part.values().length)).append('\n');
-        for (Part first : Part.values()) {
+        table.append("\n|")
+                .append(" --- |".repeat(2 + ItemCase.values().length))
+                .append('\n');
+        for (ItemCase first : ItemCase.values()) {
             table.append("| ")
                     .append(first.title())
                     .append(" | ")
                     .append(answer(first.json("a")))
                     .append(" |");
-            for (Part second : Part.values()) {
+            for (ItemCase second : ItemCase.values()) {
                 String answer = answer(first.json("a"), second.json("b"));
                 assertThat(answer)
                         .isEqualTo(answer(first.json("b"), second.json("a")))
@@ -177,16 +189,16 @@
         return table.toString();
     }
 
-    /** What may have become of a change whose answer was lost, before it is sent again to another controller. */
+    /** The state of a change whose response was lost, before it is retried at another controller. */
     private enum LostAnswer {
-        AGREED("it was agreed"),
-        ONE_DISK("it is on one disk alone, whose harbour is down"),
-        CUT_OFF("it is on one disk alone, whose harbour is cut off"),
-        TWO_DISKS("it is on two disks of three, and the harbour that asked is down"),
-        WIPED("it was agreed, and the disk of the harbour that was asked is lost"),
-        NEWER("it is on one disk alone, whose harbour is down; a newer version was agreed since"),
-        AGREED_NEWER("it was agreed, and a newer version since"),
-        OTHER("it is on one disk alone, whose harbour is down; another content was agreed at its version");
+        AGREED("it was committed"),
+        ONE_DISK("it is on one disk only, whose controller is down"),
+        CUT_OFF("it is on one disk only, whose controller is partitioned"),
+        TWO_DISKS("it is on two disks of three, and the controller that proposed it is down"),
+        WIPED("it was committed, and the disk of the controller that proposed it is lost"),
+        NEWER("it is on one disk only, whose controller is down; a newer version was committed since"),
+        AGREED_NEWER("it was committed, and a newer version since"),
+        OTHER("it is on one disk only, whose controller is down; another content was committed at its version");
 
         private final String title;
 
@@ -222,8 +234,8 @@
         }
     }
 
-    /** Plays the case with three controllers; the status of the repeated change, and the content committed then. */
-    private static String statusOfRepetition(LostAnswer lostAnswer) {
+    /** Simulates the case with three controllers; returns the status of the retry and the content committed then. */
+    private static String statusAndContentAfterRetry(LostAnswer lostAnswer) {
         SimulatedReplicas simulation = new SimulatedReplicas(lostAnswer.ordinal(), 3);
         simulation.run(500_000);
         commit(simulation, tenant(4, "first"));
@@ -234,7 +246,7 @@
         } else if (lostAnswer == LostAnswer.OTHER) {
             commit(simulation, tenant(5, "other"));
         }
-        int status = repeat(simulation, 2);
+        int status = retry(simulation, 2);
         simulation.heal();
         if (!simulation.replica(1).isRunning()) {
             simulation.start(1);
@@ -243,7 +255,7 @@
         List<Object> committed = new ArrayList<>();
         for (int controller = 1; controller <= 3; controller++) {
             committed.add(committedKeys(simulation, controller));
-            assertThat(repeat(simulation, controller)).isEqualTo(status);
+            assertThat(retry(simulation, controller)).isEqualTo(status);
         }
         assertThat(simulation.checks().breach()).isNull();
         assertThat(committed.stream().distinct()).hasSize(1);
@@ -255,7 +267,7 @@
                 .isInstanceOf(ProposalResult.Taken.class);
     }
 
-    /** The first controller is sent the change, and its answer is lost in the way of the case. */
+    /** Sends the change to the first controller and loses its response as the case describes. */
     private static void loseAnswer(SimulatedReplicas simulation, LostAnswer lostAnswer) {
         long first = simulation.submit(simulation.replica(1), tenant(5, "it"), TIMEOUT_MICROS);
         if (lostAnswer == LostAnswer.AGREED
@@ -286,7 +298,7 @@
         }
     }
 
-    private static int repeat(SimulatedReplicas simulation, int controller) {
+    private static int retry(SimulatedReplicas simulation, int controller) {
         long change = simulation.submit(simulation.replica(controller), tenant(5, "it"), TIMEOUT_MICROS);
         return OperatorApiHandler.answer(simulation.await(change)).status();
     }
@@ -302,14 +314,14 @@
                 .get("apiKeys");
     }
 
-    private static String lostAnswers() {
+    private static String lostAnswersTable() {
         StringBuilder table = new StringBuilder(
-                "| the answer was lost, and | sent again elsewhere | what stands then |\n" + "| --- | --- | --- |\n");
+                "| the response was lost, and | retried elsewhere | committed then |\n" + "| --- | --- | --- |\n");
         for (LostAnswer lostAnswer : LostAnswer.values()) {
             table.append("| ")
                     .append(lostAnswer.title)
                     .append(" | ")
-                    .append(statusOfRepetition(lostAnswer))
+                    .append(statusAndContentAfterRetry(lostAnswer))
                     .append(" |\n");
         }
         return table.toString();
@@ -329,7 +341,7 @@
 
     @Test
     void tablesOfThePageMatchTheCode() throws IOException {
-        checkTable("calls", singleCalls());
-        checkTable("lost answers", lostAnswers());
+        checkTable("calls", callsTable());
+        checkTable("lost answers", lostAnswersTable());
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultScenarioTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultScenarioTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Random fault scenarios over controllers as processes; more and longer ones with -Dharbour.days=100
- * -Dharbour.faults=12, partitions of up to 20 s with -Dharbour.cut=20000. Changes are sent again long after, too.
+ * Random fault scenarios with controllers as processes: no acknowledged change may be lost, and changes that are
+ * retried much later must be answered as before. -Dharbour.days=100 -Dharbour.faults=12 runs more and longer
+ * scenarios, and -Dharbour.cut=20000 has partitions of up to 20 s.
  */
 class ControllerFaultScenarioTest {
 
@@ -28,8 +29,8 @@
             Path scenarioFolder = Files.createDirectory(folder.resolve("day" + seed));
             try (ControllerFaultScenario scenario =
                     new ControllerFaultScenario(scenarioFolder, seed % 2 == 0 ? 3 : 5, seed)) {
-                String breach = scenario.run(FAULTS_PER_SCENARIO);
-                assertThat(breach).as("seed %s: %s", seed, scenario).isNull();
+                String violation = scenario.run(FAULTS_PER_SCENARIO);
+                assertThat(violation).as("seed %s: %s", seed, scenario).isNull();
                 if (SCENARIOS > 1) {
                     System.out.println("seed " + seed + ", " + (System.nanoTime() - startNanos) / 1_000_000_000 + " s: "
                             + scenario);
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerFaultToleranceTest.java
@@ -29,31 +29,31 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Scripted faults that the control plane must tolerate, over processes with network partitions between them; in full
- * length with -Dharbour.full=true.
+ * Scripted faults that the control plane must tolerate, with processes and network partitions between them;
+ * -Dharbour.full=true runs them in full length.
  */
 @Timeout(600)
 class ControllerFaultToleranceTest {
 
     private static final boolean FULL = Boolean.getBoolean("harbour.full");
-    /** Whether changes are sent again after many newer ones. */
-    private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
+    /** Whether changes are retried after many newer ones. */
+    private static final boolean RETRIES_OLD_CHANGES = !"false".equals(System.getProperty("harbour.repeats"));
     /** Whether a proxy that starts waits for a configuration that a majority has confirmed. */
-    private static final boolean CONFIRMED = Boolean.getBoolean("harbour.confirmed");
-    /** Whether a successor that has caught up is a voter in place of the machine that it replaced. */
-    private static final boolean REPLACED = Boolean.getBoolean("harbour.replaced");
+    private static final boolean WAITS_FOR_CONFIRMATION = Boolean.getBoolean("harbour.confirmed");
+    /** Whether a spare controller that has caught up becomes a voter in place of the failed one. */
+    private static final boolean SUCCESSOR_BECOMES_VOTER = Boolean.getBoolean("harbour.replaced");
 
     private static final int PARTITION_SECONDS = FULL ? 20 : 3;
-    /** Longer than each time-out of the connections. */
+    /** Longer than every time-out of the connections. */
     private static final int OUTAGE_SECONDS = FULL ? 10 : 5;
 
     private static final int CATCH_UP_SECONDS = 4;
     private static final int CHANGE_COUNT = FULL ? 1_000 : 60;
-    private static final int CONFLICTS = REPEATS ? 40 : 6;
-    /** A controller that was down is up to date within this, its own start included. */
+    private static final int CONFLICT_COUNT = RETRIES_OLD_CHANGES ? 40 : 6;
+    /** Maximum time until a controller that was down is up to date, including its start. */
     private static final int MAX_CATCH_UP_MILLIS = 5_000;
 
-    private static final int CALLERS = 24;
+    private static final int CLIENT_COUNT = 24;
     private static final List<String> CONTROLLERS = List.of("h1", "h2", "h3");
 
     @TempDir
@@ -91,7 +91,7 @@
         return System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     }
 
-    private static Thread inBackground(Step step, Queue<Throwable> failures) {
+    private static Thread startInBackground(Step step, Queue<Throwable> failures) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -109,8 +109,8 @@
         void run() throws Exception;
     }
 
-    /** Sends changes and reads to these in turn until the deadline; returns how many changes were acknowledged. */
-    private int operate(List<String> controllers, long deadline) {
+    /** Sends changes and reads to the controllers in turn until the deadline; returns how many changes succeeded. */
+    private int sendChangesAndReads(List<String> controllers, long deadline) {
         int acknowledged = 0;
         for (int n = 0; System.nanoTime() < deadline; n++) {
             String controller = controllers.get(n % controllers.size());
@@ -121,7 +121,7 @@
                 acknowledged += status == 200 ? 1 : 0;
                 read(controller);
             } catch (IOException e) {
-                // Unreachable: the next one may be reachable.
+                // This controller is unreachable; the next one may not be.
             }
         }
         return acknowledged;
@@ -151,13 +151,13 @@
                 : List.of(LinkMode.HOLD)) {
             int route = mode.ordinal() * 2;
             partitionFirstController(mode, route);
-            callDuringPartition(mode);
+            checkDuringPartition(mode);
             mesh.relay().heal();
             awaitHealed(route);
         }
     }
 
-    /** Leaves the first controller with the second proxy alone, and the change of the route to the others. */
+    /** Partitions h1 so that only p2, which restarts, reaches it; the others commit a change of the route meanwhile. */
     private void partitionFirstController(LinkMode mode, int route) throws Exception {
         ConnectionRelay relay = mesh.relay();
         mesh.kill("p2");
@@ -167,16 +167,18 @@
         mesh.restart("p2");
     }
 
-    private void callDuringPartition(LinkMode mode) throws InterruptedException {
+    private void checkDuringPartition(LinkMode mode) throws InterruptedException {
         long deadline = deadlineIn(PARTITION_SECONDS);
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         AtomicInteger acknowledgedInMinority = new AtomicInteger();
         AtomicInteger acknowledgedByMajority = new AtomicInteger();
         AtomicInteger servedByOldRoute = new AtomicInteger();
         List<Thread> threads = List.of(
-                inBackground(() -> acknowledgedInMinority.set(operate(List.of("h1"), deadline)), failures),
-                inBackground(() -> acknowledgedByMajority.set(operate(List.of("h2", "h3"), deadline)), failures),
-                inBackground(() -> servedByOldRoute.set(requestOldRoute("p2", deadline)), failures));
+                startInBackground(
+                        () -> acknowledgedInMinority.set(sendChangesAndReads(List.of("h1"), deadline)), failures),
+                startInBackground(
+                        () -> acknowledgedByMajority.set(sendChangesAndReads(List.of("h2", "h3"), deadline)), failures),
+                startInBackground(() -> servedByOldRoute.set(countServedByOldRoute("p2", deadline)), failures));
         mesh.await(
                 "the change is at p1",
                 () -> mesh.request("p1", "new.mesh", "/", null).status() == 200);
@@ -190,7 +192,7 @@
         assertThat(acknowledgedByMajority.get())
                 .as("changes acknowledged by the others")
                 .isPositive();
-        if (CONFIRMED) {
+        if (WAITS_FOR_CONFIRMATION) {
             assertThat(servedByOldRoute)
                     .as("served by a proxy that has reached only the partitioned controller")
                     .hasValue(0);
@@ -213,7 +215,7 @@
                         && mesh.request("p2", "old.mesh", "/", null).status() == 200);
     }
 
-    private int requestOldRoute(String proxy, long deadline) {
+    private int countServedByOldRoute(String proxy, long deadline) {
         int served = 0;
         while (System.nanoTime() < deadline) {
             try {
@@ -231,7 +233,7 @@
         start(List.of(), 3);
         List<String> winners = new ArrayList<>();
         List<String> losers = new ArrayList<>();
-        for (int n = 1; n <= CONFLICTS; n++) {
+        for (int n = 1; n <= CONFLICT_COUNT; n++) {
             List<String> changes =
                     List.of(OperatorChecks.tenantChange("t", "a" + n, n), OperatorChecks.tenantChange("t", "b" + n, n));
             sendBothAtOnce(n, changes);
@@ -243,7 +245,7 @@
             if (n == 2) {
                 mesh.kill("h1");
                 mesh.restart("h1");
-            } else if (n == CONFLICTS - 1) {
+            } else if (n == CONFLICT_COUNT - 1) {
                 mesh.restartWithEmptyDisk("h2");
             }
         }
@@ -253,7 +255,7 @@
         awaitAllRead();
     }
 
-    /** To two controllers, every third time partitioned from each other; every second time the answers are lost. */
+    /** Sends the changes to two controllers: every third time partitioned, every second time the answers are lost. */
     private void sendBothAtOnce(int n, List<String> changes) throws InterruptedException {
         List<String> targets = List.of(CONTROLLERS.get(n % 3), CONTROLLERS.get((n + 1) % 3));
         if (n % 3 == 0) {
@@ -262,7 +264,7 @@
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         boolean answerLost = n % 2 == 0;
         List<Thread> operators = IntStream.range(0, 2)
-                .mapToObj(i -> inBackground(() -> send(targets.get(i), changes.get(i), answerLost), failures))
+                .mapToObj(i -> startInBackground(() -> send(targets.get(i), changes.get(i), answerLost), failures))
                 .toList();
         for (Thread operator : operators) {
             operator.join();
@@ -279,12 +281,12 @@
                 checks.modified(change, mesh.modify(controller, change).status());
             }
         } catch (ConnectException e) {
-            // It is just restarting: what is sent to all controllers later decides.
+            // The controller is restarting; the outcome is decided by the later retries at all controllers.
             return;
         }
     }
 
-    /** Sends the change to all controllers until each has accepted or rejected it; all have to answer the same. */
+    /** Retries the change at each controller until it is accepted or rejected; all controllers must answer alike. */
     private boolean isCommitted(String change) throws InterruptedException {
         Set<Integer> statuses = new TreeSet<>();
         for (String controller : CONTROLLERS) {
@@ -329,17 +331,17 @@
         awaitAllRead();
     }
 
-    /** A replaced machine is no voter any more once its successor has caught up. */
+    /** Once a spare controller has caught up, the one that it replaces must not be needed for a majority. */
     @Test
     @EnabledIfSystemProperty(named = "harbour.full", matches = "true")
     void aSecondMachineIsLostAsSoonAsASuccessorHasCaughtUp() throws Exception {
         start(List.of(), 3);
-        assertThat(operate(CONTROLLERS, deadlineIn(1))).isPositive();
+        assertThat(sendChangesAndReads(CONTROLLERS, deadlineIn(1))).isPositive();
         mesh.kill("h1");
         mesh.startSpare();
         List<String> remaining = List.of("h2", "h3", MeshFixture.SPARE);
-        if (REPLACED) {
-            assertThat(operate(List.of("h2", "h3"), deadlineIn(CATCH_UP_SECONDS)))
+        if (SUCCESSOR_BECOMES_VOTER) {
+            assertThat(sendChangesAndReads(List.of("h2", "h3"), deadlineIn(CATCH_UP_SECONDS)))
                     .isPositive();
             mesh.kill("h2");
             remaining = List.of("h3", MeshFixture.SPARE);
@@ -356,14 +358,14 @@
         assertThat(checks.violation()).as("%s", checks).isNull();
     }
 
-    /** The others acknowledge changes until a controller with an empty disk has caught up and answers. */
+    /** The others must acknowledge changes while a controller with an empty disk catches up, until it answers reads. */
     private void othersContinueWhileCatchingUp(List<String> others, String restarted) throws InterruptedException {
         long startNanos = System.nanoTime();
-        assertThat(operate(others, deadlineIn(CATCH_UP_SECONDS)))
+        assertThat(sendChangesAndReads(others, deadlineIn(CATCH_UP_SECONDS)))
                 .as(() -> "acknowledged by " + others + mesh.allLogs())
                 .isPositive();
         mesh.await(restarted + " reads", () -> read(restarted));
-        System.out.println(restarted + " began with an empty disk and reads after "
+        System.out.println(restarted + " started with an empty disk and answers reads after "
                 + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
     }
 
@@ -395,7 +397,7 @@
         AtomicInteger acknowledged = new AtomicInteger();
         Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
         List<Thread> operators = IntStream.range(0, 8)
-                .mapToObj(i -> inBackground(
+                .mapToObj(i -> startInBackground(
                         () -> {
                             while (acknowledged.get() < target) {
                                 String change =
@@ -414,7 +416,7 @@
         assertThat(failures).isEmpty();
     }
 
-    /** Once it is up to date another one is killed, so that nothing is committed without it. */
+    /** Waits until h3 is up to date, then kills another controller, so that h3 is needed for a majority. */
     private void awaitCaughtUp(String fault, long startNanos, String killed) throws Exception {
         Map<String, Long> newest = checks.floor();
         mesh.await("h3 reads", () -> read("h3"));
@@ -443,17 +445,17 @@
                 .toList();
         applications.forEach(application -> application.setResponseDelayMillis(150));
         RequestLog log = new RequestLog();
-        List<Thread> clients = IntStream.range(0, CALLERS)
-                .mapToObj(i -> inBackground(() -> request(applications, log), log.failures))
+        List<Thread> clients = IntStream.range(0, CLIENT_COUNT)
+                .mapToObj(i -> startInBackground(() -> sendRequests(applications, log), log.failures))
                 .toList();
         for (ApplicationStubs application : applications) {
             mesh.await(application.instance() + " serves", () -> application.runs() > 5);
         }
-        faultsBetweenProxies(log);
+        injectFaultsBetweenProxies(log);
         if (FULL) {
             mesh.suspend("p1");
-            long silent = deadlineIn(OUTAGE_SECONDS);
-            mesh.await("each time-out has passed", () -> System.nanoTime() >= silent);
+            long outageEnd = deadlineIn(OUTAGE_SECONDS);
+            mesh.await("each time-out has passed", () -> System.nanoTime() >= outageEnd);
             mesh.signal("p1", "-CONT");
             awaitServedAgain(log);
         }
@@ -461,13 +463,14 @@
         for (Thread client : clients) {
             client.join();
         }
-        System.out.println(log.served + " calls served, " + log.failed + " failed, " + mesh.relay().resets + " resets");
+        System.out.println(
+                log.served + " requests served, " + log.failed + " failed, " + mesh.relay().resets + " resets");
         assertThat(log.failures).isEmpty();
         assertThat(log.failed.get()).as("requests hit by a fault").isPositive();
         assertThat(log.ids).allSatisfy(id -> assertThat(runs(applications, id)).isLessThanOrEqualTo(1));
     }
 
-    /** What became of the requests of all clients. */
+    /** Counts the outcomes of the requests of all clients. */
     private static final class RequestLog {
         private final Queue<String> ids = new ConcurrentLinkedQueue<>();
         private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
@@ -476,8 +479,8 @@
         private volatile boolean stopped;
     }
 
-    /** A client: sends one request after the other until it is stopped. */
-    private void request(List<ApplicationStubs> applications, RequestLog log) {
+    /** Runs a client that sends one request after another until it is stopped. */
+    private void sendRequests(List<ApplicationStubs> applications, RequestLog log) {
         while (!log.stopped) {
             String id = mesh.nextRequestId();
             log.ids.add(id);
@@ -497,7 +500,7 @@
         }
     }
 
-    private void faultsBetweenProxies(RequestLog log) throws Exception {
+    private void injectFaultsBetweenProxies(RequestLog log) throws Exception {
         ConnectionRelay relay = mesh.relay();
         relay.set("p1", "p2", LinkMode.HOLD);
         relay.set("p3", "p1", LinkMode.HOLD);
@@ -522,7 +525,7 @@
             relay.partition("p1", List.of("p6"), LinkMode.RESET, LinkMode.RESET);
             relay.partition("p1", List.of("p6"), LinkMode.PASS, LinkMode.PASS);
             mesh.await(
-                    "p6 serves again, or all callers wait for others",
+                    "p6 serves again, or all clients wait for responses of other proxies",
                     () -> application.runs() > runs + 3 || System.nanoTime() >= deadline);
         }
     }
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerMessagesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerMessagesTest.java
@@ -10,7 +10,7 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.junit.jupiter.api.Test;
 
-/** Messages of proxies and the hello of controllers, with the texts that other builds send. */
+/** Decodes messages of proxies and the hello of controllers as other builds send them. */
 class ControllerMessagesTest {
 
     private static final String HELLO = "{\"t\":\"hello\",\"kind\":\"harbour\",\"address\":\"10.0.0.1:7\","
--- a/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ControllerShutdownTest.java
@@ -31,7 +31,7 @@
             }
             mesh.terminate("h2");
             mesh.awaitExit("h2");
-            // It ended after that was committed, long before the others could time it out.
+            // h2 exits only after its replacement is committed, long before the others could time it out.
             assertThat(List.of(voters(mesh, "h1"), voters(mesh, "h3")))
                     .anyMatch(voters -> !voters.contains(mesh.peerAddress("h2")));
             for (String controller : List.of("h1", "h3", "h4")) {
@@ -45,7 +45,9 @@
             awaitRedirect(mesh, "h2", List.of("h1", "h3", "h4"));
             mesh.kill("h1");
             mesh.modifyUntilAcknowledged("h4", OperatorChecks.tenantChange("t0", "k02", 3));
-            mesh.await("h2 is let in", () -> mesh.readWithoutRedirect("h2").status() == 200);
+            mesh.await(
+                    "h2 is admitted as a voter",
+                    () -> mesh.readWithoutRedirect("h2").status() == 200);
             assertThat(mesh.readWithoutRedirect("h2").body()).contains("k02");
         }
     }
@@ -55,7 +57,7 @@
         return state.substring(state.indexOf("\"crew\""), state.indexOf("\"members\""));
     }
 
-    /** Waits until a voter is named; until it knows one it may answer anything. */
+    /** Waits until the controller redirects to a voter; before it knows one it may answer anything. */
     private static void awaitRedirect(MeshFixture mesh, String controller, List<String> voters) throws Exception {
         mesh.await(controller + " redirects", () -> {
             RawHttpClient.Message answer = mesh.readWithoutRedirect(controller);
--- a/src/test/java/org/cypressweir/controlplane/controller/RolloutProcessTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/RolloutProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** New versions of a service that serves, with controllers and proxies as processes. */
+/** Rollouts of a service under load, with controllers and proxies as processes. */
 @Timeout(90)
 class RolloutProcessTest {
 
@@ -34,14 +34,14 @@
             + "'service':'orders','maxAttempts':2,'publicAccess':true,'configVersion':'r1'}}}}";
     private static final String ORDER = "{'service':'orders','targetVersion':'v2','rolloutPeriod':'8s'}";
     private static final int CLIENTS = 6;
-    private static final List<String> OLD = List.of("p1", "p2");
-    private static final List<String> NEW = List.of("p3", "p4");
+    private static final List<String> OLD_PROXIES = List.of("p1", "p2");
+    private static final List<String> NEW_PROXIES = List.of("p3", "p4");
 
     @TempDir
     Path folder;
 
     private MeshFixture fixture;
-    private volatile boolean over;
+    private volatile boolean stopped;
     private final List<Thread> clients = new ArrayList<>();
     private final Map<Integer, AtomicInteger> statuses = new ConcurrentHashMap<>();
     private final Queue<String> ids = new ConcurrentLinkedQueue<>();
@@ -54,14 +54,14 @@
         for (String proxy : List.of("p1", "p2", "p3", "p4")) {
             fixture.awaitReady(proxy);
         }
-        for (String proxy : NEW) {
+        for (String proxy : NEW_PROXIES) {
             fixture.application(proxy).deregister();
         }
     }
 
     @AfterEach
     void stop() throws IOException, InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread client : clients) {
             client.join();
         }
@@ -69,7 +69,7 @@
     }
 
     private void startNewVersion(ApplicationStubs.Behavior behavior) throws IOException {
-        for (String proxy : NEW) {
+        for (String proxy : NEW_PROXIES) {
             fixture.application(proxy).setBehavior(behavior);
             fixture.application(proxy).startIncarnation("new-" + proxy, "v2");
         }
@@ -79,7 +79,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             String proxy = "p" + (1 + i % 4);
             Thread client = new Thread(() -> {
-                while (!over) {
+                while (!stopped) {
                     sendRequest(proxy);
                 }
             });
@@ -111,7 +111,7 @@
         return response.status() == 200 && response.body().contains("\"operState\":\"" + state + "\"");
     }
 
-    private void assertCommandTellsTheState() {
+    private void assertCommandPrintsState() {
         StringWriter out = new StringWriter();
         PrintWriter writer = new PrintWriter(out, true);
         int status = MeshCtl.run(writer, writer, "rollout", "orders", "--controller", fixture.controlAddress("h2"));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void anOrderIsAcknowledgedAndOutlivesTheLossOfAllControllers() throws Exception {
+    void aRolloutSurvivesTheRestartOfAllControllers() throws Exception {
         assertThat(fixture.readRollout("h1", "orders").status()).isEqualTo(404);
         assertThat(orderStatus("h1", ORDER.replace("orders", "nobody"))).isEqualTo(400);
         assertThat(orderStatus("h1", ORDER.replace("8s", "soon"))).isEqualTo(400);
@@ -134,7 +134,7 @@
         assertThat(orderStatus("h2", ORDER)).isEqualTo(200);
         assertThat(orderStatus("h3", ORDER.replace("v2", "v3"))).isEqualTo(409);
         assertThat(hasState("h2", "in_progress")).isTrue();
-        assertCommandTellsTheState();
+        assertCommandPrintsState();
         assertThat(fixture.modify("h1", "{'upsert':{'rolloutTable':{'orders':{'configVersion':'r9'}}}}")
                         .status())
                 .isEqualTo(400);
@@ -149,42 +149,42 @@
                     controller + " still has the rollout",
                     () -> fixture.readRollout(controller, "orders").body().contains("\"targetVersion\":\"v2\""));
         }
-        // No instance of the new version has come: it is not completed, and ends by itself.
-        fixture.await("it is reverted", () -> hasState("h1", "reverted"));
+        // There is no instance of the new version, so the rollout is reverted at the end of its period.
+        fixture.await("the rollout is reverted", () -> hasState("h1", "reverted"));
     }
 
     @Test
-    void aGoodVersionGetsAllRequestsAndThenCompletes() throws Exception {
+    void aHealthyVersionGetsAllRequestsAndTheRolloutCompletes() throws Exception {
         startLoad();
         assertThat(orderStatus("h1", ORDER)).isEqualTo(200);
         startNewVersion(ApplicationStubs.Behavior.RESPONDS);
-        fixture.await("it is completed", () -> hasState("h3", "completed"));
-        int oldRuns = runs(OLD);
-        int newRuns = runs(NEW);
-        fixture.await("the new version serves", () -> runs(NEW) > newRuns + 50);
-        assertThat(runs(OLD)).isEqualTo(oldRuns);
+        fixture.await("the rollout is completed", () -> hasState("h3", "completed"));
+        int oldRuns = runs(OLD_PROXIES);
+        int newRuns = runs(NEW_PROXIES);
+        fixture.await("the new version serves", () -> runs(NEW_PROXIES) > newRuns + 50);
+        assertThat(runs(OLD_PROXIES)).isEqualTo(oldRuns);
         assertThat(statuses.keySet()).containsOnly(200);
-        assertEachRunOnce();
+        assertEachRequestRanAtMostOnce();
     }
 
     @Test
-    void aBadVersionIsRevertedAfterFewRequests() throws Exception {
+    void aFailingVersionIsRevertedAfterFewRequests() throws Exception {
         startLoad();
-        fixture.await("some requests are served", () -> runs(OLD) > 100);
+        fixture.await("some requests are served", () -> runs(OLD_PROXIES) > 100);
         assertThat(orderStatus("h1", ORDER)).isEqualTo(200);
         startNewVersion(ApplicationStubs.Behavior.FAILS);
-        fixture.await("it is reverted", () -> hasState("h2", "reverted"));
-        assertThat(runs(NEW)).isLessThanOrEqualTo(50 + runs(OLD) / 10);
-        int newRuns = runs(NEW);
-        int oldRuns = runs(OLD);
-        fixture.await("the old version serves", () -> runs(OLD) > oldRuns + 100);
-        assertThat(runs(NEW)).isLessThanOrEqualTo(newRuns + CLIENTS);
+        fixture.await("the rollout is reverted", () -> hasState("h2", "reverted"));
+        assertThat(runs(NEW_PROXIES)).isLessThanOrEqualTo(50 + runs(OLD_PROXIES) / 10);
+        int newRuns = runs(NEW_PROXIES);
+        int oldRuns = runs(OLD_PROXIES);
+        fixture.await("the old version serves", () -> runs(OLD_PROXIES) > oldRuns + 100);
+        assertThat(runs(NEW_PROXIES)).isLessThanOrEqualTo(newRuns + CLIENTS);
         assertThat(orderStatus("h1", ORDER)).isEqualTo(200);
         assertThat(hasState("h3", "reverted")).isTrue();
-        assertEachRunOnce();
+        assertEachRequestRanAtMostOnce();
     }
 
-    private void assertEachRunOnce() {
+    private void assertEachRequestRanAtMostOnce() {
         for (String id : ids) {
             int runs = 0;
             for (String proxy : List.of("p1", "p2", "p3", "p4")) {
--- a/src/test/java/org/cypressweir/controlplane/controller/RolloutProgressTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/RolloutProgressTest.java
@@ -14,35 +14,41 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Verdicts on versions in simulated time, over seeds: what a bad one gets, and how often a good one fails. */
+/**
+ * Rollouts in simulated time, over several seeds. A worse version must be reverted before it has had too many requests,
+ * and a healthy version must never be reverted.
+ */
 class RolloutProgressTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final long PERIOD = 16 * SECOND;
-    private static final long STEP = 200_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long PERIOD_MICROS = 16 * MICROS_PER_SECOND;
+    private static final long STEP_MICROS = 200_000;
     private static final int PROXIES = 5;
     private static final int SEEDS = 40;
-    private static final Set<String> NAMES = Set.of("p0", "p1", "p2", "p3", "p4");
-    /** As the users count it: a part of all requests that reach the service, and so many more. */
-    private static final double CANARY_SHARE = 0.1;
-
-    private static final int CANARY_SLACK = 50;
-    private static final double USUAL_ERRORS = 0.004;
-    private static final double MEAN_MICROS = 160_000;
-    private static final double SPREAD = 0.5;
-
-    /** A service under requests, with a new version that is worse in some way. */
+    private static final Set<String> PROXY_NAMES = Set.of("p0", "p1", "p2", "p3", "p4");
+    /**
+     * A worse version may get at most this share of the requests to the service in the rollout period, plus
+     * {@link #TARGET_SLACK_REQUESTS}.
+     */
+    private static final double MAX_TARGET_SHARE = 0.1;
+
+    private static final int TARGET_SLACK_REQUESTS = 50;
+    private static final double BASE_ERROR_RATE = 0.004;
+    private static final double MEDIAN_LATENCY_MICROS = 160_000;
+    private static final double LATENCY_SIGMA = 0.5;
+
+    /** A simulated service under load; its new version may have more errors or a higher latency. */
     private static final class Service {
         private final SplittableRandom random;
         private final VersionSamples[] old = new VersionSamples[PROXIES];
         private final VersionSamples[] target = new VersionSamples[PROXIES];
         private double requestsPerSecond = 200;
-        private double errors = USUAL_ERRORS;
-        private double times = 1;
-        private long badFrom;
+        private double errorRate = BASE_ERROR_RATE;
+        private double latencyFactor = 1;
+        private long worseFromMicros;
         private boolean onOneRouteOnly;
         private int requests;
-        private int toTarget;
+        private int requestsToTarget;
 
         private Service(long seed) {
             random = new SplittableRandom(seed);
@@ -57,16 +63,17 @@
         }
 
         private void run(long now, double share) {
-            for (int i = (int) (requestsPerSecond * STEP / SECOND); i > 0; i--) {
+            for (int i = (int) (requestsPerSecond * STEP_MICROS / MICROS_PER_SECOND); i > 0; i--) {
                 int proxy = random.nextInt(PROXIES);
                 String route = random.nextInt(4) == 0 ? "rare" : "usual";
                 boolean isTarget = random.nextDouble() < share;
-                boolean isWorse = isTarget && now >= badFrom && (!onOneRouteOnly || route.equals("rare"));
-                double micros = MEAN_MICROS * Math.exp(SPREAD * gaussian()) * (isWorse ? times : 1);
-                boolean isBad = random.nextDouble() < (isWorse ? errors : USUAL_ERRORS);
+                boolean isWorse = isTarget && now >= worseFromMicros && (!onOneRouteOnly || route.equals("rare"));
+                double micros =
+                        MEDIAN_LATENCY_MICROS * Math.exp(LATENCY_SIGMA * gaussian()) * (isWorse ? latencyFactor : 1);
+                boolean isFailure = random.nextDouble() < (isWorse ? errorRate : BASE_ERROR_RATE);
                 requests++;
-                toTarget += isTarget ? 1 : 0;
-                (isTarget ? target : old)[proxy].record(route, isBad, (long) micros);
+                requestsToTarget += isTarget ? 1 : 0;
+                (isTarget ? target : old)[proxy].record(route, isFailure, (long) micros);
             }
         }
 
@@ -94,16 +101,16 @@
         }
     }
 
-    private static Rollout order() {
-        return Rollout.begin(null, "orders", "v2", PERIOD, RolloutStages.share(0));
+    private static Rollout newRollout() {
+        return Rollout.begin(null, "orders", "v2", PERIOD_MICROS, RolloutStages.share(0));
     }
 
-    /** Runs until the rollout has ended. */
+    /** Runs until the rollout has ended; returns its last step. */
     private static Rollout run(Service service, RolloutProgress progress, long from) {
-        for (long now = from; now <= 2 * PERIOD; now += STEP) {
+        for (long now = from; now <= 2 * PERIOD_MICROS; now += STEP_MICROS) {
             service.run(now, progress.rollout().shareOfTarget());
             service.report(progress, 1);
-            Option<Rollout> next = progress.nextStep(now, NAMES);
+            Option<Rollout> next = progress.nextStep(now, PROXY_NAMES);
             if (next.isDefined() && !next.get().isInProgress()) {
                 return next.get();
             }
@@ -111,24 +118,27 @@
                 progress.update(now, step);
             }
         }
-        throw new AssertionError("not ended");
+        throw new AssertionError("the rollout has not ended after twice its period");
     }
 
-    private static void assertExposureKept(Service service, Rollout end) {
-        double untilTerm = service.requests
-                + service.requestsPerSecond * Math.max(0, PERIOD - end.elapsedMicros()) / (double) SECOND;
-        assertThat(service.toTarget).isLessThanOrEqualTo((int) (CANARY_SHARE * untilTerm + CANARY_SLACK));
+    private static void assertExposureBounded(Service service, Rollout end) {
+        double requestsInPeriod = service.requests
+                + service.requestsPerSecond
+                        * Math.max(0, PERIOD_MICROS - end.elapsedMicros())
+                        / (double) MICROS_PER_SECOND;
+        assertThat(service.requestsToTarget)
+                .isLessThanOrEqualTo((int) (MAX_TARGET_SHARE * requestsInPeriod + TARGET_SLACK_REQUESTS));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {50, 200, 800})
-    void aGoodVersionIsCompletedWithinThePeriod(double requestsPerSecond) {
+    void aHealthyVersionIsCompletedWithinThePeriod(double requestsPerSecond) {
         for (long seed = 0; seed < SEEDS; seed++) {
             Service service = new Service(seed);
             service.requestsPerSecond = requestsPerSecond;
-            Rollout end = run(service, new RolloutProgress(0, order()), 0);
+            Rollout end = run(service, new RolloutProgress(0, newRollout()), 0);
             assertThat(end.state()).as("seed %d: %s", seed, end.reason()).isEqualTo(RolloutState.COMPLETED);
-            assertThat(end.elapsedMicros()).isLessThan(PERIOD);
+            assertThat(end.elapsedMicros()).isLessThan(PERIOD_MICROS);
         }
     }
 
@@ -145,40 +155,44 @@
         "0.5, 1, 12100000, false, 200",
         "0.004, 5, 10000000, false, 400"
     })
-    void aBadVersionIsRevertedBeforeItHasGotMuch(
-            double errors, double times, long badFrom, boolean onOneRouteOnly, double requestsPerSecond) {
+    void aWorseVersionIsRevertedAfterFewRequests(
+            double errorRate,
+            double latencyFactor,
+            long worseFromMicros,
+            boolean onOneRouteOnly,
+            double requestsPerSecond) {
         for (long seed = 0; seed < SEEDS; seed++) {
             Service service = new Service(seed);
-            service.errors = errors;
-            service.times = times;
-            service.badFrom = badFrom;
+            service.errorRate = errorRate;
+            service.latencyFactor = latencyFactor;
+            service.worseFromMicros = worseFromMicros;
             service.onOneRouteOnly = onOneRouteOnly;
             service.requestsPerSecond = requestsPerSecond;
-            Rollout end = run(service, new RolloutProgress(0, order()), 0);
+            Rollout end = run(service, new RolloutProgress(0, newRollout()), 0);
             assertThat(end.state()).as("seed %d", seed).isEqualTo(RolloutState.REVERTED);
-            assertExposureKept(service, end);
+            assertExposureBounded(service, end);
         }
     }
 
     @Test
-    void withoutAnswersOfTheNewVersionItIsRevertedInTheEnd() {
-        RolloutProgress progress = new RolloutProgress(0, order());
-        assertThat(progress.nextStep(PERIOD / 2, NAMES)).isEmpty();
-        Rollout end = progress.nextStep(PERIOD, NAMES).get();
+    void aVersionWithoutRequestsIsRevertedAtTheEndOfThePeriod() {
+        RolloutProgress progress = new RolloutProgress(0, newRollout());
+        assertThat(progress.nextStep(PERIOD_MICROS / 2, PROXY_NAMES)).isEmpty();
+        Rollout end = progress.nextStep(PERIOD_MICROS, PROXY_NAMES).get();
         assertThat(end.state()).isEqualTo(RolloutState.REVERTED);
         assertThat(end.shareOfTarget()).isZero();
     }
 
-    /** Another controller takes over from the item alone; the proxies report to it all that they have seen. */
+    /** Another controller needs only the stored item and the proxies' cumulative reports to take over. */
     @Test
-    void aControllerThatStartsGoesOnWhereTheRolloutIs() {
+    void anotherControllerContinuesTheRollout() {
         Service service = new Service(3);
-        RolloutProgress first = new RolloutProgress(0, order());
+        RolloutProgress first = new RolloutProgress(0, newRollout());
         long now = 0;
-        for (; first.rollout().stage() < 1; now += STEP) {
+        for (; first.rollout().stage() < 1; now += STEP_MICROS) {
             service.run(now, first.rollout().shareOfTarget());
             service.report(first, 1);
-            for (Rollout step : first.nextStep(now, NAMES)) {
+            for (Rollout step : first.nextStep(now, PROXY_NAMES)) {
                 first.update(now, step);
             }
         }
@@ -188,35 +202,35 @@
         assertThat(run(service, second, now).state()).isEqualTo(RolloutState.COMPLETED);
     }
 
-    /** A report counts once however often it comes, and what an ended run of a proxy has seen still counts. */
+    /** A repeated report counts once: one failure that is reported fifty times does not revert a rollout. */
     @Test
     void reportsAreCountedOnce() {
         Service service = new Service(5);
-        service.errors = 1;
+        service.errorRate = 1;
         service.requestsPerSecond = 40;
-        RolloutProgress progress = new RolloutProgress(0, order());
+        RolloutProgress progress = new RolloutProgress(0, newRollout());
         service.run(0, 1);
         for (int i = 0; i < 20; i++) {
             service.report(progress, 1);
         }
-        assertThat(progress.nextStep(STEP, NAMES)).isNotEmpty();
-        RolloutProgress few = new RolloutProgress(0, order());
-        Service two = new Service(6);
-        two.target[0].record("usual", true, 1_000);
-        two.old[0].record("usual", false, 1_000);
+        assertThat(progress.nextStep(STEP_MICROS, PROXY_NAMES)).isNotEmpty();
+        RolloutProgress progressWithTwoSamples = new RolloutProgress(0, newRollout());
+        Service serviceWithTwoSamples = new Service(6);
+        serviceWithTwoSamples.target[0].record("usual", true, 1_000);
+        serviceWithTwoSamples.old[0].record("usual", false, 1_000);
         for (int i = 0; i < 50; i++) {
-            two.report(few, 1);
+            serviceWithTwoSamples.report(progressWithTwoSamples, 1);
         }
-        assertThat(few.nextStep(STEP, NAMES)).isEmpty();
+        assertThat(progressWithTwoSamples.nextStep(STEP_MICROS, PROXY_NAMES)).isEmpty();
     }
 
     @Test
-    void itIsCompletedOnlyOnceAllProxiesHaveMoved() {
+    void aRolloutIsNotCompletedWhileAProxyHasNotReported() {
         Service service = new Service(7);
-        RolloutProgress progress = new RolloutProgress(0, order());
+        RolloutProgress progress = new RolloutProgress(0, newRollout());
         Set<String> withOneMore = Set.of("p0", "p1", "p2", "p3", "p4", "late");
         Rollout end = null;
-        for (long now = 0; end == null; now += STEP) {
+        for (long now = 0; end == null; now += STEP_MICROS) {
             service.run(now, progress.rollout().shareOfTarget());
             service.report(progress, 1);
             Option<Rollout> next = progress.nextStep(now, withOneMore);
--- a/src/test/java/org/cypressweir/controlplane/controller/UpdatePublisherTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/UpdatePublisherTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How a controller brings many proxies up to date, also when it comes back or is late itself. */
+/** Updates of many proxies by one controller, also after a restart or a pause of the controller. */
 class UpdatePublisherTest {
 
     private static final long START = 1_000_000_000;
@@ -83,7 +83,7 @@
         tick();
     }
 
-    /** Each of many that connect at once gets the full list once, and what follows in a few updates. */
+    /** Of many proxies that connect at once, each gets one snapshot, and later changes in a few updates. */
     @Test
     void connectingProxiesGetOneSnapshotEach() {
         connectAll();
@@ -108,7 +108,7 @@
         assertThat(takeUpdates(0)).hasSize(1);
     }
 
-    /** The first change is not held up; those within the same tick go together. */
+    /** The first change is not delayed; further ones within the same tick are batched. */
     @Test
     void aSingleChangeIsSentAtOnceAndManyTogether() {
         connectAll();
@@ -125,7 +125,7 @@
         assertThat(takeUpdates(0)).isEmpty();
     }
 
-    /** Nothing was read while the controller itself did not run: that is no silence of its proxies. */
+    /** While the controller is paused it reads nothing, which must not be taken for silence of the proxies. */
     @Test
     void aControllerThatWasLateExpiresNobody() {
         connectAll();
--- a/src/test/java/org/cypressweir/controlplane/distribution/VersionLogTest.java
+++ b/src/test/java/org/cypressweir/controlplane/distribution/VersionLogTest.java
@@ -11,7 +11,7 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.junit.jupiter.api.Test;
 
-/** A subscriber at a logged version gets the items that have changed since, withdrawn ones too. */
+/** A subscriber at a logged version gets the items that have changed since, including deleted ones. */
 class VersionLogTest {
 
     private final VersionLog versionLog = new VersionLog();
--- a/src/test/java/org/cypressweir/controlplane/registry/EndpointDirectoryTest.java
+++ b/src/test/java/org/cypressweir/controlplane/registry/EndpointDirectoryTest.java
@@ -7,7 +7,7 @@
 import org.cypressweir.common.transport.JsonCodec;
 import org.junit.jupiter.api.Test;
 
-/** The other proxies as one proxy knows them: by several controllers, by themselves, while controllers are silent. */
+/** Merging the views of several controllers, direct registrations, and the views of silent controllers. */
 class EndpointDirectoryTest {
 
     private static final long SILENT_VIEW_LIFETIME_MICROS = 3_000_000;
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aSilentViewCountsForAWhileAndTheLastOneForEver() {
+    void aSilentViewExpiresUnlessAllViewsAreSilent() {
         directory.updateView("c1", true, List.of(ProxyRegistrations.of("a", 1, 1)), List.of());
         directory.updateView("c2", true, List.of(ProxyRegistrations.of("b", 1, 1)), List.of());
         directory.markSilent(1_000_000, "c1");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aRegistrationIsSentWithWhatIsLeftOfItsTimes() throws java.io.IOException {
+    void anEncodedRegistrationHoldsTheRemainingWarmUpTime() throws java.io.IOException {
         ProxyRegistration sent = new ProxyRegistration(
                 "n",
                 7,
