--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -69,7 +69,7 @@
     private final RolloutDriver rollouts;
     private final UpdatePublisher publisher;
     private final ControllerPeers peers;
-    /** Null as long as the store is not open. */
+    /** Null until the store is open. */
     private volatile ReplicaDriver driver;
 
     private List<String> seeds;
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
@@ -3,7 +3,7 @@
 import org.cypressweir.common.metrics.LatencyHistogram;
 import org.cypressweir.controlplane.consensus.ProposalResult;
 
-/** Counts of operators' calls and of writes to the store since the start. Used on the event loop alone. */
+/** Counts of operators' calls and of writes to the store since the start. Used on the event loop only. */
 final class ControllerStatistics {
 
     /** How an operator's call ended. */
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -43,7 +43,7 @@
     record Peer(String address, String controlAddress, boolean reachable) {}
 
     /**
-     * @param replica null as long as the store is not open
+     * @param replica null until the store is open
      * @param includeItems whether the items of the configuration are to be listed
      */
     static Map<String, Object> of(
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -48,7 +48,7 @@
     private final RolloutCalls rollouts;
 
     /**
-     * @param driver gives null as long as the store is not open
+     * @param driver gives null until the store is open
      * @param redirectTarget a voter's address for operators, if this controller is not a voter
      * @param clock in microseconds
      * @param statistics counts changes and reads
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
@@ -28,7 +28,7 @@
     /** Services whose next step has been proposed and is still pending. */
     private final Set<String> pendingProposals = new HashSet<>();
 
-    /** @param driver gives null as long as the store is not open */
+    /** @param driver gives null until the store is open */
     RolloutDriver(LongSupplier clock, Supplier<ReplicaDriver> driver) {
         this.clock = clock;
         this.driver = driver;
--- a/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/UpdatePublisher.java
@@ -30,12 +30,13 @@
     /** How long a proxy stays registered after its connection is lost. */
     private static final long REGISTRATION_GRACE_MICROS = 300_000;
 
+    /** Time without a message after which a proxy's connection counts as lost. */
     private static final long SILENT_AFTER_MICROS = 2_000_000;
     /** A longer interval between two ticks means that this controller was paused and read no messages meanwhile. */
     private static final long MAX_TICK_INTERVAL_MICROS = 500_000;
     /** Time without contact with a quorum after which the proxies are notified. */
     private static final long QUORUM_CONTACT_TIMEOUT_MICROS = 2_000_000;
-    /** One in so many publications holds the demand of all tenants, the others only what has changed. */
+    /** Every tenth publication holds the demand of all tenants, the others only what has changed. */
     private static final int PUBLICATIONS_PER_FULL_DEMAND = 10;
 
     /** The state of one connected proxy. */
