--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
@@ -3,14 +3,14 @@
 import org.cypressweir.common.metrics.LatencyHistogram;
 import org.cypressweir.controlplane.consensus.ProposalResult;
 
-/** Counts of operators' calls and of writes to the store since the start. Used on the event loop alone. */
+/** Counts of operators' calls and of writes to the store since the start. Used on the event loop only. */
 final class ControllerStatistics {
 
     /** How an operator's call ended. */
     enum CallResult {
         COMMITTED,
         REJECTED,
-        /** The outcome is unknown to the operator, who sends a change again. */
+        /** The outcome is unknown to the operator, who retries a change. */
         UNAVAILABLE;
 
         static CallResult of(ProposalResult result) {
