--- a/src/main/java/org/cypressweir/sidecar/AdminListener.java
+++ b/src/main/java/org/cypressweir/sidecar/AdminListener.java
@@ -20,45 +20,45 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where operators connect: one line a connection, and its answer. Callers that hold a connection and ask
- * nothing cost a descriptor each, so only so many are kept; the one that came first goes first.
+ * The admin listener: each connection carries one command line and its response. An idle connection costs a file
+ * descriptor, so their number is limited; the oldest one is closed first.
  */
 final class AdminListener {
 
-    /** Callers at once; the door's own descriptor comes on top. */
-    static final int CALLERS = 15;
+    /** Maximum number of connections at once; the listening socket takes one more descriptor. */
+    static final int MAX_CONNECTIONS = 15;
 
-    private static final int LONGEST_LINE = 256;
-    /** A caller that has said nothing whole for so long, or does not take its answer, is let go. */
-    private static final long PATIENCE_MILLIS = 10_000;
+    private static final int MAX_LINE_BYTES = 256;
+    /** A connection without a complete line, or whose response is not read, is closed after this time. */
+    private static final long CONNECTION_TIMEOUT_MILLIS = 10_000;
 
     private final EventLoop loop;
-    private final UnaryOperator<String> desk;
+    private final UnaryOperator<String> commandHandler;
     private Channel listening;
-    private Lending lending;
-    private final ArrayDeque<Channel> callers = new ArrayDeque<>();
+    private HttpConnectionHandler httpHandler;
+    private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
-    AdminListener(EventLoop loop, UnaryOperator<String> desk) {
+    AdminListener(EventLoop loop, UnaryOperator<String> commandHandler) {
         this.loop = loop;
-        this.desk = desk;
+        this.commandHandler = commandHandler;
     }
 
-    /** Takes connections over that speak HTTP, while somebody wants them. */
-    interface Lending {
-        void take(Channel door, Channel connection, ByteBuf first);
+    /** Takes over connections that speak HTTP. */
+    interface HttpConnectionHandler {
+        void take(Channel listeningChannel, Channel connection, ByteBuf first);
     }
 
-    /** From now on connections that speak HTTP are lent to this one; null for none, and they are refused. */
-    void lend(Lending to) {
-        lending = to;
+    /** Hands HTTP connections to this handler from now on; with null they are rejected. */
+    void setHttpHandler(HttpConnectionHandler handler) {
+        httpHandler = handler;
     }
 
-    /** Where it listens. */
+    /** The listening address. */
     InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
 
-    /** Opens; done once operators can connect. */
+    /** Opens the listener; completes once operators can connect. */
     CompletableFuture<InetSocketAddress> listen(InetSocketAddress address) {
         CompletableFuture<InetSocketAddress> open = new CompletableFuture<>();
         ChannelFuture bound = new ServerBootstrap()
@@ -68,7 +68,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new Caller());
+                        c.pipeline().addLast(new CommandHandler());
                     }
                 })
                 .bind(address);
@@ -83,26 +83,26 @@
         return open;
     }
 
-    /** Reads up to the first line's end and answers; nothing behind it counts. */
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Reads the first line and responds; anything after it is ignored. */
+    private final class CommandHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final StringBuilder line = new StringBuilder();
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (callers.size() >= CALLERS) {
-                callers.pollFirst().close();
+            if (connections.size() >= MAX_CONNECTIONS) {
+                connections.pollFirst().close();
             }
             Channel channel = context.channel();
-            callers.addLast(channel);
-            channel.closeFuture().addListener(f -> callers.remove(channel));
+            connections.addLast(channel);
+            channel.closeFuture().addListener(f -> connections.remove(channel));
             loop.schedule(
                     () -> {
-                        if (callers.contains(channel)) {
+                        if (connections.contains(channel)) {
                             channel.close();
                         }
                     },
-                    PATIENCE_MILLIS,
+                    CONNECTION_TIMEOUT_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -111,40 +111,43 @@
             if (answered) {
                 return;
             }
-            if (lending != null && line.length() == 0 && speaksHttp(bytes)) {
+            if (httpHandler != null && line.length() == 0 && isHttp(bytes)) {
                 answered = true;
-                lendOut(context, bytes.retain());
+                handOver(context, bytes.retain());
                 return;
             }
             int end = bytes.indexOf(bytes.readerIndex(), bytes.writerIndex(), (byte) '\n');
             int length = (end < 0 ? bytes.writerIndex() : end) - bytes.readerIndex();
-            if (line.length() + length > LONGEST_LINE) {
-                answer(context, "NO the line is longer than " + LONGEST_LINE + " bytes");
+            if (line.length() + length > MAX_LINE_BYTES) {
+                answer(context, "NO the line is longer than " + MAX_LINE_BYTES + " bytes");
                 return;
             }
             line.append(bytes.readCharSequence(length, StandardCharsets.US_ASCII));
             if (end >= 0) {
-                answer(context, desk.apply(line.toString()));
+                answer(context, commandHandler.apply(line.toString()));
             }
         }
 
-        /** No call of operators begins with a method and a path. */
-        private static boolean speaksHttp(ByteBuf bytes) {
+        /** No admin command begins with a method and a path. */
+        private static boolean isHttp(ByteBuf bytes) {
             String head =
                     bytes.toString(bytes.readerIndex(), Math.min(6, bytes.readableBytes()), StandardCharsets.US_ASCII);
             return head.startsWith("GET /") || head.startsWith("POST /");
         }
 
-        private void lendOut(ChannelHandlerContext context, ByteBuf first) {
+        private void handOver(ChannelHandlerContext context, ByteBuf first) {
             Channel connection = context.channel();
-            Lending to = lending;
-            callers.remove(connection);
+            HttpConnectionHandler handler = httpHandler;
+            connections.remove(connection);
             connection.config().setAutoRead(false);
             context.pipeline().remove(this);
-            connection.deregister().addListener(f -> to.take(listening, connection, first));
+            connection.deregister().addListener(f -> handler.take(listening, connection, first));
         }
 
-        /** The end is the caller's to make, lest what it has sent behind the line take the answer along. */
+        /**
+         * Closes only the output and leaves the rest to the caller: with input unread, closing would reset the
+         * connection, and the response could be lost.
+         */
         private void answer(ChannelHandlerContext context, String text) {
             answered = true;
             context.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8))
--- a/src/main/java/org/cypressweir/sidecar/ClientConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientConnection.java
@@ -21,41 +21,41 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client's connection; it carries one request at a time. A request is taken once all that came with it has been
- * read: bytes behind it mean that its end is not where it says, or that it is not alone.
+ * A client connection, which carries one request at a time. A request is accepted once everything that arrived with it
+ * has been read: further bytes mean that its length is wrong or that it is not the only request.
  *
- * <p>Confined to the event loop. Its states: awaiting a request, with an exchange in progress, writing a response,
- * idle, draining input (the last response is written, and what still comes is dropped), switched to another
- * protocol. {@link ClientListener} made it, looks at its times, and hears of its end.
+ * <p>Confined to the event loop. Its states: awaiting a request, exchange in progress, writing a response, idle,
+ * draining input (the last response is written, and further input is dropped), switched to another protocol. {@link
+ * ClientListener} creates it, checks its time-outs, and is notified when it ends.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    /** From the connection, or from a later request's first byte, to its last one. */
+    /** Time-out for a complete request, from the connection's start or from the first byte of a later request. */
     private static final long REQUEST_MILLIS = 2_500;
-    /** A body has that time too, and as much more as it takes at this pace. */
+    /** A body extends the time-out by its length divided by this minimum rate. */
     private static final int MIN_BYTES_PER_MILLI = 16;
-    /** Without a request in progress, since the last response. */
+    /** Idle time-out: without a request in progress, since the last response. */
     private static final long IDLE_MILLIS = 5_000;
-    /** A connection that has said nothing for so long goes before one that had a response. */
+    /** After this time without any input, a new connection is evicted before one that had a response. */
     private static final long SILENT_MILLIS = 1_000;
-    /** A response of which the client takes nothing in this time is given up. */
+    /** A response is abandoned if the client accepts none of it for this long. */
     private static final long WRITE_MILLIS = 5_000;
-    /** So much waits to be written before the server is held back, and so little before it goes on. */
+    /** Bytes waiting to be written above which reading from the server pauses, and below which it resumes. */
     private static final WriteBufferWaterMark WRITE_WATER_MARKS = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
     /**
-     * A rejected client may go on sending for so long, or be quiet for so long: closing with bytes unread resets
-     * the connection, and the client could lose the response.
+     * How long a rejected client may keep sending, and how long it may be silent: closing with unread bytes resets the
+     * connection, and the client could lose the response.
      */
     private static final long LINGER_MILLIS = 5_000;
 
     private static final long LINGER_QUIET_MILLIS = 300;
-    /** Bytes that may come behind a request for an upgrade before it is agreed to. */
+    /** Maximum number of bytes accepted after an upgrade request before the upgrade is agreed. */
     private static final int MAX_EARLY_BYTES = 64 * 1024;
 
     private static final String HEALTH_CHECK_URI = "/healthz";
     private static final String MORE_THAN_ONE_REQUEST = "more than one request";
 
-    /** What can be spared most easily comes first; see {@link #evictionScore}. */
+    /** Eviction order of the kinds of connections, highest first; see {@link #evictionScore}. */
     private static final double EVICT_DRAINING_INPUT = 4;
 
     private static final double EVICT_SILENT = 3;
@@ -67,33 +67,33 @@
     private final Channel channel;
     private final ClientRequestDecoder decoder;
     private final RequestCollector collector;
-    /** What came behind a request for an upgrade. */
+    /** Bytes received after an upgrade request. */
     private final EarlyBytes earlyBytes = new EarlyBytes();
 
     private final long openedNanos;
     /** The request in progress and its response; null for none. */
     private ClientExchange exchange;
-    /** A complete request, taken once all is read that came with it; null for none. */
+    /** A complete request, processed once everything that arrived with it is read; null for none. */
     private FullHttpRequest pendingRequest;
 
     private boolean hasExtraRequest;
-    /** A request is awaited: it is the first, or has begun to come. */
+    /** Whether a request is awaited: the first one, or one that has begun to arrive. */
     private boolean isAwaitingRequest = true;
 
     private long awaitingSinceNanos;
-    /** Reads that brought something, and the time of the last one. */
+    /** Number of reads that returned data. */
     private long reads;
 
     private long lastReadNanos;
     private boolean isWriting;
     private long respondedNanos;
-    /** When the client last took something of a response. */
+    /** When the client last accepted part of a response. */
     private long progressNanos;
-    /** The last response has been given, and what still comes is dropped. */
+    /** The last response has been sent; further input is dropped. */
     private boolean isDrainingInput;
-    /** Something failed while a request was dealt with. */
+    /** An exception occurred while a request was processed. */
     private boolean hasFailed;
-    /** Another protocol has the connection, and nothing of it is dealt with here. */
+    /** The connection has switched to another protocol and is no longer handled here. */
     private boolean isSwitched;
 
     ClientConnection(ClientListener listener, ClientListener.ListeningSocket listeningSocket, Channel channel) {
@@ -102,8 +102,8 @@
         this.channel = channel;
         openedNanos = listener.now();
         awaitingSinceNanos = openedNanos;
-        decoder = new ClientRequestDecoder(listener.service()::upgrades);
-        collector = new RequestCollector(listener.uploads(), this::reject);
+        decoder = new ClientRequestDecoder(listener.service()::allowsUpgrades);
+        collector = new RequestCollector(listener.largeRequests(), this::reject);
     }
 
     void configurePipeline() {
@@ -117,27 +117,30 @@
 
     // ---- State, as the listener asks for it
 
-    long waitingBytes() {
+    long pendingWriteBytes() {
         return Channels.waitingBytes(channel);
     }
 
-    /** Whether nothing is owed on it, no request has come in part, and it is older than that. */
+    /** Whether no response is due, no request has partly arrived, and the connection is older than the given time. */
     boolean isQuiet(long millis) {
         return !owesResponse() && !isSwitched && !isReceiving() && ageMillis() > millis;
     }
 
-    /** Whether any request was ever taken on it. */
-    boolean hasAsked() {
+    /** Whether any request was ever received on this connection. */
+    boolean hasTakenRequest() {
         return !isAwaitingRequest;
     }
 
-    /** Since its last response, if it waits for nothing and nothing of a request has come; else 0. */
+    /**
+     * Time since the last response if the connection waits for nothing and no part of a request has arrived; otherwise
+     * 0.
+     */
     long idleMillis() {
         boolean isIdle = exchange == null && !isWriting && !isDrainingInput && !isAwaitingRequest && !isSwitched;
         return isIdle ? listener.millisSince(respondedNanos) : 0;
     }
 
-    /** How well this connection can be spared, by its kind and then by time; 0 where it can't. */
+    /** How suitable this connection is for eviction, by its kind and then by idle time; 0 if it must be kept. */
     double evictionScore() {
         if (owesResponse() || isSwitched || isReceiving() || ageMillis() <= ClientListener.QUIET_MILLIS) {
             return 0;
@@ -153,17 +156,17 @@
         if (!isAwaitingRequest) {
             return EVICT_IDLE;
         }
-        // A client that is late itself brings the first request of a connection late, and it has no retry as one
-        // on a kept connection has.
+        // A slow client sends the first request of a connection late, and that request cannot be retried like one on a
+        // kept-alive connection.
         return ageMillis() > SILENT_MILLIS ? EVICT_SILENT : EVICT_NEW;
     }
 
-    /** Whether a request is in progress, or a response on its way. */
+    /** Whether a request is in progress or a response is being written. */
     private boolean owesResponse() {
         return exchange != null || isWriting;
     }
 
-    /** Whether a request has begun to come; it has its own time to be complete. */
+    /** Whether a request has begun to arrive; it has a time-out of its own. */
     private boolean isReceiving() {
         return isAwaitingRequest && reads > 0 && !isDrainingInput;
     }
@@ -183,10 +186,11 @@
     }
 
     /**
-     * Closes, unless something has come that the loop has not seen yet; whether it closes. A request that lies in
-     * the kernel is taken: closing over it would reset the connection and lose it. What comes from now on finds
-     * the connection closed, as the protocol allows between requests. One that was told its end goes once what it
-     * sent is read, lest the reset overtake its response.
+     * Closes the connection unless input has arrived that the event loop has not seen yet; returns whether it closes.
+     *
+     * <p>A request in the kernel's buffer counts as received: closing would reset the connection and lose it. Requests
+     * sent later find the connection closed, as HTTP allows between requests. A connection that was told to close is
+     * closed once its input is read, because a reset could overtake its response.
      */
     boolean closeIfSilent() {
         long readsBefore = reads;
@@ -198,14 +202,14 @@
         return true;
     }
 
-    /** Ends what has taken too long. */
+    /** Closes or rejects the connection if a time-out has passed. */
     void checkTimes() {
         boolean isStreaming = exchange != null && exchange.isStreaming();
         if (exchange != null && !isStreaming || isSwitched) {
             return;
         }
         if (isWriting || isStreaming) {
-            if (waitingBytes() > 0 && listener.millisSince(progressNanos) > WRITE_MILLIS) {
+            if (pendingWriteBytes() > 0 && listener.millisSince(progressNanos) > WRITE_MILLIS) {
                 channel.close();
             }
         } else if (isDrainingInput) {
@@ -216,16 +220,16 @@
         } else if (reads == 0) {
             closeAfter(openedNanos, REQUEST_MILLIS);
         } else if (isRequestOverdue() && !completesNow()) {
-            reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole in time");
+            reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not arrive completely in time");
         }
     }
 
     private boolean isRequestOverdue() {
-        return !collector.waits()
+        return !collector.isWaitingForBudget()
                 && listener.millisSince(awaitingSinceNanos) > REQUEST_MILLIS + collector.size() / MIN_BYTES_PER_MILLI;
     }
 
-    /** Whether the rest of a request was there and not read yet. */
+    /** Whether the rest of the request had arrived but was not read yet. */
     private boolean completesNow() {
         readNow();
         return owesResponse() || !isAwaitingRequest;
@@ -253,7 +257,7 @@
         context.fireChannelInactive();
     }
 
-    /** Whether what comes now is to be decoded. */
+    /** Whether the input that arrives now is to be decoded. */
     boolean admitsInput() {
         lastReadNanos = listener.now();
         reads++;
@@ -261,14 +265,14 @@
             return true;
         }
         if (exchange != null && exchange.isStreaming()) {
-            // Its response has begun, so nothing else can be said.
+            // The response has begun, so the client cannot be sent an error.
             abandonExchange();
             channel.close();
             return false;
         }
         if (exchange != null && !isDrainingInput) {
-            // Clients send one request at a time. What comes behind can't be told from a wrong length of the one
-            // in progress, which so is no request either.
+            // Clients send one request at a time. Further bytes may mean that the length of the request in progress is
+            // wrong, so that request is invalid too.
             abandonExchange();
             reject(HttpResponseStatus.BAD_REQUEST, MORE_THAN_ONE_REQUEST);
         }
@@ -287,7 +291,7 @@
         }
     }
 
-    /** Bytes as they came: what is behind a request for an upgrade, or all, once that was agreed to. */
+    /** Handles raw bytes: those after an upgrade request, or all input once the upgrade is agreed. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         if (!(message instanceof ByteBuf bytes)) {
@@ -298,7 +302,7 @@
             earlyBytes.add(bytes);
             if (earlyBytes.size() > MAX_EARLY_BYTES) {
                 abandonExchange();
-                reject(HttpResponseStatus.BAD_REQUEST, "too much before the upgrade was agreed to");
+                reject(HttpResponseStatus.BAD_REQUEST, "too many bytes before the upgrade was accepted");
             }
         }
     }
@@ -367,7 +371,7 @@
             context.close();
         } else if (exchange != null) {
             listener.log("client connection: " + cause);
-            // Closed once the response is written: closing here could cut it.
+            // The connection closes after the response is written: closing now could cut the response off.
             hasFailed = true;
             exchange.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         } else {
@@ -377,12 +381,12 @@
 
     // ---- Responses
 
-    /** Responds to what is no request and ends the connection; what still comes on it is dropped. */
+    /** Responds to an invalid request and ends the connection; further input is dropped. */
     private void reject(HttpResponseStatus status, String reason) {
         reject(status, reason, new DefaultHttpHeaders());
     }
 
-    /** The request of the exchange is none; the exchange is over. */
+    /** Rejects the request of the current exchange as invalid and ends the exchange. */
     void reject(RequestReader.BadRequest why) {
         exchange = null;
         reject(why.status(), why.getMessage(), why.headers());
@@ -409,12 +413,12 @@
         return hasFailed || listener.endsAfterAnswer(listeningSocket);
     }
 
-    /** Nothing is owed to the client any more. */
+    /** The client is due no further response. */
     void endExchange() {
         exchange = null;
     }
 
-    /** The last part of a response is written now; the exchange is over. */
+    /** The last part of a response is being written; the exchange is over. */
     void responding(boolean isLast) {
         exchange = null;
         isDrainingInput = isLast;
@@ -422,18 +426,18 @@
         respondedNanos = listener.now();
     }
 
-    /** A response is written in one go. */
+    /** A complete response is being written at once. */
     void respondingAtOnce(boolean isLast) {
         responding(isLast);
         progressNanos = respondedNanos;
     }
 
-    /** The client has taken something of a response, or one begins. */
+    /** The client has accepted part of a response, or a response begins. */
     void progressed() {
         progressNanos = listener.now();
     }
 
-    /** The last byte of a response has been handed to the network, or it can't be. */
+    /** The last byte of a response has been handed to the network, or writing has failed. */
     void written(boolean isSuccess) {
         isWriting = false;
         if (!isSuccess) {
@@ -457,11 +461,11 @@
         return earlyBytes.size() > 0;
     }
 
-    /** Passes a server's 101 on and gives the connection away. */
+    /** Passes a server's 101 response on and gives up the connection. */
     Upgrade.End switchProtocols(FullHttpResponse response) {
         exchange = null;
         isSwitched = true;
-        listener.switched(this);
+        listener.upgraded(this);
         channel.config().setAutoRead(false);
         HttpHeaders headers = Headers.endToEnd(response.headers());
         headers.remove(Headers.LOAD);
@@ -474,7 +478,7 @@
                 Unpooled.EMPTY_BUFFER,
                 headers,
                 new DefaultHttpHeaders()));
-        // The decoder hands on what it still holds, which comes here as bytes.
+        // Removing the decoder makes it emit its remaining bytes, which arrive here as raw bytes.
         channel.pipeline().remove(decoder);
         while (channel.pipeline().first() != this) {
             channel.pipeline().removeFirst();
--- a/src/main/java/org/cypressweir/sidecar/ClientExchange.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientExchange.java
@@ -19,8 +19,8 @@
 /**
  * One request of a client and its response; only the first response counts.
  *
- * <p>Confined to the event loop. It is over once the connection has another exchange or none; whatever is asked of
- * it from then on has no effect.
+ * <p>Confined to the event loop. The exchange is over once its connection has another exchange or none; calls after
+ * that have no effect.
  */
 final class ClientExchange implements ClientRequest.Client {
 
@@ -31,7 +31,7 @@
     private final boolean isKeepAlive;
     private final HttpVersion version;
     private boolean isUpgrading;
-    /** The response that is being streamed; null before and after. */
+    /** The response being streamed; null before and after. */
     private Stream stream;
 
     ClientExchange(ClientConnection connection, Channel channel, boolean isKeepAlive, HttpVersion version) {
@@ -49,7 +49,7 @@
         return stream != null;
     }
 
-    /** The client has taken enough of the streamed response for more of it. */
+    /** The client has read enough of the streamed response to be sent more. */
     void resumeStream() {
         stream.resume.run();
     }
@@ -114,12 +114,12 @@
     }
 
     @Override
-    public void upgrading() {
+    public void expectUpgrade() {
         isUpgrading = true;
     }
 
     @Override
-    public boolean isAlone() {
+    public boolean hasNoEarlyBytes() {
         return !connection.hasEarlyBytes();
     }
 
@@ -132,8 +132,8 @@
     }
 
     /**
-     * A response that is passed on as it comes. Where it breaks off the connection is reset, which no client takes
-     * for the response's end.
+     * A response that is passed on as it arrives. If it is cut off the connection is reset, so that no client mistakes
+     * that for the end of the response.
      */
     private final class Stream implements StreamedResponse {
         private final Runnable resume;
@@ -153,7 +153,8 @@
         @Override
         public void end() {
             if (!isOver()) {
-                // Only where the client was told that it is the last one: it may have sent a request by now.
+                // Only if the response told the client that the connection closes: otherwise the client may have sent
+                // another request by now.
                 connection.responding(isLast);
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                         .addListener(f -> connection.written(f.isSuccess()));
--- a/src/main/java/org/cypressweir/sidecar/ClientInputGate.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientInputGate.java
@@ -5,9 +5,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The first handler of a client's connection: drops what comes on a rejected one before anything is spent on it.
+ * The first handler of a client connection: drops input on a rejected connection before it is decoded.
  *
- * <p>One for each connection, on its event loop.
+ * <p>One per connection, on its event loop.
  */
 final class ClientInputGate extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/org/cypressweir/sidecar/ClientListener.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -26,122 +26,129 @@
 import java.util.stream.Stream;
 
 /**
- * The listening side: reads clients' requests, writes their answers, and closes down without losing any.
+ * The client-facing listener: accepts connections, reads requests, writes responses, and shuts down without losing a
+ * request.
  *
- * <p>A request counts as taken once its last byte is in the kernel of this machine, read or not, and turns of
- * the loop can be long. So nothing that a client might still be answered on is closed by what the last turn
- * saw: what the kernel holds is read first, of connections as of the listening socket.
+ * <p>A request counts as received once its last byte is in this machine's kernel, whether read or not, and turns of the
+ * event loop can be long. So no connection on which a response may still be due is closed on the state seen by the
+ * previous turn: what the kernel holds is read first, on connections as on the listening socket.
  */
 final class ClientListener {
 
-    /** What stands behind the connections. */
+    /** Handles the requests that the connections read. */
     interface Service {
-        /** Whether a request would find a server. */
+        /** Whether a server is available for a request. */
         boolean ready();
 
-        /** Whether what comes behind a request may belong to what it asks to go over to. */
-        default boolean upgrades() {
+        /** Whether requests may ask for an upgrade, so that the bytes after one may not be HTTP. */
+        default boolean allowsUpgrades() {
             return false;
         }
 
-        /** A request to be answered through its client, by an exception at the latest. */
+        /** Takes a request, whose response goes to the client; an exception is the last way to respond to it. */
         void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest;
 
-        /** So many clients are connected, while those that are there are to go. */
-        default void clients(int count) {}
+        /** Reports the number of connected clients while the listener drains. */
+        default void clientCount(int count) {}
 
         /** The client of this request has closed its connection. */
         void left(ClientRequest.Client client);
     }
 
     private static final int BACKLOG = 512;
-    /** Most connections taken in one turn of the loop. */
-    private static final int ACCEPTS = 64;
-    /** Without a request in hand, since the last answer, where connections are many. */
-    private static final long SURPLUS_MILLIS = 200;
-    /** How long new connections go on coming after the end was announced. */
-    private static final long ACCEPT_MILLIS = 400;
-    /** A new connection has this long to bring its request; as long nothing new may come before the end. */
+    /** Maximum number of connections accepted in one turn of the event loop. */
+    private static final int MAX_ACCEPTS_PER_TURN = 64;
+    /** Idle time after which a connection may be closed once more than half of the allowed connections are in use. */
+    private static final long SURPLUS_IDLE_MILLIS = 200;
+    /** How long new connections keep arriving after the shutdown or drain was announced. */
+    private static final long ACCEPT_GRACE_MILLIS = 400;
+    /**
+     * Time that a new connection has to send its first request; the listening socket closes only after as long without
+     * a new connection.
+     */
     static final long QUIET_MILLIS = 100;
-    /** How long a door that closes waits for room for those that have connected and not been accepted. */
-    private static final long FULL_MILLIS = 2_000;
+    /**
+     * How long a closing listening socket waits for free connections for clients that have connected but are not
+     * accepted yet.
+     */
+    private static final long MAX_FULL_WAIT_MILLIS = 2_000;
 
     private static final long SWEEP_MILLIS = 25;
-    /** In a drain, how long a connection may go without having said anything. */
-    private static final long DISMISS_MILLIS = 1_500;
+    /** While draining, how long a connection may stay open without having sent anything. */
+    private static final long SILENT_DRAIN_MILLIS = 1_500;
 
     private final EventLoop loop;
-    private final LongSupplier nanos;
+    private final LongSupplier nanoClock;
     private final Service service;
-    private int most;
-    private boolean sweeping;
+    private int maxConnections;
+    private boolean isSweepScheduled;
     private boolean draining;
-    private long drainingSince;
+    private long drainingSinceNanos;
     private final Consumer<String> log;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    /** Those that have gone over to another protocol: they count, and there is nothing to look after. */
-    private final Set<ClientConnection> switched = new HashSet<>();
-    /** How many connections are accepted in one turn of the loop. */
-    private final ServerChannelRecvByteBufAllocator accepts = new ServerChannelRecvByteBufAllocator();
-
-    private final List<ListeningSocket> doors = new ArrayList<>();
-    private final LargeRequests uploads;
-    /** Listens already, at the address of the first door; null where none was inherited or it is taken. */
+    /** Connections upgraded to another protocol: they count towards the limit but need no further supervision. */
+    private final Set<ClientConnection> upgraded = new HashSet<>();
+    /** Sets how many connections are accepted in one turn of the event loop. */
+    private final ServerChannelRecvByteBufAllocator acceptAllocator = new ServerChannelRecvByteBufAllocator();
+
+    private final List<ListeningSocket> listeningSockets = new ArrayList<>();
+    private final LargeRequests largeRequests;
+    /** An already listening socket for the first address; null if none was inherited or it is in use. */
     private ServerSocketChannel inherited;
-    /** Whose connections come by way of another door, which lends them; null for none. */
-    private ListeningSocket lent;
+    /** Stands for the listening socket of another listener that hands its connections over; null if there is none. */
+    private ListeningSocket lentSocket;
 
-    /** An address that is listened on. */
+    /** A listening socket and its state. */
     static final class ListeningSocket {
         private final Channel channel;
-        /** It goes: its connections end after their answers. */
+        /** The socket is closing: its connections end after their responses. */
         private boolean closing;
-        /** Other processes listen on the same socket. */
+        /** Whether other processes listen on the same socket. */
         private final boolean shared;
 
-        private long closingSince;
-        private long acceptedAt;
+        private long closingSinceNanos;
+        private long lastAcceptNanos;
 
         private ListeningSocket(Channel channel, boolean shared, long now) {
             this.channel = channel;
             this.shared = shared;
-            acceptedAt = now;
+            lastAcceptNanos = now;
         }
 
-        /** Where it listens, once that is so. */
+        /** The listening address, once bound. */
         InetSocketAddress address() {
             return (InetSocketAddress) channel.localAddress();
         }
     }
 
-    ClientListener(EventLoop loop, Service service, int most, Consumer<String> log) {
-        this(loop, service, most, log, System::nanoTime);
+    ClientListener(EventLoop loop, Service service, int maxConnections, Consumer<String> log) {
+        this(loop, service, maxConnections, log, System::nanoTime);
     }
 
-    /** With another clock, in nanoseconds from any origin. */
-    ClientListener(EventLoop loop, Service service, int most, Consumer<String> log, LongSupplier nanos) {
+    /** Uses the given clock, in nanoseconds from an arbitrary origin. */
+    ClientListener(EventLoop loop, Service service, int maxConnections, Consumer<String> log, LongSupplier nanoClock) {
         this.loop = loop;
-        uploads = new LargeRequests(loop);
-        this.nanos = nanos;
+        largeRequests = new LargeRequests(loop);
+        this.nanoClock = nanoClock;
         this.service = service;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.log = log;
     }
 
-    /** Another bound on connections, from now on. */
-    void bound(int connections) {
-        most = connections;
+    /** Changes the maximum number of connections. */
+    void setMaxConnections(int connections) {
+        maxConnections = connections;
         makeRoom();
     }
 
-    /** The next door that opens listens on this socket, which is another process's too. */
+    /** Makes the next listening socket use this one, which another process listens on too. */
     void inherit(ServerSocketChannel listening) {
         inherited = listening;
     }
 
     /**
-     * Takes a connection over that another door has accepted, with the bytes that it has read; both loops
-     * know nothing else of it.
+     * Takes over a connection that another listener has accepted, with the bytes already read from it. It must be
+     * registered with no event loop.
      */
     void adopt(Channel listening, Channel connection, ByteBuf first) {
         loop.register(connection).addListener(f -> {
@@ -150,8 +157,8 @@
                 connection.close();
                 return;
             }
-            lent = lent == null ? new ListeningSocket(listening, false, now()) : lent;
-            new ClientConnection(this, lent, connection).configurePipeline();
+            lentSocket = lentSocket == null ? new ListeningSocket(listening, false, now()) : lentSocket;
+            new ClientConnection(this, lentSocket, connection).configurePipeline();
             connection.pipeline().fireChannelActive();
             connection.pipeline().fireChannelRead(first);
             connection.pipeline().fireChannelReadComplete();
@@ -159,22 +166,22 @@
         });
     }
 
-    /** Opens a door; the future is done once clients can connect to it. */
+    /** Opens a listening socket; completes once clients can connect to it. */
     CompletableFuture<ListeningSocket> listen(InetSocketAddress address) {
         CompletableFuture<ListeningSocket> open = new CompletableFuture<>();
-        ListeningSocket[] door = new ListeningSocket[1];
+        ListeningSocket[] socket = new ListeningSocket[1];
         ServerSocketChannel listening = inherited;
         inherited = null;
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop, loop)
                 .channelFactory(
                         () -> listening == null ? new NioServerSocketChannel() : new NioServerSocketChannel(listening))
-                .option(ChannelOption.RECVBUF_ALLOCATOR, accepts)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, acceptAllocator)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        new ClientConnection(ClientListener.this, door[0], c).configurePipeline();
+                        new ClientConnection(ClientListener.this, socket[0], c).configurePipeline();
                     }
                 });
         ChannelFuture bound = listening != null
@@ -183,47 +190,47 @@
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .bind(address);
-        door[0] = new ListeningSocket(bound.channel(), listening != null, now());
+        socket[0] = new ListeningSocket(bound.channel(), listening != null, now());
         bound.addListener(f -> {
             if (f.isSuccess()) {
-                doors.add(door[0]);
-                open.complete(door[0]);
+                listeningSockets.add(socket[0]);
+                open.complete(socket[0]);
             } else {
                 open.completeExceptionally(f.cause());
             }
         });
-        if (!sweeping) {
-            sweeping = true;
+        if (!isSweepScheduled) {
+            isSweepScheduled = true;
             loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         }
         return open;
     }
 
     /**
-     * Closes all at once, whoever waits; the address is free when that is done. What has come whole is handed
-     * to the service before, which may answer it at once.
+     * Closes everything at once, whoever is waiting; the address is free once the future completes. Requests that have
+     * arrived completely are first handed to the service, which may respond at once.
      */
     Future<Void> close() {
-        doors.stream().filter(door -> !door.shared).forEach(door -> Channels.readNow(door.channel));
+        listeningSockets.stream().filter(socket -> !socket.shared).forEach(socket -> Channels.readNow(socket.channel));
         List.copyOf(connections).forEach(ClientConnection::readNow);
         List.copyOf(connections).forEach(ClientConnection::close);
-        List.copyOf(switched).forEach(ClientConnection::close);
+        List.copyOf(upgraded).forEach(ClientConnection::close);
         Future<Void> last = loop.newSucceededFuture(null);
-        for (ListeningSocket door : doors) {
-            last = door.channel.close();
+        for (ListeningSocket socket : listeningSockets) {
+            last = socket.channel.close();
         }
         return last;
     }
 
-    /** Ends all doors; see {@link #end(ListeningSocket, Runnable)}. */
+    /** Closes all listening sockets gracefully; see {@link #end(ListeningSocket, Runnable)}. */
     void end(Runnable ended) {
-        if (doors.isEmpty()) {
+        if (listeningSockets.isEmpty()) {
             ended.run();
             return;
         }
-        int[] left = {doors.size()};
-        for (ListeningSocket door : List.copyOf(doors)) {
-            end(door, () -> {
+        int[] left = {listeningSockets.size()};
+        for (ListeningSocket socket : List.copyOf(listeningSockets)) {
+            end(socket, () -> {
                 if (--left[0] == 0) {
                     ended.run();
                 }
@@ -232,128 +239,136 @@
     }
 
     /**
-     * Goes on accepting while clients still connect, then ends each connection after its answer. Idle ones
-     * are closed before the listening socket, so that a request that crosses the closing can come again. The
-     * socket stays for a while where some may wait to be accepted, for its end would reset them; but one that
-     * other processes listen on too is theirs from now on, with all that waits in its queue.
+     * Keeps accepting while clients still connect, then ends each connection after its response. Idle connections are
+     * closed before the listening socket, so that a client whose request crosses the close can send it again. The
+     * socket stays open for a while as long as clients may wait to be accepted, because closing it would reset them. A
+     * socket shared with other processes is closed at once: they take over everything in its queue.
      */
-    void end(ListeningSocket door, Runnable ended) {
-        if (door.shared) {
-            door.closing = true;
-            door.closingSince = now();
-            door.channel.close();
-            endQuietly(door, ended);
+    void end(ListeningSocket socket, Runnable ended) {
+        if (socket.shared) {
+            socket.closing = true;
+            socket.closingSinceNanos = now();
+            socket.channel.close();
+            continueClosing(socket, ended);
             return;
         }
         loop.schedule(
                 () -> {
-                    door.closing = true;
-                    door.closingSince = now();
-                    endQuietly(door, ended);
+                    socket.closing = true;
+                    socket.closingSinceNanos = now();
+                    continueClosing(socket, ended);
                 },
-                ACCEPT_MILLIS,
+                ACCEPT_GRACE_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    void endQuietly(ListeningSocket door, Runnable ended) {
+    void continueClosing(ListeningSocket socket, Runnable ended) {
         connections.stream()
-                .filter(c -> c.listeningSocket() == door && c.isQuiet(QUIET_MILLIS))
+                .filter(c -> c.listeningSocket() == socket && c.isQuiet(QUIET_MILLIS))
                 .toList()
                 .forEach(ClientConnection::closeIfSilent);
-        if (door.channel.isOpen() && mayShut(door)) {
-            // Those that have connected since the loop looked last would be reset.
-            Channels.readNow(door.channel);
-            if (mayShut(door)) {
-                door.channel.close();
+        if (socket.channel.isOpen() && canClose(socket)) {
+            // Connections that arrived since the last turn of the event loop would be reset.
+            Channels.readNow(socket.channel);
+            if (canClose(socket)) {
+                socket.channel.close();
             }
         }
-        if (!door.channel.isOpen()
-                && Stream.concat(connections.stream(), switched.stream()).noneMatch(c -> c.listeningSocket() == door)) {
-            doors.remove(door);
+        if (!socket.channel.isOpen()
+                && Stream.concat(connections.stream(), upgraded.stream())
+                        .noneMatch(c -> c.listeningSocket() == socket)) {
+            listeningSockets.remove(socket);
             ended.run();
         } else {
-            loop.schedule(() -> endQuietly(door, ended), SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> continueClosing(socket, ended), SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * From now on clients are to go, and the doors stay open: those that come all the same are answered. For
-     * a while nothing ends, since new connections go on coming until the front has heard; then each ends
-     * after its answer, and idle ones at once, so that none is left that a client would go on using.
+     * Starts draining: clients are sent away, while the listening sockets stay open and new requests are still
+     * answered. At first nothing is closed, since new connections keep arriving until the load balancer in front knows;
+     * then each connection ends after its response, and idle ones are closed at once, so that clients keep no
+     * connection to use.
      */
     void drain() {
         if (!draining) {
             draining = true;
-            drainingSince = now();
+            drainingSinceNanos = now();
         }
     }
 
-    /** Clients are welcome again; what was told its end meanwhile still ends. */
+    /** Stops draining; connections that were already told to close still do. */
     void undrain() {
         draining = false;
     }
 
-    private boolean dismisses() {
-        return draining && millisSince(drainingSince) > ACCEPT_MILLIS;
+    private boolean closesIdleConnections() {
+        return draining && millisSince(drainingSinceNanos) > ACCEPT_GRACE_MILLIS;
     }
 
-    /** One that has not said anything yet may be a client that takes its time; it has some, but not all. */
-    private void dismissIdle() {
-        if (dismisses()) {
-            boolean last = millisSince(drainingSince) > DISMISS_MILLIS;
+    /**
+     * Closes idle connections. One without any request yet may belong to a slow client, so it is kept for a limited
+     * time.
+     */
+    private void closeIdleWhileDraining() {
+        if (closesIdleConnections()) {
+            boolean last = millisSince(drainingSinceNanos) > SILENT_DRAIN_MILLIS;
             connections.stream()
-                    .filter(c -> c.isQuiet(QUIET_MILLIS) && (last || c.hasAsked()))
+                    .filter(c -> c.isQuiet(QUIET_MILLIS) && (last || c.hasTakenRequest()))
                     .toList()
                     .forEach(ClientConnection::closeIfSilent);
         }
         if (draining) {
-            service.clients(connections.size());
+            service.clientCount(connections.size());
         }
     }
 
-    private boolean mayShut(ListeningSocket door) {
-        boolean allIn = door.channel.config().isAutoRead() || millisSince(door.closingSince) > FULL_MILLIS;
-        return millisSince(door.acceptedAt) > QUIET_MILLIS && allIn;
+    private boolean canClose(ListeningSocket socket) {
+        boolean allAccepted =
+                socket.channel.config().isAutoRead() || millisSince(socket.closingSinceNanos) > MAX_FULL_WAIT_MILLIS;
+        return millisSince(socket.lastAcceptNanos) > QUIET_MILLIS && allAccepted;
     }
 
     /** A connection was accepted. */
     void opened(ClientConnection connection) {
-        connection.listeningSocket().acceptedAt = now();
+        connection.listeningSocket().lastAcceptNanos = now();
         connections.add(connection);
         makeRoom();
     }
 
-    void switched(ClientConnection connection) {
+    void upgraded(ClientConnection connection) {
         connections.remove(connection);
-        switched.add(connection);
+        upgraded.add(connection);
     }
 
     private int size() {
-        return connections.size() + switched.size();
+        return connections.size() + upgraded.size();
     }
 
     void closed(ClientConnection connection) {
         connections.remove(connection);
-        switched.remove(connection);
+        upgraded.remove(connection);
         makeRoom();
     }
 
     /**
-     * Whether a connection ends after its answer: while others wait to be accepted, one that stays open and
-     * idle shuts them out.
+     * Whether a connection ends after its response: while others wait to be accepted, an open idle connection would
+     * keep them out.
      */
-    boolean endsAfterAnswer(ListeningSocket door) {
-        return door.closing || dismisses() || !door.channel.config().isAutoRead();
+    boolean endsAfterAnswer(ListeningSocket socket) {
+        return socket.closing
+                || closesIdleConnections()
+                || !socket.channel.config().isAutoRead();
     }
 
-    long waitingBytes() {
-        return Stream.concat(connections.stream(), switched.stream())
-                .mapToLong(ClientConnection::waitingBytes)
+    long pendingWriteBytes() {
+        return Stream.concat(connections.stream(), upgraded.stream())
+                .mapToLong(ClientConnection::pendingWriteBytes)
                 .sum();
     }
 
-    LargeRequests uploads() {
-        return uploads;
+    LargeRequests largeRequests() {
+        return largeRequests;
     }
 
     Service service() {
@@ -364,36 +379,38 @@
         log.accept(line);
     }
 
-    /** Nanoseconds from any origin. */
+    /** The current time in nanoseconds from an arbitrary origin. */
     long now() {
-        return nanos.getAsLong();
+        return nanoClock.getAsLong();
     }
 
     long millisSince(long then) {
         return TimeUnit.NANOSECONDS.toMillis(now() - then);
     }
 
-    /** One look at all connections in place of timers for each, of which a flood would leave thousands. */
+    /** Checks all connections periodically; with timers per connection a flood would leave thousands of them. */
     void sweep() {
         for (ClientConnection c : List.copyOf(connections)) {
             c.checkTimes();
         }
         closeSurplus();
-        dismissIdle();
+        closeIdleWhileDraining();
         makeRoom();
     }
 
     /**
-     * Past half of the bound what has been idle for a while goes, longest first. Some clients ask once and
-     * keep their connection; clients may hold only so many in all, and those that still have something to
-     * ask then find none, though the sidecar and its servers have little to do. Against leaks of connections
-     * in clients and floods of them too. Harm: a client that asks less often connects anew.
+     * Closes connections that have been idle for a while, longest idle first, once more than half of the allowed
+     * connections are in use.
+     *
+     * <p>Some clients send one request and keep their connection. Clients may hold only so many connections in total,
+     * so others with requests would find none although the sidecar and its servers have little to do. This also
+     * protects against connection leaks in clients and floods. The cost: a client with rare requests has to reconnect.
      */
     private void closeSurplus() {
-        int surplus = size() - most / 2;
+        int surplus = size() - maxConnections / 2;
         if (surplus > 0) {
             connections.stream()
-                    .filter(c -> c.idleMillis() > SURPLUS_MILLIS)
+                    .filter(c -> c.idleMillis() > SURPLUS_IDLE_MILLIS)
                     .sorted(Comparator.comparingLong(ClientConnection::idleMillis)
                             .reversed())
                     .limit(surplus)
@@ -403,30 +420,29 @@
     }
 
     /**
-     * Past the bound a connection that waits for nothing makes room: one that was rejected, one that said
-     * nothing at all, or else the one that was answered the longest time ago. Where all are busy, new ones
-     * wait to be accepted.
+     * At the limit, closes a connection that waits for nothing: a rejected one first, then one that never sent
+     * anything, then the one whose last response is oldest. If all are busy, new connections wait to be accepted.
      *
-     * <p>Up to the bound all that wait are accepted at once. One in each turn of the loop was too few where
-     * turns are long (a cold runtime, no CPU left, a pause): requests then spent their time in the kernel's
-     * queue, unseen by the module, which neither refused them nor knew how old they were, and each client
-     * that gave up came back behind the others. Harm: a burst gets its descriptors at once, so the bound has
-     * to be kept here, not by the pace.
+     * <p>Up to the limit, all waiting connections are accepted at once. One per turn of the event loop was too few when
+     * turns are long (a cold runtime, no free CPU, a pause): requests spent their time in the kernel's queue, where the
+     * load balancer could neither reject them nor see their age, and clients that gave up queued again behind the
+     * others. The cost: a burst takes its descriptors at once, so the limit must be enforced here and not by the accept
+     * rate.
      */
     private void makeRoom() {
-        boolean made = size() >= most && spareOne();
-        accepts.maxMessagesPerRead(Math.max(1, Math.min(ACCEPTS, most - size())));
-        boolean room = made || size() < most;
-        for (ListeningSocket door : doors) {
-            door.channel.config().setAutoRead(room);
+        boolean evicted = size() >= maxConnections && evictOne();
+        acceptAllocator.maxMessagesPerRead(Math.max(1, Math.min(MAX_ACCEPTS_PER_TURN, maxConnections - size())));
+        boolean hasRoom = evicted || size() < maxConnections;
+        for (ListeningSocket socket : listeningSockets) {
+            socket.channel.config().setAutoRead(hasRoom);
         }
     }
 
     /**
-     * Closes the connection that can be spared best; one on which something has come meanwhile can't be
-     * spared any more, and the next best is looked at.
+     * Closes the connection with the highest eviction score. A connection that has received something in the meantime
+     * is kept, and the next best is tried.
      */
-    private boolean spareOne() {
+    private boolean evictOne() {
         while (true) {
             ClientConnection victim = null;
             for (ClientConnection c : connections) {
--- a/src/main/java/org/cypressweir/sidecar/ClientRequest.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequest.java
@@ -12,84 +12,86 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.sidecar.cell.Cells;
 
-/** A client's request, from its last byte until it is answered and its attempts have ended. */
+/** A client's request, from its complete arrival until it has its response and its attempts have ended. */
 final class ClientRequest {
 
-    /** The connection that waits for the answer. */
+    /** The client side that waits for the response. */
     interface Client {
-        /** Takes the content over. */
+        /** Sends a complete response; takes ownership of the content. */
         void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /**
-         * Passes an answer on as it comes; null where the client is gone. The length is below 0 where it is
-         * not known. The task is run once more may be passed after there was too much.
+         * Starts a streamed response; null if the client is gone.
+         *
+         * @param length the content length, negative if unknown
+         * @param resume run when more may be written after writing was paused
          */
         default StreamedResponse pass(HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
-        /** Answers what is no request and ends the connection. */
+        /** Rejects an invalid request and ends the connection. */
         default void reject(RequestReader.BadRequest why) {}
 
-        /** What comes behind the request belongs to what it asks to go over to. */
-        default void upgrading() {}
+        /** The request asks for an upgrade, so the bytes after it may belong to another protocol. */
+        default void expectUpgrade() {}
 
-        /** Whether nothing has come behind the request. */
-        default boolean isAlone() {
+        /** Whether no bytes have arrived after the request. */
+        default boolean hasNoEarlyBytes() {
             return true;
         }
 
-        /** Passes a server's 101 on and gives the connection away; null where it is gone. */
+        /** Passes a server's 101 response on and gives up the connection; null if it is gone. */
         default Upgrade.End goOver(FullHttpResponse answer) {
             return null;
         }
     }
 
     final Request request;
-    /** As the operators' figures name it. */
+    /** The name of the request class in the metrics. */
     final String className;
-    /** What its route led to when it came. */
+    /** The cluster that the route led to when the request arrived. */
     final Cluster cluster;
-    /** The one that has it, also where its route leads elsewhere by now; null until one does. */
+    /** The pool that handles the request, even if its route leads elsewhere by now; null before a pool takes it. */
     Pool pool;
-    /** Null where nobody wants to know how it ends. */
+    /** Told when the request completes; null for none. */
     Watch watch;
-    /** What it was let into a cell with; null elsewhere. */
+    /** The ticket of its admission to a cell; null if there are no cells. */
     Cells.Ticket ticket;
-    /** Its client has a server's answer, or its upgrade was agreed to. */
+    /** The client has a server's response, or the upgrade was agreed. */
     boolean served;
-    /** What it asks to go over to; null for a plain request. */
+    /** The requested upgrade; null for a plain request. */
     final Upgrade upgrade;
 
     final HttpMethod method;
     final String uri;
-    /** The longest that it may take, whatever its client says. */
+    /** The maximum duration, whatever time-out the client asks for. */
     final long timeoutMicros;
 
     final HttpHeaders headers;
-    /** Kept until the request is forgotten. */
+    /** Retained until the request is removed. */
     final ByteBuf body;
 
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Attempts that have not ended. */
+    /** Number of attempts that have not ended. */
     int out;
-    /** Nothing is owed any more: it has its one answer, or the client has left. */
+    /** No response is due any more: it was sent, or the client has left. */
     boolean over;
-    /** Nothing of it is left: it is over and its attempts have ended. */
+    /** The request is finished, its attempts have ended, and it was removed. */
     boolean forgotten;
-    /** The last answer to an upgrade that was no 101, of a server that may have run it. */
+    /** The last response to an upgrade request other than 101, from a server that may have processed it. */
     Declined declined;
 
     Future<?> expiry;
-    /** The attempt whose answer is passed on as it comes, and where to; null while there is none. */
+    /** The attempt whose response is streamed to the client; null if there is none. */
     Attempt passed;
 
     StreamedResponse passing;
 
     ClientRequest(
             Request request,
-            RouteDecision way,
+            RouteDecision route,
             String className,
             HttpMethod method,
             HttpHeaders headers,
@@ -97,58 +99,58 @@
             Client client) {
         this.request = request;
         this.className = className;
-        cluster = way.cluster();
-        upgrade = way.upgrade();
-        uri = way.uri();
-        timeoutMicros = way.timeoutMicros();
+        cluster = route.cluster();
+        upgrade = route.upgrade();
+        uri = route.uri();
+        timeoutMicros = route.timeoutMicros();
         this.method = method;
         this.headers = headers;
         this.body = body;
         this.client = client;
     }
 
-    /** Wants to know how requests end. */
+    /** Listens for the completion of requests. */
     interface Watch {
-        /** Its client has its answer, or has left. */
+        /** The client has its response or has left. */
         void answered(ClientRequest call);
 
-        /** Nothing of it is out any more. */
+        /** All attempts have ended. */
         void ended(ClientRequest call);
     }
 
-    /** A server's own word on an upgrade. */
+    /** A server's own response that declines an upgrade. */
     record Declined(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 
-    /** A server's connection that is to go over to another protocol. */
+    /** A server connection that switches to another protocol. */
     interface Switched {
-        /** Gives the connection away. */
+        /** Detaches the connection from the pool and returns its channel. */
         Upgrade.End goOver();
 
-        /** Its server. */
+        /** The server of the connection. */
         Upgrade.Host host();
 
-        /** What it has become part of. */
+        /** The client and server connections have been joined. */
         void joined(Upgrade.Joined joined);
 
-        /** Nobody wants it any more. */
+        /** Closes the connection because it is not needed. */
         void close();
     }
 
-    /** One sending of a request to a server. */
+    /** One attempt: a single sending of a request to a server. */
     static final class Attempt {
         final ClientRequest call;
         final int number;
         final long server;
         final long sentAt;
         final long giveUpAt;
-        /** When its answer began to be passed on; 0 for never. */
+        /** When streaming of the response began; 0 if it has not. */
         long begunAt;
-        /** The last byte of the request has left, so from here on it may have run. */
+        /** The last byte of the request has been sent, so the server may have processed it. */
         boolean written;
 
         Result result;
         Future<?> timeout;
-        /** The server's connection once it has agreed to go over. */
+        /** The server's connection after it agreed to the upgrade. */
         Switched switched;
 
         Attempt(ClientRequest call, long server, long sentAt, long giveUpAt) {
--- a/src/main/java/org/cypressweir/sidecar/ClientRequestDecoder.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequestDecoder.java
@@ -12,10 +12,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The decoder of a client's requests. It shows whether it holds a part of a further message, and lets the bytes
- * behind a request for an upgrade pass as they are.
+ * The decoder of client requests. It tells whether it holds part of a further message, and passes the bytes after an
+ * upgrade request through unchanged.
  *
- * <p>One for each connection, on its event loop.
+ * <p>One per connection, on its event loop.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
 
@@ -23,7 +23,7 @@
     private boolean hasBegun;
     /** The message being decoded asks for an upgrade. */
     private boolean asksForUpgrade;
-    /** A request for an upgrade is complete, so what follows may not be HTTP. */
+    /** An upgrade request is complete, so the bytes that follow may not be HTTP. */
     private boolean passesBytes;
 
     ClientRequestDecoder(BooleanSupplier allowsUpgrades) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The request is none for an upgrade after all: what follows it is HTTP. */
+    /** The request is not an upgrade after all: the bytes that follow are HTTP. */
     void resumeHttp() {
         passesBytes = false;
     }
@@ -58,7 +58,7 @@
         return super.createMessage(initialLine);
     }
 
-    /** A complete message has been handed on; what is decoded from now on is another. */
+    /** A complete message has been passed on; anything decoded from now on belongs to the next one. */
     void messageEnded() {
         hasBegun = false;
     }
--- a/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
+++ b/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
@@ -12,14 +12,14 @@
 import org.cypressweir.sidecar.admin.RequestClassSlots;
 
 /**
- * The reload of a running sidecar: reads its files again and puts them in force together, or not at all.
+ * Reloads the configuration of a running sidecar: reads its files again and applies all of them together, or none.
  *
- * <p>Files are read on the caller's thread, which must not be the event loop; the result is put in force in one
- * turn of the event loop. Whoever calls sees to it that one reload runs at a time.
+ * <p>Files are read on the caller's thread, which must not be the event loop; the result is applied in one turn of the
+ * event loop. The caller ensures that only one reload runs at a time.
  */
 final class ConfigurationReloader {
 
-    /** A reload that has not ended by then no longer holds up the next one. */
+    /** After this time the next reload no longer waits for an unfinished one. */
     static final long RELOAD_SECONDS = 30;
 
     private static final String PREFIX = "cypressweir-sidecar: ";
@@ -33,9 +33,9 @@
     private final Listener listener;
     private final PrintStream log;
 
-    /** Is told of what the reloader has no part in. */
+    /** Listens for changes that concern parts the reloader does not handle itself. */
     interface Listener {
-        /** A change is put in force in this turn of the event loop; the configuration is still the one before. */
+        /** A change is being applied in this turn of the event loop; the configuration is still the previous one. */
         void reloading(Layout.Change change);
     }
 
@@ -58,31 +58,32 @@
         this.log = log;
     }
 
-    /** Reloads and waits for the end; whatever goes wrong is logged, and the next reload is not affected. */
+    /** Reloads and waits for the result. Failures are logged and do not affect the next reload. */
     void reloadAndWait(Map<String, String> environment) {
         try {
             reload(environment).get(RELOAD_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException | RuntimeException e) {
-            reject(PREFIX + "the files were not taken over: " + e);
+            reject(PREFIX + "the reload failed: " + e);
         }
     }
 
     /**
-     * Reads the files again and puts in force the operators' file, if there is one, the classes and attempts of
-     * the settings, and the address of discovery, which goes before what the environment said at the start. A
-     * file with any error changes nothing.
+     * Reads the files again and applies the operators' file, if there is one, the request classes and attempt limits of
+     * the settings, and the discovery address, which takes precedence over the one from the environment. A file with
+     * any error changes nothing.
      *
-     * @return done once all is in force or rejected
+     * @return completes once everything is applied or rejected
      */
     CompletableFuture<Void> reload(Map<String, String> environment) {
         try {
             SidecarConfiguration read = SidecarConfiguration.reread(environment, configuration.get());
             SidecarConfiguration next = keepClassSlots(read);
             Layout.Change change = layout.reread(next);
-            // All in one turn of the loop: no request finds one part of it as it was and another anew. It is
-            // a later turn than the one that numbered the classes, which holds for what has come since.
+            // Everything is applied in one turn of the event loop, so no request sees a mix of old and new parts. That
+            // turn is later than the one that assigned the class indexes, which stay valid for requests that arrived in
+            // between.
             return CompletableFuture.supplyAsync(() -> change.take().thenRun(() -> adopt(next, change)), loop)
                     .thenCompose(taken -> taken)
                     .exceptionally(e -> {
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Classes that requests in flight have keep their numbers. */
+    /** Classes used by requests in flight keep their indexes. */
     private SidecarConfiguration keepClassSlots(SidecarConfiguration read) {
         return read.with(CompletableFuture.supplyAsync(
                         () -> RequestClassSlots.place(
@@ -109,7 +110,7 @@
     private void adopt(SidecarConfiguration next, Layout.Change change) {
         listener.reloading(change);
         configuration.set(next);
-        reader.retune(next.settings());
+        reader.reconfigure(next.settings());
         inFlight.figures().show(next.classNames());
         inFlight.figures().reconfigured(true);
         discovery.move(next.discovery());
@@ -120,7 +121,7 @@
         loop.execute(() -> inFlight.figures().reconfigured(false));
     }
 
-    /** One line, but for the errors of an operators' file, which have a line each. */
+    /** A single line, except for the errors of an operators' file, which have one line each. */
     static String errorText(Exception e) {
         return e instanceof OperatorsRejected
                 ? e.getMessage()
--- a/src/main/java/org/cypressweir/sidecar/EarlyBytes.java
+++ b/src/main/java/org/cypressweir/sidecar/EarlyBytes.java
@@ -3,12 +3,15 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** What comes behind a handshake before its connection has switched to another protocol. Confined to the event loop. */
+/**
+ * Buffers the bytes received after a handshake before the connection has switched protocols. Confined to the event
+ * loop.
+ */
 final class EarlyBytes {
 
     private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-    /** Takes the buffer over. */
+    /** Appends the bytes; takes ownership of the buffer. */
     void add(ByteBuf more) {
         bytes = bytes == Unpooled.EMPTY_BUFFER ? Unpooled.buffer() : bytes;
         bytes.writeBytes(more);
@@ -19,7 +22,7 @@
         return bytes.readableBytes();
     }
 
-    /** Gives the bytes away, so that none are left here. */
+    /** Returns the buffered bytes and empties this buffer. */
     ByteBuf take() {
         ByteBuf taken = bytes;
         bytes = Unpooled.EMPTY_BUFFER;
--- a/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
+++ b/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
@@ -15,11 +15,11 @@
 import org.cypressweir.sidecar.admin.SidecarLifecycle;
 
 /**
- * A sidecar's part in its fleet: it joins and leaves, tells its peers about this process, and knows the share of
- * the fleet's limits that this process has.
+ * A sidecar's participation in its fleet: it joins and leaves, publishes this process's metadata to its peers, and
+ * knows this process's share of the fleet's limits.
  *
- * <p>Made when the process joins, never where the operators' file names no membership. Confined to the event loop;
- * {@link #firstList} may be called by the thread that starts the sidecar, once {@link #join} is done.
+ * <p>Created when the process joins; never if the operators' file names no membership. Confined to the event loop;
+ * {@link #firstList} may be called by the thread that starts the sidecar, once {@link #join} has completed.
  */
 final class FleetParticipation implements Layout.Portion {
 
@@ -34,7 +34,7 @@
     private final PeerEndpointLists lists;
     private final Consumer<String> log;
     private final long startedMillis;
-    /** Where clients connect, or will. */
+    /** The address where clients connect now or will connect. */
     private InetSocketAddress clientAddress;
     /** Null until the process has joined. */
     private FleetCoordination coordination;
@@ -60,18 +60,26 @@
     /**
      * Joins the fleet.
      *
-     * @param beside whether another process may hold the fleet's socket for a while yet
-     * @param rejected told why the process may not take part at all
-     * @param shareChanged run when this process's share of the limits is another
+     * @param socketMayBeHeld whether another process may still hold the fleet's socket for a while
+     * @param rejected receives the reason if the process may not join at all
+     * @param shareChanged run when this process's share of the limits changes
      */
     CompletableFuture<FleetCoordination> join(
             FleetCoordination.Maker maker,
             MembershipOptions options,
-            boolean beside,
+            boolean socketMayBeHeld,
             Consumer<String> rejected,
             Runnable shareChanged) {
         return maker.open(new FleetCoordination.Opening(
-                        loop, configuration.get().name(), options, beside, facts(), log, rejected, shareChanged, lists))
+                        loop,
+                        configuration.get().name(),
+                        options,
+                        socketMayBeHeld,
+                        facts(),
+                        log,
+                        rejected,
+                        shareChanged,
+                        lists))
                 .thenApply(joined -> {
                     coordination = joined;
                     shareChanged.run();
@@ -88,7 +96,7 @@
         return lists;
     }
 
-    /** Done once the peers' newest endpoint list is here, or none is to be expected. */
+    /** Completes once the peers' newest endpoint list is here, or if none is expected. */
     CompletableFuture<Void> firstList() {
         return coordination == null ? CompletableFuture.completedFuture(null) : coordination.lent();
     }
@@ -113,7 +121,7 @@
         }
     }
 
-    void retune(MembershipOptions next) {
+    void reconfigure(MembershipOptions next) {
         if (coordination != null) {
             coordination.retune(next);
         }
@@ -125,7 +133,7 @@
         }
     }
 
-    /** What the peers are told about this process; the keys and texts are fixed by the fleet's messages. */
+    /** The metadata published to the peers; the keys and value formats are fixed by the fleet's messages. */
     private Map<String, String> facts() {
         Map<String, String> facts = new TreeMap<>();
         facts.put("front", Addresses.text(clientAddress));
@@ -135,7 +143,7 @@
         return facts;
     }
 
-    /** In quarters and seldom: each change is an update that goes to the whole fleet. */
+    /** Load in coarse steps, published rarely: each change is an update to the whole fleet. */
     private int loadStep() {
         int maxInFlight = Math.max(1, configuration.get().settings().limits().open());
         return Math.min(LOAD_STEPS, LOAD_STEPS * inFlight.count() / maxInFlight);
--- a/src/main/java/org/cypressweir/sidecar/Headers.java
+++ b/src/main/java/org/cypressweir/sidecar/Headers.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Names of the protocol's headers, and which of a message's headers go on. */
+/** Names of the protocol's headers, and the filter for headers that are not forwarded. */
 final class Headers {
 
     static final String REQUEST_ID = "Request-Id";
@@ -30,14 +30,14 @@
 
     private Headers() {}
 
-    /** A copy without what concerns one connection only. */
+    /** A copy without hop-by-hop headers. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders().set(headers);
         ONE_HOP.forEach(copy::remove);
         return copy;
     }
 
-    /** The only value of a header, or null where there is none or more than one. */
+    /** The single value of a header; null if it is absent or repeated. */
     static String single(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0).trim() : null;
--- a/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
@@ -7,60 +7,60 @@
 import org.cypressweir.sidecar.admin.SidecarMetrics;
 
 /**
- * The requests of the process, whatever pool has them: an id is in hand once at most. Each is counted here as
- * it comes and as it ends, so no front and no pool can leave one out.
+ * The requests in flight in this process, across all pools; a request id is in flight at most once. Requests are
+ * counted here when they arrive and when they end, so no listener or pool can omit one.
  */
 final class InFlightRequests {
 
-    private final SidecarMetrics figures = new SidecarMetrics();
-    private final Map<String, ClientRequest> calls = new HashMap<>();
-    private final Map<ClientRequest.Client, ClientRequest> waiting = new HashMap<>();
+    private final SidecarMetrics metrics = new SidecarMetrics();
+    private final Map<String, ClientRequest> byId = new HashMap<>();
+    private final Map<ClientRequest.Client, ClientRequest> byClient = new HashMap<>();
 
     SidecarMetrics figures() {
-        return figures;
+        return metrics;
     }
 
-    /** Takes a request; false where its id is in hand already. */
+    /** Adds a request; false if its id is already in flight. */
     boolean add(ClientRequest call) {
-        if (calls.putIfAbsent(call.request.id(), call) != null) {
+        if (byId.putIfAbsent(call.request.id(), call) != null) {
             return false;
         }
-        waiting.put(call.client, call);
-        figures.taken();
+        byClient.put(call.client, call);
+        metrics.taken();
         return true;
     }
 
     int count() {
-        return calls.size();
+        return byId.size();
     }
 
     ClientRequest get(String id) {
-        return calls.get(id);
+        return byId.get(id);
     }
 
-    /** Numbers of classes that requests have, also such as are over and still out at a server. */
+    /** Indexes of the classes of all requests, including finished ones that still have an attempt at a server. */
     Set<Integer> classes() {
-        return calls.values().stream().map(c -> c.request.requestClass()).collect(Collectors.toSet());
+        return byId.values().stream().map(c -> c.request.requestClass()).collect(Collectors.toSet());
     }
 
-    /** The request that this client waits for, if any. */
+    /** The request that this client waits for, or null. */
     ClientRequest of(ClientRequest.Client client) {
-        return waiting.get(client);
+        return byClient.get(client);
     }
 
-    /** Nothing is owed to its client any more; the ending is null where the client has left. */
+    /** No response is due to the client any more; the ending is null if the client has left. */
     void over(ClientRequest call, SidecarMetrics.Ending ending) {
-        waiting.remove(call.client);
+        byClient.remove(call.client);
         if (ending == null) {
-            figures.left();
+            metrics.left();
         } else {
-            figures.ended(call.className, ending);
+            metrics.ended(call.className, ending);
         }
     }
 
-    /** Its attempts have ended too; nothing of it is kept. */
+    /** Removes a request whose attempts have ended and releases its body. */
     void remove(ClientRequest call) {
-        calls.remove(call.request.id(), call);
+        byId.remove(call.request.id(), call);
         call.body.release();
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/InheritedSocket.java
+++ b/src/main/java/org/cypressweir/sidecar/InheritedSocket.java
@@ -7,24 +7,24 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket where the platform holds it and each process inherits it, so that one process
- * can follow another without a moment in which nobody listens. All of them accept from one queue of the
- * kernel: who must not be given a connection must not listen.
+ * The client listening socket that the platform holds and each process inherits, so that one process can replace
+ * another without an interval in which nobody listens. All these processes accept from one kernel queue, so a process
+ * that must not receive connections must not listen.
  */
 final class InheritedSocket {
 
     private InheritedSocket() {}
 
-    /** Whether the platform promises one. */
-    static boolean promised(String descriptor) {
+    /** Whether the platform provides a socket. */
+    static boolean isConfigured(String descriptor) {
         return descriptor != null && !descriptor.isEmpty();
     }
 
     /**
-     * A log that goes on. The runtime leads descriptors 0 to 2 to the null device once it has taken the
-     * socket over, so what is to be said later needs a stream of its own before.
+     * A log that keeps working after the socket is taken over. The runtime then redirects descriptors 0 to 2 to the
+     * null device, so the log opens a stream of its own before.
      */
-    static PrintStream keep(PrintStream log) {
+    static PrintStream reopenLog(PrintStream log) {
         try {
             return new PrintStream(new FileOutputStream("/proc/self/fd/2", true), true);
         } catch (IOException e) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Takes the socket over; the exception's message is one plain line. */
+    /** Takes over the socket; the exception's message is a single line. */
     static ServerSocketChannel take(String descriptor) throws IOException {
         if (!"0".equals(descriptor)) {
             throw new IOException("LB_SOCKET_FD: only descriptor 0 can be inherited, not " + descriptor);
--- a/src/main/java/org/cypressweir/sidecar/Installation.java
+++ b/src/main/java/org/cypressweir/sidecar/Installation.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.cypressweir.sidecar.operatorconfig.Facts;
 
-/** What an operators' file is checked against, for the command line. */
+/** Provides the facts against which the command line validates an operators' file. */
 public final class Installation {
 
     private Installation() {}
@@ -12,7 +12,7 @@
     /**
      * Reads the configuration that {@code LB_CONFIG} names.
      *
-     * @throws IOException with one line on what is wrong with it
+     * @throws IOException with a one-line message that says what is wrong with it
      */
     public static Facts facts(Map<String, String> environment) throws IOException {
         return SidecarConfiguration.read(environment).facts();
--- a/src/main/java/org/cypressweir/sidecar/LargeRequestWriter.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequestWriter.java
@@ -9,35 +9,35 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 
 /**
- * Writes a large request as fast as the server takes it: what waits to be written is memory of this process.
+ * Writes a large request no faster than the server accepts it, because unwritten data occupies memory of this process.
  *
- * <p>One for each request, on the event loop. {@link #release} ends it where the connection ends before.
+ * <p>One per request, on the event loop. {@link #release} ends it if the connection ends first.
  */
 final class LargeRequestWriter {
 
     private final Channel channel;
     private final ChannelFutureListener sent;
-    /** What has not been written of the body; null once all is. */
-    private ByteBuf rest;
+    /** The unwritten part of the body; null once everything is written. */
+    private ByteBuf remaining;
 
     /**
      * Writes the head. The content is released once all of it is written.
      *
-     * @param sent told when the last byte has been handed to the network, or can't be
+     * @param sent notified when the last byte has been handed to the network, or writing has failed
      */
     LargeRequestWriter(Channel channel, FullHttpRequest request, ChannelFutureListener sent) {
         this.channel = channel;
         this.sent = sent;
-        rest = request.content();
+        remaining = request.content();
         channel.write(
                 new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers()));
     }
 
-    /** Writes as much as the channel takes now. */
+    /** Writes as much as the channel accepts now. */
     void resume() {
-        while (rest != null && channel.isActive() && channel.isWritable()) {
-            ByteBuf part = rest.readRetainedSlice(Math.min(ServerConnection.CHUNK, rest.readableBytes()));
-            if (rest.isReadable()) {
+        while (remaining != null && channel.isActive() && channel.isWritable()) {
+            ByteBuf part = remaining.readRetainedSlice(Math.min(ServerConnection.CHUNK, remaining.readableBytes()));
+            if (remaining.isReadable()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
                 release();
@@ -47,11 +47,11 @@
         channel.flush();
     }
 
-    /** Nothing more will be written. */
+    /** Stops writing and releases the rest of the body. */
     void release() {
-        if (rest != null) {
-            rest.release();
-            rest = null;
+        if (remaining != null) {
+            remaining.release();
+            remaining = null;
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/LargeRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequests.java
@@ -9,18 +9,18 @@
 import org.cypressweir.sidecar.buffering.BodyBudget.Share;
 
 /**
- * The large requests of a process and the room that they share; whoever may go on is told by a later
- * task.
+ * The large requests of a process and their shared buffer budget. Shares that were granted or refused are notified in a
+ * later task of the event loop.
  */
 final class LargeRequests {
 
-    /** Largest request that is taken. */
-    static final int MOST = 32 * 1024 * 1024;
-    /** Beside the largest one, others still have some room. */
-    private static final int TOTAL = MOST + 2 * 1024 * 1024;
+    /** Maximum size of a request body. */
+    static final int MAX_BYTES = 32 * 1024 * 1024;
+    /** Leaves some space for other requests beside one of the maximum size. */
+    private static final int BUDGET_BYTES = MAX_BYTES + 2 * 1024 * 1024;
 
     private final EventLoop loop;
-    private final BodyBudget budget = new BodyBudget(TOTAL);
+    private final BodyBudget budget = new BodyBudget(BUDGET_BYTES);
 
     LargeRequests(EventLoop loop) {
         this.loop = loop;
@@ -31,39 +31,39 @@
     }
 
     BodyBudget.Word ask(Share share, long bytes) {
-        BodyBudget.Word word = budget.ask(share, bytes);
-        if (word == BodyBudget.Word.WAITS) {
-            tell(budget.settle());
+        BodyBudget.Word answer = budget.ask(share, bytes);
+        if (answer == BodyBudget.Word.WAITS) {
+            notifyShares(budget.settle());
         }
-        return word;
+        return answer;
     }
 
     void free(Share share) {
-        tell(budget.free(share));
+        notifyShares(budget.free(share));
     }
 
-    /** Bytes that requests hold or may hold. */
+    /** Bytes that requests occupy or have reserved. */
     long used() {
         return budget.used();
     }
 
-    private void tell(BodyBudget.GrantDecisions news) {
-        news.granted().forEach(s -> loop.execute(s.granted()));
-        news.refused().forEach(s -> loop.execute(s.refused()));
+    private void notifyShares(BodyBudget.GrantDecisions decisions) {
+        decisions.granted().forEach(s -> loop.execute(s.granted()));
+        decisions.refused().forEach(s -> loop.execute(s.refused()));
     }
 
-    /** One body out of its pieces, whose room is free once nobody holds it any more. */
-    ByteBuf whole(List<ByteBuf> pieces, Share share) {
-        CompleteBody whole = new CompleteBody(pieces, share);
-        tell(budget.whole(share, whole.readableBytes()));
-        return whole;
+    /** Assembles a body from its chunks; its buffer space is released with the last reference to it. */
+    ByteBuf assemble(List<ByteBuf> chunks, Share share) {
+        CompleteBody assemble = new CompleteBody(chunks, share);
+        notifyShares(budget.whole(share, assemble.readableBytes()));
+        return assemble;
     }
 
     private final class CompleteBody extends CompositeByteBuf {
         private final Share share;
 
-        CompleteBody(List<ByteBuf> pieces, Share share) {
-            super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE, pieces);
+        CompleteBody(List<ByteBuf> chunks, Share share) {
+            super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE, chunks);
             this.share = share;
         }
 
--- a/src/main/java/org/cypressweir/sidecar/Main.java
+++ b/src/main/java/org/cypressweir/sidecar/Main.java
@@ -3,13 +3,13 @@
 import org.cypressweir.sidecar.cli.CommandLineTool;
 import org.cypressweir.sidecar.simhost.SimHost;
 
-/** Chooses the host of the decision module: the sidecar, the simulator's adapter, or a command. */
+/** Entry point of the sidecar's archive: starts the sidecar, the simulator adapter or a command-line command. */
 public final class Main {
 
     private Main() {}
 
     public static void main(String[] args) {
-        // The two that run in service do not wait for the command line to be loaded.
+        // The two long-running modes start without loading the command-line classes.
         String mode = args.length == 1 ? args[0] : "";
         switch (mode) {
             case "serve" -> System.exit(SidecarProcess.serve(System.getenv(), System.err));
--- a/src/main/java/org/cypressweir/sidecar/PluginChain.java
+++ b/src/main/java/org/cypressweir/sidecar/PluginChain.java
@@ -18,12 +18,13 @@
 import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
- * Plug-ins in their order, each of which sees what those before it have changed. The event loop never waits:
- * a request goes on when the last has answered, failed or run out of time, each by its stated policy.
+ * The plug-ins in their configured order; each sees the changes of those before it. The event loop never blocks: a
+ * request resumes when the last plug-in has answered, failed or timed out, and each failure is handled by the policy of
+ * its plug-in.
  */
 final class PluginChain {
 
-    /** What came of all of them. */
+    /** The combined result of all plug-ins. */
     record Result(
             Map<String, String> headers,
             String requestClass,
@@ -33,7 +34,7 @@
 
     private static final class Member {
         final PluginHost host;
-        final PluginHealth conduct = new PluginHealth();
+        final PluginHealth health = new PluginHealth();
 
         Member(PluginHost host) {
             this.host = host;
@@ -45,7 +46,7 @@
     }
 
     private final List<Member> members = new ArrayList<>();
-    /** Set once, before anything is asked. */
+    /** Set once, before the first evaluation. */
     private volatile EventLoop loop;
 
     private SidecarClock clock;
@@ -53,7 +54,7 @@
 
     private PluginChain() {}
 
-    /** Where it is asked and heard of from now on. */
+    /** Attaches the chain to the event loop, clock and log that it uses from now on. */
     void attach(Pool.Shared shared) {
         loop = shared.loop();
         clock = shared.clock();
@@ -61,11 +62,10 @@
     }
 
     /**
-     * Starts what is new in a plan and keeps what has stayed the same, with its conduct; to be called off
-     * the loop.
+     * Starts the plug-ins that are new and keeps unchanged ones with their health state. Called outside the event loop.
      *
-     * @param before null for none
-     * @throws InvalidPluginException where one can't be started; then nothing of the new ones is left running
+     * @param before the previous chain; null for none
+     * @throws InvalidPluginException if one cannot be started; none of the new ones is then left running
      */
     static PluginChain of(List<PluginConfiguration> plans, PluginChain before) throws InvalidPluginException {
         PluginChain chain = new PluginChain();
@@ -74,7 +74,7 @@
         try {
             for (PluginConfiguration plan : plans) {
                 Member kept = known.get(plan);
-                chain.members.add(kept != null ? kept : chain.begin(plan));
+                chain.members.add(kept != null ? kept : chain.start(plan));
             }
             return chain;
         } catch (InvalidPluginException e) {
@@ -83,7 +83,7 @@
         }
     }
 
-    private Member begin(PluginConfiguration plan) throws InvalidPluginException {
+    private Member start(PluginConfiguration plan) throws InvalidPluginException {
         try {
             return new Member(new PluginHost(plan, task -> loop.execute(task)));
         } catch (InvalidPluginException e) {
@@ -91,105 +91,106 @@
         }
     }
 
-    /** Ends those that another chain does not have. */
+    /** Closes the plug-ins that the other chain does not contain. */
     void closeAllBut(PluginChain other) {
         members.stream()
                 .filter(m -> other == null || !other.members.contains(m))
                 .forEach(m -> m.host.close());
     }
 
-    /** Asks all of them, one after the other; heard on the loop, never within this call. */
-    void ask(RequestView request, Consumer<Result> heard) {
-        new Visits(request, heard).next();
+    /** Runs the plug-ins one after the other; the callback runs on the event loop, never within this call. */
+    void evaluate(RequestView request, Consumer<Result> callback) {
+        new Invocation(request, callback).next();
     }
 
-    private final class Visits {
+    private final class Invocation {
         private RequestView request;
-        private final Consumer<Result> heard;
-        private final Map<String, String> changed = new LinkedHashMap<>();
+        private final Consumer<Result> callback;
+        private final Map<String, String> changedHeaders = new LinkedHashMap<>();
         private String requestClass;
         private String classFrom;
-        private int at;
+        private int nextIndex;
 
-        Visits(RequestView request, Consumer<Result> heard) {
+        Invocation(RequestView request, Consumer<Result> callback) {
             this.request = request;
-            this.heard = heard;
+            this.callback = callback;
         }
 
         void next() {
-            if (at == members.size()) {
-                loop.execute(() -> heard.accept(new Result(changed, requestClass, classFrom, null, 0)));
+            if (nextIndex == members.size()) {
+                loop.execute(() -> callback.accept(new Result(changedHeaders, requestClass, classFrom, null, 0)));
                 return;
             }
-            Member member = members.get(at++);
-            if (!member.conduct.mayCall(clock.micros())) {
-                without(member);
+            Member member = members.get(nextIndex++);
+            if (!member.health.mayCall(clock.micros())) {
+                skip(member);
                 return;
             }
-            visit(member);
+            invoke(member);
         }
 
-        private void visit(Member member) {
-            Future<?>[] patience = new Future<?>[1];
+        private void invoke(Member member) {
+            Future<?>[] timer = new Future<?>[1];
             PluginHost.Call call = member.host.ask(request, new PluginHost.Heard() {
                 @Override
-                public void done(RequestedChanges wishes) {
-                    patience[0].cancel(false);
-                    member.conduct.well();
-                    take(member, wishes);
+                public void done(RequestedChanges changes) {
+                    timer[0].cancel(false);
+                    member.health.well();
+                    apply(member, changes);
                 }
 
                 @Override
                 public void failed(String why) {
-                    patience[0].cancel(false);
+                    timer[0].cancel(false);
                     fail(member, why);
                 }
             });
-            new Wait(member, call, patience).look();
+            new DeadlineCheck(member, call, timer).check();
         }
 
-        /** Looks now and then whether a call is out of time. */
-        private final class Wait {
+        /** Periodically checks whether an invocation has exceeded its deadline. */
+        private final class DeadlineCheck {
             private final Member member;
             private final PluginHost.Call call;
-            private final Future<?>[] next;
-            private final InvocationDeadline patience;
+            private final Future<?>[] timer;
+            private final InvocationDeadline deadline;
             private final long since = clock.micros();
 
-            Wait(Member member, PluginHost.Call call, Future<?>[] next) {
+            DeadlineCheck(Member member, PluginHost.Call call, Future<?>[] timer) {
                 this.member = member;
                 this.call = call;
-                this.next = next;
-                patience = new InvocationDeadline(member.plan().deadlineMicros());
+                this.timer = timer;
+                deadline = new InvocationDeadline(member.plan().deadlineMicros());
             }
 
-            void look() {
-                long more = patience.more(clock.micros() - since, call.used());
-                if (more > 0) {
-                    next[0] = loop.schedule(this::look, more, TimeUnit.MICROSECONDS);
+            void check() {
+                long remainingMicros = deadline.more(clock.micros() - since, call.used());
+                if (remainingMicros > 0) {
+                    timer[0] = loop.schedule(this::check, remainingMicros, TimeUnit.MICROSECONDS);
                 } else if (call.withdraw()) {
                     fail(member, "no answer in time");
                 }
             }
         }
 
-        private void take(Member member, RequestedChanges wishes) {
-            wishes.notes().forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
-            if (wishes.refusal() != null) {
-                heard.accept(new Result(changed, requestClass, classFrom, wishes.refusal(), wishes.retryAfterMillis()));
+        private void apply(Member member, RequestedChanges changes) {
+            changes.notes().forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
+            if (changes.refusal() != null) {
+                callback.accept(new Result(
+                        changedHeaders, requestClass, classFrom, changes.refusal(), changes.retryAfterMillis()));
                 return;
             }
             Map<String, String> headers = new LinkedHashMap<>(request.headers());
-            wishes.headers().forEach((name, value) -> {
-                changed.put(name, value);
+            changes.headers().forEach((name, value) -> {
+                changedHeaders.put(name, value);
                 if (value.isEmpty()) {
                     headers.remove(name);
                 } else {
                     headers.put(name, value);
                 }
             });
-            if (wishes.requestClass() != null) {
-                requestClass = wishes.requestClass();
+            if (changes.requestClass() != null) {
+                requestClass = changes.requestClass();
                 classFrom = member.plan().name();
             }
             request = new RequestView(
@@ -202,16 +203,16 @@
 
         private void fail(Member member, String why) {
             long now = clock.micros();
-            if (member.conduct.failed(now)) {
+            if (member.health.failed(now)) {
                 log.accept("plug-in " + member.plan().name() + " is left out for "
-                        + (member.conduct.outUntil() - now) / 1_000 + " ms: " + why);
+                        + (member.health.outUntil() - now) / 1_000 + " ms: " + why);
             }
-            without(member);
+            skip(member);
         }
 
-        private void without(Member member) {
+        private void skip(Member member) {
             if (member.plan().failClosed()) {
-                loop.execute(() -> heard.accept(
+                loop.execute(() -> callback.accept(
                         new Result(Map.of(), null, null, "a plug-in that must be asked" + " has failed", 1_000)));
             } else {
                 next();
@@ -219,7 +220,7 @@
         }
     }
 
-    /** What was granted to a plug-in of this chain. */
+    /** The configuration of a plug-in of this chain, with what it is granted. */
     PluginConfiguration plan(String name) {
         return members.stream()
                 .map(Member::plan)
--- a/src/main/java/org/cypressweir/sidecar/ProcessLock.java
+++ b/src/main/java/org/cypressweir/sidecar/ProcessLock.java
@@ -6,8 +6,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells a process whether another runs beside it, by a lock on a file in the folder that both have: the
- * kernel lets go of it when its holder ends, in whatever way.
+ * Detects whether another process runs beside this one, by a lock on a file in a folder that both use. The kernel
+ * releases the lock when its holder ends, however that happens.
  */
 final class ProcessLock {
 
@@ -20,7 +20,10 @@
         this.file = file;
     }
 
-    /** In this folder; null where there is none that can be written to, and nobody can tell. */
+    /**
+     * Opens the lock file in this folder; null if the folder is missing or not writable, so that no other process can
+     * be detected.
+     */
     static ProcessLock in(String folder) {
         if (folder == null || folder.isEmpty()) {
             return null;
@@ -33,7 +36,10 @@
         }
     }
 
-    /** Whether no other has it; it is kept until the end then. */
+    /**
+     * Whether no other process holds the lock; this process then keeps it until it ends. True also if the attempt
+     * fails.
+     */
     boolean alone() {
         try {
             return file.tryLock() != null;
@@ -42,15 +48,15 @@
         }
     }
 
-    /** Runs this, on a thread of its own, once the one that had it has ended. */
-    void whenAlone(Runnable task) {
+    /** Runs the task on a thread of its own once the current holder has ended. */
+    void runWhenAcquired(Runnable task) {
         Thread waiting = new Thread(
                 () -> {
                     try {
                         file.lock();
                         task.run();
                     } catch (IOException e) {
-                        // The bounds of a process beside another are safe bounds, too.
+                        // The reduced limits of a process beside another remain in force, which is safe.
                         return;
                     }
                 },
--- a/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -17,11 +17,11 @@
 import org.cypressweir.sidecar.websocket.Handshake;
 
 /**
- * Admission of clients' requests: each is checked, shown to the plug-ins if there are any, routed, and handed to
- * the cluster of its route.
+ * Admits client requests: each is checked, shown to the plug-ins if there are any, routed, and handed to the cluster of
+ * its route.
  *
- * <p>Confined to the event loop. It is made before the layout, which needs the listener whose requests come here;
- * {@link #setLayout} completes it before the first request can come.
+ * <p>Confined to the event loop. Created before the layout, which needs the listener whose requests come here; {@link
+ * #setLayout} completes the construction before the first request can arrive.
  */
 final class RequestAdmission implements ClientListener.Service {
 
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public void clients(int count) {
+    public void clientCount(int count) {
         lifecycle.on(count == 0 ? SidecarLifecycle.Event.EMPTY : SidecarLifecycle.Event.CLIENT);
     }
 
     @Override
-    public boolean upgrades() {
+    public boolean allowsUpgrades() {
         return layout.upgrades();
     }
 
@@ -80,16 +80,16 @@
             return;
         }
         if (layout.upgrades() && Handshake.isAsked(http.headers())) {
-            // If the upgrade is agreed to, the bytes behind the request are not HTTP.
-            client.upgrading();
+            // If the upgrade is agreed, the bytes after the request are not HTTP.
+            client.expectUpgrade();
         }
         long receivedMicros = clock.micros();
         RequestView view = layout.view(http);
         awaitingPlugins.put(client, http.retain());
-        plugins.ask(view, result -> resume(receivedMicros, plugins, result, http, client));
+        plugins.evaluate(view, result -> resume(receivedMicros, plugins, result, http, client));
     }
 
-    /** The plug-ins have answered; the time of the request runs from its receipt, not from now. */
+    /** Resumes a request after the plug-ins have answered; its time-out runs from its receipt, not from now. */
     private void resume(
             long receivedMicros,
             PluginChain plugins,
@@ -97,7 +97,7 @@
             FullHttpRequest http,
             ClientRequest.Client client) {
         if (!awaitingPlugins.remove(client, http)) {
-            // The client has left; its request was released then.
+            // The client has disconnected; its request was released then.
             return;
         }
         try {
@@ -172,16 +172,16 @@
             return;
         }
         ClientRequest request = reader.read(receivedMicros, http, route, client);
-        if (request.upgrade == null && !client.isAlone()) {
+        if (request.upgrade == null && !client.hasNoEarlyBytes()) {
             request.body.release();
             throw new RequestReader.BadRequest("more than one request");
         }
         if (!inFlight.add(request)) {
             request.body.release();
-            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is in hand");
+            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is already in progress");
         }
         if (request.upgrade != null) {
-            client.upgrading();
+            client.expectUpgrade();
             request.upgrade.taken(request);
         }
         request.cluster.take(request);
--- a/src/main/java/org/cypressweir/sidecar/RequestCollector.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestCollector.java
@@ -27,35 +27,38 @@
 import org.cypressweir.sidecar.buffering.BodyBudget.Word;
 
 /**
- * Collects whole requests. Small ones are always taken; what a larger one needs is asked for before it is
- * read, and until it is granted nothing more is read from its client.
+ * Collects complete requests. Small ones are always accepted; a larger one must be granted buffer space first, and
+ * until then nothing more is read from its client.
  */
 final class RequestCollector extends ChannelInboundHandlerAdapter {
 
-    /** So much is asked for at a time: a slow client that tells a great length holds no room in advance. */
-    private static final int STEP = 128 * 1024;
+    /**
+     * Buffer space is requested in steps of this many bytes, so that a slow client that announces a large body reserves
+     * no space in advance.
+     */
+    private static final int BUDGET_STEP_BYTES = 128 * 1024;
 
-    private static final int PIECE = 32 * 1024;
+    private static final int CHUNK_BYTES = 32 * 1024;
 
-    /** Who hears that what comes is no request. */
-    interface Judge {
+    /** Handles the rejection of a request. */
+    interface RejectionHandler {
         void rejected(HttpResponseStatus status, String why);
     }
 
-    private final LargeRequests uploads;
-    private final Judge judge;
+    private final LargeRequests largeRequests;
+    private final RejectionHandler rejectionHandler;
     private ChannelHandlerContext context;
     private HttpRequest head;
-    private final List<ByteBuf> pieces = new ArrayList<>();
+    private final List<ByteBuf> chunks = new ArrayList<>();
     private int size;
-    /** Null while it is small. */
+    /** The request's share of the buffer budget; null while it is small. */
     private Share share;
 
-    private boolean waits;
+    private boolean isWaitingForBudget;
 
-    RequestCollector(LargeRequests uploads, Judge judge) {
-        this.uploads = uploads;
-        this.judge = judge;
+    RequestCollector(LargeRequests largeRequests, RejectionHandler rejectionHandler) {
+        this.largeRequests = largeRequests;
+        this.rejectionHandler = rejectionHandler;
     }
 
     @Override
@@ -63,12 +66,12 @@
         context = added;
     }
 
-    /** Whether its client waits for room, and not the other way round. */
-    boolean waits() {
-        return waits;
+    /** Whether the client waits for buffer space, rather than the sidecar for the client. */
+    boolean isWaitingForBudget() {
+        return isWaitingForBudget;
     }
 
-    /** Bytes of the body that have come. */
+    /** Number of body bytes received. */
     int size() {
         return size;
     }
@@ -92,16 +95,16 @@
     }
 
     private void begin(HttpRequest request) {
-        drop();
+        discard();
         head = request;
         if (request.decoderResult().isFailure()) {
-            hand(request.decoderResult());
+            forward(request.decoderResult());
             return;
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
         if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
             reject(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
-        } else if (HttpUtil.getContentLength(request, -1L) > LargeRequests.MOST) {
+        } else if (HttpUtil.getContentLength(request, -1L) > LargeRequests.MAX_BYTES) {
             rejectTooLarge();
         } else if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(new DefaultFullHttpResponse(
@@ -109,79 +112,79 @@
         }
     }
 
-    private void ask(long bytes) {
-        share = share == null ? uploads.share(this::granted, this::refused) : share;
-        Word word = uploads.ask(share, bytes);
-        if (word == Word.REFUSED) {
+    private void askForBudget(long bytes) {
+        share = share == null ? largeRequests.share(this::granted, this::refused) : share;
+        Word answer = largeRequests.ask(share, bytes);
+        if (answer == Word.REFUSED) {
             rejectTooLarge();
-        } else if (word == Word.WAITS) {
-            waits = true;
+        } else if (answer == Word.WAITS) {
+            isWaitingForBudget = true;
             context.channel().config().setAutoRead(false);
         }
     }
 
     private void granted() {
-        if (waits) {
-            waits = false;
+        if (isWaitingForBudget) {
+            isWaitingForBudget = false;
             context.channel().config().setAutoRead(true);
         }
     }
 
-    /** It has been nowhere, so to come back does no harm. */
+    /** The request has reached no server, so the client can safely retry. */
     private void refused() {
-        if (waits) {
+        if (isWaitingForBudget) {
             reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the body");
         }
     }
 
     private void take(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            hand(content.decoderResult());
+            forward(content.decoderResult());
             return;
         }
         append(content.content());
         if (head != null && content instanceof LastHttpContent) {
-            hand(head.decoderResult());
+            forward(head.decoderResult());
         }
     }
 
     private void append(ByteBuf bytes) {
         size += bytes.readableBytes();
         while (bytes.isReadable()) {
-            ByteBuf last = pieces.isEmpty() ? null : pieces.get(pieces.size() - 1);
+            ByteBuf last = chunks.isEmpty() ? null : chunks.get(chunks.size() - 1);
             if (last == null || !last.isWritable()) {
-                // The first grows with what comes; whoever has filled one will fill others.
-                last = pieces.isEmpty() ? Unpooled.buffer(256, PIECE) : Unpooled.buffer(PIECE, PIECE);
-                pieces.add(last);
+                // The first buffer grows with the body; a body that has filled one buffer is likely to fill more.
+                last = chunks.isEmpty() ? Unpooled.buffer(256, CHUNK_BYTES) : Unpooled.buffer(CHUNK_BYTES, CHUNK_BYTES);
+                chunks.add(last);
             }
             last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
         }
-        if (size > LargeRequests.MOST) {
+        if (size > LargeRequests.MAX_BYTES) {
             rejectTooLarge();
-        } else if (size > ServerConnection.MAX_BODY && !waits && (share == null || size > share.has())) {
-            ask(Math.max(STEP, size - (share == null ? 0 : share.has())));
+        } else if (size > ServerConnection.MAX_BODY && !isWaitingForBudget && (share == null || size > share.has())) {
+            askForBudget(Math.max(BUDGET_STEP_BYTES, size - (share == null ? 0 : share.has())));
         }
     }
 
-    /** Hands the request on; it is none where the result is a failure. */
-    private void hand(DecoderResult result) {
+    /** Passes the request on; it is invalid if the result is a failure. */
+    private void forward(DecoderResult result) {
         ByteBuf content = share != null
-                ? uploads.whole(pieces, share)
-                : pieces.size() == 1 ? pieces.get(0) : Unpooled.wrappedBuffer(pieces.toArray(ByteBuf[]::new));
-        FullHttpRequest whole = new DefaultFullHttpRequest(
+                ? largeRequests.assemble(chunks, share)
+                : chunks.size() == 1 ? chunks.get(0) : Unpooled.wrappedBuffer(chunks.toArray(ByteBuf[]::new));
+        FullHttpRequest request = new DefaultFullHttpRequest(
                 head.protocolVersion(),
                 head.method(),
                 head.uri(),
                 content,
                 new DefaultHttpHeaders().set(head.headers()),
                 EmptyHttpHeaders.INSTANCE);
-        HttpUtil.setTransferEncodingChunked(whole, false);
-        whole.headers().remove(HttpHeaderNames.EXPECT);
-        whole.setDecoderResult(result);
-        pieces.clear();
+        HttpUtil.setTransferEncodingChunked(request, false);
+        request.headers().remove(HttpHeaderNames.EXPECT);
+        request.setDecoderResult(result);
+        chunks.clear();
         share = null;
-        drop();
-        context.fireChannelRead(whole);
+        discard();
+        context.fireChannelRead(request);
     }
 
     private void rejectTooLarge() {
@@ -189,30 +192,30 @@
     }
 
     private void reject(HttpResponseStatus status, String why) {
-        drop();
-        judge.rejected(status, why);
+        discard();
+        rejectionHandler.rejected(status, why);
     }
 
-    /** Forgets what has come of a request and gives its room back. */
-    private void drop() {
+    /** Discards the partly received request and releases its buffer space. */
+    private void discard() {
         head = null;
         size = 0;
-        pieces.forEach(ByteBuf::release);
-        pieces.clear();
-        if (waits) {
-            waits = false;
+        chunks.forEach(ByteBuf::release);
+        chunks.clear();
+        if (isWaitingForBudget) {
+            isWaitingForBudget = false;
             context.channel().config().setAutoRead(true);
         }
         if (share != null) {
-            Share gone = share;
+            Share released = share;
             share = null;
-            uploads.free(gone);
+            largeRequests.free(released);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext c) {
-        drop();
+        discard();
         c.fireChannelInactive();
     }
 
@@ -220,7 +223,7 @@
     public void handlerRemoved(ChannelHandlerContext c) {
         Channel channel = c.channel();
         boolean reads = channel.config().isAutoRead();
-        drop();
+        discard();
         channel.config().setAutoRead(reads);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/RequestReader.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestReader.java
@@ -18,10 +18,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
-/** Turns a client's message into a request, or says why it is none. */
+/** Converts a client's HTTP message to a request, or rejects it with the reason. */
 final class RequestReader {
 
-    /** A message that no client of the protocol sends; its text goes into the 4xx. */
+    /** A message that violates the protocol; the exception's text is the body of the 4xx response. */
     static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -51,11 +51,14 @@
         }
     }
 
-    /** The client's time runs from when it sent; this much is kept for the way here and back, at most. */
-    private static final long MARGIN_MICROS = 20_000;
+    /**
+     * The client's time-out runs from when it sent the request; at most this much is reserved for the network in both
+     * directions.
+     */
+    private static final long MAX_MARGIN_MICROS = 20_000;
 
-    private static final int MARGIN_PART = 10;
-    private static final int MAX_ID = 128;
+    private static final int MARGIN_DIVISOR = 10;
+    private static final int MAX_ID_LENGTH = 128;
     private static final long MAX_NUMBER = 1_000_000_000;
 
     private Settings settings;
@@ -63,14 +66,14 @@
     private final Map<String, Integer> tenants = new HashMap<>();
 
     RequestReader(Settings settings) {
-        retune(settings);
+        reconfigure(settings);
         for (int i = 0; i < settings.tenants().size(); i++) {
             tenants.put(settings.tenants().get(i).name(), i);
         }
     }
 
-    /** Other classes hold from now on. */
-    void retune(Settings next) {
+    /** Applies new request classes. */
+    void reconfigure(Settings next) {
         settings = next;
         classes.clear();
         for (int i = 0; i < next.classes().size(); i++) {
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The way of a request by the first part of its path, which names its class, to the only pool. */
+    /** The route of a request to the only pool; the first segment of its path names its class. */
     RouteDecision way(FullHttpRequest http, Pool pool) throws BadRequest {
         String path = path(http.uri());
         int slash = path.indexOf('/');
@@ -91,7 +94,7 @@
         return new RouteDecision(pool, requestClass, http.uri(), null, Long.MAX_VALUE, Terms.NONE, null);
     }
 
-    /** Refuses what is not HTTP or is framed in a way that has more than one meaning. */
+    /** Rejects messages that are not HTTP or whose framing is ambiguous. */
     static void check(FullHttpRequest http) throws BadRequest {
         if (http.decoderResult().isFailure()) {
             throw new BadRequest("not HTTP");
@@ -99,32 +102,33 @@
         checkFraming(http);
     }
 
-    /** Reads a request whose way is known; its body is held from then on. */
-    ClientRequest read(long now, FullHttpRequest http, RouteDecision way, ClientRequest.Client client)
+    /** Reads a request whose route is known; the request retains the body. */
+    ClientRequest read(long now, FullHttpRequest http, RouteDecision route, ClientRequest.Client client)
             throws BadRequest {
         HttpHeaders headers = http.headers();
-        String path = path(way.uri());
+        String path = path(route.uri());
         int slash = path.indexOf('/');
-        int requestClass = way.requestClass();
+        int requestClass = route.requestClass();
         boolean write = settings.classes().get(requestClass).effect() != Effect.SAFE;
-        checkMethod(http, settings.classes().get(requestClass).effect(), way.upgrade() != null);
+        checkMethod(http, settings.classes().get(requestClass).effect(), route.upgrade() != null);
         String id = Headers.single(headers, Headers.REQUEST_ID);
-        if (id == null || id.isEmpty() || id.length() > MAX_ID) {
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
             throw new BadRequest("no " + Headers.REQUEST_ID);
         }
         long timeout = number(headers, Headers.TIMEOUT, 1) * 1000;
-        long deadline = now + Math.min(way.timeoutMicros(), timeout - Math.min(MARGIN_MICROS, timeout / MARGIN_PART));
+        long deadline =
+                now + Math.min(route.timeoutMicros(), timeout - Math.min(MAX_MARGIN_MICROS, timeout / MARGIN_DIVISOR));
         long hint = headers.contains(Headers.HINT) ? number(headers, Headers.HINT, 0) : 0;
         long key = slash < 0 || slash == path.length() - 1 ? -1 : Ids.of(path.substring(path.lastIndexOf('/') + 1));
         boolean repeat = headers.contains(Headers.RETRY, "1", false);
         Request request =
-                new Request(id, requestClass, tenant(headers), repeat, key, deadline, hint, write, way.terms());
-        if (way.host() != null) {
-            headers.set(HttpHeaderNames.HOST, way.host());
+                new Request(id, requestClass, tenant(headers), repeat, key, deadline, hint, write, route.terms());
+        if (route.host() != null) {
+            headers.set(HttpHeaderNames.HOST, route.host());
         }
         return new ClientRequest(
                 request,
-                way,
+                route,
                 settings.classes().get(requestClass).name(),
                 http.method(),
                 headers,
@@ -132,7 +136,10 @@
                 client);
     }
 
-    /** The decoder refuses lengths that are odd, repeated or beside a coding; other codings it lets pass. */
+    /**
+     * The decoder rejects lengths that are malformed, repeated or combined with a transfer coding; it accepts other
+     * transfer codings, which are rejected here.
+     */
     private static void checkFraming(FullHttpRequest http) throws BadRequest {
         List<String> codings = http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
@@ -151,18 +158,18 @@
         return path.startsWith("/") ? path.substring(1) : "";
     }
 
-    /** The method and the key say what the client takes the class for; it must be what the settings say. */
+    /** The method and the idempotency key express what the client takes the class for; this must match the settings. */
     private static void checkMethod(FullHttpRequest http, Effect effect, boolean upgrade) throws BadRequest {
         List<String> keys = http.headers().getAll(Headers.IDEMPOTENCY_KEY);
         HttpMethod wanted = effect == Effect.SAFE || upgrade ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(wanted)) {
-            throw new BadRequest("this class wants " + wanted);
+            throw new BadRequest("this class requires " + wanted);
         }
         if (effect == Effect.SAFE && http.content().isReadable()) {
             throw new BadRequest("this class has no body");
         }
         if (keys.size() != (effect == Effect.KEYED ? 1 : 0)) {
-            throw new BadRequest(Headers.IDEMPOTENCY_KEY + " goes with keyed classes");
+            throw new BadRequest(Headers.IDEMPOTENCY_KEY + " must be set exactly for keyed classes");
         }
     }
 
@@ -177,7 +184,7 @@
         return tenant;
     }
 
-    private static long number(HttpHeaders headers, String name, long least) throws BadRequest {
+    private static long number(HttpHeaders headers, String name, long min) throws BadRequest {
         String text = Headers.single(headers, name);
         long value = -1;
         try {
@@ -185,7 +192,7 @@
         } catch (NumberFormatException e) {
             value = -1;
         }
-        if (value < least || value > MAX_NUMBER) {
+        if (value < min || value > MAX_NUMBER) {
             throw new BadRequest("bad " + name);
         }
         return value;
--- a/src/main/java/org/cypressweir/sidecar/RetryAfter.java
+++ b/src/main/java/org/cypressweir/sidecar/RetryAfter.java
@@ -4,7 +4,10 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** The advice of a rejection when the client may come back: {@code Retry-After} (RFC 9110, 10.2.3). No state. */
+/**
+ * The {@code Retry-After} header of a rejection (RFC 9110, 10.2.3), which tells the client when it may retry.
+ * Stateless.
+ */
 final class RetryAfter {
 
     private static final int MICROS_PER_MILLI = 1000;
@@ -12,12 +15,15 @@
 
     private RetryAfter() {}
 
-    /** A time up to the maximum as it is; a longer one becomes one of the upper half, so that times stay spread. */
+    /**
+     * Limits the time to the maximum. A longer time is mapped into the upper half of the range so that retries stay
+     * spread out.
+     */
     static long limit(long maxMicros, long micros) {
         return micros <= maxMicros ? micros : maxMicros / 2 + micros % (maxMicros / 2 + 1);
     }
 
-    /** Headers of a rejection; 0 gives no advice. */
+    /** The headers of a rejection; for 0 without a retry time. */
     static HttpHeaders headers(long micros) {
         HttpHeaders headers = new DefaultHttpHeaders();
         if (micros > 0) {
--- a/src/main/java/org/cypressweir/sidecar/RouteDecision.java
+++ b/src/main/java/org/cypressweir/sidecar/RouteDecision.java
@@ -3,18 +3,18 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
- * Where a request goes, and what holds for it on the way.
+ * The route of a request and the rules that apply to it.
  *
- * @param requestClass its place among the classes of the settings
- * @param uri what goes on to the server
- * @param host what goes on as {@code Host} in place of what came; null where that stays
- * @param timeoutMicros the longest that it may take, whatever its client says
- * @param upgrade the upgrade that it asks for; null for a plain request
+ * @param requestClass the index of its class in the settings
+ * @param uri the URI sent to the server
+ * @param host the {@code Host} sent to the server; null to keep the client's
+ * @param timeoutMicros the maximum duration, whatever time-out the client asks for
+ * @param upgrade the requested upgrade; null for a plain request
  */
 record RouteDecision(
         Cluster cluster, int requestClass, String uri, String host, long timeoutMicros, Terms terms, Upgrade upgrade) {
 
-    /** The same for a request of another class. */
+    /** A copy with another request class. */
     RouteDecision ofClass(int other) {
         return new RouteDecision(cluster, other, uri, host, timeoutMicros, terms, upgrade);
     }
--- a/src/main/java/org/cypressweir/sidecar/Sidecar.java
+++ b/src/main/java/org/cypressweir/sidecar/Sidecar.java
@@ -20,17 +20,17 @@
 import org.cypressweir.sidecar.admin.SidecarMetrics;
 
 /**
- * A sidecar: client listeners, server pools and discovery, put together by a {@link Layout}.
+ * A sidecar: client listeners, server pools and discovery, assembled by a {@link Layout}.
  *
- * <p>All of it runs on one event loop, and it is made there. Life cycle: constructor, {@link #join} where it is in
- * a fleet, {@link #openAdminListener}, {@link #start}, {@link #stop}. {@link #start} and {@link #reload} are called
- * by other threads. {@link SidecarProcess} is the process around it.
+ * <p>Everything runs on one event loop, and the object is constructed on it. Life cycle: constructor, {@link #join} if
+ * the sidecar belongs to a fleet, {@link #openAdminListener}, {@link #start}, {@link #stop}. {@link #start} and {@link
+ * #reload} are called from other threads. {@link SidecarProcess} is the process around it.
  */
 public final class Sidecar implements Discovery.Listener, ConfigurationReloader.Listener {
 
     private final EventLoop loop;
     private final PrintStream log;
-    /** In force; replaced on the event loop only, read by any thread. */
+    /** The current configuration; replaced only on the event loop, read by any thread. */
     private final AtomicReference<SidecarConfiguration> configuration;
 
     private final SidecarClock clock = new SidecarClock();
@@ -44,14 +44,14 @@
     private final ConfigurationReloader reloader;
     private final AdminCommandHandler adminCommands;
     private final long startedMillis = System.currentTimeMillis();
-    /** Null where the process is in no fleet. */
+    /** Null if the process belongs to no fleet. */
     private FleetParticipation participation;
 
     Sidecar(EventLoop loop, SidecarConfiguration configuration, PrintStream log) {
         this(loop, configuration, log, SubsetLoadBalancer::new);
     }
 
-    /** With another load balancer. */
+    /** Uses the given load balancer. */
     Sidecar(
             EventLoop loop,
             SidecarConfiguration configuration,
@@ -60,7 +60,7 @@
         this(loop, configuration, log, loadBalancers, PlainLayout::new);
     }
 
-    /** With another layout. */
+    /** Uses the given load balancer and layout. */
     Sidecar(
             EventLoop loop,
             SidecarConfiguration initial,
@@ -83,7 +83,7 @@
                 reader,
                 clients,
                 pace -> discovery.pace(clock, pace),
-                new ShareOfFleet()));
+                new FleetShare()));
         admission.setLayout(layout);
         feed = new EndpointListFeed(loop, layout);
         reloader = new ConfigurationReloader(loop, configuration, layout, reader, inFlight, discovery, this, log);
@@ -91,8 +91,10 @@
         adminCommands = new AdminCommandHandler(lifecycle, inFlight.figures(), new DiscoveredServers(), layout::ready);
     }
 
-    /** The share of the fleet's limits; a process in no fleet has none of them. */
-    private final class ShareOfFleet implements Layout.Portion {
+    /**
+     * This process's share of the fleet's limits; a process outside a fleet has a share of 0 and a member count of 1.
+     */
+    private final class FleetShare implements Layout.Portion {
         @Override
         public double part() {
             return participation == null ? 0 : participation.part();
@@ -104,7 +106,7 @@
         }
     }
 
-    /** Pools with discovery know the same servers, so the largest count holds for all. */
+    /** All pools that use discovery know the same servers, so the largest count is the count for all of them. */
     private final class DiscoveredServers implements SidecarMetrics.Fleet {
         @Override
         public int listed() {
@@ -120,15 +122,18 @@
     /**
      * Joins a fleet; see {@link FleetParticipation#join}.
      *
-     * @return done once its socket is open; it fails where that can't be
+     * @return completes once the fleet socket is open; fails if it cannot be opened
      */
     CompletableFuture<Void> join(
-            FleetCoordination.Maker maker, MembershipOptions options, boolean beside, Consumer<String> rejected) {
+            FleetCoordination.Maker maker,
+            MembershipOptions options,
+            boolean socketMayBeHeld,
+            Consumer<String> rejected) {
         var lists = new PeerEndpointLists(clock, configuration.get(), layout, feed, discovery, this::log);
         participation =
                 new FleetParticipation(loop, configuration, lifecycle, inFlight, lists, this::log, startedMillis);
         return participation
-                .join(maker, options, beside, rejected, this::shareChanged)
+                .join(maker, options, socketMayBeHeld, rejected, this::shareChanged)
                 .thenAccept(joined -> adminCommands.tell(joined::members, joined::leases, joined::lease));
     }
 
@@ -137,7 +142,7 @@
         discovery.repace();
     }
 
-    /** Hands the load balancers their first lists. */
+    /** Passes the initial endpoint lists to the load balancers. */
     void open() {
         layout.open();
         if (participation != null) {
@@ -145,7 +150,7 @@
         }
     }
 
-    /** Opens the admin listener, which answers also while nothing else is open. */
+    /** Opens the admin listener, which also answers before the client listeners are open. */
     CompletableFuture<AdminListener> openAdminListener(InetSocketAddress address) {
         return CompletableFuture.supplyAsync(
                         () -> {
@@ -156,7 +161,7 @@
                 .thenCompose(open -> open);
     }
 
-    /** Executes one line of an operator, on the loop; what it changes holds when the answer goes out. */
+    /** Executes one admin command on the event loop; its changes are in effect when the response is sent. */
     private String execute(String line) {
         String answer = adminCommands.answer(line);
         applyLifecycle();
@@ -174,9 +179,12 @@
         }
     }
 
-    /** Hands out the first lists and opens the client listeners; gives an address once clients can connect. */
+    /**
+     * Passes the initial endpoint lists to the load balancers and opens the client listeners; completes with the
+     * listening address once clients can connect.
+     */
     CompletableFuture<InetSocketAddress> start() {
-        // With an old list, requests could go to a server that the peers know is gone.
+        // Waits for the peers' list: with an outdated list, requests could go to a server that the peers know is gone.
         CompletableFuture<Void> peerList =
                 participation == null ? CompletableFuture.completedFuture(null) : participation.firstList();
         return peerList.thenApplyAsync(v -> listen(), loop)
@@ -188,7 +196,8 @@
         open();
         if (!configuration.get().settings().discoveryOnAsk()
                 && !layout.discovered().isEmpty()) {
-            // Pushed lists wait at an agent, which answers a watch; the load balancer asks for nothing then.
+            // A discovery agent holds pushed lists and answers a watch; the load balancer itself requests none in this
+            // mode.
             discovery.subscribe();
         }
         return layout.listen();
@@ -203,15 +212,15 @@
         return address;
     }
 
-    /** The next client listener uses this socket, which is another process's too. */
+    /** Makes the next client listener use this socket, which another process listens on too. */
     void inherit(ServerSocketChannel listening) {
         clients.inherit(listening);
     }
 
-    /** The process that ran beside this one has ended, so more connections are allowed. */
-    void widen(SidecarConfiguration wider) {
+    /** Raises the connection limits once the process that ran beside this one has ended. */
+    void raiseConnectionLimits(SidecarConfiguration wider) {
         log("alone now, with " + wider.clientConnections() + " connections of clients");
-        clients.bound(wider.clientConnections());
+        clients.setMaxConnections(wider.clientConnections());
         layout.widen(wider);
     }
 
@@ -228,7 +237,7 @@
         return admission;
     }
 
-    /** Servers that some pool with discovery knows. */
+    /** Number of servers known to the pools that use discovery. */
     int knownServers() {
         return layout.discovered().stream()
                 .mapToInt(Cluster::knownServers)
@@ -236,17 +245,17 @@
                 .orElse(0);
     }
 
-    /** Bytes that wait to be written to clients and servers. */
-    long waitingBytes() {
-        return clients.waitingBytes() + layout.waitingBytes();
+    /** Bytes not yet written to client and server sockets. */
+    long pendingWriteBytes() {
+        return clients.pendingWriteBytes() + layout.waitingBytes();
     }
 
-    /** Bytes of large requests that are kept or have room. */
-    long keptBytes() {
-        return clients.uploads().used();
+    /** Buffer space that large requests occupy or have reserved, in bytes. */
+    long largeRequestBytes() {
+        return clients.largeRequests().used();
     }
 
-    /** Answers all requests in flight, then ends; a second call does nothing. */
+    /** Completes all requests in flight, then stops and runs the callback; later calls have no effect. */
     void stop(Runnable ended) {
         if (!lifecycle.on(SidecarLifecycle.Event.TERMINATE)) {
             return;
@@ -278,7 +287,7 @@
     @Override
     public void reloading(Layout.Change change) {
         if (participation != null && change.membership() != null) {
-            participation.retune(change.membership());
+            participation.reconfigure(change.membership());
         }
     }
 
--- a/src/main/java/org/cypressweir/sidecar/SidecarClock.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarClock.java
@@ -4,8 +4,8 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Unix time in microseconds, read from the wall clock once and carried on by the monotonic one: start times
- * from discovery and deadlines can be compared with it, and a step of the wall clock moves neither.
+ * Unix time in microseconds, read once from the wall clock and advanced by the monotonic clock. Start times from
+ * discovery and deadlines can be compared with it, and steps of the wall clock do not affect it.
  */
 final class SidecarClock {
 
--- a/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -21,33 +21,34 @@
 import org.cypressweir.sidecar.admin.RequestClassSlots;
 import org.cypressweir.sidecar.operatorconfig.Facts;
 
-/** What one sidecar is told at its start. */
+/** The configuration of one sidecar, from its file and the environment. */
 record SidecarConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress operator,
+        InetSocketAddress adminAddress,
         int sockets,
         Settings settings,
         long connectMicros,
         long drainGraceMicros,
         ServerList known,
         ServerList.Reader lists,
-        ConfigurationCompleteness shape) {
+        ConfigurationCompleteness completeness) {
 
     /**
-     * Descriptors beside the clients' and servers' connections: the runtime, its files and the event loop
-     * hold 11; discovery's connection, a second one while it moves, and the configuration read again make 14.
+     * File descriptors for other uses than client and server connections: the runtime, its files and the event loop use
+     * 11; discovery's connection, a second one while it moves, and the configuration file during a reload bring this to
+     * 14.
      */
-    private static final int OWN_DESCRIPTORS = 24;
-    /** What the rehearsal of a process beside this one takes of the descriptors that both share. */
-    private static final int REHEARSAL_DESCRIPTORS = 48;
-    /** Of the requests that clients can have in hand, the part that is kept free. */
-    private static final int FREE_PART = 32;
+    private static final int RESERVED_DESCRIPTORS = 24;
+    /** File descriptors that the warm-up of a process beside this one takes from the shared limit. */
+    private static final int WARM_UP_DESCRIPTORS = 48;
+    /** One in this many of the client connections that may carry requests is kept free for rejections. */
+    private static final int SPARE_CONNECTIONS_DIVISOR = 32;
 
-    private static final int LEAST_DESCRIPTORS = 128;
+    private static final int MIN_DESCRIPTORS = 128;
 
-    /** Names of the request classes that the settings have, without the places of classes that are gone. */
+    /** Names of the configured request classes, without the slots of removed classes. */
     List<String> classNames() {
         return settings.classes().stream()
                 .filter(c -> c != RequestClass.GONE)
@@ -55,20 +56,20 @@
                 .toList();
     }
 
-    /** Reads the file that {@code LB_CONFIG} names; the exception's message is one plain line. */
+    /** Reads the file that {@code LB_CONFIG} names; the exception's message is a single line. */
     static SidecarConfiguration read(Map<String, String> environment) throws IOException {
         return read(environment, null);
     }
 
-    /** It has to have all that this one has; null for no such demand. */
-    private static SidecarConfiguration read(Map<String, String> environment, ConfigurationCompleteness demanded)
+    /** Reads the file and requires the completeness given; null requires nothing. */
+    private static SidecarConfiguration read(Map<String, String> environment, ConfigurationCompleteness required)
             throws IOException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IOException("LB_CONFIG names no file");
         }
         try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(Path.of(file)))) {
-            return of(Json.document(parser), environment, demanded);
+            return of(Json.document(parser), environment, required);
         } catch (JsonProcessingException e) {
             throw new IOException(file + ": not JSON: " + e.getOriginalMessage(), e);
         } catch (IllegalArgumentException e) {
@@ -80,15 +81,17 @@
         }
     }
 
-    /** Reads the file of a running sidecar, which is newer than what the environment says of discovery. */
+    /**
+     * Reads the file again for a running sidecar; the file's discovery address takes precedence over the environment.
+     */
     static SidecarConfiguration reread(Map<String, String> environment, SidecarConfiguration inForce)
             throws IOException {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("LB_DISCOVERY");
-        return read(others, inForce.shape);
+        return read(others, inForce.completeness);
     }
 
-    /** The same with other servers, which nothing has to be asked for, and within other descriptors. */
+    /** A copy with the given servers and descriptor limit that makes no discovery requests. */
     SidecarConfiguration with(int otherSockets, ServerList servers) {
         return new SidecarConfiguration(
                 name,
@@ -101,92 +104,95 @@
                 drainGraceMicros,
                 servers,
                 lists,
-                shape);
+                completeness);
     }
 
-    /** The same within three quarters of its descriptors, while another process still has some. */
-    SidecarConfiguration beside() {
-        int part = Math.max(LEAST_DESCRIPTORS, sockets / 4 * 3);
+    /** A copy limited to three quarters of the descriptors, for use while another process still holds some of them. */
+    SidecarConfiguration withReducedDescriptors() {
+        int reducedSockets = Math.max(MIN_DESCRIPTORS, sockets / 4 * 3);
         return new SidecarConfiguration(
                 name,
                 listen,
                 discovery,
-                operator,
-                part,
+                adminAddress,
+                reducedSockets,
                 settings.with(
                         settings.limits()
                                 .with(
-                                        Math.min(settings.limits().open(), serverConnections(part)),
+                                        Math.min(settings.limits().open(), serverConnections(reducedSockets)),
                                         settings.limits().held(),
-                                        serverConnections(part)),
+                                        serverConnections(reducedSockets)),
                         settings.discoveryOnAsk()),
                 connectMicros,
                 drainGraceMicros,
                 known,
                 lists,
-                shape);
+                completeness);
     }
 
-    /** The same with its classes at these numbers. */
-    SidecarConfiguration with(List<RequestClass> placed) {
+    /** A copy with the request classes at the given indexes. */
+    SidecarConfiguration with(List<RequestClass> classes) {
         return new SidecarConfiguration(
                 name,
                 listen,
                 discovery,
-                operator,
+                adminAddress,
                 sockets,
-                settings.with(placed),
+                settings.with(classes),
                 connectMicros,
                 drainGraceMicros,
                 known,
                 lists,
-                shape);
+                completeness);
     }
 
-    /** What an operators' file is checked against. */
+    /** The facts against which an operators' file is validated. */
     Facts facts() {
         return new Facts(settings, lists.zones(), lists.models(), serverConnections(), listen);
     }
 
     private static SidecarConfiguration of(
-            Map<?, ?> c, Map<String, String> environment, ConfigurationCompleteness demanded) throws IOException {
-        if (!(c.get("settings") instanceof Map<?, ?> facts)) {
+            Map<?, ?> document, Map<String, String> environment, ConfigurationCompleteness required)
+            throws IOException {
+        if (!(document.get("settings") instanceof Map<?, ?> settingsObject)) {
             throw new IOException("'settings' is missing");
         }
-        String fault = demanded == null ? null : demanded.fault(c);
+        String fault = required == null ? null : required.fault(document);
         if (fault != null) {
             throw new IOException(fault);
         }
-        Map<?, ?> limits = Json.object(facts, "policy_limits");
-        ServerList.Reader lists =
-                new ServerList.Reader(SettingsReader.names(facts, "zones"), SettingsReader.names(facts, "models"));
-        ServerList known = c.get("known") instanceof Map<?, ?> m ? lists.read(m) : new ServerList(0, true, List.of());
-        int sockets = (int) Math.min(65_536, Json.longValue(Json.object(c, "limits"), "sockets", 1024));
-        if (sockets < LEAST_DESCRIPTORS) {
-            throw new IOException("'sockets' must be " + LEAST_DESCRIPTORS + " or more");
+        Map<?, ?> limits = Json.object(settingsObject, "policy_limits");
+        ServerList.Reader listReader = new ServerList.Reader(
+                SettingsReader.names(settingsObject, "zones"), SettingsReader.names(settingsObject, "models"));
+        ServerList initialServers =
+                document.get("known") instanceof Map<?, ?> m ? listReader.read(m) : new ServerList(0, true, List.of());
+        int sockets = (int) Math.min(65_536, Json.longValue(Json.object(document, "limits"), "sockets", 1024));
+        if (sockets < MIN_DESCRIPTORS) {
+            throw new IOException("'sockets' must be " + MIN_DESCRIPTORS + " or more");
         }
-        InetSocketAddress operator = operator(c, environment.get("LB_OPERATOR"));
-        // The operators' door takes its part before clients and servers share the rest.
-        int told = sockets;
-        sockets -= operator == null ? 0 : AdminListener.CALLERS + 1;
-        sockets -= InheritedSocket.promised(environment.get("LB_SOCKET_FD")) ? REHEARSAL_DESCRIPTORS : 0;
+        InetSocketAddress adminAddress = adminAddress(document, environment.get("LB_OPERATOR"));
+        // The admin listener's descriptors are set aside before clients and servers share the rest.
+        int configuredSockets = sockets;
+        sockets -= adminAddress == null ? 0 : AdminListener.MAX_CONNECTIONS + 1;
+        sockets -= InheritedSocket.isConfigured(environment.get("LB_SOCKET_FD")) ? WARM_UP_DESCRIPTORS : 0;
         return new SidecarConfiguration(
-                text(c, "name", environment.get("LB_NAME")),
-                Addresses.parse(text(c, "listen", environment.get("LB_LISTEN"))),
-                Addresses.parse(text(c, "discovery", environment.get("LB_DISCOVERY"))),
-                operator,
+                text(document, "name", environment.get("LB_NAME")),
+                Addresses.parse(text(document, "listen", environment.get("LB_LISTEN"))),
+                Addresses.parse(text(document, "discovery", environment.get("LB_DISCOVERY"))),
+                adminAddress,
                 sockets,
-                within(checked(SettingsReader.read(seed(c), facts)), told, sockets),
+                withConnectionLimits(
+                        validate(SettingsReader.read(seed(document), settingsObject)), configuredSockets, sockets),
                 Json.longValue(limits, "connect_timeout_us", 250_000),
-                Json.longValue(Json.object(facts, "rules"), "drain_grace_us", 0),
-                known,
-                lists,
-                new ConfigurationCompleteness(c));
+                Json.longValue(Json.object(settingsObject, "rules"), "drain_grace_us", 0),
+                initialServers,
+                listReader,
+                new ConfigurationCompleteness(document));
     }
 
-    private static Settings checked(Settings s) {
-        String twice = RequestClassSlots.twice(s.classes());
-        require(twice == null, "class '" + twice + "' stands twice");
+    private static Settings validate(Settings s) {
+        String duplicate = RequestClassSlots.twice(s.classes());
+        require(duplicate == null, "class '" + duplicate + "' stands twice");
         s.classes()
                 .forEach(c -> require(
                         c.deadlineMicros() > 0 && !c.name().isEmpty(),
@@ -195,77 +201,83 @@
         return s;
     }
 
-    private static void require(boolean held, String otherwise) {
-        if (!held) {
-            throw new IllegalArgumentException("settings: " + otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException("settings: " + message);
         }
     }
 
     /**
-     * The module is told what really holds. Servers close what has been idle for the site's time, and a
-     * request written to such a connection is lost: the pool closes well before. And each request in hand
-     * keeps a client's connection busy, of which clients have a third of the descriptors at most: where all
-     * are busy their next requests are lost whatever they are worth, so a few stay free to be refused on.
-     * No more than a few: an eighth kept free was an eighth of what the busiest sidecar of a fleet could
-     * serve, while every server had room.
+     * Adjusts the limits to those that really hold before the load balancer sees them.
+     *
+     * <p>Servers close connections that were idle for the configured time, and a request written to such a connection
+     * is lost, so the pool closes them after two thirds of that time. Each request in progress occupies a client
+     * connection, and clients hold at most a third of the descriptors. If all of these are busy, further requests are
+     * lost whatever their priority, so a few connections stay free for rejections. Only a few: keeping an eighth free
+     * cost an eighth of what the busiest sidecar of a fleet could serve while every server had capacity.
      */
-    private static Settings within(Settings s, int told, int sockets) {
-        Limits l = s.limits();
-        Limits kept = new Limits(
-                l.attempts(),
-                l.cancelling(),
-                l.probing(),
-                l.retryAdvice(),
-                l.maxRetryAdviceMicros(),
-                l.idleMicros() / 3 * 2,
-                open(l, told, sockets),
-                l.held(),
-                l.secondCopies(),
+    private static Settings withConnectionLimits(Settings s, int configuredSockets, int sockets) {
+        Limits limits = s.limits();
+        Limits adjusted = new Limits(
+                limits.attempts(),
+                limits.cancelling(),
+                limits.probing(),
+                limits.retryAdvice(),
+                limits.maxRetryAdviceMicros(),
+                limits.idleMicros() / 3 * 2,
+                maxOpenRequests(limits, configuredSockets, sockets),
+                limits.held(),
+                limits.secondCopies(),
                 serverConnections(sockets));
-        return s.with(kept, s.discoveryOnAsk());
+        return s.with(adjusted, s.discoveryOnAsk());
     }
 
-    /** Clients go by what the platform says; what this process keeps for other ends takes none of theirs. */
-    private static int open(Limits l, int told, int sockets) {
-        int asked = told / 3 - Math.max(1, told / 3 / FREE_PART);
-        return Math.min(l.open(), Math.min(asked, serverConnections(sockets)));
+    /**
+     * The client limit follows from the platform's setting; descriptors that this process reserves for itself do not
+     * reduce it, unless too few server connections remain.
+     */
+    private static int maxOpenRequests(Limits limits, int configuredSockets, int sockets) {
+        int clientShare = configuredSockets / 3 - Math.max(1, configuredSockets / 3 / SPARE_CONNECTIONS_DIVISOR);
+        return Math.min(limits.open(), Math.min(clientShare, serverConnections(sockets)));
     }
 
-    /** Null where operators have no door. */
-    private static InetSocketAddress operator(Map<?, ?> c, String first) throws IOException {
-        boolean told = first != null && !first.isEmpty() || c.get("operator") != null;
-        return told ? Addresses.parse(text(c, "operator", first)) : null;
+    /** Null if there is no admin listener. */
+    private static InetSocketAddress adminAddress(Map<?, ?> document, String override) throws IOException {
+        boolean isConfigured = override != null && !override.isEmpty() || document.get("operator") != null;
+        return isConfigured ? Addresses.parse(text(document, "operator", override)) : null;
     }
 
-    private static String text(Map<?, ?> c, String name, String first) throws IOException {
-        if (first != null && !first.isEmpty()) {
-            return first;
+    private static String text(Map<?, ?> document, String name, String override) throws IOException {
+        if (override != null && !override.isEmpty()) {
+            return override;
         }
-        if (c.get(name) instanceof String s && !s.isEmpty()) {
+        if (document.get(name) instanceof String s && !s.isEmpty()) {
             return s;
         }
         throw new IOException("'" + name + "' is missing");
     }
 
-    private static long seed(Map<?, ?> c) throws IOException {
+    private static long seed(Map<?, ?> document) throws IOException {
         try {
-            return Long.parseUnsignedLong(text(c, "seed", null), 16);
+            return Long.parseUnsignedLong(text(document, "seed", null), 16);
         } catch (NumberFormatException e) {
             throw new IOException("'seed' must be up to 16 hex digits", e);
         }
     }
 
     /**
-     * Connections to servers: four ninths of what is left. Clients hold a third of all descriptors for
-     * requests, each of which may be out at a server, so the servers' part is that third and a few idle ones
-     * more; what remains for clients is that third and as many again as idle or unfit ones may take.
+     * Maximum number of connections to servers: four ninths of the descriptors that are not reserved.
+     *
+     * <p>Clients hold a third of all descriptors for requests, each of which may be out at a server. The servers' part
+     * is therefore that third plus a few idle connections; clients get the same third plus as many again for idle or
+     * rejected connections.
      */
     int serverConnections() {
         return serverConnections(sockets);
     }
 
     private static int serverConnections(int sockets) {
-        return (sockets - OWN_DESCRIPTORS) / 9 * 4;
+        return (sockets - RESERVED_DESCRIPTORS) / 9 * 4;
     }
 
     int clientConnections() {
@@ -273,6 +285,6 @@
     }
 
     private static int clientConnections(int sockets) {
-        return sockets - OWN_DESCRIPTORS - serverConnections(sockets);
+        return sockets - RESERVED_DESCRIPTORS - serverConnections(sockets);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/SidecarProcess.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarProcess.java
@@ -21,11 +21,11 @@
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 
 /**
- * The process around one sidecar: its start, its signals and its exit status.
+ * The process that runs one sidecar: its startup, signal handling and exit status.
  *
- * <p>Steps of the start, on the main thread: read the files, make the sidecar on its event loop, handle SIGHUP and
- * SIGTERM, join the fleet, open the admin listener, warm up, open to clients. Then the main thread waits for the
- * end.
+ * <p>Startup runs on the main thread in this order: read the files, create the sidecar on its event loop, handle SIGHUP
+ * and SIGTERM, join the fleet, open the admin listener, warm up, accept clients. The main thread then waits until the
+ * sidecar has stopped.
  */
 public final class SidecarProcess {
 
@@ -39,7 +39,7 @@
     private final Map<String, String> environment;
     private final SidecarConfiguration configuration;
     private final StartupPlan plan;
-    /** The clients' listening socket of the platform; null where the process opens its own. */
+    /** The client listening socket inherited from the platform; null if the process opens its own. */
     private final ServerSocketChannel inherited;
 
     private final PrintStream log;
@@ -60,20 +60,20 @@
         this.log = log;
     }
 
-    /** Runs a sidecar until it is told to end; the exit status. */
+    /** Runs a sidecar until it is told to stop, and returns the exit status. */
     public static int serve(Map<String, String> environment, PrintStream log) {
         return serve(environment, null, log, null);
     }
 
-    /** The same with an operators' file and how to join a fleet; null for none. */
+    /** The same, with an operators' file and a way to join a fleet; either may be null. */
     public static int serve(
             Map<String, String> environment,
             Path operators,
             PrintStream errors,
             FleetCoordination.Maker coordinationMaker) {
         String descriptor = environment.get("LB_SOCKET_FD");
-        boolean inheritsSocket = InheritedSocket.promised(descriptor);
-        PrintStream log = inheritsSocket ? InheritedSocket.keep(errors) : errors;
+        boolean inheritsSocket = InheritedSocket.isConfigured(descriptor);
+        PrintStream log = inheritsSocket ? InheritedSocket.reopenLog(errors) : errors;
         SidecarProcess process;
         try {
             SidecarConfiguration configuration = SidecarConfiguration.read(environment);
@@ -89,21 +89,21 @@
     }
 
     private int run(FleetCoordination.Maker coordinationMaker) {
-        ProcessLock others = inherited == null ? null : ProcessLock.in(environment.get("TMPDIR"));
-        boolean isAlone = others == null || others.alone();
+        ProcessLock processLock = inherited == null ? null : ProcessLock.in(environment.get("TMPDIR"));
+        boolean isAlone = processLock == null || processLock.alone();
         try {
-            Sidecar sidecar = create(isAlone ? configuration : configuration.beside());
+            Sidecar sidecar = create(isAlone ? configuration : configuration.withReducedDescriptors());
             if (!isAlone) {
-                others.whenAlone(() -> loop.execute(() -> sidecar.widen(configuration)));
+                processLock.runWhenAcquired(() -> loop.execute(() -> sidecar.raiseConnectionLimits(configuration)));
             }
             handleReloadSignal(sidecar);
             Thread shutdownHook = addShutdownHook(sidecar);
             if (plan.membership() != null) {
                 joinFleet(sidecar, coordinationMaker, shutdownHook);
             }
-            AdminListener admin = configuration.operator() == null
+            AdminListener admin = configuration.adminAddress() == null
                     ? null
-                    : sidecar.openAdminListener(configuration.operator()).get();
+                    : sidecar.openAdminListener(configuration.adminAddress()).get();
             warmUp(sidecar, admin);
             openToClients(sidecar, shutdownHook);
             ended.await();
@@ -126,7 +126,7 @@
     }
 
     private void handleReloadSignal(Sidecar sidecar) throws ReflectiveOperationException {
-        // One after the other, so that the last file read is the last one in force.
+        // A single thread runs the reloads in order, so the file read last is the one in force.
         ExecutorService reloads = Executors.newSingleThreadExecutor(new DefaultThreadFactory("reading", true));
         ReloadSignal.handle(() -> reloads.execute(() -> sidecar.reloader().reloadAndWait(environment)));
         if (ReloadSignal.isIgnored()) {
@@ -139,7 +139,7 @@
         Thread hook = new Thread(() -> {
             loop.execute(() -> sidecar.stop(ended::countDown));
             awaitEnd();
-            // The runtime would report the signal as its exit status.
+            // Without this the JVM's exit status would be that of the signal.
             Runtime.getRuntime().halt(STATUS_ENDED);
         });
         Runtime.getRuntime().addShutdownHook(hook);
@@ -156,10 +156,13 @@
 
     private void joinFleet(Sidecar sidecar, FleetCoordination.Maker coordinationMaker, Thread shutdownHook)
             throws InterruptedException, ExecutionException {
-        boolean beside = inherited != null;
+        boolean socketMayBeHeld = inherited != null;
         try {
             loop.submit(() -> sidecar.join(
-                            coordinationMaker, plan.membership(), beside, reason -> rejectByFleet(sidecar, reason)))
+                            coordinationMaker,
+                            plan.membership(),
+                            socketMayBeHeld,
+                            reason -> rejectByFleet(sidecar, reason)))
                     .get()
                     .get();
         } catch (ExecutionException e) {
@@ -175,9 +178,11 @@
     }
 
     /**
-     * Warms up at an address that the sidecar will listen on. Where other processes listen on the clients' socket
-     * too, requests of a warm-up there would reach them, and clients would reach the warm-up, which can't serve
-     * them; then the admin listener lends its address.
+     * Warms up on an address that the sidecar will listen on.
+     *
+     * <p>If other processes also listen on the client socket, warm-up requests there would reach those processes, and
+     * clients would reach the warm-up, which cannot serve them. In that case the warm-up uses the admin listener's
+     * address.
      */
     private void warmUp(Sidecar sidecar, AdminListener admin) throws InterruptedException {
         if (inherited == null) {
@@ -199,13 +204,13 @@
         }
     }
 
-    /** A warm-up by way of the admin listener. */
+    /** Runs the warm-up through the admin listener's address. */
     private record AdminListenerStage(EventLoop loop, AdminListener admin) implements WarmUp.Stage {
         @Override
         public CompletableFuture<InetSocketAddress> open(ClientListener to) {
             return CompletableFuture.supplyAsync(
                     () -> {
-                        admin.lend(to::adopt);
+                        admin.setHttpHandler(to::adopt);
                         return admin.address();
                     },
                     loop);
@@ -213,7 +218,7 @@
 
         @Override
         public void close() {
-            loop.execute(() -> admin.lend(null));
+            loop.execute(() -> admin.setHttpHandler(null));
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/StartupPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/StartupPlan.java
@@ -4,15 +4,15 @@
 import org.cypressweir.fleet.membership.MembershipOptions;
 
 /**
- * What a process needs to know before its sidecar is made.
+ * What a process needs before its sidecar is created.
  *
- * @param layouts makes the layout
- * @param warmUpAddress an address that the sidecar will listen on, for the warm-up
- * @param membership how the process takes part in a fleet; null where it runs alone
+ * @param layouts creates the layout
+ * @param warmUpAddress an address that the sidecar will listen on, used for the warm-up
+ * @param membership how the process takes part in a fleet; null if it runs alone
  */
 record StartupPlan(Layout.Factory layouts, InetSocketAddress warmUpAddress, MembershipOptions membership) {
 
-    /** Without an operators' file. */
+    /** The plan for a sidecar without an operators' file. */
     static StartupPlan plain(SidecarConfiguration configuration) {
         return new StartupPlan(PlainLayout::new, configuration.listen(), null);
     }
--- a/src/main/java/org/cypressweir/sidecar/Upgrade.java
+++ b/src/main/java/org/cypressweir/sidecar/Upgrade.java
@@ -9,38 +9,42 @@
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
 /**
- * A request to go over to another protocol on its connection. It is a request like any other until a server
- * has
- * agreed; from then on the two connections belong to what comes of it.
+ * A request to upgrade its connection to another protocol. It is handled like any other request until a server agrees;
+ * from then on both connections belong to the tunnel that results.
  */
 interface Upgrade {
 
-    /** A connection that has gone over; its HTTP handlers are gone, and nothing is read from it. */
-    record End(Channel channel, ByteBuf early) {}
+    /**
+     * An upgraded connection with the bytes received early; its HTTP handlers are removed, and nothing is read from it.
+     */
+    record End(Channel channel, ByteBuf earlyBytes) {}
 
     /** The servers of a pool. */
     interface Fleet {
-        /** Servers in service, each counted by the part of a warm one that it takes. */
+        /** The number of servers in service, where a server in slow start counts as its share of a warm one. */
         double warmServers();
 
-        /** How many connections that stay it takes, in all and each server, and how many a second. */
+        /** The limits on tunnels: in total, per server, and new ones per second. */
         PoolConfiguration.Tunnelled tunnels();
 
-        /** Those that say what a cold server takes. */
+        /** The rules that determine the share of a cold server. */
         Rules rules();
     }
 
-    /** The server of a connection that has gone over. */
+    /** The server of an upgraded connection. */
     interface Host {
         Fleet fleet();
 
-        /** When it was started, in microseconds; 0 for long ago. */
+        /** Start time in microseconds; 0 if the server was started long ago. */
         long startMicros();
 
-        /** What it carries beside requests, in requests in flight, and whether it takes no more of it now. */
+        /**
+         * Sets the load of its tunnels, expressed in requests in flight, and whether it accepts no more tunnels for
+         * now.
+         */
         void carries(double requests, boolean full);
 
-        /** When it last told its use; 0 for never. */
+        /** When the server last reported its load; 0 if never. */
         long toldAt();
 
         double use();
@@ -48,40 +52,40 @@
         double requests();
     }
 
-    /** Both connections after a server has agreed. */
+    /** The joined client and server connections after a server has agreed. */
     interface Joined {
-        /** The server leaves, and was told to then; it ends in order. */
+        /** The server is draining since that time; the tunnel is closed in order. */
         void leaves(long toldAt);
 
-        /** The server stays after all. */
+        /** The drain was cancelled and the server stays. */
         void stays();
     }
 
-    /** It has been taken, as this call. */
+    /** The request was admitted as this client request. */
     void taken(ClientRequest call);
 
     /**
-     * Whether there is room for one more connection that stays.
+     * Admits one more tunnel if the limits allow.
      *
-     * @return -1 if so, else after how many microseconds the client should come back
+     * @return -1 if admitted, otherwise the microseconds after which the client should retry
      */
     long admit(Fleet fleet);
 
-    /** Turns the headers that go on to a server into those of the handshake. */
+    /** Adds the handshake to the headers sent to a server. */
     void ask(HttpHeaders headers);
 
-    /** An attempt goes out to that server. */
+    /** An attempt is being sent to this server. */
     void tried(Host host);
 
-    /** What is wrong with a server's 101; null where the server has agreed to what was asked for. */
+    /** The fault of a server's 101 response; null if the server has agreed to what was asked for. */
     String fault(FullHttpResponse answer);
 
-    /** The client is told this in place of 101. */
+    /** The client receives this status instead of 101. */
     void answered(HttpResponseStatus status);
 
-    /** The client left before it was told anything. */
+    /** The client left before it had a response. */
     void left();
 
-    /** Joins the two connections; it owns them and what came early from now on. */
+    /** Joins the two connections; takes ownership of them and of the bytes received early. */
     Joined join(FullHttpResponse answer, End client, End server, Host host);
 }
--- a/src/main/java/org/cypressweir/sidecar/WebSocketUpgrades.java
+++ b/src/main/java/org/cypressweir/sidecar/WebSocketUpgrades.java
@@ -19,24 +19,24 @@
 import org.cypressweir.sidecar.websocket.UpgradeAccount;
 import org.cypressweir.sidecar.websocket.UpgradeAccount.Event;
 
-/** Upgrades to WebSocket, and the tunnels that come of them. */
+/** Upgrades to WebSocket and the resulting tunnels. */
 final class WebSocketUpgrades {
 
-    /** Open tunnels end over this time where the process does. */
-    private static final long SPREAD_MICROS = 1_000_000;
+    /** At shutdown, open tunnels are closed over this interval. */
+    private static final long SHUTDOWN_SPREAD_MICROS = 1_000_000;
 
     private final SidecarClock clock;
     private final SplittableRandom random;
-    private final int most;
+    private final int maxTunnels;
     private final Tunnels tunnels;
-    private long moves;
-    private long moved;
+    private long moveCount;
+    private long movedTunnels;
     private final UpgradeAccount.Counters counters = new UpgradeAccount.Counters();
 
-    /** With so many tunnels in all, at most. */
-    WebSocketUpgrades(EventLoop loop, SidecarClock clock, long seed, int most) {
+    /** Limits the total number of tunnels to the given maximum. */
+    WebSocketUpgrades(EventLoop loop, SidecarClock clock, long seed, int maxTunnels) {
         this.clock = clock;
-        this.most = most;
+        this.maxTunnels = maxTunnels;
         random = new SplittableRandom(seed);
         tunnels = new Tunnels(loop, clock::micros, random.split());
     }
@@ -45,18 +45,18 @@
         return counters;
     }
 
-    /** How many tunnels have gone on at another server. */
+    /** Number of tunnels that were moved to another server. */
     long moved() {
-        return moved;
+        return movedTunnels;
     }
 
-    /** Reads a request that asks for one. */
+    /** Reads an upgrade request. */
     Upgrade ask(FullHttpRequest http, WebSocketLimits limits) throws RequestReader.BadRequest {
         try {
             Handshake handshake = Handshake.read(http);
             boolean resumable =
                     limits.resume() != null && handshake.offers(limits.resume().subprotocols());
-            return new Asked(resumable ? handshake.plain() : handshake, limits);
+            return new RequestedUpgrade(resumable ? handshake.plain() : handshake, limits);
         } catch (Handshake.Refused e) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (e.status().equals(HttpResponseStatus.UPGRADE_REQUIRED)) {
@@ -68,10 +68,10 @@
     }
 
     void stopping() {
-        tunnels.goAway(SPREAD_MICROS);
+        tunnels.goAway(SHUTDOWN_SPREAD_MICROS);
     }
 
-    /** Equal for all servers of a pool. */
+    /** Adapts a pool's servers; equal for all servers of one pool. */
     private record Servers(Upgrade.Fleet fleet) implements Tunnels.Pool {
         @Override
         public double warmServers() {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Equal for all tunnels of a server. */
+    /** Adapts a server; equal for all tunnels of one server. */
     private record Server(Servers pool, Upgrade.Host host) implements Tunnels.Host {
         static Server of(Upgrade.Host host) {
             return new Server(new Servers(host.fleet()), host);
@@ -122,12 +122,12 @@
         }
     }
 
-    /** What a tunnel hears of its server. */
-    private final class AtServer implements Upgrade.Joined {
+    /** Passes changes of a server's state to its tunnel. */
+    private final class TunnelServerLink implements Upgrade.Joined {
         private final Tunnel tunnel;
         private final Server server;
 
-        private AtServer(Tunnel tunnel, Server server) {
+        private TunnelServerLink(Tunnel tunnel, Server server) {
             this.tunnel = tunnel;
             this.server = server;
         }
@@ -143,27 +143,27 @@
         }
     }
 
-    private final class Asked implements Upgrade {
+    private final class RequestedUpgrade implements Upgrade {
         private final Handshake handshake;
         private final WebSocketLimits limits;
         private UpgradeAccount account;
         private ClientRequest call;
         private Tunnels.Ticket ticket;
 
-        Asked(Handshake handshake, WebSocketLimits limits) {
+        RequestedUpgrade(Handshake handshake, WebSocketLimits limits) {
             this.handshake = handshake;
             this.limits = limits;
         }
 
         @Override
-        public void taken(ClientRequest as) {
-            call = as;
+        public void taken(ClientRequest clientRequest) {
+            call = clientRequest;
             account = new UpgradeAccount(counters);
         }
 
         @Override
         public long admit(Fleet fleet) {
-            ticket = tunnels.ask(new Servers(fleet), call.request.tenant(), limits, most);
+            ticket = tunnels.ask(new Servers(fleet), call.request.tenant(), limits, maxTunnels);
             return ticket.isIn() ? -1 : ticket.retryMicros();
         }
 
@@ -214,7 +214,7 @@
                     random,
                     account,
                     tunnels::remove);
-            Server at = Server.of(host);
+            Server targetServer = Server.of(host);
             String protocol = Handshake.protocol(answer);
             boolean resumable = limits.resume() != null
                     && protocol != null
@@ -223,26 +223,27 @@
                     tunnel,
                     limits,
                     ticket,
-                    at,
+                    targetServer,
                     resumable ? new Resumer(tunnel, call, handshake, protocol, limits.resume())::move : null);
-            // What it needs no more would stay as long as the tunnel.
+            // Releases the request: the reference would otherwise live as long as the tunnel.
             call = null;
-            tunnel.begin(client.early(), server.early());
-            return new AtServer(tunnel, at);
+            tunnel.begin(client.earlyBytes(), server.earlyBytes());
+            return new TunnelServerLink(tunnel, targetServer);
         }
     }
 
-    /** Asks for other servers for one tunnel. */
+    /** Requests other servers for one tunnel. */
     private final class Resumer {
         private final Tunnel tunnel;
-        private final ClientRequest first;
+        private final ClientRequest originalRequest;
         private final Handshake handshake;
         private final String protocol;
         private final Resume resume;
 
-        private Resumer(Tunnel tunnel, ClientRequest first, Handshake handshake, String protocol, Resume resume) {
+        private Resumer(
+                Tunnel tunnel, ClientRequest originalRequest, Handshake handshake, String protocol, Resume resume) {
             this.tunnel = tunnel;
-            this.first = first;
+            this.originalRequest = originalRequest;
             this.handshake = handshake;
             this.protocol = protocol;
             this.resume = resume;
@@ -251,24 +252,24 @@
         private void move() {
             byte[] key = new byte[Handshake.KEY_BYTES];
             random.nextBytes(key);
-            String id = first.request.id() + "-m" + ++moves;
-            HttpHeaders headers = new DefaultHttpHeaders().set(first.headers);
+            String id = originalRequest.request.id() + "-m" + ++moveCount;
+            HttpHeaders headers = new DefaultHttpHeaders().set(originalRequest.headers);
             headers.set(Headers.REQUEST_ID, id);
             if (resume.header() != null) {
                 headers.set(resume.header(), resume.value());
             }
-            Moving moving = new Moving(tunnel, handshake.again(protocol, key), protocol);
-            first.pool.takeAgain(first, id, moving, headers, moving);
+            TunnelMove tunnelMove = new TunnelMove(tunnel, handshake.again(protocol, key), protocol);
+            originalRequest.pool.takeAgain(originalRequest, id, tunnelMove, headers, tunnelMove);
         }
     }
 
-    /** The handshake of a tunnel that is to go on at another server; its client hears nothing of it. */
-    private final class Moving implements Upgrade, ClientRequest.Client {
+    /** The handshake that moves a tunnel to another server; the client does not notice it. */
+    private final class TunnelMove implements Upgrade, ClientRequest.Client {
         private final Tunnel tunnel;
         private final Handshake handshake;
         private final String protocol;
 
-        private Moving(Tunnel tunnel, Handshake handshake, String protocol) {
+        private TunnelMove(Tunnel tunnel, Handshake handshake, String protocol) {
             this.tunnel = tunnel;
             this.handshake = handshake;
             this.protocol = protocol;
@@ -277,7 +278,7 @@
         @Override
         public void taken(ClientRequest call) {}
 
-        /** Its tunnel counts already; the other server must have room for one more all the same. */
+        /** The tunnel is already counted; the other server must still have capacity for one more. */
         @Override
         public long admit(Fleet fleet) {
             return tunnels.mayMove(new Servers(fleet)) ? -1 : 0;
@@ -320,9 +321,10 @@
 
         @Override
         public Joined join(FullHttpResponse answer, End client, End server, Host host) {
-            Server at = Server.of(host);
-            tunnels.moveTo(tunnel, at, server.channel(), server.early(), done -> moved += done ? 1 : 0);
-            return new AtServer(tunnel, at);
+            Server targetServer = Server.of(host);
+            tunnels.moveTo(
+                    tunnel, targetServer, server.channel(), server.earlyBytes(), done -> movedTunnels += done ? 1 : 0);
+            return new TunnelServerLink(tunnel, targetServer);
         }
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/ClassListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClassListTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The list of classes for the archive names what there is. The compiler numbers lambdas anew with each change
- * of their class, and one that the list names wrongly is linked while requests wait, without a word.
+ * Checks that the class list for the class-data archive names only existing classes. The compiler renumbers lambdas
+ * with each change of their class; a wrong entry is ignored without a message, and the lambda is then linked while
+ * requests wait.
  */
 class ClassListTest {
 
@@ -30,7 +31,7 @@
     }
 
     @Test
-    void itNamesWhatThereIs() throws Exception {
+    void listNamesOnlyExistingClasses() throws Exception {
         List<String> stale = new ArrayList<>();
         int lambdas = 0;
         for (String line : Files.readAllLines(Path.of("deploy/classes.lst"))) {
--- a/src/test/java/org/cypressweir/sidecar/ClosingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClosingTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A turn of the loop that is long, as on a machine short of processor: what clients write meanwhile lies in
- * the kernel when the loop comes to look which connections may go. Each of these lost requests before what
- * the kernel holds was read first. Time is made up; the turn is held by the service itself.
+ * Guards against requests lost during a long turn of the event loop, as on a machine short of CPU: input that clients
+ * send meanwhile is still in the kernel when the loop checks which connections to close. Each of these cases lost
+ * requests before the kernel's input was read first. The clock is simulated; the service itself prolongs the turn.
  */
 @Timeout(60)
 class ClosingTest implements ClientListener.Service {
 
-    private static final int MOST = 8;
+    private static final int MAX_CONNECTIONS = 8;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -40,13 +40,13 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final List<Harness.Client> clients = new ArrayList<>();
     private ClientListener server;
-    private ClientListener.ListeningSocket door;
-    private CountDownLatch held;
-    private CountDownLatch go;
-    private Runnable meanwhile;
+    private ClientListener.ListeningSocket socket;
+    private CountDownLatch turnHeld;
+    private CountDownLatch release;
+    private Runnable endOfTurn;
 
-    /** What the loop does in the same turn, after it has read what it knew of. */
-    private enum Look {
+    /** What the event loop does in the same turn, after reading the input it knew of. */
+    private enum Check {
         SWEEP,
         END,
         ALL
@@ -54,9 +54,9 @@
 
     @BeforeEach
     void listen() throws Exception {
-        server = loop.submit(() -> new ClientListener(loop, this, MOST, line -> {}, nanos::get))
+        server = loop.submit(() -> new ClientListener(loop, this, MAX_CONNECTIONS, line -> {}, nanos::get))
                 .get();
-        door = loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
+        socket = loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
                 .get()
                 .get(10, TimeUnit.SECONDS);
     }
@@ -75,13 +75,13 @@
         return true;
     }
 
-    /** The request of /hold keeps the loop in its turn; what it queues runs in that turn's end. */
+    /** The request for /hold blocks the event loop; the task that it queues runs at the end of that turn. */
     @Override
     public void take(FullHttpRequest http, ClientRequest.Client client) {
         if (http.uri().startsWith("/hold")) {
-            held.countDown();
-            awaitQuietly(go);
-            loop.execute(meanwhile);
+            turnHeld.countDown();
+            awaitQuietly(release);
+            loop.execute(endOfTurn);
         }
         client.answer(HttpResponseStatus.OK, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
     }
@@ -98,59 +98,61 @@
     }
 
     private Harness.Client client() throws Exception {
-        Harness.Client client = new Harness.Client(door.address());
+        Harness.Client client = new Harness.Client(socket.address());
         clients.add(client);
         return client;
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    /** Waits until the loop has accepted all that have connected, told by a request that goes round. */
-    private Harness.Client asked() throws Exception {
+    /** Waits until the event loop has accepted all earlier connections, by completing a request on a new one. */
+    private Harness.Client clientWithResponse() throws Exception {
         Harness.Client client = client().raw(Harness.Client.head("GET", "/search/k", 1_000, "", 0));
         assertEquals(200, client.answer().status());
         return client;
     }
 
-    /** In one turn of the loop: clients write, time passes, and then the loop looks what may go. */
-    private void turn(Harness.Client holder, List<Harness.Client> writers, long millis, Runnable look)
+    /**
+     * In one turn of the event loop, clients write, time passes, and then the loop checks which connections to close.
+     */
+    private void runTurn(Harness.Client holder, List<Harness.Client> writers, long millis, Runnable check)
             throws Exception {
-        held = new CountDownLatch(1);
-        go = new CountDownLatch(1);
-        meanwhile = look;
+        turnHeld = new CountDownLatch(1);
+        release = new CountDownLatch(1);
+        endOfTurn = check;
         holder.raw(Harness.Client.head("GET", "/hold/k", 1_000, "", 0));
-        awaitQuietly(held);
+        awaitQuietly(turnHeld);
         for (Harness.Client writer : writers) {
             writer.raw(Harness.Client.head("GET", "/search/k", 1_000, "", 0));
         }
-        pass(millis);
-        go.countDown();
+        advance(millis);
+        release.countDown();
         assertEquals(200, holder.answer().status());
     }
 
-    private Runnable look(Look how) {
-        return switch (how) {
+    private Runnable check(Check kind) {
+        return switch (kind) {
             case SWEEP -> () -> server.sweep();
-            case END -> () -> server.endQuietly(door, ended::countDown);
+            case END -> () -> server.continueClosing(socket, ended::countDown);
             case ALL -> () -> {
                 server.sweep();
-                server.endQuietly(door, ended::countDown);
+                server.continueClosing(socket, ended::countDown);
             };
         };
     }
 
     @ParameterizedTest
     @CsvSource({"SWEEP, 250", "SWEEP, 5100", "END, 150", "ALL, 5100"})
-    void requestOnAKeptConnectionIsReadBeforeItGoes(Look how, long millis) throws Exception {
-        Harness.Client holder = asked();
+    void requestOnAKeptAliveConnectionIsReadBeforeClosing(Check kind, long millis) throws Exception {
+        Harness.Client holder = clientWithResponse();
         List<Harness.Client> kept = new ArrayList<>();
-        while (kept.size() < MOST - 2) {
-            kept.add(asked());
+        while (kept.size() < MAX_CONNECTIONS - 2) {
+            kept.add(clientWithResponse());
         }
-        pass(150);
-        turn(holder, kept, millis, look(how));
+        advance(150);
+        runTurn(holder, kept, millis, check(kind));
         for (Harness.Client client : kept) {
             assertEquals(200, client.answer().status());
         }
@@ -158,76 +160,79 @@
 
     @ParameterizedTest
     @CsvSource({"SWEEP, 150", "SWEEP, 2100", "END, 150", "ALL, 2100"})
-    void firstRequestIsReadBeforeItsConnectionGoes(Look how, long millis) throws Exception {
+    void firstRequestIsReadBeforeItsConnectionIsClosed(Check kind, long millis) throws Exception {
         Harness.Client holder = client();
         List<Harness.Client> silent = new ArrayList<>();
-        while (silent.size() < MOST - 2) {
+        while (silent.size() < MAX_CONNECTIONS - 2) {
             silent.add(client());
         }
-        asked();
-        turn(holder, silent, millis, look(how));
+        clientWithResponse();
+        runTurn(holder, silent, millis, check(kind));
         for (Harness.Client client : silent) {
             assertEquals(200, client.answer().status());
         }
     }
 
-    /** The rest of a request lies in the kernel when its time is up. */
+    /** The rest of a request is in the kernel's buffer when its time-out passes. */
     @Test
-    void restOfARequestIsReadBeforeItIsCalledLate() throws Exception {
-        Harness.Client holder = asked();
+    void restOfARequestIsReadBeforeItTimesOut() throws Exception {
+        Harness.Client holder = clientWithResponse();
         String head = Harness.Client.head("GET", "/search/k", 1_000, "", 0);
         Harness.Client slow = client().raw(head.substring(0, 20));
-        asked();
-        held = new CountDownLatch(1);
-        go = new CountDownLatch(1);
-        meanwhile = server::sweep;
+        clientWithResponse();
+        turnHeld = new CountDownLatch(1);
+        release = new CountDownLatch(1);
+        endOfTurn = server::sweep;
         holder.raw(Harness.Client.head("GET", "/hold/k", 1_000, "", 0));
-        awaitQuietly(held);
+        awaitQuietly(turnHeld);
         slow.raw(head.substring(20));
-        pass(2_100);
-        go.countDown();
+        advance(2_100);
+        release.countDown();
         assertEquals(200, slow.answer().status());
     }
 
-    /** Those that wait to be accepted when the door shuts would be reset with what they have written. */
+    /** Connections not accepted yet when the listening socket closes would be reset and their requests lost. */
     @ParameterizedTest
     @EnumSource(
-            value = Look.class,
+            value = Check.class,
             names = {"END", "ALL"})
-    void thoseThatHaveConnectedAreAcceptedBeforeTheDoorShuts(Look how) throws Exception {
-        Harness.Client holder = asked();
-        pass(150);
-        held = new CountDownLatch(1);
-        go = new CountDownLatch(1);
-        meanwhile = look(how);
+    void pendingConnectionsAreAcceptedBeforeTheSocketCloses(Check kind) throws Exception {
+        Harness.Client holder = clientWithResponse();
+        advance(150);
+        turnHeld = new CountDownLatch(1);
+        release = new CountDownLatch(1);
+        endOfTurn = check(kind);
         holder.raw(Harness.Client.head("GET", "/hold/k", 1_000, "", 0));
-        awaitQuietly(held);
+        awaitQuietly(turnHeld);
         Harness.Client late = client().raw(Harness.Client.head("GET", "/search/k", 1_000, "", 0));
-        pass(150);
-        go.countDown();
+        advance(150);
+        release.countDown();
         assertEquals(200, late.answer().status());
     }
 
-    /** A restart's rehearsal ends while somebody asks: what has come is answered. */
+    /** The listener of a warm-up closes while a client sends a request: what has arrived is answered. */
     @Test
-    void whatHasComeIsAnsweredBeforeAllIsClosed() throws Exception {
-        Harness.Client holder = asked();
+    void receivedRequestsAreAnsweredBeforeEverythingIsClosed() throws Exception {
+        Harness.Client holder = clientWithResponse();
         Harness.Client silent = client();
-        asked();
-        turn(holder, List.of(silent), 0, server::close);
+        clientWithResponse();
+        runTurn(holder, List.of(silent), 0, server::close);
         assertEquals(200, silent.answer().status());
         silent.assertClosed();
     }
 
-    /** In a full house one that was answered goes before one whose first request may be on its way. */
+    /**
+     * At the connection limit, an idle connection that had a response is evicted before one whose first request may be
+     * on its way.
+     */
     @Test
-    void keptConnectionMakesRoomBeforeASilentOne() throws Exception {
-        Harness.Client kept = asked();
+    void idleConnectionIsEvictedBeforeASilentOne() throws Exception {
+        Harness.Client kept = clientWithResponse();
         List<Harness.Client> silent = new ArrayList<>();
-        while (silent.size() < MOST - 1) {
+        while (silent.size() < MAX_CONNECTIONS - 1) {
             silent.add(client());
         }
-        pass(150);
+        advance(150);
         kept.assertClosed();
         for (Harness.Client client : silent) {
             assertEquals(
@@ -238,16 +243,16 @@
         }
     }
 
-    /** A door that ends does not cut off a request that has begun to come. */
+    /** Closing the listening socket does not cut off a partly received request. */
     @Test
-    void requestInPartHasItsTimeWhenTheDoorEnds() throws Exception {
+    void partialRequestKeepsItsTimeoutWhenTheSocketCloses() throws Exception {
         String head = Harness.Client.head("GET", "/search/k", 1_000, "", 0);
         Harness.Client slow = client().raw(head.substring(0, 20));
-        asked();
-        pass(150);
-        loop.submit(() -> server.endQuietly(door, ended::countDown)).get();
+        clientWithResponse();
+        advance(150);
+        loop.submit(() -> server.continueClosing(socket, ended::countDown)).get();
         assertEquals(200, slow.raw(head.substring(20)).answer().status());
-        pass(600);
+        advance(600);
         assertTrue(ended.await(30, TimeUnit.SECONDS));
     }
 }
