--- a/src/test/java/org/cypressweir/sidecar/DailyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/DailyTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators do day by day: the door, drains and other settings while it runs. */
+/** Routine operations: the admin listener, drains and reloads of a running sidecar. */
 @Timeout(60)
 class DailyTest {
 
@@ -34,13 +34,13 @@
 
     private PeerStub server;
     private Harness harness;
-    private InetSocketAddress door;
+    private InetSocketAddress adminAddress;
 
     @BeforeEach
     void start() throws Exception {
         server = new PeerStub(PeerStub.serves("ok"));
         harness = new Harness(folder, server).start();
-        door = harness.sidecar
+        adminAddress = harness.sidecar
                 .openAdminListener(new InetSocketAddress("127.0.0.1", 0))
                 .get()
                 .address();
@@ -52,19 +52,19 @@
         server.close();
     }
 
-    private String ask(String line) throws IOException {
-        return Harness.call(door, line);
+    private String command(String line) throws IOException {
+        return Harness.call(adminAddress, line);
     }
 
-    /** Waits for figures that hold this; they may lag. */
-    private String figures(String part) throws Exception {
+    /** Waits until the statistics contain this text; they may lag behind. */
+    private String statistics(String part) throws Exception {
         long end = System.nanoTime() + 20_000_000_000L;
-        String figures = ask("STATS");
-        while (!figures.contains(part)) {
-            assertTrue(System.nanoTime() < end, "never seen: " + part + " in " + figures);
-            figures = ask("STATS");
+        String statistics = command("STATS");
+        while (!statistics.contains(part)) {
+            assertTrue(System.nanoTime() < end, "never seen: " + part + " in " + statistics);
+            statistics = command("STATS");
         }
-        return figures;
+        return statistics;
     }
 
     private int health() throws IOException {
@@ -76,67 +76,67 @@
     }
 
     @Test
-    void callersThatSayNothingWholeKeepNobodyOut() throws Exception {
-        List<Socket> held = new ArrayList<>();
+    void incompleteCommandsDoNotBlockOthers() throws Exception {
+        List<Socket> pending = new ArrayList<>();
         try {
-            for (int i = 0; i < 3 * AdminListener.CALLERS; i++) {
-                Socket socket = new Socket(door.getAddress(), door.getPort());
-                held.add(socket);
+            for (int i = 0; i < 3 * AdminListener.MAX_CONNECTIONS; i++) {
+                Socket socket = new Socket(adminAddress.getAddress(), adminAddress.getPort());
+                pending.add(socket);
                 socket.getOutputStream().write((i % 2 == 0 ? "REA" : "").getBytes(StandardCharsets.US_ASCII));
             }
-            assertEquals("YES\n", ask("READY"));
-            assertTrue(ask("x".repeat(5_000)).startsWith("NO "));
+            assertEquals("YES\n", command("READY"));
+            assertTrue(command("x".repeat(5_000)).startsWith("NO "));
         } finally {
-            for (Socket socket : held) {
+            for (Socket socket : pending) {
                 socket.close();
             }
         }
     }
 
     @Test
-    void whatClientsAndServersSawIsWhatIsTold() throws Exception {
+    void statisticsMatchWhatClientsAndServersSaw() throws Exception {
         assertEquals(200, harness.client().search(5_000).answer().status());
         assertEquals(200, harness.client().book("x", 5_000).answer().status());
         server.script(PeerStub.answers("500 Oops", "", ""));
         assertEquals(502, harness.client().book("x", 5_000).answer().status());
         server.script(PeerStub.SILENT);
         harness.client().search(5_000);
-        String told = figures("\"inflight\":1");
+        String statistics = statistics("\"inflight\":1");
         assertTrue(
-                told.startsWith("{\"success\":{\"search\":1,\"hold\":0,\"book\":1},"
+                statistics.startsWith("{\"success\":{\"search\":1,\"hold\":0,\"book\":1},"
                         + "\"busy\":{\"search\":0,\"hold\":0,\"book\":0},"
                         + "\"failure\":{\"search\":0,\"hold\":0,\"book\":1}"),
-                told);
-        assertTrue(told.contains("\"hosts_listed\":1,\"hosts_down\":0"), told);
-        assertTrue(told.endsWith("}\nEND\n"), told);
-        figures("\"backend_calls\":4");
+                statistics);
+        assertTrue(statistics.contains("\"hosts_listed\":1,\"hosts_down\":0"), statistics);
+        assertTrue(statistics.endsWith("}\nEND\n"), statistics);
+        statistics("\"backend_calls\":4");
     }
 
     @Test
-    void aDrainAnswersAllAndLeavesNobodyAndCanBeTakenBack() throws Exception {
+    void drainCompletesRequestsAndCanBeCancelled() throws Exception {
         Harness.Client idle = harness.client();
         assertEquals(200, idle.search(5_000).answer().status());
         server.script(PeerStub.SILENT);
         Harness.Client busy = harness.client().book("x", 20_000);
         Harness.Client silent = harness.client();
         server.take();
-        PeerStub.Seen held = server.take();
-        assertEquals("YES draining\n", ask("DRAIN"));
-        assertEquals("YES draining\n", ask("DRAIN"));
+        PeerStub.Seen pending = server.take();
+        assertEquals("YES draining\n", command("DRAIN"));
+        assertEquals("YES draining\n", command("DRAIN"));
         assertEquals(503, health());
-        assertTrue(ask("READY").startsWith("NO "));
+        assertTrue(command("READY").startsWith("NO "));
         idle.assertClosed();
         silent.assertClosed();
-        held.reply("200 OK", "", "done");
+        pending.reply("200 OK", "", "done");
         var last = busy.answer();
         assertEquals("done", last.body());
         assertEquals("close", last.headers().get("connection"));
         busy.assertClosed();
         long end = System.nanoTime() + 20_000_000_000L;
-        while (!ask("READY").equals("NO drained\n")) {
+        while (!command("READY").equals("NO drained\n")) {
             assertTrue(System.nanoTime() < end, "never drained");
         }
-        assertEquals("YES serving\n", ask("UNDRAIN"));
+        assertEquals("YES serving\n", command("UNDRAIN"));
         assertEquals(200, health());
         server.script(PeerStub.serves("again"));
         Harness.Client next = harness.client().search(5_000);
@@ -145,10 +145,10 @@
     }
 
     @Test
-    void aDrainedSidecarStillEnds() throws Exception {
-        assertTrue(ask("DRAIN").startsWith(YES));
+    void drainedSidecarStillShutsDown() throws Exception {
+        assertTrue(command("DRAIN").startsWith(YES));
         assertTrue(harness.stop().await(10, TimeUnit.SECONDS));
-        assertTrue(ask("UNDRAIN").startsWith("NO "));
+        assertTrue(command("UNDRAIN").startsWith("NO "));
     }
 
     private void reload(String text) throws Exception {
@@ -170,7 +170,7 @@
                 "attempts 0",
                 "attempts -1"
             })
-    void aBrokenFileChangesNothing(String fault) throws Exception {
+    void invalidFileChangesNothing(String fault) throws Exception {
         String good = Files.readString(harness.file);
         String renamed = good.replace("\"name\":\"search\"", "\"name\":\"find\"");
         reload(
@@ -187,19 +187,19 @@
                 });
         harness.log.await("the old configuration stays");
         assertEquals(200, harness.client().search(5_000).answer().status());
-        figures("\"reconfig_ok\":0,\"reconfig_failed\":1");
+        statistics("\"reconfig_ok\":0,\"reconfig_failed\":1");
     }
 
     @Test
-    void otherClassesHoldForNewRequestsAndTheOldRulesForOldOnes() throws Exception {
+    void newClassesApplyToNewRequestsOnly() throws Exception {
         String good = Files.readString(harness.file);
         server.script(PeerStub.SILENT);
         Harness.Client old = harness.client().search(20_000);
         PeerStub.Seen first = server.take();
-        // What was safe to repeat is now not, under another name; and nothing may be tried twice.
+        // The class that was safe to retry becomes non-idempotent under another name, and only one attempt is allowed.
         reload(good.replace("\"name\":\"search\",\"effect\":\"pure\"", "\"name\":\"find\",\"effect\":\"side_effect\"")
                 .replace("\"attempts_cap\":4", "\"attempts_cap\":1"));
-        figures("\"reconfig_ok\":1,\"reconfig_failed\":0");
+        statistics("\"reconfig_ok\":1,\"reconfig_failed\":0");
         assertEquals(400, harness.client().search(5_000).answer().status());
         server.script(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         String head = Harness.Client.head("POST", "/find/k1", 5_000, "", 1) + "x";
@@ -207,8 +207,8 @@
         server.take();
         first.reply("200 OK", "", "as before");
         assertEquals("as before", old.answer().body());
-        String told = figures("\"search\":1");
-        assertTrue(told.contains("\"busy\":{\"search\":0,\"hold\":0,\"book\":0,\"find\":1}"), told);
-        assertFalse(told.contains("\"find\":2"), told);
+        String statistics = statistics("\"search\":1");
+        assertTrue(statistics.contains("\"busy\":{\"search\":0,\"hold\":0,\"book\":0,\"find\":1}"), statistics);
+        assertFalse(statistics.contains("\"find\":2"), statistics);
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/Harness.java
+++ b/src/test/java/org/cypressweir/sidecar/Harness.java
@@ -28,7 +28,7 @@
 import org.cypressweir.testkit.RawHttpClient;
 import org.junit.jupiter.api.Assertions;
 
-/** A sidecar on free loopback ports between scripted servers, a scripted discovery and raw clients. */
+/** A sidecar on free loopback ports with scripted servers, a scripted discovery service and raw clients. */
 final class Harness implements AutoCloseable {
 
     static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
@@ -49,7 +49,7 @@
     }
 
     Harness(Path folder, long connectMicros, int sockets, PeerStub... servers) throws Exception {
-        // The first answer says what is known already; the watch that goes on then hears nothing.
+        // The configuration file holds the initial list; the watch that follows gets no response.
         discovery = new PeerStub(seen -> {});
         loop = group.next();
         this.folder = folder;
@@ -83,7 +83,7 @@
         return this;
     }
 
-    /** With an operators' file. */
+    /** Starts the sidecar with an operators' file. */
     Harness startWith(String operators) throws Exception {
         return startWith(operators, SubsetLoadBalancer::new);
     }
@@ -92,9 +92,9 @@
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, operators);
         SidecarConfiguration config = config();
-        Layout.Factory made = OperatorsLayout.of(file, config).layouts();
+        Layout.Factory factory = OperatorsLayout.of(file, config).layouts();
         Layout.Factory layouts = parts -> {
-            layout = (OperatorsLayout) made.create(parts);
+            layout = (OperatorsLayout) factory.create(parts);
             return layout;
         };
         sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules, layouts))
@@ -103,7 +103,7 @@
         return this;
     }
 
-    /** Tunnels that have gone on at another server. */
+    /** Number of tunnels that were moved to another server. */
     long moved() {
         return layout.movedTunnels();
     }
@@ -112,15 +112,15 @@
         return layout.counters();
     }
 
-    /** Changes the operators' file and waits until it is taken over or refused. */
+    /** Changes the operators' file and waits until it is applied or rejected. */
     void reload(String operators) throws Exception {
         Files.writeString(folder.resolve("operators.toml"), operators);
         sidecar.reload(Map.of("LB_CONFIG", file.toString())).get(10, TimeUnit.SECONDS);
     }
 
-    /** One call at an operators' door, and all that it says. */
-    static String call(InetSocketAddress door, String line) throws IOException {
-        try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
+    /** Sends one command to an admin listener and returns the complete response. */
+    static String call(InetSocketAddress address, String line) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -139,10 +139,10 @@
         return ended;
     }
 
-    /** The same; returns once the stop has begun. */
-    CountDownLatch begunStop() throws Exception {
+    /** Begins a stop and returns once it has begun. */
+    CountDownLatch stopAndAwaitStart() throws Exception {
         CountDownLatch ended = stop();
-        // The loop takes its tasks in turn: this one runs behind the stop.
+        // The event loop runs its tasks in order: this one runs after the stop has begun.
         loop.submit(() -> {}).get(10, TimeUnit.SECONDS);
         return ended;
     }
@@ -156,7 +156,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5, TimeUnit.SECONDS);
     }
 
-    /** What the sidecar has logged; wakes those that wait for a line. */
+    /** The sidecar's log; wakes threads that wait for a line. */
     static final class Log extends ByteArrayOutputStream {
         @Override
         public synchronized void write(byte[] bytes, int offset, int length) {
@@ -174,7 +174,7 @@
         }
     }
 
-    /** A client's connection. */
+    /** A client connection. */
     static final class Client implements AutoCloseable {
         private static int ids;
         final Socket socket;
--- a/src/test/java/org/cypressweir/sidecar/LargeMessagesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeMessagesTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages that are not kept whole, or only within a budget. */
+/** Large messages, which are streamed or buffered within a budget. */
 @Timeout(60)
 class LargeMessagesTest {
 
@@ -46,7 +46,7 @@
     Path folder;
 
     private PeerStub server;
-    private PeerStub other;
+    private PeerStub secondServer;
     private Harness harness;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -54,7 +54,7 @@
     @BeforeEach
     void start() throws Exception {
         server = new PeerStub(PeerStub.SILENT);
-        other = new PeerStub(PeerStub.SILENT);
+        secondServer = new PeerStub(PeerStub.SILENT);
         harness = new Harness(folder, server).start();
     }
 
@@ -62,7 +62,7 @@
     void end() throws Exception {
         harness.close();
         server.close();
-        other.close();
+        secondServer.close();
     }
 
     private static byte[] bytes(int count) {
@@ -71,7 +71,7 @@
         return bytes;
     }
 
-    private HttpRequest.Builder ask(String path) {
+    private HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + harness.address.getPort() + path))
                 .header("Request-Id", Harness.Client.id())
                 .header("Tenant", "acme")
@@ -83,44 +83,45 @@
         return "HTTP/1.1 200 OK\r\nServer-Load: TEXT cpu=0.5\r\n" + more + "\r\n";
     }
 
-    /** An answer in one of the ways that bound it, in parts of odd lengths. */
-    private static void answer(PeerStub.Seen seen, String how, byte[] body, int count) throws IOException {
+    /** Sends a response in one of the framings, in chunks of odd lengths. */
+    private static void answer(PeerStub.Seen seen, String framing, byte[] body, int count) throws IOException {
         OutputStream out = seen.socket().getOutputStream();
         seen.raw(head(
-                switch (how) {
+                switch (framing) {
                     case "length" -> "Content-Length: " + body.length + "\r\n";
                     case "chunked" -> "Transfer-Encoding: chunked\r\n";
                     default -> "Connection: close\r\n";
                 }));
         for (int at = 0; at < count; ) {
             int part = Math.min(count - at, 40_009);
-            if (how.equals("chunked")) {
+            if (framing.equals("chunked")) {
                 seen.raw(Integer.toHexString(part) + ";of=it\r\n");
             }
             out.write(body, at, part);
             at += part;
-            if (how.equals("chunked")) {
+            if (framing.equals("chunked")) {
                 seen.raw("\r\n");
             }
         }
-        if (count == body.length && how.equals("chunked")) {
+        if (count == body.length && framing.equals("chunked")) {
             seen.raw("0\r\nTrailing: yes\r\n\r\n");
         }
         if (count < body.length) {
             seen.socket().setSoLinger(true, 0);
         }
-        if (count < body.length || how.equals("close")) {
+        if (count < body.length || framing.equals("close")) {
             seen.socket().close();
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked", "close"})
-    void aLargeAnswerComesAsItWasInWhateverForm(String how) throws Exception {
+    void largeResponseIsForwardedUnchangedInAnyFraming(String framing) throws Exception {
         byte[] body = bytes(LARGE);
-        server.script(seen -> answer(seen, how, body, body.length));
+        server.script(seen -> answer(seen, framing, body, body.length));
         for (int i = 0; i < 2; i++) {
-            HttpResponse<byte[]> got = client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray());
+            HttpResponse<byte[]> got =
+                    client.send(request("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray());
             assertEquals(200, got.statusCode());
             assertArrayEquals(body, got.body());
             assertTrue(got.headers().firstValue("Server-Load").isEmpty());
@@ -129,9 +130,9 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked", "close"})
-    void anOlderClientSeesTheEndOfTheConnection(String how) throws Exception {
+    void http10ClientSeesTheEndOfTheConnection(String framing) throws Exception {
         byte[] body = bytes(LARGE);
-        server.script(seen -> answer(seen, how, body, body.length));
+        server.script(seen -> answer(seen, framing, body, body.length));
         Harness.Client old = harness.client()
                 .raw(Harness.Client.head("GET", "/search/k", 20_000, "", 0).replace("HTTP/1.1", "HTTP/1.0"));
         byte[] all = old.socket.getInputStream().readAllBytes();
@@ -142,41 +143,44 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked", "close"})
-    void anAnswerThatBreaksOffIsNotTakenForWhole(String how) throws Exception {
+    void truncatedResponseIsNotTakenForComplete(String framing) throws Exception {
         byte[] body = bytes(LARGE);
-        server.script(seen -> answer(seen, how, body, LARGE / 2));
+        server.script(seen -> answer(seen, framing, body, LARGE / 2));
         assertThrows(
                 IOException.class,
-                () -> client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray()));
+                () -> client.send(request("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray()));
         server.script(PeerStub.serves("next"));
         assertEquals(
                 "next",
-                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofString())
+                client.send(request("/search/k1").build(), HttpResponse.BodyHandlers.ofString())
                         .body());
     }
 
-    /** Small ones are kept until they are whole, and may be cut short without the end of a connection. */
+    /**
+     * Small responses are buffered until complete, so an incomplete one can be rejected without closing the client
+     * connection.
+     */
     @Test
-    void aSmallAnswerWithoutBoundsIsWholeOnlyWithAnOrderlyEnd() throws Exception {
+    void smallResponseEndedByAResetIsRejected() throws Exception {
         server.script(seen -> answer(seen, "close", bytes(100), 100));
         assertArrayEquals(
                 bytes(100),
-                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray())
+                client.send(request("/search/k1").build(), HttpResponse.BodyHandlers.ofByteArray())
                         .body());
         server.script(seen -> answer(seen, "close", bytes(100), 50));
         assertEquals(
                 502,
                 client.send(
-                                ask("/book/k1")
+                                request("/book/k1")
                                         .POST(HttpRequest.BodyPublishers.ofString("x"))
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString())
                         .statusCode());
     }
 
-    /** The first bytes are there while the server still gives the rest. */
+    /** The first bytes reach the client while the server still sends the rest. */
     @Test
-    void whatHasComeIsPassedOnAtOnce() throws Exception {
+    void partialResponseIsForwardedAtOnce() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         byte[] body = bytes(LARGE);
         server.script(s -> {
@@ -190,15 +194,15 @@
             s.socket().getOutputStream().write(body, 1_000, LARGE - 1_000);
         });
         HttpResponse<InputStream> got =
-                client.send(ask("/search/k1").build(), HttpResponse.BodyHandlers.ofInputStream());
+                client.send(request("/search/k1").build(), HttpResponse.BodyHandlers.ofInputStream());
         assertArrayEquals(Arrays.copyOf(body, 1_000), got.body().readNBytes(1_000));
         seen.countDown();
         assertArrayEquals(Arrays.copyOfRange(body, 1_000, LARGE), got.body().readAllBytes());
     }
 
-    /** A server is not read faster than a client takes; what waits in between stays small. */
+    /** A server is not read faster than the client reads; the bytes buffered in between stay few. */
     @Test
-    void manySlowReadersCostLittleMemory() throws Exception {
+    void slowReadersUseLittleMemory() throws Exception {
         byte[] body = bytes(32 * 1024 * 1024);
         server.script(seen -> answer(seen, "length", body, body.length));
         List<Harness.Client> readers = new ArrayList<>();
@@ -210,8 +214,9 @@
                     "HTTP/1.1 200 OK",
                     new String(reader.socket.getInputStream().readNBytes(15), StandardCharsets.US_ASCII));
         }
-        long waiting = harness.loop.submit(() -> harness.sidecar.waitingBytes()).get();
-        assertTrue(waiting < 24 * 64 * 1024, waiting + " bytes wait");
+        long pendingBytes =
+                harness.loop.submit(() -> harness.sidecar.pendingWriteBytes()).get();
+        assertTrue(pendingBytes < 24 * 64 * 1024, pendingBytes + " bytes wait");
         for (Harness.Client reader : readers.subList(1, 24)) {
             reader.close();
         }
@@ -226,29 +231,31 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked", "expect"})
-    void aLargeRequestIsKeptAndMayGoOutAgain(String how) throws Exception {
+    void largeRequestIsBufferedAndRetried(String framing) throws Exception {
         byte[] body = bytes(LARGE);
         harness.loop.submit(() -> harness.sidecar.listed(list())).get();
-        AtomicBoolean turnedAway = new AtomicBoolean();
+        AtomicBoolean rejectedOnce = new AtomicBoolean();
         PeerStub.Script once =
-                seen -> seen.reply(turnedAway.getAndSet(true) ? "200 OK" : "503 Full", "Not-Started: 1\r\n", "");
+                seen -> seen.reply(rejectedOnce.getAndSet(true) ? "200 OK" : "503 Full", "Not-Started: 1\r\n", "");
         server.script(once);
-        other.script(once);
+        secondServer.script(once);
         HttpRequest.BodyPublisher publisher = HttpRequest.BodyPublishers.ofByteArray(body);
-        HttpRequest.Builder ask = ask("/book/k1")
-                .POST(how.equals("chunked") ? HttpRequest.BodyPublishers.fromPublisher(publisher) : publisher);
+        HttpRequest.Builder request = request("/book/k1")
+                .POST(framing.equals("chunked") ? HttpRequest.BodyPublishers.fromPublisher(publisher) : publisher);
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
-                how.equals("expect") ? ask.expectContinue(true).build() : ask.build(),
+                framing.equals("expect") ? request.expectContinue(true).build() : request.build(),
                 HttpResponse.BodyHandlers.ofString());
         assertEquals(200, answer.get(30, TimeUnit.SECONDS).statusCode());
         assertArrayEquals(body, received(server.take().request()));
-        assertArrayEquals(body, received(other.take().request()));
-        assertEquals(0, harness.loop.submit(() -> harness.sidecar.keptBytes()).get());
+        assertArrayEquals(body, received(secondServer.take().request()));
+        assertEquals(
+                0,
+                harness.loop.submit(() -> harness.sidecar.largeRequestBytes()).get());
     }
 
     private ServerList list() {
         ServerList.Entry first = entry(server);
-        return new ServerList(2, true, List.of(first, entry(other)));
+        return new ServerList(2, true, List.of(first, entry(secondServer)));
     }
 
     private static ServerList.Entry entry(PeerStub stub) {
@@ -256,15 +263,18 @@
                 new Server(stub.port(), 0, 0, 0, Phase.READY, 0, 1), new InetSocketAddress("127.0.0.1", stub.port()));
     }
 
-    /** More than there is room for at once: some are refused, which is true, and the others served. */
+    /**
+     * More than fits in the buffer budget: some are rejected without having reached a server, and the others are
+     * served.
+     */
     @Test
-    void largeRequestsShareTheRoom() throws Exception {
+    void largeRequestsShareTheBufferBudget() throws Exception {
         server.script(PeerStub.serves("ok"));
         byte[] body = bytes(20 * 1024 * 1024);
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             answers.add(client.sendAsync(
-                    ask("/book/k1")
+                    request("/book/k1")
                             .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                             .build(),
                     HttpResponse.BodyHandlers.ofString()));
@@ -280,18 +290,20 @@
         for (int i = 0; i < served; i++) {
             assertArrayEquals(body, received(server.take().request()));
         }
-        assertEquals(0, harness.loop.submit(() -> harness.sidecar.keptBytes()).get());
+        assertEquals(
+                0,
+                harness.loop.submit(() -> harness.sidecar.largeRequestBytes()).get());
     }
 
     @Test
-    void whatLeavesBeforeItIsWholeGivesItsRoomBack() throws Exception {
+    void disconnectDuringALargeRequestReleasesItsBuffer() throws Exception {
         Harness.Client half = harness.client()
                 .raw(Harness.Client.head("POST", "/book/k", 5_000, "", 20 * 1024 * 1024) + "x".repeat(100_000));
-        while (harness.loop.submit(() -> harness.sidecar.keptBytes()).get() == 0) {
+        while (harness.loop.submit(() -> harness.sidecar.largeRequestBytes()).get() == 0) {
             Thread.onSpinWait();
         }
         half.close();
-        while (harness.loop.submit(() -> harness.sidecar.keptBytes()).get() != 0) {
+        while (harness.loop.submit(() -> harness.sidecar.largeRequestBytes()).get() != 0) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/org/cypressweir/sidecar/Loopback.java
+++ b/src/test/java/org/cypressweir/sidecar/Loopback.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What tests between real sockets share: a folder, scripted servers, and an end to all that they opened. */
+/** Base class of tests with real sockets: a folder, scripted servers, and the cleanup of everything they opened. */
 abstract class Loopback {
 
     @TempDir
--- a/src/test/java/org/cypressweir/sidecar/PluginLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/PluginLoopbackTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plug-ins between real sockets: what they change, and that no hostile one breaks a rule. */
+/** Plug-ins with real sockets: the changes they make, and that no hostile plug-in breaks a rule. */
 @Timeout(60)
 class PluginLoopbackTest extends Loopback {
 
-    private static final String REFUSES = "refuse = true\non_failure = \"closed\"\ndeadline = \"1s\"\n";
+    private static final String REJECT_OPTIONS = "refuse = true\non_failure = \"closed\"\ndeadline = \"1s\"\n";
 
     private Harness harness;
 
@@ -71,9 +71,9 @@
         harness.startWith(file(plugins, servers));
     }
 
-    /** A class that is made stricter holds for all: method, key, and that nothing is sent again. */
+    /** A stricter class applies fully: method, idempotency key, and no retries. */
     @Test
-    void aRequestIsMarkedFromItsPath() throws Exception {
+    void pluginSetsTheRequestClassFromThePath() throws Exception {
         PeerStub one = server(PeerStub.HANG_UP);
         PeerStub two = server(PeerStub.HANG_UP);
         String book = "config = { class = \"book\" }\ndeadline = \"1s\"\n";
@@ -87,15 +87,15 @@
         assertEquals(0, one.seen.size() + two.seen.size());
         String post = Harness.Client.head("POST", "/pay/7", 2_000, "", 1) + "x";
         assertEquals(502, harness.client().raw(post).answer().status());
-        assertEquals(1, one.seen.size() + two.seen.size(), "what must never run twice was sent again");
-        // As it is without being granted: a search, which may.
+        assertEquals(1, one.seen.size() + two.seen.size(), "a request that must not run twice was retried");
+        // Without the grant the request stays a search, which may be retried.
         harness.reload(file(plugin("mark-pay", book), one, two));
         harness.client().raw(Harness.Client.head("GET", "/pay/7", 2_000, "", 0)).answer();
-        assertTrue(one.seen.size() + two.seen.size() > 2, "a search was not tried again");
+        assertTrue(one.seen.size() + two.seen.size() > 2, "a search was not retried");
     }
 
     @Test
-    void aHeaderIsAddedForTheServersLog() throws Exception {
+    void pluginAddsAHeader() throws Exception {
         PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("log-header", "headers = [\"X-Log-Client\"]\n"), one);
         String get = Harness.Client.head("GET", "/search/7", 2_000, "User-Agent: planner 3\r\n", 0);
@@ -104,9 +104,9 @@
     }
 
     @Test
-    void aRefusalIsHeardAtOnce() throws Exception {
+    void rejectionByAPluginIsImmediate() throws Exception {
         PeerStub one = server(PeerStub.serves("ok"));
-        sidecar(plugin("refuse", REFUSES), one);
+        sidecar(plugin("refuse", REJECT_OPTIONS), one);
         Harness.Client client = harness.client();
         for (int i = 0; i < 3; i++) {
             RawHttpClient.Message answer = client.search(2_000).answer();
@@ -116,22 +116,22 @@
         assertTrue(one.seen.isEmpty());
     }
 
-    /** The way round the rule that there might be: a book that is taken for a search could be sent twice. */
+    /** A plug-in must not bypass the retry rule: a booking treated as a search could be sent twice. */
     @Test
-    void aBookStaysABook() throws Exception {
+    void pluginCannotWeakenARequestClassWithoutAGrant() throws Exception {
         PeerStub one = server(PeerStub.HANG_UP);
         PeerStub two = server(PeerStub.HANG_UP);
         sidecar(plugin("weaken", "classes = [\"search\"]\n"), one, two);
         RawHttpClient.Message answer = harness.client().book("x", 2_000).answer();
         assertTrue(answer.status() == 502 || answer.status() == 504, "status " + answer.status());
-        assertEquals(1, one.seen.size() + two.seen.size(), "it was sent again");
+        assertEquals(1, one.seen.size() + two.seen.size(), "the booking was retried");
         harness.log.await("may not make");
     }
 
-    /** Under steady load with each of them: one answer each, in time, and no book runs twice. */
+    /** Under steady load with each hostile plug-in: one response per request, in time, and no booking runs twice. */
     @ParameterizedTest
     @ValueSource(strings = {"loop", "grow", "recurse", "trap-second", "chatter", "pointers", "injection", "weaken"})
-    void aHostilePluginBreaksNoRule(String module) throws Exception {
+    void hostilePluginBreaksNoRule(String module) throws Exception {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
         PeerStub.Script script = seen -> {
             runs.merge(seen.request().headers().get("Request-Id"), 1, Integer::sum);
@@ -165,14 +165,14 @@
             assertEquals(60, client.get(30, TimeUnit.SECONDS));
         }
         assertEquals(240, runs.size());
-        assertTrue(runs.values().stream().allMatch(n -> n == 1), "a book ran twice");
+        assertTrue(runs.values().stream().allMatch(n -> n == 1), "a booking ran twice");
         if (List.of("loop", "recurse", "chatter").contains(module)) {
             harness.log.await("plug-in " + module + " is left out for");
         }
     }
 
     @Test
-    void failClosedRefusesAndFailOpenGoesOn() throws Exception {
+    void failClosedRejectsAndFailOpenContinues() throws Exception {
         PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("loop", "on_failure = \"closed\"\ndeadline = \"20ms\"\n"), one);
         for (int i = 0; i < 8; i++) {
@@ -187,21 +187,21 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"start-loop", "foreign-import", "old-abi", "no-hook", "many-pages"})
-    void aBadReloadLeavesTheOldInPlace(String module) throws Exception {
+    void failedReloadKeepsTheOldPlugins(String module) throws Exception {
         PeerStub one = server(PeerStub.serves("ok"));
-        sidecar(plugin("refuse", REFUSES), one);
+        sidecar(plugin("refuse", REJECT_OPTIONS), one);
         harness.reload(file(plugin(module, ""), one));
         harness.log.await("plug-in '" + module + "'");
         harness.log.await("the old configuration stays");
         RawHttpClient.Message answer = harness.client().search(2_000).answer();
         assertEquals(503, answer.status());
-        // The plug-in's own advice, not that of one that could not be asked.
+        // The Retry-After of the plug-in itself, not that of a plug-in that failed.
         assertEquals("1.5", answer.headers().get("Retry-After"));
     }
 
-    /** A reload every so often under load: nothing is lost, and each request meets the old or the new. */
+    /** Frequent reloads under load: no request is lost, and each is evaluated by the old or the new plug-ins. */
     @Test
-    void reloadsLoseNothing() throws Exception {
+    void reloadsLoseNoRequests() throws Exception {
         PeerStub one = server(seen -> seen.reply("200 OK", "", seen.request().body()));
         String grant = "headers = [\"X-Log-Client\"]\ndeadline = \"1s\"\n";
         String first = file(plugin("log-header", grant), one);
@@ -247,16 +247,16 @@
                 one.seen.stream().allMatch(s -> "u".equals(s.request().headers().get("X-Log-Client"))));
     }
 
-    /** No way round a plug-in: an upgrade is asked about like any request, and what comes behind it waits. */
+    /** Upgrades are evaluated by plug-ins like any request, and the bytes after them wait meanwhile. */
     @Test
-    void upgradesAreAskedAboutToo() throws Exception {
+    void pluginsAlsoEvaluateUpgrades() throws Exception {
         AtomicInteger tunnels = new AtomicInteger();
         PeerStub one = server(TunnelLoopback.chat(tunnels));
         String socket = "[routes.search.websocket]\n";
         String head = TunnelLoopback.UPGRADE + TunnelLoopback.CHAT + "User-Agent: planner\r\n";
         harness = new Harness(folder);
         open.add(harness);
-        harness.startWith(file(plugin("refuse", REFUSES), one) + socket);
+        harness.startWith(file(plugin("refuse", REJECT_OPTIONS), one) + socket);
         RawHttpClient.Message refused = harness.client()
                 .raw(Harness.Client.head("GET", "/search/1", 2_000, head, 0))
                 .answer();
@@ -268,14 +268,14 @@
         WebSocketClient ws = new WebSocketClient(client.socket, true);
         assertEquals("hello", ws.text("hello").message().text());
         assertEquals("planner", one.take().request().headers().get("X-Log-Client"));
-        // A route without WebSocket answers it as a plain request.
+        // A route without WebSocket handles it as a plain request.
         String book = Harness.Client.head("POST", "/book/1", 2_000, head, 1) + "x";
         assertEquals(200, harness.client().raw(book).answer().status());
     }
 
-    /** A client that leaves and a SIGTERM while a plug-in still has the request. */
+    /** A client disconnects and the sidecar stops while a plug-in is still evaluating the request. */
     @Test
-    void leavingAndEndingWhileAPluginIsAsked() throws Exception {
+    void disconnectAndShutdownDuringAPluginInvocation() throws Exception {
         PeerStub one = server(PeerStub.serves("ok"));
         sidecar(plugin("loop", "deadline = \"300ms\"\n"), one);
         Harness.Client gone = harness.client().book("gone", 2_000);
--- a/src/test/java/org/cypressweir/sidecar/ProcessTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as the platform runs it. */
+/** The program as a separate process. */
 @Timeout(60)
 class ProcessTest {
 
@@ -46,7 +46,7 @@
         return builder;
     }
 
-    /** A client begins to send once the program says that it is ready. */
+    /** Connects once the program reports that it is ready. */
     private static Harness.Client connect(InetSocketAddress address, Process process) throws Exception {
         while (true) {
             try {
@@ -59,7 +59,7 @@
                 }
                 client.close();
             } catch (IOException | AssertionError e) {
-                // Not listening yet, or closed with the rehearsal.
+                // Not listening yet, or closed at the end of the warm-up.
             }
             assertTrue(process.isAlive(), "the program ended");
             process.waitFor(20, TimeUnit.MILLISECONDS);
@@ -67,18 +67,18 @@
     }
 
     @Test
-    void terminationAnswersWhatIsInHandAndExitsWithZero() throws Exception {
-        InetSocketAddress address = free();
+    void terminationCompletesRequestsInFlightAndExitsWithZero() throws Exception {
+        InetSocketAddress address = freeAddress();
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             Process process =
                     program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try (Harness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
-                PeerStub.Seen held = server.take();
+                PeerStub.Seen pending = server.take();
                 process.destroy();
-                assertTrue(!process.waitFor(600, TimeUnit.MILLISECONDS), "ended with a request in hand");
-                held.reply("200 OK", "", "done");
+                assertTrue(!process.waitFor(600, TimeUnit.MILLISECONDS), "ended with a request in flight");
+                pending.reply("200 OK", "", "done");
                 assertEquals("done", client.answer().body());
                 client.assertClosed();
                 assertTrue(process.waitFor(10, TimeUnit.SECONDS));
@@ -89,10 +89,10 @@
         }
     }
 
-    /** What is off costs nothing: no class of it is loaded, neither at the start nor by a request. */
+    /** No class of a disabled feature is loaded, neither at startup nor by a request. */
     @Test
-    void whatIsOffIsNotLoaded() throws Exception {
-        InetSocketAddress address = free();
+    void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
+        InetSocketAddress address = freeAddress();
         Path loaded = folder.resolve("loaded.txt");
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, server)) {
@@ -113,8 +113,8 @@
                 .toList();
         assertTrue(
                 own.stream().anyMatch(l -> l.contains("org.cypressweir.loadbalancing.SubsetLoadBalancer ")),
-                "the log is not what it was");
-        for (String off : List.of(
+                "the class loading log has another format");
+        for (String disabled : List.of(
                 "sidecar.cell",
                 "sidecar.fleetlimits",
                 "sidecar.plugin",
@@ -126,7 +126,7 @@
                 "fleet.membership",
                 "fleet.transport",
                 "fleet.lease")) {
-            String name = "org.cypressweir." + off;
+            String name = "org.cypressweir." + disabled;
             assertTrue(Files.isDirectory(Path.of("src/main/java", name.split("\\."))), name);
             assertEquals(
                     List.of(),
@@ -137,20 +137,20 @@
         }
     }
 
-    /** By when so many signals, one after the other, are taken over or given up by the program itself. */
-    private static long untilReloaded(int signals) {
+    /** The time by which this many successive reloads have succeeded or timed out. */
+    private static long reloadDeadline(int signals) {
         return System.nanoTime() + TimeUnit.SECONDS.toNanos(signals * ConfigurationReloader.RELOAD_SECONDS);
     }
 
-    private static void assertGoesOn(Process process, long end, String missing) {
+    private static void assertRunningBefore(Process process, long end, String missing) {
         assertTrue(process.isAlive(), "the program ended");
         assertTrue(
                 System.nanoTime() < end,
-                () -> missing + " was not taken over after SIGHUP"
+                () -> missing + " was not applied after SIGHUP"
                         + (ReloadSignal.isIgnored() ? ", which is ignored here and by what is started here" : ""));
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendHangup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid())
@@ -158,10 +158,13 @@
                         .waitFor());
     }
 
-    /** SIGHUP: the file's discovery goes before the environment's, and a wrong file changes nothing. */
+    /**
+     * On SIGHUP the discovery address of the file takes precedence over the environment's, and an invalid file changes
+     * nothing.
+     */
     @Test
-    void hangupGoesOverToTheNewDiscovery() throws Exception {
-        InetSocketAddress address = free();
+    void hangupSwitchesToTheNewDiscoveryAddress() throws Exception {
+        InetSocketAddress address = freeAddress();
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 PeerStub next = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
@@ -172,21 +175,20 @@
                 harness.discovery.take();
                 String text = Files.readString(harness.file);
                 Files.writeString(harness.file, text.substring(0, text.length() / 2));
-                hangUp(process);
+                sendHangup(process);
                 assertEquals(200, client.search(2_000).answer().status());
                 Files.writeString(harness.file, text.replace(":" + harness.discovery.port(), ":" + next.port()));
-                hangUp(process);
+                sendHangup(process);
                 PeerStub.Seen asked = next.take();
                 assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
                 harness.discovery.awaitEnd();
-                // Until the new one has spoken the old list holds.
+                // The old list stays in force until the new discovery has responded.
                 assertEquals(200, client.search(2_000).answer().status());
                 asked.reply("200 OK", "", Harness.json(Harness.list(7, true, "terminating", server)));
                 assertTrue(next.take().request().first().contains("from=7&"));
                 assertEquals(503, client.search(2_000).answer().status());
-                // And back again.
                 Files.writeString(harness.file, text);
-                hangUp(process);
+                sendHangup(process);
                 assertEquals(
                         "GET /v1/servers HTTP/1.1",
                         harness.discovery.take().request().first());
@@ -197,35 +199,36 @@
     }
 
     /**
-     * Started with SIGHUP ignored, as {@code nohup} does, the runtime never hears of one: classes that came
-     * with it would be 400 for good. That is told; a start by way of env takes the signal back.
+     * If the process starts with SIGHUP ignored, as under {@code nohup}, the runtime never receives the signal, and
+     * classes added by a reload would be rejected with 400 forever. The sidecar logs this; a start through {@code env}
+     * restores the signal.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anIgnoredHangupIsTakenBackOrTold(boolean takenBack) throws Exception {
-        InetSocketAddress address = free();
+    void ignoredHangupIsRestoredOrLogged(boolean restored) throws Exception {
+        InetSocketAddress address = freeAddress();
         Path log = folder.resolve("log");
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, server)) {
             ProcessBuilder program = program(harness.file, "127.0.0.1:" + address.getPort());
             program.redirectOutput(log.toFile());
             program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-            if (takenBack) {
+            if (restored) {
                 program.command().addAll(4, List.of("env", "--default-signal=HUP"));
             }
             Process process = program.start();
             try (Harness.Client client = connect(address, process)) {
-                assertEquals(!takenBack, Files.readString(log).contains("SIGHUP is ignored"));
+                assertEquals(!restored, Files.readString(log).contains("SIGHUP is ignored"));
                 Files.writeString(harness.file, Files.readString(harness.file).replace("search", "look"));
-                hangUp(process);
-                if (takenBack) {
+                sendHangup(process);
+                if (restored) {
                     Harness.Client asking = client;
-                    long end = untilReloaded(1);
+                    long end = reloadDeadline(1);
                     while (asking.raw(Harness.Client.head("GET", "/look/k1", 2_000, "", 0))
                                     .answer()
                                     .status()
                             != 200) {
-                        assertGoesOn(process, end, "the settings' new class");
+                        assertRunningBefore(process, end, "the settings' new class");
                         asking = new Harness.Client(address);
                     }
                 } else {
@@ -237,16 +240,16 @@
         }
     }
 
-    private static InetSocketAddress free() throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return new InetSocketAddress("127.0.0.1", free.getLocalPort());
+    private static InetSocketAddress freeAddress() throws IOException {
+        try (ServerSocket freeAddress = new ServerSocket(0)) {
+            return new InetSocketAddress("127.0.0.1", freeAddress.getLocalPort());
         }
     }
 
-    /** The program with an operators' file: SIGHUP takes a new one over, a bad one changes nothing. */
+    /** With an operators' file: SIGHUP applies a new one, and an invalid one changes nothing. */
     @Test
-    void hangupTakesOverTheOperatorsFile() throws Exception {
-        InetSocketAddress address = free();
+    void hangupReloadsTheOperatorsFile() throws Exception {
+        InetSocketAddress address = freeAddress();
         try (PeerStub one = new PeerStub(PeerStub.serves("one"));
                 PeerStub two = new PeerStub(PeerStub.serves("two"));
                 Harness harness = new Harness(folder)) {
@@ -257,14 +260,14 @@
             try (Harness.Client client = connect(address, process)) {
                 assertEquals("one", client.search(2_000).answer().body());
                 Files.writeString(file, operators(two, "attempts = 99\n"));
-                hangUp(process);
+                sendHangup(process);
                 assertEquals("one", client.search(2_000).answer().body());
                 Files.writeString(file, operators(two, ""));
-                hangUp(process);
-                long end = untilReloaded(2);
+                sendHangup(process);
+                long end = reloadDeadline(2);
                 for (String body = ""; !body.equals("two"); ) {
                     body = client.search(2_000).answer().body();
-                    assertGoesOn(process, end, "the operators' file with the second server");
+                    assertRunningBefore(process, end, "the operators' file with the second server");
                 }
                 process.destroy();
                 assertTrue(process.waitFor(10, TimeUnit.SECONDS));
@@ -282,7 +285,7 @@
     }
 
     @Test
-    void aBadOperatorsFileEndsTheStart() throws Exception {
+    void invalidOperatorsFilePreventsStartup() throws Exception {
         try (PeerStub server = new PeerStub(PeerStub.SILENT);
                 Harness harness = new Harness(folder, server)) {
             Path file = folder.resolve("operators.toml");
@@ -315,14 +318,14 @@
                 "{'name':'n','seed':'1','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','known':{'rev':1},"
                         + "'settings':{}} | a list without",
             })
-    void badConfigurationIsOnePlainLine(String text, String message) throws Exception {
+    void invalidConfigurationIsReportedInOneLine(String text, String message) throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(file, Harness.json(text.equals("''") ? "" : text));
         assertOneLine(Map.of("LB_CONFIG", file.toString()), message);
     }
 
     @Test
-    void missingConfigurationIsOnePlainLine() {
+    void missingConfigurationIsReportedInOneLine() {
         assertOneLine(Map.of(), "LB_CONFIG");
         assertOneLine(Map.of("LB_CONFIG", folder.resolve("none").toString()), "none");
     }
--- a/src/test/java/org/cypressweir/sidecar/RoughClientTest.java
+++ b/src/test/java/org/cypressweir/sidecar/RoughClientTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Servers that say more than was asked, and clients that say what can't be meant. */
+/** Servers that send more than was asked for, and clients that send invalid input. */
 @Timeout(60)
 class RoughClientTest extends Loopback {
 
-    private static final String COPY = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
     private Harness sidecar(PeerStub... servers) throws Exception {
         Harness harness = new Harness(folder, servers);
@@ -28,13 +28,13 @@
         return harness.start();
     }
 
-    /** Sends a request again as soon as the first has an answer, from inside that very event. */
-    private static final class Chaining extends QuietModule {
+    /** Sends the second request from within the event that completes the first. */
+    private static final class ChainedSends extends QuietModule {
         private final Actions actions;
-        private final List<String> held = new ArrayList<>();
+        private final List<String> requestIds = new ArrayList<>();
         private long server;
 
-        Chaining(Actions actions) {
+        ChainedSends(Actions actions) {
             this.actions = actions;
         }
 
@@ -47,41 +47,41 @@
 
         @Override
         public void request(long nowMicros, LoadBalancer.Request request) {
-            held.add(request.id());
-            if (held.size() == 1) {
+            requestIds.add(request.id());
+            if (requestIds.size() == 1) {
                 actions.send(request.id(), server, 0);
             }
         }
 
         @Override
         public void outcome(long nowMicros, LoadBalancer.Outcome outcome) {
-            if (held.size() == 2 && outcome.requestId().equals(held.get(0))) {
-                actions.send(held.get(1), server, 0);
+            if (requestIds.size() == 2 && outcome.requestId().equals(requestIds.get(0))) {
+                actions.send(requestIds.get(1), server, 0);
             }
         }
     }
 
-    /** A second copy or noise right behind an answer was taken for the answer to the next request. */
+    /** A duplicate or garbage directly after a response was taken for the response to the next request. */
     @ParameterizedTest
-    @ValueSource(strings = {COPY + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
-    void whatComesBehindAnAnswerIsNoAnswer(String behind) throws Exception {
+    @ValueSource(strings = {RESPONSE + "copy", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
+    void bytesAfterAResponseAreNotTakenForAnotherResponse(String trailing) throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         Harness harness = new Harness(folder, server);
         open.add(harness);
-        harness.start((settings, actions) -> new Chaining(actions));
+        harness.start((settings, actions) -> new ChainedSends(actions));
         Harness.Client first = harness.client().search(5_000);
         PeerStub.Seen one = server.take();
         Harness.Client second = harness.client().search(5_000);
-        // Rejected once the one before it has been taken, since they are read in turn.
+        // Connections are read in order, so this rejection shows that the previous request was read.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
-        one.raw(COPY + "mine" + behind);
+        one.raw(RESPONSE + "mine" + trailing);
         assertEquals("mine", first.answer().body());
         server.take().reply("200 OK", "", "other");
         assertEquals("other", second.answer().body());
     }
 
     @Test
-    void byteOnAnIdleConnectionEndsIt() throws Exception {
+    void byteOnAnIdleServerConnectionClosesIt() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         assertEquals(200, sidecar(server).client().search(2_000).answer().status());
         server.take().raw("x");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void answersAheadAreNotTheAnswer() throws Exception {
+    void informationalResponsesAreSkipped() throws Exception {
         PeerStub server = server(seen -> {
             seen.raw("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 102 On it\r\n\r\n");
             seen.reply("200 OK", "Server-Load: {\r\nServer-Load: TEXT cpu=0.5\r\n", "ok");
@@ -97,7 +97,7 @@
         assertEquals("ok", sidecar(server).client().book("x", 2_000).answer().body());
     }
 
-    /** Nothing of these reaches a server: the end of such a request is not where it says. */
+    /** No part of these requests reaches a server: their real end differs from the declared one. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -115,7 +115,7 @@
                 "Transfer-Encoding: identity\r\n\r\n",
                 "no colon\r\n\r\n",
             })
-    void requestWithoutAClearEndIsRejected(String rest) throws Exception {
+    void ambiguouslyFramedRequestIsRejected(String rest) throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness.Client client = sidecar(server).client();
         String head = Harness.Client.head("POST", "/book/k1", 2_000, "", 0);
@@ -125,9 +125,9 @@
         assertTrue(server.seen.isEmpty());
     }
 
-    /** The same for what comes while the request is in hand: its server is told to stop. */
+    /** Further bytes while the request is in flight reject it, and its attempt is cancelled. */
     @Test
-    void bytesBehindARequestInHandRejectIt() throws Exception {
+    void bytesAfterARequestInFlightRejectIt() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         Harness.Client client = sidecar(server).client().search(2_000);
         server.take();
@@ -144,7 +144,7 @@
                 "GET /search/k HTTP/1.1\r\nHost: a\r\n",
                 "POST /book/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             })
-    void clientThatDoesNotSendAWholeRequestIsCutOff(String part) throws Exception {
+    void incompleteRequestTimesOut(String part) throws Exception {
         Harness.Client client = sidecar(server(PeerStub.SILENT)).client().raw(part);
         long since = System.nanoTime();
         if (!part.isEmpty()) {
@@ -154,9 +154,9 @@
         assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) < 4_500);
     }
 
-    /** The answer was lost to a reset where the connection was closed with bytes of the body unread. */
+    /** The response was lost to a reset when the connection was closed with bytes of the body unread. */
     @Test
-    void clientThatSendsFarTooMuchCanReadItsRejection() throws Exception {
+    void clientThatSendsTooMuchCanReadItsRejection() throws Exception {
         Harness.Client client = sidecar(server(PeerStub.SILENT)).client();
         client.raw(Harness.Client.head("POST", "/book/k1", 2_000, "", 32 * 1024 * 1024 + 1));
         byte[] some = new byte[1024 * 1024];
@@ -167,9 +167,9 @@
         client.assertClosed();
     }
 
-    /** Silent clients filled the bound, and nothing made room until one of them left by itself. */
+    /** Silent clients used up the connection limit, and no room was made until one of them disconnected. */
     @Test
-    void silentClientsDoNotShutOutOthers() throws Exception {
+    void silentClientsDoNotBlockOthers() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, 250_000, 128, server);
         open.add(harness);
@@ -183,11 +183,11 @@
     }
 
     /**
-     * With one connection accepted in each turn of a slow loop, clients' time ran out in the kernel's queue.
-     * The task is due in each turn, so it counts them, and makes each long enough for the clients to read.
+     * When one connection was accepted per turn of a slow event loop, clients timed out in the kernel's queue. A task
+     * that is due in each turn counts the turns and makes each long enough for the clients to read.
      */
     @Test
-    void clientsDoNotQueueUnseenBehindASlowLoop() throws Exception {
+    void waitingClientsAreAcceptedTogetherOnASlowEventLoop() throws Exception {
         Harness harness = sidecar(server(PeerStub.serves("ok")));
         AtomicInteger turns = new AtomicInteger();
         CountDownLatch connected = new CountDownLatch(1);
@@ -217,9 +217,11 @@
         assertTrue(turns.get() < 40, turns + " turns");
     }
 
-    /** Clients that ask once and stay used up what clients may hold, until the usual idle time was over. */
+    /**
+     * Clients that send one request and keep the connection used up the client limit until the regular idle time-out.
+     */
     @Test
-    void idleClientsPastHalfOfTheBoundAreClosedSoon() throws Exception {
+    void idleClientsAreClosedSoonAboveHalfOfTheLimit() throws Exception {
         Harness harness = new Harness(folder, 250_000, 128, server(PeerStub.serves("ok")));
         open.add(harness);
         harness.start();
@@ -240,7 +242,7 @@
     }
 
     @Test
-    void errorInTheModuleIsAnsweredToo() throws Exception {
+    void errorInTheLoadBalancerIsAnswered() throws Exception {
         Harness harness = new Harness(folder);
         open.add(harness);
         harness.start((settings, actions) -> new QuietModule() {
@@ -254,7 +256,7 @@
     }
 
     @Test
-    void longListIsTaken() throws Exception {
+    void longEndpointListIsAccepted() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder);
         open.add(harness);
--- a/src/test/java/org/cypressweir/sidecar/SidecarConfigurationTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarConfigurationTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the limits that a sidecar is told turn into. */
+/** The connection limits that follow from the configured descriptor limit. */
 class SidecarConfigurationTest {
 
     @TempDir
     Path folder;
 
-    /** Clients may hold a third of the descriptors for requests; each of these may be out at a server. */
+    /** Clients may use a third of the descriptors for requests, each of which may need a server connection. */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
-    void eachRequestOfAThirdOfTheDescriptorsFindsAConnection(int sockets) throws Exception {
+    void aThirdOfTheDescriptorsIsAvailableOnBothSides(int sockets) throws Exception {
         try (Harness harness = new Harness(folder, 250_000, sockets)) {
             SidecarConfiguration config = harness.config();
             assertTrue(config.serverConnections() >= sockets / 3, "servers");
--- a/src/test/java/org/cypressweir/sidecar/SidecarTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The whole sidecar between real sockets. */
+/** The complete sidecar with real sockets. */
 @Timeout(60)
 class SidecarTest extends Loopback {
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void answerIsPassedOnUnchanged() throws Exception {
+    void responseIsForwardedUnchanged() throws Exception {
         PeerStub server = server(
                 PeerStub.answers("200 OK", "Content-Type: text/x\r\nServer-Load: TEXT cpu=0.5\r\n", "\u00ff\0b"));
         RawHttpClient.Message answer =
@@ -45,19 +45,22 @@
         assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.first());
         assertEquals("slot=7", sent.body());
         assertEquals(16, sent.headers().get("Request-Id").length());
-        long told = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
-        assertTrue(told > 1_000 && told < 2_000, "told the server " + told);
+        long timeoutMillis = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
+        assertTrue(timeoutMillis > 1_000 && timeoutMillis < 2_000, "told the server " + timeoutMillis);
     }
 
     @Test
-    void idempotencyKeyGoesOn() throws Exception {
+    void idempotencyKeyIsForwarded() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         String head = Harness.Client.head("POST", "/hold/k1", 2_000, "Idempotency-Key: abc\r\n", 2);
         assertEquals(200, sidecar(server).client().raw(head + "{}").answer().status());
         assertEquals("abc", server.take().request().headers().get("Idempotency-Key"));
     }
 
-    /** Each of these may have run, so an unsafe request fails and is never sent again, by anyone. */
+    /**
+     * After each of these responses the request may have run, so a request that is not idempotent fails and is never
+     * retried.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -80,7 +83,7 @@
                         + "\\r\\n | false",
                 "'' | true",
             })
-    void unsafeThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
+    void nonIdempotentRequestThatMayHaveRunFails(String text, boolean hangUp) throws Exception {
         PeerStub.Script script = seen -> {
             seen.raw(text.strip().replace("\\r", "\r").replace("\\n", "\n"));
             if (hangUp) {
@@ -96,7 +99,7 @@
     }
 
     @Test
-    void unsafeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
+    void nonIdempotentRequestThatWasNotStartedIsRetriedOnAnotherServer() throws Exception {
         for (String status : List.of("503 Full", "504 Over")) {
             PeerStub one = server(PeerStub.answers(status, "Not-Started: 1\r\n", ""));
             PeerStub two = server(PeerStub.answers(status, "Not-Started: 1\r\n", ""));
@@ -116,7 +119,7 @@
     }
 
     @Test
-    void refusedConnectionProvesThatNothingRan() throws Exception {
+    void refusedConnectionIsRetriedOnAnotherServer() throws Exception {
         PeerStub gone = server(PeerStub.SILENT);
         gone.close();
         PeerStub here = server(PeerStub.serves("here"));
@@ -127,7 +130,7 @@
     }
 
     @Test
-    void allServersGoneIsARefusalWithAdvice() throws Exception {
+    void requestIsRejectedWithRetryAfterWhenNoServerIsReachable() throws Exception {
         PeerStub gone = server(PeerStub.SILENT);
         gone.close();
         RawHttpClient.Message answer = sidecar(gone).client().book("x", 300).answer();
@@ -136,7 +139,7 @@
     }
 
     @Test
-    void silenceIsAFailureInTime() throws Exception {
+    void silentServerCausesTimeout() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         long start = System.nanoTime();
         RawHttpClient.Message answer = sidecar(server).client().book("x", 400).answer();
@@ -147,9 +150,9 @@
         server.awaitEnd();
     }
 
-    /** Answers that meet the deadline from both sides: one answer each, and always to its own request. */
+    /** Responses just before and just after the deadline: one response per request, and always the right one. */
     @Test
-    void oneAnswerWhenOutcomesRace() throws Exception {
+    void oneResponsePerRequestWhenOutcomesRace() throws Exception {
         PeerStub server = server(seen -> {
             int late = seen.request().headers().get("Request-Id").hashCode() % 12;
             seen.socket().setTcpNoDelay(true);
@@ -174,7 +177,7 @@
     }
 
     @Test
-    void connectionIsUsedAgain() throws Exception {
+    void serverConnectionIsReused() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness.Client client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
@@ -184,9 +187,9 @@
         assertEquals(1, server.accepted.get());
     }
 
-    /** A server may end an idle connection at any time; what is written to it afterwards would be lost. */
+    /** A server may close an idle connection at any time; a request written to it afterwards would be lost. */
     @Test
-    void idleConnectionThatEndedIsNotUsed() throws Exception {
+    void closedIdleConnectionIsNotReused() throws Exception {
         PeerStub server = server(seen -> seen.reply("200 OK", "", "ok"));
         Harness.Client client = sidecar(server).client();
         assertEquals(200, client.book("x", 2_000).answer().status());
@@ -197,7 +200,7 @@
     }
 
     @Test
-    void clientThatLeavesStopsItsAttempt() throws Exception {
+    void clientDisconnectCancelsItsAttempt() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         Harness.Client client = harness.client().book("x", 30_000);
@@ -236,7 +239,7 @@
     }
 
     @Test
-    void requestIdInHandIsRejected() throws Exception {
+    void duplicateRequestIdInFlightIsRejected() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         String head = Harness.Client.head("GET", "/search/k", 5_000, "", 0);
@@ -246,7 +249,7 @@
     }
 
     @Test
-    void healthNeedsAServer() throws Exception {
+    void healthCheckRequiresAServer() throws Exception {
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         Harness harness = sidecar();
         assertEquals(503, harness.client().raw(health).answer().status());
@@ -257,9 +260,11 @@
         assertEquals(200, harness.client().raw(health).answer().status());
     }
 
-    /** An exception costs one request its result, never its answer, and no other request anything. */
+    /**
+     * An exception in the load balancer fails one request, which still has a response; other requests are not affected.
+     */
     @Test
-    void exceptionInTheModuleIsAnsweredAndLogged() throws Exception {
+    void exceptionInTheLoadBalancerIsAnsweredAndLogged() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, server);
         open.add(harness);
@@ -281,9 +286,9 @@
         assertTrue(harness.log.toString().contains("IllegalStateException: probe"), harness.log.toString());
     }
 
-    /** What an action brings about at once reaches the module after the call that asked for it. */
+    /** The immediate result of an action reaches the load balancer only after the call that requested the action. */
     @Test
-    void moduleIsNotEnteredAgainFromItsOwnAction() throws Exception {
+    void loadBalancerIsNotReenteredFromItsOwnAction() throws Exception {
         Harness harness = new Harness(folder);
         open.add(harness);
         List<String> order = new ArrayList<>();
@@ -305,16 +310,16 @@
         assertEquals(List.of("request", "sent to a server that no list names", "NOT_SENT"), order);
     }
 
-    /** Past the bound a client takes the place of an idle one; descriptors never run out. */
+    /** At the connection limit a new client replaces an idle one, so descriptors never run out. */
     @Test
-    void clientsPastTheBoundReplaceIdleOnes() throws Exception {
+    void newClientsEvictIdleConnectionsAtTheLimit() throws Exception {
         PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, 250_000, 128, server);
         open.add(harness);
         harness.start();
         Harness.Client first = harness.client();
         assertEquals(200, first.search(5_000).answer().status());
-        // Idle ones that came a moment ago are left alone, so that their first request can arrive.
+        // Connections opened a moment ago are not evicted, so that their first request can arrive.
         Thread.sleep(150);
         for (int i = 0; i < harness.config().clientConnections(); i++) {
             assertEquals(200, harness.client().search(5_000).answer().status());
@@ -322,9 +327,12 @@
         first.assertClosed();
     }
 
-    /** A module that says nothing of a request leaves it to the sidecar, which answers in time. */
+    /**
+     * If the load balancer makes no decision on a request, the sidecar responds at the deadline and informs the load
+     * balancer.
+     */
     @Test
-    void forgottenRequestIsAnsweredAndTheModuleTold() throws Exception {
+    void requestIgnoredByTheLoadBalancerTimesOut() throws Exception {
         Harness harness = new Harness(folder);
         open.add(harness);
         var left = new LinkedBlockingQueue<String>();
@@ -338,19 +346,21 @@
         assertEquals(16, left.poll(10, TimeUnit.SECONDS).length());
     }
 
-    /** Where all are busy a new client waits, and the next connection that is answered makes way for it. */
+    /**
+     * If all connections are busy, a new client waits, and the next connection that has its response makes room for it.
+     */
     @Test
-    void clientPastTheBoundIsAcceptedAfterAnAnswer() throws Exception {
+    void clientAboveTheLimitIsAcceptedAfterAResponse() throws Exception {
         Harness harness = new Harness(folder, 250_000, 128);
         open.add(harness);
-        var inHand = new LinkedBlockingQueue<String>();
+        var requestIds = new LinkedBlockingQueue<String>();
         var actions = new AtomicReference<LoadBalancer.Actions>();
-        harness.start((settings, does) -> {
-            actions.set(does);
+        harness.start((settings, givenActions) -> {
+            actions.set(givenActions);
             return new QuietModule() {
                 @Override
                 public void request(long nowMicros, LoadBalancer.Request request) {
-                    inHand.add(request.id());
+                    requestIds.add(request.id());
                 }
             };
         });
@@ -359,25 +369,25 @@
         String first = null;
         for (int i = 0; i < bound; i++) {
             clients.add(harness.client().search(30_000));
-            String id = inHand.poll(10, TimeUnit.SECONDS);
+            String id = requestIds.poll(10, TimeUnit.SECONDS);
             first = i == 0 ? id : first;
         }
         for (int i = 0; i < 20; i++) {
             clients.add(harness.client().search(30_000));
         }
-        assertNull(inHand.poll(200, TimeUnit.MILLISECONDS));
+        assertNull(requestIds.poll(200, TimeUnit.MILLISECONDS));
         String refused = first;
         harness.loop.execute(() -> actions.get().refuse(refused, 0));
         assertEquals(503, clients.get(0).answer().status());
         clients.get(0).assertClosed();
-        assertEquals(16, inHand.poll(10, TimeUnit.SECONDS).length());
-        assertNull(inHand.poll(200, TimeUnit.MILLISECONDS));
+        assertEquals(16, requestIds.poll(10, TimeUnit.SECONDS).length());
+        assertNull(requestIds.poll(200, TimeUnit.MILLISECONDS));
     }
 
     // ---- Discovery
 
     @Test
-    void drainedServerIsSentNothing() throws Exception {
+    void drainedServerReceivesNoRequests() throws Exception {
         PeerStub leaving = server(PeerStub.serves("leaving"));
         PeerStub staying = server(PeerStub.serves("staying"));
         Harness harness = sidecar(leaving, staying);
@@ -391,7 +401,7 @@
     }
 
     @Test
-    void absenceFromAWholeListIsTheEnd() throws Exception {
+    void serverMissingFromACompleteListIsRemoved() throws Exception {
         PeerStub gone = server(PeerStub.serves("gone"));
         PeerStub staying = server(PeerStub.serves("staying"));
         Harness harness = sidecar(gone, staying);
@@ -402,9 +412,9 @@
         }
     }
 
-    /** A watch that fails in any way keeps the old list, and is asked for again until it answers. */
+    /** A watch that fails in any way leaves the old list in force and is retried until it succeeds. */
     @Test
-    void watchIsRestored() throws Exception {
+    void failedWatchIsRetried() throws Exception {
         PeerStub old = server(PeerStub.serves("old"));
         PeerStub fresh = server(PeerStub.serves("fresh"));
         Harness harness = sidecar(old);
@@ -420,7 +430,7 @@
     }
 
     @Test
-    void silentDiscoveryIsGivenUp() throws Exception {
+    void silentDiscoveryTimesOut() throws Exception {
         PeerStub silent = server(PeerStub.SILENT);
         Harness harness = new Harness(folder);
         open.add(harness);
@@ -442,15 +452,15 @@
         silent.awaitEnd();
     }
 
-    // ---- The end
+    // ---- Shutdown
 
     @Test
-    void workInHandIsAnsweredAtTheEnd() throws Exception {
+    void requestsInFlightAreCompletedAtShutdown() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         Harness harness = sidecar(server);
         Harness.Client busy = harness.client().book("x", 30_000);
         Harness.Client idle = harness.client();
-        PeerStub.Seen held = server.take();
+        PeerStub.Seen pending = server.take();
         var ended = harness.stop();
         Harness.Client late = harness.client();
         late.raw("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -459,7 +469,7 @@
         assertEquals("late", harness.client().search(5_000).answer().body());
         idle.assertClosed();
         assertNotEquals(0, ended.getCount());
-        held.reply("200 OK", "", "held");
+        pending.reply("200 OK", "", "held");
         RawHttpClient.Message answer = busy.answer();
         assertEquals("held", answer.body());
         assertEquals("close", answer.headers().get("Connection"));
--- a/src/test/java/org/cypressweir/sidecar/TunnelDrainTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelDrainTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tunnels as load, and their order when a server leaves, between real sockets. */
+/** Tunnels as load, and the order in which they close when a server drains, with real sockets. */
 @Timeout(120)
 class TunnelDrainTest extends TunnelLoopback {
 
-    /** Twenty that have said nothing go before five that have just spoken, and nobody later than said. */
+    /** Twenty idle tunnels are closed before five that have just sent a message, and none after the drain deadline. */
     @Test
-    void theIdleGoFirst() throws Exception {
+    void idleTunnelsAreClosedFirst() throws Exception {
         PeerStub one = server(WebSocketClient.echo());
         PeerStub two = server(WebSocketClient.echo());
         sidecar(file("reconnect_rate = 40\ndrain_time = \"5s\"\n", one));
@@ -67,13 +67,13 @@
         assertEquals(25, ended.size());
         assertTrue(ended.subList(0, 18).stream().allMatch("idle"::equals), ended.toString());
         assertTrue(ended.subList(22, 25).stream().allMatch("busy"::equals), ended.toString());
-        // 25 at 40 a second; far from at once, and within the last moment.
+        // 25 tunnels at 40 per second: spread over time, and all before the drain deadline.
         assertTrue(seconds > 0.4 && seconds < 5, seconds + " s");
     }
 
-    /** A message that has begun is ended before its tunnel is, also past the last moment. */
+    /** A message in progress is completed before its tunnel is closed, even after the drain deadline. */
     @Test
-    void noMessageIsCutShort() throws Exception {
+    void messageInProgressIsCompletedBeforeClosing() throws Exception {
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
@@ -93,7 +93,7 @@
         harness.reload(file("drain_time = \"300ms\"\n", two));
         assertEquals(1001, other.message().code());
         assertEquals("close 1001", heard.take());
-        // Past its last moment, which the other one's end shows, the message may still end.
+        // After the drain deadline, which the close of the other tunnel shows, the message may still be completed.
         assertNull(heard.poll(600, TimeUnit.MILLISECONDS));
         ws.send(0, true, "and half".getBytes(StandardCharsets.US_ASCII));
         assertEquals("half and half", heard.take());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aDrainThatIsTakenBackKeepsItsTunnels() throws Exception {
+    void cancelledDrainKeepsItsTunnels() throws Exception {
         PeerStub one = server(WebSocketClient.echo());
         PeerStub two = server(WebSocketClient.echo());
         String slow = "reconnect_rate = 1\ndrain_time = \"2s\"\n";
@@ -113,8 +113,7 @@
         }
         harness.reload(file(slow, two));
         harness.reload(file(slow, one, two));
-        // The one that was let go at once may be gone; that the rest stays is what the order itself is
-        // tested for.
+        // The first tunnel may have been closed at once; the closing order itself has its own test.
         int kept = 0;
         for (WebSocketClient ws : all) {
             WebSocketClient.Frame f = ws.text("still").message();
@@ -130,9 +129,9 @@
         assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
     }
 
-    /** A server is told to leave while its 101 is on the way: the tunnel opens, and goes as the others do. */
+    /** A server starts draining while its 101 is on the way: the tunnel opens and is closed like the others. */
     @Test
-    void aDrainWhileTheHandshakeIsOut() throws Exception {
+    void drainDuringTheHandshakeClosesTheTunnel() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         PeerStub one = server(seen -> {
             try {
@@ -156,9 +155,9 @@
         await(State.CLOSED_BY_SIDECAR);
     }
 
-    /** Discovery says that a server drains and is gone itself: the drain goes on as told. */
+    /** Discovery reports a draining server and is lost itself: the drain continues. */
     @Test
-    void discoveryIsDownInTheMiddle() throws Exception {
+    void drainContinuesWhenDiscoveryIsLost() throws Exception {
         PeerStub one = server(WebSocketClient.echo());
         harness = new Harness(folder, one);
         open.add(harness);
@@ -174,9 +173,9 @@
         await(State.CLOSED_BY_SIDECAR);
     }
 
-    /** A client that never reads is closed with its tunnel in the time that a close has, and counted once. */
+    /** A client that never reads is closed with its tunnel within the close time-out, and counted once. */
     @Test
-    void aClientThatNeverReadsIsEnded() throws Exception {
+    void clientThatNeverReadsIsClosed() throws Exception {
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
             byte[] much = new byte[100_000];
@@ -192,9 +191,9 @@
         one.awaitEnd();
     }
 
-    /** The process ends while a server drains: the rest is closed in that time, each once. */
+    /** The process stops while a server drains: the remaining tunnels are closed in that time, each once. */
     @Test
-    void theProcessEndsDuringADrain() throws Exception {
+    void processStopDuringADrainClosesTheRemainingTunnels() throws Exception {
         PeerStub one = server(WebSocketClient.echo());
         PeerStub two = server(WebSocketClient.echo());
         String slow =
@@ -220,9 +219,9 @@
                         .get());
     }
 
-    /** Tunnels stay where they are, so new ones and requests go where fewer are. */
+    /** Existing tunnels do not move, so new tunnels and requests go to the servers with fewer of them. */
     @Test
-    void tunnelsWeighInTheChoiceOfAServer() throws Exception {
+    void tunnelsCountAsLoadWhenChoosingAServer() throws Exception {
         AtomicInteger[] counts = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
         PeerStub[] servers = new PeerStub[3];
         for (int i = 0; i < 3; i++) {
@@ -231,7 +230,7 @@
                 count.incrementAndGet();
                 WebSocketClient ws = WebSocketClient.agree(seen, "");
                 while (ws.read() != null) {
-                    // Open, and silent.
+                    // Stays open without sending.
                     Thread.onSpinWait();
                 }
             });
--- a/src/test/java/org/cypressweir/sidecar/TunnelLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLimitsTest.java
@@ -15,27 +15,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How many tunnels there may be, who makes room, and waves of new ones, between real sockets. */
+/** Limits on the number of tunnels, eviction, and bursts of new ones, with real sockets. */
 @Timeout(60)
 class TunnelLimitsTest extends TunnelLoopback {
 
-    private final AtomicInteger first = new AtomicInteger();
-    private final AtomicInteger second = new AtomicInteger();
+    private final AtomicInteger firstServerTunnels = new AtomicInteger();
+    private final AtomicInteger secondServerTunnels = new AtomicInteger();
 
-    private void refused(String more) throws Exception {
+    private void assertRejected(String more) throws Exception {
         RawHttpClient.Message answer = ask(more).answer();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
     }
 
     @Test
-    void aRouteAndAPoolHaveTheirBounds() throws Exception {
-        PeerStub one = server(chat(first));
+    void routeAndPoolLimitsApply() throws Exception {
+        PeerStub one = server(chat(firstServerTunnels));
         sidecar(file("max_tunnels = 3\n", "max_tunnels = 2\n", one));
         WebSocketClient ws = open(CHAT);
         open(CHAT);
-        refused(CHAT);
-        // Plain requests are not meant.
+        assertRejected(CHAT);
+        // Plain requests are not limited.
         assertEquals(200, harness.client().search(2_000).answer().status());
         ws.close(1000);
         ws.message();
@@ -48,18 +48,16 @@
         open(CHAT);
         harness.reload(file("max_tunnels = 3\n", "", one));
         open(CHAT);
-        refused(CHAT);
+        assertRejected(CHAT);
         assertEquals(
                 2,
                 harness.loop.submit(() -> harness.counters().in(State.REFUSED)).get());
     }
 
-    /**
-     * At the bound the one that has been quiet for the longest makes room; one that has just spoken stays.
-     */
+    /** At the limit the tunnel that has been idle longest is evicted; one that has just sent a message stays. */
     @Test
-    void theLongestQuietMakesRoom() throws Exception {
-        PeerStub one = server(chat(first));
+    void longestIdleTunnelIsEvicted() throws Exception {
+        PeerStub one = server(chat(firstServerTunnels));
         sidecar(file("max_tunnels = 2\nevict_after = \"1s\"\n", one));
         WebSocketClient quiet = open(CHAT);
         WebSocketClient busy = open(CHAT);
@@ -71,64 +69,70 @@
         assertEquals(1001, quiet.message().code());
         assertEquals("y", busy.text("y").message().text());
         assertEquals("z", third.text("z").message().text());
-        refused(CHAT);
+        assertRejected(CHAT);
     }
 
-    /** A server that has as many as it may gets no more; plain requests go on. */
+    /** A server at its tunnel limit receives no more tunnels; plain requests continue. */
     @Test
-    void aFullServerGetsNoMoreTunnels() throws Exception {
-        sidecar(file("max_tunnels_per_server = 5\n", "", server(chat(first)), server(chat(second))));
+    void fullServerReceivesNoMoreTunnels() throws Exception {
+        sidecar(file(
+                "max_tunnels_per_server = 5\n",
+                "",
+                server(chat(firstServerTunnels)),
+                server(chat(secondServerTunnels))));
         for (int i = 0; i < 10; i++) {
             open(CHAT);
         }
-        assertEquals(5, first.get());
-        assertEquals(5, second.get());
-        refused(CHAT);
+        assertEquals(5, firstServerTunnels.get());
+        assertEquals(5, secondServerTunnels.get());
+        assertRejected(CHAT);
         for (int i = 0; i < 40; i++) {
             assertEquals(200, harness.client().search(2_000).answer().status());
         }
     }
 
-    /** A wave past what the servers take is refused at once, each told another time; requests go on. */
+    /** A burst above the servers' rate is rejected at once, with varied retry times; plain requests continue. */
     @Test
-    void aWaveIsSpread() throws Exception {
-        PeerStub one = server(chat(first));
+    void burstOfUpgradesIsSpreadOverTime() throws Exception {
+        PeerStub one = server(chat(firstServerTunnels));
         sidecar(file("upgrade_rate = 20\n", "", one));
-        List<Harness.Client> wave = new ArrayList<>();
+        List<Harness.Client> burst = new ArrayList<>();
         long since = System.nanoTime();
         for (int i = 0; i < 80; i++) {
-            wave.add(ask(CHAT));
+            burst.add(ask(CHAT));
         }
         assertEquals(200, harness.client().search(2_000).answer().status());
-        TreeSet<Double> told = new TreeSet<>();
+        TreeSet<Double> retryTimes = new TreeSet<>();
         int agreed = 0;
-        for (Harness.Client client : wave) {
+        for (Harness.Client client : burst) {
             RawHttpClient.Message answer = client.answer();
             if (answer.status() == 101) {
                 agreed++;
             } else {
                 assertEquals(503, answer.status());
-                told.add(Double.parseDouble(answer.headers().get("Retry-After")));
+                retryTimes.add(Double.parseDouble(answer.headers().get("Retry-After")));
             }
         }
-        // A second's worth at once, and the rate for as long as all of this took.
+        // One second's allowance at once, plus the rate for the duration of the burst.
         double seconds = (System.nanoTime() - since) / 1e9;
         assertTrue(agreed >= 20 && agreed <= 21 + 20 * seconds, "agreed " + agreed + " in " + seconds + " s");
-        assertTrue(told.size() >= (80 - agreed) * 2 / 3, told.toString());
+        assertTrue(retryTimes.size() >= (80 - agreed) * 2 / 3, retryTimes.toString());
     }
 
-    /** The only other server is cold: what comes to it from the drained one keeps within its share. */
+    /**
+     * The only other server is in slow start: the tunnels that move to it from the drained one stay within its share.
+     */
     @Test
-    void aColdServerIsSpared() throws Exception {
+    void coldServerReceivesOnlyItsShare() throws Exception {
         ConcurrentLinkedQueue<Long> arrivals = new ConcurrentLinkedQueue<>();
-        PeerStub one = server(chat(first));
+        PeerStub one = server(chat(firstServerTunnels));
         PeerStub two = server(seen -> {
             arrivals.add(System.currentTimeMillis());
-            chat(second).on(seen);
+            chat(secondServerTunnels).on(seen);
         });
         harness = new Harness(folder, one);
         open.add(harness);
-        // Its pool hears from discovery, which says when a server was started.
+        // The pool uses discovery, which reports when a server was started.
         harness.startWith(file("resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n")
                 .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\nupgrade_rate = 100\n"));
         PeerStub.Seen watch = harness.discovery.take();
@@ -148,7 +152,8 @@
         while (harness.loop.submit(() -> harness.moved()).get() < 60) {
             Thread.onSpinWait();
         }
-        // By its age the share rises from 0.3 to 1 of 100 a second; a tenth of a second may be saved up.
+        // With age the share rises from 0.3 to 1 of 100 per second; up to a tenth of a second of allowance may
+        // accumulate.
         for (int age = 10; age <= 1_000; age += 10) {
             long until = start + age;
             long come = arrivals.stream().filter(a -> a < until).count();
--- a/src/test/java/org/cypressweir/sidecar/TunnelLoopback.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLoopback.java
@@ -6,7 +6,7 @@
 import org.cypressweir.testkit.WebSocketClient;
 import org.junit.jupiter.api.Assertions;
 
-/** A sidecar whose operators' file has one route with WebSockets to some of the servers. */
+/** Base class for a sidecar whose operators' file has one WebSocket route. */
 abstract class TunnelLoopback extends Loopback {
 
     static final String UPGRADE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
@@ -16,7 +16,7 @@
 
     Harness harness;
 
-    /** A file with these keys in the route's table and these servers in its pool. */
+    /** An operators' file with these keys in the route's table and these servers in its pool. */
     static String file(String limits, PeerStub... servers) {
         return file("", limits, servers);
     }
@@ -43,7 +43,7 @@
         harness.startWith(file);
     }
 
-    /** Asks for an upgrade with these further headers. */
+    /** Requests an upgrade with these additional headers. */
     Harness.Client ask(String more) throws Exception {
         return harness.client().raw(Harness.Client.head("GET", "/search/1", 2_000, UPGRADE + more, 0));
     }
@@ -60,7 +60,8 @@
     }
 
     /**
-     * A server that agrees to chat, counts its tunnels and sends each message back; it serves requests too.
+     * A server that accepts the chat subprotocol, counts its tunnels and echoes each message; it also serves plain
+     * requests.
      */
     static PeerStub.Script chat(AtomicInteger tunnels) {
         return seen -> {
--- a/src/test/java/org/cypressweir/sidecar/TunnelMoveTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelMoveTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tunnels that go on at another server when theirs leaves, between real sockets. */
+/** Tunnels that move to another server when theirs drains, with real sockets. */
 @Timeout(120)
 class TunnelMoveTest extends TunnelLoopback {
 
     private static final String RESUME =
             "resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n";
     private static final int TUNNELS = 10;
-    private static final int EACH = 10_000;
+    private static final int MESSAGES_PER_TUNNEL = 10_000;
 
-    private final AtomicInteger some = new AtomicInteger();
+    private final AtomicInteger secondServerTunnels = new AtomicInteger();
 
-    /** Waits until so many upgrades stand there. */
+    /** Waits until this many upgrades are in the given state. */
     private void await(State state, long count) throws Exception {
         while (harness.loop.submit(() -> harness.counters().in(state)).get() != count) {
             Thread.onSpinWait();
@@ -50,14 +50,14 @@
     }
 
     /**
-     * A hundred thousand numbered messages on ten tunnels, while one server after the other is drained, so
-     * that what has moved moves again: each comes to one server once and in order, and so do the answers.
+     * A hundred thousand numbered messages on ten tunnels while one server after another is drained, so that moved
+     * tunnels move again: each message reaches one server once and in order, and so do the responses.
      */
     @Test
-    void noMessageIsLostDoubledOrReordered() throws Exception {
-        Map<String, List<Integer>> heard = new ConcurrentHashMap<>();
+    void messagesAreNeitherLostNorDuplicatedNorReordered() throws Exception {
+        Map<String, List<Integer>> received = new ConcurrentHashMap<>();
         PeerStub.Script counting = seen -> {
-            List<Integer> mine = heard.computeIfAbsent(
+            List<Integer> mine = received.computeIfAbsent(
                     seen.request().headers().get("Session"), k -> Collections.synchronizedList(new ArrayList<>()));
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
@@ -75,9 +75,9 @@
         List<Thread> threads = new ArrayList<>();
         for (int t = 0; t < TUNNELS; t++) {
             WebSocketClient ws = open(CHAT + "Session: " + t + "\r\n");
-            // Large in flight, so that there is always something on its way when a move begins.
+            // Many messages are in flight, so that there are always some on the way when a move begins.
             threads.add(new Thread(() -> send(ws, faults)));
-            threads.add(new Thread(() -> hear(ws, faults)));
+            threads.add(new Thread(() -> receive(ws, faults)));
         }
         threads.forEach(Thread::start);
         harness.reload(file(RESUME, servers[1], servers[2], servers[3]));
@@ -90,10 +90,10 @@
             thread.join();
         }
         assertEquals(List.of(), faults);
-        assertEquals(TUNNELS, heard.size());
-        for (List<Integer> list : heard.values()) {
-            assertEquals(EACH, list.size());
-            for (int i = 0; i < EACH; i++) {
+        assertEquals(TUNNELS, received.size());
+        for (List<Integer> list : received.values()) {
+            assertEquals(MESSAGES_PER_TUNNEL, list.size());
+            for (int i = 0; i < MESSAGES_PER_TUNNEL; i++) {
                 assertEquals(i, list.get(i));
             }
         }
@@ -104,7 +104,7 @@
 
     private static void send(WebSocketClient ws, List<String> faults) {
         try {
-            for (int i = 0; i < EACH; i++) {
+            for (int i = 0; i < MESSAGES_PER_TUNNEL; i++) {
                 ws.text(String.valueOf(i));
             }
         } catch (IOException e) {
@@ -112,9 +112,9 @@
         }
     }
 
-    private static void hear(WebSocketClient ws, List<String> faults) {
+    private static void receive(WebSocketClient ws, List<String> faults) {
         try {
-            for (int i = 0; i < EACH; i++) {
+            for (int i = 0; i < MESSAGES_PER_TUNNEL; i++) {
                 WebSocketClient.Frame f = ws.message();
                 if (f == null || f.opcode() != 1 || Integer.parseInt(f.text()) != i) {
                     faults.add("at " + i + ": " + (f == null ? "the end" : f.opcode() + " " + f.text()));
@@ -126,11 +126,11 @@
         }
     }
 
-    /** The other handshake has the first one's headers, its own id and key, and the operators' header. */
+    /** The second handshake has the first one's headers, its own id and key, and the operators' resume header. */
     @Test
-    void theHandshakeSaysThatItResumes() throws Exception {
-        PeerStub one = server(chat(some));
-        PeerStub two = server(chat(some));
+    void resumingHandshakeCarriesTheResumeHeader() throws Exception {
+        PeerStub one = server(chat(secondServerTunnels));
+        PeerStub two = server(chat(secondServerTunnels));
         sidecar(file(RESUME, one));
         WebSocketClient ws =
                 open("Sec-WebSocket-Protocol: other, chat\r\nSec-WebSocket-Extensions: permessage-deflate\r\n"
@@ -151,47 +151,47 @@
     }
 
     @Test
-    void theFirstMessageIsRepeated() throws Exception {
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        PeerStub.Script noting = seen -> {
+    void firstMessageIsRepeatedToTheNewServer() throws Exception {
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
+        PeerStub.Script recording = seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
-                heard.add(f.text());
+                received.add(f.text());
             }
             ws.close(1001);
         };
-        PeerStub one = server(noting);
-        PeerStub two = server(noting);
+        PeerStub one = server(recording);
+        PeerStub two = server(recording);
         String limits = "resumable = [\"chat\"]\nresume_first_message = true\n";
         sidecar(file(limits, one));
         WebSocketClient ws = open(CHAT);
         ws.send(1, false, "subscribe ".getBytes(StandardCharsets.US_ASCII));
         ws.send(0, true, "b4".getBytes(StandardCharsets.US_ASCII));
         ws.text("more");
-        assertEquals("subscribe b4", heard.take());
-        assertEquals("more", heard.take());
+        assertEquals("subscribe b4", received.take());
+        assertEquals("more", received.take());
         harness.reload(file(limits, two));
-        assertEquals("subscribe b4", heard.take());
+        assertEquals("subscribe b4", received.take());
         ws.text("and more");
-        assertEquals("and more", heard.take());
+        assertEquals("and more", received.take());
     }
 
-    /** Messages that have begun, on either side, are ended where they began. */
+    /** Messages in progress, in either direction, are completed at the server where they began. */
     @Test
-    void nobodyMovesWithinAMessage() throws Exception {
+    void tunnelDoesNotMoveWithinAMessage() throws Exception {
         BlockingQueue<String> old = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 old.add(f.text());
-                // A message of the server's own, which it ends when it hears the client's next one.
+                // A message of the server's own, which it completes on receiving the client's next one.
                 boolean begins = f.text().equals("begin");
                 ws.send(begins ? 1 : 0, !begins, f.payload());
             }
             old.add("closed");
             ws.close(1000);
         });
-        PeerStub two = server(chat(some));
+        PeerStub two = server(chat(secondServerTunnels));
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
         ws.text("begin");
@@ -204,13 +204,13 @@
         assertEquals("beginhalf half", ws.message().text());
         assertEquals("closed", old.take());
         assertEquals("there", ws.text("there").message().text());
-        assertEquals(1, some.get());
+        assertEquals(1, secondServerTunnels.get());
     }
 
-    /** Where no other server agrees it stays until the last moment, and then goes as any other. */
+    /** If no other server accepts the tunnel, it stays until the drain deadline and is then closed like any other. */
     @Test
-    void whoIsNotTakenIsClosedAtTheLastMoment() throws Exception {
-        PeerStub one = server(chat(some));
+    void tunnelThatNoServerAcceptsIsClosedAtTheDrainDeadline() throws Exception {
+        PeerStub one = server(chat(secondServerTunnels));
         AtomicInteger refusals = new AtomicInteger();
         PeerStub two = server(seen -> {
             refusals.incrementAndGet();
@@ -228,9 +228,9 @@
         assertEquals(0, harness.loop.submit(() -> harness.moved()).get());
     }
 
-    /** The old server breaks when it is told to close: what it has read is not known, so nothing goes on. */
+    /** The old server fails when told to close: what it has read is unknown, so the tunnel cannot resume. */
     @Test
-    void aServerThatBreaksInTheMiddleEndsIt() throws Exception {
+    void serverFailureDuringAMoveClosesTheTunnel() throws Exception {
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             while (ws.read().opcode() != 8) {
@@ -253,15 +253,15 @@
         assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
     }
 
-    /** One that does not answer the close has its time, and then both are closed. */
+    /** A server that does not answer the close frame has a time-out, after which both sides are closed. */
     @Test
-    void aServerThatDoesNotCloseEndsIt() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void serverThatIgnoresTheCloseFrameClosesTheTunnel() throws Exception {
+        CountDownLatch closeReceived = new CountDownLatch(1);
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 8) {
-                    told.countDown();
+                    closeReceived.countDown();
                 }
             }
         });
@@ -271,8 +271,8 @@
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
-        assertTrue(told.await(10, TimeUnit.SECONDS));
-        // It is held back, and goes to nobody.
+        assertTrue(closeReceived.await(10, TimeUnit.SECONDS));
+        // The message is held back and reaches no server.
         ws.text("lost with the connection");
         assertEquals(1001, ws.message().code());
         assertEquals(1001, codes.take());
@@ -280,15 +280,15 @@
         await(State.CLOSED_BY_SIDECAR, 1);
     }
 
-    /** A server that ends the session in its own words while it is told to close is heard. */
+    /** A server that closes the session with its own code while it is told to close: the client receives that code. */
     @Test
-    void aServersOwnLastWordGoesToTheClient() throws Exception {
+    void closeCodeOfTheOldServerReachesTheClient() throws Exception {
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
             ws.message();
             ws.close(4001);
         });
-        PeerStub two = server(chat(some));
+        PeerStub two = server(chat(secondServerTunnels));
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
@@ -297,25 +297,25 @@
         await(State.CLOSED_BY_SERVER, 1);
     }
 
-    /** A subprotocol that was not agreed on, or that is not resumable, is closed as ever. */
+    /** A tunnel whose subprotocol was not negotiated or is not resumable is closed as usual. */
     @Test
-    void othersAreClosed() throws Exception {
+    void nonResumableTunnelIsClosed() throws Exception {
         PeerStub one = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
             ws.close(ws.message().code());
         });
-        PeerStub two = server(chat(some));
+        PeerStub two = server(chat(secondServerTunnels));
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
         assertEquals(1001, ws.message().code());
-        assertEquals(0, some.get());
+        assertEquals(0, secondServerTunnels.get());
     }
 
-    /** The process ends while a move is on its way: one close, one outcome, and the process does end. */
+    /** The process stops during a move: one close frame, one outcome, and the process terminates. */
     @Test
-    void theProcessEndsInTheMiddle() throws Exception {
-        PeerStub one = server(chat(some));
+    void processStopDuringAMoveClosesTheTunnelOnce() throws Exception {
+        PeerStub one = server(chat(secondServerTunnels));
         BlockingQueue<PeerStub.Seen> asked = new LinkedBlockingQueue<>();
         PeerStub two = server(asked::add);
         sidecar(file(RESUME, one));
@@ -333,10 +333,10 @@
                         .get());
     }
 
-    /** A client that leaves while its tunnel moves ends it once, and the other server is let go. */
+    /** A client that disconnects during a move ends the tunnel once, and the other server's connection is closed. */
     @Test
-    void theClientLeavesInTheMiddle() throws Exception {
-        PeerStub one = server(chat(some));
+    void clientDisconnectDuringAMoveClosesTheTunnelOnce() throws Exception {
+        PeerStub one = server(chat(secondServerTunnels));
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
--- a/src/test/java/org/cypressweir/sidecar/UpgradeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/UpgradeTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process follows another on a socket that the platform holds. */
+/** One process replaces another on a listening socket that the platform holds. */
 @Timeout(UpgradeTest.TIMEOUT_SECONDS)
 class UpgradeTest {
 
     static final int TIMEOUT_SECONDS = 60;
-    /** As long as the test: how long the second process takes to start says nothing about the request. */
+    /** As long as the test's time-out, so that a slow start of the second process cannot expire the request. */
     private static final int HELD_REQUEST_MILLIS = TIMEOUT_SECONDS * 1_000;
 
     @TempDir
@@ -51,13 +51,13 @@
         server.close();
     }
 
-    private static InetSocketAddress free() throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return new InetSocketAddress("127.0.0.1", free.getLocalPort());
+    private static InetSocketAddress freeAddress() throws IOException {
+        try (ServerSocket freeAddress = new ServerSocket(0)) {
+            return new InetSocketAddress("127.0.0.1", freeAddress.getLocalPort());
         }
     }
 
-    private long run(InetSocketAddress door) throws Exception {
+    private long run(InetSocketAddress adminAddress) throws Exception {
         return platform.start(
                 Path.of(System.getProperty("java.home"), "bin", "java")
                         + " -XX:TieredStopAtLevel=1 -cp " + System.getProperty("java.class.path")
@@ -68,20 +68,20 @@
                         "LB_LISTEN",
                         "127.0.0.1:" + platform.address.getPort(),
                         "LB_OPERATOR",
-                        "127.0.0.1:" + door.getPort(),
+                        "127.0.0.1:" + adminAddress.getPort(),
                         "TMPDIR",
                         folder.toString()),
                 folder.resolve("log"));
     }
 
-    private void awaitReady(InetSocketAddress door) throws Exception {
+    private void awaitReady(InetSocketAddress adminAddress) throws Exception {
         while (true) {
             try {
-                if (Harness.call(door, "READY").equals("YES\n")) {
+                if (Harness.call(adminAddress, "READY").equals("YES\n")) {
                     return;
                 }
             } catch (IOException e) {
-                // It does not listen yet.
+                // Not listening yet.
             }
             assertFalse(platform.lostOne(), "a program ended: " + Files.readString(folder.resolve("log")));
             Thread.onSpinWait();
@@ -101,25 +101,25 @@
     }
 
     @Test
-    void noRequestIsLostWhenOneProcessFollowsAnother() throws Exception {
-        InetSocketAddress first = free();
-        InetSocketAddress second = free();
+    void noRequestIsLostWhenAProcessReplacesAnother() throws Exception {
+        InetSocketAddress first = freeAddress();
+        InetSocketAddress second = freeAddress();
         long old = run(first);
         awaitReady(first);
         server.script(PeerStub.SILENT);
         try (Harness.Client held = new Harness.Client(platform.address);
                 Harness.Client kept = new Harness.Client(platform.address)) {
             held.book("x", HELD_REQUEST_MILLIS);
-            PeerStub.Seen waits = server.take();
+            PeerStub.Seen pending = server.take();
             server.script(PeerStub.serves("ok"));
             assertEquals("ok", answer(kept.search(5_000)));
             long next = run(second);
-            AtomicBoolean over = new AtomicBoolean();
-            // A connection for each request: those that the kernel holds between the two are lost by neither.
-            var asking = CompletableFuture.supplyAsync(() -> {
+            AtomicBoolean stopped = new AtomicBoolean();
+            // Opens a connection per request: neither process may lose those queued in the kernel during the change.
+            var requests = CompletableFuture.supplyAsync(() -> {
                 int served = 0;
                 try {
-                    for (; !over.get(); served++) {
+                    for (; !stopped.get(); served++) {
                         try (Harness.Client client = new Harness.Client(platform.address)) {
                             assertEquals("ok", answer(client.search(10_000)));
                         }
@@ -136,12 +136,12 @@
             while (!Harness.call(first, "READY").equals("NO stopping\n")) {
                 Thread.onSpinWait();
             }
-            waits.reply("200 OK", "", "as promised");
+            pending.reply("200 OK", "", "as promised");
             assertEquals("as promised", answer(held));
             held.assertClosed();
             assertEquals(0, platform.awaitEnd(old));
-            over.set(true);
-            assertTrue(asking.join() > 0);
+            stopped.set(true);
+            assertTrue(requests.join() > 0);
             assertFalse(platform.lostOne());
             try (Harness.Client client = new Harness.Client(platform.address)) {
                 assertEquals("ok", answer(client.search(5_000)));
@@ -149,15 +149,17 @@
             signal("TERM", next);
             assertEquals(0, platform.awaitEnd(next));
         }
-        // The runtime leads its own streams away when it takes the socket over; the log must stay.
+        // The runtime redirects its standard streams when it takes over the socket; the log must keep working.
         assertTrue(
                 Files.readString(folder.resolve("log")).contains("n0 alone now"),
                 Files.readString(folder.resolve("log")));
     }
 
-    /** What is kept for the door and for a process beside this one is no room that clients ask on. */
+    /**
+     * Descriptors reserved for the admin listener and for a second process do not reduce the clients' request limit.
+     */
     @Test
-    void clientsMayAskAsMuchWithADoorAndASuccessorToCome() throws Exception {
+    void reservedDescriptorsDoNotReduceTheClientLimit() throws Exception {
         SidecarConfiguration plain = harness.config();
         SidecarConfiguration service = SidecarConfiguration.read(
                 Map.of("LB_CONFIG", harness.file.toString(), "LB_OPERATOR", "127.0.0.1:9", "LB_SOCKET_FD", "0"));
@@ -165,20 +167,20 @@
                 plain.settings().limits().open(), service.settings().limits().open());
         assertTrue(service.clientConnections() + service.serverConnections()
                 < plain.clientConnections() + plain.serverConnections());
-        SidecarConfiguration beside = service.beside();
-        assertEquals(beside.serverConnections(), beside.settings().limits().connections());
-        assertTrue(beside.settings().limits().open() <= beside.serverConnections());
+        SidecarConfiguration reduced = service.withReducedDescriptors();
+        assertEquals(reduced.serverConnections(), reduced.settings().limits().connections());
+        assertTrue(reduced.settings().limits().open() <= reduced.serverConnections());
     }
 
     @Test
-    void oneThatIsEndedBeforeItsYesTakesNothingAlong() throws Exception {
-        InetSocketAddress first = free();
+    void processKilledDuringStartupAffectsNoOther() throws Exception {
+        InetSocketAddress first = freeAddress();
         run(first);
         awaitReady(first);
-        long next = run(free());
+        long next = run(freeAddress());
         signal("TERM", next);
         platform.awaitEnd(next);
-        long other = run(free());
+        long other = run(freeAddress());
         signal("KILL", other);
         assertEquals(9, platform.awaitEnd(other));
         try (Harness.Client client = new Harness.Client(platform.address)) {
@@ -187,7 +189,7 @@
     }
 
     @Test
-    void aPromisedSocketThatIsNoneIsOneLineAndTwo() throws Exception {
+    void missingInheritedSocketIsReportedInOneLine() throws Exception {
         long pid = platform.start(
                 "env LB_SOCKET_FD=7 "
                         + Path.of(System.getProperty("java.home"), "bin", "java") + " -cp "
--- a/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
@@ -38,11 +38,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** WebSockets through a sidecar between real sockets. */
+/** WebSockets through a sidecar with real sockets. */
 @Timeout(120)
 class WebSocketTest extends Loopback {
 
-    private static final String MORE = "Connection: keep-alive, Upgrade\r\nUpgrade: websocket\r\n"
+    private static final String UPGRADE_HEADERS = "Connection: keep-alive, Upgrade\r\nUpgrade: websocket\r\n"
             + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + WebSocketClient.KEY + "\r\n";
 
     private Harness harness;
@@ -87,7 +87,7 @@
     }
 
     private WebSocketClient open(Harness.Client client) throws IOException {
-        client.raw(ask("/search/1", MORE));
+        client.raw(ask("/search/1", UPGRADE_HEADERS));
         RawHttpClient.Message answer = client.answer();
         assertEquals(101, answer.status());
         assertEquals(
@@ -95,7 +95,7 @@
         return new WebSocketClient(client.socket, true);
     }
 
-    /** Waits until every upgrade has come to an end, and demands that all adds up. */
+    /** Waits until every upgrade has ended, and asserts that the counters add up. */
     private void assertEnded(long asked) throws Exception {
         Counters counters = counters();
         while (harness.loop
@@ -116,13 +116,13 @@
     // ---- Handshake
 
     @Test
-    void theHandshakeGoesOnAndTheAnswerComesBack() throws Exception {
+    void handshakeAndItsResponseAreForwarded() throws Exception {
         PeerStub server = server(seen -> WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
         sidecar("", server);
         Harness.Client client = harness.client()
                 .raw(ask(
                         "/search/1?x=2",
-                        MORE
+                        UPGRADE_HEADERS
                                 + "Sec-WebSocket-Protocol: a, b\r\nSec-WebSocket-Protocol: c\r\n"
                                 + "Sec-WebSocket-Extensions: x-odd, permessage-deflate; client_max_window_bits\r\n"));
         RawHttpClient.Message answer = client.answer();
@@ -154,10 +154,11 @@
                 "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nTransfer-Encoding: chunked | 400",
                 "Sec-WebSocket-Version: 13 | Sec-WebSocket-Version: 13\\r\\nSec-WebSocket-Protocol: a, a | 400",
             })
-    void badHandshakesAreRejected(String from, String to, int status) throws Exception {
+    void invalidHandshakesAreRejected(String from, String to, int status) throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
-        String more = MORE.replace(from.strip(), to.strip().replace("\\r", "\r").replace("\\n", "\n"));
+        String more = UPGRADE_HEADERS.replace(
+                from.strip(), to.strip().replace("\\r", "\r").replace("\\n", "\n"));
         String body = more.contains("chunked") ? "1\r\na\r\n0\r\n\r\n" : more.contains("Length: 3") ? "abc" : "";
         RawHttpClient.Message answer =
                 harness.client().raw(ask("/search/1", more) + body).answer();
@@ -167,9 +168,9 @@
         assertEquals(0, counters().asked());
     }
 
-    /** h2c, and an upgrade where a route has none, are plain requests; their connection goes on. */
+    /** h2c, and upgrades on a route without them, are plain requests; their connection is kept. */
     @Test
-    void otherUpgradesArePlainRequests() throws Exception {
+    void otherUpgradesAreHandledAsPlainRequests() throws Exception {
         PeerStub server = server(PeerStub.serves("plain"));
         sidecar("", server);
         Harness.Client client = harness.client();
@@ -183,13 +184,13 @@
             assertEquals(200, client.search(2_000).answer().status());
             server.take();
         }
-        // What is behind such a request is no part of it.
+        // Bytes after such a request are not part of it.
         client.raw(ask("/search/1", "Connection: Upgrade\r\nUpgrade: h2c\r\n") + "GET /pay HTTP/1.1\r\n\r\n");
         assertEquals(400, client.answer().status());
         assertEquals(0, counters().asked());
     }
 
-    /** Each of these may have run, so an unsafe class's upgrade is never tried again. */
+    /** After each of these responses the request may have run, so a non-idempotent upgrade is never retried. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -212,7 +213,7 @@
                 "HTTP/1.1 101 OK\\r\\nUpg | 502",
                 "'' | 502",
             })
-    void aRefusedHandshakeIsOneAnswer(String text, int status) throws Exception {
+    void failedHandshakeGivesOneResponse(String text, int status) throws Exception {
         PeerStub.Script script = seen -> {
             seen.raw(text.strip()
                     .replace("\\r", "\r")
@@ -224,7 +225,7 @@
         PeerStub one = server(script);
         PeerStub two = server(script);
         sidecar("", one, two);
-        Harness.Client client = harness.client().raw(ask("/book/1", MORE));
+        Harness.Client client = harness.client().raw(ask("/book/1", UPGRADE_HEADERS));
         RawHttpClient.Message answer = client.answer();
         assertEquals(status, answer.status());
         if (status == 404) {
@@ -238,7 +239,7 @@
     }
 
     @Test
-    void anUpgradeThatWasTurnedAwayGoesToAnotherServer() throws Exception {
+    void rejectedUpgradeIsRetriedOnAnotherServer() throws Exception {
         PeerStub one = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         PeerStub two = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         PeerStub.Script once = seen -> {
@@ -249,7 +250,7 @@
         one.script(once);
         two.script(once);
         sidecar("", one, two);
-        Harness.Client client = harness.client().raw(ask("/book/1", MORE));
+        Harness.Client client = harness.client().raw(ask("/book/1", UPGRADE_HEADERS));
         assertEquals(101, client.answer().status());
         WebSocketClient ws = new WebSocketClient(client.socket, true).text("hello");
         assertEquals("hello", ws.message().text());
@@ -257,11 +258,11 @@
     }
 
     @Test
-    void whereNoServerIsTheRefusalSaysWhenToComeBack() throws Exception {
+    void rejectionWithoutAServerHasRetryAfter() throws Exception {
         PeerStub full = server(PeerStub.answers("503 Full", "Not-Started: 1\r\n", ""));
         sidecar("", full);
         RawHttpClient.Message answer =
-                harness.client().raw(ask("/search/1", MORE)).answer();
+                harness.client().raw(ask("/search/1", UPGRADE_HEADERS)).answer();
         assertEquals(503, answer.status());
         assertNotNull(answer.headers().get("Retry-After"));
         assertEnded(1);
@@ -269,34 +270,34 @@
     }
 
     @Test
-    void aServerThatSays101ToAPlainRequestHasFailed() throws Exception {
+    void response101ToAPlainRequestIsAnError() throws Exception {
         PeerStub server = server(seen -> seen.raw(WebSocketClient.agreed(WebSocketClient.KEY, "")));
         sidecar("", server);
         assertEquals(502, harness.client().book("x", 1_000).answer().status());
     }
 
     @Test
-    void aClientThatLeavesBeforeThe101IsGone() throws Exception {
+    void clientDisconnectBefore101CancelsTheUpgrade() throws Exception {
         PeerStub server = server(PeerStub.SILENT);
         sidecar("", server);
-        Harness.Client client = harness.client().raw(ask("/search/1", MORE));
-        PeerStub.Seen held = server.take();
+        Harness.Client client = harness.client().raw(ask("/search/1", UPGRADE_HEADERS));
+        PeerStub.Seen pending = server.take();
         client.close();
         server.awaitEnd();
         assertThrows(IOException.class, () -> {
             while (true) {
-                held.raw(WebSocketClient.agreed(WebSocketClient.KEY, ""));
+                pending.raw(WebSocketClient.agreed(WebSocketClient.KEY, ""));
             }
         });
         assertEnded(1);
         assertEquals(1, counters().in(State.GONE));
     }
 
-    // ---- Bytes about the handshake
+    // ---- Bytes around the handshake
 
-    /** First frames in one packet with the handshake, on both sides. */
+    /** The first frames arrive in one packet with the handshake, on both sides. */
     @Test
-    void whatComesRightBehindTheHandshakeIsKept() throws Exception {
+    void framesSentWithTheHandshakeAreKept() throws Exception {
         PeerStub server = server(seen -> {
             ByteArrayOutputStream both = new ByteArrayOutputStream();
             both.writeBytes(WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII));
@@ -312,7 +313,7 @@
         sidecar("", server);
         Harness.Client client = harness.client();
         ByteArrayOutputStream both = new ByteArrayOutputStream();
-        both.writeBytes(ask("/search/1", MORE).getBytes(StandardCharsets.US_ASCII));
+        both.writeBytes(ask("/search/1", UPGRADE_HEADERS).getBytes(StandardCharsets.US_ASCII));
         for (int i = 0; i < 10; i++) {
             both.writeBytes(WebSocketClient.frame(true, 0x81, ("c" + i).getBytes(StandardCharsets.US_ASCII)));
         }
@@ -330,26 +331,26 @@
     }
 
     @Test
-    void framesBeforeThe101AreKeptUpToABound() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    void framesBefore101AreKeptUpToALimit() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
-            awaitQuietly(go);
+            awaitQuietly(release);
             WebSocketClient.Frame first = WebSocketClient.agree(seen, "").message();
-            heard.add(first == null ? "nothing" : first.text());
+            received.add(first == null ? "nothing" : first.text());
         });
         sidecar("", server);
-        Harness.Client client = harness.client().raw(ask("/search/1", MORE));
+        Harness.Client client = harness.client().raw(ask("/search/1", UPGRADE_HEADERS));
         server.take();
         WebSocketClient ws = new WebSocketClient(client.socket, true);
         ws.text("early");
-        Harness.Client greedy = harness.client().raw(ask("/search/1", MORE));
+        Harness.Client greedy = harness.client().raw(ask("/search/1", UPGRADE_HEADERS));
         server.take();
         greedy.socket.getOutputStream().write(WebSocketClient.frame(true, 0x82, new byte[100_000]));
         assertEquals(400, greedy.answer().status());
-        go.countDown();
-        while (!heard.take().equals("early")) {
-            // The greedy one's server may have heard nothing.
+        release.countDown();
+        while (!received.take().equals("early")) {
+            // The server of the oversized client may have received nothing.
             Thread.onSpinWait();
         }
         assertEquals(101, client.answer().status());
@@ -382,10 +383,10 @@
 
     @ParameterizedTest
     @CsvSource({"c10141, 1002", "830141, 1002", "0900, 1002", "818100000000ff, 1007", "888100000000ff, 1002"})
-    void aClientsWrongFramesEndBothSides(String hex, int code) throws Exception {
-        BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
+    void invalidClientFramesCloseBothSides(String hex, int code) throws Exception {
+        BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
         PeerStub server = server(seen ->
-                serverHeard.add(WebSocketClient.agree(seen, "").message().code()));
+                serverCloseCodes.add(WebSocketClient.agree(seen, "").message().code()));
         sidecar("", server);
         WebSocketClient ws = open(harness.client());
         byte[] wrong = io.netty.buffer.ByteBufUtil.decodeHexDump(hex);
@@ -395,27 +396,27 @@
         }
         ws.raw(wrong);
         assertEquals(code, ws.message().code());
-        assertEquals(1001, serverHeard.take());
+        assertEquals(1001, serverCloseCodes.take());
         assertEnded(1);
         assertEquals(1, counters().in(State.CLOSED_BY_CLIENT));
     }
 
     @Test
-    void aServersWrongFramesEndBothSides() throws Exception {
-        BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
+    void invalidServerFramesCloseBothSides() throws Exception {
+        BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
             ws.raw(new byte[] {(byte) 0x83, 0});
-            serverHeard.add(ws.message().code());
+            serverCloseCodes.add(ws.message().code());
         });
         sidecar("", server);
         WebSocketClient ws = open(harness.client());
         assertEquals(1011, ws.message().code());
-        assertEquals(1002, serverHeard.take());
+        assertEquals(1002, serverCloseCodes.take());
     }
 
     @Test
-    void tooLargeIsSaidBeforeItHasCome() throws Exception {
+    void oversizedMessageIsRejectedByItsHeader() throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar("max_message = 1000\nmax_frame = 600\n", server);
         WebSocketClient ws = open(harness.client());
@@ -423,9 +424,9 @@
         assertEquals(1009, ws.message().code());
     }
 
-    /** A server that goes in the middle of a frame: its client gets whole frames and a close. */
+    /** A server fails in the middle of a frame: the client receives complete frames and a close. */
     @Test
-    void aBrokenServerTearsNoFrame() throws Exception {
+    void serverFailureWithinAFrameLeavesCompleteFrames() throws Exception {
         PeerStub server = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
             byte[] frame = WebSocketClient.frame(false, 0x82, new byte[50_000]);
@@ -438,7 +439,7 @@
         WebSocketClient.Frame last = null;
         for (WebSocketClient.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
             bytes += f.payload().length;
-            assertTrue(!f.last(), "a message that did not end was ended");
+            assertTrue(!f.last(), "an incomplete message was marked as complete");
             last = f;
         }
         assertNotNull(last);
@@ -448,8 +449,8 @@
     }
 
     @Test
-    void aBrokenServerGivesItsClient1011AndABrokenClientItsServer1001() throws Exception {
-        BlockingQueue<Integer> serverHeard = new LinkedBlockingQueue<>();
+    void serverFailureGives1011AndClientFailureGives1001() throws Exception {
+        BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
             WebSocketClient.agree(seen, "");
             seen.socket().close();
@@ -457,17 +458,17 @@
         sidecar("", server);
         assertEquals(1011, open(harness.client()).message().code());
         server.script(seen ->
-                serverHeard.add(WebSocketClient.agree(seen, "").message().code()));
+                serverCloseCodes.add(WebSocketClient.agree(seen, "").message().code()));
         Harness.Client client = harness.client();
         open(client);
         client.close();
-        assertEquals(1001, serverHeard.take());
+        assertEquals(1001, serverCloseCodes.take());
         assertEnded(2);
         assertEquals(2, counters().in(State.BROKEN));
     }
 
     @Test
-    void closesGoThroughWithTheirCodes() throws Exception {
+    void closeCodesAreForwarded() throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
         for (int code : new int[] {1000, 1001, 1003, 1008, 3000, 4999}) {
@@ -488,22 +489,22 @@
         assertEquals(1, counters().in(State.CLOSED_BY_SERVER));
     }
 
-    /** A reader that does not read stops its sender; what waits in the sidecar is bounded. */
+    /** A reader that does not read pauses its sender; the bytes buffered in the sidecar are bounded. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aSlowReaderStopsItsSender(boolean serverReads) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        int pieces = 4_000;
-        byte[] piece = new byte[10_000];
+    void slowReaderPausesItsSender(boolean serverReads) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        int messageCount = 4_000;
+        byte[] payload = new byte[10_000];
         BlockingQueue<Integer> counted = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
             if (serverReads) {
-                awaitQuietly(go);
-                counted.add(count(ws, pieces));
+                awaitQuietly(release);
+                counted.add(count(ws, messageCount));
             }
-            for (int i = 0; !serverReads && i < pieces; i++) {
-                ws.send(2, true, piece);
+            for (int i = 0; !serverReads && i < messageCount; i++) {
+                ws.send(2, true, payload);
             }
         });
         sidecar("", server);
@@ -511,23 +512,23 @@
         WebSocketClient ws = open(client);
         Thread sending = new Thread(() -> {
             try {
-                for (int i = 0; serverReads && i < pieces; i++) {
-                    ws.send(2, true, piece);
+                for (int i = 0; serverReads && i < messageCount; i++) {
+                    ws.send(2, true, payload);
                 }
             } catch (IOException e) {
                 counted.add(-1);
             }
         });
         sending.start();
-        // 40 MB are on their way, of which the sockets and the sidecar hold a few at most, so the sender
-        // waits.
+        // 40 MB are sent, of which the sockets and the sidecar buffer only a few, so the sender blocks.
         sending.join(1_000);
         assertEquals(serverReads, sending.isAlive());
-        long waiting = harness.loop.submit(() -> harness.sidecar.waitingBytes()).get();
+        long waiting =
+                harness.loop.submit(() -> harness.sidecar.pendingWriteBytes()).get();
         assertTrue(waiting < 512 * 1024, "waiting " + waiting);
         assertEquals(200, plain(), "others are served meanwhile");
-        go.countDown();
-        assertEquals(pieces, serverReads ? counted.take() : count(ws, pieces));
+        release.countDown();
+        assertEquals(messageCount, serverReads ? counted.take() : count(ws, messageCount));
     }
 
     private int plain() throws Exception {
@@ -545,11 +546,11 @@
     }
 
     @Test
-    void aSilentSideIsFoundByItsPings() throws Exception {
+    void pingsDetectASilentPeer() throws Exception {
         PeerStub server = server(seen -> WebSocketClient.agree(seen, ""));
         sidecar("ping_interval = \"200ms\"\nping_timeout = \"100ms\"\n", server);
         WebSocketClient ws = open(harness.client());
-        // The client answers its pings; the server's script has ended with its socket, or says nothing.
+        // The client answers its pings; the server's script has ended with its socket, or sends nothing.
         for (WebSocketClient.Frame f = ws.read(); f.opcode() != 8; f = ws.read()) {
             assertEquals(9, f.opcode());
             ws.send(10, true, f.payload());
@@ -559,7 +560,7 @@
     }
 
     @Test
-    void pongsToTheSidecarsPingsStayHere() throws Exception {
+    void pongsToTheSidecarsPingsAreNotForwarded() throws Exception {
         BlockingQueue<WebSocketClient.Frame> came = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
             WebSocketClient ws = WebSocketClient.agree(seen, "");
@@ -588,7 +589,7 @@
 
     @ParameterizedTest
     @CsvSource({"idle_timeout, idle", "max_life, longest life"})
-    void timesEndATunnelInOrder(String key, String reason) throws Exception {
+    void tunnelTimeoutsCloseInOrder(String key, String reason) throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar(key + " = \"1s\"\n", server);
         WebSocketClient ws = open(harness.client());
@@ -601,10 +602,10 @@
         assertEquals(1, counters().in(State.CLOSED_BY_SIDECAR));
     }
 
-    // ---- Drain, reload, end
+    // ---- Drain, reload, shutdown
 
     @Test
-    void aServerThatLeavesHasItsTunnelsClosedWithinTheGrace() throws Exception {
+    void removedServerHasItsTunnelsClosedWithinTheGracePeriod() throws Exception {
         PeerStub one = server(WebSocketClient.echo());
         PeerStub two = server(WebSocketClient.echo());
         sidecar("", one);
@@ -622,29 +623,29 @@
     }
 
     /**
-     * A drain told while the handshake is out: its 101 still counts, and the tunnel ends within the grace.
+     * A drain begins during the handshake: the 101 is still accepted, and the tunnel closes within the grace period.
      */
     @Test
-    void aServerThatDrainsDuringTheHandshake() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
+    void serverDrainDuringTheHandshakeClosesTheTunnel() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        BlockingQueue<Integer> received = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
-            awaitQuietly(go);
-            heard.add(WebSocketClient.agree(seen, "").message().code());
+            awaitQuietly(release);
+            received.add(WebSocketClient.agree(seen, "").message().code());
         });
         PeerStub two = server(WebSocketClient.echo());
         sidecar("", one);
-        Harness.Client client = harness.client().raw(ask("/search/1", MORE));
+        Harness.Client client = harness.client().raw(ask("/search/1", UPGRADE_HEADERS));
         one.take();
         harness.reload(file("", two));
-        go.countDown();
+        release.countDown();
         assertEquals(101, client.answer().status());
-        assertEquals(1001, heard.take());
+        assertEquals(1001, received.take());
         assertEquals(1001, new WebSocketClient(client.socket, true).message().code());
     }
 
     @Test
-    void theEndClosesAllTunnelsInOrder() throws Exception {
+    void shutdownClosesAllTunnelsInOrder() throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
         List<WebSocketClient> all = new ArrayList<>();
@@ -652,8 +653,9 @@
             all.add(open(harness.client()));
         }
         Harness.Client late = harness.client();
-        CountDownLatch ended = harness.begunStop();
-        RawHttpClient.Message refused = late.raw(ask("/search/1", MORE)).answer();
+        CountDownLatch ended = harness.stopAndAwaitStart();
+        RawHttpClient.Message refused =
+                late.raw(ask("/search/1", UPGRADE_HEADERS)).answer();
         assertEquals(503, refused.status());
         assertEquals("1", refused.headers().get("Retry-After"));
         for (WebSocketClient ws : all) {
@@ -668,13 +670,13 @@
 
     // ---- Faults at every byte
 
-    /** Either side hangs up after each byte of its part of the handshake; all adds up, and no one hangs. */
+    /** Either side disconnects after each byte of its part of the handshake; the counters add up, and nothing hangs. */
     @Test
-    void faultsAtEveryByteOfBothHandshakesAreEachCountedOnce() throws Exception {
+    void disconnectAtEachHandshakeByteIsCountedOnce() throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         PeerStub other = server(WebSocketClient.echo());
         sidecar("", server, other);
-        String request = ask("/book/1", MORE);
+        String request = ask("/book/1", UPGRADE_HEADERS);
         byte[] answer = WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII);
         byte[] frame = WebSocketClient.frame(false, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
         byte[] whole = Arrays.copyOf(answer, answer.length + frame.length);
@@ -690,7 +692,7 @@
                 };
                 server.script(script);
                 other.script(script);
-                Harness.Client client = harness.client().raw(ask("/book/1", MORE));
+                Harness.Client client = harness.client().raw(ask("/book/1", UPGRADE_HEADERS));
                 int status = client.answer().status();
                 asked++;
                 if (at < answer.length) {
@@ -718,13 +720,13 @@
         assertEnded(asked);
         assertEquals(agreed, counters().in(State.BROKEN), counters().toString());
         assertEquals(asked - agreed, counters().in(State.FAILED), counters().toString());
-        assertEquals(asked, server.seen.size() + other.seen.size(), "an unsafe one was tried again");
-        assertTrue(harness.stop().await(10, TimeUnit.SECONDS), "half a handshake is left");
+        assertEquals(asked, server.seen.size() + other.seen.size(), "a non-idempotent upgrade was retried");
+        assertTrue(harness.stop().await(10, TimeUnit.SECONDS), "an incomplete handshake is left");
     }
 
     // ---- An independent client
 
-    private static final class Listening implements WebSocket.Listener {
+    private static final class RecordingListener implements WebSocket.Listener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         private final StringBuilder text = new StringBuilder();
         private final ByteArrayOutputStream binary = new ByteArrayOutputStream();
@@ -743,9 +745,9 @@
 
         @Override
         public CompletionStage<?> onBinary(WebSocket socket, ByteBuffer data, boolean last) {
-            byte[] piece = new byte[data.remaining()];
-            data.get(piece);
-            binary.writeBytes(piece);
+            byte[] payload = new byte[data.remaining()];
+            data.get(payload);
+            binary.writeBytes(payload);
             if (last) {
                 message.complete(binary.toByteArray());
             }
@@ -780,48 +782,48 @@
     }
 
     @Test
-    void theRuntimesOwnClientIsContent() throws Exception {
+    void jdkWebSocketClientIsSupported() throws Exception {
         PeerStub server = server(WebSocketClient.echo());
         sidecar("", server);
-        Listening heard = new Listening();
-        WebSocket socket = builder().buildAsync(uri(), heard).get(10, TimeUnit.SECONDS);
+        RecordingListener received = new RecordingListener();
+        WebSocket socket = builder().buildAsync(uri(), received).get(10, TimeUnit.SECONDS);
         socket.sendText("h\u00e9llo", true).get();
-        assertEquals("text h\u00e9llo", heard.events.take());
+        assertEquals("text h\u00e9llo", received.events.take());
         socket.sendText("in ", false).get();
         socket.sendText("pieces", true).get();
-        assertEquals("text in pieces", heard.events.take());
+        assertEquals("text in pieces", received.events.take());
         socket.sendPing(ByteBuffer.wrap(new byte[5])).get();
-        assertEquals("pong 5", heard.events.take());
+        assertEquals("pong 5", received.events.take());
         byte[] large = new byte[16 << 20];
         new SplittableRandom(16).nextBytes(large);
         socket.sendBinary(ByteBuffer.wrap(large), true).get();
-        assertArrayEquals(large, heard.message.get(60, TimeUnit.SECONDS));
+        assertArrayEquals(large, received.message.get(60, TimeUnit.SECONDS));
         socket.sendClose(4000, "bye").get();
-        assertEquals("close 4000 bye", heard.events.take());
+        assertEquals("close 4000 bye", received.events.take());
         assertEnded(1);
     }
 
     @Test
-    void itsSubprotocolsAreAgreedOn() throws Exception {
+    void subprotocolIsNegotiatedWithTheJdkClient() throws Exception {
         PeerStub server = server(seen -> {
             assertEquals("v2, v1", seen.request().headers().get("Sec-WebSocket-Protocol"));
             WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: v1\r\n").close(1000);
         });
         sidecar("", server);
-        Listening heard = new Listening();
+        RecordingListener received = new RecordingListener();
         WebSocket socket =
-                builder().subprotocols("v2", "v1").buildAsync(uri(), heard).get(10, TimeUnit.SECONDS);
+                builder().subprotocols("v2", "v1").buildAsync(uri(), received).get(10, TimeUnit.SECONDS);
         assertEquals("v1", socket.getSubprotocol());
-        assertEquals("close 1000 ", heard.events.take());
+        assertEquals("close 1000 ", received.events.take());
     }
 
     @Test
-    void aServersNoIsAPlainAnswerToIt() throws Exception {
+    void rejectionByAServerReachesTheJdkClient() throws Exception {
         PeerStub server = server(PeerStub.answers("403 No", "", "not you"));
         sidecar("", server);
         CompletionException failed = assertThrows(
                 CompletionException.class,
-                () -> builder().buildAsync(uri(), new Listening()).join());
+                () -> builder().buildAsync(uri(), new RecordingListener()).join());
         WebSocketHandshakeException refused = (WebSocketHandshakeException) failed.getCause();
         assertEquals(403, refused.getResponse().statusCode());
         assertNotEquals(0, counters().asked());
