--- a/src/main/java/org/cypressweir/sidecar/ClientConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientConnection.java
@@ -25,8 +25,8 @@
  * has been read: further bytes mean that its length is wrong or that it is not the only request.
  *
  * <p>Confined to the event loop. Its states: awaiting a request, exchange in progress, writing a response, idle,
- * draining input (the last response is written, and further input is dropped), switched to another protocol. {@link
- * ClientListener} creates it, checks its time-outs, and is notified when it ends.
+ * draining input (the last response is written, and further input is dropped), switched to another protocol. It is
+ * created by {@link ClientListener}, which checks its time-outs and is notified when it ends.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
@@ -49,7 +49,7 @@
     private static final long LINGER_MILLIS = 5_000;
 
     private static final long LINGER_QUIET_MILLIS = 300;
-    /** Maximum number of bytes accepted after an upgrade request before the upgrade is agreed. */
+    /** Maximum number of bytes accepted after an upgrade request before a server has agreed to it. */
     private static final int MAX_EARLY_BYTES = 64 * 1024;
 
     private static final String HEALTH_CHECK_URI = "/healthz";
@@ -189,8 +189,8 @@
      * Closes the connection unless input has arrived that the event loop has not seen yet; returns whether it closes.
      *
      * <p>A request in the kernel's buffer counts as received: closing would reset the connection and lose it. Requests
-     * sent later find the connection closed, as HTTP allows between requests. A connection that was told to close is
-     * closed once its input is read, because a reset could overtake its response.
+     * sent later find the connection closed, as HTTP allows between requests. A connection whose last response is
+     * written is closed only after its input is read, because a reset could overtake the response.
      */
     boolean closeIfSilent() {
         long readsBefore = reads;
@@ -220,7 +220,7 @@
         } else if (reads == 0) {
             closeAfter(openedNanos, REQUEST_MILLIS);
         } else if (isRequestOverdue() && !completesNow()) {
-            reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not arrive completely in time");
+            reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole in time");
         }
     }
 
@@ -302,7 +302,7 @@
             earlyBytes.add(bytes);
             if (earlyBytes.size() > MAX_EARLY_BYTES) {
                 abandonExchange();
-                reject(HttpResponseStatus.BAD_REQUEST, "too many bytes before the upgrade was accepted");
+                reject(HttpResponseStatus.BAD_REQUEST, "too much before the upgrade was agreed to");
             }
         }
     }
@@ -413,7 +413,7 @@
         return hasFailed || listener.endsAfterAnswer(listeningSocket);
     }
 
-    /** The client is due no further response. */
+    /** Ends the exchange: no response is due any more. */
     void endExchange() {
         exchange = null;
     }
@@ -426,7 +426,7 @@
         respondedNanos = listener.now();
     }
 
-    /** A complete response is being written at once. */
+    /** A complete response is being written in one step. */
     void respondingAtOnce(boolean isLast) {
         responding(isLast);
         progressNanos = respondedNanos;
--- a/src/main/java/org/cypressweir/sidecar/ClientListener.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -45,7 +45,9 @@
             return false;
         }
 
-        /** Takes a request, whose response goes to the client; an exception is the last way to respond to it. */
+        /**
+         * Takes a request, to be answered through its client. If this throws, the connection sends an error response.
+         */
         void take(FullHttpRequest http, ClientRequest.Client client) throws RequestReader.BadRequest;
 
         /** Reports the number of connected clients while the listener drains. */
@@ -63,8 +65,8 @@
     /** How long new connections keep arriving after the shutdown or drain was announced. */
     private static final long ACCEPT_GRACE_MILLIS = 400;
     /**
-     * Time that a new connection has to send its first request; the listening socket closes only after as long without
-     * a new connection.
+     * A new connection without a request is not closed before this time; a closing listening socket stays open until it
+     * has had no new connection for this time.
      */
     static final long QUIET_MILLIS = 100;
     /**
@@ -420,8 +422,8 @@
     }
 
     /**
-     * At the limit, closes a connection that waits for nothing: a rejected one first, then one that never sent
-     * anything, then the one whose last response is oldest. If all are busy, new connections wait to be accepted.
+     * At the limit, closes a connection that waits for nothing: a rejected one first, then one that has sent nothing
+     * for a while, then the one whose last response is oldest. If all are busy, new connections wait to be accepted.
      *
      * <p>Up to the limit, all waiting connections are accepted at once. One per turn of the event loop was too few when
      * turns are long (a cold runtime, no free CPU, a pause): requests spent their time in the kernel's queue, where the
--- a/src/main/java/org/cypressweir/sidecar/ClientRequest.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequest.java
@@ -54,7 +54,7 @@
     final Cluster cluster;
     /** The pool that handles the request, even if its route leads elsewhere by now; null before a pool takes it. */
     Pool pool;
-    /** Told when the request completes; null for none. */
+    /** Notified when the request completes; null for none. */
     Watch watch;
     /** The ticket of its admission to a cell; null if there are no cells. */
     Cells.Ticket ticket;
@@ -136,7 +136,7 @@
         void close();
     }
 
-    /** One attempt: a single sending of a request to a server. */
+    /** One attempt: the request as sent to one server. */
     static final class Attempt {
         final ClientRequest call;
         final int number;
--- a/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
@@ -8,7 +8,7 @@
 
 /**
  * The requests in flight in this process, across all pools; a request id is in flight at most once. Requests are
- * counted here when they arrive and when they end, so no listener or pool can omit one.
+ * counted here when they arrive and when they end, so that no listener or pool can omit one.
  */
 final class InFlightRequests {
 
--- a/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -178,7 +178,7 @@
         }
         if (!inFlight.add(request)) {
             request.body.release();
-            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is already in progress");
+            throw new RequestReader.BadRequest("this " + Headers.REQUEST_ID + " is in hand");
         }
         if (request.upgrade != null) {
             client.expectUpgrade();
--- a/src/main/java/org/cypressweir/sidecar/RequestReader.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestReader.java
@@ -158,18 +158,21 @@
         return path.startsWith("/") ? path.substring(1) : "";
     }
 
-    /** The method and the idempotency key express what the client takes the class for; this must match the settings. */
+    /**
+     * The method and the idempotency key state which effect the client expects of the class; they must match the
+     * settings.
+     */
     private static void checkMethod(FullHttpRequest http, Effect effect, boolean upgrade) throws BadRequest {
         List<String> keys = http.headers().getAll(Headers.IDEMPOTENCY_KEY);
         HttpMethod wanted = effect == Effect.SAFE || upgrade ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(wanted)) {
-            throw new BadRequest("this class requires " + wanted);
+            throw new BadRequest("this class wants " + wanted);
         }
         if (effect == Effect.SAFE && http.content().isReadable()) {
             throw new BadRequest("this class has no body");
         }
         if (keys.size() != (effect == Effect.KEYED ? 1 : 0)) {
-            throw new BadRequest(Headers.IDEMPOTENCY_KEY + " must be set exactly for keyed classes");
+            throw new BadRequest(Headers.IDEMPOTENCY_KEY + " goes with keyed classes");
         }
     }
 
--- a/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -234,7 +234,7 @@
 
     /**
      * The client limit follows from the platform's setting; descriptors that this process reserves for itself do not
-     * reduce it, unless too few server connections remain.
+     * reduce it unless they leave too few server connections.
      */
     private static int maxOpenRequests(Limits limits, int configuredSockets, int sockets) {
         int clientShare = configuredSockets / 3 - Math.max(1, configuredSockets / 3 / SPARE_CONNECTIONS_DIVISOR);
--- a/src/test/java/org/cypressweir/FormerProgramNamesTest.java
+++ b/src/test/java/org/cypressweir/FormerProgramNamesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The programs still start by their names in earlier builds: scripts of operators have these. */
+/** The programs still start under their former names, which operators' scripts use. */
 class FormerProgramNamesTest {
 
     private static final String ORDERS_SERVICE =
--- a/src/test/java/org/cypressweir/sidecar/ClassListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClassListTest.java
@@ -47,7 +47,7 @@
                 }
             }
         }
-        assertEquals(List.of(), stale, "make the list anew as docs/sidecar.md says");
+        assertEquals(List.of(), stale, "regenerate the list as described in docs/sidecar.md");
         assertTrue(lambdas >= 60, lambdas + " lambdas");
     }
 }
