--- a/src/bench/java/org/cypressweir/controlplane/consensus/OneChangeBench.java
+++ b/src/bench/java/org/cypressweir/controlplane/consensus/OneChangeBench.java
@@ -14,11 +14,12 @@
 import org.cypressweir.controlplane.storage.XodusStore;
 import org.cypressweir.testkit.ThreeReplicas;
 
-/** What one change costs three copies on disks, beside so many items. */
+/** Measures the cost of one change at three replicas with stores on disk, in configurations of several sizes. */
 public final class OneChangeBench {
 
     private static final int CHANGES = 60;
-    private static final int[] HOT = {8, 64, 256, 600};
+    /** After how many changes of the same item one more is measured. */
+    private static final int[] EARLIER_CHANGES = {8, 64, 256, 600};
 
     private OneChangeBench() {}
 
@@ -42,64 +43,64 @@
         }
     }
 
-    /** What one more change of an item costs after so many of it. */
-    private static void hot(ThreeReplicas three, Path first) throws IOException {
+    /** Measures the cost of one more change of an item that has changed many times. */
+    private static void measureRepeatedChanges(ThreeReplicas replicas, Path firstFolder) throws IOException {
         int version = CHANGES + 3;
-        for (int before : HOT) {
-            for (; version < CHANGES + 3 + before; version++) {
-                three.submit(tenants(0, 1, version));
+        for (int earlierChanges : EARLIER_CHANGES) {
+            for (; version < CHANGES + 3 + earlierChanges; version++) {
+                replicas.submit(tenants(0, 1, version));
             }
-            long sent = three.sentBytes();
-            long disk = size(first);
-            three.submit(tenants(0, 1, version));
+            long bytesSent = replicas.sentBytes();
+            long bytesOnDisk = size(firstFolder);
+            replicas.submit(tenants(0, 1, version));
             System.out.printf(
-                    "  an item changed %d times: %d bytes sent, %d bytes on a disk%n",
-                    before, three.sentBytes() - sent, size(first) - disk);
+                    "  one more change after %d changes of an item: %d bytes sent, %d bytes on a disk%n",
+                    earlierChanges, replicas.sentBytes() - bytesSent, size(firstFolder) - bytesOnDisk);
             version++;
         }
     }
 
-    /** The folder to work in, and how many items. */
+    /** Arguments: the folder for the stores, and the numbers of items to measure with. */
     public static void main(String[] args) throws IOException {
-        String[] given = String.join(" ", args).split(" ");
-        Path folder = Files.createTempDirectory(Path.of(given[0]), "one-change");
-        for (int a = 1; a < given.length; a++) {
-            int items = Integer.parseInt(given[a]);
+        String[] arguments = String.join(" ", args).split(" ");
+        Path folder = Files.createTempDirectory(Path.of(arguments[0]), "one-change");
+        for (int a = 1; a < arguments.length; a++) {
+            int items = Integer.parseInt(arguments[a]);
             List<Store> stores = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 stores.add(new XodusStore(folder.resolve(items + "-" + i)));
             }
-            ThreeReplicas three = new ThreeReplicas(stores);
-            long begun = System.nanoTime();
-            three.submit(tenants(0, items, 1));
-            long loaded = System.nanoTime() - begun;
-            Path first = folder.resolve(items + "-0");
-            long whole = size(first);
-            three.submit(tenants(items / 2, items / 2 + 1, 2));
-            long disk = size(first);
-            long sent = three.sentBytes();
-            long messages = three.messages();
-            long writes = three.writes();
+            ThreeReplicas replicas = new ThreeReplicas(stores);
+            long startNanos = System.nanoTime();
+            replicas.submit(tenants(0, items, 1));
+            long loadNanos = System.nanoTime() - startNanos;
+            Path firstFolder = folder.resolve(items + "-0");
+            long configurationBytes = size(firstFolder);
+            replicas.submit(tenants(items / 2, items / 2 + 1, 2));
+            long bytesOnDisk = size(firstFolder);
+            long bytesSent = replicas.sentBytes();
+            long messages = replicas.messages();
+            long writes = replicas.writes();
             long[] micros = new long[CHANGES];
             for (int i = 0; i < CHANGES; i++) {
                 int item = items * i / CHANGES;
-                begun = System.nanoTime();
-                three.submit(tenants(item, item + 1, 3 + i));
-                micros[i] = (System.nanoTime() - begun) / 1_000;
+                startNanos = System.nanoTime();
+                replicas.submit(tenants(item, item + 1, 3 + i));
+                micros[i] = (System.nanoTime() - startNanos) / 1_000;
             }
             Arrays.sort(micros);
             System.out.printf(
-                    "%d items: whole %d bytes in %d ms; a change: %d messages, %d bytes sent, "
+                    "%d items: full configuration %d bytes in %d ms; one change: %d messages, %d bytes sent, "
                             + "%d writes, %d bytes on a disk, median %d us%n",
                     items,
-                    whole,
-                    loaded / 1_000_000,
-                    (three.messages() - messages) / CHANGES,
-                    (three.sentBytes() - sent) / CHANGES,
-                    (three.writes() - writes) / CHANGES,
-                    (size(first) - disk) / CHANGES,
+                    configurationBytes,
+                    loadNanos / 1_000_000,
+                    (replicas.messages() - messages) / CHANGES,
+                    (replicas.sentBytes() - bytesSent) / CHANGES,
+                    (replicas.writes() - writes) / CHANGES,
+                    (size(firstFolder) - bytesOnDisk) / CHANGES,
                     micros[CHANGES / 2]);
-            hot(three, first);
+            measureRepeatedChanges(replicas, firstFolder);
             for (Store store : stores) {
                 store.close();
             }
--- a/src/main/java/org/cypressweir/controlplane/consensus/AcceptPhase.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/AcceptPhase.java
@@ -10,13 +10,13 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * Phase 2: asks the voters before and after the change to accept the next state, until a majority of both has.
- * A voter that holds the base gets what differs from it; another one what changed since a state that it holds,
- * or a full snapshot.
+ * Phase 2: asks the voters before and after the change to accept the next state, until a majority of each set
+ * has. A voter that holds the base gets the difference from it; any other voter gets the difference from a state
+ * that it holds, or a full snapshot.
  */
 final class AcceptPhase implements RoundPhase {
 
-    /** A full snapshot is large: how soon it is sent again, and how much longer a round takes for each chunk. */
+    /** A full snapshot is large: it is sent again only after this time, and each chunk extends the round. */
     private static final long SNAPSHOT_RESEND_MICROS = 300_000;
 
     private static final long SNAPSHOT_CHUNK_MICROS = 10_000;
@@ -27,8 +27,8 @@
     private final ReplicatedState base;
     private final ReplicatedState next;
     private final List<Item> changed;
-    private final Set<String> accepters = new HashSet<>();
-    /** Voters that have said that they hold another base, and those that have said so again. */
+    private final Set<String> acceptedBy = new HashSet<>();
+    /** Voters that have reported a base mismatch, and those that have reported a second one. */
     private final Set<String> withOtherBase = new HashSet<>();
 
     private final Set<String> needingSnapshot = new HashSet<>();
@@ -54,8 +54,8 @@
     /** Begins with this replica's own acceptance, which is durable. */
     void begin() {
         sentAt = context.now;
-        context.history.step(base.number(), next.number(), changed);
-        accepters.add(context.own);
+        context.history.recordStep(base.number(), next.number(), changed);
+        acceptedBy.add(context.ownKey);
         sendToAll();
         commitIfAccepted();
     }
@@ -74,7 +74,7 @@
 
     @Override
     public void onAccepted(String from) {
-        if (accepters.add(from)) {
+        if (acceptedBy.add(from)) {
             commitIfAccepted();
         }
     }
@@ -95,15 +95,15 @@
     }
 
     private void commitIfAccepted() {
-        if (ReplicatedState.isMajority(base.voters(), accepters)
-                && ReplicatedState.isMajority(next.voters(), accepters)) {
+        if (ReplicatedState.isMajority(base.voters(), acceptedBy)
+                && ReplicatedState.isMajority(next.voters(), acceptedBy)) {
             round.commit(next);
         }
     }
 
     private void sendToAll() {
         for (String voter : allVoters()) {
-            if (!accepters.contains(voter)) {
+            if (!acceptedBy.contains(voter)) {
                 send(voter);
             }
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    /** What brings that voter to the next state; null where only a full snapshot does. */
+    /** The difference that brings a voter to the next state; null if it needs a full snapshot. */
     private ChangeHistory.Difference differenceFor(String to) {
         if (needingSnapshot.contains(to)) {
             return null;
--- a/src/main/java/org/cypressweir/controlplane/consensus/Acceptor.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Acceptor.java
@@ -11,15 +11,15 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * The acceptor of Paxos: promises to accept nothing below a number, and accepts states. In memory it knows
- * only what has been written, so whatever it answers is durable. Writes go one after the other; whether a
- * request is granted is decided when its turn comes.
+ * The acceptor of Paxos: promises to accept nothing below a number, and accepts states. Its state in memory
+ * changes only after a write has finished, so whatever it answers is durable. There is one write at a time, and
+ * each request is evaluated when the writes before it have finished.
  */
 final class Acceptor {
 
     private static final int MAX_WAITING = 256;
 
-    /** What becomes of a request for a promise. Exactly one is called. */
+    /** The outcomes of a request for a promise. Exactly one of them is called. */
     record PromiseCallbacks(Runnable promised, Consumer<ProposalNumber> rejected, Runnable writeFailed) {}
 
     /** A state to be accepted: a full snapshot, or the items that differ from the base. */
@@ -30,15 +30,15 @@
             List<String> voters,
             Collection<Item> items) {}
 
-    /** What becomes of a request to accept. Exactly one is called. */
+    /** The outcomes of a request to accept. Exactly one of them is called. */
     record AcceptCallbacks(
             Runnable accepted, Consumer<ProposalNumber> rejected, Runnable baseMismatch, Runnable writeFailed) {
 
         private static final AcceptCallbacks NONE = new AcceptCallbacks(() -> {}, higher -> {}, () -> {}, () -> {});
     }
 
-    /** A write that may be due: the update or null, what comes after it, and what comes if it fails. */
-    private record Task(Supplier<StorageUpdate> due, Runnable after, Runnable writeFailed) {}
+    /** A request: the update to write, or null if none is needed, and what to run when it is durable or has failed. */
+    private record Task(Supplier<StorageUpdate> nextUpdate, Runnable onDurable, Runnable onFailure) {}
 
     private final ReplicaContext context;
     private final Deque<Task> waiting = new ArrayDeque<>();
@@ -49,7 +49,7 @@
     private long writeNumber;
     private long writeStartedAt;
     private boolean writeFailed;
-    /** Whether the disk may hold other items than are known here, after a write that failed. */
+    /** Whether a failed write may have left other items on the disk than are known here. */
     private boolean diskUncertain;
 
     private long retryAt;
@@ -68,8 +68,8 @@
             learnedSecondHand = loadedOrNull.learnedSecondHand();
             state = new ReplicatedState(
                     loadedOrNull.accepted(), loadedOrNull.voters(), Configuration.of(loadedOrNull.items()));
-            context.seen(promised);
-            context.seen(state.number());
+            context.observeNumber(promised);
+            context.observeNumber(state.number());
         }
     }
 
@@ -93,14 +93,14 @@
         return state;
     }
 
-    /** Whether the last write failed, or one has not come back in time. */
+    /** Whether the last write failed, or a write has not finished in time. */
     boolean diskFailed() {
         return writeFailed || writing != null && context.now - writeStartedAt >= context.options.writeTimeoutMicros();
     }
 
     /** Promises to accept nothing below that number. */
     void promise(ProposalNumber number, PromiseCallbacks callbacks) {
-        context.seen(number);
+        context.observeNumber(number);
         enqueue(new Task(() -> evaluate(number, callbacks), callbacks.promised(), callbacks.writeFailed()));
     }
 
@@ -118,7 +118,7 @@
 
     /** Accepts a state, unless a higher number has been promised. */
     void accept(AcceptRequest request, AcceptCallbacks callbacks) {
-        context.seen(request.number());
+        context.observeNumber(request.number());
         enqueue(new Task(() -> evaluate(request, callbacks), callbacks.accepted(), callbacks.writeFailed()));
     }
 
@@ -144,7 +144,7 @@
         return new StorageUpdate(number, number, request.voters(), List.copyOf(request.items()), fullSnapshot);
     }
 
-    /** Accepts a state known to be committed, where no promise is in the way. */
+    /** Accepts a state known to be committed, unless a higher number has been promised. */
     void adopt(ReplicatedState committed) {
         accept(
                 new AcceptRequest(
@@ -165,13 +165,13 @@
                 first.configuration().items(),
                 true,
                 context.diskId);
-        context.seen(first.number());
+        context.observeNumber(first.number());
         enqueue(new Task(() -> initialized ? null : initial, after, () -> {}));
     }
 
     private void enqueue(Task task) {
         if (writeFailed || waiting.size() >= MAX_WAITING) {
-            task.writeFailed.run();
+            task.onFailure.run();
             return;
         }
         waiting.add(task);
@@ -181,7 +181,7 @@
     private void startNextWrite() {
         while (writing == null && !waiting.isEmpty()) {
             Task task = waiting.poll();
-            StorageUpdate due = task.due.get();
+            StorageUpdate due = task.nextUpdate.get();
             if (due != null) {
                 write(task, due);
             }
@@ -192,10 +192,10 @@
         writing = task;
         update = due;
         writeStartedAt = context.now;
-        context.add(new Effect.Write(++writeNumber, due));
+        context.addEffect(new Effect.Write(++writeNumber, due));
     }
 
-    /** A write has come back. */
+    /** Handles the end of a write. */
     void written(long number, boolean ok) {
         if (writing == null || number != writeNumber) {
             return;
@@ -205,7 +205,7 @@
         if (ok) {
             writeFailed = false;
             apply(update);
-            task.after.run();
+            task.onDurable.run();
             startNextWrite();
         } else {
             failWrites(task);
@@ -218,8 +218,8 @@
         retryAt = context.now + context.options.writeRetryIntervalMicros();
         List<Task> dropped = new ArrayList<>(waiting);
         waiting.clear();
-        failed.writeFailed.run();
-        dropped.forEach(task -> task.writeFailed.run());
+        failed.onFailure.run();
+        dropped.forEach(task -> task.onFailure.run());
     }
 
     private void apply(StorageUpdate written) {
@@ -231,7 +231,7 @@
                     ? Configuration.of(written.items())
                     : state.configuration().with(written.items());
             if (!written.fullSnapshot()) {
-                context.history.step(state.number(), written.accepted(), written.items());
+                context.history.recordStep(state.number(), written.accepted(), written.items());
             }
             state = new ReplicatedState(written.accepted(), written.voters(), configuration);
         }
@@ -240,7 +240,7 @@
         }
     }
 
-    /** After a failure, a small write tells whether the disk takes writes again. */
+    /** After a failure, tries a small write to find out whether the disk takes writes again. */
     void tick() {
         if (!writeFailed || writing != null || context.now < retryAt) {
             return;
--- a/src/main/java/org/cypressweir/controlplane/consensus/AcceptorRequestHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/AcceptorRequestHandler.java
@@ -6,7 +6,7 @@
 
 /**
  * The acceptor's side of both phases: answers prepare and accept messages of other proposers once the answer
- * is durable. A replica that is blank, or whose disk has failed, stays silent.
+ * is durable. A replica that is blank, or whose disk has failed, does not answer.
  */
 final class AcceptorRequestHandler {
 
@@ -24,7 +24,7 @@
         this.snapshots = snapshots;
     }
 
-    /** Forgets chunks of senders that are gone. */
+    /** Forgets chunks of senders that are not live. */
     void prune(Collection<String> live) {
         chunks.prune(live);
     }
@@ -61,7 +61,7 @@
         boolean fullSnapshot = accept.fullSnapshot();
         ProposalNumber base = accept.base();
         ReplicatedState committed = committedState.state();
-        // What was learnt as committed but not accepted, since a promise was in the way, is a base as well.
+        // A committed state that was learned but not accepted, because of a higher promise, is a valid base too.
         boolean onLearned = !fullSnapshot
                 && base.equals(committed.number())
                 && !base.equals(acceptor.accepted())
@@ -87,9 +87,9 @@
                         () -> {}));
     }
 
-    /** Earlier builds named no recipient: what they send is for the disk of the first start. */
+    /** Earlier builds name no recipient: their messages are meant for the disk of the very first start. */
     private boolean isAddressedHere(String recipient) {
-        return context.own.equals(recipient == null ? context.address : recipient);
+        return context.ownKey.equals(recipient == null ? context.address : recipient);
     }
 
     private void sendPromise(String to, ProposalNumber number) {
--- a/src/main/java/org/cypressweir/controlplane/consensus/ChangeHistory.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ChangeHistory.java
@@ -10,27 +10,27 @@
 import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
- * Which keys changed from one state to the next, as far back as a bounded number of keys goes. A replica
- * that holds a state which another came from needs only the items of those keys: equal proposal numbers are
- * equal states.
+ * Records which keys changed from each state to the next, for as many of the latest steps as fit into a bounded
+ * number of keys. A replica that holds an earlier state needs only the items of the keys that changed since:
+ * equal proposal numbers mean equal states.
  */
 final class ChangeHistory {
 
     private static final int MAX_KEYS = 8_192;
 
-    /** A state that another came from, and what differs between them. */
+    /** An earlier state, and the items in which a later one differs from it. */
     record Difference(ProposalNumber from, List<Item> items) {}
 
     private record Step(ProposalNumber from, List<ItemKey> keys) {}
 
-    /** By the state that came of it, oldest first. */
+    /** By the number of the resulting state, oldest first. */
     private final Map<ProposalNumber, Step> steps = new LinkedHashMap<>();
 
-    /** How many keys the steps hold, each step counted as one more. */
+    /** The number of keys in all steps, plus one for each step. */
     private int keys;
 
-    /** The state {@code to} came from the state {@code from} by these items alone. */
-    void step(ProposalNumber from, ProposalNumber to, Collection<Item> changed) {
+    /** Records that the state {@code to} differs from the state {@code from} in these items alone. */
+    void recordStep(ProposalNumber from, ProposalNumber to, Collection<Item> changed) {
         if (!to.above(from) || changed.size() > MAX_KEYS) {
             return;
         }
@@ -47,7 +47,10 @@
         keys -= removed == null ? 0 : 1 + removed.keys.size();
     }
 
-    /** What brings a holder of one of those states to this one, from the newest of them; null if unknown. */
+    /**
+     * The difference from the newest of the held states to this one; null if it is not known, or spans more than
+     * about half of the configuration.
+     */
     Difference since(Collection<ProposalNumber> heldStates, ReplicatedState state) {
         Set<ItemKey> changed = new LinkedHashSet<>();
         ProposalNumber at = state.number();
--- a/src/main/java/org/cypressweir/controlplane/consensus/ChunkAssembler.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ChunkAssembler.java
@@ -9,8 +9,8 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * Puts together the chunks of an accept message that came in several. Of each sender only the state with the
- * highest number is kept.
+ * Reassembles accept messages that were sent in several chunks. For each sender, only chunks of the state with the
+ * highest number are kept.
  */
 final class ChunkAssembler {
 
@@ -39,10 +39,10 @@
     private final Map<String, PartialState> bySender = new HashMap<>();
 
     /**
-     * All items once the last chunk is here, else null.
+     * Adds a chunk. Returns all items if it was the last one missing, else null.
      *
      * @param base null for a full snapshot
-     * @throws IllegalArgumentException if there is no such chunk
+     * @throws IllegalArgumentException if the index or the number of chunks is out of range
      */
     List<Item> take(
             String from, ProposalNumber number, ProposalNumber base, long chunk, long chunkCount, List<Item> items) {
@@ -72,7 +72,7 @@
         return all;
     }
 
-    /** Forgets senders that are gone. */
+    /** Forgets senders that are not live. */
     void prune(Collection<String> live) {
         bySender.keySet().retainAll(live);
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
@@ -4,9 +4,9 @@
 import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
- * The learner's view of a replica that holds a state: the highest number known to be committed, and the last
- * committed state that has been published. If the state falls behind the number it is fetched from a peer,
- * published, and accepted where no promise is in the way.
+ * The learner of a replica that holds a state. Tracks the highest number known to be committed, and the last
+ * committed state that was published. If that state falls behind the number, the newer one is fetched from a
+ * peer, published, and accepted unless a higher number has been promised.
  */
 final class CommittedState {
 
@@ -39,44 +39,44 @@
         return state;
     }
 
-    /** The state of that number is committed. */
+    /** Records that the state of that number is committed, and publishes it if this replica has accepted it. */
     void onCommitted(ProposalNumber committed) {
         if (committed.above(number)) {
             number = committed;
         }
-        context.seen(committed);
+        context.observeNumber(committed);
         publishAccepted();
     }
 
-    /** That state is committed: it is shown to the caller. */
+    /** Publishes a committed state, unless a higher one was published before. */
     void publish(ReplicatedState committed) {
         if (committed.number().above(number)) {
             number = committed.number();
         }
         if (committed.number().above(state.number())) {
             state = committed;
-            context.add(new Effect.Show(state.number(), state.configuration(), state.voters()));
+            context.addEffect(new Effect.Show(state.number(), state.configuration(), state.voters()));
         }
     }
 
-    /** A voter works out from heartbeats whether a majority has accepted the same state. */
+    /** Takes the committed number of a heartbeat. A voter also counts which voters have accepted the same state. */
     void onHeartbeat(ConsensusMessage.Heartbeat heartbeat, boolean isVoter) {
         if (heartbeat.blank()) {
             return;
         }
         onCommitted(heartbeat.committed());
-        if (isVoter && heartbeat.accepted().above(number) && heartbeat.voters().contains(context.own)) {
-            Set<String> accepters = peers.votedFor(heartbeat.accepted());
+        if (isVoter && heartbeat.accepted().above(number) && heartbeat.voters().contains(context.ownKey)) {
+            Set<String> acceptedBy = peers.votedFor(heartbeat.accepted());
             if (acceptor.accepted().equals(heartbeat.accepted()) && !acceptor.learnedSecondHand()) {
-                accepters.add(context.own);
+                acceptedBy.add(context.ownKey);
             }
-            if (ReplicatedState.isMajority(heartbeat.voters(), accepters)) {
+            if (ReplicatedState.isMajority(heartbeat.voters(), acceptedBy)) {
                 onCommitted(heartbeat.accepted());
             }
         }
     }
 
-    /** Publishes what this replica has accepted, where that is committed. */
+    /** Publishes the accepted state if it is known to be committed. */
     void publishAccepted() {
         if (acceptor.accepted().equals(number)) {
             publish(acceptor.state());
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Whether it has been open for too long if the highest accepted state is committed. */
+    /** Whether it has been unknown for too long if the highest accepted state is committed. */
     boolean recoveryDue() {
         ProposalNumber highest = highestAccepted();
         if (!highest.above(number)) {
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessage.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessage.java
@@ -4,12 +4,12 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * A message between two replicas: one record a kind. Immutable; {@link ConsensusMessageCodec} alone knows how
- * it is written.
+ * A message between two replicas, with one record for each kind. Immutable; {@link ConsensusMessageCodec} alone
+ * knows its format on the wire.
  *
  * <p>{@link Prepare}, {@link Promise}, {@link Accept} and {@link Accepted} are the messages of Paxos ("Paxos
- * Made Simple", Lamport 2001), {@link Rejected} the refusal that spares a proposer its time-out. The others
- * tell learners what has been chosen, transfer state, and change the set of voters.
+ * Made Simple", Lamport 2001); {@link Rejected} lets a proposer give up before its time-out. The others tell
+ * learners what has been chosen, transfer state, and change the set of voters.
  */
 sealed interface ConsensusMessage {
 
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Phase 1a: asks for a promise. The recipient is the replica key that is meant, since another disk at the
-     * same address has not promised what that one has; null where an earlier build named none.
+     * Phase 1a: asks for a promise. The recipient is a replica key, since another disk at the same address does
+     * not hold the same promises; null in messages of earlier builds, which name none.
      */
     record Prepare(String recipient, ProposalNumber number) implements ConsensusMessage {
         @Override
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Refuses a prepare or an accept, since a higher number has been promised. */
+    /** Rejects a prepare or an accept, since a higher number has been promised. */
     record Rejected(ProposalNumber number, ProposalNumber promised) implements ConsensusMessage {
         @Override
         public void deliver(String from, Handler handler) {
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Phase 2a: asks to accept a state: a full snapshot, or the items that differ from the base. Many items go
-     * in several chunks. The checksum is that of the whole resulting state.
+     * Phase 2a: asks to accept a state: a full snapshot, or the items that differ from the base. Many items
+     * are sent in several chunks. The checksum is that of the whole resulting state.
      */
     record Accept(
             String recipient,
@@ -111,7 +111,10 @@
         }
     }
 
-    /** Refuses an accept whose base is not the state here, and names the states from which one could go on. */
+    /**
+     * Rejects an accept whose base is not held here, or which does not lead to the checksum that it names; names the
+     * held states that could be a base instead.
+     */
     record BaseMismatch(ProposalNumber number, ProposalNumber accepted, ProposalNumber committed)
             implements ConsensusMessage {
         @Override
@@ -129,9 +132,9 @@
     }
 
     /**
-     * What a replica says of itself, over and over. A blank one has nothing on its disk yet. The sequence
-     * number is echoed by the peer with its own next heartbeat, which proves contact; with replyRequested the
-     * peer answers at once.
+     * Tells peers at regular intervals what a replica has accepted and knows to be committed. A blank replica has
+     * nothing on its disk yet. The peer echoes the sequence number with its own next heartbeat, which proves
+     * contact; with replyRequested it answers at once.
      */
     record Heartbeat(
             long incarnation,
@@ -151,7 +154,7 @@
         }
     }
 
-    /** A blank replica asks what there is to learn; the answer repeats the asker's incarnation. */
+    /** A blank replica asks for the state of its peers; the response repeats the asker's incarnation. */
     record LearnRequest(long incarnation) implements ConsensusMessage {
         @Override
         public void deliver(String from, Handler handler) {
@@ -195,7 +198,7 @@
         }
     }
 
-    /** Answers a {@link FetchState} for a state that is no longer at hand. */
+    /** Answers a {@link FetchState} for a state that is no longer cached. */
     record StateUnavailable(ProposalNumber number) implements ConsensusMessage {
         @Override
         public void deliver(String from, Handler handler) {
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessageCodec.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessageCodec.java
@@ -23,8 +23,8 @@
 import org.cypressweir.controlplane.consensus.ConsensusMessage.StateUnavailable;
 
 /**
- * Turns consensus messages into maps ready for JSON and back. Stateless. The texts of kinds and fields, and
- * the order of the fields, are fixed: replicas of different builds read each other.
+ * Converts consensus messages to maps ready for JSON and back. Stateless. The names of kinds and fields, and the
+ * order of the fields, are fixed: replicas of different builds exchange messages.
  */
 final class ConsensusMessageCodec {
 
@@ -50,7 +50,7 @@
     private static final String NUMBER = "b";
     private static final String ACCEPTED_NUMBER = "accepted";
     private static final String PROMISED_NUMBER = "promised";
-    /** Of promises and mismatches; heartbeats and learn responses have {@link #KNOWN_COMMITTED_NUMBER}. */
+    /** In promises and base mismatches; heartbeats and learn responses have {@link #KNOWN_COMMITTED_NUMBER}. */
     private static final String COMMITTED_NUMBER = "shown";
 
     private static final String KNOWN_COMMITTED_NUMBER = "decided";
@@ -182,7 +182,7 @@
                 items(message));
     }
 
-    /** Null where the field is absent: earlier builds named nobody. */
+    /** Null if the field is absent: earlier builds name no recipient. */
     private static String recipient(Map<String, Object> message) {
         Object recipient = message.get(RECIPIENT);
         return recipient == null ? null : String.valueOf(recipient);
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessageHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusMessageHandler.java
@@ -1,8 +1,8 @@
 package org.cypressweir.controlplane.consensus;
 
 /**
- * Hands each message to the part of the replica whose job it is. Confined to the thread of its replica, and lives as
- * long.
+ * Passes each message to the part of the replica that handles it. Confined to the thread of its replica, and lives
+ * as long.
  */
 final class ConsensusMessageHandler implements ConsensusMessage.Handler {
 
@@ -64,7 +64,7 @@
 
     @Override
     public void onHeartbeat(String from, ConsensusMessage.Heartbeat heartbeat) {
-        context.seen(heartbeat.accepted());
+        context.observeNumber(heartbeat.accepted());
         if (membership.peers().update(from, heartbeat)) {
             membership.contact().onHeartbeat(from, heartbeat);
             roles.committedState().onHeartbeat(heartbeat, membership.status().isVoter());
@@ -78,7 +78,7 @@
     public void onLeaveNotice(String from, ConsensusMessage.LeaveNotice notice) {
         membership.peers().markLeaving(from, notice.incarnation());
         membership.planner().withdrawStandby(from);
-        // It waits until its state is known to be on the others' disks.
+        // The leaving replica waits until it knows that the others have accepted its state.
         heartbeats.send(ReplicaKey.address(from));
     }
 
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
@@ -6,11 +6,12 @@
  * @param requestIntervalMicros how often a replica asks to learn the state or to join
  * @param roundTimeoutMicros how long a phase of a proposal round may last
  * @param rejectedRoundTimeoutMicros how much longer a round may last once a voter has rejected it
- * @param recoveryDelayMicros how long it may be open whether the highest accepted state is committed
- * @param unresponsiveAfterMicros when a voter that is not heard may be replaced
- * @param livenessTimeoutMicros when a peer that is not heard no longer counts towards a majority
+ * @param recoveryDelayMicros how long it may be unknown whether the highest accepted state is committed,
+ *     before a round finds out
+ * @param unresponsiveAfterMicros after how long without a message a voter may be replaced
+ * @param livenessTimeoutMicros after how long without a message a peer no longer counts towards a majority
  * @param catchUpDelayMicros how long a replica waits for a committed state before it fetches it
- * @param quorumContactTimeoutMicros when contact with a majority counts as lost
+ * @param quorumContactTimeoutMicros after how long without answers from a majority contact counts as lost
  * @param probeTimeoutMicros how long a proposal waits for contact to be regained
  */
 public record ConsensusOptions(
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
@@ -18,8 +18,8 @@
  * and of the voters before, has accepted is chosen. Learners hear of it by a message, or work it out from
  * heartbeats, and fetch the state if they don't hold it.
  *
- * <p>The voters change by one at a time, so that any two majorities in a row share a voter. How fresh the
- * committed state is follows from echoed heartbeats, see {@link QuorumContact}.
+ * <p>The voters change by one at a time, so that a majority before a change shares a voter with any majority
+ * after it. How fresh the committed state is follows from echoed heartbeats, see {@link QuorumContact}.
  *
  * <p>Does no I/O and reads no clock: each call returns the {@link Effect}s that the caller has to carry out,
  * in order. Not thread-safe; all calls come from one thread, with a time in microseconds that never goes back.
@@ -46,7 +46,7 @@
     private long joinRequestedAt;
     private boolean leaving;
 
-    /** Wants as many voters as there are seeds, three at least. */
+    /** Creates a replica that keeps as many voters as there are seeds, but at least three. */
     public ConsensusReplica(
             ConsensusOptions options,
             String address,
@@ -111,7 +111,7 @@
 
     /** The key of this replica: its address, and the number of its disk. */
     public String own() {
-        return context.own;
+        return context.ownKey;
     }
 
     /** Replaces the addresses that a replica with an empty disk asks. */
@@ -119,25 +119,25 @@
         learner.updateSeeds(seeds);
     }
 
-    /** To be called once, first. */
+    /** Starts the replica. To be called once, before messages, proposals and ticks. */
     public List<Effect> start(long now) {
         return tick(now);
     }
 
-    /** Takes a message as it came. One that is unknown or malformed is ignored. */
+    /** Handles a message from a peer. One that is malformed or of an unknown kind is ignored. */
     public List<Effect> received(long now, String from, Map<String, Object> message) {
         context.now = now;
         Optional<String> kind = ConsensusMessageCodec.kind(message);
-        if (from == null || kind.isEmpty() || from.equals(context.own)) {
-            return context.take();
+        if (from == null || kind.isEmpty() || from.equals(context.ownKey)) {
+            return context.takeEffects();
         }
         try {
             receive(from, ConsensusMessageCodec.decode(kind.get(), message));
         } catch (IllegalArgumentException e) {
             // Malformed: not a message of a replica, so the sender doesn't count as heard either.
-            return context.take();
+            return context.takeEffects();
         }
-        return context.take();
+        return context.takeEffects();
     }
 
     private void receive(String from, Optional<ConsensusMessage> message) {
@@ -146,7 +146,7 @@
                 && message.get() instanceof ConsensusMessage.Heartbeat heartbeat
                 && heartbeat.replyRequested();
         if (peers.isBack(from) && !answered) {
-            // After a partition each tells the other at once that it is heard.
+            // After a partition both replicas confirm at once that they hear each other again.
             heartbeats.send(ReplicaKey.address(from));
         }
         peers.heardFrom(from);
@@ -154,20 +154,20 @@
         proposer.beginIfIdle();
     }
 
-    /** A write has come back. */
+    /** Handles the end of a write, whether it succeeded or failed. */
     public List<Effect> written(long now, long number, boolean ok) {
         context.now = now;
         acceptor.written(number, ok);
         committedState.publishAccepted();
         proposer.beginIfIdle();
-        return context.take();
+        return context.takeEffects();
     }
 
     /** Proposes a change; the result comes as an {@link Effect.Answer} of that id, by the deadline. */
     public List<Effect> submit(long now, long proposalId, ConfigurationChange change, long deadline) {
         context.now = now;
         submit(new Proposal(proposalId, change, deadline));
-        return context.take();
+        return context.takeEffects();
     }
 
     /** A linearizable read: answered like a proposal that changes nothing. */
@@ -223,26 +223,29 @@
     public List<Effect> bootstrap(long now, long round) {
         context.now = now;
         learner.bootstrap(round);
-        return context.take();
+        return context.takeEffects();
     }
 
     /**
      * Begins a graceful shutdown. The peers are told, and replace this replica by a standby; it takes no more
-     * proposals. Whether it comes back need not be known: its disk then is the replica that it was, a voter
-     * still or waiting to join.
+     * proposals. It may be started again later: with its disk it is the same replica, still a voter or waiting
+     * to join.
      */
     public List<Effect> leave(long now) {
         context.now = now;
         leaving = true;
         planner.stop();
         sendHeartbeats();
-        return context.take();
+        return context.takeEffects();
     }
 
-    /** Whether what is on this disk is known to be on those of the others, and no standby is to replace it. */
+    /**
+     * Whether this replica may stop: a majority of the other voters, and every one of them that responds, is
+     * known to have accepted its state, and no standby is waiting to replace it.
+     */
     public boolean handedOver() {
         List<String> others =
-                voters().stream().filter(voter -> !voter.equals(context.own)).toList();
+                voters().stream().filter(voter -> !voter.equals(context.ownKey)).toList();
         if (!voterStatus.isVoter() || others.isEmpty()) {
             return true;
         }
@@ -253,7 +256,7 @@
                 && !planner.hasStandby(voters());
     }
 
-    /** To be called every 50 ms or so. */
+    /** To be called about every 50 ms. */
     public List<Effect> tick(long now) {
         context.now = now;
         acceptor.tick();
@@ -272,7 +275,7 @@
         committedState.tick();
         releasePending();
         proposer.tick(voterStatus.isVoter());
-        return context.take();
+        return context.takeEffects();
     }
 
     private void requestToJoin() {
@@ -300,19 +303,19 @@
         return committedState.state();
     }
 
-    /** How long ago the committed state was known to be the newest, in microseconds; below 0 for never. */
+    /** How long ago the committed state was last known to be the newest, in microseconds; below 0 for never. */
     public long confirmedAge(long now) {
         long at = contact.confirmedAt();
         return at == QuorumContact.NEVER ? -1 : Math.max(0, now - at);
     }
 
-    /** Whether a majority of the voters has answered this replica not long ago. */
+    /** Whether a majority of the voters has answered this replica recently. */
     public boolean inContact(long now) {
         context.now = Math.max(context.now, now);
         return !contact.isLost(voters());
     }
 
-    /** Whether the disk has failed, or a write has not come back in time. */
+    /** Whether the last write failed, or a write has not finished in time. */
     public boolean diskFailed(long now) {
         context.now = Math.max(context.now, now);
         return acceptor.diskFailed();
@@ -328,7 +331,7 @@
         return voterStatus.isVoter() && !leaving;
     }
 
-    /** Who asked this replica lately to become a voter. */
+    /** The replicas that have recently asked this one to become voters. */
     public List<String> standbys() {
         return planner.standbys();
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/HeartbeatSender.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/HeartbeatSender.java
@@ -28,7 +28,7 @@
         send(target, false);
     }
 
-    /** A heartbeat that is to be answered at once. */
+    /** Sends a heartbeat that the peer answers at once. */
     void probe(String target) {
         send(target, true);
     }
@@ -62,7 +62,7 @@
                         !acceptor.initialized()));
     }
 
-    /** Whoever hears of a state may fetch it next. */
+    /** A peer that is told of the accepted state may fetch it next. */
     private void cacheAcceptedState() {
         if (acceptor.initialized()) {
             snapshots.keep(acceptor.state());
--- a/src/main/java/org/cypressweir/controlplane/consensus/Learner.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Learner.java
@@ -10,9 +10,10 @@
 import org.cypressweir.controlplane.configuration.Configuration;
 
 /**
- * How a replica with an empty disk learns the committed state. Its disk is no voter, whatever stood at its
- * address before: it takes a committed state once a majority of that state's voters has answered, and may
- * then ask to join. Only a system that starts for the first time begins with an empty configuration.
+ * The learner of a replica with an empty disk. Such a replica is not a voter, even if another disk at its address
+ * was one: it takes a committed state once a majority of that state's voters has answered, and may then ask to
+ * join. It begins with an empty configuration only if the whole system starts for the first time, or if an
+ * operator bootstraps it.
  */
 final class Learner {
 
@@ -40,20 +41,20 @@
         return seeds.stream().distinct().sorted().toList();
     }
 
-    /** Asks these from now on. At the very first start the seeds are the voters, and stay what they were. */
+    /** Replaces the seeds, except at the very first start: there they are the voters and stay as they are. */
     void updateSeeds(List<String> next) {
         if (!initialStart) {
             seeds = sorted(next);
         }
     }
 
-    /** Why this replica may not be bootstrapped, or null: a replica that holds a state is never passed over. */
+    /** Why this replica may not be bootstrapped, or null. Peers that hold a state must be named as abandoned. */
     String bootstrapObstacle(Set<String> abandoned) {
         if (acceptor.initialized() || initialStart) {
             return "this replica is not blank";
         }
         if (context.now - startedAt < REQUESTS_BEFORE_BOOTSTRAP * context.options.requestIntervalMicros()) {
-            return "this replica still asks who holds something";
+            return "this replica still asks which peers hold a state";
         }
         Set<String> holders = new TreeSet<>();
         initializedPeers().forEach(peer -> holders.add(ReplicaKey.address(peer)));
@@ -62,12 +63,13 @@
     }
 
     /**
-     * Begins with an empty configuration, at an operator's request. The round lies above all before, which
-     * count up by ones: a replica that still holds an earlier state can't be taken to know better.
+     * Begins with an empty configuration, at an operator's request. The round is far above all earlier ones,
+     * which count up by one, so that a replica which still holds an earlier state never has the higher number.
      */
     void bootstrap(long round) {
         acceptor.initialize(
-                new ReplicatedState(new ProposalNumber(round, context.own), List.of(context.own), Configuration.EMPTY),
+                new ReplicatedState(
+                        new ProposalNumber(round, context.ownKey), List.of(context.ownKey), Configuration.EMPTY),
                 responses::clear);
     }
 
@@ -79,7 +81,7 @@
         return seeds;
     }
 
-    /** Addresses of replicas that may hold a state. */
+    /** Addresses to ask: seeds, live peers, and the voters that peers have named. */
     Set<String> targets(Collection<String> live) {
         Set<String> targets = new TreeSet<>(seeds);
         responses.values().forEach(response -> response.voters()
--- a/src/main/java/org/cypressweir/controlplane/consensus/PaxosRoles.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PaxosRoles.java
@@ -3,7 +3,7 @@
 /**
  * The three roles of Paxos that one replica plays. They live as long as the replica.
  *
- * @param acceptorRequests answers the requests of other proposers to the acceptor
+ * @param acceptorRequests answers the prepare and accept messages of other proposers
  * @param committedState the learner of a replica that holds a state
  * @param learner the learner of a replica with an empty disk
  */
--- a/src/main/java/org/cypressweir/controlplane/consensus/PeerTable.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PeerTable.java
@@ -10,12 +10,12 @@
 /** The last heartbeat of each peer, and when each was heard last. */
 final class PeerTable {
 
-    /** For how many times the unresponsive time a peer that is no voter is remembered. */
+    /** A silent peer that is not a voter is forgotten after this many times the unresponsive time. */
     private static final int RETENTION_FACTOR = 20;
 
     private final ReplicaContext context;
     private final Map<String, Long> heardAt = new HashMap<>();
-    /** When a peer that was never heard was first asked for. */
+    /** For peers that were never heard, when their silence was first looked up. */
     private final Map<String, Long> firstMissedAt = new HashMap<>();
 
     private final Map<String, ConsensusMessage.Heartbeat> heartbeats = new HashMap<>();
@@ -32,8 +32,9 @@
     }
 
     /**
-     * Takes a heartbeat unless it is of an earlier incarnation. Incarnations are drawn from clocks, and a
-     * clock may be set back: where the one with the higher number has fallen silent, the other is the later.
+     * Takes a heartbeat and returns true, unless it is older than the last one or of an earlier incarnation.
+     * Incarnations come from clocks, and a clock may be set back: once the higher incarnation has been silent
+     * for the liveness time-out, a lower one counts as the later.
      */
     boolean update(String from, ConsensusMessage.Heartbeat heartbeat) {
         ConsensusMessage.Heartbeat before = heartbeats.get(from);
@@ -65,19 +66,19 @@
         return heartbeat != null && !heartbeat.blank() && !number.above(heartbeat.accepted());
     }
 
-    /** How long a peer has not been heard; of one never heard, since it was first asked for. */
+    /** The time since a peer was last heard; for one never heard, since this was first looked up. */
     long silenceMicros(String peer) {
         Long last = heardAt.get(peer);
         return context.now - (last != null ? last : firstMissedAt.computeIfAbsent(peer, key -> context.now));
     }
 
-    /** Whether a peer that is heard now had not been heard for longer than the liveness time-out. */
+    /** Whether a peer that is heard now was silent for the liveness time-out or longer before. */
     boolean isBack(String peer) {
         Long last = heardAt.get(peer);
         return last != null && context.now - last >= context.options.livenessTimeoutMicros();
     }
 
-    /** Whether another disk has been heard at that replica's address since it was heard last. */
+    /** Whether a replica with another disk was heard at the same address since this one was last heard. */
     boolean replaced(String replica) {
         long last = heardAt.getOrDefault(replica, Long.MIN_VALUE);
         return heardAt.entrySet().stream()
@@ -94,7 +95,7 @@
         return leavingIncarnations.containsKey(peer);
     }
 
-    /** Those of them that were heard within the liveness time-out. */
+    /** Those of the replicas that were heard within the liveness time-out and have not been replaced. */
     Set<String> responsive(Collection<String> replicas) {
         Set<String> responsive = new HashSet<>(replicas);
         responsive.removeIf(
@@ -124,14 +125,14 @@
         return holders;
     }
 
-    /** Those of them that have accepted it as voters, and not only learned it. */
+    /** Peers that have accepted the state of that number as voters, and not only learned it. */
     Set<String> votedFor(ProposalNumber number) {
-        Set<String> accepters = holders(number);
-        accepters.removeIf(peer -> heartbeats.get(peer).learnedSecondHand());
-        return accepters;
+        Set<String> acceptedBy = holders(number);
+        acceptedBy.removeIf(peer -> heartbeats.get(peer).learnedSecondHand());
+        return acceptedBy;
     }
 
-    /** Peers that may have a committed state at hand: they accepted it, or know it to be committed. */
+    /** Peers that may hold a committed state: they have accepted it, or know it to be committed. */
     Set<String> holdersOfCommitted(ProposalNumber number) {
         Set<String> holders = holders(number);
         heartbeats.forEach((peer, heartbeat) -> {
@@ -142,7 +143,7 @@
         return holders;
     }
 
-    /** Forgets peers that have not been heard for long and are no voters. */
+    /** Forgets peers that have been silent for long and are not voters. */
     void prune(List<String> voters) {
         long retentionMicros = RETENTION_FACTOR * context.options.unresponsiveAfterMicros();
         heardAt.entrySet()
--- a/src/main/java/org/cypressweir/controlplane/consensus/PersistentState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PersistentState.java
@@ -7,8 +7,8 @@
  * All that an acceptor keeps on its disk. Immutable.
  *
  * @param learnedSecondHand whether the accepted state was learned from others by a replica that had lost its
- *     own, below what it may have promised: it is found by a proposer that looks for the highest state, but is
- *     no vote for it. Only earlier builds wrote that.
+ *     own, and may have promised a higher number before. A proposer that looks for the highest state finds it,
+ *     but does not count it as a vote for that state. Only earlier builds wrote this.
  * @param disk the number of the disk, see {@link ReplicaKey}
  */
 public record PersistentState(
--- a/src/main/java/org/cypressweir/controlplane/consensus/PreparePhase.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PreparePhase.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Phase 1: asks voters for promises, and again those that do not answer. */
+/** Phase 1: asks voters for promises, and repeats the request to those that do not answer. */
 final class PreparePhase implements RoundPhase {
 
     private final ReplicaContext context;
@@ -23,11 +23,11 @@
     /** Begins with this replica's own promise, which is durable. */
     void begin(Acceptor acceptor) {
         sentAt = context.now;
-        promises.add(context.own, acceptor.accepted(), acceptor.state().voters(), acceptor.learnedSecondHand());
+        promises.add(context.ownKey, acceptor.accepted(), acceptor.state().voters(), acceptor.learnedSecondHand());
         ask(acceptor.state().voters());
     }
 
-    /** Asks those that have not been asked yet. */
+    /** Asks those of the voters that have not been asked yet. */
     void ask(List<String> voters) {
         for (String voter : voters) {
             if (asked.add(voter)) {
@@ -47,7 +47,7 @@
 
     @Override
     public Optional<List<String>> requiredVoters() {
-        return Optional.of(promises.votersOf(context.own));
+        return Optional.of(promises.votersOf(context.ownKey));
     }
 
     @Override
--- a/src/main/java/org/cypressweir/controlplane/consensus/PrepareQuorum.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/PrepareQuorum.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Who has promised in a round, and what each had accepted before. */
+/** The promises of a round, and what each replica had accepted before. */
 final class PrepareQuorum {
 
     private record Promise(ProposalNumber accepted, List<String> voters, boolean learnedSecondHand) {}
@@ -14,7 +14,7 @@
     private final Map<String, Promise> promises = new HashMap<>();
     private Promise highest;
 
-    /** Takes a promise; of the same replica the first counts. */
+    /** Adds a promise; only the first one of a replica counts. */
     void add(String from, ProposalNumber accepted, List<String> voters, boolean learnedSecondHand) {
         Promise promise = new Promise(accepted, voters, learnedSecondHand);
         if (promises.putIfAbsent(from, promise) == null && (highest == null || accepted.above(highest.accepted))) {
@@ -26,7 +26,7 @@
         return promises.keySet();
     }
 
-    /** The highest state that one of them had accepted. */
+    /** The number of the highest state that any of them had accepted. */
     ProposalNumber highest() {
         return highest.accepted;
     }
@@ -41,7 +41,7 @@
         return promises.get(replica).voters;
     }
 
-    /** Who had accepted that state. */
+    /** The replicas that had accepted that state. */
     Set<String> holdersOf(ProposalNumber accepted) {
         Set<String> holders = new HashSet<>();
         promises.forEach((replica, promise) -> {
@@ -52,14 +52,14 @@
         return holders;
     }
 
-    /** Who had accepted that state as a voter, and not only learned it. */
+    /** The replicas that had accepted that state as voters, and not only learned it. */
     Set<String> voted(ProposalNumber accepted) {
         Set<String> voted = holdersOf(accepted);
         voted.removeIf(replica -> promises.get(replica).learnedSecondHand);
         return voted;
     }
 
-    /** Whether that replica has that state, as far as is known. */
+    /** Whether a replica may hold that state: it has accepted it, or has not promised yet. */
     boolean mayHave(String replica, ProposalNumber accepted) {
         Promise promise = promises.get(replica);
         return promise == null || promise.accepted.equals(accepted);
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
@@ -11,7 +11,7 @@
 import org.cypressweir.controlplane.configuration.Rejection;
 import org.cypressweir.controlplane.configuration.RejectionKind;
 
-/** Proposals applied to a base one after the other. Each has its own result, and a rejected one no effect. */
+/** Proposals applied to a base one after the other. Each has its own result; a rejected one has no effect. */
 final class ProposalBatch {
 
     private final List<Proposal> proposals;
@@ -46,7 +46,7 @@
         return List.copyOf(changed.values());
     }
 
-    /** Leaves proposals unanswered that have been answered otherwise. */
+    /** Removes proposals that have been answered already. */
     void drop(List<Proposal> answered) {
         proposals.removeAll(answered);
     }
@@ -64,7 +64,7 @@
         if (rejection == null) {
             return new ProposalResult.Taken(number);
         }
-        // Whether an earlier version is the same can't be told any more: the outcome is open.
+        // The contents of that version are no longer known, so it can't be told whether they were accepted.
         return rejection.kind() == RejectionKind.VERSION_TOO_OLD
                 ? new ProposalResult.Unavailable(rejection.reason())
                 : new ProposalResult.Refused(rejection);
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalNumber.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalNumber.java
@@ -24,13 +24,17 @@
         return a.above(b) ? a : b;
     }
 
-    /** Reads the text; an IllegalArgumentException where it is no proposal number. */
+    /**
+     * Parses {@code round@replica}.
+     *
+     * @throws IllegalArgumentException if the text is not a proposal number
+     */
     public static ProposalNumber of(String text) {
         int at = text.indexOf('@');
         long round = Long.parseLong(text.substring(0, Math.max(at, 0)));
-        // Rounds are counted up: one near the end of the range is made up.
+        // Rounds are counted up: one near the end of the range cannot be genuine.
         if (round < 0 || round > MAX_ROUND) {
-            throw new IllegalArgumentException("no proposal number");
+            throw new IllegalArgumentException("not a proposal number");
         }
         return new ProposalNumber(round, text.substring(at + 1));
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalResult.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalResult.java
@@ -3,18 +3,18 @@
 import org.cypressweir.controlplane.configuration.Configuration;
 import org.cypressweir.controlplane.configuration.Rejection;
 
-/** What becomes of a proposal, as its caller is told. */
+/** The result of a proposal, as its caller gets it. */
 public sealed interface ProposalResult {
 
-    /** The change is part of the committed state of that number, or was of one before. */
+    /** The change is part of the committed state of that number, or was part of an earlier one. */
     record Taken(ProposalNumber number) implements ProposalResult {}
 
-    /** The change contradicts the state it was applied to, or the rules. It has had no effect. */
+    /** The change is invalid, or conflicts with the state that it was applied to. It has had no effect. */
     record Refused(Rejection refusal) implements ProposalResult {}
 
-    /** Nothing is known to have been agreed: whether it will be is open. */
+    /** The outcome is unknown: a change may be committed already, may be later, or never. */
     record Unavailable(String reason) implements ProposalResult {}
 
-    /** The configuration as of some moment since the read was submitted. */
+    /** The configuration at some time after the read was submitted. */
     record Read(Configuration configuration) implements ProposalResult {}
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
@@ -16,7 +16,7 @@
  */
 final class ProposalRound {
 
-    /** Hears once how the round ends. */
+    /** Notified once, when the round ends. */
     interface Listener {
         void committed(ReplicatedState state);
 
@@ -24,7 +24,7 @@
         void failed(List<Proposal> proposals, boolean retryable, String reason);
     }
 
-    private static final String PREEMPTED = "another round went first";
+    private static final String PREEMPTED = "another round has a higher proposal number";
     private static final String TIMED_OUT = "not agreed in time";
     private static final String OUTCOME_OPEN = ", the outcome is open";
     private static final String WRITE_FAILED = "the disk takes no writes";
@@ -70,7 +70,7 @@
         public void tick() {
             transfer.tick();
             if (transfer.failed()) {
-                fail(true, "the base is gone");
+                fail(true, "the base can no longer be fetched");
             }
         }
     }
@@ -105,7 +105,7 @@
         this.planner = planner;
         this.proposals = proposals;
         this.listener = listener;
-        number = new ProposalNumber(context.highestRound + 1, context.own);
+        number = new ProposalNumber(context.highestRound + 1, context.ownKey);
         prepare = new PreparePhase(context, number, promises);
         restartDeadline();
     }
@@ -133,12 +133,13 @@
     /** Goes on once a majority of the voters of the highest accepted state has promised. */
     private void evaluatePromises() {
         List<String> voters = promises.voters();
-        // A new voter's promise may stand in the way of the state that made it one: others name it.
+        // A new voter may be barred by its promise from accepting the state that made it a voter. Its own state
+        // then names the voters before, but the states in the promises of others name the voters now.
         prepare.ask(voters);
         if (!ReplicatedState.isMajority(voters, promises.from())) {
             return;
         }
-        if (!voters.contains(context.own)) {
+        if (!voters.contains(context.ownKey)) {
             fail(false, "this replica is no longer a voter");
             return;
         }
@@ -154,12 +155,13 @@
     }
 
     private void applyProposals(ReplicatedState found) {
-        // After a stop of this process a promise may come before the clock does: their callers are elsewhere.
+        // After this process was suspended a promise may be handled before the first tick: callers of expired
+        // proposals no longer wait.
         failExpired();
         base = found;
-        base.configuration().sum(); // Once known here, it is kept up with each change.
+        base.configuration().sum(); // Computed once; each change then updates it.
         batch = new ProposalBatch(proposals, base.configuration());
-        // Voters may change only where those before are known to be chosen, or two sets could part.
+        // Voters may change only if the base is known to be chosen: else two sets of voters could diverge.
         boolean chosen = ReplicatedState.isMajority(base.voters(), promises.voted(base.number()));
         List<String> voters = chosen ? planner.nextVoters(base.voters()) : base.voters();
         List<Item> changed = batch.changed();
@@ -168,10 +170,10 @@
             return;
         }
         next = new ReplicatedState(number, voters, batch.result());
-        acceptMyself(changed);
+        acceptLocally(changed);
     }
 
-    private void acceptMyself(List<Item> changed) {
+    private void acceptLocally(List<Item> changed) {
         RoundPhase ownAccept = new OwnWrite();
         phase = ownAccept;
         boolean fullSnapshot = !acceptor.accepted().equals(base.number());
@@ -185,7 +187,7 @@
                 new Acceptor.AcceptCallbacks(
                         () -> beginAccept(ownAccept),
                         higher -> fail(true, PREEMPTED),
-                        () -> fail(true, "the acceptor has moved on"),
+                        () -> fail(true, "this replica has accepted another state"),
                         () -> fail(false, WRITE_FAILED)));
     }
 
@@ -199,7 +201,7 @@
         accept.begin();
     }
 
-    /** That state is chosen: the round is over. */
+    /** Ends the round, since that state is chosen. */
     void commit(ReplicatedState state) {
         phase = OVER;
         batch.answer(context, state.number());
@@ -222,7 +224,7 @@
         return voters;
     }
 
-    /** Whether it waits for this replica's disk. */
+    /** Whether the round waits for this replica's disk. */
     boolean waitsForDisk() {
         return phase.waitsForDisk();
     }
@@ -233,7 +235,7 @@
         }
     }
 
-    /** A voter has promised higher. If the others are too few or too slow, this round is given up. */
+    /** A voter has promised a higher number. The round fails if the others are no majority, or are too slow. */
     void onRejected(String from, ConsensusMessage.Rejected rejected) {
         Optional<List<String>> voters = phase.requiredVoters();
         if (!rejected.number().equals(number) || voters.isEmpty()) {
@@ -278,7 +280,7 @@
         }
     }
 
-    /** The round may last so much longer from now on. */
+    /** Lets the round last at least this long from now on. */
     void extendDeadline(long micros) {
         deadline = Math.max(deadline, context.now + micros);
     }
@@ -287,7 +289,7 @@
         deadline = context.now + context.options.roundTimeoutMicros();
     }
 
-    /** Answers proposals whose time is over. What was offered stays as it is; only nobody waits for it. */
+    /** Answers proposals whose deadline has passed. If their changes are part of the next state, they stay in it. */
     private void failExpired() {
         List<Proposal> expired = proposals.stream()
                 .filter(proposal -> proposal.deadline() <= context.now)
--- a/src/main/java/org/cypressweir/controlplane/consensus/Proposer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Proposer.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Runs proposal rounds, one at a time: for proposals that wait, to find out whether an accepted state is
- * chosen, and to change the voters. After a failed round the next one waits for a random backoff that grows.
+ * Runs proposal rounds, one at a time: for waiting proposals, to find out whether an accepted state is
+ * chosen, and to change the voters. After a failed round the next one waits for a random, growing backoff.
  */
 final class Proposer implements ProposalRound.Listener {
 
@@ -46,7 +46,7 @@
         context.answer(proposal.id(), new ProposalResult.Unavailable("not agreed in time"));
     }
 
-    /** Begins a round for what waits, if none is on. */
+    /** Begins a round if proposals are waiting and no round is running. */
     void beginIfIdle() {
         if (round == null && !waiting.isEmpty() && ready()) {
             begin();
@@ -149,7 +149,7 @@
     }
 
     void onRejected(String from, ConsensusMessage.Rejected rejected) {
-        context.seen(rejected.promised());
+        context.observeNumber(rejected.promised());
         if (round != null) {
             round.onRejected(from, rejected);
         }
--- a/src/main/java/org/cypressweir/controlplane/consensus/QuorumContact.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/QuorumContact.java
@@ -14,22 +14,22 @@
 import java.util.stream.Stream;
 
 /**
- * As of when this replica is known to have been in contact with a majority. Its heartbeats are numbered, and
- * each peer echoes the last number that it has heard. That proves contact as of the moment at which the
- * heartbeat was sent, on this replica's own clock: what a partition holds up and delivers late proves
- * nothing, and no two clocks are compared.
+ * Tracks when this replica was last known to be in contact with a majority of the voters. Its heartbeats are
+ * numbered, and each peer echoes the last number that it has heard. An echo proves contact at the time at which
+ * the heartbeat was sent, on this replica's own clock: a message that a partition has delayed proves no later
+ * contact, and no two clocks are compared.
  *
- * <p>The committed state is confirmed as the newest as of a moment if a majority of its voters, asked at that
- * moment or later, had accepted nothing above it: a state committed before would have been accepted by one of
- * them.
+ * <p>The committed state is confirmed as the newest at a given time if a majority of its voters, in answer to
+ * heartbeats sent at that time or later, reports no accepted state above it: one of them would have accepted any
+ * higher state that was committed before that time.
  *
- * <p>Proposals that come while contact is lost wait here, for as long as an answer to a probe may take.
+ * <p>Proposals that are submitted while contact is lost wait here, for as long as an answer to a probe may take.
  */
 final class QuorumContact {
 
     static final long NEVER = Long.MIN_VALUE;
 
-    /** How many of the last heartbeats an echo is taken for. */
+    /** Only echoes of this many of the last heartbeats are accepted. */
     private static final int REMEMBERED_HEARTBEATS = 64;
 
     /** An echo: when the echoed heartbeat was sent, and the peer's incarnation and accepted state. */
@@ -103,18 +103,18 @@
         return echo > sequence - REMEMBERED_HEARTBEATS && echo > 0 && echo <= sequence;
     }
 
-    /** As of when a majority had heard this replica. */
+    /** The latest time at which a majority is known to have been in contact with this replica. */
     long contactAt(List<String> voters) {
         return timeOfMajority(voters, true, proof -> proof.at);
     }
 
-    /** Whether no majority has been reached for too long to expect that anything can be agreed. */
+    /** Whether contact with a majority was lost too long ago to expect that a proposal can be committed. */
     boolean isLost(List<String> voters) {
         long lastContact = Math.max(startedAt, contactAt(voters));
         return context.now - lastContact > context.options.quorumContactTimeoutMicros();
     }
 
-    /** The committed state may have come to be known as the newest. */
+    /** Updates the time at which the committed state is known to have been the newest. */
     void confirm(ReplicatedState committed, ProposalNumber accepted, List<String> voters) {
         boolean ownCounts = !accepted.above(committed.number());
         ToLongFunction<Proof> asOf = proof -> proof.accepted.above(committed.number()) ? NEVER : proof.at;
@@ -124,12 +124,12 @@
         confirmedAt = Math.max(confirmedAt, asOfMajorities);
     }
 
-    /** As of when the committed state was known to be the newest. */
+    /** The latest time at which the committed state is known to have been the newest. */
     long confirmedAt() {
         return confirmedAt;
     }
 
-    /** The latest time as of which a majority has a proof. */
+    /** The latest time for which proofs of a majority of the voters exist. */
     private long timeOfMajority(List<String> voters, boolean ownCounts, ToLongFunction<Proof> asOf) {
         if (voters.isEmpty()) {
             return NEVER;
@@ -143,20 +143,20 @@
     }
 
     private long timeOf(String voter, boolean ownCounts, ToLongFunction<Proof> asOf) {
-        if (voter.equals(context.own)) {
+        if (voter.equals(context.ownKey)) {
             return ownCounts ? context.now : NEVER;
         }
         Proof proof = proofs.get(voter);
         return proof == null ? NEVER : asOf.applyAsLong(proof);
     }
 
-    /** Keeps a proposal for as long as an answer to a probe may take. */
+    /** Keeps a proposal until its deadline, but no longer than an answer to a probe may take. */
     void enqueue(Proposal proposal) {
         long probeDeadline = context.now + context.options.probeTimeoutMicros();
         pending.add(new PendingProposal(proposal, Math.min(proposal.deadline(), probeDeadline)));
     }
 
-    /** Submits what is pending once a majority is reached, and rejects what has waited for its time. */
+    /** Submits pending proposals once contact is regained, and rejects those that have waited too long. */
     void release(List<String> voters, Consumer<Proposal> submit) {
         boolean lost = !pending.isEmpty() && isLost(voters);
         while (!pending.isEmpty() && (!lost || context.now >= pending.peek().until)) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Whether peers are to be asked to answer at once, since a proposal waits for that. */
+    /** Whether a probe is due: a proposal is pending, and no probe was sent within the probe interval. */
     boolean probeDue() {
         boolean probedLately = probedAt != NEVER && context.now - probedAt < context.options.probeIntervalMicros();
         if (pending.isEmpty() || probedLately) {
--- a/src/main/java/org/cypressweir/controlplane/consensus/QuorumMembership.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/QuorumMembership.java
@@ -4,7 +4,7 @@
  * What one replica knows of the others and of the voters. The parts live as long as the replica.
  *
  * @param peers the last heartbeat of each peer
- * @param contact as of when a majority of the voters was heard
+ * @param contact when this replica was last in contact with a majority of the voters
  * @param status who the voters are
  * @param planner plans changes of the voters
  */
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicaContext.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicaContext.java
@@ -18,7 +18,7 @@
     final String address;
 
     final long diskId;
-    final String own;
+    final String ownKey;
     final long incarnation;
     final SplittableRandom random;
     /** The time of the call being worked on, in microseconds. */
@@ -27,7 +27,7 @@
     long highestRound;
 
     final ChangeHistory history = new ChangeHistory();
-    /** By replica, the states that it holds in full, as it said last. */
+    /** For each replica, the states that it holds in full according to its last message. */
     private final Map<String, List<ProposalNumber>> heldStates = new HashMap<>();
 
     private List<Effect> effects = new ArrayList<>();
@@ -42,13 +42,13 @@
         this.options = options;
         this.address = address;
         this.diskId = diskId;
-        own = ReplicaKey.of(address, diskId);
+        ownKey = ReplicaKey.of(address, diskId);
         this.incarnation = incarnation;
         this.random = random;
         this.now = now;
     }
 
-    void add(Effect effect) {
+    void addEffect(Effect effect) {
         effects.add(effect);
     }
 
@@ -64,7 +64,7 @@
         return heldStates.getOrDefault(replica, List.of());
     }
 
-    /** Sends to an address or replica key; what would go to this replica itself is dropped. */
+    /** Sends to an address or replica key; a message to this replica's own address is dropped. */
     void send(String to, ConsensusMessage message) {
         if (!ReplicaKey.address(to).equals(address)) {
             effects.add(new Effect.Send(to, ConsensusMessageCodec.encode(message)));
@@ -75,7 +75,7 @@
         effects.add(new Effect.Answer(proposalId, result));
     }
 
-    void seen(ProposalNumber number) {
+    void observeNumber(ProposalNumber number) {
         highestRound = Math.max(highestRound, number.round());
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Hands over the effects collected since the last call. */
-    List<Effect> take() {
+    List<Effect> takeEffects() {
         List<Effect> taken = effects;
         effects = new ArrayList<>();
         return taken;
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicaKey.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicaKey.java
@@ -1,9 +1,9 @@
 package org.cypressweir.controlplane.consensus;
 
 /**
- * Names a replica: an address and the number of the disk there, written {@code address/number}, or the address
- * alone where the number is 0: on disks of the very first start. Another disk is another replica, since it
- * has not promised what the one before has.
+ * The key of a replica: its address and the number of its disk, written {@code address/number}, or the address
+ * alone if the number is 0, as it is on the disks of the very first start. A new disk at the same address is
+ * another replica, since it does not hold the promises of the old one.
  */
 public final class ReplicaKey {
 
@@ -13,7 +13,7 @@
         return disk == 0 ? address : address + "/" + disk;
     }
 
-    /** Where that replica is reached. */
+    /** The address at which the replica is reached. */
     public static String address(String key) {
         int slash = key.indexOf('/');
         return slash < 0 ? key : key.substring(0, slash);
--- a/src/main/java/org/cypressweir/controlplane/consensus/ReplicatedState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ReplicatedState.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.cypressweir.controlplane.configuration.Configuration;
 
-/** The replicated state: configuration and voters, under the number of the proposal that made it. Immutable. */
+/** The replicated state: configuration and voters, with the number of the proposal that made it. Immutable. */
 public record ReplicatedState(ProposalNumber number, List<String> voters, Configuration configuration) {
 
     /** Whether these replicas include a majority of the voters. */
--- a/src/main/java/org/cypressweir/controlplane/consensus/RoundPhase.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/RoundPhase.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A phase of a {@link ProposalRound}. What a phase does not wait for, it ignores. */
+/** A phase of a {@link ProposalRound}. It ignores events that it does not wait for. */
 interface RoundPhase {
 
     /** Whether the phase waits for this replica's own disk, and so has no deadline. */
@@ -11,7 +11,7 @@
         return false;
     }
 
-    /** The voters of whom a majority has to answer; none where the phase asks nobody. */
+    /** The voters of which a majority has to answer; empty if the phase needs no majority. */
     default Optional<List<String>> requiredVoters() {
         return Optional.empty();
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
@@ -7,8 +7,9 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * States that peers may fetch in chunks. One that was named or fetched stays at hand for a time, so that a
- * transfer is not outrun by writes. Neighbouring states share most of their items.
+ * A cache of states that peers may fetch in chunks. A state that was announced or fetched is kept for a time, so
+ * that a transfer can finish while newer states are accepted. Successive states share most of their items in
+ * memory.
  */
 final class SnapshotCache {
 
@@ -18,7 +19,7 @@
 
     private static final class CachedState {
         final ReplicatedState state;
-        /** Cut into chunks at first use; null before. */
+        /** The items of the state, listed at first use; null before. */
         List<Item> items;
 
         long usedAt;
--- a/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
@@ -10,8 +10,8 @@
 import org.cypressweir.controlplane.configuration.Item;
 
 /**
- * Fetches a state chunk by chunk: what changed since one that is held here, where the peer knows that, else a
- * full snapshot. Any holder will do for any chunk of a snapshot: equal proposal numbers are equal states. The
+ * Fetches a state chunk by chunk: the difference from a state that is held here if the peer knows it, else a full
+ * snapshot. Any holder can send any chunk of a snapshot, since equal proposal numbers mean equal states. The
  * result is compared with the peer's checksum over all items.
  */
 final class StateTransfer {
@@ -24,14 +24,17 @@
     private final List<String> holders;
     private final Map<ProposalNumber, ReplicatedState> heldStates = new LinkedHashMap<>();
     private final List<Item> items = new ArrayList<>();
-    /** From which state the chunks lead on; null for a full snapshot. */
+    /** The state that the chunks are a difference from; null for a full snapshot. */
     private ProposalNumber base;
 
     private long nextChunk;
     private long requestedAt;
     private int holderIndex;
     private int requests;
-    /** Tells chunks of a difference apart, which are of one holder: another may have come another way. */
+    /**
+     * Repeated in each chunk, to drop chunks of earlier requests: all chunks of a difference must come from one
+     * holder, since another may have reached the state by other steps.
+     */
     private long restarts;
 
     /** @param heldStates states that are held in full here */
@@ -44,7 +47,7 @@
         }
         this.heldStates.remove(ProposalNumber.ZERO);
         this.holders = new ArrayList<>(holders);
-        this.holders.remove(context.own);
+        this.holders.remove(context.ownKey);
         this.holders.sort(null);
         if (!this.holders.isEmpty()) {
             holderIndex = (int) context.jitter(this.holders.size());
@@ -56,7 +59,7 @@
         return number;
     }
 
-    /** Whether nobody is left to ask. */
+    /** Whether the transfer has failed: no holder is left, or there were too many requests or restarts. */
     boolean failed() {
         return holders.isEmpty() || requests > MAX_REQUESTS_PER_CHUNK || restarts > MAX_RESTARTS;
     }
@@ -73,7 +76,7 @@
         }
     }
 
-    /** The state once its last chunk is here, else null. */
+    /** Adds a chunk. Returns the state if it was the last one, else null. */
     ReplicatedState onStateChunk(ConsensusMessage.StateChunk chunk) {
         if (chunk.chunk() != nextChunk || chunk.base() != null && chunk.transfer() != restarts) {
             return null;
@@ -97,7 +100,7 @@
             if (result.sum() == chunk.checksum()) {
                 return new ReplicatedState(number, chunk.voters(), result);
             }
-            // A wrong difference: the next try is for a full snapshot.
+            // The difference was wrong: the next attempt fetches a full snapshot.
             heldStates.clear();
             restart();
         }
--- a/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
@@ -9,12 +9,12 @@
 import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
- * What one write changes on the disk, all of it or nothing.
+ * What one write changes on the disk, atomically.
  *
- * @param accepted the number of the accepted state; null where the state stays
- * @param voters null where they stay
- * @param items those that change, or all of them
- * @param fullSnapshot whether the items replace all that are there
+ * @param accepted the number of the accepted state; null if the state does not change
+ * @param voters null if they do not change
+ * @param items the items that change, or all items of a full snapshot
+ * @param fullSnapshot whether the items replace all items on the disk
  * @param disk the number of the disk, set by its first write
  */
 public record StorageUpdate(
@@ -25,7 +25,7 @@
         boolean fullSnapshot,
         long disk) {
 
-    /** The number of the disk stays as it is. */
+    /** The value of {@code disk} in an update that does not change the number of the disk. */
     private static final long UNCHANGED = -1;
 
     public StorageUpdate(
@@ -41,7 +41,7 @@
         return disk != UNCHANGED;
     }
 
-    /** Whether the accepted state is below the promise, and so no vote. */
+    /** Whether the accepted state has a lower number than the promise, and so is not a vote. */
     public boolean learnedSecondHand() {
         return accepted != null && promised.above(accepted);
     }
@@ -54,7 +54,7 @@
         return changed.isEmpty() ? merged : Configuration.of(before).with(items).items();
     }
 
-    /** The state on the disk after this write. Before is null on an empty disk. */
+    /** The state on the disk after this write; {@code before} is null for an empty disk. */
     public PersistentState on(PersistentState before) {
         PersistentState old = before != null
                 ? before
--- a/src/main/java/org/cypressweir/controlplane/consensus/VoterChangePlanner.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterChangePlanner.java
@@ -10,14 +10,15 @@
 
 /**
  * Plans changes of the voters: one removed, or one added, never both at once, so that any majority of the
- * voters before shares a replica with any after (single-server changes, Ongaro 2014, chapter 4). A voter that
- * is gone is removed before another is added: there are never more voters than wanted. The next one is removed
- * only after that: removals never leave more than one voter fewer than wanted. A majority of 2f voters is f + 1
- * disks, so what is committed survives the loss of any f disks, also while voters are replaced.
+ * voters before shares a replica with any after (single-server changes, Ongaro 2014, chapter 4). A lost voter is
+ * removed before another is added, so that there are never more voters than the target. The next one is removed
+ * only after that addition, so that removals never leave more than one voter fewer than the target. A majority
+ * of 2f voters is f + 1 disks, so what is committed survives the loss of any f disks, also while voters are
+ * replaced.
  */
 final class VoterChangePlanner {
 
-    private record Standby(long askedAt, ProposalNumber accepted) {}
+    private record Standby(long requestedAt, ProposalNumber accepted) {}
 
     private record CommittedAt(long at, ProposalNumber number) {}
 
@@ -52,7 +53,7 @@
     /** To be called often, with the highest number known committed: a standby far behind it is not added. */
     void noteCommitted(ProposalNumber committed) {
         long standbyMicros = 2 * context.options.requestIntervalMicros();
-        standbys.values().removeIf(standby -> context.now - standby.askedAt > standbyMicros);
+        standbys.values().removeIf(standby -> context.now - standby.requestedAt > standbyMicros);
         if (recentlyCommitted.isEmpty() || committed.above(recentlyCommitted.peekLast().number)) {
             recentlyCommitted.add(new CommittedAt(context.now, committed));
         }
@@ -63,8 +64,9 @@
     }
 
     /**
-     * The voters that should come after those, one more or less at most. The first voter that responds
-     * proposes the change at once, the next one later: so they don't get in each other's way.
+     * The voters to propose after the given ones, with one added or removed at most. The first voter that
+     * responds proposes the change at once, each further one a request interval later, so that their proposals
+     * don't compete.
      */
     List<String> nextVoters(List<String> voters) {
         List<String> next = stopped ? voters : plan(voters);
@@ -75,7 +77,7 @@
             planned = next;
             plannedAt = context.now;
         }
-        int rank = monitor.staying(voters).indexOf(context.own);
+        int rank = monitor.staying(voters).indexOf(context.ownKey);
         boolean due = rank >= 0 && context.now - plannedAt >= rank * context.options.requestIntervalMicros();
         return due ? next : voters;
     }
@@ -85,7 +87,7 @@
         stopped = true;
     }
 
-    /** Who asks to join. */
+    /** The replicas that ask to join. */
     List<String> standbys() {
         return List.copyOf(standbys.keySet());
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/VoterMonitor.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterMonitor.java
@@ -18,24 +18,24 @@
     List<String> live(List<String> voters) {
         Set<String> responsive = peers.responsive(voters);
         return voters.stream()
-                .filter(voter -> voter.equals(context.own) || responsive.contains(voter))
+                .filter(voter -> voter.equals(context.ownKey) || responsive.contains(voter))
                 .toList();
     }
 
-    /** Those of them that do not shut down. */
+    /** The voters that respond and are not shutting down. */
     List<String> staying(List<String> voters) {
         return live(voters).stream()
-                .filter(voter -> voter.equals(context.own) || !peers.isLeaving(voter))
+                .filter(voter -> voter.equals(context.ownKey) || !peers.isLeaving(voter))
                 .toList();
     }
 
     /**
      * Which voter should be removed next, or null. One whose address is in use by another disk is removed at
-     * once. One that is unresponsive or shuts down is removed only where another takes its place: with fewer
-     * voters a majority would be fewer disks, and a commit would no longer survive the loss of as many as may
-     * be lost.
+     * once. One that is unresponsive or shutting down is removed only if another can take its place: with fewer
+     * voters a majority would be fewer disks, and a commit would no longer survive the loss of as many disks as
+     * it has to.
      *
-     * @param hasSuccessor whether a standby waits, or there are more voters than wanted
+     * @param hasSuccessor whether a standby waits, or there are more voters than the target
      */
     String toRemove(List<String> voters, boolean hasSuccessor) {
         for (String voter : voters) {
@@ -53,13 +53,13 @@
     private List<String> unresponsive(List<String> voters) {
         long limitMicros = context.options.unresponsiveAfterMicros();
         return voters.stream()
-                .filter(voter -> !voter.equals(context.own) && peers.silenceMicros(voter) >= limitMicros)
+                .filter(voter -> !voter.equals(context.ownKey) && peers.silenceMicros(voter) >= limitMicros)
                 .toList();
     }
 
     private String firstLeaving(List<String> voters) {
         return voters.stream()
-                .filter(voter -> !voter.equals(context.own) && peers.isLeaving(voter))
+                .filter(voter -> !voter.equals(context.ownKey) && peers.isLeaving(voter))
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/org/cypressweir/controlplane/consensus/VoterStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/VoterStatus.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Who the voters are as far as this replica knows, whether it is one of them, and whom it speaks to. */
+/** Who the voters are as far as this replica knows, whether it is one of them, and whom it sends to. */
 final class VoterStatus {
 
     private final ReplicaContext context;
@@ -38,10 +38,10 @@
     }
 
     boolean isVoter() {
-        return acceptor.initialized() && voters().contains(context.own);
+        return acceptor.initialized() && voters().contains(context.ownKey);
     }
 
-    /** Addresses of the voters, and of the seeds and standbys that were heard not long ago. */
+    /** Addresses of the voters, and of the seeds and standbys that were heard recently. */
     Set<String> heartbeatTargets() {
         Set<String> targets = learner.targets(peers.live());
         if (acceptor.initialized()) {
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -15,13 +15,13 @@
 import org.cypressweir.testkit.ConsensusFaults;
 
 /**
- * Runs of {@link ConsensusFaults} with drawn configuration changes, each repeated at any controller and time: after
- * lost answers, crashes, wiped disks and replaced machines. And long histories of one configuration, in which old
- * versions are dropped.
+ * Runs {@link ConsensusFaults} with random configuration changes, each of which may be repeated at any controller and
+ * time: after lost answers, crashes, wiped disks and replaced machines. Also runs long histories of one
+ * configuration, in which old versions are dropped.
  */
 public class ChangeHistories extends ConsensusFaults {
 
-    /** So many superseded versions of an item are known at least; the operators' page says so. */
+    /** At least this many superseded versions of an item are known; the operators' page states this number. */
     private static final int MIN_KNOWN_VERSIONS = 256;
 
     private static final int OK = 200;
@@ -48,7 +48,7 @@
         randomChanges = new RandomChanges(random.split());
     }
 
-    /** The first violation in so many runs with faults and long histories, or null. */
+    /** The first violation in the given numbers of runs with faults and of long histories, or null. */
     public static String firstViolation(int runs, int histories) {
         for (long seed = 0; seed < Math.max(runs, histories); seed++) {
             String violation = violation(seed, seed < runs, seed < histories);
@@ -64,12 +64,12 @@
             String violation = withHistory ? longHistory(seed).violation() : null;
             return violation == null && withRun ? new ChangeHistories(seed).run() : violation;
         } catch (RuntimeException | AssertionError e) {
-            // Whatever the code under test throws is a violation of that seed.
+            // Any exception of the code under test counts as a violation.
             return e.toString();
         }
     }
 
-    /** What did not recover by itself in its time after the last fault (checked elsewhere), or null. */
+    /** What did not recover in time after the last fault, or null. Other tests require that all recovers. */
     String recoveryFailure() {
         return recoveryFailure;
     }
@@ -157,7 +157,7 @@
         }
     }
 
-    /** One change after the other to one configuration, which is encoded and decoded now and then. */
+    /** Applies one change after the other to one configuration, which is encoded and decoded at random times. */
     static ChangeHistoryChecks longHistory(long seed) {
         ChangeHistoryChecks checks = new ChangeHistoryChecks();
         SplittableRandom random = new SplittableRandom(seed);
@@ -171,7 +171,7 @@
             current = current.with(result.getOrElse(List.of()));
             int status = result.isLeft() ? status(result.getLeft()) : OK;
             if (status == UNAVAILABLE && checks.higherVersions(drawn.body()) < MIN_KNOWN_VERSIONS) {
-                checks.addViolation("a version is too old too early: " + drawn.body());
+                checks.addViolation("a version counts as too old although it has few successors: " + drawn.body());
             }
             checks.answered(drawn.body(), status, checks.isAcknowledged(drawn.body()));
             if (random.nextInt(20) == 0) {
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -16,7 +16,7 @@
     private static final int HISTORIES = 12;
 
     @TempDir
-    Path temporary;
+    Path folder;
 
     @Test
     void eachChangeHasOneAnswer() {
@@ -63,12 +63,12 @@
                         + "~ Rejection rejection = unused.size() < items.size() "
                         + "? new Rejection(RejectionKind.CONFLICT, \"\") : null;",
             })
-    void eachFaultIsFound(String fault, String file, String text, String replacement) throws Exception {
-        ClassLoader planted = new PlantedFault(
-                temporary,
+    void eachFaultIsFound(String fault, String file, String original, String replacement) throws Exception {
+        ClassLoader classesWithFault = new PlantedFault(
+                folder,
                 Path.of("src/main/java/org/cypressweir/controlplane/configuration"),
                 file,
-                text,
+                original,
                 replacement,
                 name -> name.startsWith("org.cypressweir.testkit.Consensus")
                         || name.startsWith("org.cypressweir.testkit.SimulatedReplicas")
@@ -76,7 +76,8 @@
                         || name.startsWith("org.cypressweir.testkit.JsonCopy")
                         || name.startsWith("org.cypressweir.modelcheck.Change")
                         || name.startsWith("org.cypressweir.modelcheck.RandomChanges"));
-        assertThat(planted.loadClass("org.cypressweir.modelcheck.ChangeHistories")
+        assertThat(classesWithFault
+                        .loadClass("org.cypressweir.modelcheck.ChangeHistories")
                         .getMethod("firstViolation", int.class, int.class)
                         .invoke(null, 2 * RUNS, HISTORIES))
                 .as(fault)
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoryChecks.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoryChecks.java
@@ -12,18 +12,20 @@
 import org.cypressweir.controlplane.configuration.ItemKey;
 
 /**
- * Checks the answers to configuration changes, each of which may be submitted many times, by what was submitted
- * and answered alone:
+ * Checks the answers to configuration changes, each of which may be submitted many times. Uses only what was
+ * submitted and answered:
  * <ul>
- * <li>of one key and version one content is acknowledged or read, for all time;
+ * <li>for each key and version only one content is ever acknowledged or read;
  * <li>a change that was answered 200 is answered neither 400 nor 409 by a call that begins after it, and one
  * that was answered 409 by any call is never answered 200 by another;
- * <li>409 only where another content was submitted for one of its versions; 400 never for what is always valid;
- * <li>what is invalid by itself is never answered 200, and never read; what was answered 409 is not read either;
- * <li>what is read is no lower than what was answered 200 before.
+ * <li>a change is answered 409 only if another content was submitted for one of its versions, and never 400 if it
+ * is always valid;
+ * <li>a change that is invalid by itself is never answered 200, and never read; one that was answered 409 is not
+ * read either;
+ * <li>a read returns no lower version of an item than was answered 200 before.
  * </ul>
- * 400 first and 200 later is no violation: a change is valid or not together with the current configuration. So
- * is 400 for a call that was in flight beside the one that was answered 200: it may have been validated before.
+ * 400 first and 200 later is no violation: whether a change is valid may depend on the current configuration. Nor is
+ * 400 for a call that was in flight beside the one that was answered 200: it may have been validated before.
  */
 final class ChangeHistoryChecks {
 
@@ -32,7 +34,7 @@
     private static final int CONFLICT = 409;
     private static final String WITHDRAWN = "-";
 
-    /** What can be said of a change by itself. */
+    /** Whether a change is always or never valid, or depends on the current configuration. */
     enum Validity {
         ALWAYS,
         NEVER,
@@ -105,12 +107,12 @@
         return changes.keySet().stream().filter(this::isAcknowledged).sorted().toList();
     }
 
-    /** Whether a change was answered 200, for a call that begins now. */
+    /** Whether a change has been answered 200 so far. */
     boolean isAcknowledged(String body) {
         return changes.get(body).acknowledged;
     }
 
-    /** How many higher versions were submitted, of the item of a change that has most. */
+    /** How many higher versions were submitted of an item of a change: the maximum over its items. */
     int higherVersions(String body) {
         return changes.get(body).items.stream()
                 .mapToInt(item -> submittedVersions
@@ -130,7 +132,7 @@
             case INVALID -> answeredInvalid(body, submitted, acknowledgedBefore);
             case CONFLICT -> answeredConflict(body, submitted, acknowledgedBefore);
             default -> {
-                // Open: it may or may not have been accepted.
+                // The outcome is unknown: the change may or may not have been accepted.
             }
         }
     }
@@ -177,7 +179,7 @@
         }
     }
 
-    /** The versions that a read which begins now has to reach. */
+    /** The lowest versions that a read which begins now may return. */
     Map<ItemKey, Long> requiredVersions() {
         return Map.copyOf(highestAcknowledged);
     }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusDeviation.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusDeviation.java
@@ -3,7 +3,7 @@
 /**
  * One thing that may happen in a {@link ConsensusModel} in place of its default step.
  *
- * @param target the position of a pending event, or the replica that is hit
+ * @param target the position of a pending event, or the replica that fails
  */
 record ConsensusDeviation(Kind kind, int target) {
 
@@ -19,7 +19,7 @@
         DUPLICATE,
         /** A replica restarts without the write that was pending. */
         POWER_FAILURE,
-        /** A replica restarts after its pending write has reached the disk, but before it was told so. */
+        /** A replica restarts after its pending write has reached the disk, but before it is notified. */
         POWER_FAILURE_AFTER_WRITE,
         /** A replica restarts with an empty disk. */
         DISK_LOSS,
@@ -27,7 +27,7 @@
         MACHINE_LOSS,
         /** The replaced replica starts with its old disk. */
         OLD_DISK_RETURNS,
-        /** The replica that has handed over stops for good. */
+        /** The leaving replica stops for good after its handover. */
         HANDED_OVER_STOPS
     }
 }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
@@ -67,16 +67,16 @@
 
     /** How many of the pending events may overtake the oldest. */
     private static final int MAX_REORDER_DISTANCE = 4;
-    /** Delayed events become pending again at each multiple of this. */
+    /** Delayed events become pending again whenever the number of ticks is a multiple of this. */
     private static final int DELAY_TICKS = 8;
-    /** After these a standby is known to the voters. */
+    /** After this many ticks a standby is known to the voters. */
     private static final int TICKS_UNTIL_STANDBY_IS_KNOWN = 24;
     /** A scenario or a recovery that takes more default steps is a violation. */
     private static final int MAX_STEPS_TO_CONVERGE = 6_000;
 
     private static final long START_MICROS = 1_000_000;
     private static final long TICK_MICROS = 50_000;
-    /** For so long a replica that announced its shutdown and restarted is not relied upon. */
+    /** For this time a replica that announced its shutdown and restarted does not count as running. */
     private static final long SYNC_TIME_MICROS = 4_000_000;
 
     private static final long PROPOSAL_TIMEOUT_MICROS = 3_000_000;
@@ -98,7 +98,7 @@
     private final Map<Long, ProposalResult> results = new HashMap<>();
     private long now = START_MICROS;
     private int ticks;
-    /** A hash of everything that has come to each replica, in its order. */
+    /** For each replica, a hash of everything that has come to it, in order. */
     private final long[] historyHashes = new long[MAX_REPLICAS];
 
     private boolean hadPowerFailure;
@@ -175,7 +175,7 @@
         return results.size() >= 2;
     }
 
-    /** What was seen of the replicas' answers and published states. */
+    /** The checks of the replicas' answers and published states. */
     ConsensusChecks checks() {
         return checks;
     }
@@ -367,7 +367,7 @@
         historyHashes[replica] = mix(historyHashes[replica], mix(eventHash, now));
     }
 
-    /** Carries out what a replica asks for. */
+    /** Carries out the effects that a replica returned. */
     private void perform(int replica, List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.Send send) {
@@ -407,7 +407,7 @@
         perform(replica, replicas[replica].submit(now, proposalId, change, now + PROPOSAL_TIMEOUT_MICROS));
     }
 
-    /** Whether three voters are known to be committed, and all of them run and stay. */
+    /** Whether three voters are known to be committed, and all of them run and are not leaving. */
     private boolean areAllVotersRunning() {
         Set<String> running = new HashSet<>();
         Arrays.stream(replicas).filter(Objects::nonNull).forEach(replica -> running.add(replica.own()));
@@ -418,7 +418,7 @@
     }
 
     /**
-     * Goes on without deviations and fails unless the replicas recover: there are three running voters, and a read
+     * Continues without deviations and fails unless the replicas recover: there are three running voters, and a read
      * at each of them is answered. What the reads return is checked by {@link #checks}.
      *
      * @throws AssertionError if they do not recover
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusScenario.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusScenario.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What is going on in a {@link ConsensusModel} when the two conflicting changes are submitted. */
+/** The situation in a {@link ConsensusModel} in which the two conflicting changes are submitted. */
 enum ConsensusScenario {
     /** Three replicas have just been bootstrapped. */
     FIRST_START(3, 0, 1),
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -15,18 +15,18 @@
  *
  * <p>The search is bounded by deviations, as in delay-bounded scheduling (Emmi, Qadeer, Rakamaric: "Delay-Bounded
  * Scheduling", POPL 2011). In the default execution messages and writes come in the order in which they were sent,
- * and time passes only where nothing else is left to do. A deviation is one reordered, delayed, lost or duplicated
+ * and time passes only if nothing is pending. A deviation is one reordered, delayed, lost or duplicated
  * message, one power failure, or the loss of a disk or machine. With a bound of two, each pair of deviations is
  * tried at each pair of steps. Faults of a protocol tend to need few deviations, while the number of executions grows
- * with the power of the bound.
+ * exponentially with the bound.
  *
  * <p>Two things keep the number small. Messages to different replicas are independent, so only messages to one
- * replica are reordered. And an execution that reaches a state, after its last deviation, which another one has
- * reached at the same step is cut short there: both go on alike.
+ * replica are reordered. And an execution ends early if it reaches, after its last deviation, a state that another
+ * one has reached at the same step: from there on both are the same.
  */
 public final class ConsensusWalk {
 
-    /** How many steps from the submission of the changes on may have a deviation. */
+    /** Deviations are tried in this many steps from the submission of the changes on. */
     private static final int MAX_STEPS = 70;
 
     private ConsensusWalk() {}
@@ -72,7 +72,7 @@
         return total;
     }
 
-    /** The first violation of a walk, be it one that ends it by an exception; null if there is none. */
+    /** The first violation of a walk, or the exception that ended it; null if there is none. */
     public static String findViolation(int maxDeviations, long maxExecutions) {
         try {
             return walk(maxDeviations, maxExecutions).violation;
@@ -110,10 +110,10 @@
             long finished = 0;
             for (int deviations = 0; ; deviations++) {
                 boolean isLast = deviations == maxDeviations;
-                long left = maxExecutions - finished;
-                boolean isSampled = executions.size() > left;
+                long remaining = maxExecutions - finished;
+                boolean isSampled = executions.size() > remaining;
                 if (isSampled) {
-                    executions = sample(executions, (int) left);
+                    executions = sample(executions, (int) remaining);
                 }
                 finished += executions.size();
                 List<List<Choice>> next = runAll(executions, isLast);
@@ -125,7 +125,7 @@
             }
         }
 
-        /** Spreads those left out evenly. */
+        /** Takes this many executions at even distances. */
         private static List<List<Choice>> sample(List<List<Choice>> executions, int count) {
             return IntStream.range(0, count)
                     .mapToObj(i -> executions.get((int) ((long) i * executions.size() / count)))
@@ -149,17 +149,19 @@
             ConsensusModel model = new ConsensusModel(scenario);
             model.submitConflictingChanges();
             int[] options = new int[MAX_STEPS];
-            int made = 0;
-            for (int step = 0; step < MAX_STEPS && (!model.areChangesAnswered() || made < choices.size()); step++) {
-                if (made == choices.size() && !seenStates.add(model.stateHash(step))) {
+            int deviationsMade = 0;
+            for (int step = 0;
+                    step < MAX_STEPS && (!model.areChangesAnswered() || deviationsMade < choices.size());
+                    step++) {
+                if (deviationsMade == choices.size() && !seenStates.add(model.stateHash(step))) {
                     // Another execution has reached this state with as many deviations left.
                     return options;
                 }
                 List<ConsensusDeviation> possible = model.deviations();
                 options[step] = possible.size();
-                if (made < choices.size() && choices.get(made).step == step) {
-                    model.apply(possible.get(choices.get(made).option));
-                    made++;
+                if (deviationsMade < choices.size() && choices.get(deviationsMade).step == step) {
+                    model.apply(possible.get(choices.get(deviationsMade).option));
+                    deviationsMade++;
                 } else {
                     model.step();
                 }
@@ -181,7 +183,7 @@
             }
         }
 
-        /** The executions with one more deviation, later than the ones that are there. */
+        /** The executions with one more deviation, at a later step than those chosen. */
         private static List<List<Choice>> successors(List<Choice> choices, int[] options, boolean isLast) {
             List<List<Choice>> successors = new ArrayList<>();
             int firstStep = choices.isEmpty() ? 0 : choices.get(choices.size() - 1).step + 1;
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalkTest.java
@@ -14,7 +14,7 @@
 class ConsensusWalkTest {
 
     private static final int MAX_DEVIATIONS = 2;
-    /** In each of the seven scenarios. The main method of {@link ConsensusWalk} can walk all. */
+    /** In each of the seven scenarios. The main method of {@link ConsensusWalk} can run all executions. */
     private static final long MAX_EXECUTIONS = 1_200;
 
     @TempDir
@@ -36,27 +36,29 @@
             value = {
                 "one promise is enough ~ ProposalRound.java "
                         + "~ if (!ReplicatedState.isMajority(voters, promises.from())) { ~ if (false) {",
-                "any state will do as a base ~ PrepareQuorum.java ~ accepted.above(highest.accepted) ~ false",
-                "a blank disk is the replica that its address was ~ ConsensusReplica.java "
+                "the base is not the highest accepted state ~ PrepareQuorum.java "
+                        + "~ accepted.above(highest.accepted) ~ false",
+                "a replica with an empty disk keeps the key of the one before ~ ConsensusReplica.java "
                         + "~ : initialStart ? 0 : 1 + random.nextLong(MAX_DISK_ID); ~ : 0;",
-                "voters change on what one has voted for ~ ProposalRound.java "
+                "voters change after a vote of one voter ~ ProposalRound.java "
                         + "~ boolean chosen "
                         + "= ReplicatedState.isMajority(base.voters(), promises.voted(base.number())); "
                         + "~ boolean chosen = true;",
-                "a message of another disk is one of this replica ~ ReplicaKey.java "
+                "replica keys do not contain the number of the disk ~ ReplicaKey.java "
                         + "~ return disk == 0 ? address : address + \"/\" + disk; ~ return address;",
             })
-    void findsPlantedFault(String fault, String file, String text, String instead) throws Exception {
-        ClassLoader planted = new PlantedFault(
+    void findsPlantedFault(String fault, String file, String original, String replacement) throws Exception {
+        ClassLoader classesWithFault = new PlantedFault(
                 folder,
                 Path.of("src/main/java/org/cypressweir/controlplane/consensus"),
                 file,
-                text,
-                instead,
+                original,
+                replacement,
                 name -> name.startsWith("org.cypressweir.modelcheck.Consensus")
                         || name.startsWith("org.cypressweir.testkit.Consensus")
                         || name.startsWith("org.cypressweir.testkit.SimulatedReplicas"));
-        Method findViolation = planted.loadClass("org.cypressweir.modelcheck.ConsensusWalk")
+        Method findViolation = classesWithFault
+                .loadClass("org.cypressweir.modelcheck.ConsensusWalk")
                 .getMethod("findViolation", int.class, long.class);
         assertThat(findViolation.invoke(null, MAX_DEVIATIONS, MAX_EXECUTIONS))
                 .as(fault)
--- a/src/modelcheck/java/org/cypressweir/modelcheck/RandomChanges.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/RandomChanges.java
@@ -9,8 +9,8 @@
 import org.cypressweir.modelcheck.ChangeHistoryChecks.Validity;
 
 /**
- * Draws configuration changes: with new versions, lower ones, other contents for a used version, invalid ones,
- * and repetitions of earlier changes. The same seed draws the same changes.
+ * Draws random configuration changes: with new versions, lower versions, other contents for a used version, invalid
+ * contents, and repetitions of earlier changes. The same seed draws the same changes.
  */
 final class RandomChanges {
 
@@ -20,7 +20,7 @@
     private static final int MAX_ITEMS = 3;
     private static final int RECENT_CHANGES = 20;
 
-    /** The body of a change, and what can be said of it by itself. */
+    /** The body of a change, and whether it is valid by itself. */
     record DrawnChange(String body, Validity validity) {}
 
     private final SplittableRandom random;
@@ -115,7 +115,7 @@
         return "{" + String.join(",", members) + "}";
     }
 
-    /** An item's object without its version and its end. */
+    /** The JSON object of an item without its version and its closing brace. */
     private String content(String table, int name, boolean invalid) {
         int variant = random.nextInt(3);
         return switch (table) {
--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A replica that missed hundreds of changes catches up while ten more are submitted each second. With
- * {@code -Dcatchup.items=20000 -Dcatchup.changes=1000} at the size for which the bounds are documented.
+ * A replica that missed hundreds of changes catches up while ten more are submitted each second. Run it with
+ * {@code -Dcatchup.items=20000 -Dcatchup.changes=1000} for the size at which the bounds are documented.
  */
 class CatchUpTest {
 
@@ -31,8 +31,8 @@
     private SimulatedReplicas world;
     private int submitted;
 
-    /** Submits the next change to one of the two other replicas. */
-    private void change() {
+    /** Submits the next change to one of the two replicas that are not interrupted. */
+    private void submitNextChange() {
         submitted++;
         int item = submitted * 7 % ITEMS;
         world.submit(
@@ -48,8 +48,8 @@
         }
     }
 
-    private void interrupt(String how) {
-        switch (how) {
+    private void interrupt(String interruption) {
+        switch (interruption) {
             case "crashed" -> world.crash(world.replica(3));
             case "wiped" -> world.wipe(world.replica(3));
             case "stalled" -> {
@@ -60,17 +60,19 @@
         }
     }
 
-    /** Runs some of the tests; returns the first failure, or null. */
+    /** Runs those of the tests that detect planted faults; returns the first failure, or null. */
     static String findViolation() {
-        for (String how : new String[] {"crashed", "wiped"}) {
+        for (String interruption : new String[] {"crashed", "wiped"}) {
             try {
-                new CatchUpTest().catchesUpWithinTimeAndBytes(how, false, 2_000, how.equals("wiped") ? 4_000 : 1_500);
+                new CatchUpTest()
+                        .catchesUpWithinTimeAndBytes(
+                                interruption, false, 2_000, interruption.equals("wiped") ? 4_000 : 1_500);
             } catch (AssertionError | RuntimeException e) {
                 return String.valueOf(e);
             }
         }
         try {
-            new CatchUpTest().stateLearnedAfterAPromiseIsABaseOfTheProposal();
+            new CatchUpTest().acceptsADifferenceFromAStateLearnedAfterAPromise();
         } catch (AssertionError | RuntimeException e) {
             return String.valueOf(e);
         }
@@ -93,9 +95,9 @@
     }
 
     @Test
-    void stateLearnedAfterAPromiseIsABaseOfTheProposal() {
+    void acceptsADifferenceFromAStateLearnedAfterAPromise() {
         List<String> voters = List.of("a", "b", "c");
-        ProposalNumber decided = new ProposalNumber(5, "a");
+        ProposalNumber committed = new ProposalNumber(5, "a");
         ProposalNumber promised = new ProposalNumber(9, "a");
         ConsensusReplica consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
@@ -110,7 +112,7 @@
                 0,
                 "a",
                 ConsensusMessageCodec.encode(
-                        new ConsensusMessage.Heartbeat(1, decided, decided, voters, false, false, 1, false, 0, 0)));
+                        new ConsensusMessage.Heartbeat(1, committed, committed, voters, false, false, 1, false, 0, 0)));
         consensus.tick(0);
         consensus.tick(100_000);
         Configuration state = tenants(3, 1);
@@ -118,18 +120,18 @@
                         100_000,
                         "a",
                         ConsensusMessageCodec.encode(new ConsensusMessage.StateChunk(
-                                decided, 0, null, state.sum(), 0, 1, voters, state.items()))))
+                                committed, 0, null, state.sum(), 0, 1, voters, state.items()))))
                 .anyMatch(Effect.Show.class::isInstance);
         List<Item> changed = tenants(2, 7).items();
         Map<String, Object> accept = ConsensusMessageCodec.encode(
-                new ConsensusMessage.Accept(null, promised, decided, false, 1, voters, 0, 1, changed));
+                new ConsensusMessage.Accept(null, promised, committed, false, 1, voters, 0, 1, changed));
         assertThat(write(consensus.received(100_000, "a", accept)))
-                .as("another sum")
+                .as("write for a wrong checksum")
                 .isNull();
         accept.put("sum", state.with(changed).sum());
-        StorageUpdate change = write(consensus.received(100_000, "a", accept)).change();
-        assertThat(change.fullSnapshot()).isTrue();
-        assertThat(Configuration.of(change.items())).isEqualTo(state.with(changed));
+        StorageUpdate update = write(consensus.received(100_000, "a", accept)).change();
+        assertThat(update.fullSnapshot()).isTrue();
+        assertThat(Configuration.of(update.items())).isEqualTo(state.with(changed));
     }
 
     @ParameterizedTest
@@ -143,53 +145,58 @@
         "wiped, false, 30000, 12000",
         "crashed, true, 30000, 12000",
     })
-    void catchesUpWithinTimeAndBytes(String how, boolean othersRestart, long delay, long millis) {
+    void catchesUpWithinTimeAndBytes(String interruption, boolean othersRestart, long maxDelayMicros, long maxMillis) {
         world = new SimulatedReplicas(11, 3);
         world.run(500_000);
         assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        world.maxDelayMicros = delay;
-        interrupt(how);
+        world.maxDelayMicros = maxDelayMicros;
+        interrupt(interruption);
         for (int i = 0; i < CHANGES; i++) {
-            change();
+            submitNextChange();
         }
         for (int other = 1; othersRestart && other < 3; other++) {
             world.crash(world.replica(other));
             world.start(other);
             world.run(2_000_000);
         }
-        Replica back = world.replica(3);
-        world.countedAddress = back.address();
+        Replica returned = world.replica(3);
+        world.countedAddress = returned.address();
         setPartitioned(false);
-        if (!back.isRunning()) {
+        if (!returned.isRunning()) {
             world.start(3);
         }
-        long begun = world.now();
-        long missed = world.replica(1).consensus().committed().number().round();
-        int behind = 0;
-        while (back.consensus().committed().number().round() < missed && behind++ < 600) {
-            change();
+        long startedAt = world.now();
+        long targetRound = world.replica(1).consensus().committed().number().round();
+        int changesWhileCatchingUp = 0;
+        while (returned.consensus().committed().number().round() < targetRound && changesWhileCatchingUp++ < 600) {
+            submitNextChange();
         }
-        long took = (world.now() - begun) / 1_000;
-        long shown = world.countedBytes;
+        long elapsedMillis = (world.now() - startedAt) / 1_000;
+        long bytesUntilCaughtUp = world.countedBytes;
         for (int i = 0; i < 20; i++) {
-            change();
+            submitNextChange();
         }
-        boolean needsSnapshot = how.equals("wiped") || othersRestart;
+        boolean needsSnapshot = interruption.equals("wiped") || othersRestart;
         System.out.printf(
-                "%s%s, messages up to %d us: shown after %d ms and %d bytes, %d bytes 2 s later%n",
-                how, othersRestart ? ", others anew" : "", delay, took, shown, world.countedBytes);
-        assertThat(took).as("ms").isLessThan(millis);
+                "%s%s, message delay up to %d us: caught up after %d ms and %d bytes, %d bytes 2 s later%n",
+                interruption,
+                othersRestart ? ", others restarted" : "",
+                maxDelayMicros,
+                elapsedMillis,
+                bytesUntilCaughtUp,
+                world.countedBytes);
+        assertThat(elapsedMillis).as("ms").isLessThan(maxMillis);
         assertThat(world.countedBytes)
                 .as("bytes")
                 .isLessThan(needsSnapshot ? MAX_SNAPSHOT_BYTES : MAX_DIFFERENCE_BYTES);
-        // With another replica down it is needed for a majority, and proposes on the committed state.
+        // With another replica down it is needed for a majority, and proposes changes to the committed state.
         world.crash(world.replica(1));
-        assertThat(world.await(world.submit(back, OneChangeTest.tenants(3, 4, 2_000), TIMEOUT_MICROS)))
+        assertThat(world.await(world.submit(returned, OneChangeTest.tenants(3, 4, 2_000), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Taken.class);
         world.run(1_000_000);
-        assertThat(back.consensus().committed().configuration().sum())
+        assertThat(returned.consensus().committed().configuration().sum())
                 .isEqualTo(
                         world.replica(2).consensus().committed().configuration().sum());
         assertThat(world.checks().breach()).isNull();
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -49,31 +49,32 @@
         assertThat(world.checks().breach()).isNull();
     }
 
-    private static void assertAccepted(SimulatedReplicas world, Replica at, String body) {
-        assertThat(world.await(world.submit(at, body, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Taken.class);
+    private static void assertAccepted(SimulatedReplicas world, Replica replica, String body) {
+        assertThat(world.await(world.submit(replica, body, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Taken.class);
     }
 
     @Test
     void oneOfTwoConflictingChangesIsAccepted() {
         SimulatedReplicas world = new SimulatedReplicas(1, 3);
         world.run(500_000);
-        long one = world.submit(world.replica(1), change("t", 1, "a"), TIMEOUT_MICROS);
-        long two = world.submit(world.replica(2), change("t", 1, "b"), TIMEOUT_MICROS);
-        ProposalResult first = world.await(one);
-        ProposalResult second = world.await(two);
+        long firstProposal = world.submit(world.replica(1), change("t", 1, "a"), TIMEOUT_MICROS);
+        long secondProposal = world.submit(world.replica(2), change("t", 1, "b"), TIMEOUT_MICROS);
+        ProposalResult first = world.await(firstProposal);
+        ProposalResult second = world.await(secondProposal);
         world.run(1_000_000);
         assertAgreement(world);
-        boolean wins = first instanceof ProposalResult.Taken;
-        assertThat(wins ? first : second).isInstanceOf(ProposalResult.Taken.class);
-        assertThat(wins ? second : first).isInstanceOfSatisfying(ProposalResult.Refused.class, r -> assertThat(
-                        r.refusal().kind())
-                .isEqualTo(RejectionKind.CONFLICT));
+        boolean firstWins = first instanceof ProposalResult.Taken;
+        assertThat(firstWins ? first : second).isInstanceOf(ProposalResult.Taken.class);
+        assertThat(firstWins ? second : first)
+                .isInstanceOfSatisfying(
+                        ProposalResult.Refused.class,
+                        refused -> assertThat(refused.refusal().kind()).isEqualTo(RejectionKind.CONFLICT));
         assertThat(apiKeys(world.replica(3).consensus().committed().configuration(), "t"))
-                .isEqualTo(List.of(wins ? "a" : "b"));
+                .isEqualTo(List.of(firstWins ? "a" : "b"));
         // Repetitions of the version in force, and of one that it has superseded.
-        assertAccepted(world, world.replica(3), change("t", 1, wins ? "a" : "b"));
+        assertAccepted(world, world.replica(3), change("t", 1, firstWins ? "a" : "b"));
         assertAccepted(world, world.replica(3), change("t", 2, "c"));
-        assertAccepted(world, world.replica(1), change("t", 1, wins ? "a" : "b"));
+        assertAccepted(world, world.replica(1), change("t", 1, firstWins ? "a" : "b"));
         world.run(1_000_000);
         assertAgreement(world);
     }
@@ -92,19 +93,21 @@
                 new SplittableRandom(1),
                 0);
         consensus.start(0);
-        List<Effect> asked = consensus.submit(
+        List<Effect> submitEffects = consensus.submit(
                 1,
                 7,
                 ConfigurationChange.read(change("t", 1, "k").getBytes(StandardCharsets.UTF_8))
                         .get(),
                 850_000);
-        Effect.Write write = (Effect.Write)
-                asked.stream().filter(Effect.Write.class::isInstance).findAny().orElseThrow();
+        Effect.Write write = (Effect.Write) submitEffects.stream()
+                .filter(Effect.Write.class::isInstance)
+                .findAny()
+                .orElseThrow();
         Effect.Send prepare = (Effect.Send) consensus.written(2, write.number(), true).stream()
                 .filter(e -> e instanceof Effect.Send s && s.message().get("t").equals("copies.prepare"))
                 .findAny()
                 .orElseThrow();
-        List<Effect> late = consensus.received(
+        List<Effect> effectsAfterDeadline = consensus.received(
                 20_000_000,
                 "b",
                 ConsensusMessageCodec.encode(new ConsensusMessage.Promise(
@@ -113,9 +116,9 @@
                         ProposalNumber.ZERO,
                         voters,
                         false)));
-        assertThat(late)
+        assertThat(effectsAfterDeadline)
                 .anyMatch(e -> e instanceof Effect.Answer a && a.result() instanceof ProposalResult.Unavailable);
-        assertThat(late)
+        assertThat(effectsAfterDeadline)
                 .noneMatch(
                         e -> e instanceof Effect.Write w && !w.change().items().isEmpty());
     }
@@ -127,7 +130,7 @@
         assertAccepted(world, world.replica(1), change("t", 1, "a"));
         List<Replica> all = world.runningReplicas();
         all.forEach(world::crash);
-        all.forEach(h -> world.start(h.address(), false));
+        all.forEach(replica -> world.start(replica.address(), false));
         world.run(3_000_000);
         assertAgreement(world);
         assertThat(apiKeys(world.replica(2).consensus().committed().configuration(), "t"))
@@ -162,14 +165,14 @@
             world.run(500_000);
             assertAccepted(world, world.replica(1), change("t", 1, "a"));
             List<Replica> all = world.runningReplicas();
-            all.forEach(h -> {
-                if (h == world.replica(lost)) {
-                    world.wipe(h);
+            all.forEach(replica -> {
+                if (replica == world.replica(lost)) {
+                    world.wipe(replica);
                 } else {
-                    world.crash(h);
+                    world.crash(replica);
                 }
             });
-            all.forEach(h -> world.start(h.address(), false));
+            all.forEach(replica -> world.start(replica.address(), false));
             world.run(4_000_000);
             assertAgreement(world);
             assertThat(apiKeys(world.replica(lost).consensus().committed().configuration(), "t"))
@@ -183,38 +186,38 @@
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
         world.run(500_000);
         assertAccepted(world, world.replica(3), change("t", 1, "a"));
-        PersistentState crashed = null;
-        for (int gone = 3; gone > 1; gone--) {
-            crashed = world.replica(gone).disk();
-            world.wipe(world.replica(gone));
-            Replica fresh = world.start(7 - gone);
+        PersistentState oldDisk = null;
+        for (int lostReplica = 3; lostReplica > 1; lostReplica--) {
+            oldDisk = world.replica(lostReplica).disk();
+            world.wipe(world.replica(lostReplica));
+            Replica replacement = world.start(7 - lostReplica);
             world.run(12_000_000);
-            assertThat(fresh.consensus().voters())
+            assertThat(replacement.consensus().voters())
                     .hasSize(3)
-                    .contains(fresh.consensus().own())
-                    .doesNotContain(world.replica(gone).address());
+                    .contains(replacement.consensus().own())
+                    .doesNotContain(world.replica(lostReplica).address());
             assertAgreement(world);
-            assertAccepted(world, fresh, change("t", 10 - gone, "b" + gone));
+            assertAccepted(world, replacement, change("t", 10 - lostReplica, "b" + lostReplica));
         }
         world.run(1_000_000);
         assertAgreement(world);
         assertThat(apiKeys(world.replica(1).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of("b2"));
         // A removed voter that returns with its old disk is a standby, and learns the committed state.
-        world.start(2, crashed);
-        Replica back = world.replica(2);
+        world.start(2, oldDisk);
+        Replica returned = world.replica(2);
         world.run(5_000_000);
-        assertThat(back.consensus().voters())
+        assertThat(returned.consensus().voters())
                 .hasSize(3)
-                .doesNotContain(back.consensus().own());
+                .doesNotContain(returned.consensus().own());
         assertAgreement(world);
-        assertThat(world.await(world.submit(back, change("t", 20, "c"), TIMEOUT_MICROS)))
+        assertThat(world.await(world.submit(returned, change("t", 20, "c"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
         world.wipe(world.replica(1));
         world.run(4_000_000);
-        assertThat(back.consensus().own()).isEqualTo(back.address());
-        assertThat(back.consensus().voters()).hasSize(3).contains(back.address());
-        assertAccepted(world, back, change("t", 20, "c"));
+        assertThat(returned.consensus().own()).isEqualTo(returned.address());
+        assertThat(returned.consensus().voters()).hasSize(3).contains(returned.address());
+        assertAccepted(world, returned, change("t", 20, "c"));
         world.run(1_000_000);
         assertAgreement(world);
     }
@@ -223,29 +226,29 @@
     void replicaReportsAStalledOrFullDiskWhileTheOthersAcceptChanges() {
         SimulatedReplicas world = new SimulatedReplicas(4, 3);
         world.run(500_000);
-        Replica slow = world.replica(1);
-        world.stallDisk(slow, 5_000_000);
-        long stuck = world.submit(slow, change("t", 1, "a"), TIMEOUT_MICROS);
-        assertThat(world.await(stuck)).isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(slow.consensus().diskFailed(world.now())).isTrue();
-        assertThat(world.result(world.read(slow, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Unavailable.class);
+        Replica affected = world.replica(1);
+        world.stallDisk(affected, 5_000_000);
+        long stalledProposal = world.submit(affected, change("t", 1, "a"), TIMEOUT_MICROS);
+        assertThat(world.await(stalledProposal)).isInstanceOf(ProposalResult.Unavailable.class);
+        assertThat(affected.consensus().diskFailed(world.now())).isTrue();
+        assertThat(world.result(world.read(affected, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Unavailable.class);
         assertAccepted(world, world.replica(2), change("u", 1, "b"));
         world.run(6_000_000);
-        assertThat(slow.consensus().diskFailed(world.now())).isFalse();
+        assertThat(affected.consensus().diskFailed(world.now())).isFalse();
         assertAgreement(world);
-        world.setDiskFull(slow, true);
-        assertThat(world.await(world.submit(slow, change("t", 5, "e"), TIMEOUT_MICROS)))
+        world.setDiskFull(affected, true);
+        assertThat(world.await(world.submit(affected, change("t", 5, "e"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(slow.consensus().diskFailed(world.now())).isTrue();
+        assertThat(affected.consensus().diskFailed(world.now())).isTrue();
         assertAccepted(world, world.replica(3), change("t", 5, "f"));
         world.run(2_000_000);
-        world.setDiskFull(slow, false);
+        world.setDiskFull(affected, false);
         world.run(2_000_000);
-        assertThat(slow.consensus().diskFailed(world.now())).isFalse();
-        assertAccepted(world, slow, change("t", 6, "g"));
+        assertThat(affected.consensus().diskFailed(world.now())).isFalse();
+        assertAccepted(world, affected, change("t", 6, "g"));
         world.run(1_000_000);
         assertAgreement(world);
-        world.crash(slow);
+        world.crash(affected);
         world.start(1);
         world.run(2_000_000);
         assertAgreement(world);
@@ -271,7 +274,7 @@
         assertAccepted(world, world.replica(3), change("t", 2, "b"));
     }
 
-    /** Nobody knows the address of a replica that is new: it depends on its seeds. */
+    /** No peer knows the address of a new replica, so only its seeds lead it to the others. */
     @Test
     void aBlankReplicaAsksTheSeedsThatItIsGivenLater() {
         SimulatedReplicas world = new SimulatedReplicas(3, 3);
@@ -289,17 +292,17 @@
                 .contains(fourth.consensus().own());
     }
 
-    /** Also with seeds that name only blank replicas: one that is down may have a committed state. */
+    /** Not even if all seeds are blank: a replica that is down may hold a committed state. */
     @ParameterizedTest
     @CsvSource({"3, 3, false", "4, 3, true", "5, 4, true", "3, 2, true", "3, 1, true"})
-    void blankReplicasDoNotBootstrapThemselves(int count, int blank, boolean lastReturns) {
+    void blankReplicasDoNotBootstrapThemselves(int count, int blankCount, boolean lastReturns) {
         SimulatedReplicas world = new SimulatedReplicas(6, count);
         world.run(500_000);
         assertAccepted(world, world.replica(1), change("t", 1, "a"));
         world.run(1_000_000);
         world.runningReplicas().forEach(world::crash);
-        world.seeds = world.seeds.subList(0, blank);
-        for (int i = 1; i <= blank; i++) {
+        world.seeds = world.seeds.subList(0, blankCount);
+        for (int i = 1; i <= blankCount; i++) {
             world.wipe(world.replica(i));
             world.start(i);
         }
@@ -308,15 +311,16 @@
                 world.start(count);
             }
             world.run(1_000_000);
-            world.runningReplicas().forEach(h -> assertThat(world.await(world.read(h, 500_000)))
-                    .isInstanceOf(ProposalResult.Unavailable.class));
-            world.runningReplicas().forEach(h -> assertThat(world.await(world.submit(h, change("t", 1, "b"), 500_000)))
+            world.runningReplicas().forEach(replica -> assertThat(world.await(world.read(replica, 500_000)))
                     .isInstanceOf(ProposalResult.Unavailable.class));
+            world.runningReplicas()
+                    .forEach(replica -> assertThat(world.await(world.submit(replica, change("t", 1, "b"), 500_000)))
+                            .isInstanceOf(ProposalResult.Unavailable.class));
         }
         assertThat(world.checks().breach()).isNull();
     }
 
-    /** A replica that has a state must be named before that state is abandoned, and does not bring it back. */
+    /** The operator must name each replica whose state is abandoned; such a replica does not bring its state back. */
     @Test
     void operatorBootstrapsBlankReplicas() {
         SimulatedReplicas world = new SimulatedReplicas(8, 4);
@@ -350,7 +354,7 @@
         assertThat(ConsensusCornerCases.findViolation()).isNull();
     }
 
-    /** What a failed write has left on the disk must not be the base of the next write. */
+    /** After a failed write the contents of the disk are unknown, so they must not be the base of the next write. */
     @Test
     void fullSnapshotIsWrittenAfterAFailedWrite() {
         ConsensusReplica consensus = new ConsensusReplica(
@@ -361,9 +365,9 @@
         written(consensus, accept, 0, false);
         written(consensus, consensus.tick(600_000), 600_000, true);
         List<Effect> promise = consensus.submit(700_000, 2, parse(change("u", 1, "y")), TIMEOUT_MICROS);
-        StorageUpdate change = write(written(consensus, promise, 700_000, true)).change();
-        assertThat(change.fullSnapshot()).isTrue();
-        assertThat(Configuration.of(change.items()).get(new ItemKey(ItemType.TENANTS, "u")))
+        StorageUpdate update = write(written(consensus, promise, 700_000, true)).change();
+        assertThat(update.fullSnapshot()).isTrue();
+        assertThat(Configuration.of(update.items()).get(new ItemKey(ItemType.TENANTS, "u")))
                 .isNotNull();
     }
 
--- a/src/test/java/org/cypressweir/controlplane/consensus/MachineLossTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/MachineLossTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** As many machines as may be lost are lost, and as many again after the time that their successors are given. */
+/** The largest tolerated number of machines is lost at once, and as many again once there was time to replace them. */
 class MachineLossTest {
 
     private static final int SCENARIOS = 60;
--- a/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
@@ -23,16 +23,17 @@
                 + "}}}";
     }
 
-    private static long sentForOne(int items) {
-        ThreeReplicas three = new ThreeReplicas(List.of(new InMemoryStore(), new InMemoryStore(), new InMemoryStore()));
-        assertThat(three.submit(tenants(0, items, 1))).isInstanceOf(ProposalResult.Taken.class);
-        long before = three.sentBytes();
-        assertThat(three.submit(tenants(5, 6, 2))).isInstanceOf(ProposalResult.Taken.class);
-        return three.sentBytes() - before;
+    private static long bytesSentForOneChange(int items) {
+        ThreeReplicas replicas =
+                new ThreeReplicas(List.of(new InMemoryStore(), new InMemoryStore(), new InMemoryStore()));
+        assertThat(replicas.submit(tenants(0, items, 1))).isInstanceOf(ProposalResult.Taken.class);
+        long before = replicas.sentBytes();
+        assertThat(replicas.submit(tenants(5, 6, 2))).isInstanceOf(ProposalResult.Taken.class);
+        return replicas.sentBytes() - before;
     }
 
     @Test
     void bytesSentDoNotDependOnTheSizeOfTheConfiguration() {
-        assertThat(sentForOne(5_000)).isCloseTo(sentForOne(10), Percentage.withPercentage(10));
+        assertThat(bytesSentForOneChange(5_000)).isCloseTo(bytesSentForOneChange(10), Percentage.withPercentage(10));
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/OverlappingLossTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/OverlappingLossTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Partitions into halves, with disks lost and power lost at once meanwhile: nothing acknowledged is lost. */
+/** No change acknowledged around a partition is lost if some replicas lose their disks and the others lose power. */
 class OverlappingLossTest {
 
     private static final int SCENARIOS = 120;
--- a/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A replica without contact to a majority reports that and accepts no call until it has contact again. */
+/** A replica that has lost contact with a majority reports so, and accepts no call until contact is regained. */
 class QuorumContactTest {
 
     private static final long TIMEOUT_MICROS = 850_000;
@@ -45,9 +45,9 @@
     }
 
     private static void assertUnavailableWithin(long maxMicros, SimulatedReplicas world, long proposalId) {
-        long begun = world.now();
+        long startedAt = world.now();
         assertThat(world.await(proposalId)).isInstanceOf(ProposalResult.Unavailable.class);
-        assertThat(world.now() - begun).isLessThanOrEqualTo(maxMicros);
+        assertThat(world.now() - startedAt).isLessThanOrEqualTo(maxMicros);
     }
 
     private static long age(SimulatedReplicas world, Replica replica) {
@@ -66,7 +66,7 @@
         assertThat(age(world, partitioned)).isBetween(0L, MAX_AGE_MICROS);
         partition(world, 3, direction);
         long partitionedAt = world.now();
-        // A call that comes before the replica can know of the partition waits, and is not accepted either.
+        // A call submitted before the replica can know of the partition waits, and is not accepted either.
         assertUnavailableWithin(TIMEOUT_MICROS + 60_000, world, world.submit(partitioned, change(2), TIMEOUT_MICROS));
         world.run(2_000_000);
         for (long version = 10; world.now() < partitionedAt + PARTITION_MICROS; version++) {
@@ -103,7 +103,7 @@
                 echoedSequence);
     }
 
-    /** An echo that a partition has held up does not make old contact new, nor one to an earlier incarnation. */
+    /** An echo that a partition has delayed proves no later contact, and one for an earlier incarnation proves none. */
     @Test
     void lateEchoProvesNoNewContact() {
         List<String> voters = List.of("a", "b", "c");
