--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
@@ -418,8 +418,9 @@
     }
 
     /**
-     * Continues without deviations and fails unless the replicas recover: there are three running voters, and a read
-     * at each of them is answered. What the reads return is checked by {@link #checks}.
+     * Continues without deviations and fails unless the replicas recover: there are three running voters, at least two
+     * of them know that they are voters, and a read at each of these is answered. What the reads return is checked by
+     * {@link #checks}.
      *
      * @throws AssertionError if they do not recover
      */
