--- a/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/CorruptStoreException.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * The disk can be read, but what it holds is not what was written: something is lost or changed. A disk that
- * fails reads or writes leads to a plain {@link IOException} instead, as that tells nothing about its content.
+ * Thrown where the files of a store can be read, but data in them is missing or has changed. A failed read or
+ * write is a plain {@link IOException} instead, as it says nothing about the content of the disk.
  */
 class CorruptStoreException extends IOException {
 
--- a/src/main/java/org/cypressweir/controlplane/storage/DurableDirectories.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/DurableDirectories.java
@@ -11,14 +11,14 @@
 import java.util.stream.Stream;
 
 /**
- * File system calls that decide what survives a loss of power: a file's content needs its own sync, its name
- * needs a sync of the directory. Stateless; tests override single calls to inject faults.
+ * File system operations whose results have to survive a loss of power: a file's content needs a sync of the file,
+ * its name a sync of the directory. Stateless; tests override single methods to inject faults.
  */
 class DurableDirectories {
 
     private static final String REPLACEMENT_SUFFIX = ".next";
 
-    /** Makes the directory's entries durable: a file survives only once its entry does. */
+    /** Makes the directory's entries durable; without its entry a file is lost, even if its content was synced. */
     void sync(Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
@@ -55,7 +55,7 @@
         Files.move(file, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Deletes a file, or a directory with all that is in it, where it exists. */
+    /** Deletes a file, or a directory with all its content, if it exists. */
     void delete(Path path) throws IOException {
         if (Files.isDirectory(path)) {
             for (String name : names(path)) {
--- a/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
@@ -5,8 +5,8 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /**
- * A store for tests and benchmarks that keeps the state on the heap: it is lost with the object, and closing
- * it keeps the state. Not thread-safe.
+ * A store for tests and benchmarks that keeps the state on the heap. The state survives {@link #close}, but not
+ * the object. Not thread-safe.
  */
 public final class InMemoryStore implements Store {
 
--- a/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Quarantine.java
@@ -11,13 +11,13 @@
 import java.util.stream.Stream;
 
 /**
- * Moves the files of a damaged store into a numbered subdirectory, for an operator to look at. A few
- * subdirectories are kept as long as they are small; a marker file that says that there was damage stays.
+ * Moves the files of a damaged store into a numbered subdirectory, for an operator to inspect. Only the newest
+ * subdirectories are kept, within limits of number and size; a marker file records for good that there was damage.
  */
 final class Quarantine {
 
     private static final String MARKER_FILE = "damaged";
-    /** The text is fixed: directories that earlier builds made begin with it. */
+    /** Fixed: the subdirectories that earlier builds created have this prefix. */
     private static final String DIRECTORY_PREFIX = "aside-";
 
     private static final String DIRECTORY_PATTERN = DIRECTORY_PREFIX + "\\d{1,9}";
@@ -38,7 +38,7 @@
         return Files.exists(root.resolve(MARKER_FILE));
     }
 
-    /** Reads all files and writes a small one; throws where either fails. */
+    /** Checks that the disk works: reads all files and writes a small one, and throws if either fails. */
     void checkDisk() throws IOException {
         try (Stream<Path> files = Files.walk(root)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Moves all files of the store into a new subdirectory. Where power is lost on the way, what is left is
-     * damaged too and is moved when the store is opened next.
+     * Moves all files of the store into a new subdirectory. If power is lost midway, the remaining files are
+     * found damaged as well, and are moved when the store is opened next.
      */
     void moveAll(String reason) throws IOException {
         directories.replace(root.resolve(MARKER_FILE), reason + "\n");
@@ -89,7 +89,7 @@
         return existing.isEmpty() ? 1 : number(existing.getLast()) + 1;
     }
 
-    /** The oldest first. */
+    /** The names of the subdirectories, the oldest first. */
     private Deque<String> subdirectories() throws IOException {
         return new ArrayDeque<>(DurableDirectories.names(root).stream()
                 .filter(name -> name.matches(DIRECTORY_PATTERN))
--- a/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StateRecords.java
@@ -20,25 +20,25 @@
 
 /**
  * The records of a replica's state in a Xodus environment: one store with a record for each item, one with a
- * record for each other field. Alone knows their names and encodings. Each call runs in a transaction of the
- * caller, and throws an unchecked exception where a record is not readable.
+ * record for each other field. No other class knows their names and encodings. Each method runs in a transaction
+ * of the caller, and throws an unchecked exception where a record cannot be parsed.
  */
 final class StateRecords {
 
-    // The names of stores and keys are on disk: their texts are fixed.
+    // The names of stores and keys are on disk, and so are fixed.
     private static final String ITEMS_STORE = "items";
     private static final String FIELDS_STORE = "terms";
     private static final ByteIterable PROMISED_KEY = bytes("promised");
     private static final ByteIterable ACCEPTED_KEY = bytes("accepted");
     private static final ByteIterable VOTERS_KEY = bytes("crew");
     private static final ByteIterable SECOND_HAND_KEY = bytes("hearsay");
-    private static final ByteIterable DISK_NUMBER_KEY = bytes("disk");
+    private static final ByteIterable DISK_ID_KEY = bytes("disk");
     private static final ByteIterable CHECKSUM_KEY = bytes("seal");
 
     private static final String VOTER_SEPARATOR = "\n";
 
     /** The stored state with the checksum of its last write, which has been verified. */
-    record Verified(PersistentState state, WriteChecksum checksum) {}
+    record VerifiedState(PersistentState state, WriteChecksum checksum) {}
 
     private final Environment environment;
 
@@ -47,11 +47,11 @@
     }
 
     /**
-     * Reads and verifies all records; null where nothing was written yet.
+     * Reads and verifies all records; returns null where nothing was written yet.
      *
      * @throws IllegalArgumentException where they do not match their checksum
      */
-    Verified read(Transaction transaction) {
+    VerifiedState read(Transaction transaction) {
         if (!environment.storeExists(FIELDS_STORE, transaction)) {
             return null;
         }
@@ -62,7 +62,7 @@
         List<Item> items = new ArrayList<>();
         long itemsSum = readItems(transaction, items);
         WriteChecksum checksum = verify(fields, itemsSum, transaction);
-        return new Verified(state(fields, items, transaction), checksum);
+        return new VerifiedState(state(fields, items, transaction), checksum);
     }
 
     /** Adds all items to the list, and returns the sum of their checksums. */
@@ -93,21 +93,21 @@
 
     private static PersistentState state(Store fields, List<Item> items, Transaction transaction) {
         String voters = text(fields.get(transaction, VOTERS_KEY));
-        ByteIterable diskNumber = fields.get(transaction, DISK_NUMBER_KEY);
+        ByteIterable diskId = fields.get(transaction, DISK_ID_KEY);
         return new PersistentState(
                 ProposalNumber.of(text(fields.get(transaction, PROMISED_KEY))),
                 ProposalNumber.of(text(fields.get(transaction, ACCEPTED_KEY))),
                 voters.isEmpty() ? List.of() : List.of(voters.split(VOTER_SEPARATOR)),
                 items,
                 Boolean.parseBoolean(text(fields.get(transaction, SECOND_HAND_KEY))),
-                diskNumber == null ? 0 : Long.parseLong(text(diskNumber)));
+                diskId == null ? 0 : Long.parseLong(text(diskId)));
     }
 
-    /** In the order in which the checksum goes over them, which is fixed too. */
+    /** The texts of the fields in the order in which they are checksummed, which is fixed too. */
     private static List<String> checksummedFields(Store fields, Transaction transaction) {
-        // Earlier builds wrote no disk number.
-        return Stream.of(PROMISED_KEY, ACCEPTED_KEY, VOTERS_KEY, SECOND_HAND_KEY, DISK_NUMBER_KEY)
-                .filter(key -> key != DISK_NUMBER_KEY || fields.get(transaction, DISK_NUMBER_KEY) != null)
+        // Earlier builds wrote no disk id.
+        return Stream.of(PROMISED_KEY, ACCEPTED_KEY, VOTERS_KEY, SECOND_HAND_KEY, DISK_ID_KEY)
+                .filter(key -> key != DISK_ID_KEY || fields.get(transaction, DISK_ID_KEY) != null)
                 .map(key -> text(fields.get(transaction, key)))
                 .toList();
     }
@@ -128,7 +128,7 @@
         return checksum;
     }
 
-    /** Returns the sum of the checksums of all items after it. */
+    /** Writes the items of an update, and returns the sum of the checksums of all items after it. */
     private long writeItems(StorageUpdate update, long previousSum, Transaction transaction) {
         long itemsSum = previousSum;
         if (update.fullSnapshot()) {
@@ -162,11 +162,11 @@
             fields.put(transaction, VOTERS_KEY, bytes(String.join(VOTER_SEPARATOR, voters)));
         }
         if (update.setsDiskId()) {
-            fields.put(transaction, DISK_NUMBER_KEY, bytes(Long.toString(update.disk())));
+            fields.put(transaction, DISK_ID_KEY, bytes(Long.toString(update.disk())));
         }
     }
 
-    /** Not the key's own text: that of the limits has no dot. */
+    /** Not {@link ItemKey#toString}, which has no dot for the limits. */
     private static ByteIterable recordKey(ItemKey key) {
         return bytes(key.type().wireName() + "." + key.name());
     }
--- a/src/main/java/org/cypressweir/controlplane/storage/Store.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/Store.java
@@ -6,12 +6,12 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /**
- * The durable state of one replica. Not thread-safe: used by one thread. After a write that failed the next
- * one may succeed.
+ * The durable state of one replica. A store can still be used after a failed write: the next one may succeed.
+ * Not thread-safe.
  */
 public interface Store extends AutoCloseable {
 
-    /** The stored state, or nothing where nothing was ever written. */
+    /** The stored state; empty if nothing was ever written. */
     Optional<PersistentState> load() throws IOException;
 
     /** Writes an update atomically, and returns once it would survive a loss of power. */
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreEnvironment.java
@@ -31,11 +31,11 @@
     private WriteChecksum checksum = WriteChecksum.NONE;
 
     /**
-     * Opens the environment, created where the directory is not there.
+     * Opens the environment, and creates it if the directory does not exist.
      *
      * @param logFileKib the size of one Xodus log file
      * @throws TornWriteException where it can be opened, but its content does not match its checksum
-     * @throws CorruptStoreException where it can be read, but not opened
+     * @throws CorruptStoreException where its files can be read, but it cannot be opened
      * @throws IOException where the disk fails
      */
     StoreEnvironment(Path directory, int logFileKib, DurableDirectories directories) throws IOException {
@@ -69,34 +69,34 @@
 
     private static EnvironmentConfig config(int logFileKib) {
         EnvironmentConfig config = new EnvironmentConfig();
-        // Syncs each transaction before it returns: an acknowledged change rests on this.
+        // Syncs each transaction before it returns; the durability of acknowledged changes depends on it.
         config.setLogDurableWrite(true);
         config.setLogFileSize(logFileKib);
         config.setLogCachePageSize(CACHE_PAGE_BYTES);
         config.setMemoryUsage(CACHE_BYTES);
-        // Mapped files end the process where their directory is emptied or their disk fails.
+        // Memory-mapped log files would crash the process when their directory is emptied or their disk fails.
         config.setLogCacheUseNio(false);
         config.setLogCacheShared(false);
         config.setLogClearInvalid(false);
         config.setManagementEnabled(false);
         config.setEnvGatherStatistics(false);
         config.setEnvCloseForcedly(true);
-        // Unused records go with the directory when the store is compacted into a new one.
+        // Obsolete records are dropped with the directory when the store is compacted into a new one.
         config.setGcEnabled(false);
         return config;
     }
 
-    /** Whether reading the disk failed, which tells nothing about its content. */
+    /** Whether a read of the disk failed, which says nothing about its content. */
     private static boolean isReadFailure(Throwable e) {
         return e instanceof ExodusException && (e.getCause() instanceof IOException || isReadFailure(e.getCause()));
     }
 
-    /** How many writes there have been, in the directories before this one too. */
+    /** The number of all writes to the store, including those to earlier generations. */
     long writeCount() {
         return checksum.writeCount();
     }
 
-    /** How many bytes its files take. */
+    /** The size of all its files. */
     long sizeBytes() throws IOException {
         return XodusLogFiles.sizeBytes(directory);
     }
@@ -105,9 +105,9 @@
         return transactionsSinceOpen;
     }
 
-    /** Reads and verifies the state; null where nothing was written yet. */
+    /** Reads and verifies the state; returns null where nothing was written yet. */
     PersistentState load() throws IOException {
-        StateRecords.Verified[] found = new StateRecords.Verified[1];
+        StateRecords.VerifiedState[] found = new StateRecords.VerifiedState[1];
         try {
             environment.executeInReadonlyTransaction(transaction -> found[0] = records.read(transaction));
         } catch (RuntimeException e) {
@@ -129,7 +129,11 @@
         write(update, update.learnedSecondHand());
     }
 
-    /** Writes a complete state into an environment that was just created, after that many writes elsewhere. */
+    /**
+     * Writes a complete state into an environment that was just created.
+     *
+     * @param writeCount the number of writes to earlier generations
+     */
     void writeAll(PersistentState state, long writeCount) throws IOException {
         checksum = new WriteChecksum(writeCount, 0);
         StorageUpdate update = new StorageUpdate(
@@ -146,7 +150,7 @@
         syncNewFiles();
     }
 
-    /** Xodus syncs what it writes to its files, not the directory entries of new ones. */
+    /** Makes the entries of new log files durable: Xodus syncs the content of its files, not their directory. */
     private void syncNewFiles() throws IOException {
         Set<String> present = DurableDirectories.names(directory);
         if (!present.containsAll(syncedFiles)) {
@@ -158,7 +162,7 @@
         syncedFiles = present;
     }
 
-    /** Xodus reports a disk that fails by unchecked exceptions and errors. */
+    /** Turns the unchecked exceptions and errors by which Xodus reports a failed disk into an IOException. */
     private static void runChecked(Runnable work) throws IOException {
         try {
             work.run();
--- a/src/main/java/org/cypressweir/controlplane/storage/StoreGenerations.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/StoreGenerations.java
@@ -7,11 +7,11 @@
 
 /**
  * The numbered directories of a store, and the small file that names the current one. Compaction writes the
- * next directory and then replaces that file, which switches atomically. Stateless but for the disk.
+ * next directory and then replaces that file, which switches atomically. Keeps no state in memory.
  */
 final class StoreGenerations {
 
-    /** The file names no directory yet: the store was created, and power lost before its first one was ready. */
+    /** No directory is current yet: power was lost after the store was created and before its first one was ready. */
     static final long NONE = 0;
 
     static final long FIRST = 1;
@@ -36,11 +36,11 @@
     /**
      * The generation in use, or {@link #NONE}.
      *
-     * @param written whether writes are known, so that the file has to be there
+     * @param hasWrites whether writes were acknowledged, so that the file must exist
      */
-    long readCurrent(boolean written) throws IOException {
+    long readCurrent(boolean hasWrites) throws IOException {
         if (!Files.exists(currentFile)) {
-            if (written || anyDirectory()) {
+            if (hasWrites || anyDirectory()) {
                 throw new CorruptStoreException(currentFile, "file is missing", null);
             }
             writeCurrent(NONE);
@@ -49,7 +49,7 @@
             String text = Files.readString(currentFile, StandardCharsets.ISO_8859_1);
             return Long.parseLong(text.trim());
         } catch (NumberFormatException e) {
-            throw new CorruptStoreException(currentFile, "not the number of a generation", e);
+            throw new CorruptStoreException(currentFile, "not a generation number", e);
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/storage/TornWriteException.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/TornWriteException.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 
 /**
- * An environment opens, but its content does not match the checksum of its last write: that write is only
- * partly there, or the disk has lost something older. Only the first can be repaired by removing the write.
+ * Thrown where an environment can be opened, but its content does not match the checksum of its last write: either
+ * that write is incomplete, or older data is lost. Only an incomplete write can be repaired, by removing it.
  */
 final class TornWriteException extends CorruptStoreException {
 
--- a/src/main/java/org/cypressweir/controlplane/storage/WriteChecksum.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteChecksum.java
@@ -5,10 +5,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * A checksum over the complete state, stored with each write. A write that was not synced before a loss of
- * power may be accepted by Xodus although a sector in its middle is missing; this tells.
+ * A checksum over the complete state, stored with each write. It detects a write that was not synced before a loss
+ * of power, and that Xodus accepts although a sector in its middle is missing.
  *
- * @param writeCount how many writes there have been
+ * @param writeCount the number of all writes to the store
  * @param itemsSum the sum of the checksums of all items, which does not depend on their order
  */
 record WriteChecksum(long writeCount, long itemsSum) {
@@ -26,15 +26,15 @@
         return crc.getValue();
     }
 
-    /** The text that is stored: both numbers, and a CRC over them and the fields stored beside them. */
+    /** The text that is stored: both numbers, and a CRC over them and the other stored fields. */
     String toText(List<String> fields) {
         return writeCount + " " + itemsSum + " " + crc(fields);
     }
 
     /**
-     * Reads what {@link #toText} made.
+     * Parses a text made by {@link #toText}.
      *
-     * @throws IllegalArgumentException where it is no such text, or the fields are not those of that write
+     * @throws IllegalArgumentException where the text is malformed, or the fields do not match it
      */
     static WriteChecksum parse(String text, List<String> fields) {
         String[] parts = text.split(" ");
--- a/src/main/java/org/cypressweir/controlplane/storage/WriteCounterFile.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/WriteCounterFile.java
@@ -8,9 +8,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A small file with a lower bound of how many writes were acknowledged. It is not synced, and so costs
- * nothing: after a loss of power it may hold an older count or an incomplete one, never a higher one. The count is
- * written twice in a row, so that an incomplete one is recognized by halves that differ. A store whose own count is
+ * A small file with a lower bound of the number of acknowledged writes. It is not synced, and so costs nothing:
+ * after a loss of power it may hold an older count or an incomplete one, never a higher one. The count is written
+ * twice in a row; an incomplete one is recognized by its two halves, which differ. A store whose own count is
  * lower has lost acknowledged writes. Not thread-safe.
  */
 final class WriteCounterFile implements AutoCloseable {
@@ -30,7 +30,7 @@
         writeCount = text.matches(SAME_COUNT_TWICE) ? Long.parseLong(text.substring(0, DIGITS)) : 0;
     }
 
-    /** The count read or stored last; 0 where the file was empty or incomplete. */
+    /** The count that was read or stored last; 0 where the file was empty or incomplete. */
     long writeCount() {
         return writeCount;
     }
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusLogFiles.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusLogFiles.java
@@ -7,14 +7,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** The log files of a Xodus environment that need not be open. */
+/** Operations on the log files of a Xodus environment that is not open, or need not be. */
 final class XodusLogFiles {
 
     private static final String LOG_SUFFIX = ".xd";
 
     private XodusLogFiles() {}
 
-    /** How many bytes the files of the directory take. */
+    /** The size of all files of the directory. */
     static long sizeBytes(Path directory) throws IOException {
         long size = 0;
         for (String name : DurableDirectories.names(directory)) {
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Removes the last write of an environment that is not open. Its last byte is enough: Xodus then takes the
-     * transaction before it as the last one.
+     * Removes the last write of an environment that is not open. Truncating its last byte is enough: Xodus then
+     * ignores this transaction and takes the one before it as the last one.
      */
     static void truncateLastWrite(Path directory) throws IOException {
         List<String> logs = DurableDirectories.names(directory).stream()
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -20,13 +20,13 @@
 public final class XodusStore implements Store {
 
     private static final long COMPACTION_BYTES = 12L << 20;
-    /** No item is larger than a file may be; a file takes only what is written to it. */
+    /** An item must fit into one log file. A file takes only the space of what is written to it. */
     private static final int LOG_FILE_KIB = 64 * 1024;
 
     private static final int WRITES_PER_SIZE_CHECK = 16;
-    /** A state that is large itself is compacted once the files have grown to this many times its size. */
+    /** A store with a large state is compacted once its files have grown to this many times the size of the state. */
     private static final int COMPACTION_GROWTH = 4;
-    /** An environment that is larger has been written to. */
+    /** An environment that is larger than this has been written to. */
     private static final int EMPTY_ENVIRONMENT_BYTES = 64 << 10;
 
     private static final String COUNTER_FILE = "written";
@@ -45,9 +45,9 @@
     private StoreEnvironment environment;
 
     private WriteCounterFile counterFile;
-    /** Whether an incomplete write was removed since the last one that succeeded: at most one can be under way. */
+    /** Whether an incomplete write was removed since the last successful one; at most one can be in flight. */
     private boolean incompleteWriteRemoved;
-    /** How many writes were acknowledged, as far as this process knows. */
+    /** The number of acknowledged writes, as far as this process knows. */
     private long acknowledgedWrites;
 
     public XodusStore(Path root) throws IOException {
@@ -74,7 +74,10 @@
         quarantine.deleteExcess();
     }
 
-    /** Only what is found twice, by a disk that reads all and takes a write, is damage. */
+    /**
+     * Opens the store, and quarantines its files where they are damaged. Damage has to be found twice, and the disk
+     * to pass a check of reads and writes in between.
+     */
     private Optional<String> openOrQuarantine() throws IOException {
         try {
             open();
@@ -92,12 +95,12 @@
         }
     }
 
-    /** What was wrong with the files that were quarantined when this store was opened. */
+    /** What was wrong with the files that were quarantined when this store was opened; empty if none were. */
     public Optional<String> quarantineReason() {
         return quarantineReason;
     }
 
-    /** Whether files of this store were ever quarantined: that it is empty does not mean that nothing was written. */
+    /** Whether files of this store were ever quarantined; if so, it may be empty although state was written. */
     public boolean damaged() {
         return quarantine.wasEverUsed();
     }
@@ -106,7 +109,7 @@
         long current = generations.readCurrent(acknowledgedWrites > 0);
         try {
             counterFile = new WriteCounterFile(root.resolve(COUNTER_FILE));
-            // A name that was put there right before this process ended may not have been durable.
+            // A file that was renamed just before the last process ended may not have a durable entry yet.
             directories.sync(root);
             environment = current == StoreGenerations.NONE ? createFirstGeneration() : openGeneration(current);
             generation = Math.max(current, StoreGenerations.FIRST);
@@ -131,7 +134,7 @@
         StoreEnvironment first = openUnusedEnvironment(directory);
         if (first.load() != null) {
             first.close();
-            throw new CorruptStoreException(root, "a generation is there, but none is named as current", null);
+            throw new CorruptStoreException(root, "a generation exists, but none is named as current", null);
         }
         directories.sync(root); // Before its name is written.
         generations.writeCurrent(StoreGenerations.FIRST);
@@ -217,7 +220,7 @@
             previous.close();
             generations.deleteAllExcept(generation);
         } catch (IOException e) {
-            // The state is written; what is left over is deleted when the store is opened next.
+            // The state is written; the remaining files are deleted when the store is opened next.
         }
     }
 
@@ -244,7 +247,7 @@
         try {
             close();
         } catch (IOException e) {
-            // It had failed already; the next call opens anew and throws if that cannot be done.
+            // The store has failed already; the next call opens it anew, and throws if that fails too.
             environment = null;
             counterFile = null;
         }
@@ -257,9 +260,9 @@
             counterFile = null;
         }
         if (environment != null) {
-            StoreEnvironment open = environment;
+            StoreEnvironment toClose = environment;
             environment = null;
-            open.close();
+            toClose.close();
         }
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/InMemoryStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/InMemoryStoreTest.java
@@ -1,6 +1,6 @@
 package org.cypressweir.controlplane.storage;
 
-/** The in-memory store keeps the {@link StoreContract}. */
+/** The in-memory store passes the {@link StoreContract}. */
 class InMemoryStoreTest extends StoreContract {
 
     @Override
--- a/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Simulates a loss of power at each step. Of the directory entries that were created, renamed or removed since
- * the last sync of their directory each is kept or lost by itself, and a file created since then may be empty.
- * Every such subset is opened.
+ * Simulates a loss of power at each step of a few writes. Each change of a directory entry since the last sync of its
+ * directory may or may not have reached the disk, independently of the others, and a file created since then may be
+ * empty. A store is opened on every such combination: it has the state before or after the write in flight.
  */
 class LostDirectoryEntriesTest {
 
@@ -45,9 +45,9 @@
     private PersistentState inFlight;
     private final Set<String> checkedStates = new HashSet<>();
 
-    /** Checks what a loss of power would leave, before and after each step that changes directory entries. */
+    /** Checks all states that a loss of power may leave, at each step that changes or syncs directory entries. */
     private final class PowerLossDirectories extends DurableDirectories {
-        /** What may be left of each path: contents, or null where its entry is lost. */
+        /** By path, the contents that a loss of power may leave; null where the entry is lost. */
         private final Map<String, List<byte[]>> possibleContents = new TreeMap<>();
 
         private final Set<String> forced = new HashSet<>();
@@ -110,7 +110,7 @@
             return tree;
         }
 
-        /** Each state that a loss of power may leave now is opened, written to and opened again. */
+        /** Opens each state that a loss of power may leave now, writes to it and opens it again. */
         void checkAllSubsets() throws IOException {
             Map<String, byte[]> present = tree();
             new TreeSet<>(possibleContents.keySet()).forEach(path -> present.putIfAbsent(path, null));
@@ -129,7 +129,7 @@
             boolean entryMayBeLost = contents.contains(null);
             boolean entryIsDurable = contents.size() == 1 && contents.get(0) != null && !moved.contains(path);
             if (entryIsDurable && content != null) {
-                // What the file's own sync covers is the subject of TornWritesTest.
+                // TornWritesTest covers content that is lost although the entry is durable.
                 contents.set(0, content);
             } else if (contents.stream().noneMatch(each -> Arrays.equals(each, content))) {
                 contents.add(content);
@@ -145,7 +145,7 @@
             }
         }
 
-        /** One possible content of each path, by the number of the combination. */
+        /** One possible content of each path, selected by the number of the combination. */
         private Map<String, byte[]> select(long subset) {
             Map<String, byte[]> selected = new LinkedHashMap<>();
             long remainder = subset;
@@ -206,8 +206,12 @@
         return new XodusStore(directory, 1 << 20, logFileKib, new DurableDirectories());
     }
 
-    /** The failure of the tests, or null where they pass; any stands for the name of one test method. */
-    static String firstFailure(Path folder, String any) throws IOException {
+    /**
+     * The first failure of the tests, or null where they pass.
+     *
+     * @param unusedTestMethod not used: all tests are run
+     */
+    static String firstFailure(Path folder, String unusedTestMethod) throws IOException {
         for (int run = 0; run < 2; run++) {
             boolean manyLogFiles = run == 0;
             LostDirectoryEntriesTest test = new LostDirectoryEntriesTest();
--- a/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/PlantedStorageFaultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The tests of incomplete writes and lost directory entries find each fault that is planted in the storage code. */
+/** Plants faults in the storage code; the tests of incomplete writes and lost directory entries find each of them. */
 class PlantedStorageFaultsTest {
 
     @TempDir
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreContract.java
@@ -15,14 +15,14 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 import org.junit.jupiter.api.Test;
 
-/** The tests that every {@link Store} has to pass. */
+/** Tests that every {@link Store} has to pass. */
 abstract class StoreContract {
 
     static final List<String> VOTERS = List.of("10.0.0.1:7", "10.0.0.2:7");
 
     abstract Store open() throws IOException;
 
-    /** Closes the store and opens it again, as a process that restarts does. */
+    /** Closes the store and opens it again, as after a restart of the process. */
     abstract Store reopen(Store store) throws IOException;
 
     static ProposalNumber proposal(long round) {
@@ -91,6 +91,6 @@
         store.close();
     }
 
-    /** Called after that many writes; for assertions about a particular store. */
+    /** Called after each write with the number of writes so far, for assertions about a particular store. */
     void afterWrites(int writes) throws IOException {}
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/StoreEnduranceTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/StoreEnduranceTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The disk space of a store over many changes; with {@code -Dlongday.changes=10000} at the documented size. */
+/** The disk usage of a store over many changes; {@code -Dlongday.changes=10000} runs it at the documented size. */
 class StoreEnduranceTest {
 
     private static final int ITEMS = 20_000;
--- a/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -19,14 +19,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short history of writes, with every sector of each write missing, late, truncated or flipped. */
+/**
+ * Opens stores whose log was left incomplete by a loss of power, or was damaged later. Sector by sector, the log of a
+ * few writes is truncated, lacks a sector, has only that sector of a write, or has a flipped bit.
+ */
 class TornWritesTest {
 
     private static final int SECTOR = 512;
     private static final String LOG = "1/00000000000.xd";
     private static final String COUNTER_FILE = "written";
 
-    /** The files after an acknowledged write, and the state then. */
+    /** The files after an acknowledged write, and the state at that time. */
     private record Snapshot(Map<String, byte[]> files, PersistentState state) {}
 
     private final Snapshot[] snapshots = new Snapshot[7];
@@ -90,7 +93,7 @@
         return files;
     }
 
-    /** The state of a store that is opened on these files, or null where it quarantines them. */
+    /** Opens a store on these files; returns its state, or null where the files were quarantined. */
     private PersistentState openAndLoad(Map<String, byte[]> files, boolean writeAndReopen) throws IOException {
         Path directory = temporary.resolve("opened");
         new DurableDirectories().delete(directory);
@@ -124,14 +127,15 @@
     }
 
     /**
-     * What the disk may hold of a log while a write is under way, as functions of the logs before and after it
-     * and of the offset of one sector.
+     * What the disk may hold of a log after a loss of power during a write, as functions of the logs before and
+     * after it and of the offset of one sector: truncated there, without the sector, without all from the sector
+     * on, and with that sector only.
      */
     private static final List<BiFunction<byte[][], Integer, byte[]>> INCOMPLETE_LOGS = List.of(
-            (logs, at) -> Arrays.copyOf(logs[1], Math.max(at, logs[0].length)),
-            (logs, at) -> overwrite(logs[1], logs[0], at, at + SECTOR),
-            (logs, at) -> overwrite(logs[1], logs[0], at, logs[1].length),
-            (logs, at) -> overwrite(Arrays.copyOf(logs[0], logs[1].length), logs[1], at, at + SECTOR));
+            (logs, offset) -> Arrays.copyOf(logs[1], Math.max(offset, logs[0].length)),
+            (logs, offset) -> overwrite(logs[1], logs[0], offset, offset + SECTOR),
+            (logs, offset) -> overwrite(logs[1], logs[0], offset, logs[1].length),
+            (logs, offset) -> overwrite(Arrays.copyOf(logs[0], logs[1].length), logs[1], offset, offset + SECTOR));
 
     private static byte[] overwrite(byte[] log, byte[] other, int from, int to) {
         byte[] mixed = log.clone();
@@ -149,11 +153,11 @@
                     .as("Xodus only appends")
                     .isEqualTo(logs[0].length);
             Map<String, byte[]> files = new TreeMap<>(snapshots[i - 1].files);
-            for (int at = logs[0].length / SECTOR * SECTOR; at < logs[1].length; at += SECTOR) {
+            for (int offset = logs[0].length / SECTOR * SECTOR; offset < logs[1].length; offset += SECTOR) {
                 for (int variant = 0; variant < INCOMPLETE_LOGS.size(); variant++) {
-                    files.put(LOG, INCOMPLETE_LOGS.get(variant).apply(logs, at));
+                    files.put(LOG, INCOMPLETE_LOGS.get(variant).apply(logs, offset));
                     assertThat(openAndLoad(files, variant == 1))
-                            .as("write %s, sector at %s, variant %s", i, at, variant)
+                            .as("write %s, sector at %s, variant %s", i, offset, variant)
                             .isIn(snapshots[i - 1].state, snapshots[i].state);
                 }
             }
@@ -166,14 +170,14 @@
         byte[] log = last.files.get(LOG);
         Map<String, byte[]> files = new TreeMap<>(last.files);
         int detected = 0;
-        for (int at = 0; at < log.length; at += SECTOR) {
+        for (int offset = 0; offset < log.length; offset += SECTOR) {
             byte[] flipped = log.clone();
-            flipped[at + (log.length - at) % SECTOR / 2] ^= 4;
-            for (byte[] damaged :
-                    List.of(flipped, Arrays.copyOf(log, at), overwrite(log, new byte[0], at, at + SECTOR))) {
+            flipped[offset + (log.length - offset) % SECTOR / 2] ^= 4;
+            for (byte[] damaged : List.of(
+                    flipped, Arrays.copyOf(log, offset), overwrite(log, new byte[0], offset, offset + SECTOR))) {
                 files.put(LOG, damaged);
                 PersistentState found = openAndLoad(files, false);
-                assertThat(found).as("sector at %s", at).isIn(null, last.state);
+                assertThat(found).as("sector at %s", offset).isIn(null, last.state);
                 detected += found == null ? 1 : 0;
             }
         }
--- a/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/WriteCounterFileTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A counter file that a loss of power left incomplete reads as 0, never as a count that was not written. */
+/** A counter file that a loss of power left incomplete is read as 0, never as a count that was not written. */
 class WriteCounterFileTest {
 
     @TempDir
--- a/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/XodusStoreTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store on disk keeps the {@link StoreContract}, and recovers from damage, full disks and failed writes. */
+/** The store on disk passes the {@link StoreContract}, and recovers from damage, full disks and failed writes. */
 class XodusStoreTest extends StoreContract {
 
     private static final long COMPACTION_BYTES = 2L << 20;
 
-    /** The text is fixed: it is on disk. */
+    /** Fixed, as it is on disk. */
     private static final String QUARANTINE_PREFIX = "aside-";
 
     @TempDir
@@ -54,7 +54,7 @@
         return temporary.resolve(name);
     }
 
-    /** Damage never goes unnoticed: the files are quarantined, the last two times kept, and the store is empty. */
+    /** Damage is always reported: the files are quarantined, those of the last two times kept; the store is empty. */
     @Test
     void quarantinesDamagedFiles() throws IOException {
         for (int i = 1; i <= 4; i++) {
@@ -87,7 +87,7 @@
                 .isTrue();
     }
 
-    /** A disk that is full or fails reads is not damaged: the state is there once it works again. */
+    /** A full or failing disk is no damage: the state can be read once the disk works again. */
     @Test
     void failingDiskIsNotDamaged() throws IOException {
         try (Store store = open()) {
