--- a/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ClientLimits.java
@@ -7,11 +7,11 @@
 
     public static final ClientLimits DEFAULTS = new ClientLimits(16_384, 64L << 20, 3_000_000, 15_000_000);
 
-    private static final int LEAST_HEADER_BYTES = 256;
-    private static final int MOST_HEADER_BYTES = 1 << 20;
-    private static final long MOST_BODY_BYTES = 1L << 40;
+    private static final int MIN_HEADER_BYTES = 256;
+    private static final int MAX_HEADER_BYTES = 1 << 20;
+    private static final long MAX_BODY_BYTES = 1L << 40;
 
-    /** The limits of the item; {@link #DEFAULTS} for each that it lacks, and where it is null or withdrawn. */
+    /** Reads the limits of an item; a field that is missing, or an item that is null or withdrawn, has the default. */
     public static Either<Rejection, ClientLimits> of(Item item) {
         if (item == null || item.withdrawn()) {
             return Either.right(DEFAULTS);
@@ -19,9 +19,8 @@
         ContentFields fields = ContentFields.of(item);
         try {
             return Either.right(new ClientLimits(
-                    (int) fields.integer(
-                            "maxHeaderBytes", LEAST_HEADER_BYTES, MOST_HEADER_BYTES, DEFAULTS.maxHeaderBytes),
-                    fields.integer("maxBodyBytes", 0, MOST_BODY_BYTES, DEFAULTS.maxBodyBytes),
+                    (int) fields.integer("maxHeaderBytes", MIN_HEADER_BYTES, MAX_HEADER_BYTES, DEFAULTS.maxHeaderBytes),
+                    fields.integer("maxBodyBytes", 0, MAX_BODY_BYTES, DEFAULTS.maxBodyBytes),
                     fields.durationMicros("headerTimeout", DEFAULTS.headerTimeoutMicros),
                     fields.durationMicros("idleTimeout", DEFAULTS.idleTimeoutMicros)));
         } catch (InvalidContentException e) {
--- a/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All configuration items, withdrawn ones too. Immutable; versions of it share their structure. */
+/** All configuration items, withdrawn ones included. Immutable; versions share their structure. */
 public final class Configuration {
 
     public static final Configuration EMPTY = new Configuration(TreeMap.empty(), UniqueKeys.NONE);
 
     private final TreeMap<ItemKey, Item> itemsByKey;
     private final UniqueKeys uniqueKeys;
-    /** Of the checksums of all items; computed on first use, null until then. */
-    private Long sum;
+    /** The sum of the checksums of all items; computed on first use, null until then. */
+    private Long checksum;
 
     private Configuration(TreeMap<ItemKey, Item> itemsByKey, UniqueKeys uniqueKeys) {
         this.itemsByKey = itemsByKey;
@@ -32,13 +32,13 @@
         return itemsByKey.get(key).getOrNull();
     }
 
-    /** The item where it is there and not withdrawn, or null. */
+    /** The item, or null where there is none or it is withdrawn. */
     public Item active(ItemKey key) {
         Item item = get(key);
         return item == null || item.withdrawn() ? null : item;
     }
 
-    /** Every item in the order of keys, withdrawn ones too. */
+    /** All items in the order of their keys, withdrawn ones included. */
     public List<Item> items() {
         return itemsByKey.values().toJavaList();
     }
@@ -55,7 +55,7 @@
                 .toJavaList();
     }
 
-    /** This with those items in place of the ones with their keys. */
+    /** A copy with these items added, each in place of the item with the same key. */
     public Configuration with(Collection<Item> items) {
         TreeMap<ItemKey, Item> nextItems = itemsByKey;
         UniqueKeys nextKeys = uniqueKeys;
@@ -64,7 +64,7 @@
             nextKeys = replaced == null ? nextKeys : nextKeys.without(replaced);
             nextItems = nextItems.put(item.key(), item);
         }
-        // Only after all are removed, as a unique key may move from one item to another.
+        // Only after the keys of all replaced items are removed, as a unique key may move between items.
         for (Item item : items) {
             nextKeys = nextItems.get(item.key()).get() == item ? nextKeys.with(item) : nextKeys;
         }
@@ -72,13 +72,13 @@
             return this;
         }
         Configuration next = new Configuration(nextItems, nextKeys);
-        if (sum != null) {
-            next.sum = sum + sumOfChanges(next, items);
+        if (checksum != null) {
+            next.checksum = checksum + checksumDifference(next, items);
         }
         return next;
     }
 
-    private long sumOfChanges(Configuration next, Collection<Item> items) {
+    private long checksumDifference(Configuration next, Collection<Item> items) {
         Set<ItemKey> keys = new HashSet<>();
         items.forEach(item -> keys.add(item.key()));
         long change = 0;
@@ -90,18 +90,18 @@
     }
 
     /**
-     * A checksum that is the same for the same items in whatever order they were added. Once it was computed,
-     * configurations derived from this one update it with each change.
+     * A checksum over all items that does not depend on the order in which they were added. Once it is computed,
+     * configurations that are derived from this one update it incrementally.
      */
     public long sum() {
-        if (sum == null) {
+        if (checksum == null) {
             long total = 0;
             for (Item item : items()) {
                 total += item.checksum();
             }
-            sum = total;
+            checksum = total;
         }
-        return sum;
+        return checksum;
     }
 
     /** The item that owns a unique key, or null. */
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChange.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChange.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call of an operator: items to upsert and items to withdraw, accepted all together or not at all. Immutable. */
+/** One API call of an operator: items to upsert and to withdraw, accepted all together or not at all. Immutable. */
 public final class ConfigurationChange {
 
     private final List<Item> items;
@@ -28,7 +28,7 @@
                 .toList();
     }
 
-    /** The items as submitted, of one key the highest version last. */
+    /** The items as submitted; those of one key in ascending order of their versions. */
     public List<Item> items() {
         return items;
     }
@@ -38,7 +38,7 @@
         return new ConfigurationChange(List.of(item));
     }
 
-    /** Reads the body of a call. */
+    /** Parses the body of an API call. */
     public static Either<Rejection, ConfigurationChange> read(byte[] body) {
         try {
             return Either.right(new ConfigurationChangeReader().read(body));
@@ -50,13 +50,13 @@
     }
 
     /**
-     * What changes when this is applied to the current configuration: an empty list where all of it was
+     * The items that change when this is applied to the current configuration: an empty list where all of it was
      * accepted already.
      *
-     * <p>Of each key the highest version is in force. A lower one that was never used is accepted and
-     * superseded in one step: it never comes into force, but its content is fixed from then on. All that is
-     * new must be valid together with the current configuration. What was accepted once is acknowledged,
-     * whatever the current configuration is.
+     * <p>Of each key the highest version is in force. A lower version that was never used is accepted and
+     * superseded in one step: it never comes into force, but its content is fixed from then on. Every new version
+     * must be valid together with the current configuration. A version that was accepted before is acknowledged
+     * again, whatever the current configuration is.
      */
     public Either<Rejection, List<Item>> applyTo(Configuration current) {
         return new ConfigurationMerge(items, current).run();
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChangeReader.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationChangeReader.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Reads the JSON of a configuration change. Alone knows its layout. Used once, by one thread. */
+/** Parses the JSON of a configuration change; no other class knows its layout. Used once, by one thread. */
 final class ConfigurationChangeReader {
 
     private static final String UPSERT = "upsert";
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationMerge.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationMerge.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** The merge of one change into a configuration. Used once, by one thread. */
+/** Merges one change into a configuration. Used once, by one thread. */
 final class ConfigurationMerge {
 
     private final List<Item> items;
     private final Configuration current;
     private final Map<ItemKey, Item> changes = new LinkedHashMap<>();
-    /** What comes into force, by key. */
+    /** The items that come into force, by key. */
     private final Map<ItemKey, Item> effective = new LinkedHashMap<>();
-    /** What has a higher version above it already, by key. */
+    /** The items for which a higher version was accepted before, by key. */
     private final Map<ItemKey, Item> supersededOnArrival = new LinkedHashMap<>();
 
-    private final List<Item> unused = new ArrayList<>();
+    private final List<Item> newItems = new ArrayList<>();
     private Rejection tooOld;
 
-    /** @param items of one key the lower versions first */
+    /** @param items those of one key in ascending order of their versions */
     ConfigurationMerge(List<Item> items, Configuration current) {
         this.items = items;
         this.current = current;
     }
 
-    /** What changes, or why the change is rejected. */
+    /** The items that change, or why the change is rejected. */
     Either<Rejection, List<Item>> run() {
         for (Item item : items) {
             Rejection conflict = add(item);
@@ -53,14 +53,14 @@
                     new RejectionCause.InvalidItem(item.key()));
             case UNUSED -> addUnused(item, existing);
             case ACCEPTED -> {
-                // The operator repeats a change: it is acknowledged again.
+                // A repeated change is acknowledged again.
             }
         }
         return null;
     }
 
     private void addUnused(Item item, Item existing) {
-        unused.add(item);
+        newItems.add(item);
         if (existing == null) {
             changes.put(item.key(), item);
             effective.put(item.key(), item);
@@ -73,10 +73,10 @@
         }
     }
 
-    /** What is superseded on arrival has to be valid as if it came into force. */
+    /** An item that is superseded on arrival must be as valid as if it came into force. */
     private Rejection validate() {
         Configuration next = current.with(changes.values());
-        Rejection rejection = ConfigurationValidator.validateItems(unused);
+        Rejection rejection = ConfigurationValidator.validateItems(newItems);
         if (rejection == null) {
             rejection = ConfigurationValidator.validateRelations(next, effective.values());
         }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ConfigurationValidator.java
@@ -4,14 +4,14 @@
 import java.util.Collection;
 
 /**
- * Checks that a valid configuration is still valid after a change. Only what changed is checked, but for the
- * withdrawal of a service, which looks at all routes. Stateless.
+ * Checks that a valid configuration is still valid after a change. Only changed items are checked; for the
+ * withdrawal of a service all routes are. Stateless.
  */
 final class ConfigurationValidator {
 
     private ConfigurationValidator() {}
 
-    /** The first item that is invalid by itself, or null. */
+    /** Rejects the first item that is invalid by itself; null where there is none. */
     static Rejection validateItems(Collection<Item> changed) {
         for (Item item : changed) {
             if (!item.withdrawn()) {
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The first reference or unique key between items that is invalid, or null.
+     * Rejects the first invalid reference or duplicate unique key between items; null where there is none.
      *
      * @param next the configuration after the change
      * @param changed its items that changed, each valid by itself
--- a/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ContentFields.java
@@ -7,17 +7,17 @@
 import org.cypressweir.common.settings.DurationText;
 
 /**
- * Reads the fields of an object by their types. What is missing or wrong is thrown as an
- * {@link InvalidContentException} that names the field's path.
+ * Typed access to the fields of an object. A field that is missing or invalid causes an
+ * {@link InvalidContentException} with the path of the field.
  */
 final class ContentFields {
 
     private static final long MAX_DURATION_MICROS = 600_000_000;
 
     private final String path;
-    /** What the object is part of. */
+    /** The part of the change that the object belongs to. */
     private final RejectionCause owner;
-    /** The path of the object within its owner: empty, or with a dot at its end. */
+    /** The path of the object within its owner: empty, or ending with a dot. */
     private final String pathInOwner;
 
     private final Map<?, ?> content;
@@ -32,7 +32,7 @@
     /**
      * The fields of a part of a change.
      *
-     * @param path with which reasons begin
+     * @param path with which the texts of reasons begin
      */
     ContentFields(String path, RejectionCause part, Map<?, ?> content) {
         this(path, part, "", content);
@@ -52,7 +52,7 @@
         return invalid(name, reason, false);
     }
 
-    /** A field that must not be there beside others. */
+    /** The exception for a field that must not be present together with others. */
     InvalidContentException superfluous(String name, String reason) {
         return invalid(name, reason, true);
     }
@@ -64,7 +64,7 @@
         return new InvalidContentException(path + "." + name + " " + reason, cause);
     }
 
-    /** Whether the field is there and not null. */
+    /** Whether the field is present and not null. */
     boolean has(String name) {
         return content.get(name) != null;
     }
--- a/src/main/java/org/cypressweir/controlplane/configuration/ContentHash.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ContentHash.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 import java.util.Map;
 
-/** A hash of an item's content, equal for contents that mean the same. It is stored and sent: it is fixed. */
+/** A hash of an item's content, equal for equivalent contents. It is stored and sent, so it must never change. */
 final class ContentHash {
 
     private static final String WITHDRAWN = "-";
@@ -15,7 +15,7 @@
 
     private ContentHash() {}
 
-    /** The hash in hexadecimal digits; a text that is no hash for the null content of a withdrawn item. */
+    /** The hash in hexadecimal digits, or a fixed text for the null content of a withdrawn item. */
     static String of(Map<String, Object> content) {
         if (content == null) {
             return WITHDRAWN;
--- a/src/main/java/org/cypressweir/controlplane/configuration/InvalidContentException.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/InvalidContentException.java
@@ -2,7 +2,7 @@
 
 /**
  * A field of a configuration change is missing or wrong. The message begins with the field's path, as in
- * {@code routeTable.orders.timeout must be ...}; operators read it. Has no stack trace, as input causes it.
+ * {@code routeTable.orders.timeout must be ...}; operators read it. Has no stack trace: the input is at fault.
  */
 final class InvalidContentException extends Exception {
 
@@ -15,7 +15,7 @@
         this.rejectionCause = rejectionCause;
     }
 
-    /** What the message is about. */
+    /** The part of the change that the message is about. */
     RejectionCause rejectionCause() {
         return rejectionCause;
     }
--- a/src/main/java/org/cypressweir/controlplane/configuration/Item.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Item.java
@@ -11,7 +11,7 @@
  * @param content what the operator submitted, null where the item is withdrawn
  * @param superseded the lower versions that were accepted, in ascending order: those that were in force, and
  *     those that arrived after a higher one
- * @param oldestKnownVersion of versions below it nothing is known any more
+ * @param oldestKnownVersion of versions below it, it is no longer known whether they were accepted
  */
 public record Item(
         ItemKey key,
@@ -25,7 +25,7 @@
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    /** What is known of a version of an item. */
+    /** Whether a version of an item was accepted before. */
     enum VersionStatus {
         ACCEPTED,
         ACCEPTED_WITH_OTHER_CONTENT,
@@ -54,7 +54,7 @@
         return version == other.version && contentHash().equals(other.contentHash());
     }
 
-    /** What this item, the accepted one, tells of another's version and content. */
+    /** Whether the version of another item was accepted before, as recorded in this one, the accepted item. */
     VersionStatus statusOf(Item other) {
         if (other.version == version) {
             return status(hasSameContent(other));
@@ -75,7 +75,7 @@
         return new SupersededVersion(version, contentHash());
     }
 
-    /** This item in place of one with a lower version. */
+    /** This item as the successor of one with a lower version, with its history. */
     Item replacing(Item lower) {
         Item successor = new Item(key, version, content, lower.superseded, lower.oldestKnownVersion);
         return successor.withSuperseded(lower);
@@ -95,7 +95,7 @@
         return new Item(key, version, content, kept, Math.max(oldestKnownVersion, aboveDropped));
     }
 
-    /** This item without what it supersedes, for receivers that accept no changes. */
+    /** This item without the versions that it supersedes, for receivers that accept no changes. */
     public Item withoutHistory() {
         return new Item(key, version, content);
     }
@@ -127,18 +127,18 @@
     }
 
     /**
-     * Reads what {@link #toText} made.
+     * Parses a text made by {@link #toText}.
      *
-     * @throws IllegalArgumentException where it is something else
+     * @throws IllegalArgumentException where the text is not an item
      */
     public static Item ofText(String text) {
         return ItemCodec.fromText(text);
     }
 
     /**
-     * Reads what {@link #toMap} made.
+     * Reads a map made by {@link #toMap}.
      *
-     * @throws IllegalArgumentException where it is something else
+     * @throws IllegalArgumentException where the map is not an item
      */
     public static Item of(Map<?, ?> map) {
         return ItemCodec.fromMap(map);
--- a/src/main/java/org/cypressweir/controlplane/configuration/ItemCodec.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemCodec.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Encodes items as they are sent between processes and stored on disk. Alone knows the names of their fields,
- * which are fixed. Content is a JSON text within the JSON, so that no reader on the way rounds its numbers.
+ * Encodes items as they are sent between processes and stored on disk. The names of the fields are fixed. Content
+ * is a JSON text within the JSON, so that no reader on the way rounds its numbers.
  */
 final class ItemCodec {
 
@@ -20,7 +20,7 @@
     private static final String OLDEST_KNOWN_VERSION = "floor";
 
     private static final String HASH_SEPARATOR = ":";
-    /** An earlier build kept that many superseded versions, and wrote no oldest known version. */
+    /** An earlier build kept this many superseded versions, and wrote no oldest known version. */
     private static final int MAX_SUPERSEDED_OF_EARLIER_BUILD = 8;
 
     private ItemCodec() {}
@@ -101,7 +101,7 @@
         if (value instanceof Number number) {
             return number.longValue();
         }
-        // An earlier build that had reached its maximum may have dropped what is below the first.
+        // An earlier build that had reached its maximum may have dropped versions below the first.
         return superseded.size() < MAX_SUPERSEDED_OF_EARLIER_BUILD
                 ? 0
                 : superseded.get(0).version();
--- a/src/main/java/org/cypressweir/controlplane/configuration/ItemKey.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemKey.java
@@ -11,7 +11,7 @@
         return byType != 0 ? byType : name.compareTo(other.name);
     }
 
-    /** As operators read it, such as {@code routeTable.orders}. Checksums are made from it: the text is fixed. */
+    /** The text for operators, such as {@code routeTable.orders}. Checksums are computed from it, so it is fixed. */
     @Override
     public String toString() {
         return type == ItemType.LIMITS ? type.wireName() : type.wireName() + "." + name;
--- a/src/main/java/org/cypressweir/controlplane/configuration/ItemType.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ItemType.java
@@ -6,7 +6,7 @@
     TENANTS("tenantTable"),
     SERVICES("serviceTable"),
     LIMITS("limits"),
-    /** New versions of services on their way; only the controllers write them. */
+    /** Rollouts of new versions of services; only the controllers write them. */
     ROLLOUTS("rolloutTable");
 
     private final String wireName;
--- a/src/main/java/org/cypressweir/controlplane/configuration/JsonTextWriter.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/JsonTextWriter.java
@@ -12,14 +12,14 @@
 
     private JsonTextWriter() {}
 
-    /** The text of a value, with the names of each object in the order of its map. */
+    /** The JSON text of a value, with the names of each object in the order of its map. */
     static String write(Object value) {
         StringBuilder text = new StringBuilder(INITIAL_LENGTH);
         write(value, text, false);
         return text.toString();
     }
 
-    /** The one text of all values that mean the same: names are sorted, numbers have one form. It is hashed. */
+    /** The same text for all equivalent values, to be hashed: names are sorted, numbers have one form. */
     static String canonical(Object value) {
         StringBuilder text = new StringBuilder(INITIAL_LENGTH);
         write(value, text, true);
--- a/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Rejection.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * A configuration change that is not accepted. Two rejections are equal where operators are told the same.
+ * Why a configuration change is not accepted. Two rejections with the same kind and reason are equal.
  *
  * @param reason in words, for the operator who submitted the change
- * @param cause what the reason is about, for programs
+ * @param cause the part of the change that the reason is about, for programs
  */
 public record Rejection(RejectionKind kind, String reason, RejectionCause cause) {
 
--- a/src/main/java/org/cypressweir/controlplane/configuration/RejectionCause.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RejectionCause.java
@@ -9,7 +9,7 @@
     /** The change as a whole. */
     record WholeChange() implements RejectionCause {}
 
-    /** A section of the change that is none. */
+    /** A section of the change with an unknown name. */
     record UnknownSection(String name) implements RejectionCause {}
 
     /** A table of items to upsert, as it is named in the change. */
--- a/src/main/java/org/cypressweir/controlplane/configuration/Rollout.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Rollout.java
@@ -7,16 +7,17 @@
 import java.util.Map;
 
 /**
- * A new version of a service on its way, as an item of the configuration. Each step is a version of the item, so of two
- * controllers that take different steps at once one is refused. The state moves one way only. Immutable.
+ * The rollout of a new version of a service, as an item of the configuration. Each step is a version of the item: when
+ * two controllers take different steps at once, one of them is rejected. A rollout that has ended stays as it is.
+ * Immutable.
  *
- * @param service whose requests move
- * @param itemVersion the item's version: higher for each step
+ * @param service the service whose requests move
+ * @param itemVersion the version of the item, which grows with each step
  * @param targetVersion the software version of the instances that the requests move to
  * @param baseVersion the version that the last completed rollout moved to; empty where there was none
  * @param periodMicros how long the rollout may take
- * @param stage the number of the present stage, see the controllers' rollout stages
- * @param shareOfTarget the part of the requests that the new version may get, from 0 to 1
+ * @param stage the number of the current stage, see the controllers' rollout stages
+ * @param shareOfTarget the share of the requests that the new version may get, from 0 to 1
  * @param elapsedMicros how much of the period had passed at this step
  * @param reason why it is in this state, for operators
  */
@@ -34,7 +35,7 @@
 
     private static final int MAX_STAGE = 100;
 
-    /** The first step of an order. */
+    /** The first step of a rollout that an operator has ordered. */
     public static Rollout begin(Rollout last, String service, String targetVersion, long periodMicros, double share) {
         String base = "";
         long version = 1;
@@ -52,11 +53,11 @@
     }
 
     /** The last step. */
-    public Rollout end(RolloutState end, long elapsed, String why) {
-        return next(end, stage, end == RolloutState.COMPLETED ? 1 : 0, elapsed, why);
+    public Rollout end(RolloutState end, long elapsed, String stepReason) {
+        return next(end, stage, end == RolloutState.COMPLETED ? 1 : 0, elapsed, stepReason);
     }
 
-    private Rollout next(RolloutState nextState, int nextStage, double share, long elapsed, String why) {
+    private Rollout next(RolloutState nextState, int nextStage, double share, long elapsed, String stepReason) {
         return new Rollout(
                 service,
                 itemVersion + 1,
@@ -67,10 +68,10 @@
                 nextStage,
                 share,
                 elapsed,
-                why);
+                stepReason);
     }
 
-    /** Whether an order is the one that this rollout came from. */
+    /** Whether this rollout was begun by an order with this version and period. */
     public boolean isOrder(String version, long period) {
         return targetVersion.equals(version) && periodMicros == period;
     }
@@ -126,7 +127,7 @@
         }
     }
 
-    /** The rollouts of a configuration, those that have ended too. */
+    /** The rollouts of a configuration, including those that have ended. */
     public static List<Rollout> all(Configuration configuration) {
         List<Rollout> rollouts = new ArrayList<>();
         for (Item item : configuration.active(ItemType.ROLLOUTS)) {
--- a/src/main/java/org/cypressweir/controlplane/configuration/RolloutState.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RolloutState.java
@@ -1,10 +1,10 @@
 package org.cypressweir.controlplane.configuration;
 
-/** How far a rollout is. The names are those of the operators' interface and fixed; they are also on disk. */
+/** The state of a rollout. The names are fixed: they are part of the operators' interface, and on disk. */
 public enum RolloutState {
-    /** The new version gets a part of the requests. */
+    /** The new version gets a share of the requests. */
     IN_PROGRESS("in_progress"),
-    /** The new version gets all requests; the old one may end. Final. */
+    /** The new version gets all requests; instances of the old one may be stopped. Final. */
     COMPLETED("completed"),
     /** The new version gets no requests. Final. */
     REVERTED("reverted");
--- a/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/RouteConfiguration.java
@@ -10,12 +10,12 @@
  * Which requests a route matches, where it sends them, and how.
  *
  * @param host in lower case
- * @param prefix of the path, from slash to slash
+ * @param prefix the prefix of the path, which begins and ends with a slash
  * @param idempotent whether a request may be repeated after an attempt that may have run
  * @param timeoutMicros the deadline of a request
  * @param targetLatencyMicros the latency target of a request
  * @param priority the priority of a request whose tenant has none
- * @param maxAttempts how often one request is sent at most
+ * @param maxAttempts the maximum number of attempts of a request
  * @param publicAccess whether requests need no API key
  */
 public record RouteConfiguration(
@@ -102,7 +102,7 @@
         return List.copyOf(destinations);
     }
 
-    /** The names of the services of a route's content that was validated before. */
+    /** The names of the services in the content of a route that was validated before. */
     static List<String> services(Map<String, Object> content) {
         List<String> services = new ArrayList<>();
         if (content.get("service") instanceof String service) {
--- a/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/ServiceConfiguration.java
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Fields that are not used yet, but have to be of their types. */
+    /** Checks the types of fields that are not used yet. */
     private static void requireKnownTypes(ContentFields fields) throws InvalidContentException {
         if (fields.has("protocol")) {
             fields.text("protocol");
--- a/src/main/java/org/cypressweir/controlplane/configuration/StrictJson.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/StrictJson.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /**
- * Reads JSON objects as unmodifiable maps, with every number kept as it was sent. Stricter than the library:
+ * Parses JSON objects to unmodifiable maps, and keeps the exact value of every number. Stricter than the library:
  * rejects duplicate names, data after the end, and deep nesting. Thread-safe.
  */
 final class StrictJson {
@@ -23,7 +23,7 @@
     private StrictJson() {}
 
     /**
-     * Reads a text that is one JSON object.
+     * Parses a text that is one JSON object.
      *
      * @throws IOException with what is wrong and where
      */
--- a/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/TenantConfiguration.java
@@ -15,7 +15,7 @@
 public record TenantConfiguration(
         String name, List<String> apiKeys, Integer priority, double ratePerSecond, double burst) {
 
-    /** The tenants of a configuration. */
+    /** All tenants of a configuration. */
     public static List<TenantConfiguration> all(Configuration configuration) {
         List<TenantConfiguration> tenants = new ArrayList<>();
         for (Item item : configuration.active(ItemType.TENANTS)) {
--- a/src/main/java/org/cypressweir/controlplane/configuration/UniqueKey.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/UniqueKey.java
@@ -7,7 +7,7 @@
 /** A value that only one item of a valid configuration may have. */
 sealed interface UniqueKey {
 
-    /** What a route matches. */
+    /** The host and the path prefix that a route matches. */
     record HostAndPath(String host, String prefix) implements UniqueKey {
 
         @Override
@@ -16,7 +16,7 @@
         }
     }
 
-    /** What identifies a tenant's requests; of any type where the tenant was not validated yet. */
+    /** A key that identifies a tenant's requests; the value has any type where the tenant was not validated yet. */
     record ApiKey(Object value) implements UniqueKey {}
 
     /** The unique keys of an item, validated or not. */
--- a/src/main/java/org/cypressweir/controlplane/configuration/UniqueKeys.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/UniqueKeys.java
@@ -3,8 +3,8 @@
 import io.vavr.collection.HashMap;
 
 /**
- * An index from unique keys to the items that own them, kept beside the items so that a change is validated at
- * a cost of its own size. Immutable.
+ * An index from unique keys to the items that own them, so that the cost of validating a change depends on the size
+ * of the change, not of the configuration. Immutable.
  */
 final class UniqueKeys {
 
@@ -16,7 +16,7 @@
         this.owners = owners;
     }
 
-    /** The owner of a key, or null: of several items that have it, the first that was added. */
+    /** The owner of a key, or null. Of several items with the same key, the first that was added owns it. */
     ItemKey owner(UniqueKey key) {
         return owners.get(key).getOrNull();
     }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistoriesTest.java
@@ -51,7 +51,7 @@
                 "a late lower version comes into force ~ ConfigurationMerge.java ~ existing.withSuperseded(item) ~ "
                         + "item.replacing(existing)",
                 "a late lower version is not validated ~ ConfigurationMerge.java "
-                        + "~ ConfigurationValidator.validateItems(unused) ~ "
+                        + "~ ConfigurationValidator.validateItems(newItems) ~ "
                         + "ConfigurationValidator.validateItems(effective.values())",
                 "superseded versions are not encoded ~ ItemCodec.java ~ if (!superseded.isEmpty()) { ~ if (false) {",
                 "the oldest known version is not encoded ~ ItemCodec.java ~ if (item.oldestKnownVersion() > 0 "
@@ -59,8 +59,8 @@
                 "superseded versions are lost with the next version ~ Item.java "
                         + "~ content, lower.superseded, lower.oldestKnownVersion) ~ content, List.of(), 0)",
                 "an accepted version is rejected beside unused ones ~ ConfigurationMerge.java "
-                        + "~ Rejection rejection = ConfigurationValidator.validateItems(unused); "
-                        + "~ Rejection rejection = unused.size() < items.size() "
+                        + "~ Rejection rejection = ConfigurationValidator.validateItems(newItems); "
+                        + "~ Rejection rejection = newItems.size() < items.size() "
                         + "? new Rejection(RejectionKind.CONFLICT, \"\") : null;",
             })
     void eachFaultIsFound(String fault, String file, String text, String replacement) throws Exception {
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationChangeTest.java
@@ -20,7 +20,7 @@
             + "'timeout':'2500ms','targetLatency':'0.4s','priority':2,"
             + "'weightedSplit':[{'service':'s','weight':90},{'service':'s2','weight':0.5}],"
             + "'maxAttempts':2,'publicAccess':false,'configVersion':'r7'}";
-    static final String OTHER = "{'hostname':'a.example','pathPrefix':'/q/','routeType':'non_idempotent',"
+    static final String SECOND_ROUTE = "{'hostname':'a.example','pathPrefix':'/q/','routeType':'non_idempotent',"
             + "'timeout':'3s','targetLatency':'500ms','priority':1,'service':'s','maxAttempts':1,"
             + "'publicAccess':true,'configVersion':'r7'}";
     static final String SERVICE =
@@ -29,7 +29,7 @@
             "{'apiKeys':['k1','k2'],'priority':1,'ratePerS':62,'burstSize':62.5," + "'configVersion':'r7'}";
     static final String LIMITS = "{'maxHeaderBytes':16384,'maxBodyBytes':67108864,'headerTimeout':'3000ms',"
             + "'idleTimeout':'15000ms','configVersion':'r7'}";
-    static final String FULL = "{'upsert':{'routeTable':{'r1':" + ROUTE + ",'r2':" + OTHER
+    static final String FULL = "{'upsert':{'routeTable':{'r1':" + ROUTE + ",'r2':" + SECOND_ROUTE
             + "},'tenantTable':{'t':" + TENANT + ",'t2':{'apiKeys':['k3'],'configVersion':'r1'}},"
             + "'serviceTable':{'s':" + SERVICE + ",'s2':" + SERVICE + "},'limits':" + LIMITS + "}}";
 
@@ -110,7 +110,7 @@
         assertThat(rejection.reason()).isNotBlank();
     }
 
-    /** Operators read these texts. */
+    /** The texts for malformed changes, which operators read. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '~',
@@ -130,12 +130,12 @@
                 "{} x ~ unexpected data after the JSON object at byte 3",
                 "[] ~ not a JSON object"
             })
-    void reasonTellsWhereAndWhat(String body, String reason) {
+    void reasonNamesFieldAndProblem(String body, String reason) {
         Rejection rejection = ConfigurationChange.read(bytes(body)).getLeft();
         assertThat(rejection).isEqualTo(Rejection.invalid(reason));
     }
 
-    /** Operators' tools withdraw a name twice in one call now and then. */
+    /** Tools of operators sometimes withdraw a name twice in one call. */
     @Test
     void highestVersionOfOneCallIsInForce() {
         Configuration current = accept(
@@ -221,7 +221,7 @@
         Configuration second = accept(first, service("s", 7, 2));
         assertNoChange(second, service("s", 5, 1));
         assertConflict(second, service("s", 5, 2), "r5 was already accepted with different content");
-        // A call that brings a new item does not bring an older version of another one back.
+        // A call with a new item does not restore an older version of another item.
         String both = service("s", 5, 1)
                 .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}");
         assertThat(accept(second, both).get(new ItemKey(ItemType.SERVICES, "s")))
@@ -247,7 +247,7 @@
         assertNoChange(Configuration.EMPTY, "{}");
     }
 
-    /** What was accepted is acknowledged again, or too old where too many versions have followed: never a conflict. */
+    /** A repeated version is acknowledged again, or too old once many versions have followed; it is no conflict. */
     @Test
     void acceptedChangeIsNeverRejected() {
         Configuration current = Configuration.EMPTY;
@@ -278,11 +278,11 @@
                         .replace("}}}}", "}" + ",'z':{'healthPath':'/h','maxConnections':1,'configVersion':'r1'}}}}"));
     }
 
-    /** The texts for what is wrong between items, or between versions. */
+    /** The texts for conflicts between items or versions. */
     @Test
     void reasonNamesBothItems() {
         Configuration current = fullConfiguration();
-        String route = "{'upsert':{'routeTable':{'r3':" + OTHER + "}}}";
+        String route = "{'upsert':{'routeTable':{'r3':" + SECOND_ROUTE + "}}}";
         assertRejected(
                 current, route, "routeTable.r3 has the same hostname and pathPrefix as routeTable.r2: a.example/q/");
         assertRejected(
@@ -321,16 +321,16 @@
         assertConflict(both, service("s", 6, 7), "r6 was already accepted with different content");
         assertNoChange(both, service("s", 3, 3));
         // The history does not depend on the order of arrival.
-        Item six = accept(
+        Item sixth = accept(
                         accept(accept(Configuration.EMPTY, service("s", 3, 3)), service("s", 6, 6)), service("s", 9, 9))
                 .get(new ItemKey(ItemType.SERVICES, "s"));
-        assertThat(both.get(six.key())).isEqualTo(six);
-        Configuration twice = accept(
+        assertThat(both.get(sixth.key())).isEqualTo(sixth);
+        Configuration withdrawnTwice = accept(
                 Configuration.EMPTY,
                 "{'withdraw':{'serviceTable':["
                         + "{'name':'s','configVersion':'r9'},{'name':'s','configVersion':'r8'}]}}");
-        assertNoChange(twice, withdraw("serviceTable", "s", 8));
-        assertConflict(twice, service("s", 8, 1), "r8 was already accepted");
+        assertNoChange(withdrawnTwice, withdraw("serviceTable", "s", 8));
+        assertConflict(withdrawnTwice, service("s", 8, 1), "r8 was already accepted");
     }
 
     @ParameterizedTest
@@ -353,7 +353,7 @@
         assertThat(rejection.kind()).as(rejection.reason()).isEqualTo(RejectionKind.INVALID);
     }
 
-    /** An earlier build wrote eight superseded versions, hashes twice as long, and no oldest known version. */
+    /** An earlier build wrote up to eight superseded versions, hashes twice as long, no oldest known version. */
     @ParameterizedTest
     @ValueSource(ints = {7, 8})
     void itemsOfEarlierBuildAreRead(int supersededCount) {
@@ -389,13 +389,14 @@
                         .reason())
                 .contains("routeTable.r1")
                 .contains("s2");
-        // It may be withdrawn together with the route that refers to it.
+        // A service may be withdrawn together with the route that refers to it.
         String both = "{'withdraw':{'serviceTable':[{'name':'s2','configVersion':'r8'}],"
                 + "'routeTable':[{'name':'r1','configVersion':'r8'}]}}";
         assertThat(accept(all, both).active(ItemType.ROUTES)).hasSize(1);
-        String twin = "{'upsert':{'routeTable':{'r3':" + OTHER.replace("a.ex", "A.Ex") + "}}}";
-        assertThat(change(twin).applyTo(all).getLeft().kind()).isEqualTo(RejectionKind.INVALID);
-        assertThat(change(twin.replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
+        String duplicateRoute = "{'upsert':{'routeTable':{'r3':" + SECOND_ROUTE.replace("a.ex", "A.Ex") + "}}}";
+        assertThat(change(duplicateRoute).applyTo(all).getLeft().kind()).isEqualTo(RejectionKind.INVALID);
+        assertThat(change(duplicateRoute
+                                .replace("}}}", "}},'tenantTable':{'t3':{'apiKeys':['k1'],'configVersion':'r1'}}}")
                                 .replace("/q/", "/x/"))
                         .applyTo(all)
                         .getLeft()
@@ -411,12 +412,17 @@
                 fullConfiguration(),
                 "{'upsert':{'tenantTable':{'t':{'apiKeys':['k3'],'configVersion':'r8'},"
                         + "'t2':{'apiKeys':['k1'],'configVersion':'r8'}}}}");
-        String third = "{'upsert':{'tenantTable':{'t3':{'apiKeys':['KEY'],'configVersion':'r1'}}}}";
-        assertThat(change(third.replace("KEY", "k1")).applyTo(all).isLeft()).isTrue();
-        assertThat(change(third.replace("KEY", "k3")).applyTo(all).isLeft()).isTrue();
-        assertThat(change(third.replace("KEY", "k2")).applyTo(all).isRight()).isTrue();
+        String thirdTenant = "{'upsert':{'tenantTable':{'t3':{'apiKeys':['KEY'],'configVersion':'r1'}}}}";
+        assertThat(change(thirdTenant.replace("KEY", "k1")).applyTo(all).isLeft())
+                .isTrue();
+        assertThat(change(thirdTenant.replace("KEY", "k3")).applyTo(all).isLeft())
+                .isTrue();
+        assertThat(change(thirdTenant.replace("KEY", "k2")).applyTo(all).isRight())
+                .isTrue();
         all = accept(all, withdraw("tenantTable", "t2", 9));
-        assertThat(change(third.replace("KEY", "k1")).applyTo(all).isRight()).isTrue();
-        assertThat(change(third.replace("KEY", "k3")).applyTo(all).isLeft()).isTrue();
+        assertThat(change(thirdTenant.replace("KEY", "k1")).applyTo(all).isRight())
+                .isTrue();
+        assertThat(change(thirdTenant.replace("KEY", "k3")).applyTo(all).isLeft())
+                .isTrue();
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/ConfigurationTest.java
@@ -10,7 +10,7 @@
 import org.cypressweir.common.util.Json;
 import org.junit.jupiter.api.Test;
 
-/** Items keep what operators submitted, and are read as typed configurations. */
+/** Items keep all fields that operators submitted, and are read as typed configurations. */
 class ConfigurationTest {
 
     private static final String UNKNOWN_FIELDS = "{'upsert':{'tenantTable':{'t':{'zeta':{'b':[1,null,{'c':1.50}],"
--- a/src/test/java/org/cypressweir/controlplane/configuration/RejectionCauseTest.java
+++ b/src/test/java/org/cypressweir/controlplane/configuration/RejectionCauseTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each kind of rejection names the part of the change that it is about, also where names contain dots and spaces. */
+/** Each rejection names the part of the change that it is about, also where names contain dots or spaces. */
 class RejectionCauseTest {
 
     private static final String SERVICE = "'healthPath':'/','maxConnections':1,'configVersion':'r1'";
