--- a/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/ItemListing.java
@@ -11,8 +11,8 @@
 import org.cypressweir.controlplane.configuration.WeightedDestination;
 
 /**
- * Lists the items of a configuration for operators: type, name and version of each, and the terms of routes. The
- * content of other items, tenant keys among it, is never listed. The field names are part of the API and fixed.
+ * Lists the items of a configuration for operators: type, name and version of each, and the fields of routes. The
+ * content of other items, such as the keys of tenants, is never listed. The field names are part of the API and fixed.
  */
 public final class ItemListing {
 
@@ -42,12 +42,12 @@
                 "withdrawn",
                 item.withdrawn());
         if (item.key().type() == ItemType.ROUTES && !item.withdrawn()) {
-            RouteConfiguration.of(item).forEach(route -> entry.putAll(routeTerms(route)));
+            RouteConfiguration.of(item).forEach(route -> entry.putAll(routeFields(route)));
         }
         return entry;
     }
 
-    private static Map<String, Object> routeTerms(RouteConfiguration route) {
+    private static Map<String, Object> routeFields(RouteConfiguration route) {
         return JsonCodec.map(
                 "host",
                 route.host(),
--- a/src/main/java/org/cypressweir/common/diagnostics/RequestTrace.java
+++ b/src/main/java/org/cypressweir/common/diagnostics/RequestTrace.java
@@ -21,18 +21,18 @@
     /** The number of requests that a proxy keeps. */
     public static final int DEFAULT_CAPACITY = 2_000;
 
-    /** Attempts kept of one request; further ones are only counted. */
+    /** The attempts recorded of one request; further ones are only counted. */
     private static final int MAX_ATTEMPTS = 4;
-    /** Texts of clients that are longer are left out. */
+    /** Longer texts from clients are left out. */
     private static final int MAX_TEXT_LENGTH = 200;
 
     // Field names and texts of the API that are fixed.
     private static final String INSTANCE_FIELD = "server";
     private static final String PROXY_FIELD = "pilot";
     private static final String ERROR_FIELD = "fault";
-    private static final String UNKEPT_ATTEMPTS_FIELD = "more";
+    private static final String UNRECORDED_ATTEMPTS_FIELD = "more";
     private static final String IN_FLIGHT = "still out";
-    private static final String NOT_ANSWERED = "none yet";
+    private static final String NO_RESPONSE = "none yet";
     private static final String CLIENT_DISCONNECTED = "the client left";
 
     private final LongSupplier clockMicros;
@@ -44,7 +44,7 @@
     private final String[] services;
     private final String[] tenants;
     private final long[] arrivedMicros;
-    private final long[] answeredMicros;
+    private final long[] respondedMicros;
     private final int[] statuses;
     private final ErrorKind[] errors;
     private final int[] attemptCounts;
@@ -65,7 +65,7 @@
         services = new String[capacity];
         tenants = new String[capacity];
         arrivedMicros = new long[capacity];
-        answeredMicros = new long[capacity];
+        respondedMicros = new long[capacity];
         statuses = new int[capacity];
         errors = new ErrorKind[capacity];
         attemptCounts = new int[capacity];
@@ -76,7 +76,7 @@
         attemptOutcomes = new String[capacity * MAX_ATTEMPTS];
     }
 
-    /** The time of the clock of these traces. */
+    /** The current time of the clock of these traces. */
     public long nowMicros() {
         return clockMicros.getAsLong();
     }
@@ -91,7 +91,7 @@
         services[slot] = null;
         tenants[slot] = null;
         arrivedMicros[slot] = arrivalMicros;
-        answeredMicros[slot] = 0;
+        respondedMicros[slot] = 0;
         statuses[slot] = 0;
         errors[slot] = null;
         attemptCounts[slot] = 0;
@@ -114,20 +114,20 @@
     }
 
     /**
-     * Sets the response.
+     * Records the response.
      *
-     * @param status 0 where the client has disconnected before it
+     * @param status 0 where the client disconnected before the response
      * @param error null where it is the response of an application instance
      */
     public void setResponse(long timeMicros, int status, ErrorKind error) {
         int slot = lastSlot();
-        answeredMicros[slot] = timeMicros;
+        respondedMicros[slot] = timeMicros;
         statuses[slot] = status;
         errors[slot] = error;
     }
 
     /**
-     * Adds an attempt; to be called in the order in which they were sent.
+     * Adds an attempt; attempts are added in the order in which they were sent.
      *
      * @param outcome null while the attempt is in flight
      */
@@ -180,16 +180,16 @@
                 ERROR_FIELD,
                 errors[slot] == null ? null : errors[slot].description(),
                 "answeredMs",
-                answeredMicros[slot] == 0 ? null : millis(answeredMicros[slot] - arrivedMicros[slot]),
+                respondedMicros[slot] == 0 ? null : millis(respondedMicros[slot] - arrivedMicros[slot]),
                 "attempts",
                 attempts(slot),
-                UNKEPT_ATTEMPTS_FIELD,
+                UNRECORDED_ATTEMPTS_FIELD,
                 Math.max(0, attemptCounts[slot] - MAX_ATTEMPTS));
     }
 
     private String responseText(int slot) {
-        if (answeredMicros[slot] == 0) {
-            return NOT_ANSWERED;
+        if (respondedMicros[slot] == 0) {
+            return NO_RESPONSE;
         }
         return statuses[slot] == 0 ? CLIENT_DISCONNECTED : Integer.toString(statuses[slot]);
     }
--- a/src/main/java/org/cypressweir/common/metrics/LatencyHistogram.java
+++ b/src/main/java/org/cypressweir/common/metrics/LatencyHistogram.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Durations with their quantiles, to two significant digits. It takes memory only once something is recorded. Not
- * thread-safe.
+ * A histogram of durations with quantiles to two significant digits. Allocates its memory when the first duration
+ * is recorded. Not thread-safe.
  */
 public final class LatencyHistogram {
 
@@ -33,7 +33,7 @@
         return sumMicros;
     }
 
-    /** The duration that this part of all did not exceed; 0 where nothing was recorded. */
+    /** The duration at a quantile between 0 and 1; 0 where nothing was recorded. */
     public long quantileMicros(double quantile) {
         return histogram == null ? 0 : histogram.getValueAtPercentile(quantile * 100);
     }
--- a/src/main/java/org/cypressweir/common/metrics/MetricsEndpoint.java
+++ b/src/main/java/org/cypressweir/common/metrics/MetricsEndpoint.java
@@ -16,11 +16,11 @@
 
 /**
  * Serves a program's metrics at {@code /metrics} on a port of its own, where the system property
- * {@value #PORT_PROPERTY} names one. The page is made on the event loop, when it is asked for.
+ * {@value #PORT_PROPERTY} names one. The page is built on the event loop for each request.
  */
 public final class MetricsEndpoint implements RequestHandler {
 
-    /** The port; without it no metrics are served. */
+    /** The system property with the port; without it no metrics are served. */
     public static final String PORT_PROPERTY = "cypressweir.metricsPort";
 
     static final String PATH = "/metrics";
@@ -33,12 +33,12 @@
 
     private final Consumer<MetricsPage> source;
 
-    /** @param source puts all metrics on a page; called on the event loop */
+    /** @param source adds all metrics to a page; called on the event loop */
     MetricsEndpoint(Consumer<MetricsPage> source) {
         this.source = source;
     }
 
-    /** Starts listening where a port is set. A port that can't be bound is logged: the program runs without metrics. */
+    /** Starts listening if a port is set. If it can't be bound, that is logged and the program runs without metrics. */
     public static void open(EventLoopGroup group, String ip, LongSupplier clockMicros, Consumer<MetricsPage> source) {
         Integer port = Integer.getInteger(PORT_PROPERTY);
         if (port == null) {
--- a/src/main/java/org/cypressweir/common/metrics/MetricsPage.java
+++ b/src/main/java/org/cypressweir/common/metrics/MetricsPage.java
@@ -17,9 +17,9 @@
 import java.util.Map;
 
 /**
- * One page of metrics, made anew for each request: owners put their values in, and {@link #toText} writes them in the
- * Prometheus text format, version 0.0.4. Values of one name must come with the same help text and label names.
- * Durations are given in microseconds and shown in seconds. Not thread-safe.
+ * One page of metrics, built anew for each request: the owners of metrics add their values, and {@link #toText} writes
+ * them in the Prometheus text format, version 0.0.4. All values of one name must have the same help text and label
+ * names. Durations are given in microseconds and written in seconds. Not thread-safe.
  */
 public final class MetricsPage {
 
@@ -37,7 +37,7 @@
      * Adds a value that only grows while the process runs.
      *
      * @param name without the suffix {@code _total}, which is added
-     * @param labels names and values in turn
+     * @param labels alternating names and values
      */
     public void counter(String name, String help, double value, String... labels) {
         counters.computeIfAbsent(
@@ -57,7 +57,7 @@
                         .build());
     }
 
-    /** Adds a condition: 1 where it holds, 0 where not. */
+    /** Adds a gauge that is 1 where the value is true, and 0 otherwise. */
     public void flag(String name, String help, boolean value, String... labels) {
         gauge(name, help, value ? 1 : 0, labels);
     }
@@ -79,7 +79,7 @@
                         .build());
     }
 
-    /** The page in UTF-8. */
+    /** The text of the page in UTF-8. */
     public byte[] toText() {
         MetricSnapshots.Builder all = MetricSnapshots.builder();
         counters.values().forEach(counter -> all.metricSnapshot(counter.build()));
--- a/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
+++ b/src/main/java/org/cypressweir/common/settings/JsonDocuments.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 
 /**
- * Parses a file or a request body that people write as one JSON object, to plain maps and lists. Stateless, so
+ * Parses files and request bodies that people write, each one JSON object, to plain maps and lists. Stateless, so
  * safe for use by several threads.
  *
  * <p>It differs from the two other readers: {@link org.cypressweir.common.util.Json} reads messages of our own
  * programs with Jackson, which the sidecar loads anyway; {@code StrictJson} of the configuration keeps numbers as
- * written and rejects a name that stands twice. This one reports an error in one line with its position, and the
- * last of two equal names counts.
+ * written and rejects duplicate names. This one reports an error in one line with its position; of duplicate names
+ * the last one counts.
  */
 public final class JsonDocuments {
 
@@ -32,7 +32,7 @@
             Map<String, Object> object = ObjectConverter.deserializeMap(reader);
             while (reader.length() > reader.getCurrentIndex()) {
                 if (!Character.isWhitespace(bytes[reader.getCurrentIndex()])) {
-                    return Either.left("something follows the object at byte " + reader.getCurrentIndex());
+                    return Either.left("unexpected data after the object at byte " + reader.getCurrentIndex());
                 }
                 reader.read();
             }
--- a/src/main/java/org/cypressweir/common/settings/NodeSettings.java
+++ b/src/main/java/org/cypressweir/common/settings/NodeSettings.java
@@ -8,16 +8,16 @@
 import java.util.TreeSet;
 
 /**
- * The settings of one process: its identity, its addresses, its limits and the terms of the deployment. Unknown
- * fields of the file are ignored. Immutable.
+ * The settings of one process: its identity, addresses and limits, and the timing bounds and fault tolerance of the
+ * deployment. Unknown fields of the file are ignored. Immutable.
  *
  * @param dataDirectory null where the process has no disk
  * @param memoryMb memory limit of the process in MiB
  * @param descriptors limit of open file descriptors
  * @param application address of the application instance on this machine; null where there is none
  * @param listen listen addresses by purpose
- * @param firstPort first port of the range in which the processes of the mesh connect to each other
- * @param seeds addresses of the controllers that are known at the start
+ * @param firstPort first port of the range for connections between processes of the mesh
+ * @param seeds addresses of the controllers that a process knows at its start
  * @param zones region by zone, in the order of the file
  * @param heartbeatMicros interval of the application instance's heartbeats
  * @param bounds the timing bounds by name: durations in microseconds, numbers as they are, booleans as 0 or 1
--- a/src/main/java/org/cypressweir/common/settings/SettingsFields.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsFields.java
@@ -11,7 +11,7 @@
 /**
  * Typed access to the fields of an object in the settings file. A field that is missing or of the wrong type adds
  * a problem, one line with the path of the field, to a list that all objects of a file share; the accessor then
- * returns its default, so that all problems of a file are found in one pass. For one thread.
+ * returns its default, so that all problems of a file are found in one pass. Not thread-safe.
  */
 final class SettingsFields {
 
@@ -80,7 +80,7 @@
         return value == null ? defaultMicros : parseDuration(path + name, (String) value);
     }
 
-    /** The microseconds of a text such as 1500ms or 2.5s; 0 and a problem where it is no duration. */
+    /** Parses a duration such as 1500ms or 2.5s to microseconds; returns 0 and adds a problem where it is invalid. */
     long parseDuration(String fieldPath, String text) {
         Option<Long> micros = DurationText.micros(text);
         if (micros.isEmpty()) {
@@ -123,7 +123,7 @@
         return texts;
     }
 
-    /** A value of that type; null where it is missing, or of another type, which adds a problem. */
+    /** The value if it is of that type; null where it is missing, or of another type, which adds a problem. */
     private Object valueOfType(String name, Class<?> type, String typeName) {
         Object value = fields.get(name);
         if (value != null && !type.isInstance(value)) {
--- a/src/main/java/org/cypressweir/common/settings/SettingsLoader.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsLoader.java
@@ -37,14 +37,14 @@
      * Runs a program until it ends.
      *
      * @param environment the environment variables of the process
-     * @param missing the fields that the program requires and the settings don't have; none if they are complete
+     * @param missingFields names the fields that the program requires but the settings lack; none if they are complete
      * @return the exit status: 2 where the settings can't be used, 1 where the program can't start
      */
     public static int run(
             String programName,
             Map<String, String> environment,
             PrintStream err,
-            Function<NodeSettings, Option<String>> missing,
+            Function<NodeSettings, Option<String>> missingFields,
             Program program) {
         String file = environment.get(FILE_VARIABLE);
         if (file == null) {
@@ -53,7 +53,7 @@
         }
         SettingsWatcher watcher = new SettingsWatcher(Path.of(file));
         Either<List<String>, NodeSettings> settings =
-                watcher.load().flatMap(loaded -> requireComplete(programName, file, loaded, missing));
+                watcher.load().flatMap(loaded -> requireComplete(programName, file, loaded, missingFields));
         if (settings.isLeft()) {
             settings.getLeft().forEach(err::println);
             return EXIT_BAD_SETTINGS;
@@ -68,8 +68,11 @@
     }
 
     private static Either<List<String>, NodeSettings> requireComplete(
-            String programName, String file, NodeSettings settings, Function<NodeSettings, Option<String>> missing) {
-        Option<String> fields = missing.apply(settings);
+            String programName,
+            String file,
+            NodeSettings settings,
+            Function<NodeSettings, Option<String>> missingFields) {
+        Option<String> fields = missingFields.apply(settings);
         return fields.isEmpty()
                 ? Either.right(settings)
                 : Either.left(List.of(file + ": a " + programName + " requires " + fields.get()));
--- a/src/main/java/org/cypressweir/common/settings/SettingsWatcher.java
+++ b/src/main/java/org/cypressweir/common/settings/SettingsWatcher.java
@@ -22,7 +22,7 @@
     private final Path file;
     private byte[] lastContent = {};
     private long lastModifiedMillis;
-    /** The settings with which this process has started. */
+    /** The settings with which this process was started. */
     private NodeSettings initial;
 
     public SettingsWatcher(Path file) {
@@ -75,7 +75,7 @@
             logRejection(String.join("; ", settings.getLeft()));
         } else if (!isSameNode(settings.get())) {
             NodeSettings other = settings.get();
-            logRejection("they are of another node, " + other.name() + " at " + other.peerAddress(other.ip()));
+            logRejection("they belong to another node, " + other.name() + " at " + other.peerAddress(other.ip()));
         } else {
             LOG.infof("Settings reloaded file=%s", file);
             onReload.accept(settings.get());
--- a/src/main/java/org/cypressweir/common/transport/JsonCodec.java
+++ b/src/main/java/org/cypressweir/common/transport/JsonCodec.java
@@ -14,8 +14,8 @@
 
 /**
  * Encodes plain maps and lists as JSON and decodes them, for messages between processes and bodies of API calls.
- * Decoding is {@link Json}'s; the encoder is here because the sidecar, which shares {@code Json}, must not load
- * it. Stateless, so safe for use by several threads.
+ * {@link Json} does the decoding; the encoder is a class of its own because the sidecar, which uses {@code Json} too,
+ * must not load it. Stateless, so safe for use by several threads.
  */
 public final class JsonCodec {
 
@@ -85,7 +85,7 @@
         } else if (value == null) {
             generator.writeNull();
         } else {
-            throw new IllegalArgumentException("no JSON: " + value.getClass());
+            throw new IllegalArgumentException("cannot be encoded as JSON: " + value.getClass());
         }
     }
 
--- a/src/main/java/org/cypressweir/common/transport/LogConfiguration.java
+++ b/src/main/java/org/cypressweir/common/transport/LogConfiguration.java
@@ -10,15 +10,15 @@
 import java.util.logging.Logger;
 
 /**
- * The log format of a program: one line a record with the time of day in UTC, the level from WARN up, and the
- * simple name of the class that logs.
+ * The log format of a program: one line per record with the time of day in UTC, the level if it is WARN or above, and
+ * the simple name of the class that logs.
  */
 public final class LogConfiguration {
 
     private static final DateTimeFormatter TIME_OF_DAY =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
 
-    /** A strong reference: the runtime forgets the level of a logger that is no longer referenced. */
+    /** A strong reference, since a logger that is garbage-collected loses its level. */
     private static final Logger PROJECT_LOGGER = Logger.getLogger("org.cypressweir");
 
     private LogConfiguration() {}
--- a/src/main/java/org/cypressweir/common/transport/PeerConnection.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerConnection.java
@@ -107,12 +107,12 @@
         }
     }
 
-    /** Asks the peer for a sign of life. */
+    /** Sends a ping, which the peer answers. */
     public void ping() {
         send(PING);
     }
 
-    /** When the last message came from the peer, pings included; before the first one, when this was opened. */
+    /** When the last message arrived from the peer, pings included; before the first one, when this was opened. */
     public long lastReceivedMicros() {
         return lastReceivedMicros;
     }
@@ -136,7 +136,7 @@
         channel.close();
     }
 
-    /** Whatever the user of this connection has attached to it; null at first. */
+    /** The object that the user of this connection has attached to it; null at first. */
     public Object attachment() {
         return attachment;
     }
@@ -150,7 +150,7 @@
         return String.valueOf(channel.remoteAddress());
     }
 
-    /** Decodes frames into messages, answers pings and passes all else to the listener. */
+    /** Decodes frames into messages, answers pings and passes all other messages to the listener. */
     private final class MessageHandler extends ChannelInboundHandlerAdapter {
 
         @Override
@@ -209,7 +209,7 @@
             switch (JsonCodec.text(header, TYPE_FIELD)) {
                 case PING_TYPE -> send(PONG);
                 case PONG_TYPE -> {
-                    // Its arrival is noted already, and it says nothing else.
+                    // The time of its arrival is recorded already, and it carries nothing else.
                 }
                 default -> listener.received(PeerConnection.this, header, body);
             }
@@ -222,7 +222,7 @@
             }
         }
 
-        /** An I/O error is an ordinary end of a connection and is not logged; anything else is a fault. */
+        /** Closes the connection. An I/O error is an ordinary cause and is not logged; all else is a fault. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
--- a/src/main/java/org/cypressweir/common/transport/PeerConnectionPool.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerConnectionPool.java
@@ -16,13 +16,13 @@
  *
  * <p>When nothing arrives on a connection for some time, a second one is dialled beside it and becomes the current
  * one. The unresponsive one stays open for a while, since requests in flight may still be answered on it, and is
- * closed when it stays silent.
+ * closed if nothing arrives on it.
  *
  * <p>To be used on one event loop only, which also runs the callbacks; {@link #tick} drives its time-outs.
  */
 public final class PeerConnectionPool {
 
-    /** Up to this many peers the times of the options hold as they are; with more they grow in proportion. */
+    /** Up to this number of peers the time-outs of the options apply unscaled; beyond it they grow in proportion. */
     private static final int UNSCALED_PEERS = 12;
 
     /**
@@ -146,7 +146,7 @@
         return timeoutMicros * Math.max(UNSCALED_PEERS, peers.size()) / UNSCALED_PEERS;
     }
 
-    /** The connections to one address: the current one, and those that it has replaced and that are still open. */
+    /** The connections to one address: the current one, and replaced ones that are still open. */
     private final class PooledPeer implements PeerConnection.Listener {
 
         private final String address;
@@ -245,7 +245,7 @@
             }
         }
 
-        /** Idle is also a connection on which one side alone sends: the other one learns nothing from it. */
+        /** A connection on which only one side sends is idle too: that side learns nothing about the other one. */
         private void pingIfIdle(long now) {
             long idleSince = Math.min(current.lastReceivedMicros(), current.lastSentMicros());
             long pingAfter = scaled(options.pingAfterMicros());
--- a/src/main/java/org/cypressweir/common/transport/PeerTransport.java
+++ b/src/main/java/org/cypressweir/common/transport/PeerTransport.java
@@ -16,8 +16,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The source of {@link PeerConnection}s: listens for connections of other processes and dials them. All callbacks
- * run on the threads of the event loop group, which the caller owns and shuts down.
+ * Opens {@link PeerConnection}s: accepts those of other processes, and dials other processes. All callbacks run on
+ * the threads of the event loop group, which the caller owns and shuts down.
  */
 public final class PeerTransport {
 
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Dials an address and returns at once. Then either the listener is notified of the open connection, or the
-     * consumer gets the cause of the failure.
+     * Starts to dial an address and returns at once. Later either the listener is notified of the open connection, or
+     * the consumer gets the cause of the failure.
      */
     public void dial(
             InetSocketAddress address,
--- a/src/main/java/org/cypressweir/common/util/Ids.java
+++ b/src/main/java/org/cypressweir/common/util/Ids.java
@@ -1,6 +1,6 @@
 package org.cypressweir.common.util;
 
-/** Numeric ids of texts, equal in every process and after every restart; they are not unique. */
+/** Numeric ids of texts, equal in every process and after every restart; two texts may have the same id. */
 public final class Ids {
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
--- a/src/main/java/org/cypressweir/common/util/Json.java
+++ b/src/main/java/org/cypressweir/common/util/Json.java
@@ -10,11 +10,11 @@
 
 /**
  * Decodes JSON objects to plain maps and lists, and looks up fields with a default where a field is missing or of
- * another type. Integers become {@code Long}, other numbers {@code Double}; the last of two equal names counts.
+ * another type. Integers become {@code Long}, other numbers {@code Double}; of duplicate names the last one counts.
  *
  * <p>The sidecar loads this class at its start, so it needs Jackson's streaming parser only and no class of its
  * own. {@code JsonCodec} of the mesh adds the encoder; {@code JsonDocuments} and {@code StrictJson} read what
- * people write, with DSL-JSON and with other rules for errors, numbers and equal names. Stateless.
+ * people write, with DSL-JSON and with other rules for errors, numbers and duplicate names. Stateless.
  */
 public final class Json {
 
@@ -23,7 +23,7 @@
     /**
      * Decodes the rest of an object into a map.
      *
-     * @param parser stands at the start of the object, and afterwards at its end
+     * @param parser positioned at the start of the object, and afterwards at its end
      */
     public static void readInto(JsonParser parser, Map<String, Object> into) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -36,7 +36,7 @@
     /**
      * Decodes a text that is one object.
      *
-     * @param parser stands before the first token
+     * @param parser positioned before the first token
      * @throws IOException where the text is anything else
      */
     public static Map<String, Object> document(JsonParser parser) throws IOException {
--- a/src/main/java/org/cypressweir/common/util/ReloadSignal.java
+++ b/src/main/java/org/cypressweir/common/util/ReloadSignal.java
@@ -6,7 +6,8 @@
 import java.nio.file.Path;
 
 /**
- * Handles SIGHUP, on which a daemon reloads its configuration by convention and by which the runtime would end.
+ * Handles SIGHUP, on which a daemon by convention reloads its configuration, and which ends the Java runtime if it
+ * is not handled.
  *
  * <p>The platform has no supported interface for signals. The unsupported one, {@code sun.misc.Signal}, is reached
  * by reflection, since naming it in the source gives a compiler warning that can't be suppressed.
@@ -22,7 +23,7 @@
 
     /**
      * Whether the process was started with SIGHUP ignored, as {@code nohup} does; the runtime then never delivers
-     * it. False where the system doesn't tell.
+     * it. False where the system doesn't report it.
      */
     public static boolean isIgnored() {
         try {
--- a/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
+++ b/src/test/java/org/cypressweir/architecture/ArchitectureTest.java
@@ -53,9 +53,9 @@
         "meshctl.command: common.util common.settings common.transport meshctl.validation meshctl.state",
         "meshctl: common.util meshctl.command",
     };
-    /** What packages that are not in the list (the sidecar, the fleet, the simulation) may depend on. */
+    /** The packages that those not in the list (the sidecar, the fleet, the simulation) may depend on. */
     private static final Set<String> SHARED_WITH_SIDECAR = Set.of("common.util", "loadbalancing");
-    /** Starts every program of the mesh. */
+    /** The entry point, which starts every program of the mesh. */
     private static final Set<String> UNRESTRICTED = Set.of("org.cypressweir.Main");
 
     private static Map<String, Set<String>> allowedByPackage() {
@@ -94,7 +94,7 @@
         return new ArrayList<>(violations);
     }
 
-    /** Only the simulation of fleets depends on the stand-alone sidecar, beside the sidecar itself. */
+    /** Whether a package other than the sidecar itself and the simulation of fleets depends on the sidecar. */
     private static boolean concernsSidecar(String from, String to) {
         return isSidecar(to) && !isSidecar(from) && !from.equals("simulation");
     }
@@ -108,7 +108,7 @@
                 + dependency.getTargetClass().getBaseComponentType().getSimpleName();
     }
 
-    /** A package's name below the root; null where it is none of the project's. */
+    /** The name of a package below the root; null where it is not below the root. */
     private static String part(String name, String root) {
         if (name.equals(root)) {
             return "";
--- a/src/test/java/org/cypressweir/architecture/planted/common/transport/Message.java
+++ b/src/test/java/org/cypressweir/architecture/planted/common/transport/Message.java
@@ -2,7 +2,7 @@
 
 import org.cypressweir.architecture.planted.dataplane.proxy.Forwarder;
 
-/** A shared package names a program: wrong. */
+/** A forbidden dependency: a shared package on a program. */
 public final class Message {
     public Forwarder[] forwarders;
 }
--- a/src/test/java/org/cypressweir/architecture/planted/controlplane/controller/Publisher.java
+++ b/src/test/java/org/cypressweir/architecture/planted/controlplane/controller/Publisher.java
@@ -1,4 +1,4 @@
 package org.cypressweir.architecture.planted.controlplane.controller;
 
-/** What the data plane must not name. */
+/** A class that the data plane must not depend on. */
 public final class Publisher {}
--- a/src/test/java/org/cypressweir/architecture/planted/dataplane/proxy/Forwarder.java
+++ b/src/test/java/org/cypressweir/architecture/planted/dataplane/proxy/Forwarder.java
@@ -2,7 +2,7 @@
 
 import org.cypressweir.architecture.planted.controlplane.controller.Publisher;
 
-/** The data plane names the program of the control plane: wrong. */
+/** A forbidden dependency: the data plane on the program of the control plane. */
 public final class Forwarder {
     public Publisher publisher;
 }
--- a/src/test/java/org/cypressweir/common/diagnostics/RequestTraceTest.java
+++ b/src/test/java/org/cypressweir/common/diagnostics/RequestTraceTest.java
@@ -7,7 +7,7 @@
 import org.cypressweir.common.transport.ErrorKind;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of the last requests, and what is left out. */
+/** What is recorded of the last requests, and what is left out. */
 class RequestTraceTest {
 
     private static final int CAPACITY = 3;
--- a/src/test/java/org/cypressweir/common/metrics/MetricsEndpointTest.java
+++ b/src/test/java/org/cypressweir/common/metrics/MetricsEndpointTest.java
@@ -8,7 +8,7 @@
 import org.cypressweir.testkit.RecordedServerRequest;
 import org.junit.jupiter.api.Test;
 
-/** The page of metrics, and the answers to calls for it. */
+/** The page of metrics, and the responses to requests for it. */
 class MetricsEndpointTest {
 
     private static void collect(MetricsPage page) {
@@ -49,7 +49,7 @@
                         "cypressweir_write_duration_seconds_count 0");
     }
 
-    /** Two significant digits: what is shown lies within a hundredth of what was recorded. */
+    /** With two significant digits a quantile differs by at most 1 % from the recorded durations. */
     @Test
     void quantilesAreThoseOfTheDurations() {
         LatencyHistogram durations = new LatencyHistogram();
--- a/src/test/java/org/cypressweir/common/settings/NodeSettingsTest.java
+++ b/src/test/java/org/cypressweir/common/settings/NodeSettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Parsing of settings files, and one line for each problem of a file. */
+/** Settings files are parsed, and each problem of a file is reported in one line. */
 class NodeSettingsTest {
 
     private static final String FILE = "{'localNode':{'nodeName':'n1','ipAddress':'10.0.0.1','zone':'z1',"
--- a/src/test/java/org/cypressweir/common/transport/ApiCallTest.java
+++ b/src/test/java/org/cypressweir/common/transport/ApiCallTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which paths belong to which API call, and what their parameters are. */
+/** Which API call a path belongs to, and what its parameter is. */
 class ApiCallTest {
 
     @Test
--- a/src/test/java/org/cypressweir/common/transport/FixtureProcess.java
+++ b/src/test/java/org/cypressweir/common/transport/FixtureProcess.java
@@ -7,8 +7,8 @@
 import org.cypressweir.common.util.Addresses;
 
 /**
- * A program of the mesh that dials its peers through the relays of a test fixture. The addresses in its settings
- * and messages stay those of the peers themselves.
+ * Runs a program of the mesh that dials its peers through the relays of a test fixture. Its settings and messages
+ * have the addresses of the peers, not of the relays.
  */
 public final class FixtureProcess {
 
--- a/src/test/java/org/cypressweir/common/transport/PeerConnectionPoolTest.java
+++ b/src/test/java/org/cypressweir/common/transport/PeerConnectionPoolTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connecting, reconnecting and time-outs of a pool, over loopback and with a clock that the test sets. */
+/** Connecting, reconnecting and time-outs of a pool, over loopback and with a manually set clock. */
 class PeerConnectionPoolTest {
 
     private static final PeerConnectionPool.Options OPTIONS =
@@ -93,8 +93,8 @@
     }
 
     private String serverAddress() throws IOException {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return Addresses.text(transport.listen(any, new Server()));
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        return Addresses.text(transport.listen(anyPort, new Server()));
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
--- a/src/test/java/org/cypressweir/common/transport/RecordedPeerConnection.java
+++ b/src/test/java/org/cypressweir/common/transport/RecordedPeerConnection.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A connection without a network, at a fixed time, that records what is sent on it. For one thread. */
+/** A connection without a network, at a fixed time, that records the sent frames. Not thread-safe. */
 public final class RecordedPeerConnection {
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -22,14 +22,14 @@
         connection.installHandlers();
     }
 
-    /** A connection whose events nobody listens to. */
+    /** A connection with a listener that ignores all events. */
     public RecordedPeerConnection(long nowMicros) {
         this(nowMicros, new PeerConnection.Listener() {
             @Override
             public void opened(PeerConnection connection) {}
 
             @Override
-            public void received(PeerConnection from, Map<String, Object> head, byte[] body) {}
+            public void received(PeerConnection from, Map<String, Object> header, byte[] body) {}
 
             @Override
             public void closed(PeerConnection connection) {}
--- a/src/test/java/org/cypressweir/common/util/AddressesTest.java
+++ b/src/test/java/org/cypressweir/common/util/AddressesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which texts are socket addresses, and that they are formatted as they were written. */
+/** Which texts are socket addresses, and that they are formatted as they were parsed. */
 class AddressesTest {
 
     @ParameterizedTest
--- a/src/test/java/org/cypressweir/golden/ConsensusMessagesTest.java
+++ b/src/test/java/org/cypressweir/golden/ConsensusMessagesTest.java
@@ -25,7 +25,7 @@
 import org.cypressweir.testkit.SimulatedReplicas;
 import org.junit.jupiter.api.Test;
 
-/** The messages of consensus: what one replica answers to fixed ones, and what three send of themselves. */
+/** The encoded messages of consensus: responses of one replica to fixed messages, and those of a run of three. */
 class ConsensusMessagesTest {
 
     private static final String REPLIES = "messages/consensus-replies.txt";
@@ -75,7 +75,7 @@
             Map.of("priority", 3L),
             List.of(new SupersededVersion(1, "0011223344556677")));
 
-    /** One replica whose writes come back at once. */
+    /** A single replica whose writes to disk complete at once. */
     private static final class Replica {
         private final ConsensusReplica copies;
         private final List<String> lines = new ArrayList<>();
@@ -208,7 +208,7 @@
         return replica.lines;
     }
 
-    /** By kind, the first message that is sent in a run of three, of whom one is replaced. */
+    /** By kind, the first message sent in a run of three replicas, one of which is replaced. */
     private static Map<String, String> firstOfEachKind() {
         Map<String, String> first = new TreeMap<>();
         SimulatedReplicas world = new SimulatedReplicas(SEED, 3);
--- a/src/test/java/org/cypressweir/golden/EnumTextsTest.java
+++ b/src/test/java/org/cypressweir/golden/EnumTextsTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The texts of enum constants that leave the process, and the order of those that are sent by their number.
- * The text is fixed, whatever the constant is called.
+ * The texts of enum constants that leave the process, and the order of those that are sent by their ordinal number.
+ * The text stays the same when a constant is renamed.
  */
 class EnumTextsTest {
 
@@ -36,7 +36,7 @@
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The answers' "error" (lower case), the counts in the state (as they are), and words for people. */
+    /** In the field "error" of responses (lower case), in counts of the state (unchanged), and in words for people. */
     @Test
     void kindsOfErrors() {
         assertThat(texts(
@@ -59,14 +59,14 @@
                         "NO_METHOD, no method, 405, false");
     }
 
-    /** The field "why" between proxies, as they are; in traces of requests lower case, with blanks. */
+    /** In the field "why" of messages between proxies (unchanged), and in traces (in lower case, with spaces). */
     @Test
     void reasonsWhyARequestHasNotRun() {
         assertThat(texts(RejectionReason.values(), RejectionReason::name))
                 .containsExactly("FULL", "LATE", "GONE", "MISDIRECTED", "NO_CONNECTION", "CANCELLED", "REFUSED");
     }
 
-    /** On the wire and in keys on the disk. */
+    /** On the wire, and in keys on disk. */
     @Test
     void tables() {
         assertThat(texts(ItemType.values(), ItemType::wireName))
@@ -97,7 +97,7 @@
                 .contains("a");
     }
 
-    /** Sent by their number in datagrams. */
+    /** Sent by their ordinal number in datagrams. */
     @Test
     void orderOfWhatIsSentByNumber() {
         assertThat(texts(MembershipMessage.Kind.values(), Enum::name))
@@ -109,20 +109,20 @@
                 .containsExactly("ASK", "YES", "NO", "FREE", "HINT", "LEARN", "LEARNED");
     }
 
-    /** In the log and in the record of a member's life, lower case. */
+    /** In the log and in the recorded history of a member, in lower case. */
     @Test
     void changesOfMembership() {
         assertThat(texts(Change.Kind.values(), EnumTextsTest::lower)).containsExactly("joined", "back", "out", "left");
     }
 
-    /** A fact that a member tells of itself, lower case. */
+    /** Published by a member about itself, in lower case. */
     @Test
     void statesOfTheSidecar() {
         assertThat(texts(SidecarLifecycle.State.values(), EnumTextsTest::lower))
                 .containsExactly("starting", "starting_drained", "serving", "draining", "drained", "stopping");
     }
 
-    /** The operators' file, and what is explained of it. */
+    /** In the operators' file and in the output that explains it. */
     @Test
     void wordsOfTheOperatorsFile() {
         assertThat(texts(CellsConfiguration.Unit.values(), EnumTextsTest::lower))
@@ -154,7 +154,7 @@
                         "SERVED", "ERROR", "FULL", "TIMED_OUT", "NO_CONNECTION", "BROKEN", "CANCELLED", "NOT_SENT");
     }
 
-    /** In the account of upgrades, and those from OPEN on count as opened. */
+    /** In the account of upgrades; the constants from OPEN on count as opened. */
     @Test
     void statesOfUpgrades() {
         assertThat(texts(UpgradeAccount.State.values(), Enum::toString))
--- a/src/test/java/org/cypressweir/golden/Golden.java
+++ b/src/test/java/org/cypressweir/golden/Golden.java
@@ -29,12 +29,12 @@
         }
     }
 
-    /** Compares lines with those of a golden file, to the byte. */
+    /** Compares lines with a golden file, byte by byte. */
     public static void assertSame(String name, List<String> lines) {
         assertThat(String.join("\n", lines) + "\n").isEqualTo(text(name));
     }
 
-    /** The path of a golden file or folder. */
+    /** The path of a golden file or directory. */
     public static Path path(String name) {
         try {
             return Path.of(Golden.class.getResource(ROOT + name).toURI());
--- a/src/test/java/org/cypressweir/golden/StoredFolderTest.java
+++ b/src/test/java/org/cypressweir/golden/StoredFolderTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An acceptor's folder that an earlier build wrote: its names, keys and values on the disk stay. */
+/** The store of an acceptor that an earlier build wrote: its names, keys and values on disk are unchanged. */
 class StoredFolderTest {
 
     private static final String STORED_FOLDER = "store/folder";
@@ -164,7 +164,7 @@
         assertThat(records(fresh)).isEqualTo(Golden.text(RECORDS_BEFORE));
     }
 
-    /** The names of all files with the text of the small ones, then each record of each Xodus store. */
+    /** The names of all files, the texts of the small ones, and every record of each Xodus store. */
     private static String records(Path folder) throws IOException {
         StringBuilder text = new StringBuilder();
         for (String name : List.of("current", "written")) {
