--- a/src/main/java/org/cypressweir/sidecar/websocket/DrainOrder.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/DrainOrder.java
@@ -7,87 +7,86 @@
 import java.util.Map;
 
 /**
- * In which order, and how fast, the tunnels of servers that leave are closed: first those without data for a
- * while, then those between two messages, the longest quiet first; as many a second as the other servers can
- * take back; at the last moment all the rest that is between messages, and what is within one as soon as it
- * ends.
- * No clock: it is asked what is due now.
+ * Decides in which order, and how fast, the tunnels of draining servers are closed. Tunnels between two messages are
+ * closed first, the longest idle before the others, at the rate at which the other servers can accept reconnects. At
+ * the drain deadline all the remaining tunnels between messages are closed, and a tunnel within a message as soon as
+ * the message ends. Reads no clock: callers pass the time, in microseconds.
  */
-public final class DrainOrder<T extends DrainOrder.Leaver> {
+public final class DrainOrder<T extends DrainOrder.Drainable> {
 
-    /** A tunnel, as far as its end is concerned. */
-    public interface Leaver {
-        /** Whether a message has begun on either side and not ended. */
+    /** A tunnel that can be drained. */
+    public interface Drainable {
+        /** Whether either side is within a message. */
         boolean inMessage();
 
-        /** When the last data frame came, in microseconds. */
-        long dataAt();
+        /** Time of the last data frame, in microseconds. */
+        long lastDataAt();
     }
 
-    /** What is still within a message so long past the last moment is closed all the same. */
-    static final long LONGEST_MESSAGE_MICROS = 5_000_000;
+    /** A tunnel still within a message this long after the drain deadline is closed anyway. */
+    static final long MAX_MESSAGE_WAIT_MICROS = 5_000_000;
 
     private final long drainMicros;
-    private final double rate;
-    private final Map<T, Long> leaving = new LinkedHashMap<>();
-    private double allowed;
-    private long at;
+    private final double reconnectsPerSecond;
+    private final Map<T, Long> pending = new LinkedHashMap<>();
+    private double allowance;
+    private long updatedAt;
 
     /**
-     * For the servers of one pool.
+     * Creates the order for the servers of one pool.
      *
-     * @param drainMicros from when a server was told to leave to its last moment
-     * @param rate tunnels a second that each of the other servers can take
+     * @param drainMicros time from the start of a server's drain to its deadline
+     * @param reconnectsPerSecond tunnels per second that each of the other servers can accept
      */
-    public DrainOrder(long drainMicros, double rate) {
+    public DrainOrder(long drainMicros, double reconnectsPerSecond) {
         this.drainMicros = drainMicros;
-        this.rate = rate;
+        this.reconnectsPerSecond = reconnectsPerSecond;
     }
 
-    /** The server of a tunnel leaves; since when. */
-    public void leaves(T tunnel, long toldAt) {
-        leaving.putIfAbsent(tunnel, toldAt);
+    /** Adds a tunnel whose server has been draining since the given time. */
+    public void add(T tunnel, long drainStartedAt) {
+        pending.putIfAbsent(tunnel, drainStartedAt);
     }
 
-    /** It has ended, or its server stays after all. */
-    public void stays(T tunnel) {
-        leaving.remove(tunnel);
+    /** Removes a tunnel that has ended or whose server's drain was cancelled. */
+    public void remove(T tunnel) {
+        pending.remove(tunnel);
     }
 
-    /** How many wait for their end. */
+    /** How many tunnels wait to be closed. */
     public int size() {
-        return leaving.size();
+        return pending.size();
     }
 
     /**
-     * Those to be closed now, in this order; with no other server there is nowhere to go before the last
-     * moment.
+     * Returns the tunnels to close now, in order. Without other servers, clients could not reconnect, so none is closed
+     * before the deadline.
      */
-    public List<T> due(long now, double others) {
-        double gained = rate * others * (now - at) / 1e6;
-        // What was not used is not saved up, beyond the one that is next.
-        allowed = at == 0 ? 1 : Math.min(Math.max(1, gained), allowed + gained);
-        at = now;
+    public List<T> due(long now, double otherServers) {
+        double newAllowance = reconnectsPerSecond * otherServers * (now - updatedAt) / 1e6;
+        // Unused allowance is not saved up beyond the next tunnel.
+        allowance = updatedAt == 0 ? 1 : Math.min(Math.max(1, newAllowance), allowance + newAllowance);
+        updatedAt = now;
         List<T> due = new ArrayList<>();
-        List<T> waiting = new ArrayList<>();
-        leaving.forEach((tunnel, toldAt) -> {
-            long over = now - toldAt - drainMicros;
-            if (over >= 0 && (!tunnel.inMessage() || over >= LONGEST_MESSAGE_MICROS)) {
+        List<T> candidates = new ArrayList<>();
+        pending.forEach((tunnel, drainStartedAt) -> {
+            long overdueMicros = now - drainStartedAt - drainMicros;
+            if (overdueMicros >= 0 && (!tunnel.inMessage() || overdueMicros >= MAX_MESSAGE_WAIT_MICROS)) {
                 due.add(tunnel);
             } else if (!tunnel.inMessage()) {
-                waiting.add(tunnel);
+                candidates.add(tunnel);
             }
         });
-        // The longest quiet first puts the idle before all others.
-        waiting.sort(Comparator.comparingLong(Leaver::dataAt));
-        for (T tunnel : waiting) {
-            if (allowed < 1 || others <= 0) {
+        // Ascending by the time of the last data: the longest idle first.
+        candidates.sort(Comparator.comparingLong(Drainable::lastDataAt));
+        for (T tunnel : candidates) {
+            if (allowance < 1 || otherServers <= 0) {
                 break;
             }
-            allowed--;
+            allowance--;
             due.add(tunnel);
         }
-        due.forEach(leaving::remove);
+        due.forEach(pending::remove);
         return due;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/websocket/FrameReader.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/FrameReader.java
@@ -7,24 +7,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads one direction of a tunnel, in pieces of any size, and checks it (RFC 6455, sections 5 and 8.1). Of
- * data
- * frames it hands on what has come, so that a frame of any length takes no memory here; each piece can be
- * sent
- * on as a frame of its own (section 5.4 allows it where all extensions are known), so that whatever breaks,
- * no
- * frame is torn. Control frames are handed on whole.
+ * Parses and validates the frames of one direction of a tunnel, from pieces of any size (RFC 6455, sections 5 and 8.1).
+ * Data frames are passed on piece by piece, so that a frame of any length needs no buffer here. Each piece can be sent
+ * as a frame of its own (section 5.4 allows it if all extensions are known), so that no frame is left incomplete when a
+ * connection breaks. Control frames are passed on whole.
  */
 public final class FrameReader {
 
-    /** Takes what was read. */
+    /** Receives what was read. */
     public interface Sink {
         /**
          * A piece of a message.
          *
-         * @param opcode of the message with its first piece, 0 with the others
-         * @param compressed the first reserved bit, which only a first piece may have
-         * @param payload taken over by the sink
+         * @param opcode the message's opcode with its first piece, 0 with the others
+         * @param compressed the first reserved bit (RSV1), which only a first piece may have
+         * @param payload owned by the sink
          * @param last whether the message ends
          */
         void data(int opcode, boolean compressed, ByteBuf payload, boolean last);
@@ -39,33 +36,32 @@
     private final long maxMessage;
     private final Sink sink;
 
-    /** Of the frame at hand: its head, as far as it has come. */
-    private final ByteBuf head = Unpooled.buffer(14, 14);
+    /** The header of the current frame, as far as received. */
+    private final ByteBuf header = Unpooled.buffer(14, 14);
 
     private boolean inPayload;
     private boolean last;
     private int opcode;
     private boolean compressed;
     private long length;
-    private long passed;
+    private long payloadBytesRead;
     private final byte[] mask = new byte[4];
-    private ByteBuf control;
-    /** Of the message at hand: its opcode, 0 for none; whether a piece has been handed on; its bytes. */
-    private int message;
+    private ByteBuf controlPayload;
+    /** The current message: its opcode (0 for none), whether a piece has been passed on, and its size in bytes. */
+    private int messageOpcode;
 
-    private boolean begun;
+    private boolean messageBegun;
     private long messageBytes;
-    private Utf8 text;
+    private Utf8 textValidator;
     private boolean closed;
 
     /**
-     * For one direction.
+     * Creates a reader for one direction.
      *
-     * @param fromClient whether frames must be masked; else they must not
-     * @param compression whether permessage-deflate was agreed on, which gives the first reserved bit a
-     * meaning
+     * @param fromClient whether frames must be masked; otherwise they must not be
+     * @param compression whether permessage-deflate was agreed on, which allows the first reserved bit (RSV1)
      * @param maxFrame largest payload of a frame, in bytes
-     * @param maxMessage largest message, in bytes as they are sent
+     * @param maxMessage largest message, in bytes as sent (still compressed)
      */
     public FrameReader(boolean fromClient, boolean compression, long maxFrame, long maxMessage, Sink sink) {
         this.fromClient = fromClient;
@@ -77,96 +73,95 @@
 
     /** Whether a message has begun and not ended. */
     public boolean inMessage() {
-        return message != 0;
+        return messageOpcode != 0;
     }
 
     /**
-     * Takes what has come; the buffer is not taken over. After a close frame or a violation nothing counts
-     * any
-     * more.
+     * Reads received bytes; the caller keeps ownership of the buffer. Input after a close frame or a violation is
+     * ignored.
      *
-     * @throws ProtocolViolationException at the first byte that is wrong; what came before it has been handed on
+     * @throws ProtocolViolationException at the first invalid byte; everything before it has been passed on
      */
     public void read(ByteBuf in) throws ProtocolViolationException {
         try {
             while (in.isReadable() && !closed) {
                 if (inPayload) {
-                    payload(in);
-                } else if (head(in)) {
-                    begin();
+                    readPayload(in);
+                } else if (readHeader(in)) {
+                    beginFrame();
                 }
             }
         } catch (ProtocolViolationException e) {
-            // Where the next frame begins is not known any more.
+            // The start of the next frame is no longer known.
             closed = true;
             throw e;
         }
     }
 
-    /** Whether the head is whole. */
-    private boolean head(ByteBuf in) throws ProtocolViolationException {
+    /** Reads header bytes; true once the header is complete. */
+    private boolean readHeader(ByteBuf in) throws ProtocolViolationException {
         while (in.isReadable()) {
-            head.writeByte(in.readByte());
-            if (head.writerIndex() == 2) {
-                checkStart();
+            header.writeByte(in.readByte());
+            if (header.writerIndex() == 2) {
+                checkFirstBytes();
             }
-            if (head.writerIndex() >= 2 && head.writerIndex() == headLength()) {
+            if (header.writerIndex() >= 2 && header.writerIndex() == headerLength()) {
                 return true;
             }
         }
         return false;
     }
 
-    private int headLength() {
-        int small = head.getByte(1) & 0x7f;
-        return 2 + (small == 126 ? 2 : small == 127 ? 8 : 0) + (fromClient ? 4 : 0);
+    private int headerLength() {
+        int lengthField = header.getByte(1) & 0x7f;
+        return 2 + (lengthField == 126 ? 2 : lengthField == 127 ? 8 : 0) + (fromClient ? 4 : 0);
     }
 
-    private void checkStart() throws ProtocolViolationException {
-        int first = head.getByte(0);
-        int small = head.getByte(1) & 0x7f;
+    private void checkFirstBytes() throws ProtocolViolationException {
+        int first = header.getByte(0);
+        int lengthField = header.getByte(1) & 0x7f;
         last = (first & 0x80) != 0;
         compressed = (first & 0x40) != 0;
         opcode = first & 0x0f;
         check((first & 0x30) == 0, "reserved bit");
         check(!compressed || compression && (opcode == Frames.TEXT || opcode == Frames.BINARY), "reserved bit");
         check(opcode <= Frames.BINARY || opcode >= Frames.CLOSE && opcode <= Frames.PONG, "unknown opcode");
-        check((head.getByte(1) & 0x80) != 0 == fromClient, fromClient ? "not masked" : "masked");
+        check((header.getByte(1) & 0x80) != 0 == fromClient, fromClient ? "not masked" : "masked");
         if (opcode >= Frames.CLOSE) {
             check(last, "fragmented control frame");
-            check(small <= Frames.MAX_CONTROL, "long control frame");
+            check(lengthField <= Frames.MAX_CONTROL_PAYLOAD_BYTES, "long control frame");
         } else {
             check(
-                    opcode == Frames.CONTINUATION == (message != 0),
-                    message != 0 ? "message within a message" : "nothing to continue");
+                    opcode == Frames.CONTINUATION == (messageOpcode != 0),
+                    messageOpcode != 0 ? "message within a message" : "nothing to continue");
         }
     }
 
-    private static void check(boolean holds, String otherwise) throws ProtocolViolationException {
-        if (!holds) {
-            throw new ProtocolViolationException(Frames.PROTOCOL_ERROR, otherwise);
+    private static void check(boolean condition, String message) throws ProtocolViolationException {
+        if (!condition) {
+            throw new ProtocolViolationException(Frames.PROTOCOL_ERROR, message);
         }
     }
 
-    private void begin() throws ProtocolViolationException {
-        int small = head.getByte(1) & 0x7f;
-        length = small == 126 ? head.getUnsignedShort(2) : small == 127 ? head.getLong(2) : small;
+    private void beginFrame() throws ProtocolViolationException {
+        int lengthField = header.getByte(1) & 0x7f;
+        length = lengthField == 126 ? header.getUnsignedShort(2) : lengthField == 127 ? header.getLong(2) : lengthField;
         check(
-                length >= 0 && (small != 126 || length > 125) && (small != 127 || length > 65_535),
+                length >= 0 && (lengthField != 126 || length > 125) && (lengthField != 127 || length > 65_535),
                 "length not in its shortest form");
         if (fromClient) {
-            head.getBytes(head.writerIndex() - 4, mask);
+            header.getBytes(header.writerIndex() - 4, mask);
         }
-        head.clear();
-        passed = 0;
+        header.clear();
+        payloadBytesRead = 0;
         if (opcode >= Frames.CLOSE) {
-            control = Unpooled.buffer((int) length);
+            controlPayload = Unpooled.buffer((int) length);
         } else {
             if (opcode != Frames.CONTINUATION) {
-                message = opcode;
-                begun = false;
+                messageOpcode = opcode;
+                messageBegun = false;
                 messageBytes = 0;
-                text = opcode == Frames.TEXT && !compressed ? new Utf8() : null;
+                textValidator = opcode == Frames.TEXT && !compressed ? new Utf8() : null;
             }
             messageBytes += length;
             if (length > maxFrame || messageBytes > maxMessage || messageBytes < 0) {
@@ -176,47 +171,47 @@
         }
         inPayload = true;
         if (length == 0) {
-            payload(Unpooled.EMPTY_BUFFER);
+            readPayload(Unpooled.EMPTY_BUFFER);
         }
     }
 
-    private void payload(ByteBuf in) throws ProtocolViolationException {
-        int count = (int) Math.min(in.readableBytes(), length - passed);
+    private void readPayload(ByteBuf in) throws ProtocolViolationException {
+        int count = (int) Math.min(in.readableBytes(), length - payloadBytesRead);
         ByteBuf piece = in.readRetainedSlice(count);
         if (fromClient) {
-            Frames.mask(piece, mask, passed);
+            Frames.mask(piece, mask, payloadBytesRead);
         }
-        passed += count;
-        inPayload = passed < length;
+        payloadBytesRead += count;
+        inPayload = payloadBytesRead < length;
         if (opcode >= Frames.CLOSE) {
-            control.writeBytes(piece);
+            controlPayload.writeBytes(piece);
             piece.release();
             if (!inPayload) {
-                control();
+                finishControlFrame();
             }
         } else {
-            data(piece);
+            deliverData(piece);
         }
     }
 
-    private void data(ByteBuf piece) throws ProtocolViolationException {
+    private void deliverData(ByteBuf piece) throws ProtocolViolationException {
         boolean ends = last && !inPayload;
-        if (text != null && (!text.accept(piece) || ends && !text.isWhole())) {
+        if (textValidator != null && (!textValidator.accept(piece) || ends && !textValidator.isComplete())) {
             piece.release();
             throw new ProtocolViolationException(Frames.INVALID_PAYLOAD, "not UTF-8");
         }
-        int as = begun ? Frames.CONTINUATION : message;
-        boolean flag = !begun && compressed;
-        begun = true;
+        int pieceOpcode = messageBegun ? Frames.CONTINUATION : messageOpcode;
+        boolean compressedFlag = !messageBegun && compressed;
+        messageBegun = true;
         if (ends) {
-            message = 0;
+            messageOpcode = 0;
         }
-        sink.data(as, flag, piece, ends);
+        sink.data(pieceOpcode, compressedFlag, piece, ends);
     }
 
-    private void control() throws ProtocolViolationException {
-        byte[] payload = new byte[control.readableBytes()];
-        control.readBytes(payload);
+    private void finishControlFrame() throws ProtocolViolationException {
+        byte[] payload = new byte[controlPayload.readableBytes()];
+        controlPayload.readBytes(payload);
         if (opcode == Frames.CLOSE) {
             checkClose(payload);
             closed = true;
@@ -229,7 +224,7 @@
             return;
         }
         check(payload.length >= 2, "close code cut short");
-        check(Frames.isCode((payload[0] & 0xff) << 8 | payload[1] & 0xff), "no such close code");
+        check(Frames.isValidCloseCode((payload[0] & 0xff) << 8 | payload[1] & 0xff), "no such close code");
         try {
             StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(payload, 2, payload.length - 2));
         } catch (CharacterCodingException e) {
--- a/src/main/java/org/cypressweir/sidecar/websocket/Handshake.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Handshake.java
@@ -16,36 +16,34 @@
 import java.util.Set;
 
 /**
- * The opening handshake of RFC 6455, section 4: what a client asks for, what goes on to a server, and
- * whether a
- * server's 101 answers just that. Of extensions only permessage-deflate (RFC 7692) goes on: it is passed
- * through
- * untouched, and what is not known could give frames another meaning.
+ * The opening handshake of RFC 6455, section 4: parses a client's upgrade request, writes the request to a server, and
+ * validates the server's 101 response against it. The only extension forwarded is permessage-deflate (RFC 7692), whose
+ * frames pass through unchanged; an unknown extension could change the meaning of frames.
  */
 public final class Handshake {
 
-    /** The only version there is. */
+    /** The WebSocket protocol version of RFC 6455. */
     public static final String VERSION = "13";
 
     private static final String GUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
     private static final String DEFLATE = "permessage-deflate";
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
-    /** Length of a key, in bytes. */
+    /** Length of a decoded Sec-WebSocket-Key, in bytes. */
     public static final int KEY_BYTES = 16;
 
-    private final String accept;
+    private final String expectedAccept;
     private final List<String> protocols;
     private final List<String> extensions;
     private final String key;
 
     private Handshake(String key, List<String> protocols, List<String> extensions) {
         this.key = key;
-        accept = accept(key);
+        expectedAccept = acceptKey(key);
         this.protocols = protocols;
         this.extensions = extensions;
     }
 
-    /** A request for an upgrade that is none; the status and the text are for its client. */
+    /** Thrown for an invalid upgrade request; status and message are sent to the client. */
     public static final class Refused extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -62,8 +60,7 @@
     }
 
     /**
-     * Whether a request asks to go over to WebSocket; other protocols, h2c among them, are not asked for
-     * here.
+     * Whether a request asks for an upgrade to WebSocket; upgrades to other protocols, such as h2c, do not count.
      */
     public static boolean isAsked(HttpHeaders headers) {
         return hasToken(headers, HttpHeaderNames.UPGRADE, "websocket")
@@ -71,7 +68,7 @@
     }
 
     /**
-     * Reads a request for an upgrade.
+     * Parses an upgrade request.
      *
      * @throws Refused with 400, or 426 for another version (section 4.4)
      */
@@ -103,30 +100,30 @@
         return new Handshake(keys.get(0).trim(), protocols, extensions);
     }
 
-    /** The same without any extension, whose state could not be taken to another server. */
+    /** Returns the handshake without extensions, because an extension's state can't be moved to another server. */
     public Handshake plain() {
         return new Handshake(key, protocols, List.of());
     }
 
-    /** Another one for the same connection: with a key of its own and just the subprotocol agreed on. */
+    /** Returns a handshake to move the connection to another server: with a new key and only the agreed subprotocol. */
     public Handshake again(String protocol, byte[] ownKey) {
         return new Handshake(Base64.getEncoder().encodeToString(ownKey), List.of(protocol), List.of());
     }
 
-    /** Whether any of these subprotocols is offered. */
-    public boolean offers(Set<String> any) {
-        return protocols.stream().anyMatch(any::contains);
+    /** Whether the client offered any of these subprotocols. */
+    public boolean offers(Set<String> candidates) {
+        return protocols.stream().anyMatch(candidates::contains);
     }
 
-    /** The subprotocol of a sound 101; null for none. */
-    public static String protocol(HttpResponse answer) {
-        String chosen = answer.headers().get(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
-        return chosen == null ? null : chosen.trim();
+    /** The subprotocol of a valid 101 response; null for none. */
+    public static String protocol(HttpResponse response) {
+        String selected = response.headers().get(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
+        return selected == null ? null : selected.trim();
     }
 
-    private static void require(boolean holds, String otherwise) throws Refused {
-        if (!holds) {
-            throw new Refused(HttpResponseStatus.BAD_REQUEST, otherwise);
+    private static void require(boolean condition, String message) throws Refused {
+        if (!condition) {
+            throw new Refused(HttpResponseStatus.BAD_REQUEST, message);
         }
     }
 
@@ -138,7 +135,7 @@
         }
     }
 
-    /** Turns headers that go on end to end into those of this handshake. */
+    /** Adds this handshake's headers to the end-to-end headers of a request. */
     public void ask(HttpHeaders headers) {
         headers.set(HttpHeaderNames.CONNECTION, "Upgrade").set(HttpHeaderNames.UPGRADE, "websocket");
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
@@ -153,11 +150,11 @@
         }
     }
 
-    /** What is wrong with a server's 101 (section 4.1, the client's part); null where it is sound. */
-    public String fault(HttpResponse answer) {
-        HttpHeaders headers = answer.headers();
+    /** Describes what is wrong with a server's 101 response (section 4.1, the client's part); null if it is valid. */
+    public String fault(HttpResponse response) {
+        HttpHeaders headers = response.headers();
         List<String> upgrade = tokens(headers, HttpHeaderNames.UPGRADE);
-        List<String> chosen = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
+        List<String> selected = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
         List<String> agreed = tokens(headers, HttpHeaderNames.SEC_WEBSOCKET_EXTENSIONS);
         List<String> accepts = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_ACCEPT);
         if (upgrade.size() != 1
@@ -165,11 +162,11 @@
                 || !hasToken(headers, HttpHeaderNames.CONNECTION, "upgrade")) {
             return "101 for something else";
         }
-        if (accepts.size() != 1 || !accepts.get(0).trim().equals(accept)) {
+        if (accepts.size() != 1 || !accepts.get(0).trim().equals(expectedAccept)) {
             return "a wrong accept key";
         }
-        if (chosen.size() > 1
-                || chosen.size() == 1 && !protocols.contains(chosen.get(0).trim())) {
+        if (selected.size() > 1
+                || selected.size() == 1 && !protocols.contains(selected.get(0).trim())) {
             return "a subprotocol that was not offered";
         }
         if (agreed.size() > 1
@@ -180,9 +177,9 @@
         return null;
     }
 
-    /** Whether a sound 101 agrees on permessage-deflate. */
-    public static boolean isCompressed(HttpResponse answer) {
-        return answer.headers().contains(HttpHeaderNames.SEC_WEBSOCKET_EXTENSIONS);
+    /** Whether a valid 101 response agrees on permessage-deflate. */
+    public static boolean isCompressed(HttpResponse response) {
+        return response.headers().contains(HttpHeaderNames.SEC_WEBSOCKET_EXTENSIONS);
     }
 
     private static String name(String extension) {
@@ -190,13 +187,13 @@
         return (semicolon < 0 ? extension : extension.substring(0, semicolon)).trim();
     }
 
-    /** The value that proves that a server has read this key (section 4.2.2). */
-    public static String accept(String key) {
+    /** Computes the Sec-WebSocket-Accept value, which proves that a server has read this key (section 4.2.2). */
+    public static String acceptKey(String key) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-1").digest((key + GUID).getBytes(StandardCharsets.US_ASCII));
             return Base64.getEncoder().encodeToString(hash);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every runtime has SHA-1", e);
+            throw new IllegalStateException("the Java runtime lacks SHA-1", e);
         }
     }
 
@@ -204,7 +201,7 @@
         return tokens(headers, name).stream().anyMatch(t -> t.equalsIgnoreCase(token));
     }
 
-    /** The elements of a header that is a list, over all its fields (RFC 9110, section 5.6.1). */
+    /** The elements of a list header, from all of its field lines (RFC 9110, section 5.6.1). */
     private static List<String> tokens(HttpHeaders headers, CharSequence name) {
         List<String> tokens = new ArrayList<>();
         for (String field : headers.getAll(name)) {
--- a/src/main/java/org/cypressweir/sidecar/websocket/OpenTunnelLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/OpenTunnelLimits.java
@@ -8,101 +8,103 @@
 import java.util.Set;
 
 /**
- * How many connections stay open under each bound, and which of them make room for a new one: of those that
- * count under a bound that is reached and have been without data for long enough, none within a message, the
- * one that has been so for the longest. Handshakes count from when they are asked for. No clock.
+ * Limits the number of open tunnels under each bound, and selects tunnels to evict for a new one: under a bound that
+ * is reached, the longest idle tunnel that is not within a message, if it has been idle for long enough. A tunnel
+ * counts from when its handshake is requested. Reads no clock: callers pass the time.
  *
- * @param <T> an open connection
+ * @param <T> an open tunnel
  */
-public final class OpenTunnelLimits<T extends DrainOrder.Leaver> {
+public final class OpenTunnelLimits<T extends DrainOrder.Drainable> {
 
-    private final Map<Object, Set<Place>> counted = new HashMap<>();
+    private final Map<Object, Set<Slot>> slotsByKey = new HashMap<>();
 
     /**
-     * At most so many.
+     * An upper limit on a number of tunnels.
      *
-     * @param name what is counted: equal names are counted together
+     * @param key what is counted: bounds with equal keys are counted together
      */
-    public record Bound(Object name, int most) {}
+    public record Bound(Object key, int maxOpen) {}
 
-    /** One that counts until it has left. */
-    public final class Place {
+    /** Counts one tunnel under its bounds until released. */
+    public final class Slot {
         private final List<Bound> bounds;
-        private T holder;
+        private T tunnel;
 
-        private Place(List<Bound> bounds) {
+        private Slot(List<Bound> bounds) {
             this.bounds = bounds;
-            bounds.forEach(b -> counted.computeIfAbsent(b.name(), n -> new LinkedHashSet<>())
+            bounds.forEach(b -> slotsByKey
+                    .computeIfAbsent(b.key(), n -> new LinkedHashSet<>())
                     .add(this));
         }
 
-        /** The handshake is over: this is open now. */
-        public void holds(T open) {
-            holder = open;
+        /** Sets the tunnel that has been opened after its handshake; only now can it be evicted. */
+        public void setTunnel(T opened) {
+            tunnel = opened;
         }
 
-        /** It counts no longer; a second time means nothing. */
-        public void leave() {
+        /** Stops counting the tunnel; further calls have no effect. */
+        public void release() {
             for (Bound b : bounds) {
-                Set<Place> same = counted.get(b.name());
-                if (same != null && same.remove(this) && same.isEmpty()) {
-                    counted.remove(b.name());
+                Set<Slot> slots = slotsByKey.get(b.key());
+                if (slots != null && slots.remove(this) && slots.isEmpty()) {
+                    slotsByKey.remove(b.key());
                 }
             }
         }
     }
 
     /**
-     * What becomes of one more.
+     * The result of a request for one more tunnel.
      *
-     * @param place null where it is refused; then nobody is evicted
-     * @param evicted those that count no longer and are to be closed
+     * @param slot null if the tunnel is rejected; then none is evicted
+     * @param evicted tunnels that no longer count and must be closed
      */
-    public record Entry<T extends DrainOrder.Leaver>(OpenTunnelLimits<T>.Place place, List<T> evicted) {}
+    public record Decision<T extends DrainOrder.Drainable>(OpenTunnelLimits<T>.Slot slot, List<T> evicted) {}
 
     /**
-     * Asks for one more under these bounds.
+     * Requests one more tunnel under these bounds.
      *
-     * @param evictMicros from how long without data an open one may be evicted for it; 0 for never
+     * @param evictMicros how long a tunnel must have been without data to be evicted; 0 for never
      */
-    public Entry<T> enter(List<Bound> bounds, long now, long evictMicros) {
-        List<Place> evicted = new ArrayList<>();
+    public Decision<T> acquire(List<Bound> bounds, long now, long evictMicros) {
+        List<Slot> evicted = new ArrayList<>();
         for (Bound bound : bounds) {
-            // One that already goes may make room under several bounds.
-            long gone = evicted.stream().filter(p -> counts(p, bound)).count();
-            if (count(bound.name()) - gone < bound.most()) {
+            // A tunnel already selected for eviction may make room under several bounds.
+            long alreadyFreed =
+                    evicted.stream().filter(p -> countsUnder(p, bound)).count();
+            if (count(bound.key()) - alreadyFreed < bound.maxOpen()) {
                 continue;
             }
-            Place longest = evictMicros <= 0 ? null : longestQuiet(bound, evicted);
-            if (longest == null || now - longest.holder.dataAt() < evictMicros) {
-                return new Entry<>(null, List.of());
+            Slot longestIdle = evictMicros <= 0 ? null : longestIdle(bound, evicted);
+            if (longestIdle == null || now - longestIdle.tunnel.lastDataAt() < evictMicros) {
+                return new Decision<>(null, List.of());
             }
-            evicted.add(longest);
+            evicted.add(longestIdle);
         }
-        List<T> leaving = evicted.stream().map(p -> p.holder).toList();
-        evicted.forEach(Place::leave);
-        return new Entry<>(new Place(bounds), leaving);
+        List<T> evictedTunnels = evicted.stream().map(p -> p.tunnel).toList();
+        evicted.forEach(Slot::release);
+        return new Decision<>(new Slot(bounds), evictedTunnels);
     }
 
-    private boolean counts(Place place, Bound bound) {
-        return counted.getOrDefault(bound.name(), Set.of()).contains(place);
+    private boolean countsUnder(Slot slot, Bound bound) {
+        return slotsByKey.getOrDefault(bound.key(), Set.of()).contains(slot);
     }
 
-    private Place longestQuiet(Bound bound, List<Place> but) {
-        Place longest = null;
-        for (Place p : counted.getOrDefault(bound.name(), Set.of())) {
-            if (p.holder != null
-                    && !p.holder.inMessage()
-                    && !but.contains(p)
-                    && (longest == null || p.holder.dataAt() < longest.holder.dataAt())) {
-                longest = p;
+    private Slot longestIdle(Bound bound, List<Slot> excluded) {
+        Slot longestIdle = null;
+        for (Slot p : slotsByKey.getOrDefault(bound.key(), Set.of())) {
+            if (p.tunnel != null
+                    && !p.tunnel.inMessage()
+                    && !excluded.contains(p)
+                    && (longestIdle == null || p.tunnel.lastDataAt() < longestIdle.tunnel.lastDataAt())) {
+                longestIdle = p;
             }
         }
-        return longest;
+        return longestIdle;
     }
 
-    /** How many count under a name. */
-    public int count(Object name) {
-        return counted.getOrDefault(name, Set.of()).size();
+    /** How many tunnels count under a key. */
+    public int count(Object key) {
+        return slotsByKey.getOrDefault(key, Set.of()).size();
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
@@ -19,42 +19,41 @@
 import org.cypressweir.sidecar.websocket.UpgradeAccount.Event;
 
 /**
- * A client's and a server's connection that carry frames for each other. Each piece that comes on one side
- * goes
- * out on the other as a frame of its own, so a frame is never torn, whatever breaks. A side whose peer reads
- * slowly is not read from. All of it runs on one event loop.
+ * Forwards WebSocket frames between a client's connection and a server's. Each piece read on one side is sent on the
+ * other as a frame of its own, so that no frame is ever left incomplete when a connection breaks. Reading from one
+ * side pauses while the other side's write buffer is full. Everything runs on one event loop.
  */
-public final class Tunnel implements DrainOrder.Leaver {
+public final class Tunnel implements DrainOrder.Drainable {
 
-    /** What a tunnel tells, always on the event loop. */
+    /** Notified of a tunnel's end, always on the event loop. */
     public interface Listener {
-        /** Both sides are down; nothing more comes of it. */
+        /** Both connections are closed; no further call follows. */
         void ended(Tunnel tunnel);
     }
 
-    /** Bytes that wait to be written to one side: above the upper the other is not read, until the lower. */
-    static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
-    /** From the first close frame until both sides must be down. */
-    static final long CLOSE_MICROS = 2_000_000;
-
-    /** How long a server that was told to close may go on with what it had in hand. */
-    static final long LONGEST_SWITCH_MICROS = 10_000_000;
-
-    private static final int MARK = 8;
-    /** What an open tunnel weighs that carries nothing, in requests in flight. */
-    static final double OPEN_WEIGHT = 0.02;
-    /** For how long a message, and a byte, is taken to keep a server busy, as a request would. */
-    private static final double MESSAGE_SECONDS = 0.005;
-
-    private static final double BYTE_SECONDS = 1e-7;
-    /** Weight of what was last seen in what is known. */
-    private static final double WEIGH_PART = 0.5;
-    /** What a new one is taken to carry: a handshake and three messages in its first second. */
-    private static final double START_WEIGHT = 0.02;
-    /** Longest first message that can be repeated, in bytes. */
-    private static final int MOST_REPEATED = 64 * 1024;
-    /** Codes with which a server that was told to close says that nothing is wrong. */
-    private static final Set<Integer> IN_ORDER = Set.of(1000, Frames.GOING_AWAY, 1012);
+    /** Bytes buffered for one side: above the upper limit the other side is not read until below the lower limit. */
+    static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
+    /** Time from the first close frame until both connections must be closed. */
+    static final long CLOSE_TIMEOUT_MICROS = 2_000_000;
+
+    /** How long a server that was sent a close frame may go on sending what it had begun. */
+    static final long MAX_SWITCH_MICROS = 10_000_000;
+
+    private static final int PING_PAYLOAD_BYTES = 8;
+    /** Load of an open tunnel without traffic, in requests in flight. */
+    static final double IDLE_TUNNEL_WEIGHT = 0.02;
+    /** How long one message, or one byte, is assumed to keep a server as busy as one request in flight. */
+    private static final double SECONDS_PER_MESSAGE = 0.005;
+
+    private static final double SECONDS_PER_BYTE = 1e-7;
+    /** Weight of the newest sample in the moving average of a tunnel's traffic. */
+    private static final double SMOOTHING_FACTOR = 0.5;
+    /** Assumed traffic load of a new tunnel: a handshake and three messages in its first second. */
+    private static final double INITIAL_TRAFFIC_WEIGHT = 0.02;
+    /** Longest first message that can be sent again to another server. */
+    private static final int MAX_REPLAYED_MESSAGE_BYTES = 64 * 1024;
+    /** Close codes with which a server that was sent a close frame reports a normal end. */
+    private static final Set<Integer> ORDERLY_CLOSE_CODES = Set.of(1000, Frames.GOING_AWAY, 1012);
 
     private final WebSocketLimits limits;
     private final UpgradeAccount account;
@@ -64,37 +63,37 @@
     private final Side client;
     private Side server;
     private final long openedAt;
-    private long dataAt;
-    private long weighedAt;
-    private long messages;
-    private long bytes;
-    private double carried = START_WEIGHT;
+    private long lastDataAt;
+    private long weightUpdatedAt;
+    private long messageCount;
+    private long byteCount;
+    private double trafficWeight = INITIAL_TRAFFIC_WEIGHT;
     private long closingAt;
     private boolean ended;
-    private TunnelMigration.State move = TunnelMigration.State.NONE;
-    private Next next;
+    private TunnelMigration.State migration = TunnelMigration.State.NONE;
+    private MoveTarget moveTarget;
     private long switchingAt;
-    /** What the client has sent since the old server was told to close. */
-    private final ArrayDeque<PendingFrame> held = new ArrayDeque<>(0);
-    /** The client's first message, as far as it has come; null where none is to be repeated. */
-    private ByteBuf first;
+    /** The client's frames since the old server was sent a close frame. */
+    private final ArrayDeque<PendingFrame> heldFrames = new ArrayDeque<>(0);
+    /** The client's first message, as far as received; null if no message is to be sent again after a move. */
+    private ByteBuf firstMessage;
 
-    private int firstOpcode;
-    private boolean firstEnded;
+    private int firstMessageOpcode;
+    private boolean firstMessageEnded;
 
-    /** The connection that takes the place of the server's. */
-    private record Next(Channel channel, ByteBuf early, Moved moved) {}
+    /** The connection that replaces the old server's. */
+    private record MoveTarget(Channel channel, ByteBuf early, MoveCallback callback) {}
 
-    /** A frame that waits for the other server. */
+    /** A frame that waits for the new server. */
     private record PendingFrame(int opcode, boolean last, ByteBuf payload) {}
 
-    /** What becomes of a move whose other server had agreed; told once, on the event loop. */
-    public interface Moved {
-        /** The tunnel goes on there, or the other server was not needed after all. */
-        void over(boolean done);
+    /** Notified of the outcome of a move whose new server had accepted; called once, on the event loop. */
+    public interface MoveCallback {
+        /** The tunnel now uses the new server, or (false) it did not move and the connection was closed. */
+        void completed(boolean moved);
     }
 
-    /** Between two connections whose pipelines have nothing left that reads; it takes over both. */
+    /** Takes ownership of two connections whose pipelines contain no handler that reads any more. */
     public Tunnel(
             WebSocketLimits limits,
             boolean compressed,
@@ -110,53 +109,53 @@
         this.listener = listener;
         this.random = random;
         openedAt = clock.getAsLong();
-        dataAt = openedAt;
-        weighedAt = openedAt;
+        lastDataAt = openedAt;
+        weightUpdatedAt = openedAt;
         this.client = new Side(client, true, compressed, openedAt);
         this.server = new Side(server, false, compressed, openedAt);
         this.client.other = this.server;
         this.server.other = this.client;
-        first = limits.resume() != null && limits.resume().firstMessage() ? Unpooled.buffer(0) : null;
+        firstMessage = limits.resume() != null && limits.resume().firstMessage() ? Unpooled.buffer(0) : null;
     }
 
-    /** Begins to carry; what came early on either side goes first. The buffers are taken over. */
+    /** Starts forwarding, first the bytes already received on either side. Takes ownership of the buffers. */
     public void begin(ByteBuf earlyFromClient, ByteBuf earlyFromServer) {
         for (Side side : new Side[] {client, server}) {
-            side.channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING);
+            side.channel.config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS);
         }
         server.read(earlyFromServer);
         client.read(earlyFromClient);
         client.channel.pipeline().addLast("tunnel", client);
         server.channel.pipeline().addLast("tunnel", server);
-        flow();
+        resumeReading();
     }
 
-    /** Lets both sides be read, each as the other takes what comes of it. */
-    private void flow() {
+    /** Enables reading on each side while the other side can be written to. */
+    private void resumeReading() {
         client.channel.flush();
         server.channel.flush();
         client.channel.config().setAutoRead(server.channel.isWritable());
         server.channel.config().setAutoRead(client.channel.isWritable());
         if (!client.channel.isActive()) {
-            client.down();
+            client.handleDown();
         }
         if (!server.channel.isActive()) {
-            server.down();
+            server.handleDown();
         }
     }
 
     /**
-     * What it weighs for its server, in requests in flight: a stated part for being open, and one for what it
-     * carries, learned from the messages and bytes since it was last asked; to be asked now and then.
+     * Returns the tunnel's load on its server, in requests in flight: a constant for being open, and a moving average
+     * of the messages and bytes since the previous call. Called periodically.
      */
-    double weigh(long now) {
-        double seconds = Math.max(0.1, (now - weighedAt) / 1e6);
-        double seen = (messages * MESSAGE_SECONDS + bytes * BYTE_SECONDS) / seconds;
-        carried += WEIGH_PART * (seen - carried);
-        messages = 0;
-        bytes = 0;
-        weighedAt = now;
-        return OPEN_WEIGHT + Math.min(1, carried);
+    double updateWeight(long now) {
+        double seconds = Math.max(0.1, (now - weightUpdatedAt) / 1e6);
+        double observed = (messageCount * SECONDS_PER_MESSAGE + byteCount * SECONDS_PER_BYTE) / seconds;
+        trafficWeight += SMOOTHING_FACTOR * (observed - trafficWeight);
+        messageCount = 0;
+        byteCount = 0;
+        weightUpdatedAt = now;
+        return IDLE_TUNNEL_WEIGHT + Math.min(1, trafficWeight);
     }
 
     @Override
@@ -165,138 +164,138 @@
     }
 
     @Override
-    public long dataAt() {
-        return dataAt;
+    public long lastDataAt() {
+        return lastDataAt;
     }
 
-    /** Ends it in order: both sides are sent a close frame, and have their time to answer it. */
+    /** Starts an orderly close: both sides are sent a close frame and have a time-out to answer it. */
     public void close(int code, String reason, long nowMicros) {
         if (closingAt == 0) {
             account.on(Event.SIDECAR_CLOSES);
-            closing(nowMicros);
-            client.sendClose(Frames.closing(code, reason));
-            server.sendClose(Frames.closing(code, reason));
+            startClosing(nowMicros);
+            client.sendClose(Frames.closePayload(code, reason));
+            server.sendClose(Frames.closePayload(code, reason));
             client.channel.flush();
             server.channel.flush();
         }
     }
 
-    /** Ends it in order, since its server or this process goes. */
+    /** Starts an orderly close because the server or this process is shutting down. */
     public void goAway(long nowMicros) {
         close(limits.closeNotice().code(), limits.closeNotice().reason(), nowMicros);
     }
 
-    /** Whether it may begin to move to another server. */
+    /** Whether the tunnel can begin to move to another server. */
     public boolean canMove() {
-        boolean repeatable = first == null || first.readableBytes() <= MOST_REPEATED;
-        return closingAt == 0 && move == TunnelMigration.State.NONE && repeatable;
+        boolean repeatable = firstMessage == null || firstMessage.readableBytes() <= MAX_REPLAYED_MESSAGE_BYTES;
+        return closingAt == 0 && migration == TunnelMigration.State.NONE && repeatable;
     }
 
-    /** Another server is asked for; {@link #moveTo} or {@link #notMoved} follows. */
-    public void moving() {
-        move = TunnelMigration.next(move, TunnelMigration.Event.ASK);
+    /** Another server is being requested; {@link #moveTo} or {@link #moveRefused} follows. */
+    public void beginMove() {
+        migration = TunnelMigration.next(migration, TunnelMigration.Event.ASK);
     }
 
-    /** No other server agreed. */
-    public void notMoved() {
-        move = TunnelMigration.next(move, TunnelMigration.Event.REFUSED);
+    /** No other server accepted the tunnel. */
+    public void moveRefused() {
+        migration = TunnelMigration.next(migration, TunnelMigration.Event.REFUSED);
     }
 
-    /** Another server has agreed: goes over as soon as that is in order. The connection is taken over. */
-    public void moveTo(Channel channel, ByteBuf early, Moved moved) {
-        next = new Next(channel, early, moved);
-        if (move != TunnelMigration.State.ASKING || closingAt != 0) {
-            callOff();
+    /** Another server accepted: switches to it between two messages. Takes ownership of the connection. */
+    public void moveTo(Channel channel, ByteBuf early, MoveCallback callback) {
+        moveTarget = new MoveTarget(channel, early, callback);
+        if (migration != TunnelMigration.State.ASKING || closingAt != 0) {
+            cancelMove();
             return;
         }
-        move = TunnelMigration.next(
-                move,
+        migration = TunnelMigration.next(
+                migration,
                 client.reader.inMessage() ? TunnelMigration.Event.AGREED_WITHIN : TunnelMigration.Event.AGREED_BETWEEN);
         beginSwitch();
     }
 
     private void beginSwitch() {
-        if (move == TunnelMigration.State.SWITCHING) {
+        if (migration == TunnelMigration.State.SWITCHING) {
             switchingAt = now();
             client.channel.config().setAutoRead(false);
             server.channel.config().setAutoRead(client.channel.isWritable());
-            server.sendClose(Frames.closing(Frames.GOING_AWAY, "moved"));
+            server.sendClose(Frames.closePayload(Frames.GOING_AWAY, "moved"));
             server.channel.flush();
         }
     }
 
-    /** The old server has said all that it had to say, and has read all that it was sent. */
-    private void goOver() {
-        move = TunnelMigration.next(move, TunnelMigration.Event.OLD_CLOSED);
+    /** Called on the old server's close frame: it has sent all of its data and read all that it was sent. */
+    private void completeMove() {
+        migration = TunnelMigration.next(migration, TunnelMigration.Event.OLD_CLOSED);
         Side old = server;
         old.detached = true;
         old.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> old.channel.close());
-        Next to = next;
-        next = null;
+        MoveTarget to = moveTarget;
+        moveTarget = null;
         server = new Side(to.channel(), false, client.compressed, now());
         server.other = client;
         client.other = server;
-        to.channel().config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING);
-        if (first != null && first.isReadable()) {
-            server.send(firstOpcode, true, false, first.copy());
+        to.channel().config().setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS);
+        if (firstMessage != null && firstMessage.isReadable()) {
+            server.send(firstMessageOpcode, true, false, firstMessage.copy());
         }
-        for (PendingFrame h; (h = held.poll()) != null; ) {
+        for (PendingFrame h; (h = heldFrames.poll()) != null; ) {
             if (h.opcode() == Frames.CLOSE) {
                 byte[] payload = ByteBufUtil.getBytes(h.payload());
                 h.payload().release();
-                client.closeGot(payload);
+                client.handleClose(payload);
             } else {
                 server.send(h.opcode(), h.last(), false, h.payload());
             }
         }
-        to.moved().over(true);
+        to.callback().completed(true);
         server.read(to.early());
         to.channel().pipeline().addLast("tunnel", server);
-        flow();
+        resumeReading();
     }
 
-    /** Stays as it is or ends as a whole: the other server is not needed. */
-    private void callOff() {
-        move = TunnelMigration.next(move, TunnelMigration.Event.CALLED_OFF);
-        held.forEach(h -> h.payload().release());
-        held.clear();
-        if (next != null) {
-            Next unused = next;
-            next = null;
+    /** Cancels a move: the tunnel stays with its server or closes, and the new server is not needed. */
+    private void cancelMove() {
+        migration = TunnelMigration.next(migration, TunnelMigration.Event.CALLED_OFF);
+        heldFrames.forEach(h -> h.payload().release());
+        heldFrames.clear();
+        if (moveTarget != null) {
+            MoveTarget unused = moveTarget;
+            moveTarget = null;
             unused.early().release();
             unused.channel()
                     .writeAndFlush(Frames.frame(
                             Frames.CLOSE,
                             true,
                             false,
-                            Unpooled.wrappedBuffer(Frames.closing(Frames.GOING_AWAY, "not needed")),
+                            Unpooled.wrappedBuffer(Frames.closePayload(Frames.GOING_AWAY, "not needed")),
                             mask()))
                     .addListener(f -> unused.channel().close());
-            unused.moved().over(false);
+            unused.callback().completed(false);
         }
     }
 
-    /** Ends both sides at once. */
+    /** Closes both connections immediately. */
     public void abort() {
         client.channel.close();
         server.channel.close();
     }
 
-    /** Looks at its times; to be called now and then. */
-    public void check(long now) {
+    /** Checks all time-outs and sends pings; called periodically. */
+    public void checkTimeouts(long now) {
         if (closingAt != 0) {
-            if (now - closingAt > CLOSE_MICROS) {
+            if (now - closingAt > CLOSE_TIMEOUT_MICROS) {
                 abort();
             }
-        } else if (move == TunnelMigration.State.SWITCHING) {
-            boolean silent = now - Math.max(switchingAt, server.dataAt) > CLOSE_MICROS;
-            if (silent || now - switchingAt > LONGEST_SWITCH_MICROS) {
-                // What it has read of what it was sent can't be known, so nobody may be sent it again.
+        } else if (migration == TunnelMigration.State.SWITCHING) {
+            boolean serverSilent = now - Math.max(switchingAt, server.lastDataAt) > CLOSE_TIMEOUT_MICROS;
+            if (serverSilent || now - switchingAt > MAX_SWITCH_MICROS) {
+                // How much of its input the old server has read is unknown, so no other server may be sent it again.
                 close(Frames.GOING_AWAY, "the server did not close", now);
             }
         } else if (limits.lifeMicros() > 0 && now - openedAt >= limits.lifeMicros()) {
             close(Frames.GOING_AWAY, "longest life", now);
-        } else if (limits.idleMicros() > 0 && now - dataAt >= limits.idleMicros()) {
+        } else if (limits.idleMicros() > 0 && now - lastDataAt >= limits.idleMicros()) {
             close(Frames.GOING_AWAY, "idle", now);
         } else if (limits.pingMicros() > 0) {
             client.ping(now);
@@ -304,19 +303,19 @@
         }
     }
 
-    private void closing(long now) {
+    private void startClosing(long now) {
         if (closingAt == 0) {
             closingAt = Math.max(1, now);
-            boolean heldBack = move == TunnelMigration.State.SWITCHING;
-            callOff();
+            boolean heldBack = migration == TunnelMigration.State.SWITCHING;
+            cancelMove();
             if (heldBack) {
-                // Its server is sent nothing more, so what it says costs nothing, and its close is heard.
+                // Nothing more is sent to the server, so reading the client fills no buffer. Its close frame is needed.
                 client.channel.config().setAutoRead(true);
             }
         }
     }
 
-    /** What goes to servers is masked (RFC 6455, section 5.3). */
+    /** Creates a masking key; frames to servers are masked (RFC 6455, section 5.3). */
     private byte[] mask() {
         byte[] mask = new byte[4];
         ByteBuffer.wrap(mask).putInt(random.nextInt());
@@ -327,12 +326,12 @@
         return clock.getAsLong();
     }
 
-    private void sideDown() {
+    private void endIfBothDown() {
         if (client.down && server.down && !ended) {
             ended = true;
-            if (first != null) {
-                first.release();
-                first = null;
+            if (firstMessage != null) {
+                firstMessage.release();
+                firstMessage = null;
             }
             account.on(Event.END);
             listener.ended(this);
@@ -346,15 +345,15 @@
         private final FrameReader reader;
         private final boolean compressed;
         private Side other;
-        private long dataAt;
-        /** The tunnel goes on without it. */
+        private long lastDataAt;
+        /** Whether the tunnel has moved on to another connection. */
         private boolean detached;
 
         private boolean closeSent;
-        private boolean closeGot;
+        private boolean closeReceived;
         private boolean down;
         private long pingedAt;
-        /** The payload of the ping that has not been answered; null where there is none. */
+        /** The payload of the unanswered ping; null if there is none. */
         private byte[] ping;
 
         Side(Channel channel, boolean isClient, boolean compressed, long now) {
@@ -378,7 +377,7 @@
             try {
                 reader.read(bytes);
             } catch (ProtocolViolationException e) {
-                violated(e);
+                handleViolation(e);
             } finally {
                 bytes.release();
             }
@@ -392,7 +391,7 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            boolean heldBack = !isClient && move == TunnelMigration.State.SWITCHING;
+            boolean heldBack = !isClient && migration == TunnelMigration.State.SWITCHING;
             if (!detached && !heldBack) {
                 other.channel.config().setAutoRead(channel.isWritable());
             }
@@ -401,7 +400,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (!detached) {
-                down();
+                handleDown();
             }
             context.fireChannelInactive();
         }
@@ -413,47 +412,47 @@
 
         @Override
         public void data(int opcode, boolean compressed, ByteBuf payload, boolean last) {
-            dataAt = now();
-            Tunnel.this.dataAt = dataAt;
-            messages += last ? 1 : 0;
-            bytes += payload.readableBytes();
+            lastDataAt = now();
+            Tunnel.this.lastDataAt = lastDataAt;
+            messageCount += last ? 1 : 0;
+            byteCount += payload.readableBytes();
             if (isClient) {
-                remember(opcode, payload);
+                recordFirstMessage(opcode, payload);
             }
-            if (isClient && move == TunnelMigration.State.SWITCHING) {
-                held.add(new PendingFrame(opcode, last, payload));
+            if (isClient && migration == TunnelMigration.State.SWITCHING) {
+                heldFrames.add(new PendingFrame(opcode, last, payload));
                 return;
             }
             other.send(opcode, last, compressed, payload);
-            if (isClient && last && move == TunnelMigration.State.WAITING) {
-                move = TunnelMigration.next(move, TunnelMigration.Event.MESSAGE_ENDS);
+            if (isClient && last && migration == TunnelMigration.State.WAITING) {
+                migration = TunnelMigration.next(migration, TunnelMigration.Event.MESSAGE_ENDS);
                 beginSwitch();
             }
         }
 
-        /** Keeps the first message where it is to be repeated. */
-        private void remember(int opcode, ByteBuf payload) {
-            if (first != null && (firstOpcode == 0 || !firstEnded)) {
-                firstOpcode = firstOpcode == 0 ? opcode : firstOpcode;
-                if (first.readableBytes() <= MOST_REPEATED) {
-                    first.writeBytes(payload, payload.readerIndex(), payload.readableBytes());
+        /** Stores the first message if it is to be sent again after a move. */
+        private void recordFirstMessage(int opcode, ByteBuf payload) {
+            if (firstMessage != null && (firstMessageOpcode == 0 || !firstMessageEnded)) {
+                firstMessageOpcode = firstMessageOpcode == 0 ? opcode : firstMessageOpcode;
+                if (firstMessage.readableBytes() <= MAX_REPLAYED_MESSAGE_BYTES) {
+                    firstMessage.writeBytes(payload, payload.readerIndex(), payload.readableBytes());
                 }
-                firstEnded = !reader.inMessage();
+                firstMessageEnded = !reader.inMessage();
             }
         }
 
         @Override
         public void control(int opcode, byte[] payload) {
-            if (isClient && move == TunnelMigration.State.SWITCHING) {
-                held.add(new PendingFrame(opcode, true, Unpooled.wrappedBuffer(payload)));
+            if (isClient && migration == TunnelMigration.State.SWITCHING) {
+                heldFrames.add(new PendingFrame(opcode, true, Unpooled.wrappedBuffer(payload)));
             } else if (opcode == Frames.CLOSE
                     && !isClient
-                    && move == TunnelMigration.State.SWITCHING
+                    && migration == TunnelMigration.State.SWITCHING
                     && !reader.inMessage()
-                    && (payload.length == 0 || IN_ORDER.contains(code(payload)))) {
-                goOver();
+                    && (payload.length == 0 || ORDERLY_CLOSE_CODES.contains(closeCode(payload)))) {
+                completeMove();
             } else if (opcode == Frames.CLOSE) {
-                closeGot(payload);
+                handleClose(payload);
             } else if (opcode == Frames.PONG && ping != null && Arrays.equals(payload, ping)) {
                 ping = null;
             } else {
@@ -461,56 +460,56 @@
             }
         }
 
-        private static int code(byte[] payload) {
+        private static int closeCode(byte[] payload) {
             return (payload[0] & 0xff) << 8 | payload[1] & 0xff;
         }
 
-        private void closeGot(byte[] payload) {
-            closeGot = true;
+        private void handleClose(byte[] payload) {
+            closeReceived = true;
             account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
-            closing(now());
+            startClosing(now());
             other.sendClose(payload);
             other.channel.flush();
             endIfDone();
         }
 
-        /** Both have said good-bye to both: the server's connection goes first (RFC 6455, section 7.1.1). */
+        /** Closes the connections once both sides have exchanged close frames, the server's first (RFC 6455, 7.1.1). */
         private void endIfDone() {
-            if (closeGot && closeSent && (other.down || other.closeGot && other.closeSent)) {
+            if (closeReceived && closeSent && (other.down || other.closeReceived && other.closeSent)) {
                 server.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> server.channel.close());
                 client.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> client.channel.close());
             }
         }
 
-        private void violated(ProtocolViolationException violation) {
+        private void handleViolation(ProtocolViolationException violation) {
             account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
-            closing(now());
-            sendClose(Frames.closing(violation.code(), violation.getMessage()));
-            other.sendClose(Frames.closing(
+            startClosing(now());
+            sendClose(Frames.closePayload(violation.code(), violation.getMessage()));
+            other.sendClose(Frames.closePayload(
                     isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
                     isClient ? "the client broke the protocol" : "the server broke the protocol"));
-            // What it still sends can't be read any more; it has the rest of the time to hear why.
-            closeGot = true;
+            // Its further input can't be parsed. The close time-out leaves it time to receive the close frame.
+            closeReceived = true;
             channel.flush();
             other.channel.flush();
         }
 
-        private void down() {
+        private void handleDown() {
             if (down) {
                 return;
             }
             down = true;
             if (closingAt == 0) {
                 account.on(Event.BREAK);
-                closing(now());
+                startClosing(now());
             }
-            other.sendClose(Frames.closing(
+            other.sendClose(Frames.closePayload(
                     isClient ? Frames.GOING_AWAY : Frames.SERVER_ERROR,
                     isClient ? "the client is gone" : "the server is gone"));
             other.channel.flush();
             other.channel.config().setAutoRead(true);
             other.endIfDone();
-            sideDown();
+            endIfBothDown();
         }
 
         private void sendClose(byte[] payload) {
@@ -528,17 +527,17 @@
             channel.write(Frames.frame(opcode, last, compressed, payload, isClient ? null : mask()));
         }
 
-        /** A side that does not answer within its time is gone, though its connection says nothing. */
+        /** Pings the side, and closes its connection if a ping is not answered in time, even without a TCP error. */
         private void ping(long now) {
             if (!channel.config().isAutoRead()) {
-                // Nothing is read from it, so no answer can be seen.
+                // Reading is paused, so a pong could not be seen.
                 ping = null;
                 pingedAt = now;
             } else if (ping != null && now - pingedAt >= limits.pongMicros()) {
                 channel.close();
             } else if (ping == null && now - pingedAt >= limits.pingMicros()) {
                 pingedAt = now;
-                ping = new byte[MARK];
+                ping = new byte[PING_PAYLOAD_BYTES];
                 ByteBuffer.wrap(ping).putLong(random.nextLong());
                 send(Frames.PING, true, false, Unpooled.wrappedBuffer(ping.clone()));
                 channel.flush();
--- a/src/main/java/org/cypressweir/sidecar/websocket/TunnelAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/TunnelAdmission.java
@@ -10,50 +10,50 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 
 /**
- * What the servers of a pool can take of new connections that stay. Each takes so many a second, a cold one
- * its cold share of that; past what all of them take together a new one is refused at once and told when to
- * come back, each at a time of its own, so that a wave comes back as a stream. A server that has had its
- * part, or has as many as it may have, is full until that is over. No clock: it is told the time, in
- * microseconds.
+ * Limits the rate of new tunnels to the servers of a pool, with token buckets for the pool and for each server. A
+ * server accepts a fixed number per second, or its slow-start share of that. Above the rate of all servers together a
+ * new tunnel is rejected immediately with a retry time, different for each client, so that a burst of clients returns
+ * spread over time. A server that has used up its rate, or has its maximum of open tunnels, is full until that has
+ * passed. Reads no clock: callers pass the time, in microseconds.
  *
- * @param <S> a server, by identity
+ * @param <S> a server, used as a map key
  */
 public final class TunnelAdmission<S> {
 
-    /** How long a part that was not used is saved up: by all together and warm servers, by a cold one. */
-    private static final double SAVED_SECONDS = 1;
+    /** For how many seconds unused tokens accumulate: in the pool and for warm servers; for servers in slow start. */
+    private static final double BURST_SECONDS = 1;
 
-    private static final double COLD_SAVED_SECONDS = 0.1;
-    /** Nobody is asked to stay away for longer. */
-    static final long LONGEST_MICROS = 30_000_000;
+    private static final double COLD_BURST_SECONDS = 0.1;
+    /** The longest retry time that a client is given. */
+    static final long MAX_RETRY_MICROS = 30_000_000;
 
     private Rule rule;
-    private final Map<S, Account> servers = new HashMap<>();
-    /** Those that were told to be full. */
+    private final Map<S, ServerState> servers = new HashMap<>();
+    /** Servers that were reported as full. */
     private final Set<S> full = new LinkedHashSet<>();
 
-    private double saved = Double.NaN;
-    private long at;
-    private long nextReturn;
+    private double tokens = Double.NaN;
+    private long refilledAt;
+    private long nextRetryAt;
 
     /**
-     * What holds for each server.
+     * The limits of each server.
      *
-     * @param rate new connections a second that a warm one takes, above 0
-     * @param cold what a cold one takes of that
-     * @param most open connections at most
+     * @param connectionsPerSecond new tunnels per second that a warm server accepts, above 0
+     * @param slowStart gives the share of that which a server in slow start accepts
+     * @param maxOpen most open tunnels
      */
-    public record Rule(double rate, Rules cold, int most) {}
+    public record Rule(double connectionsPerSecond, Rules slowStart, int maxOpen) {}
 
-    private static final class Account {
+    private static final class ServerState {
         private final long startMicros;
-        private double saved;
-        private long at;
+        private double tokens;
+        private long refilledAt;
         private int open;
 
-        private Account(long startMicros, long now) {
+        private ServerState(long startMicros, long now) {
             this.startMicros = startMicros;
-            at = now;
+            refilledAt = now;
         }
     }
 
@@ -61,71 +61,75 @@
         this.rule = rule;
     }
 
-    /** Another rule holds from now on. */
-    public void rule(Rule other) {
-        rule = other;
+    /** Replaces the rule from now on. */
+    public void setRule(Rule newRule) {
+        rule = newRule;
     }
 
     /**
-     * Asks for one more; there are servers that take as much as so many warm ones.
+     * Requests one more tunnel.
      *
-     * @return -1 where it is taken, else after how many microseconds its client should come back
+     * @param warmServers capacity of the pool's servers, counted in warm ones
+     *
+     * @return -1 if admitted, otherwise after how many microseconds the client should retry
      */
-    public long ask(long now, double warmServers, SplittableRandom random) {
-        double rate = rule.rate() * warmServers / 1e6;
-        double most = Math.max(1, rate * 1e6 * SAVED_SECONDS);
-        saved = Double.isNaN(saved) ? most : Math.min(most, saved + rate * (now - at));
-        at = now;
-        if (warmServers > 0 && saved >= 1) {
-            saved--;
+    public long admit(long now, double warmServers, SplittableRandom random) {
+        double tokensPerMicro = rule.connectionsPerSecond() * warmServers / 1e6;
+        double maxTokens = Math.max(1, tokensPerMicro * 1e6 * BURST_SECONDS);
+        tokens = Double.isNaN(tokens) ? maxTokens : Math.min(maxTokens, tokens + tokensPerMicro * (now - refilledAt));
+        refilledAt = now;
+        if (warmServers > 0 && tokens >= 1) {
+            tokens--;
             return -1;
         }
-        // Those that were sent away before come first, if they do come.
-        nextReturn = Math.max(nextReturn, now) + (long) Math.min(LONGEST_MICROS, 1 / Math.max(1e-9, rate));
-        if (nextReturn - now > LONGEST_MICROS) {
-            nextReturn = now + LONGEST_MICROS;
-            return 1 + random.nextLong(LONGEST_MICROS);
+        // Retry times are handed out in order: clients rejected earlier return earlier.
+        nextRetryAt =
+                Math.max(nextRetryAt, now) + (long) Math.min(MAX_RETRY_MICROS, 1 / Math.max(1e-9, tokensPerMicro));
+        if (nextRetryAt - now > MAX_RETRY_MICROS) {
+            nextRetryAt = now + MAX_RETRY_MICROS;
+            return 1 + random.nextLong(MAX_RETRY_MICROS);
         }
-        return nextReturn - now;
+        return nextRetryAt - now;
     }
 
-    /** A handshake goes to a server that started then (0: long ago). */
-    public void tried(long now, S server, long startMicros) {
-        refill(now, account(now, server, startMicros)).saved--;
+    /** Records a handshake to a server that started at the given time (0: long ago). */
+    public void handshakeSent(long now, S server, long startMicros) {
+        refill(now, serverState(now, server, startMicros)).tokens--;
     }
 
-    /** A connection stays open at a server from now on. */
+    /** Records a tunnel that is now open at a server. */
     public void opened(long now, S server, long startMicros) {
-        account(now, server, startMicros).open++;
+        serverState(now, server, startMicros).open++;
     }
 
-    /** One has ended. */
+    /** Records that a tunnel of a server has ended. */
     public void ended(S server) {
-        Account account = servers.get(server);
-        if (account != null) {
-            account.open--;
+        ServerState serverState = servers.get(server);
+        if (serverState != null) {
+            serverState.open--;
         }
     }
 
-    /** How many are open there. */
+    /** How many tunnels are open at a server. */
     public int open(S server) {
-        Account account = servers.get(server);
-        return account == null ? 0 : account.open;
+        ServerState serverState = servers.get(server);
+        return serverState == null ? 0 : serverState.open;
     }
 
     /**
-     * Whether a server takes no further one now; one that does not is remembered until it is {@link #freed}.
+     * Whether a server accepts no further tunnel now; a full server is remembered until {@link #freed} returns it.
      */
     public boolean isFull(long now, S server) {
-        Account account = servers.get(server);
-        boolean is = account != null && (account.open >= rule.most() || refill(now, account).saved < 1);
-        if (is) {
+        ServerState serverState = servers.get(server);
+        boolean limited =
+                serverState != null && (serverState.open >= rule.maxOpen() || refill(now, serverState).tokens < 1);
+        if (limited) {
             full.add(server);
         }
-        return is;
+        return limited;
     }
 
-    /** Those that were full and are not any more; each is told once. */
+    /** Returns servers that were full and no longer are; each is returned once. */
     public List<S> freed(long now) {
         if (full.isEmpty()) {
             return List.of();
@@ -145,32 +149,39 @@
         return !full.isEmpty();
     }
 
-    /** Forgets servers of which nothing is open and that have saved up all they can. */
-    public void forget(long now) {
+    /** Forgets servers that have no open tunnel and whose token bucket is full. */
+    public void forgetIdle(long now) {
         servers.entrySet()
                 .removeIf(e -> e.getValue().open <= 0
                         && !full.contains(e.getKey())
-                        && refill(now, e.getValue()).saved >= most(now, e.getValue()));
+                        && refill(now, e.getValue()).tokens >= maxTokens(now, e.getValue()));
     }
 
-    private Account account(long now, S server, long startMicros) {
+    private ServerState serverState(long now, S server, long startMicros) {
         return servers.computeIfAbsent(server, s -> {
-            Account fresh = new Account(startMicros, now);
-            fresh.saved = most(now, fresh);
-            return fresh;
+            ServerState created = new ServerState(startMicros, now);
+            created.tokens = maxTokens(now, created);
+            return created;
         });
     }
 
-    private double most(long now, Account account) {
-        double share = rule.cold().coldShare(now, account.startMicros);
-        return Math.max(1, rule.rate() * share * (share < 1 ? COLD_SAVED_SECONDS : SAVED_SECONDS));
+    private double maxTokens(long now, ServerState serverState) {
+        double slowStartShare = rule.slowStart().coldShare(now, serverState.startMicros);
+        return Math.max(
+                1,
+                rule.connectionsPerSecond()
+                        * slowStartShare
+                        * (slowStartShare < 1 ? COLD_BURST_SECONDS : BURST_SECONDS));
     }
 
-    private Account refill(long now, Account account) {
-        // The share of the beginning holds for the whole time: the bound is kept, never exceeded.
-        double gained = rule.rate() * rule.cold().coldShare(account.at, account.startMicros) * (now - account.at) / 1e6;
-        account.saved = Math.min(most(now, account), account.saved + gained);
-        account.at = now;
-        return account;
+    private ServerState refill(long now, ServerState serverState) {
+        // The slow-start share at the start of the interval is used for all of it, so the limit is never exceeded.
+        double newTokens = rule.connectionsPerSecond()
+                * rule.slowStart().coldShare(serverState.refilledAt, serverState.startMicros)
+                * (now - serverState.refilledAt)
+                / 1e6;
+        serverState.tokens = Math.min(maxTokens(now, serverState), serverState.tokens + newTokens);
+        serverState.refilledAt = now;
+        return serverState;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/websocket/TunnelMigration.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/TunnelMigration.java
@@ -1,45 +1,45 @@
 package org.cypressweir.sidecar.websocket;
 
 /**
- * How an open connection goes over to another server between two messages, so that none is lost, doubled or
- * reordered: the other server agrees first; then what the client says is held back, and the old server is
- * told to close and heard out until its own close frame, which proves that it has read everything before;
- * only then does what was held back go on. Nothing is ever sent to both. Whatever goes wrong before the last
- * step leaves the other server out of it; there is exactly one way out of each state for each event.
+ * State machine for moving an open tunnel to another server between two messages, so that no message is lost,
+ * duplicated or reordered. First the new server accepts the handshake. Then the client's frames are held back, the old
+ * server is sent a close frame, and its data is forwarded until its own close frame, which proves that it has read
+ * everything sent before. Only then are the held frames sent to the new server. No frame is ever sent to both. If
+ * anything fails before the last step, the new server is not used. Each state has exactly one transition per event.
  */
 final class TunnelMigration {
 
     enum State {
         /** No move. */
         NONE,
-        /** Another server is asked. */
+        /** Another server has been requested. */
         ASKING,
-        /** It has agreed; the client is within a message. */
+        /** The new server has accepted; the client is within a message. */
         WAITING,
-        /** What the client says is held back, and the old server is to close. */
+        /** The client's frames are held back until the old server's close frame. */
         SWITCHING
     }
 
     enum Event {
         ASK,
-        /** The other server agreed, the client being between two messages or within one. */
+        /** The new server accepted while the client was between two messages, or within one. */
         AGREED_BETWEEN,
         AGREED_WITHIN,
-        /** No server agreed. */
+        /** No server accepted. */
         REFUSED,
         /** The client's message has ended. */
         MESSAGE_ENDS,
-        /** The old server's close frame came between two messages: it goes on at the other server. */
+        /** The old server's close frame arrived between two messages: the tunnel continues at the new server. */
         OLD_CLOSED,
         /**
-         * The connection as a whole closes or breaks, or the old server did not close in order or in time.
+         * The tunnel closes or breaks, or the old server did not close normally or in time.
          */
         CALLED_OFF
     }
 
     private TunnelMigration() {}
 
-    /** What means nothing in a state leaves it as it is. */
+    /** Returns the next state; an event without meaning in a state leaves it unchanged. */
     static State next(State state, Event event) {
         return switch (event) {
             case ASK -> state == State.NONE ? State.ASKING : state;
--- a/src/main/java/org/cypressweir/sidecar/websocket/Tunnels.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnels.java
@@ -17,281 +17,283 @@
 import org.cypressweir.sidecar.websocket.OpenTunnelLimits.Bound;
 
 /**
- * The open tunnels of a process: one look at all of them in place of timers for each, how many there may be,
- * what they weigh for their servers, and an orderly end or move.
+ * The open tunnels of a process. One periodic sweep checks all of them, so that no tunnel needs timers of its own.
+ * This class also limits how many tunnels may be open, reports their load to the load balancer, and closes them in
+ * order or moves them when their server drains. Used on one event loop only.
  */
 public final class Tunnels {
 
-    private static final long SWEEP_MILLIS = 50;
-    private static final long WEIGH_MICROS = 1_000_000;
-    /** What a server says of itself is of use for so long. */
-    private static final long FRESH_MICROS = 2 * WEIGH_MICROS;
+    private static final long SWEEP_INTERVAL_MILLIS = 50;
+    private static final long WEIGHT_UPDATE_MICROS = 1_000_000;
+    /** A server's own load report is used until it is this old. */
+    private static final long MAX_LOAD_REPORT_AGE_MICROS = 2 * WEIGHT_UPDATE_MICROS;
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final SplittableRandom random;
-    private final Map<Tunnel, Member> open = new LinkedHashMap<>();
-    private final Map<Pool, Fleet> fleets = new HashMap<>();
-    private final OpenTunnelLimits<Tunnel> census = new OpenTunnelLimits<>();
-    private final Map<Drain, DrainOrder<Tunnel>> drains = new LinkedHashMap<>();
-    private boolean sweeping;
-    private long weighedAt;
-
-    /** The servers that a tunnel's server is one of; equal for all of them. */
+    private final Map<Tunnel, OpenTunnel> openTunnels = new LinkedHashMap<>();
+    private final Map<Pool, PoolState> poolStates = new HashMap<>();
+    private final OpenTunnelLimits<Tunnel> openTunnelLimits = new OpenTunnelLimits<>();
+    private final Map<DrainGroup, DrainOrder<Tunnel>> drainOrders = new LinkedHashMap<>();
+    private boolean sweepScheduled;
+    private long weightsUpdatedAt;
+
+    /** The pool that a tunnel's server belongs to; equal objects for all servers of one pool. */
     public interface Pool {
-        /** Servers that new requests may go to, each counted by the part of a warm one that it can take. */
+        /** Servers open to new requests; one in slow start counts as the fraction of a warm server that it can take. */
         double warmServers();
 
-        /** Tunnels to all of them, at most. */
+        /** The most tunnels that may be open to all servers of the pool together. */
         int most();
 
         TunnelAdmission.Rule rule();
     }
 
-    /** The server of a tunnel; equal for all of its tunnels. */
+    /** The server of a tunnel; equal objects for all tunnels of one server. */
     public interface Host {
         Pool pool();
 
-        /** When it was started, in microseconds of the clock; 0 for long ago. */
+        /** Time when the server started, in microseconds of the clock; 0 for long ago. */
         long startMicros();
 
-        /** What its tunnels weigh, in requests in flight, and whether it takes no further one now. */
+        /** Sets the load of its tunnels, in requests in flight, and whether the server accepts no more tunnels now. */
         void carries(double weight, boolean full);
 
-        /** When it last told its use; 0 for never. */
+        /** Time of the server's last load report; 0 for never. */
         long toldAt();
 
-        /** Its own word on its use, in 0 to 1. */
+        /** The utilization that the server reported, from 0 to 1. */
         double use();
 
-        /** Requests in flight there, as it told or as this process knows. */
+        /** Requests in flight at the server, as it reported or as this process counts them. */
         double requests();
     }
 
-    /** Asks for another server for a tunnel; {@link #moveTo} or {@link #notMoved} follows. */
+    /** Requests another server for a tunnel; {@link #moveTo} or {@link #notMoved} follows. */
     public interface Mover {
         void move();
     }
 
-    /** One that has been let in and counts, from its handshake to its end. */
+    /** The answer to a request for a tunnel. An admitted tunnel counts against the limits from handshake to end. */
     public static final class Ticket {
-        private final OpenTunnelLimits<Tunnel>.Place place;
+        private final OpenTunnelLimits<Tunnel>.Slot slot;
         private final long retryMicros;
 
-        private Ticket(OpenTunnelLimits<Tunnel>.Place place, long retryMicros) {
-            this.place = place;
+        private Ticket(OpenTunnelLimits<Tunnel>.Slot slot, long retryMicros) {
+            this.slot = slot;
             this.retryMicros = retryMicros;
         }
 
-        /** Whether it may go on. */
+        /** Whether the tunnel was admitted. */
         public boolean isIn() {
-            return place != null;
+            return slot != null;
         }
 
-        /** When its client should come back, in microseconds from now, where it may not go on. */
+        /** If the tunnel was rejected, after how many microseconds its client should retry. */
         public long retryMicros() {
             return retryMicros;
         }
 
-        /** It came to nothing. */
+        /** Stops counting the tunnel, for example because its handshake failed. */
         public void leave() {
-            if (place != null) {
-                place.leave();
+            if (slot != null) {
+                slot.release();
             }
         }
     }
 
-    private record Drain(Pool pool, WebSocketLimits limits) {}
+    private record DrainGroup(Pool pool, WebSocketLimits limits) {}
 
-    private record Leaving(Drain drain, long toldAt) {}
+    private record PendingDrain(DrainGroup group, long startedAt) {}
 
-    private static final class Member {
+    private static final class OpenTunnel {
         private final WebSocketLimits limits;
-        private final Ticket ticket;
+        private final Ticket permit;
         private final Mover mover;
         private Host host;
         private double weight;
-        private Leaving leaving;
+        private PendingDrain pendingDrain;
 
-        private Member(WebSocketLimits limits, Ticket ticket, Host host, Mover mover) {
+        private OpenTunnel(WebSocketLimits limits, Ticket permit, Host host, Mover mover) {
             this.limits = limits;
-            this.ticket = ticket;
+            this.permit = permit;
             this.host = host;
             this.mover = mover;
         }
     }
 
-    private static final class Fleet {
-        private final TunnelAdmission<Host> intake;
-        private final WeightFit fit = new WeightFit();
-        /** What the tunnels of each server weigh. */
-        private final Map<Host, Double> carried = new HashMap<>();
+    private static final class PoolState {
+        private final TunnelAdmission<Host> admission;
+        private final WeightFit weightFit = new WeightFit();
+        /** The total weight of each server's tunnels, in requests in flight, before correction. */
+        private final Map<Host, Double> tunnelWeights = new HashMap<>();
 
-        private Fleet(TunnelAdmission.Rule rule) {
-            intake = new TunnelAdmission<>(rule);
+        private PoolState(TunnelAdmission.Rule rule) {
+            admission = new TunnelAdmission<>(rule);
         }
     }
 
-    /** On one loop, with a clock in microseconds. */
+    /** Creates the set for one event loop, with a clock in microseconds. */
     public Tunnels(EventLoop loop, LongSupplier clock, SplittableRandom random) {
         this.loop = loop;
         this.clock = clock;
         this.random = random;
     }
 
-    // ---- Coming
+    // ---- Admission
 
-    /** Asks for one more tunnel of a route and tenant; one that is idle may have to go for it. */
-    public Ticket ask(Pool pool, int tenant, WebSocketLimits limits, int most) {
+    /** Requests one more tunnel for a route and tenant; an idle tunnel may be evicted to make room. */
+    public Ticket ask(Pool pool, int tenant, WebSocketLimits limits, int maxTunnels) {
         long now = clock.getAsLong();
         TunnelBounds bounds = limits.bounds();
-        TunnelAdmission<Host> intake = fleet(pool).intake;
-        free(pool, now);
-        long retry = intake.ask(now, pool.warmServers(), random);
+        TunnelAdmission<Host> admission = poolState(pool).admission;
+        refreshAdmission(pool, now);
+        long retry = admission.admit(now, pool.warmServers(), random);
         if (retry >= 0) {
             return new Ticket(null, retry);
         }
-        OpenTunnelLimits.Entry<Tunnel> entry = census.enter(
+        OpenTunnelLimits.Decision<Tunnel> decision = openTunnelLimits.acquire(
                 List.of(
-                        new Bound("all", most),
+                        new Bound("all", maxTunnels),
                         new Bound(pool, pool.most()),
                         new Bound("route " + bounds.route(), bounds.most()),
                         new Bound("route " + bounds.route() + " tenant " + tenant, bounds.perTenant())),
                 now,
                 bounds.evictMicros());
-        entry.evicted().forEach(this::close);
+        decision.evicted().forEach(this::close);
         return new Ticket(
-                entry.place(),
-                entry.place() != null ? 0 : 1 + random.nextLong(Math.max(1_000_000, bounds.evictMicros())));
+                decision.slot(),
+                decision.slot() != null ? 0 : 1 + random.nextLong(Math.max(1_000_000, bounds.evictMicros())));
     }
 
-    /** A move needs no room but at the other server. */
+    /** Whether a tunnel may move now. A move opens no additional tunnel, so only the servers' rate limit applies. */
     public boolean mayMove(Pool pool) {
-        free(pool, clock.getAsLong());
-        return fleet(pool).intake.ask(clock.getAsLong(), pool.warmServers(), random) < 0;
+        refreshAdmission(pool, clock.getAsLong());
+        return poolState(pool).admission.admit(clock.getAsLong(), pool.warmServers(), random) < 0;
     }
 
-    /** A handshake goes out to a server. */
+    /** Records that a handshake is sent to a server. */
     public void tried(Host host) {
-        Fleet fleet = fleet(host.pool());
+        PoolState poolState = poolState(host.pool());
         long now = clock.getAsLong();
-        fleet.intake.tried(now, host, host.startMicros());
-        tell(fleet, host, now);
-        wake();
+        poolState.admission.handshakeSent(now, host, host.startMicros());
+        reportLoad(poolState, host, now);
+        scheduleSweep();
     }
 
-    /** A tunnel is open; the mover is null where it can't go on at another server. */
-    public void add(Tunnel tunnel, WebSocketLimits limits, Ticket ticket, Host host, Mover mover) {
-        open.put(tunnel, new Member(limits, ticket, host, mover));
-        ticket.place.holds(tunnel);
-        arrive(tunnel, host, tunnel.weigh(clock.getAsLong()));
-        wake();
+    /** Adds a tunnel that is open; the mover is null if the tunnel can't move to another server. */
+    public void add(Tunnel tunnel, WebSocketLimits limits, Ticket permit, Host host, Mover mover) {
+        openTunnels.put(tunnel, new OpenTunnel(limits, permit, host, mover));
+        permit.slot.setTunnel(tunnel);
+        attach(tunnel, host, tunnel.updateWeight(clock.getAsLong()));
+        scheduleSweep();
     }
 
-    private void arrive(Tunnel tunnel, Host host, double weight) {
-        Member member = open.get(tunnel);
-        Fleet fleet = fleet(host.pool());
-        member.host = host;
-        member.weight = 0;
-        fleet.intake.opened(clock.getAsLong(), host, host.startMicros());
-        weigh(member, weight);
-        tell(fleet, host, clock.getAsLong());
+    private void attach(Tunnel tunnel, Host host, double weight) {
+        OpenTunnel openTunnel = openTunnels.get(tunnel);
+        PoolState poolState = poolState(host.pool());
+        openTunnel.host = host;
+        openTunnel.weight = 0;
+        poolState.admission.opened(clock.getAsLong(), host, host.startMicros());
+        setWeight(openTunnel, weight);
+        reportLoad(poolState, host, clock.getAsLong());
     }
 
-    private void depart(Member member) {
-        Fleet fleet = fleet(member.host.pool());
-        fleet.intake.ended(member.host);
-        weigh(member, 0);
-        tell(fleet, member.host, clock.getAsLong());
-        if (fleet.intake.open(member.host) == 0) {
-            fleet.carried.remove(member.host);
+    private void detach(OpenTunnel openTunnel) {
+        PoolState poolState = poolState(openTunnel.host.pool());
+        poolState.admission.ended(openTunnel.host);
+        setWeight(openTunnel, 0);
+        reportLoad(poolState, openTunnel.host, clock.getAsLong());
+        if (poolState.admission.open(openTunnel.host) == 0) {
+            poolState.tunnelWeights.remove(openTunnel.host);
         }
     }
 
-    /** It has ended. */
+    /** Removes a tunnel that has ended. */
     public void remove(Tunnel tunnel) {
-        Member member = open.remove(tunnel);
-        if (member != null) {
-            depart(member);
-            member.ticket.leave();
-            drains.values().forEach(order -> order.stays(tunnel));
+        OpenTunnel openTunnel = openTunnels.remove(tunnel);
+        if (openTunnel != null) {
+            detach(openTunnel);
+            openTunnel.permit.leave();
+            drainOrders.values().forEach(order -> order.remove(tunnel));
         }
     }
 
-    private Fleet fleet(Pool pool) {
-        return fleets.computeIfAbsent(pool, p -> new Fleet(p.rule()));
+    private PoolState poolState(Pool pool) {
+        return poolStates.computeIfAbsent(pool, p -> new PoolState(p.rule()));
     }
 
-    private void weigh(Member member, double weight) {
-        Fleet fleet = fleet(member.host.pool());
-        fleet.carried.merge(member.host, weight - member.weight, Double::sum);
-        member.weight = weight;
+    private void setWeight(OpenTunnel openTunnel, double weight) {
+        PoolState poolState = poolState(openTunnel.host.pool());
+        poolState.tunnelWeights.merge(openTunnel.host, weight - openTunnel.weight, Double::sum);
+        openTunnel.weight = weight;
     }
 
-    private void tell(Fleet fleet, Host host, long now) {
+    private void reportLoad(PoolState poolState, Host host, long now) {
         host.carries(
-                Math.max(0, fleet.carried.getOrDefault(host, 0.0)) * fleet.fit.factor(),
-                fleet.intake.isFull(now, host));
+                Math.max(0, poolState.tunnelWeights.getOrDefault(host, 0.0)) * poolState.weightFit.factor(),
+                poolState.admission.isFull(now, host));
     }
 
-    private void free(Pool pool, long now) {
-        Fleet fleet = fleet(pool);
-        // Operators may have set another one.
-        fleet.intake.rule(pool.rule());
-        fleet.intake.freed(now).forEach(host -> tell(fleet, host, now));
+    private void refreshAdmission(Pool pool, long now) {
+        PoolState poolState = poolState(pool);
+        // The operators may have changed the rule.
+        poolState.admission.setRule(pool.rule());
+        poolState.admission.freed(now).forEach(host -> reportLoad(poolState, host, now));
     }
 
-    // ---- Time
+    // ---- Periodic sweep
 
-    private void wake() {
-        if (!sweeping) {
-            sweeping = true;
-            loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleSweep() {
+        if (!sweepScheduled) {
+            sweepScheduled = true;
+            loop.schedule(this::sweep, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void sweep() {
         long now = clock.getAsLong();
-        List.copyOf(open.keySet()).forEach(tunnel -> tunnel.check(now));
-        drains.forEach(
-                (drain, order) -> order.due(now, drain.pool().warmServers()).forEach(tunnel -> leave(tunnel, now)));
-        drains.entrySet()
+        List.copyOf(openTunnels.keySet()).forEach(tunnel -> tunnel.checkTimeouts(now));
+        drainOrders.forEach((group, order) ->
+                order.due(now, group.pool().warmServers()).forEach(tunnel -> drainTunnel(tunnel, now)));
+        drainOrders
+                .entrySet()
                 .removeIf(e -> e.getValue().size() == 0
-                        && open.values().stream()
-                                .noneMatch(m ->
-                                        m.leaving != null && m.leaving.drain().equals(e.getKey())));
-        fleets.keySet().forEach(pool -> free(pool, now));
-        if (now - weighedAt >= WEIGH_MICROS) {
-            weighedAt = now;
-            open.forEach((tunnel, member) -> weigh(member, tunnel.weigh(now)));
-            fleets.values().forEach(fleet -> learn(fleet, now));
+                        && openTunnels.values().stream()
+                                .noneMatch(m -> m.pendingDrain != null
+                                        && m.pendingDrain.group().equals(e.getKey())));
+        poolStates.keySet().forEach(pool -> refreshAdmission(pool, now));
+        if (now - weightsUpdatedAt >= WEIGHT_UPDATE_MICROS) {
+            weightsUpdatedAt = now;
+            openTunnels.forEach((tunnel, openTunnel) -> setWeight(openTunnel, tunnel.updateWeight(now)));
+            poolStates.values().forEach(poolState -> updateWeightFit(poolState, now));
         }
-        sweeping = !open.isEmpty() || fleets.values().stream().anyMatch(f -> f.intake.anyFull());
-        if (sweeping) {
-            loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        sweepScheduled = !openTunnels.isEmpty() || poolStates.values().stream().anyMatch(f -> f.admission.anyFull());
+        if (sweepScheduled) {
+            loop.schedule(this::sweep, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Once for each server, however many tunnels it has. */
-    private void learn(Fleet fleet, long now) {
-        fleet.carried.forEach((host, weight) -> {
-            if (host.toldAt() != 0 && now - host.toldAt() < FRESH_MICROS && !Double.isNaN(host.use())) {
-                fleet.fit.sample(host.use(), host.requests(), weight);
+    /** Takes one sample for each server, however many tunnels it has. */
+    private void updateWeightFit(PoolState poolState, long now) {
+        poolState.tunnelWeights.forEach((host, weight) -> {
+            if (host.toldAt() != 0 && now - host.toldAt() < MAX_LOAD_REPORT_AGE_MICROS && !Double.isNaN(host.use())) {
+                poolState.weightFit.sample(host.use(), host.requests(), weight);
             }
         });
-        fleet.carried.keySet().forEach(host -> tell(fleet, host, now));
-        fleet.intake.forget(now);
+        poolState.tunnelWeights.keySet().forEach(host -> reportLoad(poolState, host, now));
+        poolState.admission.forgetIdle(now);
     }
 
-    // ---- Going
+    // ---- Drain and move
 
     /**
-     * Closes all that are open with 1001 over a time, those first that have been without data for the
-     * longest.
+     * Closes all open tunnels, spread over the given time, with the close notice of their route. Tunnels within a
+     * message come last; otherwise the longest idle come first.
      */
     public void goAway(long spreadMicros) {
-        List<Tunnel> ordered = new ArrayList<>(open.keySet());
-        ordered.sort(Comparator.comparing(Tunnel::inMessage).thenComparingLong(Tunnel::dataAt));
+        List<Tunnel> ordered = new ArrayList<>(openTunnels.keySet());
+        ordered.sort(Comparator.comparing(Tunnel::inMessage).thenComparingLong(Tunnel::lastDataAt));
         for (int i = 0; i < ordered.size(); i++) {
             Tunnel tunnel = ordered.get(i);
             loop.schedule(() -> close(tunnel), spreadMicros * (i + 1) / ordered.size(), TimeUnit.MICROSECONDS);
@@ -302,61 +304,62 @@
         tunnel.goAway(clock.getAsLong());
     }
 
-    /** The server of a tunnel leaves, and was told to then: it goes in the order of its pool. */
-    public void leaves(Tunnel tunnel, Host host, long toldAt) {
-        Member member = open.get(tunnel);
-        if (member != null && member.host.equals(host)) {
-            member.leaving = new Leaving(new Drain(host.pool(), member.limits), toldAt);
-            queue(tunnel, member.leaving);
+    /** Queues a tunnel to be closed or moved, because its server has been draining since the given time. */
+    public void leaves(Tunnel tunnel, Host host, long drainStartedAt) {
+        OpenTunnel openTunnel = openTunnels.get(tunnel);
+        if (openTunnel != null && openTunnel.host.equals(host)) {
+            openTunnel.pendingDrain = new PendingDrain(new DrainGroup(host.pool(), openTunnel.limits), drainStartedAt);
+            enqueueDrain(tunnel, openTunnel.pendingDrain);
         }
     }
 
-    private void queue(Tunnel tunnel, Leaving leaving) {
-        WebSocketLimits limits = leaving.drain().limits();
-        drains.computeIfAbsent(leaving.drain(), d -> new DrainOrder<>(limits.drainMicros(), limits.reconnects()))
-                .leaves(tunnel, leaving.toldAt());
+    private void enqueueDrain(Tunnel tunnel, PendingDrain pendingDrain) {
+        WebSocketLimits limits = pendingDrain.group().limits();
+        drainOrders
+                .computeIfAbsent(pendingDrain.group(), d -> new DrainOrder<>(limits.drainMicros(), limits.reconnects()))
+                .add(tunnel, pendingDrain.startedAt());
     }
 
-    /** Its server stays after all. */
+    /** Cancels the drain of a tunnel, because its server stays in service. */
     public void stays(Tunnel tunnel, Host host) {
-        Member member = open.get(tunnel);
-        if (member != null && member.host.equals(host)) {
-            member.leaving = null;
-            drains.values().forEach(order -> order.stays(tunnel));
+        OpenTunnel openTunnel = openTunnels.get(tunnel);
+        if (openTunnel != null && openTunnel.host.equals(host)) {
+            openTunnel.pendingDrain = null;
+            drainOrders.values().forEach(order -> order.remove(tunnel));
         }
     }
 
-    private void leave(Tunnel tunnel, long now) {
-        Member member = open.get(tunnel);
-        boolean last = now - member.leaving.toldAt() >= member.limits.drainMicros();
-        if (member.mover == null || last || !tunnel.canMove()) {
+    private void drainTunnel(Tunnel tunnel, long now) {
+        OpenTunnel openTunnel = openTunnels.get(tunnel);
+        boolean deadlinePassed = now - openTunnel.pendingDrain.startedAt() >= openTunnel.limits.drainMicros();
+        if (openTunnel.mover == null || deadlinePassed || !tunnel.canMove()) {
             close(tunnel);
         } else {
-            tunnel.moving();
-            member.mover.move();
+            tunnel.beginMove();
+            openTunnel.mover.move();
         }
     }
 
-    /** No other server takes it: it waits for its turn again, up to the last moment. */
+    /** No other server accepted the tunnel: it is queued again until the drain deadline. */
     public void notMoved(Tunnel tunnel) {
-        tunnel.notMoved();
-        Member member = open.get(tunnel);
-        if (member != null && member.leaving != null) {
-            queue(tunnel, member.leaving);
+        tunnel.moveRefused();
+        OpenTunnel openTunnel = openTunnels.get(tunnel);
+        if (openTunnel != null && openTunnel.pendingDrain != null) {
+            enqueueDrain(tunnel, openTunnel.pendingDrain);
         }
     }
 
-    /** Another server has agreed; the connection is taken over. */
-    public void moveTo(Tunnel tunnel, Host host, Channel channel, ByteBuf early, Tunnel.Moved moved) {
-        tunnel.moveTo(channel, early, done -> {
-            Member member = open.get(tunnel);
-            if (done && member != null) {
-                double weight = member.weight;
-                depart(member);
-                member.leaving = null;
-                arrive(tunnel, host, weight);
+    /** Another server accepted the handshake; the tunnel takes ownership of the connection. */
+    public void moveTo(Tunnel tunnel, Host host, Channel channel, ByteBuf early, Tunnel.MoveCallback callback) {
+        tunnel.moveTo(channel, early, moved -> {
+            OpenTunnel openTunnel = openTunnels.get(tunnel);
+            if (moved && openTunnel != null) {
+                double weight = openTunnel.weight;
+                detach(openTunnel);
+                openTunnel.pendingDrain = null;
+                attach(tunnel, host, weight);
             }
-            moved.over(done);
+            callback.completed(moved);
         });
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/websocket/UpgradeAccount.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/UpgradeAccount.java
@@ -4,13 +4,12 @@
 import java.util.Map;
 
 /**
- * What becomes of one upgrade: a state machine that has exactly one way out of each state for each event,
- * and so
- * exactly one final outcome, whichever side breaks when. The counters that it keeps always add up.
+ * State machine of one WebSocket upgrade. Each state has exactly one transition per event, and so each upgrade has
+ * exactly one final outcome, whichever side breaks when. The counters it maintains are always consistent.
  */
 public final class UpgradeAccount {
 
-    /** Where an upgrade stands. */
+    /** The state of an upgrade. */
     public enum State {
         ASKED(false),
         TRIED(false),
@@ -26,108 +25,108 @@
         CLOSED_BY_SIDECAR(true),
         BROKEN(true);
 
-        private final boolean last;
+        private final boolean finalState;
 
-        State(boolean last) {
-            this.last = last;
+        State(boolean finalState) {
+            this.finalState = finalState;
         }
 
-        /** Whether nothing changes it any more. */
+        /** Whether no event changes this state. */
         public boolean isLast() {
-            return last;
+            return finalState;
         }
     }
 
-    /** What can happen. */
+    /** An event of an upgrade or its tunnel. */
     public enum Event {
-        /** An attempt goes to a server. */
+        /** An attempt is sent to a server. */
         TRY,
-        /** The client is told that trying again is harmless. */
+        /** The client is told that a retry is safe. */
         REFUSE,
-        /** The client is told anything else but 101. */
+        /** The client is sent any other response than 101. */
         FAIL,
-        /** The client has gone before it was told anything. */
+        /** The client disconnected before it was sent a response. */
         LEAVE,
-        /** A server has said 101, and the client is told so. */
+        /** A server responded 101, which is forwarded to the client. */
         OPEN,
         /** A close frame from the client, from the server, or from the sidecar itself. */
         CLIENT_CLOSES,
         SERVER_CLOSES,
         SIDECAR_CLOSES,
-        /** A side has ended without a close frame. */
+        /** A connection ended without a close frame. */
         BREAK,
-        /** Both sides are down. */
+        /** Both connections are closed. */
         END
     }
 
-    /** How many upgrades stand where; one object for all of a process. */
+    /** Counts upgrades by state; one object per process. */
     public static final class Counters {
-        private final Map<State, Long> standing = new EnumMap<>(State.class);
+        private final Map<State, Long> countByState = new EnumMap<>(State.class);
         private long asked;
         private long opened;
 
-        /** All that were ever asked for. */
+        /** Number of upgrades requested since the start. */
         public long asked() {
             return asked;
         }
 
-        /** All for which the client was told 101. */
+        /** Number of upgrades for which the client was sent a 101 response. */
         public long opened() {
             return opened;
         }
 
-        /** How many stand there now; of a last state all that ever came to it. */
+        /** Number of upgrades in this state now; for a final state, all that ever reached it. */
         public long in(State state) {
-            return standing.getOrDefault(state, 0L);
+            return countByState.getOrDefault(state, 0L);
         }
 
-        /** Whether everything adds up: what was asked for, and what was opened, is somewhere exactly once. */
+        /** Whether each requested and each opened upgrade is counted in exactly one state. */
         public boolean addUp() {
-            long before = in(State.ASKED) + in(State.TRIED) + in(State.REFUSED) + in(State.FAILED) + in(State.GONE);
-            long after = 0;
+            long notOpened = in(State.ASKED) + in(State.TRIED) + in(State.REFUSED) + in(State.FAILED) + in(State.GONE);
+            long everOpened = 0;
             for (State state : State.values()) {
-                after += state.ordinal() >= State.OPEN.ordinal() ? in(state) : 0;
+                everOpened += state.ordinal() >= State.OPEN.ordinal() ? in(state) : 0;
             }
-            return asked == before + opened && opened == after;
+            return asked == notOpened + opened && opened == everOpened;
         }
 
         @Override
         public String toString() {
-            return "asked " + asked + ", opened " + opened + ", now " + standing;
+            return "asked " + asked + ", opened " + opened + ", now " + countByState;
         }
     }
 
     private final Counters counters;
     private State state = State.ASKED;
 
-    /** An upgrade that has been asked for. */
+    /** Creates the account of a newly requested upgrade. */
     public UpgradeAccount(Counters counters) {
         this.counters = counters;
         counters.asked++;
-        counters.standing.merge(State.ASKED, 1L, Long::sum);
+        counters.countByState.merge(State.ASKED, 1L, Long::sum);
     }
 
     public State state() {
         return state;
     }
 
-    /** Takes an event; what means nothing in a state leaves it as it is. */
+    /** Applies an event; an event without meaning in the current state leaves it unchanged. */
     public State on(Event event) {
         State next = next(state, event);
         if (next != state) {
-            counters.standing.merge(state, -1L, Long::sum);
-            counters.standing.merge(next, 1L, Long::sum);
+            counters.countByState.merge(state, -1L, Long::sum);
+            counters.countByState.merge(next, 1L, Long::sum);
             counters.opened += next == State.OPEN ? 1 : 0;
             state = next;
         }
         return next;
     }
 
-    /** The one way out of a state for an event. */
+    /** The next state after an event. */
     public static State next(State state, Event event) {
         return switch (state) {
-            case ASKED -> event == Event.OPEN ? state : asked(state, event);
-            case TRIED -> event == Event.OPEN ? State.OPEN : asked(state, event);
+            case ASKED -> event == Event.OPEN ? state : nextBeforeOpen(state, event);
+            case TRIED -> event == Event.OPEN ? State.OPEN : nextBeforeOpen(state, event);
             case OPEN -> switch (event) {
                 case CLIENT_CLOSES -> State.CLOSING_BY_CLIENT;
                 case SERVER_CLOSES -> State.CLOSING_BY_SERVER;
@@ -135,7 +134,7 @@
                 case BREAK, END -> State.BROKEN;
                 default -> state;
             };
-                // Once somebody has said good-bye, how the connection ends no longer matters.
+                // After the first close frame, how the connection ends no longer matters.
             case CLOSING_BY_CLIENT -> event == Event.END ? State.CLOSED_BY_CLIENT : state;
             case CLOSING_BY_SERVER -> event == Event.END ? State.CLOSED_BY_SERVER : state;
             case CLOSING_BY_SIDECAR -> event == Event.END ? State.CLOSED_BY_SIDECAR : state;
@@ -143,7 +142,7 @@
         };
     }
 
-    private static State asked(State state, Event event) {
+    private static State nextBeforeOpen(State state, Event event) {
         return switch (event) {
             case TRY -> State.TRIED;
             case REFUSE -> State.REFUSED;
--- a/src/main/java/org/cypressweir/sidecar/websocket/WeightFit.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/WeightFit.java
@@ -1,70 +1,76 @@
 package org.cypressweir.sidecar.websocket;
 
 /**
- * Learns what open connections cost a server against what requests do: use = a + b x requests in flight
- * + c x what its connections are stated to weigh, by recursive least squares with forgetting (Haykin,
- * Adaptive Filter Theory, chapter on RLS). The stated weights are right where c equals b; else they are off
- * by c / b. Until enough is known, and where the figures make no sense, they count as stated. No clock.
+ * Estimates the load of open tunnels relative to requests. The model is utilization = a + b x requests in flight
+ * + c x stated weight of the tunnels, fitted by recursive least squares with exponential forgetting (Haykin, Adaptive
+ * Filter Theory, chapter on RLS). The stated weights are right if c equals b; otherwise they are wrong by the factor
+ * c / b. With too few samples, or with implausible coefficients, the stated weights are used as they are. Reads no
+ * clock.
  */
 public final class WeightFit {
 
-    private static final double FORGET = 0.995;
-    private static final double UNKNOWN = 1e4;
-    private static final int LEAST_SAMPLES = 50;
-    /** The least effect of one request on a server's use that can be told from none. */
-    private static final double LEAST_EFFECT = 1e-4;
-    /** However wrong the stated weights, they are corrected by so much at most. */
-    static final double MOST = 5;
+    private static final double FORGETTING_FACTOR = 0.995;
+    private static final double INITIAL_COVARIANCE = 1e4;
+    private static final int MIN_SAMPLES = 50;
+    /** The smallest effect of one request on a server's utilization that can be distinguished from none. */
+    private static final double MIN_REQUEST_EFFECT = 1e-4;
+    /** The largest factor, up or down, by which the stated weights are corrected. */
+    static final double MAX_CORRECTION = 5;
 
-    private static final int TERMS = 3;
+    private static final int COEFFICIENTS = 3;
 
-    private final double[] known = new double[TERMS];
-    private final double[][] spread = new double[TERMS][TERMS];
+    private final double[] coefficients = new double[COEFFICIENTS];
+    private final double[][] covariance = new double[COEFFICIENTS][COEFFICIENTS];
     private int samples;
 
     public WeightFit() {
-        for (int i = 0; i < TERMS; i++) {
-            spread[i][i] = UNKNOWN;
+        for (int i = 0; i < COEFFICIENTS; i++) {
+            covariance[i][i] = INITIAL_COVARIANCE;
         }
     }
 
     /**
-     * A server was seen like this.
+     * Adds an observation of one server.
      *
-     * @param use its own word on its use, in 0 to 1
-     * @param requests in flight there
-     * @param weight what its connections weigh as stated, in requests in flight
+     * @param utilization as the server reported it, from 0 to 1
+     * @param requests in flight at the server
+     * @param weight stated weight of its tunnels, in requests in flight
      */
-    public void sample(double use, double requests, double weight) {
-        double[] x = {1, requests, weight};
-        double[] gain = new double[TERMS];
-        double scale = FORGET;
-        for (int i = 0; i < TERMS; i++) {
-            for (int j = 0; j < TERMS; j++) {
-                gain[i] += spread[i][j] * x[j];
+    public void sample(double utilization, double requests, double weight) {
+        double[] inputs = {1, requests, weight};
+        double[] gain = new double[COEFFICIENTS];
+        double scale = FORGETTING_FACTOR;
+        for (int i = 0; i < COEFFICIENTS; i++) {
+            for (int j = 0; j < COEFFICIENTS; j++) {
+                gain[i] += covariance[i][j] * inputs[j];
             }
-            scale += x[i] * gain[i];
+            scale += inputs[i] * gain[i];
         }
-        double error = use;
-        for (int i = 0; i < TERMS; i++) {
-            error -= known[i] * x[i];
+        double error = utilization;
+        for (int i = 0; i < COEFFICIENTS; i++) {
+            error -= coefficients[i] * inputs[i];
         }
-        for (int i = 0; i < TERMS; i++) {
-            known[i] += gain[i] / scale * error;
+        for (int i = 0; i < COEFFICIENTS; i++) {
+            coefficients[i] += gain[i] / scale * error;
         }
-        for (int i = 0; i < TERMS; i++) {
-            for (int j = 0; j < TERMS; j++) {
-                // What is never seen to change is forgotten without end; that must not run away.
-                spread[i][j] =
-                        Math.max(-UNKNOWN, Math.min(UNKNOWN, (spread[i][j] - gain[i] * gain[j] / scale) / FORGET));
+        for (int i = 0; i < COEFFICIENTS; i++) {
+            for (int j = 0; j < COEFFICIENTS; j++) {
+                // Without variation in the inputs, forgetting would let the covariance grow without bound.
+                covariance[i][j] = Math.max(
+                        -INITIAL_COVARIANCE,
+                        Math.min(
+                                INITIAL_COVARIANCE,
+                                (covariance[i][j] - gain[i] * gain[j] / scale) / FORGETTING_FACTOR));
             }
         }
         samples++;
     }
 
-    /** What the stated weights are to be multiplied by, in 1/5 to 5. */
+    /** The factor to multiply the stated weights by, from 1/5 to 5. */
     public double factor() {
-        boolean sound = samples >= LEAST_SAMPLES && known[1] > LEAST_EFFECT && known[2] > 0;
-        return sound ? Math.max(1 / MOST, Math.min(MOST, known[2] / known[1])) : 1;
+        boolean plausible = samples >= MIN_SAMPLES && coefficients[1] > MIN_REQUEST_EFFECT && coefficients[2] > 0;
+        return plausible
+                ? Math.max(1 / MAX_CORRECTION, Math.min(MAX_CORRECTION, coefficients[2] / coefficients[1]))
+                : 1;
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/websocket/DrainOrderTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/DrainOrderTest.java
@@ -11,16 +11,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Who is closed when, by hand: no clock, no sockets. */
+/** The order and rate of closing tunnels, with simulated time and no sockets. */
 class DrainOrderTest {
 
     private static final long SECOND = 1_000_000;
 
-    private static final class Fake implements DrainOrder.Leaver {
+    private static final class FakeTunnel implements DrainOrder.Drainable {
         private boolean inMessage;
         private long dataAt;
 
-        Fake(long dataAt) {
+        FakeTunnel(long dataAt) {
             this.dataAt = dataAt;
         }
 
@@ -30,24 +30,24 @@
         }
 
         @Override
-        public long dataAt() {
+        public long lastDataAt() {
             return dataAt;
         }
     }
 
     @Test
-    void theLongestQuietGoFirstAtTheRateOfTheOthers() {
-        DrainOrder<Fake> order = new DrainOrder<>(60 * SECOND, 10);
-        List<Fake> all = new ArrayList<>();
+    void longestIdleTunnelsCloseFirstAtTheReconnectRate() {
+        DrainOrder<FakeTunnel> order = new DrainOrder<>(60 * SECOND, 10);
+        List<FakeTunnel> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            all.add(new Fake(1_000 - i));
-            order.leaves(all.get(i), 100 * SECOND);
+            all.add(new FakeTunnel(1_000 - i));
+            order.add(all.get(i), 100 * SECOND);
         }
-        List<Fake> closed = new ArrayList<>();
+        List<FakeTunnel> closed = new ArrayList<>();
         for (long now = 100 * SECOND; now <= 102 * SECOND; now += 50_000) {
             closed.addAll(order.due(now, 2));
         }
-        // 2 s, 2 others, 10 a second each, and the one that is let go at once.
+        // 2 s, 2 other servers, 10 per second each, plus the first, which is closed immediately.
         assertEquals(41, closed.size(), 1);
         for (int i = 0; i < closed.size(); i++) {
             assertEquals(all.get(99 - i), closed.get(i));
@@ -55,27 +55,27 @@
     }
 
     @Test
-    void withinAMessageNobodyIsClosedBeforeItEnds() {
-        DrainOrder<Fake> order = new DrainOrder<>(SECOND, 1_000);
-        Fake talking = new Fake(0);
-        talking.inMessage = true;
-        order.leaves(talking, 10 * SECOND);
+    void tunnelWithinAMessageIsNotClosedBeforeItEnds() {
+        DrainOrder<FakeTunnel> order = new DrainOrder<>(SECOND, 1_000);
+        FakeTunnel active = new FakeTunnel(0);
+        active.inMessage = true;
+        order.add(active, 10 * SECOND);
         assertEquals(List.of(), order.due(10 * SECOND, 5));
         assertEquals(List.of(), order.due(12 * SECOND, 5));
-        talking.inMessage = false;
-        assertEquals(List.of(talking), order.due(12 * SECOND + 1, 5));
-        Fake endless = new Fake(0);
+        active.inMessage = false;
+        assertEquals(List.of(active), order.due(12 * SECOND + 1, 5));
+        FakeTunnel endless = new FakeTunnel(0);
         endless.inMessage = true;
-        order.leaves(endless, 10 * SECOND);
-        assertEquals(List.of(), order.due(11 * SECOND + DrainOrder.LONGEST_MESSAGE_MICROS - 1, 5));
-        assertEquals(List.of(endless), order.due(11 * SECOND + DrainOrder.LONGEST_MESSAGE_MICROS, 5));
+        order.add(endless, 10 * SECOND);
+        assertEquals(List.of(), order.due(11 * SECOND + DrainOrder.MAX_MESSAGE_WAIT_MICROS - 1, 5));
+        assertEquals(List.of(endless), order.due(11 * SECOND + DrainOrder.MAX_MESSAGE_WAIT_MICROS, 5));
     }
 
     @Test
-    void withNowhereToGoTheyStayUntilTheLastMoment() {
-        DrainOrder<Fake> order = new DrainOrder<>(SECOND, 1_000);
+    void withoutOtherServersTunnelsStayUntilTheDeadline() {
+        DrainOrder<FakeTunnel> order = new DrainOrder<>(SECOND, 1_000);
         for (int i = 0; i < 5; i++) {
-            order.leaves(new Fake(i), 10 * SECOND);
+            order.add(new FakeTunnel(i), 10 * SECOND);
         }
         assertEquals(0, order.due(10 * SECOND + 900_000, 0).size());
         assertEquals(5, order.due(11 * SECOND, 0).size());
@@ -83,66 +83,67 @@
     }
 
     @Test
-    void aDrainThatIsTakenBackEndsNobody() {
-        DrainOrder<Fake> order = new DrainOrder<>(SECOND, 1);
-        Fake one = new Fake(1);
-        Fake two = new Fake(2);
-        order.leaves(one, 10 * SECOND);
-        order.leaves(two, 10 * SECOND);
+    void cancelledDrainClosesNoTunnel() {
+        DrainOrder<FakeTunnel> order = new DrainOrder<>(SECOND, 1);
+        FakeTunnel one = new FakeTunnel(1);
+        FakeTunnel two = new FakeTunnel(2);
+        order.add(one, 10 * SECOND);
+        order.add(two, 10 * SECOND);
         assertEquals(List.of(one), order.due(10 * SECOND, 1));
-        order.stays(two);
+        order.remove(two);
         assertEquals(List.of(), order.due(60 * SECOND, 1));
     }
 
     /**
-     * Each is closed once, none within a message but at the very end, none before its order, all in the
-     * end.
+     * Each tunnel is closed once, none faster than the rate before the deadline, none within a message until the final
+     * time-out, and all are closed in the end.
      */
     @Test
-    void randomWalkKeepsItsPromises() {
+    void randomWalkKeepsOrderRateAndDeadline() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long drain = 1 + random.nextLong(5 * SECOND);
             int rate = 1 + random.nextInt(200);
-            DrainOrder<Fake> order = new DrainOrder<>(drain, rate);
-            Map<Fake, Long> told = new HashMap<>();
-            Map<Fake, Long> closed = new HashMap<>();
-            List<Fake> all = new ArrayList<>();
+            DrainOrder<FakeTunnel> order = new DrainOrder<>(drain, rate);
+            Map<FakeTunnel, Long> drainStartedAt = new HashMap<>();
+            Map<FakeTunnel, Long> closed = new HashMap<>();
+            List<FakeTunnel> all = new ArrayList<>();
             long now = 50 * SECOND;
-            int others = random.nextInt(4);
-            double most = 1;
+            int otherServers = random.nextInt(4);
+            double maxEarly = 1;
             for (int step = 0; step < 400; step++) {
-                long passed = 1 + random.nextLong(100_000);
-                now += passed;
-                others = random.nextInt(30) == 0 ? random.nextInt(4) : others;
+                long elapsed = 1 + random.nextLong(100_000);
+                now += elapsed;
+                otherServers = random.nextInt(30) == 0 ? random.nextInt(4) : otherServers;
                 if (step < 200 && random.nextInt(3) == 0) {
-                    Fake fake = new Fake(now - random.nextLong(10 * SECOND));
+                    FakeTunnel fake = new FakeTunnel(now - random.nextLong(10 * SECOND));
                     all.add(fake);
-                    told.put(fake, now);
-                    order.leaves(fake, now);
+                    drainStartedAt.put(fake, now);
+                    order.add(fake, now);
                 }
-                for (Fake fake : all) {
+                for (FakeTunnel fake : all) {
                     if (random.nextInt(20) == 0) {
                         fake.inMessage = !fake.inMessage;
                         fake.dataAt = now;
                     }
                 }
-                most = Math.max(1, (double) rate * others * passed / SECOND) + 1;
-                List<Fake> due = order.due(now, others);
+                maxEarly = Math.max(1, (double) rate * otherServers * elapsed / SECOND) + 1;
+                List<FakeTunnel> due = order.due(now, otherServers);
                 long early = 0;
-                for (Fake fake : due) {
+                for (FakeTunnel fake : due) {
                     String title = "seed " + seed + ", step " + step;
-                    assertEquals(null, closed.put(fake, now), title + ": twice");
-                    boolean last = now - told.get(fake) >= drain;
-                    early += last ? 0 : 1;
+                    assertEquals(null, closed.put(fake, now), title + ": closed twice");
+                    boolean overdue = now - drainStartedAt.get(fake) >= drain;
+                    early += overdue ? 0 : 1;
                     assertTrue(
-                            !fake.inMessage || now - told.get(fake) >= drain + DrainOrder.LONGEST_MESSAGE_MICROS,
-                            title + ": within a message");
+                            !fake.inMessage
+                                    || now - drainStartedAt.get(fake) >= drain + DrainOrder.MAX_MESSAGE_WAIT_MICROS,
+                            title + ": closed within a message");
                 }
-                assertTrue(early <= most, "seed " + seed + ": " + early + " at once, at most " + most);
-                assertFalse(others == 0 && early > 0, "seed " + seed + ": nowhere to go");
+                assertTrue(early <= maxEarly, "seed " + seed + ": " + early + " closed at once, limit " + maxEarly);
+                assertFalse(otherServers == 0 && early > 0, "seed " + seed + ": closed early without other servers");
             }
-            order.due(now + drain + DrainOrder.LONGEST_MESSAGE_MICROS, 0).forEach(f -> closed.put(f, 0L));
+            order.due(now + drain + DrainOrder.MAX_MESSAGE_WAIT_MICROS, 0).forEach(f -> closed.put(f, 0L));
             assertEquals(all.size(), closed.size(), "seed " + seed);
         }
     }
--- a/src/test/java/org/cypressweir/sidecar/websocket/FrameReaderTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/FrameReaderTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** RFC 6455 by the groups of its usual test suite; docs/design/websocket.md says which test covers what. */
+/** Tests of RFC 6455, grouped as in the usual test suite; docs/design/websocket.md lists which test covers what. */
 class FrameReaderTest {
 
-    /** What came out, messages put together. */
-    private static final class Collected implements FrameReader.Sink {
+    /** Collects what was read, with the pieces of each message joined. */
+    private static final class CollectingSink implements FrameReader.Sink {
         private final List<String> all = new ArrayList<>();
         private final ByteArrayOutputStream message = new ByteArrayOutputStream();
         private String kind = "";
@@ -49,7 +49,7 @@
         }
     }
 
-    private static FrameReader reader(boolean masked, boolean compression, Collected into) {
+    private static FrameReader reader(boolean masked, boolean compression, CollectingSink into) {
         return new FrameReader(masked, compression, 1 << 20, 1 << 21, into);
     }
 
@@ -58,7 +58,7 @@
     }
 
     private static int violation(boolean masked, byte[] frames) {
-        Collected out = new Collected();
+        CollectingSink out = new CollectingSink();
         return assertThrows(ProtocolViolationException.class, () -> reader(masked, false, out)
                         .read(Unpooled.wrappedBuffer(frames)))
                 .code();
@@ -79,10 +79,10 @@
         "false, 880203e8, '8:\u0003\u00e8'",
         "false, 01014189018b80 0142, ''",
     })
-    void examples(boolean masked, String hex, String expected) throws ProtocolViolationException {
-        Collected out = new Collected();
+    void examplesOfTheRfc(boolean masked, String hex, String expected) throws ProtocolViolationException {
+        CollectingSink out = new CollectingSink();
         if (expected.isEmpty()) {
-            // A control frame within a fragmented message is handed on at once.
+            // A control frame within a fragmented message is passed on immediately.
             reader(masked, false, out).read(Unpooled.wrappedBuffer(bytes(hex.replace("018b80 ", "0178 80 "))));
             assertEquals(List.of("9:x", "text:AB"), out.all);
             return;
@@ -141,10 +141,10 @@
         assertEquals(Frames.PROTOCOL_ERROR, violation(false, bytes(hex)), hex);
     }
 
-    /** What an offender goes on to send is thrown away, and nothing else happens. */
+    /** Input after a violation is discarded without further effect. */
     @Test
-    void nothingCountsAfterAViolation() throws ProtocolViolationException {
-        Collected out = new Collected();
+    void inputAfterAViolationIsIgnored() throws ProtocolViolationException {
+        CollectingSink out = new CollectingSink();
         FrameReader reader = reader(false, false, out);
         assertThrows(ProtocolViolationException.class, () -> reader.read(Unpooled.wrappedBuffer(bytes("8300"))));
         for (int i = 0; i < 100; i++) {
@@ -172,16 +172,16 @@
                 "88021387",
                 "880703e968656c6c6f"
             })
-    void goodCloses(String hex) throws ProtocolViolationException {
-        Collected out = new Collected();
+    void validCloseFrames(String hex) throws ProtocolViolationException {
+        CollectingSink out = new CollectingSink();
         FrameReader reader = reader(false, false, out);
         reader.read(Unpooled.wrappedBuffer(bytes(hex)));
-        // What comes behind a close frame no longer counts, be it as wrong as it may.
+        // Input after a close frame is ignored, even if it is invalid.
         reader.read(Unpooled.wrappedBuffer(bytes("ffffff")));
         assertEquals(1, out.all.size());
     }
 
-    /** Overlong forms, surrogates, past the end, cut short; also where a piece ends within a character. */
+    /** Overlong forms, surrogates, code points past U+10FFFF, truncation; also if a piece ends within a character. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -202,7 +202,7 @@
                 "c1bf",
                 "e0 9f bf"
             })
-    void notUtf8(String hex) {
+    void invalidUtf8(String hex) {
         byte[] text = bytes(hex);
         assertEquals(Frames.INVALID_PAYLOAD, violation(false, WebSocketClient.frame(false, 0x81, text)), hex);
         ByteArrayOutputStream pieces = new ByteArrayOutputStream();
@@ -230,8 +230,8 @@
                 "00",
                 "7f"
             })
-    void utf8(String hex) throws ProtocolViolationException {
-        Collected out = new Collected();
+    void validUtf8(String hex) throws ProtocolViolationException {
+        CollectingSink out = new CollectingSink();
         reader(false, false, out).read(Unpooled.wrappedBuffer(WebSocketClient.frame(false, 0x81, bytes(hex))));
         assertEquals(1, out.all.size());
     }
@@ -241,10 +241,10 @@
         assertEquals(Frames.INVALID_PAYLOAD, violation(false, bytes("880403e8c328")));
     }
 
-    /** With permessage-deflate the first bit says so on a first frame, and text is not text yet. */
+    /** With permessage-deflate, RSV1 on a first frame marks compression; compressed text is not checked as UTF-8. */
     @Test
     void compressedMessagesPass() throws ProtocolViolationException {
-        Collected out = new Collected();
+        CollectingSink out = new CollectingSink();
         FrameReader reader = reader(false, true, out);
         reader.read(Unpooled.wrappedBuffer(bytes("c10141 4101ff 8001c3 8101 42".replace(" ", ""))));
         assertEquals(List.of("text*:A", "text*:\u00ff\u00c3", "text:B"), out.all);
@@ -257,7 +257,7 @@
 
     @Test
     void limitsHoldBeforeThePayloadHasCome() {
-        Collected out = new Collected();
+        CollectingSink out = new CollectingSink();
         FrameReader small = new FrameReader(false, false, 10, 15, out);
         assertEquals(
                 Frames.TOO_LARGE,
@@ -275,9 +275,9 @@
                         .code());
     }
 
-    /** Random frames, cut at random: what comes out is what went in, whatever the pieces. */
+    /** Random frames, split at random positions, are read as they were written. */
     @Test
-    void anyCutOfAnyFramesIsTheSame() throws ProtocolViolationException {
+    void framesAreReadAlikeHoweverTheyAreSplit() throws ProtocolViolationException {
         long seed = 6455;
         SplittableRandom random = new SplittableRandom(seed);
         for (int round = 0; round < 3_000; round++) {
@@ -301,7 +301,7 @@
                 }
                 expected.add("binary:" + whole.toString(StandardCharsets.ISO_8859_1));
             }
-            Collected out = new Collected();
+            CollectingSink out = new CollectingSink();
             FrameReader reader = reader(masked, false, out);
             byte[] all = sent.toByteArray();
             for (int at = 0; at < all.length; ) {
@@ -313,31 +313,31 @@
         }
     }
 
-    /** Random bytes end in a violation or wait for more; nothing else is thrown, and no more comes out. */
+    /** Random bytes cause a protocol violation or wait for more input; no other exception is thrown. */
     @Test
-    void nonsenseIsAViolationAndNothingElse() {
+    void randomBytesCauseOnlyViolations() {
         long seed = 99;
         SplittableRandom random = new SplittableRandom(seed);
         int violations = 0;
         for (int round = 0; round < 50_000; round++) {
-            byte[] nonsense = new byte[1 + random.nextInt(60)];
-            random.nextBytes(nonsense);
+            byte[] input = new byte[1 + random.nextInt(60)];
+            random.nextBytes(input);
             if (random.nextInt(3) > 0) {
                 byte[] good = WebSocketClient.frame(true, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
-                System.arraycopy(good, 0, nonsense, 0, Math.min(good.length, nonsense.length));
-                nonsense[random.nextInt(nonsense.length)] ^= (byte) (1 << random.nextInt(8));
+                System.arraycopy(good, 0, input, 0, Math.min(good.length, input.length));
+                input[random.nextInt(input.length)] ^= (byte) (1 << random.nextInt(8));
             }
             try {
-                reader(true, random.nextBoolean(), new Collected()).read(Unpooled.wrappedBuffer(nonsense));
+                reader(true, random.nextBoolean(), new CollectingSink()).read(Unpooled.wrappedBuffer(input));
             } catch (ProtocolViolationException e) {
                 violations++;
-                assertTrue(Frames.isCode(e.code()), "seed " + seed);
+                assertTrue(Frames.isValidCloseCode(e.code()), "seed " + seed);
             }
         }
         assertTrue(violations > 20_000, "only " + violations);
     }
 
-    /** What is written is what the reader reads, masked or not, whatever its length. */
+    /** Encoded frames are read back unchanged, masked or not, at all length encodings. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 125, 126, 127, 65_535, 65_536, 100_000})
     void writtenFramesAreRead(int length) throws ProtocolViolationException {
@@ -354,7 +354,7 @@
             if (!masked) {
                 assertArrayEquals(WebSocketClient.frame(false, 0x82, payload), plain);
             }
-            Collected out = new Collected();
+            CollectingSink out = new CollectingSink();
             reader(masked, false, out).read(frame);
             assertEquals(List.of("binary:" + new String(payload, StandardCharsets.ISO_8859_1)), out.all);
         }
--- a/src/test/java/org/cypressweir/sidecar/websocket/TunnelAdmissionTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/TunnelAdmissionTest.java
@@ -13,43 +13,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What servers can take of new connections, in made-up time. */
+/** Rate limits for new tunnels, in simulated time. */
 class TunnelAdmissionTest {
 
-    private static final int ANY = Integer.MAX_VALUE;
+    private static final int UNLIMITED = Integer.MAX_VALUE;
     private static final long SECOND = 1_000_000;
 
     private static Rules cold(double from, long micros) {
         return new Rules(from, micros, 0, 0, 0, 0, 0);
     }
 
-    /** Five thousand come at once: a second's worth is taken, and the others come back as a stream. */
+    /** Of 5,000 simultaneous clients one second's worth is admitted; the others return spread over time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aWaveComesBackAsAStream(long seed) {
-        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(0.4, SECOND), ANY));
+    void burstOfClientsReturnsSpreadOverTime(long seed) {
+        TunnelAdmission<String> admission =
+                new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(0.4, SECOND), UNLIMITED));
         SplittableRandom random = new SplittableRandom(seed);
-        PriorityQueue<Long> coming = new PriorityQueue<>();
+        PriorityQueue<Long> arrivals = new PriorityQueue<>();
         for (int i = 0; i < 5_000; i++) {
-            coming.add(10 * SECOND);
+            arrivals.add(10 * SECOND);
         }
-        List<Long> taken = new ArrayList<>();
+        List<Long> admitted = new ArrayList<>();
         List<Long> returns = new ArrayList<>();
-        while (!coming.isEmpty()) {
-            long now = coming.poll();
-            long retry = intake.ask(now, 4, random);
+        while (!arrivals.isEmpty()) {
+            long now = arrivals.poll();
+            long retry = admission.admit(now, 4, random);
             if (retry < 0) {
-                taken.add(now);
+                admitted.add(now);
             } else {
-                assertTrue(retry > 0 && retry <= TunnelAdmission.LONGEST_MICROS, "told " + retry);
-                coming.add(now + retry);
+                assertTrue(retry > 0 && retry <= TunnelAdmission.MAX_RETRY_MICROS, "told " + retry);
+                arrivals.add(now + retry);
                 returns.add(now + retry);
             }
         }
-        // 400 at once and 400 a second from then on, in every window of 100 ms.
-        for (int i = 0; i < taken.size(); i++) {
+        // In each window of 100 ms at most the burst of 400 plus 100 ms at 400 per second.
+        for (int i = 0; i < admitted.size(); i++) {
             int j = i;
-            while (j < taken.size() && taken.get(j) < taken.get(i) + SECOND / 10) {
+            while (j < admitted.size() && admitted.get(j) < admitted.get(i) + SECOND / 10) {
                 j++;
             }
             assertTrue(j - i <= 441, "seed " + seed + ": " + (j - i) + " in 100 ms");
@@ -57,21 +58,22 @@
         int[] perSecond = new int[60];
         returns.forEach(at -> perSecond[(int) Math.min(59, (at - 10 * SECOND) / SECOND)]++);
         for (int count : perSecond) {
-            assertTrue(count <= 900, "seed " + seed + ": " + count + " come back in one second");
+            assertTrue(count <= 900, "seed " + seed + ": " + count + " return in one second");
         }
-        assertTrue(taken.get(4_999) < 26 * SECOND, "the last after " + taken.get(4_999) / SECOND + " s");
+        assertTrue(admitted.get(4_999) < 26 * SECOND, "the last admitted after " + admitted.get(4_999) / SECOND + " s");
     }
 
-    /** A cold server is full once it has its cold share, however many ask, and takes more as it warms up. */
+    /** A server in slow start accepts only its share, however many clients ask, and more as it warms up. */
     @Test
-    void aColdServerKeepsToItsShare() {
-        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(200, cold(0.4, SECOND), ANY));
+    void coldServerIsLimitedToItsSlowStartShare() {
+        TunnelAdmission<String> admission =
+                new TunnelAdmission<>(new TunnelAdmission.Rule(200, cold(0.4, SECOND), UNLIMITED));
         long start = 5 * SECOND;
         int before = 0;
         int after = 0;
         for (long now = start; now < start + 2 * SECOND; now += 100) {
-            if (!intake.isFull(now, "cold")) {
-                intake.tried(now, "cold", start);
+            if (!admission.isFull(now, "cold")) {
+                admission.handshakeSent(now, "cold", start);
                 if (now < start + SECOND / 2) {
                     before++;
                 } else if (now >= start + SECOND) {
@@ -79,33 +81,33 @@
                 }
             }
         }
-        // Half a second at 0.4 to 0.7 of 200 a second, and what may be saved up.
+        // Half a second at 0.4 to 0.7 of 200 per second, plus the accumulated tokens.
         assertTrue(before <= 14 + 0.5 * 200 * 0.7 && before >= 35, "cold: " + before);
         assertTrue(after >= 195 && after <= 215, "warm: " + after);
     }
 
     @Test
-    void whoIsFullIsToldOnceWhenThatIsOver() {
-        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), 2));
-        intake.opened(SECOND, "a", 0);
-        assertFalse(intake.isFull(SECOND, "a"));
-        intake.opened(SECOND, "a", 0);
-        assertTrue(intake.isFull(SECOND, "a"));
-        assertTrue(intake.anyFull());
-        assertEquals(List.of(), intake.freed(SECOND));
-        intake.ended("a");
-        assertEquals(List.of("a"), intake.freed(SECOND));
-        assertEquals(List.of(), intake.freed(SECOND));
-        assertEquals(1, intake.open("a"));
+    void freedServerIsReportedOnce() {
+        TunnelAdmission<String> admission = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), 2));
+        admission.opened(SECOND, "a", 0);
+        assertFalse(admission.isFull(SECOND, "a"));
+        admission.opened(SECOND, "a", 0);
+        assertTrue(admission.isFull(SECOND, "a"));
+        assertTrue(admission.anyFull());
+        assertEquals(List.of(), admission.freed(SECOND));
+        admission.ended("a");
+        assertEquals(List.of("a"), admission.freed(SECOND));
+        assertEquals(List.of(), admission.freed(SECOND));
+        assertEquals(1, admission.open("a"));
     }
 
     @Test
-    void withoutServersNobodyIsTaken() {
-        TunnelAdmission<String> intake = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), ANY));
+    void withoutServersNothingIsAdmitted() {
+        TunnelAdmission<String> admission = new TunnelAdmission<>(new TunnelAdmission.Rule(100, cold(1, 0), UNLIMITED));
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 100; i++) {
-            long retry = intake.ask(SECOND, 0, random);
-            assertTrue(retry > 0 && retry <= TunnelAdmission.LONGEST_MICROS, "told " + retry);
+            long retry = admission.admit(SECOND, 0, random);
+            assertTrue(retry > 0 && retry <= TunnelAdmission.MAX_RETRY_MICROS, "told " + retry);
         }
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/websocket/TunnelMigrationTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/TunnelMigrationTest.java
@@ -9,11 +9,11 @@
 import org.cypressweir.sidecar.websocket.TunnelMigration.State;
 import org.junit.jupiter.api.Test;
 
-/** A move has one way out of each state for each event. */
+/** State transitions of a tunnel's move to another server. */
 class TunnelMigrationTest {
 
     @Test
-    void inOrder() {
+    void transitionsInOrder() {
         State s = TunnelMigration.next(State.NONE, Event.ASK);
         assertEquals(State.ASKING, s);
         assertEquals(State.NONE, TunnelMigration.next(s, Event.REFUSED));
@@ -25,7 +25,7 @@
         assertEquals(State.NONE, TunnelMigration.next(s, Event.OLD_CLOSED));
     }
 
-    /** The old server is told to close only once another agreed, and nothing is held back before. */
+    /** A move waits or switches only after a new server has accepted, so nothing is held back before. */
     @Test
     void randomWalksKeepTheOrder() {
         for (long seed = 0; seed < 500; seed++) {
--- a/src/test/java/org/cypressweir/sidecar/websocket/UpgradeAccountTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/UpgradeAccountTest.java
@@ -11,11 +11,11 @@
 import org.cypressweir.sidecar.websocket.UpgradeAccount.State;
 import org.junit.jupiter.api.Test;
 
-/** Each state has one way out for each event, and everything adds up whatever happens in whatever order. */
+/** Each state has one transition per event, and the counters stay consistent for any order of events. */
 class UpgradeAccountTest {
 
     @Test
-    void lastStatesStayAndOnlyATriedOneOpens() {
+    void finalStatesStayAndOnlyTriedOpens() {
         for (State state : State.values()) {
             for (Event event : Event.values()) {
                 State next = UpgradeAccount.next(state, event);
@@ -30,9 +30,9 @@
         }
     }
 
-    /** From each state some last one is reached by what always comes: the client or both sides go. */
+    /** Each state reaches a final one once the client leaves and both connections are closed. */
     @Test
-    void eachStateEnds() {
+    void everyStateReachesAFinalOne() {
         for (State state : State.values()) {
             State end = UpgradeAccount.next(UpgradeAccount.next(state, Event.LEAVE), Event.END);
             assertTrue(end.isLast(), state + " stays at " + end);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void randomWalksAddUp() {
+    void countersStayConsistentInRandomWalks() {
         long seed = 12;
         SplittableRandom random = new SplittableRandom(seed);
         Counters counters = new Counters();
