--- a/src/bench/java/org/cypressweir/sidecar/plugin/FirstCallBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/plugin/FirstCallBench.java
@@ -9,8 +9,8 @@
 import org.cypressweir.testkit.PluginModules;
 
 /**
- * How long the first real call of a plug-in that has just been made takes, and the next one, against the
- * default deadline of 5 ms. Argument: how many plug-ins. To be run idle and beside other work.
+ * Duration of the first two real calls of a newly created plug-in, compared with the default deadline of 5 ms.
+ * Argument: the number of plug-ins. Run it on an idle machine and under load.
  */
 public final class FirstCallBench {
 
--- a/src/bench/java/org/cypressweir/sidecar/plugin/PluginBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/plugin/PluginBench.java
@@ -16,13 +16,13 @@
 import java.util.function.Supplier;
 
 /**
- * What a WebAssembly plug-in would cost on the event loop and beside it: a call, work, calls of the host, an
- * instance, how soon one that runs for ever can be stopped, and what a hand-over to a thread and back costs.
- * Medians, in the interpreter and compiled to bytecode.
+ * Cost of a WebAssembly plug-in on the event loop and on a thread of its own: a call, a loop, calls of a host function,
+ * an instantiation, the time to interrupt an endless loop, and a hand-over to a thread and back. Reports medians, in
+ * the interpreter and compiled to bytecode.
  */
 public final class PluginBench {
 
-    /** Exports nothing(), count(n): a loop of n rounds, host(n): n calls of lb.get, and forever(). */
+    /** Exports nothing(), count(n) with a loop of n rounds, host(n) with n calls of lb.get, and forever(). */
     private static final byte[] MODULE = HexFormat.of()
             .parseHex("0061736d01000000"
                     + "010f0360027f7f017f60000060017f017f" + "020a01026c62036765740000" + "03050401020201"
@@ -80,7 +80,7 @@
                 try {
                     fresh.export("forever").apply();
                 } catch (RuntimeException e) {
-                    // Interrupted, which is what is measured.
+                    // Expected: the interrupt ends the call, and this duration is measured.
                 }
             });
             runs.start();
@@ -96,7 +96,7 @@
                 stops[stops.length / 2] / 1e3, stops[stops.length - 1] / 1e3);
     }
 
-    /** To a thread that waits, and its word back to the one that asked. */
+    /** Measures a hand-over to a waiting thread and its reply. */
     private static void handOver() throws Exception {
         ExecutorService other = Executors.newSingleThreadExecutor();
         double nanos = median(2_000, 1, () -> {
--- a/src/bench/java/org/cypressweir/sidecar/route/RouterBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/route/RouterBench.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a look-up costs by the number of routes, beside a scan of them; and what compiling them costs. */
+/** Cost of a look-up by number of routes, compared with a scan, and cost of compiling and checking the routes. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -44,7 +44,7 @@
         }
     }
 
-    /** A quarter by host, a quarter by a segment pattern, a quarter by prefix, a quarter by one header. */
+    /** A quarter of the routes each differ by host, by path with wildcards, by path prefix, and by one header. */
     @Setup
     public void setUp() {
         routes = new ArrayList<>();
@@ -79,7 +79,7 @@
         return router.find(requests[next++ % REQUESTS]);
     }
 
-    /** The same routes, one after the other, until one matches by its host and path. */
+    /** Scans the same routes until one matches by host, path and headers. */
     @Benchmark
     public Route<String> scan() {
         Routable request = requests[next++ % REQUESTS];
--- a/src/main/java/org/cypressweir/sidecar/plugin/InvalidPluginException.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/InvalidPluginException.java
@@ -1,14 +1,14 @@
 package org.cypressweir.sidecar.plugin;
 
-/** A module that can't be a plug-in, and why, in one line. */
+/** Thrown for a module that is not a valid plug-in; the message gives the reason in one line. */
 public final class InvalidPluginException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidPluginException(String why) {
-        super(why);
+    InvalidPluginException(String reason) {
+        super(reason);
     }
 
-    public InvalidPluginException(String why, Throwable cause) {
-        super(why, cause);
+    public InvalidPluginException(String reason, Throwable cause) {
+        super(reason, cause);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
@@ -1,41 +1,41 @@
 package org.cypressweir.sidecar.plugin;
 
 /**
- * How long a call is waited for. The deadline counts what the plug-in's thread had of a processor since it
- * was asked, since a thread that got none has not been slow; by the clock there is a bound as well, since the
- * request's own time runs. No clock: the caller brings both times.
+ * Decides how long to wait for a call of a plug-in. The deadline counts the CPU time of the plug-in's thread since the
+ * call, because a thread that was not scheduled has not been slow. The elapsed time is limited as well, because the
+ * request's own time-out is running. Reads no clock: the caller passes both times.
  */
 public final class InvocationDeadline {
 
-    /** What a deadline may be passed by, by the clock: 9 times itself, and so many microseconds at most. */
-    static final long MOST_EXTRA = 50_000;
+    /** The elapsed time may exceed the deadline by 9 times its length, but at most by this many microseconds. */
+    static final long MAX_EXTRA_MICROS = 50_000;
 
-    static final long EXTRA_SHARE = 9;
-    /** The shortest wait until the next look, in microseconds. */
-    static final long LEAST_WAIT = 200;
+    static final long EXTRA_FACTOR = 9;
+    /** The shortest wait until the next check, in microseconds. */
+    static final long MIN_WAIT_MICROS = 200;
 
     private final long deadlineMicros;
-    private final long endMicros;
+    private final long maxWaitMicros;
 
-    /** @param deadlineMicros of processor time, above 0 */
+    /** @param deadlineMicros of CPU time, above 0 */
     public InvocationDeadline(long deadlineMicros) {
         this.deadlineMicros = deadlineMicros;
-        endMicros = deadlineMicros + Math.min(MOST_EXTRA, EXTRA_SHARE * deadlineMicros);
+        maxWaitMicros = deadlineMicros + Math.min(MAX_EXTRA_MICROS, EXTRA_FACTOR * deadlineMicros);
     }
 
     /**
-     * How long to go on waiting.
+     * Returns how long to continue waiting.
      *
-     * @param waitedMicros by the clock since the plug-in was asked
-     * @param usedMicros of a processor by its thread since then; below 0 where the system does not tell, and
-     *         then the clock alone counts
-     * @return microseconds until the next look; 0 where it is out of time
+     * @param elapsedMicros elapsed time since the plug-in was called
+     * @param cpuMicros CPU time of its thread since then; below 0 if the system does not report it, and then
+     *         only the elapsed time counts
+     * @return microseconds until the next check; 0 if the call has timed out
      */
-    public long more(long waitedMicros, long usedMicros) {
-        long used = usedMicros < 0 ? waitedMicros : Math.min(usedMicros, waitedMicros);
-        if (used >= deadlineMicros || waitedMicros >= endMicros) {
+    public long more(long elapsedMicros, long cpuMicros) {
+        long countedMicros = cpuMicros < 0 ? elapsedMicros : Math.min(cpuMicros, elapsedMicros);
+        if (countedMicros >= deadlineMicros || elapsedMicros >= maxWaitMicros) {
             return 0;
         }
-        return Math.min(Math.max(LEAST_WAIT, deadlineMicros - used), endMicros - waitedMicros);
+        return Math.min(Math.max(MIN_WAIT_MICROS, deadlineMicros - countedMicros), maxWaitMicros - elapsedMicros);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
@@ -1,50 +1,47 @@
 package org.cypressweir.sidecar.plugin;
 
 /**
- * Whether a plug-in is called at all: after some failures in a row it is left out for a while, and the while
- * doubles each time it fails at once after that. No clock: calls bring the time.
+ * Circuit breaker of a plug-in: after several consecutive failures the plug-in is suspended. The length of the
+ * suspension doubles each time a call fails afterwards before one has succeeded. Reads no clock: callers pass the time.
  */
 public final class PluginHealth {
 
-    /** Failures in a row; first while without it, and its doublings. */
-    static final int FAILURES = 5;
+    /** Consecutive failures until a suspension; most doublings of its length; the length of the first. */
+    static final int FAILURES_TO_SUSPEND = 5;
 
-    static final int DOUBLINGS = 6;
+    static final int MAX_DOUBLINGS = 6;
 
-    static final long FIRST = 1_000_000;
+    static final long FIRST_SUSPENSION_MICROS = 1_000_000;
 
     private int failures;
-    private int times;
-    private long outUntil;
+    private int suspensions;
+    private long suspendedUntil;
 
-    /**
-     * Whether it may be called now. Past its while a single call is let through, and the next after its
-     * end.
-     */
+    /** Whether the plug-in may be called now, that is, is not suspended. */
     public boolean mayCall(long nowMicros) {
-        return nowMicros >= outUntil;
+        return nowMicros >= suspendedUntil;
     }
 
-    /** A call went well. */
+    /** Records a successful call. */
     public void well() {
         failures = 0;
-        times = 0;
+        suspensions = 0;
     }
 
-    /** A call failed; whether it is left out from now on. */
+    /** Records a failed call; true if the plug-in is suspended from now on. */
     public boolean failed(long nowMicros) {
         failures++;
-        if (failures < FAILURES && times == 0) {
+        if (failures < FAILURES_TO_SUSPEND && suspensions == 0) {
             return false;
         }
-        outUntil = nowMicros + (FIRST << Math.min(times, DOUBLINGS));
-        times++;
+        suspendedUntil = nowMicros + (FIRST_SUSPENSION_MICROS << Math.min(suspensions, MAX_DOUBLINGS));
+        suspensions++;
         failures = 0;
         return true;
     }
 
-    /** Until when it is left out; a time that has passed where it is not. */
+    /** The end of the suspension; a time in the past if it is not suspended. */
     public long outUntil() {
-        return outUntil;
+        return suspendedUntil;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
@@ -16,63 +16,63 @@
 import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
- * One plug-in on a thread of its own. The one who asks never waits: it hears of what the plug-in wishes
- * later, on its own executor, or withdraws the call. A call that is withdrawn while it runs is interrupted,
- * which the runtime looks for in every loop and call, and the instance is thrown away.
+ * Runs one plug-in on a thread of its own. Callers never block: they receive the requested changes later, on their own
+ * executor, or cancel the call. A call that is cancelled while it runs is interrupted, which the WebAssembly runtime
+ * checks in every loop and call, and the instance is discarded.
  */
 public final class PluginHost implements AutoCloseable {
 
-    /** Calls that wait for the thread; beyond, one fails at once. */
-    static final int WAITING = 256;
+    /** The most calls that may wait for the thread; further calls fail immediately. */
+    static final int MAX_QUEUED_CALLS = 256;
 
-    private static final long STACK = 512 * 1024;
-    private static final long BEGIN_MILLIS = 2_000;
-    /** Calls with a made-up request before the first real one, and how long they may take. */
-    private static final int WARM_CALLS = 20;
+    private static final long STACK_BYTES = 512 * 1024;
+    private static final long START_TIMEOUT_MILLIS = 2_000;
+    /** Warm-up calls with a synthetic request before the first real one, and how long they may take. */
+    private static final int WARM_UP_CALLS = 20;
 
-    private static final long WARM_MILLIS = 150;
-    private static final RequestView MADE_UP = new RequestView("GET", "/", Map.of(), "");
+    private static final long WARM_UP_TIMEOUT_MILLIS = 150;
+    private static final RequestView WARM_UP_REQUEST = new RequestView("GET", "/", Map.of(), "");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    /** What is heard of a call, once, unless it is withdrawn. */
+    /** Receives the result of a call, once, unless the call is cancelled. */
     public interface Heard {
-        void done(RequestedChanges wishes);
+        void done(RequestedChanges changes);
 
-        /** It trapped, passed a bound, or could not be called. */
-        void failed(String why);
+        /** The call trapped, exceeded a limit, or could not be made. */
+        void failed(String reason);
     }
 
     private enum State {
-        WAITS,
-        RUNS,
-        OVER,
-        WITHDRAWN
+        QUEUED,
+        RUNNING,
+        DONE,
+        CANCELLED
     }
 
-    /** A call on its way. */
+    /** A call that is queued, running or completed. */
     public final class Call {
         private final RequestView request;
-        private final Heard heard;
-        private final AtomicReference<State> state = new AtomicReference<>(State.WAITS);
-        private final long usedBefore = usedMicros();
+        private final Heard listener;
+        private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
+        private final long cpuMicrosBefore = cpuMicros();
 
-        private Call(RequestView request, Heard heard) {
+        private Call(RequestView request, Heard listener) {
             this.request = request;
-            this.heard = heard;
+            this.listener = listener;
         }
 
-        /** Microseconds of a processor that the plug-in's thread had since this was asked; -1 if unknown. */
+        /** CPU time of the plug-in's thread since this call was submitted, in microseconds; -1 if unknown. */
         public long used() {
-            long now = usedMicros();
-            return now < 0 || usedBefore < 0 ? -1 : now - usedBefore;
+            long now = cpuMicros();
+            return now < 0 || cpuMicrosBefore < 0 ? -1 : now - cpuMicrosBefore;
         }
 
-        /** Nobody waits for it any more; true where it was not over, and then nothing is heard of it. */
+        /** Cancels the call; true if it had not completed, and then its listener is not notified. */
         public boolean withdraw() {
-            if (state.compareAndSet(State.WAITS, State.WITHDRAWN)) {
+            if (state.compareAndSet(State.QUEUED, State.CANCELLED)) {
                 return true;
             }
-            if (state.compareAndSet(State.RUNS, State.WITHDRAWN)) {
+            if (state.compareAndSet(State.RUNNING, State.CANCELLED)) {
                 thread.interrupt();
                 return true;
             }
@@ -80,39 +80,39 @@
         }
     }
 
-    private final PluginConfiguration spec;
-    private final Executor answers;
-    private final PluginModule guest;
-    private final BlockingQueue<Call> calls = new ArrayBlockingQueue<>(WAITING);
+    private final PluginConfiguration configuration;
+    private final Executor resultExecutor;
+    private final PluginModule module;
+    private final BlockingQueue<Call> calls = new ArrayBlockingQueue<>(MAX_QUEUED_CALLS);
     private final Thread thread;
-    private final CompletableFuture<Void> begun = new CompletableFuture<>();
-    private final CompletableFuture<Void> warm = new CompletableFuture<>();
+    private final CompletableFuture<Void> started = new CompletableFuture<>();
+    private final CompletableFuture<Void> warmedUp = new CompletableFuture<>();
     private volatile boolean closed;
 
     /**
-     * Compiles a module and starts it.
+     * Compiles and starts a module.
      *
-     * @param answers where calls are heard of
-     * @throws InvalidPluginException where it is no plug-in, or its start fails or takes more than 2 s
+     * @param resultExecutor executor on which listeners are notified
+     * @throws InvalidPluginException if the module is not a valid plug-in, or its start fails or takes more than 2 s
      */
-    public PluginHost(PluginConfiguration spec, Executor answers) throws InvalidPluginException {
-        this.spec = spec;
-        this.answers = answers;
-        guest = new PluginModule(spec);
-        thread = new Thread(null, this::run, "plug-in " + spec.name(), STACK);
+    public PluginHost(PluginConfiguration configuration, Executor resultExecutor) throws InvalidPluginException {
+        this.configuration = configuration;
+        this.resultExecutor = resultExecutor;
+        module = new PluginModule(configuration);
+        thread = new Thread(null, this::run, "plug-in " + configuration.name(), STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         try {
-            begun.get(BEGIN_MILLIS, TimeUnit.MILLISECONDS);
-            awaitWarm();
+            started.get(START_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            awaitWarmUp();
         } catch (ExecutionException e) {
             close();
             throw e.getCause() instanceof InvalidPluginException b
                     ? b
-                    : new InvalidPluginException("its start failed: " + PluginModule.why(e.getCause()), e);
+                    : new InvalidPluginException("its start failed: " + PluginModule.describe(e.getCause()), e);
         } catch (TimeoutException e) {
             close();
-            throw new InvalidPluginException("its start took more than " + BEGIN_MILLIS + " ms", e);
+            throw new InvalidPluginException("its start took longer than " + START_TIMEOUT_MILLIS + " ms", e);
         } catch (InterruptedException e) {
             close();
             Thread.currentThread().interrupt();
@@ -120,44 +120,45 @@
         }
     }
 
-    /** A plug-in that does not come back from a made-up request is stopped there, as in a real one. */
-    private void awaitWarm() throws InterruptedException, ExecutionException {
+    /** Waits for the warm-up calls; interrupts them after the time-out, as calls with real requests are. */
+    private void awaitWarmUp() throws InterruptedException, ExecutionException {
         try {
-            warm.get(WARM_MILLIS, TimeUnit.MILLISECONDS);
+            warmedUp.get(WARM_UP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             thread.interrupt();
         }
     }
 
-    private long usedMicros() {
+    private long cpuMicros() {
         long nanos = THREADS.isThreadCpuTimeSupported() ? THREADS.getThreadCpuTime(thread.getId()) : -1;
         return nanos < 0 ? -1 : nanos / 1_000;
     }
 
-    /** The plug-in that it runs. */
+    /** The configuration of the plug-in that this host runs. */
     public PluginConfiguration plan() {
-        return spec;
+        return configuration;
     }
 
-    /** Functions of the host that the module may call. */
+    /** The host functions that the module imports. */
     public List<String> imports() {
-        return guest.imports();
+        return module.imports();
     }
 
-    /** Asks what the plug-in wishes for a request; does not wait. */
-    public Call ask(RequestView request, Heard heard) {
-        Call call = new Call(request, heard);
+    /** Calls the plug-in for a request; returns without waiting for the result. */
+    public Call ask(RequestView request, Heard listener) {
+        Call call = new Call(request, listener);
         if (closed || !calls.offer(call)) {
-            call.state.set(State.OVER);
-            answers.execute(() -> heard.failed(closed ? "it is gone" : "more than " + WAITING + " calls wait"));
+            call.state.set(State.DONE);
+            resultExecutor.execute(() -> listener.failed(
+                    closed ? "the plug-in is closed" : "more than " + MAX_QUEUED_CALLS + " calls are queued"));
         }
         return call;
     }
 
     private void run() {
         try {
-            guest.begin();
-            begun.complete(null);
+            module.instantiate();
+            started.complete(null);
             warmUp();
         } catch (InvalidPluginException
                 | RuntimeException
@@ -165,95 +166,96 @@
                 | LinkageError
                 | StackOverflowError
                 | OutOfMemoryError e) {
-            begun.completeExceptionally(e);
+            started.completeExceptionally(e);
             return;
         }
-        warm.complete(null);
+        warmedUp.complete(null);
         while (!closed) {
             try {
-                serve(calls.take());
+                execute(calls.take());
             } catch (InterruptedException e) {
-                // Late word of a call that was over by then, or the end.
+                // A late interrupt for a call that had already completed, or the host is closing.
                 Thread.interrupted();
             }
         }
     }
 
     /**
-     * The first calls are the slowest by far, and would be the ones that fail. Nothing of these is kept: what
-     * they wish and put is dropped, and requests meet a fresh instance. The first of them makes it: an
-     * interrupt that comes late for a call here would end the thread if it met the making.
+     * Makes warm-up calls, because the first calls are the slowest by far and would exceed the deadline. Their results
+     * and stored values are dropped, and the instance is discarded. The first request creates the new instance in
+     * {@link #execute}, not here: a late interrupt for a warm-up call that hit the instantiation here would end the
+     * thread.
      */
     private void warmUp() {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WARM_MILLIS / 2);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WARM_UP_TIMEOUT_MILLIS / 2);
         try {
-            for (int i = 0; i < WARM_CALLS && System.nanoTime() < end; i++) {
-                guest.onRequest(MADE_UP);
+            for (int i = 0; i < WARM_UP_CALLS && System.nanoTime() < end; i++) {
+                module.onRequest(WARM_UP_REQUEST);
             }
         } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError | OutOfMemoryError e) {
-            // It may be right to trap at such a request; a real one shows it.
+            // A trap may be correct for the synthetic request; real requests show whether the plug-in works.
             Thread.interrupted();
         }
-        guest.discard();
+        module.discard();
     }
 
-    private void serve(Call call) {
-        if (!call.state.compareAndSet(State.WAITS, State.RUNS)) {
+    private void execute(Call call) {
+        if (!call.state.compareAndSet(State.QUEUED, State.RUNNING)) {
             return;
         }
-        RequestedChanges wishes = null;
-        String why = null;
-        // An interrupt may come late, for the call before: then this one failed through no fault of its own.
-        for (int tries = 0; tries < 2 && wishes == null && call.state.get() == State.RUNS; tries++) {
+        RequestedChanges changes = null;
+        String failure = null;
+        // A late interrupt for the previous call may have hit this one, so an interrupted call is tried once more.
+        for (int tries = 0; tries < 2 && changes == null && call.state.get() == State.RUNNING; tries++) {
             try {
-                if (!guest.begun()) {
-                    guest.begin();
+                if (!module.isInstantiated()) {
+                    module.instantiate();
                 }
-                wishes = guest.onRequest(call.request);
+                changes = module.onRequest(call.request);
             } catch (InvalidPluginException
                     | RuntimeException
                     | AssertionError
                     | LinkageError
                     | StackOverflowError
                     | OutOfMemoryError e) {
-                guest.discard();
-                why = PluginModule.why(e);
+                module.discard();
+                failure = PluginModule.describe(e);
                 if (!(e instanceof ChicoryInterruptedException)) {
                     break;
                 }
                 Thread.interrupted();
             }
         }
-        boolean mine = call.state.compareAndSet(State.RUNS, State.OVER);
-        // An interrupt that was meant for this call must not meet the next one.
+        boolean completed = call.state.compareAndSet(State.RUNNING, State.DONE);
+        // An interrupt meant for this call must not hit the next one.
         Thread.interrupted();
-        if (!mine) {
-            guest.discard();
+        if (!completed) {
+            module.discard();
             return;
         }
-        if (wishes != null) {
-            guest.keep();
+        if (changes != null) {
+            module.commitStore();
         }
-        RequestedChanges result = wishes;
-        String reason = why;
-        answers.execute(() -> {
+        RequestedChanges result = changes;
+        String reason = failure;
+        resultExecutor.execute(() -> {
             if (result != null) {
-                call.heard.done(result);
+                call.listener.done(result);
             } else {
-                call.heard.failed(reason);
+                call.listener.failed(reason);
             }
         });
     }
 
-    /** Ends the thread, once the call that runs has ended or was interrupted; calls that wait fail. */
+    /** Interrupts the running call and ends the thread after it; queued calls fail. */
     @Override
     public void close() {
         closed = true;
         thread.interrupt();
         for (Call c; (c = calls.poll()) != null; ) {
-            if (c.state.compareAndSet(State.WAITS, State.OVER)) {
-                Call over = c;
-                answers.execute(() -> over.heard.failed("it is gone"));
+            if (c.state.compareAndSet(State.QUEUED, State.DONE)) {
+                Call queued = c;
+                resultExecutor.execute(() -> queued.listener.failed("the plug-in is closed"));
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginInvocation.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginInvocation.java
@@ -12,64 +12,66 @@
 import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
- * One call of a plug-in: what it may read, what it has asked for, and how much of its bounds it has used.
- * Pointers and lengths come from the plug-in and are taken for hostile.
+ * One call of a plug-in: the data it may read, the changes it has requested, and how much of its limits it has used.
+ * Pointers and lengths come from the plug-in and are not trusted.
  */
 final class PluginInvocation {
 
-    /** Results of host functions that are no lengths. */
+    /** Result codes of host functions, which otherwise return lengths. */
     static final int DONE = 0;
 
     static final int ABSENT = -1;
     static final int NOT_GRANTED = -2;
     static final int MALFORMED = -3;
-    static final int TOO_MUCH = -4;
-    /** Calls of the host, bytes that it may hand over, and lines for the log, in one visit. */
-    static final int MOST_CALLS = 1_000;
+    static final int LIMIT_EXCEEDED = -4;
+    /** Limits of one invocation: calls of host functions, bytes of header changes, and log lines. */
+    static final int MAX_HOST_CALLS = 1_000;
 
-    static final int MOST_BYTES = 16_384;
-    static final int MOST_NOTES = 4;
+    static final int MAX_CHANGE_BYTES = 16_384;
+    static final int MAX_LOG_LINES = 4;
 
-    private static final int MOST_NAME = 128;
-    private static final int MOST_VALUE = 4_096;
+    private static final int MAX_NAME_BYTES = 128;
+    private static final int MAX_VALUE_BYTES = 4_096;
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
     private final RequestView request;
     private final PluginStore store;
-    private final Map<String, byte[]> puts = new LinkedHashMap<>();
-    private final PluginConfiguration spec;
-    /** To set, or to remove where the value is empty. */
+    private final Map<String, byte[]> storePuts = new LinkedHashMap<>();
+    private final PluginConfiguration configuration;
+    /** Headers to set, or to remove if the value is empty. */
     private final Map<String, String> headers = new LinkedHashMap<>();
 
-    private final List<String> notes = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private String requestClass;
     private String refusal;
     private long retryAfterMillis;
-    private int calls;
-    private int bytes;
+    private int hostCalls;
+    private int changeBytes;
 
-    PluginInvocation(RequestView request, PluginConfiguration spec, PluginStore store) {
+    PluginInvocation(RequestView request, PluginConfiguration configuration, PluginStore store) {
         this.store = store;
         this.request = request;
-        this.spec = spec;
+        this.configuration = configuration;
     }
 
-    RequestedChanges wishes() {
-        return new RequestedChanges(Map.copyOf(headers), requestClass, refusal, retryAfterMillis, List.copyOf(notes));
+    RequestedChanges requestedChanges() {
+        return new RequestedChanges(
+                Map.copyOf(headers), requestClass, refusal, retryAfterMillis, List.copyOf(logLines));
     }
 
-    /** Counts a call of the host; past the bound the visit ends in a trap. */
-    void called() {
-        if (++calls > MOST_CALLS) {
-            throw new IllegalStateException("more than " + MOST_CALLS + " calls of the host");
+    /** Counts a call of a host function; above the limit the invocation traps. */
+    void countHostCall() {
+        if (++hostCalls > MAX_HOST_CALLS) {
+            throw new IllegalStateException("more than " + MAX_HOST_CALLS + " calls of host functions");
         }
     }
 
     /**
-     * {@code get(field, name, nameLength, out, capacity)}: the length of the value, written where it fits.
+     * {@code get(field, name, nameLength, out, capacity)}: returns the length of the value, which is written if it
+     * fits.
      */
     int get(Memory memory, int field, int name, int nameLength, int out, int capacity) {
-        String key = text(memory, name, nameLength, MOST_NAME);
+        String key = readText(memory, name, nameLength, MAX_NAME_BYTES);
         if (key == null) {
             return MALFORMED;
         }
@@ -79,18 +81,18 @@
                     case 1 -> request.path();
                     case 2 -> header(key.toLowerCase(Locale.ROOT));
                     case 3 -> requestClass != null ? requestClass : request.requestClass();
-                    case 4 -> spec.config().get(key);
+                    case 4 -> configuration.config().get(key);
                     default -> null;
                 };
         if (value == null) {
             return ABSENT;
         }
-        return give(memory, value.getBytes(StandardCharsets.UTF_8), out, capacity);
+        return writeValue(memory, value.getBytes(StandardCharsets.UTF_8), out, capacity);
     }
 
-    private static int give(Memory memory, byte[] value, int out, int capacity) {
+    private static int writeValue(Memory memory, byte[] value, int out, int capacity) {
         if (value.length <= capacity) {
-            if (!within(memory, out, value.length)) {
+            if (!isInMemory(memory, out, value.length)) {
                 return MALFORMED;
             }
             memory.write(out, value);
@@ -99,44 +101,47 @@
     }
 
     int storeGet(Memory memory, int key, int keyLength, int out, int capacity) {
-        String name = text(memory, key, keyLength, MOST_NAME);
+        String name = readText(memory, key, keyLength, MAX_NAME_BYTES);
         if (name == null) {
             return MALFORMED;
         }
-        byte[] value = puts.containsKey(name) ? puts.get(name) : store.get(name);
-        return value == null || value.length == 0 ? ABSENT : give(memory, value, out, capacity);
+        byte[] value = storePuts.containsKey(name) ? storePuts.get(name) : store.get(name);
+        return value == null || value.length == 0 ? ABSENT : writeValue(memory, value, out, capacity);
     }
 
     int storePut(Memory memory, int key, int keyLength, int value, int valueLength) {
-        String name = text(memory, key, keyLength, MOST_NAME);
-        if (name == null || valueLength < 0 || valueLength > MOST_VALUE || !within(memory, value, valueLength)) {
+        String name = readText(memory, key, keyLength, MAX_NAME_BYTES);
+        if (name == null
+                || valueLength < 0
+                || valueLength > MAX_VALUE_BYTES
+                || !isInMemory(memory, value, valueLength)) {
             return MALFORMED;
         }
-        byte[] before = puts.put(name, memory.readBytes(value, valueLength));
-        if (store.fits(puts)) {
+        byte[] previous = storePuts.put(name, memory.readBytes(value, valueLength));
+        if (store.fits(storePuts)) {
             return DONE;
         }
-        if (before == null) {
-            puts.remove(name);
+        if (previous == null) {
+            storePuts.remove(name);
         } else {
-            puts.put(name, before);
+            storePuts.put(name, previous);
         }
-        return TOO_MUCH;
+        return LIMIT_EXCEEDED;
     }
 
-    /** What it put is kept from now on. */
-    void keep() {
-        store.put(puts);
+    /** Commits the stored values of this invocation. */
+    void commitStore() {
+        store.put(storePuts);
     }
 
     private String header(String lower) {
-        String own = headers.get(lower);
-        return own == null ? request.headers().get(lower) : own.isEmpty() ? null : own;
+        String changed = headers.get(lower);
+        return changed == null ? request.headers().get(lower) : changed.isEmpty() ? null : changed;
     }
 
     int setHeader(Memory memory, int name, int nameLength, int value, int valueLength) {
-        String key = text(memory, name, nameLength, MOST_NAME);
-        String text = text(memory, value, valueLength, MOST_VALUE);
+        String key = readText(memory, name, nameLength, MAX_NAME_BYTES);
+        String text = readText(memory, value, valueLength, MAX_VALUE_BYTES);
         if (key == null
                 || text == null
                 || !key.matches(TOKEN)
@@ -145,79 +150,79 @@
                 || !text.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
             return MALFORMED;
         }
-        return put(key, text, key.length() + text.length());
+        return putHeader(key, text, key.length() + text.length());
     }
 
     int removeHeader(Memory memory, int name, int nameLength) {
-        String key = text(memory, name, nameLength, MOST_NAME);
-        return key == null || !key.matches(TOKEN) ? MALFORMED : put(key, "", key.length());
+        String key = readText(memory, name, nameLength, MAX_NAME_BYTES);
+        return key == null || !key.matches(TOKEN) ? MALFORMED : putHeader(key, "", key.length());
     }
 
-    private int put(String name, String value, int size) {
-        if (!spec.grant().header(name)) {
+    private int putHeader(String name, String value, int size) {
+        if (!configuration.grant().allowsHeader(name)) {
             return NOT_GRANTED;
         }
-        bytes += size;
-        if (bytes > MOST_BYTES) {
-            return TOO_MUCH;
+        changeBytes += size;
+        if (changeBytes > MAX_CHANGE_BYTES) {
+            return LIMIT_EXCEEDED;
         }
         headers.put(name.toLowerCase(Locale.ROOT), value);
         return DONE;
     }
 
     int setClass(Memory memory, int name, int nameLength) {
-        String wanted = text(memory, name, nameLength, MOST_NAME);
-        if (wanted == null) {
+        String newClass = readText(memory, name, nameLength, MAX_NAME_BYTES);
+        if (newClass == null) {
             return MALFORMED;
         }
-        if (!spec.grant().classes().contains(wanted)) {
+        if (!configuration.grant().classes().contains(newClass)) {
             return NOT_GRANTED;
         }
-        requestClass = wanted;
+        requestClass = newClass;
         return DONE;
     }
 
     int refuse(Memory memory, int reason, int reasonLength, int millis) {
-        String why = text(memory, reason, reasonLength, MOST_VALUE);
-        if (why == null || millis < 0) {
+        String reasonText = readText(memory, reason, reasonLength, MAX_VALUE_BYTES);
+        if (reasonText == null || millis < 0) {
             return MALFORMED;
         }
-        if (!spec.grant().refuse()) {
+        if (!configuration.grant().refuse()) {
             return NOT_GRANTED;
         }
-        refusal = why.replaceAll("[^\\x20-\\x7e]+", " ");
+        refusal = reasonText.replaceAll("[^\\x20-\\x7e]+", " ");
         retryAfterMillis = millis;
         return DONE;
     }
 
     int log(Memory memory, int line, int length) {
-        String text = text(memory, line, length, MOST_VALUE);
+        String text = readText(memory, line, length, MAX_VALUE_BYTES);
         if (text == null) {
             return MALFORMED;
         }
-        if (notes.size() == MOST_NOTES) {
-            return TOO_MUCH;
+        if (logLines.size() == MAX_LOG_LINES) {
+            return LIMIT_EXCEEDED;
         }
-        notes.add(text.replaceAll("[^\\x20-\\x7e]+", " "));
+        logLines.add(text.replaceAll("[^\\x20-\\x7e]+", " "));
         return DONE;
     }
 
-    /** A text of the plug-in's memory; null where it is not within it, too long, or no UTF-8. */
-    private static String text(Memory memory, int at, int length, int most) {
-        if (length < 0 || length > most || !within(memory, at, length)) {
+    /** Reads a string from the plug-in's memory; null if it is out of range, too long, or not UTF-8. */
+    private static String readText(Memory memory, int offset, int length, int maxBytes) {
+        if (length < 0 || length > maxBytes || !isInMemory(memory, offset, length)) {
             return null;
         }
         try {
             return StandardCharsets.UTF_8
                     .newDecoder()
-                    .decode(ByteBuffer.wrap(memory.readBytes(at, length)))
+                    .decode(ByteBuffer.wrap(memory.readBytes(offset, length)))
                     .toString();
         } catch (CharacterCodingException e) {
             return null;
         }
     }
 
-    private static boolean within(Memory memory, int at, int length) {
-        return at >= 0 && length >= 0 && (long) at + length <= (long) memory.pages() * Memory.PAGE_SIZE;
+    private static boolean isInMemory(Memory memory, int offset, int length) {
+        return offset >= 0 && length >= 0 && (long) offset + length <= (long) memory.pages() * Memory.PAGE_SIZE;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginModule.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginModule.java
@@ -24,76 +24,77 @@
 import org.cypressweir.sidecar.route.PluginConfiguration;
 
 /**
- * A compiled module and its instance. The hook's interface, version 1: the module exports a memory,
- * {@code lb_abi() -> i32} that gives 1, and {@code on_request()}; it may import what {@link #IMPORTS} names
+ * A compiled WebAssembly module and its instance. The plug-in interface, version 1: the module exports a memory,
+ * {@code lb_abi() -> i32}, which returns 1, and {@code on_request()}. It may import the functions in {@link #IMPORTS}
  * from {@code lb}, and nothing else. Used by one thread.
  */
 final class PluginModule {
 
     static final int ABI = 1;
     private static final String ABI_EXPORT = "lb_abi";
-    private static final String HOOK = "on_request";
-    private static final String MEMORY = "memory";
-    private static final String FROM = "lb";
+    private static final String HOOK_EXPORT = "on_request";
+    private static final String MEMORY_EXPORT = "memory";
+    private static final String IMPORT_MODULE = "lb";
 
-    private interface Call {
-        int on(PluginInvocation visit, Memory memory, long[] given);
+    private interface HostCall {
+        int apply(PluginInvocation invocation, Memory memory, long[] arguments);
     }
 
-    private record Offered(int parameters, Call call) {}
+    private record HostFunctionSpec(int parameters, HostCall call) {}
 
-    private static final Map<String, Offered> OFFERED = offered();
-    /** Names of the host's functions. */
-    static final List<String> IMPORTS = List.copyOf(OFFERED.keySet());
+    private static final Map<String, HostFunctionSpec> HOST_FUNCTIONS = hostFunctions();
+    /** Names of the host functions. */
+    static final List<String> IMPORTS = List.copyOf(HOST_FUNCTIONS.keySet());
 
-    private final PluginConfiguration spec;
+    private final PluginConfiguration configuration;
     private final WasmModule module;
-    private final Function<Instance, Machine> machines;
+    private final Function<Instance, Machine> machineFactory;
     private Instance instance;
     private ExportFunction hook;
-    private PluginInvocation visit;
+    private PluginInvocation invocation;
     private final PluginStore store = new PluginStore();
-    /** The call that has ended last. */
-    private PluginInvocation last;
+    /** The most recent invocation. */
+    private PluginInvocation lastInvocation;
 
     /**
-     * Parses, checks and compiles a module; no code of it runs yet.
+     * Parses, validates and compiles a module; none of its code runs yet.
      *
-     * @throws InvalidPluginException with what is wrong with it
+     * @throws InvalidPluginException if the module is not a valid plug-in
      */
-    PluginModule(PluginConfiguration spec) throws InvalidPluginException {
-        this.spec = spec;
+    PluginModule(PluginConfiguration configuration) throws InvalidPluginException {
+        this.configuration = configuration;
         try {
-            module = Parser.parse(spec.module());
+            module = Parser.parse(configuration.module());
             check();
-            machines = MachineFactoryCompiler.compile(module);
+            machineFactory = MachineFactoryCompiler.compile(module);
         } catch (RuntimeException | AssertionError | LinkageError | StackOverflowError | OutOfMemoryError e) {
-            // The library says in many ways that bytes are no module.
+            // The library throws many kinds of exceptions and errors for invalid modules.
             throw new InvalidPluginException(
-                    "no WebAssembly that this program can run: "
+                    "not a WebAssembly module that this program can run: "
                             + String.valueOf(e.getMessage()).replaceAll("\\s+", " "),
                     e);
         }
     }
 
-    private static Map<String, Offered> offered() {
-        Map<String, Offered> all = new LinkedHashMap<>();
+    private static Map<String, HostFunctionSpec> hostFunctions() {
+        Map<String, HostFunctionSpec> all = new LinkedHashMap<>();
         all.put(
                 "get",
-                new Offered(5, (v, m, a) -> v.get(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3], (int) a[4])));
+                new HostFunctionSpec(
+                        5, (v, m, a) -> v.get(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3], (int) a[4])));
         all.put(
                 "set_header",
-                new Offered(4, (v, m, a) -> v.setHeader(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
-        all.put("remove_header", new Offered(2, (v, m, a) -> v.removeHeader(m, (int) a[0], (int) a[1])));
-        all.put("set_class", new Offered(2, (v, m, a) -> v.setClass(m, (int) a[0], (int) a[1])));
-        all.put("refuse", new Offered(3, (v, m, a) -> v.refuse(m, (int) a[0], (int) a[1], (int) a[2])));
+                new HostFunctionSpec(4, (v, m, a) -> v.setHeader(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
+        all.put("remove_header", new HostFunctionSpec(2, (v, m, a) -> v.removeHeader(m, (int) a[0], (int) a[1])));
+        all.put("set_class", new HostFunctionSpec(2, (v, m, a) -> v.setClass(m, (int) a[0], (int) a[1])));
+        all.put("refuse", new HostFunctionSpec(3, (v, m, a) -> v.refuse(m, (int) a[0], (int) a[1], (int) a[2])));
         all.put(
                 "store_get",
-                new Offered(4, (v, m, a) -> v.storeGet(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
+                new HostFunctionSpec(4, (v, m, a) -> v.storeGet(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
         all.put(
                 "store_put",
-                new Offered(4, (v, m, a) -> v.storePut(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
-        all.put("log", new Offered(2, (v, m, a) -> v.log(m, (int) a[0], (int) a[1])));
+                new HostFunctionSpec(4, (v, m, a) -> v.storePut(m, (int) a[0], (int) a[1], (int) a[2], (int) a[3])));
+        all.put("log", new HostFunctionSpec(2, (v, m, a) -> v.log(m, (int) a[0], (int) a[1])));
         return Collections.unmodifiableMap(all);
     }
 
@@ -104,30 +105,31 @@
     private void check() throws InvalidPluginException {
         for (int i = 0; i < module.importSection().importCount(); i++) {
             Import wanted = module.importSection().getImport(i);
-            Offered offer = wanted.module().equals(FROM) ? OFFERED.get(wanted.name()) : null;
-            if (offer == null || !(wanted instanceof FunctionImport f)) {
-                throw new InvalidPluginException("it imports " + wanted.module() + "." + wanted.name() + "; there are "
-                        + FROM + "." + String.join(", " + FROM + ".", IMPORTS));
+            HostFunctionSpec specification =
+                    wanted.module().equals(IMPORT_MODULE) ? HOST_FUNCTIONS.get(wanted.name()) : null;
+            if (specification == null || !(wanted instanceof FunctionImport f)) {
+                throw new InvalidPluginException("it imports " + wanted.module() + "." + wanted.name()
+                        + "; available are " + IMPORT_MODULE + "." + String.join(", " + IMPORT_MODULE + ".", IMPORTS));
             }
-            if (!module.typeSection().getType(f.typeIndex()).equals(type(offer.parameters))) {
-                throw new InvalidPluginException("it imports " + FROM + "." + wanted.name()
-                        + " with another type; it takes "
-                        + offer.parameters + " i32 and gives one");
+            if (!module.typeSection().getType(f.typeIndex()).equals(type(specification.parameters))) {
+                throw new InvalidPluginException("it imports " + IMPORT_MODULE + "." + wanted.name()
+                        + " with a wrong type; its parameters are "
+                        + specification.parameters + " i32 and its result is one i32");
             }
         }
-        export(MEMORY, ExternalType.MEMORY);
-        export(ABI_EXPORT, ExternalType.FUNCTION);
-        export(HOOK, ExternalType.FUNCTION);
+        requireExport(MEMORY_EXPORT, ExternalType.MEMORY);
+        requireExport(ABI_EXPORT, ExternalType.FUNCTION);
+        requireExport(HOOK_EXPORT, ExternalType.FUNCTION);
         module.memorySection().ifPresent(m -> {
-            if (m.memoryCount() > 0 && m.getMemory(0).limits().initialPages() > spec.memoryPages()) {
+            if (m.memoryCount() > 0 && m.getMemory(0).limits().initialPages() > configuration.memoryPages()) {
                 throw new IllegalArgumentException(
-                        "it wants " + m.getMemory(0).limits().initialPages()
-                                + " pages of memory from the start, and may have " + spec.memoryPages());
+                        "it requires " + m.getMemory(0).limits().initialPages()
+                                + " initial pages of memory, and its limit is " + configuration.memoryPages());
             }
         });
     }
 
-    private void export(String name, ExternalType type) throws InvalidPluginException {
+    private void requireExport(String name, ExternalType type) throws InvalidPluginException {
         for (int i = 0; i < module.exportSection().exportCount(); i++) {
             if (module.exportSection().getExport(i).name().equals(name)
                     && module.exportSection().getExport(i).exportType() == type) {
@@ -137,7 +139,7 @@
         throw new InvalidPluginException("it lacks the export '" + name + "'");
     }
 
-    /** What it imports of what there is. */
+    /** The host functions that the module imports. */
     List<String> imports() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < module.importSection().importCount(); i++) {
@@ -146,20 +148,20 @@
         return names;
     }
 
-    /** Makes a fresh instance, whose start function runs; on the thread that may be interrupted. */
-    void begin() throws InvalidPluginException {
+    /** Creates a new instance, which runs its start function; on the plug-in's thread, which may be interrupted. */
+    void instantiate() throws InvalidPluginException {
         instance = null;
         List<HostFunction> functions = new ArrayList<>();
-        OFFERED.forEach(
-                (name, offer) -> functions.add(new HostFunction(FROM, name, type(offer.parameters), (i, given) -> {
-                    if (visit == null) {
-                        throw new IllegalStateException("the host is called outside a visit");
+        HOST_FUNCTIONS.forEach((name, specification) ->
+                functions.add(new HostFunction(IMPORT_MODULE, name, type(specification.parameters), (i, arguments) -> {
+                    if (invocation == null) {
+                        throw new IllegalStateException("host function called outside an invocation");
                     }
-                    visit.called();
-                    return new long[] {offer.call.on(visit, i.memory(), given)};
+                    invocation.countHostCall();
+                    return new long[] {specification.call.apply(invocation, i.memory(), arguments)};
                 })));
         Instance fresh = Instance.builder(module)
-                .withMachineFactory(machines)
+                .withMachineFactory(machineFactory)
                 .withMemoryLimits(limits())
                 .withImportValues(ImportValues.builder()
                         .addFunction(functions.toArray(HostFunction[]::new))
@@ -167,9 +169,10 @@
                 .build();
         long abi = fresh.export(ABI_EXPORT).apply()[0];
         if (abi != ABI) {
-            throw new InvalidPluginException("it speaks version " + abi + " of the hook; this program speaks " + ABI);
+            throw new InvalidPluginException(
+                    "it implements version " + abi + " of the plug-in interface; this program supports version " + ABI);
         }
-        hook = fresh.export(HOOK);
+        hook = fresh.export(HOOK_EXPORT);
         instance = fresh;
     }
 
@@ -178,42 +181,42 @@
                 .filter(m -> m.memoryCount() > 0)
                 .map(m -> m.getMemory(0).limits().initialPages())
                 .orElse(0);
-        return new MemoryLimits(Math.min(initial, spec.memoryPages()), spec.memoryPages());
+        return new MemoryLimits(Math.min(initial, configuration.memoryPages()), configuration.memoryPages());
     }
 
-    boolean begun() {
+    boolean isInstantiated() {
         return instance != null;
     }
 
-    /** After a call that did not end by itself its memory may be anything. */
+    /** Discards the instance: after a call that was interrupted or trapped, its memory may be inconsistent. */
     void discard() {
         instance = null;
     }
 
-    /** One line on what went wrong. */
-    static String why(Throwable e) {
+    /** Describes a failure in one line. */
+    static String describe(Throwable e) {
         return e instanceof StackOverflowError
-                ? "its calls are nested too deep"
+                ? "its calls are nested too deeply"
                 : e instanceof OutOfMemoryError
                         ? "out of memory"
                         : e.getClass().getSimpleName() + ": "
                                 + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
 
-    /** Calls the hook; throws whatever the plug-in's code brings about. */
+    /** Calls the hook; throws whatever the plug-in's code causes. */
     RequestedChanges onRequest(RequestView request) {
-        visit = new PluginInvocation(request, spec, store);
-        last = visit;
+        invocation = new PluginInvocation(request, configuration, store);
+        lastInvocation = invocation;
         try {
             hook.apply();
-            return visit.wishes();
+            return invocation.requestedChanges();
         } finally {
-            visit = null;
+            invocation = null;
         }
     }
 
-    /** What the last call put into the store is kept: it has ended well, and somebody has heard of it. */
-    void keep() {
-        last.keep();
+    /** Commits what the last invocation stored; called once it has succeeded and was not cancelled. */
+    void commitStore() {
+        lastInvocation.commitStore();
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/RequestView.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/RequestView.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * What a plug-in sees of a request.
+ * The parts of a request that a plug-in can read.
  *
- * @param path the normal form that routes are matched with, without the query
- * @param headers by name in small letters; fields of one name joined by {@code ", "}
- * @param requestClass the class of the route that it would take, as it is by now; empty where it has none
+ * @param path the path in the normal form used for route matching, without the query
+ * @param headers by name in lower case; field lines of one name joined by {@code ", "}
+ * @param requestClass the current class of the request, from its route or an earlier plug-in; empty if it has none
  */
 public record RequestView(String method, String path, Map<String, String> headers, String requestClass) {}
--- a/src/main/java/org/cypressweir/sidecar/plugin/RequestedChanges.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/RequestedChanges.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What a plug-in asks for after one call; nothing of it has happened yet.
+ * The changes that a plug-in requested in one call; none of them is applied yet.
  *
- * @param headers to set, or to remove where the value is empty; by name in small letters
- * @param requestClass another class; null for none
- * @param refusal why it is to be refused; null where it is not
- * @param retryAfterMillis when to come back; 0 for no word on that
+ * @param headers headers to set, or to remove if the value is empty; by name in lower case
+ * @param requestClass the new class; null for no change
+ * @param refusal reason to refuse the request; null to accept it
+ * @param retryAfterMillis when the client should retry a refused request; 0 if not specified
  * @param notes lines for the log
  */
 public record RequestedChanges(
         Map<String, String> headers, String requestClass, String refusal, long retryAfterMillis, List<String> notes) {
 
-    /** Nothing is asked for. */
+    /** No changes requested. */
     public static final RequestedChanges NONE = new RequestedChanges(Map.of(), null, null, 0, List.of());
 }
--- a/src/main/java/org/cypressweir/sidecar/route/Candidates.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Candidates.java
@@ -10,27 +10,28 @@
 import java.util.TreeMap;
 
 /**
- * The routes that have host and path in common, in order of precedence. Where they are many, they are parted
- * by the value of the header that most of them test for equality, so that one of a thousand tenants' routes
- * is found without looking at the others.
+ * The routes with the same host and path, in order of precedence. If there are many, they are split by the value of the
+ * header that most of them test for equality, so that one of a thousand tenants' routes is found without looking at the
+ * others.
  */
 final class Candidates<T> {
 
-    /** From so many on a hash is cheaper than looking at each. */
-    private static final int MANY = 8;
+    /** From this number of routes on, a hash look-up is cheaper than a scan. */
+    private static final int HASH_THRESHOLD = 8;
 
     private final List<Route<T>> routes;
-    /** The header that parts them; null where they are looked at one by one. */
+    /** The header whose value selects a subset; null if the routes are scanned. */
     private final String header;
 
     private final Map<String, Candidates<T>> byValue;
-    private final Candidates<T> others;
+    private final Candidates<T> withoutValue;
 
-    private Candidates(List<Route<T>> routes, String header, Map<String, Candidates<T>> byValue, Candidates<T> others) {
+    private Candidates(
+            List<Route<T>> routes, String header, Map<String, Candidates<T>> byValue, Candidates<T> withoutValue) {
         this.routes = routes;
         this.header = header;
         this.byValue = byValue;
-        this.others = others;
+        this.withoutValue = withoutValue;
     }
 
     static <T> Candidates<T> none() {
@@ -39,47 +40,47 @@
 
     static <T> Candidates<T> of(List<Route<T>> routes) {
         List<Route<T>> ordered = new ArrayList<>(routes);
-        ordered.sort(Comparator.comparing((Route<T> r) -> r.match(), Match.WITHIN_PATH)
+        ordered.sort(Comparator.comparing((Route<T> r) -> r.match(), Match.PRECEDENCE_WITHIN_PATH)
                 .thenComparing(Route::name));
-        return parted(List.copyOf(ordered), Set.of());
+        return split(List.copyOf(ordered), Set.of());
     }
 
-    private static <T> Candidates<T> parted(List<Route<T>> ordered, Set<String> done) {
-        String header = ordered.size() < MANY ? null : mostTested(ordered, done);
+    private static <T> Candidates<T> split(List<Route<T>> ordered, Set<String> usedHeaders) {
+        String header = ordered.size() < HASH_THRESHOLD ? null : mostTestedHeader(ordered, usedHeaders);
         if (header == null) {
             return new Candidates<>(ordered, null, Map.of(), null);
         }
         Map<String, List<Route<T>>> lists = new HashMap<>();
         for (Route<T> route : ordered) {
-            String value = wanted(route, header);
+            String value = requiredValue(route, header);
             if (value != null) {
                 lists.computeIfAbsent(value, v -> new ArrayList<>());
             }
         }
-        List<Route<T>> rest = new ArrayList<>();
+        List<Route<T>> unrestricted = new ArrayList<>();
         for (Route<T> route : ordered) {
-            String value = wanted(route, header);
+            String value = requiredValue(route, header);
             if (value != null) {
                 lists.get(value).add(route);
             } else {
-                // Whatever the header's value: it stands in each part, at its place.
+                // It matches any value of the header, so each subset contains it, in order of precedence.
                 lists.values().forEach(list -> list.add(route));
-                rest.add(route);
+                unrestricted.add(route);
             }
         }
-        Set<String> next = new HashSet<>(done);
-        next.add(header);
+        Set<String> nextUsedHeaders = new HashSet<>(usedHeaders);
+        nextUsedHeaders.add(header);
         Map<String, Candidates<T>> byValue = new HashMap<>();
-        lists.forEach((value, list) -> byValue.put(value, parted(List.copyOf(list), next)));
-        return new Candidates<>(ordered, header, byValue, parted(List.copyOf(rest), next));
+        lists.forEach((value, list) -> byValue.put(value, split(List.copyOf(list), nextUsedHeaders)));
+        return new Candidates<>(ordered, header, byValue, split(List.copyOf(unrestricted), nextUsedHeaders));
     }
 
-    /** The header that the most of these want to equal something, if that is more than half of them. */
-    private static <T> String mostTested(List<Route<T>> routes, Set<String> done) {
+    /** The header that most of these routes test for equality, if more than half of them do; otherwise null. */
+    private static <T> String mostTestedHeader(List<Route<T>> routes, Set<String> usedHeaders) {
         Map<String, Integer> counts = new TreeMap<>();
         for (Route<T> route : routes) {
             for (HeaderTest test : route.match().headers()) {
-                if (test.kind() == HeaderTest.Kind.EQUAL && !done.contains(test.name())) {
+                if (test.kind() == HeaderTest.Kind.EQUAL && !usedHeaders.contains(test.name())) {
                     counts.merge(test.name(), 1, Integer::sum);
                 }
             }
@@ -91,7 +92,7 @@
                 .orElse(null);
     }
 
-    private static <T> String wanted(Route<T> route, String header) {
+    private static <T> String requiredValue(Route<T> route, String header) {
         for (HeaderTest test : route.match().headers()) {
             if (test.kind() == HeaderTest.Kind.EQUAL && test.name().equals(header)) {
                 return test.value();
@@ -103,17 +104,17 @@
     Route<T> find(Routable request) {
         if (header != null) {
             String value = request.header(header);
-            return (value == null ? others : byValue.getOrDefault(value, others)).find(request);
+            return (value == null ? withoutValue : byValue.getOrDefault(value, withoutValue)).find(request);
         }
         for (Route<T> route : routes) {
-            if (passes(route.match(), request)) {
+            if (conditionsHold(route.match(), request)) {
                 return route;
             }
         }
         return null;
     }
 
-    private static boolean passes(Match match, Routable request) {
+    private static boolean conditionsHold(Match match, Routable request) {
         if (!match.methods().isEmpty() && !match.methods().contains(request.method())) {
             return false;
         }
--- a/src/main/java/org/cypressweir/sidecar/route/HeaderTest.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HeaderTest.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What a route asks of one header. Names are compared without case, values as they are. Fields of one name
- * count as one value, joined by {@code ", "} (RFC 9110, section 5.3): so a request passes one test of
- * equality at most for each name, and a doubled header is not taken for a single one.
+ * A route's condition on one header. Names are case-insensitive, values are case-sensitive. Field lines of one name
+ * form one value, joined by {@code ", "} (RFC 9110, section 5.3), so that a request passes at most one equality test
+ * per name and a duplicated header is not mistaken for a single one.
  *
  * @param name in lower case
- * @param value what it must equal; null where only its presence counts
+ * @param value the value it must equal; null if only its presence or absence counts
  */
 public record HeaderTest(String name, Kind kind, String value) {
 
-    /** What is asked. */
+    /** The kind of condition. */
     public enum Kind {
         PRESENT,
         ABSENT,
         EQUAL
     }
 
-    /** Whether a header of this combined value passes; null where it is absent. */
+    /** Whether a header with this combined value passes; null for an absent header. */
     boolean matches(String combined) {
         return switch (kind) {
             case PRESENT -> combined != null;
--- a/src/main/java/org/cypressweir/sidecar/route/HostName.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostName.java
@@ -4,22 +4,21 @@
 import java.util.Locale;
 
 /**
- * The one normal form of a host: lower case, without port and without the dot at the end (RFC 9110, section
- * 4.2.3; RFC 3986, section 3.2.2).
+ * The normal form of a host: lower case, without port and trailing dot (RFC 9110, section 4.2.3; RFC 3986, section
+ * 3.2.2).
  */
 public final class HostName {
 
-    private static final int MAX = 253;
+    private static final int MAX_LENGTH = 253;
 
     private HostName() {}
 
     /**
-     * The host that a request's {@code Host} fields name; the empty text where there is none, which only
-     * HTTP/1.0 allows.
+     * Returns the host in a request's {@code Host} field; an empty string if there is none, which only HTTP/1.0 allows.
      *
      * @param fields the values of all {@code Host} fields of the request
-     * @param required whether one has to be there (RFC 9112, section 3.2)
-     * @throws InvalidTargetException where one lacks, where there are two, or where its text is no host
+     * @param required whether a {@code Host} field is mandatory (RFC 9112, section 3.2)
+     * @throws InvalidTargetException if the field is missing, duplicated, or not a valid host
      */
     public static String of(List<String> fields, boolean required) throws InvalidTargetException {
         if (fields.size() > 1) {
@@ -34,7 +33,7 @@
         return normal(fields.get(0).trim());
     }
 
-    /** The normal form of {@code host} or {@code host:port}; the empty text stays empty. */
+    /** The normal form of {@code host} or {@code host:port}; an empty string stays empty. */
     public static String normal(String authority) throws InvalidTargetException {
         if (authority.isEmpty()) {
             return "";
@@ -61,11 +60,11 @@
         return text.isEmpty() || Integer.parseInt(text) <= 65_535;
     }
 
-    private static boolean isHost(String host, boolean literal) {
-        if (host.isEmpty() || host.length() > MAX || host.startsWith(".") || host.contains("..")) {
+    private static boolean isHost(String host, boolean ipLiteral) {
+        if (host.isEmpty() || host.length() > MAX_LENGTH || host.startsWith(".") || host.contains("..")) {
             return false;
         }
-        if (literal) {
+        if (ipLiteral) {
             return host.length() > 2
                     && host.endsWith("]")
                     && host.substring(1, host.length() - 1)
--- a/src/main/java/org/cypressweir/sidecar/route/HostPattern.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostPattern.java
@@ -1,20 +1,20 @@
 package org.cypressweir.sidecar.route;
 
 /**
- * A host as a route names it: exact, every name below a suffix ({@code *.example.org}, which does not match
- * {@code example.org} itself), or any ({@code *}).
+ * The host pattern of a route: an exact name, every name below a suffix ({@code *.example.org}, which does not match
+ * {@code example.org} itself), or any host ({@code *}).
  *
- * @param name in normal form; for a suffix what follows {@code *.}; null for any
+ * @param name in normal form; for a suffix the part after {@code *.}; null for any host
  */
 public record HostPattern(String name, boolean suffix) {
 
-    /** Any host, and none. */
+    /** Matches any host, and a request without one. */
     public static final HostPattern ANY = new HostPattern(null, false);
 
     /**
-     * Reads a pattern.
+     * Parses a pattern.
      *
-     * @throws IllegalArgumentException with one line on what is wrong with the text
+     * @throws IllegalArgumentException with a message of one line if the text is not a valid pattern
      */
     public static HostPattern parse(String text) {
         if (text.equals("*")) {
--- a/src/main/java/org/cypressweir/sidecar/route/InvalidTargetException.java
+++ b/src/main/java/org/cypressweir/sidecar/route/InvalidTargetException.java
@@ -1,6 +1,6 @@
 package org.cypressweir.sidecar.route;
 
-/** A request's target or host that has no single meaning; the message is one line for the client's 400. */
+/** Thrown for a request target or host that is invalid or ambiguous; the message is one line for the 400 response. */
 public final class InvalidTargetException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/cypressweir/sidecar/route/Match.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Match.java
@@ -5,32 +5,32 @@
 import java.util.Set;
 
 /**
- * What a route asks of a request.
+ * The conditions of a route on a request.
  *
- * <p>Order: of all routes that match a request, the one goes before the others whose host is the most
- * specific (exact, then the longest suffix, then any); then path (see {@link PathPattern#compareTo}); then
- * the higher priority; then one that names methods; then the one with more header tests. Two that are equal
- * in all of this and can match the same request are an error at load.
+ * <p>Precedence: of all routes that match a request, the one with the most specific host is used (exact, then the
+ * longest suffix, then any); then the most specific path (see {@link PathPattern#compareTo}); then the higher priority;
+ * then a route that names methods; then the one with more header tests. Two routes that are equal in all of this and
+ * can match the same request are rejected when the configuration is loaded.
  *
- * @param methods the methods, in capitals; empty for any
- * @param headers at most one test a header
- * @param priority decides between routes of the same host and path; 0 is usual
+ * @param methods the methods, in upper case; empty for any
+ * @param headers at most one test per header
+ * @param priority decides between routes of the same host and path; the default is 0
  */
 public record Match(HostPattern host, PathPattern path, Set<String> methods, List<HeaderTest> headers, int priority) {
 
-    /** The order of routes that have host and path in common. */
-    static final Comparator<Match> WITHIN_PATH = Comparator.<Match>comparingInt(m -> -m.priority)
+    /** The precedence of routes with the same host and path. */
+    static final Comparator<Match> PRECEDENCE_WITHIN_PATH = Comparator.<Match>comparingInt(m -> -m.priority)
             .thenComparing(m -> m.methods.isEmpty())
             .thenComparing(m -> -m.headers.size());
 
-    /** Whether some request matches both, host and path aside. */
+    /** Whether some request can match both, apart from host and path. */
     boolean conditionsOverlap(Match other) {
         boolean method =
                 methods.isEmpty() || other.methods.isEmpty() || methods.stream().anyMatch(other.methods::contains);
         return method && !HeaderTest.anyExcludes(headers, other.headers);
     }
 
-    /** Whether every request that matches the other matches this one, host and path aside. */
+    /** Whether every request that matches the other matches this one, apart from host and path. */
     boolean conditionsCover(Match other) {
         boolean method = methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods);
         return method && headers.stream().allMatch(h -> other.headers.stream().anyMatch(h::impliedBy));
--- a/src/main/java/org/cypressweir/sidecar/route/Overlaps.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Overlaps.java
@@ -11,18 +11,18 @@
 import java.util.TreeMap;
 
 /**
- * Pairs of routes that can't stand together: two that match the same request with no order between them, and
- * one that another hides. Host and path always give an order, and what is more specific in them can't hide
- * what is less; so only routes of the same host and path are compared.
+ * Finds pairs of conflicting routes: two that can match the same request without a precedence between them, or one that
+ * is hidden by another, so that it never matches. Different hosts or paths always give a precedence, and a more
+ * specific one can't hide a less specific one; so only routes with the same host and path are compared.
  */
 public final class Overlaps {
 
-    /** Two routes of one file, by name. */
+    /** Two conflicting routes, by name; {@code hidden} if the other always takes precedence over the first. */
     public record Pair(String route, String other, boolean hidden) {}
 
     private Overlaps() {}
 
-    /** All pairs at fault, a route once at most as the first of a pair. */
+    /** All conflicting pairs; each route appears at most once as the first of a pair. */
     public static <T> List<Pair> of(List<Route<T>> routes) {
         Map<String, List<Route<T>>> buckets = new LinkedHashMap<>();
         for (Route<T> route : routes) {
@@ -36,18 +36,18 @@
 
     private static <T> void compare(List<Route<T>> bucket, List<Pair> pairs) {
         List<Route<T>> ordered = new ArrayList<>(bucket);
-        ordered.sort(Comparator.comparing((Route<T> r) -> r.match(), Match.WITHIN_PATH)
+        ordered.sort(Comparator.comparing((Route<T> r) -> r.match(), Match.PRECEDENCE_WITHIN_PATH)
                 .thenComparing(Route::name));
-        Seen<T> seen = new Seen<>();
+        EarlierRoutes<T> earlierRoutes = new EarlierRoutes<>();
         for (Route<T> route : ordered) {
             Pair worst = null;
-            for (Route<T> earlier : seen.near(route)) {
+            for (Route<T> earlier : earlierRoutes.possibleOverlaps(route)) {
                 Match a = earlier.match();
                 Match b = route.match();
                 boolean hidden = a.conditionsCover(b);
-                boolean unordered = Match.WITHIN_PATH.compare(a, b) == 0 && a.conditionsOverlap(b);
+                boolean unordered = Match.PRECEDENCE_WITHIN_PATH.compare(a, b) == 0 && a.conditionsOverlap(b);
                 if (unordered || hidden) {
-                    boolean hides = hidden && Match.WITHIN_PATH.compare(a, b) != 0;
+                    boolean hides = hidden && Match.PRECEDENCE_WITHIN_PATH.compare(a, b) != 0;
                     if (worst == null || hides) {
                         worst = new Pair(route.name(), earlier.name(), hides);
                     }
@@ -56,29 +56,29 @@
             if (worst != null) {
                 pairs.add(worst);
             }
-            seen.add(route);
+            earlierRoutes.add(route);
         }
     }
 
     /**
-     * Routes so far, found by a header that they want to equal something: two that want other values of it
-     * have nothing in common, so that a thousand routes of one path need not be compared with one another.
+     * The routes compared so far, indexed by the headers they test for equality. Two routes that require different
+     * values of a header can't overlap, so a thousand routes of one path need not all be compared with one another.
      */
-    private static final class Seen<T> {
+    private static final class EarlierRoutes<T> {
         private final Map<String, Map<String, List<Route<T>>>> byValue = new TreeMap<>();
-        private final Map<String, Set<Route<T>>> without = new HashMap<>();
+        private final Map<String, Set<Route<T>>> withoutEqualTest = new HashMap<>();
         private final List<Route<T>> all = new ArrayList<>();
 
         void add(Route<T> route) {
             for (HeaderTest test : route.match().headers()) {
                 if (test.kind() == HeaderTest.Kind.EQUAL) {
-                    without.computeIfAbsent(test.name(), n -> new HashSet<>(all));
+                    withoutEqualTest.computeIfAbsent(test.name(), n -> new HashSet<>(all));
                     byValue.computeIfAbsent(test.name(), n -> new HashMap<>())
                             .computeIfAbsent(test.value(), v -> new ArrayList<>())
                             .add(route);
                 }
             }
-            without.forEach((name, routes) -> {
+            withoutEqualTest.forEach((name, routes) -> {
                 if (route.match().headers().stream()
                         .noneMatch(t ->
                                 t.kind() == HeaderTest.Kind.EQUAL && t.name().equals(name))) {
@@ -88,15 +88,15 @@
             all.add(route);
         }
 
-        /** Those that may match a request of this route. */
-        List<Route<T>> near(Route<T> route) {
+        /** Earlier routes that may match the same request as this route. */
+        List<Route<T>> possibleOverlaps(Route<T> route) {
             List<Route<T>> fewest = all;
             for (HeaderTest test : route.match().headers()) {
                 if (test.kind() == HeaderTest.Kind.EQUAL && byValue.containsKey(test.name())) {
-                    List<Route<T>> few = new ArrayList<>(without.get(test.name()));
-                    few.addAll(byValue.get(test.name()).getOrDefault(test.value(), List.of()));
-                    few.sort(Comparator.comparing(Route::name));
-                    fewest = few.size() < fewest.size() ? few : fewest;
+                    List<Route<T>> candidates = new ArrayList<>(withoutEqualTest.get(test.name()));
+                    candidates.addAll(byValue.get(test.name()).getOrDefault(test.value(), List.of()));
+                    candidates.sort(Comparator.comparing(Route::name));
+                    fewest = candidates.size() < fewest.size() ? candidates : fewest;
                 }
             }
             return fewest;
--- a/src/main/java/org/cypressweir/sidecar/route/PathPattern.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PathPattern.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * A path as a route names it: exact ({@code /a/b}), a prefix of whole segments ({@code /a/*}, which
- * {@code /a} matches too), or either with segments left open ({@code /a/{id}/c}). A path that ends with a
- * slash has an empty last segment, so {@code /a/} and {@code /a} are two paths.
+ * The path pattern of a route: exact ({@code /a/b}), a prefix of whole segments ({@code /a/*}, which also matches
+ * {@code /a}), or either with wildcard segments ({@code /a/{id}/c}). A path that ends with a slash has an empty last
+ * segment, so {@code /a/} and {@code /a} are different paths.
  *
- * @param segments a null stands for a segment left open, which one segment that is not empty matches
+ * @param segments the segments; null is a wildcard, which matches one non-empty segment
  * @param prefix whether more segments may follow
  */
 public record PathPattern(List<String> segments, boolean prefix) implements Comparable<PathPattern> {
 
-    /** More segments than this are refused, since open ones cost a look-up a branch each. */
+    /** The most segments of a pattern; limited because each wildcard segment can add a branch to a look-up. */
     public static final int MAX_SEGMENTS = 32;
 
     /**
-     * Reads a pattern.
+     * Parses a pattern.
      *
-     * @throws IllegalArgumentException with one line on what is wrong with the text
+     * @throws IllegalArgumentException with a message of one line if the text is not a valid pattern
      */
     public static PathPattern parse(String text) {
         if (!text.startsWith("/")) {
@@ -29,26 +29,26 @@
         String body = prefix ? text.substring(0, text.length() - 2) : text;
         List<String> segments = new ArrayList<>();
         for (String segment : body.isEmpty() ? new String[0] : body.substring(1).split("/", -1)) {
-            boolean open = segment.startsWith("{") && segment.endsWith("}");
-            if (!open && (segment.contains("{") || segment.contains("}") || segment.contains("*"))) {
+            boolean wildcard = segment.startsWith("{") && segment.endsWith("}");
+            if (!wildcard && (segment.contains("{") || segment.contains("}") || segment.contains("*"))) {
                 throw new IllegalArgumentException("path '" + text + "': '" + segment
                         + "' mixes text with an open part; a segment is either text or '{name}'");
             }
-            if (open && segment.length() == 2) {
+            if (wildcard && segment.length() == 2) {
                 throw new IllegalArgumentException("path '" + text + "': '{}' has no name");
             }
-            segments.add(open ? null : segment);
+            segments.add(wildcard ? null : segment);
         }
         if (segments.size() > MAX_SEGMENTS) {
             throw new IllegalArgumentException("path '" + text + "' has more than " + MAX_SEGMENTS + " segments");
         }
         PathPattern pattern = new PathPattern(segments, prefix);
-        pattern.checkNormal(text);
+        pattern.checkNormalized(text);
         return pattern;
     }
 
-    /** What no request's normal form can be would never match. */
-    private void checkNormal(String text) {
+    /** Rejects a pattern that is not in normal form, because requests are matched in normal form. */
+    private void checkNormalized(String text) {
         StringBuilder sample = new StringBuilder();
         segments.forEach(s -> sample.append('/').append(s == null ? "x" : s));
         if (sample.length() == 0) {
@@ -68,14 +68,14 @@
         }
     }
 
-    /** Segments of a normal path; {@code /} has one, which is empty. */
+    /** The segments of a path in normal form; {@code /} has one empty segment. */
     static String[] segments(String path) {
         return path.substring(1).split("/", -1);
     }
 
     /**
-     * The more specific first: segment by segment from the left text goes before an open segment, that before
-     * the end of a prefix. Of two patterns that overlap this tells which one a request goes to.
+     * Orders the more specific pattern first. Segments are compared from the left: literal text before a wildcard
+     * segment, a wildcard before the end of a prefix. Of two overlapping patterns, a request is matched by the first.
      */
     @Override
     public int compareTo(PathPattern other) {
--- a/src/main/java/org/cypressweir/sidecar/route/PluginConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PluginConfiguration.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A plug-in as the operators' file names it.
+ * The configuration of a plug-in, from the operators' file.
  *
- * @param line of the file where it is named; not part of what it is
+ * @param line line of the file where it is defined; ignored by {@link #equals}
  * @param module the bytes of the WebAssembly module
- * @param deadlineMicros from when a request asks for it to when the request goes on without it
- * @param memoryPages of 64 KiB that it may have at most
- * @param failClosed whether a request is refused where the plug-in fails; otherwise it goes on
- * @param config what it may read by name
+ * @param deadlineMicros time from a request's call of the plug-in until the request continues without it
+ * @param memoryPages most memory pages of 64 KiB that it may use
+ * @param failClosed whether a request is refused if the plug-in fails; otherwise the request continues
+ * @param config values that the plug-in may read by name
  */
 public record PluginConfiguration(
         String name,
--- a/src/main/java/org/cypressweir/sidecar/route/PoolConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PoolConfiguration.java
@@ -23,15 +23,15 @@
         CellsConfiguration cells) {
 
     /**
-     * What the pool takes of connections that stay.
+     * Limits on long-lived connections that were upgraded to another protocol.
      *
-     * @param most to all its servers together
-     * @param perServer to one of them; {@link Integer#MAX_VALUE} for no bound
-     * @param rate new ones a second that each of them takes
+     * @param most most open connections to all its servers together
+     * @param perServer most connections to one of them; {@link Integer#MAX_VALUE} for no limit
+     * @param rate new connections per second that each server accepts
      */
     public record Tunnelled(int most, int perServer, int rate) {}
 
-    /** What one of the cells has of it. */
+    /** The configuration of one cell, with its part of the limits. */
     public PoolConfiguration ofCell(int cell) {
         return new PoolConfiguration(
                 name + "/" + cells.cells().get(cell).name(),
@@ -43,7 +43,7 @@
                 null);
     }
 
-    /** Whether discovery tells its servers. */
+    /** Whether discovery provides its servers. */
     public boolean discovered() {
         return servers == null;
     }
--- a/src/main/java/org/cypressweir/sidecar/route/RequestTarget.java
+++ b/src/main/java/org/cypressweir/sidecar/route/RequestTarget.java
@@ -6,29 +6,28 @@
 import java.util.Locale;
 
 /**
- * A request's target in its one normal form (RFC 3986, section 6.2.2; RFC 9112, section 3.2): what is matched
- * is also what is sent on, so that no spelling reaches a server as another route than the one it was taken
- * for.
+ * A request target in normal form (RFC 3986, section 6.2.2; RFC 9112, section 3.2). The same form is matched against
+ * routes and forwarded, so that no spelling of a path can reach a server under another route than the matched one.
  *
- * <p>Escapes of unreserved characters are undone, those that stay have capital digits, {@code .} and
- * {@code ..} are resolved, slashes in a row are one. What servers read in different ways has no normal form
- * and is refused: an escaped slash, backslash or NUL, and a path that climbs above its root.
+ * <p>Percent-encoded unreserved characters are decoded, other escapes get upper-case digits, {@code .} and {@code ..}
+ * are resolved, and consecutive slashes are merged. Targets that servers interpret differently have no normal form
+ * and are rejected: an escaped slash, backslash or NUL, and a path that leads above its root.
  *
- * @param host the host of an absolute-form target, which goes before the {@code Host} field; else null
- * @param path the normal path, which begins with a slash
- * @param query from the question mark on, as it came; empty where there is none
+ * @param host the host of an absolute-form target, which overrides the {@code Host} field; otherwise null
+ * @param path the path in normal form, which begins with a slash
+ * @param query from the question mark on, unchanged; empty if there is none
  */
 public record RequestTarget(String host, String path, String query) {
 
-    /** Origin form, as it goes on to a server. */
+    /** The target in origin form, as forwarded to a server. */
     public String text() {
         return path + query;
     }
 
     /**
-     * Reads the target of a request line.
+     * Parses the target of a request line.
      *
-     * @throws InvalidTargetException where it is neither in origin nor in absolute form, or has no normal form
+     * @throws InvalidTargetException if it is neither in origin form nor in absolute form, or has no normal form
      */
     public static RequestTarget parse(String target) throws InvalidTargetException {
         if (target.indexOf('#') >= 0) {
@@ -43,7 +42,7 @@
                 throw new InvalidTargetException("the target is neither a path nor an http URI");
             }
             rest = target.substring(scheme + 3);
-            int end = firstOf(rest, '/', '?');
+            int end = indexOfEither(rest, '/', '?');
             host = HostName.normal(rest.substring(0, end));
             if (host.isEmpty()) {
                 throw new InvalidTargetException("the target has no host");
@@ -51,11 +50,11 @@
             rest = rest.substring(end);
             rest = rest.startsWith("/") ? rest : "/" + rest;
         }
-        int query = firstOf(rest, '?', '?');
+        int query = indexOfEither(rest, '?', '?');
         return new RequestTarget(host, normalPath(rest.substring(0, query)), rest.substring(query));
     }
 
-    private static int firstOf(String text, char one, char other) {
+    private static int indexOfEither(String text, char one, char other) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) == one || text.charAt(i) == other) {
                 return i;
@@ -69,34 +68,34 @@
         if (isNormal(path)) {
             return path;
         }
-        return withoutDots(unescaped(path));
+        return removeDotSegments(decodeUnreserved(path));
     }
 
-    /** Whether nothing has to be done, which holds for most. */
+    /** Whether the path is already in normal form, as most are. */
     private static boolean isNormal(String path) {
         for (int i = 0; i < path.length(); i++) {
             char c = path.charAt(i);
-            boolean special = c == '%'
+            boolean needsNormalization = c == '%'
                     || c == '\\'
                     || c <= ' '
                     || c >= 127
                     || i > 0 && path.charAt(i - 1) == '/' && (c == '/' || c == '.');
-            if (special) {
+            if (needsNormalization) {
                 return false;
             }
         }
         return true;
     }
 
-    private static String unescaped(String path) throws InvalidTargetException {
-        StringBuilder plain = new StringBuilder(path.length());
+    private static String decodeUnreserved(String path) throws InvalidTargetException {
+        StringBuilder decoded = new StringBuilder(path.length());
         for (int i = 0; i < path.length(); i++) {
             char c = path.charAt(i);
             if (c != '%') {
                 if (c == '\\' || c <= ' ' || c >= 127) {
                     throw new InvalidTargetException("the path has a character that must be escaped");
                 }
-                plain.append(c);
+                decoded.append(c);
                 continue;
             }
             int high = i + 2 < path.length() ? Character.digit(path.charAt(i + 1), 16) : -1;
@@ -109,13 +108,13 @@
                 throw new InvalidTargetException("the path has an escaped slash, backslash or NUL");
             }
             if (isUnreserved(code)) {
-                plain.append((char) code);
+                decoded.append((char) code);
             } else {
-                plain.append(path.substring(i, i + 3).toUpperCase(Locale.ROOT));
+                decoded.append(path.substring(i, i + 3).toUpperCase(Locale.ROOT));
             }
             i += 2;
         }
-        return plain.toString();
+        return decoded.toString();
     }
 
     private static boolean isUnreserved(int c) {
@@ -128,22 +127,22 @@
                 || c == '~';
     }
 
-    /** Resolves dot segments and joins slashes; a directory keeps its slash at the end. */
-    private static String withoutDots(String path) throws InvalidTargetException {
-        Deque<String> kept = new ArrayDeque<>();
+    /** Resolves dot segments and merges slashes; a directory keeps its trailing slash. */
+    private static String removeDotSegments(String path) throws InvalidTargetException {
+        Deque<String> resolved = new ArrayDeque<>();
         String last = "";
         for (String segment : path.split("/", -1)) {
             last = segment;
             if (segment.equals("..")) {
-                if (kept.pollLast() == null) {
+                if (resolved.pollLast() == null) {
                     throw new InvalidTargetException("the path climbs above its root");
                 }
             } else if (!segment.isEmpty() && !segment.equals(".")) {
-                kept.addLast(segment);
+                resolved.addLast(segment);
             }
         }
         StringBuilder normal = new StringBuilder(path.length());
-        for (Iterator<String> segments = kept.iterator(); segments.hasNext(); ) {
+        for (Iterator<String> segments = resolved.iterator(); segments.hasNext(); ) {
             normal.append('/').append(segments.next());
         }
         boolean directory = last.isEmpty() || last.equals(".") || last.equals("..");
--- a/src/main/java/org/cypressweir/sidecar/route/Resume.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Resume.java
@@ -3,11 +3,11 @@
 import java.util.Set;
 
 /**
- * How a WebSocket connection goes on at another server.
+ * How a WebSocket connection is resumed at another server.
  *
- * @param subprotocols that can be resumed, as agreed on in the handshake
- * @param header its name, which the other handshake has beside the first one's headers; null for none
+ * @param subprotocols subprotocols whose connections can be resumed, as agreed on in the handshake
+ * @param header name of a header to add to the new handshake beside the headers of the first; null for none
  * @param value of that header
- * @param firstMessage whether the client's first message is repeated to the other server
+ * @param firstMessage whether the client's first message is sent again to the new server
  */
 public record Resume(Set<String> subprotocols, String header, String value, boolean firstMessage) {}
--- a/src/main/java/org/cypressweir/sidecar/route/Routable.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Routable.java
@@ -1,16 +1,16 @@
 package org.cypressweir.sidecar.route;
 
-/** What a router looks at in a request. */
+/** The properties of a request that a router matches. */
 public interface Routable {
-    /** The method, in capitals. */
+    /** The method, in upper case. */
     String method();
 
-    /** The host in normal form; empty where there is none. */
+    /** The host in normal form; empty if there is none. */
     String host();
 
     /** The path in normal form, without the query. */
     String path();
 
-    /** The combined value of a header (fields joined by {@code ", "}), or null where it is absent. */
+    /** The combined value of a header (fields joined by {@code ", "}), or null if it is absent. */
     String header(String name);
 }
--- a/src/main/java/org/cypressweir/sidecar/route/Route.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Route.java
@@ -1,9 +1,9 @@
 package org.cypressweir.sidecar.route;
 
 /**
- * A route: what it matches, and where its requests go.
+ * A route: the requests it matches and their target.
  *
  * @param name unique among routes
- * @param <T> what is known of the way from here on
+ * @param <T> type of the target
  */
 public record Route<T>(String name, Match match, T target) {}
--- a/src/main/java/org/cypressweir/sidecar/route/Router.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Router.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * Routes, compiled once: a hash by host, a tree by path segment below it, and the few routes of one place in
- * order of precedence, those beyond a handful behind a hash of a header's value. A look-up costs what the
- * request's own host and path are long, whatever the number of routes. Precedence is told at {@link Match}.
+ * Compiled routes: a hash map by host, below it a tree by path segment, and in each node the routes in order of
+ * precedence, which are hashed by a header's value if they are many. The cost of a look-up depends on the length of the
+ * request's host and path, not on the number of routes. {@link Match} defines the precedence.
  *
- * @param <T> what a route leads to
+ * @param <T> type of a route's target
  */
 public final class Router<T> {
 
     private final Map<String, Node<T>> hosts = new HashMap<>();
     private final Map<String, Node<T>> suffixes = new HashMap<>();
-    private Node<T> any;
+    private Node<T> anyHost;
 
-    /** One place of the tree: below one host, behind the same segments. */
+    /** A node of the tree: the routes of one host with the same path segments. */
     private static final class Node<T> {
-        private Map<String, Node<T>> texts = Map.of();
-        private Node<T> open;
+        private Map<String, Node<T>> literals = Map.of();
+        private Node<T> wildcard;
         private Candidates<T> exact = Candidates.none();
         private Candidates<T> prefix = Candidates.none();
         private final List<Route<T>> exactRoutes = new ArrayList<>(1);
@@ -29,21 +29,21 @@
 
         private Node<T> child(String segment) {
             if (segment == null) {
-                open = open == null ? new Node<>() : open;
-                return open;
+                wildcard = wildcard == null ? new Node<>() : wildcard;
+                return wildcard;
             }
-            if (texts.isEmpty()) {
-                texts = new HashMap<>();
+            if (literals.isEmpty()) {
+                literals = new HashMap<>();
             }
-            return texts.computeIfAbsent(segment, s -> new Node<>());
+            return literals.computeIfAbsent(segment, s -> new Node<>());
         }
 
         private void compile() {
             exact = Candidates.of(exactRoutes);
             prefix = Candidates.of(prefixRoutes);
-            texts.values().forEach(Node::compile);
-            if (open != null) {
-                open.compile();
+            literals.values().forEach(Node::compile);
+            if (wildcard != null) {
+                wildcard.compile();
             }
         }
 
@@ -52,19 +52,19 @@
             if (at == segments.length) {
                 found = exact.find(request);
             } else {
-                Node<T> text = texts.get(segments[at]);
-                if (text != null) {
-                    found = text.find(request, segments, at + 1);
+                Node<T> literal = literals.get(segments[at]);
+                if (literal != null) {
+                    found = literal.find(request, segments, at + 1);
                 }
-                if (found == null && open != null && !segments[at].isEmpty()) {
-                    found = open.find(request, segments, at + 1);
+                if (found == null && wildcard != null && !segments[at].isEmpty()) {
+                    found = wildcard.find(request, segments, at + 1);
                 }
             }
             return found == null ? prefix.find(request) : found;
         }
     }
 
-    /** Compiles routes; that each pair has an order is checked elsewhere ({@link Overlaps}). */
+    /** Compiles routes. The caller ensures a precedence between each pair (see {@link Overlaps}). */
     public Router(List<Route<T>> routes) {
         for (Route<T> route : routes) {
             Node<T> node = root(route.match().host());
@@ -75,20 +75,20 @@
         }
         hosts.values().forEach(Node::compile);
         suffixes.values().forEach(Node::compile);
-        if (any != null) {
-            any.compile();
+        if (anyHost != null) {
+            anyHost.compile();
         }
     }
 
     private Node<T> root(HostPattern host) {
         if (host.name() == null) {
-            any = any == null ? new Node<>() : any;
-            return any;
+            anyHost = anyHost == null ? new Node<>() : anyHost;
+            return anyHost;
         }
         return (host.suffix() ? suffixes : hosts).computeIfAbsent(host.name(), h -> new Node<>());
     }
 
-    /** The route that a request takes; null where none matches. */
+    /** The route that matches a request; null if none does. */
     public Route<T> find(Routable request) {
         String[] segments = PathPattern.segments(request.path());
         String host = request.host();
@@ -100,6 +100,6 @@
                 found = suffix == null ? null : suffix.find(request, segments, 0);
             }
         }
-        return found == null && any != null ? any.find(request, segments, 0) : found;
+        return found == null && anyHost != null ? anyHost.find(request, segments, 0) : found;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/route/RoutingConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/route/RoutingConfiguration.java
@@ -5,12 +5,12 @@
 import org.cypressweir.sidecar.fleetlimits.FleetLimits;
 
 /**
- * All that an operators' file says, checked and compiled; taken over whole or not at all.
+ * The contents of an operators' file, validated and compiled; applied as a whole or not at all.
  *
- * @param webSockets whether any route has WebSockets
- * @param plugins in their order; empty for none
- * @param fleet what all instances together may ask of what they share; null for no bounds
- * @param membership how this process takes part among others; null where it does not
+ * @param webSockets whether any route allows WebSocket connections
+ * @param plugins in the order in which they are called; empty for none
+ * @param fleet limits on shared resources for all instances together; null for no limits
+ * @param membership options for this process's membership in the fleet; null if it does not take part
  */
 public record RoutingConfiguration(
         List<Listener> listeners,
--- a/src/main/java/org/cypressweir/sidecar/route/StaticServer.java
+++ b/src/main/java/org/cypressweir/sidecar/route/StaticServer.java
@@ -7,17 +7,17 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 
 /**
- * A server that the file names.
+ * A server defined in the operators' file.
  *
  * @param id unique in its pool
  * @param zone a zone of the settings, or null
  * @param model a model of the settings, or null
- * @param cell the group that drops repeats together, from 0
- * @param weight its capacity, 1 being usual
+ * @param cell index of the group that deduplicates requests together, from 0
+ * @param weight its relative capacity; the default is 1
  */
 public record StaticServer(String id, InetSocketAddress endpoint, String zone, String model, int cell, double weight) {
 
-    /** Its line on a list; zones and models are numbered as in the settings, -1 for none. */
+    /** The server as the load balancer lists it; zones and models are indexes into the settings, -1 for none. */
     public Server line(List<String> zones, List<String> models) {
         return new Server(
                 Ids.of(id),
--- a/src/main/java/org/cypressweir/sidecar/route/Target.java
+++ b/src/main/java/org/cypressweir/sidecar/route/Target.java
@@ -3,10 +3,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
- * Where a route's requests go, and under which terms.
+ * The pool that a route's requests are sent to, and how they are handled.
  *
- * @param requestClass its place among the classes of the settings
- * @param timeoutMicros for the whole request; the client's own time holds where it is shorter
- * @param webSocket what holds for its WebSocket connections; null where it has none
+ * @param requestClass index into the request classes of the settings
+ * @param timeoutMicros time-out of the whole request; a shorter time-out of the client takes precedence
+ * @param webSocket limits of its WebSocket connections; null if the route allows none
  */
 public record Target(String pool, int requestClass, long timeoutMicros, Terms terms, WebSocketLimits webSocket) {}
--- a/src/main/java/org/cypressweir/sidecar/route/TunnelBounds.java
+++ b/src/main/java/org/cypressweir/sidecar/route/TunnelBounds.java
@@ -1,11 +1,11 @@
 package org.cypressweir.sidecar.route;
 
 /**
- * How many WebSocket connections a route may have open.
+ * Limits on the open WebSocket connections of a route.
  *
- * @param route its name
- * @param most all of them together; {@link Integer#MAX_VALUE} for no bound
- * @param perTenant of one tenant; {@link Integer#MAX_VALUE} for no bound
- * @param evictMicros from how long without data one may be closed for another; 0 for never
+ * @param route name of the route
+ * @param most most open connections; {@link Integer#MAX_VALUE} for no limit
+ * @param perTenant most open connections of one tenant; {@link Integer#MAX_VALUE} for no limit
+ * @param evictMicros time without data after which a connection may be closed to make room for another; 0 for never
  */
 public record TunnelBounds(String route, int most, int perTenant, long evictMicros) {}
--- a/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
@@ -1,19 +1,19 @@
 package org.cypressweir.sidecar.route;
 
 /**
- * What holds for the WebSocket connections of a route; times in microseconds, 0 for none.
+ * Limits and time-outs of a route's WebSocket connections; times in microseconds, 0 for none.
  *
  * @param maxFrame largest payload of a frame, in bytes
- * @param maxMessage largest message, in bytes as they are sent
- * @param idleMicros without a data frame either way
- * @param pingMicros between pings to each side
- * @param pongMicros from a ping until its side counts as gone
- * @param lifeMicros longest life
- * @param drainMicros from when a server is told to leave to the last moment of its connections
- * @param reconnects connections a second that a server can take from others that leave
- * @param closeNotice how one is closed whose server or sidecar goes
- * @param bounds how many there may be
- * @param resume how one goes on at another server; null where it can't
+ * @param maxMessage largest message, in bytes as sent (still compressed)
+ * @param idleMicros time without a data frame in either direction until the connection is closed
+ * @param pingMicros interval between pings to each side
+ * @param pongMicros time from a ping without a pong until its side is considered lost
+ * @param lifeMicros maximum age of a connection
+ * @param drainMicros time from the start of a server's drain until its remaining connections are closed
+ * @param reconnects connections per second that a server can accept from draining servers
+ * @param closeNotice how a connection is closed if its server or the sidecar shuts down
+ * @param bounds limits on their number
+ * @param resume how a connection is resumed at another server; null if it can't be
  */
 public record WebSocketLimits(
         long maxFrame,
--- a/src/test/java/org/cypressweir/sidecar/plugin/InvocationDeadlineTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/InvocationDeadlineTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What counts against a plug-in's deadline: its thread's processor time, within a bound by the clock. */
+/** A plug-in's deadline counts the CPU time of its thread; the elapsed time is limited as well. */
 class InvocationDeadlineTest {
 
     @ParameterizedTest
@@ -23,33 +23,34 @@
         "5000, 50000, 0, 0",
         "5000, 5000, -1, 0",
         "5000, 4000, -1, 1000",
-        // A clock of processor time that runs ahead is not believed.
+        // CPU time above the elapsed time is limited to the elapsed time.
         "5000, 1000, 9000, 4000",
         "1000000, 1000000, 0, 50000",
         "1000000, 1050000, 0, 0",
         "100, 100, 0, 200",
         "100, 900, 0, 100",
     })
-    void table(long deadline, long waited, long used, long more) {
+    void remainingWait(long deadline, long waited, long used, long more) {
         assertEquals(more, new InvocationDeadline(deadline).more(waited, used));
     }
 
-    /** However the processor is given out, a call ends within the bound, and never before its deadline. */
+    /** Whatever CPU time the thread gets, the wait ends within its limit and never before the deadline. */
     @RepeatedTest(20)
-    void endsWithinItsBounds(RepetitionInfo run) {
+    void waitEndsBetweenTheDeadlineAndItsLimit(RepetitionInfo run) {
         SplittableRandom random = new SplittableRandom(run.getCurrentRepetition());
         long deadline = random.nextLong(100, 1_000_001);
-        InvocationDeadline patience = new InvocationDeadline(deadline);
+        InvocationDeadline invocationDeadline = new InvocationDeadline(deadline);
         long waited = 0;
         long used = 0;
-        int looks = 0;
-        for (long more; (more = patience.more(waited, used)) > 0; looks++) {
+        int checks = 0;
+        for (long more; (more = invocationDeadline.more(waited, used)) > 0; checks++) {
             waited += more;
             used += (long) (more * random.nextDouble());
         }
         assertTrue(waited >= deadline, "after " + waited + " of " + deadline);
         assertTrue(waited
-                <= deadline + Math.min(InvocationDeadline.MOST_EXTRA, InvocationDeadline.EXTRA_SHARE * deadline));
-        assertTrue(looks <= 10_000, looks + " looks");
+                <= deadline
+                        + Math.min(InvocationDeadline.MAX_EXTRA_MICROS, InvocationDeadline.EXTRA_FACTOR * deadline));
+        assertTrue(checks <= 10_000, checks + " checks");
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/plugin/PluginHostTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/PluginHostTest.java
@@ -23,16 +23,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A plug-in on its thread: what it may ask for, and what a hostile one can't bring about. */
+/** Plug-ins on their threads: the changes they may request, and containment of hostile modules. */
 @Timeout(60)
 class PluginHostTest {
 
     private static final RequestView REQUEST =
             new RequestView("GET", "/pay/7", Map.of("user-agent", "trip planner", "x-old", "1"), "search");
-    private static final PluginGrant ALL =
+    private static final PluginGrant FULL_GRANT =
             new PluginGrant(Set.of("x-log", "x-log-client", "x-old"), Set.of("pay", "search"), Set.of(), true);
 
-    private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object> results = new LinkedBlockingQueue<>();
     private PluginHost host;
 
     @AfterEach
@@ -42,213 +42,219 @@
         }
     }
 
-    private PluginHost.Call ask(String module, PluginGrant grant, Map<String, String> config) throws Exception {
+    private PluginHost.Call submit(String module, PluginGrant grant, Map<String, String> config) throws Exception {
         if (host == null) {
             host = new PluginHost(PluginModules.plan(module, grant, config), Runnable::run);
         }
         return host.ask(REQUEST, new PluginHost.Heard() {
             @Override
-            public void done(RequestedChanges wishes) {
-                heard.add(wishes);
+            public void done(RequestedChanges changes) {
+                results.add(changes);
             }
 
             @Override
-            public void failed(String why) {
-                heard.add(why);
+            public void failed(String reason) {
+                results.add(reason);
             }
         });
     }
 
-    private Object heard() throws InterruptedException {
-        Object next = heard.poll(10, TimeUnit.SECONDS);
-        assertTrue(next != null, "nothing was heard");
+    private Object results() throws InterruptedException {
+        Object next = results.poll(10, TimeUnit.SECONDS);
+        assertTrue(next != null, "no result");
         return next;
     }
 
-    private RequestedChanges wishes(String module, PluginGrant grant) throws Exception {
-        ask(module, grant, Map.of());
-        return (RequestedChanges) heard();
+    private RequestedChanges changes(String module, PluginGrant grant) throws Exception {
+        submit(module, grant, Map.of());
+        return (RequestedChanges) results();
     }
 
-    // ---- What it is for
+    // ---- Requested changes
 
     @Test
-    void marksPayFromThePath() throws Exception {
-        assertEquals("pay", wishes("mark-pay", ALL).requestClass());
+    void setsTheClassFromThePath() throws Exception {
+        assertEquals("pay", changes("mark-pay", FULL_GRANT).requestClass());
     }
 
     @Test
     void readsItsConfiguration() throws Exception {
-        ask("mark-pay", ALL, Map.of("prefix", "/other/"));
-        assertEquals(RequestedChanges.NONE, heard());
+        submit("mark-pay", FULL_GRANT, Map.of("prefix", "/other/"));
+        assertEquals(RequestedChanges.NONE, results());
     }
 
     @Test
     void setsAHeaderFromAnother() throws Exception {
         assertEquals(
                 Map.of("x-log-client", "trip planner"),
-                wishes("log-header", ALL).headers());
+                changes("log-header", FULL_GRANT).headers());
     }
 
     @Test
     void refusesWithAReason() throws Exception {
-        RequestedChanges w = wishes("refuse", ALL);
-        assertEquals("not today", w.refusal());
-        assertEquals(1_500, w.retryAfterMillis());
+        RequestedChanges changes = changes("refuse", FULL_GRANT);
+        assertEquals("not today", changes.refusal());
+        assertEquals(1_500, changes.retryAfterMillis());
     }
 
-    /** What operators have not granted is not asked for, however the plug-in is written. */
+    /** Changes that the operators have not granted are rejected. */
     @ParameterizedTest
     @ValueSource(strings = {"mark-pay", "log-header", "refuse", "weaken"})
-    void whatIsNotGrantedIsNoWish(String module) throws Exception {
-        assertEquals(RequestedChanges.NONE, wishes(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false)));
+    void changesThatAreNotGrantedAreRejected(String module) throws Exception {
+        assertEquals(RequestedChanges.NONE, changes(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false)));
     }
 
-    /** The two that are compiled from AssemblyScript do the same, and give back what each request took. */
+    /** The two modules compiled from AssemblyScript behave alike, and free the memory of each request. */
     @Test
-    void theKitDoesNotLeak() throws Exception {
-        assertEquals("pay", wishes("as-mark-pay", ALL).requestClass());
+    void assemblyScriptPluginsDoNotLeakMemory() throws Exception {
+        assertEquals("pay", changes("as-mark-pay", FULL_GRANT).requestClass());
         host.close();
         host = null;
         for (int i = 0; i < 20_000; i++) {
             assertEquals(
                     Map.of("x-log-client", "search: trip planner"),
-                    wishes("as-log-header", ALL).headers());
+                    changes("as-log-header", FULL_GRANT).headers());
         }
     }
 
     /**
-     * What is put is there for the next request and for the next instance, but not what a failed call put.
+     * Stored values are kept for the next request and the next instance, except those of a failed call.
      */
     @Test
-    void theStoreOutlivesInstances() throws Exception {
+    void storeOutlivesInstances() throws Exception {
         List<String> counts = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            ask("keeper", ALL, Map.of());
-            counts.add(heard() instanceof RequestedChanges w ? w.headers().get("x-log") : "trap");
+            submit("keeper", FULL_GRANT, Map.of());
+            counts.add(
+                    results() instanceof RequestedChanges changes
+                            ? changes.headers().get("x-log")
+                            : "trap");
         }
         assertEquals(List.of("1", "2", "3", "4", "5", "6", "trap", "7", "8", "9", "1", "2"), counts);
     }
 
     @Test
-    void theStoreIsBounded() throws Exception {
+    void storeIsBounded() throws Exception {
         for (int i = 0; i < 3; i++) {
-            assertEquals(RequestedChanges.NONE, wishes("hoarder", ALL));
+            assertEquals(RequestedChanges.NONE, changes("hoarder", FULL_GRANT));
         }
     }
 
-    // ---- What it can't
+    // ---- Containment
 
-    /** Each traps as soon as the host takes one of its tries. */
+    /** Each module traps as soon as the host accepts one of its invalid arguments. */
     @ParameterizedTest
     @ValueSource(strings = {"pointers", "injection"})
-    void hostileArgumentsAreTurnedDown(String module) throws Exception {
+    void hostileArgumentsAreRejected(String module) throws Exception {
         PluginGrant all = new PluginGrant(
                 Set.of("x-log", "host", "content-length", "request-id", "transfer-encoding", "idempotency-key"),
                 Set.of("pay"),
                 Set.of(),
                 true);
-        assertEquals(RequestedChanges.NONE, wishes(module, all));
+        assertEquals(RequestedChanges.NONE, changes(module, all));
     }
 
-    /** Stopped at its bounds or by its caller; the next call meets a fresh instance. */
+    /** A call that traps or exceeds a limit fails; the next call uses a new instance. */
     @ParameterizedTest
     @ValueSource(strings = {"recurse", "chatter", "trap-second"})
-    void whatTrapsCostsOnlyItsCall(String module) throws Exception {
+    void trapFailsOnlyItsOwnCall(String module) throws Exception {
         for (int i = 0; i < 6; i++) {
-            ask(module, ALL, Map.of());
-            Object result = heard();
+            submit(module, FULL_GRANT, Map.of());
+            Object result = results();
             assertEquals(!module.equals("trap-second") || i % 2 == 1, result instanceof String, "call " + i);
         }
     }
 
     @Test
     void memoryIsBounded() throws Exception {
-        PluginHost.Call call = ask("grow", ALL, Map.of());
-        // It goes on asking for more until it is stopped; what it gets is bounded by its pages.
-        assertNull(heard.poll(300, TimeUnit.MILLISECONDS));
+        PluginHost.Call call = submit("grow", FULL_GRANT, Map.of());
+        // It requests more memory until it is stopped; its page limit bounds what it gets.
+        assertNull(results.poll(300, TimeUnit.MILLISECONDS));
         assertTrue(call.withdraw());
     }
 
     @Test
-    void aLoopIsStoppedAndTheNextCallGoesWell() throws Exception {
-        PluginHost.Call call = ask("loop", ALL, Map.of());
-        assertNull(heard.poll(100, TimeUnit.MILLISECONDS));
+    void endlessLoopIsInterruptedAndTheHostStaysUsable() throws Exception {
+        PluginHost.Call call = submit("loop", FULL_GRANT, Map.of());
+        assertNull(results.poll(100, TimeUnit.MILLISECONDS));
         assertTrue(call.withdraw());
-        PluginHost.Call second = ask("loop", ALL, Map.of());
-        assertNull(heard.poll(100, TimeUnit.MILLISECONDS));
+        PluginHost.Call second = submit("loop", FULL_GRANT, Map.of());
+        assertNull(results.poll(100, TimeUnit.MILLISECONDS));
         assertTrue(second.withdraw());
-        assertEquals(0, heard.size());
+        assertEquals(0, results.size());
         host.close();
-        PluginHost.Call late = ask("loop", ALL, Map.of());
-        assertEquals("it is gone", heard());
+        PluginHost.Call late = submit("loop", FULL_GRANT, Map.of());
+        assertEquals("the plug-in is closed", results());
         assertTrue(!late.withdraw());
     }
 
     /**
-     * Withdrawn at any moment: each call is heard of or withdrawn, never both, and an interrupt hits no
-     * other.
+     * Calls are cancelled at random moments: each is either completed or cancelled, never both, and an interrupt hits
+     * no other call.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void withdrawalsMeetTheirOwnCall(long seed) throws Exception {
+    void cancellationInterruptsOnlyItsOwnCall(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
-        // In rounds that end with a call that is left alone: what waits stays within the bound, however slow
-        // the plug-in's thread is.
-        int round = PluginHost.WAITING / 2;
+        // Each round ends with a call that is not cancelled, so the queue stays within its limit however slow the
+        // plug-in's thread is.
+        int round = PluginHost.MAX_QUEUED_CALLS / 2;
         for (int i = 0; i < 24; i++) {
             int due = 0;
             for (int j = 0; j < round; j++) {
-                PluginHost.Call call = ask("log-header", ALL, Map.of());
+                PluginHost.Call call = submit("log-header", FULL_GRANT, Map.of());
                 for (int spin = random.nextInt(2_000); spin > 0; spin--) {
                     Thread.onSpinWait();
                 }
                 due += call.withdraw() ? 0 : 1;
             }
-            ask("log-header", ALL, Map.of());
+            submit("log-header", FULL_GRANT, Map.of());
             for (; due >= 0; due--) {
-                Object result = heard();
-                assertTrue(result instanceof RequestedChanges, "seed " + seed + ": hit by another's end: " + result);
+                Object result = results();
+                assertTrue(
+                        result instanceof RequestedChanges,
+                        "seed " + seed + ": interrupted by another call's cancellation: " + result);
             }
         }
-        assertNull(heard.poll(50, TimeUnit.MILLISECONDS));
+        assertNull(results.poll(50, TimeUnit.MILLISECONDS));
     }
 
     @Test
-    void whatWaitsBeyondTheBoundFailsAtOnce() throws Exception {
-        PluginHost.Call first = ask("loop", ALL, Map.of());
-        for (int i = 0; i < PluginHost.WAITING + 20; i++) {
-            ask("loop", ALL, Map.of());
+    void callsBeyondTheQueueLimitFailAtOnce() throws Exception {
+        PluginHost.Call first = submit("loop", FULL_GRANT, Map.of());
+        for (int i = 0; i < PluginHost.MAX_QUEUED_CALLS + 20; i++) {
+            submit("loop", FULL_GRANT, Map.of());
         }
-        assertTrue(String.valueOf(heard()).contains("calls wait"));
+        assertTrue(String.valueOf(results()).contains("calls are queued"));
         assertTrue(first.withdraw());
     }
 
-    // ---- What is no plug-in
+    // ---- Invalid modules
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "foreign-import | it imports lb.send; there are lb.get, lb.set_header",
-                "old-abi | it speaks version 7 of the hook; this program speaks 1",
+                "foreign-import | it imports lb.send; available are lb.get, lb.set_header",
+                "old-abi | it implements version 7 of the plug-in interface; this program supports version 1",
                 "no-hook | it lacks the export 'on_request'",
-                "many-pages | it wants 4000 pages of memory from the start, and may have 32",
-                "start-loop | its start took more than",
+                "many-pages | it requires 4000 initial pages of memory, and its limit is 32",
+                "start-loop | its start took longer than",
             })
-    void whatIsNoPluginIsSaid(String module, String why) throws Exception {
+    void invalidModulesAreRejectedWithTheReason(String module, String reason) throws Exception {
         InvalidPluginException e = assertThrows(
                 InvalidPluginException.class,
-                () -> new PluginHost(PluginModules.plan(module, ALL, Map.of()), Runnable::run));
-        assertTrue(e.getMessage().contains(why), e.getMessage());
+                () -> new PluginHost(PluginModules.plan(module, FULL_GRANT, Map.of()), Runnable::run));
+        assertTrue(e.getMessage().contains(reason), e.getMessage());
     }
 
     /**
-     * Bytes of a good module changed at random: refused with a line, or stopped; the host is never harmed.
+     * A valid module with random bytes changed is rejected with one line, fails or can be cancelled; the host is not
+     * affected.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void changedBytesDoNoHarm(long seed) throws Exception {
+    void corruptedModulesDoNoHarm(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] good = PluginModules.bytes("mark-pay");
         int refused = 0;
@@ -257,25 +263,27 @@
             for (int n = 1 + random.nextInt(3); n > 0; n--) {
                 bad[8 + random.nextInt(bad.length - 8)] = (byte) random.nextInt(256);
             }
-            PluginConfiguration plan = new PluginConfiguration("m", 1, bad, 5_000, 32, false, ALL, Map.of());
-            try (PluginHost mutant = new PluginHost(plan, Runnable::run)) {
+            PluginConfiguration configuration =
+                    new PluginConfiguration("m", 1, bad, 5_000, 32, false, FULL_GRANT, Map.of());
+            try (PluginHost mutant = new PluginHost(configuration, Runnable::run)) {
                 BlockingQueue<Object> result = new LinkedBlockingQueue<>();
                 PluginHost.Call call = mutant.ask(REQUEST, new PluginHost.Heard() {
                     @Override
-                    public void done(RequestedChanges wishes) {
-                        result.add(wishes);
+                    public void done(RequestedChanges changes) {
+                        result.add(changes);
                     }
 
                     @Override
-                    public void failed(String why) {
-                        result.add(why);
+                    public void failed(String reason) {
+                        result.add(reason);
                     }
                 });
                 Object first = result.poll(100, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     assertTrue(call.withdraw() || result.poll(5, TimeUnit.SECONDS) != null, "seed " + seed);
-                } else if (first instanceof RequestedChanges w) {
-                    assertTrue(w.requestClass() == null || ALL.classes().contains(w.requestClass()));
+                } else if (first instanceof RequestedChanges changes) {
+                    assertTrue(changes.requestClass() == null
+                            || FULL_GRANT.classes().contains(changes.requestClass()));
                 }
             } catch (InvalidPluginException e) {
                 refused++;
@@ -285,27 +293,27 @@
         assertTrue(refused > 10, "seed " + seed + ": only " + refused + " refused");
     }
 
-    // ---- Conduct
+    // ---- Health
 
     @Test
-    void failuresInARowLeaveItOutForLongerAndLonger() {
-        PluginHealth conduct = new PluginHealth();
+    void consecutiveFailuresSuspendThePluginForLonger() {
+        PluginHealth health = new PluginHealth();
         long now = 1_000_000;
-        for (int i = 1; i < PluginHealth.FAILURES; i++) {
-            assertTrue(!conduct.failed(now));
+        for (int i = 1; i < PluginHealth.FAILURES_TO_SUSPEND; i++) {
+            assertTrue(!health.failed(now));
         }
-        assertTrue(conduct.failed(now));
-        assertTrue(!conduct.mayCall(now + PluginHealth.FIRST - 1));
-        assertTrue(conduct.mayCall(now + PluginHealth.FIRST));
-        now += PluginHealth.FIRST;
-        assertTrue(conduct.failed(now), "one failure at once after it is enough");
-        assertEquals(now + 2 * PluginHealth.FIRST, conduct.outUntil());
+        assertTrue(health.failed(now));
+        assertTrue(!health.mayCall(now + PluginHealth.FIRST_SUSPENSION_MICROS - 1));
+        assertTrue(health.mayCall(now + PluginHealth.FIRST_SUSPENSION_MICROS));
+        now += PluginHealth.FIRST_SUSPENSION_MICROS;
+        assertTrue(health.failed(now), "one failure after a suspension suspends it again");
+        assertEquals(now + 2 * PluginHealth.FIRST_SUSPENSION_MICROS, health.outUntil());
         for (int i = 0; i < 20; i++) {
-            now = conduct.outUntil();
-            conduct.failed(now);
+            now = health.outUntil();
+            health.failed(now);
         }
-        assertEquals(PluginHealth.FIRST << PluginHealth.DOUBLINGS, conduct.outUntil() - now);
-        conduct.well();
-        assertTrue(!conduct.failed(now));
+        assertEquals(PluginHealth.FIRST_SUSPENSION_MICROS << PluginHealth.MAX_DOUBLINGS, health.outUntil() - now);
+        health.well();
+        assertTrue(!health.failed(now));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/route/RequestTargetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/route/RequestTargetTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One normal form for each path and host, whatever the spelling. */
+/** Each path and host has one normal form, whatever its spelling. */
 class RequestTargetTest {
 
     @ParameterizedTest
@@ -81,12 +81,12 @@
         "127.0.0.1, 127.0.0.1",
         "a:, a"
     })
-    void oneHost(String field, String normal) throws InvalidTargetException {
+    void normalHost(String field, String normal) throws InvalidTargetException {
         assertEquals(normal, HostName.of(List.of(field), true));
     }
 
     @Test
-    void hostMissingOrDoubled() throws InvalidTargetException {
+    void missingDuplicateOrInvalidHostIsRejected() throws InvalidTargetException {
         assertThrows(InvalidTargetException.class, () -> HostName.of(List.of(), true));
         assertThrows(InvalidTargetException.class, () -> HostName.of(List.of("a", "a"), false));
         assertEquals("", HostName.of(List.of(), false));
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The form of a form is itself, and no dot segment or doubled slash is left. */
+    /** Normalization is idempotent, and leaves no dot segments or consecutive slashes. */
     @Test
     void normalFormIsStable() {
         List<String> parts = List.of("/", "//", ".", "..", "a", "%41", "%2e", "%3a", "b", "~");
--- a/src/test/java/org/cypressweir/sidecar/route/RouterTest.java
+++ b/src/test/java/org/cypressweir/sidecar/route/RouterTest.java
@@ -17,7 +17,7 @@
 import org.cypressweir.sidecar.route.HeaderTest.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The compiled router against the documented order, which a scan of all routes follows word by word. */
+/** Compares the compiled router with a scan of all routes in the documented precedence. */
 class RouterTest {
 
     private record Request(String method, String host, String path, Map<String, String> headers) implements Routable {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theMostSpecificWins() {
+    void mostSpecificRouteWins() {
         Router<String> router = new Router<>(List.of(
                 route("all", "*", "/*"),
                 route("host", "a.org", "/x/*"),
@@ -127,14 +127,14 @@
                 || host.startsWith("*.") && r.host().endsWith(host.substring(1));
         String open = m.path().toString().replace("{}", "[^/]+");
         boolean prefix = open.endsWith("/*");
-        String form = prefix ? open.substring(0, open.length() - 2) + "(/.*)?" : open;
+        String pattern = prefix ? open.substring(0, open.length() - 2) + "(/.*)?" : open;
         return named
-                && r.path().matches(form)
+                && r.path().matches(pattern)
                 && (m.methods().isEmpty() || m.methods().contains(r.method()))
                 && m.headers().stream().allMatch(t -> t.matches(r.header(t.name())));
     }
 
-    /** The words of {@link Match}, one after the other. */
+    /** The precedence as documented at {@link Match}, rule by rule. */
     private static final Comparator<Match> DOCUMENTED = Comparator.<Match>comparingInt(
                     m -> m.host().name() == null ? 2 : m.host().suffix() ? 1 : 0)
             .thenComparing(m -> m.host().name() == null ? 0 : -m.host().name().length())
@@ -168,12 +168,12 @@
                 assertEquals(expected, actual, "seed " + seed + ", round " + round + ": " + request);
             }
         }
-        assertTrue(found > 1_000, "the requests hit too little: " + found);
+        assertTrue(found > 1_000, "too few requests matched a route: " + found);
     }
 
-    /** No pair that is let through is without order, and none is hidden by a single other. */
+    /** Of the routes without reported overlaps, the two best matches of a request always have a precedence. */
     @Test
-    void overlapsMissNothing() {
+    void routesWithoutOverlapsHaveADefiniteOrder() {
         long seed = 77;
         SplittableRandom random = new SplittableRandom(seed);
         for (int round = 0; round < 200; round++) {
@@ -202,11 +202,11 @@
         }
     }
 
-    /** A thousand routes of one path, told apart by a header: no look-up walks them. */
+    /** A look-up among a thousand routes that have the same path but differ in a header does not scan them. */
     @Test
-    void oneTenantOfAThousandIsFoundByItsHash() {
+    void headerHashFindsOneOfAThousandRoutes() {
         List<Route<String>> routes = new ArrayList<>();
-        int[] looked = {0};
+        int[] headerReads = {0};
         for (int i = 0; i < 1_000; i++) {
             routes.add(new Route<>(
                     "t" + i,
@@ -239,12 +239,12 @@
 
             @Override
             public String header(String name) {
-                looked[0]++;
+                headerReads[0]++;
                 return "T777".toLowerCase(Locale.ROOT);
             }
         };
         assertEquals("t777", router.find(request).name());
-        assertTrue(looked[0] < 10, "looked " + looked[0] + " times");
+        assertTrue(headerReads[0] < 10, "read headers " + headerReads[0] + " times");
         assertEquals("rest", find(router, "h", "/a/b"));
     }
 }
