--- a/src/main/java/org/cypressweir/dataplane/http/server/BadRequestException.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/BadRequestException.java
@@ -1,8 +1,8 @@
 package org.cypressweir.dataplane.http.server;
 
 /**
- * Signals that what was received is no acceptable request. The client gets the status and the message, and the
- * connection is closed. Has no stack trace, since clients cause it.
+ * Thrown when the received bytes are not an acceptable request. The client gets the status and the message, and the
+ * connection is closed. It has no stack trace, since clients cause it.
  */
 final class BadRequestException extends Exception {
 
--- a/src/main/java/org/cypressweir/dataplane/http/server/Exchange.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Exchange.java
@@ -45,7 +45,7 @@
         Iterator<Map.Entry<String, String>> received = request.headers().iteratorAsString();
         while (received.hasNext()) {
             Map.Entry<String, String> header = received.next();
-            // RFC 9112 section 3.2.2: the authority of an absolute target goes before Host.
+            // RFC 9112 section 3.2.2: the authority of an absolute target takes precedence over Host.
             boolean overridden = head.authority() != null && header.getKey().equalsIgnoreCase("Host");
             headers.add(Map.entry(header.getKey(), overridden ? head.authority() : header.getValue()));
         }
@@ -121,7 +121,7 @@
         return requestBody;
     }
 
-    /** Whether the client keeps the connection after the response, RFC 9112 section 9.3. */
+    /** Whether the connection stays open after the response, RFC 9112 section 9.3. */
     boolean keepAlive() {
         return keepAlive;
     }
--- a/src/main/java/org/cypressweir/dataplane/http/server/Headers.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/Headers.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Operations on lists of headers. Names are compared without case, RFC 9110 section 5.1. Stateless. */
+/** Operations on lists of headers. Names are compared case-insensitively, RFC 9110 section 5.1. Stateless. */
 public final class Headers {
 
-    /** Headers about one connection (RFC 9110 section 7.6.1), or that each sender sets itself. */
+    /** Headers that apply to one connection only (RFC 9110 section 7.6.1), or that each sender sets itself. */
     private static final String[] HOP_BY_HOP = {
         "Connection",
         "Keep-Alive",
@@ -52,7 +52,7 @@
         return null;
     }
 
-    /** The headers but those of these names. */
+    /** The headers except those with these names. */
     public static List<Map.Entry<String, String>> without(List<Map.Entry<String, String>> headers, String... names) {
         List<Map.Entry<String, String>> others = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
--- a/src/main/java/org/cypressweir/dataplane/http/server/HttpConnection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpConnection.java
@@ -13,19 +13,19 @@
 import java.net.InetSocketAddress;
 
 /**
- * A client's connection: receives one request at a time, hands it to the listener's handler and writes the response.
- * Pipelined requests wait until the one before was responded to. For the event loop only.
+ * A client's connection: receives one request at a time, passes it to the listener's handler and writes the response.
+ * A pipelined request waits for the response to the previous one. For the event loop only.
  */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
 
     private static final long MICROS_PER_MILLI = 1_000;
-    /** A client that accepts no byte of a response for so long is disconnected. */
+    /** A client that accepts no byte of a response for this long is disconnected. */
     private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
     /** A new connection without a request counts as idle only after this time. */
     private static final long NEW_CONNECTION_GRACE_MICROS = 500_000;
     /** How long the client may take to close its side after the last response. */
     private static final long LINGER_MICROS = 1_000_000;
-    /** Pipelined bytes beyond which reading pauses. */
+    /** Reading pauses when more pipelined bytes than this are buffered. */
     private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
     private static final String RETRY_AFTER_SECONDS = "0.2";
@@ -46,14 +46,14 @@
     private final RequestDecoder decoder;
     private final RequestAssembler assembler;
     private Phase phase = Phase.IDLE;
-    /** When the phase began, or last made progress. */
+    /** When the phase began or last made progress. */
     private long progressAt;
 
-    /** The limits of the present request. */
+    /** The limits that apply to the current request. */
     private RequestLimits limits;
 
     private Exchange exchange;
-    /** Whether the connection ends after the response that is being written. */
+    /** Whether the connection is closed after the response that is being written. */
     private boolean closing;
     /** Whether a request has ever begun to arrive. */
     private boolean used;
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Responds to what is no acceptable request; the connection ends. */
+    /** Sends an error response to an unacceptable request and closes the connection. */
     private void reject(int status, String reason) {
         boolean headRequest = assembler.isHeadRequest();
         assembler.discard();
@@ -162,7 +162,7 @@
         write(response, headRequest, true, false);
     }
 
-    /** Writes the response of the present exchange; returns whether it is one that is still open. */
+    /** Writes the response; returns false if the exchange is not the current one or the client has disconnected. */
     boolean respond(Exchange responded, ServerResponse response) {
         if (exchange != responded || !channel.isActive()) {
             return false;
@@ -224,8 +224,8 @@
     }
 
     /**
-     * Closes the connection, unless a request has begun to arrive, bytes that the kernel has received included, or
-     * is being handled. A client that connected a moment ago is about to send a request.
+     * Closes the connection unless a request is being received or handled; bytes that are still in the kernel's receive
+     * buffer count as received. A new connection stays open for a moment, since its client is about to send a request.
      */
     void closeIfIdle() {
         if (phase == Phase.IDLE && (used || listener.now() - progressAt > NEW_CONNECTION_GRACE_MICROS)) {
@@ -242,7 +242,7 @@
         }
     }
 
-    /** Ends what has taken too long. */
+    /** Rejects or closes what has exceeded its time-out. */
     void checkTimeouts(long now) {
         long elapsed = now - progressAt;
         switch (phase) {
@@ -266,7 +266,7 @@
         }
     }
 
-    /** Rejects the request, unless more of it has been received and was only not read yet. */
+    /** Rejects the request, unless more of it was received that had not been read yet. */
     private void onReadTimeout() {
         long progressBefore = progressAt;
         Phase phaseBefore = phase;
--- a/src/main/java/org/cypressweir/dataplane/http/server/HttpListener.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/HttpListener.java
@@ -25,19 +25,19 @@
  * An HTTP/1.1 server on one address; each request gets exactly one response.
  *
  * <p>All connections and the handler run on one event loop. {@link #drain}, {@link #stopListening}, {@link #close}
- * and the counts may be called from any thread. A graceful shutdown is {@code drain}, {@code stopListening}, waiting
- * until {@link #connections} is zero, {@code close}.
+ * and the counts may be called from any thread. For a graceful shutdown, call {@code drain} and {@code stopListening},
+ * wait until {@link #connections} is zero, then call {@code close}.
  */
 public final class HttpListener {
 
     private static final int BACKLOG = 1024;
-    /** The bodies of all requests that are being received or handled. */
+    /** The limit for the bodies of all requests that are being received or handled, together. */
     private static final long MAX_BUFFERED_BYTES = 24L * 1024 * 1024;
-    /** Time-outs are checked for all connections at once, in place of a timer for each. */
+    /** Time-outs are checked for all connections at once instead of by a timer for each. */
     private static final long MIN_SWEEP_INTERVAL_MILLIS = 10;
 
     private static final long MAX_SWEEP_INTERVAL_MILLIS = 250;
-    /** Reads of one connection in one iteration of the event loop. */
+    /** The maximum number of reads of one connection in one iteration of the event loop. */
     private static final int MAX_READS_PER_ITERATION = 4;
 
     private final EventLoop loop;
@@ -128,7 +128,7 @@
         return connectionCount;
     }
 
-    /** Begins to drain: each response is the last of its connection, and idle connections are closed. */
+    /** Begins to drain: idle connections are closed, each other connection after its next response. */
     public void drain() {
         draining = true;
         onLoop(() -> List.copyOf(connections).forEach(HttpConnection::closeIfIdle));
@@ -176,7 +176,7 @@
         return draining;
     }
 
-    /** Whether so many bytes of bodies more can be buffered. */
+    /** Whether this many more bytes of request bodies can be buffered. */
     boolean canBuffer(long bytes) {
         return bytes <= MAX_BUFFERED_BYTES - bufferedBytes;
     }
@@ -211,7 +211,7 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException | Error e) {
-            // Whatever fails in the handler, the client gets a response and the listener goes on.
+            // Whatever fails in the handler, the client gets a response and the listener keeps running.
             exchange.answer(ServerResponse.text(500, "failed"));
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestAssembler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestAssembler.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
 /**
- * Assembles a complete request from what the decoder emits. Rejects one that is too large before all of it was
+ * Assembles a complete request from what the decoder emits. Rejects a request that is too large before all of it is
  * received. For the event loop only.
  */
 final class RequestAssembler {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Checks the announced length and responds to an expectation, RFC 9110 section 10.1.1. */
+    /** Checks the announced length and handles the header Expect, RFC 9110 section 10.1.1. */
     private void begin(RequestLimits limits) throws BadRequestException {
         boolean expectsContinue = "100-continue".equalsIgnoreCase(head.expectation());
         if (head.expectation() != null && !expectsContinue) {
@@ -87,7 +87,7 @@
         return new BadRequestException(503, "no room for the body");
     }
 
-    /** Whether a response to what was received so far must have no body. */
+    /** Whether the request received so far is a HEAD request, whose response must have no body. */
     boolean isHeadRequest() {
         return request != null && request.method().name().equals("HEAD");
     }
@@ -99,7 +99,7 @@
         return exchange;
     }
 
-    /** Discards what was received of a request. */
+    /** Discards the part of a request that was received. */
     void discard() {
         if (body != null) {
             body.free();
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestBody.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestBody.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 
 /**
- * The bytes of one body as they are received. Its buffer is reserved with the listener until it is freed. For the
+ * The bytes of one body as they are received. Its buffer counts against the listener's limit until it is freed. For the
  * event loop only.
  */
 final class RequestBody {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * The buffer at most doubles: a client that only announces a large body reserves no more than twice of what it
-     * has sent.
+     * Grows the buffer to at most double its size: a client that only announces a large body reserves no more than
+     * twice what it has sent.
      */
     private boolean grow(int count) {
         long wanted = Math.max(size + (long) count, Math.max(INITIAL_CAPACITY, 2L * size));
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** The bytes, once the body is complete; not copied where the buffer is full. */
+    /** The bytes, once the body is complete; not copied if the buffer is full. */
     byte[] complete() {
         if (size < bytes.length) {
             listener.tryReserve(size - bytes.length);
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestDecoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestDecoder.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Decodes one request at a time. A head goes to Netty's decoder only after {@link RequestHeadScanner} has accepted
- * it; pipelined bytes behind a request stay here until it was responded to.
+ * Decodes one request at a time. A head is passed to Netty's decoder only after {@link RequestHeadScanner} has accepted
+ * it; pipelined bytes after a request are buffered until it was responded to.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
@@ -46,7 +46,7 @@
         super.handlerAdded(added);
     }
 
-    /** The present request was responded to: decodes the next one, from pipelined bytes if there are any. */
+    /** Called when the current request was responded to; decodes the next one from pipelined bytes if there are any. */
     void nextRequest() {
         requestPending = false;
         head = null;
@@ -65,7 +65,7 @@
         stopped = true;
     }
 
-    /** The number of bytes behind the present request. */
+    /** The number of buffered bytes after the current request. */
     int pipelinedBytes() {
         return actualReadableBytes();
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Checks the lines of chunks and trailers too: behind the last chunk Netty accepts some bad ones. */
+    /** Also checks the lines of chunks and trailers: Netty accepts some malformed ones after the last chunk. */
     private void decodeBody(ChannelHandlerContext c, ByteBuf in, List<Object> out) throws Exception {
         int from = in.readerIndex();
         decodeNext(c, in, out);
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Skips one empty line before a request, RFC 9112 section 2.2: old clients send one behind a body. Returns
-     * whether more bytes are needed before the head can be decoded.
+     * Skips one empty line before a request, RFC 9112 section 2.2: old clients send one after a body. Returns whether
+     * more bytes are needed before the head can be decoded.
      */
     private boolean skipEmptyLine(ByteBuf in) {
         if (in.readableBytes() == 1) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Emits nothing: a truncated request is none. */
+    /** Emits nothing: a truncated request is not a request. */
     @Override
     protected void decodeLast(ChannelHandlerContext c, ByteBuf in, List<Object> out) {}
 }
--- a/src/main/java/org/cypressweir/dataplane/http/server/RequestHeadScanner.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/RequestHeadScanner.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Scans the bytes of a request's head as they are received, before Netty's decoder. It rejects what has more than
- * one interpretation (request smuggling, RFC 9112 section 11.2), and extracts the target, the host and the framing.
+ * Scans the bytes of a request's head as they are received, before Netty's decoder. It rejects heads that can be
+ * interpreted in more than one way (request smuggling, RFC 9112 section 11.2), and extracts target, host and framing.
  * One instance scans one head; for the event loop only.
  */
 final class RequestHeadScanner {
@@ -15,10 +15,10 @@
 
     private static final int INCOMPLETE = -1;
     private static final int ASCII = 128;
-    // Tables, since the methods in their place are called for each byte and are too large to be inlined.
+    // Tables instead of methods: they are used for each byte, and the methods would be too large to be inlined.
     /** The characters of a token, RFC 9110 section 5.6.2. */
     private static final boolean[] TOKEN = characters("!#$%&'*+-.^_`|~");
-    /** The characters of a host that is no IP literal. */
+    /** The characters of a host that is not an IP literal. */
     private static final boolean[] REGISTERED_NAME = characters("-._~");
     /** The characters of an IP literal between its brackets. */
     private static final boolean[] IP_LITERAL = characters(":.");
@@ -28,7 +28,7 @@
 
     private static final String HTTP_SCHEME = "http://";
 
-    /** The letters, the digits and these symbols. */
+    /** A table of the ASCII letters, the digits and these symbols. */
     private static boolean[] characters(String symbols) {
         boolean[] table = new boolean[ASCII];
         for (int c = 0; c < ASCII; c++) {
@@ -53,7 +53,7 @@
     private String expectation;
 
     /**
-     * Scans the bytes that were not scanned yet; those that were must not move.
+     * Scans the bytes that were not scanned yet; the start of the head must stay at the reader index.
      *
      * @return the size of the head once it is complete, or -1
      */
@@ -107,7 +107,7 @@
         return false;
     }
 
-    /** RFC 9112 section 3, with single blanks only. */
+    /** RFC 9112 section 3; only single spaces are accepted as separators. */
     private void parseRequestLine(String line) throws BadRequestException {
         int firstBlank = line.indexOf(' ');
         int lastBlank = line.lastIndexOf(' ');
@@ -153,7 +153,7 @@
         }
         require(colon > from && colon < to, "bad header");
         int nameLength = colon - from;
-        // Strings are made only of headers with the length of a name that matters here.
+        // Strings are allocated only for names as long as Host, Expect, Content-Length or Transfer-Encoding.
         if (nameLength == 4 || nameLength == 6 || nameLength == 14 || nameLength == 17) {
             String text = in.toString(from, to - from, StandardCharsets.ISO_8859_1);
             recordField(text.substring(0, nameLength), trim(text, nameLength + 1));
@@ -176,7 +176,7 @@
         }
     }
 
-    /** RFC 9112 sections 6.1 (both framings, or chunks of HTTP/1.0) and 3.2 (Host). */
+    /** RFC 9112 sections 6.1 (both framings, or chunks in HTTP/1.0) and 3.2 (Host). */
     private void checkComplete() throws BadRequestException {
         require(!chunked || contentLength < 0 && !http10, "more than one framing");
         require(hostHeader != null || http10, "no Host");
@@ -193,7 +193,7 @@
         return value;
     }
 
-    /** The host of an authority (RFC 3986 section 3.2) in lower case, or null if it is none. */
+    /** The host of an authority (RFC 3986 section 3.2) in lower case, or null if the authority is invalid. */
     private static String parseHost(String authority) {
         boolean literal = authority.startsWith("[");
         int end = hostEnd(authority, literal);
@@ -250,12 +250,12 @@
         }
     }
 
-    /** Path and query; "*" of OPTIONS. */
+    /** Path and query, or "*" for OPTIONS. */
     String uri() {
         return path;
     }
 
-    /** The authority of an absolute target, which goes before Host; null for other targets. */
+    /** The authority of an absolute target, which takes precedence over Host; null for other targets. */
     String authority() {
         return authority;
     }
@@ -283,7 +283,7 @@
         return chunked;
     }
 
-    /** The value of Expect, or null; of HTTP/1.0 it is ignored, RFC 9110 section 10.1.1. */
+    /** The value of Expect, or null; ignored in HTTP/1.0, RFC 9110 section 10.1.1. */
     String expectation() {
         return http10 ? null : expectation;
     }
--- a/src/main/java/org/cypressweir/dataplane/http/server/ResponseEncoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ResponseEncoder.java
@@ -33,7 +33,7 @@
         FullHttpResponse converted =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
         String givenLength = copyHeaders(response, converted);
-        // RFC 9110 section 8.6: of a body that is not sent only the handler may know the length; 204 has none.
+        // RFC 9110 section 8.6: only the handler may know the length of a body that is not sent; 204 has no length.
         boolean lengthIsGiven = (headRequest || status == 304) && response.body().length == 0;
         String length = lengthIsGiven ? givenLength : Integer.toString(response.body().length);
         if (status != 204 && length != null) {
@@ -42,7 +42,7 @@
         return converted;
     }
 
-    /** Copies all headers but those about framing and the connection; returns the Content-Length, or null. */
+    /** Copies all headers except those of framing and of the connection; returns the Content-Length, or null. */
     private static String copyHeaders(ServerResponse response, FullHttpResponse converted) {
         String givenLength = null;
         for (Map.Entry<String, String> header : response.headers()) {
--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerRequest.java
@@ -9,7 +9,7 @@
     /** The method as received, a token. */
     String method();
 
-    /** Path and query as received, without the scheme and authority of an absolute target; "*" of OPTIONS. */
+    /** Path and query as received, without the scheme and authority of an absolute target; "*" for OPTIONS. */
     String uri();
 
     /** The path as received, without the query. */
@@ -29,7 +29,7 @@
         return Headers.first(headers(), name);
     }
 
-    /** The complete body, empty for none. It is not copied. */
+    /** The complete body, empty if there is none. The array is not copied. */
     byte[] body();
 
     /** When its last byte was read, on the listener's clock. */
@@ -38,7 +38,7 @@
     /** The client's address. */
     InetSocketAddress remote();
 
-    /** Sends the response; returns false where there was one before, or the client has disconnected. */
+    /** Sends the response; returns false if one was sent before or the client has disconnected. */
     boolean answer(ServerResponse response);
 
     /** Runs a task once if the client disconnects before the response; at once if it has already. */
--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * A response with its complete body. The headers about framing (Content-Length, Transfer-Encoding, Connection) are
- * set by the listener whatever is given here.
+ * A response with its complete body. The listener itself sets the headers of framing and of the connection
+ * (Content-Length, Transfer-Encoding, Connection) and replaces those given here.
  */
 public record ServerResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ConcurrencyLimit.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ConcurrencyLimit.java
@@ -1,9 +1,9 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * The number of requests that may run at the server at once: its announced concurrency and a few more. The limit
- * is decreased by a factor when the server reports overload and grows back by one for each limit's worth of
- * responses (additive increase, multiplicative decrease).
+ * Limits how many requests may run at the server at once: its announced concurrency and a few more. The limit is
+ * multiplied by a factor below one when the server reports overload, and grows by one per {@code limit} responses
+ * (additive increase, multiplicative decrease).
  *
  * <p>Not thread-safe: for the event loop only. Times are in microseconds.
  */
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Takes over what an instance announces. A new instance starts with the whole limit; the same one keeps what
-     * was learned of it.
+     * Applies what an instance announces. A new instance starts with the maximum limit; a known one keeps the limit
+     * that its responses led to.
      */
     void update(int announcedConcurrency, long announcedWarmUpEnd, boolean newInstance) {
         boolean neverDecreased = limit >= max();
@@ -40,7 +40,7 @@
         return concurrency == 0 ? 0 : concurrency + options.extraInFlight();
     }
 
-    /** How many requests may run now. */
+    /** How many requests may run now; zero without a server. */
     int current(long now) {
         if (concurrency == 0) {
             return 0;
@@ -65,7 +65,7 @@
         limit = Math.min(max(), limit + 1 / Math.max(1, limit));
     }
 
-    /** Decreases the limit, but not again for a request that was sent before the last decrease. */
+    /** Decreases the limit, unless the request was sent before the last decrease. */
     void onOverload(long now, long sentAt) {
         if (sentAt >= decreasedAt) {
             decreasedAt = now;
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/DeadlineTimer.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/DeadlineTimer.java
@@ -6,11 +6,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A one-shot timer that fires at the earliest time it was scheduled for, or a little later. The callback schedules
- * it again. For the event loop only.
+ * A one-shot timer that fires at the earliest of the times it was scheduled for, or slightly later. The callback
+ * schedules it again. For the event loop only.
  */
 final class DeadlineTimer {
-    /** The shortest delay, so that a clock that lags behind the event loop's does not make it spin. */
+    /** The shortest delay: if the clock lags behind the event loop's, the timer must not fire in a tight loop. */
     private static final long MIN_DELAY_MICROS = 500;
 
     private final EventLoop loop;
@@ -25,7 +25,7 @@
         this.callback = callback;
     }
 
-    /** Fires at this time at the latest; an earlier time that was scheduled before stays in force. */
+    /** Schedules the callback for this time, unless it is already scheduled for an earlier one. */
     void schedule(long timeMicros) {
         if (timeMicros >= scheduledAt || loop.isShuttingDown()) {
             return;
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ExecutionKnowledge.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ExecutionKnowledge.java
@@ -1,8 +1,8 @@
 package org.cypressweir.dataplane.http.upstream;
 
-/** What is known of the execution of one attempt, at the proxy that sends it or beside the server. */
+/** What is known about the execution of one attempt, at the sending proxy or at the proxy beside the server. */
 public enum ExecutionKnowledge {
-    /** No byte of it has been sent to where it could be executed. */
+    /** No byte of it has been sent to a process that could execute it. */
     NOT_SENT,
     /** It was sent at least in part and may be executing. */
     SENT,
@@ -10,10 +10,10 @@
     NOT_RUN,
     /** The server's own complete response was received. */
     RAN,
-    /** Nothing certain will ever be known. */
+    /** It will never be known whether it was executed. */
     MAY_HAVE_RUN;
 
-    /** Whether its outcome is still to come. */
+    /** Whether the attempt has no outcome yet. */
     public boolean isPending() {
         return this == NOT_SENT || this == SENT;
     }
@@ -23,12 +23,12 @@
         return this == SENT || this == RAN || this == MAY_HAVE_RUN;
     }
 
-    /** What is known once the connection that carried it, or should have carried it, is lost. */
+    /** What is known after the loss of the connection that carried it or was to carry it. */
     public ExecutionKnowledge afterConnectionLoss() {
         return this == NOT_SENT ? NOT_RUN : this == SENT ? MAY_HAVE_RUN : this;
     }
 
-    /** What an outcome says of the execution. */
+    /** What an outcome says about the execution. */
     public static ExecutionKnowledge of(RequestOutcome outcome) {
         return outcome instanceof RequestOutcome.NotRun
                 ? NOT_RUN
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/InFlightRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/InFlightRequest.java
@@ -11,7 +11,7 @@
     private final Consumer<RequestOutcome> onOutcome;
     /** The id that is sent, and that the response repeats. */
     final String attemptId;
-    /** {@code SENT} from the first byte that the socket accepted. */
+    /** {@code SENT} as soon as the socket has accepted the first byte. */
     ExecutionKnowledge knowledge = ExecutionKnowledge.NOT_SENT;
 
     private boolean completed;
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RejectionReason.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RejectionReason.java
@@ -1,6 +1,6 @@
 package org.cypressweir.dataplane.http.upstream;
 
-/** Why a request was not executed. The constants' names are sent between proxies: they are fixed. */
+/** Why a request was not executed. Proxies send each other the names of the constants, which are therefore fixed. */
 public enum RejectionReason {
     /** The server is overloaded, or the request is expected to miss its latency target. */
     FULL,
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestDispatcher.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** Sends requests to the one application server beside this process and reports one outcome of each. */
+/** Sends requests to the one application server beside this process and reports exactly one outcome of each. */
 public interface RequestDispatcher {
 
     /**
@@ -12,7 +12,7 @@
      */
     RequestHandle submit(UpstreamRequest request, Consumer<RequestOutcome> onOutcome);
 
-    /** Nobody waits for the outcome any more. A request that is executing and not idempotent runs to its end. */
+    /** Cancels a request whose outcome is no longer needed. One that was sent and is not idempotent runs to its end. */
     void cancel(RequestHandle handle);
 
     /** The present load of the server. */
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestEncoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestEncoder.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * Encodes a request as HTTP/1.1 (RFC 9112), unchanged but for the remaining time and the length of its body.
+ * Encodes a request as HTTP/1.1 (RFC 9112). Only the headers of the remaining time and of the body's length change.
  * Stateless.
  */
 final class RequestEncoder {
     static final String ATTEMPT_ID = "Cypressweir-Attempt-Id";
     static final String TIME_REMAINING = "Cypressweir-Time-Remaining";
-    /** Set here, or about how a body that is complete now was framed before. */
+    /** Headers that are set here, or that describe the framing with which the body was received. */
     private static final Set<String> REPLACED_HEADERS =
             Set.of("content-length", "transfer-encoding", TIME_REMAINING.toLowerCase(Locale.ROOT));
 
@@ -58,7 +58,7 @@
         return text.chars().allMatch(c -> c >= ' ' && c <= 0xff && c != 0x7f || c == '\t');
     }
 
-    /** The attempt id in the headers; without one the request's own. */
+    /** The attempt id in the headers; the request's own id where they have none. */
     static String attemptId(UpstreamRequest request) {
         for (Map.Entry<String, String> header : request.headers()) {
             if (header.getKey().equalsIgnoreCase(ATTEMPT_ID)) {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestOutcome.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestOutcome.java
@@ -9,7 +9,7 @@
     /**
      * Certain: the server did not execute it.
      *
-     * @param retryAfterMicros when a retry may succeed, zero where nothing is known of that
+     * @param retryAfterMicros after how long a retry may succeed, zero if unknown
      */
     record NotRun(RejectionReason reason, long retryAfterMicros) implements RequestOutcome {}
 
@@ -19,7 +19,7 @@
     /**
      * It was sent at least in part, and whether it was executed is unknown.
      *
-     * @param why the reason, for people
+     * @param why the reason, as readable text
      */
     record MayHaveRun(String why) implements RequestOutcome {}
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestPriority.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestPriority.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * The order of queued requests at a moment. A request that is not idempotent and was passed over often comes before
- * all others, then internal requests, then those of lower priority numbers. Within a priority the earliest latency
- * target that can still be met comes first; requests that cannot meet theirs come last, the newest of them first,
- * since the oldest has the least chance.
+ * The order of queued requests at a given time. First come requests that are not idempotent and were passed over too
+ * often, then internal requests, then the others by ascending priority number. Within a priority the earliest latency
+ * target that can still be met comes first. Requests that cannot meet theirs come last, the newest of them first, since
+ * the oldest is the least likely to be served in time.
  */
 final class RequestPriority implements Comparator<SchedulableRequest> {
     private final ServiceTimeStatistics serviceTimes;
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestScheduler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestScheduler.java
@@ -10,23 +10,23 @@
  * Decides which queued request is sent to the server next, and which is rejected: a request that cannot meet its
  * latency target or its deadline any more is not kept in the queue.
  *
- * <p>No clock, no timers, no I/O: the caller passes the time, in microseconds, and asks {@link #expire} again at
+ * <p>No clock, no timers, no I/O: the caller passes the time, in microseconds, and calls {@link #expire} again at
  * {@link #nextTime}. Not thread-safe: for the event loop only.
  */
 final class RequestScheduler<R extends SchedulableRequest> {
-    /** The part of a deadline that is reserved for the way to the server and back. */
+    /** The part of a deadline that is reserved for the transfer to the server and back. */
     static final long DEADLINE_MARGIN_MICROS = 5_000;
 
     private static final long MIN_RETRY_AFTER_MICROS = 20_000;
-    /** A request that arrived no longer ago than this may be sent however little time is left. */
+    /** For this long after its arrival a request may be sent even if it is expected to miss its latency target. */
     private static final long GRACE_MICROS = 1_000;
-    /** After this part of the time to its latency target a queued request is checked once more. */
+    /** A queued request is rechecked after 1/4 of the time to its latency target. */
     private static final int RECHECK_DIVISOR = 4;
 
     /** A request that was removed from the queue or never entered it; it has not run. */
     record Rejection<R>(R request, RejectionReason reason, long retryAfterMicros) {}
 
-    /** How a dispatched request ended, as far as it matters for the statistics. */
+    /** How a dispatched request ended, as the statistics distinguish it. */
     enum Completion {
         RESPONDED,
         OVERLOADED,
@@ -47,7 +47,7 @@
         limit = new ConcurrencyLimit(options);
     }
 
-    /** Takes over what the present instance announces; its concurrency is zero without a server. */
+    /** Applies what the current instance announces; the concurrency is zero without a server. */
     void instanceChanged(int concurrency, long warmingUpUntil, boolean newInstance) {
         limit.update(concurrency, warmingUpUntil, newInstance);
     }
@@ -65,7 +65,7 @@
         return queue;
     }
 
-    /** Adds a request to the queue; it, or another one in its place, may be rejected. */
+    /** Adds a request to the queue; returns the rejection of this request, or of another one evicted for it. */
     List<Rejection<R>> enqueue(long now, R request) {
         request.arrivedAt = now;
         request.sequence = ++lastSequence;
@@ -95,7 +95,7 @@
         return overloaded(now, order, last);
     }
 
-    /** Removes from the queue what cannot be served in time any more; to be called before each {@link #next}. */
+    /** Removes requests that can no longer be served in time from the queue; to be called before each {@link #next}. */
     List<Rejection<R>> expire(long now) {
         List<Rejection<R>> rejections = new ArrayList<>();
         RequestPriority order = order(now);
@@ -115,7 +115,7 @@
         return now - request.arrivedAt > GRACE_MICROS && now + serviceTimes.mean(request) > request.latencyTargetAt;
     }
 
-    /** Checks once, a quarter into its time, whether a request is predicted to miss its latency target. */
+    /** Whether a request fails its one recheck, at which it is predicted again whether it meets its latency target. */
     private boolean failsRecheck(long now, RequestPriority order, R request) {
         if (request.rechecked || now < recheckAt(request)) {
             return false;
@@ -125,7 +125,7 @@
                 && predictedLateness(now, order, request) > 0;
     }
 
-    /** When {@link #expire} is to be called at the latest. */
+    /** The latest time at which {@link #expire} is to be called again. */
     long nextTime() {
         long next = Long.MAX_VALUE;
         for (R request : queue) {
@@ -169,7 +169,7 @@
         return first;
     }
 
-    /** A dispatched request has ended, sent or not. */
+    /** Records the end of a dispatched request, whether or not it was sent. */
     void onCompletion(long now, R request, Completion completion) {
         if (!running.remove(request)) {
             return;
@@ -184,7 +184,7 @@
         }
     }
 
-    /** Removes a request from the queue; whether it was there. */
+    /** Removes a request from the queue; returns whether it was there. */
     boolean cancel(R request) {
         return queue.remove(request);
     }
@@ -196,7 +196,7 @@
         return all;
     }
 
-    /** After what time a request that the server rejected as overloaded is worth a retry. */
+    /** After how long to retry a request that the server rejected because of overload. */
     long retryAfterMicros(R request) {
         return Math.max(MIN_RETRY_AFTER_MICROS, serviceTimes.mean(request) / Math.max(1, concurrency()));
     }
@@ -213,7 +213,7 @@
         return ahead;
     }
 
-    /** By how much a request misses its latency target, if all ahead of it take their mean service time. */
+    /** By how much a request misses its latency target if all requests ahead of it take their mean service time. */
     private long predictedLateness(long now, RequestPriority order, R request) {
         long ahead = 0;
         for (R other : queue) {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestState.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestState.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * What is known of one client request and of all attempts at it. From this alone follows whether another attempt
- * may be sent and what the client gets: a request that is not idempotent is never sent again after it may have run,
- * and a rejection is never sent for a request that may have run.
+ * What is known about one client request and all its attempts. This alone determines whether another attempt may be
+ * sent and what the client gets: a request that is not idempotent is never sent again once it may have run, and a
+ * rejection is never sent for a request that may have run.
  *
  * <p>No clock and no I/O. Not thread-safe: for the event loop only.
  */
@@ -21,9 +21,9 @@
         IN_DOUBT,
         /** One is in flight, and another may have run. */
         IN_FLIGHT_IN_DOUBT,
-        /** None is in flight; a failure that the server itself responded with is saved. */
+        /** None is in flight; the server's own response, a failure, is saved. */
         FAILURE_SAVED,
-        /** The same, and another is in flight. */
+        /** As {@link #FAILURE_SAVED}, and another attempt is in flight. */
         IN_FLIGHT_FAILURE_SAVED,
         /** The client has its one response. */
         RESPONDED,
@@ -40,15 +40,15 @@
         SAVE_RESPONSE,
         /** Send the response that was saved. */
         SEND_SAVED_RESPONSE,
-        /** Say that the request has not run and never will. */
+        /** Respond that the request has not run and never will. */
         REJECT,
-        /** Say that it is unknown whether the request has run. */
+        /** Respond that it is unknown whether the request has run. */
         BAD_GATEWAY,
-        /** The same, at the deadline. */
+        /** As {@link #BAD_GATEWAY}, at the deadline. */
         GATEWAY_TIMEOUT
     }
 
-    /** From this status on a response of the server is a failure, and another attempt may do better. */
+    /** Responses with this status or a higher one are failures, after which another attempt may succeed. */
     private static final int FIRST_FAILURE_STATUS = 500;
 
     private final boolean idempotent;
@@ -88,7 +88,7 @@
         return false;
     }
 
-    /** Whether the client gets nothing more: it has its response or has disconnected. */
+    /** Whether nothing more is sent to the client: it has its response or has disconnected. */
     public boolean isClosed() {
         return responded || disconnected;
     }
@@ -108,12 +108,12 @@
         return false;
     }
 
-    /** Whether the outcome of any attempt is still to come. */
+    /** Whether any attempt has no outcome yet. */
     public boolean hasPendingAttempt() {
         return any(ExecutionKnowledge.SENT) || any(ExecutionKnowledge.NOT_SENT);
     }
 
-    /** Whether the outcome of this attempt is still to come. */
+    /** Whether this attempt has no outcome yet. */
     public boolean isPending(int attempt) {
         return attempts[attempt].isPending();
     }
@@ -136,7 +136,7 @@
         return true;
     }
 
-    /** Records the outcome of an attempt; only the first one counts. Returns what follows for the client. */
+    /** Records the outcome of an attempt; only the first one counts. Returns what to do for the client. */
     public ClientAction onOutcome(int attempt, RequestOutcome outcome) {
         if (!isPending(attempt)) {
             return ClientAction.NONE;
@@ -155,12 +155,12 @@
         return ClientAction.SAVE_RESPONSE;
     }
 
-    /** Whether clients take a status as a promise that the request has not run and never will, whoever sends it. */
+    /** Whether clients take a status to mean that the request has not run and never will, whoever sends it. */
     static boolean impliesNotRun(int status) {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
 
-    /** What the client gets where no further attempt is sent and none is waited for. */
+    /** What the client gets when no further attempt is sent and none is awaited. */
     public ClientAction finalAction(boolean deadlineExceeded) {
         if (isClosed()) {
             return ClientAction.NONE;
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseAssembler.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseAssembler.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * Assembles complete responses from what the decoder emits. Bytes that cannot be known to form one complete
- * response are reported as a failure, once, and nothing is reported after it.
+ * Assembles complete responses from what the decoder emits. Bytes that do not provably form one complete response are
+ * reported as a failure, once, and nothing is reported after it.
  */
 final class ResponseAssembler extends ChannelInboundHandlerAdapter {
 
@@ -28,12 +28,12 @@
 
         void onInvalidResponse(String why);
 
-        /** All that this read brought has been processed. */
+        /** All bytes of the current read have been processed. */
         void onReadComplete();
     }
 
     private static final byte[] NO_BYTES = {};
-    /** Up to this length a body's buffer is allocated at once, larger ones grow as bytes come. */
+    /** Up to this length a body gets its whole buffer at once; a larger buffer grows as bytes are received. */
     private static final int MAX_INITIAL_CAPACITY = 64 * 1024;
 
     private static final long UNKNOWN_LENGTH = -1;
@@ -50,7 +50,7 @@
     private HttpResponse head;
     private byte[] body = NO_BYTES;
     private int size;
-    /** The body's length as the head says it. */
+    /** The body's length according to the head. */
     private long length;
 
     private boolean failed;
@@ -98,7 +98,7 @@
         }
     }
 
-    /** HTTP/1.x without a change of protocol. */
+    /** Accepts HTTP/1.x without a protocol upgrade. */
     private static boolean isSupported(HttpResponse response) {
         int status = response.status().code();
         HttpVersion version = response.protocolVersion();
@@ -110,7 +110,7 @@
                 && version.majorVersion() == 1;
     }
 
-    /** RFC 9112 section 6.3, without bodies that end with the connection: a truncated one would look complete. */
+    /** RFC 9112 section 6.3, without bodies delimited by the end of the connection: a truncated one looks complete. */
     private void readFraming(HttpResponse response) {
         List<String> encodings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (encodings.size() == 1 && encodings.get(0).equalsIgnoreCase("chunked")) {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseDecoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseDecoder.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 
 /**
- * Decodes responses strictly: none whose length is ambiguous (RFC 9112 section 6.3) is accepted. It knows of each
+ * Decodes responses strictly: it rejects any whose length is ambiguous (RFC 9112 section 6.3). Determines for each
  * response whether it has a body at all.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
@@ -28,12 +28,12 @@
         this.respondsToHead = respondsToHead;
     }
 
-    /** Whether the response whose head came last has no body whatever its headers say. */
+    /** Whether the response whose head was decoded last has no body, whatever its headers say. */
     boolean isBodiless() {
         return bodiless;
     }
 
-    /** Whether bytes are left that were not decoded. */
+    /** Whether received bytes are left that were not decoded. */
     boolean hasSurplusBytes() {
         return actualReadableBytes() > 0;
     }
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Rejects a header without a colon right behind its name (RFC 9112 section 5.1): of responses, unlike requests,
-     * the superclass accepts a space there and a missing colon.
+     * Rejects a header without a colon directly after its name (RFC 9112 section 5.1). In responses, unlike in
+     * requests, the superclass accepts a space there and a missing colon.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseVerdict.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ResponseVerdict.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** What a complete response says of the request in flight: its kind, and the outcome that follows. */
+/** What a complete response means for the request in flight: the kind of response, and the outcome that follows. */
 record ResponseVerdict(Kind kind, RequestOutcome outcome) {
 
     /** How the response relates to the request in flight. */
     enum Kind {
         /** The server's own response to it. */
         RESPONSE,
-        /** The server says that it did not run it because it is overloaded. */
+        /** The server states that it did not run the request because of overload. */
         OVERLOADED,
-        /** The server says that it did not run it for another reason. */
+        /** The server states that it did not run the request for another reason. */
         NOT_RUN,
         /** It belongs to another request. */
         OTHER_REQUEST,
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/SchedulableRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/SchedulableRequest.java
@@ -1,26 +1,26 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * What the scheduler needs to know of a request, and what it records on it. Times are in microseconds of the
+ * What the scheduler needs to know about a request, and what it records about it. Times are in microseconds of the
  * scheduler's clock.
  */
 class SchedulableRequest {
-    /** Whether it is one of the mesh's own services' requests that no tenant sends. */
+    /** Whether it comes from one of the mesh's own services rather than from a tenant. */
     final boolean internal;
-    /** The lower the number, the earlier it is sent. */
+    /** Requests with a lower number are sent earlier. */
     final int priority;
 
     final long latencyTargetAt;
     final long deadline;
     final boolean idempotent;
     long arrivedAt;
-    /** The number of its arrival. */
+    /** Its number in the order of arrival. */
     long sequence;
-    /** When it was dispatched, later when it was written. */
+    /** When it was dispatched; once it was written, when that was. */
     long sentAt;
     /** How many requests that arrived later were dispatched before it. */
     int passedOver;
-    /** Whether it was checked once more, a quarter into its time, that it can still meet its latency target. */
+    /** Whether the recheck after a quarter of the time to its latency target has taken place. */
     boolean rechecked;
 
     SchedulableRequest(boolean internal, int priority, long latencyTargetAt, long deadline, boolean idempotent) {
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/ServiceTimeStatistics.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/ServiceTimeStatistics.java
@@ -1,8 +1,8 @@
 package org.cypressweir.dataplane.http.upstream;
 
 /**
- * Exponentially weighted means and mean deviations of service times in microseconds, apart for internal requests
- * and others. Admission reserves the deviation too: of requests admitted by the mean alone half would miss their
+ * Exponentially weighted means and mean deviations of service times in microseconds, separately for internal and other
+ * requests. Admission adds the deviation to the mean: of requests admitted by the mean alone, half would miss their
  * latency target. For the event loop only.
  */
 final class ServiceTimeStatistics {
@@ -19,7 +19,7 @@
         externalMean = initialMicros;
     }
 
-    /** The time that most requests of its kind do not exceed. */
+    /** The service time that most requests of the same kind (internal or not) do not exceed. */
     long meanPlusDeviation(SchedulableRequest request) {
         return (long) (request.internal ? internalMean + internalDeviation : externalMean + externalDeviation);
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Records a request that took at least this long, and an unknown time more. */
+    /** Records a request that was not finished after this time. */
     void recordAtLeast(SchedulableRequest request, long micros) {
         record(request, Math.max(micros, mean(request)));
     }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnection.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnection.java
@@ -19,11 +19,11 @@
 
 /**
  * One connection to the server with at most one request on it (no pipelining). It connects when it is created and
- * reports each step to its listener. All calls and reports are made on the event loop.
+ * notifies its listener of each step. All calls and notifications are made on the event loop.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter implements ResponseAssembler.Listener {
 
-    /** Receives what happens on a connection. */
+    /** Is notified of what happens on a connection. */
     interface Listener {
         /** The connection is established; a request that was reserved for it can be sent. */
         void onConnected(UpstreamConnection connection);
@@ -34,13 +34,13 @@
         /** A complete response has decided the outcome of the request. */
         void onCompletion(UpstreamConnection connection, InFlightRequest request, ResponseVerdict verdict);
 
-        /** The connection of a request ended, or what came on it is no valid response. */
+        /** The connection of a request ended, or the bytes received on it are no valid response. */
         void onRequestFailed(UpstreamConnection connection, InFlightRequest request, String why);
 
-        /** The read that brought the response is over; the connection is idle if it is reusable. */
-        void onSettled(UpstreamConnection connection, boolean reusable);
+        /** The socket read that contained the response is finished; the connection is idle if it is reusable. */
+        void onReadFinished(UpstreamConnection connection, boolean reusable);
 
-        /** The connection is closed; reported before the failure of a request in flight. */
+        /** The connection is closed; called before {@link #onRequestFailed} for a request in flight. */
         void onClosed(UpstreamConnection connection, boolean wasConnected);
     }
 
@@ -49,12 +49,12 @@
         IDLE,
         /** A request is in flight. */
         BUSY,
-        /** A response was received, and the read that brought it goes on. */
-        SETTLING,
+        /** A response was received, and the socket read that contained it is not finished. */
+        FINISHING_READ,
         CLOSED
     }
 
-    /** Reaches other proxies and traces of requests: the text is fixed. */
+    /** Other proxies and request traces receive this text: it is fixed. */
     private static final String CLOSED_BEFORE_RESPONSE = "the connection ended before an answer";
 
     private final EventLoop loop;
@@ -64,15 +64,15 @@
     private State state = State.CONNECTING;
     private boolean wasConnected;
     private InFlightRequest request;
-    /** Whether it takes no further request. */
+    /** Whether no further request is sent on it. */
     private boolean retired;
 
     private boolean requestWritten;
     private boolean responseBegan;
     private InFlightRequest previousRequest;
-    /** Until when it may be reused, while it is idle. */
+    /** The time until which it may be reused while it is idle. */
     long idleUntil;
-    /** Since when it is idle. */
+    /** The time since which it is idle. */
     long idleSince;
     /** How long it was idle before its last request, zero for its first. */
     private long idleBeforeRequest;
@@ -103,7 +103,7 @@
         channel.closeFuture().addListener(f -> later(this::closed));
     }
 
-    /** Reports are never made from inside the call that opened or closed the connection. */
+    /** Runs a task after the current call, so that opening or closing a connection never calls the listener itself. */
     private void later(Runnable task) {
         if (!loop.isShuttingDown()) {
             loop.execute(task);
@@ -127,7 +127,7 @@
         return state == State.CONNECTING;
     }
 
-    /** Whether the socket accepted at least a byte of the request in flight. */
+    /** Whether the socket has accepted at least one byte of the request in flight. */
     boolean isRequestSent() {
         return request != null && request.knowledge == ExecutionKnowledge.SENT;
     }
@@ -145,7 +145,7 @@
         return !responseBegan;
     }
 
-    /** Takes no further request once the one in flight has ended. */
+    /** Prevents further requests on it; a request in flight runs to its end. */
     void retire() {
         retired = true;
     }
@@ -155,7 +155,7 @@
         request = next;
     }
 
-    /** Takes the request off the connection. */
+    /** Detaches the request from the connection and returns it. */
     InFlightRequest release() {
         InFlightRequest released = request;
         request = null;
@@ -163,8 +163,9 @@
     }
 
     /**
-     * Whether it is established and clean. Reads what the socket has received so far: bytes or an end of stream
-     * that are still unread there would be taken for the next response. Not to be called from a report.
+     * Whether it is established and has no surplus bytes. First reads what the socket has received so far: bytes or an
+     * end of stream that are still unread would be taken for the next response. Not to be called by the listener while
+     * it is being notified.
      */
     boolean checkReusable() {
         if (isReusable() && channel instanceof AbstractNioChannel nio) {
@@ -189,7 +190,7 @@
         channel.writeAndFlush(RequestEncoder.encode(next.request(), now), promise);
     }
 
-    /** Records the first byte of a request that the socket accepted, and the last. */
+    /** Records when the socket has accepted the first byte of a request, and when the last. */
     private final class WriteProgress implements ChannelProgressiveFutureListener {
         private final InFlightRequest writing;
 
@@ -221,7 +222,7 @@
         channel.close();
     }
 
-    /** Closes the connection and returns the request in flight, which is not reported any more. */
+    /** Closes the connection and returns the request in flight, of which the listener is no longer notified. */
     InFlightRequest abandon() {
         InFlightRequest abandoned = release();
         close();
@@ -232,10 +233,10 @@
         if (state == State.CLOSED) {
             return;
         }
-        boolean wasSettling = state == State.SETTLING;
+        boolean wasFinishingRead = state == State.FINISHING_READ;
         state = State.CLOSED;
-        if (wasSettling) {
-            listener.onSettled(this, false);
+        if (wasFinishingRead) {
+            listener.onReadFinished(this, false);
         }
         listener.onClosed(this, wasConnected);
         if (request != null) {
@@ -244,7 +245,7 @@
         }
     }
 
-    /** Passes on only bytes that follow a request; others close the connection. */
+    /** Passes on bytes only while a request is in flight; at other times they close the connection. */
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
         if (state == State.BUSY) {
@@ -258,7 +259,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        // Not passed on: the decoder would make a response of a truncated one.
+        // Not passed on: the decoder would emit a truncated response as a complete one.
     }
 
     private boolean respondsToHead(HttpResponse response) {
@@ -277,13 +278,13 @@
         }
         ResponseVerdict verdict = listener.onResponse(this, request, response);
         if (verdict.kind() == ResponseVerdict.Kind.OTHER_REQUEST) {
-            // The own response may still follow, but the connection is not trusted beyond it.
+            // The response to this request may still follow, but the connection is not reused after it.
             retired = true;
             responseBegan = decoder.hasSurplusBytes();
             return;
         }
         previousRequest = release();
-        state = State.SETTLING;
+        state = State.FINISHING_READ;
         retired |= endsConnection(verdict, response);
         if (retired) {
             close();
@@ -308,9 +309,9 @@
 
     @Override
     public void onReadComplete() {
-        if (state == State.SETTLING) {
+        if (state == State.FINISHING_READ) {
             state = State.IDLE;
-            listener.onSettled(this, !retired && channel.isActive());
+            listener.onReadFinished(this, !retired && channel.isActive());
         }
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnectionManager.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnectionManager.java
@@ -8,18 +8,18 @@
 import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
 
 /**
- * Assigns the requests that the scheduler dispatches to connections, enforces their deadlines, and turns what
- * happens on the connections into the outcome of each. No request is sent on a connection before the read that
- * brought its last response is over. For the event loop only.
+ * Assigns the requests that the scheduler dispatches to connections, enforces their deadlines, and derives the outcome
+ * of each from what happens on its connection. No request is sent on a connection before the socket read that contained
+ * the previous response is finished. For the event loop only.
  */
 final class UpstreamConnectionManager implements UpstreamConnection.Listener {
-    /** After how long the server is assumed to close an idle connection, where it does not say. */
+    /** The idle time-out that is assumed for a server that does not announce one. */
     private static final long DEFAULT_IDLE_TIMEOUT_SECONDS = 8;
     /** The part of the server's idle time-out for which a connection is reused. */
     private static final double IDLE_TIMEOUT_SHARE = 0.6;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
-    // Reasons reach other proxies and traces of requests: their texts are fixed.
+    // Other proxies and request traces receive these reasons: their texts are fixed.
     private static final RequestOutcome.MayHaveRun DEADLINE_EXCEEDED = new RequestOutcome.MayHaveRun("deadline");
     private static final RequestOutcome.NotRun LATE = new RequestOutcome.NotRun(RejectionReason.LATE, 0);
     private static final RequestOutcome.NotRun GONE = new RequestOutcome.NotRun(RejectionReason.GONE, 0);
@@ -28,14 +28,14 @@
 
     final RequestScheduler<InFlightRequest> scheduler;
     final UpstreamConnections connections;
-    private final IdleConnectionAge idleAge = new IdleConnectionAge();
+    private final IdleConnectionAge idleConnectionAge = new IdleConnectionAge();
     private final EventLoop loop;
     private final LongSupplier clockMicros;
     private final UpstreamOptions options;
     private final Consumer<String> log;
     private final DeadlineTimer timer;
-    /** Connections whose response was reported while the read that brought it goes on. */
-    private int settling;
+    /** Connections whose response was reported, but whose socket read is not finished. */
+    private int unfinishedReads;
 
     private boolean dispatching;
     private boolean dispatchScheduled;
@@ -55,17 +55,17 @@
         timer = new DeadlineTimer(loop, clockMicros, this::tick);
     }
 
-    /** Queues a request and sends it at once if it can be. */
+    /** Queues a request, and sends it at once if possible. */
     void enqueue(InFlightRequest request) {
         reject(scheduler.enqueue(clockMicros.getAsLong(), request));
-        if (settling > 0) {
+        if (unfinishedReads > 0) {
             scheduleDispatch();
         } else {
             dispatchReady();
         }
     }
 
-    /** Does what is due by time. */
+    /** Handles what is due: idle connections, deadlines, queued requests. */
     void tick() {
         long now = clockMicros.getAsLong();
         connections.closeExpired(now);
@@ -134,7 +134,7 @@
         scheduleTimer();
     }
 
-    /** A request that waits for its connection to be established takes one that has become idle instead. */
+    /** Sends requests that wait for a new connection on connections that have become idle. */
     private void replaceConnecting(long now) {
         for (UpstreamConnection connection : connections.busy()) {
             UpstreamConnection idle = connection.isConnecting() ? pollIdle(now, connection.request()) : null;
@@ -145,10 +145,10 @@
         }
     }
 
-    /** A request that is not idempotent takes no connection that was idle for long, while new ones can be made. */
+    /** A request that is not idempotent takes no connection that was idle for long, unless new ones fail. */
     private UpstreamConnection pollIdle(long now, InFlightRequest request) {
-        boolean anyAge = request.idempotent || connections.isFailing(now);
-        return connections.pollIdle(now, anyAge ? Long.MAX_VALUE : idleAge.maxAge(now));
+        boolean ignoresIdleTime = request.idempotent || connections.isFailing(now);
+        return connections.pollIdle(now, ignoresIdleTime ? Long.MAX_VALUE : idleConnectionAge.maxIdleTime(now));
     }
 
     /** Dispatches the first queued request; false if it has to wait for a connection. */
@@ -182,7 +182,7 @@
         return true;
     }
 
-    /** Dispatches later on the event loop, outside of the present call. */
+    /** Dispatches later on the event loop, after the current call. */
     void scheduleDispatch() {
         if (!dispatchScheduled && !loop.isShuttingDown()) {
             dispatchScheduled = true;
@@ -212,7 +212,7 @@
         end(connection.abandon(), completion, outcome);
     }
 
-    /** Takes back a request of which no byte was sent; false if it may have run. */
+    /** Ends a request of which no byte was sent; false if it may have run. */
     boolean tryUnsend(UpstreamConnection connection, RequestOutcome.NotRun outcome) {
         if (connection.request() == null || !connection.isConnecting() && connection.isRequestSent()) {
             return false;
@@ -235,7 +235,7 @@
         scheduleDispatch();
     }
 
-    /** Reports an outcome; a failure of the callback does not reach the other requests. */
+    /** Reports an outcome; an exception of the callback does not affect other requests. */
     void complete(InFlightRequest request, RequestOutcome outcome) {
         try {
             request.complete(outcome);
@@ -246,9 +246,9 @@
 
     // ---- Connections
 
-    /** Another instance has the address: nothing that was learned of the connections holds. */
+    /** Discards what is known of the connections: another instance has the address now. */
     void onNewInstance() {
-        idleAge.forget();
+        idleConnectionAge.reset();
         connections.retireAll();
     }
 
@@ -281,7 +281,7 @@
             UpstreamConnection connection, InFlightRequest request, UpstreamResponse response) {
         long now = clockMicros.getAsLong();
         connection.idleUntil = idleUntil(now, response.idleTimeoutSeconds(DEFAULT_IDLE_TIMEOUT_SECONDS));
-        idleAge.onResponse(connection.idleBeforeRequest());
+        idleConnectionAge.onResponse(connection.idleBeforeRequest());
         ResponseVerdict verdict = ResponseVerdict.of(response, request, now, scheduler.retryAfterMicros(request));
         if (verdict.kind() == ResponseVerdict.Kind.OTHER_REQUEST) {
             log.accept("Response to another request ignored: expected=" + request.attemptId);
@@ -291,7 +291,7 @@
 
     @Override
     public void onCompletion(UpstreamConnection connection, InFlightRequest request, ResponseVerdict verdict) {
-        settling++;
+        unfinishedReads++;
         connections.removeBusy(connection);
         Completion completion =
                 switch (verdict.kind()) {
@@ -311,15 +311,15 @@
         }
         long now = clockMicros.getAsLong();
         if (connection.isSilent() && now - request.sentAt < IdleConnectionAge.RESET_AFTER_SEND_MICROS) {
-            idleAge.onReset(now, connection.idleBeforeRequest());
+            idleConnectionAge.onReset(now, connection.idleBeforeRequest());
         }
         log.accept("Request may have run: request=" + request.attemptId + " reason=\"" + why + "\"");
         end(request, Completion.OTHER, new RequestOutcome.MayHaveRun(why));
     }
 
     @Override
-    public void onSettled(UpstreamConnection connection, boolean reusable) {
-        settling--;
+    public void onReadFinished(UpstreamConnection connection, boolean reusable) {
+        unfinishedReads--;
         if (reusable) {
             connections.addIdle(connection, clockMicros.getAsLong(), connection.idleUntil);
         }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnections.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamConnections.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * The connections to the server: as few as possible, the one used last is reused first, and none is reused that has
- * been idle for too long. For the event loop only; times are in microseconds.
+ * The pool of connections to the server. It keeps few connections: the one used last is reused first, and none is
+ * reused that has been idle for too long. For the event loop only; times are in microseconds.
  */
 final class UpstreamConnections {
-    /** Connections of those that the server accepts that are left to others. */
+    /** How many of the connections that the server accepts are left to other clients. */
     private static final int RESERVED_CONNECTIONS = 4;
 
-    /** After so many failures to connect in a row no connection is tried for a while. */
+    /** After this many consecutive failures to connect, no connection is tried for {@link #FAILURE_PAUSE_MICROS}. */
     private static final int MAX_FAILURES = 3;
 
     private static final long FAILURE_PAUSE_MICROS = 200_000;
@@ -25,9 +25,9 @@
     private final InetSocketAddress server;
     private final UpstreamOptions options;
     private final UpstreamConnection.Listener listener;
-    /** The one used last is the last. */
+    /** In the order of use; the most recently used one is the last. */
     private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
-    /** Those with a request, sent or not yet. */
+    /** Connections with a request, whether it is sent yet or not. */
     private final Set<UpstreamConnection> busy = new LinkedHashSet<>();
 
     private final Set<UpstreamConnection> open = new LinkedHashSet<>();
@@ -44,7 +44,7 @@
         maxConnections = options.maxConnections();
     }
 
-    /** Sets how many connections the server accepts in all. */
+    /** Sets the total number of connections that the server accepts. */
     void maxConnections(int max) {
         maxConnections = max;
         while (open.size() - closingCount() > limit() && !idle.isEmpty()) {
@@ -68,7 +68,7 @@
         return open.size();
     }
 
-    /** Whether a request is on an established connection, which its end will make available. */
+    /** Whether an established connection is busy and thus becomes available when its request ends. */
     boolean hasEstablishedBusy() {
         return busy.stream().anyMatch(connection -> !connection.isConnecting());
     }
@@ -77,7 +77,7 @@
         return open.size() < limit();
     }
 
-    /** Whether the server was found not to accept connections, so that none is tried for now. */
+    /** Whether connecting has failed repeatedly, so that no connection is tried for now. */
     boolean isFailing(long now) {
         return now < failingUntil;
     }
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Takes an idle connection that is clean, not too old and has not been idle for longer than a time; null if
+     * Takes an idle connection that is still reusable and has not been idle for longer than {@code maxIdle}; null if
      * there is none. The caller uses it or adds it again.
      */
     UpstreamConnection pollIdle(long now, long maxIdle) {
@@ -101,14 +101,14 @@
         return null;
     }
 
-    /** Closes the one that has been idle longest, to make room for a new one, if no other is closing already. */
+    /** Closes the connection that has been idle longest, so that a new one can be opened, unless another is closing. */
     void closeOldestIdle() {
         if (!idle.isEmpty() && open.stream().noneMatch(c -> c.isRetired() && !busy.contains(c))) {
             idle.pollFirst().close();
         }
     }
 
-    /** Adds a connection to the idle ones, or closes it where it is of no use. */
+    /** Adds a connection to the idle ones, or closes it if it cannot be reused or exceeds the limit. */
     void addIdle(UpstreamConnection connection, long now, long idleUntil) {
         busy.remove(connection);
         connection.idleSince = now;
@@ -138,7 +138,7 @@
         connection.send(request, now);
     }
 
-    /** A connection has no request any more. */
+    /** Records that a connection has no request any more. */
     void removeBusy(UpstreamConnection connection) {
         busy.remove(connection);
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    /** None of the present connections takes a further request; busy ones end with the request on them. */
+    /** Retires all current connections: idle ones are closed, busy ones when their request has ended. */
     void retireAll() {
         onConnected();
         open.forEach(UpstreamConnection::retire);
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
@@ -12,13 +12,13 @@
  * on its event loop, and all outcomes are reported on it, some of them from inside the call.
  *
  * <p>Without an instance, see {@link #setInstance}, it rejects all requests; after {@link #drain} it rejects new
- * ones and lets running ones finish; {@link #close} ends all.
+ * ones and lets running ones finish; {@link #close} ends all of them at once.
  */
 public final class UpstreamDispatcher implements RequestDispatcher {
     private static final RequestOutcome.NotRun GONE = new RequestOutcome.NotRun(RejectionReason.GONE, 0);
     private static final RequestOutcome.NotRun CANCELLED = new RequestOutcome.NotRun(RejectionReason.CANCELLED, 0);
     private static final RequestOutcome.NotRun REFUSED = new RequestOutcome.NotRun(RejectionReason.REFUSED, 0);
-    // Reasons reach other proxies and traces of requests: their texts are fixed.
+    // Other proxies and request traces receive these reasons: their texts are fixed.
     private static final RequestOutcome.MayHaveRun CANCELLED_IN_FLIGHT = new RequestOutcome.MayHaveRun("cancelled");
     private static final RequestOutcome.MayHaveRun CLOSED_IN_FLIGHT = new RequestOutcome.MayHaveRun("closed");
 
@@ -31,7 +31,7 @@
     private boolean draining;
 
     /**
-     * @param clockMicros the clock of all times here
+     * @param clockMicros the clock that all times refer to, in microseconds
      * @param log receives lines for the operators' log
      */
     public UpstreamDispatcher(
@@ -64,7 +64,7 @@
         connectionManager.scheduleDispatch();
     }
 
-    /** Sets how many connections the server accepts in all. */
+    /** Sets the total number of connections that the server accepts. */
     public void maxConnections(int max) {
         checkEventLoop();
         connections.maxConnections(max);
@@ -112,7 +112,7 @@
         return new UpstreamLoad(scheduler.running(), scheduler.queue().size(), scheduler.concurrency());
     }
 
-    /** Begins the graceful shutdown: unsent and new requests are rejected, running ones go on. */
+    /** Begins the graceful shutdown: unsent and new requests are rejected, running ones continue. */
     public void drain() {
         checkEventLoop();
         draining = true;
@@ -141,7 +141,7 @@
         return connections.openCount();
     }
 
-    /** Does what is due by time, for tests. */
+    /** Handles what is due at the current time, for tests. */
     void tick() {
         connectionManager.tick();
     }
@@ -159,7 +159,7 @@
             }
         }
         for (UpstreamConnection connection : connections.busy()) {
-            // Which instance it will lead to once it is established is unknown.
+            // It is unknown which instance the connection will reach once it is established.
             if (connection.isConnecting()) {
                 connectionManager.tryUnsend(connection, GONE);
             }
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
@@ -3,14 +3,14 @@
 /**
  * The options of an {@link UpstreamDispatcher}.
  *
- * @param extraInFlight requests sent beyond the server's concurrency, so that it never idles between two responses
+ * @param extraInFlight requests sent beyond the server's concurrency, so that it always has a next request to run
  * @param warmUpFactor share of the concurrency that is used while the server is warming up
- * @param minQueued so many requests are queued without a prediction; zero for half of the concurrency
- * @param maxQueued most requests in the queue; zero for four times the concurrency
- * @param initialServiceTimeMicros the service time that is assumed until some were measured
+ * @param minQueued up to this many requests are queued without a prediction; zero for half of the concurrency
+ * @param maxQueued the maximum number of queued requests; zero for four times the concurrency
+ * @param initialServiceTimeMicros the service time that is assumed before any was measured
  * @param lingerMicros how long past its deadline a request that is not idempotent keeps its connection
- * @param maxConnections most connections that the server accepts, until another number is announced
- * @param maxResponseBytes largest body of a response
+ * @param maxConnections the number of connections that the server accepts, until another one is announced
+ * @param maxResponseBytes the maximum size of a response body
  */
 public record UpstreamOptions(
         int extraInFlight,
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamRequest.java
@@ -7,10 +7,10 @@
  * One request as it is sent to the server. Times are absolute, in microseconds of the dispatcher's clock.
  *
  * @param id the attempt id, which the response repeats
- * @param headers final, but for the remaining time and the length of the body, which are set when it is sent
- * @param priority the lower the number, the earlier it is sent
- * @param internal whether it is one of the mesh's own services' requests that no tenant sends
- * @param instanceId the instance that it is meant for; null for whatever instance is there
+ * @param headers as they are sent, except the remaining time and the body's length, which are set on sending
+ * @param priority requests with a lower number are sent earlier
+ * @param internal whether it comes from one of the mesh's own services rather than from a tenant
+ * @param instanceId the instance that it is meant for; null for any
  */
 public record UpstreamRequest(
         String id,
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamResponse.java
@@ -27,7 +27,7 @@
         return !all(name).isEmpty();
     }
 
-    /** After how many idle seconds the server says that it closes the connection, or the default. */
+    /** The idle time-out of the connection that the server announces, or the default. */
     long idleTimeoutSeconds(long defaultSeconds) {
         for (String value : all("Keep-Alive")) {
             for (String part : value.toLowerCase(Locale.ROOT).split("[,;]")) {
--- a/src/modelcheck/java/org/cypressweir/dataplane/http/upstream/SimulatedUpstream.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/http/upstream/SimulatedUpstream.java
@@ -13,12 +13,12 @@
 import org.cypressweir.dataplane.http.upstream.RequestScheduler.Completion;
 
 /**
- * A dispatcher in simulated time: the scheduler, encoder and verdicts of the real one, with a simulated server in
- * place of the connections.
+ * A dispatcher in simulated time. It uses the scheduler, encoder and response verdicts of the real dispatcher, with a
+ * simulated server instead of connections.
  */
 public final class SimulatedUpstream implements RequestDispatcher {
 
-    /** One request as the server reads it, and its connection. */
+    /** One request as the server receives it, with its connection. */
     public final class Execution {
         public final String head;
         public final String body;
@@ -33,7 +33,7 @@
         }
 
         /**
-         * A complete response arrives on its connection.
+         * Delivers a complete response on the connection.
          *
          * @param attemptId the id of the request that the response claims to be for
          */
@@ -52,7 +52,7 @@
             }
         }
 
-        /** Its connection ends. */
+        /** Ends the connection. */
         public void disconnect() {
             if (!ended) {
                 end(Completion.OTHER, outcomeOfLoss(request));
--- a/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerFixture.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A listener whose handler echoes the request, or keeps it pending if the path is {@code /hold}, and clients that
- * write raw bytes.
+ * A listener, and clients that write raw bytes. The handler echoes a request; it keeps {@code /hold} pending, throws an
+ * exception for {@code /fail} and sends a body of 16 MiB for {@code /large}.
  */
 final class HttpListenerFixture implements AutoCloseable {
 
@@ -31,7 +31,7 @@
     final BlockingQueue<ServerRequest> pending = new LinkedBlockingQueue<>();
     /** The requests that were handled, by the client's port. */
     final Map<Integer, List<String>> handled = new ConcurrentHashMap<>();
-    /** Microseconds that are added to the clock. */
+    /** Added to the clock, in microseconds. */
     final AtomicLong clockOffset = new AtomicLong();
 
     volatile RequestLimits limits;
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Returns in a later turn of the event loop, behind its next select: only then does the runtime free the socket of
-     * a channel that was closed. The loop takes tasks scheduled by itself at the start of a turn, never within one.
+     * Waits for the next select of the event loop: only then does the runtime free the socket of a closed channel. A
+     * task that the loop itself schedules runs at the start of a later iteration, never within the current one.
      */
     void awaitNextSelect() throws Exception {
         CompletableFuture<Void> selected = new CompletableFuture<>();
--- a/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/HttpListenerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void nextRequestWaitsForTheResponseBefore() throws Exception {
+    void nextRequestWaitsForThePreviousResponse() throws Exception {
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client client = fixture.client()) {
             client.send(HOLD + HOLD + "POST /z HTTP/1.1\r\nHost: a\r\nContent-Length: 90000\r\n\r\n");
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void headExpectContinueHttp10AndHandlerFailures() throws Exception {
+    void supportsHeadExpectContinueAndHttp10AndRespondsToHandlerFailures() throws Exception {
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client client = fixture.client();
                 Client http10 = fixture.client()) {
@@ -97,15 +97,15 @@
     void handlerCannotBreakTheFraming() throws Exception {
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client client = fixture.client()) {
-            ServerResponse odd =
+            ServerResponse conflictingHeaders =
                     ServerResponse.of(200).withHeader("Content-Length", "7").withHeader("Transfer-Encoding", "chunked");
             client.send(HOLD);
             ServerRequest request = fixture.nextPending();
-            fixture.runOnLoop(() -> request.answer(odd.withHeader("Connection", "close")));
+            fixture.runOnLoop(() -> request.answer(conflictingHeaders.withHeader("Connection", "close")));
             assertThat(client.readHead()).isEqualToIgnoringCase("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
             client.send(HOLD);
             ServerRequest other = fixture.nextPending();
-            fixture.runOnLoop(() -> other.answer(odd.withHeader("X", "a\r\nY: b")));
+            fixture.runOnLoop(() -> other.answer(conflictingHeaders.withHeader("X", "a\r\nY: b")));
             assertThat(client.readHead()).startsWith("HTTP/1.1 500 ").doesNotContain("Y");
         }
     }
@@ -126,13 +126,13 @@
         }
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client silent = fixture.client();
-                Client kept = fixture.client();
+                Client keptAlive = fixture.client();
                 Client busy = fixture.client()) {
             busy.send(HOLD);
-            assertThat(kept.send(GET).readBody()).isEqualTo("GET a /x ");
+            assertThat(keptAlive.send(GET).readBody()).isEqualTo("GET a /x ");
             fixture.limits = new RequestLimits(2_000, 1_000, 20_000, 40);
             assertThat(silent.readAll()).isEmpty();
-            assertThat(kept.readAll()).isEmpty();
+            assertThat(keptAlive.readAll()).isEmpty();
             assertThat(fixture.listener.requestsOpen()).isEqualTo(1);
         }
     }
@@ -141,14 +141,14 @@
     void unreadResponseAndLingeringCloseTimeOut() throws Exception {
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client nonReading = fixture.client();
-                Client bad = fixture.client();
-                Client good = fixture.client()) {
+                Client invalid = fixture.client();
+                Client wellBehaved = fixture.client()) {
             nonReading.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n");
             assertThat(nonReading.readHead()).startsWith("HTTP/1.1 200 ");
-            assertThat(bad.send("?\r\n").readAll()).startsWith("HTTP/1.1 400 ");
+            assertThat(invalid.send("?\r\n").readAll()).startsWith("HTTP/1.1 400 ");
             while (fixture.listener.connections() > 1) {
                 fixture.clockOffset.addAndGet(10_000);
-                assertThat(good.send(GET).readBody()).isEqualTo("GET a /x ");
+                assertThat(wellBehaved.send(GET).readBody()).isEqualTo("GET a /x ");
             }
         }
     }
@@ -178,19 +178,19 @@
     void drainClosesEachConnectionAfterItsResponse() throws Exception {
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client silent = fixture.client();
-                Client kept = fixture.client();
+                Client keptAlive = fixture.client();
                 Client busy = fixture.client();
-                Client begun = fixture.client()) {
-            begun.send("GET /x HTTP/1.1\r\n");
-            assertThat(kept.send(GET).readBody()).isEqualTo("GET a /x ");
+                Client partialHead = fixture.client()) {
+            partialHead.send("GET /x HTTP/1.1\r\n");
+            assertThat(keptAlive.send(GET).readBody()).isEqualTo("GET a /x ");
             busy.send(HOLD);
             ServerRequest request = fixture.nextPending();
             fixture.listener.drain();
             assertThat(silent.readAll()).isEmpty();
-            assertThat(kept.readAll()).isEmpty();
+            assertThat(keptAlive.readAll()).isEmpty();
             fixture.runOnLoop(() -> request.answer(ServerResponse.of(200)));
             assertThat(busy.readAll()).startsWith("HTTP/1.1 200 OK").containsIgnoringCase("connection: close");
-            assertThat(begun.send("Host: a\r\n\r\n").readAll()).containsIgnoringCase("connection: close");
+            assertThat(partialHead.send("Host: a\r\n\r\n").readAll()).containsIgnoringCase("connection: close");
             try (Client late = fixture.client()) {
                 assertThat(late.send(GET).readAll())
                         .containsIgnoringCase("connection: close")
@@ -203,32 +203,34 @@
     }
 
     @Test
-    void slowClientsAndFullBuffersHarmNoOtherClient() throws Exception {
+    void slowClientsAndFullBuffersDoNotAffectOtherClients() throws Exception {
         RequestLimits large = new RequestLimits(2_000, 32 << 20, 20_000, 20_000);
         try (HttpListenerFixture fixture = new HttpListenerFixture(large);
                 Client nonReading = fixture.client();
-                Client half = fixture.client();
-                Client full = fixture.client();
-                Client chunked = fixture.client();
-                Client good = fixture.client()) {
+                Client bufferHolder = fixture.client();
+                Client rejectedByLength = fixture.client();
+                Client rejectedWhileReceiving = fixture.client();
+                Client wellBehaved = fixture.client()) {
             nonReading.send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n" + GET);
-            half.send("POST /hold HTTP/1.1\r\nHost: a\r\nContent-Length: 20000000\r\n\r\n");
-            half.send("x".repeat(20_000_000));
+            bufferHolder.send("POST /hold HTTP/1.1\r\nHost: a\r\nContent-Length: 20000000\r\n\r\n");
+            bufferHolder.send("x".repeat(20_000_000));
             assertThat(fixture.nextPending().body()).hasSize(20_000_000);
-            full.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000\r\n\r\n");
-            assertThat(full.readAll()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("retry-after: 0.2\r\n");
-            chunked.send("POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n800000\r\n");
-            chunked.send("x".repeat(4_500_000));
-            assertThat(chunked.readAll()).startsWith("HTTP/1.1 503 ");
+            rejectedByLength.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000\r\n\r\n");
+            assertThat(rejectedByLength.readAll())
+                    .startsWith("HTTP/1.1 503 ")
+                    .containsIgnoringCase("retry-after: 0.2\r\n");
+            rejectedWhileReceiving.send("POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n800000\r\n");
+            rejectedWhileReceiving.send("x".repeat(4_500_000));
+            assertThat(rejectedWhileReceiving.readAll()).startsWith("HTTP/1.1 503 ");
             for (int i = 0; i < 100; i++) {
-                assertThat(good.send(GET).readBody()).isEqualTo("GET a /x ");
+                assertThat(wellBehaved.send(GET).readBody()).isEqualTo("GET a /x ");
             }
-            half.socket.close();
+            bufferHolder.socket.close();
             String again = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\n" + "y".repeat(10_000_000);
             while (fixture.listener.requestsOpen() > 0) {
                 Thread.onSpinWait();
             }
-            assertThat(good.send(again).readBody()).hasSize(10_000_010);
+            assertThat(wellBehaved.send(again).readBody()).hasSize(10_000_010);
             assertThat(nonReading.readBody()).hasSize(16 << 20);
             assertThat(nonReading.readBody()).isEqualTo("GET a /x ");
         }
--- a/src/test/java/org/cypressweir/dataplane/http/server/RequestStrictnessTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/server/RequestStrictnessTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Which requests are rejected, with which status; {@code ~} stands for CR LF, {@code ^} for CR, {@code _} for LF.
+ * Malformed requests and the status with which each is rejected. In the test data {@code ~} stands for CR LF, {@code ^}
+ * for CR, {@code _} for LF.
  */
 @Timeout(60)
 class RequestStrictnessTest {
@@ -105,7 +106,7 @@
             })
     void rejects(int status, String request) throws IOException {
         String bytes = request.replace("~", "\r\n").replace('^', '\r').replace('_', '\n');
-        // Of a chunk that is too large, the bytes have to arrive.
+        // A chunk that is too large is rejected only once its bytes are received.
         bytes += bytes.endsWith("186a1\r\n") ? "x".repeat(100_001) : "";
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client client = fixture.client()) {
@@ -119,7 +120,7 @@
     }
 
     @Test
-    void rejectsALargeHeadByTheLimitInForce() throws IOException {
+    void rejectsAHeadLargerThanTheCurrentLimit() throws IOException {
         String head = "GET / HTTP/1.1\r\nHost: a\r\nX: ";
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
                 Client reused = fixture.client();
@@ -146,41 +147,41 @@
     private static final Pattern CHUNK = Pattern.compile("\\G0*([0-9a-fA-F]{1,6})(?:;[\t -~\u0080-\u00ff]*)?\r\n");
     private static final Pattern TRAILER = Pattern.compile("\\G([^\r\n]+\r\n)*\r\n");
 
-    /** The requests that the rules of framing find in some bytes, up to the first invalid one. */
-    private static List<String> requests(String bytes) {
+    /** Parses requests by the framing rules of RFC 9112 alone, up to the first invalid one. */
+    private static List<String> parseRequests(String bytes) {
         List<String> found = new ArrayList<>();
         Matcher head = HEAD.matcher(bytes);
-        int at = 0;
-        while (head.find(at) && head.start() == at) {
-            at = head.end();
+        int position = 0;
+        while (head.find(position) && head.start() == position) {
+            position = head.end();
             Matcher length = LENGTH.matcher(head.group(3));
             StringBuilder body = new StringBuilder();
             if (CHUNKED.matcher(head.group(3)).find()) {
                 Matcher chunk = CHUNK.matcher(bytes);
                 int size = -1;
                 while (size != 0) {
-                    if (!chunk.find(at)) {
+                    if (!chunk.find(position)) {
                         return found;
                     }
                     size = Integer.parseInt(chunk.group(1), 16);
-                    at = chunk.end() + size + (size > 0 ? 2 : 0);
-                    if (at > bytes.length()) {
+                    position = chunk.end() + size + (size > 0 ? 2 : 0);
+                    if (position > bytes.length()) {
                         return found;
                     }
                     body.append(bytes, chunk.end(), chunk.end() + size);
                 }
                 Matcher trailer = TRAILER.matcher(bytes);
-                if (!trailer.find(at)) {
+                if (!trailer.find(position)) {
                     return found;
                 }
-                at = trailer.end();
+                position = trailer.end();
             } else if (length.find()) {
                 int size = Integer.parseInt(length.group(1));
-                if (at + size > bytes.length()) {
+                if (position + size > bytes.length()) {
                     return found;
                 }
-                body.append(bytes, at, at + size);
-                at += size;
+                body.append(bytes, position, position + size);
+                position += size;
             }
             String target = head.group(2).replaceFirst("(?i)^http://[^/?]*", "");
             String slash = target.startsWith("/") || target.equals("*") ? "" : "/";
@@ -189,29 +190,29 @@
         return found;
     }
 
-    /** No mutated bytes are handled as a request that was not sent, and other clients are served. */
+    /** Mutated bytes are never handled as a request that was not sent, and other clients are still served. */
     @Test
     void mutatedRequestsAreNotMisinterpreted() throws IOException {
         Random random = new Random(7);
         int handledCount = 0;
         try (HttpListenerFixture fixture = new HttpListenerFixture(HttpListenerFixture.DEFAULT_LIMITS);
-                Client good = fixture.client()) {
+                Client wellBehaved = fixture.client()) {
             for (int i = 0; i < 2_000; i++) {
                 StringBuilder bytes = new StringBuilder();
                 for (int k = 0; k < 3; k++) {
                     bytes.append(VALID[random.nextInt(VALID.length)]);
                 }
                 for (int k = random.nextInt(4); k >= 0; k--) {
-                    int at = random.nextInt(bytes.length());
-                    String part = String.valueOf(MUTATIONS.charAt(random.nextInt(MUTATIONS.length())));
-                    int end = at + (random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(2) * random.nextInt(9));
-                    bytes.replace(at, end, random.nextInt(3) == 0 ? "" : part);
+                    int position = random.nextInt(bytes.length());
+                    String inserted = String.valueOf(MUTATIONS.charAt(random.nextInt(MUTATIONS.length())));
+                    int end = position + (random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(2) * random.nextInt(9));
+                    bytes.replace(position, end, random.nextInt(3) == 0 ? "" : inserted);
                 }
                 int port;
                 try (Client client = fixture.client()) {
                     port = client.socket.getLocalPort();
                     client.send(bytes.toString());
-                    assertThat(good.send(VALID[i % 2]).readBody())
+                    assertThat(wellBehaved.send(VALID[i % 2]).readBody())
                             .isEqualTo(
                                     i % 2 == 0
                                             ? "POST ab.c /a?b=c GET / HTTP/1"
@@ -221,12 +222,12 @@
                 }
                 List<String> handled = new ArrayList<>();
                 for (String request : fixture.handled.getOrDefault(port, List.of())) {
-                    // Without the host, which is not a matter of framing.
+                    // The host is left out, since it does not depend on the framing.
                     int first = request.indexOf(' ');
                     handled.add(request.substring(0, first) + request.substring(request.indexOf(' ', first + 1)));
                 }
                 fixture.handled.clear();
-                List<String> sent = requests(bytes.toString());
+                List<String> sent = parseRequests(bytes.toString());
                 String escaped = bytes.toString().replace("\r", "\\r").replace("\0", "\\0");
                 assertThat(handled.size()).as("%s", escaped).isLessThanOrEqualTo(sent.size());
                 assertThat(handled).as("%s", escaped).isEqualTo(sent.subList(0, handled.size()));
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestEncoderTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestEncoderTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an application instance is told of the time that remains. */
+/** The header with which an attempt tells the application instance the remaining time. */
 class RequestEncoderTest {
 
     private static final long NOW = 5_000_000_000L;
@@ -33,7 +33,7 @@
                 .toList();
     }
 
-    /** Each attempt names the time that is left when it is sent, once, whatever the client has sent. */
+    /** Each attempt has the header once, with the time left when it is sent, also if the client has sent the header. */
     @Test
     void remainingTimeIsWhatIsLeftWhenTheAttemptIsSent() {
         for (String name : List.of("Cypressweir-Time-Remaining", "cypressweir-time-remaining")) {
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestSchedulerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestSchedulerTest.java
@@ -27,7 +27,7 @@
         return request(false, 1, latencyTarget, true);
     }
 
-    /** Dispatches as many as the limit allows. */
+    /** Dispatches as many requests as the limit allows. */
     private List<SchedulableRequest> dispatchAll(long now) {
         List<SchedulableRequest> dispatched = new ArrayList<>();
         while (scheduler.isReady(now)) {
@@ -52,7 +52,7 @@
                 request(false, 0, 400 * MS, true),
                 request(false, 1, 300 * MS, true),
                 request(false, 1, 600 * MS, true),
-                // Neither can meet its target: the newer first.
+                // Neither can meet its target: the newer one comes first.
                 request(false, 1, 45 * MS, true),
                 request(false, 1, 40 * MS, true),
                 request(false, 2, 200 * MS, true));
@@ -105,13 +105,13 @@
     @Test
     void evictsTheLastInOrderFromAFullQueue() {
         fillServer(2, 0);
-        List<SchedulableRequest> low = new ArrayList<>();
+        List<SchedulableRequest> lowPriority = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            low.add(ordinary(9_000 * MS + i));
-            assertThat(scheduler.enqueue(0, low.get(i))).isEmpty();
+            lowPriority.add(ordinary(9_000 * MS + i));
+            assertThat(scheduler.enqueue(0, lowPriority.get(i))).isEmpty();
         }
         List<Rejection<SchedulableRequest>> rejections = scheduler.enqueue(0, request(false, 0, 9_000 * MS, true));
-        assertThat(rejections).extracting(Rejection::request).containsExactly(low.get(7));
+        assertThat(rejections).extracting(Rejection::request).containsExactly(lowPriority.get(7));
     }
 
     @Test
@@ -150,27 +150,28 @@
     }
 
     @Test
-    void overloadDecreasesTheLimitOnceForAllSentBefore() {
+    void overloadResponsesToEarlierRequestsDecreaseTheLimitOnce() {
         List<SchedulableRequest> running = fillServer(10, 0);
         assertThat(running).hasSize(11);
-        running.subList(0, 5).forEach(c -> scheduler.onCompletion(10 * MS, c, Completion.OVERLOADED));
-        assertThat(limit(10 * MS)).isEqualTo(8);
+        running.subList(0, 5).forEach(request -> scheduler.onCompletion(10 * MS, request, Completion.OVERLOADED));
+        assertThat(measureLimit(10 * MS)).isEqualTo(8);
         for (int i = 0; i < 40; i++) {
-            SchedulableRequest c = ordinary(1000 * MS);
-            scheduler.enqueue(10 * MS, c);
+            SchedulableRequest request = ordinary(1000 * MS);
+            scheduler.enqueue(10 * MS, request);
             scheduler.next(10 * MS);
-            scheduler.onCompletion(10 * MS, c, Completion.RESPONDED);
+            scheduler.onCompletion(10 * MS, request, Completion.RESPONDED);
         }
-        assertThat(limit(10 * MS)).isEqualTo(11);
+        assertThat(measureLimit(10 * MS)).isEqualTo(11);
     }
 
-    private int limit(long now) {
+    /** Dispatches requests until no more are allowed; returns how many run. */
+    private int measureLimit(long now) {
         int added = 0;
-        for (SchedulableRequest c; scheduler.running() < 100; added++) {
-            c = ordinary(now + 9_000 * MS);
-            scheduler.enqueue(now, c);
+        for (SchedulableRequest request; scheduler.running() < 100; added++) {
+            request = ordinary(now + 9_000 * MS);
+            scheduler.enqueue(now, request);
             if (!scheduler.isReady(now)) {
-                scheduler.cancel(c);
+                scheduler.cancel(request);
                 break;
             }
             scheduler.next(now);
@@ -178,15 +179,15 @@
         return scheduler.running();
     }
 
-    /** Every request ends once, no more run than the limit allows, and none is queued past its latency target. */
+    /** Every request ends once, no more run than the limit allows, and none stays queued past its latency target. */
     @Test
-    void randomWalkLosesNothingAndKeepsNothingTooLong() {
+    void randomOperationsEndEveryRequestInTime() {
         for (int seed = 0; seed < 10; seed++) {
-            walk(new SplittableRandom(seed), new RequestScheduler<>(options));
+            runRandomOperations(new SplittableRandom(seed), new RequestScheduler<>(options));
         }
     }
 
-    private static void walk(SplittableRandom random, RequestScheduler<SchedulableRequest> scheduler) {
+    private static void runRandomOperations(SplittableRandom random, RequestScheduler<SchedulableRequest> scheduler) {
         int concurrency = 1 + random.nextInt(12);
         scheduler.instanceChanged(concurrency, 0, true);
         Set<SchedulableRequest> open = new HashSet<>();
@@ -197,31 +198,31 @@
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
                     long latencyTarget = now + random.nextInt(400_000) - 10_000;
-                    SchedulableRequest c = new SchedulableRequest(
+                    SchedulableRequest request = new SchedulableRequest(
                             random.nextInt(4) == 0,
                             random.nextInt(3),
                             latencyTarget,
                             latencyTarget + random.nextInt(100_000),
                             random.nextBoolean());
-                    open.add(c);
+                    open.add(request);
                     scheduler
-                            .enqueue(now, c)
+                            .enqueue(now, request)
                             .forEach(r -> end(ended, r.request(), r.reason().name()));
                 }
                 case 3 -> {
                     if (!running.isEmpty()) {
-                        SchedulableRequest c = running.remove(random.nextInt(running.size()));
-                        scheduler.onCompletion(now, c, Completion.values()[Math.max(0, random.nextInt(20) - 16)]);
-                        end(ended, c, "ran");
+                        SchedulableRequest request = running.remove(random.nextInt(running.size()));
+                        scheduler.onCompletion(now, request, Completion.values()[Math.max(0, random.nextInt(20) - 16)]);
+                        end(ended, request, "ran");
                     }
                 }
                 case 4 -> {
                     if (!scheduler.queue().isEmpty()) {
-                        SchedulableRequest c = scheduler
+                        SchedulableRequest request = scheduler
                                 .queue()
                                 .get(random.nextInt(scheduler.queue().size()));
-                        assertThat(scheduler.cancel(c)).isTrue();
-                        end(ended, c, "cancelled");
+                        assertThat(scheduler.cancel(request)).isTrue();
+                        end(ended, request, "cancelled");
                     }
                 }
                 default -> now = Math.min(scheduler.nextTime(), now + random.nextInt(40_000));
@@ -234,19 +235,19 @@
             }
             assertThat(scheduler.running()).isEqualTo(running.size()).isLessThanOrEqualTo(concurrency + 1);
             assertThat(scheduler.queue().size()).isLessThanOrEqualTo(4 * Math.max(concurrency, 1));
-            for (SchedulableRequest c : scheduler.queue()) {
-                assertThat(now).isLessThanOrEqualTo(Math.max(c.latencyTargetAt, c.arrivedAt + 1000));
-                assertThat(now + RequestScheduler.DEADLINE_MARGIN_MICROS).isLessThanOrEqualTo(c.deadline);
+            for (SchedulableRequest request : scheduler.queue()) {
+                assertThat(now).isLessThanOrEqualTo(Math.max(request.latencyTargetAt, request.arrivedAt + 1000));
+                assertThat(now + RequestScheduler.DEADLINE_MARGIN_MICROS).isLessThanOrEqualTo(request.deadline);
             }
             assertThat(scheduler.nextTime()).isGreaterThan(now);
         }
-        scheduler.clear().forEach(c -> end(ended, c, "cleared"));
-        running.forEach(c -> end(ended, c, "ran"));
+        scheduler.clear().forEach(request -> end(ended, request, "cleared"));
+        running.forEach(request -> end(ended, request, "ran"));
         assertThat(ended.keySet()).isEqualTo(open);
         assertThat(new HashSet<>(ended.values())).contains("ran", "FULL", "LATE", "cancelled");
     }
 
-    private static void end(Map<SchedulableRequest, String> ended, SchedulableRequest request, String how) {
-        assertThat(ended.put(request, how)).isNull();
+    private static void end(Map<SchedulableRequest, String> ended, SchedulableRequest request, String outcome) {
+        assertThat(ended.put(request, outcome)).isNull();
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/RequestStateTableTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The page's table of the states of a request is what the code does; {@code -Drequest-state-table=write} writes it
- * anew.
+ * Compares the table of request states in the documentation with the code; {@code -Drequest-state-table=write}
+ * rewrites the table instead.
  */
 class RequestStateTableTest {
 
@@ -60,7 +60,7 @@
             Event.CLIENT_DISCONNECTED,
             "the client disconnects"));
 
-    /** A request after a history of events. */
+    /** A request to which a sequence of events was applied. */
     private static final class Replay {
         private final RequestState state;
         private int attempts;
@@ -70,7 +70,7 @@
             events.forEach(this::apply);
         }
 
-        /** What follows for the client; null where the event cannot happen. */
+        /** Applies an event; returns the action for the client, or null if the event cannot happen in this state. */
         private ClientAction apply(Event event) {
             return switch (event) {
                 case SENT -> {
@@ -87,7 +87,7 @@
                 case RESPONDED -> end(new RequestOutcome.Responded(200, List.of(), null));
                 case RESPONDED_NOT_RUN -> end(new RequestOutcome.Responded(429, List.of(), null));
                 case RESPONDED_FAILURE -> end(new RequestOutcome.Responded(500, List.of(), null));
-                case NO_MORE_ATTEMPTS, DEADLINE -> carriedOut(state.finalAction(event == Event.DEADLINE));
+                case NO_MORE_ATTEMPTS, DEADLINE -> applyAction(state.finalAction(event == Event.DEADLINE));
                 case CLIENT_DISCONNECTED -> {
                     state.onDisconnect();
                     yield ClientAction.NONE;
@@ -98,13 +98,13 @@
         private ClientAction end(RequestOutcome outcome) {
             for (int i = 0; i < attempts; i++) {
                 if (state.isPending(i)) {
-                    return carriedOut(state.onOutcome(i, outcome));
+                    return applyAction(state.onOutcome(i, outcome));
                 }
             }
             return null;
         }
 
-        private ClientAction carriedOut(ClientAction action) {
+        private ClientAction applyAction(ClientAction action) {
             if (action != ClientAction.NONE && action != ClientAction.SAVE_RESPONSE) {
                 state.markResponded();
             }
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void pageMatchesTheCode() throws IOException {
+    void tableInDocumentationMatchesTheCode() throws IOException {
         String page = Files.readString(PAGE);
         int begin = page.indexOf(BEGIN) + BEGIN.length();
         int end = page.indexOf(END);
@@ -172,7 +172,7 @@
         return name.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** Only what has not run is rejected, and only idempotent requests are sent again after they may have run. */
+    /** Only requests that have not run are rejected, and only idempotent ones are resent once they may have run. */
     @Test
     void noHistoryRejectsOrResendsWhatMayHaveRun() {
         for (boolean idempotent : new boolean[] {false, true}) {
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/ResponseAssemblerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/ResponseAssemblerTest.java
@@ -32,21 +32,21 @@
         fixture.close();
     }
 
-    /** Truncated at each of its bytes, at none and after the last, by an orderly close and by a reset. */
+    /** A response is truncated after each number of bytes from none to all, by an orderly close and by a reset. */
     @ParameterizedTest
     @ValueSource(strings = {"sized", "chunked", "unbounded", "not executed"})
-    void truncatedResponseIsNoResponse(String kind) throws Exception {
+    void truncatedResponseMeansMayHaveRun(String kind) throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             int length = bytes(kind, "a-0000").length();
-            for (int cut = 0; cut <= length; cut++) {
-                SubmittedRequest request = fixture.submit("POST", cut % 2 == 0, "one", "hello");
+            for (int truncatedAt = 0; truncatedAt <= length; truncatedAt++) {
+                SubmittedRequest request = fixture.submit("POST", truncatedAt % 2 == 0, "one", "hello");
                 ServerConnection connection = fixture.accept();
                 connection.readHead();
                 connection.readBody(5);
                 String bytes = bytes(kind, request.id);
-                cut = Math.min(cut, bytes.length());
-                connection.write(bytes.substring(0, cut));
-                boolean complete = cut == bytes.length() && !kind.equals("unbounded");
+                truncatedAt = Math.min(truncatedAt, bytes.length());
+                connection.write(bytes.substring(0, truncatedAt));
+                boolean complete = truncatedAt == bytes.length() && !kind.equals("unbounded");
                 RequestOutcome early = complete ? request.outcome() : null;
                 if (reset) {
                     connection.reset();
@@ -55,14 +55,14 @@
                 }
                 if (!complete) {
                     assertThat(request.mayHaveRunReason())
-                            .as("%s truncated at %d", kind, cut)
+                            .as("%s truncated at %d", kind, truncatedAt)
                             .isNotEmpty();
                 } else {
                     assertThat(early).isNotInstanceOf(RequestOutcome.MayHaveRun.class);
                     length = 0;
                 }
                 assertThat(request.outcomes).isEmpty();
-                // The end of an idle connection has been seen before the next request.
+                // Wait until the dispatcher has noticed the end of an idle connection.
                 while (fixture.callOnLoop(fixture.dispatcher::connectionCount) > 0) {
                     Thread.onSpinWait();
                 }
@@ -81,7 +81,7 @@
 
     @Test
     void invalidResponseMeansMayHaveRun() throws Exception {
-        List<String> bad = new ArrayList<>(List.of(
+        List<String> invalidResponses = new ArrayList<>(List.of(
                 "junk\r\n\r\n",
                 "\u0000\u0001\u0002 nothing\r\n\r\n",
                 "HTTP/1.1 2x0 OK\r\n\r\n",
@@ -103,7 +103,7 @@
                 head("200 OK", "ID", CHUNKED) + "zz\r\nabc\r\n0\r\n\r\n",
                 head("200 OK", "ID", CHUNKED) + "3\r\nabcdef\r\n0\r\n\r\n",
                 head("101 Switching", "ID", SEAL) + "Upgrade: x\r\nConnection: upgrade\r\n\r\n"));
-        for (String bytes : bad) {
+        for (String bytes : invalidResponses) {
             SubmittedRequest request = fixture.get();
             ServerConnection connection = fixture.accept();
             connection.readHead();
@@ -123,7 +123,7 @@
         SubmittedRequest second = fixture.post();
         connection.readHead();
         connection.readBody(5);
-        // Late further responses to the first request, one of which claims that it was not executed.
+        // Two late duplicate responses to the first request; one states that it was not executed.
         connection.write(response("503 Full", first.id, NOT_EXECUTED, ""));
         connection.write(response("200 OK", first.id, "", "late")).write(response(second.id, "two"));
         assertThat(second.response()).isEqualTo("200 two");
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcherTest.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcherTest.java
@@ -69,7 +69,7 @@
         connection.readHead();
         connection.write(head("200 OK", headRequest.id, SEAL) + "Content-Length: 70000\r\n\r\n");
         assertThat(headRequest.response()).isEqualTo("200 ");
-        // A late second response to a HEAD request has no body either, whatever was sent next.
+        // A late duplicate response to a HEAD request has no body either, although a GET was sent after it.
         SubmittedRequest after = fixture.get();
         connection.readHead();
         connection.write(
@@ -78,7 +78,7 @@
         assertThat(connection.isClosedByClient()).isTrue();
     }
 
-    /** Bytes and an end of stream that are unread in the socket are seen before a connection is reused. */
+    /** A connection is not reused if its socket holds unread bytes or an unread end of stream. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void doesNotReuseAnUncleanConnection(boolean endOfStream) throws Exception {
@@ -138,7 +138,10 @@
         assertThat(connection.isClosedByClient()).isTrue();
     }
 
-    /** A server may drop an idle connection silently: no request that is not idempotent is lost to that. */
+    /**
+     * A server may drop an idle connection without closing it, and a request sent on it is then lost. Only idempotent
+     * requests are sent on connections that have been idle for long.
+     */
     @Test
     void nonIdempotentRequestsAvoidLongIdleConnections() throws Exception {
         fixture.stopClock();
@@ -147,7 +150,7 @@
         exchange(first, fixture.post());
         fixture.advance(1_100_000);
         ServerConnection second = exchange(null, fixture.post());
-        // An idempotent request reuses the older one, and the idle time that it survived counts as proven.
+        // An idempotent request reuses the connection; its response raises the permitted idle time.
         fixture.advance(2_000_000);
         exchange(second, fixture.get());
         fixture.advance(1_200_000);
@@ -155,7 +158,7 @@
         second.readHead();
         second.reset();
         assertThat(lost.mayHaveRunReason()).isNotEmpty();
-        // It was lost after 1.2 s of idle time: half of that is the bound, and twice that a minute later.
+        // The connection was lost after 1.2 s of idle time: the bound is half of that, and doubles after a minute.
         ServerConnection third = exchange(null, fixture.post());
         fixture.advance(590_000);
         exchange(third, fixture.post());
@@ -186,7 +189,7 @@
         connection.readBody(connection.readHead().contains("POST") ? 5 : 0);
         connection.write(response(request.id, "ok"));
         assertThat(request.response()).isEqualTo("200 ok");
-        // The read that brought it is over.
+        // Wait until the socket read that contained the response is finished.
         fixture.runOnLoop(() -> {});
         return connection;
     }
@@ -292,7 +295,7 @@
         second.response();
         BlockingQueue<RequestOutcome> outcomes = new LinkedBlockingQueue<>();
         UpstreamRequest third = request(List.of());
-        // The outcome of one request submits the next, while the read that brought that outcome goes on.
+        // The callback of one request submits the next while the socket read with the response is not finished.
         fixture.runOnLoop(() -> fixture.dispatcher.submit(third, o -> fixture.dispatcher.submit(third, outcomes::add)));
         for (int i = 0; i < 2; i++) {
             two.readHead();
@@ -334,7 +337,7 @@
         BlockingQueue<List<RequestOutcome>> immediate = new LinkedBlockingQueue<>();
         UpstreamRequest valid = request(List.of());
         fixture.runOnLoop(() -> fixture.dispatcher.submit(valid, third -> {
-            // Reported from inside the call, so no connection was tried.
+            // Both outcomes are reported by the call itself only if no connection is tried.
             List<RequestOutcome> outcomes = new ArrayList<>(List.of(third));
             fixture.dispatcher.submit(valid, outcomes::add);
             fixture.clockOffset.addAndGet(200_000);
--- a/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/http/upstream/UpstreamFixture.java
@@ -22,7 +22,7 @@
 
 /** A dispatcher with a server whose every byte the test writes, and a clock that the test can advance. */
 final class UpstreamFixture {
-    /** The server's seal, and an idle time-out longer than a test waits for the end of a connection. */
+    /** The server's seal, and an idle time-out that is longer than any test waits for a connection to close. */
     static final String SEAL = "Cypressweir-Server-Seal: s\r\nKeep-Alive: timeout=600\r\n";
 
     private static final int TIMEOUT_MILLIS = 20_000;
@@ -34,7 +34,7 @@
     final List<String> log = new CopyOnWriteArrayList<>();
     final UpstreamDispatcher dispatcher;
     private volatile long stoppedAt;
-    private int ids;
+    private int attemptCount;
 
     UpstreamFixture(int concurrency) throws Exception {
         this(concurrency, UpstreamOptions.defaults());
@@ -43,8 +43,8 @@
     UpstreamFixture(int concurrency, UpstreamOptions options) throws Exception {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(TIMEOUT_MILLIS);
-        InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        dispatcher = new UpstreamDispatcher(loop, to, this::clockMicros, options, log::add);
+        InetSocketAddress serverAddress = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
+        dispatcher = new UpstreamDispatcher(loop, serverAddress, this::clockMicros, options, log::add);
         setInstance("one", concurrency);
     }
 
@@ -52,7 +52,7 @@
         return (stoppedAt == 0 ? System.nanoTime() / 1000 : stoppedAt) + clockOffset.get();
     }
 
-    /** From now on time passes only where the test advances it. */
+    /** Stops the clock: from now on only {@link #advance} moves it. */
     void stopClock() {
         stoppedAt = System.nanoTime() / 1000;
     }
@@ -70,15 +70,15 @@
                 instance == null ? null : new InstanceIncarnation(instance, "shop", concurrency, false, 0)));
     }
 
-    /** Advances the clock and does what is due. */
+    /** Advances the clock and lets the dispatcher handle what is due. */
     void advance(long micros) throws Exception {
         clockOffset.addAndGet(micros);
         runOnLoop(dispatcher::tick);
     }
 
-    /** A request with plenty of time, and its outcomes. */
+    /** A request with a distant deadline, and its outcomes. */
     final class SubmittedRequest {
-        final String id = "a-" + ++ids;
+        final String id = "a-" + ++attemptCount;
         final BlockingQueue<RequestOutcome> outcomes = new LinkedBlockingQueue<>();
         RequestHandle handle;
 
@@ -179,7 +179,7 @@
             return this;
         }
 
-        /** Whether the client has closed, without a further byte. */
+        /** Whether the client has closed the connection without sending a further byte. */
         boolean isClosedByClient() {
             try {
                 return socket.getInputStream().read() < 0;
