--- a/src/main/java/org/cypressweir/meshctl/CommandCompleter.java
+++ b/src/main/java/org/cypressweir/meshctl/CommandCompleter.java
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Columns are separated by commas: the last one is completed. */
+    /** Completes the last one of the columns, which are separated by commas. */
     private static void addColumns(QueryCommand query, String word, String suffix, List<Candidate> candidates) {
         String prefix = word.substring(0, word.lastIndexOf(',') + 1);
         for (String column : query.columns()) {
--- a/src/main/java/org/cypressweir/meshctl/FormerCommandNames.java
+++ b/src/main/java/org/cypressweir/meshctl/FormerCommandNames.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine;
 
 /**
- * The names that commands had in earlier builds. They still run, for one release, but no help lists them: a picocli
- * alias would be listed, so that each is a hidden command of its own.
+ * The names that commands had in earlier builds. They still work for one release, but no help text lists them. Each is
+ * a hidden command of its own, since the help would list a picocli alias.
  */
 final class FormerCommandNames {
 
@@ -35,7 +35,7 @@
 
     private FormerCommandNames() {}
 
-    /** Names of the programs and of the shell, which the shell itself does not run. */
+    /** The former names of the programs and of the shell, which the shell itself does not run. */
     static Set<String> programs() {
         return new TreeSet<>(PROGRAMS.keySet());
     }
--- a/src/main/java/org/cypressweir/meshctl/InteractiveTerminal.java
+++ b/src/main/java/org/cypressweir/meshctl/InteractiveTerminal.java
@@ -13,7 +13,7 @@
 import org.jline.terminal.TerminalBuilder;
 
 /**
- * Runs a shell at a terminal, with editing, history and completion. The interrupt key ends only the running command.
+ * Runs a shell at a terminal, with line editing, history and completion. Ctrl-C ends only the running command.
  */
 final class InteractiveTerminal {
 
@@ -37,7 +37,7 @@
             try {
                 runInterruptibly(shell, reader.readLine(PROMPT), terminal, style);
             } catch (UserInterruptException e) {
-                // The line is discarded, the shell goes on.
+                // The line is discarded; the shell continues.
             } catch (EndOfFileException e) {
                 return;
             }
--- a/src/main/java/org/cypressweir/meshctl/MeshCtl.java
+++ b/src/main/java/org/cypressweir/meshctl/MeshCtl.java
@@ -29,7 +29,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line: all commands of the mesh. An error is one line on standard error. */
+/** The command line with all commands of the mesh. An error is printed as one line to standard error. */
 @Command(
         name = "cypressweir",
         mixinStandardHelpOptions = true,
@@ -98,7 +98,7 @@
         return new MeshCtl(List.of(), AnsiStyle.OFF).commandLine(out, err).execute(args);
     }
 
-    /** All commands and some further ones, to be executed once. */
+    /** A command line with all commands and the given further ones, for one execution. */
     CommandLine commandLine(PrintWriter out, PrintWriter err, Object... furtherCommands) {
         CommandLine commandLine = new CommandLine(this);
         FormerCommandNames.addTo(commandLine);
--- a/src/main/java/org/cypressweir/meshctl/Shell.java
+++ b/src/main/java/org/cypressweir/meshctl/Shell.java
@@ -19,8 +19,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs lines of text as commands: those of the command line except the programs, and {@code at} and {@code exit}.
- * For one thread.
+ * Runs lines of text as commands: those of the command line except the programs, and also {@code at} and {@code exit}.
+ * Confined to one thread.
  */
 final class Shell {
 
@@ -38,7 +38,7 @@
         return exited;
     }
 
-    /** A new command line for each line of text, so that none keeps the options of another. */
+    /** Returns a new command line; each line of text gets its own, so that no options are carried over. */
     CommandLine commandLine(PrintWriter out, PrintWriter err, AnsiStyle style) {
         CommandLine commandLine =
                 new MeshCtl(defaultAddresses, style).commandLine(out, err, new AtCommand(), new ExitCommand());
--- a/src/main/java/org/cypressweir/meshctl/command/BootstrapCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/BootstrapCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code bootstrap CONTROLLER --confirm}: starts a mesh whose disks are all lost with an empty configuration. */
+/** {@code bootstrap CONTROLLER --confirm}: starts a mesh that has lost all its disks with an empty configuration. */
 @Command(
         name = "bootstrap",
         mixinStandardHelpOptions = true,
@@ -46,12 +46,12 @@
                     "with --confirm " + controller + " gives up every change that was ever acknowledged");
         }
         byte[] body = JsonCodec.bytes(JsonCodec.map("confirm", true, "abandon", abandoned));
-        OperatorCall.Answer answer = OperatorCall.post(controller, ApiCall.BOOTSTRAP.path(), body);
-        if (answer.isOk()) {
+        OperatorCall.Response response = OperatorCall.post(controller, ApiCall.BOOTSTRAP.path(), body);
+        if (response.isOk()) {
             spec.commandLine().getOut().println(controller + " starts with an empty configuration.");
             return ExitStatus.OK;
         }
-        spec.commandLine().getErr().println("cypressweir: " + controller + " rejects it: " + answer.text());
-        return ExitStatus.DIFFERENT;
+        spec.commandLine().getErr().println("cypressweir: " + controller + " rejects it: " + response.text());
+        return ExitStatus.DIFFERENT_OR_REJECTED;
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/CheckCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/CheckCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code check settings FILE} and {@code check config FILE}: every error of a file, a line each. */
+/** {@code check settings FILE} and {@code check config FILE}: print every error of a file, one per line. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
@@ -48,7 +48,7 @@
         return errors.isEmpty() ? ExitStatus.OK : ExitStatus.INVALID;
     }
 
-    /** Null where the file cannot be read; the reason is printed. */
+    /** Reads a file; prints the reason and returns null if that fails. */
     private static byte[] read(Path file, CommandSpec spec) {
         try {
             return Files.readAllBytes(file);
--- a/src/main/java/org/cypressweir/meshctl/command/Column.java
+++ b/src/main/java/org/cypressweir/meshctl/command/Column.java
@@ -7,7 +7,7 @@
 /**
  * A column of a table whose values come from a record.
  *
- * @param title as it is shown
+ * @param title the column header
  * @param value takes the value from the record
  */
 record Column<T>(String title, Function<T, JsonValue> value) {
--- a/src/main/java/org/cypressweir/meshctl/command/CommandContext.java
+++ b/src/main/java/org/cypressweir/meshctl/command/CommandContext.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a command takes from where it is run: the command line or the shell. */
+/** What the command line or the shell provides to the commands that it runs. */
 public interface CommandContext {
 
     /** Addresses to query when a command names none; may be empty. */
--- a/src/main/java/org/cypressweir/meshctl/command/ConfigStatusCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ConfigStatusCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code config-status [NAME]}: which version of each item is in force, and at which processes. */
+/** {@code config-status [NAME]}: the versions of each item in force, and the processes that have them. */
 @Command(
         name = "config-status",
         mixinStandardHelpOptions = true,
@@ -25,7 +25,7 @@
             new Column<>("version", Item::version),
             new Column<>("withdrawn", Item::withdrawn));
 
-    /** The processes that have one version of an item, or none. */
+    /** The processes that have one version of an item, or that do not have the item. */
     private record VersionHolders(Row version, List<String> names) {
 
         VersionHolders(Row version) {
@@ -41,10 +41,10 @@
         }
     }
 
-    /** The versions of one item, and the addresses of the processes that have any. */
+    /** The versions of one item, and the addresses of the processes that have the item. */
     private static final class ItemVersions {
         private final Item item;
-        /** By the text of the row, which sorts them by version. */
+        /** Keyed by the text of the row, so that they are sorted by version. */
         private final Map<String, VersionHolders> holders = new TreeMap<>();
 
         private final List<String> addresses = new ArrayList<>();
--- a/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ConnectivityCommand.java
@@ -13,7 +13,7 @@
 import org.cypressweir.meshctl.state.ReportedProcess;
 import picocli.CommandLine.Command;
 
-/** {@code connectivity}: which processes reach which others. */
+/** {@code connectivity}: which processes can reach which others. */
 @Command(
         name = "connectivity",
         mixinStandardHelpOptions = true,
--- a/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/DiffCommand.java
@@ -84,7 +84,7 @@
         return rows;
     }
 
-    /** @param sameKind whether both processes are of one kind: then also what only that kind knows */
+    /** @param sameKind whether both processes are of the same kind; adds the facts that only this kind knows */
     private static Map<String, String> facts(NodeState state, boolean sameKind) {
         Map<String, String> facts = new TreeMap<>();
         facts.put("proposal", state.replica().proposal().display());
@@ -159,6 +159,6 @@
 
     @Override
     int exitStatus(TablePrinter table) {
-        return table.rows().isEmpty() ? ExitStatus.OK : ExitStatus.DIFFERENT;
+        return table.rows().isEmpty() ? ExitStatus.OK : ExitStatus.DIFFERENT_OR_REJECTED;
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/ExitStatus.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ExitStatus.java
@@ -13,7 +13,7 @@
     /** No such route, or no such request. */
     public static final int NOT_FOUND = 4;
     /** The compared processes differ, or a controller rejected the command. */
-    public static final int DIFFERENT = 5;
+    public static final int DIFFERENT_OR_REJECTED = 5;
 
     private ExitStatus() {}
 }
--- a/src/main/java/org/cypressweir/meshctl/command/FanOutClient.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FanOutClient.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeoutException;
 import org.cypressweir.meshctl.state.NodeStateDecoder;
 
-/** Sends one GET request to many processes at once; each has the same time to respond. Safe for use by many threads. */
+/** Sends a GET request to many processes at once, with the same time-out for each. Thread-safe. */
 final class FanOutClient {
 
     private static final int STATUS_OK = 200;
@@ -31,7 +31,7 @@
                 .build();
     }
 
-    /** One response for each address, in their order. Blocks until all have responded or timed out. */
+    /** Returns one response for each address, in the same order. Blocks until all have responded or timed out. */
     List<NodeResponse> get(List<String> addresses, String path) {
         List<CompletableFuture<NodeResponse>> pending =
                 addresses.stream().map(address -> get(address, path)).toList();
--- a/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetCommand.java
@@ -10,7 +10,7 @@
 import org.cypressweir.meshctl.state.ServiceInstances;
 import picocli.CommandLine.Command;
 
-/** {@code fleet}: the proxies and servers that a controller or a proxy knows. */
+/** {@code fleet}: the proxies and servers known to a controller or a proxy. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -61,7 +61,7 @@
         return row;
     }
 
-    /** Adds a field of a registration that no column shows; scripts read it from the JSON output. */
+    /** Adds a field that no column shows, but that scripts read from the JSON output. */
     private static void putJsonOnly(Row row, String name, JsonValue value) {
         if (!value.isAbsent()) {
             row.putNullable(name, value);
--- a/src/main/java/org/cypressweir/meshctl/command/FleetDiscovery.java
+++ b/src/main/java/org/cypressweir/meshctl/command/FleetDiscovery.java
@@ -18,12 +18,12 @@
 
 /**
  * Finds all processes of a mesh: queries the given addresses, then those that the responses report, until no new
- * one is reported. Each process is in the result once, with its response or the reason why there is none, so no
- * reported process is left out. For one use by one thread.
+ * address is reported. The result has each reported process once, with its response or the reason why there is none.
+ * For one use by one thread.
  */
 final class FleetDiscovery {
 
-    /** Controllers are reported by address alone. */
+    /** Shown for controllers, which are reported without a name. */
     private static final String UNNAMED_CONTROLLER = "a controller";
 
     private final Function<List<String>, List<NodeResponse>> query;
@@ -55,7 +55,7 @@
         return all;
     }
 
-    /** The addresses that these report and that were not queried yet. */
+    /** Queries these addresses; returns those that the responses report and that were not queried yet. */
     private Set<String> queryAll(List<String> addresses) {
         Set<String> reported = new LinkedHashSet<>();
         for (NodeResponse response : query.apply(addresses)) {
@@ -77,7 +77,7 @@
                 : response;
     }
 
-    /** Whether the process has responded at another of its addresses already; then this response is dropped. */
+    /** Whether the process has already responded at another of its addresses; if so, drops this response. */
     private boolean isDuplicate(NodeResponse response) {
         NodeState state = response.state();
         peerAddressesResolved.add(state.process().address().text());
--- a/src/main/java/org/cypressweir/meshctl/command/NodeResponse.java
+++ b/src/main/java/org/cypressweir/meshctl/command/NodeResponse.java
@@ -3,12 +3,12 @@
 import org.cypressweir.meshctl.state.NodeState;
 
 /**
- * What one process responded: its state, or the reason why there is none.
+ * The result of querying one process: its state, or the reason why there is none.
  *
  * @param address the control-plane address that was queried
- * @param name as the process itself or another one reports it; empty where none has
- * @param state null without a response
- * @param failure null with a response
+ * @param name the name that the process itself or another one reports; empty if none does
+ * @param state null if there is no response
+ * @param failure why there is no response; null if there is one
  */
 record NodeResponse(String address, String name, NodeState state, String failure) {
 
@@ -24,7 +24,7 @@
         return state == null;
     }
 
-    /** The failure as one line for people. */
+    /** The failure as one readable line. */
     String describeFailure() {
         return address + ": " + failure + (name.isEmpty() ? "" : " (" + name + ")");
     }
--- a/src/main/java/org/cypressweir/meshctl/command/OperatorCall.java
+++ b/src/main/java/org/cypressweir/meshctl/command/OperatorCall.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** One call to a controller, which may redirect it to another one. Stateless. */
+/** Sends a call to a controller, which may redirect it to another controller. Stateless. */
 final class OperatorCall {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -16,18 +16,18 @@
 
     private OperatorCall() {}
 
-    /** A controller's answer. */
-    record Answer(int status, String text) {
+    /** A controller's response. */
+    record Response(int status, String text) {
         boolean isOk() {
             return status == STATUS_OK;
         }
     }
 
-    static Answer post(String controller, String path, byte[] body) throws IOException, InterruptedException {
+    static Response post(String controller, String path, byte[] body) throws IOException, InterruptedException {
         return send(request(controller, path).POST(HttpRequest.BodyPublishers.ofByteArray(body)));
     }
 
-    static Answer get(String controller, String path) throws IOException, InterruptedException {
+    static Response get(String controller, String path) throws IOException, InterruptedException {
         return send(request(controller, path).GET());
     }
 
@@ -35,13 +35,13 @@
         return HttpRequest.newBuilder(URI.create("http://" + controller + path)).timeout(TIMEOUT);
     }
 
-    private static Answer send(HttpRequest.Builder request) throws IOException, InterruptedException {
+    private static Response send(HttpRequest.Builder request) throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .followRedirects(HttpClient.Redirect.NORMAL)
                 .connectTimeout(TIMEOUT)
                 .build();
         HttpResponse<byte[]> response = client.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-        return new Answer(response.statusCode(), new String(response.body(), StandardCharsets.UTF_8).strip());
+        return new Response(response.statusCode(), new String(response.body(), StandardCharsets.UTF_8).strip());
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/ProgramConverter.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ProgramConverter.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads the name of a program, present or former. */
+/** Converts the name or former name of a program. */
 final class ProgramConverter implements ITypeConverter<Program> {
 
     @Override
--- a/src/main/java/org/cypressweir/meshctl/command/ProxyCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/ProxyCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-/** {@code proxy}, for the help alone: the program itself starts without the command line. */
+/** {@code proxy}: exists only for the help; the program is started without this command line. */
 @Command(
         name = "proxy",
         mixinStandardHelpOptions = true,
--- a/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/QueryCommand.java
@@ -17,8 +17,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * A command that queries running processes and prints a table of their responses. A subclass says which rows a
- * state has; this class sends the requests, applies the options and chooses the exit status. For one use.
+ * A command that queries running processes and prints a table of their responses. A subclass defines the rows for a
+ * state; this class sends the requests, applies the options and determines the exit status. An instance runs once.
  */
 public abstract class QueryCommand implements Callable<Integer> {
 
@@ -32,7 +32,7 @@
     @Mixin
     private QueryOptions options;
 
-    /** The columns of the table, without that of the queried address. */
+    /** The columns of the table, without the one for the queried address. */
     public abstract List<String> columns();
 
     /** The rows of one state, without the queried address. */
@@ -49,12 +49,12 @@
         return rows;
     }
 
-    /** Whether each row belongs to one process, whose address is then a column. */
+    /** Whether each row belongs to one process; if so, its address is a column. */
     boolean rowsHaveAddress() {
         return true;
     }
 
-    /** Whether one address is enough to query the whole fleet. */
+    /** Whether a single address makes the command query the whole fleet. */
     boolean queriesFleet() {
         return false;
     }
@@ -64,7 +64,7 @@
         return false;
     }
 
-    /** The exit status when all processes have responded. */
+    /** The exit status if all processes have responded. */
     int exitStatus(TablePrinter table) {
         return ExitStatus.OK;
     }
--- a/src/main/java/org/cypressweir/meshctl/command/QueryOutput.java
+++ b/src/main/java/org/cypressweir/meshctl/command/QueryOutput.java
@@ -15,19 +15,19 @@
         lines.subList(1, lines.size()).forEach(out::println);
     }
 
-    /** Scripts read this output: its names are fixed. */
+    /** Prints JSON. Scripts read it, so the names of its fields are fixed. */
     void printJson(TablePrinter table, List<NodeResponse> failed) {
         List<Object> rows = new ArrayList<>();
         table.rows().forEach(row -> rows.add(row.encodable()));
-        List<Object> silent = new ArrayList<>();
+        List<Object> failures = new ArrayList<>();
         for (NodeResponse response : failed) {
-            silent.add(JsonCodec.map("at", response.address(), "name", response.name(), "why", response.failure()));
+            failures.add(JsonCodec.map("at", response.address(), "name", response.name(), "why", response.failure()));
         }
-        byte[] json = JsonCodec.bytes(JsonCodec.map("rows", rows, "silent", silent));
+        byte[] json = JsonCodec.bytes(JsonCodec.map("rows", rows, "silent", failures));
         out.println(new String(json, StandardCharsets.UTF_8));
     }
 
-    /** Comes after the table, whichever writer is slower. */
+    /** Prints the failures; flushes the table first, so that they follow it. */
     void printFailures(List<NodeResponse> failed) {
         out.flush();
         for (NodeResponse response : failed) {
@@ -36,7 +36,7 @@
         err.flush();
     }
 
-    /** Separates the tables of a query that is repeated. */
+    /** Separates the tables of a repeated query. */
     void printEmptyLine() {
         out.println();
     }
--- a/src/main/java/org/cypressweir/meshctl/command/RolloutCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/RolloutCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code rollout SERVICE [VERSION]}: orders that a service moves to a new version, or tells how far that is. */
+/** {@code rollout SERVICE [VERSION]}: starts the rollout of a new version of a service, or shows its progress. */
 @Command(
         name = "rollout",
         mixinStandardHelpOptions = true,
@@ -48,23 +48,23 @@
         if ((targetVersion == null) != (period == null)) {
             throw new ParameterException(spec.commandLine(), "a VERSION and --period go together");
         }
-        OperatorCall.Answer answer = targetVersion == null ? read() : begin();
-        if (!answer.isOk()) {
-            spec.commandLine().getErr().println("cypressweir: " + controller + " rejects it: " + answer.text());
-            return ExitStatus.DIFFERENT;
+        OperatorCall.Response response = targetVersion == null ? read() : begin();
+        if (!response.isOk()) {
+            spec.commandLine().getErr().println("cypressweir: " + controller + " rejects it: " + response.text());
+            return ExitStatus.DIFFERENT_OR_REJECTED;
         }
-        String text = targetVersion == null ? answer.text() : service + " moves to " + targetVersion;
+        String text = targetVersion == null ? response.text() : service + " moves to " + targetVersion;
         spec.commandLine().getOut().println(text);
         return ExitStatus.OK;
     }
 
-    private OperatorCall.Answer begin() throws IOException, InterruptedException {
+    private OperatorCall.Response begin() throws IOException, InterruptedException {
         byte[] body = JsonCodec.bytes(
                 JsonCodec.map("service", service, "targetVersion", targetVersion, "rolloutPeriod", period));
         return OperatorCall.post(controller, ApiCall.ROLLOUT_BEGIN.path(), body);
     }
 
-    private OperatorCall.Answer read() throws IOException, InterruptedException {
+    private OperatorCall.Response read() throws IOException, InterruptedException {
         return OperatorCall.get(controller, ApiCall.ROLLOUT_READ.path() + service + "/read");
     }
 }
--- a/src/main/java/org/cypressweir/meshctl/command/RouteCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/RouteCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code route HOST PATH}: the route that matches a request, according to a process. */
+/** {@code route HOST PATH}: the route that matches a request, in the configuration of a process. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
@@ -67,7 +67,7 @@
         return List.of(row);
     }
 
-    /** Null where none matches. */
+    /** The item of the matching route with the longest path prefix, or null if none matches. */
     private Item longestMatch(List<Item> items) {
         String pathWithoutQuery = path.split("\\?", 2)[0];
         Item longest = null;
--- a/src/main/java/org/cypressweir/meshctl/command/Row.java
+++ b/src/main/java/org/cypressweir/meshctl/command/Row.java
@@ -9,12 +9,12 @@
 
     private final Map<String, JsonValue> values = new LinkedHashMap<>();
 
-    /** Sets a value; a null is left out. */
+    /** Sets a value; null is ignored. */
     Row put(String column, JsonValue value) {
         return value.isNull() ? this : putNullable(column, value);
     }
 
-    /** Sets a text; a null is left out. */
+    /** Sets a text; null is ignored. */
     Row put(String column, String text) {
         return put(column, JsonValue.of(text));
     }
@@ -23,19 +23,19 @@
         return put(column, JsonValue.of(number));
     }
 
-    /** Sets a value that JSON output has even if it is null. */
+    /** Sets a value that may be null; JSON output includes it also then. */
     Row putNullable(String column, JsonValue value) {
         values.put(column, value);
         return this;
     }
 
-    /** Sets all values of another row; a column that is here already keeps its place. */
+    /** Sets all values of another row; a column that this row already has keeps its position. */
     Row putAll(Row other) {
         values.putAll(other.values);
         return this;
     }
 
-    /** The value in a column; {@link JsonValue#ABSENT} where there is none. */
+    /** The value in a column; {@link JsonValue#ABSENT} if there is none. */
     JsonValue get(String column) {
         return values.getOrDefault(column, JsonValue.ABSENT);
     }
--- a/src/main/java/org/cypressweir/meshctl/command/StateCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/StateCommand.java
@@ -8,7 +8,7 @@
 import org.cypressweir.meshctl.state.NodeState;
 import picocli.CommandLine.Command;
 
-/** {@code state}: the complete response to the state call, a line for each value. */
+/** {@code state}: the complete response to the state call, one line per value. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
     @Override
     List<Row> rows(NodeState state) {
         List<Row> rows = new ArrayList<>();
-        flatten("", state.answer(), rows);
+        flatten("", state.response(), rows);
         return rows;
     }
 
--- a/src/main/java/org/cypressweir/meshctl/command/TablePrinter.java
+++ b/src/main/java/org/cypressweir/meshctl/command/TablePrinter.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.cypressweir.meshctl.state.JsonValue;
 
-/** An immutable table of values that can be filtered, sorted and printed as text. A value that a row lacks is blank. */
+/** An immutable table that can be filtered, sorted and printed as text. A missing value is printed as blank. */
 record TablePrinter(List<String> columns, List<Row> rows) {
 
     private static final String COLUMN_GAP = "  ";
@@ -19,7 +19,7 @@
         return new TablePrinter(columns, matching);
     }
 
-    /** Sorts numbers by value and all else by text; equal rows keep their order. */
+    /** Sorts numbers by value and everything else by text; equal rows keep their order. */
     TablePrinter sort(String column) {
         List<Row> sorted = new ArrayList<>(rows);
         sorted.sort((a, b) -> compare(a.get(column), b.get(column)));
--- a/src/main/java/org/cypressweir/meshctl/command/Version.java
+++ b/src/main/java/org/cypressweir/meshctl/command/Version.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build has written into the archive's manifest. */
+/** Reads the version from the manifest of the JAR file. */
 public final class Version implements IVersionProvider {
 
     @Override
--- a/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
+++ b/src/main/java/org/cypressweir/meshctl/command/WhyCommand.java
@@ -68,7 +68,7 @@
                 "respondedMs");
     }
 
-    /** Finds the processes first, then queries those that responded for the request. */
+    /** Finds the processes first, then asks those that responded for traces of the request. */
     @Override
     List<NodeResponse> query(FanOutClient client, List<String> addresses) {
         List<NodeResponse> all = new ArrayList<>(super.query(client, addresses));
--- a/src/main/java/org/cypressweir/meshctl/command/package-info.java
+++ b/src/main/java/org/cypressweir/meshctl/command/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The commands, one class each, and what those that query running processes share: requests to many processes at
- * once, discovery of the rest of the fleet, and tables.
+ * The commands, one class each, and the code that the querying commands share: requests to many processes at once,
+ * discovery of the rest of the fleet, and tables.
  */
 package org.cypressweir.meshctl.command;
--- a/src/main/java/org/cypressweir/meshctl/state/ItemDecoder.java
+++ b/src/main/java/org/cypressweir/meshctl/state/ItemDecoder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Decodes the items of a configuration. The names of fields are fixed, since builds may be mixed. */
+/** Decodes the items of a configuration. The names of fields are fixed, since processes may run different builds. */
 final class ItemDecoder {
 
     private static final String TYPE = "table";
--- a/src/main/java/org/cypressweir/meshctl/state/JsonObject.java
+++ b/src/main/java/org/cypressweir/meshctl/state/JsonObject.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 import org.cypressweir.common.transport.JsonCodec;
 
-/** An object of an answer. The decoders turn it into records; the order of its fields is that of the answer. */
+/** An object of a response, with its fields in the order of the response. The decoders convert it to records. */
 public record JsonObject(Map<String, Object> fields) {
 
     private static final JsonObject EMPTY = new JsonObject(Map.of());
 
-    /** @throws IOException where the text is not one JSON object */
+    /** @throws IOException if the text is not one JSON object */
     static JsonObject read(byte[] json) throws IOException {
         return new JsonObject(JsonCodec.read(json, 0, json.length));
     }
@@ -20,17 +20,17 @@
         return fields.keySet();
     }
 
-    /** The value of a field; {@link JsonValue#ABSENT} where there is none. */
+    /** The value of a field; {@link JsonValue#ABSENT} if there is none. */
     public JsonValue get(String name) {
         return fields.containsKey(name) ? JsonValue.decoded(fields.get(name)) : JsonValue.ABSENT;
     }
 
-    /** The object in a field; an empty one where there is none. */
+    /** The object in a field; an empty one if there is none. */
     JsonObject object(String name) {
         return get(name).object().orElse(EMPTY);
     }
 
-    /** The objects in a field that is an array; empty where there is none. */
+    /** The objects in an array field; empty if there is no array. */
     List<JsonObject> objects(String name) {
         return get(name).objects();
     }
--- a/src/main/java/org/cypressweir/meshctl/state/JsonValue.java
+++ b/src/main/java/org/cypressweir/meshctl/state/JsonValue.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 
 /**
- * A value of an answer. A process of another build may send any type in any field, so the type is looked at where
- * the value is used, and output passes it on as it came. Immutable.
+ * A value of a response. A process of another build may send any type in any field, so the type is checked only where
+ * the value is used, and output passes the value on unchanged. Immutable.
  */
 public final class JsonValue {
 
-    /** The value of a field that is not there. */
+    /** The value of a missing field. */
     public static final JsonValue ABSENT = new JsonValue(null);
 
     private final Object content;
@@ -27,7 +27,7 @@
         return new JsonValue(content);
     }
 
-    /** A text; JSON's null for a null. */
+    /** A text, or JSON's null for null. */
     public static JsonValue of(String text) {
         return new JsonValue(text);
     }
@@ -36,7 +36,7 @@
         return new JsonValue(number);
     }
 
-    /** Whether the field is not there, unlike one that is null. */
+    /** Whether the field is missing, as opposed to null. */
     public boolean isAbsent() {
         return this == ABSENT;
     }
@@ -59,22 +59,22 @@
         return text.equals(content);
     }
 
-    /** The number; 0 where this is none. */
+    /** The number; 0 if this is not a number. */
     public double doubleValue() {
         return content instanceof Number number ? number.doubleValue() : 0;
     }
 
-    /** The number without its fraction; 0 where this is none. */
+    /** The number without its fraction; 0 if this is not a number. */
     public long longValue() {
         return content instanceof Number number ? number.longValue() : 0;
     }
 
-    /** The text; an empty one where this is none. */
+    /** The text; empty if this is not a text. */
     public String text() {
         return content instanceof String text ? text : "";
     }
 
-    /** The elements of an array; empty where this is none. */
+    /** The elements of an array; empty if this is not an array. */
     public List<JsonValue> elements() {
         List<JsonValue> elements = new ArrayList<>();
         if (content instanceof Collection<?> array) {
@@ -83,7 +83,7 @@
         return elements;
     }
 
-    /** This as an object; empty where it is none. */
+    /** This value as an object; empty if it is not an object. */
     @SuppressWarnings("unchecked")
     public Optional<JsonObject> object() {
         return content instanceof Map<?, ?>
@@ -91,12 +91,12 @@
                 : Optional.empty();
     }
 
-    /** Those elements of an array that are objects; empty where this is no array. */
+    /** Those elements of an array that are objects; empty if this is not an array. */
     public List<JsonObject> objects() {
         return elements().stream().flatMap(element -> element.object().stream()).toList();
     }
 
-    /** The text for people: whole numbers without a fraction, arrays with commas, null as an empty text. */
+    /** Readable text: whole numbers without a fraction, arrays separated by commas, null as empty text. */
     public String display() {
         if (content instanceof Collection<?>) {
             return String.join(",", elements().stream().map(JsonValue::display).toList());
--- a/src/main/java/org/cypressweir/meshctl/state/KnownProcesses.java
+++ b/src/main/java/org/cypressweir/meshctl/state/KnownProcesses.java
@@ -8,7 +8,7 @@
  * @param registrations at a controller: the proxies that are registered
  * @param proxies at a proxy: all other proxies
  * @param peers at a proxy: the proxies that it forwards requests to
- * @param lostProxies at a controller: proxies that were removed since their heartbeats stopped
+ * @param lostProxies at a controller: proxies that were removed because their heartbeats stopped
  */
 public record KnownProcesses(
         List<ControllerPeer> controllers,
--- a/src/main/java/org/cypressweir/meshctl/state/KnownProcessesDecoder.java
+++ b/src/main/java/org/cypressweir/meshctl/state/KnownProcessesDecoder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Decodes what a process reports about others and the application instances beside them. The names of fields are
- * fixed, since builds may be mixed.
+ * Decodes what a process reports about other processes and the application instances beside them. The names of fields
+ * are fixed, since processes may run different builds.
  */
 final class KnownProcessesDecoder {
 
--- a/src/main/java/org/cypressweir/meshctl/state/LostProxy.java
+++ b/src/main/java/org/cypressweir/meshctl/state/LostProxy.java
@@ -1,7 +1,7 @@
 package org.cypressweir.meshctl.state;
 
 /**
- * A proxy that a controller removed since its heartbeats stopped.
+ * A proxy that a controller removed because its heartbeats stopped.
  *
  * @param lostMillis time since it was removed
  */
--- a/src/main/java/org/cypressweir/meshctl/state/NodeKind.java
+++ b/src/main/java/org/cypressweir/meshctl/state/NodeKind.java
@@ -5,7 +5,7 @@
     CONTROLLER("harbour", "controller"),
     PROXY("pilot", "proxy");
 
-    /** The text of the kind in answers to the state call; it is fixed, since builds may be mixed. */
+    /** The text of the kind in responses to the state call; fixed, since processes may run different builds. */
     private final String wireName;
 
     private final String displayName;
@@ -23,7 +23,7 @@
         return kind.isText(wireName);
     }
 
-    /** The name to show for a kind of the state call; a kind that is unknown here is shown as it is. */
+    /** The name to show for a kind in a response to the state call; an unknown kind is shown unchanged. */
     public static JsonValue displayName(JsonValue kind) {
         for (NodeKind known : values()) {
             if (known.is(kind)) {
--- a/src/main/java/org/cypressweir/meshctl/state/NodeState.java
+++ b/src/main/java/org/cypressweir/meshctl/state/NodeState.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A process's answer to the state call or to the call for traces of a request. A part that the answer does not have
- * is empty.
+ * A process's response to the state call or to the call for traces of a request. A part that the response lacks is
+ * empty.
  *
- * @param answer the complete answer, with the fields that are unknown here
+ * @param response the complete response, including unknown fields
  * @param kind controller or proxy, see {@link NodeKind}
  * @param process name and addresses of the process itself
- * @param items the items of the configuration, where they were requested
+ * @param items the items of the configuration, if they were requested
  * @param services the application instances that a proxy knows
- * @param requests the traces of a request, where they were requested
+ * @param requests the traces of a request, if they were requested
  */
 public record NodeState(
-        JsonObject answer,
+        JsonObject response,
         JsonValue kind,
         ReportedProcess process,
         ReplicaState replica,
--- a/src/main/java/org/cypressweir/meshctl/state/NodeStateDecoder.java
+++ b/src/main/java/org/cypressweir/meshctl/state/NodeStateDecoder.java
@@ -7,8 +7,8 @@
 import org.cypressweir.meshctl.state.RejectionState.RejectionCount;
 
 /**
- * Decodes answers to the diagnostic calls. The names of fields are fixed, since builds may be mixed. A field that is
- * missing or of an unexpected type is no error.
+ * Decodes responses to the diagnostic calls. The names of fields are fixed, since processes may run different
+ * builds. A field that is missing or of an unexpected type is not an error.
  */
 public final class NodeStateDecoder {
 
@@ -32,45 +32,45 @@
 
     private NodeStateDecoder() {}
 
-    /** @throws IOException where the answer is not one JSON object */
-    public static NodeState decode(byte[] answer) throws IOException {
-        return decode(JsonObject.read(answer));
+    /** @throws IOException if the response is not one JSON object */
+    public static NodeState decode(byte[] response) throws IOException {
+        return decode(JsonObject.read(response));
     }
 
-    private static NodeState decode(JsonObject answer) {
+    private static NodeState decode(JsonObject response) {
         return new NodeState(
-                answer,
-                answer.get(KIND),
-                KnownProcessesDecoder.process(answer),
-                replica(answer),
-                ItemDecoder.decodeAll(answer.objects(ITEMS)),
-                KnownProcessesDecoder.decode(answer),
-                KnownProcessesDecoder.services(answer),
-                quotas(answer),
-                rejections(answer),
-                TracedRequestDecoder.decodeAll(answer.objects(REQUESTS)));
+                response,
+                response.get(KIND),
+                KnownProcessesDecoder.process(response),
+                replica(response),
+                ItemDecoder.decodeAll(response.objects(ITEMS)),
+                KnownProcessesDecoder.decode(response),
+                KnownProcessesDecoder.services(response),
+                quotas(response),
+                rejections(response),
+                TracedRequestDecoder.decodeAll(response.objects(REQUESTS)));
     }
 
-    private static ReplicaState replica(JsonObject answer) {
+    private static ReplicaState replica(JsonObject response) {
         return new ReplicaState(
-                answer.get(PROPOSAL),
-                answer.get(ITEM_COUNT),
-                answer.get(STORE_OPEN),
-                answer.get(STATE_LOST),
-                answer.get(UNHEALTHY),
-                answer.get(QUORUM_CONTACT),
-                answer.get("confirmedMs"),
-                answer.get(VOTERS),
-                answer.get(REACHABLE));
+                response.get(PROPOSAL),
+                response.get(ITEM_COUNT),
+                response.get(STORE_OPEN),
+                response.get(STATE_LOST),
+                response.get(UNHEALTHY),
+                response.get(QUORUM_CONTACT),
+                response.get("confirmedMs"),
+                response.get(VOTERS),
+                response.get(REACHABLE));
     }
 
-    private static QuotaState quotas(JsonObject answer) {
-        JsonObject fleetDemand = answer.object(FLEET_DEMAND);
+    private static QuotaState quotas(JsonObject response) {
+        JsonObject fleetDemand = response.object(FLEET_DEMAND);
         return new QuotaState(
                 fleetDemand.names().stream()
                         .map(tenant -> new TenantDemand(tenant, fleetDemand.get(tenant)))
                         .toList(),
-                answer.objects(TENANTS).stream()
+                response.objects(TENANTS).stream()
                         .map(NodeStateDecoder::tenantQuota)
                         .toList());
     }
@@ -80,9 +80,9 @@
                 tenant.get("tenant"), tenant.get(TENANT_DEMAND), tenant.get("rate"), tenant.get("burst"));
     }
 
-    private static RejectionState rejections(JsonObject answer) {
-        JsonObject counts = answer.object(REJECTIONS);
-        JsonObject load = answer.object(OWN_INSTANCE);
+    private static RejectionState rejections(JsonObject response) {
+        JsonObject counts = response.object(REJECTIONS);
+        JsonObject load = response.object(OWN_INSTANCE);
         return new RejectionState(
                 counts.names().stream()
                         .map(errorKind -> new RejectionCount(errorKind, counts.get(errorKind)))
--- a/src/main/java/org/cypressweir/meshctl/state/QuotaState.java
+++ b/src/main/java/org/cypressweir/meshctl/state/QuotaState.java
@@ -5,7 +5,7 @@
 /**
  * The demand of tenants that a process reports, in requests per second.
  *
- * @param fleetDemand at a controller: over the whole fleet
+ * @param fleetDemand at a controller: the demand of the whole fleet
  * @param tenants at a proxy: its own demand
  */
 public record QuotaState(List<TenantDemand> fleetDemand, List<TenantQuota> tenants) {
--- a/src/main/java/org/cypressweir/meshctl/state/RouteTerms.java
+++ b/src/main/java/org/cypressweir/meshctl/state/RouteTerms.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The terms of a route as a process lists them. */
+/** The fields of a route as a process lists them. */
 public record RouteTerms(
         JsonValue host,
         JsonValue prefix,
--- a/src/main/java/org/cypressweir/meshctl/state/TracedRequest.java
+++ b/src/main/java/org/cypressweir/meshctl/state/TracedRequest.java
@@ -7,7 +7,7 @@
  *
  * @param arrived when it arrived
  * @param status of the response
- * @param error why the mesh responded itself
+ * @param error why the mesh itself generated the response
  * @param respondedMillis time from its arrival to the response
  */
 public record TracedRequest(
--- a/src/main/java/org/cypressweir/meshctl/state/TracedRequestDecoder.java
+++ b/src/main/java/org/cypressweir/meshctl/state/TracedRequestDecoder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Decodes the traces of requests. The names of fields are fixed, since builds may be mixed. */
+/** Decodes the traces of requests. The names of fields are fixed, since processes may run different builds. */
 final class TracedRequestDecoder {
 
     private static final String STATUS = "answer";
--- a/src/main/java/org/cypressweir/meshctl/state/package-info.java
+++ b/src/main/java/org/cypressweir/meshctl/state/package-info.java
@@ -1,2 +1,2 @@
-/** Answers of processes to the diagnostic calls as records, decoded once where they arrive. No I/O. */
+/** Records for the responses of processes to the diagnostic calls, and their decoders. No I/O. */
 package org.cypressweir.meshctl.state;
--- a/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ChangeRepairer.java
@@ -8,9 +8,9 @@
 import org.cypressweir.controlplane.configuration.RejectionCause;
 
 /**
- * A copy of a configuration change in which one error after the other is repaired, so that the next one can be
- * found. The result serves no other purpose. The {@link RejectionCause} says what to repair; the text of the rejection
- * is only reported.
+ * Repairs the errors of a configuration change in a copy, one after the other, so that the next error can be found. The
+ * repaired copy is used for nothing else. The {@link RejectionCause} determines what to repair; the text of the
+ * rejection is only reported.
  */
 final class ChangeRepairer {
 
@@ -30,12 +30,12 @@
         this.change = change.copy();
     }
 
-    /** The change with its repairs, as JSON. */
+    /** The repaired change as JSON. */
     byte[] change() {
         return change.encoded();
     }
 
-    /** Repairs the error that a change was rejected for; null where that is not possible. */
+    /** Repairs the error for which the change was rejected; returns the error, or null if it cannot be repaired. */
     ValidationError repair(Rejection rejection) {
         String reason = rejection.reason();
         RejectionCause cause = rejection.cause();
@@ -79,7 +79,7 @@
         return cause instanceof RejectionCause.InvalidField field ? repairField(field, reason) : null;
     }
 
-    /** Limits are no table of items: they are not removed as a whole. */
+    /** Removes a table. The limits are not a table of items, so they are not removed as a whole. */
     private ValidationError removeTable(String table, String reason) {
         MutableJsonObject tables = change.object(UPSERT);
         if (table.equals(ItemType.LIMITS.wireName()) || !tables.has(table)) {
@@ -93,7 +93,7 @@
         String table = item.type().wireName();
         MutableJsonObject tables = change.object(UPSERT);
         if (!tables.has(table) || !tables.object(table).has(item.name())) {
-            // An item of the base configuration or one to withdraw: the table does not agree with it.
+            // The item is in the base configuration or is withdrawn, and the table conflicts with it.
             return removeTable(table, reason);
         }
         repair.accept(tables.object(table), item);
@@ -130,7 +130,7 @@
         return new ValidationError(location, reason.substring(location.length()).trim());
     }
 
-    /** Gives a field a value that is valid beside all other items; false for a field of which none is known. */
+    /** Sets a field to a value that conflicts with no other item; false if no valid value is known for the field. */
     private boolean setValidValue(MutableJsonObject item, String field) {
         switch (field) {
             case SERVICE -> item.set(field, PLACEHOLDER_SERVICE);
@@ -143,7 +143,7 @@
         return true;
     }
 
-    /** Puts the placeholder in place of a service that does not exist. */
+    /** Replaces a service that does not exist by the placeholder. */
     private void replaceService(MutableJsonObject route, String service) {
         route.replace(SERVICE, service, PLACEHOLDER_SERVICE);
         for (MutableJsonObject destination : route.objects(WEIGHTED_SPLIT)) {
--- a/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ConfigurationCheck.java
@@ -9,7 +9,7 @@
 import org.cypressweir.controlplane.configuration.Rejection;
 
 /**
- * Finds every error of a configuration change by the rules of the controllers. Those stop at the first error; so
+ * Finds every error of a configuration change by the controllers' own validation. That stops at the first error, so
  * each error that is found is repaired in a copy, which is validated again until no error is left.
  */
 public final class ConfigurationCheck {
@@ -32,7 +32,7 @@
         MutableJsonObject content = document.get();
         Configuration current = base == null ? Configuration.EMPTY : configuration(base);
         boolean isChange = content.has(UPSERT) || content.has(WITHDRAW);
-        // A change is validated as the file's own bytes first: duplicate fields are lost in a map.
+        // The file's own bytes are validated first, since parsing into a map would hide duplicate fields.
         Rejection first = rejection(isChange ? file : asChange(content).encoded(), current);
         if (first == null) {
             return List.of();
@@ -70,7 +70,7 @@
         return new MutableJsonObject().set(UPSERT, configuration);
     }
 
-    /** Null where the change is valid. */
+    /** The first reason to reject the change, or null if it is valid. */
     private static Rejection rejection(byte[] change, Configuration current) {
         Either<Rejection, ConfigurationChange> read = ConfigurationChange.read(change);
         if (read.isLeft()) {
--- a/src/main/java/org/cypressweir/meshctl/validation/MutableJsonObject.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/MutableJsonObject.java
@@ -23,7 +23,7 @@
         this.fields = fields;
     }
 
-    /** The object that a file consists of, or one line that says what is wrong with the file. */
+    /** Parses a file that consists of one object; the left value is one line that describes what is wrong. */
     static Either<String, MutableJsonObject> read(byte[] file) {
         return JsonDocuments.read(file).map(MutableJsonObject::new);
     }
@@ -54,7 +54,7 @@
         return fields.get(name) instanceof List<?>;
     }
 
-    /** The object in a field; put there if there is none. Its changes are changes of this object. */
+    /** The object in a field, created if there is none. Changes to it are changes to this object. */
     @SuppressWarnings("unchecked")
     MutableJsonObject object(String name) {
         if (!hasObject(name)) {
@@ -63,7 +63,7 @@
         return new MutableJsonObject((Map<String, Object>) fields.get(name));
     }
 
-    /** The objects in a field that is an array; empty where there is none. Their changes are changes of this object. */
+    /** The objects in an array field; empty if there is no array. Changes to them are changes to this object. */
     @SuppressWarnings("unchecked")
     List<MutableJsonObject> objects(String name) {
         List<MutableJsonObject> objects = new ArrayList<>();
@@ -102,7 +102,7 @@
         return this;
     }
 
-    /** Replaces a text where the field has exactly that text. */
+    /** Replaces the value of a field if it is exactly this text. */
     void replace(String name, String text, String replacement) {
         fields.replace(name, text, replacement);
     }
@@ -111,7 +111,7 @@
         fields.remove(name);
     }
 
-    /** Removes all fields with such a name; whether there was any. */
+    /** Removes all fields whose names match; returns whether there was any. */
     boolean removeIf(Predicate<String> condition) {
         return fields.keySet().removeIf(condition);
     }
--- a/src/main/java/org/cypressweir/meshctl/validation/SettingsCheck.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/SettingsCheck.java
@@ -8,7 +8,7 @@
 import org.cypressweir.common.settings.NodeSettings;
 import org.cypressweir.common.util.Addresses;
 
-/** Finds every error of a settings file: those that the programs' own reader finds, and what a program lacks. */
+/** Finds every error of a settings file: those that the programs' own parser finds, and missing required settings. */
 public final class SettingsCheck {
 
     /** A program that reads a settings file. */
@@ -29,7 +29,7 @@
             return programName;
         }
 
-        /** The program of a name, present or former. */
+        /** The program with this name or former name. */
         public static Optional<Program> named(String name) {
             return Arrays.stream(values())
                     .filter(program -> program.programName.equals(name) || program.formerName.equals(name))
@@ -44,7 +44,7 @@
         this.settings = settings;
     }
 
-    /** @param program the program that is to read the file; null to check only what all programs have in common */
+    /** @param program the program that will read the file; null to check only what all programs require */
     public static List<ValidationError> errors(byte[] file, Program program) {
         Either<List<String>, NodeSettings> read = NodeSettings.read(file);
         if (read.isLeft()) {
--- a/src/main/java/org/cypressweir/meshctl/validation/ValidValues.java
+++ b/src/main/java/org/cypressweir/meshctl/validation/ValidValues.java
@@ -1,6 +1,6 @@
 package org.cypressweir.meshctl.validation;
 
-/** Values of the fields of items that are valid in any item, whatever other items there are. Stateless. */
+/** Field values that are valid in any item, whatever other items there are. Stateless. */
 final class ValidValues {
 
     /** Higher than the version of any item. */
@@ -12,7 +12,7 @@
 
     private ValidValues() {}
 
-    /** Gives a field a valid value; false for a field of which none is known. */
+    /** Sets a field to a valid value; false if none is known for the field. */
     static boolean set(MutableJsonObject item, String field) {
         switch (field) {
             case "configVersion" -> item.set(field, HIGHEST_VERSION);
--- a/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/BootstrapCommandTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A mesh whose disks are all lost starts again only when an operator bootstraps one blank controller. */
+/** A mesh that has lost all its disks starts again only when an operator bootstraps one blank controller. */
 class BootstrapCommandTest {
 
     @TempDir
@@ -27,7 +27,7 @@
             StringWriter output = new StringWriter();
             assertThat(bootstrap(output, mesh.controlAddress("h1"))).isEqualTo(ExitStatus.INVALID);
             assertThat(bootstrap(output, mesh.controlAddress("h1"), "--confirm"))
-                    .isEqualTo(ExitStatus.DIFFERENT);
+                    .isEqualTo(ExitStatus.DIFFERENT_OR_REJECTED);
             assertThat(output.toString()).contains("--confirm").contains("not blank");
             for (String controller : controllers) {
                 mesh.kill(controller);
--- a/src/test/java/org/cypressweir/meshctl/FleetQueryTest.java
+++ b/src/test/java/org/cypressweir/meshctl/FleetQueryTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Every query of eight processes, of which one has ended and one is suspended, names both. */
+/** With one of eight processes killed and one suspended, every query names both as not responding. */
 @Timeout(60)
 class FleetQueryTest {
 
@@ -42,12 +42,12 @@
     }
 
     /** Runs all queries at once, since each waits for the suspended process. */
-    private static Map<String, Result> runAll(List<String> queries, String... more) {
+    private static Map<String, Result> runAll(List<String> queries, String... furtherArgs) {
         Map<String, CompletableFuture<Result>> pending = new LinkedHashMap<>();
         ExecutorService threads = Executors.newFixedThreadPool(queries.size());
         for (String query : queries) {
             List<String> args = new ArrayList<>(List.of(query.split(" ")));
-            args.addAll(List.of(more));
+            args.addAll(List.of(furtherArgs));
             pending.put(
                     query.split(" ")[0],
                     CompletableFuture.supplyAsync(() -> run(args.toArray(String[]::new)), threads));
--- a/src/test/java/org/cypressweir/meshctl/FormerCommandNamesTest.java
+++ b/src/test/java/org/cypressweir/meshctl/FormerCommandNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each command still runs by its name in earlier builds, and no help lists that name. */
+/** Each command still works under its name of earlier builds, and no help text lists that name. */
 class FormerCommandNamesTest {
 
     private final StringWriter out = new StringWriter();
@@ -58,7 +58,7 @@
 
     @ParameterizedTest
     @CsvSource({"begin", "bootstrap"})
-    void bootstrapAsksForConfirmationByEitherName(String name) {
+    void bootstrapRequiresConfirmationUnderEitherName(String name) {
         assertThat(run(name, "127.0.0.1:1")).isEqualTo(ExitStatus.INVALID);
         assertThat(err.toString()).contains("--confirm", "cypressweir bootstrap --help");
     }
--- a/src/test/java/org/cypressweir/meshctl/QueryCommandTest.java
+++ b/src/test/java/org/cypressweir/meshctl/QueryCommandTest.java
@@ -39,14 +39,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Queries against the state call over sockets, and the tables that they print. */
+/** Runs queries against the state call over sockets and checks the tables that they print. */
 class QueryCommandTest {
 
     private static final String SECRET = "key-that-must-stay-secret";
     private static final MultiThreadIoEventLoopGroup GROUP =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private static String at;
-    private static String other;
+    private static String address;
+    private static String otherAddress;
     private static ServerSocket unresponsive;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -59,13 +59,13 @@
                 () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
                 new MonotonicClock(),
                 new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::state));
-        at = Addresses.text(listener.address());
-        other = Addresses.text(HttpListener.open(
+        address = Addresses.text(listener.address());
+        otherAddress = Addresses.text(HttpListener.open(
                         GROUP,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> new RequestLimits(16_384, 65_536, 5_000, 60_000),
                         new MonotonicClock(),
-                        new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::other))
+                        new StateEndpoint(call -> call.answer(ServerResponse.of(418)), QueryCommandTest::otherState))
                 .address());
         unresponsive = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     }
@@ -76,7 +76,7 @@
         GROUP.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private static Map<String, Object> other(boolean items) {
+    private static Map<String, Object> otherState(boolean items) {
         Map<String, Object> state = state(false);
         state.putAll(JsonCodec.map(
                 "name",
@@ -141,7 +141,7 @@
 
     @Test
     void fleetIsPrintedAsATable() {
-        assertThat(query("fleet", "--at", at, "--columns", "proxy,server,slots", "--sort", "slots"))
+        assertThat(query("fleet", "--at", address, "--columns", "proxy,server,slots", "--sort", "slots"))
                 .isZero();
         assertThat(out.toString().lines())
                 .containsExactly("proxy  server  slots", "p2     s2          4", "p1                12");
@@ -150,18 +150,20 @@
 
     @Test
     void longestPrefixMatchesAndKeysAreNotShown() {
-        assertThat(query("route", "shop", "/cart/7?x", "--at", at, "--json")).isZero();
+        assertThat(query("route", "shop", "/cart/7?x", "--at", address, "--json"))
+                .isZero();
         assertThat(out.toString()).contains("\"route\":\"cart\"", "\"destination\":\"s\"", "\"silent\":[]");
-        assertThat(query("route", "other", "/", "--at", at)).isEqualTo(4);
-        assertThat(query("items", "--at", at, "--where", "table=tenantTable")).isZero();
+        assertThat(query("route", "other", "/", "--at", address)).isEqualTo(4);
+        assertThat(query("items", "--at", address, "--where", "table=tenantTable"))
+                .isZero();
         assertThat(out.toString()).contains("r1").doesNotContain(SECRET);
     }
 
     @Test
     void columnsShowTheFieldsOfTheState() {
-        assertThat(query("replicas", "--at", at, "--only", "--columns", "kind,proposal,storeOpen,voters"))
+        assertThat(query("replicas", "--at", address, "--only", "--columns", "kind,proposal,storeOpen,voters"))
                 .isZero();
-        assertThat(query("quotas", "--at", at, "--only", "--columns", "kind,tenant,demand"))
+        assertThat(query("quotas", "--at", address, "--only", "--columns", "kind,tenant,demand"))
                 .isZero();
         assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|")))
                 .containsExactly(
@@ -173,7 +175,7 @@
 
     @Test
     void diffShowsTheFactsThatDiffer() {
-        assertThat(query("diff", at, other)).isEqualTo(5);
+        assertThat(query("diff", address, otherAddress)).isEqualTo(5);
         assertThat(out.toString().lines().map(line -> line.replaceAll(" {2,}", "|")))
                 .containsExactly(
                         "fact|a|b",
@@ -183,27 +185,27 @@
                         "proposal|3@h1|2@h1",
                         "proxy p1",
                         "server s2|at p2, 4 slots|s at p2, 8 slots");
-        assertThat(query("diff", at, at)).isZero();
+        assertThat(query("diff", address, address)).isZero();
     }
 
     @Test
     void shellRunsTheLinesOfAFile() throws IOException {
         Shell shell = new Shell(List.of());
         assertThat(shell.run(
-                        new BufferedReader(new StringReader("# addresses\nat " + at + "\n\nat\n"
+                        new BufferedReader(new StringReader("# addresses\nat " + address + "\n\nat\n"
                                 + "fleet --columns \"proxy,slots\" --timeout 30000\nroute other / --timeout 30000\n"
                                 + "at here\nproxy\nquit\nat")),
                         new PrintWriter(out, true),
                         new PrintWriter(err, true)))
                 .isEqualTo(4);
-        assertThat(out.toString()).startsWith(at).contains("p2         4").endsWith("-\n");
+        assertThat(out.toString()).startsWith(address).contains("p2         4").endsWith("-\n");
         assertThat(err.toString().lines()).hasSize(2);
     }
 
     @Test
     void terminalCompletesLinesAndKeepsTheirHistory(@TempDir Path folder) throws IOException {
         Path history = folder.resolve("history");
-        String typed = "rej\t--he\t\rfleet --at " + at + " --timeout 30000 --columns sl\t\rexit\r";
+        String typed = "rej\t--he\t\rfleet --at " + address + " --timeout 30000 --columns sl\t\rexit\r";
         ByteArrayOutputStream shown = new ByteArrayOutputStream();
         try (Terminal terminal = new ExternalTerminal(
                 "test",
@@ -223,7 +225,7 @@
         ServerSocket closed = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         String closedAddress = Addresses.text((InetSocketAddress) closed.getLocalSocketAddress());
         closed.close();
-        assertThat(query("replicas", "--at", at, "--at", closedAddress)).isEqualTo(3);
+        assertThat(query("replicas", "--at", address, "--at", closedAddress)).isEqualTo(3);
         assertThat(out.toString()).contains("3@h1");
         String unresponsiveAddress = Addresses.text((InetSocketAddress) unresponsive.getLocalSocketAddress());
         assertThat(run("quotas", "--at", unresponsiveAddress, "--timeout", "100"))
@@ -236,9 +238,9 @@
 
     @Test
     void usageErrorIsOneLine() {
-        assertThat(run("fleet", "--at", at, "--sort", "colour")).isEqualTo(2);
+        assertThat(run("fleet", "--at", address, "--sort", "colour")).isEqualTo(2);
         assertThat(run("fleet", "--at", "here")).isEqualTo(2);
-        assertThat(run("replicas", "--at", at, "--where", "name")).isEqualTo(2);
+        assertThat(run("replicas", "--at", address, "--where", "name")).isEqualTo(2);
         assertThat(run("sail")).isEqualTo(2);
         assertThat(run()).isEqualTo(2);
         assertThat(err.toString().lines()).hasSize(5).allMatch(line -> line.startsWith("cypressweir: "));
--- a/src/test/java/org/cypressweir/meshctl/UnusualStateTest.java
+++ b/src/test/java/org/cypressweir/meshctl/UnusualStateTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What each query prints of processes of another build: fields that are missing, null, of another type or unknown.
- * The answers and the expected output are files under {@code resources/meshctl}.
+ * What each query prints for processes of another build, whose fields are missing, null, of another type or unknown.
+ * The responses and the expected output are files under {@code resources/meshctl}.
  */
 class UnusualStateTest {
 
@@ -44,9 +44,9 @@
         secondProxy = listen("second-proxy.json");
     }
 
-    /** Answers each call with the same file. */
-    private static String listen(String answer) throws IOException {
-        byte[] body = read(answer).getBytes(StandardCharsets.UTF_8);
+    /** Starts a listener that responds to each call with the same file. */
+    private static String listen(String file) throws IOException {
+        byte[] body = read(file).getBytes(StandardCharsets.UTF_8);
         return Addresses.text(HttpListener.open(
                         GROUP,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -68,7 +68,7 @@
         }
     }
 
-    /** The exit status and the output, with words in place of the addresses. */
+    /** The output and the exit status, with names in place of the addresses and gaps between columns as {@code |}. */
     private static String run(List<String> command, String... options) {
         List<String> all = new ArrayList<>(command);
         all.addAll(List.of(options));
@@ -103,7 +103,7 @@
                 "route shop /cart/",
                 "route other /"
             })
-    void outputIsTheExpectedOne(String query) throws IOException {
+    void outputMatchesTheExpectedFile(String query) throws IOException {
         List<String> command = new ArrayList<>(List.of(query.split(" ")));
         command.addAll(List.of("--only", "--at", controller, "--at", proxy, "--at", secondProxy));
         assertThat(runAllFormats(command.toArray(String[]::new)))
@@ -112,7 +112,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"controller proxy", "proxy second", "second proxy", "controller second"})
-    void differencesAreTheExpectedOnes(String pair) throws IOException {
+    void differencesMatchTheExpectedFile(String pair) throws IOException {
         String[] names = pair.split(" ");
         assertThat(runAllFormats("diff", address(names[0]), address(names[1])))
                 .isEqualTo(read("diff-" + names[0] + "-" + names[1] + ".txt"));
--- a/src/test/java/org/cypressweir/meshctl/validation/ConfigurationCheckTest.java
+++ b/src/test/java/org/cypressweir/meshctl/validation/ConfigurationCheckTest.java
@@ -15,7 +15,7 @@
                 .toList();
     }
 
-    /** A name that contains a space or a dot does not hide the errors behind it. */
+    /** A name that contains a space or a dot does not hide the errors after it. */
     @Test
     void errorsAreFoundBehindNamesWithSpacesAndDots() {
         assertThat(errors("{'withdraw':{'my table':[]},'upsert':{'limits':{'idleTimeout':'x','configVersion':'r1'}}}"))
