--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
@@ -7,7 +7,8 @@
 
 /**
  * A response with its complete body. The listener itself sets the headers of framing and of the connection
- * (Content-Length, Transfer-Encoding, Connection) and replaces those given here.
+ * (Content-Length, Transfer-Encoding, Connection) and ignores those given here, except that it keeps the Content-Length
+ * of a response without a body to HEAD or with status 304.
  */
 public record ServerResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/RequestEncoder.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/RequestEncoder.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Encodes a request as HTTP/1.1 (RFC 9112). Only the headers of the remaining time and of the body's length change.
- * Stateless.
+ * Encodes a request as HTTP/1.1 (RFC 9112). It sets the headers for the remaining time and the framing of the body,
+ * adds the attempt id if it is missing, and changes nothing else. Stateless.
  */
 final class RequestEncoder {
     static final String ATTEMPT_ID = "Cypressweir-Attempt-Id";
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamDispatcher.java
@@ -31,7 +31,7 @@
     private boolean draining;
 
     /**
-     * @param clockMicros the clock that all times refer to, in microseconds
+     * @param clockMicros the clock of all times, in microseconds
      * @param log receives lines for the operators' log
      */
     public UpstreamDispatcher(
--- a/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
+++ b/src/main/java/org/cypressweir/dataplane/http/upstream/UpstreamOptions.java
@@ -3,7 +3,7 @@
 /**
  * The options of an {@link UpstreamDispatcher}.
  *
- * @param extraInFlight requests sent beyond the server's concurrency, so that it always has a next request to run
+ * @param extraInFlight requests sent beyond the server's concurrency, so that it never idles between two of them
  * @param warmUpFactor share of the concurrency that is used while the server is warming up
  * @param minQueued up to this many requests are queued without a prediction; zero for half of the concurrency
  * @param maxQueued the maximum number of queued requests; zero for four times the concurrency
