--- a/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
+++ b/src/main/java/org/cypressweir/dataplane/http/server/ServerResponse.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * A response with its complete body. The headers about framing (Content-Length, Transfer-Encoding, Connection) are
- * set by the listener whatever is given here.
+ * A response with its complete body. The listener itself sets the headers of framing and of the connection
+ * (Content-Length, Transfer-Encoding, Connection) and ignores those given here, except that it keeps the Content-Length
+ * of a response without a body to HEAD or with status 304.
  */
 public record ServerResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
