--- a/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandler.java
@@ -21,22 +21,21 @@
 import org.jboss.logging.Logger;
 
 /**
- * Answers the heartbeats of the application instance beside this proxy, and makes from them what the proxy
- * registers of itself: the instance, its draining and its end. An instance whose heartbeats stop counts as
- * crashed.
+ * Answers the heartbeats of the application instance beside this proxy, and derives from them what the proxy
+ * registers: the instance, that it drains, and that it is gone. An instance whose heartbeats stop counts as crashed.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class ApplicationLifecycleHandler implements RequestHandler {
 
     private static final Logger LOG = Logger.getLogger(ApplicationLifecycleHandler.class);
-    /** Ids of instances that have ended: a late heartbeat does not bring one back. */
+    /** How many ids of ended instances are kept, so that a late heartbeat doesn't register one of them again. */
     private static final int MAX_ENDED_INSTANCES = 16;
 
     private static final int MAX_MISSED_HEARTBEATS = 3;
     private static final long HEARTBEAT_TOLERANCE_MICROS = 500_000;
 
-    /** Notified when the instance, or anything that is registered of it, changes. */
+    /** Is notified when the instance, or anything that this proxy registers, changes. */
     interface InstanceListener {
         /** @param instance null where there is none now */
         void instanceChanged(ApplicationInstance instance);
@@ -46,7 +45,7 @@
     private final InstanceListener listener;
     private NodeSettings settings;
     private final long incarnation;
-    /** Of the registration, within this incarnation. */
+    /** The number of the current registration, within this incarnation. */
     private long registrationNumber;
 
     private ApplicationInstance instance;
@@ -68,7 +67,7 @@
         settings = next;
     }
 
-    /** What this proxy registers of itself now. */
+    /** The current registration of this proxy. */
     ProxyRegistration registration() {
         return new ProxyRegistration(
                 settings.name(),
@@ -82,12 +81,12 @@
                 instance);
     }
 
-    /** Null where there is none. */
+    /** The registered instance; null if there is none. */
     ApplicationInstance instance() {
         return instance;
     }
 
-    /** When the instance's draining was acknowledged; 0 where it doesn't drain. */
+    /** When the instance's draining was acknowledged; 0 if it isn't draining. */
     long drainingSince() {
         return drainingSince;
     }
@@ -137,7 +136,7 @@
         Map<String, Object> nodeInfo = JsonCodec.object(heartbeat, "nodeInfo");
         Map<String, Object> operStatus = JsonCodec.object(heartbeat, "operStatus");
         if (JsonCodec.text(nodeInfo, "service").isEmpty() || !(operStatus.get("callSequence") instanceof Number)) {
-            call.answer(malformed("a beat wants nodeInfo.service and operStatus.callSequence"));
+            call.answer(malformed("a heartbeat needs nodeInfo.service and operStatus.callSequence"));
             return;
         }
         call.answer(acknowledgement());
@@ -218,7 +217,7 @@
         if (instance != null && clock.getAsLong() - lastHeartbeatAt > timeoutMicros) {
             String id = instance.id();
             remove(id, "heartbeat timeout");
-            // It may have been frozen: unlike one that has deregistered, it may come back.
+            // The process may only have been paused: unlike a deregistered instance, it may come back.
             ended.remove(id);
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptDispatcher.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptDispatcher.java
@@ -14,8 +14,8 @@
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 
 /**
- * Sends the attempts at requests to one service, and takes their outcomes: to the client goes what the request's
- * {@link RequestState} allows, to the load balancer the result of the attempt.
+ * Sends the attempts at requests to one service, and handles their outcomes: the client gets the response that the
+ * request's {@link RequestState} allows, the load balancer gets the result of the attempt.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as its {@link ServiceRequestHandler}.
  */
@@ -58,11 +58,11 @@
         ProxiedRequest.Attempt attempt = new ProxiedRequest.Attempt(endpoint, clock.getAsLong());
         request.attempts.add(attempt);
         if (endpoint == null || !request.state.trySend(index)) {
-            AttemptResult gone = new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null);
-            loop.execute(() -> attemptEnded(request, index, attempt, gone));
+            AttemptResult notRun = new AttemptResult(new RequestOutcome.NotRun(RejectionReason.GONE, 0), null);
+            loop.execute(() -> attemptEnded(request, index, attempt, notRun));
             return;
         }
-        // The load balancer must not be called again before this call of its own has returned.
+        // The load balancer is calling this method: it must not be called back before the call has returned.
         boolean[] isSending = {true};
         attempt.handle = transport.send(endpoint, upstreamRequest(request, endpoint), result -> {
             if (isSending[0]) {
@@ -91,7 +91,7 @@
                 endpoint.instanceId());
     }
 
-    /** Cancels an attempt where it is in flight; its outcome comes all the same. */
+    /** Cancels an attempt if it is in flight; its outcome is still delivered. */
     void cancel(ProxiedRequest request, int index) {
         if (index < request.attempts.size()) {
             ProxiedRequest.Attempt attempt = request.attempts.get(index);
@@ -110,9 +110,9 @@
         RequestOutcome outcome = attemptResult.outcome();
         attempt.outcome = outcome;
         attempt.endedAt = now;
-        RequestState.ClientAction due = request.state.onOutcome(index, outcome);
-        if (due != RequestState.ClientAction.NONE) {
-            inFlight.respond(request, due, outcome, 0);
+        RequestState.ClientAction action = request.state.onOutcome(index, outcome);
+        if (action != RequestState.ClientAction.NONE) {
+            inFlight.respond(request, action, outcome, 0);
         }
         if (!attempt.timedOut) {
             reportOutcome(now, request, index, attempt, attemptResult);
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptObserver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptObserver.java
@@ -2,11 +2,11 @@
 
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
-/** Is told of each attempt at a service that has ended. */
+/** Is notified of each attempt at a service that has ended. */
 interface AttemptObserver {
 
-    AttemptObserver NONE = (route, result, micros) -> {};
+    AttemptObserver NONE = (route, result, latencyMicros) -> {};
 
-    /** @param micros how long it took */
-    void attemptEnded(String route, Result result, long micros);
+    /** @param latencyMicros how long the attempt took */
+    void attemptEnded(String route, Result result, long latencyMicros);
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptReports.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptReports.java
@@ -16,12 +16,12 @@
     private AttemptReports() {}
 
     static Result result(RequestOutcome outcome) {
-        if (outcome instanceof RequestOutcome.Responded answered) {
-            return answered.status() < FIRST_ERROR_STATUS ? Result.SERVED : Result.ERROR;
+        if (outcome instanceof RequestOutcome.Responded responded) {
+            return responded.status() < FIRST_ERROR_STATUS ? Result.SERVED : Result.ERROR;
         }
         if (outcome instanceof RequestOutcome.NotRun notRun) {
             return switch (notRun.reason()) {
-                    // The proxy beside the instance orders what waits there: it rejects this request only.
+                    // The proxy beside the instance schedules its requests: it rejected only this one.
                 case FULL, LATE, CANCELLED, REFUSED -> Result.NOT_SENT;
                 case GONE, MISDIRECTED, NO_CONNECTION -> Result.NO_CONNECTION;
             };
@@ -30,11 +30,11 @@
     }
 
     /**
-     * The load of an application instance. Instances respond equally fast up to their slots, and what waits is
-     * ordered by the proxy beside them: the load balancer's own limits must not hold back here what would go
-     * first there, so that no instance is reported as more than half utilized.
+     * Reports the load of an application instance. An instance responds equally fast until all its slots are in use,
+     * and the proxy beside it orders the waiting requests by priority. The load balancer's own limits must not hold
+     * back a request here that would go first there, so no instance is reported as more than half utilized.
      *
-     * @param load may be null, and so is the report then
+     * @param load may be null; then the report is null, too
      */
     static LoadReport loadReport(UpstreamLoad load) {
         if (load == null || load.concurrency() <= 0) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/AttemptTransport.java
@@ -4,14 +4,14 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * Carries an attempt to the application instance that was selected, and its result back: exactly one result
- * for each attempt, delivered on the event loop.
+ * Sends an attempt to the selected application instance and returns its result: exactly one result for each attempt,
+ * delivered on the event loop.
  */
 interface AttemptTransport {
 
     /** An attempt that was sent. */
     interface Handle {
-        /** The result is no longer needed; a request that is not idempotent runs to its end all the same. */
+        /** Says that the result is no longer needed; a request that is not idempotent still runs to its end. */
         void cancel();
     }
 
--- a/src/main/java/org/cypressweir/dataplane/proxy/BackgroundTask.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/BackgroundTask.java
@@ -6,8 +6,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Runs work that would block the event loop, such as parsing a thousand routes, on a worker thread, one task
- * after the other, and delivers the results on the event loop in the same order.
+ * Runs work that would block the event loop, such as parsing a thousand routes, on a worker thread: one task at a time,
+ * with the results delivered on the event loop in the same order.
  */
 final class BackgroundTask {
 
@@ -16,20 +16,20 @@
     private final Executor worker;
     private final Executor loop;
 
-    /** @param worker one thread, so that the order holds */
+    /** @param worker has one thread, so that tasks run in order */
     BackgroundTask(Executor worker, Executor loop) {
         this.worker = worker;
         this.loop = loop;
     }
 
-    /** Runs the work on the worker; where it throws, that is logged and nothing is delivered. */
+    /** Runs the work on the worker; if it throws, the exception is logged and nothing is delivered. */
     <T> void run(Callable<T> work, Consumer<T> onResult) {
         worker.execute(() -> {
             try {
                 T result = work.call();
                 loop.execute(() -> onResult.accept(result));
             } catch (Exception e) {
-                // The work reads what other processes sent: whatever is wrong with it must not end the worker.
+                // The work parses what other processes sent: malformed data must not end the worker.
                 LOG.warn("Received data can't be used: error=\"" + e.getMessage() + "\"");
             }
         });
--- a/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ConfigurationSubscriber.java
@@ -10,21 +10,21 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * Follows the configuration: compares the versions that controllers announce, selects one of them to request
- * a newer version from, and assembles its chunks. It never goes back to an older version: the versions of
- * states that were announced have one order everywhere.
+ * Keeps the configuration up to date: compares the versions that controllers announce, selects the controller to
+ * request a newer version from, and assembles its chunks. It never goes back to an older version: all controllers
+ * announce versions from the same total order.
  *
  * <p>Not thread-safe: used on the event loop alone.
  */
 final class ConfigurationSubscriber {
 
-    /** Without a further chunk for so long, the version is requested from another controller. */
+    /** If no further chunk arrives for this long, the version is requested from another controller. */
     private static final long CHUNK_TIMEOUT_MICROS = 600_000;
 
     private ProposalNumber version = ProposalNumber.ZERO;
     private Configuration configuration = Configuration.EMPTY;
     private final Map<String, ProposalNumber> announced = new HashMap<>();
-    /** Chunks of versions that are not complete, by controller and version, then by index. */
+    /** Chunks of incomplete versions: by controller, base version and version, then by index. */
     private final Map<String, Map<Integer, List<Item>>> incomplete = new HashMap<>();
 
     private String requestedFrom;
@@ -32,7 +32,7 @@
     private ProposalNumber votersVersion = ProposalNumber.ZERO;
     private Set<String> voters = Set.of();
 
-    /** Of the configuration that is complete here. */
+    /** The version of the latest complete configuration. */
     ProposalNumber version() {
         return version;
     }
@@ -41,7 +41,7 @@
         return configuration;
     }
 
-    /** A controller has this version. */
+    /** Takes the version that a controller has. */
     void versionAnnounced(String controller, ProposalNumber announcedVersion) {
         if (announcedVersion != null) {
             announced.put(controller, announcedVersion);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A controller with this version announces the voters. One that was partitioned announces old voters,
-     * without newer members: only what comes with the newest version counts.
+     * Takes the voters that a controller with this version announces. A controller that was partitioned announces old
+     * voters, without newer members, so an announcement with an older version than the last accepted one is ignored.
      */
     void votersAnnounced(ProposalNumber announcedVersion, Set<String> announcedVoters) {
         if (announcedVersion != null && !announcedVoters.isEmpty() && announcedVersion.compareTo(votersVersion) >= 0) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The controllers that vote; empty while none has announced them. */
+    /** The controllers that vote; empty until they are announced. */
     Set<String> voters() {
         return voters;
     }
@@ -89,14 +89,14 @@
         return best;
     }
 
-    /** Whether the candidate has a newer version, or the same one and the request to the other has timed out. */
+    /** Whether the candidate has a newer version, or the same version while the request to the other has timed out. */
     private boolean isBetter(Map.Entry<String, ProposalNumber> candidate, String best) {
         return best == null
                 || candidate.getValue().compareTo(announced.get(best)) > 0
                 || candidate.getValue().equals(announced.get(best)) && best.equals(requestedFrom);
     }
 
-    /** Takes one chunk; whether a newer version is complete now. */
+    /** Takes one chunk; returns whether a newer version is complete now. */
     boolean chunkReceived(long now, String controller, ControllerMessage.ConfigurationChunk chunk, List<Item> items) {
         String base = chunk.baseVersion();
         boolean isNewer = chunk.version() != null && chunk.version().compareTo(version) > 0;
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerClient.java
@@ -21,9 +21,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Connects to all controllers: publishes this proxy's registration and the demand of its tenants, and applies
- * the updates of all of them. Connects to the voters that they announce; to the seeds of the settings while no
- * controller is active.
+ * The connections to all controllers: publishes this proxy's registration and the demand of its tenants, and applies
+ * the updates that the controllers send. Connects to the voters that the controllers announce, and also to the seed
+ * nodes of the settings while no voters are known or no controller is active.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
@@ -33,10 +33,10 @@
     private static final PeerConnectionPool.Options CONNECTION_OPTIONS =
             new PeerConnectionPool.Options(500_000, 1_200_000, 4_000_000, 100_000, 500_000, 800);
 
-    /** In between only changes of the demand are published. */
+    /** Every so many publications of the demand, all of it is published; in between only the changes are. */
     private static final int PUBLICATIONS_PER_COMPLETE_DEMAND = 10;
 
-    /** Where to resume the subscription to a controller's endpoint updates. */
+    /** The offset at which to resume the subscription to a controller's endpoint updates. */
     private record Offset(long controllerIncarnation, long offset) {
         private static final Offset START = new Offset(0, -1);
     }
@@ -84,7 +84,7 @@
                 transport, clock, CONNECTION_OPTIONS, () -> ControllerMessageCodec.hello(proxyName), this);
     }
 
-    /** Replaces the addresses of the settings. */
+    /** Replaces the seed nodes' addresses, which come from the settings. */
     void updateSeeds(Set<String> addresses) {
         seeds = addresses;
         updateConnections();
@@ -122,7 +122,7 @@
         connection.send(ControllerMessageCodec.registration(registration.get(), clock.getAsLong()));
     }
 
-    /** Sends the demand of tenants here, as far as it has changed. */
+    /** Sends the tenants' demand at this proxy to all controllers: usually only what has changed. */
     void publishDemand() {
         boolean isComplete = ++demandPublications % PUBLICATIONS_PER_COMPLETE_DEMAND == 0;
         Map<String, Double> demand = quotas.demand().takeChangedDemand(clock.getAsLong(), isComplete);
@@ -132,20 +132,20 @@
         }
     }
 
-    /** Sends what was seen of a rollout to all controllers. */
+    /** Sends this proxy's report on a rollout to all controllers. */
     void publishRollout(RolloutReport report) {
         long incarnation = registration.get().incarnation();
         byte[] message = JsonCodec.bytes(ControllerMessageCodec.rolloutReport(incarnation, report));
         forEachConnection(connection -> connection.sendEncoded(message));
     }
 
-    /** Sends how many proxies this one has seen to all controllers. */
+    /** Sends the number of proxies that this one has counted to all controllers. */
     void publishProxyCount() {
         Map<String, Object> message = ControllerMessageCodec.proxyCount(quotas.seenProxies());
         forEachConnection(connection -> connection.send(message));
     }
 
-    /** Controllers that something is received from on a connection; the order stays while they do. */
+    /** The active controllers that there is a connection to; their order is stable while they stay active. */
     List<String> connectedControllers() {
         List<String> connected = new ArrayList<>(active.size());
         for (String address : active) {
@@ -156,12 +156,12 @@
         return connected;
     }
 
-    /** Whether one of the controllers is in contact with a majority. */
+    /** Whether one of the active controllers is in contact with a majority. */
     boolean isInQuorumContact() {
         return readinessGate.isAnyInContact(active);
     }
 
-    /** Sends a message to one controller; it is lost where there is no connection. */
+    /** Sends a message to one controller; drops it if there is no connection. */
     void send(String address, Map<String, Object> message) {
         connections.send(address, message);
     }
@@ -194,7 +194,7 @@
             LOG.info("Controller silent: address=" + address + " stillActive=" + active.size());
         }
         if (wasActive && active.isEmpty()) {
-            // The voters may have changed: the seeds are tried as well.
+            // The voters may have changed: connect to the seed nodes as well.
             updateConnections();
         }
         endpoints.markSilent(clock.getAsLong(), address);
@@ -202,12 +202,12 @@
         readinessGate.controllerLost(address);
     }
 
-    /** Where operators reach a controller, as it announced last; null where it has announced nothing. */
+    /** The address for operators that a controller announced last; null if it has announced none. */
     String controlAddress(String address) {
         return controlAddresses.get(address);
     }
 
-    /** All controllers that connections are wanted to, each with whether it is active. */
+    /** All controllers that this proxy connects to, each with whether it is active. */
     Map<String, Boolean> controllers() {
         Map<String, Boolean> all = new TreeMap<>();
         connections.addresses().forEach(address -> all.put(address, active.contains(address)));
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessage.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessage.java
@@ -6,15 +6,15 @@
 import org.cypressweir.controlplane.registry.ProxyRegistration;
 
 /**
- * A message that a proxy receives from a controller. {@link ControllerMessageCodec} alone knows how each is
- * written. Immutable.
+ * A message that a proxy receives from a controller. {@link ControllerMessageCodec} defines the encoding of each.
+ * Immutable.
  */
 sealed interface ControllerMessage {
 
     /**
-     * The version of the configuration at the controller: on connection, and on each change.
+     * The version of the configuration at the controller: sent on connection, and on each change.
      *
-     * @param controlAddress where operators reach the controller; null where this message doesn't say so
+     * @param controlAddress the controller's address for operators; null if the message doesn't contain it
      * @param contactAgeMicros how long ago the controller was in contact with a majority; negative if it isn't
      * @param voters the members of the controllers' quorum
      */
@@ -22,10 +22,10 @@
             implements ControllerMessage {}
 
     /**
-     * Changes of the endpoint list, or all of it.
+     * Changes of the endpoint list, or the complete list.
      *
-     * @param controllerIncarnation whose log of changes the offset belongs to
-     * @param offset in that log, to subscribe from after a reconnection
+     * @param controllerIncarnation the incarnation of the controller whose log of changes the offset belongs to
+     * @param offset the position in that log from which to subscribe after a reconnection
      * @param removed names of proxies that are gone
      */
     record EndpointUpdate(
@@ -47,15 +47,15 @@
     /**
      * How long ago the controller was in contact with a majority.
      *
-     * @param queriedAt the proxy's own time of the query that this answers; 0 where it answers none
-     * @param version the controller's then; null where it answers no query
+     * @param queriedAt the time at the proxy of the query that this answers; 0 if it answers none
+     * @param version the controller's version when it answered; null if this answers no query
      */
     record ContactConfirmation(long queriedAt, ProposalNumber version, long contactAgeMicros)
             implements ControllerMessage {}
 
-    /** Tokens of a tenant's limit that were asked for; 0 where the controller had none. */
+    /** Tokens of a tenant's limit that this proxy requested; 0 if the controller had none. */
     record TokenResponse(String tenant, int count) implements ControllerMessage {}
 
-    /** By how many proxies the limits of tenants are divided. */
+    /** The number of proxies among which the limits of tenants are divided. */
     record ProxyCount(int count) implements ControllerMessage {}
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessageCodec.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ControllerMessageCodec.java
@@ -11,9 +11,9 @@
 import org.cypressweir.controlplane.registry.RolloutReport;
 
 /**
- * Writes what a proxy sends to controllers and reads what it receives from them.
+ * Encodes the messages that a proxy sends to controllers and decodes those that it receives from them.
  *
- * <p>All names and values here are fixed: processes of different builds exchange them.
+ * <p>All field names and message kinds here are fixed: processes of different builds exchange them.
  */
 final class ControllerMessageCodec {
 
@@ -67,37 +67,37 @@
         return JsonCodec.map(KIND, REGISTRATION, REGISTRATION, registration.toMap(nowMicros));
     }
 
-    /** Asks for the changes of the endpoint list after the offset; all of the list for an offset of -1. */
+    /** Requests the changes of the endpoint list after the offset; the complete list for an offset of -1. */
     static Map<String, Object> subscription(long controllerIncarnation, long offset) {
         return JsonCodec.map(KIND, SUBSCRIPTION, INCARNATION, controllerIncarnation, OFFSET, offset);
     }
 
-    /** Asks for what is newer than the version. */
+    /** Requests a newer configuration than this version. */
     static Map<String, Object> configurationRequest(ProposalNumber currentVersion) {
         return JsonCodec.map(KIND, CONFIGURATION_REQUEST, CURRENT_VERSION, currentVersion.toString());
     }
 
-    /** @param isComplete whether it holds all tenants, or those only whose demand has changed */
+    /** @param isComplete whether the map has all tenants, or only those whose demand has changed */
     static Map<String, Object> demand(Map<String, Double> demandByTenant, boolean isComplete) {
         return JsonCodec.map(KIND, DEMAND, DEMAND_BY_TENANT, demandByTenant, COMPLETE, isComplete);
     }
 
-    /** @param incarnation of this process, later for each */
+    /** @param incarnation the incarnation of this process: greater for a later one */
     static Map<String, Object> rolloutReport(long incarnation, RolloutReport report) {
         return JsonCodec.map(KIND, ROLLOUT_REPORT, INCARNATION, incarnation, REPORT, report.toMap());
     }
 
-    /** Tokens of tenants' limits that are not needed here. */
+    /** Returns tokens of tenants' limits that this proxy doesn't need. */
     static Map<String, Object> tokenSurplus(Map<String, Integer> tokensByTenant) {
         return JsonCodec.map(KIND, TOKEN_SURPLUS, TOKENS, tokensByTenant);
     }
 
-    /** Asks for tokens of a tenant's limit. */
+    /** Requests tokens of a tenant's limit. */
     static Map<String, Object> tokenRequest(String tenant, int count) {
         return JsonCodec.map(KIND, TOKEN_REQUEST, TENANT, tenant, COUNT, count);
     }
 
-    /** How many proxies this one has seen. */
+    /** Tells how many proxies this one has counted. */
     static Map<String, Object> proxyCount(int count) {
         return JsonCodec.map(KIND, PROXY_COUNT, COUNT, count);
     }
@@ -107,9 +107,9 @@
     }
 
     /**
-     * Reads a message; null for one of an unknown kind.
+     * Decodes a message; null for one of an unknown kind.
      *
-     * @throws IllegalArgumentException where the version is not one
+     * @throws IllegalArgumentException if the version is malformed
      */
     static ControllerMessage decode(Map<String, Object> head, long nowMicros) {
         return switch (JsonCodec.text(head, KIND)) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/DispatcherConfigurator.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/DispatcherConfigurator.java
@@ -7,8 +7,8 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamDispatcher;
 
 /**
- * Tells the dispatcher which application instance it may send requests to, and over how many connections: none once
- * the instance has drained for most of its drain time.
+ * Tells the dispatcher which application instance to send requests to, and over how many connections. Once an instance
+ * has been draining for most of its drain time, it gets no more requests.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as the proxy.
  */
@@ -47,7 +47,7 @@
                         instance.id(), instance.service(), instance.slots(), instance.draining(), instance.warmAt());
     }
 
-    /** Takes the limit over that the configuration in force sets for the service of the instance. */
+    /** Applies the connection limit that the configuration in force sets for the instance's service. */
     void limitConnections() {
         ApplicationInstance instance = application.instance();
         if (instance != null) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Ends the dispatch to an instance whose drain time is nearly over. */
+    /** Stops the dispatch to an instance whose drain time is nearly over. */
     void stopDispatchToDrainedInstance(long now) {
         long drainingSince = application.drainingSince();
         if (drainingSince != 0 && now - drainingSince > DISPATCH_DRAIN_PART * drainMicros()) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/EndpointLists.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/EndpointLists.java
@@ -13,8 +13,8 @@
 import org.cypressweir.controlplane.registry.ProxyRegistration;
 
 /**
- * Makes the endpoint list of each service from the directory of all proxies, and the list of peers to connect
- * to. Used on the event loop alone.
+ * Builds the endpoint list of each service, and the list of peers to connect to, from the directory of all proxies.
+ * Used on the event loop alone.
  */
 final class EndpointLists {
 
@@ -25,7 +25,7 @@
     private final RolloutRouting rollouts;
     private boolean isStale = true;
 
-    /** @param ownRegistration replaces what the directory says of this proxy, which may be older */
+    /** @param ownRegistration used instead of the directory's entry for this proxy, which may be older */
     EndpointLists(
             EndpointDirectory directory,
             Supplier<ProxyRegistration> ownRegistration,
@@ -39,12 +39,12 @@
         this.handlers = handlers;
     }
 
-    /** Something that the lists are made from has changed. */
+    /** Marks the lists as outdated, since something that they are built from has changed. */
     void markStale() {
         isStale = true;
     }
 
-    /** Makes the lists anew where the directory or anything else has changed since. */
+    /** Rebuilds the lists if the directory has changed or they were marked stale. */
     void refresh(long now) {
         if (directory.merge(now) || isStale) {
             isStale = false;
--- a/src/main/java/org/cypressweir/dataplane/proxy/EndpointTable.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/EndpointTable.java
@@ -9,7 +9,7 @@
 
 /**
  * The endpoints of one service by the ids under which the load balancer knows them, with the start time of each
- * instance: an instance keeps its slow start for as long as it is in the list.
+ * instance. The start time, and with it the slow start, stays the same for as long as the instance is in the list.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as its {@link ServiceRequestHandler}. Times are in
  * microseconds.
@@ -27,8 +27,8 @@
     /**
      * Replaces the endpoints.
      *
-     * @param warmAt by instance, when its slow start ends; 0 or absent where that is long past
-     * @return the endpoints as the load balancer takes them
+     * @param warmAt by instance, when its slow start ends; 0 or absent if it has none
+     * @return the endpoints in the form that the load balancer takes
      */
     List<Server> update(long now, List<Endpoint> list, List<String> zones, Map<String, Long> warmAt) {
         endpoints.clear();
@@ -48,7 +48,7 @@
         return startTimes.computeIfAbsent(instanceId, id -> warm > now ? warm - slowStartMicros : 0);
     }
 
-    /** The endpoint of an id; null where it was removed. */
+    /** The endpoint with this id; null if it was removed. */
     Endpoint find(long id) {
         return endpoints.get(id);
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/GracefulShutdown.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/GracefulShutdown.java
@@ -9,9 +9,9 @@
 import org.cypressweir.dataplane.http.server.HttpListener;
 
 /**
- * Ends the proxy on SIGTERM without losing a request: clients may connect for a quiet period, so that load
- * balancers in front of the proxy see that it is not ready; then the listener drains, and the proxy ends as
- * soon as nothing is in flight, or shortly before the grace period is over.
+ * Shuts the proxy down on SIGTERM without losing a request. During a quiet period clients may still connect, while load
+ * balancers in front of the proxy find out that it is not ready. Then the listener drains, and the shutdown completes
+ * as soon as nothing is in flight, or shortly before the grace period is over.
  *
  * <p>{@link #run} blocks the thread of the shutdown hook; the checks run on the event loop.
  */
@@ -27,7 +27,7 @@
     private final BooleanSupplier isUpstreamIdle;
 
     /**
-     * @param listener of clients' requests; gives null where it was not opened and will not be
+     * @param listener gives the listener for clients' requests; null if it was not opened and never will be
      * @param isUpstreamIdle whether no request is in flight at any application instance
      */
     GracefulShutdown(
@@ -41,7 +41,7 @@
     /**
      * Drains and waits until nothing is in flight, for the grace period at most.
      *
-     * @param onStart run first on the event loop: says everywhere that this proxy shuts down
+     * @param onStart runs first, on the event loop: announces that this proxy shuts down
      */
     void run(long gracePeriodMicros, Runnable onStart) {
         long forcedEndAt = clock.getAsLong() + (long) (gracePeriodMicros * USABLE_GRACE_PART);
@@ -62,14 +62,14 @@
 
     private void check(long quietUntil, long forcedEndAt, CountDownLatch drained) {
         long now = clock.getAsLong();
-        HttpListener open = listener.get();
-        boolean isQuietPeriodOver = open == null || now > quietUntil;
-        if (open != null && isQuietPeriodOver) {
-            // Connected clients get one more response, then their connection closes.
-            open.stopListening();
-            open.drain();
+        HttpListener openListener = listener.get();
+        boolean isQuietPeriodOver = openListener == null || now > quietUntil;
+        if (openListener != null && isQuietPeriodOver) {
+            // Each connected client gets one more response, then its connection is closed.
+            openListener.stopListening();
+            openListener.drain();
         }
-        boolean isIdle = (open == null || open.connections() == 0) && isUpstreamIdle.getAsBoolean();
+        boolean isIdle = (openListener == null || openListener.connections() == 0) && isUpstreamIdle.getAsBoolean();
         if (now > forcedEndAt || isQuietPeriodOver && isIdle) {
             drained.countDown();
         }
--- a/src/main/java/org/cypressweir/dataplane/proxy/InFlightRequests.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/InFlightRequests.java
@@ -12,8 +12,8 @@
 import org.cypressweir.dataplane.http.upstream.RequestState;
 
 /**
- * The requests to one service that are in flight, and the one response of each. A request is added when it is
- * handled, gets its response here, and is removed and traced once the last of its attempts has ended. Counts the
+ * The requests to one service that are in flight; ensures that each gets one response. A request is added when it
+ * arrives, and is removed and traced once it is closed and the last of its attempts has ended. Counts the
  * proxy's own error responses.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as its {@link ServiceRequestHandler}.
@@ -29,7 +29,7 @@
     private final RequestStatistics statistics = new RequestStatistics();
     private final Map<ErrorKind, Long> localResponseCounts = new EnumMap<>(ErrorKind.class);
 
-    /** @param timerResolutionMicros how early a timer may run: a request counts as late so long before its deadline */
+    /** @param timerResolutionMicros how early a timer may run; so long before its deadline a request is late */
     InFlightRequests(String service, LongSupplier clock, long timerResolutionMicros) {
         this.service = service;
         this.clock = clock;
@@ -40,17 +40,17 @@
         requests.put(request.number, request);
     }
 
-    /** The request of a number; null where it is not in flight. */
+    /** The request with this number; null if it is not in flight. */
     ProxiedRequest find(String number) {
         return requests.get(number);
     }
 
-    /** Counts also requests that have their response, while an attempt at them is still in flight. */
+    /** The number of requests in flight, including those with a response but an attempt still in flight. */
     int size() {
         return requests.size();
     }
 
-    /** Records the requests that have this id. */
+    /** Adds the requests with this id to a trace. */
     void recordTo(RequestTrace target, String id) {
         for (ProxiedRequest request : requests.values()) {
             if (request.id.equals(id)) {
@@ -64,12 +64,12 @@
         return localResponseCounts;
     }
 
-    /** What is counted of requests that have ended. */
+    /** The statistics of requests that have ended. */
     RequestStatistics statistics() {
         return statistics;
     }
 
-    /** A request stays in flight until the last of its attempts has ended. */
+    /** Removes a request that is closed, once the last of its attempts has ended. */
     void removeIfEnded(ProxiedRequest request) {
         if (request.state.isClosed() && !request.state.hasPendingAttempt() && requests.remove(request.number) != null) {
             statistics.record(request);
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Ends a request that gets no further attempt: with an error, unless a response was kept for it. */
+    /** Ends a request that gets no further attempt: with an error, unless a response was saved for it. */
     void fail(String number) {
         ProxiedRequest request = requests.get(number);
         if (request != null) {
@@ -93,16 +93,17 @@
         }
     }
 
-    /** Responds now: no further attempt is made, and none that is in flight is waited for. */
+    /** Responds at once: makes no further attempt, and waits for none that is in flight. */
     private void finish(ProxiedRequest request, long retryAfterMicros) {
         boolean isLate = clock.getAsLong() >= request.deadline - timerResolutionMicros;
         respond(request, request.state.finalAction(isLate), null, retryAfterMicros);
         removeIfEnded(request);
     }
 
-    /** Sends the client, or keeps for it, what the request's state says. */
-    void respond(ProxiedRequest request, RequestState.ClientAction due, RequestOutcome outcome, long retryAfterMicros) {
-        switch (due) {
+    /** Sends the client a response, or saves one for it, as the request's state decides. */
+    void respond(
+            ProxiedRequest request, RequestState.ClientAction action, RequestOutcome outcome, long retryAfterMicros) {
+        switch (action) {
             case NONE -> {}
             case SEND_RESPONSE -> request.respond(applicationResponse(outcome));
             case SAVE_RESPONSE -> request.fallbackResponse = applicationResponse(outcome);
@@ -121,7 +122,7 @@
     }
 
     private static ServerResponse applicationResponse(RequestOutcome outcome) {
-        RequestOutcome.Responded answered = (RequestOutcome.Responded) outcome;
-        return new ServerResponse(answered.status(), Headers.endToEnd(answered.headers()), answered.body());
+        RequestOutcome.Responded responded = (RequestOutcome.Responded) outcome;
+        return new ServerResponse(responded.status(), Headers.endToEnd(responded.headers()), responded.body());
     }
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/OutboundListener.java
@@ -20,8 +20,8 @@
 import org.cypressweir.dataplane.quota.TenantLimit;
 
 /**
- * Takes requests of clients and of the application on this machine, and finds route, tenant and service of
- * each; enforces the tenant's quota. Runs on the event loop; times are in microseconds.
+ * Accepts requests of clients and of the application on this machine, looks up the route, tenant and service of each,
+ * and enforces the tenant's rate limit. Runs on the event loop alone; times are in microseconds.
  */
 final class OutboundListener implements RequestHandler {
 
@@ -31,7 +31,7 @@
     private static final String CALLER_HEADER = "Cypressweir-Caller-Service";
     private static final String INSTANCE_HEADER = "Cypressweir-Target-Instance";
     private static final String TIME_REMAINING_HEADER = "Cypressweir-Time-Remaining";
-    /** The client's time runs from when it sent; this much is kept for the network, at most. */
+    /** The longest margin for the network: a client's time-out starts when it sends, not when the request arrives. */
     private static final long MAX_NETWORK_MARGIN_MICROS = 15_000;
 
     private static final int NETWORK_MARGIN_DIVISOR = 12;
@@ -50,8 +50,8 @@
     private long lastNumber;
 
     /**
-     * @param ownService the service of the application on this machine; may be null
-     * @param rollouts chooses the version of the service
+     * @param ownService gives the service of the application on this machine; may give null
+     * @param rollouts selects the version of the service during a rollout
      * @param trace where ended requests are recorded
      */
     OutboundListener(
@@ -105,7 +105,7 @@
                 retryAfterMicros -> reject(call, ErrorKind.OVER_QUOTA, retryAfterMicros));
     }
 
-    /** @param tenant null for a call without one, which is an internal call */
+    /** @param tenant null for a call that needs no API key, which is treated as an internal call */
     private void handle(ServerRequest call, String id, RouteConfiguration route, TenantConfiguration tenant) {
         boolean isInternal = tenant == null;
         String service = selectService(route, id);
@@ -116,7 +116,7 @@
         long arrivedAt = call.arrivedMicros();
         long remaining = Math.min(timeRemainingMillis(call) * 1000, route.timeoutMicros());
         long deadline = arrivedAt + remaining - Math.min(MAX_NETWORK_MARGIN_MICROS, remaining / NETWORK_MARGIN_DIVISOR);
-        handlers.handler(rollouts.choose(service, id, this::hasEndpoints), isInternal)
+        handlers.handler(rollouts.selectGroup(service, id, this::hasEndpoints), isInternal)
                 .handle(new ProxiedRequest(
                         Long.toString(++lastNumber),
                         call,
@@ -154,7 +154,7 @@
         return headers;
     }
 
-    /** What the client says that remains of its time; the maximum where it says nothing that can be read. */
+    /** The remaining time that the client's header states; the maximum if there is none or it can't be parsed. */
     private static long timeRemainingMillis(ServerRequest call) {
         String text = call.header(TIME_REMAINING_HEADER);
         if (text == null) {
@@ -168,16 +168,16 @@
     }
 
     /**
-     * One of the route's services, by their weights and the request's id, so that retries go to the same one;
-     * of those that have endpoints while any has. Null where none has a weight.
+     * Selects one of the route's services by their weights and the request's id, so that retries go to the same one.
+     * Services without endpoints are left out unless none has any. Null if no service has a weight.
      */
     private String selectService(RouteConfiguration route, String id) {
-        String last = null;
+        String lastAvailable = null;
         double totalWeight = 0;
         for (WeightedDestination destination : route.destinations()) {
             if (isAvailable(destination)) {
                 totalWeight += destination.weight();
-                last = destination.service();
+                lastAvailable = destination.service();
             }
         }
         if (totalWeight == 0) {
@@ -192,7 +192,7 @@
                 }
             }
         }
-        return last;
+        return lastAvailable;
     }
 
     private static String firstWithWeight(RouteConfiguration route) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerConnections.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerConnections.java
@@ -12,8 +12,8 @@
 import org.cypressweir.dataplane.http.upstream.RequestDispatcher;
 
 /**
- * The connections that this proxy opens to its peers: knows which peers are reachable, and hands what they
- * send to the forwarder and the endpoint directory. Used on the event loop alone.
+ * The connections that this proxy opens to its peers: tracks which peers are reachable, and passes the peers' messages
+ * to the forwarder and the endpoint directory. Used on the event loop alone.
  */
 final class PeerConnections implements PeerConnectionPool.Listener {
 
@@ -26,7 +26,7 @@
     private final Runnable onReachabilityChange;
     private final PeerConnectionPool pool;
     private final PeerForwarder forwarder;
-    /** Peers that refused or lost a connection, and none has opened since. */
+    /** Peers that refused or lost a connection, and that none has been opened to since. */
     private final Set<String> unreachable = new HashSet<>();
 
     /**
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerForwarder.java
@@ -15,13 +15,13 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * Forwards attempts to the proxy beside the chosen application instance, or hands them to the local
- * dispatcher where that proxy is this one. A request that was never completely written to the operating
- * system has not run; one that was, and whose connection is lost, may have.
+ * Forwards attempts to the proxy beside the selected application instance, or hands them to the local dispatcher if
+ * that proxy is this one. A request that was not completely written to the operating system has not run; one that was
+ * written, and whose connection is lost, may have run.
  *
- * <p>Request numbers start at this process's incarnation and only grow, over all connections: one number
- * names both the incarnation and the request, and the numbers of each connection start after its hello's.
- * The incarnation of the peer is kept as the owner of the connection.
+ * <p>Request numbers start at this process's incarnation and increase across all connections, so that one number
+ * identifies both the incarnation and the request. The requests of each connection have greater numbers than its hello
+ * message. The peer's incarnation is kept as the attachment of the connection.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
@@ -30,7 +30,7 @@
     private static final long MAX_QUEUED_BYTES = 4 * 1024 * 1024;
     private static final long RESPONSE_TIMEOUT_MICROS = 700_000;
     private static final long PING_INTERVAL_MICROS = 250_000;
-    /** Shown to operators as the outcome of an attempt; the texts are fixed. */
+    /** Shown to operators as the outcome of an attempt; this text and the next are fixed. */
     private static final String CONNECTION_LOST = "the line was lost";
 
     private static final String TIMED_OUT = "nothing is heard";
@@ -70,8 +70,9 @@
     private boolean isShuttingDown;
 
     /**
-     * @param incarnation when this process started, in microseconds: greater than any number of an earlier one
-     * @param connections the connection to an address that is to be used now; null for none
+     * @param incarnation when this process started, in microseconds: greater than any request number of an earlier
+     *     incarnation
+     * @param connections gives the connection to use now for an address; null for none
      */
     PeerForwarder(
             LongSupplier clock,
@@ -88,7 +89,7 @@
         staleMessages = new StaleMessageFilter(clock);
     }
 
-    /** The first message of a new connection; each call takes a number of its own. */
+    /** The first message of a new connection; each call uses up a request number. */
     Map<String, Object> hello(String name) {
         return PeerMessageCodec.encode(new PeerMessage.Hello(name, incarnation, ++lastNumber));
     }
@@ -126,7 +127,7 @@
         return () -> localDispatcher.cancel(handle);
     }
 
-    /** Why nothing may be sent to the endpoint on this connection; null if it may. */
+    /** Why the endpoint can't be sent to on this connection; null if it can. */
     private static RejectionReason rejection(PeerConnection connection, Endpoint endpoint) {
         if (connection == null) {
             return RejectionReason.NO_CONNECTION;
@@ -134,7 +135,7 @@
         if (connection.pendingWriteBytes() > MAX_QUEUED_BYTES) {
             return RejectionReason.FULL;
         }
-        // The connection may lead to another incarnation than the one that was selected.
+        // The connection may be to another incarnation of the proxy than the selected one.
         boolean isOtherIncarnation =
                 connection.attachment() instanceof Long incarnation && incarnation != endpoint.incarnation();
         return isOtherIncarnation ? RejectionReason.GONE : null;
@@ -163,7 +164,7 @@
         long number = response.number();
         InFlightAttempt attempt = inFlight.get(number);
         if (attempt == null || attempt.connection != connection) {
-            // Attempts that ended by a time-out or a lost connection may still be answered.
+            // A response may still arrive for an attempt that timed out or lost its connection.
             staleMessages.dropped(
                     "response",
                     number,
@@ -187,7 +188,7 @@
         }
     }
 
-    /** Attempts that were sent on a connection that is lost may have run. */
+    /** Completes all attempts on a lost connection: they may have run. */
     void connectionLost(PeerConnection connection) {
         for (InFlightAttempt attempt : List.copyOf(inFlight.values())) {
             if (attempt.connection == connection) {
@@ -196,14 +197,14 @@
         }
     }
 
-    /** From now on attempts don't time out: the process waits for what is in flight. */
+    /** Stops attempts from timing out: the shutdown waits for all that are in flight. */
     void startShutdown() {
         isShuttingDown = true;
     }
 
     /**
-     * To be called several times a second: idempotent attempts time out, and connections on which responses
-     * are awaited and nothing arrives are pinged.
+     * To be called several times a second: times out idempotent attempts, and pings connections on which a response
+     * is awaited and nothing is received.
      */
     void tick() {
         long now = clock.getAsLong();
@@ -224,12 +225,12 @@
         }
     }
 
-    /** How long neither the attempt was sent nor anything was received on its connection. */
+    /** The time since the attempt was sent or anything was received on its connection, whichever was later. */
     private static long silentMicros(InFlightAttempt attempt, long now) {
         return now - Math.max(attempt.connection.lastReceivedMicros(), attempt.sentAt);
     }
 
-    /** Whether there is no connection to the address, or it owes a response and nothing arrives. */
+    /** Whether there is no connection to the address, or an attempt there has waited in silence for too long. */
     boolean isSilent(String address) {
         PeerConnection connection = connections.apply(address);
         if (connection == null) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerMessage.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerMessage.java
@@ -6,7 +6,7 @@
 /**
  * A message between two proxies. The proxy that opens the connection sends {@link Hello}, {@link
  * ForwardedRequest} and {@link Cancellation}; the other one answers with {@link RegistrationUpdate} and {@link
- * ForwardedResponse}. {@link PeerMessageCodec} alone knows how each is written.
+ * ForwardedResponse}. {@link PeerMessageCodec} defines the encoding of each.
  *
  * <p>Immutable.
  */
@@ -16,14 +16,14 @@
      * The first message on a connection.
      *
      * @param incarnation when the sending process started; a later incarnation has a greater one
-     * @param firstNumber the number after which the requests of this connection are counted
+     * @param firstNumber a request number: the requests on this connection have greater ones
      */
     record Hello(String senderName, long incarnation, long firstNumber) implements PeerMessage {}
 
     /**
      * One attempt at a request, for the application instance beside the receiver.
      *
-     * @param receiverIncarnation the incarnation of the proxy that this was meant for
+     * @param receiverIncarnation the incarnation of the receiving proxy that may run the request
      */
     record ForwardedRequest(long number, long receiverIncarnation, UpstreamRequest request) implements PeerMessage {}
 
@@ -33,13 +33,13 @@
     /**
      * The outcome of a forwarded request.
      *
-     * @param incarnation the incarnation that answers, or {@link #UNSPECIFIED_INCARNATION}
+     * @param incarnation the incarnation of the responding proxy, or {@link #UNSPECIFIED_INCARNATION}
      */
     record ForwardedResponse(long number, long incarnation, AttemptResult result) implements PeerMessage {
 
         static final long UNSPECIFIED_INCARNATION = Long.MIN_VALUE;
     }
 
-    /** What the receiver of requests says of itself: on connection, and whenever it changes. */
+    /** The registration of the proxy that receives requests: sent on connection, and whenever it changes. */
     record RegistrationUpdate(ProxyRegistration registration) implements PeerMessage {}
 }
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerMessageCodec.java
@@ -13,10 +13,10 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * Writes and reads the heads of {@link PeerMessage}s; the body of a request or response travels beside its
- * head. Times are sent as what remains of them, since the clocks of two processes have nothing in common.
+ * Encodes and decodes the heads of {@link PeerMessage}s; the body of a request or response is sent separately from its
+ * head. Points in time are sent as the time remaining until then, since the clocks of two processes are unrelated.
  *
- * <p>All names and values here are fixed: proxies of different builds exchange them.
+ * <p>All field names and values here are fixed: proxies of different builds exchange them.
  */
 final class PeerMessageCodec {
 
@@ -77,7 +77,7 @@
                 KIND, REGISTRATION, REGISTRATION, update.registration().toMap(nowMicros));
     }
 
-    /** The head of a forwarded request; takes its parts, so that no message object is made for each request. */
+    /** Encodes the head of a forwarded request; takes its parts, so that no message object is created per request. */
     static Map<String, Object> encodeRequest(
             long number, long receiverIncarnation, UpstreamRequest request, long nowMicros) {
         return JsonCodec.map(
@@ -96,16 +96,16 @@
                 INSTANCE_ID, request.instanceId());
     }
 
-    /** The head of the response to a request that the dispatcher took. */
+    /** Encodes the head of the response to a request that was submitted to the dispatcher. */
     static Map<String, Object> encodeResponse(long number, RequestOutcome outcome, UpstreamLoad load) {
         List<Integer> loadFields = List.of(load.running(), load.waiting(), load.concurrency());
-        if (outcome instanceof RequestOutcome.Responded answered) {
+        if (outcome instanceof RequestOutcome.Responded responded) {
             return JsonCodec.map(
                     KIND, RESPONSE,
                     NUMBER, number,
                     OUTCOME, ANSWERED,
-                    STATUS, answered.status(),
-                    HEADERS, flatten(Headers.endToEnd(answered.headers())),
+                    STATUS, responded.status(),
+                    HEADERS, flatten(Headers.endToEnd(responded.headers())),
                     LOAD, loadFields);
         }
         if (outcome instanceof RequestOutcome.NotRun notRun) {
@@ -122,7 +122,7 @@
                 KIND, RESPONSE, NUMBER, number, OUTCOME, MAY_HAVE_RUN, REASON, mayHaveRun.why(), LOAD, loadFields);
     }
 
-    /** The response to a request for another incarnation than the receiver's own: it never runs here. */
+    /** Encodes the response to a request for another incarnation than the receiver's own, which never runs here. */
     static Map<String, Object> encodeWrongIncarnation(long number, long ownIncarnation) {
         return JsonCodec.map(
                 KIND, RESPONSE,
@@ -132,7 +132,7 @@
                 REASON, RejectionReason.GONE.name());
     }
 
-    /** Reads any message between proxies; null for one of an unknown kind, or a registration without a name. */
+    /** Decodes any message between proxies; null for an unknown kind or a registration without a name. */
     static PeerMessage decode(Map<String, Object> head, byte[] body, long nowMicros) {
         return switch (JsonCodec.text(head, KIND)) {
             case HELLO -> new PeerMessage.Hello(
@@ -198,7 +198,7 @@
         return number instanceof Number n ? n.intValue() : 0;
     }
 
-    /** A reason that this build doesn't know counts as a rejection by the instance. */
+    /** Decodes a rejection reason; one that this build doesn't know counts as a rejection by the instance. */
     private static RejectionReason rejectionReason(String name) {
         for (RejectionReason reason : RejectionReason.values()) {
             if (reason.name().equals(name)) {
@@ -208,7 +208,7 @@
         return RejectionReason.REFUSED;
     }
 
-    /** Names and values by turns. */
+    /** Lists names and values alternately. */
     private static List<String> flatten(List<Map.Entry<String, String>> headers) {
         List<String> flat = new ArrayList<>(2 * headers.size());
         for (Map.Entry<String, String> header : headers) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeerRequestReceiver.java
@@ -17,9 +17,9 @@
  * Receives the requests that other proxies forward, hands them to the dispatcher of the application instance
  * beside this proxy, and sends each outcome back on the connection on which the request came.
  *
- * <p>A request runs once at most, however often its message comes: each connection accepts increasing numbers
- * after its hello's, and none from the number on with which the sender's next connection or incarnation
- * starts.
+ * <p>A request runs at most once, even if its message is received again: each connection accepts only increasing
+ * request numbers, greater than the number in its hello message and less than the first number of the sender's next
+ * connection or incarnation.
  *
  * <p>Not thread-safe: used on the event loop alone.
  */
@@ -41,11 +41,11 @@
         }
     };
 
-    /** The incarnations of one sender that are known, and the first number of each one's latest connection. */
+    /** The known incarnations of one sender, each with the first number of its latest connection. */
     private static final class SenderHistory {
         private final TreeMap<Long, Long> firstNumbers = new TreeMap<>();
 
-        /** Whether the session is the latest of its incarnation; if so, it is recorded. */
+        /** Records the session if it is the latest of its incarnation; returns whether it is. */
         private boolean record(Session session) {
             Long before = firstNumbers.get(session.incarnation);
             if (before != null && session.firstNumber <= before) {
@@ -61,14 +61,14 @@
         }
     }
 
-    /** A connection after its hello: who sends on it, and which of its requests are in flight here. */
+    /** A connection after its hello message: its sender, and which of its requests are in flight here. */
     private static final class Session {
         private final String senderName;
         private final long incarnation;
         private final long firstNumber;
         /** The last number that was accepted. */
         private long lastNumber;
-        /** Exclusive: where the numbers of a later connection or incarnation start. */
+        /** The number at which a later connection or incarnation of the sender starts; exclusive. */
         private long endNumber;
 
         private final Map<Long, RequestHandle> inFlight = new HashMap<>();
@@ -81,7 +81,7 @@
         }
     }
 
-    /** @param registration the present registration of this proxy */
+    /** @param registration gives the current registration of this proxy */
     PeerRequestReceiver(LongSupplier clock, RequestDispatcher dispatcher, Supplier<ProxyRegistration> registration) {
         this.clock = clock;
         this.dispatcher = dispatcher;
@@ -122,7 +122,7 @@
         }
     }
 
-    /** A sender's newer connection ends the numbers of its older ones; an older one that comes late is closed. */
+    /** A newer connection limits the numbers of the sender's older ones; an older one that comes late is closed. */
     private void receiveHello(PeerConnection connection, PeerMessage.Hello hello) {
         Session session = new Session(hello);
         Session before = sessions.get(connection);
@@ -154,7 +154,7 @@
         long number = request.number();
         long ownIncarnation = registration.get().incarnation();
         if (session != null && request.receiverIncarnation() != ownIncarnation) {
-            // It runs here on no connection, however often it comes.
+            // It can't run at this incarnation, on whichever connection it is received again.
             connection.send(PeerMessageCodec.encodeWrongIncarnation(number, ownIncarnation));
             return;
         }
@@ -198,11 +198,11 @@
         if (!connection.isOpen()) {
             return;
         }
-        byte[] body = outcome instanceof RequestOutcome.Responded answered ? answered.body() : EMPTY_BODY;
+        byte[] body = outcome instanceof RequestOutcome.Responded responded ? responded.body() : EMPTY_BODY;
         connection.send(PeerMessageCodec.encodeResponse(number, outcome, dispatcher.load()), body, null);
     }
 
-    /** Requests of a closed connection are cancelled; those that are not idempotent run on all the same. */
+    /** Cancels the requests of a closed connection; those that are not idempotent still run to their end. */
     @Override
     public void closed(PeerConnection connection) {
         Session session = sessions.remove(connection);
--- a/src/main/java/org/cypressweir/dataplane/proxy/PeriodicTasks.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/PeriodicTasks.java
@@ -9,19 +9,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * Runs the periodic tasks of a proxy on its event loop, in the order in which they were added: some at each tick,
- * others at each so many ticks. A task that throws ends its tick, and neither the timer nor the process.
+ * Runs the periodic tasks of a proxy on its event loop, in the order in which they were added: some at every tick,
+ * others at every n-th tick. A task that throws ends the current tick, but neither the timer nor the process.
  *
  * <p>Tasks are added before {@link #start}, on one thread; the timer runs until the event loop ends.
  */
 final class PeriodicTasks {
 
-    /** The name is that of the process: operators find the process's own log lines by it. */
+    /** Logs under the name of the process: operators find the process's own log lines by it. */
     private static final Logger LOG = Logger.getLogger(Proxy.class);
 
     private static final int TICK_MILLIS = 50;
 
-    /** @param task takes the time at which the tick began, in microseconds */
+    /**
+     * @param ticks the period, in ticks
+     * @param task takes the time at which the tick began, in microseconds
+     */
     private record PeriodicTask(int ticks, LongConsumer task) {}
 
     private final EventLoop loop;
@@ -34,12 +37,12 @@
         this.clock = clock;
     }
 
-    /** Adds a task that runs at each tick, with the time at which the tick began in microseconds. */
+    /** Adds a task that runs at every tick; it takes the time at which the tick began, in microseconds. */
     void everyTick(LongConsumer task) {
         tasks.add(new PeriodicTask(1, task));
     }
 
-    /** Adds a task that runs once in so many ticks. */
+    /** Adds a task that runs once in this many ticks. */
     void every(int ticksPerRun, Runnable task) {
         tasks.add(new PeriodicTask(ticksPerRun, now -> task.run()));
     }
@@ -58,7 +61,7 @@
                 }
             }
         } catch (RuntimeException | Error e) {
-            // The executor would not run a periodic task again that threw.
+            // The executor stops repeating a periodic task that throws.
             LOG.error("A tick failed.", e);
         }
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxiedRequest.java
@@ -42,14 +42,14 @@
 
         /** The outcome as operators read it; null while the attempt is in flight. */
         private String describeOutcome() {
-            if (outcome instanceof RequestOutcome.Responded answered) {
+            if (outcome instanceof RequestOutcome.Responded responded) {
                 if (timedOut) {
                     return "answered late";
                 }
-                return answered.status() < FIRST_ERROR_STATUS ? "answered" : "answered an error";
+                return responded.status() < FIRST_ERROR_STATUS ? "answered" : "answered an error";
             }
             if (outcome instanceof RequestOutcome.NotRun notRun) {
-                return NOT_RUN[notRun.reason().ordinal()];
+                return NOT_RUN_DESCRIPTIONS[notRun.reason().ordinal()];
             }
             return outcome instanceof RequestOutcome.MayHaveRun mayHaveRun ? mayHaveRun.why() : null;
         }
@@ -57,16 +57,16 @@
 
     private static final int FIRST_ERROR_STATUS = 500;
     private static final int EXPECTED_ATTEMPTS = 2;
-    /** By the ordinal of the reason. */
-    private static final String[] NOT_RUN = Arrays.stream(RejectionReason.values())
+    /** Descriptions of the outcomes of attempts that have not run, by the ordinal of the reason. */
+    private static final String[] NOT_RUN_DESCRIPTIONS = Arrays.stream(RejectionReason.values())
             .map(reason -> "not run: " + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '))
             .toArray(String[]::new);
 
-    /** By which the load balancer knows the request. */
+    /** Identifies the request to the load balancer. */
     final String number;
 
     final ServerRequest call;
-    /** The client's id of the request, the same for all attempts. */
+    /** The id that the client gave the request, the same for all attempts. */
     final String id;
 
     final RouteConfiguration route;
@@ -74,11 +74,11 @@
     final String tenant;
 
     final int priority;
-    /** Whether it is a call of the local application without a tenant. */
+    /** Whether the call has no tenant and is treated as one of the local application. */
     final boolean internal;
 
     final long arrivedAt;
-    /** When a response would still meet the route's latency target. */
+    /** The latest time at which a response meets the route's latency target. */
     final long latencyTargetAt;
 
     final long deadline;
@@ -86,7 +86,7 @@
     final List<Attempt> attempts = new ArrayList<>(EXPECTED_ATTEMPTS);
     /** Which attempts and which response are still allowed. */
     final RequestState state;
-    /** The application's own response that is no success, kept in case that there is no other. */
+    /** An unsuccessful response of the application, saved in case no better one arrives. */
     ServerResponse fallbackResponse;
     /** The proxy's own error; null where the response is the application's. */
     ErrorKind error;
@@ -94,7 +94,7 @@
     ScheduledFuture<?> deadlineTimer;
     ScheduledFuture<?> admissionTimer;
     private final RequestTrace trace;
-    private long answeredAt;
+    private long closedAt;
     private int status;
 
     /** @param trace where the request is recorded once it has ended */
@@ -126,32 +126,32 @@
         this.trace = trace;
     }
 
-    /** How long after its arrival a response would still meet the latency target. */
+    /** The latency target: how long after the request's arrival a response still meets it. */
     long latencyTargetMicros() {
         return latencyTargetAt - arrivedAt;
     }
 
-    /** The status of its response; 0 where the client disconnected before there was one. */
+    /** The status of the response; 0 if the client disconnected before there was one. */
     int status() {
         return status;
     }
 
-    /** How long after its arrival it was closed: by its response, or since the client disconnected. */
+    /** The time from the request's arrival to its response, or until the client disconnected. */
     long durationMicros() {
-        return answeredAt - arrivedAt;
+        return closedAt - arrivedAt;
     }
 
-    /** Records the request: it has ended, and so have all its attempts. */
+    /** Records the request in its trace; to be called once it and all its attempts have ended. */
     void recordEnd(String service) {
         recordTo(trace, service);
     }
 
-    /** Records the request as far as it has come. */
+    /** Adds the request to a trace, as far as it has progressed. */
     void recordTo(RequestTrace target, String service) {
         target.addRequest(id, call.host(), call.path(), arrivedAt);
         target.setRoute(route.name(), service, tenant);
         if (state.isClosed()) {
-            target.setResponse(answeredAt, status, error);
+            target.setResponse(closedAt, status, error);
         }
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
@@ -173,14 +173,14 @@
         }
     }
 
-    /** The client has disconnected: no response is owed any more. */
+    /** Closes the request without a response, since the client has disconnected. */
     void clientDisconnected() {
         state.onDisconnect();
         close();
     }
 
     private void close() {
-        answeredAt = trace.nowMicros();
+        closedAt = trace.nowMicros();
         cancel(deadlineTimer);
         cancel(admissionTimer);
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/Proxy.java
@@ -36,7 +36,7 @@
 
 /**
  * The data-plane process beside one application instance: assembles its parts, opens its sockets, starts its
- * {@link PeriodicTasks} and shuts it down on SIGTERM. All of its parts run on one event loop, but for the parsing of
+ * {@link PeriodicTasks} and shuts it down on SIGTERM. All of its parts run on one event loop, except for the parsing of
  * configurations. {@link #run} blocks its thread until the process ends.
  */
 public final class Proxy {
@@ -47,9 +47,9 @@
     private static final int TICKS_PER_ROLLOUT_REPORT = 6;
     private static final int TICKS_PER_DEMAND_PUBLICATION = 20;
     private static final int TICKS_PER_SETTINGS_CHECK = 20;
-    /** Repeating the registration repairs whatever a controller has missed. */
+    /** The registration is repeated so that a controller that missed an update gets it. */
     private static final int TICKS_PER_REGISTRATION = 40;
-    /** Requests in flight with one id that operators are shown at most. */
+    /** How many requests in flight with one id a trace shows operators at most. */
     private static final int MAX_TRACES_IN_FLIGHT = 16;
 
     private static final long ENDPOINT_RETENTION_MICROS = 3_000_000;
@@ -82,7 +82,7 @@
     private final ControllerClient controllers;
     private final OutboundListener outboundListener;
     private final Object outboundLock = new Object();
-    /** Null before it is opened; guarded by the lock, as is whether it may still be opened. */
+    /** Null before it is opened; guarded by {@link #outboundLock}, as is {@link #isShuttingDown}. */
     private HttpListener outbound;
 
     private boolean isShuttingDown;
@@ -161,7 +161,7 @@
         });
     }
 
-    /** Runs until the process is ended; a status above 0 where it can't start. */
+    /** Runs until the process is told to end; returns its exit status, which is above 0 if it couldn't start. */
     public static int run(Map<String, String> env, PrintStream err) {
         LogConfiguration.install(err, false);
         return SettingsLoader.run(
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Opens the clients' listener, unless the process was told to end while it started. */
+    /** Opens the listener for clients, unless shutdown began while the process was starting. */
     private void openOutbound() throws IOException {
         synchronized (outboundLock) {
             if (!isShuttingDown) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyMetrics.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyMetrics.java
@@ -7,7 +7,7 @@
 import org.cypressweir.dataplane.quota.TenantUsage;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
-/** Puts a proxy's metrics on a page. Made for one page; used on the event loop. */
+/** Writes a proxy's metrics to a {@link MetricsPage}. Made anew for each page; used on the event loop alone. */
 final class ProxyMetrics {
 
     private static final String[] STATUS_CLASSES = {"disconnected", "1xx", "2xx", "3xx", "4xx", "5xx"};
@@ -18,7 +18,7 @@
         this.page = page;
     }
 
-    /** @param isInternal whether the handler is that of the applications' own calls, without a tenant */
+    /** @param isInternal whether the handler is the one of the application's own calls, which have no tenant */
     void addService(String service, boolean isInternal, ServiceRequestHandler handler) {
         String[] labels = {"service", service, "caller", isInternal ? "application" : "tenant"};
         RequestStatistics statistics = handler.statistics();
@@ -28,7 +28,7 @@
                         "cypressweir_requests",
                         "Requests that have ended, by the class of their status.",
                         statistics.requests(i),
-                        with(labels, "status", STATUS_CLASSES[i]));
+                        withLabel(labels, "status", STATUS_CLASSES[i]));
             }
         }
         for (Result result : Result.values()) {
@@ -37,7 +37,7 @@
                         "cypressweir_attempts",
                         "Attempts at application instances, by their result.",
                         statistics.attempts(result),
-                        with(labels, "result", lowerCase(result.name())));
+                        withLabel(labels, "result", lowerCase(result.name())));
             }
         }
         page.counter(
@@ -56,10 +56,10 @@
                         "cypressweir_local_responses",
                         "Error responses of the proxy itself to requests that a service was chosen for.",
                         count,
-                        with(labels, "kind", lowerCase(error.name()))));
+                        withLabel(labels, "kind", lowerCase(error.name()))));
     }
 
-    private static String[] with(String[] labels, String name, String value) {
+    private static String[] withLabel(String[] labels, String name, String value) {
         return new String[] {labels[0], labels[1], labels[2], labels[3], name, value};
     }
 
@@ -67,7 +67,7 @@
         return name.toLowerCase(Locale.ROOT);
     }
 
-    /** Requests that were rejected before a service was chosen, by kind of error. */
+    /** Adds the requests that were rejected before a service was chosen, by kind of error. */
     void addRejections(Map<String, Long> countsByKind) {
         countsByKind.forEach((kind, count) -> page.counter(
                 "cypressweir_rejections",
@@ -77,7 +77,7 @@
                 lowerCase(kind)));
     }
 
-    /** What the rate limits of tenants let through here. */
+    /** Adds what the rate limits of tenants have admitted and rejected at this proxy. */
     void addQuotas(Map<String, TenantUsage> usageByTenant) {
         usageByTenant.forEach((tenant, usage) -> {
             addQuotaRequests(tenant, "admitted", usage.admitted());
@@ -108,7 +108,11 @@
                 result);
     }
 
-    /** The application instance beside this proxy, and what this proxy has forwarded to others. */
+    /**
+     * Adds the load of the application instance beside this proxy.
+     *
+     * @param forwarded attempts that are in flight at other proxies
+     */
     void addUpstream(UpstreamLoad load, int forwarded) {
         page.gauge("cypressweir_upstream_running", "Requests running at the instance here.", load.running());
         page.gauge("cypressweir_upstream_waiting", "Requests waiting for the instance here.", load.waiting());
@@ -119,7 +123,7 @@
         page.gauge("cypressweir_forwarded_in_flight", "Attempts in flight at other proxies.", forwarded);
     }
 
-    /** @param controllers whether something is received from each controller, by its address */
+    /** @param controllers by address, whether messages are being received from the controller */
     void addControlPlane(Map<String, Boolean> controllers, int proxies, int items) {
         page.gauge(
                 "cypressweir_controllers_active",
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStateReporter.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStateReporter.java
@@ -7,7 +7,7 @@
 import org.cypressweir.common.diagnostics.RequestTrace;
 import org.cypressweir.common.diagnostics.StateEndpoint;
 
-/** Answers the calls of operators that ask for the proxy's state or for the traces of a request. */
+/** Answers operators' calls for the proxy's state and for the traces of a request. */
 final class ProxyStateReporter implements StateEndpoint.StateSource {
 
     private final Supplier<ProxyStatus> status;
@@ -15,7 +15,7 @@
     private final ServiceHandlers handlers;
     private final Supplier<RequestTrace> newTrace;
 
-    /** @param newTrace makes an empty trace for the requests of one id that are in flight */
+    /** @param newTrace creates an empty trace, for the requests in flight with one id */
     ProxyStateReporter(
             Supplier<ProxyStatus> status,
             RequestTrace endedRequests,
--- a/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ProxyStatus.java
@@ -15,8 +15,8 @@
 import org.cypressweir.dataplane.quota.DemandMeter;
 
 /**
- * The state of a proxy as operators read it. Made anew for each call: the owner puts the parts in, in the order
- * in which they are shown. The names are fixed: they are part of the state call.
+ * The state of a proxy in the form that operators see. Built anew for each call: the caller adds the parts in the order
+ * in which they are shown. The names in it are fixed, as they are part of the state call's format.
  */
 final class ProxyStatus {
 
@@ -42,7 +42,7 @@
                 routingTable.configuration().size());
     }
 
-    /** All controllers, each with whether anything is received from it. */
+    /** Adds all controllers, each with whether messages are being received from it. */
     void putControllers(ControllerClient client) {
         List<Object> controllers = new ArrayList<>();
         client.controllers()
@@ -51,7 +51,7 @@
         state.put("harbours", controllers);
     }
 
-    /** The peers that a connection is wanted to. */
+    /** Adds the peers that this proxy connects to. */
     void putPeers(PeerConnections connections) {
         List<Object> peers = new ArrayList<>();
         connections.addresses().stream().sorted().forEach(address -> {
@@ -69,7 +69,7 @@
         state.put("peers", peers);
     }
 
-    /** All proxies that are known, and where operators reach each. */
+    /** Adds all known proxies, each with its address for operators. */
     void putProxies(EndpointDirectory directory) {
         List<Object> proxies = new ArrayList<>();
         for (ProxyRegistration proxy : directory.all()) {
@@ -78,7 +78,7 @@
         state.put("pilots", proxies);
     }
 
-    /** Every application instance that is known, by service, and whether requests are sent to it. */
+    /** Adds all known application instances by service, each with whether requests are sent to it. */
     void putServices(EndpointDirectory directory, ProxyRegistration own, PeerConnections peers) {
         Map<String, List<Object>> services = new TreeMap<>();
         for (ProxyRegistration known : directory.all()) {
@@ -107,7 +107,7 @@
                 "chosen", isReachable && registration.acceptsRequests());
     }
 
-    /** The application instance beside this proxy. */
+    /** Adds the application instance beside this proxy. */
     void putOwnInstance(ProxyRegistration own, UpstreamLoad load) {
         ApplicationInstance instance = own.instance();
         state.put(
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Requests in flight.
+     * Adds the requests in flight.
      *
      * @param forwarded attempts in flight at other proxies
      */
@@ -133,7 +133,7 @@
         state.put("requests", JsonCodec.map("open", open, "hops", forwarded, "services", byService));
     }
 
-    /** The proxy's own error responses since the start, by kind of error. */
+    /** Adds the proxy's own error responses since the start, by kind of error. */
     void putLocalResponses(Map<String, Long> rejectionCounts, Map<String, ServiceRequestHandler> handlers) {
         Map<String, Long> counts = new TreeMap<>(rejectionCounts);
         for (ServiceRequestHandler handler : handlers.values()) {
@@ -142,7 +142,7 @@
         state.put("refusals", counts);
     }
 
-    /** Tenants with their rate limits and their demand here, in requests a second. */
+    /** Adds the tenants with their rate limits and their demand at this proxy, in requests per second. */
     void putTenants(DemandMeter meter) {
         Map<String, Double> demand = meter.demand(now);
         List<Object> tenants = new ArrayList<>();
--- a/src/main/java/org/cypressweir/dataplane/proxy/QuotaExchange.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/QuotaExchange.java
@@ -19,8 +19,8 @@
 
 /**
  * Connects the {@link QuotaGate} of this proxy to the controllers: exchanges tokens with them, and keeps the number of
- * proxies by which the limits are divided. That is the largest number that this proxy has counted or that a controller
- * has announced.
+ * proxies by which the limits are divided. This number is the largest one that this proxy has counted itself or that a
+ * controller has announced.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
@@ -54,12 +54,12 @@
         return gate.usage(clock.getAsLong());
     }
 
-    /** The limits of a configuration that comes into force. */
+    /** Takes over the tenants' limits of a configuration that comes into force. */
     void updateLimits(Configuration configuration) {
         gate.updateLimits(clock.getAsLong(), TenantLimit.all(configuration));
     }
 
-    /** Counts the proxies of the endpoint directory; to be called about once a second. */
+    /** Counts the proxies in the endpoint directory; to be called about once a second. */
     void countProxies(Collection<ProxyRegistration> registrations) {
         long now = clock.getAsLong();
         int before = proxyCounter.count();
@@ -76,7 +76,7 @@
         updateProxyCount();
     }
 
-    /** How many proxies this one has seen itself. */
+    /** How many proxies this one has counted itself. */
     int seenProxies() {
         return proxyCounter.count();
     }
@@ -86,7 +86,10 @@
         updateProxyCount();
     }
 
-    /** Forgets what other controllers have announced; those that are only silent are kept. */
+    /**
+     * Forgets the counts that other controllers have announced. The count of a controller in the set is
+     * kept even while it is silent.
+     */
     void retainControllers(Set<String> addresses) {
         announcedCounts.keySet().retainAll(addresses);
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ReadinessEndpoint.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ReadinessEndpoint.java
@@ -11,16 +11,16 @@
 import org.jboss.logging.Logger;
 
 /**
- * Answers the readiness call: a proxy is ready from its start with a configuration that is confirmed, or that nobody
- * has confirmed in time, while any service has endpoints, until it shuts down.
+ * Answers the readiness call. A proxy becomes ready once its configuration is confirmed or the wait for a confirmation
+ * has timed out; it stays ready until it shuts down, as long as any service has endpoints.
  *
  * <p>Not thread-safe: used on the event loop alone. Lives as long as the proxy.
  */
 final class ReadinessEndpoint implements RequestHandler {
 
-    /** The name is that of the process: operators find the process's own log lines by it. */
+    /** Logs under the name of the process: operators find the process's own log lines by it. */
     private static final Logger LOG = Logger.getLogger(Proxy.class);
-    /** How long a proxy that starts waits for its configuration to be confirmed. */
+    /** How long a starting proxy waits for its configuration to be confirmed. */
     private static final long DEFAULT_CONFIRMATION_TIMEOUT_MICROS = 3_000_000;
 
     private static final long NOT_READY_RETRY_AFTER_MICROS = 500_000;
@@ -64,7 +64,7 @@
         return !isShuttingDown && !routingTables.current().isEmpty() && checkStart() && handlers.hasEndpoints();
     }
 
-    /** Whether the configuration is confirmed to be new enough to start with, or nobody has confirmed one. */
+    /** Whether the proxy has started: its configuration was confirmed, or the wait for that has timed out. */
     boolean checkStart() {
         if (!hasStarted) {
             long timeout = settings.get().durationMicros("contact", DEFAULT_CONFIRMATION_TIMEOUT_MICROS);
@@ -78,7 +78,7 @@
         return hasStarted;
     }
 
-    /** From now on the proxy is not ready. */
+    /** Makes the proxy report that it is not ready from now on. */
     void startShutdown() {
         isShuttingDown = true;
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/ReadinessGate.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ReadinessGate.java
@@ -7,19 +7,19 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * Decides whether a proxy that starts may serve with the configuration that it has: a controller has to
- * confirm that nothing newer was committed as of a moment not long ago. Where nobody confirms it within a
- * time-out, because the controllers have no majority or this proxy doesn't reach it, the proxy starts with
- * what there is. Once it has started it stays so.
+ * Decides whether a starting proxy may serve with the configuration that it has: a controller must confirm that
+ * nothing newer had been committed as of a recent time. If no controller confirms this within a time-out, because the
+ * controllers have no majority or this proxy doesn't reach it, the proxy starts with the configuration that it has. The
+ * decision to start is final.
  *
- * <p>Each query carries this proxy's own time, which the answer repeats, so that a delayed answer counts as
- * of its query.
+ * <p>Each query carries the time at this proxy, which the answer repeats: a delayed answer is only as recent as its
+ * query.
  *
  * <p>Not thread-safe: used on the event loop alone. All times are in microseconds.
  */
 final class ReadinessGate {
 
-    /** A controller whose contact with a majority is older counts as partitioned. */
+    /** A controller whose last contact with a majority is older than this counts as partitioned. */
     static final long MAX_CONTACT_AGE_MICROS = 2_000_000;
 
     private static final long QUERY_INTERVAL_MICROS = 200_000;
@@ -33,7 +33,7 @@
     private boolean started;
     private boolean isConfirmed;
 
-    /** Whether controllers are to be queried now; if so, the next query is due an interval later. */
+    /** Whether controllers are to be queried now; if so, the next query is due one interval later. */
     boolean isQueryDue(long now) {
         if (started || now - lastQueryAt < QUERY_INTERVAL_MICROS) {
             return false;
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /** A controller answers the query of that time. A negative age says that it can confirm nothing. */
+    /** Takes a controller's answer to the query of that time. A negative age says that it can confirm nothing. */
     void confirmationReceived(long now, String controller, long queriedAt, ProposalNumber version, long ageMicros) {
         if (version != null && ageMicros >= 0 && queriedAt <= now) {
             confirmations.put(controller, new Confirmation(version, queriedAt - ageMicros));
@@ -50,7 +50,7 @@
         contactAgeReceived(controller, ageMicros);
     }
 
-    /** A controller says how long ago it was in contact with a majority; negative if it isn't. */
+    /** Takes how long ago a controller was in contact with a majority; negative if it isn't in contact. */
     void contactAgeReceived(String controller, long ageMicros) {
         if (ageMicros < 0 || ageMicros > MAX_CONTACT_AGE_MICROS) {
             partitioned.add(controller);
@@ -64,14 +64,14 @@
         partitioned.remove(controller);
     }
 
-    /** Those that are in contact with a majority, as far as is known; all of them where none is. */
+    /** Those of the controllers that are in contact with a majority, as far as known; all of them if none is. */
     Set<String> inContact(Set<String> controllers) {
         Set<String> inContact = new HashSet<>(controllers);
         inContact.removeAll(partitioned);
         return inContact.isEmpty() ? controllers : inContact;
     }
 
-    /** Whether one of the controllers is in contact with a majority, as far as is known. */
+    /** Whether any of the controllers is in contact with a majority, as far as known. */
     boolean isAnyInContact(Set<String> controllers) {
         return controllers.stream().anyMatch(controller -> !partitioned.contains(controller));
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/RequestClassTable.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RequestClassTable.java
@@ -9,9 +9,9 @@
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 
 /**
- * Numbers the classes of requests that the load balancer tells apart: requests are of one class where their
- * idempotence, latency target, time-out and priority are the same. Grows with the routes in use; used on the
- * event loop alone.
+ * Numbers the classes of requests that the load balancer tells apart. Requests of one class are alike in idempotence,
+ * latency target, time-out, priority and in whether they are internal calls. The table grows with the routes in use.
+ * Used on the event loop alone.
  */
 final class RequestClassTable {
 
@@ -27,12 +27,12 @@
     private final Map<Key, Integer> numbers = new HashMap<>();
     private List<RequestClass> classes = List.of(INITIAL);
 
-    /** All classes; a request's class is its number's place here. */
+    /** All classes, in the order of their numbers. */
     List<RequestClass> classes() {
         return classes;
     }
 
-    /** The number of the request's class; {@link #classes()} grows where it is new. */
+    /** The number of the request's class; a new class is added to {@link #classes()}. */
     int numberOf(ProxiedRequest request) {
         Key key = new Key(
                 request.route.idempotent(),
--- a/src/main/java/org/cypressweir/dataplane/proxy/RequestStatistics.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RequestStatistics.java
@@ -13,14 +13,14 @@
     private static final int STATUSES_PER_CLASS = 100;
     private static final int RESULTS = Result.values().length;
 
-    /** By the first digit of the response's status; at 0 those whose client disconnected first. */
+    /** By the first digit of the response's status; at index 0 those whose client disconnected before the response. */
     private final long[] requestsByStatusClass = new long[STATUS_CLASSES];
 
     private final long[] attemptsByResult = new long[RESULTS];
     private long retries;
     private final LatencyHistogram durations = new LatencyHistogram();
 
-    /** Counts a request that has ended with all its attempts. */
+    /** Counts a request that has ended, as have all its attempts. */
     void record(ProxiedRequest request) {
         int status = request.status();
         requestsByStatusClass[Math.min(STATUS_CLASSES - 1, status / STATUSES_PER_CLASS)]++;
@@ -38,7 +38,7 @@
         return attempt.timedOut ? Result.TIMED_OUT : AttemptReports.result(attempt.outcome);
     }
 
-    /** Requests by the first digit of their status; at 0 those whose client disconnected first. */
+    /** Requests with this first digit of their status; 0 for those whose client disconnected before the response. */
     long requests(int statusClass) {
         return requestsByStatusClass[statusClass];
     }
@@ -47,12 +47,12 @@
         return attemptsByResult[result.ordinal()];
     }
 
-    /** Attempts after the first of each request, hedged ones among them. */
+    /** Attempts after the first of each request, including hedged ones. */
     long retries() {
         return retries;
     }
 
-    /** From the arrival of a request to its response. */
+    /** The times from the arrival of each request to its response. */
     LatencyHistogram durations() {
         return durations;
     }
--- a/src/main/java/org/cypressweir/dataplane/proxy/RequestTimers.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RequestTimers.java
@@ -8,9 +8,9 @@
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 
 /**
- * The two timers of a request to one service. At its deadline the request gets its response, whatever its attempts
- * do. Before that, a request that no instance has capacity for is rejected early, so that its client may retry in
- * time. {@link ProxiedRequest} cancels both timers when it is closed.
+ * The two timers of a request to one service. At its deadline the request gets its response, even if attempts are
+ * still in flight. Before that, a request that no instance has capacity for is rejected early, so that its client can
+ * still retry in time. {@link ProxiedRequest} cancels both timers when it is closed.
  *
  * <p>Not thread-safe: used on the event loop alone, where the timers run too. Lives as long as its
  * {@link ServiceRequestHandler}. All times are in microseconds.
@@ -18,9 +18,9 @@
 final class RequestTimers {
 
     private static final long MIN_ADMISSION_WAIT_MICROS = 1_000;
-    /** Part of the latency target for which a request waits for capacity at most. */
+    /** The longest wait for capacity, as a part of the latency target. */
     private static final double ADMISSION_WAIT_PART = 0.23;
-    /** The part of its time before the latency target after which a rejected request should be retried. */
+    /** A rejected request should be retried after its latency target divided by this. */
     private static final long REJECTION_RETRY_DIVISOR = 4;
 
     private final EventLoop loop;
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Does nothing while an attempt is in flight, or where the timer runs. */
+    /** Starts the admission timer, unless an attempt is in flight or the timer runs already. */
     void scheduleAdmissionTimeout(ProxiedRequest request) {
         if (request.state.isClosed() || request.state.hasPendingAttempt() || request.admissionTimer != null) {
             return;
--- a/src/main/java/org/cypressweir/dataplane/proxy/RolloutRouting.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RolloutRouting.java
@@ -15,9 +15,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
 /**
- * Divides the instances of a service by their versions while a new version is rolled out, and the requests between
- * them. Each group of instances is named like a service and has request handlers of its own. Keeps what became of the
- * requests to both groups, for the controllers, and stops sending to a new version that fails here at once.
+ * Splits the instances of a service into groups by version while a new version is rolled out, and splits the requests
+ * between the groups. The request handlers treat each group as a service of its own, under the group's name. Collects
+ * the results of both groups for the controllers, and suspends a new version whose attempts fail here without waiting
+ * for the controllers to revert it.
  *
  * <p>Not thread-safe: used on the event loop alone.
  */
@@ -25,21 +26,22 @@
 
     private static final String GROUP_SEPARATOR = "@";
     private static final int SHARE_BITS = 20;
-    /** Of the last answers of a new version, so many are looked at here, and so many of them have to be bad. */
-    private static final int RECENT_ANSWERS = 12;
+    /** How many of the latest results of a new version are kept to decide on its suspension. */
+    private static final int RECENT_RESULTS = 12;
 
-    private static final int MAX_RECENT_BAD = 6;
+    /** How many of the {@link #RECENT_RESULTS} must be failures to suspend the new version. */
+    private static final int FAILURES_TO_SUSPEND = 6;
 
-    /** One service's last rollout, and what was seen of it here. */
-    private static final class Entry {
+    /** The latest rollout of one service, and the results of its attempts at this proxy. */
+    private static final class ServiceRollout {
         private Rollout rollout;
-        private VersionSamples old = new VersionSamples();
-        private VersionSamples target = new VersionSamples();
-        /** The last answers of the new version, a bit each: 1 is bad. */
-        private int recentAnswers;
+        private VersionSamples baseSamples = new VersionSamples();
+        private VersionSamples targetSamples = new VersionSamples();
+        /** The latest results of the new version, one bit each: 1 is a failure. */
+        private int recentResults;
 
         private boolean isSuspended() {
-            return Integer.bitCount(recentAnswers) >= MAX_RECENT_BAD;
+            return Integer.bitCount(recentResults) >= FAILURES_TO_SUSPEND;
         }
 
         private String targetGroup() {
@@ -55,69 +57,71 @@
         }
     }
 
-    private final Map<String, Entry> entries = new HashMap<>();
+    private final Map<String, ServiceRollout> rolloutsByService = new HashMap<>();
 
-    /** The rollouts of a configuration that comes into force. */
+    /** Takes over the rollouts of a configuration that comes into force. */
     void update(Configuration configuration) {
         for (Rollout rollout : Rollout.all(configuration)) {
-            Entry entry = entries.computeIfAbsent(rollout.service(), service -> new Entry());
-            if (entry.rollout == null || !entry.rollout.targetVersion().equals(rollout.targetVersion())) {
-                entry.old = new VersionSamples();
-                entry.target = new VersionSamples();
+            ServiceRollout serviceRollout =
+                    rolloutsByService.computeIfAbsent(rollout.service(), service -> new ServiceRollout());
+            if (serviceRollout.rollout == null
+                    || !serviceRollout.rollout.targetVersion().equals(rollout.targetVersion())) {
+                serviceRollout.baseSamples = new VersionSamples();
+                serviceRollout.targetSamples = new VersionSamples();
             }
-            if (entry.rollout == null || entry.rollout.itemVersion() != rollout.itemVersion()) {
-                entry.recentAnswers = 0;
+            if (serviceRollout.rollout == null || serviceRollout.rollout.itemVersion() != rollout.itemVersion()) {
+                serviceRollout.recentResults = 0;
             }
-            entry.rollout = rollout;
+            serviceRollout.rollout = rollout;
         }
     }
 
-    /** The group of an instance; null for one that gets no requests. */
+    /** The group of an instance of this version; null if instances of this version get no requests. */
     String groupOf(String service, String version) {
-        Entry entry = entries.get(service);
-        if (entry == null) {
+        ServiceRollout serviceRollout = rolloutsByService.get(service);
+        if (serviceRollout == null) {
             return service;
         }
-        boolean isTarget = version.equals(entry.rollout.targetVersion());
-        return switch (entry.rollout.state()) {
-            case IN_PROGRESS -> isTarget ? entry.targetGroup() : entry.baseGroup();
-            case REVERTED -> isTarget ? null : entry.baseGroup();
-            case COMPLETED -> isTarget ? entry.targetGroup() : null;
+        boolean isTarget = version.equals(serviceRollout.rollout.targetVersion());
+        return switch (serviceRollout.rollout.state()) {
+            case IN_PROGRESS -> isTarget ? serviceRollout.targetGroup() : serviceRollout.baseGroup();
+            case REVERTED -> isTarget ? null : serviceRollout.baseGroup();
+            case COMPLETED -> isTarget ? serviceRollout.targetGroup() : null;
         };
     }
 
     /**
-     * Leaves as many instances of new versions as their share of the requests needs: each of them is to bear what it
-     * will bear later. All proxies choose the same ones.
+     * Keeps only as many instances of each new version as its share of the requests needs, so that each of them already
+     * gets the load that it will have after the rollout. All proxies keep the same instances.
      */
     void limitTargets(Map<String, List<Endpoint>> endpointsByGroup) {
-        for (Entry entry : entries.values()) {
-            List<Endpoint> targets = endpointsByGroup.get(entry.targetGroup());
-            double share = entry.rollout.shareOfTarget();
-            if (entry.rollout.isInProgress() && targets != null && share < 1) {
+        for (ServiceRollout serviceRollout : rolloutsByService.values()) {
+            List<Endpoint> targets = endpointsByGroup.get(serviceRollout.targetGroup());
+            double share = serviceRollout.rollout.shareOfTarget();
+            if (serviceRollout.rollout.isInProgress() && targets != null && share < 1) {
                 List<Endpoint> ordered = new ArrayList<>(targets);
                 ordered.sort(Comparator.comparingLong(Endpoint::id));
                 int count = (int) Math.ceil(share * ordered.size());
-                endpointsByGroup.put(entry.targetGroup(), new ArrayList<>(ordered.subList(0, count)));
+                endpointsByGroup.put(serviceRollout.targetGroup(), new ArrayList<>(ordered.subList(0, count)));
             }
         }
     }
 
-    /** The group that a request goes to. */
-    String choose(String service, String requestId, Predicate<String> hasEndpoints) {
-        Entry entry = entries.get(service);
-        if (entry == null) {
+    /** The group that a request goes to; requests are divided by their ids. */
+    String selectGroup(String service, String requestId, Predicate<String> hasEndpoints) {
+        ServiceRollout serviceRollout = rolloutsByService.get(service);
+        if (serviceRollout == null) {
             return service;
         }
         boolean takesTarget =
-                switch (entry.rollout.state()) {
+                switch (serviceRollout.rollout.state()) {
                     case COMPLETED -> true;
                     case REVERTED -> false;
-                    case IN_PROGRESS -> !entry.isSuspended()
-                            && position(requestId) < entry.rollout.shareOfTarget()
-                            && hasEndpoints.test(entry.targetGroup());
+                    case IN_PROGRESS -> !serviceRollout.isSuspended()
+                            && position(requestId) < serviceRollout.rollout.shareOfTarget()
+                            && hasEndpoints.test(serviceRollout.targetGroup());
                 };
-        return takesTarget ? entry.targetGroup() : entry.baseGroup();
+        return takesTarget ? serviceRollout.targetGroup() : serviceRollout.baseGroup();
     }
 
     private static double position(String requestId) {
@@ -125,61 +129,64 @@
         return bits / (double) (1L << SHARE_BITS);
     }
 
-    /** Whether any group that requests may go to has endpoints. */
+    /** Whether a group that requests may go to has endpoints. */
     boolean isAvailable(String service, Predicate<String> hasEndpoints) {
-        Entry entry = entries.get(service);
-        if (entry == null) {
+        ServiceRollout serviceRollout = rolloutsByService.get(service);
+        if (serviceRollout == null) {
             return hasEndpoints.test(service);
         }
-        boolean isTargetUsed = entry.rollout.state() == RolloutState.COMPLETED
-                || entry.rollout.isInProgress() && entry.rollout.shareOfTarget() >= 1;
-        return isTargetUsed && hasEndpoints.test(entry.targetGroup())
-                || entry.rollout.state() != RolloutState.COMPLETED && hasEndpoints.test(entry.baseGroup());
+        boolean isTargetUsed = serviceRollout.rollout.state() == RolloutState.COMPLETED
+                || serviceRollout.rollout.isInProgress() && serviceRollout.rollout.shareOfTarget() >= 1;
+        return isTargetUsed && hasEndpoints.test(serviceRollout.targetGroup())
+                || serviceRollout.rollout.state() != RolloutState.COMPLETED
+                        && hasEndpoints.test(serviceRollout.baseGroup());
     }
 
-    /** Who is told of the attempts at a group. */
+    /** The observer that records the attempts at a group. */
     AttemptObserver observer(String group) {
         int separator = group.indexOf(GROUP_SEPARATOR);
         String service = separator < 0 ? group : group.substring(0, separator);
-        return (route, result, micros) -> {
-            Entry entry = entries.get(service);
-            if (entry != null && entry.rollout.isInProgress() && isAnswer(result)) {
-                record(entry, group, route, result != Result.SERVED, micros);
+        return (route, result, latencyMicros) -> {
+            ServiceRollout serviceRollout = rolloutsByService.get(service);
+            if (serviceRollout != null && serviceRollout.rollout.isInProgress() && concernsInstance(result)) {
+                record(serviceRollout, group, route, result != Result.SERVED, latencyMicros);
             }
         };
     }
 
-    /** Whether the result says anything of the instance. */
-    private static boolean isAnswer(Result result) {
+    /** Whether the result says anything about how well the instance works. */
+    private static boolean concernsInstance(Result result) {
         return switch (result) {
             case SERVED, ERROR, TIMED_OUT, BROKEN -> true;
             case FULL, NO_CONNECTION, CANCELLED, NOT_SENT -> false;
         };
     }
 
-    private static void record(Entry entry, String group, String route, boolean isBad, long micros) {
-        if (group.equals(entry.targetGroup())) {
-            entry.target.record(route, isBad, micros);
-            int answers = entry.recentAnswers << 1 | (isBad ? 1 : 0);
-            entry.recentAnswers = entry.isSuspended() ? entry.recentAnswers : answers & (1 << RECENT_ANSWERS) - 1;
+    private static void record(
+            ServiceRollout serviceRollout, String group, String route, boolean isFailure, long latencyMicros) {
+        if (group.equals(serviceRollout.targetGroup())) {
+            serviceRollout.targetSamples.record(route, isFailure, latencyMicros);
+            int results = serviceRollout.recentResults << 1 | (isFailure ? 1 : 0);
+            serviceRollout.recentResults =
+                    serviceRollout.isSuspended() ? serviceRollout.recentResults : results & (1 << RECENT_RESULTS) - 1;
         } else {
-            entry.old.record(route, isBad, micros);
+            serviceRollout.baseSamples.record(route, isFailure, latencyMicros);
         }
     }
 
-    /** What to report of the rollouts in progress. */
+    /** One report for the controllers for each rollout in progress. */
     List<RolloutReport> reports(ServiceHandlers handlers) {
         List<RolloutReport> reports = new ArrayList<>();
-        for (Entry entry : entries.values()) {
-            Rollout rollout = entry.rollout;
+        for (ServiceRollout serviceRollout : rolloutsByService.values()) {
+            Rollout rollout = serviceRollout.rollout;
             if (rollout.isInProgress()) {
                 reports.add(new RolloutReport(
                         rollout.service(),
                         rollout.targetVersion(),
                         rollout.itemVersion(),
-                        handlers.inFlightCount(entry.baseGroup()),
-                        entry.old,
-                        entry.target));
+                        handlers.inFlightCount(serviceRollout.baseGroup()),
+                        serviceRollout.baseSamples,
+                        serviceRollout.targetSamples));
             }
         }
         return reports;
--- a/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RoutingTable.java
@@ -14,8 +14,8 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * One version of the configuration, indexed for the look-ups of requests. Immutable once made; a newer version
- * is a table of its own, which takes over the items that are the same.
+ * One version of the configuration, indexed for the look-ups that each request needs. Immutable; a newer version gets a
+ * table of its own, which reuses the parsed form of items that haven't changed.
  */
 final class RoutingTable {
 
@@ -30,7 +30,7 @@
     private final ClientLimits limits;
     private final boolean requiresKeys;
 
-    /** @param parsedBefore items that need not be parsed again, by identity */
+    /** @param parsedBefore the parsed form of the previous table's items, by identity of the item */
     private RoutingTable(ProposalNumber version, Configuration configuration, Map<Item, Object> parsedBefore) {
         this.version = version;
         this.configuration = configuration;
@@ -54,7 +54,7 @@
         requiresKeys = hasTenants;
     }
 
-    /** The item's typed form, or what says why it has none. */
+    /** The item's typed form, or the rejection that says why it can't be parsed. */
     private static Object parse(Item item) {
         return (switch (item.key().type()) {
                     case ROUTES -> RouteConfiguration.of(item);
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The table of a later version. */
+    /** Makes the table of a later version. */
     RoutingTable next(ProposalNumber nextVersion, Configuration nextConfiguration) {
         return new RoutingTable(nextVersion, nextConfiguration, parsedItems);
     }
@@ -113,7 +113,7 @@
         return null;
     }
 
-    /** Whether requests need an API key at all: they do once there are tenants. */
+    /** Whether requests need an API key: they do as soon as any tenant is configured. */
     boolean requiresKeys() {
         return requiresKeys;
     }
@@ -123,7 +123,7 @@
         return key == null ? null : tenantsByKey.get(key);
     }
 
-    /** Connections to one instance of the service at most; 0 where that isn't configured. */
+    /** The maximum number of connections to one instance of the service; 0 if none is configured. */
     int maxConnections(String service) {
         ServiceConfiguration configured = services.get(service);
         return configured == null ? 0 : configured.maxConnections();
--- a/src/main/java/org/cypressweir/dataplane/proxy/RoutingTableLoader.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/RoutingTableLoader.java
@@ -4,15 +4,15 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 
 /**
- * Holds the routing table in force, and makes those of newer versions in the background: until one is ready,
- * requests go by the one before. Used on the event loop alone.
+ * Holds the routing table in force, and builds the tables of newer versions in the background: until a new table is
+ * ready, requests use the previous one. Used on the event loop alone.
  */
 final class RoutingTableLoader {
 
     private final BackgroundTask background;
     private final Runnable onChange;
     private RoutingTable current = RoutingTable.empty();
-    /** The newest that the worker has made; accessed by the worker alone. */
+    /** The newest table that the worker has built; accessed by the worker alone. */
     private RoutingTable newest = current;
 
     RoutingTableLoader(BackgroundTask background, Runnable onChange) {
@@ -24,7 +24,7 @@
         return current;
     }
 
-    /** Makes the table of a newer version and puts it in force. */
+    /** Builds the table of a newer version in the background, then puts it in force. */
     void load(ProposalNumber version, Configuration configuration) {
         background.run(
                 () -> {
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceHandlers.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceHandlers.java
@@ -12,15 +12,15 @@
 import org.cypressweir.common.settings.NodeSettings;
 
 /**
- * The request handlers of all services, made as services come up. Each service has two: what tenants send must
- * not hold up the internal calls of applications. Used on the event loop alone.
+ * The request handlers of all services, created when a service is first seen. Each service has two, so that tenants'
+ * requests don't hold up the internal calls of applications. Used on the event loop alone.
  */
 final class ServiceHandlers {
 
     private static final long DEFAULT_RETRY_WINDOW_MICROS = 10_000_000;
-    /** The part that this proxy uses of what the settings allow for retries in all. */
+    /** The part of the total retries allowed by the settings that this proxy uses. */
     private static final double RETRY_SLACK_PART = 0.5;
-    /** The part that this proxy uses of what the settings allow for retries of each request. */
+    /** The part of the retries per request allowed by the settings that this proxy uses. */
     private static final double RETRY_RATIO_PART = 0.5;
 
     private final EventLoop loop;
@@ -35,9 +35,9 @@
     private final Map<String, ServiceRequestHandler> internalHandlers = new HashMap<>();
 
     /**
-     * @param proxyCount over how many proxies the retries of the settings are divided
-     * @param onNewHandler called when a handler was made, which has no endpoints yet
-     * @param observers gives those who are told of the attempts of a service
+     * @param proxyCount gives the number of proxies among which the retries of the settings are divided
+     * @param onNewHandler called when a handler was created, which has no endpoints yet
+     * @param observers gives the observer of the attempts at a service
      */
     ServiceHandlers(
             EventLoop loop,
@@ -58,7 +58,7 @@
         this.onNewHandler = onNewHandler;
     }
 
-    /** The handler of a service, for internal calls or for requests of tenants; made where there is none. */
+    /** The handler of a service, for internal calls or for requests of tenants; created if there is none. */
     ServiceRequestHandler handler(String service, boolean isInternal) {
         Map<String, ServiceRequestHandler> handlers = isInternal ? internalHandlers : tenantHandlers;
         ServiceRequestHandler handler = handlers.get(service);
@@ -72,7 +72,7 @@
 
     private ServiceRequestHandler newHandler(String service) {
         NodeSettings current = settings.get();
-        // Two handlers for each service, one of tenants and one of nested calls: each gets half.
+        // A service has two handlers, one for tenants' requests and one for internal calls: each gets half.
         double slack = RETRY_SLACK_PART / 2 * current.number("retrySlack", 0) / Math.max(1, proxyCount.getAsInt());
         return new ServiceRequestHandler(
                 service,
@@ -103,7 +103,7 @@
                 handler.updateEndpoints(endpointsByService.getOrDefault(service, List.of()), zones, warmAt));
     }
 
-    /** How many requests of both kinds are in flight at a service. */
+    /** How many requests to a service are in flight, of tenants and internal ones. */
     int inFlightCount(String service) {
         ServiceRequestHandler tenants = tenantHandlers.get(service);
         ServiceRequestHandler internal = internalHandlers.get(service);
@@ -115,7 +115,7 @@
         return tenantHandlers.values().stream().anyMatch(ServiceRequestHandler::hasEndpoints);
     }
 
-    /** Records the requests in flight that have this id. */
+    /** Adds the requests in flight with this id to a trace. */
     void recordInFlight(String id, RequestTrace target) {
         tenantHandlers.values().forEach(handler -> handler.recordInFlight(id, target));
         internalHandlers.values().forEach(handler -> handler.recordInFlight(id, target));
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -28,8 +28,8 @@
  * sends attempts, {@link RequestTimers} bounds the waiting, {@link InFlightRequests} sends each client its one
  * response.
  *
- * <p>Not thread-safe: used on the event loop alone. Made with the first request to the service or with its first
- * endpoint, see {@link ServiceHandlers}, and lives until the process ends. All times are in microseconds.
+ * <p>Not thread-safe: used on the event loop alone. Created at the first request to the service or with its first
+ * endpoint (see {@link ServiceHandlers}), and lives until the process ends. All times are in microseconds.
  */
 final class ServiceRequestHandler implements Actions {
 
@@ -55,7 +55,7 @@
 
     /**
      * @param retryBudget see {@link #retryBudget}
-     * @param observer is told of all attempts
+     * @param observer is notified of all attempts
      */
     ServiceRequestHandler(
             String service,
@@ -103,11 +103,11 @@
     }
 
     /**
-     * How many retries may be sent to the service's instances.
+     * Limits how many retries may be sent to the service's instances.
      *
-     * @param windowMicros over which requests and retries are counted
-     * @param minimum retries in a window that are allowed however few requests there are
-     * @param perRequest further retries for each request
+     * @param windowMicros the period over which requests and retries are counted
+     * @param minimum how many retries a window allows, however few requests there are
+     * @param perRequest how many further retries each request allows
      */
     static Rules retryBudget(long windowMicros, double minimum, double perRequest) {
         return new Rules(0.5, SLOW_START_MICROS, 1_000_000, 1_000_000, minimum, perRequest, windowMicros);
@@ -116,7 +116,7 @@
     /**
      * Replaces the endpoint list.
      *
-     * @param warmAt by instance, when its slow start ends; 0 or absent where that is long past
+     * @param warmAt by instance, when its slow start ends; 0 or absent if it has none
      */
     void updateEndpoints(List<Endpoint> list, List<String> zones, Map<String, Long> warmAt) {
         long now = clock.getAsLong();
@@ -127,12 +127,12 @@
         return !endpoints.isEmpty();
     }
 
-    /** How many requests are in flight, with those that have their response but an attempt still in flight. */
+    /** How many requests are in flight, including those with a response but an attempt still in flight. */
     int inFlightCount() {
         return inFlight.size();
     }
 
-    /** Records the requests in flight that have this id. */
+    /** Adds the requests in flight with this id to a trace. */
     void recordInFlight(String id, RequestTrace target) {
         inFlight.recordTo(target, id);
     }
@@ -142,14 +142,14 @@
         return inFlight.localResponseCounts();
     }
 
-    /** What is counted of requests that have ended. */
+    /** The statistics of requests that have ended. */
     RequestStatistics statistics() {
         return inFlight.statistics();
     }
 
     // ---- Admission
 
-    /** Takes a request over: from now on its client gets the response from here. */
+    /** Takes over a request, and from now on ensures that its client gets one response. */
     void handle(ProxiedRequest request) {
         long now = clock.getAsLong();
         inFlight.add(request);
@@ -208,7 +208,7 @@
         }
     }
 
-    // ---- What the load balancer asks for
+    // ---- Actions of the load balancer
 
     @Override
     public void send(String number, long endpointId, long timeoutMicros) {
--- a/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/StaleMessageFilter.java
@@ -20,7 +20,7 @@
         this.clock = clock;
     }
 
-    /** Tells of a message that the caller drops. */
+    /** Counts, and at most once a second logs, a message that the caller drops. */
     void dropped(String kind, long number, String reason) {
         countSinceLog++;
         long now = clock.getAsLong();
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplay.java
@@ -23,11 +23,11 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 
 /**
- * Random histories of forwarding in simulated time, in which every message that was ever sent may be replayed: on
- * any connection between the same two processes, in this incarnation or a later one, and whole connections as
- * new ones; responses on any connection. Connections are duplicated and break, at one end first; processes of
- * both kinds restart. Each request is sent once, so that it runs once at most, and only the first delivery of a
- * message on its own connection may complete it.
+ * Random histories of forwarding in simulated time, in which any message sent earlier may be replayed. Requests are
+ * replayed on any connection between the same two processes, in this incarnation or a later one, and all requests of a
+ * connection on a new one; responses are replayed on any connection. Connections are duplicated, and break at one end
+ * first; processes of both kinds restart. Each request is sent once, so it may run at most once, and only the first
+ * delivery of a message on its own connection may complete it.
  */
 public final class MessageReplay {
 
@@ -35,26 +35,26 @@
     private static final int PROCESSES = 2;
     private static final long TIMEOUT_MICROS = 2_000_000;
 
-    /** A message as it was sent, and where. */
+    /** A message as it was sent, and the connection on which it was sent. */
     private record Message(Link link, boolean isRequest, byte[] bytes) {}
 
     private record Task(long at, long number, Runnable work) {}
 
-    private static final class Caller {
+    private static final class TrackedRequest {
         private final String id;
         private final Link link;
         private int runs;
         private RequestOutcome outcome;
-        /** Whether the call that sends it has returned: an outcome within that call was not received. */
+        /** Whether the call that sends it has returned: an outcome during that call comes from no message. */
         private boolean sent;
 
-        private Caller(String id, Link link) {
+        private TrackedRequest(String id, Link link) {
             this.id = id;
             this.link = link;
         }
     }
 
-    /** A proxy that forwards requests; it knows an incarnation of each of the others, current or old. */
+    /** A proxy that forwards requests; the incarnation that it knows of each receiver may be outdated. */
     private final class Sender {
         private final String name;
         private PeerForwarder forwarder;
@@ -66,7 +66,7 @@
         }
 
         private void start() {
-            links.stream().filter(l -> l.sender == this).forEach(l -> l.near.close());
+            links.stream().filter(l -> l.sender == this).forEach(l -> l.senderEnd.close());
             newest.clear();
             forwarder = new PeerForwarder(
                     () -> now,
@@ -74,8 +74,8 @@
                     ++lastIncarnation * 1_000,
                     null,
                     to -> newest.containsKey(to)
-                                    && newest.get(to).nearConnection.isOpen()
-                            ? newest.get(to).nearConnection
+                                    && newest.get(to).senderConnection.isOpen()
+                            ? newest.get(to).senderConnection
                             : null);
         }
     }
@@ -91,7 +91,7 @@
         }
 
         private void start() {
-            links.stream().filter(l -> l.receiver == this).forEach(l -> l.far.close());
+            links.stream().filter(l -> l.receiver == this).forEach(l -> l.receiverEnd.close());
             incarnation = ++lastIncarnation;
             SimulatedUpstream upstream =
                     new SimulatedUpstream(() -> now, MessageReplay.this::schedule, 4, new SimulatedUpstream.Server() {
@@ -101,39 +101,39 @@
                         }
 
                         @Override
-                        public void onRequest(SimulatedUpstream.Execution visit) {
-                            serve(visit);
+                        public void onRequest(SimulatedUpstream.Execution execution) {
+                            serve(execution);
                         }
                     });
-            long own = incarnation;
+            long ownIncarnation = incarnation;
             requestReceiver = new PeerRequestReceiver(
                     () -> now,
                     upstream,
-                    () -> new ProxyRegistration(address, own, 1, address, "", "z", "s", false, null));
+                    () -> new ProxyRegistration(address, ownIncarnation, 1, address, "", "z", "s", false, null));
         }
     }
 
-    /** A connection: both ends, and the messages in transit. */
+    /** A simulated connection: both ends, and the messages in transit. */
     private final class Link {
         private final Sender sender;
         private final Receiver receiver;
-        private final EmbeddedChannel near = new EmbeddedChannel();
-        private final EmbeddedChannel far = new EmbeddedChannel();
+        private final EmbeddedChannel senderEnd = new EmbeddedChannel();
+        private final EmbeddedChannel receiverEnd = new EmbeddedChannel();
         private final Deque<Message> requests = new ArrayDeque<>();
         private final Deque<Message> responses = new ArrayDeque<>();
-        private final PeerConnection nearConnection;
+        private final PeerConnection senderConnection;
 
-        /** @param isReplay whether nobody is at its near end */
+        /** @param isReplay whether no sender is at its sender's end */
         private Link(Sender sender, Receiver receiver, boolean isReplay) {
             this.sender = sender;
             this.receiver = receiver;
             PeerForwarder forwarder = sender.forwarder;
             PeerRequestReceiver requestReceiver = receiver.requestReceiver;
             links.add(this);
-            SimulatedPeerConnection.on(far, () -> now, requestReceiver);
-            nearConnection = isReplay
+            SimulatedPeerConnection.on(receiverEnd, () -> now, requestReceiver);
+            senderConnection = isReplay
                     ? null
-                    : SimulatedPeerConnection.on(near, () -> now, new PeerConnection.Listener() {
+                    : SimulatedPeerConnection.on(senderEnd, () -> now, new PeerConnection.Listener() {
                         @Override
                         public void opened(PeerConnection connection) {}
 
@@ -154,27 +154,28 @@
                         }
                     });
             if (!isReplay) {
-                nearConnection.send(forwarder.hello(sender.name));
+                senderConnection.send(forwarder.hello(sender.name));
                 sender.newest.put(receiver.address, this);
             }
-            flush();
+            collectSent();
         }
 
-        /** Collects what both ends have sent. */
-        private void flush() {
-            for (ByteBuf bytes; (bytes = near.readOutbound()) != null; bytes.release()) {
+        /** Moves what both ends have sent into transit. */
+        private void collectSent() {
+            for (ByteBuf bytes; (bytes = senderEnd.readOutbound()) != null; bytes.release()) {
                 requests.add(new Message(this, true, ByteBufUtil.getBytes(bytes)));
                 sent.add(requests.getLast());
             }
-            for (ByteBuf bytes; (bytes = far.readOutbound()) != null; bytes.release()) {
+            for (ByteBuf bytes; (bytes = receiverEnd.readOutbound()) != null; bytes.release()) {
                 responses.add(new Message(this, false, ByteBufUtil.getBytes(bytes)));
                 sent.add(responses.getLast());
             }
         }
 
         /**
-         * A message between two other processes is replayed on no connection of these two, and none is replayed
-         * before its delivery; but a response may be for another connection, on which it was not delivered yet.
+         * Whether the message may be replayed on this connection. A request must have been delivered before,
+         * between the same two processes. A response may be replayed on any connection, on its own only after its
+         * delivery.
          */
         private boolean acceptsReplay(Message message) {
             boolean wasDelivered = delivered.contains(message);
@@ -184,16 +185,16 @@
         }
 
         private void deliver(Message message, boolean isFirst) {
-            EmbeddedChannel to = message.isRequest ? far : near;
-            if (to.isActive() && (message.isRequest || nearConnection != null)) {
+            EmbeddedChannel to = message.isRequest ? receiverEnd : senderEnd;
+            if (to.isActive() && (message.isRequest || senderConnection != null)) {
                 if (isFirst) {
                     delivered.add(message);
                 }
-                delivering = isFirst ? this : null;
+                deliveringLink = isFirst ? this : null;
                 to.writeInbound(Unpooled.wrappedBuffer(message.bytes));
-                delivering = null;
+                deliveringLink = null;
             }
-            flush();
+            collectSent();
         }
     }
 
@@ -202,20 +203,20 @@
     private final List<Receiver> receivers = new ArrayList<>();
     private final List<Link> links = new ArrayList<>();
     private final List<Message> sent = new ArrayList<>();
-    /** What has been delivered on its own connection. */
+    /** The messages that have been delivered on their own connections. */
     private final Set<Message> delivered = new HashSet<>();
 
-    private final Map<String, Caller> callers = new HashMap<>();
+    private final Map<String, TrackedRequest> trackedById = new HashMap<>();
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private long now = 1_000_000_000;
     private long lastIncarnation = 1_000;
-    private long numbers;
+    private long lastNumber;
     /** The connection on which a message is delivered for the first time; null at all other times. */
-    private Link delivering;
+    private Link deliveringLink;
 
     private String violation;
-    private int answered;
+    private int responseCount;
 
     private MessageReplay(long seed) {
         random = new SplittableRandom(seed);
@@ -227,27 +228,28 @@
         }
     }
 
-    private void violated(String rule, String what) {
+    private void recordViolation(String rule, String what) {
         violation = violation == null ? rule + ": " + what : violation;
     }
 
     private void schedule(long micros, Runnable work) {
-        tasks.add(new Task(now + micros, ++numbers, work));
+        tasks.add(new Task(now + micros, ++lastNumber, work));
     }
 
-    private void serve(SimulatedUpstream.Execution visit) {
+    private void serve(SimulatedUpstream.Execution execution) {
         String name = "Cypressweir-Attempt-Id: ";
-        int at = visit.head.indexOf(name) + name.length();
-        Caller caller = callers.get(visit.head.substring(at, visit.head.indexOf("\r\n", at)));
-        if (++caller.runs > 1) {
-            violated("TWICE", caller.id);
+        int at = execution.head.indexOf(name) + name.length();
+        TrackedRequest tracked = trackedById.get(execution.head.substring(at, execution.head.indexOf("\r\n", at)));
+        if (++tracked.runs > 1) {
+            recordViolation("TWICE", tracked.id);
         }
-        if (caller.outcome instanceof RequestOutcome.NotRun) {
-            violated("REFUSED", caller.id + " runs after it was rejected");
+        if (tracked.outcome instanceof RequestOutcome.NotRun) {
+            recordViolation("REFUSED", tracked.id + " runs after it was rejected");
         }
         if (random.nextInt(20) > 0) {
             schedule(
-                    random.nextInt(40_000), () -> visit.respond(200, caller.id, "ran " + caller.id, Map.of(SEAL, "s")));
+                    random.nextInt(40_000),
+                    () -> execution.respond(200, tracked.id, "ran " + tracked.id, Map.of(SEAL, "s")));
         }
     }
 
@@ -258,10 +260,10 @@
         if (sender.knownIncarnations[to] == 0 || random.nextInt(4) == 0) {
             sender.knownIncarnations[to] = receiver.incarnation;
         }
-        Caller caller = new Caller("c" + ++numbers, sender.newest.get(receiver.address));
-        callers.put(caller.id, caller);
+        TrackedRequest tracked = new TrackedRequest("c" + ++lastNumber, sender.newest.get(receiver.address));
+        trackedById.put(tracked.id, tracked);
         UpstreamRequest request = new UpstreamRequest(
-                caller.id,
+                tracked.id,
                 "POST",
                 "/x",
                 List.of(),
@@ -275,35 +277,35 @@
         AttemptTransport.Handle handle = sender.forwarder.send(
                 new Endpoint(to, receiver.address, sender.knownIncarnations[to], receiver.address, "i", "z"),
                 request,
-                result -> complete(caller, result.outcome()));
-        caller.sent = true;
+                result -> complete(tracked, result.outcome()));
+        tracked.sent = true;
         if (random.nextInt(10) == 0) {
             schedule(random.nextInt(20_000), handle::cancel);
         }
     }
 
-    private void complete(Caller caller, RequestOutcome outcome) {
-        if (caller.outcome != null) {
-            violated("COMPLETED TWICE", caller.id);
+    private void complete(TrackedRequest tracked, RequestOutcome outcome) {
+        if (tracked.outcome != null) {
+            recordViolation("COMPLETED TWICE", tracked.id);
         }
-        caller.outcome = outcome;
+        tracked.outcome = outcome;
         if (outcome instanceof RequestOutcome.Responded a) {
-            answered++;
+            responseCount++;
             String text = new String(a.body(), StandardCharsets.ISO_8859_1);
-            if (!text.equals("ran " + caller.id)) {
-                violated("MIXED", caller.id + " got " + text);
+            if (!text.equals("ran " + tracked.id)) {
+                recordViolation("MIXED", tracked.id + " got " + text);
             }
         }
-        boolean own = !(outcome instanceof RequestOutcome.MayHaveRun) && caller.sent;
-        if (own && delivering != caller.link) {
-            violated("OLD", caller.id + " completed with " + outcome + " by another message");
+        boolean isFromResponse = !(outcome instanceof RequestOutcome.MayHaveRun) && tracked.sent;
+        if (isFromResponse && deliveringLink != tracked.link) {
+            recordViolation("OLD", tracked.id + " completed with " + outcome + " by another message");
         }
-        if (outcome instanceof RequestOutcome.NotRun && caller.runs > 0) {
-            violated("REFUSED", caller.id + " has run");
+        if (outcome instanceof RequestOutcome.NotRun && tracked.runs > 0) {
+            recordViolation("REFUSED", tracked.id + " has run");
         }
     }
 
-    private <T> T any(List<T> list) {
+    private <T> T randomElement(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
@@ -313,36 +315,36 @@
             send();
         } else if (action < 75) {
             for (int i = 0; i < 4 && !links.isEmpty(); i++) {
-                Link link = any(links);
-                Deque<Message> way = random.nextInt(2) == 0 ? link.requests : link.responses;
-                if (!way.isEmpty()) {
-                    link.deliver(way.poll(), true);
+                Link link = randomElement(links);
+                Deque<Message> queue = random.nextInt(2) == 0 ? link.requests : link.responses;
+                if (!queue.isEmpty()) {
+                    link.deliver(queue.poll(), true);
                 }
             }
         } else if (action < 90 && !sent.isEmpty() && !links.isEmpty()) {
-            // Recent ones as well: they may be in flight, or still in transit.
+            // Half of the replays take one of the latest messages, which may be in flight or still in transit.
             Message message = sent.get(
                     sent.size() - 1 - random.nextInt(Math.min(sent.size(), random.nextBoolean() ? 20 : sent.size())));
-            Link link = any(links);
+            Link link = randomElement(links);
             if (link.acceptsReplay(message)) {
                 link.deliver(message, false);
             }
         } else if (action < 92 && !links.isEmpty()) {
-            replayAll(any(links));
+            replayAll(randomElement(links));
         } else if (action < 96) {
-            new Link(any(senders), any(receivers), false);
+            new Link(randomElement(senders), randomElement(receivers), false);
         } else if (action < 98 && !links.isEmpty()) {
-            Link link = any(links);
-            (random.nextBoolean() ? link.near : link.far).close();
+            Link link = randomElement(links);
+            (random.nextBoolean() ? link.senderEnd : link.receiverEnd).close();
         } else if (random.nextInt(6) == 0) {
-            any(senders).start();
+            randomElement(senders).start();
         } else if (random.nextInt(6) == 0) {
-            any(receivers).start();
+            randomElement(receivers).start();
         }
-        links.removeIf(l -> !l.far.isActive() && !l.near.isActive());
+        links.removeIf(l -> !l.receiverEnd.isActive() && !l.senderEnd.isActive());
     }
 
-    /** Replays all that was ever sent on a connection as a connection of its own. */
+    /** Replays all delivered requests of a connection on a new connection. */
     private void replayAll(Link link) {
         Link replay = new Link(link.sender, link.receiver, true);
         sent.stream()
@@ -356,11 +358,11 @@
         while (!tasks.isEmpty() && tasks.peek().at <= until) {
             now = tasks.peek().at;
             tasks.poll().work.run();
-            links.forEach(Link::flush);
+            links.forEach(Link::collectSent);
         }
         now = until;
         senders.forEach(s -> s.forwarder.tick());
-        links.forEach(Link::flush);
+        links.forEach(Link::collectSent);
     }
 
     private String run(int steps) {
@@ -368,7 +370,7 @@
             step();
             advance(random.nextInt(4_000));
         }
-        // All that is in transit is delivered; then each caller with an open connection has its outcome.
+        // Delivers all messages in transit; then each request on an open connection must have its outcome.
         for (int i = 0; i < 2 * TIMEOUT_MICROS / 10_000 && violation == null; i++) {
             for (Link link : List.copyOf(links)) {
                 while (!link.requests.isEmpty()) {
@@ -380,19 +382,19 @@
             }
             advance(10_000);
         }
-        links.stream().filter(l -> !l.far.isActive()).forEach(l -> l.near.close());
+        links.stream().filter(l -> !l.receiverEnd.isActive()).forEach(l -> l.senderEnd.close());
         for (Sender sender : senders) {
             if (sender.forwarder.inFlightCount() > 0) {
-                violated("LOST", sender.forwarder.inFlightCount() + " are in flight for ever");
+                recordViolation("LOST", sender.forwarder.inFlightCount() + " requests are in flight for ever");
             }
         }
-        if (answered < steps / 40) {
-            violated("LOST", answered + " were answered");
+        if (responseCount < steps / 40) {
+            recordViolation("LOST", responseCount + " requests got a response");
         }
         return violation;
     }
 
-    /** The first violation in so many histories; null for none. */
+    /** Runs the given number of histories; returns the first violation, or null. */
     public static String firstViolation(int histories, int steps) {
         String violation = null;
         for (int seed = 1; seed <= histories && violation == null; seed++) {
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/MessageReplayTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Replayed messages of earlier connections and incarnations do nothing; where a fault is planted they do. */
+/** Replayed messages of earlier connections and incarnations have no effect, except where a fault is planted. */
 class MessageReplayTest {
 
     private static final int HISTORIES = Integer.getInteger("replays", 60);
@@ -31,7 +31,8 @@
             value = {
                 "OLD ~ a response is accepted on any connection ~ PeerForwarder.java "
                         + "~ || attempt.connection != connection) { ~ ) {",
-                "MIXED ~ each incarnation counts from one ~ PeerForwarder.java ~ lastNumber = incarnation; "
+                "MIXED ~ each incarnation numbers its requests from one ~ PeerForwarder.java "
+                        + "~ lastNumber = incarnation; "
                         + "~ lastNumber = 0;",
                 "COMPLETED TWICE ~ complete attempts are kept ~ PeerForwarder.java ~ inFlight.remove(number) "
                         + "~ inFlight.get(number)",
@@ -61,7 +62,7 @@
                         + "~ // No response: the original of this duplicate may still run. "
                         + "~ if (session != null) { respond(connection, number, new RequestOutcome.NotRun("
                         + "org.cypressweir.dataplane.http.upstream.RejectionReason.GONE, 0)); }",
-                "MIXED ~ a response bears another number ~ PeerRequestReceiver.java "
+                "MIXED ~ a response has the number of another request ~ PeerRequestReceiver.java "
                         + "~ respond(connection, number, outcome); "
                         + "~ respond(connection, session.lastNumber, outcome);",
             })
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/PeerTimeoutTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether an attempt without a response times out, or is awaited until its connection is lost. */
+/** Whether an attempt without a response times out, or stays in flight until its connection is lost. */
 class PeerTimeoutTest {
 
     private static final long SECOND = 1_000_000;
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistories.java
@@ -15,9 +15,9 @@
 import org.cypressweir.dataplane.http.upstream.SimulatedUpstream;
 
 /**
- * Random histories in simulated time: clients, load balancer and request handler, forwarding that loses its
- * connection, the scheduling beside the instance, and instances that do all that instances may. What really ran
- * is known here, and each response is checked against it.
+ * Random histories in simulated time: clients, load balancer and request handler, forwarding over connections that may
+ * be lost, the scheduling beside the instance, and instances that behave in every way that an instance may. The
+ * simulation records which requests really ran, and checks each response against that.
  */
 public final class RequestHistories {
 
@@ -26,7 +26,7 @@
     private static final int INSTANCES = 3;
     private static final int SLOTS = 3;
 
-    /** A client, its request, and what was really done of that. */
+    /** A client, its request, and what instances really did with the request. */
     private static final class CheckedClient extends ProxyFixture.Client {
         private final String id;
         private final boolean idempotent;
@@ -72,21 +72,21 @@
                         }
 
                         @Override
-                        public void onRequest(SimulatedUpstream.Execution visit) {
-                            serve(visit);
+                        public void onRequest(SimulatedUpstream.Execution execution) {
+                            serve(execution);
                         }
                     }));
         }
     }
 
-    private void violated(String rule, String what) {
+    private void recordViolation(String rule, String what) {
         violation = violation == null ? rule + ": " + what : violation;
     }
 
     /** Forwards the attempt to the proxy beside the instance, and its outcome back. */
     private void forward(ProxyFixture.SentAttempt attempt) {
         SimulatedUpstream upstream = upstreams.get((int) (attempt.endpoint.id() - 100));
-        AtomicBoolean isLost = new AtomicBoolean();
+        AtomicBoolean isConnectionLost = new AtomicBoolean();
         RequestHandle[] handle = {null};
         int action = random.nextInt(40);
         if (action == 0) {
@@ -100,7 +100,7 @@
                 () -> handle[0] = upstream.submit(
                         attempt.request,
                         outcome -> fixture.schedule(random.nextInt(2_000), () -> {
-                            if (!isLost.get()) {
+                            if (!isConnectionLost.get()) {
                                 attempt.complete(outcome);
                             }
                         })));
@@ -108,7 +108,7 @@
         if (action == 1) {
             fixture.schedule(2_000 + random.nextInt(60_000), () -> {
                 if (attempt.outcome == null) {
-                    isLost.set(true);
+                    isConnectionLost.set(true);
                     upstream.cancel(handle[0]);
                     attempt.complete(new RequestOutcome.MayHaveRun("connection lost"));
                 }
@@ -116,68 +116,68 @@
         }
     }
 
-    /** What the instance does: before each response it is recorded what it really did. */
-    private void serve(SimulatedUpstream.Execution visit) {
-        String id = header(visit.head, "Cypressweir-Attempt-Id: ");
+    /** Serves a request as an instance, and records whether it ran before any response is sent. */
+    private void serve(SimulatedUpstream.Execution execution) {
+        String id = header(execution.head, "Cypressweir-Attempt-Id: ");
         CheckedClient client = clients.get(id);
         if (client == null
-                || !visit.head.startsWith(client.method() + " " + client.uri() + " HTTP/1.1\r\n")
-                || !visit.body.equals(new String(client.body, StandardCharsets.ISO_8859_1))) {
-            violated("UNASKED", visit.head + visit.body);
+                || !execution.head.startsWith(client.method() + " " + client.uri() + " HTTP/1.1\r\n")
+                || !execution.body.equals(new String(client.body, StandardCharsets.ISO_8859_1))) {
+            recordViolation("UNASKED", execution.head + execution.body);
             return;
         }
         int action = random.nextInt(100);
         int micros = 1_000 + random.nextInt(random.nextInt(8) == 0 ? 400_000 : 40_000);
         if (action < 12) {
-            fixture.schedule(action < 4 ? micros : 1_000, () -> reject(visit, id, action));
+            fixture.schedule(action < 4 ? micros : 1_000, () -> reject(execution, id, action));
             return;
         }
         if (action == 12) {
-            fixture.schedule(micros, visit::disconnect);
+            fixture.schedule(micros, execution::disconnect);
             return;
         }
         client.runs++;
         if (client.runs > 1 && !client.idempotent) {
-            violated("TWICE", id);
+            recordViolation("TWICE", id);
         }
-        String foreign = lastId.equals(id) ? "none" : lastId;
+        String otherId = lastId.equals(id) ? "none" : lastId;
         lastId = id;
-        fixture.schedule(micros, () -> answer(visit, client, action, foreign));
+        fixture.schedule(micros, () -> respond(execution, client, action, otherId));
     }
 
-    private void reject(SimulatedUpstream.Execution visit, String id, int action) {
+    private void reject(SimulatedUpstream.Execution execution, String id, int action) {
         Map<String, String> marked = Map.of(NOT_RUN, "true");
         switch (action % 4) {
-            case 0 -> visit.respond(429, id, "", marked);
-            case 1 -> visit.respond(421, id, "", Map.of());
-            case 2 -> visit.respond(400, id, "", marked);
-            default -> visit.respond(503, id, "", marked);
+            case 0 -> execution.respond(429, id, "", marked);
+            case 1 -> execution.respond(421, id, "", Map.of());
+            case 2 -> execution.respond(400, id, "", marked);
+            default -> execution.respond(503, id, "", marked);
         }
     }
 
-    private void answer(SimulatedUpstream.Execution visit, CheckedClient client, int action, String foreign) {
+    private void respond(SimulatedUpstream.Execution execution, CheckedClient client, int action, String otherId) {
         String seal = "seal " + client.id + " " + client.runs;
         String text = "ran " + client.id;
         switch (action) {
-            case 13, 14, 15 -> visit.disconnect();
+            case 13, 14, 15 -> execution.disconnect();
             case 16, 17 -> {}
-            case 18 -> visit.respond(200, client.id, text, Map.of());
-            case 19 -> visit.respond(200, client.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
-            case 20 -> visit.respond(200, client.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
-            case 21, 22 -> visit.respond(503, client.id, "", Map.of());
-            case 23 -> visit.respond(429, client.id, "", Map.of());
-            case 24, 25 -> visit.respond(500, client.id, "", Map.of());
+            case 18 -> execution.respond(200, client.id, text, Map.of());
+            case 19 -> execution.respond(200, client.id, text, Map.of(SEAL, seal, NOT_RUN, "true"));
+            case 20 -> execution.respond(200, client.id, "packed", Map.of(SEAL, seal, "Content-Encoding", "gzip"));
+            case 21, 22 -> execution.respond(503, client.id, "", Map.of());
+            case 23 -> execution.respond(429, client.id, "", Map.of());
+            case 24, 25 -> execution.respond(500, client.id, "", Map.of());
             case 26, 27 -> {
-                visit.respond(200, foreign, "late", Map.of(SEAL, "late"));
-                answerValid(visit, client, seal, text);
+                execution.respond(200, otherId, "late", Map.of(SEAL, "late"));
+                respondValidly(execution, client, seal, text);
             }
-            default -> answerValid(visit, client, seal, text);
+            default -> respondValidly(execution, client, seal, text);
         }
     }
 
-    private void answerValid(SimulatedUpstream.Execution visit, CheckedClient client, String seal, String text) {
+    private void respondValidly(SimulatedUpstream.Execution execution, CheckedClient client, String seal, String text) {
         client.validResponses.add(seal + " " + text);
-        visit.respond(200, client.id, text, Map.of(SEAL, seal));
+        execution.respond(200, client.id, text, Map.of(SEAL, seal));
     }
 
     private static String header(String head, String name) {
@@ -206,7 +206,7 @@
         fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
         clients.values().forEach(this::check);
         if (fixture.handler().inFlightCount() > 0) {
-            violated("LOST", fixture.handler().inFlightCount() + " requests are in flight for ever");
+            recordViolation("LOST", fixture.handler().inFlightCount() + " requests are in flight for ever");
         }
         return violation;
     }
@@ -216,22 +216,22 @@
             return;
         }
         if (client.responses.isEmpty()) {
-            violated("LOST", client.id);
+            recordViolation("LOST", client.id);
             return;
         }
-        ServerResponse answer = client.responses.get(0);
-        String text =
-                Headers.first(answer.headers(), SEAL) + " " + new String(answer.body(), StandardCharsets.ISO_8859_1);
-        if (client.responses.size() > 1 || answer.status() / 100 == 2 && !client.validResponses.contains(text)) {
-            violated("MIXED", client.id + " got " + client.responses);
+        ServerResponse response = client.responses.get(0);
+        String text = Headers.first(response.headers(), SEAL) + " "
+                + new String(response.body(), StandardCharsets.ISO_8859_1);
+        if (client.responses.size() > 1 || response.status() / 100 == 2 && !client.validResponses.contains(text)) {
+            recordViolation("MIXED", client.id + " got " + client.responses);
         }
-        boolean saysNotRun = List.of(408, 421, 429, 503).contains(answer.status());
+        boolean saysNotRun = List.of(408, 421, 429, 503).contains(response.status());
         if (saysNotRun && !client.idempotent && client.runs > 0) {
-            violated("REFUSED", client.id + " got " + answer.status() + " and has run");
+            recordViolation("REFUSED", client.id + " got " + response.status() + " and has run");
         }
     }
 
-    /** The first violation in so many histories; null for none. */
+    /** Runs the given number of histories; returns the first violation, or null. */
     public static String firstViolation(int histories, int requests) {
         String violation = null;
         for (int seed = 1; seed <= histories && violation == null; seed++) {
--- a/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
+++ b/src/modelcheck/java/org/cypressweir/dataplane/proxy/RequestHistoriesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Random histories violate no rule, and violate one where a fault is planted. */
+/** Random histories violate no rule, except where a fault is planted. */
 class RequestHistoriesTest {
 
     private static final int HISTORIES = Integer.getInteger("voyages", 8);
@@ -28,41 +28,41 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "REFUSED ~ what may have run is refused ~ dataplane/http/upstream/RequestState.java "
+                "REFUSED ~ a request that may have run is rejected ~ dataplane/http/upstream/RequestState.java "
                         + "~ if (!mayHaveRun()) { ~ if (true) {",
-                "REFUSED ~ a promise that was not made is handed on ~ dataplane/http/upstream/RequestState.java "
+                "REFUSED ~ an unmarked rejection is forwarded ~ dataplane/http/upstream/RequestState.java "
                         + "~ if (!idempotent && impliesNotRun(response.status())) { ~ if (false) {",
-                "REFUSED ~ all counts as repeatable ~ dataplane/http/upstream/RequestState.java "
+                "REFUSED ~ every request counts as idempotent ~ dataplane/http/upstream/RequestState.java "
                         + "~ this.idempotent = idempotent; "
                         + "~ this.idempotent = true;",
-                "REFUSED ~ what is out has not run ~ dataplane/http/upstream/ExecutionKnowledge.java "
+                "REFUSED ~ a request in flight counts as not run ~ dataplane/http/upstream/ExecutionKnowledge.java "
                         + "~ return this == SENT || this == RAN "
                         + "~ return this == RAN",
-                "REFUSED ~ what may have run has not ~ dataplane/http/upstream/ExecutionKnowledge.java "
-                        + "~ ? RAN : MAY_HAVE_RUN ~ ? RAN : NOT_RUN",
-                "TWICE ~ a lost way says that nothing ran ~ dataplane/http/upstream/ExecutionKnowledge.java "
+                "REFUSED ~ a request that may have run counts as not run "
+                        + "~ dataplane/http/upstream/ExecutionKnowledge.java ~ ? RAN : MAY_HAVE_RUN ~ ? RAN : NOT_RUN",
+                "TWICE ~ a lost connection says not run ~ dataplane/http/upstream/ExecutionKnowledge.java "
                         + "~ this == SENT ? MAY_HAVE_RUN "
                         + "~ this == SENT ? NOT_RUN",
                 "MIXED ~ ids are not compared ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ !ids.get(0).strip().equals(request.attemptId) ~ false",
-                "MIXED ~ the seal is not asked for ~ dataplane/http/upstream/ResponseVerdict.java "
+                "MIXED ~ the seal is not required ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ && !response.has(SERVER_SEAL) ~ && false",
-                "MIXED ~ an encoded body is taken ~ dataplane/http/upstream/ResponseVerdict.java "
+                "MIXED ~ an encoded body is accepted ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ response.has(\"Content-Encoding\") ~ false",
-                "TWICE ~ a contradiction is believed ~ dataplane/http/upstream/ResponseVerdict.java "
-                        + "~ if (notExecuted && status < 400) { "
+                "TWICE ~ a success that is marked as not run is believed "
+                        + "~ dataplane/http/upstream/ResponseVerdict.java ~ if (notExecuted && status < 400) { "
                         + "~ if (false) {",
-                "TWICE ~ a bare 503 says not run ~ dataplane/http/upstream/ResponseVerdict.java "
+                "TWICE ~ an unmarked 503 says not run ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ if (notExecuted || status == 421) "
                         + "~ if (notExecuted || status == 421 || status == 503)",
-                "TWICE ~ a broken answer says not run ~ dataplane/http/upstream/ResponseVerdict.java "
+                "TWICE ~ a broken response says not run ~ dataplane/http/upstream/ResponseVerdict.java "
                         + "~ new RequestOutcome.MayHaveRun(why) "
                         + "~ new RequestOutcome.NotRun(RejectionReason.REFUSED, 0)",
-                "TWICE ~ what is refused still waits ~ dataplane/http/upstream/RequestScheduler.java "
+                "TWICE ~ a rejected request stays in the queue ~ dataplane/http/upstream/RequestScheduler.java "
                         + "~ queue.remove(last); ~ ",
-                "UNASKED ~ the query is left out ~ dataplane/http/upstream/RequestEncoder.java ~ append(request.uri()) "
+                "UNASKED ~ the query is omitted ~ dataplane/http/upstream/RequestEncoder.java ~ append(request.uri()) "
                         + "~ append(request.uri().split(\"[?]\")[0])",
-                "UNASKED ~ the body is cut ~ dataplane/http/upstream/RequestEncoder.java "
+                "UNASKED ~ the body is truncated ~ dataplane/http/upstream/RequestEncoder.java "
                         + "~ Unpooled.wrappedBuffer(request.body()) "
                         + "~ Unpooled.wrappedBuffer(request.body(), 0, 4)",
                 "LOST ~ a rejection is not sent ~ dataplane/proxy/InFlightRequests.java "
--- a/src/test/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ApplicationLifecycleHandlerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a proxy makes of the heartbeats of the instance beside it: late ones, doubled ones, and those of an end. */
+/** How a proxy handles the heartbeats of the instance beside it, also late ones and those after its end. */
 class ApplicationLifecycleHandlerTest {
 
     private static final long HEARTBEAT_MICROS = 1_500_000;
@@ -64,7 +64,7 @@
         assertThat(changes).hasSize(3);
     }
 
-    /** Some instances deregister first and serve on: nothing new may be sent from the acknowledgement on. */
+    /** Some instances deregister while they still serve: after the acknowledgement nothing new may be sent to them. */
     @Test
     void anInstanceThatDeregistersWithoutDrainingIsGoneAtOnce() {
         heartbeat("a", "in_service", 1);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aLateHeartbeatTakesNothingBack() {
+    void aLateHeartbeatDoesNotEndDraining() {
         heartbeat("a", "in_service", 1);
         heartbeat("a", "draining", 3);
         heartbeat("a", "in_service", 2);
@@ -85,7 +85,7 @@
         assertThat(handler.instance().draining()).as("draining is final").isTrue();
     }
 
-    /** A heartbeat of the instance before, which comes after its end, does not replace its successor. */
+    /** A late heartbeat of the previous instance must not replace its successor. */
     @Test
     void aLateHeartbeatOfAnEndedInstanceIsIgnored() {
         heartbeat("a", "in_service", 1);
@@ -97,7 +97,7 @@
         assertThat(handler.instance().id()).isEqualTo("b");
     }
 
-    /** Heartbeats come seconds late; an instance whose heartbeats stop counts as crashed, and may come back. */
+    /** Heartbeats may be seconds late; an instance whose heartbeats stop counts as crashed, and may come back. */
     @Test
     void aSilentInstanceIsRemovedAndMayComeBack() {
         heartbeat("a", "in_service", 1);
--- a/src/test/java/org/cypressweir/dataplane/proxy/ConnectionBreakTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ConnectionBreakTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A connection that breaks at any byte, to the application or between proxies, has one right outcome: tested at
- * each byte for a non-idempotent request in one encoding; for the others at some, with -Dbreaks=1 at each.
+ * A connection to the application or between proxies may break at any byte, and each break has exactly one correct
+ * outcome. Tests every byte for a non-idempotent request in one encoding, and every 37th byte for the other variants;
+ * -Dbreaks=1 tests every byte for all of them.
  */
 @Timeout(600)
 class ConnectionBreakTest {
@@ -53,7 +54,7 @@
         fixture.close();
     }
 
-    /** Status and executions of a non-idempotent request; an idempotent one always gets 200. */
+    /** The status and the number of executions of a non-idempotent request; an idempotent one always gets 200. */
     @ParameterizedTest
     @CsvSource({
         "request to the application, 502, 0",
@@ -87,18 +88,18 @@
                                 where.equals("forwarded response") ? at : -1),
                         idempotent);
                 String id = nextId();
-                RawHttpClient.Message got = fixture.request(request(id, idempotent, chunked, keepAlive));
-                assertThat(got).isNotNull();
-                assertThat(got.status() + " " + (idempotent ? "" : fixture.runs(id)))
+                RawHttpClient.Message response = fixture.request(request(id, idempotent, chunked, keepAlive));
+                assertThat(response).isNotNull();
+                assertThat(response.status() + " " + (idempotent ? "" : fixture.runs(id)))
                         .as("%s, %d, variant %d", where, at, variant)
                         .isEqualTo((idempotent ? 200 : status) + " " + (idempotent ? "" : runs));
                 assertThat(fixture.runs(id)).isBetween(idempotent ? 1 : 0, idempotent ? 2 : 1);
-                assertThat(got.body()).isEqualTo(got.status() == 200 ? "fine" : got.body());
+                assertThat(response.body()).isEqualTo(response.status() == 200 ? "fine" : response.body());
             }
         }
     }
 
-    /** All ids have one length. */
+    /** All ids have the same length, so that breaks at the same byte are comparable. */
     private String nextId() {
         return "c" + (100_000 + ++ids);
     }
@@ -125,7 +126,7 @@
         }
     }
 
-    /** Two lengths, a length with chunks, folded headers, bare line feeds: ambiguous requests are rejected. */
+    /** Two lengths, a length and chunks, folded headers, bare line feeds: ambiguous requests are rejected. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -146,23 +147,23 @@
     void ambiguousRequestIsRejected(String headersAndBody) throws Exception {
         fixture.breakNext(PeerForwardingFixture.Break.NONE, false);
         String smuggled = request("inside", false, false, true);
-        RawHttpClient.Message got = fixture.request("POST /once HTTP/1.1\r\nHost: a\r\n" + PeerForwardingFixture.ID
+        RawHttpClient.Message response = fixture.request("POST /once HTTP/1.1\r\nHost: a\r\n" + PeerForwardingFixture.ID
                 + ": outside\r\n" + headersAndBody + smuggled);
-        assertThat(got.status()).isEqualTo(400);
+        assertThat(response.status()).isEqualTo(400);
         assertThat(fixture.runs()).isEmpty();
     }
 
-    /** Requests and responses with mutated bytes, beside valid ones; -Dmutants=N for more. */
+    /** Sends mutated requests and responses beside valid ones; -Dmutants=N sends more. */
     @Test
-    void mutatedMessagesHarmNoOtherRequest() throws Exception {
+    void mutatedMessagesAffectNoOtherRequest() throws Exception {
         fixture.breakNext(PeerForwardingFixture.Break.NONE, false);
-        Set<String> once = new HashSet<>();
+        Set<String> nonIdempotentIds = new HashSet<>();
         for (int seed = 0; seed < MUTATIONS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             String mutatedId = Long.toHexString(random.nextLong());
             boolean idempotent = random.nextInt(2) == 0;
             if (!idempotent) {
-                once.add(mutatedId);
+                nonIdempotentIds.add(mutatedId);
             }
             String bytes = request(mutatedId, idempotent, random.nextInt(2) == 0, true);
             fixture.mutatedId = random.nextInt(2) == 0 ? mutatedId : "";
@@ -172,16 +173,18 @@
                 socket.getOutputStream().write(sent.getBytes(StandardCharsets.ISO_8859_1));
                 socket.shutdownOutput();
                 if (seed % 4 == 0) {
-                    // A new handler: one that has seen only broken responses of its one endpoint ejects it.
+                    // Needs a new handler: one that got only broken responses from its single endpoint ejects it.
                     fixture.breakNext(PeerForwardingFixture.Break.NONE, false);
                     String validId = "g" + seed;
-                    RawHttpClient.Message got = fixture.request(request(validId, false, seed % 8 == 0, false));
-                    assertThat(got.status() + got.body()).as("seed %d", seed).isEqualTo("200fine");
+                    RawHttpClient.Message response = fixture.request(request(validId, false, seed % 8 == 0, false));
+                    assertThat(response.status() + response.body())
+                            .as("seed %d", seed)
+                            .isEqualTo("200fine");
                     assertThat(fixture.runs(validId)).isEqualTo(1);
                 }
             }
         }
-        once.forEach(id -> assertThat(fixture.runs(id)).as(id).isLessThan(2));
+        nonIdempotentIds.forEach(id -> assertThat(fixture.runs(id)).as(id).isLessThan(2));
     }
 
     private static String mutate(String text, SplittableRandom random) {
--- a/src/test/java/org/cypressweir/dataplane/proxy/GracefulShutdownTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/GracefulShutdownTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Shutdown of a proxy on SIGTERM. */
 class GracefulShutdownTest {
 
     private static final long GRACE_MICROS = TimeUnit.MINUTES.toMicros(10);
@@ -23,16 +24,16 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** SIGTERM may come before the clients' listener is open. */
+    /** SIGTERM may arrive before the listener for clients is open. */
     @Test
     @Timeout(60)
     void endsWithoutAListenerOnceNothingIsInFlight() {
         AtomicBoolean isIdle = new AtomicBoolean();
-        AtomicBoolean hasBegun = new AtomicBoolean();
+        AtomicBoolean hasStarted = new AtomicBoolean();
         loop.schedule(() -> isIdle.set(true), 100, TimeUnit.MILLISECONDS);
         new GracefulShutdown(loop, () -> System.nanoTime() / 1_000, () -> null, isIdle::get)
-                .run(GRACE_MICROS, () -> hasBegun.set(true));
+                .run(GRACE_MICROS, () -> hasStarted.set(true));
         assertThat(isIdle).isTrue();
-        assertThat(hasBegun).isTrue();
+        assertThat(hasStarted).isTrue();
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshSoakTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshSoakTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Soaks of a mesh of processes, by seed. CI runs two short ones; more by hand: {@code -Dsoak.seeds=50}, with
- * {@code -Dsoak.first}, {@code -Dsoak.seconds} and {@code -Dsoak.proxies}. Odd seeds have planned work only.
+ * Soak tests of a mesh of processes, one for each seed. CI runs two short ones; longer runs take {@code -Dsoak.seeds},
+ * {@code -Dsoak.first}, {@code -Dsoak.seconds} and {@code -Dsoak.proxies}. With an odd seed
+ * nothing is killed, partitioned or suspended.
  */
 class MeshSoakTest {
 
@@ -48,7 +49,7 @@
             soak.run(SECONDS);
             return soak.violations();
         } catch (AssertionError e) {
-            // Something that was waited for did not come.
+            // A condition that the soak test waits for was not met in time.
             return List.of(e.getMessage().lines().findFirst().orElse(""));
         }
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three controllers and five proxies as processes: configuration changes, requests, and lost processes. */
+/** Three controllers and five proxies as processes: configuration changes, requests, and killed processes. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 @Timeout(30)
 class MeshTest {
@@ -40,7 +40,7 @@
             + "'free':{'apiKeys':['k-free'],'configVersion':'r1'},"
             + "'thin':{'apiKeys':['k-thin'],'ratePerS':2,'burstSize':2,'configVersion':'r1'}}}}";
 
-    /** The bound of the fixture's settings within which a draining instance gets no more requests. */
+    /** The timing bound "drain" of the fixture's settings, after which a draining instance gets no more requests. */
     private static final long DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
     @TempDir
@@ -68,18 +68,18 @@
         awaitAllEndpoints();
     }
 
-    /** Waits until all proxies know all three instances: each proxy has selected each of them. */
+    /** Waits until each proxy has selected each of the three instances. */
     private static void awaitAllEndpoints() throws InterruptedException {
         for (int i = 1; i <= 5; i++) {
             String proxy = "p" + i;
             fixture.await(proxy + " uses all instances", () -> {
-                List<String> by = new ArrayList<>();
+                List<String> instances = new ArrayList<>();
                 for (int n = 0; n < 9; n++) {
-                    by.add(fixture.request(proxy, HOST, "/safe/x", "k-free")
+                    instances.add(fixture.request(proxy, HOST, "/safe/x", "k-free")
                             .headers()
                             .get("Instance"));
                 }
-                return by.containsAll(List.of("orders-p1", "orders-p2", "orders-p3"));
+                return instances.containsAll(List.of("orders-p1", "orders-p2", "orders-p3"));
             });
         }
     }
@@ -136,12 +136,12 @@
         assertThat(response.headers()).containsEntry(ApplicationStubs.ID, id);
         String instanceId = response.headers().get("Instance");
         ApplicationStubs instance = fixture.application(instanceId.substring("orders-".length()));
-        RawHttpClient.Message seen = instance.received.stream()
+        RawHttpClient.Message received = instance.received.stream()
                 .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
                 .orElseThrow();
-        assertThat(seen.first()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
-        assertThat(seen.headers())
+        assertThat(received.first()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
+        assertThat(received.headers())
                 .containsEntry("Cypressweir-Caller-Service", "gate")
                 .containsEntry("Cypressweir-Tenant-Name", "free")
                 .containsEntry("Cypressweir-Target-Instance", instanceId)
@@ -251,7 +251,7 @@
         assertThat(fixture.read("h3").status()).isEqualTo(200);
     }
 
-    /** Requests in flight while all proxies on their way reload their settings, with and without a signal. */
+    /** Requests are in flight while all proxies reload their settings, some on a signal and some by polling. */
     @Test
     @Order(5)
     void reloadOfSettingsLosesNoRequestInFlight() throws Exception {
@@ -269,7 +269,7 @@
             before.put(proxy, reloads(proxy));
         }
         fixture.await(
-                "all requests are in flight", () -> responses.keySet().stream().allMatch(MeshTest::ran));
+                "all requests are in flight", () -> responses.keySet().stream().allMatch(MeshTest::hasRun));
         for (String proxy : proxies) {
             fixture.writeProxySettings(proxy, proxy.compareTo("p4") < 0 ? "orders" : "gate", ",\"another\":\"6s\"");
             if (!proxy.equals("p2") && !proxy.equals("p4")) {
@@ -291,7 +291,7 @@
         }
     }
 
-    /** Sends a request on a thread of its own; 0 where there is no response. */
+    /** Sends a request on a new thread; 0 if there is no response. */
     private static CompletableFuture<Integer> statusInBackground(String proxy, String id) {
         return CompletableFuture.supplyAsync(
                 () -> {
@@ -322,14 +322,15 @@
             return instance.received.size() == before;
         });
         assertThat(System.nanoTime() - acknowledgedAt).as("the bound drain").isLessThan(DRAIN_NANOS);
-        // Requests that were sent by then are answered: its own proxy knew of the draining first.
-        int refused = instance.rejectedWhileDraining.get();
-        int seen = instance.received.size();
+        // Requests that were sent before are still served: the instance's own proxy was the first to know of the
+        // draining.
+        int rejectedBefore = instance.rejectedWhileDraining.get();
+        int receivedBefore = instance.received.size();
         for (int i = 0; i < 60; i++) {
             assertThat(status("p" + (1 + i % 5), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(instance.received).hasSize(seen);
-        assertThat(instance.rejectedWhileDraining.get()).isEqualTo(refused);
+        assertThat(instance.received).hasSize(receivedBefore);
+        assertThat(instance.rejectedWhileDraining.get()).isEqualTo(rejectedBefore);
         instance.deregister();
         instance.startIncarnation("orders-p3");
         assertThat(status("p4", "/", "k-free")).isEqualTo(200);
@@ -344,7 +345,7 @@
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             String proxy = i < 4 ? "p2" : "p4";
-            Thread client = new Thread(() -> load(proxy, failures, served, firstResponses), "client");
+            Thread client = new Thread(() -> sendRequests(proxy, failures, served, firstResponses), "client");
             clients.add(client);
             client.start();
         }
@@ -360,7 +361,7 @@
         assertThat(served.get()).isGreaterThan(100);
     }
 
-    /** Where nobody confirms the configuration, a starting proxy uses it after a time-out. */
+    /** If no controller confirms the configuration, a starting proxy uses it after a time-out. */
     @Test
     @Order(8)
     void startsWithUnconfirmedConfigurationWithoutAMajority() throws Exception {
@@ -384,7 +385,7 @@
         assertThat(fixture.log("p3").split("unconfirmed configuration", -1)).hasSize(2);
     }
 
-    /** All requests to an instance pass its own proxy, so that draining works without a controller. */
+    /** All requests to an instance go through its own proxy, so draining works without a controller. */
     @Test
     @Order(9)
     void drainingIsAcknowledgedWithoutAnyController() throws Exception {
@@ -400,14 +401,14 @@
             }
             return instance.received.size() == before;
         });
-        int seen = instance.received.size();
+        int receivedBefore = instance.received.size();
         for (int i = 0; i < 60; i++) {
             assertThat(status(proxies.get(i % 4), "/", "k-free")).isEqualTo(200);
         }
-        assertThat(instance.received).hasSize(seen);
+        assertThat(instance.received).hasSize(receivedBefore);
     }
 
-    private static boolean ran(String id) {
+    private static boolean hasRun(String id) {
         for (int i = 1; i <= 5; i++) {
             if (fixture.application("p" + i).runs(id) > 0) {
                 return true;
@@ -417,10 +418,10 @@
     }
 
     /**
-     * Sends requests until nobody listens there. A connection that was reset before the proxy accepted it is no
-     * loss: its request was not read, and no instance has run it.
+     * Sends requests until the proxy no longer listens. A connection that was reset before the proxy accepted it is not
+     * a failure: its request was not read, and no instance has run it.
      */
-    private static void load(
+    private static void sendRequests(
             String proxy, Queue<String> failures, AtomicInteger served, CountDownLatch firstResponses) {
         while (!Thread.currentThread().isInterrupted()) {
             String id = "";
@@ -436,7 +437,7 @@
             } catch (ConnectException e) {
                 return;
             } catch (IOException e) {
-                if (ran(id)) {
+                if (hasRun(id)) {
                     failures.add(e.toString());
                 }
             }
--- a/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeerForwardingFixture.java
@@ -35,14 +35,17 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamOptions;
 import org.cypressweir.testkit.RawHttpClient;
 
-/** Two proxies' forwarding on loopback, with a relay between them and an application that break where the test says. */
+/**
+ * The forwarding between two proxies on loopback. The relay between them and the application break their connections
+ * where the test says.
+ */
 final class PeerForwardingFixture {
 
-    /** Where the next message is broken off; negative for nowhere. Bytes count from one. */
+    /** After how many bytes of each message its connection breaks; negative for none. */
     record Break(int request, int response, int forwardedRequest, int forwardedResponse) {
         static final Break NONE = new Break(-1, -1, -1, -1);
 
-        /** Another for nowhere: bytes are counted from it on. */
+        /** A new break for none, which starts a new count of bytes. */
         static Break none() {
             return new Break(-1, -1, -1, -1);
         }
@@ -63,23 +66,23 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final AtomicInteger pendingBreaks = new AtomicInteger();
-    private volatile Break now = Break.NONE;
-    /** Bytes that have passed the relay in each direction since the last break was set. */
+    private volatile Break currentBreak = Break.NONE;
+    /** Bytes that the relay has passed on in each direction since the last break was set. */
     private volatile int bytesForwarded;
 
     private volatile int bytesReturned;
-    /** Bytes of the last request that the application read. */
+    /** The size of the last request that the application read, in bytes. */
     private volatile int requestBytes;
-    /** The response of the application; ID in it is replaced by the id of the request. */
+    /** The application's response; "ID" in it is replaced by the id of the request. */
     volatile String response =
             "HTTP/1.1 200 OK\r\n" + ID + ": ID\r\nCypressweir-Server-Seal: s\r\n" + "Content-Length: 4\r\n\r\nfine";
-    /** The id whose responses are mutated, and how; its connection is closed after them. */
+    /** The id of the request whose response is mutated by {@link #mutation}; then its connection is closed. */
     volatile String mutatedId = "";
 
     volatile UnaryOperator<String> mutation = text -> text;
     private ServiceRequestHandler handler;
-    /** The connection on which the other proxy has sent its registration. */
-    private PeerConnection registered;
+    /** The connection on which the other proxy sent its registration. */
+    private PeerConnection registeredConnection;
 
     private long lastNumber;
 
@@ -102,9 +105,9 @@
                 new PeerListener());
         forwarder = new PeerForwarder(
                 PeerForwardingFixture::micros, "own", INCARNATION, localDispatcher, connections::connection);
-        daemon(() -> accept(server, this::serve));
-        daemon(() -> accept(relay, this::relay));
-        on(() -> {
+        startDaemon(() -> accept(server, this::serve));
+        startDaemon(() -> accept(relay, this::relay));
+        callOnLoop(() -> {
             connections.setAddresses(Set.of(remoteAddress()));
             return null;
         });
@@ -113,7 +116,7 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 () -> new RequestLimits(16_384, 65_536, 1_000, 5_000),
                 PeerForwardingFixture::micros,
-                this::called);
+                this::handleCall);
     }
 
     private PeerForwarder forwarder() {
@@ -133,7 +136,7 @@
     }
 
     private UpstreamDispatcher dispatcher(InetSocketAddress to, String instance) throws Exception {
-        return on(() -> {
+        return callOnLoop(() -> {
             UpstreamDispatcher dispatcher = new UpstreamDispatcher(
                     loop, to, PeerForwardingFixture::micros, UpstreamOptions.defaults(), line -> {});
             dispatcher.setInstance(new InstanceIncarnation(instance, "s", 8, false, 0));
@@ -141,7 +144,7 @@
         });
     }
 
-    private <T> T on(Callable<T> task) throws Exception {
+    private <T> T callOnLoop(Callable<T> task) throws Exception {
         return loop.submit(task).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -155,7 +158,7 @@
                 forwarder.responseReceived(connection, response);
             } else {
                 forwarder.incarnationReceived(connection, 1);
-                registered = connection;
+                registeredConnection = connection;
             }
         }
 
@@ -168,7 +171,7 @@
         public void connectFailed(String address) {}
     }
 
-    private void called(ServerRequest call) {
+    private void handleCall(ServerRequest call) {
         boolean idempotent = call.path().startsWith("/idempotent");
         RouteConfiguration route = new RouteConfiguration(
                 "r", "a", "/", idempotent, 4_000_000, 2_000_000, 1, List.of(new WeightedDestination("s", 1)), 3, false);
@@ -189,12 +192,13 @@
                 new RequestTrace(PeerForwardingFixture::micros, 4)));
     }
 
-    /** Breaks the next message there; with one endpoint only, it is forwarded. */
+    /** Breaks the next message at this place; without a local endpoint the request is always forwarded. */
     void breakNext(Break where, boolean withLocalEndpoint) throws Exception {
-        while (!on(() -> registered != null && connections.connection(remoteAddress()) == registered)) {
+        while (!callOnLoop(() ->
+                registeredConnection != null && connections.connection(remoteAddress()) == registeredConnection)) {
             Thread.onSpinWait();
         }
-        on(() -> {
+        callOnLoop(() -> {
             handler = new ServiceRequestHandler(
                     "s",
                     loop,
@@ -212,10 +216,10 @@
             return null;
         });
         pendingBreaks.set(1);
-        now = where;
+        currentBreak = where;
     }
 
-    /** The bytes of a message: to the application, forwarded to the other proxy, or returned by it. */
+    /** The size in bytes of a message: to the application, forwarded to the other proxy, or returned by it. */
     int bytes(String where) {
         return where.equals("request to the application")
                 ? requestBytes
@@ -238,7 +242,7 @@
         return socket;
     }
 
-    /** The response to a client that sends this; null for none. */
+    /** Sends this as a client and returns the response; null for none. */
     RawHttpClient.Message request(String bytes) throws IOException {
         try (Socket socket = client()) {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
@@ -246,27 +250,27 @@
         }
     }
 
-    private interface Conversation {
-        void with(Socket socket) throws IOException;
+    private interface SocketHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private void accept(ServerSocket listening, Conversation conversation) {
+    private void accept(ServerSocket listening, SocketHandler socketHandler) {
         try {
             while (true) {
                 Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                daemon(() -> {
+                startDaemon(() -> {
                     try (socket) {
-                        conversation.with(socket);
+                        socketHandler.handle(socket);
                     } catch (IOException e) {
-                        // One side has broken the connection, as the test wants.
+                        // One side has broken the connection, as the test intends.
                     }
                     sockets.remove(socket);
                 });
             }
         } catch (IOException e) {
-            // The test is over.
+            // The fixture was closed.
         }
     }
 
@@ -277,7 +281,7 @@
         int end = Integer.MAX_VALUE;
         Break pendingBreak = Break.NONE;
         for (int b; (b = in.read()) >= 0; ) {
-            pendingBreak = size == 0 ? takeBreak(now.request > 0 || now.response >= 0) : pendingBreak;
+            pendingBreak = size == 0 ? takeBreak(currentBreak.request > 0 || currentBreak.response >= 0) : pendingBreak;
             head.append((char) b);
             if (++size == pendingBreak.request) {
                 reset(socket);
@@ -310,15 +314,15 @@
         return id.equals(mutatedId) ? mutation.apply(text) : text;
     }
 
-    private static String value(CharSequence head, String name, String otherwise) {
+    private static String value(CharSequence head, String name, String defaultValue) {
         String text = head.toString();
         String line = "\r\n" + name.toLowerCase(Locale.ROOT) + ": ";
         int at = text.toLowerCase(Locale.ROOT).indexOf(line);
-        return at < 0 ? otherwise : text.substring(at + name.length() + 4, text.indexOf("\r\n", at + 2));
+        return at < 0 ? defaultValue : text.substring(at + name.length() + 4, text.indexOf("\r\n", at + 2));
     }
 
     private Break takeBreak(boolean applies) {
-        return applies && pendingBreaks.getAndSet(0) > 0 ? now : Break.NONE;
+        return applies && pendingBreaks.getAndSet(0) > 0 ? currentBreak : Break.NONE;
     }
 
     private static void reset(Socket socket) throws IOException {
@@ -330,26 +334,26 @@
         Socket to = new Socket(remote.getAddress(), remote.getPort());
         to.setTcpNoDelay(true);
         sockets.add(to);
-        daemon(() -> copy(to, from, false));
+        startDaemon(() -> copy(to, from, false));
         copy(from, to, true);
     }
 
-    /** Counts from the first byte after the break was set. */
-    private void copy(Socket from, Socket to, boolean out) {
+    /** Passes bytes on, and breaks the connection where set; counts from the first byte after the break was set. */
+    private void copy(Socket from, Socket to, boolean isForward) {
         byte[] bytes = new byte[65_536];
         Break pendingBreak = Break.NONE;
         int passed = 0;
         try (from;
                 to) {
             for (int size; (size = from.getInputStream().read(bytes)) >= 0; ) {
-                if (pendingBreak != now) {
-                    pendingBreak = now;
+                if (pendingBreak != currentBreak) {
+                    pendingBreak = currentBreak;
                     passed = 0;
                 }
-                int breakAt = out ? pendingBreak.forwardedRequest : pendingBreak.forwardedResponse;
+                int breakAt = isForward ? pendingBreak.forwardedRequest : pendingBreak.forwardedResponse;
                 int length = breakAt < 0 || pendingBreaks.get() == 0 ? size : Math.min(size, breakAt - passed);
                 passed += length;
-                if (out) {
+                if (isForward) {
                     bytesForwarded = passed;
                 } else {
                     bytesReturned = passed;
@@ -364,14 +368,14 @@
         }
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "peer-forwarding-fixture");
         thread.setDaemon(true);
         thread.start();
     }
 
     void close() throws Exception {
-        on(() -> {
+        callOnLoop(() -> {
             connections.close();
             return null;
         });
--- a/src/test/java/org/cypressweir/dataplane/proxy/PeriodicTasksTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/PeriodicTasksTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Periods and order of periodic tasks, and what a failing one does to the others. */
+/** Periods and order of periodic tasks, and the effect of a failing task on the others. */
 class PeriodicTasksTest {
 
     private static final int TICK_MILLIS = 50;
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyFixture.java
@@ -16,12 +16,12 @@
 import org.cypressweir.dataplane.http.upstream.UpstreamRequest;
 import org.cypressweir.testkit.RecordedServerRequest;
 
-/** A request handler with simulated time, clients and instances: the test completes each attempt when it wants. */
+/** A request handler with simulated time, clients and instances; the test decides how and when each attempt ends. */
 final class ProxyFixture implements AttemptTransport {
 
     static final long LATENCY_TARGET_MICROS = 500_000;
     static final long TIMEOUT_MICROS = 2_000_000;
-    /** The settings of a proxy beside an instance of the service till. */
+    /** The settings of a proxy beside an instance of the service "till". */
     static final NodeSettings SETTINGS = NodeSettings.read(("{'localNode':{'nodeName':'p1','ipAddress':'10.0.0.1',"
                             + "'zone':'z','service':'till','application':'10.0.0.1:80'},'network':{'listenAddresses':"
                             + "{'controlPlane':'10.0.0.1:82'},'internalPortRange':[7640,7655],"
@@ -83,7 +83,7 @@
     final List<SentAttempt> sent = new ArrayList<>();
     /** Called with each attempt as it is sent. */
     Consumer<SentAttempt> onSend = attempt -> {};
-    /** Whether retrying a non-idempotent request that may have run is an error. */
+    /** Whether sending fails for a non-idempotent request that may have run before. */
     boolean strict = true;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -111,7 +111,7 @@
         return handler;
     }
 
-    /** Replaces the endpoint list by one of so many. */
+    /** Replaces the endpoint list by one with this many endpoints. */
     void updateEndpoints(int count) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -128,7 +128,7 @@
     @Override
     public Handle send(Endpoint endpoint, UpstreamRequest request, Consumer<AttemptResult> callback) {
         if (strict && !request.idempotent() && !attempts(request.id()).stream().allMatch(SentAttempt::hasNotRun)) {
-            throw new AssertionError("retried: " + request.id());
+            throw new AssertionError("retried a request that may have run: " + request.id());
         }
         SentAttempt attempt = new SentAttempt(endpoint, request, callback);
         sent.add(attempt);
@@ -178,7 +178,7 @@
         channel.eventLoop().schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 
-    /** Advances the simulated time, and runs each task that is due meanwhile at its time. */
+    /** Advances the simulated time, and runs each task at the time at which it is due. */
     void advance(long micros) {
         long until = now + micros;
         while (true) {
