--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -8,9 +8,9 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * A proxy starts during random partitions, in simulated time: it receives versions of the configuration and queries
- * controllers for their confirmation, over paths that delay messages. A configuration that it starts with as
- * confirmed must have all changes that were acknowledged before.
+ * Starts a proxy during random partitions, in simulated time: it receives versions of the configuration and asks
+ * controllers to confirm them, over connections that delay messages. If it starts with a confirmed configuration, this
+ * must contain all changes that were acknowledged before.
  */
 public final class ProxyStartScenario {
 
@@ -22,21 +22,21 @@
     private record DelayedMessage(long at, Runnable delivery) {}
 
     private final SplittableRandom random;
-    private final SimulatedReplicas world;
+    private final SimulatedReplicas cluster;
     private final ReadinessGate gate = new ReadinessGate();
     private final List<DelayedMessage> messages = new ArrayList<>();
     private final List<Integer> reachable = new ArrayList<>();
     private final long maxDelayMicros;
-    private ReplicatedState own;
+    private ReplicatedState ownState;
     private long version;
 
     private ProxyStartScenario(long seed) {
         random = new SplittableRandom(seed);
-        world = new SimulatedReplicas(seed, 3);
+        cluster = new SimulatedReplicas(seed, 3);
         maxDelayMicros = random.nextBoolean() ? random.nextLong(2_000_000) : 0;
     }
 
-    /** The first violation in so many scenarios, or null. */
+    /** Runs the given number of scenarios; returns the first violation, or null. */
     public static String firstViolation(int scenarios) {
         int confirmed = 0;
         for (long seed = 0; seed < scenarios; seed++) {
@@ -53,70 +53,73 @@
     }
 
     private void submitChange() {
-        Replica at = world.replica(1 + random.nextInt(3));
-        world.submit(
+        Replica at = cluster.replica(1 + random.nextInt(3));
+        cluster.submit(
                 at,
                 "{\"upsert\":{\"tenantTable\":{\"t\":{\"apiKeys\":[\"k\"],\"configVersion\":\"r" + ++version + "\"}}}}",
                 850_000);
     }
 
-    /** Leaves all three controllers connected, or partitions one, whose number it returns; 0 for none. */
+    /** Partitions one of the three controllers at random, or none; returns its number, or 0 for none. */
     private int partition() {
         int partitioned = random.nextInt(4);
         int directions = 1 + random.nextInt(3);
         for (int i = 1; i <= 3 && partitioned > 0; i++) {
             if (i != partitioned && (directions & 1) != 0) {
-                world.block(
-                        world.replica(partitioned).address(), world.replica(i).address());
+                cluster.block(
+                        cluster.replica(partitioned).address(),
+                        cluster.replica(i).address());
             }
             if (i != partitioned && (directions & 2) != 0) {
-                world.block(
-                        world.replica(i).address(), world.replica(partitioned).address());
+                cluster.block(
+                        cluster.replica(i).address(),
+                        cluster.replica(partitioned).address());
             }
         }
         return partitioned;
     }
 
-    /** Partitions all controllers from each other, and restarts one. */
+    /** Partitions all controllers from one another, and restarts one. */
     private void partitionAll() {
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
-                world.block(world.replica(i).address(), world.replica(j).address());
+                cluster.block(cluster.replica(i).address(), cluster.replica(j).address());
             }
         }
         int restarted = 1 + random.nextInt(3);
-        world.crash(world.replica(restarted));
-        world.start(restarted);
-        world.run(3_000_000);
+        cluster.crash(cluster.replica(restarted));
+        cluster.start(restarted);
+        cluster.run(3_000_000);
     }
 
     private void send(Runnable delivery) {
-        messages.add(new DelayedMessage(world.now() + maxDelayMicros + random.nextLong(STEP_MICROS), delivery));
+        messages.add(new DelayedMessage(cluster.now() + maxDelayMicros + random.nextLong(STEP_MICROS), delivery));
     }
 
     private void query(int controller, long queriedAt) {
         send(() -> {
-            Replica replica = world.replica(controller);
-            ReplicatedState shown = replica.consensus().committed();
-            long age = replica.consensus().confirmedAge(world.now());
+            Replica replica = cluster.replica(controller);
+            ReplicatedState committed = replica.consensus().committed();
+            long age = replica.consensus().confirmedAge(cluster.now());
             send(() -> {
                 // The configuration arrives with the answer, later, or not at all for now.
-                if (random.nextInt(3) > 0 && (own == null || shown.number().compareTo(own.number()) > 0)) {
-                    own = shown;
+                if (random.nextInt(3) > 0
+                        && (ownState == null || committed.number().compareTo(ownState.number()) > 0)) {
+                    ownState = committed;
                 }
-                gate.confirmationReceived(world.now(), "h" + controller, queriedAt, shown.number(), age);
+                gate.confirmationReceived(cluster.now(), "h" + controller, queriedAt, committed.number(), age);
             });
         });
     }
 
     private String run() {
-        world.run(1_000_000);
+        cluster.run(1_000_000);
         submitChange();
-        world.run(1_000_000);
+        cluster.run(1_000_000);
         int partitioned = partition();
         for (int i = random.nextInt(20); i >= 0; i--) {
             submitChange();
-            world.run(random.nextLong(400_000));
+            cluster.run(random.nextLong(400_000));
         }
         if (partitioned > 0 && random.nextInt(3) == 0) {
             partitioned = ALL_PARTITIONED;
@@ -131,24 +134,27 @@
     }
 
     private String startProxy(int partitioned) {
-        long startedAt = world.now();
+        long startedAt = cluster.now();
         long configuredSince = -1;
-        while (world.now() < startedAt + CONFIRMATION_TIMEOUT_MICROS + MESSAGE_MARGIN_MICROS) {
+        while (cluster.now() < startedAt + CONFIRMATION_TIMEOUT_MICROS + MESSAGE_MARGIN_MICROS) {
             if (random.nextInt(8) == 0) {
                 submitChange();
             }
-            world.run(STEP_MICROS);
-            long now = world.now();
+            cluster.run(STEP_MICROS);
+            long now = cluster.now();
             deliverMessages(now);
             if (gate.isQueryDue(now)) {
                 reachable.forEach(controller -> query(controller, now));
             }
-            configuredSince = configuredSince < 0 && own != null && own.number().round() > 0 ? now : configuredSince;
-            if (own != null && gate.mayStart(now, own.number(), CONFIRMATION_TIMEOUT_MICROS)) {
+            configuredSince =
+                    configuredSince < 0 && ownState != null && ownState.number().round() > 0 ? now : configuredSince;
+            if (ownState != null && gate.mayStart(now, ownState.number(), CONFIRMATION_TIMEOUT_MICROS)) {
                 return checkStart(now, configuredSince, startedAt, partitioned);
             }
         }
-        return own == null || own.number().round() == 0 || now() < configuredSince + CONFIRMATION_TIMEOUT_MICROS
+        return ownState == null
+                        || ownState.number().round() == 0
+                        || now() < configuredSince + CONFIRMATION_TIMEOUT_MICROS
                 ? null
                 : "never starts";
     }
@@ -163,19 +169,20 @@
     }
 
     private long now() {
-        return world.now();
+        return cluster.now();
     }
 
     private String checkStart(long now, long configuredSince, long startedAt, int partitioned) {
         if (gate.isConfirmed()) {
-            world.checks().confirmed("the proxy", now - ReadinessGate.MAX_CONTACT_AGE_MICROS, own.configuration());
+            cluster.checks()
+                    .confirmed("the proxy", now - ReadinessGate.MAX_CONTACT_AGE_MICROS, ownState.configuration());
         } else if (now < configuredSince + CONFIRMATION_TIMEOUT_MICROS) {
             return "starts after " + (now - configuredSince) + " us with an unconfirmed configuration";
         } else if (maxDelayMicros == 0
                 && partitioned != ALL_PARTITIONED
                 && reachable.stream().anyMatch(controller -> controller != partitioned)) {
-            return "waits though it reaches a controller that is in contact";
+            return "waits although it reaches a controller that is in contact with a majority";
         }
-        return world.checks().breach();
+        return cluster.checks().breach();
     }
 }
--- a/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ReadinessGateTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A proxy starts with a configuration that a majority confirms, or after a time-out with the one it has. */
+/** A proxy starts with a confirmed configuration, or after a time-out with the one that it has. */
 class ReadinessGateTest {
 
     private static final int SCENARIOS = 300;
@@ -28,17 +28,18 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "any age is accepted ~ now - confirmation.asOf <= MAX_CONTACT_AGE_MICROS && ownVersion "
-                        + "~ ownVersion",
+                "a confirmation of any age is accepted "
+                        + "~ now - confirmation.asOf <= MAX_CONTACT_AGE_MICROS && ownVersion ~ ownVersion",
                 "an answer counts as of its arrival ~ new Confirmation(version, queriedAt - ageMicros) "
                         + "~ new Confirmation(version, now - ageMicros)",
                 "an older configuration than the confirmed one is accepted "
                         + "~ && ownVersion.compareTo(confirmation.version) >= 0 ~ ",
                 "a partitioned controller confirms ~ version != null && ageMicros >= 0 && queriedAt <= now "
                         + "~ version != null",
-                "it doesn't wait for a confirmation ~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
+                "the proxy doesn't wait for a confirmation "
+                        + "~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
                         + "~ started = true;",
-                "it waits for a confirmation for ever "
+                "the proxy waits for a confirmation for ever "
                         + "~ started = isConfirmed || now - configuredSince >= timeoutMicros; "
                         + "~ started = isConfirmed;",
             })
@@ -69,7 +70,7 @@
         assertThat(gate.inContact(Set.of("a", "c"))).containsExactly("c");
     }
 
-    /** A controller that was partitioned announces old voters: newer ones stay connected. */
+    /** A controller that was partitioned announces old voters; the proxy keeps to the newer ones. */
     @Test
     void oldVotersAreIgnored() {
         ConfigurationSubscriber subscriber = new ConfigurationSubscriber();
--- a/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ServiceRequestHandlerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoint selection, retries and responses, for all outcomes of attempts. */
+/** Endpoint selection, retries and responses of a request handler, for all outcomes of attempts. */
 class ServiceRequestHandlerTest {
 
     private static final List<RejectionReason> REASONS = List.copyOf(EnumSet.allOf(RejectionReason.class));
@@ -37,12 +37,12 @@
         }
         fixture.advance(1_000_000);
         assertThat(clients).allMatch(c -> c.responses.size() == 1 && c.status() == 200);
-        List<String> late = fixture.sent.subList(fixture.sent.size() / 2, fixture.sent.size()).stream()
+        List<String> laterHalf = fixture.sent.subList(fixture.sent.size() / 2, fixture.sent.size()).stream()
                 .map(sent -> sent.endpoint.instanceId())
                 .toList();
-        assertThat(late.stream().filter("i0"::equals).count()).isBetween(1L, late.size() / 12L);
+        assertThat(laterHalf.stream().filter("i0"::equals).count()).isBetween(1L, laterHalf.size() / 12L);
         for (String fast : List.of("i1", "i2", "i3")) {
-            assertThat(late.stream().filter(fast::equals).count()).isGreaterThan(late.size() / 6L);
+            assertThat(laterHalf.stream().filter(fast::equals).count()).isGreaterThan(laterHalf.size() / 6L);
         }
         assertThat(fixture.handler().inFlightCount()).isZero();
     }
@@ -164,10 +164,10 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestWithoutCapacityIsRejectedEarly(boolean repeatable) {
+    void requestWithoutCapacityIsRejectedEarly(boolean idempotent) {
         ProxyFixture fixture = new ProxyFixture(3);
         fixture.onSend = sent -> sent.complete(notRun(RejectionReason.FULL));
-        ProxyFixture.Client client = fixture.request(repeatable);
+        ProxyFixture.Client client = fixture.request(idempotent);
         fixture.advance(ProxyFixture.LATENCY_TARGET_MICROS / 2);
         assertThat(client.status()).isEqualTo(503);
         assertThat(Double.parseDouble(client.retryAfter())).isPositive();
@@ -178,11 +178,11 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestThatMayHaveRunIsNotRejected(boolean repeatable) {
+    void requestThatMayHaveRunIsNotRejected(boolean idempotent) {
         ProxyFixture fixture = new ProxyFixture(3);
         fixture.onSend = sent ->
-                sent.complete(fixture.sent.size() == (repeatable ? 1 : 2) ? LOST : notRun(RejectionReason.FULL));
-        ProxyFixture.Client client = fixture.request(repeatable);
+                sent.complete(fixture.sent.size() == (idempotent ? 1 : 2) ? LOST : notRun(RejectionReason.FULL));
+        ProxyFixture.Client client = fixture.request(idempotent);
         fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
         assertThat(fixture.sent).hasSizeGreaterThan(1);
         assertThat(client.responses).hasSize(1);
@@ -213,7 +213,7 @@
         assertThat(client.status()).isEqualTo(status);
     }
 
-    /** Only a marked response says that the request did not run; clients would believe the bare status. */
+    /** Without a marker the request may have run, but the client would take these statuses to say that it hasn't. */
     @ParameterizedTest
     @ValueSource(ints = {408, 429, 503})
     void unmarkedRejectionIsNotForwarded(int status) {
@@ -232,21 +232,21 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void disconnectedClientGetsNoResponse(boolean repeatable) {
+    void disconnectedClientGetsNoResponse(boolean idempotent) {
         ProxyFixture fixture = new ProxyFixture(3);
-        ProxyFixture.Client client = fixture.request(repeatable);
+        ProxyFixture.Client client = fixture.request(idempotent);
         fixture.advance(10_000);
         client.disconnect();
         fixture.advance(0);
         assertThat(fixture.sent.get(0).cancelled).isTrue();
-        fixture.sent.get(0).complete(repeatable ? notRun(RejectionReason.CANCELLED) : LOST);
+        fixture.sent.get(0).complete(idempotent ? notRun(RejectionReason.CANCELLED) : LOST);
         fixture.advance(3 * ProxyFixture.TIMEOUT_MICROS);
         assertThat(fixture.sent).hasSize(1);
         assertThat(client.responses).isEmpty();
         assertThat(fixture.handler().inFlightCount()).isZero();
     }
 
-    private static Runnable randomEnd(SplittableRandom random, ProxyFixture.SentAttempt sent) {
+    private static Runnable randomCompletion(SplittableRandom random, ProxyFixture.SentAttempt sent) {
         return switch (random.nextInt(10)) {
             case 0, 1, 2, 3, 4 -> () -> sent.respond(200);
             case 5 -> () -> sent.respond(500);
@@ -256,18 +256,18 @@
         };
     }
 
-    /** With random outcomes of attempts and changing endpoint lists. */
+    /** Random outcomes of attempts and changing endpoint lists: the response must agree with the attempts' outcomes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void eachRequestHasOneTrueResponse(long seed) {
+    void eachRequestHasOneCorrectResponse(long seed) {
         ProxyFixture fixture = new ProxyFixture(3);
         SplittableRandom random = new SplittableRandom(seed);
         fixture.onSend = sent -> {
-            Runnable end = randomEnd(random, sent);
+            Runnable completion = randomCompletion(random, sent);
             if (random.nextInt(3) == 0) {
-                end.run();
+                completion.run();
             } else {
-                fixture.schedule(random.nextInt(300_000), end);
+                fixture.schedule(random.nextInt(300_000), completion);
             }
         };
         List<ProxyFixture.Client> clients = new ArrayList<>();
@@ -284,9 +284,9 @@
             List<ProxyFixture.SentAttempt> attempts = fixture.attempts("id" + (i + 1));
             assertThat(client.responses).hasSize(1);
             assertThat(attempts).hasSizeLessThanOrEqualTo(i % 2 == 0 ? 4 : 3);
-            boolean refused = client.retryAfter() != null;
-            assertThat(refused).isEqualTo(client.status() == 503);
-            if (refused) {
+            boolean rejected = client.retryAfter() != null;
+            assertThat(rejected).isEqualTo(client.status() == 503);
+            if (rejected) {
                 assertThat(attempts).allMatch(ProxyFixture.SentAttempt::hasNotRun);
             } else if (client.status() < 502) {
                 assertThat(attempts)
--- a/src/test/java/org/cypressweir/dataplane/proxy/WeightedSplitTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/WeightedSplitTest.java
@@ -20,11 +20,11 @@
 import org.cypressweir.dataplane.quota.UnconnectedRequester;
 import org.junit.jupiter.api.Test;
 
-/** The services of a route get its requests by their weights. */
+/** The requests of a route are divided among its services by their weights. */
 class WeightedSplitTest {
 
     private static final int REQUESTS = 4_000;
-    /** Three standard deviations of a share of a half, which is the widest. */
+    /** Three standard deviations of a share of one half, which has the greatest deviation. */
     private static final double TOLERANCE = 0.025;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -111,7 +111,7 @@
 
     private double shareOfB(String split, String... servicesWithEndpoints) {
         OutboundListener listener = listener(split);
-        // Handlers exist before their endpoints are set.
+        // Endpoints are set only in handlers that exist already.
         handlers.handler("a", true);
         handlers.handler("b", true);
         handlers.handler("a", false);
