--- a/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
@@ -19,24 +19,24 @@
             paramLabel = "ADDRESS",
             required = true,
             description = "the sidecar's operators' door, address:port")
-    private String door;
+    private String adminAddress;
 
     /** Does its work at this door; the exit status. */
-    abstract int work(InetSocketAddress address) throws InterruptedException;
+    abstract int execute(InetSocketAddress address) throws InterruptedException;
 
     @Override
     public final Integer call() throws InterruptedException {
         InetSocketAddress address;
         try {
-            address = Addresses.parse(door);
+            address = Addresses.parse(adminAddress);
         } catch (IllegalArgumentException e) {
-            return say("--door: " + e.getMessage(), CommandLineTool.BAD);
+            return report("--door: " + e.getMessage(), CommandLineTool.EXIT_INVALID_INPUT);
         }
-        return work(address);
+        return execute(address);
     }
 
-    final String door() {
-        return door;
+    final String adminAddress() {
+        return adminAddress;
     }
 
     final CommandLine commandLine() {
@@ -44,7 +44,7 @@
     }
 
     /** Says in a line why it ends, or goes on; hands the status back. */
-    final int say(String why, int status) {
+    final int report(String why, int status) {
         commandLine().getErr().println("cypressweir-sidecar: " + why);
         return status;
     }
--- a/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
@@ -13,10 +13,10 @@
 final class CheckCommand implements Callable<Integer> {
 
     @Mixin
-    private Installed installed;
+    private OperatorsFileOptions operatorsFile;
 
     @Override
     public Integer call() {
-        return installed.load() == null ? CommandLineTool.BAD : 0;
+        return operatorsFile.load() == null ? CommandLineTool.EXIT_INVALID_INPUT : 0;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/CommandLineTool.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CommandLineTool.java
@@ -24,7 +24,7 @@
 public final class CommandLineTool {
 
     /** Exit status of a bad file or a bad command line. */
-    static final int BAD = 2;
+    static final int EXIT_INVALID_INPUT = 2;
 
     CommandLineTool() {}
 
--- a/src/main/java/org/cypressweir/sidecar/cli/ExplainCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ExplainCommand.java
@@ -23,7 +23,7 @@
     private CommandSpec command;
 
     @Mixin
-    private Installed installed;
+    private OperatorsFileOptions operatorsFile;
 
     @Option(
             names = "--request",
@@ -36,9 +36,9 @@
 
     @Override
     public Integer call() {
-        Operators operators = installed.load();
+        Operators operators = operatorsFile.load();
         if (operators == null) {
-            return CommandLineTool.BAD;
+            return CommandLineTool.EXIT_INVALID_INPUT;
         }
         var out = command.commandLine().getOut();
         if (request == null) {
@@ -48,13 +48,13 @@
         }
         int space = request.trim().indexOf(' ');
         if (space < 0) {
-            return bad("--request takes a method and a target, such as 'GET http://host/path'");
+            return fail("--request takes a method and a target, such as 'GET http://host/path'");
         }
         Map<String, String> fields;
         try {
             fields = headers.fields();
         } catch (IllegalArgumentException e) {
-            return bad(e.getMessage());
+            return fail(e.getMessage());
         }
         try {
             out.print(Explain.request(
@@ -65,12 +65,12 @@
             out.flush();
             return 0;
         } catch (InvalidTargetException e) {
-            return bad("the request would be answered 400: " + e.getMessage());
+            return fail("the request would be answered 400: " + e.getMessage());
         }
     }
 
-    private int bad(String why) {
+    private int fail(String why) {
         command.commandLine().getErr().println("cypressweir-sidecar: " + why);
-        return CommandLineTool.BAD;
+        return CommandLineTool.EXIT_INVALID_INPUT;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
@@ -107,7 +107,7 @@
                         seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
-                return CommandLineTool.BAD;
+                return CommandLineTool.EXIT_INVALID_INPUT;
             }
             out.println(String.format(
                     Locale.ROOT,
--- a/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
@@ -62,7 +62,7 @@
                         new QuietScenario(instances, servers, perMinute, rate, changes, seconds, seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
-                return CommandLineTool.BAD;
+                return CommandLineTool.EXIT_INVALID_INPUT;
             }
             out.println(String.format(
                     Locale.ROOT,
--- a/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
@@ -19,125 +19,125 @@
                 + " lost and the command was ended, 1 where the sidecar can't be asked, 2 for a bad command line.")
 final class LeaseRunCommand extends AdminCommand {
 
-    static final int NOT_HELD = 73;
-    static final int LOST = 74;
-    private static final int ASK_MILLIS = 100;
-    private static final int PATIENCE_MILLIS = 500;
+    static final int EXIT_NOT_HELD = 73;
+    static final int EXIT_LOST = 74;
+    private static final int POLL_INTERVAL_MILLIS = 100;
+    private static final int REQUEST_TIMEOUT_MILLIS = 500;
     /** From the request to end to the end by force, and from that to the end of what was promised. */
-    private static final long STOP_MILLIS = 500;
+    private static final long TERMINATION_GRACE_MILLIS = 500;
 
-    private static final long SPARE_MILLIS = 200;
+    private static final long SAFETY_MARGIN_MILLIS = 200;
 
     @Option(names = "--wait", description = "wait until the lease is held, however long that takes")
-    private boolean waits;
+    private boolean waitUntilHeld;
 
     @Parameters(index = "0", paramLabel = "NAME", description = "the lease")
     private String name;
 
     @Parameters(index = "1..*", arity = "1..*", paramLabel = "COMMAND", description = "what to run, after --")
-    private List<String> words;
+    private List<String> commandWords;
 
     /** What the sidecar has said; it counts from when it was asked, so that a late answer says less. */
-    private record Answer(String text, long token, long until) {
+    private record LeaseAnswer(String text, long token, long expiryNanos) {
         boolean held() {
             return text.startsWith("YES ");
         }
     }
 
     @Override
-    int work(InetSocketAddress address) throws InterruptedException {
-        Answer first;
+    int execute(InetSocketAddress address) throws InterruptedException {
+        LeaseAnswer first;
         while (true) {
             try {
-                first = ask(address);
+                first = query(address);
             } catch (IOException e) {
-                return say("the door at " + door() + " can't be asked: " + e.getMessage(), 1);
+                return report("the door at " + adminAddress() + " can't be asked: " + e.getMessage(), 1);
             }
-            if (first.held() && left(first) > STOP_MILLIS + SPARE_MILLIS) {
+            if (first.held() && remainingMillis(first) > TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
                 break;
             }
-            if (!first.held() && !waits) {
-                return say("lease '" + name + "' is not held here: " + first.text, NOT_HELD);
+            if (!first.held() && !waitUntilHeld) {
+                return report("lease '" + name + "' is not held here: " + first.text, EXIT_NOT_HELD);
             }
-            TimeUnit.MILLISECONDS.sleep(ASK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         return run(address, first);
     }
 
-    private int run(InetSocketAddress address, Answer first) throws InterruptedException {
-        ProcessBuilder builder = new ProcessBuilder(words).inheritIO();
+    private int run(InetSocketAddress address, LeaseAnswer first) throws InterruptedException {
+        ProcessBuilder builder = new ProcessBuilder(commandWords).inheritIO();
         builder.environment().put("LB_LEASE", name);
         builder.environment().put("LB_LEASE_TOKEN", String.valueOf(first.token));
-        builder.environment().put("LB_LEASE_END", String.valueOf(System.currentTimeMillis() + left(first)));
+        builder.environment().put("LB_LEASE_END", String.valueOf(System.currentTimeMillis() + remainingMillis(first)));
         Process process;
         try {
             process = builder.start();
         } catch (IOException e) {
-            return say("can't run " + words.get(0) + ": " + e.getMessage(), 1);
+            return report("can't run " + commandWords.get(0) + ": " + e.getMessage(), 1);
         }
-        Thread withUs = new Thread(() -> all(process).forEach(ProcessHandle::destroyForcibly));
-        Runtime.getRuntime().addShutdownHook(withUs);
-        long until = first.until;
+        Thread shutdownHook = new Thread(() -> processTree(process).forEach(ProcessHandle::destroyForcibly));
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        long expiryNanos = first.expiryNanos;
         boolean lost = false;
-        while (!process.waitFor(ASK_MILLIS, TimeUnit.MILLISECONDS)) {
-            Answer next = askIfPossible(address);
+        while (!process.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
+            LeaseAnswer next = queryOrNull(address);
             // Where nobody answers, what was promised holds. A higher token is another grant, between which
             // and this one somebody else may have acted.
             if (next != null) {
                 lost = !next.held() || next.token != first.token;
-                until = lost ? until : Math.max(until, next.until);
+                expiryNanos = lost ? expiryNanos : Math.max(expiryNanos, next.expiryNanos);
             }
-            if (lost || millis(until) <= STOP_MILLIS + SPARE_MILLIS) {
-                end(process, until);
-                return say("lease '" + name + "' was lost; the command was ended", LOST);
+            if (lost || millisUntil(expiryNanos) <= TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
+                terminate(process, expiryNanos);
+                return report("lease '" + name + "' was lost; the command was ended", EXIT_LOST);
             }
         }
         return process.exitValue();
     }
 
     /** Asks it to end, and ends it by force before what was promised is over. */
-    private static void end(Process process, long until) throws InterruptedException {
-        List<ProcessHandle> all = all(process).toList();
+    private static void terminate(Process process, long expiryNanos) throws InterruptedException {
+        List<ProcessHandle> all = processTree(process).toList();
         all.forEach(ProcessHandle::destroy);
-        long wait = Math.max(0, Math.min(STOP_MILLIS, millis(until) - SPARE_MILLIS));
+        long wait = Math.max(0, Math.min(TERMINATION_GRACE_MILLIS, millisUntil(expiryNanos) - SAFETY_MARGIN_MILLIS));
         process.waitFor(wait, TimeUnit.MILLISECONDS);
         all.forEach(ProcessHandle::destroyForcibly);
         process.waitFor();
     }
 
-    private static Stream<ProcessHandle> all(Process process) {
+    private static Stream<ProcessHandle> processTree(Process process) {
         return Stream.concat(process.descendants(), Stream.of(process.toHandle()));
     }
 
-    private static long millis(long until) {
-        return (until - System.nanoTime()) / 1_000_000;
+    private static long millisUntil(long expiryNanos) {
+        return (expiryNanos - System.nanoTime()) / 1_000_000;
     }
 
-    private static long left(Answer answer) {
-        return millis(answer.until);
+    private static long remainingMillis(LeaseAnswer answer) {
+        return millisUntil(answer.expiryNanos);
     }
 
     /** Null where the door can't be asked. */
-    private Answer askIfPossible(InetSocketAddress address) {
+    private LeaseAnswer queryOrNull(InetSocketAddress address) {
         try {
-            return ask(address);
+            return query(address);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private Answer ask(InetSocketAddress address) throws IOException {
-        long asked = System.nanoTime();
+    private LeaseAnswer query(InetSocketAddress address) throws IOException {
+        long sentNanos = System.nanoTime();
         try {
-            String text = new AdminClient(address, PATIENCE_MILLIS)
-                    .ask("LEASE " + name)
+            String text = new AdminClient(address, REQUEST_TIMEOUT_MILLIS)
+                    .send("LEASE " + name)
                     .strip();
             String[] parts = text.split(" ");
             boolean held = parts.length == 3 && parts[0].equals("YES");
-            return new Answer(
+            return new LeaseAnswer(
                     text,
                     held ? Long.parseLong(parts[1]) : 0,
-                    held ? asked + Long.parseLong(parts[2]) * 1_000_000 : asked);
+                    held ? sentNanos + Long.parseLong(parts[2]) * 1_000_000 : sentNanos);
         } catch (NumberFormatException e) {
             throw new IOException("no answer of a door", e);
         }
--- a/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
@@ -21,13 +21,13 @@
                 + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
 final class MembersCommand extends AdminCommand {
 
-    private static final int PATIENCE_MILLIS = 2_000;
+    private static final int TIMEOUT_MILLIS = 2_000;
 
     @Option(names = "--watch", description = "print again every second until interrupted")
     private boolean watch;
 
     @Override
-    int work(InetSocketAddress address) throws InterruptedException {
+    int execute(InetSocketAddress address) throws InterruptedException {
         int status = print(address);
         while (watch) {
             TimeUnit.SECONDS.sleep(1);
@@ -37,26 +37,26 @@
     }
 
     private int print(InetSocketAddress address) {
-        String said;
+        String response;
         try {
-            said = new AdminClient(address, PATIENCE_MILLIS).ask("MEMBERS");
+            response = new AdminClient(address, TIMEOUT_MILLIS).send("MEMBERS");
         } catch (IOException e) {
-            return say("the door at " + door() + " can't be asked: " + e.getMessage(), 1);
+            return report("the door at " + adminAddress() + " can't be asked: " + e.getMessage(), 1);
         }
-        int end = said.indexOf('\n');
-        String first = end < 0 ? said : said.substring(0, end);
+        int end = response.indexOf('\n');
+        String first = end < 0 ? response : response.substring(0, end);
         if (!first.startsWith("{")) {
-            return say("the sidecar at " + door() + " says: " + first, 1);
+            return report("the sidecar at " + adminAddress() + " says: " + first, 1);
         }
         try (JsonParser parser = new JsonFactory().createParser(first)) {
-            table(Json.document(parser));
+            printTable(Json.document(parser));
             return 0;
         } catch (IOException e) {
-            return say("the door at " + door() + " gave no table: " + e.getMessage(), 1);
+            return report("the door at " + adminAddress() + " gave no table: " + e.getMessage(), 1);
         }
     }
 
-    private void table(Map<?, ?> m) {
+    private void printTable(Map<?, ?> m) {
         PrintWriter out = commandLine().getOut();
         out.println("as " + m.get("self") + " sees it, incarnation " + m.get("incarnation") + ": " + m.get("live")
                 + " live");
--- a/src/main/java/org/cypressweir/sidecar/cli/Installed.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/OperatorsFileOptions.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Spec;
 
 /** An operators' file, and the configuration that it is held against. */
-final class Installed {
+final class OperatorsFileOptions {
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
@@ -39,7 +39,7 @@
         command.commandLine()
                 .getErr()
                 .println("cypressweir-sidecar: without settings (--config or LB_CONFIG) these" + " were not looked at: "
-                        + AssumedFacts.NOT_LOOKED_AT);
+                        + AssumedFacts.UNCHECKED);
         // What can't be read is said when it is loaded.
         return AssumedFacts.of(
                 Files.isReadable(file) && !Files.isDirectory(file)
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
@@ -24,16 +24,17 @@
     public Integer call() {
         byte[] module = file.read();
         if (module == null) {
-            return CommandLineTool.BAD;
+            return CommandLineTool.EXIT_INVALID_INPUT;
         }
         try (PluginHost host = new PluginHost(
-                file.plan(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false), Map.of()), Runnable::run)) {
+                file.configuration(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false), Map.of()),
+                Runnable::run)) {
             file.out()
                     .println(host.plan().name() + ": a plug-in for version 1 of the hook; it may ask for: "
                             + String.join(" ", host.imports()));
             return 0;
         } catch (InvalidPluginException e) {
-            return file.bad(e.getMessage());
+            return file.fail(e.getMessage());
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
@@ -15,7 +15,7 @@
 final class PluginFile {
 
     private static final int DEADLINE_MICROS = 100_000;
-    private static final int PAGES = 32;
+    private static final int MEMORY_PAGES = 32;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
@@ -28,14 +28,14 @@
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            bad("can't be read");
+            fail("can't be read");
             return null;
         }
     }
 
-    PluginConfiguration plan(byte[] module, PluginGrant grant, Map<String, String> config) {
+    PluginConfiguration configuration(byte[] module, PluginGrant grant, Map<String, String> config) {
         return new PluginConfiguration(
-                file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false, grant, config);
+                file.getFileName().toString(), 1, module, DEADLINE_MICROS, MEMORY_PAGES, false, grant, config);
     }
 
     PrintWriter out() {
@@ -43,8 +43,8 @@
     }
 
     /** Says why; the exit status. */
-    int bad(String why) {
+    int fail(String why) {
         command.commandLine().getErr().println(file + ": " + why);
-        return CommandLineTool.BAD;
+        return CommandLineTool.EXIT_INVALID_INPUT;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
@@ -27,7 +27,7 @@
         description = "Show what a module wishes for one request.")
 final class PluginRunCommand implements Callable<Integer> {
 
-    private static final long PATIENCE_MILLIS = 1_000;
+    private static final long TIMEOUT_MILLIS = 1_000;
 
     @Mixin
     private PluginFile file;
@@ -42,10 +42,10 @@
     private HeaderOptions headers;
 
     @Option(names = "--grant-header", paramLabel = "NAME", description = "a header that it may set or remove")
-    private List<String> granted = List.of();
+    private List<String> grantedHeaders = List.of();
 
     @Option(names = "--grant-class", paramLabel = "NAME", description = "a class that it may give")
-    private List<String> classes = List.of();
+    private List<String> grantedClasses = List.of();
 
     @Option(names = "--grant-refuse", description = "let it refuse")
     private boolean refuse;
@@ -57,23 +57,23 @@
     public Integer call() throws InterruptedException {
         byte[] module = file.read();
         if (module == null) {
-            return CommandLineTool.BAD;
+            return CommandLineTool.EXIT_INVALID_INPUT;
         }
         int space = request.trim().indexOf(' ');
         if (space < 0) {
-            return file.bad("--request takes a method and a path, such as 'GET /search/1'");
+            return file.fail("--request takes a method and a path, such as 'GET /search/1'");
         }
         Map<String, String> fields;
         try {
             fields = headers.fields();
         } catch (IllegalArgumentException e) {
-            return file.bad(e.getMessage());
+            return file.fail(e.getMessage());
         }
         Set<String> names = new HashSet<>();
-        granted.forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
-        PluginGrant grant = new PluginGrant(names, Set.copyOf(classes), Set.of(), refuse);
-        CompletableFuture<RequestedChanges> wishes = new CompletableFuture<>();
-        try (PluginHost host = new PluginHost(file.plan(module, grant, config), Runnable::run)) {
+        grantedHeaders.forEach(n -> names.add(n.toLowerCase(Locale.ROOT)));
+        PluginGrant grant = new PluginGrant(names, Set.copyOf(grantedClasses), Set.of(), refuse);
+        CompletableFuture<RequestedChanges> changesFuture = new CompletableFuture<>();
+        try (PluginHost host = new PluginHost(file.configuration(module, grant, config), Runnable::run)) {
             host.ask(
                     new RequestView(
                             request.trim().substring(0, space),
@@ -82,39 +82,41 @@
                             requestClass),
                     new PluginHost.Heard() {
                         @Override
-                        public void done(RequestedChanges w) {
-                            wishes.complete(w);
+                        public void done(RequestedChanges changes) {
+                            changesFuture.complete(changes);
                         }
 
                         @Override
                         public void failed(String why) {
-                            wishes.completeExceptionally(new IllegalStateException(why));
+                            changesFuture.completeExceptionally(new IllegalStateException(why));
                         }
                     });
-            show(wishes.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+            show(changesFuture.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             return 0;
         } catch (InvalidPluginException e) {
-            return file.bad(e.getMessage());
+            return file.fail(e.getMessage());
         } catch (ExecutionException e) {
-            return file.bad("it failed: " + e.getCause().getMessage());
+            return file.fail("it failed: " + e.getCause().getMessage());
         } catch (TimeoutException e) {
-            return file.bad("no answer within " + PATIENCE_MILLIS + " ms");
+            return file.fail("no answer within " + TIMEOUT_MILLIS + " ms");
         }
     }
 
-    private void show(RequestedChanges w) {
-        w.headers().forEach((name, value) -> file.out()
+    private void show(RequestedChanges changes) {
+        changes.headers().forEach((name, value) -> file.out()
                 .println(value.isEmpty() ? "removes header " + name : "sets header " + name + ": " + value));
-        if (w.requestClass() != null) {
-            file.out().println("gives class " + w.requestClass());
+        if (changes.requestClass() != null) {
+            file.out().println("gives class " + changes.requestClass());
         }
-        if (w.refusal() != null) {
+        if (changes.refusal() != null) {
             file.out()
-                    .println("refuses: " + w.refusal()
-                            + (w.retryAfterMillis() == 0 ? "" : ", come back after " + w.retryAfterMillis() + " ms"));
+                    .println("refuses: " + changes.refusal()
+                            + (changes.retryAfterMillis() == 0
+                                    ? ""
+                                    : ", come back after " + changes.retryAfterMillis() + " ms"));
         }
-        w.notes().forEach(n -> file.out().println("logs " + n));
-        if (w.equals(RequestedChanges.NONE)) {
+        changes.notes().forEach(n -> file.out().println("logs " + n));
+        if (changes.equals(RequestedChanges.NONE)) {
             file.out().println("wishes nothing");
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
@@ -22,11 +22,11 @@
 public final class AssumedFacts {
 
     /** What is not looked at, for people. */
-    public static final String NOT_LOOKED_AT = "classes, zones, models and tenants by their names, effects"
+    public static final String UNCHECKED = "classes, zones, models and tenants by their names, effects"
             + " and deadlines of classes, and what the settings allow";
 
-    private static final long LONGEST = 3_600_000_000L;
-    private static final int MANY = 1_000_000;
+    private static final long LONGEST_MICROS = 3_600_000_000L;
+    private static final int UNLIMITED_COUNT = 1_000_000;
     private static final Set<String> CLASS_KEYS = Set.of("class", "classes");
 
     private final Set<String> classes = new TreeSet<>();
@@ -37,27 +37,38 @@
 
     /** The facts that a file takes for granted; of a text that is no TOML, hardly any. */
     public static Facts of(String text) {
-        AssumedFacts found = new AssumedFacts();
-        if (Shape.fits(text, new Problems(""))) {
-            found.top(Toml.parse(text));
+        AssumedFacts collected = new AssumedFacts();
+        if (TextLimits.fits(text, new Problems(""))) {
+            collected.collectFromFile(Toml.parse(text));
         }
-        if (found.classes.isEmpty()) {
-            found.classes.add("any");
+        if (collected.classes.isEmpty()) {
+            collected.classes.add("any");
         }
-        List<RequestClass> made = found.classes.stream()
-                .map(n -> new RequestClass(n, Effect.SAFE, Group.ALL, LONGEST, LONGEST, 0, LONGEST, 1, 1, false))
+        List<RequestClass> requestClasses = collected.classes.stream()
+                .map(n -> new RequestClass(
+                        n, Effect.SAFE, Group.ALL, LONGEST_MICROS, LONGEST_MICROS, 0, LONGEST_MICROS, 1, 1, false))
                 .toList();
         Settings settings = new Settings(
                 0,
                 0,
-                MANY,
+                UNLIMITED_COUNT,
                 0,
-                List.copyOf(found.zones),
-                made,
+                List.copyOf(collected.zones),
+                requestClasses,
                 List.of(),
                 1,
                 0,
-                new Limits(100, true, true, true, LONGEST, LONGEST, MANY, MANY, true, MANY),
+                new Limits(
+                        100,
+                        true,
+                        true,
+                        true,
+                        LONGEST_MICROS,
+                        LONGEST_MICROS,
+                        UNLIMITED_COUNT,
+                        UNLIMITED_COUNT,
+                        true,
+                        UNLIMITED_COUNT),
                 new Rules(1, 0, 0, 0, 0, 0, 0),
                 ReportSource.NONE,
                 false,
@@ -65,13 +76,13 @@
                 1_000);
         return new Facts(
                 settings,
-                List.copyOf(found.zones),
-                List.copyOf(found.models),
-                MANY,
+                List.copyOf(collected.zones),
+                List.copyOf(collected.models),
+                UNLIMITED_COUNT,
                 new InetSocketAddress("127.0.0.1", 0));
     }
 
-    private void top(TomlTable toml) {
+    private void collectFromFile(TomlTable toml) {
         if (toml.get(List.of("classes")) instanceof TomlTable sections) {
             classes.addAll(sections.keySet());
         }
@@ -79,15 +90,15 @@
             if (toml.get(List.of(kind)) instanceof TomlTable sections) {
                 sections.keySet().forEach(name -> {
                     if (sections.get(List.of(name)) instanceof TomlTable section) {
-                        section(section);
+                        collectFromSection(section);
                     }
                 });
             }
         }
     }
 
-    private void section(TomlTable section) {
-        CLASS_KEYS.forEach(key -> names(section.get(List.of(key)), classes));
+    private void collectFromSection(TomlTable section) {
+        CLASS_KEYS.forEach(key -> collectNames(section.get(List.of(key)), classes));
         if (section.get(List.of("weaken")) instanceof TomlArray pairs) {
             for (int i = 0; i < pairs.size(); i++) {
                 if (pairs.get(i) instanceof String pair) {
@@ -98,19 +109,19 @@
         if (section.get(List.of("servers")) instanceof TomlArray servers) {
             for (int i = 0; i < servers.size(); i++) {
                 if (servers.get(i) instanceof TomlTable server) {
-                    names(server.get(List.of("zone")), zones);
-                    names(server.get(List.of("model")), models);
+                    collectNames(server.get(List.of("zone")), zones);
+                    collectNames(server.get(List.of("model")), models);
                 }
             }
         }
     }
 
-    private static void names(Object value, Set<String> found) {
+    private static void collectNames(Object value, Set<String> collected) {
         if (value instanceof String name) {
-            found.add(name);
+            collected.add(name);
         } else if (value instanceof TomlArray list) {
             for (int i = 0; i < list.size(); i++) {
-                names(list.get(i), found);
+                collectNames(list.get(i), collected);
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
@@ -17,15 +17,15 @@
 final class CellsChecks {
 
     /** Connections to servers without which a cell is of no use. */
-    private static final int LEAST_CONNECTIONS = 2;
+    private static final int MIN_CONNECTIONS = 2;
     /** A fence may take this part of a write's time at most. */
-    private static final int FENCE_PART = 4;
+    private static final int MIN_DEADLINE_TO_FENCE_RATIO = 4;
     /** What a freeze must last beside the longest write: for clocks that differ and files that come late. */
-    private static final long FREEZE_MARGIN = 100_000;
+    private static final long FREEZE_MARGIN_MICROS = 100_000;
 
     private final Facts facts;
     private final PoolSection pool;
-    private final CellsConfiguration plan;
+    private final CellsConfiguration configuration;
     private final Problems problems;
     private final List<RequestClass> classes;
 
@@ -33,7 +33,7 @@
         this.facts = facts;
         this.pool = pool;
         this.problems = problems;
-        plan = pool.cells().plan();
+        configuration = pool.cells().configuration();
         classes = classes(pool, file, facts);
     }
 
@@ -49,10 +49,10 @@
     }
 
     /** The plan with what the classes of its routes add. */
-    static CellsConfiguration complete(PoolSection pool, OperatorsFile file, Facts facts) {
+    static CellsConfiguration withClassLimits(PoolSection pool, OperatorsFile file, Facts facts) {
         List<RequestClass> classes = classes(pool, file, facts);
         return pool.cells()
-                .plan()
+                .configuration()
                 .with(
                         classes.stream()
                                 .filter(c -> c.effect() == Effect.KEYED)
@@ -66,50 +66,52 @@
     }
 
     void run() {
-        servers();
-        connections();
-        groups();
-        guests();
-        plan.moves().forEach(this::move);
+        checkServerCount();
+        checkConnections();
+        checkDeduplicationGroups();
+        checkGuests();
+        configuration.moves().forEach(this::checkMove);
     }
 
-    private void servers() {
+    private void checkServerCount() {
         if (pool.servers() == null) {
             return;
         }
-        long parts = plan.spread() == Spread.SERVER
+        long available = configuration.spread() == Spread.SERVER
                 ? pool.servers().size()
                 : pool.servers().stream().map(StaticServer::cell).distinct().count();
-        if (parts < plan.cells().size()) {
+        if (available < configuration.cells().size()) {
             problems.add(
-                    pool.cells().line("names"),
-                    "'names' has " + plan.cells().size()
+                    pool.cells().lineOf("names"),
+                    "'names' has " + configuration.cells().size()
                             + " cells, and pool '"
-                            + pool.name() + "' has " + parts
-                            + (plan.spread() == Spread.SERVER ? " servers" : " groups of servers") + " to deal out");
+                            + pool.name() + "' has " + available
+                            + (configuration.spread() == Spread.SERVER ? " servers" : " groups of servers")
+                            + " to deal out");
         }
     }
 
-    private void connections() {
+    private void checkConnections() {
         Setting<Long> set = pool.limits().number(LimitKey.MAX_CONNECTIONS);
         int all = set == null ? facts.serverConnections() : set.value().intValue();
-        for (int c = 0; c < plan.cells().size(); c++) {
-            if (plan.part(c, all) < LEAST_CONNECTIONS) {
+        for (int c = 0; c < configuration.cells().size(); c++) {
+            if (configuration.part(c, all) < MIN_CONNECTIONS) {
                 problems.add(
-                        pool.cells().line("names"),
-                        "cell '" + plan.cells().get(c).name()
-                                + "' would have " + plan.part(c, all) + " of " + all + " connections to servers; give"
+                        pool.cells().lineOf("names"),
+                        "cell '" + configuration.cells().get(c).name()
+                                + "' would have " + configuration.part(c, all) + " of " + all
+                                + " connections to servers; give"
                                 + " the pool more, or have fewer cells");
                 return;
             }
         }
     }
 
-    private void groups() {
+    private void checkDeduplicationGroups() {
         for (RequestClass c : classes) {
-            if (c.effect() == Effect.KEYED && c.group() == Group.CELL && plan.spread() == Spread.SERVER) {
+            if (c.effect() == Effect.KEYED && c.group() == Group.CELL && configuration.spread() == Spread.SERVER) {
                 problems.add(
-                        pool.cells().line("cells"),
+                        pool.cells().lineOf("cells"),
                         "servers drop repeats of class '" + c.name()
                                 + "' within one group, which 'spread = \"server\"' would part; set"
                                 + " 'spread = \"group\"'");
@@ -117,41 +119,41 @@
         }
     }
 
-    private void guests() {
-        if (plan.guests() > 0
-                && plan.cells().stream().filter(c -> !c.reserved()).count() < 2) {
-            problems.add(pool.cells().line("cells"), "'guests' needs a second cell that is not reserved");
+    private void checkGuests() {
+        if (configuration.guests() > 0
+                && configuration.cells().stream().filter(c -> !c.reserved()).count() < 2) {
+            problems.add(pool.cells().lineOf("cells"), "'guests' needs a second cell that is not reserved");
         }
     }
 
-    private void move(MoveConfiguration move) {
-        BitSet all = new BitSet();
-        all.set(0, plan.cells().size());
-        int home = new Placement(plan.cells(), plan.assigned(), all).home(move.unit());
+    private void checkMove(MoveConfiguration move) {
+        BitSet allCells = new BitSet();
+        allCells.set(0, configuration.cells().size());
+        int home = new Placement(configuration.cells(), configuration.assigned(), allCells).home(move.unit());
         if (home == move.to()) {
-            Cell cell = plan.cells().get(home);
+            Cell cell = configuration.cells().get(home);
             problems.add(
-                    pool.cells().line("to." + move.name()),
+                    pool.cells().lineOf("to." + move.name()),
                     "move '" + move.name() + "' does nothing: '"
                             + move.label() + "' is in cell '" + cell.name() + "' "
-                            + (plan.assigned().containsKey(move.unit()) ? "by 'assign'" : "by its hash"));
+                            + (configuration.assigned().containsKey(move.unit()) ? "by 'assign'" : "by its hash"));
         }
         for (RequestClass c : classes) {
-            if (c.effect() != Effect.SAFE && move.fenceMicros() * FENCE_PART > c.deadlineMicros()) {
+            if (c.effect() != Effect.SAFE && move.fenceMicros() * MIN_DEADLINE_TO_FENCE_RATIO > c.deadlineMicros()) {
                 problems.add(
-                        pool.cells().line("fence." + move.name()),
+                        pool.cells().lineOf("fence." + move.name()),
                         "'fence' is "
-                                + DurationText.text(move.fenceMicros()) + ", more than a quarter of what class '"
+                                + DurationText.format(move.fenceMicros()) + ", more than a quarter of what class '"
                                 + c.name()
-                                + "' has (" + DurationText.text(c.deadlineMicros()) + ")");
+                                + "' has (" + DurationText.format(c.deadlineMicros()) + ")");
             }
-            long least = c.deadlineMicros() + FREEZE_MARGIN;
-            if (c.effect() != Effect.SAFE && move.freezeMicros() > 0 && move.freezeMicros() < least) {
+            long minFreeze = c.deadlineMicros() + FREEZE_MARGIN_MICROS;
+            if (c.effect() != Effect.SAFE && move.freezeMicros() > 0 && move.freezeMicros() < minFreeze) {
                 problems.add(
-                        pool.cells().line("freeze." + move.name()),
+                        pool.cells().lineOf("freeze." + move.name()),
                         "'freeze' is "
-                                + DurationText.text(move.freezeMicros()) + "; a write of class '" + c.name()
-                                + "' may run for longer, so it must be " + DurationText.text(least) + " or more");
+                                + DurationText.format(move.freezeMicros()) + "; a write of class '" + c.name()
+                                + "' may run for longer, so it must be " + DurationText.format(minFreeze) + " or more");
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
@@ -21,11 +21,11 @@
 /** Reads the form of {@code [pools.NAME.cells]}: keys, types, ranges, and names of cells and units. */
 final class CellsReader {
 
-    private static final int LEAST = 2;
-    private static final int MOST = 64;
+    private static final int MIN_CELLS = 2;
+    private static final int MAX_CELLS = 64;
     private static final Set<String> SPREADS = Set.of("server", "group");
     private static final Set<String> UNITS = Set.of("tenant", "key", "header:NAME");
-    private static final String HEADER = "header:";
+    private static final String HEADER_PREFIX = "header:";
 
     private final Facts facts;
     private final Section section;
@@ -39,50 +39,53 @@
     /** Null where there is no sense in going on; why has been reported. */
     CellsSection read() {
         lines.put("cells", section.line());
-        List<String> names = names();
+        List<String> names = readNames();
         String by = section.required("by");
-        Unit unit = unit(by);
+        Unit unit = readUnit(by);
         String spread = section.text("spread");
         if (spread != null && !SPREADS.contains(spread)) {
             section.problem(
-                    "spread", "no spread '" + spread + "'; there are server and group" + Wording.hint(spread, SPREADS));
+                    "spread",
+                    "no spread '" + spread + "'; there are server and group"
+                            + SpellingHint.didYouMean(spread, SPREADS));
         }
-        List<Cell> cells = cells(names);
-        Map<Long, Integer> assigned = assigned(names, unit);
-        long keep = section.time("keep_places", 0, 3_600_000_000L, 60_000_000);
+        List<Cell> cells = readCells(names);
+        Map<Long, Integer> assigned = readAssignments(names, unit);
+        long keepMicros = section.time("keep_places", 0, 3_600_000_000L, 60_000_000);
         Double guests = section.number("guests", 0, 0.5);
-        boolean writes = Boolean.TRUE.equals(section.flag("guest_writes"));
-        if (writes && (guests == null || guests == 0)) {
+        boolean guestWrites = Boolean.TRUE.equals(section.flag("guest_writes"));
+        if (guestWrites && (guests == null || guests == 0)) {
             section.problem("guest_writes", "'guest_writes' without 'guests' has no effect");
         }
-        Quarantine quarantine = quarantine(names, cells);
+        Quarantine quarantine = readQuarantine(names, cells);
         List<MoveConfiguration> moves = new ArrayList<>();
         for (Section move : section.tables("moves")) {
-            move(move, names, unit, moves);
+            readMove(move, names, unit, moves);
         }
-        section.rejectUnknown();
-        if (cells.size() < LEAST || unit == null || cells.stream().allMatch(Cell::reserved)) {
+        section.rejectUnknownKeys();
+        if (cells.size() < MIN_CELLS || unit == null || cells.stream().allMatch(Cell::reserved)) {
             return null;
         }
-        String header = unit == Unit.HEADER ? by.substring(HEADER.length()).toLowerCase(Locale.ROOT) : null;
+        String header =
+                unit == Unit.HEADER ? by.substring(HEADER_PREFIX.length()).toLowerCase(Locale.ROOT) : null;
         return new CellsSection(
                 new CellsConfiguration(
                         unit,
                         header,
                         cells,
                         "group".equals(spread) ? Spread.GROUP : Spread.SERVER,
-                        keep,
+                        keepMicros,
                         assigned,
                         moves,
                         0,
                         0,
                         guests == null ? 0 : guests,
-                        writes,
+                        guestWrites,
                         quarantine),
                 lines);
     }
 
-    private List<String> names() {
+    private List<String> readNames() {
         List<String> names = section.texts("names");
         if (names == null) {
             if (!section.has("names")) {
@@ -91,8 +94,9 @@
             return List.of();
         }
         lines.put("names", section.lineOf("names"));
-        if (names.size() < LEAST || names.size() > MOST) {
-            section.problem("names", "'names' has " + names.size() + " cells; it must have " + LEAST + " to " + MOST);
+        if (names.size() < MIN_CELLS || names.size() > MAX_CELLS) {
+            section.problem(
+                    "names", "'names' has " + names.size() + " cells; it must have " + MIN_CELLS + " to " + MAX_CELLS);
         }
         Set<String> seen = new LinkedHashSet<>();
         for (String name : names) {
@@ -107,12 +111,12 @@
         return List.copyOf(seen);
     }
 
-    private Unit unit(String by) {
+    private Unit readUnit(String by) {
         if (by == null) {
             return null;
         }
-        if (by.startsWith(HEADER)) {
-            String name = by.substring(HEADER.length());
+        if (by.startsWith(HEADER_PREFIX)) {
+            String name = by.substring(HEADER_PREFIX.length());
             if (name.matches(OperatorsReader.TOKEN)) {
                 return Unit.HEADER;
             }
@@ -122,23 +126,25 @@
         if (by.equals("tenant") || by.equals("key")) {
             return Unit.valueOf(by.toUpperCase(Locale.ROOT));
         }
-        section.problem("by", "no unit '" + by + "'; there are tenant, key and header:NAME" + Wording.hint(by, UNITS));
+        section.problem(
+                "by",
+                "no unit '" + by + "'; there are tenant, key and header:NAME" + SpellingHint.didYouMean(by, UNITS));
         return null;
     }
 
-    private List<Cell> cells(List<String> names) {
+    private List<Cell> readCells(List<String> names) {
         Map<String, Double> shares = new HashMap<>();
-        Section given = section.table("shares");
-        if (given != null) {
-            for (String name : given.keys()) {
-                cell(given, name, name, names);
-                Double share = given.number(name, 0.01, 100);
+        Section subsection = section.table("shares");
+        if (subsection != null) {
+            for (String name : subsection.keys()) {
+                cellIndex(subsection, name, name, names);
+                Double share = subsection.number(name, 0.01, 100);
                 shares.put(name, share == null ? 1 : share);
             }
         }
         List<String> reserved = section.texts("reserved");
         for (String name : reserved == null ? List.<String>of() : reserved) {
-            cell(section, "reserved", name, names);
+            cellIndex(section, "reserved", name, names);
         }
         List<Cell> cells = new ArrayList<>();
         names.forEach(
@@ -150,30 +156,30 @@
     }
 
     /** The place of a cell that is named; -1 where there is none, which is reported. */
-    private static int cell(Section where, String key, String name, List<String> names) {
+    private static int cellIndex(Section where, String key, String name, List<String> names) {
         if (name != null && !names.contains(name)) {
-            where.problem(key, "there is no cell '" + name + "'" + Wording.hint(name, names));
+            where.problem(key, "there is no cell '" + name + "'" + SpellingHint.didYouMean(name, names));
         }
         return names.indexOf(name);
     }
 
-    private void known(Section where, String key, String unit, Unit kind) {
+    private void requireKnownTenant(Section where, String key, String unit, Unit unitKind) {
         List<String> tenants =
                 facts.settings().tenants().stream().map(Tenant::name).toList();
-        if (kind == Unit.TENANT && !tenants.isEmpty() && unit != null && !tenants.contains(unit)) {
-            where.problem(key, "the settings have no tenant '" + unit + "'" + Wording.hint(unit, tenants));
+        if (unitKind == Unit.TENANT && !tenants.isEmpty() && unit != null && !tenants.contains(unit)) {
+            where.problem(key, "the settings have no tenant '" + unit + "'" + SpellingHint.didYouMean(unit, tenants));
         }
     }
 
-    private Map<Long, Integer> assigned(List<String> names, Unit kind) {
+    private Map<Long, Integer> readAssignments(List<String> names, Unit unitKind) {
         Map<Long, Integer> assigned = new LinkedHashMap<>();
-        Section given = section.table("assign");
-        if (given == null) {
+        Section subsection = section.table("assign");
+        if (subsection == null) {
             return assigned;
         }
-        for (String unit : given.keys()) {
-            int cell = cell(given, unit, given.text(unit), names);
-            known(given, unit, unit, kind);
+        for (String unit : subsection.keys()) {
+            int cell = cellIndex(subsection, unit, subsection.text(unit), names);
+            requireKnownTenant(subsection, unit, unit, unitKind);
             if (cell >= 0) {
                 assigned.put(Ids.of(unit), cell);
             }
@@ -181,7 +187,7 @@
         return assigned;
     }
 
-    private Quarantine quarantine(List<String> names, List<Cell> cells) {
+    private Quarantine readQuarantine(List<String> names, List<Cell> cells) {
         String name = section.text("quarantine");
         Double share = section.number("quarantine_share", 0.05, 1);
         Long time = section.time("quarantine_time", 1_000_000, 3_600_000_000L);
@@ -194,7 +200,7 @@
             return null;
         }
         lines.put("quarantine", section.lineOf("quarantine"));
-        int cell = cell(section, "quarantine", name, names);
+        int cell = cellIndex(section, "quarantine", name, names);
         if (cell < 0) {
             return null;
         }
@@ -204,12 +210,12 @@
         return new Quarantine(cell, share == null ? 0.3 : share, time == null ? 60_000_000 : time);
     }
 
-    private void move(Section move, List<String> names, Unit kind, List<MoveConfiguration> moves) {
+    private void readMove(Section move, List<String> names, Unit unitKind, List<MoveConfiguration> moves) {
         String name = move.title().substring(move.title().lastIndexOf('.') + 1);
         String unit = move.required("unit");
-        known(move, "unit", unit, kind);
-        int to = cell(move, "to", move.required("to"), names);
-        Long start = move.moment("start");
+        requireKnownTenant(move, "unit", unit, unitKind);
+        int to = cellIndex(move, "to", move.required("to"), names);
+        Long start = move.timestamp("start");
         if (!move.has("start")) {
             section.problems().add(move.line(), "[" + move.title() + "] lacks 'start'");
         }
@@ -219,7 +225,7 @@
         if (fence > 0 && freeze > 0) {
             move.problem("freeze", "'freeze' and 'fence' are two ways to do the same; set one");
         }
-        move.rejectUnknown();
+        move.rejectUnknownKeys();
         lines.put("freeze." + name, move.has("freeze") ? move.lineOf("freeze") : move.line());
         lines.put("fence." + name, move.has("fence") ? move.lineOf("fence") : move.line());
         lines.put("to." + name, move.has("to") ? move.lineOf("to") : move.line());
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
@@ -30,10 +30,10 @@
 final class Checks {
 
     /** Descriptors that the process keeps for itself leave room for so many. */
-    static final int MOST_LISTENERS = 8;
+    static final int MAX_LISTENERS = 8;
 
-    private static final long LONGEST_IDLE_MICROS = 3_600_000_000L;
-    private static final PathPattern HEALTH = PathPattern.parse("/healthz");
+    private static final long MAX_IDLE_MICROS = 3_600_000_000L;
+    private static final PathPattern HEALTH_PATH = PathPattern.parse("/healthz");
 
     private final Facts facts;
     private final OperatorsFile file;
@@ -46,37 +46,37 @@
     }
 
     void run() {
-        listeners();
-        names();
-        order();
+        checkListeners();
+        checkNames();
+        checkRouteOrder();
         for (RouteSection route : file.routes()) {
             if (route.requestClass() != null && route.pool() != null) {
-                facts.requestClass(route.requestClass().value()).ifPresent(c -> limits(route, c));
+                facts.requestClass(route.requestClass().value()).ifPresent(c -> checkLimits(route, c));
             }
         }
         file.pools().values().stream()
                 .filter(p -> p.cells() != null)
                 .forEach(p -> new CellsChecks(facts, file, p, problems).run());
-        file.pools().values().forEach(p -> queue("pool", p.name(), p.limits()));
-        file.classes().values().forEach(c -> queue("class", c.name(), c.limits()));
-        file.routes().forEach(r -> queue("route", r.name(), r.limits()));
+        file.pools().values().forEach(p -> checkQueue("pool", p.name(), p.limits()));
+        file.classes().values().forEach(c -> checkQueue("class", c.name(), c.limits()));
+        file.routes().forEach(r -> checkQueue("route", r.name(), r.limits()));
         if (file.fleet() != null) {
-            fleet(file.fleet());
+            checkFleet(file.fleet());
         }
-        shares(LimitKey.MAX_CONNECTIONS, facts.serverConnections(), "descriptors for servers");
-        shares(LimitKey.MAX_REQUESTS, facts.settings().limits().open(), "requests that may be in hand");
+        checkTotal(LimitKey.MAX_CONNECTIONS, facts.serverConnections(), "descriptors for servers");
+        checkTotal(LimitKey.MAX_REQUESTS, facts.settings().limits().open(), "requests that may be in hand");
     }
 
     // ---- Names
 
-    private void listeners() {
-        if (file.listeners().size() > MOST_LISTENERS) {
-            problems.add(file.listeners().get(MOST_LISTENERS).line(), "more than " + MOST_LISTENERS + " listeners");
+    private void checkListeners() {
+        if (file.listeners().size() > MAX_LISTENERS) {
+            problems.add(file.listeners().get(MAX_LISTENERS).line(), "more than " + MAX_LISTENERS + " listeners");
         }
         List<ListenerSection> seen = new ArrayList<>();
         for (ListenerSection listener : file.listeners()) {
             for (ListenerSection other : seen) {
-                if (clash(listener.address(), other.address())) {
+                if (conflict(listener.address(), other.address())) {
                     problems.add(
                             listener.line(),
                             "listener '" + listener.name() + "' clashes with '"
@@ -88,7 +88,7 @@
         }
     }
 
-    private static boolean clash(InetSocketAddress a, InetSocketAddress b) {
+    private static boolean conflict(InetSocketAddress a, InetSocketAddress b) {
         return a != null
                 && b != null
                 && a.getPort() == b.getPort()
@@ -98,7 +98,7 @@
                         || b.getAddress().isAnyLocalAddress());
     }
 
-    private void names() {
+    private void checkNames() {
         if (file.routes().isEmpty()) {
             problems.add(1, "the file has no route, so nothing would be served");
         }
@@ -107,11 +107,11 @@
         for (RouteSection route : file.routes()) {
             if (route.pool() != null) {
                 pools.add(route.pool().value());
-                exists("pool", route.pool(), file.pools().keySet());
+                requireKnown("pool", route.pool(), file.pools().keySet());
             }
             if (route.requestClass() != null) {
                 classes.add(route.requestClass().value());
-                exists("class", route.requestClass(), new HashSet<>(facts.classNames()));
+                requireKnown("class", route.requestClass(), new HashSet<>(facts.classNames()));
             }
         }
         for (PoolSection pool : file.pools().values()) {
@@ -123,30 +123,31 @@
             if (facts.requestClass(c.name()).isEmpty()) {
                 problems.add(
                         c.line(),
-                        "the settings have no class '" + c.name() + "'" + Wording.hint(c.name(), facts.classNames()));
+                        "the settings have no class '" + c.name() + "'"
+                                + SpellingHint.didYouMean(c.name(), facts.classNames()));
             } else if (!classes.contains(c.name())) {
                 problems.add(c.line(), "no route has class '" + c.name() + "', so this section does nothing");
             }
         }
     }
 
-    private void exists(String kind, Setting<String> name, Set<String> known) {
+    private void requireKnown(String kind, Setting<String> name, Set<String> known) {
         if (!known.contains(name.value())) {
             String where = kind.equals("class") ? "the settings have no class '" : "there is no pool '";
-            problems.add(name.line(), where + name.value() + "'" + Wording.hint(name.value(), known));
+            problems.add(name.line(), where + name.value() + "'" + SpellingHint.didYouMean(name.value(), known));
         }
     }
 
-    private void order() {
+    private void checkRouteOrder() {
         Map<String, RouteSection> byName = new HashMap<>();
         List<Route<RouteSection>> routes = new ArrayList<>();
         for (RouteSection route : file.routes()) {
             byName.put(route.name(), route);
             if (route.match() != null) {
-                if (route.match().path().equals(HEALTH)) {
+                if (route.match().path().equals(HEALTH_PATH)) {
                     problems.add(
                             route.line(),
-                            "route '" + route.name() + "' is hidden: the sidecar itself" + " answers " + HEALTH);
+                            "route '" + route.name() + "' is hidden: the sidecar itself" + " answers " + HEALTH_PATH);
                 }
                 routes.add(new Route<>(route.name(), route.match(), route));
             }
@@ -169,103 +170,104 @@
 
     // ---- Limits
 
-    private void limits(RouteSection route, RequestClass c) {
-        ClassSection own = file.classes().get(c.name());
+    private void checkLimits(RouteSection route, RequestClass requestClass) {
+        ClassSection classSection = file.classes().get(requestClass.name());
         PoolSection pool = file.pools().get(route.pool().value());
-        RouteLimits limits =
-                RouteLimits.of(route, c, own, pool, facts.settings().limits());
-        asked(route, pool);
-        attempts(route, c, own, limits);
-        times(route, c, own, limits);
-        hedges(route, c, pool, limits);
-        resumes(route, c);
+        RouteLimits limits = RouteLimits.of(
+                route, requestClass, classSection, pool, facts.settings().limits());
+        checkPoolBounds(route, pool);
+        checkAttempts(route, requestClass, classSection, limits);
+        checkTimes(route, requestClass, classSection, limits);
+        checkHedges(route, requestClass, pool, limits);
+        checkResume(route, requestClass);
     }
 
-    private void resumes(RouteSection route, RequestClass c) {
+    private void checkResume(RouteSection route, RequestClass requestClass) {
         boolean repeats = route.webSocket() != null
                 && route.webSocket().resume() != null
                 && route.webSocket().resume().firstMessage();
-        if (repeats && c.effect() == Effect.UNSAFE) {
+        if (repeats && requestClass.effect() == Effect.UNSAFE) {
             problems.add(
-                    route.repeatLine(),
-                    "class '" + c.name() + "' is unsafe: its first message may have"
+                    route.firstMessageLine(),
+                    "class '" + requestClass.name() + "' is unsafe: its first message may have"
                             + " run at the server before and can't be repeated to another");
         }
     }
 
     /** A route that sets more than its pool gives would not get what it says. */
-    private void asked(RouteSection route, PoolSection pool) {
+    private void checkPoolBounds(RouteSection route, PoolSection pool) {
         if (pool == null) {
             return;
         }
         for (LimitKey key : LimitKey.OF_ROUTES) {
             if (key == LimitKey.RETRY_ON) {
-                outcomesAsked(route, pool);
+                checkPoolOutcomes(route, pool);
                 continue;
             }
-            Setting<Long> mine = route.limits().number(key);
+            Setting<Long> routeSetting = route.limits().number(key);
             Setting<Long> bound = pool.limits().number(key);
-            if (mine != null && bound != null && mine.value() > bound.value()) {
+            if (routeSetting != null && bound != null && routeSetting.value() > bound.value()) {
                 problems.add(
-                        mine.line(),
-                        "'" + key.key + "' is " + key.text(mine.value()) + ", and pool '"
+                        routeSetting.line(),
+                        "'" + key.key + "' is " + key.text(routeSetting.value()) + ", and pool '"
                                 + pool.name() + "' allows " + key.text(bound.value()) + " (line " + bound.line()
                                 + ")");
             }
         }
     }
 
-    private void outcomesAsked(RouteSection route, PoolSection pool) {
-        Setting<Set<Retryable>> mine = route.limits().outcomes();
+    private void checkPoolOutcomes(RouteSection route, PoolSection pool) {
+        Setting<Set<Retryable>> routeSetting = route.limits().outcomes();
         Setting<Set<Retryable>> bound = pool.limits().outcomes();
-        for (Retryable outcome : mine == null || bound == null ? Set.<Retryable>of() : mine.value()) {
+        for (Retryable outcome : routeSetting == null || bound == null ? Set.<Retryable>of() : routeSetting.value()) {
             if (!bound.value().contains(outcome)) {
                 problems.add(
-                        mine.line(),
+                        routeSetting.line(),
                         "'retry_on' has '" + outcome + "', which pool '" + pool.name() + "' does not allow (line "
                                 + bound.line() + ")");
             }
         }
     }
 
-    private void attempts(RouteSection route, RequestClass c, ClassSection own, RouteLimits limits) {
+    private void checkAttempts(
+            RouteSection route, RequestClass requestClass, ClassSection classSection, RouteLimits limits) {
         int cap = Math.max(1, facts.settings().limits().attempts());
         PoolSection pool = file.pools().get(route.pool().value());
-        for (LimitSet set : sets(route, own, pool)) {
+        for (LimitSet set : limitSets(route, classSection, pool)) {
             Setting<Long> attempts = set.number(LimitKey.ATTEMPTS);
             if (attempts != null && attempts.value() > cap) {
                 problems.add(attempts.line(), "'attempts' is " + attempts.value() + "; the settings allow " + cap);
             }
         }
         // A pool's outcomes only bound what its routes say, so they may name what no class of it allows.
-        Setting<Set<Retryable>> retryOn = route.limits().outcomes() != null || own == null
+        Setting<Set<Retryable>> retryOn = route.limits().outcomes() != null || classSection == null
                 ? route.limits().outcomes()
-                : own.limits().outcomes();
+                : classSection.limits().outcomes();
         for (Retryable outcome : retryOn == null ? Set.<Retryable>of() : retryOn.value()) {
-            if (c.effect() == Effect.UNSAFE && outcome.mayHaveRun()) {
+            if (requestClass.effect() == Effect.UNSAFE && outcome.mayHaveRun()) {
                 problems.add(
                         retryOn.line(),
-                        "'retry_on' has '" + outcome + "' for class '" + c.name()
+                        "'retry_on' has '" + outcome + "' for class '" + requestClass.name()
                                 + "', which must never run twice: an attempt that ended so may have run");
             }
         }
-        if (c.effect() == Effect.KEYED
+        if (requestClass.effect() == Effect.KEYED
                 && retryOn != null
                 && retryOn.value().contains(Retryable.TIMEOUT)
-                && limits.attemptTimeout().inFile()
-                && limits.attemptTimeout().value() >= c.dedupWindowMicros()) {
+                && limits.attemptTimeout().isSetInFile()
+                && limits.attemptTimeout().value() >= requestClass.dedupWindowMicros()) {
             problems.add(
                     limits.attemptTimeout().line(),
                     "'attempt_timeout' is "
-                            + DurationText.text(limits.attemptTimeout().value())
+                            + DurationText.format(limits.attemptTimeout().value())
                             + " and servers drop repeats of class '"
-                            + c.name() + "' for " + DurationText.text(c.dedupWindowMicros())
+                            + requestClass.name() + "' for " + DurationText.format(requestClass.dedupWindowMicros())
                             + " only: a retry after 'timeout' would come too late");
         }
     }
 
     /** What waits is in hand: a queue beyond what may be in hand promises room that there is not. */
-    private void queue(String kind, String name, LimitSet limits) {
+    private void checkQueue(String kind, String name, LimitSet limits) {
         Setting<Long> queue = limits.number(LimitKey.MAX_QUEUE);
         Setting<Long> all = limits.number(LimitKey.MAX_REQUESTS);
         if (queue != null && all != null && queue.value() > all.value()) {
@@ -276,10 +278,10 @@
         }
     }
 
-    private static List<LimitSet> sets(RouteSection route, ClassSection own, PoolSection pool) {
+    private static List<LimitSet> limitSets(RouteSection route, ClassSection classSection, PoolSection pool) {
         List<LimitSet> sets = new ArrayList<>(List.of(route.limits()));
-        if (own != null) {
-            sets.add(own.limits());
+        if (classSection != null) {
+            sets.add(classSection.limits());
         }
         if (pool != null) {
             sets.add(pool.limits());
@@ -287,85 +289,87 @@
         return sets;
     }
 
-    private void times(RouteSection route, RequestClass c, ClassSection own, RouteLimits limits) {
-        Setting<Long> patience = own == null ? null : own.givesUp();
-        if (patience != null && patience.value() > c.deadlineMicros()) {
+    private void checkTimes(
+            RouteSection route, RequestClass requestClass, ClassSection classSection, RouteLimits limits) {
+        Setting<Long> clientTimeout = classSection == null ? null : classSection.clientGivesUp();
+        if (clientTimeout != null && clientTimeout.value() > requestClass.deadlineMicros()) {
             problems.add(
-                    patience.line(),
-                    "'client_gives_up' is " + DurationText.text(patience.value())
-                            + ", beyond the deadline of class '" + c.name() + "' ("
-                            + DurationText.text(c.deadlineMicros()) + ")");
+                    clientTimeout.line(),
+                    "'client_gives_up' is " + DurationText.format(clientTimeout.value())
+                            + ", beyond the deadline of class '" + requestClass.name() + "' ("
+                            + DurationText.format(requestClass.deadlineMicros()) + ")");
         }
         for (Setting<Long> time : List.of(limits.timeout(), limits.attemptTimeout())) {
             String key = time == limits.timeout() ? "timeout" : "attempt_timeout";
-            if (!time.inFile()) {
+            if (!time.isSetInFile()) {
                 continue;
             }
-            if (time.value() > c.deadlineMicros()) {
+            if (time.value() > requestClass.deadlineMicros()) {
                 problems.add(
                         time.line(),
-                        "'" + key + "' is " + DurationText.text(time.value())
-                                + ", beyond the deadline of class '" + c.name() + "' ("
-                                + DurationText.text(c.deadlineMicros()) + ")");
-            } else if (patience != null && time.value() > patience.value()) {
+                        "'" + key + "' is " + DurationText.format(time.value())
+                                + ", beyond the deadline of class '" + requestClass.name() + "' ("
+                                + DurationText.format(requestClass.deadlineMicros()) + ")");
+            } else if (clientTimeout != null && time.value() > clientTimeout.value()) {
                 problems.add(
                         time.line(),
-                        "'" + key + "' is " + DurationText.text(time.value())
-                                + ", and clients of class '" + c.name() + "' give up after "
-                                + DurationText.text(patience.value()) + " (line " + patience.line() + ")");
+                        "'" + key + "' is " + DurationText.format(time.value())
+                                + ", and clients of class '" + requestClass.name() + "' give up after "
+                                + DurationText.format(clientTimeout.value()) + " (line " + clientTimeout.line() + ")");
             }
         }
-        used(c, limits);
+        checkTimeForAttempts(requestClass, limits);
     }
 
     /** Attempts that follow one another need that much time; copies run beside them. */
-    private void used(RequestClass c, RouteLimits limits) {
-        Setting<Long> one = limits.attemptTimeout();
-        long whole = limits.timeout().value();
-        if (one.value() == 0 || Math.max(one.value(), whole) > c.deadlineMicros()) {
+    private void checkTimeForAttempts(RequestClass requestClass, RouteLimits limits) {
+        Setting<Long> attemptTimeout = limits.attemptTimeout();
+        long timeout = limits.timeout().value();
+        if (attemptTimeout.value() == 0 || Math.max(attemptTimeout.value(), timeout) > requestClass.deadlineMicros()) {
             return;
         }
-        if (one.value() > whole) {
+        if (attemptTimeout.value() > timeout) {
             problems.add(
-                    limits.timeout().inFile() ? limits.timeout().line() : one.line(),
+                    limits.timeout().isSetInFile() ? limits.timeout().line() : attemptTimeout.line(),
                     "'timeout' is "
-                            + DurationText.text(whole) + ", shorter than one attempt's 'attempt_timeout' of "
-                            + DurationText.text(one.value()));
+                            + DurationText.format(timeout) + ", shorter than one attempt's 'attempt_timeout' of "
+                            + DurationText.format(attemptTimeout.value()));
             return;
         }
-        long rounds =
+        long sequentialAttempts =
                 -Math.floorDiv(-limits.attempts().value(), 1 + limits.hedges().value());
-        if (limits.attempts().inFile() && rounds * one.value() > whole) {
-            int line = limits.timeout().inFile()
+        if (limits.attempts().isSetInFile() && sequentialAttempts * attemptTimeout.value() > timeout) {
+            int line = limits.timeout().isSetInFile()
                     ? limits.timeout().line()
                     : limits.attempts().line();
             problems.add(
                     line,
-                    "'timeout' is " + DurationText.text(whole) + ", and "
+                    "'timeout' is " + DurationText.format(timeout) + ", and "
                             + limits.attempts().value()
-                            + " attempts of " + DurationText.text(one.value()) + " can use "
-                            + DurationText.text(rounds * one.value()) + ": the last would be cut short");
+                            + " attempts of " + DurationText.format(attemptTimeout.value()) + " can use "
+                            + DurationText.format(sequentialAttempts * attemptTimeout.value())
+                            + ": the last would be cut short");
         }
     }
 
-    private void hedges(RouteSection route, RequestClass c, PoolSection pool, RouteLimits limits) {
+    private void checkHedges(RouteSection route, RequestClass requestClass, PoolSection pool, RouteLimits limits) {
         Setting<Long> hedges = limits.hedges();
         Setting<Long> after = limits.hedgeAfter();
         if (hedges.value() == 0) {
-            if (after.inFile() && !hedges.inFile()) {
+            if (after.isSetInFile() && !hedges.isSetInFile()) {
                 problems.add(after.line(), "'hedge_after' without 'hedges' has no effect");
             }
             return;
         }
         int line = hedges.line();
-        if (c.effect() == Effect.UNSAFE) {
-            problems.add(line, "'hedges' for class '" + c.name() + "', which must never run twice");
+        if (requestClass.effect() == Effect.UNSAFE) {
+            problems.add(line, "'hedges' for class '" + requestClass.name() + "', which must never run twice");
             return;
         }
         if (!facts.settings().limits().secondCopies()) {
             problems.add(line, "'hedges' is set and the settings allow no second copies");
         }
-        if (!after.inFile()) {
+        if (!after.isSetInFile()) {
             problems.add(line, "'hedges' without 'hedge_after': how long is a copy to wait?");
             return;
         }
@@ -377,83 +381,88 @@
         }
         boolean bounded = limits.attemptTimeout().value() > 0
                 && limits.attemptTimeout().value() < limits.timeout().value();
-        long ends = bounded ? limits.attemptTimeout().value() : limits.timeout().value();
-        if (after.value() >= ends) {
+        long attemptEnd =
+                bounded ? limits.attemptTimeout().value() : limits.timeout().value();
+        if (after.value() >= attemptEnd) {
             problems.add(
                     after.line(),
-                    "'hedge_after' is " + DurationText.text(after.value()) + ", and an attempt ends after "
-                            + DurationText.text(ends) + ": no copy would ever go out");
+                    "'hedge_after' is " + DurationText.format(after.value()) + ", and an attempt ends after "
+                            + DurationText.format(attemptEnd) + ": no copy would ever go out");
         }
-        if (c.effect() == Effect.KEYED) {
-            keyedCopies(route, c, pool, limits);
+        if (requestClass.effect() == Effect.KEYED) {
+            checkKeyedHedges(route, requestClass, pool, limits);
         }
     }
 
-    private void keyedCopies(RouteSection route, RequestClass c, PoolSection pool, RouteLimits limits) {
+    private void checkKeyedHedges(RouteSection route, RequestClass requestClass, PoolSection pool, RouteLimits limits) {
         Setting<Long> hedges = limits.hedges();
         Setting<Long> after = limits.hedgeAfter();
-        if (hedges.value() * after.value() >= c.dedupWindowMicros()) {
+        if (hedges.value() * after.value() >= requestClass.dedupWindowMicros()) {
             problems.add(
                     after.line(),
-                    "the last copy of class '" + c.name() + "' would go out after "
-                            + DurationText.text(hedges.value() * after.value()) + ", and servers drop repeats for "
-                            + DurationText.text(c.dedupWindowMicros()) + " only");
+                    "the last copy of class '" + requestClass.name() + "' would go out after "
+                            + DurationText.format(hedges.value() * after.value()) + ", and servers drop repeats for "
+                            + DurationText.format(requestClass.dedupWindowMicros()) + " only");
         }
-        if (pool == null || pool.servers() == null || c.group() == Group.ALL) {
+        if (pool == null || pool.servers() == null || requestClass.group() == Group.ALL) {
             return;
         }
-        ToIntFunction<StaticServer> group = c.group() == Group.ZONE
+        ToIntFunction<StaticServer> group = requestClass.group() == Group.ZONE
                 ? s -> s.zone() == null ? -1 : facts.zones().indexOf(s.zone())
                 : StaticServer::cell;
         Map<Integer, Integer> sizes = new LinkedHashMap<>();
         pool.servers().forEach(s -> sizes.merge(group.applyAsInt(s), 1, Integer::sum));
-        boolean alone = sizes.values().stream().allMatch(n -> n == 1);
-        if (alone || c.group() == Group.ZONE && sizes.containsKey(-1)) {
+        boolean allSingle = sizes.values().stream().allMatch(n -> n == 1);
+        if (allSingle || requestClass.group() == Group.ZONE && sizes.containsKey(-1)) {
             problems.add(
                     hedges.line(),
-                    "'hedges' for class '" + c.name() + "' of route '" + route.name()
-                            + "': servers drop repeats within one " + (c.group() == Group.ZONE ? "zone" : "cell")
+                    "'hedges' for class '" + requestClass.name() + "' of route '" + route.name()
+                            + "': servers drop repeats within one "
+                            + (requestClass.group() == Group.ZONE ? "zone" : "cell")
                             + ", and pool '" + pool.name() + "' "
-                            + (alone ? "has no two servers in one" : "has servers without one"));
+                            + (allSingle ? "has no two servers in one" : "has servers without one"));
         }
     }
 
     // ---- What all instances share
 
-    private void fleet(FleetSection fleet) {
+    private void checkFleet(FleetSection fleet) {
         int rank = facts.settings().rank();
-        if (fleet.living() && file.membership() == null) {
+        if (fleet.fromMembership() && file.membership() == null) {
             problems.add(
                     fleet.lines().get("instances"),
                     "'instances' is 'members', and there is no" + " [membership]: nobody would be counted");
         }
-        if (fleet.living()
+        if (fleet.fromMembership()
                 && fleet.idlePerServer() != null
-                && facts.settings().limits().idleMicros() > LONGEST_IDLE_MICROS) {
+                && facts.settings().limits().idleMicros() > MAX_IDLE_MICROS) {
             problems.add(
                     fleet.lines().get("idle_per_server"),
                     "'instances' is 'members', and the settings"
                             + " say no time, up to an hour, after which servers close idle connections: what a"
                             + " process that stands still has open would never be anybody else's");
         }
-        if (!fleet.living() && rank >= fleet.instances()) {
+        if (!fleet.fromMembership() && rank >= fleet.instances()) {
             problems.add(
                     fleet.lines().get("instances"),
                     "'instances' is " + fleet.instances() + ", and the settings say that this is number " + rank
                             + ", counted from 0");
         }
-        long most = facts.settings().rules().askEveryMicros();
-        double every = fleet.listRate() == 0
+        long maxInterval = facts.settings().rules().askEveryMicros();
+        double interval = fleet.listRate() == 0
                 ? 0
-                : fleet.instances() / fleet.listRate() * 1e6 / (fleet.living() ? ShareRequest.CLAIMABLE_PART : 1);
-        if (most > 0 && every > most) {
+                : fleet.instances()
+                        / fleet.listRate()
+                        * 1e6
+                        / (fleet.fromMembership() ? ShareRequest.CLAIMABLE_PART : 1);
+        if (maxInterval > 0 && interval > maxInterval) {
             problems.add(
                     fleet.lines().get("list_rate"),
                     "'list_rate' is " + fleet.listRate()
                             + ", so each of "
-                            + fleet.instances() + " instances would ask every " + DurationText.text((long) every)
-                            + "; the settings want it asked every " + DurationText.text(most) + ": it must be "
-                            + (long) Math.ceil(fleet.listRate() * every / most) + " or more");
+                            + fleet.instances() + " instances would ask every " + DurationText.format((long) interval)
+                            + "; the settings want it asked every " + DurationText.format(maxInterval) + ": it must be "
+                            + (long) Math.ceil(fleet.listRate() * interval / maxInterval) + " or more");
         }
         if (fleet.listRate() > 0 && file.pools().values().stream().allMatch(p -> p.servers() != null)) {
             problems.add(
@@ -466,24 +475,25 @@
 
     // ---- What all pools share
 
-    private void shares(LimitKey key, long all, String what) {
+    private void checkTotal(LimitKey key, long total, String resource) {
         long sum = 0;
-        int open = 0;
+        int unsetPools = 0;
         Setting<Long> last = null;
         for (PoolSection pool : file.pools().values()) {
             Setting<Long> set = pool.limits().number(key);
             sum += set == null ? 0 : set.value();
-            open += set == null ? 1 : 0;
+            unsetPools += set == null ? 1 : 0;
             last = set == null || last != null && last.line() > set.line() ? last : set;
         }
-        if (last != null && sum + open > all) {
+        if (last != null && sum + unsetPools > total) {
             problems.add(
                     last.line(),
                     "'" + key.key + "' of all pools is " + sum
-                            + (open == 0
+                            + (unsetPools == 0
                                     ? ""
-                                    : ", and " + open + (open == 1 ? " pool needs" : " pools need") + " at least 1")
-                            + "; there are " + all + " " + what);
+                                    : ", and " + unsetPools + (unsetPools == 1 ? " pool needs" : " pools need")
+                                            + " at least 1")
+                            + "; there are " + total + " " + resource);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
@@ -7,13 +7,13 @@
 /** Times as operators write them: a number and {@code us}, {@code ms}, {@code s} or {@code m}. */
 final class DurationText {
 
-    private static final Pattern FORM = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
+    private static final Pattern FORMAT = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
 
     private DurationText() {}
 
     /** Whole microseconds, or -1 where the text is no time. */
-    static long micros(String text) {
-        Matcher matcher = FORM.matcher(text);
+    static long parseMicros(String text) {
+        Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
             return -1;
         }
@@ -29,8 +29,8 @@
                 .longValue();
     }
 
-    /** The shortest text that {@link #micros} reads back. */
-    static String text(long micros) {
+    /** The shortest text that {@link #parseMicros} reads back. */
+    static String format(long micros) {
         if (micros % 1_000 != 0) {
             return micros + "us";
         }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -52,16 +52,16 @@
                         "plug-in %s: %d bytes, %s a call, %d KiB, fails" + " %s; headers %s, classes %s, weakens %s%s",
                         p.name(),
                         p.module().length,
-                        time(p.deadlineMicros()),
+                        timeText(p.deadlineMicros()),
                         p.memoryPages() * 64,
                         p.failClosed() ? "closed" : "open",
                         new TreeSet<>(p.grant().headers()),
                         new TreeSet<>(p.grant().classes()),
                         new TreeSet<>(p.grant().weaken()),
                         p.grant().refuse() ? ", may refuse" : ""));
-        explain.fleet(operators.plan().fleet());
-        operators.plan().pools().forEach(explain::pool);
-        operators.file().routes().forEach(explain::route);
+        explain.explainFleet(operators.plan().fleet());
+        operators.plan().pools().forEach(explain::explainPool);
+        operators.file().routes().forEach(explain::explainRoute);
         return explain.out.toString();
     }
 
@@ -76,64 +76,70 @@
     public static String request(Operators operators, String method, String target, Map<String, String> headers)
             throws InvalidTargetException {
         Explain explain = new Explain(operators);
-        Map<String, String> lower = new LinkedHashMap<>();
-        headers.forEach((name, value) -> lower.put(name.toLowerCase(Locale.ROOT), value));
-        RequestTarget normal = RequestTarget.parse(target);
-        String host = normal.host() != null ? normal.host() : HostName.normal(lower.getOrDefault("host", ""));
-        explain.line("request %s, host '%s', path '%s'", method, host, normal.path());
-        Route<Target> found = operators.plan().router().find(new Asked(method, host, normal.path(), lower));
-        if (found == null) {
+        Map<String, String> lowerCaseHeaders = new LinkedHashMap<>();
+        headers.forEach((name, value) -> lowerCaseHeaders.put(name.toLowerCase(Locale.ROOT), value));
+        RequestTarget parsedTarget = RequestTarget.parse(target);
+        String host = parsedTarget.host() != null
+                ? parsedTarget.host()
+                : HostName.normal(lowerCaseHeaders.getOrDefault("host", ""));
+        explain.line("request %s, host '%s', path '%s'", method, host, parsedTarget.path());
+        Route<Target> matched = operators
+                .plan()
+                .router()
+                .find(new ExplainedRequest(method, host, parsedTarget.path(), lowerCaseHeaders));
+        if (matched == null) {
             explain.line("no route matches: 404");
             return explain.out.toString();
         }
         explain.line(
                 "takes route '%s': of those that match, the first by host, path, priority, method and"
                         + " number of headers",
-                found.name());
+                matched.name());
         operators.file().routes().stream()
-                .filter(r -> r.name().equals(found.name()))
-                .forEach(explain::route);
-        explain.cell(found.target(), normal.path(), lower);
+                .filter(r -> r.name().equals(matched.name()))
+                .forEach(explain::explainRoute);
+        explain.explainHomeCell(matched.target(), parsedTarget.path(), lowerCaseHeaders);
         return explain.out.toString();
     }
 
-    private record Asked(String method, String host, String path, Map<String, String> headers) implements Routable {
+    private record ExplainedRequest(String method, String host, String path, Map<String, String> headers)
+            implements Routable {
         @Override
         public String header(String name) {
             return headers.get(name);
         }
     }
 
-    private static String time(long micros) {
-        return micros == 0 ? "none" : DurationText.text(micros);
+    private static String timeText(long micros) {
+        return micros == 0 ? "none" : DurationText.format(micros);
     }
 
-    private void line(String form, Object... values) {
-        out.append(String.format(Locale.ROOT, form, values)).append('\n');
+    private void line(String format, Object... values) {
+        out.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 
-    private void value(String name, Object value, String origin) {
+    private void valueLine(String name, Object value, String origin) {
         line("  %-16s %-28s # %s", name, value, origin);
     }
 
-    private void pool(PoolConfiguration pool) {
+    private void explainPool(PoolConfiguration pool) {
         OperatorsFile.PoolSection section = operators.file().pools().get(pool.name());
         line(
                 "pool %s: %s",
                 pool.name(),
                 pool.discovered() ? "servers from discovery" : pool.servers().size() + " servers of the file");
-        pool(section, LimitKey.MAX_CONNECTIONS, pool.connections());
-        pool(section, LimitKey.MAX_REQUESTS, pool.requests());
-        pool(section, LimitKey.MAX_QUEUE, pool.queue() == Integer.MAX_VALUE ? "unbounded" : pool.queue());
-        section.limits().all().forEach((key, setting) -> {
+        poolValue(section, LimitKey.MAX_CONNECTIONS, pool.connections());
+        poolValue(section, LimitKey.MAX_REQUESTS, pool.requests());
+        poolValue(section, LimitKey.MAX_QUEUE, pool.queue() == Integer.MAX_VALUE ? "unbounded" : pool.queue());
+        section.limits().asMap().forEach((key, setting) -> {
             if (LimitKey.OF_ROUTES.contains(key) && key != LimitKey.MAX_REQUESTS && key != LimitKey.MAX_QUEUE) {
-                value(key.key + " <=", key.text(setting.value()), setting.origin());
+                valueLine(key.key + " <=", key.text(setting.value()), setting.origin());
             }
         });
-        cells(pool);
+        explainCells(pool);
     }
 
-    private void fleet(FleetLimits fleet) {
+    private void explainFleet(FleetLimits fleet) {
         if (fleet == null) {
             return;
         }
@@ -146,7 +152,7 @@
                 "  list             %s",
                 fleet.askEveryMicros() == 0
                         ? "watched"
-                        : "asked once in " + DurationText.text(fleet.askEveryMicros()) + ", " + fleet.listRate()
+                        : "asked once in " + DurationText.format(fleet.askEveryMicros()) + ", " + fleet.listRate()
                                 + " a second by all");
         line(
                 "  idle             %s",
@@ -168,7 +174,7 @@
                                 fleet.probesPerSecond(100)));
     }
 
-    private void cells(PoolConfiguration pool) {
+    private void explainCells(PoolConfiguration pool) {
         CellsConfiguration cells = pool.cells();
         if (cells == null) {
             return;
@@ -177,12 +183,12 @@
                 "  cells by %s, %ss dealt out, places kept for %s, guests%s up to %s%%",
                 cells.header() == null ? cells.unit().name().toLowerCase(Locale.ROOT) : cells.header(),
                 cells.spread().name().toLowerCase(Locale.ROOT),
-                time(cells.keepMicros()),
+                timeText(cells.keepMicros()),
                 cells.guestWrites() ? " and their writes" : "",
                 100 * cells.guests());
-        CellAssignment parting = new CellAssignment(cells.cells(), cells.spread(), cells.keepMicros());
+        CellAssignment assignment = new CellAssignment(cells.cells(), cells.spread(), cells.keepMicros());
         List<StaticServer> servers = pool.discovered() ? List.of() : pool.servers();
-        parting.listed(
+        assignment.listed(
                 0,
                 ListKind.COMPLETE,
                 servers.stream()
@@ -191,19 +197,19 @@
                         .toList());
         for (int c = 0; c < cells.cells().size(); c++) {
             int cell = c;
-            String own = servers.stream()
-                    .filter(s -> parting.cellOf(Ids.of(s.id())) == cell)
+            String serverIds = servers.stream()
+                    .filter(s -> assignment.cellOf(Ids.of(s.id())) == cell)
                     .map(StaticServer::id)
                     .collect(Collectors.joining(" "));
-            PoolConfiguration part = pool.ofCell(c);
+            PoolConfiguration cellPool = pool.ofCell(c);
             line(
                     "  cell %-11s share %s%s, connections %d, requests %d%s",
                     cells.cells().get(c).name(),
                     cells.cells().get(c).share(),
                     cells.cells().get(c).reserved() ? ", reserved" : "",
-                    part.connections(),
-                    part.requests(),
-                    own.isEmpty() ? "" : ": " + own);
+                    cellPool.connections(),
+                    cellPool.requests(),
+                    serverIds.isEmpty() ? "" : ": " + serverIds);
         }
         cells.moves()
                 .forEach(m -> line(
@@ -212,20 +218,20 @@
                         m.label(),
                         cells.cells().get(m.to()).name(),
                         Instant.EPOCH.plus(m.startMicros(), ChronoUnit.MICROS),
-                        time(m.overMicros()),
-                        time(m.fenceMicros()),
-                        time(m.freezeMicros())));
+                        timeText(m.overMicros()),
+                        timeText(m.fenceMicros()),
+                        timeText(m.freezeMicros())));
         if (cells.quarantine() != null) {
             line(
                     "  quarantine       cell %s, from %.0f%% of a sick cell, for %s",
                     cells.cells().get(cells.quarantine().cell()).name(),
                     100 * cells.quarantine().share(),
-                    time(cells.quarantine().forMicros()));
+                    timeText(cells.quarantine().forMicros()));
         }
     }
 
     /** Where the unit of a request is at home, with servers in all cells and before any move of it. */
-    private void cell(Target target, String path, Map<String, String> headers) {
+    private void explainHomeCell(Target target, String path, Map<String, String> headers) {
         CellsConfiguration cells = operators.plan().pools().stream()
                 .filter(p -> p.name().equals(target.pool()))
                 .findFirst()
@@ -240,9 +246,9 @@
                     case TENANT -> headers.getOrDefault("tenant", "");
                     case HEADER -> headers.getOrDefault(cells.header(), "");
                 };
-        BitSet open = new BitSet();
-        open.set(0, cells.cells().size());
-        int home = new Placement(cells.cells(), cells.assigned(), open).home(Ids.of(unit));
+        BitSet allCells = new BitSet();
+        allCells.set(0, cells.cells().size());
+        int home = new Placement(cells.cells(), cells.assigned(), allCells).home(Ids.of(unit));
         line(
                 "unit '%s' is at home in cell '%s' %s",
                 unit,
@@ -255,45 +261,45 @@
                         cells.cells().get(m.to()).name(), m.name()));
     }
 
-    private void pool(OperatorsFile.PoolSection section, LimitKey key, Object value) {
+    private void poolValue(OperatorsFile.PoolSection section, LimitKey key, Object value) {
         Setting<Long> set = section.limits().number(key);
-        value(key.key, value, set == null ? "default: " + key.otherwise : set.origin());
+        valueLine(key.key, value, set == null ? "default: " + key.defaultText : set.origin());
     }
 
-    private static String count(int most) {
-        return most == Integer.MAX_VALUE ? "any number" : String.valueOf(most);
+    private static String countText(int max) {
+        return max == Integer.MAX_VALUE ? "any number" : String.valueOf(max);
     }
 
-    private void route(RouteSection route) {
+    private void explainRoute(RouteSection route) {
         RouteLimits limits = operators.limits(route.name());
         RequestClass c =
                 operators.facts().requestClass(route.requestClass().value()).orElseThrow();
         line("route %s: %s", route.name(), route.match());
-        value(
+        valueLine(
                 "class",
                 c.name() + " (" + c.effect().name().toLowerCase(Locale.ROOT) + ")",
                 route.requestClass().origin());
-        value("pool", route.pool().value(), route.pool().origin());
-        value(
+        valueLine("pool", route.pool().value(), route.pool().origin());
+        valueLine(
                 "timeout",
-                DurationText.text(limits.timeout().value()),
+                DurationText.format(limits.timeout().value()),
                 limits.timeout().origin());
-        value(
+        valueLine(
                 "attempt_timeout",
                 limits.attemptTimeout().value() == 0
                         ? "none"
-                        : DurationText.text(limits.attemptTimeout().value()),
+                        : DurationText.format(limits.attemptTimeout().value()),
                 limits.attemptTimeout().origin());
-        value("attempts", limits.attempts().value(), limits.attempts().origin());
-        value(
+        valueLine("attempts", limits.attempts().value(), limits.attempts().origin());
+        valueLine(
                 "retry_on",
                 limits.retryOn().value().stream().map(String::valueOf).collect(Collectors.joining(" ")),
                 limits.retryOn().origin());
-        value("hedges", limits.hedges().value(), limits.hedges().origin());
+        valueLine("hedges", limits.hedges().value(), limits.hedges().origin());
         if (limits.hedges().value() > 0) {
-            value(
+            valueLine(
                     "hedge_after",
-                    DurationText.text(limits.hedgeAfter().value()),
+                    DurationText.format(limits.hedgeAfter().value()),
                     limits.hedgeAfter().origin());
         }
         if (route.webSocket() != null) {
@@ -303,20 +309,20 @@
                             + " life %s, drain %s, %d back a second",
                     w.maxFrame(),
                     w.maxMessage(),
-                    time(w.idleMicros()),
-                    time(w.pingMicros()),
-                    time(w.pongMicros()),
-                    time(w.lifeMicros()),
-                    time(w.drainMicros()),
+                    timeText(w.idleMicros()),
+                    timeText(w.pingMicros()),
+                    timeText(w.pongMicros()),
+                    timeText(w.lifeMicros()),
+                    timeText(w.drainMicros()),
                     w.reconnects());
             line(
                     "  goes with        %d %s",
                     w.closeNotice().code(), w.closeNotice().reason());
             line(
                     "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
-                    count(w.bounds().most()),
-                    count(w.bounds().perTenant()),
-                    time(w.bounds().evictMicros()),
+                    countText(w.bounds().most()),
+                    countText(w.bounds().perTenant()),
+                    timeText(w.bounds().evictMicros()),
                     w.resume() == null
                             ? "never"
                             : String.join(" ", new TreeSet<>(w.resume().subprotocols()))
@@ -325,15 +331,15 @@
                                             : ", with " + w.resume().header())
                                     + (w.resume().firstMessage() ? ", first message repeated" : ""));
         }
-        for (RouteLimits.Counted counted : limits.counted()) {
+        for (RouteLimits.RequestBound counted : limits.requestBounds()) {
             if (counted.requests() != null) {
-                value(
+                valueLine(
                         "max_requests",
                         counted.requests().value(),
                         counted.requests().origin());
             }
             if (counted.queue() != null) {
-                value("max_queue", counted.queue().value(), counted.queue().origin());
+                valueLine("max_queue", counted.queue().value(), counted.queue().origin());
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LeasesReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LeasesReader.java
@@ -13,13 +13,13 @@
 /** Reads {@code [keepers]} and {@code [leases.NAME]}, and refuses what can't work. */
 final class LeasesReader {
 
-    private static final long LEAST_TERM = 500_000;
-    private static final long MOST_TERM = 3_600_000_000L;
-    private static final double LEAST_DRIFT = 0.0001;
-    private static final double MOST_DRIFT = 0.2;
-    private static final double DRIFT = 0.01;
-    private static final int MOST_NAME = 64;
-    private static final List<Integer> COUNTS = List.of(3, 5, 7);
+    private static final long MIN_TERM_MICROS = 500_000;
+    private static final long MAX_TERM_MICROS = 3_600_000_000L;
+    private static final double MIN_DRIFT = 0.0001;
+    private static final double MAX_DRIFT = 0.2;
+    private static final double DEFAULT_DRIFT = 0.01;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final List<Integer> ALLOWED_KEEPER_COUNTS = List.of(3, 5, 7);
 
     private final Section keepers;
     private final List<Section> leases;
@@ -42,62 +42,67 @@
             problems.add(line, "leases need [membership]: keepers are asked over its socket");
         }
         Map<String, Long> terms = new TreeMap<>();
-        long most = LEAST_TERM;
+        long maxTerm = MIN_TERM_MICROS;
         for (Section lease : leases) {
-            long term = term(lease, membership == null ? null : membership.plan());
+            long term = readTerm(lease, membership == null ? null : membership.options());
             terms.put(lease.title().substring(lease.title().indexOf('.') + 1), term);
-            most = Math.max(most, term);
+            maxTerm = Math.max(maxTerm, term);
         }
         if (keepers == null) {
             problems.add(line, "there are leases and no [keepers]: nobody could grant them");
             return null;
         }
-        return plan(terms, most);
+        return readOptions(terms, maxTerm);
     }
 
-    private LeaseOptions plan(Map<String, Long> terms, long largest) {
-        List<InetSocketAddress> addresses = addresses("addresses");
+    private LeaseOptions readOptions(Map<String, Long> terms, long longestTerm) {
+        List<InetSocketAddress> addresses = readAddresses("addresses");
         if (addresses == null) {
             keepers.problem("addresses", "[keepers] lacks 'addresses'");
             addresses = List.of();
         }
-        List<InetSocketAddress> before = addresses("before");
-        long most = keepers.time("most_term", LEAST_TERM, MOST_TERM, largest);
-        if (most < largest) {
+        List<InetSocketAddress> previousAddresses = readAddresses("before");
+        long maxTerm = keepers.time("most_term", MIN_TERM_MICROS, MAX_TERM_MICROS, longestTerm);
+        if (maxTerm < longestTerm) {
             keepers.problem(
                     "most_term",
-                    "'most_term' is " + DurationText.text(most) + ", and a lease has a term" + " of "
-                            + DurationText.text(largest));
+                    "'most_term' is " + DurationText.format(maxTerm) + ", and a lease has a term" + " of "
+                            + DurationText.format(longestTerm));
         }
-        Double drift = keepers.number("drift", LEAST_DRIFT, MOST_DRIFT);
-        Boolean wall = keepers.flag("wall_clock");
-        keepers.rejectUnknown();
+        Double drift = keepers.number("drift", MIN_DRIFT, MAX_DRIFT);
+        Boolean wallClock = keepers.flag("wall_clock");
+        keepers.rejectUnknownKeys();
         return new LeaseOptions(
-                addresses, before, most, drift == null ? DRIFT : drift, !Boolean.FALSE.equals(wall), terms);
+                addresses,
+                previousAddresses,
+                maxTerm,
+                drift == null ? DEFAULT_DRIFT : drift,
+                !Boolean.FALSE.equals(wallClock),
+                terms);
     }
 
     /** A pause that membership bears must not cost the lease, nor an act that was begun before it. */
-    private long term(Section lease, MembershipOptions membership) {
+    private long readTerm(Section lease, MembershipOptions membership) {
         String name = lease.title().substring(lease.title().indexOf('.') + 1);
-        if (name.length() > MOST_NAME || !name.matches("[A-Za-z0-9_.-]+")) {
+        if (name.length() > MAX_NAME_LENGTH || !name.matches("[A-Za-z0-9_.-]+")) {
             problems.add(
                     lease.line(),
-                    "lease '" + name + "': a name has 1 to " + MOST_NAME + " letters, digits, '.', '_' or '-'");
+                    "lease '" + name + "': a name has 1 to " + MAX_NAME_LENGTH + " letters, digits, '.', '_' or '-'");
         }
-        long act = lease.time("act", 0, MOST_TERM, 0);
-        long least = membership == null ? LEAST_TERM : 2 * membership.pauseMicros() + act;
-        long term = lease.time("term", LEAST_TERM, MOST_TERM, Math.max(LEAST_TERM, least));
-        if (term < least) {
+        long act = lease.time("act", 0, MAX_TERM_MICROS, 0);
+        long minTerm = membership == null ? MIN_TERM_MICROS : 2 * membership.pauseMicros() + act;
+        long term = lease.time("term", MIN_TERM_MICROS, MAX_TERM_MICROS, Math.max(MIN_TERM_MICROS, minTerm));
+        if (term < minTerm) {
             lease.problem(
                     "term",
-                    "'term' of lease '" + name + "' is " + DurationText.text(term)
-                            + ", shorter than twice the pause and the act (" + DurationText.text(least) + ")");
+                    "'term' of lease '" + name + "' is " + DurationText.format(term)
+                            + ", shorter than twice the pause and the act (" + DurationText.format(minTerm) + ")");
         }
-        lease.rejectUnknown();
+        lease.rejectUnknownKeys();
         return term;
     }
 
-    private List<InetSocketAddress> addresses(String key) {
+    private List<InetSocketAddress> readAddresses(String key) {
         if (!keepers.has(key)) {
             return null;
         }
@@ -116,7 +121,7 @@
                 keepers.problem(key, e.getMessage() + "; names are not looked up");
             }
         }
-        if (!COUNTS.contains(addresses.size())) {
+        if (!ALLOWED_KEEPER_COUNTS.contains(addresses.size())) {
             keepers.problem(key, "'" + key + "' names " + addresses.size() + " keepers; it must be" + " 3, 5 or 7");
         }
         return addresses;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
@@ -36,16 +36,16 @@
 
     final String key;
     final Kind kind;
-    final long least;
-    final long most;
-    final String otherwise;
+    final long min;
+    final long max;
+    final String defaultText;
 
-    LimitKey(String key, Kind kind, long least, long most, String otherwise) {
+    LimitKey(String key, Kind kind, long min, long max, String defaultText) {
         this.key = key;
         this.kind = kind;
-        this.least = least;
-        this.most = most;
-        this.otherwise = otherwise;
+        this.min = min;
+        this.max = max;
+        this.defaultText = defaultText;
     }
 
     /** The name in the file. */
@@ -56,13 +56,13 @@
     /** The range, for people. */
     public String range() {
         return switch (kind) {
-            case TIME -> DurationText.text(least) + " to " + DurationText.text(most);
-            case COUNT -> least + " to " + most;
+            case TIME -> DurationText.format(min) + " to " + DurationText.format(max);
+            case COUNT -> min + " to " + max;
             case OUTCOMES -> "of " + String.join(", ", Retryable.words());
         };
     }
 
     String text(Object value) {
-        return kind == Kind.TIME ? DurationText.text((Long) value) : String.valueOf(value);
+        return kind == Kind.TIME ? DurationText.format((Long) value) : String.valueOf(value);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitSet.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitSet.java
@@ -7,25 +7,25 @@
 /** The limits that one section sets. */
 final class LimitSet {
 
-    private final Map<LimitKey, Setting<?>> set = new EnumMap<>(LimitKey.class);
+    private final Map<LimitKey, Setting<?>> settings = new EnumMap<>(LimitKey.class);
 
     void put(LimitKey key, Setting<?> setting) {
-        set.put(key, setting);
+        settings.put(key, setting);
     }
 
-    Map<LimitKey, Setting<?>> all() {
-        return set;
+    Map<LimitKey, Setting<?>> asMap() {
+        return settings;
     }
 
     /** A time in microseconds or a count; null where it is not set. */
     @SuppressWarnings("unchecked")
     Setting<Long> number(LimitKey key) {
-        return (Setting<Long>) set.get(key);
+        return (Setting<Long>) settings.get(key);
     }
 
     /** The outcomes to retry on; null where they are not set. */
     @SuppressWarnings("unchecked")
     Setting<Set<Retryable>> outcomes() {
-        return (Setting<Set<Retryable>>) set.get(LimitKey.RETRY_ON);
+        return (Setting<Set<Retryable>>) settings.get(LimitKey.RETRY_ON);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/MembershipReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/MembershipReader.java
@@ -10,14 +10,14 @@
 /** Reads {@code [membership]}, and refuses what can't work. */
 final class MembershipReader {
 
-    private static final long LEAST_PAUSE = 200_000;
-    private static final long MOST_PAUSE = 60_000_000;
-    private static final long LEAST_PERIOD = 10_000;
+    private static final long MIN_PAUSE_MICROS = 200_000;
+    private static final long MAX_PAUSE_MICROS = 60_000_000;
+    private static final long MIN_PERIOD_MICROS = 10_000;
     /** An answer has to come back within the pause, and again where one is lost. */
-    private static final int PERIODS_IN_PAUSE = 3;
+    private static final int MIN_PERIODS_PER_PAUSE = 3;
 
-    private static final int MOST_SEEDS = 64;
-    private static final int MOST_NAME = 64;
+    private static final int MAX_SEEDS = 64;
+    private static final int MAX_CLUSTER_NAME_LENGTH = 64;
 
     private final Section section;
 
@@ -27,14 +27,15 @@
 
     MembershipSection read() {
         String cluster = section.required("cluster");
-        if (cluster != null && (cluster.isBlank() || cluster.length() > MOST_NAME)) {
-            section.problem("cluster", "'cluster' must have 1 to " + MOST_NAME + " characters");
+        if (cluster != null && (cluster.isBlank() || cluster.length() > MAX_CLUSTER_NAME_LENGTH)) {
+            section.problem("cluster", "'cluster' must have 1 to " + MAX_CLUSTER_NAME_LENGTH + " characters");
         }
-        InetSocketAddress listen = port("listen", OperatorsReader.address(section, "listen"));
-        InetSocketAddress advertise =
-                section.has("advertise") ? port("advertise", OperatorsReader.address(section, "advertise")) : listen;
-        boolean beyond = Boolean.TRUE.equals(section.flag("beyond_loopback"));
-        if (listen != null && !listen.getAddress().isLoopbackAddress() && !beyond) {
+        InetSocketAddress listen = requirePort("listen", OperatorsReader.readAddress(section, "listen"));
+        InetSocketAddress advertise = section.has("advertise")
+                ? requirePort("advertise", OperatorsReader.readAddress(section, "advertise"))
+                : listen;
+        boolean beyondLoopback = Boolean.TRUE.equals(section.flag("beyond_loopback"));
+        if (listen != null && !listen.getAddress().isLoopbackAddress() && !beyondLoopback) {
             section.problem(
                     "listen",
                     "'listen' is " + Addresses.text(listen) + ": messages are not"
@@ -46,38 +47,40 @@
                     "others can't reach " + Addresses.text(advertise)
                             + "; set 'advertise' to the address that they use");
         }
-        long pause = section.time("pause", LEAST_PAUSE, MOST_PAUSE, 3_000_000);
-        long period = section.time("period", LEAST_PERIOD, MOST_PAUSE, MembershipOptions.defaultPeriodMicros(pause));
-        if (section.has("period") && period * PERIODS_IN_PAUSE > pause) {
+        long pause = section.time("pause", MIN_PAUSE_MICROS, MAX_PAUSE_MICROS, 3_000_000);
+        long period = section.time(
+                "period", MIN_PERIOD_MICROS, MAX_PAUSE_MICROS, MembershipOptions.defaultPeriodMicros(pause));
+        if (section.has("period") && period * MIN_PERIODS_PER_PAUSE > pause) {
             section.problem(
                     "period",
-                    "'period' is " + DurationText.text(period) + ", more than a third of" + " 'pause' ("
-                            + DurationText.text(pause) + "): too few answers fit into it");
+                    "'period' is " + DurationText.format(period) + ", more than a third of" + " 'pause' ("
+                            + DurationText.format(pause) + "): too few answers fit into it");
         }
-        int most = (int) section.count("max_members", 2, 100_000, MembershipOptions.DEFAULT_MAX_MEMBERS);
+        int maxMembers = (int) section.count("max_members", 2, 100_000, MembershipOptions.DEFAULT_MAX_MEMBERS);
         String record = section.text("record");
-        List<InetSocketAddress> seeds = seeds(advertise);
-        section.rejectUnknown();
+        List<InetSocketAddress> seeds = readSeeds(advertise);
+        section.rejectUnknownKeys();
         return new MembershipSection(
-                section.line(), new MembershipOptions(cluster, listen, advertise, seeds, pause, period, most, record));
+                section.line(),
+                new MembershipOptions(cluster, listen, advertise, seeds, pause, period, maxMembers, record));
     }
 
-    private InetSocketAddress port(String key, InetSocketAddress address) {
+    private InetSocketAddress requirePort(String key, InetSocketAddress address) {
         if (address != null && address.getPort() == 0) {
             section.problem(key, "'" + key + "' has port 0, which nobody else could know");
         }
         return address;
     }
 
-    private List<InetSocketAddress> seeds(InetSocketAddress own) {
+    private List<InetSocketAddress> readSeeds(InetSocketAddress ownAddress) {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<String> texts = section.texts("seeds");
         if (texts == null || texts.isEmpty()) {
             section.problem("seeds", "[membership] names no 'seeds': nobody would ever be found");
             return seeds;
         }
-        if (texts.size() > MOST_SEEDS) {
-            section.problem("seeds", "more than " + MOST_SEEDS + " seeds");
+        if (texts.size() > MAX_SEEDS) {
+            section.problem("seeds", "more than " + MAX_SEEDS + " seeds");
         }
         for (String text : texts) {
             try {
@@ -92,7 +95,7 @@
                 section.problem("seeds", e.getMessage() + "; names are not looked up");
             }
         }
-        if (seeds.size() == 1 && seeds.get(0).equals(own)) {
+        if (seeds.size() == 1 && seeds.get(0).equals(ownAddress)) {
             section.problem("seeds", "the only seed is this process itself");
         }
         return seeds;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
@@ -30,43 +30,44 @@
     private final Facts facts;
     private final OperatorsFile file;
     private final Map<String, RouteLimits> limits = new LinkedHashMap<>();
-    private final RoutingConfiguration plan;
+    private final RoutingConfiguration configuration;
 
     private Operators(Facts facts, OperatorsFile file) {
         this.facts = facts;
         this.file = file;
         List<Route<Target>> routes = new ArrayList<>();
         for (RouteSection route : file.routes()) {
-            RequestClass c = facts.requestClass(route.requestClass().value()).orElseThrow();
-            RouteLimits own = RouteLimits.of(
+            RequestClass requestClass =
+                    facts.requestClass(route.requestClass().value()).orElseThrow();
+            RouteLimits routeLimits = RouteLimits.of(
                     route,
-                    c,
-                    file.classes().get(c.name()),
+                    requestClass,
+                    file.classes().get(requestClass.name()),
                     file.pools().get(route.pool().value()),
                     facts.settings().limits());
-            limits.put(route.name(), own);
+            limits.put(route.name(), routeLimits);
             routes.add(new Route<>(
                     route.name(),
                     route.match(),
                     new Target(
                             route.pool().value(),
-                            facts.settings().classes().indexOf(c),
-                            own.timeout().value(),
-                            own.terms(),
+                            facts.settings().classes().indexOf(requestClass),
+                            routeLimits.timeout().value(),
+                            routeLimits.terms(),
                             route.webSocket())));
         }
-        plan = new RoutingConfiguration(
+        configuration = new RoutingConfiguration(
                 listeners(),
                 pools(),
                 new Router<>(routes),
                 routes.stream().anyMatch(r -> r.target().webSocket() != null),
                 file.plugins().stream()
                         .sorted(Comparator.comparingInt(PluginSection::order)
-                                .thenComparing(s -> s.plan().name()))
-                        .map(PluginSection::plan)
+                                .thenComparing(s -> s.configuration().name()))
+                        .map(PluginSection::configuration)
                         .toList(),
-                fleet(),
-                membership());
+                fleetLimits(),
+                membershipOptions());
     }
 
     /**
@@ -109,7 +110,7 @@
             // The parser follows some forms by calls of its own that are not brackets.
             problems.add(1, "nested too deep");
         }
-        if (!problems.none()) {
+        if (!problems.isEmpty()) {
             throw new InvalidFileException(problems.sorted());
         }
         return new Operators(facts, file);
@@ -117,7 +118,7 @@
 
     /** What the sidecar takes over. */
     public RoutingConfiguration plan() {
-        return plan;
+        return configuration;
     }
 
     Facts facts() {
@@ -132,30 +133,30 @@
         return limits.get(route);
     }
 
-    private FleetLimits fleet() {
+    private FleetLimits fleetLimits() {
         OperatorsFile.FleetSection f = file.fleet();
         return f == null
                 ? null
                 : new FleetLimits(
                         f.instances(),
-                        f.living() ? 0 : facts.settings().rank(),
+                        f.fromMembership() ? 0 : facts.settings().rank(),
                         f.listRate(),
                         f.idlePerServer() == null
                                 ? Integer.MAX_VALUE
                                 : f.idlePerServer().intValue(),
                         f.probeRate(),
-                        f.living());
+                        f.fromMembership());
     }
 
     /** Servers close what has been idle for the site's time, of which the sidecar uses a part only. */
-    private MembershipOptions membership() {
+    private MembershipOptions membershipOptions() {
         if (file.membership() == null) {
             return null;
         }
-        MembershipOptions plan = file.membership().plan().withLeases(file.leases());
-        return file.fleet() == null || !file.fleet().living()
-                ? plan
-                : plan.withShares(
+        MembershipOptions options = file.membership().options().withLeases(file.leases());
+        return file.fleet() == null || !file.fleet().fromMembership()
+                ? options
+                : options.withShares(
                         file.fleet().instances(),
                         file.fleet().idlePerServer() == null
                                 ? 0
@@ -183,34 +184,36 @@
                     share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections()),
                     requests,
                     queue == null ? Integer.MAX_VALUE : queue.value().intValue(),
-                    tunnels(pool),
-                    pool.cells() == null ? null : CellsChecks.complete(pool, file, facts)));
+                    tunnelLimits(pool),
+                    pool.cells() == null ? null : CellsChecks.withClassLimits(pool, file, facts)));
         }
         return pools;
     }
 
-    private Tunnelled tunnels(PoolSection pool) {
+    private Tunnelled tunnelLimits(PoolSection pool) {
         // Half of its connections are left to plain requests where the file does not say otherwise.
         int connections = share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections());
-        OperatorsFile.TunnelSet set = pool.tunnels();
+        OperatorsFile.TunnelLimits set = pool.tunnels();
         return new Tunnelled(
-                set.most() == null ? Math.max(1, connections / 2) : set.most().intValue(),
-                set.perServer() == null ? Integer.MAX_VALUE : set.perServer().intValue(),
-                (int) set.rate());
+                set.max() == null ? Math.max(1, connections / 2) : set.max().intValue(),
+                set.maxPerServer() == null
+                        ? Integer.MAX_VALUE
+                        : set.maxPerServer().intValue(),
+                (int) set.upgradeRate());
     }
 
     /** What a pool sets, or an equal part of what those that set something leave. */
-    private int share(PoolSection of, LimitKey key, int all) {
-        if (of.limits().number(key) != null) {
-            return of.limits().number(key).value().intValue();
+    private int share(PoolSection target, LimitKey key, int total) {
+        if (target.limits().number(key) != null) {
+            return target.limits().number(key).value().intValue();
         }
-        long left = all;
-        int open = 0;
+        long remaining = total;
+        int unsetPools = 0;
         for (PoolSection pool : file.pools().values()) {
             Setting<Long> set = pool.limits().number(key);
-            left -= set == null ? 0 : set.value();
-            open += set == null ? 1 : 0;
+            remaining -= set == null ? 0 : set.value();
+            unsetPools += set == null ? 1 : 0;
         }
-        return (int) Math.max(1, left / open);
+        return (int) Math.max(1, remaining / unsetPools);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsFile.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsFile.java
@@ -23,20 +23,20 @@
         LeaseOptions leases) {
 
     /** Called in the order of these numbers, of equals in that of their names. */
-    record PluginSection(int order, PluginConfiguration plan) {}
+    record PluginSection(int order, PluginConfiguration configuration) {}
 
     /** What all instances share; null where the file does not say; lines by key. */
     record FleetSection(
             int line,
             int instances,
-            boolean living,
+            boolean fromMembership,
             double listRate,
             Long idlePerServer,
             double probeRate,
             Map<String, Integer> lines) {}
 
     /** How this process takes part among others; null where it does not. */
-    record MembershipSection(int line, MembershipOptions plan) {}
+    record MembershipSection(int line, MembershipOptions options) {}
 
     record ListenerSection(String name, int line, InetSocketAddress address) {}
 
@@ -46,20 +46,20 @@
             int line,
             List<StaticServer> servers,
             LimitSet limits,
-            TunnelSet tunnels,
+            TunnelLimits tunnels,
             CellsSection cells) {}
 
     /** How a pool is parted, without what its routes' classes add; the lines are by key or move. */
-    record CellsSection(CellsConfiguration plan, Map<String, Integer> lines) {
-        int line(String of) {
-            return lines.get(of);
+    record CellsSection(CellsConfiguration configuration, Map<String, Integer> lines) {
+        int lineOf(String key) {
+            return lines.get(key);
         }
     }
 
     /** What a pool says of connections that stay; null where it does not. */
-    record TunnelSet(Long most, Long perServer, long rate) {}
+    record TunnelLimits(Long max, Long maxPerServer, long upgradeRate) {}
 
-    record ClassSection(String name, int line, LimitSet limits, Setting<Long> givesUp) {}
+    record ClassSection(String name, int line, LimitSet limits, Setting<Long> clientGivesUp) {}
 
     /**
      * What could not be read is null; it has been reported. The line says that a first message is repeated.
@@ -72,5 +72,5 @@
             Setting<String> pool,
             LimitSet limits,
             WebSocketLimits webSocket,
-            int repeatLine) {}
+            int firstMessageLine) {}
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
@@ -21,7 +21,7 @@
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PluginSection;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
-import org.cypressweir.sidecar.operatorconfig.OperatorsFile.TunnelSet;
+import org.cypressweir.sidecar.operatorconfig.OperatorsFile.TunnelLimits;
 import org.cypressweir.sidecar.route.HeaderTest;
 import org.cypressweir.sidecar.route.HostPattern;
 import org.cypressweir.sidecar.route.Match;
@@ -39,17 +39,17 @@
 
     static final long VERSION = 1;
 
-    private static final long MOST_PRIORITY = 1_000;
-    private static final long MOST_BYTES = 1L << 40;
-    private static final long MOST_TUNNELS = 1_000_000;
+    private static final long MAX_PRIORITY = 1_000;
+    private static final long MAX_MESSAGE_BYTES = 1L << 40;
+    private static final long MAX_TUNNELS = 1_000_000;
     /** As many instances as live, by [membership]. */
-    private static final String MEMBERS = "members";
+    private static final String INSTANCES_FROM_MEMBERSHIP = "members";
 
-    private static final long MOST_INSTANCES = 1_000_000;
+    private static final long MAX_INSTANCES = 1_000_000;
     /** What fits into a close frame beside its code (RFC 6455, section 5.5). */
-    private static final int MOST_REASON = 123;
+    private static final int MAX_CLOSE_REASON_BYTES = 123;
     /** What the sidecar sets itself. */
-    private static final String OWN_HEADERS = "host|connection|upgrade|content-length|transfer-encoding"
+    private static final String RESERVED_HEADERS = "host|connection|upgrade|content-length|transfer-encoding"
             + "|request-id|tenant|request-timeout-ms|idempotency-key";
 
     private static final Set<String> SOURCES = Set.of("discovery", "static");
@@ -69,7 +69,7 @@
 
     /** Null where the text is no TOML. */
     OperatorsFile read(String text) {
-        if (!Shape.fits(text, problems)) {
+        if (!TextLimits.fits(text, problems)) {
             return null;
         }
         TomlParseResult toml = Toml.parse(text);
@@ -87,13 +87,13 @@
             top.problem("version", "version " + version + " is not known; this program reads version " + VERSION);
         }
         List<ListenerSection> listeners = new ArrayList<>();
-        top.tables("listeners").forEach(s -> listeners.add(listener(s)));
+        top.tables("listeners").forEach(s -> listeners.add(readListener(s)));
         Map<String, PoolSection> pools = new LinkedHashMap<>();
-        top.tables("pools").forEach(s -> pools.put(name(s), pool(s)));
+        top.tables("pools").forEach(s -> pools.put(sectionName(s), readPool(s)));
         Map<String, ClassSection> classes = new LinkedHashMap<>();
-        top.tables("classes").forEach(s -> classes.put(name(s), requestClass(s)));
+        top.tables("classes").forEach(s -> classes.put(sectionName(s), readRequestClass(s)));
         List<RouteSection> routes = new ArrayList<>();
-        top.tables("routes").forEach(s -> routes.add(route(s)));
+        top.tables("routes").forEach(s -> routes.add(readRoute(s)));
         List<PluginSection> plugins = new ArrayList<>();
         for (Section s : top.tables("plugins")) {
             PluginSection plugin = new PluginsReader(facts, folder).read(s);
@@ -102,31 +102,33 @@
             }
         }
         Section fleet = top.table("fleet");
-        FleetSection shared = fleet == null ? null : fleet(fleet);
+        FleetSection fleetSection = fleet == null ? null : readFleet(fleet);
         Section membership = top.table("membership");
-        MembershipSection others = membership == null ? null : new MembershipReader(membership).read();
-        LeaseOptions leases = new LeasesReader(top.table("keepers"), top.tables("leases"), problems).read(others);
-        top.rejectUnknown();
-        return new OperatorsFile(listeners, pools, classes, routes, plugins, shared, others, leases);
+        MembershipSection membershipSection = membership == null ? null : new MembershipReader(membership).read();
+        LeaseOptions leases =
+                new LeasesReader(top.table("keepers"), top.tables("leases"), problems).read(membershipSection);
+        top.rejectUnknownKeys();
+        return new OperatorsFile(listeners, pools, classes, routes, plugins, fleetSection, membershipSection, leases);
     }
 
-    private FleetSection fleet(Section section) {
-        boolean living = section.says("instances", MEMBERS);
-        Long most = section.count("most", 1, MOST_INSTANCES);
-        if (living && !section.has("most")) {
+    private FleetSection readFleet(Section section) {
+        boolean fromMembership = section.hasText("instances", INSTANCES_FROM_MEMBERSHIP);
+        Long maxInstances = section.count("most", 1, MAX_INSTANCES);
+        if (fromMembership && !section.has("most")) {
             section.problem(
                     "instances",
-                    "'instances' is '" + MEMBERS + "': 'most' has to say how many" + " processes may ever run at once");
-        } else if (!living && section.has("most")) {
-            section.problem("most", "'most' has no effect: 'instances' is not '" + MEMBERS + "'");
+                    "'instances' is '" + INSTANCES_FROM_MEMBERSHIP + "': 'most' has to say how many"
+                            + " processes may ever run at once");
+        } else if (!fromMembership && section.has("most")) {
+            section.problem("most", "'most' has no effect: 'instances' is not '" + INSTANCES_FROM_MEMBERSHIP + "'");
         }
         int instances;
-        if (living) {
+        if (fromMembership) {
             section.text("instances");
-            instances = most == null ? 1 : most.intValue();
+            instances = maxInstances == null ? 1 : maxInstances.intValue();
         } else {
             instances = (int) section.count(
-                    "instances", 1, MOST_INSTANCES, Math.max(1, facts.settings().replicas()));
+                    "instances", 1, MAX_INSTANCES, Math.max(1, facts.settings().replicas()));
         }
         Double listRate = section.number("list_rate", 0.01, 1_000_000);
         Long idle = section.count("idle_per_server", 0, 1_000_000);
@@ -135,28 +137,28 @@
         for (String key : List.of("instances", "list_rate", "idle_per_server", "probe_rate")) {
             lines.put(key, section.has(key) ? section.lineOf(key) : section.line());
         }
-        section.rejectUnknown();
+        section.rejectUnknownKeys();
         return new FleetSection(
                 section.line(),
                 instances,
-                living,
+                fromMembership,
                 listRate == null ? 0 : listRate,
                 idle,
                 probeRate == null ? 0 : probeRate,
                 lines);
     }
 
-    private static String name(Section section) {
+    private static String sectionName(Section section) {
         return section.title().substring(section.title().indexOf('.') + 1);
     }
 
-    private ListenerSection listener(Section section) {
-        InetSocketAddress address = address(section, "address");
-        section.rejectUnknown();
-        return new ListenerSection(name(section), section.line(), address);
+    private ListenerSection readListener(Section section) {
+        InetSocketAddress address = readAddress(section, "address");
+        section.rejectUnknownKeys();
+        return new ListenerSection(sectionName(section), section.line(), address);
     }
 
-    static InetSocketAddress address(Section section, String key) {
+    static InetSocketAddress readAddress(Section section, String key) {
         String text = section.required(key);
         if (text == null) {
             return null;
@@ -169,17 +171,18 @@
         }
     }
 
-    private PoolSection pool(Section section) {
+    private PoolSection readPool(Section section) {
         String source = section.required("source");
         if (source != null && !SOURCES.contains(source)) {
             section.problem(
                     "source",
-                    "no source '" + source + "'; there are discovery and static" + Wording.hint(source, SOURCES));
+                    "no source '" + source + "'; there are discovery and static"
+                            + SpellingHint.didYouMean(source, SOURCES));
         }
-        boolean listed = "static".equals(source);
+        boolean isStatic = "static".equals(source);
         List<StaticServer> servers = null;
-        if (listed) {
-            servers = servers(section);
+        if (isStatic) {
+            servers = readServers(section);
         } else if (section.has("servers") && source != null) {
             section.problem("servers", "a pool with source '" + source + "' names no servers");
         }
@@ -189,37 +192,37 @@
                     LimitKey.HEDGE_AFTER.key,
                     "'hedge_after' is set for classes and routes; a pool" + " only bounds 'hedges'");
         }
-        TunnelSet tunnels = new TunnelSet(
-                section.count("max_tunnels", 1, MOST_TUNNELS),
-                section.count("max_tunnels_per_server", 1, MOST_TUNNELS),
+        TunnelLimits tunnels = new TunnelLimits(
+                section.count("max_tunnels", 1, MAX_TUNNELS),
+                section.count("max_tunnels_per_server", 1, MAX_TUNNELS),
                 section.count("upgrade_rate", 1, 100_000, 500));
         Section cells = section.table("cells");
-        CellsSection parted = cells == null ? null : new CellsReader(facts, cells).read();
-        section.rejectUnknown();
-        return new PoolSection(name(section), section.line(), servers, limits, tunnels, parted);
+        CellsSection cellsSection = cells == null ? null : new CellsReader(facts, cells).read();
+        section.rejectUnknownKeys();
+        return new PoolSection(sectionName(section), section.line(), servers, limits, tunnels, cellsSection);
     }
 
-    private List<StaticServer> servers(Section pool) {
+    private List<StaticServer> readServers(Section pool) {
         List<StaticServer> servers = new ArrayList<>();
         Map<String, Integer> ids = new HashMap<>();
         Map<InetSocketAddress, Integer> endpoints = new HashMap<>();
-        List<Section> entries = pool.list("servers");
+        List<Section> entries = pool.tableList("servers");
         if (entries.isEmpty()) {
             problems.add(pool.line(), "[" + pool.title() + "] has source 'static' and no 'servers'");
         }
         for (Section entry : entries) {
             String id = entry.required("id");
-            InetSocketAddress endpoint = address(entry, "endpoint");
+            InetSocketAddress endpoint = readAddress(entry, "endpoint");
             if (endpoint != null && endpoint.getPort() == 0) {
                 entry.problem("endpoint", "port 0 is no server's port");
             }
-            String zone = known(entry, "zone", facts.zones());
-            String model = known(entry, "model", facts.models());
+            String zone = readKnownName(entry, "zone", facts.zones());
+            String model = readKnownName(entry, "model", facts.models());
             Long cell = entry.count("cell", 0, 1_000_000);
             Double weight = entry.number("weight", 0.01, 100);
-            entry.rejectUnknown();
-            duplicate(entry, "id", id, ids);
-            duplicate(entry, "endpoint", endpoint, endpoints);
+            entry.rejectUnknownKeys();
+            rejectDuplicate(entry, "id", id, ids);
+            rejectDuplicate(entry, "endpoint", endpoint, endpoints);
             if (id != null && endpoint != null) {
                 servers.add(new StaticServer(
                         id, endpoint, zone, model, cell == null ? 0 : cell.intValue(), weight == null ? 1 : weight));
@@ -228,31 +231,33 @@
         return servers;
     }
 
-    private <T> void duplicate(Section entry, String key, T value, Map<T, Integer> seen) {
-        Integer before = value == null ? null : seen.putIfAbsent(value, entry.lineOf(key));
-        if (before != null) {
-            entry.problem(key, "this " + key + " is another server's already (line " + before + ")");
+    private <T> void rejectDuplicate(Section entry, String key, T value, Map<T, Integer> seen) {
+        Integer firstLine = value == null ? null : seen.putIfAbsent(value, entry.lineOf(key));
+        if (firstLine != null) {
+            entry.problem(key, "this " + key + " is another server's already (line " + firstLine + ")");
         }
     }
 
-    private static String known(Section entry, String key, List<String> names) {
+    private static String readKnownName(Section entry, String key, List<String> names) {
         String name = entry.text(key);
         if (name != null && !names.contains(name)) {
-            entry.problem(key, "the settings have no " + key + " '" + name + "'" + Wording.hint(name, names));
+            entry.problem(
+                    key, "the settings have no " + key + " '" + name + "'" + SpellingHint.didYouMean(name, names));
         }
         return name;
     }
 
-    private ClassSection requestClass(Section section) {
+    private ClassSection readRequestClass(Section section) {
         LimitSet limits = section.limits(LimitKey.OF_ROUTES);
-        rejectConnections(section);
-        Long givesUp = section.time("client_gives_up", 1_000, 3_600_000_000L);
-        Setting<Long> patience = givesUp == null ? null : section.setting("client_gives_up", givesUp);
-        section.rejectUnknown();
-        return new ClassSection(name(section), section.line(), limits, patience);
+        rejectMaxConnections(section);
+        Long clientTimeoutMicros = section.time("client_gives_up", 1_000, 3_600_000_000L);
+        Setting<Long> clientTimeout =
+                clientTimeoutMicros == null ? null : section.setting("client_gives_up", clientTimeoutMicros);
+        section.rejectUnknownKeys();
+        return new ClassSection(sectionName(section), section.line(), limits, clientTimeout);
     }
 
-    private static void rejectConnections(Section section) {
+    private static void rejectMaxConnections(Section section) {
         if (section.has(LimitKey.MAX_CONNECTIONS.key)) {
             section.problem(
                     LimitKey.MAX_CONNECTIONS.key,
@@ -260,16 +265,16 @@
         }
     }
 
-    private RouteSection route(Section section) {
-        Match match = match(section);
+    private RouteSection readRoute(Section section) {
+        Match match = readMatch(section);
         String requestClass = section.required("class");
         String pool = section.required("pool");
         LimitSet limits = section.limits(LimitKey.OF_ROUTES);
-        rejectConnections(section);
-        WebSocketLimits webSocket = webSocket(section, match);
-        section.rejectUnknown();
+        rejectMaxConnections(section);
+        WebSocketLimits webSocket = readWebSocket(section, match);
+        section.rejectUnknownKeys();
         return new RouteSection(
-                name(section),
+                sectionName(section),
                 section.line(),
                 match,
                 requestClass == null ? null : section.setting("class", requestClass),
@@ -279,7 +284,7 @@
                 webSocket == null ? 0 : section.table("websocket").lineOf("resume_first_message"));
     }
 
-    private static WebSocketLimits webSocket(Section route, Match match) {
+    private static WebSocketLimits readWebSocket(Section route, Match match) {
         Section section = route.table("websocket");
         if (section == null) {
             return null;
@@ -290,8 +295,8 @@
                             section.line(),
                             "an upgrade is asked for with GET, which this route's" + " 'methods' does not have");
         }
-        long message = section.count("max_message", 125, MOST_BYTES, 16 << 20);
-        long frame = section.count("max_frame", 125, MOST_BYTES, message);
+        long message = section.count("max_message", 125, MAX_MESSAGE_BYTES, 16 << 20);
+        long frame = section.count("max_frame", 125, MAX_MESSAGE_BYTES, message);
         if (frame > message) {
             section.problem("max_frame", "'max_frame' is " + frame + ", more than 'max_message' (" + message + ")");
         }
@@ -301,42 +306,42 @@
         if (pong > ping) {
             section.problem(
                     "ping_timeout",
-                    "'ping_timeout' is " + DurationText.text(pong) + ", longer than 'ping_interval' ("
-                            + DurationText.text(ping) + ")");
+                    "'ping_timeout' is " + DurationText.format(pong) + ", longer than 'ping_interval' ("
+                            + DurationText.format(ping) + ")");
         }
-        long life = section.time("max_life", 1_000_000, 604_800_000_000L, 0);
+        long maxLife = section.time("max_life", 1_000_000, 604_800_000_000L, 0);
         long drain = section.time("drain_time", 100_000, 600_000_000L, 10_000_000);
         long reconnects = section.count("reconnect_rate", 1, 100_000, 50);
-        Resume resume = resume(section);
-        TunnelCloseNotice closeNotice = closeNotice(section);
+        Resume resume = readResume(section);
+        TunnelCloseNotice closeNotice = readCloseNotice(section);
         TunnelBounds bounds = new TunnelBounds(
-                name(route),
-                (int) section.count("max_tunnels", 1, MOST_TUNNELS, Integer.MAX_VALUE),
-                (int) section.count("max_tunnels_per_tenant", 1, MOST_TUNNELS, Integer.MAX_VALUE),
+                sectionName(route),
+                (int) section.count("max_tunnels", 1, MAX_TUNNELS, Integer.MAX_VALUE),
+                (int) section.count("max_tunnels_per_tenant", 1, MAX_TUNNELS, Integer.MAX_VALUE),
                 section.time("evict_after", 100_000, 86_400_000_000L, 0));
-        section.rejectUnknown();
+        section.rejectUnknownKeys();
         return new WebSocketLimits(
-                frame, message, idle, ping, pong, life, drain, reconnects, closeNotice, bounds, resume);
+                frame, message, idle, ping, pong, maxLife, drain, reconnects, closeNotice, bounds, resume);
     }
 
-    private static TunnelCloseNotice closeNotice(Section section) {
+    private static TunnelCloseNotice readCloseNotice(Section section) {
         int code = (int) section.count("drain_code", 1001, 4999, 1001);
         if (code > 1001 && code < 4000 && code != 1012 && code != 1013) {
             section.problem("drain_code", "'drain_code' is " + code + "; it must be 1001, 1012, 1013 or 4000 to 4999");
         }
         String reason = section.text("drain_reason");
-        if (reason != null && reason.getBytes(StandardCharsets.UTF_8).length > MOST_REASON) {
-            section.problem("drain_reason", "'drain_reason' is longer than " + MOST_REASON + " bytes");
+        if (reason != null && reason.getBytes(StandardCharsets.UTF_8).length > MAX_CLOSE_REASON_BYTES) {
+            section.problem("drain_reason", "'drain_reason' is longer than " + MAX_CLOSE_REASON_BYTES + " bytes");
         }
         return new TunnelCloseNotice(code, reason == null ? "going away" : reason);
     }
 
-    private static Resume resume(Section section) {
+    private static Resume readResume(Section section) {
         List<String> protocols = section.texts("resumable");
         String header = section.text("resume_header");
-        boolean first = Boolean.TRUE.equals(section.flag("resume_first_message"));
+        boolean repeatFirstMessage = Boolean.TRUE.equals(section.flag("resume_first_message"));
         if (protocols == null || protocols.isEmpty()) {
-            if (header != null || first) {
+            if (header != null || repeatFirstMessage) {
                 section.problem(
                         header != null ? "resume_header" : "resume_first_message",
                         "says how to resume, but 'resumable' names no subprotocol");
@@ -348,24 +353,24 @@
                 section.problem("resumable", "'" + protocol + "' can't be a subprotocol");
             }
         }
-        if (header == null && !first) {
+        if (header == null && !repeatFirstMessage) {
             section.problem("resumable", "how to resume is not said: 'resume_header' or" + " 'resume_first_message'");
         }
         if (header == null) {
-            return new Resume(Set.copyOf(protocols), null, null, first);
+            return new Resume(Set.copyOf(protocols), null, null, repeatFirstMessage);
         }
         int colon = header.indexOf(':');
         String name = colon < 0 ? "" : header.substring(0, colon).trim();
         String value = header.substring(colon + 1).trim();
         if (!name.matches(TOKEN) || !value.matches("[\\x20-\\x7e]*")) {
             section.problem("resume_header", "'" + header + "' is no header such as 'Resume: yes'");
-        } else if (name.matches("(?i)sec-websocket-.*|" + OWN_HEADERS)) {
+        } else if (name.matches("(?i)sec-websocket-.*|" + RESERVED_HEADERS)) {
             section.problem("resume_header", "'" + name + "' belongs to the handshake or to the protocol");
         }
-        return new Resume(Set.copyOf(protocols), name, value, first);
+        return new Resume(Set.copyOf(protocols), name, value, repeatFirstMessage);
     }
 
-    private Match match(Section section) {
+    private Match readMatch(Section section) {
         HostPattern host = HostPattern.ANY;
         PathPattern path = null;
         try {
@@ -380,14 +385,14 @@
         } catch (IllegalArgumentException e) {
             section.problem("path", e.getMessage());
         }
-        Set<String> methods = methods(section);
+        Set<String> methods = readMethods(section);
         Section headers = section.table("headers");
-        List<HeaderTest> tests = headers == null ? List.of() : headers(headers);
-        Long priority = section.count("priority", -MOST_PRIORITY, MOST_PRIORITY);
+        List<HeaderTest> tests = headers == null ? List.of() : readHeaderTests(headers);
+        Long priority = section.count("priority", -MAX_PRIORITY, MAX_PRIORITY);
         return path == null ? null : new Match(host, path, methods, tests, priority == null ? 0 : priority.intValue());
     }
 
-    private static Set<String> methods(Section section) {
+    private static Set<String> readMethods(Section section) {
         Set<String> methods = new TreeSet<>();
         List<String> names = section.texts("methods");
         if (names != null && names.isEmpty()) {
@@ -397,44 +402,45 @@
             if (!METHODS.contains(name)) {
                 section.problem(
                         "methods",
-                        "no client sends method '" + name + "'; there are GET and POST" + Wording.hint(name, METHODS));
+                        "no client sends method '" + name + "'; there are GET and POST"
+                                + SpellingHint.didYouMean(name, METHODS));
             }
             methods.add(name);
         }
         return methods;
     }
 
-    private static List<HeaderTest> headers(Section headers) {
+    private static List<HeaderTest> readHeaderTests(Section headers) {
         List<HeaderTest> tests = new ArrayList<>();
         Map<String, String> seen = new HashMap<>();
         for (String name : headers.keys()) {
-            String lower = name.toLowerCase(Locale.ROOT);
+            String lowerCaseName = name.toLowerCase(Locale.ROOT);
             if (!name.matches(TOKEN)) {
                 headers.problem(name, "there is no header '" + name + "'; a name is one word (RFC 9110, section 5.1)");
-            } else if (lower.equals("host")) {
+            } else if (lowerCaseName.equals("host")) {
                 headers.problem(name, "the host is matched with 'host', not as a header");
             }
-            String before = seen.put(lower, name);
-            if (before != null) {
+            String duplicateName = seen.put(lowerCaseName, name);
+            if (duplicateName != null) {
                 headers.problem(name, "header '" + name + "' is tested twice");
             }
-            tests.add(test(headers, name, lower));
+            tests.add(readHeaderTest(headers, name, lowerCaseName));
         }
-        headers.rejectUnknown();
+        headers.rejectUnknownKeys();
         return List.copyOf(tests);
     }
 
     /** {@code Name = "value"}, {@code Name = true} for present, {@code Name = false} for absent. */
-    private static HeaderTest test(Section headers, String name, String lower) {
-        Boolean present = headers.isFlag(name) ? headers.flag(name) : null;
+    private static HeaderTest readHeaderTest(Section headers, String name, String lowerCaseName) {
+        Boolean present = headers.isBoolean(name) ? headers.flag(name) : null;
         if (present != null) {
-            return new HeaderTest(lower, present ? HeaderTest.Kind.PRESENT : HeaderTest.Kind.ABSENT, null);
+            return new HeaderTest(lowerCaseName, present ? HeaderTest.Kind.PRESENT : HeaderTest.Kind.ABSENT, null);
         }
         String value = headers.text(name);
         if (value != null && (!value.equals(value.trim()) || value.chars().anyMatch(c -> c < ' '))) {
             headers.problem(
                     name, "no header has a value that begins or ends with a space or has a control" + " character");
         }
-        return new HeaderTest(lower, HeaderTest.Kind.EQUAL, value == null ? "" : value);
+        return new HeaderTest(lowerCaseName, HeaderTest.Kind.EQUAL, value == null ? "" : value);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
@@ -17,7 +17,7 @@
 /** Reads {@code [plugins.NAME]}: the module's bytes, its bounds, and what it is granted. */
 final class PluginsReader {
 
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_MODULE_BYTES = 4 << 20;
 
     private final Facts facts;
     private final Path folder;
@@ -29,7 +29,7 @@
     }
 
     PluginSection read(Section section) {
-        byte[] module = module(section);
+        byte[] module = readModule(section);
         long order = section.count("order", -1_000, 1_000, 0);
         long deadline = section.time("deadline", 100, 1_000_000, 5_000);
         long memory = section.count("max_memory", 1, 16, 2);
@@ -38,11 +38,14 @@
             section.problem(
                     "on_failure",
                     "no policy '" + failure + "'; there are open and closed"
-                            + Wording.hint(failure, List.of("open", "closed")));
+                            + SpellingHint.didYouMean(failure, List.of("open", "closed")));
         }
         PluginGrant grant = new PluginGrant(
-                headers(section), classes(section), weaken(section), Boolean.TRUE.equals(section.flag("refuse")));
-        if (failure == null && decides(grant)) {
+                readGrantedHeaders(section),
+                readGrantedClasses(section),
+                readWeakenedPairs(section),
+                Boolean.TRUE.equals(section.flag("refuse")));
+        if (failure == null && restrictsRequests(grant)) {
             section.problems()
                     .add(
                             section.line(),
@@ -52,11 +55,11 @@
                                     + " \"open\" lets it pass");
         }
         Map<String, String> config = new HashMap<>();
-        Section given = section.table("config");
-        if (given != null) {
-            given.keys().forEach(k -> config.put(k, given.text(k)));
+        Section configSection = section.table("config");
+        if (configSection != null) {
+            configSection.keys().forEach(k -> config.put(k, configSection.text(k)));
         }
-        section.rejectUnknown();
+        section.rejectUnknownKeys();
         String name = section.title().substring(section.title().indexOf('.') + 1);
         return module == null
                 ? null
@@ -73,15 +76,15 @@
                                 config));
     }
 
-    private byte[] module(Section section) {
+    private byte[] readModule(Section section) {
         String name = section.required("file");
         if (name == null) {
             return null;
         }
         Path file = folder == null ? Path.of(name) : folder.resolve(name);
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                section.problem("file", "'" + name + "' is larger than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_MODULE_BYTES) {
+                section.problem("file", "'" + name + "' is larger than " + MAX_MODULE_BYTES + " bytes");
                 return null;
             }
             return Files.readAllBytes(file);
@@ -91,7 +94,7 @@
         }
     }
 
-    private static Set<String> headers(Section section) {
+    private static Set<String> readGrantedHeaders(Section section) {
         Set<String> headers = new HashSet<>();
         List<String> names = section.texts("headers");
         for (String name : names == null ? List.<String>of() : names) {
@@ -109,37 +112,39 @@
         return Set.copyOf(headers);
     }
 
-    private Set<String> classes(Section section) {
+    private Set<String> readGrantedClasses(Section section) {
         List<String> names = section.texts("classes");
         for (String name : names == null ? List.<String>of() : names) {
-            known(section, "classes", name);
+            requireKnownClass(section, "classes", name);
         }
         return names == null ? Set.of() : Set.copyOf(new HashSet<>(names));
     }
 
     /** Whether a request that it is not asked about may go where it would not have let it. */
-    private boolean decides(PluginGrant grant) {
+    private boolean restrictsRequests(PluginGrant grant) {
         return grant.refuse()
                 || grant.classes().stream()
                         .flatMap(c -> facts.requestClass(c).stream())
                         .anyMatch(c -> c.effect() != Effect.SAFE);
     }
 
-    private void known(Section section, String key, String name) {
+    private void requireKnownClass(Section section, String key, String name) {
         if (facts.requestClass(name).isEmpty()) {
-            section.problem(key, "the settings have no class '" + name + "'" + Wording.hint(name, facts.classNames()));
+            section.problem(
+                    key,
+                    "the settings have no class '" + name + "'" + SpellingHint.didYouMean(name, facts.classNames()));
         }
     }
 
-    private Set<String> weaken(Section section) {
+    private Set<String> readWeakenedPairs(Section section) {
         List<String> pairs = section.texts("weaken");
         for (String pair : pairs == null ? List.<String>of() : pairs) {
             String[] sides = pair.split(">", -1);
             if (sides.length != 2) {
                 section.problem("weaken", "'" + pair + "' is no pair such as 'book>search'");
             } else {
-                known(section, "weaken", sides[0]);
-                known(section, "weaken", sides[1]);
+                requireKnownClass(section, "weaken", sides[0]);
+                requireKnownClass(section, "weaken", sides[1]);
             }
         }
         return pairs == null ? Set.of() : Set.copyOf(new HashSet<>(pairs));
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Problems.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Problems.java
@@ -10,10 +10,10 @@
 public final class Problems {
 
     /** Beyond so many a file is no file of this kind, and the first ones say enough. */
-    static final int MOST = 200;
+    static final int MAX_REPORTED = 200;
 
     private final String file;
-    private final Set<Problem> found = new LinkedHashSet<>();
+    private final Set<Problem> problems = new LinkedHashSet<>();
 
     public Problems(String file) {
         this.file = file;
@@ -21,22 +21,23 @@
 
     /** Notes a problem; the same one at the same line counts once. */
     public void add(int line, String reason) {
-        found.add(new Problem(file, line, reason));
+        problems.add(new Problem(file, line, reason));
     }
 
-    public boolean none() {
-        return found.isEmpty();
+    public boolean isEmpty() {
+        return problems.isEmpty();
     }
 
     /** In the order of their lines. */
     public List<Problem> sorted() {
         List<Problem> sorted =
-                found.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
-        if (sorted.size() <= MOST) {
+                problems.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
+        if (sorted.size() <= MAX_REPORTED) {
             return sorted;
         }
-        List<Problem> first = new ArrayList<>(sorted.subList(0, MOST));
-        first.add(new Problem(file, sorted.get(MOST).line(), "and " + (sorted.size() - MOST) + " more"));
+        List<Problem> first = new ArrayList<>(sorted.subList(0, MAX_REPORTED));
+        first.add(
+                new Problem(file, sorted.get(MAX_REPORTED).line(), "and " + (sorted.size() - MAX_REPORTED) + " more"));
         return first;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
@@ -23,80 +23,95 @@
         Setting<Set<Retryable>> retryOn,
         Setting<Long> hedges,
         Setting<Long> hedgeAfter,
-        List<Counted> counted) {
+        List<RequestBound> requestBounds) {
 
     /** A bound on requests in hand or waiting, which is counted for the route or for its class. */
-    record Counted(String name, Setting<Long> requests, Setting<Long> queue) {}
+    record RequestBound(String name, Setting<Long> requests, Setting<Long> queue) {}
 
-    static RouteLimits of(RouteSection route, RequestClass c, ClassSection own, PoolSection pool, Limits site) {
-        LimitSet r = route.limits();
-        LimitSet k = own == null ? new LimitSet() : own.limits();
-        LimitSet p = pool == null ? new LimitSet() : pool.limits();
-        Setting<Long> timeout = within(
-                first(
-                        r,
-                        k,
+    static RouteLimits of(
+            RouteSection route,
+            RequestClass requestClass,
+            ClassSection classSection,
+            PoolSection pool,
+            Limits settingsLimits) {
+        LimitSet routeSet = route.limits();
+        LimitSet classSet = classSection == null ? new LimitSet() : classSection.limits();
+        LimitSet poolSet = pool == null ? new LimitSet() : pool.limits();
+        Setting<Long> timeout = atMost(
+                firstSet(
+                        routeSet,
+                        classSet,
                         LimitKey.TIMEOUT,
-                        new Setting<>(c.deadlineMicros(), 0, "the class's deadline in the settings")),
-                p.number(LimitKey.TIMEOUT),
+                        new Setting<>(requestClass.deadlineMicros(), 0, "the class's deadline in the settings")),
+                poolSet.number(LimitKey.TIMEOUT),
                 false);
-        Setting<Long> attemptTimeout = within(
-                first(r, k, LimitKey.ATTEMPT_TIMEOUT, new Setting<>(0L, 0, "default: what the request has left")),
-                p.number(LimitKey.ATTEMPT_TIMEOUT),
+        Setting<Long> attemptTimeout = atMost(
+                firstSet(
+                        routeSet,
+                        classSet,
+                        LimitKey.ATTEMPT_TIMEOUT,
+                        new Setting<>(0L, 0, "default: what the request has left")),
+                poolSet.number(LimitKey.ATTEMPT_TIMEOUT),
                 true);
-        Setting<Long> attempts = within(
-                first(
-                        r,
-                        k,
+        Setting<Long> attempts = atMost(
+                firstSet(
+                        routeSet,
+                        classSet,
                         LimitKey.ATTEMPTS,
-                        new Setting<>((long) Math.max(1, site.attempts()), 0, "attempts_cap of the settings")),
-                p.number(LimitKey.ATTEMPTS),
+                        new Setting<>(
+                                (long) Math.max(1, settingsLimits.attempts()), 0, "attempts_cap of the settings")),
+                poolSet.number(LimitKey.ATTEMPTS),
                 false);
-        Setting<Long> hedges =
-                within(first(r, k, LimitKey.HEDGES, new Setting<>(0L, 0, "default")), p.number(LimitKey.HEDGES), false);
-        Setting<Long> hedgeAfter = first(r, k, LimitKey.HEDGE_AFTER, new Setting<>(0L, 0, "default: none"));
-        Setting<Set<Retryable>> retryOn = r.outcomes() != null
-                ? r.outcomes()
-                : k.outcomes() != null
-                        ? k.outcomes()
-                        : new Setting<>(Retryable.allowed(c.effect()), 0, "default: what the class's effect allows");
-        if (p.outcomes() != null && !p.outcomes().value().containsAll(retryOn.value())) {
-            Set<Retryable> both = new TreeSet<>(retryOn.value());
-            both.retainAll(p.outcomes().value());
+        Setting<Long> hedges = atMost(
+                firstSet(routeSet, classSet, LimitKey.HEDGES, new Setting<>(0L, 0, "default")),
+                poolSet.number(LimitKey.HEDGES),
+                false);
+        Setting<Long> hedgeAfter =
+                firstSet(routeSet, classSet, LimitKey.HEDGE_AFTER, new Setting<>(0L, 0, "default: none"));
+        Setting<Set<Retryable>> retryOn = routeSet.outcomes() != null
+                ? routeSet.outcomes()
+                : classSet.outcomes() != null
+                        ? classSet.outcomes()
+                        : new Setting<>(
+                                Retryable.allowed(requestClass.effect()), 0, "default: what the class's effect allows");
+        if (poolSet.outcomes() != null && !poolSet.outcomes().value().containsAll(retryOn.value())) {
+            Set<Retryable> allowed = new TreeSet<>(retryOn.value());
+            allowed.retainAll(poolSet.outcomes().value());
             retryOn = new Setting<>(
-                    both,
-                    p.outcomes().line(),
-                    retryOn.origin() + ", within " + p.outcomes().origin());
+                    allowed,
+                    poolSet.outcomes().line(),
+                    retryOn.origin() + ", within " + poolSet.outcomes().origin());
         }
-        List<Counted> counted = new ArrayList<>();
-        count("route " + route.name(), r, counted);
-        count("class " + c.name(), k, counted);
-        return new RouteLimits(timeout, attemptTimeout, attempts, retryOn, hedges, hedgeAfter, counted);
+        List<RequestBound> requestBounds = new ArrayList<>();
+        addRequestBound("route " + route.name(), routeSet, requestBounds);
+        addRequestBound("class " + requestClass.name(), classSet, requestBounds);
+        return new RouteLimits(timeout, attemptTimeout, attempts, retryOn, hedges, hedgeAfter, requestBounds);
     }
 
-    private static Setting<Long> first(LimitSet route, LimitSet own, LimitKey key, Setting<Long> otherwise) {
-        Setting<Long> set = route.number(key) != null ? route.number(key) : own.number(key);
-        return set != null ? set : otherwise;
+    private static Setting<Long> firstSet(
+            LimitSet route, LimitSet requestClass, LimitKey key, Setting<Long> defaultSetting) {
+        Setting<Long> set = route.number(key) != null ? route.number(key) : requestClass.number(key);
+        return set != null ? set : defaultSetting;
     }
 
     /** The lower of a value and its pool's bound. */
-    private static Setting<Long> within(Setting<Long> value, Setting<Long> bound, boolean zeroIsNone) {
-        boolean above = bound != null && (value.value() > bound.value() || zeroIsNone && value.value() == 0);
+    private static Setting<Long> atMost(Setting<Long> value, Setting<Long> bound, boolean zeroMeansUnlimited) {
+        boolean above = bound != null && (value.value() > bound.value() || zeroMeansUnlimited && value.value() == 0);
         return above ? bound : value;
     }
 
-    private static void count(String name, LimitSet limits, List<Counted> into) {
+    private static void addRequestBound(String name, LimitSet limits, List<RequestBound> bounds) {
         Setting<Long> requests = limits.number(LimitKey.MAX_REQUESTS);
         Setting<Long> queue = limits.number(LimitKey.MAX_QUEUE);
         if (requests != null || queue != null) {
-            into.add(new Counted(name, requests, queue));
+            bounds.add(new RequestBound(name, requests, queue));
         }
     }
 
     /** The same for the module. */
     Terms terms() {
-        List<Bound> bounds = counted.stream()
-                .map(c -> new Bound(c.name(), most(c.requests()), most(c.queue())))
+        List<Bound> bounds = requestBounds.stream()
+                .map(c -> new Bound(c.name(), valueOrUnlimited(c.requests()), valueOrUnlimited(c.queue())))
                 .toList();
         return new Terms(
                 attempts.value().intValue(),
@@ -108,7 +123,7 @@
                 false);
     }
 
-    private static int most(Setting<Long> setting) {
+    private static int valueOrUnlimited(Setting<Long> setting) {
         return setting == null ? Integer.MAX_VALUE : setting.value().intValue();
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
@@ -22,7 +22,7 @@
     private final String title;
     private final int line;
     private final Problems problems;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownKeys = new TreeSet<>();
 
     Section(TomlTable table, String title, int line, Problems problems) {
         this.table = table;
@@ -44,13 +44,13 @@
     }
 
     boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return table.contains(List.of(key));
     }
 
     int lineOf(String key) {
-        TomlPosition at = table.inputPositionOf(List.of(key));
-        return at == null ? line : at.line();
+        TomlPosition position = table.inputPositionOf(List.of(key));
+        return position == null ? line : position.line();
     }
 
     /** Where a key was set, for people. */
@@ -67,18 +67,18 @@
     }
 
     /** The value of a key if it has that type; a problem and null if it has another. */
-    private <T> T value(String key, Class<T> type, String wanted) {
-        known.add(key);
+    private <T> T value(String key, Class<T> type, String expected) {
+        knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value == null || type.isInstance(value)) {
             return type.cast(value);
         }
-        problem(key, "'" + key + "' must be " + wanted);
+        problem(key, "'" + key + "' must be " + expected);
         return null;
     }
 
     /** Whether a key has just this text, whatever else it might have. */
-    boolean says(String key, String text) {
+    boolean hasText(String key, String text) {
         return text.equals(table.get(List.of(key)));
     }
 
@@ -94,7 +94,7 @@
         return text;
     }
 
-    boolean isFlag(String key) {
+    boolean isBoolean(String key) {
         return table.get(List.of(key)) instanceof Boolean;
     }
 
@@ -103,43 +103,43 @@
     }
 
     /** A whole number within a range, or null. */
-    Long count(String key, long least, long most) {
+    Long count(String key, long min, long max) {
         Long count = value(key, Long.class, "a whole number");
-        if (count != null && (count < least || count > most)) {
-            problem(key, "'" + key + "' is " + count + "; it must be " + least + " to " + most);
+        if (count != null && (count < min || count > max)) {
+            problem(key, "'" + key + "' is " + count + "; it must be " + min + " to " + max);
             return null;
         }
         return count;
     }
 
     /** The same with a default. */
-    long count(String key, long least, long most, long otherwise) {
-        Long count = count(key, least, most);
-        return count == null ? otherwise : count;
+    long count(String key, long min, long max, long defaultValue) {
+        Long count = count(key, min, max);
+        return count == null ? defaultValue : count;
     }
 
     /** A number within a range, or null. */
-    Double number(String key, double least, double most) {
-        known.add(key);
+    Double number(String key, double min, double max) {
+        knownKeys.add(key);
         Object value = table.get(List.of(key));
         double number = value instanceof Number n ? n.doubleValue() : Double.NaN;
         if (value == null) {
             return null;
         }
-        if (!(number >= least && number <= most)) {
-            problem(key, "'" + key + "' must be a number from " + least + " to " + most);
+        if (!(number >= min && number <= max)) {
+            problem(key, "'" + key + "' must be a number from " + min + " to " + max);
             return null;
         }
         return number;
     }
 
     /** Microseconds within a range, or null. */
-    Long time(String key, long least, long most) {
+    Long time(String key, long min, long max) {
         String text = value(key, String.class, "a time in quotes, such as \"800ms\" or \"1.5s\"");
         if (text == null) {
             return null;
         }
-        long micros = DurationText.micros(text);
+        long micros = DurationText.parseMicros(text);
         if (micros < 0) {
             problem(
                     key,
@@ -147,24 +147,24 @@
                             + "', which is no time; write a number and us, ms, s or m, such as \"800ms\"");
             return null;
         }
-        if (micros < least || micros > most) {
+        if (micros < min || micros > max) {
             problem(
                     key,
-                    "'" + key + "' is " + text + "; it must be " + DurationText.text(least) + " to "
-                            + DurationText.text(most));
+                    "'" + key + "' is " + text + "; it must be " + DurationText.format(min) + " to "
+                            + DurationText.format(max));
             return null;
         }
         return micros;
     }
 
     /** The same with a default. */
-    long time(String key, long least, long most, long otherwise) {
-        Long time = time(key, least, most);
-        return time == null ? otherwise : time;
+    long time(String key, long min, long max, long defaultValue) {
+        Long time = time(key, min, max);
+        return time == null ? defaultValue : time;
     }
 
     /** A moment with its distance from UTC, in microseconds of Unix time, or null. */
-    Long moment(String key) {
+    Long timestamp(String key) {
         OffsetDateTime moment =
                 value(key, OffsetDateTime.class, "a moment such as 2026-12-24T18:00:00Z, without quotes");
         return moment == null ? null : ChronoUnit.MICROS.between(Instant.EPOCH, moment.toInstant());
@@ -195,13 +195,13 @@
             return sections;
         }
         for (String name : all.keySet()) {
-            TomlPosition at = all.inputPositionOf(List.of(name));
-            int where = at == null ? lineOf(key) : at.line();
+            TomlPosition position = all.inputPositionOf(List.of(name));
+            int entryLine = position == null ? lineOf(key) : position.line();
             if (all.get(List.of(name)) instanceof TomlTable t) {
-                sections.add(new Section(t, path(key) + "." + name, where, problems));
+                sections.add(new Section(t, path(key) + "." + name, entryLine, problems));
             } else {
                 problems.add(
-                        where, "'" + path(key) + "." + name + "' must be a table [" + path(key) + "." + name + "]");
+                        entryLine, "'" + path(key) + "." + name + "' must be a table [" + path(key) + "." + name + "]");
             }
         }
         return sections;
@@ -214,17 +214,17 @@
     }
 
     /** The tables of a list. */
-    List<Section> list(String key) {
+    List<Section> tableList(String key) {
         TomlArray array = value(key, TomlArray.class, "a list of tables");
         List<Section> sections = new ArrayList<>();
         for (int i = 0; array != null && i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable t) {
                 // The position of an entry that is a table is the list's: its first key says where it stands.
-                int where = t.keySet().stream()
+                int entryLine = t.keySet().stream()
                         .mapToInt(k -> t.inputPositionOf(List.of(k)).line())
                         .min()
                         .orElse(array.inputPositionOf(i).line());
-                sections.add(new Section(t, path(key), where, problems));
+                sections.add(new Section(t, path(key), entryLine, problems));
             } else {
                 problems.add(array.inputPositionOf(i).line(), "'" + key + "' must be a list of tables");
             }
@@ -246,8 +246,8 @@
         for (LimitKey key : allowed) {
             Object value =
                     switch (key.kind) {
-                        case TIME -> time(key.key, key.least, key.most);
-                        case COUNT -> count(key.key, key.least, key.most);
+                        case TIME -> time(key.key, key.min, key.max);
+                        case COUNT -> count(key.key, key.min, key.max);
                         case OUTCOMES -> outcomes(key.key);
                     };
             if (value != null) {
@@ -266,7 +266,10 @@
         for (String word : words) {
             Retryable outcome = Retryable.of(word);
             if (outcome == null) {
-                problem(key, "'" + key + "' has no outcome '" + word + "'" + Wording.hint(word, Retryable.words()));
+                problem(
+                        key,
+                        "'" + key + "' has no outcome '" + word + "'"
+                                + SpellingHint.didYouMean(word, Retryable.words()));
             } else {
                 outcomes.add(outcome);
             }
@@ -275,11 +278,11 @@
     }
 
     /** To be called last: every key that was not asked for. */
-    void rejectUnknown() {
+    void rejectUnknownKeys() {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
+            if (!knownKeys.contains(key)) {
                 String where = title.isEmpty() ? "" : " in [" + title + "]";
-                problem(key, "unknown key '" + key + "'" + where + Wording.hint(key, known));
+                problem(key, "unknown key '" + key + "'" + where + SpellingHint.didYouMean(key, knownKeys));
             }
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Setting.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Setting.java
@@ -8,7 +8,7 @@
  */
 public record Setting<T>(T value, int line, String origin) {
 
-    boolean inFile() {
+    boolean isSetInFile() {
         return line > 0;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Shape.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/TextLimits.java
@@ -5,44 +5,44 @@
  * and how deep lists, inline tables and dotted keys may nest. Strings and comments are skipped as TOML 1.0
  * has them; where they are broken the parser says so.
  */
-final class Shape {
+final class TextLimits {
 
     /** A file of 10,000 routes has one. */
-    static final int MOST_CHARACTERS = 16 << 20;
+    static final int MAX_CHARACTERS = 16 << 20;
     /** What the file's own keys need is 6. */
-    static final int MOST_DEPTH = 32;
+    static final int MAX_DEPTH = 32;
 
     private final String text;
-    private int at;
+    private int position;
     private int line = 1;
     private int depth;
     /** Dots in a row between the words of one key, or of one number. */
     private int dots;
 
-    private Shape(String text) {
+    private TextLimits(String text) {
         this.text = text;
     }
 
     /** Whether the text can be parsed; if not, that is reported. */
     static boolean fits(String text, Problems problems) {
-        if (text.length() > MOST_CHARACTERS) {
-            problems.add(1, "the file has more than " + MOST_CHARACTERS + " characters");
+        if (text.length() > MAX_CHARACTERS) {
+            problems.add(1, "the file has more than " + MAX_CHARACTERS + " characters");
             return false;
         }
-        Shape shape = new Shape(text);
-        int deep = shape.lineTooDeep();
-        if (deep > 0) {
-            problems.add(deep, "lists, tables or keys nested more than " + MOST_DEPTH + " deep");
+        TextLimits shape = new TextLimits(text);
+        int tooDeepLine = shape.firstLineTooDeep();
+        if (tooDeepLine > 0) {
+            problems.add(tooDeepLine, "lists, tables or keys nested more than " + MAX_DEPTH + " deep");
         }
-        return deep == 0;
+        return tooDeepLine == 0;
     }
 
     /** The first line on which something nests too deep; 0 where nothing does. */
-    private int lineTooDeep() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
+    private int firstLineTooDeep() {
+        while (position < text.length()) {
+            char c = text.charAt(position);
             switch (c) {
-                case '#' -> skipTo(text.indexOf('\n', at));
+                case '#' -> skipTo(text.indexOf('\n', position));
                 case '"', '\'' -> skipString(c);
                 case '[', '{' -> depth++;
                 case ']', '}' -> depth = Math.max(0, depth - 1);
@@ -50,28 +50,28 @@
                 case '\n', '=', ',' -> dots = 0;
                 default -> {}
             }
-            if (depth + dots > MOST_DEPTH) {
+            if (depth + dots > MAX_DEPTH) {
                 return line;
             }
-            if (at < text.length()) {
-                line += text.charAt(at) == '\n' ? 1 : 0;
-                at++;
+            if (position < text.length()) {
+                line += text.charAt(position) == '\n' ? 1 : 0;
+                position++;
             }
         }
         return 0;
     }
 
     private void skipTo(int end) {
-        at = end < 0 ? text.length() : end;
+        position = end < 0 ? text.length() : end;
         dots = 0;
     }
 
     /** To the last character of a string, which in one line ends with that line at the latest. */
     private void skipString(char quote) {
-        String three = String.valueOf(quote).repeat(3);
-        boolean lines = text.startsWith(three, at);
-        String end = lines ? three : String.valueOf(quote);
-        int from = at + end.length();
+        String tripleQuote = String.valueOf(quote).repeat(3);
+        boolean multiLine = text.startsWith(tripleQuote, position);
+        String end = multiLine ? tripleQuote : String.valueOf(quote);
+        int from = position + end.length();
         while (from < text.length()) {
             char c = text.charAt(from);
             if (text.startsWith(end, from)) {
@@ -79,13 +79,13 @@
                 break;
             }
             if (c == '\n') {
-                if (!lines) {
+                if (!multiLine) {
                     break;
                 }
                 line++;
             }
             from += c == '\\' && quote == '"' && from + 1 < text.length() && text.charAt(from + 1) != '\n' ? 2 : 1;
         }
-        at = Math.min(from, text.length()) - 1;
+        position = Math.min(from, text.length()) - 1;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
@@ -29,28 +29,28 @@
         Json.readInto(parser, values);
     }
 
-    private WireException bad(String name, String want) {
+    private WireException invalid(String name, String expected) {
         Object op = values.get("op");
         return new WireException((op instanceof String s ? s : "event") + ": '" + name + "' "
-                + (values.get(name) == null ? "is missing" : "must be " + want));
+                + (values.get(name) == null ? "is missing" : "must be " + expected));
     }
 
     String text(String name) throws WireException {
         if (values.get(name) instanceof String s) {
             return s;
         }
-        throw bad(name, "a text");
+        throw invalid(name, "a text");
     }
 
     long number(String name) throws WireException {
         if (values.get(name) instanceof Long n) {
             return n;
         }
-        throw bad(name, "a whole number");
+        throw invalid(name, "a whole number");
     }
 
-    private long number(String name, long otherwise) throws WireException {
-        return values.get(name) == null ? otherwise : number(name);
+    private long number(String name, long defaultValue) throws WireException {
+        return values.get(name) == null ? defaultValue : number(name);
     }
 
     private boolean flag(String name) {
@@ -113,9 +113,9 @@
         return LoadReports.of(m);
     }
 
-    List<Server> rows() throws WireException {
+    List<Server> servers() throws WireException {
         if (!(values.get("rows") instanceof List<?> rows)) {
-            throw bad("rows", "an array");
+            throw invalid("rows", "an array");
         }
         List<Server> servers = new ArrayList<>(rows.size());
         for (Object row : rows) {
@@ -143,7 +143,7 @@
 
     Settings settings() throws WireException {
         if (!(values.get("facts") instanceof Map<?, ?> f)) {
-            throw bad("facts", "an object");
+            throw invalid("facts", "an object");
         }
         return SettingsReader.read(number("salt"), f);
     }
--- a/src/main/java/org/cypressweir/sidecar/simhost/Replies.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/ReplyWriter.java
@@ -6,18 +6,18 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Actions;
 
 /** Writes the actions of a batch as they come; a group is opened only once it holds something. */
-final class Replies implements Actions {
+final class ReplyWriter implements Actions {
 
     private final JsonGenerator out;
     private String instance;
-    private boolean opened;
-    private boolean begun;
+    private boolean groupOpen;
+    private boolean started;
 
-    Replies(JsonGenerator out) {
+    ReplyWriter(JsonGenerator out) {
         this.out = out;
     }
 
-    private interface Body {
+    private interface FieldWriter {
         void write() throws IOException;
     }
 
@@ -35,30 +35,30 @@
         out.writeEndObject();
         out.writeRaw('\n');
         out.flush();
-        begun = false;
+        started = false;
     }
 
     private void begin() throws IOException {
-        if (!begun) {
-            begun = true;
+        if (!started) {
+            started = true;
             out.writeStartObject();
             out.writeArrayFieldStart("groups");
         }
     }
 
     private void closeGroup() throws IOException {
-        if (opened) {
-            opened = false;
+        if (groupOpen) {
+            groupOpen = false;
             out.writeEndArray();
             out.writeEndObject();
         }
     }
 
-    private void action(String op, Body body) {
+    private void writeAction(String op, FieldWriter body) {
         try {
             begin();
-            if (!opened) {
-                opened = true;
+            if (!groupOpen) {
+                groupOpen = true;
                 out.writeStartObject();
                 out.writeStringField("who", instance);
                 out.writeArrayFieldStart("output");
@@ -74,7 +74,7 @@
 
     @Override
     public void send(String requestId, long server, long timeoutMicros) {
-        action("Place", () -> {
+        writeAction("Place", () -> {
             out.writeStringField("ticket", requestId);
             out.writeNumberField("server", server);
             if (timeoutMicros != 0) {
@@ -85,7 +85,7 @@
 
     @Override
     public void refuse(String requestId, long retryAfterMicros) {
-        action("PushBack", () -> {
+        writeAction("PushBack", () -> {
             out.writeStringField("ticket", requestId);
             if (retryAfterMicros > 0) {
                 out.writeNumberField("retry_in_us", retryAfterMicros);
@@ -95,12 +95,12 @@
 
     @Override
     public void fail(String requestId) {
-        action("ReportFailure", () -> out.writeStringField("ticket", requestId));
+        writeAction("ReportFailure", () -> out.writeStringField("ticket", requestId));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        action("DropAttempt", () -> {
+        writeAction("DropAttempt", () -> {
             out.writeStringField("ticket", requestId);
             out.writeNumberField("go", attempt);
         });
@@ -108,7 +108,7 @@
 
     @Override
     public void timer(long atMicros, long token) {
-        action("Defer", () -> {
+        writeAction("Defer", () -> {
             out.writeNumberField("time_us", atMicros);
             out.writeNumberField("handle", token);
         });
@@ -116,21 +116,21 @@
 
     @Override
     public void probe(long server) {
-        action("Inspect", () -> out.writeNumberField("server", server));
+        writeAction("Inspect", () -> out.writeNumberField("server", server));
     }
 
     @Override
     public void closeIdle(long server) {
-        action("LetGo", () -> out.writeNumberField("server", server));
+        writeAction("LetGo", () -> out.writeNumberField("server", server));
     }
 
     @Override
     public void subscribe() {
-        action("Subscribe", () -> out.writeBooleanField("want", true));
+        writeAction("Subscribe", () -> out.writeBooleanField("want", true));
     }
 
     @Override
     public void log(String line) {
-        action("Print", () -> out.writeStringField("what", line));
+        writeAction("Print", () -> out.writeStringField("what", line));
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
@@ -24,21 +24,21 @@
  */
 public final class SimHost {
 
-    private static final int LISTS = 16;
+    private static final int MAX_SERVER_LISTS = 16;
 
     private final JsonFactory json = new JsonFactory();
-    private final Map<String, Hosted> instances = new HashMap<>();
-    private final List<List<Server>> lists = new ArrayList<>();
+    private final Map<String, HostedInstance> instances = new HashMap<>();
+    private final List<List<Server>> serverLists = new ArrayList<>();
     private final MessageFields fields = new MessageFields();
 
     /** An instance of the module and where its actions of this batch go. */
-    private static final class Hosted {
+    private static final class HostedInstance {
         LoadBalancer balancer;
     }
 
     SimHost() {
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
+        for (int i = 0; i < MAX_SERVER_LISTS; i++) {
+            serverLists.add(null);
         }
     }
 
@@ -54,13 +54,13 @@
             generator.setRootValueSeparator(null);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             generator.disable(JsonGenerator.Feature.AUTO_CLOSE_JSON_CONTENT);
-            Replies replies = new Replies(generator);
+            ReplyWriter replies = new ReplyWriter(generator);
             JsonToken token;
             while ((token = parser.nextToken()) != null) {
                 if (token != JsonToken.START_OBJECT) {
                     throw new WireException("a batch must be a JSON object");
                 }
-                batch(parser, replies);
+                readBatch(parser, replies);
                 replies.finish();
             }
             return 0;
@@ -81,9 +81,9 @@
         return text.replaceAll("\\s+", " ");
     }
 
-    private void batch(JsonParser parser, Replies replies) throws IOException, WireException {
+    private void readBatch(JsonParser parser, ReplyWriter replies) throws IOException, WireException {
         long now = -1;
-        boolean grouped = false;
+        boolean groupsSeen = false;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             JsonToken value = parser.nextToken();
@@ -97,16 +97,16 @@
                     throw new WireException("batch: 'at_time_us' must come before 'groups'");
                 }
                 expect(value, JsonToken.START_ARRAY, "'groups' must be an array");
-                grouped = true;
+                groupsSeen = true;
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
                     expect(parser.currentToken(), JsonToken.START_OBJECT, "a group must be an object");
-                    group(parser, now, replies);
+                    readGroup(parser, now, replies);
                 }
             } else {
                 parser.skipChildren();
             }
         }
-        if (now < 0 || !grouped) {
+        if (now < 0 || !groupsSeen) {
             throw new WireException("batch: '" + (now < 0 ? "at_time_us" : "groups") + "' is missing");
         }
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    private void group(JsonParser parser, long now, Replies replies) throws IOException, WireException {
+    private void readGroup(JsonParser parser, long now, ReplyWriter replies) throws IOException, WireException {
         String who = null;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -136,7 +136,7 @@
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
                     expect(parser.currentToken(), JsonToken.START_OBJECT, "an event must be an object");
                     fields.read(parser);
-                    event(now, who, replies);
+                    handleEvent(now, who, replies);
                 }
             } else {
                 parser.skipChildren();
@@ -144,22 +144,22 @@
         }
     }
 
-    private void event(long now, String who, Replies replies) throws WireException {
+    private void handleEvent(long now, String who, ReplyWriter replies) throws WireException {
         String op = fields.text("op");
         if (op.equals("Pool")) {
-            lists.set(table(), List.copyOf(fields.rows()));
+            serverLists.set(tableIndex(), List.copyOf(fields.servers()));
             return;
         }
         if (who == null) {
             throw new WireException("group: 'who' is missing");
         }
         if (op.equals("Start")) {
-            Hosted hosted = new Hosted();
+            HostedInstance hosted = new HostedInstance();
             hosted.balancer = new SubsetLoadBalancer(fields.settings(), replies);
             instances.put(who, hosted);
             return;
         }
-        Hosted hosted = instances.get(who);
+        HostedInstance hosted = instances.get(who);
         if (hosted == null) {
             throw new WireException(op + ": unknown instance '" + who + "'");
         }
@@ -168,7 +168,7 @@
             case "PowerOff" -> instances.remove(who);
             case "Endpoints" -> {
                 ListKind kind = fields.listKind();
-                List<Server> list = kind == ListKind.FAILED ? List.of() : lists.get(table());
+                List<Server> list = kind == ListKind.FAILED ? List.of() : serverLists.get(tableIndex());
                 if (list == null) {
                     throw new WireException("Endpoints: no Pool of number " + fields.number("table"));
                 }
@@ -191,10 +191,10 @@
         }
     }
 
-    private int table() throws WireException {
+    private int tableIndex() throws WireException {
         long table = fields.number("table");
-        if (table < 0 || table >= LISTS) {
-            throw new WireException("table " + table + " is not between 0 and " + (LISTS - 1));
+        if (table < 0 || table >= MAX_SERVER_LISTS) {
+            throw new WireException("table " + table + " is not between 0 and " + (MAX_SERVER_LISTS - 1));
         }
         return (int) table;
     }
--- a/src/test/java/org/cypressweir/sidecar/cli/CommandLineToolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cli/CommandLineToolTest.java
@@ -53,13 +53,13 @@
     }
 
     @Test
-    void aGoodFileIsSilence() {
+    void validFilePrintsNothing() {
         assertEquals(0, run("check", file.toString()));
         assertEquals("", out.toString() + err);
     }
 
     @Test
-    void aBadFileIsAllItsReasons() throws Exception {
+    void invalidFilePrintsAllReasons() throws Exception {
         Files.writeString(file, FILE + "attempts = 7\nhegdes = 1\n");
         assertEquals(2, run("check", file.toString()));
         assertEquals(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void explainARequest() {
+    void explainsOneRequest() {
         assertEquals(
                 0,
                 run(
@@ -101,13 +101,13 @@
                 "GET /a%2Fb | Host: a | the request would be answered 400: the path has an escaped slash",
                 "GET /a | Host | -H takes a name and a value",
             })
-    void whatCanNotBeExplained(String request, String header, String why) {
+    void invalidRequestIsRejected(String request, String header, String reason) {
         assertEquals(2, run("explain", file.toString(), "--request", request, "-H", header));
-        assertTrue(err.toString().contains(why), err.toString());
+        assertTrue(err.toString().contains(reason), err.toString());
     }
 
     @Test
-    void aMissingConfigurationIsOneLine() throws Exception {
+    void missingConfigurationPrintsOneLine() throws Exception {
         Files.delete(folder.resolve("config.json"));
         assertEquals(2, run("check", file.toString()));
         assertEquals(1, err.toString().lines().count(), err.toString());
@@ -116,7 +116,7 @@
     /** As the example's own first lines say it. */
     @ParameterizedTest
     @CsvSource({"deploy/operators.example.toml, true", "deploy/operators.example.toml, false"})
-    void theExampleIsRight(String example, boolean assumed) {
+    void exampleFileIsValid(String example, boolean assumed) {
         var line = new CommandLine(new CommandLineTool())
                 .setOut(new PrintWriter(out, true))
                 .setErr(new PrintWriter(err, true));
@@ -131,7 +131,7 @@
 
     /** What needs no settings is still looked at. */
     @Test
-    void aBadFileIsBadWithoutSettings() throws Exception {
+    void invalidFileIsRejectedWithoutSettings() throws Exception {
         Files.writeString(file, FILE + "hegdes = 1\n");
         assertEquals(
                 2,
@@ -159,29 +159,29 @@
         for (String option : List.of("--help", "--version")) {
             List<String> words = new ArrayList<>(command.isEmpty() ? List.of() : List.of(command.split(" ")));
             words.add(option);
-            StringWriter said = new StringWriter();
+            StringWriter output = new StringWriter();
             assertEquals(
                     0,
                     new CommandLine(new CommandLineTool())
-                            .setOut(new PrintWriter(said, true))
+                            .setOut(new PrintWriter(output, true))
                             .setErr(new PrintWriter(err, true))
                             .execute(words.toArray(String[]::new)));
             assertTrue(
-                    said.toString()
+                    output.toString()
                             .contains(option.equals("--help") ? "Usage: cypressweir-sidecar" : "cypressweir-sidecar ("),
-                    said.toString());
+                    output.toString());
         }
         assertEquals("", err.toString());
     }
 
     @Test
-    void aWrongOptionNamesTheRightOne() {
+    void misspelledOptionSuggestsTheRightOne() {
         assertEquals(2, run("check", file.toString(), "--confg", "x"));
         assertTrue(err.toString().contains("--config"), err.toString());
     }
 
     @Test
-    void anUnknownCommandIsStatusTwo() {
+    void unknownCommandExitsWithTwo() {
         assertEquals(2, run("chekc", file.toString()));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @MethodSource("files")
-    void eachReasonWithItsLine(Path file) throws IOException {
+    void reportsEachReasonWithItsLine(Path file) throws IOException {
         Path expected = Path.of(file.toString().replace(".toml", ".expected"));
         InvalidFileException refused = assertThrows(
                 InvalidFileException.class,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theCorpusIsWhole() throws Exception {
+    void corpusIsComplete() throws Exception {
         assertTrue(files().size() >= 60, "only " + files().size());
     }
 }
