--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -22,14 +22,14 @@
 
     private static final List<String> CLASSES = List.of("search", "hold", "book", "pay");
 
-    private static void maybe(SplittableRandom random, int chance, StringBuilder text, String line) {
+    private static void appendWithChance(SplittableRandom random, int chance, StringBuilder text, String line) {
         if (random.nextInt(100) < chance) {
             text.append(line).append('\n');
         }
     }
 
-    private static String time(SplittableRandom random, int most) {
-        return "\"" + (1 + random.nextInt(most)) + "ms\"";
+    private static String time(SplittableRandom random, int maxMillis) {
+        return "\"" + (1 + random.nextInt(maxMillis)) + "ms\"";
     }
 
     private static String outcomes(SplittableRandom random) {
@@ -43,12 +43,12 @@
     }
 
     private static void limits(SplittableRandom random, StringBuilder text) {
-        maybe(random, 40, text, "timeout = " + time(random, 3_000));
-        maybe(random, 40, text, "attempt_timeout = " + time(random, 800));
-        maybe(random, 50, text, "attempts = " + (1 + random.nextInt(6)));
-        maybe(random, 30, text, "retry_on = " + outcomes(random));
-        maybe(random, 30, text, "max_requests = " + (1 + random.nextInt(40)));
-        maybe(random, 30, text, "max_queue = " + random.nextInt(10));
+        appendWithChance(random, 40, text, "timeout = " + time(random, 3_000));
+        appendWithChance(random, 40, text, "attempt_timeout = " + time(random, 800));
+        appendWithChance(random, 50, text, "attempts = " + (1 + random.nextInt(6)));
+        appendWithChance(random, 30, text, "retry_on = " + outcomes(random));
+        appendWithChance(random, 30, text, "max_requests = " + (1 + random.nextInt(40)));
+        appendWithChance(random, 30, text, "max_queue = " + random.nextInt(10));
         if (random.nextInt(3) == 0) {
             text.append("hedges = ")
                     .append(1 + random.nextInt(2))
@@ -60,9 +60,9 @@
 
     private static String file(SplittableRandom random) {
         StringBuilder text = new StringBuilder("version = 1\n[pools.p]\nsource = \"discovery\"\n");
-        maybe(random, 50, text, "max_requests = " + (1 + random.nextInt(60)));
-        maybe(random, 50, text, "max_queue = " + random.nextInt(20));
-        maybe(random, 20, text, "attempts = " + (1 + random.nextInt(6)));
+        appendWithChance(random, 50, text, "max_requests = " + (1 + random.nextInt(60)));
+        appendWithChance(random, 50, text, "max_queue = " + random.nextInt(20));
+        appendWithChance(random, 20, text, "attempts = " + (1 + random.nextInt(6)));
         for (String name : CLASSES) {
             if (random.nextInt(4) == 0) {
                 text.append("[classes.").append(name).append("]\n");
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void noValidFileBreaksARule() {
+    void validFilesBreakNoRule() {
         long seed = 3141;
         int valid = 0;
         int retries = 0;
@@ -100,7 +100,7 @@
             PoolConfiguration pool = operators.plan().pools().get(0);
             Settings base = Installations.settings(seed + i);
             Settings settings = base.with(base.limits().with(pool.requests(), pool.queue(), pool.connections()), false);
-            LoadBalancerFixture rig = new LoadBalancerFixture(
+            LoadBalancerFixture fixture = new LoadBalancerFixture(
                     "seed " + (seed + i) + "\n" + text,
                     settings,
                     seed + i,
@@ -111,9 +111,9 @@
                 Target target = operators
                         .plan()
                         .router()
-                        .find(new Asked("/" + name + "/1"))
+                        .find(new TestRequest("/" + name + "/1"))
                         .target();
-                rig.ask(
+                fixture.ask(
                         random.nextLong(3_000_000),
                         "q" + n,
                         target.requestClass(),
@@ -121,12 +121,12 @@
                         target.terms());
             }
             if (random.nextInt(4) == 0) {
-                rig.after(2_000_000, () -> rig.module().closing(rig.now()));
+                fixture.after(2_000_000, () -> fixture.module().closing(fixture.now()));
             }
-            rig.run();
-            retries += rig.retries();
-            copies += rig.copies();
-            answered += rig.ended("served");
+            fixture.run();
+            retries += fixture.retries();
+            copies += fixture.copies();
+            answered += fixture.ended("served");
         }
         assertTrue(
                 retries > 1_000 && copies > 200 && answered > 10_000,
@@ -134,7 +134,7 @@
                         + " served");
     }
 
-    private record Asked(String path) implements Routable {
+    private record TestRequest(String path) implements Routable {
         @Override
         public String method() {
             return "GET";
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
@@ -37,12 +37,12 @@
         return operators
                 .plan()
                 .router()
-                .find(new Plain("GET", "h", path))
+                .find(new TestRequest("GET", "h", path))
                 .target()
                 .terms();
     }
 
-    private record Plain(String method, String host, String path) implements Routable {
+    private record TestRequest(String method, String host, String path) implements Routable {
         @Override
         public String header(String name) {
             return null;
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatNothingSaysComesFromTheSettings() throws Exception {
+    void unsetLimitsComeFromTheSettings() throws Exception {
         Operators operators = load(POOL + route("s", "search", "") + route("b", "book", ""));
         Terms safe = terms(operators, "/s/1");
         assertEquals(6, safe.attempts());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void routeGoesBeforeClassAndBothStayWithinThePool() throws Exception {
+    void routeOverridesClassWithinThePoolsBounds() throws Exception {
         Operators operators = load(POOL + "attempts = 3\nattempt_timeout = \"400ms\"\n"
                 + "[classes.search]\nattempts = 5\ntimeout = \"1400ms\"\nretry_on = [\"error\"]\n"
                 + route("s", "search", "") + route("t", "search", "attempts = 2\nretry_on = []\n"));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void poolsThatSayNothingShareWhatIsLeft() throws Exception {
+    void poolsWithoutLimitsShareTheRemainder() throws Exception {
         Operators operators = load("version = 1\n"
                 + "[pools.p]\nsource = \"discovery\"\nmax_connections = 144\n"
                 + "[pools.q]\nsource = \"discovery\"\n[pools.r]\nsource = \"discovery\"\nmax_requests = 100\n"
@@ -115,7 +115,7 @@
 
     /** The page for operators names each key, and the example is a good file. */
     @Test
-    void pageAndExampleAreTrue() throws Exception {
+    void operatorsPageAndExampleAreUpToDate() throws Exception {
         String page = Files.readString(Path.of("docs/operators.md"));
         for (LimitKey key : LimitKey.values()) {
             assertTrue(page.contains("| `" + key.key() + "` |"), key.key());
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void whatCanNotBeReadIsOneProblem(@TempDir Path folder) throws Exception {
+    void unreadableFileIsOneProblem(@TempDir Path folder) throws Exception {
         Path binary = folder.resolve("b.toml");
         Files.write(binary, new byte[] {(byte) 0xff, (byte) 0xfe});
         for (Path file : List.of(folder.resolve("none.toml"), folder, binary)) {
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/ShapeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/TextLimitsTest.java
@@ -18,7 +18,7 @@
 
 /** Whatever bytes a file has: it is taken, or refused with one line for each reason, and soon. */
 @Timeout(60)
-class ShapeTest {
+class TextLimitsTest {
 
     /** What stands between 'x = ' and the end, and the line that is too deep; 0 for none. */
     @ParameterizedTest
@@ -40,25 +40,25 @@
                 "'[\\n * 100 | 0",
                 "\\n[a.b] * 100 | 0",
             })
-    void table(String piece, int line) {
+    void detectsExcessiveNesting(String piece, int line) {
         String[] parts = piece.split(" \\* ");
         String text =
                 "x = " + parts[0].replace("\\\\", "\\").replace("\\n", "\n").repeat(Integer.parseInt(parts[1].trim()));
         Problems problems = new Problems("f");
-        assertEquals(line == 0, Shape.fits(text, problems));
+        assertEquals(line == 0, TextLimits.fits(text, problems));
         assertEquals(
                 line == 0 ? "[]" : "[f:" + line + ": lists, tables or keys nested more than 32 deep]",
                 problems.sorted().toString());
     }
 
     @Test
-    void aHugeFileIsOneLine() {
+    void oversizedFileIsOneProblem() {
         Problems problems = new Problems("f");
-        assertFalse(Shape.fits("#".repeat(Shape.MOST_CHARACTERS + 1), problems));
+        assertFalse(TextLimits.fits("#".repeat(TextLimits.MAX_CHARACTERS + 1), problems));
         assertEquals(1, problems.sorted().size());
     }
 
-    private static void takenOrRefused(Path file, String about) {
+    private static void assertAcceptedOrRejected(Path file, String description) {
         for (boolean assumed : new boolean[] {false, true}) {
             try {
                 Operators.load(
@@ -67,11 +67,13 @@
                                 ? AssumedFacts.of(Files.readString(file, StandardCharsets.ISO_8859_1))
                                 : Installations.stationFinder());
             } catch (InvalidFileException e) {
-                e.getMessage().lines().forEach(l -> assertTrue(l.matches(".*f\\.toml:\\d+: .+"), about + ": " + l));
-                assertEquals(e.problems().size(), e.getMessage().lines().count(), about);
-                assertTrue(e.problems().size() <= Problems.MOST + 1, about);
+                e.getMessage()
+                        .lines()
+                        .forEach(l -> assertTrue(l.matches(".*f\\.toml:\\d+: .+"), description + ": " + l));
+                assertEquals(e.problems().size(), e.getMessage().lines().count(), description);
+                assertTrue(e.problems().size() <= Problems.MAX_REPORTED + 1, description);
             } catch (Exception | Error e) {
-                throw new AssertionError(about, e);
+                throw new AssertionError(description, e);
             }
         }
     }
@@ -79,7 +81,7 @@
     /** The example with bytes changed, put in twice, cut out and nested, by seeds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void changedFilesAreTakenOrRefused(long seed, @TempDir Path folder) throws Exception {
+    void mutatedFilesAreAcceptedOrRejected(long seed, @TempDir Path folder) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] good = Files.readAllBytes(Path.of("deploy/operators.example.toml"));
         byte[] odd = "[]{}\"'=.,#\\\n\0\u00ff-0e".getBytes(StandardCharsets.ISO_8859_1);
@@ -100,13 +102,13 @@
                 }
             }
             Files.write(file, text.toString().getBytes(StandardCharsets.ISO_8859_1));
-            takenOrRefused(file, "seed " + seed + ", file " + i);
+            assertAcceptedOrRejected(file, "seed " + seed + ", file " + i);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void randomBytesAreRefused(long seed, @TempDir Path folder) throws Exception {
+    void randomBytesAreAcceptedOrRejected(long seed, @TempDir Path folder) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         Path file = folder.resolve("f.toml");
         for (int i = 0; i < 40; i++) {
@@ -118,7 +120,7 @@
                 }
             }
             Files.write(file, bytes);
-            takenOrRefused(file, "seed " + seed + ", file " + i);
+            assertAcceptedOrRejected(file, "seed " + seed + ", file " + i);
         }
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/simhost/SimHostTest.java
+++ b/src/test/java/org/cypressweir/sidecar/simhost/SimHostTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void requestIsPlacedAndAnswered() {
+    void requestIsSentAndCompleted() {
         String out = run(START
                 + batch(20, "{'op':'Call','ticket':'ab','type':0,'drop_dead_us':900000}")
                 + batch(
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void poolNumbersAreReplacedWithinABatch() {
+    void poolIsReplacedWithinABatch() {
         String out = run(START
                 + batch(
                         20,
