--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
@@ -16,12 +16,12 @@
 import org.tomlj.TomlTable;
 
 /**
- * Facts where no settings are at hand: each name that a file uses is taken to exist and the settings to
- * forbid nothing, so that all that needs no settings can still be looked at.
+ * Facts for a check without settings. Every name that the file uses is assumed to exist and the settings are
+ * assumed to forbid nothing, so that everything that does not depend on the settings is still checked.
  */
 public final class AssumedFacts {
 
-    /** What is not looked at, for people. */
+    /** What is not checked without settings, as printed for operators. */
     public static final String UNCHECKED = "classes, zones, models and tenants by their names, effects"
             + " and deadlines of classes, and what the settings allow";
 
@@ -35,7 +35,7 @@
 
     private AssumedFacts() {}
 
-    /** The facts that a file takes for granted; of a text that is no TOML, hardly any. */
+    /** Facts with all names that the text uses; with defaults only if the text is not valid TOML. */
     public static Facts of(String text) {
         AssumedFacts collected = new AssumedFacts();
         if (TextLimits.fits(text, new Problems(""))) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
@@ -13,14 +13,14 @@
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
 import org.cypressweir.sidecar.route.StaticServer;
 
-/** What the cells of a pool mean, held against its routes, servers and limits. */
+/** Checks the cells of a pool against its routes, servers and limits. */
 final class CellsChecks {
 
-    /** Connections to servers without which a cell is of no use. */
+    /** Least number of connections to servers that make a cell usable. */
     private static final int MIN_CONNECTIONS = 2;
-    /** A fence may take this part of a write's time at most. */
+    /** A fence may last at most this fraction (a quarter) of a write's deadline. */
     private static final int MIN_DEADLINE_TO_FENCE_RATIO = 4;
-    /** What a freeze must last beside the longest write: for clocks that differ and files that come late. */
+    /** A freeze must outlast the longest write by this, for clock skew and late delivery of the file. */
     private static final long FREEZE_MARGIN_MICROS = 100_000;
 
     private final Facts facts;
@@ -37,7 +37,7 @@
         classes = classes(pool, file, facts);
     }
 
-    /** The classes of the routes that lead to a pool. */
+    /** The request classes of the routes to a pool. */
     private static List<RequestClass> classes(PoolSection pool, OperatorsFile file, Facts facts) {
         return file.routes().stream()
                 .filter(r -> r.pool() != null
@@ -48,7 +48,7 @@
                 .toList();
     }
 
-    /** The plan with what the classes of its routes add. */
+    /** Completes the configuration with the deduplication window and deadline of the classes of its routes. */
     static CellsConfiguration withClassLimits(PoolSection pool, OperatorsFile file, Facts facts) {
         List<RequestClass> classes = classes(pool, file, facts);
         return pool.cells()
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
@@ -18,7 +18,7 @@
 import org.cypressweir.sidecar.cell.MoveConfiguration;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.CellsSection;
 
-/** Reads the form of {@code [pools.NAME.cells]}: keys, types, ranges, and names of cells and units. */
+/** Reads {@code [pools.NAME.cells]} and checks keys, types, ranges, and names of cells and units. */
 final class CellsReader {
 
     private static final int MIN_CELLS = 2;
@@ -36,7 +36,7 @@
         this.section = section;
     }
 
-    /** Null where there is no sense in going on; why has been reported. */
+    /** Reads the section; null if it is too incomplete to check further, which has been reported. */
     CellsSection read() {
         lines.put("cells", section.line());
         List<String> names = readNames();
@@ -155,7 +155,7 @@
         return cells;
     }
 
-    /** The place of a cell that is named; -1 where there is none, which is reported. */
+    /** Returns the index of a named cell; an unknown name is reported and gives -1. */
     private static int cellIndex(Section where, String key, String name, List<String> names) {
         if (name != null && !names.contains(name)) {
             where.problem(key, "there is no cell '" + name + "'" + SpellingHint.didYouMean(name, names));
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
@@ -24,12 +24,12 @@
 import org.cypressweir.sidecar.route.StaticServer;
 
 /**
- * What a file means, held against the settings and itself: names that exist, routes that have an order, and
- * limits under which no rule can break. Nothing is corrected in silence.
+ * Semantic checks of a file against the settings and against itself: names exist, overlapping routes have an order,
+ * and no combination of limits breaks a rule. Problems are reported, never corrected silently.
  */
 final class Checks {
 
-    /** Descriptors that the process keeps for itself leave room for so many. */
+    /** The file descriptors that the process reserves for itself allow for this many. */
     static final int MAX_LISTENERS = 8;
 
     private static final long MAX_IDLE_MICROS = 3_600_000_000L;
@@ -194,7 +194,7 @@
         }
     }
 
-    /** A route that sets more than its pool gives would not get what it says. */
+    /** Reports route limits above the pool's limit, since they could never take effect. */
     private void checkPoolBounds(RouteSection route, PoolSection pool) {
         if (pool == null) {
             return;
@@ -239,7 +239,7 @@
                 problems.add(attempts.line(), "'attempts' is " + attempts.value() + "; the settings allow " + cap);
             }
         }
-        // A pool's outcomes only bound what its routes say, so they may name what no class of it allows.
+        // A pool's outcomes only restrict those of its routes, so they may include some that no class allows.
         Setting<Set<Retryable>> retryOn = route.limits().outcomes() != null || classSection == null
                 ? route.limits().outcomes()
                 : classSection.limits().outcomes();
@@ -266,7 +266,7 @@
         }
     }
 
-    /** What waits is in hand: a queue beyond what may be in hand promises room that there is not. */
+    /** Queued requests count as in progress, so a queue limit above that of requests in progress has no effect. */
     private void checkQueue(String kind, String name, LimitSet limits) {
         Setting<Long> queue = limits.number(LimitKey.MAX_QUEUE);
         Setting<Long> all = limits.number(LimitKey.MAX_REQUESTS);
@@ -321,7 +321,7 @@
         checkTimeForAttempts(requestClass, limits);
     }
 
-    /** Attempts that follow one another need that much time; copies run beside them. */
+    /** Checks that the time-out covers all sequential attempts; hedged requests run in parallel with them. */
     private void checkTimeForAttempts(RequestClass requestClass, RouteLimits limits) {
         Setting<Long> attemptTimeout = limits.attemptTimeout();
         long timeout = limits.timeout().value();
@@ -424,7 +424,7 @@
         }
     }
 
-    // ---- What all instances share
+    // ---- Limits shared by all instances
 
     private void checkFleet(FleetSection fleet) {
         int rank = facts.settings().rank();
@@ -473,7 +473,7 @@
         }
     }
 
-    // ---- What all pools share
+    // ---- Limits shared by all pools
 
     private void checkTotal(LimitKey key, long total, String resource) {
         long sum = 0;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
@@ -4,14 +4,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times as operators write them: a number and {@code us}, {@code ms}, {@code s} or {@code m}. */
+/** Parses and formats durations as a number with unit {@code us}, {@code ms}, {@code s} or {@code m}. */
 final class DurationText {
 
     private static final Pattern FORMAT = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
 
     private DurationText() {}
 
-    /** Whole microseconds, or -1 where the text is no time. */
+    /** Returns whole microseconds, or -1 if the text is not a duration. */
     static long parseMicros(String text) {
         Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
@@ -29,7 +29,7 @@
                 .longValue();
     }
 
-    /** The shortest text that {@link #parseMicros} reads back. */
+    /** Formats a duration in the largest unit up to seconds; {@link #parseMicros} reads it back. */
     static String format(long micros) {
         if (micros % 1_000 != 0) {
             return micros + "us";
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -29,7 +29,7 @@
 import org.cypressweir.sidecar.route.Target;
 import org.cypressweir.sidecar.route.WebSocketLimits;
 
-/** Says what is in force and where each value came from, one value a line. */
+/** Prints the values in force and the origin of each, one value per line. */
 public final class Explain {
 
     private final Operators operators;
@@ -39,7 +39,7 @@
         this.operators = operators;
     }
 
-    /** All of it. */
+    /** Explains the whole file. */
     public static String all(Operators operators) {
         Explain explain = new Explain(operators);
         for (Listener listener : operators.plan().listeners()) {
@@ -66,12 +66,12 @@
     }
 
     /**
-     * One request: its normal form, the route that it takes and why, and the limits that hold for it.
+     * Explains one request: its normalized form, the route that it takes and why, and the limits in force.
      *
-     * @param method in capitals
-     * @param target in origin or in absolute form
-     * @param headers by name; fields of one name already joined
-     * @throws InvalidTargetException where the request would be answered 400
+     * @param method in upper case
+     * @param target in origin form or absolute form
+     * @param headers by name; fields with the same name already joined
+     * @throws InvalidTargetException if the sidecar would respond to the request with 400
      */
     public static String request(Operators operators, String method, String target, Map<String, String> headers)
             throws InvalidTargetException {
@@ -144,7 +144,7 @@
             return;
         }
         if (fleet.living()) {
-            line("fleet: as many instances as live, %d at most; figures are for all of those", fleet.instances());
+            line("fleet: as many instances as are alive, at most %d; figures are for that maximum", fleet.instances());
         } else {
             line("fleet: number %d of %d instances", fleet.rank(), fleet.instances());
         }
@@ -180,7 +180,7 @@
             return;
         }
         line(
-                "  cells by %s, %ss dealt out, places kept for %s, guests%s up to %s%%",
+                "  cells by %s, %ss assigned, places kept for %s, guests%s up to %s%%",
                 cells.header() == null ? cells.unit().name().toLowerCase(Locale.ROOT) : cells.header(),
                 cells.spread().name().toLowerCase(Locale.ROOT),
                 timeText(cells.keepMicros()),
@@ -223,14 +223,14 @@
                         timeText(m.freezeMicros())));
         if (cells.quarantine() != null) {
             line(
-                    "  quarantine       cell %s, from %.0f%% of a sick cell, for %s",
+                    "  quarantine       cell %s, from %.0f%% of an unhealthy cell, for %s",
                     cells.cells().get(cells.quarantine().cell()).name(),
                     100 * cells.quarantine().share(),
                     timeText(cells.quarantine().forMicros()));
         }
     }
 
-    /** Where the unit of a request is at home, with servers in all cells and before any move of it. */
+    /** Prints the home cell of a request's unit, assuming servers in all cells, and the moves of that unit. */
     private void explainHomeCell(Target target, String path, Map<String, String> headers) {
         CellsConfiguration cells = operators.plan().pools().stream()
                 .filter(p -> p.name().equals(target.pool()))
@@ -306,7 +306,7 @@
             WebSocketLimits w = route.webSocket();
             line(
                     "  websocket        frames to %d, messages to %d bytes; idle %s, ping %s, answer %s,"
-                            + " life %s, drain %s, %d back a second",
+                            + " life %s, drain %s, %d reconnects a second",
                     w.maxFrame(),
                     w.maxMessage(),
                     timeText(w.idleMicros()),
@@ -316,7 +316,7 @@
                     timeText(w.drainMicros()),
                     w.reconnects());
             line(
-                    "  goes with        %d %s",
+                    "  closes with      %d %s",
                     w.closeNotice().code(), w.closeNotice().reason());
             line(
                     "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Facts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Facts.java
@@ -7,10 +7,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
- * What a file is checked against: the installation's settings and the process's limits.
+ * What a file is checked against: the installation's settings and the limits of the process.
  *
- * @param serverConnections descriptors for connections to servers
- * @param listen where it listens if the file names no listener
+ * @param serverConnections file descriptors available for connections to servers
+ * @param listen the address to listen on if the file names no listener
  */
 public record Facts(
         Settings settings, List<String> zones, List<String> models, int serverConnections, InetSocketAddress listen) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/InvalidFileException.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/InvalidFileException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An operators' file that is refused, with all reasons; its message has a line for each. */
+/** Thrown for an invalid operators' file. Holds all problems found; the message has one line for each. */
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         this.problems = problems;
     }
 
-    /** In the order of their lines; never empty. */
+    /** The problems, ordered by line; never empty. */
     public List<Problem> problems() {
         return problems;
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LeasesReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LeasesReader.java
@@ -10,7 +10,7 @@
 import org.cypressweir.fleet.membership.MembershipOptions;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.MembershipSection;
 
-/** Reads {@code [keepers]} and {@code [leases.NAME]}, and refuses what can't work. */
+/** Reads and validates {@code [keepers]} (the lease grantors) and {@code [leases.NAME]}. */
 final class LeasesReader {
 
     private static final long MIN_TERM_MICROS = 500_000;
@@ -25,14 +25,14 @@
     private final List<Section> leases;
     private final Problems problems;
 
-    /** @param keepers null where there is no such table */
+    /** @param keepers null if the file has no such table */
     LeasesReader(Section keepers, List<Section> leases, Problems problems) {
         this.keepers = keepers;
         this.leases = leases;
         this.problems = problems;
     }
 
-    /** Null where the file has no leases, or none that can work. */
+    /** Reads the options; null if the file has no leases or no grantors for them. */
     LeaseOptions read(MembershipSection membership) {
         if (keepers == null && leases.isEmpty()) {
             return null;
@@ -81,7 +81,7 @@
                 terms);
     }
 
-    /** A pause that membership bears must not cost the lease, nor an act that was begun before it. */
+    /** The term must outlast a process pause that membership tolerates and an action begun before the pause. */
     private long readTerm(Section lease, MembershipOptions membership) {
         String name = lease.title().substring(lease.title().indexOf('.') + 1);
         if (name.length() > MAX_NAME_LENGTH || !name.matches("[A-Za-z0-9_.-]+")) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
@@ -3,28 +3,28 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The limits that the file can set: name, unit, range, default, and in which sections. */
+/** The limits that the file can set, with name, unit, range, default and the sections that allow them. */
 public enum LimitKey {
-    /** Time for the whole request; the client's own Request-Timeout-Ms holds where it is shorter. */
+    /** Time-out of the whole request; a shorter Request-Timeout-Ms of the client takes precedence. */
     TIMEOUT("timeout", Kind.TIME, 1_000, 3_600_000_000L, "the class's deadline_us of the settings"),
-    /** Time for one attempt. */
+    /** Time-out of one attempt. */
     ATTEMPT_TIMEOUT("attempt_timeout", Kind.TIME, 1_000, 3_600_000_000L, "what the request has left"),
-    /** Attempts of a request, copies among them. */
+    /** Attempts of a request, including hedged ones. */
     ATTEMPTS("attempts", Kind.COUNT, 1, 100, "attempts_cap of the settings"),
-    /** Outcomes after which another attempt may follow. */
+    /** Outcomes that may be retried. */
     RETRY_ON("retry_on", Kind.OUTCOMES, 0, 0, "all that the class's effect allows"),
-    /** Second copies that may be out beside the first attempt. */
+    /** Hedged requests that may be in flight beside the first attempt. */
     HEDGES("hedges", Kind.COUNT, 0, 5, "0"),
-    /** How long after an attempt its copy goes out, if nothing has come back. */
+    /** Delay after which a hedged request is sent if an attempt has had no response. */
     HEDGE_AFTER("hedge_after", Kind.TIME, 1_000, 3_600_000_000L, "none"),
-    /** Requests in hand. */
+    /** Requests in progress, including queued ones. */
     MAX_REQUESTS("max_requests", Kind.COUNT, 1, 65_536, "for a pool: its part of what the process may hold"),
-    /** Requests in hand that wait for a server. */
+    /** Requests in progress that wait for a server. */
     MAX_QUEUE("max_queue", Kind.COUNT, 0, 65_536, "as many as may be in hand"),
     /** Connections to servers. */
     MAX_CONNECTIONS("max_connections", Kind.COUNT, 1, 65_536, "its part of the servers' descriptors");
 
-    /** How a value is written. */
+    /** The type of a limit's value. */
     public enum Kind {
         TIME,
         COUNT,
@@ -48,12 +48,12 @@
         this.defaultText = defaultText;
     }
 
-    /** The name in the file. */
+    /** The key in the operators' file. */
     public String key() {
         return key;
     }
 
-    /** The range, for people. */
+    /** The allowed range, as printed for operators. */
     public String range() {
         return switch (kind) {
             case TIME -> DurationText.format(min) + " to " + DurationText.format(max);
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitSet.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitSet.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The limits that one section sets. */
+/** The limits that one section of the file sets. */
 final class LimitSet {
 
     private final Map<LimitKey, Setting<?>> settings = new EnumMap<>(LimitKey.class);
@@ -17,13 +17,13 @@
         return settings;
     }
 
-    /** A time in microseconds or a count; null where it is not set. */
+    /** A duration in microseconds or a count; null if not set. */
     @SuppressWarnings("unchecked")
     Setting<Long> number(LimitKey key) {
         return (Setting<Long>) settings.get(key);
     }
 
-    /** The outcomes to retry on; null where they are not set. */
+    /** The outcomes to retry on; null if not set. */
     @SuppressWarnings("unchecked")
     Setting<Set<Retryable>> outcomes() {
         return (Setting<Set<Retryable>>) settings.get(LimitKey.RETRY_ON);
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/MembershipReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/MembershipReader.java
@@ -7,13 +7,13 @@
 import org.cypressweir.fleet.membership.MembershipOptions;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.MembershipSection;
 
-/** Reads {@code [membership]}, and refuses what can't work. */
+/** Reads and validates {@code [membership]}. */
 final class MembershipReader {
 
     private static final long MIN_PAUSE_MICROS = 200_000;
     private static final long MAX_PAUSE_MICROS = 60_000_000;
     private static final long MIN_PERIOD_MICROS = 10_000;
-    /** An answer has to come back within the pause, and again where one is lost. */
+    /** A probe must get its response within the pause, with time for another probe if one is lost. */
     private static final int MIN_PERIODS_PER_PAUSE = 3;
 
     private static final int MAX_SEEDS = 64;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
@@ -24,7 +24,7 @@
 import org.cypressweir.sidecar.route.RoutingConfiguration;
 import org.cypressweir.sidecar.route.Target;
 
-/** An operators' file that was read and checked: what is in force, and where each value came from. */
+/** A valid operators' file: the configuration in force, and the origin of each value. */
 public final class Operators {
 
     private final Facts facts;
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Reads and checks a file, all of it even where something is wrong.
+     * Reads and checks a whole file, continuing after problems.
      *
-     * @throws InvalidFileException with every reason, in the order of the lines
+     * @throws InvalidFileException with all problems, ordered by line
      */
     public static Operators load(Path path, Facts facts) throws InvalidFileException {
         Problems problems = new Problems(path.toString());
@@ -93,7 +93,7 @@
         return load(path.toString(), path.toAbsolutePath().getParent(), text, facts);
     }
 
-    /** The same with the text at hand. */
+    /** Reads and checks a file whose text is already loaded. */
     public static Operators load(String name, String text, Facts facts) throws InvalidFileException {
         return load(name, null, text, facts);
     }
@@ -107,7 +107,7 @@
                 new Checks(facts, file, problems).run();
             }
         } catch (StackOverflowError e) {
-            // The parser follows some forms by calls of its own that are not brackets.
+            // The parser also recurses for constructs other than the brackets that TextLimits counts.
             problems.add(1, "nested too deep");
         }
         if (!problems.isEmpty()) {
@@ -116,7 +116,7 @@
         return new Operators(facts, file);
     }
 
-    /** What the sidecar takes over. */
+    /** The configuration that the sidecar applies. */
     public RoutingConfiguration plan() {
         return configuration;
     }
@@ -148,7 +148,10 @@
                         f.fromMembership());
     }
 
-    /** Servers close what has been idle for the site's time, of which the sidecar uses a part only. */
+    /**
+     * The options with the shared limits. The sidecar keeps connections idle for only two thirds of the time after
+     * which servers close them, so that time is one and a half times the sidecar's.
+     */
     private MembershipOptions membershipOptions() {
         if (file.membership() == null) {
             return null;
@@ -191,7 +194,7 @@
     }
 
     private Tunnelled tunnelLimits(PoolSection pool) {
-        // Half of its connections are left to plain requests where the file does not say otherwise.
+        // Unless the file sets a limit, half of the connections stay available for plain requests.
         int connections = share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections());
         OperatorsFile.TunnelLimits set = pool.tunnels();
         return new Tunnelled(
@@ -202,7 +205,7 @@
                 (int) set.upgradeRate());
     }
 
-    /** What a pool sets, or an equal part of what those that set something leave. */
+    /** The pool's own limit, or an equal share of what the pools with a limit leave. */
     private int share(PoolSection target, LimitKey key, int total) {
         if (target.limits().number(key) != null) {
             return target.limits().number(key).value().intValue();
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsFile.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsFile.java
@@ -11,7 +11,7 @@
 import org.cypressweir.sidecar.route.StaticServer;
 import org.cypressweir.sidecar.route.WebSocketLimits;
 
-/** A file as it is written: each section with its values and their lines, before anything is compared. */
+/** The parsed file: each section with its values and line numbers, before cross-section checks. */
 record OperatorsFile(
         List<ListenerSection> listeners,
         Map<String, PoolSection> pools,
@@ -22,10 +22,16 @@
         MembershipSection membership,
         LeaseOptions leases) {
 
-    /** Called in the order of these numbers, of equals in that of their names. */
+    /** Plug-ins are called in ascending order of {@code order}, then by name. */
     record PluginSection(int order, PluginConfiguration configuration) {}
 
-    /** What all instances share; null where the file does not say; lines by key. */
+    /**
+     * Limits that all instances share; null where the file does not set them.
+     *
+     * @param instances number of instances, or the maximum if {@code fromMembership}
+     * @param fromMembership whether the live members are counted
+     * @param lines line numbers by key
+     */
     record FleetSection(
             int line,
             int instances,
@@ -35,12 +41,12 @@
             double probeRate,
             Map<String, Integer> lines) {}
 
-    /** How this process takes part among others; null where it does not. */
+    /** Options of the membership protocol; null if this process does not take part. */
     record MembershipSection(int line, MembershipOptions options) {}
 
     record ListenerSection(String name, int line, InetSocketAddress address) {}
 
-    /** Servers are null where discovery tells them; groups are the lines of their entries. */
+    /** A pool of servers; {@code servers} is null if they come from discovery. */
     record PoolSection(
             String name,
             int line,
@@ -49,20 +55,22 @@
             TunnelLimits tunnels,
             CellsSection cells) {}
 
-    /** How a pool is parted, without what its routes' classes add; the lines are by key or move. */
+    /** How a pool is divided into cells, without what the classes of its routes add; lines by key or move. */
     record CellsSection(CellsConfiguration configuration, Map<String, Integer> lines) {
         int lineOf(String key) {
             return lines.get(key);
         }
     }
 
-    /** What a pool says of connections that stay; null where it does not. */
+    /** A pool's limits on upgraded connections (tunnels); null where not set. */
     record TunnelLimits(Long max, Long maxPerServer, long upgradeRate) {}
 
     record ClassSection(String name, int line, LimitSet limits, Setting<Long> clientGivesUp) {}
 
     /**
-     * What could not be read is null; it has been reported. The line says that a first message is repeated.
+     * A route; values that could not be read are null and have been reported.
+     *
+     * @param firstMessageLine line of {@code resume_first_message}; 0 without a WebSocket section
      */
     record RouteSection(
             String name,
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
@@ -34,7 +34,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
-/** Reads the form of a file: TOML 1.0, known keys, types and ranges. What it means is for {@link Checks}. */
+/** Parses a TOML 1.0 file and checks keys, types and ranges; {@link Checks} does the semantic checks. */
 final class OperatorsReader {
 
     static final long VERSION = 1;
@@ -42,13 +42,13 @@
     private static final long MAX_PRIORITY = 1_000;
     private static final long MAX_MESSAGE_BYTES = 1L << 40;
     private static final long MAX_TUNNELS = 1_000_000;
-    /** As many instances as live, by [membership]. */
+    /** Value of {@code instances} that takes the number of live members from [membership]. */
     private static final String INSTANCES_FROM_MEMBERSHIP = "members";
 
     private static final long MAX_INSTANCES = 1_000_000;
-    /** What fits into a close frame beside its code (RFC 6455, section 5.5). */
+    /** A close frame has 125 bytes, of which the status code takes 2 (RFC 6455, section 5.5). */
     private static final int MAX_CLOSE_REASON_BYTES = 123;
-    /** What the sidecar sets itself. */
+    /** Headers that the sidecar sets itself. */
     private static final String RESERVED_HEADERS = "host|connection|upgrade|content-length|transfer-encoding"
             + "|request-id|tenant|request-timeout-ms|idempotency-key";
 
@@ -60,14 +60,14 @@
     private final Path folder;
     private final Problems problems;
 
-    /** @param folder that the file lies in, from which it names others; null for where the program runs */
+    /** @param folder the file's directory, to which relative file names refer; null for the working directory */
     OperatorsReader(Facts facts, Path folder, Problems problems) {
         this.folder = folder;
         this.facts = facts;
         this.problems = problems;
     }
 
-    /** Null where the text is no TOML. */
+    /** Reads the file; null if the text is not valid TOML. */
     OperatorsFile read(String text) {
         if (!TextLimits.fits(text, problems)) {
             return null;
@@ -430,7 +430,7 @@
         return List.copyOf(tests);
     }
 
-    /** {@code Name = "value"}, {@code Name = true} for present, {@code Name = false} for absent. */
+    /** Reads {@code Name = "value"}, {@code Name = true} (present) or {@code Name = false} (absent). */
     private static HeaderTest readHeaderTest(Section headers, String name, String lowerCaseName) {
         Boolean present = headers.isBoolean(name) ? headers.flag(name) : null;
         if (present != null) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
@@ -14,7 +14,7 @@
 import org.cypressweir.sidecar.route.PluginConfiguration;
 import org.cypressweir.sidecar.route.PluginGrant;
 
-/** Reads {@code [plugins.NAME]}: the module's bytes, its bounds, and what it is granted. */
+/** Reads {@code [plugins.NAME]}: the WebAssembly module, its resource limits and its permissions. */
 final class PluginsReader {
 
     private static final long MAX_MODULE_BYTES = 4 << 20;
@@ -22,7 +22,7 @@
     private final Facts facts;
     private final Path folder;
 
-    /** @param folder that files are named from */
+    /** @param folder the directory that relative file names refer to; null for the working directory */
     PluginsReader(Facts facts, Path folder) {
         this.facts = facts;
         this.folder = folder;
@@ -120,7 +120,10 @@
         return names == null ? Set.of() : Set.copyOf(new HashSet<>(names));
     }
 
-    /** Whether a request that it is not asked about may go where it would not have let it. */
+    /**
+     * Whether letting a request pass unchecked could admit one that the plug-in would have refused or moved to a
+     * stricter class.
+     */
     private boolean restrictsRequests(PluginGrant grant) {
         return grant.refuse()
                 || grant.classes().stream()
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Problems.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Problems.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** All that is wrong with one file: reading goes on, so that operators hear of everything in one go. */
+/** Collects the problems of one file. Reading continues after a problem, so that all are reported at once. */
 public final class Problems {
 
-    /** Beyond so many a file is no file of this kind, and the first ones say enough. */
+    /** A file with more problems is probably not an operators' file at all; the first ones suffice to show that. */
     static final int MAX_REPORTED = 200;
 
     private final String file;
@@ -19,7 +19,7 @@
         this.file = file;
     }
 
-    /** Notes a problem; the same one at the same line counts once. */
+    /** Adds a problem; duplicates on the same line are recorded once. */
     public void add(int line, String reason) {
         problems.add(new Problem(file, line, reason));
     }
@@ -28,7 +28,7 @@
         return problems.isEmpty();
     }
 
-    /** In the order of their lines. */
+    /** The problems ordered by line, cut off after {@link #MAX_REPORTED} with a count of the rest. */
     public List<Problem> sorted() {
         List<Problem> sorted =
                 problems.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Retryable.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Retryable.java
@@ -8,17 +8,17 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
-/** Outcomes of an attempt after which another may be made, in the words of the operators' file. */
+/** Outcomes of an attempt that may be retried, named as in the operators' file. */
 public enum Retryable {
     /** 503 or 504 with {@code Not-Started: 1}. */
     TURNED_AWAY("turned-away", Result.FULL),
-    /** Refused, never up, broken before the last byte was written, or not sent at all. */
+    /** Connection refused, never established, or broken before the last byte was written; or request not sent. */
     NO_CONNECTION("no-connection", Result.NO_CONNECTION, Result.NOT_SENT),
-    /** Any other status but 200. */
+    /** Any other status except 200. */
     ERROR("error", Result.ERROR),
-    /** Broken after the last byte was written. */
+    /** Connection broken after the last byte was written. */
     RESET("reset", Result.BROKEN),
-    /** No answer within the attempt's time. */
+    /** No response within the attempt's time-out. */
     TIMEOUT("timeout", Result.TIMED_OUT);
 
     private final String word;
@@ -29,7 +29,7 @@
         this.results = Set.of(results);
     }
 
-    /** Whether an attempt that ended so may have run, or may run yet. */
+    /** Whether the server may have executed an attempt with this outcome, or may still do so. */
     boolean mayHaveRun() {
         return !results.stream().allMatch(r -> r.provesNotRun);
     }
@@ -45,7 +45,7 @@
         return Arrays.stream(values()).map(r -> r.word).toList();
     }
 
-    /** All that a class may be tried again after. */
+    /** All outcomes that may be retried for a class of this effect. */
     static Set<Retryable> allowed(Effect effect) {
         EnumSet<Retryable> all = EnumSet.allOf(Retryable.class);
         if (effect == Effect.UNSAFE) {
@@ -54,7 +54,7 @@
         return all;
     }
 
-    /** In the module's terms. */
+    /** Converts outcomes to the load balancer's results. */
     static Set<Result> results(Collection<Retryable> outcomes) {
         EnumSet<Result> results = EnumSet.noneOf(Result.class);
         outcomes.forEach(o -> results.addAll(o.results));
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
@@ -13,8 +13,8 @@
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
 
 /**
- * The limits in force for a route, each with where it came from: the route's own, else its class's, else what
- * the settings say; never more than its pool allows.
+ * The limits in force for a route, each with its origin: the route's own value, else its class's, else that of the
+ * settings; always bounded by the pool's limit.
  */
 record RouteLimits(
         Setting<Long> timeout,
@@ -25,7 +25,7 @@
         Setting<Long> hedgeAfter,
         List<RequestBound> requestBounds) {
 
-    /** A bound on requests in hand or waiting, which is counted for the route or for its class. */
+    /** A limit on requests in progress and queued, counted per route or per class. */
     record RequestBound(String name, Setting<Long> requests, Setting<Long> queue) {}
 
     static RouteLimits of(
@@ -94,7 +94,7 @@
         return set != null ? set : defaultSetting;
     }
 
-    /** The lower of a value and its pool's bound. */
+    /** Returns the lower of a value and its pool's bound. */
     private static Setting<Long> atMost(Setting<Long> value, Setting<Long> bound, boolean zeroMeansUnlimited) {
         boolean above = bound != null && (value.value() > bound.value() || zeroMeansUnlimited && value.value() == 0);
         return above ? bound : value;
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The same for the module. */
+    /** Converts the limits to the load balancer's form. */
     Terms terms() {
         List<Bound> bounds = requestBounds.stream()
                 .map(c -> new Bound(c.name(), valueOrUnlimited(c.requests()), valueOrUnlimited(c.queue())))
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
@@ -13,8 +13,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file. What is read of it is checked for type and range; a key that nobody asked for is a
- * problem of its own, with the word that may have been meant.
+ * One table of the file. Values are checked for type and range as they are read; keys that were never requested
+ * are reported as unknown, with a spelling suggestion.
  */
 final class Section {
 
@@ -53,7 +53,7 @@
         return position == null ? line : position.line();
     }
 
-    /** Where a key was set, for people. */
+    /** Section and line that set a key, as printed for operators. */
     private String origin(String key) {
         return title.isEmpty() ? "line " + lineOf(key) : "[" + title + "], line " + lineOf(key);
     }
@@ -66,7 +66,7 @@
         return new Setting<>(value, lineOf(key), origin(key));
     }
 
-    /** The value of a key if it has that type; a problem and null if it has another. */
+    /** Returns the value of a key, or null if it is absent or, after reporting that, of another type. */
     private <T> T value(String key, Class<T> type, String expected) {
         knownKeys.add(key);
         Object value = table.get(List.of(key));
@@ -77,7 +77,7 @@
         return null;
     }
 
-    /** Whether a key has just this text, whatever else it might have. */
+    /** Whether a key has exactly this text; a value of any other type is not an error. */
     boolean hasText(String key, String text) {
         return text.equals(table.get(List.of(key)));
     }
@@ -102,7 +102,7 @@
         return value(key, Boolean.class, "true or false");
     }
 
-    /** A whole number within a range, or null. */
+    /** Returns a whole number within a range, or null. */
     Long count(String key, long min, long max) {
         Long count = value(key, Long.class, "a whole number");
         if (count != null && (count < min || count > max)) {
@@ -112,13 +112,13 @@
         return count;
     }
 
-    /** The same with a default. */
+    /** Returns a whole number within a range, or the default. */
     long count(String key, long min, long max, long defaultValue) {
         Long count = count(key, min, max);
         return count == null ? defaultValue : count;
     }
 
-    /** A number within a range, or null. */
+    /** Returns a number within a range, or null. */
     Double number(String key, double min, double max) {
         knownKeys.add(key);
         Object value = table.get(List.of(key));
@@ -133,7 +133,7 @@
         return number;
     }
 
-    /** Microseconds within a range, or null. */
+    /** Returns a duration in microseconds within a range, or null. */
     Long time(String key, long min, long max) {
         String text = value(key, String.class, "a time in quotes, such as \"800ms\" or \"1.5s\"");
         if (text == null) {
@@ -157,20 +157,20 @@
         return micros;
     }
 
-    /** The same with a default. */
+    /** Returns a duration in microseconds within a range, or the default. */
     long time(String key, long min, long max, long defaultValue) {
         Long time = time(key, min, max);
         return time == null ? defaultValue : time;
     }
 
-    /** A moment with its distance from UTC, in microseconds of Unix time, or null. */
+    /** Returns a date-time with UTC offset as microseconds since the Unix epoch, or null. */
     Long timestamp(String key) {
         OffsetDateTime moment =
                 value(key, OffsetDateTime.class, "a moment such as 2026-12-24T18:00:00Z, without quotes");
         return moment == null ? null : ChronoUnit.MICROS.between(Instant.EPOCH, moment.toInstant());
     }
 
-    /** A list of texts, or null. */
+    /** Returns a list of strings, or null. */
     List<String> texts(String key) {
         TomlArray array = value(key, TomlArray.class, "a list of texts");
         if (array == null) {
@@ -187,7 +187,7 @@
         return texts;
     }
 
-    /** The tables of a table, by name; the values that are no tables are problems. */
+    /** Returns the named subtables of a table; values that are not tables are reported. */
     List<Section> tables(String key) {
         TomlTable all = value(key, TomlTable.class, "tables [" + path(key) + ".NAME]");
         List<Section> sections = new ArrayList<>();
@@ -207,19 +207,19 @@
         return sections;
     }
 
-    /** A table within this one; null where there is none. */
+    /** Returns a subtable, or null if there is none. */
     Section table(String key) {
         TomlTable inner = value(key, TomlTable.class, "a table");
         return inner == null ? null : new Section(inner, path(key), lineOf(key), problems);
     }
 
-    /** The tables of a list. */
+    /** Returns the tables of an array of tables. */
     List<Section> tableList(String key) {
         TomlArray array = value(key, TomlArray.class, "a list of tables");
         List<Section> sections = new ArrayList<>();
         for (int i = 0; array != null && i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable t) {
-                // The position of an entry that is a table is the list's: its first key says where it stands.
+                // The parser gives a table entry the position of the whole array, so use that of its first key.
                 int entryLine = t.keySet().stream()
                         .mapToInt(k -> t.inputPositionOf(List.of(k)).line())
                         .min()
@@ -240,7 +240,7 @@
         return table.keySet();
     }
 
-    /** Reads the limits that may stand in this section. */
+    /** Reads the limits that are allowed in this section. */
     LimitSet limits(Set<LimitKey> allowed) {
         LimitSet limits = new LimitSet();
         for (LimitKey key : allowed) {
@@ -277,7 +277,7 @@
         return outcomes;
     }
 
-    /** To be called last: every key that was not asked for. */
+    /** Reports every key that was not requested; must be called after all other reads. */
     void rejectUnknownKeys() {
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Setting.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Setting.java
@@ -1,10 +1,10 @@
 package org.cypressweir.sidecar.operatorconfig;
 
 /**
- * A value and where it came from.
+ * A value and its origin.
  *
- * @param line where the file sets it; 0 where the file doesn't
- * @param origin for people: the section and line, or what else says so
+ * @param line the line of the file that sets it; 0 if the file does not
+ * @param origin as printed for operators: section and line, or the source of the default
  */
 public record Setting<T>(T value, int line, String origin) {
 
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/SpellingHint.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/SpellingHint.java
@@ -3,12 +3,12 @@
 import java.util.Collection;
 import java.util.Comparator;
 
-/** The word that an operator may have meant. */
+/** Suggests the known word closest to a misspelled one. */
 final class SpellingHint {
 
     private SpellingHint() {}
 
-    /** {@code "; did you mean 'x'?"}, or nothing where no known word is near. */
+    /** Returns {@code "; did you mean 'x'?"}, or an empty text if no known word is close enough. */
     static String didYouMean(String word, Collection<String> known) {
         int maxDistance = Math.max(1, Math.min(3, word.length() / 2));
         return known.stream()
@@ -18,7 +18,7 @@
                 .orElse("");
     }
 
-    /** Damerau-Levenshtein, restricted (optimal string alignment): a swap of neighbours counts 1. */
+    /** Restricted Damerau-Levenshtein distance (optimal string alignment): swapping adjacent characters costs 1. */
     static int distance(String a, String b) {
         int[][] distances = new int[a.length() + 1][b.length() + 1];
         for (int i = 0; i <= a.length(); i++) {
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/TextLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/TextLimits.java
@@ -1,29 +1,29 @@
 package org.cypressweir.sidecar.operatorconfig;
 
 /**
- * Bounds on the text itself, before a parser that follows every bracket by a call of its own sees it: size,
- * and how deep lists, inline tables and dotted keys may nest. Strings and comments are skipped as TOML 1.0
- * has them; where they are broken the parser says so.
+ * Checks the size of the text and the nesting depth of lists, inline tables and dotted keys before parsing: the
+ * parser is recursive and makes a call for every bracket. Strings and comments are skipped according to TOML 1.0;
+ * malformed ones are left for the parser to report.
  */
 final class TextLimits {
 
-    /** A file of 10,000 routes has one. */
+    /** A file of 10,000 routes has about one million characters. */
     static final int MAX_CHARACTERS = 16 << 20;
-    /** What the file's own keys need is 6. */
+    /** The keys of a valid file nest at most 6 deep. */
     static final int MAX_DEPTH = 32;
 
     private final String text;
     private int position;
     private int line = 1;
     private int depth;
-    /** Dots in a row between the words of one key, or of one number. */
+    /** Dots seen so far in the current dotted key or number. */
     private int dots;
 
     private TextLimits(String text) {
         this.text = text;
     }
 
-    /** Whether the text can be parsed; if not, that is reported. */
+    /** Returns whether the text is within the limits; a violation is added to {@code problems}. */
     static boolean fits(String text, Problems problems) {
         if (text.length() > MAX_CHARACTERS) {
             problems.add(1, "the file has more than " + MAX_CHARACTERS + " characters");
@@ -37,7 +37,7 @@
         return tooDeepLine == 0;
     }
 
-    /** The first line on which something nests too deep; 0 where nothing does. */
+    /** Returns the first line whose nesting is too deep, or 0 if there is none. */
     private int firstLineTooDeep() {
         while (position < text.length()) {
             char c = text.charAt(position);
@@ -66,7 +66,7 @@
         dots = 0;
     }
 
-    /** To the last character of a string, which in one line ends with that line at the latest. */
+    /** Moves to the last character of a string. An unterminated single-line string ends at the end of its line. */
     private void skipString(char quote) {
         String tripleQuote = String.valueOf(quote).repeat(3);
         boolean multiLine = text.startsWith(tripleQuote, position);
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/package-info.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' file of the sidecar: reading, validation and explanation of what is in force.
+ * Reads and validates the sidecar's operators' file, and explains the values in force.
  */
 package org.cypressweir.sidecar.operatorconfig;
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A corpus of bad files, each beside a file with all that is to be said of it. */
+/** A corpus of invalid files, each with a file of the expected problems. */
 class BadFilesTest {
 
     private static Path corpus() throws URISyntaxException {
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random files, of which the checks let the valid ones through; under each, random requests with random
- * outcomes. Whatever a valid file says, no rule breaks and attempts and times keep their limits.
+ * Generates random files and, for each that passes the checks, random requests with random outcomes. Under any valid
+ * file no rule of the load balancer is broken, and attempts and time-outs stay within their limits.
  */
 class LimitsPropertyTest {
 
@@ -130,7 +130,7 @@
         }
         assertTrue(
                 retries > 1_000 && copies > 200 && answered > 10_000,
-                "looked at too little: " + retries + " further attempts, " + copies + " copies, " + answered
+                "too few cases: " + retries + " retries, " + copies + " hedged requests, " + answered
                         + " served");
     }
 
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files that are taken, and what they come to. */
+/** Valid files and the configuration that they result in. */
 class OperatorsTest {
 
     private static final String POOL = "version = 1\n[pools.p]\nsource = \"discovery\"\n";
@@ -113,7 +113,7 @@
         assertThrows(InvalidTargetException.class, () -> Explain.request(operators, "GET", "/s/%2F", Map.of()));
     }
 
-    /** The page for operators names each key, and the example is a good file. */
+    /** The page for operators lists each key, and the example is a valid file. */
     @Test
     void operatorsPageAndExampleAreUpToDate() throws Exception {
         String page = Files.readString(Path.of("docs/operators.md"));
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/TextLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/TextLimitsTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever bytes a file has: it is taken, or refused with one line for each reason, and soon. */
+/** Any sequence of bytes is accepted, or rejected within a short time with one line per reason. */
 @Timeout(60)
 class TextLimitsTest {
 
-    /** What stands between 'x = ' and the end, and the line that is too deep; 0 for none. */
+    /** The value of 'x', and the line on which it nests too deep; 0 for none. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -78,7 +78,7 @@
         }
     }
 
-    /** The example with bytes changed, put in twice, cut out and nested, by seeds. */
+    /** Random mutations of the example: bytes changed, repeated, deleted and nested. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void mutatedFilesAreAcceptedOrRejected(long seed, @TempDir Path folder) throws Exception {
