--- a/src/main/java/org/cypressweir/sidecar/cli/AdminClient.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminClient.java
@@ -5,10 +5,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A sidecar's operators' door, asked one line a connection. */
+/** Client of a sidecar's admin listener; each connection carries one command line. */
 record AdminClient(InetSocketAddress address, int timeoutMillis) {
 
-    /** All that it says to a line. */
+    /** Sends a command line and returns the whole response. */
     String send(String line) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(address, timeoutMillis);
--- a/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** A command that asks a sidecar at its operators' door. */
+/** A command that queries a sidecar through its admin listener. */
 abstract class AdminCommand implements Callable<Integer> {
 
     @Spec
@@ -18,10 +18,10 @@
             names = "--door",
             paramLabel = "ADDRESS",
             required = true,
-            description = "the sidecar's operators' door, address:port")
+            description = "the sidecar's admin listener, address:port")
     private String adminAddress;
 
-    /** Does its work at this door; the exit status. */
+    /** Runs the command against this admin listener; returns the exit status. */
     abstract int execute(InetSocketAddress address) throws InterruptedException;
 
     @Override
@@ -43,7 +43,7 @@
         return command.commandLine();
     }
 
-    /** Says in a line why it ends, or goes on; hands the status back. */
+    /** Prints one line to standard error and returns the given status. */
     final int report(String why, int status) {
         commandLine().getErr().println("cypressweir-sidecar: " + why);
         return status;
--- a/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code check FILE}: says what is wrong with an operators' file. */
+/** {@code check FILE}: reports the problems of an operators' file. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
--- a/src/main/java/org/cypressweir/sidecar/cli/CommandLineTool.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CommandLineTool.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
 
-/** The command line: what takes more than one word. One class a command. */
+/** The root of the command line; each subcommand has a class of its own. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
@@ -23,12 +23,12 @@
         })
 public final class CommandLineTool {
 
-    /** Exit status of a bad file or a bad command line. */
+    /** Exit status for an invalid file or command line. */
     static final int EXIT_INVALID_INPUT = 2;
 
     CommandLineTool() {}
 
-    /** Runs a command; the exit status. */
+    /** Runs a command and returns the exit status. */
     public static int run(String[] args) {
         return new CommandLine(new CommandLineTool())
                 .setExitCodeExceptionMapper(e -> 1)
--- a/src/main/java/org/cypressweir/sidecar/cli/ExplainCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ExplainCommand.java
@@ -11,12 +11,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code explain FILE}: what is in force, or what happens to one request. */
+/** {@code explain FILE}: prints the values in force, or what happens to one request. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "explain",
-        description = "Say what is in force and where each value comes from.")
+        description = "Print the values in force and where each comes from.")
 final class ExplainCommand implements Callable<Integer> {
 
     @Spec
--- a/src/main/java/org/cypressweir/sidecar/cli/HeaderOptions.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/HeaderOptions.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** The headers of a request that a command is about. */
+/** Options for the headers of the request that a command examines. */
 final class HeaderOptions {
 
     @Option(names = "-H", paramLabel = "'NAME: VALUE'", description = "a header of the request")
     private List<String> headers = List.of();
 
     /**
-     * By name in small letters; fields of one name joined.
+     * Returns the headers by lower-case name; fields with the same name are joined.
      *
-     * @throws IllegalArgumentException with what is wrong with one of them
+     * @throws IllegalArgumentException if a header has no name or no colon
      */
     Map<String, String> fields() {
         Map<String, String> fields = new LinkedHashMap<>();
--- a/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
@@ -13,13 +13,14 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code lab cells}: plays a fleet in made-up time, with the real decisions, once for each number of cells.
+ * {@code lab cells}: simulates a fleet under a fault, once for each number of cells, with the real load balancer in
+ * simulated time.
  */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "cells",
-        description = "Play a fleet that meets harm: how far it reaches with so many" + " cells.")
+        description = "Simulate a fleet under a fault: how far the fault spreads" + " with each number of cells.")
 final class LabCellsCommand implements Callable<Integer> {
 
     @Spec
@@ -31,31 +32,31 @@
     @Option(names = "--sidecars", description = "sidecars (default ${DEFAULT-VALUE})", defaultValue = "6")
     private int sidecars;
 
-    @Option(names = "--units", description = "accounts that ask (default ${DEFAULT-VALUE})", defaultValue = "2000")
+    @Option(names = "--units", description = "accounts of clients (default ${DEFAULT-VALUE})", defaultValue = "2000")
     private int units;
 
     @Option(
             names = "--skew",
-            description = "exponent of Zipf's law of what they ask (default" + " ${DEFAULT-VALUE})",
+            description = "Zipf exponent of their request rates (default" + " ${DEFAULT-VALUE})",
             defaultValue = "0.6")
     private double skew;
 
     @Option(
             names = "--load",
-            description = "part of the cores in use before the harm (default" + " ${DEFAULT-VALUE})",
+            description = "fraction of the cores in use before the fault (default" + " ${DEFAULT-VALUE})",
             defaultValue = "0.6")
     private double load;
 
     @Option(
             names = "--cells",
             split = ",",
-            description = "numbers of cells to play; 1 for none (default" + " ${DEFAULT-VALUE})",
+            description = "numbers of cells to simulate; 1 for none (default" + " ${DEFAULT-VALUE})",
             defaultValue = "1,4,12")
     private List<Integer> cells;
 
     @Option(
             names = "--guests",
-            description = "part of a cell for guests (default ${DEFAULT-VALUE})",
+            description = "fraction of a cell for guests (default ${DEFAULT-VALUE})",
             defaultValue = "0")
     private double guests;
 
@@ -71,17 +72,17 @@
     @Option(
             names = "--size",
             description =
-                    "part of the traffic that floods, or of the servers" + " that turn slow (default ${DEFAULT-VALUE})",
+                    "fraction of traffic that floods, or of servers" + " that turn slow (default ${DEFAULT-VALUE})",
             defaultValue = "0.24")
     private double size;
 
     @Option(
             names = "--seconds",
-            description = "of the run; the harm begins after a third (default" + " ${DEFAULT-VALUE})",
+            description = "length of the run; the fault begins after a third (default" + " ${DEFAULT-VALUE})",
             defaultValue = "60")
     private int seconds;
 
-    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})", defaultValue = "1")
+    @Option(names = "--seed", description = "random seed (default ${DEFAULT-VALUE})", defaultValue = "1")
     private long seed;
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/cli/LabCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCommand.java
@@ -3,12 +3,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
 
-/** {@code lab}: experiments in made-up time, with the real decisions, at sizes that sockets don't reach. */
+/** {@code lab}: simulations with the real load balancer, for fleets too large to run over real sockets. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "lab",
-        description = "Play a fleet in made-up time, with the real decisions.",
+        description = "Simulate a fleet in virtual time with the real load balancer.",
         synopsisSubcommandLabel = "EXPERIMENT",
         subcommands = {LabCellsCommand.class, LabQuietCommand.class, HelpCommand.class})
 final class LabCommand {}
--- a/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code lab quiet}: plays thousands of quiet instances, once with a watch and once at a rate of calls. */
+/** {@code lab quiet}: simulates thousands of low-traffic instances, once watching the list and once polling it. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "quiet",
-        description = "Play thousands of quiet instances: what they ask of discovery and of" + " a cold server.")
+        description = "Simulate thousands of low-traffic instances: their load on discovery and" + " on a cold server.")
 final class LabQuietCommand implements Callable<Integer> {
 
     @Spec
@@ -29,26 +29,26 @@
 
     @Option(
             names = "--per-minute",
-            description = "requests of one instance (default ${DEFAULT-VALUE})",
+            description = "requests of one instance per minute (default ${DEFAULT-VALUE})",
             defaultValue = "6")
     private double perMinute;
 
     @Option(
             names = "--list-rate",
-            description = "calls for the list a second by all (default" + " ${DEFAULT-VALUE})",
+            description = "list calls per second by all instances (default" + " ${DEFAULT-VALUE})",
             defaultValue = "400")
     private double listRate;
 
     @Option(
             names = "--changes",
-            description = "changes of the list a minute beside (default" + " ${DEFAULT-VALUE})",
+            description = "additional changes of the list per minute (default" + " ${DEFAULT-VALUE})",
             defaultValue = "30")
     private double changes;
 
-    @Option(names = "--seconds", description = "of the run (default ${DEFAULT-VALUE})", defaultValue = "90")
+    @Option(names = "--seconds", description = "length of the run (default ${DEFAULT-VALUE})", defaultValue = "90")
     private int seconds;
 
-    @Option(names = "--seed", description = "of all that is random (default ${DEFAULT-VALUE})", defaultValue = "1")
+    @Option(names = "--seed", description = "random seed (default ${DEFAULT-VALUE})", defaultValue = "1")
     private long seed;
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/cli/LeaseCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LeaseCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
 
-/** {@code lease}: what is done with leases of the whole fleet. */
+/** {@code lease}: commands for leases of the whole fleet. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
--- a/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
@@ -9,23 +9,24 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lease run --door ADDRESS NAME -- COMMAND...}: a command that runs only while a lease is held. */
+/** {@code lease run --door ADDRESS NAME -- COMMAND...}: runs a command only while the sidecar holds a lease. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "run",
         description = "Run a command while the sidecar holds a lease, and end it before the"
                 + " lease is over. Exit status: the command's own; 73 where the lease is not held, 74 where it was"
-                + " lost and the command was ended, 1 where the sidecar can't be asked, 2 for a bad command line.")
+                + " lost and the command was ended, 1 where the sidecar can't be reached, 2 for a bad command line.")
 final class LeaseRunCommand extends AdminCommand {
 
     static final int EXIT_NOT_HELD = 73;
     static final int EXIT_LOST = 74;
     private static final int POLL_INTERVAL_MILLIS = 100;
     private static final int REQUEST_TIMEOUT_MILLIS = 500;
-    /** From the request to end to the end by force, and from that to the end of what was promised. */
+    /** Time between asking the process to terminate and killing it. */
     private static final long TERMINATION_GRACE_MILLIS = 500;
 
+    /** Time between killing the process and the expiry of the lease. */
     private static final long SAFETY_MARGIN_MILLIS = 200;
 
     @Option(names = "--wait", description = "wait until the lease is held, however long that takes")
@@ -37,7 +38,10 @@
     @Parameters(index = "1..*", arity = "1..*", paramLabel = "COMMAND", description = "what to run, after --")
     private List<String> commandWords;
 
-    /** What the sidecar has said; it counts from when it was asked, so that a late answer says less. */
+    /**
+     * A response of the sidecar. Its expiry counts from the time of the query, so that a delayed response cannot
+     * extend the lease.
+     */
     private record LeaseAnswer(String text, long token, long expiryNanos) {
         boolean held() {
             return text.startsWith("YES ");
@@ -51,7 +55,7 @@
             try {
                 first = query(address);
             } catch (IOException e) {
-                return report("the door at " + adminAddress() + " can't be asked: " + e.getMessage(), 1);
+                return report("admin listener at " + adminAddress() + " can't be reached: " + e.getMessage(), 1);
             }
             if (first.held() && remainingMillis(first) > TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
                 break;
@@ -81,8 +85,8 @@
         boolean lost = false;
         while (!process.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
             LeaseAnswer next = queryOrNull(address);
-            // Where nobody answers, what was promised holds. A higher token is another grant, between which
-            // and this one somebody else may have acted.
+            // Without a response the last known expiry remains valid. Another fencing token means a new grant:
+            // another holder may have acted in between, so the lease counts as lost.
             if (next != null) {
                 lost = !next.held() || next.token != first.token;
                 expiryNanos = lost ? expiryNanos : Math.max(expiryNanos, next.expiryNanos);
@@ -95,7 +99,7 @@
         return process.exitValue();
     }
 
-    /** Asks it to end, and ends it by force before what was promised is over. */
+    /** Asks the process to terminate, and kills it before the lease expires. */
     private static void terminate(Process process, long expiryNanos) throws InterruptedException {
         List<ProcessHandle> all = processTree(process).toList();
         all.forEach(ProcessHandle::destroy);
@@ -117,7 +121,7 @@
         return millisUntil(answer.expiryNanos);
     }
 
-    /** Null where the door can't be asked. */
+    /** Queries the sidecar; null if it cannot be reached. */
     private LeaseAnswer queryOrNull(InetSocketAddress address) {
         try {
             return query(address);
@@ -139,7 +143,7 @@
                     held ? Long.parseLong(parts[1]) : 0,
                     held ? sentNanos + Long.parseLong(parts[2]) * 1_000_000 : sentNanos);
         } catch (NumberFormatException e) {
-            throw new IOException("no answer of a door", e);
+            throw new IOException("not a response of an admin listener", e);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code members --door ADDRESS}: who is there, as one sidecar sees it. */
+/** {@code members --door ADDRESS}: prints the members of the fleet as one sidecar sees them. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "members",
         description = "Print the members of a fleet as one sidecar sees them: exit status"
-                + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
+                + " 0, 1 where it can't be reached or is not a member, 2 for a bad command line.")
 final class MembersCommand extends AdminCommand {
 
     private static final int TIMEOUT_MILLIS = 2_000;
@@ -41,18 +41,18 @@
         try {
             response = new AdminClient(address, TIMEOUT_MILLIS).send("MEMBERS");
         } catch (IOException e) {
-            return report("the door at " + adminAddress() + " can't be asked: " + e.getMessage(), 1);
+            return report("admin listener at " + adminAddress() + " can't be reached: " + e.getMessage(), 1);
         }
         int end = response.indexOf('\n');
         String first = end < 0 ? response : response.substring(0, end);
         if (!first.startsWith("{")) {
-            return report("the sidecar at " + adminAddress() + " says: " + first, 1);
+            return report("the sidecar at " + adminAddress() + " responded: " + first, 1);
         }
         try (JsonParser parser = new JsonFactory().createParser(first)) {
             printTable(Json.document(parser));
             return 0;
         } catch (IOException e) {
-            return report("the door at " + adminAddress() + " gave no table: " + e.getMessage(), 1);
+            return report("admin listener at " + adminAddress() + " returned no member table: " + e.getMessage(), 1);
         }
     }
 
@@ -61,10 +61,10 @@
         out.println("as " + m.get("self") + " sees it, incarnation " + m.get("incarnation") + ": " + m.get("live")
                 + " live");
         if (m.get("share") instanceof Map<?, ?> share) {
-            out.println("it may use " + share.get("part") + " of what all share, "
+            out.println("it may use " + share.get("part") + " of the shared limits, "
                     + (Boolean.TRUE.equals(share.get("claims"))
                             ? "as one of " + share.get("count")
-                            : "the floor: most electors have not counted it for long enough"));
+                            : "the minimum: most voters have not counted it for long enough"));
         }
         out.println(row("NAME", "STATE", "INC", "ADDRESS", "FRONT", "SERVES", "LOAD"));
         Map<?, ?> details = Json.object(m, "details");
--- a/src/main/java/org/cypressweir/sidecar/cli/OperatorsFileOptions.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/OperatorsFileOptions.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** An operators' file, and the configuration that it is held against. */
+/** Options for an operators' file and the configuration that it is checked against. */
 final class OperatorsFileOptions {
 
     @Spec(Spec.Target.MIXEE)
@@ -28,8 +28,8 @@
     @Option(
             names = "--config",
             paramLabel = "CONFIG",
-            description = "the sidecar's configuration, whose settings hold (default: LB_CONFIG; without"
-                    + " either, what needs no settings is looked at)")
+            description = "the sidecar's configuration, which holds the settings (default: LB_CONFIG; without"
+                    + " either, only what needs no settings is checked)")
     private Path config;
 
     private Facts facts(Map<String, String> environment) throws IOException {
@@ -38,16 +38,16 @@
         }
         command.commandLine()
                 .getErr()
-                .println("cypressweir-sidecar: without settings (--config or LB_CONFIG) these" + " were not looked at: "
+                .println("cypressweir-sidecar: without settings (--config or LB_CONFIG) these" + " were not checked: "
                         + AssumedFacts.UNCHECKED);
-        // What can't be read is said when it is loaded.
+        // An unreadable file is reported when it is loaded.
         return AssumedFacts.of(
                 Files.isReadable(file) && !Files.isDirectory(file)
                         ? new String(Files.readAllBytes(file), StandardCharsets.UTF_8)
                         : "");
     }
 
-    /** Reads and checks; says on standard error what is wrong, and then gives null. */
+    /** Reads and checks the file; prints problems to standard error and then returns null. */
     Operators load() {
         Map<String, String> environment = new HashMap<>(System.getenv());
         if (config != null) {
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code plugin check FILE}: whether a module is a plug-in that this program can run. */
+/** {@code plugin check FILE}: checks whether a module is a plug-in that this program can run. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
@@ -30,7 +30,7 @@
                 file.configuration(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false), Map.of()),
                 Runnable::run)) {
             file.out()
-                    .println(host.plan().name() + ": a plug-in for version 1 of the hook; it may ask for: "
+                    .println(host.plan().name() + ": a plug-in for version 1 of the hook; imports: "
                             + String.join(" ", host.imports()));
             return 0;
         } catch (InvalidPluginException e) {
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
 
-/** {@code plugin}: for those who write plug-ins. */
+/** {@code plugin}: commands for authors of plug-ins. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The module that a command is about. */
+/** Options for the plug-in module that a command examines. */
 final class PluginFile {
 
     private static final int DEADLINE_MICROS = 100_000;
@@ -23,7 +23,7 @@
     @Parameters(paramLabel = "FILE.wasm", description = "the module")
     private Path file;
 
-    /** Its bytes; null where it can't be read, which is said. */
+    /** Reads the module; null if it can't be read, which is reported. */
     byte[] read() {
         try {
             return Files.readAllBytes(file);
@@ -42,7 +42,7 @@
         return command.commandLine().getOut();
     }
 
-    /** Says why; the exit status. */
+    /** Reports a problem with the module and returns the exit status. */
     int fail(String why) {
         command.commandLine().getErr().println(file + ": " + why);
         return CommandLineTool.EXIT_INVALID_INPUT;
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
@@ -19,12 +19,12 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code plugin run FILE --request ...}: what a module would change of one request. */
+/** {@code plugin run FILE --request ...}: shows what a module would change in one request. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "run",
-        description = "Show what a module wishes for one request.")
+        description = "Show the changes that a module requests for one request.")
 final class PluginRunCommand implements Callable<Integer> {
 
     private static final long TIMEOUT_MILLIS = 1_000;
@@ -35,22 +35,22 @@
     @Option(names = "--request", required = true, paramLabel = "'METHOD PATH'", description = "the request")
     private String request;
 
-    @Option(names = "--class", defaultValue = "", description = "the class that its route would give it")
+    @Option(names = "--class", defaultValue = "", description = "the class that its route would assign")
     private String requestClass;
 
     @Mixin
     private HeaderOptions headers;
 
-    @Option(names = "--grant-header", paramLabel = "NAME", description = "a header that it may set or remove")
+    @Option(names = "--grant-header", paramLabel = "NAME", description = "a header that the plug-in may set or remove")
     private List<String> grantedHeaders = List.of();
 
-    @Option(names = "--grant-class", paramLabel = "NAME", description = "a class that it may give")
+    @Option(names = "--grant-class", paramLabel = "NAME", description = "a class that the plug-in may assign")
     private List<String> grantedClasses = List.of();
 
-    @Option(names = "--grant-refuse", description = "let it refuse")
+    @Option(names = "--grant-refuse", description = "allow the plug-in to refuse requests")
     private boolean refuse;
 
-    @Option(names = "--config", paramLabel = "NAME=VALUE", description = "what it may read by name")
+    @Option(names = "--config", paramLabel = "NAME=VALUE", description = "a configuration value for the plug-in")
     private Map<String, String> config = Map.of();
 
     @Override
@@ -96,9 +96,9 @@
         } catch (InvalidPluginException e) {
             return file.fail(e.getMessage());
         } catch (ExecutionException e) {
-            return file.fail("it failed: " + e.getCause().getMessage());
+            return file.fail("the plug-in failed: " + e.getCause().getMessage());
         } catch (TimeoutException e) {
-            return file.fail("no answer within " + TIMEOUT_MILLIS + " ms");
+            return file.fail("no response within " + TIMEOUT_MILLIS + " ms");
         }
     }
 
@@ -106,18 +106,18 @@
         changes.headers().forEach((name, value) -> file.out()
                 .println(value.isEmpty() ? "removes header " + name : "sets header " + name + ": " + value));
         if (changes.requestClass() != null) {
-            file.out().println("gives class " + changes.requestClass());
+            file.out().println("assigns class " + changes.requestClass());
         }
         if (changes.refusal() != null) {
             file.out()
                     .println("refuses: " + changes.refusal()
                             + (changes.retryAfterMillis() == 0
                                     ? ""
-                                    : ", come back after " + changes.retryAfterMillis() + " ms"));
+                                    : ", retry after " + changes.retryAfterMillis() + " ms"));
         }
         changes.notes().forEach(n -> file.out().println("logs " + n));
         if (changes.equals(RequestedChanges.NONE)) {
-            file.out().println("wishes nothing");
+            file.out().println("requests no changes");
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/ServeCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/ServeCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code serve --operators FILE}: a sidecar with an operators' file. */
+/** {@code serve --operators FILE}: runs a sidecar with an operators' file. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
--- a/src/main/java/org/cypressweir/sidecar/cli/Version.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/Version.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build has written into the archive. */
+/** Provides the version that the build writes into the archive's manifest. */
 final class Version implements IVersionProvider {
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/DurationText.java
@@ -29,7 +29,7 @@
                 .longValue();
     }
 
-    /** Formats a duration in the largest unit up to seconds; {@link #parseMicros} reads it back. */
+    /** Formats a duration in us, ms or s; {@link #parseMicros} reads the same value back. */
     static String format(long micros) {
         if (micros % 1_000 != 0) {
             return micros + "us";
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
@@ -89,8 +89,8 @@
     }
 
     private static Setting<Long> firstSet(
-            LimitSet route, LimitSet requestClass, LimitKey key, Setting<Long> defaultSetting) {
-        Setting<Long> set = route.number(key) != null ? route.number(key) : requestClass.number(key);
+            LimitSet route, LimitSet classLimits, LimitKey key, Setting<Long> defaultSetting) {
+        Setting<Long> set = route.number(key) != null ? route.number(key) : classLimits.number(key);
         return set != null ? set : defaultSetting;
     }
 
--- a/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/MessageFields.java
@@ -18,12 +18,12 @@
 import org.cypressweir.loadbalancing.LoadReports;
 import org.cypressweir.loadbalancing.SettingsReader;
 
-/** The fields of one message, read in one pass and turned into the library's types. */
+/** The fields of one message, parsed in one pass and converted to the load balancer's types. */
 final class MessageFields {
 
     private final Map<String, Object> values = new LinkedHashMap<>();
 
-    /** Reads the object that the parser stands at. */
+    /** Reads the JSON object at the parser's position. */
     void read(JsonParser parser) throws IOException {
         values.clear();
         Json.readInto(parser, values);
@@ -39,7 +39,7 @@
         if (values.get(name) instanceof String s) {
             return s;
         }
-        throw invalid(name, "a text");
+        throw invalid(name, "a string");
     }
 
     long number(String name) throws WireException {
--- a/src/main/java/org/cypressweir/sidecar/simhost/ReplyWriter.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/ReplyWriter.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 import org.cypressweir.loadbalancing.LoadBalancer.Actions;
 
-/** Writes the actions of a batch as they come; a group is opened only once it holds something. */
+/** Writes the actions of a batch as they occur; a group is only started when it has an action. */
 final class ReplyWriter implements Actions {
 
     private final JsonGenerator out;
@@ -21,13 +21,13 @@
         void write() throws IOException;
     }
 
-    /** From here on, actions are those of this instance. */
+    /** Sets the instance that the following actions belong to. */
     void instance(String name) throws IOException {
         closeGroup();
         instance = name;
     }
 
-    /** Ends the reply and sends it off. */
+    /** Ends the reply and flushes it. */
     void finish() throws IOException {
         closeGroup();
         begin();
--- a/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
@@ -19,8 +19,8 @@
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 
 /**
- * Hosts one {@link SubsetLoadBalancer} for each sidecar and speaks the simulator's wire. It translates and never
- * decides.
+ * Hosts one {@link SubsetLoadBalancer} per simulated sidecar and translates between it and the simulator's protocol.
+ * All decisions are made by the load balancer.
  */
 public final class SimHost {
 
@@ -31,7 +31,7 @@
     private final List<List<Server>> serverLists = new ArrayList<>();
     private final MessageFields fields = new MessageFields();
 
-    /** An instance of the module and where its actions of this batch go. */
+    /** The load balancer of one simulated sidecar. */
     private static final class HostedInstance {
         LoadBalancer balancer;
     }
@@ -42,12 +42,12 @@
         }
     }
 
-    /** Serves standard input and output until the input ends; the exit status. */
+    /** Serves standard input and output until the input ends; returns the exit status. */
     public static int serve() {
         return new SimHost().run(System.in, System.out, System.err);
     }
 
-    /** Answers batches until the input ends; the exit status. */
+    /** Replies to batches until the input ends; returns the exit status. */
     int run(InputStream in, OutputStream out, PrintStream errors) {
         try (JsonParser parser = json.createParser(in);
                 JsonGenerator generator = json.createGenerator(out)) {
@@ -123,12 +123,12 @@
             String name = parser.currentName();
             JsonToken value = parser.nextToken();
             if (name.equals("who")) {
-                expect(value, JsonToken.VALUE_STRING, "group: 'who' must be a text");
+                expect(value, JsonToken.VALUE_STRING, "group: 'who' must be a string");
                 who = parser.getText();
                 replies.instance(who);
             } else if (name.equals("msgs")) {
                 if (who == null) {
-                    // Pools belong to the process, so a group that holds nothing else may come without a
+                    // Pools belong to the process, so a group that has only Pool events may lack an instance
                     // name.
                     replies.instance("");
                 }
@@ -170,7 +170,7 @@
                 ListKind kind = fields.listKind();
                 List<Server> list = kind == ListKind.FAILED ? List.of() : serverLists.get(tableIndex());
                 if (list == null) {
-                    throw new WireException("Endpoints: no Pool of number " + fields.number("table"));
+                    throw new WireException("Endpoints: no Pool event for table " + fields.number("table"));
                 }
                 balancer.servers(now, kind, list);
             }
--- a/src/main/java/org/cypressweir/sidecar/simhost/WireException.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/WireException.java
@@ -1,6 +1,6 @@
 package org.cypressweir.sidecar.simhost;
 
-/** Input that breaks the wire's rules; its message is the one line that the user sees. */
+/** Thrown for input that violates the simulator's protocol; the message is printed to the user as one line. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/cypressweir/sidecar/simhost/package-info.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Host program of the simulator: runs the sidecar's decisions on events that it reads from standard input.
+ * Adapter for the simulator: runs the sidecar's load balancer on events read from standard input.
  */
 package org.cypressweir.sidecar.simhost;
--- a/src/test/java/org/cypressweir/sidecar/cli/CommandLineToolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cli/CommandLineToolTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** Commands, their exit status, and what they say where. */
+/** Commands, their exit status, and their output on standard output and standard error. */
 class CommandLineToolTest {
 
     private static final String CONFIG = "{'name':'n','seed':'1','listen':'127.0.0.1:8443','discovery':"
@@ -113,7 +113,7 @@
         assertEquals(1, err.toString().lines().count(), err.toString());
     }
 
-    /** As the example's own first lines say it. */
+    /** Runs the check as described in the first lines of the example. */
     @ParameterizedTest
     @CsvSource({"deploy/operators.example.toml, true", "deploy/operators.example.toml, false"})
     void exampleFileIsValid(String example, boolean assumed) {
@@ -129,7 +129,7 @@
         assertEquals(assumed, err.toString().contains("without settings"));
     }
 
-    /** What needs no settings is still looked at. */
+    /** Checks that need no settings still run. */
     @Test
     void invalidFileIsRejectedWithoutSettings() throws Exception {
         Files.writeString(file, FILE + "hegdes = 1\n");
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -130,8 +130,7 @@
         }
         assertTrue(
                 retries > 1_000 && copies > 200 && answered > 10_000,
-                "too few cases: " + retries + " retries, " + copies + " hedged requests, " + answered
-                        + " served");
+                "too few cases: " + retries + " retries, " + copies + " hedged requests, " + answered + " served");
     }
 
     private record TestRequest(String path) implements Routable {
