--- a/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
@@ -91,9 +91,9 @@
         out.println("cells\tin_time_before\tin_time_with\tworth_before\tworth_with\tnoticed\tasked"
                 + "\tunanswered\tran_twice\tin_both");
         for (int count : cells) {
-            Report r;
+            Report report;
             try {
-                r = CellsSimulation.play(new Scenario(
+                report = CellsSimulation.play(new Scenario(
                         servers,
                         sidecars,
                         units,
@@ -114,15 +114,15 @@
                     Locale.ROOT,
                     "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d",
                     count,
-                    r.inTimeBefore(),
-                    r.inTimeWith(),
-                    r.worthBefore(),
-                    r.worthWith(),
-                    r.noticed(),
-                    r.asked(),
-                    r.unanswered(),
-                    r.twice(),
-                    r.both()));
+                    report.inTimeBefore(),
+                    report.inTimeWith(),
+                    report.worthBefore(),
+                    report.worthWith(),
+                    report.noticed(),
+                    report.asked(),
+                    report.unanswered(),
+                    report.twice(),
+                    report.both()));
             out.flush();
         }
         return 0;
--- a/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
@@ -56,9 +56,9 @@
         var out = command.commandLine().getOut();
         out.println("list_rate\tcalls\tcalls_peak\ttold_ms\tcold_peak\tcold_first\tin_time\tunanswered");
         for (double rate : new double[] {0, listRate}) {
-            QuietReport r;
+            QuietReport report;
             try {
-                r = QuietFleetSimulation.play(
+                report = QuietFleetSimulation.play(
                         new QuietScenario(instances, servers, perMinute, rate, changes, seconds, seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
@@ -68,13 +68,13 @@
                     Locale.ROOT,
                     "%s\t%d\t%d\t%d\t%.2f\t%d\t%.3f\t%d",
                     rate == 0 ? "watch" : String.valueOf(rate),
-                    r.calls(),
-                    r.callsPeak(),
-                    r.listed(),
-                    r.coldPeak(),
-                    r.coldFirst(),
-                    r.inTime(),
-                    r.unanswered()));
+                    report.calls(),
+                    report.callsPeak(),
+                    report.listed(),
+                    report.coldPeak(),
+                    report.coldFirst(),
+                    report.inTime(),
+                    report.unanswered()));
             out.flush();
         }
         return 0;
--- a/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LeaseRunCommand.java
@@ -42,7 +42,7 @@
      * A response of the sidecar. Its expiry counts from the time of the query, so that a delayed response cannot
      * extend the lease.
      */
-    private record LeaseAnswer(String text, long token, long expiryNanos) {
+    private record LeaseResponse(String text, long token, long expiryNanos) {
         boolean held() {
             return text.startsWith("YES ");
         }
@@ -50,29 +50,30 @@
 
     @Override
     int execute(InetSocketAddress address) throws InterruptedException {
-        LeaseAnswer first;
+        LeaseResponse initial;
         while (true) {
             try {
-                first = query(address);
+                initial = query(address);
             } catch (IOException e) {
                 return report("admin listener at " + adminAddress() + " can't be reached: " + e.getMessage(), 1);
             }
-            if (first.held() && remainingMillis(first) > TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
+            if (initial.held() && remainingMillis(initial) > TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
                 break;
             }
-            if (!first.held() && !waitUntilHeld) {
-                return report("lease '" + name + "' is not held here: " + first.text, EXIT_NOT_HELD);
+            if (!initial.held() && !waitUntilHeld) {
+                return report("lease '" + name + "' is not held here: " + initial.text, EXIT_NOT_HELD);
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        return run(address, first);
+        return run(address, initial);
     }
 
-    private int run(InetSocketAddress address, LeaseAnswer first) throws InterruptedException {
+    private int run(InetSocketAddress address, LeaseResponse initial) throws InterruptedException {
         ProcessBuilder builder = new ProcessBuilder(commandWords).inheritIO();
         builder.environment().put("LB_LEASE", name);
-        builder.environment().put("LB_LEASE_TOKEN", String.valueOf(first.token));
-        builder.environment().put("LB_LEASE_END", String.valueOf(System.currentTimeMillis() + remainingMillis(first)));
+        builder.environment().put("LB_LEASE_TOKEN", String.valueOf(initial.token));
+        builder.environment()
+                .put("LB_LEASE_END", String.valueOf(System.currentTimeMillis() + remainingMillis(initial)));
         Process process;
         try {
             process = builder.start();
@@ -81,14 +82,14 @@
         }
         Thread shutdownHook = new Thread(() -> processTree(process).forEach(ProcessHandle::destroyForcibly));
         Runtime.getRuntime().addShutdownHook(shutdownHook);
-        long expiryNanos = first.expiryNanos;
+        long expiryNanos = initial.expiryNanos;
         boolean lost = false;
         while (!process.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
-            LeaseAnswer next = queryOrNull(address);
+            LeaseResponse next = queryOrNull(address);
             // Without a response the last known expiry remains valid. Another fencing token means a new grant:
             // another holder may have acted in between, so the lease counts as lost.
             if (next != null) {
-                lost = !next.held() || next.token != first.token;
+                lost = !next.held() || next.token != initial.token;
                 expiryNanos = lost ? expiryNanos : Math.max(expiryNanos, next.expiryNanos);
             }
             if (lost || millisUntil(expiryNanos) <= TERMINATION_GRACE_MILLIS + SAFETY_MARGIN_MILLIS) {
@@ -101,11 +102,11 @@
 
     /** Asks the process to terminate, and kills it before the lease expires. */
     private static void terminate(Process process, long expiryNanos) throws InterruptedException {
-        List<ProcessHandle> all = processTree(process).toList();
-        all.forEach(ProcessHandle::destroy);
+        List<ProcessHandle> processes = processTree(process).toList();
+        processes.forEach(ProcessHandle::destroy);
         long wait = Math.max(0, Math.min(TERMINATION_GRACE_MILLIS, millisUntil(expiryNanos) - SAFETY_MARGIN_MILLIS));
         process.waitFor(wait, TimeUnit.MILLISECONDS);
-        all.forEach(ProcessHandle::destroyForcibly);
+        processes.forEach(ProcessHandle::destroyForcibly);
         process.waitFor();
     }
 
@@ -117,12 +118,12 @@
         return (expiryNanos - System.nanoTime()) / 1_000_000;
     }
 
-    private static long remainingMillis(LeaseAnswer answer) {
+    private static long remainingMillis(LeaseResponse answer) {
         return millisUntil(answer.expiryNanos);
     }
 
     /** Queries the sidecar; null if it cannot be reached. */
-    private LeaseAnswer queryOrNull(InetSocketAddress address) {
+    private LeaseResponse queryOrNull(InetSocketAddress address) {
         try {
             return query(address);
         } catch (IOException e) {
@@ -130,7 +131,7 @@
         }
     }
 
-    private LeaseAnswer query(InetSocketAddress address) throws IOException {
+    private LeaseResponse query(InetSocketAddress address) throws IOException {
         long sentNanos = System.nanoTime();
         try {
             String text = new AdminClient(address, REQUEST_TIMEOUT_MILLIS)
@@ -138,7 +139,7 @@
                     .strip();
             String[] parts = text.split(" ");
             boolean held = parts.length == 3 && parts[0].equals("YES");
-            return new LeaseAnswer(
+            return new LeaseResponse(
                     text,
                     held ? Long.parseLong(parts[1]) : 0,
                     held ? sentNanos + Long.parseLong(parts[2]) * 1_000_000 : sentNanos);
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/AssumedFacts.java
@@ -25,7 +25,7 @@
     public static final String UNCHECKED = "classes, zones, models and tenants by their names, effects"
             + " and deadlines of classes, and what the settings allow";
 
-    private static final long LONGEST_MICROS = 3_600_000_000L;
+    private static final long UNLIMITED_MICROS = 3_600_000_000L;
     private static final int UNLIMITED_COUNT = 1_000_000;
     private static final Set<String> CLASS_KEYS = Set.of("class", "classes");
 
@@ -46,7 +46,16 @@
         }
         List<RequestClass> requestClasses = collected.classes.stream()
                 .map(n -> new RequestClass(
-                        n, Effect.SAFE, Group.ALL, LONGEST_MICROS, LONGEST_MICROS, 0, LONGEST_MICROS, 1, 1, false))
+                        n,
+                        Effect.SAFE,
+                        Group.ALL,
+                        UNLIMITED_MICROS,
+                        UNLIMITED_MICROS,
+                        0,
+                        UNLIMITED_MICROS,
+                        1,
+                        1,
+                        false))
                 .toList();
         Settings settings = new Settings(
                 0,
@@ -63,8 +72,8 @@
                         true,
                         true,
                         true,
-                        LONGEST_MICROS,
-                        LONGEST_MICROS,
+                        UNLIMITED_MICROS,
+                        UNLIMITED_MICROS,
                         UNLIMITED_COUNT,
                         UNLIMITED_COUNT,
                         true,
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsReader.java
@@ -156,18 +156,18 @@
     }
 
     /** Returns the index of a named cell; an unknown name is reported and gives -1. */
-    private static int cellIndex(Section where, String key, String name, List<String> names) {
+    private static int cellIndex(Section target, String key, String name, List<String> names) {
         if (name != null && !names.contains(name)) {
-            where.problem(key, "there is no cell '" + name + "'" + SpellingHint.didYouMean(name, names));
+            target.problem(key, "there is no cell '" + name + "'" + SpellingHint.didYouMean(name, names));
         }
         return names.indexOf(name);
     }
 
-    private void requireKnownTenant(Section where, String key, String unit, Unit unitKind) {
+    private void requireKnownTenant(Section target, String key, String unit, Unit unitKind) {
         List<String> tenants =
                 facts.settings().tenants().stream().map(Tenant::name).toList();
         if (unitKind == Unit.TENANT && !tenants.isEmpty() && unit != null && !tenants.contains(unit)) {
-            where.problem(key, "the settings have no tenant '" + unit + "'" + SpellingHint.didYouMean(unit, tenants));
+            target.problem(key, "the settings have no tenant '" + unit + "'" + SpellingHint.didYouMean(unit, tenants));
         }
     }
 
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
@@ -199,7 +199,7 @@
         if (pool == null) {
             return;
         }
-        for (LimitKey key : LimitKey.OF_ROUTES) {
+        for (LimitKey key : LimitKey.ROUTE_KEYS) {
             if (key == LimitKey.RETRY_ON) {
                 checkPoolOutcomes(route, pool);
                 continue;
@@ -269,12 +269,12 @@
     /** Queued requests count as in progress, so a queue limit above that of requests in progress has no effect. */
     private void checkQueue(String kind, String name, LimitSet limits) {
         Setting<Long> queue = limits.number(LimitKey.MAX_QUEUE);
-        Setting<Long> all = limits.number(LimitKey.MAX_REQUESTS);
-        if (queue != null && all != null && queue.value() > all.value()) {
+        Setting<Long> maxRequests = limits.number(LimitKey.MAX_REQUESTS);
+        if (queue != null && maxRequests != null && queue.value() > maxRequests.value()) {
             problems.add(
                     queue.line(),
                     "'max_queue' of " + kind + " '" + name + "' is " + queue.value() + ", and 'max_requests' allows "
-                            + all.value() + " in hand (line " + all.line() + ")");
+                            + maxRequests.value() + " in hand (line " + maxRequests.line() + ")");
         }
     }
 
@@ -439,8 +439,8 @@
             problems.add(
                     fleet.lines().get("idle_per_server"),
                     "'instances' is 'members', and the settings"
-                            + " say no time, up to an hour, after which servers close idle connections: what a"
-                            + " process that stands still has open would never be anybody else's");
+                            + " give no time, up to an hour, after which servers close idle connections: those"
+                            + " of a paused process would never become available to others");
         }
         if (!fleet.fromMembership() && rank >= fleet.instances()) {
             problems.add(
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -52,7 +52,7 @@
                         "plug-in %s: %d bytes, %s a call, %d KiB, fails" + " %s; headers %s, classes %s, weakens %s%s",
                         p.name(),
                         p.module().length,
-                        timeText(p.deadlineMicros()),
+                        durationText(p.deadlineMicros()),
                         p.memoryPages() * 64,
                         p.failClosed() ? "closed" : "open",
                         new TreeSet<>(p.grant().headers()),
@@ -110,7 +110,7 @@
         }
     }
 
-    private static String timeText(long micros) {
+    private static String durationText(long micros) {
         return micros == 0 ? "none" : DurationText.format(micros);
     }
 
@@ -132,7 +132,7 @@
         poolValue(section, LimitKey.MAX_REQUESTS, pool.requests());
         poolValue(section, LimitKey.MAX_QUEUE, pool.queue() == Integer.MAX_VALUE ? "unbounded" : pool.queue());
         section.limits().asMap().forEach((key, setting) -> {
-            if (LimitKey.OF_ROUTES.contains(key) && key != LimitKey.MAX_REQUESTS && key != LimitKey.MAX_QUEUE) {
+            if (LimitKey.ROUTE_KEYS.contains(key) && key != LimitKey.MAX_REQUESTS && key != LimitKey.MAX_QUEUE) {
                 valueLine(key.key + " <=", key.text(setting.value()), setting.origin());
             }
         });
@@ -183,7 +183,7 @@
                 "  cells by %s, %ss assigned, places kept for %s, guests%s up to %s%%",
                 cells.header() == null ? cells.unit().name().toLowerCase(Locale.ROOT) : cells.header(),
                 cells.spread().name().toLowerCase(Locale.ROOT),
-                timeText(cells.keepMicros()),
+                durationText(cells.keepMicros()),
                 cells.guestWrites() ? " and their writes" : "",
                 100 * cells.guests());
         CellAssignment assignment = new CellAssignment(cells.cells(), cells.spread(), cells.keepMicros());
@@ -218,15 +218,15 @@
                         m.label(),
                         cells.cells().get(m.to()).name(),
                         Instant.EPOCH.plus(m.startMicros(), ChronoUnit.MICROS),
-                        timeText(m.overMicros()),
-                        timeText(m.fenceMicros()),
-                        timeText(m.freezeMicros())));
+                        durationText(m.overMicros()),
+                        durationText(m.fenceMicros()),
+                        durationText(m.freezeMicros())));
         if (cells.quarantine() != null) {
             line(
                     "  quarantine       cell %s, from %.0f%% of an unhealthy cell, for %s",
                     cells.cells().get(cells.quarantine().cell()).name(),
                     100 * cells.quarantine().share(),
-                    timeText(cells.quarantine().forMicros()));
+                    durationText(cells.quarantine().forMicros()));
         }
     }
 
@@ -309,11 +309,11 @@
                             + " life %s, drain %s, %d reconnects a second",
                     w.maxFrame(),
                     w.maxMessage(),
-                    timeText(w.idleMicros()),
-                    timeText(w.pingMicros()),
-                    timeText(w.pongMicros()),
-                    timeText(w.lifeMicros()),
-                    timeText(w.drainMicros()),
+                    durationText(w.idleMicros()),
+                    durationText(w.pingMicros()),
+                    durationText(w.pongMicros()),
+                    durationText(w.lifeMicros()),
+                    durationText(w.drainMicros()),
                     w.reconnects());
             line(
                     "  closes with      %d %s",
@@ -322,7 +322,7 @@
                     "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
                     countText(w.bounds().most()),
                     countText(w.bounds().perTenant()),
-                    timeText(w.bounds().evictMicros()),
+                    durationText(w.bounds().evictMicros()),
                     w.resume() == null
                             ? "never"
                             : String.join(" ", new TreeSet<>(w.resume().subprotocols()))
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/LimitKey.java
@@ -31,8 +31,8 @@
         OUTCOMES
     }
 
-    static final Set<LimitKey> OF_ROUTES = EnumSet.complementOf(EnumSet.of(MAX_CONNECTIONS));
-    static final Set<LimitKey> OF_POOLS = EnumSet.complementOf(EnumSet.of(HEDGE_AFTER));
+    static final Set<LimitKey> ROUTE_KEYS = EnumSet.complementOf(EnumSet.of(MAX_CONNECTIONS));
+    static final Set<LimitKey> POOL_KEYS = EnumSet.complementOf(EnumSet.of(HEDGE_AFTER));
 
     final String key;
     final Kind kind;
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/OperatorsReader.java
@@ -186,7 +186,7 @@
         } else if (section.has("servers") && source != null) {
             section.problem("servers", "a pool with source '" + source + "' names no servers");
         }
-        LimitSet limits = section.limits(LimitKey.OF_POOLS);
+        LimitSet limits = section.limits(LimitKey.POOL_KEYS);
         if (section.has(LimitKey.HEDGE_AFTER.key)) {
             section.problem(
                     LimitKey.HEDGE_AFTER.key,
@@ -248,7 +248,7 @@
     }
 
     private ClassSection readRequestClass(Section section) {
-        LimitSet limits = section.limits(LimitKey.OF_ROUTES);
+        LimitSet limits = section.limits(LimitKey.ROUTE_KEYS);
         rejectMaxConnections(section);
         Long clientTimeoutMicros = section.time("client_gives_up", 1_000, 3_600_000_000L);
         Setting<Long> clientTimeout =
@@ -269,7 +269,7 @@
         Match match = readMatch(section);
         String requestClass = section.required("class");
         String pool = section.required("pool");
-        LimitSet limits = section.limits(LimitKey.OF_ROUTES);
+        LimitSet limits = section.limits(LimitKey.ROUTE_KEYS);
         rejectMaxConnections(section);
         WebSocketLimits webSocket = readWebSocket(section, match);
         section.rejectUnknownKeys();
@@ -420,8 +420,8 @@
             } else if (lowerCaseName.equals("host")) {
                 headers.problem(name, "the host is matched with 'host', not as a header");
             }
-            String duplicateName = seen.put(lowerCaseName, name);
-            if (duplicateName != null) {
+            String earlierName = seen.put(lowerCaseName, name);
+            if (earlierName != null) {
                 headers.problem(name, "header '" + name + "' is tested twice");
             }
             tests.add(readHeaderTest(headers, name, lowerCaseName));
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
@@ -98,16 +98,16 @@
         Set<String> headers = new HashSet<>();
         List<String> names = section.texts("headers");
         for (String name : names == null ? List.<String>of() : names) {
-            String lower = name.toLowerCase(Locale.ROOT);
+            String lowerCaseName = name.toLowerCase(Locale.ROOT);
             if (!name.matches(OperatorsReader.TOKEN)) {
                 section.problem(
                         "headers", "there is no header '" + name + "'; a name is one word (RFC 9110, section 5.1)");
-            } else if (lower.matches(PluginGrant.OWN_HEADERS)) {
+            } else if (lowerCaseName.matches(PluginGrant.OWN_HEADERS)) {
                 section.problem(
                         "headers",
                         "'" + name + "' belongs to the sidecar or to the connection and can't" + " be granted");
             }
-            headers.add(lower);
+            headers.add(lowerCaseName);
         }
         return Set.copyOf(headers);
     }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Section.java
@@ -165,9 +165,9 @@
 
     /** Returns a date-time with UTC offset as microseconds since the Unix epoch, or null. */
     Long timestamp(String key) {
-        OffsetDateTime moment =
+        OffsetDateTime timestamp =
                 value(key, OffsetDateTime.class, "a moment such as 2026-12-24T18:00:00Z, without quotes");
-        return moment == null ? null : ChronoUnit.MICROS.between(Instant.EPOCH, moment.toInstant());
+        return timestamp == null ? null : ChronoUnit.MICROS.between(Instant.EPOCH, timestamp.toInstant());
     }
 
     /** Returns a list of strings, or null. */
--- a/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
+++ b/src/main/java/org/cypressweir/sidecar/simhost/SimHost.java
@@ -118,16 +118,16 @@
     }
 
     private void readGroup(JsonParser parser, long now, ReplyWriter replies) throws IOException, WireException {
-        String who = null;
+        String instanceName = null;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             JsonToken value = parser.nextToken();
             if (name.equals("who")) {
                 expect(value, JsonToken.VALUE_STRING, "group: 'who' must be a string");
-                who = parser.getText();
-                replies.instance(who);
+                instanceName = parser.getText();
+                replies.instance(instanceName);
             } else if (name.equals("msgs")) {
-                if (who == null) {
+                if (instanceName == null) {
                     // Pools belong to the process, so a group that has only Pool events may lack an instance
                     // name.
                     replies.instance("");
@@ -136,7 +136,7 @@
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
                     expect(parser.currentToken(), JsonToken.START_OBJECT, "an event must be an object");
                     fields.read(parser);
-                    handleEvent(now, who, replies);
+                    handleEvent(now, instanceName, replies);
                 }
             } else {
                 parser.skipChildren();
@@ -144,28 +144,28 @@
         }
     }
 
-    private void handleEvent(long now, String who, ReplyWriter replies) throws WireException {
+    private void handleEvent(long now, String instanceName, ReplyWriter replies) throws WireException {
         String op = fields.text("op");
         if (op.equals("Pool")) {
             serverLists.set(tableIndex(), List.copyOf(fields.servers()));
             return;
         }
-        if (who == null) {
+        if (instanceName == null) {
             throw new WireException("group: 'who' is missing");
         }
         if (op.equals("Start")) {
             HostedInstance hosted = new HostedInstance();
             hosted.balancer = new SubsetLoadBalancer(fields.settings(), replies);
-            instances.put(who, hosted);
+            instances.put(instanceName, hosted);
             return;
         }
-        HostedInstance hosted = instances.get(who);
+        HostedInstance hosted = instances.get(instanceName);
         if (hosted == null) {
-            throw new WireException(op + ": unknown instance '" + who + "'");
+            throw new WireException(op + ": unknown instance '" + instanceName + "'");
         }
         LoadBalancer balancer = hosted.balancer;
         switch (op) {
-            case "PowerOff" -> instances.remove(who);
+            case "PowerOff" -> instances.remove(instanceName);
             case "Endpoints" -> {
                 ListKind kind = fields.listKind();
                 List<Server> list = kind == ListKind.FAILED ? List.of() : serverLists.get(tableIndex());
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -85,7 +85,7 @@
         long seed = 3141;
         int valid = 0;
         int retries = 0;
-        int copies = 0;
+        int hedges = 0;
         long answered = 0;
         for (long i = 0; valid < 150; i++) {
             SplittableRandom random = new SplittableRandom(seed + i);
@@ -125,12 +125,12 @@
             }
             fixture.run();
             retries += fixture.retries();
-            copies += fixture.copies();
+            hedges += fixture.copies();
             answered += fixture.ended("served");
         }
         assertTrue(
-                retries > 1_000 && copies > 200 && answered > 10_000,
-                "too few cases: " + retries + " retries, " + copies + " hedged requests, " + answered + " served");
+                retries > 1_000 && hedges > 200 && answered > 10_000,
+                "too few cases: " + retries + " retries, " + hedges + " hedged requests, " + answered + " served");
     }
 
     private record TestRequest(String path) implements Routable {
