--- a/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/AdminCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** A command that asks a sidecar at its operators' door. */
+/** A command that queries a sidecar through its admin listener. */
 abstract class AdminCommand implements Callable<Integer> {
 
     @Spec
@@ -18,33 +18,33 @@
             names = "--door",
             paramLabel = "ADDRESS",
             required = true,
-            description = "the sidecar's operators' door, address:port")
-    private String door;
+            description = "the sidecar's admin listener, address:port")
+    private String adminAddress;
 
-    /** Does its work at this door; the exit status. */
-    abstract int work(InetSocketAddress address) throws InterruptedException;
+    /** Runs the command against this admin listener; returns the exit status. */
+    abstract int execute(InetSocketAddress address) throws InterruptedException;
 
     @Override
     public final Integer call() throws InterruptedException {
         InetSocketAddress address;
         try {
-            address = Addresses.parse(door);
+            address = Addresses.parse(adminAddress);
         } catch (IllegalArgumentException e) {
-            return say("--door: " + e.getMessage(), CommandLineTool.BAD);
+            return report("--door: " + e.getMessage(), CommandLineTool.EXIT_INVALID_INPUT);
         }
-        return work(address);
+        return execute(address);
     }
 
-    final String door() {
-        return door;
+    final String adminAddress() {
+        return adminAddress;
     }
 
     final CommandLine commandLine() {
         return command.commandLine();
     }
 
-    /** Says in a line why it ends, or goes on; hands the status back. */
-    final int say(String why, int status) {
+    /** Prints one line to standard error and returns the given status. */
+    final int report(String why, int status) {
         commandLine().getErr().println("cypressweir-sidecar: " + why);
         return status;
     }
--- a/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/CheckCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code check FILE}: says what is wrong with an operators' file. */
+/** {@code check FILE}: reports the problems of an operators' file. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
@@ -13,10 +13,10 @@
 final class CheckCommand implements Callable<Integer> {
 
     @Mixin
-    private Installed installed;
+    private OperatorsFileOptions operatorsFile;
 
     @Override
     public Integer call() {
-        return installed.load() == null ? CommandLineTool.BAD : 0;
+        return operatorsFile.load() == null ? CommandLineTool.EXIT_INVALID_INPUT : 0;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/MembersCommand.java
@@ -12,22 +12,22 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code members --door ADDRESS}: who is there, as one sidecar sees it. */
+/** {@code members --door ADDRESS}: prints the members of the fleet as one sidecar sees them. */
 @Command(
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         name = "members",
         description = "Print the members of a fleet as one sidecar sees them: exit status"
-                + " 0, 1 where it can't be asked or takes no part, 2 for a bad command line.")
+                + " 0, 1 where it can't be reached or is not a member, 2 for a bad command line.")
 final class MembersCommand extends AdminCommand {
 
-    private static final int PATIENCE_MILLIS = 2_000;
+    private static final int TIMEOUT_MILLIS = 2_000;
 
     @Option(names = "--watch", description = "print again every second until interrupted")
     private boolean watch;
 
     @Override
-    int work(InetSocketAddress address) throws InterruptedException {
+    int execute(InetSocketAddress address) throws InterruptedException {
         int status = print(address);
         while (watch) {
             TimeUnit.SECONDS.sleep(1);
@@ -37,34 +37,34 @@
     }
 
     private int print(InetSocketAddress address) {
-        String said;
+        String response;
         try {
-            said = new AdminClient(address, PATIENCE_MILLIS).ask("MEMBERS");
+            response = new AdminClient(address, TIMEOUT_MILLIS).send("MEMBERS");
         } catch (IOException e) {
-            return say("the door at " + door() + " can't be asked: " + e.getMessage(), 1);
+            return report("admin listener at " + adminAddress() + " can't be reached: " + e.getMessage(), 1);
         }
-        int end = said.indexOf('\n');
-        String first = end < 0 ? said : said.substring(0, end);
+        int end = response.indexOf('\n');
+        String first = end < 0 ? response : response.substring(0, end);
         if (!first.startsWith("{")) {
-            return say("the sidecar at " + door() + " says: " + first, 1);
+            return report("the sidecar at " + adminAddress() + " responded: " + first, 1);
         }
         try (JsonParser parser = new JsonFactory().createParser(first)) {
-            table(Json.document(parser));
+            printTable(Json.document(parser));
             return 0;
         } catch (IOException e) {
-            return say("the door at " + door() + " gave no table: " + e.getMessage(), 1);
+            return report("admin listener at " + adminAddress() + " returned no member table: " + e.getMessage(), 1);
         }
     }
 
-    private void table(Map<?, ?> m) {
+    private void printTable(Map<?, ?> m) {
         PrintWriter out = commandLine().getOut();
         out.println("as " + m.get("self") + " sees it, incarnation " + m.get("incarnation") + ": " + m.get("live")
                 + " live");
         if (m.get("share") instanceof Map<?, ?> share) {
-            out.println("it may use " + share.get("part") + " of what all share, "
+            out.println("it may use " + share.get("part") + " of the shared limits, "
                     + (Boolean.TRUE.equals(share.get("claims"))
                             ? "as one of " + share.get("count")
-                            : "the floor: most electors have not counted it for long enough"));
+                            : "the minimum: most voters have not counted it for long enough"));
         }
         out.println(row("NAME", "STATE", "INC", "ADDRESS", "FRONT", "SERVES", "LOAD"));
         Map<?, ?> details = Json.object(m, "details");
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginFile.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The module that a command is about. */
+/** Options for the plug-in module that a command examines. */
 final class PluginFile {
 
     private static final int DEADLINE_MICROS = 100_000;
-    private static final int PAGES = 32;
+    private static final int MEMORY_PAGES = 32;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
@@ -23,28 +23,28 @@
     @Parameters(paramLabel = "FILE.wasm", description = "the module")
     private Path file;
 
-    /** Its bytes; null where it can't be read, which is said. */
+    /** Reads the module; null if it can't be read, which is reported. */
     byte[] read() {
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            bad("can't be read");
+            fail("can't be read");
             return null;
         }
     }
 
-    PluginConfiguration plan(byte[] module, PluginGrant grant, Map<String, String> config) {
+    PluginConfiguration configuration(byte[] module, PluginGrant grant, Map<String, String> config) {
         return new PluginConfiguration(
-                file.getFileName().toString(), 1, module, DEADLINE_MICROS, PAGES, false, grant, config);
+                file.getFileName().toString(), 1, module, DEADLINE_MICROS, MEMORY_PAGES, false, grant, config);
     }
 
     PrintWriter out() {
         return command.commandLine().getOut();
     }
 
-    /** Says why; the exit status. */
-    int bad(String why) {
+    /** Reports a problem with the module and returns the exit status. */
+    int fail(String why) {
         command.commandLine().getErr().println(file + ": " + why);
-        return CommandLineTool.BAD;
+        return CommandLineTool.EXIT_INVALID_INPUT;
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/BadFilesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A corpus of bad files, each beside a file with all that is to be said of it. */
+/** A corpus of invalid files, each with a file of the expected problems. */
 class BadFilesTest {
 
     private static Path corpus() throws URISyntaxException {
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @MethodSource("files")
-    void eachReasonWithItsLine(Path file) throws IOException {
+    void reportsEachReasonWithItsLine(Path file) throws IOException {
         Path expected = Path.of(file.toString().replace(".toml", ".expected"));
         InvalidFileException refused = assertThrows(
                 InvalidFileException.class,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theCorpusIsWhole() throws Exception {
+    void corpusIsComplete() throws Exception {
         assertTrue(files().size() >= 60, "only " + files().size());
     }
 }
