--- a/src/test/java/org/cypressweir/testkit/CellsFixture.java
+++ b/src/test/java/org/cypressweir/testkit/CellsFixture.java
@@ -20,7 +20,7 @@
     public final Cells cells;
     public long now;
     private long timerAt;
-    private int asked;
+    private int requestCount;
 
     public CellsFixture(CellsConfiguration plan, long now, int servers) {
         this.now = now;
@@ -39,7 +39,7 @@
     }
 
     public Ticket ask(String unit, Effect effect) {
-        return ask(unit, effect, ++asked);
+        return ask(unit, effect, ++requestCount);
     }
 
     /** The number stands for the request and its idempotency key. */
@@ -47,8 +47,8 @@
         return ask(unit, effect, number, 3_000_000);
     }
 
-    public Ticket ask(String unit, Effect effect, long number, long patience) {
-        return cells.ask(now, Ids.of(unit), effect, number, Hashes.mix(number, 5), now + patience);
+    public Ticket ask(String unit, Effect effect, long number, long timeoutMicros) {
+        return cells.ask(now, Ids.of(unit), effect, number, Hashes.mix(number, 5), now + timeoutMicros);
     }
 
     public void done(Ticket ticket, boolean inTime) {
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
@@ -46,9 +46,9 @@
         }
     }
 
-    private record Pair(String from, String to) {}
+    private record Direction(String from, String to) {}
 
-    private record Held(long at, ByteBuffer bytes) {}
+    private record HeldBytes(long dueNanos, ByteBuffer bytes) {}
 
     private static final int MAX_HELD_BYTES = 256 * 1024;
     private static final int FIRST_PORT = 30_000;
@@ -58,16 +58,16 @@
 
     /** One direction of a connection. */
     private final class Flow {
-        private final Pair pair;
+        private final Direction pair;
         private final SocketChannel in;
         private final SocketChannel out;
-        private final Deque<Held> held = new ArrayDeque<>();
-        private long size;
+        private final Deque<HeldBytes> held = new ArrayDeque<>();
+        private long heldBytes;
         private boolean ended;
         private boolean lost;
-        private boolean closedBehind;
+        private boolean outputClosed;
 
-        private Flow(Pair pair, SocketChannel in, SocketChannel out) {
+        private Flow(Direction pair, SocketChannel in, SocketChannel out) {
             this.pair = pair;
             this.in = in;
             this.out = out;
@@ -87,83 +87,83 @@
                 lost |= count > 0;
             } else if (count > 0) {
                 bytes.flip();
-                held.add(new Held(now + delays.getOrDefault(pair, 0L), bytes));
-                size += count;
+                held.add(new HeldBytes(now + delays.getOrDefault(pair, 0L), bytes));
+                heldBytes += count;
             }
         }
 
         /** Hands on what is due; false once the connection is to be reset. */
-        private boolean move(long now) throws IOException {
+        private boolean forward(long now) throws IOException {
             if (lost && mode(pair) != LinkMode.LOSE) {
                 return false;
             }
             if (mode(pair) == LinkMode.LOSE) {
                 lost |= !held.isEmpty();
                 held.clear();
-                size = 0;
+                heldBytes = 0;
                 return true;
             }
-            while (mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().at <= now) {
+            while (mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().dueNanos <= now) {
                 ByteBuffer next = held.peek().bytes;
-                size -= out.write(next);
+                heldBytes -= out.write(next);
                 if (next.hasRemaining()) {
                     return true;
                 }
                 held.remove();
             }
-            if (ended && held.isEmpty() && !closedBehind && mode(pair) == LinkMode.PASS) {
-                closedBehind = true;
+            if (ended && held.isEmpty() && !outputClosed && mode(pair) == LinkMode.PASS) {
+                outputClosed = true;
                 out.shutdownOutput();
             }
             return true;
         }
 
         private boolean wantsWrite(long now) {
-            return mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().at <= now;
+            return mode(pair) == LinkMode.PASS && !held.isEmpty() && held.peek().dueNanos <= now;
         }
     }
 
     private final class Link {
-        private final Flow there;
-        private final Flow back;
+        private final Flow clientToTarget;
+        private final Flow targetToClient;
 
-        private Link(Pair dialled, SocketChannel dialler, SocketChannel target) {
-            there = new Flow(dialled, dialler, target);
-            back = new Flow(new Pair(dialled.to, dialled.from), target, dialler);
+        private Link(Direction direction, SocketChannel client, SocketChannel target) {
+            clientToTarget = new Flow(direction, client, target);
+            targetToClient = new Flow(new Direction(direction.to, direction.from), target, client);
         }
 
-        private void watch(Flow in, Flow out, long now) {
-            SelectionKey key = in.in.keyFor(selector);
+        private void updateInterest(Flow incoming, Flow outgoing, long now) {
+            SelectionKey key = incoming.in.keyFor(selector);
             if (key != null && key.isValid()) {
-                key.interestOps((in.ended || in.size > MAX_HELD_BYTES ? 0 : SelectionKey.OP_READ)
-                        | (out.wantsWrite(now) ? SelectionKey.OP_WRITE : 0));
+                key.interestOps((incoming.ended || incoming.heldBytes > MAX_HELD_BYTES ? 0 : SelectionKey.OP_READ)
+                        | (outgoing.wantsWrite(now) ? SelectionKey.OP_WRITE : 0));
             }
         }
 
-        private boolean isOver() {
-            return there.closedBehind && back.closedBehind;
+        private boolean isFinished() {
+            return clientToTarget.outputClosed && targetToClient.outputClosed;
         }
     }
 
     private final Selector selector = Selector.open();
     private final Map<String, InetSocketAddress> targets = new LinkedHashMap<>();
-    private final Map<Pair, InetSocketAddress> doors = new LinkedHashMap<>();
-    private final Map<Pair, ServerSocketChannel> open = new LinkedHashMap<>();
-    private final Map<Pair, List<SocketChannel>> fillers = new LinkedHashMap<>();
-    private final Map<Pair, LinkMode> modes = new LinkedHashMap<>();
-    private final Map<Pair, Long> delays = new LinkedHashMap<>();
+    private final Map<Direction, InetSocketAddress> listenAddresses = new LinkedHashMap<>();
+    private final Map<Direction, ServerSocketChannel> listeners = new LinkedHashMap<>();
+    private final Map<Direction, List<SocketChannel>> queueFillers = new LinkedHashMap<>();
+    private final Map<Direction, LinkMode> modes = new LinkedHashMap<>();
+    private final Map<Direction, Long> delays = new LinkedHashMap<>();
     private final Set<Link> links = new LinkedHashSet<>();
-    private final Set<String> down = new LinkedHashSet<>();
+    private final Set<String> unreachable = new LinkedHashSet<>();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     /** Callers whose tasks have run; only the relay's thread uses it. */
-    private final List<CompletableFuture<Void>> awaitingEffect = new ArrayList<>();
+    private final List<CompletableFuture<Void>> pendingCallers = new ArrayList<>();
     /** Connections that were reset. */
     public final AtomicLong resets = new AtomicLong();
 
     private final Thread thread;
     private long probedAt;
     private volatile IOException failed;
-    private volatile boolean over;
+    private volatile boolean closed;
 
     /** @param ip where the relay listens for all of them */
     public ConnectionRelay(String ip, Map<String, InetSocketAddress> processes) throws IOException {
@@ -171,11 +171,12 @@
         for (String from : targets.keySet()) {
             for (String to : targets.keySet()) {
                 if (!from.equals(to)) {
-                    doors.put(new Pair(from, to), new InetSocketAddress(ip, FIRST_PORT + doors.size()));
+                    listenAddresses.put(
+                            new Direction(from, to), new InetSocketAddress(ip, FIRST_PORT + listenAddresses.size()));
                 }
             }
         }
-        down.addAll(targets.keySet());
+        unreachable.addAll(targets.keySet());
         thread = new Thread(this::run, "connection-relay");
         thread.setDaemon(true);
         thread.start();
@@ -183,17 +184,17 @@
 
     /** The address at which one process reaches another through the relay. */
     public InetSocketAddress dialAddress(String from, String to) {
-        return doors.get(new Pair(from, to));
+        return listenAddresses.get(new Direction(from, to));
     }
 
     /** Sets the mode of one direction; returns once it is in force. */
     public void set(String from, String to, LinkMode mode) {
-        act(() -> modes.put(new Pair(from, to), mode));
+        runOnRelayThread(() -> modes.put(new Direction(from, to), mode));
     }
 
     /** Delays what one process sends to another. */
     public void delay(String from, String to, long millis) {
-        act(() -> delays.put(new Pair(from, to), TimeUnit.MILLISECONDS.toNanos(millis)));
+        runOnRelayThread(() -> delays.put(new Direction(from, to), TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
     /** Sets the modes between one process and others, for what it sends and for what it receives. */
@@ -208,42 +209,42 @@
 
     /** Ends all partitions. */
     public void heal() {
-        act(modes::clear);
+        runOnRelayThread(modes::clear);
     }
 
     /** Runs a task on the relay's thread and returns once listeners and connections follow from it. */
-    private void act(Runnable task) {
+    private void runOnRelayThread(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         tasks.add(() -> {
             task.run();
-            awaitingEffect.add(done);
+            pendingCallers.add(done);
         });
         selector.wakeup();
         done.orTimeout(5, TimeUnit.SECONDS).join();
     }
 
-    private LinkMode mode(Pair pair) {
+    private LinkMode mode(Direction pair) {
         return modes.getOrDefault(pair, LinkMode.PASS);
     }
 
     private void run() {
         try {
-            while (!over) {
+            while (!closed) {
                 for (Runnable task; (task = tasks.poll()) != null; ) {
                     task.run();
                 }
                 long now = System.nanoTime();
                 if (now - probedAt >= PROBE_INTERVAL_NANOS) {
                     probedAt = now;
-                    probe();
+                    probeTargets();
                 }
-                doors();
-                move(now);
-                awaitingEffect.forEach(done -> done.complete(null));
-                awaitingEffect.clear();
+                updateListeners();
+                forward(now);
+                pendingCallers.forEach(done -> done.complete(null));
+                pendingCallers.clear();
                 selector.select(5);
                 for (SelectionKey key : selector.selectedKeys()) {
-                    took(key);
+                    handleKey(key);
                 }
                 selector.selectedKeys().clear();
             }
@@ -252,11 +253,11 @@
         }
     }
 
-    private void took(SelectionKey key) throws IOException {
+    private void handleKey(SelectionKey key) throws IOException {
         if (!key.isValid()) {
             return;
         }
-        if (key.attachment() instanceof Pair pair) {
+        if (key.attachment() instanceof Direction pair) {
             if (key.isAcceptable()) {
                 accept(pair);
             }
@@ -266,11 +267,11 @@
     }
 
     /** Who was not there is looked for: nobody is let in before it is. */
-    private void probe() throws IOException {
-        for (String name : List.copyOf(down)) {
+    private void probeTargets() throws IOException {
+        for (String name : List.copyOf(unreachable)) {
             try {
                 connect(targets.get(name)).close();
-                down.remove(name);
+                unreachable.remove(name);
             } catch (IOException e) {
                 // Still not.
             }
@@ -289,85 +290,85 @@
         }
     }
 
-    private void doors() throws IOException {
-        for (Pair pair : doors.keySet()) {
-            boolean refuses = down.contains(pair.to) || mode(pair) == LinkMode.REFUSE;
-            boolean silent =
-                    mode(pair).isSilent() || mode(new Pair(pair.to, pair.from)).isSilent();
-            ServerSocketChannel door = open.get(pair);
-            if (refuses && door != null) {
-                free(pair);
-                open.remove(pair).close();
+    private void updateListeners() throws IOException {
+        for (Direction pair : listenAddresses.keySet()) {
+            boolean isRefused = unreachable.contains(pair.to) || mode(pair) == LinkMode.REFUSE;
+            boolean isSilent = mode(pair).isSilent()
+                    || mode(new Direction(pair.to, pair.from)).isSilent();
+            ServerSocketChannel listener = listeners.get(pair);
+            if (isRefused && listener != null) {
+                closeQueueFillers(pair);
+                listeners.remove(pair).close();
                 selector.selectNow();
-            } else if (!refuses && door == null) {
-                door = ServerSocketChannel.open();
-                door.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-                door.bind(doors.get(pair), BACKLOG);
-                door.configureBlocking(false);
-                door.register(selector, SelectionKey.OP_ACCEPT, pair);
-                open.put(pair, door);
+            } else if (!isRefused && listener == null) {
+                listener = ServerSocketChannel.open();
+                listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+                listener.bind(listenAddresses.get(pair), BACKLOG);
+                listener.configureBlocking(false);
+                listener.register(selector, SelectionKey.OP_ACCEPT, pair);
+                listeners.put(pair, listener);
             }
-            if (!refuses && silent != fillers.containsKey(pair)) {
-                if (silent) {
-                    fill(pair, door);
+            if (!isRefused && isSilent != queueFillers.containsKey(pair)) {
+                if (isSilent) {
+                    fillAcceptQueue(pair, listener);
                 } else {
-                    free(pair);
-                    emptyQueue(pair);
-                    door.keyFor(selector).interestOps(SelectionKey.OP_ACCEPT);
+                    closeQueueFillers(pair);
+                    drainAcceptQueue(pair);
+                    listener.keyFor(selector).interestOps(SelectionKey.OP_ACCEPT);
                 }
             }
         }
     }
 
     /** With its queue full the system answers no dial. */
-    private void fill(Pair pair, ServerSocketChannel door) throws IOException {
-        door.keyFor(selector).interestOps(0);
+    private void fillAcceptQueue(Direction pair, ServerSocketChannel listener) throws IOException {
+        listener.keyFor(selector).interestOps(0);
         List<SocketChannel> all = new ArrayList<>();
         for (int i = 0; i <= BACKLOG; i++) {
             SocketChannel one = SocketChannel.open();
             one.configureBlocking(false);
-            one.connect(doors.get(pair));
+            one.connect(listenAddresses.get(pair));
             all.add(one);
         }
-        fillers.put(pair, all);
+        queueFillers.put(pair, all);
     }
 
     /** While its queue is full the system answers no dial, and the dialler tries again only after a second. */
-    private void emptyQueue(Pair pair) throws IOException {
+    private void drainAcceptQueue(Direction pair) throws IOException {
         boolean isEmpty = false;
         while (!isEmpty) {
             isEmpty = !accept(pair);
         }
     }
 
-    private void free(Pair pair) throws IOException {
-        for (SocketChannel one : fillers.getOrDefault(pair, List.of())) {
+    private void closeQueueFillers(Direction pair) throws IOException {
+        for (SocketChannel one : queueFillers.getOrDefault(pair, List.of())) {
             one.close();
         }
-        fillers.remove(pair);
+        queueFillers.remove(pair);
     }
 
     /** Takes the next connection; returns whether there was one. */
-    private boolean accept(Pair pair) throws IOException {
-        SocketChannel dialler = open.get(pair).accept();
-        if (dialler == null) {
+    private boolean accept(Direction pair) throws IOException {
+        SocketChannel client = listeners.get(pair).accept();
+        if (client == null) {
             return false;
         }
         if (mode(pair) == LinkMode.RESET) {
-            reset(dialler);
+            reset(client);
             return true;
         }
         SocketChannel target;
         try {
             target = connect(targets.get(pair.to));
         } catch (IOException e) {
-            down.add(pair.to);
-            reset(dialler);
+            unreachable.add(pair.to);
+            reset(client);
             return true;
         }
-        Link link = new Link(pair, dialler, target);
+        Link link = new Link(pair, client, target);
         links.add(link);
-        for (Flow flow : List.of(link.there, link.back)) {
+        for (Flow flow : List.of(link.clientToTarget, link.targetToClient)) {
             flow.in.setOption(StandardSocketOptions.TCP_NODELAY, true);
             flow.in.configureBlocking(false);
             flow.in.register(selector, 0, flow);
@@ -375,30 +376,30 @@
         return true;
     }
 
-    private void move(long now) throws IOException {
+    private void forward(long now) throws IOException {
         for (Link link : List.copyOf(links)) {
-            boolean stands = cuts(link.there) && cuts(link.back);
+            boolean usable = permitsConnections(link.clientToTarget) && permitsConnections(link.targetToClient);
             try {
-                stands = stands && link.there.move(now) && link.back.move(now);
+                usable = usable && link.clientToTarget.forward(now) && link.targetToClient.forward(now);
             } catch (IOException e) {
-                stands = false;
+                usable = false;
             }
-            if (!stands) {
+            if (!usable) {
                 links.remove(link);
-                reset(link.there.in);
-                reset(link.back.in);
-            } else if (link.isOver()) {
+                reset(link.clientToTarget.in);
+                reset(link.targetToClient.in);
+            } else if (link.isFinished()) {
                 links.remove(link);
-                link.there.in.close();
-                link.back.in.close();
+                link.clientToTarget.in.close();
+                link.targetToClient.in.close();
             } else {
-                link.watch(link.there, link.back, now);
-                link.watch(link.back, link.there, now);
+                link.updateInterest(link.clientToTarget, link.targetToClient, now);
+                link.updateInterest(link.targetToClient, link.clientToTarget, now);
             }
         }
     }
 
-    private boolean cuts(Flow flow) {
+    private boolean permitsConnections(Flow flow) {
         return mode(flow.pair) != LinkMode.RESET && mode(flow.pair) != LinkMode.REFUSE;
     }
 
@@ -410,7 +411,7 @@
 
     @Override
     public void close() throws IOException {
-        over = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join();
@@ -420,8 +421,8 @@
         for (SelectionKey key : selector.keys()) {
             key.channel().close();
         }
-        for (Pair pair : List.copyOf(fillers.keySet())) {
-            free(pair);
+        for (Direction pair : List.copyOf(queueFillers.keySet())) {
+            closeQueueFillers(pair);
         }
         selector.close();
         if (failed != null) {
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
@@ -23,47 +23,48 @@
 @Timeout(20)
 class ConnectionRelayTest {
 
-    private static final int SHORT = 150;
+    private static final int SHORT_MILLIS = 150;
 
     private ServerSocket target;
     private ConnectionRelay relay;
-    private Socket near;
-    private Socket far;
+    private Socket clientEnd;
+    private Socket serverEnd;
 
     @BeforeEach
     void open() throws IOException {
         SecureRandom random = new SecureRandom();
-        String net = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
-        target = new ServerSocket(0, 50, InetAddress.getByName(net + 1));
-        relay = new ConnectionRelay(net + 250, Map.of("a", new InetSocketAddress(net + 2, 9), "b", (InetSocketAddress)
-                target.getLocalSocketAddress()));
+        String networkPrefix = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
+        target = new ServerSocket(0, 50, InetAddress.getByName(networkPrefix + 1));
+        relay = new ConnectionRelay(
+                networkPrefix + 250, Map.of("a", new InetSocketAddress(networkPrefix + 2, 9), "b", (InetSocketAddress)
+                        target.getLocalSocketAddress()));
         target.accept().close();
-        while (near == null) {
+        while (clientEnd == null) {
             try {
-                near = dial();
+                clientEnd = dial();
             } catch (ConnectException e) {
                 // The relay does not listen there yet.
-                near = null;
+                clientEnd = null;
             }
         }
-        far = target.accept();
-        near.setSoTimeout(5_000);
-        far.setSoTimeout(5_000);
-        send(near, "x");
-        assertThat(far.getInputStream().read()).isEqualTo('x');
+        serverEnd = target.accept();
+        clientEnd.setSoTimeout(5_000);
+        serverEnd.setSoTimeout(5_000);
+        send(clientEnd, "x");
+        assertThat(serverEnd.getInputStream().read()).isEqualTo('x');
     }
 
     @AfterEach
     void close() throws IOException {
         relay.close();
         target.close();
-        near.close();
-        far.close();
+        clientEnd.close();
+        serverEnd.close();
     }
 
     private Socket dial() throws IOException {
         Socket socket = new Socket();
-        socket.connect(relay.dialAddress("a", "b"), SHORT);
+        socket.connect(relay.dialAddress("a", "b"), SHORT_MILLIS);
         return socket;
     }
 
@@ -71,8 +72,8 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void silent(Socket socket) throws IOException {
-        socket.setSoTimeout(SHORT);
+    private static void assertReceivesNothing(Socket socket) throws IOException {
+        socket.setSoTimeout(SHORT_MILLIS);
         assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
         socket.setSoTimeout(5_000);
     }
@@ -80,33 +81,33 @@
     @Test
     void heldBytesArriveOnceThePartitionHealsWhileTheOtherDirectionPasses() throws IOException {
         relay.set("a", "b", ConnectionRelay.LinkMode.HOLD);
-        send(near, "held");
-        silent(far);
-        send(far, "y");
-        assertThat(near.getInputStream().read()).isEqualTo('y');
+        send(clientEnd, "held");
+        assertReceivesNothing(serverEnd);
+        send(serverEnd, "y");
+        assertThat(clientEnd.getInputStream().read()).isEqualTo('y');
         assertThatThrownBy(this::dial).isInstanceOf(SocketTimeoutException.class);
-        near.shutdownOutput();
-        silent(far);
+        clientEnd.shutdownOutput();
+        assertReceivesNothing(serverEnd);
         relay.heal();
-        assertThat(far.getInputStream().readAllBytes()).asString().isEqualTo("held");
+        assertThat(serverEnd.getInputStream().readAllBytes()).asString().isEqualTo("held");
         dial().close();
     }
 
     @Test
     void connectionsThatLostBytesAreResetOnceThePartitionHeals() throws IOException {
         relay.set("b", "a", ConnectionRelay.LinkMode.LOSE);
-        send(far, "lost");
-        silent(near);
+        send(serverEnd, "lost");
+        assertReceivesNothing(clientEnd);
         assertThatThrownBy(this::dial).isInstanceOf(SocketTimeoutException.class);
         relay.heal();
-        assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
+        assertThatThrownBy(() -> clientEnd.getInputStream().read()).isInstanceOf(SocketException.class);
     }
 
     @Test
     void resetsAndRefusesConnections() throws IOException {
         relay.set("a", "b", ConnectionRelay.LinkMode.RESET);
-        assertThatThrownBy(() -> near.getInputStream().read()).isInstanceOf(SocketException.class);
-        assertThatThrownBy(() -> far.getInputStream().read()).isInstanceOf(SocketException.class);
+        assertThatThrownBy(() -> clientEnd.getInputStream().read()).isInstanceOf(SocketException.class);
+        assertThatThrownBy(() -> serverEnd.getInputStream().read()).isInstanceOf(SocketException.class);
         assertThatThrownBy(() -> {
                     try (Socket again = dial()) {
                         again.setSoTimeout(5_000);
@@ -123,9 +124,9 @@
 
     @Test
     void delayedBytesArriveLate() throws IOException {
-        relay.delay("a", "b", 2L * SHORT);
-        send(near, "z");
-        silent(far);
-        assertThat(far.getInputStream().read()).isEqualTo('z');
+        relay.delay("a", "b", 2L * SHORT_MILLIS);
+        send(clientEnd, "z");
+        assertReceivesNothing(serverEnd);
+        assertThat(serverEnd.getInputStream().read()).isEqualTo('z');
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -17,7 +17,7 @@
     private static final long MEAN_STEP_MICROS = 150_000;
     private static final long RECOVERY_MICROS = 15_000_000;
 
-    private final SimulatedReplicas world;
+    private final SimulatedReplicas simulation;
     private final SplittableRandom random;
     private final int count;
     private int machines;
@@ -27,10 +27,10 @@
         random = new SplittableRandom(seed * 31 + 7);
         count = seed % 3 == 0 ? 5 : 3;
         machines = count;
-        world = new SimulatedReplicas(seed, count);
-        world.maxDelayMicros = random.nextBoolean() ? 2_000 : 60_000;
-        world.lossProbability = random.nextInt(3) * 0.1;
-        world.duplicateProbability = random.nextInt(2) * 0.2;
+        simulation = new SimulatedReplicas(seed, count);
+        simulation.maxDelayMicros = random.nextBoolean() ? 2_000 : 60_000;
+        simulation.lossProbability = random.nextInt(3) * 0.1;
+        simulation.duplicateProbability = random.nextInt(2) * 0.2;
     }
 
     /** The first violation in so many scenarios, or null. */
@@ -50,41 +50,41 @@
     }
 
     public int accepted() {
-        return world.checks().accepted();
+        return simulation.checks().accepted();
     }
 
     /** Runs the scenario; returns the first violation, or null. */
     public String run() {
-        world.run(1_000_000);
-        for (int step = 0; step < STEPS && world.checks().breach() == null; step++) {
+        simulation.run(1_000_000);
+        for (int step = 0; step < STEPS && simulation.checks().breach() == null; step++) {
             submitRandomCalls();
             fault();
-            world.run(1 + random.nextLong(2 * MEAN_STEP_MICROS));
+            simulation.run(1 + random.nextLong(2 * MEAN_STEP_MICROS));
         }
-        if (world.checks().breach() != null) {
-            return world.checks().breach();
+        if (simulation.checks().breach() != null) {
+            return simulation.checks().breach();
         }
         return checkRecovery();
     }
 
     protected SimulatedReplicas world() {
-        return world;
+        return simulation;
     }
 
     protected Replica anyRunning() {
-        List<Replica> up = world.runningReplicas();
-        return up.get(random.nextInt(up.size()));
+        List<Replica> running = simulation.runningReplicas();
+        return running.get(random.nextInt(running.size()));
     }
 
     protected void submitRandomCalls() {
         for (int i = random.nextInt(4); i > 0; i--) {
             if (random.nextInt(3) == 0) {
-                world.read(anyRunning(), 100_000 + random.nextLong(2_000_000));
+                simulation.read(anyRunning(), 100_000 + random.nextLong(2_000_000));
                 continue;
             }
             String tenant = "t" + random.nextInt(3);
             versions += random.nextInt(2);
-            world.submit(
+            simulation.submit(
                     anyRunning(),
                     random.nextInt(6) == 0
                             ? "{\"withdraw\":{\"tenantTable\":[{\"name\":\"" + tenant + "\",\"configVersion\":\"r"
@@ -97,9 +97,10 @@
 
     /** Whether all replicas run and are voters with their present disks. */
     private boolean areAllVotersHealthy() {
-        return world.runningReplicas().size() == count
-                && world.runningReplicas().stream().noneMatch(h -> h.consensus().isBlank())
-                && world.runningReplicas().stream()
+        return simulation.runningReplicas().size() == count
+                && simulation.runningReplicas().stream()
+                        .noneMatch(h -> h.consensus().isBlank())
+                && simulation.runningReplicas().stream()
                         .allMatch(h -> h.consensus().voters().size() == count
                                 && h.consensus().voters().contains(h.consensus().own()));
     }
@@ -108,49 +109,49 @@
         Replica replica = anyRunning();
         switch (random.nextInt(14)) {
             case 0, 1 -> {
-                world.crash(replica);
-                world.start(replica.address(), false);
+                simulation.crash(replica);
+                simulation.start(replica.address(), false);
             }
             case 2 -> {
                 if (areAllVotersHealthy()) {
-                    world.wipe(replica);
-                    world.start(replica.address(), false);
+                    simulation.wipe(replica);
+                    simulation.start(replica.address(), false);
                 }
             }
             case 3 -> {
                 if (areAllVotersHealthy()) {
-                    world.crash(replica);
-                    world.run(random.nextLong(2_000_000));
-                    world.start(replica.address(), false);
+                    simulation.crash(replica);
+                    simulation.run(random.nextLong(2_000_000));
+                    simulation.start(replica.address(), false);
                 }
             }
             case 4 -> {
                 if (areAllVotersHealthy() && random.nextInt(3) == 0) {
-                    world.wipe(replica);
-                    world.run(random.nextLong(2_000_000));
-                    world.start(++machines);
+                    simulation.wipe(replica);
+                    simulation.run(random.nextLong(2_000_000));
+                    simulation.start(++machines);
                     // Replaced machines take part again before the next fault of this kind: see areAllVotersHealthy().
                 }
             }
-            case 5 -> world.stallDisk(replica, random.nextLong(1_500_000));
+            case 5 -> simulation.stallDisk(replica, random.nextLong(1_500_000));
             case 6 -> {
-                world.setDiskFull(replica, true);
-                world.run(random.nextLong(1_000_000));
-                world.setDiskFull(replica, false);
+                simulation.setDiskFull(replica, true);
+                simulation.run(random.nextLong(1_000_000));
+                simulation.setDiskFull(replica, false);
             }
-            case 7 -> world.block(replica.address(), anyRunning().address());
-            case 8 -> world.heal();
+            case 7 -> simulation.block(replica.address(), anyRunning().address());
+            case 8 -> simulation.heal();
             case 9 -> {
                 if (areAllVotersHealthy()) {
-                    List<Replica> all = world.runningReplicas();
+                    List<Replica> all = simulation.runningReplicas();
                     all.forEach(h -> {
                         if (h == replica) {
-                            world.wipe(h);
+                            simulation.wipe(h);
                         } else {
-                            world.crash(h);
+                            simulation.crash(h);
                         }
                     });
-                    all.forEach(h -> world.start(h.address(), false));
+                    all.forEach(h -> simulation.start(h.address(), false));
                 }
             }
             default -> {}
@@ -158,20 +159,20 @@
     }
 
     protected String checkRecovery() {
-        world.heal();
-        world.run(RECOVERY_MICROS);
-        long read = world.read(anyRunning(), 5_000_000);
-        if (!(world.await(read) instanceof ProposalResult.Read)) {
-            return "no read after all faults are over: " + world.result(read);
+        simulation.heal();
+        simulation.run(RECOVERY_MICROS);
+        long read = simulation.read(anyRunning(), 5_000_000);
+        if (!(simulation.await(read) instanceof ProposalResult.Read)) {
+            return "no read after all faults are over: " + simulation.result(read);
         }
-        world.run(2_000_000);
-        ReplicatedState first = world.runningReplicas().get(0).consensus().committed();
-        for (Replica replica : world.runningReplicas()) {
+        simulation.run(2_000_000);
+        ReplicatedState first = simulation.runningReplicas().get(0).consensus().committed();
+        for (Replica replica : simulation.runningReplicas()) {
             if (!replica.consensus().committed().equals(first)) {
                 return replica.address() + " shows " + replica.consensus().committed() + " and not " + first;
             }
         }
-        world.checks().requireAtLeast(world.checks().requiredItems(), first.configuration(), "shown");
-        return world.checks().breach();
+        simulation.checks().requireAtLeast(simulation.checks().requiredItems(), first.configuration(), "shown");
+        return simulation.checks().breach();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -46,7 +46,7 @@
             rounds += other.rounds;
         }
 
-        private long at(double part) {
+        private long percentile(double part) {
             List<Long> sorted = new ArrayList<>(micros);
             Collections.sort(sorted);
             int place = (int) Math.min(sorted.size() - 1L, sorted.size() * part);
@@ -54,7 +54,7 @@
         }
 
         public long worst() {
-            return at(1);
+            return percentile(1);
         }
 
         public int changes() {
@@ -69,7 +69,11 @@
         public String toString() {
             return String.format(
                     "%d changes, median %d ms, 99%% %d ms, worst %d ms, %.2f rounds a change",
-                    micros.size(), at(0.5) / 1_000, at(0.99) / 1_000, worst() / 1_000, roundsPerChange());
+                    micros.size(),
+                    percentile(0.5) / 1_000,
+                    percentile(0.99) / 1_000,
+                    worst() / 1_000,
+                    roundsPerChange());
         }
     }
 
@@ -87,54 +91,54 @@
     private final class Operator {
         private final String tenant;
         private long version;
-        private long begun = -1;
+        private long startedAt = -1;
         private Phase operationPhase;
-        private int at;
+        private int replicaNumber;
         private long proposalId;
-        private long triedAt;
+        private long attemptedAt;
         private long backoff;
-        private long again;
+        private long nextAttemptAt;
 
         private Operator(String tenant) {
             this.tenant = tenant;
         }
 
         private void step() {
-            long now = world.now();
-            if (begun < 0) {
-                if (now < again || over) {
+            long now = simulation.now();
+            if (startedAt < 0) {
+                if (now < nextAttemptAt || draining) {
                     return;
                 }
-                begun = now;
+                startedAt = now;
                 operationPhase = phase;
                 version++;
                 backoff = MIN_BACKOFF_MICROS;
-                at = 1 + random.nextInt(3);
+                replicaNumber = 1 + random.nextInt(3);
                 send();
                 return;
             }
             ProposalResult result = proposalId < 0
                     ? new ProposalResult.Unavailable("nobody is there")
-                    : proposalId == 0 ? null : world.result(proposalId);
+                    : proposalId == 0 ? null : simulation.result(proposalId);
             if (result instanceof ProposalResult.Taken) {
-                figures.get(operationPhase).micros.add(now - begun);
-                last = at;
-                begun = -1;
-                again = now + random.nextLong(200_000);
-            } else if (proposalId != 0 && (result != null || now - triedAt > RETRY_AFTER_MICROS)) {
+                figures.get(operationPhase).micros.add(now - startedAt);
+                lastAcknowledging = replicaNumber;
+                startedAt = -1;
+                nextAttemptAt = now + random.nextLong(200_000);
+            } else if (proposalId != 0 && (result != null || now - attemptedAt > RETRY_AFTER_MICROS)) {
                 proposalId = 0;
-                again = now + backoff / 2 + random.nextLong(backoff);
+                nextAttemptAt = now + backoff / 2 + random.nextLong(backoff);
                 backoff = Math.min(MAX_BACKOFF_MICROS, backoff * 2);
-                at = 1 + at % 3;
-            } else if (proposalId == 0 && now >= again) {
+                replicaNumber = 1 + replicaNumber % 3;
+            } else if (proposalId == 0 && now >= nextAttemptAt) {
                 send();
             }
         }
 
         private void send() {
-            triedAt = world.now();
-            proposalId = world.submit(
-                    world.replica(at),
+            attemptedAt = simulation.now();
+            proposalId = simulation.submit(
+                    simulation.replica(replicaNumber),
                     "{\"upsert\":{\"tenantTable\":{\"" + tenant
                             + "\":{\"apiKeys\":[\"" + tenant + "-" + version + "\"],\"configVersion\":\"r" + version
                             + "\"}}}}",
@@ -143,20 +147,20 @@
     }
 
     private final SplittableRandom random;
-    private final SimulatedReplicas world;
+    private final SimulatedReplicas simulation;
     private final Kind kind;
     private final long partitionMicros;
     private final Map<Phase, Figures> figures = new EnumMap<>(Phase.class);
     private final List<Operator> operators = new ArrayList<>();
     private Phase phase = Phase.BEFORE;
-    private boolean over;
-    private int last = 1;
+    private boolean draining;
+    private int lastAcknowledging = 1;
     private int rounds;
 
-    private ConsensusPartitions(long seed, Kind kind, long partitionMicros, long mostDelay) {
+    private ConsensusPartitions(long seed, Kind kind, long partitionMicros, long maxDelayMicros) {
         random = new SplittableRandom(seed);
-        world = new SimulatedReplicas(seed, 3);
-        world.maxDelayMicros = mostDelay;
+        simulation = new SimulatedReplicas(seed, 3);
+        simulation.maxDelayMicros = maxDelayMicros;
         this.kind = kind;
         this.partitionMicros = partitionMicros;
         for (Phase each : Phase.values()) {
@@ -168,11 +172,11 @@
     }
 
     /** The figures of so many scenarios of a kind; an AssertionError for a violation. */
-    public static Map<Phase, Figures> measure(Kind kind, long partitionMicros, long mostDelay, int scenarios) {
+    public static Map<Phase, Figures> measure(Kind kind, long partitionMicros, long maxDelayMicros, int scenarios) {
         Map<Phase, Figures> all = new EnumMap<>(Phase.class);
         for (int seed = 0; seed < scenarios; seed++) {
             ConsensusPartitions scenario =
-                    new ConsensusPartitions(seed * 31L + kind.ordinal(), kind, partitionMicros, mostDelay);
+                    new ConsensusPartitions(seed * 31L + kind.ordinal(), kind, partitionMicros, maxDelayMicros);
             scenario.run();
             scenario.figures.forEach((each, measured) ->
                     all.computeIfAbsent(each, k -> new Figures()).add(measured));
@@ -181,9 +185,9 @@
     }
 
     private void run() {
-        world.run(1_000_000);
+        simulation.run(1_000_000);
         operate(CALM_MICROS);
-        int isolated = kind == Kind.LAST_ACKNOWLEDGING ? last : 1 + random.nextInt(3);
+        int isolated = kind == Kind.LAST_ACKNOWLEDGING ? lastAcknowledging : 1 + random.nextInt(3);
         isolate(isolated);
         if (kind == Kind.TWICE) {
             heal();
@@ -192,29 +196,29 @@
         }
         heal();
         if (kind == Kind.CRASH_AS_IT_HEALS) {
-            Replica gone = world.replica(1 + isolated % 3);
-            world.crash(gone);
+            Replica gone = simulation.replica(1 + isolated % 3);
+            simulation.crash(gone);
             operate(DOWN_MICROS);
-            world.start(gone.address(), false);
+            simulation.start(gone.address(), false);
         }
         operate(CALM_MICROS);
-        over = true;
+        draining = true;
         operate(DRAIN_MICROS);
-        if (world.checks().breach() != null || operators.stream().anyMatch(o -> o.begun >= 0)) {
-            throw new AssertionError(kind + ": " + world.checks().breach() + ", or a change is not acknowledged");
+        if (simulation.checks().breach() != null || operators.stream().anyMatch(o -> o.startedAt >= 0)) {
+            throw new AssertionError(kind + ": " + simulation.checks().breach() + ", or a change is not acknowledged");
         }
     }
 
     private void isolate(int isolated) {
         enter(Phase.IN);
         for (int other = 1; other <= 3; other++) {
-            String otherAddress = world.replica(other).address();
-            String isolatedAddress = world.replica(isolated).address();
+            String otherAddress = simulation.replica(other).address();
+            String isolatedAddress = simulation.replica(isolated).address();
             if (other != isolated && kind != Kind.NOBODY_HEARS_IT) {
-                world.block(otherAddress, isolatedAddress);
+                simulation.block(otherAddress, isolatedAddress);
             }
             if (other != isolated && kind != Kind.HEARS_NOBODY) {
-                world.block(isolatedAddress, otherAddress);
+                simulation.block(isolatedAddress, otherAddress);
             }
         }
         operate(partitionMicros);
@@ -222,19 +226,19 @@
 
     private void heal() {
         enter(Phase.AFTER);
-        world.heal();
+        simulation.heal();
     }
 
     private void enter(Phase next) {
-        figures.get(phase).rounds += world.rounds() - rounds;
-        rounds = world.rounds();
+        figures.get(phase).rounds += simulation.rounds() - rounds;
+        rounds = simulation.rounds();
         phase = next;
     }
 
     private void operate(long micros) {
-        for (long until = world.now() + micros; world.now() < until; ) {
+        for (long until = simulation.now() + micros; simulation.now() < until; ) {
             operators.forEach(Operator::step);
-            world.run(STEP_MICROS);
+            simulation.run(STEP_MICROS);
         }
         enter(phase);
     }
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -94,7 +94,7 @@
         awaitAllRead();
         awaitLastChange();
         for (String id : requestIds) {
-            checkedRuns(id);
+            countRuns(id);
         }
         return violation();
     }
@@ -138,7 +138,7 @@
     }
 
     /** How often the request has run; more than once is a violation. */
-    private int checkedRuns(String id) {
+    private int countRuns(String id) {
         int runs = PROXIES.stream()
                 .mapToInt(proxy -> mesh.application(proxy).runs(id))
                 .sum();
@@ -158,7 +158,7 @@
                         mesh.request(PROXIES.get(callerRandom.nextInt(PROXIES.size())), "day.mesh", "/", null, id);
                 if (response.status() == 200) {
                     servedRequests.incrementAndGet();
-                    if (checkedRuns(id) != 1 || !response.body().equals("ran of " + id)) {
+                    if (countRuns(id) != 1 || !response.body().equals("ran of " + id)) {
                         requestViolation = id + " is answered: " + response;
                     }
                 }
--- a/src/test/java/org/cypressweir/testkit/DatagramRelay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -23,40 +23,42 @@
 public final class DatagramRelay implements AutoCloseable {
 
     /** Whether what one sends to another arrives; by place. */
-    public interface Outage {
-        boolean lets(int from, int to);
+    public interface LinkFilter {
+        boolean allows(int from, int to);
     }
 
     /** Parts of all datagrams, 0 to 1, that are lost, come twice, come late, or with a flipped bit. */
-    public record Weather(double lost, double doubled, double late, long lateMillis, double flipped) {
+    public record Weather(
+            double lossRate, double duplicateRate, double delayRate, long maxDelayMillis, double corruptionRate) {
         public static final Weather FAIR = new Weather(0, 0, 0, 0, 0);
     }
 
-    private record Due(long at, int to, byte[] bytes) {}
+    private record DelayedDatagram(long dueNanos, int to, byte[] bytes) {}
 
     private final Selector selector = Selector.open();
-    private final List<DatagramChannel> doors = new ArrayList<>();
-    private final List<InetSocketAddress> behind = new ArrayList<>();
+    private final List<DatagramChannel> sockets = new ArrayList<>();
+    private final List<InetSocketAddress> targets = new ArrayList<>();
     private final Map<Integer, Integer> byPort = new HashMap<>();
-    private final PriorityQueue<Due> late = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<DelayedDatagram> delayed =
+            new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
     private final SplittableRandom random;
     private final Thread thread;
     public final AtomicLong passed = new AtomicLong();
-    private volatile Outage cut = (from, to) -> true;
-    private volatile Weather weather = Weather.FAIR;
-    private volatile boolean over;
+    private volatile LinkFilter linkFilter = (from, to) -> true;
+    private volatile Weather impairment = Weather.FAIR;
+    private volatile boolean closed;
 
     /** Between processes that listen on these ports. */
     public DatagramRelay(long seed, List<Integer> ports) throws IOException {
         random = new SplittableRandom(seed);
         for (int port : ports) {
-            DatagramChannel door = DatagramChannel.open();
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            door.configureBlocking(false);
-            door.register(selector, SelectionKey.OP_READ, doors.size());
-            byPort.put(port, doors.size());
-            doors.add(door);
-            behind.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            DatagramChannel socket = DatagramChannel.open();
+            socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            socket.configureBlocking(false);
+            socket.register(selector, SelectionKey.OP_READ, sockets.size());
+            byPort.put(port, sockets.size());
+            sockets.add(socket);
+            targets.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         }
         thread = new Thread(this::run, "relay");
         thread.setDaemon(true);
@@ -64,30 +66,31 @@
     }
 
     /** The address that others reach this one at. */
-    public int port(int place) throws IOException {
-        return ((InetSocketAddress) doors.get(place).getLocalAddress()).getPort();
+    public int port(int index) throws IOException {
+        return ((InetSocketAddress) sockets.get(index).getLocalAddress()).getPort();
     }
 
-    public void cut(Outage next) {
-        cut = next;
+    public void cut(LinkFilter next) {
+        linkFilter = next;
     }
 
     public void weather(Weather next) {
-        weather = next;
+        impairment = next;
     }
 
     private void run() {
         ByteBuffer buffer = ByteBuffer.allocate(65_536);
         try {
-            while (!over) {
-                long wait = late.isEmpty() ? 50 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
+            while (!closed) {
+                long wait =
+                        delayed.isEmpty() ? 50 : Math.max(1, (delayed.peek().dueNanos - System.nanoTime()) / 1_000_000);
                 selector.select(Math.min(50, wait));
                 for (SelectionKey key : selector.selectedKeys()) {
                     read((int) key.attachment(), buffer);
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) {
-                    Due due = late.poll();
+                while (!delayed.isEmpty() && delayed.peek().dueNanos <= System.nanoTime()) {
+                    DelayedDatagram due = delayed.poll();
                     send(due.to, due.bytes);
                 }
             }
@@ -101,7 +104,7 @@
             buffer.clear();
             InetSocketAddress source;
             try {
-                source = (InetSocketAddress) doors.get(to).receive(buffer);
+                source = (InetSocketAddress) sockets.get(to).receive(buffer);
             } catch (IOException e) {
                 // Nobody listens behind it any more, which is what is tested.
                 continue;
@@ -120,16 +123,17 @@
     }
 
     private void pass(int from, int to, byte[] bytes) throws IOException {
-        Weather now = weather;
-        if (!cut.lets(from, to) || random.nextDouble() < now.lost) {
+        Weather current = impairment;
+        if (!linkFilter.allows(from, to) || random.nextDouble() < current.lossRate) {
             return;
         }
-        if (random.nextDouble() < now.flipped) {
+        if (random.nextDouble() < current.corruptionRate) {
             bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
         }
-        for (int copies = random.nextDouble() < now.doubled ? 2 : 1; copies > 0; copies--) {
-            if (random.nextDouble() < now.late) {
-                late.add(new Due(System.nanoTime() + random.nextLong(now.lateMillis * 1_000_000), to, bytes));
+        for (int copies = random.nextDouble() < current.duplicateRate ? 2 : 1; copies > 0; copies--) {
+            if (random.nextDouble() < current.delayRate) {
+                delayed.add(new DelayedDatagram(
+                        System.nanoTime() + random.nextLong(current.maxDelayMillis * 1_000_000), to, bytes));
             } else {
                 send(to, bytes);
             }
@@ -138,7 +142,7 @@
 
     private void send(int to, byte[] bytes) throws IOException {
         try {
-            doors.get(to).send(ByteBuffer.wrap(bytes), behind.get(to));
+            sockets.get(to).send(ByteBuffer.wrap(bytes), targets.get(to));
             passed.incrementAndGet();
         } catch (IOException e) {
             // Nobody listens there.
@@ -149,21 +153,21 @@
     /** Sends a datagram of the test's own to a process. */
     public void inject(int to, byte[] bytes) throws IOException {
         try (DatagramChannel own = DatagramChannel.open()) {
-            own.send(ByteBuffer.wrap(bytes), behind.get(to));
+            own.send(ByteBuffer.wrap(bytes), targets.get(to));
         }
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (DatagramChannel door : doors) {
-            door.close();
+        for (DatagramChannel socket : sockets) {
+            socket.close();
         }
         selector.close();
     }
--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -40,7 +40,7 @@
      */
     public record Step(Kind kind, int one, int other, List<Integer> groups, long millis) {}
 
-    private static final long STARTED = 20_000;
+    private static final long START_MILLIS = 20_000;
 
     private final SidecarProcesses processes;
     private final long pause;
@@ -55,7 +55,7 @@
     /** Faults in any order; the first two are the seeds, of which one may always be found. */
     public static List<Step> draw(long seed, int members, int steps, long pauseMillis) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Step> plan = new ArrayList<>();
+        List<Step> schedule = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
             int one = random.nextInt(members);
@@ -67,21 +67,21 @@
                 groups.add(m < parts ? m : random.nextInt(parts));
             }
             long millis = kind == Kind.SHORT_STOP ? 100 + random.nextLong(pauseMillis * 6 / 10) : 2 * pauseMillis;
-            plan.add(new Step(kind, one, other, List.copyOf(groups), millis));
+            schedule.add(new Step(kind, one, other, List.copyOf(groups), millis));
         }
-        return plan;
+        return schedule;
     }
 
     /** What a word takes to all, and the silence before it. */
-    private long known() {
+    private long detectionMillis() {
         return 3 * pause + 1_000;
     }
 
-    private void all(String what, long millis) throws Exception {
-        agree(all, all, what, millis);
+    private void awaitAllSeeAll(String what, long millis) throws Exception {
+        awaitViews(all, all, what, millis);
     }
 
-    private void agree(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
+    private void awaitViews(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
         processes.within(
                 millis,
                 what,
@@ -94,12 +94,12 @@
         return rest;
     }
 
-    private void last(Step step) throws InterruptedException {
+    private void sleepFor(Step step) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(step.millis);
     }
 
     /** Ends that any process has seen since then, but for those of these. */
-    private void nobodyEnded(long since, String what, Set<String> but) throws Exception {
+    private void assertNoMemberEnded(long since, String what, Set<String> but) throws Exception {
         List<SidecarProcesses.Event> ends = processes.history().stream()
                 .filter(e -> e.mono() > since
                         && (e.event().equals("out") || e.event().equals("left"))
@@ -111,7 +111,7 @@
 
     /** Plays one fault and what must come of it. */
     public void play(Step step) throws Exception {
-        long begun = System.nanoTime() / 1_000;
+        long startMicros = System.nanoTime() / 1_000;
         String what = step.toString();
         Set<Integer> rest = without(all, step.one);
         Set<String> none = Set.of();
@@ -119,61 +119,61 @@
         switch (step.kind) {
             case SHORT_STOP -> {
                 processes.signal(step.one, "STOP");
-                last(step);
+                sleepFor(step);
                 processes.signal(step.one, "CONT");
                 TimeUnit.MILLISECONDS.sleep(pause);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             case LONG_STOP -> {
                 processes.signal(step.one, "STOP");
-                agree(rest, rest, what, known());
+                awaitViews(rest, rest, what, detectionMillis());
                 processes.signal(step.one, "CONT");
-                all(what + " is over", known());
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(startMicros, what, its);
             }
             case KILL -> {
                 processes.kill(step.one);
-                agree(rest, rest, what, known());
+                awaitViews(rest, rest, what, detectionMillis());
                 processes.start(step.one);
-                all(what + " is over", STARTED);
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", START_MILLIS);
+                assertNoMemberEnded(startMicros, what, its);
             }
             case ONE_WAY, PAIR -> {
                 boolean both = step.kind == Kind.PAIR;
                 processes.relay.cut((from, to) ->
                         !(from == step.one && to == step.other) && !(both && from == step.other && to == step.one));
-                last(step);
+                sleepFor(step);
                 processes.relay.cut((from, to) -> true);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             case MUTE, DEAF -> {
                 processes.relay.cut((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
-                agree(rest, rest, what, known());
-                agree(Set.of(step.one), Set.of(step.one), what, known());
+                awaitViews(rest, rest, what, detectionMillis());
+                awaitViews(Set.of(step.one), Set.of(step.one), what, detectionMillis());
                 processes.relay.cut((from, to) -> true);
-                all(what + " is over", known());
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(startMicros, what, its);
             }
             case SPLIT -> {
                 processes.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
                 for (int part : Set.copyOf(step.groups)) {
                     Set<Integer> side =
                             all.stream().filter(i -> step.groups.get(i) == part).collect(Collectors.toSet());
-                    agree(side, side, what, known() + pause);
+                    awaitViews(side, side, what, detectionMillis() + pause);
                 }
                 long healed = System.nanoTime() / 1_000;
                 processes.relay.cut((from, to) -> true);
-                all(what + " is over", known());
-                nobodyEnded(healed, what, none);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(healed, what, none);
             }
             case LOSS -> {
                 processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
-                last(step);
+                sleepFor(step);
                 processes.relay.weather(DatagramRelay.Weather.FAIR);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             default -> throw new IllegalStateException(what);
         }
-        all(what + ": all see all", known());
+        awaitAllSeeAll(what + ": all see all", detectionMillis());
     }
 }
--- a/src/test/java/org/cypressweir/testkit/Installations.java
+++ b/src/test/java/org/cypressweir/testkit/Installations.java
@@ -15,12 +15,12 @@
 public final class Installations {
 
     /** Microseconds for which servers drop repeats of {@code hold}. */
-    public static final long MEMORY = 500_000;
+    public static final long DEDUP_WINDOW_MICROS = 500_000;
 
     private Installations() {}
 
     private static RequestClass requestClass(String name, Effect effect, Group group, long deadline) {
-        return new RequestClass(name, effect, group, MEMORY, 400_000, 0, deadline, 1, 0.3, false);
+        return new RequestClass(name, effect, group, DEDUP_WINDOW_MICROS, 400_000, 0, deadline, 1, 0.3, false);
     }
 
     /** Four classes (one keyed within a zone), two zones, six attempts, second copies allowed. */
--- a/src/test/java/org/cypressweir/testkit/LeaseHistory.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHistory.java
@@ -12,17 +12,17 @@
  */
 public final class LeaseHistory {
 
-    private record Last(String process, long at, long token) {}
+    private record LastAct(String process, long at, long token) {}
 
-    private final Map<String, Last> last = new HashMap<>();
+    private final Map<String, LastAct> last = new HashMap<>();
     private final Map<String, Map<String, Long>> ended = new HashMap<>();
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private long count;
 
     /** A process acts at that moment. */
     public void act(String lease, String process, long at, long token) {
         count++;
-        Last before = last.put(lease, new Last(process, at, token));
+        LastAct before = last.put(lease, new LastAct(process, at, token));
         if (before == null) {
             return;
         }
@@ -31,23 +31,23 @@
         }
         if (before.process.equals(process)) {
             if (token < before.token) {
-                wrong.add(lease + ": " + process + " acts with token " + token + " after " + before.token);
+                violations.add(lease + ": " + process + " acts with token " + token + " after " + before.token);
             }
             return;
         }
         if (at == before.at) {
-            wrong.add(lease + ": " + process + " and " + before.process + " act at once, at " + at);
+            violations.add(lease + ": " + process + " and " + before.process + " act at once, at " + at);
         }
         if (token <= before.token) {
-            wrong.add(lease + ": " + process + " has token " + token + " at " + at + ", and " + before.process + " had "
-                    + before.token + " before");
+            violations.add(lease + ": " + process + " has token " + token + " at " + at + ", and " + before.process
+                    + " had " + before.token + " before");
         }
         // Whoever was followed by another must not be back under the token that it had.
-        Map<String, Long> over = ended.computeIfAbsent(lease, l -> new HashMap<>());
-        over.put(before.process, before.token);
-        Long own = over.get(process);
+        Map<String, Long> endedTokens = ended.computeIfAbsent(lease, l -> new HashMap<>());
+        endedTokens.put(before.process, before.token);
+        Long own = endedTokens.get(process);
         if (own != null && token <= own) {
-            wrong.add(lease + ": " + process + " is back with token " + token + " at " + at);
+            violations.add(lease + ": " + process + " is back with token " + token + " at " + at);
         }
     }
 
@@ -57,6 +57,6 @@
 
     /** What is wrong in it. */
     public List<String> wrong() {
-        return wrong;
+        return violations;
     }
 }
--- a/src/test/java/org/cypressweir/testkit/LeaseHolders.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -12,21 +12,21 @@
 
     private final SidecarProcesses processes;
     private final String lease;
-    private final LeaseHistory acts = new LeaseHistory();
+    private final LeaseHistory history = new LeaseHistory();
     private final List<Thread> threads = new ArrayList<>();
     private String last = "";
     private long lastAt;
-    private volatile boolean over;
+    private volatile boolean closed;
 
     public LeaseHolders(SidecarProcesses processes, String lease) {
         this.processes = processes;
         this.lease = lease;
         for (int i = 0; i < processes.size(); i++) {
-            int who = i;
+            int index = i;
             Thread thread = new Thread(
                     () -> {
-                        while (!over) {
-                            ask(who);
+                        while (!closed) {
+                            ask(index);
                         }
                     },
                     "actor " + i);
@@ -36,17 +36,17 @@
         }
     }
 
-    private void ask(int who) {
+    private void ask(int index) {
         long asked = System.nanoTime();
-        String[] said = processes.ask(who, "LEASE " + lease).strip().split(" ");
-        if (said.length == 3 && said[0].equals("YES")) {
-            long until = asked + Long.parseLong(said[2]) * 1_000_000;
+        String[] response = processes.ask(index, "LEASE " + lease).strip().split(" ");
+        if (response.length == 3 && response[0].equals("YES")) {
+            long until = asked + Long.parseLong(response[2]) * 1_000_000;
             synchronized (this) {
                 long now = System.nanoTime();
                 if (now < until) {
                     // Two incarnations of one name are two holders: the token tells them apart.
-                    acts.act(lease, SidecarProcesses.name(who), now, Long.parseLong(said[1]));
-                    last = SidecarProcesses.name(who);
+                    history.act(lease, SidecarProcesses.name(index), now, Long.parseLong(response[1]));
+                    last = SidecarProcesses.name(index);
                     lastAt = now;
                 }
             }
@@ -54,7 +54,7 @@
         try {
             TimeUnit.MILLISECONDS.sleep(5);
         } catch (InterruptedException e) {
-            over = true;
+            closed = true;
         }
     }
 
@@ -69,16 +69,16 @@
     }
 
     public synchronized long count() {
-        return acts.count();
+        return history.count();
     }
 
     public synchronized List<String> wrong() {
-        return List.copyOf(acts.wrong());
+        return List.copyOf(history.wrong());
     }
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         threads.forEach(Thread::interrupt);
         for (Thread thread : threads) {
             try {
--- a/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
+++ b/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
@@ -31,7 +31,7 @@
     private final SplittableRandom random;
     private final LoadBalancer module;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Map<String, Asked> asked = new HashMap<>();
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private final List<String> trace = new ArrayList<>();
     private final String title;
@@ -49,12 +49,12 @@
         }
     }
 
-    private static final class Sent {
+    private static final class Attempt {
         private final long server;
         private final long at;
         private Result result;
 
-        Sent(long server, long at) {
+        Attempt(long server, long at) {
             this.server = server;
             this.at = at;
         }
@@ -64,19 +64,19 @@
         }
     }
 
-    private static final class Asked {
+    private static final class TrackedRequest {
         private final Request request;
-        private final long takenAt;
-        private final List<Sent> sent = new ArrayList<>();
-        private String answer;
+        private final long receivedAt;
+        private final List<Attempt> attempts = new ArrayList<>();
+        private String outcome;
 
-        Asked(Request request, long takenAt) {
+        TrackedRequest(Request request, long receivedAt) {
             this.request = request;
-            this.takenAt = takenAt;
+            this.receivedAt = receivedAt;
         }
 
-        long out() {
-            return sent.stream().filter(s -> s.result == null).count();
+        long inFlightCount() {
+            return attempts.stream().filter(s -> s.result == null).count();
         }
     }
 
@@ -114,17 +114,17 @@
 
     /** Has a request come so much later. */
     public void ask(long afterMicros, String id, int requestClass, long timeoutMicros, Terms terms) {
-        at(now + afterMicros, () -> {
+        scheduleAt(now + afterMicros, () -> {
             Request request =
                     new Request(id, requestClass, 0, false, random.nextInt(50), now + timeoutMicros, 0, false, terms);
-            asked.put(id, new Asked(request, now));
+            requests.put(id, new TrackedRequest(request, now));
             module.request(now, request);
         });
     }
 
     /** Has something else happen so much later. */
     public void after(long micros, Runnable task) {
-        at(now + micros, task);
+        scheduleAt(now + micros, task);
     }
 
     /** Runs until nothing is left to happen, then demands that each request has had its answer. */
@@ -133,22 +133,22 @@
             now = Math.max(now, event.at);
             event.task.run();
         }
-        for (Asked a : asked.values()) {
-            check(a, a.answer != null, "no answer");
-            check(a, a.out() == 0, "an attempt without an end");
+        for (TrackedRequest a : requests.values()) {
+            check(a, a.outcome != null, "no answer");
+            check(a, a.inFlightCount() == 0, "an attempt without an end");
         }
     }
 
     /** Requests that ended so: served, refused or failed. */
     public long ended(String answer) {
-        return asked.values().stream().filter(a -> answer.equals(a.answer)).count();
+        return requests.values().stream().filter(a -> answer.equals(a.outcome)).count();
     }
 
-    private void at(long when, Runnable task) {
+    private void scheduleAt(long when, Runnable task) {
         events.add(new Event(when, sequence++, task));
     }
 
-    private void check(Asked a, boolean holds, String otherwise) {
+    private void check(TrackedRequest a, boolean holds, String otherwise) {
         if (!holds) {
             throw new AssertionError(title + ": request " + (a == null ? "?" : a.request.id()) + ": "
                     + otherwise
@@ -159,17 +159,21 @@
     @Override
     public void send(String requestId, long server, long timeoutMicros) {
         trace.add(now + " send " + requestId + " to " + server);
-        Asked a = asked.get(requestId);
+        TrackedRequest a = requests.get(requestId);
         Request r = a.request;
         Terms terms = r.terms();
         RequestClass c = settings.classes().get(r.requestClass());
-        check(a, a.answer == null, "sent after its answer");
+        check(a, a.outcome == null, "sent after its answer");
         check(a, now < r.deadlineMicros(), "sent after its time");
         check(a, timeoutMicros == terms.attemptMicros(), "another time for an attempt: " + timeoutMicros);
-        check(a, a.sent.size() < Math.min(terms.attempts(), settings.limits().attempts()), "one too many");
-        check(a, a.out() <= terms.copies(), "more copies than allowed");
-        check(a, c.effect() != Effect.UNSAFE || a.out() == 0, "an unsafe one is out twice");
-        Sent first = a.sent.stream().filter(Sent::mayHaveRun).findFirst().orElse(null);
+        check(
+                a,
+                a.attempts.size() < Math.min(terms.attempts(), settings.limits().attempts()),
+                "one too many");
+        check(a, a.inFlightCount() <= terms.copies(), "more copies than allowed");
+        check(a, c.effect() != Effect.UNSAFE || a.inFlightCount() == 0, "an unsafe one is out twice");
+        Attempt first =
+                a.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
         if (first != null && c.effect() != Effect.SAFE) {
             check(a, c.effect() == Effect.KEYED, "an unsafe one goes out again that may have run");
             check(a, now - first.at < c.dedupWindowMicros(), "a keyed one goes out past its memory");
@@ -180,23 +184,23 @@
                                     == servers.get(server).zone(),
                     "a keyed one leaves its group");
         }
-        if (a.out() == 0) {
+        if (a.inFlightCount() == 0) {
             check(
                     a,
-                    a.sent.stream().allMatch(s -> terms.retryOn().contains(s.result)),
+                    a.attempts.stream().allMatch(s -> terms.retryOn().contains(s.result)),
                     "sent again after an outcome that is not to be retried");
         }
-        if (!a.sent.isEmpty()) {
+        if (!a.attempts.isEmpty()) {
             retries++;
-            copies += a.out() > 0 ? 1 : 0;
+            copies += a.inFlightCount() > 0 ? 1 : 0;
         }
-        Sent sent = new Sent(server, now);
-        a.sent.add(sent);
-        int number = a.sent.size() - 1;
+        Attempt sent = new Attempt(server, now);
+        a.attempts.add(sent);
+        int number = a.attempts.size() - 1;
         long limit = timeoutMicros == 0 ? r.deadlineMicros() : Math.min(r.deadlineMicros(), now + timeoutMicros);
-        long took = 1_000 + random.nextLong(random.nextInt(4) == 0 ? 1_200_000 : 150_000);
-        if (now + took >= limit) {
-            at(limit, () -> end(a, number, sent, Result.TIMED_OUT));
+        long elapsed = 1_000 + random.nextLong(random.nextInt(4) == 0 ? 1_200_000 : 150_000);
+        if (now + elapsed >= limit) {
+            scheduleAt(limit, () -> endAttempt(a, number, sent, Result.TIMED_OUT));
         } else {
             Result result =
                     switch (random.nextInt(10)) {
@@ -206,53 +210,53 @@
                         case 3 -> Result.NO_CONNECTION;
                         default -> Result.SERVED;
                     };
-            at(now + took, () -> end(a, number, sent, result));
+            scheduleAt(now + elapsed, () -> endAttempt(a, number, sent, result));
         }
     }
 
-    private void end(Asked a, int number, Sent sent, Result result) {
+    private void endAttempt(TrackedRequest a, int number, Attempt sent, Result result) {
         if (sent.result != null) {
             return;
         }
         trace.add(now + " " + a.request.id() + "/" + number + " " + result);
         sent.result = result;
-        if (result == Result.SERVED && a.answer == null) {
-            a.answer = "served";
+        if (result == Result.SERVED && a.outcome == null) {
+            a.outcome = "served";
         }
         module.outcome(
-                now, new Outcome(a.request.id(), number, sent.server, result, now - sent.at, a.answer != null, null));
+                now, new Outcome(a.request.id(), number, sent.server, result, now - sent.at, a.outcome != null, null));
     }
 
-    private void answer(String requestId, String how) {
+    private void recordOutcome(String requestId, String how) {
         trace.add(now + " " + how + " " + requestId);
-        Asked a = asked.get(requestId);
-        check(a, a.answer == null, "a second answer: " + how);
-        a.answer = how;
+        TrackedRequest a = requests.get(requestId);
+        check(a, a.outcome == null, "a second answer: " + how);
+        a.outcome = how;
         Effect effect = settings.classes().get(a.request.requestClass()).effect();
-        boolean ran = a.sent.stream().anyMatch(Sent::mayHaveRun);
+        boolean ran = a.attempts.stream().anyMatch(Attempt::mayHaveRun);
         check(a, !how.equals("refused") || effect != Effect.UNSAFE || !ran, "refused though it may have run");
-        check(a, now <= a.request.deadlineMicros(), "answered past its time, taken at " + a.takenAt);
+        check(a, now <= a.request.deadlineMicros(), "answered past its time, taken at " + a.receivedAt);
     }
 
     @Override
     public void refuse(String requestId, long retryAfterMicros) {
-        answer(requestId, "refused");
+        recordOutcome(requestId, "refused");
     }
 
     @Override
     public void fail(String requestId) {
-        answer(requestId, "failed");
+        recordOutcome(requestId, "failed");
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Asked a = asked.get(requestId);
-        at(now, () -> end(a, attempt, a.sent.get(attempt), Result.CANCELLED));
+        TrackedRequest a = requests.get(requestId);
+        scheduleAt(now, () -> endAttempt(a, attempt, a.attempts.get(attempt), Result.CANCELLED));
     }
 
     @Override
     public void timer(long atMicros, long token) {
-        at(atMicros, () -> module.timer(now, token));
+        scheduleAt(atMicros, () -> module.timer(now, token));
     }
 
     @Override
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -20,7 +20,7 @@
     private static final long TIMEOUT_MICROS = 3_000_000;
 
     private final SplittableRandom random;
-    private final SimulatedReplicas world;
+    private final SimulatedReplicas simulation;
     private final int count;
     private final int standbys;
     private long changes;
@@ -31,11 +31,11 @@
         random = new SplittableRandom(seed * 31 + count);
         this.count = count;
         this.standbys = standbys;
-        world = new SimulatedReplicas(seed, count);
-        world.maxDelayMicros = 1 + random.nextLong(30_000);
-        world.maxWriteMicros = 1 + random.nextLong(20_000);
+        simulation = new SimulatedReplicas(seed, count);
+        simulation.maxDelayMicros = 1 + random.nextLong(30_000);
+        simulation.maxWriteMicros = 1 + random.nextLong(20_000);
         for (int i = 1; i <= standbys; i++) {
-            world.start(count + i);
+            simulation.start(count + i);
         }
         run(3_000_000);
     }
@@ -54,18 +54,18 @@
     }
 
     private void run(long micros) {
-        for (long until = world.now() + micros; world.now() < until; ) {
+        for (long until = simulation.now() + micros; simulation.now() < until; ) {
             step();
         }
     }
 
     private void step() {
-        if (world.now() >= nextChangeAt) {
-            nextChangeAt = world.now() + CHANGE_INTERVAL_MICROS;
-            List<Replica> up = world.runningReplicas();
-            world.submit(up.get(random.nextInt(up.size())), nextChange(), TIMEOUT_MICROS);
+        if (simulation.now() >= nextChangeAt) {
+            nextChangeAt = simulation.now() + CHANGE_INTERVAL_MICROS;
+            List<Replica> running = simulation.runningReplicas();
+            simulation.submit(running.get(random.nextInt(running.size())), nextChange(), TIMEOUT_MICROS);
         }
-        world.run(STEP_MICROS);
+        simulation.run(STEP_MICROS);
     }
 
     private String nextChange() {
@@ -73,11 +73,11 @@
                 + "\"],\"configVersion\":\"r" + ++changes + "\"}}}}";
     }
 
-    private List<Replica> chooseRunning(int many) {
-        List<Replica> up = new ArrayList<>(world.runningReplicas());
+    private List<Replica> chooseRunning(int lossCount) {
+        List<Replica> running = new ArrayList<>(simulation.runningReplicas());
         List<Replica> chosen = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            chosen.add(up.remove(random.nextInt(up.size())));
+        for (int i = 0; i < lossCount; i++) {
+            chosen.add(running.remove(random.nextInt(running.size())));
         }
         return chosen;
     }
@@ -85,29 +85,29 @@
     /** Loses these voters, and starts a replica in place of each, at the same addresses or at others. */
     private void replace(List<Replica> lost, int from) {
         boolean sameAddress = random.nextBoolean();
-        lost.forEach(world::wipe);
+        lost.forEach(simulation::wipe);
         run(random.nextLong(6_000_000));
         for (int i = 0; i < lost.size(); i++) {
-            world.start(sameAddress ? lost.get(i).address() : "10.0.0." + (from + i) + ":7", false);
+            simulation.start(sameAddress ? lost.get(i).address() : "10.0.0." + (from + i) + ":7", false);
         }
     }
 
     /** What is wrong after the second loss, or null. */
     public String secondLoss() {
-        int many = (count - 1) / 2;
-        replace(chooseRunning(many), count + standbys + 1);
+        int lossCount = (count - 1) / 2;
+        replace(chooseRunning(lossCount), count + standbys + 1);
         run(SYNC_TIME_MICROS + random.nextLong(3_000_000));
-        chooseRunning(many).forEach(world::wipe);
+        chooseRunning(lossCount).forEach(simulation::wipe);
         run(1_000_000);
         ProposalResult answer = null;
         for (int i = 0; i < 20 && !(answer instanceof ProposalResult.Taken); i++) {
-            List<Replica> up = world.runningReplicas();
-            answer = world.await(world.submit(up.get(i % up.size()), nextChange(), 1_000_000));
+            List<Replica> running = simulation.runningReplicas();
+            answer = simulation.await(simulation.submit(running.get(i % running.size()), nextChange(), 1_000_000));
         }
         if (!(answer instanceof ProposalResult.Taken)) {
             return "no change is accepted any more: " + answer;
         }
-        return world.checks().breach();
+        return simulation.checks().breach();
     }
 
     /**
@@ -115,23 +115,23 @@
      * microseconds; negative if that is never, or if the voters change by more than one at a time.
      */
     public long untilThreeVote(boolean returnsBlank) {
-        Replica lost = world.replica(1 + random.nextInt(count));
-        long at = world.now();
-        world.wipe(lost);
+        Replica lost = simulation.replica(1 + random.nextInt(count));
+        long at = simulation.now();
+        simulation.wipe(lost);
         if (returnsBlank) {
-            world.start(lost.address(), false);
+            simulation.start(lost.address(), false);
         }
-        while (world.now() - at < 20_000_000) {
+        while (simulation.now() - at < 20_000_000) {
             step();
-            for (Replica one : world.runningReplicas()) {
+            for (Replica one : simulation.runningReplicas()) {
                 List<String> voters = one.consensus().committed().voters();
-                long voting = world.runningReplicas().stream()
+                long voting = simulation.runningReplicas().stream()
                         .filter(h -> voters.contains(h.consensus().own())
                                 && h.disk() != null
                                 && h.disk().voters().equals(voters))
                         .count();
                 if (voting == count && !voters.contains(lost.address())) {
-                    return world.checks().hasLargeVoterChange() ? -1 : world.now() - at;
+                    return simulation.checks().hasLargeVoterChange() ? -1 : simulation.now() - at;
                 }
             }
         }
--- a/src/test/java/org/cypressweir/testkit/MeshSoak.java
+++ b/src/test/java/org/cypressweir/testkit/MeshSoak.java
@@ -33,14 +33,14 @@
     /** As the users count it: a window, and what is tolerated in it beyond the limit. */
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private static final double TOLERATED = (LIMITED_RATE * 5 + LIMITED_BURST) * 1.1 + 20;
+    private static final double MAX_REQUESTS_PER_WINDOW = (LIMITED_RATE * 5 + LIMITED_BURST) * 1.1 + 20;
     private static final long MAX_RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
     private static final long MIN_STEP_MILLIS = 30;
     private static final long MAX_STEP_MILLIS = 500;
     private static final long MAX_FAULT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     /** A thing that ends a fault later, such as joining a partitioned process. */
-    private record Ending(long at, Action action) {}
+    private record FaultEnd(long at, Action action) {}
 
     private interface Action {
         void run() throws IOException, InterruptedException;
@@ -53,9 +53,9 @@
     private final List<String> controllers = new ArrayList<>();
     private final List<SoakClient> clients = new ArrayList<>();
     private final Map<String, Long> restartAt = new LinkedHashMap<>();
-    private final List<Ending> endings = new ArrayList<>();
+    private final List<FaultEnd> faultEnds = new ArrayList<>();
     private final Map<String, String> suspended = new HashMap<>();
-    private final List<String> story = new ArrayList<>();
+    private final List<String> eventLog = new ArrayList<>();
     private final List<String> unexpectedEnds = new ArrayList<>();
     private final long startedAt = System.nanoTime();
     private int changes;
@@ -130,8 +130,8 @@
                 && restartAt.isEmpty();
     }
 
-    private void tell(String what) {
-        story.add(String.format("%7.3f s %s", (System.nanoTime() - startedAt) / 1e9, what));
+    private void logEvent(String what) {
+        eventLog.add(String.format("%7.3f s %s", (System.nanoTime() - startedAt) / 1e9, what));
     }
 
     private String any(List<String> names) {
@@ -174,7 +174,7 @@
 
     private void terminate(String name) {
         if (!isDisturbed(name)) {
-            tell("SIGTERM " + name);
+            logEvent("SIGTERM " + name);
             fixture.terminate(name);
             restartAt.put(name, System.nanoTime() + random.nextLong(MAX_RESTART_NANOS));
         }
@@ -193,7 +193,7 @@
 
     private void kill(String name) throws InterruptedException {
         if (!isDisturbed(name)) {
-            tell("SIGKILL " + name);
+            logEvent("SIGKILL " + name);
             fixture.kill(name);
             restartAt.put(name, System.nanoTime() + random.nextLong(MAX_RESTART_NANOS));
         }
@@ -208,7 +208,7 @@
     private void reload(String name) throws IOException, InterruptedException {
         // Before a Java program has its handler, SIGHUP ends it: the runtime decides, not the program.
         if (!isDisturbed(name) && fixture.hasStarted(name)) {
-            tell("SIGHUP " + name);
+            logEvent("SIGHUP " + name);
             signalIfAlive(name, "-HUP");
         }
     }
@@ -227,15 +227,16 @@
         int version = 2 + changes++;
         String controller = any(controllers);
         try {
-            boolean taken = fixture.modify(
+            boolean acknowledged = fixture.modify(
                                     controller,
                                     "{'upsert':{'routeTable':{'safe':" + route("/safe/", "idempotent", version) + "}}}")
                             .status()
                     == 200;
-            tell("change r" + version + " at " + controller + (taken ? " acknowledged" : " without a clear answer"));
-            acknowledgedChange = taken ? version : acknowledgedChange;
+            logEvent("change r" + version + " at " + controller
+                    + (acknowledged ? " acknowledged" : " without a clear answer"));
+            acknowledgedChange = acknowledged ? version : acknowledgedChange;
         } catch (IOException e) {
-            tell("change r" + version + " at " + controller + " without an answer");
+            logEvent("change r" + version + " at " + controller + " without an answer");
         }
     }
 
@@ -247,16 +248,16 @@
         String next = SERVICE + "-" + proxy + "-" + ++incarnations;
         try {
             application.drain();
-            tell("application of " + proxy + " drains");
+            logEvent("application of " + proxy + " drains");
         } catch (IOException e) {
-            tell("application of " + proxy + " has nobody to tell that it drains: " + e.getMessage());
+            logEvent("application of " + proxy + " has nobody to tell that it drains: " + e.getMessage());
         }
         try {
             application.startIncarnation(next);
-            tell("application of " + proxy + " replaced");
+            logEvent("application of " + proxy + " replaced");
         } catch (IOException e) {
             // Its next heartbeat tells.
-            tell("application of " + proxy + " replaced, not told yet: " + e.getMessage());
+            logEvent("application of " + proxy + " replaced, not told yet: " + e.getMessage());
         }
     }
 
@@ -265,10 +266,10 @@
             ConnectionRelay.LinkMode.HOLD, ConnectionRelay.LinkMode.LOSE, ConnectionRelay.LinkMode.RESET
         };
         ConnectionRelay.LinkMode mode = modes[random.nextInt(modes.length)];
-        tell("partition " + proxy + " " + mode);
+        logEvent("partition " + proxy + " " + mode);
         fixture.relay().partition(proxy, List.copyOf(controllers), mode, mode);
-        endings.add(new Ending(System.nanoTime() + random.nextLong(MAX_FAULT_NANOS), () -> {
-            tell("join all");
+        faultEnds.add(new FaultEnd(System.nanoTime() + random.nextLong(MAX_FAULT_NANOS), () -> {
+            logEvent("join all");
             fixture.relay().heal();
         }));
     }
@@ -277,21 +278,21 @@
         if (isDisturbed(name)) {
             return;
         }
-        tell("SIGSTOP " + name);
+        logEvent("SIGSTOP " + name);
         signalIfAlive(name, "-STOP");
         suspended.put(name, name);
-        endings.add(new Ending(System.nanoTime() + random.nextLong(MAX_FAULT_NANOS), () -> {
-            tell("SIGCONT " + name);
+        faultEnds.add(new FaultEnd(System.nanoTime() + random.nextLong(MAX_FAULT_NANOS), () -> {
+            logEvent("SIGCONT " + name);
             signalIfAlive(name, "-CONT");
             suspended.remove(name);
         }));
     }
 
     private void endFaults(long now) throws IOException, InterruptedException {
-        for (Ending ending : List.copyOf(endings)) {
-            if (ending.at <= now) {
-                endings.remove(ending);
-                ending.action.run();
+        for (FaultEnd faultEnd : List.copyOf(faultEnds)) {
+            if (faultEnd.at <= now) {
+                faultEnds.remove(faultEnd);
+                faultEnd.action.run();
             }
         }
     }
@@ -300,7 +301,7 @@
         recordUnexpectedEnds();
         for (Map.Entry<String, Long> entry : List.copyOf(restartAt.entrySet())) {
             if (entry.getValue() <= now && !fixture.isAlive(entry.getKey())) {
-                tell("start " + entry.getKey());
+                logEvent("start " + entry.getKey());
                 fixture.restart(entry.getKey());
                 restartAt.remove(entry.getKey());
             }
@@ -313,7 +314,7 @@
         all.addAll(controllers);
         for (String name : all) {
             if (!fixture.isAlive(name) && !restartAt.containsKey(name)) {
-                tell("ended by itself: " + name);
+                logEvent("ended by itself: " + name);
                 unexpectedEnds.add(name + " ended by itself with status " + fixture.exitStatus(name));
                 restartAt.put(name, System.nanoTime());
             }
@@ -361,8 +362,9 @@
         if (sent.status() == 200 && !sent.body().equals("ran of " + sent.id())) {
             violations.add("another answer: " + sent);
         }
-        boolean promised = sent.status() == 429 || sent.status() == 503 || sent.status() == 408 || sent.status() == 421;
-        if (!sent.idempotent() && promised && runs > 0) {
+        boolean rejectedUnexecuted =
+                sent.status() == 429 || sent.status() == 503 || sent.status() == 408 || sent.status() == 421;
+        if (!sent.idempotent() && rejectedUnexecuted && runs > 0) {
             violations.add("ran, but was rejected: " + sent);
         }
         if (plannedOnly && runs > 0 && sent.ending() == SoakClient.Ending.NO_ANSWER) {
@@ -379,8 +381,9 @@
             while (times.get(last) - times.get(first) >= WINDOW_NANOS) {
                 first++;
             }
-            if (last - first + 1 > TOLERATED) {
-                violations.add("over the limit: " + (last - first + 1) + " within 5 s, tolerated " + TOLERATED);
+            if (last - first + 1 > MAX_REQUESTS_PER_WINDOW) {
+                violations.add(
+                        "over the limit: " + (last - first + 1) + " within 5 s, tolerated " + MAX_REQUESTS_PER_WINDOW);
                 return;
             }
         }
@@ -394,11 +397,11 @@
             text.append(response.body());
             return response.status() == 200;
         });
-        boolean hasIt = acknowledgedChange == 0;
-        for (int version = acknowledgedChange; version <= changes + 1 && !hasIt; version++) {
-            hasIt = text.indexOf("\"configVersion\":\"r" + version + "\"") >= 0;
+        boolean isRead = acknowledgedChange == 0;
+        for (int version = acknowledgedChange; version <= changes + 1 && !isRead; version++) {
+            isRead = text.indexOf("\"configVersion\":\"r" + version + "\"") >= 0;
         }
-        if (!hasIt) {
+        if (!isRead) {
             violations.add("r" + acknowledgedChange + " was acknowledged and is not read at " + controller);
         }
     }
@@ -410,12 +413,12 @@
                 .flatMap(client -> client.sent.stream())
                 .filter(each -> each.status() == 200)
                 .count();
-        return sent + " requests, " + served + " served, " + story.size() + " events, " + changes + " changes";
+        return sent + " requests, " + served + " served, " + eventLog.size() + " events, " + changes + " changes";
     }
 
     /** What was done when, the state of each process now, and all logs. */
     public String story() {
-        StringBuilder text = new StringBuilder(String.join("\n", story)).append('\n');
+        StringBuilder text = new StringBuilder(String.join("\n", eventLog)).append('\n');
         List<String> all = new ArrayList<>(proxies);
         all.addAll(controllers);
         for (String name : all) {
--- a/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
+++ b/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
@@ -24,7 +24,7 @@
     private static final long RECOVERY_MICROS = 15_000_000;
 
     private final SplittableRandom random;
-    private final SimulatedReplicas world;
+    private final SimulatedReplicas simulation;
     private final int maxLostDisks;
     private long changes;
     private long nextChangeAt;
@@ -36,11 +36,11 @@
     public OverlappingLosses(long seed, int voters, int standbys) {
         random = new SplittableRandom(seed * 37 + 10L * voters + standbys);
         maxLostDisks = (voters - 1) / 2;
-        world = new SimulatedReplicas(seed, voters);
-        world.maxDelayMicros = 1 + random.nextLong(10_000);
-        world.maxWriteMicros = 1 + random.nextLong(10_000);
+        simulation = new SimulatedReplicas(seed, voters);
+        simulation.maxDelayMicros = 1 + random.nextLong(10_000);
+        simulation.maxWriteMicros = 1 + random.nextLong(10_000);
         for (int i = 1; i <= standbys; i++) {
-            world.start(voters + i);
+            simulation.start(voters + i);
         }
         run(START_MICROS);
     }
@@ -60,7 +60,7 @@
 
     /** How many changes were acknowledged. */
     public int acknowledged() {
-        return world.checks().accepted();
+        return simulation.checks().accepted();
     }
 
     /** Runs the scenario; returns the first violation, or null. */
@@ -69,19 +69,20 @@
         long partitionMicros = random.nextLong(MAX_PARTITION_MICROS);
         run(partitionMicros);
         if (random.nextBoolean()) {
-            world.heal();
+            simulation.heal();
             run(random.nextLong(MAX_MICROS_AFTER_PARTITION));
         }
         loseDisksAndPower();
-        world.heal();
-        world.run(RECOVERY_MICROS);
-        return isReadAnswered() ? world.checks().breach() : "no read after all replicas are back";
+        simulation.heal();
+        simulation.run(RECOVERY_MICROS);
+        return isReadAnswered() ? simulation.checks().breach() : "no read after all replicas are back";
     }
 
     /** Whether a read is answered anywhere: a standby may not answer one. */
     private boolean isReadAnswered() {
-        return world.runningReplicas().stream()
-                .anyMatch(replica -> world.await(world.read(replica, TIMEOUT_MICROS)) instanceof ProposalResult.Read);
+        return simulation.runningReplicas().stream()
+                .anyMatch(replica ->
+                        simulation.await(simulation.read(replica, TIMEOUT_MICROS)) instanceof ProposalResult.Read);
     }
 
     /** Separates some of the replicas, as many as may be lost or up to half of them, from the others. */
@@ -90,21 +91,21 @@
         int separated = 1 + random.nextInt(all.size() / 2);
         for (Replica one : all.subList(0, separated)) {
             for (Replica other : all.subList(separated, all.size())) {
-                world.block(one.address(), other.address());
-                world.block(other.address(), one.address());
+                simulation.block(one.address(), other.address());
+                simulation.block(other.address(), one.address());
             }
         }
     }
 
     private void loseDisksAndPower() {
         List<Replica> all = shuffled();
-        all.subList(0, maxLostDisks).forEach(world::wipe);
-        all.subList(maxLostDisks, all.size()).forEach(world::crash);
-        all.forEach(replica -> world.start(replica.address(), false));
+        all.subList(0, maxLostDisks).forEach(simulation::wipe);
+        all.subList(maxLostDisks, all.size()).forEach(simulation::crash);
+        all.forEach(replica -> simulation.start(replica.address(), false));
     }
 
     private List<Replica> shuffled() {
-        List<Replica> from = new ArrayList<>(world.runningReplicas());
+        List<Replica> from = new ArrayList<>(simulation.runningReplicas());
         List<Replica> shuffled = new ArrayList<>();
         while (!from.isEmpty()) {
             shuffled.add(from.remove(random.nextInt(from.size())));
@@ -113,17 +114,17 @@
     }
 
     private Replica anyRunning() {
-        List<Replica> running = world.runningReplicas();
+        List<Replica> running = simulation.runningReplicas();
         return running.get(random.nextInt(running.size()));
     }
 
     private void run(long micros) {
-        for (long until = world.now() + micros; world.now() < until; ) {
-            if (world.now() >= nextChangeAt) {
-                nextChangeAt = world.now() + CHANGE_INTERVAL_MICROS;
-                world.submit(anyRunning(), nextChange(), TIMEOUT_MICROS);
+        for (long until = simulation.now() + micros; simulation.now() < until; ) {
+            if (simulation.now() >= nextChangeAt) {
+                nextChangeAt = simulation.now() + CHANGE_INTERVAL_MICROS;
+                simulation.submit(anyRunning(), nextChange(), TIMEOUT_MICROS);
             }
-            world.run(STEP_MICROS);
+            simulation.run(STEP_MICROS);
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/PeerStub.java
+++ b/src/test/java/org/cypressweir/testkit/PeerStub.java
@@ -33,11 +33,11 @@
 
     /** What a scripted peer does with one request. */
     public interface Script {
-        void on(Seen seen) throws IOException;
+        void on(Seen received) throws IOException;
     }
 
-    public static final Script SILENT = seen -> {};
-    public static final Script HANG_UP = seen -> seen.socket().close();
+    public static final Script SILENT = received -> {};
+    public static final Script HANG_UP = received -> received.socket().close();
 
     public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
     /** One entry for each connection that has ended. */
@@ -58,11 +58,11 @@
     public PeerStub(Script script, int backlog) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
-        accepting = daemon(this::accept);
+        accepting = startDaemon(this::accept);
     }
 
     public static Script answers(String status, String headers, String body) {
-        return seen -> seen.reply(status, headers, body);
+        return received -> received.reply(status, headers, body);
     }
 
     public static Script serves(String body) {
@@ -97,7 +97,7 @@
         Assertions.assertNotNull(ended.poll(10, TimeUnit.SECONDS), "no connection ended");
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread startDaemon(Runnable task) {
         Thread thread = new Thread(task, "stub");
         thread.setDaemon(true);
         thread.start();
@@ -111,14 +111,14 @@
                 sockets.add(socket);
                 socket.setSoTimeout(idleMillis);
                 accepted.incrementAndGet();
-                daemon(() -> talk(socket));
+                startDaemon(() -> serveConnection(socket));
             }
         } catch (IOException e) {
             // Closed: the test is over.
         }
     }
 
-    private void talk(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
             for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
--- a/src/test/java/org/cypressweir/testkit/PlantedFault.java
+++ b/src/test/java/org/cypressweir/testkit/PlantedFault.java
@@ -20,17 +20,18 @@
 public final class PlantedFault extends ClassLoader {
 
     private final Path classes;
-    private final Predicate<String> anew;
+    private final Predicate<String> reloaded;
 
     /**
      * @param sources the folder of the package's sources
      * @param file the one that is changed; the text must be in it, once; white space does not count
-     * @param anew which further classes are loaded anew, so that they use the changed ones
+     * @param reloaded which further classes are loaded anew, so that they use the changed ones
      */
-    public PlantedFault(Path folder, Path sources, String file, String text, String instead, Predicate<String> anew)
+    public PlantedFault(
+            Path folder, Path sources, String file, String text, String replacement, Predicate<String> reloaded)
             throws IOException {
         super(PlantedFault.class.getClassLoader());
-        this.anew = anew;
+        this.reloaded = reloaded;
         classes = folder.resolve("classes");
         Path copies = Files.createDirectories(folder.resolve("sources"));
         Files.createDirectories(classes);
@@ -40,7 +41,7 @@
             for (Path source : files.toList()) {
                 String code = Files.readString(source);
                 if (source.getFileName().toString().equals(file)) {
-                    code = replaceOnce(code, text, instead, file);
+                    code = replaceOnce(code, text, replacement, file);
                 }
                 Path copy = copies.resolve(source.getFileName());
                 Files.writeString(copy, code);
@@ -51,25 +52,26 @@
         Assertions.assertEquals(
                 0,
                 compiler.run(new ByteArrayInputStream(new byte[0]), null, null, arguments.toArray(new String[0])),
-                "does not compile: " + instead);
+                "does not compile: " + replacement);
     }
 
     /** Replaces the one place whose characters other than white space are those of the text. */
-    private static String replaceOnce(String code, String text, String instead, String file) {
-        StringBuilder dense = new StringBuilder();
-        List<Integer> places = new ArrayList<>();
+    private static String replaceOnce(String code, String text, String replacement, String file) {
+        StringBuilder withoutWhitespace = new StringBuilder();
+        List<Integer> positions = new ArrayList<>();
         for (int i = 0; i < code.length(); i++) {
             if (!Character.isWhitespace(code.charAt(i))) {
-                dense.append(code.charAt(i));
-                places.add(i);
+                withoutWhitespace.append(code.charAt(i));
+                positions.add(i);
             }
         }
         String wanted = text.replaceAll("\\s+", "");
-        int at = dense.indexOf(wanted);
+        int at = withoutWhitespace.indexOf(wanted);
         Assertions.assertTrue(
-                !wanted.isEmpty() && at >= 0 && dense.indexOf(wanted, at + 1) < 0, "not once in " + file + ": " + text);
-        int end = places.get(at + wanted.length() - 1) + 1;
-        return code.substring(0, places.get(at)) + instead + code.substring(end);
+                !wanted.isEmpty() && at >= 0 && withoutWhitespace.indexOf(wanted, at + 1) < 0,
+                "not once in " + file + ": " + text);
+        int end = positions.get(at + wanted.length() - 1) + 1;
+        return code.substring(0, positions.get(at)) + replacement + code.substring(end);
     }
 
     @Override
@@ -77,7 +79,7 @@
         synchronized (getClassLoadingLock(name)) {
             Class<?> loaded = findLoadedClass(name);
             Path changed = classes.resolve(name.replace('.', '/') + ".class");
-            if (loaded == null && (Files.exists(changed) || anew.test(name))) {
+            if (loaded == null && (Files.exists(changed) || reloaded.test(name))) {
                 try (InputStream in = Files.exists(changed)
                         ? Files.newInputStream(changed)
                         : getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
--- a/src/test/java/org/cypressweir/testkit/Platform.java
+++ b/src/test/java/org/cypressweir/testkit/Platform.java
@@ -19,7 +19,7 @@
  */
 public final class Platform implements AutoCloseable {
 
-    private static final String HOLDER = String.join(
+    private static final String HOLDER_SCRIPT = String.join(
             "\n",
             "use strict; use Socket; use POSIX qw(:sys_wait_h dup2 dup); $| = 1;",
             "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; $^F = 20;",
@@ -47,14 +47,14 @@
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
 
     public Platform() throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER)
+        holder = new ProcessBuilder("perl", "-e", HOLDER_SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         commands = holder.outputWriter(StandardCharsets.UTF_8);
-        var words = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
+        var output = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
         address = new InetSocketAddress(
-                "127.0.0.1", Integer.parseInt(words.readLine().split(" ")[1]));
-        Thread reader = new Thread(() -> words.lines()
+                "127.0.0.1", Integer.parseInt(output.readLine().split(" ")[1]));
+        Thread reader = new Thread(() -> output.lines()
                 .forEach(w -> (w.startsWith("started") ? started : ended).add(w.substring(w.indexOf(' ') + 1))));
         reader.setDaemon(true);
         reader.start();
--- a/src/test/java/org/cypressweir/testkit/RawHttpClient.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -19,18 +19,18 @@
         }
     }
 
-    private static String headLine(InputStream in) throws IOException {
-        return String.valueOf(line(in));
+    private static String requireLine(InputStream in) throws IOException {
+        return String.valueOf(readLine(in));
     }
 
     /** The next message, or null at the end of the connection. */
     public static Message read(InputStream in) throws IOException {
-        String first = line(in);
-        if (first == null) {
+        String firstLine = readLine(in);
+        if (firstLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line = headLine(in); !line.isEmpty(); line = headLine(in)) {
+        for (String line = requireLine(in); !line.isEmpty(); line = requireLine(in)) {
             int colon = line.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("ended within the head");
@@ -42,10 +42,10 @@
         if (body.length < length) {
             throw new EOFException("ended within the body");
         }
-        return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(firstLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c; (c = in.read()) != '\n'; ) {
             if (c < 0) {
--- a/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
+++ b/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
@@ -13,7 +13,7 @@
     private final String method;
     private final String uri;
     public final List<ServerResponse> responses = new ArrayList<>();
-    private Runnable whenGone;
+    private Runnable disconnectTask;
 
     public RecordedServerRequest(String method, String uri) {
         this.method = method;
@@ -22,7 +22,7 @@
 
     /** The client disconnects. */
     public void disconnect() {
-        whenGone.run();
+        disconnectTask.run();
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void onDisconnect(Runnable task) {
-        whenGone = task;
+        disconnectTask = task;
     }
 
     @Override
--- a/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
@@ -34,15 +34,15 @@
     public record Event(String process, long mono, String event, String about, String text) {}
 
     /** Looked at again after so long. */
-    private static final long LOOK_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     /** So that none is given twice before it is used. */
-    private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+    private static final Set<Integer> USED_PORTS = ConcurrentHashMap.newKeySet();
 
-    private static final class Hand {
-        int front;
-        int door;
-        int udp;
+    private static final class Sidecar {
+        int clientPort;
+        int adminPort;
+        int membershipPort;
         Process process;
         /** Of the process that was started last. */
         long pid;
@@ -52,12 +52,12 @@
     public final PeerStub discovery;
     private final Path folder;
     private final long pauseMillis;
-    private final List<Hand> hands = new ArrayList<>();
+    private final List<Sidecar> sidecars = new ArrayList<>();
     private final PeerStub[] servers;
-    private final Pace pace = new Pace();
-    private UnaryOperator<String> operators = text -> text;
-    private UnaryOperator<String> configs = text -> text;
-    private int seeds = 2;
+    private final SchedulingDelayMonitor schedulingDelays = new SchedulingDelayMonitor();
+    private UnaryOperator<String> operatorConfigurationEdit = text -> text;
+    private UnaryOperator<String> configurationEdit = text -> text;
+    private int seedCount = 2;
 
     public SidecarProcesses(Path folder, long seed, int members, long pauseMillis, PeerStub... servers)
             throws IOException {
@@ -66,20 +66,21 @@
         this.servers = servers;
         discovery = new PeerStub(PeerStub.SILENT);
         for (int i = 0; i < members; i++) {
-            Hand hand = new Hand();
-            hand.front = freePort();
-            hand.door = freePort();
-            hand.udp = freePort();
-            hands.add(hand);
+            Sidecar sidecar = new Sidecar();
+            sidecar.clientPort = freePort();
+            sidecar.adminPort = freePort();
+            sidecar.membershipPort = freePort();
+            sidecars.add(sidecar);
         }
-        relay = new DatagramRelay(seed, hands.stream().map(h -> h.udp).toList());
+        relay = new DatagramRelay(
+                seed, sidecars.stream().map(h -> h.membershipPort).toList());
     }
 
     /** One that the system gives to nobody else meanwhile: below those that it hands out for connections. */
     private static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(15_000, 32_000);
-            if (!GIVEN.add(port)) {
+            if (!USED_PORTS.add(port)) {
                 continue;
             }
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
@@ -94,17 +95,17 @@
 
     /** Changes the operators' file of all that are started from now on. */
     public void operators(UnaryOperator<String> change) {
-        operators = change;
+        operatorConfigurationEdit = change;
     }
 
     /** Changes the configuration of all that are started from now on. */
     public void configs(UnaryOperator<String> change) {
-        configs = change;
+        configurationEdit = change;
     }
 
     /** So many of the first are seeds of those that are started from now on. */
     public void seeds(int count) {
-        seeds = count;
+        seedCount = count;
     }
 
     public static String name(int i) {
@@ -112,20 +113,20 @@
     }
 
     public int size() {
-        return hands.size();
+        return sidecars.size();
     }
 
     public InetSocketAddress front(int i) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), hands.get(i).front);
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecars.get(i).clientPort);
     }
 
     public int door(int i) {
-        return hands.get(i).door;
+        return sidecars.get(i).adminPort;
     }
 
     /** The port of its own socket for datagrams. */
     public int socket(int i) {
-        return hands.get(i).udp;
+        return sidecars.get(i).membershipPort;
     }
 
     public Path log(int i) {
@@ -133,7 +134,7 @@
     }
 
     public Process process(int i) {
-        return hands.get(i).process;
+        return sidecars.get(i).process;
     }
 
     /** Starts one, or starts it anew, with its own name. */
@@ -142,30 +143,30 @@
     }
 
     public Process start(int i, String name) throws IOException {
-        Hand hand = hands.get(i);
+        Sidecar sidecar = sidecars.get(i);
         ProcessBuilder builder = new ProcessBuilder(command(write(i, name)));
         builder.environment().putAll(environment(i));
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log(i).toFile()));
-        hand.process = builder.start();
-        hand.pid = hand.process.pid();
-        return hand.process;
+        sidecar.process = builder.start();
+        sidecar.pid = sidecar.process.pid();
+        return sidecar.process;
     }
 
     /**
      * Starts one on a clients' socket that others may have, too, with an operators' door of its own; its id.
      */
     public long startOn(Platform platform, int i) throws Exception {
-        Hand hand = hands.get(i);
-        hand.door = freePort();
-        hand.front = platform.address.getPort();
+        Sidecar sidecar = sidecars.get(i);
+        sidecar.adminPort = freePort();
+        sidecar.clientPort = platform.address.getPort();
         Map<String, String> environment = new HashMap<>(environment(i));
-        environment.put("LB_LISTEN", "127.0.0.1:" + hand.front);
+        environment.put("LB_LISTEN", "127.0.0.1:" + sidecar.clientPort);
         String command = String.join(" ", command(write(i, name(i))));
-        hand.pid = platform.start(command, environment, log(i));
-        return hand.pid;
+        sidecar.pid = platform.start(command, environment, log(i));
+        return sidecar.pid;
     }
 
-    private static List<String> command(Path operators) {
+    private static List<String> command(Path operatorConfiguration) {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -176,7 +177,7 @@
                 "org.cypressweir.sidecar.Main",
                 "serve",
                 "--operators",
-                operators.toString());
+                operatorConfiguration.toString());
     }
 
     private Map<String, String> environment(int i) {
@@ -184,7 +185,7 @@
                 "LB_CONFIG",
                 folder.resolve("config" + i + ".json").toString(),
                 "LB_OPERATOR",
-                "127.0.0.1:" + hands.get(i).door);
+                "127.0.0.1:" + sidecars.get(i).adminPort);
     }
 
     /** Writes the files of one, which takes over what may change at its next SIGHUP. */
@@ -193,28 +194,29 @@
     }
 
     private Path write(int i, String name) throws IOException {
-        Hand hand = hands.get(i);
+        Sidecar sidecar = sidecars.get(i);
         Path config = folder.resolve("config" + i + ".json");
         Files.writeString(
                 config,
-                configs.apply(Configs.of(
+                configurationEdit.apply(Configs.of(
                         name,
-                        hand.front,
+                        sidecar.clientPort,
                         discovery.port(),
                         1024,
                         250_000,
                         Configs.list(1, true, "in_service", servers))));
         Path file = folder.resolve("operators" + i + ".toml");
         List<String> seeds = new ArrayList<>();
-        for (int s = 0; s < Math.min(this.seeds, hands.size()); s++) {
+        for (int s = 0; s < Math.min(this.seedCount, sidecars.size()); s++) {
             seeds.add("\"127.0.0.1:" + relay.port(s) + "\"");
         }
         Files.writeString(
                 file,
-                operators.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
+                operatorConfigurationEdit.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
                         + "[routes.all]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
                         + "[routes.book]\npath = \"/book/*\"\nclass = \"book\"\npool = \"p\"\n"
-                        + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + hand.udp + "\"\nadvertise = "
+                        + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + sidecar.membershipPort
+                        + "\"\nadvertise = "
                         + "\"127.0.0.1:" + relay.port(i) + "\"\nseeds = [" + String.join(", ", seeds)
                         + "]\npause = \""
                         + pauseMillis + "ms\"\nrecord = \"" + folder.resolve("record" + i + ".json") + "\"\n"));
@@ -224,18 +226,18 @@
     public void signal(int i, String signal) throws IOException, InterruptedException {
         Assertions.assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + signal, String.valueOf(hands.get(i).pid))
+                new ProcessBuilder("kill", "-" + signal, String.valueOf(sidecars.get(i).pid))
                         .start()
                         .waitFor());
     }
 
     public void kill(int i) throws InterruptedException {
-        hands.get(i).process.destroyForcibly().waitFor();
+        sidecars.get(i).process.destroyForcibly().waitFor();
     }
 
     /** One call at its operators' door, and all that it says; empty while it can't be asked. */
     public String ask(int i, String line) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), hands.get(i).door)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecars.get(i).adminPort)) {
             socket.setSoTimeout(2_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -246,11 +248,11 @@
 
     /** What one sees of the others; empty while it can't be asked. */
     public Map<?, ?> members(int i) {
-        String said = ask(i, "MEMBERS");
-        if (!said.startsWith("{")) {
+        String response = ask(i, "MEMBERS");
+        if (!response.startsWith("{")) {
             return Map.of();
         }
-        return parse(said.substring(0, said.indexOf('\n')));
+        return parse(response.substring(0, response.indexOf('\n')));
     }
 
     private static Map<?, ?> parse(String line) {
@@ -262,14 +264,14 @@
     }
 
     /** How many live members one sees; -1 while it can't be asked. */
-    public int live(int i) {
+    public int liveCount(int i) {
         return members(i).get("live") instanceof Long live ? live.intValue() : -1;
     }
 
     /** Whether each of these sees just so many. */
     public boolean see(int count, int... who) {
         for (int i : who) {
-            if (live(i) != count) {
+            if (liveCount(i) != count) {
                 return false;
             }
         }
@@ -287,25 +289,25 @@
      */
     public long within(long millis, String what, Condition condition) throws Exception {
         long begun = System.nanoTime();
-        long late = pace.lateNanos();
+        long delayBefore = schedulingDelays.schedulingDelayNanos();
         while (!condition.holds()) {
-            long took = System.nanoTime() - begun - 3 * (pace.lateNanos() - late);
+            long took = System.nanoTime() - begun - 3 * (schedulingDelays.schedulingDelayNanos() - delayBefore);
             Assertions.assertTrue(
                     took < millis * 1_000_000, () -> "not within " + millis + " ms: " + what + "\n" + logs());
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         return (System.nanoTime() - begun) / 1_000_000;
     }
 
     /** For how long in all this process was kept waiting: what it sees of others, it sees so much later. */
     public long lateNanos() {
-        return pace.lateNanos();
+        return schedulingDelays.schedulingDelayNanos();
     }
 
     /** What all have logged. */
     public String logs() {
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < hands.size(); i++) {
+        for (int i = 0; i < sidecars.size(); i++) {
             try {
                 all.append(Files.exists(log(i)) ? Files.readString(log(i)) : "");
             } catch (IOException e) {
@@ -318,7 +320,7 @@
     /** What all have seen, in the order of the machine's one monotonic clock. */
     public List<Event> history() throws IOException {
         List<Event> history = new ArrayList<>();
-        for (int i = 0; i < hands.size(); i++) {
+        for (int i = 0; i < sidecars.size(); i++) {
             Path record = folder.resolve("record" + i + ".json");
             for (String line : Files.exists(record) ? Files.readAllLines(record) : List.<String>of()) {
                 if (line.endsWith("}")) {
@@ -338,33 +340,33 @@
 
     @Override
     public void close() throws IOException {
-        for (Hand hand : hands) {
-            if (hand.process != null) {
-                hand.process.destroyForcibly();
+        for (Sidecar sidecar : sidecars) {
+            if (sidecar.process != null) {
+                sidecar.process.destroyForcibly();
             }
         }
-        pace.close();
+        schedulingDelays.close();
         relay.close();
         discovery.close();
     }
 
     /** Measures how late this process is called back, as a measure of how busy the machine is. */
-    private static final class Pace {
-        private static final long NAP_MILLIS = 5;
-        private volatile long late;
-        private volatile boolean over;
+    private static final class SchedulingDelayMonitor {
+        private static final long SLEEP_MILLIS = 5;
+        private volatile long delayNanos;
+        private volatile boolean closed;
 
-        Pace() {
+        SchedulingDelayMonitor() {
             Thread thread = new Thread(
                     () -> {
-                        while (!over) {
+                        while (!closed) {
                             long before = System.nanoTime();
                             try {
-                                TimeUnit.MILLISECONDS.sleep(NAP_MILLIS);
+                                TimeUnit.MILLISECONDS.sleep(SLEEP_MILLIS);
                             } catch (InterruptedException e) {
                                 return;
                             }
-                            late += Math.max(0, System.nanoTime() - before - 2 * NAP_MILLIS * 1_000_000);
+                            delayNanos += Math.max(0, System.nanoTime() - before - 2 * SLEEP_MILLIS * 1_000_000);
                         }
                     },
                     "pace");
@@ -372,12 +374,12 @@
             thread.start();
         }
 
-        long lateNanos() {
-            return late;
+        long schedulingDelayNanos() {
+            return delayNanos;
         }
 
         void close() {
-            over = true;
+            closed = true;
         }
     }
 }
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -35,7 +35,7 @@
         ConsensusReplica consensus;
         PersistentState disk;
         long incarnation;
-        boolean initial;
+        boolean initialStart;
         private Effect.Write writing;
         /** Until when writes do not come back. */
         long stalledUntil;
@@ -133,15 +133,15 @@
     }
 
     /** Starts a replica with what is on its disk. */
-    public Replica start(String address, boolean initial) {
+    public Replica start(String address, boolean initialStart) {
         Replica replica = replicas.computeIfAbsent(address, Replica::new);
         replica.incarnation = ++incarnations - clockBehindMicros;
-        replica.initial = initial;
+        replica.initialStart = initialStart;
         replica.consensus = new ConsensusReplica(
                 ConsensusOptions.usual(),
                 address,
                 seeds,
-                initial,
+                initialStart,
                 replica.disk,
                 replica.incarnation,
                 random.split(),
@@ -290,7 +290,7 @@
     }
 
     /** Submits a change to a replica; returns its proposal id, or -1 if the replica is down. */
-    public long submit(Replica replica, String body, long patience) {
+    public long submit(Replica replica, String body, long timeoutMicros) {
         if (!replica.isRunning()) {
             return -1;
         }
@@ -298,17 +298,17 @@
                 ConfigurationChange.read(body.getBytes(StandardCharsets.UTF_8)).get();
         long proposalId = ++proposalIds;
         checks.submitted(proposalId, change);
-        perform(replica, replica.consensus.submit(now, proposalId, change, now + patience));
+        perform(replica, replica.consensus.submit(now, proposalId, change, now + timeoutMicros));
         return proposalId;
     }
 
-    public long read(Replica replica, long patience) {
+    public long read(Replica replica, long timeoutMicros) {
         if (!replica.isRunning()) {
             return -1;
         }
         long proposalId = ++proposalIds;
         checks.submitted(proposalId, null);
-        perform(replica, replica.consensus.read(now, proposalId, now + patience));
+        perform(replica, replica.consensus.read(now, proposalId, now + timeoutMicros));
         return proposalId;
     }
 
--- a/src/test/java/org/cypressweir/testkit/WebSocketClient.java
+++ b/src/test/java/org/cypressweir/testkit/WebSocketClient.java
@@ -52,14 +52,14 @@
     }
 
     /** A server's sound 101. */
-    public static String agreed(String key, String more) {
+    public static String agreed(String key, String extraHeaders) {
         return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-                + "Sec-WebSocket-Accept: " + accept(key) + "\r\n" + more + "\r\n";
+                + "Sec-WebSocket-Accept: " + accept(key) + "\r\n" + extraHeaders + "\r\n";
     }
 
     /** Takes a request for an upgrade and goes over. */
-    public static WebSocketClient agree(PeerStub.Seen seen, String more) throws IOException {
-        seen.raw(agreed(seen.request().headers().get("Sec-WebSocket-Key"), more));
+    public static WebSocketClient agree(PeerStub.Seen seen, String extraHeaders) throws IOException {
+        seen.raw(agreed(seen.request().headers().get("Sec-WebSocket-Key"), extraHeaders));
         return new WebSocketClient(seen.socket(), false);
     }
 
@@ -106,7 +106,7 @@
         return out.toByteArray();
     }
 
-    public static byte[] closing(int code, String reason) {
+    public static byte[] closePayload(int code, String reason) {
         byte[] text = reason.getBytes(StandardCharsets.UTF_8);
         byte[] payload = new byte[2 + text.length];
         payload[0] = (byte) (code >> 8);
@@ -130,7 +130,7 @@
     }
 
     public WebSocketClient close(int code) throws IOException {
-        return send(8, true, closing(code, ""));
+        return send(8, true, closePayload(code, ""));
     }
 
     /** Closes the connection. */
@@ -168,7 +168,7 @@
 
     /** The next message, its pieces put together; control frames before its end are passed over. */
     public Frame message() throws IOException {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream payload = new ByteArrayOutputStream();
         int opcode = 0;
         for (Frame f; (f = read()) != null; ) {
             if (f.opcode() == 8) {
@@ -178,9 +178,9 @@
                 continue;
             }
             opcode = f.opcode() == 0 ? opcode : f.opcode();
-            whole.writeBytes(f.payload());
+            payload.writeBytes(f.payload());
             if (f.last()) {
-                return new Frame(opcode, true, f.rsv1(), whole.toByteArray());
+                return new Frame(opcode, true, f.rsv1(), payload.toByteArray());
             }
         }
         return null;
