--- a/src/test/java/org/cypressweir/testkit/CellsFixture.java
+++ b/src/test/java/org/cypressweir/testkit/CellsFixture.java
@@ -10,7 +10,7 @@
 import org.cypressweir.sidecar.cell.Cells.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 
-/** Drives the decisions about cells by hand, in time that a test makes up. */
+/** Drives the assignment of requests to cells in simulated time, and records the requests that it releases. */
 public final class CellsFixture implements Cells.Actions {
 
     public static final int REQUESTS = 1_000;
@@ -28,7 +28,7 @@
         cells.listed(now, ListKind.COMPLETE, CellPlans.servers(servers, 2));
     }
 
-    /** Lets time pass, with each timer when it is due. */
+    /** Advances the time, and runs timers as they become due. */
     public void to(long later) {
         while (timerAt != 0 && timerAt <= later) {
             now = Math.max(now, timerAt);
@@ -42,7 +42,7 @@
         return ask(unit, effect, ++requestCount);
     }
 
-    /** The number stands for the request and its idempotency key. */
+    /** Submits a request; the number identifies both the request and its idempotency key. */
     public Ticket ask(String unit, Effect effect, long number) {
         return ask(unit, effect, number, 3_000_000);
     }
@@ -56,7 +56,11 @@
         cells.ended(now, ticket);
     }
 
-    /** A second of so many requests of a unit, in time or not; each ends at once. */
+    /**
+     * Submits this number of requests of a unit, spread over one second.
+     *
+     * @param inTime whether they are answered in time; each ends at once
+     */
     public void second(String unit, Effect effect, int requests, boolean inTime) {
         long end = now + 1_000_000;
         for (int i = 0; i < requests; i++) {
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelay.java
@@ -29,16 +29,17 @@
  */
 public final class ConnectionRelay implements AutoCloseable {
 
-    /** What becomes of what one process sends to another. */
+    /** How the relay treats the bytes and connections of one direction. */
     public enum LinkMode {
+        /** Bytes are forwarded. */
         PASS,
-        /** Nothing arrives; when the partition heals, all arrives that was sent. */
+        /** Bytes are buffered, and delivered once the partition heals. */
         HOLD,
-        /** Nothing arrives; when the partition heals, the connections on which something was lost are reset. */
+        /** Bytes are discarded; once the partition heals, the connections that lost any are reset. */
         LOSE,
-        /** All connections are reset, new ones too. */
+        /** Existing and new connections are reset. */
         RESET,
-        /** All connections are reset, and new ones are refused. */
+        /** Existing connections are reset, and new ones are refused. */
         REFUSE;
 
         boolean isSilent() {
@@ -92,7 +93,7 @@
             }
         }
 
-        /** Hands on what is due; false once the connection is to be reset. */
+        /** Forwards the bytes that are due; returns false if the connection is to be reset. */
         private boolean forward(long now) throws IOException {
             if (lost && mode(pair) != LinkMode.LOSE) {
                 return false;
@@ -155,9 +156,9 @@
     private final Set<Link> links = new LinkedHashSet<>();
     private final Set<String> unreachable = new LinkedHashSet<>();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    /** Callers whose tasks have run; only the relay's thread uses it. */
+    /** Callers whose tasks have run but are not in force yet; only the relay's thread uses it. */
     private final List<CompletableFuture<Void>> pendingCallers = new ArrayList<>();
-    /** Connections that were reset. */
+    /** How many sockets were reset. */
     public final AtomicLong resets = new AtomicLong();
 
     private final Thread thread;
@@ -165,7 +166,12 @@
     private volatile IOException failed;
     private volatile boolean closed;
 
-    /** @param ip where the relay listens for all of them */
+    /**
+     * Starts a relay between processes.
+     *
+     * @param ip the address at which the relay listens, on one port for each direction
+     * @param processes the addresses of the processes, by name
+     */
     public ConnectionRelay(String ip, Map<String, InetSocketAddress> processes) throws IOException {
         targets.putAll(processes);
         for (String from : targets.keySet()) {
@@ -187,17 +193,17 @@
         return listenAddresses.get(new Direction(from, to));
     }
 
-    /** Sets the mode of one direction; returns once it is in force. */
+    /** Sets the mode of one direction; returns once listeners and connections follow it. */
     public void set(String from, String to, LinkMode mode) {
         runOnRelayThread(() -> modes.put(new Direction(from, to), mode));
     }
 
-    /** Delays what one process sends to another. */
+    /** Delays the bytes that one process sends to another. */
     public void delay(String from, String to, long millis) {
         runOnRelayThread(() -> delays.put(new Direction(from, to), TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
-    /** Sets the modes between one process and others, for what it sends and for what it receives. */
+    /** Sets the modes between one process and others: one for what it sends, one for what it receives. */
     public void partition(String one, List<String> others, LinkMode out, LinkMode in) {
         for (String other : others) {
             if (!other.equals(one)) {
@@ -212,7 +218,7 @@
         runOnRelayThread(modes::clear);
     }
 
-    /** Runs a task on the relay's thread and returns once listeners and connections follow from it. */
+    /** Runs a task on the relay's thread; returns once listeners and connections follow from it. */
     private void runOnRelayThread(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         tasks.add(() -> {
@@ -266,14 +272,14 @@
         }
     }
 
-    /** Who was not there is looked for: nobody is let in before it is. */
+    /** Connects to the targets that were unreachable: the relay listens for a target only once it is reachable. */
     private void probeTargets() throws IOException {
         for (String name : List.copyOf(unreachable)) {
             try {
                 connect(targets.get(name)).close();
                 unreachable.remove(name);
             } catch (IOException e) {
-                // Still not.
+                // Still unreachable.
             }
         }
     }
@@ -320,7 +326,7 @@
         }
     }
 
-    /** With its queue full the system answers no dial. */
+    /** Fills the accept queue of a listener, so that the kernel leaves further connection attempts unanswered. */
     private void fillAcceptQueue(Direction pair, ServerSocketChannel listener) throws IOException {
         listener.keyFor(selector).interestOps(0);
         List<SocketChannel> all = new ArrayList<>();
@@ -333,7 +339,10 @@
         queueFillers.put(pair, all);
     }
 
-    /** While its queue is full the system answers no dial, and the dialler tries again only after a second. */
+    /**
+     * Accepts all queued connections. Without this, attempts to connect would go unanswered until the queue has room,
+     * and a client repeats an unanswered attempt only after a second.
+     */
     private void drainAcceptQueue(Direction pair) throws IOException {
         boolean isEmpty = false;
         while (!isEmpty) {
@@ -348,7 +357,7 @@
         queueFillers.remove(pair);
     }
 
-    /** Takes the next connection; returns whether there was one. */
+    /** Accepts the next connection; returns whether there was one. */
     private boolean accept(Direction pair) throws IOException {
         SocketChannel client = listeners.get(pair).accept();
         if (client == null) {
@@ -426,7 +435,7 @@
         }
         selector.close();
         if (failed != null) {
-            throw new IOException("the relay ended", failed);
+            throw new IOException("the relay's thread failed", failed);
         }
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
+++ b/src/test/java/org/cypressweir/testkit/ConnectionRelayTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each mode of the relay does to connections what it says. */
+/** Checks what each mode of the relay does to the bytes and connections of a direction. */
 @Timeout(20)
 class ConnectionRelayTest {
 
--- a/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
@@ -17,24 +17,23 @@
 import org.cypressweir.controlplane.consensus.ProposalResult;
 
 /**
- * Checks the guarantees of the consensus protocol by what was submitted to replicas, what they answered and what they
- * published, without a look at their state: nothing acknowledged or read is lost, each version of an item has one
- * content, each proposal number has one state, and the states that a replica publishes rise. The first violation is
- * kept. For one thread.
+ * Checks the guarantees of the consensus protocol from the outside, by what was submitted to replicas, what they
+ * answered and what they published: nothing acknowledged or read is lost, each version of an item has one content, each
+ * proposal number has one state, and the proposal numbers that a replica publishes increase. Not thread-safe.
  */
 public final class ConsensusChecks {
 
     private record Call(ConfigurationChange change, Map<ItemKey, Item> requiredItems) {}
 
     private final Map<Long, Call> pendingCalls = new HashMap<>();
-    /** What a read that begins now must find, or newer versions of it. */
+    /** The items that a read which begins now must return, in these versions or newer ones. */
     private Map<ItemKey, Item> requiredItems = Map.of();
 
     private final Map<ItemKey, Map<Long, Object>> contentsByVersion = new HashMap<>();
     private final Map<ProposalNumber, Effect.Show> publishedStates = new HashMap<>();
     private final Map<String, ProposalNumber> lastPublished = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
-    /** The same by the time since which each is required. */
+    /** The required items by the time since which they have been required. */
     private final TreeMap<Long, Map<ItemKey, Item>> requiredItemsByTime = new TreeMap<>();
 
     private int accepted;
@@ -49,17 +48,17 @@
         return read;
     }
 
-    /** How often a replica has confirmed that its published state was the newest as of some moment. */
+    /** How often a replica has confirmed that its published state was current as of some moment. */
     public int confirmed() {
         return confirmed;
     }
 
-    /** Records the time at which the required items are those of now. */
+    /** Records the items that are required at this time. */
     public void timePassed(long now) {
         requiredItemsByTime.put(now, requiredItems);
     }
 
-    /** A replica confirms that its published state was the newest as of a moment: all answered before is in it. */
+    /** Checks a state that a replica confirms to be current as of a moment: all that was answered before is in it. */
     public void confirmed(String replica, long asOf, Configuration shown) {
         confirmed++;
         Map.Entry<Long, Map<ItemKey, Item>> before = requiredItemsByTime.lowerEntry(asOf);
@@ -125,7 +124,7 @@
         requiredItems = raised;
     }
 
-    /** A configuration must have these items, in versions as high or higher. */
+    /** Checks that a configuration contains these items, in the same versions or newer ones. */
     public void requireAtLeast(Map<ItemKey, Item> least, Configuration configuration, String what) {
         least.forEach((key, item) -> {
             Item found = configuration.get(key);
--- a/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
@@ -9,7 +9,7 @@
 import org.cypressweir.controlplane.consensus.ProposalNumber;
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
-/** Cases in which a replica loses its disk at the worst moment. Random fault scenarios rarely come to them. */
+/** Cases in which a replica loses its disk at the worst moment, which random fault scenarios rarely reach. */
 public final class ConsensusCornerCases {
 
     private static final int SEEDS = 20;
@@ -45,8 +45,8 @@
     }
 
     /**
-     * The second replica proposes while its disk is slow. The third promises, loses its disk, and accepts from the
-     * first.
+     * The second replica proposes while its disk is slow. The third promises, loses its disk, and then accepts a
+     * proposal of the first: the lost promise must not let two proposals be committed.
      */
     private static String promiseOfALostDisk(long seed) {
         SimulatedReplicas simulation = new SimulatedReplicas(seed, 3);
@@ -66,7 +66,7 @@
         return violation(simulation);
     }
 
-    /** The second replica sends accept messages while its disk is slow; the third accepts, and loses its disk. */
+    /** The second replica sends accept messages while its disk is slow; the third accepts, then loses its disk. */
     private static String acceptanceOfALostDisk(long seed) {
         SimulatedReplicas simulation = new SimulatedReplicas(seed, 3);
         simulation.run(500_000);
@@ -80,7 +80,7 @@
         simulation.stallDisk(second, 300_000);
         simulation.run(15_000);
         simulation.wipe(simulation.replica(3));
-        // It asks the others, which may not have the proposal yet, before the first receives it.
+        // The restarted replica queries the others before the first receives the proposal, so they may not have it yet.
         simulation.start(3);
         runUntil(simulation, () -> !simulation.replica(3).consensus().isBlank());
         simulation.heal();
@@ -133,7 +133,7 @@
         return answered ? "a message for the old disk is processed with the new one" : null;
     }
 
-    /** An earlier build has let a replica learn a state that only one replica has voted for. */
+    /** A replica has stored a learned state for which only one replica has voted, as an earlier build allowed. */
     private static String learnedByAnEarlierBuild(long seed) {
         SimulatedReplicas simulation = new SimulatedReplicas(seed, 3);
         simulation.run(500_000);
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -15,11 +15,11 @@
 import java.util.stream.IntStream;
 
 /**
- * A random fault scenario over controllers and two proxies as processes, with operators that send changes and read,
- * and clients whose requests are not idempotent. Faults: a process is killed or stopped for a while, its folder is
- * emptied while it runs or after its end, all are killed at once, and in between a process is partitioned, in one
- * direction or both, at times with another fault as the partition heals. Faults are paced by the calls that are
- * answered, and a disk is lost only while all controllers are healthy.
+ * A random fault scenario over controllers and two proxies as processes, with operators that submit changes and read
+ * the configuration, and clients whose requests are not idempotent. In each fault a controller is killed or suspended,
+ * its data directory is emptied while it runs or after it was killed, or all controllers are killed at once. Every other
+ * fault is a partition of one process, in one direction or both, sometimes with a further fault as it heals. The next
+ * fault waits for a number of answered calls, and a disk is lost only while all controllers are healthy.
  */
 public final class ControllerFaultScenario implements AutoCloseable {
 
@@ -31,7 +31,7 @@
     private static final String INITIAL_CONFIGURATION = "{'upsert':{'serviceTable':{'orders':{'healthPath':'/health',"
             + "'maxConnections':32,'configVersion':'r1'}},'routeTable':{'first':" + route("day.mesh") + "}}}";
     private static final int MAX_PARTITION_MILLIS = Integer.getInteger("harbour.cut", 2_000);
-    /** Whether changes are sent again long after they were acknowledged. */
+    /** Whether acknowledged changes are submitted again later. */
     private static final boolean REPEATS = !"false".equals(System.getProperty("harbour.repeats"));
 
     private final SplittableRandom random;
@@ -73,7 +73,7 @@
                 + "'publicAccess':true,'configVersion':'r1'}";
     }
 
-    /** Runs with so many faults, every other one a partition; returns the first violation, or null. */
+    /** Runs with this number of faults, every other one a partition; returns the first violation, or null. */
     public String run(int faultCount) throws IOException, InterruptedException {
         startCallers();
         for (int i = 0; i < faultCount && violation() == null; i++) {
@@ -137,18 +137,18 @@
         return requestViolation == null ? checks.violation() : requestViolation;
     }
 
-    /** How often the request has run; more than once is a violation. */
+    /** Returns how often the request was executed; records a violation if that is more than once. */
     private int countRuns(String id) {
         int runs = PROXIES.stream()
                 .mapToInt(proxy -> mesh.application(proxy).runs(id))
                 .sum();
         if (runs > 1) {
-            requestViolation = "the call " + id + " has run " + runs + " times";
+            requestViolation = "request " + id + " was executed " + runs + " times";
         }
         return runs;
     }
 
-    /** A client: its requests are not idempotent, and each response has to be its own. */
+    /** Sends requests that are not idempotent, and checks that each response belongs to its request. */
     private void request(SplittableRandom callerRandom) {
         while (!stopped) {
             String id = mesh.nextRequestId();
@@ -163,13 +163,13 @@
                     }
                 }
             } catch (IOException e) {
-                // No response: it may have run, once.
+                // No response: the request may have been executed, once at most.
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
 
-    /** One or two partitions in a row, and at times another fault as the last one heals. */
+    /** Makes one or two partitions in a row, sometimes followed by another fault as the last one heals. */
     private void partition(String controller) throws IOException, InterruptedException {
         ConnectionRelay relay = mesh.relay();
         String partitioned = controller;
@@ -187,7 +187,7 @@
             ConnectionRelay.LinkMode mode = ConnectionRelay.LinkMode.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
             int millis = random.nextInt(4) > 0 ? 0 : MAX_PARTITION_MILLIS / (1 + 3 * random.nextInt(2));
-            faults.add("cut " + partitioned + " " + mode + " " + "<>=".charAt(direction) + " " + others.size() + " "
+            faults.add("partition " + partitioned + " " + mode + " " + "<>=".charAt(direction) + " " + others.size() + " "
                     + millis);
             relay.partition(
                     partitioned,
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Waits until some more calls have been answered, each of them soon after the one before. */
+    /** Waits for a random number of further answered calls; the time-out applies to each call on its own. */
     private void awaitSomeCalls() throws InterruptedException {
         int target = answeredCalls.get() + 1 + random.nextInt(MAX_CALLS_BETWEEN_FAULTS);
         for (int had = answeredCalls.get(); had < target; had = answeredCalls.get()) {
@@ -285,7 +285,7 @@
         }
     }
 
-    /** An operator: one call after the other. Two of them often use the same version for different contents. */
+    /** Makes one operator's calls, one at a time. Operators often submit different contents under the same version. */
     private void operate(SplittableRandom callerRandom) {
         while (!stopped) {
             String controller = controllers.get(callerRandom.nextInt(controllers.size()));
@@ -303,7 +303,7 @@
                 }
                 answeredCalls.incrementAndGet();
             } catch (IOException e) {
-                // No answer; another controller may be reachable. Not at once, to spare the processor.
+                // No answer; another controller may be reachable. The pause keeps the loop from using up the processor.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
             }
         }
@@ -329,7 +329,7 @@
 
     @Override
     public String toString() {
-        return checks + ", " + servedRequests + " of " + requestIds.size() + " calls served, " + mesh.relay().resets
+        return checks + ", " + servedRequests + " of " + requestIds.size() + " requests served, " + mesh.relay().resets
                 + " resets, faults " + faults;
     }
 
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenarios.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenarios.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Runs random fault scenarios, several at a time, and goes on after a violation; prints a line for each. */
+/** Runs random fault scenarios, several at a time, and prints a line for each. A violation does not end the run. */
 public final class ControllerFaultScenarios {
 
     private ControllerFaultScenarios() {}
 
-    /** @param args a folder, the first seed, how many scenarios, faults in each, how many at a time */
+    /** @param args a folder, the first seed, the number of scenarios, the faults in each, the number of threads */
     public static void main(String[] args) throws InterruptedException {
         Path folder = Path.of(args[0]);
         int first = Integer.parseInt(args[1]);
--- a/src/test/java/org/cypressweir/testkit/DatagramRelay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -22,12 +22,15 @@
  */
 public final class DatagramRelay implements AutoCloseable {
 
-    /** Whether what one sends to another arrives; by place. */
+    /** Decides whether datagrams from one process to another are forwarded; processes are given by index. */
     public interface LinkFilter {
         boolean allows(int from, int to);
     }
 
-    /** Parts of all datagrams, 0 to 1, that are lost, come twice, come late, or with a flipped bit. */
+    /**
+     * The fractions of datagrams, 0 to 1, that are lost, duplicated, delayed by up to a maximum, or corrupted by one
+     * flipped bit.
+     */
     public record Weather(
             double lossRate, double duplicateRate, double delayRate, long maxDelayMillis, double corruptionRate) {
         public static final Weather FAIR = new Weather(0, 0, 0, 0, 0);
@@ -48,7 +51,7 @@
     private volatile Weather impairment = Weather.FAIR;
     private volatile boolean closed;
 
-    /** Between processes that listen on these ports. */
+    /** Starts a relay between processes that listen on these loopback ports. */
     public DatagramRelay(long seed, List<Integer> ports) throws IOException {
         random = new SplittableRandom(seed);
         for (int port : ports) {
@@ -65,7 +68,7 @@
         thread.start();
     }
 
-    /** The address that others reach this one at. */
+    /** The loopback port at which the other processes reach this one. */
     public int port(int index) throws IOException {
         return ((InetSocketAddress) sockets.get(index).getLocalAddress()).getPort();
     }
@@ -95,7 +98,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the relay broke", e);
+            throw new IllegalStateException("the relay's thread failed", e);
         }
     }
 
@@ -106,7 +109,7 @@
             try {
                 source = (InetSocketAddress) sockets.get(to).receive(buffer);
             } catch (IOException e) {
-                // Nobody listens behind it any more, which is what is tested.
+                // The process behind the socket no longer listens, as when a test has killed it.
                 continue;
             }
             if (source == null) {
@@ -145,12 +148,12 @@
             sockets.get(to).send(ByteBuffer.wrap(bytes), targets.get(to));
             passed.incrementAndGet();
         } catch (IOException e) {
-            // Nobody listens there.
+            // The process does not listen: the datagram counts as delivered all the same.
             passed.incrementAndGet();
         }
     }
 
-    /** Sends a datagram of the test's own to a process. */
+    /** Sends a datagram to a process from a socket that belongs to none of them. */
     public void inject(int to, byte[] bytes) throws IOException {
         try (DatagramChannel own = DatagramChannel.open()) {
             own.send(ByteBuffer.wrap(bytes), targets.get(to));
--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -11,32 +11,41 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A random schedule of faults of sidecar processes and of the network between them. The faults come one after the
- * other, and after each all processes must see all others again. Where a fault must not change anybody's view, the
- * events that the processes have recorded are checked.
+ * A random schedule of faults of sidecar processes and of the network between them. Faults are injected one at a time,
+ * and after each one all processes must see all others again. For faults that must not change any view of the
+ * membership, the events that the processes have recorded are checked as well.
  */
 public final class FaultSchedule {
 
-    /** What is done, to whom. */
+    /** The kinds of faults. */
     public enum Kind {
+        /** A process is suspended for less time than it takes to be declared failed. */
         SHORT_STOP,
+        /** A process is suspended until the others have removed it. */
         LONG_STOP,
+        /** A process is killed and started again. */
         KILL,
+        /** Datagrams from one process to another are lost. */
         ONE_WAY,
+        /** Datagrams between two processes are lost in both directions. */
         PAIR,
+        /** All datagrams from one process are lost. */
         MUTE,
+        /** All datagrams to one process are lost. */
         DEAF,
+        /** The processes are partitioned into two or three groups. */
         SPLIT,
+        /** Some datagrams are lost, duplicated, delayed or corrupted. */
         LOSS
     }
 
     /**
      * One fault.
      *
-     * @param one whom it meets
-     * @param other the other one of a pair
-     * @param groups in which part of a split each is
-     * @param millis for which it lasts, where it is not over by itself
+     * @param one the process that it affects
+     * @param other the second process, for faults between two
+     * @param groups the group of each process, for a split
+     * @param millis how long it lasts, for kinds that do not end on a condition
      */
     public record Step(Kind kind, int one, int other, List<Integer> groups, long millis) {}
 
@@ -52,7 +61,10 @@
         all = IntStream.range(0, processes.size()).boxed().collect(Collectors.toSet());
     }
 
-    /** Faults in any order; the first two are the seeds, of which one may always be found. */
+    /**
+     * Generates random faults. The first two processes are the seeds, so that one of them can be reached while a fault
+     * affects the other.
+     */
     public static List<Step> draw(long seed, int members, int steps, long pauseMillis) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> schedule = new ArrayList<>();
@@ -63,7 +75,8 @@
             int parts = 2 + random.nextInt(2);
             List<Integer> groups = new ArrayList<>();
             for (int m = 0; m < members; m++) {
-                // A part without a seed is found again by the others' knocking: that is wanted too.
+                // Each group has at least one member. Processes 0 and 1 are the seeds, so a third group has no seed:
+                // it has to be rejoined by the probes that the others send to members they have lost.
                 groups.add(m < parts ? m : random.nextInt(parts));
             }
             long millis = kind == Kind.SHORT_STOP ? 100 + random.nextLong(pauseMillis * 6 / 10) : 2 * pauseMillis;
@@ -72,7 +85,7 @@
         return schedule;
     }
 
-    /** What a word takes to all, and the silence before it. */
+    /** The time until a failure is detected and all members know of it. */
     private long detectionMillis() {
         return 3 * pause + 1_000;
     }
@@ -98,7 +111,10 @@
         TimeUnit.MILLISECONDS.sleep(step.millis);
     }
 
-    /** Ends that any process has seen since then, but for those of these. */
+    /**
+     * Checks that no process has recorded the removal or the leaving of a member since then. Events that the exempt
+     * processes recorded, or that are about them, do not count.
+     */
     private void assertNoMemberEnded(long since, String what, Set<String> but) throws Exception {
         List<SidecarProcesses.Event> ends = processes.history().stream()
                 .filter(e -> e.mono() > since
@@ -109,7 +125,7 @@
         Assertions.assertEquals(List.of(), ends, () -> what + "\n" + processes.logs());
     }
 
-    /** Plays one fault and what must come of it. */
+    /** Injects one fault, ends it, and checks what the processes make of it. */
     public void play(Step step) throws Exception {
         long startMicros = System.nanoTime() / 1_000;
         String what = step.toString();
@@ -174,6 +190,6 @@
             }
             default -> throw new IllegalStateException(what);
         }
-        awaitAllSeeAll(what + ": all see all", detectionMillis());
+        awaitAllSeeAll(what + ": all processes see all others", detectionMillis());
     }
 }
--- a/src/test/java/org/cypressweir/testkit/Installations.java
+++ b/src/test/java/org/cypressweir/testkit/Installations.java
@@ -11,10 +11,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.sidecar.operatorconfig.Facts;
 
-/** The installation that operators' files of the tests are held against. */
+/** The installations against which tests check operators' configuration files. */
 public final class Installations {
 
-    /** Microseconds for which servers drop repeats of {@code hold}. */
+    /** For how long servers discard repeated requests of class {@code hold}. */
     public static final long DEDUP_WINDOW_MICROS = 500_000;
 
     private Installations() {}
@@ -23,7 +23,7 @@
         return new RequestClass(name, effect, group, DEDUP_WINDOW_MICROS, 400_000, 0, deadline, 1, 0.3, false);
     }
 
-    /** Four classes (one keyed within a zone), two zones, six attempts, second copies allowed. */
+    /** Four classes (one of them keyed within a zone), two zones, six attempts, hedged requests allowed. */
     public static Settings settings(long seed) {
         return new Settings(
                 seed,
@@ -47,7 +47,7 @@
                 1_000);
     }
 
-    /** The classes and zones of the station finder, for the example file. */
+    /** The facts that the example file refers to: a station finder's classes and zones. */
     public static Facts stationFinder() {
         Settings s = settings(7);
         List<RequestClass> classes =
--- a/src/test/java/org/cypressweir/testkit/JsonCopy.java
+++ b/src/test/java/org/cypressweir/testkit/JsonCopy.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Copies a message as JSON would, and fails on what JSON has not. */
+/** Copies a message as encoding and decoding it would, and fails on values that JSON cannot represent. */
 public final class JsonCopy {
 
     private JsonCopy() {}
@@ -28,6 +28,6 @@
         if (value instanceof String || value instanceof Long || value instanceof Double || value instanceof Boolean) {
             return value;
         }
-        throw new AssertionError("not for JSON: " + value);
+        throw new AssertionError("cannot be represented in JSON: " + value);
     }
 }
--- a/src/test/java/org/cypressweir/testkit/LeaseHistory.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHistory.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Checks a history of acts under leases by one clock: the intervals in which different processes acted under a lease
- * must not overlap, and fencing tokens must rise from one process to the next. Acts are recorded in the order of that
+ * Checks a history of acts under leases by one clock: the intervals in which different processes act under a lease must
+ * not overlap, and the fencing token must increase from one holder to the next. Acts are recorded in the order of that
  * clock.
  */
 public final class LeaseHistory {
@@ -19,7 +19,7 @@
     private final List<String> violations = new ArrayList<>();
     private long count;
 
-    /** A process acts at that moment. */
+    /** Records and checks that a process acts at a time. */
     public void act(String lease, String process, long at, long token) {
         count++;
         LastAct before = last.put(lease, new LastAct(process, at, token));
@@ -27,7 +27,7 @@
             return;
         }
         if (at < before.at) {
-            throw new IllegalArgumentException("not in order");
+            throw new IllegalArgumentException("acts are not in the order of the clock");
         }
         if (before.process.equals(process)) {
             if (token < before.token) {
@@ -36,18 +36,18 @@
             return;
         }
         if (at == before.at) {
-            violations.add(lease + ": " + process + " and " + before.process + " act at once, at " + at);
+            violations.add(lease + ": " + process + " and " + before.process + " act at the same time, " + at);
         }
         if (token <= before.token) {
             violations.add(lease + ": " + process + " has token " + token + " at " + at + ", and " + before.process
                     + " had " + before.token + " before");
         }
-        // Whoever was followed by another must not be back under the token that it had.
+        // A process that another has followed must not act again under its old token.
         Map<String, Long> endedTokens = ended.computeIfAbsent(lease, l -> new HashMap<>());
         endedTokens.put(before.process, before.token);
         Long own = endedTokens.get(process);
         if (own != null && token <= own) {
-            violations.add(lease + ": " + process + " is back with token " + token + " at " + at);
+            violations.add(lease + ": " + process + " acts again with token " + token + " at " + at);
         }
     }
 
@@ -55,7 +55,7 @@
         return count;
     }
 
-    /** What is wrong in it. */
+    /** The violations so far. */
     public List<String> wrong() {
         return violations;
     }
--- a/src/test/java/org/cypressweir/testkit/LeaseHolders.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client beside each sidecar process that asks at the admin socket whether the process holds a lease, and acts as
- * long as the response allows. The acts of all make one history by the machine's monotonic clock.
+ * A client for each sidecar process that queries the admin socket whether the process holds a lease, and acts for as
+ * long as the response allows. The acts of all clients form one history, ordered by the machine's monotonic clock.
  */
 public final class LeaseHolders implements AutoCloseable {
 
@@ -44,7 +44,7 @@
             synchronized (this) {
                 long now = System.nanoTime();
                 if (now < until) {
-                    // Two incarnations of one name are two holders: the token tells them apart.
+                    // Two incarnations of a process are two holders with the same name: the token tells them apart.
                     history.act(lease, SidecarProcesses.name(index), now, Long.parseLong(response[1]));
                     last = SidecarProcesses.name(index);
                     lastAt = now;
@@ -58,12 +58,12 @@
         }
     }
 
-    /** Who has acted last within the last half second; empty for nobody. */
+    /** The process that acted last, if that was within the last 500 ms; otherwise empty. */
     public synchronized String holder() {
         return System.nanoTime() - lastAt < 500_000_000 ? last : "";
     }
 
-    /** Whether somebody else than this one has acted in the last 100 milliseconds. */
+    /** Whether the last act was another process's and within the last 100 ms. */
     public synchronized boolean actsBesides(String name) {
         return System.nanoTime() - lastAt < 100_000_000 && !last.equals(name);
     }
--- a/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
+++ b/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
@@ -22,8 +22,8 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
- * Drives a module by hand, in time that it makes up, with outcomes at random, and holds each action against
- * the rules and the terms of its request. A broken one is an {@link AssertionError} at once.
+ * Drives a load balancer in simulated time with random outcomes of attempts, and checks each of its actions against
+ * the limits and the terms of the request. A violation throws an {@link AssertionError} at once.
  */
 public final class LoadBalancerFixture implements Actions {
 
@@ -37,9 +37,9 @@
     private final String title;
     private long now = 1_000_000;
     private long sequence;
-    /** Attempts beyond the first, and copies of what was still out: that the test has looked at something. */
+    /** How many attempts were not the first of their request: shows that a run has exercised retries. */
     private int retries;
-
+    /** How many of those were sent while another attempt was in flight. */
     private int copies;
 
     private record Event(long at, long sequence, Runnable task) implements Comparable<Event> {
@@ -112,7 +112,7 @@
         return copies;
     }
 
-    /** Has a request come so much later. */
+    /** Schedules a request. */
     public void ask(long afterMicros, String id, int requestClass, long timeoutMicros, Terms terms) {
         scheduleAt(now + afterMicros, () -> {
             Request request =
@@ -122,12 +122,12 @@
         });
     }
 
-    /** Has something else happen so much later. */
+    /** Schedules a task. */
     public void after(long micros, Runnable task) {
         scheduleAt(now + micros, task);
     }
 
-    /** Runs until nothing is left to happen, then demands that each request has had its answer. */
+    /** Runs all scheduled events, then checks that each request was answered and has no attempt in flight. */
     public void run() {
         for (Event event; (event = events.poll()) != null; ) {
             now = Math.max(now, event.at);
@@ -135,11 +135,11 @@
         }
         for (TrackedRequest a : requests.values()) {
             check(a, a.outcome != null, "no answer");
-            check(a, a.inFlightCount() == 0, "an attempt without an end");
+            check(a, a.inFlightCount() == 0, "an attempt has no outcome");
         }
     }
 
-    /** Requests that ended so: served, refused or failed. */
+    /** How many requests had this outcome: served, refused or failed. */
     public long ended(String answer) {
         return requests.values().stream().filter(a -> answer.equals(a.outcome)).count();
     }
@@ -163,32 +163,32 @@
         Request r = a.request;
         Terms terms = r.terms();
         RequestClass c = settings.classes().get(r.requestClass());
-        check(a, a.outcome == null, "sent after its answer");
-        check(a, now < r.deadlineMicros(), "sent after its time");
-        check(a, timeoutMicros == terms.attemptMicros(), "another time for an attempt: " + timeoutMicros);
+        check(a, a.outcome == null, "sent after the request was answered");
+        check(a, now < r.deadlineMicros(), "sent after the deadline");
+        check(a, timeoutMicros == terms.attemptMicros(), "wrong attempt time-out: " + timeoutMicros);
         check(
                 a,
                 a.attempts.size() < Math.min(terms.attempts(), settings.limits().attempts()),
-                "one too many");
+                "more attempts than allowed");
         check(a, a.inFlightCount() <= terms.copies(), "more copies than allowed");
-        check(a, c.effect() != Effect.UNSAFE || a.inFlightCount() == 0, "an unsafe one is out twice");
+        check(a, c.effect() != Effect.UNSAFE || a.inFlightCount() == 0, "an unsafe request has two attempts in flight");
         Attempt first =
                 a.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
         if (first != null && c.effect() != Effect.SAFE) {
-            check(a, c.effect() == Effect.KEYED, "an unsafe one goes out again that may have run");
-            check(a, now - first.at < c.dedupWindowMicros(), "a keyed one goes out past its memory");
+            check(a, c.effect() == Effect.KEYED, "an unsafe request that may have run is sent again");
+            check(a, now - first.at < c.dedupWindowMicros(), "a keyed request is sent again after its deduplication window");
             check(
                     a,
                     c.group() != Group.ZONE
                             || servers.get(first.server).zone()
                                     == servers.get(server).zone(),
-                    "a keyed one leaves its group");
+                    "a keyed request is sent again outside its group");
         }
         if (a.inFlightCount() == 0) {
             check(
                     a,
                     a.attempts.stream().allMatch(s -> terms.retryOn().contains(s.result)),
-                    "sent again after an outcome that is not to be retried");
+                    "sent again after an outcome that must not be retried");
         }
         if (!a.attempts.isEmpty()) {
             retries++;
@@ -230,12 +230,12 @@
     private void recordOutcome(String requestId, String how) {
         trace.add(now + " " + how + " " + requestId);
         TrackedRequest a = requests.get(requestId);
-        check(a, a.outcome == null, "a second answer: " + how);
+        check(a, a.outcome == null, "answered again: " + how);
         a.outcome = how;
         Effect effect = settings.classes().get(a.request.requestClass()).effect();
         boolean ran = a.attempts.stream().anyMatch(Attempt::mayHaveRun);
         check(a, !how.equals("refused") || effect != Effect.UNSAFE || !ran, "refused though it may have run");
-        check(a, now <= a.request.deadlineMicros(), "answered past its time, taken at " + a.receivedAt);
+        check(a, now <= a.request.deadlineMicros(), "answered after its deadline, received at " + a.receivedAt);
     }
 
     @Override
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -7,12 +7,13 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * Random losses of machines while changes are submitted: as many machines as may be lost are lost at once, successors
- * with empty disks start, and at some moment after the time that users allow for the replacement as many others are
- * lost for good.
+ * Random losses of machines while changes are submitted: the largest tolerated number of machines is lost at once, and
+ * replacements with empty disks start. After the time that users allow for the replacement, the same number of machines
+ * is lost for good.
  */
 public final class MachineLosses {
 
+    /** The time that users allow until replacements are full voters. */
     private static final long SYNC_TIME_MICROS = 4_000_000;
     private static final long MAX_MICROS_AFTER_RETURN = 1_500_000;
     private static final long STEP_MICROS = 20_000;
@@ -26,7 +27,7 @@
     private long changes;
     private long nextChangeAt;
 
-    /** @param standbys how many more replicas wait to be admitted as voters from the beginning */
+    /** @param standbys the number of further replicas, which wait from the start to be admitted as voters */
     public MachineLosses(long seed, int count, int standbys) {
         random = new SplittableRandom(seed * 31 + count);
         this.count = count;
@@ -40,14 +41,14 @@
         run(3_000_000);
     }
 
-    /** The first violation in so many scenarios with five and with three replicas, or null. */
+    /** The first violation in the given number of scenarios with five and with three replicas, or null. */
     public static String findViolation(int scenarios) {
         for (long seed = 0; seed < scenarios; seed++) {
             String of5 = new MachineLosses(seed, 5, 0).secondLoss();
             String breach = of5 != null ? of5 : new MachineLosses(seed, 3, 1).secondLoss();
             long until = new MachineLosses(seed, 3, 0).untilThreeVote(true);
             if (breach != null || until < 0 || until > MAX_MICROS_AFTER_RETURN) {
-                return "seed " + seed + ": " + breach + ", three vote after " + until;
+                return "seed " + seed + ": " + breach + ", three voters again after " + until;
             }
         }
         return null;
@@ -82,7 +83,7 @@
         return chosen;
     }
 
-    /** Loses these voters, and starts a replica in place of each, at the same addresses or at others. */
+    /** Loses these replicas with their disks, and starts a replacement for each, at the same address or at another. */
     private void replace(List<Replica> lost, int from) {
         boolean sameAddress = random.nextBoolean();
         lost.forEach(simulation::wipe);
@@ -92,7 +93,7 @@
         }
     }
 
-    /** What is wrong after the second loss, or null. */
+    /** Loses machines twice; returns the violation after the second loss, or null. */
     public String secondLoss() {
         int lossCount = (count - 1) / 2;
         replace(chooseRunning(lossCount), count + standbys + 1);
@@ -111,8 +112,11 @@
     }
 
     /**
-     * How long it takes after the loss of one voter until as many voters as before have the committed state, in
-     * microseconds; negative if that is never, or if the voters change by more than one at a time.
+     * Loses one voter and returns how long it takes, in microseconds, until there are as many voters as before, the lost
+     * one not among them, and each has stored the current voter set. Returns -1 if that does not happen within 20 seconds
+     * or if two consecutive voter sets differ by more than one member.
+     *
+     * @param returnsBlank whether a replica with an empty disk starts at the lost voter's address
      */
     public long untilThreeVote(boolean returnsBlank) {
         Replica lost = simulation.replica(1 + random.nextInt(count));
--- a/src/test/java/org/cypressweir/testkit/MeshProcesses.java
+++ b/src/test/java/org/cypressweir/testkit/MeshProcesses.java
@@ -15,8 +15,8 @@
 import org.cypressweir.common.transport.FixtureProcess;
 
 /**
- * The processes of a {@link MeshFixture}, by name. In the folder of the test each has its settings in NAME.json and
- * its log in NAME.log, which goes on when the process is started again.
+ * The processes of a {@link MeshFixture}, by name. In the folder of the test each process has its settings in NAME.json
+ * and its log in NAME.log; a restarted process appends to its log.
  */
 final class MeshProcesses {
 
@@ -26,14 +26,14 @@
 
     private final Path folder;
     private final Map<String, Process> processes = new ConcurrentHashMap<>();
-    /** How long the log of a process was when it was started last. */
+    /** The length of a process's log, in characters, when the process was last started. */
     private final Map<String, Integer> logLengthAtStart = new ConcurrentHashMap<>();
 
     MeshProcesses(Path folder) {
         this.folder = folder;
     }
 
-    /** The names of all processes that were ever started. */
+    /** The names of all processes that have ever been started. */
     Set<String> names() {
         return new TreeSet<>(processes.keySet());
     }
@@ -45,8 +45,8 @@
     /**
      * Starts a process.
      *
-     * @param program its program, as the argument of the command line
-     * @param addressOverrides what it dials in place of its peers' addresses; empty for a process without a relay
+     * @param program the name of its program, as passed on the command line
+     * @param addressOverrides the addresses to which it connects in place of its peers'; empty without a relay
      */
     void start(String name, String program, String addressOverrides) throws IOException {
         List<String> command = List.of(
@@ -68,12 +68,12 @@
         processes.put(name, builder.start());
     }
 
-    /** Whether all processes that run have reported their start. */
+    /** Whether all running processes have reported their start. */
     boolean haveStarted() {
         return processes.keySet().stream().allMatch(name -> !isAlive(name) || hasStarted(name));
     }
 
-    /** Whether the process that was started last under this name has reported its start. */
+    /** Whether the process that was last started under this name has reported its start. */
     boolean hasStarted(String name) {
         return log(name).indexOf(STARTED, logLengthAtStart.get(name)) >= 0;
     }
@@ -90,7 +90,7 @@
         return processes.get(name).isAlive();
     }
 
-    /** With which status a process has ended. */
+    /** The exit status of a process that has ended. */
     int exitStatus(String name) {
         return processes.get(name).exitValue();
     }
@@ -117,7 +117,7 @@
     /** Waits until a process has ended. */
     void awaitExit(String name) throws InterruptedException {
         if (!processes.get(name).waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError(name + " does not end\n" + log(name));
+            throw new AssertionError(name + " has not exited\n" + log(name));
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/MeshSoak.java
+++ b/src/test/java/org/cypressweir/testkit/MeshSoak.java
@@ -14,11 +14,13 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A mesh of processes under load while signals, restarts and configuration changes come in series and overlap. Clients
- * keep using their connections until a process is gone. At the end everything that was seen is checked.
+ * A soak test of a mesh of processes: under load, signals, restarts and configuration changes follow each other and
+ * overlap. Clients keep using their connections until a process is gone. At the end all that the clients and
+ * applications have recorded is checked.
  *
- * <p>A run with planned work only (SIGTERM, SIGHUP, changes, draining applications) must lose no request; one with all
- * faults (kills, partitions, suspended processes besides) must run nothing twice, keep limits and acknowledged changes.
+ * <p>A run with planned work only (SIGTERM, SIGHUP, changes, draining applications) must lose no request. A run that also
+ * has kills, partitions and suspended processes must execute no request twice that is not idempotent, and must keep rate
+ * limits and acknowledged changes.
  */
 public final class MeshSoak implements AutoCloseable {
 
@@ -30,16 +32,17 @@
     private static final double LIMITED_BURST = 20;
     private static final String LIMITED_KEY = "k-limited";
     private static final String[] KEYS = {"k-free", LIMITED_KEY};
-    /** As the users count it: a window, and what is tolerated in it beyond the limit. */
+    /** The users count requests in any window of this length. */
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
+    /** The limit for a window, with 10 percent and 20 requests of tolerance. */
     private static final double MAX_REQUESTS_PER_WINDOW = (LIMITED_RATE * 5 + LIMITED_BURST) * 1.1 + 20;
     private static final long MAX_RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
     private static final long MIN_STEP_MILLIS = 30;
     private static final long MAX_STEP_MILLIS = 500;
     private static final long MAX_FAULT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    /** A thing that ends a fault later, such as joining a partitioned process. */
+    /** The scheduled end of a fault, such as healing a partition. */
     private record FaultEnd(long at, Action action) {}
 
     private interface Action {
@@ -95,7 +98,7 @@
                 + "','maxAttempts':2,'publicAccess':false,'configVersion':'r" + version + "'}";
     }
 
-    /** Runs faults and load for that long; then ends all faults and waits until everything serves again. */
+    /** Runs faults and load for that long; then ends all faults and waits until all processes are ready again. */
     public void run(long seconds) throws IOException, InterruptedException {
         for (String proxy : proxies) {
             for (int i = 0; i < CLIENTS_PER_PROXY; i++) {
@@ -138,7 +141,7 @@
         return names.get(random.nextInt(names.size()));
     }
 
-    /** Begins one to three things at the same moment. */
+    /** Begins one to three operations or faults at the same time. */
     private void step() throws IOException, InterruptedException {
         for (int i = random.nextInt(3); i >= 0; i--) {
             if (plannedOnly || random.nextInt(2) == 0) {
@@ -180,7 +183,7 @@
         }
     }
 
-    /** One controller at a time: one of three may be lost. */
+    /** Whether a controller may be stopped: at most one of the three is down at a time, so that a quorum remains. */
     private boolean mayLoseController() {
         return controllers.stream().noneMatch(this::isDisturbed);
     }
@@ -206,7 +209,7 @@
     }
 
     private void reload(String name) throws IOException, InterruptedException {
-        // Before a Java program has its handler, SIGHUP ends it: the runtime decides, not the program.
+        // Until a Java program has installed its handler, the runtime ends it on SIGHUP.
         if (!isDisturbed(name) && fixture.hasStarted(name)) {
             logEvent("SIGHUP " + name);
             signalIfAlive(name, "-HUP");
@@ -250,14 +253,14 @@
             application.drain();
             logEvent("application of " + proxy + " drains");
         } catch (IOException e) {
-            logEvent("application of " + proxy + " has nobody to tell that it drains: " + e.getMessage());
+            logEvent("application of " + proxy + " cannot report that it drains: " + e.getMessage());
         }
         try {
             application.startIncarnation(next);
             logEvent("application of " + proxy + " replaced");
         } catch (IOException e) {
-            // Its next heartbeat tells.
-            logEvent("application of " + proxy + " replaced, not told yet: " + e.getMessage());
+            // Its next heartbeat reports the new incarnation.
+            logEvent("application of " + proxy + " replaced, not reported yet: " + e.getMessage());
         }
     }
 
@@ -269,7 +272,7 @@
         logEvent("partition " + proxy + " " + mode);
         fixture.relay().partition(proxy, List.copyOf(controllers), mode, mode);
         faultEnds.add(new FaultEnd(System.nanoTime() + random.nextLong(MAX_FAULT_NANOS), () -> {
-            logEvent("join all");
+            logEvent("heal all partitions");
             fixture.relay().heal();
         }));
     }
@@ -308,7 +311,7 @@
         }
     }
 
-    /** A process that ends without having been told to is started again, and reported. */
+    /** Reports processes that have ended without having been told to, and schedules their restart. */
     private void recordUnexpectedEnds() {
         List<String> all = new ArrayList<>(proxies);
         all.addAll(controllers);
@@ -321,7 +324,7 @@
         }
     }
 
-    /** What was wrong, one line each; empty where nothing was. */
+    /** The violations, one line each; empty if there are none. */
     public List<String> violations() throws InterruptedException {
         List<String> violations = new ArrayList<>(unexpectedEnds);
         Map<String, Integer> runs = runsById();
@@ -357,21 +360,21 @@
 
     private void check(SoakClient.Sent sent, int runs, List<String> violations) {
         if (!sent.idempotent() && runs > 1) {
-            violations.add("ran " + runs + " times: " + sent);
+            violations.add("executed " + runs + " times: " + sent);
         }
         if (sent.status() == 200 && !sent.body().equals("ran of " + sent.id())) {
-            violations.add("another answer: " + sent);
+            violations.add("response to another request: " + sent);
         }
         boolean rejectedUnexecuted =
                 sent.status() == 429 || sent.status() == 503 || sent.status() == 408 || sent.status() == 421;
         if (!sent.idempotent() && rejectedUnexecuted && runs > 0) {
-            violations.add("ran, but was rejected: " + sent);
+            violations.add("executed, but rejected: " + sent);
         }
         if (plannedOnly && runs > 0 && sent.ending() == SoakClient.Ending.NO_ANSWER) {
             violations.add("lost: " + sent);
         }
         if (plannedOnly && runs > 0 && (sent.status() == 502 || sent.status() == 504)) {
-            violations.add("given up: " + sent);
+            violations.add("failed with a gateway error: " + sent);
         }
     }
 
@@ -416,7 +419,7 @@
         return sent + " requests, " + served + " served, " + eventLog.size() + " events, " + changes + " changes";
     }
 
-    /** What was done when, the state of each process now, and all logs. */
+    /** The events with their times, the current state of each process, and all logs. */
     public String story() {
         StringBuilder text = new StringBuilder(String.join("\n", eventLog)).append('\n');
         List<String> all = new ArrayList<>(proxies);
--- a/src/test/java/org/cypressweir/testkit/OperatorChecks.java
+++ b/src/test/java/org/cypressweir/testkit/OperatorChecks.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks the consistency of the configuration by what operators submitted, were answered and read alone: nothing
- * that was acknowledged or read is lost or goes back to a lower version, and each version of a tenant has one
- * content. Thread-safe.
+ * Checks the consistency of the configuration using only what operators submitted, were answered and read: nothing that
+ * was acknowledged or read is lost or returns to a lower version, and each version of a tenant has one content.
+ * Thread-safe.
  */
 public final class OperatorChecks {
 
@@ -22,7 +22,7 @@
     private static final Pattern TENANT_ITEM =
             Pattern.compile("\"(t\\d+)\":\\{\"apiKeys\":\\[\"(k\\d+)\"],\"configVersion\":\"r(\\d+)\"}");
 
-    /** The lowest version that a read which begins now may find, by tenant. */
+    /** The lowest version that a read which begins now may return, by tenant. */
     private final Map<String, Long> requiredVersions = new TreeMap<>();
 
     private final Map<String, String> keysByVersion = new HashMap<>();
@@ -39,13 +39,13 @@
         return violation;
     }
 
-    /** The body of a change that gives a tenant one API key. */
+    /** The body of a change that sets a tenant's only API key. */
     public static String tenantChange(String tenant, String key, long version) {
         return "{\"upsert\":{\"tenantTable\":{\"" + tenant + "\":{\"apiKeys\":[\"" + key + "\"],\"configVersion\":\"r"
                 + version + "\"}}}}";
     }
 
-    /** The lowest versions that a read which begins now may find, by tenant. */
+    /** The lowest versions that a read which begins now may return, by tenant. */
     public synchronized Map<String, Long> floor() {
         return new TreeMap<>(requiredVersions);
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The acknowledged change that a random number selects; null where there is none yet. */
+    /** The acknowledged change that a random number selects; null if there is none yet. */
     public synchronized String acknowledged(int random) {
         return acknowledged.isEmpty() ? null : acknowledged.get(Math.floorMod(random, acknowledged.size()));
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Checks what was read against the lowest versions that were allowed when the read began. */
+    /** Checks the result of a read against the lowest versions that were allowed when it began. */
     public synchronized void read(Map<String, Long> floor, String body) {
         reads++;
         Map<String, Long> versions = recordVersions(body);
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Returns the version of each tenant in the text, which are required of all later reads. */
+    /** Returns the version of each tenant in the text. All later reads must return these versions or higher ones. */
     private Map<String, Long> recordVersions(String text) {
         Map<String, Long> versions = new TreeMap<>();
         for (Matcher matcher = TENANT_ITEM.matcher(text); matcher.find(); ) {
--- a/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
+++ b/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
@@ -8,8 +8,8 @@
 
 /**
  * Random scenarios in which losses overlap: the replicas are partitioned into two sides while changes are submitted to
- * both, and within the partition or soon after it as many disks as may be lost are lost at once, while all other
- * replicas lose power. Whatever was acknowledged must be there once all replicas are back.
+ * both. During the partition or soon after it, the largest tolerated number of disks is lost at once, while all other
+ * replicas lose power. Every acknowledged change must be present once all replicas run again.
  */
 public final class OverlappingLosses {
 
@@ -17,7 +17,7 @@
     private static final long CHANGE_INTERVAL_MICROS = 60_000;
     private static final long TIMEOUT_MICROS = 1_000_000;
     private static final long START_MICROS = 3_000_000;
-    /** Longer than it takes until an unresponsive voter may be replaced. */
+    /** Longer than the time after which an unresponsive voter may be replaced. */
     private static final long MAX_PARTITION_MICROS = 7_000_000;
 
     private static final long MAX_MICROS_AFTER_PARTITION = 1_500_000;
@@ -30,8 +30,8 @@
     private long nextChangeAt;
 
     /**
-     * @param voters how many voters there are: twice as many disks as may be lost, and one
-     * @param standbys how many more replicas wait to be admitted as voters
+     * @param voters the number of voters: 2n + 1, where n disks may be lost
+     * @param standbys the number of further replicas, which wait to be admitted as voters
      */
     public OverlappingLosses(long seed, int voters, int standbys) {
         random = new SplittableRandom(seed * 37 + 10L * voters + standbys);
@@ -45,7 +45,7 @@
         run(START_MICROS);
     }
 
-    /** The first violation in so many scenarios of each size, or null. */
+    /** The first violation in the given number of scenarios of each size, or null. */
     public static String findViolation(int scenarios) {
         for (long seed = 0; seed < scenarios; seed++) {
             for (int[] size : new int[][] {{5, 0}, {5, 1}, {3, 0}}) {
@@ -75,17 +75,17 @@
         loseDisksAndPower();
         simulation.heal();
         simulation.run(RECOVERY_MICROS);
-        return isReadAnswered() ? simulation.checks().breach() : "no read after all replicas are back";
+        return isReadAnswered() ? simulation.checks().breach() : "no read is answered after all replicas run again";
     }
 
-    /** Whether a read is answered anywhere: a standby may not answer one. */
+    /** Whether any replica answers a read: a standby need not answer one. */
     private boolean isReadAnswered() {
         return simulation.runningReplicas().stream()
                 .anyMatch(replica ->
                         simulation.await(simulation.read(replica, TIMEOUT_MICROS)) instanceof ProposalResult.Read);
     }
 
-    /** Separates some of the replicas, as many as may be lost or up to half of them, from the others. */
+    /** Separates at least one and at most half of the replicas from the others. */
     private void partition() {
         List<Replica> all = shuffled();
         int separated = 1 + random.nextInt(all.size() / 2);
--- a/src/test/java/org/cypressweir/testkit/PlantedFault.java
+++ b/src/test/java/org/cypressweir/testkit/PlantedFault.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A package of the program with a fault planted in it: its sources are copied, one text is replaced, and what
- * is compiled of them goes before the program's own classes.
+ * A class loader for a package with a fault planted in it: the sources of the package are copied, one text is replaced,
+ * and the classes compiled from them take precedence over the program's own.
  */
 public final class PlantedFault extends ClassLoader {
 
@@ -23,9 +23,12 @@
     private final Predicate<String> reloaded;
 
     /**
+     * @param folder where the copied sources and the compiled classes are put
      * @param sources the folder of the package's sources
-     * @param file the one that is changed; the text must be in it, once; white space does not count
-     * @param reloaded which further classes are loaded anew, so that they use the changed ones
+     * @param file the source file that is changed; it must contain the text exactly once, white space ignored
+     * @param text the text to replace
+     * @param replacement the text that plants the fault
+     * @param reloaded which other classes this loader loads as well, so that they use the changed ones
      */
     public PlantedFault(
             Path folder, Path sources, String file, String text, String replacement, Predicate<String> reloaded)
@@ -55,7 +58,7 @@
                 "does not compile: " + replacement);
     }
 
-    /** Replaces the one place whose characters other than white space are those of the text. */
+    /** Replaces the only occurrence of the text, ignoring white space on both sides. */
     private static String replaceOnce(String code, String text, String replacement, String file) {
         StringBuilder withoutWhitespace = new StringBuilder();
         List<Integer> positions = new ArrayList<>();
@@ -69,7 +72,7 @@
         int at = withoutWhitespace.indexOf(wanted);
         Assertions.assertTrue(
                 !wanted.isEmpty() && at >= 0 && withoutWhitespace.indexOf(wanted, at + 1) < 0,
-                "not once in " + file + ": " + text);
+                "does not occur exactly once in " + file + ": " + text);
         int end = positions.get(at + wanted.length() - 1) + 1;
         return code.substring(0, positions.get(at)) + replacement + code.substring(end);
     }
--- a/src/test/java/org/cypressweir/testkit/Platform.java
+++ b/src/test/java/org/cypressweir/testkit/Platform.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Holds a listening socket and starts programs that inherit it as descriptor 0, which the runtime can't do
- * for its own children. Each line that it is told is a command; it tells of each start and each end.
+ * Holds a listening socket and starts programs that inherit it as file descriptor 0, as a platform with socket
+ * activation does. Java cannot pass a socket to its child processes, so a Perl script does: it runs each line of its
+ * input as a command, and prints a line for each start and each exit.
  */
 public final class Platform implements AutoCloseable {
 
@@ -60,7 +61,7 @@
         reader.start();
     }
 
-    /** Starts a program with these variables and this file for what it says; its process id. */
+    /** Starts a program with these environment variables and its output in this file; returns its process id. */
     public long start(String command, Map<String, String> environment, Path log) throws Exception {
         StringBuilder line = new StringBuilder("LB_SOCKET_FD=0 ");
         environment.forEach(
@@ -68,24 +69,24 @@
         commands.write(line + "exec " + command + " >>" + log + " 2>&1\n");
         commands.flush();
         String pid = started.poll(10, TimeUnit.SECONDS);
-        Assertions.assertNotNull(pid, "nothing was started");
+        Assertions.assertNotNull(pid, "no program was started");
         return Long.parseLong(pid);
     }
 
-    /** Waits for the end of a program; its status. */
+    /** Waits until a program has exited; returns its status. */
     public int awaitEnd(long pid) throws InterruptedException {
         String end = ended.poll(20, TimeUnit.SECONDS);
-        Assertions.assertNotNull(end, "nothing ended");
-        Assertions.assertEquals(String.valueOf(pid), end.split(" ")[0], "another ended");
+        Assertions.assertNotNull(end, "no program has exited");
+        Assertions.assertEquals(String.valueOf(pid), end.split(" ")[0], "another program has exited");
         return Integer.parseInt(end.split(" ")[1]);
     }
 
-    /** Whether any program has ended that nobody waited for. */
+    /** Whether any program has exited without having been awaited. */
     public boolean lostOne() {
         return !ended.isEmpty();
     }
 
-    /** Ends what still runs. */
+    /** Kills the programs that still run, and ends the script. */
     @Override
     public void close() throws IOException {
         commands.close();
--- a/src/test/java/org/cypressweir/testkit/RawHttpClient.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Just enough HTTP/1.1 to look at the bytes that the sidecar writes. */
+/** Reads HTTP/1.1 messages from a stream without a library, to check the bytes that a process writes. */
 public final class RawHttpClient {
 
     private RawHttpClient() {}
 
-    /** One message: its first line, its headers and its body. */
+    /** One message: its start line, its headers and its body. */
     public record Message(String first, Map<String, String> headers, String body) {
         public int status() {
             return Integer.parseInt(first.split(" ")[1]);
@@ -33,14 +33,14 @@
         for (String line = requireLine(in); !line.isEmpty(); line = requireLine(in)) {
             int colon = line.indexOf(':');
             if (colon < 0) {
-                throw new EOFException("ended within the head");
+                throw new EOFException("connection ended within the header section");
             }
             headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("ended within the body");
+            throw new EOFException("connection ended within the body");
         }
         return new Message(firstLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
--- a/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
+++ b/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
@@ -7,7 +7,7 @@
 import org.cypressweir.dataplane.http.server.ServerRequest;
 import org.cypressweir.dataplane.http.server.ServerResponse;
 
-/** A request without a connection that records its responses. Tests override what they need. */
+/** A server request without a connection, which records its responses. Tests override the methods that they need. */
 public class RecordedServerRequest implements ServerRequest {
 
     private final String method;
@@ -20,7 +20,7 @@
         this.uri = uri;
     }
 
-    /** The client disconnects. */
+    /** Simulates that the client disconnects. */
     public void disconnect() {
         disconnectTask.run();
     }
