--- a/src/test/java/org/cypressweir/testkit/ApplicationStubs.java
+++ b/src/test/java/org/cypressweir/testkit/ApplicationStubs.java
@@ -21,22 +21,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An application instance as its proxy sees it: it sends heartbeats, and responds to requests as the test says. Each
- * connection has a thread of its own; {@link #close} ends all. Thread-safe.
+ * A stub of an application instance: it sends heartbeats to its proxy, and responds to requests as the test has set.
+ * Each connection has a thread of its own; {@link #close} ends all. Thread-safe.
  */
 public final class ApplicationStubs implements AutoCloseable {
 
-    /** What it does with a request. */
+    /** How the stub handles requests. */
     public enum Behavior {
-        /** Executes it and responds. */
+        /** Executes the request and responds. */
         RESPONDS,
-        /** Does not execute it, and says so. */
+        /** Responds that it has not executed the request. */
         REJECTS,
-        /** Executes it and closes the connection in the middle of the response. */
+        /** Executes the request and closes the connection in the middle of the response. */
         TRUNCATES_RESPONSE,
-        /** Executes it and never responds. */
+        /** Executes the request and never responds. */
         NEVER_RESPONDS,
-        /** Executes it and responds with an error. */
+        /** Executes the request and responds with an error. */
         FAILS
     }
 
@@ -91,7 +91,7 @@
         behavior = next;
     }
 
-    /** Responses are sent so long after their requests. */
+    /** Sets the time between a request and its response. */
     public void setResponseDelayMillis(int millis) {
         responseDelayMillis = millis;
     }
@@ -112,13 +112,13 @@
         return runs.values().stream().mapToInt(AtomicInteger::get).sum();
     }
 
-    /** From now on it drains; returns once the proxy has acknowledged that. */
+    /** Starts draining; returns once the proxy has acknowledged it. */
     public void drain() throws IOException {
         draining = true;
         sendHeartbeat();
     }
 
-    /** Tells the proxy that the instance ends. Its address stays open, for requests that come too late. */
+    /** Deregisters the instance at the proxy. The stub keeps listening, and rejects requests that arrive late. */
     public void deregister() throws IOException {
         deregistered = true;
         call("deregister", "{}");
@@ -132,7 +132,7 @@
         sendHeartbeat();
     }
 
-    /** Starts another incarnation with software of another version. */
+    /** Starts another incarnation with another version of the software. */
     public void startIncarnation(String nextInstance, String nextVersion) throws IOException {
         version = nextVersion;
         startIncarnation(nextInstance);
@@ -144,7 +144,7 @@
                 sendHeartbeat();
             }
         } catch (IOException e) {
-            // The proxy is not reachable: the next heartbeat may be.
+            // The proxy is not reachable now; the next heartbeat is sent all the same.
         }
     }
 
@@ -198,7 +198,7 @@
                 }
             }
         } catch (IOException e) {
-            // The proxy has closed the connection, which a test may want.
+            // The proxy closed the connection, which a test may want.
         } finally {
             sockets.remove(socket);
         }
--- a/src/test/java/org/cypressweir/testkit/CellPlans.java
+++ b/src/test/java/org/cypressweir/testkit/CellPlans.java
@@ -13,17 +13,18 @@
 import org.cypressweir.sidecar.cell.CellsConfiguration.Unit;
 import org.cypressweir.sidecar.cell.MoveConfiguration;
 
-/** Plans of cells and lists of servers, as tests and measurements need them. */
+/** Cell configurations and server lists for tests and benchmarks. */
 public final class CellPlans {
 
-    /** Servers drop repeats for so long; no request is in hand for longer than patience. */
+    /** For how long servers discard repeated requests. */
     public static final long WINDOW = 3_000_000;
 
+    /** The longest time for which a request is pending. */
     public static final long PATIENCE = 5_000_000;
 
     private CellPlans() {}
 
-    /** So many cells of equal share, c0 and on. */
+    /** Cells of equal share, named c0, c1, and so on. */
     public static List<Cell> cells(int count) {
         List<Cell> cells = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -32,7 +33,7 @@
         return cells;
     }
 
-    /** The same with a small reserved one at the end. */
+    /** The same, followed by a smaller reserved cell. */
     public static List<Cell> cellsAndReserve(int count) {
         List<Cell> cells = cells(count);
         cells.add(new Cell("q", 0.5, true));
@@ -65,7 +66,7 @@
                 quarantine);
     }
 
-    /** The same with writes that may be guests too. */
+    /** The same configuration, with guest requests that may write as well. */
     public static CellsConfiguration withGuestWrites(CellsConfiguration p) {
         return new CellsConfiguration(
                 p.unit(),
@@ -82,7 +83,7 @@
                 p.quarantine());
     }
 
-    /** A move with a freeze. */
+    /** A move of a unit to another cell with a freeze. */
     public static MoveConfiguration frozen(String unit, int to, long start, long freeze) {
         return new MoveConfiguration("m-" + unit, Ids.of(unit), unit, to, start, 0, 0, freeze);
     }
@@ -91,7 +92,7 @@
         return new MoveConfiguration("m-" + unit, Ids.of(unit), unit, to, start, over, fence, 0);
     }
 
-    /** Ready servers 1 to count, dealt to zones in turn. */
+    /** Ready servers 1 to count, assigned to the zones in turn. */
     public static List<Server> servers(int count, int zones) {
         List<Server> servers = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
--- a/src/test/java/org/cypressweir/testkit/ConditionPoller.java
+++ b/src/test/java/org/cypressweir/testkit/ConditionPoller.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 
-/** Polls conditions of other processes until they hold, on threads of its own that {@link #close} ends. */
+/** Polls conditions on other processes until they hold, on threads of its own that {@link #close} ends. */
 final class ConditionPoller implements AutoCloseable {
 
     private static final int POLL_INTERVAL_MILLIS = 15;
     private static final int THREADS = 4;
-    /** A process that takes longer to start hangs. */
+    /** A process that has not started by then is taken to hang. */
     private static final int MAX_START_MILLIS = 60_000;
 
     private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(THREADS, task -> {
@@ -33,7 +33,7 @@
     /**
      * Waits until the condition holds.
      *
-     * @param hasStarted from when on the time-out counts: how long processes take to start is not what is waited for
+     * @param hasStarted the time-out begins once this holds, so that the time that processes take to start is left out
      */
     void await(int timeoutMillis, BooleanSupplier hasStarted, Callable<Boolean> condition)
             throws InterruptedException, TimeoutException, ExecutionException {
@@ -58,7 +58,7 @@
                             satisfied.complete(null);
                         }
                     } catch (Exception e) {
-                        // Not yet.
+                        // The condition does not hold yet.
                     }
                 },
                 0,
--- a/src/test/java/org/cypressweir/testkit/Configs.java
+++ b/src/test/java/org/cypressweir/testkit/Configs.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Configurations of sidecars and lists of servers, with single quotes for double ones. */
+/** Sidecar configurations and endpoint lists as JSON. */
 public final class Configs {
 
     private static final String SETTINGS = "{'classes':["
@@ -23,11 +23,12 @@
 
     private Configs() {}
 
+    /** Replaces single quotes by double ones, so that JSON in Java strings needs no escapes. */
     public static String json(String quoted) {
         return quoted.replace('\'', '"');
     }
 
-    /** A configuration; a port of 0 is any. */
+    /** A sidecar's configuration; with port 0 it listens on any free port. */
     public static String of(String name, int port, int discovery, int sockets, long connectMicros, String known) {
         return json(("{'name':'" + name + "','listen':'127.0.0.1:" + port + "','discovery':'127.0.0.1:"
                         + discovery + "','seed':'8c1f30d27a5be964','limits':{'sockets':" + sockets
@@ -35,7 +36,7 @@
                 .replace("CONNECT", String.valueOf(connectMicros)));
     }
 
-    /** A list of these servers in one state. */
+    /** An endpoint list with these servers, with single quotes; all have the same state. */
     public static String list(int revision, boolean all, String state, PeerStub... servers) {
         List<String> targets = new ArrayList<>();
         for (PeerStub server : servers) {
--- a/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -9,7 +9,8 @@
 /**
  * A random fault scenario over three or five replicas with writers and readers: lossy networks, crashes, lost disks,
  * stalled and full disks, partitions, and replaced machines. At most a minority of the voters is down or without its
- * disk at a time, and the state of a lost disk is restored before the next disk is lost.
+ * disk at a time, and the state of a lost disk is restored before the next disk is lost. Subclasses may change the
+ * submitted calls and the check of the recovery.
  */
 public class ConsensusFaults {
 
@@ -33,7 +34,7 @@
         simulation.duplicateProbability = random.nextInt(2) * 0.2;
     }
 
-    /** The first violation in so many scenarios, or null. */
+    /** The first violation in the given number of scenarios, or null. */
     public static String findViolation(int scenarios) {
         for (long seed = 0; seed < scenarios; seed++) {
             String breach;
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Whether all replicas run and are voters with their present disks. */
+    /** Whether all replicas run and are voters with their current disks. */
     private boolean areAllVotersHealthy() {
         return simulation.runningReplicas().size() == count
                 && simulation.runningReplicas().stream()
@@ -130,7 +131,7 @@
                     simulation.wipe(replica);
                     simulation.run(random.nextLong(2_000_000));
                     simulation.start(++machines);
-                    // Replaced machines take part again before the next fault of this kind: see areAllVotersHealthy().
+                    // The replacement is a voter before the next fault of this kind: see areAllVotersHealthy().
                 }
             }
             case 5 -> simulation.stallDisk(replica, random.nextLong(1_500_000));
@@ -163,16 +164,16 @@
         simulation.run(RECOVERY_MICROS);
         long read = simulation.read(anyRunning(), 5_000_000);
         if (!(simulation.await(read) instanceof ProposalResult.Read)) {
-            return "no read after all faults are over: " + simulation.result(read);
+            return "no read is answered after all faults are over: " + simulation.result(read);
         }
         simulation.run(2_000_000);
         ReplicatedState first = simulation.runningReplicas().get(0).consensus().committed();
         for (Replica replica : simulation.runningReplicas()) {
             if (!replica.consensus().committed().equals(first)) {
-                return replica.address() + " shows " + replica.consensus().committed() + " and not " + first;
+                return replica.address() + " publishes " + replica.consensus().committed() + " and not " + first;
             }
         }
-        simulation.checks().requireAtLeast(simulation.checks().requiredItems(), first.configuration(), "shown");
+        simulation.checks().requireAtLeast(simulation.checks().requiredItems(), first.configuration(), "published");
         return simulation.checks().breach();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -10,7 +10,7 @@
 import org.cypressweir.testkit.SimulatedReplicas.Replica;
 
 /**
- * Eight operators, each with one change at a time, at three replicas in simulated time, before, during and after a
+ * Eight operators submit one change at a time each to three replicas in simulated time, before, during and after a
  * network partition. Measures how long each change takes until it is acknowledged, retries included, and how many
  * proposal rounds begin.
  */
@@ -29,14 +29,14 @@
         CRASH_AS_IT_HEALS
     }
 
-    /** When a change was submitted first. */
+    /** When a change was first submitted, relative to the partition. */
     public enum Phase {
         BEFORE,
         IN,
         AFTER
     }
 
-    /** What was measured of a phase. */
+    /** The measurements of one phase. */
     public static final class Figures {
         private final List<Long> micros = new ArrayList<>();
         private int rounds;
@@ -87,7 +87,7 @@
     private static final long MIN_BACKOFF_MICROS = 50_000;
     private static final long MAX_BACKOFF_MICROS = 800_000;
 
-    /** Submits one change after the other, each until it is acknowledged. */
+    /** Submits one change at a time, and repeats each until it is acknowledged. */
     private final class Operator {
         private final String tenant;
         private long version;
@@ -118,7 +118,7 @@
                 return;
             }
             ProposalResult result = proposalId < 0
-                    ? new ProposalResult.Unavailable("nobody is there")
+                    ? new ProposalResult.Unavailable("the replica is down")
                     : proposalId == 0 ? null : simulation.result(proposalId);
             if (result instanceof ProposalResult.Taken) {
                 figures.get(operationPhase).micros.add(now - startedAt);
@@ -171,7 +171,11 @@
         }
     }
 
-    /** The figures of so many scenarios of a kind; an AssertionError for a violation. */
+    /**
+     * Runs scenarios of a kind and returns their figures.
+     *
+     * @throws AssertionError if a scenario violates a guarantee
+     */
     public static Map<Phase, Figures> measure(Kind kind, long partitionMicros, long maxDelayMicros, int scenarios) {
         Map<Phase, Figures> all = new EnumMap<>(Phase.class);
         for (int seed = 0; seed < scenarios; seed++) {
@@ -205,7 +209,7 @@
         draining = true;
         operate(DRAIN_MICROS);
         if (simulation.checks().breach() != null || operators.stream().anyMatch(o -> o.startedAt >= 0)) {
-            throw new AssertionError(kind + ": " + simulation.checks().breach() + ", or a change is not acknowledged");
+            throw new AssertionError(kind + ": " + simulation.checks().breach() + ", or a change was not acknowledged");
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
+++ b/src/test/java/org/cypressweir/testkit/ControllerFaultScenario.java
@@ -17,9 +17,9 @@
 /**
  * A random fault scenario over controllers and two proxies as processes, with operators that submit changes and read
  * the configuration, and clients whose requests are not idempotent. In each fault a controller is killed or suspended,
- * its data directory is emptied while it runs or after it was killed, or all controllers are killed at once. Every other
- * fault is a partition of one process, in one direction or both, sometimes with a further fault as it heals. The next
- * fault waits for a number of answered calls, and a disk is lost only while all controllers are healthy.
+ * its data directory is emptied while it runs or after it was killed, or all controllers are killed at once. Every
+ * other fault is a partition of one process, in one direction or both, sometimes with a further fault as it heals. The
+ * next fault waits for a number of answered calls, and a disk is lost only while all controllers are healthy.
  */
 public final class ControllerFaultScenario implements AutoCloseable {
 
@@ -187,8 +187,8 @@
             ConnectionRelay.LinkMode mode = ConnectionRelay.LinkMode.values()[1 + random.nextInt(4)];
             int direction = random.nextInt(3);
             int millis = random.nextInt(4) > 0 ? 0 : MAX_PARTITION_MILLIS / (1 + 3 * random.nextInt(2));
-            faults.add("partition " + partitioned + " " + mode + " " + "<>=".charAt(direction) + " " + others.size() + " "
-                    + millis);
+            faults.add("partition " + partitioned + " " + mode + " " + "<>=".charAt(direction) + " " + others.size()
+                    + " " + millis);
             relay.partition(
                     partitioned,
                     others,
--- a/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
+++ b/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
@@ -176,7 +176,10 @@
                 a.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
         if (first != null && c.effect() != Effect.SAFE) {
             check(a, c.effect() == Effect.KEYED, "an unsafe request that may have run is sent again");
-            check(a, now - first.at < c.dedupWindowMicros(), "a keyed request is sent again after its deduplication window");
+            check(
+                    a,
+                    now - first.at < c.dedupWindowMicros(),
+                    "a keyed request is sent again after its deduplication window");
             check(
                     a,
                     c.group() != Group.ZONE
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -15,6 +15,7 @@
 
     /** The time that users allow until replacements are full voters. */
     private static final long SYNC_TIME_MICROS = 4_000_000;
+
     private static final long MAX_MICROS_AFTER_RETURN = 1_500_000;
     private static final long STEP_MICROS = 20_000;
     private static final long CHANGE_INTERVAL_MICROS = 100_000;
@@ -112,9 +113,9 @@
     }
 
     /**
-     * Loses one voter and returns how long it takes, in microseconds, until there are as many voters as before, the lost
-     * one not among them, and each has stored the current voter set. Returns -1 if that does not happen within 20 seconds
-     * or if two consecutive voter sets differ by more than one member.
+     * Loses one voter and returns how long it takes, in microseconds, until there are as many voters as before, the
+     * lost one not among them, and each has stored the current voter set. Returns -1 if that does not happen within 20
+     * seconds or if two consecutive voter sets differ by more than one member.
      *
      * @param returnsBlank whether a replica with an empty disk starts at the lost voter's address
      */
--- a/src/test/java/org/cypressweir/testkit/MeshClient.java
+++ b/src/test/java/org/cypressweir/testkit/MeshClient.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The HTTP calls of operators and clients to the processes of a {@link MeshFixture}, each on a connection of its own.
- * Thread-safe.
+ * Makes the HTTP calls of operators and clients to the processes of a {@link MeshFixture}, each on a connection of its
+ * own. Thread-safe.
  */
 final class MeshClient {
 
@@ -105,7 +105,7 @@
         return call(name, network.address(name, port), method, path, headers, body);
     }
 
-    /** @throws ConnectException if nothing listens there: nothing was sent */
+    /** @throws ConnectException if nothing listens at the address; the request was not sent */
     private RawHttpClient.Message call(
             String name, InetSocketAddress to, String method, String path, String headers, String body)
             throws IOException {
@@ -120,7 +120,7 @@
                                 + body.length() + "\r\n\r\n" + body);
                 RawHttpClient.Message response = RawHttpClient.read(socket.getInputStream());
                 if (response == null) {
-                    throw new IOException("closed");
+                    throw new IOException("connection closed");
                 }
                 return response;
             } catch (IOException e) {
--- a/src/test/java/org/cypressweir/testkit/MeshFixture.java
+++ b/src/test/java/org/cypressweir/testkit/MeshFixture.java
@@ -18,13 +18,13 @@
 import java.util.stream.Stream;
 
 /**
- * Controllers and proxies as real processes, each on a loopback address of its own, and an application stub beside
- * each proxy. {@link #close} stops what it has started, and nothing else. Calls may come from any thread; processes
- * are started and stopped by one.
+ * Controllers and proxies as real processes, each on a loopback address of its own, and an application stub for each
+ * proxy. {@link #close} ends only what the fixture has started. Calls may be made from any thread; only one thread may
+ * start and stop processes.
  */
 public final class MeshFixture implements AutoCloseable {
 
-    /** The names of the programs as arguments of the command line. */
+    /** The names of the programs on the command line. */
     private enum ProgramNames {
         CURRENT("controller", "proxy"),
         FORMER("harbour", "pilot");
@@ -55,7 +55,7 @@
     private final Map<String, ApplicationStubs> applications = new LinkedHashMap<>();
     private final ConditionPoller poller = new ConditionPoller();
 
-    /** @param services the service of the application beside each proxy; the proxies are named p1, p2, ... */
+    /** @param services the service of each proxy's application; the proxies are named p1, p2, and so on */
     public MeshFixture(Path folder, int controllerCount, List<String> services) throws IOException {
         this(folder, controllerCount, services, false, ProgramNames.CURRENT);
     }
@@ -66,7 +66,7 @@
         return new MeshFixture(folder, controllerCount, services, false, ProgramNames.FORMER);
     }
 
-    /** Controllers and proxies whose connections all pass a relay, which can partition them. */
+    /** Starts a mesh whose connections all go through a relay, which can partition the processes. */
     public static MeshFixture withPartitions(Path folder, int controllerCount, List<String> services)
             throws IOException {
         return new MeshFixture(folder, controllerCount, services, true, ProgramNames.CURRENT);
@@ -145,12 +145,12 @@
                 Files.deleteIfExists(file);
             }
         } catch (NoSuchFileException | DirectoryNotEmptyException | UncheckedIOException e) {
-            // The process creates or removes files meanwhile: the rest is removed once it has ended.
+            // The running process creates or removes files meanwhile: empty the directory again once it has ended.
             return;
         }
     }
 
-    /** From here on a controller that finds its disk empty has lost it: the mesh is initialized. */
+    /** Marks the mesh as initialized: from now on a controller that finds its disk empty has lost its data. */
     public void markInitialized() throws IOException {
         settings.markInitialized();
         for (String controller : network.controllers()) {
@@ -211,7 +211,7 @@
         return isAlive(name) && processes.hasStarted(name);
     }
 
-    /** With which status a process has ended. */
+    /** The exit status of a process that has ended. */
     public int exitStatus(String name) {
         return processes.exitStatus(name);
     }
@@ -230,17 +230,17 @@
         return network.controlAddress(name);
     }
 
-    /** Where a proxy takes requests of clients. */
+    /** The address at which a proxy accepts requests of clients. */
     public InetSocketAddress outboundAddress(String proxy) {
         return network.address(proxy, MeshNetwork.OUTBOUND_PORT);
     }
 
-    /** The relay that all connections pass; null without one. */
+    /** The relay through which all connections go; null without one. */
     public ConnectionRelay relay() {
         return network.relay();
     }
 
-    /** The application stub beside a proxy. */
+    /** The application stub of a proxy. */
     public ApplicationStubs application(String proxy) {
         return applications.get(proxy);
     }
@@ -266,7 +266,10 @@
                     signal(name, "-QUIT");
                     poller.await(THREAD_DUMP_TIMEOUT_MILLIS, () -> log(name).contains("JNI global refs"));
                 } catch (IOException | TimeoutException | ExecutionException e) {
-                    logs.append("\nno threads of ").append(name).append(": ").append(e);
+                    logs.append("\nno thread dump of ")
+                            .append(name)
+                            .append(": ")
+                            .append(e);
                 }
             }
             logs.append("\n--- ").append(name).append('\n').append(log(name));
@@ -275,8 +278,8 @@
     }
 
     /**
-     * Waits until a condition holds, and fails after a time-out, which counts once all processes that run have
-     * reported their start. A condition that throws does not hold yet.
+     * Waits until a condition holds, and fails after a time-out that begins once all running processes have reported
+     * their start. A condition that throws counts as one that does not hold yet.
      */
     public void await(String description, Callable<Boolean> condition) throws InterruptedException {
         try {
@@ -296,7 +299,7 @@
         client.setTimeoutMillis(millis);
     }
 
-    /** Sends a configuration change, with single quotes for double ones, and follows redirects, as operators do. */
+    /** Sends a configuration change, written with single quotes, and follows redirects as operators do. */
     public RawHttpClient.Message modify(String controller, String json) throws IOException {
         return client.modify(controller, json);
     }
@@ -318,42 +321,42 @@
         return client.read(controller);
     }
 
-    /** Orders a rollout, with single quotes for double ones. */
+    /** Begins a rollout; the JSON is written with single quotes. */
     public RawHttpClient.Message beginRollout(String controller, String json) throws IOException {
         return client.beginRollout(controller, json);
     }
 
-    /** Reads how far the rollout of a service is. */
+    /** Reads the progress of a service's rollout. */
     public RawHttpClient.Message readRollout(String controller, String service) throws IOException {
         return client.readRollout(controller, service);
     }
 
-    /** The response of that controller itself to a read. */
+    /** Reads from a controller without following a redirect. */
     public RawHttpClient.Message readWithoutRedirect(String controller) throws IOException {
         return client.readWithoutRedirect(controller);
     }
 
-    /** The response to the state call. */
+    /** Reads the state of a process. */
     public RawHttpClient.Message state(String name) throws IOException {
         return client.state(name);
     }
 
-    /** The page of metrics. */
+    /** Reads the metrics of a process. */
     public RawHttpClient.Message metrics(String name) throws IOException {
         return client.metrics(name);
     }
 
-    /** A request id that was not used before. */
+    /** A request id that has not been used before. */
     public String nextRequestId() {
         return client.nextRequestId();
     }
 
-    /** One request of a client on a connection of its own; a null key is not sent. */
+    /** Sends one client request on a connection of its own; a null key is left out. */
     public RawHttpClient.Message request(String proxy, String host, String path, String key) throws IOException {
         return request(proxy, host, path, key, nextRequestId());
     }
 
-    /** The same with an id of the test's own. */
+    /** The same with an id that the test chooses. */
     public RawHttpClient.Message request(String proxy, String host, String path, String key, String id)
             throws IOException {
         return client.request(proxy, host, path, key, id);
--- a/src/test/java/org/cypressweir/testkit/MeshNetwork.java
+++ b/src/test/java/org/cypressweir/testkit/MeshNetwork.java
@@ -11,8 +11,8 @@
 import org.cypressweir.common.util.Addresses;
 
 /**
- * The addresses of the processes of a {@link MeshFixture}: each has a loopback address of its own in a network that
- * is chosen at random. Controllers are named h1, h2, ..., proxies p1, p2, ...; the ports are the same for all.
+ * The addresses of the processes of a {@link MeshFixture}: each has a loopback address of its own in a random network
+ * of 127.0.0.0/8. Controllers are named h1, h2, and so on, proxies p1, p2, and so on; the ports are the same for all.
  */
 final class MeshNetwork implements AutoCloseable {
 
@@ -35,7 +35,7 @@
     private final ConnectionRelay relay;
     private int additionalCount;
 
-    /** @param partitionable whether the connections between the processes pass a relay */
+    /** @param partitionable whether the connections between the processes go through a relay */
     MeshNetwork(int controllerCount, int proxyCount, boolean partitionable) throws IOException {
         SecureRandom random = new SecureRandom();
         prefix = "127." + (1 + random.nextInt(254)) + "." + random.nextInt(255) + ".";
@@ -57,7 +57,7 @@
         return IntStream.rangeClosed(1, count).mapToObj(i -> prefix + i).toList();
     }
 
-    /** The controllers that are seeds. */
+    /** The names of the controllers that are seeds. */
     List<String> controllers() {
         return controllers;
     }
@@ -90,12 +90,12 @@
         return ips.get(name) + ":" + CONTROL_PORT;
     }
 
-    /** The relay that all connections pass; null without one. */
+    /** The relay through which all connections between processes go; null without one. */
     ConnectionRelay relay() {
         return relay;
     }
 
-    /** What a process is to dial in place of each peer's address, as text; empty without a relay. */
+    /** The addresses to which a process connects in place of its peers' addresses, as text; empty without a relay. */
     String addressOverrides(String from) {
         if (relay == null) {
             return "";
--- a/src/test/java/org/cypressweir/testkit/MeshSoak.java
+++ b/src/test/java/org/cypressweir/testkit/MeshSoak.java
@@ -18,9 +18,9 @@
  * overlap. Clients keep using their connections until a process is gone. At the end all that the clients and
  * applications have recorded is checked.
  *
- * <p>A run with planned work only (SIGTERM, SIGHUP, changes, draining applications) must lose no request. A run that also
- * has kills, partitions and suspended processes must execute no request twice that is not idempotent, and must keep rate
- * limits and acknowledged changes.
+ * <p>A run with planned work only (SIGTERM, SIGHUP, changes, draining applications) must lose no request. A run that
+ * also has kills, partitions and suspended processes must execute no request twice that is not idempotent, and must
+ * keep rate limits and acknowledged changes.
  */
 public final class MeshSoak implements AutoCloseable {
 
@@ -37,6 +37,7 @@
 
     /** The limit for a window, with 10 percent and 20 requests of tolerance. */
     private static final double MAX_REQUESTS_PER_WINDOW = (LIMITED_RATE * 5 + LIMITED_BURST) * 1.1 + 20;
+
     private static final long MAX_RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
     private static final long MIN_STEP_MILLIS = 30;
     private static final long MAX_STEP_MILLIS = 500;
--- a/src/test/java/org/cypressweir/testkit/PeerStub.java
+++ b/src/test/java/org/cypressweir/testkit/PeerStub.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Assertions;
 
-/** A scripted peer on a free loopback port: each test says what it does with a request. */
+/** A scripted peer on a free loopback port: the script of the test handles each request. */
 public final class PeerStub implements AutoCloseable {
 
-    /** A request as it came, and the connection that it came on. */
+    /** A received request and its connection. */
     public record Seen(RawHttpClient.Message request, Socket socket) {
         public void reply(String status, String headers, String body) throws IOException {
             raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
@@ -31,7 +31,7 @@
         }
     }
 
-    /** What a scripted peer does with one request. */
+    /** Handles one request of a scripted peer. */
     public interface Script {
         void on(Seen received) throws IOException;
     }
@@ -54,7 +54,7 @@
         this(script, 50);
     }
 
-    /** With room for so many connections that have come up and not been accepted. */
+    /** Starts a peer with this backlog: the number of established connections that may wait to be accepted. */
     public PeerStub(Script script, int backlog) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
@@ -73,12 +73,12 @@
         script = next;
     }
 
-    /** From now on new connections that ask nothing for so long are closed; 0 for never. */
+    /** Closes new connections from now on when they have sent no request for this long; 0 for never. */
     public void closesIdle(int millis) {
         idleMillis = millis;
     }
 
-    /** Connections that are open. */
+    /** How many connections are open. */
     public int open() {
         return sockets.size();
     }
@@ -89,7 +89,7 @@
 
     public Seen take() throws InterruptedException {
         Seen next = seen.poll(10, TimeUnit.SECONDS);
-        Assertions.assertNotNull(next, "no request came");
+        Assertions.assertNotNull(next, "no request was received");
         return next;
     }
 
@@ -123,20 +123,20 @@
             InputStream in = socket.getInputStream();
             for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
                 Seen next = new Seen(m, socket);
-                // Before the test can see the request and set the script for the next one.
+                // Read before the request is queued: a test that sees the request may set the script for the next one.
                 Script current = script;
                 seen.add(next);
                 current.on(next);
             }
         } catch (IOException e) {
-            // The peer hung up, or asked nothing for long, which a test may want.
+            // The client closed the connection or was idle for too long, which a test may want.
         } finally {
             sockets.remove(socket);
             ended.add(socket);
         }
     }
 
-    /** Once this returns, connections are refused: while the accepting thread is in, some still come up. */
+    /** Closes the peer. Waits for the accepting thread, which may still accept a connection; then all are refused. */
     @Override
     public void close() throws IOException {
         listening.close();
--- a/src/test/java/org/cypressweir/testkit/PluginModules.java
+++ b/src/test/java/org/cypressweir/testkit/PluginModules.java
@@ -7,7 +7,8 @@
 import org.cypressweir.sidecar.route.PluginGrant;
 
 /**
- * The WebAssembly modules of the tests, good and hostile; sources and how they are made stand beside them.
+ * The WebAssembly modules of the tests, valid and hostile ones. Their sources and the way to build them are in the same
+ * resource folder.
  */
 public final class PluginModules {
 
@@ -19,7 +20,7 @@
         }
     }
 
-    /** With 5 ms a call and 2 MiB. */
+    /** A plugin configuration with limits of 5 ms for a call and 2 MiB (32 pages) of memory. */
     public static PluginConfiguration plan(String name, PluginGrant grant, Map<String, String> config)
             throws IOException {
         return new PluginConfiguration(name, 1, bytes(name), 5_000, 32, false, grant, config);
--- a/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
@@ -25,18 +25,17 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Several processes of the program, each as {@code serve} runs it, with a relay between what they send each
- * other, servers and a discovery that they share. Each keeps a record of what it sees.
+ * Several sidecar processes, each started by {@code serve}, with a relay for the datagrams between them, and with
+ * common servers and a common discovery. Each process writes the membership events that it sees to a file.
  */
 public final class SidecarProcesses implements AutoCloseable {
 
-    /** Something that a process has seen. */
+    /** An event that a process has recorded; {@code mono} is its time by the machine's monotonic clock. */
     public record Event(String process, long mono, String event, String about, String text) {}
 
-    /** Looked at again after so long. */
     private static final long POLL_INTERVAL_MILLIS = 20;
 
-    /** So that none is given twice before it is used. */
+    /** Ports that were returned before, so that none is returned twice before a process listens on it. */
     private static final Set<Integer> USED_PORTS = ConcurrentHashMap.newKeySet();
 
     private static final class Sidecar {
@@ -44,7 +43,7 @@
         int adminPort;
         int membershipPort;
         Process process;
-        /** Of the process that was started last. */
+        /** The id of the process that was started last. */
         long pid;
     }
 
@@ -76,7 +75,9 @@
                 seed, sidecars.stream().map(h -> h.membershipPort).toList());
     }
 
-    /** One that the system gives to nobody else meanwhile: below those that it hands out for connections. */
+    /**
+     * A free port below the range from which the kernel takes ephemeral ports, so that no connection gets it meanwhile.
+     */
     private static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(15_000, 32_000);
@@ -87,23 +88,23 @@
                     DatagramSocket datagrams = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                 return Math.min(free.getLocalPort(), datagrams.getLocalPort());
             } catch (IOException e) {
-                // Somebody has it.
+                // The port is in use.
                 continue;
             }
         }
     }
 
-    /** Changes the operators' file of all that are started from now on. */
+    /** Sets an edit of the operators' configuration file for processes that are started from now on. */
     public void operators(UnaryOperator<String> change) {
         operatorConfigurationEdit = change;
     }
 
-    /** Changes the configuration of all that are started from now on. */
+    /** Sets an edit of the configuration for processes that are started from now on. */
     public void configs(UnaryOperator<String> change) {
         configurationEdit = change;
     }
 
-    /** So many of the first are seeds of those that are started from now on. */
+    /** Sets how many processes, the first ones, are the seeds of processes that are started from now on. */
     public void seeds(int count) {
         seedCount = count;
     }
@@ -124,7 +125,7 @@
         return sidecars.get(i).adminPort;
     }
 
-    /** The port of its own socket for datagrams. */
+    /** The port on which a process itself receives datagrams, behind the relay. */
     public int socket(int i) {
         return sidecars.get(i).membershipPort;
     }
@@ -137,7 +138,7 @@
         return sidecars.get(i).process;
     }
 
-    /** Starts one, or starts it anew, with its own name. */
+    /** Starts or restarts a process under its own name. */
     public Process start(int i) throws IOException {
         return start(i, name(i));
     }
@@ -153,7 +154,7 @@
     }
 
     /**
-     * Starts one on a clients' socket that others may have, too, with an operators' door of its own; its id.
+     * Starts a process on a listening socket that others may share, with an admin port of its own; returns its id.
      */
     public long startOn(Platform platform, int i) throws Exception {
         Sidecar sidecar = sidecars.get(i);
@@ -188,7 +189,7 @@
                 "127.0.0.1:" + sidecars.get(i).adminPort);
     }
 
-    /** Writes the files of one, which takes over what may change at its next SIGHUP. */
+    /** Writes the files of a process again; it applies the reloadable changes at its next SIGHUP. */
     public void rewrite(int i) throws IOException {
         write(i, name(i));
     }
@@ -235,7 +236,7 @@
         sidecars.get(i).process.destroyForcibly().waitFor();
     }
 
-    /** One call at its operators' door, and all that it says; empty while it can't be asked. */
+    /** Sends one line to the admin socket of a process; returns the whole response, or empty if it does not respond. */
     public String ask(int i, String line) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecars.get(i).adminPort)) {
             socket.setSoTimeout(2_000);
@@ -246,7 +247,7 @@
         }
     }
 
-    /** What one sees of the others; empty while it can't be asked. */
+    /** The membership as a process sees it; empty if it does not respond. */
     public Map<?, ?> members(int i) {
         String response = ask(i, "MEMBERS");
         if (!response.startsWith("{")) {
@@ -263,12 +264,12 @@
         }
     }
 
-    /** How many live members one sees; -1 while it can't be asked. */
+    /** How many live members a process sees; -1 if it does not respond. */
     public int liveCount(int i) {
         return members(i).get("live") instanceof Long live ? live.intValue() : -1;
     }
 
-    /** Whether each of these sees just so many. */
+    /** Whether each of these processes sees exactly this number of live members. */
     public boolean see(int count, int... who) {
         for (int i : who) {
             if (liveCount(i) != count) {
@@ -284,8 +285,9 @@
     }
 
     /**
-     * Waits for something within so many milliseconds of time in which this machine lets processes run: what
-     * this process was kept waiting itself comes on top, three times over.
+     * Waits until a condition holds, and fails after a time-out; returns the time that it took, in milliseconds. Three
+     * times the scheduling delays of this process are added to the time-out, since a busy machine delays the other
+     * processes as well.
      */
     public long within(long millis, String what, Condition condition) throws Exception {
         long begun = System.nanoTime();
@@ -299,12 +301,12 @@
         return (System.nanoTime() - begun) / 1_000_000;
     }
 
-    /** For how long in all this process was kept waiting: what it sees of others, it sees so much later. */
+    /** The total scheduling delay of this process: it observes the other processes that much later. */
     public long lateNanos() {
         return schedulingDelays.schedulingDelayNanos();
     }
 
-    /** What all have logged. */
+    /** The logs of all processes. */
     public String logs() {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < sidecars.size(); i++) {
@@ -317,7 +319,7 @@
         return all.toString();
     }
 
-    /** What all have seen, in the order of the machine's one monotonic clock. */
+    /** The events that all processes have recorded, in the order of the machine's monotonic clock. */
     public List<Event> history() throws IOException {
         List<Event> history = new ArrayList<>();
         for (int i = 0; i < sidecars.size(); i++) {
@@ -350,7 +352,7 @@
         discovery.close();
     }
 
-    /** Measures how late this process is called back, as a measure of how busy the machine is. */
+    /** Measures how late a thread wakes up from sleep, as a measure of the machine's load. */
     private static final class SchedulingDelayMonitor {
         private static final long SLEEP_MILLIS = 5;
         private volatile long delayNanos;
@@ -369,7 +371,7 @@
                             delayNanos += Math.max(0, System.nanoTime() - before - 2 * SLEEP_MILLIS * 1_000_000);
                         }
                     },
-                    "pace");
+                    "scheduling-delay-monitor");
             thread.setDaemon(true);
             thread.start();
         }
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -22,8 +22,8 @@
 import org.cypressweir.controlplane.consensus.StorageUpdate;
 
 /**
- * Replicas with disks and a network in simulated time. Delays, losses and the outcome of interrupted writes are chosen
- * at random from one seed. For one thread.
+ * Replicas with disks and a network in simulated time. Delays, losses and the outcomes of interrupted writes are
+ * random, from one seed. Not thread-safe.
  */
 public final class SimulatedReplicas {
 
@@ -37,7 +37,7 @@
         long incarnation;
         boolean initialStart;
         private Effect.Write writing;
-        /** Until when writes do not come back. */
+        /** The time before which no write completes. */
         long stalledUntil;
 
         boolean diskFull;
@@ -69,7 +69,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final Map<String, Replica> replicas = new TreeMap<>();
-    /** The seeds of replicas that start from here on. */
+    /** The seed nodes of replicas that are started from now on. */
     public List<String> seeds;
 
     private final Set<List<String>> blocked = new HashSet<>();
@@ -80,11 +80,11 @@
     private long number;
     private long proposalIds;
     private long incarnations;
-    /** How far the clocks of replicas that start from here on are behind. */
+    /** How far the clocks of replicas that are started from now on are behind, in microseconds. */
     public long clockBehindMicros;
-    /** Is given each message that is sent, whether it arrives or not. */
+    /** Called with each message that is sent, whether it arrives or not. */
     public Consumer<Map<String, Object>> sent = message -> {};
-    /** The address for which sent bytes are counted, and how many they were. */
+    /** The address to which sent bytes are counted in {@link #countedBytes}. */
     public String countedAddress;
 
     public long countedBytes;
@@ -132,7 +132,7 @@
         events.add(new Event(now + micros, number++, work));
     }
 
-    /** Starts a replica with what is on its disk. */
+    /** Starts a replica with the current content of its disk. */
     public Replica start(String address, boolean initialStart) {
         Replica replica = replicas.computeIfAbsent(address, Replica::new);
         replica.incarnation = ++incarnations - clockBehindMicros;
@@ -157,13 +157,13 @@
         return start("10.0.0." + i + ":7", false);
     }
 
-    /** Starts a replica with a disk that it had before. */
+    /** Starts a replica with this state on its disk. */
     public Replica start(int i, PersistentState disk) {
         replica(i).disk = disk;
         return start(i);
     }
 
-    /** Sends an operator's request to bootstrap; returns why it is rejected, or null. */
+    /** Bootstraps a replica on an operator's request; returns the reason if that is rejected, or null. */
     public String bootstrap(Replica replica, Set<String> abandoned) {
         String why = replica.consensus.bootstrapObstacle(now, abandoned);
         if (why == null) {
@@ -172,7 +172,7 @@
         return why;
     }
 
-    /** Ends a replica at once. A write that is not synced may be on its disk or not. */
+    /** Crashes a replica. A write in progress may or may not be on its disk. */
     public void crash(Replica replica) {
         if (replica.writing != null && random.nextBoolean()) {
             replica.disk = replica.writing.change().on(replica.disk);
@@ -181,7 +181,7 @@
         replica.consensus = null;
     }
 
-    /** Ends a replica at once; its disk is lost. */
+    /** Crashes a replica; its disk is lost. */
     public void wipe(Replica replica) {
         crash(replica);
         replica.disk = null;
@@ -191,7 +191,7 @@
         replica.stalledUntil = now + micros;
     }
 
-    /** What the replica's disk is about to write, or null. */
+    /** The write in progress of a replica's disk, or null. */
     public StorageUpdate writing(Replica replica) {
         return replica.writing == null ? null : replica.writing.change();
     }
@@ -326,7 +326,7 @@
         now = until;
     }
 
-    /** Runs until that proposal is answered, for ten seconds of simulated time at most. */
+    /** Runs until a proposal is answered, for at most ten seconds of simulated time. */
     public ProposalResult await(long proposalId) {
         for (int i = 0; i < 10_000 && !results.containsKey(proposalId); i++) {
             run(1_000);
--- a/src/test/java/org/cypressweir/testkit/SoakClient.java
+++ b/src/test/java/org/cypressweir/testkit/SoakClient.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A client that sends one request after the other on a connection that it keeps as long as the proxy keeps it, and
- * opens the next one at once. It runs on a thread of its own until it is closed, and records each request.
+ * A client that sends one request at a time on a connection that it reuses until the proxy closes it; then it opens the
+ * next one at once. It runs on a thread of its own until it is closed, and records each request.
  */
 final class SoakClient implements AutoCloseable {
 
-    /** What a client knows of the end of a request. */
+    /** How a request ended, as far as the client knows. */
     enum Ending {
         ANSWERED,
-        /** The connection ended, or nothing came for long, after the whole request was written. */
+        /** The whole request was written; then the connection ended, or the response time-out passed. */
         NO_ANSWER,
-        /** The connection was closed while the request was written. */
+        /** The connection failed while the request was being written. */
         NOT_WRITTEN
     }
 
-    /** One request; times are nanoseconds of the machine's clock, the status is 0 without an answer. */
+    /** One request; times are in nanoseconds of {@link System#nanoTime()}, and the status is 0 without a response. */
     record Sent(
             String id,
             String proxy,
@@ -54,7 +54,7 @@
     private volatile boolean closed;
     private long number;
 
-    /** @param keys of tenants, of which each request takes one */
+    /** @param keys the tenants' API keys, of which each request uses one at random */
     SoakClient(String name, String proxy, InetSocketAddress address, String host, String[] keys, long seed) {
         this.name = name;
         this.proxy = proxy;
@@ -77,13 +77,13 @@
                     LockSupport.parkNanos(random.nextLong(MAX_PAUSE_NANOS));
                 }
             } catch (IOException e) {
-                // The process is gone for the moment: nothing was sent.
+                // The proxy is not reachable at the moment, and no request was sent.
                 LockSupport.parkNanos(RECONNECT_NANOS);
             }
         }
     }
 
-    /** Returns whether the connection can be used again. */
+    /** Sends a request and records it; returns whether the connection can be reused. */
     private boolean request(Socket socket) {
         String id = name + "-" + ++number;
         String key = keys[random.nextInt(keys.length)];
@@ -111,13 +111,13 @@
         return response != null && !"close".equalsIgnoreCase(response.headers().getOrDefault("Connection", ""));
     }
 
-    /** Ends after the request in hand. */
+    /** Stops the client after the current request. */
     @Override
     public void close() {
         closed = true;
     }
 
-    /** Waits until the thread has ended. */
+    /** Waits until the thread has ended, for at most the longest time that a request may take. */
     void join() throws InterruptedException {
         thread.join(RESPONSE_MILLIS + CONNECT_MILLIS);
     }
--- a/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -16,7 +16,7 @@
 import org.cypressweir.controlplane.consensus.ProposalResult;
 import org.cypressweir.controlplane.storage.Store;
 
-/** Three replicas with stores, whose messages arrive at once and in order. Counts what is sent and written. */
+/** Three replicas with stores, whose messages arrive at once and in order. Counts messages, bytes and writes. */
 public final class ThreeReplicas {
 
     private static final int COUNT = 3;
@@ -44,14 +44,14 @@
         deliverAll();
     }
 
-    /** Delivers all messages and writes, without letting time pass. */
+    /** Delivers all messages and completes all writes without advancing the time. */
     private void deliverAll() {
         while (!pending.isEmpty()) {
             pending.poll().run();
         }
     }
 
-    /** Lets time pass by one tick. */
+    /** Advances the time by one tick. */
     public void tick() {
         now += TICK_MICROS;
         for (int i = 0; i < COUNT; i++) {
@@ -60,7 +60,7 @@
         deliverAll();
     }
 
-    /** A change, or a read for null, at the first replica. */
+    /** Submits a change to the first replica, or a read if the body is null; returns its result. */
     public ProposalResult submit(String body) {
         long proposalId = ++proposalIds;
         ConfigurationChange change = body == null
--- a/src/test/java/org/cypressweir/testkit/WebSocketClient.java
+++ b/src/test/java/org/cypressweir/testkit/WebSocketClient.java
@@ -11,10 +11,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.Base64;
 
-/** One end of a WebSocket, byte by byte, so that a test can do what no library would. */
+/** One end of a WebSocket connection, without a library, so that tests can send malformed frames. */
 public final class WebSocketClient {
 
-    /** The key that RFC 6455 uses in its example, section 1.2. */
+    /** The key of the example in RFC 6455, section 1.2. */
     public static final String KEY = "dGhlIHNhbXBsZSBub25jZQ==";
 
     private static final byte[] MASK = {0x37, (byte) 0xfa, 0x21, 0x3d};
@@ -23,7 +23,7 @@
     private final DataInputStream in;
     private final boolean isClient;
 
-    /** A frame as it came. */
+    /** A frame as it was received, with its payload unmasked. */
     public record Frame(int opcode, boolean last, boolean rsv1, byte[] payload) {
         public String text() {
             return new String(payload, StandardCharsets.UTF_8);
@@ -51,19 +51,19 @@
         }
     }
 
-    /** A server's sound 101. */
+    /** A server's valid response that accepts an upgrade, with further header lines. */
     public static String agreed(String key, String extraHeaders) {
         return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
                 + "Sec-WebSocket-Accept: " + accept(key) + "\r\n" + extraHeaders + "\r\n";
     }
 
-    /** Takes a request for an upgrade and goes over. */
+    /** Accepts a request for an upgrade; returns the server's end of the WebSocket. */
     public static WebSocketClient agree(PeerStub.Seen seen, String extraHeaders) throws IOException {
         seen.raw(agreed(seen.request().headers().get("Sec-WebSocket-Key"), extraHeaders));
         return new WebSocketClient(seen.socket(), false);
     }
 
-    /** A server that sends each message back and answers pings and closes. */
+    /** A server that echoes each message, and answers ping and close frames. */
     public static PeerStub.Script echo() {
         return seen -> {
             WebSocketClient ws = agree(seen, "");
@@ -80,7 +80,7 @@
         };
     }
 
-    /** The bytes of a frame; a client's are masked. */
+    /** The bytes of a frame; clients have to mask theirs. */
     public static byte[] frame(boolean masked, int first, byte[] payload) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(first);
@@ -138,7 +138,10 @@
         socket.close();
     }
 
-    /** The next frame, checked for its mask; null at the end, an exception within a frame. */
+    /**
+     * Reads the next frame and checks that it is masked if a client sent it, and only then. Returns null at the end of
+     * the connection, and throws an exception if that is within a frame.
+     */
     public Frame read() throws IOException {
         int first;
         try {
@@ -151,14 +154,14 @@
         }
         int second = in.readUnsignedByte();
         if ((second & 0x80) != 0 == isClient) {
-            throw new IOException("masked the wrong way");
+            throw new IOException("masked by a server, or not masked by a client");
         }
         long length = second & 0x7f;
         length = length == 126 ? in.readUnsignedShort() : length == 127 ? in.readLong() : length;
         byte[] mask = isClient ? new byte[4] : in.readNBytes(4);
         byte[] payload = in.readNBytes((int) length);
         if (payload.length < length || mask.length < 4) {
-            throw new EOFException("a torn frame");
+            throw new EOFException("connection ended within a frame");
         }
         for (int i = 0; i < payload.length; i++) {
             payload[i] ^= mask[i & 3];
@@ -166,7 +169,7 @@
         return new Frame(first & 0x0f, (first & 0x80) != 0, (first & 0x40) != 0, payload);
     }
 
-    /** The next message, its pieces put together; control frames before its end are passed over. */
+    /** Reads the next message and joins its fragments. Skips pings and pongs before its end; returns a close frame. */
     public Frame message() throws IOException {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         int opcode = 0;
