--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -11,36 +11,45 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A random schedule of faults of sidecar processes and of the network between them. The faults come one after the
- * other, and after each all processes must see all others again. Where a fault must not change anybody's view, the
- * events that the processes have recorded are checked.
+ * A random schedule of faults of sidecar processes and of the network between them. Faults are injected one at a time,
+ * and after each one all processes must see all others again. For faults that must not change any view of the
+ * membership, the events that the processes have recorded are checked as well.
  */
 public final class FaultSchedule {
 
-    /** What is done, to whom. */
+    /** The kinds of faults. */
     public enum Kind {
+        /** A process is suspended for less time than it takes to be declared failed. */
         SHORT_STOP,
+        /** A process is suspended until the others have removed it. */
         LONG_STOP,
+        /** A process is killed and started again. */
         KILL,
+        /** Datagrams from one process to another are lost. */
         ONE_WAY,
+        /** Datagrams between two processes are lost in both directions. */
         PAIR,
+        /** All datagrams from one process are lost. */
         MUTE,
+        /** All datagrams to one process are lost. */
         DEAF,
+        /** The processes are partitioned into two or three groups. */
         SPLIT,
+        /** Some datagrams are lost, duplicated, delayed or corrupted. */
         LOSS
     }
 
     /**
      * One fault.
      *
-     * @param one whom it meets
-     * @param other the other one of a pair
-     * @param groups in which part of a split each is
-     * @param millis for which it lasts, where it is not over by itself
+     * @param one the process that it affects
+     * @param other the second process, for faults between two
+     * @param groups the group of each process, for a split
+     * @param millis how long it lasts, for kinds that do not end on a condition
      */
     public record Step(Kind kind, int one, int other, List<Integer> groups, long millis) {}
 
-    private static final long STARTED = 20_000;
+    private static final long START_MILLIS = 20_000;
 
     private final SidecarProcesses processes;
     private final long pause;
@@ -52,10 +61,13 @@
         all = IntStream.range(0, processes.size()).boxed().collect(Collectors.toSet());
     }
 
-    /** Faults in any order; the first two are the seeds, of which one may always be found. */
+    /**
+     * Generates random faults. The first two processes are the seeds, so that one of them can be reached while a fault
+     * affects the other.
+     */
     public static List<Step> draw(long seed, int members, int steps, long pauseMillis) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Step> plan = new ArrayList<>();
+        List<Step> schedule = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
             int one = random.nextInt(members);
@@ -63,25 +75,26 @@
             int parts = 2 + random.nextInt(2);
             List<Integer> groups = new ArrayList<>();
             for (int m = 0; m < members; m++) {
-                // A part without a seed is found again by the others' knocking: that is wanted too.
+                // Each group has at least one member. Processes 0 and 1 are the seeds, so a third group has no seed:
+                // it has to be rejoined by the probes that the others send to members they have lost.
                 groups.add(m < parts ? m : random.nextInt(parts));
             }
             long millis = kind == Kind.SHORT_STOP ? 100 + random.nextLong(pauseMillis * 6 / 10) : 2 * pauseMillis;
-            plan.add(new Step(kind, one, other, List.copyOf(groups), millis));
+            schedule.add(new Step(kind, one, other, List.copyOf(groups), millis));
         }
-        return plan;
+        return schedule;
     }
 
-    /** What a word takes to all, and the silence before it. */
-    private long known() {
+    /** The time until a failure is detected and all members know of it. */
+    private long detectionMillis() {
         return 3 * pause + 1_000;
     }
 
-    private void all(String what, long millis) throws Exception {
-        agree(all, all, what, millis);
+    private void awaitAllSeeAll(String what, long millis) throws Exception {
+        awaitViews(all, all, what, millis);
     }
 
-    private void agree(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
+    private void awaitViews(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
         processes.within(
                 millis,
                 what,
@@ -94,12 +107,15 @@
         return rest;
     }
 
-    private void last(Step step) throws InterruptedException {
+    private void sleepFor(Step step) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(step.millis);
     }
 
-    /** Ends that any process has seen since then, but for those of these. */
-    private void nobodyEnded(long since, String what, Set<String> but) throws Exception {
+    /**
+     * Checks that no process has recorded the removal or the leaving of a member since then. Events that the exempt
+     * processes recorded, or that are about them, do not count.
+     */
+    private void assertNoMemberEnded(long since, String what, Set<String> but) throws Exception {
         List<SidecarProcesses.Event> ends = processes.history().stream()
                 .filter(e -> e.mono() > since
                         && (e.event().equals("out") || e.event().equals("left"))
@@ -109,9 +125,9 @@
         Assertions.assertEquals(List.of(), ends, () -> what + "\n" + processes.logs());
     }
 
-    /** Plays one fault and what must come of it. */
+    /** Injects one fault, ends it, and checks what the processes make of it. */
     public void play(Step step) throws Exception {
-        long begun = System.nanoTime() / 1_000;
+        long startMicros = System.nanoTime() / 1_000;
         String what = step.toString();
         Set<Integer> rest = without(all, step.one);
         Set<String> none = Set.of();
@@ -119,61 +135,61 @@
         switch (step.kind) {
             case SHORT_STOP -> {
                 processes.signal(step.one, "STOP");
-                last(step);
+                sleepFor(step);
                 processes.signal(step.one, "CONT");
                 TimeUnit.MILLISECONDS.sleep(pause);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             case LONG_STOP -> {
                 processes.signal(step.one, "STOP");
-                agree(rest, rest, what, known());
+                awaitViews(rest, rest, what, detectionMillis());
                 processes.signal(step.one, "CONT");
-                all(what + " is over", known());
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(startMicros, what, its);
             }
             case KILL -> {
                 processes.kill(step.one);
-                agree(rest, rest, what, known());
+                awaitViews(rest, rest, what, detectionMillis());
                 processes.start(step.one);
-                all(what + " is over", STARTED);
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", START_MILLIS);
+                assertNoMemberEnded(startMicros, what, its);
             }
             case ONE_WAY, PAIR -> {
                 boolean both = step.kind == Kind.PAIR;
                 processes.relay.cut((from, to) ->
                         !(from == step.one && to == step.other) && !(both && from == step.other && to == step.one));
-                last(step);
+                sleepFor(step);
                 processes.relay.cut((from, to) -> true);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             case MUTE, DEAF -> {
                 processes.relay.cut((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
-                agree(rest, rest, what, known());
-                agree(Set.of(step.one), Set.of(step.one), what, known());
+                awaitViews(rest, rest, what, detectionMillis());
+                awaitViews(Set.of(step.one), Set.of(step.one), what, detectionMillis());
                 processes.relay.cut((from, to) -> true);
-                all(what + " is over", known());
-                nobodyEnded(begun, what, its);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(startMicros, what, its);
             }
             case SPLIT -> {
                 processes.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
                 for (int part : Set.copyOf(step.groups)) {
                     Set<Integer> side =
                             all.stream().filter(i -> step.groups.get(i) == part).collect(Collectors.toSet());
-                    agree(side, side, what, known() + pause);
+                    awaitViews(side, side, what, detectionMillis() + pause);
                 }
                 long healed = System.nanoTime() / 1_000;
                 processes.relay.cut((from, to) -> true);
-                all(what + " is over", known());
-                nobodyEnded(healed, what, none);
+                awaitAllSeeAll(what + " is over", detectionMillis());
+                assertNoMemberEnded(healed, what, none);
             }
             case LOSS -> {
                 processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
-                last(step);
+                sleepFor(step);
                 processes.relay.weather(DatagramRelay.Weather.FAIR);
-                nobodyEnded(begun, what, none);
+                assertNoMemberEnded(startMicros, what, none);
             }
             default -> throw new IllegalStateException(what);
         }
-        all(what + ": all see all", known());
+        awaitAllSeeAll(what + ": all processes see all others", detectionMillis());
     }
 }
--- a/src/test/java/org/cypressweir/testkit/Platform.java
+++ b/src/test/java/org/cypressweir/testkit/Platform.java
@@ -14,12 +14,13 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Holds a listening socket and starts programs that inherit it as descriptor 0, which the runtime can't do
- * for its own children. Each line that it is told is a command; it tells of each start and each end.
+ * Holds a listening socket and starts programs that inherit it as file descriptor 0, as a platform with socket
+ * activation does. Java cannot pass a socket to its child processes, so a Perl script does: it runs each line of its
+ * input as a command, and prints a line for each start and each exit.
  */
 public final class Platform implements AutoCloseable {
 
-    private static final String HOLDER = String.join(
+    private static final String HOLDER_SCRIPT = String.join(
             "\n",
             "use strict; use Socket; use POSIX qw(:sys_wait_h dup2 dup); $| = 1;",
             "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; $^F = 20;",
@@ -47,20 +48,20 @@
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
 
     public Platform() throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER)
+        holder = new ProcessBuilder("perl", "-e", HOLDER_SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         commands = holder.outputWriter(StandardCharsets.UTF_8);
-        var words = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
+        var output = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
         address = new InetSocketAddress(
-                "127.0.0.1", Integer.parseInt(words.readLine().split(" ")[1]));
-        Thread reader = new Thread(() -> words.lines()
+                "127.0.0.1", Integer.parseInt(output.readLine().split(" ")[1]));
+        Thread reader = new Thread(() -> output.lines()
                 .forEach(w -> (w.startsWith("started") ? started : ended).add(w.substring(w.indexOf(' ') + 1))));
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** Starts a program with these variables and this file for what it says; its process id. */
+    /** Starts a program with these environment variables and its output in this file; returns its process id. */
     public long start(String command, Map<String, String> environment, Path log) throws Exception {
         StringBuilder line = new StringBuilder("LB_SOCKET_FD=0 ");
         environment.forEach(
@@ -68,24 +69,24 @@
         commands.write(line + "exec " + command + " >>" + log + " 2>&1\n");
         commands.flush();
         String pid = started.poll(10, TimeUnit.SECONDS);
-        Assertions.assertNotNull(pid, "nothing was started");
+        Assertions.assertNotNull(pid, "no program was started");
         return Long.parseLong(pid);
     }
 
-    /** Waits for the end of a program; its status. */
+    /** Waits until a program has exited; returns its status. */
     public int awaitEnd(long pid) throws InterruptedException {
         String end = ended.poll(20, TimeUnit.SECONDS);
-        Assertions.assertNotNull(end, "nothing ended");
-        Assertions.assertEquals(String.valueOf(pid), end.split(" ")[0], "another ended");
+        Assertions.assertNotNull(end, "no program has exited");
+        Assertions.assertEquals(String.valueOf(pid), end.split(" ")[0], "another program has exited");
         return Integer.parseInt(end.split(" ")[1]);
     }
 
-    /** Whether any program has ended that nobody waited for. */
+    /** Whether any program has exited without having been awaited. */
     public boolean lostOne() {
         return !ended.isEmpty();
     }
 
-    /** Ends what still runs. */
+    /** Kills the programs that still run, and ends the script. */
     @Override
     public void close() throws IOException {
         commands.close();
--- a/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
+++ b/src/test/java/org/cypressweir/testkit/RecordedServerRequest.java
@@ -7,22 +7,22 @@
 import org.cypressweir.dataplane.http.server.ServerRequest;
 import org.cypressweir.dataplane.http.server.ServerResponse;
 
-/** A request without a connection that records its responses. Tests override what they need. */
+/** A server request without a connection, which records its responses. Tests override the methods that they need. */
 public class RecordedServerRequest implements ServerRequest {
 
     private final String method;
     private final String uri;
     public final List<ServerResponse> responses = new ArrayList<>();
-    private Runnable whenGone;
+    private Runnable disconnectTask;
 
     public RecordedServerRequest(String method, String uri) {
         this.method = method;
         this.uri = uri;
     }
 
-    /** The client disconnects. */
+    /** Simulates that the client disconnects. */
     public void disconnect() {
-        whenGone.run();
+        disconnectTask.run();
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void onDisconnect(Runnable task) {
-        whenGone = task;
+        disconnectTask = task;
     }
 
     @Override
--- a/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
@@ -25,26 +25,25 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Several processes of the program, each as {@code serve} runs it, with a relay between what they send each
- * other, servers and a discovery that they share. Each keeps a record of what it sees.
+ * Several sidecar processes, each started by {@code serve}, with a relay for the datagrams between them, and with
+ * common servers and a common discovery. Each process writes the membership events that it sees to a file.
  */
 public final class SidecarProcesses implements AutoCloseable {
 
-    /** Something that a process has seen. */
+    /** An event that a process has recorded; {@code mono} is its time by the machine's monotonic clock. */
     public record Event(String process, long mono, String event, String about, String text) {}
 
-    /** Looked at again after so long. */
-    private static final long LOOK_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
-    /** So that none is given twice before it is used. */
-    private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+    /** Ports that were returned before, so that none is returned twice before a process listens on it. */
+    private static final Set<Integer> USED_PORTS = ConcurrentHashMap.newKeySet();
 
-    private static final class Hand {
-        int front;
-        int door;
-        int udp;
+    private static final class Sidecar {
+        int clientPort;
+        int adminPort;
+        int membershipPort;
         Process process;
-        /** Of the process that was started last. */
+        /** The id of the process that was started last. */
         long pid;
     }
 
@@ -52,12 +51,12 @@
     public final PeerStub discovery;
     private final Path folder;
     private final long pauseMillis;
-    private final List<Hand> hands = new ArrayList<>();
+    private final List<Sidecar> sidecars = new ArrayList<>();
     private final PeerStub[] servers;
-    private final Pace pace = new Pace();
-    private UnaryOperator<String> operators = text -> text;
-    private UnaryOperator<String> configs = text -> text;
-    private int seeds = 2;
+    private final SchedulingDelayMonitor schedulingDelays = new SchedulingDelayMonitor();
+    private UnaryOperator<String> operatorConfigurationEdit = text -> text;
+    private UnaryOperator<String> configurationEdit = text -> text;
+    private int seedCount = 2;
 
     public SidecarProcesses(Path folder, long seed, int members, long pauseMillis, PeerStub... servers)
             throws IOException {
@@ -66,45 +65,48 @@
         this.servers = servers;
         discovery = new PeerStub(PeerStub.SILENT);
         for (int i = 0; i < members; i++) {
-            Hand hand = new Hand();
-            hand.front = freePort();
-            hand.door = freePort();
-            hand.udp = freePort();
-            hands.add(hand);
+            Sidecar sidecar = new Sidecar();
+            sidecar.clientPort = freePort();
+            sidecar.adminPort = freePort();
+            sidecar.membershipPort = freePort();
+            sidecars.add(sidecar);
         }
-        relay = new DatagramRelay(seed, hands.stream().map(h -> h.udp).toList());
+        relay = new DatagramRelay(
+                seed, sidecars.stream().map(h -> h.membershipPort).toList());
     }
 
-    /** One that the system gives to nobody else meanwhile: below those that it hands out for connections. */
+    /**
+     * A free port below the range from which the kernel takes ephemeral ports, so that no connection gets it meanwhile.
+     */
     private static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(15_000, 32_000);
-            if (!GIVEN.add(port)) {
+            if (!USED_PORTS.add(port)) {
                 continue;
             }
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
                     DatagramSocket datagrams = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                 return Math.min(free.getLocalPort(), datagrams.getLocalPort());
             } catch (IOException e) {
-                // Somebody has it.
+                // The port is in use.
                 continue;
             }
         }
     }
 
-    /** Changes the operators' file of all that are started from now on. */
+    /** Sets an edit of the operators' configuration file for processes that are started from now on. */
     public void operators(UnaryOperator<String> change) {
-        operators = change;
+        operatorConfigurationEdit = change;
     }
 
-    /** Changes the configuration of all that are started from now on. */
+    /** Sets an edit of the configuration for processes that are started from now on. */
     public void configs(UnaryOperator<String> change) {
-        configs = change;
+        configurationEdit = change;
     }
 
-    /** So many of the first are seeds of those that are started from now on. */
+    /** Sets how many processes, the first ones, are the seeds of processes that are started from now on. */
     public void seeds(int count) {
-        seeds = count;
+        seedCount = count;
     }
 
     public static String name(int i) {
@@ -112,20 +114,20 @@
     }
 
     public int size() {
-        return hands.size();
+        return sidecars.size();
     }
 
     public InetSocketAddress front(int i) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), hands.get(i).front);
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecars.get(i).clientPort);
     }
 
     public int door(int i) {
-        return hands.get(i).door;
+        return sidecars.get(i).adminPort;
     }
 
-    /** The port of its own socket for datagrams. */
+    /** The port on which a process itself receives datagrams, behind the relay. */
     public int socket(int i) {
-        return hands.get(i).udp;
+        return sidecars.get(i).membershipPort;
     }
 
     public Path log(int i) {
@@ -133,39 +135,39 @@
     }
 
     public Process process(int i) {
-        return hands.get(i).process;
+        return sidecars.get(i).process;
     }
 
-    /** Starts one, or starts it anew, with its own name. */
+    /** Starts or restarts a process under its own name. */
     public Process start(int i) throws IOException {
         return start(i, name(i));
     }
 
     public Process start(int i, String name) throws IOException {
-        Hand hand = hands.get(i);
+        Sidecar sidecar = sidecars.get(i);
         ProcessBuilder builder = new ProcessBuilder(command(write(i, name)));
         builder.environment().putAll(environment(i));
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log(i).toFile()));
-        hand.process = builder.start();
-        hand.pid = hand.process.pid();
-        return hand.process;
+        sidecar.process = builder.start();
+        sidecar.pid = sidecar.process.pid();
+        return sidecar.process;
     }
 
     /**
-     * Starts one on a clients' socket that others may have, too, with an operators' door of its own; its id.
+     * Starts a process on a listening socket that others may share, with an admin port of its own; returns its id.
      */
     public long startOn(Platform platform, int i) throws Exception {
-        Hand hand = hands.get(i);
-        hand.door = freePort();
-        hand.front = platform.address.getPort();
+        Sidecar sidecar = sidecars.get(i);
+        sidecar.adminPort = freePort();
+        sidecar.clientPort = platform.address.getPort();
         Map<String, String> environment = new HashMap<>(environment(i));
-        environment.put("LB_LISTEN", "127.0.0.1:" + hand.front);
+        environment.put("LB_LISTEN", "127.0.0.1:" + sidecar.clientPort);
         String command = String.join(" ", command(write(i, name(i))));
-        hand.pid = platform.start(command, environment, log(i));
-        return hand.pid;
+        sidecar.pid = platform.start(command, environment, log(i));
+        return sidecar.pid;
     }
 
-    private static List<String> command(Path operators) {
+    private static List<String> command(Path operatorConfiguration) {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -176,7 +178,7 @@
                 "org.cypressweir.sidecar.Main",
                 "serve",
                 "--operators",
-                operators.toString());
+                operatorConfiguration.toString());
     }
 
     private Map<String, String> environment(int i) {
@@ -184,37 +186,38 @@
                 "LB_CONFIG",
                 folder.resolve("config" + i + ".json").toString(),
                 "LB_OPERATOR",
-                "127.0.0.1:" + hands.get(i).door);
+                "127.0.0.1:" + sidecars.get(i).adminPort);
     }
 
-    /** Writes the files of one, which takes over what may change at its next SIGHUP. */
+    /** Writes the files of a process again; it applies the reloadable changes at its next SIGHUP. */
     public void rewrite(int i) throws IOException {
         write(i, name(i));
     }
 
     private Path write(int i, String name) throws IOException {
-        Hand hand = hands.get(i);
+        Sidecar sidecar = sidecars.get(i);
         Path config = folder.resolve("config" + i + ".json");
         Files.writeString(
                 config,
-                configs.apply(Configs.of(
+                configurationEdit.apply(Configs.of(
                         name,
-                        hand.front,
+                        sidecar.clientPort,
                         discovery.port(),
                         1024,
                         250_000,
                         Configs.list(1, true, "in_service", servers))));
         Path file = folder.resolve("operators" + i + ".toml");
         List<String> seeds = new ArrayList<>();
-        for (int s = 0; s < Math.min(this.seeds, hands.size()); s++) {
+        for (int s = 0; s < Math.min(this.seedCount, sidecars.size()); s++) {
             seeds.add("\"127.0.0.1:" + relay.port(s) + "\"");
         }
         Files.writeString(
                 file,
-                operators.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
+                operatorConfigurationEdit.apply("version = 1\n[pools.p]\nsource = \"discovery\"\n"
                         + "[routes.all]\npath = \"/search/*\"\nclass = \"search\"\npool = \"p\"\n"
                         + "[routes.book]\npath = \"/book/*\"\nclass = \"book\"\npool = \"p\"\n"
-                        + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + hand.udp + "\"\nadvertise = "
+                        + "[membership]\ncluster = \"mu\"\nlisten = \"127.0.0.1:" + sidecar.membershipPort
+                        + "\"\nadvertise = "
                         + "\"127.0.0.1:" + relay.port(i) + "\"\nseeds = [" + String.join(", ", seeds)
                         + "]\npause = \""
                         + pauseMillis + "ms\"\nrecord = \"" + folder.resolve("record" + i + ".json") + "\"\n"));
@@ -224,18 +227,18 @@
     public void signal(int i, String signal) throws IOException, InterruptedException {
         Assertions.assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + signal, String.valueOf(hands.get(i).pid))
+                new ProcessBuilder("kill", "-" + signal, String.valueOf(sidecars.get(i).pid))
                         .start()
                         .waitFor());
     }
 
     public void kill(int i) throws InterruptedException {
-        hands.get(i).process.destroyForcibly().waitFor();
+        sidecars.get(i).process.destroyForcibly().waitFor();
     }
 
-    /** One call at its operators' door, and all that it says; empty while it can't be asked. */
+    /** Sends one line to the admin socket of a process; returns the whole response, or empty if it does not respond. */
     public String ask(int i, String line) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), hands.get(i).door)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecars.get(i).adminPort)) {
             socket.setSoTimeout(2_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -244,13 +247,13 @@
         }
     }
 
-    /** What one sees of the others; empty while it can't be asked. */
+    /** The membership as a process sees it; empty if it does not respond. */
     public Map<?, ?> members(int i) {
-        String said = ask(i, "MEMBERS");
-        if (!said.startsWith("{")) {
+        String response = ask(i, "MEMBERS");
+        if (!response.startsWith("{")) {
             return Map.of();
         }
-        return parse(said.substring(0, said.indexOf('\n')));
+        return parse(response.substring(0, response.indexOf('\n')));
     }
 
     private static Map<?, ?> parse(String line) {
@@ -261,15 +264,15 @@
         }
     }
 
-    /** How many live members one sees; -1 while it can't be asked. */
-    public int live(int i) {
+    /** How many live members a process sees; -1 if it does not respond. */
+    public int liveCount(int i) {
         return members(i).get("live") instanceof Long live ? live.intValue() : -1;
     }
 
-    /** Whether each of these sees just so many. */
+    /** Whether each of these processes sees exactly this number of live members. */
     public boolean see(int count, int... who) {
         for (int i : who) {
-            if (live(i) != count) {
+            if (liveCount(i) != count) {
                 return false;
             }
         }
@@ -282,30 +285,31 @@
     }
 
     /**
-     * Waits for something within so many milliseconds of time in which this machine lets processes run: what
-     * this process was kept waiting itself comes on top, three times over.
+     * Waits until a condition holds, and fails after a time-out; returns the time that it took, in milliseconds. Three
+     * times the scheduling delays of this process are added to the time-out, since a busy machine delays the other
+     * processes as well.
      */
     public long within(long millis, String what, Condition condition) throws Exception {
         long begun = System.nanoTime();
-        long late = pace.lateNanos();
+        long delayBefore = schedulingDelays.schedulingDelayNanos();
         while (!condition.holds()) {
-            long took = System.nanoTime() - begun - 3 * (pace.lateNanos() - late);
+            long took = System.nanoTime() - begun - 3 * (schedulingDelays.schedulingDelayNanos() - delayBefore);
             Assertions.assertTrue(
                     took < millis * 1_000_000, () -> "not within " + millis + " ms: " + what + "\n" + logs());
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         return (System.nanoTime() - begun) / 1_000_000;
     }
 
-    /** For how long in all this process was kept waiting: what it sees of others, it sees so much later. */
+    /** The total scheduling delay of this process: it observes the other processes that much later. */
     public long lateNanos() {
-        return pace.lateNanos();
+        return schedulingDelays.schedulingDelayNanos();
     }
 
-    /** What all have logged. */
+    /** The logs of all processes. */
     public String logs() {
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < hands.size(); i++) {
+        for (int i = 0; i < sidecars.size(); i++) {
             try {
                 all.append(Files.exists(log(i)) ? Files.readString(log(i)) : "");
             } catch (IOException e) {
@@ -315,10 +319,10 @@
         return all.toString();
     }
 
-    /** What all have seen, in the order of the machine's one monotonic clock. */
+    /** The events that all processes have recorded, in the order of the machine's monotonic clock. */
     public List<Event> history() throws IOException {
         List<Event> history = new ArrayList<>();
-        for (int i = 0; i < hands.size(); i++) {
+        for (int i = 0; i < sidecars.size(); i++) {
             Path record = folder.resolve("record" + i + ".json");
             for (String line : Files.exists(record) ? Files.readAllLines(record) : List.<String>of()) {
                 if (line.endsWith("}")) {
@@ -338,46 +342,46 @@
 
     @Override
     public void close() throws IOException {
-        for (Hand hand : hands) {
-            if (hand.process != null) {
-                hand.process.destroyForcibly();
+        for (Sidecar sidecar : sidecars) {
+            if (sidecar.process != null) {
+                sidecar.process.destroyForcibly();
             }
         }
-        pace.close();
+        schedulingDelays.close();
         relay.close();
         discovery.close();
     }
 
-    /** Measures how late this process is called back, as a measure of how busy the machine is. */
-    private static final class Pace {
-        private static final long NAP_MILLIS = 5;
-        private volatile long late;
-        private volatile boolean over;
+    /** Measures how late a thread wakes up from sleep, as a measure of the machine's load. */
+    private static final class SchedulingDelayMonitor {
+        private static final long SLEEP_MILLIS = 5;
+        private volatile long delayNanos;
+        private volatile boolean closed;
 
-        Pace() {
+        SchedulingDelayMonitor() {
             Thread thread = new Thread(
                     () -> {
-                        while (!over) {
+                        while (!closed) {
                             long before = System.nanoTime();
                             try {
-                                TimeUnit.MILLISECONDS.sleep(NAP_MILLIS);
+                                TimeUnit.MILLISECONDS.sleep(SLEEP_MILLIS);
                             } catch (InterruptedException e) {
                                 return;
                             }
-                            late += Math.max(0, System.nanoTime() - before - 2 * NAP_MILLIS * 1_000_000);
+                            delayNanos += Math.max(0, System.nanoTime() - before - 2 * SLEEP_MILLIS * 1_000_000);
                         }
                     },
-                    "pace");
+                    "scheduling-delay-monitor");
             thread.setDaemon(true);
             thread.start();
         }
 
-        long lateNanos() {
-            return late;
+        long schedulingDelayNanos() {
+            return delayNanos;
         }
 
         void close() {
-            over = true;
+            closed = true;
         }
     }
 }
