--- a/src/bench/java/org/cypressweir/sidecar/CellServeBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/CellServeBench.java
@@ -9,12 +9,12 @@
 import org.cypressweir.testkit.RawHttpClient;
 
 /**
- * What cells cost over sockets: one client without a pause, one server a cell, as many cells as {@code
- * -Dbench} says (8); with and without them by turns.
+ * Cost of cells over sockets, measured alternately with and without cells: one client that sends requests back to back,
+ * one server per cell; the argument ({@code -Dbench}) is the number of cells, 8 by default.
  */
 public final class CellServeBench {
 
-    private static final int ROUNDS = 5, WARM = 4_000, REQUESTS = 20_000;
+    private static final int ROUNDS = 5, WARMUP_REQUESTS = 4_000, REQUESTS = 20_000;
 
     private CellServeBench() {}
 
@@ -27,20 +27,20 @@
         for (int i = 0; i < cells; i++) {
             servers.add(new PeerStub(PeerStub.serves("ok")));
         }
-        Path plain = folder.resolve("plain.toml");
-        Files.writeString(plain, file(servers, ""));
-        Path parted = folder.resolve("parted.toml");
+        Path withoutCellsFile = folder.resolve("plain.toml");
+        Files.writeString(withoutCellsFile, file(servers, ""));
+        Path withCellsFile = folder.resolve("parted.toml");
         StringBuilder names = new StringBuilder();
         for (int c = 0; c < cells; c++) {
             names.append(c == 0 ? "" : ", ").append("\"c").append(c).append('"');
         }
-        Files.writeString(parted, file(servers, "[pools.p.cells]\nnames = [" + names + "]\nby = \"key\"\n"));
+        Files.writeString(withCellsFile, file(servers, "[pools.p.cells]\nnames = [" + names + "]\nby = \"key\"\n"));
         try (Harness harness = new Harness(folder, servers.toArray(PeerStub[]::new))) {
             List<Run> without = new ArrayList<>();
             List<Run> with = new ArrayList<>();
             for (int i = 0; i < ROUNDS; i++) {
-                without.add(run(harness, plain));
-                with.add(run(harness, parted));
+                without.add(run(harness, withoutCellsFile));
+                with.add(run(harness, withCellsFile));
             }
             print("one pool", without);
             print(cells + " cells", with);
@@ -64,11 +64,11 @@
     }
 
     static Run run(Harness harness, Path file) throws Exception {
-        try (Served served = new Served(harness.file, " --operators " + file);
+        try (RunningSidecar served = new RunningSidecar(harness.file, " --operators " + file);
                 Harness.Client client = new Harness.Client(served.address)) {
             double[] micros = new double[REQUESTS];
-            for (int i = -WARM; i < REQUESTS; i++) {
-                long began = System.nanoTime();
+            for (int i = -WARMUP_REQUESTS; i < REQUESTS; i++) {
+                long startedAt = System.nanoTime();
                 RawHttpClient.Message answer = client.raw(
                                 Harness.Client.head("GET", "/search/k" + i % 500, 2_000, "", 0))
                         .answer();
@@ -76,12 +76,12 @@
                     throw new IllegalStateException("answered " + answer.first());
                 }
                 if (i >= 0) {
-                    micros[i] = (System.nanoTime() - began) / 1e3;
+                    micros[i] = (System.nanoTime() - startedAt) / 1e3;
                 }
             }
             Arrays.sort(micros);
             return new Run(
-                    micros[REQUESTS / 2], micros[REQUESTS * 99 / 100], served.seconds, served.residentMegabytes());
+                    micros[REQUESTS / 2], micros[REQUESTS * 99 / 100], served.readySeconds, served.residentMegabytes());
         }
     }
 
--- a/src/bench/java/org/cypressweir/sidecar/ClassListRun.java
+++ b/src/bench/java/org/cypressweir/sidecar/ClassListRun.java
@@ -9,9 +9,9 @@
 import org.cypressweir.testkit.RawHttpClient;
 
 /**
- * Makes {@code deploy/classes.lst} anew: plays to the program, as {@code run} starts it, what a day may bring,
- * so that the archive has what serving needs and not only what starting needs. Classes and lambdas that are
- * missing there are loaded from the jar and linked while requests wait. Argument: the list to write.
+ * Regenerates {@code deploy/classes.lst}, the class list of the CDS archive: starts the sidecar as {@code run} does and
+ * exercises typical traffic, so that the archive covers serving and not only starting. Classes and lambdas that are
+ * missing from it are loaded from the jar and linked while requests wait. Argument: the list to write.
  */
 public final class ClassListRun {
 
@@ -27,14 +27,15 @@
                 PeerStub rough = new PeerStub(ClassListRun::rough);
                 Harness harness = new Harness(Files.createTempDirectory("list"), 250_000, SOCKETS, good, rough)) {
             harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
-            try (Served served = new Served(Path.of(""), harness.file, "", "-XX:DumpLoadedClassList=" + list)) {
-                play(served, harness, good, better, rough);
+            try (RunningSidecar served =
+                    new RunningSidecar(Path.of(""), harness.file, "", "-XX:DumpLoadedClassList=" + list)) {
+                exercise(served, harness, good, better, rough);
             }
         }
         System.out.println(list + " has " + Files.readAllLines(list).size() + " lines");
     }
 
-    /** Each answer that a server can give, in turn. */
+    /** Sends one of several valid and faulty responses, selected by the request id. */
     private static void rough(PeerStub.Seen seen) throws IOException {
         int turn = Math.floorMod(seen.request().headers().get("Request-Id").hashCode(), 7);
         switch (turn) {
@@ -48,41 +49,41 @@
         }
     }
 
-    private static void play(Served served, Harness harness, PeerStub good, PeerStub better, PeerStub rough)
+    private static void exercise(RunningSidecar served, Harness harness, PeerStub good, PeerStub better, PeerStub rough)
             throws Exception {
-        ask(served, ROUNDS);
-        tell(harness, Harness.list(2, false, "in_service", better));
-        ask(served, ROUNDS);
-        tell(harness, Harness.list(3, false, "terminating", rough));
-        tell(harness, Harness.list(4, true, "in_service", good, better));
-        operate(served, harness);
+        sendRequests(served, ROUNDS);
+        updateList(harness, Harness.list(2, false, "in_service", better));
+        sendRequests(served, ROUNDS);
+        updateList(harness, Harness.list(3, false, "terminating", rough));
+        updateList(harness, Harness.list(4, true, "in_service", good, better));
+        exerciseOperatorCalls(served, harness);
         harness.discovery.script(PeerStub.HANG_UP);
-        strange(served);
-        crowd(served);
+        sendInvalidRequests(served);
+        exceedConnectionLimit(served);
         harness.discovery.script(seen -> seen.reply("503 Down", "", ""));
         better.close();
-        ask(served, ROUNDS);
+        sendRequests(served, ROUNDS);
     }
 
-    /** What operators ask, and other settings while it runs. */
-    private static void operate(Served served, Harness harness) throws Exception {
+    /** Operator calls, and reloads of the settings at run time. */
+    private static void exerciseOperatorCalls(RunningSidecar served, Harness harness) throws Exception {
         String good = Files.readString(harness.file);
         for (String text : List.of(good.replace("\"name\":\"hold\"", "\"name\":\"keep\""), "", good)) {
             Files.writeString(harness.file, text);
-            served.hangUp();
+            served.sendHangupSignal();
             Thread.sleep(200);
         }
         for (String line : List.of("READY", "STATS", "no call", "DRAIN")) {
             served.call(line);
         }
-        ask(served, 2);
+        sendRequests(served, 2);
         Thread.sleep(600);
-        ask(served, 1);
+        sendRequests(served, 1);
         served.call("UNDRAIN");
-        ask(served, 2);
+        sendRequests(served, 2);
     }
 
-    private static void tell(Harness harness, String list) throws Exception {
+    private static void updateList(Harness harness, String list) throws Exception {
         int before = harness.discovery.seen.size();
         harness.discovery.script(seen -> {
             seen.reply("200 OK", "", Harness.json(list));
@@ -93,7 +94,7 @@
         }
     }
 
-    private static void ask(Served served, int times) throws Exception {
+    private static void sendRequests(RunningSidecar served, int times) throws Exception {
         for (int i = 0; i < times; i++) {
             try (Harness.Client client = new Harness.Client(served.address)) {
                 for (int k = 0; k < 3; k++) {
@@ -106,10 +107,10 @@
         }
     }
 
-    /** What is no request, or is not waited for. */
-    private static void strange(Served served) throws Exception {
+    /** Invalid requests, and requests whose client does not wait for the response. */
+    private static void sendInvalidRequests(RunningSidecar served) throws Exception {
         String head = Harness.Client.head("POST", "/book/k", 500, "", 4);
-        List<Harness.Client> left = new ArrayList<>();
+        List<Harness.Client> clients = new ArrayList<>();
         for (String text : List.of(
                 "nonsense\r\n\r\n",
                 head + "four and more",
@@ -119,17 +120,17 @@
                 "G",
                 Harness.Client.head("GET", "/search/k", 0, "", 0),
                 "GET /healthz HTTP/1.0\r\n\r\n")) {
-            left.add(new Harness.Client(served.address).raw(text));
+            clients.add(new Harness.Client(served.address).raw(text));
         }
         new Harness.Client(served.address).search(3_000).close();
         Thread.sleep(2_300);
-        for (Harness.Client client : left) {
+        for (Harness.Client client : clients) {
             client.close();
         }
     }
 
-    /** More connections than there may be, most with a request and some idle; then they go. */
-    private static void crowd(Served served) throws Exception {
+    /** Opens more connections than allowed, most with a request and some idle, then closes them. */
+    private static void exceedConnectionLimit(RunningSidecar served) throws Exception {
         List<Harness.Client> clients = new ArrayList<>();
         for (int i = 0; i < SOCKETS * 2; i++) {
             Harness.Client client = new Harness.Client(served.address);
--- a/src/bench/java/org/cypressweir/sidecar/CostBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/CostBench.java
@@ -7,9 +7,9 @@
 import org.cypressweir.testkit.PeerStub;
 
 /**
- * What builds cost in processor time, by turns: until ready, for the first requests, and for one of the later
- * ones. Arguments: how many starts of each, and folders of checkouts that were built as their
- * {@code deploy/balancer.toml} says. One core, one client that asks again when it has an answer.
+ * CPU time of several builds, measured alternately: until ready, for the first requests, and per later request.
+ * Arguments: number of starts of each, and directories of checkouts that were built as their
+ * {@code deploy/balancer.toml} says. One core, one client that sends requests back to back.
  */
 public final class CostBench {
 
@@ -29,7 +29,7 @@
                     if (round == 0) {
                         costs.add(new ArrayList<>());
                     }
-                    costs.get(i - 1).add(one(harness, Path.of(args[i])));
+                    costs.get(i - 1).add(measure(harness, Path.of(args[i])));
                 }
             }
         }
@@ -48,19 +48,22 @@
         }
     }
 
-    private static Cost one(Harness harness, Path checkout) throws Exception {
-        try (Served served = new Served(checkout, harness.file, "");
+    private static Cost measure(Harness harness, Path checkout) throws Exception {
+        try (RunningSidecar served = new RunningSidecar(checkout, harness.file, "");
                 Harness.Client client = new Harness.Client(served.address)) {
             double ready = served.cpuSeconds();
-            ask(client, FIRST);
+            sendRequests(client, FIRST);
             double warm = served.cpuSeconds();
-            ask(client, LATER);
+            sendRequests(client, LATER);
             return new Cost(
-                    served.seconds, ready, (warm - ready) / FIRST * 1e6, (served.cpuSeconds() - warm) / LATER * 1e6);
+                    served.readySeconds,
+                    ready,
+                    (warm - ready) / FIRST * 1e6,
+                    (served.cpuSeconds() - warm) / LATER * 1e6);
         }
     }
 
-    private static void ask(Harness.Client client, int times) throws Exception {
+    private static void sendRequests(Harness.Client client, int times) throws Exception {
         for (int i = 0; i < times; i++) {
             if (client.book("x", 2_000).answer().status() != 200) {
                 throw new IllegalStateException("a request was not served");
--- a/src/bench/java/org/cypressweir/sidecar/DrainBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainBench.java
@@ -16,19 +16,19 @@
 import org.cypressweir.testkit.WebSocketClient;
 
 /**
- * Evenness of tunnels on 3, 15 and 100 servers, after one has joined and after one was drained, with what
- * tunnels weigh and without; then a drain of 5,000 tunnels of one server whose clients come back at once:
- * with the wave spread, without, and with tunnels that move. Servers are a process of their own. Argument:
- * drains, for these only.
+ * Balance of WebSocket tunnels on 3, 15 and 100 servers, after one has joined and after one was drained, with and
+ * without the tunnels counted as load. Then a drain of a server with 5,000 tunnels whose clients reconnect immediately:
+ * with reconnects spread over time, without, and with tunnels that are moved. Servers run in a separate process.
+ * Argument: {@code drains} to run only the second part.
  */
 public final class DrainBench {
 
-    private static final String MORE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
+    private static final String UPGRADE_HEADERS = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
             + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: chat\r\nSec-WebSocket-Key: " + WebSocketClient.KEY
             + "\r\n";
-    private static final String FREE = "reconnect_rate = 100000\n";
-    private static final int MANY = 100_000;
-    private static final int EACH = 30;
+    private static final String UNLIMITED_RECONNECTS = "reconnect_rate = 100000\n";
+    private static final int UNLIMITED_RATE = 100_000;
+    private static final int TUNNELS_PER_SERVER = 30;
     private static final String RESUMABLE = "resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n";
 
     private DrainBench() {}
@@ -36,28 +36,30 @@
     public static void main(String[] args) throws Exception {
         boolean drainsOnly = args.length > 0 && args[0].equals("drains");
         for (int count : drainsOnly ? new int[0] : new int[] {3, 15, 100}) {
-            even(count, true);
-            even(count, false);
+            measureBalance(count, true);
+            measureBalance(count, false);
         }
         int tunnels = 5_000;
-        drain("spread, 250 a second to each server", tunnels, 250, "reconnect_rate = 250\n");
-        drain("not spread", tunnels, MANY, FREE);
-        drain("moved, 250 a second to each server", tunnels, MANY, RESUMABLE + "reconnect_rate = 250\n");
-        drain("moved, 2,000 a second to each server", tunnels, MANY, RESUMABLE + "reconnect_rate = 2000\n");
+        measureDrain("spread, 250 a second to each server", tunnels, 250, "reconnect_rate = 250\n");
+        measureDrain("not spread", tunnels, UNLIMITED_RATE, UNLIMITED_RECONNECTS);
+        measureDrain(
+                "moved, 250 a second to each server", tunnels, UNLIMITED_RATE, RESUMABLE + "reconnect_rate = 250\n");
+        measureDrain(
+                "moved, 2,000 a second to each server", tunnels, UNLIMITED_RATE, RESUMABLE + "reconnect_rate = 2000\n");
         System.exit(0);
     }
 
-    /** Knows nothing of what servers carry beside requests. */
+    /** A load balancer that is not told about the tunnels of servers. */
     private static LoadBalancer unweighted(Settings settings, Actions actions) {
         LoadBalancer real = new SubsetLoadBalancer(settings, actions);
         return (LoadBalancer) Proxy.newProxyInstance(
-                DrainBench.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, given) -> {
+                DrainBench.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("burden")) {
                         return null;
                     }
                     if (method.getName().equals("request")) {
-                        LoadBalancer.Request r = (LoadBalancer.Request) given[1];
-                        given[1] = new LoadBalancer.Request(
+                        LoadBalancer.Request r = (LoadBalancer.Request) arguments[1];
+                        arguments[1] = new LoadBalancer.Request(
                                 r.id(),
                                 r.requestClass(),
                                 r.tenant(),
@@ -67,70 +69,73 @@
                                 r.hintMicros(),
                                 r.write());
                     }
-                    return method.invoke(real, given);
+                    return method.invoke(real, arguments);
                 });
     }
 
-    private static void even(int count, boolean weighted) throws Exception {
-        int tunnels = EACH * count;
+    private static void measureBalance(int count, boolean weighted) throws Exception {
+        int tunnels = TUNNELS_PER_SERVER * count;
         BiFunction<Settings, Actions, LoadBalancer> module =
                 weighted ? SubsetLoadBalancer::new : DrainBench::unweighted;
         try (DrainServers servers = new DrainServers(count + 1);
                 Harness harness = new Harness(Files.createTempDirectory("drain"), 250_000, 40_000)) {
             int[] ports = servers.ports();
-            harness.startWith(file(MANY, RESUMABLE + FREE, Arrays.copyOf(ports, count)), module);
+            harness.startWith(
+                    file(UNLIMITED_RATE, RESUMABLE + UNLIMITED_RECONNECTS, Arrays.copyOf(ports, count)), module);
             List<WebSocketClient> all = new ArrayList<>();
             for (int i = 0; i < tunnels; i++) {
                 all.add(open(harness));
             }
             System.out.printf(
                     "%3d servers, tunnels %s: largest against mean %.2f",
-                    count, weighted ? "weigh" : "weigh nothing", uneven(servers.open(), 0, count));
-            harness.reload(file(MANY, RESUMABLE + FREE, ports));
+                    count, weighted ? "weigh" : "weigh nothing", maxToMean(servers.open(), 0, count));
+            harness.reload(file(UNLIMITED_RATE, RESUMABLE + UNLIMITED_RECONNECTS, ports));
             int joined = 0;
-            while (joined < 4 * tunnels && servers.open()[count] < EACH) {
+            while (joined < 4 * tunnels && servers.open()[count] < TUNNELS_PER_SERVER) {
                 all.add(open(harness));
                 Thread.sleep(5);
                 joined++;
             }
             System.out.printf(
                     "; a new one has %d after %d more, 200 a second; then %.2f",
-                    EACH, joined, uneven(servers.open(), 0, count + 1));
-            harness.reload(file(MANY, RESUMABLE + FREE, Arrays.copyOfRange(ports, 1, count + 1)));
+                    TUNNELS_PER_SERVER, joined, maxToMean(servers.open(), 0, count + 1));
+            harness.reload(
+                    file(UNLIMITED_RATE, RESUMABLE + UNLIMITED_RECONNECTS, Arrays.copyOfRange(ports, 1, count + 1)));
             while (servers.open()[0] > 0) {
                 Thread.sleep(5);
             }
-            System.out.printf("; after a drain by moves %.2f%n", uneven(servers.open(), 1, count + 1));
+            System.out.printf("; after a drain by moves %.2f%n", maxToMean(servers.open(), 1, count + 1));
             for (WebSocketClient ws : all) {
                 ws.end();
             }
         }
     }
 
-    private static double uneven(int[] open, int from, int to) {
+    private static double maxToMean(int[] open, int from, int to) {
         int[] part = Arrays.copyOfRange(open, from, to);
         return Arrays.stream(part).max().orElseThrow()
                 / Arrays.stream(part).average().orElseThrow();
     }
 
-    private static void drain(String how, int tunnels, int rate, String keys) throws Exception {
+    private static void measureDrain(String label, int tunnels, int rate, String keys) throws Exception {
         try (DrainServers servers = new DrainServers(3);
                 Harness harness = new Harness(Files.createTempDirectory("drain"), 250_000, 40_000)) {
             int[] ports = servers.ports();
-            harness.startWith(file(MANY, keys, Arrays.copyOf(ports, 1)));
-            ConcurrentLinkedQueue<Long> back = new ConcurrentLinkedQueue<>();
+            harness.startWith(file(UNLIMITED_RATE, keys, Arrays.copyOf(ports, 1)));
+            ConcurrentLinkedQueue<Long> reconnects = new ConcurrentLinkedQueue<>();
             ConcurrentLinkedQueue<Long> refused = new ConcurrentLinkedQueue<>();
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < tunnels; i++) {
                 WebSocketClient ws = open(harness);
-                Thread client = new Thread(null, () -> stay(harness, ws, back, refused), "client", 128 * 1024);
+                Thread client = new Thread(
+                        null, () -> reconnectRepeatedly(harness, ws, reconnects, refused), "client", 128 * 1024);
                 client.setDaemon(true);
                 client.start();
                 clients.add(client);
             }
             harness.reload(file(rate, keys, ports));
-            System.out.printf("%d tunnels of one server, two others, %s", tunnels, how);
-            plain(harness, "before", 2_000);
+            System.out.printf("%d tunnels of one server, two others, %s", tunnels, label);
+            measurePlainRequests(harness, "before", 2_000);
             long since = System.nanoTime();
             harness.reload(file(rate, keys, Arrays.copyOfRange(ports, 1, 3)));
             Thread[] waiting = {
@@ -145,24 +150,24 @@
                 })
             };
             waiting[0].start();
-            plain(harness, "during", 2_000);
+            measurePlainRequests(harness, "during", 2_000);
             waiting[0].join();
             System.out.printf(
                     "; all at other servers after %.1f s, most in 100 ms: %d back, %d refused;"
                             + " moved %d; one has %.2f of the mean%n",
                     (System.nanoTime() - since) / 1e9,
-                    most(back),
-                    most(refused),
+                    maxInWindow(reconnects),
+                    maxInWindow(refused),
                     harness.moved(),
-                    uneven(servers.open(), 1, 3));
+                    maxToMean(servers.open(), 1, 3));
         }
     }
 
-    /** A client that comes back as soon as it is told to go, and waits where it is told to. */
-    private static void stay(
+    /** A client that reconnects as soon as its tunnel is closed, and honours {@code Retry-After}. */
+    private static void reconnectRepeatedly(
             Harness harness,
             WebSocketClient first,
-            ConcurrentLinkedQueue<Long> back,
+            ConcurrentLinkedQueue<Long> reconnects,
             ConcurrentLinkedQueue<Long> refused) {
         try {
             for (WebSocketClient ws = first; ; ) {
@@ -176,10 +181,10 @@
                 ws = null;
                 while (ws == null) {
                     Harness.Client client = new Harness.Client(harness.address);
-                    client.raw(Harness.Client.head("GET", "/search/1", 2_000, MORE, 0));
+                    client.raw(Harness.Client.head("GET", "/search/1", 2_000, UPGRADE_HEADERS, 0));
                     RawHttpClient.Message answer = client.answer();
                     if (answer.status() == 101) {
-                        back.add(System.nanoTime());
+                        reconnects.add(System.nanoTime());
                         client.socket.setSoTimeout(0);
                         ws = new WebSocketClient(client.socket, true);
                     } else {
@@ -195,19 +200,19 @@
         }
     }
 
-    private static int most(ConcurrentLinkedQueue<Long> times) {
+    private static int maxInWindow(ConcurrentLinkedQueue<Long> times) {
         long[] sorted = times.stream().mapToLong(t -> t).sorted().toArray();
-        int most = 0;
+        int maxInWindow = 0;
         for (int from = 0, to = 0; to < sorted.length; to++) {
             while (sorted[to] - sorted[from] > 100_000_000) {
                 from++;
             }
-            most = Math.max(most, to - from + 1);
+            maxInWindow = Math.max(maxInWindow, to - from + 1);
         }
-        return most;
+        return maxInWindow;
     }
 
-    private static void plain(Harness harness, String when, int count) throws Exception {
+    private static void measurePlainRequests(Harness harness, String when, int count) throws Exception {
         Harness.Client client = new Harness.Client(harness.address);
         long[] took = new long[count];
         int late = 0;
@@ -245,7 +250,7 @@
 
     private static WebSocketClient open(Harness harness) throws IOException {
         Harness.Client client = new Harness.Client(harness.address);
-        client.raw(Harness.Client.head("GET", "/search/1", 2_000, MORE, 0));
+        client.raw(Harness.Client.head("GET", "/search/1", 2_000, UPGRADE_HEADERS, 0));
         RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
             throw new IOException("answered " + answer.first());
--- a/src/bench/java/org/cypressweir/sidecar/DrainServers.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainServers.java
@@ -15,9 +15,9 @@
 import org.cypressweir.testkit.WebSocketClient;
 
 /**
- * Servers in a process of their own, so that its descriptors do not count: they agree to upgrades, send
- * messages back and answer plain requests. Argument: how many. Says their ports in one line, and then for
- * each line that comes how many tunnels each has open.
+ * Servers in a separate process, so that their descriptors do not count against the benchmark's limit: they accept
+ * WebSocket upgrades, echo messages and answer plain requests. Argument: number of servers. Prints their ports on one
+ * line, then, for each line of input, the number of open tunnels of each server.
  */
 public final class DrainServers implements AutoCloseable {
 
@@ -25,7 +25,7 @@
     private final BufferedReader answers;
     private final int[] ports;
 
-    /** In a process of its own, with the class path of this one. */
+    /** Starts the process with the class path of this one. */
     DrainServers(int count) throws IOException {
         process = new ProcessBuilder(
                         ProcessHandle.current().info().command().orElseThrow(),
@@ -37,10 +37,10 @@
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         answers = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
-        ports = numbers();
+        ports = readNumbers();
     }
 
-    private int[] numbers() throws IOException {
+    private int[] readNumbers() throws IOException {
         return Arrays.stream(answers.readLine().split(" "))
                 .mapToInt(Integer::parseInt)
                 .toArray();
@@ -53,7 +53,7 @@
     synchronized int[] open() throws IOException {
         process.getOutputStream().write('\n');
         process.getOutputStream().flush();
-        return numbers();
+        return readNumbers();
     }
 
     @Override
@@ -69,7 +69,7 @@
         System.out.println(String.join(
                 " ",
                 servers.stream()
-                        .map(s -> String.valueOf(s.listening.getLocalPort()))
+                        .map(s -> String.valueOf(s.listener.getLocalPort()))
                         .toList()));
         while (System.in.read() >= 0) {
             System.out.println(String.join(
@@ -78,7 +78,7 @@
     }
 
     private static final class Server {
-        private final ServerSocket listening = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
+        private final ServerSocket listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         private final AtomicInteger open = new AtomicInteger();
 
         Server() throws IOException {
@@ -94,15 +94,15 @@
         private void accept() {
             try {
                 while (true) {
-                    Socket socket = listening.accept();
-                    thread(() -> talk(socket));
+                    Socket socket = listener.accept();
+                    thread(() -> serve(socket));
                 }
             } catch (IOException e) {
                 // Closed: the measurement is over.
             }
         }
 
-        private void talk(Socket socket) {
+        private void serve(Socket socket) {
             try (socket) {
                 for (RawHttpClient.Message m; (m = RawHttpClient.read(socket.getInputStream())) != null; ) {
                     String key = m.headers().get("Sec-WebSocket-Key");
--- a/src/bench/java/org/cypressweir/sidecar/ListBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/ListBench.java
@@ -9,9 +9,9 @@
 import org.cypressweir.testkit.PeerStub;
 
 /**
- * How long lists stop the event loop: a whole list of 8,000 servers to a running sidecar, then another with
- * 400 of them replaced, then 1,000 changes a second, 100 at a time, for 5 s. A probe asks the loop for a turn
- * every quarter of a millisecond. The first two of six rounds warm up.
+ * How long server lists block the event loop: a complete list of 8,000 servers sent to a running sidecar, then another
+ * with 400 of them replaced, then 1,000 changes a second, 100 at a time, for 5 s. A probe submits a task to the loop
+ * every 0.25 ms. The first two of six rounds are warm-up.
  */
 public final class ListBench {
 
@@ -33,36 +33,36 @@
         for (int round = 0; round < 6; round++) {
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                     Harness harness = new Harness(Files.createTempDirectory("lists"), server).start()) {
-                AtomicLong worst = new AtomicLong();
-                Thread probe = new Thread(() -> probe(harness, worst));
+                AtomicLong longestDelay = new AtomicLong();
+                Thread probe = new Thread(() -> probe(harness, longestDelay));
                 probe.setDaemon(true);
                 probe.start();
-                PeerStub.Seen asked = harness.discovery.take();
+                PeerStub.Seen pendingRequest = harness.discovery.take();
                 for (int i = 0; i < 50; i++) {
                     harness.client().search(2_000).answer();
                 }
                 Thread.sleep(300);
-                long quiet = worst.getAndSet(0);
+                long longestWhenQuiet = longestDelay.getAndSet(0);
                 List<String> entries = new ArrayList<>();
                 for (int i = 0; i < SERVERS; i++) {
                     entries.add(entry(i, "in_service"));
                 }
                 String whole = list(7, true, entries);
                 long since = System.nanoTime();
-                asked.reply("200 OK", "", whole);
-                asked = harness.discovery.take();
+                pendingRequest.reply("200 OK", "", whole);
+                pendingRequest = harness.discovery.take();
                 while (harness.loop.submit(() -> harness.sidecar.knownServers()).get() < SERVERS) {
                     Thread.sleep(1);
                 }
-                long took = System.nanoTime() - since;
-                long atList = worst.getAndSet(0);
+                long elapsedNanos = System.nanoTime() - since;
+                long longestAtList = longestDelay.getAndSet(0);
                 for (int i = 0; i < 400; i++) {
                     entries.set(i * 20, entry(SERVERS + i, "in_service"));
                 }
-                asked.reply("200 OK", "", list(8, true, entries));
-                asked = harness.discovery.take();
+                pendingRequest.reply("200 OK", "", list(8, true, entries));
+                pendingRequest = harness.discovery.take();
                 Thread.sleep(500);
-                long atSecond = worst.getAndSet(0);
+                long longestAtSecondList = longestDelay.getAndSet(0);
                 SplittableRandom random = new SplittableRandom(round);
                 for (int change = 0; change < 50; change++) {
                     List<String> changed = new ArrayList<>();
@@ -70,8 +70,8 @@
                         changed.add(
                                 entry(random.nextInt(SERVERS), random.nextBoolean() ? "terminating" : "in_service"));
                     }
-                    asked.reply("200 OK", "", list(9 + change, false, changed));
-                    asked = harness.discovery.take();
+                    pendingRequest.reply("200 OK", "", list(9 + change, false, changed));
+                    pendingRequest = harness.discovery.take();
                     Thread.sleep(95);
                 }
                 System.out.printf(
@@ -80,25 +80,25 @@
                                 + " %.1f ms at the list, %.1f ms at another, %.1f ms at 1,000 changes a second%n",
                         round,
                         whole.length() / 1024,
-                        took / 1e6,
-                        quiet / 1e6,
-                        atList / 1e6,
-                        atSecond / 1e6,
-                        worst.get() / 1e6);
+                        elapsedNanos / 1e6,
+                        longestWhenQuiet / 1e6,
+                        longestAtList / 1e6,
+                        longestAtSecondList / 1e6,
+                        longestDelay.get() / 1e6);
             }
         }
         System.exit(0);
     }
 
-    private static void probe(Harness harness, AtomicLong worst) {
+    private static void probe(Harness harness, AtomicLong longestDelay) {
         try {
             while (true) {
                 CountDownLatch turn = new CountDownLatch(1);
                 long since = System.nanoTime();
                 harness.loop.execute(turn::countDown);
                 turn.await();
-                long took = System.nanoTime() - since;
-                worst.accumulateAndGet(took, Math::max);
+                long elapsedNanos = System.nanoTime() - since;
+                longestDelay.accumulateAndGet(elapsedNanos, Math::max);
                 Thread.sleep(0, 250_000);
             }
         } catch (InterruptedException | RuntimeException e) {
--- a/src/bench/java/org/cypressweir/sidecar/PluginServeBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/PluginServeBench.java
@@ -7,7 +7,7 @@
 import org.cypressweir.testkit.PeerStub;
 import org.cypressweir.testkit.PluginModules;
 
-/** What plug-ins cost over sockets: one client without a pause; none, one and five of them by turns. */
+/** Cost of plug-ins over sockets, measured alternately with none, one and five: one client without pauses. */
 public final class PluginServeBench {
 
     private static final int ROUNDS = 3;
@@ -25,15 +25,17 @@
                     + "class = \"search\"\npool = \"p\"\n";
             List<Path> files = new ArrayList<>();
             List<String> names = List.of("none", "one", "five", "one that loops");
-            String one = "[plugins.a]\nfile = \"log-header.wasm\"\nheaders = [\"X-Log-Client\"]\n";
-            StringBuilder five = new StringBuilder(one);
+            String onePlugin = "[plugins.a]\nfile = \"log-header.wasm\"\nheaders = [\"X-Log-Client\"]\n";
+            StringBuilder fivePlugins = new StringBuilder(onePlugin);
             for (String name : List.of("b", "c", "d", "e")) {
-                five.append("[plugins.")
+                fivePlugins
+                        .append("[plugins.")
                         .append(name)
                         .append("]\nfile = \"mark-pay.wasm\"\n")
                         .append("classes = [\"book\"]\n");
             }
-            for (String plugins : List.of("", one, five.toString(), "[plugins.a]\nfile = \"loop.wasm\"\n")) {
+            for (String plugins :
+                    List.of("", onePlugin, fivePlugins.toString(), "[plugins.a]\nfile = \"loop.wasm\"\n")) {
                 files.add(folder.resolve("file-" + files.size() + ".toml"));
                 Files.writeString(files.get(files.size() - 1), "version = 1\n" + plugins + routes);
             }
--- a/src/bench/java/org/cypressweir/sidecar/QuietBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/QuietBench.java
@@ -4,42 +4,43 @@
 import java.nio.file.Path;
 
 /**
- * A crowd of real sidecars, as many as {@code -Dbench} says (2,000), that start at the same moment and are
- * asked once each in three rounds: calls for the list, open connections; without bounds and with them.
+ * Many real sidecars (the argument, {@code -Dbench}; 2,000 by default) that start at the same time and get one request
+ * each in three rounds: calls for the server list and open connections, without and with fleet limits.
  */
 public final class QuietBench {
 
-    private static final int SERVERS = 20, THREADS = 4, CLIENTS = 16, ROUNDS = 3, IDLE = 50;
-    private static final long WATCHED_MILLIS = 20_000;
+    private static final int SERVERS = 20, THREADS = 4, CLIENTS = 16, ROUNDS = 3, IDLE_PER_SERVER = 50;
+    private static final long OBSERVATION_MILLIS = 20_000;
 
     private QuietBench() {}
 
     public static void main(String[] args) throws Exception {
         int instances = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 2_000;
         double rate = instances / 8.0;
-        play("no bounds", instances, "");
-        play(
+        run("no bounds", instances, "");
+        run(
                 "bounds",
                 instances,
-                "[fleet]\ninstances = " + instances + "\nlist_rate = " + rate + "\nidle_per_server = " + IDLE + "\n");
+                "[fleet]\ninstances = " + instances + "\nlist_rate = " + rate + "\nidle_per_server = " + IDLE_PER_SERVER
+                        + "\n");
         System.exit(0);
     }
 
-    private static void play(String name, int instances, String bounds) throws Exception {
+    private static void run(String name, int instances, String bounds) throws Exception {
         Path folder = Files.createTempDirectory("quiet");
         try (QuietFleet fleet = new QuietFleet(folder, instances, SERVERS, THREADS, bounds)) {
-            long began = System.nanoTime();
+            long startedAt = System.nanoTime();
             fleet.start();
-            double started = (System.nanoTime() - began) / 1e9;
-            fleet.awaitCalls(Integer.MAX_VALUE, WATCHED_MILLIS);
+            double started = (System.nanoTime() - startedAt) / 1e9;
+            fleet.awaitCalls(Integer.MAX_VALUE, OBSERVATION_MILLIS);
             int watches = fleet.watches();
             int served = 0;
-            int most = 0;
-            int mostAtOne = 0;
+            int maxConnections = 0;
+            int maxConnectionsAtOneServer = 0;
             for (int i = 0; i < ROUNDS; i++) {
                 served += fleet.askAll(CLIENTS);
-                most = Math.max(most, fleet.connections());
-                mostAtOne = Math.max(mostAtOne, fleet.connectionsPeak());
+                maxConnections = Math.max(maxConnections, fleet.connections());
+                maxConnectionsAtOneServer = Math.max(maxConnectionsAtOneServer, fleet.connectionsPeak());
             }
             System.out.printf(
                     "%-9s %d instances, %d servers, started in %.1f s: %d calls for the list, most"
@@ -54,8 +55,8 @@
                     watches,
                     served,
                     ROUNDS * instances,
-                    most,
-                    mostAtOne);
+                    maxConnections,
+                    maxConnectionsAtOneServer);
         }
     }
 }
--- a/src/bench/java/org/cypressweir/sidecar/ReloadBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/ReloadBench.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.cypressweir.testkit.PeerStub;
 
-/** What a reload takes under steady load, and what the load feels of it: 1,000 routes, two pools in turn. */
+/** Duration of reloads under steady load and their effect on latency: 1,000 routes, two pools in turn. */
 public final class ReloadBench {
 
     private static final int RELOADS = 60;
@@ -22,18 +22,18 @@
                 Harness harness = new Harness(Files.createTempDirectory("reload"))) {
             List<String> files = List.of(file("p", one), file("q", two));
             harness.startWith(files.get(0));
-            AtomicBoolean on = new AtomicBoolean(true);
+            AtomicBoolean running = new AtomicBoolean(true);
             List<Thread> threads = new ArrayList<>();
             List<Double> latencies = Collections.synchronizedList(new ArrayList<>());
-            List<Integer> wrong = Collections.synchronizedList(new ArrayList<>());
+            List<Integer> failures = Collections.synchronizedList(new ArrayList<>());
             for (int i = 0; i < CLIENTS; i++) {
                 Harness.Client client = harness.client();
-                Thread thread = new Thread(() -> load(client, on, latencies, wrong));
+                Thread thread = new Thread(() -> load(client, running, latencies, failures));
                 thread.start();
                 threads.add(thread);
             }
             Thread.sleep(3_000);
-            List<Double> quiet = new ArrayList<>(latencies);
+            List<Double> baseline = new ArrayList<>(latencies);
             latencies.clear();
             List<Double> reloads = new ArrayList<>();
             for (int i = 1; i <= RELOADS; i++) {
@@ -43,33 +43,35 @@
                 Thread.sleep(50);
             }
             List<Double> during = new ArrayList<>(latencies);
-            on.set(false);
+            running.set(false);
             for (Thread thread : threads) {
                 thread.join();
             }
             System.out.printf(
-                    "reload of 1,000 routes: median %.1f ms, worst %.1f ms%n", at(reloads, 0.5), at(reloads, 1));
+                    "reload of 1,000 routes: median %.1f ms, worst %.1f ms%n",
+                    quantile(reloads, 0.5), quantile(reloads, 1));
             System.out.printf(
                     "requests without reloads: median %.2f ms, 99%% %.2f ms (%d)%n",
-                    at(quiet, 0.5), at(quiet, 0.99), quiet.size());
+                    quantile(baseline, 0.5), quantile(baseline, 0.99), baseline.size());
             System.out.printf(
                     "requests with reloads:    median %.2f ms, 99%% %.2f ms, worst %.1f ms (%d)," + " not 200: %d%n",
-                    at(during, 0.5), at(during, 0.99), at(during, 1), during.size(), wrong.size());
+                    quantile(during, 0.5), quantile(during, 0.99), quantile(during, 1), during.size(), failures.size());
         }
     }
 
-    private static void load(Harness.Client client, AtomicBoolean on, List<Double> latencies, List<Integer> wrong) {
+    private static void load(
+            Harness.Client client, AtomicBoolean running, List<Double> latencies, List<Integer> failures) {
         try {
-            while (on.get()) {
+            while (running.get()) {
                 long since = System.nanoTime();
                 int status = client.search(2_000).answer().status();
                 latencies.add((System.nanoTime() - since) / 1e6);
                 if (status != 200) {
-                    wrong.add(status);
+                    failures.add(status);
                 }
             }
         } catch (IOException e) {
-            wrong.add(0);
+            failures.add(0);
         }
     }
 
@@ -89,7 +91,7 @@
         return text.toString();
     }
 
-    private static double at(List<Double> values, double part) {
+    private static double quantile(List<Double> values, double part) {
         List<Double> sorted = new ArrayList<>(values);
         Collections.sort(sorted);
         return sorted.get((int) Math.min(sorted.size() - 1, part * sorted.size()));
--- a/src/bench/java/org/cypressweir/sidecar/Served.java
+++ b/src/bench/java/org/cypressweir/sidecar/RunningSidecar.java
@@ -10,29 +10,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The program as {@code deploy/balancer.toml} runs it, in a process of its own, once it is ready. */
-final class Served implements AutoCloseable {
+/** A sidecar in a separate process, started as {@code deploy/balancer.toml} does; ready once constructed. */
+final class RunningSidecar implements AutoCloseable {
 
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
 
     final InetSocketAddress address;
-    /** Seconds from exec to ready. */
-    final double seconds;
+    /** Time from exec to ready. */
+    final double readySeconds;
 
     private final Process process;
 
-    /** With the arguments behind the command; on one core. */
-    Served(Path config, String more) throws Exception {
-        this(Path.of(""), config, more);
+    /** Starts on one core, with the given text appended to the command line. */
+    RunningSidecar(Path config, String arguments) throws Exception {
+        this(Path.of(""), config, arguments);
     }
 
-    /** The same of another checkout, which has been built. */
-    Served(Path checkout, Path config, String more) throws Exception {
-        this(checkout, config, more, "");
+    /** Starts the build of another checkout. */
+    RunningSidecar(Path checkout, Path config, String arguments) throws Exception {
+        this(checkout, config, arguments, "");
     }
 
-    /** The same with another flag of the runtime in place of that which names the archive of classes. */
-    Served(Path checkout, Path config, String more, String flag) throws Exception {
+    /** Starts with the given JVM flag in place of {@code -XX:SharedArchiveFile}; the flag is kept if it is empty. */
+    RunningSidecar(Path checkout, Path config, String arguments, String classListFlag) throws Exception {
         Matcher run = RUN.matcher(Files.readString(checkout.resolve("deploy/balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml has no run");
@@ -40,16 +40,18 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        String command = flag.isEmpty() ? run.group(1) : run.group(1).replaceAll("-XX:SharedArchiveFile=\\S+", flag);
-        ProcessBuilder builder = new ProcessBuilder("taskset", "-c", "1", "sh", "-c", command + more);
+        String command = classListFlag.isEmpty()
+                ? run.group(1)
+                : run.group(1).replaceAll("-XX:SharedArchiveFile=\\S+", classListFlag);
+        ProcessBuilder builder = new ProcessBuilder("taskset", "-c", "1", "sh", "-c", command + arguments);
         builder.environment().put("LB_CONFIG", config.toString());
         builder.environment().put("LB_LISTEN", "127.0.0.1:" + address.getPort());
         builder.environment().put("LB_OPERATOR", "127.0.0.2:" + address.getPort());
         builder.directory(checkout.toAbsolutePath().toFile()).inheritIO();
-        long since = System.nanoTime();
+        long startedAt = System.nanoTime();
         process = builder.start();
         awaitReady();
-        seconds = (System.nanoTime() - since) / 1e9;
+        readySeconds = (System.nanoTime() - startedAt) / 1e9;
     }
 
     private void awaitReady() throws Exception {
@@ -62,19 +64,19 @@
                     return;
                 }
             } catch (IOException | AssertionError e) {
-                // Not listening yet, or closed with the rehearsal.
+                // Not listening yet, or the connection was closed at the end of the start-up rehearsal.
             }
             Thread.sleep(2);
         }
-        throw new IOException("the program ended");
+        throw new IOException("the sidecar exited before it was ready");
     }
 
-    /** One call at the operators' door. */
+    /** Sends one line to the operator port and returns the response. */
     String call(String line) throws IOException {
         return Harness.call(new InetSocketAddress("127.0.0.2", address.getPort()), line);
     }
 
-    void hangUp() throws IOException, InterruptedException {
+    void sendHangupSignal() throws IOException, InterruptedException {
         new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
     }
 
--- a/src/bench/java/org/cypressweir/sidecar/StartBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/StartBench.java
@@ -8,9 +8,9 @@
 import org.cypressweir.testkit.PeerStub;
 
 /**
- * Time, CPU and memory from exec to ready of the program as {@code deploy/balancer.toml} runs it, by turns
- * without
- * a file and with one of 1,000 routes. Needs the build of that file first. Argument: how many starts of each.
+ * Time, CPU and memory from exec to ready of a sidecar started as {@code deploy/balancer.toml} does, alternately
+ * without an operators' file and with one of 1,000 routes. Needs the build of that file first. Argument: number of
+ * starts of each.
  */
 public final class StartBench {
 
@@ -49,8 +49,8 @@
     }
 
     private static Start start(Harness harness, String more) throws Exception {
-        try (Served served = new Served(harness.file, more)) {
-            return new Start(served.seconds, served.cpuSeconds(), served.residentMegabytes());
+        try (RunningSidecar served = new RunningSidecar(harness.file, more)) {
+            return new Start(served.readySeconds, served.cpuSeconds(), served.residentMegabytes());
         }
     }
 
--- a/src/bench/java/org/cypressweir/sidecar/WebSocketBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/WebSocketBench.java
@@ -18,48 +18,46 @@
 import org.cypressweir.testkit.WebSocketClient;
 
 /**
- * What a tunnel costs beside a direct connection, in one run and one process: round trips, throughput,
- * upgrades a
- * second, many idle tunnels, and what they cost plain requests. Argument: how many idle tunnels; each holds
- * four
- * descriptors of this process.
+ * Cost of a WebSocket tunnel compared with a direct connection, in one run and one process: round trips, throughput,
+ * upgrades per second, many idle tunnels, and their effect on plain requests. Argument: number of idle tunnels; each
+ * uses four descriptors of this process.
  */
 public final class WebSocketBench {
 
-    private static final int TRIPS = 20_000;
-    private static final int PIECE = 64 * 1024;
-    private static final int PIECES = 6_000;
-    private static final String MORE = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
+    private static final int ROUND_TRIPS = 20_000;
+    private static final int FRAME_BYTES = 64 * 1024;
+    private static final int FRAMES = 6_000;
+    private static final String UPGRADE_HEADERS = "Connection: Upgrade\r\nUpgrade: websocket\r\n"
             + "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + WebSocketClient.KEY + "\r\n";
 
     private WebSocketBench() {}
 
     public static void main(String[] args) throws Exception {
         int tunnels = args.length > 0 && args[0].matches("\\d+") ? Integer.parseInt(args[0]) : 8_500;
-        try (Idle idle = new Idle();
+        try (IdleServer measureIdleTunnels = new IdleServer();
                 PeerStub echo = new PeerStub(WebSocketClient.echo());
-                PeerStub sink = new PeerStub(WebSocketBench::drain);
-                PeerStub plain = new PeerStub(PeerStub.serves("ok"));
+                PeerStub sink = new PeerStub(WebSocketBench::receiveAll);
+                PeerStub measurePlainRequests = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(Files.createTempDirectory("ws"), 250_000, 60_000)) {
             harness.startWith("version = 1\n" + route("echo", echo.port()) + route("sink", sink.port())
-                    + route("idle", idle.port()) + route("plain", plain.port()));
+                    + route("idle", measureIdleTunnels.port()) + route("plain", measurePlainRequests.port()));
             for (int round = 0; round < 2; round++) {
-                trips("direct", open(new InetSocketAddress("127.0.0.1", echo.port()), "echo"), round);
-                trips("tunnel", open(harness.address, "echo"), round);
+                measureRoundTrips("direct", open(new InetSocketAddress("127.0.0.1", echo.port()), "echo"), round);
+                measureRoundTrips("tunnel", open(harness.address, "echo"), round);
             }
-            throughput("direct", new InetSocketAddress("127.0.0.1", sink.port()));
-            throughput("tunnel", harness.address);
-            upgrades(harness);
-            plain("no tunnels", harness);
-            plain("no tunnels", harness);
+            measureThroughput("direct", new InetSocketAddress("127.0.0.1", sink.port()));
+            measureThroughput("tunnel", harness.address);
+            measureUpgrades(harness);
+            measurePlainRequests("no tunnels", harness);
+            measurePlainRequests("no tunnels", harness);
             List<WebSocketClient> open = new ArrayList<>();
             while (open.size() < 2_000) {
                 open.add(open(harness.address, "idle"));
             }
-            plain("2,000 tunnels", harness);
-            busy(open, harness);
+            measurePlainRequests("2,000 tunnels", harness);
+            measureBusyTunnels(open, harness);
         }
-        idle(tunnels);
+        measureIdleTunnels(tunnels);
         System.exit(0);
     }
 
@@ -71,10 +69,10 @@
                 + "\"\n[routes." + name + ".websocket]\nping_interval = \"600s\"\nping_timeout = \"600s\"\n";
     }
 
-    private static void drain(PeerStub.Seen seen) throws IOException {
+    private static void receiveAll(PeerStub.Seen seen) throws IOException {
         WebSocketClient ws = WebSocketClient.agree(seen, "");
-        byte[] some = new byte[PIECE];
-        long left = (long) PIECES * PIECE;
+        byte[] some = new byte[FRAME_BYTES];
+        long left = (long) FRAMES * FRAME_BYTES;
         while (left > 0) {
             int count = seen.socket().getInputStream().read(some);
             left -= count < 0 ? left : count;
@@ -84,7 +82,7 @@
 
     private static WebSocketClient open(InetSocketAddress address, String name) throws IOException {
         Harness.Client client = new Harness.Client(address);
-        client.raw(Harness.Client.head("GET", "/" + name + "/1", 2_000, MORE, 0));
+        client.raw(Harness.Client.head("GET", "/" + name + "/1", 2_000, UPGRADE_HEADERS, 0));
         RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
             throw new IOException("answered " + answer.first());
@@ -93,10 +91,10 @@
         return new WebSocketClient(client.socket, true);
     }
 
-    private static void trips(String name, WebSocketClient ws, int round) throws IOException {
-        long[] took = new long[TRIPS];
+    private static void measureRoundTrips(String name, WebSocketClient ws, int round) throws IOException {
+        long[] took = new long[ROUND_TRIPS];
         byte[] message = new byte[100];
-        for (int i = 0; i < TRIPS; i++) {
+        for (int i = 0; i < ROUND_TRIPS; i++) {
             long since = System.nanoTime();
             ws.send(2, true, message);
             ws.message();
@@ -106,25 +104,25 @@
         if (round > 0) {
             System.out.printf(
                     "round trip, %s: median %.0f us, 99%% %.0f us%n",
-                    name, took[TRIPS / 2] / 1e3, took[TRIPS / 100 * 99] / 1e3);
+                    name, took[ROUND_TRIPS / 2] / 1e3, took[ROUND_TRIPS / 100 * 99] / 1e3);
         }
         ws.close(1000);
     }
 
-    private static void throughput(String name, InetSocketAddress address) throws IOException {
+    private static void measureThroughput(String name, InetSocketAddress address) throws IOException {
         WebSocketClient ws = open(address, "sink");
-        byte[] frame = WebSocketClient.frame(true, 0x82, new byte[PIECE]);
+        byte[] frame = WebSocketClient.frame(true, 0x82, new byte[FRAME_BYTES]);
         long since = System.nanoTime();
-        for (int i = 0; i < PIECES; i++) {
+        for (int i = 0; i < FRAMES; i++) {
             ws.raw(frame);
         }
         ws.message();
         System.out.printf(
                 "one way, %s: %.0f MB/s%n",
-                name, (double) PIECES * PIECE / (1 << 20) / ((System.nanoTime() - since) / 1e9));
+                name, (double) FRAMES * FRAME_BYTES / (1 << 20) / ((System.nanoTime() - since) / 1e9));
     }
 
-    private static void upgrades(Harness harness) throws Exception {
+    private static void measureUpgrades(Harness harness) throws Exception {
         AtomicInteger done = new AtomicInteger();
         long until = System.nanoTime() + 4_000_000_000L;
         List<Thread> threads = new ArrayList<>();
@@ -150,10 +148,10 @@
         System.out.printf("upgrades, opened and closed: %.0f a second%n", done.get() / 4.0);
     }
 
-    private static void plain(String name, Harness harness) throws IOException {
+    private static void measurePlainRequests(String name, Harness harness) throws IOException {
         Harness.Client client = new Harness.Client(harness.address);
-        long[] took = new long[TRIPS];
-        for (int i = 0; i < TRIPS; i++) {
+        long[] took = new long[ROUND_TRIPS];
+        for (int i = 0; i < ROUND_TRIPS; i++) {
             long since = System.nanoTime();
             client.raw(Harness.Client.head("GET", "/plain/1", 2_000, "", 0)).answer();
             took[i] = System.nanoTime() - since;
@@ -162,11 +160,11 @@
         Arrays.sort(took);
         System.out.printf(
                 "plain requests, %s: median %.0f us, 99%% %.0f us%n",
-                name, took[TRIPS / 2] / 1e3, took[TRIPS / 100 * 99] / 1e3);
+                name, took[ROUND_TRIPS / 2] / 1e3, took[ROUND_TRIPS / 100 * 99] / 1e3);
     }
 
-    /** One tunnel after the other says something, 2,000 a second in all, while plain requests run. */
-    private static void busy(List<WebSocketClient> open, Harness harness) throws Exception {
+    /** Sends 2,000 messages a second over the tunnels in turn while plain requests run. */
+    private static void measureBusyTunnels(List<WebSocketClient> open, Harness harness) throws Exception {
         CountDownLatch end = new CountDownLatch(1);
         Thread talking = new Thread(() -> {
             try {
@@ -181,19 +179,19 @@
             }
         });
         talking.start();
-        plain("2,000 tunnels, 2,000 messages a second", harness);
+        measurePlainRequests("2,000 tunnels, 2,000 messages a second", harness);
         end.countDown();
         talking.join();
     }
 
-    /** As many as fit into the descriptors of the sidecar's process, which is one of its own. */
-    private static void idle(int count) throws Exception {
+    /** Memory and CPU of idle tunnels; the sidecar runs in a separate process, whose descriptors bound their number. */
+    private static void measureIdleTunnels(int count) throws Exception {
         Path folder = Files.createTempDirectory("idle");
-        try (Idle server = new Idle();
+        try (IdleServer server = new IdleServer();
                 Harness config = new Harness(folder, 250_000, 20_000)) {
             Path file = folder.resolve("operators.toml");
             Files.writeString(file, "version = 1\n" + route("idle", server.port()));
-            try (Served served = new Served(config.file, " --operators " + file)) {
+            try (RunningSidecar served = new RunningSidecar(config.file, " --operators " + file)) {
                 double before = served.residentMegabytes();
                 List<WebSocketClient> open = new ArrayList<>();
                 long since = System.nanoTime();
@@ -212,25 +210,25 @@
         }
     }
 
-    /** A server whose connections agree and then say nothing, without a thread each. */
-    private static final class Idle implements AutoCloseable {
-        private final ServerSocket listening = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
+    /** A server that accepts upgrades and then stays silent, without a thread per connection. */
+    private static final class IdleServer implements AutoCloseable {
+        private final ServerSocket listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         private final List<Socket> sockets = new ArrayList<>();
 
-        Idle() throws IOException {
+        IdleServer() throws IOException {
             Thread thread = new Thread(this::accept, "idle");
             thread.setDaemon(true);
             thread.start();
         }
 
         int port() {
-            return listening.getLocalPort();
+            return listener.getLocalPort();
         }
 
         private void accept() {
             try {
                 while (true) {
-                    Socket socket = listening.accept();
+                    Socket socket = listener.accept();
                     sockets.add(socket);
                     RawHttpClient.Message asked = RawHttpClient.read(socket.getInputStream());
                     socket.getOutputStream()
@@ -244,7 +242,7 @@
 
         @Override
         public void close() throws IOException {
-            listening.close();
+            listener.close();
         }
     }
 }
--- a/src/bench/java/org/cypressweir/simulation/AllToAll.java
+++ b/src/bench/java/org/cypressweir/simulation/AllToAll.java
@@ -2,65 +2,65 @@
 
 import java.util.Arrays;
 
-/** Heartbeats of all to all: each is out that was not heard for so long. Nobody relays anything. */
+/** All-to-all heartbeats: a member is removed once its heartbeats have been missing for the time-out. No relaying. */
 final class AllToAll implements SimulatedNetwork.Process<Integer> {
 
-    private final SimulatedNetwork<Integer> net;
+    private final SimulatedNetwork<Integer> network;
     private final int self;
-    private final long period;
-    private final long silence;
-    private final PlainSwim.Verdict verdict;
-    private final long[] heardAt;
-    private final boolean[] out;
-    private long sendAt;
+    private final long periodMicros;
+    private final long timeoutMicros;
+    private final PlainSwim.StatusListener listener;
+    private final long[] lastHeardAt;
+    private final boolean[] isOut;
+    private long nextSendAt;
 
     AllToAll(
-            SimulatedNetwork<Integer> net,
+            SimulatedNetwork<Integer> network,
             int self,
             int members,
-            long period,
-            long silence,
-            long phase,
-            PlainSwim.Verdict verdict) {
-        this.net = net;
+            long periodMicros,
+            long timeoutMicros,
+            long initialDelayMicros,
+            PlainSwim.StatusListener listener) {
+        this.network = network;
         this.self = self;
-        this.period = period;
-        this.silence = silence;
-        this.verdict = verdict;
-        heardAt = new long[members];
-        Arrays.fill(heardAt, net.now());
-        out = new boolean[members];
-        sendAt = net.now() + phase;
+        this.periodMicros = periodMicros;
+        this.timeoutMicros = timeoutMicros;
+        this.listener = listener;
+        lastHeardAt = new long[members];
+        Arrays.fill(lastHeardAt, network.now());
+        isOut = new boolean[members];
+        nextSendAt = network.now() + initialDelayMicros;
     }
 
     boolean isIn(int member) {
-        return !out[member];
+        return !isOut[member];
     }
 
     @Override
     public void tick(long now) {
-        if (now >= sendAt) {
-            sendAt = now + period;
-            for (int i = 0; i < heardAt.length; i++) {
+        if (now >= nextSendAt) {
+            nextSendAt = now + periodMicros;
+            for (int i = 0; i < lastHeardAt.length; i++) {
                 if (i != self) {
-                    net.send(self, i, self);
+                    network.send(self, i, self);
                 }
             }
         }
-        for (int i = 0; i < heardAt.length; i++) {
-            if (i != self && !out[i] && now - heardAt[i] > silence) {
-                out[i] = true;
-                verdict.put(self, i, true);
+        for (int i = 0; i < lastHeardAt.length; i++) {
+            if (i != self && !isOut[i] && now - lastHeardAt[i] > timeoutMicros) {
+                isOut[i] = true;
+                listener.statusChanged(self, i, true);
             }
         }
     }
 
     @Override
     public void receive(long now, Integer from) {
-        heardAt[from] = now;
-        if (out[from]) {
-            out[from] = false;
-            verdict.put(self, from, false);
+        lastHeardAt[from] = now;
+        if (isOut[from]) {
+            isOut[from] = false;
+            listener.statusChanged(self, from, false);
         }
     }
 }
--- a/src/bench/java/org/cypressweir/simulation/LeaseBench.java
+++ b/src/bench/java/org/cypressweir/simulation/LeaseBench.java
@@ -7,14 +7,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What leases cost and how long a task is without one, in made-up time. Its argument: processes, keepers,
- * leases and seeds, such as {@code 100:5:50:5}.
+ * Measures message and CPU cost of leases, and how long a lease has no holder after a crash, in simulated time.
+ * Argument: processes, grantors, leases and seeds, such as {@code 100:5:50:5}.
  */
 public final class LeaseBench {
 
-    private static final long TERM = LeaseWorld.TERM;
-    /** So often it is looked who holds: what a time without a holder is told to. */
-    private static final long LOOK = 50_000;
+    private static final long TERM_MICROS = SimulatedLeaseFleet.TERM_MICROS;
+    /** Interval at which holders are checked: the resolution of times without a holder. */
+    private static final long CHECK_INTERVAL_MICROS = 50_000;
 
     private static final int KILLS = 10;
 
@@ -23,36 +23,37 @@
     public static void main(String[] args) {
         String[] parts = args[0].split(":");
         int processes = Integer.parseInt(parts[0]);
-        int keepers = Integer.parseInt(parts[1]);
+        int grantors = Integer.parseInt(parts[1]);
         int leases = Integer.parseInt(parts[2]);
-        Histogram gaps = new Histogram(60_000, 3);
-        double quiet = 0;
-        double storm = 0;
+        Histogram takeoverMillis = new Histogram(60_000, 3);
+        double steadyMessages = 0;
+        double startupMessages = 0;
         double nanos = 0;
         long moved = 0;
-        long most = 0;
+        long maxLeasesOfOne = 0;
         int seeds = Integer.parseInt(parts[3]);
         for (int seed = 1; seed <= seeds; seed++) {
-            LeaseWorld w = new LeaseWorld(seed, processes, keepers, leases, LeaseWorld.DRIFT, false);
-            w.lookMicros = LOOK;
-            w.members();
-            w.run(LeaseChecks.STARTED);
-            storm += heard(w, keepers, 4 * TERM);
-            w.run(6 * TERM);
-            long begun = System.nanoTime();
-            quiet += heard(w, keepers, 10 * TERM);
-            nanos += (System.nanoTime() - begun) / (10.0 * TERM / 1e6) / processes;
+            SimulatedLeaseFleet fleet =
+                    new SimulatedLeaseFleet(seed, processes, grantors, leases, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+            fleet.checkIntervalMicros = CHECK_INTERVAL_MICROS;
+            fleet.updateMembers();
+            fleet.run(LeaseChecks.STARTUP_MICROS);
+            startupMessages += messagesPerGrantor(fleet, grantors, 4 * TERM_MICROS);
+            fleet.run(6 * TERM_MICROS);
+            long startedAt = System.nanoTime();
+            steadyMessages += messagesPerGrantor(fleet, grantors, 10 * TERM_MICROS);
+            nanos += (System.nanoTime() - startedAt) / (10.0 * TERM_MICROS / 1e6) / processes;
             for (int i = 0; i < processes; i++) {
                 int place = i;
-                most = Math.max(
-                        most,
-                        w.options.termMicrosByLease().keySet().stream()
-                                .filter(l -> w.holder(l) == place)
+                maxLeasesOfOne = Math.max(
+                        maxLeasesOfOne,
+                        fleet.options.termMicrosByLease().keySet().stream()
+                                .filter(l -> fleet.holder(l) == place)
                                 .count());
             }
-            moved += kills(w, new SplittableRandom(seed), keepers, gaps);
-            if (!w.acts.wrong().isEmpty()) {
-                throw new AssertionError(w.acts.wrong() + ", seed " + seed);
+            moved += killHolders(fleet, new SplittableRandom(seed), grantors, takeoverMillis);
+            if (!fleet.history.wrong().isEmpty()) {
+                throw new AssertionError(fleet.history.wrong() + ", seed " + seed);
             }
         }
         System.out.println(String.format(
@@ -62,54 +63,55 @@
                         + " second and process with the network's; at most %d leases at one process; after a kill"
                         + " without a holder for median %d ms, 99%% %d, worst %d; moved for each kill and return %.1f",
                 processes,
-                keepers,
+                grantors,
                 leases,
-                TERM / 1_000,
-                quiet / seeds,
-                storm / seeds,
+                TERM_MICROS / 1_000,
+                steadyMessages / seeds,
+                startupMessages / seeds,
                 nanos / seeds / 1e6,
-                most,
-                gaps.getValueAtPercentile(50),
-                gaps.getValueAtPercentile(99),
-                gaps.getMaxValue(),
+                maxLeasesOfOne,
+                takeoverMillis.getValueAtPercentile(50),
+                takeoverMillis.getValueAtPercentile(99),
+                takeoverMillis.getMaxValue(),
                 1.0 * moved / seeds / KILLS));
     }
 
-    /** Words that one keeper gets in a second. */
-    private static double heard(LeaseWorld w, int keepers, long micros) {
-        long before = 0;
-        for (int k = 0; k < keepers; k++) {
-            before -= w.heard[k];
+    /** Messages that one grantor receives per second. */
+    private static double messagesPerGrantor(SimulatedLeaseFleet fleet, int grantors, long micros) {
+        long received = 0;
+        for (int k = 0; k < grantors; k++) {
+            received -= fleet.receivedCounts[k];
         }
-        w.run(micros);
-        for (int k = 0; k < keepers; k++) {
-            before += w.heard[k];
+        fleet.run(micros);
+        for (int k = 0; k < grantors; k++) {
+            received += fleet.receivedCounts[k];
         }
-        return before / (micros / 1e6) / keepers;
+        return received / (micros / 1e6) / grantors;
     }
 
-    /** Ten holders are killed, one after the other, and started anew; how often leases began elsewhere. */
-    private static long kills(LeaseWorld w, SplittableRandom random, int keepers, Histogram gaps) {
-        List<String> names = new ArrayList<>(w.options.termMicrosByLease().keySet());
-        w.changes.clear();
+    /** Kills and restarts ten holders in turn; returns the number of lease acquisitions. */
+    private static long killHolders(
+            SimulatedLeaseFleet fleet, SplittableRandom random, int grantors, Histogram takeoverMillis) {
+        List<String> names = new ArrayList<>(fleet.options.termMicrosByLease().keySet());
+        fleet.acquisitions.clear();
         for (int kill = 0; kill < KILLS; kill++) {
             String lease = names.get(random.nextInt(names.size()));
-            int holder = w.holder(lease);
+            int holder = fleet.holder(lease);
             if (holder < 0) {
                 throw new AssertionError("nobody holds " + lease);
             }
-            long at = w.net.now();
-            w.net.kill(holder);
-            while (w.holder(lease) < 0) {
-                w.run(LeaseWorld.BEAT);
+            long at = fleet.network.now();
+            fleet.network.kill(holder);
+            while (fleet.holder(lease) < 0) {
+                fleet.run(SimulatedLeaseFleet.TICK_MICROS);
             }
-            gaps.recordValue((w.net.now() - at) / 1_000);
-            w.members();
-            w.run(2 * TERM);
-            w.start(holder);
-            w.members();
-            w.run(6 * TERM);
+            takeoverMillis.recordValue((fleet.network.now() - at) / 1_000);
+            fleet.updateMembers();
+            fleet.run(2 * TERM_MICROS);
+            fleet.start(holder);
+            fleet.updateMembers();
+            fleet.run(6 * TERM_MICROS);
         }
-        return w.changes.size();
+        return fleet.acquisitions.size();
     }
 }
--- a/src/bench/java/org/cypressweir/simulation/SharesBench.java
+++ b/src/bench/java/org/cypressweir/simulation/SharesBench.java
@@ -12,40 +12,42 @@
 import org.cypressweir.fleet.membership.ShareRequester;
 
 /**
- * What all processes together use of one whole, by three ways to work out a part: a count for ever, the count
- * of the own view of membership, and the word of most electors. Its argument: sizes by comma, and seeds.
+ * Sum of the shares that all processes use, for three methods to compute a share: a fixed process count, the count in
+ * the process's own membership view, and grants of a quorum of voters. Argument: fleet sizes (separated by commas), a
+ * colon, and the number of seeds.
  */
 public final class SharesBench {
 
-    private static final long SECOND = 1_000_000;
-    private static final long PAUSE = 3 * SECOND;
-    /** Servers close what has been idle for so long. */
-    private static final long LINGER = 10 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long PAUSE_MICROS = 3 * SECOND_MICROS;
+    /** Time after which servers close idle connections. */
+    private static final long LINGER_MICROS = 10 * SECOND_MICROS;
 
-    private static final long LOOK = 50_000;
-    private static final String[] WAYS = {"count for ever", "own view", "most electors"};
+    private static final long STEP_MICROS = 50_000;
+    private static final String[] METHODS = {"count for ever", "own view", "most electors"};
 
     private final int n;
     private final MembershipSimulation simulation;
-    private final SimulatedNetwork<MembershipMessage> net;
+    private final SimulatedNetwork<MembershipMessage> network;
     private final ShareRequester[] requesters;
     private final IntToDoubleFunction[] parts;
-    private final double[][] left;
-    private final long[] stoppedAt;
-    private final double[] worst = new double[WAYS.length];
-    private double[] now = new double[WAYS.length];
+    private final double[][] openShares;
+    private final long[] pausedAt;
+    private final double[] maxTotals = new double[METHODS.length];
+    private double[] currentTotals = new double[METHODS.length];
 
     private SharesBench(int n, long seed) {
         this.n = n;
-        simulation = new MembershipSimulation(seed, n, 5, PAUSE);
-        simulation.startTogether();
-        net = new SimulatedNetwork<>(seed);
+        simulation = new MembershipSimulation(seed, n, 5, PAUSE_MICROS);
+        simulation.startAsEstablishedFleet();
+        network = new SimulatedNetwork<>(seed);
         requesters = new ShareRequester[n];
-        left = new double[n][WAYS.length];
-        stoppedAt = new long[n];
-        ShareOptions plan = simulation.plan().withShares(2 * n, LINGER).shares();
+        openShares = new double[n][METHODS.length];
+        pausedAt = new long[n];
+        ShareOptions plan =
+                simulation.options().withShares(2 * n, LINGER_MICROS).shares();
         for (int i = 0; i < n; i++) {
-            int place = net.place();
+            int place = network.addNode();
             InetSocketAddress own = MembershipSimulation.address(place);
             Peer self = new Peer("n" + i, i, 1, 1, own);
             ShareRequester requester = new ShareRequester(
@@ -53,12 +55,12 @@
                     plan,
                     own,
                     seed,
-                    (to, m) -> net.send(
+                    (to, m) -> network.send(
                             place,
                             to.getPort() - MembershipSimulation.address(0).getPort(),
                             m));
             requesters[i] = requester;
-            net.start(place, LOOK, new SimulatedNetwork.Process<>() {
+            network.start(place, STEP_MICROS, new SimulatedNetwork.Process<>() {
                 @Override
                 public void tick(long at) {
                     requester.tick(at, self);
@@ -71,79 +73,79 @@
             });
         }
         parts = new IntToDoubleFunction[] {
-            i -> 1.0 / n, i -> 1.0 / simulation.get(i).core().liveCount(), i -> requesters[i].part(net.now())
+            i -> 1.0 / n, i -> 1.0 / simulation.get(i).protocol().liveCount(), i -> requesters[i].part(network.now())
         };
     }
 
     private void run(long micros) {
-        for (long until = net.now() + micros; net.now() < until; ) {
-            net.run(net.now() + LOOK);
-            simulation.run(LOOK);
-            now = new double[WAYS.length];
+        for (long until = network.now() + micros; network.now() < until; ) {
+            network.run(network.now() + STEP_MICROS);
+            simulation.run(STEP_MICROS);
+            currentTotals = new double[METHODS.length];
             for (int i = 0; i < n; i++) {
-                for (int way = 0; way < WAYS.length && net.runs(i); way++) {
-                    now[way] += stoppedAt[i] == 0
-                            ? parts[way].applyAsDouble(i)
-                            : net.now() - stoppedAt[i] < LINGER ? left[i][way] : 0;
+                for (int method = 0; method < METHODS.length && network.isRunning(i); method++) {
+                    currentTotals[method] += pausedAt[i] == 0
+                            ? parts[method].applyAsDouble(i)
+                            : network.now() - pausedAt[i] < LINGER_MICROS ? openShares[i][method] : 0;
                 }
             }
-            for (int way = 0; way < WAYS.length; way++) {
-                worst[way] = Math.max(worst[way], now[way]);
+            for (int method = 0; method < METHODS.length; method++) {
+                maxTotals[method] = Math.max(maxTotals[method], currentTotals[method]);
             }
         }
     }
 
     private void cut(SimulatedNetwork.Partition cut) {
-        net.cut(cut);
-        simulation.net.cut(cut);
+        network.setPartition(cut);
+        simulation.network.setPartition(cut);
     }
 
-    private void stand(int i) {
-        for (int way = 0; way < WAYS.length; way++) {
-            left[i][way] = parts[way].applyAsDouble(i);
+    private void pause(int i) {
+        for (int method = 0; method < METHODS.length; method++) {
+            openShares[i][method] = parts[method].applyAsDouble(i);
         }
-        stoppedAt[i] = net.now();
-        net.stop(i);
-        simulation.net.stop(i);
+        pausedAt[i] = network.now();
+        network.pause(i);
+        simulation.network.pause(i);
     }
 
-    private void go(int i) {
-        stoppedAt[i] = 0;
-        net.go(i);
-        simulation.net.go(i);
+    private void resume(int i) {
+        pausedAt[i] = 0;
+        network.resume(i);
+        simulation.network.resume(i);
     }
 
-    /** What each fault brings at most, and what is used at its end, by way. */
-    private List<double[][]> day() {
-        List<double[][]> spells = new ArrayList<>();
-        run(60 * SECOND);
-        spells.add(spell(30 * SECOND));
+    /** For each phase, the largest sum and the sum at its end, by method. */
+    private List<double[][]> runScenario() {
+        List<double[][]> phases = new ArrayList<>();
+        run(60 * SECOND_MICROS);
+        phases.add(runPhase(30 * SECOND_MICROS));
         cut((from, to) -> from < n * 3 / 5 == to < n * 3 / 5);
-        spells.add(spell(30 * SECOND));
+        phases.add(runPhase(30 * SECOND_MICROS));
         cut((from, to) -> from * 3 / n == to * 3 / n);
-        spells.add(spell(30 * SECOND));
+        phases.add(runPhase(30 * SECOND_MICROS));
         cut((from, to) -> true);
-        spells.add(spell(40 * SECOND));
+        phases.add(runPhase(40 * SECOND_MICROS));
         for (int i = n - n / 3; i < n; i++) {
-            stand(i);
+            pause(i);
         }
-        spells.add(spell(40 * SECOND));
+        phases.add(runPhase(40 * SECOND_MICROS));
         for (int i = n - n / 3; i < n; i++) {
-            go(i);
+            resume(i);
         }
-        spells.add(spell(40 * SECOND));
+        phases.add(runPhase(40 * SECOND_MICROS));
         for (int i = n / 2; i < n; i++) {
-            net.kill(i);
-            simulation.net.kill(i);
+            network.kill(i);
+            simulation.network.kill(i);
         }
-        spells.add(spell(40 * SECOND));
-        return spells;
+        phases.add(runPhase(40 * SECOND_MICROS));
+        return phases;
     }
 
-    private double[][] spell(long micros) {
-        Arrays.fill(worst, 0);
+    private double[][] runPhase(long micros) {
+        Arrays.fill(maxTotals, 0);
         run(micros);
-        return new double[][] {worst.clone(), now.clone()};
+        return new double[][] {maxTotals.clone(), currentTotals.clone()};
     }
 
     public static void main(String[] args) {
@@ -156,25 +158,25 @@
             "that third goes on",
             "half killed"
         };
-        System.out.println("| processes | spell | " + String.join(" | ", WAYS) + " |");
+        System.out.println("| processes | spell | " + String.join(" | ", METHODS) + " |");
         System.out.println("| --- | --- | --- | --- | --- |");
         String[] parts = args[0].split(":");
         for (String size : parts[0].split(",")) {
             int n = Integer.parseInt(size);
-            double[][][] all = new double[names.length][2][WAYS.length];
+            double[][][] all = new double[names.length][2][METHODS.length];
             for (int seed = 1; seed <= Integer.parseInt(parts[1]); seed++) {
-                List<double[][]> spells = new SharesBench(n, seed).day();
+                List<double[][]> phases = new SharesBench(n, seed).runScenario();
                 for (int s = 0; s < names.length; s++) {
-                    for (int way = 0; way < WAYS.length; way++) {
-                        all[s][0][way] = Math.max(all[s][0][way], spells.get(s)[0][way]);
-                        all[s][1][way] += spells.get(s)[1][way] / Integer.parseInt(parts[1]);
+                    for (int method = 0; method < METHODS.length; method++) {
+                        all[s][0][method] = Math.max(all[s][0][method], phases.get(s)[0][method]);
+                        all[s][1][method] += phases.get(s)[1][method] / Integer.parseInt(parts[1]);
                     }
                 }
             }
             for (int s = 0; s < names.length; s++) {
                 StringBuilder row = new StringBuilder("| " + n + " | " + names[s]);
-                for (int way = 0; way < WAYS.length; way++) {
-                    row.append(String.format(Locale.ROOT, " | %.2f, %.2f", all[s][0][way], all[s][1][way]));
+                for (int method = 0; method < METHODS.length; method++) {
+                    row.append(String.format(Locale.ROOT, " | %.2f, %.2f", all[s][0][method], all[s][1][method]));
                 }
                 System.out.println(row + " |");
             }
--- a/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
@@ -18,84 +18,87 @@
 import org.cypressweir.fleet.membership.MonitoringRings;
 import org.cypressweir.fleet.membership.Peer;
 
-/** A fleet of the program's own memberships in made-up time. */
+/** A fleet of production {@link MembershipProtocol} instances on a simulated network and clock. */
 public final class MembershipSimulation {
 
-    /** A change that one of them has seen. */
-    public record Seen(long at, int by, Change change) {}
+    /** A membership change that one member observed. */
+    public record ObservedChange(long at, int observer, Change change) {}
 
-    /** One process, or one that was. */
+    /** One process of the fleet, running or stopped. */
     public static final class SimulatedMember {
-        public final int place;
+        public final int node;
         public final String name;
-        private long lives;
-        private MembershipProtocol core;
-        /** Why it was refused; null while it was not. */
-        private String refused;
+        private long startCount;
+        private MembershipProtocol protocol;
+        /** Why the fleet refused the process; null if it was not refused. */
+        private String refusalReason;
 
-        SimulatedMember(int place, String name) {
-            this.place = place;
+        SimulatedMember(int node, String name) {
+            this.node = node;
             this.name = name;
         }
 
-        public MembershipProtocol core() {
-            return core;
+        public MembershipProtocol protocol() {
+            return protocol;
         }
 
-        public String refused() {
-            return refused;
+        public String refusalReason() {
+            return refusalReason;
         }
     }
 
     private static final int FIRST_PORT = 1_000;
-    /** Bytes of a message with nothing in it, of an entry and of a report, as they are on the wire. */
-    private static final int BARE = 75;
+    /** Encoded size of a message without records and reports, of a record and of a report. */
+    private static final int EMPTY_MESSAGE_BYTES = 75;
 
-    private static final int ENTRY = 75;
-    private static final int REPORT = 20;
+    private static final int RECORD_BYTES = 75;
+    private static final int REPORT_BYTES = 20;
 
-    public final SimulatedNetwork<MembershipMessage> net;
-    public final List<Seen> changes = new ArrayList<>();
-    private final MembershipOptions plan;
+    public final SimulatedNetwork<MembershipMessage> network;
+    public final List<ObservedChange> changes = new ArrayList<>();
+    private final MembershipOptions options;
     private final SplittableRandom random;
     private final List<SimulatedMember> members = new ArrayList<>();
-    private final Map<InetSocketAddress, Integer> places = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> nodesByAddress = new HashMap<>();
     private final MonitoringRings.Cache rings = new MonitoringRings.Cache(512);
-    private Consumer<Seen> listener = seen -> {};
+    private Consumer<ObservedChange> listener = change -> {};
     private long bytes;
 
-    /** @param seeds how many of the first members are seeds */
+    /** @param seeds number of seed nodes; they are the first members */
     public MembershipSimulation(long seed, int members, int seeds, long pauseMicros) {
-        net = new SimulatedNetwork<>(seed);
+        network = new SimulatedNetwork<>(seed);
         random = new SplittableRandom(~seed);
         for (int i = 0; i < members; i++) {
             add("n" + i);
         }
-        plan = new MembershipOptions(
+        options = new MembershipOptions(
                 "lab",
                 address(0),
                 address(0),
-                this.members.stream().limit(seeds).map(f -> address(f.place)).toList(),
+                this.members.stream()
+                        .limit(seeds)
+                        .map(member -> address(member.node))
+                        .toList(),
                 pauseMicros,
                 MembershipOptions.defaultPeriodMicros(pauseMicros),
                 MembershipOptions.DEFAULT_MAX_MEMBERS,
                 null);
     }
 
-    /** One more place, with a process that has not started. */
+    /** Adds a node whose process has not started yet. */
     public SimulatedMember add(String name) {
-        SimulatedMember member = new SimulatedMember(net.place(), name);
+        SimulatedMember member = new SimulatedMember(network.addNode(), name);
         members.add(member);
-        places.put(address(member.place), member.place);
+        nodesByAddress.put(address(member.node), member.node);
         return member;
     }
 
-    public static InetSocketAddress address(int place) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + place);
+    public static InetSocketAddress address(int node) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + node);
     }
 
-    public MembershipOptions plan() {
-        return plan;
+    public MembershipOptions options() {
+        return options;
     }
 
     public List<SimulatedMember> all() {
@@ -106,107 +109,113 @@
         return members.get(i);
     }
 
-    public void onChange(Consumer<Seen> next) {
-        listener = next;
+    public void onChange(Consumer<ObservedChange> newListener) {
+        listener = newListener;
     }
 
-    /** Bytes sent by all so far, about: what a datagram takes on the wire, without its headers. */
+    /** Approximate payload bytes sent by all members so far, without datagram headers. */
     public long bytes() {
         return bytes;
     }
 
-    /** Starts a process that knows nothing but the seeds. */
+    /** Starts a process that knows only the seeds. */
     public SimulatedMember start(int i) {
-        SimulatedMember f = members.get(i);
-        f.refused = null;
-        Peer peer = new Peer(f.name, random.nextLong(), net.now() / 1_000 + ++f.lives, 1, address(f.place));
-        f.core = new MembershipProtocol(
-                net.now(),
-                plan,
+        SimulatedMember member = members.get(i);
+        member.refusalReason = null;
+        Peer peer = new Peer(
+                member.name, random.nextLong(), network.now() / 1_000 + ++member.startCount, 1, address(member.node));
+        member.protocol = new MembershipProtocol(
+                network.now(),
+                options,
                 peer,
                 Map.of("front", "127.0.0.1:" + (9_000 + i)),
                 random.nextLong(),
-                new Acts(f),
+                new ProtocolActions(member),
                 rings);
-        net.start(f.place, plan.tickMicros(), new Runs(f.core));
-        return f;
+        network.start(member.node, options.tickMicros(), new ProtocolProcess(member.protocol));
+        return member;
     }
 
-    /** Starts all as if they had known each other for long. */
-    public void startTogether() {
+    /** Starts all members with complete views, as in a fleet that has been running for a long time. */
+    public void startAsEstablishedFleet() {
         List<MemberRecord> known = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
-            SimulatedMember f = start(i);
+            SimulatedMember member = start(i);
             known.add(new MemberRecord(
-                    f.core.self(), MemberStatus.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
+                    member.protocol.self(), MemberStatus.MEMBER, 1, Map.of("front", "127.0.0.1:" + (9_000 + i)), 0));
         }
-        members.forEach(f -> f.core.startWithMembers(net.now(), known));
+        members.forEach(member -> member.protocol.startWithMembers(network.now(), known));
     }
 
     public void run(long micros) {
-        net.run(net.now() + micros);
-    }
-
-    /** Plays on until this holds, looked at each beat; the time that it took, or -1 past the limit. */
-    public long await(long limit, BooleanSupplier holds) {
-        long begun = net.now();
-        while (!holds.getAsBoolean()) {
-            if (net.now() - begun > limit) {
+        network.run(network.now() + micros);
+    }
+
+    /**
+     * Runs until the condition holds, which is checked at every tick.
+     *
+     * @return microseconds until then, or -1 once the limit has passed
+     */
+    public long await(long limitMicros, BooleanSupplier condition) {
+        long startedAt = network.now();
+        while (!condition.getAsBoolean()) {
+            if (network.now() - startedAt > limitMicros) {
                 return -1;
             }
-            run(plan.tickMicros());
+            run(options.tickMicros());
         }
-        return net.now() - begun;
+        return network.now() - startedAt;
     }
 
-    /** Whether each of these has just these in its view. */
-    public boolean agree(List<SimulatedMember> among, List<SimulatedMember> on) {
-        for (SimulatedMember f : among) {
-            if (f.core.liveCount() != on.size() || !on.stream().allMatch(o -> f.core.isInView(o.name))) {
+    /** Whether the view of each observer contains exactly the expected members. */
+    public boolean agree(List<SimulatedMember> observers, List<SimulatedMember> expected) {
+        for (SimulatedMember observer : observers) {
+            if (observer.protocol.liveCount() != expected.size()
+                    || !expected.stream().allMatch(member -> observer.protocol.isInView(member.name))) {
                 return false;
             }
         }
         return true;
     }
 
-    private record Runs(MembershipProtocol core) implements SimulatedNetwork.Process<MembershipMessage> {
+    private record ProtocolProcess(MembershipProtocol protocol) implements SimulatedNetwork.Process<MembershipMessage> {
         @Override
         public void tick(long now) {
-            core.tick(now);
+            protocol.tick(now);
         }
 
         @Override
         public void receive(long now, MembershipMessage message) {
-            core.receive(now, message);
+            protocol.receive(now, message);
         }
     }
 
-    private final class Acts implements MembershipProtocol.Actions {
+    private final class ProtocolActions implements MembershipProtocol.Actions {
         private final SimulatedMember member;
 
-        Acts(SimulatedMember member) {
+        ProtocolActions(SimulatedMember member) {
             this.member = member;
         }
 
         @Override
         public void send(InetSocketAddress to, MembershipMessage message) {
-            bytes += BARE
-                    + (long) ENTRY * message.records().size()
-                    + (long) REPORT * message.reports().size();
-            net.send(member.place, places.getOrDefault(to, -1), message);
+            bytes += EMPTY_MESSAGE_BYTES
+                    + (long) RECORD_BYTES * message.records().size()
+                    + (long) REPORT_BYTES * message.reports().size();
+            network.send(member.node, nodesByAddress.getOrDefault(to, -1), message);
         }
 
         @Override
         public void changed(Change change) {
-            Seen seen = new Seen(net.now(), member.place, change);
-            changes.add(seen);
-            listener.accept(seen);
+            ObservedChange observed = new ObservedChange(network.now(), member.node, change);
+            changes.add(observed);
+            listener.accept(observed);
         }
 
         @Override
         public void refused(String reason) {
-            member.refused = reason;
-            net.kill(member.place);
+            member.refusalReason = reason;
+            network.kill(member.node);
         }
 
         @Override
--- a/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
@@ -13,223 +13,229 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.sidecar.fleetlimits.FleetLimits;
 import org.cypressweir.sidecar.fleetlimits.SlottedPollPacer;
-import org.cypressweir.simulation.SimulatedSidecar.Asked;
+import org.cypressweir.simulation.SimulatedSidecar.SimulatedRequest;
 
-/** Plays thousands of quiet instances: what they ask of discovery, and of a server that has just started. */
-public final class QuietFleetSimulation implements SimulatedSidecar.Account {
+/**
+ * Simulates thousands of instances with little traffic: the calls they make to discovery, and the load they put on a
+ * server that has just started.
+ */
+public final class QuietFleetSimulation implements SimulatedSidecar.RequestListener {
 
-    private static final long BEGIN = 1_000_000_000;
-    private static final long SECOND = 1_000_000;
+    private static final long START_MICROS = 1_000_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int ZONES = 3;
-    /** A call for the list takes so long; without a pace an instance that restarts asks at once. */
-    private static final long CALL = 20_000;
+    /** Duration of a call to discovery; without a rate limit a restarted instance calls immediately. */
+    private static final long LIST_CALL_MICROS = 20_000;
 
-    /** One instance and what it knows of the list. */
-    private final class Copy {
+    /** One instance and the list revision it knows. */
+    private final class Instance {
         final int rank;
-        SimulatedSidecar instance;
+        SimulatedSidecar sidecar;
         long revision;
         SlottedPollPacer pacer;
 
-        Copy(int rank) {
+        Instance(int rank) {
             this.rank = rank;
             start();
         }
 
-        /** As after a restart: with the list that it had last. */
+        /** Starts or restarts the instance with the list revision it knew last. */
         void start() {
             List<Server> known = servers(revision);
-            instance =
-                    new SimulatedSidecar(time, settings(rank), null, known, QuietFleetSimulation.this, machines::get);
+            sidecar = new SimulatedSidecar(
+                    timeline, settings(rank), null, known, QuietFleetSimulation.this, simulatedServers::get);
             if (scenario.listRate() > 0) {
                 pacer = new SlottedPollPacer(new FleetLimits(scenario.instances(), rank, scenario.listRate(), 1, 0));
-                SimulatedSidecar mine = instance;
-                time.at(pacer.next(time.now()), () -> poll(mine));
+                SimulatedSidecar startedSidecar = sidecar;
+                timeline.schedule(pacer.next(timeline.now()), () -> poll(startedSidecar));
             } else {
-                call(instance);
+                requestList(sidecar);
             }
         }
 
-        private void poll(SimulatedSidecar mine) {
-            if (mine == instance) {
-                call(mine);
-                time.at(pacer.next(time.now() + 1), () -> poll(mine));
+        private void poll(SimulatedSidecar polledSidecar) {
+            if (polledSidecar == sidecar) {
+                requestList(polledSidecar);
+                timeline.schedule(pacer.next(timeline.now() + 1), () -> poll(polledSidecar));
             }
         }
 
-        private void call(SimulatedSidecar mine) {
-            if (mine == instance) {
+        private void requestList(SimulatedSidecar callingSidecar) {
+            if (callingSidecar == sidecar) {
                 calls++;
-                calledIn[(int) ((time.now() - BEGIN) / SECOND)]++;
-                time.at(time.now() + CALL, () -> told(mine));
+                callsBySecond[(int) ((timeline.now() - START_MICROS) / SECOND_MICROS)]++;
+                timeline.schedule(timeline.now() + LIST_CALL_MICROS, () -> receiveList(callingSidecar));
             }
         }
 
-        private void told(SimulatedSidecar mine) {
-            if (mine != instance) {
+        private void receiveList(SimulatedSidecar callingSidecar) {
+            if (callingSidecar != sidecar) {
                 return;
             }
             if (revision < changes.size()) {
-                List<Server> news = new ArrayList<>(changes.subList((int) revision, changes.size()));
-                if (coldAt > 0 && revision <= coldRevision) {
-                    lastTold = time.now();
+                List<Server> newChanges = new ArrayList<>(changes.subList((int) revision, changes.size()));
+                if (coldServerAddedAt > 0 && revision <= revisionBeforeColdServer) {
+                    lastInformedAt = timeline.now();
                 }
                 revision = changes.size();
-                mine.listed(ListKind.CHANGES, news);
+                callingSidecar.updateServers(ListKind.CHANGES, newChanges);
             }
             if (scenario.listRate() == 0) {
-                waiting.add(() -> call(mine));
+                waitingWatches.add(() -> requestList(callingSidecar));
             }
         }
     }
 
     private final QuietScenario scenario;
     private final SplittableRandom random;
-    private final EventTimeline time = new EventTimeline(BEGIN);
+    private final EventTimeline timeline = new EventTimeline(START_MICROS);
     private final Workload workload;
-    private final Map<Long, SimulatedServer> machines = new HashMap<>();
-    private final List<Server> first = new ArrayList<>();
-    /** What the list has told since, in order; its size is the revision. */
+    private final Map<Long, SimulatedServer> simulatedServers = new HashMap<>();
+    private final List<Server> initialServers = new ArrayList<>();
+    /** List changes since the start, in order; their number is the current revision. */
     private final List<Server> changes = new ArrayList<>();
-    /** Watches that wait for something new. */
-    private List<Runnable> waiting = new ArrayList<>();
+    /** Long-poll calls that wait for the next change. */
+    private List<Runnable> waitingWatches = new ArrayList<>();
 
-    private final List<Copy> copies = new ArrayList<>();
-    private final int[] calledIn;
+    private final List<Instance> instances = new ArrayList<>();
+    private final int[] callsBySecond;
     private final long end;
     private long calls;
-    private long asked;
-    private long answered;
-    private long inTime;
-    private long coldAt;
-    private long coldId;
-    private long coldRevision;
-    private long lastTold;
-    private final Map<Long, double[]> sentToCold = new HashMap<>();
+    private long requestCount;
+    private long answeredCount;
+    private long inTimeCount;
+    private long coldServerAddedAt;
+    private long coldServerId;
+    private long revisionBeforeColdServer;
+    private long lastInformedAt;
+    private final Map<Long, double[]> sentToColdServer = new HashMap<>();
 
     private QuietFleetSimulation(QuietScenario scenario) {
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed());
-        workload = new Workload(random, 20_000, 0.6, CellsSimulation.SHARES);
-        end = BEGIN + scenario.seconds() * SECOND;
-        calledIn = new int[scenario.seconds() + 20];
+        workload = new Workload(random, 20_000, 0.6, CellsSimulation.CLASS_SHARES);
+        end = START_MICROS + scenario.seconds() * SECOND_MICROS;
+        callsBySecond = new int[scenario.seconds() + 20];
     }
 
-    /** Plays it; the same scenario gives the same report. */
+    /** Runs the scenario; the same scenario always gives the same report. */
     public static QuietReport play(QuietScenario scenario) {
-        return new QuietFleetSimulation(scenario).play();
+        return new QuietFleetSimulation(scenario).runScenario();
     }
 
-    private QuietReport play() {
+    private QuietReport runScenario() {
         for (int i = 0; i < scenario.servers(); i++) {
-            first.add(add(i, 0));
+            initialServers.add(addServer(i, 0));
         }
         for (int i = 0; i < scenario.instances(); i++) {
-            copies.add(new Copy(i));
+            instances.add(new Instance(i));
         }
         double rate = scenario.instances() * scenario.perMinute() / 60;
-        arrive(rate);
+        scheduleArrivals(rate);
         if (scenario.changes() > 0) {
-            time.at(BEGIN + (long) (60 * SECOND / scenario.changes()), this::change);
+            timeline.schedule(
+                    START_MICROS + (long) (60 * SECOND_MICROS / scenario.changes()), this::publishUnrelatedChange);
         }
-        time.at(BEGIN + scenario.seconds() * SECOND / 3, () -> copies.forEach(Copy::start));
-        time.at(BEGIN + scenario.seconds() * SECOND * 2 / 3, this::replace);
-        time.run(end + 7 * SECOND);
+        timeline.schedule(
+                START_MICROS + scenario.seconds() * SECOND_MICROS / 3, () -> instances.forEach(Instance::start));
+        timeline.schedule(START_MICROS + scenario.seconds() * SECOND_MICROS * 2 / 3, this::replaceServer);
+        timeline.run(end + 7 * SECOND_MICROS);
         int peak = 0;
-        for (int n : calledIn) {
+        for (int n : callsBySecond) {
             peak = Math.max(peak, n);
         }
         return new QuietReport(
                 calls,
                 peak,
-                (lastTold - coldAt) / 1_000,
-                coldPeak(),
-                (int) sentToCold.getOrDefault(0L, new double[2])[1],
-                inTime / (double) asked,
-                asked - answered);
+                (lastInformedAt - coldServerAddedAt) / 1_000,
+                peakColdServerLoad(),
+                (int) sentToColdServer.getOrDefault(0L, new double[2])[1],
+                inTimeCount / (double) requestCount,
+                requestCount - answeredCount);
     }
 
     private Settings settings(int rank) {
         return CellsSimulation.settings(scenario.seed() + rank, rank, scenario.instances());
     }
 
-    private Server add(int number, long startMicros) {
+    private Server addServer(int number, long startMicros) {
         long id = Ids.of("s" + number);
-        machines.put(id, new SimulatedServer(id, 3 + number % 2, 0.7 + 0.6 * random.nextDouble(), time));
+        simulatedServers.put(id, new SimulatedServer(id, 3 + number % 2, 0.7 + 0.6 * random.nextDouble(), timeline));
         return new Server(id, number % ZONES, 0, number % 5, Phase.READY, startMicros, 1);
     }
 
     private List<Server> servers(long revision) {
         Map<Long, Server> known = new HashMap<>();
-        first.forEach(s -> known.put(s.id(), s));
+        initialServers.forEach(s -> known.put(s.id(), s));
         changes.subList(0, (int) revision).forEach(s -> known.put(s.id(), s));
         return known.values().stream().filter(s -> s.phase() != Phase.REMOVED).toList();
     }
 
-    /**
-     * Something of no weight changes, as it does all the time in a large fleet: all that watch hear of it.
-     */
-    private void change() {
-        if (time.now() < end) {
-            Server s = first.get(random.nextInt(first.size()));
-            if (s.id() != first.get(0).id()) {
-                tell(List.of(s));
+    /** Publishes a change that does not matter, as large fleets do all the time: every watch is notified. */
+    private void publishUnrelatedChange() {
+        if (timeline.now() < end) {
+            Server s = initialServers.get(random.nextInt(initialServers.size()));
+            if (s.id() != initialServers.get(0).id()) {
+                publish(List.of(s));
             }
-            time.at(time.now() + (long) (60 * SECOND / scenario.changes()), this::change);
+            timeline.schedule(
+                    timeline.now() + (long) (60 * SECOND_MICROS / scenario.changes()), this::publishUnrelatedChange);
         }
     }
 
-    /** One goes and another comes, which is cold; all instances hear of it as soon as they may. */
-    private void replace() {
-        Server old = first.get(0);
-        Server cold = add(scenario.servers(), time.now());
-        coldAt = time.now();
-        coldId = cold.id();
-        coldRevision = changes.size();
-        tell(List.of(new Server(old.id(), old.zone(), 0, old.cell(), Phase.REMOVED, 0, 1), cold));
+    /** Replaces a server by a cold one; each instance learns of it as soon as its rate limit allows. */
+    private void replaceServer() {
+        Server old = initialServers.get(0);
+        Server cold = addServer(scenario.servers(), timeline.now());
+        coldServerAddedAt = timeline.now();
+        coldServerId = cold.id();
+        revisionBeforeColdServer = changes.size();
+        publish(List.of(new Server(old.id(), old.zone(), 0, old.cell(), Phase.REMOVED, 0, 1), cold));
     }
 
-    private void tell(List<Server> news) {
-        changes.addAll(news);
-        List<Runnable> now = waiting;
-        waiting = new ArrayList<>();
-        now.forEach(call -> time.at(time.now() + CALL, call));
+    private void publish(List<Server> newChanges) {
+        changes.addAll(newChanges);
+        List<Runnable> watches = waitingWatches;
+        waitingWatches = new ArrayList<>();
+        watches.forEach(call -> timeline.schedule(timeline.now() + LIST_CALL_MICROS, call));
     }
 
-    private void arrive(double rate) {
-        if (time.now() >= end) {
+    private void scheduleArrivals(double rate) {
+        if (timeline.now() >= end) {
             return;
         }
-        copies.get(random.nextInt(copies.size()))
-                .instance
-                .take(CellsSimulation.request("r" + asked++, workload, random, time.now()));
-        time.at(time.now() + workload.pause(rate), () -> arrive(rate));
+        instances
+                .get(random.nextInt(instances.size()))
+                .sidecar
+                .handle(CellsSimulation.request("r" + requestCount++, workload, random, timeline.now()));
+        timeline.schedule(timeline.now() + workload.nextArrivalMicros(rate), () -> scheduleArrivals(rate));
     }
 
-    /** Work sent in each second against what a server that warms up can do in it. */
-    private double coldPeak() {
+    /** Highest ratio, over all seconds, of the work sent to the cold server to its capacity while it warms up. */
+    private double peakColdServerLoad() {
         double peak = 0;
-        SimulatedServer machine = machines.get(coldId);
+        SimulatedServer machine = simulatedServers.get(coldServerId);
         Rules rules = settings(0).rules();
-        for (Map.Entry<Long, double[]> e : sentToCold.entrySet()) {
-            double part = rules.coldShare(coldAt + e.getKey() * SECOND, coldAt);
-            peak = Math.max(peak, e.getValue()[0] / 1e6 / (part * machine.capacity()));
+        for (Map.Entry<Long, double[]> e : sentToColdServer.entrySet()) {
+            double capacityShare = rules.coldShare(coldServerAddedAt + e.getKey() * SECOND_MICROS, coldServerAddedAt);
+            peak = Math.max(peak, e.getValue()[0] / 1e6 / (capacityShare * machine.capacity()));
         }
         return peak;
     }
 
     @Override
-    public void sent(Asked request, SimulatedServer machine) {
-        if (coldAt > 0 && machine.id == coldId) {
-            double[] sum = sentToCold.computeIfAbsent((time.now() - coldAt) / SECOND, s -> new double[2]);
-            sum[0] += request.work;
+    public void requestSent(SimulatedRequest request, SimulatedServer machine) {
+        if (coldServerAddedAt > 0 && machine.id == coldServerId) {
+            double[] sum = sentToColdServer.computeIfAbsent(
+                    (timeline.now() - coldServerAddedAt) / SECOND_MICROS, s -> new double[2]);
+            sum[0] += request.workMicros;
             sum[1]++;
         }
     }
 
     @Override
-    public void answered(Asked request, boolean served) {
-        answered++;
-        inTime += served && time.now() - request.at <= CellsSimulation.aim(request) ? 1 : 0;
+    public void requestAnswered(SimulatedRequest request, boolean served) {
+        answeredCount++;
+        inTimeCount += served && timeline.now() - request.arrivedAt <= CellsSimulation.aimMicros(request) ? 1 : 0;
     }
 }
--- a/src/main/java/org/cypressweir/simulation/QuietScenario.java
+++ b/src/main/java/org/cypressweir/simulation/QuietScenario.java
@@ -1,15 +1,15 @@
 package org.cypressweir.simulation;
 
 /**
- * Many instances with little traffic each; after a third all restart at once, after two thirds a server of
- * the fleet is replaced by a cold one.
+ * Many instances with little traffic each. After a third of the run all instances restart at once; after two thirds a
+ * server is replaced by a cold one.
  *
  * @param instances 1 or more
  * @param servers 2 or more
- * @param perMinute requests of one instance, above 0
- * @param listRate calls for the list a second by all of them; 0 for a watch that has no bound
- * @param changes of the list a minute beside, as in a release
- * @param seconds of the whole run
+ * @param perMinute requests per instance and minute, above 0
+ * @param listRate calls for the server list per second by all instances together; 0 for long polling without rate limit
+ * @param changes unrelated list changes per minute, as during a release
+ * @param seconds length of the whole run, 9 or more
  */
 public record QuietScenario(
         int instances, int servers, double perMinute, double listRate, double changes, int seconds, long seed) {
--- a/src/main/java/org/cypressweir/simulation/Report.java
+++ b/src/main/java/org/cypressweir/simulation/Report.java
@@ -1,15 +1,16 @@
 package org.cypressweir.simulation;
 
 /**
- * What a run came to, before the harm and with it; of a unit that floods, only what it asked for beside.
+ * Result of a {@link CellsSimulation}, for the time before the harm and the time with it. Requests of the flooding unit
+ * are left out of the ratios.
  *
- * @param inTimeBefore part of the requests that were served within their aim
- * @param worthBefore part of the worth that was served, a late answer at 0.3
- * @param noticed part of the units whose own part in time fell by a fifth of all they asked for, or more
- * @param asked requests of the run
- * @param unanswered requests without their one answer
+ * @param inTimeBefore share of the requests before the harm that were served within their target latency
+ * @param worthBefore share of the requests' worth that was served before the harm; a late answer counts 0.3
+ * @param noticed share of the units whose in-time ratio fell by 0.2 or more
+ * @param asked requests of the whole run
+ * @param unanswered requests that were never answered
  * @param twice requests of unsafe classes that ran more than once
- * @param both times at which a unit that moves had writes running in two cells
+ * @param both how often a moved unit had writes running in two cells at once
  */
 public record Report(
         double inTimeBefore,
--- a/src/main/java/org/cypressweir/simulation/Scenario.java
+++ b/src/main/java/org/cypressweir/simulation/Scenario.java
@@ -1,19 +1,20 @@
 package org.cypressweir.simulation;
 
 /**
- * One run of the model.
+ * Parameters of one {@link CellsSimulation}.
  *
  * @param servers 2 or more
  * @param sidecars 1 or more
- * @param units that ask, 1 or more
- * @param skew how much more the popular ones ask: exponent of Zipf's law
- * @param load of the servers before any harm, as a part of what their cores can do; above 0
- * @param cells 1 for one pool without cells
- * @param guests part of a cell for guests of sick ones, 0 to 0.5
- * @param quarantine whether a twentieth of the servers is reserved for units that flood
- * @param harm what happens after a third of the time
- * @param size of the harm: the part of all traffic that one unit adds, or of the servers that turn slow
- * @param seconds of the whole run
+ * @param units units that send requests, 1 or more
+ * @param skew exponent of the Zipf distribution of requests over units
+ * @param load load of the servers before the harm, as a fraction of their capacity; above 0
+ * @param cells number of cells; 1 for one pool without cells
+ * @param guests share of a cell reserved for requests from unhealthy cells, 0 to 0.5
+ * @param quarantine whether 5% of the servers are reserved for units that flood
+ * @param harm disturbance that starts after a third of the run
+ * @param size size of the harm: traffic that one unit adds as a fraction of all traffic, or fraction of the servers
+ *     that turn slow
+ * @param seconds length of the whole run, 3 or more
  */
 public record Scenario(
         int servers,
@@ -29,19 +30,19 @@
         int seconds,
         long seed) {
 
-    /** What happens after a third of the time and lasts. */
+    /** Disturbance that starts after a third of the run and lasts to its end. */
     public enum Harm {
-        /** Nothing. */
+        /** No disturbance. */
         NONE,
-        /** One unit asks for far more, as a client does that retries without end. */
+        /** One unit sends far more requests, like a client that retries without limit. */
         FLOOD,
         /** A release makes servers eight times slower, cell by cell where there are cells. */
         RELEASE,
         /** The most popular unit moves to another cell. */
         MOVE,
-        /** The same with a fence for its writes. */
+        /** As {@link #MOVE}, with the unit's writes held until those at the old cell have ended. */
         FENCED_MOVE,
-        /** The same with a freeze of its writes at all sidecars. */
+        /** As {@link #MOVE}, with the unit's writes refused by all sidecars for the time of the freeze. */
         FROZEN_MOVE
     }
 
--- a/src/main/java/org/cypressweir/simulation/SimulatedNetwork.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedNetwork.java
@@ -6,65 +6,72 @@
 import java.util.SplittableRandom;
 
 /**
- * Processes that send each other datagrams, in made-up time: messages take a while, get lost, come twice or
- * out of order, pairs are cut in one direction or both, and processes stand still, die and start anew. What a
- * process is sent while it stands still waits for it, as in a socket's buffer.
+ * Datagram network between processes in simulated time (microseconds). Messages are delayed, lost, duplicated and
+ * reordered; nodes can be partitioned in one or both directions; processes can be paused, killed and restarted.
+ * Messages to a paused process are buffered, as in a socket buffer.
  */
 public final class SimulatedNetwork<M> {
 
-    /** A process; it is called at least once a beat while it runs. */
+    /** A process; it is ticked at its tick interval while it runs. */
     public interface Process<M> {
         void tick(long now);
 
         void receive(long now, M message);
     }
 
-    /** Whether what one sends to another arrives. */
+    /** Decides whether messages from one node reach another. */
     public interface Partition {
-        boolean lets(int from, int to);
-    }
-
-    /** What the network does to a datagram: parts of them, 0 to 1, and times in microseconds. */
-    public record Weather(
-            double lost, double doubled, double late, long lateMicros, long leastMicros, long mostMicros) {
-        /** A quiet network of one site. */
-        public static final Weather FAIR = new Weather(0, 0, 0, 0, 200, 2_000);
-
-        /** The same with a part of all datagrams lost, and some doubled and late. */
-        public static Weather losing(double part) {
-            return new Weather(part, part / 4, part / 4, 300_000, 200, 5_000);
+        boolean delivers(int from, int to);
+    }
+
+    /** Loss, duplication and delay of datagrams; rates from 0 to 1, times in microseconds. */
+    public record Conditions(
+            double lossRate,
+            double duplicateRate,
+            double delayRate,
+            long maxExtraDelayMicros,
+            long minLatencyMicros,
+            long maxLatencyMicros) {
+        /** A network within one site, without loss. */
+        public static final Conditions RELIABLE = new Conditions(0, 0, 0, 0, 200, 2_000);
+
+        /**
+         * Loses the given share of all datagrams; a quarter of that share is duplicated, and another quarter delayed.
+         */
+        public static Conditions lossy(double lossRate) {
+            return new Conditions(lossRate, lossRate / 4, lossRate / 4, 300_000, 200, 5_000);
         }
     }
 
-    /** Datagrams that wait for a process that stands still, at most. */
-    private static final int BUFFER = 2_000;
+    /** Datagrams buffered for a paused process; further ones are lost. */
+    private static final int MAX_BUFFERED_DATAGRAMS = 2_000;
 
-    private static final class Place<M> {
+    private static final class Node<M> {
         Process<M> process;
-        long beat;
-        /** Rises with each start, so that ticks of an earlier process are void. */
-        int start;
+        long tickMicros;
+        /** Incremented on each start, so that pending ticks of an earlier process are ignored. */
+        int generation;
 
-        boolean stopped;
-        final List<M> waiting = new ArrayList<>();
+        boolean paused;
+        final List<M> buffered = new ArrayList<>();
         long sent;
     }
 
-    private record Event<M>(long at, long number, int place, int start, M message, Runnable task)
+    private record Event<M>(long at, long sequence, int node, int generation, M message, Runnable task)
             implements Comparable<Event<M>> {
         @Override
-        public int compareTo(Event<M> o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
+        public int compareTo(Event<M> other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Event<M>> events = new PriorityQueue<>();
-    private final List<Place<M>> places = new ArrayList<>();
+    private final List<Node<M>> nodes = new ArrayList<>();
     private final SplittableRandom random;
-    private Weather weather = Weather.FAIR;
-    private Partition cut = (from, to) -> true;
+    private Conditions conditions = Conditions.RELIABLE;
+    private Partition partition = (from, to) -> true;
     private long now = 1_000_000;
-    private long numbers;
+    private long nextSequence;
     private long sent;
 
     public SimulatedNetwork(long seed) {
@@ -75,126 +82,130 @@
         return now;
     }
 
-    /** Datagrams sent by all so far. */
+    /** Number of datagrams sent by all nodes so far. */
     public long sent() {
         return sent;
     }
 
-    public long sent(int place) {
-        return places.get(place).sent;
+    public long sent(int node) {
+        return nodes.get(node).sent;
     }
 
-    public void weather(Weather next) {
-        weather = next;
+    public void setConditions(Conditions next) {
+        conditions = next;
     }
 
-    public void cut(Partition next) {
-        cut = next;
+    public void setPartition(Partition next) {
+        partition = next;
     }
 
-    /** A place for a process; its number. */
-    public int place() {
-        places.add(new Place<>());
-        return places.size() - 1;
+    /** Adds a node without a process and returns its index. */
+    public int addNode() {
+        nodes.add(new Node<>());
+        return nodes.size() - 1;
     }
 
-    /** Runs a process at a place, in the stead of one that ran there. */
-    public void start(int at, long beat, Process<M> process) {
-        Place<M> place = places.get(at);
-        place.process = process;
-        place.beat = beat;
-        place.start++;
-        place.stopped = false;
-        place.waiting.clear();
-        add(now + random.nextLong(beat), at, place.start, null, null);
+    /** Starts a process on a node, replacing the previous one. */
+    public void start(int nodeId, long tickMicros, Process<M> process) {
+        Node<M> node = nodes.get(nodeId);
+        node.process = process;
+        node.tickMicros = tickMicros;
+        node.generation++;
+        node.paused = false;
+        node.buffered.clear();
+        add(now + random.nextLong(tickMicros), nodeId, node.generation, null, null);
     }
 
-    public void kill(int at) {
-        Place<M> place = places.get(at);
-        place.process = null;
-        place.start++;
-        place.waiting.clear();
+    public void kill(int nodeId) {
+        Node<M> node = nodes.get(nodeId);
+        node.process = null;
+        node.generation++;
+        node.buffered.clear();
     }
 
-    public boolean runs(int at) {
-        return places.get(at).process != null;
+    public boolean isRunning(int nodeId) {
+        return nodes.get(nodeId).process != null;
     }
 
-    /** Stands still from now on, and hears nothing. */
-    public void stop(int at) {
-        places.get(at).stopped = true;
+    /** Pauses the process: it is neither ticked nor does it receive messages. */
+    public void pause(int nodeId) {
+        nodes.get(nodeId).paused = true;
     }
 
-    /** Goes on; what has come meanwhile is there, and its timers are late. */
-    public void go(int at) {
-        Place<M> place = places.get(at);
-        if (!place.stopped || place.process == null) {
+    /** Resumes a paused process: it receives the buffered messages, and its timers fire late. */
+    public void resume(int nodeId) {
+        Node<M> node = nodes.get(nodeId);
+        if (!node.paused || node.process == null) {
             return;
         }
-        place.stopped = false;
-        place.start++;
-        boolean first = random.nextBoolean();
-        if (first) {
-            place.process.tick(now);
+        node.paused = false;
+        node.generation++;
+        boolean ticksFirst = random.nextBoolean();
+        if (ticksFirst) {
+            node.process.tick(now);
         }
-        for (M m : List.copyOf(place.waiting)) {
-            place.process.receive(now, m);
+        for (M message : List.copyOf(node.buffered)) {
+            node.process.receive(now, message);
         }
-        place.waiting.clear();
-        add(now + (first ? place.beat : 0), at, place.start, null, null);
+        node.buffered.clear();
+        add(now + (ticksFirst ? node.tickMicros : 0), nodeId, node.generation, null, null);
     }
 
-    /** Runs something at a time. */
-    public void at(long time, Runnable task) {
+    /** Runs a task at the given time. */
+    public void schedule(long time, Runnable task) {
         add(time, -1, 0, null, task);
     }
 
     public void send(int from, int to, M message) {
         sent++;
-        places.get(from).sent++;
-        if (to < 0 || to >= places.size() || !cut.lets(from, to) || random.nextDouble() < weather.lost) {
+        nodes.get(from).sent++;
+        if (to < 0
+                || to >= nodes.size()
+                || !partition.delivers(from, to)
+                || random.nextDouble() < conditions.lossRate) {
             return;
         }
         deliver(to, message);
-        if (random.nextDouble() < weather.doubled) {
+        if (random.nextDouble() < conditions.duplicateRate) {
             deliver(to, message);
         }
     }
 
     private void deliver(int to, M message) {
-        long takes = weather.leastMicros + random.nextLong(1 + weather.mostMicros - weather.leastMicros);
-        if (weather.late > 0 && random.nextDouble() < weather.late) {
-            takes += random.nextLong(weather.lateMicros);
+        long latency = conditions.minLatencyMicros
+                + random.nextLong(1 + conditions.maxLatencyMicros - conditions.minLatencyMicros);
+        if (conditions.delayRate > 0 && random.nextDouble() < conditions.delayRate) {
+            latency += random.nextLong(conditions.maxExtraDelayMicros);
         }
-        add(now + takes, to, -1, message, null);
+        add(now + latency, to, -1, message, null);
     }
 
-    private void add(long at, int place, int start, M message, Runnable task) {
-        events.add(new Event<>(at, numbers++, place, start, message, task));
+    private void add(long at, int node, int generation, M message, Runnable task) {
+        events.add(new Event<>(at, nextSequence++, node, generation, message, task));
     }
 
-    /** Plays up to this time. */
+    /** Runs all events up to the given time. */
     public void run(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
-            Event<M> e = events.poll();
-            now = Math.max(now, e.at);
-            if (e.task != null) {
-                e.task.run();
+            Event<M> event = events.poll();
+            now = Math.max(now, event.at);
+            if (event.task != null) {
+                event.task.run();
                 continue;
             }
-            Place<M> place = places.get(e.place);
-            if (place.process == null) {
+            Node<M> node = nodes.get(event.node);
+            if (node.process == null) {
                 continue;
             }
-            if (e.message != null) {
-                if (!place.stopped) {
-                    place.process.receive(now, e.message);
-                } else if (place.waiting.size() < BUFFER) {
-                    place.waiting.add(e.message);
+            if (event.message != null) {
+                if (!node.paused) {
+                    node.process.receive(now, event.message);
+                } else if (node.buffered.size() < MAX_BUFFERED_DATAGRAMS) {
+                    node.buffered.add(event.message);
                 }
-            } else if (e.start == place.start && !place.stopped) {
-                place.process.tick(now);
-                add(now + place.beat, e.place, place.start, null, null);
+            } else if (event.generation == node.generation && !node.paused) {
+                node.process.tick(now);
+                add(now + node.tickMicros, event.node, node.generation, null, null);
             }
         }
         now = Math.max(now, until);
--- a/src/main/java/org/cypressweir/simulation/SimulatedServer.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedServer.java
@@ -5,17 +5,17 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 
 /**
- * A server: some cores, a queue in the order of arrival, work on a core and then a wait on others without
- * one. It turns away what finds its queue full, and drops what waits and was given up.
+ * Simulated server with several cores and a FIFO queue. A request works on a core, then waits on dependencies without
+ * occupying one. Requests that find the queue full are rejected; queued requests that were abandoned are dropped.
  */
 final class SimulatedServer {
 
-    /** Requests that may wait for each core. */
-    private static final int QUEUE = 4;
+    /** Queue capacity per core. */
+    private static final int MAX_QUEUED_PER_CORE = 4;
 
-    private static final long REPORT_EVERY = 200_000;
+    private static final long REPORT_INTERVAL_MICROS = 200_000;
 
-    /** One sending of a request, as the server sees it. */
+    /** An attempt of a request, as the server sees it. */
     interface Job {
         long workMicros();
 
@@ -23,64 +23,65 @@
 
         boolean abandoned();
 
-        /** It begins to run. */
-        void runs();
+        /** Called when the attempt starts to run on a core. */
+        void started();
 
-        void ends(Result result, LoadReport report);
+        void finished(Result result, LoadReport report);
     }
 
     final long id;
     final int cores;
     private final double speed;
-    private final EventTimeline time;
+    private final EventTimeline timeline;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private double slow = 1;
+    private double slowdown = 1;
     private int busy;
     private double busyMicros;
     private long busySince;
     private long reportedAt;
-    private double use;
+    private double utilization;
 
-    SimulatedServer(long id, int cores, double speed, EventTimeline time) {
+    SimulatedServer(long id, int cores, double speed, EventTimeline timeline) {
         this.id = id;
         this.cores = cores;
         this.speed = speed;
-        this.time = time;
-        reportedAt = time.now();
-        busySince = time.now();
+        this.timeline = timeline;
+        reportedAt = timeline.now();
+        busySince = timeline.now();
     }
 
-    /** Core seconds of work a second, at the yardstick's speed. */
+    /** Work per second, in core seconds of a reference core with speed 1. */
     double capacity() {
         return cores * speed;
     }
 
-    /** From now on work takes so many times as long. */
-    void slow(double times) {
-        slow = times;
+    /** Sets the factor by which work and waits take longer from now on. */
+    void slowDown(double factor) {
+        slowdown = factor;
     }
 
-    void arrives(Job job) {
+    void submit(Job job) {
         if (job.abandoned()) {
             return;
         }
         if (busy < cores) {
             run(job);
-        } else if (queue.size() < QUEUE * cores) {
+        } else if (queue.size() < MAX_QUEUED_PER_CORE * cores) {
             queue.add(job);
         } else {
-            job.ends(Result.FULL, report());
+            job.finished(Result.FULL, report());
         }
     }
 
     private void run(Job job) {
-        count();
+        accumulateBusyTime();
         busy++;
-        job.runs();
-        time.at(time.now() + (long) (job.workMicros() * slow / speed), () -> {
-            count();
+        job.started();
+        timeline.schedule(timeline.now() + (long) (job.workMicros() * slowdown / speed), () -> {
+            accumulateBusyTime();
             busy--;
-            time.at(time.now() + (long) (job.waitMicros() * slow), () -> job.ends(Result.SERVED, report()));
+            timeline.schedule(
+                    timeline.now() + (long) (job.waitMicros() * slowdown), () -> job.finished(Result.SERVED, report()));
             for (Job next; busy < cores && (next = queue.poll()) != null; ) {
                 if (!next.abandoned()) {
                     run(next);
@@ -89,19 +90,19 @@
         });
     }
 
-    private void count() {
-        busyMicros += busy * (double) (time.now() - busySince);
-        busySince = time.now();
+    private void accumulateBusyTime() {
+        busyMicros += busy * (double) (timeline.now() - busySince);
+        busySince = timeline.now();
     }
 
     private LoadReport report() {
-        count();
-        long past = time.now() - reportedAt;
-        if (past >= REPORT_EVERY) {
-            use = busyMicros / (past * (double) cores);
+        accumulateBusyTime();
+        long elapsed = timeline.now() - reportedAt;
+        if (elapsed >= REPORT_INTERVAL_MICROS) {
+            utilization = busyMicros / (elapsed * (double) cores);
             busyMicros = 0;
-            reportedAt = time.now();
+            reportedAt = timeline.now();
         }
-        return new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
+        return new LoadReport(Double.NaN, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
     }
 }
--- a/src/main/java/org/cypressweir/simulation/SimulatedSidecar.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedSidecar.java
@@ -23,85 +23,95 @@
 import org.cypressweir.sidecar.cell.Cells.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 
-/** A sidecar of the model: the real decisions about cells and servers, on made-up time. */
+/** Simulated sidecar that runs the production cell routing and load balancing in simulated time. */
 final class SimulatedSidecar implements Cells.Actions {
 
-    /** Microseconds from a sidecar to a server or back. */
-    private static final long WAY = 5_000;
+    /** One-way network delay between sidecar and server. */
+    private static final long NETWORK_DELAY_MICROS = 5_000;
 
-    /** Hears how each request ended. */
-    interface Account {
-        /** It is sent to a server. */
-        default void sent(Asked asked, SimulatedServer machine) {}
+    /** Listener for the progress of requests. */
+    interface RequestListener {
+        /** An attempt of the request is sent to a server. */
+        default void requestSent(SimulatedRequest request, SimulatedServer machine) {}
 
-        /** One sending of it begins or ends to run, in a cell. */
-        default void ran(Asked asked, int cell, boolean begins) {}
+        /** An attempt of the request starts or finishes running in a cell. */
+        default void executionChanged(SimulatedRequest request, int cell, boolean started) {}
 
-        /** Its one answer; served or not. */
-        void answered(Asked asked, boolean served);
+        /** The client receives the only answer to the request. */
+        void requestAnswered(SimulatedRequest request, boolean served);
     }
 
-    /** A request of the model. */
-    static final class Asked {
+    /** A simulated request; times in microseconds. */
+    static final class SimulatedRequest {
         final String id;
         final int unit;
         final int requestClass;
-        final long at;
+        final long arrivedAt;
         final long deadline;
-        final long work;
-        final long wait;
-        int runs;
+        final long workMicros;
+        final long waitMicros;
+        int executions;
         int answers;
         private Ticket ticket;
-        private int out;
-        private boolean over;
+        private int attemptsInFlight;
+        private boolean isAnswered;
         private final List<Attempt> attempts = new ArrayList<>(1);
 
-        Asked(String id, int unit, int requestClass, long at, long deadline, long work, long wait) {
+        SimulatedRequest(
+                String id,
+                int unit,
+                int requestClass,
+                long arrivedAt,
+                long deadline,
+                long workMicros,
+                long waitMicros) {
             this.id = id;
             this.unit = unit;
             this.requestClass = requestClass;
-            this.at = at;
+            this.arrivedAt = arrivedAt;
             this.deadline = deadline;
-            this.work = work;
-            this.wait = wait;
+            this.workMicros = workMicros;
+            this.waitMicros = waitMicros;
         }
     }
 
-    private final EventTimeline time;
+    private final EventTimeline timeline;
     private final Settings settings;
-    private final Account account;
-    private final LongFunction<SimulatedServer> machines;
-    private final List<Part> parts = new ArrayList<>();
-    /** Null where all servers are one pool. */
+    private final RequestListener listener;
+    private final LongFunction<SimulatedServer> serverById;
+    private final List<CellBalancer> balancers = new ArrayList<>();
+    /** Null if all servers form one pool without cells. */
     private final Cells cells;
 
-    private final Map<Ticket, Asked> held = new IdentityHashMap<>();
+    private final Map<Ticket, SimulatedRequest> heldRequests = new IdentityHashMap<>();
 
-    /** @param plan null for no cells */
+    /** @param cellsConfiguration null for one pool without cells */
     SimulatedSidecar(
-            EventTimeline time,
+            EventTimeline timeline,
             Settings settings,
-            CellsConfiguration plan,
+            CellsConfiguration cellsConfiguration,
             List<Server> servers,
-            Account account,
-            LongFunction<SimulatedServer> machines) {
-        this.time = time;
+            RequestListener listener,
+            LongFunction<SimulatedServer> serverById) {
+        this.timeline = timeline;
         this.settings = settings;
-        this.account = account;
-        this.machines = machines;
-        int count = plan == null ? 1 : plan.cells().size();
-        cells = plan == null ? null : new Cells("lab", plan, settings.limits().open(), time.now(), this);
+        this.listener = listener;
+        this.serverById = serverById;
+        int count = cellsConfiguration == null ? 1 : cellsConfiguration.cells().size();
+        cells = cellsConfiguration == null
+                ? null
+                : new Cells("lab", cellsConfiguration, settings.limits().open(), timeline.now(), this);
         if (cells != null) {
-            cells.listed(time.now(), ListKind.COMPLETE, servers);
+            cells.listed(timeline.now(), ListKind.COMPLETE, servers);
         }
         for (int c = 0; c < count; c++) {
             int cell = c;
-            parts.add(new Part(c));
-            parts.get(c)
-                    .module
+            balancers.add(new CellBalancer(c));
+            balancers
+                    .get(c)
+                    .loadBalancer
                     .servers(
-                            time.now(),
+                            timeline.now(),
                             ListKind.COMPLETE,
                             servers.stream()
                                     .filter(s -> cells == null || cells.cellOf(s.id()) == cell)
@@ -109,69 +119,70 @@
         }
     }
 
-    /** Changes of the list, to an instance without cells. */
-    void listed(ListKind kind, List<Server> changes) {
-        parts.get(0).module.servers(time.now(), kind, changes);
+    /** Applies changes of the server list; only for a sidecar without cells. */
+    void updateServers(ListKind kind, List<Server> changes) {
+        balancers.get(0).loadBalancer.servers(timeline.now(), kind, changes);
     }
 
-    /** The cell that a request of a unit goes to is for {@link Cells} to say; there its module has it. */
-    void take(Asked asked) {
+    /** Routes a request to the load balancer of the cell that {@link Cells} selects for its unit. */
+    void handle(SimulatedRequest request) {
         if (cells == null) {
-            parts.get(0).take(asked);
+            balancers.get(0).handle(request);
             return;
         }
-        RequestClass c = settings.classes().get(asked.requestClass);
-        long hash = Hashes.mix(Ids.of(asked.id), 0);
-        asked.ticket = cells.ask(time.now(), Ids.of("u" + asked.unit), c.effect(), hash, hash, asked.deadline);
-        if (asked.ticket.retryAfterMicros() > 0) {
-            asked.over = true;
-            asked.answers++;
-            account.answered(asked, false);
-        } else if (asked.ticket.cell() < 0) {
-            held.put(asked.ticket, asked);
+        RequestClass requestClass = settings.classes().get(request.requestClass);
+        long hash = Hashes.mix(Ids.of(request.id), 0);
+        request.ticket = cells.ask(
+                timeline.now(), Ids.of("u" + request.unit), requestClass.effect(), hash, hash, request.deadline);
+        if (request.ticket.retryAfterMicros() > 0) {
+            request.isAnswered = true;
+            request.answers++;
+            listener.requestAnswered(request, false);
+        } else if (request.ticket.cell() < 0) {
+            heldRequests.put(request.ticket, request);
         } else {
-            parts.get(asked.ticket.cell()).take(asked);
+            balancers.get(request.ticket.cell()).handle(request);
         }
     }
 
     @Override
     public void release(Ticket ticket) {
-        time.at(time.now(), () -> parts.get(ticket.cell()).take(held.remove(ticket)));
+        timeline.schedule(timeline.now(), () -> balancers.get(ticket.cell()).handle(heldRequests.remove(ticket)));
     }
 
     @Override
     public void timer(long atMicros) {
-        time.at(atMicros, () -> cells.timer(time.now()));
+        timeline.schedule(atMicros, () -> cells.timer(timeline.now()));
     }
 
     @Override
     public void log(String line) {
-        // The model counts what happens; it has no operators.
+        // The simulation reports counts only.
     }
 
     private final class Attempt implements SimulatedServer.Job {
-        final Part part;
-        final Asked asked;
+        final CellBalancer balancer;
+        final SimulatedRequest request;
         final int number;
-        final SimulatedServer machine;
-        final long sentAt = time.now();
+        final SimulatedServer server;
+        final long sentAt = timeline.now();
         private Result result;
 
-        Attempt(Part part, Asked asked, SimulatedServer machine) {
-            this.part = part;
-            this.asked = asked;
-            this.machine = machine;
-            number = asked.attempts.size();
+        Attempt(CellBalancer balancer, SimulatedRequest request, SimulatedServer server) {
+            this.balancer = balancer;
+            this.request = request;
+            this.server = server;
+            number = request.attempts.size();
         }
 
         @Override
         public long workMicros() {
-            return asked.work;
+            return request.workMicros;
         }
 
         @Override
         public long waitMicros() {
-            return asked.wait;
+            return request.waitMicros;
         }
 
         @Override
@@ -180,95 +191,107 @@
         }
 
         @Override
-        public void runs() {
-            asked.runs++;
-            account.ran(asked, part.cell, true);
+        public void started() {
+            request.executions++;
+            listener.executionChanged(request, balancer.cell, true);
         }
 
         @Override
-        public void ends(Result outcome, LoadReport report) {
+        public void finished(Result outcome, LoadReport report) {
             if (outcome == Result.SERVED) {
-                account.ran(asked, part.cell, false);
+                listener.executionChanged(request, balancer.cell, false);
             }
-            time.at(time.now() + WAY, () -> part.ended(this, outcome, report));
+            timeline.schedule(
+                    timeline.now() + NETWORK_DELAY_MICROS, () -> balancer.attemptEnded(this, outcome, report));
         }
     }
 
-    /** One module with its requests. */
-    private final class Part implements Actions {
-        private final LoadBalancer module = new SubsetLoadBalancer(settings, this);
-        private final Map<String, Asked> inHand = new HashMap<>();
+    /** The load balancer of one cell and the requests it handles. */
+    private final class CellBalancer implements Actions {
+        private final LoadBalancer loadBalancer = new SubsetLoadBalancer(settings, this);
+        private final Map<String, SimulatedRequest> requestsById = new HashMap<>();
         private final int cell;
 
-        Part(int cell) {
+        CellBalancer(int cell) {
             this.cell = cell;
         }
 
-        void take(Asked asked) {
-            inHand.put(asked.id, asked);
-            time.at(asked.deadline + 5_000, () -> {
-                if (!asked.over) {
-                    over(asked, false);
-                    module.clientLeft(time.now(), asked.id);
+        void handle(SimulatedRequest request) {
+            requestsById.put(request.id, request);
+            timeline.schedule(request.deadline + 5_000, () -> {
+                if (!request.isAnswered) {
+                    complete(request, false);
+                    loadBalancer.clientLeft(timeline.now(), request.id);
                 }
             });
-            module.request(
-                    time.now(),
-                    new Request(asked.id, asked.requestClass, 0, false, asked.unit, asked.deadline, 0, false));
+            loadBalancer.request(
+                    timeline.now(),
+                    new Request(request.id, request.requestClass, 0, false, request.unit, request.deadline, 0, false));
         }
 
-        void ended(Attempt a, Result result, LoadReport report) {
-            if (a.result != null) {
+        void attemptEnded(Attempt attempt, Result result, LoadReport report) {
+            if (attempt.result != null) {
                 return;
             }
-            a.result = result;
-            Asked asked = a.asked;
-            asked.out--;
-            if (result == Result.SERVED && !asked.over) {
-                over(asked, true);
+            attempt.result = result;
+            SimulatedRequest request = attempt.request;
+            request.attemptsInFlight--;
+            if (result == Result.SERVED && !request.isAnswered) {
+                complete(request, true);
             }
-            module.outcome(
-                    time.now(),
-                    new Outcome(asked.id, a.number, a.machine.id, result, time.now() - a.sentAt, asked.over, report));
-            forget(asked);
+            loadBalancer.outcome(
+                    timeline.now(),
+                    new Outcome(
+                            request.id,
+                            attempt.number,
+                            attempt.server.id,
+                            result,
+                            timeline.now() - attempt.sentAt,
+                            request.isAnswered,
+                            report));
+            removeIfDone(request);
         }
 
-        private void over(Asked asked, boolean served) {
-            asked.over = true;
-            asked.answers++;
-            account.answered(asked, served);
-            if (asked.ticket != null) {
+        private void complete(SimulatedRequest request, boolean served) {
+            request.isAnswered = true;
+            request.answers++;
+            listener.requestAnswered(request, served);
+            if (request.ticket != null) {
                 cells.answered(
-                        time.now(),
-                        asked.ticket,
+                        timeline.now(),
+                        request.ticket,
                         served
-                                && time.now() - asked.at
+                                && timeline.now() - request.arrivedAt
                                         <= settings.classes()
-                                                .get(asked.requestClass)
+                                                .get(request.requestClass)
                                                 .aimMicros());
             }
-            forget(asked);
+            removeIfDone(request);
         }
 
-        private void forget(Asked asked) {
-            if (asked.over && asked.out == 0 && inHand.remove(asked.id, asked) && asked.ticket != null) {
-                cells.ended(time.now(), asked.ticket);
+        private void removeIfDone(SimulatedRequest request) {
+            if (request.isAnswered
+                    && request.attemptsInFlight == 0
+                    && requestsById.remove(request.id, request)
+                    && request.ticket != null) {
+                cells.ended(timeline.now(), request.ticket);
             }
         }
 
         @Override
         public void send(String requestId, long server, long timeoutMicros) {
-            Asked asked = inHand.get(requestId);
-            if (asked == null) {
+            SimulatedRequest request = requestsById.get(requestId);
+            if (request == null) {
                 return;
             }
-            Attempt a = new Attempt(this, asked, machines.apply(server));
-            asked.attempts.add(a);
-            account.sent(asked, a.machine);
-            asked.out++;
-            long until = timeoutMicros == 0 ? asked.deadline : Math.min(asked.deadline, time.now() + timeoutMicros);
-            time.at(time.now() + WAY, () -> a.machine.arrives(a));
-            time.at(until, () -> ended(a, Result.TIMED_OUT, null));
+            Attempt attempt = new Attempt(this, request, serverById.apply(server));
+            request.attempts.add(attempt);
+            listener.requestSent(request, attempt.server);
+            request.attemptsInFlight++;
+            long until =
+                    timeoutMicros == 0 ? request.deadline : Math.min(request.deadline, timeline.now() + timeoutMicros);
+            timeline.schedule(timeline.now() + NETWORK_DELAY_MICROS, () -> attempt.server.submit(attempt));
+            timeline.schedule(until, () -> attemptEnded(attempt, Result.TIMED_OUT, null));
         }
 
         @Override
@@ -282,44 +305,45 @@
         }
 
         private void answer(String requestId) {
-            Asked asked = inHand.get(requestId);
-            if (asked != null && !asked.over) {
-                over(asked, false);
+            SimulatedRequest request = requestsById.get(requestId);
+            if (request != null && !request.isAnswered) {
+                complete(request, false);
             }
         }
 
-        /** What it ends reaches the module as an event of its own. */
+        /** Cancels an attempt; the load balancer receives the outcome as a separate event. */
         @Override
         public void cancel(String requestId, int attempt) {
-            Asked asked = inHand.get(requestId);
-            if (asked != null && attempt < asked.attempts.size()) {
-                time.at(time.now(), () -> ended(asked.attempts.get(attempt), Result.CANCELLED, null));
+            SimulatedRequest request = requestsById.get(requestId);
+            if (request != null && attempt < request.attempts.size()) {
+                timeline.schedule(
+                        timeline.now(), () -> attemptEnded(request.attempts.get(attempt), Result.CANCELLED, null));
             }
         }
 
         @Override
         public void timer(long atMicros, long token) {
-            time.at(atMicros, () -> module.timer(time.now(), token));
+            timeline.schedule(atMicros, () -> loadBalancer.timer(timeline.now(), token));
         }
 
         @Override
         public void probe(long server) {
-            // As on the platform: probes are not allowed.
+            // The platform does not allow probes.
         }
 
         @Override
         public void closeIdle(long server) {
-            // Connections cost nothing in the model.
+            // Connections cost nothing in the simulation.
         }
 
         @Override
         public void subscribe() {
-            // The list of the start holds.
+            // The server list is given at construction; QuietFleetSimulation pushes changes.
         }
 
         @Override
         public void log(String line) {
-            // The model counts what happens; it has no operators.
+            // The simulation reports counts only.
         }
     }
 }
--- a/src/main/java/org/cypressweir/simulation/Workload.java
+++ b/src/main/java/org/cypressweir/simulation/Workload.java
@@ -3,49 +3,49 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** What clients ask for: units by Zipf's law, classes by their shares, times exponential. */
+/** Random client requests: units follow a Zipf distribution, classes their shares, arrivals a Poisson process. */
 final class Workload {
 
     private final SplittableRandom random;
-    private final double[] units;
-    private final double[] classes;
+    private final double[] cumulativeUnitShares;
+    private final double[] cumulativeClassShares;
 
     /**
-     * @param count of units, 1 or more
-     * @param skew exponent of Zipf's law; 0 for units that all ask for as much
-     * @param classShares one for each class, together 1
+     * @param unitCount number of units, 1 or more
+     * @param skew exponent of the Zipf distribution; 0 if all units send equally many requests
+     * @param classShares share of each request class; they add up to 1
      */
-    Workload(SplittableRandom random, int count, double skew, double... classShares) {
+    Workload(SplittableRandom random, int unitCount, double skew, double... classShares) {
         this.random = random;
-        units = new double[count];
+        cumulativeUnitShares = new double[unitCount];
         double sum = 0;
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < unitCount; i++) {
             sum += Math.pow(i + 1.0, -skew);
-            units[i] = sum;
+            cumulativeUnitShares[i] = sum;
         }
-        for (int i = 0; i < count; i++) {
-            units[i] /= sum;
+        for (int i = 0; i < unitCount; i++) {
+            cumulativeUnitShares[i] /= sum;
         }
-        classes = classShares.clone();
-        Arrays.parallelPrefix(classes, Double::sum);
+        cumulativeClassShares = classShares.clone();
+        Arrays.parallelPrefix(cumulativeClassShares, Double::sum);
     }
 
-    /** The place of a unit, the most popular first. */
+    /** Draws the index of a unit; lower indexes are more popular. */
     int unit() {
-        return at(units);
+        return draw(cumulativeUnitShares);
     }
 
     int requestClass() {
-        return at(classes);
+        return draw(cumulativeClassShares);
     }
 
-    /** Microseconds until the next of so many a second. */
-    long pause(double rate) {
+    /** Draws the microseconds until the next arrival, at a mean rate per second. */
+    long nextArrivalMicros(double rate) {
         return (long) (-Math.log(1 - random.nextDouble()) / rate * 1e6);
     }
 
-    private int at(double[] sums) {
-        int found = Arrays.binarySearch(sums, random.nextDouble());
-        return Math.min(sums.length - 1, found < 0 ? -found - 1 : found);
+    private int draw(double[] cumulativeShares) {
+        int found = Arrays.binarySearch(cumulativeShares, random.nextDouble());
+        return Math.min(cumulativeShares.length - 1, found < 0 ? -found - 1 : found);
     }
 }
--- a/src/main/java/org/cypressweir/simulation/package-info.java
+++ b/src/main/java/org/cypressweir/simulation/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Simulated fleets in simulated time: the real decisions run against a network and servers that are models.
+ * Simulations of whole fleets in simulated time: production code runs against a simulated network and servers.
  */
 package org.cypressweir.simulation;
--- a/src/test/java/org/cypressweir/simulation/CellsSimulationTest.java
+++ b/src/test/java/org/cypressweir/simulation/CellsSimulationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The model of a fleet: what it says of cells, and that its own books are right. */
+/** Checks the results of {@link CellsSimulation} and that its counts are consistent. */
 class CellsSimulationTest {
 
     private static Scenario scenario(int cells, double guests, boolean quarantine, Harm harm, double size) {
@@ -32,21 +32,23 @@
         assertEquals(CellsSimulation.play(s), CellsSimulation.play(s));
     }
 
-    /** The point of cells: of a flood that is too much for all, about one unit in so many cells notices. */
+    /** With n cells, a flood that would overload the whole pool affects about one unit in n. */
     @Test
-    void harmStaysInOneCell() {
-        Report none = CellsSimulation.play(scenario(1, 0, false, Harm.FLOOD, 1.5));
-        Report four = CellsSimulation.play(scenario(4, 0, false, Harm.FLOOD, 1.5));
-        Report eased = CellsSimulation.play(scenario(4, 0.1, true, Harm.FLOOD, 1.5));
-        assertTrue(none.noticed() > 0.5, "without cells " + none);
-        assertTrue(four.noticed() < 0.35, "with four " + four);
-        assertTrue(eased.noticed() < four.noticed() / 2, "with guests and quarantine " + eased);
-        assertTrue(four.worthWith() > none.worthWith());
+    void harmIsConfinedToOneCell() {
+        Report onePool = CellsSimulation.play(scenario(1, 0, false, Harm.FLOOD, 1.5));
+        Report fourCells = CellsSimulation.play(scenario(4, 0, false, Harm.FLOOD, 1.5));
+        Report withGuestsAndQuarantine = CellsSimulation.play(scenario(4, 0.1, true, Harm.FLOOD, 1.5));
+        assertTrue(onePool.noticed() > 0.5, "without cells " + onePool);
+        assertTrue(fourCells.noticed() < 0.35, "with four " + fourCells);
+        assertTrue(
+                withGuestsAndQuarantine.noticed() < fourCells.noticed() / 2,
+                "with guests and quarantine " + withGuestsAndQuarantine);
+        assertTrue(fourCells.worthWith() > onePool.worthWith());
     }
 
-    /** Without a freeze sidecars go over one after the other; with one no write is ever at both cells. */
+    /** Without a freeze, sidecars switch cells at different times; with one, writes never run in both cells at once. */
     @Test
-    void aFreezeKeepsWritesApartAcrossSidecars() {
+    void aFreezePreventsOverlappingWritesAcrossSidecars() {
         Scenario moved = new Scenario(48, 6, 50, 1.0, 0.5, 4, 0, false, Harm.MOVE, 0, 36, 7);
         Scenario frozen = new Scenario(48, 6, 50, 1.0, 0.5, 4, 0, false, Harm.FROZEN_MOVE, 0, 36, 7);
         assertTrue(CellsSimulation.play(moved).both() > 0);
@@ -56,7 +58,7 @@
     }
 
     @Test
-    void whatCantBeIsSaid() {
+    void invalidScenarioIsRejectedWithItsValues() {
         IllegalArgumentException e = assertThrows(
                 IllegalArgumentException.class, () -> new Scenario(4, 1, 10, 0, 0.5, 9, 0, false, Harm.NONE, 0, 30, 1));
         assertTrue(e.getMessage().contains("9 cells"));
--- a/src/test/java/org/cypressweir/simulation/LeaseChecks.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseChecks.java
@@ -11,30 +11,30 @@
 /** Guarantees of leases, each checked in simulations with faults drawn from a seed. */
 public final class LeaseChecks {
 
-    private static final long TERM = LeaseWorld.TERM;
-    /** Until grantors that have just started grant anything: they wait, and then learn that nobody knows tokens. */
-    static final long STARTED = 5 * TERM / 2;
+    private static final long TERM_MICROS = SimulatedLeaseFleet.TERM_MICROS;
+    /** Time until just started grantors grant leases: they stay silent first, then learn that no tokens are in use. */
+    static final long STARTUP_MICROS = 5 * TERM_MICROS / 2;
 
     private LeaseChecks() {}
 
-    private static void hold(boolean holds, String what, long seed) {
-        if (!holds) {
-            throw new AssertionError(what + ", seed " + seed);
+    private static void require(boolean condition, String failure, long seed) {
+        if (!condition) {
+            throw new AssertionError(failure + ", seed " + seed);
         }
     }
 
-    /** How a check is broken by a seed, or null. */
+    /** Describes the violation of a check for a seed, or null; called by reflection. */
     public static String broken(String check, long seed) {
         try {
             switch (check) {
-                case "faults" -> faults(seed, LeaseWorld.DRIFT, false);
-                case "wall clocks" -> faults(seed, LeaseWorld.DRIFT, true);
+                case "faults" -> randomFaults(seed, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+                case "wall clocks" -> randomFaults(seed, SimulatedLeaseFleet.CLOCK_DRIFT, true);
                 case "progress" -> progress(seed);
                 case "takeover" -> takeover(seed);
                 case "handover" -> handover(seed);
-                case "one way" -> oneWay(seed);
-                case "quiet" -> quiet(seed);
-                case "forgetful" -> forgetful(seed);
+                case "one way" -> oneWayPartition(seed);
+                case "quiet" -> stability(seed);
+                case "forgetful" -> restartedGrantors(seed);
                 case "late answers" -> lateAnswers(seed);
                 case "keepers" -> replacedGrantors(seed);
                 default -> throw new IllegalArgumentException(check);
@@ -46,209 +46,242 @@
     }
 
     /**
-     * Faults one after the other and at once: never two holders, and tokens rise. Where clocks of the wall
-     * are set to anything, most grantors go on living; all others' fates are as they come.
+     * Under single and combined faults there are never two holders, and fencing tokens increase. If wall clocks are set
+     * arbitrarily, only one grantor is killed or restarted, so that a quorum survives; other processes fail at random.
      */
-    static void faults(long seed, double realDrift, boolean anyWallClock) {
+    static void randomFaults(long seed, double realDrift, boolean anyWallClock) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < 8; run++) {
             int processes = 4 + random.nextInt(4);
             int grantors = random.nextBoolean() ? 3 : 5;
-            LeaseWorld w = new LeaseWorld(
+            SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(
                     seed * 100 + run, processes, processes < 6 ? 3 : grantors, 2, realDrift, anyWallClock);
-            w.run(STARTED);
+            fleet.run(STARTUP_MICROS);
             for (int step = 0; step < 16; step++) {
-                fault(w, random, processes, anyWallClock);
+                injectFault(fleet, random, processes, anyWallClock);
                 if (random.nextInt(3) > 0) {
-                    w.members();
+                    fleet.updateMembers();
                 }
-                w.run(random.nextLong(2 * TERM));
-                List<String> wrong = w.acts.wrong();
-                hold(wrong.isEmpty(), "run " + run + " step " + step + ": " + wrong, seed);
+                fleet.run(random.nextLong(2 * TERM_MICROS));
+                List<String> violations = fleet.history.wrong();
+                require(violations.isEmpty(), "run " + run + " step " + step + ": " + violations, seed);
             }
-            hold(w.acts.count() > 0, "nobody ever acted in run " + run, seed);
+            require(fleet.history.count() > 0, "no lease was ever held in run " + run, seed);
         }
     }
 
-    private static void fault(LeaseWorld w, SplittableRandom random, int processes, boolean quorumLives) {
-        int one = random.nextInt(processes);
-        int other = random.nextInt(processes);
-        int grantors = w.options.grantors().size();
+    private static void injectFault(
+            SimulatedLeaseFleet fleet, SplittableRandom random, int processes, boolean quorumSurvives) {
+        int node = random.nextInt(processes);
+        int otherNode = random.nextInt(processes);
+        int grantors = fleet.options.grantors().size();
         switch (random.nextInt(14)) {
-            case 0 -> w.net.kill(quorumLives && one < grantors ? 0 : one);
-            case 1, 2 -> w.stand(one);
-            case 3 -> w.net.cut((from, to) -> from <= one == to <= one);
-            case 4 -> w.net.cut((from, to) -> from != one || to == other);
-            case 5 -> w.net.cut((from, to) -> to != one || from == other);
-            case 6 -> w.net.weather(SimulatedNetwork.Weather.losing(0.3));
-            case 7 -> w.net.weather(new SimulatedNetwork.Weather(0.1, 0.3, 0.5, 2 * TERM, 200, 50_000));
-            case 8 -> w.start(quorumLives ? 0 : random.nextInt(grantors));
+            case 0 -> fleet.network.kill(quorumSurvives && node < grantors ? 0 : node);
+            case 1, 2 -> fleet.pause(node);
+            case 3 -> fleet.network.setPartition((from, to) -> from <= node == to <= node);
+            case 4 -> fleet.network.setPartition((from, to) -> from != node || to == otherNode);
+            case 5 -> fleet.network.setPartition((from, to) -> to != node || from == otherNode);
+            case 6 -> fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.3));
+            case 7 -> fleet.network.setConditions(
+                    new SimulatedNetwork.Conditions(0.1, 0.3, 0.5, 2 * TERM_MICROS, 200, 50_000));
+            case 8 -> fleet.start(quorumSurvives ? 0 : random.nextInt(grantors));
             case 9 -> {
-                for (int k = 0; k < (quorumLives ? 1 : grantors); k++) {
-                    w.start(k);
+                for (int grantor = 0; grantor < (quorumSurvives ? 1 : grantors); grantor++) {
+                    fleet.start(grantor);
                 }
             }
-            case 10 -> w.all[one].leases.leave(w.all[one].clock(), "told to");
+            case 10 -> fleet.processes[node].leases.leave(fleet.processes[node].clock(), "requested");
             case 11 -> {
-                // Each is cut off from one grantor, and not all from the same one.
-                int[] from = random.ints(processes, 0, grantors).toArray();
-                w.net.cut((a, b) -> from[a] != b && from[b] != a);
+                // Each process is partitioned from one grantor, not all from the same one.
+                int[] unreachableGrantor = random.ints(processes, 0, grantors).toArray();
+                fleet.network.setPartition(
+                        (from, to) -> unreachableGrantor[from] != to && unreachableGrantor[to] != from);
             }
             default -> {
-                w.net.cut((from, to) -> true);
-                w.net.weather(SimulatedNetwork.Weather.FAIR);
+                fleet.network.setPartition((from, to) -> true);
+                fleet.network.setConditions(SimulatedNetwork.Conditions.RELIABLE);
                 for (int i = 0; i < processes; i++) {
-                    if (w.all[i].stands) {
-                        w.go(i);
-                    } else if (!w.net.runs(i)) {
-                        w.start(i);
+                    if (fleet.processes[i].paused) {
+                        fleet.resume(i);
+                    } else if (!fleet.network.isRunning(i)) {
+                        fleet.start(i);
                     }
-                    w.all[i].leases.rejoin();
+                    fleet.processes[i].leases.rejoin();
                 }
             }
         }
     }
 
-    /** Three that have never heard of each other ask at the same instant, again and again. */
+    /**
+     * Processes that do not know each other request a lease at the same time, 20 times: one gets it within two terms.
+     */
     private static void progress(long seed) {
-        LeaseWorld w = new LeaseWorld(seed, 6, 3, 1, 0, false);
-        w.run(STARTED);
-        for (int time = 0; time < 20; time++) {
-            for (LeaseWorld.One one : w.all) {
-                one.leases.leave(one.clock(), "again");
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 6, 3, 1, 0, false);
+        fleet.run(STARTUP_MICROS);
+        for (int round = 0; round < 20; round++) {
+            for (SimulatedLeaseFleet.LeaseProcess process : fleet.processes) {
+                process.leases.leave(process.clock(), "again");
             }
-            w.run(LeaseWorld.BEAT);
-            for (LeaseWorld.One one : w.all) {
-                one.leases.rejoin();
-                one.leases.receive(one.clock(), MembershipSimulation.address(0), hint());
+            fleet.run(SimulatedLeaseFleet.TICK_MICROS);
+            for (SimulatedLeaseFleet.LeaseProcess process : fleet.processes) {
+                process.leases.rejoin();
+                process.leases.receive(process.clock(), MembershipSimulation.address(0), hint());
             }
-            long begun = w.net.now();
-            while (!w.allHeld()) {
-                w.run(LeaseWorld.BEAT / 4);
-                hold(w.net.now() - begun < 2 * TERM, "nobody holds after two terms", seed);
+            long startedAt = fleet.network.now();
+            while (!fleet.allHeld()) {
+                fleet.run(SimulatedLeaseFleet.TICK_MICROS / 4);
+                require(fleet.network.now() - startedAt < 2 * TERM_MICROS, "no holder after two terms", seed);
             }
         }
-        hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
     }
 
-    /** A holder that can only send, or only receive: another has it soon, as long as the cut lasts. */
-    private static void oneWay(long seed) {
-        for (boolean deaf : new boolean[] {true, false}) {
-            LeaseWorld w = new LeaseWorld(seed, 5, 3, 1, LeaseWorld.DRIFT, false);
-            w.members();
-            w.run(STARTED + TERM);
-            int cut = w.holder("task0");
-            hold(cut >= 0, "somebody holds it", seed);
-            w.net.cut((from, to) -> deaf ? to != cut : from != cut);
-            long begun = w.net.now();
-            while (w.holder("task0") < 0 || w.holder("task0") == cut) {
-                w.run(LeaseWorld.BEAT);
-                hold(w.net.now() - begun <= 2 * TERM + 1_000_000, "nobody else has it after two terms", seed);
+    /** A holder that can only send or only receive loses the lease, and another holds it while the partition lasts. */
+    private static void oneWayPartition(long seed) {
+        for (boolean cannotReceive : new boolean[] {true, false}) {
+            SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 5, 3, 1, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+            fleet.updateMembers();
+            fleet.run(STARTUP_MICROS + TERM_MICROS);
+            int partitioned = fleet.holder("task0");
+            require(partitioned >= 0, "the lease has no holder", seed);
+            fleet.network.setPartition((from, to) -> cannotReceive ? to != partitioned : from != partitioned);
+            long startedAt = fleet.network.now();
+            while (fleet.holder("task0") < 0 || fleet.holder("task0") == partitioned) {
+                fleet.run(SimulatedLeaseFleet.TICK_MICROS);
+                require(
+                        fleet.network.now() - startedAt <= 2 * TERM_MICROS + 1_000_000,
+                        "no other holder after two terms",
+                        seed);
             }
-            w.gaps.clear();
-            long sent = w.net.sent(cut);
-            w.run(20 * TERM);
-            // Whoever receives answers as a grantor, too.
-            hold(!deaf || w.net.sent(cut) - sent <= 100, "a deaf one said " + (w.net.sent(cut) - sent), seed);
-            hold(w.gaps.size() <= 5, "lost " + w.gaps.size() + " times while the cut lasts", seed);
-            hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+            fleet.unheldMicros.clear();
+            long sent = fleet.network.sent(partitioned);
+            fleet.run(20 * TERM_MICROS);
+            // A holder that receives messages also responds as a grantor, so its messages are not bounded.
+            require(
+                    !cannotReceive || fleet.network.sent(partitioned) - sent <= 100,
+                    "messages sent by a process that cannot receive: " + (fleet.network.sent(partitioned) - sent),
+                    seed);
+            require(
+                    fleet.unheldMicros.size() <= 5,
+                    "lost " + fleet.unheldMicros.size() + " times during the partition",
+                    seed);
+            require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
         }
     }
 
-    /** Without faults nothing moves, and with a fifth of all words lost hardly anything. */
-    private static void quiet(long seed) {
-        LeaseWorld w = new LeaseWorld(seed, 6, 3, 6, LeaseWorld.DRIFT, false);
-        w.members();
-        w.run(STARTED + 4 * TERM);
-        w.changes.clear();
-        w.run(20 * TERM);
-        hold(w.changes.isEmpty(), "moved without a reason: " + w.changes, seed);
-        w.net.weather(SimulatedNetwork.Weather.losing(0.2));
-        w.run(20 * TERM);
-        hold(w.changes.size() <= 24, "moved at loss: " + w.changes, seed);
+    /** Without faults no lease changes its holder, and with 20% message loss few do. */
+    private static void stability(long seed) {
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 6, 3, 6, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+        fleet.updateMembers();
+        fleet.run(STARTUP_MICROS + 4 * TERM_MICROS);
+        fleet.acquisitions.clear();
+        fleet.run(20 * TERM_MICROS);
+        require(fleet.acquisitions.isEmpty(), "leases moved without a fault: " + fleet.acquisitions, seed);
+        fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.2));
+        fleet.run(20 * TERM_MICROS);
+        require(fleet.acquisitions.size() <= 24, "leases moved under message loss: " + fleet.acquisitions, seed);
     }
 
-    /** A holder whose answers take a third of a term, and that is then cut off. */
+    /**
+     * A holder keeps its lease with round trips of a third of a term, and another takes over once it is partitioned.
+     */
     private static void lateAnswers(long seed) {
-        LeaseWorld w = new LeaseWorld(seed, 6, 3, 1, LeaseWorld.DRIFT, false);
-        w.members();
-        w.run(STARTED + TERM);
-        int holder = w.holder("task0");
-        hold(holder >= 0, "somebody holds it", seed);
-        w.net.weather(new SimulatedNetwork.Weather(0, 0, 0, 0, TERM / 6, TERM / 5));
-        w.run(3 * TERM / 2);
-        hold(w.holder("task0") == holder, "slow answers are enough to go on holding", seed);
-        w.net.cut((from, to) -> from != holder && to != holder);
-        w.net.weather(SimulatedNetwork.Weather.FAIR);
-        w.run(3 * TERM);
-        hold(w.holder("task0") >= 0 && w.holder("task0") != holder, "another has it", seed);
-        hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 6, 3, 1, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+        fleet.updateMembers();
+        fleet.run(STARTUP_MICROS + TERM_MICROS);
+        int holder = fleet.holder("task0");
+        require(holder >= 0, "the lease has no holder", seed);
+        fleet.network.setConditions(new SimulatedNetwork.Conditions(0, 0, 0, 0, TERM_MICROS / 6, TERM_MICROS / 5));
+        fleet.run(3 * TERM_MICROS / 2);
+        require(fleet.holder("task0") == holder, "the holder lost its lease to slow responses", seed);
+        fleet.network.setPartition((from, to) -> from != holder && to != holder);
+        fleet.network.setConditions(SimulatedNetwork.Conditions.RELIABLE);
+        fleet.run(3 * TERM_MICROS);
+        require(
+                fleet.holder("task0") >= 0 && fleet.holder("task0") != holder,
+                "no other process took over the lease",
+                seed);
+        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
     }
 
-    /** A grantor that has forgotten, beside one that never knew: no token that was used is granted again. */
-    private static void forgetful(long seed) {
-        LeaseWorld w = new LeaseWorld(seed, 6, 3, 1, LeaseWorld.DRIFT, true);
-        w.run(STARTED);
-        w.net.cut((from, to) -> from != 2 && to != 2);
+    /** One grantor restarts without its state while another never saw the tokens: used tokens are not granted again. */
+    private static void restartedGrantors(long seed) {
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 6, 3, 1, SimulatedLeaseFleet.CLOCK_DRIFT, true);
+        fleet.run(STARTUP_MICROS);
+        fleet.network.setPartition((from, to) -> from != 2 && to != 2);
         for (int i = 0; i < 3; i++) {
-            w.all[i].leases.leave(w.all[i].clock(), "told to");
+            fleet.processes[i].leases.leave(fleet.processes[i].clock(), "requested");
         }
-        w.run(4 * TERM);
-        hold(w.allHeld(), "two grantors grant", seed);
-        // Tokens rise, and the third grantor hears of none of them.
+        fleet.run(4 * TERM_MICROS);
+        require(fleet.allHeld(), "two of three grantors do not grant the leases", seed);
+        // Tokens increase, and the third grantor sees none of them.
         for (int i = 0; i < 90; i++) {
-            LeaseWorld.One one = w.all[3 + i % 3];
-            one.leases.leave(one.clock(), "told to");
-            w.run(TERM);
-            one.leases.rejoin();
+            SimulatedLeaseFleet.LeaseProcess process = fleet.processes[3 + i % 3];
+            process.leases.leave(process.clock(), "requested");
+            fleet.run(TERM_MICROS);
+            process.leases.rejoin();
         }
         for (int i : new int[] {3, 4, 5, 0}) {
-            w.start(i);
+            fleet.start(i);
         }
-        w.net.cut((from, to) -> from != 1 && to != 1);
-        w.run(12 * TERM);
-        hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
-        w.net.cut((from, to) -> true);
-        w.run(4 * TERM);
-        hold(w.allHeld() && w.acts.wrong().isEmpty(), "healed: " + w.acts.wrong(), seed);
+        fleet.network.setPartition((from, to) -> from != 1 && to != 1);
+        fleet.run(12 * TERM_MICROS);
+        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        fleet.network.setPartition((from, to) -> true);
+        fleet.run(4 * TERM_MICROS);
+        require(
+                fleet.allHeld() && fleet.history.wrong().isEmpty(),
+                "after the partition healed: " + fleet.history.wrong(),
+                seed);
     }
 
-    /** Keepers are replaced while processes are cut off from each other: by way of both sets at once. */
+    /** Grantors are replaced during partitions, by way of a joint configuration of the old and new set. */
     private static void replacedGrantors(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        LeaseWorld w = new LeaseWorld(seed, 7, 3, 2, LeaseWorld.DRIFT, false);
-        w.members();
-        w.run(STARTED + TERM);
-        LeaseOptions old = w.options;
-        List<InetSocketAddress> next = List.of(
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 7, 3, 2, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+        fleet.updateMembers();
+        fleet.run(STARTUP_MICROS + TERM_MICROS);
+        LeaseOptions old = fleet.options;
+        List<InetSocketAddress> newGrantors = List.of(
                 MembershipSimulation.address(0), MembershipSimulation.address(3), MembershipSimulation.address(4));
-        LeaseOptions both = new LeaseOptions(
-                next,
+        LeaseOptions jointOptions = new LeaseOptions(
+                newGrantors,
                 old.grantors(),
                 old.maxTermMicros(),
                 old.clockDrift(),
                 old.trustsWallClock(),
                 old.termMicrosByLease());
-        LeaseOptions alone = new LeaseOptions(
-                next, null, old.maxTermMicros(), old.clockDrift(), old.trustsWallClock(), old.termMicrosByLease());
-        hold(w.all[5].leases.reconfigure(w.all[5].clock(), alone) != null, "majorities that need not meet", seed);
-        for (LeaseOptions options : List.of(both, alone)) {
+        LeaseOptions newOptions = new LeaseOptions(
+                newGrantors,
+                null,
+                old.maxTermMicros(),
+                old.clockDrift(),
+                old.trustsWallClock(),
+                old.termMicrosByLease());
+        require(
+                fleet.processes[5].leases.reconfigure(fleet.processes[5].clock(), newOptions) != null,
+                "a change to a set whose quorums need not overlap was accepted",
+                seed);
+        for (LeaseOptions options : List.of(jointOptions, newOptions)) {
             for (int i : random.ints(0, 7).distinct().limit(7).toArray()) {
                 int split = random.nextInt(7);
-                w.net.cut((from, to) -> from < split == to < split);
-                hold(w.all[i].leases.reconfigure(w.all[i].clock(), options) == null, "a step that is safe", seed);
-                w.run(random.nextLong(3 * TERM));
-                hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+                fleet.network.setPartition((from, to) -> from < split == to < split);
+                require(
+                        fleet.processes[i].leases.reconfigure(fleet.processes[i].clock(), options) == null,
+                        "a safe reconfiguration was rejected",
+                        seed);
+                fleet.run(random.nextLong(3 * TERM_MICROS));
+                require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
             }
-            w.net.cut((from, to) -> true);
-            w.run(4 * TERM);
+            fleet.network.setPartition((from, to) -> true);
+            fleet.run(4 * TERM_MICROS);
         }
-        hold(w.allHeld(), "the new grantors grant", seed);
+        require(fleet.allHeld(), "the new grantors do not grant the leases", seed);
     }
 
-    private static Map<String, Integer> holders(LeaseWorld w) {
+    private static Map<String, Integer> holders(SimulatedLeaseFleet fleet) {
         Map<String, Integer> holders = new TreeMap<>();
-        w.options.termMicrosByLease().keySet().forEach(l -> holders.put(l, w.holder(l)));
+        fleet.options.termMicrosByLease().keySet().forEach(lease -> holders.put(lease, fleet.holder(lease)));
         return holders;
     }
 
@@ -256,77 +289,81 @@
         return new LeaseMessage(LeaseMessage.Kind.HINT, "task0", "", 0, 0, 0, 0, Map.of());
     }
 
-    /** A holder is killed; another has it within a term and a second. */
+    /** After a holder is killed, another holds the lease within a term and one second. */
     private static void takeover(long seed) {
-        LeaseWorld w = new LeaseWorld(seed, 6, 3, 3, LeaseWorld.DRIFT, false);
-        w.members();
-        w.run(STARTED + TERM);
-        hold(w.allHeld(), "all are held", seed);
-        for (int time = 0; time < 3; time++) {
-            int holder = w.holder("task0");
-            hold(holder >= 0, "somebody holds it", seed);
-            w.net.kill(holder);
-            long begun = w.net.now();
-            // Membership knows it later than the lease runs out.
-            while (w.holder("task0") < 0) {
-                w.run(LeaseWorld.BEAT);
-                hold(w.net.now() - begun <= TERM + 1_000_000, "nobody has it after a term and a second", seed);
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(seed, 6, 3, 3, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+        fleet.updateMembers();
+        fleet.run(STARTUP_MICROS + TERM_MICROS);
+        require(fleet.allHeld(), "not all leases are held", seed);
+        for (int round = 0; round < 3; round++) {
+            int holder = fleet.holder("task0");
+            require(holder >= 0, "the lease has no holder", seed);
+            fleet.network.kill(holder);
+            long startedAt = fleet.network.now();
+            // Membership detects the failure later than the lease expires.
+            while (fleet.holder("task0") < 0) {
+                fleet.run(SimulatedLeaseFleet.TICK_MICROS);
+                require(
+                        fleet.network.now() - startedAt <= TERM_MICROS + 1_000_000,
+                        "no holder after a term and one second",
+                        seed);
             }
-            w.members();
-            w.run(2 * TERM);
-            w.start(holder);
-            w.run(4 * TERM);
-            w.members();
-            w.run(4 * TERM);
+            fleet.updateMembers();
+            fleet.run(2 * TERM_MICROS);
+            fleet.start(holder);
+            fleet.run(4 * TERM_MICROS);
+            fleet.updateMembers();
+            fleet.run(4 * TERM_MICROS);
         }
-        hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
     }
 
-    /** A holder that goes hands on at once; one that comes takes over no more than its part. */
+    /** A leaving holder hands its leases over at once; a joining process takes over no more than its share. */
     private static void handover(long seed) {
         int leases = 20;
-        LeaseWorld w = new LeaseWorld(seed, 10, 3, leases, LeaseWorld.DRIFT, false);
-        w.net.kill(9);
-        w.members();
-        w.run(STARTED + 6 * TERM);
-        hold(w.allHeld(), "all are held", seed);
-        int most = 0;
+        SimulatedLeaseFleet fleet =
+                new SimulatedLeaseFleet(seed, 10, 3, leases, SimulatedLeaseFleet.CLOCK_DRIFT, false);
+        fleet.network.kill(9);
+        fleet.updateMembers();
+        fleet.run(STARTUP_MICROS + 6 * TERM_MICROS);
+        require(fleet.allHeld(), "not all leases are held", seed);
+        int maxLeasesOfOne = 0;
         for (int i = 0; i < 9; i++) {
-            int place = i;
-            most = Math.max(most, (int) w.options.termMicrosByLease().keySet().stream()
-                    .filter(l -> w.holder(l) == place)
+            int node = i;
+            maxLeasesOfOne = Math.max(maxLeasesOfOne, (int) fleet.options.termMicrosByLease().keySet().stream()
+                    .filter(lease -> fleet.holder(lease) == node)
                     .count());
         }
-        hold(most <= Math.ceil(1.25 * leases / 9), "one has " + most, seed);
-        Map<String, Integer> before = holders(w);
-        w.changes.clear();
-        w.start(9);
-        w.members();
-        w.run(8 * TERM);
-        hold(w.allHeld(), "all are held again", seed);
-        Map<String, Integer> after = holders(w);
+        require(maxLeasesOfOne <= Math.ceil(1.25 * leases / 9), "leases at one process: " + maxLeasesOfOne, seed);
+        Map<String, Integer> before = holders(fleet);
+        fleet.acquisitions.clear();
+        fleet.start(9);
+        fleet.updateMembers();
+        fleet.run(8 * TERM_MICROS);
+        require(fleet.allHeld(), "not all leases are held after the join", seed);
+        Map<String, Integer> after = holders(fleet);
         long moved = after.keySet().stream()
-                .filter(l -> !after.get(l).equals(before.get(l)))
+                .filter(lease -> !after.get(lease).equals(before.get(lease)))
                 .count();
-        // Its own part of two or three, and what the bound on the others' parts pushes on.
-        hold(
-                moved <= leases / 3 && w.changes.size() <= moved + 2,
-                "one has come, and " + moved + " moved in " + w.changes.size() + " steps",
+        // Its own share of two or three leases, and those that move because of the limit on the others.
+        require(
+                moved <= leases / 3 && fleet.acquisitions.size() <= moved + 2,
+                "after a join " + moved + " leases moved in " + fleet.acquisitions.size() + " steps",
                 seed);
         for (int i = 3; i < 10; i++) {
-            LeaseWorld.One one = w.all[i];
-            List<String> its = w.options.termMicrosByLease().keySet().stream()
-                    .filter(l -> w.holder(l) == one.place)
+            SimulatedLeaseFleet.LeaseProcess process = fleet.processes[i];
+            List<String> heldLeases = fleet.options.termMicrosByLease().keySet().stream()
+                    .filter(lease -> fleet.holder(lease) == process.node)
                     .toList();
-            one.leases.leave(one.clock(), "told to");
-            long begun = w.net.now();
-            while (!its.stream().allMatch(l -> w.holder(l) >= 0)) {
-                w.run(LeaseWorld.BEAT / 4);
-                hold(w.net.now() - begun < 400_000, "not handed on within 400 ms", seed);
+            process.leases.leave(process.clock(), "requested");
+            long startedAt = fleet.network.now();
+            while (!heldLeases.stream().allMatch(lease -> fleet.holder(lease) >= 0)) {
+                fleet.run(SimulatedLeaseFleet.TICK_MICROS / 4);
+                require(fleet.network.now() - startedAt < 400_000, "not handed over within 400 ms", seed);
             }
-            one.leases.rejoin();
-            w.run(TERM);
+            process.leases.rejoin();
+            fleet.run(TERM_MICROS);
         }
-        hold(w.acts.wrong().isEmpty(), w.acts.wrong().toString(), seed);
+        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/LeaseTest.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leases in made-up time. */
+/** Runs {@link LeaseChecks} in simulated time, with fixed seeds and one random one. */
 class LeaseTest {
 
     @ParameterizedTest
@@ -28,46 +28,46 @@
                 "keepers",
                 "late answers"
             })
-    void itHoldsForDrawnSeeds(String check) {
+    void guaranteeHoldsForAllSeeds(String check) {
         LongStream.concat(LongStream.rangeClosed(1, 20), LongStream.of(System.nanoTime() & 0xFFFFF))
                 .forEach(seed -> assertNull(LeaseChecks.broken(check, seed)));
     }
 
-    /** Clocks whose rates differ by more than the plan says are what time alone can't bear. */
+    /** Leases rely on bounded clock drift: with more than the configured drift, violations must occur. */
     @Test
-    void beyondTheBoundOnClocksTwoMayHoldAtOnce() {
+    void clockDriftBeyondTheBoundAllowsTwoHolders() {
         int broken = 0;
         for (long seed = 1; seed <= 20; seed++) {
             try {
-                LeaseChecks.faults(seed, 0.3, false);
+                LeaseChecks.randomFaults(seed, 0.3, false);
             } catch (AssertionError e) {
                 broken++;
             }
         }
-        assertNotEquals(0, broken, "nothing is lost beyond the bound, so the check can't fail");
+        assertNotEquals(0, broken, "no violation beyond the drift bound, so the check cannot fail");
     }
 
     @Test
-    void wrongHistoriesAreFound() {
+    void violationsInHistoriesAreDetected() {
         LeaseHistory overlap = new LeaseHistory();
         overlap.act("l", "a", 10, 1);
         overlap.act("l", "b", 10, 2);
         assertEquals(1, overlap.wrong().size());
-        LeaseHistory falling = new LeaseHistory();
-        falling.act("l", "a", 10, 5);
-        falling.act("l", "b", 11, 5);
-        assertEquals(1, falling.wrong().size());
-        LeaseHistory back = new LeaseHistory();
-        back.act("l", "a", 10, 5);
-        back.act("l", "b", 11, 6);
-        back.act("l", "a", 12, 5);
-        assertEquals(2, back.wrong().size());
-        LeaseHistory right = new LeaseHistory();
-        right.act("l", "a", 10, 5);
-        right.act("m", "b", 10, 5);
-        right.act("l", "a", 11, 5);
-        right.act("l", "b", 12, 6);
-        right.act("l", "a", 13, 7);
-        assertEquals(List.of(), right.wrong());
+        LeaseHistory repeatedToken = new LeaseHistory();
+        repeatedToken.act("l", "a", 10, 5);
+        repeatedToken.act("l", "b", 11, 5);
+        assertEquals(1, repeatedToken.wrong().size());
+        LeaseHistory returningHolder = new LeaseHistory();
+        returningHolder.act("l", "a", 10, 5);
+        returningHolder.act("l", "b", 11, 6);
+        returningHolder.act("l", "a", 12, 5);
+        assertEquals(2, returningHolder.wrong().size());
+        LeaseHistory valid = new LeaseHistory();
+        valid.act("l", "a", 10, 5);
+        valid.act("m", "b", 10, 5);
+        valid.act("l", "a", 11, 5);
+        valid.act("l", "b", 12, 6);
+        valid.act("l", "a", 13, 7);
+        assertEquals(List.of(), valid.wrong());
     }
 }
