--- a/src/test/java/org/cypressweir/simulation/LendingTest.java
+++ b/src/test/java/org/cypressweir/simulation/LendingTest.java
@@ -11,54 +11,55 @@
 import org.cypressweir.fleet.membership.Peer;
 import org.junit.jupiter.api.Test;
 
-/** Lists that members lend to one that has just started, in made-up time. */
+/** Transfer of the server list from running members to one that has just started, in simulated time. */
 class LendingTest {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int PAGES = 40;
 
-    private final List<One> all = new ArrayList<>();
-    private SimulatedNetwork<MembershipMessage> net;
+    private final List<LendingProcess> processes = new ArrayList<>();
+    private SimulatedNetwork<MembershipMessage> network;
 
-    /** A process with a list whose pages say which revision and place they are of. */
-    private final class One implements SimulatedNetwork.Process<MembershipMessage>, Lending.EndpointListSource {
+    /** A process with a list whose pages contain their revision and page number. */
+    private final class LendingProcess
+            implements SimulatedNetwork.Process<MembershipMessage>, Lending.EndpointListSource {
         final List<Lending.Loan> loans = new ArrayList<>();
-        final int place = net.place();
-        final Peer self = new Peer("n" + place, place, 1, 1, MembershipSimulation.address(place));
+        final int node = network.addNode();
+        final Peer self = new Peer("n" + node, node, 1, 1, MembershipSimulation.address(node));
         final Lending lending = new Lending(
-                place,
+                node,
                 this,
-                (to, m) -> net.send(
-                        place, to.getPort() - MembershipSimulation.address(0).getPort(), m),
+                (to, message) -> network.send(
+                        node, to.getPort() - MembershipSimulation.address(0).getPort(), message),
                 loan -> {
                     loans.add(loan);
-                    take(loan);
+                    accept(loan);
                 });
         long revision;
-        long toldAt;
+        long updatedAt;
         int pages = PAGES;
 
-        One(long revision) {
+        LendingProcess(long revision) {
             this.revision = revision;
-            all.add(this);
-            net.start(place, 50_000, this);
+            processes.add(this);
+            network.start(node, 50_000, this);
         }
 
-        void take(Lending.Loan loan) {
+        void accept(Lending.Loan loan) {
             revision = loan.revision();
         }
 
         @Override
         public void tick(long now) {
-            lending.tick(
-                    now,
-                    self,
-                    () -> all.stream().filter(o -> o != this).map(o -> o.self).toList());
+            lending.tick(now, self, () -> processes.stream()
+                    .filter(other -> other != this)
+                    .map(other -> other.self)
+                    .toList());
         }
 
         @Override
-        public void receive(long now, MembershipMessage m) {
-            lending.receive(now, m, self);
+        public void receive(long now, MembershipMessage message) {
+            lending.receive(now, message, self);
         }
 
         @Override
@@ -73,7 +74,7 @@
 
         @Override
         public long ageMicros() {
-            return net.now() - toldAt;
+            return network.now() - updatedAt;
         }
 
         @Override
@@ -87,17 +88,17 @@
         }
     }
 
-    private One starter(long known) {
-        One starter = new One(known);
+    private LendingProcess startSeeking(long known) {
+        LendingProcess starter = new LendingProcess(known);
         starter.lending.seek(known);
         return starter;
     }
 
     private void run(long micros) {
-        net.run(net.now() + micros);
+        network.run(network.now() + micros);
     }
 
-    private static void whole(Lending.Loan loan, long revision, int pages) {
+    private static void assertComplete(Lending.Loan loan, long revision, int pages) {
         assertEquals(revision, loan.revision());
         assertEquals(pages, loan.pages().size());
         for (int i = 0; i < pages; i++) {
@@ -107,56 +108,56 @@
     }
 
     @Test
-    void theNewestOfThoseAskedIsTakenWholeThroughLoss() {
-        long drawn = System.nanoTime() & 0xFFFFF;
-        for (long seed : new long[] {1, 2, 3, 4, 5, drawn}) {
-            all.clear();
-            net = new SimulatedNetwork<>(seed);
+    void theNewestListIsTransferredCompleteDespiteLoss() {
+        long drawnSeed = System.nanoTime() & 0xFFFFF;
+        for (long seed : new long[] {1, 2, 3, 4, 5, drawnSeed}) {
+            processes.clear();
+            network = new SimulatedNetwork<>(seed);
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < 9; i++) {
-                new One(3 + random.nextInt(4));
+                new LendingProcess(3 + random.nextInt(4));
             }
-            new One(8);
-            run(5 * SECOND);
-            One starter = starter(2);
-            net.weather(SimulatedNetwork.Weather.losing(0.2));
-            run(20 * SECOND);
-            assertTrue(!starter.loans.isEmpty(), "nothing came, seed " + seed);
-            whole(starter.loans.get(starter.loans.size() - 1), 8, PAGES);
-            assertTrue(starter.loans.get(0).ageMicros() >= 5 * SECOND, "seed " + seed);
+            new LendingProcess(8);
+            run(5 * SECOND_MICROS);
+            LendingProcess starter = startSeeking(2);
+            network.setConditions(SimulatedNetwork.Conditions.lossy(0.2));
+            run(20 * SECOND_MICROS);
+            assertTrue(!starter.loans.isEmpty(), "no list received, seed " + seed);
+            assertComplete(starter.loans.get(starter.loans.size() - 1), 8, PAGES);
+            assertTrue(starter.loans.get(0).ageMicros() >= 5 * SECOND_MICROS, "seed " + seed);
         }
     }
 
     @Test
-    void aLenderThatDiesOrMovesOnHalfwayIsReplacedAndPagesAreNotMixed() {
-        net = new SimulatedNetwork<>(1);
-        One best = new One(9);
-        best.pages = 4_000;
-        One next = new One(7);
-        One starter = starter(1);
+    void aLenderThatDiesOrUpdatesMidTransferIsReplacedAndPagesAreNotMixed() {
+        network = new SimulatedNetwork<>(1);
+        LendingProcess newest = new LendingProcess(9);
+        newest.pages = 4_000;
+        LendingProcess second = new LendingProcess(7);
+        LendingProcess starter = startSeeking(1);
         run(600_000);
-        assertEquals(0, starter.loans.size(), "it is under way");
-        net.kill(best.place);
-        run(4 * SECOND);
+        assertEquals(0, starter.loans.size(), "the transfer is still running");
+        network.kill(newest.node);
+        run(4 * SECOND_MICROS);
         assertEquals(1, starter.loans.size());
-        whole(starter.loans.get(0), 7, PAGES);
-        // The lender hears of a newer one while its pages are on their way: all of them are the newer one's.
-        next.pages = 100;
-        next.revision = 20;
-        net.weather(new SimulatedNetwork.Weather(0, 0, 0, 0, 50_000, 100_000));
-        assertTrue(awaitPages(starter), "a second list began");
-        next.revision = 21;
-        run(20 * SECOND);
-        whole(starter.loans.get(1), 21, 100);
-        assertEquals(2, starter.loans.size(), "what is not newer is left alone");
+        assertComplete(starter.loans.get(0), 7, PAGES);
+        // The lender's list is updated during the transfer: all pages must be of the newer revision.
+        second.pages = 100;
+        second.revision = 20;
+        network.setConditions(new SimulatedNetwork.Conditions(0, 0, 0, 0, 50_000, 100_000));
+        assertTrue(awaitPartialTransfer(starter), "the second transfer did not start");
+        second.revision = 21;
+        run(20 * SECOND_MICROS);
+        assertComplete(starter.loans.get(1), 21, 100);
+        assertEquals(2, starter.loans.size(), "a list that is not newer must be ignored");
     }
 
-    /** Until the second list is half here. */
-    private boolean awaitPages(One starter) {
-        long sent = net.sent(starter.place);
-        for (long until = net.now() + 30 * SECOND; net.now() < until; ) {
+    /** Runs until about half of the second list has been requested. */
+    private boolean awaitPartialTransfer(LendingProcess starter) {
+        long sent = network.sent(starter.node);
+        for (long until = network.now() + 30 * SECOND_MICROS; network.now() < until; ) {
             run(10_000);
-            if (net.sent(starter.place) > sent + 40) {
+            if (network.sent(starter.node) > sent + 40) {
                 return starter.loans.size() == 1;
             }
         }
@@ -164,29 +165,29 @@
     }
 
     @Test
-    void whoeverHeardFromDiscoveryAsksNoMoreAndOlderListsAreOfNoUse() {
-        net = new SimulatedNetwork<>(1);
-        new One(4);
-        One starter = starter(4);
-        run(5 * SECOND);
+    void olderListsAreIgnoredAndSeekingStopsOnceDiscoveryAnswers() {
+        network = new SimulatedNetwork<>(1);
+        new LendingProcess(4);
+        LendingProcess starter = startSeeking(4);
+        run(5 * SECOND_MICROS);
         assertEquals(0, starter.loans.size());
-        assertTrue(net.sent(starter.place) > 0, "it asked");
+        assertTrue(network.sent(starter.node) > 0, "no request was sent");
         starter.lending.end();
-        long sent = net.sent(starter.place);
-        run(30 * SECOND);
-        assertEquals(sent, net.sent(starter.place));
+        long sent = network.sent(starter.node);
+        run(30 * SECOND_MICROS);
+        assertEquals(sent, network.sent(starter.node));
     }
 
     @Test
-    void aListOfNoServersIsOneTooAndOneThatIsTooLargeIsNot() {
-        net = new SimulatedNetwork<>(1);
-        One empty = new One(5);
+    void anEmptyListIsAcceptedAndATooLargeOneIsNot() {
+        network = new SimulatedNetwork<>(1);
+        LendingProcess empty = new LendingProcess(5);
         empty.pages = 0;
-        One huge = new One(6);
+        LendingProcess huge = new LendingProcess(6);
         huge.pages = 1_000_000;
-        One starter = starter(1);
-        run(3 * SECOND);
+        LendingProcess starter = startSeeking(1);
+        run(3 * SECOND_MICROS);
         assertEquals(1, starter.loans.size());
-        whole(starter.loans.get(0), 5, 0);
+        assertComplete(starter.loans.get(0), 5, 0);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/MembershipChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -13,18 +13,18 @@
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.MembershipProtocol;
 import org.cypressweir.fleet.membership.Peer;
-import org.cypressweir.simulation.MembershipSimulation.Seen;
+import org.cypressweir.simulation.MembershipSimulation.ObservedChange;
 import org.cypressweir.simulation.MembershipSimulation.SimulatedMember;
 
 /**
- * What membership promises, each played in made-up time. They use nothing of the test library, so they can
- * also judge a core that a fault was planted in.
+ * Checks of the guarantees of membership, in simulated time. They do not depend on the test library, so that they can
+ * also run against a {@link MembershipProtocol} with an injected fault.
  */
 public final class MembershipChecks {
 
-    static final long PAUSE = 3_000_000;
+    static final long PAUSE_MICROS = 3_000_000;
 
-    /** A promise: it throws an AssertionError where it is broken. */
+    /** A check; it throws an AssertionError if its guarantee is violated. */
     interface Check {
         void run(long seed);
     }
@@ -33,24 +33,24 @@
 
     static Map<String, Check> all() {
         Map<String, Check> all = new LinkedHashMap<>();
-        all.put("killed", MembershipChecks::killedIsKnownWithinTheBound);
-        all.put("many killed", MembershipChecks::survivorsFindEachOther);
-        all.put("sleepers", MembershipChecks::sleepersAndLossPutNobodyOut);
-        all.put("long pause", MembershipChecks::aLongPauseEndsOnce);
-        all.put("one way", MembershipChecks::oneWayCutsHaveOneAnswer);
-        all.put("one friend", MembershipChecks::oneThatFewCanReachDoesNotComeAndGo);
-        all.put("split", MembershipChecks::splitsHealWithoutLoss);
-        all.put("leaves", MembershipChecks::leavingIsKnownAtOnce);
-        all.put("one name", MembershipChecks::theFirstOfTwoKeepsTheName);
-        all.put("starts", MembershipChecks::allStartInWhateverWay);
-        all.put("late words", MembershipChecks::wordsOfAnEarlierIncarnationAreVoid);
-        all.put("facts", MembershipChecks::theNewestFactsHold);
-        all.put("made-up names", MembershipChecks::madeUpNamesCostWhatIsStated);
-        all.put("walk", MembershipChecks::aWalkEndsInOneView);
+        all.put("killed", MembershipChecks::killedMemberIsDetectedWithinTheBound);
+        all.put("many killed", MembershipChecks::survivorsOfManyFailuresStayTogether);
+        all.put("sleepers", MembershipChecks::shortPausesAndLossRemoveNobody);
+        all.put("long pause", MembershipChecks::aLongPauseCausesOneRemovalAndReturn);
+        all.put("one way", MembershipChecks::oneWayPartitionsGiveOneView);
+        all.put("one friend", MembershipChecks::barelyReachableMemberDoesNotFlap);
+        all.put("split", MembershipChecks::partitionsHealWithoutRemovals);
+        all.put("leaves", MembershipChecks::leavingIsKnownImmediately);
+        all.put("one name", MembershipChecks::firstOfTwoProcessesKeepsTheName);
+        all.put("starts", MembershipChecks::allStartOrdersFormOneView);
+        all.put("late words", MembershipChecks::messagesAboutEarlierIncarnationsAreIgnored);
+        all.put("facts", MembershipChecks::newestFactsWin);
+        all.put("made-up names", MembershipChecks::inventedNamesAreBounded);
+        all.put("walk", MembershipChecks::randomFaultsEndInOneView);
         return all;
     }
 
-    /** How one of them is broken, or null. */
+    /** Describes the violation of a check for a seed, or null; called by reflection. */
     public static String broken(String check, long seed) {
         try {
             all().get(check).run(seed);
@@ -60,296 +60,344 @@
         }
     }
 
-    private static void hold(boolean holds, String what, MembershipSimulation f) {
-        if (!holds) {
-            List<Seen> last = f.changes.subList(Math.max(0, f.changes.size() - 8), f.changes.size());
-            throw new AssertionError(what + " at " + f.net.now() + "; last changes " + last);
+    private static void require(boolean condition, String failure, MembershipSimulation fleet) {
+        if (!condition) {
+            List<ObservedChange> lastChanges =
+                    fleet.changes.subList(Math.max(0, fleet.changes.size() - 8), fleet.changes.size());
+            throw new AssertionError(failure + " at " + fleet.network.now() + "; last changes " + lastChanges);
         }
     }
 
-    private static MembershipSimulation together(long seed, int members) {
-        MembershipSimulation f = new MembershipSimulation(seed, members, Math.min(3, members), PAUSE);
-        f.startTogether();
-        f.run(2_000_000);
-        hold(f.changes.isEmpty(), "a quiet fleet changes", f);
-        return f;
+    private static MembershipSimulation establishedFleet(long seed, int members) {
+        MembershipSimulation fleet = new MembershipSimulation(seed, members, Math.min(3, members), PAUSE_MICROS);
+        fleet.startAsEstablishedFleet();
+        fleet.run(2_000_000);
+        require(fleet.changes.isEmpty(), "the view of a healthy fleet changed", fleet);
+        return fleet;
     }
 
-    private static List<SimulatedMember> some(MembershipSimulation f, int... who) {
-        return IntStream.of(who).mapToObj(f::get).toList();
+    private static List<SimulatedMember> membersAt(MembershipSimulation fleet, int... nodes) {
+        return IntStream.of(nodes).mapToObj(fleet::get).toList();
     }
 
-    private static List<SimulatedMember> range(MembershipSimulation f, int from, int to) {
-        return f.all().subList(from, to);
+    private static List<SimulatedMember> range(MembershipSimulation fleet, int from, int to) {
+        return fleet.all().subList(from, to);
     }
 
-    /** Healed, everybody is in everybody's view soon, and nobody is doubted in the end. */
-    private static void heals(MembershipSimulation f, String what) {
-        f.net.cut((from, to) -> true);
-        f.net.weather(SimulatedNetwork.Weather.FAIR);
-        hold(f.await(3 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, what + " does not heal", f);
-        f.run(8 * PAUSE);
-        hold(f.agree(f.all(), f.all()), what + " does not stay healed", f);
-        for (SimulatedMember x : f.all()) {
-            for (Map.Entry<String, MembershipProtocol.MemberView> m :
-                    x.core().members().entrySet()) {
-                hold(
-                        m.getValue().state().equals("alive"),
-                        what + ": " + x.name + " still sees " + m.getKey() + " "
-                                + m.getValue().state(),
-                        f);
+    /** After the network heals, all members soon have all others in view, and in the end none is suspected. */
+    private static void requireHealing(MembershipSimulation fleet, String failure) {
+        fleet.network.setPartition((from, to) -> true);
+        fleet.network.setConditions(SimulatedNetwork.Conditions.RELIABLE);
+        require(
+                fleet.await(3 * PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0,
+                failure + " does not heal",
+                fleet);
+        fleet.run(8 * PAUSE_MICROS);
+        require(fleet.agree(fleet.all(), fleet.all()), failure + " does not stay healed", fleet);
+        for (SimulatedMember member : fleet.all()) {
+            for (Map.Entry<String, MembershipProtocol.MemberView> view :
+                    member.protocol().members().entrySet()) {
+                require(
+                        view.getValue().state().equals("alive"),
+                        failure + ": " + member.name + " still sees " + view.getKey() + " "
+                                + view.getValue().state(),
+                        fleet);
             }
         }
-        f.changes.clear();
+        fleet.changes.clear();
     }
 
-    private static void stays(MembershipSimulation f, String what) {
-        f.changes.clear();
-        f.run(10 * PAUSE);
-        hold(f.changes.isEmpty(), what + " goes on changing", f);
+    private static void requireStability(MembershipSimulation fleet, String failure) {
+        fleet.changes.clear();
+        fleet.run(10 * PAUSE_MICROS);
+        require(fleet.changes.isEmpty(), failure + " keeps changing the view", fleet);
     }
 
-    private static long outs(MembershipSimulation f) {
-        return f.changes.stream()
+    private static long countOut(MembershipSimulation fleet) {
+        return fleet.changes.stream()
                 .filter(s -> s.change().kind() == Change.Kind.OUT)
                 .count();
     }
 
-    static void killedIsKnownWithinTheBound(long seed) {
+    static void killedMemberIsDetectedWithinTheBound(long seed) {
         for (int members : new int[] {2, 5, 24}) {
-            MembershipSimulation f = together(seed, members);
-            f.net.kill(members - 1);
-            List<SimulatedMember> rest = range(f, 0, members - 1);
-            long took = f.await(f.plan().detectionMicros(), () -> f.agree(rest, rest));
-            hold(took >= 0, "a killed one is not known", f);
-            hold(took > f.plan().pauseMicros(), "known gone before a pause was over", f);
-            hold(f.changes.size() == members - 1, "more than the killed one changed", f);
-            f.start(members - 1);
-            heals(f, "a restart");
+            MembershipSimulation fleet = establishedFleet(seed, members);
+            fleet.network.kill(members - 1);
+            List<SimulatedMember> rest = range(fleet, 0, members - 1);
+            long detectionMicros = fleet.await(fleet.options().detectionMicros(), () -> fleet.agree(rest, rest));
+            require(detectionMicros >= 0, "a killed member was not detected", fleet);
+            require(detectionMicros > fleet.options().pauseMicros(), "removed before the pause was over", fleet);
+            require(fleet.changes.size() == members - 1, "members besides the killed one changed", fleet);
+            fleet.start(members - 1);
+            requireHealing(fleet, "a restart");
         }
     }
 
-    /** Some lose all their neighbours at once, and are neither put out nor alone. */
-    static void survivorsFindEachOther(long seed) {
-        for (int world = 0; world < 6; world++) {
-            MembershipSimulation f = together(seed + world, 30);
-            IntStream.range(0, 18).forEach(f.net::kill);
-            List<SimulatedMember> rest = range(f, 18, 30);
-            hold(f.await(f.plan().detectionMicros() + PAUSE, () -> f.agree(rest, rest)) >= 0, "the rest", f);
-            hold(
-                    f.changes.stream()
+    /** Members that lose all monitoring neighbours at once are neither removed nor isolated. */
+    static void survivorsOfManyFailuresStayTogether(long seed) {
+        for (int run = 0; run < 6; run++) {
+            MembershipSimulation fleet = establishedFleet(seed + run, 30);
+            IntStream.range(0, 18).forEach(fleet.network::kill);
+            List<SimulatedMember> rest = range(fleet, 18, 30);
+            require(
+                    fleet.await(fleet.options().detectionMicros() + PAUSE_MICROS, () -> fleet.agree(rest, rest)) >= 0,
+                    "the survivors do not agree",
+                    fleet);
+            require(
+                    fleet.changes.stream()
                             .allMatch(s -> Integer.parseInt(s.change().name().substring(1)) < 18),
-                    "a survivor was put out",
-                    f);
+                    "a survivor was removed",
+                    fleet);
         }
     }
 
-    static void sleepersAndLossPutNobodyOut(long seed) {
-        MembershipSimulation f = together(seed, 24);
+    static void shortPausesAndLossRemoveNobody(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 24);
         SplittableRandom random = new SplittableRandom(seed);
-        f.net.weather(SimulatedNetwork.Weather.losing(0.2));
+        fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.2));
         for (int second = 0; second < 120; second++) {
             int sleeper = random.nextInt(24);
-            f.net.stop(sleeper);
-            f.net.at(f.net.now() + 100_000 + random.nextLong(PAUSE - 150_000), () -> f.net.go(sleeper));
-            f.run(1_000_000);
+            fleet.network.pause(sleeper);
+            fleet.network.schedule(
+                    fleet.network.now() + 100_000 + random.nextLong(PAUSE_MICROS - 150_000),
+                    () -> fleet.network.resume(sleeper));
+            fleet.run(1_000_000);
         }
-        f.run(2 * PAUSE);
-        hold(f.changes.isEmpty(), "a healthy one was put out", f);
+        fleet.run(2 * PAUSE_MICROS);
+        require(fleet.changes.isEmpty(), "a healthy member was removed", fleet);
     }
 
-    static void aLongPauseEndsOnce(long seed) {
+    static void aLongPauseCausesOneRemovalAndReturn(long seed) {
         for (int members : new int[] {2, 9}) {
-            MembershipSimulation f = together(seed, members);
-            f.net.stop(1);
-            f.run(4 * PAUSE);
+            MembershipSimulation fleet = establishedFleet(seed, members);
+            fleet.network.pause(1);
+            fleet.run(4 * PAUSE_MICROS);
             List<SimulatedMember> rest =
-                    f.all().stream().filter(x -> x.place != 1).toList();
-            hold(f.agree(rest, rest), "a long pause is not known", f);
-            f.net.go(1);
-            hold(f.await(PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "it does not come back", f);
-            f.run(4 * PAUSE);
-            hold(f.get(1).core().self().incarnation() == 2, "it came back more than once", f);
-            hold(f.changes.stream().allMatch(s -> s.change().name().equals("n1")), "it accused others", f);
-            hold(f.changes.size() == 2 * (members - 1), "it went and came more than once", f);
+                    fleet.all().stream().filter(member -> member.node != 1).toList();
+            require(fleet.agree(rest, rest), "a long pause was not detected", fleet);
+            fleet.network.resume(1);
+            require(
+                    fleet.await(PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0,
+                    "the paused member does not rejoin",
+                    fleet);
+            fleet.run(4 * PAUSE_MICROS);
+            require(fleet.get(1).protocol().self().incarnation() == 2, "rejoined more than once", fleet);
+            require(
+                    fleet.changes.stream().allMatch(s -> s.change().name().equals("n1")),
+                    "the paused member reported others as failed",
+                    fleet);
+            require(fleet.changes.size() == 2 * (members - 1), "removed and rejoined more than once", fleet);
         }
     }
 
-    static void oneWayCutsHaveOneAnswer(long seed) {
-        MembershipSimulation f = together(seed, 12);
-        List<SimulatedMember> rest = range(f, 1, 12);
-        SimulatedNetwork.Partition deaf = (from, to) -> to != 0;
-        SimulatedNetwork.Partition mute = (from, to) -> from != 0;
-        for (SimulatedNetwork.Partition cut : List.of(deaf, mute)) {
-            f.net.cut(cut);
-            hold(
-                    f.await(
-                                    f.plan().detectionMicros() + PAUSE,
-                                    () -> f.agree(rest, rest) && f.get(0).core().liveCount() == 1)
+    static void oneWayPartitionsGiveOneView(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 12);
+        List<SimulatedMember> rest = range(fleet, 1, 12);
+        SimulatedNetwork.Partition cannotReceive = (from, to) -> to != 0;
+        SimulatedNetwork.Partition cannotSend = (from, to) -> from != 0;
+        for (SimulatedNetwork.Partition partition : List.of(cannotReceive, cannotSend)) {
+            fleet.network.setPartition(partition);
+            require(
+                    fleet.await(
+                                    fleet.options().detectionMicros() + PAUSE_MICROS,
+                                    () -> fleet.agree(rest, rest)
+                                            && fleet.get(0).protocol().liveCount() == 1)
                             >= 0,
-                    "cut one way, it is not out",
-                    f);
-            stays(f, "a cut of one way");
-            heals(f, "a cut of one way");
+                    "a member partitioned in one direction is not removed",
+                    fleet);
+            requireStability(fleet, "a one-way partition");
+            requireHealing(fleet, "a one-way partition");
         }
-        f.net.cut((from, to) -> !(from == 3 && to == 4) && !(from == 4 && to == 9));
-        f.run(4 * PAUSE);
-        hold(f.changes.isEmpty(), "a pair that can't talk put somebody out", f);
-        heals(f, "a pair");
-        f.net.cut((from, to) -> from != 5 || to % 2 == 0);
-        f.run(4 * PAUSE);
-        boolean in = f.get(0).core().isInView("n5");
-        hold(
-                f.all().stream()
-                        .filter(x -> x.place != 5)
-                        .allMatch(x -> x.core().isInView("n5") == in),
-                "one that half can hear is in for some only",
-                f);
-        stays(f, "one that half can hear");
-        heals(f, "one that half can hear");
-        f.net.cut((from, to) -> !(from < 5 && to >= 5));
-        hold(
-                f.await(
-                                4 * PAUSE,
-                                () -> f.agree(range(f, 0, 5), range(f, 0, 5))
-                                        && f.agree(range(f, 5, 12), range(f, 5, 12)))
+        fleet.network.setPartition((from, to) -> !(from == 3 && to == 4) && !(from == 4 && to == 9));
+        fleet.run(4 * PAUSE_MICROS);
+        require(fleet.changes.isEmpty(), "a pair that cannot communicate removed a member", fleet);
+        requireHealing(fleet, "a pair");
+        fleet.network.setPartition((from, to) -> from != 5 || to % 2 == 0);
+        fleet.run(4 * PAUSE_MICROS);
+        boolean in = fleet.get(0).protocol().isInView("n5");
+        require(
+                fleet.all().stream()
+                        .filter(member -> member.node != 5)
+                        .allMatch(member -> member.protocol().isInView("n5") == in),
+                "a member that half can hear is in only some views",
+                fleet);
+        requireStability(fleet, "a member that half can hear");
+        requireHealing(fleet, "a member that half can hear");
+        fleet.network.setPartition((from, to) -> !(from < 5 && to >= 5));
+        require(
+                fleet.await(
+                                4 * PAUSE_MICROS,
+                                () -> fleet.agree(range(fleet, 0, 5), range(fleet, 0, 5))
+                                        && fleet.agree(range(fleet, 5, 12), range(fleet, 5, 12)))
                         >= 0,
-                "two groups cut one way",
-                f);
-        stays(f, "two groups cut one way");
-        heals(f, "two groups cut one way");
+                "two groups partitioned in one direction",
+                fleet);
+        requireStability(fleet, "two groups partitioned in one direction");
+        requireHealing(fleet, "two groups partitioned in one direction");
     }
 
-    static void oneThatFewCanReachDoesNotComeAndGo(long seed) {
-        for (int friend : new int[] {7, 13, 22}) {
-            MembershipSimulation f = together(seed + friend, 30);
-            f.net.cut((from, to) -> from != 0 && to != 0 || from == friend || to == friend);
-            f.run(4 * PAUSE);
-            stays(f, "one that few can reach");
-            heals(f, "one that few can reach");
+    static void barelyReachableMemberDoesNotFlap(long seed) {
+        for (int reachableNode : new int[] {7, 13, 22}) {
+            MembershipSimulation fleet = establishedFleet(seed + reachableNode, 30);
+            fleet.network.setPartition(
+                    (from, to) -> from != 0 && to != 0 || from == reachableNode || to == reachableNode);
+            fleet.run(4 * PAUSE_MICROS);
+            requireStability(fleet, "a member that few can reach");
+            requireHealing(fleet, "a member that few can reach");
         }
     }
 
-    static void splitsHealWithoutLoss(long seed) {
-        MembershipSimulation f = together(seed, 14);
-        f.net.cut((from, to) -> part(from) == part(to));
-        hold(
-                f.await(
-                                4 * PAUSE,
-                                () -> f.agree(range(f, 0, 2), range(f, 0, 2))
-                                        && f.agree(range(f, 2, 6), range(f, 2, 6))
-                                        && f.agree(range(f, 6, 14), range(f, 6, 14)))
+    static void partitionsHealWithoutRemovals(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 14);
+        fleet.network.setPartition((from, to) -> partitionOf(from) == partitionOf(to));
+        require(
+                fleet.await(
+                                4 * PAUSE_MICROS,
+                                () -> fleet.agree(range(fleet, 0, 2), range(fleet, 0, 2))
+                                        && fleet.agree(range(fleet, 2, 6), range(fleet, 2, 6))
+                                        && fleet.agree(range(fleet, 6, 14), range(fleet, 6, 14)))
                         >= 0,
-                "three parts",
-                f);
-        stays(f, "a split");
-        f.net.cut((from, to) -> true);
-        hold(f.await(3 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "a split does not heal", f);
-        hold(outs(f) == 0, "healing put somebody out", f);
-        heals(f, "a split");
+                "three partitions do not form three views",
+                fleet);
+        requireStability(fleet, "a split");
+        fleet.network.setPartition((from, to) -> true);
+        require(
+                fleet.await(3 * PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0,
+                "a split does not heal",
+                fleet);
+        require(countOut(fleet) == 0, "healing removed a member", fleet);
+        requireHealing(fleet, "a split");
     }
 
-    private static int part(int place) {
+    private static int partitionOf(int place) {
         return place < 2 ? 0 : place < 6 ? 1 : 2;
     }
 
-    static void leavingIsKnownAtOnce(long seed) {
-        MembershipSimulation f = together(seed, 9);
-        f.get(3).core().leave(f.net.now());
-        f.run(400_000);
-        f.net.kill(3);
-        List<SimulatedMember> rest = some(f, 0, 1, 2, 4, 5, 6, 7, 8);
-        hold(f.agree(rest, rest), "leaving is not known", f);
-        hold(
-                f.changes.size() == 8
-                        && f.changes.stream().allMatch(s -> s.change().kind() == Change.Kind.LEFT),
-                "it was not taken for leaving",
-                f);
-        f.run(4 * PAUSE);
-        hold(f.agree(rest, rest) && f.changes.size() == 8, "it was put out besides", f);
+    static void leavingIsKnownImmediately(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 9);
+        fleet.get(3).protocol().leave(fleet.network.now());
+        fleet.run(400_000);
+        fleet.network.kill(3);
+        List<SimulatedMember> rest = membersAt(fleet, 0, 1, 2, 4, 5, 6, 7, 8);
+        require(fleet.agree(rest, rest), "leaving was not detected", fleet);
+        require(
+                fleet.changes.size() == 8
+                        && fleet.changes.stream().allMatch(s -> s.change().kind() == Change.Kind.LEFT),
+                "leaving was reported as another change",
+                fleet);
+        fleet.run(4 * PAUSE_MICROS);
+        require(fleet.agree(rest, rest) && fleet.changes.size() == 8, "the leaving member was also removed", fleet);
     }
 
-    static void theFirstOfTwoKeepsTheName(long seed) {
-        MembershipSimulation f = together(seed, 5);
-        SimulatedMember second = f.add("n2");
-        f.start(second.place);
-        f.run(PAUSE);
-        hold(second.refused() != null && second.refused().contains("'n2'"), "the second lives on", f);
-        hold(f.agree(range(f, 0, 5), range(f, 0, 5)) && f.changes.isEmpty(), "the first did not", f);
-        // While the first only sleeps the second waits, and is refused when it wakes.
-        f.net.stop(2);
-        f.start(second.place);
-        f.run(PAUSE * 9 / 10);
-        hold(second.refused() == null, "refused by one that sleeps", f);
-        f.net.go(2);
-        f.run(PAUSE);
-        hold(second.refused() != null && f.changes.isEmpty(), "the sleeper lost its name", f);
-        // The name of one that is gone is free, at another address too.
-        f.net.kill(2);
-        f.start(second.place);
-        List<SimulatedMember> now = some(f, 0, 1, 3, 4, 5);
-        hold(f.await(4 * PAUSE, () -> f.agree(now, now)) >= 0, "a name stays taken", f);
-        hold(second.core().self().incarnation() > 1, "two processes at one incarnation", f);
+    static void firstOfTwoProcessesKeepsTheName(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 5);
+        SimulatedMember second = fleet.add("n2");
+        fleet.start(second.node);
+        fleet.run(PAUSE_MICROS);
+        require(
+                second.refusalReason() != null && second.refusalReason().contains("'n2'"),
+                "the second process was not refused",
+                fleet);
+        require(
+                fleet.agree(range(fleet, 0, 5), range(fleet, 0, 5)) && fleet.changes.isEmpty(),
+                "the first process did not keep the name",
+                fleet);
+        // While the first is paused the second waits; it is refused once the first resumes.
+        fleet.network.pause(2);
+        fleet.start(second.node);
+        fleet.run(PAUSE_MICROS * 9 / 10);
+        require(second.refusalReason() == null, "refused while the first is paused", fleet);
+        fleet.network.resume(2);
+        fleet.run(PAUSE_MICROS);
+        require(second.refusalReason() != null && fleet.changes.isEmpty(), "the paused process lost its name", fleet);
+        // The name of a removed member is free again, also at another address.
+        fleet.network.kill(2);
+        fleet.start(second.node);
+        List<SimulatedMember> now = membersAt(fleet, 0, 1, 3, 4, 5);
+        require(fleet.await(4 * PAUSE_MICROS, () -> fleet.agree(now, now)) >= 0, "the name stays taken", fleet);
+        require(second.protocol().self().incarnation() > 1, "two processes with the same incarnation", fleet);
     }
 
-    static void allStartInWhateverWay(long seed) {
-        MembershipSimulation f = new MembershipSimulation(seed, 12, 3, PAUSE);
+    static void allStartOrdersFormOneView(long seed) {
+        MembershipSimulation fleet = new MembershipSimulation(seed, 12, 3, PAUSE_MICROS);
         for (int i = 0; i < 12; i++) {
-            int who = i;
-            f.net.at(f.net.now() + 80_000L * i, () -> f.start(who));
+            int nodes = i;
+            fleet.network.schedule(fleet.network.now() + 80_000L * i, () -> fleet.start(nodes));
         }
-        hold(
-                f.await(2 * PAUSE, () -> f.all().stream().allMatch(x -> x.core() != null) && f.agree(f.all(), f.all()))
+        require(
+                fleet.await(
+                                2 * PAUSE_MICROS,
+                                () -> fleet.all().stream().allMatch(member -> member.protocol() != null)
+                                        && fleet.agree(fleet.all(), fleet.all()))
                         >= 0,
-                "a start within a second",
-                f);
-        heals(f, "a start");
-        IntStream.range(0, 12).forEach(f.net::kill);
-        f.run(2 * PAUSE);
-        IntStream.range(0, 12).forEach(f::start);
-        hold(f.await(2 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "all killed and started", f);
-        heals(f, "all killed and started");
-        f.net.kill(0);
-        f.net.kill(1);
-        f.run(3 * PAUSE);
-        f.net.kill(9);
-        f.run(3 * PAUSE);
-        f.start(9);
-        List<SimulatedMember> up = range(f, 2, 12);
-        hold(f.await(2 * PAUSE, () -> f.agree(up, up)) >= 0, "a join by the one seed that lives", f);
+                "a start of all within a second does not converge",
+                fleet);
+        requireHealing(fleet, "a start");
+        IntStream.range(0, 12).forEach(fleet.network::kill);
+        fleet.run(2 * PAUSE_MICROS);
+        IntStream.range(0, 12).forEach(fleet::start);
+        require(
+                fleet.await(2 * PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0,
+                "a restart of all does not converge",
+                fleet);
+        requireHealing(fleet, "a restart of all");
+        fleet.network.kill(0);
+        fleet.network.kill(1);
+        fleet.run(3 * PAUSE_MICROS);
+        fleet.network.kill(9);
+        fleet.run(3 * PAUSE_MICROS);
+        fleet.start(9);
+        List<SimulatedMember> running = range(fleet, 2, 12);
+        require(
+                fleet.await(2 * PAUSE_MICROS, () -> fleet.agree(running, running)) >= 0,
+                "a join through the only running seed failed",
+                fleet);
     }
 
-    static void wordsOfAnEarlierIncarnationAreVoid(long seed) {
-        MembershipSimulation f = together(seed, 6);
-        Peer first = f.get(5).core().self();
-        MemberRecord early = new MemberRecord(first, MemberStatus.MEMBER, 7, Map.of("front", "old"), 0);
-        f.net.kill(5);
-        f.run(3 * PAUSE);
-        f.start(5);
-        hold(f.await(2 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0, "a restart", f);
-        f.changes.clear();
-        say(f, 0, first, early);
-        f.run(3 * PAUSE);
-        hold(f.changes.isEmpty() && f.agree(f.all(), f.all()), "an early word changed something", f);
-        hold(!"old".equals(f.get(2).core().members().get("n5").record().facts().get("front")), "early facts hold", f);
-        f.net.kill(5);
-        f.run(2 * PAUSE);
-        f.changes.clear();
-        f.run(240_000_000);
-        say(
-                f,
+    static void messagesAboutEarlierIncarnationsAreIgnored(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 6);
+        Peer first = fleet.get(5).protocol().self();
+        MemberRecord staleRecord = new MemberRecord(first, MemberStatus.MEMBER, 7, Map.of("front", "old"), 0);
+        fleet.network.kill(5);
+        fleet.run(3 * PAUSE_MICROS);
+        fleet.start(5);
+        require(fleet.await(2 * PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0, "a restart", fleet);
+        fleet.changes.clear();
+        deliver(fleet, 0, first, staleRecord);
+        fleet.run(3 * PAUSE_MICROS);
+        require(
+                fleet.changes.isEmpty() && fleet.agree(fleet.all(), fleet.all()),
+                "a message about an earlier incarnation changed the view",
+                fleet);
+        require(
+                !"old"
+                        .equals(fleet.get(2)
+                                .protocol()
+                                .members()
+                                .get("n5")
+                                .record()
+                                .facts()
+                                .get("front")),
+                "facts of an earlier incarnation were accepted",
+                fleet);
+        fleet.network.kill(5);
+        fleet.run(2 * PAUSE_MICROS);
+        fleet.changes.clear();
+        fleet.run(240_000_000);
+        deliver(
+                fleet,
                 0,
-                f.get(5).core().self(),
-                new MemberRecord(f.get(5).core().self(), MemberStatus.MEMBER, 9, Map.of(), 0));
-        f.run(3 * PAUSE);
-        hold(f.changes.isEmpty(), "one that is gone came back by a word four minutes late", f);
+                fleet.get(5).protocol().self(),
+                new MemberRecord(fleet.get(5).protocol().self(), MemberStatus.MEMBER, 9, Map.of(), 0));
+        fleet.run(3 * PAUSE_MICROS);
+        require(fleet.changes.isEmpty(), "a message four minutes late brought a removed member back", fleet);
     }
 
-    private static void say(MembershipSimulation f, int to, Peer from, MemberRecord... entries) {
-        f.get(to)
-                .core()
+    private static void deliver(MembershipSimulation fleet, int to, Peer from, MemberRecord... entries) {
+        fleet.get(to)
+                .protocol()
                 .receive(
-                        f.net.now(),
+                        fleet.network.now(),
                         new MembershipMessage(
                                 MembershipMessage.Kind.NEWS,
                                 from,
@@ -362,90 +410,90 @@
                                 ""));
     }
 
-    static void theNewestFactsHold(long seed) {
-        MembershipSimulation f = together(seed, 9);
-        f.net.weather(SimulatedNetwork.Weather.losing(0.2));
+    static void newestFactsWin(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 9);
+        fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.2));
         for (int i = 0; i < 6; i++) {
-            f.get(2).core().updateFacts(f.net.now(), Map.of("state", "step " + i));
-            f.run(130_000);
+            fleet.get(2).protocol().updateFacts(fleet.network.now(), Map.of("state", "step " + i));
+            fleet.run(130_000);
         }
-        f.run(2 * PAUSE);
-        for (SimulatedMember x : f.all()) {
-            String state = x.core().members().get("n2").record().facts().get("state");
-            hold("step 5".equals(state), x.name + " knows '" + state + "'", f);
+        fleet.run(2 * PAUSE_MICROS);
+        for (SimulatedMember member : fleet.all()) {
+            String state =
+                    member.protocol().members().get("n2").record().facts().get("state");
+            require("step 5".equals(state), member.name + " knows '" + state + "'", fleet);
         }
     }
 
-    static void madeUpNamesCostWhatIsStated(long seed) {
-        MembershipSimulation f = together(seed, 5);
-        long before = f.net.sent();
-        List<MemberRecord> page = new ArrayList<>();
-        Peer liar = f.get(1).core().self();
+    static void inventedNamesAreBounded(long seed) {
+        MembershipSimulation fleet = establishedFleet(seed, 5);
+        long before = fleet.network.sent();
+        List<MemberRecord> records = new ArrayList<>();
+        Peer sender = fleet.get(1).protocol().self();
         for (int i = 0; i < 100_000; i++) {
-            page.add(new MemberRecord(
+            records.add(new MemberRecord(
                     new Peer("x" + i, i, 1, 1, new InetSocketAddress("127.0.0.1", 7)),
                     MemberStatus.OUT,
                     0,
                     Map.of(),
                     0));
-            if (page.size() == 10) {
-                say(f, 0, liar, page.toArray(new MemberRecord[0]));
-                page.clear();
+            if (records.size() == 10) {
+                deliver(fleet, 0, sender, records.toArray(new MemberRecord[0]));
+                records.clear();
             }
         }
-        hold(f.get(0).core().members().size() <= f.plan().maxMembers(), "more names than allowed", f);
-        f.run(10_000_000);
-        hold(f.agree(f.all(), f.all()), "made-up names moved the view", f);
-        hold(f.net.sent() - before < 5 * 10 * 1_000, (f.net.sent() - before) + " datagrams", f);
+        require(fleet.get(0).protocol().members().size() <= fleet.options().maxMembers(), "too many names", fleet);
+        fleet.run(10_000_000);
+        require(fleet.agree(fleet.all(), fleet.all()), "invented names changed the view", fleet);
+        require(fleet.network.sent() - before < 5 * 10 * 1_000, (fleet.network.sent() - before) + " datagrams", fleet);
     }
 
     /**
-     * Faults at random among a few, one at a time or several; who was not touched by any is never put out by
-     * others that were not either, and in the end all agree.
+     * Random single and combined faults in a small fleet; once they end, all members agree on one view.
      */
-    static void aWalkEndsInOneView(long seed) {
+    static void randomFaultsEndInOneView(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        for (int world = 0; world < 12; world++) {
+        for (int run = 0; run < 12; run++) {
             int members = 3 + random.nextInt(5);
-            MembershipSimulation f = together(seed + world, members);
+            MembershipSimulation fleet = establishedFleet(seed + run, members);
             for (int step = 0; step < 5; step++) {
-                f.changes.clear();
-                fault(f, members, random);
-                f.net.cut((from, to) -> true);
-                f.net.weather(SimulatedNetwork.Weather.FAIR);
+                fleet.changes.clear();
+                injectFault(fleet, members, random);
+                fleet.network.setPartition((from, to) -> true);
+                fleet.network.setConditions(SimulatedNetwork.Conditions.RELIABLE);
                 IntStream.range(0, members).forEach(i -> {
-                    if (f.net.runs(i)) {
-                        f.net.go(i);
+                    if (fleet.network.isRunning(i)) {
+                        fleet.network.resume(i);
                     } else {
-                        f.start(i);
+                        fleet.start(i);
                     }
                 });
-                hold(
-                        f.await(4 * PAUSE, () -> f.agree(f.all(), f.all())) >= 0,
-                        "world " + world + " step " + step + " of seed " + seed + " does not come together",
-                        f);
+                require(
+                        fleet.await(4 * PAUSE_MICROS, () -> fleet.agree(fleet.all(), fleet.all())) >= 0,
+                        "world " + run + " step " + step + " of seed " + seed + " does not converge",
+                        fleet);
             }
         }
     }
 
-    private static void fault(MembershipSimulation f, int members, SplittableRandom random) {
-        int one = random.nextInt(members);
-        int other = (one + 1 + random.nextInt(members - 1)) % members;
-        long time = random.nextLong(4 * PAUSE);
+    private static void injectFault(MembershipSimulation fleet, int members, SplittableRandom random) {
+        int node = random.nextInt(members);
+        int otherNode = (node + 1 + random.nextInt(members - 1)) % members;
+        long time = random.nextLong(4 * PAUSE_MICROS);
         switch (random.nextInt(6)) {
-            case 0 -> f.net.kill(one);
-            case 1 -> f.net.stop(one);
-            case 2 -> f.net.cut((from, to) -> from != one || to == other);
-            case 3 -> f.net.cut((from, to) -> to != one || from == other);
-            case 4 -> f.net.cut((from, to) -> from <= one == to <= one);
+            case 0 -> fleet.network.kill(node);
+            case 1 -> fleet.network.pause(node);
+            case 2 -> fleet.network.setPartition((from, to) -> from != node || to == otherNode);
+            case 3 -> fleet.network.setPartition((from, to) -> to != node || from == otherNode);
+            case 4 -> fleet.network.setPartition((from, to) -> from <= node == to <= node);
             default -> {
-                f.net.kill(one);
-                f.net.stop(other);
+                fleet.network.kill(node);
+                fleet.network.pause(otherNode);
             }
         }
         if (random.nextBoolean()) {
-            f.net.weather(SimulatedNetwork.Weather.losing(0.2));
+            fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.2));
         }
-        f.run(time);
+        fleet.run(time);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/MembershipSimulationTest.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipSimulationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The promises of membership in made-up time, each with a seed that has been played before and a new one. */
+/** Runs {@link MembershipChecks} in simulated time, each with a fixed seed and a random one. */
 @Timeout(60)
 class MembershipSimulationTest {
 
--- a/src/test/java/org/cypressweir/simulation/ShareChecks.java
+++ b/src/test/java/org/cypressweir/simulation/ShareChecks.java
@@ -9,119 +9,121 @@
 import org.cypressweir.fleet.membership.ShareRequest;
 import org.cypressweir.fleet.membership.ShareRequester;
 
-/** Shares in small models of processes, some of them voters, with faults and uneven clocks. */
+/** Checks that shares never add up to more than the whole, in small simulated fleets with faults and clock drift. */
 public final class ShareChecks {
 
-    static final long HOLD = 1_000_000;
-    /** For which what is in use stays so at a process that stands still, where it does. */
-    private static final long LINGER = 3 * HOLD;
+    static final long HOLD_MICROS = 1_000_000;
+    /** How long the share of a paused process stays in use, in fleets where connections outlive a pause. */
+    private static final long LINGER_MICROS = 3 * HOLD_MICROS;
 
-    private static final int MOST = 40;
-    private static final long BEAT = 20_000;
+    private static final int MAX_MEMBERS = 40;
+    private static final long TICK_MICROS = 20_000;
 
-    private static final class World {
-        final SimulatedNetwork<MembershipMessage> net;
+    private static final class SimulatedFleet {
+        final SimulatedNetwork<MembershipMessage> network;
         final SplittableRandom random;
         final int voters;
-        final long linger;
-        final One[] all;
-        double worst;
+        final long lingerMicros;
+        final SimulatedProcess[] processes;
+        double maxTotalShare;
 
-        World(long seed, int members, int voters, double drift, long linger) {
-            this.linger = linger;
-            net = new SimulatedNetwork<>(seed);
+        SimulatedFleet(long seed, int members, int voters, double drift, long lingerMicros) {
+            this.lingerMicros = lingerMicros;
+            network = new SimulatedNetwork<>(seed);
             random = new SplittableRandom(~seed);
             this.voters = voters;
-            all = new One[members];
+            processes = new SimulatedProcess[members];
             for (int i = 0; i < members; i++) {
-                net.place();
-                // Each clock has an origin and a rate of its own.
+                network.addNode();
+                // Each process has its own clock origin and rate.
                 start(i, 1 + (random.nextInt(3) - 1) * drift);
             }
         }
 
         void start(int i, double rate) {
-            all[i] = new One(this, i, rate, random.nextLong(1_000_000));
-            net.start(i, BEAT, all[i]);
+            processes[i] = new SimulatedProcess(this, i, rate, random.nextLong(1_000_000));
+            network.start(i, TICK_MICROS, processes[i]);
         }
 
-        /** Plays on, and adds up what all that run may use, at each moment. */
+        /** Advances time and tracks the largest sum of the shares in use by all running processes. */
         void run(long micros) {
-            for (long until = net.now() + micros; net.now() < until; ) {
-                net.run(net.now() + BEAT / 4);
+            for (long until = network.now() + micros; network.now() < until; ) {
+                network.run(network.now() + TICK_MICROS / 4);
                 double sum = 0;
-                for (One one : all) {
-                    sum += net.runs(one.place) ? one.inUse() : 0;
+                for (SimulatedProcess process : processes) {
+                    sum += network.isRunning(process.node) ? process.inUse() : 0;
                 }
-                worst = Math.max(worst, sum);
+                maxTotalShare = Math.max(maxTotalShare, sum);
             }
         }
 
-        double least() {
-            double least = 1;
-            for (One one : all) {
-                least = net.runs(one.place) ? Math.min(least, one.part()) : least;
+        double smallestShare() {
+            double smallest = 1;
+            for (SimulatedProcess process : processes) {
+                smallest = network.isRunning(process.node) ? Math.min(smallest, process.share()) : smallest;
             }
-            return least;
+            return smallest;
         }
     }
 
-    private static final class One implements SimulatedNetwork.Process<MembershipMessage> {
-        final World world;
-        final int place;
-        final double rate;
-        final long origin;
+    private static final class SimulatedProcess implements SimulatedNetwork.Process<MembershipMessage> {
+        final SimulatedFleet fleet;
+        final int node;
+        final double clockRate;
+        final long clockOrigin;
         final Peer self;
         final ShareRequester requester;
-        /** What it has open while it stands still, until its other ends close it; 0 for never. */
-        double left;
-
-        long leftUntil;
-
-        One(World world, int place, double rate, long origin) {
-            this.world = world;
-            this.place = place;
-            this.rate = rate;
-            this.origin = origin;
-            InetSocketAddress own = MembershipSimulation.address(place);
-            self = new Peer("p" + place, world.random.nextLong(), 1, 1, own);
+        /**
+         * Share that stays in use while the process is paused, until its peers close its connections at {@link
+         * #openUntil}.
+         */
+        double openShare;
+
+        /** 0 while the process is not paused. */
+        long openUntil;
+
+        SimulatedProcess(SimulatedFleet fleet, int node, double clockRate, long clockOrigin) {
+            this.fleet = fleet;
+            this.node = node;
+            this.clockRate = clockRate;
+            this.clockOrigin = clockOrigin;
+            InetSocketAddress address = MembershipSimulation.address(node);
+            self = new Peer("p" + node, fleet.random.nextLong(), 1, 1, address);
             ShareOptions options = new ShareOptions(
-                    IntStream.range(0, world.voters)
+                    IntStream.range(0, fleet.voters)
                             .mapToObj(MembershipSimulation::address)
                             .toList(),
-                    HOLD,
-                    world.linger,
-                    MOST);
+                    HOLD_MICROS,
+                    fleet.lingerMicros,
+                    MAX_MEMBERS);
             requester = new ShareRequester(
                     clock(),
                     options,
-                    own,
-                    world.random.nextLong(1L << 40),
-                    (to, m) -> world.net.send(
-                            place,
-                            to.getPort() - MembershipSimulation.address(0).getPort(),
-                            m));
+                    address,
+                    fleet.random.nextLong(1L << 40),
+                    (to, m) -> fleet.network.send(
+                            node, to.getPort() - MembershipSimulation.address(0).getPort(), m));
         }
 
         long clock() {
-            return origin + (long) (world.net.now() * rate);
+            return clockOrigin + (long) (fleet.network.now() * clockRate);
         }
 
-        double part() {
+        double share() {
             return requester.part(clock());
         }
 
-        void stand() {
-            world.net.stop(place);
-            if (leftUntil == 0) {
-                left = part();
-                leftUntil = world.net.now() + world.linger + 1;
+        void pause() {
+            fleet.network.pause(node);
+            if (openUntil == 0) {
+                openShare = share();
+                openUntil = fleet.network.now() + fleet.lingerMicros + 1;
             }
         }
 
-        /** As the servers would count it. */
+        /** Share in use as the servers see it. */
         double inUse() {
-            return leftUntil == 0 ? part() : world.net.now() < leftUntil ? left : 0;
+            return openUntil == 0 ? share() : fleet.network.now() < openUntil ? openShare : 0;
         }
 
         @Override
@@ -130,103 +132,117 @@
         }
 
         @Override
-        public void receive(long now, MembershipMessage m) {
-            requester.receive(clock(), m, self);
+        public void receive(long now, MembershipMessage message) {
+            requester.receive(clock(), message, self);
         }
     }
 
     private ShareChecks() {}
 
-    private static void hold(boolean holds, String what, long seed) {
-        if (!holds) {
-            throw new AssertionError(what + ", seed " + seed);
+    private static void require(boolean condition, String failure, long seed) {
+        if (!condition) {
+            throw new AssertionError(failure + ", seed " + seed);
         }
     }
 
-    /** How it is broken, or null. */
+    /** Describes the first violation that the seed leads to, or null; called by reflection. */
     public static String broken(long seed) {
         try {
-            all(seed);
+            checkAll(seed);
             return null;
         } catch (AssertionError e) {
             return e.toString();
         }
     }
 
-    static void all(long seed) {
+    static void checkAll(long seed) {
         nobodyTakesTooMuch(seed);
         whatIsLeftIsUsed(seed);
     }
 
-    /** Faults at random, one after the other and at once; never more than the whole on all sides. */
+    /** Under random single and combined faults the shares never add up to more than the whole. */
     private static void nobodyTakesTooMuch(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < 25; run++) {
             int members = 3 + random.nextInt(6);
-            World w = new World(
-                    seed * 100 + run, members, random.nextBoolean() ? 3 : 1, 0.04, random.nextBoolean() ? LINGER : 0);
+            SimulatedFleet fleet = new SimulatedFleet(
+                    seed * 100 + run,
+                    members,
+                    random.nextBoolean() ? 3 : 1,
+                    0.04,
+                    random.nextBoolean() ? LINGER_MICROS : 0);
             for (int step = 0; step < 14; step++) {
-                fault(w, random, members);
-                w.run(random.nextLong(4 * HOLD + w.linger));
-                hold(w.worst <= 1 + 1e-9, "all use " + w.worst + " in run " + run + " step " + step, seed);
+                injectFault(fleet, random, members);
+                fleet.run(random.nextLong(4 * HOLD_MICROS + fleet.lingerMicros));
+                require(
+                        fleet.maxTotalShare <= 1 + 1e-9,
+                        "shares add up to " + fleet.maxTotalShare + " in run " + run + " step " + step,
+                        seed);
             }
         }
     }
 
-    private static void fault(World w, SplittableRandom random, int members) {
-        int one = random.nextInt(members);
-        int other = random.nextInt(members);
+    private static void injectFault(SimulatedFleet fleet, SplittableRandom random, int members) {
+        int node = random.nextInt(members);
+        int otherNode = random.nextInt(members);
         switch (random.nextInt(12)) {
-            case 0 -> w.net.kill(one);
-            case 1 -> w.all[one].stand();
-            case 2 -> w.net.cut((from, to) -> from <= one == to <= one);
-            case 3 -> w.net.cut((from, to) -> from != one || to == other);
-            case 4 -> w.net.cut((from, to) -> to != one || from == other);
-            case 5 -> w.net.weather(SimulatedNetwork.Weather.losing(0.3));
+            case 0 -> fleet.network.kill(node);
+            case 1 -> fleet.processes[node].pause();
+            case 2 -> fleet.network.setPartition((from, to) -> from <= node == to <= node);
+            case 3 -> fleet.network.setPartition((from, to) -> from != node || to == otherNode);
+            case 4 -> fleet.network.setPartition((from, to) -> to != node || from == otherNode);
+            case 5 -> fleet.network.setConditions(SimulatedNetwork.Conditions.lossy(0.3));
             case 7, 8 -> {
-                // Each is cut off from one voter, and not all from the same one.
-                int[] from = random.ints(members, 0, w.voters).toArray();
-                w.net.cut((a, b) -> from[a] != b && from[b] != a);
+                // Each process is partitioned from one voter, not all from the same one.
+                int[] unreachableVoter = random.ints(members, 0, fleet.voters).toArray();
+                fleet.network.setPartition((from, to) -> unreachableVoter[from] != to && unreachableVoter[to] != from);
             }
             case 9 -> {
-                // A voter forgets, and somebody can't ask it again.
-                int voter = random.nextInt(w.voters);
-                w.start(voter, w.all[voter].rate);
-                w.net.cut((a, b) -> a != one || b != voter);
+                // A voter restarts without its state, and one process can no longer reach it.
+                int voter = random.nextInt(fleet.voters);
+                fleet.start(voter, fleet.processes[voter].clockRate);
+                fleet.network.setPartition((a, b) -> a != node || b != voter);
             }
-            case 6 -> w.net.weather(new SimulatedNetwork.Weather(0.1, 0.3, 0.5, 3 * HOLD, 200, 50_000));
+            case 6 -> fleet.network.setConditions(
+                    new SimulatedNetwork.Conditions(0.1, 0.3, 0.5, 3 * HOLD_MICROS, 200, 50_000));
             default -> {
-                w.net.cut((from, to) -> true);
-                w.net.weather(SimulatedNetwork.Weather.FAIR);
+                fleet.network.setPartition((from, to) -> true);
+                fleet.network.setConditions(SimulatedNetwork.Conditions.RELIABLE);
                 for (int i = 0; i < members; i++) {
-                    w.all[i].leftUntil = 0;
-                    if (!w.net.runs(i)) {
-                        w.start(i, w.all[i].rate);
+                    fleet.processes[i].openUntil = 0;
+                    if (!fleet.network.isRunning(i)) {
+                        fleet.start(i, fleet.processes[i].clockRate);
                     } else {
-                        w.net.go(i);
+                        fleet.network.resume(i);
                     }
                 }
             }
         }
     }
 
-    /** With all in touch each has its equal part; after half has gone the rest has all, within the time. */
+    /** Connected processes get equal shares; once half are gone, the rest gets their shares within the release time. */
     private static void whatIsLeftIsUsed(long seed) {
-        World w = new World(seed, 8, 3, 0, 0);
-        w.run(3 * ShareRequest.releaseMicros(HOLD, 0));
-        hold(
-                Math.abs(w.least() - ShareRequest.CLAIMABLE_PART / 8) < 1e-9,
-                "a part of " + w.least() + " of eight",
+        SimulatedFleet fleet = new SimulatedFleet(seed, 8, 3, 0, 0);
+        fleet.run(3 * ShareRequest.releaseMicros(HOLD_MICROS, 0));
+        require(
+                Math.abs(fleet.smallestShare() - ShareRequest.CLAIMABLE_PART / 8) < 1e-9,
+                "the smallest share is " + fleet.smallestShare() + " with eight processes",
                 seed);
         for (int i = 4; i < 8; i++) {
-            w.net.kill(i);
-        }
-        w.run(ShareRequest.releaseMicros(HOLD, 0) + HOLD / 2);
-        hold(Math.abs(w.least() - ShareRequest.CLAIMABLE_PART / 4) < 1e-9, "a part of " + w.least() + " of four", seed);
-        w.net.kill(0);
-        w.net.kill(1);
-        w.run(HOLD + BEAT);
-        hold(w.least() < 0.01, "without most voters a part of " + w.least(), seed);
-        hold(w.worst <= 1 + 1e-9, "all together may use " + w.worst, seed);
+            fleet.network.kill(i);
+        }
+        fleet.run(ShareRequest.releaseMicros(HOLD_MICROS, 0) + HOLD_MICROS / 2);
+        require(
+                Math.abs(fleet.smallestShare() - ShareRequest.CLAIMABLE_PART / 4) < 1e-9,
+                "the smallest share is " + fleet.smallestShare() + " with four processes",
+                seed);
+        fleet.network.kill(0);
+        fleet.network.kill(1);
+        fleet.run(HOLD_MICROS + TICK_MICROS);
+        require(
+                fleet.smallestShare() < 0.01,
+                "smallest share without a quorum of voters: " + fleet.smallestShare(),
+                seed);
+        require(fleet.maxTotalShare <= 1 + 1e-9, "shares add up to " + fleet.maxTotalShare, seed);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/ShareTest.java
+++ b/src/test/java/org/cypressweir/simulation/ShareTest.java
@@ -12,39 +12,39 @@
 
 class ShareTest {
 
-    /** Over all schedules that the seeds draw, no moment has more in use than there is. */
+    /** At no moment of any drawn schedule do the shares in use add up to more than the whole. */
     @Test
-    void allTogetherNeverTakeMoreThanTheWhole() {
+    void sharesNeverAddUpToMoreThanTheWhole() {
         LongStream.concat(LongStream.rangeClosed(1, 20), LongStream.of(System.nanoTime() & 0xFFFFF))
                 .forEach(seed -> assertNull(ShareChecks.broken(seed)));
     }
 
-    /** Every order of losses and restarts in a small world, and the beginning of a larger one. */
+    /** Explores all orders of message loss and restarts in a small fleet, and a bounded number in a larger one. */
     @Test
-    void noScheduleOfASmallWorldBreaksTheBound() {
-        ShareWalk.Result one = ShareWalk.walk(new ShareWalk.Shape(2, 1, true, 1), 20_000);
-        assertNull(one.breach());
-        assertTrue(one.whole() && one.states() > 5_000, one.toString());
-        assertTrue(one.most() > 0.9, "somebody claims: " + one);
-        ShareWalk.Result three = ShareWalk.walk(new ShareWalk.Shape(2, 3, false, 0), 40_000);
-        assertNull(three.breach());
-        assertTrue(three.states() >= 40_000, three.toString());
+    void noScheduleOfASmallFleetExceedsTheWhole() {
+        ShareWalk.Result oneVoter = ShareWalk.walk(new ShareWalk.WorldParameters(2, 1, true, 1), 20_000);
+        assertNull(oneVoter.breach());
+        assertTrue(oneVoter.complete() && oneVoter.states() > 5_000, oneVoter.toString());
+        assertTrue(oneVoter.maxTotalShare() > 0.9, "no process gets a share: " + oneVoter);
+        ShareWalk.Result threeVoters = ShareWalk.walk(new ShareWalk.WorldParameters(2, 3, false, 0), 40_000);
+        assertNull(threeVoters.breach());
+        assertTrue(threeVoters.states() >= 40_000, threeVoters.toString());
     }
 
     @Test
-    void anElectorThatForgotSaysNothingUntilNobodyReliesOnIt() {
+    void aRestartedVoterStaysSilentForTheReleaseTime() {
         ShareVoter voter = new ShareVoter(100, 1_000, 2);
         assertNull(voter.count(1_099, "a"));
         assertEquals(1, voter.count(1_100, "a").count());
         assertEquals(2, voter.count(1_200, "b").count());
-        assertNull(voter.count(1_300, "c"), "more than it keeps");
+        assertNull(voter.count(1_300, "c"), "more processes than the voter counts");
         assertNotEquals(
                 voter.count(1_400, "a").digest(), voter.count(2_210, "a").digest());
-        assertEquals(1, voter.count(2_300, "a").count(), "b has been silent for the release");
+        assertEquals(1, voter.count(2_300, "a").count(), "b has been silent for the release time");
     }
 
     @Test
-    void whatElectorsCountDifferentlyIsAddedUp() {
+    void differingCountsOfVotersAreAddedUp() {
         ShareRequest request = new ShareRequest(3, 1_000, 0, 10);
         for (long at = 0; at <= 4_000; at += 500) {
             request.receiveGrant(at, 0, at, new ShareVoter.Grant(4, 77));
@@ -52,6 +52,6 @@
         }
         assertEquals(8, request.processCount(4_000));
         assertEquals(ShareRequest.CLAIMABLE_PART / 8, request.part(4_000));
-        assertEquals(0.005, request.part(5_000), 1e-9, "the floor, once most voters are silent");
+        assertEquals(0.005, request.part(5_000), 1e-9, "minimum share without a quorum of voters");
     }
 }
--- a/src/test/java/org/cypressweir/simulation/ShareWalk.java
+++ b/src/test/java/org/cypressweir/simulation/ShareWalk.java
@@ -13,216 +13,224 @@
 import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
 /**
- * Walks through everything that may happen in a small world of processes that claim parts and their voters.
- * Processes take turns in a fixed order, half a hold from one turn of a process to its next. In a turn a
- * process asks all voters, and of each pair the question may be lost, the answer may be lost, come at once,
- * or come at the process's next turn. A voter may start anew, and a process may be replaced by another
- * life, as often as the world allows. After each turn, and right before the next, all parts are added up.
- * Worlds that differ by the order of voters only are one.
+ * Exhaustive state exploration (model checking) of a small fleet of processes that request shares from voters.
+ * Processes take turns in a fixed order; a process has a turn every half hold time. In its turn a process sends a
+ * request to every voter. For each voter the request is lost, the response is lost, the response arrives immediately,
+ * or it arrives at the process's next turn. Voters and processes may restart a limited number of times; a restarted
+ * process has a new incarnation. After each turn and right before the next one, all shares are added up. States that
+ * differ only in the order of the voters count as one.
  */
 public final class ShareWalk {
 
-    /** Ticks of the walk; the release is 2.2 holds. */
-    private static final long HOLD = 120;
+    /** Hold time in ticks of the exploration; the release time is 2.2 hold times. */
+    private static final long HOLD_TICKS = 120;
 
-    private static final long TURN = HOLD / 2;
+    private static final long TURN_TICKS = HOLD_TICKS / 2;
 
-    /** What there is, and what may happen. */
-    record Shape(int processes, int voters, boolean late, int restarts) {}
+    /** Size of the fleet, and which faults are explored. */
+    record WorldParameters(int processes, int voters, boolean lateAnswers, int maxRestarts) {}
 
-    /** How far a walk came: states, steps between them, and the first breach's history or null. */
-    record Result(long states, long steps, boolean whole, double most, String breach) {}
+    /** Result of an exploration: states and transitions visited, and the history of the first violation or null. */
+    record Result(long states, long steps, boolean complete, double maxTotalShare, String breach) {}
 
-    private record Answer(int voter, long asked, Grant grant) {}
+    private record Answer(int voter, long requestedAt, Grant grant) {}
 
     private static final class World {
-        final Shape shape;
+        final WorldParameters parameters;
         long now;
         int turn;
-        int restarts;
-        final int[] lives;
+        int restartsLeft;
+        final int[] incarnations;
         final ShareRequest[] requests;
         final ShareVoter[] voters;
-        final List<List<Answer>> late = new ArrayList<>();
-        World before;
+        final List<List<Answer>> lateAnswersByProcess = new ArrayList<>();
+        World previous;
         String step = "start";
 
-        World(Shape shape) {
-            this.shape = shape;
-            restarts = shape.restarts;
-            lives = new int[shape.processes];
-            requests = new ShareRequest[shape.processes];
-            voters = new ShareVoter[shape.voters];
-            for (int p = 0; p < requests.length; p++) {
-                requests[p] = newRequest();
-                late.add(List.of());
+        World(WorldParameters parameters) {
+            this.parameters = parameters;
+            restartsLeft = parameters.maxRestarts;
+            incarnations = new int[parameters.processes];
+            requests = new ShareRequest[parameters.processes];
+            voters = new ShareVoter[parameters.voters];
+            for (int process = 0; process < requests.length; process++) {
+                requests[process] = newRequest();
+                lateAnswersByProcess.add(List.of());
             }
-            for (int e = 0; e < voters.length; e++) {
-                voters[e] = newVoter(0);
+            for (int voter = 0; voter < voters.length; voter++) {
+                voters[voter] = newVoter(0);
             }
         }
 
         World(World other) {
-            shape = other.shape;
+            parameters = other.parameters;
             now = other.now;
             turn = other.turn;
-            restarts = other.restarts;
-            lives = other.lives.clone();
+            restartsLeft = other.restartsLeft;
+            incarnations = other.incarnations.clone();
             requests = Arrays.stream(other.requests).map(ShareRequest::copy).toArray(ShareRequest[]::new);
             voters = Arrays.stream(other.voters).map(ShareVoter::copy).toArray(ShareVoter[]::new);
-            late.addAll(other.late);
-            before = other;
+            lateAnswersByProcess.addAll(other.lateAnswersByProcess);
+            previous = other;
         }
 
         ShareRequest newRequest() {
-            return new ShareRequest(shape.voters, HOLD, 0, 10);
+            return new ShareRequest(parameters.voters, HOLD_TICKS, 0, 10);
         }
 
         static ShareVoter newVoter(long now) {
-            return new ShareVoter(now, ShareRequest.releaseMicros(HOLD, 0), 100);
+            return new ShareVoter(now, ShareRequest.releaseMicros(HOLD_TICKS, 0), 100);
         }
 
-        /** What comes of one turn: a fate for each voter in base four, and who starts anew, or -1. */
-        World next(int fates, int restart) {
+        /**
+         * The state after one turn.
+         *
+         * @param outcomes one base-4 digit for each voter, see {@link #play}
+         * @param restartIndex who restarts first: voters, then processes; -1 for nobody
+         */
+        World next(int outcomes, int restartIndex) {
             World next = new World(this);
-            next.step = "p" + turn + " " + Integer.toString(fates, 4) + (restart < 0 ? "" : " anew " + restart);
-            next.play(fates, restart);
+            next.step = "p" + turn + " " + Integer.toString(outcomes, 4)
+                    + (restartIndex < 0 ? "" : " anew " + restartIndex);
+            next.play(outcomes, restartIndex);
             return next;
         }
 
-        private void play(int fates, int restart) {
-            if (restart >= 0) {
-                restarts--;
-                if (restart < voters.length) {
-                    voters[restart] = newVoter(now);
+        private void play(int outcomes, int restartIndex) {
+            if (restartIndex >= 0) {
+                restartsLeft--;
+                if (restartIndex < voters.length) {
+                    voters[restartIndex] = newVoter(now);
                 } else {
-                    int p = restart - voters.length;
-                    lives[p]++;
-                    requests[p] = newRequest();
-                    late.set(p, List.of());
+                    int process = restartIndex - voters.length;
+                    incarnations[process]++;
+                    requests[process] = newRequest();
+                    lateAnswersByProcess.set(process, List.of());
                 }
             }
             ShareRequest request = requests[turn];
-            for (Answer a : late.get(turn)) {
-                request.receiveGrant(now, a.voter, a.asked, a.grant);
+            for (Answer answer : lateAnswersByProcess.get(turn)) {
+                request.receiveGrant(now, answer.voter, answer.requestedAt, answer.grant);
             }
-            List<Answer> later = new ArrayList<>();
-            for (int e = 0; e < voters.length; e++, fates /= 4) {
-                // 0 lost, 1 the answer is lost, 2 at once, 3 late
-                Grant grant = fates % 4 == 0 ? null : voters[e].count(now, "p" + turn + "/" + lives[turn]);
-                if (grant != null && fates % 4 == 2) {
-                    request.receiveGrant(now, e, now, grant);
-                } else if (grant != null && fates % 4 == 3) {
-                    later.add(new Answer(e, now, grant));
+            List<Answer> lateAnswers = new ArrayList<>();
+            for (int voter = 0; voter < voters.length; voter++, outcomes /= 4) {
+                // 0: request lost, 1: response lost, 2: response immediate, 3: response late
+                Grant grant =
+                        outcomes % 4 == 0 ? null : voters[voter].count(now, "p" + turn + "/" + incarnations[turn]);
+                if (grant != null && outcomes % 4 == 2) {
+                    request.receiveGrant(now, voter, now, grant);
+                } else if (grant != null && outcomes % 4 == 3) {
+                    lateAnswers.add(new Answer(voter, now, grant));
                 }
             }
-            late.set(turn, later);
+            lateAnswersByProcess.set(turn, lateAnswers);
             turn = (turn + 1) % requests.length;
         }
 
-        double sum(long at) {
-            double sum = 0;
-            for (ShareRequest c : requests) {
-                sum += c.copy().part(at);
+        double totalShare(long at) {
+            double total = 0;
+            for (ShareRequest request : requests) {
+                total += request.copy().part(at);
             }
-            return sum;
+            return total;
         }
 
-        void pass() {
-            now += TURN / requests.length;
+        void advanceTime() {
+            now += TURN_TICKS / requests.length;
         }
 
-        /** The same for worlds that go on alike; by voter, and those sorted. */
-        long key() {
-            String[] parts = new String[voters.length];
-            for (int e = 0; e < voters.length; e++) {
-                StringBuilder part = new StringBuilder(voters[e].describeState(now)).append('|');
-                for (int p = 0; p < requests.length; p++) {
-                    part.append(requests[p].describeState(now).split(" ", -1)[e])
+        /** Key that is equal for equivalent states; the parts of the voters are sorted. */
+        long stateKey() {
+            String[] voterStates = new String[voters.length];
+            for (int voter = 0; voter < voters.length; voter++) {
+                StringBuilder voterState = new StringBuilder(voters[voter].describeState(now)).append('|');
+                for (int process = 0; process < requests.length; process++) {
+                    voterState
+                            .append(requests[process].describeState(now).split(" ", -1)[voter])
                             .append(';');
-                    for (Answer a : late.get(p)) {
-                        if (a.voter == e) {
-                            part.append(now - a.asked).append(a.grant);
+                    for (Answer answer : lateAnswersByProcess.get(process)) {
+                        if (answer.voter == voter) {
+                            voterState.append(now - answer.requestedAt).append(answer.grant);
                         }
                     }
                 }
-                parts[e] = part.toString();
+                voterStates[voter] = voterState.toString();
             }
-            Arrays.sort(parts);
-            StringBuilder all = new StringBuilder()
+            Arrays.sort(voterStates);
+            StringBuilder state = new StringBuilder()
                     .append(turn)
-                    .append(restarts)
-                    .append(Arrays.toString(lives))
-                    .append(Arrays.toString(parts));
-            for (ShareRequest c : requests) {
-                String state = c.describeState(now);
-                all.append(state, state.lastIndexOf(' '), state.length());
+                    .append(restartsLeft)
+                    .append(Arrays.toString(incarnations))
+                    .append(Arrays.toString(voterStates));
+            for (ShareRequest request : requests) {
+                String requestState = request.describeState(now);
+                state.append(requestState, requestState.lastIndexOf(' '), requestState.length());
             }
-            return Hashes.mix(Ids.of(all.toString()), 1);
+            return Hashes.mix(Ids.of(state.toString()), 1);
         }
 
         String history() {
-            return (before == null ? "" : before.history() + "\n") + now + " " + step;
+            return (previous == null ? "" : previous.history() + "\n") + now + " " + step;
         }
     }
 
     private ShareWalk() {}
 
-    /** Walks breadth first, so that the first breach is a shortest one; at most so many states. */
-    static Result walk(Shape shape, long most) {
+    /** Explores at most {@code maxStates} states breadth first, so that the first violation has a shortest history. */
+    static Result walk(WorldParameters parameters, long maxStates) {
         Set<Long> known = new HashSet<>();
-        ArrayDeque<World> open = new ArrayDeque<>();
-        open.add(new World(shape));
+        ArrayDeque<World> pending = new ArrayDeque<>();
+        pending.add(new World(parameters));
         long steps = 0;
-        double worst = 0;
-        int fates = 1 << 2 * shape.voters;
-        while (!open.isEmpty() && known.size() < most) {
-            World world = open.poll();
-            int restarts = world.restarts > 0 ? shape.voters + shape.processes : 0;
-            for (int restart = -1; restart < restarts; restart++) {
-                for (int f = 0; f < fates; f++) {
-                    if (!shape.late && (f & f >> 1 & 0x55555555) != 0) {
+        double maxTotalShare = 0;
+        int outcomeCount = 1 << 2 * parameters.voters;
+        while (!pending.isEmpty() && known.size() < maxStates) {
+            World world = pending.poll();
+            int restartChoices = world.restartsLeft > 0 ? parameters.voters + parameters.processes : 0;
+            for (int restartIndex = -1; restartIndex < restartChoices; restartIndex++) {
+                for (int outcomes = 0; outcomes < outcomeCount; outcomes++) {
+                    if (!parameters.lateAnswers && (outcomes & outcomes >> 1 & 0x55555555) != 0) {
                         continue;
                     }
-                    World next = world.next(f, restart);
+                    World next = world.next(outcomes, restartIndex);
                     steps++;
-                    double sum = next.sum(next.now);
-                    next.pass();
-                    sum = Math.max(sum, next.sum(next.now - 1));
-                    worst = Math.max(worst, sum);
-                    if (sum > 1 + 1e-9) {
-                        return new Result(known.size(), steps, false, sum, next.history());
+                    double totalShare = next.totalShare(next.now);
+                    next.advanceTime();
+                    totalShare = Math.max(totalShare, next.totalShare(next.now - 1));
+                    maxTotalShare = Math.max(maxTotalShare, totalShare);
+                    if (totalShare > 1 + 1e-9) {
+                        return new Result(known.size(), steps, false, totalShare, next.history());
                     }
-                    if (known.add(next.key())) {
-                        open.add(next);
+                    if (known.add(next.stateKey())) {
+                        pending.add(next);
                     }
                 }
             }
         }
-        return new Result(known.size(), steps, open.isEmpty(), worst, null);
+        return new Result(known.size(), steps, pending.isEmpty(), maxTotalShare, null);
     }
 
-    /** How a small walk is broken, or null. */
-    public static String broken(long most) {
-        return walk(new Shape(2, 1, true, 1), most).breach;
+    /** History of the first violation in a small exploration, or null. */
+    public static String broken(long maxStates) {
+        return walk(new WorldParameters(2, 1, true, 1), maxStates).breach;
     }
 
-    /** Arguments by colon: processes, voters, whether answers may be late, restarts, states at most. */
+    /** Arguments, separated by colons: processes, voters, whether responses may be late, restarts, maximum states. */
     public static void main(String[] args) {
         for (String world : args[0].split(",")) {
             String[] parts = world.split(":");
-            long begun = System.nanoTime();
-            Result r = walk(
-                    new Shape(
+            long startedAt = System.nanoTime();
+            Result result = walk(
+                    new WorldParameters(
                             Integer.parseInt(parts[0]),
                             Integer.parseInt(parts[1]),
                             Boolean.parseBoolean(parts[2]),
                             Integer.parseInt(parts[3])),
                     Long.parseLong(parts[4]));
-            System.out.println(world + ": " + r.states + " states, " + r.steps + " steps, "
-                    + (r.whole ? "all" : "cut off") + ", at most " + r.most + " in use, "
-                    + (System.nanoTime() - begun) / 1_000_000 + " ms"
-                    + (r.breach == null ? "" : "\n" + r.breach));
+            System.out.println(world + ": " + result.states + " states, " + result.steps + " steps, "
+                    + (result.complete ? "all" : "cut off") + ", at most " + result.maxTotalShare + " in use, "
+                    + (System.nanoTime() - startedAt) / 1_000_000 + " ms"
+                    + (result.breach == null ? "" : "\n" + result.breach));
         }
     }
 }
