--- a/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/LeaseProcessBench.java
@@ -36,12 +36,12 @@
             Path folder = Files.createTempDirectory("processes");
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                     SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server)) {
-                processes.seeds(3);
+                processes.setSeedCount(3);
                 String grantors = IntStream.range(0, 3)
                         .mapToObj(index -> address(processes, index))
                         .collect(Collectors.joining(", "));
-                processes.operators(text -> text + "[keepers]\naddresses = [" + grantors + "]\n[leases.job]\nterm = \""
-                        + TERM_MILLIS + "ms\"\n");
+                processes.editOperatorConfiguration(text -> text + "[keepers]\naddresses = [" + grantors
+                        + "]\n[leases.job]\nterm = \"" + TERM_MILLIS + "ms\"\n");
                 for (int i = 0; i < members; i++) {
                     processes.start(i);
                 }
@@ -81,36 +81,36 @@
             throws Exception {
         for (int i = 0; i < processes.size(); i++) {
             int index = i;
-            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "ready", () -> processes
                     .ask(index, "READY")
                     .startsWith("YES"));
         }
         // A restarted process may be a grantor, which has to wait for a term and then recover tokens.
         TimeUnit.MILLISECONDS.sleep(2 * TERM_MILLIS);
-        processes.within(START_TIMEOUT_MILLIS, "a process holds the lease", () -> !leaseHolders
+        processes.await(START_TIMEOUT_MILLIS, "a process holds the lease", () -> !leaseHolders
                 .holder()
                 .isEmpty());
         int holder = Integer.parseInt(leaseHolders.holder().substring(1));
         int faultKind = random.nextInt(7);
         if (random.nextInt(3) == 0) {
-            processes.relay.weather(new DatagramRelay.Weather(0.1, 0.1, 0.1, 2 * TERM_MILLIS, 0));
+            processes.relay.setImpairment(new DatagramRelay.Impairment(0.1, 0.1, 0.1, 2 * TERM_MILLIS, 0));
         }
         switch (faultKind) {
             case 0 -> processes.signal(holder, "STOP");
             case 1 -> processes.kill(holder);
-            case 2 -> processes.relay.cut((from, to) -> to != holder);
-            case 3 -> processes.relay.cut((from, to) -> from != holder);
-            case 4 -> processes.relay.cut((from, to) -> (from == holder) == (to == holder));
+            case 2 -> processes.relay.setLinkFilter((from, to) -> to != holder);
+            case 3 -> processes.relay.setLinkFilter((from, to) -> from != holder);
+            case 4 -> processes.relay.setLinkFilter((from, to) -> (from == holder) == (to == holder));
             case 5 -> processes.ask(holder, "DRAIN");
             default -> processes.process(holder).destroy();
         }
-        long tookMillis = processes.within(
+        long tookMillis = processes.await(
                 10 * TERM_MILLIS,
                 "another process holds the lease, fault " + faultKind,
-                () -> leaseHolders.actsBesides(SidecarProcesses.name(holder)));
+                () -> leaseHolders.othersAct(SidecarProcesses.name(holder)));
         takeoverMillis.recordValue(tookMillis);
         TimeUnit.MILLISECONDS.sleep(random.nextLong(2 * TERM_MILLIS));
-        processes.relay.weather(DatagramRelay.Weather.FAIR);
+        processes.relay.setImpairment(DatagramRelay.Impairment.NONE);
         switch (faultKind) {
             case 0 -> processes.signal(holder, "CONT");
             case 1 -> processes.start(holder);
@@ -119,10 +119,10 @@
                 processes.process(holder).waitFor();
                 processes.start(holder);
             }
-            default -> processes.relay.cut((from, to) -> true);
+            default -> processes.relay.setLinkFilter((from, to) -> true);
         }
-        if (!leaseHolders.wrong().isEmpty()) {
-            throw new AssertionError(leaseHolders.wrong() + "\n" + processes.logs());
+        if (!leaseHolders.violations().isEmpty()) {
+            throw new AssertionError(leaseHolders.violations() + "\n" + processes.logs());
         }
     }
 }
--- a/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
+++ b/src/bench/java/org/cypressweir/fleet/transport/MembershipProcessBench.java
@@ -42,10 +42,10 @@
             try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                     SidecarProcesses processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server)) {
                 int[] all = start(processes, members);
-                processes.within(120_000, "all members see each other", () -> processes.see(members, all));
+                processes.await(120_000, "all members see each other", () -> processes.see(members, all));
                 FaultSchedule schedule = new FaultSchedule(processes, PAUSE_MILLIS);
-                for (FaultSchedule.Step step : FaultSchedule.draw(seed, members, faultsPerSchedule, PAUSE_MILLIS)) {
-                    schedule.play(step);
+                for (FaultSchedule.Step step : FaultSchedule.generate(seed, members, faultsPerSchedule, PAUSE_MILLIS)) {
+                    schedule.run(step);
                 }
                 System.out.println("seed " + seed + ": " + faultsPerSchedule + " faults, none wrong, "
                         + (System.nanoTime() - startedAt) / 1_000_000_000 + " s");
@@ -69,15 +69,15 @@
         try (PeerStub server = new PeerStub(PeerStub.serves("ok"));
                 SidecarProcesses processes = new SidecarProcesses(folder, 1, members, 3 * PAUSE_MILLIS, server)) {
             if (!isMembershipOn) {
-                processes.operators(text -> text.substring(0, text.indexOf("[membership]")));
+                processes.editOperatorConfiguration(text -> text.substring(0, text.indexOf("[membership]")));
             }
             int[] all = start(processes, members);
             for (int i : all) {
-                processes.within(
+                processes.await(
                         120_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
             }
             if (isMembershipOn) {
-                processes.within(60_000, "all members see each other", () -> processes.see(members, all));
+                processes.await(60_000, "all members see each other", () -> processes.see(members, all));
             }
             TimeUnit.SECONDS.sleep(COST_SECONDS);
             long[] before = IntStream.of(all).mapToLong(i -> cpu(processes, i)).toArray();
--- a/src/bench/java/org/cypressweir/sidecar/CellServeBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/CellServeBench.java
@@ -73,7 +73,7 @@
                                 Harness.Client.head("GET", "/search/k" + i % 500, 2_000, "", 0))
                         .answer();
                 if (answer.status() != 200) {
-                    throw new IllegalStateException("answered " + answer.first());
+                    throw new IllegalStateException("answered " + answer.firstLine());
                 }
                 if (i >= 0) {
                     micros[i] = (System.nanoTime() - startedAt) / 1e3;
--- a/src/bench/java/org/cypressweir/sidecar/ClassListRun.java
+++ b/src/bench/java/org/cypressweir/sidecar/ClassListRun.java
@@ -26,7 +26,7 @@
                 PeerStub better = new PeerStub(PeerStub.answers("200 OK", LOAD, "ok"));
                 PeerStub rough = new PeerStub(ClassListRun::rough);
                 Harness harness = new Harness(Files.createTempDirectory("list"), 250_000, SOCKETS, good, rough)) {
-            harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
+            harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.EMPTY_UPDATE)));
             try (RunningSidecar served =
                     new RunningSidecar(Path.of(""), harness.file, "", "-XX:DumpLoadedClassList=" + list)) {
                 exercise(served, harness, good, better, rough);
@@ -36,7 +36,7 @@
     }
 
     /** Sends one of several valid and faulty responses, selected by the request id. */
-    private static void rough(PeerStub.Seen seen) throws IOException {
+    private static void rough(PeerStub.ReceivedRequest seen) throws IOException {
         int turn = Math.floorMod(seen.request().headers().get("Request-Id").hashCode(), 7);
         switch (turn) {
             case 0 -> seen.reply("500 Broken", LOAD, "");
@@ -84,12 +84,12 @@
     }
 
     private static void updateList(Harness harness, String list) throws Exception {
-        int before = harness.discovery.seen.size();
+        int before = harness.discovery.received.size();
         harness.discovery.script(seen -> {
             seen.reply("200 OK", "", Harness.json(list));
-            harness.discovery.script(s -> s.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
+            harness.discovery.script(s -> s.reply("200 OK", "", Harness.json(Harness.EMPTY_UPDATE)));
         });
-        while (harness.discovery.seen.size() < before + 3) {
+        while (harness.discovery.received.size() < before + 3) {
             Thread.sleep(10);
         }
     }
--- a/src/bench/java/org/cypressweir/sidecar/DrainBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainBench.java
@@ -54,7 +54,7 @@
         LoadBalancer real = new SubsetLoadBalancer(settings, actions);
         return (LoadBalancer) Proxy.newProxyInstance(
                 DrainBench.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("burden")) {
+                    if (method.getName().equals("externalLoad")) {
                         return null;
                     }
                     if (method.getName().equals("request")) {
@@ -106,7 +106,7 @@
             }
             System.out.printf("; after a drain by moves %.2f%n", maxToMean(servers.open(), 1, count + 1));
             for (WebSocketClient ws : all) {
-                ws.end();
+                ws.closeConnection();
             }
         }
     }
@@ -173,11 +173,11 @@
             for (WebSocketClient ws = first; ; ) {
                 WebSocketClient.Frame f = ws.message();
                 if (f == null) {
-                    ws.end();
+                    ws.closeConnection();
                     return;
                 }
                 ws.close(1001);
-                ws.end();
+                ws.closeConnection();
                 ws = null;
                 while (ws == null) {
                     Harness.Client client = new Harness.Client(harness.address);
@@ -253,7 +253,7 @@
         client.raw(Harness.Client.head("GET", "/search/1", 2_000, UPGRADE_HEADERS, 0));
         RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
-            throw new IOException("answered " + answer.first());
+            throw new IOException("answered " + answer.firstLine());
         }
         client.socket.setSoTimeout(0);
         return new WebSocketClient(client.socket, true);
--- a/src/bench/java/org/cypressweir/sidecar/DrainServers.java
+++ b/src/bench/java/org/cypressweir/sidecar/DrainServers.java
@@ -115,11 +115,11 @@
                     open.incrementAndGet();
                     try {
                         socket.getOutputStream()
-                                .write(WebSocketClient.agreed(key, "Sec-WebSocket-Protocol: chat\r\n")
+                                .write(WebSocketClient.switchingProtocols(key, "Sec-WebSocket-Protocol: chat\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
                         WebSocketClient ws = new WebSocketClient(socket, false);
                         for (WebSocketClient.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
-                            ws.send(f.opcode() == 9 ? 10 : f.opcode(), f.last(), f.payload());
+                            ws.send(f.opcode() == 9 ? 10 : f.opcode(), f.fin(), f.payload());
                         }
                         ws.close(1001);
                     } finally {
--- a/src/bench/java/org/cypressweir/sidecar/ListBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/ListBench.java
@@ -37,7 +37,7 @@
                 Thread probe = new Thread(() -> probe(harness, longestDelay));
                 probe.setDaemon(true);
                 probe.start();
-                PeerStub.Seen pendingRequest = harness.discovery.take();
+                PeerStub.ReceivedRequest pendingRequest = harness.discovery.take();
                 for (int i = 0; i < 50; i++) {
                     harness.client().search(2_000).answer();
                 }
--- a/src/bench/java/org/cypressweir/sidecar/QuietBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/QuietBench.java
@@ -28,19 +28,19 @@
 
     private static void run(String name, int instances, String bounds) throws Exception {
         Path folder = Files.createTempDirectory("quiet");
-        try (QuietFleet fleet = new QuietFleet(folder, instances, SERVERS, THREADS, bounds)) {
+        try (FleetHarness fleet = new FleetHarness(folder, instances, SERVERS, THREADS, bounds)) {
             long startedAt = System.nanoTime();
             fleet.start();
             double started = (System.nanoTime() - startedAt) / 1e9;
             fleet.awaitCalls(Integer.MAX_VALUE, OBSERVATION_MILLIS);
-            int watches = fleet.watches();
+            int watches = fleet.discoveryConnections();
             int served = 0;
             int maxConnections = 0;
             int maxConnectionsAtOneServer = 0;
             for (int i = 0; i < ROUNDS; i++) {
-                served += fleet.askAll(CLIENTS);
+                served += fleet.requestFromAll(CLIENTS);
                 maxConnections = Math.max(maxConnections, fleet.connections());
-                maxConnectionsAtOneServer = Math.max(maxConnectionsAtOneServer, fleet.connectionsPeak());
+                maxConnectionsAtOneServer = Math.max(maxConnectionsAtOneServer, fleet.maxConnectionsPerServer());
             }
             System.out.printf(
                     "%-9s %d instances, %d servers, started in %.1f s: %d calls for the list, most"
@@ -51,7 +51,7 @@
                     SERVERS,
                     started,
                     fleet.calls(),
-                    fleet.callsPeak(),
+                    fleet.maxCallsPerSecond(),
                     watches,
                     served,
                     ROUNDS * instances,
--- a/src/bench/java/org/cypressweir/sidecar/RunningSidecar.java
+++ b/src/bench/java/org/cypressweir/sidecar/RunningSidecar.java
@@ -73,7 +73,7 @@
 
     /** Sends one line to the operator port and returns the response. */
     String call(String line) throws IOException {
-        return Harness.call(new InetSocketAddress("127.0.0.2", address.getPort()), line);
+        return Harness.adminCommand(new InetSocketAddress("127.0.0.2", address.getPort()), line);
     }
 
     void sendHangupSignal() throws IOException, InterruptedException {
--- a/src/bench/java/org/cypressweir/sidecar/WebSocketBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/WebSocketBench.java
@@ -69,8 +69,8 @@
                 + "\"\n[routes." + name + ".websocket]\nping_interval = \"600s\"\nping_timeout = \"600s\"\n";
     }
 
-    private static void receiveAll(PeerStub.Seen seen) throws IOException {
-        WebSocketClient ws = WebSocketClient.agree(seen, "");
+    private static void receiveAll(PeerStub.ReceivedRequest seen) throws IOException {
+        WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
         byte[] some = new byte[FRAME_BYTES];
         long left = (long) FRAMES * FRAME_BYTES;
         while (left > 0) {
@@ -85,7 +85,7 @@
         client.raw(Harness.Client.head("GET", "/" + name + "/1", 2_000, UPGRADE_HEADERS, 0));
         RawHttpClient.Message answer = client.answer();
         if (answer.status() != 101) {
-            throw new IOException("answered " + answer.first());
+            throw new IOException("answered " + answer.firstLine());
         }
         client.socket.setTcpNoDelay(true);
         return new WebSocketClient(client.socket, true);
@@ -232,7 +232,8 @@
                     sockets.add(socket);
                     RawHttpClient.Message asked = RawHttpClient.read(socket.getInputStream());
                     socket.getOutputStream()
-                            .write(WebSocketClient.agreed(asked.headers().get("Sec-WebSocket-Key"), "")
+                            .write(WebSocketClient.switchingProtocols(
+                                            asked.headers().get("Sec-WebSocket-Key"), "")
                                     .getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
--- a/src/bench/java/org/cypressweir/sidecar/cell/CellBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/CellBench.java
@@ -11,8 +11,8 @@
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
+import org.cypressweir.testkit.CellConfigurations;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -35,7 +35,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class CellBench implements Cells.Actions {
+public class CellBench implements CellRouter.Actions {
 
     private static final int UNITS = 1 << 14, SERVERS = 8_000;
 
@@ -43,7 +43,7 @@
     private int count;
 
     private List<Cell> cells;
-    private Cells router;
+    private CellRouter router;
     private Placement placement;
     private CellAssignment assignment;
     private HeavyUnits heavy;
@@ -54,13 +54,13 @@
 
     @Setup
     public void setUp() {
-        cells = CellPlans.cells(count);
+        cells = CellConfigurations.cells(count);
         BitSet open = new BitSet();
         open.set(0, count);
         placement = new Placement(cells, Map.of(), open);
-        router = new Cells("p", CellPlans.plan(cells, 0.1, null), 10_000, now, this);
+        router = new CellRouter("p", CellConfigurations.configuration(cells, 0.1, null), 10_000, now, this);
         assignment = new CellAssignment(cells, CellsConfiguration.Spread.SERVER, 0);
-        List<Server> servers = CellPlans.servers(SERVERS, 5);
+        List<Server> servers = CellConfigurations.servers(SERVERS, 5);
         router.listed(now, ListKind.COMPLETE, servers);
         assignment.listed(now, ListKind.COMPLETE, servers);
         heavy = new HeavyUnits(64, 5_000_000);
@@ -78,7 +78,7 @@
     @Benchmark
     public int request() {
         now += 100;
-        Ticket t = router.ask(now, unit(), Effect.SAFE, 0, now, now + 1_000_000);
+        Ticket t = router.route(now, unit(), Effect.SAFE, 0, now, now + 1_000_000);
         router.answered(now + 50, t, true);
         router.ended(now + 50, t);
         return t.cell();
@@ -122,11 +122,11 @@
     public int listChange() {
         int id = 1 + (next++ * 7 & 4095);
         int moved = assignment
-                .listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.REMOVED)))
+                .listed(now, ListKind.CHANGES, List.of(CellConfigurations.server(id, id % 5, Phase.REMOVED)))
                 .size();
         return moved
                 + assignment
-                        .listed(now, ListKind.CHANGES, List.of(CellPlans.server(id, id % 5, Phase.READY)))
+                        .listed(now, ListKind.CHANGES, List.of(CellConfigurations.server(id, id % 5, Phase.READY)))
                         .size();
     }
 
--- a/src/bench/java/org/cypressweir/sidecar/cell/DealBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/cell/DealBench.java
@@ -8,7 +8,7 @@
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellConfigurations;
 
 /**
  * Compares bounded rendezvous hashing with modulo: how even the cells are, and how many other servers move when one
@@ -36,10 +36,11 @@
         int fleets = Math.max(5, FLEETS * 100 / Math.max(100, servers));
         for (int f = 0; f < fleets; f++) {
             int first = random.nextInt(1 << 28);
-            CellAssignment assignment = new CellAssignment(CellPlans.cells(cells), CellsConfiguration.Spread.SERVER, 0);
+            CellAssignment assignment =
+                    new CellAssignment(CellConfigurations.cells(cells), CellsConfiguration.Spread.SERVER, 0);
             List<Server> fleet = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
-                fleet.add(CellPlans.server(first + i, i % 5, Phase.READY));
+                fleet.add(CellConfigurations.server(first + i, i % 5, Phase.READY));
             }
             assignment.listed(1, ListKind.COMPLETE, fleet);
             int[] sizes = new int[cells];
@@ -52,7 +53,10 @@
             modulo += Arrays.stream(sizesByModulo).min().orElseThrow() * (double) cells / servers;
             int leaving = random.nextInt(servers);
             int movedByOne = assignment
-                    .listed(2, ListKind.CHANGES, List.of(CellPlans.server(first + leaving, leaving % 5, Phase.REMOVED)))
+                    .listed(
+                            2,
+                            ListKind.CHANGES,
+                            List.of(CellConfigurations.server(first + leaving, leaving % 5, Phase.REMOVED)))
                     .size();
             moved += movedByOne;
             worst = Math.max(worst, movedByOne);
--- a/src/bench/java/org/cypressweir/sidecar/plugin/FirstCallBench.java
+++ b/src/bench/java/org/cypressweir/sidecar/plugin/FirstCallBench.java
@@ -26,7 +26,8 @@
         for (int i = 0; i < plugins; i++) {
             long since = System.nanoTime();
             try (PluginHost host = new PluginHost(
-                    PluginModules.plan("refuse", new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()),
+                    PluginModules.configuration(
+                            "refuse", new PluginGrant(Set.of(), Set.of(), Set.of(), true), Map.of()),
                     Runnable::run)) {
                 made[i] = (System.nanoTime() - since) / 1e6;
                 first[i] = call(host);
@@ -41,7 +42,7 @@
     private static double call(PluginHost host) throws Exception {
         CompletableFuture<RequestedChanges> heard = new CompletableFuture<>();
         long since = System.nanoTime();
-        host.ask(new RequestView("GET", "/pay/7", Map.of(), "search"), new PluginHost.Heard() {
+        host.submit(new RequestView("GET", "/pay/7", Map.of(), "search"), new PluginHost.ResultListener() {
             @Override
             public void done(RequestedChanges wishes) {
                 heard.complete(wishes);
--- a/src/bench/java/org/cypressweir/simulation/LeaseBench.java
+++ b/src/bench/java/org/cypressweir/simulation/LeaseBench.java
@@ -52,8 +52,8 @@
                                 .count());
             }
             moved += killHolders(fleet, new SplittableRandom(seed), grantors, takeoverMillis);
-            if (!fleet.history.wrong().isEmpty()) {
-                throw new AssertionError(fleet.history.wrong() + ", seed " + seed);
+            if (!fleet.history.violations().isEmpty()) {
+                throw new AssertionError(fleet.history.violations() + ", seed " + seed);
             }
         }
         System.out.println(String.format(
--- a/src/bench/java/org/cypressweir/simulation/MembershipBench.java
+++ b/src/bench/java/org/cypressweir/simulation/MembershipBench.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.HdrHistogram.Histogram;
-import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MembershipChange;
 import org.cypressweir.fleet.membership.MembershipOptions;
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
@@ -181,7 +181,7 @@
             f.onChange(s -> to.statusChanged(
                     s.observer(),
                     Integer.parseInt(s.change().name().substring(1)),
-                    s.change().kind() == Change.Kind.OUT));
+                    s.change().kind() == MembershipChange.Kind.OUT));
         });
     }
 
--- a/src/bench/java/org/cypressweir/simulation/SharesBench.java
+++ b/src/bench/java/org/cypressweir/simulation/SharesBench.java
@@ -73,7 +73,9 @@
             });
         }
         parts = new IntToDoubleFunction[] {
-            i -> 1.0 / n, i -> 1.0 / simulation.get(i).protocol().liveCount(), i -> requesters[i].part(network.now())
+            i -> 1.0 / n,
+            i -> 1.0 / simulation.get(i).protocol().liveCount(),
+            i -> requesters[i].fraction(network.now())
         };
     }
 
--- a/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
+++ b/src/main/java/org/cypressweir/controlplane/configuration/Configuration.java
@@ -93,7 +93,7 @@
      * A checksum over all items that does not depend on the order in which they were added. Once it is computed,
      * configurations that are derived from this one update it incrementally.
      */
-    public long sum() {
+    public long checksum() {
         if (checksum == null) {
             long total = 0;
             for (Item item : items()) {
--- a/src/main/java/org/cypressweir/controlplane/consensus/AcceptPhase.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/AcceptPhase.java
@@ -149,7 +149,7 @@
                             next.number(),
                             from,
                             fullSnapshot,
-                            next.configuration().sum(),
+                            next.configuration().checksum(),
                             next.voters(),
                             chunk,
                             chunkCount,
--- a/src/main/java/org/cypressweir/controlplane/consensus/AcceptorRequestHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/AcceptorRequestHandler.java
@@ -69,7 +69,7 @@
         ReplicatedState before = onLearned ? committed : acceptor.state();
         if (!fullSnapshot
                 && base.equals(before.number())
-                && before.configuration().with(items).sum() != accept.checksum()) {
+                && before.configuration().with(items).checksum() != accept.checksum()) {
             sendBaseMismatch(from, number);
             return;
         }
--- a/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/CommittedState.java
@@ -55,7 +55,7 @@
         }
         if (committed.number().above(state.number())) {
             state = committed;
-            context.addEffect(new Effect.Show(state.number(), state.configuration(), state.voters()));
+            context.addEffect(new Effect.Publish(state.number(), state.configuration(), state.voters()));
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusOptions.java
@@ -34,7 +34,7 @@
         long probeIntervalMicros,
         long probeTimeoutMicros) {
 
-    public static ConsensusOptions usual() {
+    public static ConsensusOptions defaults() {
         return new ConsensusOptions(
                 300_000, 500_000, 100_000, 500_000, 60_000, 500_000, 300_000, 5_000, 200_000, 400_000, 500_000,
                 2_500_000, 1_000_000, 60_000, 200, 1_500_000, 40_000, 150_000);
--- a/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ConsensusReplica.java
@@ -110,7 +110,7 @@
     }
 
     /** The key of this replica: its address, and the number of its disk. */
-    public String own() {
+    public String replicaKey() {
         return context.ownKey;
     }
 
--- a/src/main/java/org/cypressweir/controlplane/consensus/Effect.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/Effect.java
@@ -11,11 +11,11 @@
     record Send(String to, Map<String, Object> message) implements Effect {}
 
     /** Write durably, then call {@link ConsensusReplica#written}. At most one write is in flight at a time. */
-    record Write(long number, StorageUpdate change) implements Effect {}
+    record Write(long number, StorageUpdate update) implements Effect {}
 
     /** Return the result to whoever submitted that proposal. */
     record Answer(long proposalId, ProposalResult result) implements Effect {}
 
     /** Publish a committed state. Each has a higher number than the one published before. */
-    record Show(ProposalNumber number, Configuration configuration, List<String> voters) implements Effect {}
+    record Publish(ProposalNumber number, Configuration configuration, List<String> voters) implements Effect {}
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalBatch.java
@@ -62,11 +62,11 @@
         }
         Rejection rejection = rejections.get(proposal);
         if (rejection == null) {
-            return new ProposalResult.Taken(number);
+            return new ProposalResult.Committed(number);
         }
         // The contents of that version are no longer known, so it can't be told whether they were accepted.
         return rejection.kind() == RejectionKind.VERSION_TOO_OLD
                 ? new ProposalResult.Unavailable(rejection.reason())
-                : new ProposalResult.Refused(rejection);
+                : new ProposalResult.Rejected(rejection);
     }
 }
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalResult.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalResult.java
@@ -7,10 +7,10 @@
 public sealed interface ProposalResult {
 
     /** The change is part of the committed state of that number, or was part of an earlier one. */
-    record Taken(ProposalNumber number) implements ProposalResult {}
+    record Committed(ProposalNumber number) implements ProposalResult {}
 
     /** The change is invalid, or conflicts with the state that it was applied to. It has had no effect. */
-    record Refused(Rejection refusal) implements ProposalResult {}
+    record Rejected(Rejection rejection) implements ProposalResult {}
 
     /** The outcome is unknown: a change may be committed already, may be later, or never. */
     record Unavailable(String reason) implements ProposalResult {}
--- a/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/ProposalRound.java
@@ -159,7 +159,7 @@
         // proposals no longer wait.
         failExpired();
         base = found;
-        base.configuration().sum(); // Computed once; each change then updates it.
+        base.configuration().checksum(); // Computed once; each change then updates it.
         batch = new ProposalBatch(proposals, base.configuration());
         // Voters may change only if the base is known to be chosen: else two sets of voters could diverge.
         boolean chosen = ReplicatedState.isMajority(base.voters(), promises.voted(base.number()));
--- a/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/SnapshotCache.java
@@ -76,7 +76,7 @@
                         request.number(),
                         request.transfer(),
                         difference == null ? null : difference.from(),
-                        found.state.configuration().sum(),
+                        found.state.configuration().checksum(),
                         request.chunk(),
                         chunkCount,
                         found.state.voters(),
--- a/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StateTransfer.java
@@ -97,7 +97,7 @@
             Configuration result = before == null
                     ? Configuration.of(items)
                     : before.configuration().with(items);
-            if (result.sum() == chunk.checksum()) {
+            if (result.checksum() == chunk.checksum()) {
                 return new ReplicatedState(number, chunk.voters(), result);
             }
             // The difference was wrong: the next attempt fetches a full snapshot.
--- a/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
+++ b/src/main/java/org/cypressweir/controlplane/consensus/StorageUpdate.java
@@ -55,7 +55,7 @@
     }
 
     /** The state on the disk after this write; {@code before} is null for an empty disk. */
-    public PersistentState on(PersistentState before) {
+    public PersistentState appliedTo(PersistentState before) {
         PersistentState old = before != null
                 ? before
                 : new PersistentState(ProposalNumber.ZERO, ProposalNumber.ZERO, List.of(), List.of(), false);
--- a/src/main/java/org/cypressweir/controlplane/controller/Controller.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/Controller.java
@@ -151,7 +151,8 @@
     }
 
     private Map<String, Object> hello() {
-        return ControllerMessages.hello(identity.peerAddress(), driver.replica().own(), identity.controlAddress());
+        return ControllerMessages.hello(
+                identity.peerAddress(), driver.replica().replicaKey(), identity.controlAddress());
     }
 
     private long confirmedAge() {
@@ -161,7 +162,7 @@
     private void startReplica(StoreOpener.OpenedStore opened) {
         boolean initialStart = settings.initialStart() && !opened.store().damaged();
         ConsensusReplica replica = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 identity.peerAddress(),
                 seeds,
                 voterCount(),
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatistics.java
@@ -14,10 +14,10 @@
         UNAVAILABLE;
 
         static CallResult of(ProposalResult result) {
-            if (result instanceof ProposalResult.Taken || result instanceof ProposalResult.Read) {
+            if (result instanceof ProposalResult.Committed || result instanceof ProposalResult.Read) {
                 return COMMITTED;
             }
-            return result instanceof ProposalResult.Refused ? REJECTED : UNAVAILABLE;
+            return result instanceof ProposalResult.Rejected ? REJECTED : UNAVAILABLE;
         }
     }
 
--- a/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ControllerStatus.java
@@ -89,7 +89,7 @@
     }
 
     private static void addReplica(Map<String, Object> status, ConsensusReplica replica, long nowMicros) {
-        status.put("member", replica.own());
+        status.put("member", replica.replicaKey());
         status.put(VOTERS, addresses(replica.voters()));
         status.put("members", replica.voters());
         status.put("standbys", addresses(replica.standbys()));
--- a/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/OperatorApiHandler.java
@@ -158,11 +158,11 @@
     }
 
     private static String outcome(ProposalResult result) {
-        if (result instanceof ProposalResult.Taken committed) {
+        if (result instanceof ProposalResult.Committed committed) {
             return "configuration change committed proposal=" + committed.number();
-        } else if (result instanceof ProposalResult.Refused rejected) {
+        } else if (result instanceof ProposalResult.Rejected rejected) {
             return "configuration change rejected reason=\""
-                    + rejected.refusal().reason() + "\"";
+                    + rejected.rejection().reason() + "\"";
         }
         return "configuration change not confirmed in time";
     }
@@ -176,12 +176,12 @@
 
     /** The HTTP response to an operator for a proposal's result. */
     static ServerResponse answer(ProposalResult result) {
-        if (result instanceof ProposalResult.Taken) {
+        if (result instanceof ProposalResult.Committed) {
             return json(OK, Map.of());
         } else if (result instanceof ProposalResult.Read read) {
             return json(OK, read.configuration().layout());
-        } else if (result instanceof ProposalResult.Refused rejected) {
-            return rejected(rejected.refusal());
+        } else if (result instanceof ProposalResult.Rejected rejected) {
+            return rejected(rejected.rejection());
         }
         return error(
                 ErrorKind.UNAVAILABLE,
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaDriver.java
@@ -31,7 +31,7 @@
     private final Executor eventLoop;
     private final LongSupplier clock;
     private final BiConsumer<String, Map<String, Object>> sender;
-    private final Consumer<Effect.Show> commitListener;
+    private final Consumer<Effect.Publish> commitListener;
     private final ControllerStatistics statistics;
     private final Map<Long, Consumer<ProposalResult>> pending = new HashMap<>();
     private long lastProposalId;
@@ -49,7 +49,7 @@
             Executor eventLoop,
             LongSupplier clock,
             BiConsumer<String, Map<String, Object>> sender,
-            Consumer<Effect.Show> commitListener,
+            Consumer<Effect.Publish> commitListener,
             ControllerStatistics statistics) {
         this.replica = replica;
         this.store = store;
@@ -117,7 +117,7 @@
                 diskExecutor.execute(() -> write(write));
             } else if (effect instanceof Effect.Answer answer) {
                 complete(answer);
-            } else if (effect instanceof Effect.Show commit) {
+            } else if (effect instanceof Effect.Publish commit) {
                 commitListener.accept(commit);
             }
         }
@@ -143,7 +143,7 @@
 
     private boolean tryWrite(Effect.Write write) {
         try {
-            store.write(write.change());
+            store.write(write.update());
             return true;
         } catch (IOException | RuntimeException e) {
             // Xodus throws unchecked exceptions of its own; the replica has to learn of every failure.
--- a/src/main/java/org/cypressweir/controlplane/controller/ReplicaStateLog.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/ReplicaStateLog.java
@@ -30,9 +30,9 @@
     private void logLearning(ConsensusReplica replica) {
         boolean isBlank = replica.isBlank();
         if (isBlank && !wasBlank) {
-            LOG.info("replica is blank and learns the committed state replica=" + replica.own());
+            LOG.info("replica is blank and learns the committed state replica=" + replica.replicaKey());
         } else if (!isBlank && wasBlank) {
-            LOG.info("replica has learned the committed state replica=" + replica.own() + " proposal="
+            LOG.info("replica has learned the committed state replica=" + replica.replicaKey() + " proposal="
                     + replica.committed().number());
         }
         wasBlank = isBlank;
@@ -49,7 +49,7 @@
         }
         boolean isVoter = replica.isVoter();
         if (isVoter != wasVoter) {
-            LOG.info((isVoter ? "replica votes" : "replica votes no longer") + " replica=" + replica.own());
+            LOG.info((isVoter ? "replica votes" : "replica votes no longer") + " replica=" + replica.replicaKey());
             wasVoter = isVoter;
         }
     }
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutCalls.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutCalls.java
@@ -106,11 +106,11 @@
     }
 
     private static void answerBegin(ServerRequest request, Rollout initialStep, ProposalResult result) {
-        if (result instanceof ProposalResult.Taken) {
+        if (result instanceof ProposalResult.Committed) {
             LOG.info("rollout ordered service=" + initialStep.service() + " targetVersion="
                     + initialStep.targetVersion());
         }
-        if (result instanceof ProposalResult.Refused) {
+        if (result instanceof ProposalResult.Rejected) {
             // A concurrent order, the same or a different one, was committed first; a retry finds out which.
             request.answer(OperatorApiHandler.error(ErrorKind.UNAVAILABLE, "another order is being taken"));
         } else {
--- a/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
+++ b/src/main/java/org/cypressweir/controlplane/controller/RolloutDriver.java
@@ -79,7 +79,7 @@
         long deadline = clock.getAsLong() + TIMEOUT_MICROS;
         driver.get().submit(ConfigurationChange.of(next.toItem()), deadline, result -> {
             pendingProposals.remove(next.service());
-            if (result instanceof ProposalResult.Taken) {
+            if (result instanceof ProposalResult.Committed) {
                 LOG.info("rollout step service=" + next.service() + " targetVersion=" + next.targetVersion() + " state="
                         + next.state().wireName() + " share=" + next.shareOfTarget() + " reason=\"" + next.reason()
                         + "\"");
--- a/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/InMemoryStore.java
@@ -19,7 +19,7 @@
 
     @Override
     public void write(StorageUpdate update) {
-        state = update.on(state);
+        state = update.appliedTo(state);
     }
 
     @Override
--- a/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
+++ b/src/main/java/org/cypressweir/controlplane/storage/XodusStore.java
@@ -209,7 +209,7 @@
 
     /** Writes the complete state after the update into the next generation, and makes that the current one. */
     private void compact(StorageUpdate update) throws IOException {
-        PersistentState state = update.on(environment.load());
+        PersistentState state = update.appliedTo(environment.load());
         long nextGeneration = generation + 1;
         StoreEnvironment next = createGeneration(nextGeneration, state);
         StoreEnvironment previous = environment;
--- a/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
+++ b/src/main/java/org/cypressweir/dataplane/proxy/ServiceRequestHandler.java
@@ -15,10 +15,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Rules;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 import org.jboss.logging.Logger;
 
@@ -175,12 +175,12 @@
         timers.scheduleAdmissionTimeout(request);
     }
 
-    private static Terms attemptTerms(ProxiedRequest request) {
+    private static RequestPolicy attemptTerms(ProxiedRequest request) {
         int hedgedRequests = request.route.idempotent() && !request.internal ? 1 : 0;
-        return new Terms(
+        return new RequestPolicy(
                 Math.max(1, request.route.maxAttempts()),
                 0,
-                Terms.NONE.retryOn(),
+                RequestPolicy.NONE.retryOn(),
                 hedgedRequests,
                 (long) (HEDGE_AFTER_PART * request.latencyTargetMicros()),
                 List.of(),
@@ -195,7 +195,7 @@
         int number = classes.numberOf(request);
         if (number >= settings.classes().size()) {
             settings = settings.with(classes.classes());
-            loadBalancer.retune(clock.getAsLong(), settings);
+            loadBalancer.reconfigure(clock.getAsLong(), settings);
         }
         return number;
     }
--- a/src/main/java/org/cypressweir/fleet/membership/Lending.java
+++ b/src/main/java/org/cypressweir/fleet/membership/Lending.java
@@ -34,7 +34,7 @@
         long revision();
 
         /** Revision of the newest list, complete or not. */
-        long known();
+        long knownRevision();
 
         /** Time for which this has been the newest list of this process, in microseconds. */
         long ageMicros();
@@ -133,13 +133,13 @@
     }
 
     /** Starts seeking a list that is newer than this revision. */
-    public void seek(long revision) {
+    public void startSeeking(long revision) {
         isSeeking = true;
         knownRevision = revision;
     }
 
     /** Stops seeking, because discovery has responded. */
-    public void end() {
+    public void stopSeeking() {
         isSeeking = false;
         currentOffer = null;
         pages = null;
--- a/src/main/java/org/cypressweir/fleet/membership/LocalMember.java
+++ b/src/main/java/org/cypressweir/fleet/membership/LocalMember.java
@@ -81,7 +81,7 @@
         boolean isForThisProcess = refusal.number() == context.self.processId();
         if (isForThisProcess && !wasAdmitted) {
             hasLostName = true;
-            context.actions.refused(refusal.text());
+            context.actions.nameRefused(refusal.text());
         }
     }
 
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipProtocol.java
@@ -27,10 +27,10 @@
         void send(InetSocketAddress to, MembershipMessage message);
 
         /** The view has changed. */
-        void changed(Change change);
+        void viewChanged(MembershipChange change);
 
         /** Another process holds this process's name, and held it first. */
-        void refused(String reason);
+        void nameRefused(String reason);
 
         void log(String line);
     }
--- a/src/main/java/org/cypressweir/fleet/membership/MembershipView.java
+++ b/src/main/java/org/cypressweir/fleet/membership/MembershipView.java
@@ -12,7 +12,7 @@
  */
 final class MembershipView {
 
-    /** Is notified of changes before {@link MembershipProtocol.Actions#changed} is called. */
+    /** Is notified of changes before {@link MembershipProtocol.Actions#viewChanged} is called. */
     interface Listener {
         /** The name now belongs to another process or another incarnation. */
         void incarnationChanged(long now, String name);
@@ -95,7 +95,7 @@
         if (status == MemberStatus.OUT && wasInView) {
             pendingRemovals.putIfAbsent(name, new PendingRemoval(now + context.options.graceMicros(), from));
         } else if (status == MemberStatus.LEFT && wasInView) {
-            removed(name, "announced that it leaves", Change.Kind.LEFT);
+            removed(name, "announced that it leaves", MembershipChange.Kind.LEFT);
         } else if (status == MemberStatus.MEMBER && !wasInView) {
             joined(merged, from);
         }
@@ -118,8 +118,8 @@
 
     private void joined(MemberRecord record, String from) {
         listener.joined(record.name());
-        context.actions.changed(new Change(
-                record.incarnation() > 1 ? Change.Kind.BACK : Change.Kind.JOINED,
+        context.actions.viewChanged(new MembershipChange(
+                record.incarnation() > 1 ? MembershipChange.Kind.BACK : MembershipChange.Kind.JOINED,
                 record.name(),
                 record.incarnation(),
                 "reported by " + (from.isEmpty() ? "itself" : from),
@@ -135,15 +135,15 @@
         context.tableChangedAt = now;
         candidates.remove(name);
         if (wasInView) {
-            removed(name, cause, Change.Kind.OUT);
+            removed(name, cause, MembershipChange.Kind.OUT);
         }
     }
 
-    private void removed(String name, String cause, Change.Kind kind) {
+    private void removed(String name, String cause, MembershipChange.Kind kind) {
         pendingRemovals.remove(name);
         listener.removed(name);
         int incarnation = context.table.get(name).incarnation();
-        context.actions.changed(new Change(kind, name, incarnation, cause, liveCount()));
+        context.actions.viewChanged(new MembershipChange(kind, name, incarnation, cause, liveCount()));
     }
 
     /** Carries out removals that were not refuted in time. */
@@ -156,7 +156,7 @@
             if (context.table.get(name).status() == MemberStatus.CANDIDATE) {
                 // Its record stays as others know it, since it may still be admitted.
                 context.table.removeFromView(name);
-                removed(name, "not admitted again in time", Change.Kind.OUT);
+                removed(name, "not admitted again in time", MembershipChange.Kind.OUT);
             } else {
                 remove(now, name, "reported by " + removal.reportedBy);
             }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareRequest.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareClaim.java
@@ -14,10 +14,10 @@
  * asking for the share at that moment. What stays open at a paused process, such as connections, is bounded if its
  * peers close it within the linger time.
  */
-public final class ShareRequest {
+public final class ShareClaim {
 
     /** Fraction of the whole that is divided among claims; the rest is for processes at the minimum. */
-    public static final double CLAIMABLE_PART = 0.95;
+    public static final double CLAIMABLE_FRACTION = 0.95;
     /**
      * Release time in multiples of the hold time: two, since the responses of two voters may be a hold time apart, plus
      * a tenth for differences between clock rates.
@@ -44,7 +44,7 @@
      * @param lingerMicros how long a paused process may keep in use what it had in use, such as connections
      * @param maxProcesses maximum number of processes that ever run at once
      */
-    public ShareRequest(int voters, long holdMicros, long lingerMicros, int maxProcesses) {
+    public ShareClaim(int voters, long holdMicros, long lingerMicros, int maxProcesses) {
         this.holdMicros = holdMicros;
         this.maxProcesses = maxProcesses;
         releaseMicros = releaseMicros(holdMicros, lingerMicros);
@@ -53,7 +53,7 @@
         Arrays.fill(requestedAt, NEVER);
     }
 
-    private ShareRequest(ShareRequest original) {
+    private ShareClaim(ShareClaim original) {
         holdMicros = original.holdMicros;
         releaseMicros = original.releaseMicros;
         maxProcesses = original.maxProcesses;
@@ -63,8 +63,8 @@
     }
 
     /** A copy for model checkers. */
-    public ShareRequest copy() {
-        return new ShareRequest(this);
+    public ShareClaim copy() {
+        return new ShareClaim(this);
     }
 
     /** The state that determines further behaviour, for model checkers: ages instead of points in time. */
@@ -155,7 +155,7 @@
     }
 
     /** The fraction of the whole, 0 to 1, that this process may use at this moment. */
-    public double part(long now) {
-        return hasClaim(now) ? CLAIMABLE_PART / processCount(now) : (1 - CLAIMABLE_PART) / maxProcesses;
+    public double fraction(long now) {
+        return hasClaim(now) ? CLAIMABLE_FRACTION / processCount(now) : (1 - CLAIMABLE_FRACTION) / maxProcesses;
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareOptions.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareOptions.java
@@ -15,6 +15,6 @@
 
     /** Time after which a process that is gone is counted by no voter, and one that has joined may claim a share. */
     public long releaseMicros() {
-        return ShareRequest.releaseMicros(holdMicros, lingerMicros);
+        return ShareClaim.releaseMicros(holdMicros, lingerMicros);
     }
 }
--- a/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareRequester.java
@@ -22,7 +22,7 @@
 
     private final ShareOptions options;
     private final InetSocketAddress ownAddress;
-    private final ShareRequest share;
+    private final ShareClaim share;
     /** Null if this process is not a voter. */
     private final ShareVoter voter;
 
@@ -49,7 +49,7 @@
         nextRequestAt = now;
         List<InetSocketAddress> voters = options.voters();
         int maxProcesses = options.maxProcesses();
-        share = new ShareRequest(voters.size(), options.holdMicros(), options.lingerMicros(), maxProcesses);
+        share = new ShareClaim(voters.size(), options.holdMicros(), options.lingerMicros(), maxProcesses);
         voter = voters.contains(ownAddress)
                 ? new ShareVoter(now, options.releaseMicros(), COUNTED_RUNS * maxProcesses)
                 : null;
@@ -129,8 +129,8 @@
     }
 
     /** The fraction of the whole, 0 to 1, that this process may use at this moment. */
-    public double part(long now) {
-        return share.part(now);
+    public double fraction(long now) {
+        return share.fraction(now);
     }
 
     /** Whether this process has more than the minimum at this moment. */
--- a/src/main/java/org/cypressweir/fleet/membership/ShareVoter.java
+++ b/src/main/java/org/cypressweir/fleet/membership/ShareVoter.java
@@ -30,7 +30,7 @@
     private long digest;
 
     /**
-     * @param releaseMicros see {@link ShareRequest#releaseMicros}
+     * @param releaseMicros see {@link ShareClaim#releaseMicros}
      * @param maxProcesses maximum number of processes that are counted; further ones get no response
      */
     public ShareVoter(long now, long releaseMicros, int maxProcesses) {
--- a/src/main/java/org/cypressweir/fleet/transport/EndpointListBorrower.java
+++ b/src/main/java/org/cypressweir/fleet/transport/EndpointListBorrower.java
@@ -13,7 +13,7 @@
 /** Borrows endpoint lists from other members until discovery has responded, and lends this process's own list. */
 final class EndpointListBorrower {
 
-    private final FleetCoordination.Lists lists;
+    private final FleetCoordination.EndpointListAccess lists;
     private final FleetEventLog events;
     private final Lending lending;
     private final CompletableFuture<Void> finished = new CompletableFuture<>();
@@ -21,17 +21,17 @@
 
     EndpointListBorrower(
             long seed,
-            FleetCoordination.Lists lists,
+            FleetCoordination.EndpointListAccess lists,
             BiConsumer<InetSocketAddress, MembershipMessage> sender,
             FleetEventLog events) {
         this.lists = lists;
         this.events = events;
-        lending = new Lending(seed, lists.shelf(), sender, this::receiveList);
+        lending = new Lending(seed, lists.source(), sender, this::receiveList);
     }
 
     private void receiveList(Lending.Loan loan) {
         events.record("borrowed", loan.from(), loan.revision() + " " + loan.ageMicros());
-        if (!lists.borrowed(loan)) {
+        if (!lists.acceptBorrowed(loan)) {
             lending.exclude(loan.from());
         }
     }
@@ -47,17 +47,17 @@
 
     /** Performs the actions that are due. */
     void tick(long now, Peer self, Supplier<List<Peer>> otherMembers) {
-        if (lists.told()) {
+        if (lists.isDiscoveryComplete()) {
             if (isSeeking) {
                 isSeeking = false;
-                lending.end();
+                lending.stopSeeking();
             }
             stopWaiting();
             return;
         }
         if (!isSeeking) {
             isSeeking = true;
-            lending.seek(lists.shelf().known());
+            lending.startSeeking(lists.source().knownRevision());
         }
         lending.tick(now, self, otherMembers);
         if (lending.hasFinishedFirstRound()) {
--- a/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetSocket.java
@@ -14,9 +14,9 @@
 import org.cypressweir.common.util.Addresses;
 import org.cypressweir.fleet.FleetCoordination;
 import org.cypressweir.fleet.lease.LeaseOptions;
-import org.cypressweir.fleet.membership.Change;
 import org.cypressweir.fleet.membership.MemberRecord;
 import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipChange;
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.MembershipOptions;
 import org.cypressweir.fleet.membership.MembershipProtocol;
@@ -35,7 +35,7 @@
 
     private static final long BIND_RETRY_MILLIS = 200;
 
-    private final Opening opening;
+    private final Parameters opening;
     /** The options in use. */
     private MembershipOptions options;
 
@@ -51,9 +51,9 @@
     private int lastProcessCount;
     private boolean isLeaving;
 
-    private FleetSocket(Opening opening) {
+    private FleetSocket(Parameters opening) {
         this.opening = opening;
-        options = opening.plan();
+        options = opening.options();
         events = new FleetEventLog(options, opening.name());
         transport = new UdpTransport(opening.loop(), options.cluster(), this::receive, opening.log());
         long processId = ThreadLocalRandom.current().nextLong();
@@ -77,7 +77,7 @@
      * Opens the socket. While a process that this one replaces still uses the socket, the result completes at once, and
      * the socket is opened when that process has ended.
      */
-    public static CompletableFuture<FleetCoordination> open(Opening opening) {
+    public static CompletableFuture<FleetCoordination> open(Parameters opening) {
         CompletableFuture<FleetCoordination> opened = new CompletableFuture<>();
         FleetSocket socket = new FleetSocket(opening);
         socket.bind(opened);
@@ -91,7 +91,7 @@
                 events.record("opened", opening.name(), Addresses.text(options.advertise()));
                 tick();
                 opened.complete(this);
-            } else if (opening.beside()) {
+            } else if (opening.mayAwaitSocket()) {
                 if (opened.complete(this)) {
                     String address = Addresses.text(options.listen());
                     opening.log().accept("membership: waits for " + address + ", which another process uses");
@@ -146,13 +146,13 @@
             return;
         }
         shares.tick(nowMicros(), membership.self());
-        double part = shares.part(nowMicros());
+        double part = shares.fraction(nowMicros());
         int processCount = shares.processCount(nowMicros());
         if (part != lastShare || processCount != lastProcessCount) {
             lastShare = part;
             lastProcessCount = processCount;
             events.record("part", opening.name(), part + " " + processCount);
-            opening.portioned().run();
+            opening.onShareChanged().run();
         }
     }
 
@@ -190,19 +190,19 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void viewChanged(MembershipChange change) {
             String kind = change.kind().name().toLowerCase(Locale.ROOT);
             opening.log()
                     .accept("membership: " + change.name() + " " + kind + " (incarnation " + change.incarnation()
-                            + "), " + change.cause() + "; " + change.live() + " live");
-            String text = change.incarnation() + " " + change.live() + " " + change.cause();
+                            + "), " + change.cause() + "; " + change.liveCount() + " live");
+            String text = change.incarnation() + " " + change.liveCount() + " " + change.cause();
             events.record(kind, change.name(), text);
         }
 
         @Override
-        public void refused(String reason) {
+        public void nameRefused(String reason) {
             events.record("refused", opening.name(), reason);
-            opening.refused().accept(reason);
+            opening.onRefused().accept(reason);
         }
 
         @Override
@@ -213,28 +213,28 @@
     }
 
     @Override
-    public CompletableFuture<Void> lent() {
+    public CompletableFuture<Void> initialBorrowingDone() {
         return endpointLists.finished();
     }
 
     @Override
-    public double part() {
-        return shares == null ? 1 : shares.part(nowMicros());
+    public double shareFraction() {
+        return shares == null ? 1 : shares.fraction(nowMicros());
     }
 
     @Override
-    public int count() {
+    public int processCount() {
         return shares == null ? 1 : shares.processCount(nowMicros());
     }
 
     @Override
-    public void facts(Map<String, String> facts) {
+    public void updateFacts(Map<String, String> facts) {
         membership.updateFacts(nowMicros(), facts);
         leases.updateFacts(nowMicros(), facts);
     }
 
     @Override
-    public void retune(MembershipOptions newOptions) {
+    public void reconfigure(MembershipOptions newOptions) {
         ShareOptions oldShares = options.shares();
         LeaseOptions leaseOptions = leases.reconfigure(nowMicros(), newOptions.leases());
         options = options.reloaded(newOptions.withLeases(leaseOptions));
@@ -246,17 +246,17 @@
     }
 
     @Override
-    public String lease(String lease) {
+    public String leaseStatus(String lease) {
         return leases.answer(nowMicros(), lease);
     }
 
     @Override
-    public String leases() {
+    public String leasesStatus() {
         return leases.answerAll(nowMicros());
     }
 
     @Override
-    public String members() {
+    public String membersJson() {
         return FleetStatusJson.members(nowMicros(), membership, shares, transport);
     }
 
--- a/src/main/java/org/cypressweir/fleet/transport/FleetStatusJson.java
+++ b/src/main/java/org/cypressweir/fleet/transport/FleetStatusJson.java
@@ -48,7 +48,7 @@
     private static void writeShare(JsonGenerator out, long now, ShareRequester shares) throws IOException {
         out.writeObjectFieldStart("share");
         out.writeBooleanField("claims", shares.hasClaim(now));
-        out.writeNumberField("part", shares.part(now));
+        out.writeNumberField("part", shares.fraction(now));
         out.writeNumberField("count", shares.processCount(now));
         out.writeEndObject();
     }
--- a/src/main/java/org/cypressweir/fleet/transport/LeaseService.java
+++ b/src/main/java/org/cypressweir/fleet/transport/LeaseService.java
@@ -33,7 +33,7 @@
     /** How long a client outside the process may act on one answer; the lease is not released meanwhile. */
     private static final long MAX_DELEGATION_MICROS = 2_000_000;
 
-    private final FleetCoordination.Opening opening;
+    private final FleetCoordination.Parameters opening;
     private final InetSocketAddress ownAddress;
     private final MembershipProtocol membership;
     private final BiConsumer<InetSocketAddress, MembershipMessage> sender;
@@ -46,7 +46,7 @@
 
     LeaseService(
             long now,
-            FleetCoordination.Opening opening,
+            FleetCoordination.Parameters opening,
             MembershipOptions membershipOptions,
             MembershipProtocol membership,
             BiConsumer<InetSocketAddress, MembershipMessage> sender,
--- a/src/main/java/org/cypressweir/loadbalancing/CachedMeasurement.java
+++ b/src/main/java/org/cypressweir/loadbalancing/CachedMeasurement.java
@@ -14,7 +14,7 @@
     }
 
     /** The value now, or as it was less than the interval ago. */
-    public double at(long nowMicros, DoubleSupplier measure) {
+    public double get(long nowMicros, DoubleSupplier measure) {
         if (measuredAt < 0 || nowMicros - measuredAt >= intervalMicros) {
             measuredAt = nowMicros;
             value = measure.getAsDouble();
--- a/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
@@ -75,18 +75,19 @@
             Effect effect,
             Group group,
             long dedupWindowMicros,
-            long aimMicros,
+            long targetMicros,
             double hintFactor,
             long deadlineMicros,
             double worth,
             double lateShare,
             boolean streaming) {
         /** Placeholder for a removed class, until another class takes its number. */
-        public static final RequestClass GONE = new RequestClass("", Effect.UNSAFE, Group.ALL, 0, 0, 0, 0, 0, 0, false);
+        public static final RequestClass REMOVED =
+                new RequestClass("", Effect.UNSAFE, Group.ALL, 0, 0, 0, 0, 0, 0, false);
 
         public RequestClass {
             require(
-                    aimMicros >= 0 && deadlineMicros >= 0 && dedupWindowMicros >= 0,
+                    targetMicros >= 0 && deadlineMicros >= 0 && dedupWindowMicros >= 0,
                     "class '" + name + "' has a negative time");
             require(worth >= 0 && lateShare >= 0 && hintFactor >= 0, "class '" + name + "' has a negative worth");
         }
@@ -104,24 +105,24 @@
      * connections to servers; and which features it may use.
      */
     record Limits(
-            int attempts,
+            int maxAttempts,
             boolean cancelling,
             boolean probing,
             boolean retryAdvice,
             long maxRetryAdviceMicros,
             long idleMicros,
-            int open,
-            int held,
-            boolean secondCopies,
-            int connections) {
+            int maxOpen,
+            int maxQueued,
+            boolean hedging,
+            int maxConnections) {
         public Limits {
-            require(open >= 0 && held >= 0, "a limit of requests is negative");
+            require(maxOpen >= 0 && maxQueued >= 0, "a limit of requests is negative");
         }
 
         /** A copy with other limits of open requests, queued requests and connections. */
         public Limits with(int otherMaxOpen, int otherMaxQueued, int otherMaxConnections) {
             return new Limits(
-                    attempts,
+                    maxAttempts,
                     cancelling,
                     probing,
                     retryAdvice,
@@ -129,13 +130,13 @@
                     idleMicros,
                     otherMaxOpen,
                     otherMaxQueued,
-                    secondCopies,
+                    hedging,
                     otherMaxConnections);
         }
     }
 
     /** A limit that several requests share by its name: of open requests, and of those of them that are queued. */
-    record Bound(String name, int maxOpen, int maxQueued) {}
+    record NamedLimit(String name, int maxOpen, int maxQueued) {}
 
     /**
      * The operators' policy for a request, within the limits of settings and class: attempts; the time-out of one
@@ -144,26 +145,26 @@
      * counts towards; whether it asks for a long-lived connection, for which the load that servers carry beside
      * requests counts most.
      */
-    record Terms(
-            int attempts,
-            long attemptMicros,
+    record RequestPolicy(
+            int maxAttempts,
+            long attemptTimeoutMicros,
             Set<Result> retryOn,
-            int copies,
+            int maxHedges,
             long hedgeDelayMicros,
-            List<Bound> limits,
+            List<NamedLimit> limits,
             boolean longLived) {
         /** Sets nothing: only the limits of settings and class apply. */
-        public static final Terms NONE =
-                new Terms(Integer.MAX_VALUE, 0, Set.copyOf(EnumSet.allOf(Result.class)), 0, 0, List.of(), false);
+        public static final RequestPolicy NONE = new RequestPolicy(
+                Integer.MAX_VALUE, 0, Set.copyOf(EnumSet.allOf(Result.class)), 0, 0, List.of(), false);
 
         /** The same for a request for a long-lived connection, which is never hedged. */
-        public Terms forOneThatStays() {
-            return new Terms(attempts, attemptMicros, retryOn, 0, 0, limits, true);
+        public RequestPolicy forLongLived() {
+            return new RequestPolicy(maxAttempts, attemptTimeoutMicros, retryOn, 0, 0, limits, true);
         }
 
-        public Terms {
+        public RequestPolicy {
             require(
-                    attempts >= 1 && attemptMicros >= 0 && copies >= 0 && hedgeDelayMicros >= 0,
+                    maxAttempts >= 1 && attemptTimeoutMicros >= 0 && maxHedges >= 0 && hedgeDelayMicros >= 0,
                     "a request's policy is out of range");
         }
     }
@@ -178,13 +179,13 @@
             double initialSlowStartShare,
             long slowStartMicros,
             long fallMicros,
-            long askEveryMicros,
+            long discoveryIntervalMicros,
             double retryFloor,
             double retriesPerRequest,
             long retryWindowMicros) {
         public Rules {
             require(
-                    slowStartMicros >= 0 && fallMicros >= 0 && askEveryMicros >= 0 && retryWindowMicros >= 0,
+                    slowStartMicros >= 0 && fallMicros >= 0 && discoveryIntervalMicros >= 0 && retryWindowMicros >= 0,
                     "a rule has a negative time");
             require(
                     retryFloor >= 0 && retriesPerRequest >= 0 && retriesPerRequest <= 1,
@@ -192,7 +193,7 @@
         }
 
         /** The slow-start share of a server by its start time (0: long ago): the fraction of a warm one's traffic. */
-        public double coldShare(long nowMicros, long startMicros) {
+        public double slowStartShare(long nowMicros, long startMicros) {
             long age = nowMicros - startMicros;
             return startMicros <= 0 || age >= slowStartMicros
                     ? 1
@@ -226,7 +227,7 @@
         }
 
         /** A copy with another number of instances. */
-        public Settings among(int instances) {
+        public Settings withReplicas(int instances) {
             return new Settings(
                     seed,
                     rank,
@@ -303,7 +304,7 @@
             long deadlineMicros,
             long hintMicros,
             boolean write,
-            Terms terms) {
+            RequestPolicy policy) {
         public Request(
                 String id,
                 int requestClass,
@@ -313,7 +314,7 @@
                 long deadlineMicros,
                 long hintMicros,
                 boolean write) {
-            this(id, requestClass, tenant, repeat, key, deadlineMicros, hintMicros, write, Terms.NONE);
+            this(id, requestClass, tenant, repeat, key, deadlineMicros, hintMicros, write, RequestPolicy.NONE);
         }
     }
 
@@ -376,7 +377,7 @@
      * The load of a server beside requests, from long-lived connections that were upgraded to another protocol,
      * in units of requests in flight; and whether the server is full, so that it takes no further such connection.
      */
-    default void burden(long nowMicros, long server, double requests, boolean full) {}
+    default void externalLoad(long nowMicros, long server, double requests, boolean full) {}
 
     /** Changes the limits; open requests stay. */
     default void limits(long nowMicros, int maxOpen, int maxQueued, int maxConnections) {}
@@ -385,13 +386,13 @@
      * Changes the classes and the attempt limit for requests from now on. A class that remains keeps its number, and
      * the number of a removed one is reused only after the last request under it has ended.
      */
-    default void retune(long nowMicros, Settings next) {}
+    default void reconfigure(long nowMicros, Settings next) {}
 
     /** The number of ready servers that get no new requests now, whatever the load. */
-    default int avoided(long nowMicros) {
+    default int ejectedServers(long nowMicros) {
         return 0;
     }
 
     /** No further servers will come: ends all queued requests and stops retries. */
-    default void closing(long nowMicros) {}
+    default void shutDown(long nowMicros) {}
 }
--- a/src/main/java/org/cypressweir/loadbalancing/SubsetLoadBalancer.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SubsetLoadBalancer.java
@@ -226,8 +226,8 @@
         hasSafeClass = false;
         for (int i = 0; i < classes.size(); i++) {
             RequestClass c = classes.get(i);
-            if (c == RequestClass.GONE) continue;
-            double target = Math.max(1, c.aimMicros() > 0 ? c.aimMicros() : c.deadlineMicros());
+            if (c == RequestClass.REMOVED) continue;
+            double target = Math.max(1, c.targetMicros() > 0 ? c.targetMicros() : c.deadlineMicros());
             boolean known = i < before.size() && before.get(i).name().equals(c.name());
             typicalMicros[i] = known ? typicalMicros[i] : target * INITIAL_LATENCY;
             targetSum += target;
@@ -239,10 +239,10 @@
 
     /** Open requests keep their class and their number of attempts. */
     @Override
-    public void retune(long now, Settings next) {
+    public void reconfigure(long now, Settings next) {
         List<RequestClass> before = settings.classes();
         settings = next;
-        limits = next.limits().with(limits.open(), limits.held(), limits.connections());
+        limits = next.limits().with(limits.maxOpen(), limits.maxQueued(), limits.maxConnections());
         applyClasses(before);
     }
 
@@ -253,12 +253,12 @@
         if (settings.discoveryOnAsk() && kind == ListKind.CACHED) {
             // All instances of a fleet may start at once, and discovery sends only so many lines a second.
             double spread = Math.min(0.8, list.size() * (double) settings.replicas() / DISCOVERY_LINES);
-            long wait = (long) (spread * settings.rules().askEveryMicros()) + 20 * settings.tickMicros();
+            long wait = (long) (spread * settings.rules().discoveryIntervalMicros()) + 20 * settings.tickMicros();
             schedule(now + random.nextLong(1 + wait), DISCOVERY, null);
         }
         if (kind == ListKind.FAILED) {
             // Keeps the list and asks again, with jittered backoff within four discovery intervals.
-            double wait = settings.rules().askEveryMicros() / 8.0 * (1 << Math.min(discoveryFailures++, 3));
+            double wait = settings.rules().discoveryIntervalMicros() / 8.0 * (1 << Math.min(discoveryFailures++, 3));
             schedule(now + 1 + (long) (wait * (0.5 + random.nextDouble())), DISCOVERY, null);
             if (discoveryFailures == 1) {
                 actions.log("discovery failed: keeping the last list of " + tree.size() + " ready servers");
@@ -351,7 +351,7 @@
     private void assignTenantCells() {
         tenantCells = new int[tenants][];
         ownCells = new int[tenants][];
-        int maxOwnCells = (int) Math.max(2, limits.connections() / (2 * CELL_SERVERS_PER_ZONE));
+        int maxOwnCells = (int) Math.max(2, limits.maxConnections() / (2 * CELL_SERVERS_PER_ZONE));
         for (int t = 0; t < tenantCells.length; t++) {
             double share = t < settings.tenants().size() ? settings.tenants().get(t).share() : 1;
             int count = Math.min(cellCount, Math.max(2, (int) Math.ceil(TENANT_CELL_FACTOR * share * cellCount)));
@@ -406,8 +406,8 @@
         p.requestClass = settings.classes().get(p.classIndex);
         p.tenant = Math.min(Math.max(0, request.tenant()), tenants - 1);
         p.arrivedAt = now;
-        p.maxAttempts = limits.attempts();
-        p.targetAt = now + p.requestClass.aimMicros() + (long) (p.requestClass.hintFactor() * request.hintMicros());
+        p.maxAttempts = limits.maxAttempts();
+        p.targetAt = now + p.requestClass.targetMicros() + (long) (p.requestClass.hintFactor() * request.hintMicros());
         if (requests.putIfAbsent(request.id(), p) != null) return;
         if (request.hintMicros() > 0) {
             typicalHint += typicalHint == 0 ? request.hintMicros()
@@ -424,8 +424,8 @@
         requestsTaken++;
         rate.addToRate(now, admitProbability);
         checkHanging(now);
-        if (requests.size() > limits.open()) shedLeastValuable(now, p, null);
-        for (Bound b : request.terms().limits()) {
+        if (requests.size() > limits.maxOpen()) shedLeastValuable(now, p, null);
+        for (NamedLimit b : request.policy().limits()) {
             if (openByLimit.add(b.name(), 1) > b.maxOpen() && !p.ended) shedLeastValuable(now, p, b);
         }
         if (p.ended) return;
@@ -444,7 +444,7 @@
 
     /** Past the limit of open requests, in all or under this named limit, refuses the queued or new request of
      * least value; of equals the oldest, since it has the least time left. */
-    private void shedLeastValuable(long now, Pending arriving, Bound limit) {
+    private void shedLeastValuable(long now, Pending arriving, NamedLimit limit) {
         Pending least = null;
         for (int lane = 0; lane < QUEUES_PER_CLASS * typicalMicros.length; lane++) {
             Pending p = queue.oldest(lane, x -> x != arriving && countsToward(x, limit));
@@ -456,26 +456,26 @@
         endRequest(now, least == null || value(arriving) < value(least) ? arriving : least);
     }
 
-    private static boolean countsToward(Pending p, Bound limit) {
+    private static boolean countsToward(Pending p, NamedLimit limit) {
         if (limit == null) return true;
-        for (Bound b : p.request.terms().limits()) if (b.name().equals(limit.name())) return true;
+        for (NamedLimit b : p.request.policy().limits()) if (b.name().equals(limit.name())) return true;
         return false;
     }
 
     /** Past the limit of queued requests, refuses one as past the limit of open requests. */
     private void enforceQueueLimits(long now, Pending arriving) {
-        if (queue.size() > limits.held()) shedLeastValuable(now, arriving, null);
-        for (Bound b : arriving.request.terms().limits()) {
+        if (queue.size() > limits.maxQueued()) shedLeastValuable(now, arriving, null);
+        for (NamedLimit b : arriving.request.policy().limits()) {
             if (arriving.isQueued() && queuedByLimit.get(b.name()) > b.maxQueued()) shedLeastValuable(now, arriving, b);
         }
     }
 
     private void setQueued(Pending p, boolean queued) {
         if (queued == p.isQueued()) return;
-        int offset = p.request.terms().longLived() ? 2 : p.beyondShare ? 1 : 0;
+        int offset = p.request.policy().longLived() ? 2 : p.beyondShare ? 1 : 0;
         if (queued) queue.add(p, QUEUES_PER_CLASS * p.classIndex + offset);
         else queue.remove(p);
-        for (Bound b : p.request.terms().limits()) queuedByLimit.add(b.name(), queued ? 1 : -1);
+        for (NamedLimit b : p.request.policy().limits()) queuedByLimit.add(b.name(), queued ? 1 : -1);
     }
 
     private double value(Pending p) {
@@ -545,7 +545,7 @@
      * before half of its time: its client can still retry, and its connection is free for requests still in time. */
     private long queueDeadline(Pending p) {
         long end = p.request.deadlineMicros() - 2 * settings.tickMicros();
-        if (firstPossiblyRun(p) == null && requests.size() > limits.open() / 2) {
+        if (firstPossiblyRun(p) == null && requests.size() > limits.maxOpen() / 2) {
             end = Math.min(end, p.arrivedAt + (long) (MAX_QUEUE_TIME * (p.request.deadlineMicros() - p.arrivedAt)));
         }
         if (p.requestClass.lateShare() == 0) end = Math.min(end, p.targetAt - (long) typicalLatency(p));
@@ -570,7 +570,7 @@
     /** Sends a hedged request beside the attempts in flight, where operators enabled it: after their hedge delay,
      * of a request that may run twice, to a server with room, within attempt limit and retry budget like a retry. */
     private void sendHedge(long now, Pending p) {
-        int maxHedges = p.request.terms().copies();
+        int maxHedges = p.request.policy().maxHedges();
         boolean hedge = !p.isQueued() && p.inFlight > 0 && p.inFlight <= maxHedges
                 && p.requestClass.effect() != Effect.UNSAFE;
         Backend server = hedge && p.attempts.size() < maxAttempts(p) && retryAllowed(now) ? chooseServer(now, p) : null;
@@ -579,7 +579,7 @@
 
     /** The most attempts of a request: the limit of the settings, or fewer where the operators set fewer. */
     private int maxAttempts(Pending p) {
-        return Math.max(1, Math.min(p.maxAttempts, p.request.terms().attempts()));
+        return Math.max(1, Math.min(p.maxAttempts, p.request.policy().maxAttempts()));
     }
 
     // ---- The pick
@@ -602,7 +602,7 @@
                     ? pickByDraws(now, p, node, best != null) : pickByScan(now, p, node, subsetSize, best != null);
             if (pick == null || pick == best) continue;
             double cost = cost(now, p, pick);
-            boolean longLivedAtHome = p.request.terms().longLived() && pick.entry.zone() == homeZone;
+            boolean longLivedAtHome = p.request.policy().longLived() && pick.entry.zone() == homeZone;
             if (best == null || bestCost > cost * (longLivedAtHome ? LONG_LIVED_SPILL_RATIO : SPILL_RATIO)) {
                 best = pick;
                 bestCost = cost;
@@ -674,7 +674,7 @@
 
     private double cost(long now, Pending p, Backend b) {
         double successRate = 1 - b.faults.get(now, p.classIndex);
-        boolean longLived = p.request.terms().longLived();
+        boolean longLived = p.request.policy().longLived();
         double cost = (longLived ? 1 + load(now, b) + EXTERNAL_LOAD_WEIGHT * b.externalLoad
                 : relativeLatency(now, b) * (1 + load(now, b) + b.externalLoad)) / (successRate * successRate + 0.01);
         if (!Double.isNaN(meanUtilization)) cost /= 1.1 - Math.min(1, utilization(now, b));
@@ -745,7 +745,7 @@
     /** A server that restarted before the list says so is as cold as one that the list shows as new. */
     private double slowStartShare(long now, Backend b) {
         long start = b.maybeDown ? now : Math.max(b.entry.startMicros(), b.restartedAt);
-        return settings.rules().coldShare(now, start);
+        return settings.rules().slowStartShare(now, start);
     }
 
     /** Admission control of one server, including slow start and half-open trials. */
@@ -768,7 +768,7 @@
      * the given share of an even part. Nothing is saved up, so it causes no bursts. In a mostly cold fleet the chance
      * rises with the mean coldness: else the few warm servers would get all that cold ones may not take. */
     private boolean slowStartAllows(long now, Pending p, Backend b, double share, int candidates) {
-        double factor = manyReplicas ? admitProbability : Math.min(MAX_SLOW_START, 1 / meanWarmShare.at(now,
+        double factor = manyReplicas ? admitProbability : Math.min(MAX_SLOW_START, 1 / meanWarmShare.get(now,
                 () -> backends.values().stream().filter(x -> x.ready)
                 .mapToDouble(x -> x.ejectedUntil != 0 ? 0 : slowStartShare(now, x)).average().orElse(1)));
         return uniform(p.hashSeed, b.id) < share * factor / Math.max(1, candidates);
@@ -791,7 +791,7 @@
 
     /** Whether an attempt of this request may go to this server by the rules on effects; never twice to one server. */
     private boolean mayRunOn(long now, Pending p, Backend b) {
-        if (b.refusesLongLived && p.request.terms().longLived()) return false;
+        if (b.refusesLongLived && p.request.policy().longLived()) return false;
         for (Attempt a : p.attempts) if (a.server == b) return false;
         Attempt first = firstPossiblyRun(p);
         if (first == null || p.requestClass.effect() == Effect.SAFE) return true;
@@ -840,9 +840,9 @@
         p.inFlight++;
         b.inFlight.addLast(a);
 
-        Terms terms = p.request.terms();
-        actions.send(p.request.id(), b.id, terms.attemptMicros());
-        if (terms.copies() > 0 && limits.secondCopies()) schedule(now + terms.hedgeDelayMicros(), HEDGE, p);
+        RequestPolicy terms = p.request.policy();
+        actions.send(p.request.id(), b.id, terms.attemptTimeoutMicros());
+        if (terms.maxHedges() > 0 && limits.hedging()) schedule(now + terms.hedgeDelayMicros(), HEDGE, p);
     }
 
     /** The retry budget. With a floor below one retry no single retry is sure to fit, so there are none. */
@@ -867,7 +867,7 @@
         if (p.ended) return;
         p.ended = true;
         setQueued(p, false);
-        for (Bound b : p.request.terms().limits()) openByLimit.add(b.name(), -1);
+        for (NamedLimit b : p.request.policy().limits()) openByLimit.add(b.name(), -1);
         boolean cancel = limits.cancelling();
         for (Attempt a : p.attempts) if (cancel && a.result == null) actions.cancel(p.request.id(), a.number);
         removeIfDone(p);
@@ -904,7 +904,7 @@
     private void retryOrEnd(long now, Pending p) {
         boolean mayRetry = now < queueDeadline(p) && p.attempts.size() < maxAttempts(p) && !closing
                 && (mayRefuse(p) || p.requestClass.effect() == Effect.KEYED)
-                && p.attempts.stream().allMatch(a -> p.request.terms().retryOn().contains(a.result));
+                && p.attempts.stream().allMatch(a -> p.request.policy().retryOn().contains(a.result));
         if (mayRetry && retryAllowed(now)) sendOrQueue(now, p);
         else endRequest(now, p);
     }
@@ -952,7 +952,7 @@
                 // An impatient client's time-out says nothing about the server.
                 if (o.result() == Result.TIMED_OUT && o.elapsedMicros() * 2 < HANG_FACTOR * a.expected) return;
                 if (o.result() == Result.TIMED_OUT && !a.suspected) markSuspected(now, a, false);
-                if (estimate(now, b) * a.typical > LIMIT_TARGET * a.pending.requestClass.aimMicros()) cutAdmission();
+                if (estimate(now, b) * a.typical > LIMIT_TARGET * a.pending.requestClass.targetMicros()) cutAdmission();
                 if (o.result() == Result.ERROR) {
                     // It has answered: the connection works, so its idle time before is not to blame.
                     b.faults.failed(now, c);
@@ -985,7 +985,7 @@
             clearEjection(b);
             actions.log("server " + b.id + " re-admitted");
         }
-        if (elapsed > ADMIT_TARGET * a.pending.requestClass.aimMicros() * a.pending.hintScale) cutAdmission();
+        if (elapsed > ADMIT_TARGET * a.pending.requestClass.targetMicros() * a.pending.hintScale) cutAdmission();
         else admitProbability = Math.min(1, admitProbability + ADMIT_GAIN);
     }
 
@@ -1042,7 +1042,7 @@
         Backend b = a.server;
         // Many instances share few cores: one request of each may be too many. A limit below one spaces out sends.
         b.nextSendAt = now + (long) (elapsed * (1 / Math.min(1, b.limit) - 1));
-        double target = a.pending.requestClass.aimMicros();
+        double target = a.pending.requestClass.targetMicros();
         if (elapsed > Math.min(Math.max(LIMIT_TARGET * target, LIMIT_TYPICAL * typicalMicros[a.pending.classIndex]),
                 LIMIT_MAX * target)) {
             // A server that reports free cores has no queue: a new connection, the network or this process was slow.
@@ -1131,7 +1131,7 @@
     }
 
     @Override
-    public void burden(long now, long server, double requests, boolean full) {
+    public void externalLoad(long now, long server, double requests, boolean full) {
         Backend b = backends.get(server);
         if (b == null) return;
         b.externalLoad = requests;
@@ -1145,12 +1145,12 @@
     }
 
     @Override
-    public int avoided(long now) {
+    public int ejectedServers(long now) {
         return ejectedCount;
     }
 
     @Override
-    public void closing(long now) {
+    public void shutDown(long now) {
         closing = true;
         queue.forEach(p -> endRequest(now, p));
     }
--- a/src/main/java/org/cypressweir/sidecar/AttemptMessages.java
+++ b/src/main/java/org/cypressweir/sidecar/AttemptMessages.java
@@ -30,7 +30,7 @@
         HttpHeaders headers = Headers.endToEnd(call.headers);
         headers.set(Headers.TIMEOUT, Math.max(1, (attempt.giveUpAt - nowMicros) / MICROS_PER_MILLI));
         if (call.upgrade != null) {
-            call.upgrade.ask(headers);
+            call.upgrade.addHandshakeHeaders(headers);
             return new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     call.method,
@@ -77,8 +77,8 @@
         if (result != Result.FULL && !isRefusal) {
             HttpHeaders headers = Headers.endToEnd(response.headers());
             headers.remove(Headers.LOAD);
-            call.declined =
-                    new ClientRequest.Declined(response.status(), headers, ByteBufUtil.getBytes(response.content()));
+            call.declined = new ClientRequest.DeclinedUpgrade(
+                    response.status(), headers, ByteBufUtil.getBytes(response.content()));
         }
         return result == Result.SERVED ? Result.ERROR : result;
     }
--- a/src/main/java/org/cypressweir/sidecar/CellCluster.java
+++ b/src/main/java/org/cypressweir/sidecar/CellCluster.java
@@ -18,14 +18,17 @@
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.sidecar.admin.SidecarMetrics.Ending;
-import org.cypressweir.sidecar.cell.CellAssignment.Moved;
-import org.cypressweir.sidecar.cell.Cells;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellAssignment.MovedServer;
+import org.cypressweir.sidecar.cell.CellRouter;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 import org.cypressweir.sidecar.route.PoolConfiguration;
 
-/** A cluster divided into cells with a pool each. {@link Cells} decides which cell a request or a server belongs to. */
-final class CellCluster implements Cluster, Cells.Actions, ClientRequest.Watch {
+/**
+ * A cluster divided into cells with a pool each. {@link CellRouter} decides which cell a request or a server belongs
+ * to.
+ */
+final class CellCluster implements Cluster, CellRouter.Actions, ClientRequest.CompletionListener {
 
     private record KnownServer(ServerList.Entry entry, int cell) {}
 
@@ -35,7 +38,7 @@
     private FleetShare share;
     private final Function<PoolConfiguration, Pool> poolFactory;
     private final List<Pool> pools = new ArrayList<>();
-    private final Cells cells;
+    private final CellRouter cells;
     private final Map<Long, KnownServer> serversById = new HashMap<>();
     /** Requests that wait for their cell, by ticket, until a pool accepts them. */
     private final Map<Ticket, ClientRequest> heldRequests = new IdentityHashMap<>();
@@ -51,12 +54,12 @@
         limits = settings.limits();
         this.poolFactory = poolFactory;
         for (int c = 0; c < configuration.cells().cells().size(); c++) {
-            pools.add(poolFactory.apply(configuration.ofCell(c)));
+            pools.add(poolFactory.apply(configuration.forCell(c)));
         }
-        cells = new Cells(
+        cells = new CellRouter(
                 configuration.name(),
                 configuration.cells(),
-                configuration.requests(),
+                configuration.maxRequests(),
                 shared.clock().micros(),
                 this);
     }
@@ -89,13 +92,13 @@
     }
 
     @Override
-    public int listed() {
+    public int listedServers() {
         return serversById.size();
     }
 
     @Override
-    public int avoided() {
-        return pools.stream().mapToInt(Pool::avoided).sum();
+    public int avoidedServers() {
+        return pools.stream().mapToInt(Pool::avoidedServers).sum();
     }
 
     @Override
@@ -112,11 +115,11 @@
     // ---- Requests
 
     @Override
-    public void take(ClientRequest request) {
+    public void accept(ClientRequest request) {
         long now = shared.clock().micros();
         Effect effect = classes.get(request.request.requestClass()).effect();
         String key = effect == Effect.KEYED ? request.headers.get(Headers.IDEMPOTENCY_KEY) : null;
-        Ticket ticket = cells.ask(
+        Ticket ticket = cells.route(
                 now,
                 unitHash(request),
                 effect,
@@ -127,12 +130,12 @@
             refuse(request, ticket.retryAfterMicros());
             return;
         }
-        request.watch = this;
+        request.completionListener = this;
         request.ticket = ticket;
         if (ticket.cell() < 0) {
             heldRequests.put(ticket, request);
         } else {
-            pools.get(ticket.cell()).take(request);
+            pools.get(ticket.cell()).accept(request);
         }
     }
 
@@ -141,16 +144,16 @@
         long advice = limits.retryAdvice() ? RetryAfter.limit(limits.maxRetryAdviceMicros(), retryAfterMicros) : 0;
         forget(request, Ending.REFUSED);
         if (request.upgrade != null) {
-            request.upgrade.answered(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            request.upgrade.declined(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
-        request.client.answer(
+        request.client.respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(advice), Unpooled.EMPTY_BUFFER);
     }
 
     private void forget(ClientRequest request, Ending ending) {
-        request.over = true;
+        request.finished = true;
         request.forgotten = true;
-        shared.inFlight().over(request, ending);
+        shared.inFlight().finished(request, ending);
         shared.inFlight().remove(request);
     }
 
@@ -159,7 +162,7 @@
      * header that names it form one unit together.
      */
     private long unitHash(ClientRequest request) {
-        CellsConfiguration configuration = cells.plan();
+        CellsConfiguration configuration = cells.configuration();
         return switch (configuration.unit()) {
             case KEY -> request.request.key();
             case TENANT -> headerHash(request.headers, Headers.TENANT);
@@ -173,19 +176,19 @@
     }
 
     @Override
-    public void left(ClientRequest request) {
+    public void clientDisconnected(ClientRequest request) {
         if (request.pool != null) {
-            request.pool.left(request);
+            request.pool.clientDisconnected(request);
             return;
         }
         heldRequests.remove(request.ticket);
         if (request.upgrade != null) {
-            request.upgrade.left();
+            request.upgrade.clientLeft();
         }
         forget(request, null);
         long now = shared.clock().micros();
         if (request.ticket.cell() < 0) {
-            cells.left(now, request.ticket);
+            cells.cancelHeld(now, request.ticket);
         } else {
             cells.ended(now, request.ticket);
         }
@@ -197,7 +200,7 @@
         shared.loop().execute(() -> {
             ClientRequest request = heldRequests.remove(ticket);
             if (request != null) {
-                pools.get(ticket.cell()).take(request);
+                pools.get(ticket.cell()).accept(request);
             }
         });
     }
@@ -207,7 +210,7 @@
         long now = shared.clock().micros();
         RequestClass requestClass = classes.get(request.request.requestClass());
         cells.answered(
-                now, request.ticket, request.served && now - request.ticket.takenAt() <= requestClass.aimMicros());
+                now, request.ticket, request.served && now - request.ticket.takenAt() <= requestClass.targetMicros());
     }
 
     @Override
@@ -237,7 +240,7 @@
 
     @Override
     public void updateServers(ListKind kind, ServerList list) {
-        List<Moved> moved = cells.listed(shared.clock().micros(), kind, list.servers());
+        List<MovedServer> moved = cells.listed(shared.clock().micros(), kind, list.servers());
         if (kind == ListKind.CHANGES) {
             distribute(kind, list, moved);
             return;
@@ -260,7 +263,7 @@
      * Distributes changes to the pools. A server that has moved to another cell is removed from the old cell's pool and
      * added to the new one's.
      */
-    private void distribute(ListKind kind, ServerList list, List<Moved> moved) {
+    private void distribute(ListKind kind, ServerList list, List<MovedServer> moved) {
         List<List<ServerList.Entry>> parts = emptyListPerCell();
         for (ServerList.Entry e : list.entries()) {
             long id = e.server().id();
@@ -279,7 +282,7 @@
             parts.get(cell).add(e);
             serversById.put(id, new KnownServer(e, cell));
         }
-        for (Moved m : moved) {
+        for (MovedServer m : moved) {
             KnownServer before = serversById.get(m.server());
             if (before != null && before.cell != m.to()) {
                 parts.get(before.cell).add(0, before.entry.asRemoved());
@@ -311,16 +314,16 @@
 
     @Override
     public boolean isCompatibleWith(PoolConfiguration configuration) {
-        return configuration.cells() != null && cells.fits(configuration.cells());
+        return configuration.cells() != null && cells.canApply(configuration.cells());
     }
 
     @Override
     public void applyLimits(PoolConfiguration configuration) {
         for (int c = 0; c < configuration.cells().cells().size(); c++) {
             if (c < pools.size()) {
-                pools.get(c).applyLimits(configuration.ofCell(c));
+                pools.get(c).applyLimits(configuration.forCell(c));
             } else {
-                Pool added = poolFactory.apply(configuration.ofCell(c));
+                Pool added = poolFactory.apply(configuration.forCell(c));
                 pools.add(added);
                 added.setFleetShare(share);
                 added.updateServers(ListKind.COMPLETE, new ServerList(0, true, List.of()));
@@ -329,7 +332,7 @@
         distribute(
                 ListKind.CHANGES,
                 new ServerList(0, false, List.of()),
-                cells.plan(shared.clock().micros(), configuration.cells(), configuration.requests()));
+                cells.reconfigure(shared.clock().micros(), configuration.cells(), configuration.maxRequests()));
     }
 
     @Override
@@ -340,7 +343,7 @@
 
     @Override
     public void retire(Runnable whenRetired) {
-        cells.closing(shared.clock().micros());
+        cells.close(shared.clock().micros());
         // In a task of its own: by then the pools have the requests that were held, so that none ends as empty before.
         shared.loop().execute(() -> {
             int[] remaining = {pools.size()};
--- a/src/main/java/org/cypressweir/sidecar/Channels.java
+++ b/src/main/java/org/cypressweir/sidecar/Channels.java
@@ -22,7 +22,7 @@
     }
 
     /** Number of bytes written to the channel that the socket has not accepted yet. */
-    static long waitingBytes(Channel channel) {
+    static long pendingWriteBytes(Channel channel) {
         ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
         return outbound == null ? 0 : outbound.totalPendingWriteBytes();
     }
--- a/src/main/java/org/cypressweir/sidecar/ClientConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientConnection.java
@@ -118,7 +118,7 @@
     // ---- State, as the listener asks for it
 
     long pendingWriteBytes() {
-        return Channels.waitingBytes(channel);
+        return Channels.pendingWriteBytes(channel);
     }
 
     /** Whether no response is due, no request has partly arrived, and the connection is older than the given time. */
@@ -287,7 +287,7 @@
         if (exchange != null) {
             ClientExchange abandoned = exchange;
             exchange = null;
-            listener.service().left(abandoned);
+            listener.service().clientLeft(abandoned);
         }
     }
 
@@ -342,7 +342,7 @@
         isAwaitingRequest = false;
         exchange = new ClientExchange(this, channel, HttpUtil.isKeepAlive(http), http.protocolVersion());
         if (http.decoderResult().isSuccess() && http.uri().equals(HEALTH_CHECK_URI)) {
-            exchange.answer(
+            exchange.respond(
                     listener.service().ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     new DefaultHttpHeaders(),
                     Unpooled.EMPTY_BUFFER);
@@ -373,7 +373,7 @@
             listener.log("client connection: " + cause);
             // The connection closes after the response is written: closing now could cut the response off.
             hasFailed = true;
-            exchange.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+            exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         } else {
             reject(HttpResponseStatus.BAD_REQUEST, "not HTTP");
         }
@@ -398,7 +398,7 @@
         }
         releasePendingRequest();
         exchange = new ClientExchange(this, channel, false, HttpVersion.HTTP_1_1);
-        exchange.answer(
+        exchange.respond(
                 status,
                 headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain"),
                 Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8));
@@ -462,7 +462,7 @@
     }
 
     /** Passes a server's 101 response on and gives up the connection. */
-    Upgrade.End switchProtocols(FullHttpResponse response) {
+    Upgrade.UpgradedChannel switchProtocols(FullHttpResponse response) {
         exchange = null;
         isSwitched = true;
         listener.upgraded(this);
@@ -483,6 +483,6 @@
         while (channel.pipeline().first() != this) {
             channel.pipeline().removeFirst();
         }
-        return new Upgrade.End(channel, earlyBytes.take());
+        return new Upgrade.UpgradedChannel(channel, earlyBytes.take());
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/ClientExchange.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientExchange.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public StreamedResponse pass(HttpHeaders headers, long length, Runnable resume) {
+    public StreamedResponse startStream(HttpHeaders headers, long length, Runnable resume) {
         if (isOver() || !channel.isActive() || stream != null) {
             return null;
         }
@@ -92,14 +92,14 @@
     }
 
     @Override
-    public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+    public void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         if (isOver()) {
             content.release();
             return;
         }
         if (stream != null) {
             content.release();
-            stream.cut();
+            stream.abort();
             return;
         }
         boolean isLast = isLast();
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public Upgrade.End goOver(FullHttpResponse answer) {
+    public Upgrade.UpgradedChannel switchProtocols(FullHttpResponse answer) {
         if (isOver() || !channel.isActive()) {
             return null;
         }
@@ -145,7 +145,7 @@
         }
 
         @Override
-        public boolean more(ByteBuf part) {
+        public boolean write(ByteBuf part) {
             channel.writeAndFlush(new DefaultHttpContent(part.retain())).addListener(f -> connection.progressed());
             return channel.isWritable();
         }
@@ -162,7 +162,7 @@
         }
 
         @Override
-        public void cut() {
+        public void abort() {
             if (!isOver()) {
                 connection.endExchange();
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/main/java/org/cypressweir/sidecar/ClientListener.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientListener.java
@@ -54,7 +54,7 @@
         default void clientCount(int count) {}
 
         /** The client of this request has closed its connection. */
-        void left(ClientRequest.Client client);
+        void clientLeft(ClientRequest.Client client);
     }
 
     private static final int BACKLOG = 512;
--- a/src/main/java/org/cypressweir/sidecar/ClientRequest.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
-import org.cypressweir.sidecar.cell.Cells;
+import org.cypressweir.sidecar.cell.CellRouter;
 
 /** A client's request, from its complete arrival until it has its response and its attempts have ended. */
 final class ClientRequest {
@@ -18,7 +18,7 @@
     /** The client side that waits for the response. */
     interface Client {
         /** Sends a complete response; takes ownership of the content. */
-        void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
+        void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content);
 
         /**
          * Starts a streamed response; null if the client is gone.
@@ -26,7 +26,7 @@
          * @param length the content length, negative if unknown
          * @param resume run when more may be written after writing was paused
          */
-        default StreamedResponse pass(HttpHeaders headers, long length, Runnable resume) {
+        default StreamedResponse startStream(HttpHeaders headers, long length, Runnable resume) {
             return null;
         }
 
@@ -42,7 +42,7 @@
         }
 
         /** Passes a server's 101 response on and gives up the connection; null if it is gone. */
-        default Upgrade.End goOver(FullHttpResponse answer) {
+        default Upgrade.UpgradedChannel switchProtocols(FullHttpResponse answer) {
             return null;
         }
     }
@@ -55,9 +55,9 @@
     /** The pool that handles the request, even if its route leads elsewhere by now; null before a pool takes it. */
     Pool pool;
     /** Notified when the request completes; null for none. */
-    Watch watch;
+    CompletionListener completionListener;
     /** The ticket of its admission to a cell; null if there are no cells. */
-    Cells.Ticket ticket;
+    CellRouter.Ticket ticket;
     /** The client has a server's response, or the upgrade was agreed. */
     boolean served;
     /** The requested upgrade; null for a plain request. */
@@ -75,19 +75,19 @@
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Number of attempts that have not ended. */
-    int out;
+    int outstandingAttempts;
     /** No response is due any more: it was sent, or the client has left. */
-    boolean over;
+    boolean finished;
     /** The request is finished, its attempts have ended, and it was removed. */
     boolean forgotten;
     /** The last response to an upgrade request other than 101, from a server that may have processed it. */
-    Declined declined;
+    DeclinedUpgrade declined;
 
     Future<?> expiry;
     /** The attempt whose response is streamed to the client; null if there is none. */
-    Attempt passed;
+    Attempt streamedAttempt;
 
-    StreamedResponse passing;
+    StreamedResponse stream;
 
     ClientRequest(
             Request request,
@@ -110,7 +110,7 @@
     }
 
     /** Listens for the completion of requests. */
-    interface Watch {
+    interface CompletionListener {
         /** The client has its response or has left. */
         void answered(ClientRequest call);
 
@@ -119,18 +119,18 @@
     }
 
     /** A server's own response that declines an upgrade. */
-    record Declined(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
+    record DeclinedUpgrade(HttpResponseStatus status, HttpHeaders headers, byte[] content) {}
 
     /** A server connection that switches to another protocol. */
-    interface Switched {
+    interface SwitchedConnection {
         /** Detaches the connection from the pool and returns its channel. */
-        Upgrade.End goOver();
+        Upgrade.UpgradedChannel detach();
 
         /** The server of the connection. */
-        Upgrade.Host host();
+        Upgrade.UpgradeServer upgradeServer();
 
         /** The client and server connections have been joined. */
-        void joined(Upgrade.Joined joined);
+        void joined(Upgrade.UpgradedExchange joined);
 
         /** Closes the connection because it is not needed. */
         void close();
@@ -144,14 +144,14 @@
         final long sentAt;
         final long giveUpAt;
         /** When streaming of the response began; 0 if it has not. */
-        long begunAt;
+        long streamedSince;
         /** The last byte of the request has been sent, so the server may have processed it. */
         boolean written;
 
         Result result;
         Future<?> timeout;
         /** The server's connection after it agreed to the upgrade. */
-        Switched switched;
+        SwitchedConnection switched;
 
         Attempt(ClientRequest call, long server, long sentAt, long giveUpAt) {
             this.call = call;
--- a/src/main/java/org/cypressweir/sidecar/ClientRequestDecoder.java
+++ b/src/main/java/org/cypressweir/sidecar/ClientRequestDecoder.java
@@ -27,7 +27,7 @@
     private boolean passesBytes;
 
     ClientRequestDecoder(BooleanSupplier allowsUpgrades) {
-        super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.CHUNK));
+        super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.MAX_CHUNK_BYTES));
         this.allowsUpgrades = allowsUpgrades;
     }
 
--- a/src/main/java/org/cypressweir/sidecar/Cluster.java
+++ b/src/main/java/org/cypressweir/sidecar/Cluster.java
@@ -13,10 +13,10 @@
     int knownServers();
 
     /** Servers on the latest list. */
-    int listed();
+    int listedServers();
 
     /** Servers on the latest list to which no new request would be sent now. */
-    int avoided();
+    int avoidedServers();
 
     /** Bytes waiting to be written to servers. */
     long waitingBytes();
@@ -25,10 +25,10 @@
     ServerList serverList();
 
     /** Accepts a request, which is in flight from now on. */
-    void take(ClientRequest request);
+    void accept(ClientRequest request);
 
     /** The client of a request has disconnected. */
-    void left(ClientRequest request);
+    void clientDisconnected(ClientRequest request);
 
     void updateServers(ListKind kind, ServerList list);
 
--- a/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
+++ b/src/main/java/org/cypressweir/sidecar/ConfigurationReloader.java
@@ -80,11 +80,11 @@
         try {
             SidecarConfiguration read = SidecarConfiguration.reread(environment, configuration.get());
             SidecarConfiguration next = keepClassSlots(read);
-            Layout.Change change = layout.reread(next);
+            Layout.Change change = layout.reload(next);
             // Everything is applied in one turn of the event loop, so no request sees a mix of old and new parts. That
             // turn is later than the one that assigned the class indexes, which stay valid for requests that arrived in
             // between.
-            return CompletableFuture.supplyAsync(() -> change.take().thenRun(() -> adopt(next, change)), loop)
+            return CompletableFuture.supplyAsync(() -> change.apply().thenRun(() -> adopt(next, change)), loop)
                     .thenCompose(taken -> taken)
                     .exceptionally(e -> {
                         reject(PREFIX + (e.getCause() == null ? e : e.getCause().getMessage()));
@@ -99,7 +99,7 @@
     /** Classes used by requests in flight keep their indexes. */
     private SidecarConfiguration keepClassSlots(SidecarConfiguration read) {
         return read.with(CompletableFuture.supplyAsync(
-                        () -> RequestClassSlots.place(
+                        () -> RequestClassSlots.assign(
                                 configuration.get().settings().classes(),
                                 read.settings().classes(),
                                 inFlight.classes()),
@@ -111,19 +111,19 @@
         listener.reloading(change);
         configuration.set(next);
         reader.reconfigure(next.settings());
-        inFlight.figures().show(next.classNames());
-        inFlight.figures().reconfigured(true);
-        discovery.move(next.discovery());
+        inFlight.metrics().addClasses(next.classNames());
+        inFlight.metrics().reconfigured(true);
+        discovery.setAddress(next.discovery());
     }
 
     private void reject(String reason) {
         log.println(reason + "; the old configuration stays");
-        loop.execute(() -> inFlight.figures().reconfigured(false));
+        loop.execute(() -> inFlight.metrics().reconfigured(false));
     }
 
     /** A single line, except for the errors of an operators' file, which have one line each. */
     static String errorText(Exception e) {
-        return e instanceof OperatorsRejected
+        return e instanceof OperatorFileRejectedException
                 ? e.getMessage()
                 : PREFIX + String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
--- a/src/main/java/org/cypressweir/sidecar/Discovery.java
+++ b/src/main/java/org/cypressweir/sidecar/Discovery.java
@@ -29,7 +29,7 @@
 
     /** Receives lists and failures, always on the event loop. */
     interface Listener {
-        void listed(ServerList list);
+        void listReceived(ServerList list);
 
         void failed(String reason);
     }
@@ -123,7 +123,7 @@
     }
 
     /** Polls on this schedule from now on, with nothing held open in between; null to watch. */
-    void pace(SidecarClock clock, PollSchedule nextSchedule) {
+    void setPollSchedule(SidecarClock clock, PollSchedule nextSchedule) {
         boolean wasPolling = pollSchedule != null;
         pollSchedule = nextSchedule;
         this.clock = clock;
@@ -140,7 +140,7 @@
     }
 
     /** The schedule has changed: a call that is still waiting for its time gets a new one. */
-    void repace() {
+    void reschedule() {
         if (pollSchedule != null && nextRequest != null && !nextRequest.isDone() && nextRequest.cancel(false)) {
             scheduleRequest();
         }
@@ -166,7 +166,7 @@
     }
 
     /** Continues at another address. What the old one still sends is ignored. */
-    void move(InetSocketAddress to) {
+    void setAddress(InetSocketAddress to) {
         if (closed || to.equals(address)) {
             return;
         }
@@ -255,7 +255,7 @@
         }
         if (pollSchedule != null) {
             scheduleRequest();
-            listener.listed(list);
+            listener.listReceived(list);
             return;
         }
         boolean isEarly = list.entries().isEmpty()
@@ -265,7 +265,7 @@
         } else {
             sendRequest();
         }
-        listener.listed(list);
+        listener.listReceived(list);
     }
 
     private void disconnect() {
--- a/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListCache.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public long known() {
+    public long knownRevision() {
         return revision;
     }
 
--- a/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
+++ b/src/main/java/org/cypressweir/sidecar/EndpointListFeed.java
@@ -28,7 +28,7 @@
         this.layout = layout;
     }
 
-    void take(ServerList list) {
+    void apply(ServerList list) {
         enqueue(() -> {
             if (list.entries().size() <= MAX_SLICE_ENTRIES) {
                 deliver(list.complete() ? ListKind.COMPLETE : ListKind.CHANGES, list);
@@ -45,11 +45,11 @@
 
     /** Discovery can't be reached. */
     void failed() {
-        enqueue(() -> layout.discovered().forEach(Cluster::discoveryFailed));
+        enqueue(() -> layout.discoveredClusters().forEach(Cluster::discoveryFailed));
     }
 
     private void deliver(ListKind kind, ServerList list) {
-        layout.discovered().forEach(pool -> pool.updateServers(kind, list));
+        layout.discoveredClusters().forEach(pool -> pool.updateServers(kind, list));
     }
 
     /** Adds a step, which runs at once if no other is queued. */
@@ -79,7 +79,7 @@
         Set<Long> listedIds = new HashSet<>();
         Runnable collectIds =
                 () -> list.entries().forEach(e -> listedIds.add(e.server().id()));
-        Runnable compare = () -> layout.discovered().stream()
+        Runnable compare = () -> layout.discoveredClusters().stream()
                 .findFirst()
                 .ifPresent(pool -> ordered.addAll(missing(pool.serverList(), listedIds)));
         Runnable sortAndSplit = () -> {
--- a/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
+++ b/src/main/java/org/cypressweir/sidecar/FleetParticipation.java
@@ -21,7 +21,7 @@
  * <p>Created when the process joins; never if the operators' file names no membership. Confined to the event loop;
  * {@link #firstList} may be called by the thread that starts the sidecar, once {@link #join} has completed.
  */
-final class FleetParticipation implements Layout.Portion {
+final class FleetParticipation implements Layout.FleetPortion {
 
     private static final int LOAD_STEPS = 4;
     private static final int PERCENT = 100;
@@ -65,12 +65,12 @@
      * @param shareChanged run when this process's share of the limits changes
      */
     CompletableFuture<FleetCoordination> join(
-            FleetCoordination.Maker maker,
+            FleetCoordination.Factory maker,
             MembershipOptions options,
             boolean socketMayBeHeld,
             Consumer<String> rejected,
             Runnable shareChanged) {
-        return maker.open(new FleetCoordination.Opening(
+        return maker.open(new FleetCoordination.Parameters(
                         loop,
                         configuration.get().name(),
                         options,
@@ -84,7 +84,7 @@
                     coordination = joined;
                     shareChanged.run();
                     loop.scheduleWithFixedDelay(
-                            () -> joined.facts(facts()),
+                            () -> joined.updateFacts(facts()),
                             FACTS_INTERVAL_SECONDS,
                             FACTS_INTERVAL_SECONDS,
                             TimeUnit.SECONDS);
@@ -98,17 +98,17 @@
 
     /** Completes once the peers' newest endpoint list is here, or if none is expected. */
     CompletableFuture<Void> firstList() {
-        return coordination == null ? CompletableFuture.completedFuture(null) : coordination.lent();
+        return coordination == null ? CompletableFuture.completedFuture(null) : coordination.initialBorrowingDone();
     }
 
     @Override
-    public double part() {
-        return coordination == null ? 0 : coordination.part();
+    public double fraction() {
+        return coordination == null ? 0 : coordination.shareFraction();
     }
 
     @Override
-    public int count() {
-        return coordination == null ? 1 : coordination.count();
+    public int processCount() {
+        return coordination == null ? 1 : coordination.processCount();
     }
 
     void setClientAddress(InetSocketAddress address) {
@@ -117,13 +117,13 @@
 
     void publishFacts() {
         if (coordination != null) {
-            coordination.facts(facts());
+            coordination.updateFacts(facts());
         }
     }
 
     void reconfigure(MembershipOptions next) {
         if (coordination != null) {
-            coordination.retune(next);
+            coordination.reconfigure(next);
         }
     }
 
@@ -145,7 +145,7 @@
 
     /** Load in coarse steps, published rarely: each change is an update to the whole fleet. */
     private int loadStep() {
-        int maxInFlight = Math.max(1, configuration.get().settings().limits().open());
+        int maxInFlight = Math.max(1, configuration.get().settings().limits().maxOpen());
         return Math.min(LOAD_STEPS, LOAD_STEPS * inFlight.count() / maxInFlight);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/IdleConnections.java
+++ b/src/main/java/org/cypressweir/sidecar/IdleConnections.java
@@ -31,14 +31,14 @@
 
     /**
      * Takes the most recently used connection to a server that is still clean and has been idle for long enough, at
-     * least {@link ServerPool#SETTLE_MICROS}.
+     * least {@link ServerPool#REUSE_DELAY_MICROS}.
      *
      * @return null if there is none
      */
     PooledConnection pollReusable(ServerInstance server, long nowMicros) {
         for (Iterator<PooledConnection> byRecency = server.idle.descendingIterator(); byRecency.hasNext(); ) {
             PooledConnection connection = byRecency.next();
-            if (nowMicros - connection.idleSinceMicros() >= ServerPool.SETTLE_MICROS) {
+            if (nowMicros - connection.idleSinceMicros() >= ServerPool.REUSE_DELAY_MICROS) {
                 byRecency.remove();
                 oldestFirst.remove(connection);
                 if (connection.isUsable()) {
--- a/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/InFlightRequests.java
@@ -16,7 +16,7 @@
     private final Map<String, ClientRequest> byId = new HashMap<>();
     private final Map<ClientRequest.Client, ClientRequest> byClient = new HashMap<>();
 
-    SidecarMetrics figures() {
+    SidecarMetrics metrics() {
         return metrics;
     }
 
@@ -26,7 +26,7 @@
             return false;
         }
         byClient.put(call.client, call);
-        metrics.taken();
+        metrics.requestReceived();
         return true;
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** No response is due to the client any more; the ending is null if the client has left. */
-    void over(ClientRequest call, SidecarMetrics.Ending ending) {
+    void finished(ClientRequest call, SidecarMetrics.Ending ending) {
         byClient.remove(call.client);
         if (ending == null) {
-            metrics.left();
+            metrics.clientLeft();
         } else {
-            metrics.ended(call.className, ending);
+            metrics.requestEnded(call.className, ending);
         }
     }
 
--- a/src/main/java/org/cypressweir/sidecar/LargeRequestWriter.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequestWriter.java
@@ -36,7 +36,8 @@
     /** Writes as much as the channel accepts now. */
     void resume() {
         while (remaining != null && channel.isActive() && channel.isWritable()) {
-            ByteBuf part = remaining.readRetainedSlice(Math.min(ServerConnection.CHUNK, remaining.readableBytes()));
+            ByteBuf part =
+                    remaining.readRetainedSlice(Math.min(ServerConnection.MAX_CHUNK_BYTES, remaining.readableBytes()));
             if (remaining.isReadable()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
--- a/src/main/java/org/cypressweir/sidecar/LargeRequests.java
+++ b/src/main/java/org/cypressweir/sidecar/LargeRequests.java
@@ -6,7 +6,7 @@
 import io.netty.channel.EventLoop;
 import java.util.List;
 import org.cypressweir.sidecar.buffering.BodyBudget;
-import org.cypressweir.sidecar.buffering.BodyBudget.Share;
+import org.cypressweir.sidecar.buffering.BodyBudget.Reservation;
 
 /**
  * The large requests of a process and their shared buffer budget. Shares that were granted or refused are notified in a
@@ -26,25 +26,25 @@
         this.loop = loop;
     }
 
-    Share share(Runnable granted, Runnable refused) {
-        return budget.share(granted, refused);
+    Reservation share(Runnable granted, Runnable refused) {
+        return budget.newReservation(granted, refused);
     }
 
-    BodyBudget.Word ask(Share share, long bytes) {
-        BodyBudget.Word answer = budget.ask(share, bytes);
-        if (answer == BodyBudget.Word.WAITS) {
-            notifyShares(budget.settle());
+    BodyBudget.Decision ask(Reservation share, long bytes) {
+        BodyBudget.Decision answer = budget.request(share, bytes);
+        if (answer == BodyBudget.Decision.WAITS) {
+            notifyShares(budget.decideWaiting());
         }
         return answer;
     }
 
-    void free(Share share) {
-        notifyShares(budget.free(share));
+    void free(Reservation share) {
+        notifyShares(budget.release(share));
     }
 
     /** Bytes that requests occupy or have reserved. */
     long used() {
-        return budget.used();
+        return budget.usedBytes();
     }
 
     private void notifyShares(BodyBudget.GrantDecisions decisions) {
@@ -53,16 +53,16 @@
     }
 
     /** Assembles a body from its chunks; its buffer space is released with the last reference to it. */
-    ByteBuf assemble(List<ByteBuf> chunks, Share share) {
+    ByteBuf assemble(List<ByteBuf> chunks, Reservation share) {
         CompleteBody assemble = new CompleteBody(chunks, share);
-        notifyShares(budget.whole(share, assemble.readableBytes()));
+        notifyShares(budget.complete(share, assemble.readableBytes()));
         return assemble;
     }
 
     private final class CompleteBody extends CompositeByteBuf {
-        private final Share share;
+        private final Reservation share;
 
-        CompleteBody(List<ByteBuf> chunks, Share share) {
+        CompleteBody(List<ByteBuf> chunks, Reservation share) {
             super(UnpooledByteBufAllocator.DEFAULT, false, Integer.MAX_VALUE, chunks);
             this.share = share;
         }
--- a/src/main/java/org/cypressweir/sidecar/Layout.java
+++ b/src/main/java/org/cypressweir/sidecar/Layout.java
@@ -20,27 +20,27 @@
      * What a layout is created with. The consumer is given the schedule on which discovery is polled from then on, null
      * for a watch.
      */
-    record Parts(
+    record Context(
             SidecarConfiguration config,
             Pool.Shared shared,
             BiFunction<Settings, Actions, LoadBalancer> loadBalancerFactory,
             RequestReader reader,
             ClientListener clientListener,
             Consumer<Discovery.PollSchedule> pollScheduleConsumer,
-            Portion fleetPortion) {}
+            FleetPortion fleetPortion) {}
 
     /** Creates the layout of a sidecar. */
     interface Factory {
-        Layout create(Parts parts);
+        Layout create(Context parts);
     }
 
     /** This process's share of the limits that all processes have together, if it depends on how many are alive. */
-    interface Portion {
+    interface FleetPortion {
         /** The current share, from 0 to 1. */
-        double part();
+        double fraction();
 
         /** Number of processes that share the limits. */
-        int count();
+        int processCount();
     }
 
     /** A file that has been read and validated but is not in effect yet. */
@@ -48,7 +48,7 @@
         /**
          * Applies the file, on the event loop. The future fails if that is not possible, and then nothing has changed.
          */
-        CompletableFuture<Void> take();
+        CompletableFuture<Void> apply();
 
         /** This process's membership options from then on; null if the file has none. */
         default MembershipOptions membership() {
@@ -63,7 +63,7 @@
     CompletableFuture<InetSocketAddress> listen();
 
     /** Finds the route of a request, or throws if it has none. */
-    RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest;
+    RouteDecision route(FullHttpRequest http) throws RequestReader.BadRequest;
 
     /** The plug-ins that are called before a request is routed; null for none. */
     default PluginChain plugins() {
@@ -76,7 +76,7 @@
     }
 
     /** Whether any route accepts requests for an upgrade. */
-    default boolean upgrades() {
+    default boolean supportsUpgrades() {
         return false;
     }
 
@@ -90,18 +90,18 @@
     boolean ready();
 
     /** The clusters whose servers come from discovery. */
-    Collection<Cluster> discovered();
+    Collection<Cluster> discoveredClusters();
 
     /**
      * Reads its file again, for use with this configuration's classes and limits. Must be called off the event loop.
      */
-    Change reread(SidecarConfiguration next) throws IOException;
+    Change reload(SidecarConfiguration next) throws IOException;
 
     /** This process's share of the common limits has changed. */
-    default void portioned() {}
+    default void fleetPortionChanged() {}
 
     /** More file descriptors are available than at its creation, and the limits grow accordingly. */
-    default void widen(SidecarConfiguration wider) {}
+    default void raiseLimits(SidecarConfiguration wider) {}
 
     void close();
 }
--- a/src/main/java/org/cypressweir/sidecar/OperatorsLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorFileLayout.java
@@ -33,12 +33,12 @@
 import org.cypressweir.sidecar.websocket.UpgradeAccount;
 
 /** The layout that an operators' file describes: its addresses, its routes, and its pools with a load balancer each. */
-final class OperatorsLayout implements Layout {
+final class OperatorFileLayout implements Layout {
 
     /** No call of a plug-in may take longer, so replaced plug-ins are closed after this time. */
     private static final long PLUGIN_GRACE_MICROS = 2_000_000;
 
-    private final Parts context;
+    private final Context context;
     private final Path file;
     private final Map<String, ManagedCluster> pools = new LinkedHashMap<>();
     /** Clusters of an earlier file whose last requests are still in flight. */
@@ -63,7 +63,7 @@
     /** Null where there are none. */
     private PluginChain plugins;
 
-    private OperatorsLayout(Parts context, Path file, RoutingConfiguration plan, PluginChain plugins) {
+    private OperatorFileLayout(Context context, Path file, RoutingConfiguration plan, PluginChain plugins) {
         this.context = context;
         config = context.config();
         this.plugins = plugins;
@@ -81,7 +81,7 @@
     private void applyFleetLimits(FleetLimits fleet) {
         Cluster.FleetShare share = fleet == null ? null : new InstanceShare(fleet, context.fleetPortion());
         pools.values().forEach(m -> m.cluster().setFleetShare(share));
-        if (fleet == null || fleet.askEveryMicros() == 0) {
+        if (fleet == null || fleet.pollIntervalMicros() == 0) {
             if (polledLimits != null) {
                 context.pollScheduleConsumer().accept(null);
             }
@@ -89,7 +89,7 @@
         } else if (!fleet.equals(polledLimits)) {
             polledLimits = fleet;
             context.pollScheduleConsumer()
-                    .accept(fleet.living() ? dynamicPollSchedule(fleet) : fixedPollSchedule(fleet));
+                    .accept(fleet.followsLiveInstances() ? dynamicPollSchedule(fleet) : fixedPollSchedule(fleet));
         }
     }
 
@@ -103,7 +103,7 @@
 
             @Override
             public long timeoutMicros() {
-                return pacer.patienceMicros();
+                return pacer.timeoutMicros();
             }
         };
     }
@@ -111,36 +111,36 @@
     private Discovery.PollSchedule dynamicPollSchedule(FleetLimits fleet) {
         SharedPollPacer pacer = new SharedPollPacer(
                 fleet.listRate(), ThreadLocalRandom.current().nextDouble());
-        Portion portion = context.fleetPortion();
+        FleetPortion portion = context.fleetPortion();
         return new Discovery.PollSchedule() {
             @Override
             public long nextPollMicros(long nowMicros) {
-                return pacer.next(nowMicros, portion.part());
+                return pacer.next(nowMicros, portion.fraction());
             }
 
             @Override
             public long timeoutMicros() {
-                return pacer.patienceMicros();
+                return pacer.timeoutMicros();
             }
         };
     }
 
     /** A smaller share closes idle connections at once; probes and polls look up the share each time. */
     @Override
-    public void portioned() {
+    public void fleetPortionChanged() {
         if (routingConfiguration.fleet() == null
-                || !routingConfiguration.fleet().living()) {
+                || !routingConfiguration.fleet().followsLiveInstances()) {
             return;
         }
         pools.values().forEach(m -> m.cluster().closeSurplusIdle());
-        if (context.fleetPortion().count() != appliedInstanceCount) {
-            appliedInstanceCount = context.fleetPortion().count();
+        if (context.fleetPortion().processCount() != appliedInstanceCount) {
+            appliedInstanceCount = context.fleetPortion().processCount();
             pools.values().forEach(m -> m.cluster().setInstanceCount(appliedInstanceCount));
         }
     }
 
     private int instances(FleetLimits fleet) {
-        return fleet.living() && appliedInstanceCount > 0 ? appliedInstanceCount : fleet.instances();
+        return fleet.followsLiveInstances() && appliedInstanceCount > 0 ? appliedInstanceCount : fleet.instances();
     }
 
     /** This instance's share of the limits that all instances have together. */
@@ -148,9 +148,9 @@
         private final FleetLimits fleet;
         private final ProbeBudget probes;
 
-        private final Portion portion;
+        private final FleetPortion portion;
 
-        InstanceShare(FleetLimits fleet, Portion portion) {
+        InstanceShare(FleetLimits fleet, FleetPortion portion) {
             this.fleet = fleet;
             this.portion = portion;
             probes = new ProbeBudget(fleet);
@@ -158,30 +158,34 @@
 
         @Override
         public int maxIdleConnections(int servers) {
-            return fleet.living() ? fleet.idle(servers, portion.part()) : fleet.idle(servers);
+            return fleet.followsLiveInstances()
+                    ? fleet.maxIdleConnections(servers, portion.fraction())
+                    : fleet.maxIdleConnections(servers);
         }
 
         @Override
         public boolean tryAcquireProbe(long nowMicros, int servers) {
-            return fleet.living() ? probes.spend(nowMicros, servers, portion.part()) : probes.spend(nowMicros, servers);
+            return fleet.followsLiveInstances()
+                    ? probes.trySpend(nowMicros, servers, portion.fraction())
+                    : probes.trySpend(nowMicros, servers);
         }
     }
 
     /** Reads the file; the layout is created later, on the event loop. */
-    static StartupPlan of(Path file, SidecarConfiguration config) throws IOException {
+    static StartupPlan load(Path file, SidecarConfiguration config) throws IOException {
         RoutingConfiguration plan = loadRouting(file, config);
         PluginChain plugins = startPlugins(file, plan, null);
         return new StartupPlan(
-                context -> new OperatorsLayout(context, file, plan, plugins),
+                context -> new OperatorFileLayout(context, file, plan, plugins),
                 plan.listeners().get(0).address(),
                 plan.membership());
     }
 
     private static RoutingConfiguration loadRouting(Path file, SidecarConfiguration config) throws IOException {
         try {
-            return Operators.load(file, config.facts()).plan();
+            return Operators.load(file, config.facts()).configuration();
         } catch (InvalidFileException e) {
-            throw new OperatorsRejected(e);
+            throw new OperatorFileRejectedException(e);
         }
     }
 
@@ -193,12 +197,12 @@
 
     private Pool pool(PoolConfiguration p) {
         FleetLimits fleet = routingConfiguration.fleet();
-        Settings known = fleet == null ? config.settings() : config.settings().among(instances(fleet));
+        Settings known = fleet == null ? config.settings() : config.settings().withReplicas(instances(fleet));
         Settings settings = known.with(
-                config.settings().limits().with(p.requests(), p.queue(), p.connections()),
+                config.settings().limits().with(p.maxRequests(), p.maxQueued(), p.maxConnections()),
                 p.discovered() && config.settings().discoveryOnAsk());
         return new Pool(
-                context.shared(), config, settings, p.connections(), p.tunnels(), context.loadBalancerFactory());
+                context.shared(), config, settings, p.maxConnections(), p.tunnels(), context.loadBalancerFactory());
     }
 
     private OperatorFileRouting createRouting(RoutingConfiguration next) {
@@ -220,7 +224,7 @@
         try {
             return next.plugins().isEmpty() ? null : PluginChain.of(next.plugins(), before);
         } catch (InvalidPluginException e) {
-            throw new OperatorsRejected(new IOException(file + ":" + e.getMessage(), e));
+            throw new OperatorFileRejectedException(new IOException(file + ":" + e.getMessage(), e));
         }
     }
 
@@ -235,7 +239,7 @@
     }
 
     @Override
-    public boolean upgrades() {
+    public boolean supportsUpgrades() {
         return routingConfiguration.webSockets();
     }
 
@@ -253,7 +257,7 @@
 
     /** Number of tunnels that have been moved to another server. */
     long movedTunnels() {
-        return upgrades == null ? 0 : upgrades.moved();
+        return upgrades == null ? 0 : upgrades.movedTunnels();
     }
 
     @Override
@@ -261,7 +265,7 @@
         routingConfiguration
                 .pools()
                 .forEach(p -> sendFirstList(
-                        p, pools.get(p.name()).cluster(), context.config().known()));
+                        p, pools.get(p.name()).cluster(), context.config().initialServers()));
     }
 
     private void sendFirstList(PoolConfiguration p, Cluster pool, ServerList known) {
@@ -273,10 +277,10 @@
     }
 
     private ServerList staticServers(PoolConfiguration p) {
-        ServerList.Reader lists = context.config().lists();
+        ServerList.Reader lists = context.config().listReader();
         List<ServerList.Entry> entries = new ArrayList<>();
         for (StaticServer s : p.servers()) {
-            Server line = s.line(lists.zones(), lists.models());
+            Server line = s.toServer(lists.zones(), lists.models());
             entries.add(new ServerList.Entry(line, s.endpoint()));
         }
         return new ServerList(0, true, entries);
@@ -314,7 +318,7 @@
     }
 
     @Override
-    public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
+    public RouteDecision route(FullHttpRequest http) throws RequestReader.BadRequest {
         return routing.route(http);
     }
 
@@ -331,7 +335,7 @@
     }
 
     @Override
-    public Collection<Cluster> discovered() {
+    public Collection<Cluster> discoveredClusters() {
         return pools.values().stream()
                 .filter(ManagedCluster::discovered)
                 .map(ManagedCluster::cluster)
@@ -339,19 +343,19 @@
     }
 
     @Override
-    public Change reread(SidecarConfiguration nextConfig) throws IOException {
+    public Change reload(SidecarConfiguration nextConfig) throws IOException {
         RoutingConfiguration next = loadRouting(file, nextConfig);
         PluginChain before = plugins;
         PluginChain chain = startPlugins(file, next, before);
         return new Change() {
             @Override
-            public CompletableFuture<Void> take() {
-                return OperatorsLayout.this
+            public CompletableFuture<Void> apply() {
+                return OperatorFileLayout.this
                         .apply(next, nextConfig)
                         .thenRun(() -> replacePlugins(before, chain))
                         .whenComplete((v, e) -> {
                             if (e != null && chain != null) {
-                                chain.closeAllBut(before);
+                                chain.closeAllExcept(before);
                             }
                         });
             }
@@ -376,10 +380,10 @@
 
     private void activate(RoutingConfiguration next, SidecarConfiguration nextConfig) {
         config = nextConfig;
-        ServerList known = discovered().stream()
+        ServerList known = discoveredClusters().stream()
                 .findFirst()
                 .map(Cluster::serverList)
-                .orElse(context.config().known());
+                .orElse(context.config().initialServers());
         Map<String, ManagedCluster> before = new LinkedHashMap<>(pools);
         routingConfiguration = next;
         pools.clear();
@@ -422,7 +426,7 @@
         if (before != null) {
             context.shared()
                     .loop()
-                    .schedule(() -> before.closeAllBut(chain), PLUGIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
+                    .schedule(() -> before.closeAllExcept(chain), PLUGIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -442,7 +446,7 @@
         pools.values().forEach(m -> m.cluster().close());
         retiring.forEach(Cluster::close);
         if (plugins != null) {
-            plugins.closeAllBut(null);
+            plugins.closeAllExcept(null);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/OperatorsRejected.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorFileRejectedException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Thrown when an operators' file is rejected; the message has a line for each reason. */
-final class OperatorsRejected extends IOException {
+final class OperatorFileRejectedException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    OperatorsRejected(Exception cause) {
+    OperatorFileRejectedException(Exception cause) {
         super(cause.getMessage(), cause);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/OperatorFileRouting.java
+++ b/src/main/java/org/cypressweir/sidecar/OperatorFileRouting.java
@@ -43,15 +43,16 @@
                 throw new RequestReader.BadRequest(HttpResponseStatus.NOT_FOUND, "no route");
             }
             Target to = route.target();
-            boolean isUpgrade = upgrades != null && to.webSocket() != null && Handshake.isAsked(http.headers());
+            boolean isUpgrade =
+                    upgrades != null && to.webSocket() != null && Handshake.isUpgradeRequest(http.headers());
             return new RouteDecision(
                     pools.get(to.pool()),
                     to.requestClass(),
                     target.text(),
                     target.host(),
                     to.timeoutMicros(),
-                    isUpgrade ? to.terms().forOneThatStays() : to.terms(),
-                    isUpgrade ? upgrades.ask(http, to.webSocket()) : null);
+                    isUpgrade ? to.terms().forLongLived() : to.terms(),
+                    isUpgrade ? upgrades.readUpgrade(http, to.webSocket()) : null);
         } catch (InvalidTargetException e) {
             throw new RequestReader.BadRequest(e.getMessage());
         }
--- a/src/main/java/org/cypressweir/sidecar/PeerEndpointLists.java
+++ b/src/main/java/org/cypressweir/sidecar/PeerEndpointLists.java
@@ -13,7 +13,7 @@
  * <p>Confined to the event loop. A list that arrives before {@link #open} is kept until then, because the load
  * balancers have not had their first list yet.
  */
-final class PeerEndpointLists implements FleetCoordination.Lists {
+final class PeerEndpointLists implements FleetCoordination.EndpointListAccess {
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -41,12 +41,12 @@
         this.log = log;
         cache = new EndpointListCache(
                 clock,
-                configuration.lists(),
-                configuration.known().revision(),
-                () -> layout.discovered().stream()
+                configuration.listReader(),
+                configuration.initialServers().revision(),
+                () -> layout.discoveredClusters().stream()
                         .findFirst()
                         .map(Cluster::serverList)
-                        .orElse(configuration.known()),
+                        .orElse(configuration.initialServers()),
                 () -> isOpen && feed.isSettled());
     }
 
@@ -54,29 +54,29 @@
     void open() {
         isOpen = true;
         if (pending != null) {
-            feed.take(pending);
+            feed.apply(pending);
         }
         pending = null;
     }
 
     /** Discovery has sent a list of this revision. */
-    void discovered(long revision) {
+    void discoveryUpdated(long revision) {
         heardFromDiscovery = true;
         cache.update(revision, 0);
     }
 
     @Override
-    public Lending.EndpointListSource shelf() {
+    public Lending.EndpointListSource source() {
         return cache;
     }
 
     @Override
-    public boolean told() {
-        return heardFromDiscovery || layout.discovered().isEmpty();
+    public boolean isDiscoveryComplete() {
+        return heardFromDiscovery || layout.discoveredClusters().isEmpty();
     }
 
     @Override
-    public boolean borrowed(Lending.Loan loan) {
+    public boolean acceptBorrowed(Lending.Loan loan) {
         try {
             ServerList list = cache.read(loan);
             log.accept(String.format(
@@ -89,7 +89,7 @@
             cache.update(loan.revision(), loan.ageMicros());
             discovery.requireCompleteList();
             if (isOpen) {
-                feed.take(list);
+                feed.apply(list);
             } else {
                 pending = list;
             }
--- a/src/main/java/org/cypressweir/sidecar/PluginChain.java
+++ b/src/main/java/org/cypressweir/sidecar/PluginChain.java
@@ -41,7 +41,7 @@
         }
 
         PluginConfiguration plan() {
-            return host.plan();
+            return host.configuration();
         }
     }
 
@@ -78,7 +78,7 @@
             }
             return chain;
         } catch (InvalidPluginException e) {
-            chain.closeAllBut(before);
+            chain.closeAllExcept(before);
             throw e;
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /** Closes the plug-ins that the other chain does not contain. */
-    void closeAllBut(PluginChain other) {
+    void closeAllExcept(PluginChain other) {
         members.stream()
                 .filter(m -> other == null || !other.members.contains(m))
                 .forEach(m -> m.host.close());
@@ -131,11 +131,11 @@
 
         private void invoke(Member member) {
             Future<?>[] timer = new Future<?>[1];
-            PluginHost.Call call = member.host.ask(request, new PluginHost.Heard() {
+            PluginHost.Call call = member.host.submit(request, new PluginHost.ResultListener() {
                 @Override
                 public void done(RequestedChanges changes) {
                     timer[0].cancel(false);
-                    member.health.well();
+                    member.health.succeeded();
                     apply(member, changes);
                 }
 
@@ -164,17 +164,18 @@
             }
 
             void check() {
-                long remainingMicros = deadline.more(clock.micros() - since, call.used());
+                long remainingMicros = deadline.remainingWaitMicros(clock.micros() - since, call.cpuMicrosUsed());
                 if (remainingMicros > 0) {
                     timer[0] = loop.schedule(this::check, remainingMicros, TimeUnit.MICROSECONDS);
-                } else if (call.withdraw()) {
+                } else if (call.cancel()) {
                     fail(member, "no answer in time");
                 }
             }
         }
 
         private void apply(Member member, RequestedChanges changes) {
-            changes.notes().forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
+            changes.logLines()
+                    .forEach(n -> log.accept("plug-in " + member.plan().name() + ": " + n));
             if (changes.refusal() != null) {
                 callback.accept(new Result(
                         changedHeaders, requestClass, classFrom, changes.refusal(), changes.retryAfterMillis()));
@@ -205,7 +206,7 @@
             long now = clock.micros();
             if (member.health.failed(now)) {
                 log.accept("plug-in " + member.plan().name() + " is left out for "
-                        + (member.health.outUntil() - now) / 1_000 + " ms: " + why);
+                        + (member.health.suspendedUntil() - now) / 1_000 + " ms: " + why);
             }
             skip(member);
         }
--- a/src/main/java/org/cypressweir/sidecar/Pool.java
+++ b/src/main/java/org/cypressweir/sidecar/Pool.java
@@ -67,7 +67,7 @@
             SidecarConfiguration config,
             Settings settings,
             int connections,
-            PoolConfiguration.Tunnelled tunnels,
+            PoolConfiguration.TunnelLimits tunnels,
             BiFunction<Settings, Actions, LoadBalancer> loadBalancerFactory) {
         loop = shared.loop();
         clock = shared.clock();
@@ -81,7 +81,7 @@
         sendsRetryAfter = settings.limits().retryAdvice();
         maxRetryAfterMicros = settings.limits().maxRetryAdviceMicros();
         isProbingAllowed = settings.limits().probing();
-        connectMicros = config.connectMicros();
+        connectMicros = config.connectTimeoutMicros();
         servers = new ServerPool(loop, clock, config, connections, tunnels, this);
     }
 
@@ -110,13 +110,13 @@
     }
 
     @Override
-    public int listed() {
+    public int listedServers() {
         return servers.listedCount();
     }
 
     @Override
-    public int avoided() {
-        return servers.outOfServiceCount() + loadBalancer.avoided(clock.micros());
+    public int avoidedServers() {
+        return servers.outOfServiceCount() + loadBalancer.ejectedServers(clock.micros());
     }
 
     @Override
@@ -144,26 +144,27 @@
 
     @Override
     public void applyLimits(PoolConfiguration configuration) {
-        servers.setLimits(configuration.connections(), configuration.tunnels());
+        servers.setLimits(configuration.maxConnections(), configuration.tunnels());
         events.deliver(
                 null,
                 now -> loadBalancer.limits(
-                        now, configuration.requests(), configuration.queue(), configuration.connections()));
+                        now, configuration.maxRequests(), configuration.maxQueued(), configuration.maxConnections()));
     }
 
     /** Replaces the limits on requests in flight, held requests and connections. */
     void setLimits(Limits next) {
         settings = settings.with(
-                settings.limits().with(next.open(), next.held(), next.connections()), settings.discoveryOnAsk());
-        servers.setLimits(next.connections(), null);
-        events.deliver(null, now -> loadBalancer.limits(now, next.open(), next.held(), next.connections()));
+                settings.limits().with(next.maxOpen(), next.maxQueued(), next.maxConnections()),
+                settings.discoveryOnAsk());
+        servers.setLimits(next.maxConnections(), null);
+        events.deliver(null, now -> loadBalancer.limits(now, next.maxOpen(), next.maxQueued(), next.maxConnections()));
     }
 
     /** Replaces all settings except this pool's own limits on requests and connections. */
     @Override
     public void updateSettings(Settings next) {
         Limits own = settings.limits();
-        Limits limits = next.limits().with(own.open(), own.held(), own.connections());
+        Limits limits = next.limits().with(own.maxOpen(), own.maxQueued(), own.maxConnections());
         settings = settings.with(next.classes()).with(limits, settings.discoveryOnAsk());
         sendsRetryAfter = limits.retryAdvice();
         maxRetryAfterMicros = limits.maxRetryAdviceMicros();
@@ -172,13 +173,13 @@
 
     @Override
     public void setInstanceCount(int instances) {
-        settings = settings.among(instances);
+        settings = settings.withReplicas(instances);
         deliverSettings();
     }
 
     private void deliverSettings() {
         Settings current = settings;
-        events.deliver(null, now -> loadBalancer.retune(now, current));
+        events.deliver(null, now -> loadBalancer.reconfigure(now, current));
     }
 
     @Override
@@ -214,7 +215,7 @@
             whenRetired.run();
         });
         updateServers(ListKind.COMPLETE, new ServerList(0, true, List.of()));
-        events.deliver(null, loadBalancer::closing);
+        events.deliver(null, loadBalancer::shutDown);
         completion.runIfEmpty();
     }
 
@@ -226,7 +227,7 @@
     // ---- Requests
 
     @Override
-    public void take(ClientRequest request) {
+    public void accept(ClientRequest request) {
         request.pool = this;
         completion.began();
         long now = clock.micros();
@@ -248,7 +249,8 @@
      *
      * @param id the id of the new request; no request in flight has it
      */
-    void takeAgain(ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
+    void repeatHandshake(
+            ClientRequest first, String id, Upgrade upgrade, HttpHeaders headers, ClientRequest.Client client) {
         Request original = first.request;
         long timeoutMicros =
                 Math.min(first.timeoutMicros, Long.parseLong(headers.get(Headers.TIMEOUT)) * MICROS_PER_MILLI);
@@ -261,28 +263,28 @@
                 clock.micros() + timeoutMicros,
                 0,
                 original.write(),
-                original.terms());
+                original.policy());
         ClientRequest request = new ClientRequest(
                 repeated,
                 new RouteDecision(
-                        this, original.requestClass(), first.uri, null, timeoutMicros, original.terms(), upgrade),
+                        this, original.requestClass(), first.uri, null, timeoutMicros, original.policy(), upgrade),
                 first.className,
                 first.method,
                 headers,
                 Unpooled.EMPTY_BUFFER,
                 client);
         if (inFlight.add(request)) {
-            upgrade.taken(request);
-            take(request);
+            upgrade.accepted(request);
+            accept(request);
         } else {
-            upgrade.left();
+            upgrade.clientLeft();
         }
     }
 
     @Override
-    public void left(ClientRequest request) {
+    public void clientDisconnected(ClientRequest request) {
         if (request.upgrade != null) {
-            request.upgrade.left();
+            request.upgrade.clientLeft();
         }
         completion.finish(request, null);
         events.deliver(null, now -> loadBalancer.clientLeft(now, request.request.id()));
@@ -290,7 +292,7 @@
 
     /** Responds without an action of the load balancer, because each request must get a response. */
     private void abort(ClientRequest request, HttpResponseStatus status) {
-        if (!request.over) {
+        if (!request.finished) {
             completion.respond(request, status, new DefaultHttpHeaders());
             events.deliver(null, now -> loadBalancer.clientLeft(now, request.request.id()));
         }
@@ -303,12 +305,15 @@
         ClientRequest request = attempt.call;
         attempt.result = result;
         attempt.timeout.cancel(false);
-        request.out--;
-        if (request.passed == attempt) {
+        request.outstandingAttempts--;
+        if (request.streamedAttempt == attempt) {
             completion.endStream(request, result == Result.SERVED);
         } else if (result == Result.SERVED && request.upgrade != null) {
             switchProtocols(request, attempt, response);
-        } else if (result == Result.SERVED && !request.over && request.passed == null && response != null) {
+        } else if (result == Result.SERVED
+                && !request.finished
+                && request.streamedAttempt == null
+                && response != null) {
             forwardResponse(request, response);
         }
         events.deliver(
@@ -320,8 +325,8 @@
                                 attempt.number,
                                 attempt.server,
                                 result,
-                                (attempt.begunAt == 0 ? now : attempt.begunAt) - attempt.sentAt,
-                                request.over,
+                                (attempt.streamedSince == 0 ? now : attempt.streamedSince) - attempt.sentAt,
+                                request.finished,
                                 report)));
         completion.forgetIfDone(request);
     }
@@ -332,26 +337,26 @@
         ClientRequest.Client client = request.client;
         request.served = true;
         completion.finish(request, Ending.SERVED);
-        client.answer(HttpResponseStatus.OK, headers, response.content().retain());
+        client.respond(HttpResponseStatus.OK, headers, response.content().retain());
     }
 
     /** Passes a server's 101 on to the client and joins the two connections. */
     private void switchProtocols(ClientRequest request, Attempt attempt, FullHttpResponse response) {
-        if (request.over) {
+        if (request.finished) {
             attempt.switched.close();
             return;
         }
         ClientRequest.Client client = request.client;
         request.served = true;
         completion.finish(request, Ending.SERVED);
-        Upgrade.End clientEnd = client.goOver(response);
+        Upgrade.UpgradedChannel clientEnd = client.switchProtocols(response);
         if (clientEnd == null) {
-            request.upgrade.left();
+            request.upgrade.clientLeft();
             attempt.switched.close();
             return;
         }
         attempt.switched.joined(
-                request.upgrade.join(response, clientEnd, attempt.switched.goOver(), attempt.switched.host()));
+                request.upgrade.join(response, clientEnd, attempt.switched.detach(), attempt.switched.upgradeServer()));
     }
 
     /**
@@ -362,27 +367,31 @@
     @Override
     public StreamedResponse startStreaming(Attempt attempt, HttpHeaders headers, long length, Runnable resume) {
         ClientRequest request = attempt.call;
-        if (request.over || request.passed != null || request.upgrade != null) {
+        if (request.finished || request.streamedAttempt != null || request.upgrade != null) {
             return null;
         }
         HttpHeaders passedOn = Headers.endToEnd(headers);
         passedOn.remove(Headers.LOAD);
         passedOn.remove(HttpHeaderNames.CONTENT_LENGTH);
-        request.passing = request.client.pass(passedOn, length, resume);
-        if (request.passing == null) {
+        request.stream = request.client.startStream(passedOn, length, resume);
+        if (request.stream == null) {
             return null;
         }
-        request.passed = attempt;
+        request.streamedAttempt = attempt;
         request.served = true;
         request.expiry.cancel(false);
         attempt.timeout.cancel(false);
-        attempt.begunAt = clock.micros();
+        attempt.streamedSince = clock.micros();
         events.deliver(
                 request,
                 now -> loadBalancer.streamBegan(
-                        now, request.request.id(), attempt.number, attempt.server, attempt.begunAt - attempt.sentAt));
+                        now,
+                        request.request.id(),
+                        attempt.number,
+                        attempt.server,
+                        attempt.streamedSince - attempt.sentAt));
         List.copyOf(request.attempts).stream().filter(a -> a != attempt).forEach(a -> endAttempt(a, Result.CANCELLED));
-        return request.passing;
+        return request.stream;
     }
 
     /**
@@ -398,12 +407,12 @@
 
     @Override
     public void attemptWritten() {
-        inFlight.figures().attempted();
+        inFlight.metrics().attemptSent();
     }
 
     @Override
     public void tunnelLoadChanged(long server, double requests, boolean full) {
-        events.deliver(null, now -> loadBalancer.burden(now, server, requests, full));
+        events.deliver(null, now -> loadBalancer.externalLoad(now, server, requests, full));
     }
 
     // ---- Actions of the load balancer
@@ -419,7 +428,7 @@
         long giveUpAt = timeoutMicros == 0 ? deadline : Math.min(deadline, now + timeoutMicros);
         Attempt attempt = new Attempt(request, server, now, giveUpAt);
         request.attempts.add(attempt);
-        request.out++;
+        request.outstandingAttempts++;
         attempt.timeout =
                 loop.schedule(() -> endAttempt(attempt, Result.TIMED_OUT), giveUpAt - now, TimeUnit.MICROSECONDS);
         servers.start(attempt);
--- a/src/main/java/org/cypressweir/sidecar/PooledConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/PooledConnection.java
@@ -14,7 +14,7 @@
  *
  * <p>Confined to the event loop. It connects on construction; after {@link #closed} it reports nothing more.
  */
-final class PooledConnection implements ServerConnection.Owner, ClientRequest.Switched {
+final class PooledConnection implements ServerConnection.Owner, ClientRequest.SwitchedConnection {
 
     private final ServerPool pool;
     private final ServerInstance server;
@@ -26,7 +26,7 @@
     /** The load report of the response that is being streamed; null if it had none. */
     private LoadReport streamedReport;
     /** The pair of connections that it belongs to after a protocol switch; null before. */
-    private Upgrade.Joined joined;
+    private Upgrade.UpgradedExchange joined;
 
     PooledConnection(ServerPool pool, ServerInstance server) {
         this.pool = pool;
@@ -69,7 +69,7 @@
     void write() {
         long nowMicros = pool.nowMicros();
         boolean isLate = server.isPastDrainGrace(nowMicros, pool.drainGraceMicros());
-        if (attempt.call.over || nowMicros >= attempt.giveUpAt || isLate) {
+        if (attempt.call.finished || nowMicros >= attempt.giveUpAt || isLate) {
             Attempt unsent = attempt;
             release();
             pool.end(unsent, Result.NOT_SENT, null, null);
@@ -194,32 +194,32 @@
     }
 
     @Override
-    public Upgrade.End goOver() {
+    public Upgrade.UpgradedChannel detach() {
         return connection.detach();
     }
 
     @Override
-    public Upgrade.Host host() {
+    public Upgrade.UpgradeServer upgradeServer() {
         return server;
     }
 
     @Override
-    public void joined(Upgrade.Joined with) {
+    public void joined(Upgrade.UpgradedExchange with) {
         joined = with;
         server.switched.add(this);
         if (!server.isInService()) {
-            joined.leaves(server.drainingSinceMicros);
+            joined.serverDraining(server.drainingSinceMicros);
         }
     }
 
     /** The server of a switched connection has been draining since this time. */
     void serverDraining(long sinceMicros) {
-        joined.leaves(sinceMicros);
+        joined.serverDraining(sinceMicros);
     }
 
     /** The server of a switched connection is in service again. */
     void serverInService() {
-        joined.stays();
+        joined.serverReinstated();
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/ProcessLock.java
+++ b/src/main/java/org/cypressweir/sidecar/ProcessLock.java
@@ -40,7 +40,7 @@
      * Whether no other process holds the lock; this process then keeps it until it ends. True also if the attempt
      * fails.
      */
-    boolean alone() {
+    boolean tryAcquire() {
         try {
             return file.tryLock() != null;
         } catch (IOException e) {
--- a/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestAdmission.java
@@ -58,17 +58,17 @@
 
     @Override
     public void clientCount(int count) {
-        lifecycle.on(count == 0 ? SidecarLifecycle.Event.EMPTY : SidecarLifecycle.Event.CLIENT);
+        lifecycle.handle(count == 0 ? SidecarLifecycle.Event.EMPTY : SidecarLifecycle.Event.CLIENT);
     }
 
     @Override
     public boolean allowsUpgrades() {
-        return layout.upgrades();
+        return layout.supportsUpgrades();
     }
 
     @Override
     public boolean ready() {
-        return lifecycle.serves() && layout.ready();
+        return lifecycle.acceptsClients() && layout.ready();
     }
 
     @Override
@@ -76,10 +76,10 @@
         RequestReader.check(http);
         PluginChain plugins = layout.plugins();
         if (plugins == null) {
-            admit(clock.micros(), http, client, layout.way(http));
+            admit(clock.micros(), http, client, layout.route(http));
             return;
         }
-        if (layout.upgrades() && Handshake.isAsked(http.headers())) {
+        if (layout.supportsUpgrades() && Handshake.isUpgradeRequest(http.headers())) {
             // If the upgrade is agreed, the bytes after the request are not HTTP.
             client.expectUpgrade();
         }
@@ -106,7 +106,7 @@
                 return;
             }
             setHeaders(result, http);
-            admit(receivedMicros, http, client, withRequestedClass(plugins, result, layout.way(http)));
+            admit(receivedMicros, http, client, withRequestedClass(plugins, result, layout.route(http)));
         } catch (RequestReader.BadRequest e) {
             client.reject(e);
         } finally {
@@ -121,7 +121,7 @@
                         result.retryAfterMillis() * MICROS_PER_MILLI,
                         current.settings().limits().maxRetryAdviceMicros())
                 : 0;
-        client.answer(
+        client.respond(
                 HttpResponseStatus.SERVICE_UNAVAILABLE, RetryAfter.headers(retryAfterMicros), Unpooled.EMPTY_BUFFER);
     }
 
@@ -164,8 +164,8 @@
 
     private void admit(long receivedMicros, FullHttpRequest http, ClientRequest.Client client, RouteDecision route)
             throws RequestReader.BadRequest {
-        if (route.upgrade() != null && !lifecycle.serves()) {
-            client.answer(
+        if (route.upgrade() != null && !lifecycle.acceptsClients()) {
+            client.respond(
                     HttpResponseStatus.SERVICE_UNAVAILABLE,
                     new DefaultHttpHeaders().set(HttpHeaderNames.RETRY_AFTER, RETRY_AFTER_SECONDS),
                     Unpooled.EMPTY_BUFFER);
@@ -182,13 +182,13 @@
         }
         if (request.upgrade != null) {
             client.expectUpgrade();
-            request.upgrade.taken(request);
+            request.upgrade.accepted(request);
         }
-        request.cluster.take(request);
+        request.cluster.accept(request);
     }
 
     @Override
-    public void left(ClientRequest.Client client) {
+    public void clientLeft(ClientRequest.Client client) {
         FullHttpRequest pending = awaitingPlugins.remove(client);
         if (pending != null) {
             pending.release();
@@ -196,7 +196,7 @@
         }
         ClientRequest request = inFlight.of(client);
         if (request != null) {
-            request.cluster.left(request);
+            request.cluster.clientDisconnected(request);
         }
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/RequestCollector.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestCollector.java
@@ -23,8 +23,8 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayList;
 import java.util.List;
-import org.cypressweir.sidecar.buffering.BodyBudget.Share;
-import org.cypressweir.sidecar.buffering.BodyBudget.Word;
+import org.cypressweir.sidecar.buffering.BodyBudget.Decision;
+import org.cypressweir.sidecar.buffering.BodyBudget.Reservation;
 
 /**
  * Collects complete requests. Small ones are always accepted; a larger one must be granted buffer space first, and
@@ -52,7 +52,7 @@
     private final List<ByteBuf> chunks = new ArrayList<>();
     private int size;
     /** The request's share of the buffer budget; null while it is small. */
-    private Share share;
+    private Reservation share;
 
     private boolean isWaitingForBudget;
 
@@ -114,10 +114,10 @@
 
     private void askForBudget(long bytes) {
         share = share == null ? largeRequests.share(this::granted, this::refused) : share;
-        Word answer = largeRequests.ask(share, bytes);
-        if (answer == Word.REFUSED) {
+        Decision answer = largeRequests.ask(share, bytes);
+        if (answer == Decision.REFUSED) {
             rejectTooLarge();
-        } else if (answer == Word.WAITS) {
+        } else if (answer == Decision.WAITS) {
             isWaitingForBudget = true;
             context.channel().config().setAutoRead(false);
         }
@@ -161,8 +161,10 @@
         }
         if (size > LargeRequests.MAX_BYTES) {
             rejectTooLarge();
-        } else if (size > ServerConnection.MAX_BODY && !isWaitingForBudget && (share == null || size > share.has())) {
-            askForBudget(Math.max(BUDGET_STEP_BYTES, size - (share == null ? 0 : share.has())));
+        } else if (size > ServerConnection.MAX_BODY_BYTES
+                && !isWaitingForBudget
+                && (share == null || size > share.grantedBytes())) {
+            askForBudget(Math.max(BUDGET_STEP_BYTES, size - (share == null ? 0 : share.grantedBytes())));
         }
     }
 
@@ -207,7 +209,7 @@
             context.channel().config().setAutoRead(true);
         }
         if (share != null) {
-            Share released = share;
+            Reservation released = share;
             share = null;
             largeRequests.free(released);
         }
--- a/src/main/java/org/cypressweir/sidecar/RequestReader.java
+++ b/src/main/java/org/cypressweir/sidecar/RequestReader.java
@@ -15,8 +15,8 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /** Converts a client's HTTP message to a request, or rejects it with the reason. */
 final class RequestReader {
@@ -77,21 +77,21 @@
         settings = next;
         classes.clear();
         for (int i = 0; i < next.classes().size(); i++) {
-            if (next.classes().get(i) != RequestClass.GONE) {
+            if (next.classes().get(i) != RequestClass.REMOVED) {
                 classes.put(next.classes().get(i).name(), i);
             }
         }
     }
 
     /** The route of a request to the only pool; the first segment of its path names its class. */
-    RouteDecision way(FullHttpRequest http, Pool pool) throws BadRequest {
+    RouteDecision route(FullHttpRequest http, Pool pool) throws BadRequest {
         String path = path(http.uri());
         int slash = path.indexOf('/');
         Integer requestClass = classes.get(slash < 0 ? path : path.substring(0, slash));
         if (requestClass == null) {
             throw new BadRequest("no such class");
         }
-        return new RouteDecision(pool, requestClass, http.uri(), null, Long.MAX_VALUE, Terms.NONE, null);
+        return new RouteDecision(pool, requestClass, http.uri(), null, Long.MAX_VALUE, RequestPolicy.NONE, null);
     }
 
     /** Rejects messages that are not HTTP or whose framing is ambiguous. */
--- a/src/main/java/org/cypressweir/sidecar/ResponseCollector.java
+++ b/src/main/java/org/cypressweir/sidecar/ResponseCollector.java
@@ -126,7 +126,7 @@
     }
 
     private void write(ChannelHandlerContext context, ByteBuf part) {
-        if (part.isReadable() && !stream.more(part)) {
+        if (part.isReadable() && !stream.write(part)) {
             context.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/org/cypressweir/sidecar/RouteDecision.java
+++ b/src/main/java/org/cypressweir/sidecar/RouteDecision.java
@@ -1,6 +1,6 @@
 package org.cypressweir.sidecar;
 
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 
 /**
  * The route of a request and the rules that apply to it.
@@ -12,7 +12,13 @@
  * @param upgrade the requested upgrade; null for a plain request
  */
 record RouteDecision(
-        Cluster cluster, int requestClass, String uri, String host, long timeoutMicros, Terms terms, Upgrade upgrade) {
+        Cluster cluster,
+        int requestClass,
+        String uri,
+        String host,
+        long timeoutMicros,
+        RequestPolicy terms,
+        Upgrade upgrade) {
 
     /** A copy with another request class. */
     RouteDecision ofClass(int other) {
--- a/src/main/java/org/cypressweir/sidecar/ServerConnection.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerConnection.java
@@ -36,9 +36,9 @@
 final class ServerConnection {
 
     /** Largest body that is buffered as a whole. */
-    static final int MAX_BODY = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
     /** Most bytes that are read, decoded or written at a time. */
-    static final int CHUNK = 16 * 1024;
+    static final int MAX_CHUNK_BYTES = 16 * 1024;
 
     static final String TOO_LARGE = "response too large: ";
 
@@ -106,7 +106,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectMicros / MICROS_PER_MILLI))
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, CHUNK))
+                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_CHUNK_BYTES))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
@@ -163,7 +163,7 @@
     }
 
     long waitingBytes() {
-        return Channels.waitingBytes(channel);
+        return Channels.pendingWriteBytes(channel);
     }
 
     /** Why the connection ended, as text for the log. */
@@ -186,7 +186,7 @@
     void send(FullHttpRequest request, boolean upgrade) {
         isUpgrading = upgrade;
         isAwaitingResponse = true;
-        if (request.content().readableBytes() > MAX_BODY) {
+        if (request.content().readableBytes() > MAX_BODY_BYTES) {
             largeRequest = new LargeRequestWriter(channel, request, this::requestWritten);
             largeRequest.resume();
             return;
@@ -206,14 +206,14 @@
      * After a 101: hands the channel over, with the bytes that came behind the response. The owner is still told of its
      * end.
      */
-    Upgrade.End detach() {
+    Upgrade.UpgradedChannel detach() {
         channel.config().setAutoRead(false);
         // On its removal the decoder passes on the bytes that it still holds.
         channel.pipeline().remove(decoder);
         while (channel.pipeline().first() != null) {
             channel.pipeline().removeFirst();
         }
-        return new Upgrade.End(channel, earlyBytes.take());
+        return new Upgrade.UpgradedChannel(channel, earlyBytes.take());
     }
 
     // ---- For its handlers
--- a/src/main/java/org/cypressweir/sidecar/ServerInstance.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerInstance.java
@@ -15,7 +15,7 @@
  * <p>Confined to the event loop. {@link ServerPool} creates it when discovery lists it, and forgets it once discovery
  * has removed it and its last connection is closed.
  */
-final class ServerInstance implements Upgrade.Host {
+final class ServerInstance implements Upgrade.UpgradeServer {
 
     private final ServerPool pool;
     final InetSocketAddress address;
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public Upgrade.Fleet fleet() {
+    public Upgrade.ServerGroup group() {
         return pool;
     }
 
@@ -104,17 +104,17 @@
     }
 
     @Override
-    public void carries(double requests, boolean full) {
+    public void setTunnelLoad(double requests, boolean full) {
         pool.listener().tunnelLoadChanged(descriptor.id(), requests, full);
     }
 
     @Override
-    public long toldAt() {
+    public long loadReportedAt() {
         return reportedAtMicros;
     }
 
     @Override
-    public double use() {
+    public double reportedLoad() {
         return utilization;
     }
 
--- a/src/main/java/org/cypressweir/sidecar/ServerPool.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerPool.java
@@ -26,7 +26,7 @@
  * <p>Confined to the event loop. It has no servers until the first {@link #update}; after {@link #close} nothing is
  * started on it.
  */
-final class ServerPool implements Upgrade.Fleet {
+final class ServerPool implements Upgrade.ServerGroup {
 
     /** Receives events of attempts and the load of upgraded connections, always on the event loop. */
     interface Listener {
@@ -48,7 +48,7 @@
     /**
      * How long a connection is not reused after a response: a duplicate of that response may arrive this much later.
      */
-    static final long SETTLE_MICROS = 20_000;
+    static final long REUSE_DELAY_MICROS = 20_000;
     /** For how long the computed number of warm servers stays valid. */
     private static final long WARM_SERVERS_MAX_AGE_MICROS = 20_000;
 
@@ -71,14 +71,14 @@
     /** The limit on idle connections, by the number of servers; null for no limit. */
     private IntUnaryOperator maxIdle;
     /** The limits of upgraded connections; null where nothing switches to another protocol. */
-    private PoolConfiguration.Tunnelled tunnels;
+    private PoolConfiguration.TunnelLimits tunnels;
 
     ServerPool(
             EventLoop loop,
             SidecarClock clock,
             SidecarConfiguration config,
             int maxConnections,
-            PoolConfiguration.Tunnelled tunnels,
+            PoolConfiguration.TunnelLimits tunnels,
             Listener listener) {
         this.loop = loop;
         this.clock = clock;
@@ -86,7 +86,7 @@
         this.tunnels = tunnels;
         this.listener = listener;
         rules = config.settings().rules();
-        connectMicros = config.connectMicros();
+        connectMicros = config.connectTimeoutMicros();
         drainGraceMicros = config.drainGraceMicros();
         maxIdleMicros = config.settings().limits().idleMicros();
         long sweep = Math.max(1, Math.min(MAX_SWEEP_MICROS, maxIdleMicros / SWEEPS_PER_IDLE_TIME));
@@ -175,14 +175,14 @@
     @Override
     public double warmServers() {
         long nowMicros = clock.micros();
-        return warmServers.at(nowMicros, () -> servers.values().stream()
+        return warmServers.get(nowMicros, () -> servers.values().stream()
                 .filter(ServerInstance::isInService)
-                .mapToDouble(s -> rules.coldShare(nowMicros, s.descriptor.startMicros()))
+                .mapToDouble(s -> rules.slowStartShare(nowMicros, s.descriptor.startMicros()))
                 .sum());
     }
 
     @Override
-    public PoolConfiguration.Tunnelled tunnels() {
+    public PoolConfiguration.TunnelLimits tunnels() {
         return tunnels;
     }
 
@@ -197,7 +197,7 @@
      * Replaces the connection limits and closes idle connections beyond the new one. Connections in use stay, including
      * those that have switched to another protocol.
      */
-    void setLimits(int connections, PoolConfiguration.Tunnelled nextTunnels) {
+    void setLimits(int connections, PoolConfiguration.TunnelLimits nextTunnels) {
         tunnels = nextTunnels;
         maxConnections = connections;
         int surplus = openConnections - maxConnections;
@@ -254,7 +254,7 @@
             return;
         }
         if (attempt.call.upgrade != null) {
-            attempt.call.upgrade.tried(server);
+            attempt.call.upgrade.attempted(server);
         }
         PooledConnection connection = idle.pollReusable(server, clock.micros());
         if (connection == null && openConnections >= maxConnections && !idle.closeOldest()) {
@@ -290,7 +290,7 @@
     ServerConnection connect(ServerInstance server, PooledConnection owner) {
         openConnections++;
         server.connections++;
-        return new ServerConnection(loop, server.address, ServerConnection.MAX_BODY, connectMicros, owner);
+        return new ServerConnection(loop, server.address, ServerConnection.MAX_BODY_BYTES, connectMicros, owner);
     }
 
     void assigned(Attempt attempt, PooledConnection connection) {
--- a/src/main/java/org/cypressweir/sidecar/ServerResponseDecoder.java
+++ b/src/main/java/org/cypressweir/sidecar/ServerResponseDecoder.java
@@ -16,7 +16,7 @@
     private boolean hasPartialMessage;
 
     ServerResponseDecoder() {
-        super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.CHUNK));
+        super(new HttpDecoderConfig().setMaxChunkSize(ServerConnection.MAX_CHUNK_BYTES));
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/Sidecar.java
+++ b/src/main/java/org/cypressweir/sidecar/Sidecar.java
@@ -57,7 +57,7 @@
             SidecarConfiguration configuration,
             PrintStream log,
             BiFunction<Settings, Actions, LoadBalancer> loadBalancers) {
-        this(loop, configuration, log, loadBalancers, PlainLayout::new);
+        this(loop, configuration, log, loadBalancers, SinglePoolLayout::new);
     }
 
     /** Uses the given load balancer and layout. */
@@ -73,49 +73,60 @@
         RequestReader reader = new RequestReader(initial.settings());
         admission = new RequestAdmission(clock, configuration, lifecycle, inFlight, reader, this::log);
         discovery = new Discovery(
-                loop, initial.discovery(), initial.lists(), initial.known().revision(), this, this::log);
+                loop,
+                initial.discovery(),
+                initial.listReader(),
+                initial.initialServers().revision(),
+                this,
+                this::log);
         clients = new ClientListener(loop, admission, initial.clientConnections(), this::log);
         var shared = new Pool.Shared(loop, clock, inFlight, discovery::subscribe, this::log);
-        layout = layouts.create(new Layout.Parts(
+        layout = layouts.create(new Layout.Context(
                 initial,
                 shared,
                 loadBalancers,
                 reader,
                 clients,
-                pace -> discovery.pace(clock, pace),
+                pace -> discovery.setPollSchedule(clock, pace),
                 new FleetShare()));
         admission.setLayout(layout);
         feed = new EndpointListFeed(loop, layout);
         reloader = new ConfigurationReloader(loop, configuration, layout, reader, inFlight, discovery, this, log);
-        inFlight.figures().show(initial.classNames());
-        adminCommands = new AdminCommandHandler(lifecycle, inFlight.figures(), new DiscoveredServers(), layout::ready);
+        inFlight.metrics().addClasses(initial.classNames());
+        adminCommands = new AdminCommandHandler(lifecycle, inFlight.metrics(), new DiscoveredServers(), layout::ready);
     }
 
     /**
      * This process's share of the fleet's limits; a process outside a fleet has a share of 0 and a member count of 1.
      */
-    private final class FleetShare implements Layout.Portion {
+    private final class FleetShare implements Layout.FleetPortion {
         @Override
-        public double part() {
-            return participation == null ? 0 : participation.part();
+        public double fraction() {
+            return participation == null ? 0 : participation.fraction();
         }
 
         @Override
-        public int count() {
-            return participation == null ? 1 : participation.count();
+        public int processCount() {
+            return participation == null ? 1 : participation.processCount();
         }
     }
 
     /** All pools that use discovery know the same servers, so the largest count is the count for all of them. */
     private final class DiscoveredServers implements SidecarMetrics.Fleet {
         @Override
-        public int listed() {
-            return layout.discovered().stream().mapToInt(Cluster::listed).max().orElse(0);
+        public int listedServers() {
+            return layout.discoveredClusters().stream()
+                    .mapToInt(Cluster::listedServers)
+                    .max()
+                    .orElse(0);
         }
 
         @Override
-        public int avoided() {
-            return layout.discovered().stream().mapToInt(Cluster::avoided).max().orElse(0);
+        public int avoidedServers() {
+            return layout.discoveredClusters().stream()
+                    .mapToInt(Cluster::avoidedServers)
+                    .max()
+                    .orElse(0);
         }
     }
 
@@ -125,7 +136,7 @@
      * @return completes once the fleet socket is open; fails if it cannot be opened
      */
     CompletableFuture<Void> join(
-            FleetCoordination.Maker maker,
+            FleetCoordination.Factory maker,
             MembershipOptions options,
             boolean socketMayBeHeld,
             Consumer<String> rejected) {
@@ -134,12 +145,13 @@
                 new FleetParticipation(loop, configuration, lifecycle, inFlight, lists, this::log, startedMillis);
         return participation
                 .join(maker, options, socketMayBeHeld, rejected, this::shareChanged)
-                .thenAccept(joined -> adminCommands.tell(joined::members, joined::leases, joined::lease));
+                .thenAccept(joined ->
+                        adminCommands.setFleetStatus(joined::membersJson, joined::leasesStatus, joined::leaseStatus));
     }
 
     private void shareChanged() {
-        layout.portioned();
-        discovery.repace();
+        layout.fleetPortionChanged();
+        discovery.reschedule();
     }
 
     /** Passes the initial endpoint lists to the load balancers. */
@@ -169,7 +181,7 @@
     }
 
     private void applyLifecycle() {
-        if (lifecycle.drains()) {
+        if (lifecycle.isDraining()) {
             clients.drain();
         } else {
             clients.undrain();
@@ -195,7 +207,7 @@
     private CompletableFuture<InetSocketAddress> listen() {
         open();
         if (!configuration.get().settings().discoveryOnAsk()
-                && !layout.discovered().isEmpty()) {
+                && !layout.discoveredClusters().isEmpty()) {
             // A discovery agent holds pushed lists and answers a watch; the load balancer itself requests none in this
             // mode.
             discovery.subscribe();
@@ -204,7 +216,7 @@
     }
 
     private InetSocketAddress opened(InetSocketAddress address) {
-        lifecycle.on(SidecarLifecycle.Event.OPENED);
+        lifecycle.handle(SidecarLifecycle.Event.OPENED);
         if (participation != null) {
             participation.setClientAddress(address);
         }
@@ -221,7 +233,7 @@
     void raiseConnectionLimits(SidecarConfiguration wider) {
         log("alone now, with " + wider.clientConnections() + " connections of clients");
         clients.setMaxConnections(wider.clientConnections());
-        layout.widen(wider);
+        layout.raiseLimits(wider);
     }
 
     /** See {@link ConfigurationReloader#reload}. */
@@ -239,7 +251,7 @@
 
     /** Number of servers known to the pools that use discovery. */
     int knownServers() {
-        return layout.discovered().stream()
+        return layout.discoveredClusters().stream()
                 .mapToInt(Cluster::knownServers)
                 .max()
                 .orElse(0);
@@ -257,7 +269,7 @@
 
     /** Completes all requests in flight, then stops and runs the callback; later calls have no effect. */
     void stop(Runnable ended) {
-        if (!lifecycle.on(SidecarLifecycle.Event.TERMINATE)) {
+        if (!lifecycle.handle(SidecarLifecycle.Event.TERMINATE)) {
             return;
         }
         if (participation != null) {
@@ -272,11 +284,11 @@
     }
 
     @Override
-    public void listed(ServerList list) {
+    public void listReceived(ServerList list) {
         if (participation != null) {
-            participation.lists().discovered(list.revision());
+            participation.lists().discoveryUpdated(list.revision());
         }
-        feed.take(list);
+        feed.apply(list);
     }
 
     @Override
--- a/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarConfiguration.java
@@ -29,10 +29,10 @@
         InetSocketAddress adminAddress,
         int sockets,
         Settings settings,
-        long connectMicros,
+        long connectTimeoutMicros,
         long drainGraceMicros,
-        ServerList known,
-        ServerList.Reader lists,
+        ServerList initialServers,
+        ServerList.Reader listReader,
         ConfigurationCompleteness completeness) {
 
     /**
@@ -51,7 +51,7 @@
     /** Names of the configured request classes, without the slots of removed classes. */
     List<String> classNames() {
         return settings.classes().stream()
-                .filter(c -> c != RequestClass.GONE)
+                .filter(c -> c != RequestClass.REMOVED)
                 .map(RequestClass::name)
                 .toList();
     }
@@ -100,10 +100,10 @@
                 null,
                 otherSockets,
                 settings.with(settings.limits(), false),
-                connectMicros,
+                connectTimeoutMicros,
                 drainGraceMicros,
                 servers,
-                lists,
+                listReader,
                 completeness);
     }
 
@@ -119,14 +119,14 @@
                 settings.with(
                         settings.limits()
                                 .with(
-                                        Math.min(settings.limits().open(), serverConnections(reducedSockets)),
-                                        settings.limits().held(),
+                                        Math.min(settings.limits().maxOpen(), serverConnections(reducedSockets)),
+                                        settings.limits().maxQueued(),
                                         serverConnections(reducedSockets)),
                         settings.discoveryOnAsk()),
-                connectMicros,
+                connectTimeoutMicros,
                 drainGraceMicros,
-                known,
-                lists,
+                initialServers,
+                listReader,
                 completeness);
     }
 
@@ -139,16 +139,16 @@
                 adminAddress,
                 sockets,
                 settings.with(classes),
-                connectMicros,
+                connectTimeoutMicros,
                 drainGraceMicros,
-                known,
-                lists,
+                initialServers,
+                listReader,
                 completeness);
     }
 
     /** The facts against which an operators' file is validated. */
     Facts facts() {
-        return new Facts(settings, lists.zones(), lists.models(), serverConnections(), listen);
+        return new Facts(settings, listReader.zones(), listReader.models(), serverConnections(), listen);
     }
 
     private static SidecarConfiguration of(
@@ -157,7 +157,7 @@
         if (!(document.get("settings") instanceof Map<?, ?> settingsObject)) {
             throw new IOException("'settings' is missing");
         }
-        String fault = required == null ? null : required.fault(document);
+        String fault = required == null ? null : required.findMissing(document);
         if (fault != null) {
             throw new IOException(fault);
         }
@@ -191,13 +191,13 @@
     }
 
     private static Settings validate(Settings s) {
-        String duplicate = RequestClassSlots.twice(s.classes());
+        String duplicate = RequestClassSlots.firstDuplicateName(s.classes());
         require(duplicate == null, "class '" + duplicate + "' stands twice");
         s.classes()
                 .forEach(c -> require(
                         c.deadlineMicros() > 0 && !c.name().isEmpty(),
                         "'deadline_us' of class '" + c.name() + "' must be above 0"));
-        require(s.limits().attempts() > 0, "'attempts_cap' must be above 0");
+        require(s.limits().maxAttempts() > 0, "'attempts_cap' must be above 0");
         return s;
     }
 
@@ -219,15 +219,15 @@
     private static Settings withConnectionLimits(Settings s, int configuredSockets, int sockets) {
         Limits limits = s.limits();
         Limits adjusted = new Limits(
-                limits.attempts(),
+                limits.maxAttempts(),
                 limits.cancelling(),
                 limits.probing(),
                 limits.retryAdvice(),
                 limits.maxRetryAdviceMicros(),
                 limits.idleMicros() / 3 * 2,
                 maxOpenRequests(limits, configuredSockets, sockets),
-                limits.held(),
-                limits.secondCopies(),
+                limits.maxQueued(),
+                limits.hedging(),
                 serverConnections(sockets));
         return s.with(adjusted, s.discoveryOnAsk());
     }
@@ -238,7 +238,7 @@
      */
     private static int maxOpenRequests(Limits limits, int configuredSockets, int sockets) {
         int clientShare = configuredSockets / 3 - Math.max(1, configuredSockets / 3 / SPARE_CONNECTIONS_DIVISOR);
-        return Math.min(limits.open(), Math.min(clientShare, serverConnections(sockets)));
+        return Math.min(limits.maxOpen(), Math.min(clientShare, serverConnections(sockets)));
     }
 
     /** Null if there is no admin listener. */
--- a/src/main/java/org/cypressweir/sidecar/SidecarProcess.java
+++ b/src/main/java/org/cypressweir/sidecar/SidecarProcess.java
@@ -70,15 +70,16 @@
             Map<String, String> environment,
             Path operators,
             PrintStream errors,
-            FleetCoordination.Maker coordinationMaker) {
+            FleetCoordination.Factory coordinationMaker) {
         String descriptor = environment.get("LB_SOCKET_FD");
         boolean inheritsSocket = InheritedSocket.isConfigured(descriptor);
         PrintStream log = inheritsSocket ? InheritedSocket.reopenLog(errors) : errors;
         SidecarProcess process;
         try {
             SidecarConfiguration configuration = SidecarConfiguration.read(environment);
-            StartupPlan plan =
-                    operators == null ? StartupPlan.plain(configuration) : OperatorsLayout.of(operators, configuration);
+            StartupPlan plan = operators == null
+                    ? StartupPlan.plain(configuration)
+                    : OperatorFileLayout.load(operators, configuration);
             ServerSocketChannel inherited = inheritsSocket ? InheritedSocket.take(descriptor) : null;
             process = new SidecarProcess(environment, configuration, plan, inherited, log);
         } catch (IOException e) {
@@ -88,9 +89,9 @@
         return process.run(coordinationMaker);
     }
 
-    private int run(FleetCoordination.Maker coordinationMaker) {
+    private int run(FleetCoordination.Factory coordinationMaker) {
         ProcessLock processLock = inherited == null ? null : ProcessLock.in(environment.get("TMPDIR"));
-        boolean isAlone = processLock == null || processLock.alone();
+        boolean isAlone = processLock == null || processLock.tryAcquire();
         try {
             Sidecar sidecar = create(isAlone ? configuration : configuration.withReducedDescriptors());
             if (!isAlone) {
@@ -154,7 +155,7 @@
         }
     }
 
-    private void joinFleet(Sidecar sidecar, FleetCoordination.Maker coordinationMaker, Thread shutdownHook)
+    private void joinFleet(Sidecar sidecar, FleetCoordination.Factory coordinationMaker, Thread shutdownHook)
             throws InterruptedException, ExecutionException {
         boolean socketMayBeHeld = inherited != null;
         try {
@@ -205,7 +206,7 @@
     }
 
     /** Runs the warm-up through the admin listener's address. */
-    private record AdminListenerStage(EventLoop loop, AdminListener admin) implements WarmUp.Stage {
+    private record AdminListenerStage(EventLoop loop, AdminListener admin) implements WarmUp.Transport {
         @Override
         public CompletableFuture<InetSocketAddress> open(ClientListener to) {
             return CompletableFuture.supplyAsync(
--- a/src/main/java/org/cypressweir/sidecar/PlainLayout.java
+++ b/src/main/java/org/cypressweir/sidecar/SinglePoolLayout.java
@@ -8,12 +8,12 @@
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 
 /** The layout without an operators' file: one address, one pool, and request classes by the first path segment. */
-final class PlainLayout implements Layout {
+final class SinglePoolLayout implements Layout {
 
-    private final Parts context;
+    private final Context context;
     private final Pool pool;
 
-    PlainLayout(Parts context) {
+    SinglePoolLayout(Context context) {
         this.context = context;
         SidecarConfiguration config = context.config();
         pool = new Pool(
@@ -27,7 +27,7 @@
 
     @Override
     public void open() {
-        pool.updateServers(ListKind.CACHED, context.config().known());
+        pool.updateServers(ListKind.CACHED, context.config().initialServers());
     }
 
     @Override
@@ -38,8 +38,8 @@
     }
 
     @Override
-    public RouteDecision way(FullHttpRequest http) throws RequestReader.BadRequest {
-        return context.reader().way(http, pool);
+    public RouteDecision route(FullHttpRequest http) throws RequestReader.BadRequest {
+        return context.reader().route(http, pool);
     }
 
     @Override
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public Collection<Cluster> discovered() {
+    public Collection<Cluster> discoveredClusters() {
         return List.of(pool);
     }
 
     @Override
-    public Change reread(SidecarConfiguration next) {
+    public Change reload(SidecarConfiguration next) {
         return () -> {
             pool.updateSettings(next.settings());
             return CompletableFuture.completedFuture(null);
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void widen(SidecarConfiguration wider) {
+    public void raiseLimits(SidecarConfiguration wider) {
         pool.setLimits(wider.settings().limits());
     }
 
--- a/src/main/java/org/cypressweir/sidecar/StartupPlan.java
+++ b/src/main/java/org/cypressweir/sidecar/StartupPlan.java
@@ -14,6 +14,6 @@
 
     /** The plan for a sidecar without an operators' file. */
     static StartupPlan plain(SidecarConfiguration configuration) {
-        return new StartupPlan(PlainLayout::new, configuration.listen(), null);
+        return new StartupPlan(SinglePoolLayout::new, configuration.listen(), null);
     }
 }
