--- a/src/main/java/org/cypressweir/sidecar/StreamedResponse.java
+++ b/src/main/java/org/cypressweir/sidecar/StreamedResponse.java
@@ -10,11 +10,11 @@
      *
      * @return false if the caller should pause, because the client reads too slowly
      */
-    boolean more(ByteBuf part);
+    boolean write(ByteBuf part);
 
     /** The response is complete. */
     void end();
 
     /** The rest will not arrive; the client must be able to detect that the response is incomplete. */
-    void cut();
+    void abort();
 }
--- a/src/main/java/org/cypressweir/sidecar/WarmUp.java
+++ b/src/main/java/org/cypressweir/sidecar/WarmUp.java
@@ -62,7 +62,7 @@
     private final Set<String> receivedIds = new HashSet<>();
 
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final Stage transport;
+    private final Transport transport;
     private final int requests;
     private final ClientListener listener;
     private Sidecar sidecar;
@@ -71,7 +71,7 @@
     private boolean isClosing;
 
     /** Accepts the clients' connections and passes them to a listener. */
-    interface Stage {
+    interface Transport {
         /** Passes connections to the listener from now on; completes with the address once clients can connect. */
         CompletableFuture<InetSocketAddress> open(ClientListener to);
 
@@ -79,7 +79,7 @@
         default void close() {}
     }
 
-    private WarmUp(EventLoop loop, SidecarConfiguration config, Stage transport, int requests) {
+    private WarmUp(EventLoop loop, SidecarConfiguration config, Transport transport, int requests) {
         this.loop = loop;
         this.config = config;
         this.transport = transport;
@@ -99,7 +99,7 @@
     }
 
     /** Runs over another transport than an address of its own. */
-    static int run(SidecarConfiguration config, Stage transport, int requests, long millis)
+    static int run(SidecarConfiguration config, Transport transport, int requests, long millis)
             throws InterruptedException {
         // An event loop of its own, with which all connections and timers of the warm-up end.
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -165,17 +165,17 @@
         if (!id.startsWith(idPrefix)) {
             // No client should send requests before the sidecar is ready. It cannot serve them yet, and has no advice
             // on a retry.
-            client.answer(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+            client.respond(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         } else if (receivedIds.add(id)) {
             sidecar.admission().take(http, client);
         } else {
-            client.answer(HttpResponseStatus.OK, LOAD_REPORT, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+            client.respond(HttpResponseStatus.OK, LOAD_REPORT, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
         }
     }
 
     @Override
-    public void left(ClientRequest.Client client) {
-        sidecar.admission().left(client);
+    public void clientLeft(ClientRequest.Client client) {
+        sidecar.admission().clientLeft(client);
     }
 
     private FullHttpRequest nextRequest() {
@@ -213,7 +213,8 @@
         private final ServerConnection connection;
 
         Client(InetSocketAddress address) {
-            connection = new ServerConnection(loop, address, ServerConnection.MAX_BODY, config.connectMicros(), this);
+            connection = new ServerConnection(
+                    loop, address, ServerConnection.MAX_BODY_BYTES, config.connectTimeoutMicros(), this);
         }
 
         @Override
--- a/src/main/java/org/cypressweir/sidecar/WebSocketUpgrades.java
+++ b/src/main/java/org/cypressweir/sidecar/WebSocketUpgrades.java
@@ -46,18 +46,18 @@
     }
 
     /** Number of tunnels that were moved to another server. */
-    long moved() {
+    long movedTunnels() {
         return movedTunnels;
     }
 
     /** Reads an upgrade request. */
-    Upgrade ask(FullHttpRequest http, WebSocketLimits limits) throws RequestReader.BadRequest {
+    Upgrade readUpgrade(FullHttpRequest http, WebSocketLimits limits) throws RequestReader.BadRequest {
         try {
             Handshake handshake = Handshake.read(http);
             boolean resumable =
                     limits.resume() != null && handshake.offers(limits.resume().subprotocols());
-            return new RequestedUpgrade(resumable ? handshake.plain() : handshake, limits);
-        } catch (Handshake.Refused e) {
+            return new RequestedUpgrade(resumable ? handshake.withoutExtensions() : handshake, limits);
+        } catch (Handshake.InvalidHandshakeException e) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (e.status().equals(HttpResponseStatus.UPGRADE_REQUIRED)) {
                 headers.set(HttpHeaderNames.SEC_WEBSOCKET_VERSION, Handshake.VERSION)
@@ -72,28 +72,30 @@
     }
 
     /** Adapts a pool's servers; equal for all servers of one pool. */
-    private record Servers(Upgrade.Fleet fleet) implements Tunnels.Pool {
+    private record Servers(Upgrade.ServerGroup fleet) implements Tunnels.Pool {
         @Override
         public double warmServers() {
             return fleet.warmServers();
         }
 
         @Override
-        public int most() {
-            return fleet.tunnels().most();
+        public int maxTunnels() {
+            return fleet.tunnels().maxOpen();
         }
 
         @Override
         public TunnelAdmission.Rule rule() {
             return new TunnelAdmission.Rule(
-                    fleet.tunnels().rate(), fleet.rules(), fleet.tunnels().perServer());
+                    fleet.tunnels().newPerSecond(),
+                    fleet.rules(),
+                    fleet.tunnels().maxOpenPerServer());
         }
     }
 
     /** Adapts a server; equal for all tunnels of one server. */
-    private record Server(Servers pool, Upgrade.Host host) implements Tunnels.Host {
-        static Server of(Upgrade.Host host) {
-            return new Server(new Servers(host.fleet()), host);
+    private record Server(Servers pool, Upgrade.UpgradeServer host) implements Tunnels.Host {
+        static Server of(Upgrade.UpgradeServer host) {
+            return new Server(new Servers(host.group()), host);
         }
 
         @Override
@@ -102,28 +104,28 @@
         }
 
         @Override
-        public void carries(double weight, boolean full) {
-            host.carries(weight, full);
+        public void setTunnelLoad(double weight, boolean full) {
+            host.setTunnelLoad(weight, full);
         }
 
         @Override
-        public long toldAt() {
-            return host.toldAt();
+        public long loadReportedAt() {
+            return host.loadReportedAt();
         }
 
         @Override
-        public double use() {
-            return host.use();
+        public double utilization() {
+            return host.reportedLoad();
         }
 
         @Override
-        public double requests() {
+        public double requestsInFlight() {
             return host.requests();
         }
     }
 
     /** Passes changes of a server's state to its tunnel. */
-    private final class TunnelServerLink implements Upgrade.Joined {
+    private final class TunnelServerLink implements Upgrade.UpgradedExchange {
         private final Tunnel tunnel;
         private final Server server;
 
@@ -133,13 +135,13 @@
         }
 
         @Override
-        public void leaves(long toldAt) {
-            tunnels.leaves(tunnel, server, toldAt);
+        public void serverDraining(long toldAt) {
+            tunnels.serverDraining(tunnel, server, toldAt);
         }
 
         @Override
-        public void stays() {
-            tunnels.stays(tunnel, server);
+        public void serverReinstated() {
+            tunnels.drainCancelled(tunnel, server);
         }
     }
 
@@ -148,7 +150,7 @@
         private final WebSocketLimits limits;
         private UpgradeAccount account;
         private ClientRequest call;
-        private Tunnels.Ticket ticket;
+        private Tunnels.Permit ticket;
 
         RequestedUpgrade(Handshake handshake, WebSocketLimits limits) {
             this.handshake = handshake;
@@ -156,55 +158,56 @@
         }
 
         @Override
-        public void taken(ClientRequest clientRequest) {
+        public void accepted(ClientRequest clientRequest) {
             call = clientRequest;
             account = new UpgradeAccount(counters);
         }
 
         @Override
-        public long admit(Fleet fleet) {
-            ticket = tunnels.ask(new Servers(fleet), call.request.tenant(), limits, maxTunnels);
-            return ticket.isIn() ? -1 : ticket.retryMicros();
+        public long admit(ServerGroup fleet) {
+            ticket = tunnels.requestAdmission(new Servers(fleet), call.request.tenant(), limits, maxTunnels);
+            return ticket.isAdmitted() ? -1 : ticket.retryMicros();
         }
 
         @Override
-        public void ask(HttpHeaders headers) {
-            handshake.ask(headers);
+        public void addHandshakeHeaders(HttpHeaders headers) {
+            handshake.writeTo(headers);
         }
 
         @Override
-        public void tried(Host host) {
-            account.on(Event.TRY);
-            tunnels.tried(Server.of(host));
+        public void attempted(UpgradeServer host) {
+            account.apply(Event.TRY);
+            tunnels.handshakeSent(Server.of(host));
         }
 
         @Override
         public String fault(FullHttpResponse answer) {
-            return handshake.fault(answer);
+            return handshake.findResponseFault(answer);
         }
 
         @Override
-        public void answered(HttpResponseStatus status) {
+        public void declined(HttpResponseStatus status) {
             boolean refusal = status.code() == 503 || status.code() == 429;
-            account.on(refusal ? Event.REFUSE : Event.FAIL);
+            account.apply(refusal ? Event.REFUSE : Event.FAIL);
             leave();
         }
 
         @Override
-        public void left() {
-            account.on(Event.LEAVE);
+        public void clientLeft() {
+            account.apply(Event.LEAVE);
             leave();
         }
 
         private void leave() {
             if (ticket != null) {
-                ticket.leave();
+                ticket.release();
             }
         }
 
         @Override
-        public Joined join(FullHttpResponse answer, End client, End server, Host host) {
-            account.on(Event.OPEN);
+        public UpgradedExchange join(
+                FullHttpResponse answer, UpgradedChannel client, UpgradedChannel server, UpgradeServer host) {
+            account.apply(Event.OPEN);
             Tunnel tunnel = new Tunnel(
                     limits,
                     Handshake.isCompressed(answer),
@@ -258,8 +261,8 @@
             if (resume.header() != null) {
                 headers.set(resume.header(), resume.value());
             }
-            TunnelMove tunnelMove = new TunnelMove(tunnel, handshake.again(protocol, key), protocol);
-            originalRequest.pool.takeAgain(originalRequest, id, tunnelMove, headers, tunnelMove);
+            TunnelMove tunnelMove = new TunnelMove(tunnel, handshake.forAnotherServer(protocol, key), protocol);
+            originalRequest.pool.repeatHandshake(originalRequest, id, tunnelMove, headers, tunnelMove);
         }
     }
 
@@ -276,51 +279,52 @@
         }
 
         @Override
-        public void taken(ClientRequest call) {}
+        public void accepted(ClientRequest call) {}
 
         /** The tunnel is already counted; the other server must still have capacity for one more. */
         @Override
-        public long admit(Fleet fleet) {
+        public long admit(ServerGroup fleet) {
             return tunnels.mayMove(new Servers(fleet)) ? -1 : 0;
         }
 
         @Override
-        public void ask(HttpHeaders headers) {
-            handshake.ask(headers);
+        public void addHandshakeHeaders(HttpHeaders headers) {
+            handshake.writeTo(headers);
         }
 
         @Override
-        public void tried(Host host) {
-            tunnels.tried(Server.of(host));
+        public void attempted(UpgradeServer host) {
+            tunnels.handshakeSent(Server.of(host));
         }
 
         @Override
         public String fault(FullHttpResponse answer) {
-            String fault = handshake.fault(answer);
+            String fault = handshake.findResponseFault(answer);
             return fault != null ? fault : protocol.equals(Handshake.protocol(answer)) ? null : "another subprotocol";
         }
 
         @Override
-        public void answered(HttpResponseStatus status) {}
+        public void declined(HttpResponseStatus status) {}
 
         @Override
-        public void left() {
-            tunnels.notMoved(tunnel);
+        public void clientLeft() {
+            tunnels.moveRefused(tunnel);
         }
 
         @Override
-        public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+        public void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
             content.release();
-            tunnels.notMoved(tunnel);
+            tunnels.moveRefused(tunnel);
         }
 
         @Override
-        public Upgrade.End goOver(FullHttpResponse answer) {
-            return new Upgrade.End(null, Unpooled.EMPTY_BUFFER);
+        public Upgrade.UpgradedChannel switchProtocols(FullHttpResponse answer) {
+            return new Upgrade.UpgradedChannel(null, Unpooled.EMPTY_BUFFER);
         }
 
         @Override
-        public Joined join(FullHttpResponse answer, End client, End server, Host host) {
+        public UpgradedExchange join(
+                FullHttpResponse answer, UpgradedChannel client, UpgradedChannel server, UpgradeServer host) {
             Server targetServer = Server.of(host);
             tunnels.moveTo(
                     tunnel, targetServer, server.channel(), server.earlyBytes(), done -> movedTunnels += done ? 1 : 0);
--- a/src/main/java/org/cypressweir/sidecar/admin/AdminCommandHandler.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/AdminCommandHandler.java
@@ -34,7 +34,7 @@
     }
 
     /** Sets what describes the members, all leases, and a lease by its name. */
-    public void tell(
+    public void setFleetStatus(
             Supplier<String> describeMembers, Supplier<String> describeLeases, UnaryOperator<String> describeLease) {
         members = describeMembers;
         leases = describeLeases;
@@ -62,7 +62,7 @@
     }
 
     private String readiness() {
-        if (!lifecycle.serves()) {
+        if (!lifecycle.acceptsClients()) {
             return NO_PREFIX + stateName();
         }
         return hasServer.getAsBoolean() ? "YES" : NO_PREFIX + "no server is in service";
@@ -70,7 +70,7 @@
 
     /** Idempotent: a repeated command gets the same answer. Only stopping cannot be undone. */
     private String handle(SidecarLifecycle.Event event) {
-        lifecycle.on(event);
+        lifecycle.handle(event);
         return (lifecycle.state() == SidecarLifecycle.State.STOPPING ? NO_PREFIX : "YES ") + stateName();
     }
 
--- a/src/main/java/org/cypressweir/sidecar/admin/ConfigurationCompleteness.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/ConfigurationCompleteness.java
@@ -23,7 +23,7 @@
     }
 
     /** Describes what another document lacks, in one line; null if it is complete. */
-    public String fault(Map<?, ?> next) {
+    public String findMissing(Map<?, ?> next) {
         return checkObject("", inForce, next);
     }
 
--- a/src/main/java/org/cypressweir/sidecar/admin/RequestClassSlots.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/RequestClassSlots.java
@@ -17,27 +17,27 @@
     private RequestClassSlots() {}
 
     /**
-     * Returns the new classes, each at the index that is its number; {@link RequestClass#GONE} at unused numbers.
+     * Returns the new classes, each at the index that is its number; {@link RequestClass#REMOVED} at unused numbers.
      *
      * @param before the present classes by number
      * @param next the new classes, with unique names
      * @param inUse numbers of the requests in flight
      */
-    public static List<RequestClass> place(List<RequestClass> before, List<RequestClass> next, Set<Integer> inUse) {
+    public static List<RequestClass> assign(List<RequestClass> before, List<RequestClass> next, Set<Integer> inUse) {
         List<RequestClass> assigned = new ArrayList<>(before.size());
         List<RequestClass> added = new ArrayList<>(next);
         for (RequestClass old : before) {
             RequestClass kept = next.stream()
                     .filter(c -> c.name().equals(old.name()))
                     .findFirst()
-                    .orElse(RequestClass.GONE);
+                    .orElse(RequestClass.REMOVED);
             added.remove(kept);
             assigned.add(kept);
         }
         for (RequestClass c : added) {
             int free = 0;
             while (free < assigned.size()
-                    && !(isFree(before, free) && assigned.get(free) == RequestClass.GONE && !inUse.contains(free))) {
+                    && !(isFree(before, free) && assigned.get(free) == RequestClass.REMOVED && !inUse.contains(free))) {
                 free++;
             }
             if (free < assigned.size()) {
@@ -50,11 +50,11 @@
     }
 
     private static boolean isFree(List<RequestClass> before, int number) {
-        return number < before.size() && before.get(number) == RequestClass.GONE;
+        return number < before.size() && before.get(number) == RequestClass.REMOVED;
     }
 
     /** The first duplicate name; null if names are unique. */
-    public static String twice(List<RequestClass> classes) {
+    public static String firstDuplicateName(List<RequestClass> classes) {
         Set<String> names = new HashSet<>();
         return classes.stream()
                 .map(RequestClass::name)
--- a/src/main/java/org/cypressweir/sidecar/admin/SidecarLifecycle.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarLifecycle.java
@@ -66,7 +66,7 @@
     }
 
     /** Processes an event; returns whether the state has changed. */
-    public boolean on(Event event) {
+    public boolean handle(Event event) {
         State next = TRANSITIONS.get(state).getOrDefault(event, state);
         boolean changed = next != state;
         state = next;
@@ -74,12 +74,12 @@
     }
 
     /** Whether clients should connect. */
-    public boolean serves() {
+    public boolean acceptsClients() {
         return state == State.SERVING;
     }
 
     /** Whether connected clients should leave while the process keeps running. */
-    public boolean drains() {
+    public boolean isDraining() {
         return state == State.DRAINING || state == State.DRAINED;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/admin/SidecarMetrics.java
+++ b/src/main/java/org/cypressweir/sidecar/admin/SidecarMetrics.java
@@ -26,10 +26,10 @@
     /** Values that are read at the time of a query. */
     public interface Fleet {
         /** Listed servers. */
-        int listed();
+        int listedServers();
 
         /** Listed servers to which no request would be sent now. */
-        int avoided();
+        int avoidedServers();
     }
 
     private static final class EndingCounts {
@@ -45,28 +45,28 @@
     private long reconfigurationsRejected;
 
     /** Adds classes that are reported even if they get no requests; earlier ones stay. */
-    public void show(List<String> names) {
+    public void addClasses(List<String> names) {
         names.forEach(name -> countsByClass.computeIfAbsent(name, n -> new EndingCounts()));
     }
 
     /** A request has been received completely. */
-    public void taken() {
+    public void requestReceived() {
         inFlight++;
     }
 
     /** A received request has got its final response. */
-    public void ended(String requestClass, Ending ending) {
+    public void requestEnded(String requestClass, Ending ending) {
         inFlight--;
         countsByClass.computeIfAbsent(requestClass, n -> new EndingCounts()).byEnding[ending.ordinal()]++;
     }
 
     /** The client of a received request has left; the request counts under no ending. */
-    public void left() {
+    public void clientLeft() {
         inFlight--;
     }
 
     /** The last byte of an attempt has been handed to the network. */
-    public void attempted() {
+    public void attemptSent() {
         attempts++;
     }
 
@@ -89,8 +89,8 @@
             writeByClass(out, "failure", Ending.FAILED);
             out.writeNumberField("backend_calls", attempts);
             out.writeNumberField("inflight", inFlight);
-            out.writeNumberField("hosts_listed", fleet.listed());
-            out.writeNumberField("hosts_down", fleet.avoided());
+            out.writeNumberField("hosts_listed", fleet.listedServers());
+            out.writeNumberField("hosts_down", fleet.avoidedServers());
             out.writeNumberField("reconfig_ok", reconfigurationsApplied);
             out.writeNumberField("reconfig_failed", reconfigurationsRejected);
             out.writeEndObject();
--- a/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/buffering/BodyBudget.java
@@ -17,28 +17,28 @@
 public final class BodyBudget {
 
     /** The decision on a request for memory. */
-    public enum Word {
+    public enum Decision {
         GRANTED,
         WAITS,
         REFUSED
     }
 
     /** The memory that one request holds and waits for, in bytes. */
-    public static final class Share {
+    public static final class Reservation {
         private final long sequence;
         private final Runnable granted;
         private final Runnable refused;
         private long grantedBytes;
         private long pendingBytes;
 
-        private Share(long sequence, Runnable granted, Runnable refused) {
+        private Reservation(long sequence, Runnable granted, Runnable refused) {
             this.sequence = sequence;
             this.granted = granted;
             this.refused = refused;
         }
 
         /** The bytes granted so far. */
-        public long has() {
+        public long grantedBytes() {
             return grantedBytes;
         }
 
@@ -54,11 +54,11 @@
     }
 
     /** The requests that the host has to notify. */
-    public record GrantDecisions(List<Share> granted, List<Share> refused) {}
+    public record GrantDecisions(List<Reservation> granted, List<Reservation> refused) {}
 
     private final long capacityBytes;
-    private final Set<Share> holders = new LinkedHashSet<>();
-    private final Set<Share> waiting = new LinkedHashSet<>();
+    private final Set<Reservation> holders = new LinkedHashSet<>();
+    private final Set<Reservation> waiting = new LinkedHashSet<>();
     private long usedBytes;
     private long lastSequence;
 
@@ -66,7 +66,7 @@
         this.capacityBytes = capacityBytes;
     }
 
-    public long used() {
+    public long usedBytes() {
         return usedBytes;
     }
 
@@ -75,54 +75,54 @@
     }
 
     /** Registers a request that holds no memory yet. */
-    public Share share(Runnable granted, Runnable refused) {
-        return new Share(++lastSequence, granted, refused);
+    public Reservation newReservation(Runnable granted, Runnable refused) {
+        return new Reservation(++lastSequence, granted, refused);
     }
 
     /** Asks for more bytes. Only one such call may be pending for a request at a time. */
-    public Word ask(Share reservation, long bytes) {
+    public Decision request(Reservation reservation, long bytes) {
         if (reservation.grantedBytes + bytes > capacityBytes) {
-            return Word.REFUSED;
+            return Decision.REFUSED;
         }
         reservation.pendingBytes = bytes;
         if (fits(reservation) && (reservation.grantedBytes > 0 || waiting.isEmpty())) {
             grant(reservation);
-            return Word.GRANTED;
+            return Decision.GRANTED;
         }
         waiting.add(reservation);
-        return Word.WAITS;
+        return Decision.WAITS;
     }
 
     /** Frees everything that a request holds or waits for. */
-    public GrantDecisions free(Share reservation) {
+    public GrantDecisions release(Reservation reservation) {
         revoke(reservation);
-        return settle();
+        return decideWaiting();
     }
 
     /**
      * A request has been read completely and needs no more memory. It holds this many bytes, which may exceed what was
      * granted by the size of the last read.
      */
-    public GrantDecisions whole(Share reservation, long bytes) {
+    public GrantDecisions complete(Reservation reservation, long bytes) {
         waiting.remove(reservation);
         holders.add(reservation);
         usedBytes += bytes - reservation.grantedBytes;
         reservation.grantedBytes = bytes;
-        return settle();
+        return decideWaiting();
     }
 
     /** Decides on the waiting requests; also to be called whenever a request has begun to wait. */
-    public GrantDecisions settle() {
-        List<Share> granted = new ArrayList<>();
-        List<Share> refused = new ArrayList<>();
+    public GrantDecisions decideWaiting() {
+        List<Reservation> granted = new ArrayList<>();
+        List<Reservation> refused = new ArrayList<>();
         while (true) {
-            Share next = nextWaiting();
+            Reservation next = nextWaiting();
             if (next != null && fits(next)) {
                 waiting.remove(next);
                 grant(next);
                 granted.add(next);
             } else if (next != null && isDeadlocked()) {
-                Share newest = newestHolder();
+                Reservation newest = newestHolder();
                 revoke(newest);
                 refused.add(newest);
             } else {
@@ -131,18 +131,18 @@
         }
     }
 
-    private void revoke(Share reservation) {
+    private void revoke(Reservation reservation) {
         usedBytes -= reservation.grantedBytes;
         reservation.grantedBytes = 0;
         holders.remove(reservation);
         waiting.remove(reservation);
     }
 
-    private boolean fits(Share reservation) {
+    private boolean fits(Reservation reservation) {
         return usedBytes + reservation.pendingBytes <= capacityBytes;
     }
 
-    private void grant(Share reservation) {
+    private void grant(Reservation reservation) {
         usedBytes += reservation.pendingBytes;
         reservation.grantedBytes += reservation.pendingBytes;
         reservation.pendingBytes = 0;
@@ -150,9 +150,9 @@
     }
 
     /** Requests that hold memory go first; of them the first that fits, so that a large one does not block others. */
-    private Share nextWaiting() {
-        Share first = null;
-        for (Share reservation : waiting) {
+    private Reservation nextWaiting() {
+        Reservation first = null;
+        for (Reservation reservation : waiting) {
             if (reservation.grantedBytes > 0 && fits(reservation)) {
                 return reservation;
             }
@@ -166,9 +166,9 @@
         return !holders.isEmpty() && waiting.containsAll(holders);
     }
 
-    private Share newestHolder() {
-        Share newest = null;
-        for (Share reservation : holders) {
+    private Reservation newestHolder() {
+        Reservation newest = null;
+        for (Reservation reservation : holders) {
             newest = newest == null || reservation.sequence > newest.sequence ? reservation : newest;
         }
         return newest;
--- a/src/main/java/org/cypressweir/sidecar/cell/CellAssignment.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellAssignment.java
@@ -25,7 +25,7 @@
     private static final long ORDER_SALT = 0x0DE1;
 
     /** A listed server whose cell has changed, with the indexes of the cells. */
-    public record Moved(long server, int from, int to) {}
+    public record MovedServer(long server, int from, int to) {}
 
     /** What is assigned as a whole: a server, or a group of servers. */
     private static final class Assignable {
@@ -103,7 +103,7 @@
      *
      * @return servers that were listed before, still are, and whose cell has changed
      */
-    public List<Moved> listed(long now, ListKind kind, List<Server> listedServers) {
+    public List<MovedServer> listed(long now, ListKind kind, List<Server> listedServers) {
         boolean changed = false;
         if (kind == ListKind.COMPLETE || kind == ListKind.CACHED) {
             Map<Long, Server> listedById = new HashMap<>();
@@ -137,19 +137,19 @@
     }
 
     /** Takes over the listed servers of another assignment; returns those whose cell differs from there. */
-    List<Moved> replace(long now, CellAssignment other) {
+    List<MovedServer> replace(long now, CellAssignment other) {
         listed(now, ListKind.COMPLETE, List.copyOf(other.serversById.values()));
-        List<Moved> moved = new ArrayList<>();
+        List<MovedServer> moved = new ArrayList<>();
         for (long id : serversById.keySet()) {
             if (cellOf(id) != other.cellOf(id)) {
-                moved.add(new Moved(id, other.cellOf(id), cellOf(id)));
+                moved.add(new MovedServer(id, other.cellOf(id), cellOf(id)));
             }
         }
         return moved;
     }
 
     /** Gives up expired reservations; returns the listed servers whose cell changes by that. */
-    public List<Moved> expireReservations(long now) {
+    public List<MovedServer> expireReservations(long now) {
         return dropExpired(now) ? assign() : List.of();
     }
 
@@ -223,7 +223,7 @@
         return ranking;
     }
 
-    private List<Moved> assign() {
+    private List<MovedServer> assign() {
         Map<Assignable, Integer> movedFrom = new HashMap<>();
         double[] owed = new double[shares.length];
         openCells.clear();
@@ -246,12 +246,12 @@
         if (movedFrom.isEmpty()) {
             return List.of();
         }
-        List<Moved> movedServers = new ArrayList<>();
+        List<MovedServer> movedServers = new ArrayList<>();
         for (Server server : serversById.values()) {
             Assignable assignable = assignables.get(assignableId(server));
             Integer from = movedFrom.get(assignable);
             if (from != null) {
-                movedServers.add(new Moved(server.id(), from, assignable.cell));
+                movedServers.add(new MovedServer(server.id(), from, assignable.cell));
             }
         }
         return movedServers;
--- a/src/main/java/org/cypressweir/sidecar/cell/Cells.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellRouter.java
@@ -24,24 +24,24 @@
  *
  * <p>No I/O, no clock, no threads: called by one thread, with times in microseconds that never go back.
  */
-public final class Cells {
+public final class CellRouter {
 
     /**
-     * Callbacks to the host. The host must not call back into {@link Cells} from within one of them, but only after the
-     * call that caused it has returned.
+     * Callbacks to the host. The host must not call back into {@link CellRouter} from within one of them, but only
+     * after the call that caused it has returned.
      */
     public interface Actions {
         /** Sends a request that was held to the cell that its ticket now names. */
         void release(Ticket ticket);
 
-        /** Schedules a call of {@link Cells#timer} at this time; an earlier schedule need not be cancelled. */
+        /** Schedules a call of {@link CellRouter#timer} at this time; an earlier schedule need not be cancelled. */
         void timer(long atMicros);
 
         /** Writes a line to the operators' log. */
         void log(String line);
     }
 
-    /** The routing of one request, from {@link #ask} until its last attempt has ended. */
+    /** The routing of one request, from {@link #route} until its last attempt has ended. */
     public static final class Ticket {
         private final long unit;
         private final Effect effect;
@@ -130,7 +130,7 @@
      * @param maxInFlight how many requests the pool may have in flight; the limit on spillover into a cell is a
      *     fraction of that cell's share
      */
-    public Cells(String poolName, CellsConfiguration configuration, int maxInFlight, long now, Actions actions) {
+    public CellRouter(String poolName, CellsConfiguration configuration, int maxInFlight, long now, Actions actions) {
         this.poolName = poolName;
         this.actions = actions;
         floodIsolation = new FloodIsolation(this);
@@ -138,7 +138,8 @@
         this.configuration = configuration;
         this.maxInFlight = maxInFlight;
         addCellStates();
-        assignment = new CellAssignment(configuration.cells(), configuration.spread(), configuration.keepMicros());
+        assignment =
+                new CellAssignment(configuration.cells(), configuration.spread(), configuration.reservationMicros());
         placement = new Placement(configuration.cells(), configuration.assigned(), assignment.openCells());
         beginConfiguredMoves(now);
     }
@@ -153,7 +154,7 @@
     }
 
     /** The configuration in force. */
-    public CellsConfiguration plan() {
+    public CellsConfiguration configuration() {
         return configuration;
     }
 
@@ -170,16 +171,16 @@
     // ---- Servers and configuration
 
     /** Applies a server list; returns the servers that stay listed and whose cell has changed. */
-    public List<CellAssignment.Moved> listed(long now, ListKind kind, List<Server> lines) {
-        List<CellAssignment.Moved> moved = assignment.listed(now, kind, lines);
+    public List<CellAssignment.MovedServer> listed(long now, ListKind kind, List<Server> lines) {
+        List<CellAssignment.MovedServer> moved = assignment.listed(now, kind, lines);
         updateHomeCells(now);
         scheduleTimer(now);
         return moved;
     }
 
     /** Gives up expired reservations of departed servers; returns the servers whose cell has changed by that. */
-    public List<CellAssignment.Moved> sweep(long now) {
-        List<CellAssignment.Moved> moved = assignment.expireReservations(now);
+    public List<CellAssignment.MovedServer> sweep(long now) {
+        List<CellAssignment.MovedServer> moved = assignment.expireReservations(now);
         updateHomeCells(now);
         return moved;
     }
@@ -195,7 +196,7 @@
     }
 
     private void replacePlacement(long now, Placement next, boolean wasInUse) {
-        if (wasInUse && configuration.windowMicros() > 0) {
+        if (wasInUse && configuration.deduplicationWindowMicros() > 0) {
             Map<Long, Integer> homes = new HashMap<>();
             migrations.forEach((unit, migration) -> homes.put(unit, migration.home()));
             previousPlacement = placement;
@@ -209,21 +210,21 @@
      * Applies another configuration. Moves that stay the same go on. A unit whose home cell changes without a move
      * switches at once, except for its keyed requests: these follow once no retry of an earlier one can come.
      *
-     * @param next a configuration for which {@link #fits} is true
+     * @param next a configuration for which {@link #canApply} is true
      * @param nextMaxInFlight how many requests the pool may have in flight
      * @return servers whose cell has changed
      */
-    public List<CellAssignment.Moved> plan(long now, CellsConfiguration next, int nextMaxInFlight) {
+    public List<CellAssignment.MovedServer> reconfigure(long now, CellsConfiguration next, int nextMaxInFlight) {
         maxInFlight = nextMaxInFlight;
         CellsConfiguration before = configuration;
         configuration = next;
         addCellStates();
-        List<CellAssignment.Moved> moved = List.of();
+        List<CellAssignment.MovedServer> moved = List.of();
         if (!before.cells().equals(next.cells())
                 || before.spread() != next.spread()
-                || before.keepMicros() != next.keepMicros()) {
+                || before.reservationMicros() != next.reservationMicros()) {
             CellAssignment old = assignment;
-            assignment = new CellAssignment(next.cells(), next.spread(), next.keepMicros());
+            assignment = new CellAssignment(next.cells(), next.spread(), next.reservationMicros());
             moved = assignment.replace(now, old);
         }
         Map<Long, Integer> homes = new HashMap<>();
@@ -256,7 +257,7 @@
     }
 
     /** Whether a configuration can be applied: same unit, same header, and no cells removed, renamed or reordered. */
-    public boolean fits(CellsConfiguration next) {
+    public boolean canApply(CellsConfiguration next) {
         return next.unit() == configuration.unit()
                 && Objects.equals(next.header(), configuration.header())
                 && next.cells().size() >= configuration.cells().size()
@@ -267,7 +268,7 @@
     }
 
     /** Ends all migrations and releases the requests that they hold. */
-    public void closing(long now) {
+    public void close(long now) {
         List.copyOf(migrations.values()).forEach(migration -> releaseHeld(now, migration));
         migrations.clear();
         floodIsolation.clear();
@@ -281,7 +282,12 @@
     void beginMigration(long now, MoveConfiguration move, int from, boolean automatic) {
         // Writes sent before this moment are unknown to the migration: they may still run or be retried.
         UnitMigration migration = new UnitMigration(
-                move, from, automatic, now, configuration.windowMicros(), configuration.patienceMicros());
+                move,
+                from,
+                automatic,
+                now,
+                configuration.deduplicationWindowMicros(),
+                configuration.maxRequestMicros());
         migrations.put(move.unit(), migration);
         step(now, migration);
     }
@@ -306,7 +312,7 @@
      * @param hash of the request; decides whether a safe request already goes to the new cell during a ramp
      * @param deadlineMicros when the client must have the response
      */
-    public Ticket ask(long now, long unit, Effect effect, long token, long hash, long deadlineMicros) {
+    public Ticket route(long now, long unit, Effect effect, long token, long hash, long deadlineMicros) {
         Ticket ticket = new Ticket(unit, effect, token, now);
         inFlight++;
         UnitMigration migration = migrations.get(unit);
@@ -324,7 +330,9 @@
                 // It may be a retry of a request that the old cell got before the freeze, unseen by this process.
                 ticket.retryAfter = Math.max(
                         0,
-                        migration.keysKnownSince(idempotencyKeys.completeSince()) + configuration.windowMicros() - now);
+                        migration.keysKnownSince(idempotencyKeys.completeSince())
+                                + configuration.deduplicationWindowMicros()
+                                - now);
             }
             if (ticket.retryAfter > 0) {
                 inFlight--;
@@ -347,7 +355,7 @@
             trySpillover(ticket, cellWithServers(unit, cell), hash);
             countInFlight(ticket);
         } else if (effect == Effect.UNSAFE
-                && configuration.guestWrites()
+                && configuration.spilloverWrites()
                 && (migration == null || migration.isOver())) {
             trySpillover(
                     ticket, cellWithServers(unit, migration == null ? placement.home(unit) : migration.home()), hash);
@@ -367,15 +375,16 @@
     /** The cell that may have executed a keyed request already; -1 if none may have. */
     private int cellOfKey(long now, Ticket ticket) {
         return ticket.effect == Effect.KEYED
-                ? idempotencyKeys.cellOf(now, configuration.windowMicros(), ticket.token)
+                ? idempotencyKeys.cellOf(now, configuration.deduplicationWindowMicros(), ticket.token)
                 : -1;
     }
 
     private void sendWrite(long now, Ticket ticket, int home, UnitMigration migration) {
         int cell = home;
         boolean isMigrating = migration != null && !migration.isOver();
-        if (ticket.effect == Effect.KEYED && configuration.windowMicros() > 0) {
-            boolean mayBeRetry = previousPlacement != null && now - placementChangedAt < configuration.windowMicros();
+        if (ticket.effect == Effect.KEYED && configuration.deduplicationWindowMicros() > 0) {
+            boolean mayBeRetry =
+                    previousPlacement != null && now - placementChangedAt < configuration.deduplicationWindowMicros();
             int keyCell = cellOfKey(now, ticket);
             if (keyCell >= 0) {
                 cell = keyCell;
@@ -386,7 +395,7 @@
                         : previousHome != null ? previousHome : previousPlacement.home(ticket.unit);
             }
             if (mayBeRetry || keyCell >= 0 || isMigrating && !migration.hasSwitched()) {
-                idempotencyKeys.recordUse(now, configuration.windowMicros(), ticket.token, cell);
+                idempotencyKeys.recordUse(now, configuration.deduplicationWindowMicros(), ticket.token, cell);
             }
         }
         cell = cellWithServers(ticket.unit, cell);
@@ -410,7 +419,7 @@
     /** Lets a request of an unhealthy cell spill over to the unit's next choice, within the limit of that cell. */
     private void trySpillover(Ticket ticket, int home, long hash) {
         ticket.cell = home;
-        if (configuration.guests() <= 0
+        if (configuration.maxSpilloverFraction() <= 0
                 || !cellStates[home].health.isUnhealthy()
                 || cellStates[home].isFloodedBy(ticket.unit, FLOODING_FRACTION)
                 || Hashes.uniform(hash, TRIAL_SALT) < TRIAL_FRACTION) {
@@ -419,7 +428,7 @@
         int next = placement.next(ticket.unit, unhealthyCells);
         if (next >= 0
                 && cellStates[next].spilloverInFlight
-                        < configuration.guests() * configuration.part(next, maxInFlight)) {
+                        < configuration.maxSpilloverFraction() * configuration.shareOf(next, maxInFlight)) {
             ticket.cell = next;
             ticket.spillover = true;
             cellStates[next].spilloverInFlight++;
@@ -427,7 +436,7 @@
     }
 
     /** A held request was cancelled by its client or given up by the host. It was sent to no cell. */
-    public void left(long now, Ticket ticket) {
+    public void cancelHeld(long now, Ticket ticket) {
         if (ticket.heldBy != null) {
             heldTickets.getOrDefault(ticket.heldBy, Set.of()).remove(ticket);
             ticket.heldBy = null;
@@ -497,7 +506,7 @@
         if (configuration.quarantine() != null) {
             floodIsolation.update(now, configuration.quarantine());
         }
-        if (previousPlacement != null && now - placementChangedAt >= configuration.windowMicros()) {
+        if (previousPlacement != null && now - placementChangedAt >= configuration.deduplicationWindowMicros()) {
             previousPlacement = null;
             previousHomes = Map.of();
         }
--- a/src/main/java/org/cypressweir/sidecar/cell/CellsConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/CellsConfiguration.java
@@ -9,13 +9,14 @@
  * @param unit which requests stay together in one cell
  * @param header name of the header whose value is the unit, in lower case; null for other units
  * @param spread what is assigned to cells: single servers, or whole groups that deduplicate requests together
- * @param keepMicros how long the place of a server that has left stays reserved for its return
+ * @param reservationMicros how long the place of a server that has left stays reserved for its return
  * @param assigned cells of units by {@link org.cypressweir.common.util.Ids}; take precedence over the hash
- * @param windowMicros longest time for which servers deduplicate keyed requests; 0 if no class has keyed requests
- * @param patienceMicros longest time for which a request may be in flight
- * @param guests fraction of a cell's limit on requests in flight that may spill over from unhealthy cells; 0 for no
- *     spillover
- * @param guestWrites whether requests that must never run twice may spill over too
+ * @param deduplicationWindowMicros longest time for which servers deduplicate keyed requests; 0 if no class has keyed
+ *     requests
+ * @param maxRequestMicros longest time for which a request may be in flight
+ * @param maxSpilloverFraction fraction of a cell's limit on requests in flight that may spill over from unhealthy
+ *     cells; 0 for no spillover
+ * @param spilloverWrites whether requests that must never run twice may spill over too
  * @param quarantine null if heavy units are not quarantined
  */
 public record CellsConfiguration(
@@ -23,13 +24,13 @@
         String header,
         List<Cell> cells,
         Spread spread,
-        long keepMicros,
+        long reservationMicros,
         Map<Long, Integer> assigned,
         List<MoveConfiguration> moves,
-        long windowMicros,
-        long patienceMicros,
-        double guests,
-        boolean guestWrites,
+        long deduplicationWindowMicros,
+        long maxRequestMicros,
+        double maxSpilloverFraction,
+        boolean spilloverWrites,
         Quarantine quarantine) {
 
     /** Which requests stay together in one cell: those of the same tenant, key or header value. */
@@ -50,29 +51,29 @@
      *
      * @param cell index of the quarantine cell, which is reserved
      * @param share fraction of its cell's total request time from which a unit counts as heavy; above 0, at most 1
-     * @param forMicros how long the first quarantine lasts; doubled for each repetition, up to eight times as long
+     * @param durationMicros how long the first quarantine lasts; doubled for each repetition, up to eight times as long
      */
-    public record Quarantine(int cell, double share, long forMicros) {}
+    public record Quarantine(int cell, double share, long durationMicros) {}
 
     /** A copy with the times that follow from the request classes of the pool's routes. */
-    public CellsConfiguration with(long deduplicationWindow, long maxRequestTime) {
+    public CellsConfiguration withRequestTimes(long deduplicationWindow, long maxRequestTime) {
         return new CellsConfiguration(
                 unit,
                 header,
                 cells,
                 spread,
-                keepMicros,
+                reservationMicros,
                 assigned,
                 moves,
                 deduplicationWindow,
                 maxRequestTime,
-                guests,
-                guestWrites,
+                maxSpilloverFraction,
+                spilloverWrites,
                 quarantine);
     }
 
     /** A cell's share of a limit of the whole pool; at least 1. */
-    public int part(int cell, int total) {
+    public int shareOf(int cell, int total) {
         double shareSum = cells.stream().mapToDouble(Cell::share).sum();
         return total == Integer.MAX_VALUE
                 ? total
--- a/src/main/java/org/cypressweir/sidecar/cell/FloodIsolation.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/FloodIsolation.java
@@ -23,10 +23,10 @@
         private boolean inQuarantine;
     }
 
-    private final Cells cells;
+    private final CellRouter cells;
     private final Map<Long, QuarantineHistory> historyByUnit = new HashMap<>();
 
-    FloodIsolation(Cells cells) {
+    FloodIsolation(CellRouter cells) {
         this.cells = cells;
     }
 
@@ -48,7 +48,7 @@
     void update(long now, Quarantine settings) {
         List.copyOf(historyByUnit.entrySet())
                 .forEach(entry -> endQuarantine(now, settings, entry.getKey(), entry.getValue()));
-        for (int cell = 0; cell < cells.plan().cells().size(); cell++) {
+        for (int cell = 0; cell < cells.configuration().cells().size(); cell++) {
             CellHealth health = cells.cellState(cell).health;
             if (health.isUnhealthy()
                     && now - health.unhealthySince() >= MIN_UNHEALTHY_MICROS
@@ -69,13 +69,13 @@
                 || !state.isFloodedBy(unit, settings.share())
                 || cells.migrationOf(unit) != null
                 || cells.home(unit) != cell
-                || cells.plan().assigned().containsKey(unit)
+                || cells.configuration().assigned().containsKey(unit)
                 || !cells.isOpen(settings.cell())) {
             return;
         }
         QuarantineHistory history = historyByUnit.computeIfAbsent(unit, u -> new QuarantineHistory());
         history.inQuarantine = true;
-        history.endsAt = now + (settings.forMicros() << Math.min(history.count++, MAX_DOUBLINGS));
+        history.endsAt = now + (settings.durationMicros() << Math.min(history.count++, MAX_DOUBLINGS));
         String label =
                 String.format(Locale.ROOT, "unit %x, %.0f%% of its cell", unit, 100 * state.recentLoad.share(unit));
         cells.beginMigration(
@@ -86,7 +86,7 @@
         UnitMigration migration = cells.migrationOf(unit);
         if (migration == null || !migration.automatic) {
             // The unit's history is forgotten once as much time has passed as the longest quarantine lasts.
-            if (now - history.endsAt > settings.forMicros() << MAX_DOUBLINGS) {
+            if (now - history.endsAt > settings.durationMicros() << MAX_DOUBLINGS) {
                 historyByUnit.remove(unit);
             }
         } else if (history.inQuarantine && now >= history.endsAt && migration.isOver()) {
--- a/src/main/java/org/cypressweir/sidecar/cell/MoveConfiguration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/MoveConfiguration.java
@@ -8,7 +8,7 @@
  * @param label the unit as written in the configuration
  * @param to index of the target cell in the configuration
  * @param startMicros Unix time; the same at every sidecar, so that all of them move the unit at the same time
- * @param overMicros duration of the ramp, in which a growing fraction of the unit's safe requests goes to the new
+ * @param rampMicros duration of the ramp, in which a growing fraction of the unit's safe requests goes to the new
  *     cell; 0 for all at once
  * @param fenceMicros how long writes may be held until those in flight at the old cell have ended; 0 for no fence:
  *     writes go to the new cell while earlier ones may still run at the old one
@@ -21,12 +21,12 @@
         String label,
         int to,
         long startMicros,
-        long overMicros,
+        long rampMicros,
         long fenceMicros,
         long freezeMicros) {
 
     /** When a freeze begins, in Unix time. */
     long freezeAt() {
-        return startMicros + overMicros;
+        return startMicros + rampMicros;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/cell/UnitMigration.java
+++ b/src/main/java/org/cypressweir/sidecar/cell/UnitMigration.java
@@ -103,9 +103,9 @@
     double movedFraction(long now) {
         return switch (state) {
             case WAITING, GIVEN_UP -> 0;
-            case RAMPING -> move.overMicros() == 0
+            case RAMPING -> move.rampMicros() == 0
                     ? 1
-                    : Math.min(1, (now - rampStartedAt) / (double) move.overMicros());
+                    : Math.min(1, (now - rampStartedAt) / (double) move.rampMicros());
             default -> 1;
         };
     }
--- a/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabCellsCommand.java
@@ -93,7 +93,7 @@
         for (int count : cells) {
             Report report;
             try {
-                report = CellsSimulation.play(new Scenario(
+                report = CellsSimulation.run(new Scenario(
                         servers,
                         sidecars,
                         units,
@@ -118,11 +118,11 @@
                     report.inTimeWith(),
                     report.worthBefore(),
                     report.worthWith(),
-                    report.noticed(),
-                    report.asked(),
+                    report.noticedShare(),
+                    report.requests(),
                     report.unanswered(),
-                    report.twice(),
-                    report.both()));
+                    report.duplicateWrites(),
+                    report.overlappingWrites()));
             out.flush();
         }
         return 0;
--- a/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/LabQuietCommand.java
@@ -58,7 +58,7 @@
         for (double rate : new double[] {0, listRate}) {
             QuietReport report;
             try {
-                report = QuietFleetSimulation.play(
+                report = QuietFleetSimulation.run(
                         new QuietScenario(instances, servers, perMinute, rate, changes, seconds, seed));
             } catch (IllegalArgumentException e) {
                 command.commandLine().getErr().println("cypressweir-sidecar: " + e.getMessage());
@@ -70,9 +70,9 @@
                     rate == 0 ? "watch" : String.valueOf(rate),
                     report.calls(),
                     report.callsPeak(),
-                    report.listed(),
+                    report.listedAfterMillis(),
                     report.coldPeak(),
-                    report.coldFirst(),
+                    report.coldFirstSecond(),
                     report.inTime(),
                     report.unanswered()));
             out.flush();
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginCheckCommand.java
@@ -30,7 +30,7 @@
                 file.configuration(module, new PluginGrant(Set.of(), Set.of(), Set.of(), false), Map.of()),
                 Runnable::run)) {
             file.out()
-                    .println(host.plan().name() + ": a plug-in for version 1 of the hook; imports: "
+                    .println(host.configuration().name() + ": a plug-in for version 1 of the hook; imports: "
                             + String.join(" ", host.imports()));
             return 0;
         } catch (InvalidPluginException e) {
--- a/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
+++ b/src/main/java/org/cypressweir/sidecar/cli/PluginRunCommand.java
@@ -74,13 +74,13 @@
         PluginGrant grant = new PluginGrant(names, Set.copyOf(grantedClasses), Set.of(), refuse);
         CompletableFuture<RequestedChanges> changesFuture = new CompletableFuture<>();
         try (PluginHost host = new PluginHost(file.configuration(module, grant, config), Runnable::run)) {
-            host.ask(
+            host.submit(
                     new RequestView(
                             request.trim().substring(0, space),
                             request.trim().substring(space + 1).trim(),
                             fields,
                             requestClass),
-                    new PluginHost.Heard() {
+                    new PluginHost.ResultListener() {
                         @Override
                         public void done(RequestedChanges changes) {
                             changesFuture.complete(changes);
@@ -115,7 +115,7 @@
                                     ? ""
                                     : ", retry after " + changes.retryAfterMillis() + " ms"));
         }
-        changes.notes().forEach(n -> file.out().println("logs " + n));
+        changes.logLines().forEach(n -> file.out().println("logs " + n));
         if (changes.equals(RequestedChanges.NONE)) {
             file.out().println("requests no changes");
         }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/FleetLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/FleetLimits.java
@@ -11,10 +11,11 @@
  * @param idlePerServer idle connections that all instances together may keep to one server; {@link Integer#MAX_VALUE}
  *     for no limit
  * @param probeRate probes per second that one server may get from all instances together; 0 for no limit
- * @param living whether the share of an instance follows from which instances are alive, instead of a fixed count
+ * @param followsLiveInstances whether the share of an instance follows from which instances are alive, instead of a
+ *     fixed count
  */
 public record FleetLimits(
-        int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean living) {
+        int instances, int rank, double listRate, int idlePerServer, double probeRate, boolean followsLiveInstances) {
 
     /** Limits that are shared by a fixed number of instances. */
     public FleetLimits(int instances, int rank, double listRate, int idlePerServer, double probeRate) {
@@ -31,7 +32,7 @@
     }
 
     /** Microseconds between two calls of this instance for the server list; 0 for a watch. */
-    public long askEveryMicros() {
+    public long pollIntervalMicros() {
         return listRate == 0 ? 0 : Math.max(1, (long) (instances / listRate * 1e6));
     }
 
@@ -39,7 +40,7 @@
      * Idle connections that this instance may keep to all servers together. The remainder of the division goes to the
      * lowest ranks, so that all instances together keep exactly the limit.
      */
-    public int idle(int servers) {
+    public int maxIdleConnections(int servers) {
         if (idlePerServer == Integer.MAX_VALUE) {
             return Integer.MAX_VALUE;
         }
@@ -48,7 +49,7 @@
     }
 
     /** The same for a share of the total, 0 to 1. Rounded down, so that all shares together stay within the limit. */
-    public int idle(int servers, double share) {
+    public int maxIdleConnections(int servers, double share) {
         return idlePerServer == Integer.MAX_VALUE
                 ? Integer.MAX_VALUE
                 : (int) Math.min(Integer.MAX_VALUE, ROUNDING + share * idlePerServer * servers);
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/ProbeBudget.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/ProbeBudget.java
@@ -16,12 +16,12 @@
     }
 
     /** Takes a token for a probe; false if there is none and the probe must not be sent. */
-    public boolean spend(long nowMicros, int servers) {
+    public boolean trySpend(long nowMicros, int servers) {
         return trySpend(nowMicros, limits.probesPerSecond(servers));
     }
 
     /** The same with the share of the total that this instance has now. */
-    public boolean spend(long nowMicros, int servers, double share) {
+    public boolean trySpend(long nowMicros, int servers, double share) {
         return trySpend(nowMicros, limits.probesPerSecond(servers, share));
     }
 
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/SharedPollPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SharedPollPacer.java
@@ -48,7 +48,7 @@
     }
 
     /** Time-out of a call: half the interval, at least 1 s and at most 5 s. */
-    public long patienceMicros() {
+    public long timeoutMicros() {
         return Math.max(MIN_TIMEOUT_MICROS, Math.min(MAX_TIMEOUT_MICROS, intervalMicros() / 2));
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/fleetlimits/SlottedPollPacer.java
+++ b/src/main/java/org/cypressweir/sidecar/fleetlimits/SlottedPollPacer.java
@@ -13,7 +13,7 @@
 
     /** @param limits with a rate of calls above 0 */
     public SlottedPollPacer(FleetLimits limits) {
-        if (limits.askEveryMicros() == 0) {
+        if (limits.pollIntervalMicros() == 0) {
             throw new IllegalArgumentException("list rate must be above 0");
         }
         this.limits = limits;
@@ -24,7 +24,7 @@
      * the clock steps back or a call comes late.
      */
     public long next(long nowMicros) {
-        long roundMicros = limits.askEveryMicros();
+        long roundMicros = limits.pollIntervalMicros();
         long slotOffset = (long) (roundMicros * (limits.rank() + 0.5) / limits.instances());
         long round = Math.floorDiv(nowMicros - slotOffset + roundMicros - 1, roundMicros);
         lastRound = Math.max(round, lastRound + 1);
@@ -32,7 +32,7 @@
     }
 
     /** Time-out of a call: half a round, at least 1 s and at most 5 s. */
-    public long patienceMicros() {
-        return Math.max(1_000_000, Math.min(5_000_000, limits.askEveryMicros() / 2));
+    public long timeoutMicros() {
+        return Math.max(1_000_000, Math.min(5_000_000, limits.pollIntervalMicros() / 2));
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/CellsChecks.java
@@ -53,7 +53,7 @@
         List<RequestClass> classes = classes(pool, file, facts);
         return pool.cells()
                 .configuration()
-                .with(
+                .withRequestTimes(
                         classes.stream()
                                 .filter(c -> c.effect() == Effect.KEYED)
                                 .mapToLong(RequestClass::dedupWindowMicros)
@@ -95,11 +95,11 @@
         Setting<Long> set = pool.limits().number(LimitKey.MAX_CONNECTIONS);
         int all = set == null ? facts.serverConnections() : set.value().intValue();
         for (int c = 0; c < configuration.cells().size(); c++) {
-            if (configuration.part(c, all) < MIN_CONNECTIONS) {
+            if (configuration.shareOf(c, all) < MIN_CONNECTIONS) {
                 problems.add(
                         pool.cells().lineOf("names"),
                         "cell '" + configuration.cells().get(c).name()
-                                + "' would have " + configuration.part(c, all) + " of " + all
+                                + "' would have " + configuration.shareOf(c, all) + " of " + all
                                 + " connections to servers; give"
                                 + " the pool more, or have fewer cells");
                 return;
@@ -120,7 +120,7 @@
     }
 
     private void checkGuests() {
-        if (configuration.guests() > 0
+        if (configuration.maxSpilloverFraction() > 0
                 && configuration.cells().stream().filter(c -> !c.reserved()).count() < 2) {
             problems.add(pool.cells().lineOf("cells"), "'guests' needs a second cell that is not reserved");
         }
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Checks.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareClaim;
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.Group;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
@@ -64,7 +64,7 @@
             checkFleet(file.fleet());
         }
         checkTotal(LimitKey.MAX_CONNECTIONS, facts.serverConnections(), "descriptors for servers");
-        checkTotal(LimitKey.MAX_REQUESTS, facts.settings().limits().open(), "requests that may be in hand");
+        checkTotal(LimitKey.MAX_REQUESTS, facts.settings().limits().maxOpen(), "requests that may be in hand");
     }
 
     // ---- Names
@@ -231,7 +231,7 @@
 
     private void checkAttempts(
             RouteSection route, RequestClass requestClass, ClassSection classSection, RouteLimits limits) {
-        int cap = Math.max(1, facts.settings().limits().attempts());
+        int cap = Math.max(1, facts.settings().limits().maxAttempts());
         PoolSection pool = file.pools().get(route.pool().value());
         for (LimitSet set : limitSets(route, classSection, pool)) {
             Setting<Long> attempts = set.number(LimitKey.ATTEMPTS);
@@ -366,7 +366,7 @@
             problems.add(line, "'hedges' for class '" + requestClass.name() + "', which must never run twice");
             return;
         }
-        if (!facts.settings().limits().secondCopies()) {
+        if (!facts.settings().limits().hedging()) {
             problems.add(line, "'hedges' is set and the settings allow no second copies");
         }
         if (!after.isSetInFile()) {
@@ -448,13 +448,13 @@
                     "'instances' is " + fleet.instances() + ", and the settings say that this is number " + rank
                             + ", counted from 0");
         }
-        long maxInterval = facts.settings().rules().askEveryMicros();
+        long maxInterval = facts.settings().rules().discoveryIntervalMicros();
         double interval = fleet.listRate() == 0
                 ? 0
                 : fleet.instances()
                         / fleet.listRate()
                         * 1e6
-                        / (fleet.fromMembership() ? ShareRequest.CLAIMABLE_PART : 1);
+                        / (fleet.fromMembership() ? ShareClaim.CLAIMABLE_FRACTION : 1);
         if (maxInterval > 0 && interval > maxInterval) {
             problems.add(
                     fleet.lines().get("list_rate"),
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Explain.java
@@ -42,11 +42,11 @@
     /** Explains the whole file. */
     public static String all(Operators operators) {
         Explain explain = new Explain(operators);
-        for (Listener listener : operators.plan().listeners()) {
+        for (Listener listener : operators.configuration().listeners()) {
             explain.line("listener %s: %s", listener.name(), Addresses.text(listener.address()));
         }
         operators
-                .plan()
+                .configuration()
                 .plugins()
                 .forEach(p -> explain.line(
                         "plug-in %s: %d bytes, %s a call, %d KiB, fails" + " %s; headers %s, classes %s, weakens %s%s",
@@ -59,8 +59,8 @@
                         new TreeSet<>(p.grant().classes()),
                         new TreeSet<>(p.grant().weaken()),
                         p.grant().refuse() ? ", may refuse" : ""));
-        explain.explainFleet(operators.plan().fleet());
-        operators.plan().pools().forEach(explain::explainPool);
+        explain.explainFleet(operators.configuration().fleet());
+        operators.configuration().pools().forEach(explain::explainPool);
         operators.file().routes().forEach(explain::explainRoute);
         return explain.out.toString();
     }
@@ -81,10 +81,10 @@
         RequestTarget parsedTarget = RequestTarget.parse(target);
         String host = parsedTarget.host() != null
                 ? parsedTarget.host()
-                : HostName.normal(lowerCaseHeaders.getOrDefault("host", ""));
+                : HostName.normalize(lowerCaseHeaders.getOrDefault("host", ""));
         explain.line("request %s, host '%s', path '%s'", method, host, parsedTarget.path());
         Route<Target> matched = operators
-                .plan()
+                .configuration()
                 .router()
                 .find(new ExplainedRequest(method, host, parsedTarget.path(), lowerCaseHeaders));
         if (matched == null) {
@@ -128,9 +128,9 @@
                 "pool %s: %s",
                 pool.name(),
                 pool.discovered() ? "servers from discovery" : pool.servers().size() + " servers of the file");
-        poolValue(section, LimitKey.MAX_CONNECTIONS, pool.connections());
-        poolValue(section, LimitKey.MAX_REQUESTS, pool.requests());
-        poolValue(section, LimitKey.MAX_QUEUE, pool.queue() == Integer.MAX_VALUE ? "unbounded" : pool.queue());
+        poolValue(section, LimitKey.MAX_CONNECTIONS, pool.maxConnections());
+        poolValue(section, LimitKey.MAX_REQUESTS, pool.maxRequests());
+        poolValue(section, LimitKey.MAX_QUEUE, pool.maxQueued() == Integer.MAX_VALUE ? "unbounded" : pool.maxQueued());
         section.limits().asMap().forEach((key, setting) -> {
             if (LimitKey.ROUTE_KEYS.contains(key) && key != LimitKey.MAX_REQUESTS && key != LimitKey.MAX_QUEUE) {
                 valueLine(key.key + " <=", key.text(setting.value()), setting.origin());
@@ -143,16 +143,16 @@
         if (fleet == null) {
             return;
         }
-        if (fleet.living()) {
+        if (fleet.followsLiveInstances()) {
             line("fleet: as many instances as are alive, at most %d; figures are for that maximum", fleet.instances());
         } else {
             line("fleet: number %d of %d instances", fleet.rank(), fleet.instances());
         }
         line(
                 "  list             %s",
-                fleet.askEveryMicros() == 0
+                fleet.pollIntervalMicros() == 0
                         ? "watched"
-                        : "asked once in " + DurationText.format(fleet.askEveryMicros()) + ", " + fleet.listRate()
+                        : "asked once in " + DurationText.format(fleet.pollIntervalMicros()) + ", " + fleet.listRate()
                                 + " a second by all");
         line(
                 "  idle             %s",
@@ -162,7 +162,7 @@
                                 Locale.ROOT,
                                 "%d connections to a server by all; %d here at 100 servers",
                                 fleet.idlePerServer(),
-                                fleet.idle(100)));
+                                fleet.maxIdleConnections(100)));
         line(
                 "  probes           %s",
                 fleet.probeRate() == 0
@@ -183,16 +183,16 @@
                 "  cells by %s, %ss assigned, places kept for %s, guests%s up to %s%%",
                 cells.header() == null ? cells.unit().name().toLowerCase(Locale.ROOT) : cells.header(),
                 cells.spread().name().toLowerCase(Locale.ROOT),
-                durationText(cells.keepMicros()),
-                cells.guestWrites() ? " and their writes" : "",
-                100 * cells.guests());
-        CellAssignment assignment = new CellAssignment(cells.cells(), cells.spread(), cells.keepMicros());
+                durationText(cells.reservationMicros()),
+                cells.spilloverWrites() ? " and their writes" : "",
+                100 * cells.maxSpilloverFraction());
+        CellAssignment assignment = new CellAssignment(cells.cells(), cells.spread(), cells.reservationMicros());
         List<StaticServer> servers = pool.discovered() ? List.of() : pool.servers();
         assignment.listed(
                 0,
                 ListKind.COMPLETE,
                 servers.stream()
-                        .map(s -> s.line(
+                        .map(s -> s.toServer(
                                 operators.facts().zones(), operators.facts().models()))
                         .toList());
         for (int c = 0; c < cells.cells().size(); c++) {
@@ -201,14 +201,14 @@
                     .filter(s -> assignment.cellOf(Ids.of(s.id())) == cell)
                     .map(StaticServer::id)
                     .collect(Collectors.joining(" "));
-            PoolConfiguration cellPool = pool.ofCell(c);
+            PoolConfiguration cellPool = pool.forCell(c);
             line(
                     "  cell %-11s share %s%s, connections %d, requests %d%s",
                     cells.cells().get(c).name(),
                     cells.cells().get(c).share(),
                     cells.cells().get(c).reserved() ? ", reserved" : "",
-                    cellPool.connections(),
-                    cellPool.requests(),
+                    cellPool.maxConnections(),
+                    cellPool.maxRequests(),
                     serverIds.isEmpty() ? "" : ": " + serverIds);
         }
         cells.moves()
@@ -218,7 +218,7 @@
                         m.label(),
                         cells.cells().get(m.to()).name(),
                         Instant.EPOCH.plus(m.startMicros(), ChronoUnit.MICROS),
-                        durationText(m.overMicros()),
+                        durationText(m.rampMicros()),
                         durationText(m.fenceMicros()),
                         durationText(m.freezeMicros())));
         if (cells.quarantine() != null) {
@@ -226,13 +226,13 @@
                     "  quarantine       cell %s, from %.0f%% of an unhealthy cell, for %s",
                     cells.cells().get(cells.quarantine().cell()).name(),
                     100 * cells.quarantine().share(),
-                    durationText(cells.quarantine().forMicros()));
+                    durationText(cells.quarantine().durationMicros()));
         }
     }
 
     /** Prints the home cell of a request's unit, assuming servers in all cells, and the moves of that unit. */
     private void explainHomeCell(Target target, String path, Map<String, String> headers) {
-        CellsConfiguration cells = operators.plan().pools().stream()
+        CellsConfiguration cells = operators.configuration().pools().stream()
                 .filter(p -> p.name().equals(target.pool()))
                 .findFirst()
                 .orElseThrow()
@@ -309,19 +309,19 @@
                             + " life %s, drain %s, %d reconnects a second",
                     w.maxFrame(),
                     w.maxMessage(),
-                    durationText(w.idleMicros()),
-                    durationText(w.pingMicros()),
-                    durationText(w.pongMicros()),
-                    durationText(w.lifeMicros()),
-                    durationText(w.drainMicros()),
-                    w.reconnects());
+                    durationText(w.idleTimeoutMicros()),
+                    durationText(w.pingIntervalMicros()),
+                    durationText(w.pongTimeoutMicros()),
+                    durationText(w.maxLifeMicros()),
+                    durationText(w.drainTimeoutMicros()),
+                    w.reconnectsPerSecond());
             line(
                     "  closes with      %d %s",
                     w.closeNotice().code(), w.closeNotice().reason());
             line(
                     "  tunnels          %s in all, %s of a tenant; evicted after %s; resumed: %s",
-                    countText(w.bounds().most()),
-                    countText(w.bounds().perTenant()),
+                    countText(w.bounds().maxOpen()),
+                    countText(w.bounds().maxOpenPerTenant()),
                     durationText(w.bounds().evictMicros()),
                     w.resume() == null
                             ? "never"
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/Operators.java
@@ -18,7 +18,7 @@
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
 import org.cypressweir.sidecar.route.Listener;
 import org.cypressweir.sidecar.route.PoolConfiguration;
-import org.cypressweir.sidecar.route.PoolConfiguration.Tunnelled;
+import org.cypressweir.sidecar.route.PoolConfiguration.TunnelLimits;
 import org.cypressweir.sidecar.route.Route;
 import org.cypressweir.sidecar.route.Router;
 import org.cypressweir.sidecar.route.RoutingConfiguration;
@@ -117,7 +117,7 @@
     }
 
     /** The configuration that the sidecar applies. */
-    public RoutingConfiguration plan() {
+    public RoutingConfiguration configuration() {
         return configuration;
     }
 
@@ -179,7 +179,7 @@
         List<PoolConfiguration> pools = new ArrayList<>();
         for (PoolSection pool : file.pools().values()) {
             int requests =
-                    share(pool, LimitKey.MAX_REQUESTS, facts.settings().limits().open());
+                    share(pool, LimitKey.MAX_REQUESTS, facts.settings().limits().maxOpen());
             Setting<Long> queue = pool.limits().number(LimitKey.MAX_QUEUE);
             pools.add(new PoolConfiguration(
                     pool.name(),
@@ -193,11 +193,11 @@
         return pools;
     }
 
-    private Tunnelled tunnelLimits(PoolSection pool) {
+    private TunnelLimits tunnelLimits(PoolSection pool) {
         // Unless the file sets a limit, half of the connections stay available for plain requests.
         int connections = share(pool, LimitKey.MAX_CONNECTIONS, facts.serverConnections());
         OperatorsFile.TunnelLimits set = pool.tunnels();
-        return new Tunnelled(
+        return new TunnelLimits(
                 set.max() == null ? Math.max(1, connections / 2) : set.max().intValue(),
                 set.maxPerServer() == null
                         ? Integer.MAX_VALUE
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/PluginsReader.java
@@ -102,7 +102,7 @@
             if (!name.matches(OperatorsReader.TOKEN)) {
                 section.problem(
                         "headers", "there is no header '" + name + "'; a name is one word (RFC 9110, section 5.1)");
-            } else if (lowerCaseName.matches(PluginGrant.OWN_HEADERS)) {
+            } else if (lowerCaseName.matches(PluginGrant.PROTECTED_HEADERS)) {
                 section.problem(
                         "headers",
                         "'" + name + "' belongs to the sidecar or to the connection and can't" + " be granted");
--- a/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/operatorconfig/RouteLimits.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import org.cypressweir.loadbalancing.LoadBalancer.Bound;
 import org.cypressweir.loadbalancing.LoadBalancer.Limits;
+import org.cypressweir.loadbalancing.LoadBalancer.NamedLimit;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.ClassSection;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.PoolSection;
 import org.cypressweir.sidecar.operatorconfig.OperatorsFile.RouteSection;
@@ -59,7 +59,7 @@
                         classSet,
                         LimitKey.ATTEMPTS,
                         new Setting<>(
-                                (long) Math.max(1, settingsLimits.attempts()), 0, "attempts_cap of the settings")),
+                                (long) Math.max(1, settingsLimits.maxAttempts()), 0, "attempts_cap of the settings")),
                 poolSet.number(LimitKey.ATTEMPTS),
                 false);
         Setting<Long> hedges = atMost(
@@ -109,11 +109,11 @@
     }
 
     /** Converts the limits to the load balancer's form. */
-    Terms terms() {
-        List<Bound> bounds = requestBounds.stream()
-                .map(c -> new Bound(c.name(), valueOrUnlimited(c.requests()), valueOrUnlimited(c.queue())))
+    RequestPolicy terms() {
+        List<NamedLimit> bounds = requestBounds.stream()
+                .map(c -> new NamedLimit(c.name(), valueOrUnlimited(c.requests()), valueOrUnlimited(c.queue())))
                 .toList();
-        return new Terms(
+        return new RequestPolicy(
                 attempts.value().intValue(),
                 attemptTimeout.value(),
                 Retryable.results(retryOn.value()),
--- a/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/InvocationDeadline.java
@@ -31,7 +31,7 @@
      *         only the elapsed time counts
      * @return microseconds until the next check; 0 if the call has timed out
      */
-    public long more(long elapsedMicros, long cpuMicros) {
+    public long remainingWaitMicros(long elapsedMicros, long cpuMicros) {
         long countedMicros = cpuMicros < 0 ? elapsedMicros : Math.min(cpuMicros, elapsedMicros);
         if (countedMicros >= deadlineMicros || elapsedMicros >= maxWaitMicros) {
             return 0;
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHealth.java
@@ -23,7 +23,7 @@
     }
 
     /** Records a successful call. */
-    public void well() {
+    public void succeeded() {
         failures = 0;
         suspensions = 0;
     }
@@ -41,7 +41,7 @@
     }
 
     /** The end of the suspension; a time in the past if it is not suspended. */
-    public long outUntil() {
+    public long suspendedUntil() {
         return suspendedUntil;
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/PluginHost.java
@@ -35,7 +35,7 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     /** Receives the result of a call, once, unless the call is cancelled. */
-    public interface Heard {
+    public interface ResultListener {
         void done(RequestedChanges changes);
 
         /** The call trapped, exceeded a limit, or could not be made. */
@@ -52,23 +52,23 @@
     /** A call that is queued, running or completed. */
     public final class Call {
         private final RequestView request;
-        private final Heard listener;
+        private final ResultListener listener;
         private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
         private final long cpuMicrosBefore = cpuMicros();
 
-        private Call(RequestView request, Heard listener) {
+        private Call(RequestView request, ResultListener listener) {
             this.request = request;
             this.listener = listener;
         }
 
         /** CPU time of the plug-in's thread since this call was submitted, in microseconds; -1 if unknown. */
-        public long used() {
+        public long cpuMicrosUsed() {
             long now = cpuMicros();
             return now < 0 || cpuMicrosBefore < 0 ? -1 : now - cpuMicrosBefore;
         }
 
         /** Cancels the call; true if it had not completed, and then its listener is not notified. */
-        public boolean withdraw() {
+        public boolean cancel() {
             if (state.compareAndSet(State.QUEUED, State.CANCELLED)) {
                 return true;
             }
@@ -135,7 +135,7 @@
     }
 
     /** The configuration of the plug-in that this host runs. */
-    public PluginConfiguration plan() {
+    public PluginConfiguration configuration() {
         return configuration;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Calls the plug-in for a request; returns without waiting for the result. */
-    public Call ask(RequestView request, Heard listener) {
+    public Call submit(RequestView request, ResultListener listener) {
         Call call = new Call(request, listener);
         if (closed || !calls.offer(call)) {
             call.state.set(State.DONE);
--- a/src/main/java/org/cypressweir/sidecar/plugin/RequestedChanges.java
+++ b/src/main/java/org/cypressweir/sidecar/plugin/RequestedChanges.java
@@ -10,10 +10,14 @@
  * @param requestClass the new class; null for no change
  * @param refusal reason to refuse the request; null to accept it
  * @param retryAfterMillis when the client should retry a refused request; 0 if not specified
- * @param notes lines for the log
+ * @param logLines lines for the log
  */
 public record RequestedChanges(
-        Map<String, String> headers, String requestClass, String refusal, long retryAfterMillis, List<String> notes) {
+        Map<String, String> headers,
+        String requestClass,
+        String refusal,
+        long retryAfterMillis,
+        List<String> logLines) {
 
     /** No changes requested. */
     public static final RequestedChanges NONE = new RequestedChanges(Map.of(), null, null, 0, List.of());
--- a/src/main/java/org/cypressweir/sidecar/route/HostName.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostName.java
@@ -30,11 +30,11 @@
             }
             return "";
         }
-        return normal(fields.get(0).trim());
+        return normalize(fields.get(0).trim());
     }
 
     /** The normal form of {@code host} or {@code host:port}; an empty string stays empty. */
-    public static String normal(String authority) throws InvalidTargetException {
+    public static String normalize(String authority) throws InvalidTargetException {
         if (authority.isEmpty()) {
             return "";
         }
--- a/src/main/java/org/cypressweir/sidecar/route/HostPattern.java
+++ b/src/main/java/org/cypressweir/sidecar/route/HostPattern.java
@@ -23,7 +23,7 @@
         boolean suffix = text.startsWith("*.");
         String name = suffix ? text.substring(2) : text;
         try {
-            String normal = HostName.normal(name);
+            String normal = HostName.normalize(name);
             if (normal.isEmpty() || name.indexOf(':') >= 0 && !name.startsWith("[") || name.contains("]:")) {
                 throw new IllegalArgumentException("host '" + text + "' must be a name without a port");
             }
--- a/src/main/java/org/cypressweir/sidecar/route/PluginGrant.java
+++ b/src/main/java/org/cypressweir/sidecar/route/PluginGrant.java
@@ -14,13 +14,13 @@
 public record PluginGrant(Set<String> headers, Set<String> classes, Set<String> weaken, boolean refuse) {
 
     /** Headers controlled by the sidecar or the connection, as a regular expression; they can't be granted. */
-    public static final String OWN_HEADERS = "host|connection|keep-alive|proxy-.*|te|trailer|upgrade|expect"
+    public static final String PROTECTED_HEADERS = "host|connection|keep-alive|proxy-.*|te|trailer|upgrade|expect"
             + "|content-length|transfer-encoding|request-id|tenant|request-timeout-ms|idempotency-key"
             + "|client-retry|not-started|server-load|sec-websocket-.*";
 
     /** Whether the plug-in may set or remove a header. */
     public boolean allowsHeader(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
-        return headers.contains(lower) && !lower.matches(OWN_HEADERS);
+        return headers.contains(lower) && !lower.matches(PROTECTED_HEADERS);
     }
 }
--- a/src/main/java/org/cypressweir/sidecar/route/RequestTarget.java
+++ b/src/main/java/org/cypressweir/sidecar/route/RequestTarget.java
@@ -43,7 +43,7 @@
             }
             rest = target.substring(scheme + 3);
             int end = indexOfEither(rest, '/', '?');
-            host = HostName.normal(rest.substring(0, end));
+            host = HostName.normalize(rest.substring(0, end));
             if (host.isEmpty()) {
                 throw new InvalidTargetException("the target has no host");
             }
--- a/src/main/java/org/cypressweir/sidecar/route/StaticServer.java
+++ b/src/main/java/org/cypressweir/sidecar/route/StaticServer.java
@@ -18,7 +18,7 @@
 public record StaticServer(String id, InetSocketAddress endpoint, String zone, String model, int cell, double weight) {
 
     /** The server as the load balancer lists it; zones and models are indexes into the settings, -1 for none. */
-    public Server line(List<String> zones, List<String> models) {
+    public Server toServer(List<String> zones, List<String> models) {
         return new Server(
                 Ids.of(id),
                 zone == null ? -1 : zones.indexOf(zone),
--- a/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
+++ b/src/main/java/org/cypressweir/sidecar/route/WebSocketLimits.java
@@ -5,12 +5,12 @@
  *
  * @param maxFrame largest payload of a frame, in bytes
  * @param maxMessage largest message, in bytes as sent (still compressed)
- * @param idleMicros time without a data frame in either direction until the connection is closed
- * @param pingMicros interval between pings to each side
- * @param pongMicros time from a ping without a pong until its side is considered lost
- * @param lifeMicros maximum age of a connection
- * @param drainMicros time from the start of a server's drain until its remaining connections are closed
- * @param reconnects connections per second that a server can accept from draining servers
+ * @param idleTimeoutMicros time without a data frame in either direction until the connection is closed
+ * @param pingIntervalMicros interval between pings to each side
+ * @param pongTimeoutMicros time from a ping without a pong until its side is considered lost
+ * @param maxLifeMicros maximum age of a connection
+ * @param drainTimeoutMicros time from the start of a server's drain until its remaining connections are closed
+ * @param reconnectsPerSecond connections per second that a server can accept from draining servers
  * @param closeNotice how a connection is closed if its server or the sidecar shuts down
  * @param bounds limits on their number
  * @param resume how a connection is resumed at another server; null if it can't be
@@ -18,12 +18,12 @@
 public record WebSocketLimits(
         long maxFrame,
         long maxMessage,
-        long idleMicros,
-        long pingMicros,
-        long pongMicros,
-        long lifeMicros,
-        long drainMicros,
-        long reconnects,
+        long idleTimeoutMicros,
+        long pingIntervalMicros,
+        long pongTimeoutMicros,
+        long maxLifeMicros,
+        long drainTimeoutMicros,
+        long reconnectsPerSecond,
         TunnelCloseNotice closeNotice,
         TunnelBounds bounds,
         Resume resume) {}
--- a/src/main/java/org/cypressweir/sidecar/websocket/Handshake.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Handshake.java
@@ -44,12 +44,12 @@
     }
 
     /** Thrown for an invalid upgrade request; status and message are sent to the client. */
-    public static final class Refused extends Exception {
+    public static final class InvalidHandshakeException extends Exception {
         private static final long serialVersionUID = 1L;
 
         private final transient HttpResponseStatus status;
 
-        Refused(HttpResponseStatus status, String message) {
+        InvalidHandshakeException(HttpResponseStatus status, String message) {
             super(message);
             this.status = status;
         }
@@ -62,7 +62,7 @@
     /**
      * Whether a request asks for an upgrade to WebSocket; upgrades to other protocols, such as h2c, do not count.
      */
-    public static boolean isAsked(HttpHeaders headers) {
+    public static boolean isUpgradeRequest(HttpHeaders headers) {
         return hasToken(headers, HttpHeaderNames.UPGRADE, "websocket")
                 && hasToken(headers, HttpHeaderNames.CONNECTION, "upgrade");
     }
@@ -70,9 +70,9 @@
     /**
      * Parses an upgrade request.
      *
-     * @throws Refused with 400, or 426 for another version (section 4.4)
+     * @throws InvalidHandshakeException with 400, or 426 for another version (section 4.4)
      */
-    public static Handshake read(FullHttpRequest http) throws Refused {
+    public static Handshake read(FullHttpRequest http) throws InvalidHandshakeException {
         HttpHeaders headers = http.headers();
         require(http.method().equals(HttpMethod.GET), "an upgrade is asked for with GET");
         require(http.protocolVersion().equals(HttpVersion.HTTP_1_1), "an upgrade is asked for in HTTP/1.1");
@@ -85,7 +85,7 @@
         require(tokens(headers, HttpHeaderNames.UPGRADE).size() == 1, "more than one protocol to go over to");
         List<String> versions = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_VERSION);
         if (versions.size() != 1 || !versions.get(0).trim().equals(VERSION)) {
-            throw new Refused(HttpResponseStatus.UPGRADE_REQUIRED, "the version must be " + VERSION);
+            throw new InvalidHandshakeException(HttpResponseStatus.UPGRADE_REQUIRED, "the version must be " + VERSION);
         }
         List<String> keys = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_KEY);
         require(keys.size() == 1 && isKey(keys.get(0).trim()), "a key of 16 bytes is missing");
@@ -101,12 +101,12 @@
     }
 
     /** Returns the handshake without extensions, because an extension's state can't be moved to another server. */
-    public Handshake plain() {
+    public Handshake withoutExtensions() {
         return new Handshake(key, protocols, List.of());
     }
 
     /** Returns a handshake to move the connection to another server: with a new key and only the agreed subprotocol. */
-    public Handshake again(String protocol, byte[] ownKey) {
+    public Handshake forAnotherServer(String protocol, byte[] ownKey) {
         return new Handshake(Base64.getEncoder().encodeToString(ownKey), List.of(protocol), List.of());
     }
 
@@ -121,9 +121,9 @@
         return selected == null ? null : selected.trim();
     }
 
-    private static void require(boolean condition, String message) throws Refused {
+    private static void require(boolean condition, String message) throws InvalidHandshakeException {
         if (!condition) {
-            throw new Refused(HttpResponseStatus.BAD_REQUEST, message);
+            throw new InvalidHandshakeException(HttpResponseStatus.BAD_REQUEST, message);
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** Adds this handshake's headers to the end-to-end headers of a request. */
-    public void ask(HttpHeaders headers) {
+    public void writeTo(HttpHeaders headers) {
         headers.set(HttpHeaderNames.CONNECTION, "Upgrade").set(HttpHeaderNames.UPGRADE, "websocket");
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         headers.set(HttpHeaderNames.SEC_WEBSOCKET_KEY, key);
@@ -151,7 +151,7 @@
     }
 
     /** Describes what is wrong with a server's 101 response (section 4.1, the client's part); null if it is valid. */
-    public String fault(HttpResponse response) {
+    public String findResponseFault(HttpResponse response) {
         HttpHeaders headers = response.headers();
         List<String> upgrade = tokens(headers, HttpHeaderNames.UPGRADE);
         List<String> selected = headers.getAll(HttpHeaderNames.SEC_WEBSOCKET_PROTOCOL);
--- a/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnel.java
@@ -171,7 +171,7 @@
     /** Starts an orderly close: both sides are sent a close frame and have a time-out to answer it. */
     public void close(int code, String reason, long nowMicros) {
         if (closingAt == 0) {
-            account.on(Event.SIDECAR_CLOSES);
+            account.apply(Event.SIDECAR_CLOSES);
             startClosing(nowMicros);
             client.sendClose(Frames.closePayload(code, reason));
             server.sendClose(Frames.closePayload(code, reason));
@@ -293,11 +293,11 @@
                 // How much of its input the old server has read is unknown, so no other server may be sent it again.
                 close(Frames.GOING_AWAY, "the server did not close", now);
             }
-        } else if (limits.lifeMicros() > 0 && now - openedAt >= limits.lifeMicros()) {
+        } else if (limits.maxLifeMicros() > 0 && now - openedAt >= limits.maxLifeMicros()) {
             close(Frames.GOING_AWAY, "longest life", now);
-        } else if (limits.idleMicros() > 0 && now - lastDataAt >= limits.idleMicros()) {
+        } else if (limits.idleTimeoutMicros() > 0 && now - lastDataAt >= limits.idleTimeoutMicros()) {
             close(Frames.GOING_AWAY, "idle", now);
-        } else if (limits.pingMicros() > 0) {
+        } else if (limits.pingIntervalMicros() > 0) {
             client.ping(now);
             server.ping(now);
         }
@@ -333,7 +333,7 @@
                 firstMessage.release();
                 firstMessage = null;
             }
-            account.on(Event.END);
+            account.apply(Event.END);
             listener.ended(this);
         }
     }
@@ -466,7 +466,7 @@
 
         private void handleClose(byte[] payload) {
             closeReceived = true;
-            account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
+            account.apply(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
             startClosing(now());
             other.sendClose(payload);
             other.channel.flush();
@@ -482,7 +482,7 @@
         }
 
         private void handleViolation(ProtocolViolationException violation) {
-            account.on(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
+            account.apply(isClient ? Event.CLIENT_CLOSES : Event.SERVER_CLOSES);
             startClosing(now());
             sendClose(Frames.closePayload(violation.code(), violation.getMessage()));
             other.sendClose(Frames.closePayload(
@@ -500,7 +500,7 @@
             }
             down = true;
             if (closingAt == 0) {
-                account.on(Event.BREAK);
+                account.apply(Event.BREAK);
                 startClosing(now());
             }
             other.sendClose(Frames.closePayload(
@@ -533,9 +533,9 @@
                 // Reading is paused, so a pong could not be seen.
                 ping = null;
                 pingedAt = now;
-            } else if (ping != null && now - pingedAt >= limits.pongMicros()) {
+            } else if (ping != null && now - pingedAt >= limits.pongTimeoutMicros()) {
                 channel.close();
-            } else if (ping == null && now - pingedAt >= limits.pingMicros()) {
+            } else if (ping == null && now - pingedAt >= limits.pingIntervalMicros()) {
                 pingedAt = now;
                 ping = new byte[PING_PAYLOAD_BYTES];
                 ByteBuffer.wrap(ping).putLong(random.nextLong());
--- a/src/main/java/org/cypressweir/sidecar/websocket/TunnelAdmission.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/TunnelAdmission.java
@@ -166,7 +166,7 @@
     }
 
     private double maxTokens(long now, ServerState serverState) {
-        double slowStartShare = rule.slowStart().coldShare(now, serverState.startMicros);
+        double slowStartShare = rule.slowStart().slowStartShare(now, serverState.startMicros);
         return Math.max(
                 1,
                 rule.connectionsPerSecond()
@@ -177,7 +177,7 @@
     private ServerState refill(long now, ServerState serverState) {
         // The slow-start share at the start of the interval is used for all of it, so the limit is never exceeded.
         double newTokens = rule.connectionsPerSecond()
-                * rule.slowStart().coldShare(serverState.refilledAt, serverState.startMicros)
+                * rule.slowStart().slowStartShare(serverState.refilledAt, serverState.startMicros)
                 * (now - serverState.refilledAt)
                 / 1e6;
         serverState.tokens = Math.min(maxTokens(now, serverState), serverState.tokens + newTokens);
--- a/src/main/java/org/cypressweir/sidecar/websocket/Tunnels.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/Tunnels.java
@@ -44,7 +44,7 @@
         double warmServers();
 
         /** The most tunnels that may be open to all servers of the pool together. */
-        int most();
+        int maxTunnels();
 
         TunnelAdmission.Rule rule();
     }
@@ -57,35 +57,35 @@
         long startMicros();
 
         /** Sets the load of its tunnels, in requests in flight, and whether the server accepts no more tunnels now. */
-        void carries(double weight, boolean full);
+        void setTunnelLoad(double weight, boolean full);
 
         /** Time of the server's last load report; 0 for never. */
-        long toldAt();
+        long loadReportedAt();
 
         /** The utilization that the server reported, from 0 to 1. */
-        double use();
+        double utilization();
 
         /** Requests in flight at the server, as it reported or as this process counts them. */
-        double requests();
+        double requestsInFlight();
     }
 
-    /** Requests another server for a tunnel; {@link #moveTo} or {@link #notMoved} follows. */
+    /** Requests another server for a tunnel; {@link #moveTo} or {@link #moveRefused} follows. */
     public interface Mover {
         void move();
     }
 
     /** The answer to a request for a tunnel. An admitted tunnel counts against the limits from handshake to end. */
-    public static final class Ticket {
+    public static final class Permit {
         private final OpenTunnelLimits<Tunnel>.Slot slot;
         private final long retryMicros;
 
-        private Ticket(OpenTunnelLimits<Tunnel>.Slot slot, long retryMicros) {
+        private Permit(OpenTunnelLimits<Tunnel>.Slot slot, long retryMicros) {
             this.slot = slot;
             this.retryMicros = retryMicros;
         }
 
         /** Whether the tunnel was admitted. */
-        public boolean isIn() {
+        public boolean isAdmitted() {
             return slot != null;
         }
 
@@ -95,7 +95,7 @@
         }
 
         /** Stops counting the tunnel, for example because its handshake failed. */
-        public void leave() {
+        public void release() {
             if (slot != null) {
                 slot.release();
             }
@@ -108,13 +108,13 @@
 
     private static final class OpenTunnel {
         private final WebSocketLimits limits;
-        private final Ticket permit;
+        private final Permit permit;
         private final Mover mover;
         private Host host;
         private double weight;
         private PendingDrain pendingDrain;
 
-        private OpenTunnel(WebSocketLimits limits, Ticket permit, Host host, Mover mover) {
+        private OpenTunnel(WebSocketLimits limits, Permit permit, Host host, Mover mover) {
             this.limits = limits;
             this.permit = permit;
             this.host = host;
@@ -143,25 +143,25 @@
     // ---- Admission
 
     /** Requests one more tunnel for a route and tenant; an idle tunnel may be evicted to make room. */
-    public Ticket ask(Pool pool, int tenant, WebSocketLimits limits, int maxTunnels) {
+    public Permit requestAdmission(Pool pool, int tenant, WebSocketLimits limits, int maxTunnels) {
         long now = clock.getAsLong();
         TunnelBounds bounds = limits.bounds();
         TunnelAdmission<Host> admission = poolState(pool).admission;
         refreshAdmission(pool, now);
         long retry = admission.admit(now, pool.warmServers(), random);
         if (retry >= 0) {
-            return new Ticket(null, retry);
+            return new Permit(null, retry);
         }
         OpenTunnelLimits.Decision<Tunnel> decision = openTunnelLimits.acquire(
                 List.of(
                         new Bound("all", maxTunnels),
-                        new Bound(pool, pool.most()),
-                        new Bound("route " + bounds.route(), bounds.most()),
-                        new Bound("route " + bounds.route() + " tenant " + tenant, bounds.perTenant())),
+                        new Bound(pool, pool.maxTunnels()),
+                        new Bound("route " + bounds.route(), bounds.maxOpen()),
+                        new Bound("route " + bounds.route() + " tenant " + tenant, bounds.maxOpenPerTenant())),
                 now,
                 bounds.evictMicros());
         decision.evicted().forEach(this::close);
-        return new Ticket(
+        return new Permit(
                 decision.slot(),
                 decision.slot() != null ? 0 : 1 + random.nextLong(Math.max(1_000_000, bounds.evictMicros())));
     }
@@ -173,7 +173,7 @@
     }
 
     /** Records that a handshake is sent to a server. */
-    public void tried(Host host) {
+    public void handshakeSent(Host host) {
         PoolState poolState = poolState(host.pool());
         long now = clock.getAsLong();
         poolState.admission.handshakeSent(now, host, host.startMicros());
@@ -182,7 +182,7 @@
     }
 
     /** Adds a tunnel that is open; the mover is null if the tunnel can't move to another server. */
-    public void add(Tunnel tunnel, WebSocketLimits limits, Ticket permit, Host host, Mover mover) {
+    public void add(Tunnel tunnel, WebSocketLimits limits, Permit permit, Host host, Mover mover) {
         openTunnels.put(tunnel, new OpenTunnel(limits, permit, host, mover));
         permit.slot.setTunnel(tunnel);
         attach(tunnel, host, tunnel.updateWeight(clock.getAsLong()));
@@ -214,7 +214,7 @@
         OpenTunnel openTunnel = openTunnels.remove(tunnel);
         if (openTunnel != null) {
             detach(openTunnel);
-            openTunnel.permit.leave();
+            openTunnel.permit.release();
             drainOrders.values().forEach(order -> order.remove(tunnel));
         }
     }
@@ -230,7 +230,7 @@
     }
 
     private void reportLoad(PoolState poolState, Host host, long now) {
-        host.carries(
+        host.setTunnelLoad(
                 Math.max(0, poolState.tunnelWeights.getOrDefault(host, 0.0)) * poolState.weightFit.factor(),
                 poolState.admission.isFull(now, host));
     }
@@ -277,8 +277,10 @@
     /** Takes one sample for each server, however many tunnels it has. */
     private void updateWeightFit(PoolState poolState, long now) {
         poolState.tunnelWeights.forEach((host, weight) -> {
-            if (host.toldAt() != 0 && now - host.toldAt() < MAX_LOAD_REPORT_AGE_MICROS && !Double.isNaN(host.use())) {
-                poolState.weightFit.sample(host.use(), host.requests(), weight);
+            if (host.loadReportedAt() != 0
+                    && now - host.loadReportedAt() < MAX_LOAD_REPORT_AGE_MICROS
+                    && !Double.isNaN(host.utilization())) {
+                poolState.weightFit.sample(host.utilization(), host.requestsInFlight(), weight);
             }
         });
         poolState.tunnelWeights.keySet().forEach(host -> reportLoad(poolState, host, now));
@@ -305,7 +307,7 @@
     }
 
     /** Queues a tunnel to be closed or moved, because its server has been draining since the given time. */
-    public void leaves(Tunnel tunnel, Host host, long drainStartedAt) {
+    public void serverDraining(Tunnel tunnel, Host host, long drainStartedAt) {
         OpenTunnel openTunnel = openTunnels.get(tunnel);
         if (openTunnel != null && openTunnel.host.equals(host)) {
             openTunnel.pendingDrain = new PendingDrain(new DrainGroup(host.pool(), openTunnel.limits), drainStartedAt);
@@ -316,12 +318,14 @@
     private void enqueueDrain(Tunnel tunnel, PendingDrain pendingDrain) {
         WebSocketLimits limits = pendingDrain.group().limits();
         drainOrders
-                .computeIfAbsent(pendingDrain.group(), d -> new DrainOrder<>(limits.drainMicros(), limits.reconnects()))
+                .computeIfAbsent(
+                        pendingDrain.group(),
+                        d -> new DrainOrder<>(limits.drainTimeoutMicros(), limits.reconnectsPerSecond()))
                 .add(tunnel, pendingDrain.startedAt());
     }
 
     /** Cancels the drain of a tunnel, because its server stays in service. */
-    public void stays(Tunnel tunnel, Host host) {
+    public void drainCancelled(Tunnel tunnel, Host host) {
         OpenTunnel openTunnel = openTunnels.get(tunnel);
         if (openTunnel != null && openTunnel.host.equals(host)) {
             openTunnel.pendingDrain = null;
@@ -331,7 +335,7 @@
 
     private void drainTunnel(Tunnel tunnel, long now) {
         OpenTunnel openTunnel = openTunnels.get(tunnel);
-        boolean deadlinePassed = now - openTunnel.pendingDrain.startedAt() >= openTunnel.limits.drainMicros();
+        boolean deadlinePassed = now - openTunnel.pendingDrain.startedAt() >= openTunnel.limits.drainTimeoutMicros();
         if (openTunnel.mover == null || deadlinePassed || !tunnel.canMove()) {
             close(tunnel);
         } else {
@@ -341,7 +345,7 @@
     }
 
     /** No other server accepted the tunnel: it is queued again until the drain deadline. */
-    public void notMoved(Tunnel tunnel) {
+    public void moveRefused(Tunnel tunnel) {
         tunnel.moveRefused();
         OpenTunnel openTunnel = openTunnels.get(tunnel);
         if (openTunnel != null && openTunnel.pendingDrain != null) {
--- a/src/main/java/org/cypressweir/sidecar/websocket/UpgradeAccount.java
+++ b/src/main/java/org/cypressweir/sidecar/websocket/UpgradeAccount.java
@@ -32,7 +32,7 @@
         }
 
         /** Whether no event changes this state. */
-        public boolean isLast() {
+        public boolean isFinal() {
             return finalState;
         }
     }
@@ -76,16 +76,20 @@
         }
 
         /** Number of upgrades in this state now; for a final state, all that ever reached it. */
-        public long in(State state) {
+        public long count(State state) {
             return countByState.getOrDefault(state, 0L);
         }
 
         /** Whether each requested and each opened upgrade is counted in exactly one state. */
-        public boolean addUp() {
-            long notOpened = in(State.ASKED) + in(State.TRIED) + in(State.REFUSED) + in(State.FAILED) + in(State.GONE);
+        public boolean isConsistent() {
+            long notOpened = count(State.ASKED)
+                    + count(State.TRIED)
+                    + count(State.REFUSED)
+                    + count(State.FAILED)
+                    + count(State.GONE);
             long everOpened = 0;
             for (State state : State.values()) {
-                everOpened += state.ordinal() >= State.OPEN.ordinal() ? in(state) : 0;
+                everOpened += state.ordinal() >= State.OPEN.ordinal() ? count(state) : 0;
             }
             return asked == notOpened + opened && opened == everOpened;
         }
@@ -111,7 +115,7 @@
     }
 
     /** Applies an event; an event without meaning in the current state leaves it unchanged. */
-    public State on(Event event) {
+    public State apply(Event event) {
         State next = next(state, event);
         if (next != state) {
             counters.countByState.merge(state, -1L, Long::sum);
--- a/src/main/java/org/cypressweir/simulation/CellsSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/CellsSimulation.java
@@ -88,7 +88,7 @@
     }
 
     /** Runs the scenario; the same scenario always gives the same report. */
-    public static Report play(Scenario scenario) {
+    public static Report run(Scenario scenario) {
         return new CellsSimulation(scenario).runScenario();
     }
 
@@ -219,7 +219,7 @@
 
     /** Target latency of a request's class, in microseconds. */
     static long aimMicros(SimulatedRequest request) {
-        return CLASSES.get(request.requestClass).aimMicros();
+        return CLASSES.get(request.requestClass).targetMicros();
     }
 
     private void applyHarm(double rate) {
@@ -276,7 +276,7 @@
             return;
         }
         RequestClass requestClass = CLASSES.get(request.requestClass);
-        boolean isInTime = ok && timeline.now() - request.arrivedAt <= requestClass.aimMicros();
+        boolean isInTime = ok && timeline.now() - request.arrivedAt <= requestClass.targetMicros();
         requestedWorth[phase] += requestClass.worth();
         servedWorth[phase] += isInTime ? requestClass.worth() : ok ? LATE_ANSWER_WORTH * requestClass.worth() : 0;
         requestsByUnit[phase][request.unit]++;
--- a/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/MembershipSimulation.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.cypressweir.fleet.membership.Change;
 import org.cypressweir.fleet.membership.MemberRecord;
 import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipChange;
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.MembershipOptions;
 import org.cypressweir.fleet.membership.MembershipProtocol;
@@ -22,7 +22,7 @@
 public final class MembershipSimulation {
 
     /** A membership change that one member observed. */
-    public record ObservedChange(long at, int observer, Change change) {}
+    public record ObservedChange(long at, int observer, MembershipChange change) {}
 
     /** One process of the fleet, running or stopped. */
     public static final class SimulatedMember {
@@ -206,14 +206,14 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void viewChanged(MembershipChange change) {
             ObservedChange observed = new ObservedChange(network.now(), member.node, change);
             changes.add(observed);
             listener.accept(observed);
         }
 
         @Override
-        public void refused(String reason) {
+        public void nameRefused(String reason) {
             member.refusalReason = reason;
             network.kill(member.node);
         }
--- a/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
+++ b/src/main/java/org/cypressweir/simulation/QuietFleetSimulation.java
@@ -119,7 +119,7 @@
     }
 
     /** Runs the scenario; the same scenario always gives the same report. */
-    public static QuietReport play(QuietScenario scenario) {
+    public static QuietReport run(QuietScenario scenario) {
         return new QuietFleetSimulation(scenario).runScenario();
     }
 
@@ -217,7 +217,8 @@
         SimulatedServer machine = simulatedServers.get(coldServerId);
         Rules rules = settings(0).rules();
         for (Map.Entry<Long, double[]> e : sentToColdServer.entrySet()) {
-            double capacityShare = rules.coldShare(coldServerAddedAt + e.getKey() * SECOND_MICROS, coldServerAddedAt);
+            double capacityShare =
+                    rules.slowStartShare(coldServerAddedAt + e.getKey() * SECOND_MICROS, coldServerAddedAt);
             peak = Math.max(peak, e.getValue()[0] / 1e6 / (capacityShare * machine.capacity()));
         }
         return peak;
--- a/src/main/java/org/cypressweir/simulation/Report.java
+++ b/src/main/java/org/cypressweir/simulation/Report.java
@@ -6,19 +6,19 @@
  *
  * @param inTimeBefore share of the requests before the harm that were served within their target latency
  * @param worthBefore share of the requests' worth that was served before the harm; a late answer counts 0.3
- * @param noticed share of the units whose in-time ratio fell by 0.2 or more
- * @param asked requests of the whole run
+ * @param noticedShare share of the units whose in-time ratio fell by 0.2 or more
+ * @param requests requests of the whole run
  * @param unanswered requests that were never answered
- * @param twice requests of unsafe classes that ran more than once
- * @param both how often a moved unit had writes running in two cells at once
+ * @param duplicateWrites requests of unsafe classes that ran more than once
+ * @param overlappingWrites how often a moved unit had writes running in two cells at once
  */
 public record Report(
         double inTimeBefore,
         double inTimeWith,
         double worthBefore,
         double worthWith,
-        double noticed,
-        long asked,
+        double noticedShare,
+        long requests,
         long unanswered,
-        long twice,
-        long both) {}
+        long duplicateWrites,
+        long overlappingWrites) {}
--- a/src/main/java/org/cypressweir/simulation/SimulatedSidecar.java
+++ b/src/main/java/org/cypressweir/simulation/SimulatedSidecar.java
@@ -19,12 +19,12 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
-import org.cypressweir.sidecar.cell.Cells;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellRouter;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 
 /** Simulated sidecar that runs the production cell routing and load balancing in simulated time. */
-final class SimulatedSidecar implements Cells.Actions {
+final class SimulatedSidecar implements CellRouter.Actions {
 
     /** One-way network delay between sidecar and server. */
     private static final long NETWORK_DELAY_MICROS = 5_000;
@@ -81,7 +81,7 @@
     private final LongFunction<SimulatedServer> serverById;
     private final List<CellBalancer> balancers = new ArrayList<>();
     /** Null if all servers form one pool without cells. */
-    private final Cells cells;
+    private final CellRouter cells;
 
     private final Map<Ticket, SimulatedRequest> heldRequests = new IdentityHashMap<>();
 
@@ -100,7 +100,7 @@
         int count = cellsConfiguration == null ? 1 : cellsConfiguration.cells().size();
         cells = cellsConfiguration == null
                 ? null
-                : new Cells("lab", cellsConfiguration, settings.limits().open(), timeline.now(), this);
+                : new CellRouter("lab", cellsConfiguration, settings.limits().maxOpen(), timeline.now(), this);
         if (cells != null) {
             cells.listed(timeline.now(), ListKind.COMPLETE, servers);
         }
@@ -124,7 +124,7 @@
         balancers.get(0).loadBalancer.servers(timeline.now(), kind, changes);
     }
 
-    /** Routes a request to the load balancer of the cell that {@link Cells} selects for its unit. */
+    /** Routes a request to the load balancer of the cell that {@link CellRouter} selects for its unit. */
     void handle(SimulatedRequest request) {
         if (cells == null) {
             balancers.get(0).handle(request);
@@ -132,7 +132,7 @@
         }
         RequestClass requestClass = settings.classes().get(request.requestClass);
         long hash = Hashes.mix(Ids.of(request.id), 0);
-        request.ticket = cells.ask(
+        request.ticket = cells.route(
                 timeline.now(), Ids.of("u" + request.unit), requestClass.effect(), hash, hash, request.deadline);
         if (request.ticket.retryAfterMicros() > 0) {
             request.isAnswered = true;
@@ -264,7 +264,7 @@
                                 && timeline.now() - request.arrivedAt
                                         <= settings.classes()
                                                 .get(request.requestClass)
-                                                .aimMicros());
+                                                .targetMicros());
             }
             removeIfDone(request);
         }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ChangeHistories.java
@@ -95,11 +95,11 @@
         collectAnswers();
         for (int i = random.nextInt(MAX_CALLS_PER_STEP); i > 0 && checks.violation() == null; i--) {
             if (random.nextInt(5) == 0) {
-                addPending(world().read(anyRunning(), timeoutMicros()), null);
+                addPending(simulation().read(anyRunning(), timeoutMicros()), null);
             } else {
                 RandomChanges.DrawnChange drawn = randomChanges.next();
                 checks.submitted(drawn.body(), parse(drawn.body()), drawn.validity());
-                addPending(world().submit(anyRunning(), drawn.body(), timeoutMicros()), drawn.body());
+                addPending(simulation().submit(anyRunning(), drawn.body(), timeoutMicros()), drawn.body());
             }
         }
     }
@@ -115,7 +115,7 @@
 
     private void collectAnswers() {
         for (long call : pendingCalls.keySet().stream().sorted().toList()) {
-            ProposalResult result = world().result(call);
+            ProposalResult result = simulation().result(call);
             if (result instanceof ProposalResult.Read read) {
                 checks.read(pendingCalls.remove(call).requiredVersions, read.configuration());
             } else if (result != null && pendingCalls.get(call).body != null) {
@@ -126,17 +126,17 @@
     }
 
     private static int status(ProposalResult result) {
-        if (result instanceof ProposalResult.Taken) {
+        if (result instanceof ProposalResult.Committed) {
             return OK;
         }
-        return result instanceof ProposalResult.Refused refused ? status(refused.refusal()) : UNAVAILABLE;
+        return result instanceof ProposalResult.Rejected refused ? status(refused.rejection()) : UNAVAILABLE;
     }
 
     @Override
     protected String checkRecovery() {
         recoveryFailure = super.checkRecovery();
         collectAnswers();
-        String violation = world().checks().breach();
+        String violation = simulation().checks().violation();
         if (violation == null) {
             repeatAcknowledgedChanges();
         }
@@ -147,9 +147,9 @@
         List<String> acknowledged = checks.acknowledgedChanges();
         for (int i = 0; i < FINAL_REPETITIONS && !acknowledged.isEmpty(); i++) {
             String body = acknowledged.get(random.nextInt(acknowledged.size()));
-            ProposalResult result = world().await(world().submit(anyRunning(), body, 5_000_000));
-            boolean rejected = result instanceof ProposalResult.Refused;
-            boolean accepted = result instanceof ProposalResult.Taken;
+            ProposalResult result = simulation().await(simulation().submit(anyRunning(), body, 5_000_000));
+            boolean rejected = result instanceof ProposalResult.Rejected;
+            boolean accepted = result instanceof ProposalResult.Committed;
             if (rejected || recoveryFailure == null && !accepted) {
                 checks.addViolation(
                         "all faults are over, and a change once answered 200 is now " + result + ": " + body);
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusModel.java
@@ -128,7 +128,7 @@
             case REPLACED_VOTER_RETURNS -> {
                 replicas[LOST] = null;
                 pendingWrites[LOST] = null;
-                stepUntil(() -> committedVoters.contains(replicas[REPLACEMENT].own()));
+                stepUntil(() -> committedVoters.contains(replicas[REPLACEMENT].replicaKey()));
             }
             case STANDBY -> stepUntil(() -> ticks > TICKS_UNTIL_STANDBY_IS_KNOWN);
             case GRACEFUL_SHUTDOWN -> {
@@ -312,7 +312,7 @@
         hadPowerFailure |= kind == ConsensusDeviation.Kind.POWER_FAILURE
                 || kind == ConsensusDeviation.Kind.POWER_FAILURE_AFTER_WRITE;
         if (kind == ConsensusDeviation.Kind.POWER_FAILURE_AFTER_WRITE) {
-            disks[replica] = pendingWrites[replica].change().on(disks[replica]);
+            disks[replica] = pendingWrites[replica].update().appliedTo(disks[replica]);
         } else if (kind == ConsensusDeviation.Kind.DISK_LOSS || kind == ConsensusDeviation.Kind.MACHINE_LOSS) {
             hadDiskLoss = true;
             disks[replica] = null;
@@ -336,7 +336,7 @@
     private void start(int replica, boolean initial) {
         incarnations[replica]++;
         replicas[replica] = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 address(replica),
                 seeds(),
                 initial,
@@ -357,7 +357,7 @@
         if (event instanceof PendingMessage message) {
             perform(replica, replicas[replica].received(now, message.sender, message.message));
         } else if (event instanceof PendingWrite write && write.incarnation == incarnations[replica]) {
-            disks[replica] = pendingWrites[replica].change().on(disks[replica]);
+            disks[replica] = pendingWrites[replica].update().appliedTo(disks[replica]);
             pendingWrites[replica] = null;
             perform(replica, replicas[replica].written(now, write.number, true));
         }
@@ -379,7 +379,7 @@
             } else if (effect instanceof Effect.Answer answer) {
                 results.put(answer.proposalId(), answer.result());
                 checks.answered(answer.proposalId(), answer.result());
-            } else if (effect instanceof Effect.Show show) {
+            } else if (effect instanceof Effect.Publish show) {
                 checks.published(address(replica), show);
                 if (show.number().compareTo(highestPublished) > 0) {
                     highestPublished = show.number();
@@ -392,7 +392,7 @@
     private PendingMessage message(int sender, Effect.Send send) {
         int receiver = replicaAt(send.to());
         long hash = mix(receiver * 8L + sender, hash(send.message().toString()));
-        return new PendingMessage(receiver, replicas[sender].own(), JsonCopy.map(send.message()), hash);
+        return new PendingMessage(receiver, replicas[sender].replicaKey(), JsonCopy.map(send.message()), hash);
     }
 
     /** Submits a change that gives a tenant this API key, or a read for null. */
@@ -410,7 +410,7 @@
     /** Whether three voters are known to be committed, and all of them run and are not leaving. */
     private boolean areAllVotersRunning() {
         Set<String> running = new HashSet<>();
-        Arrays.stream(replicas).filter(Objects::nonNull).forEach(replica -> running.add(replica.own()));
+        Arrays.stream(replicas).filter(Objects::nonNull).forEach(replica -> running.add(replica.replicaKey()));
         if (isLeaving || now < leavingCountsFrom) {
             running.remove(address(LEAVING));
         }
@@ -433,7 +433,7 @@
         now += TICK_MICROS;
         long proposalId = 2;
         for (int i = 0; i < replicas.length; i++) {
-            if (replicas[i] != null && replicas[i].voters().contains(replicas[i].own())) {
+            if (replicas[i] != null && replicas[i].voters().contains(replicas[i].replicaKey())) {
                 proposalId++;
                 checkRead(i, proposalId);
             }
@@ -457,7 +457,8 @@
     public String toString() {
         return Arrays.stream(replicas)
                 .filter(Objects::nonNull)
-                .map(replica -> replica.own() + " has " + replica.committed().number() + " voters " + replica.voters())
+                .map(replica ->
+                        replica.replicaKey() + " has " + replica.committed().number() + " voters " + replica.voters())
                 .toList()
                 .toString();
     }
--- a/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
+++ b/src/modelcheck/java/org/cypressweir/modelcheck/ConsensusWalk.java
@@ -177,9 +177,9 @@
                 violation.compareAndSet(null, scenario + " " + choices + ": " + e.getMessage() + ", " + model);
             }
             accepted.addAndGet(model.checks().accepted());
-            if (model.checks().breach() != null) {
+            if (model.checks().violation() != null) {
                 violation.compareAndSet(
-                        null, scenario + " " + choices + ": " + model.checks().breach());
+                        null, scenario + " " + choices + ": " + model.checks().violation());
             }
         }
 
--- a/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/CatchUpTest.java
@@ -100,7 +100,7 @@
         ProposalNumber committed = new ProposalNumber(5, "a");
         ProposalNumber promised = new ProposalNumber(9, "a");
         ConsensusReplica consensus = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 "c",
                 voters,
                 false,
@@ -120,16 +120,16 @@
                         100_000,
                         "a",
                         ConsensusMessageCodec.encode(new ConsensusMessage.StateChunk(
-                                committed, 0, null, state.sum(), 0, 1, voters, state.items()))))
-                .anyMatch(Effect.Show.class::isInstance);
+                                committed, 0, null, state.checksum(), 0, 1, voters, state.items()))))
+                .anyMatch(Effect.Publish.class::isInstance);
         List<Item> changed = tenants(2, 7).items();
         Map<String, Object> accept = ConsensusMessageCodec.encode(
                 new ConsensusMessage.Accept(null, promised, committed, false, 1, voters, 0, 1, changed));
         assertThat(write(consensus.received(100_000, "a", accept)))
                 .as("write for a wrong checksum")
                 .isNull();
-        accept.put("sum", state.with(changed).sum());
-        StorageUpdate update = write(consensus.received(100_000, "a", accept)).change();
+        accept.put("sum", state.with(changed).checksum());
+        StorageUpdate update = write(consensus.received(100_000, "a", accept)).update();
         assertThat(update.fullSnapshot()).isTrue();
         assertThat(Configuration.of(update.items())).isEqualTo(state.with(changed));
     }
@@ -149,7 +149,7 @@
         world = new SimulatedReplicas(11, 3);
         world.run(500_000);
         assertThat(world.await(world.submit(world.replica(1), OneChangeTest.tenants(0, ITEMS, 1), 10 * TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
         world.run(1_000_000);
         world.maxDelayMicros = maxDelayMicros;
         interrupt(interruption);
@@ -194,11 +194,11 @@
         // With another replica down it is needed for a majority, and proposes changes to the committed state.
         world.crash(world.replica(1));
         assertThat(world.await(world.submit(returned, OneChangeTest.tenants(3, 4, 2_000), TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
         world.run(1_000_000);
-        assertThat(returned.consensus().committed().configuration().sum())
+        assertThat(returned.consensus().committed().configuration().checksum())
                 .isEqualTo(
-                        world.replica(2).consensus().committed().configuration().sum());
-        assertThat(world.checks().breach()).isNull();
+                        world.replica(2).consensus().committed().configuration().checksum());
+        assertThat(world.checks().violation()).isNull();
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/ConsensusReplicaTest.java
@@ -39,18 +39,19 @@
     }
 
     private static void assertAgreement(SimulatedReplicas world) {
-        assertThat(world.checks().breach()).isNull();
+        assertThat(world.checks().violation()).isNull();
         ReplicatedState first = world.runningReplicas().get(0).consensus().committed();
         for (Replica replica : world.runningReplicas()) {
             assertThat(replica.consensus().committed()).as(replica.address()).isEqualTo(first);
             assertThat(replica.consensus().isBlank()).isFalse();
         }
         world.checks().requireAtLeast(world.checks().requiredItems(), first.configuration(), "shown");
-        assertThat(world.checks().breach()).isNull();
+        assertThat(world.checks().violation()).isNull();
     }
 
     private static void assertAccepted(SimulatedReplicas world, Replica replica, String body) {
-        assertThat(world.await(world.submit(replica, body, TIMEOUT_MICROS))).isInstanceOf(ProposalResult.Taken.class);
+        assertThat(world.await(world.submit(replica, body, TIMEOUT_MICROS)))
+                .isInstanceOf(ProposalResult.Committed.class);
     }
 
     @Test
@@ -63,12 +64,12 @@
         ProposalResult second = world.await(secondProposal);
         world.run(1_000_000);
         assertAgreement(world);
-        boolean firstWins = first instanceof ProposalResult.Taken;
-        assertThat(firstWins ? first : second).isInstanceOf(ProposalResult.Taken.class);
+        boolean firstWins = first instanceof ProposalResult.Committed;
+        assertThat(firstWins ? first : second).isInstanceOf(ProposalResult.Committed.class);
         assertThat(firstWins ? second : first)
                 .isInstanceOfSatisfying(
-                        ProposalResult.Refused.class,
-                        refused -> assertThat(refused.refusal().kind()).isEqualTo(RejectionKind.CONFLICT));
+                        ProposalResult.Rejected.class,
+                        refused -> assertThat(refused.rejection().kind()).isEqualTo(RejectionKind.CONFLICT));
         assertThat(apiKeys(world.replica(3).consensus().committed().configuration(), "t"))
                 .isEqualTo(List.of(firstWins ? "a" : "b"));
         // Repetitions of the version in force, and of one that it has superseded.
@@ -84,7 +85,7 @@
     void proposalIsAbandonedAfterItsDeadline() {
         List<String> voters = List.of("a", "b", "c");
         ConsensusReplica consensus = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 "a",
                 voters,
                 false,
@@ -120,7 +121,7 @@
                 .anyMatch(e -> e instanceof Effect.Answer a && a.result() instanceof ProposalResult.Unavailable);
         assertThat(effectsAfterDeadline)
                 .noneMatch(
-                        e -> e instanceof Effect.Write w && !w.change().items().isEmpty());
+                        e -> e instanceof Effect.Write w && !w.update().items().isEmpty());
     }
 
     @Test
@@ -194,7 +195,7 @@
             world.run(12_000_000);
             assertThat(replacement.consensus().voters())
                     .hasSize(3)
-                    .contains(replacement.consensus().own())
+                    .contains(replacement.consensus().replicaKey())
                     .doesNotContain(world.replica(lostReplica).address());
             assertAgreement(world);
             assertAccepted(world, replacement, change("t", 10 - lostReplica, "b" + lostReplica));
@@ -209,13 +210,13 @@
         world.run(5_000_000);
         assertThat(returned.consensus().voters())
                 .hasSize(3)
-                .doesNotContain(returned.consensus().own());
+                .doesNotContain(returned.consensus().replicaKey());
         assertAgreement(world);
         assertThat(world.await(world.submit(returned, change("t", 20, "c"), TIMEOUT_MICROS)))
                 .isInstanceOf(ProposalResult.Unavailable.class);
         world.wipe(world.replica(1));
         world.run(4_000_000);
-        assertThat(returned.consensus().own()).isEqualTo(returned.address());
+        assertThat(returned.consensus().replicaKey()).isEqualTo(returned.address());
         assertThat(returned.consensus().voters()).hasSize(3).contains(returned.address());
         assertAccepted(world, returned, change("t", 20, "c"));
         world.run(1_000_000);
@@ -289,7 +290,7 @@
         world.run(5_000_000);
         assertThat(fourth.consensus().isBlank()).isFalse();
         assertThat(world.replica(1).consensus().standbys())
-                .contains(fourth.consensus().own());
+                .contains(fourth.consensus().replicaKey());
     }
 
     /** Not even if all seeds are blank: a replica that is down may hold a committed state. */
@@ -317,7 +318,7 @@
                     .forEach(replica -> assertThat(world.await(world.submit(replica, change("t", 1, "b"), 500_000)))
                             .isInstanceOf(ProposalResult.Unavailable.class));
         }
-        assertThat(world.checks().breach()).isNull();
+        assertThat(world.checks().violation()).isNull();
     }
 
     /** The operator must name each replica whose state is abandoned; such a replica does not bring its state back. */
@@ -343,7 +344,7 @@
         for (Replica replica : world.runningReplicas()) {
             assertThat(replica.consensus().voters())
                     .hasSize(4)
-                    .contains(replica.consensus().own());
+                    .contains(replica.consensus().replicaKey());
             assertThat(replica.consensus().committed().configuration().size()).isZero();
         }
         assertAccepted(world, world.replica(4), change("u", 1, "b"));
@@ -358,14 +359,14 @@
     @Test
     void fullSnapshotIsWrittenAfterAFailedWrite() {
         ConsensusReplica consensus = new ConsensusReplica(
-                ConsensusOptions.usual(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
+                ConsensusOptions.defaults(), "a", List.of("a"), true, null, 1, new SplittableRandom(1), 0);
         written(consensus, consensus.start(0), 0, true);
         List<Effect> first = consensus.submit(0, 1, parse(change("t", 1, "x")), TIMEOUT_MICROS);
         List<Effect> accept = written(consensus, first, 0, true);
         written(consensus, accept, 0, false);
         written(consensus, consensus.tick(600_000), 600_000, true);
         List<Effect> promise = consensus.submit(700_000, 2, parse(change("u", 1, "y")), TIMEOUT_MICROS);
-        StorageUpdate update = write(written(consensus, promise, 700_000, true)).change();
+        StorageUpdate update = write(written(consensus, promise, 700_000, true)).update();
         assertThat(update.fullSnapshot()).isTrue();
         assertThat(Configuration.of(update.items()).get(new ItemKey(ItemType.TENANTS, "u")))
                 .isNotNull();
--- a/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/OneChangeTest.java
@@ -26,9 +26,9 @@
     private static long bytesSentForOneChange(int items) {
         ThreeReplicas replicas =
                 new ThreeReplicas(List.of(new InMemoryStore(), new InMemoryStore(), new InMemoryStore()));
-        assertThat(replicas.submit(tenants(0, items, 1))).isInstanceOf(ProposalResult.Taken.class);
+        assertThat(replicas.submit(tenants(0, items, 1))).isInstanceOf(ProposalResult.Committed.class);
         long before = replicas.sentBytes();
-        assertThat(replicas.submit(tenants(5, 6, 2))).isInstanceOf(ProposalResult.Taken.class);
+        assertThat(replicas.submit(tenants(5, 6, 2))).isInstanceOf(ProposalResult.Committed.class);
         return replicas.sentBytes() - before;
     }
 
--- a/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
+++ b/src/test/java/org/cypressweir/controlplane/consensus/QuorumContactTest.java
@@ -61,7 +61,7 @@
         world.run(1_000_000);
         Replica partitioned = world.replica(3);
         assertThat(world.await(world.submit(partitioned, change(1), TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
         world.run(1_000_000);
         assertThat(age(world, partitioned)).isBetween(0L, MAX_AGE_MICROS);
         partition(world, 3, direction);
@@ -76,17 +76,17 @@
             assertUnavailableWithin(210_000, world, world.read(partitioned, TIMEOUT_MICROS));
             assertThat(world.await(
                             world.submit(world.replica(1 + (int) version % 2), change(100 + version), TIMEOUT_MICROS)))
-                    .isInstanceOf(ProposalResult.Taken.class);
+                    .isInstanceOf(ProposalResult.Committed.class);
             world.run(500_000);
         }
         world.heal();
         // The first change after the partition is accepted: no heartbeat need have come before it.
         assertThat(world.await(world.submit(partitioned, change(1_000), TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
         world.run(MAX_AGE_MICROS);
         assertThat(partitioned.consensus().inContact(world.now())).isTrue();
         assertThat(age(world, partitioned)).isBetween(0L, MAX_AGE_MICROS);
-        assertThat(world.checks().breach()).isNull();
+        assertThat(world.checks().violation()).isNull();
     }
 
     private static ConsensusMessage.Heartbeat heartbeat(long sequence, long echoedIncarnation, long echoedSequence) {
@@ -107,7 +107,7 @@
     @Test
     void lateEchoProvesNoNewContact() {
         List<String> voters = List.of("a", "b", "c");
-        ReplicaContext context = new ReplicaContext(ConsensusOptions.usual(), "a", 0, 5, new SplittableRandom(1), 0);
+        ReplicaContext context = new ReplicaContext(ConsensusOptions.defaults(), "a", 0, 5, new SplittableRandom(1), 0);
         QuorumContact contact = new QuorumContact(context);
         long first = contact.nextSequence();
         context.now = PARTITION_MICROS;
@@ -132,6 +132,6 @@
         world.run(5_000_000);
         assertThat(age(world, world.replica(1))).isLessThan(60_000);
         assertThat(world.await(world.submit(world.replica(1), change(1), TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/ConfigurationChangeTableTest.java
@@ -89,7 +89,7 @@
                     List.of(item("a"), item("b")),
                     false);
             replica = new ConsensusReplica(
-                    ConsensusOptions.usual(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
+                    ConsensusOptions.defaults(), "h", List.of("h"), false, before, 1, new SplittableRandom(1), 0);
             execute(replica.start(0));
             submit(null);
         }
@@ -98,7 +98,7 @@
             Item superseded = change(ItemCase.SUPERSEDED.json(tenant)).items().get(0);
             Item withFloor = new Item(superseded.key(), superseded.version(), superseded.content(), List.of(), FLOOR);
             ConsensusReplica previous = new ConsensusReplica(
-                    ConsensusOptions.usual(),
+                    ConsensusOptions.defaults(),
                     "h",
                     List.of("h"),
                     false,
@@ -257,14 +257,14 @@
             committed.add(committedKeys(simulation, controller));
             assertThat(retry(simulation, controller)).isEqualTo(status);
         }
-        assertThat(simulation.checks().breach()).isNull();
+        assertThat(simulation.checks().violation()).isNull();
         assertThat(committed.stream().distinct()).hasSize(1);
         return status + " | " + committed.get(0).toString().replaceAll("[\\[\\]]", "");
     }
 
     private static void commit(SimulatedReplicas simulation, String change) {
         assertThat(simulation.await(simulation.submit(simulation.replica(3), change, TIMEOUT_MICROS)))
-                .isInstanceOf(ProposalResult.Taken.class);
+                .isInstanceOf(ProposalResult.Committed.class);
     }
 
     /** Sends the change to the first controller and loses its response as the case describes. */
@@ -273,7 +273,7 @@
         if (lostAnswer == LostAnswer.AGREED
                 || lostAnswer == LostAnswer.WIPED
                 || lostAnswer == LostAnswer.AGREED_NEWER) {
-            assertThat(simulation.await(first)).isInstanceOf(ProposalResult.Taken.class);
+            assertThat(simulation.await(first)).isInstanceOf(ProposalResult.Committed.class);
         } else {
             interruptWrite(simulation, lostAnswer);
         }
--- a/src/test/java/org/cypressweir/controlplane/controller/GoldenControllerMessagesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/GoldenControllerMessagesTest.java
@@ -155,7 +155,7 @@
         receives(registration(WITHOUT_INSTANCE));
         PersistentState stored = new PersistentState(FIRST, FIRST, VOTERS, ITEMS, false, 0);
         ConsensusReplica replica = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 VOTERS.get(0),
                 VOTERS,
                 false,
--- a/src/test/java/org/cypressweir/controlplane/controller/GoldenOperatorAnswersTest.java
+++ b/src/test/java/org/cypressweir/controlplane/controller/GoldenOperatorAnswersTest.java
@@ -32,11 +32,11 @@
     @Test
     void answersAreTheSame() {
         List<String> lines = new ArrayList<>();
-        lines.add(line(new ProposalResult.Taken(new ProposalNumber(4, "10.0.0.1:7"))));
+        lines.add(line(new ProposalResult.Committed(new ProposalNumber(4, "10.0.0.1:7"))));
         lines.add(line(new ProposalResult.Read(CONFIGURATION)));
         lines.add(line(new ProposalResult.Unavailable("no majority")));
         Stream.of(RejectionKind.values())
-                .forEach(kind -> lines.add(line(new ProposalResult.Refused(new Rejection(kind, "a reason")))));
+                .forEach(kind -> lines.add(line(new ProposalResult.Rejected(new Rejection(kind, "a reason")))));
         Golden.assertSame("messages/operator-answers.txt", lines);
     }
 }
--- a/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/LostDirectoryEntriesTest.java
@@ -178,7 +178,7 @@
             throw new IOException("cannot open or write: " + description, e);
         }
         try (Store store = openStore(recovered)) {
-            assertThat(store.load()).contains(update.on(found.orElse(null)));
+            assertThat(store.load()).contains(update.appliedTo(found.orElse(null)));
         }
     }
 
@@ -230,7 +230,7 @@
     }
 
     private void write(XodusStore store, StorageUpdate update) throws IOException {
-        inFlight = update.on(acknowledged);
+        inFlight = update.appliedTo(acknowledged);
         store.write(update);
         acknowledged = inFlight;
     }
--- a/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
+++ b/src/test/java/org/cypressweir/controlplane/storage/TornWritesTest.java
@@ -121,7 +121,7 @@
             return found;
         }
         try (Store store = new XodusStore(directory)) {
-            assertThat(store.load().orElseThrow()).isEqualTo(prepare(90).on(found));
+            assertThat(store.load().orElseThrow()).isEqualTo(prepare(90).appliedTo(found));
         }
         return found;
     }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshSoakTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshSoakTest.java
@@ -38,7 +38,7 @@
             List<String> violations = violations(soak);
             System.out.println("soak seed " + seed + ": " + soak.summary() + ", " + violations.size() + " violations");
             if (!violations.isEmpty()) {
-                Files.writeString(Path.of("target", "soak-" + seed + ".log"), violations + "\n" + soak.story());
+                Files.writeString(Path.of("target", "soak-" + seed + ".log"), violations + "\n" + soak.report());
             }
             assertThat(violations).isEmpty();
         }
--- a/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/MeshTest.java
@@ -140,7 +140,7 @@
                 .filter(m -> id.equals(m.headers().get(ApplicationStubs.ID)))
                 .findFirst()
                 .orElseThrow();
-        assertThat(received.first()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
+        assertThat(received.firstLine()).isEqualTo("POST /deep/er?q=1 HTTP/1.1");
         assertThat(received.headers())
                 .containsEntry("Cypressweir-Caller-Service", "gate")
                 .containsEntry("Cypressweir-Tenant-Name", "free")
--- a/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
+++ b/src/test/java/org/cypressweir/dataplane/proxy/ProxyStartScenario.java
@@ -183,6 +183,6 @@
                 && reachable.stream().anyMatch(controller -> controller != partitioned)) {
             return "waits although it reaches a controller that is in contact with a majority";
         }
-        return cluster.checks().breach();
+        return cluster.checks().violation();
     }
 }
--- a/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/BorrowedEndpointListTest.java
@@ -8,8 +8,8 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
-import org.cypressweir.testkit.Configs;
 import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarConfigurations;
 import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -27,8 +27,8 @@
 
     private int sendRequest(SidecarProcesses processes, int i) throws Exception {
         return client.send(
-                        HttpRequest.newBuilder(URI.create(
-                                        "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
+                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
+                                        + processes.clientAddress(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
                                 .header("Request-Id", String.format("%016x", ++lastRequestId))
                                 .header("Request-Timeout-Ms", "3000")
@@ -38,7 +38,7 @@
     }
 
     private static void awaitReady(SidecarProcesses processes, int i) throws Exception {
-        processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
+        processes.await(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
     }
 
     /** Its own configuration names only removed or draining servers; other members know the one that serves. */
@@ -48,8 +48,9 @@
                 PeerStub draining = new PeerStub(PeerStub.serves("drains"));
                 PeerStub serving = new PeerStub(PeerStub.serves("serves"));
                 SidecarProcesses processes = new SidecarProcesses(folder, 1, 3, 1_000, removed, draining)) {
-            String olderList = Configs.json(Configs.list(4, true, "in_service", removed, draining));
-            String newerList = Configs.json(Configs.list(7, true, "in_service", serving)
+            String olderList =
+                    SidecarConfigurations.json(SidecarConfigurations.list(4, true, "in_service", removed, draining));
+            String newerList = SidecarConfigurations.json(SidecarConfigurations.list(7, true, "in_service", serving)
                     .replace(
                             "'targets':[",
                             "'targets':[{'uid':'s-" + draining.port() + "','endpoint':'127.0.0.1:" + draining.port()
@@ -57,7 +58,7 @@
             String[] discoveryList = {olderList};
             processes.discovery.script(seen -> {
                 String current = discoveryList[0];
-                if (!current.equals(olderList) && seen.request().first().contains("from=7")) {
+                if (!current.equals(olderList) && seen.request().firstLine().contains("from=7")) {
                     return;
                 }
                 seen.reply("200 OK", "", current);
@@ -65,21 +66,21 @@
             // The first process receives only the older list, the second also the newer one.
             processes.start(0);
             awaitReady(processes, 0);
-            processes.within(5_000, "the older list", () -> processes.discovery.seen.size() >= 2);
+            processes.await(5_000, "the older list", () -> processes.discovery.received.size() >= 2);
             processes.signal(0, "STOP");
-            for (PeerStub.Seen seen : processes.discovery.seen) {
+            for (PeerStub.ReceivedRequest seen : processes.discovery.received) {
                 seen.socket().close();
             }
             discoveryList[0] = newerList;
             processes.start(1);
             awaitReady(processes, 1);
-            processes.within(
-                    5_000, "the newer list", () -> sendRequest(processes, 1) == 200 && !serving.seen.isEmpty());
+            processes.await(
+                    5_000, "the newer list", () -> sendRequest(processes, 1) == 200 && !serving.received.isEmpty());
             processes.discovery.close();
             processes.signal(0, "CONT");
-            processes.within(5_000, "both see each other", () -> processes.see(2, 0, 1));
-            int requestsBefore = removed.seen.size() + draining.seen.size();
-            int servedBefore = serving.seen.size();
+            processes.await(5_000, "both see each other", () -> processes.see(2, 0, 1));
+            int requestsBefore = removed.received.size() + draining.received.size();
+            int servedBefore = serving.received.size();
 
             processes.start(2);
             awaitReady(processes, 2);
@@ -88,9 +89,9 @@
             }
             assertEquals(
                     requestsBefore,
-                    removed.seen.size() + draining.seen.size(),
+                    removed.received.size() + draining.received.size(),
                     "requests to servers that must not be used");
-            assertEquals(servedBefore + 50, serving.seen.size());
+            assertEquals(servedBefore + 50, serving.received.size());
             SidecarProcesses.Event loan = processes.history().stream()
                     .filter(e -> e.process().equals("n2") && e.event().equals("borrowed"))
                     .findFirst()
--- a/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/LeaseProcessTest.java
@@ -50,8 +50,8 @@
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
         processes = new SidecarProcesses(folder, seed, members, PAUSE_MILLIS, server);
-        processes.seeds(3);
-        processes.operators(text -> withLeaseSettings(processes, text, 0, 1, 2));
+        processes.setSeedCount(3);
+        processes.editOperatorConfiguration(text -> withLeaseSettings(processes, text, 0, 1, 2));
         for (int i = 0; i < members; i++) {
             processes.start(i);
         }
@@ -61,11 +61,11 @@
     private void awaitReady() throws Exception {
         for (int i = 0; i < processes.size(); i++) {
             int index = i;
-            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "ready", () -> processes
                     .ask(index, "READY")
                     .equals("YES\n"));
         }
-        processes.within(
+        processes.await(
                 START_TIMEOUT_MILLIS,
                 "all members see each other",
                 () -> processes.see(
@@ -74,7 +74,7 @@
     }
 
     private int awaitHolder(LeaseHolders leaseHolders, String phase) throws Exception {
-        processes.within(
+        processes.await(
                 GRANTOR_RECOVERY_MILLIS + 2 * TERM_MILLIS,
                 phase + ": some process holds the lease",
                 () -> !leaseHolders.holder().isEmpty());
@@ -84,12 +84,12 @@
     /** Waits until another process acts, within so many milliseconds. */
     private long awaitOtherHolder(LeaseHolders leaseHolders, int previousHolder, String phase, long millis)
             throws Exception {
-        long tookMillis = processes.within(
+        long tookMillis = processes.await(
                 millis,
                 phase + ": another process holds the lease",
-                () -> leaseHolders.actsBesides(SidecarProcesses.name(previousHolder)));
+                () -> leaseHolders.othersAct(SidecarProcesses.name(previousHolder)));
         System.out.println(phase + ": " + tookMillis + " ms");
-        assertEquals(List.of(), leaseHolders.wrong(), phase);
+        assertEquals(List.of(), leaseHolders.violations(), phase);
         return tookMillis;
     }
 
@@ -103,17 +103,17 @@
             awaitOtherHolder(leaseHolders, holder, "stopped for longer than the term", TERM_MILLIS + 1_000);
             processes.signal(holder, "CONT");
             TimeUnit.MILLISECONDS.sleep(TERM_MILLIS);
-            assertEquals(List.of(), leaseHolders.wrong(), "after the process was resumed");
+            assertEquals(List.of(), leaseHolders.violations(), "after the process was resumed");
 
             int unableToReceive = awaitHolder(leaseHolders, "after the process was resumed");
-            processes.relay.cut((from, to) -> to != unableToReceive);
+            processes.relay.setLinkFilter((from, to) -> to != unableToReceive);
             awaitOtherHolder(leaseHolders, unableToReceive, "can send but not receive", TERM_MILLIS + 1_000);
-            processes.relay.cut((from, to) -> true);
+            processes.relay.setLinkFilter((from, to) -> true);
 
             int unableToSend = awaitHolder(leaseHolders, "partition healed");
-            processes.relay.cut((from, to) -> from != unableToSend);
+            processes.relay.setLinkFilter((from, to) -> from != unableToSend);
             awaitOtherHolder(leaseHolders, unableToSend, "can receive but not send", TERM_MILLIS + 1_000);
-            processes.relay.cut((from, to) -> true);
+            processes.relay.setLinkFilter((from, to) -> true);
 
             int killed = awaitHolder(leaseHolders, "partition healed again");
             processes.kill(killed);
@@ -122,28 +122,28 @@
             awaitReady();
 
             int isolated = awaitHolder(leaseHolders, "killed process restarted");
-            processes.relay.cut((from, to) -> (from == isolated) == (to == isolated));
+            processes.relay.setLinkFilter((from, to) -> (from == isolated) == (to == isolated));
             awaitOtherHolder(leaseHolders, isolated, "isolated", TERM_MILLIS + 1_000);
-            processes.relay.cut((from, to) -> true);
+            processes.relay.setLinkFilter((from, to) -> true);
 
-            processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, TERM_MILLIS, 0.02));
+            processes.relay.setImpairment(new DatagramRelay.Impairment(0.2, 0.1, 0.1, TERM_MILLIS, 0.02));
             TimeUnit.MILLISECONDS.sleep(2 * TERM_MILLIS);
-            processes.relay.weather(DatagramRelay.Weather.FAIR);
-            processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(5, 0, 1, 2, 3, 4));
+            processes.relay.setImpairment(DatagramRelay.Impairment.NONE);
+            processes.await(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(5, 0, 1, 2, 3, 4));
             for (int grantor = 0; grantor < 3; grantor++) {
                 processes.kill(grantor);
             }
-            processes.within(2 * TERM_MILLIS, "no process holds the lease without grantors", () -> leaseHolders
+            processes.await(2 * TERM_MILLIS, "no process holds the lease without grantors", () -> leaseHolders
                     .holder()
                     .isEmpty());
             for (int grantor = 0; grantor < 3; grantor++) {
                 processes.start(grantor);
             }
-            processes.within(
+            processes.await(
                     START_TIMEOUT_MILLIS + GRANTOR_RECOVERY_MILLIS,
                     "a process holds the lease after all grantors lost their state",
                     () -> !leaseHolders.holder().isEmpty());
-            assertEquals(List.of(), leaseHolders.wrong());
+            assertEquals(List.of(), leaseHolders.violations());
 
             awaitReady();
             int drained = awaitHolder(leaseHolders, "grantors restarted");
@@ -165,7 +165,7 @@
             String before = processes.ask(i, "STATS");
             processes.rewrite(i);
             processes.signal(i, "HUP");
-            processes.within(START_TIMEOUT_MILLIS, description, () -> !successfulReloads(processes.ask(index, "STATS"))
+            processes.await(START_TIMEOUT_MILLIS, description, () -> !successfulReloads(processes.ask(index, "STATS"))
                     .equals(successfulReloads(before)));
         }
     }
@@ -182,27 +182,27 @@
         awaitReady();
         try (LeaseHolders leaseHolders = new LeaseHolders(processes, "job")) {
             awaitHolder(leaseHolders, "first set of grantors");
-            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4));
+            processes.editOperatorConfiguration(text -> withLeaseSettings(processes, text, 0, 3, 4));
             reloadAll("reload: change in one step");
             assertEquals(
                     5, processes.logs().split("stay as they were: most of the new", -1).length - 1, processes.logs());
             awaitHolder(leaseHolders, "first set of grantors still in use");
-            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4)
+            processes.editOperatorConfiguration(text -> withLeaseSettings(processes, text, 0, 3, 4)
                     .replace("[leases.job]", "before = [" + addresses(processes, 0, 1, 2) + "]\n[leases.job]"));
             reloadAll("reload: both sets");
             TimeUnit.MILLISECONDS.sleep(GRANTOR_RECOVERY_MILLIS);
-            processes.operators(text -> withLeaseSettings(processes, text, 0, 3, 4));
+            processes.editOperatorConfiguration(text -> withLeaseSettings(processes, text, 0, 3, 4));
             reloadAll("reload: new set");
             processes.kill(1);
             processes.kill(2);
-            processes.within(
+            processes.await(
                     GRANTOR_RECOVERY_MILLIS + 2 * TERM_MILLIS,
                     "the new grantors grant",
                     () -> !leaseHolders.holder().isEmpty()
                             && !Set.of("n1", "n2").contains(leaseHolders.holder()));
             TimeUnit.MILLISECONDS.sleep(TERM_MILLIS);
             awaitHolder(leaseHolders, "the new grantors go on granting");
-            assertEquals(List.of(), leaseHolders.wrong());
+            assertEquals(List.of(), leaseHolders.violations());
         }
     }
 
@@ -213,7 +213,7 @@
     private int awaitStableHolder() throws Exception {
         int[] holder = {NO_PROCESS};
         long[] since = {System.nanoTime()};
-        processes.within(START_TIMEOUT_MILLIS, "one process keeps holding the lease", () -> {
+        processes.await(START_TIMEOUT_MILLIS, "one process keeps holding the lease", () -> {
             int now = holdingProcess();
             if (now == NO_PROCESS || now != holder[0]) {
                 holder[0] = now;
@@ -240,10 +240,10 @@
     @Test
     void commandRunsOnlyWhileLeaseIsHeld() throws Exception {
         startProcesses(3);
-        processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(3, 0, 1, 2));
+        processes.await(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(3, 0, 1, 2));
         int holder = awaitStableHolder();
         int other = (holder + 1) % 3;
-        processes.within(START_TIMEOUT_MILLIS, "other processes know the holder", () -> processes
+        processes.await(START_TIMEOUT_MILLIS, "other processes know the holder", () -> processes
                 .ask(other, "LEASE job")
                 .startsWith("NO held by n" + holder + " for "));
         assertEquals("NO lease 'x' is not in the file\n", processes.ask(other, "LEASE x"));
@@ -264,9 +264,9 @@
                 "sh",
                 "-c",
                 "trap '' TERM; while true; do date +%s%N >> " + timestamps + "; sleep 0.02; done");
-        processes.within(START_TIMEOUT_MILLIS, "the command runs", () -> Files.exists(timestamps));
+        processes.await(START_TIMEOUT_MILLIS, "the command runs", () -> Files.exists(timestamps));
         processes.ask(holder, "DRAIN");
-        processes.within(START_TIMEOUT_MILLIS, "another process holds the lease", () -> {
+        processes.await(START_TIMEOUT_MILLIS, "another process holds the lease", () -> {
             for (int i = 0; i < 3; i++) {
                 if (i != holder && processes.ask(i, "LEASE job").startsWith("YES ")) {
                     return true;
@@ -290,7 +290,7 @@
                 "lease",
                 "run",
                 "--door",
-                "127.0.0.1:" + processes.door(i),
+                "127.0.0.1:" + processes.adminPort(i),
                 "job",
                 "--"));
         commandLine.addAll(List.of(command));
--- a/src/test/java/org/cypressweir/fleet/transport/MembershipProcessTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/MembershipProcessTest.java
@@ -32,8 +32,8 @@
 import org.cypressweir.sidecar.cli.CommandLineTool;
 import org.cypressweir.testkit.DatagramRelay;
 import org.cypressweir.testkit.FaultSchedule;
-import org.cypressweir.testkit.Platform;
 import org.cypressweir.testkit.SidecarProcesses;
+import org.cypressweir.testkit.SocketActivator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -55,7 +55,7 @@
         for (int i : all) {
             processes.start(i);
         }
-        processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(members, all));
+        processes.await(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(members, all));
     }
 
     /** Events by which these processes saw a member leave or be removed since then. */
@@ -85,15 +85,15 @@
     void membersDiscoverEachOtherAndLeaveAtOnce() throws Exception {
         startProcesses(2);
         assertEquals("{n0=alive, n1=alive}", processes.members(0).get("members").toString());
-        assertTrue(processes.relay.passed.get() > 0, "datagrams have to pass the relay");
-        processes.within(
+        assertTrue(processes.relay.deliveredCount.get() > 0, "datagrams have to pass the relay");
+        processes.await(
                 START_TIMEOUT_MILLIS, "ready", () -> processes.ask(1, "READY").equals("YES\n"));
-        String table = runMembersCommand("--door", "127.0.0.1:" + processes.door(1));
+        String table = runMembersCommand("--door", "127.0.0.1:" + processes.adminPort(1));
         assertTrue(table.startsWith("as n1 sees it, incarnation 1: 2 live\n"), table);
         assertTrue(
                 table.contains("\nn0                   alive          1 127.0.0.1:" + processes.relay.port(0)), table);
         processes.process(1).destroy();
-        processes.within(PAUSE_MS, "the leaving member is removed", () -> processes.see(1, 0));
+        processes.await(PAUSE_MS, "the leaving member is removed", () -> processes.see(1, 0));
         assertTrue(processes.process(1).waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, processes.process(1).exitValue());
         List<String> seen = processes.history().stream()
@@ -124,21 +124,21 @@
         processes.signal(2, "STOP");
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS * 7 / 10);
         processes.signal(2, "CONT");
-        processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+        processes.relay.setImpairment(new DatagramRelay.Impairment(0.2, 0.1, 0.1, 100, 0.02));
         awaitDetectionTime();
-        processes.relay.weather(DatagramRelay.Weather.FAIR);
+        processes.relay.setImpairment(DatagramRelay.Impairment.NONE);
         assertEquals(List.of(), departures(startedAt, 0, 1, 2, 3, 4), "a short pause, and message loss");
 
         processes.kill(3);
-        processes.within(DETECTION_MS, "a killed member is removed", () -> processes.see(4, 0, 1, 2, 4));
+        processes.await(DETECTION_MS, "a killed member is removed", () -> processes.see(4, 0, 1, 2, 4));
         processes.start(3);
-        processes.within(START_TIMEOUT_MILLIS, "the restarted member is back", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.await(START_TIMEOUT_MILLIS, "the restarted member is back", () -> processes.see(5, 0, 1, 2, 3, 4));
 
         long stoppedAt = monotonicMicros();
         processes.signal(4, "STOP");
-        processes.within(DETECTION_MS, "a paused member is removed", () -> processes.see(4, 0, 1, 2, 3));
+        processes.await(DETECTION_MS, "a paused member is removed", () -> processes.see(4, 0, 1, 2, 3));
         processes.signal(4, "CONT");
-        processes.within(DETECTION_MS, "the resumed member rejoins", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.await(DETECTION_MS, "the resumed member rejoins", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(
                 Set.of("n4"),
                 Set.copyOf(departures(stoppedAt, 0, 1, 2, 3, 4).stream()
@@ -147,40 +147,40 @@
                 "the resumed member reports no other member as failed");
 
         long cutAt = monotonicMicros();
-        processes.relay.cut((from, to) -> !(from == 0 && to == 1) && !(from == 3 && to == 2));
+        processes.relay.setLinkFilter((from, to) -> !(from == 0 && to == 1) && !(from == 3 && to == 2));
         awaitDetectionTime();
         assertEquals(List.of(), departures(cutAt, 0, 1, 2, 3, 4), "pairs that can communicate in one direction only");
 
-        processes.relay.cut((from, to) -> to != 2);
-        processes.within(
+        processes.relay.setLinkFilter((from, to) -> to != 2);
+        processes.await(
                 DETECTION_MS + PAUSE_MS, "cannot receive", () -> processes.see(4, 0, 1, 3, 4) && processes.see(1, 2));
         long stableSince = monotonicMicros();
         awaitDetectionTime();
         assertEquals(List.of(), departures(stableSince, 0, 1, 2, 3, 4), "the view is stable during the partition");
-        processes.relay.cut((from, to) -> true);
-        processes.within(DETECTION_MS, "the partition is healed", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.relay.setLinkFilter((from, to) -> true);
+        processes.await(DETECTION_MS, "the partition is healed", () -> processes.see(5, 0, 1, 2, 3, 4));
 
-        processes.relay.cut((from, to) -> from != 1);
-        processes.within(
+        processes.relay.setLinkFilter((from, to) -> from != 1);
+        processes.await(
                 DETECTION_MS + PAUSE_MS, "cannot send", () -> processes.see(4, 0, 2, 3, 4) && processes.see(1, 1));
-        processes.relay.cut((from, to) -> true);
-        processes.within(DETECTION_MS, "the second partition is healed", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.relay.setLinkFilter((from, to) -> true);
+        processes.await(DETECTION_MS, "the second partition is healed", () -> processes.see(5, 0, 1, 2, 3, 4));
 
-        processes.relay.cut((from, to) -> from < 2 == to < 2);
-        processes.within(DETECTION_MS + PAUSE_MS, "2 views", () -> processes.see(2, 0, 1) && processes.see(3, 2, 3, 4));
+        processes.relay.setLinkFilter((from, to) -> from < 2 == to < 2);
+        processes.await(DETECTION_MS + PAUSE_MS, "2 views", () -> processes.see(2, 0, 1) && processes.see(3, 2, 3, 4));
         stableSince = monotonicMicros();
         awaitDetectionTime();
         assertEquals(List.of(), departures(stableSince, 0, 1, 2, 3, 4), "the views are stable during the partition");
         long healedAt = monotonicMicros();
-        processes.relay.cut((from, to) -> true);
-        processes.within(DETECTION_MS, "two partitions merge", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.relay.setLinkFilter((from, to) -> true);
+        processes.await(DETECTION_MS, "two partitions merge", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(List.of(), departures(healedAt, 0, 1, 2, 3, 4), "no member is removed by the merge");
 
-        processes.relay.cut((from, to) -> from / 2 == to / 2);
-        processes.within(DETECTION_MS + PAUSE_MS, "3 views", () -> processes.see(2, 0, 1, 2, 3) && processes.see(1, 4));
+        processes.relay.setLinkFilter((from, to) -> from / 2 == to / 2);
+        processes.await(DETECTION_MS + PAUSE_MS, "3 views", () -> processes.see(2, 0, 1, 2, 3) && processes.see(1, 4));
         healedAt = monotonicMicros();
-        processes.relay.cut((from, to) -> true);
-        processes.within(DETECTION_MS, "three partitions merge", () -> processes.see(5, 0, 1, 2, 3, 4));
+        processes.relay.setLinkFilter((from, to) -> true);
+        processes.await(DETECTION_MS, "three partitions merge", () -> processes.see(5, 0, 1, 2, 3, 4));
         assertEquals(List.of(), departures(healedAt, 0, 1, 2, 3, 4), "no member is removed by the merge");
     }
 
@@ -191,8 +191,8 @@
         long seed = System.nanoTime();
         System.out.println("fault plan seed " + seed);
         FaultSchedule schedule = new FaultSchedule(processes, PAUSE_MS);
-        for (FaultSchedule.Step step : FaultSchedule.draw(seed, 5, 4, PAUSE_MS)) {
-            schedule.play(step);
+        for (FaultSchedule.Step step : FaultSchedule.generate(seed, 5, 4, PAUSE_MS)) {
+            schedule.run(step);
         }
     }
 
@@ -200,15 +200,15 @@
     @Test
     void pauseIsReloadedWithoutLeaving() throws Exception {
         startProcesses(3);
-        processes.operators(text -> text.replace("pause = \"" + PAUSE_MS, "pause = \"" + 4 * PAUSE_MS));
+        processes.editOperatorConfiguration(text -> text.replace("pause = \"" + PAUSE_MS, "pause = \"" + 4 * PAUSE_MS));
         for (int i = 0; i < 3; i++) {
             int index = i;
-            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "ready", () -> processes
                     .ask(index, "READY")
                     .equals("YES\n"));
             processes.rewrite(i);
             processes.signal(i, "HUP");
-            processes.within(START_TIMEOUT_MILLIS, "settings reloaded", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "settings reloaded", () -> processes
                     .ask(index, "STATS")
                     .contains("\"reconfig_ok\":1"));
         }
@@ -221,8 +221,7 @@
         assertEquals(List.of(), departures(startedAt, 0, 1, 2));
         assertTrue(processes.see(3, 0, 1, 2));
         processes.kill(2);
-        long tookMillis =
-                processes.within(4 * DETECTION_MS, "a killed member is removed", () -> processes.see(2, 0, 1));
+        long tookMillis = processes.await(4 * DETECTION_MS, "a killed member is removed", () -> processes.see(2, 0, 1));
         assertTrue(tookMillis > 3 * PAUSE_MS, "known after " + tookMillis + " ms, before the new pause has passed");
     }
 
@@ -230,18 +229,18 @@
     @Test
     void successorOnSameSocketReplacesMember() throws Exception {
         processes = new SidecarProcesses(folder, System.nanoTime(), 3, PAUSE_MS, server);
-        try (Platform platform = new Platform()) {
+        try (SocketActivator platform = new SocketActivator()) {
             processes.start(0);
             processes.start(1);
             long firstPid = processes.startOn(platform, 2);
-            processes.within(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(3, 0, 1, 2));
-            processes.within(START_TIMEOUT_MILLIS, "the first process is ready", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "all members see each other", () -> processes.see(3, 0, 1, 2));
+            processes.await(START_TIMEOUT_MILLIS, "the first process is ready", () -> processes
                     .ask(2, "READY")
                     .equals("YES\n"));
-            int doorBefore = processes.door(2);
+            int doorBefore = processes.adminPort(2);
             long secondPid = processes.startOn(platform, 2);
-            assertTrue(processes.door(2) != doorBefore);
-            processes.within(START_TIMEOUT_MILLIS, "the second process is ready", () -> processes
+            assertTrue(processes.adminPort(2) != doorBefore);
+            processes.await(START_TIMEOUT_MILLIS, "the second process is ready", () -> processes
                     .ask(2, "READY")
                     .equals("YES\n"));
             assertTrue(processes.see(3, 0, 1), "both processes run, and one of them is the member");
@@ -250,7 +249,7 @@
                     .start()
                     .waitFor();
             assertEquals(0, platform.awaitEnd(firstPid));
-            processes.within(DETECTION_MS, "the second process is the member", () -> processes.see(3, 0, 1, 2));
+            processes.await(DETECTION_MS, "the second process is the member", () -> processes.see(3, 0, 1, 2));
             assertEquals(
                     Set.of("n2 left"),
                     Set.copyOf(departures(startedAt, 0, 1).stream()
@@ -267,7 +266,7 @@
     void secondProcessOfSameNameIsRejected() throws Exception {
         startProcesses(3);
         processes.kill(2);
-        processes.within(DETECTION_MS, "a killed member is removed", () -> processes.see(2, 0, 1));
+        processes.await(DETECTION_MS, "a killed member is removed", () -> processes.see(2, 0, 1));
         long startedAt = monotonicMicros();
         Process secondProcess = processes.start(2, "n1");
         assertTrue(secondProcess.waitFor(30, TimeUnit.SECONDS), "the second process still runs");
@@ -281,14 +280,14 @@
                 Files.readString(processes.log(2)));
         assertTrue(processes.see(2, 0, 1));
         assertEquals(List.of(), departures(startedAt, 0, 1));
-        processes.operators(text ->
-                text.replaceFirst("listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:" + processes.socket(0) + "\""));
+        processes.editOperatorConfiguration(text -> text.replaceFirst(
+                "listen = \"[0-9.:]+\"", "listen = \"127.0.0.1:" + processes.membershipPort(0) + "\""));
         Process withUsedSocket = processes.start(2);
         assertTrue(withUsedSocket.waitFor(30, TimeUnit.SECONDS), "the process still runs without a socket");
         assertEquals(1, withUsedSocket.exitValue());
         assertTrue(
                 Files.readString(processes.log(2))
-                        .contains("[membership] can't listen on 127.0.0.1:" + processes.socket(0)),
+                        .contains("[membership] can't listen on 127.0.0.1:" + processes.membershipPort(0)),
                 Files.readString(processes.log(2)));
     }
 
@@ -298,7 +297,7 @@
         startProcesses(4);
         for (int i = 0; i < 4; i++) {
             int index = i;
-            processes.within(START_TIMEOUT_MILLIS, "ready", () -> processes
+            processes.await(START_TIMEOUT_MILLIS, "ready", () -> processes
                     .ask(index, "READY")
                     .equals("YES\n"));
         }
@@ -315,8 +314,8 @@
             servedCounts.add(CompletableFuture.supplyAsync(() -> {
                 int served = 0;
                 while (System.nanoTime() - startedAt < 2 * PAUSE_MS * 1_000_000) {
-                    HttpRequest request = HttpRequest.newBuilder(URI.create(
-                                    "http://127.0.0.1:" + processes.front(index).getPort() + "/book/k"))
+                    HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
+                                    + processes.clientAddress(index).getPort() + "/book/k"))
                             .header("Request-Id", String.format("%016x", requestIds.incrementAndGet()))
                             .header("Tenant", "acme")
                             .header("Request-Timeout-Ms", "20000")
@@ -345,7 +344,7 @@
             served += servedByOne;
         }
         Map<String, Integer> executions = new HashMap<>();
-        server.seen.forEach(s -> executions.merge(s.request().headers().get("Request-Id"), 1, Integer::sum));
+        server.received.forEach(s -> executions.merge(s.request().headers().get("Request-Id"), 1, Integer::sum));
         assertEquals(requestIds.get(), served, "each request has a response from a server");
         assertEquals(Set.of(1), Set.copyOf(executions.values()), "each request ran once");
         assertTrue(processes.see(4, 0, 1, 2, 3));
@@ -387,7 +386,7 @@
             if (sent % DATAGRAMS_PER_BATCH == 0) {
                 // No more than a socket's buffer holds while the process is not scheduled.
                 int all = sent;
-                processes.within(
+                processes.await(
                         START_TIMEOUT_MILLIS,
                         all + " dropped datagrams are counted",
                         () -> droppedDatagrams("foreign") + droppedDatagrams("torn") == all);
--- a/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
+++ b/src/test/java/org/cypressweir/fleet/transport/SharesTest.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.ConcurrentSkipListSet;
 import java.util.concurrent.TimeUnit;
-import org.cypressweir.testkit.Configs;
 import org.cypressweir.testkit.PeerStub;
+import org.cypressweir.testkit.SidecarConfigurations;
 import org.cypressweir.testkit.SidecarProcesses;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -92,28 +92,29 @@
                 }
                 seen.reply("200 OK", "", "ok");
             });
-            server.closesIdle(CONN_IDLE_MILLIS);
+            server.setIdleTimeoutMillis(CONN_IDLE_MILLIS);
             servers.add(server);
         }
         long seed = System.nanoTime();
         System.out.println("relay seed " + seed);
         processes = new SidecarProcesses(folder, seed, MEMBERS, 1_000, servers.toArray(PeerStub[]::new));
-        String list = Configs.json(Configs.list(2, true, "in_service", servers.toArray(PeerStub[]::new)));
+        String list = SidecarConfigurations.json(
+                SidecarConfigurations.list(2, true, "in_service", servers.toArray(PeerStub[]::new)));
         processes.discovery.script(seen -> {
-            listCalls.add(new ListCall(System.nanoTime(), processes.lateNanos()));
+            listCalls.add(new ListCall(System.nanoTime(), processes.schedulingDelayNanos()));
             seen.reply("200 OK", "", list);
         });
-        processes.seeds(3);
-        processes.configs(
+        processes.setSeedCount(3);
+        processes.editConfiguration(
                 text -> text.replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":" + CONN_IDLE_MILLIS * 1_000));
-        processes.operators(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS
+        processes.editOperatorConfiguration(text -> text + "[fleet]\ninstances = \"members\"\nmost = " + MEMBERS
                 + "\nidle_per_server = " + CONNECTIONS_PER_SERVER + "\nlist_rate = " + LIST_CALLS_PER_SECOND + "\n");
         for (int i = 0; i < MEMBERS; i++) {
             start(i);
             activeProcesses.add(i);
         }
         for (int i : activeProcesses) {
-            processes.within(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
+            processes.await(15_000, "ready", () -> processes.ask(i, "READY").equals("YES\n"));
         }
     }
 
@@ -123,8 +124,8 @@
         for (int i : activeProcesses) {
             for (int k = 0; k < MAX_CONNECTIONS / 2; k++) {
                 responses.add(client.sendAsync(
-                        HttpRequest.newBuilder(URI.create(
-                                        "http://127.0.0.1:" + processes.front(i).getPort() + "/search/k"))
+                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
+                                        + processes.clientAddress(i).getPort() + "/search/k"))
                                 .header("Tenant", "acme")
                                 .header("Request-Id", String.format("%016x", ++lastRequestId))
                                 .header("Request-Timeout-Ms", "3000")
@@ -136,7 +137,7 @@
             response.get(30, TimeUnit.SECONDS);
         }
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        int open = servers.stream().mapToInt(PeerStub::open).sum();
+        int open = servers.stream().mapToInt(PeerStub::openConnections).sum();
         maxOpenConnections = Math.max(maxOpenConnections, open);
         assertTrue(
                 open <= MAX_CONNECTIONS,
@@ -158,7 +159,7 @@
 
     /** Sends rounds until so many connections are in use, within so many milliseconds. */
     private void awaitConnections(int connections, String phase, long millis) throws Exception {
-        long tookMillis = processes.within(
+        long tookMillis = processes.await(
                 millis + 3 * ROUND_MILLIS, phase + ": the fleet uses " + connections, () -> sendRound() >= connections);
         System.out.println(phase + ": " + connections + " of " + MAX_CONNECTIONS + " used after " + tookMillis + " ms");
     }
@@ -217,13 +218,13 @@
         startProcesses();
         awaitConnections(MEMBERS * 11, "all started together", 2 * RELEASE_MILLIS);
 
-        processes.relay.cut((from, to) -> from < 3 == to < 3);
-        processes.within(
+        processes.relay.setLinkFilter((from, to) -> from < 3 == to < 3);
+        processes.await(
                 HOLD_MILLIS + ROUND_MILLIS,
                 "the minority falls back to its minimum",
                 () -> hasClaim(3, false) && hasClaim(4, false));
         awaitConnections(57, "partitioned, the majority", RELEASE_MILLIS);
-        processes.relay.cut((from, to) -> true);
+        processes.relay.setLinkFilter((from, to) -> true);
         awaitConnections(MEMBERS * 11, "partition healed", RELEASE_MILLIS);
 
         // Two processes, one of them a voter, are paused with all their connections open.
@@ -247,7 +248,7 @@
         start(4);
         sendRounds(HOLD_MILLIS);
         activeProcesses.addAll(Set.of(3, 4));
-        processes.within(
+        processes.await(
                 15_000,
                 "ready",
                 () -> processes.ask(3, "READY").equals("YES\n")
@@ -258,7 +259,7 @@
         activeProcesses.removeAll(Set.of(0, 1));
         processes.kill(0);
         processes.kill(1);
-        processes.within(
+        processes.await(
                 HOLD_MILLIS + ROUND_MILLIS,
                 "all fall back to the minimum",
                 () -> hasClaim(2, false) && hasClaim(3, false) && hasClaim(4, false));
--- a/src/test/java/org/cypressweir/golden/ConsensusMessagesTest.java
+++ b/src/test/java/org/cypressweir/golden/ConsensusMessagesTest.java
@@ -84,7 +84,7 @@
             PersistentState stored =
                     knowsState ? new PersistentState(ACCEPTED, ACCEPTED, VOTERS, ITEMS, false, 0) : null;
             copies = new ConsensusReplica(
-                    ConsensusOptions.usual(), OWN, VOTERS, false, stored, LIFE, new SplittableRandom(SEED), NOW);
+                    ConsensusOptions.defaults(), OWN, VOTERS, false, stored, LIFE, new SplittableRandom(SEED), NOW);
         }
 
         void receives(Map<String, Object> message) {
@@ -137,7 +137,7 @@
     }
 
     private static List<String> repliesOfAcceptor() {
-        long sum = Configuration.of(ITEMS).with(List.of(CHANGED)).sum();
+        long sum = Configuration.of(ITEMS).with(List.of(CHANGED)).checksum();
         Replica replica = new Replica(true);
         replica.receives(JsonCodec.map("t", "copies.prepare", "to", OWN, "b", "3@" + PEER));
         replica.receives(JsonCodec.map("t", "copies.prepare", "to", OWN, "b", "10@" + PEER));
@@ -212,7 +212,7 @@
     private static Map<String, String> firstOfEachKind() {
         Map<String, String> first = new TreeMap<>();
         SimulatedReplicas world = new SimulatedReplicas(SEED, 3);
-        world.sent = message -> first.putIfAbsent(String.valueOf(message.get("t")), json(message));
+        world.onSent = message -> first.putIfAbsent(String.valueOf(message.get("t")), json(message));
         world.run(SECOND);
         world.await(world.submit(world.replica(1), tenant("acme", 1), SECOND));
         world.crash(world.replica(3));
@@ -224,7 +224,7 @@
         world.run(20 * SECOND);
         world.await(world.submit(world.replica(2), tenant("acme", 3), SECOND));
         world.run(SECOND);
-        assertThat(world.checks().breach()).isNull();
+        assertThat(world.checks().violation()).isNull();
         return first;
     }
 
--- a/src/test/java/org/cypressweir/golden/EnumTextsTest.java
+++ b/src/test/java/org/cypressweir/golden/EnumTextsTest.java
@@ -12,7 +12,7 @@
 import org.cypressweir.controlplane.configuration.ItemType;
 import org.cypressweir.dataplane.http.upstream.RejectionReason;
 import org.cypressweir.fleet.lease.LeaseMessage;
-import org.cypressweir.fleet.membership.Change;
+import org.cypressweir.fleet.membership.MembershipChange;
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.loadbalancing.LoadBalancer;
 import org.cypressweir.sidecar.admin.SidecarLifecycle;
@@ -112,7 +112,8 @@
     /** In the log and in the recorded history of a member, in lower case. */
     @Test
     void changesOfMembership() {
-        assertThat(texts(Change.Kind.values(), EnumTextsTest::lower)).containsExactly("joined", "back", "out", "left");
+        assertThat(texts(MembershipChange.Kind.values(), EnumTextsTest::lower))
+                .containsExactly("joined", "back", "out", "left");
     }
 
     /** Published by a member about itself, in lower case. */
--- a/src/test/java/org/cypressweir/loadbalancing/LoadBalancerScenario.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LoadBalancerScenario.java
@@ -15,18 +15,18 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.cypressweir.loadbalancing.LoadBalancer.Actions;
-import org.cypressweir.loadbalancing.LoadBalancer.Bound;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
+import org.cypressweir.loadbalancing.LoadBalancer.NamedLimit;
 import org.cypressweir.loadbalancing.LoadBalancer.Outcome;
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.ReportSource;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
  * Simulated servers and clients, driven by a seed, around one {@link SubsetLoadBalancer}, whose actions are recorded
@@ -48,28 +48,28 @@
     private static final int KINDS = 2;
     private static final int LOAD_PHASE_REQUESTS = 400;
 
-    private static final List<Terms> TERMS = List.of(
-            Terms.NONE,
-            Terms.NONE,
-            Terms.NONE,
-            new Terms(
+    private static final List<RequestPolicy> TERMS = List.of(
+            RequestPolicy.NONE,
+            RequestPolicy.NONE,
+            RequestPolicy.NONE,
+            new RequestPolicy(
                     2,
                     300_000,
                     Set.of(Result.ERROR, Result.FULL, Result.BROKEN),
                     0,
                     0,
-                    List.of(new Bound("route", 40, 10)),
+                    List.of(new NamedLimit("route", 40, 10)),
                     false),
-            new Terms(3, 0, Terms.NONE.retryOn(), 1, 30_000, List.of(), false),
-            new Terms(
+            new RequestPolicy(3, 0, RequestPolicy.NONE.retryOn(), 1, 30_000, List.of(), false),
+            new RequestPolicy(
                     4,
                     0,
-                    Terms.NONE.retryOn(),
+                    RequestPolicy.NONE.retryOn(),
                     2,
                     10_000,
-                    List.of(new Bound("route", 60, 20), new Bound("tenant", 50, 8)),
+                    List.of(new NamedLimit("route", 60, 20), new NamedLimit("tenant", 50, 8)),
                     false),
-            Terms.NONE.forOneThatStays());
+            RequestPolicy.NONE.forLongLived());
 
     private enum Condition {
         HEALTHY,
@@ -155,9 +155,9 @@
             at(time, this::change);
         }
         for (long time = START_MICROS; time < end; time += RECORD_EVERY_MICROS) {
-            at(time, () -> note("avoided", String.valueOf(balancer.avoided(now))));
+            at(time, () -> note("avoided", String.valueOf(balancer.ejectedServers(now))));
         }
-        at(end - 20 * meanGapMicros, () -> balancer.closing(now));
+        at(end - 20 * meanGapMicros, () -> balancer.shutDown(now));
         while (!events.isEmpty()) {
             Event event = events.poll();
             now = Math.max(now, event.at);
@@ -246,12 +246,12 @@
             case 7 -> list(ListKind.CHANGES, List.of(addServer(now), addServer(0)));
             case 8 -> list(ListKind.COMPLETE, entries());
             case 9 -> list(ListKind.FAILED, List.of());
-            case 10 -> balancer.burden(now, server.entry.id(), random.nextInt(20), random.nextInt(3) == 0);
+            case 10 -> balancer.externalLoad(now, server.entry.id(), random.nextInt(20), random.nextInt(3) == 0);
             case 11 -> {
                 int open = 40 + random.nextInt(100);
                 balancer.limits(now, open, open / 2, 40 + random.nextInt(400));
             }
-            case 12 -> balancer.retune(now, settings.with(changedClasses()));
+            case 12 -> balancer.reconfigure(now, settings.with(changedClasses()));
             default -> changeSomeConditions();
         }
     }
@@ -283,7 +283,7 @@
                     each.effect(),
                     each.group(),
                     each.dedupWindowMicros(),
-                    (long) (each.aimMicros() * factor),
+                    (long) (each.targetMicros() * factor),
                     each.hintFactor(),
                     each.deadlineMicros(),
                     each.worth() * factor,
@@ -291,7 +291,7 @@
                     each.streaming()));
         }
         if (changed.size() > 1 && random.nextInt(3) == 0) {
-            changed.set(changed.size() - 1, RequestClass.GONE);
+            changed.set(changed.size() - 1, RequestClass.REMOVED);
         }
         return changed;
     }
@@ -306,7 +306,7 @@
         }
         long hint = random.nextInt(3) == 0 ? 1_000 + random.nextInt(40_000) : 0;
         long key = random.nextInt(5) == 0 ? -1 : random.nextInt(KEYS);
-        Terms terms = TERMS.get(random.nextInt(TERMS.size()));
+        RequestPolicy terms = TERMS.get(random.nextInt(TERMS.size()));
         int tenant = random.nextInt(4) == 0
                 ? 0
                 : random.nextInt(Math.max(1, settings.tenants().size()));
@@ -328,7 +328,7 @@
 
     private void serve(ClientRequest client, int number, SimulatedServer server) {
         long limit = client.request.deadlineMicros();
-        long perAttempt = client.request.terms().attemptMicros();
+        long perAttempt = client.request.policy().attemptTimeoutMicros();
         if (perAttempt > 0) {
             limit = Math.min(limit, now + perAttempt);
         }
--- a/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
@@ -128,14 +128,14 @@
     @Test
     void serverWithExternalLoadGetsFewerRequests() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 2);
-        r.choice.burden(r.now, 1, 5, false);
+        r.choice.externalLoad(r.now, 1, 5, false);
         for (int i = 0; i < 200; i++) {
             r.request("r" + i);
             r.answer(0, Result.SERVED, 2000, true);
         }
         long loaded = r.sent.stream().filter(s -> s.server() == 1).count();
         assertTrue(loaded < 20, "sent " + loaded + " of 200");
-        r.choice.burden(r.now, 1, 0, false);
+        r.choice.externalLoad(r.now, 1, 0, false);
         for (int i = 200; i < 400; i++) {
             r.request("r" + i);
             r.answer(0, Result.SERVED, 2000, true);
